--- /dev/null
+++ b/internal/job/golden_test.go
@@ -0,0 +1,464 @@
+package job_test
+
+import (
+	"bytes"
+	"encoding/gob"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/job"
+)
+
+// writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
+// never be rewritten by later code: disks hold logs and snapshots of that build.
+var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
+
+const (
+	commandsFile = "commands.bin" // one batch, as an entry of the log holds it
+	snapshotFile = "store.gob"    // the state after these commands
+	stateFile    = "store.json"   // the same, for readers and for comparison
+)
+
+// goldenSum is the digest of the state after the golden commands. Operators compare the digests
+// of core processes, also of different builds.
+const goldenSum = uint64(0x9ad330e130b2e2a4)
+
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	return content
+}
+
+// accept hands in a job with all fields of New filled.
+func acceptCommand(id, queue string, spec job.Spec) job.Command {
+	spec.Text = "text of " + id
+	return job.Command{Kind: job.Accept, AtMs: 1000, New: &job.New{
+		ID: id, Queue: queue, Service: "service", Hash: 77, Spec: spec, Priority: 3, Retries: 2, TargetMs: 1500, Stretch: 1.25, Version: 5,
+	}}
+}
+
+// plain is a job of one step of so many tasks.
+func plain(tasks int) job.Spec {
+	return job.Spec{Steps: []job.Step{{Count: tasks, Resources: job.Resources{CPU: 500, MemMB: 64}, EstimateMs: 200}}}
+}
+
+// full is a job with all fields of its steps filled.
+func full() job.Spec {
+	return job.Spec{
+		Steps: []job.Step{
+			{Count: 1, Resources: job.Resources{CPU: 100, MemMB: 32, GPU: 1}, EstimateMs: 50},
+			{
+				Count: 2, Resources: job.Resources{CPU: 250, MemMB: 128, GPU: 2}, EstimateMs: 300, DependsOn: []int{0}, Checkpoints: true,
+				Gang: true, SameRack: true, Constraints: job.Labels{"ssd", "zone=a"}, Affinity: "data-7", AntiAffinity: 4,
+				Speculative: true, LongRunning: true,
+			},
+		},
+		LongRunning: true, Speculative: true,
+	}
+}
+
+func timed() job.Spec {
+	spec := plain(1)
+	spec.Repeats, spec.StartAtMs, spec.IntervalMs = 3, 5000, 250
+	return spec
+}
+
+func gang() job.Spec {
+	spec := plain(2)
+	spec.Steps[0].Gang, spec.Steps[0].Checkpoints = true, true
+	return spec
+}
+
+func speculative() job.Spec {
+	spec := plain(1)
+	spec.Steps[0].Speculative, spec.Steps[0].Checkpoints = true, true
+	return spec
+}
+
+func lasting() job.Spec {
+	spec := plain(1)
+	spec.Steps[0].LongRunning = true
+	return spec
+}
+
+func task(id string, time, step, index int) job.TaskRef {
+	return job.TaskRef{Job: id, Time: time, Step: step, Index: index}
+}
+
+func startCommand(ref job.TaskRef, attempt int, runner string) job.Command {
+	return job.Command{Kind: job.Start, Task: ref, Attempt: attempt, Runner: runner, Address: "10.3.0.1:9000", AtMs: 2000}
+}
+
+func endCommand(ref job.TaskRef, attempt int, how job.How, saved string) job.Command {
+	return job.Command{Kind: job.End, Task: ref, Attempt: attempt, Runner: "runner-1", How: how, Saved: saved, AtMs: 3000}
+}
+
+func saveCommand(ref job.TaskRef, attempt int, saved string) job.Command {
+	return job.Command{Kind: job.Save, Task: ref, Attempt: attempt, Saved: saved, AtMs: 2500}
+}
+
+func cancelCommand(id, queue string) job.Command {
+	return job.Command{Kind: job.Cancel, Task: job.TaskRef{Job: id}, Queue: queue, Version: 6, AtMs: 4000}
+}
+
+func dueCommand(id string, time int) job.Command {
+	return job.Command{Kind: job.Due, Task: job.TaskRef{Job: id, Time: time}, AtMs: 5000}
+}
+
+const (
+	queue      = "host/queue/"
+	otherQueue = "host/other/"
+	movedQueue = "host/moved/"
+)
+
+// goldenCommands bring about jobs of all states. Each kind of command and each end of a run occurs.
+func goldenCommands() []job.Command {
+	return []job.Command{
+		acceptCommand("pending", queue, full()),
+		acceptCommand("pending-too", queue, plain(2)),
+		acceptCommand("pending-other", otherQueue, plain(1)),
+
+		acceptCommand("running", queue, full()),
+		startCommand(task("running", 0, 0, 0), 1, "runner-1"),
+		endCommand(task("running", 0, 0, 0), 1, job.Done, ""),
+		startCommand(task("running", 0, 1, 0), 1, "runner-2"),
+		startCommand(task("running", 0, 1, 1), 1, "runner-3"),
+
+		acceptCommand("ends", queue, plain(8)), // each end of a run but done
+		startCommand(task("ends", 0, 0, 1), 1, "runner-1"),
+		endCommand(task("ends", 0, 0, 1), 1, job.Failed, ""),
+		startCommand(task("ends", 0, 0, 2), 1, "runner-1"),
+		endCommand(task("ends", 0, 0, 2), 1, job.Stopped, ""),
+		startCommand(task("ends", 0, 0, 3), 1, "runner-1"),
+		endCommand(task("ends", 0, 0, 3), 1, job.Lapsed, ""),
+		startCommand(task("ends", 0, 0, 4), 1, "runner-1"),
+		endCommand(task("ends", 0, 0, 4), 1, job.Broken, ""),
+		startCommand(task("ends", 0, 0, 5), 1, "runner-1"),
+		endCommand(task("ends", 0, 0, 5), 1, job.Alone, ""),
+		startCommand(task("ends", 0, 0, 6), 1, "runner-1"),
+		endCommand(task("ends", 0, 0, 6), 1, job.Refused, ""),
+		startCommand(task("ends", 0, 0, 7), 1, "runner-1"),
+		endCommand(task("ends", 0, 0, 7), 1, job.Lost, ""),
+		startCommand(task("ends", 0, 0, 7), 2, "runner-4"),
+
+		acceptCommand("speculative", queue, speculative()),
+		startCommand(task("speculative", 0, 0, 0), 1, "runner-1"),
+		saveCommand(task("speculative", 0, 0, 0), 1, "progress-1"),
+		startCommand(task("speculative", 0, 0, 0), 2, "runner-2"),
+
+		acceptCommand("gang", queue, gang()),
+		startCommand(task("gang", 0, 0, 0), 1, "runner-1"),
+		startCommand(task("gang", 0, 0, 1), 1, "runner-2"),
+		saveCommand(task("gang", 0, 0, 1), 1, "gang-progress"),
+		endCommand(task("gang", 0, 0, 0), 1, job.Failed, ""),
+		endCommand(task("gang", 0, 0, 1), 1, job.Alone, "gang-progress-2"),
+		startCommand(task("gang", 0, 0, 0), 2, "runner-1"),
+		startCommand(task("gang", 0, 0, 1), 2, "runner-2"),
+
+		acceptCommand("timed", queue, timed()),
+		dueCommand("timed", 0),
+		startCommand(task("timed", 0, 0, 0), 1, "runner-1"),
+		endCommand(task("timed", 0, 0, 0), 1, job.Done, ""),
+		dueCommand("timed", 1),
+		startCommand(task("timed", 1, 0, 0), 1, "runner-1"),
+		endCommand(task("timed", 1, 0, 0), 1, job.Failed, "half"),
+
+		acceptCommand("lasting", queue, lasting()),
+		startCommand(task("lasting", 0, 0, 0), 1, "runner-5"),
+
+		acceptCommand("completed", queue, plain(1)),
+		startCommand(task("completed", 0, 0, 0), 1, "runner-1"),
+		endCommand(task("completed", 0, 0, 0), 1, job.Done, ""),
+
+		acceptCommand("failed", queue, plain(1)),
+		startCommand(task("failed", 0, 0, 0), 1, "runner-1"),
+		endCommand(task("failed", 0, 0, 0), 1, job.Failed, ""),
+		startCommand(task("failed", 0, 0, 0), 2, "runner-2"),
+		endCommand(task("failed", 0, 0, 0), 2, job.Failed, ""),
+
+		acceptCommand("canceled", queue, plain(1)),
+		cancelCommand("canceled", queue),
+		acceptCommand("canceled-live", queue, plain(1)),
+		startCommand(task("canceled-live", 0, 0, 0), 1, "runner-1"),
+		cancelCommand("canceled-live", queue),
+		cancelCommand("withdrawn", queue),
+
+		acceptCommand("forgotten", queue, plain(1)),
+		cancelCommand("forgotten", queue),
+		{Kind: job.Forget, Task: job.TaskRef{Job: "forgotten"}, AtMs: 6000},
+
+		{Kind: job.Seal, Queue: movedQueue, Version: 9, AtMs: 7000},
+		{ // all fields that a command of no kind has together
+			Kind: job.Save, Task: task("nobody", 1, 2, 3), Attempt: 4, Runner: "runner", Address: "10.3.0.2:9000", How: job.Broken,
+			Saved: "saved", AtMs: 8000, Queue: otherQueue, Version: 10,
+		},
+	}
+}
+
+func goldenStore() *job.Store {
+	store := job.NewStore()
+	for _, command := range goldenCommands() {
+		store.Apply(command)
+	}
+	return store
+}
+
+// The types from here on have the form of a snapshot at 352ebf2. Their fields' names are stored
+// and are never to be changed.
+type (
+	storedStore struct {
+		Jobs    map[string]*storedJob
+		Pending map[string]int
+		Sealed  map[string]int64
+	}
+	storedJob struct {
+		New        storedNew
+		State      uint8
+		Times      []*storedTime
+		OpenTimes  int
+		Live       int
+		AcceptedMs int64
+		EndedMs    int64
+		Withdrawn  bool
+	}
+	storedNew struct {
+		ID       string
+		Queue    string
+		Service  string
+		Hash     uint64
+		Spec     storedSpec
+		Priority int
+		Retries  int
+		TargetMs int64
+		Stretch  float64
+		Version  int64
+	}
+	storedSpec struct {
+		Text        string
+		Steps       []storedStep
+		Repeats     int
+		StartAtMs   int64
+		IntervalMs  int64
+		LongRunning bool
+		Speculative bool
+	}
+	storedStep struct {
+		Count        int
+		Resources    storedResources
+		EstimateMs   int64
+		DependsOn    []int
+		Checkpoints  bool
+		Gang         bool
+		SameRack     bool
+		Constraints  []string
+		Affinity     string
+		AntiAffinity int
+		Speculative  bool
+		LongRunning  bool
+	}
+	storedResources struct{ CPU, MemMB, GPU int64 }
+	storedTime      struct {
+		Steps []storedStepRun
+		Open  int
+	}
+	storedStepRun struct {
+		Tasks []storedTask
+		Done  int
+		Saved string
+		Fails uint64
+	}
+	storedTask struct {
+		Attempt int
+		Failed  int
+		Listed  uint64
+		Done    bool
+		Saved   string
+		Runs    []storedRun
+	}
+	storedRun struct {
+		Attempt int
+		Runner  string
+		Address string
+	}
+)
+
+// stateOf reads a snapshot as a process of 352ebf2 does.
+func stateOf(t *testing.T, snapshot []byte) string {
+	t.Helper()
+	var stored storedStore
+	require.NoError(t, gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&stored))
+	content, err := json.MarshalIndent(stored, "", " ")
+	require.NoError(t, err)
+	return string(content) + "\n"
+}
+
+func snapshotOf(t *testing.T, store *job.Store) []byte {
+	t.Helper()
+	snapshot, err := store.Snapshot()
+	require.NoError(t, err)
+	return snapshot
+}
+
+func restored(t *testing.T, snapshot []byte) *job.Store {
+	t.Helper()
+	store := job.NewStore()
+	require.NoError(t, store.Restore(snapshot))
+	return store
+}
+
+func TestGoldenFilesAreWritten(t *testing.T) {
+	if !*writeGolden {
+		t.Skip("only with -write-golden, and only at 352ebf2")
+	}
+	for name, content := range map[string][]byte{
+		commandsFile: job.Batch{Commands: goldenCommands()}.Encode(),
+		snapshotFile: snapshotOf(t, goldenStore()),
+		stateFile:    []byte(stateOf(t, snapshotOf(t, goldenStore()))),
+	} {
+		require.NoError(t, os.WriteFile(filepath.Join("testdata", name), content, 0o644))
+	}
+}
+
+// TestGoldenCommandsAreRead: a batch of 352ebf2 has the same commands, and is written the same.
+func TestGoldenCommandsAreRead(t *testing.T) {
+	batch, err := job.DecodeBatch(golden(t, commandsFile))
+	require.NoError(t, err)
+	wanted := goldenCommands()
+	require.Len(t, batch.Commands, len(wanted))
+	for at, command := range wanted {
+		require.Equal(t, command, batch.Commands[at], "command %d", at)
+	}
+	require.Equal(t, golden(t, commandsFile), job.Batch{Commands: wanted}.Encode())
+}
+
+// TestGoldenCommandsHaveTheSameOutcome: replicas of both builds apply the same log.
+func TestGoldenCommandsHaveTheSameOutcome(t *testing.T) {
+	batch, err := job.DecodeBatch(golden(t, commandsFile))
+	require.NoError(t, err)
+	store := job.NewStore()
+	for _, command := range batch.Commands {
+		store.Apply(command)
+	}
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshotOf(t, store)))
+	require.Equal(t, goldenSum, store.Sum())
+}
+
+// TestGoldenSnapshotIsRead: all fields of a snapshot of 352ebf2 arrive, and a snapshot of this
+// build is read whole by a process of 352ebf2.
+func TestGoldenSnapshotIsRead(t *testing.T) {
+	snapshot := golden(t, snapshotFile)
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshot), "the golden files belong together")
+	store := restored(t, snapshot)
+	require.Equal(t, restored(t, snapshotOf(t, goldenStore())), store)
+	require.Equal(t, goldenSum, store.Sum())
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshotOf(t, store)))
+}
+
+// TestGoldenSnapshotFieldByField checks one job with all that a job can have, by the names that
+// the code has now.
+func TestGoldenSnapshotFieldByField(t *testing.T) {
+	store := restored(t, golden(t, snapshotFile))
+	require.Equal(t, map[string]int{queue: 2, otherQueue: 1}, store.Pending)
+	require.Equal(t, map[string]int64{movedQueue: 9}, store.Sealed)
+	states := map[string]job.State{}
+	for id, j := range store.Jobs {
+		states[id] = j.State
+	}
+	require.Equal(t, map[string]job.State{
+		"pending": job.Pending, "pending-too": job.Pending, "pending-other": job.Pending,
+		"running": job.Running, "ends": job.Running, "speculative": job.Running, "gang": job.Running, "timed": job.Running, "lasting": job.Running,
+		"completed": job.Completed, "failed": job.FailedState,
+		"canceled": job.Canceled, "canceled-live": job.Canceled, "withdrawn": job.Canceled,
+	}, states)
+
+	running := full()
+	running.Text = "text of running"
+	require.Equal(t, &job.Job{
+		New: job.New{ID: "running", Queue: queue, Service: "service", Hash: 77, Spec: running, Priority: 3, Retries: 2, TargetMs: 1500, Stretch: 1.25, Version: 5},
+		Times: []*job.Time{{Open: 1, Steps: []job.StepRun{
+			{Done: 1, Tasks: []job.Task{{Attempt: 1, Listed: 2, Done: true}}},
+			{Tasks: []job.Task{
+				{Attempt: 1, Runs: []job.Run{{Attempt: 1, Runner: "runner-2", Address: "10.3.0.1:9000"}}},
+				{Attempt: 1, Runs: []job.Run{{Attempt: 1, Runner: "runner-3", Address: "10.3.0.1:9000"}}},
+			}},
+		}}},
+		State: job.Running, OpenTimes: 1, Live: 2, AcceptedMs: 1000,
+	}, store.Jobs["running"])
+
+	gang := store.Jobs["gang"].Times[0].Steps[0]
+	require.Equal(t, "gang-progress-2", gang.Saved)
+	require.Equal(t, uint64(2), gang.Fails)
+	require.Equal(t, 1, gang.Tasks[0].Failed)
+
+	speculative := store.Jobs["speculative"].Times[0].Steps[0].Tasks[0]
+	require.Equal(t, "progress-1", speculative.Saved)
+	require.Len(t, speculative.Runs, 2)
+
+	timed := store.Jobs["timed"]
+	require.Equal(t, 2, timed.OpenTimes)
+	require.Equal(t, &job.Time{}, timed.Times[0], "the first time is complete")
+	require.Equal(t, job.Task{Attempt: 1, Failed: 1, Listed: 2, Saved: "half"}, timed.Times[1].Steps[0].Tasks[0])
+	require.Equal(t, []int64{3, 5000, 250}, []int64{int64(timed.Spec.Repeats), timed.Spec.StartAtMs, timed.Spec.IntervalMs})
+
+	require.Equal(t, &job.Job{New: job.New{ID: "withdrawn", Queue: queue}, State: job.Canceled, EndedMs: 4000, Withdrawn: true}, store.Jobs["withdrawn"])
+}
+
+// TestGoldenSnapshotGoesOn: commands apply to a state that was read as they did before.
+func TestGoldenSnapshotGoesOn(t *testing.T) {
+	store := restored(t, golden(t, snapshotFile))
+	require.Equal(t, job.Known, store.Apply(acceptCommand("pending", queue, full())), "handed in again")
+	require.Equal(t, job.Moved, store.Apply(acceptCommand("late", movedQueue, plain(1))), "the queue was sealed at version 9")
+	require.Equal(t, job.Withdrawn, store.Apply(acceptCommand("withdrawn", queue, plain(1))))
+	require.Equal(t, job.Applied, store.Apply(startCommand(task("pending-other", 0, 0, 0), 1, "runner-9")))
+	require.NotContains(t, store.Pending, otherQueue)
+	require.Equal(t, job.Applied, store.Apply(endCommand(task("speculative", 0, 0, 0), 2, job.Done, "")))
+	require.Equal(t, job.Completed, store.Jobs["speculative"].State)
+	require.Equal(t, job.Applied, store.Apply(dueCommand("timed", 2)))
+	require.Equal(t, job.Applied, store.Apply(endCommand(task("gang", 0, 0, 0), 2, job.Failed, "")))
+	require.Equal(t, job.FailedState, store.Jobs["gang"].State, "the gang's second failure, with that before the snapshot")
+	require.Equal(t, job.Rejected, store.Apply(startCommand(task("ends", 0, 0, 7), 2, "runner-9")), "attempt 2 was used")
+}
+
+// TestStoredNumbers: constants that are stored keep their numbers, and names their texts.
+func TestStoredNumbers(t *testing.T) {
+	require.Equal(t, []job.Kind{1, 2, 3, 4, 5, 6, 7, 8}, []job.Kind{job.Accept, job.Due, job.Start, job.End, job.Save, job.Cancel, job.Forget, job.Seal})
+	require.Equal(t, []job.How{1, 2, 3, 4, 5, 6, 7, 8}, []job.How{
+		job.Done, job.Failed, job.Stopped, job.Lapsed, job.Broken, job.Alone, job.Refused, job.Lost,
+	})
+	require.Equal(t, []job.State{0, 1, 2, 3, 4}, []job.State{job.Pending, job.Running, job.Completed, job.FailedState, job.Canceled})
+	require.Equal(t, "a.1.2.3", task("a", 1, 2, 3).String())
+	var names []string
+	for state := job.Pending; state <= job.Canceled; state++ {
+		names = append(names, state.String())
+	}
+	require.Equal(t, []string{"pending", "running", "completed", "failed", "canceled"}, names)
+	for name, how := range map[string]job.How{
+		"done": job.Done, "failed": job.Failed, "stopped": job.Stopped, "lapsed": job.Lapsed, "broken": job.Broken, "alone": job.Alone, "refused": job.Lapsed,
+	} {
+		require.Equal(t, how, job.ParseHow(name), name)
+	}
+}
+
+// TestClientsJobIsRead: a job as clients send it, with all fields of the protocol.
+func TestClientsJobIsRead(t *testing.T) {
+	spec, err := job.ParseSpec([]byte(`{"spec":"text","repeats":2,"start_at_ms":3,"interval_ms":4,"stages":[
+		{"count":1},
+		{"count":5,"cpu":6,"mem_mb":7,"gpu":8,"estimate_ms":9,"depends_on":[0],"checkpoints":true,"gang":true,"same_rack":true,
+		 "constraints":["ssd"],"affinity":"data","anti_affinity":10,"speculative":true,"long_running":true}]}`))
+	require.NoError(t, err)
+	require.Equal(t, job.Spec{Text: "text", Repeats: 2, StartAtMs: 3, IntervalMs: 4, Steps: []job.Step{{Count: 1}, {
+		Count: 5, Resources: job.Resources{CPU: 6, MemMB: 7, GPU: 8}, EstimateMs: 9, DependsOn: []int{0}, Checkpoints: true, Gang: true,
+		SameRack: true, Constraints: job.Labels{"ssd"}, Affinity: "data", AntiAffinity: 10, Speculative: true, LongRunning: true,
+	}}}, spec)
+	spec, err = job.ParseSpec([]byte(`{"stages":[{"count":1,"constraints":"one"}],"long_running":true,"speculative":true}`))
+	require.NoError(t, err)
+	require.Equal(t, job.Spec{LongRunning: true, Speculative: true, Steps: []job.Step{
+		{Count: 1, Constraints: job.Labels{"one"}, Speculative: true, LongRunning: true},
+	}}, spec)
+}
--- /dev/null
+++ b/internal/opconfig/golden_test.go
@@ -0,0 +1,222 @@
+package opconfig_test
+
+import (
+	"bytes"
+	"encoding/gob"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/opconfig"
+)
+
+// writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
+// never be rewritten by later code: disks hold logs and snapshots of that build.
+var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
+
+const (
+	changeFile   = "change.gob"    // one command, as an entry of the log holds it
+	registerFile = "register.gob"  // a snapshot after goldenVersions changes
+	stateFile    = "register.json" // the same, for readers and for comparison
+)
+
+// goldenSum is the digest of the register of registerFile. Operators compare the digests of core
+// processes, also of different builds.
+const goldenSum = uint64(0x351d809849b67171)
+
+const (
+	goldenVersions  = 44
+	goldenForgotten = 3
+)
+
+// goldenContent is one of the configurations: queue /moves/ changes its service with every tenth
+// version, and queue /gone/ is removed by version 30.
+func goldenContent(version int) []byte {
+	route := func(prefix, service string) string {
+		return fmt.Sprintf(`{"name":"route","host":"h.example","path_prefix":%q,"type":"mutating","timeout_ms":3000,"target_ms":250.5,`+
+			`"priority":2,"backend":%q,"retries":3,"extension":1.5}`, prefix, service)
+	}
+	routes := []string{route("/stays/", "desk-0"), route("/moves/", fmt.Sprintf("desk-%d", version/10))}
+	if version < 30 {
+		routes = append(routes, route("/gone/", "desk-1"))
+	}
+	var services []string
+	for at := range 5 {
+		services = append(services, fmt.Sprintf(`{"name":"desk-%d","guards":true}`, at))
+	}
+	return []byte(fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[%s],"limits":{"max_header_bytes":8192,"max_body_bytes":262144,`+
+		`"header_timeout_ms":5000,"idle_timeout_ms":60000}}`, version, strings.Join(routes, ","), strings.Join(services, ",")))
+}
+
+func goldenChange(version int) opconfig.Change {
+	return opconfig.Change{Base: int64(version - 1), Version: int64(version), Content: goldenContent(version)}
+}
+
+func goldenRegister(t *testing.T) *opconfig.Register {
+	t.Helper()
+	register := opconfig.NewRegister()
+	for version := 1; version <= goldenVersions; version++ {
+		verdict, err := register.Apply(goldenChange(version))
+		require.NoError(t, err)
+		require.Equal(t, opconfig.Taken, verdict)
+	}
+	register.Forgotten = goldenForgotten // only after thousands of changes would it be set
+	return register
+}
+
+// storedRegister and storedChange have the form of a snapshot and of a command at 352ebf2. Their
+// fields' names are stored and are never to be changed.
+type (
+	storedRegister struct {
+		Version   int64
+		Content   []byte
+		Taken     map[int64][32]byte
+		Order     []int64
+		Forgotten int64
+		Changes   uint64
+		Backends  map[string][]string
+		Since     map[string]int64
+		Removed   map[string]uint64
+	}
+	storedChange struct {
+		Base    int64
+		Version int64
+		Content []byte
+	}
+)
+
+// stateOf reads a snapshot as a process of 352ebf2 does.
+func stateOf(t *testing.T, snapshot []byte) string {
+	t.Helper()
+	var stored storedRegister
+	require.NoError(t, gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&stored))
+	content, err := json.Marshal(stored)
+	require.NoError(t, err)
+	var to bytes.Buffer
+	require.NoError(t, json.Indent(&to, content, "", " "))
+	return to.String() + "\n"
+}
+
+func snapshotOf(t *testing.T, register *opconfig.Register) []byte {
+	t.Helper()
+	snapshot, err := register.Snapshot()
+	require.NoError(t, err)
+	return snapshot
+}
+
+func encoded(t *testing.T, change opconfig.Change) []byte {
+	t.Helper()
+	command, err := change.Encode()
+	require.NoError(t, err)
+	return command
+}
+
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	return content
+}
+
+func restored(t *testing.T) *opconfig.Register {
+	t.Helper()
+	register := opconfig.NewRegister()
+	require.NoError(t, register.Restore(golden(t, registerFile)))
+	return register
+}
+
+func TestGoldenFilesAreWritten(t *testing.T) {
+	if !*writeGolden {
+		t.Skip("only with -write-golden, and only at 352ebf2")
+	}
+	snapshot := snapshotOf(t, goldenRegister(t))
+	for name, content := range map[string][]byte{
+		changeFile: encoded(t, goldenChange(goldenVersions+1)), registerFile: snapshot, stateFile: []byte(stateOf(t, snapshot)),
+	} {
+		require.NoError(t, os.WriteFile(filepath.Join("testdata", name), content, 0o644))
+	}
+}
+
+// TestGoldenRegisterIsRead: all fields of a snapshot of 352ebf2 arrive, and a snapshot of this
+// build is read whole by a process of 352ebf2.
+func TestGoldenRegisterIsRead(t *testing.T) {
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, golden(t, registerFile)), "the golden files belong together")
+	register := restored(t)
+	require.Equal(t, goldenSum, register.SumOf())
+	require.Equal(t, goldenSum, goldenRegister(t).SumOf())
+	require.Equal(t, goldenRegister(t), register)
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshotOf(t, register)))
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshotOf(t, goldenRegister(t))))
+}
+
+// TestGoldenRegisterFieldByField checks the fields by the names that the code has now.
+func TestGoldenRegisterFieldByField(t *testing.T) {
+	register := restored(t)
+	require.Equal(t, int64(goldenVersions), register.Version)
+	require.Equal(t, string(goldenContent(goldenVersions)), string(register.Content))
+	require.Len(t, register.Taken, goldenVersions)
+	require.Len(t, register.Order, goldenVersions)
+	for at, version := range register.Order {
+		require.Equal(t, int64(at+1), version)
+		require.Equal(t, opconfig.DigestOf(goldenContent(at+1)), register.Taken[version])
+	}
+	require.Equal(t, int64(goldenForgotten), register.Forgotten)
+	require.Equal(t, uint64(goldenVersions), register.Changes)
+	require.Equal(t, map[string][]string{
+		"h.example/stays/": {"desk-0"},
+		"h.example/moves/": {"desk-0", "desk-1", "desk-2", "desk-3", "desk-4"},
+		"h.example/gone/":  {"desk-1"},
+	}, register.Backends)
+	require.Equal(t, map[string]int64{"h.example/moves/": 40}, register.Since)
+	require.Equal(t, map[string]uint64{"h.example/gone/": 30}, register.Removed)
+	require.Equal(t, map[string]opconfig.Moves{
+		"h.example/moves/": {Services: []string{"desk-0", "desk-1", "desk-2", "desk-3", "desk-4"}, Since: 40},
+	}, register.Moved())
+}
+
+// TestGoldenConfigurationIsRead: a stored configuration has all fields of the operator's form.
+func TestGoldenConfigurationIsRead(t *testing.T) {
+	config := restored(t).Current()
+	require.NotNil(t, config)
+	require.Equal(t, int64(goldenVersions), config.Version)
+	require.Equal(t, []opconfig.Route{
+		{Name: "route", Host: "h.example", PathPrefix: "/stays/", TimeoutMs: 3000, TargetMs: 250.5, Priority: 2, Backend: "desk-0", Retries: 3, Extension: 1.5},
+		{Name: "route", Host: "h.example", PathPrefix: "/moves/", TimeoutMs: 3000, TargetMs: 250.5, Priority: 2, Backend: "desk-4", Retries: 3, Extension: 1.5},
+	}, config.Routes)
+	require.Len(t, config.Services, 5)
+	require.Equal(t, opconfig.Service{Name: "desk-4", Guards: true}, config.Services[4])
+	require.Equal(t, opconfig.Limits{MaxHeaderBytes: 8192, MaxBodyBytes: 262144, HeaderTimeoutMs: 5000, IdleTimeoutMs: 60000}, config.Limits)
+	_, err := opconfig.Parse(goldenContent(goldenVersions))
+	require.NoError(t, err, "it is of the form that the schema gives")
+}
+
+// TestGoldenRegisterGoesOn: changes are judged and applied on a register that was read.
+func TestGoldenRegisterGoesOn(t *testing.T) {
+	register := restored(t)
+	require.Equal(t, opconfig.WasTaken, register.Judge(goldenChange(20)))
+	require.Equal(t, opconfig.Conflict, register.Judge(opconfig.Change{Base: 12, Version: 60, Content: goldenContent(60)}))
+	require.Equal(t, opconfig.Stale, register.Judge(opconfig.Change{Base: goldenVersions, Version: 20, Content: goldenContent(60)}))
+	require.Equal(t, opconfig.Unclear, register.Judge(opconfig.Change{Base: 1, Version: -1, Content: goldenContent(1)}))
+	verdict, err := register.ApplyBytes(golden(t, changeFile))
+	require.NoError(t, err)
+	require.Equal(t, opconfig.Taken, verdict)
+	require.Equal(t, int64(goldenVersions+1), register.Version)
+	require.Equal(t, int64(goldenVersions+1), register.Current().Version)
+	require.Equal(t, uint64(goldenVersions+1), register.Changes)
+}
+
+// TestGoldenChangeIsWrittenAsBefore: a process of 352ebf2 reads a command of this build whole.
+func TestGoldenChangeIsWrittenAsBefore(t *testing.T) {
+	wanted := storedChange{Base: goldenVersions, Version: goldenVersions + 1, Content: goldenContent(goldenVersions + 1)}
+	for name, command := range map[string][]byte{"golden": golden(t, changeFile), "this build's": encoded(t, goldenChange(goldenVersions+1))} {
+		var stored storedChange
+		require.NoError(t, gob.NewDecoder(bytes.NewReader(command)).Decode(&stored), name)
+		require.Equal(t, wanted, stored, name)
+	}
+}
