--- /dev/null
+++ b/internal/scheduler/golden_late_test.go
@@ -0,0 +1,94 @@
+package scheduler_test
+
+import (
+	"bytes"
+	"flag"
+	"log/slog"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/job"
+	"basaltloft/internal/lateness"
+	"basaltloft/internal/scheduler"
+)
+
+// writeGolden rewrites testdata/late.log. It was written by commit 352ebf2 and must never be
+// rewritten by later code: `basaltloftctl late` reads logs of that build.
+var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
+
+const goldenLog = "testdata/late.log"
+
+// lateLog returns the log of a scheduler whose only runner is asked for more than it has, and
+// falls silent for a while, so that most jobs end late.
+func lateLog(t *testing.T) string {
+	t.Helper()
+	var log bytes.Buffer
+	w := newWorld(t, 3, 1)
+	withoutTime := func(_ []string, attribute slog.Attr) slog.Attr {
+		if attribute.Key == slog.TimeKey {
+			return slog.Attr{}
+		}
+		return attribute
+	}
+	handler := slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})
+	bounds := scheduler.Bounds{HoldMax: holdMax, StopMs: 400, FarX: 1.5, Restore: 250 * time.Millisecond, Status: 2 * time.Minute}
+	w.owner = scheduler.New(w.store, w.epoch, bounds, w.now, w.wallMs(), slog.New(handler))
+	w.list()
+	w.run(100 * time.Millisecond)
+	for number, id := range []string{"at-once", "late-2", "late-3", "late-4", "late-5", "late-6", "in-time"} {
+		stretch := 1.25
+		if id == "in-time" {
+			stretch = 100
+		}
+		w.accept(id, one(1000, 9000), stretch, number)
+	}
+	w.run(2 * time.Second)
+	w.lives[0].cutUntil = w.now + 12*time.Second
+	w.run(30 * time.Second)
+	return log.String()
+}
+
+// accept hands a job with an objective in.
+func (w *world) accept(id string, spec job.Spec, stretch float64, number int) {
+	queue := []string{"h.example/first/", "h.example/second/"}[number%2]
+	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: 9, ended: map[job.TaskRef]bool{}, noted: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, saves: map[string]bool{}}
+	w.order = append(w.order, id)
+	w.apply([]job.Command{{Kind: job.Accept, AtMs: w.wallMs(), New: &job.New{
+		ID: id, Queue: queue, Service: "desk", Spec: spec, Retries: 9, TargetMs: 100, Stretch: stretch,
+	}}})
+}
+
+// TestLateJobsAreLoggedAsBefore: message, keys and values of the lines that
+// `basaltloftctl late` reads. Where a line gets a better form, the tool must read both, and this
+// test compares what the tool reads of both.
+func TestLateJobsAreLoggedAsBefore(t *testing.T) {
+	log := lateLog(t)
+	if *writeGolden {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(goldenLog, []byte(log), 0o644))
+	}
+	golden, err := os.ReadFile(goldenLog)
+	require.NoError(t, err)
+	old, err := lateness.ReadLog(bytes.NewReader(golden))
+	require.NoError(t, err)
+	require.Len(t, old, 5)
+	now, err := lateness.ReadLog(strings.NewReader(log))
+	require.NoError(t, err)
+	require.Equal(t, old, now)
+	require.Equal(t, linesOf(string(golden)), linesOf(log))
+}
+
+// linesOf returns the lines on late jobs.
+func linesOf(log string) []string {
+	var lines []string
+	for line := range strings.Lines(log) {
+		if strings.Contains(line, `msg="a job is late"`) {
+			lines = append(lines, line)
+		}
+	}
+	return lines
+}
