--- /dev/null
+++ b/internal/controlplane/golden_http_test.go
@@ -0,0 +1,311 @@
+package controlplane
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"net/http/httputil"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/coord/group"
+	"basaltloft/coord/replica"
+	"basaltloft/coord/rpc"
+	"basaltloft/internal/boot"
+	"basaltloft/internal/job"
+	"basaltloft/internal/opconfig"
+	"basaltloft/internal/owner"
+	"basaltloft/internal/protocol"
+	"basaltloft/internal/scheduler"
+)
+
+// compareGolden compares a text with the golden file of that name, byte for byte.
+func compareGolden(t *testing.T, name, text string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *writeGolden {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
+	}
+	golden, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), text)
+}
+
+// rawRequests records the bytes that a server's connections read.
+type rawRequests struct {
+	net.Listener
+	mu   sync.Mutex
+	read bytes.Buffer
+}
+
+type rawConn struct {
+	net.Conn
+	requests *rawRequests
+}
+
+func (r *rawRequests) Accept() (net.Conn, error) {
+	conn, err := r.Listener.Accept()
+	return &rawConn{Conn: conn, requests: r}, err
+}
+
+func (c *rawConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	c.requests.mu.Lock()
+	defer c.requests.mu.Unlock()
+	c.requests.read.Write(p[:n])
+	return n, err
+}
+
+// taken returns what was read since the last call, with the ends of lines made visible.
+func (r *rawRequests) taken(address string) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	text := strings.ReplaceAll(r.read.String(), address, "ADDRESS")
+	r.read.Reset()
+	return strings.ReplaceAll(text, "\r\n", "\\r\\n\n") + "\n"
+}
+
+func recordRequests(t *testing.T, handler http.HandlerFunc) (*rawRequests, string) {
+	t.Helper()
+	server := httptest.NewUnstartedServer(handler)
+	requests := &rawRequests{Listener: server.Listener}
+	server.Listener = requests
+	server.Start()
+	t.Cleanup(server.Close)
+	return requests, strings.TrimPrefix(server.URL, "http://")
+}
+
+// TestCallsToRunnersAsBefore: request line, headers and body of each call at a runner.
+func TestCallsToRunnersAsBefore(t *testing.T) {
+	requests, address := recordRequests(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"clock_ms":1}`)) })
+	client := newRunnerClient()
+	whole := scheduler.Order{
+		Runner: "instance-1", Address: address, Token: 11, Task: job.TaskRef{Job: "0123456789abcdef", Time: 1, Step: 2, Index: 3}, Attempt: 4,
+		Spec: `text with "quotes" & <signs>`, Saved: "progress-5", DeadlineMs: 600, LastSeen: 77, WaitMs: 800, Sequence: 9,
+	}
+	bare := scheduler.Order{Runner: "instance-2", Address: address, Task: job.TaskRef{Job: "fedcba9876543210"}, Attempt: 1}
+	var text strings.Builder
+	for _, call := range []struct {
+		name string
+		send func()
+	}{
+		{"start", func() { client.start(whole) }},
+		{"start, what may be left out is", func() { client.start(bare) }},
+		{"stop", func() { client.stop(whole) }},
+		{"hold", func() { client.hold(whole) }},
+		{"hold, what may be left out is", func() { client.hold(bare) }},
+	} {
+		call.send()
+		fmt.Fprintf(&text, "== %s\n%s", call.name, requests.taken(address))
+	}
+	compareGolden(t, "calls-to-runners.txt", text.String())
+}
+
+// answering returns a runner that gives one answer.
+func answering(t *testing.T, status int, body string) scheduler.Order {
+	t.Helper()
+	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(status)
+		_, _ = w.Write([]byte(body))
+	}))
+	t.Cleanup(runner.Close)
+	return scheduler.Order{Address: strings.TrimPrefix(runner.URL, "http://"), Runner: "instance"}
+}
+
+// TestAnswersOfRunnersAreReadAsBefore: each status, and each field of an answer.
+func TestAnswersOfRunnersAreReadAsBefore(t *testing.T) {
+	client := newRunnerClient()
+	for _, c := range []struct {
+		status int
+		body   string
+		start  scheduler.StartReply
+		hold   scheduler.HoldReply
+		stops  [2]bool // taken; another life
+	}{
+		{http.StatusOK, `{"clock_ms":5}`, scheduler.StartTaken, scheduler.HoldTaken, [2]bool{true, false}},
+		{http.StatusOK, `{"clock_`, scheduler.StartUnknown, scheduler.HoldUnknown, [2]bool{false, false}},
+		{http.StatusMisdirectedRequest, `{"clock_ms":5}`, scheduler.StartOtherOne, scheduler.HoldOtherOne, [2]bool{false, true}},
+		{http.StatusConflict, `{"clock_ms":5,"reason":"room"}`, scheduler.StartNoRoom, scheduler.HoldFenced, [2]bool{false, false}},
+		{http.StatusConflict, `{"clock_ms":5,"reason":"other"}`, scheduler.StartRefused, scheduler.HoldFenced, [2]bool{false, false}},
+		{http.StatusServiceUnavailable, `{"clock_ms":5,"reason":"room"}`, scheduler.StartNoRoom, scheduler.HoldUnknown, [2]bool{false, false}},
+		{http.StatusServiceUnavailable, `{"clock_ms":5}`, scheduler.StartRefused, scheduler.HoldUnknown, [2]bool{false, false}},
+		{http.StatusInternalServerError, `{}`, scheduler.StartUnknown, scheduler.HoldUnknown, [2]bool{false, false}},
+	} {
+		order := answering(t, c.status, c.body)
+		name := fmt.Sprint(c.status, " ", c.body)
+		start, _ := client.start(order)
+		require.Equal(t, c.start, start, name)
+		hold, _ := client.hold(order)
+		require.Equal(t, c.hold, hold, name)
+		taken, otherLife, _ := client.stop(order)
+		require.Equal(t, c.stops, [2]bool{taken, otherLife}, name)
+	}
+	_, clock := client.start(answering(t, http.StatusOK, `{"clock_ms":123}`))
+	require.Equal(t, int64(123), clock)
+	_, _, clock = client.stop(answering(t, http.StatusOK, `{"clock_ms":124}`))
+	require.Equal(t, int64(124), clock)
+	_, look := client.hold(answering(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
+		"running":[["a.1.2.3",4,"saved",56.7],["b.0.0.0",1,""]],
+		"finished":[[7,"c.0.0.1",2,"done","s"],[8,"c.0.0.2",1,"failed",""],[9,"c.0.0.3",1,"stopped",""],[10,"c.0.0.4",1,"lapsed",""],
+			[11,"c.0.0.5",1,"broken",""],[12,"c.0.0.6",1,"alone",""],[13,"c.0.0.7",1,"something new",""]]}`))
+	ended := func(number uint64, index, attempt int, how job.How, saved string) scheduler.ListedEnd {
+		return scheduler.ListedEnd{Number: number, Task: job.TaskRef{Job: "c", Index: index}, Attempt: attempt, How: how, Saved: saved}
+	}
+	require.Equal(t, scheduler.Look{
+		ClockMs: 125, RemainingMs: 126,
+		Running: []scheduler.ListedRun{
+			{Task: job.TaskRef{Job: "a", Time: 1, Step: 2, Index: 3}, Attempt: 4, Saved: "saved", Percent: 56},
+			{Task: job.TaskRef{Job: "b"}, Attempt: 1},
+		},
+		Finished: []scheduler.ListedEnd{
+			ended(7, 1, 2, job.Done, "s"), ended(8, 2, 1, job.Failed, ""), ended(9, 3, 1, job.Stopped, ""), ended(10, 4, 1, job.Lapsed, ""),
+			ended(11, 5, 1, job.Broken, ""), ended(12, 6, 1, job.Alone, ""), ended(13, 7, 1, job.Lapsed, ""),
+		},
+	}, look)
+}
+
+// TestCallsToThePlatformAsBefore: the calls for the list of runners, and each field of its pages.
+func TestCallsToThePlatformAsBefore(t *testing.T) {
+	requests, address := recordRequests(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("page_token") == "" {
+			_, _ = w.Write([]byte(`{"instances":[{"id":"i-1","backend":"desk","address":"10.3.0.1:9000","state":"ready",
+				"capacity":{"cpu":16000,"mem_mb":32000,"gpu":4},"labels":["ssd","rack=1"],"remaining_ms":0}],"next_token":"a/b c&d"}`))
+			return
+		}
+		_, _ = w.Write([]byte(`{"instances":[{"id":"i-2","backend":"gpu","address":"10.3.0.2:9000","state":"draining","remaining_ms":1234}],"next_token":null}`))
+	})
+	core := &Core{settings: boot.Settings{CloudAPI: boot.CloudAPI{Address: address}}}
+	list, err := newReader(core).readAll()
+	require.NoError(t, err)
+	compareGolden(t, "calls-to-platform.txt", requests.taken(address))
+	require.Equal(t, []protocol.Runner{
+		{ID: "i-1", Service: "desk", Address: "10.3.0.1:9000", Capacity: job.Resources{CPU: 16000, MemMB: 32000, GPU: 4}, Labels: []string{"ssd", "rack=1"}},
+		{ID: "i-2", Service: "gpu", Address: "10.3.0.2:9000", Draining: true, RemainingMs: 1234},
+	}, list)
+}
+
+// standInGroup is the configuration's group, which gives each proposal the same end.
+type standInGroup struct {
+	leads   bool
+	leader  string
+	verdict opconfig.Verdict
+	err     error
+}
+
+func (g *standInGroup) Lease() (uint64, time.Duration, bool) { return 1, time.Hour, g.leads }
+
+func (g *standInGroup) Leads() bool { return g.leads }
+
+func (g *standInGroup) Leader() replica.Member { return replica.Member{Address: g.leader} }
+
+func (g *standInGroup) Propose(_ []byte, done func(any, error)) { done(g.verdict, g.err) }
+
+// operatorsOf returns a core's operator interface over a group.
+func operatorsOf(t *testing.T, own *standInGroup, current string) string {
+	t.Helper()
+	config := owner.NewConfiguration(func(*opconfig.Config) {}, func(uint64) {}, slog.New(slog.DiscardHandler))
+	config.Join(own)
+	if current != "" {
+		command, err := opconfig.Change{Version: 1, Content: []byte(current)}.Encode()
+		require.NoError(t, err)
+		_, err = config.Apply(1, command)
+		require.NoError(t, err)
+	}
+	core := &Core{self: replica.Member{Address: "here"}, peers: newPeers("here"), stop: make(chan struct{})}
+	core.operator = &operators{core: core, config: config}
+	_, public := core.servers()
+	server := httptest.NewServer(public.Handler)
+	t.Cleanup(server.Close)
+	return server.URL
+}
+
+// answerText returns an answer as it came, without its date and without the folder of the test,
+// which the schema's messages name.
+func answerText(t *testing.T, request *http.Request) string {
+	t.Helper()
+	response, err := http.DefaultClient.Do(request)
+	require.NoError(t, err)
+	defer func(body io.Closer) { _ = body.Close() }(response.Body)
+	response.Header.Del("Date")
+	body, err := io.ReadAll(response.Body)
+	require.NoError(t, err)
+	folder, err := os.Getwd()
+	require.NoError(t, err)
+	body = bytes.ReplaceAll(body, []byte(folder), []byte("/FOLDER"))
+	response.Body, response.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
+	text, err := httputil.DumpResponse(response, true)
+	require.NoError(t, err)
+	return strings.ReplaceAll(string(text), "\r\n", "\\r\\n\n") + "\n"
+}
+
+// otherOwner is a core process that leads the configuration's group.
+type otherOwner struct{ answer any }
+
+func (o otherOwner) Cast(any) {}
+
+func (o otherOwner) Call(any) any { return o.answer }
+
+func serveOtherOwner(t *testing.T, answer any) string {
+	t.Helper()
+	mux := http.NewServeMux()
+	mux.Handle(rpc.Path, rpc.NewServer(otherOwner{answer: answer}))
+	server := httptest.NewServer(mux)
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+// TestAnswersToOperatorsAsBefore: status, headers and body of each answer to an operator.
+func TestAnswersToOperatorsAsBefore(t *testing.T) {
+	const configuration = `{"version":1,"routes":[],"services":[]}`
+	leads := func(verdict opconfig.Verdict, err error) *standInGroup {
+		return &standInGroup{leads: true, leader: "here", verdict: verdict, err: err}
+	}
+	elsewhere := func(answer any) *standInGroup { return &standInGroup{leader: serveOtherOwner(t, answer)} }
+	var text strings.Builder
+	for _, c := range []struct {
+		name, method, path, base, body, current string
+		group                                   *standInGroup
+	}{
+		{"read", http.MethodGet, "/-/config/get", "", "", configuration, leads(0, nil)},
+		{"read, none yet", http.MethodGet, "/-/config/get", "", "", "", leads(0, nil)},
+		{"read, no owner", http.MethodGet, "/-/config/get", "", "", "", &standInGroup{}},
+		{"read elsewhere", http.MethodGet, "/-/config/get", "", "", "", elsewhere(protocol.OperateAnswer{Status: 200, Content: []byte(configuration)})},
+		{"replace", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(opconfig.Taken, nil)},
+		{"replace, taken before", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(opconfig.WasTaken, nil)},
+		{"replace, conflict", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(opconfig.Conflict, nil)},
+		{"replace, stale", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(opconfig.Stale, nil)},
+		{"replace, unclear", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(opconfig.Unclear, nil)},
+		{"replace, lead lost before", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(0, group.ErrNotLeader)},
+		{"replace, lead lost after", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(0, group.ErrUnknown)},
+		{"replace, invalid", http.MethodPost, "/-/config/replace", "0", `{"version":1,"routes":[{}]}`, "", leads(0, errors.New("not asked"))},
+		{"replace, not JSON", http.MethodPost, "/-/config/replace", "0", `{`, "", leads(0, nil)},
+		{"replace, no base", http.MethodPost, "/-/config/replace", "", configuration, "", leads(0, nil)},
+		{"replace, too large", http.MethodPost, "/-/config/replace", "0", strings.Repeat(" ", mostConfigBytes+1), "", leads(0, nil)},
+		{"replace elsewhere, refused", http.MethodPost, "/-/config/replace", "0", configuration, "", elsewhere(protocol.OperateAnswer{Status: 412, Reason: "reason"})},
+		{"replace elsewhere, odd answer", http.MethodPost, "/-/config/replace", "0", configuration, "", elsewhere(protocol.Answer{})},
+		{"replace elsewhere, no answer", http.MethodPost, "/-/config/replace", "0", configuration, "", &standInGroup{leader: "127.0.0.1:1"}},
+		{"wrong method", http.MethodGet, "/-/config/replace", "", "", "", leads(0, nil)},
+		{"wrong method", http.MethodPost, "/-/config/get", "", "", "", leads(0, nil)},
+		{"unknown path", http.MethodGet, "/-/config", "", "", "", leads(0, nil)},
+	} {
+		request, err := http.NewRequestWithContext(t.Context(), c.method, operatorsOf(t, c.group, c.current)+c.path, strings.NewReader(c.body))
+		require.NoError(t, err)
+		if c.base != "" {
+			request.Header.Set("Base-Version", c.base)
+		}
+		fmt.Fprintf(&text, "== %s: %s %s\n%s", c.name, c.method, c.path, answerText(t, request))
+	}
+	compareGolden(t, "answers-to-operators.txt", text.String())
+}
--- a/internal/controlplane/golden_identity_test.go
+++ b/internal/controlplane/golden_identity_test.go
@@ -59,7 +59,7 @@
 			require.NoError(t, wanted.save(written))
 			golden := filepath.Join("testdata", name)
 			if *writeGolden {
-				require.NoError(t, os.MkdirAll("testdata", 0o755))
+				require.NoError(t, os.RemoveAll(golden))
 				require.NoError(t, os.CopyFS(golden, os.DirFS(written)))
 			}
 			folder := filepath.Join(t.TempDir(), "data")
