--- /dev/null
+++ b/internal/dataplane/golden_test.go
@@ -0,0 +1,192 @@
+package dataplane
+
+import (
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"net/http/httputil"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/coord/rpc"
+	"basaltloft/internal/boot"
+	"basaltloft/internal/dispatch"
+	"basaltloft/internal/job"
+	"basaltloft/internal/opconfig"
+	"basaltloft/internal/owner"
+	"basaltloft/internal/protocol"
+)
+
+// writeGolden rewrites testdata/answers-to-clients.txt. It was written by commit 352ebf2 and must
+// never be rewritten by later code: clients know these answers.
+var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
+
+const goldenAnswers = "testdata/answers-to-clients.txt"
+
+const goldenConfiguration = `{"version":5,"routes":[{"name":"route","host":"h.example","path_prefix":"/q/","timeout_ms":3000,"target_ms":250.5,` +
+	`"priority":2,"backend":"desk","retries":3,"extension":1.5}],"services":[{"name":"desk","guards":true}],"limits":{"max_body_bytes":64}}`
+
+// standInOwner owns all shards and gives one answer to everything.
+type standInOwner struct {
+	mu     sync.Mutex
+	answer protocol.Answer
+	asked  []any
+}
+
+func (o *standInOwner) Cast(any) {}
+
+func (o *standInOwner) Call(body any) any {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.asked = append(o.asked, body)
+	return o.answer
+}
+
+// goldenBench is an ingress that goes by the golden configuration.
+func goldenBench(t *testing.T, answer protocol.Answer) (*bench, *standInOwner) {
+	t.Helper()
+	standIn := &standInOwner{answer: answer}
+	mux := http.NewServeMux()
+	mux.Handle(rpc.Path, rpc.NewServer(standIn))
+	server := httptest.NewServer(mux)
+	t.Cleanup(server.Close)
+	address := strings.TrimPrefix(server.URL, "http://")
+	b := newBench()
+	b.follower.Follower = dispatch.NewFollower("edge", []string{address}, 2*time.Second, slog.New(slog.DiscardHandler))
+	b.follower.Answered(address, b.now, protocol.FeedAnswer{
+		Leads: true, Version: 5, Content: []byte(goldenConfiguration), Owners: []string{address, address, address, address}, Cores: []string{address},
+	})
+	t.Cleanup(b.follower.clients.Close)
+	return b, standIn
+}
+
+func clientRequest(method, path, body string) *http.Request {
+	request := httptest.NewRequest(method, path, strings.NewReader(body))
+	request.Host = "h.example"
+	return request
+}
+
+// answerText returns an answer as the ingress writes it; net/http adds its date and length.
+func answerText(t *testing.T, recorded *httptest.ResponseRecorder) string {
+	t.Helper()
+	response := recorded.Result()
+	defer func() { require.NoError(t, response.Body.Close()) }()
+	response.ContentLength = int64(recorded.Body.Len())
+	text, err := httputil.DumpResponse(response, true)
+	require.NoError(t, err)
+	return strings.ReplaceAll(string(text), "\r\n", "\\r\\n\n") + "\n"
+}
+
+// TestAnswersToClientsAsBefore: status, headers and body of each answer to a client.
+func TestAnswersToClientsAsBefore(t *testing.T) {
+	const id = "/q/0123456789abcdef"
+	type exchange struct {
+		name, method, path, body string
+		answer                   protocol.Answer
+	}
+	exchanges := []exchange{
+		{"handed in", http.MethodPost, id, "{}", protocol.Answer{Status: 200}},
+		{"cancelled", http.MethodDelete, id, "", protocol.Answer{Status: 200}},
+		{"count", http.MethodGet, "/q/", "", protocol.Answer{Status: 200, Pending: 42}},
+		{"not JSON as it should be", http.MethodPost, id, "{}", protocol.Answer{Status: 400, Reason: "reason"}},
+		{"no such queue any more", http.MethodPost, id, "{}", protocol.Answer{Status: 404, Reason: "reason"}},
+		{"another job has the ID", http.MethodPost, id, "{}", protocol.Answer{Status: 409, Reason: "reason"}},
+		{"no such job", http.MethodGet, id, "", protocol.Answer{Status: 410, Reason: "reason"}},
+		{"cancelled before", http.MethodPost, id, "{}", protocol.Answer{Status: 503, Never: true, Reason: "reason"}},
+		{"busy", http.MethodPost, id, "{}", protocol.Answer{Status: 503, RetryAfterMs: 1001, Reason: "reason"}},
+		{"busy for a moment", http.MethodPost, id, "{}", protocol.Answer{Status: 503, RetryAfterMs: 1, Reason: "reason"}},
+		{"outcome not known", http.MethodPost, id, "{}", protocol.Answer{Status: 502, Unknown: true, Reason: "reason"}},
+		{"state not known", http.MethodGet, id, "", protocol.Answer{Status: 502, Unknown: true, Reason: "reason"}},
+		{"no owner", http.MethodGet, id, "", protocol.Answer{}},
+		{"a newer configuration that never comes", http.MethodPost, id, "{}", protocol.Answer{Status: 503, Moved: 6, Reason: "reason"}},
+		{"body too large", http.MethodPost, id, strings.Repeat("x", 65), protocol.Answer{Status: 200}},
+		{"no such queue", http.MethodGet, "/other/", "", protocol.Answer{Status: 200}},
+		{"wrong method", http.MethodPut, id, "", protocol.Answer{Status: 200}},
+		{"no ID", http.MethodPost, "/q/", "{}", protocol.Answer{Status: 200}},
+	}
+	for state := job.Pending; state <= job.Canceled; state++ {
+		exchanges = append(exchanges, exchange{"state", http.MethodGet, id, "", protocol.Answer{Status: 200, State: state}})
+	}
+	var text strings.Builder
+	for _, e := range exchanges {
+		b, _ := goldenBench(t, e.answer)
+		recorded := httptest.NewRecorder()
+		b.ServeHTTP(recorded, clientRequest(e.method, e.path, e.body))
+		fmt.Fprintf(&text, "== %s: %s %s\n%s", e.name, e.method, e.path, answerText(t, recorded))
+	}
+	b, _ := goldenBench(t, protocol.Answer{Status: 200})
+	b.leaving = func() bool { return true }
+	recorded := httptest.NewRecorder()
+	b.ServeHTTP(recorded, clientRequest(http.MethodPost, id, "{}"))
+	fmt.Fprintf(&text, "== a process that leaves\n%s", answerText(t, recorded))
+	recorded = httptest.NewRecorder()
+	newBench().ServeHTTP(recorded, clientRequest(http.MethodPost, id, "{}"))
+	fmt.Fprintf(&text, "== no configuration\n%s", answerText(t, recorded))
+
+	if *writeGolden {
+		require.NoError(t, os.MkdirAll("testdata", 0o755))
+		require.NoError(t, os.WriteFile(goldenAnswers, []byte(text.String()), 0o644))
+	}
+	golden, err := os.ReadFile(goldenAnswers)
+	require.NoError(t, err)
+	require.Equal(t, string(golden), text.String())
+}
+
+// TestWhatOwnersAreAskedAsBefore: the messages that clients' requests become, field by field.
+func TestWhatOwnersAreAskedAsBefore(t *testing.T) {
+	const id = "0123456789abcdef"
+	shard := protocol.ShardOf("desk")
+	for _, c := range []struct {
+		method, path, body string
+		wanted             any
+	}{
+		{http.MethodPost, "/q/" + id, `{"a":1}`, protocol.Submit{
+			Shard: shard, Queue: "h.example/q/", ID: id, Body: []byte(`{"a":1}`), Version: 5,
+			Route: opconfig.Route{
+				Name: "route", Host: "h.example", PathPrefix: "/q/", TimeoutMs: 3000, TargetMs: 250.5, Priority: 2, Backend: "desk", Retries: 3, Extension: 1.5,
+			},
+		}},
+		{http.MethodGet, "/q/" + id, "", protocol.Ask{Verb: protocol.AskState, Shard: shard, Queue: "h.example/q/", ID: id, Version: 5}},
+		{http.MethodGet, "/q/", "", protocol.Ask{Verb: protocol.CountPending, Shard: shard, Queue: "h.example/q/", Version: 5}},
+		{http.MethodDelete, "/q/" + id, "", protocol.Ask{Verb: protocol.CancelJob, Shard: shard, Queue: "h.example/q/", ID: id, Version: 5}},
+	} {
+		b, standIn := goldenBench(t, protocol.Answer{Status: 200})
+		b.ServeHTTP(httptest.NewRecorder(), clientRequest(c.method, c.path, c.body))
+		standIn.mu.Lock()
+		require.Equal(t, []any{c.wanted}, standIn.asked, "%s %s", c.method, c.path)
+		standIn.mu.Unlock()
+	}
+}
+
+// TestHashOfABodyAsBefore: the hash is stored and sent, and must be the same in all builds.
+func TestHashOfABodyAsBefore(t *testing.T) {
+	require.Equal(t, uint64(0xc8751d5fdc127498), owner.HashOf([]byte(`{"stages":[{"count":1}]}`)))
+}
+
+// TestReadinessAsBefore: what the platform is told.
+func TestReadinessAsBefore(t *testing.T) {
+	b, _ := goldenBench(t, protocol.Answer{})
+	edge := &Edge{settings: boot.Settings{}, follower: b.follower}
+	ask := func() (int, string) {
+		recorded := httptest.NewRecorder()
+		edge.serveReady(recorded, httptest.NewRequest(http.MethodGet, "/", nil))
+		body, err := io.ReadAll(recorded.Body)
+		require.NoError(t, err)
+		return recorded.Code, string(body)
+	}
+	code, body := ask()
+	require.Equal(t, http.StatusOK, code)
+	require.Empty(t, body)
+	edge.leaving.Store(true)
+	code, body = ask()
+	require.Equal(t, http.StatusServiceUnavailable, code)
+	require.Empty(t, body)
+}
