--- /dev/null
+++ b/internal/fleet/keeper/golden_test.go
@@ -0,0 +1,212 @@
+package keeper
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"basaltloft"
+	"basaltloft/internal/fleet/call"
+	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/fleet/parts"
+	"basaltloft/internal/fleet/planrun"
+	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/fleet/recordstore"
+	"basaltloft/internal/fleet/shares"
+	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/goldentest"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+)
+
+// goldenFolder is the folder of a keeper, written by commit 352ebf2: its mark, raft's
+// log and a snapshot in the middle of it. It must never be rewritten by later code.
+//
+// The mark, the snapshot and the log carry Go field names of exported fields.
+var goldenFolder = filepath.Join("testdata", "golden", "keeper")
+
+// alone runs the only keeper of a fleet on a folder until stop is called.
+func alone(t *testing.T, folder string) (k *Keeper, client *call.Client, stop func()) {
+	t.Helper()
+	listen := func() net.Listener {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		require.NoError(t, err)
+		return l
+	}
+	calls, votes := listen(), listen()
+	store, err := recordstore.Open(t.TempDir())
+	require.NoError(t, err)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	k, err = New(Settings{
+		Name: "k1", Folder: folder, Peers: map[string]Peer{"k1": {calls.Addr().String(), votes.Addr().String()}}, Votes: votes,
+		Election: 100 * time.Millisecond, SumEvery: time.Hour, Log: log,
+		Machine: func() (*state.Machine, error) {
+			return state.New(parts.NewBudgets(), parts.NewPlans(), parts.NewRecords(store, records.Fence{})), nil
+		},
+	})
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- k.Run(ctx) }()
+	server := &http.Server{Handler: k}
+	served := make(chan struct{})
+	go func() {
+		defer close(served)
+		_ = server.Serve(calls) // ends with the listener
+	}()
+	client = call.New(map[string]string{"k1": calls.Addr().String()})
+	return k, client, func() {
+		cancel()
+		require.NoError(t, <-ended)
+		require.NoError(t, server.Close())
+		<-served
+		client.Close()
+		require.NoError(t, votes.Close())
+		require.NoError(t, store.Close())
+	}
+}
+
+func encoded(t *testing.T, v any) []byte {
+	t.Helper()
+	text, err := codec.Encode(v)
+	require.NoError(t, err)
+	return text
+}
+
+func goldenRecord(id string) records.Record {
+	return records.Record{
+		ID: id, Key: "key-" + id, Tenant: "hrad-kamenec", Class: "place-hold", Plan: "booking", Stage: "hold", Outcome: "served", Reason: "answered",
+		Arrived: 1_780_000_000_000_000_000, Ended: 1_780_000_000_040_000_000, Attempts: 2, Members: []string{"cell-1", "cell-2"}, Body: []byte(`{"seat":"A1"}`),
+	}
+}
+
+// writeGoldenFolder founds a fleet of one keeper and has it work before and after a snapshot.
+func writeGoldenFolder(t *testing.T, folder string) {
+	k, client, stop := alone(t, folder)
+	defer stop()
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	defer cancel()
+	who, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
+	require.NoError(t, err)
+	require.NoError(t, who.Order(ctx, state.Set, state.SetBody{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
+		parts.BudgetsName: encoded(t, shares.Config{Lease: time.Hour, Budgets: []shares.Budget{{Name: "jobs/hrad-kamenec", Kind: shares.Rate, Whole: 120, Burst: 40}}}),
+		parts.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.Others, Keep: records.Limits{Count: 100}}}}),
+	}}, nil))
+	for grant := (shares.Grant{}); len(grant.Shares) == 0 || grant.Shares[0].Amount == 0; {
+		renewed, err := who.Renew(ctx, map[string][]byte{parts.BudgetsName: encoded(t, shares.Renewal{
+			Process: "n1", Incarnation: who.Incarnation, Bound: grant.Number, Uses: map[string]shares.Use{"jobs/hrad-kamenec": {Demand: 9}},
+		})})
+		require.NoError(t, err)
+		require.NoError(t, codec.Decode(renewed.Parts[parts.BudgetsName], &grant))
+	}
+	begin := func(run string) {
+		shape := planrun.Shape{Most: 9, Within: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: basaltloft.Keyed}}}
+		var reply parts.PlanReply
+		require.NoError(t, who.Order(ctx, parts.PlansDo, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
+		require.NoError(t, reply.Err())
+		require.NoError(t, who.Order(ctx, parts.PlansDo, planrun.Command{Open: &planrun.Open{Run: run, Fence: reply.Started.Fence, Items: [][]byte{nil}}}, &reply))
+		require.NoError(t, reply.Err())
+	}
+	ship := func(first uint64, ids ...string) {
+		s := records.Ship{Epoch: 70, First: first}
+		for _, id := range ids {
+			s.Records = append(s.Records, goldenRecord(id))
+		}
+		require.NoError(t, who.Order(ctx, parts.RecordsShip, s, nil))
+	}
+	begin("run-in-the-snapshot")
+	ship(1, "job-1", "job-2")
+	k.mu.Lock()
+	node := k.node
+	k.mu.Unlock()
+	require.NoError(t, node.raft.Snapshot().Error())
+	begin("run-in-the-log")
+	ship(3, "job-3")
+}
+
+// TestGoldenFolder: a keeper starts on a copy of the golden folder, has all that was
+// committed before and after the snapshot, and goes on.
+func TestGoldenFolder(t *testing.T) {
+	if goldentest.Missing(goldenFolder) {
+		written := filepath.Join(t.TempDir(), "keeper")
+		writeGoldenFolder(t, written)
+		goldentest.Keep(t, written, goldenFolder)
+	}
+	snapshots, err := filepath.Glob(filepath.Join(goldenFolder, "snapshots", "*", "state.bin"))
+	require.NoError(t, err)
+	require.Len(t, snapshots, 1)
+
+	k, client, stop := alone(t, goldentest.CopyFolder(t, goldenFolder))
+	defer stop()
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	defer cancel()
+	ask := func(kind state.Kind, body, into any) {
+		answer, err := client.Read(ctx, call.Query{Kind: kind, Body: encoded(t, body)})
+		require.NoError(t, err)
+		require.NoError(t, codec.Decode(answer.Body, into))
+	}
+	for _, run := range []string{"run-in-the-snapshot", "run-in-the-log"} {
+		var reply parts.PlanReply
+		ask(parts.PlansLook, run, &reply)
+		require.NotNil(t, reply.Run, run)
+		require.Equal(t, run, reply.Run.ID)
+		require.Equal(t, "booking", reply.Run.Plan)
+		require.Equal(t, "hrad-kamenec", reply.Run.Tenant)
+		require.Equal(t, `{"tour":7}`, string(reply.Run.Input))
+		require.Equal(t, "n1", reply.Run.Process)
+		require.True(t, reply.Run.Stages[0].Opened)
+		require.Len(t, reply.Run.Stages[0].Items, 1)
+	}
+	var page records.Page
+	ask(parts.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
+	require.Len(t, page.Records, 3)
+	for i, id := range []string{"job-1", "job-2", "job-3"} {
+		want := goldenRecord(id)
+		want.Process, want.Epoch, want.Seq = "n1", 70, uint64(i+1)
+		require.Equal(t, want, page.Records[i])
+	}
+	var standings []shares.Standing
+	ask(parts.BudgetsStandings, nil, &standings)
+	require.Len(t, standings, 1)
+	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
+	require.Positive(t, standings[0].Held)
+
+	var member state.Member
+	var revision uint64
+	k.fsm.read(func(m *state.Machine) {
+		revision = m.Revision()
+		require.Len(t, m.Members(), 1)
+		member = *m.Members()[0]
+	})
+	require.EqualValues(t, 4, revision)
+	require.Equal(t, "n1", member.Process)
+	require.Equal(t, "start-1", member.Nonce)
+	require.Equal(t, "352ebf2", member.Version)
+
+	// The same start goes on with its incarnation, and gets work done.
+	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
+	require.NoError(t, err)
+	require.Equal(t, member.Incarnation, joined.Incarnation)
+	require.NoError(t, who.Client.Leader(ctx, call.Do, encoded(t, state.Command{
+		V: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: parts.RecordsShip,
+		Body: encoded(t, records.Ship{Epoch: 70, First: 4, Records: []records.Record{goldenRecord("job-4")}}),
+	}), &state.Reply{}))
+	ask(parts.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
+	require.Len(t, page.Records, 4)
+}
+
+// TestGoldenMark: the mark of a folder has the bytes that 352ebf2 wrote.
+func TestGoldenMark(t *testing.T) {
+	text := goldentest.Read(t, filepath.Join(goldenFolder, markName))
+	require.Equal(t, "keeper", markName)
+	var m mark
+	require.NoError(t, codec.Decode(text, &m))
+	require.Equal(t, mark{V: 1, Keeper: "k1", Starts: 1}, m)
+	require.Equal(t, text, encoded(t, m))
+}
--- /dev/null
+++ b/internal/hand/golden_test.go
@@ -0,0 +1,32 @@
+package hand
+
+import (
+	"path/filepath"
+	"testing"
+	"time"
+
+	"basaltloft/internal/goldentest"
+
+	"github.com/stretchr/testify/require"
+)
+
+// goldenOverrides is what operators set, as commit 352ebf2 saved it in $TMPDIR. It must
+// never be rewritten by later code: a new build started beside the old one reads it.
+var goldenOverrides = filepath.Join("testdata", "golden", "basaltloft-n0.hand.json")
+
+// TestGoldenOverrides: the golden file is read field by field, and written to the same bytes.
+func TestGoldenOverrides(t *testing.T) {
+	back := time.UnixMilli(1_780_000_000_123)
+	s := New()
+	for _, id := range []string{"r-2", "r-1", "r \"3\"", "r-4"} {
+		require.True(t, s.Out(id))
+	}
+	require.True(t, s.Back("r-4", back))
+	goldentest.Equal(t, goldenOverrides, s.Encode("n0"))
+
+	read, err := Decode(goldentest.Read(t, goldenOverrides), "n0")
+	require.NoError(t, err)
+	require.Equal(t, []string{"r \"3\"", "r-1", "r-2"}, read.Outs())
+	require.Equal(t, []string{"r-4"}, read.Backs())
+	require.Equal(t, back, read.BackAt("r-4"))
+}
--- /dev/null
+++ b/internal/journal/golden_test.go
@@ -0,0 +1,117 @@
+package journal
+
+import (
+	"bytes"
+	"fmt"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"basaltloft/internal/account"
+	"basaltloft/internal/goldentest"
+
+	"github.com/stretchr/testify/require"
+)
+
+// goldenJournal is a journal's folder of three epochs, written by commit 352ebf2, and
+// goldenRecords what that build read in it. They must never be rewritten by later code.
+var (
+	goldenJournal = filepath.Join("testdata", "golden", "journal")
+	goldenRecords = filepath.Join("testdata", "golden", "journal-records.txt")
+	goldenReport  = filepath.Join("testdata", "golden", "journal-report.txt")
+)
+
+// writeGoldenJournal writes jobs that end for each reason, and some that stay open.
+func writeGoldenJournal(t *testing.T, path string) {
+	small := tight
+	small.SegmentBytes, small.KeepFor = 700, 1000*time.Hour
+	for epoch := range 3 {
+		folder, err := OpenFolder(path)
+		require.NoError(t, err)
+		at := start.Add(time.Duration(epoch) * time.Hour)
+		j, err := Open(folder, small, at, quiet, func(d []account.Difference) { require.Fail(t, "differs", "%v", d) })
+		require.NoError(t, err)
+		var totals account.Totals
+		var records int64
+		for n := range uint64(30) {
+			at = at.Add(time.Second)
+			job := account.Job{Front: []string{"http", "faktory"}[n%2], Class: "place-hold", Tenant: fmt.Sprintf("t%d", n%3), Key: fmt.Sprintf("k%d", n%20), Retry: n >= 20}
+			j.Enter(n+1, job, at)
+			totals.Taken++
+			totals.Open++
+			records++
+			if reason := account.Reason(n % uint64(account.Reasons)); reason != account.CutOff {
+				j.End(n+1, fmt.Sprintf("cell %d", n%4), reason, at.Add(90*time.Millisecond))
+				totals.Open--
+				totals.Ends[reason]++
+				records++
+			}
+			written(t, j, records)
+		}
+		j.Mark(totals, at.Add(time.Second))
+		require.NoError(t, j.Close())
+	}
+}
+
+// show writes a journal's records down, field by field.
+func show(t *testing.T, f Folder) string {
+	var b strings.Builder
+	names, err := f.Names()
+	require.NoError(t, err)
+	for _, name := range names {
+		text, err := f.Read(name)
+		require.NoError(t, err)
+		var records strings.Builder
+		scanned, err := Scan(text, func(r *Record) error {
+			fmt.Fprintf(&records, "kind %d number %d at %d front %q class %q tenant %q ask %016x retry %t group %q reason %d (%s, %s) taken %d open %d ends %v\n",
+				r.Kind, r.Number, r.At, r.Line.Front, r.Line.Class, r.Line.Tenant, r.Ask, r.Retry, r.Group, r.Reason, r.Reason, r.Reason.Outcome(), r.Taken, r.Open, r.Ends)
+			return nil
+		})
+		require.NoError(t, err)
+		require.NoError(t, scanned.Err)
+		require.False(t, scanned.Torn)
+		h := scanned.Header
+		fmt.Fprintf(&b, "%s version %d epoch %d index %d created %d\n%s", name, h.Version, h.Epoch, h.Index, h.Created, records.String())
+	}
+	return b.String()
+}
+
+// TestGoldenJournal: the golden folder is read record by record, adds up, is reported
+// alike, and a start counts on from it.
+func TestGoldenJournal(t *testing.T) {
+	if goldentest.Missing(goldenJournal) {
+		written := filepath.Join(t.TempDir(), "journal")
+		writeGoldenJournal(t, written)
+		goldentest.Keep(t, written, goldenJournal)
+	}
+	folder, err := OpenFolder(goldentest.CopyFolder(t, goldenJournal))
+	require.NoError(t, err)
+	names, err := folder.Names()
+	require.NoError(t, err)
+	require.Greater(t, len(names), 3, "segments")
+	goldentest.Equal(t, goldenRecords, []byte(show(t, folder)))
+
+	v := verify(t, folder)
+	require.Empty(t, v.Wrong)
+	require.Equal(t, 3, v.Epochs)
+	require.EqualValues(t, 90, v.Totals.Taken)
+	require.EqualValues(t, 2, v.Totals.Open)
+	require.EqualValues(t, 4, v.Totals.Ends[account.CutOff])
+	require.EqualValues(t, 3*3, v.Totals.Ends[account.Answered])
+	require.EqualValues(t, 3, v.Marks)
+
+	rows, complaints, err := Report(folder, Query{By: []string{"front", "tenant", "group"}})
+	require.NoError(t, err)
+	require.Empty(t, complaints)
+	var b bytes.Buffer
+	for _, row := range rows {
+		fmt.Fprintf(&b, "%v opened %d taken %d ends %v open %d asks %d\n", row.By, row.Opened, row.Taken, row.Ends, row.Open, row.Asks)
+	}
+	goldentest.Equal(t, goldenReport, b.Bytes())
+
+	j := begin(t, folder, Settings{SegmentBytes: 1 << 20, KeepBytes: 1 << 30, KeepFor: 1000 * time.Hour})
+	require.Equal(t, 2, j.Found().CutOff)
+	require.EqualValues(t, 4, j.Found().Epoch)
+	require.NoError(t, j.Close())
+}
