--- /dev/null
+++ b/internal/fleet/golden_messages_test.go
@@ -0,0 +1,176 @@
+package fleet
+
+import (
+	"encoding/hex"
+	"fmt"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"basaltloft/internal/fleet/call"
+	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/fleet/parts"
+	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/fleet/planrun"
+	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/fleet/shares"
+	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/goldentest"
+
+	"github.com/stretchr/testify/require"
+)
+
+// goldenMessages holds each message between processes and keepers as hexadecimal CBOR,
+// one a line, written by commit 352ebf2. It must never be rewritten by later code:
+// builds before and after talk to one another during a rolling upgrade. CBOR maps in it
+// carry the Go names of exported fields; the labels of the lines are the test's own.
+var goldenMessages = filepath.Join("testdata", "golden", "messages")
+
+// message is one message with every field set to a value that no other field of it has.
+type message struct {
+	label string
+	value any
+}
+
+func messages() []message {
+	span := 1234567 * time.Microsecond
+	bytes := func(text string) []byte { return []byte(text) }
+	order := records.Order{Ended: 91, Process: "n1", Epoch: 92, Seq: 93}
+	limits := func(n int64) records.Limits { return records.Limits{For: n, Count: n + 1, Bytes: n + 2} }
+	hold := records.Hold{Name: "a", Tenant: "b", ID: "c", Key: "d", Class: "e", From: 1, To: 2, Owner: "f", Reason: "g", Until: 3}
+	record := records.Record{
+		ID: "a", Key: "b", Tenant: "c", Class: "d", Plan: "e", Stage: "f", Outcome: "g", Reason: "h", Arrived: 1, Ended: 2, Attempts: 3,
+		Members: []string{"i", "j"}, Body: bytes("k"), Process: "l", Epoch: 4, Seq: 5,
+	}
+	try := func(n uint32) planrun.Try {
+		return planrun.Try{State: planrun.Out, Attempt: n, Fence: uint64(n) + 1, Sent: span, NotBefore: span + 1, End: plan.Reset, Ran: true, Before: false}
+	}
+	run := planrun.Run{
+		ID: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: 2, Input: bytes("d"), Seed: 3, Started: span, Before: span + 1, Deadline: span + 2, Process: "e", Incarnation: 4,
+		Fence: 5, Orphan: true, Used: 6, Bytes: 7, Gave: &planrun.GiveUp{Stage: 8, End: plan.Failed, Reason: "f"},
+		Stages: []planrun.Stage{{Gen: 9, Lost: 10, Again: 11, Opened: true, Joined: false, Key: "g", Copied: [][]byte{bytes("h")}, Items: []planrun.Item{{
+			Value: bytes("i"), Job: try(12), Gen: 14, Inputs: []uint64{15}, Tries: []int{16}, Result: bytes("j"), Member: "k", Where: plan.OtherMember, Undo: try(17),
+		}}}},
+	}
+	answer := planrun.Answer{
+		Run: "a", Plan: "b", Digest: 1, Outcome: planrun.Unknown, Stage: "c", End: plan.MayRun, Reason: "d", Started: span, At: span + 1, Until: span + 2, Attempts: 2,
+		Left: []string{"e"}, Results: []planrun.Results{{Stage: "f", Items: [][]byte{bytes("g")}}}, Cut: true,
+	}
+	usage := func(n int64) records.Usage { return records.Usage{Count: n, Bytes: n + 1, Sum: uint64(n) + 2} }
+	budget := shares.Budget{
+		Name: "a", Kind: shares.Part, Whole: 1.5, Burst: 2.5, Floor: 3.5, Floors: 4, FloorFor: span, Linger: span + 1, Weights: map[string]float64{"n1": 5.5},
+	}
+	return []message{
+		{"call to a keeper: command", state.Command{V: 1, At: span, Process: "a", Incarnation: 2, Seq: 3, Acked: 4, Kind: "plans/do", Body: bytes("b")}},
+		{"call to a keeper: reply", state.Reply{Code: state.Refused, Text: "a", Body: bytes("b")}},
+		{"call to a keeper: query", call.Query{Kind: "plans/look", Body: bytes("a")}},
+		{"call to a keeper: answer", call.Answer{Index: 1, At: span, Code: state.Bad, Text: "a", Body: bytes("b")}},
+		{"call to a keeper: about", call.AboutBody{Name: "a", Empty: true, Founded: false, Leads: true, Boots: map[string]uint64{"k1": 1, "k2": 2}, Differs: []string{"b"}, Index: 3, At: span}},
+		{"members: join", state.JoinBody{Process: "a", Nonce: "b", Version: "c"}},
+		{"members: joined", state.Joined{Incarnation: 1, Lease: span}},
+		{"members: renew", state.RenewBody{Parts: map[string][]byte{"budgets": bytes("a")}}},
+		{"members: renewed", state.Renewed{Lease: span, Members: 1, Parts: map[string][]byte{"budgets": bytes("a")}, Refused: map[string]string{"plans": "b"}}},
+		{"settings", state.SetBody{Revision: 1, Lease: span, Parts: map[string][]byte{"budgets": bytes("a")}}},
+		{"keepers: boot", state.BootBody{Process: "a", Count: 1}},
+		{"keepers: sums", state.SumsBody{Replica: "a", Index: 1, Parts: map[string]uint64{"plans": 2}}},
+		{"budgets: settings", shares.Config{Lease: span, Budgets: []shares.Budget{budget}}},
+		{"budgets: renewal", shares.Renewal{Process: "a", Incarnation: 1, Bound: 2, Uses: map[string]shares.Use{"b": {Demand: 1.5, UnderWay: 2.5, Latest: span}}}},
+		{"budgets: grant", shares.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, Soon: true, Shares: []shares.Share{
+			{Name: "b", Kind: shares.UnderWay, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorFor: span + 1, Linger: span + 2},
+		}}},
+		{"budgets: leave", parts.BudgetsLeft{Left: map[string]shares.Left{"a": {UnderWay: 1.5, Latest: span}}}},
+		{"budgets: standings", []shares.Standing{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
+		{"plans: start", planrun.Command{Start: &planrun.Start{
+			Run: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: goldenShape(), Input: bytes("d"), Seed: 2, Before: span, Process: "e", Incarnation: 3,
+		}}},
+		{"plans: claim", planrun.Command{Claim: &planrun.Claim{Process: "a", Incarnation: 1, Most: 2, Plans: []uint64{3, 4}}}},
+		{"plans: open", planrun.Command{Open: &planrun.Open{Run: "a", Fence: 1, Stage: 2, Key: "b", Items: [][]byte{bytes("c"), nil}}}},
+		{"plans: sending", planrun.Command{Sending: &planrun.Sending{Run: "a", Fence: 1, Stage: 2, Item: 3, Undo: true, Generation: 4, Inputs: []uint64{5}, Attempt: 6, Rest: span}}},
+		{"plans: ended", planrun.Command{Ended: &planrun.Ended{
+			Run: "a", Fence: 1, Stage: 2, Item: 3, Undo: true, Attempt: 4, End: plan.Lost, Result: bytes("b"), Member: "c", Lost: &planrun.LostInput{Stage: 5, Generation: 6},
+		}}},
+		{"plans: abandon", planrun.Command{Abandon: &planrun.Abandon{Run: "a", Fence: 1, Stage: 2, End: plan.Unsent, Reason: "b"}}},
+		{"plans: finish", planrun.Command{Finish: &planrun.Finish{Run: "a"}}},
+		{"plans: gone", planrun.Command{Gone: &planrun.Gone{Process: "a", Incarnation: 1}}},
+		{"plans: reply", parts.PlanReply{
+			Reply: planrun.Reply{
+				Started: &planrun.Started{Known: true, Fence: 1, Answer: &answer}, Claimed: []planrun.Claimed{{Run: "a", Fence: 2}}, Sent: &planrun.Sent{Again: true},
+				Counted: &planrun.Counted{Once: true, Fresh: false, Answer: &answer}, Answer: &answer, Refusal: "b", Kind: 3,
+			},
+			Index: 4, At: span, Run: &run, Makes: 5, Ended: &answer,
+		}},
+		{"records: settings", records.SetRules{At: 1, Rules: []records.Rule{{Tenant: "a", Keep: limits(2), Failed: limits(5)}}}},
+		{"records: ship", records.Ship{Process: "a", Incarnation: 1, Epoch: 2, First: 3, Lost: true, Records: []records.Record{record}}},
+		{"records: shipped", parts.RecordsShipped{Shipped: records.Shipped{Through: 1, Taken: 2, Again: 3, Below: 4, Missing: 5, TooLarge: 6}, Gap: true}},
+		{"records: hold", records.SetHold{At: 4, Hold: hold}},
+		{"records: lift", records.Lift{At: 1, Name: "a"}},
+		{"records: cut", records.Cut{At: 1, Rules: 2, Marks: []records.Mark{{Tenant: "a", Lane: records.Failures, Below: order}}, Sweep: 3, Turn: "b"}},
+		{"records: cuts", records.Cuts{Removed: 1, Held: 2}},
+		{"records: planned", parts.RecordsPlanned{Needed: true, Cut: records.Cut{At: 1, Rules: 2, Sweep: 3, Turn: "a"}}},
+		{"records: query", records.Query{Tenant: "a", From: 1, To: 2, Last: true, After: "b", Most: 3}},
+		{"records: page", records.Page{Records: []records.Record{record}, Next: "a", Missing: 1}},
+		{"records: standing", parts.RecordsStanding{
+			Counts: records.Counts{Taken: 1, Again: 2, Below: 3, TooLarge: 4, Cut: 5, Swept: 6, Missing: 7}, Holds: []records.Hold{hold}, Usage: map[string]records.Usage{"a": usage(8)}, Bytes: 11,
+		}},
+	}
+}
+
+// TestGoldenMessages: each message is encoded to the golden bytes, and those are decoded
+// to the message.
+func TestGoldenMessages(t *testing.T) {
+	var written strings.Builder
+	for _, m := range messages() {
+		text, err := codec.Encode(m.value)
+		require.NoError(t, err, m.label)
+		fmt.Fprintf(&written, "%s = %x\n", m.label, text)
+	}
+	goldentest.Equal(t, goldenMessages, []byte(written.String()))
+
+	lines := strings.Split(strings.TrimSpace(string(goldentest.Read(t, goldenMessages))), "\n")
+	require.Len(t, lines, len(messages()))
+	for i, m := range messages() {
+		label, digits, _ := strings.Cut(lines[i], " = ")
+		require.Equal(t, m.label, label)
+		text, err := hex.DecodeString(digits)
+		require.NoError(t, err)
+		into := reflect.New(reflect.TypeOf(m.value))
+		require.NoError(t, codec.Decode(text, into.Interface()), label)
+		again, err := codec.Encode(into.Elem().Interface())
+		require.NoError(t, err)
+		require.Equal(t, digits, hex.EncodeToString(again), label)
+		require.EqualExportedValues(t, m.value, into.Elem().Interface(), label)
+	}
+}
+
+// TestGoldenCalls: the paths and the header of the keepers' calls, the parts' names and
+// the kinds of commands and queries.
+func TestGoldenCalls(t *testing.T) {
+	require.Equal(t, []string{"/fleet/do", "/fleet/read", "/fleet/nearby", "/fleet/about", "/fleet/rejoin", "/fleet/ready", "Fleet-Leader"},
+		[]string{call.Do, call.Read, call.Nearby, call.About, call.Rejoin, call.Ready, call.LeaderHeader})
+	require.Equal(t, []string{"budgets", "plans", "records"}, []string{parts.BudgetsName, parts.PlansName, parts.RecordsName})
+	require.Equal(t, []state.Kind{
+		"tick", "join", "renew", "leave", "sums", "boot", "set", "budgets/leave", "budgets/standings", "plans/do", "plans/orphans", "plans/look",
+		"records/ship", "records/cut", "records/hold", "records/lift", "records/plan", "records/find", "records/page", "records/stand",
+	}, []state.Kind{
+		state.Tick, state.Join, state.Renew, state.Leave, state.Sums, state.Boot, state.Set, parts.BudgetsLeave, parts.BudgetsStandings, parts.PlansDo, parts.PlansOrphans, parts.PlansLook,
+		parts.RecordsShip, parts.RecordsCut, parts.RecordsHold, parts.RecordsLift, parts.RecordsPlan, parts.RecordsFind, parts.RecordsPage, parts.RecordsStand,
+	})
+	require.EqualValues(t, 1, state.Version)
+	require.Equal(t, []state.Code{0, 1, 2, 3}, []state.Code{state.OK, state.Fenced, state.Refused, state.Bad})
+	require.Equal(t, []planrun.TryState{0, 1, 2, 3}, []planrun.TryState{planrun.Idle, planrun.Out, planrun.Ok, planrun.Dead})
+	require.Equal(t, []planrun.Outcome{0, 1, 2, 3}, []planrun.Outcome{planrun.Served, planrun.Refused, planrun.Failed, planrun.Unknown})
+	require.Equal(t, []plan.End{"done", "refused", "full", "unsent", "late", "failed", "reset", "may_have_run", "lost_input"},
+		[]plan.End{plan.Done, plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset, plan.MayRun, plan.Lost})
+	require.Equal(t, []plan.Place{"anywhere", "other_member", "other_zone"}, []plan.Place{plan.Anywhere, plan.OtherMember, plan.OtherZone})
+	require.Equal(t, []shares.Kind{0, 1, 2}, []shares.Kind{shares.Rate, shares.UnderWay, shares.Part})
+	require.Equal(t, []records.Lane{0, 1, 2}, []records.Lane{records.Ordinary, records.Failures, records.Lanes})
+	// A refusal's kind goes over the network by its number.
+	for i, refused := range []error{
+		planrun.ErrFull, planrun.ErrBefore, planrun.ErrUnknown, planrun.ErrEnded, planrun.ErrFence, planrun.ErrGivenUp, planrun.ErrNoSuch, planrun.ErrOut, planrun.ErrSettled,
+		planrun.ErrAttempt, planrun.ErrTwice, planrun.ErrStale, planrun.ErrEarly, planrun.ErrElsewhere, planrun.ErrTooLarge, planrun.ErrShape,
+	} {
+		require.ErrorIs(t, planrun.Reply{Refusal: "no", Kind: i + 1}.Err(), refused)
+	}
+}
--- /dev/null
+++ b/internal/fleet/recordstore/golden_test.go
@@ -0,0 +1,32 @@
+package recordstore
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/goldentest"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestGoldenFence: the file named fence, written by commit 352ebf2, is read, and written
+// to the same bytes. It must never be rewritten by later code.
+func TestGoldenFence(t *testing.T) {
+	golden := filepath.Join("testdata", "golden", "fence")
+	known := records.Fence{Edition: 17, Marks: []records.Mark{
+		{Tenant: "hrad-kamenec", Lane: records.Failures, Below: records.Order{Ended: 1_780_000_000_000_000_000, Process: "n1", Epoch: 70, Seq: 9}},
+		{Tenant: "zelena-hora", Lane: records.Ordinary, Below: records.Order{Ended: 1_780_000_000_000_000_001, Process: "n2", Epoch: 71, Seq: 1}},
+	}}
+	folder := t.TempDir()
+	require.NoError(t, KeepFence(folder, "fleet", known))
+	written, err := os.ReadFile(filepath.Join(folder, "fence"))
+	require.NoError(t, err)
+	goldentest.Equal(t, golden, written)
+
+	copied := goldentest.CopyFolder(t, filepath.Dir(golden))
+	read, err := ReadFence(copied, "fleet")
+	require.NoError(t, err)
+	require.Equal(t, known, read)
+}
