--- /dev/null
+++ b/cmd/basaltloft-load/golden_test.go
@@ -0,0 +1,20 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"path/filepath"
+	"testing"
+
+	"basaltloft/internal/goldentest"
+
+	"github.com/stretchr/testify/require"
+)
+
+// TestGoldenHelp: the flags and their defaults, as commit 352ebf2 printed them.
+func TestGoldenHelp(t *testing.T) {
+	var errs bytes.Buffer
+	_, err := parse([]string{"-h"}, &errs)
+	require.ErrorIs(t, err, flag.ErrHelp)
+	goldentest.Equal(t, filepath.Join("testdata", "golden", "help.txt"), errs.Bytes())
+}
--- a/internal/fleet/keeper/golden_test.go
+++ b/internal/fleet/keeper/golden_test.go
@@ -210,3 +210,12 @@
 	require.Equal(t, mark{V: 1, Keeper: "k1", Starts: 1}, m)
 	require.Equal(t, text, encoded(t, m))
 }
+
+// TestGoldenReady: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
+func TestGoldenReady(t *testing.T) {
+	text := []byte("\xa2\x64Name\x62k1\x65Index\x07")
+	require.Equal(t, text, encoded(t, readyBody{Name: "k1", Index: 7}))
+	var read readyBody
+	require.NoError(t, codec.Decode(text, &read))
+	require.Equal(t, readyBody{Name: "k1", Index: 7}, read)
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,146 @@
+package wire
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"basaltloft"
+	"basaltloft/internal/goldentest"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The lines in goldenActions and goldenEvents were written by, and read by, commit
+// 352ebf2. They must never be rewritten by later code: a simulator speaks them.
+var (
+	goldenActions = filepath.Join("testdata", "golden", "actions.txt")
+	goldenEvents  = filepath.Join("testdata", "golden", "events.txt")
+)
+
+// TestGoldenActions: each action of a host, with and without what it may leave out.
+func TestGoldenActions(t *testing.T) {
+	var out bytes.Buffer
+	e := NewEncoder(&out)
+	first, second := e.Host("s/0"), e.Host("s/1")
+	first.Send("r-1", 5, 0)
+	first.Send("r-1", 4294967295, 1500*time.Millisecond)
+	first.Refuse("r-2", 0)
+	first.Refuse("r-2", 20*time.Millisecond)
+	second.Fail("r-3")
+	second.Cancel("r-4", 2)
+	first.Probe(7)
+	first.Timer(900*time.Millisecond, "due")
+	first.Watch(true)
+	first.Watch(false)
+	first.Fetch()
+	first.Log("two\nlines\rand more")
+	require.NoError(t, e.Finish())
+	first.Fail("r-5")
+	require.NoError(t, e.Finish())
+	goldentest.Equal(t, goldenActions, out.Bytes())
+}
+
+const goldenConfiguration = `{"balancers":3,"rank":1,"zone":"a","registry_mode":"ask","shapes":["k"],"lanes":[{"name":"c","effect":"idempotent","promise":400000000,"give_up":5000000000,"worth":1}]}`
+
+// goldenLines are one event of each kind, and of each word that an event may have.
+var goldenLines = []string{
+	"BEGIN_BATCH\tat_time=1000000000",
+	"INSTANCE\ti=s/0",
+	"CONFIGURE\tnonce64=-7\tconf=" + goldenConfiguration,
+	"ROSTER\tset_id=2\trecords=3",
+	"ROW\ttype=k\tcluster=4\tstage_state=healthy\tdc=a\tscale=1.5\tsince=77\tworker=5",
+	"ROW\ttype=k\tcluster=4\tstage_state=cordoned\tdc=b\tscale=2\tworker=6",
+	"ROW\tstage_state=deregistered\tworker=7",
+	"DISCOVERY\tset_id=2\tseq_no=1\tkind=update",
+	"DISCOVERY\tset_id=2\tseq_no=2\tkind=replace",
+	"DISCOVERY\tset_id=2\tseq_no=3\tkind=restored",
+	"DISCOVERY\tset_id=2\tseq_no=4\tkind=unavailable",
+	"INGRESS\ttxn=r-1\tclass=c\tentity=91f0 3b\tcost_guess=100000000\texpires=6000000000\twidth=2\tmem=0.5\tretry=1\treconnect=1\twrite=0",
+	"COMPLETED\ttxn=r-1\tended=1\tcopy=2\tstate_code=254\tduration=5\tworker=6\tserver_stats=outstanding:1,backlog:2,utilization:0.3,recent_ms:4,throughput:5,errors_per_s:6,x0:7,x1:8,new:9",
+	"COMPLETED\ttxn=r-1\tcopy=0\tworker=6",
+	"COMPLETED\ttxn=r-1\tstate_code=255\tworker=6",
+	"COMPLETED\ttxn=r-1\tstate_code=253\tworker=6",
+	"COMPLETED\ttxn=r-1\tstate_code=252\tworker=6",
+	"COMPLETED\ttxn=r-1\tstate_code=251\tworker=6",
+	"COMPLETED\ttxn=r-1\tstate_code=250\tworker=6",
+	"COMPLETED\ttxn=r-1\tstate_code=249\tworker=6",
+	"STATUS_BACK\tworker=5\tstate_code=253\tduration=1400000\tserver_stats=x0:0.4",
+	"STATUS_NOTE\ttxn=r-1\tcopy=1\tlevel=0.5\tworker=5\ttopic=2",
+	"STATUS_NOTE\ttxn=r-1\tcopy=1\tworker=5\ttopic=1",
+	"STATUS_NOTE\ttxn=r-1\tcopy=1\tworker=5\ttopic=9",
+	"OPENED\ttxn=r-1\tcopy=3\tworker=5\tduration=9",
+	"LAPSED\ttxn=r-9",
+	"ELAPSED\tctx=sweep",
+	"MEMO\tby=2\toctets=aGkgNw==",
+	"TEARDOWN",
+	"EOB",
+}
+
+// TestGoldenEvents: the golden lines are read to these events.
+func TestGoldenEvents(t *testing.T) {
+	goldentest.Equal(t, goldenEvents, []byte(strings.Join(goldenLines, "\n")+"\n"))
+	d := NewDecoder(bytes.NewReader(goldentest.Read(t, goldenEvents)))
+	next := func(kind Kind) Event {
+		t.Helper()
+		e, err := d.Next()
+		require.NoError(t, err)
+		require.Equal(t, kind, e.Kind, d.At())
+		require.Equal(t, time.Second, e.Now)
+		copied := *e
+		copied.Entries = slices.Clone(e.Entries)
+		return copied
+	}
+	next(BatchStart)
+	configured := next(Configure)
+	require.Equal(t, "s/0", configured.Instance)
+	require.Equal(t, basaltloft.Settings{
+		Seed: 18446744073709551609, Instances: 3, Rank: 1, Zone: "a", Kinds: []string{"k"}, AskLists: true,
+		Classes: []basaltloft.Class{{Name: "c", Effect: basaltloft.Safe, Group: basaltloft.GroupCell, Aim: 400 * time.Millisecond, GiveUp: 5 * time.Second, Worth: 1, Kind: -1}},
+	}, configured.Settings)
+	members := []basaltloft.Member{
+		{Worker: 5, Kind: "k", Cell: 4, Zone: "a", State: basaltloft.Ready, Since: 77, Weight: 1.5},
+		{Worker: 6, Kind: "k", Cell: 4, Zone: "b", State: basaltloft.Draining, Weight: 2},
+		{Worker: 7, State: basaltloft.Removed},
+	}
+	for _, list := range []basaltloft.ListKind{basaltloft.ListChange, basaltloft.ListWhole, basaltloft.ListRestored} {
+		told := next(Members)
+		require.Equal(t, list, told.List)
+		require.Equal(t, members, told.Entries)
+	}
+	failed := next(Members)
+	require.Equal(t, basaltloft.ListFailed, failed.List)
+	require.Empty(t, failed.Entries)
+	require.Equal(t, basaltloft.Request{
+		ID: "r-1", Class: "c", Subject: "91f0 3b", Hint: 100 * time.Millisecond, Expires: 6 * time.Second, Slots: 2, Memory: 0.5, Retry: true,
+	}, next(Ingress).Request)
+	all := basaltloft.HasInFlight | basaltloft.HasQueue | basaltloft.HasUtil | basaltloft.HasLatency | basaltloft.HasQPS | basaltloft.HasErrors | basaltloft.HasX0 | basaltloft.HasX1
+	require.Equal(t, basaltloft.Outcome{
+		Request: "r-1", Attempt: 2, Worker: 6, Status: basaltloft.Full, Ended: true, Latency: 5,
+		Report: basaltloft.Report{Has: all, InFlight: 1, Queue: 2, Util: 0.3, LatencyMS: 4, QPS: 5, ErrorsPerS: 6, X0: 7, X1: 8},
+	}, next(Completed).Outcome)
+	for _, status := range []basaltloft.Status{
+		basaltloft.OK, basaltloft.Error, basaltloft.TimedOut, basaltloft.ConnectFailed, basaltloft.Reset, basaltloft.Cancelled, basaltloft.Moot,
+	} {
+		require.Equal(t, basaltloft.Outcome{Request: "r-1", Worker: 6, Status: status}, next(Completed).Outcome)
+	}
+	require.Equal(t, basaltloft.Probed{
+		Worker: 5, Status: basaltloft.TimedOut, Latency: 1400 * time.Microsecond, Report: basaltloft.Report{Has: basaltloft.HasX0, X0: 0.4},
+	}, next(StatusBack).Probed)
+	require.Equal(t, basaltloft.Note{Request: "r-1", Attempt: 1, Worker: 5, Topic: basaltloft.NoteProgress, Value: 0.5}, next(StatusNote).Note)
+	require.Equal(t, basaltloft.Note{Request: "r-1", Attempt: 1, Worker: 5, Topic: basaltloft.NoteStarted}, next(StatusNote).Note)
+	require.Equal(t, basaltloft.Note{Request: "r-1", Attempt: 1, Worker: 5}, next(StatusNote).Note)
+	require.Equal(t, basaltloft.First{Request: "r-1", Attempt: 3, Worker: 5}, next(Opened).First)
+	require.Equal(t, "r-9", next(Lapsed).ID)
+	require.Equal(t, "sweep", next(Elapsed).Token)
+	next(Memo)
+	next(Teardown)
+	next(BatchEnd)
+	_, err := d.Next()
+	require.True(t, errors.Is(err, io.EOF))
+}
