--- /dev/null
+++ b/internal/door/golden_test.go
@@ -0,0 +1,129 @@
+package door
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http/httptest"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"basaltloft/internal/goldentest"
+
+	"github.com/sirupsen/logrus"
+)
+
+// recorder is the operators' and the fleet's side of the door: it writes down what it
+// is told.
+type recorder struct {
+	told    *strings.Builder
+	serving bool
+}
+
+func (r *recorder) note(format string, args ...any) {
+	fmt.Fprintf(r.told, "  told: "+format+"\n", args...)
+}
+
+// fails picks an error by the name that a call is about.
+func fails(name string) error {
+	return map[string]error{
+		"unknown": ErrUnknown, "broken": errors.New("broken"), "not-there": fmt.Errorf("run: %w", ErrNotThere), "bad": fmt.Errorf("run: %w", ErrBadCall),
+		"refused": fmt.Errorf("run: %w", ErrRefused), "away": fmt.Errorf("run: %w", ErrAway),
+	}[name]
+}
+
+func answer(name string) ([]byte, error) {
+	if name == "under-way" {
+		return nil, nil
+	}
+	return []byte(`{"answer":1}`), fails(name)
+}
+
+func (r *recorder) Serving() bool { return r.serving }
+func (r *recorder) Out(id string) error {
+	r.note("out %q", id)
+	return fails(id)
+}
+func (r *recorder) Back(id string) error {
+	r.note("back %q", id)
+	return fails(id)
+}
+func (r *recorder) Drain()   { r.note("drain") }
+func (r *recorder) Undrain() { r.note("undrain") }
+func (r *recorder) News(body []byte) error {
+	r.note("news %q", body)
+	return fails(string(body))
+}
+func (r *recorder) Status(context.Context) ([]byte, error) {
+	r.note("status")
+	return answer("")
+}
+func (r *recorder) StartPlan(_ context.Context, a PlanAsk) ([]byte, error) {
+	r.note("start run %q plan %q tenant %q input %q within %s", a.Run, a.Plan, a.Tenant, a.Input, a.Within)
+	return answer(a.Run)
+}
+func (r *recorder) Run(_ context.Context, id string) ([]byte, error) {
+	r.note("run %q", id)
+	return answer(id)
+}
+func (r *recorder) Record(_ context.Context, id string) ([]byte, error) {
+	r.note("record %q", id)
+	return answer(id)
+}
+func (r *recorder) Records(_ context.Context, q RecordsAsk) ([]byte, error) {
+	r.note("records of %q from %d to %d last %t after %q most %d", q.Tenant, q.From, q.To, q.Last, q.After, q.Most)
+	return answer("")
+}
+func (r *recorder) Hold(_ context.Context, h HoldAsk) error {
+	r.note("hold %q of %q id %q key %q class %q from %d to %d until %d owner %q reason %q lift %t", h.Name, h.Tenant, h.ID, h.Key, h.Class, h.From, h.To, h.Until, h.Owner, h.Reason, h.Lift)
+	return fails(h.Name)
+}
+
+// calls are those of the operators' address, right and wrong ones.
+var calls = []string{
+	"GET /healthcheck", "HEAD /healthcheck", "POST /healthcheck", "POST /healthcheck/fail", "POST /healthcheck/ok", "GET /healthcheck/fail",
+	"POST /runners/r-1/maint", "POST /runners/r-1/ready", "POST /runners/unknown/maint", "POST /runners/unknown/ready", "POST /runners/broken/maint", "GET /runners/r-1/maint",
+	"POST /runners/r-1/reboot", "POST /runners//maint", "POST /_jobs/news news", "POST /_jobs/news broken", "GET /_jobs/news", "GET /elsewhere",
+	"GET /fleet", "POST /fleet", "GET /runs/a", "GET /runs/under-way", "GET /runs/not-there", "GET /runs/bad", "GET /runs/refused", "GET /runs/away", "GET /runs/broken", "POST /runs/a",
+	`POST /plans/booking?run=r&tenant=t&within_ms=1500 {"tour":7}`, "POST /plans/booking?run=under-way", "POST /plans/booking", "POST /plans/booking?run=r&within_ms=x", "GET /plans/booking?run=r",
+	"GET /records/job-1", "GET /records/not-there", "GET /records?tenant=t", "GET /records", "POST /records",
+	"GET /records?tenant=t&from=2026-01-31T12:00:00Z&to=2026-02-01T12:00:00.5Z&last=1&after=x&most=7", "GET /records?tenant=t&from=now", "GET /records?tenant=t&most=0",
+	"POST /holds/audit?tenant=t&id=i&key=k&class=c&owner=o&reason=r&from=2026-01-31T12:00:00Z&to=2026-02-01T12:00:00Z&until=2026-03-01T12:00:00Z", "DELETE /holds/audit", "POST /holds/refused", "GET /holds/audit",
+	"POST /holds/audit?until=later",
+}
+
+// TestGoldenDoor: the paths, methods, query keys, statuses, headers and bodies of the
+// operators' address, as commit 352ebf2 answered. The file must never be rewritten by
+// later code.
+func TestGoldenDoor(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	var b strings.Builder
+	for _, state := range []struct {
+		serving, fleet bool
+	}{{true, true}, {false, false}} {
+		r := &recorder{told: &b, serving: state.serving}
+		d := New(r, log)
+		if state.fleet {
+			d.With(r)
+		}
+		fmt.Fprintf(&b, "serving %t, in a fleet %t\n", state.serving, state.fleet)
+		for _, call := range calls {
+			method, rest, _ := strings.Cut(call, " ")
+			path, body, _ := strings.Cut(rest, " ")
+			fmt.Fprintln(&b, call)
+			w := httptest.NewRecorder()
+			d.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body)))
+			fmt.Fprintf(&b, "  %d\n", w.Code)
+			for _, name := range []string{"Allow", "Connection", "Content-Type", "Retry-After", "X-Content-Type-Options"} {
+				if value := w.Header().Get(name); value != "" {
+					fmt.Fprintf(&b, "  %s: %s\n", name, value)
+				}
+			}
+			fmt.Fprintf(&b, "  %q\n", w.Body.String())
+		}
+	}
+	goldentest.Equal(t, filepath.Join("testdata", "golden", "door.txt"), []byte(b.String()))
+}
--- /dev/null
+++ b/internal/faktory/golden_test.go
@@ -0,0 +1,47 @@
+package faktory
+
+import (
+	"path/filepath"
+	"regexp"
+	"testing"
+
+	"basaltloft/internal/goldentest"
+)
+
+var (
+	number = regexp.MustCompile(`"(uptime|command_count|used_memory_mb)":\d+`)
+	moment = regexp.MustCompile(`"(now|server_utc_time|updated_at|beat)":"[^"]*"`)
+	length = regexp.MustCompile(`^\$\d+`)
+)
+
+// TestGoldenInfo: what INFO and SHOW answer of a front with jobs in its queues and sets,
+// byte for byte but for times and the length, as of commit 352ebf2. The file must never
+// be rewritten by later code: Faktory's clients read it.
+func TestGoldenInfo(t *testing.T) {
+	s, h := newFront()
+	client := &session{Server: s}
+	s.workers.connect(hello{worker: "w1", host: "host", pid: 7})
+	var text string
+	add := func(command, answer string) {
+		answer = moment.ReplaceAllString(number.ReplaceAllString(answer, `"$1":0`), `"$1":"TIME"`)
+		text += command + "\n" + length.ReplaceAllString(answer, "$$LENGTH") + "\n"
+		h.pump()
+	}
+	const later = "2126-01-01T00:00:00Z"
+	for _, job := range []string{
+		`{"jid":"job-00001","jobtype":"Sell","queue":"default","args":[1,"a"]}`,
+		`{"jid":"job-00002","jobtype":"Ticket","queue":"tickets","args":[]}`,
+		`{"jid":"job-00003","jobtype":"Sell","queue":"default","args":[],"at":"` + later + `"}`,
+	} {
+		add("PUSH", client.push(job))
+	}
+	add("QUEUE PAUSE", client.queue("PAUSE tickets"))
+	add("INFO", client.info(""))
+	for _, what := range []string{"scheduled", "retries", "dead", "workers", "other"} {
+		add("SHOW "+what, client.show(what))
+	}
+	add("TRACK GET", client.track("GET job-00001"))
+	add("TRACK GET", client.track("GET nothing"))
+	add("unknown", fault("unknown command %q", "DANCE"))
+	goldentest.Equal(t, filepath.Join("testdata", "golden", "info.txt"), []byte(text))
+}
--- /dev/null
+++ b/internal/virtualserver/golden_test.go
@@ -0,0 +1,133 @@
+package virtualserver
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"basaltloft/internal/core"
+	"basaltloft/internal/goldentest"
+	"basaltloft/internal/stage"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+)
+
+// transcript is written by the test and by the server's goroutines.
+type transcript struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func (w *transcript) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.text.Write(b)
+}
+
+// answering is a hub that answers each job as its id says, and an intake that writes
+// down what it was asked.
+type answering struct {
+	ready bool
+	told  *transcript
+}
+
+func (h *answering) TakeIn(a stage.Arrival, arrived time.Time, c core.Client) (*core.Transaction, error) {
+	budget := time.Duration(0)
+	if !a.GivesUp.IsZero() {
+		budget = a.GivesUp.Sub(arrived)
+	}
+	fmt.Fprintf(h.told, "  taken in: id %q class %q tenant %q target %q front %q key %q body %q retry %t subject %q budget %s cost %s slots %g memory %g\n",
+		a.ID, a.Class, a.Tenant, a.Target, a.Front, a.Key, a.Body, a.Retry, a.Subject, budget, a.Hint, a.Slots, a.Memory)
+	switch a.Class {
+	case "nothing":
+		return nil, fmt.Errorf("class %q: %w", a.Class, stage.ErrUnknownClass)
+	case "wrong":
+		return nil, errors.New("what is wrong")
+	}
+	return &core.Transaction{ID: a.ID, Class: a.Class, Client: c}, nil
+}
+
+func (h *answering) Submit(t *core.Transaction) {
+	t.Client.Answer(map[string]core.Answer{
+		"served": {Verdict: core.Served, Body: []byte("the result\n")}, "empty": {Verdict: core.Served}, "refused": {Verdict: core.Refused},
+		"later": {Verdict: core.Refused, RetryAt: time.Now().Add(-time.Second)}, "failed": {Verdict: core.Failed}, "denied": {Verdict: core.Denied, Body: []byte("why\n")},
+	}[t.ID])
+}
+
+func (h *answering) Leave(*core.Transaction) {}
+
+func (h *answering) Report(n core.News) bool {
+	fmt.Fprintf(h.told, "  news: id %q member %q started %t running %t share %g ended %t status %d result %q\n", n.ID, n.Member, n.Started, n.Running, n.Share, n.Ended, n.Status, n.Result)
+	return true
+}
+func (h *answering) Ready() bool { return h.ready }
+
+// clientsCalls are requests of clients, health checks and members' call-backs: method and
+// path, headers, body, with | between them.
+var clientsCalls = []string{
+	"POST /hold/a%2Fb?sid=7f&x;y=%zz&& | X-Call-Id: served | body",
+	"POST /hold?sid=7 | X-Call-Id: served, X-Call-Class: hold, X-Caller: acme, X-Budget: 9.5, X-Call-Cost: 4000, X-Call-Info: slots=2;memory=0.5;new=1, Idempotency-Key: k, X-Again: 1 | body",
+	"POST /hold | X-Call-Id: served, X-Call-Info: width=3 | ", "POST /hold | X-Call-Id: empty | ", "POST /hold | X-Call-Id: refused | ", "POST /hold | X-Call-Id: later | ",
+	"POST /hold | X-Call-Id: failed | ", "POST /hold | X-Call-Id: denied | ", "POST /nothing | X-Call-Id: served | ", "POST /wrong | X-Call-Id: served | ",
+	"GET /hold | X-Call-Id: served | ", "POST /hold | X-Call-Class: ticket | ", "POST /hold | X-Budget: 0 | ", "POST /hold | X-Call-Cost: much | ", "POST /hold | X-Call-Info: slots=many | ",
+	"GET /health/ready |  | ", "HEAD /health/ready |  | ", "POST /health/ready |  | ", "GET /health/live |  | ", "POST /health/live |  | body",
+	`POST /_jobs/news |  | {"id":"j","from":"m","state":"started"}`, `POST /_jobs/news |  | {"id":"j","from":"m","state":"running","share":0.5}`,
+	`POST /_jobs/news |  | {"id":"j","from":"m","state":"done","result":"paid"}`, `POST /_jobs/news |  | {"id":"j","from":"m","state":"failed","result":"no"}`,
+	`POST /_jobs/news |  | {"id":"j","from":"m","state":"returned"}`, `POST /_jobs/news |  | {"id":"j","from":"m","state":"lost"}`, `POST /_jobs/news |  | {"id":"j","from":"m","state":"new"}`,
+	"POST /_jobs/news |  | {", "GET /_jobs/news |  | ",
+}
+
+var date = regexp.MustCompile(`Date: [^\r]*\r\n`)
+
+// TestGoldenAnswers: each kind of answer of the clients' address byte for byte but for
+// its date, and what is read of a request, as of commit 352ebf2. The file must never be
+// rewritten by later code.
+func TestGoldenAnswers(t *testing.T) {
+	var b transcript
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	for _, ready := range []bool{true, false} {
+		h := &answering{ready: ready, told: &b}
+		s := New(h, h, log)
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		require.NoError(t, err)
+		served := make(chan error, 1)
+		go func() { served <- s.Serve(l, 10) }()
+		fmt.Fprintf(&b, "ready %t\n", ready)
+		for _, call := range clientsCalls {
+			parts := strings.SplitN(call, " | ", 3)
+			fmt.Fprintln(&b, call)
+			fmt.Fprintf(&b, "%q\n", ask(t, l.Addr().String(), parts[0], strings.TrimSpace(parts[1]), parts[len(parts)-1]))
+		}
+		s.server.Close()
+		<-served
+	}
+	goldentest.Equal(t, filepath.Join("testdata", "golden", "answers.txt"), []byte(b.text.String()))
+}
+
+// ask sends one request on a connection of its own and returns the whole answer.
+func ask(t *testing.T, addr, line, headers, body string) string {
+	conn, err := net.Dial("tcp", addr)
+	require.NoError(t, err)
+	defer conn.Close()
+	require.NoError(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
+	request := line + " HTTP/1.1\r\nHost: app\r\nConnection: close\r\n"
+	for header := range strings.SplitSeq(headers, ", ") {
+		if header != "" {
+			request += strings.ReplaceAll(header, ";", ",") + "\r\n"
+		}
+	}
+	_, err = fmt.Fprintf(conn, "%sContent-Length: %d\r\n\r\n%s", request, len(body), body)
+	require.NoError(t, err)
+	answer, err := io.ReadAll(conn)
+	require.NoError(t, err)
+	return date.ReplaceAllString(string(answer), "")
+}
