--- /dev/null
+++ b/internal/fleet/golden_plan_test.go
@@ -0,0 +1,61 @@
+package fleet
+
+import (
+	"fmt"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"basaltloft"
+	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/fleet/planrun"
+	"basaltloft/internal/goldentest"
+
+	"github.com/stretchr/testify/require"
+)
+
+// goldenPlans holds a plan file with every key that commit 352ebf2 read, and what that
+// build made of it. It must never be rewritten by later code.
+var goldenPlans = filepath.Join("testdata", "golden", "plans")
+
+// TestGoldenPlan: a plan file is read to these figures, to the digest under which runs
+// under way name it, and to the bytes of the shape that a Start carries.
+//
+// The digest sums up the classes by their Go field names (the verb %+v of
+// basaltloft.Class): builds that differ in it take one another's runs for those of plans
+// that they do not know.
+func TestGoldenPlan(t *testing.T) {
+	classes := plan.Classes([]basaltloft.Class{
+		{Name: "notice", Effect: basaltloft.Safe, Group: basaltloft.GroupAll, Aim: time.Second, Stretch: 2, GiveUp: 5 * time.Second, Worth: 1, Kind: -1},
+		{Name: "hold", Effect: basaltloft.Keyed, Group: basaltloft.GroupZone, Window: 15 * time.Second, Aim: 2 * time.Second, GiveUp: 10 * time.Second, Worth: 2, Kind: 1},
+		{Name: "ticket", Effect: basaltloft.Unsafe, Aim: 3 * time.Second, GiveUp: 25 * time.Second, Worth: 3, Kind: -1},
+	})
+	all, problems := plan.Parse("coach.hcl", goldentest.Read(t, filepath.Join(goldenPlans, "coach.hcl")), classes)
+	require.Empty(t, problems)
+	require.Len(t, all, 1)
+	p := all[0]
+	require.Equal(t, "coach", p.Name)
+	shape := planrun.ShapeOf(p)
+	require.EqualExportedValues(t, planrun.Shape{Most: 1000, Within: 10 * time.Minute, Stages: []planrun.StageShape{
+		{Name: "prices", Class: "notice", Effect: basaltloft.Safe, Shared: true, SharedFor: 30 * time.Second, Retries: []planrun.RetryShape{{
+			On:   []plan.End{plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset},
+			Most: 1, Wait: 200 * time.Millisecond, WaitAtMost: 24 * time.Hour, Jitter: 500, Where: plan.Anywhere,
+		}}},
+		{
+			Name: "hold", Class: "hold", Effect: basaltloft.Keyed, After: []int{0}, Cost: 750 * time.Millisecond, Each: true, MostEach: 50, AtLeast: 40,
+			Retries: []planrun.RetryShape{
+				{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, Most: 3, Wait: 100 * time.Millisecond, WaitAtMost: time.Second, Jitter: 250, Where: plan.OtherZone},
+				{On: []plan.End{plan.Late, plan.Reset}, Most: 1, Wait: 500 * time.Millisecond, WaitAtMost: 24 * time.Hour, Where: plan.OtherMember},
+			},
+			Reruns: []planrun.RerunShape{{Of: 0, Most: 2}},
+			Undo:   &planrun.UndoShape{Class: "hold", Effect: basaltloft.Keyed, Most: 3, Wait: time.Second},
+		},
+		{Name: "ticket", Class: "ticket", Effect: basaltloft.Unsafe, After: []int{1}, Retries: []planrun.RetryShape{
+			{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, Most: 2, Wait: 50 * time.Millisecond, WaitAtMost: 24 * time.Hour, Where: plan.Anywhere},
+		}},
+	}}, shape)
+	text, err := codec.Encode(shape)
+	require.NoError(t, err)
+	goldentest.Equal(t, filepath.Join(goldenPlans, "coach.txt"), fmt.Appendf(nil, "digest %016x\nattempts at most %d\nlasts at most %s\nshape %x\n", p.Digest, p.Worst.Attempts, p.Worst.Duration, text))
+}
--- /dev/null
+++ b/internal/service/golden_test.go
@@ -0,0 +1,60 @@
+package service
+
+import (
+	"path/filepath"
+	"testing"
+	"time"
+
+	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/fleet/planrun"
+	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/goldentest"
+	"basaltloft/internal/hand"
+	"basaltloft/internal/virtualserver"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+	"github.com/valyala/fastjson"
+)
+
+// TestGoldenOverridesFile: a new build looks in $TMPDIR for what commit 352ebf2 saved there
+// of what operators set by hand, under the same file's name, and saves the same bytes.
+func TestGoldenOverridesFile(t *testing.T) {
+	golden := filepath.Join("..", "hand", "testdata", "golden")
+	s := &Service{log: logrus.New()}
+	s.options.Config.Name = "n0"
+	t.Setenv("TMPDIR", goldentest.CopyFolder(t, golden))
+	o := newOperators(s, virtualserver.New(nil, nil, logrus.New()))
+	require.Equal(t, "basaltloft-n0.hand.json", filepath.Base(o.statePath()))
+	read, err := hand.Decode(goldentest.Read(t, o.statePath()), "n0")
+	require.NoError(t, err)
+	require.Len(t, read.Outs(), 3)
+	o.hand = read
+	require.NoError(t, o.save())
+	require.Equal(t, goldentest.Read(t, filepath.Join(golden, "basaltloft-n0.hand.json")), goldentest.Read(t, o.statePath()))
+}
+
+// TestGoldenPlanAnswer: a run's final answer as the door tells it, in the JSON of 352ebf2.
+func TestGoldenPlanAnswer(t *testing.T) {
+	require.Equal(t, `{"run":"a","plan":"b","outcome":"served","attempts":2,"results":{"c":[{"d":1},null,"no json"]}}`, string(answerText(&planrun.Answer{
+		Run: "a", Plan: "b", Attempts: 2, Results: []planrun.Results{{Stage: "c", Items: [][]byte{[]byte(`{"d":1}`), nil, []byte("no json")}}},
+	})))
+	require.Equal(t, `{"run":"a","plan":"b","outcome":"may have run","attempts":2,"stage":"c","end":"late","reason":"d","left":["e"],"results_cut":true}`, string(answerText(&planrun.Answer{
+		Run: "a", Plan: "b", Attempts: 2, Outcome: planrun.Unknown, Stage: "c", End: plan.Late, Reason: "d", Left: []string{"e"}, Cut: true,
+	})))
+	for outcome, word := range map[planrun.Outcome]string{planrun.Served: "served", planrun.Refused: "refused", planrun.Failed: "failed", planrun.Unknown: "may have run"} {
+		require.Equal(t, word, outcome.String())
+	}
+}
+
+// TestGoldenRecordsAnswer: records as the door tells them, in the keys of 352ebf2.
+func TestGoldenRecordsAnswer(t *testing.T) {
+	var a fastjson.Arena
+	at := time.Date(2026, 1, 31, 12, 0, 0, 5, time.UTC).UnixNano()
+	text := recordsJSON(&a, []records.Record{{
+		ID: "a", Key: "b", Tenant: "c", Class: "d", Plan: "e", Stage: "f", Outcome: "g", Reason: "h", Arrived: at, Ended: at + 1, Attempts: 2,
+		Members: []string{"i", "j"}, Body: []byte("k\xff"), Process: "l", Epoch: 4, Seq: 5,
+	}}).MarshalTo(nil)
+	require.JSONEq(t, `[{"id":"a","key":"b","tenant":"c","class":"d","plan":"e","stage":"f","outcome":"g","reason":"h","process":"l","attempts":2,
+		"arrived":"2026-01-31T12:00:00.000000005Z","ended":"2026-01-31T12:00:00.000000006Z","members":["i","j"],"body":"k\ufffd"}]`, string(text))
+}
