--- a/internal/fleet/keeper/golden_test.go
+++ b/internal/fleet/keeper/golden_test.go
@@ -22,6 +22,7 @@
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
+	"github.com/valyala/fastjson"
 )
 
 // goldenFolder is the folder of a keeper, written by commit 352ebf2: its mark, raft's
@@ -189,6 +190,16 @@
 	require.Equal(t, "start-1", member.Nonce)
 	require.Equal(t, "352ebf2", member.Version)
 
+	var arena fastjson.Arena
+	told := k.Status(&arena)
+	var keys []string
+	told.GetObject().Visit(func(key []byte, _ *fastjson.Value) { keys = append(keys, string(key)) })
+	require.Equal(t, []string{"leads", "empty", "differs", "index", "at_ms", "members", "digests"}, keys)
+	var sums []string
+	told.Get("digests").GetObject().Visit(func(key []byte, _ *fastjson.Value) { sums = append(sums, string(key)) })
+	require.ElementsMatch(t, []string{"members", "budgets", "plans", "records"}, sums)
+	require.Equal(t, `["n1"]`, told.Get("members").String())
+
 	// The same start goes on with its incarnation, and gets work done.
 	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
 	require.NoError(t, err)
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -1,15 +1,20 @@
 package service
 
 import (
+	"context"
+	"io"
 	"path/filepath"
 	"testing"
 	"time"
 
+	"basaltloft/internal/fleet/agent"
 	"basaltloft/internal/fleet/plan"
 	"basaltloft/internal/fleet/planrun"
 	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/fleet/spool"
 	"basaltloft/internal/goldentest"
 	"basaltloft/internal/hand"
+	"basaltloft/internal/segment"
 	"basaltloft/internal/virtualserver"
 
 	"github.com/sirupsen/logrus"
@@ -58,3 +63,20 @@
 	require.JSONEq(t, `[{"id":"a","key":"b","tenant":"c","class":"d","plan":"e","stage":"f","outcome":"g","reason":"h","process":"l","attempts":2,
 		"arrived":"2026-01-31T12:00:00.000000005Z","ended":"2026-01-31T12:00:00.000000006Z","members":["i","j"],"body":"k\ufffd"}]`, string(text))
 }
+
+// TestGoldenFleetStatus: the keys of GET /fleet of a process that ships records, as of 352ebf2.
+func TestGoldenFleetStatus(t *testing.T) {
+	folder, err := segment.OpenFolder(t.TempDir())
+	require.NoError(t, err)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	none := func(context.Context, records.Ship) (uint64, error) { return 0, nil }
+	kept, err := spool.Open(folder, spool.Settings{Process: "n1", Waiting: 1, Batch: 1, SegmentBytes: 1}, time.Now(), log, none)
+	require.NoError(t, err)
+	f := &fleet{agent: agent.New(agent.Settings{Process: "n1"}), recorder: &recorder{spool: kept}}
+	text, err := f.Status(t.Context())
+	require.NoError(t, err)
+	require.JSONEq(t, `{"process":"n1","incarnation":0,"joined":0,"members":0,"renewed_ms":-1,
+		"spool":{"added":0,"dropped":0,"shipped":0,"lost":0,"unsent":0,"failures":0,"bytes":0,"lag_ms":0}}`, string(text))
+	require.NoError(t, kept.Close(t.Context()))
+}
