--- /dev/null
+++ b/internal/golden/jobtrace/jobtrace.go
@@ -0,0 +1,95 @@
+// Package jobtrace appends the scheduler's commands and orders to traces of package golden,
+// each field by its value. Only tests import it.
+package jobtrace
+
+import (
+	"cmp"
+	"slices"
+
+	"basaltloft/internal/golden"
+	"basaltloft/internal/job"
+	"basaltloft/internal/scheduler"
+)
+
+// Task appends a task's place.
+func Task(t *golden.Trace, task job.TaskRef) {
+	t.String(task.Job).Int(int64(task.Time), int64(task.Step), int64(task.Index))
+}
+
+// Command appends a command.
+func Command(t *golden.Trace, c *job.Command) {
+	t.Int(int64(c.Kind))
+	Task(t, c.Task)
+	t.Int(int64(c.Attempt)).String(c.Runner, c.Address).Int(int64(c.How)).String(c.Saved)
+	t.Int(c.AtMs).String(c.Queue).Int(c.Version).Bool(c.New != nil)
+	if c.New != nil {
+		newJob(t, c.New)
+	}
+}
+
+func newJob(t *golden.Trace, n *job.New) {
+	t.String(n.ID, n.Queue, n.Service).Uint(n.Hash)
+	Spec(t, &n.Spec)
+	t.Int(int64(n.Priority), int64(n.Retries), n.TargetMs).Float(n.Stretch).Int(n.Version)
+}
+
+// Spec appends what a client handed in.
+func Spec(t *golden.Trace, s *job.Spec) {
+	t.String(s.Text).Int(int64(s.Repeats), s.StartAtMs, s.IntervalMs).Bool(s.LongRunning, s.Speculative).Int(int64(len(s.Steps)))
+	for at := range s.Steps {
+		step(t, &s.Steps[at])
+	}
+}
+
+func step(t *golden.Trace, s *job.Step) {
+	t.Int(int64(s.Count), s.CPU, s.MemMB, s.GPU, s.EstimateMs, int64(len(s.DependsOn)))
+	for _, before := range s.DependsOn {
+		t.Int(int64(before))
+	}
+	t.Bool(s.Checkpoints, s.Gang, s.SameRack).Int(int64(len(s.Constraints))).String(s.Constraints...)
+	t.String(s.Affinity).Int(int64(s.AntiAffinity)).Bool(s.Speculative, s.LongRunning)
+}
+
+// Order appends an order to a runner.
+func Order(t *golden.Trace, o *scheduler.Order) {
+	t.Int(int64(o.Kind)).String(o.Runner, o.Address).Uint(o.Token)
+	Task(t, o.Task)
+	t.Int(int64(o.Attempt)).String(o.Spec, o.Saved).Int(o.DeadlineMs).Uint(o.LastSeen).Int(o.WaitMs).Uint(o.Sequence)
+}
+
+// SortStops sorts stops that leave together for one runner by their tasks: the scheduler asks
+// for them in the order of a map, which differs from run to run. All else stays where it is.
+func SortStops(orders []scheduler.Order) {
+	for begin := 0; begin < len(orders); {
+		end := begin + 1
+		for end < len(orders) && stopsTogether(&orders[begin], &orders[end]) {
+			end++
+		}
+		slices.SortStableFunc(orders[begin:end], compareStops)
+		begin = end
+	}
+}
+
+func stopsTogether(a, b *scheduler.Order) bool {
+	return a.Kind == scheduler.OrderStop && b.Kind == scheduler.OrderStop && a.Runner == b.Runner
+}
+
+func compareStops(a, b scheduler.Order) int {
+	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Time, b.Task.Time), cmp.Compare(a.Task.Step, b.Task.Step),
+		cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
+}
+
+// Look appends what a runner says of itself.
+func Look(t *golden.Trace, l *scheduler.Look) {
+	t.Int(l.ClockMs, l.RemainingMs, int64(len(l.Running)))
+	for _, run := range l.Running {
+		Task(t, run.Task)
+		t.Int(int64(run.Attempt)).String(run.Saved).Int(int64(run.Percent))
+	}
+	t.Int(int64(len(l.Finished)))
+	for _, end := range l.Finished {
+		t.Uint(end.Number)
+		Task(t, end.Task)
+		t.Int(int64(end.Attempt), int64(end.How)).String(end.Saved)
+	}
+}
--- a/internal/scheduler/runner_test.go
+++ b/internal/scheduler/runner_test.go
@@ -188,7 +188,7 @@
 		if !l.up {
 			continue
 		}
-		for _, other := range l.runs {
+		for _, other := range l.inOrder {
 			if other.ref.Job == r.ref.Job && other.ref.Time == r.ref.Time && other.ref.Step == r.ref.Step && other.attempt == r.attempt {
 				members, at = append(members, other), append(at, l)
 			}
--- a/internal/scheduler/world_test.go
+++ b/internal/scheduler/world_test.go
@@ -116,6 +116,7 @@
 	copies     int // starts beside another run of the same task
 	priorities int
 	slowUntil  time.Duration
+	decisions  decisions // what the owner decided
 }
 
 func newWorld(t testing.TB, seed uint64, runners int) *world {
@@ -181,6 +182,7 @@
 	}
 	w.owner.Tick(w.now, w.wallMs())
 	out := w.owner.Take(w.now, true)
+	w.decisions.record(w.now, &out)
 	if len(out.Commands) > 0 {
 		w.commit(out)
 	}
