--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -20,7 +20,7 @@
 const (
 	// TraceVariable names a seed, or whatever the first column of the file of digests has: its
 	// trace is printed, so that those of two builds can be compared line by line.
-	TraceVariable = "BASALTLOFT_TRACE"
+	TraceVariable = "BASALTLOFT_DIGEST_TRACE"
 	// UpdateVariable, if not empty, lets Compare write the file anew.
 	UpdateVariable = "BASALTLOFT_UPDATE_DIGESTS"
 )
@@ -29,6 +29,7 @@
 type Trace struct {
 	digest *xxhash.Digest
 	line   []byte
+	lines  int
 	text   *strings.Builder // nil: the digest alone is kept
 }
 
@@ -51,6 +52,7 @@
 // End ends the line.
 func (t *Trace) End() {
 	t.line = append(t.line, '\n')
+	t.lines++
 	_, _ = t.digest.Write(t.line) // never fails
 	if t.text != nil {
 		_, _ = t.text.Write(t.line) // never fails
@@ -103,6 +105,9 @@
 	return strings.Repeat("0", 16-len(sum)) + sum
 }
 
+// Lines returns how many events there were.
+func (t *Trace) Lines() int { return t.lines }
+
 // Text returns the lines so far, if they are kept.
 func (t *Trace) Text() string {
 	if t.text == nil {
--- a/internal/simworld/client_test.go
+++ b/internal/simworld/client_test.go
@@ -76,6 +76,7 @@
 		}, func(answer any, ok bool) {
 			got, _ := answer.(protocol.OperateAnswer)
 			if ok && clearAnswer(got.Status) && (got.Status != http.StatusNotFound || w.random.IntN(2) == 0) {
+				w.record.operated(w, c, request, got)
 				done(got, true)
 				return
 			}
@@ -220,6 +221,7 @@
 		e.take(request{queue: queue, sent: sent, build: build, reply: func(a protocol.Answer) { reply(a) }})
 	}, func(answer any, ok bool) {
 		got, _ := answer.(protocol.Answer)
+		w.record.answered(w, e, j, verb, got, ok)
 		status := got.Status
 		if !ok || status == http.StatusBadGateway || status == http.StatusGatewayTimeout {
 			status = 0
--- a/internal/simworld/core_test.go
+++ b/internal/simworld/core_test.go
@@ -120,6 +120,7 @@
 		waits = waits || g.leader.ID == c.identity.id
 		for _, address := range owner.LeaveTargets(g.engine.Members(), c.identity.id, c.w.seeds()) {
 			waits = true
+			c.w.record.leave(c, address, name)
 			c.w.carry(c.name, address, func() {
 				if to := c.w.coreNamed(address); to != nil && to.groups[name] != nil {
 					at := to.groups[name]
@@ -196,7 +197,7 @@
 		Name: name, Self: replica.Member{ID: c.identity.id, Address: c.name}, Timing: timing, Size: 2*c.w.bounds.tolerated + 1,
 		Seed: c.w.random.Uint64(), Snapshot: snapshotAfter, Part: partBytes, Keep: replica.Keep{Entries: 12, Bytes: 4 << 10},
 	}
-	if g.engine, err = group.NewEngine(settings, found, states, c.clock(), c.w.log); err != nil {
+	if g.engine, err = group.NewEngine(settings, found, c.w.record.committed(g), c.clock(), c.w.log); err != nil {
 		c.w.fail("%s can't restore %s: %v", c.name, name, err)
 	}
 	c.groups[name] = g
@@ -271,6 +272,7 @@
 
 func (g *replicaGroup) send(message group.Send) {
 	w := g.core.w
+	w.record.message(w, g, message)
 	copies := 1
 	if w.chance(w.late / 4) {
 		copies = 2
@@ -365,6 +367,7 @@
 	if address == "" || address == c.name {
 		return
 	}
+	c.w.record.join(c, address, ask)
 	c.w.carry(c.name, address, func() {
 		to := c.w.coreNamed(address)
 		if to == nil || to.groups[ask.Group] == nil {
@@ -398,6 +401,7 @@
 func (c *core) drive(number int) {
 	shard := c.shards[number]
 	orders := shard.Drive()
+	c.w.record.settle(orders.List)
 	for _, order := range orders.List {
 		c.sendOrder(shard, orders.Owner, order)
 	}
@@ -423,6 +427,7 @@
 	if c.groups == nil || c.groups[protocol.ConfigGroup] == nil {
 		return
 	}
+	reply = c.w.record.served(c, message, reply)
 	switch request := message.(type) {
 	case protocol.Submit:
 		if shard := c.shards[request.Shard]; shard != nil {
--- /dev/null
+++ b/internal/simworld/digest_test.go
@@ -0,0 +1,338 @@
+package simworld_test
+
+import (
+	"bytes"
+	"encoding/gob"
+	"fmt"
+	"maps"
+	"runtime"
+	"slices"
+	"strconv"
+	"sync/atomic"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/coord/group"
+	"basaltloft/coord/replica"
+	"basaltloft/internal/golden"
+	"basaltloft/internal/golden/jobtrace"
+	"basaltloft/internal/job"
+	"basaltloft/internal/opconfig"
+	"basaltloft/internal/protocol"
+	"basaltloft/internal/scheduler"
+)
+
+// digestFile has a line for each seed: seed, orders to runners, commits, messages between
+// processes, answers to clients and operators, and the digest of all in their order.
+const digestFile = "testdata/digests.txt"
+
+// digestSeeds is how many seeds have a digest, from 0 on.
+const digestSeeds = 200
+
+// record records what passes in a world; the zero value records nothing.
+type record struct {
+	trace    *golden.Trace
+	orders   int
+	commits  int
+	messages int
+	answers  int
+}
+
+func digestLine(t testing.TB, seed uint64) string {
+	r := recordOf(t, seed, false)
+	return fmt.Sprintf("%d %d %d %d %d %s", seed, r.orders, r.commits, r.messages, r.answers, r.trace.Sum())
+}
+
+func recordOf(t testing.TB, seed uint64, withText bool) *record {
+	w := newWorld(t, seed, deployments[seed%uint64(len(deployments))])
+	w.record.trace = golden.New(withText)
+	w.playDay()
+	return &w.record
+}
+
+// TestSeedDigests holds what passes between the processes of 200 days to what is on file.
+func TestSeedDigests(t *testing.T) {
+	if wanted, ok := golden.Traced(); ok {
+		seed, err := strconv.ParseUint(wanted, 10, 64)
+		require.NoError(t, err)
+		fmt.Print(recordOf(t, seed, true).trace.Text())
+		return
+	}
+	all := make([]uint64, digestSeeds)
+	for seed := range all {
+		all[seed] = uint64(seed)
+	}
+	seeds := golden.Plays(all)
+	lines := make([]string, len(seeds))
+	var next atomic.Int64
+	t.Run("seeds", func(t *testing.T) {
+		for part := range runtime.GOMAXPROCS(0) {
+			t.Run(fmt.Sprint(part), func(t *testing.T) {
+				t.Parallel()
+				for at := next.Add(1) - 1; at < int64(len(seeds)); at = next.Add(1) - 1 {
+					lines[at] = digestLine(t, seeds[at])
+				}
+			})
+		}
+	})
+	golden.Compare(t, digestFile, lines)
+}
+
+// TestSeedsAreRepeatable: the same seed, played again by the same process, gives the same.
+func TestSeedsAreRepeatable(t *testing.T) {
+	t.Parallel()
+	for _, seed := range golden.Plays([]uint64{0, 1, 2, 3}) {
+		require.Equal(t, digestLine(t, seed), digestLine(t, seed))
+	}
+}
+
+// settle puts stops that leave together into a fixed order: the owner asks for them in the
+// order of a map. Worlds that are not recorded take them as they come.
+func (r *record) settle(orders []scheduler.Order) {
+	if r.trace != nil {
+		jobtrace.SortStops(orders)
+	}
+}
+
+func (r *record) order(c *core, order *scheduler.Order) {
+	if r.trace == nil {
+		return
+	}
+	r.orders++
+	r.trace.Begin(c.w.now, "order").String(c.name)
+	jobtrace.Order(r.trace, order)
+	r.trace.End()
+}
+
+func (r *record) started(at *runner, reply scheduler.StartReply, clockMs int64) {
+	if r.trace != nil {
+		r.trace.Begin(at.w.now, "started").String(at.name).Int(int64(reply), clockMs).End()
+	}
+}
+
+func (r *record) stopped(at *runner, ok bool, clockMs int64) {
+	if r.trace != nil {
+		r.trace.Begin(at.w.now, "stopped").String(at.name).Bool(ok).Int(clockMs).End()
+	}
+}
+
+func (r *record) looked(at *runner, look *scheduler.Look) {
+	if r.trace == nil {
+		return
+	}
+	r.trace.Begin(at.w.now, "look").String(at.name)
+	jobtrace.Look(r.trace, look)
+	r.trace.End()
+}
+
+// message records a message between replicas. Data and sizes of snapshots are left out: they
+// are in gob, which holds names of types and the entries of maps in varying order.
+func (r *record) message(w *world, from *replicaGroup, send group.Send) {
+	if r.trace == nil {
+		return
+	}
+	r.messages++
+	t, m := r.trace, &send.Message
+	t.Begin(w.now, "message").String(from.core.name, send.Address).Int(int64(m.Kind)).String(m.Group, m.From, m.To)
+	t.Uint(m.Term, m.Index, m.LogTerm, m.Commit).Int(int64(len(m.Entries)))
+	for at := range m.Entries {
+		r.entry(from.name, &m.Entries[at])
+	}
+	t.Bool(m.Reject).Int(int64(m.SentAt)).Bool(m.Handover, m.Fresh).Uint(m.Round, m.Life).Bool(m.Snapshot != nil)
+	if m.Snapshot != nil {
+		t.Uint(m.Snapshot.Index, m.Snapshot.Term)
+		r.membership(&m.Snapshot.Membership)
+	}
+	r.members(m.Addresses)
+	t.End()
+}
+
+func (r *record) entry(groupName string, e *replica.Entry) {
+	r.trace.Uint(e.Index, e.Term).Int(int64(e.Kind)).Bool(e.Membership != nil)
+	if e.Membership != nil {
+		r.membership(e.Membership)
+	}
+	r.command(groupName, e.Data)
+}
+
+func (r *record) membership(m *replica.Membership) {
+	r.members(m.Voters)
+	r.members(m.Outgoing)
+	r.members(m.Learners)
+}
+
+func (r *record) members(members []replica.Member) {
+	r.trace.Int(int64(len(members)))
+	for _, member := range members {
+		r.trace.String(member.ID, member.Address)
+	}
+}
+
+// command appends the values of a command of the configuration or of a shard.
+func (r *record) command(groupName string, data []byte) {
+	r.trace.Bool(len(data) > 0)
+	if len(data) == 0 {
+		return
+	}
+	if groupName == protocol.ConfigGroup {
+		var change opconfig.Change
+		if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&change); err != nil {
+			panic(err)
+		}
+		r.trace.Int(change.Base, change.Version)
+		r.content(change.Content)
+		return
+	}
+	batch, err := job.DecodeBatch(data)
+	if err != nil {
+		panic(err)
+	}
+	r.trace.Int(int64(len(batch.Commands)))
+	for at := range batch.Commands {
+		jobtrace.Command(r.trace, &batch.Commands[at])
+	}
+}
+
+// content appends a longer text by its digest.
+func (r *record) content(content []byte) {
+	r.trace.Int(int64(len(content))).Uint(xxhash.Sum64(content))
+}
+
+// committed returns a replica's state machine, which records what it applies.
+func (r *record) committed(g *replicaGroup) group.StateMachine {
+	if r.trace == nil {
+		return g.states
+	}
+	return &recordedStates{StateMachine: g.states, group: g}
+}
+
+type recordedStates struct {
+	group.StateMachine
+	group *replicaGroup
+}
+
+// Apply implements group.StateMachine.
+func (s *recordedStates) Apply(index uint64, command []byte) (any, error) {
+	w := s.group.core.w
+	w.record.commits++
+	w.record.trace.Begin(w.now, "commit").String(s.group.core.name, s.group.name).Uint(index)
+	w.record.command(s.group.name, command)
+	w.record.trace.End()
+	return s.StateMachine.Apply(index, command)
+}
+
+func (r *record) join(from *core, to string, ask protocol.Join) {
+	if r.trace == nil {
+		return
+	}
+	r.messages++
+	r.trace.Begin(from.w.now, "join").String(from.name, to, ask.Group, ask.Member.ID, ask.Member.Address).Bool(ask.Relayed).End()
+}
+
+func (r *record) leave(from *core, to, groupName string) {
+	if r.trace == nil {
+		return
+	}
+	r.messages++
+	r.trace.Begin(from.w.now, "leave").String(from.name, to, groupName, from.identity.id).End()
+}
+
+// served records a call that has reached a machine, and its answer.
+func (r *record) served(c *core, message any, reply func(any)) func(any) {
+	if r.trace == nil {
+		return reply
+	}
+	r.messages++
+	r.trace.Begin(c.w.now, "call").String(c.name)
+	r.call(message)
+	r.trace.End()
+	return func(answer any) {
+		r.messages++
+		r.trace.Begin(c.w.now, "reply").String(c.name)
+		r.call(answer)
+		r.trace.End()
+		reply(answer)
+	}
+}
+
+// call appends the values of a call or an answer, after a word for which it is.
+func (r *record) call(message any) {
+	t := r.trace
+	switch m := message.(type) {
+	case protocol.Submit:
+		t.String("submit", m.Queue, m.ID, string(m.Body)).Int(int64(m.Shard), m.Version)
+		r.route(&m.Route)
+	case protocol.Ask:
+		t.String("ask", m.Queue, m.ID).Int(int64(m.Verb), int64(m.Shard), m.Version, m.Since).Uint(m.Hash)
+	case protocol.Answer:
+		r.answer(&m)
+	case protocol.Feed:
+		t.String("feed", m.Node).Int(m.Have, m.WaitMs)
+	case protocol.FeedAnswer:
+		r.fed(&m)
+	case protocol.Operate:
+		r.operate(&m)
+	case protocol.OperateAnswer:
+		r.operateAnswer(&m)
+	default:
+		panic(fmt.Sprintf("no encoding for %T", message))
+	}
+}
+
+func (r *record) route(route *opconfig.Route) {
+	r.trace.String(route.Name, route.Host, route.PathPrefix, route.Backend).Int(route.TimeoutMs, int64(route.Priority), int64(route.Retries))
+	r.trace.Float(route.TargetMs, route.Extension)
+}
+
+// answer leaves the reason out, which is a text for people.
+func (r *record) answer(a *protocol.Answer) {
+	r.trace.String("answer", a.Owner).Int(int64(a.Status), int64(a.State), int64(a.Pending), a.RetryAfterMs, a.Moved).Bool(a.Unknown, a.Never)
+}
+
+func (r *record) fed(a *protocol.FeedAnswer) {
+	r.trace.String("fed", a.Leader).Bool(a.Leads).Int(a.Version, a.HeldMs)
+	r.content(a.Content)
+	r.trace.Int(int64(len(a.Moved)))
+	for _, queue := range slices.Sorted(maps.Keys(a.Moved)) {
+		moves := a.Moved[queue]
+		r.trace.String(queue).Int(moves.Since, int64(len(moves.Services))).String(moves.Services...)
+	}
+	r.trace.Int(int64(len(a.Cores))).String(a.Cores...)
+	r.trace.Int(int64(len(a.Owners))).String(a.Owners...)
+}
+
+func (r *record) operate(o *protocol.Operate) {
+	r.trace.String("operate").Bool(o.Replace).Int(o.Base)
+	r.content(o.Content)
+}
+
+// operateAnswer leaves the reason out, which is a text for people.
+func (r *record) operateAnswer(a *protocol.OperateAnswer) {
+	r.trace.String("operated", a.Leader).Int(int64(a.Status))
+	r.content(a.Content)
+}
+
+// operated records what an operator was told in the end.
+func (r *record) operated(w *world, c *core, request protocol.Operate, got protocol.OperateAnswer) {
+	if r.trace == nil {
+		return
+	}
+	r.answers++
+	r.trace.Begin(w.now, "operator").String(c.name)
+	r.operate(&request)
+	r.operateAnswer(&got)
+	r.trace.End()
+}
+
+// answered records what a client was told, or that it was told nothing.
+func (r *record) answered(w *world, e *edge, j *jobHistory, verb jobVerb, got protocol.Answer, ok bool) {
+	if r.trace == nil {
+		return
+	}
+	r.answers++
+	r.trace.Begin(w.now, "client").String(e.name, j.queue, j.id).Int(int64(verb)).Bool(ok)
+	r.answer(&got)
+	r.trace.End()
+}
--- a/internal/simworld/runner_test.go
+++ b/internal/simworld/runner_test.go
@@ -95,6 +95,7 @@
 // sendOrder carries an order to its runner while the lease lasts, and the answer back.
 func (c *core) sendOrder(shard *owner.Shard, sender *scheduler.Owner, order scheduler.Order) {
 	c.w.checkToken(c, order)
+	c.w.record.order(c, &order)
 	if !shard.MaySend(order) {
 		shard.Answered(sender, func(now time.Duration) { unanswered(sender, now, order) })
 		return
@@ -146,9 +147,11 @@
 		r.hold(order, reply)
 	case scheduler.OrderStart:
 		answer, clock := r.startRun(order), r.clockMs()
+		r.w.record.started(r, answer, clock)
 		reply(func(o *scheduler.Owner, now time.Duration) { o.StartAnswered(now, order, answer, clock) })
 	case scheduler.OrderStop:
 		ok, clock := r.stop(order), r.clockMs()
+		r.w.record.stopped(r, ok, clock)
 		reply(func(o *scheduler.Owner, now time.Duration) { o.StopAnswered(now, order, ok, false, clock) })
 	}
 }
@@ -182,6 +185,7 @@
 		for _, ref := range slices.SortedFunc(maps.Keys(r.runs), func(a, b job.TaskRef) int { return compareText(a.String(), b.String()) }) {
 			seen.Running = append(seen.Running, scheduler.ListedRun{Task: ref, Attempt: r.runs[ref].attempt, Percent: 50})
 		}
+		r.w.record.looked(r, &seen)
 		reply(func(o *scheduler.Owner, now time.Duration) { o.HoldAnswered(now, order, scheduler.HoldTaken, seen) })
 	}
 	look()
--- a/internal/simworld/seeds_test.go
+++ b/internal/simworld/seeds_test.go
@@ -22,6 +22,11 @@
 func play(t testing.TB, seed uint64, planted mistake, tracing bool) {
 	w := newWorld(t, seed, deployments[seed%uint64(len(deployments))])
 	w.mistake, w.tracing = planted, tracing
+	w.playDay()
+}
+
+// playDay is the day of a new world.
+func (w *world) playDay() {
 	f := &troubles{w: w, diskAt: w.now + 10*time.Second, calmAt: w.now + 4*time.Second}
 	w.firstStart(f)
 	for client := range 2 {
--- a/internal/simworld/world_test.go
+++ b/internal/simworld/world_test.go
@@ -96,6 +96,7 @@
 	serial  int
 	made    int // machines of the core so far
 	stamped int64
+	record  record
 }
 
 func newWorld(t testing.TB, seed uint64, b bounds) *world {
