--- /dev/null
+++ b/digest_test.go
@@ -0,0 +1,102 @@
+package basaltloft_test
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/golden"
+)
+
+// digestFile has a line for each play: its number, its actions, and their digest.
+const digestFile = "testdata/digests.txt"
+
+// digestSeeds is how many seeds of each world have a digest.
+const digestSeeds = 15
+
+// actions records what a dispatcher does; the zero value records nothing.
+type actions struct{ trace *golden.Trace }
+
+func (a actions) send(now time.Duration, id string, worker uint32, timeout time.Duration) {
+	if a.trace != nil {
+		a.trace.Begin(now, "send").String(id).Uint(uint64(worker)).Int(int64(timeout)).End()
+	}
+}
+
+func (a actions) refuse(now time.Duration, id string, retryAfter time.Duration) {
+	if a.trace != nil {
+		a.trace.Begin(now, "refuse").String(id).Int(int64(retryAfter)).End()
+	}
+}
+
+func (a actions) fail(now time.Duration, id string) {
+	if a.trace != nil {
+		a.trace.Begin(now, "fail").String(id).End()
+	}
+}
+
+func (a actions) cancel(now time.Duration, id string, attempt int) {
+	if a.trace != nil {
+		a.trace.Begin(now, "cancel").String(id).Int(int64(attempt)).End()
+	}
+}
+
+func (a actions) probe(now time.Duration, worker uint32) {
+	if a.trace != nil {
+		a.trace.Begin(now, "probe").Uint(uint64(worker)).End()
+	}
+}
+
+// timer leaves the token out, which means something to the dispatcher alone.
+func (a actions) timer(now, in time.Duration) {
+	if a.trace != nil {
+		a.trace.Begin(now, "timer").Int(int64(in)).End()
+	}
+}
+
+func (a actions) watch(now time.Duration, on bool) {
+	if a.trace != nil {
+		a.trace.Begin(now, "watch").Bool(on).End()
+	}
+}
+
+func (a actions) fetch(now time.Duration) {
+	if a.trace != nil {
+		a.trace.Begin(now, "fetch").End()
+	}
+}
+
+// playNumbered plays seed by seed the worlds in the order of their names.
+func playNumbered(t *testing.T, number int, withText bool) *golden.Trace {
+	names := slices.Sorted(maps.Keys(randomWorlds))
+	name, seed := names[number/digestSeeds], uint64(number%digestSeeds)
+	trace := golden.New(withText)
+	playRecorded(t, seed, strings.HasPrefix(name, "subjects"), randomWorlds[name], actions{trace: trace})
+	return trace
+}
+
+// TestDecisionDigests holds the actions of a dispatcher under random events to those on file.
+func TestDecisionDigests(t *testing.T) {
+	if wanted, ok := golden.Traced(); ok {
+		number, err := strconv.Atoi(wanted)
+		require.NoError(t, err)
+		fmt.Print(playNumbered(t, number, true).Text())
+		return
+	}
+	all := make([]int, digestSeeds*len(randomWorlds))
+	for number := range all {
+		all[number] = number
+	}
+	var lines []string
+	for _, number := range golden.Plays(all) {
+		trace := playNumbered(t, number, false)
+		lines = append(lines, fmt.Sprintf("%d %d %s", number, trace.Lines(), trace.Sum()))
+	}
+	golden.Compare(t, digestFile, lines)
+}
--- /dev/null
+++ b/internal/admission/digest_test.go
@@ -0,0 +1,109 @@
+package admission_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"basaltloft/internal/admission"
+	"basaltloft/internal/golden"
+)
+
+// digestFile has a line for each part: its number, its events, and the digest of their results.
+const digestFile = "testdata/digests.txt"
+
+// The random inputs: parts of so many steps each, on state that grows from step to step.
+const (
+	digestParts  = 20
+	stepsPerPart = 500
+)
+
+// learner is all state of the package, with random input.
+type learner struct {
+	random  *rand.Rand
+	trace   *golden.Trace
+	now     time.Duration
+	costs   *admission.Costs
+	means   admission.Means
+	budgets [4]admission.Budget
+	speeds  [4]admission.Speed
+	average admission.Average
+}
+
+func (l *learner) step() {
+	l.now += time.Duration(l.random.IntN(300)) * time.Millisecond
+	l.learnCost()
+	l.useBudget(&l.budgets[l.random.IntN(len(l.budgets))])
+	l.learnSpeeds()
+	l.compareRanks()
+	l.average.Add(l.random.Float64(), 1+l.random.Float64()*30)
+	l.trace.Begin(l.now, "average").Float(l.average.Value, l.average.Count).Bool(l.average.Known())
+	l.trace.Float(admission.Shrunk(100*l.random.Float64(), l.random.Float64(), 20*l.random.Float64())).End()
+}
+
+func (l *learner) learnCost() {
+	of := admission.Type{Queue: []string{"p", "q"}[l.random.IntN(2)], Step: l.random.IntN(3)}
+	estimate := 0.0
+	if l.random.IntN(2) == 0 {
+		estimate = 10 * l.random.Float64()
+	}
+	l.trace.Begin(l.now, "cost").Float(l.costs.Expect(of, estimate)).End()
+	if l.random.IntN(3) > 0 {
+		l.costs.Learn(of, estimate, l.random.ExpFloat64()*4)
+	}
+}
+
+func (l *learner) useBudget(budget *admission.Budget) {
+	cost, out := 10*l.random.Float64(), 50*l.random.Float64()
+	switch l.random.IntN(4) {
+	case 0:
+		l.means.Add(cost)
+	case 1:
+		budget.HeldBack(l.now, cost, 400)
+	case 2:
+		budget.Grow(cost, 400)
+	case 3:
+		if l.random.IntN(3) == 0 {
+			budget.Shrink(l.now-time.Duration(l.random.IntN(500))*time.Millisecond, l.now, &l.means)
+		}
+	}
+	l.trace.Begin(l.now, "budget").Float(l.means.Mean(), budget.Room(out, &l.means)).End()
+}
+
+func (l *learner) learnSpeeds() {
+	var peers []admission.PeerRun
+	for range l.random.IntN(6) {
+		peers = append(peers, admission.PeerRun{Speed: &l.speeds[l.random.IntN(len(l.speeds))], Took: 5 * l.random.Float64()})
+	}
+	admission.LearnSpeeds(peers)
+	l.trace.Begin(l.now, "speeds")
+	for at := range l.speeds {
+		l.trace.Float(l.speeds[at].Now())
+	}
+	l.trace.End()
+}
+
+func (l *learner) randomRank() admission.Rank {
+	return admission.Rank{Aged: l.random.IntN(2) == 0, AgedAt: time.Duration(l.random.IntN(3)), Cost: float64(l.random.IntN(3)), Seq: l.random.Uint64N(3)}
+}
+
+func (l *learner) compareRanks() {
+	l.trace.Begin(l.now, "order").Int(int64(admission.Compare(l.randomRank(), l.randomRank()))).End()
+}
+
+// TestLearningDigests holds what is learned of 10,000 random inputs to what is on file.
+func TestLearningDigests(t *testing.T) {
+	var lines []string
+	for part := range uint64(digestParts) {
+		l := &learner{random: rand.New(rand.NewPCG(part, 23)), trace: golden.New(true), costs: admission.NewCosts()}
+		for range stepsPerPart {
+			l.step()
+		}
+		if wanted, ok := golden.Traced(); ok && wanted == fmt.Sprint(part) {
+			fmt.Print(l.trace.Text())
+		}
+		lines = append(lines, fmt.Sprintf("%d %d %s", part, l.trace.Lines(), l.trace.Sum()))
+	}
+	golden.Compare(t, digestFile, lines)
+}
--- /dev/null
+++ b/internal/lab/digest_test.go
@@ -0,0 +1,71 @@
+package lab
+
+import (
+	"fmt"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/golden"
+)
+
+// digestFile has a line for each run: its number, its events, and the digest of its result.
+const digestFile = "testdata/digests.txt"
+
+// digestSeeds is how many seeds of each policy have a digest.
+const digestSeeds = 3
+
+// resultOf plays one run: the policies in the order of their names, seed by seed.
+func resultOf(t testing.TB, number int) (*Result, *golden.Trace) {
+	x := bay(Trouble{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9},
+		Trouble{Kind: "crash", At: 20 * time.Second, For: 10 * time.Second, Part: 0.25})
+	x.Sample = true
+	r := play(t, x, PolicyNames()[number/digestSeeds], uint64(number%digestSeeds))
+	trace := golden.New(true)
+	appendResult(trace, r)
+	return r, trace
+}
+
+// appendResult appends a result, but for the texts of broken rules.
+func appendResult(t *golden.Trace, r *Result) {
+	t.Begin(0, "asks").Int(int64(r.Asked), int64(r.InTime), int64(r.Late), int64(r.Refused), int64(r.Failed), int64(r.Tries), int64(r.Sends)).End()
+	t.Begin(0, "run").Float(r.Worth, r.Worked, r.Busy).Int(int64(r.Events), int64(len(r.Broken))).End()
+	for _, bar := range r.Latency.Distribution() {
+		t.Begin(0, "latency").Int(bar.From, bar.To, bar.Count).End()
+	}
+	for _, bar := range r.Wait.Distribution() {
+		t.Begin(0, "wait").Int(bar.From, bar.To, bar.Count).End()
+	}
+	for at, second := range r.Seconds {
+		t.Begin(time.Duration(at), "second").Int(int64(second.Asked), int64(second.InTime)).End()
+	}
+	for _, of := range r.Classes {
+		t.Begin(0, "class").String(of.Name).Int(int64(of.Served), int64(of.Took)).End()
+	}
+	for at, shares := range r.Members {
+		t.Begin(time.Duration(at), "members").Float(shares...).End()
+	}
+}
+
+// TestResultDigests holds what runs come to to what is on file.
+func TestResultDigests(t *testing.T) {
+	if wanted, ok := golden.Traced(); ok {
+		number, err := strconv.Atoi(wanted)
+		require.NoError(t, err)
+		_, trace := resultOf(t, number)
+		fmt.Print(trace.Text())
+		return
+	}
+	all := make([]int, digestSeeds*len(PolicyNames()))
+	for number := range all {
+		all[number] = number
+	}
+	var lines []string
+	for _, number := range golden.Plays(all) {
+		r, trace := resultOf(t, number)
+		lines = append(lines, fmt.Sprintf("%d %d %s", number, r.Events, trace.Sum()))
+	}
+	golden.Compare(t, digestFile, lines)
+}
--- /dev/null
+++ b/internal/placement/digest_test.go
@@ -0,0 +1,89 @@
+package placement_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"basaltloft/internal/golden"
+	"basaltloft/internal/job"
+	"basaltloft/internal/placement"
+)
+
+// digestFile has a line for each part: its number, how many places were found, and the digest
+// of what was chosen.
+const digestFile = "testdata/digests.txt"
+
+// The random inputs: parts of so many choices each.
+const (
+	digestParts    = 20
+	choicesPerPart = 500
+)
+
+func randomResources(random *rand.Rand, most int64) job.Resources {
+	return job.Resources{CPU: 1000 * random.Int64N(most), MemMB: 1000 * random.Int64N(most), GPU: random.Int64N(5)}
+}
+
+func randomCandidate(random *rand.Rand, key int) placement.Candidate {
+	c := placement.Candidate{
+		Key: key, Service: []string{"s", "s", "s", "t"}[random.IntN(4)], Labels: []string{[]string{"a", "b"}[random.IntN(2)], fmt.Sprint("r", random.IntN(3))},
+		Capacity: job.Resources{CPU: 8000, MemMB: 8000, GPU: 4}, Free: randomResources(random, 9), Room: float64(random.IntN(40)),
+		Idle: random.IntN(4) == 0, Reserved: random.IntN(8) == 0, Pace: 0.5 + 2*random.Float64(), Speed: 0.8 + 0.4*random.Float64(), Doubtful: random.IntN(5) == 0,
+	}
+	return c
+}
+
+func randomAsk(random *rand.Rand) *placement.Ask {
+	asked := &placement.Ask{
+		Service: "s", Need: randomResources(random, 5), Cost: float64(random.IntN(20)), NearOnly: random.IntN(5) == 0,
+		Haste: placement.Haste(random.IntN(3)), SoundOnly: random.IntN(4) == 0, Count: random.IntN(6),
+	}
+	if random.IntN(3) == 0 {
+		asked.Constraints = []string{"a"}
+	}
+	if random.IntN(3) == 0 {
+		asked.Rack = fmt.Sprint("r", random.IntN(3))
+	}
+	if random.IntN(4) == 0 {
+		forbidden := random.IntN(6)
+		asked.Limit = func(key int) int { return (key + forbidden) % 4 }
+	}
+	return asked
+}
+
+// choose makes random choices, takes each place, and records what came of it.
+func choose(part uint64, trace *golden.Trace) (found int) {
+	random := rand.New(rand.NewPCG(part, 17))
+	for number := range choicesPerPart {
+		candidates := make([]placement.Candidate, random.IntN(12))
+		for key := range candidates {
+			candidates[key] = randomCandidate(random, key)
+		}
+		asked := randomAsk(random)
+		place, result := placement.Choose(asked, candidates)
+		trace.Begin(time.Duration(number), "choice").Int(int64(place.At), int64(place.Takes), int64(result))
+		if result == placement.Found {
+			found++
+			taken := &candidates[place.At]
+			taken.Take(asked)
+			trace.Int(taken.Free.CPU, taken.Free.MemMB, taken.Free.GPU).Float(taken.Room).Bool(taken.Idle, taken.Reserved)
+		}
+		trace.End()
+	}
+	return found
+}
+
+// TestChoiceDigests holds 10,000 choices to those on file.
+func TestChoiceDigests(t *testing.T) {
+	var lines []string
+	for part := range uint64(digestParts) {
+		trace := golden.New(true)
+		found := choose(part, trace)
+		if wanted, ok := golden.Traced(); ok && wanted == fmt.Sprint(part) {
+			fmt.Print(trace.Text())
+		}
+		lines = append(lines, fmt.Sprintf("%d %d %s", part, found, trace.Sum()))
+	}
+	golden.Compare(t, digestFile, lines)
+}
--- a/random_test.go
+++ b/random_test.go
@@ -27,6 +27,7 @@
 	order    []*req
 	due      []due
 	log      []string
+	actions  actions
 }
 
 type load struct {
@@ -65,7 +66,8 @@
 	w.log = append(w.log, fmt.Sprintf("%d ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) Send(id string, worker uint32, _ time.Duration) {
+func (w *world) Send(id string, worker uint32, timeout time.Duration) {
+	w.actions.send(w.now, id, worker, timeout)
 	w.record("send %s %d", id, worker)
 	r, m := w.reqs[id], w.told[worker]
 	switch {
@@ -178,7 +180,8 @@
 	return r
 }
 
-func (w *world) Refuse(id string, _ time.Duration) {
+func (w *world) Refuse(id string, retryAfter time.Duration) {
+	w.actions.refuse(w.now, id, retryAfter)
 	r := w.answer(id, "refuse")
 	if r == nil || r.class.Effect == basaltloft.Safe || r.class.Effect == basaltloft.Keyed && r.class.Group == basaltloft.GroupAll {
 		return
@@ -190,15 +193,20 @@
 	}
 }
 
-func (w *world) Fail(id string) { w.answer(id, "fail") }
+func (w *world) Fail(id string) {
+	w.actions.fail(w.now, id)
+	w.answer(id, "fail")
+}
 
 func (w *world) Cancel(id string, n int) {
+	w.actions.cancel(w.now, id, n)
 	w.record("cancel %s %d", id, n)
 	r := w.reqs[id]
 	w.after(ms, func() { w.finish(r, n, basaltloft.Cancelled) })
 }
 
 func (w *world) Probe(id uint32) {
+	w.actions.probe(w.now, id)
 	w.record("probe %d", id)
 	took, status := time.Duration(w.rng.IntN(50))*ms, basaltloft.OK
 	if w.rng.IntN(4) == 0 {
@@ -208,6 +216,7 @@
 }
 
 func (w *world) Timer(in time.Duration, token string) {
+	w.actions.timer(w.now, in)
 	d := w.d
 	w.after(in, func() {
 		if w.d == d || d == nil {
@@ -216,7 +225,8 @@
 	})
 }
 
-func (w *world) Watch(bool) {
+func (w *world) Watch(on bool) {
+	w.actions.watch(w.now, on)
 	w.record("watch")
 	w.after(300*ms, func() {
 		if w.rng.IntN(3) == 0 {
@@ -226,7 +236,7 @@
 		w.tell(basaltloft.ListWhole, w.list()...)
 	})
 }
-func (w *world) Fetch()     {}
+func (w *world) Fetch()     { w.actions.fetch(w.now) }
 func (w *world) Log(string) {}
 
 func (w *world) list() (all []basaltloft.Member) {
@@ -349,10 +359,14 @@
 }
 
 func play(t *testing.T, seed uint64, subjects bool, spoil func(*basaltloft.Settings)) []string {
+	return playRecorded(t, seed, subjects, spoil, actions{}).log
+}
+
+func playRecorded(t *testing.T, seed uint64, subjects bool, spoil func(*basaltloft.Settings), record actions) *world {
 	s := settings()
 	s.CrossZonePrice = 0.02
 	spoil(&s)
-	w := &world{t: t, subjects: subjects, rng: rand.New(rand.NewPCG(seed, 7)), s: s, now: time.Hour, workers: map[uint32]*basaltloft.Member{},
+	w := &world{t: t, actions: record, subjects: subjects, rng: rand.New(rand.NewPCG(seed, 7)), s: s, now: time.Hour, workers: map[uint32]*basaltloft.Member{},
 		told: map[uint32]basaltloft.Member{}, sent: map[uint32][]load{}, reqs: map[string]*req{}}
 	for id := uint32(1); id <= 8; id++ {
 		w.workers[id] = &basaltloft.Member{Worker: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5)}
@@ -365,33 +379,35 @@
 			break
 		}
 	}
-	return w.log
+	return w
+}
+
+// randomWorlds are the settings that random events are played under.
+var randomWorlds = map[string]func(*basaltloft.Settings){
+	"push":          func(*basaltloft.Settings) {},
+	"ask":           func(s *basaltloft.Settings) { s.AskLists = true },
+	"no copies":     func(s *basaltloft.Settings) { s.Limits.SecondCopies, s.TellsStart = false, true },
+	"cell":          func(s *basaltloft.Settings) { s.Classes[1].Group = basaltloft.GroupCell },
+	"long aims":     func(s *basaltloft.Settings) { s.Classes[1].Window, s.Classes[1].Aim = 500*ms, 4*time.Second },
+	"short grace":   func(s *basaltloft.Settings) { s.Rules.AnswerGrace = 5 * ms },
+	"full no proof": func(s *basaltloft.Settings) { s.Rules.FullMayHaveRun = true },
+	"wrong lists":   func(s *basaltloft.Settings) { s.Rules.OnlyDrainingBinds = true },
+	"both": func(s *basaltloft.Settings) {
+		s.Rules.OnlyDrainingBinds, s.Rules.FullMayHaveRun, s.Classes[1].Group = true, true, basaltloft.GroupCell
+	},
+	"tied": func(s *basaltloft.Settings) {
+		s.Limits.Probes, s.TellsStart, s.Rules.OnlyDrainingBinds = false, true, true
+	},
+	"all, no probes": func(s *basaltloft.Settings) { s.Classes[1].Group, s.Limits.Probes = basaltloft.GroupAll, false },
+	"subjects, push": func(*basaltloft.Settings) {},
+	"subjects, cell": func(s *basaltloft.Settings) { s.Classes[1].Group, s.TellsStart = basaltloft.GroupCell, true },
+	"subjects, wrong lists, no probes": func(s *basaltloft.Settings) {
+		s.Limits.Probes, s.TellsStart, s.Rules.OnlyDrainingBinds, s.ReportX0 = false, true, true, ""
+	},
 }
 
 func TestRulesUnderRandomEvents(t *testing.T) {
-	worlds := map[string]func(*basaltloft.Settings){
-		"push":          func(*basaltloft.Settings) {},
-		"ask":           func(s *basaltloft.Settings) { s.AskLists = true },
-		"no copies":     func(s *basaltloft.Settings) { s.Limits.SecondCopies, s.TellsStart = false, true },
-		"cell":          func(s *basaltloft.Settings) { s.Classes[1].Group = basaltloft.GroupCell },
-		"long aims":     func(s *basaltloft.Settings) { s.Classes[1].Window, s.Classes[1].Aim = 500*ms, 4*time.Second },
-		"short grace":   func(s *basaltloft.Settings) { s.Rules.AnswerGrace = 5 * ms },
-		"full no proof": func(s *basaltloft.Settings) { s.Rules.FullMayHaveRun = true },
-		"wrong lists":   func(s *basaltloft.Settings) { s.Rules.OnlyDrainingBinds = true },
-		"both": func(s *basaltloft.Settings) {
-			s.Rules.OnlyDrainingBinds, s.Rules.FullMayHaveRun, s.Classes[1].Group = true, true, basaltloft.GroupCell
-		},
-		"tied": func(s *basaltloft.Settings) {
-			s.Limits.Probes, s.TellsStart, s.Rules.OnlyDrainingBinds = false, true, true
-		},
-		"all, no probes": func(s *basaltloft.Settings) { s.Classes[1].Group, s.Limits.Probes = basaltloft.GroupAll, false },
-		"subjects, push": func(*basaltloft.Settings) {},
-		"subjects, cell": func(s *basaltloft.Settings) { s.Classes[1].Group, s.TellsStart = basaltloft.GroupCell, true },
-		"subjects, wrong lists, no probes": func(s *basaltloft.Settings) {
-			s.Limits.Probes, s.TellsStart, s.Rules.OnlyDrainingBinds, s.ReportX0 = false, true, true, ""
-		},
-	}
-	for name, spoil := range worlds {
+	for name, spoil := range randomWorlds {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(6) {
 				play(t, seed, strings.HasPrefix(name, "subjects"), spoil)
