--- a/cmd/basaltloft-core/main.go
+++ b/cmd/basaltloft-core/main.go
@@ -6,14 +6,14 @@
 	"log/slog"
 	"os"
 
-	"basaltloft/internal/boot"
-	"basaltloft/internal/controlplane"
-	"basaltloft/internal/program"
+	"basaltloft/internal/cluster/controlplane"
+	"basaltloft/internal/cluster/daemon"
+	"basaltloft/internal/cluster/settings"
 )
 
 func main() {
-	os.Exit(program.Main("basaltloft-core", "Keeps jobs and the configuration, and runs tasks on runners.", os.Args[1:],
-		func(settings boot.Settings, log *slog.Logger) (program.Daemon, error) {
+	os.Exit(daemon.Main("basaltloft-core", "Keeps jobs and the configuration, and runs tasks on runners.", os.Args[1:],
+		func(settings settings.Settings, log *slog.Logger) (daemon.Daemon, error) {
 			return controlplane.New(settings, log)
 		}))
 }
--- a/cmd/basaltloft-edge/main.go
+++ b/cmd/basaltloft-edge/main.go
@@ -6,14 +6,14 @@
 	"log/slog"
 	"os"
 
-	"basaltloft/internal/boot"
-	"basaltloft/internal/dataplane"
-	"basaltloft/internal/program"
+	"basaltloft/internal/cluster/daemon"
+	"basaltloft/internal/cluster/dataplane"
+	"basaltloft/internal/cluster/settings"
 )
 
 func main() {
-	os.Exit(program.Main("basaltloft-edge", "Takes clients' jobs and passes them to the core.", os.Args[1:],
-		func(settings boot.Settings, log *slog.Logger) (program.Daemon, error) {
+	os.Exit(daemon.Main("basaltloft-edge", "Takes clients' jobs and passes them to the core.", os.Args[1:],
+		func(settings settings.Settings, log *slog.Logger) (daemon.Daemon, error) {
 			return dataplane.New(settings, log), nil
 		}))
 }
--- a/cmd/basaltloft-lab/main.go
+++ b/cmd/basaltloft-lab/main.go
@@ -11,9 +11,9 @@
 	"slices"
 	"strings"
 
-	"basaltloft/internal/lab"
-	"basaltloft/internal/lab/draw"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/lab"
+	"basaltloft/internal/dispatcher/lab/draw"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/schollz/progressbar/v3"
 )
--- a/cmd/basaltloft-load/golden_test.go
+++ b/cmd/basaltloft-load/golden_test.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
--- a/cmd/basaltloft-load/main.go
+++ b/cmd/basaltloft-load/main.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
-	"basaltloft/internal/chart"
-	"basaltloft/internal/load"
+	"basaltloft/internal/dispatcher/loadgen"
+	"basaltloft/internal/dispatcher/textchart"
 
 	"github.com/schollz/progressbar/v3"
 	"gonum.org/v1/plot/plotter"
@@ -46,8 +46,8 @@
 	at, front, trace, format, plot string
 	anywhere                       bool
 	most                           int
-	plan                           load.Plan
-	job                            load.Job
+	plan                           loadgen.Plan
+	job                            loadgen.Job
 }
 
 func parse(args []string, errs io.Writer) (c command, err error) {
@@ -77,7 +77,7 @@
 	if c.plan.To < 0 {
 		c.plan.To = c.plan.From
 	}
-	local, err := load.Local(c.at)
+	local, err := loadgen.Local(c.at)
 	switch {
 	case f.NArg() > 0:
 		return c, fmt.Errorf("%q is one argument too many", f.Arg(0))
@@ -136,14 +136,14 @@
 		return misuse{err}
 	}
 	c.job.Prefix = fmt.Sprintf("load-%x", time.Now().UnixNano())
-	var to load.Target = load.NewHTTP(c.at, c.job, c.most)
+	var to loadgen.Target = loadgen.NewHTTP(c.at, c.job, c.most)
 	if c.front == "faktory" {
-		to = load.NewFaktory(c.at, c.job, c.most)
+		to = loadgen.NewFaktory(c.at, c.job, c.most)
 	}
 	defer to.Close()
-	record := load.NewRecord()
+	record := loadgen.NewRecord()
 	bar := progressbar.NewOptions(c.plan.Asks(), progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription("asks"), progressbar.OptionClearOnFinish())
-	load.Run(ctx, c.plan, counted{to, bar}, c.most, record)
+	loadgen.Run(ctx, c.plan, counted{to, bar}, c.most, record)
 	bar.Finish()
 	s := record.Summary()
 	if c.format == "json" {
@@ -154,7 +154,7 @@
 	if err == nil && c.plot != "" {
 		err = draw(s, c.plot)
 	}
-	if err == nil && s.Outcomes[load.Served] == 0 {
+	if err == nil && s.Outcomes[loadgen.Served] == 0 {
 		err = errors.New("nothing was served")
 	}
 	return err
@@ -162,7 +162,7 @@
 
 // counted tells a progress bar of each ask that has ended.
 type counted struct {
-	load.Target
+	loadgen.Target
 	bar *progressbar.ProgressBar
 }
 
@@ -171,16 +171,16 @@
 	return c.Target.Ask(ctx, n)
 }
 
-func draw(s load.Summary, name string) error {
-	c := chart.Chart{Title: "Latency of served asks", X: "quantile", Y: "milliseconds"}
-	for _, q := range load.Quantiles {
+func draw(s loadgen.Summary, name string) error {
+	c := textchart.Chart{Title: "Latency of served asks", X: "quantile", Y: "milliseconds"}
+	for _, q := range loadgen.Quantiles {
 		c.Names = append(c.Names, strconv.FormatFloat(q, 'g', -1, 64))
 	}
 	for _, l := range []struct {
 		name   string
-		points []load.Point
+		points []loadgen.Point
 	}{{"from when it was due", s.Corrected}, {"from when it was sent", s.Service}} {
-		one := chart.Line{Name: l.name, Colour: -1}
+		one := textchart.Line{Name: l.name, Colour: -1}
 		for i, q := range l.points {
 			one.Points = append(one.Points, plotter.XY{X: float64(i), Y: q.MS})
 		}
--- a/cmd/basaltloft-plot/golden_test.go
+++ b/cmd/basaltloft-plot/golden_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
--- a/cmd/basaltloft-plot/main.go
+++ b/cmd/basaltloft-plot/main.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"basaltloft/internal/journal"
-	"basaltloft/internal/plots"
+	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/plots"
 )
 
 func main() {
--- a/cmd/basaltloft-top/main.go
+++ b/cmd/basaltloft-top/main.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/top"
+	"basaltloft/internal/dispatcher/top"
 
 	tea "github.com/charmbracelet/bubbletea"
 )
--- a/cmd/basaltloft/main.go
+++ b/cmd/basaltloft/main.go
@@ -5,7 +5,7 @@
 	"context"
 	"os"
 
-	"basaltloft/internal/cli"
+	"basaltloft/internal/dispatcher/cli"
 )
 
 func main() { os.Exit(cli.Main(context.Background(), os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/basaltloftctl/late.go
+++ b/cmd/basaltloftctl/late.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"basaltloft/internal/lateness"
+	"basaltloft/internal/cluster/lateness"
 )
 
 // lateCommand shows where the time of late jobs went.
--- a/cmd/basaltloftctl/main.go
+++ b/cmd/basaltloftctl/main.go
@@ -14,7 +14,7 @@
 	"github.com/jessevdk/go-flags"
 
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // statusCommand asks core processes for their groups.
--- a/cmd/basaltloftctl/main_test.go
+++ b/cmd/basaltloftctl/main_test.go
@@ -9,7 +9,7 @@
 
 	"basaltloft/coord/group"
 	"basaltloft/coord/replica"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // TestStatusTellsWhatAnOperatorNeeds: the lease, what is applied, who lacks what, a change of
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -9,8 +9,8 @@
 	"os"
 	"runtime/debug"
 
-	"basaltloft"
-	"basaltloft/internal/wire"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/simprotocol"
 )
 
 func main() {
@@ -23,8 +23,8 @@
 
 // run answers batches from in on out until the end of input.
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
-	instances := make(map[string]*basaltloft.Dispatcher)
+	dec, enc := simprotocol.NewDecoder(in), simprotocol.NewEncoder(out)
+	instances := make(map[string]*policy.Dispatcher)
 	for {
 		ev, err := dec.Next()
 		if errors.Is(err, io.EOF) {
@@ -34,13 +34,13 @@
 			return err
 		}
 		switch ev.Kind {
-		case wire.BatchStart:
-		case wire.BatchEnd:
+		case simprotocol.BatchStart:
+		case simprotocol.BatchEnd:
 			if err := enc.Finish(); err != nil {
 				return fmt.Errorf("writing a reply: %w", err)
 			}
-		case wire.Configure:
-			d, err := basaltloft.New(ev.Settings, enc.Host(ev.Instance))
+		case simprotocol.Configure:
+			d, err := policy.New(ev.Settings, enc.Host(ev.Instance))
 			if err != nil {
 				return fmt.Errorf("%s: %w", dec.At(), err)
 			}
@@ -50,7 +50,7 @@
 			if d == nil {
 				return fmt.Errorf("%s: event for %s, which was never configured", dec.At(), ev.Instance)
 			}
-			if ev.Kind == wire.Teardown {
+			if ev.Kind == simprotocol.Teardown {
 				delete(instances, ev.Instance)
 				continue
 			}
@@ -61,23 +61,23 @@
 
 // deliver hands an event to its dispatcher. Peers' messages are read and not
 // delivered: dispatchers share nothing.
-func deliver(d *basaltloft.Dispatcher, ev *wire.Event) {
+func deliver(d *policy.Dispatcher, ev *simprotocol.Event) {
 	switch ev.Kind {
-	case wire.Members:
+	case simprotocol.Members:
 		d.Members(ev.Now, ev.List, ev.Entries)
-	case wire.Ingress:
+	case simprotocol.Ingress:
 		d.Request(ev.Now, ev.Request)
-	case wire.Completed:
+	case simprotocol.Completed:
 		d.Outcome(ev.Now, ev.Outcome)
-	case wire.StatusBack:
+	case simprotocol.StatusBack:
 		d.Probed(ev.Now, ev.Probed)
-	case wire.StatusNote:
+	case simprotocol.StatusNote:
 		d.Note(ev.Now, ev.Note)
-	case wire.Opened:
+	case simprotocol.Opened:
 		d.First(ev.Now, ev.First)
-	case wire.Lapsed:
+	case simprotocol.Lapsed:
 		d.Gone(ev.Now, ev.ID)
-	case wire.Elapsed:
+	case simprotocol.Elapsed:
 		d.Timer(ev.Now, ev.Token)
 	}
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"basaltloft/internal/wire"
+	"basaltloft/internal/dispatcher/simprotocol"
 
 	"github.com/stretchr/testify/require"
 )
@@ -95,7 +95,7 @@
 	for line, want := range map[string]string{
 		"INGRESS\ttxn=r-1\tentity=91f0 3b\texpires=9\tclass=c\nEOB\n": "91f0 3b", "INGRESS\ttxn=r-1\texpires=9\tclass=c\nEOB\n": "",
 	} {
-		d, found := wire.NewDecoder(strings.NewReader(begin+line)), false
+		d, found := simprotocol.NewDecoder(strings.NewReader(begin+line)), false
 		for e, err := d.Next(); !found; e, err = d.Next() {
 			require.NoError(t, err)
 			if found = e.Request.ID == "r-1"; found {
--- a/coord/replica/replica_test.go
+++ b/coord/replica/replica_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"basaltloft/coord/replica"
-	"basaltloft/internal/witness"
+	"basaltloft/internal/shared/failuretest"
 )
 
 // disturb does one random harmful thing.
@@ -90,7 +90,7 @@
 func trips(t *testing.T, planted mistake, wipes bool) {
 	t.Helper()
 	for seed := range uint64(300) {
-		found := witness.Catch(t, func(t testing.TB) {
+		found := failuretest.Catch(t, func(t testing.TB) {
 			w := newWorld(t, 50_000+seed, 3)
 			w.mistake = planted
 			play(w, 60, wipes)
--- a/coord/rpc/frame.go
+++ b/coord/rpc/frame.go
@@ -48,6 +48,11 @@
 	}
 }
 
+// RegisterName is Register for a message whose name on the wire is given. The name travels with
+// each message, so builds that run beside each other must agree on it: it stays as it is when
+// the type or its package is renamed.
+func RegisterName(name string, message any) { gob.RegisterName(name, message) }
+
 // maxQueued bounds the frames that wait to be written on one connection.
 const maxQueued = 4096
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/cluster/capacity/capacity_test.go
@@ -1,5 +1,5 @@
 // Package capacity measures the slopes from which docs/CAPACITY.md is drawn up:
-// go test -bench . -benchmem ./internal/capacity
+// go test -bench . -benchmem ./internal/cluster/capacity
 package capacity
 
 import (
@@ -15,9 +15,9 @@
 
 	"basaltloft/coord/replica"
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/job"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 var bounds = scheduler.Bounds{HoldMax: 6 * time.Second, StopMs: 400, FarX: 1.5, Status: 2 * time.Minute}
--- a/internal/controlplane/core.go
+++ b/internal/cluster/controlplane/core.go
@@ -21,11 +21,11 @@
 	"basaltloft/coord/replica"
 	"basaltloft/coord/ringlog"
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/boot"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
+	"basaltloft/internal/cluster/settings"
 )
 
 // timing of all groups. A follower's promise outlasts the leader's lease by more than any
@@ -49,14 +49,14 @@
 
 // Core is one process of the core.
 type Core struct {
-	settings boot.Settings
+	settings settings.Settings
 	log      *slog.Logger
 	started  time.Time
 	identity identity
 	self     replica.Member
 	peers    *peers
 	rpc      *rpc.Server
-	config   *owner.Configuration
+	config   *leader.Configuration
 	operator *operators
 	shards   []*shardLoop
 	groups   map[string]*group.Group
@@ -70,7 +70,7 @@
 }
 
 // New opens a process's state. It does not serve yet.
-func New(settings boot.Settings, log *slog.Logger) (*Core, error) {
+func New(settings settings.Settings, log *slog.Logger) (*Core, error) {
 	if settings.DataDir == "" {
 		return nil, errors.New("data_dir is empty: run the core on machines with a disk")
 	}
@@ -100,7 +100,7 @@
 	c.self.ID = found.ID
 	c.rpc = rpc.NewServer(c)
 	c.reader = newReader(c)
-	c.config = owner.NewConfiguration(c.tellShards, c.reader.lead, c.log)
+	c.config = leader.NewConfiguration(c.tellShards, c.reader.lead, c.log)
 	c.operator = &operators{core: c, config: c.config}
 	runners := newRunnerClient()
 	states := map[string]group.StateMachine{protocol.ConfigGroup: c.config}
@@ -131,8 +131,8 @@
 		default:
 		}
 	}
-	clocks := owner.Clocks{Steady: c.now, WallMs: func() int64 { return time.Now().UnixMilli() }}
-	loop.Shard = owner.NewShard(number, c.schedulerBounds(), clocks, nudge, c.log)
+	clocks := leader.Clocks{Steady: c.now, WallMs: func() int64 { return time.Now().UnixMilli() }}
+	loop.Shard = leader.NewShard(number, c.schedulerBounds(), clocks, nudge, c.log)
 	return loop
 }
 
@@ -374,7 +374,7 @@
 }
 
 // Reload takes in settings that have changed: the seeds.
-func (c *Core) Reload(settings boot.Settings) {
+func (c *Core) Reload(settings settings.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.settings.Seeds = settings.Seeds
--- a/internal/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -22,12 +22,12 @@
 	"basaltloft/coord/group"
 	"basaltloft/coord/replica"
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/boot"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
+	"basaltloft/internal/cluster/settings"
 )
 
 // compareGolden compares a text with the golden file of that name, byte for byte.
@@ -186,7 +186,7 @@
 		}
 		_, _ = w.Write([]byte(`{"instances":[{"id":"i-2","backend":"gpu","address":"10.3.0.2:9000","state":"draining","remaining_ms":1234}],"next_token":null}`))
 	})
-	core := &Core{settings: boot.Settings{CloudAPI: boot.CloudAPI{Address: address}}}
+	core := &Core{settings: settings.Settings{CloudAPI: settings.CloudAPI{Address: address}}}
 	list, err := newReader(core).readAll()
 	require.NoError(t, err)
 	compareGolden(t, "calls-to-platform.txt", requests.taken(address))
@@ -215,7 +215,7 @@
 // operatorsOf returns a core's operator interface over a group.
 func operatorsOf(t *testing.T, own *standInGroup, current string) string {
 	t.Helper()
-	config := owner.NewConfiguration(func(*opconfig.Config) {}, func(uint64) {}, slog.New(slog.DiscardHandler))
+	config := leader.NewConfiguration(func(*opconfig.Config) {}, func(uint64) {}, slog.New(slog.DiscardHandler))
 	config.Join(own)
 	if current != "" {
 		command, err := opconfig.Change{Version: 1, Content: []byte(current)}.Encode()
--- a/internal/controlplane/identity.go
+++ b/internal/cluster/controlplane/identity.go
@@ -14,7 +14,7 @@
 
 	"basaltloft/coord/replica"
 	"basaltloft/coord/ringlog"
-	"basaltloft/internal/owner"
+	"basaltloft/internal/cluster/leader"
 )
 
 // identity is what a process's disk says of it. A process whose disk was lost draws a new
@@ -61,7 +61,7 @@
 	if _, err := rand.Read(drawn); err != nil {
 		return identity{}, errors.Wrap(err, "draw an identity")
 	}
-	id, founding := owner.Founding(c.settings.Bootstrap, c.settings.SeedAddresses(), c.self.Address, hex.EncodeToString(drawn))
+	id, founding := leader.Founding(c.settings.Bootstrap, c.settings.SeedAddresses(), c.self.Address, hex.EncodeToString(drawn))
 	return identity{ID: id, Founding: founding}, nil
 }
 
--- a/internal/controlplane/identity_test.go
+++ b/internal/cluster/controlplane/identity_test.go
@@ -17,9 +17,9 @@
 
 	"basaltloft/coord/group"
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/boot"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
+	"basaltloft/internal/cluster/settings"
 )
 
 func fresh() (identity, error) { return identity{ID: "drawn"}, nil }
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, identityFile), []byte("torn"), 0o600))
-	settings := boot.Settings{IP: "127.0.0.9", DataDir: folder, Seeds: []string{net.JoinHostPort(host, "1")}, Bootstrap: true}
+	settings := settings.Settings{IP: "127.0.0.9", DataDir: folder, Seeds: []string{net.JoinHostPort(host, "1")}, Bootstrap: true}
 	number, err := net.LookupPort("tcp", port)
 	require.NoError(t, err)
 	settings.PortRange = []int{number, number}
--- a/internal/controlplane/join.go
+++ b/internal/cluster/controlplane/join.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/protocol"
 )
 
 const (
@@ -61,7 +61,7 @@
 func (c *Core) askToJoin() time.Duration {
 	asked := false
 	for name, g := range c.groups {
-		for _, address := range owner.JoinTargets(g.Members(), g.Leader(), c.self.ID, c.seeds()) {
+		for _, address := range leader.JoinTargets(g.Members(), g.Leader(), c.self.ID, c.seeds()) {
 			asked = true
 			c.peers.cast(address, protocol.Join{Group: name, Member: c.self})
 		}
@@ -79,7 +79,7 @@
 		return
 	}
 	g.AskToJoin(ask.Member)
-	address := owner.Relay(ask, g.Leader(), c.self.ID)
+	address := leader.Relay(ask, g.Leader(), c.self.ID)
 	ask.Relayed = true
 	c.peers.cast(address, ask)
 }
@@ -96,7 +96,7 @@
 // process still votes.
 func (c *Core) tellLeave() (waits bool) {
 	for name, g := range c.groups {
-		for _, address := range owner.LeaveTargets(g.Members(), c.self.ID, c.seeds()) {
+		for _, address := range leader.LeaveTargets(g.Members(), c.self.ID, c.seeds()) {
 			waits = true
 			c.peers.cast(address, protocol.Leave{Group: name, ID: c.self.ID})
 		}
--- a/internal/controlplane/operators.go
+++ b/internal/cluster/controlplane/operators.go
@@ -8,15 +8,15 @@
 
 	"github.com/cockroachdb/errors"
 
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // operators is the operator's interface: it passes each call to the owner of the
 // configuration, once.
 type operators struct {
 	core   *Core
-	config *owner.Configuration
+	config *leader.Configuration
 }
 
 const (
--- a/internal/controlplane/reader.go
+++ b/internal/cluster/controlplane/reader.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/job"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // reader reads the platform's list, in the one process that owns the configuration, and
--- a/internal/controlplane/recover.go
+++ b/internal/cluster/controlplane/recover.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"basaltloft/coord/group"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
 )
 
 const (
--- a/internal/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/job"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // runnerClient speaks to runners.
--- a/internal/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // shardLoop drives a shard: it lets the scheduler look at the time, and sends its orders.
 type shardLoop struct {
-	*owner.Shard
+	*leader.Shard
 	runner *runnerClient
 	wake   chan struct{}
 	stop   chan struct{}
--- a/internal/program/program.go
+++ b/internal/cluster/daemon/program.go
@@ -1,6 +1,6 @@
-// Package program has what the system's programs share: the command line, logs, limits of the
+// Package daemon has what the system's programs share: the command line, logs, limits of the
 // Go runtime, signals, and watching the settings file.
-package program
+package daemon
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jessevdk/go-flags"
 
-	"basaltloft/internal/boot"
+	"basaltloft/internal/cluster/settings"
 )
 
 // Options are what each daemon takes.
@@ -28,7 +28,7 @@
 // Daemon is what a program runs.
 type Daemon interface {
 	Run(ctx context.Context) error
-	Reload(settings boot.Settings)
+	Reload(settings settings.Settings)
 }
 
 // Exit statuses.
@@ -38,7 +38,7 @@
 )
 
 // Main runs a daemon and returns its exit status.
-func Main(name, summary string, args []string, build func(boot.Settings, *slog.Logger) (Daemon, error)) int {
+func Main(name, summary string, args []string, build func(settings.Settings, *slog.Logger) (Daemon, error)) int {
 	options := Options{}
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = summary
@@ -50,9 +50,9 @@
 	}
 	path := options.Settings
 	if path == "" {
-		path = boot.Path()
+		path = settings.Path()
 	}
-	settings, err := boot.Load(path)
+	settings, err := settings.Load(path)
 	if err != nil {
 		return report(err, exitUsage)
 	}
@@ -79,7 +79,7 @@
 	return status
 }
 
-func run(name, path string, settings boot.Settings, options Options, build func(boot.Settings, *slog.Logger) (Daemon, error)) int {
+func run(name, path string, settings settings.Settings, options Options, build func(settings.Settings, *slog.Logger) (Daemon, error)) int {
 	level := slog.LevelInfo
 	_ = level.UnmarshalText([]byte(options.Log))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", settings.NodeName)
@@ -132,7 +132,7 @@
 			}
 		}
 		last = modified(path)
-		settings, err := boot.Load(path)
+		settings, err := settings.Load(path)
 		if err != nil {
 			log.Error("the changed settings are not taken", "error", err)
 			continue
--- a/internal/dataplane/edge.go
+++ b/internal/cluster/dataplane/edge.go
@@ -9,12 +9,12 @@
 
 	"github.com/cockroachdb/errors"
 
-	"basaltloft/internal/boot"
+	"basaltloft/internal/cluster/settings"
 )
 
 // Edge is one edge process.
 type Edge struct {
-	settings boot.Settings
+	settings settings.Settings
 	log      *slog.Logger
 	started  time.Time
 	follower *follower
@@ -22,7 +22,7 @@
 }
 
 // New returns an edge process that does not serve yet.
-func New(settings boot.Settings, log *slog.Logger) *Edge {
+func New(settings settings.Settings, log *slog.Logger) *Edge {
 	e := &Edge{settings: settings, log: log, started: time.Now()}
 	e.follower = newFollower(settings, log, e.now)
 	return e
@@ -85,4 +85,4 @@
 }
 
 // Reload takes in settings that have changed.
-func (e *Edge) Reload(settings boot.Settings) { e.follower.Reload(settings.SeedAddresses()) }
+func (e *Edge) Reload(settings settings.Settings) { e.follower.Reload(settings.SeedAddresses()) }
--- a/internal/dataplane/follower.go
+++ b/internal/cluster/dataplane/follower.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/boot"
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
+	"basaltloft/internal/cluster/settings"
 )
 
 // follower drives a dispatch.Follower: it asks core processes for the configuration.
 type follower struct {
-	*dispatch.Follower
+	*router.Follower
 	clock   func() time.Duration
 	stop    chan struct{}
 	clients rpc.Clients
@@ -24,10 +24,10 @@
 	feedAgain = 60 * time.Millisecond
 )
 
-func newFollower(settings boot.Settings, log *slog.Logger, clock func() time.Duration) *follower {
+func newFollower(settings settings.Settings, log *slog.Logger, clock func() time.Duration) *follower {
 	applyWithin := time.Duration(settings.Bounds.ConfigApplyMs) * time.Millisecond
 	return &follower{
-		Follower: dispatch.NewFollower(settings.NodeName, settings.SeedAddresses(), applyWithin, log),
+		Follower: router.NewFollower(settings.NodeName, settings.SeedAddresses(), applyWithin, log),
 		clock:    clock, stop: make(chan struct{}),
 	}
 }
@@ -63,4 +63,4 @@
 }
 
 // current returns the view, if it may be acted on at this moment.
-func (f *follower) current() (*dispatch.View, bool) { return f.Current(f.clock()) }
+func (f *follower) current() (*router.View, bool) { return f.Current(f.clock()) }
--- a/internal/dataplane/golden_test.go
+++ b/internal/cluster/dataplane/golden_test.go
@@ -17,12 +17,12 @@
 	"github.com/stretchr/testify/require"
 
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/boot"
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
+	"basaltloft/internal/cluster/settings"
 )
 
 // writeGolden rewrites testdata/answers-to-clients.txt. It was written by commit 352ebf2 and must
@@ -60,7 +60,7 @@
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
 	b := newBench()
-	b.follower.Follower = dispatch.NewFollower("edge", []string{address}, 2*time.Second, slog.New(slog.DiscardHandler))
+	b.follower.Follower = router.NewFollower("edge", []string{address}, 2*time.Second, slog.New(slog.DiscardHandler))
 	b.follower.Answered(address, b.now, protocol.FeedAnswer{
 		Leads: true, Version: 5, Content: []byte(goldenConfiguration), Owners: []string{address, address, address, address}, Cores: []string{address},
 	})
@@ -168,13 +168,13 @@
 
 // TestHashOfABodyAsBefore: the hash is stored and sent, and must be the same in all builds.
 func TestHashOfABodyAsBefore(t *testing.T) {
-	require.Equal(t, uint64(0xc8751d5fdc127498), owner.HashOf([]byte(`{"stages":[{"count":1}]}`)))
+	require.Equal(t, uint64(0xc8751d5fdc127498), leader.HashOf([]byte(`{"stages":[{"count":1}]}`)))
 }
 
 // TestReadinessAsBefore: what the platform is told.
 func TestReadinessAsBefore(t *testing.T) {
 	b, _ := goldenBench(t, protocol.Answer{})
-	edge := &Edge{settings: boot.Settings{}, follower: b.follower}
+	edge := &Edge{settings: settings.Settings{}, follower: b.follower}
 	ask := func() (int, string) {
 		recorded := httptest.NewRecorder()
 		edge.serveReady(recorded, httptest.NewRequest(http.MethodGet, "/", nil))
--- a/internal/dataplane/ingress.go
+++ b/internal/cluster/dataplane/ingress.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
 )
 
 // ingress takes clients' requests.
@@ -54,7 +54,7 @@
 // view returns what may be gone by, waiting for it as long as a request may be held: a change
 // of the configuration's owner, or this process's own start, takes less time than a client
 // that was sent away stays away. Only so many requests wait, and none whose client has gone.
-func (in *ingress) view(r *http.Request, deadline time.Duration) (*dispatch.View, bool) {
+func (in *ingress) view(r *http.Request, deadline time.Duration) (*router.View, bool) {
 	if v, ok := in.follower.current(); ok || in.leaving() {
 		return v, ok
 	}
@@ -71,7 +71,7 @@
 	return nil, false
 }
 
-func (in *ingress) serve(w http.ResponseWriter, r *http.Request, v *dispatch.View, route *opconfig.Route, deadline time.Duration) {
+func (in *ingress) serve(w http.ResponseWriter, r *http.Request, v *router.View, route *opconfig.Route, deadline time.Duration) {
 	id := r.URL.Path[len(route.PathPrefix):]
 	switch {
 	case r.Method == http.MethodGet && id == "":
@@ -101,13 +101,13 @@
 	return time.Duration(heldPart * float64(whole))
 }
 
-func (in *ingress) ask(w http.ResponseWriter, v *dispatch.View, route *opconfig.Route, deadline time.Duration, verb protocol.Verb, id string) {
-	in.write(w, verb, in.carry(deadline, v, route, func(v *dispatch.View, route *opconfig.Route) *dispatch.Call {
-		return dispatch.NewAsk(v, route, verb, id)
+func (in *ingress) ask(w http.ResponseWriter, v *router.View, route *opconfig.Route, deadline time.Duration, verb protocol.Verb, id string) {
+	in.write(w, verb, in.carry(deadline, v, route, func(v *router.View, route *opconfig.Route) *router.Call {
+		return router.NewAsk(v, route, verb, id)
 	}))
 }
 
-func (in *ingress) submit(w http.ResponseWriter, r *http.Request, v *dispatch.View, route *opconfig.Route, deadline time.Duration, id string) {
+func (in *ingress) submit(w http.ResponseWriter, r *http.Request, v *router.View, route *opconfig.Route, deadline time.Duration, id string) {
 	most := v.Config.Limits.MaxBodyBytes
 	if most == 0 {
 		most = normalBody
@@ -117,18 +117,18 @@
 		http.Error(w, "the body is cut short or too large", http.StatusBadRequest)
 		return
 	}
-	in.write(w, 0, in.carry(deadline, v, route, func(v *dispatch.View, route *opconfig.Route) *dispatch.Call {
-		return dispatch.NewSubmit(v, route, id, body)
+	in.write(w, 0, in.carry(deadline, v, route, func(v *router.View, route *opconfig.Route) *router.Call {
+		return router.NewSubmit(v, route, id, body)
 	}))
 }
 
 // carry brings a request to the owners that can answer it. Where one knows a newer
 // configuration that sends the queue elsewhere, it waits for that and begins anew.
-func (in *ingress) carry(deadline time.Duration, v *dispatch.View, route *opconfig.Route, build func(*dispatch.View, *opconfig.Route) *dispatch.Call) protocol.Answer {
+func (in *ingress) carry(deadline time.Duration, v *router.View, route *opconfig.Route, build func(*router.View, *opconfig.Route) *router.Call) protocol.Answer {
 	call := build(v, route)
 	for {
 		answer, progress := in.pass(call, deadline)
-		if progress != dispatch.Outdated {
+		if progress != router.Outdated {
 			return answer
 		}
 		newer, ok := in.newer(v.Config.Version, answer.Moved, deadline)
@@ -147,7 +147,7 @@
 }
 
 // newer waits for a configuration of a version, or of any that is newer than the present one.
-func (in *ingress) newer(have, wanted int64, deadline time.Duration) (*dispatch.View, bool) {
+func (in *ingress) newer(have, wanted int64, deadline time.Duration) (*router.View, bool) {
 	for in.clock() < deadline {
 		if v, ok := in.follower.current(); ok && v.Config.Version > have && v.Config.Version >= wanted {
 			return v, true
@@ -158,13 +158,13 @@
 }
 
 // pass asks the owners by turns until a call has its answer.
-func (in *ingress) pass(call *dispatch.Call, deadline time.Duration) (protocol.Answer, dispatch.Progress) {
+func (in *ingress) pass(call *router.Call, deadline time.Duration) (protocol.Answer, router.Progress) {
 	for in.clock() < deadline {
 		shard, message := call.Next()
 		asked := in.clock()
 		owner := in.follower.Owner(shard, asked)
 		answer, err := in.try(owner, message, deadline)
-		progress := dispatch.Retry
+		progress := router.Retry
 		switch {
 		case err != nil:
 			call.Silent()
@@ -174,14 +174,14 @@
 		default:
 			answer, progress = call.Answered(answer)
 		}
-		if progress == dispatch.Finished || progress == dispatch.Outdated {
+		if progress == router.Finished || progress == router.Outdated {
 			return answer, progress
 		}
-		if progress == dispatch.Retry {
+		if progress == router.Retry {
 			in.pause(triesApart)
 		}
 	}
-	return call.GivenUp(), dispatch.Finished
+	return call.GivenUp(), router.Finished
 }
 
 func (in *ingress) try(owner string, message any, deadline time.Duration) (protocol.Answer, error) {
--- a/internal/dataplane/ingress_test.go
+++ b/internal/cluster/dataplane/ingress_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
 )
 
 // bench is an ingress in virtual time: each pause moves the clock on, and something may happen.
@@ -24,7 +24,7 @@
 func newBench() *bench {
 	b := &bench{now: time.Hour, during: func() {}}
 	clock := func() time.Duration { return b.now }
-	own := &follower{Follower: dispatch.NewFollower("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler)), clock: clock}
+	own := &follower{Follower: router.NewFollower("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler)), clock: clock}
 	b.ingress = &ingress{follower: own, clock: clock, leaving: func() bool { return false }, pause: func(span time.Duration) {
 		b.now += span
 		b.during()
--- a/internal/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/job"
+	"basaltloft/internal/cluster/job"
 )
 
 // writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
--- a/internal/job/store_test.go
+++ b/internal/cluster/job/store_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/job"
+	"basaltloft/internal/cluster/job"
 )
 
 func accept(spec job.Spec) job.Command {
--- a/internal/golden/jobtrace/jobtrace.go
+++ b/internal/cluster/jobtrace/jobtrace.go
@@ -6,18 +6,18 @@
 	"cmp"
 	"slices"
 
-	"basaltloft/internal/golden"
-	"basaltloft/internal/job"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/scheduler"
+	"basaltloft/internal/shared/digesttest"
 )
 
 // Task appends a task's place.
-func Task(t *golden.Trace, task job.TaskRef) {
+func Task(t *digesttest.Trace, task job.TaskRef) {
 	t.String(task.Job).Int(int64(task.Time), int64(task.Step), int64(task.Index))
 }
 
 // Command appends a command.
-func Command(t *golden.Trace, c *job.Command) {
+func Command(t *digesttest.Trace, c *job.Command) {
 	t.Int(int64(c.Kind))
 	Task(t, c.Task)
 	t.Int(int64(c.Attempt)).String(c.Runner, c.Address).Int(int64(c.How)).String(c.Saved)
@@ -27,21 +27,21 @@
 	}
 }
 
-func newJob(t *golden.Trace, n *job.New) {
+func newJob(t *digesttest.Trace, n *job.New) {
 	t.String(n.ID, n.Queue, n.Service).Uint(n.Hash)
 	Spec(t, &n.Spec)
 	t.Int(int64(n.Priority), int64(n.Retries), n.TargetMs).Float(n.Stretch).Int(n.Version)
 }
 
 // Spec appends what a client handed in.
-func Spec(t *golden.Trace, s *job.Spec) {
+func Spec(t *digesttest.Trace, s *job.Spec) {
 	t.String(s.Text).Int(int64(s.Repeats), s.StartAtMs, s.IntervalMs).Bool(s.LongRunning, s.Speculative).Int(int64(len(s.Steps)))
 	for at := range s.Steps {
 		step(t, &s.Steps[at])
 	}
 }
 
-func step(t *golden.Trace, s *job.Step) {
+func step(t *digesttest.Trace, s *job.Step) {
 	t.Int(int64(s.Count), s.CPU, s.MemMB, s.GPU, s.EstimateMs, int64(len(s.DependsOn)))
 	for _, before := range s.DependsOn {
 		t.Int(int64(before))
@@ -51,7 +51,7 @@
 }
 
 // Order appends an order to a runner.
-func Order(t *golden.Trace, o *scheduler.Order) {
+func Order(t *digesttest.Trace, o *scheduler.Order) {
 	t.Int(int64(o.Kind)).String(o.Runner, o.Address).Uint(o.Token)
 	Task(t, o.Task)
 	t.Int(int64(o.Attempt)).String(o.Spec, o.Saved).Int(o.DeadlineMs).Uint(o.LastSeen).Int(o.WaitMs).Uint(o.Sequence)
@@ -80,7 +80,7 @@
 }
 
 // Look appends what a runner says of itself.
-func Look(t *golden.Trace, l *scheduler.Look) {
+func Look(t *digesttest.Trace, l *scheduler.Look) {
 	t.Int(l.ClockMs, l.RemainingMs, int64(len(l.Running)))
 	for _, run := range l.Running {
 		Task(t, run.Task)
--- a/internal/lateness/lateness_test.go
+++ b/internal/cluster/lateness/lateness_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/lateness"
+	"basaltloft/internal/cluster/lateness"
 )
 
 const ms = time.Millisecond
--- a/internal/lateness/table_test.go
+++ b/internal/cluster/lateness/table_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/lateness"
+	"basaltloft/internal/cluster/lateness"
 )
 
 // logOf writes lines as a core process does, late jobs among others.
--- a/internal/owner/configuration.go
+++ b/internal/cluster/leader/configuration.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"log/slog"
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 
 	"basaltloft/coord/group"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // Configuration is a process's replica of the configuration, and what the group's owner does
--- a/internal/owner/golden_test.go
+++ b/internal/cluster/leader/golden_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package leader_test
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 
 	"basaltloft/coord/group"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // The answers of this file are those of commit 352ebf2, with the texts that clients are given.
@@ -91,7 +91,7 @@
 	batch, err := job.DecodeBatch(g.proposed[0])
 	require.NoError(t, err)
 	require.Equal(t, []job.Command{{Kind: job.Accept, AtMs: 1000, New: &job.New{
-		ID: "a", Queue: "h/q/", Service: "desk", Hash: owner.HashOf([]byte(body)),
+		ID: "a", Queue: "h/q/", Service: "desk", Hash: leader.HashOf([]byte(body)),
 		Spec:     job.Spec{Text: "x", Steps: []job.Step{{Count: 1, Resources: job.Resources{CPU: 100}}}},
 		Priority: 3, Retries: 4, TargetMs: 250, Stretch: 1.5, Version: 7,
 	}}}, batch.Commands)
--- a/internal/owner/membership.go
+++ b/internal/cluster/leader/membership.go
@@ -1,10 +1,10 @@
-package owner
+package leader
 
 import (
 	"slices"
 
 	"basaltloft/coord/replica"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // founderPrefix begins the ID of a founder, before its address.
--- a/internal/owner/owner.go
+++ b/internal/cluster/leader/owner.go
@@ -1,4 +1,4 @@
-// Package owner has what a core process does with its replicas of the configuration and of a
+// Package leader has what a core process does with its replicas of the configuration and of a
 // shard's jobs: it answers operators and dispatchers where it leads the group, and says who
 // may lead it where it does not. It does no I/O and starts no goroutines: answers are given
 // through callbacks, and the time comes from the caller's clocks.
@@ -6,7 +6,7 @@
 // Two rules hold throughout. What confirms or refuses for good is either the result of a
 // committed command, or was read from the state before the lease was looked at and found to
 // last. And a process without a lease says nothing but who may have it.
-package owner
+package leader
 
 import (
 	"time"
--- a/internal/owner/owner_test.go
+++ b/internal/cluster/leader/owner_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package leader_test
 
 import (
 	"fmt"
@@ -11,11 +11,11 @@
 
 	"basaltloft/coord/group"
 	"basaltloft/coord/replica"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // fake is a group of one that commits when it is told to. looks counts how often the lease
@@ -61,14 +61,14 @@
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[{"host":"h","path_prefix":"/q/","timeout_ms":1000,"backend":"desk"}],"services":[{"name":"desk"}]}`, version))
 }
 
-func newConfiguration() (*owner.Configuration, *fake) {
-	c := owner.NewConfiguration(func(*opconfig.Config) {}, func(uint64) {}, slog.New(slog.DiscardHandler))
+func newConfiguration() (*leader.Configuration, *fake) {
+	c := leader.NewConfiguration(func(*opconfig.Config) {}, func(uint64) {}, slog.New(slog.DiscardHandler))
 	f := &fake{states: c, leads: true}
 	c.Join(f)
 	return c, f
 }
 
-func operate(c *owner.Configuration, f *fake, request protocol.Operate) protocol.OperateAnswer {
+func operate(c *leader.Configuration, f *fake, request protocol.Operate) protocol.OperateAnswer {
 	var got []protocol.OperateAnswer
 	c.Operate(request, func(a protocol.OperateAnswer) { got = append(got, a) })
 	f.commit()
@@ -136,9 +136,9 @@
 	require.Equal(t, []protocol.Status{200, 200, 412}, got, "another content under the number is refused")
 }
 
-func newShard() (*owner.Shard, *fake) {
-	clocks := owner.Clocks{Steady: func() time.Duration { return time.Hour }, WallMs: func() int64 { return 1000 }}
-	s := owner.NewShard(protocol.ShardOf("desk"), scheduler.Bounds{HoldMax: 6 * time.Second, Status: time.Minute}, clocks, func() {}, slog.New(slog.DiscardHandler))
+func newShard() (*leader.Shard, *fake) {
+	clocks := leader.Clocks{Steady: func() time.Duration { return time.Hour }, WallMs: func() int64 { return 1000 }}
+	s := leader.NewShard(protocol.ShardOf("desk"), scheduler.Bounds{HoldMax: 6 * time.Second, Status: time.Minute}, clocks, func() {}, slog.New(slog.DiscardHandler))
 	f := &fake{states: s, leads: true}
 	s.Join(f)
 	s.Leading(1)
@@ -146,7 +146,7 @@
 }
 
 // answer gives a request to a shard and lets it commit.
-func answer(s *owner.Shard, f *fake, do func(reply func(protocol.Answer))) protocol.Answer {
+func answer(s *leader.Shard, f *fake, do func(reply func(protocol.Answer))) protocol.Answer {
 	var got []protocol.Answer
 	do(func(a protocol.Answer) { got = append(got, a) })
 	s.Drive()
@@ -211,7 +211,7 @@
 	say := func(a protocol.Ask) protocol.Answer {
 		return answer(s, f, func(reply func(protocol.Answer)) { s.Ask(a, reply) })
 	}
-	check := protocol.Ask{Verb: protocol.CheckEarlier, Queue: "h/q/", ID: "a", Version: 9, Since: 8, Hash: owner.HashOf([]byte(body))}
+	check := protocol.Ask{Verb: protocol.CheckEarlier, Queue: "h/q/", ID: "a", Version: 9, Since: 8, Hash: leader.HashOf([]byte(body))}
 	require.Equal(t, protocol.Status(410), say(check).Status)
 	got := answer(s, f, func(reply func(protocol.Answer)) { s.Submit(submit("a", body, 7), reply) })
 	require.Greater(t, got.Moved, int64(7), "the dispatcher's configuration is too old")
@@ -268,8 +268,8 @@
 // TestFounding: each seed knows the first membership by itself; nobody else is a founder.
 func TestFounding(t *testing.T) {
 	seeds := []string{"c:1", "a:1", "b:1", "a:1"}
-	id, founding := owner.Founding(true, seeds, "b:1", "drawn")
-	other, same := owner.Founding(true, []string{"a:1", "b:1", "c:1"}, "c:1", "drawn")
+	id, founding := leader.Founding(true, seeds, "b:1", "drawn")
+	other, same := leader.Founding(true, []string{"a:1", "b:1", "c:1"}, "c:1", "drawn")
 	require.NotEqual(t, id, other)
 	require.Equal(t, founding, same)
 	require.Len(t, founding.Voters, 3)
@@ -278,7 +278,7 @@
 		bootstrap bool
 		self      string
 	}{"a later start": {false, "b:1"}, "no seed": {true, "d:1"}} {
-		id, founding = owner.Founding(c.bootstrap, seeds, c.self, "drawn")
+		id, founding = leader.Founding(c.bootstrap, seeds, c.self, "drawn")
 		require.Equal(t, "drawn", id, name)
 		require.Nil(t, founding, name)
 	}
--- a/internal/owner/shard.go
+++ b/internal/cluster/leader/shard.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"hash/fnv"
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 
 	"basaltloft/coord/group"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // Clocks are a process's clocks.
--- a/internal/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/opconfig"
+	"basaltloft/internal/cluster/opconfig"
 )
 
 // writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
--- a/internal/opconfig/opconfig_test.go
+++ b/internal/cluster/opconfig/opconfig_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/opconfig"
+	"basaltloft/internal/cluster/opconfig"
 )
 
 // text is a configuration with one service and routes of the given prefixes.
--- a/internal/placement/digest_test.go
+++ b/internal/cluster/placement/digest_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/golden"
-	"basaltloft/internal/job"
-	"basaltloft/internal/placement"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/placement"
+	"basaltloft/internal/shared/digesttest"
 )
 
 // digestFile has a line for each part: its number, how many places were found, and the digest
@@ -53,7 +53,7 @@
 }
 
 // choose makes random choices, takes each place, and records what came of it.
-func choose(part uint64, trace *golden.Trace) (found int) {
+func choose(part uint64, trace *digesttest.Trace) (found int) {
 	random := rand.New(rand.NewPCG(part, 17))
 	for number := range choicesPerPart {
 		candidates := make([]placement.Candidate, random.IntN(12))
@@ -78,12 +78,12 @@
 func TestChoiceDigests(t *testing.T) {
 	var lines []string
 	for part := range uint64(digestParts) {
-		trace := golden.New(true)
+		trace := digesttest.New(true)
 		found := choose(part, trace)
-		if wanted, ok := golden.Traced(); ok && wanted == fmt.Sprint(part) {
+		if wanted, ok := digesttest.Traced(); ok && wanted == fmt.Sprint(part) {
 			fmt.Print(trace.Text())
 		}
 		lines = append(lines, fmt.Sprintf("%d %d %s", part, found, trace.Sum()))
 	}
-	golden.Compare(t, digestFile, lines)
+	digesttest.Compare(t, digestFile, lines)
 }
--- a/internal/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -7,7 +7,7 @@
 import (
 	"slices"
 
-	"basaltloft/internal/job"
+	"basaltloft/internal/cluster/job"
 )
 
 // Candidate is a runner that takes work now, as the scheduler sees it at this moment.
--- a/internal/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/job"
-	"basaltloft/internal/placement"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/placement"
 )
 
 func candidate(key int, room float64) placement.Candidate {
--- a/internal/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -13,9 +13,9 @@
 
 	"basaltloft/coord/group"
 	"basaltloft/coord/replica"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
--- a/internal/protocol/protocol.go
+++ b/internal/cluster/protocol/protocol.go
@@ -9,8 +9,8 @@
 	"basaltloft/coord/group"
 	"basaltloft/coord/replica"
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/opconfig"
 )
 
 // ConfigGroup is the group that holds the configuration.
@@ -165,7 +165,25 @@
 	group.Status
 }
 
+// Names under which messages travel: the import paths that the types had in the first build.
+// They are part of the protocol between builds and don't follow the types' own names.
+const (
+	replicaNames  = "basaltloft/coord/replica."
+	protocolNames = "basaltloft/internal/protocol."
+)
+
 func init() {
-	rpc.Register(replica.Message{}, Submit{}, Ask{}, Answer{}, Feed{}, FeedAnswer{}, Operate{}, OperateAnswer{},
-		Leave{}, Join{}, Runners{}, AskStatus{}, StatusAnswer{})
+	rpc.RegisterName(replicaNames+"Message", replica.Message{})
+	rpc.RegisterName(protocolNames+"Submit", Submit{})
+	rpc.RegisterName(protocolNames+"Ask", Ask{})
+	rpc.RegisterName(protocolNames+"Answer", Answer{})
+	rpc.RegisterName(protocolNames+"Feed", Feed{})
+	rpc.RegisterName(protocolNames+"FeedAnswer", FeedAnswer{})
+	rpc.RegisterName(protocolNames+"Operate", Operate{})
+	rpc.RegisterName(protocolNames+"OperateAnswer", OperateAnswer{})
+	rpc.RegisterName(protocolNames+"Leave", Leave{})
+	rpc.RegisterName(protocolNames+"Join", Join{})
+	rpc.RegisterName(protocolNames+"Runners", Runners{})
+	rpc.RegisterName(protocolNames+"AskStatus", AskStatus{})
+	rpc.RegisterName(protocolNames+"StatusAnswer", StatusAnswer{})
 }
--- a/internal/dispatch/call.go
+++ b/internal/cluster/router/call.go
@@ -1,11 +1,11 @@
-package dispatch
+package router
 
 import (
 	"net/http"
 
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // Call is a client's request on its way to the owners that can answer it.
@@ -72,7 +72,7 @@
 	shards := v.shards(route)
 	for _, earlier := range shards[1:] {
 		check := protocol.Ask{Verb: protocol.CheckEarlier, Shard: earlier, Queue: route.Queue(), ID: id, Version: v.Config.Version,
-			Since: v.Moved[route.Queue()].Since, Hash: owner.HashOf(body)}
+			Since: v.Moved[route.Queue()].Since, Hash: leader.HashOf(body)}
 		c.steps = append(c.steps, step{shard: earlier, message: check, kind: stepCheck})
 	}
 	submit := protocol.Submit{Shard: shards[0], Queue: route.Queue(), ID: id, Body: body, Version: v.Config.Version, Route: *route}
--- a/internal/dispatch/call_test.go
+++ b/internal/cluster/router/call_test.go
@@ -1,4 +1,4 @@
-package dispatch_test
+package router_test
 
 import (
 	"net/http"
@@ -6,10 +6,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
 )
 
 // services in three shards of their own.
@@ -28,10 +28,10 @@
 }
 
 // view is a queue that was at the first two services and is at the third now.
-func view(t *testing.T) (*dispatch.View, *opconfig.Route, []int) {
+func view(t *testing.T) (*router.View, *opconfig.Route, []int) {
 	names := services(t)
 	route := opconfig.Route{Host: "h", PathPrefix: "/q/", Backend: names[2]}
-	v := &dispatch.View{Config: &opconfig.Config{Version: 9, Routes: []opconfig.Route{route}},
+	v := &router.View{Config: &opconfig.Config{Version: 9, Routes: []opconfig.Route{route}},
 		Moved: map[string]opconfig.Moves{"h/q/": {Services: names, Since: 7}}}
 	return v, &v.Config.Routes[0], []int{protocol.ShardOf(names[0]), protocol.ShardOf(names[1]), protocol.ShardOf(names[2])}
 }
@@ -53,18 +53,18 @@
 var silence = protocol.Answer{Reason: "silence"}
 
 // play gives a call its answers and returns the last one's worth.
-func play(t *testing.T, call *dispatch.Call, answers ...protocol.Answer) (protocol.Answer, dispatch.Progress) {
+func play(t *testing.T, call *router.Call, answers ...protocol.Answer) (protocol.Answer, router.Progress) {
 	t.Helper()
-	got, progress := protocol.Answer{}, dispatch.Retry
+	got, progress := protocol.Answer{}, router.Retry
 	for _, answer := range answers {
-		require.NotEqual(t, dispatch.Finished, progress, "the call has its answer already")
+		require.NotEqual(t, router.Finished, progress, "the call has its answer already")
 		if answer == silence {
 			call.Silent()
 			continue
 		}
 		got, progress = call.Answered(answer)
 	}
-	if progress == dispatch.Retry || progress == dispatch.Continue {
+	if progress == router.Retry || progress == router.Continue {
 		return call.GivenUp(), progress
 	}
 	return got, progress
@@ -93,8 +93,8 @@
 		"nobody owns it after silence":          {[]protocol.Answer{silence, notOwner}, 504},
 		"refused after silence and a new owner": {[]protocol.Answer{silence, notOwner, refused}, 504},
 	} {
-		v := &dispatch.View{Config: &opconfig.Config{Version: 9}}
-		got, _ := play(t, dispatch.NewSubmit(v, &opconfig.Route{Host: "h", PathPrefix: "/q/", Backend: "a"}, "id", []byte("{}")), c.answers...)
+		v := &router.View{Config: &opconfig.Config{Version: 9}}
+		got, _ := play(t, router.NewSubmit(v, &opconfig.Route{Host: "h", PathPrefix: "/q/", Backend: "a"}, "id", []byte("{}")), c.answers...)
 		require.Equal(t, c.want, got.Status, name)
 	}
 }
@@ -103,25 +103,25 @@
 func TestReadsAndCancels(t *testing.T) {
 	v, route, shards := view(t)
 	for _, verb := range []protocol.Verb{protocol.AskState, protocol.CancelJob} {
-		got, progress := play(t, dispatch.NewAsk(v, route, verb, "id"), gone, silence, gone, gone)
-		require.Equal(t, dispatch.Finished, progress)
+		got, progress := play(t, router.NewAsk(v, route, verb, "id"), gone, silence, gone, gone)
+		require.Equal(t, router.Finished, progress)
 		require.Equal(t, protocol.Status(410), got.Status)
-		got, _ = play(t, dispatch.NewAsk(v, route, verb, "id"), gone, protocol.Answer{Status: 200, State: job.Running})
+		got, _ = play(t, router.NewAsk(v, route, verb, "id"), gone, protocol.Answer{Status: 200, State: job.Running})
 		require.Equal(t, job.Running, got.State)
-		got, progress = play(t, dispatch.NewAsk(v, route, verb, "id"), gone, moved)
-		require.Equal(t, dispatch.Outdated, progress)
+		got, progress = play(t, router.NewAsk(v, route, verb, "id"), gone, moved)
+		require.Equal(t, router.Outdated, progress)
 		require.Equal(t, int64(12), got.Moved)
 	}
-	call := dispatch.NewAsk(v, route, protocol.AskState, "id")
+	call := router.NewAsk(v, route, protocol.AskState, "id")
 	for _, at := range []int{2, 1, 0} { // the present shard first, then the earlier ones, newest first
 		shard, message := call.Next()
 		require.Equal(t, shards[at], shard)
 		require.Equal(t, int64(9), message.(protocol.Ask).Version)
 		call.Answered(gone)
 	}
-	got, _ := play(t, dispatch.NewAsk(v, route, protocol.CancelJob, "id"), silence, refused)
+	got, _ := play(t, router.NewAsk(v, route, protocol.CancelJob, "id"), silence, refused)
 	require.Equal(t, protocol.Status(504), got.Status, "a cancelling may have been done")
-	got, _ = play(t, dispatch.NewAsk(v, route, protocol.AskState, "id"), silence, refused)
+	got, _ = play(t, router.NewAsk(v, route, protocol.AskState, "id"), silence, refused)
 	require.Equal(t, protocol.Status(503), got.Status)
 }
 
@@ -129,8 +129,8 @@
 func TestCountsAreAdded(t *testing.T) {
 	v, route, _ := view(t)
 	count := func(n int) protocol.Answer { return protocol.Answer{Status: 200, Pending: n} }
-	got, progress := play(t, dispatch.NewAsk(v, route, protocol.CountPending, ""), count(2), silence, count(3), count(4))
-	require.Equal(t, dispatch.Finished, progress)
+	got, progress := play(t, router.NewAsk(v, route, protocol.CountPending, ""), count(2), silence, count(3), count(4))
+	require.Equal(t, router.Finished, progress)
 	require.Equal(t, 9, got.Pending)
 }
 
@@ -138,7 +138,7 @@
 // in; a job that one holds is not handed in again.
 func TestEarlierShardsAreAskedFirst(t *testing.T) {
 	v, route, shards := view(t)
-	call := dispatch.NewSubmit(v, route, "id", []byte("body"))
+	call := router.NewSubmit(v, route, "id", []byte("body"))
 	for _, at := range []int{1, 0} {
 		shard, message := call.Next()
 		require.Equal(t, shards[at], shard)
@@ -146,21 +146,21 @@
 		require.Equal(t, protocol.CheckEarlier, check.Verb)
 		require.Equal(t, int64(7), check.Since)
 		_, progress := call.Answered(gone)
-		require.Equal(t, dispatch.Continue, progress)
+		require.Equal(t, router.Continue, progress)
 	}
 	shard, message := call.Next()
 	require.Equal(t, shards[2], shard)
 	require.Equal(t, "id", message.(protocol.Submit).ID)
 	got, _ := play(t, call, silence, moved)
 	require.Equal(t, int64(12), got.Moved)
-	again := dispatch.NewSubmit(v, route, "id", []byte("body"))
+	again := router.NewSubmit(v, route, "id", []byte("body"))
 	again.After(call)
 	got, _ = play(t, again, gone, gone, noQueue)
 	require.Equal(t, protocol.Status(504), got.Status, "the try under the older configuration may have been taken")
 
-	got, progress := play(t, dispatch.NewSubmit(v, route, "id", []byte("body")), gone, ok)
-	require.Equal(t, dispatch.Finished, progress)
+	got, progress := play(t, router.NewSubmit(v, route, "id", []byte("body")), gone, ok)
+	require.Equal(t, router.Finished, progress)
 	require.Equal(t, protocol.Status(200), got.Status)
-	got, _ = play(t, dispatch.NewSubmit(v, route, "id", []byte("body")), otherJob)
+	got, _ = play(t, router.NewSubmit(v, route, "id", []byte("body")), otherJob)
 	require.Equal(t, protocol.Status(409), got.Status)
 }
--- a/internal/dispatch/follower.go
+++ b/internal/cluster/router/follower.go
@@ -1,7 +1,7 @@
-// Package dispatch decides for an edge process: which configuration it may go by, whom it
+// Package router decides for an edge process: which configuration it may go by, whom it
 // asks for a shard, what it asks to serve a client's request, and what an answer is worth.
 // It does no I/O and keeps no clock; package dataplane drives it.
-package dispatch
+package router
 
 import (
 	"log/slog"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // View is what an edge goes by. It is replaced as a whole, never changed.
--- a/internal/dispatch/follower_test.go
+++ b/internal/cluster/router/follower_test.go
@@ -1,4 +1,4 @@
-package dispatch_test
+package router_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
 )
 
 func content(version int) []byte {
@@ -27,7 +27,7 @@
 // TestAViewIsGoneByOnlyWhileItIsConfirmed: its age counts from the question, not from the
 // answer, and only a process that still held the lease after it had read confirms it.
 func TestAViewIsGoneByOnlyWhileItIsConfirmed(t *testing.T) {
-	f := dispatch.NewFollower("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
+	f := router.NewFollower("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	_, ok := f.Current(0)
 	require.False(t, ok, "there is none yet")
 	require.True(t, f.Answered("core-0", 10*time.Second, leads(5, true)))
@@ -59,7 +59,7 @@
 // its answer may be gone by, on any deployment.
 func TestShortBoundsAreAskedForMoreOften(t *testing.T) {
 	for _, applyWithin := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 6 * time.Second} {
-		f := dispatch.NewFollower("edge", []string{"core-0"}, applyWithin, slog.New(slog.DiscardHandler))
+		f := router.NewFollower("edge", []string{"core-0"}, applyWithin, slog.New(slog.DiscardHandler))
 		f.Answered("core-0", 0, leads(1, true))
 		_, feed := f.Next(0)
 		wait := time.Duration(feed.WaitMs) * time.Millisecond
@@ -71,7 +71,7 @@
 
 // TestOwnersAreFoundByTurns where none is known, and forgotten where they are silent.
 func TestOwnersAreFoundByTurns(t *testing.T) {
-	f := dispatch.NewFollower("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
+	f := router.NewFollower("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	require.NotEqual(t, f.Owner(0, 0), f.Owner(0, 0))
 	f.Correct(0, "core-0", "core-1")
 	require.Equal(t, "core-1", f.Owner(0, 0))
@@ -91,7 +91,7 @@
 // dispatcher asks them again and finds the new one, instead of waiting for the frozen one anew.
 func TestASilentOwnerIsPassedBy(t *testing.T) {
 	cores := []string{"core-0", "core-1", "core-2"}
-	f := dispatch.NewFollower("edge", cores, 2*time.Second, slog.New(slog.DiscardHandler))
+	f := router.NewFollower("edge", cores, 2*time.Second, slog.New(slog.DiscardHandler))
 	require.True(t, f.Answered("core-0", 0, leads(5, true)))
 	asked, now := time.Second, 1900*time.Millisecond
 	f.Failed("core-0", asked, now)
@@ -114,7 +114,7 @@
 
 // TestAllSilent: where every process was silent lately they are asked by turns all the same.
 func TestAllSilent(t *testing.T) {
-	f := dispatch.NewFollower("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
+	f := router.NewFollower("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	f.Failed("core-0", 0, time.Second)
 	f.Failed("core-1", 0, time.Second)
 	seen := map[string]bool{}
@@ -129,7 +129,7 @@
 // TestAHeldQuestionConfirmsFromItsReadingOn: the owner says how long it held a question before
 // it read the version; less a part, since its clock may run fast.
 func TestAHeldQuestionConfirmsFromItsReadingOn(t *testing.T) {
-	f := dispatch.NewFollower("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler))
+	f := router.NewFollower("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	answer := leads(5, true)
 	answer.HeldMs = 500
 	require.True(t, f.Answered("core-0", 10*time.Second, answer))
--- a/internal/dispatch/silences.go
+++ b/internal/cluster/router/silences.go
@@ -1,4 +1,4 @@
-package dispatch
+package router
 
 import "time"
 
--- a/internal/scheduler/ask.go
+++ b/internal/cluster/scheduler/ask.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/placement"
+	"basaltloft/internal/cluster/placement"
 )
 
 func (o *Owner) ask(b *bundle) *placement.Ask {
--- a/internal/scheduler/bundle.go
+++ b/internal/cluster/scheduler/bundle.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"basaltloft/internal/admission"
-	"basaltloft/internal/job"
-	"basaltloft/internal/lateness"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+	"basaltloft/internal/shared/admission"
 )
 
 // bundleKey names the tasks of one step of one time of a job.
--- a/internal/scheduler/digest_test.go
+++ b/internal/cluster/scheduler/digest_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/golden"
-	"basaltloft/internal/golden/jobtrace"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/jobtrace"
+	"basaltloft/internal/cluster/scheduler"
+	"basaltloft/internal/shared/digesttest"
 )
 
 // digestFile has a line for each seed: seed, orders, commands, digest of both in their order.
@@ -25,7 +25,7 @@
 
 // decisions records what the owners of a world decide; the zero value records nothing.
 type decisions struct {
-	trace    *golden.Trace
+	trace    *digesttest.Trace
 	orders   int
 	commands int
 }
@@ -60,7 +60,7 @@
 		runners, rounds = 6+int(seed%5), 50
 	}
 	w := newWorld(t, seed, runners)
-	w.decisions.trace = golden.New(withText)
+	w.decisions.trace = digesttest.New(withText)
 	play(w, rounds, trouble)
 	return w.decisions
 }
@@ -83,7 +83,7 @@
 
 // TestDecisionDigests holds each decision of 200 days to those on file.
 func TestDecisionDigests(t *testing.T) {
-	if wanted, ok := golden.Traced(); ok {
+	if wanted, ok := digesttest.Traced(); ok {
 		seed, err := strconv.ParseUint(wanted, 10, 64)
 		require.NoError(t, err)
 		d := decisionsOf(t, seed, true)
@@ -91,10 +91,10 @@
 		return
 	}
 	var lines []string
-	for _, seed := range golden.Plays(digestSeeds()) {
+	for _, seed := range digesttest.Plays(digestSeeds()) {
 		lines = append(lines, digestLine(t, seed))
 	}
-	golden.Compare(t, digestFile, lines)
+	digesttest.Compare(t, digestFile, lines)
 }
 
 // TestSeedsAreRepeatable: the same seed, played again by the same process, decides the same.
--- a/internal/scheduler/gang.go
+++ b/internal/cluster/scheduler/gang.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"basaltloft/internal/placement"
+	"basaltloft/internal/cluster/placement"
 )
 
 // placeGang starts all tasks of a step or none.
--- a/internal/scheduler/golden_late_test.go
+++ b/internal/cluster/scheduler/golden_late_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/job"
-	"basaltloft/internal/lateness"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // writeGolden rewrites testdata/late.log. It was written by commit 352ebf2 and must never be
--- a/internal/scheduler/hold.go
+++ b/internal/cluster/scheduler/hold.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"basaltloft/internal/job"
+	"basaltloft/internal/cluster/job"
 )
 
 const (
--- a/internal/scheduler/late.go
+++ b/internal/cluster/scheduler/late.go
@@ -4,9 +4,9 @@
 	"log/slog"
 	"time"
 
-	"basaltloft/internal/job"
-	"basaltloft/internal/lateness"
-	"basaltloft/internal/placement"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+	"basaltloft/internal/cluster/placement"
 )
 
 // jobAccount is what is known of where a job's time went, under this owner.
--- a/internal/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -13,9 +13,9 @@
 	"log/slog"
 	"time"
 
-	"basaltloft/internal/admission"
-	"basaltloft/internal/job"
-	"basaltloft/internal/placement"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/placement"
+	"basaltloft/internal/shared/admission"
 )
 
 // Bounds are the deployment's figures that decisions need.
--- a/internal/scheduler/pass.go
+++ b/internal/cluster/scheduler/pass.go
@@ -6,10 +6,10 @@
 	"sort"
 	"time"
 
-	"basaltloft/internal/admission"
-	"basaltloft/internal/job"
-	"basaltloft/internal/lateness"
-	"basaltloft/internal/placement"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+	"basaltloft/internal/cluster/placement"
+	"basaltloft/internal/shared/admission"
 )
 
 // passEvery is how often ready work is looked at though nothing happened.
--- a/internal/scheduler/rescue.go
+++ b/internal/cluster/scheduler/rescue.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/job"
+	"basaltloft/internal/cluster/job"
 )
 
 const (
--- a/internal/scheduler/runner_test.go
+++ b/internal/cluster/scheduler/runner_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/job"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // clock returns the runner's clock, in milliseconds.
--- a/internal/scheduler/runs.go
+++ b/internal/cluster/scheduler/runs.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"basaltloft/internal/admission"
-	"basaltloft/internal/job"
-	"basaltloft/internal/lateness"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+	"basaltloft/internal/shared/admission"
 )
 
 // startApplied sends the order whose command was committed, or gives its place back.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/cluster/scheduler/scheduler_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/job"
-	"basaltloft/internal/witness"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/shared/failuretest"
 )
 
 // draw makes a job of any kind.
@@ -179,7 +179,7 @@
 func trips(t *testing.T, planted mistake) {
 	t.Helper()
 	for seed := range uint64(200) {
-		found := witness.Catch(t, func(t testing.TB) {
+		found := failuretest.Catch(t, func(t testing.TB) {
 			w := newWorld(t, 70_000+seed, 7)
 			w.mistake = planted
 			play(w, 50, true)
--- a/internal/scheduler/session.go
+++ b/internal/cluster/scheduler/session.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/admission"
-	"basaltloft/internal/job"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/shared/admission"
 )
 
 // phase is how far a run has come, as far as this owner knows.
--- a/internal/scheduler/silence.go
+++ b/internal/cluster/scheduler/silence.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"basaltloft/internal/job"
+	"basaltloft/internal/cluster/job"
 )
 
 // A runner that owes an answer is given nothing new. Where several fall silent together, a part
--- a/internal/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/job"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // The world of these tests: a shard's store with a commit that takes a while, owners that
--- a/internal/boot/golden_test.go
+++ b/internal/cluster/settings/golden_test.go
@@ -1,4 +1,4 @@
-package boot_test
+package settings_test
 
 import (
 	"os"
@@ -9,29 +9,29 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/boot"
+	"basaltloft/internal/cluster/settings"
 )
 
 // The files under testdata give the settings as commit 352ebf2 reads them. They must never follow
 // later code: the platform writes these keys.
 
-func goldenSettings() boot.Settings {
-	return boot.Settings{
+func goldenSettings() settings.Settings {
+	return settings.Settings{
 		NodeName: "core-a-1", IP: "10.1.0.15", Zone: "zone-a", Region: "region-1",
-		Listen:    boot.Listen{HTTP: "10.1.0.15:8080", Readiness: "10.1.0.15:8081", Control: "10.1.0.15:8146"},
+		Listen:    settings.Listen{HTTP: "10.1.0.15:8080", Readiness: "10.1.0.15:8081", Control: "10.1.0.15:8146"},
 		PortRange: []int{7660, 7675}, Seeds: []string{"10.1.0.15:8146", "10.2.0.25:8146"}, Bootstrap: true, CountsForQuorum: true,
-		Limits:  boot.Limits{CPUQuota: 1.5, MemoryMB: 280, MaxFDs: 1024, DiskMB: 2048},
-		DataDir: "/data/x", FaultTolerance: boot.Losses{Machines: 1, Zones: 2, Regions: 3},
-		Bounds: boot.Bounds{
+		Limits:  settings.Limits{CPUQuota: 1.5, MemoryMB: 280, MaxFDs: 1024, DiskMB: 2048},
+		DataDir: "/data/x", FaultTolerance: settings.Losses{Machines: 1, Zones: 2, Regions: 3},
+		Bounds: settings.Bounds{
 			ContactMs: 101, AckMs: 102, DrainMs: 103, GraceS: 104.5, ConfigApplyMs: 105, HoldMaxMs: 106, StopMs: 107, GangMs: 108,
 			CancelMs: 109, VisibleMs: 110, EarlyMs: 111, StatusS: 112.5, FarX: 113.5, SaveS: 114.5, RestoreMs: 115,
 		},
-		Commands: "rpc", CloudAPI: boot.CloudAPI{Address: "10.9.0.1:80", PerS: 116.5, MaxLagMs: 117},
+		Commands: "rpc", CloudAPI: settings.CloudAPI{Address: "10.9.0.1:80", PerS: 116.5, MaxLagMs: 117},
 	}
 }
 
 func TestEachGoldenKeyIsRead(t *testing.T) {
-	settings, err := boot.Load("testdata/all-keys.yaml")
+	settings, err := settings.Load("testdata/all-keys.yaml")
 	require.NoError(t, err)
 	require.Equal(t, goldenSettings(), settings)
 }
@@ -40,7 +40,7 @@
 func TestGoldenKeysAreAllKeys(t *testing.T) {
 	content, err := os.ReadFile("testdata/keys.txt")
 	require.NoError(t, err)
-	require.Equal(t, string(content), strings.Join(keysOf("", reflect.TypeFor[boot.Settings]()), "\n")+"\n")
+	require.Equal(t, string(content), strings.Join(keysOf("", reflect.TypeFor[settings.Settings]()), "\n")+"\n")
 }
 
 func keysOf(prefix string, of reflect.Type) []string {
@@ -59,32 +59,32 @@
 
 // TestGoldenDefaults: what is left out has its usual value.
 func TestGoldenDefaults(t *testing.T) {
-	settings, err := boot.Parse([]byte("ip: \"10.1.0.15\"\nport_range: [7660, 7675]\nseeds: [\"10.1.0.15:8146\"]\n"))
+	parsed, err := settings.Parse([]byte("ip: \"10.1.0.15\"\nport_range: [7660, 7675]\nseeds: [\"10.1.0.15:8146\"]\n"))
 	require.NoError(t, err)
-	require.Equal(t, boot.Settings{
+	require.Equal(t, settings.Settings{
 		IP: "10.1.0.15", PortRange: []int{7660, 7675}, Seeds: []string{"10.1.0.15:8146"},
-		Bounds: boot.Bounds{
+		Bounds: settings.Bounds{
 			ContactMs: 3000, AckMs: 4000, DrainMs: 3000, GraceS: 6, ConfigApplyMs: 2000, HoldMaxMs: 6000, StopMs: 400, GangMs: 3000,
 			CancelMs: 3000, EarlyMs: 250, StatusS: 120, FarX: 1, RestoreMs: 250,
 		},
-	}, settings)
-	require.Equal(t, 6*time.Second, settings.Bounds.HoldMax())
-	require.Equal(t, 6*time.Second, settings.Bounds.Grace())
+	}, parsed)
+	require.Equal(t, 6*time.Second, parsed.Bounds.HoldMax())
+	require.Equal(t, 6*time.Second, parsed.Bounds.Grace())
 }
 
 // TestUnknownKeysAreSkipped: the platform may give more than this build knows.
 func TestUnknownKeysAreSkipped(t *testing.T) {
 	content, err := os.ReadFile("testdata/all-keys.yaml")
 	require.NoError(t, err)
-	settings, err := boot.Parse(append(content, "not_known: 1\nnot_known_either: {a: [1]}\n"...))
+	parsed, err := settings.Parse(append(content, "not_known: 1\nnot_known_either: {a: [1]}\n"...))
 	require.NoError(t, err)
-	require.Equal(t, goldenSettings(), settings)
+	require.Equal(t, goldenSettings(), parsed)
 }
 
 // TestPlaceOfTheSettings: the variable and the path that the platform goes by.
 func TestPlaceOfTheSettings(t *testing.T) {
 	t.Setenv("BASALTLOFT_BOOT", "")
-	require.Equal(t, "/etc/basaltloft/settings.yaml", boot.Path())
+	require.Equal(t, "/etc/basaltloft/settings.yaml", settings.Path())
 	t.Setenv("BASALTLOFT_BOOT", "/elsewhere.yaml")
-	require.Equal(t, "/elsewhere.yaml", boot.Path())
+	require.Equal(t, "/elsewhere.yaml", settings.Path())
 }
--- a/internal/boot/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -1,5 +1,5 @@
-// Package boot reads the settings file that the platform gives each process.
-package boot
+// Package settings reads the settings file that the platform gives each process.
+package settings
 
 import (
 	"net"
--- a/internal/boot/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -1,4 +1,4 @@
-package boot_test
+package settings_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/boot"
+	"basaltloft/internal/cluster/settings"
 )
 
 const whole = `
@@ -39,7 +39,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := boot.Parse([]byte(whole))
+	s, err := settings.Parse([]byte(whole))
 	require.NoError(t, err)
 	require.Equal(t, []string{"10.1.0.15:7660", "10.2.0.25:7660"}, s.SeedAddresses())
 	require.Equal(t, 5*time.Second, s.Bounds.HoldMax())
@@ -55,9 +55,9 @@
 		"seeds": {`"10.2.0.25:8146"`, `"10.2.0.25"`, "write host:port"},
 		"yaml":  {"limits:", "limits: [", "not YAML"},
 	} {
-		_, err := boot.Parse([]byte(strings.Replace(whole, one.from, one.to, 1)))
+		_, err := settings.Parse([]byte(strings.Replace(whole, one.from, one.to, 1)))
 		require.ErrorContains(t, err, one.says, name)
 	}
-	_, err := boot.Load("/nowhere/settings.yaml")
-	require.ErrorContains(t, err, boot.Variable)
+	_, err := settings.Load("/nowhere/settings.yaml")
+	require.ErrorContains(t, err, settings.Variable)
 }
--- a/internal/simworld/check_test.go
+++ b/internal/cluster/simworld/check_test.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"basaltloft/coord/group"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
 )
 
 func operation(client int, from, to int64, in, out any) porcupine.Operation {
--- a/internal/simworld/client_test.go
+++ b/internal/cluster/simworld/client_test.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
 )
 
 const (
@@ -208,7 +208,7 @@
 	from, sent := w.stamp(), w.now
 	e := w.edges[w.random.IntN(len(w.edges))]
 	client := len(j.operations)
-	var build func(*dispatch.View, *opconfig.Route) *dispatch.Call
+	var build func(*router.View, *opconfig.Route) *router.Call
 	switch verb {
 	case verbPost:
 		build = buildSubmit(j.id, body)
--- a/internal/simworld/core_test.go
+++ b/internal/cluster/simworld/core_test.go
@@ -13,10 +13,10 @@
 	"basaltloft/coord/replica"
 	"basaltloft/coord/ringlog"
 	"basaltloft/coord/simdisk"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // services are two services in shards of their own; queues move between them.
@@ -59,8 +59,8 @@
 
 	groups map[string]*replicaGroup
 	names  []string
-	config *owner.Configuration
-	shards map[int]*owner.Shard
+	config *leader.Configuration
+	shards map[int]*leader.Shard
 	driven map[int]bool
 }
 
@@ -118,7 +118,7 @@
 	for _, name := range c.names {
 		g := c.groups[name]
 		waits = waits || g.leader.ID == c.identity.id
-		for _, address := range owner.LeaveTargets(g.engine.Members(), c.identity.id, c.w.seeds()) {
+		for _, address := range leader.LeaveTargets(g.engine.Members(), c.identity.id, c.w.seeds()) {
 			waits = true
 			c.w.record.leave(c, address, name)
 			c.w.carry(c.name, address, func() {
@@ -148,7 +148,7 @@
 		return
 	}
 	c.w.serial++
-	id, founding := owner.Founding(c.bootstrap, c.w.seeds(), c.name, fmt.Sprintf("%s#%d", c.name, c.w.serial))
+	id, founding := leader.Founding(c.bootstrap, c.w.seeds(), c.name, fmt.Sprintf("%s#%d", c.name, c.w.serial))
 	c.after(c.syncTime(), func() {
 		c.identity.id, c.identity.founding = id, founding
 		c.open()
@@ -157,14 +157,14 @@
 
 func (c *core) open() {
 	c.groups, c.names = map[string]*replicaGroup{}, nil
-	c.shards, c.driven = map[int]*owner.Shard{}, map[int]bool{}
-	c.config = owner.NewConfiguration(c.tellShards, func(uint64) {}, c.w.log)
+	c.shards, c.driven = map[int]*leader.Shard{}, map[int]bool{}
+	c.config = leader.NewConfiguration(c.tellShards, func(uint64) {}, c.w.log)
 	c.config.Join(c.openGroup(protocol.ConfigGroup, c.w.mistaken(c.config)))
-	clocks := owner.Clocks{Steady: c.steady, WallMs: c.wallMs}
+	clocks := leader.Clocks{Steady: c.steady, WallMs: c.wallMs}
 	limits := scheduler.Bounds{HoldMax: 6 * time.Second, StopMs: 400, FarX: 1, Restore: 250 * time.Millisecond, Status: 2 * time.Minute}
 	for _, service := range services {
 		number := protocol.ShardOf(service)
-		shard := owner.NewShard(number, limits, clocks, func() { c.nudge(number) }, c.w.log)
+		shard := leader.NewShard(number, limits, clocks, func() { c.nudge(number) }, c.w.log)
 		shard.Join(c.openGroup(protocol.ShardGroup(number), shard))
 		shard.TakeConfig(c.config.Current())
 		c.shards[number] = shard
@@ -355,7 +355,7 @@
 	pause := joinSlowly
 	for _, name := range c.names {
 		g := c.groups[name]
-		for _, address := range owner.JoinTargets(g.engine.Members(), g.leader, c.identity.id, c.w.seeds()) {
+		for _, address := range leader.JoinTargets(g.engine.Members(), g.leader, c.identity.id, c.w.seeds()) {
 			pause = joinEvery
 			c.castJoin(address, protocol.Join{Group: name, Member: replica.Member{ID: c.identity.id, Address: c.name}})
 		}
@@ -377,7 +377,7 @@
 		g.step(func(now time.Duration) { g.engine.AskToJoin(now, ask.Member) })
 		relayed := ask
 		relayed.Relayed = true
-		to.castJoin(owner.Relay(ask, g.leader, to.identity.id), relayed)
+		to.castJoin(leader.Relay(ask, g.leader, to.identity.id), relayed)
 	})
 }
 
--- a/internal/simworld/digest_test.go
+++ b/internal/cluster/simworld/digest_test.go
@@ -16,12 +16,12 @@
 
 	"basaltloft/coord/group"
 	"basaltloft/coord/replica"
-	"basaltloft/internal/golden"
-	"basaltloft/internal/golden/jobtrace"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/jobtrace"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/scheduler"
+	"basaltloft/internal/shared/digesttest"
 )
 
 // digestFile has a line for each seed: seed, orders to runners, commits, messages between
@@ -33,7 +33,7 @@
 
 // record records what passes in a world; the zero value records nothing.
 type record struct {
-	trace    *golden.Trace
+	trace    *digesttest.Trace
 	orders   int
 	commits  int
 	messages int
@@ -47,14 +47,14 @@
 
 func recordOf(t testing.TB, seed uint64, withText bool) *record {
 	w := newWorld(t, seed, deployments[seed%uint64(len(deployments))])
-	w.record.trace = golden.New(withText)
+	w.record.trace = digesttest.New(withText)
 	w.playDay()
 	return &w.record
 }
 
 // TestSeedDigests holds what passes between the processes of 200 days to what is on file.
 func TestSeedDigests(t *testing.T) {
-	if wanted, ok := golden.Traced(); ok {
+	if wanted, ok := digesttest.Traced(); ok {
 		seed, err := strconv.ParseUint(wanted, 10, 64)
 		require.NoError(t, err)
 		fmt.Print(recordOf(t, seed, true).trace.Text())
@@ -64,7 +64,7 @@
 	for seed := range all {
 		all[seed] = uint64(seed)
 	}
-	seeds := golden.Plays(all)
+	seeds := digesttest.Plays(all)
 	lines := make([]string, len(seeds))
 	var next atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
@@ -77,13 +77,13 @@
 			})
 		}
 	})
-	golden.Compare(t, digestFile, lines)
+	digesttest.Compare(t, digestFile, lines)
 }
 
 // TestSeedsAreRepeatable: the same seed, played again by the same process, gives the same.
 func TestSeedsAreRepeatable(t *testing.T) {
 	t.Parallel()
-	for _, seed := range golden.Plays([]uint64{0, 1, 2, 3}) {
+	for _, seed := range digesttest.Plays([]uint64{0, 1, 2, 3}) {
 		require.Equal(t, digestLine(t, seed), digestLine(t, seed))
 	}
 }
--- a/internal/simworld/edge_test.go
+++ b/internal/cluster/simworld/edge_test.go
@@ -4,9 +4,9 @@
 	"net/http"
 	"time"
 
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
 )
 
 const (
@@ -20,14 +20,14 @@
 // edge is a dispatcher: it drives a follower and clients' calls, as package dataplane does.
 type edge struct {
 	*process
-	follower *dispatch.Follower
+	follower *router.Follower
 	highest  int64 // version that this life has acted on
 }
 
 func (w *world) addEdge(name string) *edge {
 	e := &edge{process: w.addProcess(name)}
 	e.start = func() {
-		e.follower = dispatch.NewFollower(name, w.seeds(), w.bounds.applyWithin, w.log)
+		e.follower = router.NewFollower(name, w.seeds(), w.bounds.applyWithin, w.log)
 		e.highest = 0
 		e.poll()
 	}
@@ -58,7 +58,7 @@
 }
 
 // current returns the view that may be acted on at this moment, and checks that it may be.
-func (e *edge) current(sent time.Duration) (*dispatch.View, bool) {
+func (e *edge) current(sent time.Duration) (*router.View, bool) {
 	v, ok := e.follower.Current(e.steady())
 	if !ok {
 		return nil, false
@@ -72,7 +72,7 @@
 	queue    string
 	sent     time.Duration // by the client
 	deadline time.Duration // by the edge's clock
-	build    func(*dispatch.View, *opconfig.Route) *dispatch.Call
+	build    func(*router.View, *opconfig.Route) *router.Call
 	reply    func(protocol.Answer)
 }
 
@@ -93,7 +93,7 @@
 }
 
 // pass asks owners by turns until the call has its answer.
-func (e *edge) pass(r request, call *dispatch.Call, v *dispatch.View) {
+func (e *edge) pass(r request, call *router.Call, v *router.View) {
 	now := e.steady()
 	if now >= r.deadline {
 		r.reply(call.GivenUp())
@@ -103,7 +103,7 @@
 	target := e.follower.Owner(shard, now)
 	e.call(target, min(tryWithin, r.deadline-now), func(reply func(any)) { e.serveAt(target, message, reply) }, func(answer any, ok bool) {
 		got, _ := answer.(protocol.Answer)
-		progress := dispatch.Retry
+		progress := router.Retry
 		switch {
 		case !ok:
 			if e.w.mistake != refusedAfterUnknown {
@@ -116,11 +116,11 @@
 			got, progress = call.Answered(got)
 		}
 		switch progress {
-		case dispatch.Finished:
+		case router.Finished:
 			r.reply(got)
-		case dispatch.Outdated:
+		case router.Outdated:
 			e.awaitNewer(r, call, v, got.Moved)
-		case dispatch.Continue:
+		case router.Continue:
 			e.pass(r, call, v)
 		default:
 			e.after(triesApart, func() { e.pass(r, call, v) })
@@ -129,7 +129,7 @@
 }
 
 // awaitNewer begins a call anew once a newer configuration has come.
-func (e *edge) awaitNewer(r request, call *dispatch.Call, v *dispatch.View, wanted int64) {
+func (e *edge) awaitNewer(r request, call *router.Call, v *router.View, wanted int64) {
 	if e.steady() >= r.deadline {
 		r.reply(call.GivenUp())
 		return
--- a/internal/simworld/history_test.go
+++ b/internal/cluster/simworld/history_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"basaltloft/internal/dispatch"
-	"basaltloft/internal/job"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // never is the return of an operation without a clear answer: it may take effect at any time.
@@ -301,14 +301,14 @@
 const bodyFormat = `{"spec":"%s","stages":[{"count":2,"cpu":100,"mem_mb":1,"estimate_ms":200},{"count":1,"cpu":100,"depends_on":[0]}]}`
 
 // buildSubmit and buildAsk are what an edge makes of a client's request.
-func buildSubmit(id, body string) func(*dispatch.View, *opconfig.Route) *dispatch.Call {
-	return func(v *dispatch.View, route *opconfig.Route) *dispatch.Call {
-		return dispatch.NewSubmit(v, route, id, []byte(body))
+func buildSubmit(id, body string) func(*router.View, *opconfig.Route) *router.Call {
+	return func(v *router.View, route *opconfig.Route) *router.Call {
+		return router.NewSubmit(v, route, id, []byte(body))
 	}
 }
 
-func buildAsk(verb protocol.Verb, id string) func(*dispatch.View, *opconfig.Route) *dispatch.Call {
-	return func(v *dispatch.View, route *opconfig.Route) *dispatch.Call {
-		return dispatch.NewAsk(v, route, verb, id)
+func buildAsk(verb protocol.Verb, id string) func(*router.View, *opconfig.Route) *router.Call {
+	return func(v *router.View, route *opconfig.Route) *router.Call {
+		return router.NewAsk(v, route, verb, id)
 	}
 }
--- a/internal/simworld/mistakes_test.go
+++ b/internal/cluster/simworld/mistakes_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"basaltloft/coord/group"
-	"basaltloft/internal/opconfig"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // mistake is a fault planted to show that a check finds it.
@@ -56,13 +56,13 @@
 }
 
 // mistaken returns the configuration's replica, with a mistake where one is planted.
-func (w *world) mistaken(c *owner.Configuration) group.StateMachine {
+func (w *world) mistaken(c *leader.Configuration) group.StateMachine {
 	return &mistakenConfiguration{Configuration: c, w: w, seen: map[int64]bool{}}
 }
 
 // mistakenConfiguration is a replica with a mistake.
 type mistakenConfiguration struct {
-	*owner.Configuration
+	*leader.Configuration
 	w    *world
 	seen map[int64]bool
 }
--- a/internal/simworld/planted_test.go
+++ b/internal/cluster/simworld/planted_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"basaltloft/internal/witness"
+	"basaltloft/internal/shared/failuretest"
 )
 
 // caughtWithin is, for each planted mistake, within how many seeds a check finds it.
@@ -32,7 +32,7 @@
 		t.Run(wanted.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range wanted.seeds {
-				found := witness.Catch(t, func(t testing.TB) { play(t, 1_000_000+seed, planted, false) })
+				found := failuretest.Catch(t, func(t testing.TB) { play(t, 1_000_000+seed, planted, false) })
 				if found != "" {
 					t.Logf("after %d seeds: %.300s", seed+1, found)
 					return
--- a/internal/simworld/points_test.go
+++ b/internal/cluster/simworld/points_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/protocol"
+	"basaltloft/internal/cluster/protocol"
 )
 
 // The tests of this file bring about, one by one, the five failures that
--- a/internal/simworld/runner_test.go
+++ b/internal/cluster/simworld/runner_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/job"
-	"basaltloft/internal/owner"
-	"basaltloft/internal/scheduler"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/scheduler"
 )
 
 // runner runs tasks as the protocol says. Its machine is never lost: what becomes of runners
@@ -93,7 +93,7 @@
 }
 
 // sendOrder carries an order to its runner while the lease lasts, and the answer back.
-func (c *core) sendOrder(shard *owner.Shard, sender *scheduler.Owner, order scheduler.Order) {
+func (c *core) sendOrder(shard *leader.Shard, sender *scheduler.Owner, order scheduler.Order) {
 	c.w.checkToken(c, order)
 	c.w.record.order(c, &order)
 	if !shard.MaySend(order) {
--- a/internal/systemtest/system_test.go
+++ b/internal/cluster/systemtest/system_test.go
@@ -16,11 +16,11 @@
 	"github.com/stretchr/testify/require"
 
 	"basaltloft/coord/rpc"
-	"basaltloft/internal/boot"
-	"basaltloft/internal/controlplane"
-	"basaltloft/internal/dataplane"
-	"basaltloft/internal/protocol"
-	"basaltloft/internal/systemtest"
+	"basaltloft/internal/cluster/controlplane"
+	"basaltloft/internal/cluster/dataplane"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/settings"
+	"basaltloft/internal/cluster/systemtest"
 )
 
 // system is three core processes and an edge, each at a loopback address of its own.
@@ -71,7 +71,7 @@
 		s.folders[ip] = t.TempDir()
 		s.startCore(ip, true)
 	}
-	e := dataplane.New(s.settings(edge, true), slog.New(slog.DiscardHandler))
+	e := dataplane.New(s.processSettings(edge, true), slog.New(slog.DiscardHandler))
 	s.run(edge, e.Run)
 	t.Cleanup(func() {
 		for _, stop := range s.stops {
@@ -83,20 +83,20 @@
 	return s
 }
 
-func (s *system) settings(ip string, bootstrap bool) boot.Settings {
-	settings := boot.Settings{NodeName: ip, IP: ip, PortRange: []int{s.port, s.port + 1}, Bootstrap: bootstrap, DataDir: s.folders[ip]}
-	settings.Listen = boot.Listen{HTTP: fmt.Sprintf("%s:%d", ip, s.port+2), Readiness: fmt.Sprintf("%s:%d", ip, s.port+3), Control: fmt.Sprintf("%s:%d", ip, s.port+2)}
+func (s *system) processSettings(ip string, bootstrap bool) settings.Settings {
+	processSettings := settings.Settings{NodeName: ip, IP: ip, PortRange: []int{s.port, s.port + 1}, Bootstrap: bootstrap, DataDir: s.folders[ip]}
+	processSettings.Listen = settings.Listen{HTTP: fmt.Sprintf("%s:%d", ip, s.port+2), Readiness: fmt.Sprintf("%s:%d", ip, s.port+3), Control: fmt.Sprintf("%s:%d", ip, s.port+2)}
 	for _, core := range cores {
-		settings.Seeds = append(settings.Seeds, fmt.Sprintf("%s:%d", core, s.port+2))
+		processSettings.Seeds = append(processSettings.Seeds, fmt.Sprintf("%s:%d", core, s.port+2))
 	}
-	settings.FaultTolerance.Machines = 1
-	settings.CloudAPI.Address = strings.TrimPrefix(s.platform.Server.URL, "http://")
-	settings.Bounds = boot.Bounds{HoldMaxMs: 6000, ConfigApplyMs: 2000, GraceS: 0.2, StatusS: 120, FarX: 1}
-	return settings
+	processSettings.FaultTolerance.Machines = 1
+	processSettings.CloudAPI.Address = strings.TrimPrefix(s.platform.Server.URL, "http://")
+	processSettings.Bounds = settings.Bounds{HoldMaxMs: 6000, ConfigApplyMs: 2000, GraceS: 0.2, StatusS: 120, FarX: 1}
+	return processSettings
 }
 
 func (s *system) startCore(ip string, bootstrap bool) {
-	core, err := controlplane.New(s.settings(ip, bootstrap), slog.New(slog.DiscardHandler))
+	core, err := controlplane.New(s.processSettings(ip, bootstrap), slog.New(slog.DiscardHandler))
 	require.NoError(s.t, err)
 	s.run(ip, core.Run)
 }
--- a/internal/account/account_test.go
+++ b/internal/dispatcher/accounting/account_test.go
@@ -1,11 +1,11 @@
-package account
+package accounting
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
@@ -51,7 +51,7 @@
 					if n > 0 {
 						out[at]--
 						flows--
-						b.FlowEnded(at[0], at[1], basaltloft.Status(rapid.IntRange(0, flowStatuses-1).Draw(t, "status")))
+						b.FlowEnded(at[0], at[1], policy.Status(rapid.IntRange(0, flowStatuses-1).Draw(t, "status")))
 						return
 					}
 				}
@@ -177,7 +177,7 @@
 		"the total":         {func(b *Book, e *Entry) { b.totals.Taken++ }, sums},
 		"a whole job twice": {func(b *Book, e *Entry) { e.row.Entered++; e.row.Ends[Answered]++ }, sums},
 		"a job ended twice": {func(b *Book, e *Entry) { b.End(e, GivenUp, start); b.End(e, GivenUp, start) }, sums},
-		"a flow":            {func(b *Book, e *Entry) { b.flow("hold", "cell 0").Ends[basaltloft.Full]++ }, sums},
+		"a flow":            {func(b *Book, e *Entry) { b.flow("hold", "cell 0").Ends[policy.Full]++ }, sums},
 		"a flow, whole":     {func(b *Book, e *Entry) { f := b.flow("hold", "cell 0"); f.Sent++; f.Out++ }, sums},
 		"an ask":            {func(b *Book, e *Entry) { b.asks.Ends[Served]++ }, sums},
 		"a job the core lost": {func(b *Book, e *Entry) {}, func(b *Book, _ *Entry) []Difference {
@@ -224,7 +224,7 @@
 		j := Job{Front: "http", Class: "hold", Tenant: fmt.Sprint("t", n), Key: fmt.Sprint("k", n)}
 		e := b.Enter(j, start)
 		b.Sent(e, fmt.Sprint("cell ", n), start)
-		b.FlowEnded("hold", fmt.Sprint("cell ", n), basaltloft.OK)
+		b.FlowEnded("hold", fmt.Sprint("cell ", n), policy.OK)
 		b.End(e, Answered, start)
 	}
 	require.Empty(t, b.Sums())
@@ -245,7 +245,7 @@
 	one := func(n int) {
 		e := book.Enter(Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: keys[n%len(keys)]}, now)
 		book.Sent(e, "cell 0", now)
-		book.FlowEnded("place-hold", "cell 0", basaltloft.OK)
+		book.FlowEnded("place-hold", "cell 0", policy.OK)
 		book.End(e, Answered, now.Add(time.Second))
 		now = now.Add(time.Millisecond)
 	}
--- a/internal/account/asks.go
+++ b/internal/dispatcher/accounting/asks.go
@@ -1,4 +1,4 @@
-package account
+package accounting
 
 import (
 	"time"
--- a/internal/account/book.go
+++ b/internal/dispatcher/accounting/book.go
@@ -1,9 +1,9 @@
-package account
+package accounting
 
 import (
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -65,7 +65,7 @@
 }
 
 // flowStatuses is how many ways a flow may end.
-const flowStatuses = int(basaltloft.Unfit) + 1
+const flowStatuses = int(policy.Unfit) + 1
 
 // FlowRow counts the flows of one class at one group. Sent = sum of Ends + Out.
 type FlowRow struct {
@@ -230,7 +230,7 @@
 }
 
 // FlowEnded counts the end of a flow, which may come after its job's.
-func (b *Book) FlowEnded(class, group string, s basaltloft.Status) {
+func (b *Book) FlowEnded(class, group string, s policy.Status) {
 	f := b.flow(class, group)
 	f.Out--
 	f.Ends[s]++
--- a/internal/account/reason.go
+++ b/internal/dispatcher/accounting/reason.go
@@ -1,4 +1,4 @@
-// Package account counts every job that is taken, so that at every instant
+// Package accounting counts every job that is taken, so that at every instant
 //
 //	taken = served + refused + failed + open
 //
@@ -8,12 +8,12 @@
 // where two counts of one thing differ. It does no I/O and keeps no clock.
 //
 // A Book belongs to one goroutine, the core's; a Desk may be used by any.
-package account
+package accounting
 
 import (
 	"fmt"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // Outcome is how a job ended, as the clients are told in figures.
@@ -75,13 +75,13 @@
 func (r Reason) Outcome() Outcome { return reasons[r].outcome }
 
 var statuses = [flowStatuses]string{
-	basaltloft.OK: "ok", basaltloft.Error: "error", basaltloft.Full: "full", basaltloft.TimedOut: "timed out",
-	basaltloft.ConnectFailed: "connect failed", basaltloft.Reset: "reset", basaltloft.Cancelled: "cancelled", basaltloft.Moot: "moot",
-	basaltloft.Unfit: "unfit",
+	policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.TimedOut: "timed out",
+	policy.ConnectFailed: "connect failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.Moot: "moot",
+	policy.Unfit: "unfit",
 }
 
 // StatusName is how a flow ended, in a word or two.
-func StatusName(s basaltloft.Status) string { return statuses[s] }
+func StatusName(s policy.Status) string { return statuses[s] }
 
 // FlowStatus is the same for the number of a column of FlowRow.Ends.
 func FlowStatus(i int) string { return statuses[i] }
--- a/internal/door/door.go
+++ b/internal/dispatcher/adminapi/door.go
@@ -1,8 +1,8 @@
-// Package door is the operators' door: a small HTTP/1.1 listener, one call to
+// Package adminapi is the operators' door: a small HTTP/1.1 listener, one call to
 // a connection, where on-call staff ask whether this process can serve, take
 // runners out and put them back, and drain the dispatcher. It never waits for
 // the core's backlog of jobs: what it is told is set at once and handed on.
-package door
+package adminapi
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/pipeline"
 
 	"github.com/sirupsen/logrus"
 )
@@ -45,7 +45,7 @@
 	mostCall = 4 << 10
 	// mostNews leaves room for a result of the greatest size, escaped in JSON,
 	// as the clients' address does.
-	mostNews = 2*stage.MaxBody + 1024
+	mostNews = 2*pipeline.MaxBody + 1024
 )
 
 // Door is the listener's server.
--- a/internal/door/door_test.go
+++ b/internal/dispatcher/adminapi/door_test.go
@@ -1,10 +1,10 @@
-package door_test
+package adminapi_test
 
 import (
 	"strings"
 	"testing"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 )
 
 // job is served by the runner named.
--- a/internal/door/fleet.go
+++ b/internal/dispatcher/adminapi/fleet.go
@@ -1,4 +1,4 @@
-package door
+package adminapi
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/pipeline"
 )
 
 // Fleet is what the door sets and asks of the fleet layer.
@@ -195,12 +195,12 @@
 		d.refuse(w, r, http.StatusBadRequest, "a run has an id of the caller's: ?run=ID, the same when it asks again")
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, stage.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, pipeline.MaxBody+1))
 	switch {
 	case err != nil:
 		d.refuse(w, r, http.StatusBadRequest, "the input could not be read")
 		return
-	case len(body) > stage.MaxBody:
+	case len(body) > pipeline.MaxBody:
 		d.refuse(w, r, http.StatusRequestEntityTooLarge, "the input is too large")
 		return
 	}
--- a/internal/door/golden_test.go
+++ b/internal/dispatcher/adminapi/golden_test.go
@@ -1,4 +1,4 @@
-package door
+package adminapi
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/sirupsen/logrus"
 )
--- a/internal/vacancy/vacancy.go
+++ b/internal/dispatcher/capacityindex/vacancy.go
@@ -1,4 +1,4 @@
-// Package vacancy is an index of the members that may have room. It does no I/O
+// Package capacityindex is an index of the members that may have room. It does no I/O
 // and decides nothing: who may have room is told to it, by whoever knows, when
 // that changes. Searches that would look at the whole fleet then look at those
 // alone, from a random place on, and stop once they have seen enough.
@@ -7,7 +7,7 @@
 // in, taking out and asking by number cost the same with ten members as with ten
 // thousand. Weighed against a heap, a tournament tree and buckets in
 // docs/routing-design.md.
-package vacancy
+package capacityindex
 
 // Place is where a member stands in one set. Its zero value stands nowhere. A
 // member has one for each set that it may be in.
--- a/internal/cli/cli_test.go
+++ b/internal/dispatcher/cli/cli_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/journal"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/journal"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -98,10 +98,10 @@
 		require.Contains(t, out, path+": "+want)
 	}
 	require.Equal(t, 6, strings.Count(out, "\n"), out)
-	examples, err := filepath.Glob(filepath.Join("..", "..", "experiments", "*.json"))
+	examples, err := filepath.Glob(filepath.Join("..", "..", "..", "experiments", "*.json"))
 	require.NoError(t, err)
 	require.NotEmpty(t, examples)
-	for _, example := range append(examples, filepath.Join("..", "..", "deploy", "operator-example.json"), filepath.Join("..", "..", "deploy", "config-example.json")) {
+	for _, example := range append(examples, filepath.Join("..", "..", "..", "deploy", "operator-example.json"), filepath.Join("..", "..", "..", "deploy", "config-example.json")) {
 		status, out, errs := call("config", "check", example)
 		require.Equal(t, exitOK, status, out+errs)
 		require.Equal(t, 1, strings.Count(out, "\n"), out)
@@ -111,7 +111,7 @@
 // TestCheckPlans: a plan file is checked against the classes of the configuration
 // that is named, and not without.
 func TestCheckPlans(t *testing.T) {
-	at := func(name string) string { return filepath.Join("..", "..", name) }
+	at := func(name string) string { return filepath.Join("..", "..", "..", name) }
 	plans := at("deploy/plans-archive-example.hcl")
 	status, out, errs := call("config", "check", plans, "--config", at("experiments/archive.json"))
 	require.Equal(t, exitOK, status, out+errs)
@@ -138,8 +138,8 @@
 	start := time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
 	j, err := journal.Open(f, journal.Settings{SegmentBytes: 1 << 20, KeepBytes: 1 << 30, KeepFor: time.Hour}, start, log, nil)
 	require.NoError(t, err)
-	j.Enter(1, account.Job{Front: "http", Class: "place-hold", Tenant: "a"}, start)
-	j.End(1, "cell 0", account.Answered, start.Add(25*time.Millisecond))
+	j.Enter(1, accounting.Job{Front: "http", Class: "place-hold", Tenant: "a"}, start)
+	j.End(1, "cell 0", accounting.Answered, start.Add(25*time.Millisecond))
 	require.NoError(t, j.Close())
 	status, out, _ := call("figures", "verify", dir)
 	require.Equal(t, exitOK, status, out)
--- a/internal/cli/faktory.go
+++ b/internal/dispatcher/cli/faktory.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"basaltloft/internal/faktory/client"
+	"basaltloft/internal/dispatcher/faktory/client"
 
 	"github.com/spf13/cobra"
 )
--- a/internal/cli/figures.go
+++ b/internal/dispatcher/cli/figures.go
@@ -13,9 +13,9 @@
 	"text/tabwriter"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/figures"
-	"basaltloft/internal/journal"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/metrics"
 
 	"github.com/spf13/cobra"
 )
@@ -40,12 +40,12 @@
 				dims = strings.Split(by, ",")
 			}
 			for _, d := range dims {
-				if !slices.Contains(figures.Dimensions, d) {
-					return misuse{fmt.Errorf("--by takes any of %s, not %q", strings.Join(figures.Dimensions, ", "), d)}
+				if !slices.Contains(metrics.Dimensions, d) {
+					return misuse{fmt.Errorf("--by takes any of %s, not %q", strings.Join(metrics.Dimensions, ", "), d)}
 				}
 			}
-			if window != "" && !slices.Contains(figures.Windows, window) {
-				return misuse{fmt.Errorf("--window takes one of %s, not %q", strings.Join(figures.Windows, ", "), window)}
+			if window != "" && !slices.Contains(metrics.Windows, window) {
+				return misuse{fmt.Errorf("--window takes one of %s, not %q", strings.Join(metrics.Windows, ", "), window)}
 			}
 			if audit {
 				var ignored json.RawMessage
@@ -53,7 +53,7 @@
 					return err
 				}
 			}
-			var r figures.Report
+			var r metrics.Report
 			if err := fetch(c, at, "/figures", &r); err != nil {
 				return err
 			}
@@ -61,15 +61,15 @@
 				return writeJSON(sh.out, r)
 			}
 			if window != "" {
-				return figures.WindowTable(sh.out, r, window)
+				return metrics.WindowTable(sh.out, r, window)
 			}
-			return figures.Table(sh.out, r, dims)
+			return metrics.Table(sh.out, r, dims)
 		},
 	}
 	c.Flags().StringVar(&at, "at", "127.0.0.1:7421", "`address` that figures.listen names")
 	c.Flags().StringVar(&format, "format", "table", "table or json")
-	c.Flags().StringVar(&by, "by", "front,class,tenant", "what to show by: any of "+strings.Join(figures.Dimensions, ", "))
-	c.Flags().StringVar(&window, "window", "", "show a stretch of time in place of all since the start: one of "+strings.Join(figures.Windows, ", "))
+	c.Flags().StringVar(&by, "by", "front,class,tenant", "what to show by: any of "+strings.Join(metrics.Dimensions, ", "))
+	c.Flags().StringVar(&window, "window", "", "show a stretch of time in place of all since the start: one of "+strings.Join(metrics.Windows, ", "))
 	c.Flags().BoolVar(&audit, "audit", false, "audit the account first")
 	return c
 }
@@ -175,7 +175,7 @@
 
 func reportRow(f *journal.Figures) []string {
 	row := append([]string(nil), f.By...)
-	for _, n := range []int64{f.Opened, f.Taken, f.Outcome(account.Served), f.Outcome(account.Refused), f.Outcome(account.Failed), f.Open, f.Asks} {
+	for _, n := range []int64{f.Opened, f.Taken, f.Outcome(accounting.Served), f.Outcome(accounting.Refused), f.Outcome(accounting.Failed), f.Open, f.Asks} {
 		row = append(row, strconv.FormatInt(n, 10))
 	}
 	for _, d := range []time.Duration{f.P50, f.P95, f.P99, f.Longest} {
@@ -215,13 +215,13 @@
 	all := []row{}
 	for _, f := range rows {
 		r := row{By: map[string]string{}, Opened: f.Opened, Taken: f.Taken, Reasons: map[string]int64{}, Open: f.Open, Asks: f.Asks,
-			Served: f.Outcome(account.Served), Refused: f.Outcome(account.Refused), Failed: f.Outcome(account.Failed)}
+			Served: f.Outcome(accounting.Served), Refused: f.Outcome(accounting.Refused), Failed: f.Outcome(accounting.Failed)}
 		for i, by := range q.By {
 			r.By[by] = f.By[i]
 		}
 		for i, n := range f.Ends {
 			if n > 0 {
-				r.Reasons[account.Reason(i).String()] = n
+				r.Reasons[accounting.Reason(i).String()] = n
 			}
 		}
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
@@ -245,7 +245,7 @@
 			}
 			t := &v.Totals
 			fmt.Fprintf(sh.out, "%d segments, %d epochs, %d records, %d jobs, %d marks of the account\n", v.Segments, v.Epochs, v.Records, v.Jobs, v.Marks)
-			fmt.Fprintf(sh.out, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.By(account.Served), t.By(account.Refused), t.By(account.Failed), t.Open)
+			fmt.Fprintf(sh.out, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.By(accounting.Served), t.By(accounting.Refused), t.By(accounting.Failed), t.Open)
 			if v.Torn > 0 {
 				fmt.Fprintf(sh.out, "%d torn bytes at the very end: the next start cuts them\n", v.Torn)
 			}
--- a/internal/cli/golden_test.go
+++ b/internal/dispatcher/cli/golden_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/spf13/cobra"
 	"github.com/stretchr/testify/require"
--- a/internal/cli/serve.go
+++ b/internal/dispatcher/cli/serve.go
@@ -13,9 +13,9 @@
 	"strings"
 	"syscall"
 
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/service"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/server"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/spf13/cobra"
 )
@@ -57,8 +57,8 @@
 	if extra.Fleet != nil && os.Getenv("ROUTER_NAME") != "" && os.Getenv("ROUTER_LISTEN") != "" {
 		return errors.New("operator's file: fleet: the platform that sets ROUTER_NAME and ROUTER_LISTEN has no lasting folder and no talk among dispatchers: take the section out")
 	}
-	service.Fit(c)
-	return service.Run(ctx, service.Options{
+	server.Fit(c)
+	return server.Run(ctx, server.Options{
 		Config: c, Operator: extra, OperatorDir: filepath.Dir(operator), Log: sh.logger(),
 		Reread: func() (settings.Config, error) { return configure(nil) },
 	}, told, reloads)
--- a/internal/cli/tools.go
+++ b/internal/dispatcher/cli/tools.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/soak"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/soak"
 
 	"github.com/spf13/cobra"
 )
--- a/internal/demo/demo.go
+++ b/internal/dispatcher/demo/demo.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"basaltloft/internal/settings"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/settings"
 )
 
 // Tenants are those of the demo.
@@ -36,7 +36,7 @@
 // Configuration is the configuration file of this world's dispatcher. It knows
 // the members from the start.
 func (w *World) Configuration() string {
-	var listed []standin.Listed
+	var listed []fakes.Listed
 	for _, m := range w.members {
 		listed = append(listed, m.Listed())
 	}
@@ -47,7 +47,7 @@
 type Dispatcher struct {
 	Name, Listen, Discovery, Admin string
 	Rank, Of                       int
-	Known                          []standin.Listed
+	Known                          []fakes.Listed
 }
 
 // Configuration is a dispatcher's configuration file.
@@ -70,10 +70,10 @@
 // World is the outside of one dispatcher.
 type World struct {
 	Addr, Faktory, Agent, Figures string
-	Discovery                     *standin.Discovery
-	Till                          *standin.Till
-	HTTP, Pushed                  standin.Answers
-	members                       []*standin.Member
+	Discovery                     *fakes.Discovery
+	Till                          *fakes.Till
+	HTTP, Pushed                  fakes.Answers
+	members                       []*fakes.Member
 	all                           sync.WaitGroup
 	stopClients, stopWorkers      context.CancelFunc
 
@@ -91,29 +91,29 @@
 	Workers  int
 	Slots    int           // of a member; 0: 4
 	Run      time.Duration // how long each job runs; 0: short, by chance
-	Troubles standin.Troubles
+	Troubles fakes.Troubles
 	Seed     uint64
 }
 
 // NewWorld starts discovery and members. Nobody asks anything yet.
 func NewWorld(l Load) (*World, error) {
-	w := &World{Till: standin.NewTill()}
+	w := &World{Till: fakes.NewTill()}
 	for _, at := range []*string{&w.Addr, &w.Faktory, &w.Agent, &w.Figures} {
 		var err error
-		if *at, err = standin.Free(); err != nil {
+		if *at, err = fakes.Free(); err != nil {
 			return nil, err
 		}
 	}
 	l.Slots = cmp.Or(l.Slots, 4)
 	var err error
-	if w.members, err = l.NewMembers(standin.MemberSettings{Reports: func() string { return w.Addr }, Till: w.Till}); err != nil {
+	if w.members, err = l.NewMembers(fakes.MemberSettings{Reports: func() string { return w.Addr }, Till: w.Till}); err != nil {
 		return nil, err
 	}
-	var listed []standin.Listed
+	var listed []fakes.Listed
 	for _, m := range w.members {
 		listed = append(listed, m.Listed())
 	}
-	if w.Discovery, err = standin.NewDiscovery(listed...); err != nil {
+	if w.Discovery, err = fakes.NewDiscovery(listed...); err != nil {
 		w.Close()
 		return nil, err
 	}
@@ -122,11 +122,11 @@
 
 // NewMembers starts the members of a load, each as one is set up and with an id, cell,
 // and chances of its own.
-func (l Load) NewMembers(one standin.MemberSettings) (all []*standin.Member, err error) {
+func (l Load) NewMembers(one fakes.MemberSettings) (all []*fakes.Member, err error) {
 	one.Slots, one.Troubles, one.Once = l.Slots, l.Troubles, Once
 	for i := range l.Members {
 		one.ID, one.Cell, one.Run, one.Seed = fmt.Sprintf("s-%d", i+1), i/4, l.Running(uint64(i)), l.Seed+uint64(i)
-		m, err := standin.NewMember(one)
+		m, err := fakes.NewMember(one)
 		if err != nil {
 			for _, m := range all {
 				m.Close()
@@ -166,15 +166,15 @@
 	w.stopClients = stop
 	workers, stop := context.WithCancel(context.Background())
 	w.stopWorkers = stop
-	mix := standin.Mix{Rate: l.Rate, Tickets: 0.28, Tenants: Tenants, Retries: 2, Impatient: 0.02, Seed: l.Seed}
+	mix := fakes.Mix{Rate: l.Rate, Tickets: 0.28, Tenants: Tenants, Retries: 2, Impatient: 0.02, Seed: l.Seed}
 	http, faktory := func() string { return w.Addr }, w.faktory
 	w.load, w.ctx = l, workers
 	for range l.Workers {
 		w.workers = append(w.workers, w.worker())
 	}
-	w.all.Go(func() { standin.HTTPClients(clients, http, "h", mix, &w.HTTP) })
+	w.all.Go(func() { fakes.HTTPClients(clients, http, "h", mix, &w.HTTP) })
 	if l.Workers > 0 {
-		w.all.Go(func() { standin.FaktoryClients(clients, faktory, "f", mix, &w.Pushed) })
+		w.all.Go(func() { fakes.FaktoryClients(clients, faktory, "f", mix, &w.Pushed) })
 	}
 }
 
@@ -186,7 +186,7 @@
 	w.begun++
 	n := uint64(w.begun)
 	w.all.Go(func() {
-		standin.FaktoryWorker(ctx, w.faktory, standin.WorkerSettings{
+		fakes.FaktoryWorker(ctx, w.faktory, fakes.WorkerSettings{
 			WID: fmt.Sprintf("worker-%d", n), Queues: []string{"tickets", "holds"}, Run: w.load.Running(100 + n),
 			Troubles: w.load.Troubles, Till: w.Till, Once: Once, Seed: w.load.Seed + 100 + n,
 		})
--- a/internal/demo/demo_test.go
+++ b/internal/dispatcher/demo/demo_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
--- a/internal/demo/fleet.go
+++ b/internal/dispatcher/demo/fleet.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"basaltloft/deploy"
-	"basaltloft/internal/account"
-	"basaltloft/internal/figures"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/metrics"
 )
 
 // Command is the program, not yet started, as this dispatcher: its files are written
@@ -44,7 +44,7 @@
 
 // Doors opens a door of each member for one dispatcher of several, and a discovery that
 // lists them.
-func Doors(members []*standin.Member, name string, reports func() string) (known []standin.Listed, d *standin.Discovery, err error) {
+func Doors(members []*fakes.Member, name string, reports func() string) (known []fakes.Listed, d *fakes.Discovery, err error) {
 	for _, m := range members {
 		listed, err := m.Door(name, reports)
 		if err != nil {
@@ -52,7 +52,7 @@
 		}
 		known = append(known, listed)
 	}
-	d, err = standin.NewDiscovery(known...)
+	d, err = fakes.NewDiscovery(known...)
 	return known, d, err
 }
 
@@ -83,10 +83,10 @@
 type fleet struct {
 	FleetSettings
 	nodes   []*node
-	members []*standin.Member
-	lists   []*standin.Discovery
-	till    *standin.Till
-	answers standin.Answers
+	members []*fakes.Member
+	lists   []*fakes.Discovery
+	till    *fakes.Till
+	answers fakes.Answers
 
 	mu      sync.Mutex
 	tickets map[string]int // runs by booking
@@ -103,7 +103,7 @@
 		return err
 	}
 	defer os.RemoveAll(home)
-	f := &fleet{FleetSettings: s, till: standin.NewTill(), tickets: map[string]int{}}
+	f := &fleet{FleetSettings: s, till: fakes.NewTill(), tickets: map[string]int{}}
 	defer f.close()
 	if err := f.start(ctx, home); err != nil {
 		return err
@@ -123,8 +123,8 @@
 
 // start starts members and processes, and waits until each has joined.
 func (f *fleet) start(ctx context.Context, home string) (err error) {
-	load := Load{Members: 6, Slots: 8, Seed: 3, Troubles: standin.Troubles{TurnAway: 0.01, Again: 0.05}}
-	if f.members, err = load.NewMembers(standin.MemberSettings{Till: f.till, Ends: f.ends}); err != nil {
+	load := Load{Members: 6, Slots: 8, Seed: 3, Troubles: fakes.Troubles{TurnAway: 0.01, Again: 0.05}}
+	if f.members, err = load.NewMembers(fakes.MemberSettings{Till: f.till, Ends: f.ends}); err != nil {
 		return err
 	}
 	keepers, kept := map[string]map[string]string{}, mostKeepers
@@ -136,7 +136,7 @@
 		n.home = filepath.Join(home, n.name)
 		n.folder = filepath.Join(n.home, "folder")
 		for _, at := range []*string{&n.listen, &n.admin, &n.figures, &n.calls, &n.votes} {
-			if *at, err = standin.Free(); err != nil {
+			if *at, err = fakes.Free(); err != nil {
 				return err
 			}
 		}
@@ -260,8 +260,8 @@
 		defer mu.Unlock()
 		return f.nodes[random.IntN(len(f.nodes))].listen
 	}
-	mix := standin.Mix{Rate: 60, Tickets: 0.28, Tenants: Tenants, Retries: 2, Impatient: 0.02, Seed: 3}
-	all.Go(func() { standin.HTTPClients(asking, anyone, "h", mix, &f.answers) })
+	mix := fakes.Mix{Rate: 60, Tickets: 0.28, Tenants: Tenants, Retries: 2, Impatient: 0.02, Seed: 3}
+	all.Go(func() { fakes.HTTPClients(asking, anyone, "h", mix, &f.answers) })
 	all.Go(func() { f.book(asking) })
 	var died error
 	tick := time.NewTicker(250 * time.Millisecond)
@@ -339,7 +339,7 @@
 		if err := Settled(n.figures); err != nil {
 			return fmt.Errorf("%s: %w", n.name, err)
 		}
-		var r figures.Report
+		var r metrics.Report
 		var status json.RawMessage
 		if err := errors.Join(get(n.figures, "/audit", &struct{}{}), get(n.figures, "/figures", &r), get(n.admin, "/fleet", &status)); err != nil {
 			return fmt.Errorf("%s: %w", n.name, err)
@@ -348,9 +348,9 @@
 			return fmt.Errorf("the account of %s does not add up: %v", n.name, r.Audit.Differences)
 		}
 		total := &r.Account.Totals
-		served += total.By(account.Served)
+		served += total.By(accounting.Served)
 		fmt.Fprintf(out, "%s: %d jobs taken, %d served, %d refused, %d failed; the account adds up\n   fleet: %s\n", n.name, total.Taken,
-			total.By(account.Served), total.By(account.Refused), total.By(account.Failed), status)
+			total.By(accounting.Served), total.By(accounting.Refused), total.By(accounting.Failed), status)
 	}
 	var twice []string
 	f.mu.Lock()
--- a/internal/demo/run.go
+++ b/internal/dispatcher/demo/run.go
@@ -10,10 +10,10 @@
 	"os"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/figures"
-	"basaltloft/internal/journal"
-	"basaltloft/internal/service"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/metrics"
+	"basaltloft/internal/dispatcher/server"
 
 	"github.com/schollz/progressbar/v3"
 	"github.com/sirupsen/logrus"
@@ -40,7 +40,7 @@
 	}
 	told, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() {
-		ended <- service.Run(ctx, service.Options{Config: c, Operator: o, Log: log}, told, nil)
+		ended <- server.Run(ctx, server.Options{Config: c, Operator: o, Log: log}, told, nil)
 	}()
 	if err := Ready(ctx, w.Addr, ended); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	if err := Settled(w.Figures); err != nil {
 		return err
 	}
-	var r figures.Report
+	var r metrics.Report
 	if err := get(w.Figures, "/audit", &struct{}{}); err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if err := <-ended; err != nil {
 		return err
 	}
-	if err := figures.Table(out, r, []string{"front", "class", "tenant"}); err != nil {
+	if err := metrics.Table(out, r, []string{"front", "class", "tenant"}); err != nil {
 		return err
 	}
 	f, err := journal.ReadFolder(folder)
@@ -98,7 +98,7 @@
 		return errors.New("the account does not add up")
 	case len(twice) > 0:
 		return fmt.Errorf("tickets ran twice: %v", twice)
-	case r.Account.Totals.By(account.Served) == 0:
+	case r.Account.Totals.By(accounting.Served) == 0:
 		return errors.New("nothing was served")
 	}
 	return nil
@@ -109,7 +109,7 @@
 // Settled waits until nothing is open.
 func Settled(at string) error {
 	for until := time.Now().Add(patience); ; {
-		var r figures.Report
+		var r metrics.Report
 		if err := get(at, "/figures", &r); err != nil {
 			return err
 		}
--- a/internal/pool/pace_test.go
+++ b/internal/dispatcher/discovery/pace_test.go
@@ -1,4 +1,4 @@
-package pool
+package discovery
 
 import (
 	"fmt"
--- a/internal/pool/pool.go
+++ b/internal/dispatcher/discovery/pool.go
@@ -1,5 +1,5 @@
-// Package pool follows discovery's list of pool members.
-package pool
+// Package discovery follows discovery's list of pool members.
+package discovery
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 )
@@ -30,7 +30,7 @@
 
 // Lists is told what discovery tells.
 type Lists interface {
-	List(source string, kind basaltloft.ListKind, entries []*core.Member)
+	List(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
 // Follower asks discovery. It implements core.Lister.
@@ -38,7 +38,7 @@
 	ctx     context.Context
 	pace    Pace
 	lists   Lists
-	carrier core.Carrier
+	carrier engine.Carrier
 	log     logrus.FieldLogger
 
 	heard chan struct{} // closed once a service has answered
@@ -64,7 +64,7 @@
 
 // New returns a follower of the discovery service at addr, which is called at a pace.
 // Calls end with ctx.
-func New(ctx context.Context, addr string, pace Pace, lists Lists, carrier core.Carrier, log logrus.FieldLogger) *Follower {
+func New(ctx context.Context, addr string, pace Pace, lists Lists, carrier engine.Carrier, log logrus.FieldLogger) *Follower {
 	f := &Follower{ctx: ctx, pace: pace, lists: lists, carrier: carrier, log: log, heard: make(chan struct{})}
 	f.at = f.service(addr)
 	return f
@@ -87,7 +87,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.at.generation, f.at.known = l.Generation, true
-	f.lists.List(Source, basaltloft.ListRestored, f.members(l))
+	f.lists.List(Source, policy.ListRestored, f.members(l))
 }
 
 // Move follows the service at another address from here on and asks it for its
@@ -170,7 +170,7 @@
 			f.failed(s.ctx, s, err)
 			return
 		}
-		f.tell(s.ctx, s, l, basaltloft.ListWhole, true)
+		f.tell(s.ctx, s, l, policy.ListWhole, true)
 	}()
 }
 
@@ -183,9 +183,9 @@
 		began, query := time.Now(), url.Values(nil)
 		generation, known := f.seen(s)
 		wait, until := f.pace.Call(began, known, goesOn)
-		kind := basaltloft.ListWhole
+		kind := policy.ListWhole
 		if known {
-			kind = basaltloft.ListChange
+			kind = policy.ListChange
 			query = url.Values{
 				"index": {strconv.FormatInt(generation, 10)}, "wait": {strconv.FormatInt(wait.Milliseconds(), 10)},
 			}
@@ -196,9 +196,9 @@
 			next = f.pace.Again(began, time.Now(), f.failed(ctx, s, err), rand.Float64())
 		} else {
 			if l.Whole {
-				kind = basaltloft.ListWhole
+				kind = policy.ListWhole
 			}
-			quiet := goesOn && kind == basaltloft.ListChange && len(l.Entries) == 0
+			quiet := goesOn && kind == policy.ListChange && len(l.Entries) == 0
 			f.tell(ctx, s, l, kind, !quiet)
 			if !goesOn { // a watch ends the sooner the later it goes on
 				next = began
@@ -226,14 +226,14 @@
 	if s.failures++; s.failures == 1 {
 		f.log.WithError(err).Warn("a call to discovery failed")
 	}
-	f.lists.List(Source, basaltloft.ListFailed, nil)
+	f.lists.List(Source, policy.ListFailed, nil)
 	return s.failures
 }
 
 // tell passes on what a service answered, unless the call was ended meanwhile: a list
 // of a service that was left, under way then, must not undo what the new one has told.
 // The module hears of one without news only where it may have heard of a failure.
-func (f *Follower) tell(ctx context.Context, s *service, l settings.List, kind basaltloft.ListKind, news bool) {
+func (f *Follower) tell(ctx context.Context, s *service, l settings.List, kind policy.ListKind, news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
@@ -244,7 +244,7 @@
 	}
 	// News up to a version older than the one that they follow are of another life of
 	// the service: what came before them is not known.
-	s.known = kind == basaltloft.ListWhole || l.Generation >= s.generation
+	s.known = kind == policy.ListWhole || l.Generation >= s.generation
 	s.generation, s.failures = l.Generation, 0
 	if news {
 		f.lists.List(Source, kind, f.members(l))
@@ -283,14 +283,14 @@
 	return settings.DecodeList(text)
 }
 
-func (f *Follower) members(l settings.List) []*core.Member {
-	members := make([]*core.Member, 0, len(l.Entries))
+func (f *Follower) members(l settings.List) []*engine.Member {
+	members := make([]*engine.Member, 0, len(l.Entries))
 	for _, e := range l.Entries {
 		group := "no cell"
 		if e.Cell >= 0 {
 			group = "cell " + strconv.Itoa(e.Cell)
 		}
-		members = append(members, &core.Member{
+		members = append(members, &engine.Member{
 			ID: e.ID, Addr: e.Addr, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State, Weight: e.Weight,
 			Started: e.Started, Carrier: f.carrier, Group: group,
 		})
--- a/internal/pool/pool_test.go
+++ b/internal/dispatcher/discovery/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package discovery
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/scenario"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -26,7 +26,7 @@
 	lists []string
 }
 
-func (h *heard) List(_ string, kind basaltloft.ListKind, entries []*core.Member) {
+func (h *heard) List(_ string, kind policy.ListKind, entries []*engine.Member) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	text := [...]string{"change", "whole", "restored", "failed"}[kind]
--- a/internal/core/core.go
+++ b/internal/dispatcher/engine/core.go
@@ -1,4 +1,4 @@
-// Package core drives the decision module. It knows no wire: fronts submit
+// Package engine drives the decision module. It knows no wire: fronts submit
 // transactions, carriers take flows to pool members, a lister brings the
 // pool, and all of them meet the core through the interfaces declared here.
 //
@@ -6,7 +6,7 @@
 // flows and the timers. All else posts events. The core is the single ledger:
 // a transaction gets one final answer and has one live flow at a time, and no
 // end of a flow counts twice.
-package core
+package engine
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/account"
-	"basaltloft/internal/lag"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/schedulingdelay"
 
 	"github.com/sirupsen/logrus"
 )
@@ -31,7 +31,7 @@
 
 // Core is the hub between fronts, decisions and carriers.
 type Core struct {
-	settings basaltloft.Settings
+	settings policy.Settings
 	stages   Stages
 	lister   Lister
 	log      logrus.FieldLogger
@@ -44,7 +44,7 @@
 	posted  chan struct{} // there are events
 
 	// Owned by Run's goroutine.
-	decisions    *basaltloft.Dispatcher
+	decisions    *policy.Dispatcher
 	base         time.Time
 	now          time.Time
 	later        []func() // what the handling of an event leaves to do after it
@@ -57,12 +57,12 @@
 	held         map[string]bool      // members out by hand
 	warmFrom     map[string]time.Time // when a member was put back by hand
 	load         Load
-	gauge        lag.Gauge // of what events wait
-	flowing      int64     // flows that are out
-	late, leaves time.Time // see Leaving
-	closed       bool      // see Close
-	spending     Spending  // nil: nothing is shared
-	trails       bool      // see KeepTrails
+	gauge        schedulingdelay.Gauge // of what events wait
+	flowing      int64                 // flows that are out
+	late, leaves time.Time             // see Leaving
+	closed       bool                  // see Close
+	spending     Spending              // nil: nothing is shared
+	trails       bool                  // see KeepTrails
 
 	unanswered atomic.Int64
 	known      atomic.Bool
@@ -70,7 +70,7 @@
 
 // New returns a core that is not running yet; spending may be nil. It fails if the module does not
 // accept the settings.
-func New(s basaltloft.Settings, stages Stages, spending Spending, log logrus.FieldLogger) (*Core, error) {
+func New(s policy.Settings, stages Stages, spending Spending, log logrus.FieldLogger) (*Core, error) {
 	c := &Core{
 		settings: s, stages: stages, log: log, base: time.Now(),
 		posted: make(chan struct{}, 1), stopped: make(chan struct{}),
@@ -81,7 +81,7 @@
 		s.Purse = purse{c, spending}
 	}
 	var err error
-	if c.decisions, err = basaltloft.New(s, host{c}); err != nil {
+	if c.decisions, err = policy.New(s, host{c}); err != nil {
 		return nil, fmt.Errorf("starting the decisions: %w", err)
 	}
 	return c, nil
@@ -90,7 +90,7 @@
 // Spending are the budgets that this dispatcher shares with others. Its methods
 // are called by Run's goroutine and answer at once.
 type Spending interface {
-	basaltloft.Purse
+	policy.Purse
 	// Begin takes a place for a job that is under way at members of a kind until
 	// then at the latest; false: there is none. A nil place needs no End.
 	Begin(kind string, until time.Time) (Place, bool)
@@ -109,13 +109,13 @@
 
 // release gives back the place of a flow that was under way. What may run on at its
 // member though nobody waits keeps its place to the deadline.
-func (c *Core) release(f *Flow, s basaltloft.Status) {
+func (c *Core) release(f *Flow, s policy.Status) {
 	p := f.place
 	if p == nil {
 		return
 	}
 	f.place = nil
-	if (s == basaltloft.Cancelled || s == basaltloft.Reset) && c.now.Before(f.Deadline) {
+	if (s == policy.Cancelled || s == policy.Reset) && c.now.Before(f.Deadline) {
 		c.timers.add(f.Deadline, p.End)
 		return
 	}
@@ -172,7 +172,7 @@
 
 // Bound says when this dispatcher is behind with its own work, so that it turns
 // away what comes. It must be called before Run.
-func (c *Core) Bound(b lag.Bounds) { c.gauge = lag.New(b) }
+func (c *Core) Bound(b schedulingdelay.Bounds) { c.gauge = schedulingdelay.New(b) }
 
 // post hands an event to Run's goroutine. It never waits: a carrier posts while
 // it holds a lock that its Start, called by Run's goroutine, needs too. What
@@ -222,8 +222,8 @@
 // Census counts what is open, by front and class, from the table of open
 // transactions alone, and the flows that are out. It may be called by Run's
 // goroutine only, such as in a Sync.
-func (c *Core) Census() (open account.Census, flows int64) {
-	open = make(account.Census)
+func (c *Core) Census() (open accounting.Census, flows int64) {
+	open = make(accounting.Census)
 	for _, t := range c.open {
 		if !t.answered {
 			open[[2]string{t.Front, t.Class}]++
@@ -238,8 +238,8 @@
 	c.post(func() {
 		c.stages.Enter(t, c.now)
 		t.class = c.class(t.Class)
-		if t.class.Effect == basaltloft.Keyed && t.Key == "" {
-			t.class.Effect = basaltloft.Unsafe // members know no repeat of it
+		if t.class.Effect == policy.Keyed && t.Key == "" {
+			t.class.Effect = policy.Unsafe // members know no repeat of it
 		}
 		if first := c.open[t.ID]; first != nil && first.Gone() { // and Leave is still under way
 			c.leave(first)
@@ -262,7 +262,7 @@
 			return
 		}
 		if c.closed || c.comesLate(t) && c.now.Add(t.Hint).After(c.leaves) {
-			c.answer(t, Answer{Verdict: Refused, Reason: account.GoingAway, RetryAt: c.now})
+			c.answer(t, Answer{Verdict: Refused, Reason: accounting.GoingAway, RetryAt: c.now})
 			return
 		}
 		t.due = c.timers.add(t.Deadline.Add(overdue), func() { c.expire(t) })
@@ -284,25 +284,25 @@
 		if back.After(first.until) {
 			back = first.until
 		}
-		return &Answer{Verdict: Refused, Reason: account.Declined, RetryAt: back}
+		return &Answer{Verdict: Refused, Reason: accounting.Declined, RetryAt: back}
 	}
-	return &Answer{Verdict: Denied, Reason: account.IDInHand, Body: []byte("this id is in hand already\n")}
+	return &Answer{Verdict: Denied, Reason: accounting.IDInHand, Body: []byte("this id is in hand already\n")}
 }
 
 // class is a class as the settings have it now.
-func (c *Core) class(name string) basaltloft.Class {
+func (c *Core) class(name string) policy.Class {
 	for _, class := range c.settings.Classes {
 		if class.Name == name {
 			return class
 		}
 	}
-	return basaltloft.Class{Effect: basaltloft.Unsafe} // gone with a reload since it was taken in: nothing is promised of it
+	return policy.Class{Effect: policy.Unsafe} // gone with a reload since it was taken in: nothing is promised of it
 }
 
 // Retune takes new settings of classes and limits for what comes from now on;
 // what is under way keeps its own. It tells once the decisions have them, or why
 // they were turned down.
-func (c *Core) Retune(s basaltloft.Settings) (err error) {
+func (c *Core) Retune(s policy.Settings) (err error) {
 	c.Sync(func() {
 		if err = c.decisions.Retune(c.clock(c.now), s); err == nil {
 			c.settings.Classes, c.settings.Limits = s.Classes, s.Limits
@@ -329,9 +329,9 @@
 					}
 					continue
 				}
-				a := Answer{Verdict: Failed, Reason: account.Stopped}
+				a := Answer{Verdict: Failed, Reason: accounting.Stopped}
 				if c.harmless(t) {
-					a = Answer{Verdict: Refused, Reason: account.GoingAway, RetryAt: c.now}
+					a = Answer{Verdict: Refused, Reason: accounting.GoingAway, RetryAt: c.now}
 				}
 				c.answer(t, a)
 				c.decisions.Gone(c.clock(c.now), t.ID)
@@ -375,9 +375,9 @@
 		since = t.live.SentAt
 	}
 	switch {
-	case since.IsZero(), t.class.Effect == basaltloft.Safe:
+	case since.IsZero(), t.class.Effect == policy.Safe:
 		return true
-	case t.class.Effect == basaltloft.Keyed && t.class.Group == basaltloft.GroupAll: // if the key is known yet when it comes again
+	case t.class.Effect == policy.Keyed && t.class.Group == policy.GroupAll: // if the key is known yet when it comes again
 		return c.now.Add(c.settings.Limits.MaxRetryAfter).Before(since.Add(t.class.Window))
 	}
 	return false
@@ -391,7 +391,7 @@
 // no matter. A key's window counts from the first flow that may have run, at the
 // soonest from its sending.
 func (t *Transaction) latest() time.Time {
-	if t.class.Effect != basaltloft.Keyed || t.ranFrom.IsZero() {
+	if t.class.Effect != policy.Keyed || t.ranFrom.IsZero() {
 		return time.Time{}
 	}
 	return t.ranFrom.Add(t.class.Window - repeatMargin)
@@ -400,7 +400,7 @@
 func (c *Core) comesLate(t *Transaction) bool { return !c.late.IsZero() && t.Arrived.After(c.late) }
 
 // request is the stage's view of the transaction, on the module's clock.
-func (c *Core) request(t *Transaction) basaltloft.Request {
+func (c *Core) request(t *Transaction) policy.Request {
 	r := c.stages.Route(t)
 	r.Expires, r.Unkeyed = c.clock(t.Deadline), t.Key == ""
 	if m := c.members[t.NotMember]; m != nil {
@@ -422,7 +422,7 @@
 	}
 	c.remember(t)
 	c.close(t)
-	c.stages.Book(t, Answer{Verdict: Failed, Reason: account.ClientLeft}, c.now)
+	c.stages.Book(t, Answer{Verdict: Failed, Reason: accounting.ClientLeft}, c.now)
 	c.decisions.Gone(c.clock(c.now), t.ID)
 }
 
@@ -464,9 +464,9 @@
 		return
 	}
 	c.log.WithField("transaction", t.ID).Error("no final answer by the deadline")
-	a := Answer{Verdict: Failed, Reason: account.OverTime}
+	a := Answer{Verdict: Failed, Reason: accounting.OverTime}
 	if c.harmless(t) {
-		a = Answer{Verdict: Refused, Reason: account.Declined, RetryAt: c.now}
+		a = Answer{Verdict: Refused, Reason: accounting.Declined, RetryAt: c.now}
 	}
 	c.answer(t, a)
 	c.decisions.Gone(c.clock(c.now), t.ID)
@@ -504,13 +504,13 @@
 }
 
 // End tells how a flow ended. Only the first end of a flow counts.
-func (c *Core) End(f *Flow, s basaltloft.Status, result []byte) {
+func (c *Core) End(f *Flow, s policy.Status, result []byte) {
 	c.post(func() { c.end(f, s, result) })
 }
 
 // EndWith is End with the load report of the answer that ended the flow. Like any
 // end it may come when the flow has ended, by its deadline: then it counts nothing.
-func (c *Core) EndWith(f *Flow, s basaltloft.Status, load basaltloft.Report) {
+func (c *Core) EndWith(f *Flow, s policy.Status, load policy.Report) {
 	c.post(func() {
 		if !f.ended {
 			f.Load = load
@@ -519,7 +519,7 @@
 	})
 }
 
-func (c *Core) end(f *Flow, s basaltloft.Status, result []byte) {
+func (c *Core) end(f *Flow, s policy.Status, result []byte) {
 	t := f.Transaction
 	if f.ended {
 		return
@@ -527,7 +527,7 @@
 	f.ended = true
 	c.trace("ended", func() logrus.Fields {
 		fields := f.fields()
-		fields["status"], fields["after"] = account.StatusName(s), c.now.Sub(f.SentAt).String()
+		fields["status"], fields["after"] = accounting.StatusName(s), c.now.Sub(f.SentAt).String()
 		return fields
 	})
 	c.timers.drop(f.due)
@@ -535,7 +535,7 @@
 	if t.last = s; t.ranFrom.IsZero() && !c.settings.Rules.NeverRan(s) {
 		t.ranFrom = f.SentAt
 	}
-	if s == basaltloft.Error {
+	if s == policy.Error {
 		t.said = result
 	}
 	c.flowing--
@@ -545,7 +545,7 @@
 	if a := c.stages.Relay(f, s, result, c.now); a != nil {
 		c.answer(t, *a)
 	}
-	c.decisions.Outcome(c.clock(c.now), basaltloft.Outcome{
+	c.decisions.Outcome(c.clock(c.now), policy.Outcome{
 		Request: t.ID, Attempt: f.Number, Worker: f.Member.number, Status: s, Ended: t.answered,
 		Latency: c.now.Sub(f.SentAt), Report: f.Load,
 	})
@@ -553,16 +553,16 @@
 }
 
 // Note tells news of a flow that is out.
-func (c *Core) Note(f *Flow, topic basaltloft.NoteTopic, share float64) {
+func (c *Core) Note(f *Flow, topic policy.NoteTopic, share float64) {
 	c.post(func() { c.note(f, topic, share) })
 }
 
-func (c *Core) note(f *Flow, topic basaltloft.NoteTopic, share float64) {
+func (c *Core) note(f *Flow, topic policy.NoteTopic, share float64) {
 	if !f.ended {
-		if topic == basaltloft.NoteStarted {
+		if topic == policy.NoteStarted {
 			c.trace("started", f.fields)
 		}
-		c.decisions.Note(c.clock(c.now), basaltloft.Note{
+		c.decisions.Note(c.clock(c.now), policy.Note{
 			Request: f.Transaction.ID, Attempt: f.Number, Worker: f.Member.number, Topic: topic, Value: share,
 		})
 	}
@@ -576,9 +576,9 @@
 	Running    bool
 	Share      float64
 	Ended      bool
-	Status     basaltloft.Status
+	Status     policy.Status
 	Result     []byte
-	Load       basaltloft.Report // the member's load report, where the news that ends a job carries one
+	Load       policy.Report // the member's load report, where the news that ends a job carries one
 }
 
 // Report takes in news. It counts for the live flow of that transaction at
@@ -606,23 +606,23 @@
 		t.live.Member.Carrier.Release(t.live)
 		c.end(t.live, n.Status, n.Result)
 	case n.Started:
-		c.note(t.live, basaltloft.NoteStarted, 0)
+		c.note(t.live, policy.NoteStarted, 0)
 	case n.Running:
-		c.note(t.live, basaltloft.NoteProgress, n.Share)
+		c.note(t.live, policy.NoteProgress, n.Share)
 	}
 	return true
 }
 
 // Probed tells how a probe of a member ended, with the load report that its
 // answer held (none: an empty one).
-func (c *Core) Probed(m *Member, s basaltloft.Status, r basaltloft.Report, sentAt time.Time) {
+func (c *Core) Probed(m *Member, s policy.Status, r policy.Report, sentAt time.Time) {
 	c.post(func() {
 		c.trace("probe ended", func() logrus.Fields {
 			fields := m.fields()
-			fields["status"], fields["after"] = account.StatusName(s), c.now.Sub(sentAt).String()
+			fields["status"], fields["after"] = accounting.StatusName(s), c.now.Sub(sentAt).String()
 			return fields
 		})
-		c.decisions.Probed(c.clock(c.now), basaltloft.Probed{Worker: m.number, Status: s, Latency: c.now.Sub(sentAt), Report: r})
+		c.decisions.Probed(c.clock(c.now), policy.Probed{Worker: m.number, Status: s, Latency: c.now.Sub(sentAt), Report: r})
 	})
 }
 
--- a/internal/core/host.go
+++ b/internal/dispatcher/engine/host.go
@@ -1,10 +1,10 @@
-package core
+package engine
 
 import (
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // host is the module's side of the core. The module calls it while it handles
@@ -56,7 +56,7 @@
 	f.due = c.timers.add(f.Deadline, func() {
 		if !f.ended {
 			m.Carrier.Abandon(f)
-			c.end(f, basaltloft.TimedOut, nil)
+			c.end(f, policy.TimedOut, nil)
 		}
 	})
 	c.trace("sent", f.fields)
@@ -71,7 +71,7 @@
 	c, n := h.c, t.sends
 	t.sends++
 	c.later = append(c.later, func() {
-		c.decisions.Outcome(c.clock(c.now), basaltloft.Outcome{Request: t.ID, Attempt: n, Worker: worker, Status: basaltloft.Moot, Ended: t.answered})
+		c.decisions.Outcome(c.clock(c.now), policy.Outcome{Request: t.ID, Attempt: n, Worker: worker, Status: policy.Moot, Ended: t.answered})
 	})
 }
 
@@ -93,12 +93,12 @@
 // Refuse implements basaltloft.Host.
 func (h host) Refuse(id string, retryAfter time.Duration) {
 	if t := h.c.open[id]; t != nil {
-		a := Answer{Verdict: Refused, Reason: account.Declined, Ran: t.sends > 0 && t.last == basaltloft.Error}
+		a := Answer{Verdict: Refused, Reason: accounting.Declined, Ran: t.sends > 0 && t.last == policy.Error}
 		if retryAfter > 0 {
 			a.RetryAt = h.c.now.Add(retryAfter)
 		}
 		if t.short {
-			a.Reason, a.RetryAt = account.NoShare, h.c.spending.ComeBack(t.Class, h.c.now)
+			a.Reason, a.RetryAt = accounting.NoShare, h.c.spending.ComeBack(t.Class, h.c.now)
 		}
 		h.c.answer(t, a)
 	}
@@ -107,12 +107,12 @@
 // Fail implements basaltloft.Host.
 func (h host) Fail(id string) {
 	if t := h.c.open[id]; t != nil {
-		a := Answer{Verdict: Failed, Reason: account.GivenUp}
+		a := Answer{Verdict: Failed, Reason: accounting.GivenUp}
 		switch {
 		case !h.c.now.Before(t.Deadline):
-			a.Reason = account.OverTime
-		case t.sends > 0 && t.last == basaltloft.Error:
-			a.Reason = account.MemberError
+			a.Reason = accounting.OverTime
+		case t.sends > 0 && t.last == policy.Error:
+			a.Reason = accounting.MemberError
 		}
 		h.c.answer(t, a)
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	f.Member.Carrier.Abandon(f)
-	c.later = append(c.later, func() { c.end(f, basaltloft.Cancelled, nil) })
+	c.later = append(c.later, func() { c.end(f, policy.Cancelled, nil) })
 }
 
 // Probe implements basaltloft.Host.
--- a/internal/core/ledger_test.go
+++ b/internal/dispatcher/engine/ledger_test.go
@@ -1,4 +1,4 @@
-package core
+package engine
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/lag"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/schedulingdelay"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -40,11 +40,11 @@
 func (p *tape) Probe(*Member)                              {}
 func (p *tape) Watch(bool)                                 {}
 func (p *tape) Fetch()                                     {}
-func (p *tape) Route(t *Transaction) basaltloft.Request {
-	return basaltloft.Request{ID: t.ID, Class: t.Class, Hint: t.Hint}
+func (p *tape) Route(t *Transaction) policy.Request {
+	return policy.Request{ID: t.ID, Class: t.Class, Hint: t.Hint}
 }
-func (p *tape) Relay(_ *Flow, s basaltloft.Status, _ []byte, _ time.Time) *Answer {
-	if s == basaltloft.OK {
+func (p *tape) Relay(_ *Flow, s policy.Status, _ []byte, _ time.Time) *Answer {
+	if s == policy.OK {
 		return &Answer{Verdict: Served}
 	}
 	return nil
@@ -75,15 +75,15 @@
 		p := &tape{t: t}
 		log := logrus.New()
 		log.SetLevel(logrus.PanicLevel)
-		c, err := New(basaltloft.Settings{
-			Instances: 1, TellsStart: true, Limits: basaltloft.Limits{MaxAttempts: 3, Cancel: true},
-			Classes: []basaltloft.Class{{Name: "ticket", Effect: basaltloft.Unsafe, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
-				{Name: "notice", Effect: basaltloft.Safe, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
-				{Name: "hold", Effect: basaltloft.Keyed, Group: basaltloft.GroupCell, Window: 10 * time.Second, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1}},
+		c, err := New(policy.Settings{
+			Instances: 1, TellsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true},
+			Classes: []policy.Class{{Name: "ticket", Effect: policy.Unsafe, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
+				{Name: "notice", Effect: policy.Safe, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
+				{Name: "hold", Effect: policy.Keyed, Group: policy.GroupCell, Window: 10 * time.Second, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1}},
 		}, p, nil, log)
 		require.NoError(t, err)
 		c.Follow(p)
-		c.List("test", basaltloft.ListRestored, []*Member{{ID: "a", Carrier: p}})
+		c.List("test", policy.ListRestored, []*Member{{ID: "a", Carrier: p}})
 		tx := &Transaction{ID: "t", Class: "ticket", Hint: time.Second, Deadline: time.Now().Add(time.Minute), Client: told{p, "t"}}
 		c.Submit(tx)
 		return c, p, tx
@@ -100,24 +100,24 @@
 		want string
 	}{
 		"an end counts once": {func(c *Core, p *tape, _ *Transaction) {
-			c.End(p.flows[0], basaltloft.OK, nil)
-			c.End(p.flows[0], basaltloft.Full, nil)
+			c.End(p.flows[0], policy.OK, nil)
+			c.End(p.flows[0], policy.Full, nil)
 		}, `["start t","book t","served t"]`},
 		"a report that comes after the end counts nothing": {func(c *Core, p *tape, _ *Transaction) {
-			c.End(p.flows[0], basaltloft.TimedOut, nil)
-			c.EndWith(p.flows[0], basaltloft.Error, basaltloft.Report{Has: basaltloft.HasX0, X0: 1})
+			c.End(p.flows[0], policy.TimedOut, nil)
+			c.EndWith(p.flows[0], policy.Error, policy.Report{Has: policy.HasX0, X0: 1})
 			c.post(func() { require.Zero(p.t, p.flows[0].Load) })
 		}, `["start t","book t","failed t"]`},
 		// What it has in hand goes on all the while.
 		"what comes while events are late is turned away, until one is in time": {func(c *Core, p *tape, tx *Transaction) {
-			c.Bound(lag.Bounds{Target: time.Millisecond, For: time.Second})
+			c.Bound(schedulingdelay.Bounds{Target: time.Millisecond, For: time.Second})
 			come := func(id string) {
 				c.Submit(&Transaction{ID: id, Class: "ticket", Hint: time.Second, Deadline: tx.Deadline, Client: told{p, id}})
 			}
 			now := time.Now()
 			c.post(func() { c.gauge.Saw(time.Minute, now); c.gauge.Saw(time.Minute, now.Add(time.Second)) })
 			come("x")
-			c.End(p.flows[0], basaltloft.OK, nil)
+			c.End(p.flows[0], policy.OK, nil)
 			c.post(func() { c.gauge.Saw(0, now.Add(2*time.Second)) })
 			come("y")
 		}, `["start t","behind x","book x","refused x","book t","served t","start y"]`},
@@ -133,7 +133,7 @@
 		"a client that left is owed nothing, and its flow is abandoned": {func(c *Core, p *tape, tx *Transaction) {
 			c.Leave(tx)
 			c.Leave(tx)
-			c.End(p.flows[0], basaltloft.OK, nil)
+			c.End(p.flows[0], policy.OK, nil)
 		}, `["start t","book t","abandon t"]`},
 		"an id whose client left is not taken again until its member has heard": {func(c *Core, p *tape, tx *Transaction) {
 			c.Leave(tx)
@@ -151,9 +151,9 @@
 		}, `["start t","book t","abandon t","book t","denied again","start t"]`},
 		// A leave that was handed over behind other events counts from the first.
 		"a client that has gone gets no further attempt": {func(c *Core, p *tape, tx *Transaction) {
-			c.List("test", basaltloft.ListChange, []*Member{{ID: "b", Carrier: p}})
+			c.List("test", policy.ListChange, []*Member{{ID: "b", Carrier: p}})
 			tx.Client = &leaver{told{p, "t"}, true}
-			c.End(p.flows[0], basaltloft.ConnectFailed, nil)
+			c.End(p.flows[0], policy.ConnectFailed, nil)
 			c.Leave(tx)
 		}, `["start t","book t"]`},
 		"a client that has gone gets no first attempt": {func(c *Core, p *tape, tx *Transaction) {
@@ -174,8 +174,8 @@
 					x.Client.(*leaver).gone = true
 				}
 			})
-			c.End(p.flows[0], basaltloft.OK, nil)
-			c.post(func() { c.end(p.flows[1], basaltloft.ConnectFailed, nil) })
+			c.End(p.flows[0], policy.OK, nil)
+			c.post(func() { c.end(p.flows[1], policy.ConnectFailed, nil) })
 			c.post(func() { require.Len(p.t, p.flows, out) })
 			for _, x := range held {
 				c.Leave(x)
@@ -200,7 +200,7 @@
 		// connections are read in; what may run twice may come again.
 		"an id comes again on another connection before the leave is told": {func(c *Core, p *tape, tx *Transaction) {
 			x := &Transaction{ID: "x", Class: "notice", Hint: time.Second, Deadline: tx.Deadline, Client: &leaver{told{p, "x"}, false}}
-			c.List("test", basaltloft.ListChange, []*Member{{ID: "b", Carrier: p}})
+			c.List("test", policy.ListChange, []*Member{{ID: "b", Carrier: p}})
 			c.Submit(x)
 			c.post(func() { x.Client.(*leaver).gone = true })
 			c.Submit(&Transaction{ID: "x", Class: "notice", Hint: time.Second, Deadline: tx.Deadline, Client: told{p, "again"}})
@@ -208,9 +208,9 @@
 		}, `["start t","start x","book x","abandon x","book x","refused again"]`},
 		"an id comes again after an attempt that must not be repeated": {func(c *Core, p *tape, tx *Transaction) {
 			x := &Transaction{ID: "x", Class: "hold", Key: "k", Hint: time.Second, Deadline: tx.Deadline, Client: &leaver{told{p, "x"}, false}}
-			c.List("test", basaltloft.ListChange, []*Member{{ID: "b", Carrier: p}})
+			c.List("test", policy.ListChange, []*Member{{ID: "b", Carrier: p}})
 			c.Submit(x)
-			c.post(func() { x.Client.(*leaver).gone = true; c.end(p.flows[1], basaltloft.Reset, nil) })
+			c.post(func() { x.Client.(*leaver).gone = true; c.end(p.flows[1], policy.Reset, nil) })
 			c.Submit(&Transaction{ID: "x", Class: "hold", Key: "k", Hint: time.Second, Deadline: tx.Deadline, Client: told{p, "again"}})
 			c.Leave(x)
 		}, `["start t","start x","book x","book x","denied again"]`},
@@ -222,7 +222,7 @@
 		"what is asked back goes elsewhere once the member has heard": {func(c *Core, p *tape, tx *Transaction) {
 			c.post(func() { host{c}.Cancel("t", 0); host{c}.Send("t", p.flows[0].Member.number, 0) })
 			c.post(func() { require.Same(p.t, p.flows[0], tx.live) })
-			c.End(p.flows[0], basaltloft.Cancelled, nil)
+			c.End(p.flows[0], policy.Cancelled, nil)
 			c.post(func() { require.Nil(p.t, tx.live) })
 		}, `["start t","recall t","book t","failed t"]`},
 		"news counts for the live flow at that member": {func(c *Core, p *tape, tx *Transaction) {
@@ -252,10 +252,10 @@
 			}
 			shut := func(want bool) { c.post(func() { require.Equal(p.t, want, c.shut()) }) }
 			shut(false)
-			c.End(p.flows[0], basaltloft.OK, nil)
+			c.End(p.flows[0], policy.OK, nil)
 			come("x") // between the last answer and the close
 			shut(false)
-			c.post(func() { c.end(p.flows[1], basaltloft.OK, nil) })
+			c.post(func() { c.end(p.flows[1], policy.OK, nil) })
 			shut(true)
 			come("y")
 		}, `["start t","book t","served t","start x","book x","served x","book y","refused y"]`},
@@ -267,8 +267,8 @@
 			for n, class := range []string{"ticket", "notice", "ticket"} {
 				c.Submit(&Transaction{ID: fmt.Sprint(n), Class: class, Hint: time.Millisecond, Arrived: now.Add(1), Deadline: tx.Deadline, Client: told{p, fmt.Sprint(n)}})
 			}
-			c.List("test", basaltloft.ListChange, []*Member{{ID: "a", State: basaltloft.Draining, Carrier: p}}) // so nothing is sent again
-			c.post(func() { c.end(p.flows[1], basaltloft.ConnectFailed, nil) })
+			c.List("test", policy.ListChange, []*Member{{ID: "a", State: policy.Draining, Carrier: p}}) // so nothing is sent again
+			c.post(func() { c.end(p.flows[1], policy.ConnectFailed, nil) })
 			c.post(func() {
 				for due := c.timers.due(now.Add(time.Second)); due != nil; due = c.timers.due(now.Add(time.Second)) {
 					c.handle(posted{do: due})
@@ -278,18 +278,18 @@
 			})
 		}, `["failed 2","refused 0","refused 1"]`},
 		"what never ran is refused when the module owes its answer": {func(c *Core, p *tape, tx *Transaction) {
-			c.List("test", basaltloft.ListChange, []*Member{{ID: "a", State: basaltloft.Draining, Carrier: p}})
-			c.End(p.flows[0], basaltloft.ConnectFailed, nil)
+			c.List("test", policy.ListChange, []*Member{{ID: "a", State: policy.Draining, Carrier: p}})
+			c.End(p.flows[0], policy.ConnectFailed, nil)
 			c.post(func() { c.expire(tx) })
 		}, `["start t","book t","refused t"]`},
 		// A result and the deadline in one turn: what is handled first counts, alone.
 		"a result just before the deadline": {func(c *Core, p *tape, tx *Transaction) {
-			c.End(p.flows[0], basaltloft.OK, nil)
+			c.End(p.flows[0], policy.OK, nil)
 			c.post(func() { p.flows[0].due.do(); c.expire(tx) })
 		}, `["start t","book t","served t"]`},
 		"a result just after the deadline": {func(c *Core, p *tape, tx *Transaction) {
 			c.post(func() { p.flows[0].due.do() })
-			c.End(p.flows[0], basaltloft.OK, nil)
+			c.End(p.flows[0], policy.OK, nil)
 			c.post(func() { c.report(News{ID: "t", Member: "a", Ended: true}) })
 			c.post(func() { p.flows[0].due.do(); c.expire(tx) })
 		}, `["start t","abandon t","book t","failed t"]`},
--- a/internal/core/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -1,4 +1,4 @@
-package core
+package engine
 
 import (
 	"cmp"
@@ -9,14 +9,14 @@
 	"strings"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/sirupsen/logrus"
 )
 
 // List takes in what a source tells of its members. A source's whole list
 // leaves the members of other sources as they are.
-func (c *Core) List(source string, kind basaltloft.ListKind, entries []*Member) {
+func (c *Core) List(source string, kind policy.ListKind, entries []*Member) {
 	c.post(func() {
 		c.trace("list", func() logrus.Fields {
 			states := make([]string, 0, len(entries))
@@ -25,7 +25,7 @@
 			}
 			return logrus.Fields{"source": source, "kind": int(kind), "entries": strings.Join(states, " ")}
 		})
-		if kind == basaltloft.ListFailed {
+		if kind == policy.ListFailed {
 			c.decisions.Members(c.clock(c.now), kind, nil)
 			return
 		}
@@ -33,13 +33,13 @@
 		// In one order everywhere, so that dispatchers agree on who yields
 		// where two ids hash alike.
 		slices.SortFunc(entries, func(a, b *Member) int { return strings.Compare(a.ID, b.ID) })
-		listed := make([]basaltloft.Member, 0, len(entries))
+		listed := make([]policy.Member, 0, len(entries))
 		for _, m := range entries {
 			m.source = source
 			m.Group = cmp.Or(m.Group, source)
 			listed = append(listed, c.place(m))
 		}
-		if kind != basaltloft.ListChange {
+		if kind != policy.ListChange {
 			listed = c.complete(source, entries, listed)
 		}
 		c.decisions.Members(c.clock(c.now), kind, listed)
@@ -49,7 +49,7 @@
 
 // complete makes a source's whole list the whole list of all sources, since
 // the module takes for gone whatever a whole list leaves out.
-func (c *Core) complete(source string, entries []*Member, listed []basaltloft.Member) []basaltloft.Member {
+func (c *Core) complete(source string, entries []*Member, listed []policy.Member) []policy.Member {
 	in := make(map[string]bool, len(entries))
 	for _, m := range entries {
 		in[m.ID] = true
@@ -116,7 +116,7 @@
 	if at := c.warmFrom[id]; at.After(m.Started) {
 		m.Started = at
 	}
-	c.decisions.Members(c.clock(c.now), basaltloft.ListChange, []basaltloft.Member{c.listing(m)})
+	c.decisions.Members(c.clock(c.now), policy.ListChange, []policy.Member{c.listing(m)})
 }
 
 // Others tells whether members of other sources than this one are known.
@@ -142,7 +142,7 @@
 
 // place puts a member into the tables. Flows keep the entry they were sent
 // with; new ones use the latest.
-func (c *Core) place(m *Member) basaltloft.Member {
+func (c *Core) place(m *Member) policy.Member {
 	if old := c.members[m.ID]; old != nil {
 		m.number = old.number
 	} else {
@@ -154,7 +154,7 @@
 	}
 	c.members[m.ID], c.numbers[m.number] = m, m
 	listing := c.listing(m)
-	if m.State == basaltloft.Removed {
+	if m.State == policy.Removed {
 		c.drop(m)
 	}
 	return listing
@@ -169,10 +169,10 @@
 	}
 }
 
-func (c *Core) listing(m *Member) basaltloft.Member {
-	l := basaltloft.Member{Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, State: m.State, Weight: m.Weight, Offers: m.Offers}
-	if c.held[m.ID] && l.State == basaltloft.Ready {
-		l.State = basaltloft.Draining
+func (c *Core) listing(m *Member) policy.Member {
+	l := policy.Member{Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, State: m.State, Weight: m.Weight, Offers: m.Offers}
+	if c.held[m.ID] && l.State == policy.Ready {
+		l.State = policy.Draining
 	}
 	if !m.Started.IsZero() {
 		l.Since = c.clock(m.Started)
--- a/internal/core/members_test.go
+++ b/internal/dispatcher/engine/members_test.go
@@ -1,4 +1,4 @@
-package core
+package engine
 
 import (
 	"fmt"
--- a/internal/core/starve_test.go
+++ b/internal/dispatcher/engine/starve_test.go
@@ -1,11 +1,11 @@
-package core
+package engine
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -17,8 +17,8 @@
 func TestTimersLeaveEventsTheirTurn(t *testing.T) {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
-	c, err := New(basaltloft.Settings{Instances: 1, Limits: basaltloft.Limits{MaxAttempts: 1}, Classes: []basaltloft.Class{
-		{Name: "notice", Effect: basaltloft.Safe, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
+	c, err := New(policy.Settings{Instances: 1, Limits: policy.Limits{MaxAttempts: 1}, Classes: []policy.Class{
+		{Name: "notice", Effect: policy.Safe, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
 	}}, &tape{t: t}, nil, log)
 	require.NoError(t, err)
 	laps, heard := 0, 0
--- a/internal/core/timers.go
+++ b/internal/dispatcher/engine/timers.go
@@ -1,14 +1,14 @@
-package core
+package engine
 
 import (
 	"time"
 
-	"basaltloft/internal/heap"
+	"basaltloft/internal/shared/indexedheap"
 )
 
 // timers holds what is due at a time, in the order of time and of being set.
 type timers struct {
-	queue heap.Heap[*timer]
+	queue indexedheap.Heap[*timer]
 	seq   uint64
 }
 
@@ -20,7 +20,7 @@
 }
 
 func newTimers() timers {
-	return timers{queue: heap.New(func(a, b *timer) bool {
+	return timers{queue: indexedheap.New(func(a, b *timer) bool {
 		if !a.at.Equal(b.at) {
 			return a.at.Before(b.at)
 		}
--- a/internal/core/transaction.go
+++ b/internal/dispatcher/engine/transaction.go
@@ -1,10 +1,10 @@
-package core
+package engine
 
 import (
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // Transaction is one request of a client, whatever wire it came by. What is
@@ -35,13 +35,13 @@
 	short    bool // another attempt was not to be had of the fleet's budget
 	live     *Flow
 	answered bool
-	class    basaltloft.Class  // as the settings had it when it came
-	ranFrom  time.Time         // when the first attempt was sent that has ended and may have run; zero: none
-	last     basaltloft.Status // how the last flow ended
-	at       string            // the member of the last flow
-	said     []byte            // with the last error of a member
-	went     []string          // see Answer.Went
-	due      *timer            // its deadline
+	class    policy.Class  // as the settings had it when it came
+	ranFrom  time.Time     // when the first attempt was sent that has ended and may have run; zero: none
+	last     policy.Status // how the last flow ended
+	at       string        // the member of the last flow
+	said     []byte        // with the last error of a member
+	went     []string      // see Answer.Went
+	due      *timer        // its deadline
 }
 
 // Client is told the one final answer of its transaction. It must not block.
@@ -79,8 +79,8 @@
 
 // Outcome is what a verdict counts as. What is denied failed: nobody promises
 // that a request which a member calls bad did not run.
-func (v Verdict) Outcome() account.Outcome {
-	return [...]account.Outcome{Served: account.Served, Refused: account.Refused, Failed: account.Failed, Denied: account.Failed}[v]
+func (v Verdict) Outcome() accounting.Outcome {
+	return [...]accounting.Outcome{Served: accounting.Served, Refused: accounting.Refused, Failed: accounting.Failed, Denied: accounting.Failed}[v]
 }
 
 // Answer is the one final answer of a transaction.
@@ -88,16 +88,16 @@
 	Verdict Verdict
 	Body    []byte
 	RetryAt time.Time // Refused: when to come back; zero: no advice
-	Reason  account.Reason
+	Reason  accounting.Reason
 	Ran     bool // Refused: a member has run it and called it failed, which its class lets be repeated
 
 	// What came before it, for who decides what follows; the core sets them.
-	Sends      int               // flows
-	MayHaveRun bool              // at some member, or may yet
-	Last       basaltloft.Status // how the last flow ended; of no meaning without flows
-	Member     string            // that the last flow went to
-	Said       []byte            // with the last error of a member
-	Went       []string          // the members of all flows, where the core was told to keep them
+	Sends      int           // flows
+	MayHaveRun bool          // at some member, or may yet
+	Last       policy.Status // how the last flow ended; of no meaning without flows
+	Member     string        // that the last flow went to
+	Said       []byte        // with the last error of a member
+	Went       []string      // the members of all flows, where the core was told to keep them
 }
 
 // Flow is a server-side flow: one attempt of a transaction at a pool member.
@@ -114,7 +114,7 @@
 	Carried any // the carrier's own; only its Start and Abandon touch it
 	// Load is the member's load report that came with the answer that ends the
 	// flow; only the fields in Load.Has were told. The core's goroutine alone touches it.
-	Load basaltloft.Report
+	Load policy.Report
 
 	ended bool
 	place Place  // among what is under way in the fleet; nil: none is needed
@@ -129,7 +129,7 @@
 	ID, Addr, Kind, Zone string
 	Group                string // what its jobs are counted under; empty: its source
 	Cell                 int
-	State                basaltloft.MemberState
+	State                policy.MemberState
 	Weight               float64
 	Offers               []string  // the needs that it serves; nil: all
 	Started              time.Time // its latest start; zero: long ago
@@ -181,12 +181,12 @@
 	// Admit returns the final answer of a transaction that is not let in.
 	Admit(t *Transaction, load Load, now time.Time) *Answer
 	// Route puts a transaction into the words of the decisions.
-	Route(t *Transaction) basaltloft.Request
+	Route(t *Transaction) policy.Request
 	// Send makes the flow that the decisions asked for.
 	Send(t *Transaction, m *Member, number int, now, until time.Time) *Flow
 	// Relay tells what a flow's end means for its client: an answer, or
 	// nothing yet.
-	Relay(f *Flow, s basaltloft.Status, result []byte, now time.Time) *Answer
+	Relay(f *Flow, s policy.Status, result []byte, now time.Time) *Answer
 	// Book writes down a final answer, or that the client is owed none any more.
 	Book(t *Transaction, a Answer, now time.Time)
 }
--- a/internal/core/window_test.go
+++ b/internal/dispatcher/engine/window_test.go
@@ -1,10 +1,10 @@
-package core
+package engine
 
 import (
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -15,32 +15,32 @@
 // sent; and what may come again after the window is not called harmless.
 func TestKeyWindow(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect basaltloft.Effect
+		effect policy.Effect
 		key    string
-		ends   basaltloft.Status
+		ends   policy.Status
 		ago    time.Duration // when the first attempt went out
 		sent   int           // attempts in all
 		bound  bool          // the last one has a latest moment
 		want   Verdict       // once the module gives up
 	}{
-		"inside the window":           {basaltloft.Keyed, "k", basaltloft.Reset, 0, 2, true, Refused},
-		"just inside":                 {basaltloft.Keyed, "k", basaltloft.Reset, 9 * time.Second, 2, true, Failed},
-		"too near its end":            {basaltloft.Keyed, "k", basaltloft.Reset, 10*time.Second - repeatMargin, 1, false, Failed},
-		"the first never ran":         {basaltloft.Keyed, "k", basaltloft.ConnectFailed, 9 * time.Second, 2, false, Refused},
-		"it brought no key":           {basaltloft.Keyed, "", basaltloft.Reset, 0, 1, false, Failed},
-		"no key, but it never ran":    {basaltloft.Keyed, "", basaltloft.ConnectFailed, 0, 2, false, Failed},
-		"may be repeated at any time": {basaltloft.Safe, "", basaltloft.Reset, 9 * time.Second, 2, false, Refused},
+		"inside the window":           {policy.Keyed, "k", policy.Reset, 0, 2, true, Refused},
+		"just inside":                 {policy.Keyed, "k", policy.Reset, 9 * time.Second, 2, true, Failed},
+		"too near its end":            {policy.Keyed, "k", policy.Reset, 10*time.Second - repeatMargin, 1, false, Failed},
+		"the first never ran":         {policy.Keyed, "k", policy.ConnectFailed, 9 * time.Second, 2, false, Refused},
+		"it brought no key":           {policy.Keyed, "", policy.Reset, 0, 1, false, Failed},
+		"no key, but it never ran":    {policy.Keyed, "", policy.ConnectFailed, 0, 2, false, Failed},
+		"may be repeated at any time": {policy.Safe, "", policy.Reset, 9 * time.Second, 2, false, Refused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, log := &tape{t: t}, logrus.New()
 			log.SetLevel(logrus.PanicLevel)
-			hub, err := New(basaltloft.Settings{
-				Instances: 1, TellsStart: true, Limits: basaltloft.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-				Classes: []basaltloft.Class{{Name: "hold", Effect: c.effect, Window: 10 * time.Second, Aim: time.Minute, GiveUp: time.Hour, Worth: 1, Kind: -1}},
+			hub, err := New(policy.Settings{
+				Instances: 1, TellsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+				Classes: []policy.Class{{Name: "hold", Effect: c.effect, Window: 10 * time.Second, Aim: time.Minute, GiveUp: time.Hour, Worth: 1, Kind: -1}},
 			}, p, nil, log)
 			require.NoError(t, err)
 			hub.Follow(p)
-			hub.List("test", basaltloft.ListRestored, []*Member{{ID: "a", Carrier: p}, {ID: "b", Carrier: p}})
+			hub.List("test", policy.ListRestored, []*Member{{ID: "a", Carrier: p}, {ID: "b", Carrier: p}})
 			tx := &Transaction{ID: "t", Class: "hold", Key: c.key, Hint: time.Second, Deadline: time.Now().Add(time.Hour), Client: told{p, "t"}}
 			hub.Submit(tx)
 			turn := func() {
--- a/internal/standin/discovery.go
+++ b/internal/dispatcher/fakes/discovery.go
@@ -1,8 +1,8 @@
-// Package standin has the outside of a dispatcher, for the demo, the soak and
+// Package fakes has the outside of a dispatcher, for the demo, the soak and
 // tests: discovery, pool members, clients and workers, on loopback. Each is
 // written from the public description of its protocol, and shares no code with
 // the dispatcher.
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/standin/till.go
+++ b/internal/dispatcher/fakes/till.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"slices"
--- a/internal/faktory/account_test.go
+++ b/internal/dispatcher/faktory/account_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 )
 
 // TestAccount: both fronts share one account, whatever happens between them.
--- a/internal/faktory/backlog.go
+++ b/internal/dispatcher/faktory/backlog.go
@@ -11,12 +11,12 @@
 	"sync"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/faktory/batch"
-	"basaltloft/internal/faktory/sets"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/faktory/batch"
+	"basaltloft/internal/dispatcher/faktory/sets"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fastjson"
@@ -41,7 +41,7 @@
 	intake Intake
 	set    *settings.Faktory
 	log    logrus.FieldLogger
-	desk   *account.Desk
+	desk   *accounting.Desk
 	plans  Plans // nil: none can be run
 
 	mu      sync.Mutex
@@ -67,15 +67,15 @@
 	job     *sets.Job // nil: final
 	id      string
 	batch   string
-	effect  basaltloft.Effect
+	effect  policy.Effect
 	state   taskState
 	fetched bool // of this try
 	counted bool // its end was counted when its worker told it
 	pushing bool // its PUSH has not been answered: if it is refused now, it is not taken
 	failed  *failure
-	answer  *core.Answer // final
-	plan    *planned     // it is run as; nil: it is fetched
-	said    *said        // by its worker
+	answer  *engine.Answer // final
+	plan    *planned       // it is run as; nil: it is fetched
+	said    *said          // by its worker
 	at      time.Time
 }
 
@@ -99,7 +99,7 @@
 	backtrace     []string
 }
 
-func newBacklog(hub Hub, intake Intake, set *settings.Faktory, desk *account.Desk, log logrus.FieldLogger) *backlog {
+func newBacklog(hub Hub, intake Intake, set *settings.Faktory, desk *accounting.Desk, log logrus.FieldLogger) *backlog {
 	b := &backlog{
 		hub: hub, intake: intake, set: set, log: log, desk: desk,
 		book: sets.NewBook(sets.Limits{
@@ -182,7 +182,7 @@
 
 func (n notTaken) Error() string { return string(n) }
 
-func refused(a core.Answer) notTaken {
+func refused(a engine.Answer) notTaken {
 	wait := comeBack
 	if !a.RetryAt.IsZero() {
 		wait = max(0, time.Until(a.RetryAt))
@@ -212,10 +212,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t.pushing = false
-	if t.state != final || t.answer.Verdict == core.Served {
+	if t.state != final || t.answer.Verdict == engine.Served {
 		return nil
 	}
-	if t.answer.Verdict == core.Refused {
+	if t.answer.Verdict == engine.Refused {
 		return refused(*t.answer)
 	}
 	return notTaken("ERR the job failed: " + strings.TrimSpace(string(t.answer.Body)))
@@ -223,11 +223,11 @@
 
 // enter puts a job into its queue or set, and feeds the queue. It returns no
 // task if nothing is to be waited for.
-func (b *backlog) enter(j job, effect basaltloft.Effect, owner string, now time.Time) (*task, error) {
+func (b *backlog) enter(j job, effect policy.Effect, owner string, now time.Time) (*task, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ending {
-		return nil, refused(core.Answer{})
+		return nil, refused(engine.Answer{})
 	}
 	known := b.tasks[j.id]
 	if known != nil && !(known.state == final && retryable(known.answer.Verdict)) {
@@ -245,7 +245,7 @@
 		return nil, notTaken("NOTUNIQUE Job not unique")
 	case errors.Is(err, sets.ErrFull):
 		b.log.WithError(err).Debug("a push found no room")
-		return nil, refused(core.Answer{})
+		return nil, refused(engine.Answer{})
 	case err != nil:
 		return nil, broken(err)
 	}
@@ -300,7 +300,7 @@
 			var j job
 			if j, err = readJob(v, b.set, now); err == nil {
 				j.arrival.Retry = w.Again
-				var tx *core.Transaction
+				var tx *engine.Transaction
 				if tx, err = b.intake.TakeIn(j.arrival, now, t); err == nil {
 					t.state, t.failed, t.fetched, t.counted = isOut, nil, false, false
 					b.waiting[queue]++
@@ -314,14 +314,14 @@
 			}
 		}
 		// It was readable when it was pushed: its time may be over.
-		b.conclude(t, core.Answer{Verdict: core.Denied, Body: []byte(err.Error() + "\n")})
+		b.conclude(t, engine.Answer{Verdict: engine.Denied, Body: []byte(err.Error() + "\n")})
 	}
 }
 
 // expire concludes jobs that waited too long.
 func (b *backlog) expire(gone []*sets.Job) {
 	for _, j := range gone {
-		b.conclude(j.Data.(*task), core.Answer{Verdict: core.Refused, Body: []byte("the job has expired\n")})
+		b.conclude(j.Data.(*task), engine.Answer{Verdict: engine.Refused, Body: []byte("the job has expired\n")})
 	}
 }
 
@@ -334,7 +334,7 @@
 }
 
 // Answer implements core.Client: a try of the job has its final answer.
-func (t *task) Answer(a core.Answer) {
+func (t *task) Answer(a engine.Answer) {
 	b := t.of
 	b.desk.Answered(a.Verdict.Outcome())
 	b.mu.Lock()
@@ -350,28 +350,28 @@
 	b.workers.ended(t)
 	now := time.Now()
 	t.at = now
-	if !t.counted && (a.Verdict == core.Served || a.Ran) { // by a member of another front
+	if !t.counted && (a.Verdict == engine.Served || a.Ran) { // by a member of another front
 		b.processed++
 	}
-	if !t.counted && (a.Verdict == core.Failed || a.Ran) {
+	if !t.counted && (a.Verdict == engine.Failed || a.Ran) {
 		b.failures++
 	}
 	fate := sets.Gone
 	switch f := t.failed; {
-	case a.Verdict == core.Served:
+	case a.Verdict == engine.Served:
 	case t.pushing:
 	case f != nil || a.Ran: // it was run, and somebody said that it failed
 		if f == nil {
 			f = &failure{kind: "Error", message: "a pool member called it failed"}
 			t.failed = f
 		}
-		mayRepeat := t.effect == basaltloft.Safe
+		mayRepeat := t.effect == policy.Safe
 		t.job.MayHaveRun = !mayRepeat
 		fate = b.book.Failed(now, t.job, mayRepeat, f.kind, f.message, f.backtrace)
-	case a.Verdict == core.Refused:
+	case a.Verdict == engine.Refused:
 		fate = b.book.Refused(now, t.job, a.RetryAt)
 	default:
-		t.job.MayHaveRun = a.Verdict == core.Failed
+		t.job.MayHaveRun = a.Verdict == engine.Failed
 		fate = b.book.Failed(now, t.job, false, a.Verdict.String(), a.Reason.String(), nil)
 	}
 	if fate == sets.Retried {
@@ -392,21 +392,21 @@
 }
 
 // conclude keeps what became of a job for good.
-func (b *backlog) conclude(t *task, a core.Answer) {
+func (b *backlog) conclude(t *task, a engine.Answer) {
 	j := t.job
 	t.state, t.answer, t.at = final, &a, time.Now()
 	if j != nil {
-		if a.Verdict == core.Served || j.Where() == "" {
+		if a.Verdict == engine.Served || j.Where() == "" {
 			b.book.Unlock(j)
 		}
 		switch {
 		case t.pushing && t.batch != "":
 			b.batches.Withdraw(t.batch, t.id)
-		case j.Rare != nil && j.CallbackOf != "" && a.Verdict == core.Served:
+		case j.Rare != nil && j.CallbackOf != "" && a.Verdict == engine.Served:
 			b.owe(b.batches.CallbackRan(j.CallbackOf, batch.Kind(j.Callback)))
 		}
 		if !t.pushing {
-			b.ran(t, a.Verdict == core.Served)
+			b.ran(t, a.Verdict == engine.Served)
 		}
 		if j.Where() == "" {
 			t.job = nil
@@ -493,11 +493,11 @@
 			}
 		case sets.Kill:
 			if t.state != final {
-				b.conclude(t, core.Answer{Verdict: core.Failed, Body: []byte("killed\n")})
+				b.conclude(t, engine.Answer{Verdict: engine.Failed, Body: []byte("killed\n")})
 			}
 		default:
 			if t.state != final {
-				b.conclude(t, core.Answer{Verdict: core.Failed, Body: []byte("discarded\n")})
+				b.conclude(t, engine.Answer{Verdict: engine.Failed, Body: []byte("discarded\n")})
 			}
 			t.job = nil
 		}
@@ -523,14 +523,14 @@
 func (b *backlog) drop(gone []*sets.Job, why string) {
 	for _, j := range gone {
 		if t := j.Data.(*task); t.state != final {
-			b.conclude(t, core.Answer{Verdict: core.Failed, Body: []byte(why)})
+			b.conclude(t, engine.Answer{Verdict: engine.Failed, Body: []byte(why)})
 		}
 	}
 	b.wake()
 }
 
 // finish takes an ACK or a FAIL of a worker.
-func (b *backlog) finish(w *worker, jid string, s basaltloft.Status, result []byte, f *failure) bool {
+func (b *backlog) finish(w *worker, jid string, s policy.Status, result []byte, f *failure) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.workers.held[jid]
@@ -574,4 +574,4 @@
 // whole is a number without a fraction, as an int that it fits.
 func wholeNumber(f float64) int { return int(min(max(math.Trunc(f), -1), math.MaxInt32)) }
 
-func retryable(v core.Verdict) bool { return v == core.Refused || v == core.Denied }
+func retryable(v engine.Verdict) bool { return v == engine.Refused || v == engine.Denied }
--- a/internal/faktory/commands.go
+++ b/internal/dispatcher/faktory/commands.go
@@ -7,12 +7,12 @@
 	"strings"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/faktory/batch"
-	"basaltloft/internal/faktory/sets"
-	"basaltloft/internal/jsontext"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/faktory/batch"
+	"basaltloft/internal/dispatcher/faktory/sets"
+	"basaltloft/internal/dispatcher/jsontext"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/valyala/fastjson"
 )
@@ -122,9 +122,9 @@
 
 const mostFetched = 64
 
-func (s *session) ack(text string) string { return s.end(text, basaltloft.OK) }
+func (s *session) ack(text string) string { return s.end(text, policy.OK) }
 
-func (s *session) fail(text string) string { return s.end(text, basaltloft.Error) }
+func (s *session) fail(text string) string { return s.end(text, policy.Error) }
 
 const (
 	mostMessage = 1000 // characters of what a worker says of a failure
@@ -133,7 +133,7 @@
 
 // end takes an ACK or a FAIL. A second one is answered like the first and
 // counts nothing.
-func (s *session) end(text string, status basaltloft.Status) string {
+func (s *session) end(text string, status policy.Status) string {
 	v, err := fastjson.Parse(text)
 	if err != nil || len(v.GetStringBytes("jid")) == 0 {
 		return fault("a jid is missing")
@@ -143,17 +143,17 @@
 	}
 	var result []byte
 	switch at := v.Get("result"); {
-	case status != basaltloft.OK || at == nil:
+	case status != policy.OK || at == nil:
 	case at.Type() == fastjson.TypeString:
 		result = append(result, at.GetStringBytes()...)
 	default:
 		result = jsontext.Append(nil, at)
 	}
-	if len(result) > stage.MaxBody {
+	if len(result) > pipeline.MaxBody {
 		return fault("the result is too large")
 	}
 	var f *failure
-	if status != basaltloft.OK {
+	if status != policy.OK {
 		f = &failure{kind: short(v, "errtype"), message: short(v, "message")}
 		for i, line := range v.GetArray("backtrace") {
 			if i == mostTrace {
@@ -337,9 +337,9 @@
 		when("retry_at", t.job.When())
 	case t.state == final:
 		switch t.answer.Verdict {
-		case core.Served:
+		case engine.Served:
 			state = "success"
-		case core.Failed:
+		case engine.Failed:
 			state = "failed"
 		default:
 			state = "dead"
@@ -416,7 +416,7 @@
 	id := "b-" + newID()
 	if err := s.back.batches.New(time.Now(), id, d); err != nil {
 		if errors.Is(err, batch.ErrFull) {
-			return "-" + refused(core.Answer{}).Error() + "\r\n"
+			return "-" + refused(engine.Answer{}).Error() + "\r\n"
 		}
 		return fault("%v", err)
 	}
--- a/internal/faktory/conformance_test.go
+++ b/internal/dispatcher/faktory/conformance_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 )
 
 // conforming is an operator's file without a password, whose retries come a
--- a/internal/faktory/golden_test.go
+++ b/internal/dispatcher/faktory/golden_test.go
@@ -5,7 +5,7 @@
 	"regexp"
 	"testing"
 
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/shared/goldentest"
 )
 
 var (
--- a/internal/faktory/guard_test.go
+++ b/internal/dispatcher/faktory/guard_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/scenario"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
--- a/internal/faktory/hard_test.go
+++ b/internal/dispatcher/faktory/hard_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/faktory/client"
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/faktory/client"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 )
@@ -110,7 +110,7 @@
 		require.True(t, time.Now().Before(until), "%v", i.Faktory)
 	}
 	seen := make(map[string]bool)
-	w, err := standin.DialFaktory(p.w.Faktory, "w")
+	w, err := fakes.DialFaktory(p.w.Faktory, "w")
 	require.NoError(t, err)
 	defer w.Close()
 	for range 100 {
@@ -136,13 +136,13 @@
 	}
 	p := start(t, 0)
 	push(t, p.dial(t), workers, "")
-	till := standin.NewTill()
+	till := fakes.NewTill()
 	var all sync.WaitGroup
 	errs := make(chan error, workers)
 	for n := range workers {
 		all.Go(func() {
 			errs <- func() error {
-				w, err := standin.DialFaktory(p.w.Faktory, fmt.Sprint("w", n))
+				w, err := fakes.DialFaktory(p.w.Faktory, fmt.Sprint("w", n))
 				if err != nil {
 					return err
 				}
@@ -217,7 +217,7 @@
 	require.NoError(t, conn.(*net.TCPConn).SetLinger(0))
 	conn.Close()
 	seen := make(map[string]int)
-	w, err := standin.DialFaktory(p.w.Faktory, "w")
+	w, err := fakes.DialFaktory(p.w.Faktory, "w")
 	require.NoError(t, err)
 	defer w.Close()
 	for len(seen) < 18 {
@@ -278,7 +278,7 @@
 			began := time.Now()
 			push(b, c, jobs, `,"custom":{"tenant":"hrad-kamenec","note":"a job of about two hundred bytes, as clients send them"}`)
 			pushed, took := float64(jobs)/time.Since(began).Seconds(), float64(rss(p.cmd.Process.Pid)-before)/(1<<20)
-			w, err := standin.DialFaktory(p.w.Faktory, "w")
+			w, err := fakes.DialFaktory(p.w.Faktory, "w")
 			require.NoError(b, err)
 			defer w.Close()
 			b.ResetTimer()
@@ -334,7 +334,7 @@
 	left.Add(b.N)
 	for n := range conns {
 		all.Go(func() {
-			w, err := standin.DialFaktory(p.w.Faktory, fmt.Sprint("w", n))
+			w, err := fakes.DialFaktory(p.w.Faktory, fmt.Sprint("w", n))
 			if err != nil {
 				b.Error(err)
 				return
@@ -367,7 +367,7 @@
 	b.ResetTimer()
 	for n := range conns {
 		pushers.Go(func() {
-			c, err := standin.DialFaktory(p.w.Faktory, "")
+			c, err := fakes.DialFaktory(p.w.Faktory, "")
 			if err != nil {
 				b.Error(err)
 				return
--- a/internal/faktory/job.go
+++ b/internal/dispatcher/faktory/job.go
@@ -8,11 +8,11 @@
 	"time"
 	"unique"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/faktory/sets"
-	"basaltloft/internal/jsontext"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/faktory/sets"
+	"basaltloft/internal/dispatcher/jsontext"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/valyala/fastjson"
@@ -40,7 +40,7 @@
 	uniqueFor       time.Duration
 	uniqueUntil     sets.Until
 	plan            string // it is run as; empty: it is fetched
-	arrival         stage.Arrival
+	arrival         pipeline.Arrival
 }
 
 const (
@@ -95,12 +95,12 @@
 	if as.Class == "" && j.plan == "" {
 		return j, fmt.Errorf("neither jobtype %q nor queue %q is set up here", j.kind, j.queue)
 	}
-	j.arrival = stage.Arrival{
+	j.arrival = pipeline.Arrival{
 		ID: j.id, Class: as.Class, Tenant: as.Tenant, Front: Front, Key: j.id, Form: form, Body: jsontext.Append(nil, v), Hint: as.Cost, Slots: 1,
 		Needs: j.queue, Once: true,
 	}
-	if len(j.arrival.Body) > stage.MaxBody {
-		return j, stage.ErrTooLarge
+	if len(j.arrival.Body) > pipeline.MaxBody {
+		return j, pipeline.ErrTooLarge
 	}
 	if as.Deadline > 0 {
 		j.arrival.GivesUp = now.Add(as.Deadline)
@@ -186,7 +186,7 @@
 
 // forWorker is the job that a worker fetches: a pushed one as it came, one of
 // another front in Faktory's form, with its body as the only argument.
-func forWorker(t *core.Transaction, queue string) []byte {
+func forWorker(t *engine.Transaction, queue string) []byte {
 	if t.Form == form {
 		return withFailure(t)
 	}
@@ -205,7 +205,7 @@
 }
 
 // withFailure is a pushed job with what is known of how it failed last.
-func withFailure(t *core.Transaction) []byte {
+func withFailure(t *engine.Transaction) []byte {
 	tried, ok := t.Client.(*task)
 	if !ok || tried.job == nil || tried.job.Failure == nil {
 		return t.Body
@@ -250,7 +250,7 @@
 
 // reservation is how long a worker may keep a job. What a job asks for counts
 // from one minute on, as the protocol has it.
-func reservation(t *core.Transaction, set *settings.Faktory) time.Duration {
+func reservation(t *engine.Transaction, set *settings.Faktory) time.Duration {
 	if t.Form == form {
 		if v, err := fastjson.ParseBytes(t.Body); err == nil {
 			if s := v.GetFloat64("reserve_for"); s > 0 {
--- a/internal/faktory/mixed_test.go
+++ b/internal/dispatcher/faktory/mixed_test.go
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/faktory/model_test.go
+++ b/internal/dispatcher/faktory/model_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -23,23 +23,23 @@
 // hub stands in for the core. What the front tells it is done by pump, as the
 // core's goroutine would do it.
 type hub struct {
-	submitted []*core.Transaction
+	submitted []*engine.Transaction
 	events    []func()
-	members   map[string]*core.Member
+	members   map[string]*engine.Member
 	refuse    bool // the next one
 }
 
-func (h *hub) Submit(t *core.Transaction) { h.submitted = append(h.submitted, t) }
-func (h *hub) Sync(func())                {}
-func (h *hub) Others(string) bool         { return false }
-func (h *hub) End(f *core.Flow, s basaltloft.Status, result []byte) {
+func (h *hub) Submit(t *engine.Transaction) { h.submitted = append(h.submitted, t) }
+func (h *hub) Sync(func())                  {}
+func (h *hub) Others(string) bool           { return false }
+func (h *hub) End(f *engine.Flow, s policy.Status, result []byte) {
 	h.events = append(h.events, func() { h.answer(f.Transaction, s, result) })
 }
-func (h *hub) Note(*core.Flow, basaltloft.NoteTopic, float64)                       {}
-func (h *hub) Probed(*core.Member, basaltloft.Status, basaltloft.Report, time.Time) {}
-func (h *hub) List(_ string, _ basaltloft.ListKind, of []*core.Member) {
+func (h *hub) Note(*engine.Flow, policy.NoteTopic, float64)                   {}
+func (h *hub) Probed(*engine.Member, policy.Status, policy.Report, time.Time) {}
+func (h *hub) List(_ string, _ policy.ListKind, of []*engine.Member) {
 	for _, m := range of {
-		if h.members[m.ID] = m; m.State != basaltloft.Ready {
+		if h.members[m.ID] = m; m.State != policy.Ready {
 			delete(h.members, m.ID)
 		}
 	}
@@ -47,16 +47,16 @@
 
 // answer is what the decisions would say: a job that went back unstarted is
 // refused, one that failed is refused where its class lets it be repeated.
-func (h *hub) answer(t *core.Transaction, s basaltloft.Status, result []byte) {
-	a := core.Answer{Verdict: core.Served, Body: result}
+func (h *hub) answer(t *engine.Transaction, s policy.Status, result []byte) {
+	a := engine.Answer{Verdict: engine.Served, Body: result}
 	switch {
-	case s == basaltloft.OK:
-	case s == basaltloft.Full || s == basaltloft.ConnectFailed:
-		a = core.Answer{Verdict: core.Refused}
+	case s == policy.OK:
+	case s == policy.Full || s == policy.ConnectFailed:
+		a = engine.Answer{Verdict: engine.Refused}
 	case t.Class == "safe":
-		a = core.Answer{Verdict: core.Refused, Ran: s == basaltloft.Error}
+		a = engine.Answer{Verdict: engine.Refused, Ran: s == policy.Error}
 	default:
-		a = core.Answer{Verdict: core.Failed}
+		a = engine.Answer{Verdict: engine.Failed}
 	}
 	t.Client.Answer(a)
 }
@@ -72,7 +72,7 @@
 		}
 		t := h.submitted[0]
 		h.submitted = h.submitted[1:]
-		var to *core.Member
+		var to *engine.Member
 		for _, m := range h.members {
 			ws := m.Carrier.(*workers)
 			w := ws.byID[strings.TrimPrefix(m.ID, prefix)]
@@ -82,27 +82,27 @@
 		}
 		if to == nil || h.refuse {
 			h.refuse = false
-			t.Client.Answer(core.Answer{Verdict: core.Refused})
+			t.Client.Answer(engine.Answer{Verdict: engine.Refused})
 			continue
 		}
-		to.Carrier.Start(&core.Flow{Transaction: t, Member: to})
+		to.Carrier.Start(&engine.Flow{Transaction: t, Member: to})
 	}
 }
 
 // intake knows two classes.
 type intake struct{}
 
-func (intake) TakeIn(a stage.Arrival, now time.Time, c core.Client) (*core.Transaction, error) {
-	return &core.Transaction{ID: a.ID, Class: a.Class, Needs: a.Needs, Body: a.Body, Form: a.Form, Arrived: now, Deadline: now.Add(time.Hour), Client: c}, nil
+func (intake) TakeIn(a pipeline.Arrival, now time.Time, c engine.Client) (*engine.Transaction, error) {
+	return &engine.Transaction{ID: a.ID, Class: a.Class, Needs: a.Needs, Body: a.Body, Form: a.Form, Arrived: now, Deadline: now.Add(time.Hour), Client: c}, nil
 }
 
-func (intake) Effect(class string) (basaltloft.Effect, bool) {
-	return map[string]basaltloft.Effect{"safe": basaltloft.Safe, "ticket": basaltloft.Unsafe}[class], class != ""
+func (intake) Effect(class string) (policy.Effect, bool) {
+	return map[string]policy.Effect{"safe": policy.Safe, "ticket": policy.Unsafe}[class], class != ""
 }
 
 func newFront() (*Server, *hub) {
 	log, _ := test.NewNullLogger()
-	h := &hub{members: make(map[string]*core.Member)}
+	h := &hub{members: make(map[string]*engine.Member)}
 	return New(h, intake{}, &settings.Faktory{
 		Connections: 8, Jobs: 1000, ReserveFor: time.Hour, FetchIn: time.Hour, BackoffUnit: 1,
 		Default: settings.FaktoryJob{Class: "safe"}, JobTypes: map[string]settings.FaktoryJob{"Ticket": {Class: "ticket"}},
@@ -293,7 +293,7 @@
 						where = b.workers.held[id].worker.id
 					case at != nil:
 						where = at.Where()
-					case b.tasks[id].answer.Verdict != core.Served:
+					case b.tasks[id].answer.Verdict != engine.Served:
 						where = "gone"
 					}
 					require.Equal(t, j.where, where, id)
--- a/internal/faktory/plans.go
+++ b/internal/dispatcher/faktory/plans.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/faktory/sets"
-	"basaltloft/internal/jsontext"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/faktory/sets"
+	"basaltloft/internal/dispatcher/jsontext"
 
 	"github.com/valyala/fastjson"
 )
@@ -22,7 +22,7 @@
 	// goroutine, unless this process ends first: Served with the answer's JSON, Refused
 	// where nothing has run, else Failed. It does not wait; after an error nothing has
 	// run, and done is not called.
-	Begin(run, plan, tenant string, input []byte, until time.Time, done func(core.Answer)) error
+	Begin(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error
 }
 
 // planned is a job that is run as a plan. Its runs have its jid, and each after one
@@ -110,13 +110,13 @@
 		j, err = readJob(v, b.set, now)
 	}
 	if err != nil {
-		b.conclude(t, core.Answer{Verdict: core.Denied, Body: []byte(err.Error() + "\n")})
+		b.conclude(t, engine.Answer{Verdict: engine.Denied, Body: []byte(err.Error() + "\n")})
 		return
 	}
 	t.state, t.failed, t.at = isOut, nil, now
 	b.book.Started(t.job)
 	run, queue := t.plan.run(t.id), t.job.Queue
-	err = b.plans.Begin(run, t.plan.name, j.arrival.Tenant, planInput(v), j.arrival.GivesUp, func(a core.Answer) {
+	err = b.plans.Begin(run, t.plan.name, j.arrival.Tenant, planInput(v), j.arrival.GivesUp, func(a engine.Answer) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		t.plan.ends++
@@ -124,26 +124,26 @@
 		b.feed(queue)
 	})
 	if err != nil { // the id is still to be used
-		b.planEnded(t, run, core.Answer{Verdict: core.Refused, Body: []byte(err.Error() + "\n")})
+		b.planEnded(t, run, engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n")})
 	}
 }
 
 // planEnded takes in the final answer of a run. Only one in which nothing has run is
 // followed by another.
-func (b *backlog) planEnded(t *task, run string, a core.Answer) {
+func (b *backlog) planEnded(t *task, run string, a engine.Answer) {
 	now := time.Now()
 	t.at = now
 	fate := sets.Gone
 	switch a.Verdict {
-	case core.Served:
+	case engine.Served:
 		b.processed++
-	case core.Refused:
+	case engine.Refused:
 		fate = b.book.Refused(now, t.job, a.RetryAt)
 	default:
 		b.processed++
 		b.failures++
 		why := "failed before anything ran"
-		if t.job.MayHaveRun = a.Verdict == core.Failed; t.job.MayHaveRun {
+		if t.job.MayHaveRun = a.Verdict == engine.Failed; t.job.MayHaveRun {
 			why = "may have run, and is not begun again"
 		}
 		t.failed = &failure{kind: "Plan", message: cut(fmt.Sprintf("run %s of plan %s %s: %s", run, t.plan.name, why, strings.TrimSpace(string(a.Body))))}
--- a/internal/faktory/plans_test.go
+++ b/internal/dispatcher/faktory/plans_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/core"
+	"basaltloft/internal/dispatcher/engine"
 
 	"github.com/stretchr/testify/require"
 )
@@ -16,7 +16,7 @@
 type planner struct {
 	begun []string // run, plan, tenant, input
 	until []time.Time
-	done  []func(core.Answer)
+	done  []func(engine.Answer)
 	away  error
 }
 
@@ -27,7 +27,7 @@
 	return nil
 }
 
-func (p *planner) Begin(run, plan, tenant string, input []byte, until time.Time, done func(core.Answer)) error {
+func (p *planner) Begin(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error {
 	p.begun, p.until, p.done = append(p.begun, fmt.Sprintf("%s %s %s %s", run, plan, tenant, input)), append(p.until, until), append(p.done, done)
 	return p.away
 }
@@ -41,8 +41,8 @@
 // run has an id of its own, and what may have run is never begun again.
 func TestPlanJobs(t *testing.T) {
 	input := `{"args":[7,"a"],"custom":{}}`
-	served, refused := core.Answer{Verdict: core.Served, Body: []byte(`{"outcome":"served"}`)}, core.Answer{Verdict: core.Refused, Body: []byte("x")}
-	failed := core.Answer{Verdict: core.Failed, Body: []byte(`{"left":["ticket"]}`)}
+	served, refused := engine.Answer{Verdict: engine.Served, Body: []byte(`{"outcome":"served"}`)}, engine.Answer{Verdict: engine.Refused, Body: []byte("x")}
+	failed := engine.Answer{Verdict: engine.Failed, Body: []byte(`{"left":["ticket"]}`)}
 	for name, step := range map[string]func(do func(command, rest, want string) string, p *planner, b *backlog){
 		"its answer is its result": func(do func(c, r, w string) string, p *planner, b *backlog) {
 			do("PUSH", coachJob("job-0001", `,"tenant":"hrad","seat":{"n":1}`, ""), `^\+OK`)
--- a/internal/faktory/program_test.go
+++ b/internal/dispatcher/faktory/program_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 )
 
 const operator = `{"agent_check":{"listen":"AGENT"},"figures":{"listen":"FIGURES"},"faktory":{"listen":"FAKTORY","password":"tajomstvo","connections":6,
--- a/internal/faktory/server.go
+++ b/internal/dispatcher/faktory/server.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 )
@@ -30,13 +30,13 @@
 
 // Intake makes transactions of arrivals.
 type Intake interface {
-	TakeIn(a stage.Arrival, now time.Time, client core.Client) (*core.Transaction, error)
-	Effect(class string) (basaltloft.Effect, bool)
+	TakeIn(a pipeline.Arrival, now time.Time, client engine.Client) (*engine.Transaction, error)
+	Effect(class string) (policy.Effect, bool)
 }
 
 // Server is the Faktory front.
 type Server struct {
-	Desk    account.Desk // its own book
+	Desk    accounting.Desk // its own book
 	hub     Hub
 	intake  Intake
 	set     *settings.Faktory
@@ -58,7 +58,7 @@
 // New returns a front that is not serving yet.
 func New(hub Hub, intake Intake, set *settings.Faktory, log logrus.FieldLogger) *Server {
 	s := &Server{
-		Desk: account.Desk{Front: Front}, hub: hub, intake: intake, set: set, log: log,
+		Desk: accounting.Desk{Front: Front}, hub: hub, intake: intake, set: set, log: log,
 		started: time.Now(), slots: make(chan struct{}, set.Connections), conns: make(map[net.Conn]time.Time), by: make(map[string]int),
 	}
 	s.back = newBacklog(hub, intake, set, &s.Desk, log)
--- a/internal/faktory/sets/set.go
+++ b/internal/dispatcher/faktory/sets/set.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/heap"
+	"basaltloft/internal/shared/indexedheap"
 )
 
 // ErrFull says that there is no room for a job.
@@ -16,7 +16,7 @@
 // the Book uses nothing but its methods.
 type Set struct {
 	Name  string
-	jobs  heap.Heap[*Job]
+	jobs  indexedheap.Heap[*Job]
 	bytes int
 }
 
@@ -55,7 +55,7 @@
 func byTime(a, b *Job) int { return cmp.Or(cmp.Compare(a.when, b.when), cmp.Compare(a.ID, b.ID)) }
 
 func newSet(name string) *Set {
-	return &Set{Name: name, jobs: heap.New(func(a, b *Job) bool { return byTime(a, b) < 0 }, func(j *Job, at int) { j.index = at })}
+	return &Set{Name: name, jobs: indexedheap.New(func(a, b *Job) bool { return byTime(a, b) < 0 }, func(j *Job, at int) { j.index = at })}
 }
 
 // Queue holds the jobs of one name in the order of their coming.
--- a/internal/faktory/show.go
+++ b/internal/dispatcher/faktory/show.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/faktory/sets"
-	"basaltloft/internal/jsontext"
+	"basaltloft/internal/dispatcher/faktory/sets"
+	"basaltloft/internal/dispatcher/jsontext"
 
 	"github.com/valyala/fastjson"
 )
