--- a/internal/faktory/workers.go
+++ b/internal/dispatcher/faktory/workers.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/settings"
 )
 
 const (
@@ -21,13 +21,13 @@
 
 // Hub is what the front needs of the core.
 type Hub interface {
-	Submit(*core.Transaction)
+	Submit(*engine.Transaction)
 	Sync(func())
 	Others(source string) bool
-	End(f *core.Flow, s basaltloft.Status, result []byte)
-	Note(f *core.Flow, topic basaltloft.NoteTopic, share float64)
-	Probed(m *core.Member, s basaltloft.Status, r basaltloft.Report, sentAt time.Time)
-	List(source string, kind basaltloft.ListKind, entries []*core.Member)
+	End(f *engine.Flow, s policy.Status, result []byte)
+	Note(f *engine.Flow, topic policy.NoteTopic, share float64)
+	Probed(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
+	List(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
 // workers are the Faktory workers as pool members. It implements core.Carrier.
@@ -61,7 +61,7 @@
 
 // errand is a flow at a worker.
 type errand struct {
-	flow    *core.Flow
+	flow    *engine.Flow
 	worker  *worker
 	queue   string
 	job     []byte // as it is written to the worker
@@ -112,7 +112,7 @@
 	}
 	ws.handBack(w)
 	if w.listed {
-		ws.list(w, basaltloft.Removed)
+		ws.list(w, policy.Removed)
 		w.listed = false
 	}
 	ws.forget(w)
@@ -138,7 +138,7 @@
 	}
 	w.quiet = true
 	if w.listed {
-		ws.list(w, basaltloft.Draining)
+		ws.list(w, policy.Draining)
 	}
 	ws.handBack(w)
 }
@@ -146,13 +146,13 @@
 func (ws *workers) handBack(w *worker) {
 	for _, e := range w.mailbox {
 		ws.over(e)
-		ws.hub.End(e.flow, basaltloft.Full, nil)
+		ws.hub.End(e.flow, policy.Full, nil)
 	}
 	w.mailbox = nil
 }
 
-func (ws *workers) list(w *worker, state basaltloft.MemberState) {
-	ws.hub.List(Source, basaltloft.ListChange, []*core.Member{{
+func (ws *workers) list(w *worker, state policy.MemberState) {
+	ws.hub.List(Source, policy.ListChange, []*engine.Member{{
 		ID: prefix + w.id, Kind: ws.set.Kind, Zone: ws.set.Zone, Cell: ws.cell(w), State: state, Weight: 1, Carrier: ws,
 		Offers: ws.offers(w),
 	}})
@@ -180,7 +180,7 @@
 func (ws *workers) offer() {
 	for _, w := range ws.byID {
 		if w.listed && !w.quiet {
-			ws.list(w, basaltloft.Ready)
+			ws.list(w, policy.Ready)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 }
 
 // Start implements core.Carrier: the flow waits to be fetched.
-func (ws *workers) Start(f *core.Flow) {
+func (ws *workers) Start(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	e := &errand{flow: f, queue: f.Transaction.Needs}
@@ -236,7 +236,7 @@
 	w := ws.byID[strings.TrimPrefix(f.Member.ID, prefix)]
 	if e.worker = w; w == nil || w.quiet || w.connections == 0 || !w.queues[e.queue] || ws.paused(e.queue) {
 		e.over = true
-		ws.hub.End(f, basaltloft.Full, nil) // it never reached the worker
+		ws.hub.End(f, policy.Full, nil) // it never reached the worker
 		return
 	}
 	for _, waiting := range w.fetches {
@@ -248,9 +248,9 @@
 	w.mailbox = append(w.mailbox, e)
 	// A worker that is busy or stuck does not fetch. What it has not fetched
 	// has not run and may go elsewhere; one that it fetches too late might run again.
-	until, ends := time.Now().Add(ws.set.FetchIn), basaltloft.Full
+	until, ends := time.Now().Add(ws.set.FetchIn), policy.Full
 	if f.Stale(until) {
-		until, ends = f.Latest, basaltloft.Moot
+		until, ends = f.Latest, policy.Moot
 	}
 	e.timer = time.AfterFunc(time.Until(until), func() { ws.drop(e, false, ends) })
 }
@@ -327,11 +327,11 @@
 		}
 		ws.back.book.Started(t.job)
 	}
-	e.timer = time.AfterFunc(reservation(e.flow.Transaction, ws.set), func() { ws.drop(e, true, basaltloft.TimedOut) })
+	e.timer = time.AfterFunc(reservation(e.flow.Transaction, ws.set), func() { ws.drop(e, true, policy.TimedOut) })
 }
 
 // drop ends an errand with a status, if it is still in that state.
-func (ws *workers) drop(e *errand, fetched bool, s basaltloft.Status) {
+func (ws *workers) drop(e *errand, fetched bool, s policy.Status) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	if e.fetched != fetched || !ws.over(e) {
@@ -347,7 +347,7 @@
 
 // Abandon implements core.Carrier. A worker can't be told: one that has
 // fetched the job goes on, and its ACK counts nothing.
-func (ws *workers) Abandon(f *core.Flow) {
+func (ws *workers) Abandon(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	if e, ok := f.Carried.(*errand); ok && ws.over(e) && e.worker != nil {
@@ -356,28 +356,28 @@
 }
 
 // Release implements core.Carrier.
-func (ws *workers) Release(f *core.Flow) { ws.Abandon(f) }
+func (ws *workers) Release(f *engine.Flow) { ws.Abandon(f) }
 
 // Recall implements core.Carrier. What was not fetched has not run and comes
 // back at once; a worker can't be told to stop, and its ACK counts.
-func (ws *workers) Recall(f *core.Flow) {
+func (ws *workers) Recall(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	if e, ok := f.Carried.(*errand); ok && !e.fetched && ws.over(e) && e.worker != nil {
 		e.worker.mailbox = without(e.worker.mailbox, e)
-		ws.hub.End(f, basaltloft.Moot, nil)
+		ws.hub.End(f, policy.Moot, nil)
 	}
 }
 
 // Probe implements core.Carrier: a worker with a connection is there.
-func (ws *workers) Probe(m *core.Member) {
+func (ws *workers) Probe(m *engine.Member) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	s := basaltloft.ConnectFailed
+	s := policy.ConnectFailed
 	if w := ws.byID[strings.TrimPrefix(m.ID, prefix)]; w != nil && w.connections > 0 {
-		s = basaltloft.OK
+		s = policy.OK
 	}
-	ws.hub.Probed(m, s, basaltloft.Report{}, time.Now())
+	ws.hub.Probed(m, s, policy.Report{}, time.Now())
 }
 
 // fetch takes a job for a worker, or waits for one. A worker joins the pool by
@@ -397,7 +397,7 @@
 	}
 	if news {
 		w.listed = true
-		ws.list(w, basaltloft.Ready)
+		ws.list(w, policy.Ready)
 	}
 	w.fetches = append(w.fetches, f)
 	for _, q := range queues {
@@ -421,16 +421,16 @@
 }
 
 // started tells that a fetched job is on its way to its worker.
-func (ws *workers) started(e *errand) { ws.hub.Note(e.flow, basaltloft.NoteStarted, 0) }
+func (ws *workers) started(e *errand) { ws.hub.Note(e.flow, policy.NoteStarted, 0) }
 
 // undelivered takes back a job that did not reach its worker whole.
-func (ws *workers) undelivered(e *errand) { ws.drop(e, true, basaltloft.ConnectFailed) }
+func (ws *workers) undelivered(e *errand) { ws.drop(e, true, policy.ConnectFailed) }
 
 // finish ends the errand of a worker that holds a jid. The first ACK or FAIL
 // counts; it may come by any of the worker's connections, since one that lost
 // its connection in the middle of a job acknowledges on another. Another
 // worker, whose reservation has ended, can't end it. The lock is held.
-func (ws *workers) finish(w *worker, jid string, s basaltloft.Status, result []byte) bool {
+func (ws *workers) finish(w *worker, jid string, s policy.Status, result []byte) bool {
 	e := ws.held[jid]
 	if e == nil || e.worker != w || !ws.over(e) {
 		return false
@@ -446,7 +446,7 @@
 		return false
 	}
 	e.timer.Stop()
-	e.timer = time.AfterFunc(max(0, time.Until(until)), func() { ws.drop(e, true, basaltloft.TimedOut) })
+	e.timer = time.AfterFunc(max(0, time.Until(until)), func() { ws.drop(e, true, policy.TimedOut) })
 	return true
 }
 
--- a/internal/faultlink/conn.go
+++ b/internal/dispatcher/faultproxy/conn.go
@@ -1,4 +1,4 @@
-package faultlink
+package faultproxy
 
 import (
 	"errors"
--- a/internal/faultlink/faultlink.go
+++ b/internal/dispatcher/faultproxy/faultlink.go
@@ -1,8 +1,8 @@
-// Package faultlink is a loopback TCP link with faults, for tests of several
+// Package faultproxy is a loopback TCP link with faults, for tests of several
 // processes: whoever dials its address talks to another address, until the link
 // is told to misbehave. A link is one way's dials: of A to B, with bytes forth
 // (from A) and back (to A).
-package faultlink
+package faultproxy
 
 import (
 	"context"
--- a/internal/faultlink/faultlink_test.go
+++ b/internal/dispatcher/faultproxy/faultlink_test.go
@@ -1,4 +1,4 @@
-package faultlink
+package faultproxy
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
--- a/internal/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/shares"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
 
 	"github.com/sirupsen/logrus"
 )
@@ -39,14 +39,14 @@
 // those of spend.go that say otherwise.
 type Agent struct {
 	s      Settings
-	client *call.Client
+	client *rpc.Client
 	base   time.Time // the own clock's zero
 	nonce  string
-	purse  *shares.Purse
+	purse  *budget.Purse
 	taps   atomic.Pointer[taps]
 	short  map[string]time.Duration // see Room
 
-	session atomic.Pointer[call.Session] // nil: not joined
+	session atomic.Pointer[rpc.Session] // nil: not joined
 	leave   chan struct{}
 	joined  atomic.Int64 // how often
 	renewed atomic.Int64 // the own clock when the last renewal that was granted was sent
@@ -57,7 +57,7 @@
 // New returns an agent that has not joined. Until its first grant it admits nothing
 // of the budgets that it expects.
 func New(s Settings) *Agent {
-	a := &Agent{s: s, client: call.New(s.Keepers), base: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), purse: shares.NewPurse(),
+	a := &Agent{s: s, client: rpc.New(s.Keepers), base: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), purse: budget.NewPurse(),
 		leave: make(chan struct{}), short: make(map[string]time.Duration)}
 	a.purse.Expect(s.Expect...)
 	a.see(s.Expect)
@@ -68,7 +68,7 @@
 func (a *Agent) now() time.Duration { return time.Since(a.base) }
 
 // Session is the incarnation in force, as far as is known here; nil: none.
-func (a *Agent) Session() *call.Session { return a.session.Load() }
+func (a *Agent) Session() *rpc.Session { return a.session.Load() }
 
 // Run keeps the process in the fleet until the context ends.
 func (a *Agent) Run(ctx context.Context) error {
@@ -106,7 +106,7 @@
 		return err
 	}
 	a.purse.Become(a.s.Process, s.Incarnation)
-	if err := s.Order(join, state.Set, a.s.Set, nil); err != nil && !errors.Is(err, call.ErrNobody) {
+	if err := s.Order(join, state.Set, a.s.Set, nil); err != nil && !errors.Is(err, rpc.ErrNobody) {
 		if errors.Is(err, state.ErrFenced) {
 			return err
 		}
@@ -141,14 +141,14 @@
 }
 
 // renew renews the lease and takes in what it grants.
-func (a *Agent) renew(ctx context.Context, s *call.Session, sent time.Duration) error {
+func (a *Agent) renew(ctx context.Context, s *rpc.Session, sent time.Duration) error {
 	body, err := codec.Encode(a.purse.Renewal(sent))
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
 	defer cancel()
-	told, err := s.Renew(ctx, map[string][]byte{parts.BudgetsName: body})
+	told, err := s.Renew(ctx, map[string][]byte{partition.BudgetsName: body})
 	if err != nil {
 		return err
 	}
@@ -156,10 +156,10 @@
 		a.s.Log.WithField("part", part).Warn("the fleet refuses what a renewal says: " + why)
 	}
 	a.renewed.Store(int64(sent))
-	a.leased.Store(int64(sent + time.Duration(shares.Margin*float64(told.Lease))))
+	a.leased.Store(int64(sent + time.Duration(budget.Margin*float64(told.Lease))))
 	a.members.Store(int64(told.Members))
-	var g shares.Grant
-	if text := told.Parts[parts.BudgetsName]; text != nil {
+	var g budget.Grant
+	if text := told.Parts[partition.BudgetsName]; text != nil {
 		if err := codec.Decode(text, &g); err != nil {
 			return err
 		}
@@ -185,7 +185,7 @@
 	if s == nil {
 		return nil
 	}
-	if err := s.Order(ctx, parts.BudgetsLeave, parts.BudgetsLeft{Left: left}, nil); err != nil {
+	if err := s.Order(ctx, partition.BudgetsLeave, partition.BudgetsLeft{Left: left}, nil); err != nil {
 		return fmt.Errorf("leaving the fleet: %w", err)
 	}
 	if err := s.Order(ctx, state.Leave, nil, nil); err != nil {
--- a/internal/fleet/agent/spend.go
+++ b/internal/dispatcher/fleet/agent/spend.go
@@ -4,17 +4,17 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/fleet/shares"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/settings"
 )
 
 // taps are looked up on a job's path: an immutable snapshot, replaced when a grant
 // names a budget that was not known.
 type taps struct {
 	names                   map[string]bool
-	jobs, retries, underWay map[string]*shares.Tap
-	cold, probes            *shares.Tap
+	jobs, retries, underWay map[string]*budget.Tap
+	cold, probes            *budget.Tap
 }
 
 // see makes the taps of these budgets known.
@@ -27,7 +27,7 @@
 	if !unknown {
 		return
 	}
-	t := &taps{names: map[string]bool{}, jobs: map[string]*shares.Tap{}, retries: map[string]*shares.Tap{}, underWay: map[string]*shares.Tap{}}
+	t := &taps{names: map[string]bool{}, jobs: map[string]*budget.Tap{}, retries: map[string]*budget.Tap{}, underWay: map[string]*budget.Tap{}}
 	if old != nil {
 		for n := range old.names {
 			names = append(names, n)
@@ -102,7 +102,7 @@
 }
 
 // Begin implements core.Spending.
-func (a *Agent) Begin(kind string, until time.Time) (core.Place, bool) {
+func (a *Agent) Begin(kind string, until time.Time) (engine.Place, bool) {
 	t := a.taps.Load().underWay[kind]
 	if t == nil {
 		return nil, true
--- a/internal/fleet/shares/book_code.go
+++ b/internal/dispatcher/fleet/budget/book_code.go
@@ -1,11 +1,11 @@
-package shares
+package budget
 
 import (
 	"cmp"
 	"fmt"
 	"strings"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // version is the form of the state that this program writes and reads.
--- a/internal/fleet/shares/book_test.go
+++ b/internal/dispatcher/fleet/budget/book_test.go
@@ -1,4 +1,4 @@
-package shares
+package budget
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
--- a/internal/fleet/shares/sharecheck/sharecheck.go
+++ b/internal/dispatcher/fleet/budget/budgetcheck/sharecheck.go
@@ -1,7 +1,7 @@
-// Package sharecheck tells from outside whether a budget was overspent: from a log
+// Package budgetcheck tells from outside whether a budget was overspent: from a log
 // in true time of what was admitted by all processes together. It knows nothing of
 // shares. It is for simulations, and for tests of started processes.
-package sharecheck
+package budgetcheck
 
 import (
 	"fmt"
--- a/internal/fleet/shares/sharelab/sharelab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/sharelab.go
@@ -1,22 +1,22 @@
-// Package sharelab is a model of a fleet that shares one Rate, in virtual time: how
+// Package budgetlab is a model of a fleet that shares one Rate, in virtual time: how
 // well the whole is used when demand is skewed and moves, what the calls
 // cost, and how long it takes to divide anew. It is for choosing a way to divide
 // and for figures in the documents; nothing that serves uses it.
-package sharelab
+package budgetlab
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/shares"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // Fleet is what is modelled. All times are true ones; clocks run alike.
 type Fleet struct {
 	Holders int
-	Way     shares.Way
+	Way     budget.Way
 	Rate    float64       // of the whole a second and holder
 	Burst   time.Duration // of the whole, at its rate
 	Offered float64       // all traffic, as a part of the whole
@@ -42,7 +42,7 @@
 	Fleet
 	*rand.Rand
 	now     time.Duration
-	book    *shares.Book
+	book    *budget.Book
 	holders []*holder
 	later   map[time.Duration][]func()
 	heavy   int
@@ -54,8 +54,8 @@
 
 type holder struct {
 	name  string
-	purse *shares.Purse
-	tap   *shares.Tap
+	purse *budget.Purse
+	tap   *budget.Tap
 	at    time.Duration // within a step, when it looks whether to renew
 	down  bool
 	begun time.Duration // when it was started
@@ -63,9 +63,9 @@
 }
 
 func newModel(f Fleet) (*model, error) {
-	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: shares.NewBookBy(f.Way), later: map[time.Duration][]func(){}}
-	budget := shares.Budget{Name: "x", Kind: shares.Rate, Whole: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
-	if err := m.book.Configure(0, shares.Config{Lease: f.Lease, Budgets: []shares.Budget{budget}}); err != nil {
+	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: budget.NewBookBy(f.Way), later: map[time.Duration][]func(){}}
+	rate := budget.Budget{Name: "x", Kind: budget.Rate, Whole: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
+	if err := m.book.Configure(0, budget.Config{Lease: f.Lease, Budgets: []budget.Budget{rate}}); err != nil {
 		return nil, fmt.Errorf("modelling a fleet: %w", err)
 	}
 	for range f.Holders {
@@ -77,7 +77,7 @@
 func (m *model) whole() float64 { return m.Rate * float64(m.Fleet.Holders) }
 
 func (m *model) join() *holder {
-	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), purse: shares.NewPurse(), begun: m.now}
+	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), purse: budget.NewPurse(), begun: m.now}
 	h.at = time.Duration(len(m.holders)%100) * step / 100
 	h.purse.Expect("x")
 	h.purse.Become(h.name, 1)
@@ -172,7 +172,7 @@
 	}
 	text, err := codec.Encode(call)
 	m.bytes += len(text)
-	if _, ok := call.(shares.Renewal); ok {
+	if _, ok := call.(budget.Renewal); ok {
 		m.asks++
 	}
 	return err
--- a/internal/fleet/shares/divide.go
+++ b/internal/dispatcher/fleet/budget/divide.go
@@ -1,4 +1,4 @@
-package shares
+package budget
 
 // Ask is what one holder wants of a total.
 type Ask struct {
--- a/internal/fleet/shares/free.go
+++ b/internal/dispatcher/fleet/budget/free.go
@@ -1,4 +1,4 @@
-package shares
+package budget
 
 import "time"
 
--- a/internal/fleet/shares/hooks.go
+++ b/internal/dispatcher/fleet/budget/hooks.go
@@ -1,6 +1,6 @@
 //go:build !faults
 
-package shares
+package budget
 
 // The planted bugs; a production build has none.
 const (
--- a/internal/fleet/shares/hooks_faults.go
+++ b/internal/dispatcher/fleet/budget/hooks_faults.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package shares
+package budget
 
 import "os"
 
--- a/internal/fleet/shares/race_test.go
+++ b/internal/dispatcher/fleet/budget/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package shares
+package budget
 
 func init() { *seeds = 120 } // the race detector makes a run ten times as long
--- a/internal/fleet/shares/shares.go
+++ b/internal/dispatcher/fleet/budget/shares.go
@@ -1,4 +1,4 @@
-// Package shares divides fleet-wide budgets: a whole that all processes together
+// Package budget divides fleet-wide budgets: a whole that all processes together
 // may spend, held by each in a share that is a lease. Book is the replicated side,
 // changed by commands alone; Purse is one process's side, which a job's path
 // asks without a lock. Neither does I/O, reads a clock or starts a goroutine.
@@ -10,7 +10,7 @@
 // that Book gives, because growth is given from the rest only; a bound falls
 // only with an acknowledgement, a planned end, or the lease's end in fleet time,
 // which comes after the end that the holder counts (Margin).
-package shares
+package budget
 
 import (
 	"errors"
--- a/internal/fleet/shares/sim_test.go
+++ b/internal/dispatcher/fleet/budget/sim_test.go
@@ -1,4 +1,4 @@
-package shares
+package budget
 
 import (
 	"flag"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/shares/sharecheck"
-	"basaltloft/internal/heap"
+	"basaltloft/internal/dispatcher/fleet/budget/budgetcheck"
+	"basaltloft/internal/shared/indexedheap"
 
 	"github.com/stretchr/testify/require"
 )
@@ -20,7 +20,7 @@
 type world struct {
 	*rand.Rand
 	now    time.Duration
-	events heap.Heap[*event]
+	events indexedheap.Heap[*event]
 	order  int
 
 	book, follower *Book
@@ -75,7 +75,7 @@
 
 func newWorld(seed uint64, full, twice bool) *world {
 	w := &world{Rand: rand.New(rand.NewPCG(seed, 7)), rate: 1, full: full, twice: twice, faults: counts{}}
-	w.events = heap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.order < b.order }, nil)
+	w.events = indexedheap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.order < b.order }, nil)
 	w.config = Config{Lease: simLease, Budgets: []Budget{
 		{Name: "p", Kind: Part, Whole: 100, Floors: 2, Floor: 5, FloorFor: simLease, Linger: 500 * time.Millisecond},
 		{Name: "r", Kind: Rate, Whole: 120, Burst: 24, Floors: 2, Floor: 6, FloorFor: 2 * simLease, Weights: map[string]float64{"n1": 3}},
@@ -320,9 +320,9 @@
 	wrong string
 	whole [3]float64 // of p, r, u
 	burst float64
-	rate  sharecheck.Rate
-	under sharecheck.UnderWay
-	part  sharecheck.Part
+	rate  budgetcheck.Rate
+	under budgetcheck.UnderWay
+	part  budgetcheck.Part
 }
 
 func (c *checker) see(err error) {
--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -11,13 +11,13 @@
 	"sync"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
 
 	"github.com/sirupsen/logrus"
 )
@@ -36,12 +36,12 @@
 // Dispatcher runs jobs: each passes the same stages, decisions, account and rules as
 // a client's. Done is called once, unless Submit returns an error.
 type Dispatcher interface {
-	Submit(j Job, done func(core.Answer)) error
+	Submit(j Job, done func(engine.Answer)) error
 }
 
 // Fleet is this process's place in it.
 type Fleet interface {
-	Session() *call.Session // nil: it has none just now
+	Session() *rpc.Session // nil: it has none just now
 	// Again takes an attempt beyond the first of the fleet's budget of a class.
 	Again(request, class string) bool
 	// Leased tells whether this process's lease holds, by its own clock.
@@ -149,7 +149,7 @@
 	}
 	ctx2, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
 	defer cancel()
-	a, err := s.Read(ctx2, call.Query{Kind: parts.PlansOrphans})
+	a, err := s.Read(ctx2, rpc.Query{Kind: partition.PlansOrphans})
 	if err != nil {
 		return err
 	}
@@ -157,8 +157,8 @@
 	if err := codec.Decode(a.Body, &orphans); err != nil || orphans == 0 {
 		return err
 	}
-	var r parts.PlanReply
-	if err := s.Order(ctx2, parts.PlansDo, planrun.Command{Claim: &claim}, &r); err != nil {
+	var r partition.PlanReply
+	if err := s.Order(ctx2, partition.PlansDo, planrun.Command{Claim: &claim}, &r); err != nil {
 		return err
 	}
 	for _, one := range r.Claimed {
@@ -176,12 +176,12 @@
 	return nil
 }
 
-func (c *Coordinator) look(ctx context.Context, s *call.Session, id string) (r parts.PlanReply, err error) {
+func (c *Coordinator) look(ctx context.Context, s *rpc.Session, id string) (r partition.PlanReply, err error) {
 	body, err := codec.Encode(id)
 	if err != nil {
 		return r, err
 	}
-	a, err := s.Read(ctx, call.Query{Kind: parts.PlansLook, Body: body})
+	a, err := s.Read(ctx, rpc.Query{Kind: partition.PlansLook, Body: body})
 	if err != nil {
 		return r, err
 	}
@@ -231,10 +231,10 @@
 	if a.Within <= 0 || a.Within > p.Within {
 		a.Within = p.Within
 	}
-	var r parts.PlanReply
+	var r partition.PlanReply
 	start := planrun.Start{Run: a.Run, Plan: p.Name, Tenant: a.Tenant, Digest: p.Digest, Shape: planrun.ShapeOf(p), Input: a.Input,
 		Seed: codec.Digest([]byte(a.Run)), Before: look.At + a.Within}
-	if err := s.Order(ctx, parts.PlansDo, planrun.Command{Start: &start}, &r); err != nil {
+	if err := s.Order(ctx, partition.PlansDo, planrun.Command{Start: &start}, &r); err != nil {
 		return nil, start.Before, err
 	}
 	if err := r.Err(); err != nil {
@@ -260,7 +260,7 @@
 }
 
 // drive goes on with a run under a fence of this process's.
-func (c *Coordinator) drive(ctx context.Context, fence uint64, r parts.PlanReply) {
+func (c *Coordinator) drive(ctx context.Context, fence uint64, r partition.PlanReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.digests[r.Run.Digest]
--- a/internal/fleet/coordinator/finish.go
+++ b/internal/dispatcher/fleet/coordinator/finish.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"basaltloft/internal/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/planrun"
 )
 
 // ErrLost says that nobody could tell in time how a run ended: it may have run.
--- a/internal/fleet/coordinator/finish_test.go
+++ b/internal/dispatcher/fleet/coordinator/finish_test.go
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -42,22 +42,22 @@
 	body, _ := io.ReadAll(r.Body)
 	at, n := k.at(), k.machine.Index()+1
 	lost, answer := false, any(nil)
-	if r.URL.Path == call.Do {
+	if r.URL.Path == rpc.Do {
 		c, _ := state.Decode(body)
 
-		if c.Kind == parts.PlansDo && k.lostIn {
+		if c.Kind == partition.PlansDo && k.lostIn {
 			panic(http.ErrAbortHandler)
 		}
-		lost, c.At = c.Kind == parts.PlansDo && k.lostOut, at
+		lost, c.At = c.Kind == partition.PlansDo && k.lostOut, at
 		text, _ := codec.Encode(c)
 		answer = k.machine.Apply(n, text)
 	} else {
 		tick, _ := codec.Encode(state.Command{V: state.Version, Kind: state.Tick, At: at})
 		k.machine.Apply(n, tick)
-		var q call.Query
+		var q rpc.Query
 		codec.Decode(body, &q)
 		text, _ := k.machine.Ask(q.Kind, q.Body)
-		answer = call.Answer{Index: n, At: at, Body: text}
+		answer = rpc.Answer{Index: n, At: at, Body: text}
 	}
 	if lost {
 		panic(http.ErrAbortHandler)
@@ -67,14 +67,14 @@
 }
 
 // process is a place in the fleet, and a dispatcher that serves all.
-type process struct{ session *call.Session }
+type process struct{ session *rpc.Session }
 
-func (p process) Session() *call.Session                   { return p.session }
+func (p process) Session() *rpc.Session                    { return p.session }
 func (process) Again(string, string) bool                  { return true }
 func (process) Leased() bool                               { return true }
 func (process) ComeBack(_ string, now time.Time) time.Time { return now }
-func (process) Submit(_ Job, done func(core.Answer)) error {
-	go done(core.Answer{Body: []byte("1")})
+func (process) Submit(_ Job, done func(engine.Answer)) error {
+	go done(engine.Answer{Body: []byte("1")})
 	return nil
 }
 
@@ -82,7 +82,7 @@
 // the state can't begin it any more.
 func TestFinish(t *testing.T) {
 	all, problems := plan.Parse("p.hcl", []byte("plan \"one\" {\n within = \"10m\"\n attempts = 9\n stage \"s\" {\n class = \"safe\"\n path = \"/s\"\n }\n}"),
-		plan.Classes([]basaltloft.Class{{Name: "safe", Effect: basaltloft.Safe, GiveUp: time.Second}}))
+		plan.Classes([]policy.Class{{Name: "safe", Effect: policy.Safe, GiveUp: time.Second}}))
 	require.Empty(t, problems)
 	for name, at := range map[string]struct {
 		in, out bool // what is lost
@@ -99,10 +99,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			k := &keeper{machine: state.New(parts.NewPlans()), began: time.Now(), lostIn: at.in, lostOut: at.out}
+			k := &keeper{machine: state.New(partition.NewPlans()), began: time.Now(), lostIn: at.in, lostOut: at.out}
 			server := httptest.NewServer(k)
 			defer server.Close()
-			client := call.New(map[string]string{"k": strings.TrimPrefix(server.URL, "http://")})
+			client := rpc.New(map[string]string{"k": strings.TrimPrefix(server.URL, "http://")})
 			defer client.Close()
 			ctx, stop := context.WithCancel(context.Background())
 			session, _, err := client.Join(ctx, "p", "1", "1")
--- a/internal/fleet/coordinator/run.go
+++ b/internal/dispatcher/fleet/coordinator/run.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/fleet/planrun"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/sirupsen/logrus"
 )
@@ -40,7 +40,7 @@
 }
 
 // see takes in what a reply tells of the run.
-func (r *run) see(p parts.PlanReply) {
+func (r *run) see(p partition.PlanReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	defer r.rouse()
@@ -138,12 +138,12 @@
 // has given up waiting, since the run or the process is out of force, or ends.
 func (r *run) order(ctx context.Context, do planrun.Command) error {
 	for {
-		var p parts.PlanReply
+		var p partition.PlanReply
 		s := r.c.fleet.Session()
 		err := ErrNoFleet
 		if s != nil {
 			once, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
-			err = s.Order(once, parts.PlansDo, do, &p)
+			err = s.Order(once, partition.PlansDo, do, &p)
 			cancel()
 		}
 		if err == nil {
@@ -256,8 +256,8 @@
 	if !may {
 		return
 	}
-	done, sent := make(chan core.Answer, 1), time.Now()
-	if err := r.c.jobs.Submit(j, func(answer core.Answer) { done <- answer }); err != nil {
+	done, sent := make(chan engine.Answer, 1), time.Now()
+	if err := r.c.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
 		r.c.log.WithError(err).WithField("run", r.id).Error("a stage of a plan is no job that can be taken")
 		r.tell(t.Sending.End(plan.Unsent, nil, "", nil))
 		return
@@ -334,19 +334,19 @@
 }
 
 // endOf says in the words of plans how a job ended.
-func endOf(a core.Answer) plan.End {
+func endOf(a engine.Answer) plan.End {
 	switch {
-	case a.Verdict == core.Served:
+	case a.Verdict == engine.Served:
 		return plan.Done
-	case !a.MayHaveRun && a.Sends > 0 && a.Last == basaltloft.Full:
+	case !a.MayHaveRun && a.Sends > 0 && a.Last == policy.Full:
 		return plan.Full
 	case !a.MayHaveRun && a.Sends > 0:
 		return plan.Unsent
 	case !a.MayHaveRun:
 		return plan.Refused
-	case a.Reason == account.MemberError || a.Reason == account.BadRequest || a.Last == basaltloft.Error:
+	case a.Reason == accounting.MemberError || a.Reason == accounting.BadRequest || a.Last == policy.Error:
 		return plan.Failed
-	case a.Last == basaltloft.Reset:
+	case a.Last == policy.Reset:
 		return plan.Reset
 	}
 	return plan.Late
--- /dev/null
+++ b/internal/dispatcher/fleet/coordinator/run_test.go
@@ -0,0 +1,52 @@
+package coordinator
+
+import (
+	"testing"
+
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/policy"
+
+	"github.com/stretchr/testify/require"
+)
+
+// What may have run is never told as an end that proves that it did not, whatever else
+// is known of it.
+func TestEndOf(t *testing.T) {
+	for name, at := range map[string]struct {
+		a    engine.Answer
+		want plan.End
+	}{
+		"served":                       {engine.Answer{Verdict: engine.Served, MayHaveRun: true, Sends: 1}, plan.Done},
+		"turned away here":             {engine.Answer{Verdict: engine.Refused, Reason: accounting.NoShare}, plan.Refused},
+		"turned away there":            {engine.Answer{Verdict: engine.Refused, Sends: 2, Last: policy.Full}, plan.Full},
+		"never reached":                {engine.Answer{Verdict: engine.Failed, Sends: 1, Last: policy.ConnectFailed}, plan.Unsent},
+		"refused, though it may run":   {engine.Answer{Verdict: engine.Refused, Sends: 2, Last: policy.Full, MayHaveRun: true}, plan.Late},
+		"unreached after it may run":   {engine.Answer{Verdict: engine.Refused, Sends: 2, Last: policy.ConnectFailed, MayHaveRun: true}, plan.Late},
+		"an error":                     {engine.Answer{Verdict: engine.Failed, Sends: 1, Reason: accounting.MemberError, Last: policy.Error, MayHaveRun: true}, plan.Failed},
+		"a bad request":                {engine.Answer{Verdict: engine.Denied, Sends: 1, Reason: accounting.BadRequest, Last: policy.Unfit, MayHaveRun: true}, plan.Failed},
+		"broken off":                   {engine.Answer{Verdict: engine.Failed, Sends: 1, Reason: accounting.GivenUp, Last: policy.Reset, MayHaveRun: true}, plan.Reset},
+		"no answer in time":            {engine.Answer{Verdict: engine.Failed, Sends: 1, Reason: accounting.OverTime, Last: policy.TimedOut, MayHaveRun: true}, plan.Late},
+		"out when the dispatcher ends": {engine.Answer{Verdict: engine.Failed, Sends: 1, Reason: accounting.Stopped, MayHaveRun: true}, plan.Late},
+	} {
+		got := endOf(at.a)
+		require.Equal(t, at.want, got, name)
+		require.False(t, at.a.MayHaveRun && !got.MayHaveRun(), name)
+	}
+}
+
+// An attempt has one name whoever drives the run, and shares it with no other.
+func TestJobID(t *testing.T) {
+	seen := map[string]bool{}
+	for _, run := range []string{"a", "b", "a-0"} {
+		for _, a := range []planrun.Action{{}, {Stage: 1}, {Item: 1}, {Attempt: 1}, {Undo: true}, {Undo: true, Attempt: 1}, {Stage: 1, Item: 1}} {
+			id := jobID(run, a)
+			require.Equal(t, id, jobID(run, a))
+			require.False(t, seen[id], id)
+			require.LessOrEqual(t, len(id), 128)
+			seen[id] = true
+		}
+	}
+}
--- a/internal/fleet/faktory_test.go
+++ b/internal/dispatcher/fleet/faktory_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/faktory/client"
-	"basaltloft/internal/fleet/rig"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/faktory/client"
+	"basaltloft/internal/dispatcher/fleet/harness"
 
 	"github.com/stretchr/testify/require"
 )
@@ -29,7 +29,7 @@
 	r := found(t, 5, demo.Load{Members: 6, Slots: 8, Run: 60 * time.Millisecond, Seed: 13},
 		fmt.Sprintf(`,"plans":[%q]},"faktory":{"listen":"{{.Addr "faktory"}}","default":{"tenant":%q,"deadline_ms":25000}`, file, demo.Tenants[0]))
 	const patience = 60 * time.Second
-	at := func(p *rig.Process) *client.Conn {
+	at := func(p *harness.Process) *client.Conn {
 		c, err := client.Dial(p.Addr("faktory"), "", time.Now().Add(patience))
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
@@ -46,7 +46,7 @@
 		push(dies, i)
 	}
 	require.Eventually(t, func() bool {
-		return slices.ContainsFunc(r.Till.Arrivals(), func(a standin.Arrival) bool { return demo.Once(a.Class) && !a.Ran.IsZero() })
+		return slices.ContainsFunc(r.Till.Arrivals(), func(a fakes.Arrival) bool { return demo.Once(a.Class) && !a.Ran.IsZero() })
 	}, patience, time.Millisecond, "a ticket has run; others are under way")
 	for i := range jobs {
 		push(stays, i)
@@ -71,6 +71,6 @@
 		}
 	}
 	require.Greater(t, outcomes["served"], 4, "%v", outcomes)
-	require.Empty(t, rig.Twice(r.Till.Arrivals(), demo.Once), "no ticket twice")
+	require.Empty(t, harness.Twice(r.Till.Arrivals(), demo.Once), "no ticket twice")
 	t.Log(outcomes)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/faultlink"
-	"basaltloft/internal/fleet/rig"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/faultproxy"
+	"basaltloft/internal/dispatcher/fleet/harness"
 
 	"github.com/stretchr/testify/require"
 )
@@ -30,15 +30,15 @@
 // logs are further arguments of the processes.
 var logs = strings.Fields(os.Getenv("BASALTLOFT_ARGS"))
 
-func found(t *testing.T, processes int, load demo.Load, more string) *rig.Rig {
+func found(t *testing.T, processes int, load demo.Load, more string) *harness.Rig {
 	t.Helper()
-	return foundWith(t, rig.Settings{Processes: processes, Load: load}, more)
+	return foundWith(t, harness.Settings{Processes: processes, Load: load}, more)
 }
 
-func foundWith(t *testing.T, s rig.Settings, more string) *rig.Rig {
+func foundWith(t *testing.T, s harness.Settings, more string) *harness.Rig {
 	t.Helper()
 	s.Operator, s.Args = fmt.Sprintf(section, more), logs
-	r := rig.New(t, s)
+	r := harness.New(t, s)
 	r.Start()
 	for _, p := range r.Processes {
 		joined(t, p)
@@ -47,7 +47,7 @@
 }
 
 // ask calls a process's door.
-func ask(p *rig.Process, method, path, body string) (status int, answer string) {
+func ask(p *harness.Process, method, path, body string) (status int, answer string) {
 	req, err := http.NewRequest(method, "http://"+p.Addr("admin")+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
@@ -73,7 +73,7 @@
 	}
 }
 
-func stands(p *rig.Process) (s status, err error) {
+func stands(p *harness.Process) (s status, err error) {
 	code, text := ask(p, http.MethodGet, "/fleet", "")
 	if code != http.StatusOK {
 		return s, fmt.Errorf("%d %s", code, text)
@@ -82,7 +82,7 @@
 }
 
 // joined waits until a process has a lease.
-func joined(t *testing.T, p *rig.Process) {
+func joined(t *testing.T, p *harness.Process) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		s, err := stands(p)
@@ -91,7 +91,7 @@
 }
 
 // leader waits for one, and tells its place.
-func leader(t *testing.T, r *rig.Rig) (place int) {
+func leader(t *testing.T, r *harness.Rig) (place int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, p := range r.Processes[:3] {
@@ -109,14 +109,14 @@
 }
 
 // served waits until so many more tries are served.
-func served(t *testing.T, r *rig.Rig, more int64) {
+func served(t *testing.T, r *harness.Rig, more int64) {
 	t.Helper()
 	from := r.Answers.Served.Load()
 	require.Eventually(t, func() bool { return r.Answers.Served.Load() >= from+more }, 40*time.Second, 10*time.Millisecond, "%d more are served", more)
 }
 
 // alike waits until the keepers that run have the same state to the byte.
-func alike(t *testing.T, r *rig.Rig) {
+func alike(t *testing.T, r *harness.Rig) {
 	t.Helper()
 	var last []status
 	require.Eventually(t, func() bool {
@@ -159,7 +159,7 @@
 	require.NoError(t, r.Processes[lead].Start())
 	served(t, r, 100)
 	for _, l := range r.Links(3, leader(t, r)) { // its renewals arrive; their answers do not
-		l.OneWay(faultlink.Back)
+		l.OneWay(faultproxy.Back)
 	}
 	served(t, r, 200)
 	for _, l := range r.Around(3) {
@@ -172,7 +172,7 @@
 		require.Empty(t, p.Died(), p.Name)
 	}
 	spans := r.Admitted(demo.Tenants[0])
-	over, window := rig.Overspent(spans, rate, burst)
+	over, window := harness.Overspent(spans, rate, burst)
 	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.To.Sub(window.From), window.From)
 	require.Greater(t, len(spans), 100, "the tenant with a budget is served")
 	require.Empty(t, r.Till.Twice())
@@ -231,7 +231,7 @@
 
 // begin begins a run at some process, asking again elsewhere until it is known to have
 // begun.
-func begin(t *testing.T, r *rig.Rig, at int, run string) {
+func begin(t *testing.T, r *harness.Rig, at int, run string) {
 	t.Helper()
 	input := fmt.Sprintf(`{"booking":%q,"seats":[1,2,3]}`, run)
 	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); at++ {
@@ -244,14 +244,14 @@
 }
 
 // ends asks each process for the final answers of runs until all have one.
-func ends(t *testing.T, r *rig.Rig, runs []string) (all []rig.End) {
+func ends(t *testing.T, r *harness.Rig, runs []string) (all []harness.End) {
 	t.Helper()
 	for i, p := range r.Processes {
 		for _, run := range runs {
 			require.Eventually(t, func() bool {
 				code, text := ask(p, http.MethodGet, "/runs/"+run, "")
 				if code == http.StatusOK {
-					all = append(all, rig.End{ID: run, Text: text})
+					all = append(all, harness.End{ID: run, Text: text})
 				}
 				return code == http.StatusOK
 			}, 60*time.Second, 20*time.Millisecond, "%s tells the end of %s", p.Name, run)
@@ -268,7 +268,7 @@
 func TestPlansThroughFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plans.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(bookings), 0o600))
-	r := found(t, 5, demo.Load{Members: 6, Slots: 8, Run: 60 * time.Millisecond, Seed: 11, Troubles: standin.Troubles{TurnAway: 0.1}},
+	r := found(t, 5, demo.Load{Members: 6, Slots: 8, Run: 60 * time.Millisecond, Seed: 11, Troubles: fakes.Troubles{TurnAway: 0.1}},
 		fmt.Sprintf(`,"plans":[%q]`, file))
 	var runs []string
 	more := func(n int) {
@@ -300,10 +300,10 @@
 	joined(t, r.Processes[lead])
 	joined(t, r.Processes[4])
 	more(4)
-	told := rig.Ended(runs, ends(t, r, runs))
+	told := harness.Ended(runs, ends(t, r, runs))
 	require.Empty(t, told.Never)
 	require.Empty(t, told.Differ)
-	require.Empty(t, rig.Twice(r.Till.Arrivals(), demo.Once), "no ticket twice")
+	require.Empty(t, harness.Twice(r.Till.Arrivals(), demo.Once), "no ticket twice")
 	outcomes := map[string]int{}
 	for _, run := range runs {
 		_, text := ask(r.Processes[0], http.MethodGet, "/runs/"+run, "")
@@ -362,7 +362,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(coach), 0o600))
 	var lists, stale atomic.Int64
 	some := make(chan struct{}) // closed once some have reported
-	r := foundWith(t, rig.Settings{Processes: 4, Load: demo.Load{Members: 8, Slots: 8, Run: 20 * time.Millisecond, Seed: 3},
+	r := foundWith(t, harness.Settings{Processes: 4, Load: demo.Load{Members: 8, Slots: 8, Run: 20 * time.Millisecond, Seed: 3},
 		Ends: func(class, _ string, body []byte) (string, string) {
 			switch {
 			case class == "send-notice":
@@ -400,7 +400,7 @@
 }
 
 // kept are all records of a tenant, by pages of a process's door.
-func kept(t *testing.T, p *rig.Process, tenant string) (ids []string, ordinary int) {
+func kept(t *testing.T, p *harness.Process, tenant string) (ids []string, ordinary int) {
 	t.Helper()
 	after := ""
 	for {
@@ -434,7 +434,7 @@
 	require.Equal(t, http.StatusOK, code, text)
 	r.Begin()
 	served(t, r, 150)
-	kill := rig.Span{From: time.Now().Add(-500 * time.Millisecond)} // records have 10 ms to be written, on a crowded machine more
+	kill := harness.Span{From: time.Now().Add(-500 * time.Millisecond)} // records have 10 ms to be written, on a crowded machine more
 	require.NoError(t, r.Processes[3].Kill())
 	kill.To = time.Now()
 	served(t, r, 100)
@@ -472,7 +472,7 @@
 			}
 		}
 		got, _ := kept(t, r.Processes[1], tenant)
-		missing, extra, back := rig.Records(want, nil, got)
+		missing, extra, back := harness.Records(want, nil, got)
 		extra = slices.DeleteFunc(extra, func(id string) bool { return slices.Contains(spared, id) })
 		if i != 2 {
 			require.Empty(t, missing, "%s", tenant)
@@ -480,7 +480,7 @@
 			require.LessOrEqual(t, len(extra), 20, "only what had no answer that arrived") // answered, and the link or process gone
 			continue
 		}
-		missing, _, _ = rig.Records(tickets, nil, got)
+		missing, _, _ = harness.Records(tickets, nil, got)
 		require.Empty(t, missing, "what is held is kept")
 		require.Greater(t, len(want)-len(tickets), 2*most, "there is something to cut")
 		require.Eventually(t, func() bool {
@@ -513,7 +513,7 @@
 		served(t, r, 20)
 	}
 	r.End()
-	most := rig.MostAtOnce(rig.Spans(r.Till.Arrivals(), nil))
+	most := harness.MostAtOnce(harness.Spans(r.Till.Arrivals(), nil))
 	require.LessOrEqual(t, most, whole)
 	require.Greater(t, most, whole/2, "the whole is used")
 	require.Empty(t, r.Till.Twice())
@@ -535,7 +535,7 @@
 	require.NoError(t, r.Processes[away].Copy(old))
 	before, _ := kept(t, r.Processes[lead], demo.Tenants[0])
 	require.NoError(t, r.Processes[away].Kill())
-	few := func(p *rig.Process, most int) {
+	few := func(p *harness.Process, most int) {
 		t.Helper()
 		require.Eventually(t, func() bool {
 			_, ordinary := kept(t, p, demo.Tenants[0])
--- a/internal/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/fleet/shares"
-	"basaltloft/internal/fleet/state"
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
@@ -59,15 +59,15 @@
 		Left: []string{"e"}, Results: []planrun.Results{{Stage: "f", Items: [][]byte{bytes("g")}}}, Cut: true,
 	}
 	usage := func(n int64) records.Usage { return records.Usage{Count: n, Bytes: n + 1, Sum: uint64(n) + 2} }
-	budget := shares.Budget{
-		Name: "a", Kind: shares.Part, Whole: 1.5, Burst: 2.5, Floor: 3.5, Floors: 4, FloorFor: span, Linger: span + 1, Weights: map[string]float64{"n1": 5.5},
+	rate := budget.Budget{
+		Name: "a", Kind: budget.Part, Whole: 1.5, Burst: 2.5, Floor: 3.5, Floors: 4, FloorFor: span, Linger: span + 1, Weights: map[string]float64{"n1": 5.5},
 	}
 	return []message{
 		{"call to a keeper: command", state.Command{V: 1, At: span, Process: "a", Incarnation: 2, Seq: 3, Acked: 4, Kind: "plans/do", Body: bytes("b")}},
 		{"call to a keeper: reply", state.Reply{Code: state.Refused, Text: "a", Body: bytes("b")}},
-		{"call to a keeper: query", call.Query{Kind: "plans/look", Body: bytes("a")}},
-		{"call to a keeper: answer", call.Answer{Index: 1, At: span, Code: state.Bad, Text: "a", Body: bytes("b")}},
-		{"call to a keeper: about", call.AboutBody{Name: "a", Empty: true, Founded: false, Leads: true, Boots: map[string]uint64{"k1": 1, "k2": 2}, Differs: []string{"b"}, Index: 3, At: span}},
+		{"call to a keeper: query", rpc.Query{Kind: "plans/look", Body: bytes("a")}},
+		{"call to a keeper: answer", rpc.Answer{Index: 1, At: span, Code: state.Bad, Text: "a", Body: bytes("b")}},
+		{"call to a keeper: about", rpc.AboutBody{Name: "a", Empty: true, Founded: false, Leads: true, Boots: map[string]uint64{"k1": 1, "k2": 2}, Differs: []string{"b"}, Index: 3, At: span}},
 		{"members: join", state.JoinBody{Process: "a", Nonce: "b", Version: "c"}},
 		{"members: joined", state.Joined{Incarnation: 1, Lease: span}},
 		{"members: renew", state.RenewBody{Parts: map[string][]byte{"budgets": bytes("a")}}},
@@ -75,13 +75,13 @@
 		{"settings", state.SetBody{Revision: 1, Lease: span, Parts: map[string][]byte{"budgets": bytes("a")}}},
 		{"keepers: boot", state.BootBody{Process: "a", Count: 1}},
 		{"keepers: sums", state.SumsBody{Replica: "a", Index: 1, Parts: map[string]uint64{"plans": 2}}},
-		{"budgets: settings", shares.Config{Lease: span, Budgets: []shares.Budget{budget}}},
-		{"budgets: renewal", shares.Renewal{Process: "a", Incarnation: 1, Bound: 2, Uses: map[string]shares.Use{"b": {Demand: 1.5, UnderWay: 2.5, Latest: span}}}},
-		{"budgets: grant", shares.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, Soon: true, Shares: []shares.Share{
-			{Name: "b", Kind: shares.UnderWay, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorFor: span + 1, Linger: span + 2},
+		{"budgets: settings", budget.Config{Lease: span, Budgets: []budget.Budget{rate}}},
+		{"budgets: renewal", budget.Renewal{Process: "a", Incarnation: 1, Bound: 2, Uses: map[string]budget.Use{"b": {Demand: 1.5, UnderWay: 2.5, Latest: span}}}},
+		{"budgets: grant", budget.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, Soon: true, Shares: []budget.Share{
+			{Name: "b", Kind: budget.UnderWay, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorFor: span + 1, Linger: span + 2},
 		}}},
-		{"budgets: leave", parts.BudgetsLeft{Left: map[string]shares.Left{"a": {UnderWay: 1.5, Latest: span}}}},
-		{"budgets: standings", []shares.Standing{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
+		{"budgets: leave", partition.BudgetsLeft{Left: map[string]budget.Left{"a": {UnderWay: 1.5, Latest: span}}}},
+		{"budgets: standings", []budget.Standing{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
 		{"plans: start", planrun.Command{Start: &planrun.Start{
 			Run: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: goldenShape(), Input: bytes("d"), Seed: 2, Before: span, Process: "e", Incarnation: 3,
 		}}},
@@ -94,7 +94,7 @@
 		{"plans: abandon", planrun.Command{Abandon: &planrun.Abandon{Run: "a", Fence: 1, Stage: 2, End: plan.Unsent, Reason: "b"}}},
 		{"plans: finish", planrun.Command{Finish: &planrun.Finish{Run: "a"}}},
 		{"plans: gone", planrun.Command{Gone: &planrun.Gone{Process: "a", Incarnation: 1}}},
-		{"plans: reply", parts.PlanReply{
+		{"plans: reply", partition.PlanReply{
 			Reply: planrun.Reply{
 				Started: &planrun.Started{Known: true, Fence: 1, Answer: &answer}, Claimed: []planrun.Claimed{{Run: "a", Fence: 2}}, Sent: &planrun.Sent{Again: true},
 				Counted: &planrun.Counted{Once: true, Fresh: false, Answer: &answer}, Answer: &answer, Refusal: "b", Kind: 3,
@@ -103,15 +103,15 @@
 		}},
 		{"records: settings", records.SetRules{At: 1, Rules: []records.Rule{{Tenant: "a", Keep: limits(2), Failed: limits(5)}}}},
 		{"records: ship", records.Ship{Process: "a", Incarnation: 1, Epoch: 2, First: 3, Lost: true, Records: []records.Record{record}}},
-		{"records: shipped", parts.RecordsShipped{Shipped: records.Shipped{Through: 1, Taken: 2, Again: 3, Below: 4, Missing: 5, TooLarge: 6}, Gap: true}},
+		{"records: shipped", partition.RecordsShipped{Shipped: records.Shipped{Through: 1, Taken: 2, Again: 3, Below: 4, Missing: 5, TooLarge: 6}, Gap: true}},
 		{"records: hold", records.SetHold{At: 4, Hold: hold}},
 		{"records: lift", records.Lift{At: 1, Name: "a"}},
 		{"records: cut", records.Cut{At: 1, Rules: 2, Marks: []records.Mark{{Tenant: "a", Lane: records.Failures, Below: order}}, Sweep: 3, Turn: "b"}},
 		{"records: cuts", records.Cuts{Removed: 1, Held: 2}},
-		{"records: planned", parts.RecordsPlanned{Needed: true, Cut: records.Cut{At: 1, Rules: 2, Sweep: 3, Turn: "a"}}},
+		{"records: planned", partition.RecordsPlanned{Needed: true, Cut: records.Cut{At: 1, Rules: 2, Sweep: 3, Turn: "a"}}},
 		{"records: query", records.Query{Tenant: "a", From: 1, To: 2, Last: true, After: "b", Most: 3}},
 		{"records: page", records.Page{Records: []records.Record{record}, Next: "a", Missing: 1}},
-		{"records: standing", parts.RecordsStanding{
+		{"records: standing", partition.RecordsStanding{
 			Counts: records.Counts{Taken: 1, Again: 2, Below: 3, TooLarge: 4, Cut: 5, Swept: 6, Missing: 7}, Holds: []records.Hold{hold}, Usage: map[string]records.Usage{"a": usage(8)}, Bytes: 11,
 		}},
 	}
@@ -148,14 +148,14 @@
 // the kinds of commands and queries.
 func TestGoldenCalls(t *testing.T) {
 	require.Equal(t, []string{"/fleet/do", "/fleet/read", "/fleet/nearby", "/fleet/about", "/fleet/rejoin", "/fleet/ready", "Fleet-Leader"},
-		[]string{call.Do, call.Read, call.Nearby, call.About, call.Rejoin, call.Ready, call.LeaderHeader})
-	require.Equal(t, []string{"budgets", "plans", "records"}, []string{parts.BudgetsName, parts.PlansName, parts.RecordsName})
+		[]string{rpc.Do, rpc.Read, rpc.Nearby, rpc.About, rpc.Rejoin, rpc.Ready, rpc.LeaderHeader})
+	require.Equal(t, []string{"budgets", "plans", "records"}, []string{partition.BudgetsName, partition.PlansName, partition.RecordsName})
 	require.Equal(t, []state.Kind{
 		"tick", "join", "renew", "leave", "sums", "boot", "set", "budgets/leave", "budgets/standings", "plans/do", "plans/orphans", "plans/look",
 		"records/ship", "records/cut", "records/hold", "records/lift", "records/plan", "records/find", "records/page", "records/stand",
 	}, []state.Kind{
-		state.Tick, state.Join, state.Renew, state.Leave, state.Sums, state.Boot, state.Set, parts.BudgetsLeave, parts.BudgetsStandings, parts.PlansDo, parts.PlansOrphans, parts.PlansLook,
-		parts.RecordsShip, parts.RecordsCut, parts.RecordsHold, parts.RecordsLift, parts.RecordsPlan, parts.RecordsFind, parts.RecordsPage, parts.RecordsStand,
+		state.Tick, state.Join, state.Renew, state.Leave, state.Sums, state.Boot, state.Set, partition.BudgetsLeave, partition.BudgetsStandings, partition.PlansDo, partition.PlansOrphans, partition.PlansLook,
+		partition.RecordsShip, partition.RecordsCut, partition.RecordsHold, partition.RecordsLift, partition.RecordsPlan, partition.RecordsFind, partition.RecordsPage, partition.RecordsStand,
 	})
 	require.EqualValues(t, 1, state.Version)
 	require.Equal(t, []state.Code{0, 1, 2, 3}, []state.Code{state.OK, state.Fenced, state.Refused, state.Bad})
@@ -164,7 +164,7 @@
 	require.Equal(t, []plan.End{"done", "refused", "full", "unsent", "late", "failed", "reset", "may_have_run", "lost_input"},
 		[]plan.End{plan.Done, plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset, plan.MayRun, plan.Lost})
 	require.Equal(t, []plan.Place{"anywhere", "other_member", "other_zone"}, []plan.Place{plan.Anywhere, plan.OtherMember, plan.OtherZone})
-	require.Equal(t, []shares.Kind{0, 1, 2}, []shares.Kind{shares.Rate, shares.UnderWay, shares.Part})
+	require.Equal(t, []budget.Kind{0, 1, 2}, []budget.Kind{budget.Rate, budget.UnderWay, budget.Part})
 	require.Equal(t, []records.Lane{0, 1, 2}, []records.Lane{records.Ordinary, records.Failures, records.Lanes})
 	// A refusal's kind goes over the network by its number.
 	for i, refused := range []error{
--- a/internal/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -11,16 +11,16 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/fleet/recordstore"
-	"basaltloft/internal/fleet/shares"
-	"basaltloft/internal/fleet/state"
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/recordstore"
+	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
@@ -43,7 +43,7 @@
 	store, err := recordstore.Open(t.TempDir())
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, store.Close()) })
-	return state.New(parts.NewBudgets(), parts.NewPlans(), parts.NewRecords(store, records.Fence{}))
+	return state.New(partition.NewBudgets(), partition.NewPlans(), partition.NewRecords(store, records.Fence{}))
 }
 
 // goldenLog applies commands to a machine and writes each down with its reply.
@@ -90,16 +90,16 @@
 }
 
 // plan applies a command of the plans' part and returns its reply, refused or not.
-func (l *goldenLog) plan(process string, incarnation uint64, at time.Duration, do planrun.Command) parts.PlanReply {
-	reply := l.by(process, incarnation, at, parts.PlansDo, do)
+func (l *goldenLog) plan(process string, incarnation uint64, at time.Duration, do planrun.Command) partition.PlanReply {
+	reply := l.by(process, incarnation, at, partition.PlansDo, do)
 	require.NoError(l.t, reply.Err())
-	var answer parts.PlanReply
+	var answer partition.PlanReply
 	require.NoError(l.t, codec.Decode(reply.Body, &answer))
 	return answer
 }
 
 // served has an attempt of one item sent and ended well.
-func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.Sending, result string) parts.PlanReply {
+func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.Sending, result string) partition.PlanReply {
 	require.NoError(l.t, l.plan(process, incarnation, at, planrun.Command{Sending: &do}).Err())
 	reply := l.plan(process, incarnation, at+time.Millisecond, planrun.Command{Ended: &planrun.Ended{
 		Run: do.Run, Fence: do.Fence, Stage: do.Stage, Item: do.Item, Undo: do.Undo, Attempt: do.Attempt, End: plan.Done, Result: []byte(result), Member: "cell-2",
@@ -112,11 +112,11 @@
 func goldenShape() planrun.Shape {
 	retry := []planrun.RetryShape{{On: []plan.End{plan.Refused, plan.Late, plan.Reset}, Most: 2, Wait: 20 * time.Millisecond, WaitAtMost: 100 * time.Millisecond, Jitter: 200, Where: plan.OtherZone}}
 	return planrun.Shape{Most: 40, Within: 30 * time.Second, Stages: []planrun.StageShape{
-		{Name: "prices", Class: "read", Effect: basaltloft.Safe, Cost: 30 * time.Millisecond, Shared: true, SharedFor: 20 * time.Second, Retries: retry},
-		{Name: "hold", Class: "hold", Effect: basaltloft.Keyed, After: []int{0}, Each: true, MostEach: 4, AtLeast: 1, Retries: retry,
+		{Name: "prices", Class: "read", Effect: policy.Safe, Cost: 30 * time.Millisecond, Shared: true, SharedFor: 20 * time.Second, Retries: retry},
+		{Name: "hold", Class: "hold", Effect: policy.Keyed, After: []int{0}, Each: true, MostEach: 4, AtLeast: 1, Retries: retry,
 			Reruns: []planrun.RerunShape{{Of: 0, Most: 2}},
-			Undo:   &planrun.UndoShape{Class: "release", Effect: basaltloft.Keyed, Most: 2, Wait: 25 * time.Millisecond}},
-		{Name: "ticket", Class: "ticket", Effect: basaltloft.Unsafe, After: []int{1}},
+			Undo:   &planrun.UndoShape{Class: "release", Effect: policy.Keyed, Most: 2, Wait: 25 * time.Millisecond}},
+		{Name: "ticket", Class: "ticket", Effect: policy.Unsafe, After: []int{1}},
 	}}
 }
 
@@ -131,12 +131,12 @@
 // goldenSettings has a budget of each kind, and rules of records.
 func (l *goldenLog) goldenSettings() state.SetBody {
 	return state.SetBody{Revision: 4, Lease: 20 * time.Second, Parts: map[string][]byte{
-		parts.BudgetsName: l.encode(shares.Config{Lease: 20 * time.Second, Budgets: []shares.Budget{
-			{Name: "jobs/hrad-kamenec", Kind: shares.Rate, Whole: 120, Burst: 40, Floor: 5, Floors: 3, FloorFor: time.Minute, Weights: map[string]float64{"n1": 2}},
-			{Name: "under-way/hrad-kamenec", Kind: shares.UnderWay, Whole: 60, Floor: 2, Floors: 3, FloorFor: time.Minute, Linger: 8 * time.Second},
-			{Name: "cold", Kind: shares.Part, Whole: 9, Linger: 3 * time.Second},
+		partition.BudgetsName: l.encode(budget.Config{Lease: 20 * time.Second, Budgets: []budget.Budget{
+			{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Whole: 120, Burst: 40, Floor: 5, Floors: 3, FloorFor: time.Minute, Weights: map[string]float64{"n1": 2}},
+			{Name: "under-way/hrad-kamenec", Kind: budget.UnderWay, Whole: 60, Floor: 2, Floors: 3, FloorFor: time.Minute, Linger: 8 * time.Second},
+			{Name: "cold", Kind: budget.Part, Whole: 9, Linger: 3 * time.Second},
 		}}),
-		parts.RecordsName: l.encode(records.SetRules{At: goldenWall, Rules: []records.Rule{
+		partition.RecordsName: l.encode(records.SetRules{At: goldenWall, Rules: []records.Rule{
 			{Tenant: "hrad-kamenec", Keep: records.Limits{Count: 3}, Failed: records.Limits{For: int64(time.Hour), Count: 10, Bytes: 1 << 20}},
 			{Tenant: records.Others, Keep: records.Limits{For: int64(24 * time.Hour), Count: 100, Bytes: 4 << 20}, Failed: records.Limits{Count: 50}},
 		}}),
@@ -155,21 +155,21 @@
 	l.command(state.Command{At: at, Kind: state.Sums}, state.SumsBody{Replica: "k1", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
 	l.command(state.Command{At: at, Kind: state.Sums}, state.SumsBody{Replica: "k2", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
 	third = l.join(at, "n2", "start-3") // replaces the start before it
-	require.ErrorIs(l.t, l.by("n2", second, at, parts.PlansDo, planrun.Command{}).Err(), state.ErrFenced)
+	require.ErrorIs(l.t, l.by("n2", second, at, partition.PlansDo, planrun.Command{}).Err(), state.ErrFenced)
 	fourth := l.join(at, "n3", "start-4")
 
 	renew := func(process string, incarnation uint64, at time.Duration, bound uint64) uint64 {
 		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Parts: map[string][]byte{
-			parts.BudgetsName: l.encode(shares.Renewal{Process: process, Incarnation: incarnation, Bound: bound, Uses: map[string]shares.Use{
+			partition.BudgetsName: l.encode(budget.Renewal{Process: process, Incarnation: incarnation, Bound: bound, Uses: map[string]budget.Use{
 				"jobs/hrad-kamenec": {Demand: 30.5}, "under-way/hrad-kamenec": {Demand: 12, UnderWay: 4, Latest: 2 * time.Second}, "cold": {Demand: 2},
 			}}),
-			parts.PlansName: nil, // refused: plans are not renewed
+			partition.PlansName: nil, // refused: plans are not renewed
 		}})
 		require.NoError(l.t, reply.Err())
 		var renewed state.Renewed
 		require.NoError(l.t, codec.Decode(reply.Body, &renewed))
-		var grant shares.Grant
-		require.NoError(l.t, codec.Decode(renewed.Parts[parts.BudgetsName], &grant))
+		var grant budget.Grant
+		require.NoError(l.t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
 		return grant.Number
 	}
 	bound := map[string]uint64{}
@@ -187,7 +187,7 @@
 	l.workRecords(at, first, third)
 
 	at += 2 * time.Second
-	require.NoError(l.t, l.by("n3", fourth, at, parts.BudgetsLeave, parts.BudgetsLeft{Left: map[string]shares.Left{
+	require.NoError(l.t, l.by("n3", fourth, at, partition.BudgetsLeave, partition.BudgetsLeft{Left: map[string]budget.Left{
 		"under-way/hrad-kamenec": {UnderWay: 3, Latest: 4 * time.Second},
 	}}).Err())
 	require.NoError(l.t, l.by("n3", fourth, at, state.Leave, nil).Err())
@@ -270,7 +270,7 @@
 
 func (l *goldenLog) workRecords(at time.Duration, first, third uint64) {
 	ship := func(process string, incarnation uint64, s records.Ship) {
-		require.NoError(l.t, l.by(process, incarnation, at, parts.RecordsShip, s).Err())
+		require.NoError(l.t, l.by(process, incarnation, at, partition.RecordsShip, s).Err())
 	}
 	var all []records.Record
 	for n := range int64(6) {
@@ -282,15 +282,15 @@
 	ship("n2", third, records.Ship{Epoch: 80, First: 3, Lost: true, Records: []records.Record{
 		goldenRecord(21, "zelena-hora", "failed", "late"), goldenRecord(22, "hrad-kamenec", "failed", "reset"),
 	}})
-	require.NoError(l.t, l.by("n1", first, at, parts.RecordsHold, records.SetHold{At: goldenWall + 60*goldenSecond, Hold: records.Hold{
+	require.NoError(l.t, l.by("n1", first, at, partition.RecordsHold, records.SetHold{At: goldenWall + 60*goldenSecond, Hold: records.Hold{
 		Name: "audit", Tenant: "hrad-kamenec", Key: "key-1", Class: "place-hold", From: goldenWall, To: goldenWall + 100*goldenSecond, Owner: "finance", Reason: "yearly audit", Until: goldenWall + 900*goldenSecond,
 	}}).Err())
-	require.NoError(l.t, l.by("n1", first, at, parts.RecordsHold, records.SetHold{At: goldenWall + 60*goldenSecond, Hold: records.Hold{Name: "short", Tenant: "zelena-hora", ID: "job-21", Owner: "legal", Reason: "a claim"}}).Err())
-	require.NoError(l.t, l.by("n1", first, at, parts.RecordsLift, records.Lift{At: goldenWall + 61*goldenSecond, Name: "short"}).Err())
-	var planned parts.RecordsPlanned
-	l.ask(parts.RecordsPlan, goldenWall+62*goldenSecond, &planned)
+	require.NoError(l.t, l.by("n1", first, at, partition.RecordsHold, records.SetHold{At: goldenWall + 60*goldenSecond, Hold: records.Hold{Name: "short", Tenant: "zelena-hora", ID: "job-21", Owner: "legal", Reason: "a claim"}}).Err())
+	require.NoError(l.t, l.by("n1", first, at, partition.RecordsLift, records.Lift{At: goldenWall + 61*goldenSecond, Name: "short"}).Err())
+	var planned partition.RecordsPlanned
+	l.ask(partition.RecordsPlan, goldenWall+62*goldenSecond, &planned)
 	require.True(l.t, planned.Needed)
-	require.NoError(l.t, l.by("n1", first, at, parts.RecordsCut, planned.Cut).Err())
+	require.NoError(l.t, l.by("n1", first, at, partition.RecordsCut, planned.Cut).Err())
 }
 
 func (l *goldenLog) ask(kind state.Kind, body, into any) {
@@ -299,8 +299,8 @@
 	require.NoError(l.t, codec.Decode(text, into))
 }
 
-func (l *goldenLog) view(run string) (r parts.PlanReply) {
-	l.ask(parts.PlansLook, run, &r)
+func (l *goldenLog) view(run string) (r partition.PlanReply) {
+	l.ask(partition.PlansLook, run, &r)
 	return r
 }
 
@@ -428,27 +428,27 @@
 	require.Equal(t, `{"held":true}`, string(underWay.Stages[1].Items[2].Result))
 	require.Equal(t, &planrun.GiveUp{Stage: 1, End: plan.Failed, Reason: "no seat is left"}, l.view("run-given-up").Run.Gave)
 
-	var standings []shares.Standing
-	l.ask(parts.BudgetsStandings, nil, &standings)
+	var standings []budget.Standing
+	l.ask(partition.BudgetsStandings, nil, &standings)
 	goldentest.Equal(t, filepath.Join(goldenState, "budgets"), fmt.Appendf(nil, "%x\n", l.encode(standings)))
 	require.Len(t, standings, 3)
 	require.Equal(t, "jobs/hrad-kamenec", standings[1].Name)
 	require.InDelta(t, 120, standings[1].Whole, 0)
 
 	var page records.Page
-	l.ask(parts.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 20}, &page)
+	l.ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 20}, &page)
 	var ids []string
 	for _, r := range page.Records {
 		ids = append(ids, r.ID)
 	}
 	require.Equal(t, []string{"job-1", "job-3", "job-4", "job-5", "job-22"}, ids)
 	var found []records.Record
-	l.ask(parts.RecordsFind, "job-22", &found)
+	l.ask(partition.RecordsFind, "job-22", &found)
 	want := goldenRecord(22, "hrad-kamenec", "failed", "reset")
 	want.Process, want.Epoch, want.Seq = "n2", 80, 4
 	require.Equal(t, []records.Record{want}, found)
-	var kept parts.RecordsStanding
-	l.ask(parts.RecordsStand, nil, &kept)
+	var kept partition.RecordsStanding
+	l.ask(partition.RecordsStand, nil, &kept)
 	require.Len(t, kept.Holds, 1)
 	require.Equal(t, records.Hold{
 		Name: "audit", Tenant: "hrad-kamenec", Key: "key-1", Class: "place-hold", From: goldenWall, To: goldenWall + 100*goldenSecond, Owner: "finance", Reason: "yearly audit", Until: goldenWall + 900*goldenSecond,
--- a/internal/fleet/rig/check.go
+++ b/internal/dispatcher/fleet/harness/check.go
@@ -1,11 +1,11 @@
-package rig
+package harness
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/fakes"
 )
 
 // Span is when something was: an event that surely fell into it, or what lasted
@@ -14,7 +14,7 @@
 
 // Spans are of the arrivals that keep picks, each from its arrival to its end at
 // the member. Those that were turned away are of no length.
-func Spans(log []standin.Arrival, keep func(standin.Arrival) bool) (all []Span) {
+func Spans(log []fakes.Arrival, keep func(fakes.Arrival) bool) (all []Span) {
 	for _, a := range log {
 		if a.TurnedAway {
 			a.Ended = a.At
@@ -132,7 +132,7 @@
 
 // Twice are the asks of classes that must not run twice which did, over all
 // tries and dispatchers.
-func Twice(log []standin.Arrival, once func(class string) bool) (asks []string) {
+func Twice(log []fakes.Arrival, once func(class string) bool) (asks []string) {
 	runs := make(map[string]int)
 	for _, a := range log {
 		ask := a.Ask
@@ -151,7 +151,7 @@
 // Unfounded are the calls whose answer says what was not so: served without a
 // run that had begun, or refused though it ran, of a class that must not run
 // twice.
-func Unfounded(calls []standin.Call, log []standin.Arrival, once func(class string) bool) (ids []string) {
+func Unfounded(calls []fakes.Call, log []fakes.Arrival, once func(class string) bool) (ids []string) {
 	ran := make(map[string]time.Time)
 	for _, a := range log {
 		if first, ok := ran[a.ID]; !a.Ran.IsZero() && (!ok || a.Ran.Before(first)) {
--- a/internal/fleet/rig/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
@@ -66,25 +66,25 @@
 	require.Equal(t, Ends{Once: []string{"a", "b"}, Never: []string{"d"}, Again: []string{"b"}, Differ: []string{"c: gave up | sold"}, Unasked: []string{"x"}}, e)
 
 	ticket, hold := "group-ticket", "place-hold"
-	log := []standin.Arrival{
+	log := []fakes.Arrival{
 		{ID: "1-0", Ask: "1", Class: ticket, Dispatcher: "n1", At: ms(0), TurnedAway: true},
 		{ID: "1-1", Ask: "1", Class: ticket, Dispatcher: "n2", At: ms(1), Ran: ms(2), Ended: ms(5)},
 		{ID: "2-0", Ask: "2", Class: ticket, Dispatcher: "n1", At: ms(1), Ran: ms(2)},
 		{ID: "3-0", Ask: "3", Class: hold, Dispatcher: "n1", At: ms(1), Ran: ms(2)},
 		{ID: "3-1", Ask: "3", Class: hold, Dispatcher: "n1", At: ms(1), Ran: ms(2)},
 	}
-	calls := []standin.Call{{ID: "1-0", Class: ticket, Status: 503}, {ID: "1-1", Class: ticket, Status: 200, Ended: ms(9)}, {ID: "3-0", Class: hold, Status: 503}, {ID: "2-0", Class: ticket}}
+	calls := []fakes.Call{{ID: "1-0", Class: ticket, Status: 503}, {ID: "1-1", Class: ticket, Status: 200, Ended: ms(9)}, {ID: "3-0", Class: hold, Status: 503}, {ID: "2-0", Class: ticket}}
 	require.Empty(t, Twice(log, demo.Once))
 	require.Empty(t, Unfounded(calls, log, demo.Once))
-	again := append(log, standin.Arrival{ID: "2-1", Ask: "2", Class: ticket, Dispatcher: "n2", Ran: ms(9)})
+	again := append(log, fakes.Arrival{ID: "2-1", Ask: "2", Class: ticket, Dispatcher: "n2", Ran: ms(9)})
 	require.Equal(t, []string{"2"}, Twice(again, demo.Once))
-	wrong := append(calls, standin.Call{ID: "2-0", Class: ticket, Status: 503}, standin.Call{ID: "4-0", Status: 200}, standin.Call{ID: "3-0", Status: 200, Ended: ms(1)})
+	wrong := append(calls, fakes.Call{ID: "2-0", Class: ticket, Status: 503}, fakes.Call{ID: "4-0", Status: 200}, fakes.Call{ID: "3-0", Status: 200, Ended: ms(1)})
 	require.Equal(t, []string{"2-0", "4-0", "3-0"}, Unfounded(wrong, log, demo.Once))
-	n1 := func(a standin.Arrival) bool { return a.Dispatcher == "n1" }
+	n1 := func(a fakes.Arrival) bool { return a.Dispatcher == "n1" }
 	require.Equal(t, []Span{{ms(0), ms(0)}, {ms(1), ms(1)}, {ms(1), ms(1)}, {ms(1), ms(1)}}, Points(Spans(log, n1)))
 	require.Equal(t, Span{ms(0), ms(0)}, Spans(log, n1)[0])
 
-	r := &Rig{calls: []standin.Call{{ID: "1", Addr: "a", Sent: ms(0), Ended: ms(10)}, {ID: "2", Addr: "a", Sent: ms(0), Ended: ms(30)},
+	r := &Rig{calls: []fakes.Call{{ID: "1", Addr: "a", Sent: ms(0), Ended: ms(10)}, {ID: "2", Addr: "a", Sent: ms(0), Ended: ms(30)},
 		{ID: "3", Addr: "b", Sent: ms(0), Ended: ms(30)}, {ID: "4", Addr: "a", Sent: ms(41), Ended: ms(50)}, {ID: "5", Addr: "b", Sent: ms(50), Ended: ms(60), Status: 502},
 		{ID: "6", Addr: "a", Sent: ms(70), Ended: ms(90)}}, outs: []out{{"a", Span{ms(20), ms(40)}}, {"a", Span{From: ms(80)}}}}
 	require.Equal(t, []string{"1", "3", "4"}, r.Lost())
--- a/internal/fleet/rig/history.go
+++ b/internal/dispatcher/fleet/harness/history.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"fmt"
--- a/internal/fleet/rig/process.go
+++ b/internal/dispatcher/fleet/harness/process.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bytes"
@@ -19,8 +19,8 @@
 	"text/template"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
 )
 
 // Process is one process of a rig. It is also what the template of its
@@ -34,8 +34,8 @@
 
 	rig       *Rig
 	place     int
-	discovery *standin.Discovery
-	known     []standin.Listed
+	discovery *fakes.Discovery
+	known     []fakes.Listed
 
 	mu      sync.Mutex
 	addrs   map[string]string
@@ -52,7 +52,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.addrs[name] == "" {
-		addr, err := standin.Free()
+		addr, err := fakes.Free()
 		if err != nil {
 			panic(err) // no port at all: no test can go on
 		}
--- a/internal/fleet/rig/rig.go
+++ b/internal/dispatcher/fleet/harness/rig.go
@@ -1,8 +1,8 @@
-// Package rig runs several processes of the program on loopback, joined by links
+// Package harness runs several processes of the program on loopback, joined by links
 // that fail on demand, with members, discovery and clients that all of them
 // share. What they did is judged by what stood outside: members, clients and who
 // asked the doors.
-package rig
+package harness
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/faultlink"
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/faultproxy"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 )
@@ -39,19 +39,19 @@
 type Rig struct {
 	Settings
 	Processes []*Process // n1, n2 and so on
-	Till      *standin.Till
-	Answers   standin.Answers
+	Till      *fakes.Till
+	Answers   fakes.Answers
 
 	t       testing.TB
 	binary  string
-	members []*standin.Member
+	members []*fakes.Member
 	all     sync.WaitGroup
 	stop    context.CancelFunc
 
 	mu     sync.Mutex
 	random *rand.Rand
-	links  map[pair][]*faultlink.Link
-	calls  []standin.Call
+	links  map[pair][]*faultproxy.Link
+	calls  []fakes.Call
 	outs   []out
 }
 
@@ -71,7 +71,7 @@
 	binary, err := scenario.BuildTags(s.Tags)
 	require.NoError(t, err)
 	r := &Rig{
-		Settings: s, Till: standin.NewTill(), t: t, binary: binary, links: make(map[pair][]*faultlink.Link),
+		Settings: s, Till: fakes.NewTill(), t: t, binary: binary, links: make(map[pair][]*faultproxy.Link),
 		random: rand.New(rand.NewPCG(s.Load.Seed, 31)), stop: func() {},
 	}
 	r.Till.Log()
@@ -79,7 +79,7 @@
 	t.Cleanup(r.close) // before the folders go
 	load := s.Load
 	load.Slots = max(1, load.Slots)
-	r.members, err = load.NewMembers(standin.MemberSettings{Till: r.Till, Ends: s.Ends})
+	r.members, err = load.NewMembers(fakes.MemberSettings{Till: r.Till, Ends: s.Ends})
 	require.NoError(t, err)
 	for i := range s.Processes {
 		name := fmt.Sprintf("n%d", i+1)
@@ -110,13 +110,13 @@
 func (r *Rig) Begin() {
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	mix := standin.Mix{Rate: r.Load.Rate, Tickets: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: r.Load.Seed, Told: func(c standin.Call) {
+	mix := fakes.Mix{Rate: r.Load.Rate, Tickets: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: r.Load.Seed, Told: func(c fakes.Call) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.calls = append(r.calls, c)
 	}}
 	r.all.Go(func() {
-		standin.HTTPClients(ctx, func() string {
+		fakes.HTTPClients(ctx, func() string {
 			if r.To != nil {
 				return r.To(r).Addr("listen")
 			}
@@ -132,7 +132,7 @@
 }
 
 // Calls are the tries of clients that have ended.
-func (r *Rig) Calls() []standin.Call {
+func (r *Rig) Calls() []fakes.Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.calls)
@@ -172,14 +172,14 @@
 }
 
 // Links are the links from one process to another, by their places.
-func (r *Rig) Links(from, to int) []*faultlink.Link {
+func (r *Rig) Links(from, to int) []*faultproxy.Link {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.links[pair{from, to}]
 }
 
 // Around are all links from and to a process.
-func (r *Rig) Around(place int) (all []*faultlink.Link) {
+func (r *Rig) Around(place int) (all []*faultproxy.Link) {
 	for other := range r.Processes {
 		all = append(append(all, r.Links(place, other)...), r.Links(other, place)...)
 	}
@@ -191,7 +191,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := pair{from, to}
-	l, err := faultlink.New(addr, r.Load.Seed<<16+uint64(from)<<8+uint64(to))
+	l, err := faultproxy.New(addr, r.Load.Seed<<16+uint64(from)<<8+uint64(to))
 	if err != nil {
 		return "", err
 	}
--- a/internal/fleet/rig/rig_test.go
+++ b/internal/dispatcher/fleet/harness/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"flag"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/faultlink"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/faultproxy"
 
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
@@ -63,7 +63,7 @@
 			require.NoError(t, kinds[name].begin(r, f))
 			require.Equal(t, silent, asks(addr, silent) != nil, f)
 			if name == "is not heard by" {
-				require.Equal(t, who == 0, link.Counts().Lost[faultlink.Forth] > was.Lost[faultlink.Forth], f)
+				require.Equal(t, who == 0, link.Counts().Lost[faultproxy.Forth] > was.Lost[faultproxy.Forth], f)
 			}
 			require.NoError(t, asks(own))
 			require.NoError(t, kinds[name].end(r, f))
@@ -198,7 +198,7 @@
 // TestFaults is the short form of the soak.
 func TestFaults(t *testing.T) { t.Log(today(3, 4).Run(t, 6*time.Second)) }
 
-// TestSoak is the long form: go test ./internal/fleet/rig -run Soak -v -args -soak 10m -seed 1
+// TestSoak is the long form: go test ./internal/dispatcher/fleet/harness -run Soak -v -args -soak 10m -seed 1
 func TestSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Skip("it takes as long as -args -soak says")
--- a/internal/fleet/rig/soak.go
+++ b/internal/dispatcher/fleet/harness/soak.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
+	"basaltloft/internal/dispatcher/demo"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/fleet/measure_test.go
+++ b/internal/dispatcher/fleet/measure_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/fleet/rig"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fleet/harness"
 
 	"github.com/stretchr/testify/require"
 )
@@ -21,13 +21,13 @@
 var measure = flag.Bool("measure", false, "print the fleet layer's figures; it takes minutes and wants a quiet machine")
 
 // TestMeasure prints what docs/fleet-layer-design.md has under Measured:
-// go test ./internal/fleet -run Measure -v -measure
+// go test ./internal/dispatcher/fleet -run Measure -v -measure
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		t.Skip("it takes minutes: -measure")
 	}
 	load := demo.Load{Members: 8, Slots: 8, Run: 5 * time.Millisecond, Rate: 300, Seed: 1}
-	cpu := func(r *rig.Rig) (sum time.Duration) {
+	cpu := func(r *harness.Rig) (sum time.Duration) {
 		for _, p := range r.Processes {
 			used, err := p.CPU()
 			require.NoError(t, err)
@@ -40,16 +40,16 @@
 	for range 3 {
 		for _, name := range []string{"off", "on, by processes that keep nothing", "on"} {
 			t.Run("CPU a job", func(t *testing.T) {
-				var r *rig.Rig
+				var r *harness.Rig
 				switch name {
 				case "off":
-					r = rig.New(t, rig.Settings{Processes: 2, Load: load})
+					r = harness.New(t, harness.Settings{Processes: 2, Load: load})
 					r.Start()
 				case "on":
 					r = found(t, 3, load, full)
 				default: // of five, jobs go to the two that are no keepers
-					s := rig.Settings{Processes: 5, Load: load}
-					s.To = func(r *rig.Rig) *rig.Process { return r.Processes[3+rand.IntN(2)] }
+					s := harness.Settings{Processes: 5, Load: load}
+					s.To = func(r *harness.Rig) *harness.Process { return r.Processes[3+rand.IntN(2)] }
 					r = foundWith(t, s, full)
 				}
 				of := func() time.Duration {
--- a/internal/fleet/parts/budgets.go
+++ b/internal/dispatcher/fleet/partition/budgets.go
@@ -1,15 +1,15 @@
-// Package parts joins the deciding packages of the fleet layer to the replicated
+// Package partition joins the deciding packages of the fleet layer to the replicated
 // state: it reads their commands, and writes and reads their part of a snapshot.
-package parts
+package partition
 
 import (
 	"fmt"
 	"io"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/shares"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/state"
 )
 
 // Names of the parts, which their kinds of commands begin with.
@@ -21,20 +21,20 @@
 )
 
 // BudgetsLeft is what a process leaves under way at its planned end, by budget.
-type BudgetsLeft struct{ Left map[string]shares.Left }
+type BudgetsLeft struct{ Left map[string]budget.Left }
 
 // Budgets is the part of the budgets. Its settings are a shares.Config.
-type Budgets struct{ book *shares.Book }
+type Budgets struct{ book *budget.Book }
 
 // NewBudgets returns a part without budgets.
-func NewBudgets() *Budgets { return &Budgets{shares.NewBook()} }
+func NewBudgets() *Budgets { return &Budgets{budget.NewBook()} }
 
 // Name implements state.Part.
 func (*Budgets) Name() string { return BudgetsName }
 
 // Check implements state.Part.
 func (*Budgets) Check(settings []byte) error {
-	var c shares.Config
+	var c budget.Config
 	if err := codec.Decode(settings, &c); err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 
 // Set implements state.Part.
 func (b *Budgets) Set(at time.Duration, settings []byte) error {
-	var c shares.Config
+	var c budget.Config
 	if err := codec.Decode(settings, &c); err != nil {
 		return err
 	}
@@ -64,12 +64,12 @@
 
 // Renewed implements state.Part: it renews the shares.
 func (b *Budgets) Renewed(c state.Command, body []byte) ([]byte, error) {
-	var r shares.Renewal
+	var r budget.Renewal
 	if err := codec.Decode(body, &r); err != nil {
 		return nil, err
 	}
 	if r.Process != c.Process || r.Incarnation != c.Incarnation {
-		return nil, fmt.Errorf("%w: a renewal for %s %d", shares.ErrFenced, r.Process, r.Incarnation)
+		return nil, fmt.Errorf("%w: a renewal for %s %d", budget.ErrFenced, r.Process, r.Incarnation)
 	}
 	g, err := b.book.Renew(c.At, r)
 	if err != nil {
--- a/internal/fleet/parts/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -1,4 +1,4 @@
-package parts
+package partition
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"io"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/state"
 )
 
 // PlansName is the part of plans under way.
--- a/internal/fleet/parts/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -1,4 +1,4 @@
-package parts
+package partition
 
 import (
 	"errors"
@@ -6,10 +6,10 @@
 	"io"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/fleet/recordstore"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/recordstore"
+	"basaltloft/internal/dispatcher/fleet/state"
 )
 
 // RecordsName is the part of the records of finished jobs. Its settings are a
--- a/internal/fleet/plan/check_test.go
+++ b/internal/dispatcher/fleet/plan/check_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/scenario"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/stretchr/testify/require"
 )
@@ -16,10 +16,10 @@
 const s = time.Second
 
 // classes are one of each effect, and a keyed one whose keys hold in a zone.
-var classes = Classes([]basaltloft.Class{
-	{Name: "safe", GiveUp: 2 * s}, {Name: "once", Effect: basaltloft.Unsafe, GiveUp: 3 * s}, {Name: "endless"},
-	{Name: "keyed", Effect: basaltloft.Keyed, Window: 9 * s, GiveUp: 5 * s},
-	{Name: "zoned", Effect: basaltloft.Keyed, Group: basaltloft.GroupZone, Window: 9 * s, GiveUp: s},
+var classes = Classes([]policy.Class{
+	{Name: "safe", GiveUp: 2 * s}, {Name: "once", Effect: policy.Unsafe, GiveUp: 3 * s}, {Name: "endless"},
+	{Name: "keyed", Effect: policy.Keyed, Window: 9 * s, GiveUp: 5 * s},
+	{Name: "zoned", Effect: policy.Keyed, Group: policy.GroupZone, Window: 9 * s, GiveUp: s},
 })
 
 // stages are a plan of some stages: lines of "name class after: rest".
@@ -178,11 +178,11 @@
 }
 
 // example reads an example, and the classes that it is written for.
-func example(t testing.TB, name string) (text string, list []basaltloft.Class) {
-	read, err := os.ReadFile("../../../deploy/" + name)
+func example(t testing.TB, name string) (text string, list []policy.Class) {
+	read, err := os.ReadFile("../../../../deploy/" + name)
 	require.NoError(t, err)
 	if strings.Contains(name, "archive") {
-		lab, err := os.ReadFile("../../../experiments/archive.json")
+		lab, err := os.ReadFile("../../../../experiments/archive.json")
 		require.NoError(t, err)
 		e, err := settings.DecodeExperiment(lab)
 		require.NoError(t, err)
--- a/internal/fleet/plan/eval_test.go
+++ b/internal/dispatcher/fleet/plan/eval_test.go
@@ -12,7 +12,7 @@
 // TestExamples: the examples are right, and the page for operators shows what the
 // check says of them.
 func TestExamples(t *testing.T) {
-	page, err := os.ReadFile("../../../docs/plans.md")
+	page, err := os.ReadFile("../../../../docs/plans.md")
 	require.NoError(t, err)
 	for _, name := range []string{"plans-example.hcl", "plans-archive-example.hcl"} {
 		text, list := example(t, name)
--- a/internal/fleet/plan/file.go
+++ b/internal/dispatcher/fleet/plan/file.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"strings"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // CheckFile checks a plan file for who wrote it. The lines are its problems, or
 // what its plans may come to; ok tells which. No classes at all is a problem: the
 // rules on what may run again need them.
-func CheckFile(name, text string, classes []basaltloft.Class) (lines []string, ok bool) {
+func CheckFile(name, text string, classes []policy.Class) (lines []string, ok bool) {
 	plans, problems := Parse(name, []byte(text), Classes(classes))
 	for _, p := range problems {
 		lines = append(lines, fmt.Sprintf("%s:%d:%d: error: %s", p.File, p.Line, p.Column, p.Text))
@@ -27,8 +27,8 @@
 }
 
 // Classes are classes by their names, as Parse takes them.
-func Classes(list []basaltloft.Class) map[string]basaltloft.Class {
-	by := make(map[string]basaltloft.Class, len(list))
+func Classes(list []policy.Class) map[string]policy.Class {
+	by := make(map[string]policy.Class, len(list))
 	for _, c := range list {
 		by[c.Name] = c
 	}
--- a/internal/fleet/plan/model.go
+++ b/internal/dispatcher/fleet/plan/model.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/hashicorp/hcl/v2"
 )
@@ -65,7 +65,7 @@
 type Stage struct {
 	Name   string
 	Class  string
-	Effect basaltloft.Effect
+	Effect policy.Effect
 	GiveUp time.Duration // of its class: how long an attempt may take
 	Runs   int           // at most, the first included; computed by the check
 	After  []string      // stages that must have ended well; their results may be used
@@ -116,7 +116,7 @@
 // Undo compensates a stage.
 type Undo struct {
 	Class           string
-	Effect          basaltloft.Effect
+	Effect          policy.Effect
 	GiveUp          time.Duration // of its class: how long a try may take
 	Path, Body, Key hcl.Expression
 	Most            int           // tries
--- a/internal/fleet/plan/parse.go
+++ b/internal/dispatcher/fleet/plan/parse.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/agext/levenshtein"
 	"github.com/cespare/xxhash/v2"
@@ -51,7 +51,7 @@
 // Parse reads the plans of a file and checks them against the classes in service.
 // It names all that is wrong, in the order of the file. A plan with a problem is
 // refused whole; the others are returned. A file that can't be read has no plans.
-func Parse(name string, text []byte, classes map[string]basaltloft.Class) ([]*Plan, []Problem) {
+func Parse(name string, text []byte, classes map[string]policy.Class) ([]*Plan, []Problem) {
 	f := &file{name: name, text: text, classes: classes}
 	if !f.bounded() {
 		return nil, f.problems
@@ -75,7 +75,7 @@
 type file struct {
 	name     string
 	text     []byte
-	classes  map[string]basaltloft.Class
+	classes  map[string]policy.Class
 	problems []Problem
 }
 
@@ -335,10 +335,10 @@
 }
 
 // class reads the class that a stage or an undo names.
-func (f *file) class(b *body) basaltloft.Class {
+func (f *file) class(b *body) policy.Class {
 	name := b.text("class", true)
 	if name == "" {
-		return basaltloft.Class{}
+		return policy.Class{}
 	}
 	at := b.at.Attributes["class"].Expr.Range()
 	class, known := f.classes[name]
--- a/internal/fleet/planrun/book.go
+++ b/internal/dispatcher/fleet/planrun/book.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/heap"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/shared/indexedheap"
 )
 
 // Limits bound a Book. They are part of its state: replicas that differ in them
@@ -168,7 +168,7 @@
 	whole   int       // of order, where those begin that have their results
 	shared  map[string]*Output
 	orphans []string // sorted
-	due     heap.Heap[*Run]
+	due     indexedheap.Heap[*Run]
 }
 
 // NewBook returns an empty one.
@@ -181,7 +181,7 @@
 func (b *Book) reset() {
 	b.shapes, b.runs, b.ended, b.shared = map[uint64]*interned{}, map[string]*Run{}, map[string]*Answer{}, map[string]*Output{}
 	b.order, b.whole, b.orphans = nil, 0, nil
-	b.due = heap.New(func(x, y *Run) bool { return cmp.Or(cmp.Compare(x.due, y.due), cmp.Compare(x.ID, y.ID)) < 0 }, func(r *Run, at int) { r.place = at })
+	b.due = indexedheap.New(func(x, y *Run) bool { return cmp.Or(cmp.Compare(x.due, y.due), cmp.Compare(x.ID, y.ID)) < 0 }, func(r *Run, at int) { r.place = at })
 }
 
 // tick takes in the time of a command; it never runs backward.
--- a/internal/fleet/planrun/coordinator.go
+++ b/internal/dispatcher/fleet/planrun/coordinator.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
 // Coordinator is what one incarnation of a process remembers of the runs that it
--- a/internal/fleet/planrun/end.go
+++ b/internal/dispatcher/fleet/planrun/end.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
@@ -324,7 +324,7 @@
 		for k := range st.Items {
 			it := &st.Items[k]
 			ran = ran || it.Job.Ran
-			if !it.Job.Ran || it.Undo.State == Ok || sh.Shared || sh.Effect == basaltloft.Safe {
+			if !it.Job.Ran || it.Undo.State == Ok || sh.Shared || sh.Effect == policy.Safe {
 				continue
 			}
 			left = true
--- a/internal/fleet/planrun/next.go
+++ b/internal/dispatcher/fleet/planrun/next.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
 // What is what a coordinator does next.
--- a/internal/fleet/planrun/run.go
+++ b/internal/dispatcher/fleet/planrun/run.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -156,8 +156,8 @@
 }
 
 // again tells whether what may have run may be sent again.
-func again(e basaltloft.Effect, ran bool) bool {
-	return !ran || e != basaltloft.Unsafe || faultTwice || plantTwice
+func again(e policy.Effect, ran bool) bool {
+	return !ran || e != policy.Unsafe || faultTwice || plantTwice
 }
 
 // plantTwice plants the fault of hooks_faults.go in a test.
--- a/internal/fleet/planrun/shape.go
+++ b/internal/dispatcher/fleet/planrun/shape.go
@@ -13,8 +13,8 @@
 	"math/bits"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // Shape is what a Book needs to know of a plan. It travels in Start, so that a
@@ -31,7 +31,7 @@
 // lower ones only.
 type StageShape struct {
 	Name, Class string
-	Effect      basaltloft.Effect
+	Effect      policy.Effect
 	After       []int
 	Cost        time.Duration // hint of its run time; 0: none
 	Each        bool          // a list says how often it is run
@@ -59,7 +59,7 @@
 // UndoShape is a stage's compensation.
 type UndoShape struct {
 	Class  string
-	Effect basaltloft.Effect
+	Effect policy.Effect
 	Most   int
 	Wait   time.Duration
 }
@@ -121,7 +121,7 @@
 			items += max(st.MostEach, 0)
 		}
 		bad := len(st.Name) > mostName || len(st.Class) > mostName || st.AtLeast < 0 || st.Cost < 0 ||
-			st.Shared && (st.Effect == basaltloft.Unsafe || st.SharedFor < 0) || st.Undo != nil && (st.Undo.Most < 0 || st.Undo.Wait < 0)
+			st.Shared && (st.Effect == policy.Unsafe || st.SharedFor < 0) || st.Undo != nil && (st.Undo.Most < 0 || st.Undo.Wait < 0)
 		for _, r := range st.Reruns {
 			bad = bad || r.Of < 0 || r.Of >= i || up[i]&(1<<r.Of) == 0
 		}
--- a/internal/fleet/planrun/sim_test.go
+++ b/internal/dispatcher/fleet/planrun/sim_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/heap"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/shared/indexedheap"
 
 	"github.com/stretchr/testify/require"
 )
@@ -22,7 +22,7 @@
 type sim struct {
 	rng     *rand.Rand
 	now     time.Duration // true time
-	queue   heap.Heap[*event]
+	queue   indexedheap.Heap[*event]
 	seq     int
 	books   replicas
 	paused  time.Duration // that fleet time is behind true time
@@ -338,7 +338,7 @@
 	if a.begun = true; a.end != "" && a.fence == s.fence(a.run) && a.end != plan.Late {
 		s.fault("%v began after it had ended with %v", a.try, a.end)
 	}
-	never := sh.Effect == basaltloft.Unsafe && !a.undo
+	never := sh.Effect == policy.Unsafe && !a.undo
 	s.of[a.run]++
 	if s.ran[a.job]++; never && s.ran[a.job] > 1 {
 		s.fault("%v ran twice", a.try)
@@ -423,7 +423,7 @@
 	l.Grace = 500 * ms
 	s := &sim{rng: rand.New(rand.NewPCG(seed, 30)), books: newReplicas(l), leases: map[string]time.Duration{}, shapes: map[string]Shape{},
 		tries: map[try]*seen{}, running: map[job][]*seen{}, ran: map[job]int{}, of: map[string]int{}, answers: map[string]*Answer{}}
-	s.queue = heap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil)
+	s.queue = indexedheap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil)
 	for i := range 4 {
 		p := &proc{s: s, name: fmt.Sprintf("n%d", i), rate: 0.975 + 0.05*s.rng.Float64()}
 		s.procs = append(s.procs, p)
--- a/internal/fleet/planrun/state.go
+++ b/internal/dispatcher/fleet/planrun/state.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // interned is a shape that runs under way have.
--- a/internal/fleet/keeper/enter.go
+++ b/internal/dispatcher/fleet/raftnode/enter.go
@@ -1,13 +1,13 @@
-package keeper
+package raftnode
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
 
 	"github.com/hashicorp/raft"
 )
@@ -38,7 +38,7 @@
 				continue
 			}
 			var ok bool
-			if _, err := k.peers.Post(ctx, a.Name, call.Rejoin, self, &ok); err == nil && ok {
+			if _, err := k.peers.Post(ctx, a.Name, rpc.Rejoin, self, &ok); err == nil && ok {
 				taken = true
 				break
 			}
@@ -64,8 +64,8 @@
 
 // askAll asks the other keepers what they have, side by side; those that do not
 // answer are left out.
-func (k *Keeper) askAll(ctx context.Context) (all []call.AboutBody) {
-	answers := make(chan *call.AboutBody)
+func (k *Keeper) askAll(ctx context.Context) (all []rpc.AboutBody) {
+	answers := make(chan *rpc.AboutBody)
 	others := 0
 	for _, name := range sorted(k.s.Peers) {
 		if name == k.s.Name {
@@ -73,8 +73,8 @@
 		}
 		others++
 		go func() {
-			var a call.AboutBody
-			if _, err := k.peers.Post(ctx, name, call.About, nil, &a); err != nil {
+			var a rpc.AboutBody
+			if _, err := k.peers.Post(ctx, name, rpc.About, nil, &a); err != nil {
 				answers <- nil
 				return
 			}
@@ -244,7 +244,7 @@
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.s.Election))
 	defer cancel()
 	var ok bool
-	if err := k.peers.Leader(ctx, call.Ready, self, &ok); err == nil && ok && !votes {
+	if err := k.peers.Leader(ctx, rpc.Ready, self, &ok); err == nil && ok && !votes {
 		k.log.Info("votes again")
 	}
 }
--- a/internal/fleet/keeper/folder.go
+++ b/internal/dispatcher/fleet/raftnode/folder.go
@@ -1,4 +1,4 @@
-package keeper
+package raftnode
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 
 	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
--- a/internal/fleet/keeper/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -1,4 +1,4 @@
-package keeper
+package raftnode
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/fleet/recordstore"
-	"basaltloft/internal/fleet/shares"
-	"basaltloft/internal/fleet/state"
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/recordstore"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -32,7 +32,7 @@
 var goldenFolder = filepath.Join("testdata", "golden", "keeper")
 
 // alone runs the only keeper of a fleet on a folder until stop is called.
-func alone(t *testing.T, folder string) (k *Keeper, client *call.Client, stop func()) {
+func alone(t *testing.T, folder string) (k *Keeper, client *rpc.Client, stop func()) {
 	t.Helper()
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 		Name: "k1", Folder: folder, Peers: map[string]Peer{"k1": {calls.Addr().String(), votes.Addr().String()}}, Votes: votes,
 		Election: 100 * time.Millisecond, SumEvery: time.Hour, Log: log,
 		Machine: func() (*state.Machine, error) {
-			return state.New(parts.NewBudgets(), parts.NewPlans(), parts.NewRecords(store, records.Fence{})), nil
+			return state.New(partition.NewBudgets(), partition.NewPlans(), partition.NewRecords(store, records.Fence{})), nil
 		},
 	})
 	require.NoError(t, err)
@@ -61,7 +61,7 @@
 		defer close(served)
 		_ = server.Serve(calls) // ends with the listener
 	}()
-	client = call.New(map[string]string{"k1": calls.Addr().String()})
+	client = rpc.New(map[string]string{"k1": calls.Addr().String()})
 	return k, client, func() {
 		cancel()
 		require.NoError(t, <-ended)
@@ -96,22 +96,22 @@
 	who, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
 	require.NoError(t, err)
 	require.NoError(t, who.Order(ctx, state.Set, state.SetBody{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
-		parts.BudgetsName: encoded(t, shares.Config{Lease: time.Hour, Budgets: []shares.Budget{{Name: "jobs/hrad-kamenec", Kind: shares.Rate, Whole: 120, Burst: 40}}}),
-		parts.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.Others, Keep: records.Limits{Count: 100}}}}),
+		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Whole: 120, Burst: 40}}}),
+		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.Others, Keep: records.Limits{Count: 100}}}}),
 	}}, nil))
-	for grant := (shares.Grant{}); len(grant.Shares) == 0 || grant.Shares[0].Amount == 0; {
-		renewed, err := who.Renew(ctx, map[string][]byte{parts.BudgetsName: encoded(t, shares.Renewal{
-			Process: "n1", Incarnation: who.Incarnation, Bound: grant.Number, Uses: map[string]shares.Use{"jobs/hrad-kamenec": {Demand: 9}},
+	for grant := (budget.Grant{}); len(grant.Shares) == 0 || grant.Shares[0].Amount == 0; {
+		renewed, err := who.Renew(ctx, map[string][]byte{partition.BudgetsName: encoded(t, budget.Renewal{
+			Process: "n1", Incarnation: who.Incarnation, Bound: grant.Number, Uses: map[string]budget.Use{"jobs/hrad-kamenec": {Demand: 9}},
 		})})
 		require.NoError(t, err)
-		require.NoError(t, codec.Decode(renewed.Parts[parts.BudgetsName], &grant))
+		require.NoError(t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
 	}
 	begin := func(run string) {
-		shape := planrun.Shape{Most: 9, Within: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: basaltloft.Keyed}}}
-		var reply parts.PlanReply
-		require.NoError(t, who.Order(ctx, parts.PlansDo, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
+		shape := planrun.Shape{Most: 9, Within: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: policy.Keyed}}}
+		var reply partition.PlanReply
+		require.NoError(t, who.Order(ctx, partition.PlansDo, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
 		require.NoError(t, reply.Err())
-		require.NoError(t, who.Order(ctx, parts.PlansDo, planrun.Command{Open: &planrun.Open{Run: run, Fence: reply.Started.Fence, Items: [][]byte{nil}}}, &reply))
+		require.NoError(t, who.Order(ctx, partition.PlansDo, planrun.Command{Open: &planrun.Open{Run: run, Fence: reply.Started.Fence, Items: [][]byte{nil}}}, &reply))
 		require.NoError(t, reply.Err())
 	}
 	ship := func(first uint64, ids ...string) {
@@ -119,7 +119,7 @@
 		for _, id := range ids {
 			s.Records = append(s.Records, goldenRecord(id))
 		}
-		require.NoError(t, who.Order(ctx, parts.RecordsShip, s, nil))
+		require.NoError(t, who.Order(ctx, partition.RecordsShip, s, nil))
 	}
 	begin("run-in-the-snapshot")
 	ship(1, "job-1", "job-2")
@@ -148,13 +148,13 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	ask := func(kind state.Kind, body, into any) {
-		answer, err := client.Read(ctx, call.Query{Kind: kind, Body: encoded(t, body)})
+		answer, err := client.Read(ctx, rpc.Query{Kind: kind, Body: encoded(t, body)})
 		require.NoError(t, err)
 		require.NoError(t, codec.Decode(answer.Body, into))
 	}
 	for _, run := range []string{"run-in-the-snapshot", "run-in-the-log"} {
-		var reply parts.PlanReply
-		ask(parts.PlansLook, run, &reply)
+		var reply partition.PlanReply
+		ask(partition.PlansLook, run, &reply)
 		require.NotNil(t, reply.Run, run)
 		require.Equal(t, run, reply.Run.ID)
 		require.Equal(t, "booking", reply.Run.Plan)
@@ -165,15 +165,15 @@
 		require.Len(t, reply.Run.Stages[0].Items, 1)
 	}
 	var page records.Page
-	ask(parts.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
+	ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
 	require.Len(t, page.Records, 3)
 	for i, id := range []string{"job-1", "job-2", "job-3"} {
 		want := goldenRecord(id)
 		want.Process, want.Epoch, want.Seq = "n1", 70, uint64(i+1)
 		require.Equal(t, want, page.Records[i])
 	}
-	var standings []shares.Standing
-	ask(parts.BudgetsStandings, nil, &standings)
+	var standings []budget.Standing
+	ask(partition.BudgetsStandings, nil, &standings)
 	require.Len(t, standings, 1)
 	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
 	require.Positive(t, standings[0].Held)
@@ -204,11 +204,11 @@
 	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
 	require.NoError(t, err)
 	require.Equal(t, member.Incarnation, joined.Incarnation)
-	require.NoError(t, who.Client.Leader(ctx, call.Do, encoded(t, state.Command{
-		V: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: parts.RecordsShip,
+	require.NoError(t, who.Client.Leader(ctx, rpc.Do, encoded(t, state.Command{
+		V: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
 		Body: encoded(t, records.Ship{Epoch: 70, First: 4, Records: []records.Record{goldenRecord("job-4")}}),
 	}), &state.Reply{}))
-	ask(parts.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
+	ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
 	require.Len(t, page.Records, 4)
 }
 
--- a/internal/fleet/keeper/keeper.go
+++ b/internal/dispatcher/fleet/raftnode/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper is one replica of the fleet's state and its vote: hashicorp/raft
+// Package raftnode is one replica of the fleet's state and its vote: hashicorp/raft
 // with its log in a folder, and the calls by which processes ask. What a command
 // means is for package state; here is when it may be answered.
-package keeper
+package raftnode
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
@@ -51,7 +51,7 @@
 type Keeper struct {
 	s     Settings
 	log   *logrus.Entry
-	peers *call.Client // the other keepers
+	peers *rpc.Client // the other keepers
 	fsm   *machine
 
 	mu      sync.Mutex
@@ -107,7 +107,7 @@
 			others[name] = p.Calls
 		}
 	}
-	return &Keeper{s: s, log: s.Log.WithField("keeper", s.Name), peers: call.New(others), fsm: &machine{m: state.New(), applied: make(chan struct{})}, empty: true}, nil
+	return &Keeper{s: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &machine{m: state.New(), applied: make(chan struct{})}, empty: true}, nil
 }
 
 // Run takes part until the context ends. It returns an error if the folder can't be
--- a/internal/fleet/keeper/keeper_test.go
+++ b/internal/dispatcher/fleet/raftnode/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package raftnode
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
 
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
@@ -68,8 +68,8 @@
 	spoilt map[string]*atomic.Bool
 	up     map[string]*Keeper
 	stops  map[string]func() error
-	client *call.Client
-	who    *call.Session
+	client *rpc.Client
+	who    *rpc.Session
 	count  uint64
 }
 
@@ -90,7 +90,7 @@
 	for name := range f.peers {
 		f.start(name)
 	}
-	f.client = call.New(addrs)
+	f.client = rpc.New(addrs)
 	t.Cleanup(func() {
 		f.client.Close()
 		for _, stop := range f.stops {
@@ -184,7 +184,7 @@
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		var n uint64
-		a := f.up[name].Ask(call.Query{Kind: "count/read"})
+		a := f.up[name].Ask(rpc.Query{Kind: "count/read"})
 		return codec.Decode(a.Body, &n) == nil && n == f.count && f.voters() == 3
 	}, 20*time.Second, 10*time.Millisecond, "%s has the state and a vote", name)
 }
@@ -267,7 +267,7 @@
 		f.start("k2") // which has the state, and no majority without a vote of k1
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
 		defer cancel()
-		require.ErrorIs(t, f.who.Order(ctx, "count/one", nil, nil), call.ErrNobody)
+		require.ErrorIs(t, f.who.Order(ctx, "count/one", nil, nil), rpc.ErrNobody)
 		f.count++ // asked again under the same number it would count once; here it is left open
 		require.True(t, f.up["k1"].about().Empty)
 		f.start("k3")
@@ -302,7 +302,7 @@
 		self, err := codec.Encode(name)
 		require.NoError(t, err)
 		var ok bool
-		_, err = f.client.Post(f.ctx(), lead, call.Rejoin, self, &ok)
+		_, err = f.client.Post(f.ctx(), lead, rpc.Rejoin, self, &ok)
 		require.NoError(t, err)
 		f.order(3)
 		f.same(name)
@@ -342,7 +342,7 @@
 
 // read asks the leader.
 func (f *fleet) read() (n uint64) {
-	a, err := f.client.Read(f.ctx(), call.Query{Kind: "count/read"})
+	a, err := f.client.Read(f.ctx(), rpc.Query{Kind: "count/read"})
 	require.NoError(f.t, err)
 	require.NoError(f.t, codec.Decode(a.Body, &n))
 	return n
--- a/internal/fleet/keeper/serve.go
+++ b/internal/dispatcher/fleet/raftnode/serve.go
@@ -1,4 +1,4 @@
-package keeper
+package raftnode
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
 
 	"github.com/hashicorp/raft"
 	"github.com/valyala/fastjson"
@@ -22,27 +22,27 @@
 
 // ServeHTTP answers calls of the fleet's processes and of the other keepers.
 func (k *Keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, call.MostBody+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, rpc.MostBody+1))
 	switch {
 	case err != nil:
 		return // the caller is gone
 	case r.Method != http.MethodPost:
 		http.Error(w, "calls are told with POST", http.StatusMethodNotAllowed)
 		return
-	case len(body) > call.MostBody:
+	case len(body) > rpc.MostBody:
 		http.Error(w, "the call is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	switch r.URL.Path {
-	case call.About:
+	case rpc.About:
 		k.write(w, k.about())
-	case call.Do:
+	case rpc.Do:
 		k.do(w, body)
-	case call.Read, call.Nearby:
+	case rpc.Read, rpc.Nearby:
 		k.answer(w, r, body)
-	case call.Rejoin:
+	case rpc.Rejoin:
 		k.change(w, body, k.takeIn)
-	case call.Ready:
+	case rpc.Ready:
 		k.change(w, body, k.letVote)
 	default:
 		http.Error(w, "no such call", http.StatusNotFound)
@@ -65,15 +65,15 @@
 	k.mu.Unlock()
 	if n != nil {
 		if _, id := n.raft.LeaderWithID(); id != "" && string(id) != k.s.Name {
-			w.Header().Set(call.LeaderHeader, string(id))
+			w.Header().Set(rpc.LeaderHeader, string(id))
 		}
 	}
 	http.Error(w, why, http.StatusMisdirectedRequest)
 }
 
-func (k *Keeper) about() call.AboutBody {
+func (k *Keeper) about() rpc.AboutBody {
 	k.mu.Lock()
-	a := call.AboutBody{Name: k.s.Name, Empty: k.empty, Leads: k.lead != nil, Differs: k.differs, Boots: map[string]uint64{}}
+	a := rpc.AboutBody{Name: k.s.Name, Empty: k.empty, Leads: k.lead != nil, Differs: k.differs, Boots: map[string]uint64{}}
 	k.mu.Unlock()
 	k.fsm.read(func(m *state.Machine) {
 		a.Index, a.At = m.Index(), m.At()
@@ -102,7 +102,7 @@
 // answer answers a query. The leader's answer knows of all that was answered before:
 // it first makes sure that it still leads.
 func (k *Keeper) answer(w http.ResponseWriter, r *http.Request, body []byte) {
-	var q call.Query
+	var q rpc.Query
 	if err := codec.Decode(body, &q); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -117,7 +117,7 @@
 	n.calls.Add(1)
 	k.mu.Unlock()
 	defer n.calls.Done()
-	if r.URL.Path == call.Read {
+	if r.URL.Path == rpc.Read {
 		if !leads {
 			k.notHere(w, "another keeper leads")
 			return
@@ -147,7 +147,7 @@
 }
 
 // Ask answers a query of the state as it is here.
-func (k *Keeper) Ask(q call.Query) (a call.Answer) {
+func (k *Keeper) Ask(q rpc.Query) (a rpc.Answer) {
 	k.fsm.read(func(m *state.Machine) {
 		a.Index, a.At = m.Index(), m.At()
 		body, err := m.Ask(q.Kind, q.Body)
--- a/internal/fleet/records/encode.go
+++ b/internal/dispatcher/fleet/records/encode.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 const stateVersion = 1 // stands before the encoded state
--- a/internal/fleet/records/record.go
+++ b/internal/dispatcher/fleet/records/record.go
@@ -11,8 +11,8 @@
 	"fmt"
 	"strings"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // Record is what is left of a job after its final answer. Times are nanoseconds
@@ -79,7 +79,7 @@
 	Lanes
 )
 
-var failed = account.Failed.String()
+var failed = accounting.Failed.String()
 
 // Lane is the lane that the record is kept in.
 func (r *Record) Lane() Lane {
--- a/internal/fleet/records/state.go
+++ b/internal/dispatcher/fleet/records/state.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -116,9 +116,9 @@
 func (s *State) filed(name string) string {
 	switch {
 	case name == "":
-		return account.Nowhere
+		return accounting.Nowhere
 	case name == Others, s.tenants[name] == nil && len(s.names) >= mostTenants:
-		return account.Other
+		return accounting.Other
 	}
 	return name
 }
--- a/internal/fleet/records/view.go
+++ b/internal/dispatcher/fleet/records/view.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // Fence is what a process knows of how far the records were cut, whatever state it
--- a/internal/fleet/recordstore/golden_test.go
+++ b/internal/dispatcher/fleet/recordstore/golden_test.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 	"testing"
 
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -9,8 +9,8 @@
 	"os"
 	"path/filepath"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/records"
 
 	"github.com/cespare/xxhash/v2"
 	bolt "go.etcd.io/bbolt"
--- a/internal/fleet/recordstore/store.go
+++ b/internal/dispatcher/fleet/recordstore/store.go
@@ -13,7 +13,7 @@
 	"sync"
 	"syscall"
 
-	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/records"
 
 	"github.com/cespare/xxhash/v2"
 	bolt "go.etcd.io/bbolt"
--- a/internal/fleet/recordstore/store_test.go
+++ b/internal/dispatcher/fleet/recordstore/store_test.go
@@ -7,7 +7,7 @@
 	"os"
 	"testing"
 
-	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/records"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
--- a/internal/fleet/recordstore/study_test.go
+++ b/internal/dispatcher/fleet/recordstore/study_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/records"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/fleet/call/call.go
+++ b/internal/dispatcher/fleet/rpc/call.go
@@ -1,8 +1,8 @@
-// Package call is how a process of a fleet asks the keepers: HTTP/1.1 calls with
+// Package rpc is how a process of a fleet asks the keepers: HTTP/1.1 calls with
 // bodies by codec. A call goes to whichever keeper leads, and again to the next one
 // until its deadline; the state answers a command that came twice as it did the
 // first time.
-package call
+package rpc
 
 import (
 	"bytes"
@@ -17,8 +17,8 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/state"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/state"
 )
 
 // Paths of the keepers' calls.
--- a/internal/fleet/spool/golden_test.go
+++ b/internal/dispatcher/fleet/spool/golden_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/goldentest"
-	"basaltloft/internal/segment"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/segment"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
--- a/internal/fleet/spool/segment.go
+++ b/internal/dispatcher/fleet/spool/segment.go
@@ -5,9 +5,9 @@
 	"errors"
 	"fmt"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/segment"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/internal/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"basaltloft/internal/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/records"
 )
 
 // sender ships what is written, the oldest first. It belongs to its goroutine.
--- a/internal/fleet/spool/spool.go
+++ b/internal/dispatcher/fleet/spool/spool.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/segment"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/sirupsen/logrus"
 )
--- a/internal/fleet/spool/spool_test.go
+++ b/internal/dispatcher/fleet/spool/spool_test.go
@@ -15,8 +15,8 @@
 	"testing/synctest"
 	"time"
 
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/segment"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus/hooks/test"
--- a/internal/fleet/spool/study_test.go
+++ b/internal/dispatcher/fleet/spool/study_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/segment"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/fleet/spool/writer.go
+++ b/internal/dispatcher/fleet/spool/writer.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/segment"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/internal/fleet/state/members.go
+++ b/internal/dispatcher/fleet/state/members.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // JoinBody asks for an incarnation. A join repeated with the same nonce, as when its
--- a/internal/fleet/state/snapshot.go
+++ b/internal/dispatcher/fleet/state/snapshot.go
@@ -10,7 +10,7 @@
 	"io"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // magic begins a snapshot; a file of anything else is foreign.
--- a/internal/fleet/state/state.go
+++ b/internal/dispatcher/fleet/state/state.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
 // Version is that of commands and snapshots. Another one is refused, not guessed at.
--- a/internal/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/codec"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
--- a/internal/virtualserver/ahead.go
+++ b/internal/dispatcher/httpfront/ahead.go
@@ -1,11 +1,11 @@
-package virtualserver
+package httpfront
 
 import (
 	"context"
 	"errors"
 	"os"
 
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/pipeline"
 )
 
 // mostAhead is how much may lie unread behind a request that is served: one whole
@@ -13,7 +13,7 @@
 // sends more sends several at a time, which the protocol does not have.
 // And so much may lie unread of all connections, to stay within the memory.
 const (
-	mostAhead      = mostHeader + stage.MaxBody
+	mostAhead      = mostHeader + pipeline.MaxBody
 	mostAheadOfAll = 4 << 20
 )
 
--- a/internal/virtualserver/bodies.go
+++ b/internal/dispatcher/httpfront/bodies.go
@@ -1,4 +1,4 @@
-package virtualserver
+package httpfront
 
 import (
 	"io"
--- a/internal/virtualserver/bodies_test.go
+++ b/internal/dispatcher/httpfront/bodies_test.go
@@ -1,4 +1,4 @@
-package virtualserver
+package httpfront
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -95,4 +95,4 @@
 // hears is a hub to which call-backs are told.
 type hears struct{ Hub }
 
-func (hears) Report(core.News) bool { return true }
+func (hears) Report(engine.News) bool { return true }
--- a/internal/virtualserver/golden_test.go
+++ b/internal/dispatcher/httpfront/golden_test.go
@@ -1,4 +1,4 @@
-package virtualserver
+package httpfront
 
 import (
 	"errors"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/goldentest"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -39,7 +39,7 @@
 	told  *transcript
 }
 
-func (h *answering) TakeIn(a stage.Arrival, arrived time.Time, c core.Client) (*core.Transaction, error) {
+func (h *answering) TakeIn(a pipeline.Arrival, arrived time.Time, c engine.Client) (*engine.Transaction, error) {
 	budget := time.Duration(0)
 	if !a.GivesUp.IsZero() {
 		budget = a.GivesUp.Sub(arrived)
@@ -48,23 +48,23 @@
 		a.ID, a.Class, a.Tenant, a.Target, a.Front, a.Key, a.Body, a.Retry, a.Subject, budget, a.Hint, a.Slots, a.Memory)
 	switch a.Class {
 	case "nothing":
-		return nil, fmt.Errorf("class %q: %w", a.Class, stage.ErrUnknownClass)
+		return nil, fmt.Errorf("class %q: %w", a.Class, pipeline.ErrUnknownClass)
 	case "wrong":
 		return nil, errors.New("what is wrong")
 	}
-	return &core.Transaction{ID: a.ID, Class: a.Class, Client: c}, nil
+	return &engine.Transaction{ID: a.ID, Class: a.Class, Client: c}, nil
 }
 
-func (h *answering) Submit(t *core.Transaction) {
-	t.Client.Answer(map[string]core.Answer{
-		"served": {Verdict: core.Served, Body: []byte("the result\n")}, "empty": {Verdict: core.Served}, "refused": {Verdict: core.Refused},
-		"later": {Verdict: core.Refused, RetryAt: time.Now().Add(-time.Second)}, "failed": {Verdict: core.Failed}, "denied": {Verdict: core.Denied, Body: []byte("why\n")},
+func (h *answering) Submit(t *engine.Transaction) {
+	t.Client.Answer(map[string]engine.Answer{
+		"served": {Verdict: engine.Served, Body: []byte("the result\n")}, "empty": {Verdict: engine.Served}, "refused": {Verdict: engine.Refused},
+		"later": {Verdict: engine.Refused, RetryAt: time.Now().Add(-time.Second)}, "failed": {Verdict: engine.Failed}, "denied": {Verdict: engine.Denied, Body: []byte("why\n")},
 	}[t.ID])
 }
 
-func (h *answering) Leave(*core.Transaction) {}
+func (h *answering) Leave(*engine.Transaction) {}
 
-func (h *answering) Report(n core.News) bool {
+func (h *answering) Report(n engine.News) bool {
 	fmt.Fprintf(h.told, "  news: id %q member %q started %t running %t share %g ended %t status %d result %q\n", n.ID, n.Member, n.Started, n.Running, n.Share, n.Ended, n.Status, n.Result)
 	return true
 }
--- a/internal/virtualserver/jobs.go
+++ b/internal/dispatcher/httpfront/jobs.go
@@ -1,4 +1,4 @@
-package virtualserver
+package httpfront
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/pipeline"
 )
 
 // job passes a client's job to the reverse proxy, whose transport is the core.
@@ -33,10 +33,10 @@
 
 // client waits for the answer of one transaction.
 type client struct {
-	desk   *account.Desk
-	answer chan core.Answer // has room for the one answer
-	ctx    context.Context  // of its request, which ends as the client leaves
-	left   atomic.Bool      // the desk was told
+	desk   *accounting.Desk
+	answer chan engine.Answer // has room for the one answer
+	ctx    context.Context    // of its request, which ends as the client leaves
+	left   atomic.Bool        // the desk was told
 }
 
 // Gone implements core.Leaver.
@@ -51,7 +51,7 @@
 }
 
 // Answer implements core.Client.
-func (c *client) Answer(a core.Answer) {
+func (c *client) Answer(a engine.Answer) {
 	c.desk.Answered(a.Verdict.Outcome())
 	c.answer <- a
 }
@@ -64,10 +64,10 @@
 	if err != nil {
 		return reply(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
 	}
-	mine := &client{desk: &t.s.Desk, answer: make(chan core.Answer, 1), ctx: r.Context()}
+	mine := &client{desk: &t.s.Desk, answer: make(chan engine.Answer, 1), ctx: r.Context()}
 	tx, err := t.s.intake.TakeIn(arrival, arrived, mine)
 	switch {
-	case errors.Is(err, stage.ErrUnknownClass):
+	case errors.Is(err, pipeline.ErrUnknownClass):
 		return reply(r, http.StatusNotFound, []byte(err.Error()+"\n")), nil
 	case err != nil:
 		return reply(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
@@ -87,9 +87,9 @@
 
 // read takes the platform's headers apart. A budget runs from the sending of
 // the request, of which its arrival is the nearest that is known.
-func read(r *http.Request, arrived time.Time, body []byte) (stage.Arrival, error) {
+func read(r *http.Request, arrived time.Time, body []byte) (pipeline.Arrival, error) {
 	h := r.Header
-	a := stage.Arrival{
+	a := pipeline.Arrival{
 		ID: h.Get("X-Call-Id"), Class: h.Get("X-Call-Class"), Tenant: h.Get("X-Caller"), Target: r.URL.RequestURI(), Front: Front,
 		Key: h.Get("Idempotency-Key"), Body: body, Retry: h.Get("X-Again") == "1", Subject: r.URL.Query().Get("sid"),
 	}
@@ -117,7 +117,7 @@
 }
 
 // info reads X-Call-Info, name=value,name=value; names not known are skipped.
-func info(a *stage.Arrival, text string) error {
+func info(a *pipeline.Arrival, text string) error {
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		into := map[string]*float64{"slots": &a.Slots, "width": &a.Slots, "memory": &a.Memory, "mem": &a.Memory}[name]
@@ -134,18 +134,18 @@
 }
 
 // respond writes a final answer in the platform's form.
-func respond(r *http.Request, a core.Answer) *http.Response {
+func respond(r *http.Request, a engine.Answer) *http.Response {
 	switch a.Verdict {
-	case core.Served:
+	case engine.Served:
 		return reply(r, http.StatusOK, a.Body)
-	case core.Refused:
+	case engine.Refused:
 		resp := reply(r, http.StatusServiceUnavailable, nil)
 		if !a.RetryAt.IsZero() {
 			wait := max(0, time.Until(a.RetryAt))
 			resp.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		}
 		return resp
-	case core.Denied:
+	case engine.Denied:
 		return reply(r, http.StatusBadRequest, a.Body)
 	}
 	return reply(r, http.StatusBadGateway, nil)
--- a/internal/virtualserver/limited_test.go
+++ b/internal/dispatcher/httpfront/limited_test.go
@@ -1,4 +1,4 @@
-package virtualserver
+package httpfront
 
 import (
 	"container/list"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
--- a/internal/virtualserver/news.go
+++ b/internal/dispatcher/httpfront/news.go
@@ -1,14 +1,14 @@
-package virtualserver
+package httpfront
 
 import (
 	"fmt"
 	"net/http"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/jsontext"
-	"basaltloft/internal/loadreport"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/jsontext"
+	"basaltloft/internal/dispatcher/loadreport"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/valyala/fastjson"
 )
@@ -36,27 +36,27 @@
 }
 
 // mostNews leaves room for a result of the greatest size, escaped in JSON.
-const mostNews = 2*stage.MaxBody + 1024
+const mostNews = 2*pipeline.MaxBody + 1024
 
-func readNews(text []byte) (core.News, bool) {
+func readNews(text []byte) (engine.News, bool) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return core.News{}, false
+		return engine.News{}, false
 	}
-	n := core.News{ID: string(v.GetStringBytes("id")), Member: string(v.GetStringBytes("from"))}
+	n := engine.News{ID: string(v.GetStringBytes("id")), Member: string(v.GetStringBytes("from"))}
 	switch string(v.GetStringBytes("state")) {
 	case "started":
 		n.Started = true
 	case "running":
 		n.Running, n.Share = true, v.GetFloat64("share")
 	case "done":
-		n.Ended, n.Status, n.Result = true, basaltloft.OK, result(v)
+		n.Ended, n.Status, n.Result = true, policy.OK, result(v)
 	case "failed": // its result is for plans, which may go by it
-		n.Ended, n.Status, n.Result = true, basaltloft.Error, result(v)
+		n.Ended, n.Status, n.Result = true, policy.Error, result(v)
 	case "returned":
-		n.Ended, n.Status = true, basaltloft.Full
+		n.Ended, n.Status = true, policy.Full
 	case "lost":
-		n.Ended, n.Status = true, basaltloft.Reset
+		n.Ended, n.Status = true, policy.Reset
 	default:
 		return n, false
 	}
--- a/internal/virtualserver/news_test.go
+++ b/internal/dispatcher/httpfront/news_test.go
@@ -1,4 +1,4 @@
-package virtualserver
+package httpfront
 
 import (
 	"net/http"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/stretchr/testify/require"
 )
@@ -16,11 +16,11 @@
 // report as "load"; news of progress carries none that counts, and a report
 // that can't be read is left out while the news stands.
 func TestNewsCarriesLoad(t *testing.T) {
-	for text, want := range map[string]basaltloft.Report{
+	for text, want := range map[string]policy.Report{
 		`{"id":"j","from":"s-1","state":"done","result":"r","load":{"qps":40,"inflight":3,"x0":1,"x1":256}}`: {
-			Has: basaltloft.HasQPS | basaltloft.HasInFlight | basaltloft.HasX0 | basaltloft.HasX1, QPS: 40, InFlight: 3, X0: 1, X1: 256,
+			Has: policy.HasQPS | policy.HasInFlight | policy.HasX0 | policy.HasX1, QPS: 40, InFlight: 3, X0: 1, X1: 256,
 		},
-		`{"id":"j","from":"s-1","state":"returned","load":{"x0":0}}`:            {Has: basaltloft.HasX0},
+		`{"id":"j","from":"s-1","state":"returned","load":{"x0":0}}`:            {Has: policy.HasX0},
 		`{"id":"j","from":"s-1","state":"failed"}`:                              {},
 		`{"id":"j","from":"s-1","state":"lost","load":{"x0":"none"}}`:           {},
 		`{"id":"j","from":"s-1","state":"running","share":0.5,"load":{"x0":4}}`: {},
@@ -51,9 +51,9 @@
 	for text, want := range map[string][2]float64{
 		"slots=1,memory=0.359": {1, 0.359}, "width=2, mem=1.5": {2, 1.5}, "kind=x,slots=3": {3, 0}, "": {0, 0},
 	} {
-		var a stage.Arrival
+		var a pipeline.Arrival
 		require.NoError(t, info(&a, text), text)
 		require.Equal(t, want, [2]float64{a.Slots, a.Memory}, text)
 	}
-	require.ErrorContains(t, info(&stage.Arrival{}, "slots=1,memory=lots"), "memory must be a number")
+	require.ErrorContains(t, info(&pipeline.Arrival{}, "slots=1,memory=lots"), "memory must be a number")
 }
--- a/internal/virtualserver/part_test.go
+++ b/internal/dispatcher/httpfront/part_test.go
@@ -1,4 +1,4 @@
-package virtualserver
+package httpfront
 
 import (
 	"net"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -44,12 +44,12 @@
 // server serves jobs at once, as a hub and an intake of its own.
 type server struct{ Hub }
 
-func (server) Submit(t *core.Transaction) {
-	t.Client.Answer(core.Answer{Verdict: core.Served, Body: []byte("served " + t.ID)})
+func (server) Submit(t *engine.Transaction) {
+	t.Client.Answer(engine.Answer{Verdict: engine.Served, Body: []byte("served " + t.ID)})
 }
-func (server) Leave(*core.Transaction) {}
-func (server) TakeIn(a stage.Arrival, _ time.Time, c core.Client) (*core.Transaction, error) {
-	return &core.Transaction{ID: a.ID, Client: c}, nil
+func (server) Leave(*engine.Transaction) {}
+func (server) TakeIn(a pipeline.Arrival, _ time.Time, c engine.Client) (*engine.Transaction, error) {
+	return &engine.Transaction{ID: a.ID, Client: c}, nil
 }
 
 // TestEndOfConnections: a connection that is ended in the very moment in which bytes
--- a/internal/virtualserver/program_test.go
+++ b/internal/dispatcher/httpfront/program_test.go
@@ -1,4 +1,4 @@
-package virtualserver_test
+package httpfront_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/virtualserver/small_test.go
+++ b/internal/dispatcher/httpfront/small_test.go
@@ -1,4 +1,4 @@
-package virtualserver_test
+package httpfront_test
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/virtualserver/virtualserver.go
+++ b/internal/dispatcher/httpfront/virtualserver.go
@@ -1,7 +1,7 @@
-// Package virtualserver is the client side of the platform's HTTP protocol:
+// Package httpfront is the client side of the platform's HTTP protocol:
 // it takes jobs in, gives the one answer to each, takes the pool members'
 // call-backs and answers health checks.
-package virtualserver
+package httpfront
 
 import (
 	"bytes"
@@ -16,24 +16,24 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/pipeline"
 
 	"github.com/sirupsen/logrus"
 )
 
 // Hub is what the virtual server needs of the core.
 type Hub interface {
-	Submit(*core.Transaction)
-	Leave(*core.Transaction)
-	Report(core.News) bool
+	Submit(*engine.Transaction)
+	Leave(*engine.Transaction)
+	Report(engine.News) bool
 	Ready() bool
 }
 
 // Intake makes transactions of arrivals.
 type Intake interface {
-	TakeIn(a stage.Arrival, now time.Time, client core.Client) (*core.Transaction, error)
+	TakeIn(a pipeline.Arrival, now time.Time, client engine.Client) (*engine.Transaction, error)
 }
 
 const (
@@ -49,7 +49,7 @@
 
 // Server is the HTTP front.
 type Server struct {
-	Desk     account.Desk // its own book
+	Desk     accounting.Desk // its own book
 	hub      Hub
 	intake   Intake
 	log      logrus.FieldLogger
@@ -69,7 +69,7 @@
 
 // New returns a front that is not serving yet.
 func New(hub Hub, intake Intake, log *logrus.Logger) *Server {
-	s := &Server{Desk: account.Desk{Front: Front}, hub: hub, intake: intake, log: log}
+	s := &Server{Desk: accounting.Desk{Front: Front}, hub: hub, intake: intake, log: log}
 	quiet := stdlog.New(debug{log}, "", 0) // what clients do wrong is theirs
 	s.proxy = &httputil.ReverseProxy{
 		// The query goes on as it came: ReverseProxy drops from it what it
@@ -191,7 +191,7 @@
 	default:
 		s.inHand.Add(1)
 		defer s.inHand.Add(-1)
-		most, serve, room = stage.MaxBody, s.job, &s.jobs
+		most, serve, room = pipeline.MaxBody, s.job, &s.jobs
 	}
 	// Whoever does not take what is said on the way to the answer is not waited for.
 	http.NewResponseController(w).SetWriteDeadline(arrived.Add(requestFor + answerFor))
@@ -232,7 +232,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	if r.ContentLength > most {
-		refuse(w, http.StatusRequestEntityTooLarge, stage.ErrTooLarge.Error())
+		refuse(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
 		return nil, false
 	}
 	if r.ContentLength == 0 {
@@ -252,7 +252,7 @@
 		refuse(w, http.StatusBadRequest, "the body could not be read")
 		return body, false
 	case int64(len(body)) > most:
-		refuse(w, http.StatusRequestEntityTooLarge, stage.ErrTooLarge.Error())
+		refuse(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
 		return body, false
 	}
 	return body, true
--- a/internal/journal/balance.go
+++ b/internal/dispatcher/journal/balance.go
@@ -4,25 +4,25 @@
 	"cmp"
 	"slices"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 )
 
 // balance is the journal's own count of what it has written: by line, over all
 // epochs, and the jobs that are open.
 type balance struct {
-	lines map[Line]*account.Totals
+	lines map[Line]*accounting.Totals
 	open  map[uint64]Record // by number, as they were entered
-	epoch account.Totals    // of this epoch alone
+	epoch accounting.Totals // of this epoch alone
 }
 
 func newBalance() *balance {
-	return &balance{lines: make(map[Line]*account.Totals), open: make(map[uint64]Record)}
+	return &balance{lines: make(map[Line]*accounting.Totals), open: make(map[uint64]Record)}
 }
 
-func (b *balance) line(l Line) *account.Totals {
+func (b *balance) line(l Line) *accounting.Totals {
 	t := b.lines[l]
 	if t == nil {
-		t = new(account.Totals)
+		t = new(accounting.Totals)
 		b.lines[l] = t
 	}
 	return t
@@ -40,7 +40,7 @@
 			t.Open -= n
 		}
 	case KindOpening:
-		b.epoch = account.Totals{Taken: r.Taken, Open: r.Open, Ends: r.Ends}
+		b.epoch = accounting.Totals{Taken: r.Taken, Open: r.Open, Ends: r.Ends}
 	case KindCarried:
 		b.open[r.Number] = *r
 	case KindEnter:
@@ -62,7 +62,7 @@
 		t := b.line(job.Line)
 		t.Open--
 		t.Ends[r.Reason]++
-		if r.Reason == account.CutOff { // of an epoch that is over
+		if r.Reason == accounting.CutOff { // of an epoch that is over
 			break
 		}
 		b.epoch.Open--
@@ -89,7 +89,7 @@
 }
 
 // total sums the lines.
-func (b *balance) total() (sum account.Totals) {
+func (b *balance) total() (sum accounting.Totals) {
 	for _, t := range b.lines {
 		sum.Taken += t.Taken
 		sum.Open += t.Open
--- a/internal/journal/format.go
+++ b/internal/dispatcher/journal/format.go
@@ -15,8 +15,8 @@
 	"errors"
 	"fmt"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/segment"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -73,10 +73,10 @@
 	Ask    uint64
 	Retry  bool
 	Group  string
-	Reason account.Reason
+	Reason accounting.Reason
 	Taken  int64 // balance, mark and opening
 	Open   int64 // mark and opening
-	Ends   [account.Reasons]int64
+	Ends   [accounting.Reasons]int64
 }
 
 // Header is a segment's header.
@@ -171,7 +171,7 @@
 	e.number = number
 }
 
-func (e *encoder) ends(ends *[account.Reasons]int64) {
+func (e *encoder) ends(ends *[accounting.Reasons]int64) {
 	e.uint(uint64(len(ends)))
 	for _, n := range ends {
 		e.int(n)
@@ -279,7 +279,7 @@
 	return d.number
 }
 
-func (d *decoder) ends(into *[account.Reasons]int64) {
+func (d *decoder) ends(into *[accounting.Reasons]int64) {
 	n := d.uint()
 	if n > uint64(len(into)) {
 		d.bad = true
@@ -314,11 +314,11 @@
 			r.Retry = d.take(1)[0] == 1
 		case KindEnd:
 			r.Number, r.At = d.job(), d.when()
-			r.Reason = account.Reason(d.take(1)[0])
-			if r.Reason >= account.Reasons {
+			r.Reason = accounting.Reason(d.take(1)[0])
+			if r.Reason >= accounting.Reasons {
 				return errNoSense
 			}
-			r.Group = account.Nowhere
+			r.Group = accounting.Nowhere
 			if d.version >= 2 {
 				r.Group = d.name()
 			}
--- a/internal/journal/golden_test.go
+++ b/internal/dispatcher/journal/golden_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
@@ -30,18 +30,18 @@
 		folder, err := OpenFolder(path)
 		require.NoError(t, err)
 		at := start.Add(time.Duration(epoch) * time.Hour)
-		j, err := Open(folder, small, at, quiet, func(d []account.Difference) { require.Fail(t, "differs", "%v", d) })
+		j, err := Open(folder, small, at, quiet, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
 		require.NoError(t, err)
-		var totals account.Totals
+		var totals accounting.Totals
 		var records int64
 		for n := range uint64(30) {
 			at = at.Add(time.Second)
-			job := account.Job{Front: []string{"http", "faktory"}[n%2], Class: "place-hold", Tenant: fmt.Sprintf("t%d", n%3), Key: fmt.Sprintf("k%d", n%20), Retry: n >= 20}
+			job := accounting.Job{Front: []string{"http", "faktory"}[n%2], Class: "place-hold", Tenant: fmt.Sprintf("t%d", n%3), Key: fmt.Sprintf("k%d", n%20), Retry: n >= 20}
 			j.Enter(n+1, job, at)
 			totals.Taken++
 			totals.Open++
 			records++
-			if reason := account.Reason(n % uint64(account.Reasons)); reason != account.CutOff {
+			if reason := accounting.Reason(n % uint64(accounting.Reasons)); reason != accounting.CutOff {
 				j.End(n+1, fmt.Sprintf("cell %d", n%4), reason, at.Add(90*time.Millisecond))
 				totals.Open--
 				totals.Ends[reason]++
@@ -97,8 +97,8 @@
 	require.Equal(t, 3, v.Epochs)
 	require.EqualValues(t, 90, v.Totals.Taken)
 	require.EqualValues(t, 2, v.Totals.Open)
-	require.EqualValues(t, 4, v.Totals.Ends[account.CutOff])
-	require.EqualValues(t, 3*3, v.Totals.Ends[account.Answered])
+	require.EqualValues(t, 4, v.Totals.Ends[accounting.CutOff])
+	require.EqualValues(t, 3*3, v.Totals.Ends[accounting.Answered])
 	require.EqualValues(t, 3, v.Marks)
 
 	rows, complaints, err := Report(folder, Query{By: []string{"front", "tenant", "group"}})
--- a/internal/journal/journal_test.go
+++ b/internal/dispatcher/journal/journal_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -127,11 +127,11 @@
 	start = time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
 	quiet = func() *logrus.Logger { l := logrus.New(); l.SetLevel(logrus.PanicLevel); return l }()
 	tight = Settings{SegmentBytes: 1 << 20, KeepBytes: 1 << 30, KeepFor: time.Hour, WriteWithin: 0, SyncWithin: 0}
-	hold  = account.Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: "k"}
+	hold  = accounting.Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: "k"}
 )
 
 func begin(t require.TestingT, f Folder, s Settings) *Journal {
-	j, err := Open(f, s, start, quiet, func(d []account.Difference) { require.Fail(t, "differs", "%v", d) })
+	j, err := Open(f, s, start, quiet, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
 	require.NoError(t, err)
 	return j
 }
@@ -161,7 +161,7 @@
 		job.Tenant, job.Key = fmt.Sprint("t", n%3), fmt.Sprint("k", n)
 		j.Enter(uint64(n+1), job, at)
 		if n%3 != 0 {
-			j.End(uint64(n+1), "cell 0", account.Reason(n%int(account.CutOff)), at.Add(time.Second))
+			j.End(uint64(n+1), "cell 0", accounting.Reason(n%int(accounting.CutOff)), at.Add(time.Second))
 			ended++
 		}
 		written(t, j, int64(n+1)+ended) // so that each is a batch or two of its own
@@ -181,7 +181,7 @@
 		require.EqualValues(t, epoch, v.Epochs)
 		require.EqualValues(t, 30*epoch, v.Totals.Taken)
 		require.EqualValues(t, 30-ended, v.Totals.Open)
-		require.EqualValues(t, (30-ended)*(epoch-1), v.Totals.Ends[account.CutOff])
+		require.EqualValues(t, (30-ended)*(epoch-1), v.Totals.Ends[accounting.CutOff])
 		require.False(t, v.LastEpochInOrder, "jobs were open at its end")
 	}
 	j := begin(t, m, tight)
@@ -220,7 +220,7 @@
 		require.Empty(t, after.Wrong, "cut at %d", size)
 		require.Zero(t, after.Torn)
 		require.Equal(t, v.Totals.Taken, after.Totals.Taken)
-		require.Equal(t, v.Totals.Open, after.Totals.Ends[account.CutOff])
+		require.Equal(t, v.Totals.Open, after.Totals.Ends[accounting.CutOff])
 		if last >= 0 {
 			require.LessOrEqual(t, int(v.Totals.Taken), last, "less of it has fewer jobs")
 		}
@@ -243,7 +243,7 @@
 			v := verify(t, m)
 			require.NotEmpty(t, v.Wrong, "bit %d of byte %d", bit, i)
 			if bit == i%8 { // a start for each would take long
-				j, err := Open(m, tight, start, quiet, func([]account.Difference) {})
+				j, err := Open(m, tight, start, quiet, func([]accounting.Difference) {})
 				if errors.Is(err, ErrNewer) { // can't be: the header's checksum goes before its version
 					require.Fail(t, "newer")
 				}
@@ -300,13 +300,13 @@
 		var said bytes.Buffer
 		log := logrus.New()
 		log.SetOutput(&said)
-		j, err := Open(m, tight, start, log, func([]account.Difference) {})
+		j, err := Open(m, tight, start, log, func([]accounting.Difference) {})
 		if err != nil {
 			require.ErrorIs(t, err, syscall.ENOSPC)
 		} else {
 			for n := uint64(1); n <= 100; n++ { // adding never fails and never waits
 				j.Enter(n, hold, start)
-				j.End(n, "cell 0", account.Answered, start)
+				j.End(n, "cell 0", accounting.Answered, start)
 			}
 			require.Error(t, j.Close())
 			stopped, why := j.Stopped()
@@ -341,19 +341,19 @@
 // journal and by the recount, each on its own.
 func TestMarks(t *testing.T) {
 	m := newMemory()
-	found := make(chan []account.Difference, 10)
-	j, err := Open(m, tight, start, quiet, func(d []account.Difference) { found <- d })
+	found := make(chan []accounting.Difference, 10)
+	j, err := Open(m, tight, start, quiet, func(d []accounting.Difference) { found <- d })
 	require.NoError(t, err)
-	book := account.New(account.DefaultLimits())
+	book := accounting.New(accounting.DefaultLimits())
 	one := func(journalled bool) {
 		e := book.Enter(hold, start)
 		if journalled {
 			j.Enter(e.Number, e.Job, start)
 		}
 		number := e.Number
-		book.End(e, account.Answered, start)
+		book.End(e, accounting.Answered, start)
 		if journalled {
-			j.End(number, "cell 0", account.Answered, start)
+			j.End(number, "cell 0", accounting.Answered, start)
 		}
 	}
 	one(true)
@@ -373,7 +373,7 @@
 	m := newMemory()
 	j := begin(t, m, tight)
 	j.Enter(1, hold, start.Add(time.Hour))
-	j.End(1, "cell 0", account.Answered, start.Add(-24*time.Hour))
+	j.End(1, "cell 0", accounting.Answered, start.Add(-24*time.Hour))
 	require.NoError(t, j.Close())
 	require.NoError(t, begin(t, m, tight).Close()) // an hour before the last record
 	v := verify(t, m)
@@ -382,7 +382,7 @@
 	rows, _, err := Report(m, Query{})
 	require.NoError(t, err)
 	require.EqualValues(t, 1, rows[0].Taken)
-	require.EqualValues(t, 1, rows[0].Outcome(account.Served))
+	require.EqualValues(t, 1, rows[0].Outcome(accounting.Served))
 }
 
 // TestOlder reads a journal that version 1 wrote, and counts on from it.
@@ -397,8 +397,8 @@
 	v := verify(t, m)
 	require.Empty(t, v.Wrong)
 	require.EqualValues(t, 3, v.Totals.Taken)
-	require.EqualValues(t, 1, v.Totals.Ends[account.Answered])
-	require.EqualValues(t, 1, v.Totals.Ends[account.CutOff])
+	require.EqualValues(t, 1, v.Totals.Ends[accounting.Answered])
+	require.EqualValues(t, 1, v.Totals.Ends[accounting.CutOff])
 	// One of a version to come is left as it is.
 	h := Header{Version: Version + 1, Epoch: 9, Index: 1}
 	m.files["00000009-00000001.seg"] = append(h.encode(), "whatever"...)
@@ -422,7 +422,7 @@
 			require.Empty(t, complaints)
 			var taken int64
 			for _, r := range rows {
-				require.Equal(t, r.Opened+r.Taken, r.Outcome(account.Served)+r.Outcome(account.Refused)+r.Outcome(account.Failed)+r.Open)
+				require.Equal(t, r.Opened+r.Taken, r.Outcome(accounting.Served)+r.Outcome(accounting.Refused)+r.Outcome(accounting.Failed)+r.Open)
 				taken += r.Taken
 			}
 			switch {
@@ -465,7 +465,7 @@
 		s.SegmentBytes = int64(rapid.IntRange(200, 3000).Draw(t, "segment"))
 		j, now, total := begin(t, m, s), start, int64(0)
 		var open []uint64
-		var sum account.Totals
+		var sum accounting.Totals
 		var last uint64
 		var added int64
 		t.Repeat(map[string]func(*rapid.T){
@@ -483,7 +483,7 @@
 					t.Skip()
 				}
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "job")
-				r := account.Reason(rapid.IntRange(0, int(account.CutOff)-1).Draw(t, "reason"))
+				r := accounting.Reason(rapid.IntRange(0, int(accounting.CutOff)-1).Draw(t, "reason"))
 				j.End(open[i], "cell 0", r, now)
 				open = slices.Delete(open, i, i+1)
 				sum.Open--
@@ -503,7 +503,7 @@
 				m = left
 				j = begin(t, m, s)
 				require.Equal(t, len(open), j.Found().CutOff)
-				open, sum, last, added = nil, account.Totals{}, 0, 0
+				open, sum, last, added = nil, accounting.Totals{}, 0, 0
 			},
 		})
 		require.NoError(t, j.Close())
@@ -541,7 +541,7 @@
 	for b.Loop() {
 		n++
 		j.Enter(n, hold, start)
-		j.End(n, "cell 0", account.Answered, start)
+		j.End(n, "cell 0", accounting.Answered, start)
 		if n%8192 == 0 { // never more than a disk takes
 			b.StopTimer()
 			written(b, j, int64(2*n))
--- a/internal/journal/recover.go
+++ b/internal/dispatcher/journal/recover.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 )
 
 // Found is what a start finds in its folder.
@@ -80,7 +80,7 @@
 func (b *balance) closeEpoch(at int64) (ends []Record) {
 	for _, r := range b.opening() {
 		if r.Kind == KindCarried {
-			ends = append(ends, Record{Kind: KindEnd, Number: r.Number, At: max(at, r.At), Reason: account.CutOff, Group: account.Nowhere})
+			ends = append(ends, Record{Kind: KindEnd, Number: r.Number, At: max(at, r.At), Reason: accounting.CutOff, Group: accounting.Nowhere})
 		}
 	}
 	return ends
--- a/internal/journal/report.go
+++ b/internal/dispatcher/journal/report.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -53,7 +53,7 @@
 	By           []string // one for each of the query's dimensions
 	Opened       int64
 	Taken        int64
-	Ends         [account.Reasons]int64
+	Ends         [accounting.Reasons]int64
 	Open         int64
 	Asks         int64 // of the jobs taken, those that are no repeats
 	P50, P95     time.Duration
@@ -62,9 +62,9 @@
 }
 
 // Outcome sums the ends of one outcome.
-func (f *Figures) Outcome(o account.Outcome) (n int64) {
+func (f *Figures) Outcome(o accounting.Outcome) (n int64) {
 	for r, e := range f.Ends {
-		if account.Reason(r).Outcome() == o {
+		if accounting.Reason(r).Outcome() == o {
 			n += e
 		}
 	}
@@ -159,7 +159,7 @@
 	if end != nil && after(end.At) {
 		end = nil // open at the report's end
 	}
-	group, at := account.Nowhere, job.At
+	group, at := accounting.Nowhere, job.At
 	if end != nil {
 		group, at = end.Group, end.At
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	row.Ends[end.Reason]++
-	if end.Reason == account.Answered {
+	if end.Reason == accounting.Answered {
 		if row.times == nil {
 			row.times = hdrhistogram.New(1, (10 * time.Minute).Microseconds(), 2)
 		}
--- a/internal/journal/verify.go
+++ b/internal/dispatcher/journal/verify.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 )
 
 // Verdict is what a recount of a whole folder says.
@@ -12,12 +12,12 @@
 	Segments, Epochs    int
 	Records, Jobs       int64
 	Marks               int64 // places where the account's totals were held against the recount
-	Totals              account.Totals
+	Totals              accounting.Totals
 	Wrong               []string // each thing that does not add up, with where it stands
 	Torn                int      // bytes at the very end that were never written whole: a start will cut them
 	LastEpochInOrder    bool
 	Oldest, Latest      time.Time
-	BeforeOldestSegment account.Totals // what was counted in segments that are gone
+	BeforeOldestSegment accounting.Totals // what was counted in segments that are gone
 }
 
 const mostWrong = 1000 // more than this are only counted
@@ -26,14 +26,14 @@
 type recount struct {
 	v        *Verdict
 	at       string
-	lines    map[Line][account.Reasons + 1]int64 // ends, and at the end taken
+	lines    map[Line][accounting.Reasons + 1]int64 // ends, and at the end taken
 	open     map[uint64]Line
-	since    [account.Reasons + 1]int64 // of this epoch
+	since    [accounting.Reasons + 1]int64 // of this epoch
 	epoch    uint32
 	index    uint32
 	first    bool
-	expected map[Line][account.Reasons + 1]int64 // balances still to come in an opening
-	carried  map[uint64]Line                     // jobs still to be carried in an opening
+	expected map[Line][accounting.Reasons + 1]int64 // balances still to come in an opening
+	carried  map[uint64]Line                        // jobs still to be carried in an opening
 	opening  bool
 	closed   bool
 	more     int
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	v := &Verdict{LastEpochInOrder: true}
-	c := &recount{v: v, lines: make(map[Line][account.Reasons + 1]int64), open: make(map[uint64]Line), first: true}
+	c := &recount{v: v, lines: make(map[Line][accounting.Reasons + 1]int64), open: make(map[uint64]Line), first: true}
 	for i, name := range names {
 		text, err := f.Read(name)
 		if err != nil {
@@ -84,7 +84,7 @@
 	v.LastEpochInOrder = c.closed || v.Segments == 0
 	for line, n := range c.lines {
 		var ended int64
-		for _, e := range n[:account.Reasons] {
+		for _, e := range n[:accounting.Reasons] {
 			ended += e
 		}
 		var open int64
@@ -93,11 +93,11 @@
 				open++
 			}
 		}
-		if taken := n[account.Reasons]; taken != ended+open {
+		if taken := n[accounting.Reasons]; taken != ended+open {
 			c.at = "at the end"
 			c.wrong("%v: %d taken, but %d ended and %d open", line, taken, ended, open)
 		}
-		v.Totals.Taken += n[account.Reasons]
+		v.Totals.Taken += n[accounting.Reasons]
 		for r := range v.Totals.Ends {
 			v.Totals.Ends[r] += n[r]
 		}
@@ -115,7 +115,7 @@
 	case c.first:
 	case h.Epoch == c.epoch && h.Index == c.index+1:
 	case h.Epoch > c.epoch && h.Index == 1:
-		c.since = [account.Reasons + 1]int64{}
+		c.since = [accounting.Reasons + 1]int64{}
 	default:
 		c.wrong("segment %d of epoch %d follows segment %d of epoch %d", h.Index, h.Epoch, c.index, c.epoch)
 	}
@@ -143,10 +143,10 @@
 		if c.first {
 			c.since = ends(r.Taken, r.Ends)
 		} else if c.since != ends(r.Taken, r.Ends) {
-			c.wrong("the opening has %d taken and %v ended in this epoch, the recount %d and %v", r.Taken, r.Ends, c.since[account.Reasons], c.since[:account.Reasons])
+			c.wrong("the opening has %d taken and %v ended in this epoch, the recount %d and %v", r.Taken, r.Ends, c.since[accounting.Reasons], c.since[:accounting.Reasons])
 		}
 		c.expected, c.carried = c.lines, c.open
-		c.lines, c.open = make(map[Line][account.Reasons + 1]int64), make(map[uint64]Line)
+		c.lines, c.open = make(map[Line][accounting.Reasons + 1]int64), make(map[uint64]Line)
 	case KindBalance:
 		mine, known := c.expected[r.Line]
 		if stated := ends(r.Taken, r.Ends); !c.first && (!known || mine != stated) {
@@ -173,8 +173,8 @@
 			c.wrong("job %d of %v is entered while it is open", r.Number, r.Line)
 		}
 		c.open[r.Number] = r.Line
-		c.count(r.Line, int(account.Reasons))
-		c.since[account.Reasons]++
+		c.count(r.Line, int(accounting.Reasons))
+		c.since[accounting.Reasons]++
 	case KindEnd:
 		line, open := c.open[r.Number]
 		if !open {
@@ -183,17 +183,17 @@
 		}
 		delete(c.open, r.Number)
 		c.count(line, int(r.Reason))
-		if r.Reason != account.CutOff {
+		if r.Reason != accounting.CutOff {
 			c.since[r.Reason]++
 		}
 	case KindMark:
 		c.v.Marks++
-		open := c.since[account.Reasons]
-		for _, n := range c.since[:account.Reasons] {
+		open := c.since[accounting.Reasons]
+		for _, n := range c.since[:accounting.Reasons] {
 			open -= n
 		}
 		if c.since != ends(r.Taken, r.Ends) || open != r.Open {
-			c.wrong("the account had %d taken, %d open and %v ended; the recount %d, %d and %v", r.Taken, r.Open, r.Ends, c.since[account.Reasons], open, c.since[:account.Reasons])
+			c.wrong("the account had %d taken, %d open and %v ended; the recount %d, %d and %v", r.Taken, r.Open, r.Ends, c.since[accounting.Reasons], open, c.since[:accounting.Reasons])
 		}
 	case KindClosed:
 		c.closed = true
@@ -226,8 +226,8 @@
 	c.lines[l] = n
 }
 
-func ends(taken int64, by [account.Reasons]int64) (n [account.Reasons + 1]int64) {
+func ends(taken int64, by [accounting.Reasons]int64) (n [accounting.Reasons + 1]int64) {
 	copy(n[:], by[:])
-	n[account.Reasons] = taken
+	n[accounting.Reasons] = taken
 	return n
 }
--- a/internal/journal/writer.go
+++ b/internal/dispatcher/journal/writer.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 
 	"github.com/sirupsen/logrus"
 )
@@ -32,7 +32,7 @@
 	settings Settings
 	log      logrus.FieldLogger
 	found    Found
-	differ   func([]account.Difference)
+	differ   func([]accounting.Difference)
 
 	mu      sync.Mutex
 	waiting []Record
@@ -63,7 +63,7 @@
 // Open takes a folder over, closes what the last epoch left open, and begins a
 // new one. When it returns, all of that is safe from a power loss. differ is
 // told where a mark and the journal's own count differ.
-func Open(f Folder, s Settings, now time.Time, log logrus.FieldLogger, differ func([]account.Difference)) (*Journal, error) {
+func Open(f Folder, s Settings, now time.Time, log logrus.FieldLogger, differ func([]accounting.Difference)) (*Journal, error) {
 	j := &Journal{
 		folder: f, settings: s, log: log, differ: differ,
 		wake: make(chan struct{}, 1), done: make(chan struct{}),
@@ -85,7 +85,7 @@
 		j.names = append(j.names, segmentInfo{name, int64(len(text)), h.Created})
 	}
 	at := now.UnixMicro()
-	j.balance.epoch = account.Totals{}
+	j.balance.epoch = accounting.Totals{}
 	if err := j.begin(Header{Version: Version, Epoch: j.found.Epoch, Index: 1, Created: at}, j.balance.closeEpoch(at)); err != nil {
 		return nil, err
 	}
@@ -106,21 +106,21 @@
 func (j *Journal) Written() int64 { return j.written.Load() }
 
 // Enter adds an entry.
-func (j *Journal) Enter(number uint64, job account.Job, at time.Time) {
+func (j *Journal) Enter(number uint64, job accounting.Job, at time.Time) {
 	j.add(Record{
 		Kind: KindEnter, Number: number, At: at.UnixMicro(), Line: Line{job.Front, job.Class, job.Tenant},
-		Ask: account.AskID(job.Class, job.Key), Retry: job.Retry,
+		Ask: accounting.AskID(job.Class, job.Key), Retry: job.Retry,
 	})
 }
 
 // End adds an end.
-func (j *Journal) End(number uint64, group string, r account.Reason, at time.Time) {
+func (j *Journal) End(number uint64, group string, r accounting.Reason, at time.Time) {
 	j.add(Record{Kind: KindEnd, Number: number, At: at.UnixMicro(), Group: group, Reason: r})
 }
 
 // Mark adds the account's totals, to be held against the journal's count at
 // the same place.
-func (j *Journal) Mark(t account.Totals, at time.Time) {
+func (j *Journal) Mark(t accounting.Totals, at time.Time) {
 	j.add(Record{Kind: KindMark, At: at.UnixMicro(), Taken: t.Taken, Open: t.Open, Ends: t.Ends})
 }
 
@@ -247,12 +247,12 @@
 		latest = r.At
 		if r.Kind == KindMark {
 			there := j.balance.epoch
-			here := account.Totals{Taken: r.Taken, Open: r.Open, Ends: r.Ends}
-			if d := here.Against(account.AuditJournal, there); len(d) > 0 {
+			here := accounting.Totals{Taken: r.Taken, Open: r.Open, Ends: r.Ends}
+			if d := here.Against(accounting.AuditJournal, there); len(d) > 0 {
 				j.differ(d)
 			}
 		} else if !j.balance.apply(r) {
-			j.differ([]account.Difference{{Audit: account.AuditJournal, What: fmt.Sprintf("job %d ends or enters twice", r.Number), Here: 1}})
+			j.differ([]accounting.Difference{{Audit: accounting.AuditJournal, What: fmt.Sprintf("job %d ends or enters twice", r.Number), Here: 1}})
 		}
 		j.encoder.add(r)
 	}
--- a/internal/lab/arrivals.go
+++ b/internal/dispatcher/lab/arrivals.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/settings"
 )
 
 // Arrivals say how the asks of a class come over a run. The zero value is a
--- a/internal/lab/check.go
+++ b/internal/dispatcher/lab/check.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // checker holds a run to the rules. It keeps tables of its own, made of what
@@ -24,7 +24,7 @@
 	taken    bool
 	answers  int
 	sends    []*attempt
-	statuses map[*attempt]basaltloft.Status
+	statuses map[*attempt]policy.Status
 	out      int
 }
 
@@ -50,7 +50,7 @@
 func (c *checker) of(r *request) *checked {
 	j := c.jobs[r]
 	if j == nil {
-		j = &checked{statuses: make(map[*attempt]basaltloft.Status)}
+		j = &checked{statuses: make(map[*attempt]policy.Status)}
 		c.jobs[r] = j
 	}
 	return j
@@ -76,10 +76,10 @@
 			continue
 		}
 		switch a.req.class.Effect {
-		case basaltloft.Unsafe:
+		case policy.Unsafe:
 			c.say("%s, which must not run twice, is sent again", a.req.id)
-		case basaltloft.Keyed:
-			same := a.req.class.Group == basaltloft.GroupAll || a.req.class.Group == basaltloft.GroupZone || before.to.cell == a.to.cell
+		case policy.Keyed:
+			same := a.req.class.Group == policy.GroupAll || a.req.class.Group == policy.GroupZone || before.to.cell == a.to.cell
 			if !same || c.w.now-before.sentAt > a.req.class.Window {
 				c.say("%s is sent again outside of its group or window", a.req.id)
 			}
@@ -95,13 +95,13 @@
 const drainWindow = 2 * time.Second
 
 // listed takes in what a dispatcher is told of a member.
-func (c *checker) listed(d *dispatcher, m basaltloft.Member) {
+func (c *checker) listed(d *dispatcher, m policy.Member) {
 	of := c.told[d]
 	if of == nil {
 		of = make(map[uint32]time.Duration)
 		c.told[d] = of
 	}
-	if m.State == basaltloft.Ready {
+	if m.State == policy.Ready {
 		delete(of, m.Worker)
 	} else if _, known := of[m.Worker]; !known {
 		of[m.Worker] = c.w.now
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *checker) ended(a *attempt, s basaltloft.Status) {
+func (c *checker) ended(a *attempt, s policy.Status) {
 	j := c.of(a.req)
 	j.statuses[a] = s
 	j.out--
@@ -148,7 +148,7 @@
 	if late := c.w.now - r.expires - c.w.x.Settings.Rules.AnswerGrace; late > 0 {
 		c.say("%s has its answer %v after its deadline", r.id, late)
 	}
-	if !refused || r.class.Effect == basaltloft.Safe || r.class.Effect == basaltloft.Keyed && r.class.Group == basaltloft.GroupAll {
+	if !refused || r.class.Effect == policy.Safe || r.class.Effect == policy.Keyed && r.class.Group == policy.GroupAll {
 		return
 	}
 	for _, a := range j.sends {
--- a/internal/lab/digest_test.go
+++ b/internal/dispatcher/lab/digest_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/golden"
+	"basaltloft/internal/shared/digesttest"
 )
 
 // digestFile has a line for each run: its number, its events, and the digest of its result.
@@ -18,18 +18,18 @@
 const digestSeeds = 3
 
 // resultOf plays one run: the policies in the order of their names, seed by seed.
-func resultOf(t testing.TB, number int) (*Result, *golden.Trace) {
+func resultOf(t testing.TB, number int) (*Result, *digesttest.Trace) {
 	x := bay(Trouble{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9},
 		Trouble{Kind: "crash", At: 20 * time.Second, For: 10 * time.Second, Part: 0.25})
 	x.Sample = true
 	r := play(t, x, PolicyNames()[number/digestSeeds], uint64(number%digestSeeds))
-	trace := golden.New(true)
+	trace := digesttest.New(true)
 	appendResult(trace, r)
 	return r, trace
 }
 
 // appendResult appends a result, but for the texts of broken rules.
-func appendResult(t *golden.Trace, r *Result) {
+func appendResult(t *digesttest.Trace, r *Result) {
 	t.Begin(0, "asks").Int(int64(r.Asked), int64(r.InTime), int64(r.Late), int64(r.Refused), int64(r.Failed), int64(r.Tries), int64(r.Sends)).End()
 	t.Begin(0, "run").Float(r.Worth, r.Worked, r.Busy).Int(int64(r.Events), int64(len(r.Broken))).End()
 	for _, bar := range r.Latency.Distribution() {
@@ -51,7 +51,7 @@
 
 // TestResultDigests holds what runs come to to what is on file.
 func TestResultDigests(t *testing.T) {
-	if wanted, ok := golden.Traced(); ok {
+	if wanted, ok := digesttest.Traced(); ok {
 		number, err := strconv.Atoi(wanted)
 		require.NoError(t, err)
 		_, trace := resultOf(t, number)
@@ -63,9 +63,9 @@
 		all[number] = number
 	}
 	var lines []string
-	for _, number := range golden.Plays(all) {
+	for _, number := range digesttest.Plays(all) {
 		r, trace := resultOf(t, number)
 		lines = append(lines, fmt.Sprintf("%d %d %s", number, r.Events, trace.Sum()))
 	}
-	golden.Compare(t, digestFile, lines)
+	digesttest.Compare(t, digestFile, lines)
 }
--- a/internal/lab/draw/draw.go
+++ b/internal/dispatcher/lab/draw/draw.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	"basaltloft/internal/chart"
-	"basaltloft/internal/lab"
+	"basaltloft/internal/dispatcher/lab"
+	"basaltloft/internal/dispatcher/textchart"
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/plot/plotter"
@@ -49,10 +49,10 @@
 		return nil, ErrNothing
 	}
 	ext := filepath.Ext(out)
-	draw := func(what, title, x, y string, all []chart.Line) {
+	draw := func(what, title, x, y string, all []textchart.Line) {
 		if err == nil && len(all) > 0 {
 			name := strings.TrimSuffix(out, ext) + "-" + what + ext
-			err = chart.Chart{Title: title, X: x, Y: y, Lines: all}.Save(name)
+			err = textchart.Chart{Title: title, X: x, Y: y, Lines: all}.Save(name)
 			names = append(names, name)
 		}
 	}
@@ -92,9 +92,9 @@
 }
 
 // over is a line for each policy, with the means and deviations over the seeds.
-func over(runs []lab.Run, at, of func(lab.Run) float64) (all []chart.Line) {
+func over(runs []lab.Run, at, of func(lab.Run) float64) (all []textchart.Line) {
 	for _, name := range distinct(runs, policy) {
-		s := chart.Line{Name: name, Colour: -1}
+		s := textchart.Line{Name: name, Colour: -1}
 		own := only(runs, func(r lab.Run) bool { return r.Policy == name })
 		for _, x := range distinct(own, at) {
 			var values []float64
@@ -114,10 +114,10 @@
 	return all
 }
 
-func distributions(runs []lab.Run) (all []chart.Line) {
+func distributions(runs []lab.Run) (all []textchart.Line) {
 	for _, name := range distinct(runs, policy) {
 		own := only(runs, func(r lab.Run) bool { return r.Policy == name })
-		s := chart.Line{Name: name, Colour: -1}
+		s := textchart.Line{Name: name, Colour: -1}
 		for i, q := range own[0].Latency {
 			sum := 0.0
 			for _, r := range own {
@@ -133,7 +133,7 @@
 }
 
 // recovery is how a trouble is got over: the asks of all seeds by the second.
-func recovery(runs []lab.Run) (all []chart.Line) {
+func recovery(runs []lab.Run) (all []textchart.Line) {
 	for _, name := range distinct(runs, policy) {
 		var asked, inTime []float64
 		for _, r := range only(runs, func(r lab.Run) bool { return r.Policy == name }) {
@@ -145,7 +145,7 @@
 				inTime[n] += float64(second.InTime)
 			}
 		}
-		s := chart.Line{Name: name, Colour: -1}
+		s := textchart.Line{Name: name, Colour: -1}
 		for n := range asked {
 			if asked[n] > 0 { // answers go on after the last ask
 				s.Points = append(s.Points, plotter.XY{X: float64(n), Y: inTime[n] / asked[n]})
@@ -160,13 +160,13 @@
 
 // members is the least, the median and the most that any member does, for the
 // first policy and seed.
-func members(runs []lab.Run) (all []chart.Line) {
+func members(runs []lab.Run) (all []textchart.Line) {
 	rows := runs[0].Members
 	if len(rows) == 0 {
 		return nil
 	}
 	for n, name := range []string{"least", "median", "most"} {
-		s := chart.Line{Name: runs[0].Policy + ", " + name, Dashed: n != 1, Colour: -1}
+		s := textchart.Line{Name: runs[0].Policy + ", " + name, Dashed: n != 1, Colour: -1}
 		for second, row := range rows {
 			sorted := slices.Sorted(slices.Values(row))
 			s.Points = append(s.Points, plotter.XY{X: float64(second), Y: sorted[n*(len(sorted)-1)/2]})
--- a/internal/lab/draw/draw_test.go
+++ b/internal/dispatcher/lab/draw/draw_test.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"testing"
 
-	"basaltloft/internal/lab"
-	"basaltloft/internal/lab/draw"
+	"basaltloft/internal/dispatcher/lab"
+	"basaltloft/internal/dispatcher/lab/draw"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/lab/events.go
+++ b/internal/dispatcher/lab/events.go
@@ -9,7 +9,7 @@
 import (
 	"time"
 
-	"basaltloft/internal/heap"
+	"basaltloft/internal/shared/indexedheap"
 )
 
 // event is something that happens at a virtual time.
@@ -23,12 +23,12 @@
 type timeline struct {
 	now   time.Duration
 	seq   uint64
-	queue heap.Heap[event]
+	queue indexedheap.Heap[event]
 	done  int // events so far
 }
 
 func newTimeline(now time.Duration) timeline {
-	return timeline{now: now, queue: heap.New(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil)}
+	return timeline{now: now, queue: indexedheap.New(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil)}
 }
 
 // at lets something happen at a time, in the order of the calls for one time.
--- a/internal/lab/file.go
+++ b/internal/dispatcher/lab/file.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/settings"
 )
 
 // FromFile makes a run's experiment of a file's, at a multiple of its rates.
--- a/internal/lab/gate.go
+++ b/internal/dispatcher/lab/gate.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // gate is the policy of the Gatekeeper paper (Elnikety, Nahum, Tracey and
@@ -56,7 +56,7 @@
 
 // gateOf makes a gate with the file's capacity.
 func gateOf(wait float64) Maker {
-	return func(w *World, h basaltloft.Host, _ int, seed uint64) (Policy, error) {
+	return func(w *World, h policy.Host, _ int, seed uint64) (Policy, error) {
 		g := &gate{wait: wait, capacity: float64(w.x.Capacity), took: make(map[string]*average), admitted: make(map[string]*gated)}
 		g.plain = plain{w: w, host: h, random: rand.New(rand.NewPCG(seed, 37)), jobs: make(map[string]*plainJob), pick: func(p *plain, from []*mate, _ float64) *mate {
 			return least(p, from, func(m *mate) float64 { return float64(m.out) })
@@ -74,7 +74,7 @@
 }
 
 // Request implements Policy.
-func (g *gate) Request(now time.Duration, r basaltloft.Request) {
+func (g *gate) Request(now time.Duration, r policy.Request) {
 	j := &plainJob{Request: r, class: g.classOf(r.Class)}
 	g.jobs[r.ID] = j
 	x := &gated{job: j, cost: g.expect(j.class)}
@@ -115,9 +115,9 @@
 }
 
 // Outcome implements Policy.
-func (g *gate) Outcome(now time.Duration, o basaltloft.Outcome) {
+func (g *gate) Outcome(now time.Duration, o policy.Outcome) {
 	if x := g.admitted[o.Request]; x != nil {
-		if o.Status == basaltloft.OK {
+		if o.Status == policy.OK {
 			a := g.took[x.job.Class]
 			if a == nil {
 				a = &average{}
@@ -152,7 +152,7 @@
 }
 
 // Members implements Policy.
-func (g *gate) Members(now time.Duration, kind basaltloft.ListKind, entries []basaltloft.Member) {
+func (g *gate) Members(now time.Duration, kind policy.ListKind, entries []policy.Member) {
 	if g.started == 0 {
 		g.started = now
 		g.host.Timer(queueLook, "queue")
--- a/internal/lab/lab_test.go
+++ b/internal/dispatcher/lab/lab_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/stretchr/testify/require"
 )
 
 // bayRules are those of a bay, for so many dispatchers.
-func bayRules(dispatchers int, classes ...Class) basaltloft.Settings {
-	s := basaltloft.Settings{
+func bayRules(dispatchers int, classes ...Class) policy.Settings {
+	s := policy.Settings{
 		Instances: dispatchers, WorthByWork: true, TellsStart: true, Kinds: []string{"std"},
-		Limits: basaltloft.Limits{MaxAttempts: 3, Cancel: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-		Rules: basaltloft.Rules{
+		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+		Rules: policy.Rules{
 			AnswerGrace: 8 * time.Millisecond, AskWithin: 10 * time.Second, ColdFrom: 0.12, ColdFor: 24 * time.Second, FallMultiple: 4, FallFor: 3 * time.Second,
 		},
 	}
@@ -26,9 +26,9 @@
 	return s
 }
 
-func class(name string, effect basaltloft.Effect, rate float64, work time.Duration, shape string) Class {
+func class(name string, effect policy.Effect, rate float64, work time.Duration, shape string) Class {
 	return Class{
-		Class: basaltloft.Class{Name: name, Effect: effect, Window: 15 * time.Second, Group: basaltloft.GroupCell, Aim: 400 * time.Millisecond,
+		Class: policy.Class{Name: name, Effect: effect, Window: 15 * time.Second, Group: policy.GroupCell, Aim: 400 * time.Millisecond,
 			Stretch: 2.5, GiveUp: 10 * time.Second, Worth: 10, Kind: -1},
 		Rate: rate, Work: work, Shape: shape, CV: 2,
 	}
@@ -45,7 +45,7 @@
 // queueing is one dispatcher in front of one member, with nothing between them:
 // the classic queues. Its waits are told by formula.
 func queueing(cores int, shape string, load float64) *Experiment {
-	c := class("job", basaltloft.Safe, load*float64(cores)*100, 10*time.Millisecond, shape)
+	c := class("job", policy.Safe, load*float64(cores)*100, 10*time.Millisecond, shape)
 	c.GiveUp, c.Aim = time.Hour, time.Hour
 	x := &Experiment{
 		Length: formulaSpan * time.Second, Dispatchers: 1, Classes: []Class{c},
@@ -101,8 +101,8 @@
 
 // bay is a fleet as in service, with all that may go wrong.
 func bay(troubles ...Trouble) *Experiment {
-	hold := class("place-hold", basaltloft.Keyed, 18, 700*time.Millisecond, "lognormal")
-	ticket := class("group-ticket", basaltloft.Unsafe, 3, 3*time.Second, "lognormal")
+	hold := class("place-hold", policy.Keyed, 18, 700*time.Millisecond, "lognormal")
+	ticket := class("group-ticket", policy.Unsafe, 3, 3*time.Second, "lognormal")
 	ticket.Aim, ticket.GiveUp, ticket.Worth = time.Second, 25*time.Second, 2
 	hold.HintError, ticket.HintError = 0.5, 0.5
 	x := &Experiment{
@@ -173,20 +173,20 @@
 // breaker is a policy that breaks one rule on purpose.
 type breaker struct {
 	Policy
-	host  basaltloft.Host
-	fault func(b *breaker, r basaltloft.Request)
-	list  []basaltloft.Member
+	host  policy.Host
+	fault func(b *breaker, r policy.Request)
+	list  []policy.Member
 	gone  uint32
 }
 
-func (b *breaker) Request(now time.Duration, r basaltloft.Request) { b.fault(b, r) }
-func (b *breaker) Outcome(time.Duration, basaltloft.Outcome)       {}
-func (b *breaker) Members(now time.Duration, k basaltloft.ListKind, all []basaltloft.Member) {
-	if k != basaltloft.ListChange {
+func (b *breaker) Request(now time.Duration, r policy.Request) { b.fault(b, r) }
+func (b *breaker) Outcome(time.Duration, policy.Outcome)       {}
+func (b *breaker) Members(now time.Duration, k policy.ListKind, all []policy.Member) {
+	if k != policy.ListChange {
 		b.list = all
 	}
 	for _, m := range all {
-		if m.State != basaltloft.Ready {
+		if m.State != policy.Ready {
 			b.gone = m.Worker
 		}
 	}
@@ -197,47 +197,47 @@
 	any := func(b *breaker) uint32 { return b.list[0].Worker }
 	for want, c := range map[string]struct {
 		x  *Experiment
-		do func(b *breaker, r basaltloft.Request)
+		do func(b *breaker, r policy.Request)
 	}{
-		"no final answer": {bay(), func(*breaker, basaltloft.Request) {}},
-		"second final answer": {bay(), func(b *breaker, r basaltloft.Request) {
+		"no final answer": {bay(), func(*breaker, policy.Request) {}},
+		"second final answer": {bay(), func(b *breaker, r policy.Request) {
 			b.host.Send(r.ID, any(b), 0)
 			b.host.Fail(r.ID)
 			b.host.Refuse(r.ID, 0)
 		}},
-		"two attempts at once": {bay(), func(b *breaker, r basaltloft.Request) { b.host.Send(r.ID, any(b), 0); b.host.Send(r.ID, any(b), 0) }},
-		"must not run twice":   {bay(), func(b *breaker, r basaltloft.Request) { b.host.Send(r.ID, any(b), 0); b.host.Send(r.ID, any(b), 0) }},
-		"outside of its group": {bay(), func(b *breaker, r basaltloft.Request) {
+		"two attempts at once": {bay(), func(b *breaker, r policy.Request) { b.host.Send(r.ID, any(b), 0); b.host.Send(r.ID, any(b), 0) }},
+		"must not run twice":   {bay(), func(b *breaker, r policy.Request) { b.host.Send(r.ID, any(b), 0); b.host.Send(r.ID, any(b), 0) }},
+		"outside of its group": {bay(), func(b *breaker, r policy.Request) {
 			for _, m := range b.list[:6] {
 				b.host.Send(r.ID, m.Worker, 0)
 			}
 		}},
-		"for the 4th time": {bay(), func(b *breaker, r basaltloft.Request) {
+		"for the 4th time": {bay(), func(b *breaker, r policy.Request) {
 			for range 4 {
 				b.host.Send(r.ID, any(b), 0)
 			}
 		}},
-		"sent after its final": {bay(), func(b *breaker, r basaltloft.Request) {
+		"sent after its final": {bay(), func(b *breaker, r policy.Request) {
 			b.host.Send(r.ID, any(b), 0)
 			b.host.Fail(r.ID)
 			b.host.Send(r.ID, any(b), 0)
 		}},
-		"though it may have": {bay(), func(b *breaker, r basaltloft.Request) { b.host.Send(r.ID, any(b), 0); b.host.Refuse(r.ID, 0) }},
-		"draining or gone": {bay(Trouble{Kind: "crash", At: time.Second, For: 50 * time.Second, Part: 0.3}), func(b *breaker, r basaltloft.Request) {
+		"though it may have": {bay(), func(b *breaker, r policy.Request) { b.host.Send(r.ID, any(b), 0); b.host.Refuse(r.ID, 0) }},
+		"draining or gone": {bay(Trouble{Kind: "crash", At: time.Second, For: 50 * time.Second, Part: 0.3}), func(b *breaker, r policy.Request) {
 			if b.gone != 0 {
 				b.host.Send(r.ID, b.gone, 0)
 			}
 		}},
-		"what it can do": {bay(Trouble{Kind: "crash", At: time.Second, For: time.Second, Part: 0.01}), func(b *breaker, r basaltloft.Request) {
+		"what it can do": {bay(Trouble{Kind: "crash", At: time.Second, For: time.Second, Part: 0.01}), func(b *breaker, r policy.Request) {
 			if b.gone != 0 {
 				b.host.Send(r.ID, b.gone, 0)
 			}
 		}},
-		"after its deadline": {bay(), func(b *breaker, r basaltloft.Request) {
+		"after its deadline": {bay(), func(b *breaker, r policy.Request) {
 			b.host.(*dispatcher).w.in(30*time.Second, func() { b.host.Fail(r.ID) })
 		}},
 	} {
-		w, err := New(c.x, func(_ *World, h basaltloft.Host, _ int, _ uint64) (Policy, error) {
+		w, err := New(c.x, func(_ *World, h policy.Host, _ int, _ uint64) (Policy, error) {
 			return &breaker{host: h, Policy: &plain{}, fault: c.do}, nil
 		}, 1)
 		require.NoError(t, err, want)
@@ -269,7 +269,7 @@
 // dispatchers.
 func BenchmarkSize(b *testing.B) {
 	for range b.N {
-		hold := class("place-hold", basaltloft.Keyed, 20000, 500*time.Millisecond, "lognormal")
+		hold := class("place-hold", policy.Keyed, 20000, 500*time.Millisecond, "lognormal")
 		x := &Experiment{
 			Length: time.Second, Dispatchers: 1000, Classes: []Class{hold}, Net: 200 * time.Microsecond, NetCV: 0.2,
 			Kinds: []MemberKind{{Name: "std", Count: 10000, Cores: 4, Slots: 4, Queue: 28, Speed: 1, SpeedCV: 0.2, Cells: 1000}}, ListLate: time.Second,
--- a/internal/lab/member.go
+++ b/internal/dispatcher/lab/member.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // MemberKind is one kind of member.
@@ -38,7 +38,7 @@
 	cell    int
 	speed   float64
 	started time.Duration // its latest start; 0: long ago
-	state   basaltloft.MemberState
+	state   policy.MemberState
 	up      bool
 	paused  bool
 	cutTill time.Duration // nothing gets through to it or from it until then
@@ -131,7 +131,7 @@
 			continue
 		}
 		m.busy -= a.req.slots
-		m.w.reply(a, basaltloft.OK)
+		m.w.reply(a, policy.OK)
 	}
 	for i := len(kept); i < len(m.running); i++ {
 		m.running[i] = nil
@@ -156,10 +156,10 @@
 func (m *member) take(a *attempt) {
 	switch {
 	case !m.up || m.kind.Connections > 0 && len(m.running)+len(m.queue) >= m.kind.Connections:
-		m.w.reply(a, basaltloft.ConnectFailed)
+		m.w.reply(a, policy.ConnectFailed)
 		return
-	case m.state == basaltloft.Draining || len(m.queue) >= m.kind.Queue && m.busy+a.req.slots > float64(m.kind.Slots):
-		m.w.reply(a, basaltloft.Full)
+	case m.state == policy.Draining || len(m.queue) >= m.kind.Queue && m.busy+a.req.slots > float64(m.kind.Slots):
+		m.w.reply(a, policy.Full)
 		return
 	}
 	m.w.check.arrives(m, a)
@@ -177,7 +177,7 @@
 func (m *member) crash() {
 	m.advance()
 	for _, a := range append(m.running, m.queue...) {
-		m.w.reply(a, basaltloft.Reset)
+		m.w.reply(a, policy.Reset)
 	}
 	m.running, m.queue, m.busy, m.up = nil, nil, 0, false
 	m.turn++
@@ -185,14 +185,14 @@
 
 // boot starts it, cold.
 func (m *member) boot() {
-	m.up, m.state, m.started, m.moved = true, basaltloft.Ready, max(m.w.now, 1), m.w.now
+	m.up, m.state, m.started, m.moved = true, policy.Ready, max(m.w.now, 1), m.w.now
 }
 
 // drain lets it take nothing more, and hands back what waits.
 func (m *member) drain() {
-	m.state = basaltloft.Draining
+	m.state = policy.Draining
 	for _, a := range m.queue {
-		m.w.reply(a, basaltloft.Full)
+		m.w.reply(a, policy.Full)
 	}
 	m.queue = nil
 }
--- a/internal/lab/more_test.go
+++ b/internal/dispatcher/lab/more_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/stretchr/testify/require"
 )
@@ -48,7 +48,7 @@
 
 // shop is a closed loop in front of one member whose jobs slow each other.
 func shop(clients int, capacity time.Duration) *Experiment {
-	light, heavy := class("light", basaltloft.Safe, 19, 10*time.Millisecond, "exp"), class("heavy", basaltloft.Safe, 1, time.Second, "exp")
+	light, heavy := class("light", policy.Safe, 19, 10*time.Millisecond, "exp"), class("heavy", policy.Safe, 1, time.Second, "exp")
 	for _, c := range []*Class{&light, &heavy} {
 		c.Aim, c.GiveUp = time.Minute, 2*time.Minute
 	}
@@ -106,7 +106,7 @@
 // TestCutsAndLosses: the module keeps every rule while members can't be reached and
 // messages are lost, and what it is asked for is done again afterwards.
 func TestCutsAndLosses(t *testing.T) {
-	hold, ticket := class("hold", basaltloft.Keyed, 30, 100*time.Millisecond, "exp"), class("ticket", basaltloft.Unsafe, 5, 200*time.Millisecond, "exp")
+	hold, ticket := class("hold", policy.Keyed, 30, 100*time.Millisecond, "exp"), class("ticket", policy.Unsafe, 5, 200*time.Millisecond, "exp")
 	for _, trouble := range []Trouble{
 		{Kind: "cut", At: 5 * time.Second, For: 5 * time.Second, Part: 0.5},
 		{Kind: "lost", At: 5 * time.Second, For: 5 * time.Second, Part: 0.2},
--- a/internal/lab/policies.go
+++ b/internal/dispatcher/lab/policies.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // plain is what the yardsticks have in common: each request goes out at once to
@@ -15,7 +15,7 @@
 // keeps the rules that need no cleverness, and holds nothing back.
 type plain struct {
 	w       *World
-	host    basaltloft.Host
+	host    policy.Host
 	random  *rand.Rand
 	pick    func(p *plain, from []*mate, work float64) *mate
 	mates   []*mate // in the order of their numbers
@@ -26,7 +26,7 @@
 
 // mate is what a yardstick knows of a member.
 type mate struct {
-	basaltloft.Member
+	policy.Member
 	out  int
 	work float64 // by the hints of what is out
 	true *member
@@ -35,7 +35,7 @@
 }
 
 type plainJob struct {
-	basaltloft.Request
+	policy.Request
 	class    *Class
 	tries    int
 	to       *mate
@@ -68,7 +68,7 @@
 	}),
 	"true state": yardstick(func(p *plain, from []*mate, work float64) *mate {
 		return least(p, from, func(m *mate) float64 {
-			if !m.true.up || m.true.state != basaltloft.Ready || m.true.paused {
+			if !m.true.up || m.true.state != policy.Ready || m.true.paused {
 				return 1e18
 			}
 			wait := 0.0
@@ -94,7 +94,7 @@
 }
 
 func yardstick(pick func(*plain, []*mate, float64) *mate) Maker {
-	return func(w *World, h basaltloft.Host, _ int, seed uint64) (Policy, error) {
+	return func(w *World, h policy.Host, _ int, seed uint64) (Policy, error) {
 		return &plain{w: w, host: h, random: rand.New(rand.NewPCG(seed, 37)), pick: pick, jobs: make(map[string]*plainJob)}, nil
 	}
 }
@@ -126,7 +126,7 @@
 }
 
 // Request implements Policy.
-func (p *plain) Request(now time.Duration, r basaltloft.Request) {
+func (p *plain) Request(now time.Duration, r policy.Request) {
 	j := &plainJob{Request: r, class: p.classOf(r.Class)}
 	p.jobs[r.ID] = j
 	p.send(now, j)
@@ -136,10 +136,10 @@
 func (p *plain) send(now time.Duration, j *plainJob) {
 	var from []*mate
 	for _, m := range p.mates {
-		if m.State != basaltloft.Ready || j.to == m && len(p.mates) > 1 {
+		if m.State != policy.Ready || j.to == m && len(p.mates) > 1 {
 			continue
 		}
-		if j.firstMay != nil && j.class.Effect == basaltloft.Keyed && j.class.Group != basaltloft.GroupAll && j.firstMay.Cell != m.Cell {
+		if j.firstMay != nil && j.class.Effect == policy.Keyed && j.class.Group != policy.GroupAll && j.firstMay.Cell != m.Cell {
 			continue
 		}
 		if p.coldFull(now, m, j) {
@@ -149,7 +149,7 @@
 	}
 	allowed := j.tries < p.w.x.Settings.Limits.MaxAttempts && now < j.Expires-5*time.Millisecond
 	if j.may {
-		allowed = allowed && (j.class.Effect == basaltloft.Safe || j.class.Effect == basaltloft.Keyed && now-j.sentAt < j.class.Window)
+		allowed = allowed && (j.class.Effect == policy.Safe || j.class.Effect == policy.Keyed && now-j.sentAt < j.class.Window)
 	}
 	if !allowed || len(from) == 0 {
 		p.end(j)
@@ -193,7 +193,7 @@
 func (p *plain) end(j *plainJob) {
 	delete(p.jobs, j.ID)
 	c := j.class
-	if !j.may || c.Effect == basaltloft.Safe || c.Effect == basaltloft.Keyed && c.Group == basaltloft.GroupAll {
+	if !j.may || c.Effect == policy.Safe || c.Effect == policy.Keyed && c.Group == policy.GroupAll {
 		p.host.Refuse(j.ID, 0)
 	} else {
 		p.host.Fail(j.ID)
@@ -201,7 +201,7 @@
 }
 
 // Outcome implements Policy.
-func (p *plain) Outcome(now time.Duration, o basaltloft.Outcome) {
+func (p *plain) Outcome(now time.Duration, o policy.Outcome) {
 	j := p.jobs[o.Request]
 	if j == nil {
 		return
@@ -223,7 +223,7 @@
 }
 
 // Members implements Policy.
-func (p *plain) Members(_ time.Duration, _ basaltloft.ListKind, entries []basaltloft.Member) {
+func (p *plain) Members(_ time.Duration, _ policy.ListKind, entries []policy.Member) {
 	for _, e := range entries {
 		i, known := slices.BinarySearchFunc(p.mates, e.Worker, func(m *mate, n uint32) int { return int(int64(m.Worker) - int64(n)) })
 		if known {
@@ -235,13 +235,13 @@
 }
 
 // Probed implements Policy.
-func (p *plain) Probed(time.Duration, basaltloft.Probed) {}
+func (p *plain) Probed(time.Duration, policy.Probed) {}
 
 // Timer implements Policy.
 func (p *plain) Timer(time.Duration, string) {}
 
 // Note implements Policy.
-func (p *plain) Note(time.Duration, basaltloft.Note) {}
+func (p *plain) Note(time.Duration, policy.Note) {}
 
 // Gone implements Policy.
 func (p *plain) Gone(_ time.Duration, id string) { delete(p.jobs, id) }
--- a/internal/lab/world.go
+++ b/internal/dispatcher/lab/world.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/gonum/stat/distuv"
@@ -15,7 +15,7 @@
 
 // Class is one class of requests of an experiment.
 type Class struct {
-	basaltloft.Class
+	policy.Class
 	Rate      float64 // asks a second, over all clients
 	Work      time.Duration
 	Shape     string    // of the work: fixed, exp, pareto or lognormal
@@ -48,19 +48,19 @@
 	Clients     int           // a closed loop of so many, and rates are shares of its asks; 0: arrivals by the rates
 	Think       time.Duration // what a client waits between an answer and its next ask, on average
 	Capacity    time.Duration // of the gate policies
-	Settings    basaltloft.Settings
+	Settings    policy.Settings
 	Troubles    []Trouble
 	Sample      bool // what each member does is kept by the second
 }
 
 // Policy decides for one dispatcher. *basaltloft.Dispatcher is one.
 type Policy interface {
-	Request(now time.Duration, r basaltloft.Request)
-	Outcome(now time.Duration, o basaltloft.Outcome)
-	Probed(now time.Duration, p basaltloft.Probed)
+	Request(now time.Duration, r policy.Request)
+	Outcome(now time.Duration, o policy.Outcome)
+	Probed(now time.Duration, p policy.Probed)
 	Timer(now time.Duration, token string)
-	Note(now time.Duration, n basaltloft.Note)
-	Members(now time.Duration, kind basaltloft.ListKind, entries []basaltloft.Member)
+	Note(now time.Duration, n policy.Note)
+	Members(now time.Duration, kind policy.ListKind, entries []policy.Member)
 	Gone(now time.Duration, id string)
 }
 
@@ -87,7 +87,7 @@
 	policy Policy
 	epoch  int // a restart begins a new one: what was asked before is void
 	open   map[string]*request
-	known  map[uint32]basaltloft.Member // its list
+	known  map[uint32]policy.Member // its list
 	later  []func()
 	inside bool
 }
@@ -137,13 +137,13 @@
 func (r *Result) Goodput() float64 { return r.Worked / max(r.Worth, 1e-9) }
 
 // Maker makes the policy of one dispatcher.
-type Maker func(w *World, d basaltloft.Host, rank int, seed uint64) (Policy, error)
+type Maker func(w *World, d policy.Host, rank int, seed uint64) (Policy, error)
 
 // Module makes the decision module.
-func Module(w *World, h basaltloft.Host, rank int, seed uint64) (Policy, error) {
+func Module(w *World, h policy.Host, rank int, seed uint64) (Policy, error) {
 	s := w.x.Settings
 	s.Rank, s.Seed = rank, seed
-	return basaltloft.New(s, h)
+	return policy.New(s, h)
 }
 
 // New sets a run up.
@@ -343,7 +343,7 @@
 		}
 		w.at(r.expires-time.Millisecond, func() { w.expire(r) })
 		d.event(func() {
-			d.policy.Request(w.now, basaltloft.Request{ID: r.id, Class: r.class.Name, Hint: hint, Expires: r.expires, Slots: r.slots, Retry: r.try > 0})
+			d.policy.Request(w.now, policy.Request{ID: r.id, Class: r.class.Name, Hint: hint, Expires: r.expires, Slots: r.slots, Retry: r.try > 0})
 		})
 	})
 }
@@ -352,13 +352,13 @@
 func (w *World) expire(r *request) {
 	for _, a := range r.attempts {
 		if a.out {
-			w.outcome(a, basaltloft.TimedOut)
+			w.outcome(a, policy.TimedOut)
 		}
 	}
 }
 
 // answer ends a try.
-func (w *World) answer(r *request, s basaltloft.Status, refused bool) {
+func (w *World) answer(r *request, s policy.Status, refused bool) {
 	if r.answered {
 		w.check.twice(r)
 		return
@@ -368,15 +368,15 @@
 	w.in(w.hop(), func() {
 		res := &w.Result
 		switch {
-		case s == basaltloft.OK && w.now <= r.aim:
+		case s == policy.OK && w.now <= r.aim:
 			res.InTime++
 			res.Worked += r.work * r.slots
 			w.second(time.Hour).InTime++
 			w.served(r)
-		case s == basaltloft.OK:
+		case s == policy.OK:
 			res.Late++
 			w.served(r)
-		case r.try < w.x.Retries && (refused || r.class.Effect == basaltloft.Safe):
+		case r.try < w.x.Retries && (refused || r.class.Effect == policy.Safe):
 			again := &request{class: r.class, work: r.work, slots: r.slots, born: r.born, try: r.try + 1, done: r.done}
 			w.in(w.x.Backoff, func() { w.ask(again, 0) })
 			return
@@ -413,14 +413,14 @@
 	w.in(w.callBack(a.to), func() {
 		if a.from.epoch == epoch && a.out {
 			a.from.event(func() {
-				a.from.policy.Note(w.now, basaltloft.Note{Request: a.req.id, Attempt: a.n, Worker: a.to.number, Topic: basaltloft.NoteStarted})
+				a.from.policy.Note(w.now, policy.Note{Request: a.req.id, Attempt: a.n, Worker: a.to.number, Topic: policy.NoteStarted})
 			})
 		}
 	})
 }
 
 // reply brings an attempt's end back to its dispatcher.
-func (w *World) reply(a *attempt, s basaltloft.Status) {
+func (w *World) reply(a *attempt, s policy.Status) {
 	w.in(w.callBack(a.to), func() { w.outcome(a, s) })
 }
 
@@ -443,7 +443,7 @@
 	return took
 }
 
-func (w *World) outcome(a *attempt, s basaltloft.Status) {
+func (w *World) outcome(a *attempt, s policy.Status) {
 	if !a.out {
 		return
 	}
@@ -455,11 +455,11 @@
 			return
 		}
 	}
-	if s == basaltloft.OK && !r.answered {
+	if s == policy.OK && !r.answered {
 		w.answer(r, s, false)
 	}
 	d.event(func() {
-		d.policy.Outcome(w.now, basaltloft.Outcome{
+		d.policy.Outcome(w.now, policy.Outcome{
 			Request: r.id, Attempt: a.n, Worker: a.to.number, Status: s, Ended: r.answered, Latency: w.now - a.sentAt,
 		})
 	})
@@ -483,39 +483,39 @@
 	}
 	d.policy = p
 	if d.known == nil {
-		d.known = make(map[uint32]basaltloft.Member)
+		d.known = make(map[uint32]policy.Member)
 		for _, m := range d.w.members {
 			d.known[m.number] = d.w.listing(m)
 		}
 	}
-	d.event(func() { d.policy.Members(d.w.now, basaltloft.ListRestored, d.list()) })
+	d.event(func() { d.policy.Members(d.w.now, policy.ListRestored, d.list()) })
 	for _, r := range old { // their clients learn by the break
 		for _, a := range r.attempts {
 			a.out = false
 		}
 		if !r.answered {
 			d.w.check.cut(r)
-			d.w.answer(r, basaltloft.Reset, false)
+			d.w.answer(r, policy.Reset, false)
 		}
 	}
 	return nil
 }
 
-func (d *dispatcher) list() []basaltloft.Member {
-	all := make([]basaltloft.Member, 0, len(d.known))
+func (d *dispatcher) list() []policy.Member {
+	all := make([]policy.Member, 0, len(d.known))
 	for _, m := range d.known {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b basaltloft.Member) int { return int(int64(a.Worker) - int64(b.Worker)) })
+	slices.SortFunc(all, func(a, b policy.Member) int { return int(int64(a.Worker) - int64(b.Worker)) })
 	return all
 }
 
-func (w *World) listing(m *member) basaltloft.Member {
+func (w *World) listing(m *member) policy.Member {
 	state := m.state
 	if !m.up {
-		state = basaltloft.Removed
+		state = policy.Removed
 	}
-	return basaltloft.Member{Worker: m.number, Kind: m.kind.Name, Cell: m.cell, State: state, Since: m.started, Weight: 1}
+	return policy.Member{Worker: m.number, Kind: m.kind.Name, Cell: m.cell, State: state, Since: m.started, Weight: 1}
 }
 
 // news tells all dispatchers of a change, each late in its own way.
@@ -524,12 +524,12 @@
 	for _, d := range w.nodes {
 		late := time.Duration(w.random.ExpFloat64() * float64(w.x.ListLate))
 		w.in(min(late, 4*w.x.ListLate), func() {
-			if old := d.known[l.Worker]; old.Since > l.Since || old.Since == l.Since && old.State != basaltloft.Ready && l.State == basaltloft.Ready {
+			if old := d.known[l.Worker]; old.Since > l.Since || old.Since == l.Since && old.State != policy.Ready && l.State == policy.Ready {
 				return // overtaken by newer news
 			}
 			d.known[l.Worker] = l
 			w.check.listed(d, l)
-			d.event(func() { d.policy.Members(w.now, basaltloft.ListChange, []basaltloft.Member{l}) })
+			d.event(func() { d.policy.Members(w.now, policy.ListChange, []policy.Member{l}) })
 		})
 	}
 }
@@ -562,10 +562,10 @@
 	r.attempts = append(r.attempts, a)
 	w.Result.Sends++
 	if timeout > 0 {
-		w.in(timeout, func() { w.outcome(a, basaltloft.TimedOut) })
+		w.in(timeout, func() { w.outcome(a, policy.TimedOut) })
 	}
 	if m.cutTill > w.now || w.lost() {
-		w.in(dialFor, func() { w.outcome(a, basaltloft.ConnectFailed) })
+		w.in(dialFor, func() { w.outcome(a, policy.ConnectFailed) })
 		return
 	}
 	w.in(w.hop(), func() { m.take(a) })
@@ -579,7 +579,7 @@
 
 func (d *dispatcher) final(id string, refused bool) {
 	if r := d.open[id]; r != nil {
-		d.w.answer(r, basaltloft.Error, refused)
+		d.w.answer(r, policy.Error, refused)
 		d.forget(r)
 	}
 }
@@ -588,7 +588,7 @@
 func (d *dispatcher) Cancel(id string, n int) {
 	if r := d.open[id]; r != nil && n < len(r.attempts) && r.attempts[n].out {
 		a := r.attempts[n]
-		d.w.in(2*d.w.hop(), func() { d.w.outcome(a, basaltloft.Cancelled) })
+		d.w.in(2*d.w.hop(), func() { d.w.outcome(a, policy.Cancelled) })
 	}
 }
 
@@ -596,12 +596,12 @@
 func (d *dispatcher) Probe(worker uint32) {
 	w, m, sent, epoch := d.w, d.w.byID[worker], d.w.now, d.epoch
 	w.in(w.hop()+w.hop(), func() {
-		s := basaltloft.ConnectFailed
+		s := policy.ConnectFailed
 		if m != nil && m.up && m.cutTill <= w.now {
-			s = basaltloft.OK
+			s = policy.OK
 		}
 		if d.epoch == epoch {
-			d.event(func() { d.policy.Probed(w.now, basaltloft.Probed{Worker: worker, Status: s, Latency: w.now - sent}) })
+			d.event(func() { d.policy.Probed(w.now, policy.Probed{Worker: worker, Status: s, Latency: w.now - sent}) })
 		}
 	})
 }
--- a/internal/load/drive.go
+++ b/internal/dispatcher/loadgen/drive.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/fakes"
 )
 
 // Target is who is asked. Its Ask may be called concurrently.
@@ -127,12 +127,12 @@
 type Faktory struct {
 	addr string
 	job  Job
-	free chan *standin.FaktoryConn // nil ones are still to be dialled
+	free chan *fakes.FaktoryConn // nil ones are still to be dialled
 }
 
 // NewFaktory returns a target with so many connections at most.
 func NewFaktory(addr string, j Job, most int) *Faktory {
-	f := &Faktory{addr: addr, job: j, free: make(chan *standin.FaktoryConn, most)}
+	f := &Faktory{addr: addr, job: j, free: make(chan *fakes.FaktoryConn, most)}
 	for range most {
 		f.free <- nil
 	}
@@ -141,7 +141,7 @@
 
 // Ask implements Target.
 func (f *Faktory) Ask(ctx context.Context, n int) string {
-	var c *standin.FaktoryConn
+	var c *fakes.FaktoryConn
 	select {
 	case c = <-f.free:
 	case <-ctx.Done():
@@ -150,7 +150,7 @@
 	defer func() { f.free <- c }()
 	var err error
 	if c == nil {
-		if c, err = standin.DialFaktory(f.addr, ""); err != nil {
+		if c, err = fakes.DialFaktory(f.addr, ""); err != nil {
 			c = nil
 			return "no connection"
 		}
@@ -159,7 +159,7 @@
 	switch {
 	case err == nil:
 		return Served
-	case errors.Is(err, standin.ErrRefused):
+	case errors.Is(err, fakes.ErrRefused):
 		return "refused"
 	}
 	c.Close()
