--- a/internal/load/load_test.go
+++ b/internal/dispatcher/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load_test
+package loadgen_test
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/demo"
-	"basaltloft/internal/load"
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/loadgen"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
@@ -26,7 +26,7 @@
 // deviations. They come in order and within the length.
 func TestTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := load.Plan{
+		p := loadgen.Plan{
 			From: float64(rapid.IntRange(0, 200).Draw(t, "from")), To: float64(rapid.IntRange(1, 200).Draw(t, "to")),
 			Length: time.Duration(rapid.IntRange(1, 20).Draw(t, "s")) * time.Second, Even: rapid.Bool().Draw(t, "even"), Seed: rapid.Uint64().Draw(t, "seed"),
 		}
@@ -54,7 +54,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	for name, p := range map[string]load.Plan{
+	for name, p := range map[string]loadgen.Plan{
 		"no rate":          {Length: time.Second},
 		"below nothing":    {From: -1, To: 5, Length: time.Second},
 		"no number":        {From: math.NaN(), To: 1, Length: time.Second},
@@ -64,7 +64,7 @@
 	} {
 		require.Error(t, p.Check(), name)
 	}
-	p := load.Plan{Trace: []time.Duration{1, 5, 5}}
+	p := loadgen.Plan{Trace: []time.Duration{1, 5, 5}}
 	require.NoError(t, p.Check())
 	require.Equal(t, 3, p.Asks())
 }
@@ -74,17 +74,17 @@
 // was sent: a hundred of two hundred asks have half a second of latency on average.
 func TestStallCounts(t *testing.T) {
 	const ms = time.Millisecond
-	r := load.NewRecord()
+	r := loadgen.NewRecord()
 	for n := range 200 {
 		due := time.Duration(n) * 10 * ms
 		sent := max(due, time.Second) // nothing goes out in the first second
-		r.Add(due, sent, sent+ms, load.Served)
+		r.Add(due, sent, sent+ms, loadgen.Served)
 	}
 	r.Add(0, 0, ms, "broken off")
 	s := r.Summary()
 	require.EqualValues(t, 201, s.Asks)
-	of := func(points []load.Point, q float64) float64 {
-		return points[slices.IndexFunc(points, func(p load.Point) bool { return p.Quantile == q })].MS
+	of := func(points []loadgen.Point, q float64) float64 {
+		return points[slices.IndexFunc(points, func(p loadgen.Point) bool { return p.Quantile == q })].MS
 	}
 	require.InDelta(t, 501, of(s.Corrected, 75), 10)
 	require.InDelta(t, 901, of(s.Corrected, 95), 12)
@@ -113,20 +113,20 @@
 	c.mu.Lock()
 	c.now--
 	c.mu.Unlock()
-	return load.Served
+	return loadgen.Served
 }
 func (c *counting) Close() {}
 
 // TestRunSendsAll: all asks go out, also those long overdue, no more at a time than
 // there are connections; once the context has ended nothing does.
 func TestRunSendsAll(t *testing.T) {
-	c, r := &counting{}, load.NewRecord()
-	load.Run(context.Background(), load.Plan{Trace: make([]time.Duration, 500)}, c, 3, r)
+	c, r := &counting{}, loadgen.NewRecord()
+	loadgen.Run(context.Background(), loadgen.Plan{Trace: make([]time.Duration, 500)}, c, 3, r)
 	require.Equal(t, 500, c.seen)
 	require.LessOrEqual(t, c.atOnce, 3)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	load.Run(ended, load.Plan{Trace: []time.Duration{time.Hour}}, c, 3, r)
+	loadgen.Run(ended, loadgen.Plan{Trace: []time.Duration{time.Hour}}, c, 3, r)
 	require.EqualValues(t, 500, r.Summary().Asks)
 }
 
@@ -147,27 +147,27 @@
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
 	require.NoError(t, demo.Ready(context.Background(), w.Addr, nil))
-	job := load.Job{Prefix: "both-fronts", Class: "place-hold", Queue: "holds", Tenant: "hrad-kamenec", Cost: time.Millisecond, Budget: 10 * time.Second, Body: 10}
-	for name, to := range map[string]load.Target{"http": load.NewHTTP(w.Addr, job, 8), "faktory": load.NewFaktory(w.Faktory, job, 8)} {
-		r := load.NewRecord()
-		load.Run(context.Background(), load.Plan{From: 400, To: 400, Length: 250 * time.Millisecond, Even: true}, to, 8, r)
+	job := loadgen.Job{Prefix: "both-fronts", Class: "place-hold", Queue: "holds", Tenant: "hrad-kamenec", Cost: time.Millisecond, Budget: 10 * time.Second, Body: 10}
+	for name, to := range map[string]loadgen.Target{"http": loadgen.NewHTTP(w.Addr, job, 8), "faktory": loadgen.NewFaktory(w.Faktory, job, 8)} {
+		r := loadgen.NewRecord()
+		loadgen.Run(context.Background(), loadgen.Plan{From: 400, To: 400, Length: 250 * time.Millisecond, Even: true}, to, 8, r)
 		to.Close()
 		s := r.Summary()
 		require.EqualValues(t, 100, s.Asks, name)
-		require.Greater(t, s.Outcomes[load.Served], int64(90), "%s: %v", name, s.Outcomes)
+		require.Greater(t, s.Outcomes[loadgen.Served], int64(90), "%s: %v", name, s.Outcomes)
 	}
-	for name, to := range map[string]load.Target{"http": load.NewHTTP("127.0.0.1:1", job, 1), "faktory": load.NewFaktory("127.0.0.1:1", job, 1)} {
-		require.NotEqual(t, load.Served, to.Ask(context.Background(), 1), name)
+	for name, to := range map[string]loadgen.Target{"http": loadgen.NewHTTP("127.0.0.1:1", job, 1), "faktory": loadgen.NewFaktory("127.0.0.1:1", job, 1)} {
+		require.NotEqual(t, loadgen.Served, to.Ask(context.Background(), 1), name)
 		to.Close()
 	}
 }
 
 func TestLocal(t *testing.T) {
 	for addr, want := range map[string]bool{"127.0.0.1:80": true, "[::1]:80": true, "localhost:1": true, "10.0.0.1:80": false, "example.org:80": false} {
-		got, err := load.Local(addr)
+		got, err := loadgen.Local(addr)
 		require.NoError(t, err)
 		require.Equal(t, want, got, addr)
 	}
-	_, err := load.Local("nowhere")
+	_, err := loadgen.Local("nowhere")
 	require.Error(t, err)
 }
--- a/internal/load/plan.go
+++ b/internal/dispatcher/loadgen/plan.go
@@ -1,9 +1,9 @@
-// Package load sends an open-loop load to a dispatcher and records what becomes of
+// Package loadgen sends an open-loop load to a dispatcher and records what becomes of
 // it. When each ask is due is planned beforehand and does not depend on answers: a
 // server that stalls gets the asks of its stall all the same, and what they waited
 // counts (which is what correcting for coordinated omission comes to). plan.go and
 // record.go do no I/O.
-package load
+package loadgen
 
 import (
 	"errors"
--- a/internal/load/record.go
+++ b/internal/dispatcher/loadgen/record.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"encoding/json"
--- a/internal/loadreport/loadreport.go
+++ b/internal/dispatcher/loadreport/loadreport.go
@@ -13,37 +13,37 @@
 	"fmt"
 	"strconv"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/valyala/fastjson"
 )
 
 // field is where a name's value goes. The protocol's names come first; the
 // simulator's words for them are taken too.
-func field(r *basaltloft.Report, name string) (*float64, basaltloft.ReportField) {
+func field(r *policy.Report, name string) (*float64, policy.ReportField) {
 	switch name {
 	case "inflight", "outstanding":
-		return &r.InFlight, basaltloft.HasInFlight
+		return &r.InFlight, policy.HasInFlight
 	case "queue", "backlog":
-		return &r.Queue, basaltloft.HasQueue
+		return &r.Queue, policy.HasQueue
 	case "util", "utilization":
-		return &r.Util, basaltloft.HasUtil
+		return &r.Util, policy.HasUtil
 	case "latency_ms", "recent_ms":
-		return &r.LatencyMS, basaltloft.HasLatency
+		return &r.LatencyMS, policy.HasLatency
 	case "qps", "throughput":
-		return &r.QPS, basaltloft.HasQPS
+		return &r.QPS, policy.HasQPS
 	case "eps", "errors_per_s":
-		return &r.ErrorsPerS, basaltloft.HasErrors
+		return &r.ErrorsPerS, policy.HasErrors
 	case "x0":
-		return &r.X0, basaltloft.HasX0
+		return &r.X0, policy.HasX0
 	case "x1":
-		return &r.X1, basaltloft.HasX1
+		return &r.X1, policy.HasX1
 	}
 	return nil, 0
 }
 
 // set puts a value in its field; a name not known changes nothing.
-func set(r *basaltloft.Report, name string, value float64) {
+func set(r *policy.Report, name string, value float64) {
 	if at, has := field(r, name); at != nil {
 		*at, r.Has = value, r.Has|has
 	}
@@ -54,8 +54,8 @@
 // is an empty report. A pair that is not name=value, or a value that is not a
 // finite number, makes the whole report an error: a half-read report would be
 // taken for one in which the rest was not told.
-func Parse(text []byte) (basaltloft.Report, error) {
-	var r basaltloft.Report
+func Parse(text []byte) (policy.Report, error) {
+	var r policy.Report
 	parts := bytes.FieldsFunc(text, func(c rune) bool { return c == ',' || c == ' ' || c == '\t' })
 	for i, part := range parts {
 		name, value, ok := bytes.Cut(part, []byte("="))
@@ -63,11 +63,11 @@
 			if i == 0 {
 				continue // the form, such as TEXT
 			}
-			return basaltloft.Report{}, fmt.Errorf("load report: %q is not name=value", part)
+			return policy.Report{}, fmt.Errorf("load report: %q is not name=value", part)
 		}
 		f, err := strconv.ParseFloat(string(value), 64)
 		if err != nil || f != f || f > 1e300 || f < -1e300 {
-			return basaltloft.Report{}, fmt.Errorf("load report: %q is no number", part)
+			return policy.Report{}, fmt.Errorf("load report: %q is no number", part)
 		}
 		set(&r, string(name), f)
 	}
@@ -75,11 +75,11 @@
 }
 
 // Body reads a probe's body: an object as the news carries it, or text.
-func Body(text []byte) (basaltloft.Report, error) {
+func Body(text []byte) (policy.Report, error) {
 	if t := bytes.TrimSpace(text); len(t) > 0 && t[0] == '{' {
 		v, err := fastjson.ParseBytes(t)
 		if err != nil {
-			return basaltloft.Report{}, fmt.Errorf("load report: %w", err)
+			return policy.Report{}, fmt.Errorf("load report: %w", err)
 		}
 		return Object(v)
 	}
@@ -88,8 +88,8 @@
 
 // Object reads a report given as a JSON object; nil is an empty report. A
 // value that is not a number makes it an error.
-func Object(v *fastjson.Value) (basaltloft.Report, error) {
-	var r basaltloft.Report
+func Object(v *fastjson.Value) (policy.Report, error) {
+	var r policy.Report
 	if v == nil {
 		return r, nil
 	}
@@ -106,7 +106,7 @@
 		set(&r, string(key), f)
 	})
 	if err != nil {
-		return basaltloft.Report{}, err
+		return policy.Report{}, err
 	}
 	return r, nil
 }
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/dispatcher/loadreport/loadreport_test.go
@@ -3,22 +3,22 @@
 import (
 	"testing"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
 )
 
 func TestParse(t *testing.T) {
-	for text, want := range map[string]basaltloft.Report{
+	for text, want := range map[string]policy.Report{
 		"":                                    {},
 		"TEXT":                                {},
-		"TEXT inflight=7, queue=2, util=0.61": {Has: basaltloft.HasInFlight | basaltloft.HasQueue | basaltloft.HasUtil, InFlight: 7, Queue: 2, Util: 0.61},
-		"qps=40,inflight=3,x0=0,x1=512":       {Has: basaltloft.HasQPS | basaltloft.HasInFlight | basaltloft.HasX0 | basaltloft.HasX1, QPS: 40, InFlight: 3, X1: 512},
-		"TEXT x0=2 x1=64":                     {Has: basaltloft.HasX0 | basaltloft.HasX1, X0: 2, X1: 64},
-		"throughput=5, outstanding=1":         {Has: basaltloft.HasQPS | basaltloft.HasInFlight, QPS: 5, InFlight: 1},
-		"TEXT temperature=40, x0=1":           {Has: basaltloft.HasX0, X0: 1}, // a name of its own is skipped
-		"latency_ms=12, eps=0.5":              {Has: basaltloft.HasLatency | basaltloft.HasErrors, LatencyMS: 12, ErrorsPerS: 0.5},
+		"TEXT inflight=7, queue=2, util=0.61": {Has: policy.HasInFlight | policy.HasQueue | policy.HasUtil, InFlight: 7, Queue: 2, Util: 0.61},
+		"qps=40,inflight=3,x0=0,x1=512":       {Has: policy.HasQPS | policy.HasInFlight | policy.HasX0 | policy.HasX1, QPS: 40, InFlight: 3, X1: 512},
+		"TEXT x0=2 x1=64":                     {Has: policy.HasX0 | policy.HasX1, X0: 2, X1: 64},
+		"throughput=5, outstanding=1":         {Has: policy.HasQPS | policy.HasInFlight, QPS: 5, InFlight: 1},
+		"TEXT temperature=40, x0=1":           {Has: policy.HasX0, X0: 1}, // a name of its own is skipped
+		"latency_ms=12, eps=0.5":              {Has: policy.HasLatency | policy.HasErrors, LatencyMS: 12, ErrorsPerS: 0.5},
 	} {
 		got, err := Parse([]byte(text))
 		require.NoError(t, err, text)
@@ -32,10 +32,10 @@
 }
 
 func TestBody(t *testing.T) {
-	for text, want := range map[string]basaltloft.Report{
-		`{"x0":2,"x1":128,"qps":9}`: {Has: basaltloft.HasX0 | basaltloft.HasX1 | basaltloft.HasQPS, X0: 2, X1: 128, QPS: 9},
-		" {\"inflight\":1}\n":       {Has: basaltloft.HasInFlight, InFlight: 1},
-		"TEXT x0=3":                 {Has: basaltloft.HasX0, X0: 3},
+	for text, want := range map[string]policy.Report{
+		`{"x0":2,"x1":128,"qps":9}`: {Has: policy.HasX0 | policy.HasX1 | policy.HasQPS, X0: 2, X1: 128, QPS: 9},
+		" {\"inflight\":1}\n":       {Has: policy.HasInFlight, InFlight: 1},
+		"TEXT x0=3":                 {Has: policy.HasX0, X0: 3},
 		"":                          {},
 	} {
 		got, err := Body([]byte(text))
@@ -66,8 +66,8 @@
 			require.Zero(t, r)
 			return
 		}
-		require.True(t, r.Has&basaltloft.HasX0 != 0 || r.X0 == 0)
-		require.True(t, r.Has&basaltloft.HasX1 != 0 || r.X1 == 0)
-		require.True(t, r.Has&basaltloft.HasInFlight != 0 || r.InFlight == 0)
+		require.True(t, r.Has&policy.HasX0 != 0 || r.X0 == 0)
+		require.True(t, r.Has&policy.HasX1 != 0 || r.X1 == 0)
+		require.True(t, r.Has&policy.HasInFlight != 0 || r.InFlight == 0)
 	})
 }
--- a/internal/figures/audit.go
+++ b/internal/dispatcher/metrics/audit.go
@@ -1,11 +1,11 @@
-package figures
+package metrics
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 
 	"github.com/sirupsen/logrus"
 )
@@ -13,7 +13,7 @@
 // Hub is what the auditor needs of the core.
 type Hub interface {
 	Sync(func())
-	Census() (open account.Census, flows int64)
+	Census() (open accounting.Census, flows int64)
 }
 
 // Auditor holds the account against itself, the core's table, the fronts' own
@@ -21,18 +21,18 @@
 type Auditor struct {
 	keeper *Keeper
 	hub    Hub
-	desks  []*account.Desk
+	desks  []*accounting.Desk
 	log    logrus.FieldLogger
 
 	mu    sync.Mutex
-	last  []account.Difference // of the last audit, and of the journal since
+	last  []accounting.Difference // of the last audit, and of the journal since
 	at    time.Time
 	runs  int64
 	found map[string]int64 // differences so far, by audit
 }
 
 // NewAuditor returns an auditor. Desks are those of all fronts.
-func NewAuditor(k *Keeper, hub Hub, desks []*account.Desk, log logrus.FieldLogger) *Auditor {
+func NewAuditor(k *Keeper, hub Hub, desks []*accounting.Desk, log logrus.FieldLogger) *Auditor {
 	return &Auditor{keeper: k, hub: hub, desks: desks, log: log, found: make(map[string]int64)}
 }
 
@@ -52,12 +52,12 @@
 
 // Audit audits now and returns what differs. What the journal finds at the
 // mark that is set here comes later, by Differ.
-func (a *Auditor) Audit() []account.Difference {
-	before := make([]account.DeskReading, len(a.desks))
+func (a *Auditor) Audit() []accounting.Difference {
+	before := make([]accounting.DeskReading, len(a.desks))
 	for i, d := range a.desks {
 		before[i] = d.Read()
 	}
-	var d []account.Difference
+	var d []accounting.Difference
 	a.hub.Sync(func() {
 		b := a.keeper.Book
 		d = append(d, b.Sums()...)
@@ -79,7 +79,7 @@
 }
 
 // Differ takes in differences, and complains of them.
-func (a *Auditor) Differ(d []account.Difference) {
+func (a *Auditor) Differ(d []accounting.Difference) {
 	a.mu.Lock()
 	a.last = append(a.last, d...)
 	for _, one := range d {
@@ -94,18 +94,18 @@
 
 // State is what the audits have found.
 type State struct {
-	At          time.Time            `json:"at"`
-	Audits      int64                `json:"audits"`
-	Differences []account.Difference `json:"differences"` // of the last audit
-	Found       map[string]int64     `json:"found"`       // so far, by audit
+	At          time.Time               `json:"at"`
+	Audits      int64                   `json:"audits"`
+	Differences []accounting.Difference `json:"differences"` // of the last audit
+	Found       map[string]int64        `json:"found"`       // so far, by audit
 }
 
 // State returns what the audits have found.
 func (a *Auditor) State() State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := State{At: a.at, Audits: a.runs, Differences: append([]account.Difference{}, a.last...), Found: make(map[string]int64)}
-	for _, name := range []string{account.AuditSums, account.AuditCore, account.AuditFronts, account.AuditJournal} {
+	s := State{At: a.at, Audits: a.runs, Differences: append([]accounting.Difference{}, a.last...), Found: make(map[string]int64)}
+	for _, name := range []string{accounting.AuditSums, accounting.AuditCore, accounting.AuditFronts, accounting.AuditJournal} {
 		s.Found[name] = a.found[name]
 	}
 	return s
--- a/internal/figures/export.go
+++ b/internal/dispatcher/metrics/export.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/journal"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/journal"
 
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
@@ -21,7 +21,7 @@
 type Report struct {
 	Name    string
 	Started time.Time
-	Account account.Snapshot
+	Account accounting.Snapshot
 	Audit   State
 	Journal *JournalState `json:",omitempty"`
 }
@@ -135,7 +135,7 @@
 		gauge(open, row.Open, at...)
 		for reason, n := range row.Ends {
 			if n > 0 {
-				reason := account.Reason(reason)
+				reason := accounting.Reason(reason)
 				count(ended, n, append(at[:4:4], reason.Outcome().String(), reason.String())...)
 			}
 		}
@@ -146,7 +146,7 @@
 		gauge(flowsOut, f.Out, f.Class, f.Group)
 		for s, n := range f.Ends {
 			if n > 0 {
-				count(flowsDone, n, f.Class, f.Group, account.FlowStatus(s))
+				count(flowsDone, n, f.Class, f.Group, accounting.FlowStatus(s))
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 	count(asksAgain, a.Retries, "known")
 	count(asksAgain, a.Strays, "stray")
 	gauge(asksOpen, a.Open)
-	for o := range account.Outcomes {
+	for o := range accounting.Outcomes {
 		gauge(asksEnded, a.Final(o), o.String())
 	}
 	count(audits, r.Audit.Audits)
@@ -172,9 +172,9 @@
 		gauge(stopped, map[bool]int64{true: 1}[j.Stopped])
 	}
 	for class, t := range r.Account.Times {
-		for span, d := range map[string]account.Distribution{"wait": t.Wait, "run": t.Run, "whole": t.Whole} {
+		for span, d := range map[string]accounting.Distribution{"wait": t.Wait, "run": t.Run, "whole": t.Whole} {
 			buckets := make(map[float64]uint64, len(d.Buckets))
-			for _, edge := range account.Edges {
+			for _, edge := range accounting.Edges {
 				buckets[edge.Seconds()] = uint64(d.Buckets[edge])
 			}
 			ch <- prometheus.MustNewConstHistogram(seconds, uint64(d.Count), d.Sum.Seconds(), buckets, class, span)
--- a/internal/figures/figures_test.go
+++ b/internal/dispatcher/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/journal"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/sirupsen/logrus"
 	"github.com/sirupsen/logrus/hooks/test"
@@ -32,18 +32,18 @@
 // rig is a core with the real stages and keeper; the test is the fronts, the
 // members and the list.
 type rig struct {
-	hub     *core.Core
+	hub     *engine.Core
 	keeper  *Keeper
 	auditor *Auditor
 	journal *journal.Journal
 	folder  string
 	books   *faulty
-	desks   []*account.Desk
+	desks   []*accounting.Desk
 	log     *test.Hook
 	end     func()
 
 	mu    sync.Mutex
-	flows []*core.Flow
+	flows []*engine.Flow
 }
 
 // faulty passes on to the keeper, but for what it is told to lose.
@@ -52,19 +52,19 @@
 	losesEnter, losesSent, losesEnd bool
 }
 
-func (f *faulty) Enter(t *core.Transaction, now time.Time) {
+func (f *faulty) Enter(t *engine.Transaction, now time.Time) {
 	if !f.losesEnter {
 		f.Keeper.Enter(t, now)
 	}
 }
 
-func (f *faulty) Sent(flow *core.Flow, now time.Time) {
+func (f *faulty) Sent(flow *engine.Flow, now time.Time) {
 	if !f.losesSent {
 		f.Keeper.Sent(flow, now)
 	}
 }
 
-func (f *faulty) End(t *core.Transaction, a core.Answer, now time.Time) {
+func (f *faulty) End(t *engine.Transaction, a engine.Answer, now time.Time) {
 	if !f.losesEnd {
 		f.Keeper.End(t, a, now)
 	}
@@ -76,32 +76,32 @@
 	loses bool
 }
 
-func (l *lossy) Enter(n uint64, j account.Job, at time.Time) {
+func (l *lossy) Enter(n uint64, j accounting.Job, at time.Time) {
 	if !l.loses {
 		l.Second.Enter(n, j, at)
 	}
 }
 
-func (l *lossy) End(n uint64, group string, r account.Reason, at time.Time) {
+func (l *lossy) End(n uint64, group string, r accounting.Reason, at time.Time) {
 	if !l.loses {
 		l.Second.End(n, group, r, at)
 	}
 }
 
-func (r *rig) Start(f *core.Flow) {
+func (r *rig) Start(f *engine.Flow) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.flows = append(r.flows, f)
 }
-func (r *rig) Abandon(*core.Flow) {}
-func (r *rig) Recall(*core.Flow)  {}
-func (r *rig) Release(*core.Flow) {}
-func (r *rig) Probe(*core.Member) {}
-func (r *rig) Watch(bool)         {}
-func (r *rig) Fetch()             {}
+func (r *rig) Abandon(*engine.Flow) {}
+func (r *rig) Recall(*engine.Flow)  {}
+func (r *rig) Release(*engine.Flow) {}
+func (r *rig) Probe(*engine.Member) {}
+func (r *rig) Watch(bool)           {}
+func (r *rig) Fetch()               {}
 
 // take takes a flow out that was started.
-func (r *rig) take(n int) *core.Flow {
+func (r *rig) take(n int) *engine.Flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.flows) == 0 {
@@ -114,23 +114,23 @@
 }
 
 func newRig(t require.TestingT, dir string) *rig {
-	settings := basaltloft.Settings{
-		Instances: 1, TellsStart: true, Limits: basaltloft.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Classes: []basaltloft.Class{
-			{Name: "hold", Effect: basaltloft.Keyed, Group: basaltloft.GroupCell, Window: 15 * time.Second, Aim: time.Second, Stretch: 2, GiveUp: 10 * time.Second, Worth: 10, Kind: -1},
-			{Name: "ticket", Effect: basaltloft.Unsafe, Aim: time.Second, Stretch: 2, GiveUp: 25 * time.Second, Worth: 2, Kind: -1},
+	settings := policy.Settings{
+		Instances: 1, TellsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Classes: []policy.Class{
+			{Name: "hold", Effect: policy.Keyed, Group: policy.GroupCell, Window: 15 * time.Second, Aim: time.Second, Stretch: 2, GiveUp: 10 * time.Second, Worth: 10, Kind: -1},
+			{Name: "ticket", Effect: policy.Unsafe, Aim: time.Second, Stretch: 2, GiveUp: 25 * time.Second, Worth: 2, Kind: -1},
 		},
 	}
 	log, hook := test.NewNullLogger()
-	r := &rig{keeper: NewKeeper(account.DefaultLimits()), log: hook}
+	r := &rig{keeper: NewKeeper(accounting.DefaultLimits()), log: hook}
 	r.books = &faulty{Keeper: r.keeper}
-	chain := stage.New(settings, stage.Limits{Open: 20, Bytes: 1 << 20}, r.books, log)
+	chain := pipeline.New(settings, pipeline.Limits{Open: 20, Bytes: 1 << 20}, r.books, log)
 	var err error
-	r.hub, err = core.New(settings, chain, nil, log)
+	r.hub, err = engine.New(settings, chain, nil, log)
 	require.NoError(t, err)
 	r.hub.Follow(r)
 	for _, front := range []string{"http", "faktory"} {
-		r.desks = append(r.desks, &account.Desk{Front: front})
+		r.desks = append(r.desks, &accounting.Desk{Front: front})
 	}
 	r.auditor = NewAuditor(r.keeper, r.hub, r.desks, log)
 	if dir != "" {
@@ -151,23 +151,23 @@
 			r.journal.Close()
 		}
 	}
-	var members []*core.Member
+	var members []*engine.Member
 	for i := range 4 {
-		members = append(members, &core.Member{ID: fmt.Sprint("m", i), Cell: i / 2, Group: fmt.Sprint("cell ", i/2), Carrier: r})
+		members = append(members, &engine.Member{ID: fmt.Sprint("m", i), Cell: i / 2, Group: fmt.Sprint("cell ", i/2), Carrier: r})
 	}
-	r.hub.List("test", basaltloft.ListRestored, members)
+	r.hub.List("test", policy.ListRestored, members)
 	return r
 }
 
 // client is told its answer.
-type client struct{ desk *account.Desk }
+type client struct{ desk *accounting.Desk }
 
-func (c client) Answer(a core.Answer) { c.desk.Answered(a.Verdict.Outcome()) }
+func (c client) Answer(a engine.Answer) { c.desk.Answered(a.Verdict.Outcome()) }
 
-func (r *rig) submit(desk int, id, class, key string) *core.Transaction {
+func (r *rig) submit(desk int, id, class, key string) *engine.Transaction {
 	d := r.desks[desk]
 	now := time.Now()
-	t := &core.Transaction{
+	t := &engine.Transaction{
 		ID: id, Front: d.Front, Class: class, Tenant: "a", Key: key, Arrived: now, Deadline: now.Add(10 * time.Second),
 		Hint: 50 * time.Millisecond, Slots: 1, Client: client{d},
 	}
@@ -191,8 +191,8 @@
 				r.end()
 			}
 		}()
-		var all []*core.Transaction
-		var over []*core.Flow
+		var all []*engine.Transaction
+		var over []*engine.Flow
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
@@ -221,18 +221,18 @@
 				if f == nil {
 					t.Skip()
 				}
-				r.hub.End(f, basaltloft.Status(rapid.IntRange(0, int(basaltloft.Unfit)).Draw(t, "status")), nil)
+				r.hub.End(f, policy.Status(rapid.IntRange(0, int(policy.Unfit)).Draw(t, "status")), nil)
 				over = append(over, f)
 			},
 			"an ended flow ends again": func(t *rapid.T) {
 				if len(over) == 0 {
 					t.Skip()
 				}
-				r.hub.End(rapid.SampledFrom(over).Draw(t, "flow"), basaltloft.OK, nil)
+				r.hub.End(rapid.SampledFrom(over).Draw(t, "flow"), policy.OK, nil)
 			},
 			"": func(t *rapid.T) { require.Empty(t, r.auditor.Audit()) },
 		})
-		var totals account.Totals
+		var totals accounting.Totals
 		r.hub.Sync(func() { totals = r.keeper.Book.Totals() })
 		r.end()
 		ended = true
@@ -242,7 +242,7 @@
 		v, err := journal.Verify(f)
 		require.NoError(t, err)
 		require.Empty(t, v.Wrong)
-		require.Empty(t, totals.Against(account.AuditJournal, v.Totals))
+		require.Empty(t, totals.Against(accounting.AuditJournal, v.Totals))
 	})
 }
 
@@ -256,33 +256,33 @@
 		"the account loses an entry": {func(r *rig) {
 			r.books.losesEnter = true
 			r.submit(0, "x", "hold", "")
-		}, account.AuditCore},
+		}, accounting.AuditCore},
 		"the account loses an end": {func(r *rig) {
 			r.books.losesEnd = true
 			r.hub.Sync(func() {})
 			f := r.take(0)
-			r.hub.End(f, basaltloft.OK, nil)
-		}, account.AuditCore},
+			r.hub.End(f, policy.OK, nil)
+		}, accounting.AuditCore},
 		"the account loses a flow": {func(r *rig) {
 			r.books.losesSent = true
 			r.submit(0, "x", "hold", "")
-		}, account.AuditCore},
-		"a front loses an answer": {func(r *rig) { r.desks[0].Answered(account.Served) }, account.AuditFronts},
+		}, accounting.AuditCore},
+		"a front loses an answer": {func(r *rig) { r.desks[0].Answered(accounting.Served) }, accounting.AuditFronts},
 		"a front hands over what never comes": {func(r *rig) {
 			r.desks[1].Begin()
 			r.desks[1].Handed()
-		}, account.AuditFronts},
+		}, accounting.AuditFronts},
 		"the journal loses a job": {func(r *rig) {
 			r.hub.Sync(func() { r.keeper.second = &lossy{r.journal, true} })
 			r.submit(0, "x", "hold", "")
-		}, account.AuditJournal},
+		}, accounting.AuditJournal},
 		"a row counts what never was": {func(r *rig) {
 			r.hub.Sync(func() {
-				e := r.keeper.Book.Enter(account.Job{Front: "nowhere", Class: "hold"}, time.Now())
-				r.keeper.Book.End(e, account.Answered, time.Now())
-				r.keeper.Book.End(e, account.Answered, time.Now())
+				e := r.keeper.Book.Enter(accounting.Job{Front: "nowhere", Class: "hold"}, time.Now())
+				r.keeper.Book.End(e, accounting.Answered, time.Now())
+				r.keeper.Book.End(e, accounting.Answered, time.Now())
 			})
-		}, account.AuditSums},
+		}, accounting.AuditSums},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, filepath.Join(t.TempDir(), "figures"))
@@ -309,7 +309,7 @@
 	r.submit(0, "t1", "hold", "k")
 	r.submit(1, "t2", "hold", "k")
 	r.hub.Sync(func() {})
-	r.hub.End(r.take(0), basaltloft.OK, nil)
+	r.hub.End(r.take(0), policy.OK, nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -349,7 +349,7 @@
 	table.Reset()
 	require.NoError(t, WindowTable(&table, report, "hour"))
 	require.Regexp(t, `http +hold +a +0 +1 +`, table.String())
-	report.Audit.Differences = []account.Difference{{Audit: "sums", What: "taken", Here: 1, There: 2}}
+	report.Audit.Differences = []accounting.Difference{{Audit: "sums", What: "taken", Here: 1, There: 2}}
 	table.Reset()
 	require.NoError(t, Table(&table, report, nil))
 	require.Contains(t, table.String(), "DOES NOT ADD UP:\n  sums: taken: 1 in the account, 2 on the other side")
--- a/internal/figures/golden_test.go
+++ b/internal/dispatcher/metrics/golden_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
@@ -46,7 +46,7 @@
 func TestGoldenFigures(t *testing.T) {
 	r := newRig(t, t.TempDir())
 	defer r.end()
-	statuses := []basaltloft.Status{basaltloft.OK, basaltloft.OK, basaltloft.Unfit}
+	statuses := []policy.Status{policy.OK, policy.OK, policy.Unfit}
 	for n, status := range statuses {
 		r.submit(n%2, string(rune('a'+n)), []string{"hold", "ticket"}[n%2], "k")
 		var flow = r.take(0)
--- a/internal/figures/table.go
+++ b/internal/dispatcher/metrics/table.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"text/tabwriter"
 	"time"
 
-	"basaltloft/internal/account"
+	"basaltloft/internal/dispatcher/accounting"
 )
 
 // Dimensions are what a table can be by.
 var Dimensions = []string{"front", "class", "tenant", "group"}
 
-func dimension(p *account.Place, by string) string {
+func dimension(p *accounting.Place, by string) string {
 	return map[string]string{"front": p.Front, "class": p.Class, "tenant": p.Tenant, "group": p.Group}[by]
 }
 
@@ -28,9 +28,9 @@
 		head = append(head, "came", "went")
 	}
 	fmt.Fprintln(w, strings.Join(append(head, "served", "refused", "failed", "open"), "\t")+"\t")
-	sums := make(map[string]*account.Row)
+	sums := make(map[string]*accounting.Row)
 	var order []string
-	var all account.Row
+	var all accounting.Row
 	for i := range r.Account.Rows {
 		row := &r.Account.Rows[i]
 		var cells []string
@@ -39,10 +39,10 @@
 		}
 		key := strings.Join(cells, "\t")
 		if sums[key] == nil {
-			sums[key] = new(account.Row)
+			sums[key] = new(accounting.Row)
 			order = append(order, key)
 		}
-		for _, sum := range []*account.Row{sums[key], &all} {
+		for _, sum := range []*accounting.Row{sums[key], &all} {
 			sum.Entered += row.Entered
 			sum.Came += row.Came
 			sum.Went += row.Went
@@ -52,10 +52,10 @@
 			}
 		}
 	}
-	line := func(key string, row *account.Row) {
-		var ends [account.Outcomes]int64
+	line := func(key string, row *accounting.Row) {
+		var ends [accounting.Outcomes]int64
 		for i, n := range row.Ends {
-			ends[account.Reason(i).Outcome()] += n
+			ends[accounting.Reason(i).Outcome()] += n
 		}
 		if key != "" {
 			key += "\t"
@@ -64,7 +64,7 @@
 		if moves {
 			fmt.Fprintf(w, "%d\t%d\t", row.Came, row.Went)
 		}
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t\n", ends[account.Served], ends[account.Refused], ends[account.Failed], row.Open)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t\n", ends[accounting.Served], ends[accounting.Refused], ends[accounting.Failed], row.Open)
 	}
 	slices.Sort(order)
 	for _, key := range order {
@@ -79,12 +79,12 @@
 	fmt.Fprintln(out)
 	for reason, n := range all.Ends {
 		if n > 0 {
-			fmt.Fprintf(out, "%8d  %s (%s)\n", n, account.Reason(reason), account.Reason(reason).Outcome())
+			fmt.Fprintf(out, "%8d  %s (%s)\n", n, accounting.Reason(reason), accounting.Reason(reason).Outcome())
 		}
 	}
 	a := &r.Account.Asks
 	fmt.Fprintf(out, "\nasks: %d, with %d retries (%d after they were served) and %d strays; served %d, refused %d, failed %d, open %d\n",
-		a.Asked, a.Retries, a.Echoes, a.Strays, a.Final(account.Served), a.Final(account.Refused), a.Final(account.Failed), a.Open)
+		a.Asked, a.Retries, a.Echoes, a.Strays, a.Final(accounting.Served), a.Final(accounting.Refused), a.Final(accounting.Failed), a.Open)
 	for class, t := range r.Account.Times {
 		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 		fmt.Fprintf(out, "%s: whole p50 %.1f ms, p95 %.1f ms, p99 %.1f ms; wait p50 %.1f ms; run p50 %.1f ms\n",
@@ -97,9 +97,9 @@
 		}
 		fmt.Fprintf(out, "journal: epoch %d, %d records, %s\n", j.Epoch, j.Written, state)
 	}
-	if t := &r.Account.Totals; t.Taken == t.By(account.Served)+t.By(account.Refused)+t.By(account.Failed)+t.Open && len(r.Audit.Differences) == 0 {
+	if t := &r.Account.Totals; t.Taken == t.By(accounting.Served)+t.By(accounting.Refused)+t.By(accounting.Failed)+t.Open && len(r.Audit.Differences) == 0 {
 		fmt.Fprintf(out, "%d taken = %d served + %d refused + %d failed + %d open; %d audits found nothing\n", t.Taken,
-			t.By(account.Served), t.By(account.Refused), t.By(account.Failed), t.Open, r.Audit.Audits)
+			t.By(accounting.Served), t.By(accounting.Refused), t.By(accounting.Failed), t.Open, r.Audit.Audits)
 		return nil
 	}
 	fmt.Fprintln(out, "THE ACCOUNT DOES NOT ADD UP:")
@@ -124,14 +124,14 @@
 	fmt.Fprintln(w, "front\tclass\ttenant\topened\ttaken\tserved\trefused\tfailed\topen\t")
 	for i := range r.Account.Lines {
 		l := &r.Account.Lines[i]
-		s := map[string]account.Span{"minute": l.Minute, "hour": l.Hour, "day": l.Day, "last60m": l.Hour60, "last24h": l.Day24}[window]
+		s := map[string]accounting.Span{"minute": l.Minute, "hour": l.Hour, "day": l.Day, "last60m": l.Hour60, "last24h": l.Day24}[window]
 		now := open[[3]string{l.Front, l.Class, l.Tenant}]
 		var ended int64
 		for _, n := range s.Ends {
 			ended += int64(n)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Front, l.Class, l.Tenant, now+ended-int64(s.Taken), s.Taken,
-			s.Ends[account.Served], s.Ends[account.Refused], s.Ends[account.Failed], now)
+			s.Ends[accounting.Served], s.Ends[accounting.Refused], s.Ends[accounting.Failed], now)
 	}
 	return w.Flush()
 }
--- a/internal/hand/golden_test.go
+++ b/internal/dispatcher/override/golden_test.go
@@ -1,11 +1,11 @@
-package hand
+package override
 
 import (
 	"path/filepath"
 	"testing"
 	"time"
 
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/hand/hand.go
+++ b/internal/dispatcher/override/hand.go
@@ -1,8 +1,8 @@
-// Package hand keeps what operators set by hand: the runners they took out and
+// Package override keeps what operators set by hand: the runners they took out and
 // when they put them back, and whether they drain this dispatcher. It decides
 // without I/O; its state is written to a file by the service, so that a new
 // version of the program started beside this one goes on with it.
-package hand
+package override
 
 import (
 	"fmt"
--- a/internal/hand/hand_test.go
+++ b/internal/dispatcher/override/hand_test.go
@@ -1,4 +1,4 @@
-package hand
+package override
 
 import (
 	"testing"
--- a/internal/stage/admit.go
+++ b/internal/dispatcher/pipeline/admit.go
@@ -1,10 +1,10 @@
-package stage
+package pipeline
 
 import (
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
 )
 
 // Limits bound what is held at a time, to stay within memory and sockets.
@@ -19,16 +19,16 @@
 
 // Admit implements core.Stages. What it turns away has not run and was never
 // seen by the decisions, so that trying again is harmless.
-func (c *Chain) Admit(t *core.Transaction, load core.Load, now time.Time) *core.Answer {
+func (c *Chain) Admit(t *engine.Transaction, load engine.Load, now time.Time) *engine.Answer {
 	if load.Open > c.limits.Open || load.Bytes > c.limits.Bytes || !t.Deadline.After(now) {
-		return &core.Answer{Verdict: core.Refused, Reason: account.NoRoom, RetryAt: now.Add(comeBack)}
+		return &engine.Answer{Verdict: engine.Refused, Reason: accounting.NoRoom, RetryAt: now.Add(comeBack)}
 	}
 	if load.Behind > 0 {
-		return &core.Answer{Verdict: core.Refused, Reason: account.Behind, RetryAt: now.Add(load.Behind)}
+		return &engine.Answer{Verdict: engine.Refused, Reason: accounting.Behind, RetryAt: now.Add(load.Behind)}
 	}
 	if c.shares != nil {
 		if until, ok := c.shares.Admit(t.Tenant, now); !ok {
-			return &core.Answer{Verdict: core.Refused, Reason: account.NoShare, RetryAt: until}
+			return &engine.Answer{Verdict: engine.Refused, Reason: accounting.NoShare, RetryAt: until}
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/dispatcher/pipeline/admit_test.go
@@ -0,0 +1,43 @@
+package pipeline
+
+import (
+	"testing"
+	"time"
+
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestAdmit(t *testing.T) {
+	c, now := New(policy.Settings{}, Limits{Open: 2, Bytes: 100}, nil, nil), time.Now()
+	for name, at := range map[string]struct {
+		load engine.Load
+		left time.Duration
+		want accounting.Reason
+		wait time.Duration
+	}{
+		"room":           {engine.Load{Open: 2, Bytes: 100}, time.Second, accounting.Reasons, 0},
+		"too many":       {engine.Load{Open: 3, Bytes: 1}, time.Second, accounting.NoRoom, comeBack},
+		"too large":      {engine.Load{Open: 1, Bytes: 101}, time.Second, accounting.NoRoom, comeBack},
+		"no time left":   {engine.Load{Open: 1}, 0, accounting.NoRoom, comeBack},
+		"late by itself": {engine.Load{Open: 1, Behind: 3 * time.Second}, time.Minute, accounting.Behind, 3 * time.Second},
+	} {
+		a := c.Admit(&engine.Transaction{Deadline: now.Add(at.left)}, at.load, now)
+		if at.want == accounting.Reasons {
+			require.Nil(t, a, name)
+			continue
+		}
+		require.Equal(t, &engine.Answer{Verdict: engine.Refused, Reason: at.want, RetryAt: now.Add(at.wait)}, a, name)
+	}
+}
+
+// TestRoute: the decisions hear what a front read of a request.
+func TestRoute(t *testing.T) {
+	c := New(policy.Settings{Classes: []policy.Class{{Name: "hold", GiveUp: time.Minute}}}, Limits{Open: 2, Bytes: 100}, nil, nil)
+	tx, err := c.TakeIn(Arrival{ID: "1", Class: "hold", Subject: "7f", Hint: time.Second, Slots: 2, Memory: 0.5, Retry: true, Needs: "x"}, time.Now(), nil)
+	require.NoError(t, err)
+	require.Equal(t, policy.Request{ID: "1", Class: "hold", Subject: "7f", Hint: time.Second, Slots: 2, Memory: 0.5, Retry: true, Needs: "x"}, c.Route(tx))
+}
--- /dev/null
+++ b/internal/dispatcher/pipeline/send.go
@@ -0,0 +1,17 @@
+package pipeline
+
+import (
+	"time"
+
+	"basaltloft/internal/dispatcher/engine"
+)
+
+// Send implements core.Stages. No flow outlives its transaction's deadline.
+func (c *Chain) Send(t *engine.Transaction, m *engine.Member, number int, now, until time.Time) *engine.Flow {
+	if until.After(t.Deadline) {
+		until = t.Deadline
+	}
+	f := &engine.Flow{Transaction: t, Member: m, Number: number, SentAt: now, Deadline: until}
+	c.books.Sent(f, now)
+	return f
+}
--- a/internal/stage/stage.go
+++ b/internal/dispatcher/pipeline/stage.go
@@ -1,13 +1,13 @@
-// Package stage has the six stages that a transaction passes, each in a unit
+// Package pipeline has the six stages that a transaction passes, each in a unit
 // of its own: take in, admit, route, send, relay, book. Take in is the fronts'
 // way into the core; the core calls the others. None of them knows a wire.
-package stage
+package pipeline
 
 import (
 	"sync/atomic"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/sirupsen/logrus"
 )
@@ -15,7 +15,7 @@
 // Chain is the stages of one dispatcher. It implements core.Stages.
 type Chain struct {
 	limits  Limits
-	classes atomic.Pointer[map[string]basaltloft.Class] // fronts read it, a retune replaces it
+	classes atomic.Pointer[map[string]policy.Class] // fronts read it, a retune replaces it
 	books   Books
 	needs   func(class string) string // what jobs need that do not say; nil: nothing
 	shares  Shares                    // nil: nothing is shared
@@ -36,15 +36,15 @@
 func (c *Chain) Need(of func(class string) string) { c.needs = of }
 
 // New returns the chain for the module's settings.
-func New(s basaltloft.Settings, limits Limits, books Books, log *logrus.Logger) *Chain {
+func New(s policy.Settings, limits Limits, books Books, log *logrus.Logger) *Chain {
 	c := &Chain{limits: limits, books: books, log: log}
 	c.Retune(s)
 	return c
 }
 
 // Retune takes the classes of new settings for what comes from now on.
-func (c *Chain) Retune(s basaltloft.Settings) {
-	classes := make(map[string]basaltloft.Class, len(s.Classes))
+func (c *Chain) Retune(s policy.Settings) {
+	classes := make(map[string]policy.Class, len(s.Classes))
 	for _, class := range s.Classes {
 		classes[class.Name] = class
 	}
--- a/internal/stage/takein.go
+++ b/internal/dispatcher/pipeline/takein.go
@@ -1,4 +1,4 @@
-package stage
+package pipeline
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"math"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // MaxBody is the most bytes that a job may have on any wire.
@@ -46,7 +46,7 @@
 
 // TakeIn makes a transaction of an arrival, or says what is wrong with it. Bad
 // input goes no further: the decisions never see it.
-func (c *Chain) TakeIn(a Arrival, now time.Time, client core.Client) (*core.Transaction, error) {
+func (c *Chain) TakeIn(a Arrival, now time.Time, client engine.Client) (*engine.Transaction, error) {
 	class, ok := (*c.classes.Load())[a.Class]
 	switch {
 	case a.ID == "" || len(a.ID) > maxID:
@@ -66,7 +66,7 @@
 	if latest := now.Add(class.GiveUp); a.GivesUp.IsZero() || a.GivesUp.After(latest) {
 		a.GivesUp = latest
 	}
-	return &core.Transaction{
+	return &engine.Transaction{
 		ID: a.ID, Class: a.Class, Tenant: a.Tenant, Front: a.Front, Target: a.Target, Key: a.Key, Body: a.Body, Form: a.Form, Subject: a.Subject,
 		Arrived: now, Deadline: a.GivesUp.Add(-early), Hint: a.Hint, Slots: a.Slots, Memory: a.Memory, Retry: a.Retry, Needs: a.Needs, Once: a.Once, Client: client,
 		First: a.First, Plan: a.Plan, Stage: a.Stage, NotMember: a.NotMember, NotItsZone: a.NotItsZone,
@@ -75,7 +75,7 @@
 
 // Effect tells how often a job of a class may run. It reports false for a class
 // that is not known.
-func (c *Chain) Effect(class string) (basaltloft.Effect, bool) {
+func (c *Chain) Effect(class string) (policy.Effect, bool) {
 	known, ok := (*c.classes.Load())[class]
 	return known.Effect, ok
 }
--- a/internal/plots/plots.go
+++ b/internal/dispatcher/plots/plots.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/chart"
-	"basaltloft/internal/journal"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/textchart"
 
 	"gonum.org/v1/plot/plotter"
 )
@@ -51,7 +51,7 @@
 	if len(rows) == 0 {
 		return nil, ErrNothing
 	}
-	outcomes := make(map[float64]*[account.Outcomes]float64)
+	outcomes := make(map[float64]*[accounting.Outcomes]float64)
 	latency := make(map[string]map[string]plotter.XYs)
 	for _, r := range rows {
 		t, err := time.Parse(layout, r.By[0])
@@ -60,12 +60,12 @@
 		}
 		x := float64(t.Unix())
 		if outcomes[x] == nil {
-			outcomes[x] = new([account.Outcomes]float64)
+			outcomes[x] = new([accounting.Outcomes]float64)
 		}
-		for o := range account.Outcomes {
+		for o := range accounting.Outcomes {
 			outcomes[x][o] += float64(r.Outcome(o))
 		}
-		if r.Outcome(account.Served) > 0 {
+		if r.Outcome(accounting.Served) > 0 {
 			of := latency[r.By[1]]
 			if of == nil {
 				of = make(map[string]plotter.XYs)
@@ -75,16 +75,16 @@
 			of["p95"] = append(of["p95"], plotter.XY{X: x, Y: r.P95.Seconds() * 1000})
 		}
 	}
-	counts := chart.Chart{Title: "Jobs by outcome", X: "time (UTC)", Y: "jobs a " + by, Time: true}
-	for o := range account.Outcomes {
+	counts := textchart.Chart{Title: "Jobs by outcome", X: "time (UTC)", Y: "jobs a " + by, Time: true}
+	for o := range accounting.Outcomes {
 		var points plotter.XYs
 		for x, n := range outcomes {
 			points = append(points, plotter.XY{X: x, Y: n[o]})
 		}
 		slices.SortFunc(points, func(a, b plotter.XY) int { return int(a.X - b.X) })
-		counts.Lines = append(counts.Lines, chart.Line{Name: o.String(), Points: points, Colour: int(o)})
+		counts.Lines = append(counts.Lines, textchart.Line{Name: o.String(), Points: points, Colour: int(o)})
 	}
-	times := chart.Chart{Title: "Latency of served jobs", X: "time (UTC)", Y: "milliseconds", Time: true}
+	times := textchart.Chart{Title: "Latency of served jobs", X: "time (UTC)", Y: "milliseconds", Time: true}
 	var classes []string
 	for class := range latency {
 		classes = append(classes, class)
@@ -92,12 +92,12 @@
 	slices.Sort(classes)
 	for n, class := range classes {
 		for _, p := range []string{"p50", "p95"} {
-			times.Lines = append(times.Lines, chart.Line{Name: class + " " + p, Points: latency[class][p], Colour: n + 3, Dashed: p == "p95"})
+			times.Lines = append(times.Lines, textchart.Line{Name: class + " " + p, Points: latency[class][p], Colour: n + 3, Dashed: p == "p95"})
 		}
 	}
 	ext := filepath.Ext(out)
 	second := strings.TrimSuffix(out, ext) + "-latency" + ext
-	for name, c := range map[string]chart.Chart{out: counts, second: times} {
+	for name, c := range map[string]textchart.Chart{out: counts, second: times} {
 		if err := c.Save(name); err != nil {
 			return nil, err
 		}
--- a/internal/plots/plots_test.go
+++ b/internal/dispatcher/plots/plots_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/journal"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/journal"
 
 	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
@@ -25,8 +25,8 @@
 	require.NoError(t, err)
 	for n := uint64(1); n <= 300; n++ {
 		at := start.Add(time.Duration(n) * 6 * time.Second)
-		j.Enter(n, account.Job{Front: "http", Class: []string{"place-hold", "group-ticket"}[n%2]}, at)
-		j.End(n, "cell 0", []account.Reason{account.Answered, account.Answered, account.Declined, account.GivenUp}[n%4], at.Add(time.Duration(n)*time.Millisecond))
+		j.Enter(n, accounting.Job{Front: "http", Class: []string{"place-hold", "group-ticket"}[n%2]}, at)
+		j.End(n, "cell 0", []accounting.Reason{accounting.Answered, accounting.Answered, accounting.Declined, accounting.GivenUp}[n%4], at.Add(time.Duration(n)*time.Millisecond))
 	}
 	require.NoError(t, j.Close())
 	for ending, begins := range map[string]string{".svg": "<?xml", ".png": "\x89PNG"} {
--- a/basaltloft.go
+++ b/internal/dispatcher/policy/basaltloft.go
@@ -1,4 +1,4 @@
-// Package basaltloft decides, beside each submitter of jobs, which worker
+// Package policy decides, beside each submitter of jobs, which worker
 // gets which job and when.
 //
 // A Dispatcher learns run times per type of job, holds jobs until their
@@ -9,7 +9,7 @@
 // concurrently.
 //
 // This file is the interface. The decisions are in dispatcher.go.
-package basaltloft
+package policy
 
 import "time"
 
--- a/cold_test.go
+++ b/internal/dispatcher/policy/cold_test.go
@@ -1,4 +1,4 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // coldRun is a fleet of dispatchers that are all told of one cold member, at which all their jobs end up: the
@@ -27,7 +27,7 @@
 	quiet    time.Duration          // no job comes before this age of the cold member
 	restarts bool                   // each dispatcher restarts once and forgets what it sent
 	report   bool                   // free slots are told, to probes
-	rules    basaltloft.Rules
+	rules    policy.Rules
 	seed     uint64
 }
 
@@ -56,20 +56,20 @@
 
 // coldPlayer is one dispatcher of a run.
 type coldPlayer struct {
-	*basaltloft.Dispatcher
+	*policy.Dispatcher
 	host *coldHost
-	hold map[string]basaltloft.Request
+	hold map[string]policy.Request
 	n    map[string]int // attempts sent
 	rate float64
 }
 
-func (c coldRun) settings(rank int) basaltloft.Settings {
+func (c coldRun) settings(rank int) policy.Settings {
 	s := settings()
 	s.Instances, s.Rank, s.Seed, s.TellsStart = c.n, rank, c.seed<<20+uint64(rank), true
 	s.Limits.SecondCopies, s.Limits.Probes, s.Rules = false, c.report, c.rules
 	s.Classes = nil
 	for _, name := range []string{"hold", "ticket", "jam"} {
-		s.Classes = append(s.Classes, basaltloft.Class{Name: name, Effect: basaltloft.Safe, Aim: c.aim,
+		s.Classes = append(s.Classes, policy.Class{Name: name, Effect: policy.Safe, Aim: c.aim,
 			Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1})
 	}
 	return s
@@ -77,22 +77,22 @@
 
 // start starts a dispatcher that knows the kind's slots and whose warm members each hold a job that does not start.
 func (c coldRun) start(t *testing.T, rank int, at time.Duration) *coldPlayer {
-	p := &coldPlayer{hold: make(map[string]basaltloft.Request), n: make(map[string]int)}
+	p := &coldPlayer{hold: make(map[string]policy.Request), n: make(map[string]int)}
 	p.host = &coldHost{recorder: &recorder{sends: make(map[string]int), after: make(map[string]time.Duration), now: at}}
 	p.host.send = func(string, uint32) {}
-	d, err := basaltloft.New(c.settings(rank), p.host)
+	d, err := policy.New(c.settings(rank), p.host)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Dispatcher = d
-	var list []basaltloft.Member
+	var list []policy.Member
 	for i := range c.jammed + 1 {
 		list = append(list, member(uint32(i+1), "a"))
 	}
-	d.Members(at, basaltloft.ListRestored, list)
+	d.Members(at, policy.ListRestored, list)
 	d.Probed(at, full(1, coldCores))
 	for i := range c.jammed + 1 {
-		d.Request(at, basaltloft.Request{ID: fmt.Sprint("jam", i), Class: "jam", Hint: 770 * ms, Slots: 1, Expires: at + time.Minute})
+		d.Request(at, policy.Request{ID: fmt.Sprint("jam", i), Class: "jam", Hint: 770 * ms, Slots: 1, Expires: at + time.Minute})
 		if c.report {
 			for w := range c.jammed + 1 {
 				d.Probed(at, full(uint32(w+1), 0))
@@ -134,19 +134,19 @@
 			sent = append(sent, load{(now - cold.Since).Seconds(), truth[id].Seconds() * slots[id], i})
 			share := c.rules.ColdFrom + (1-c.rules.ColdFrom)*float64(now-cold.Since)/float64(c.rules.ColdFor)
 			end := (now + time.Duration(float64(truth[id])*(1+0.25*(1/share-1)))).Round(coldTick)
-			status := basaltloft.OK
+			status := policy.OK
 			if rng.Float64() < c.errors {
-				status = basaltloft.Full
+				status = policy.Full
 			}
 			start := now + coldTick
 			ends[start] = append(ends[start], func() {
-				p.Note(start, basaltloft.Note{Request: id, Attempt: n, Worker: w, Topic: basaltloft.NoteStarted})
+				p.Note(start, policy.Note{Request: id, Attempt: n, Worker: w, Topic: policy.NoteStarted})
 			})
 			ends[end] = append(ends[end], func() {
-				p.Outcome(end, basaltloft.Outcome{Request: id, Attempt: n, Worker: w, Status: status, Ended: status == basaltloft.OK})
+				p.Outcome(end, policy.Outcome{Request: id, Attempt: n, Worker: w, Status: status, Ended: status == policy.OK})
 			})
 		}
-		p.Members(p.host.now, basaltloft.ListChange, []basaltloft.Member{cold})
+		p.Members(p.host.now, policy.ListChange, []policy.Member{cold})
 	}
 	for i, p := range players {
 		p.host.now = cold.Since
@@ -176,7 +176,7 @@
 			for more := p.rate / total * c.jobs * coldTick.Seconds(); now-cold.Since >= c.quiet && rng.Float64() < more; more-- {
 				jobs++
 				id := "r" + strconv.Itoa(int(jobs))
-				r := basaltloft.Request{ID: id, Class: "hold", Slots: 1, Expires: now + 30*time.Second}
+				r := policy.Request{ID: id, Class: "hold", Slots: 1, Expires: now + 30*time.Second}
 				run := 0.77 * (0.2 + 0.8*rng.ExpFloat64())
 				off := c.off[0]
 				if rng.Float64() < c.wide {
@@ -234,8 +234,8 @@
 // cold member together stays under N + 2 x root of N + 2 jobs of mean work in every window of the rule, in true work.
 // Of few, whose draws make no distribution, none sends more than its even part of N, but for what it learned of paces.
 func TestColdSumAtEachSize(t *testing.T) {
-	rules := basaltloft.Rules{AnswerGrace: 20 * ms, ColdFrom: 0.12, ColdFor: 24 * time.Second, FallMultiple: 4, FallFor: 3 * time.Second}
-	short := basaltloft.Rules{AnswerGrace: 20 * ms, ColdFrom: 0.3, ColdFor: 8 * time.Second, FallMultiple: 2.5, FallFor: 1500 * ms}
+	rules := policy.Rules{AnswerGrace: 20 * ms, ColdFrom: 0.12, ColdFor: 24 * time.Second, FallMultiple: 4, FallFor: 3 * time.Second}
+	short := policy.Rules{AnswerGrace: 20 * ms, ColdFrom: 0.3, ColdFor: 8 * time.Second, FallMultiple: 2.5, FallFor: 1500 * ms}
 	base := coldRun{jammed: 9, rate: evenRate, jobs: 30, widest: 2, aim: 3 * time.Second, off: [2]float64{1, 1}, rules: rules}
 	with := func(change func(*coldRun)) coldRun { c := base; change(&c); return c }
 	for name, c := range map[string]coldRun{
--- a/decision_bench_test.go
+++ b/internal/dispatcher/policy/decision_bench_test.go
@@ -1,4 +1,4 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/heap"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/shared/indexedheap"
 )
 
 // farm is a host whose members take each job at once, run it and answer: it
 // costs next to nothing beside the decisions that it plays to.
 type farm struct {
-	d       *basaltloft.Dispatcher
+	d       *policy.Dispatcher
 	rng     *rand.Rand
 	now     time.Duration
-	due     heap.Heap[moment]
+	due     indexedheap.Heap[moment]
 	seq     int
 	open    map[string]*struct{ n int }
 	decided int
@@ -46,12 +46,12 @@
 	o.n++
 	run := time.Duration(10+f.rng.IntN(20)) * time.Millisecond
 	f.after(time.Millisecond, func() {
-		f.d.Note(f.now, basaltloft.Note{Request: id, Attempt: n, Worker: worker, Topic: basaltloft.NoteStarted})
+		f.d.Note(f.now, policy.Note{Request: id, Attempt: n, Worker: worker, Topic: policy.NoteStarted})
 	})
 	f.after(time.Millisecond+run, func() {
 		delete(f.open, id)
 		f.decided++
-		f.d.Outcome(f.now, basaltloft.Outcome{Request: id, Attempt: n, Worker: worker, Status: basaltloft.OK, Latency: run, Ended: true})
+		f.d.Outcome(f.now, policy.Outcome{Request: id, Attempt: n, Worker: worker, Status: policy.OK, Latency: run, Ended: true})
 	})
 }
 func (f *farm) Refuse(id string, _ time.Duration) { delete(f.open, id); f.lost++; f.decided++ }
@@ -68,23 +68,23 @@
 // newFarm is one dispatcher with members that hold one job each, so that the
 // load keeps that share of them busy.
 func newFarm(b testing.TB, members int, load float64) *farm {
-	f := &farm{rng: rand.New(rand.NewPCG(1, 2)), now: time.Second, due: heap.New(func(a, b moment) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil), open: make(map[string]*struct{ n int })}
-	s := basaltloft.Settings{
+	f := &farm{rng: rand.New(rand.NewPCG(1, 2)), now: time.Second, due: indexedheap.New(func(a, b moment) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil), open: make(map[string]*struct{ n int })}
+	s := policy.Settings{
 		Seed: 7, Instances: 1, Zone: "hall", Kinds: []string{"std"}, TellsStart: true,
-		Classes: []basaltloft.Class{{Name: "place-hold", Effect: basaltloft.Safe, GiveUp: 10 * time.Second, Aim: 400 * time.Millisecond, Stretch: 2.5, Worth: 10, Kind: -1}},
-		Limits:  basaltloft.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-		Rules:   basaltloft.Rules{ColdFrom: 0.12, ColdFor: 24 * time.Second, FallMultiple: 4, FallFor: 3 * time.Second},
+		Classes: []policy.Class{{Name: "place-hold", Effect: policy.Safe, GiveUp: 10 * time.Second, Aim: 400 * time.Millisecond, Stretch: 2.5, Worth: 10, Kind: -1}},
+		Limits:  policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
+		Rules:   policy.Rules{ColdFrom: 0.12, ColdFor: 24 * time.Second, FallMultiple: 4, FallFor: 3 * time.Second},
 	}
-	d, err := basaltloft.New(s, f)
+	d, err := policy.New(s, f)
 	if err != nil {
 		b.Fatal(err)
 	}
 	f.d = d
-	list := make([]basaltloft.Member, members)
+	list := make([]policy.Member, members)
 	for i := range list {
-		list[i] = basaltloft.Member{Worker: uint32(i + 1), State: basaltloft.Ready, Kind: "std", Zone: "hall", Cell: i / 100, Weight: 1}
+		list[i] = policy.Member{Worker: uint32(i + 1), State: policy.Ready, Kind: "std", Zone: "hall", Cell: i / 100, Weight: 1}
 	}
-	d.Members(f.now, basaltloft.ListWhole, list)
+	d.Members(f.now, policy.ListWhole, list)
 	every := time.Duration(float64(21*time.Millisecond) / (load * float64(members)))
 	var arrive func()
 	n := 0
@@ -93,7 +93,7 @@
 		n++
 		id := fmt.Sprint("r", n)
 		f.open[id] = &struct{ n int }{}
-		d.Request(f.now, basaltloft.Request{
+		d.Request(f.now, policy.Request{
 			ID: id, Class: "place-hold", Hint: 20 * time.Millisecond, Slots: 1, Expires: f.now + 10*time.Second,
 		})
 	}
--- a/digest_test.go
+++ b/internal/dispatcher/policy/digest_test.go
@@ -1,4 +1,4 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"basaltloft/internal/golden"
+	"basaltloft/internal/shared/digesttest"
 )
 
 // digestFile has a line for each play: its number, its actions, and their digest.
@@ -21,7 +21,7 @@
 const digestSeeds = 15
 
 // actions records what a dispatcher does; the zero value records nothing.
-type actions struct{ trace *golden.Trace }
+type actions struct{ trace *digesttest.Trace }
 
 func (a actions) send(now time.Duration, id string, worker uint32, timeout time.Duration) {
 	if a.trace != nil {
@@ -73,17 +73,17 @@
 }
 
 // playNumbered plays seed by seed the worlds in the order of their names.
-func playNumbered(t *testing.T, number int, withText bool) *golden.Trace {
+func playNumbered(t *testing.T, number int, withText bool) *digesttest.Trace {
 	names := slices.Sorted(maps.Keys(randomWorlds))
 	name, seed := names[number/digestSeeds], uint64(number%digestSeeds)
-	trace := golden.New(withText)
+	trace := digesttest.New(withText)
 	playRecorded(t, seed, strings.HasPrefix(name, "subjects"), randomWorlds[name], actions{trace: trace})
 	return trace
 }
 
 // TestDecisionDigests holds the actions of a dispatcher under random events to those on file.
 func TestDecisionDigests(t *testing.T) {
-	if wanted, ok := golden.Traced(); ok {
+	if wanted, ok := digesttest.Traced(); ok {
 		number, err := strconv.Atoi(wanted)
 		require.NoError(t, err)
 		fmt.Print(playNumbered(t, number, true).Text())
@@ -94,9 +94,9 @@
 		all[number] = number
 	}
 	var lines []string
-	for _, number := range golden.Plays(all) {
+	for _, number := range digesttest.Plays(all) {
 		trace := playNumbered(t, number, false)
 		lines = append(lines, fmt.Sprintf("%d %d %s", number, trace.Lines(), trace.Sum()))
 	}
-	golden.Compare(t, digestFile, lines)
+	digesttest.Compare(t, digestFile, lines)
 }
--- a/dispatcher.go
+++ b/internal/dispatcher/policy/dispatcher.go
@@ -1,4 +1,4 @@
-package basaltloft
+package policy
 
 // Every decision of the library: basaltloft.go has its interface, state.go its books, docs/design.md why.
 
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/admission"
+	"basaltloft/internal/shared/admission"
 )
 
 // Tunables. None of them depends on a deployment.
--- a/dispatcher_test.go
+++ b/internal/dispatcher/policy/dispatcher_test.go
@@ -1,4 +1,4 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 const ms = time.Millisecond
@@ -62,45 +62,45 @@
 
 // bench is a dispatcher with a recording host and a clock set by hand.
 type bench struct {
-	*basaltloft.Dispatcher
+	*policy.Dispatcher
 	*recorder
 	t *testing.T
 }
 
-func settings() basaltloft.Settings {
-	return basaltloft.Settings{
+func settings() policy.Settings {
+	return policy.Settings{
 		Seed: 1, Instances: 2, Zone: "a", Kinds: []string{"k"}, WorthByWork: true,
-		ReportX0: basaltloft.FreeSlots, ReportX1: basaltloft.FreeMemory,
-		Classes: []basaltloft.Class{
-			{Name: "safe", Effect: basaltloft.Safe, Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Worth: 1, Kind: -1},
-			{Name: "keyed", Effect: basaltloft.Keyed, Group: basaltloft.GroupZone, Window: 3 * time.Second, Aim: 400 * ms,
+		ReportX0: policy.FreeSlots, ReportX1: policy.FreeMemory,
+		Classes: []policy.Class{
+			{Name: "safe", Effect: policy.Safe, Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Worth: 1, Kind: -1},
+			{Name: "keyed", Effect: policy.Keyed, Group: policy.GroupZone, Window: 3 * time.Second, Aim: 400 * ms,
 				Stretch: 2, GiveUp: 5 * time.Second, Worth: 8, Kind: -1},
-			{Name: "unsafe", Effect: basaltloft.Unsafe, Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Worth: 10, Kind: -1},
+			{Name: "unsafe", Effect: policy.Unsafe, Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Worth: 10, Kind: -1},
 		},
-		Limits: basaltloft.Limits{MaxAttempts: 3, Cancel: true, Probes: true, SecondCopies: true},
-		Rules: basaltloft.Rules{AnswerGrace: 20 * ms, ColdFrom: 0.3, ColdFor: 8 * time.Second, FallMultiple: 2.5,
+		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, Probes: true, SecondCopies: true},
+		Rules: policy.Rules{AnswerGrace: 20 * ms, ColdFrom: 0.3, ColdFor: 8 * time.Second, FallMultiple: 2.5,
 			FallFor: 2 * time.Second},
 	}
 }
 
-func member(id uint32, zone string) basaltloft.Member {
-	return basaltloft.Member{Worker: id, Kind: "k", Zone: zone, State: basaltloft.Ready, Weight: 1}
+func member(id uint32, zone string) policy.Member {
+	return policy.Member{Worker: id, Kind: "k", Zone: zone, State: policy.Ready, Weight: 1}
 }
 
 // newBench starts a dispatcher with workers 1 to n in zone a.
-func newBench(t *testing.T, s basaltloft.Settings, n int) *bench {
+func newBench(t *testing.T, s policy.Settings, n int) *bench {
 	t.Helper()
 	r := &recorder{sends: make(map[string]int), after: make(map[string]time.Duration), now: time.Minute}
-	d, err := basaltloft.New(s, r)
+	d, err := policy.New(s, r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &bench{Dispatcher: d, recorder: r, t: t}
-	var list []basaltloft.Member
+	var list []policy.Member
 	for i := range n {
 		list = append(list, member(uint32(i+1), "a"))
 	}
-	b.Members(b.now, basaltloft.ListRestored, list)
+	b.Members(b.now, policy.ListRestored, list)
 	return b
 }
 
@@ -127,7 +127,7 @@
 }
 
 func (b *bench) request(id, class string, hint time.Duration) {
-	b.Request(b.now, basaltloft.Request{ID: id, Class: class, Hint: hint, Expires: b.now + 5*time.Second})
+	b.Request(b.now, policy.Request{ID: id, Class: class, Hint: hint, Expires: b.now + 5*time.Second})
 }
 
 // sentTo is the worker that the request's last send went to.
@@ -143,13 +143,13 @@
 }
 
 // outcome ends the request's last attempt.
-func (b *bench) outcome(id string, s basaltloft.Status) {
-	b.Outcome(b.now, basaltloft.Outcome{Request: id, Attempt: b.sends[id] - 1, Worker: b.sentTo(id), Status: s, Ended: s == basaltloft.OK})
+func (b *bench) outcome(id string, s policy.Status) {
+	b.Outcome(b.now, policy.Outcome{Request: id, Attempt: b.sends[id] - 1, Worker: b.sentTo(id), Status: s, Ended: s == policy.OK})
 }
 
 // full is a probe's answer that tells free slots.
-func full(w uint32, free float64) basaltloft.Probed {
-	return basaltloft.Probed{Worker: w, Report: basaltloft.Report{Has: basaltloft.HasX0, X0: free}}
+func full(w uint32, free float64) policy.Probed {
+	return policy.Probed{Worker: w, Report: policy.Report{Has: policy.HasX0, X0: free}}
 }
 
 func TestHoldsUntilCostFits(t *testing.T) {
@@ -162,7 +162,7 @@
 	}
 	before := b.count("send")
 	b.now += 300 * ms
-	b.outcome("r0", basaltloft.OK)
+	b.outcome("r0", policy.OK)
 	if b.count("send") != before+1 {
 		t.Error("a job that ended did not make room for the next")
 	}
@@ -181,7 +181,7 @@
 	}
 	b.pass(800 * ms) // long has aged by now
 	b.request("late", "safe", 100*ms)
-	b.outcome("first", basaltloft.OK)
+	b.outcome("first", policy.OK)
 	if !b.has("send long 1") || b.has("send late 1") {
 		t.Errorf("an aged job is passed by a shorter one: %v", b.acts)
 	}
@@ -191,7 +191,7 @@
 	b := newBench(t, settings(), 1)
 	for i := range 20 {
 		b.request(fmt.Sprint("r", i), "safe", 50*ms)
-		b.outcome(fmt.Sprint("r", i), basaltloft.OK)
+		b.outcome(fmt.Sprint("r", i), policy.OK)
 	}
 	b.request("huge", "safe", 20*time.Second/10)
 	if !b.has("send huge 1") {
@@ -203,7 +203,7 @@
 	s := settings()
 	s.CrossZonePrice = 0.05
 	b := newBench(t, s, 0)
-	b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(1, "b"), member(2, "a"), member(3, "b")})
+	b.Members(b.now, policy.ListWhole, []policy.Member{member(1, "b"), member(2, "a"), member(3, "b")})
 	b.request("r", "safe", 100*ms)
 	if w := b.sentTo("r"); w != 2 {
 		t.Errorf("sent to worker %d of another zone", w)
@@ -222,7 +222,7 @@
 }
 
 func TestUnsafeIsNeverSentTwice(t *testing.T) {
-	for _, s := range []basaltloft.Status{basaltloft.Error, basaltloft.TimedOut, basaltloft.Reset, basaltloft.Cancelled} {
+	for _, s := range []policy.Status{policy.Error, policy.TimedOut, policy.Reset, policy.Cancelled} {
 		b := newBench(t, settings(), 3)
 		b.request("r", "unsafe", 100*ms)
 		b.outcome("r", s)
@@ -230,7 +230,7 @@
 			t.Errorf("status %d: %v", s, b.acts)
 		}
 	}
-	for _, s := range []basaltloft.Status{basaltloft.Full, basaltloft.ConnectFailed} {
+	for _, s := range []policy.Status{policy.Full, policy.ConnectFailed} {
 		b := newBench(t, settings(), 3)
 		b.request("r", "unsafe", 100*ms)
 		b.outcome("r", s)
@@ -242,10 +242,10 @@
 
 func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
 	b := newBench(t, settings(), 0)
-	b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(1, "a"), member(2, "b"), member(3, "b"), member(4, "b")})
+	b.Members(b.now, policy.ListWhole, []policy.Member{member(1, "a"), member(2, "b"), member(3, "b"), member(4, "b")})
 	b.request("r", "keyed", 100*ms)
 	first := b.sentTo("r")
-	b.outcome("r", basaltloft.Reset)
+	b.outcome("r", policy.Reset)
 	if b.sends["r"] == 2 && (first == 1) != (b.sentTo("r") == 1) {
 		t.Errorf("resent outside its group: %v", b.acts)
 	}
@@ -258,7 +258,7 @@
 	b = newBench(t, s, 3)
 	b.request("late", "keyed", 100*ms)
 	b.now += 3100 * ms // past the window, inside the aim
-	b.outcome("late", basaltloft.Reset)
+	b.outcome("late", policy.Reset)
 	if b.sends["late"] != 1 {
 		t.Error("resent after the workers have forgotten it")
 	}
@@ -269,16 +269,16 @@
 func TestGroupIsThatOfTheSend(t *testing.T) {
 	for _, stays := range []bool{false, true} {
 		b := newBench(t, settings(), 0)
-		b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(1, "a"), member(2, "b")})
+		b.Members(b.now, policy.ListWhole, []policy.Member{member(1, "a"), member(2, "b")})
 		b.request("r", "keyed", 100*ms)
 		first := b.sentTo("r")
 		zones := map[uint32]string{1: "a", 2: "b"}
-		list := []basaltloft.Member{member(first, zones[3-first]), member(3-first, zones[3-first])}
+		list := []policy.Member{member(first, zones[3-first]), member(3-first, zones[3-first])}
 		if stays { // somebody else has come to where it was
 			list = append(list, member(3, zones[first]))
 		}
-		b.Members(b.now, basaltloft.ListWhole, list)
-		b.outcome("r", basaltloft.Reset)
+		b.Members(b.now, policy.ListWhole, list)
+		b.outcome("r", policy.Reset)
 		if stays && (b.sends["r"] != 2 || b.sentTo("r") != 3) {
 			t.Errorf("worker 3 of its zone did not get it again: %v", b.acts)
 		}
@@ -293,13 +293,13 @@
 func TestKeyedWithoutAKey(t *testing.T) {
 	for _, c := range []struct {
 		unkeyed bool
-		status  basaltloft.Status
+		status  policy.Status
 		sends   int
-	}{{true, basaltloft.Reset, 1}, {true, basaltloft.Error, 1}, {true, basaltloft.ConnectFailed, 2}, {false, basaltloft.Reset, 2}} {
+	}{{true, policy.Reset, 1}, {true, policy.Error, 1}, {true, policy.ConnectFailed, 2}, {false, policy.Reset, 2}} {
 		s := settings()
-		s.Classes[1].Group = basaltloft.GroupAll
+		s.Classes[1].Group = policy.GroupAll
 		b := newBench(t, s, 3)
-		b.Request(b.now, basaltloft.Request{ID: "r", Class: "keyed", Unkeyed: c.unkeyed, Hint: 100 * ms, Expires: b.now + 5*time.Second})
+		b.Request(b.now, policy.Request{ID: "r", Class: "keyed", Unkeyed: c.unkeyed, Hint: 100 * ms, Expires: b.now + 5*time.Second})
 		b.outcome("r", c.status)
 		if b.sends["r"] != c.sends || c.sends == 1 && (b.has("refuse r") || !b.has("fail r")) {
 			t.Errorf("unkeyed %t, status %d: %v", c.unkeyed, c.status, b.acts)
@@ -323,12 +323,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings()
-			s.Classes[1].Aim, s.Classes[1].Group = 4*time.Second, basaltloft.GroupAll
+			s.Classes[1].Aim, s.Classes[1].Group = 4*time.Second, policy.GroupAll
 			s.Limits.ConnectWithin, s.Limits.RetryAfter, s.Limits.MaxRetryAfter = c.dial, true, 2*time.Second
 			b := newBench(t, s, 3)
 			b.request("r", "keyed", 100*ms)
 			b.now += c.after
-			b.outcome("r", basaltloft.Reset)
+			b.outcome("r", policy.Reset)
 			if b.sends["r"] != c.sends || c.end != "" && !b.has(c.end) {
 				t.Errorf("%d sends: %v", b.sends["r"], b.acts)
 			}
@@ -342,21 +342,21 @@
 	s.Rules.FullMayHaveRun = true
 	b := newBench(t, s, 3)
 	b.request("u", "unsafe", 100*ms)
-	b.outcome("u", basaltloft.Full)
+	b.outcome("u", policy.Full)
 	if b.sends["u"] != 1 || b.has("refuse u") || !b.has("fail u") {
 		t.Errorf("an unsafe job that may have run: %v", b.acts)
 	}
 	b = newBench(t, s, 0)
-	b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(1, "a"), member(2, "b"), member(3, "c")})
+	b.Members(b.now, policy.ListWhole, []policy.Member{member(1, "a"), member(2, "b"), member(3, "c")})
 	b.request("k", "keyed", 100*ms)
-	b.outcome("k", basaltloft.Full)
+	b.outcome("k", policy.Full)
 	b.pass(5 * time.Second)
 	if b.sends["k"] != 1 || b.has("refuse k") || !b.has("fail k") {
 		t.Errorf("a keyed job left its group: %v", b.acts)
 	}
 	b = newBench(t, s, 3)
 	b.request("s", "safe", 100*ms)
-	b.outcome("s", basaltloft.Full)
+	b.outcome("s", policy.Full)
 	if b.sends["s"] != 2 {
 		t.Errorf("a safe job goes on freely: %v", b.acts)
 	}
@@ -385,7 +385,7 @@
 	b := newBench(t, settings(), 2)
 	b.request("big", "unsafe", 500*ms) // raises the mean, so that budgets hold nothing back here
 	b.now += 500 * ms
-	b.outcome("big", basaltloft.OK)
+	b.outcome("big", policy.OK)
 	b.Probed(b.now, full(1, 4))
 	b.Probed(b.now, full(2, 0))
 	b.request("a", "unsafe", 20*ms)
@@ -396,7 +396,7 @@
 	if b.sends["n"] > 0 && b.sentTo("n") == 1 {
 		t.Error("a probe's answer clears a worker that ends no job")
 	}
-	b.outcome("a", basaltloft.OK)
+	b.outcome("a", policy.OK)
 	if b.sends["n"] != 1 || b.sentTo("n") != 1 {
 		t.Error("a job that ended does not clear the worker")
 	}
@@ -417,7 +417,7 @@
 			slow++
 		}
 		b.now += took
-		b.outcome(id, basaltloft.OK)
+		b.outcome(id, policy.OK)
 	}
 	if slow > 6 {
 		t.Errorf("%d of 30 jobs went to the slower of two idle workers", slow)
@@ -438,16 +438,16 @@
 	b := newBench(t, settings(), 1)
 	b.request("r", "safe", 0)
 	b.now += 100 * ms
-	b.outcome("r", basaltloft.OK)
+	b.outcome("r", policy.OK)
 	for i := range 30 {
 		id := fmt.Sprint("r", i)
 		b.request(id, "safe", 0)
 		b.now += 100 * ms
-		b.outcome(id, basaltloft.OK)
+		b.outcome(id, policy.OK)
 	}
 	b.request("heavy", "safe", 0)
 	b.now += 430 * ms // far heavier than its class, and no hint tells it
-	b.outcome("heavy", basaltloft.OK)
+	b.outcome("heavy", policy.OK)
 	b.request("n", "safe", 0)
 	if b.sends["n"] != 1 {
 		t.Errorf("one heavy job makes its class look hopeless: %v", b.acts[len(b.acts)-3:])
@@ -456,20 +456,20 @@
 
 func TestCutOffZoneLeavesTheRestServing(t *testing.T) {
 	b := newBench(t, settings(), 0)
-	b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(1, "a"), member(2, "b"), member(3, "b")})
+	b.Members(b.now, policy.ListWhole, []policy.Member{member(1, "a"), member(2, "b"), member(3, "b")})
 	for i := range 6 {
 		id := fmt.Sprint("r", i)
 		b.request(id, "unsafe", 50*ms)
 		for b.sends[id] > 0 && b.sentTo(id) != 1 && !b.has("refuse "+id) {
 			n := b.sends[id]
-			b.outcome(id, basaltloft.ConnectFailed)
+			b.outcome(id, policy.ConnectFailed)
 			if b.sends[id] == n {
 				break
 			}
 		}
 		if b.sends[id] > 0 && b.sentTo(id) == 1 {
 			b.now += 50 * ms
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 	}
 	b.request("n", "unsafe", 50*ms)
@@ -482,7 +482,7 @@
 	b := newBench(t, settings(), 2)
 	b.request("r", "unsafe", 50*ms)
 	for range 3 {
-		b.outcome("r", basaltloft.ConnectFailed)
+		b.outcome("r", policy.ConnectFailed)
 	}
 	b.pass(40 * ms)
 	b.request("n", "unsafe", 50*ms)
@@ -494,8 +494,8 @@
 func TestDrainStopsAtOnce(t *testing.T) {
 	b := newBench(t, settings(), 1)
 	m := member(1, "a")
-	m.State = basaltloft.Draining
-	b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{m})
+	m.State = policy.Draining
+	b.Members(b.now, policy.ListChange, []policy.Member{m})
 	b.request("r", "safe", 50*ms)
 	b.pass(300 * ms)
 	if b.sends["r"] != 0 {
@@ -514,14 +514,14 @@
 	b := newBench(t, s, 0)
 	m := member(1, "a")
 	m.Since = b.now
-	b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{m})
+	b.Members(b.now, policy.ListWhole, []policy.Member{m})
 	sent := 0.0
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
 		b.request(id, "safe", 100*ms)
 		if b.sends[id] > 0 {
 			sent += 0.1
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 		b.now += 5 * ms
 	}
@@ -537,16 +537,16 @@
 	b := newBench(t, s, 1)
 	b.request("down", "unsafe", 100*ms)
 	for range 3 {
-		b.outcome("down", basaltloft.ConnectFailed)
+		b.outcome("down", policy.ConnectFailed)
 	}
-	b.Probed(b.now, basaltloft.Probed{Worker: 1, Status: basaltloft.OK})
+	b.Probed(b.now, policy.Probed{Worker: 1, Status: policy.OK})
 	sent := 0
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
 		b.request(id, "safe", 100*ms)
 		if b.sends[id] > 0 {
 			sent++
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 	}
 	if sent > 7 { // half of 2.5 x 0.3 x one slot x 2 s, in jobs of 100 ms
@@ -562,7 +562,7 @@
 			return false
 		}
 		b.now += took
-		b.outcome(id, basaltloft.OK)
+		b.outcome(id, policy.OK)
 		return true
 	}
 	for i := range 40 {
@@ -582,7 +582,7 @@
 	b := newBench(t, settings(), 2)
 	b.request("r", "unsafe", 100*ms)
 	w := b.sentTo("r")
-	b.outcome("r", basaltloft.Full)
+	b.outcome("r", policy.Full)
 	b.Probed(b.now, full(w, 2)) // sent before the refusal
 	for i := range 4 {
 		id := fmt.Sprint("n", i)
@@ -596,7 +596,7 @@
 func TestWideHeadLetsNarrowPass(t *testing.T) {
 	b := newBench(t, settings(), 1)
 	b.Probed(b.now, full(1, 1))
-	b.Request(b.now, basaltloft.Request{ID: "wide", Class: "safe", Hint: 10 * ms, Slots: 4, Expires: b.now + 5*time.Second})
+	b.Request(b.now, policy.Request{ID: "wide", Class: "safe", Hint: 10 * ms, Slots: 4, Expires: b.now + 5*time.Second})
 	b.request("narrow", "safe", 200*ms)
 	if b.sends["wide"] != 0 || b.sends["narrow"] != 1 {
 		t.Errorf("the wide head holds the narrow job: %v", b.acts)
@@ -607,7 +607,7 @@
 	b := newBench(t, settings(), 1)
 	for i := range 30 {
 		b.request(fmt.Sprint("r", i), "safe", 100*ms)
-		b.outcome(fmt.Sprint("r", i), basaltloft.OK)
+		b.outcome(fmt.Sprint("r", i), policy.OK)
 	}
 	b.request("heavy", "safe", 5*time.Second)
 	b.now += 200 * ms
@@ -641,7 +641,7 @@
 	if b.count("watch true") != 1 {
 		t.Fatalf("the list is not watched: %v", b.acts)
 	}
-	b.Members(b.now, basaltloft.ListFailed, nil)
+	b.Members(b.now, policy.ListFailed, nil)
 	b.pass(time.Second)
 	if b.count("watch true") != 2 {
 		t.Fatalf("a failed watch is not renewed once: %v", b.acts)
@@ -654,30 +654,30 @@
 
 func TestUnknownEventsDoNoHarm(t *testing.T) {
 	b := newBench(t, settings(), 1)
-	b.Outcome(b.now, basaltloft.Outcome{Request: "nobody", Worker: 99})
-	b.Probed(b.now, basaltloft.Probed{Worker: 99, Status: basaltloft.TimedOut})
-	b.Note(b.now, basaltloft.Note{Request: "nobody", Worker: 99, Topic: basaltloft.NoteStarted})
-	b.First(b.now, basaltloft.First{Request: "nobody"})
+	b.Outcome(b.now, policy.Outcome{Request: "nobody", Worker: 99})
+	b.Probed(b.now, policy.Probed{Worker: 99, Status: policy.TimedOut})
+	b.Note(b.now, policy.Note{Request: "nobody", Worker: 99, Topic: policy.NoteStarted})
+	b.First(b.now, policy.First{Request: "nobody"})
 	b.Gone(b.now, "nobody")
 	b.Dispatcher.Timer(b.now, "other")
-	b.Request(b.now, basaltloft.Request{ID: "odd", Class: "unheard of", Expires: b.now + time.Second})
+	b.Request(b.now, policy.Request{ID: "odd", Class: "unheard of", Expires: b.now + time.Second})
 	if !b.has("refuse odd") {
 		t.Error("a request of an unknown class gets no answer")
 	}
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for field, spoil := range map[string]func(*basaltloft.Settings){
-		"Instances":          func(s *basaltloft.Settings) { s.Instances = 0 },
-		"Rank":               func(s *basaltloft.Settings) { s.Rank = 2 },
-		"Classes":            func(s *basaltloft.Settings) { s.Classes = nil },
-		"Classes[1]":         func(s *basaltloft.Settings) { s.Classes[1].GiveUp = 0 },
-		"Limits.MaxAttempts": func(s *basaltloft.Settings) { s.Limits.MaxAttempts = 0 },
-		"Rules.ColdFrom":     func(s *basaltloft.Settings) { s.Rules.ColdFrom = 2 },
+	for field, spoil := range map[string]func(*policy.Settings){
+		"Instances":          func(s *policy.Settings) { s.Instances = 0 },
+		"Rank":               func(s *policy.Settings) { s.Rank = 2 },
+		"Classes":            func(s *policy.Settings) { s.Classes = nil },
+		"Classes[1]":         func(s *policy.Settings) { s.Classes[1].GiveUp = 0 },
+		"Limits.MaxAttempts": func(s *policy.Settings) { s.Limits.MaxAttempts = 0 },
+		"Rules.ColdFrom":     func(s *policy.Settings) { s.Rules.ColdFrom = 2 },
 	} {
 		s := settings()
 		spoil(&s)
-		if _, err := basaltloft.New(s, &recorder{}); err == nil || !strings.Contains(err.Error(), field) {
+		if _, err := policy.New(s, &recorder{}); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
--- a/example_test.go
+++ b/internal/dispatcher/policy/example_test.go
@@ -1,10 +1,10 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // printer is a host that prints its actions; a real one sends jobs and sets timers.
@@ -21,20 +21,20 @@
 func (printer) Log(string)                                     {}
 
 func Example() {
-	d, err := basaltloft.New(basaltloft.Settings{
+	d, err := policy.New(policy.Settings{
 		Instances: 1,
-		Classes: []basaltloft.Class{{Name: "report", Effect: basaltloft.Safe, Aim: time.Second,
+		Classes: []policy.Class{{Name: "report", Effect: policy.Safe, Aim: time.Second,
 			Stretch: 2, GiveUp: 10 * time.Second, Worth: 1, Kind: -1}},
-		Limits: basaltloft.Limits{MaxAttempts: 3},
+		Limits: policy.Limits{MaxAttempts: 3},
 	}, printer{})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := time.Duration(0) // since a clock of the host's choice
-	d.Members(now, basaltloft.ListWhole, []basaltloft.Member{{Worker: 7}})
-	d.Request(now, basaltloft.Request{ID: "r1", Class: "report", Expires: now + 10*time.Second})
+	d.Members(now, policy.ListWhole, []policy.Member{{Worker: 7}})
+	d.Request(now, policy.Request{ID: "r1", Class: "report", Expires: now + 10*time.Second})
 	now += 300 * time.Millisecond
-	d.Outcome(now, basaltloft.Outcome{Request: "r1", Worker: 7, Status: basaltloft.OK, Ended: true})
+	d.Outcome(now, policy.Outcome{Request: "r1", Worker: 7, Status: policy.OK, Ended: true})
 	// Output: send r1 to 7
 }
--- a/health_test.go
+++ b/internal/dispatcher/policy/health_test.go
@@ -1,22 +1,22 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // unreported is a fleet that tells starts and progress, and reports no load.
-func unreported() basaltloft.Settings {
+func unreported() policy.Settings {
 	s := settings()
 	s.ReportX0, s.ReportX1, s.TellsStart, s.Limits.SecondCopies = "", "", true, false
 	return s
 }
 
-func (b *bench) note(id string, topic basaltloft.NoteTopic) {
-	b.Note(b.now, basaltloft.Note{Request: id, Attempt: b.sends[id] - 1, Worker: b.sentTo(id), Topic: topic})
+func (b *bench) note(id string, topic policy.NoteTopic) {
+	b.Note(b.now, policy.Note{Request: id, Attempt: b.sends[id] - 1, Worker: b.sentTo(id), Topic: topic})
 }
 
 // TestJobThatDoesNotStartIsMovedInTime fails where a job waits at a busy worker until it is late,
@@ -37,7 +37,7 @@
 		if want == 0 {
 			continue
 		}
-		b.outcome("r", basaltloft.Cancelled)
+		b.outcome("r", policy.Cancelled)
 		if b.sends["r"] != 2 || b.sentTo("r") == first {
 			t.Errorf("not sent to the other worker: %v", b.acts)
 		}
@@ -45,7 +45,7 @@
 		if b.sends["next"] > 0 && b.sentTo("next") == first {
 			t.Error("the next job goes where the last one did not start")
 		}
-		b.note("r", basaltloft.NoteStarted)
+		b.note("r", policy.NoteStarted)
 		b.pass(900 * ms)
 		if b.count("cancel r") != want {
 			t.Error("called off after it had started")
@@ -68,16 +68,16 @@
 			if b.sends[id] == 0 || b.has("fail "+id) {
 				break
 			}
-			b.note(id, basaltloft.NoteStarted)
+			b.note(id, policy.NoteStarted)
 			if b.sentTo(id) == 1 {
 				if seen++; seen%2 == 1 {
 					b.pass(10 * ms)
-					b.outcome(id, basaltloft.Error)
+					b.outcome(id, policy.Error)
 					continue
 				}
 			}
 			b.pass(100 * ms)
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 			break
 		}
 		if b.has("fail " + id) {
--- a/learning_test.go
+++ b/internal/dispatcher/policy/learning_test.go
@@ -1,11 +1,11 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // TestNewWorkerStartsAtThePaceOfItsKind fails where the pace of a kind is not learned: of two new workers,
@@ -18,7 +18,7 @@
 	for round := range uint32(60) {
 		slow := member(2*round+2, "a")
 		slow.Kind = "slow"
-		b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(2*round+1, "a"), slow})
+		b.Members(b.now, policy.ListWhole, []policy.Member{member(2*round+1, "a"), slow})
 		for i := range 2 { // one job for each
 			b.request(fmt.Sprint("r", round, "-", i), "safe", 200*ms)
 		}
@@ -30,7 +30,7 @@
 			b.now += wait
 			for _, id := range []string{first, second} {
 				if b.sends[id] == 1 && (b.sentTo(id) == slow.Worker) == (wait == 250*ms) {
-					b.outcome(id, basaltloft.OK)
+					b.outcome(id, policy.OK)
 				}
 			}
 		}
@@ -51,13 +51,13 @@
 		t.Fatalf("not sent: %v", b.acts)
 	}
 	b.now += 2 * time.Second
-	b.outcome("before", basaltloft.OK)
+	b.outcome("before", policy.OK)
 	for i := range 25 {
 		id := fmt.Sprint("slow", i)
 		b.request(id, "safe", 200*ms)
 		if b.sends[id] == 1 {
 			b.now += 800 * ms
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 	}
 	b.request("n", "unsafe", 2*time.Second)
@@ -78,21 +78,21 @@
 				s.Classes[i].Aim, s.Classes[i].Stretch, s.Classes[i].GiveUp = 300*ms, 1, 12*time.Second
 			}
 			b := newBench(t, s, 0)
-			var list []basaltloft.Member
+			var list []policy.Member
 			for i := range uint32(6) {
 				m := member(i+1, "a")
 				m.Kind = kinds[int(i)%len(kinds)]
 				list = append(list, m)
 			}
-			b.Members(b.now, basaltloft.ListWhole, list)
+			b.Members(b.now, policy.ListWhole, list)
 			sent := 0
 			for round := range 50 {
 				ids := make([]string, 0, 3)
 				for at := range 3 {
 					id := fmt.Sprint("r", round, "-", at)
-					b.Request(b.now, basaltloft.Request{ID: id, Class: s.Classes[at].Name, Expires: b.now + 12*time.Second})
+					b.Request(b.now, policy.Request{ID: id, Class: s.Classes[at].Name, Expires: b.now + 12*time.Second})
 					if b.sends[id] > 0 {
-						b.Note(b.now, basaltloft.Note{Request: id, Worker: b.sentTo(id), Topic: basaltloft.NoteStarted})
+						b.Note(b.now, policy.Note{Request: id, Worker: b.sentTo(id), Topic: policy.NoteStarted})
 						sent++
 						ids = append(ids, id)
 					}
@@ -100,7 +100,7 @@
 				before := b.now
 				for at, id := range ids { // they run side by side, now long, now short
 					b.pass(max(0, before+runs[at]*time.Duration(60+(round*37)%81)/100-b.now))
-					b.outcome(id, basaltloft.OK)
+					b.outcome(id, policy.OK)
 				}
 				b.pass(200 * ms)
 			}
@@ -117,14 +117,14 @@
 	s.ReportX0, s.TellsStart = "", true
 	s.Classes[0].Aim, s.Classes[0].GiveUp = time.Hour, time.Hour // none is given up
 	b = newBench(t, s, 2)
-	b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{{Worker: 2, Kind: "k", Zone: "a", State: basaltloft.Draining}})
+	b.Members(b.now, policy.ListChange, []policy.Member{{Worker: 2, Kind: "k", Zone: "a", State: policy.Draining}})
 	for i := range n {
-		b.Request(b.now, basaltloft.Request{ID: fmt.Sprint("r", i), Class: "safe", Hint: 100 * ms, Expires: b.now + time.Hour})
+		b.Request(b.now, policy.Request{ID: fmt.Sprint("r", i), Class: "safe", Hint: 100 * ms, Expires: b.now + time.Hour})
 	}
 	for i := 0; i < n; {
 		sent := i
 		for ; sent < n && b.sends[fmt.Sprint("r", sent)] > 0; sent++ {
-			b.Note(b.now, basaltloft.Note{Request: fmt.Sprint("r", sent), Worker: 1, Topic: basaltloft.NoteStarted})
+			b.Note(b.now, policy.Note{Request: fmt.Sprint("r", sent), Worker: 1, Topic: policy.NoteStarted})
 		}
 		if sent == i {
 			t.Fatalf("%d of %d jobs were never sent", n-i, n)
@@ -132,7 +132,7 @@
 		most = max(most, sent-i)
 		b.pass(100 * ms)
 		for ; i < sent; i++ {
-			b.outcome(fmt.Sprint("r", i), basaltloft.OK)
+			b.outcome(fmt.Sprint("r", i), policy.OK)
 		}
 	}
 	return b, most
@@ -142,7 +142,7 @@
 // has the larger budget, and would get a job while another is idle.
 func TestGrownBudgetDoesNotDrawAllJobs(t *testing.T) {
 	b, _ := keepFull(t, 60)
-	b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{member(2, "a")})
+	b.Members(b.now, policy.ListChange, []policy.Member{member(2, "a")})
 	b.request("one", "safe", 100*ms)
 	b.request("two", "safe", 100*ms)
 	if b.sentTo("one") == b.sentTo("two") {
--- a/lists_test.go
+++ b/internal/dispatcher/policy/lists_test.go
@@ -1,21 +1,21 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // claims are settings under which lists may be wrong.
-func claims() basaltloft.Settings {
+func claims() policy.Settings {
 	s := settings()
 	s.Rules.OnlyDrainingBinds = true
 	return s
 }
 
-func in(m basaltloft.Member, state basaltloft.MemberState) basaltloft.Member {
+func in(m policy.Member, state policy.MemberState) policy.Member {
 	m.State = state
 	return m
 }
@@ -24,9 +24,9 @@
 func TestWorkersCalledGoneServeOn(t *testing.T) {
 	for name, tell := range map[string]func(b *bench){
 		"shrink": func(b *bench) {
-			b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{in(member(1, "a"), basaltloft.Removed), in(member(2, "a"), basaltloft.Removed)})
+			b.Members(b.now, policy.ListChange, []policy.Member{in(member(1, "a"), policy.Removed), in(member(2, "a"), policy.Removed)})
 		},
-		"empty": func(b *bench) { b.Members(b.now, basaltloft.ListWhole, nil) },
+		"empty": func(b *bench) { b.Members(b.now, policy.ListWhole, nil) },
 	} {
 		for _, binds := range []bool{false, true} {
 			s := claims()
@@ -49,21 +49,21 @@
 	b.request("r", "safe", 50*ms)
 	served := b.sentTo("r")
 	b.now += 50 * ms
-	b.outcome("r", basaltloft.OK)
-	b.Members(b.now, basaltloft.ListWhole, nil)
+	b.outcome("r", policy.OK)
+	b.Members(b.now, policy.ListWhole, nil)
 	for i := range 4 {
 		id := fmt.Sprint("n", i)
 		b.request(id, "safe", 10*ms)
 		if b.sentTo(id) != served {
 			t.Errorf("%s went to a worker called gone that shows no life", id)
 		}
-		b.outcome(id, basaltloft.OK)
+		b.outcome(id, policy.OK)
 	}
 	b.pass(300 * ms)
 	if b.count(fmt.Sprint("probe ", 3-served)) == 0 {
 		t.Errorf("it is not tried: %v", b.acts)
 	}
-	b.Probed(b.now, basaltloft.Probed{Worker: 3 - served, Status: basaltloft.ConnectFailed})
+	b.Probed(b.now, policy.Probed{Worker: 3 - served, Status: policy.ConnectFailed})
 	b.pass(time.Second)
 	b.request("m", "safe", 10*ms)
 	if b.sentTo("m") != served {
@@ -74,14 +74,14 @@
 // TestNewlyNamedIsTriedFirst fails where a name on a list is taken for a worker.
 func TestNewlyNamedIsTriedFirst(t *testing.T) {
 	b := newBench(t, claims(), 1)
-	b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{member(7, "a")})
+	b.Members(b.now, policy.ListChange, []policy.Member{member(7, "a")})
 	for i := range 6 {
 		id := fmt.Sprint("r", i)
 		b.request(id, "safe", 10*ms)
 		if b.sentTo(id) != 1 {
 			t.Errorf("a job for a worker that nobody has seen: %v", b.acts)
 		}
-		b.outcome(id, basaltloft.OK)
+		b.outcome(id, policy.OK)
 	}
 	b.pass(300 * ms)
 	if !b.has("probe 7") {
@@ -99,11 +99,11 @@
 // a warm time of a late start.
 func TestOldListBringsNoDrainBack(t *testing.T) {
 	b := newBench(t, claims(), 2)
-	b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{in(member(1, "a"), basaltloft.Draining)})
-	b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{in(member(1, "a"), basaltloft.Removed)})
-	b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(2, "a")})
+	b.Members(b.now, policy.ListChange, []policy.Member{in(member(1, "a"), policy.Draining)})
+	b.Members(b.now, policy.ListChange, []policy.Member{in(member(1, "a"), policy.Removed)})
+	b.Members(b.now, policy.ListWhole, []policy.Member{member(2, "a")})
 	b.now += 20 * time.Second
-	b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(1, "a"), member(2, "a")}) // as it was
+	b.Members(b.now, policy.ListWhole, []policy.Member{member(1, "a"), member(2, "a")}) // as it was
 	b.pass(300 * ms)
 	b.Probed(b.now, full(1, 4))
 	b.Probed(b.now, full(2, 0))
@@ -115,24 +115,24 @@
 			t.Fatal("sent to a worker that was seen draining")
 		}
 		if b.sends[id] > 0 {
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 	}
 	fresh := member(1, "a")
 	fresh.Since = b.now
-	b.Members(b.now, basaltloft.ListChange, []basaltloft.Member{fresh})
+	b.Members(b.now, policy.ListChange, []policy.Member{fresh})
 	b.pass(300 * ms)
 	b.Probed(b.now, full(1, 1))
 	b.Probed(b.now, full(2, 0))
-	old := []basaltloft.Member{member(1, "a"), member(2, "a")}
-	b.Members(b.now, basaltloft.ListWhole, old)
+	old := []policy.Member{member(1, "a"), member(2, "a")}
+	b.Members(b.now, policy.ListWhole, old)
 	sent := 0
 	for i := range 100 {
 		id := fmt.Sprint("c", i)
 		b.request(id, "safe", 100*ms)
 		if b.sends[id] > 0 && b.sentTo(id) == 1 {
 			sent++
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 	}
 	if sent > 7 { // half of 2.5 x 0.3 x one slot x 2 s, in jobs of 100 ms
@@ -141,7 +141,7 @@
 }
 
 // tied are settings without reports, under which jobs wait at several workers.
-func tied() basaltloft.Settings {
+func tied() policy.Settings {
 	s := settings()
 	s.Limits.Probes, s.TellsStart, s.ReportX0, s.ReportX1 = false, true, "", ""
 	s.Limits.MaxAttempts = 5
@@ -157,12 +157,12 @@
 	if b.sends["r"] != 2 || first == b.acts[1] {
 		t.Fatalf("no copy elsewhere of a job that does not start: %v", b.acts)
 	}
-	b.Note(b.now, basaltloft.Note{Request: "r", Attempt: 1, Worker: b.sentTo("r"), Topic: basaltloft.NoteStarted})
+	b.Note(b.now, policy.Note{Request: "r", Attempt: 1, Worker: b.sentTo("r"), Topic: policy.NoteStarted})
 	if !b.has("cancel r 0") || b.has("cancel r 1") {
 		t.Errorf("the copy that starts does not call off the other: %v", b.acts)
 	}
 	b.pass(100 * ms)
-	b.outcome("r", basaltloft.OK)
+	b.outcome("r", policy.OK)
 	if b.sends["r"] != 2 || b.count("cancel r 1") != 0 {
 		t.Errorf("copies of a job that runs: %v", b.acts)
 	}
@@ -173,7 +173,7 @@
 	b := newBench(t, tied(), 3)
 	b.request("u", "unsafe", 100*ms)
 	b.request("s", "safe", 100*ms)
-	b.Note(b.now, basaltloft.Note{Request: "s", Attempt: 0, Worker: b.sentTo("s"), Topic: basaltloft.NoteStarted})
+	b.Note(b.now, policy.Note{Request: "s", Attempt: 0, Worker: b.sentTo("s"), Topic: policy.NoteStarted})
 	b.pass(90 * ms)
 	s := settings()
 	s.TellsStart = true
@@ -191,7 +191,7 @@
 	s := tied()
 	s.CrossZonePrice = 0.02
 	b := newBench(t, s, 0)
-	b.Members(b.now, basaltloft.ListRestored, []basaltloft.Member{member(1, "a"), member(2, "b")})
+	b.Members(b.now, policy.ListRestored, []policy.Member{member(1, "a"), member(2, "b")})
 	job := func(id string, way time.Duration) {
 		b.request(id, "safe", 100*ms)
 		if b.sentTo(id) != 1 {
@@ -202,10 +202,10 @@
 			t.Fatalf("%s does not go on to the far worker: %v", id, b.acts)
 		}
 		b.pass(way)
-		b.Note(b.now, basaltloft.Note{Request: id, Attempt: 1, Worker: 2, Topic: basaltloft.NoteStarted})
-		b.Outcome(b.now, basaltloft.Outcome{Request: id, Attempt: 0, Worker: 1, Status: basaltloft.Cancelled})
+		b.Note(b.now, policy.Note{Request: id, Attempt: 1, Worker: 2, Topic: policy.NoteStarted})
+		b.Outcome(b.now, policy.Outcome{Request: id, Attempt: 0, Worker: 1, Status: policy.Cancelled})
 		b.pass(100 * ms)
-		b.Outcome(b.now, basaltloft.Outcome{Request: id, Attempt: 1, Worker: 2, Ended: true})
+		b.Outcome(b.now, policy.Outcome{Request: id, Attempt: 1, Worker: 2, Ended: true})
 		b.pass(time.Second)
 	}
 	for i := range 12 {
--- a/purse_test.go
+++ b/internal/dispatcher/policy/purse_test.go
@@ -1,10 +1,10 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
 	"testing"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/stretchr/testify/require"
 )
@@ -40,7 +40,7 @@
 	b := pursed(t, p, 4)
 	for i := range 2 {
 		b.request(fmt.Sprint("j", i), "safe", 100*ms)
-		b.outcome(fmt.Sprint("j", i), basaltloft.ConnectFailed)
+		b.outcome(fmt.Sprint("j", i), policy.ConnectFailed)
 	}
 	require.Equal(t, []string{"j0 safe", "j1 safe"}, p.asked)
 	require.Equal(t, map[string]int{"j0": 2, "j1": 1}, b.sends)
@@ -80,12 +80,12 @@
 		b := newBench(t, s, 0)
 		cold := member(1, "a")
 		cold.Since = b.now
-		b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{cold})
+		b.Members(b.now, policy.ListWhole, []policy.Member{cold})
 		for i := range 40 {
 			b.request(fmt.Sprint("j", i), "safe", 100*ms)
 			b.pass(20 * ms)
 			if b.sends[fmt.Sprint("j", i)] > 0 {
-				b.outcome(fmt.Sprint("j", i), basaltloft.OK)
+				b.outcome(fmt.Sprint("j", i), policy.OK)
 			}
 		}
 		return b.count("send")
--- a/random_test.go
+++ b/internal/dispatcher/policy/random_test.go
@@ -1,4 +1,4 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // world plays random but legal events to a dispatcher and checks the four rules at every action.
@@ -16,13 +16,13 @@
 	subjects bool // jobs tell theirs
 	t        *testing.T
 	rng      *rand.Rand
-	s        basaltloft.Settings
-	d        *basaltloft.Dispatcher
+	s        policy.Settings
+	d        *policy.Dispatcher
 	now      time.Duration
 	seq      int
-	workers  map[uint32]*basaltloft.Member
-	told     map[uint32]basaltloft.Member // what the dispatcher was last told
-	sent     map[uint32][]load            // to workers that are cold and told to be
+	workers  map[uint32]*policy.Member
+	told     map[uint32]policy.Member // what the dispatcher was last told
+	sent     map[uint32][]load        // to workers that are cold and told to be
 	reqs     map[string]*req
 	order    []*req
 	due      []due
@@ -36,15 +36,15 @@
 }
 
 type req struct {
-	basaltloft.Request
-	class    basaltloft.Class
+	policy.Request
+	class    policy.Class
 	attempts []*try
 	answered bool
 	at       time.Duration
 }
 
 type try struct {
-	worker basaltloft.Member
+	worker policy.Member
 	at     time.Duration
 	out    bool
 	mayRun bool
@@ -74,7 +74,7 @@
 	case r == nil || r.answered:
 		w.errorf("send for %s, which has its answer", id)
 		return
-	case m.Worker == 0 || m.State == basaltloft.Draining || m.State == basaltloft.Removed && !w.s.Rules.OnlyDrainingBinds:
+	case m.Worker == 0 || m.State == policy.Draining || m.State == policy.Removed && !w.s.Rules.OnlyDrainingBinds:
 		w.errorf("send to worker %d, told to be in state %d", worker, m.State)
 	case len(r.attempts) >= w.s.Limits.MaxAttempts:
 		w.errorf("attempt %d of %s", len(r.attempts), id)
@@ -87,11 +87,11 @@
 			continue
 		}
 		switch r.class.Effect {
-		case basaltloft.Unsafe:
+		case policy.Unsafe:
 			w.errorf("unsafe %s sent again", id)
-		case basaltloft.Keyed:
-			outside := r.class.Group == basaltloft.GroupZone && a.worker.Zone != m.Zone ||
-				r.class.Group == basaltloft.GroupCell && a.worker.Cell != m.Cell
+		case policy.Keyed:
+			outside := r.class.Group == policy.GroupZone && a.worker.Zone != m.Zone ||
+				r.class.Group == policy.GroupCell && a.worker.Cell != m.Cell
 			if outside || w.now-a.at > r.class.Window {
 				w.errorf("keyed %s sent outside its group or window", id)
 			}
@@ -101,23 +101,23 @@
 	a := &try{worker: m, at: w.now, out: true, mayRun: true}
 	n := len(r.attempts)
 	r.attempts = append(r.attempts, a)
-	status := basaltloft.OK
+	status := policy.OK
 	if w.rng.IntN(3) == 0 {
-		status = basaltloft.Status(1 + w.rng.IntN(5))
+		status = policy.Status(1 + w.rng.IntN(5))
 	}
 	wait := time.Duration(w.rng.ExpFloat64()*75) * ms
 	took := wait + time.Duration((0.5+w.rng.Float64())*float64(r.Hint))
 	if w.rng.IntN(20) == 0 { // hangs
-		status, took = basaltloft.TimedOut, r.Expires-w.now
+		status, took = policy.TimedOut, r.Expires-w.now
 	}
 	took = min(took, r.Expires-w.now)
 	if w.now+took >= r.Expires {
-		status = basaltloft.TimedOut
+		status = policy.TimedOut
 	}
 	if w.s.TellsStart && w.rng.IntN(2) == 0 {
 		w.after(wait, func() {
 			if a.out {
-				w.d.Note(w.now, basaltloft.Note{Request: id, Attempt: n, Worker: worker, Topic: basaltloft.NoteStarted})
+				w.d.Note(w.now, policy.Note{Request: id, Attempt: n, Worker: worker, Topic: policy.NoteStarted})
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 }
 
 // checkCold holds this instance to its share of the rule's budget, with one slot at pace 1 as capacity.
-func (w *world) checkCold(r *req, m basaltloft.Member) {
+func (w *world) checkCold(r *req, m policy.Member) {
 	if m.Since == 0 || w.now-m.Since >= w.s.Rules.ColdFor {
 		return
 	}
@@ -145,25 +145,25 @@
 }
 
 // finish ends an attempt, once.
-func (w *world) finish(r *req, n int, status basaltloft.Status) {
+func (w *world) finish(r *req, n int, status policy.Status) {
 	a := r.attempts[n]
 	if !a.out {
 		return
 	}
 	a.out, a.mayRun = false, !w.s.Rules.NeverRan(status)
-	ended := r.answered || status == basaltloft.OK
-	if status == basaltloft.OK {
+	ended := r.answered || status == policy.OK
+	if status == policy.OK {
 		r.answered = true
 	}
-	w.d.Outcome(w.now, basaltloft.Outcome{Request: r.ID, Attempt: n, Worker: a.worker.Worker, Status: status, Ended: ended,
+	w.d.Outcome(w.now, policy.Outcome{Request: r.ID, Attempt: n, Worker: a.worker.Worker, Status: status, Ended: ended,
 		Latency: w.now - a.at, Report: w.report()})
 }
 
-func (w *world) report() basaltloft.Report {
+func (w *world) report() policy.Report {
 	if w.rng.IntN(2) == 0 {
-		return basaltloft.Report{}
+		return policy.Report{}
 	}
-	return basaltloft.Report{Has: basaltloft.HasX0 | basaltloft.HasX1, X0: float64(w.rng.IntN(5)), X1: 4 * w.rng.Float64()}
+	return policy.Report{Has: policy.HasX0 | policy.HasX1, X0: float64(w.rng.IntN(5)), X1: 4 * w.rng.Float64()}
 }
 
 func (w *world) answer(id, how string) *req {
@@ -183,7 +183,7 @@
 func (w *world) Refuse(id string, retryAfter time.Duration) {
 	w.actions.refuse(w.now, id, retryAfter)
 	r := w.answer(id, "refuse")
-	if r == nil || r.class.Effect == basaltloft.Safe || r.class.Effect == basaltloft.Keyed && r.class.Group == basaltloft.GroupAll {
+	if r == nil || r.class.Effect == policy.Safe || r.class.Effect == policy.Keyed && r.class.Group == policy.GroupAll {
 		return
 	}
 	for _, a := range r.attempts {
@@ -202,17 +202,17 @@
 	w.actions.cancel(w.now, id, n)
 	w.record("cancel %s %d", id, n)
 	r := w.reqs[id]
-	w.after(ms, func() { w.finish(r, n, basaltloft.Cancelled) })
+	w.after(ms, func() { w.finish(r, n, policy.Cancelled) })
 }
 
 func (w *world) Probe(id uint32) {
 	w.actions.probe(w.now, id)
 	w.record("probe %d", id)
-	took, status := time.Duration(w.rng.IntN(50))*ms, basaltloft.OK
+	took, status := time.Duration(w.rng.IntN(50))*ms, policy.OK
 	if w.rng.IntN(4) == 0 {
-		took, status = 500*ms, basaltloft.Status(1+w.rng.IntN(4))
+		took, status = 500*ms, policy.Status(1+w.rng.IntN(4))
 	}
-	w.after(took, func() { w.d.Probed(w.now, basaltloft.Probed{Worker: id, Status: status, Report: w.report()}) })
+	w.after(took, func() { w.d.Probed(w.now, policy.Probed{Worker: id, Status: status, Report: w.report()}) })
 }
 
 func (w *world) Timer(in time.Duration, token string) {
@@ -230,16 +230,16 @@
 	w.record("watch")
 	w.after(300*ms, func() {
 		if w.rng.IntN(3) == 0 {
-			w.d.Members(w.now, basaltloft.ListFailed, nil)
+			w.d.Members(w.now, policy.ListFailed, nil)
 			return
 		}
-		w.tell(basaltloft.ListWhole, w.list()...)
+		w.tell(policy.ListWhole, w.list()...)
 	})
 }
 func (w *world) Fetch()     { w.actions.fetch(w.now) }
 func (w *world) Log(string) {}
 
-func (w *world) list() (all []basaltloft.Member) {
+func (w *world) list() (all []policy.Member) {
 	for id := uint32(1); id <= 40; id++ {
 		if m := w.workers[id]; m != nil {
 			all = append(all, *m)
@@ -248,13 +248,13 @@
 	return all
 }
 
-func (w *world) tell(kind basaltloft.ListKind, list ...basaltloft.Member) {
-	if kind == basaltloft.ListRestored || kind != basaltloft.ListChange && !w.s.Rules.OnlyDrainingBinds {
+func (w *world) tell(kind policy.ListKind, list ...policy.Member) {
+	if kind == policy.ListRestored || kind != policy.ListChange && !w.s.Rules.OnlyDrainingBinds {
 		clear(w.told)
 	}
 	for _, m := range list {
 		was := w.told[m.Worker]
-		if w.s.Rules.OnlyDrainingBinds && was.State == basaltloft.Draining && m.Since <= was.Since {
+		if w.s.Rules.OnlyDrainingBinds && was.State == policy.Draining && m.Since <= was.Since {
 			m = was // a drain binds until a later start
 		}
 		w.told[m.Worker] = m
@@ -272,18 +272,18 @@
 	}
 	w.due = nil
 	w.d = nil
-	d, err := basaltloft.New(w.s, w)
+	d, err := policy.New(w.s, w)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.d = d
-	w.tell(basaltloft.ListRestored, w.list()...)
+	w.tell(policy.ListRestored, w.list()...)
 }
 
 func (w *world) arrive() {
 	w.seq++
 	c := w.s.Classes[w.rng.IntN(len(w.s.Classes))]
-	r := &req{class: c, at: w.now, Request: basaltloft.Request{ID: fmt.Sprint("r", w.seq), Class: c.Name,
+	r := &req{class: c, at: w.now, Request: policy.Request{ID: fmt.Sprint("r", w.seq), Class: c.Name,
 		Hint:    time.Duration(w.rng.ExpFloat64() * float64(200*ms)),
 		Expires: w.now + time.Duration(w.rng.Int64N(int64(c.GiveUp))), Slots: float64(1 + w.rng.IntN(2))}}
 	if w.rng.IntN(5) == 0 {
@@ -303,24 +303,24 @@
 	m := w.workers[id]
 	switch {
 	case m == nil:
-		m = &basaltloft.Member{Worker: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5), Since: w.now}
+		m = &policy.Member{Worker: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5), Since: w.now}
 		w.workers[id] = m
 	case w.s.Rules.OnlyDrainingBinds && w.rng.IntN(3) == 0: // a list that is wrong, for a while
-		w.tell(basaltloft.ListWhole, w.list()[w.rng.IntN(len(w.list())):]...)
-		w.after(2*time.Second, func() { w.tell(basaltloft.ListWhole, w.list()...) })
+		w.tell(policy.ListWhole, w.list()[w.rng.IntN(len(w.list())):]...)
+		w.after(2*time.Second, func() { w.tell(policy.ListWhole, w.list()...) })
 		return
 	case w.rng.IntN(3) == 0:
-		m.State = basaltloft.Draining
+		m.State = policy.Draining
 	case w.rng.IntN(2) == 0:
 		delete(w.workers, id)
 		gone := *m
-		gone.State = basaltloft.Removed
-		w.tell(basaltloft.ListChange, gone)
+		gone.State = policy.Removed
+		w.tell(policy.ListChange, gone)
 		return
 	default:
-		m.State, m.Since = basaltloft.Ready, w.now
+		m.State, m.Since = policy.Ready, w.now
 	}
-	w.tell(basaltloft.ListChange, *m)
+	w.tell(policy.ListChange, *m)
 }
 
 func (w *world) step() {
@@ -358,18 +358,18 @@
 	}
 }
 
-func play(t *testing.T, seed uint64, subjects bool, spoil func(*basaltloft.Settings)) []string {
+func play(t *testing.T, seed uint64, subjects bool, spoil func(*policy.Settings)) []string {
 	return playRecorded(t, seed, subjects, spoil, actions{}).log
 }
 
-func playRecorded(t *testing.T, seed uint64, subjects bool, spoil func(*basaltloft.Settings), record actions) *world {
+func playRecorded(t *testing.T, seed uint64, subjects bool, spoil func(*policy.Settings), record actions) *world {
 	s := settings()
 	s.CrossZonePrice = 0.02
 	spoil(&s)
-	w := &world{t: t, actions: record, subjects: subjects, rng: rand.New(rand.NewPCG(seed, 7)), s: s, now: time.Hour, workers: map[uint32]*basaltloft.Member{},
-		told: map[uint32]basaltloft.Member{}, sent: map[uint32][]load{}, reqs: map[string]*req{}}
+	w := &world{t: t, actions: record, subjects: subjects, rng: rand.New(rand.NewPCG(seed, 7)), s: s, now: time.Hour, workers: map[uint32]*policy.Member{},
+		told: map[uint32]policy.Member{}, sent: map[uint32][]load{}, reqs: map[string]*req{}}
 	for id := uint32(1); id <= 8; id++ {
-		w.workers[id] = &basaltloft.Member{Worker: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5)}
+		w.workers[id] = &policy.Member{Worker: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5)}
 	}
 	w.start()
 	w.arrive()
@@ -383,25 +383,25 @@
 }
 
 // randomWorlds are the settings that random events are played under.
-var randomWorlds = map[string]func(*basaltloft.Settings){
-	"push":          func(*basaltloft.Settings) {},
-	"ask":           func(s *basaltloft.Settings) { s.AskLists = true },
-	"no copies":     func(s *basaltloft.Settings) { s.Limits.SecondCopies, s.TellsStart = false, true },
-	"cell":          func(s *basaltloft.Settings) { s.Classes[1].Group = basaltloft.GroupCell },
-	"long aims":     func(s *basaltloft.Settings) { s.Classes[1].Window, s.Classes[1].Aim = 500*ms, 4*time.Second },
-	"short grace":   func(s *basaltloft.Settings) { s.Rules.AnswerGrace = 5 * ms },
-	"full no proof": func(s *basaltloft.Settings) { s.Rules.FullMayHaveRun = true },
-	"wrong lists":   func(s *basaltloft.Settings) { s.Rules.OnlyDrainingBinds = true },
-	"both": func(s *basaltloft.Settings) {
-		s.Rules.OnlyDrainingBinds, s.Rules.FullMayHaveRun, s.Classes[1].Group = true, true, basaltloft.GroupCell
+var randomWorlds = map[string]func(*policy.Settings){
+	"push":          func(*policy.Settings) {},
+	"ask":           func(s *policy.Settings) { s.AskLists = true },
+	"no copies":     func(s *policy.Settings) { s.Limits.SecondCopies, s.TellsStart = false, true },
+	"cell":          func(s *policy.Settings) { s.Classes[1].Group = policy.GroupCell },
+	"long aims":     func(s *policy.Settings) { s.Classes[1].Window, s.Classes[1].Aim = 500*ms, 4*time.Second },
+	"short grace":   func(s *policy.Settings) { s.Rules.AnswerGrace = 5 * ms },
+	"full no proof": func(s *policy.Settings) { s.Rules.FullMayHaveRun = true },
+	"wrong lists":   func(s *policy.Settings) { s.Rules.OnlyDrainingBinds = true },
+	"both": func(s *policy.Settings) {
+		s.Rules.OnlyDrainingBinds, s.Rules.FullMayHaveRun, s.Classes[1].Group = true, true, policy.GroupCell
 	},
-	"tied": func(s *basaltloft.Settings) {
+	"tied": func(s *policy.Settings) {
 		s.Limits.Probes, s.TellsStart, s.Rules.OnlyDrainingBinds = false, true, true
 	},
-	"all, no probes": func(s *basaltloft.Settings) { s.Classes[1].Group, s.Limits.Probes = basaltloft.GroupAll, false },
-	"subjects, push": func(*basaltloft.Settings) {},
-	"subjects, cell": func(s *basaltloft.Settings) { s.Classes[1].Group, s.TellsStart = basaltloft.GroupCell, true },
-	"subjects, wrong lists, no probes": func(s *basaltloft.Settings) {
+	"all, no probes": func(s *policy.Settings) { s.Classes[1].Group, s.Limits.Probes = policy.GroupAll, false },
+	"subjects, push": func(*policy.Settings) {},
+	"subjects, cell": func(s *policy.Settings) { s.Classes[1].Group, s.TellsStart = policy.GroupCell, true },
+	"subjects, wrong lists, no probes": func(s *policy.Settings) {
 		s.Limits.Probes, s.TellsStart, s.Rules.OnlyDrainingBinds, s.ReportX0 = false, true, true, ""
 	},
 }
@@ -417,8 +417,8 @@
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	a := play(t, 42, true, func(*basaltloft.Settings) {})
-	b := play(t, 42, true, func(*basaltloft.Settings) {})
+	a := play(t, 42, true, func(*policy.Settings) {})
+	b := play(t, 42, true, func(*policy.Settings) {})
 	if len(a) < 1000 || !slices.Equal(a, b) {
 		t.Errorf("two runs of the same events differ (%d and %d actions)", len(a), len(b))
 	}
--- a/requests_test.go
+++ b/internal/dispatcher/policy/requests_test.go
@@ -1,11 +1,11 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // TestRequestsThatFailAnywhereBlameNoWorker fails where each error holds its worker back, or where such a
@@ -22,17 +22,17 @@
 		}
 		if i%3 == 0 {
 			b.pass(3 * ms)
-			b.outcome(id, basaltloft.Error)
+			b.outcome(id, policy.Error)
 			if i >= 50 && b.sends[id] > 1 {
 				again++
 			}
 			for k := 0; b.sends[id] > 1 && k < 3 && !b.has("refuse "+id); k++ {
-				b.outcome(id, basaltloft.Error)
+				b.outcome(id, policy.Error)
 			}
 			continue
 		}
 		b.pass(50 * ms)
-		b.outcome(id, basaltloft.OK)
+		b.outcome(id, policy.OK)
 	}
 	if held > 0 || again > 8 || len(b.logs) > 25 {
 		t.Errorf("%d held, %d sent round, %d suspicions", held, again, len(b.logs))
@@ -54,12 +54,12 @@
 			if i > 50 {
 				sent++
 			}
-			b.outcome(id, basaltloft.Error)
+			b.outcome(id, policy.Error)
 		case i%4 == 0:
-			b.outcome(id, basaltloft.Error)
+			b.outcome(id, policy.Error)
 		default:
 			b.pass(40 * ms)
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 	}
 	if sent > 10 { // of 250, where a fair share is 40
@@ -75,12 +75,12 @@
 		s.MarksRetry = marked
 		b := newBench(t, s, 2)
 		b.request("usual", "safe", 100*ms)
-		b.outcome("usual", basaltloft.OK)
-		b.Request(b.now, basaltloft.Request{ID: "hasty", Class: "safe", Hint: 100 * ms, Expires: b.now + 300*ms})
+		b.outcome("usual", policy.OK)
+		b.Request(b.now, policy.Request{ID: "hasty", Class: "safe", Hint: 100 * ms, Expires: b.now + 300*ms})
 		if served := b.sends["hasty"] == 1; served != marked {
 			t.Errorf("marked %v: a client with little time: %v", marked, b.acts)
 		}
-		b.Request(b.now, basaltloft.Request{ID: "late", Class: "safe", Hint: 100 * ms, Retry: marked,
+		b.Request(b.now, policy.Request{ID: "late", Class: "safe", Hint: 100 * ms, Retry: marked,
 			Expires: b.now + 4*time.Second})
 		if b.sends["late"] != 0 || !b.has("refuse late") {
 			t.Errorf("marked %v: a retry a second after its first try is served late", marked)
@@ -102,14 +102,14 @@
 	c := newBench(t, s, 1)
 	c.request("r", "safe", 100*ms)
 	c.pass(600 * ms)
-	c.outcome("r", basaltloft.Reset)
+	c.outcome("r", policy.Reset)
 	if !c.has("refuse r") {
 		t.Errorf("a job given up on in an outcome is not answered in that event: %v", c.acts)
 	}
 }
 
 // crowd are settings under which many dispatchers share each worker, and starts are told.
-func crowd() basaltloft.Settings {
+func crowd() policy.Settings {
 	s := settings()
 	s.TellsStart, s.Limits.SecondCopies, s.Instances = true, false, 40
 	return s
@@ -130,7 +130,7 @@
 		if b.sends["r"] != 1 || (b.sends["n"] == 0) != (instances == 40) {
 			t.Fatalf("%d dispatchers: %v", instances, b.acts)
 		}
-		b.Note(b.now, basaltloft.Note{Request: "r", Worker: 1, Topic: basaltloft.NoteStarted})
+		b.Note(b.now, policy.Note{Request: "r", Worker: 1, Topic: policy.NoteStarted})
 		b.pass(40 * ms)
 		b.Probed(b.now, full(1, 9))
 		if b.sends["n"] != 1 {
@@ -149,12 +149,12 @@
 		b := newBench(t, s, 0)
 		m := member(1, "a")
 		m.Since = b.now
-		b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{m})
+		b.Members(b.now, policy.ListWhole, []policy.Member{m})
 		for i := range 15 {
 			id := fmt.Sprint("l", i)
 			b.request(id, "safe", 50*ms)
 			b.pass(50 * ms * slow)
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 		b.pass(2500*ms - 15*50*ms*slow)
 		b.request("r", "safe", 400*ms) // 0.58 s are left, and it has half its capacity, if the rule is taken at its word
@@ -168,7 +168,7 @@
 // TestTrustReturnsStepByStep fails where one good job clears a worker that fails and recovers by turns.
 func TestTrustReturnsStepByStep(t *testing.T) {
 	b := newBench(t, settings(), 2)
-	job := func(id string, s basaltloft.Status) {
+	job := func(id string, s policy.Status) {
 		b.Probed(b.now, full(2, 0)) // so that only worker 1 has room
 		b.request(id, "keyed", 10*ms)
 		if b.sentTo(id) != 1 {
@@ -177,12 +177,12 @@
 		b.outcome(id, s)
 		b.Gone(b.now, id) // one that failed would wait for worker 2
 	}
-	job("a", basaltloft.Error)
+	job("a", policy.Error)
 	b.pass(320 * ms)
-	job("b", basaltloft.Error)
+	job("b", policy.Error)
 	b.pass(650 * ms)
-	job("c", basaltloft.OK)
-	job("d", basaltloft.Error)
+	job("c", policy.OK)
+	job("d", policy.Error)
 	b.pass(330 * ms)
 	b.Probed(b.now, full(2, 0))
 	b.request("e", "keyed", 10*ms)
@@ -201,7 +201,7 @@
 	b.Probed(b.now, full(1, 9))
 	b.request("r", "safe", 300*ms)
 	b.pass(200 * ms)
-	b.Note(b.now, basaltloft.Note{Request: "r", Worker: 1, Topic: basaltloft.NoteStarted})
+	b.Note(b.now, policy.Note{Request: "r", Worker: 1, Topic: policy.NoteStarted})
 	b.request("n", "safe", 300*ms)
 	b.pass(100 * ms)
 	b.Probed(b.now, full(1, 9))
@@ -224,7 +224,7 @@
 			id := fmt.Sprint(class, i)
 			b.request(id, class, 50*ms)
 			b.pass(3 * ms)
-			b.outcome(id, basaltloft.Unfit)
+			b.outcome(id, policy.Unfit)
 			if b.sends[id] != 1 || !b.has("fail "+id) && !b.has("refuse "+id) {
 				t.Fatalf("%s was sent %d times, or not answered: %v", id, b.sends[id], b.acts)
 			}
@@ -240,14 +240,14 @@
 func TestResetAloneMakesNoWorkerCold(t *testing.T) {
 	b := newBench(t, settings(), 1)
 	b.request("broken", "unsafe", 100*ms)
-	b.outcome("broken", basaltloft.Reset)
-	b.Probed(b.now, basaltloft.Probed{Worker: 1, Status: basaltloft.OK})
+	b.outcome("broken", policy.Reset)
+	b.Probed(b.now, policy.Probed{Worker: 1, Status: policy.OK})
 	for i := range 100 {
 		id := fmt.Sprint("r", i)
 		if b.request(id, "safe", 100*ms); b.sends[id] == 0 {
 			t.Fatalf("job %d is held: %v", i, b.logs)
 		}
-		b.outcome(id, basaltloft.OK)
+		b.outcome(id, policy.OK)
 	}
 }
 
@@ -257,7 +257,7 @@
 	for _, first := range []bool{false, true} {
 		b := newBench(t, settings(), 4)
 		b.request("patient", "safe", 100*ms) // which shows how long clients of the class wait
-		b.Request(b.now, basaltloft.Request{ID: "late", Class: "safe", Hint: 100 * ms, Expires: b.now + 2*time.Second, First: first})
+		b.Request(b.now, policy.Request{ID: "late", Class: "safe", Hint: 100 * ms, Expires: b.now + 2*time.Second, First: first})
 		if got := b.sends["late"] == 1; got != first {
 			t.Errorf("first %v: sent %v, %v", first, got, b.acts)
 		}
--- a/retune_test.go
+++ b/internal/dispatcher/policy/retune_test.go
@@ -1,9 +1,9 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"testing"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/stretchr/testify/require"
 )
@@ -17,7 +17,7 @@
 	first := b.sentTo("before")
 
 	s := settings()
-	s.Classes = append(s.Classes[1:], basaltloft.Class{Name: "fresh", Effect: basaltloft.Safe, Aim: 400 * ms, GiveUp: 5e9, Worth: 1, Kind: -1})
+	s.Classes = append(s.Classes[1:], policy.Class{Name: "fresh", Effect: policy.Safe, Aim: 400 * ms, GiveUp: 5e9, Worth: 1, Kind: -1})
 	s.Limits.MaxAttempts = 1
 	bad := s
 	bad.Limits.MaxAttempts = 0
@@ -32,10 +32,10 @@
 	b.request("gone", "safe", 10*ms)
 	require.True(t, b.has("refuse gone"))
 
-	b.Outcome(b.now, basaltloft.Outcome{Request: "before", Attempt: 0, Worker: first, Status: basaltloft.ConnectFailed})
+	b.Outcome(b.now, policy.Outcome{Request: "before", Attempt: 0, Worker: first, Status: policy.ConnectFailed})
 	b.pass(50 * ms)
 	require.Equal(t, 2, b.sends["before"], "came with three attempts, keeps them")
-	b.Outcome(b.now, basaltloft.Outcome{Request: "new", Attempt: 0, Worker: b.sentTo("new"), Status: basaltloft.ConnectFailed})
+	b.Outcome(b.now, policy.Outcome{Request: "new", Attempt: 0, Worker: b.sentTo("new"), Status: policy.ConnectFailed})
 	b.pass(50 * ms)
 	require.Equal(t, 1, b.sends["new"], "came with one attempt")
 }
--- a/scale_test.go
+++ b/internal/dispatcher/policy/scale_test.go
@@ -1,4 +1,4 @@
-package basaltloft_test
+package policy_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // TestColdWorkerUnderHundredsOfDispatchers plays several hundred dispatchers beside each other against one
@@ -46,7 +46,7 @@
 		for i, b := range benches {
 			b.now = now
 			if now >= told[i] && now-20*ms < told[i] {
-				b.Members(now, basaltloft.ListWhole, []basaltloft.Member{cold})
+				b.Members(now, policy.ListWhole, []policy.Member{cold})
 			}
 			b.Dispatcher.Timer(now, "tick")
 			if rng.Float64() > rate[i]/50 {
@@ -59,7 +59,7 @@
 				continue
 			}
 			end := now + hint.Round(20*ms)
-			due[end] = append(due[end], func() { b.now = end; b.outcome(id, basaltloft.OK) })
+			due[end] = append(due[end], func() { b.now = end; b.outcome(id, policy.OK) })
 			sent = append(sent, load{now, hint.Seconds()})
 			total += hint.Seconds()
 		}
@@ -96,7 +96,7 @@
 			}
 		}
 		if b.pass(100 * ms); b.sends[id] > 0 {
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 		b.pass(400 * ms)
 	}
@@ -168,7 +168,7 @@
 	b := newBench(t, settings(), 2)
 	b.request("r", "unsafe", 50*ms)
 	bad := b.sentTo("r")
-	b.outcome("r", basaltloft.Error)
+	b.outcome("r", policy.Error)
 	for i := range 4 {
 		id := fmt.Sprint("n", i)
 		b.request(id, "unsafe", 20*ms)
@@ -181,7 +181,7 @@
 func TestOddFleets(t *testing.T) {
 	s := settings()
 	s.Instances, s.Rank, s.CrossZonePrice = 200, 7, 0.05
-	for name, list := range map[string][]basaltloft.Member{
+	for name, list := range map[string][]policy.Member{
 		"one worker": {member(1, "a")}, "own zone empty": {member(1, "b"), member(2, "c")},
 	} {
 		b := newBench(t, s, 0)
@@ -190,8 +190,8 @@
 		if !b.has("refuse none") {
 			t.Errorf("%s: no answer from an empty fleet", name)
 		}
-		b.Members(b.now, basaltloft.ListWhole, list)
-		b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{member(8, "b")}) // replaces every worker
+		b.Members(b.now, policy.ListWhole, list)
+		b.Members(b.now, policy.ListWhole, []policy.Member{member(8, "b")}) // replaces every worker
 		b.request("r", "safe", 50*ms)
 		b.pass(200 * ms)
 		if b.sends["r"] != 1 || b.sentTo("r") != 8 {
@@ -207,11 +207,11 @@
 	s.Instances = 400
 	b := newBench(t, s, 40)
 	before := len(b.timers)
-	var more []basaltloft.Member
+	var more []policy.Member
 	for id := range uint32(2000) {
 		more = append(more, member(3000-id, "a"))
 	}
-	b.Members(b.now, basaltloft.ListChange, more)
+	b.Members(b.now, policy.ListChange, more)
 	if n := len(b.timers) - before; n > 20 {
 		t.Errorf("%d timers for 2000 workers that are new", n)
 	}
@@ -241,9 +241,9 @@
 	b.request(id, "unsafe", 100*ms)
 	w := b.sentTo(id)
 	b.pass(wait)
-	b.Note(b.now, basaltloft.Note{Request: id, Worker: w, Topic: basaltloft.NoteStarted})
+	b.Note(b.now, policy.Note{Request: id, Worker: w, Topic: policy.NoteStarted})
 	b.pass(100 * ms)
-	b.outcome(id, basaltloft.OK)
+	b.outcome(id, policy.OK)
 	return w
 }
 
@@ -281,7 +281,7 @@
 // dispatcher seldom met, they stood idle for all the time in which they were called cold.
 func TestColdWorkersAreNotLeftIdle(t *testing.T) {
 	t.Run("starts", func(t *testing.T) { coldHalf(t, "") })
-	t.Run("reports", func(t *testing.T) { coldHalf(t, basaltloft.FreeSlots) })
+	t.Run("reports", func(t *testing.T) { coldHalf(t, policy.FreeSlots) })
 }
 
 func coldHalf(t *testing.T, report string) {
@@ -291,7 +291,7 @@
 		s.Instances, s.Rank, s.Seed, s.TellsStart, s.ReportX0 = 80, rank, uint64(rank), report == "", report
 		s.Limits.SecondCopies = false
 		b := newBench(t, s, 20)
-		var list []basaltloft.Member
+		var list []policy.Member
 		for id := range uint32(20) {
 			m := member(id+1, "a")
 			if id < 10 {
@@ -299,7 +299,7 @@
 			}
 			list = append(list, m)
 		}
-		b.Members(b.now, basaltloft.ListWhole, list)
+		b.Members(b.now, policy.ListWhole, list)
 		for i := range 12 {
 			id := fmt.Sprint("r", i)
 			b.request(id, "unsafe", 100*ms)
@@ -318,10 +318,10 @@
 			w := b.sentTo(id)
 			if all++; w <= 10 {
 				cold++
-				b.Note(b.now, basaltloft.Note{Request: id, Worker: w, Topic: basaltloft.NoteStarted})
+				b.Note(b.now, policy.Note{Request: id, Worker: w, Topic: policy.NoteStarted})
 			}
 			b.pass(100 * ms) // as its hint says: a longer run would ask for more than the rule allows
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 			b.pass(400 * ms)
 		}
 	}
@@ -357,12 +357,12 @@
 		b := blindFleet(t, rank, 60)
 		for i := range 20 {
 			id := fmt.Sprint("r", i)
-			b.Request(b.now, basaltloft.Request{ID: id, Class: "unsafe", Hint: 100 * ms, Slots: float64(1 + 3*(i%2)), Expires: b.now + 5*time.Second})
+			b.Request(b.now, policy.Request{ID: id, Class: "unsafe", Hint: 100 * ms, Slots: float64(1 + 3*(i%2)), Expires: b.now + 5*time.Second})
 			w := b.sentTo(id)
 			sent[i%2][w]++
-			b.Note(b.now, basaltloft.Note{Request: id, Worker: w, Topic: basaltloft.NoteStarted})
+			b.Note(b.now, policy.Note{Request: id, Worker: w, Topic: policy.NoteStarted})
 			b.pass(100 * ms)
-			b.outcome(id, basaltloft.OK)
+			b.outcome(id, policy.OK)
 		}
 	}
 	mixed := 0
@@ -396,7 +396,7 @@
 			rng, s := rand.New(rand.NewPCG(3, 4)), settings()
 			s.Instances, s.TellsStart, s.Limits.SecondCopies, s.Limits.Probes = 300, true, false, mix.report
 			s.Rules.ColdFrom, s.Rules.ColdFor, s.Rules.FallMultiple, s.Rules.FallFor = 0.12, 24*time.Second, 4, 3*time.Second
-			benches, rate, held := make([]*bench, 300), make([]float64, 300), make([][]basaltloft.Request, 300)
+			benches, rate, held := make([]*bench, 300), make([]float64, 300), make([][]policy.Request, 300)
 			cold := member(9, "a")
 			for i := range benches { // each knows the kind: four slots
 				s.Rank, s.Seed, rate[i] = i, uint64(i), rng.ExpFloat64()*1.3
@@ -405,18 +405,18 @@
 				for k := range 12 {
 					id := fmt.Sprint("w", k)
 					if b.request(id, "unsafe", 800*ms); b.sends[id] > 0 {
-						b.Note(b.now, basaltloft.Note{Request: id, Worker: 1, Topic: basaltloft.NoteStarted})
+						b.Note(b.now, policy.Note{Request: id, Worker: 1, Topic: policy.NoteStarted})
 					}
 				}
 				b.now += time.Second
 				for k := range 12 {
 					if id := fmt.Sprint("w", k); b.sends[id] > 0 {
-						b.outcome(id, basaltloft.OK)
+						b.outcome(id, policy.OK)
 					}
 				}
 				cold.Since = b.now
 				benches[i] = b
-				b.Members(b.now, basaltloft.ListWhole, []basaltloft.Member{cold})
+				b.Members(b.now, policy.ListWhole, []policy.Member{cold})
 			}
 			type load struct{ at, work float64 }
 			var sent []load
@@ -430,7 +430,7 @@
 					b.now = cold.Since + time.Duration(tick)*20*ms
 					b.Dispatcher.Timer(b.now, "tick")
 					if rng.Float64() < rate[i]*0.02 {
-						r := basaltloft.Request{ID: fmt.Sprint("r", tick), Class: "unsafe", Hint: 770 * ms, Slots: 1, Expires: b.now + 10*time.Second}
+						r := policy.Request{ID: fmt.Sprint("r", tick), Class: "unsafe", Hint: 770 * ms, Slots: 1, Expires: b.now + 10*time.Second}
 						if rng.Float64() < mix.wide {
 							r.Hint, r.Slots = 3200*ms, []float64{1, 1, 1, 2, 4}[rng.IntN(5)]
 						}
@@ -438,16 +438,16 @@
 						held[i] = append(held[i], r)
 						b.Request(b.now, r)
 					}
-					held[i] = slices.DeleteFunc(held[i], func(r basaltloft.Request) bool {
+					held[i] = slices.DeleteFunc(held[i], func(r policy.Request) bool {
 						if b.sends[r.ID] == 0 {
 							return b.now >= r.Expires
 						}
 						sent = append(sent, load{at, r.Hint.Seconds() * r.Slots})
-						b.Note(b.now, basaltloft.Note{Request: r.ID, Worker: 9, Topic: basaltloft.NoteStarted})
+						b.Note(b.now, policy.Note{Request: r.ID, Worker: 9, Topic: policy.NoteStarted})
 						done := tick + int(r.Hint/(20*ms))
 						ends[done] = append(ends[done], func() {
 							b.now = cold.Since + time.Duration(done)*20*ms
-							b.outcome(r.ID, basaltloft.OK)
+							b.outcome(r.ID, policy.OK)
 						})
 						return true
 					})
--- a/state.go
+++ b/internal/dispatcher/policy/state.go
@@ -1,4 +1,4 @@
-package basaltloft
+package policy
 
 // What a dispatcher keeps of workers, attempts and jobs, how it is kept, and the events that do no more
 // than that. No decisions: those are in dispatcher.go.
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"basaltloft/internal/vacancy"
+	"basaltloft/internal/dispatcher/capacityindex"
 )
 
 // typeCost is the learned run time of a class: per unit of hint, and plainly.
@@ -35,7 +35,7 @@
 	budget   float64    // in cost; 0: not yet set
 	full     bool       // its budget has held a job back since it last grew
 	busy     bool       // in the list of those with attempts out; it may stay there for a tick after the last
-	place    vacancy.Place
+	place    capacityindex.Place
 	leftAt   uint64 // which search was the last before it left the vacancies
 	lastCut  time.Duration
 	coldFrom time.Duration // its latest start or return; it ramps up from there
@@ -227,9 +227,9 @@
 	prompt    [2]float64 // share of the jobs that start soon, at warm and at cold workers
 	common    float64    // how slow all are beside their paces, of late
 	kinds     map[string]*kind
-	busy      []*worker            // with attempts out
-	subset    []*worker            // those it works with
-	vacant    vacancy.Set[*worker] // and of them those that may have room
+	busy      []*worker                  // with attempts out
+	subset    []*worker                  // those it works with
+	vacant    capacityindex.Set[*worker] // and of them those that may have room
 	searches  uint64
 	gone      bool    // some in the table are called gone
 	peak      float64 // jobs in hand, falling slowly
@@ -265,7 +265,7 @@
 		classes: make(map[string]*typeCost), byID: make(map[uint32]*worker), jobs: make(map[string]*job),
 		kinds: make(map[string]*kind), subjects: make(map[uint32]*subject), unheardOf: make(map[string]int), needed: make(map[need]*queue), common: 1, best: 1, chill: 0.25, prompt: [2]float64{1, 1},
 		slotsX0: s.ReportX0 == FreeSlots, memX1: s.ReportX1 == FreeMemory,
-		vacant: vacancy.New(func(w *worker) *vacancy.Place { return &w.place }),
+		vacant: capacityindex.New(func(w *worker) *capacityindex.Place { return &w.place }),
 	}
 	d.known = float64(s.Classes[0].Aim) / 2
 	for _, c := range s.Classes {
--- a/subjects.go
+++ b/internal/dispatcher/policy/subjects.go
@@ -1,4 +1,4 @@
-package basaltloft
+package policy
 
 import (
 	"cmp"
--- a/internal/poolmember/golden_test.go
+++ b/internal/dispatcher/poolmember/golden_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/goldentest"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 )
@@ -38,20 +38,20 @@
 		text := budget.ReplaceAllString(strings.ReplaceAll(<-requests, addr, "ADDRESS"), "X-Budget: SECONDS\r\n")
 		seen.WriteString(what + "\n" + text + "\n\n")
 	}
-	at := &core.Member{ID: "r-1", Addr: addr}
+	at := &engine.Member{ID: "r-1", Addr: addr}
 	deadline := time.Now().Add(time.Minute)
-	for _, job := range []*core.Transaction{
+	for _, job := range []*engine.Transaction{
 		{ID: "j-1", Class: "hold", Target: "/hold/a%2Fb?sid=7f&x;y=%zz&&", Tenant: "acme", Key: "k", Body: []byte("body")},
 		{ID: "j-2", Class: "a class", Deadline: deadline},
 	} {
 		c := New(nil, Figures{DialWithin: time.Second, Most: 4})
-		req, err := request(t.Context(), &core.Flow{Transaction: job, Member: at, Deadline: deadline})
+		req, err := request(t.Context(), &engine.Flow{Transaction: job, Member: at, Deadline: deadline})
 		require.NoError(t, err)
 		resp, err := c.wire.RoundTrip(req)
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
 		note("job " + job.ID)
-		require.True(t, c.delete(&core.Flow{Transaction: job, Member: at}, time.Now().Add(10*time.Second)))
+		require.True(t, c.delete(&engine.Flow{Transaction: job, Member: at}, time.Now().Add(10*time.Second)))
 		note("end of " + job.ID)
 	}
 	for _, stats := range []bool{false, true} {
--- a/internal/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/stretchr/testify/require"
 )
@@ -18,15 +18,15 @@
 // leaver is a client that goes, of which nobody has told the carrier.
 type leaver struct{ gone atomic.Bool }
 
-func (*leaver) Answer(core.Answer) {}
-func (l *leaver) Gone() bool       { return l.gone.Load() }
+func (*leaver) Answer(engine.Answer) {}
+func (l *leaver) Gone() bool         { return l.gone.Load() }
 
 // tells passes a flow's end on.
-type tells chan basaltloft.Status
+type tells chan policy.Status
 
-func (c tells) End(_ *core.Flow, s basaltloft.Status, _ []byte)                { c <- s }
-func (c tells) EndWith(_ *core.Flow, s basaltloft.Status, _ basaltloft.Report) { c <- s }
-func (tells) Probed(*core.Member, basaltloft.Status, basaltloft.Report, time.Time) {
+func (c tells) End(_ *engine.Flow, s policy.Status, _ []byte)            { c <- s }
+func (c tells) EndWith(_ *engine.Flow, s policy.Status, _ policy.Report) { c <- s }
+func (tells) Probed(*engine.Member, policy.Status, policy.Report, time.Time) {
 }
 
 // TestGoneIsNotSent: the client goes at one moment on the way to the first byte, or
@@ -34,12 +34,12 @@
 // and the attempt is known never to have run.
 func TestGoneIsNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
-		goes func(client *leaver, carrier *Carrier, f *core.Flow)
-		want basaltloft.Status
+		goes func(client *leaver, carrier *Carrier, f *engine.Flow)
+		want policy.Status
 	}{
-		"the client goes while a dial is under way": {func(client *leaver, _ *Carrier, _ *core.Flow) { client.gone.Store(true) }, basaltloft.Moot},
-		"called off while a dial is under way":      {func(_ *leaver, carrier *Carrier, f *core.Flow) { carrier.Abandon(f) }, basaltloft.ConnectFailed},
-		"asked back while a dial is under way":      {func(_ *leaver, carrier *Carrier, f *core.Flow) { carrier.Recall(f) }, basaltloft.ConnectFailed},
+		"the client goes while a dial is under way": {func(client *leaver, _ *Carrier, _ *engine.Flow) { client.gone.Store(true) }, policy.Moot},
+		"called off while a dial is under way":      {func(_ *leaver, carrier *Carrier, f *engine.Flow) { carrier.Abandon(f) }, policy.ConnectFailed},
+		"asked back while a dial is under way":      {func(_ *leaver, carrier *Carrier, f *engine.Flow) { carrier.Recall(f) }, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,9 +54,9 @@
 				<-up // whoever has given it up meanwhile
 				return dial(context.Background(), network, addr)
 			}
-			f := &core.Flow{
-				Transaction: &core.Transaction{ID: "t-1", Class: "group-ticket", Body: []byte("body"), Client: client},
-				Member:      &core.Member{Addr: l.Addr().String()}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
+			f := &engine.Flow{
+				Transaction: &engine.Transaction{ID: "t-1", Class: "group-ticket", Body: []byte("body"), Client: client},
+				Member:      &engine.Member{Addr: l.Addr().String()}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
 			}
 			carrier.Start(f)
 			<-dials
--- a/internal/poolmember/poolmember.go
+++ b/internal/dispatcher/poolmember/poolmember.go
@@ -15,16 +15,16 @@
 	"sync"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/loadreport"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/loadreport"
+	"basaltloft/internal/dispatcher/policy"
 )
 
 // Ends is told what becomes of flows and probes.
 type Ends interface {
-	End(f *core.Flow, s basaltloft.Status, result []byte)
-	EndWith(f *core.Flow, s basaltloft.Status, load basaltloft.Report)
-	Probed(m *core.Member, s basaltloft.Status, r basaltloft.Report, sentAt time.Time)
+	End(f *engine.Flow, s policy.Status, result []byte)
+	EndWith(f *engine.Flow, s policy.Status, load policy.Report)
+	Probed(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
 }
 
 const (
@@ -83,7 +83,7 @@
 }
 
 // Start implements core.Carrier.
-func (c *Carrier) Start(f *core.Flow) {
+func (c *Carrier) Start(f *engine.Flow) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
 	k := &call{cancel: cancel}
 	f.Carried = k
@@ -91,7 +91,7 @@
 	case c.slots <- struct{}{}:
 	default: // no descriptor to spare: it was never sent, and no member is to blame
 		cancel()
-		c.ends.End(f, basaltloft.Moot, nil)
+		c.ends.End(f, policy.Moot, nil)
 		return
 	}
 	go func() {
@@ -103,12 +103,12 @@
 		abandoned, recalled := k.abandoned, k.recalled
 		k.mu.Unlock()
 		switch {
-		case !taken && recalled && status == basaltloft.Reset: // by closing the connection, which says nothing of the member
+		case !taken && recalled && status == policy.Reset: // by closing the connection, which says nothing of the member
 			// No 202 has come, so that by the protocol the close has abandoned it. The
 			// member is told by DELETE as well, before the job may go elsewhere: it may
 			// not have noticed the close.
 			c.delete(f, time.Now().Add(crossedFor))
-			c.ends.End(f, basaltloft.Cancelled, nil)
+			c.ends.End(f, policy.Cancelled, nil)
 		case !taken:
 			c.ends.EndWith(f, status, load)
 		case abandoned: // while the answer was under way: closing the connection told nobody
@@ -123,13 +123,13 @@
 }
 
 // Abandon implements core.Carrier.
-func (c *Carrier) Abandon(f *core.Flow) { c.abandon(f, false) }
+func (c *Carrier) Abandon(f *engine.Flow) { c.abandon(f, false) }
 
 // Recall implements core.Carrier. A member that can't be reached keeps the
 // flow: it may run, or report, yet.
-func (c *Carrier) Recall(f *core.Flow) { c.abandon(f, true) }
+func (c *Carrier) Recall(f *engine.Flow) { c.abandon(f, true) }
 
-func (c *Carrier) abandon(f *core.Flow, recall bool) {
+func (c *Carrier) abandon(f *engine.Flow, recall bool) {
 	k, ok := f.Carried.(*call)
 	if !ok {
 		return
@@ -153,7 +153,7 @@
 // Release implements core.Carrier. The member has told the end of the flow by
 // call-back: its 202, if it is yet to come, is waited for only so long. A request that
 // isn't whole stays so: what was told is of an earlier attempt at that member.
-func (c *Carrier) Release(f *core.Flow) {
+func (c *Carrier) Release(f *engine.Flow) {
 	k, ok := f.Carried.(*call)
 	if !ok {
 		return
@@ -187,7 +187,7 @@
 // outcome comes by call-back. What an answer means its header says; the rest of it, if
 // there was one, is left to the caller to read and close. The load report is that of
 // an answer which ends the flow.
-func (c *Carrier) send(ctx context.Context, f *core.Flow, k *call) (status basaltloft.Status, taken bool, load basaltloft.Report, rest io.ReadCloser) {
+func (c *Carrier) send(ctx context.Context, f *engine.Flow, k *call) (status policy.Status, taken bool, load policy.Report, rest io.ReadCloser) {
 	var at *conn
 	begin, latest := f.SentAt.Add(beginWithin), f.Deadline
 	if f.Stale(latest) {
@@ -210,30 +210,30 @@
 	})
 	req, err := request(ctx, f)
 	if err != nil {
-		return basaltloft.Moot, false, load, nil
+		return policy.Moot, false, load, nil
 	}
 	resp, err := c.wire.RoundTrip(req)
 	switch {
 	case err != nil && at == nil:
-		return basaltloft.ConnectFailed, false, load, nil
+		return policy.ConnectFailed, false, load, nil
 	case err != nil && !at.mayHaveSent(): // it came up, so the member is there
-		return basaltloft.Moot, false, load, nil
+		return policy.Moot, false, load, nil
 	case err != nil:
-		return basaltloft.Reset, false, load, nil
+		return policy.Reset, false, load, nil
 	case resp.StatusCode == http.StatusAccepted && !at.sending.Load() && !at.mayHaveSent(): // it can't have what it took
 		resp.Body.Close()
-		return basaltloft.Moot, false, load, nil
+		return policy.Moot, false, load, nil
 	case resp.StatusCode == http.StatusAccepted:
-		return basaltloft.OK, true, load, resp.Body
+		return policy.OK, true, load, resp.Body
 	}
 	// This answer ends the flow: its report is the member's last word.
 	load, _ = loadreport.Parse([]byte(resp.Header.Get("X-Load-Report")))
-	status = basaltloft.Error
+	status = policy.Error
 	switch rejected := resp.Header.Get("X-Rejected") == "1"; {
 	case rejected && (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout):
-		status = basaltloft.Full
+		status = policy.Full
 	case slices.Contains(unfit, resp.StatusCode):
-		status = basaltloft.Unfit
+		status = policy.Unfit
 	}
 	return status, false, load, resp.Body
 }
@@ -247,7 +247,7 @@
 
 // request writes a flow in the platform's form. Path, query, body, id and key
 // are the client's own, to the letter.
-func request(ctx context.Context, f *core.Flow) (*http.Request, error) {
+func request(ctx context.Context, f *engine.Flow) (*http.Request, error) {
 	t := f.Transaction
 	target := t.Target
 	if target == "" { // it came by a wire without paths
@@ -285,14 +285,14 @@
 }
 
 // drop tells a member to forget a flow, and ends one that was asked back.
-func (c *Carrier) drop(f *core.Flow, recalled bool) {
+func (c *Carrier) drop(f *engine.Flow, recalled bool) {
 	if c.delete(f, time.Now().Add(deleteFor)) && recalled {
-		c.ends.End(f, basaltloft.Cancelled, nil)
+		c.ends.End(f, policy.Cancelled, nil)
 	}
 }
 
 // delete reports whether the member has heard by then.
-func (c *Carrier) delete(f *core.Flow, until time.Time) bool {
+func (c *Carrier) delete(f *engine.Flow, until time.Time) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	if !c.ask(ctx) {
@@ -320,7 +320,7 @@
 }
 
 // Probe implements core.Carrier.
-func (c *Carrier) Probe(m *core.Member) {
+func (c *Carrier) Probe(m *engine.Member) {
 	go func() {
 		sentAt := time.Now()
 		s, r := c.probe(m, sentAt.Add(probeFor))
@@ -331,11 +331,11 @@
 // probe asks a member for a sign of life, at /stats where the deployment's
 // members report their load (its body is the report), else at /health/live.
 // A report that can't be read is left out: the sign of life stands.
-func (c *Carrier) probe(m *core.Member, until time.Time) (basaltloft.Status, basaltloft.Report) {
+func (c *Carrier) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	if !c.ask(ctx) {
-		return basaltloft.TimedOut, basaltloft.Report{}
+		return policy.TimedOut, policy.Report{}
 	}
 	defer func() { <-c.asks }()
 	var connected bool
@@ -352,20 +352,20 @@
 	resp, err := c.wire.RoundTrip(req)
 	switch {
 	case err != nil && !connected:
-		return basaltloft.ConnectFailed, basaltloft.Report{}
+		return policy.ConnectFailed, policy.Report{}
 	case errors.Is(err, context.DeadlineExceeded):
-		return basaltloft.TimedOut, basaltloft.Report{}
+		return policy.TimedOut, policy.Report{}
 	case err != nil:
-		return basaltloft.Reset, basaltloft.Report{}
+		return policy.Reset, policy.Report{}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostReply))
 	resp.Body.Close()
-	var r basaltloft.Report
+	var r policy.Report
 	if err == nil && c.figures.Stats {
 		r, _ = loadreport.Body(body)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return basaltloft.Error, r
+		return policy.Error, r
 	}
-	return basaltloft.OK, r
+	return policy.OK, r
 }
--- a/internal/poolmember/poolmember_test.go
+++ b/internal/dispatcher/poolmember/poolmember_test.go
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/core"
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
@@ -33,25 +33,25 @@
 	carrier *Carrier
 }
 
-func (d *driver) End(f *core.Flow, s basaltloft.Status, _ []byte) {
+func (d *driver) End(f *engine.Flow, s policy.Status, _ []byte) {
 	fmt.Fprintf(d.Conn, "%s %d\n", f.Transaction.ID, s)
 }
 
-func (d *driver) EndWith(f *core.Flow, s basaltloft.Status, load basaltloft.Report) {
+func (d *driver) EndWith(f *engine.Flow, s policy.Status, load policy.Report) {
 	fmt.Fprintf(d.Conn, "%s %d%s\n", f.Transaction.ID, s, told(load))
 }
 
-func (d *driver) Probed(_ *core.Member, s basaltloft.Status, r basaltloft.Report, _ time.Time) {
+func (d *driver) Probed(_ *engine.Member, s policy.Status, r policy.Report, _ time.Time) {
 	fmt.Fprintf(d.Conn, "probe %d%s\n", s, told(r))
 }
 
 // told is what a report holds of free slots and memory, for a scenario to read.
-func told(r basaltloft.Report) string {
+func told(r policy.Report) string {
 	text := ""
-	if r.Has&basaltloft.HasX0 != 0 {
+	if r.Has&policy.HasX0 != 0 {
 		text += fmt.Sprintf(" x0=%g", r.X0)
 	}
-	if r.Has&basaltloft.HasX1 != 0 {
+	if r.Has&policy.HasX1 != 0 {
 		text += fmt.Sprintf(" x1=%g", r.X1)
 	}
 	return text
@@ -71,11 +71,11 @@
 			of(d.carrier)
 		}
 		go func() {
-			flows := make(map[string]*core.Flow)
+			flows := make(map[string]*engine.Flow)
 			for in := bufio.NewScanner(far); in.Scan(); {
 				id, size, _ := strings.Cut(in.Text(), " ")
 				n, _ := strconv.Atoi(size)
-				m := &core.Member{Addr: addr}
+				m := &engine.Member{Addr: addr}
 				switch id {
 				case "probe":
 					d.carrier.Probe(m)
@@ -87,8 +87,8 @@
 					d.carrier.Release(flows[size])
 					continue
 				}
-				f := &core.Flow{
-					Transaction: &core.Transaction{ID: id, Class: "group-ticket", Key: "k", Body: []byte(strings.Repeat("b", n))},
+				f := &engine.Flow{
+					Transaction: &engine.Transaction{ID: id, Class: "group-ticket", Key: "k", Body: []byte(strings.Repeat("b", n))},
 					Member:      m, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
 				}
 				switch id {
@@ -213,19 +213,19 @@
 	addr, open := scenario.Listen(t)
 	c := New(nil, Figures{DialWithin: time.Second, Most: 2})
 	c.asks <- struct{}{}
-	s, _ := c.probe(&core.Member{Addr: addr}, time.Now().Add(20*time.Millisecond))
-	require.Equal(t, basaltloft.TimedOut, s)
-	require.False(t, c.delete(&core.Flow{Member: &core.Member{Addr: addr}, Transaction: &core.Transaction{ID: "t-1"}}, time.Now().Add(20*time.Millisecond)))
+	s, _ := c.probe(&engine.Member{Addr: addr}, time.Now().Add(20*time.Millisecond))
+	require.Equal(t, policy.TimedOut, s)
+	require.False(t, c.delete(&engine.Flow{Member: &engine.Member{Addr: addr}, Transaction: &engine.Transaction{ID: "t-1"}}, time.Now().Add(20*time.Millisecond)))
 	<-c.asks
-	done := make(chan basaltloft.Status)
+	done := make(chan policy.Status)
 	go func() {
-		s, _ := c.probe(&core.Member{Addr: addr}, time.Now().Add(time.Minute))
+		s, _ := c.probe(&engine.Member{Addr: addr}, time.Now().Add(time.Minute))
 		done <- s
 	}()
 	scenario.Play(t, scenario.Cast{"r": open}, nil, `
 		r expect ^GET /health/live
 		r send HTTP/1.1 200 x\r\nContent-Length: 0\r\n\r\n`)
-	require.Equal(t, basaltloft.OK, <-done)
+	require.Equal(t, policy.OK, <-done)
 }
 
 // TestOwnLatenessIsNotTheMembers: a dial whose end is noticed late has its time
@@ -591,11 +591,11 @@
 }
 
 // ends is a core that hears the end of one flow.
-type ends chan basaltloft.Report
+type ends chan policy.Report
 
-func (e ends) End(*core.Flow, basaltloft.Status, []byte)                            { e <- basaltloft.Report{} }
-func (e ends) EndWith(_ *core.Flow, _ basaltloft.Status, load basaltloft.Report)    { e <- load }
-func (e ends) Probed(*core.Member, basaltloft.Status, basaltloft.Report, time.Time) {}
+func (e ends) End(*engine.Flow, policy.Status, []byte)                        { e <- policy.Report{} }
+func (e ends) EndWith(_ *engine.Flow, _ policy.Status, load policy.Report)    { e <- load }
+func (e ends) Probed(*engine.Member, policy.Status, policy.Report, time.Time) {}
 
 // TestFlowIsTheCores: an answer's report goes with the end, and not into the flow, which
 // the core may be ending at its deadline just then. The core is a reader here that
@@ -606,14 +606,14 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	defer member.Close()
-	f := &core.Flow{
-		Transaction: &core.Transaction{ID: "j", Class: "c"}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
-		Member: &core.Member{Addr: member.Listener.Addr().String()},
+	f := &engine.Flow{
+		Transaction: &engine.Transaction{ID: "j", Class: "c"}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
+		Member: &engine.Member{Addr: member.Listener.Addr().String()},
 	}
-	e, read := make(ends, 1), make(chan basaltloft.Report)
+	e, read := make(ends, 1), make(chan policy.Report)
 	var over atomic.Bool
 	go func() {
-		var last basaltloft.Report
+		var last policy.Report
 		for !over.Load() {
 			last = f.Load
 		}
--- a/internal/scenario/program.go
+++ b/internal/dispatcher/scenario/program.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/fakes"
 
 	"github.com/stretchr/testify/require"
 )
@@ -72,7 +72,7 @@
 
 // free is an address that nothing listens on.
 func free(t testing.TB) string {
-	addr, err := standin.Free()
+	addr, err := fakes.Free()
 	require.NoError(t, err)
 	return addr
 }
--- a/internal/lag/lag.go
+++ b/internal/dispatcher/schedulingdelay/lag.go
@@ -1,11 +1,11 @@
-// Package lag tells whether this dispatcher itself is behind: not from the load
+// Package schedulingdelay tells whether this dispatcher itself is behind: not from the load
 // that it holds, which says nothing of the machine, but from how long events wait
 // until they are handled. It does no I/O and reads no clock.
 //
 // The rule is CoDel's (Nichols and Jacobson, Controlling Queue Delay, 2012): a
 // burst makes some events wait and drains by itself; a dispatcher is behind once
 // none was handled in time for a while.
-package lag
+package schedulingdelay
 
 import "time"
 
--- a/internal/lag/lag_test.go
+++ b/internal/dispatcher/schedulingdelay/lag_test.go
@@ -1,10 +1,10 @@
-package lag_test
+package schedulingdelay_test
 
 import (
 	"testing"
 	"time"
 
-	"basaltloft/internal/lag"
+	"basaltloft/internal/dispatcher/schedulingdelay"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
@@ -26,14 +26,14 @@
 		"in time, and late at once": {[]seen{{0, 90 * ms}, {100 * ms, 90 * ms}, {101 * ms, 10 * ms}, {102 * ms, 90 * ms}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, begin := lag.New(lag.Bounds{Target: 50 * ms, For: 100 * ms}), time.Now()
+			g, begin := schedulingdelay.New(schedulingdelay.Bounds{Target: 50 * ms, For: 100 * ms}), time.Now()
 			for _, e := range c.events {
 				g.Saw(e.waited, begin.Add(e.at))
 			}
 			require.Equal(t, c.behind, g.Behind())
 		})
 	}
-	var off lag.Gauge
+	var off schedulingdelay.Gauge
 	off.Saw(time.Hour, time.Now())
 	off.Saw(time.Hour, time.Now().Add(time.Hour))
 	require.False(t, off.Behind())
@@ -45,7 +45,7 @@
 // that was seen in a stretch of at least For was late, up to the last.
 func TestBehindMeansLateThroughout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, now := lag.New(lag.Bounds{Target: 10, For: 50}), time.Unix(1, 0)
+		g, now := schedulingdelay.New(schedulingdelay.Bounds{Target: 10, For: 50}), time.Unix(1, 0)
 		var late []time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "apart")))
--- a/internal/service/assembly.go
+++ b/internal/dispatcher/server/assembly.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"context"
@@ -6,18 +6,18 @@
 	"syscall"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/agentcheck"
-	"basaltloft/internal/core"
-	"basaltloft/internal/door"
-	"basaltloft/internal/faktory"
-	"basaltloft/internal/figures"
-	"basaltloft/internal/journal"
-	"basaltloft/internal/pool"
-	"basaltloft/internal/poolmember"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/stage"
-	"basaltloft/internal/virtualserver"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/adminapi"
+	"basaltloft/internal/dispatcher/agentcheck"
+	"basaltloft/internal/dispatcher/discovery"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/faktory"
+	"basaltloft/internal/dispatcher/httpfront"
+	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/metrics"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/poolmember"
+	"basaltloft/internal/dispatcher/settings"
 )
 
 // settle is a little more than what a member takes to break a connection on
@@ -32,7 +32,7 @@
 	c := o.Config
 	s.sockets = sockets(c)
 	if c.Admin != "" { // its callers have descriptors of their own
-		s.sockets = max(s.sockets/2, s.sockets-door.Most)
+		s.sockets = max(s.sockets/2, s.sockets-adminapi.Most)
 	}
 	if o.Operator.Faktory != nil { // its connections are held beside the others
 		s.sockets = max(s.sockets/2, s.sockets-o.Operator.Faktory.Connections)
@@ -40,27 +40,27 @@
 	// Fewer jobs than connections: those that wait for an answer must leave some for
 	// the call-backs that bring answers, and for refusals. Were all taken by clients,
 	// no job would be told to have started or ended, and all members would look full.
-	s.limits = stage.Limits{Open: s.sockets/2 - max(8, s.sockets/16), Bytes: 16 << 20}
+	s.limits = pipeline.Limits{Open: s.sockets/2 - max(8, s.sockets/16), Bytes: 16 << 20}
 	if c.MemoryMB > 0 { // a body is held twice for a moment, and connections have buffers
 		s.limits.Bytes = min(s.limits.Bytes, c.MemoryMB<<20/8)
 	}
-	counted := account.DefaultLimits()
+	counted := accounting.DefaultLimits()
 	counted.Tenants, counted.Asks = c.Tenants, o.Operator.Figures.Asks
-	s.keeper = figures.NewKeeper(counted)
+	s.keeper = metrics.NewKeeper(counted)
 	var err error
-	var books stage.Books = s.keeper
-	var spending core.Spending
+	var books pipeline.Books = s.keeper
+	var spending engine.Spending
 	if f := o.Operator.Fleet; f != nil {
 		if s.fleet, err = s.newFleet(f); err != nil {
 			return nil, err
 		}
 		books, spending = s.fleet.recorder, s.fleet.agent
 	}
-	s.chain = stage.New(c.Settings, s.limits, books, s.log)
+	s.chain = pipeline.New(c.Settings, s.limits, books, s.log)
 	if s.fleet != nil {
 		s.chain.Share(s.fleet.agent)
 	}
-	if s.hub, err = core.New(c.Settings, s.chain, spending, s.log); err != nil {
+	if s.hub, err = engine.New(c.Settings, s.chain, spending, s.log); err != nil {
 		return nil, err
 	}
 	s.hub.Bound(o.Operator.Behind)
@@ -68,16 +68,16 @@
 		s.hub.KeepTrails()
 	}
 	carrier := poolmember.New(s.hub, poolmember.Figures{DialWithin: c.DialWithin, Settle: settle, Most: s.sockets / 4, Stats: c.Reports})
-	pace := pool.Pushed() // to an agent here: nobody else reads it
+	pace := discovery.Pushed() // to an agent here: nobody else reads it
 	if c.Settings.AskLists {
-		pace = pool.Asked(c.Settings.Instances, c.Settings.Rules.AskWithin)
+		pace = discovery.Asked(c.Settings.Instances, c.Settings.Rules.AskWithin)
 	}
-	s.follower = pool.New(ctx, c.Discovery, pace, s.hub, carrier, s.log)
+	s.follower = discovery.New(ctx, c.Discovery, pace, s.hub, carrier, s.log)
 	s.hub.Follow(s.follower)
 
-	http := virtualserver.New(s.hub, s.chain, s.log)
+	http := httpfront.New(s.hub, s.chain, s.log)
 	http.Bound(s.limits.Bytes)
-	desks := []*account.Desk{&http.Desk}
+	desks := []*accounting.Desk{&http.Desk}
 	if s.fleet != nil {
 		desks = append(desks, &s.fleet.plans.desk)
 	}
@@ -96,7 +96,7 @@
 	s.components = append(s.components, front)
 	if c.Admin != "" {
 		http.Elsewhere = s.operators.elsewhere
-		d := door.New(s.operators, s.log)
+		d := adminapi.New(s.operators, s.log)
 		if s.fleet != nil {
 			d.With(s.fleet)
 		}
@@ -116,7 +116,7 @@
 			name: "faktory", listen: f.Listen, serve: second.Serve, drain: func(End) { second.Drain() },
 		})
 	}
-	s.auditor = figures.NewAuditor(s.keeper, s.hub, desks, s.log)
+	s.auditor = metrics.NewAuditor(s.keeper, s.hub, desks, s.log)
 	s.components = append(s.components, &component{
 		name: "audit",
 		serve: func(ctx context.Context, _ net.Listener) error {
@@ -134,7 +134,7 @@
 		defer func() { s.components = append(s.components, s.fleet.components...) }()
 	}
 	if at := o.Operator.Figures.Listen; at != "" {
-		x := &figures.Exporter{Name: c.Name, Started: s.began, Keeper: s.keeper, Hub: s.hub, Auditor: s.auditor, Journal: s.journal}
+		x := &metrics.Exporter{Name: c.Name, Started: s.began, Keeper: s.keeper, Hub: s.hub, Auditor: s.auditor, Journal: s.journal}
 		s.components = append(s.components, &component{name: "figures", listen: at, serve: x.Serve})
 	}
 	return s, nil
--- a/internal/service/component.go
+++ b/internal/dispatcher/server/component.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"context"
--- a/internal/service/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"context"
@@ -13,16 +13,16 @@
 	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/door"
-	"basaltloft/internal/fleet/agent"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/keeper"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/fleet/recordstore"
-	"basaltloft/internal/fleet/shares"
-	"basaltloft/internal/fleet/state"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/adminapi"
+	"basaltloft/internal/dispatcher/fleet/agent"
+	"basaltloft/internal/dispatcher/fleet/budget"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/raftnode"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/recordstore"
+	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 	"github.com/valyala/fastjson"
@@ -37,8 +37,8 @@
 	store    *recordstore.Store // of its keeper; nil: none is open
 	log      *logrus.Entry
 
-	components []*component                  // they stop after all others, in this order
-	keeper     atomic.Pointer[keeper.Keeper] // nil: this process keeps nothing for others, or not yet
+	components []*component                    // they stop after all others, in this order
+	keeper     atomic.Pointer[raftnode.Keeper] // nil: this process keeps nothing for others, or not yet
 }
 
 // leaveWithin is how long a planned end waits to say that this process leaves.
@@ -96,7 +96,7 @@
 }
 
 // StartPlan implements door.Fleet.
-func (f *fleet) StartPlan(ctx context.Context, a door.PlanAsk) ([]byte, error) {
+func (f *fleet) StartPlan(ctx context.Context, a adminapi.PlanAsk) ([]byte, error) {
 	return f.plans.StartPlan(ctx, a)
 }
 
@@ -108,11 +108,11 @@
 	return f.recorder.Record(ctx, id)
 }
 
-func (f *fleet) Records(ctx context.Context, q door.RecordsAsk) ([]byte, error) {
+func (f *fleet) Records(ctx context.Context, q adminapi.RecordsAsk) ([]byte, error) {
 	return f.recorder.Records(ctx, q)
 }
 
-func (f *fleet) Hold(ctx context.Context, h door.HoldAsk) error { return f.recorder.Hold(ctx, h) }
+func (f *fleet) Hold(ctx context.Context, h adminapi.HoldAsk) error { return f.recorder.Hold(ctx, h) }
 
 // Status implements door.Fleet.
 func (f *fleet) Status(context.Context) ([]byte, error) {
@@ -145,20 +145,20 @@
 // keep adds the components of a keeper.
 func (s *Service) keep(f *settings.Fleet, out *fleet) {
 	votes := &component{name: "fleet votes", listen: f.Votes}
-	peers := map[string]keeper.Peer{}
+	peers := map[string]raftnode.Peer{}
 	for name, k := range f.Keepers {
-		peers[name] = keeper.Peer{Calls: k.Calls, Votes: k.Votes}
+		peers[name] = raftnode.Peer{Calls: k.Calls, Votes: k.Votes}
 	}
-	ready := make(chan *keeper.Keeper, 1)
+	ready := make(chan *raftnode.Keeper, 1)
 	votes.serve = func(ctx context.Context, l net.Listener) error {
-		k, err := keeper.New(keeper.Settings{
+		k, err := raftnode.New(raftnode.Settings{
 			Name: f.Name, Folder: filepath.Join(f.Folder, "keeper"), Peers: peers, Votes: l, Election: f.Election, SumEvery: f.SumEvery, Log: s.log,
 			Machine: func() (*state.Machine, error) {
 				kept, err := out.openStore(f.Folder)
 				if err != nil {
 					return nil, err
 				}
-				return state.New(parts.NewBudgets(), parts.NewPlans(), kept), nil
+				return state.New(partition.NewBudgets(), partition.NewPlans(), kept), nil
 			},
 		})
 		if err != nil {
@@ -205,16 +205,16 @@
 // fleetSettings are what the operator's file says for the whole fleet, and the
 // budgets that it names.
 func fleetSettings(f *settings.Fleet) (set state.SetBody, expect []string, err error) {
-	budgets := shares.Config{Lease: f.Lease}
+	budgets := budget.Config{Lease: f.Lease}
 	for _, b := range f.Budgets {
-		one := shares.Budget{
-			Name: b.Key(), Kind: shares.Rate, Whole: b.Whole, Burst: b.Burst, Floor: b.Floor, Floors: b.Floors, FloorFor: b.FloorFor, Linger: b.Linger, Weights: b.Weights,
+		one := budget.Budget{
+			Name: b.Key(), Kind: budget.Rate, Whole: b.Whole, Burst: b.Burst, Floor: b.Floor, Floors: b.Floors, FloorFor: b.FloorFor, Linger: b.Linger, Weights: b.Weights,
 		}
 		switch b.Of {
 		case settings.BudgetUnderWay:
-			one.Kind = shares.UnderWay
+			one.Kind = budget.UnderWay
 		case settings.BudgetCold:
-			one.Kind = shares.Part
+			one.Kind = budget.Part
 		}
 		budgets.Budgets = append(budgets.Budgets, one)
 		expect = append(expect, one.Name)
@@ -226,11 +226,11 @@
 	if err != nil {
 		return set, nil, err
 	}
-	set = state.SetBody{Revision: f.Revision, Lease: f.Lease, Parts: map[string][]byte{parts.BudgetsName: text}}
+	set = state.SetBody{Revision: f.Revision, Lease: f.Lease, Parts: map[string][]byte{partition.BudgetsName: text}}
 	if f.Records != nil {
 		rules := recordRules(f.Records)
 		slices.SortFunc(rules.Rules, func(a, b records.Rule) int { return strings.Compare(a.Tenant, b.Tenant) })
-		if set.Parts[parts.RecordsName], err = codec.Encode(rules); err != nil {
+		if set.Parts[partition.RecordsName], err = codec.Encode(rules); err != nil {
 			return set, nil, err
 		}
 	}
--- a/internal/service/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -1,4 +1,4 @@
-package service_test
+package server_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/settings"
+	"basaltloft/internal/dispatcher/scenario"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/stretchr/testify/require"
 )
@@ -43,7 +43,7 @@
 			dump += string(buf[:n])
 		}
 		require.Contains(t, dump, "goroutine ", name)
-		for _, what := range []string{"internal/fleet", "hashicorp"} {
+		for _, what := range []string{"internal/dispatcher/fleet", "hashicorp"} {
 			require.Equal(t, at.want, strings.Contains(dump, what), "%s: %s", name, what)
 		}
 	}
@@ -84,7 +84,7 @@
 
 // TestFleetExample: the example is right, and its plans are.
 func TestFleetExample(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/fleet-example.json")
+	text, err := os.ReadFile("../../../deploy/fleet-example.json")
 	require.NoError(t, err)
 	r := settings.Check(text)
 	require.Empty(t, r.Problems)
--- a/internal/service/golden_test.go
+++ b/internal/dispatcher/server/golden_test.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"context"
@@ -7,15 +7,15 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/fleet/agent"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/fleet/spool"
-	"basaltloft/internal/goldentest"
-	"basaltloft/internal/hand"
-	"basaltloft/internal/segment"
-	"basaltloft/internal/virtualserver"
+	"basaltloft/internal/dispatcher/fleet/agent"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/spool"
+	"basaltloft/internal/dispatcher/httpfront"
+	"basaltloft/internal/dispatcher/override"
+	"basaltloft/internal/dispatcher/segment"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -25,13 +25,13 @@
 // TestGoldenOverridesFile: a new build looks in $TMPDIR for what commit 352ebf2 saved there
 // of what operators set by hand, under the same file's name, and saves the same bytes.
 func TestGoldenOverridesFile(t *testing.T) {
-	golden := filepath.Join("..", "hand", "testdata", "golden")
+	golden := filepath.Join("..", "override", "testdata", "golden")
 	s := &Service{log: logrus.New()}
 	s.options.Config.Name = "n0"
 	t.Setenv("TMPDIR", goldentest.CopyFolder(t, golden))
-	o := newOperators(s, virtualserver.New(nil, nil, logrus.New()))
+	o := newOperators(s, httpfront.New(nil, nil, logrus.New()))
 	require.Equal(t, "basaltloft-n0.hand.json", filepath.Base(o.statePath()))
-	read, err := hand.Decode(goldentest.Read(t, o.statePath()), "n0")
+	read, err := override.Decode(goldentest.Read(t, o.statePath()), "n0")
 	require.NoError(t, err)
 	require.Len(t, read.Outs(), 3)
 	o.hand = read
--- a/internal/service/handover_test.go
+++ b/internal/dispatcher/server/handover_test.go
@@ -1,4 +1,4 @@
-package service_test
+package server_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"testing"
 
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 )
@@ -37,7 +37,7 @@
 	}
 	dir := t.TempDir()
 	for _, name := range []string{"old", "new"} {
-		admin, err := standin.Free()
+		admin, err := fakes.Free()
 		require.NoError(t, err)
 		cast["door"+name] = scenario.Dial(admin)
 		config := filepath.Join(dir, name+".json")
--- a/internal/service/operators.go
+++ b/internal/dispatcher/server/operators.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"basaltloft/internal/door"
-	"basaltloft/internal/hand"
-	"basaltloft/internal/virtualserver"
+	"basaltloft/internal/dispatcher/adminapi"
+	"basaltloft/internal/dispatcher/httpfront"
+	"basaltloft/internal/dispatcher/override"
 )
 
 // partAfter is when a drain that operators ask for closes the clients' connections
@@ -30,17 +30,17 @@
 // operators is what the door sets: the service's side of it.
 type operators struct {
 	s    *Service
-	http *virtualserver.Server
+	http *httpfront.Server
 	dir  string // where the state for a new version is kept; $TMPDIR
 	name string
 
 	mu      sync.Mutex
-	hand    *hand.State
+	hand    *override.State
 	parting *time.Timer // the drain's closing of connections; nil: none
 }
 
-func newOperators(s *Service, http *virtualserver.Server) *operators {
-	return &operators{s: s, http: http, dir: os.TempDir(), name: s.options.Config.Name, hand: hand.New()}
+func newOperators(s *Service, http *httpfront.Server) *operators {
+	return &operators{s: s, http: http, dir: os.TempDir(), name: s.options.Config.Name, hand: override.New()}
 }
 
 // Serving implements door.Operator.
@@ -49,7 +49,7 @@
 // Out implements door.Operator.
 func (o *operators) Out(id string) error {
 	if !o.s.hub.Hold(id, true, false) {
-		return door.ErrUnknown
+		return adminapi.ErrUnknown
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -63,7 +63,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.s.hub.Hold(id, false, o.hand.IsOut(id)) && !o.hand.IsOut(id) {
-		return door.ErrUnknown
+		return adminapi.ErrUnknown
 	}
 	now := time.Now()
 	o.hand.Back(id, now)
@@ -143,7 +143,7 @@
 		log.WithError(err).Error("the operators' settings of an older process can't be read and are ignored")
 		return
 	}
-	h, err := hand.Decode(text, o.name)
+	h, err := override.Decode(text, o.name)
 	if err != nil {
 		log.WithError(err).Error("the operators' settings of an older process are ignored")
 		return
--- a/internal/service/operators_test.go
+++ b/internal/dispatcher/server/operators_test.go
@@ -1,11 +1,11 @@
-package service
+package server
 
 import (
 	"net"
 	"testing"
 
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/virtualserver"
+	"basaltloft/internal/dispatcher/httpfront"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -17,7 +17,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	http := virtualserver.New(nil, nil, logrus.New())
+	http := httpfront.New(nil, nil, logrus.New())
 	go http.Serve(l, 8)
 	o := &operators{s: &Service{draining: make(chan struct{})}, http: http}
 	scenario.Play(t, scenario.Cast{"client": scenario.Dial(l.Addr().String())}, scenario.Words{
--- a/internal/service/plans.go
+++ b/internal/dispatcher/server/plans.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"bytes"
@@ -11,15 +11,15 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/door"
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/coordinator"
-	"basaltloft/internal/fleet/plan"
-	"basaltloft/internal/fleet/planrun"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/adminapi"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/fleet/coordinator"
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/dispatcher/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/valyala/fastjson"
 )
@@ -31,7 +31,7 @@
 // from the door.
 type plans struct {
 	s     *Service
-	desk  account.Desk
+	desk  accounting.Desk
 	files []string
 	coord *coordinator.Coordinator
 }
@@ -39,7 +39,7 @@
 // newPlans reads the plan files. A file with a mistake ends the start: its plans
 // would not be there.
 func (s *Service) newPlans(f *settings.Fleet, fl *fleet) (*plans, error) {
-	p := &plans{s: s, desk: account.Desk{Front: planFront}, files: f.Plans}
+	p := &plans{s: s, desk: accounting.Desk{Front: planFront}, files: f.Plans}
 	for i, name := range p.files {
 		if !filepath.IsAbs(name) {
 			p.files[i] = filepath.Join(s.options.OperatorDir, name)
@@ -83,8 +83,8 @@
 }
 
 // Submit implements coordinator.Dispatcher.
-func (p *plans) Submit(j coordinator.Job, done func(core.Answer)) error {
-	tx, err := p.s.chain.TakeIn(stage.Arrival{
+func (p *plans) Submit(j coordinator.Job, done func(engine.Answer)) error {
+	tx, err := p.s.chain.TakeIn(pipeline.Arrival{
 		ID: j.ID, Class: j.Class, Tenant: j.Tenant, Target: j.Path, Key: j.Key, Body: j.Body, Front: planFront, GivesUp: j.Until, Hint: j.Hint,
 		First: true, Plan: j.Plan, Stage: j.Stage, NotMember: j.NotMember, NotItsZone: j.NotItsZone,
 	}, time.Now(), planClient{p, done})
@@ -100,11 +100,11 @@
 // planClient hears the one final answer of a stage's job.
 type planClient struct {
 	p    *plans
-	done func(core.Answer)
+	done func(engine.Answer)
 }
 
 // Answer implements core.Client.
-func (c planClient) Answer(a core.Answer) {
+func (c planClient) Answer(a engine.Answer) {
 	c.p.desk.Answered(a.Verdict.Outcome())
 	c.done(a)
 }
@@ -116,33 +116,33 @@
 const comeBack = time.Second
 
 // Begin implements faktory.Plans.
-func (p *plans) Begin(run, plan, tenant string, input []byte, until time.Time, done func(core.Answer)) error {
+func (p *plans) Begin(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error {
 	return p.coord.Finish(coordinator.Ask{Run: run, Plan: plan, Tenant: tenant, Input: input}, until, func(a *planrun.Answer, err error) {
 		done(asJob(plan, a, err))
 	})
 }
 
 // asJob is the end of a run as that of a job that named the plan.
-func asJob(plan string, a *planrun.Answer, err error) core.Answer {
+func asJob(plan string, a *planrun.Answer, err error) engine.Answer {
 	switch {
 	case errors.Is(err, coordinator.ErrLost):
-		return core.Answer{Verdict: core.Failed, Body: []byte(err.Error() + "\n"), MayHaveRun: true}
+		return engine.Answer{Verdict: engine.Failed, Body: []byte(err.Error() + "\n"), MayHaveRun: true}
 	case err != nil:
-		return core.Answer{Verdict: core.Refused, Body: []byte(err.Error() + "\n"), RetryAt: time.Now().Add(comeBack)}
+		return engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n"), RetryAt: time.Now().Add(comeBack)}
 	case a.Plan != plan:
-		return core.Answer{Verdict: core.Denied, Body: fmt.Appendf(nil, "the id %s is that of a run of plan %q\n", a.Run, a.Plan)}
+		return engine.Answer{Verdict: engine.Denied, Body: fmt.Appendf(nil, "the id %s is that of a run of plan %q\n", a.Run, a.Plan)}
 	case a.Outcome == planrun.Served:
-		return core.Answer{Verdict: core.Served, Body: answerText(a)}
+		return engine.Answer{Verdict: engine.Served, Body: answerText(a)}
 	case a.Outcome == planrun.Refused:
-		return core.Answer{Verdict: core.Refused, Body: answerText(a), RetryAt: time.Now().Add(comeBack)}
+		return engine.Answer{Verdict: engine.Refused, Body: answerText(a), RetryAt: time.Now().Add(comeBack)}
 	}
-	return core.Answer{Verdict: core.Failed, Body: answerText(a), MayHaveRun: true}
+	return engine.Answer{Verdict: engine.Failed, Body: answerText(a), MayHaveRun: true}
 }
 
 // StartPlan implements door.Fleet.
-func (p *plans) StartPlan(ctx context.Context, a door.PlanAsk) ([]byte, error) {
+func (p *plans) StartPlan(ctx context.Context, a adminapi.PlanAsk) ([]byte, error) {
 	if err := fastjson.ValidateBytes(a.Input); err != nil {
-		return nil, fmt.Errorf("%w: the input of a plan is JSON: %w", door.ErrBadCall, err)
+		return nil, fmt.Errorf("%w: the input of a plan is JSON: %w", adminapi.ErrBadCall, err)
 	}
 	answer, err := p.coord.Start(ctx, coordinator.Ask{Run: a.Run, Plan: a.Plan, Tenant: a.Tenant, Input: a.Input, Within: a.Within})
 	return told(answer, err)
@@ -157,11 +157,11 @@
 func told(a *planrun.Answer, err error) ([]byte, error) {
 	switch {
 	case errors.Is(err, coordinator.ErrNoPlan), errors.Is(err, coordinator.ErrUnknown):
-		return nil, fmt.Errorf("%w: %w", door.ErrNotThere, err)
+		return nil, fmt.Errorf("%w: %w", adminapi.ErrNotThere, err)
 	case errors.Is(err, coordinator.ErrRefused):
-		return nil, fmt.Errorf("%w: %w", door.ErrRefused, err)
-	case errors.Is(err, call.ErrNobody), errors.Is(err, coordinator.ErrNoFleet):
-		return nil, fmt.Errorf("%w: %w", door.ErrAway, err)
+		return nil, fmt.Errorf("%w: %w", adminapi.ErrRefused, err)
+	case errors.Is(err, rpc.ErrNobody), errors.Is(err, coordinator.ErrNoFleet):
+		return nil, fmt.Errorf("%w: %w", adminapi.ErrAway, err)
 	case err != nil || a == nil:
 		return nil, err
 	}
--- a/internal/service/plans_test.go
+++ b/internal/dispatcher/server/plans_test.go
@@ -1,9 +1,9 @@
-package service
+package server
 
 import (
 	"testing"
 
-	"basaltloft/internal/fleet/planrun"
+	"basaltloft/internal/dispatcher/fleet/planrun"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/service/program_test.go
+++ b/internal/dispatcher/server/program_test.go
@@ -1,4 +1,4 @@
-package service_test
+package server_test
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
-	"basaltloft/internal/service"
+	"basaltloft/internal/dispatcher/scenario"
+	"basaltloft/internal/dispatcher/server"
 
 	"github.com/stretchr/testify/require"
 )
@@ -113,7 +113,7 @@
 	for longest, want := range map[time.Duration][3]int{ // Stays, Parts, Dismiss, in milliseconds
 		25 * time.Second: {2400, 2500, 3300}, 3 * time.Second: {2400, 2500, 3300}, time.Second: {400, 500, 1300}, 500 * time.Millisecond: {400, 500, 800}, 300 * time.Millisecond: {400, 500, 600},
 	} {
-		e := service.PlannedEnd(began, longest)
+		e := server.PlannedEnd(began, longest)
 		for i, at := range []time.Time{e.Stays, e.Parts, e.Dismiss} {
 			require.Equal(t, time.Duration(want[i])*time.Millisecond, at.Sub(began), "%v %d", longest, i)
 		}
--- a/internal/service/records.go
+++ b/internal/dispatcher/server/records.go
@@ -1,4 +1,4 @@
-package service
+package server
 
 import (
 	"context"
@@ -9,19 +9,19 @@
 	"strings"
 	"time"
 
-	"basaltloft/internal/core"
-	"basaltloft/internal/door"
-	"basaltloft/internal/fleet/call"
-	"basaltloft/internal/fleet/codec"
-	"basaltloft/internal/fleet/coordinator"
-	"basaltloft/internal/fleet/parts"
-	"basaltloft/internal/fleet/records"
-	"basaltloft/internal/fleet/recordstore"
-	"basaltloft/internal/fleet/spool"
-	"basaltloft/internal/fleet/state"
-	"basaltloft/internal/segment"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/adminapi"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/coordinator"
+	"basaltloft/internal/dispatcher/fleet/partition"
+	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/fleet/recordstore"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/spool"
+	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/segment"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/valyala/fastjson"
 )
@@ -29,7 +29,7 @@
 // recorder writes a record of each final answer into this process's spool, and
 // answers the door's questions about those that the fleet has.
 type recorder struct {
-	stage.Books
+	pipeline.Books
 	s     *Service
 	fleet *fleet
 	body  int
@@ -89,8 +89,8 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(cutFor))
 	defer cancel()
-	var done parts.RecordsShipped
-	if err := s.Order(ctx, parts.RecordsShip, batch, &done); err != nil {
+	var done partition.RecordsShipped
+	if err := s.Order(ctx, partition.RecordsShip, batch, &done); err != nil {
 		return 0, err
 	}
 	if done.Gap {
@@ -101,7 +101,7 @@
 
 // End implements stage.Books. It never waits: without room in the spool the record is
 // dropped and counted, and the job has its answer all the same.
-func (r *recorder) End(t *core.Transaction, a core.Answer, now time.Time) {
+func (r *recorder) End(t *engine.Transaction, a engine.Answer, now time.Time) {
 	r.Books.End(t, a, now)
 	if r.spool == nil {
 		return
@@ -139,20 +139,20 @@
 	}
 }
 
-func (r *recorder) cutOnce(ctx context.Context, s *call.Session) (more bool, err error) {
+func (r *recorder) cutOnce(ctx context.Context, s *rpc.Session) (more bool, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(cutFor))
 	defer cancel()
-	var p parts.RecordsPlanned
-	if err := r.ask(ctx, s, parts.RecordsPlan, time.Now().UnixNano(), &p); err != nil || !p.Needed {
+	var p partition.RecordsPlanned
+	if err := r.ask(ctx, s, partition.RecordsPlan, time.Now().UnixNano(), &p); err != nil || !p.Needed {
 		return false, err
 	}
 	var done records.Cuts
-	err = s.Order(ctx, parts.RecordsCut, p.Cut, &done)
+	err = s.Order(ctx, partition.RecordsCut, p.Cut, &done)
 	return err == nil && done.Removed > 0, err
 }
 
 // ask asks the leader.
-func (r *recorder) ask(ctx context.Context, s *call.Session, kind state.Kind, body, into any) error {
+func (r *recorder) ask(ctx context.Context, s *rpc.Session, kind state.Kind, body, into any) error {
 	if s == nil {
 		return coordinator.ErrNoFleet
 	}
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := s.Read(ctx, call.Query{Kind: kind, Body: text})
+	a, err := s.Read(ctx, rpc.Query{Kind: kind, Body: text})
 	if err != nil {
 		return err
 	}
@@ -170,21 +170,21 @@
 // Record implements door.Fleet.
 func (r *recorder) Record(ctx context.Context, id string) ([]byte, error) {
 	var found []records.Record
-	if err := r.ask(ctx, r.fleet.agent.Session(), parts.RecordsFind, id, &found); err != nil {
+	if err := r.ask(ctx, r.fleet.agent.Session(), partition.RecordsFind, id, &found); err != nil {
 		return nil, inDoorsWords(err)
 	}
 	if len(found) == 0 {
-		return nil, fmt.Errorf("%w: no record of %q is kept", door.ErrNotThere, id)
+		return nil, fmt.Errorf("%w: no record of %q is kept", adminapi.ErrNotThere, id)
 	}
 	var a fastjson.Arena
 	return recordsJSON(&a, found).MarshalTo(nil), nil
 }
 
 // Records implements door.Fleet.
-func (r *recorder) Records(ctx context.Context, q door.RecordsAsk) ([]byte, error) {
+func (r *recorder) Records(ctx context.Context, q adminapi.RecordsAsk) ([]byte, error) {
 	var p records.Page
 	ask := records.Query{Tenant: q.Tenant, From: q.From, To: q.To, Last: q.Last, After: q.After, Most: min(q.Most, pageMost)}
-	if err := r.ask(ctx, r.fleet.agent.Session(), parts.RecordsPage, ask, &p); err != nil {
+	if err := r.ask(ctx, r.fleet.agent.Session(), partition.RecordsPage, ask, &p); err != nil {
 		return nil, inDoorsWords(err)
 	}
 	var a fastjson.Arena
@@ -200,16 +200,16 @@
 }
 
 // Hold implements door.Fleet.
-func (r *recorder) Hold(ctx context.Context, h door.HoldAsk) error {
+func (r *recorder) Hold(ctx context.Context, h adminapi.HoldAsk) error {
 	s := r.fleet.agent.Session()
 	if s == nil {
 		return inDoorsWords(coordinator.ErrNoFleet)
 	}
 	at := time.Now().UnixNano()
 	if h.Lift {
-		return inDoorsWords(s.Order(ctx, parts.RecordsLift, records.Lift{At: at, Name: h.Name}, nil))
+		return inDoorsWords(s.Order(ctx, partition.RecordsLift, records.Lift{At: at, Name: h.Name}, nil))
 	}
-	return inDoorsWords(s.Order(ctx, parts.RecordsHold, records.SetHold{At: at, Hold: records.Hold{
+	return inDoorsWords(s.Order(ctx, partition.RecordsHold, records.SetHold{At: at, Hold: records.Hold{
 		Name: h.Name, Tenant: h.Tenant, ID: h.ID, Key: h.Key, Class: h.Class, From: h.From, To: h.To, Owner: h.Owner, Reason: h.Reason, Until: h.Until,
 	}}, nil))
 }
@@ -220,11 +220,11 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, state.ErrRefused) && strings.Contains(err.Error(), records.ErrNoHold.Error()):
-		return fmt.Errorf("%w: %w", door.ErrNotThere, err)
+		return fmt.Errorf("%w: %w", adminapi.ErrNotThere, err)
 	case errors.Is(err, state.ErrRefused):
-		return fmt.Errorf("%w: %w", door.ErrRefused, err)
-	case errors.Is(err, call.ErrNobody), errors.Is(err, coordinator.ErrNoFleet), errors.Is(err, state.ErrFenced):
-		return fmt.Errorf("%w: %w", door.ErrAway, err)
+		return fmt.Errorf("%w: %w", adminapi.ErrRefused, err)
+	case errors.Is(err, rpc.ErrNobody), errors.Is(err, coordinator.ErrNoFleet), errors.Is(err, state.ErrFenced):
+		return fmt.Errorf("%w: %w", adminapi.ErrAway, err)
 	}
 	return err
 }
@@ -258,7 +258,7 @@
 }
 
 // openStore opens the keeper's store of records anew, and what it knows of cuts.
-func (f *fleet) openStore(folder string) (*parts.Records, error) {
+func (f *fleet) openStore(folder string) (*partition.Records, error) {
 	if f.store != nil {
 		if err := f.store.Close(); err != nil {
 			return nil, fmt.Errorf("the store of records: %w", err)
@@ -272,7 +272,7 @@
 	if err != nil {
 		f.log.WithError(err).Error("what is known of cut records can't be read and is left out")
 	}
-	return parts.NewRecords(f.store, known), nil
+	return partition.NewRecords(f.store, known), nil
 }
 
 // fleetName is what a fence is marked with: a folder belongs to one fleet.
@@ -295,7 +295,7 @@
 		}
 		var fence records.Fence
 		k.Look(func(m *state.Machine) {
-			if p, ok := m.Part(parts.RecordsName).(*parts.Records); ok {
+			if p, ok := m.Part(partition.RecordsName).(*partition.Records); ok {
 				fence = p.Fence()
 			}
 		})
--- a/internal/service/service.go
+++ b/internal/dispatcher/server/service.go
@@ -1,6 +1,6 @@
-// Package service assembles the dispatcher of its parts and owns its life:
+// Package server assembles the dispatcher of its parts and owns its life:
 // start, reload and planned end. Nothing here decides about jobs.
-package service
+package server
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"sync"
 	"time"
 
-	"basaltloft/internal/account"
-	"basaltloft/internal/core"
-	"basaltloft/internal/figures"
-	"basaltloft/internal/journal"
-	"basaltloft/internal/pool"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/stage"
+	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/discovery"
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/metrics"
+	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 )
@@ -41,14 +41,14 @@
 type Service struct {
 	options    Options
 	log        *logrus.Logger
-	limits     stage.Limits
+	limits     pipeline.Limits
 	sockets    int
-	keeper     *figures.Keeper
-	auditor    *figures.Auditor
+	keeper     *metrics.Keeper
+	auditor    *metrics.Auditor
 	journal    *journal.Journal // nil: off
-	hub        *core.Core
-	chain      *stage.Chain
-	follower   *pool.Follower
+	hub        *engine.Core
+	chain      *pipeline.Chain
+	follower   *discovery.Follower
 	components []*component
 	operators  *operators
 	fleet      *fleet        // nil: this process is alone
@@ -235,7 +235,7 @@
 	s.hub.Sync(func() {
 		t := s.keeper.Book.Totals()
 		f["taken"], f["open"] = t.Taken, t.Open
-		for o := range account.Outcomes {
+		for o := range accounting.Outcomes {
 			f[o.String()] = t.By(o)
 		}
 	})
--- a/internal/service/settings_random_test.go
+++ b/internal/dispatcher/server/settings_random_test.go
@@ -1,4 +1,4 @@
-package service_test
+package server_test
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/service"
-	"basaltloft/internal/settings"
-	"basaltloft/internal/standin"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/server"
+	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
@@ -57,7 +57,7 @@
 	slots            int
 	run              time.Duration
 	crossing         float64
-	troubles         standin.Troubles
+	troubles         fakes.Troubles
 	jobs             int
 	over             time.Duration // in which they come
 	seed             uint64
@@ -82,7 +82,7 @@
 		tries: rapid.IntRange(1, 5).Draw(t, "tries"), instances: rapid.SampledFrom([]int{1, 3, 20}).Draw(t, "instances"),
 		slots: rapid.IntRange(1, 6).Draw(t, "slots"), run: span("run", 2, 20, 60, 150),
 		crossing: rapid.SampledFrom([]float64{0, 0.03}).Draw(t, "crossing"),
-		troubles: standin.Troubles{
+		troubles: fakes.Troubles{
 			TurnAway: chance("turn away"), Fail: chance("fail"), Break: chance("break"), Again: chance("again"),
 			Return: chance("return"), Lose: chance("lose"), Hang: chance("hang") / 2,
 		},
@@ -142,21 +142,21 @@
 // history is what came of a site.
 type history struct {
 	calls    []call
-	arrivals []standin.Arrival
+	arrivals []fakes.Arrival
 	lag      time.Duration // the most by which this process was late for its own clock
 }
 
 // play runs the program on a site, with the classes as given, until all is answered.
 func play(s site, seen []lane) (h history, err error) {
-	till := standin.NewTill()
+	till := fakes.NewTill()
 	till.Log()
-	addr, err := standin.Free()
+	addr, err := fakes.Free()
 	if err != nil {
 		return h, err
 	}
-	var listed []standin.Listed
+	var listed []fakes.Listed
 	for i, p := range s.places {
-		m, err := standin.NewMember(standin.MemberSettings{
+		m, err := fakes.NewMember(fakes.MemberSettings{
 			ID: fmt.Sprintf("m%d", i), Zone: p.zone, Kind: p.kind, Cell: p.cell, Slots: s.slots, Silent: s.silent, Till: till, Seed: s.seed + uint64(i),
 			Run: func(string) time.Duration { return s.run }, Once: func(string) bool { return false }, Troubles: s.troubles,
 			Reports: func() string { return addr },
@@ -172,7 +172,7 @@
 		}
 		listed = append(listed, one)
 	}
-	discovery, err := standin.NewDiscovery(listed...)
+	discovery, err := fakes.NewDiscovery(listed...)
 	if err != nil {
 		return h, err
 	}
@@ -191,7 +191,7 @@
 	log.SetOutput(io.Discard)
 	told, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() {
-		ended <- service.Run(context.Background(), service.Options{Config: c, Operator: o, Log: log}, told, nil)
+		ended <- server.Run(context.Background(), server.Options{Config: c, Operator: o, Log: log}, told, nil)
 	}()
 	over := make(chan struct{})
 	defer func() {
@@ -256,8 +256,8 @@
 }
 
 // unheard tells whether a member knows nothing of an attempt's end that another followed.
-func unheard(arrivals []standin.Arrival) bool {
-	last := make(map[string]standin.Arrival)
+func unheard(arrivals []fakes.Arrival) bool {
+	last := make(map[string]fakes.Arrival)
 	for _, a := range arrivals {
 		if b, known := last[a.ID]; known && b.Over.IsZero() {
 			return true
@@ -310,7 +310,7 @@
 func broken(s site, h history) (wrong []string) {
 	say := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
 	slack := min(100*time.Millisecond+3*h.lag, time.Second) // of a stand-in that is late itself
-	of := make(map[string][]standin.Arrival)
+	of := make(map[string][]fakes.Arrival)
 	for _, a := range h.arrivals {
 		of[a.ID] = append(of[a.ID], a)
 	}
@@ -321,7 +321,7 @@
 	for _, q := range h.calls {
 		l, tries := q.lane, of[q.id]
 		delete(of, q.id)
-		var ran *standin.Arrival // the first that may have run
+		var ran *fakes.Arrival // the first that may have run
 		for i, a := range tries {
 			if a.Class != l.Name || a.Ask != q.ask || (l.Effect == "deduplicated") != (a.Key != "") {
 				say("%s of %s came to its member as %s %s %q", q.id, l.Name, a.Class, a.Ask, a.Key)
@@ -436,7 +436,7 @@
 	s := site{
 		lanes: []lane{l}, kinds: []int{-1}, shapes: []string{"s"}, tenants: []string{"t"}, zone: "z", tries: 3, instances: 1, slots: 8,
 		places: []place{{zone: "z", kind: "s"}, {zone: "y", kind: "s", cell: 1}, {zone: "x", kind: "s", cell: 2}},
-		run:    5 * time.Millisecond, jobs: 24, over: 60 * time.Millisecond, seed: 1, silent: true, troubles: standin.Troubles{Break: 1},
+		run:    5 * time.Millisecond, jobs: 24, over: 60 * time.Millisecond, seed: 1, silent: true, troubles: fakes.Troubles{Break: 1},
 	}
 	var all sync.WaitGroup
 	for name, c := range map[string]struct {
@@ -449,7 +449,7 @@
 		"cell":       {func(set *lane, _ *site) { set.Scope = "cell" }, "outside its cell"},
 		"most tries": {func(_ *lane, s *site) { s.tries = 1 }, "attempts of 1"},
 		"window": {func(set *lane, s *site) {
-			set.Window, s.run, s.troubles = 0, 1500*time.Millisecond, standin.Troubles{Fail: 1}
+			set.Window, s.run, s.troubles = 0, 1500*time.Millisecond, fakes.Troubles{Fail: 1}
 		}, "window 0s"},
 		"its refusal": {func(set *lane, _ *site) { set.Effect, set.Scope = "deduplicated", "zone" }, "refused, may have run"},
 	} {
@@ -472,7 +472,7 @@
 	began := time.Now()
 	told := history{
 		calls:    []call{{id: "a", ask: "a", lane: l, patience: time.Second, took: time.Second, status: http.StatusOK, body: "ran a"}},
-		arrivals: []standin.Arrival{{ID: "a", Ask: "a", Class: l.Name, Key: "k", Member: "m0", At: began, Over: began.Add(time.Second)}},
+		arrivals: []fakes.Arrival{{ID: "a", Ask: "a", Class: l.Name, Key: "k", Member: "m0", At: began, Over: began.Add(time.Second)}},
 	}
 	require.Empty(t, broken(s, told))
 	for says, change := range map[string]func(h *history){
@@ -483,7 +483,7 @@
 		"came to its member":   func(h *history) { h.arrivals[0].Key = "" },
 		"two attempts at once": func(h *history) {
 			h.arrivals[0].Over = time.Time{}
-			h.arrivals = append(h.arrivals, standin.Arrival{ID: "a", Ask: "a", Class: l.Name, Key: "k", Member: "m1", At: began.Add(time.Minute)})
+			h.arrivals = append(h.arrivals, fakes.Arrival{ID: "a", Ask: "a", Class: l.Name, Key: "k", Member: "m1", At: began.Add(time.Minute)})
 		},
 	} {
 		h := history{calls: slices.Clone(told.calls), arrivals: slices.Clone(told.arrivals)}
--- a/internal/service/start_test.go
+++ b/internal/dispatcher/server/start_test.go
@@ -1,4 +1,4 @@
-package service_test
+package server_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"basaltloft/internal/scenario"
+	"basaltloft/internal/dispatcher/scenario"
 
 	"github.com/stretchr/testify/require"
 )
--- a/internal/settings/config.go
+++ b/internal/dispatcher/settings/config.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"basaltloft"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/valyala/fastjson"
 )
@@ -21,7 +21,7 @@
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Known                   List
-	Settings                basaltloft.Settings
+	Settings                policy.Settings
 	Tenants                 []string // those that the settings know
 	// Reports: members report their load (reporting.via is not silent and names
 	// columns), in answers and news where via is piggyback, and to probes.
@@ -40,7 +40,7 @@
 type Entry struct {
 	ID, Addr, Kind, Zone string
 	Cell                 int // below 0: not told, and no other member's
-	State                basaltloft.MemberState
+	State                policy.MemberState
 	Weight               float64
 	Started              time.Time // zero: long ago
 }
@@ -145,18 +145,18 @@
 	}
 	switch state := r.text("lifecycle"); state {
 	case "active":
-		e.State = basaltloft.Ready
+		e.State = policy.Ready
 	case "leaving":
-		e.State = basaltloft.Draining
+		e.State = policy.Draining
 	case "left":
-		e.State = basaltloft.Removed
+		e.State = policy.Removed
 	default:
 		r.fail("lifecycle", fmt.Errorf("unknown state %q", state))
 	}
 	if e.ID == "" {
 		r.fail("instanceId", fmt.Errorf("missing"))
 	}
-	if _, _, err := net.SplitHostPort(e.Addr); err != nil && e.State != basaltloft.Removed {
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil && e.State != policy.Removed {
 		r.fail("hostPort", err)
 	}
 	return e, r.err()
--- a/internal/settings/experiment.go
+++ b/internal/dispatcher/settings/experiment.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/jsontext"
+	"basaltloft/internal/dispatcher/jsontext"
+	"basaltloft/internal/dispatcher/policy"
 
 	"github.com/valyala/fastjson"
 )
@@ -27,7 +27,7 @@
 	Clients     int           // a closed loop of so many; 0: arrivals by the rates
 	Think       time.Duration // of a client between an answer and its next ask
 	Capacity    time.Duration // of the gate policies
-	Settings    basaltloft.Settings
+	Settings    policy.Settings
 	Troubles    []ExperimentTrouble
 	Policies    []string
 	Seeds       int
@@ -197,7 +197,7 @@
 			c.Slots = append(c.Slots, n.GetFloat64())
 		}
 		switch {
-		case !slices.ContainsFunc(x.Settings.Classes, func(o basaltloft.Class) bool { return o.Name == c.Name }):
+		case !slices.ContainsFunc(x.Settings.Classes, func(o policy.Class) bool { return o.Name == c.Name }):
 			r.fail("name", fmt.Errorf("the settings have no class %q", c.Name))
 		case c.Rate <= 0 || c.Work <= 0:
 			r.fail("rate", errors.New("rate and work_ms must be more than nothing"))
--- a/internal/settings/golden_test.go
+++ b/internal/dispatcher/settings/golden_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"basaltloft"
-	"basaltloft/internal/goldentest"
-	"basaltloft/internal/lag"
+	"basaltloft/internal/dispatcher/policy"
+	"basaltloft/internal/dispatcher/schedulingdelay"
+	"basaltloft/internal/shared/goldentest"
 
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
@@ -50,8 +50,8 @@
 	require.Equal(t, Config{
 		Name: "n0", Listen: "127.0.0.1:7400", Discovery: "127.0.0.1:7401", Admin: "127.0.0.1:7402", Cores: 1.5, MemoryMB: 256, Sockets: 900,
 		Known: List{Generation: 7, Whole: true, Entries: []Entry{
-			{ID: "r-1", Addr: "h:1", Kind: "k", Zone: "a", Cell: 3, State: basaltloft.Ready, Weight: 1.5, Started: time.UnixMilli(1500)},
-			{ID: "r-2", Addr: "h:2", Cell: 4, State: basaltloft.Draining}, {ID: "r-3", Cell: 5, State: basaltloft.Removed},
+			{ID: "r-1", Addr: "h:1", Kind: "k", Zone: "a", Cell: 3, State: policy.Ready, Weight: 1.5, Started: time.UnixMilli(1500)},
+			{ID: "r-2", Addr: "h:2", Cell: 4, State: policy.Draining}, {ID: "r-3", Cell: 5, State: policy.Removed},
 		}},
 		Settings: goldenSettings(0xff07, 0, false), Tenants: []string{"t"}, Reports: true, DialWithin: 12,
 	}, c)
@@ -61,18 +61,18 @@
 	require.Equal(t, Report{Kind: "configuration"}, Check(text))
 }
 
-func goldenSettings(seed uint64, connectWithin time.Duration, secondCopies bool) basaltloft.Settings {
-	return basaltloft.Settings{
+func goldenSettings(seed uint64, connectWithin time.Duration, secondCopies bool) policy.Settings {
+	return policy.Settings{
 		Seed: seed, Instances: 3, Rank: 1, Zone: "a", Kinds: []string{"k", "l"}, WorthByWork: true, AskLists: true, TellsStart: true, MarksRetry: true,
 		ReportX0: "free slots", ReportX1: "free memory", CrossZonePrice: 0.25,
-		Limits: basaltloft.Limits{MaxAttempts: 3, Cancel: true, Probes: true, SecondCopies: secondCopies, RetryAfter: true, MaxRetryAfter: 11, ConnectWithin: connectWithin},
-		Rules: basaltloft.Rules{
+		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, Probes: true, SecondCopies: secondCopies, RetryAfter: true, MaxRetryAfter: 11, ConnectWithin: connectWithin},
+		Rules: policy.Rules{
 			AnswerGrace: 21, AskWithin: 22, ColdFrom: 0.3, ColdFor: 23, FallMultiple: 2.5, FallFor: 24, FullMayHaveRun: true, OnlyDrainingBinds: true,
 		},
-		Classes: []basaltloft.Class{
-			{Name: "read", Effect: basaltloft.Safe, Group: basaltloft.GroupAll, Aim: 31, GiveUp: 32, Worth: 1.5, Stretch: 5, Kind: 1},
-			{Name: "hold", Effect: basaltloft.Keyed, Group: basaltloft.GroupZone, Window: 33, Aim: 34, GiveUp: 35, Worth: 2, Stretch: 3, Kind: -1},
-			{Name: "ticket", Effect: basaltloft.Unsafe, Group: basaltloft.GroupCell, Aim: 36, GiveUp: 37, Worth: 3, Stretch: 4, Kind: 0},
+		Classes: []policy.Class{
+			{Name: "read", Effect: policy.Safe, Group: policy.GroupAll, Aim: 31, GiveUp: 32, Worth: 1.5, Stretch: 5, Kind: 1},
+			{Name: "hold", Effect: policy.Keyed, Group: policy.GroupZone, Window: 33, Aim: 34, GiveUp: 35, Worth: 2, Stretch: 3, Kind: -1},
+			{Name: "ticket", Effect: policy.Unsafe, Group: policy.GroupCell, Aim: 36, GiveUp: 37, Worth: 3, Stretch: 4, Kind: 0},
 		},
 	}
 }
@@ -108,7 +108,7 @@
 		return FleetBudget{Of: of, Name: name, FloorFor: 600 * time.Second, Weights: map[string]float64{}}
 	}
 	require.Equal(t, Operator{
-		AgentCheck: "h:1", Behind: lag.Bounds{Target: ms, For: 2 * ms},
+		AgentCheck: "h:1", Behind: schedulingdelay.Bounds{Target: ms, For: 2 * ms},
 		Faktory: &Faktory{
 			Listen: "h:2", Password: "p", Default: FaktoryJob{Class: "c", Tenant: "t", Deadline: 3 * ms, Cost: 4 * time.Microsecond},
 			JobTypes: map[string]FaktoryJob{"Hold": {Class: "d"}}, Queues: map[string]FaktoryJob{"q": {Tenant: "u"}}, Zone: "a", Kind: "k", Cell: 5,
@@ -172,7 +172,7 @@
 			{Name: "c", Rate: 1, Work: ms, Shape: "exp", Arrivals: Arrivals{Kind: "poisson"}},
 		},
 		Troubles: []ExperimentTrouble{{Kind: "slow", At: 34 * time.Second, For: 35 * ms, Part: 0.7, Size: 0.8}},
-		Settings: basaltloft.Settings{Instances: 2, Classes: []basaltloft.Class{{Name: "c", Effect: basaltloft.Safe, Group: basaltloft.GroupCell, Kind: -1}}},
+		Settings: policy.Settings{Instances: 2, Classes: []policy.Class{{Name: "c", Effect: policy.Safe, Group: policy.GroupCell, Kind: -1}}},
 	}, x)
 	require.Equal(t, Report{Kind: "experiment"}, Check(text))
 	require.Equal(t, []string{"fixed", "exp", "pareto", "lognormal"}, Shapes)
--- a/internal/settings/operator.go
+++ b/internal/dispatcher/settings/operator.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"basaltloft/internal/lag"
+	"basaltloft/internal/dispatcher/schedulingdelay"
 
 	"github.com/valyala/fastjson"
 )
@@ -15,9 +15,9 @@
 type Operator struct {
 	Faktory    *Faktory // nil: off
 	Figures    Figures
-	AgentCheck string     // where the agent check listens; empty: off
-	Fleet      *Fleet     // nil: this process is alone
-	Behind     lag.Bounds // when new work is turned away since own work is late; a Target of 0: never
+	AgentCheck string                 // where the agent check listens; empty: off
+	Fleet      *Fleet                 // nil: this process is alone
+	Behind     schedulingdelay.Bounds // when new work is turned away since own work is late; a Target of 0: never
 }
 
 // Faktory sets up the front for the Faktory work protocol.
@@ -84,7 +84,7 @@
 	r := newReader(v, "")
 	o := Operator{AgentCheck: r.text("agent_check.listen"), Figures: r.figures()}
 	if r.get("admission", fastjson.TypeObject) != nil {
-		o.Behind = lag.Bounds{
+		o.Behind = schedulingdelay.Bounds{
 			Target: time.Duration(r.count("admission.behind_ms", 50)) * time.Millisecond,
 			For:    time.Duration(r.count("admission.behind_for_ms", 200)) * time.Millisecond,
 		}
