--- a/internal/fleet/coordinator/coordinator.go
+++ b/internal/fleet/coordinator/coordinator.go
@@ -72,6 +72,7 @@
 	fleet Fleet
 	jobs  Dispatcher
 	log   logrus.FieldLogger
+	now   func() time.Time // the clock of the deadlines of Finish
 
 	mu      sync.Mutex
 	named   map[string]*plan.Plan // in use
@@ -86,7 +87,7 @@
 
 // New returns a coordinator without plans.
 func New(f Fleet, d Dispatcher, log logrus.FieldLogger) *Coordinator {
-	return &Coordinator{fleet: f, jobs: d, log: log, memory: planrun.NewCoordinator(planrun.DefaultLimits().Grace), leaving: make(chan struct{}),
+	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, memory: planrun.NewCoordinator(planrun.DefaultLimits().Grace), leaving: make(chan struct{}),
 		named: map[string]*plan.Plan{}, digests: map[uint64]*plan.Plan{}, runs: map[string]*run{}}
 }
 
--- a/internal/fleet/coordinator/finish.go
+++ b/internal/fleet/coordinator/finish.go
@@ -77,7 +77,7 @@
 	case life == nil || life.Err() != nil:
 		return ErrNoFleet
 	}
-	if most := time.Now().Add(p.Within); until.IsZero() || until.After(most) {
+	if most := c.now().Add(p.Within); until.IsZero() || until.After(most) {
 		until = most
 	}
 	c.all.Go(func() {
@@ -92,19 +92,15 @@
 func (c *Coordinator) finish(ctx context.Context, a Ask, until time.Time) (*planrun.Answer, error) {
 	heard, forget := c.ends.wait(a.Run)
 	defer forget()
-	began, keep := time.Now(), planrun.DefaultLimits().KeepFor
+	began, keep := c.now(), planrun.DefaultLimits().KeepFor
 	stop := began.Add(keep / 2) // a later start could begin it anew, were its answer forgotten
 	if until.Before(stop) {
 		stop = until
 	}
 	var before time.Duration // a start that was ordered counts up to then; 0: none was
 	err := fmt.Errorf("%w: its deadline has passed", ErrRefused)
-	for now := time.Now(); now.Before(stop); now = time.Now() {
-		by := now.Add(orderFor)
-		if stop.Before(by) {
-			by = stop
-		}
-		once, cancel := context.WithDeadline(ctx, by)
+	for now := c.now(); now.Before(stop); now = c.now() {
+		once, cancel := context.WithTimeout(ctx, min(orderFor, stop.Sub(now)))
 		a.Within = until.Sub(now)
 		var answer *planrun.Answer
 		var upTo time.Duration
@@ -129,7 +125,7 @@
 		return nil, err
 	}
 	lost := until.Add(planrun.DefaultLimits().Grace + tellWithin)
-	for wait := lookEvery; time.Now().Before(lost); {
+	for wait := lookEvery; c.now().Before(lost); {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -138,14 +134,14 @@
 		case <-time.After(wait):
 		}
 		if s := c.fleet.Session(); s != nil && !c.drives(a.Run) {
-			once, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
+			once, cancel := context.WithTimeout(ctx, orderFor)
 			r, bad := c.look(once, s, a.Run)
 			cancel()
 			switch {
 			case bad != nil:
 			case r.Ended != nil:
 				return r.Ended, nil
-			case r.Run == nil && r.At > before && time.Since(began) < keep-keep/10: // no answer of it can have been forgotten by now
+			case r.Run == nil && r.At > before && c.now().Sub(began) < keep-keep/10: // no answer of it can have been forgotten by now
 				return nil, fmt.Errorf("%w: it was never begun", ErrRefused)
 			}
 		}
--- a/internal/fleet/coordinator/finish_test.go
+++ b/internal/fleet/coordinator/finish_test.go
@@ -27,14 +27,42 @@
 type keeper struct {
 	mu      sync.Mutex
 	machine *state.Machine
+	clock   *heldClock
 	began   time.Time
 	lostIn  bool // commands of plans do not arrive
 	lostOut bool // their answers do not
-
 }
 
 // at is fleet time, which may run slow.
-func (k *keeper) at() time.Duration { return time.Since(k.began) / 2 }
+func (k *keeper) at() time.Duration { return k.clock.now().Sub(k.began) / 2 }
+
+// heldClock stands still until it is released, and keeps time from then on. What has to
+// come before a deadline by it comes before, however busy the machine is.
+type heldClock struct {
+	held time.Time // what it shows until it is released
+
+	mu       sync.Mutex
+	released time.Time // by the machine's clock; zero: not yet
+}
+
+func newHeldClock() *heldClock { return &heldClock{held: time.Now()} }
+
+func (h *heldClock) now() time.Time {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.released.IsZero() {
+		return h.held
+	}
+	return h.held.Add(time.Since(h.released))
+}
+
+func (h *heldClock) release() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.released.IsZero() {
+		h.released = time.Now()
+	}
+}
 
 func (k *keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
@@ -44,7 +72,9 @@
 	lost, answer := false, any(nil)
 	if r.URL.Path == call.Do {
 		c, _ := state.Decode(body)
-
+		if c.Kind == parts.PlansDo {
+			defer k.clock.release() // the start of the run has come, and was carried out unless it is lost
+		}
 		if c.Kind == parts.PlansDo && k.lostIn {
 			panic(http.ErrAbortHandler)
 		}
@@ -99,7 +129,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			k := &keeper{machine: state.New(parts.NewPlans()), began: time.Now(), lostIn: at.in, lostOut: at.out}
+			clock := newHeldClock()
+			k := &keeper{machine: state.New(parts.NewPlans()), clock: clock, began: clock.now(), lostIn: at.in, lostOut: at.out}
 			server := httptest.NewServer(k)
 			defer server.Close()
 			client := call.New(map[string]string{"k": strings.TrimPrefix(server.URL, "http://")})
@@ -109,6 +140,7 @@
 			require.NoError(t, err)
 			log, _ := test.NewNullLogger()
 			c := New(process{session}, process{}, log)
+			c.now = clock.now
 			c.Use(all)
 			require.ErrorIs(t, c.Finish(Ask{Plan: "two"}, time.Time{}, nil), ErrNoPlan)
 			require.ErrorIs(t, c.Finish(at.ask, time.Time{}, nil), ErrNoFleet, "it does not run yet")
@@ -122,7 +154,7 @@
 			}
 			ended := make(chan end, 2)
 			at.ask.Run = "r"
-			until := time.Now().Add(at.within)
+			until := clock.now().Add(at.within)
 			require.Eventually(t, func() bool {
 				return c.Finish(at.ask, until, func(a *planrun.Answer, err error) { ended <- end{a, err} }) == nil
 			}, 10*time.Second, time.Millisecond)
