--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -35,7 +35,8 @@
 	program, err := scenario.Build()
 	require.NoError(t, err)
 	var out bytes.Buffer
-	require.NoError(t, RunFleet(context.Background(), FleetSettings{Program: program, Processes: 3, Until: time.Now().Add(4 * time.Second)}, &out, io.Discard))
+	settings := FleetSettings{Program: program, Processes: 3, Until: time.Now().Add(4 * time.Second), MinimumTaken: 1}
+	require.NoError(t, RunFleet(context.Background(), settings, &out, io.Discard))
 	for _, want := range []string{`n3: [1-9]\d* jobs taken.*adds up`, `"process":"n1".*"members":3`, `[1-9]\d* plans of 42 seats: [1-9]`, `; 0 tickets ran twice`} {
 		require.Regexp(t, want, out.String())
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -61,6 +61,9 @@
 	Program   string // to start
 	Processes int
 	Until     time.Time // clients ask up to then
+	// MinimumTaken, unless 0, has clients ask past Until, for the demo's patience at most,
+	// until each process has taken so many jobs and a plan has been served.
+	MinimumTaken int64
 }
 
 const (
@@ -250,7 +253,11 @@
 
 // serve lets clients ask until the time is over, and waits for what is due to them.
 func (f *fleet) serve(ctx context.Context, errs io.Writer) error {
-	asking, stop := context.WithDeadline(ctx, f.Until)
+	last := f.Until
+	if f.MinimumTaken > 0 {
+		last = last.Add(patience)
+	}
+	asking, stop := context.WithDeadline(ctx, last)
 	defer stop()
 	var all sync.WaitGroup
 	random := rand.New(rand.NewPCG(3, 5)) // of the HTTP clients, which draw one at a time
@@ -272,6 +279,9 @@
 		case <-tick.C:
 			fmt.Fprintf(errs, "\r%d answered by HTTP, %d plans begun", f.answers.Served.Load(), len(f.begun()))
 			died = f.died()
+			if f.MinimumTaken > 0 && !time.Now().Before(f.Until) && f.enough() {
+				stop()
+			}
 		}
 	}
 	stop()
@@ -280,6 +290,23 @@
 	return errors.Join(died, ctx.Err())
 }
 
+// enough tells whether each process has taken the fewest jobs that it is to take, and a
+// plan has been served.
+func (f *fleet) enough() bool {
+	for _, n := range f.nodes {
+		var r figures.Report
+		if get(n.figures, "/figures", &r) != nil || r.Account.Totals.Taken < f.MinimumTaken {
+			return false
+		}
+	}
+	for i, run := range f.begun() {
+		if f.ended(f.nodes[i%len(f.nodes)], run) == "served" {
+			return true
+		}
+	}
+	return false
+}
+
 // died tells of a process that has ended by itself.
 func (f *fleet) died() error {
 	for _, n := range f.nodes {
@@ -376,14 +403,22 @@
 // outcome waits for the final answer of a run, in one word.
 func (f *fleet) outcome(at *node, run string) (string, error) {
 	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		var a struct{ Outcome string }
-		if get(at.admin, "/runs/"+run, &a) == nil && a.Outcome != "" && a.Outcome != "under way" {
-			return a.Outcome, nil
+		if outcome := f.ended(at, run); outcome != "" {
+			return outcome, nil
 		}
 	}
 	return "", fmt.Errorf("plan %s has no answer", run)
 }
 
+// ended is the outcome of a run's final answer, or "" while it has none.
+func (f *fleet) ended(at *node, run string) string {
+	var a struct{ Outcome string }
+	if get(at.admin, "/runs/"+run, &a) != nil || a.Outcome == "under way" {
+		return ""
+	}
+	return a.Outcome
+}
+
 // end ends the processes in order, and waits for them.
 func (f *fleet) end() (err error) {
 	for _, n := range f.nodes {
