--- a/internal/cluster/protocol/protocol.go
+++ b/internal/cluster/protocol/protocol.go
@@ -169,7 +169,7 @@
 // They are part of the protocol between builds and don't follow the types' own names.
 const (
 	replicaNames  = "basaltloft/coord/replica."
-	protocolNames = "basaltloft/internal/protocol."
+	protocolNames = "basaltloft/internal/cluster/protocol."
 )
 
 func init() {
