--- a/internal/systemtest/standin.go
+++ b/internal/systemtest/standin.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -145,6 +146,16 @@
 	r.changed = make(chan struct{})
 }
 
+// EndAll ends all tasks that run, as done.
+func (r *Runner) EndAll() {
+	r.mu.Lock()
+	running := maps.Clone(r.runs)
+	r.mu.Unlock()
+	for task, attempt := range running {
+		r.end(order{Task: task, Attempt: attempt}, "done")
+	}
+}
+
 func (r *Runner) stop(w http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	o, ok := r.read(w, q)
--- a/internal/systemtest/system_test.go
+++ b/internal/systemtest/system_test.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -33,39 +32,16 @@
 	folders  map[string]string
 }
 
-// freePort finds a port that is free at all the addresses.
-func freePort(t *testing.T, ips ...string) int {
-	t.Helper()
-	for range 50 {
-		probe, err := net.Listen("tcp", net.JoinHostPort(ips[0], "0"))
-		require.NoError(t, err)
-		port := probe.Addr().(*net.TCPAddr).Port
-		probe.Close()
-		free := true
-		for _, ip := range ips {
-			for offset := range 4 {
-				other, err := net.Listen("tcp", net.JoinHostPort(ip, fmt.Sprint(port+offset)))
-				free = free && err == nil
-				if err == nil {
-					other.Close()
-				}
-			}
-		}
-		if free {
-			return port
-		}
-	}
-	t.Fatal("no port is free")
-	return 0
-}
-
 var cores = []string{"127.0.0.11", "127.0.0.12", "127.0.0.13"}
 
 const edge = "127.0.0.21"
 
+// portsEach is how many ports a process listens on, one after another.
+const portsEach = 4
+
 func start(t *testing.T) *system {
 	s := &system{t: t, platform: systemtest.NewPlatform(), runner: systemtest.NewRunner("i-1", 30*time.Millisecond), stops: map[string]func(){}, folders: map[string]string{}}
-	s.port = freePort(t, append(cores, edge)...)
+	s.port = systemtest.FreePorts(t, portsEach, append(cores, edge)...)
 	s.platform.Add(s.runner, "desk")
 	for _, ip := range cores {
 		s.folders[ip] = t.TempDir()
--- /dev/null
+++ b/internal/upgradetest/workload_test.go
@@ -0,0 +1,338 @@
+package upgradetest_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/protocol"
+)
+
+const clientHost = "client.example"
+
+// Services: one whose runner is quick, one whose runner is slow, one that has no runner at
+// first.
+const (
+	quickService  = "quick"
+	slowService   = "slow"
+	vacantService = "vacant"
+)
+
+// Sizes of the workload. What goes into a group's log is more than the 2 MiB after which a
+// core process writes a snapshot, so that the new build reads both snapshots and logs.
+const (
+	configurations     = 40
+	configurationBytes = 64 << 10
+	largeJobs          = 9
+	largeJobBytes      = 240 << 10
+)
+
+// States of jobs as clients are told.
+const (
+	pending   = "pending"
+	running   = "running"
+	completed = "completed"
+	canceled  = "canceled"
+)
+
+// ranks orders the states: a job goes only to a higher one.
+var ranks = map[string]int{pending: 0, running: 1, completed: 2, canceled: 2}
+
+// configurationText returns a configuration. The queue /moved/ goes to another service from
+// half of the versions on, and /removed/ is gone then.
+func configurationText(version int64) string {
+	routes := map[string]string{"/quick/": quickService, "/slow/": slowService, "/vacant/": vacantService}
+	if version <= configurations/2 {
+		routes["/moved/"], routes["/removed/"] = vacantService, quickService
+	} else {
+		routes["/moved/"] = quickService
+	}
+	var list []string
+	for prefix, service := range routes {
+		list = append(list, fmt.Sprintf(`{"name":%q,"host":%q,"path_prefix":%q,"type":"mutating","timeout_ms":3000,"target_ms":250,"priority":0,"backend":%q,"retries":3,"extension":1.5}`,
+			prefix, clientHost, prefix, service))
+	}
+	slices.Sort(list)
+	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":%q,"guards":true},{"name":%q},{"name":%q}],"limits":{"max_body_bytes":262144},"comment":%q}`,
+		version, strings.Join(list, ","), quickService, slowService, vacantService, strings.Repeat("c", configurationBytes))
+}
+
+const (
+	plainJob = `{"spec":"plain","stages":[{"count":2,"cpu":500,"mem_mb":10,"estimate_ms":50},{"count":1,"cpu":500,"depends_on":[0]}]}`
+	// slowJob expects to run for an hour: a run far beyond what was expected is stopped and
+	// begun elsewhere.
+	slowJob = `{"spec":"slow","stages":[{"count":2,"cpu":500,"estimate_ms":3600000},{"count":1,"cpu":500,"estimate_ms":3600000,"depends_on":[0]}]}`
+	oneTask = `{"spec":"one","stages":[{"count":1,"cpu":100}]}`
+)
+
+func largeJob() string {
+	return fmt.Sprintf(`{"spec":"large","stages":[{"count":1,"cpu":100,"constraints":%q}]}`, strings.Repeat("l", largeJobBytes))
+}
+
+func timedJob(start time.Time, repeats int) string {
+	return fmt.Sprintf(`{"spec":"timed","repeats":%d,"start_at_ms":%d,"interval_ms":%d,"stages":[{"count":1,"cpu":100}]}`,
+		repeats, start.UnixMilli(), time.Hour.Milliseconds())
+}
+
+// workload is what a cluster was given before its upgrade.
+type workload struct {
+	*cluster
+	states      map[string]string // of jobs, by path
+	withdrawn   string            // the path of a job that was cancelled before it was handed in
+	counts      map[string]string // the answers to questions for queues' counts, by path
+	restApplied map[string]uint64 // by group: what was applied when the snapshots were asked for
+}
+
+// give hands a cluster its configurations, and jobs in all states.
+func give(c *cluster) *workload {
+	w := &workload{cluster: c, states: map[string]string{}, counts: map[string]string{}}
+	w.replaceUpTo(1, configurations/2)
+	w.giveJobs("early")
+	w.track("/moved/moved-early", pending, oneTask)
+	w.track("/removed/removed-early", completed, oneTask)
+	w.replaceUpTo(configurations/2+1, configurations)
+	delete(w.states, "/removed/removed-early") // its queue is gone
+	w.fillLogs()
+	w.giveJobs("late")
+	w.withdrawn = "/quick/withdrawn"
+	require.Equal(c.t, http.StatusGone, w.send(w.client(http.MethodDelete, w.withdrawn, "")).status)
+	for _, path := range []string{"/quick/", "/slow/", "/vacant/", "/moved/"} {
+		w.counts[path] = w.send(w.client(http.MethodGet, path, "")).body
+	}
+	w.awaitWhole("before the upgrade")
+	return w
+}
+
+// replaceUpTo replaces the configuration by each of those versions.
+func (w *workload) replaceUpTo(first, last int64) {
+	w.t.Helper()
+	for version := first; version <= last; version++ {
+		got := w.replace(int(version)%coreCount, version-1, configurationText(version))
+		require.Equal(w.t, http.StatusOK, got.status, "configuration %d: %s", version, got.body)
+	}
+}
+
+// track hands a job in and waits for its state.
+func (w *workload) track(path, state, body string) {
+	w.t.Helper()
+	w.submit(path, body)
+	w.awaitState(path, state)
+	w.states[path] = state
+}
+
+// giveJobs hands in a job of each kind. Their IDs end with the suffix; an ID
+// is one job's in all queues.
+func (w *workload) giveJobs(suffix string) {
+	w.t.Helper()
+	w.track("/quick/ended-"+suffix, completed, plainJob)
+	w.track("/slow/running-"+suffix, running, slowJob)
+	w.track("/vacant/pending-"+suffix, pending, plainJob)
+	w.track("/quick/timed-"+suffix, pending, timedJob(time.Now().Add(time.Hour), 1))
+	w.track("/quick/repeated-"+suffix, running, timedJob(time.Now(), 2))
+	for path, before := range map[string]string{"/slow/stopped-" + suffix: running, "/vacant/cancelled-" + suffix: pending} {
+		w.track(path, before, slowJob)
+		require.Equal(w.t, http.StatusOK, w.send(w.client(http.MethodDelete, path, "")).status)
+		w.awaitState(path, canceled)
+		w.states[path] = canceled
+	}
+}
+
+// fillLogs hands in so much that each group with jobs, and the configuration's, writes a
+// snapshot of all that came before, at each core process.
+func (w *workload) fillLogs() {
+	w.t.Helper()
+	w.awaitWhole("before the snapshots")
+	w.restApplied = map[string]uint64{}
+	for _, shown := range w.statuses()[0].Groups {
+		w.restApplied[shown.Name] = shown.Applied
+	}
+	for _, service := range []string{quickService, vacantService} {
+		for number := range largeJobs {
+			w.track(fmt.Sprintf("/%s/large-%s-%d", service, service, number), pending, largeJob())
+		}
+	}
+	require.True(w.t, poll(w.snapshotsWritten), "a group has written no snapshot")
+}
+
+func (w *workload) snapshotsWritten() bool {
+	wanted := map[string]uint64{protocol.ConfigGroup: 2} // any but the first, empty one
+	for _, service := range []string{quickService, vacantService} {
+		group := protocol.ShardGroup(protocol.ShardOf(service))
+		wanted[group] = w.restApplied[group]
+	}
+	for _, answer := range w.statuses() {
+		for _, shown := range answer.Groups {
+			if shown.Snapshot < wanted[shown.Name] {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// check tells whether all that was given is still there, and all of it goes on.
+func (w *workload) check() {
+	w.t.Helper()
+	w.awaitWhole("after the upgrade")
+	w.checkJobs()
+	w.checkCounts()
+	w.checkConfiguration()
+	w.finishJobs()
+	w.checkStarts()
+	w.awaitWhole("at the end")
+}
+
+// checkJobs tells whether each job has its state, or one that comes after it.
+func (w *workload) checkJobs() {
+	w.t.Helper()
+	for path, before := range w.states {
+		now := w.state(path)
+		require.True(w.t, now == before || ranks[now] > ranks[before], "job %s was %s and is %s", path, before, now)
+	}
+	// Handing a job in again changes nothing, and one that was cancelled before stays unknown.
+	w.submit("/slow/running-early", slowJob)
+	require.Equal(w.t, http.StatusGone, w.send(w.client(http.MethodGet, w.withdrawn, "")).status)
+	refused, err := w.client(http.MethodPost, w.withdrawn, oneTask).try(w.t.Context())
+	require.NoError(w.t, err)
+	require.Equal(w.t, http.StatusServiceUnavailable, refused.status, refused.body)
+}
+
+// checkCounts tells whether each queue has as many pending jobs. No other jobs may come in.
+func (w *workload) checkCounts() {
+	w.t.Helper()
+	for path, before := range w.counts {
+		require.Equal(w.t, before, w.send(w.client(http.MethodGet, path, "")).body, "pending jobs of %s", path)
+	}
+}
+
+// checkConfiguration tells whether the newest configuration is the same, and whether the
+// earlier ones are remembered.
+func (w *workload) checkConfiguration() {
+	w.t.Helper()
+	for core := range w.cores {
+		require.Equal(w.t, configurationText(configurations), w.configuration(core))
+	}
+	for version := int64(1); version <= configurations; version++ {
+		got := w.replace(int(version)%coreCount, version-1, configurationText(version))
+		require.Equal(w.t, http.StatusOK, got.status, "configuration %d is not known any more: %s", version, got.body)
+	}
+	got := w.replace(0, configurations-1, configurationText(configurations+1))
+	require.Equal(w.t, http.StatusPreconditionFailed, got.status, got.body)
+	w.replaceUpTo(configurations+1, configurations+1)
+}
+
+// finishJobs lets the jobs that wait or run end.
+func (w *workload) finishJobs() {
+	w.t.Helper()
+	w.platform.Add(w.vacant, vacantService)
+	for _, suffix := range []string{"early", "late"} {
+		w.awaitState("/vacant/pending-"+suffix, completed)
+		path := "/slow/running-" + suffix
+		ended := func() bool {
+			for _, runner := range w.slow {
+				runner.EndAll()
+			}
+			return w.state(path) == completed
+		}
+		require.True(w.t, poll(ended), "job %s does not end", path)
+	}
+	w.awaitState("/moved/moved-early", completed)
+	w.submit("/moved/moved-late", plainJob)
+	w.awaitState("/moved/moved-late", completed)
+	timed := "/quick/timed-late"
+	require.Equal(w.t, http.StatusOK, w.send(w.client(http.MethodDelete, timed, "")).status)
+	w.awaitState(timed, canceled)
+}
+
+// checkStarts tells whether each task began once, also those that ran during the upgrade.
+func (w *workload) checkStarts() {
+	w.t.Helper()
+	starts := map[string]int{}
+	for _, runner := range w.runners() {
+		for task, count := range runner.Starts() {
+			starts[task] += count
+		}
+	}
+	for task, count := range starts {
+		require.Equal(w.t, 1, count, "starts of task %s", task)
+	}
+}
+
+// traffic is work that goes on through an upgrade: one job after another.
+type traffic struct {
+	ended atomic.Int64 // jobs that were seen completed
+	stop  context.CancelFunc
+	done  chan error
+}
+
+// startTraffic begins to hand in jobs.
+func (c *cluster) startTraffic() *traffic {
+	ctx, cancel := context.WithCancel(c.t.Context())
+	traffic := &traffic{stop: cancel, done: make(chan error, 1)}
+	go func() { traffic.done <- traffic.run(ctx, c) }()
+	return traffic
+}
+
+func (t *traffic) run(ctx context.Context, c *cluster) error {
+	for ctx.Err() == nil {
+		path := fmt.Sprintf("/quick/traffic-%d", t.ended.Load())
+		if err := runJob(context.WithoutCancel(ctx), c, path); err != nil {
+			return err
+		}
+		t.ended.Add(1)
+	}
+	return nil
+}
+
+// runJob hands a job in and asks for it until it is completed.
+func runJob(ctx context.Context, c *cluster, path string) error {
+	got, err := c.client(http.MethodPost, path, plainJob).send(ctx)
+	if err != nil || got.status != http.StatusOK {
+		return fmt.Errorf("submit %s: %d %s: %w", path, got.status, got.body, err)
+	}
+	for deadline := time.Now().Add(settleWithin); time.Now().Before(deadline); {
+		got, err = c.client(http.MethodGet, path, "").send(ctx)
+		if err != nil || got.status != http.StatusOK {
+			return fmt.Errorf("ask for %s: %d %s: %w", path, got.status, got.body, err)
+		}
+		var answer struct{ State string }
+		if json.Unmarshal([]byte(got.body), &answer) == nil && answer.State == completed {
+			return nil
+		}
+	}
+	return fmt.Errorf("job %s does not become completed", path)
+}
+
+// awaitMore waits until further jobs of the traffic have ended.
+func (t *traffic) awaitMore(test *testing.T, when string) {
+	test.Helper()
+	const more = 3
+	target := t.ended.Load() + more
+	require.True(test, poll(func() bool { return t.ended.Load() >= target || len(t.done) > 0 }), "no job ends %s", when)
+	t.requireNoError(test, when)
+}
+
+// requireNoError fails the test where the traffic has ended by an error.
+func (t *traffic) requireNoError(test *testing.T, when string) {
+	test.Helper()
+	select {
+	case err := <-t.done:
+		require.NoError(test, err, when)
+	default:
+	}
+}
+
+// finish ends the traffic.
+func (t *traffic) finish(test *testing.T) {
+	test.Helper()
+	t.stop()
+	require.NoError(test, <-t.done)
+}
