--- a/internal/dispatcher/demo/fleet.go
+++ b/internal/dispatcher/demo/fleet.go
@@ -294,7 +294,7 @@
 // plan has been served.
 func (f *fleet) enough() bool {
 	for _, n := range f.nodes {
-		var r figures.Report
+		var r metrics.Report
 		if get(n.figures, "/figures", &r) != nil || r.Account.Totals.Taken < f.MinimumTaken {
 			return false
 		}
