--- a/cmd/basaltloft-lab/main.go
+++ b/cmd/basaltloft-lab/main.go
@@ -107,12 +107,12 @@
 	if c.verb == "sweep" && len(sets) == 0 {
 		return nil, misuse{fmt.Errorf("%s has no experiment.sweeps, and there is no -set", c.file)}
 	}
-	choices := [][]settings.Put{nil}
+	choices := [][]settings.Override{nil}
 	for _, s := range sets {
-		var more [][]settings.Put
+		var more [][]settings.Override
 		for _, before := range choices {
 			for _, v := range s.Values {
-				more = append(more, append(slices.Clone(before), settings.Put{Path: s.Path, Value: v}))
+				more = append(more, append(slices.Clone(before), settings.Override{Path: s.Path, Value: v}))
 			}
 		}
 		choices = more
@@ -148,8 +148,8 @@
 		}
 		for _, load := range loads {
 			of := lab.FromFile(x, load)
-			of.Sample = c.verb == "plot"
-			all = append(all, lab.Study{Experiment: of, Policies: x.Policies, Seeds: x.Seeds, First: c.first, Load: load, Set: strings.Join(words, " ")})
+			of.SampleMembers = c.verb == "plot"
+			all = append(all, lab.Study{Experiment: of, Policies: x.Policies, Seeds: x.Seeds, FirstSeed: c.first, Load: load, Variant: strings.Join(words, " ")})
 		}
 	}
 	return all, nil
@@ -169,7 +169,7 @@
 	}
 	var all []lab.Run
 	for _, s := range studies {
-		title := strings.TrimSpace(fmt.Sprintf("load %g %s", s.Load, s.Set))
+		title := strings.TrimSpace(fmt.Sprintf("load %g %s", s.Load, s.Variant))
 		bar := progressbar.NewOptions(len(s.Policies)*s.Seeds, progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription(title), progressbar.OptionClearOnFinish())
 		runs, err := s.Play(func() { bar.Add(1) })
 		if err != nil {
@@ -202,7 +202,7 @@
 		return err
 	}
 	if c.verb == "plot" {
-		names, err := draw.All(all, c.out)
+		names, err := draw.Charts(all, c.out)
 		if err != nil {
 			return err
 		}
--- a/cmd/basaltloft-load/main.go
+++ b/cmd/basaltloft-load/main.go
@@ -57,27 +57,27 @@
 	f.StringVar(&c.front, "front", "http", "http or faktory")
 	f.BoolVar(&c.anywhere, "anywhere", false, "the address may be another machine's")
 	f.IntVar(&c.most, "connections", 256, "asks that are out at a time, at most")
-	f.Float64Var(&c.plan.From, "rate", 50, "asks a second")
-	f.Float64Var(&c.plan.To, "to", -1, "asks a second at the end of a ramp; below 0: no ramp")
+	f.Float64Var(&c.plan.StartRate, "rate", 50, "asks a second")
+	f.Float64Var(&c.plan.EndRate, "to", -1, "asks a second at the end of a ramp; below 0: no ramp")
 	f.DurationVar(&c.plan.Length, "for", 10*time.Second, "how long")
-	f.BoolVar(&c.plan.Even, "even", false, "asks evenly apart, and not a Poisson stream")
+	f.BoolVar(&c.plan.EvenlySpaced, "even", false, "asks evenly apart, and not a Poisson stream")
 	f.Uint64Var(&c.plan.Seed, "seed", 1, "of the random numbers")
 	f.StringVar(&c.trace, "trace", "", "a `file` with a line for each ask: when it is due, in milliseconds")
 	f.StringVar(&c.job.Class, "class", "", "the `class`, or the jobtype of Faktory jobs")
 	f.StringVar(&c.job.Queue, "queue", "default", "of Faktory jobs")
 	f.StringVar(&c.job.Tenant, "tenant", "", "who asks")
-	f.DurationVar(&c.job.Cost, "cost", 0, "the told cost; 0: not told")
-	f.DurationVar(&c.job.Budget, "budget", 10*time.Second, "how long a client waits")
-	f.IntVar(&c.job.Body, "body", 64, "bytes of a body")
+	f.DurationVar(&c.job.CostHint, "cost", 0, "the told cost; 0: not told")
+	f.DurationVar(&c.job.Timeout, "budget", 10*time.Second, "how long a client waits")
+	f.IntVar(&c.job.BodyBytes, "body", 64, "bytes of a body")
 	f.StringVar(&c.format, "format", "table", "table or json")
 	f.StringVar(&c.plot, "plot", "", "draw the latencies to this `file`, an .svg or .png")
 	if err := f.Parse(args); err != nil {
 		return c, err
 	}
-	if c.plan.To < 0 {
-		c.plan.To = c.plan.From
+	if c.plan.EndRate < 0 {
+		c.plan.EndRate = c.plan.StartRate
 	}
-	local, err := loadgen.Local(c.at)
+	local, err := loadgen.IsLoopback(c.at)
 	switch {
 	case f.NArg() > 0:
 		return c, fmt.Errorf("%q is one argument too many", f.Arg(0))
@@ -91,7 +91,7 @@
 		return c, fmt.Errorf("-front is http or faktory, not %q", c.front)
 	case c.format != "table" && c.format != "json":
 		return c, fmt.Errorf("-format is table or json, not %q", c.format)
-	case c.most < 1 || c.job.Body < 0 || c.job.Budget <= 0 || c.job.Cost < 0:
+	case c.most < 1 || c.job.BodyBytes < 0 || c.job.Timeout <= 0 || c.job.CostHint < 0:
 		return c, errors.New("-connections and -budget must be more than nothing, -body and -cost not below")
 	case c.plot != "" && !strings.HasSuffix(c.plot, ".svg") && !strings.HasSuffix(c.plot, ".png"):
 		return c, fmt.Errorf("-plot must end in .svg or .png, not as %q", c.plot)
@@ -101,7 +101,7 @@
 			return c, err
 		}
 	}
-	return c, c.plan.Check()
+	return c, c.plan.Validate()
 }
 
 func readTrace(name string) ([]time.Duration, error) {
@@ -135,14 +135,14 @@
 		}
 		return misuse{err}
 	}
-	c.job.Prefix = fmt.Sprintf("load-%x", time.Now().UnixNano())
+	c.job.IDPrefix = fmt.Sprintf("load-%x", time.Now().UnixNano())
 	var to loadgen.Target = loadgen.NewHTTP(c.at, c.job, c.most)
 	if c.front == "faktory" {
 		to = loadgen.NewFaktory(c.at, c.job, c.most)
 	}
 	defer to.Close()
 	record := loadgen.NewRecord()
-	bar := progressbar.NewOptions(c.plan.Asks(), progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription("asks"), progressbar.OptionClearOnFinish())
+	bar := progressbar.NewOptions(c.plan.ExpectedRequests(), progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription("asks"), progressbar.OptionClearOnFinish())
 	loadgen.Run(ctx, c.plan, counted{to, bar}, c.most, record)
 	bar.Finish()
 	s := record.Summary()
@@ -166,21 +166,21 @@
 	bar *progressbar.ProgressBar
 }
 
-func (c counted) Ask(ctx context.Context, n int) string {
+func (c counted) Send(ctx context.Context, n int) string {
 	defer c.bar.Add(1)
-	return c.Target.Ask(ctx, n)
+	return c.Target.Send(ctx, n)
 }
 
 func draw(s loadgen.Summary, name string) error {
 	c := textchart.Chart{Title: "Latency of served asks", X: "quantile", Y: "milliseconds"}
 	for _, q := range loadgen.Quantiles {
-		c.Names = append(c.Names, strconv.FormatFloat(q, 'g', -1, 64))
+		c.Categories = append(c.Categories, strconv.FormatFloat(q, 'g', -1, 64))
 	}
 	for _, l := range []struct {
 		name   string
 		points []loadgen.Point
 	}{{"from when it was due", s.Corrected}, {"from when it was sent", s.Service}} {
-		one := textchart.Line{Name: l.name, Colour: -1}
+		one := textchart.Line{Name: l.name, ColourIndex: -1}
 		for i, q := range l.points {
 			one.Points = append(one.Points, plotter.XY{X: float64(i), Y: q.MS})
 		}
--- a/cmd/basaltloft-plot/main.go
+++ b/cmd/basaltloft-plot/main.go
@@ -36,7 +36,7 @@
 		}
 		*into = t
 	}
-	f, err := journal.ReadFolder(folder)
+	f, err := journal.ReadDirectory(folder)
 	if err != nil {
 		return err
 	}
--- a/cmd/basaltloft-top/main.go
+++ b/cmd/basaltloft-top/main.go
@@ -21,7 +21,7 @@
 	every := flag.Duration("every", time.Second, "how often it is read")
 	once := flag.Bool("once", false, "read once, and write that to standard output")
 	flag.Parse()
-	if err := run(top.Source{Figures: *figures, Faktory: *faktory}, *passwordFile, *every, *once); err != nil {
+	if err := run(top.Source{MetricsAddr: *figures, FaktoryAddr: *faktory}, *passwordFile, *every, *once); err != nil {
 		fmt.Fprintln(os.Stderr, "basaltloft-top:", err)
 		os.Exit(1)
 	}
--- a/cmd/basaltloftctl/main.go
+++ b/cmd/basaltloftctl/main.go
@@ -43,23 +43,23 @@
 	return nil
 }
 
-func ask(address string, within time.Duration) (protocol.StatusAnswer, error) {
+func ask(address string, within time.Duration) (protocol.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	got, err := rpc.NewClient(address).Call(ctx, protocol.AskStatus{})
+	got, err := rpc.NewClient(address).Call(ctx, protocol.StatusRequest{})
 	if err != nil {
-		return protocol.StatusAnswer{}, errors.Wrapf(err, "ask %s: check the address, and that the core runs there", address)
+		return protocol.StatusResponse{}, errors.Wrapf(err, "ask %s: check the address, and that the core runs there", address)
 	}
-	answer, ok := got.(protocol.StatusAnswer)
+	answer, ok := got.(protocol.StatusResponse)
 	if !ok {
-		return protocol.StatusAnswer{}, errors.Newf("%s gave another answer: run the same version", address)
+		return protocol.StatusResponse{}, errors.Newf("%s gave another answer: run the same version", address)
 	}
 	return answer, nil
 }
 
 // show prints what a process holds: a line for each group, and one for each member that lacks
 // something, is about to join, or has halted.
-func show(to io.Writer, answer protocol.StatusAnswer) {
+func show(to io.Writer, answer protocol.StatusResponse) {
 	fmt.Fprintf(to, "%s (%s, member %s, configuration %d)\n", answer.Node, answer.Member.Address, answer.Member.ID, answer.Version)
 	table := tabwriter.NewWriter(to, 2, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "  group\tleader\tterm\tlease\tapplied\tnewest\tsnapshot\tdigest\tvoters\tlearners")
@@ -92,7 +92,7 @@
 
 // votersOf counts the voters; while a change is under way, those before and after it.
 func votersOf(group protocol.GroupStatus) string {
-	if group.Members.Joint() {
+	if group.Members.IsJoint() {
 		return fmt.Sprintf("%d to %d", len(group.Members.Outgoing), len(group.Members.Voters))
 	}
 	return strconv.Itoa(len(group.Members.Voters))
@@ -108,7 +108,7 @@
 	if group.Unsynced > 0 {
 		fmt.Fprintf(to, "  %s: %d bytes wait for the disk\n", group.Name, group.Unsynced)
 	}
-	for _, member := range group.Members.Everyone() {
+	for _, member := range group.Members.AllMembers() {
 		if lacks := group.Lacks[member.ID]; lacks > 0 {
 			fmt.Fprintf(to, "  %s: %s (%s) lacks %d entries\n", group.Name, member.Address, member.ID, lacks)
 		}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -64,20 +64,20 @@
 func deliver(d *policy.Dispatcher, ev *simprotocol.Event) {
 	switch ev.Kind {
 	case simprotocol.Members:
-		d.Members(ev.Now, ev.List, ev.Entries)
+		d.HandleMembers(ev.Now, ev.List, ev.Entries)
 	case simprotocol.Ingress:
-		d.Request(ev.Now, ev.Request)
+		d.HandleRequest(ev.Now, ev.Request)
 	case simprotocol.Completed:
-		d.Outcome(ev.Now, ev.Outcome)
+		d.HandleAttemptResult(ev.Now, ev.Outcome)
 	case simprotocol.StatusBack:
-		d.Probed(ev.Now, ev.Probed)
+		d.HandleProbeResult(ev.Now, ev.Probed)
 	case simprotocol.StatusNote:
-		d.Note(ev.Now, ev.Note)
+		d.HandleAttemptUpdate(ev.Now, ev.Note)
 	case simprotocol.Opened:
-		d.First(ev.Now, ev.First)
+		d.HandleStreamStart(ev.Now, ev.First)
 	case simprotocol.Lapsed:
-		d.Gone(ev.Now, ev.ID)
+		d.HandleClientGone(ev.Now, ev.ID)
 	case simprotocol.Elapsed:
-		d.Timer(ev.Now, ev.Token)
+		d.HandleTimer(ev.Now, ev.Token)
 	}
 }
--- a/coord/group/disk.go
+++ b/coord/group/disk.go
@@ -5,8 +5,8 @@
 	"basaltloft/coord/ringlog"
 )
 
-// Write is what the disk is to do next, and what follows its sync.
-type Write struct {
+// DiskWrite is what the disk is to do next, and what follows its sync.
+type DiskWrite struct {
 	state     *replica.HardState
 	entries   []replica.Entry
 	install   *replica.Snapshot
@@ -16,10 +16,10 @@
 }
 
 // appends tells whether a write only appends, so that it can share a sync.
-func (w *Write) appends() bool { return w.install == nil && w.snapshot == nil }
+func (w *DiskWrite) appends() bool { return w.install == nil && w.snapshot == nil }
 
-// Together returns how many of the first writes can share one sync; there is at least one.
-func Together(writes []Write) int {
+// SyncBatchSize returns how many of the first writes can share one sync; there is at least one.
+func SyncBatchSize(writes []DiskWrite) int {
 	n := 1
 	for n < len(writes) && writes[n].appends() && writes[0].appends() {
 		n++
@@ -27,9 +27,9 @@
 	return n
 }
 
-// WriteOut carries out writes that go together. After an error the same call may be made
+// PersistWrites carries out writes that go together. After an error the same call may be made
 // again.
-func WriteOut(ring *ringlog.Ring, writes []Write) error {
+func PersistWrites(ring *ringlog.Ring, writes []DiskWrite) error {
 	first := writes[0]
 	if first.snapshot != nil {
 		return ring.SaveSnapshot(*first.snapshot)
@@ -47,7 +47,7 @@
 }
 
 // merge joins appends into one.
-func merge(writes []Write) (state *replica.HardState, entries []replica.Entry) {
+func merge(writes []DiskWrite) (state *replica.HardState, entries []replica.Entry) {
 	if len(writes) == 1 {
 		return writes[0].state, writes[0].entries
 	}
--- a/coord/group/engine.go
+++ b/coord/group/engine.go
@@ -22,19 +22,19 @@
 	Restore(snapshot []byte) error
 	// Digest stands for the state: equal where the states are.
 	Digest() uint64
-	// Leading tells that this replica leads from now on, all that was committed before being
+	// BecameLeader tells that this replica leads from now on, all that was committed before being
 	// applied. The epoch is above that of any earlier leader.
-	Leading(epoch uint64)
-	// Following tells that this replica does not lead any more.
-	Following()
+	BecameLeader(epoch uint64)
+	// LostLeadership tells that this replica does not lead any more.
+	LostLeadership()
 }
 
 // Errors of proposals.
 var (
-	ErrNotLeader = errors.New("this replica does not lead its group: ask the leader")
-	ErrBusy      = errors.New("too much is waiting to be committed: try again later")
-	ErrUnknown   = errors.New("the lead was lost before the commit was seen: the command may or may not take effect")
-	ErrHalted    = errors.New("this replica has halted: run the same version on all core machines and restart it")
+	ErrNotLeader      = errors.New("this replica does not lead its group: ask the leader")
+	ErrBusy           = errors.New("too much is waiting to be committed: try again later")
+	ErrOutcomeUnknown = errors.New("the lead was lost before the commit was seen: the command may or may not take effect")
+	ErrHalted         = errors.New("this replica has halted: run the same version on all core machines and restart it")
 )
 
 const (
@@ -45,29 +45,29 @@
 	maxUnsynced = 16 << 20
 )
 
-// Keep is what stays in memory of the log behind a snapshot where Settings say nothing else,
+// DefaultLogRetention is what stays in memory of the log behind a snapshot where Settings say nothing else,
 // so that a replica that was away for a moment catches up from the log.
-var Keep = replica.Keep{Entries: 2000, Bytes: 8 << 20}
+var DefaultLogRetention = replica.LogRetention{Entries: 2000, Bytes: 8 << 20}
 
 // Settings of a group.
 type Settings struct {
-	Name     string
-	Self     replica.Member
-	Timing   replica.Timing
-	Size     int          // voters wanted
-	Seed     uint64       // drawn anew at each start
-	Snapshot int          // bytes of log after which a snapshot is due
-	Part     int          // bytes of a snapshot that go in one message; 0: PartBytes
-	Keep     replica.Keep // what stays in memory behind a snapshot; zero: Keep
+	Name                   string
+	Self                   replica.Member
+	Timing                 replica.Timing
+	VoterCount             int                  // voters wanted
+	Seed                   uint64               // drawn anew at each start
+	SnapshotThresholdBytes int                  // bytes of log after which a snapshot is due
+	SnapshotChunkBytes     int                  // bytes of a snapshot that go in one message; 0: PartBytes
+	LogRetention           replica.LogRetention // what stays in memory behind a snapshot; zero: Keep
 }
 
 // fill sets what may be left out.
 func (s *Settings) fill() {
-	if s.Part == 0 {
-		s.Part = PartBytes
+	if s.SnapshotChunkBytes == 0 {
+		s.SnapshotChunkBytes = DefaultSnapshotChunkBytes
 	}
-	if s.Keep == (replica.Keep{}) {
-		s.Keep = Keep
+	if s.LogRetention == (replica.LogRetention{}) {
+		s.LogRetention = DefaultLogRetention
 	}
 }
 
@@ -77,8 +77,8 @@
 	Until time.Duration // by the replica's clock; 0: there is none
 }
 
-// Send is a message on its way.
-type Send struct {
+// Envelope is a message on its way.
+type Envelope struct {
 	Address string
 	Message replica.Message
 }
@@ -86,20 +86,20 @@
 // Effects are what a step of the engine asks for. The lease is to be made known before
 // anything is sent: a message may give the lead away.
 type Effects struct {
-	Lease  Lease
-	Leader replica.Member // the zero value: none is known
-	Sends  []Send
-	Writes []Write // in order; once some are synced, Written
+	Lease    Lease
+	Leader   replica.Member // the zero value: none is known
+	Messages []Envelope
+	Writes   []DiskWrite // in order; once some are synced, Written
 }
 
-// CarryOut does what is asked for, in the order that is safe: the lease first, so that no
+// Execute does what is asked for, in the order that is safe: the lease first, so that no
 // other goroutine goes by one that a message gives away.
-func (e *Effects) CarryOut(publish func(Lease, replica.Member), write func([]Write), send func(Send)) {
+func (e *Effects) Execute(publish func(Lease, replica.Member), write func([]DiskWrite), send func(Envelope)) {
 	publish(e.Lease, e.Leader)
 	if len(e.Writes) > 0 {
 		write(e.Writes)
 	}
-	for _, message := range e.Sends {
+	for _, message := range e.Messages {
 		send(message)
 	}
 }
@@ -110,7 +110,7 @@
 // concurrently.
 type Engine struct {
 	settings Settings
-	machine  *replica.Machine
+	machine  *replica.Node
 	states   StateMachine
 	log      *slog.Logger
 
@@ -126,7 +126,7 @@
 	known        map[string]replica.Member // named by messages, for a newcomer's answers
 	outgoing     map[string]*outgoing      // by ID of the member that receives a snapshot
 	incoming     *incoming
-	sends        []Send
+	sends        []Envelope
 }
 
 // waiter is who proposed an entry.
@@ -136,7 +136,7 @@
 }
 
 // NewEngine returns a replica as its disk has it. Data of a snapshot is restored.
-func NewEngine(settings Settings, found replica.Restored, states StateMachine, now time.Duration, log *slog.Logger) (*Engine, error) {
+func NewEngine(settings Settings, found replica.PersistedState, states StateMachine, now time.Duration, log *slog.Logger) (*Engine, error) {
 	if len(found.Snapshot.Data) > 0 {
 		if err := states.Restore(found.Snapshot.Data); err != nil {
 			return nil, errors.Wrapf(err, "restore group %s", settings.Name)
@@ -145,30 +145,30 @@
 	settings.fill()
 	return &Engine{
 		settings: settings, states: states, log: log.With("group", settings.Name),
-		machine: replica.New(settings.Self.ID, settings.Name, settings.Timing, found, settings.Seed, now),
+		machine: replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, found, settings.Seed, now),
 		waiting: map[uint64]waiter{}, newcomers: map[string]newcomer{}, leaving: map[string]time.Duration{},
 		known: map[string]replica.Member{}, outgoing: map[string]*outgoing{},
 	}, nil
 }
 
-// First returns the snapshot from which a new group of these members begins.
-func First(members replica.Membership, states StateMachine) (replica.Snapshot, error) {
+// InitialSnapshot returns the snapshot from which a new group of these members begins.
+func InitialSnapshot(members replica.Membership, states StateMachine) (replica.Snapshot, error) {
 	data, err := states.Snapshot()
 	return replica.Snapshot{Index: 1, Term: 1, Membership: members, Data: data}, errors.Wrap(err, "take the first snapshot")
 }
 
-// Form makes the replica one of a new group's, once its first snapshot is on disk. No lease
+// Bootstrap makes the replica one of a new group's, once its first snapshot is on disk. No lease
 // can have been promised before, so that none is waited for.
-func (e *Engine) Form(first replica.Snapshot, now time.Duration) {
-	found := replica.Restored{State: replica.HardState{Term: 1}, Snapshot: first}
-	e.machine = replica.New(e.settings.Self.ID, e.settings.Name, e.settings.Timing, found, e.settings.Seed, now-e.settings.Timing.Promise)
+func (e *Engine) Bootstrap(first replica.Snapshot, now time.Duration) {
+	found := replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: first}
+	e.machine = replica.NewNode(e.settings.Self.ID, e.settings.Name, e.settings.Timing, found, e.settings.Seed, now-e.settings.Timing.MinElectionTimeout)
 }
 
-// Formed tells whether the group was ever formed, as far as this replica knows.
-func (e *Engine) Formed() bool { return len(e.machine.Members().Voters) > 0 }
+// IsBootstrapped tells whether the group was ever formed, as far as this replica knows.
+func (e *Engine) IsBootstrapped() bool { return len(e.machine.Membership().Voters) > 0 }
 
-// Members returns the membership.
-func (e *Engine) Members() replica.Membership { return e.machine.Members() }
+// Membership returns the membership.
+func (e *Engine) Membership() replica.Membership { return e.machine.Membership() }
 
 // NextTick returns when Tick has something to do.
 func (e *Engine) NextTick() time.Duration {
@@ -207,11 +207,11 @@
 		e.known[member.ID] = member
 	}
 	switch message.Kind {
-	case replica.SnapshotPart:
+	case replica.SnapshotChunk:
 		e.takePart(now, message)
-	case replica.AnswerPart:
+	case replica.SnapshotChunkResponse:
 		e.partAnswered(now, message)
-	case replica.Append:
+	case replica.AppendRequest:
 		if e.unsynced < maxUnsynced || len(message.Entries) == 0 {
 			e.machine.Step(now, message)
 		}
@@ -220,8 +220,8 @@
 	}
 }
 
-// HandOver gives the lead to another replica, where this one has it.
-func (e *Engine) HandOver(now time.Duration) { e.machine.HandOver(now) }
+// TransferLeadership gives the lead to another replica, where this one has it.
+func (e *Engine) TransferLeadership(now time.Duration) { e.machine.TransferLeadership(now) }
 
 // Tick lets time pass.
 func (e *Engine) Tick(now time.Duration) {
@@ -233,23 +233,23 @@
 	e.manage(now)
 }
 
-// Written tells that writes are synced, and whether the log has grown so much that a snapshot
+// Persisted tells that writes are synced, and whether the log has grown so much that a snapshot
 // is due.
-func (e *Engine) Written(now time.Duration, writes []Write, crowded bool) {
+func (e *Engine) Persisted(now time.Duration, writes []DiskWrite, crowded bool) {
 	e.crowded = crowded
 	for _, w := range writes {
 		e.unsynced -= w.size
 		if w.install != nil {
-			e.machine.Synced(now, w.install.Index, w.install.Term)
+			e.machine.Persisted(now, w.install.Index, w.install.Term)
 		}
 		if len(w.entries) > 0 {
 			last := w.entries[len(w.entries)-1]
-			e.machine.Synced(now, last.Index, last.Term)
+			e.machine.Persisted(now, last.Index, last.Term)
 		}
 		if w.snapshot != nil {
 			e.snapshotting = false
-			keep := e.settings.Keep
-			keep.After = e.transferring()
+			keep := e.settings.LogRetention
+			keep.AfterIndex = e.transferring()
 			e.machine.Compact(*w.snapshot, keep)
 		}
 		if e.halted != nil {
@@ -261,39 +261,39 @@
 	}
 }
 
-// Flush returns what the inputs since the last one ask for. Results of proposals are told on
+// TakeEffects returns what the inputs since the last one ask for. Results of proposals are told on
 // the way, and the state machine hears of committed commands and of the lead.
-func (e *Engine) Flush(now time.Duration) Effects {
+func (e *Engine) TakeEffects(now time.Duration) Effects {
 	effects := Effects{}
-	out := e.machine.Take()
+	out := e.machine.Ready()
 	if e.halted != nil {
 		return effects
 	}
-	if out.Install != nil && !e.install(*out.Install) {
+	if out.Snapshot != nil && !e.install(*out.Snapshot) {
 		return effects
 	}
-	for _, entry := range out.Apply {
+	for _, entry := range out.CommittedEntries {
 		if !e.apply(entry) {
 			return effects
 		}
 	}
-	for _, message := range out.Send { // a snapshot is taken of what is applied
+	for _, message := range out.Messages { // a snapshot is taken of what is applied
 		e.send(now, message)
 	}
-	if out.State != nil || len(out.Entries) > 0 || out.Install != nil || len(out.AfterSync) > 0 {
+	if out.HardState != nil || len(out.Entries) > 0 || out.Snapshot != nil || len(out.MessagesAfterSync) > 0 {
 		effects.Writes = append(effects.Writes, e.write(&out))
 	}
 	if snapshot, due := e.snapshotIfDue(); due {
-		effects.Writes = append(effects.Writes, Write{snapshot: &snapshot})
+		effects.Writes = append(effects.Writes, DiskWrite{snapshot: &snapshot})
 	}
 	e.followLead(now)
 	effects.Lease, effects.Leader = e.currentLease(), e.currentLeader()
-	effects.Sends, e.sends = e.sends, nil
+	effects.Messages, e.sends = e.sends, nil
 	return effects
 }
 
-func (e *Engine) write(out *replica.Output) Write {
-	w := Write{state: out.State, entries: out.Entries, install: out.Install, afterSync: out.AfterSync}
+func (e *Engine) write(out *replica.Ready) DiskWrite {
+	w := DiskWrite{state: out.HardState, entries: out.Entries, install: out.Snapshot, afterSync: out.MessagesAfterSync}
 	for at := range w.entries {
 		w.size += len(w.entries[at].Data)
 	}
@@ -311,7 +311,7 @@
 	e.log.Error("the replica halts", "error", e.halted)
 	if e.leads {
 		e.leads = false
-		e.states.Following()
+		e.states.LostLeadership()
 	}
 	e.failWaiting(func(waiter) bool { return true })
 }
@@ -331,7 +331,7 @@
 	}
 	delete(e.waiting, entry.Index)
 	if who.term != entry.Term {
-		who.done(nil, ErrUnknown)
+		who.done(nil, ErrOutcomeUnknown)
 		return true
 	}
 	who.done(result, nil)
@@ -355,12 +355,12 @@
 	if leading && !e.leads && e.machine.LeaseUntil() > now {
 		e.leads = true
 		e.log.Info("leads", "epoch", e.machine.Term())
-		e.states.Leading(e.machine.Term())
+		e.states.BecameLeader(e.machine.Term())
 	}
 	if e.leads && !leading {
 		e.leads = false
 		e.log.Info("leads no more", "term", e.machine.Term())
-		e.states.Following()
+		e.states.LostLeadership()
 	}
 	if !leading {
 		clear(e.outgoing)
@@ -378,7 +378,7 @@
 }
 
 func (e *Engine) currentLeader() replica.Member {
-	member, _ := e.machine.Members().Find(e.machine.LeaderID())
+	member, _ := e.machine.Membership().Find(e.machine.LeaderID())
 	return member
 }
 
@@ -387,7 +387,7 @@
 	for _, index := range sortedIndexes(e.waiting) {
 		if who := e.waiting[index]; lost(who) {
 			delete(e.waiting, index)
-			who.done(nil, ErrUnknown)
+			who.done(nil, ErrOutcomeUnknown)
 		}
 	}
 }
@@ -398,12 +398,12 @@
 		e.beginTransfer(now, message)
 		return
 	}
-	to, ok := e.machine.Members().Find(message.To)
+	to, ok := e.machine.Membership().Find(message.To)
 	if !ok {
 		to, ok = e.known[message.To]
 	}
 	if ok {
-		e.sends = append(e.sends, Send{Address: to.Address, Message: message})
+		e.sends = append(e.sends, Envelope{Address: to.Address, Message: message})
 	}
 }
 
@@ -413,7 +413,7 @@
 		e.log.Error("no snapshot can be taken", "error", err)
 		return replica.Snapshot{}, err
 	}
-	snapshot := e.machine.SnapshotAt()
+	snapshot := e.machine.AppliedSnapshot()
 	snapshot.Data = data
 	return snapshot, nil
 }
--- a/coord/group/group.go
+++ b/coord/group/group.go
@@ -34,7 +34,7 @@
 
 	mu      sync.Mutex
 	inbox   []func(now time.Duration)
-	pending []Write
+	pending []DiskWrite
 	wake    chan struct{}
 	writes  chan struct{}
 	stop    chan struct{}
@@ -45,7 +45,7 @@
 }
 
 // Open reads a group's replica from its folder. It does not run yet.
-func Open(settings Settings, folder string, sizes ringlog.Sizes, files ringlog.Files, states StateMachine, transport Transport, clock func() time.Duration, log *slog.Logger) (*Group, error) {
+func Open(settings Settings, folder string, sizes ringlog.Sizes, files ringlog.FileSystem, states StateMachine, transport Transport, clock func() time.Duration, log *slog.Logger) (*Group, error) {
 	ring, found, err := ringlog.Open(files, folder, sizes)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	g := &Group{
-		engine: engine, transport: transport, ring: ring, clock: clock, log: log.With("group", settings.Name), threshold: settings.Snapshot, states: states,
+		engine: engine, transport: transport, ring: ring, clock: clock, log: log.With("group", settings.Name), threshold: settings.SnapshotThresholdBytes, states: states,
 		wake: make(chan struct{}, 1), writes: make(chan struct{}, 1), stop: make(chan struct{}),
 	}
 	g.lease.Store(&Lease{})
@@ -63,21 +63,21 @@
 	return g, nil
 }
 
-// Formed tells whether the group was ever formed, as far as this replica knows. It must be
+// IsBootstrapped tells whether the group was ever formed, as far as this replica knows. It must be
 // called before Run.
-func (g *Group) Formed() bool { return g.engine.Formed() }
+func (g *Group) IsBootstrapped() bool { return g.engine.IsBootstrapped() }
 
-// Form makes this replica one of a new group's. It must be called before Run, once in a
+// Bootstrap makes this replica one of a new group's. It must be called before Run, once in a
 // group's life and with the same members at each of them.
-func (g *Group) Form(members replica.Membership) error {
-	first, err := First(members, g.states)
+func (g *Group) Bootstrap(members replica.Membership) error {
+	first, err := InitialSnapshot(members, g.states)
 	if err != nil {
 		return err
 	}
 	if err := g.ring.Reset(first); err != nil {
 		return err
 	}
-	g.engine.Form(first, g.clock())
+	g.engine.Bootstrap(first, g.clock())
 	return nil
 }
 
@@ -102,8 +102,8 @@
 	return lease.Epoch, lease.Until, g.clock() < lease.Until
 }
 
-// Leads tells whether this replica holds the lease at this moment.
-func (g *Group) Leads() bool {
+// IsLeader tells whether this replica holds the lease at this moment.
+func (g *Group) IsLeader() bool {
 	_, _, ok := g.Lease()
 	return ok
 }
@@ -122,24 +122,24 @@
 	g.post(func(now time.Duration) { g.engine.Receive(now, message) })
 }
 
-// HandOver gives the lead to another replica, where this one has it.
-func (g *Group) HandOver() {
-	g.post(func(now time.Duration) { g.engine.HandOver(now) })
+// TransferLeadership gives the lead to another replica, where this one has it.
+func (g *Group) TransferLeadership() {
+	g.post(func(now time.Duration) { g.engine.TransferLeadership(now) })
 }
 
-// AskToJoin notes that a replica wants to be a member. Only the leader acts on it.
-func (g *Group) AskToJoin(member replica.Member) {
-	g.post(func(now time.Duration) { g.engine.AskToJoin(now, member) })
+// RequestJoin notes that a replica wants to be a member. Only the leader acts on it.
+func (g *Group) RequestJoin(member replica.Member) {
+	g.post(func(now time.Duration) { g.engine.RequestJoin(now, member) })
 }
 
-// AskToLeave notes that a member ends for now. Only the leader acts on it.
-func (g *Group) AskToLeave(id string) {
-	g.post(func(now time.Duration) { g.engine.AskToLeave(now, id) })
+// RequestLeave notes that a member ends for now. Only the leader acts on it.
+func (g *Group) RequestLeave(id string) {
+	g.post(func(now time.Duration) { g.engine.RequestLeave(now, id) })
 }
 
-// Members returns the membership, by a question to the group's goroutine.
-func (g *Group) Members() replica.Membership {
-	return ask(g, func(time.Duration) replica.Membership { return g.engine.Members() })
+// Membership returns the membership, by a question to the group's goroutine.
+func (g *Group) Membership() replica.Membership {
+	return ask(g, func(time.Duration) replica.Membership { return g.engine.Membership() })
 }
 
 // Status tells how the replica stands, by a question to the group's goroutine.
@@ -201,8 +201,8 @@
 		}
 		now := g.clock()
 		g.engine.Tick(now)
-		effects := g.engine.Flush(now)
-		effects.CarryOut(g.publish, g.queueWrites, g.send)
+		effects := g.engine.TakeEffects(now)
+		effects.Execute(g.publish, g.queueWrites, g.send)
 		timer.Reset(max(leastSleep, g.engine.NextTick()-g.clock()))
 	}
 }
@@ -213,19 +213,19 @@
 	g.leader.Store(&leader)
 }
 
-func (g *Group) queueWrites(writes []Write) {
+func (g *Group) queueWrites(writes []DiskWrite) {
 	g.mu.Lock()
 	g.pending = append(g.pending, writes...)
 	g.mu.Unlock()
 	nudge(g.writes)
 }
 
-func (g *Group) send(message Send) { g.transport.Send(message.Address, message.Message) }
+func (g *Group) send(message Envelope) { g.transport.Send(message.Address, message.Message) }
 
 // retryDisk is the pause before a refused write is tried again.
 const retryDisk = 300 * time.Millisecond
 
-func (g *Group) takenWrites() []Write {
+func (g *Group) takenWrites() []DiskWrite {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	writes := g.pending
@@ -243,12 +243,12 @@
 		case <-g.writes:
 		}
 		for writes := g.takenWrites(); len(writes) > 0; {
-			n := Together(writes)
-			if !g.retry(func() error { return WriteOut(g.ring, writes[:n]) }) {
+			n := SyncBatchSize(writes)
+			if !g.retry(func() error { return PersistWrites(g.ring, writes[:n]) }) {
 				return
 			}
-			done, crowded := writes[:n], g.ring.Crowded() || g.ring.Used() > g.threshold
-			g.post(func(now time.Duration) { g.engine.Written(now, done, crowded) })
+			done, crowded := writes[:n], g.ring.NearlyFull() || g.ring.BytesSinceSnapshot() > g.threshold
+			g.post(func(now time.Duration) { g.engine.Persisted(now, done, crowded) })
 			writes = writes[n:]
 		}
 	}
--- a/coord/group/members.go
+++ b/coord/group/members.go
@@ -22,14 +22,14 @@
 	asked  time.Duration
 }
 
-// AskToJoin notes that a replica wants to be a member. Only the leader acts on it.
-func (e *Engine) AskToJoin(now time.Duration, member replica.Member) {
+// RequestJoin notes that a replica wants to be a member. Only the leader acts on it.
+func (e *Engine) RequestJoin(now time.Duration, member replica.Member) {
 	e.newcomers[member.Address] = newcomer{member: member, asked: now}
 }
 
-// AskToLeave notes that a member ends for now: a learner that has caught up may take its
+// RequestLeave notes that a member ends for now: a learner that has caught up may take its
 // place at once. Only the leader acts on it.
-func (e *Engine) AskToLeave(now time.Duration, id string) { e.leaving[id] = now }
+func (e *Engine) RequestLeave(now time.Duration, id string) { e.leaving[id] = now }
 
 // manage lets the leader change the membership, a step at a time: a newcomer becomes a
 // learner, a learner that has caught up a voter, in place of one that is lost.
@@ -38,8 +38,8 @@
 		return
 	}
 	e.manageAt = now + manageEvery
-	members := e.machine.Members()
-	if members.Joint() {
+	members := e.machine.Membership()
+	if members.IsJoint() {
 		return
 	}
 	if next, ok := e.nextMembership(now, members); ok && e.machine.ChangeMembers(now, next) {
@@ -49,11 +49,11 @@
 
 func (e *Engine) nextMembership(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for _, learner := range members.Learners {
-		if !e.machine.CaughtUp(learner.ID, nearlyAll) || e.machine.SilentFor(learner.ID, now) > silentFor {
+		if !e.machine.CaughtUp(learner.ID, nearlyAll) || e.machine.UnresponsiveFor(learner.ID, now) > silentFor {
 			continue
 		}
 		if leaving, ok := e.place(now, members, learner); ok {
-			return members.Replacing(leaving, learner), true
+			return members.EnterJoint(leaving, learner), true
 		}
 	}
 	for _, address := range slices.Sorted(maps.Keys(e.newcomers)) {
@@ -87,11 +87,11 @@
 			return voter.ID, true
 		}
 	}
-	if len(members.Voters) < e.settings.Size {
+	if len(members.Voters) < e.settings.VoterCount {
 		return "", true
 	}
 	for _, voter := range members.Voters {
-		if voter.ID != e.settings.Self.ID && (e.machine.SilentFor(voter.ID, now) > silentFor || e.saidToLeave(now, voter.ID)) {
+		if voter.ID != e.settings.Self.ID && (e.machine.UnresponsiveFor(voter.ID, now) > silentFor || e.saidToLeave(now, voter.ID)) {
 			return voter.ID, true
 		}
 	}
@@ -109,7 +109,7 @@
 // withoutLostLearner drops a learner that has been silent for long.
 func (e *Engine) withoutLostLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for at, learner := range members.Learners {
-		if e.machine.SilentFor(learner.ID, now) > 10*silentFor {
+		if e.machine.UnresponsiveFor(learner.ID, now) > 10*silentFor {
 			next := members
 			next.Learners = append(append([]replica.Member(nil), members.Learners[:at]...), members.Learners[at+1:]...)
 			return next, true
--- a/coord/group/status.go
+++ b/coord/group/status.go
@@ -27,15 +27,15 @@
 func (e *Engine) Status(now time.Duration) Status {
 	status := Status{
 		Role: e.machine.Role(), Term: e.machine.Term(), Applied: e.machine.Applied(), Last: e.machine.LastIndex(),
-		Snapshot: e.machine.SnapshotIndex(), Unsynced: e.unsynced, Digest: e.states.Digest(), Members: e.machine.Members(),
+		Snapshot: e.machine.SnapshotIndex(), Unsynced: e.unsynced, Digest: e.states.Digest(), Members: e.machine.Membership(),
 	}
 	if lease := e.currentLease(); lease.Until > now && e.halted == nil {
 		status.Leads, status.LeaseLeft = true, lease.Until-now
 	}
 	if status.Role == replica.Leader {
 		status.Lacks = map[string]uint64{}
-		for _, member := range status.Members.Everyone() {
-			status.Lacks[member.ID] = e.machine.Lacks(member.ID)
+		for _, member := range status.Members.AllMembers() {
+			status.Lacks[member.ID] = e.machine.Lag(member.ID)
 		}
 	}
 	if e.incoming != nil {
--- a/coord/group/transfer.go
+++ b/coord/group/transfer.go
@@ -13,8 +13,8 @@
 // goes on where it stood, however long it takes. The log after the snapshot's index stays in
 // memory meanwhile, so that compaction does not overtake a transfer.
 
-// PartBytes is how much of a snapshot goes in one message where Settings say nothing else.
-const PartBytes = 96 << 10
+// DefaultSnapshotChunkBytes is how much of a snapshot goes in one message where Settings say nothing else.
+const DefaultSnapshotChunkBytes = 96 << 10
 
 const (
 	partsAhead    = 4
@@ -68,7 +68,7 @@
 // One that was installed is not: more was compacted since.
 func (e *Engine) beginTransfer(now time.Duration, message replica.Message) {
 	running := e.outgoing[message.To]
-	if running != nil && running.term == e.machine.Term() && !running.over(now) && e.machine.Has(message.To) < running.snapshot.Index {
+	if running != nil && running.term == e.machine.Term() && !running.over(now) && e.machine.Match(message.To) < running.snapshot.Index {
 		return
 	}
 	snapshot, err := e.wholeSnapshot()
@@ -91,12 +91,12 @@
 func (e *Engine) sendParts(now time.Duration, to string) {
 	o := e.outgoing[to]
 	whole := len(o.snapshot.Data)
-	for first := o.sent == 0; first || o.sent < min(whole, o.answered+partsAhead*e.settings.Part); first = false {
-		end := min(whole, o.sent+e.settings.Part)
+	for first := o.sent == 0; first || o.sent < min(whole, o.answered+partsAhead*e.settings.SnapshotChunkBytes); first = false {
+		end := min(whole, o.sent+e.settings.SnapshotChunkBytes)
 		part := o.snapshot
 		part.Data = o.snapshot.Data[o.sent:end]
-		e.send(now, replica.Message{Kind: replica.SnapshotPart, Group: e.settings.Name, From: e.settings.Self.ID, To: to, Term: o.term,
-			Snapshot: &part, Offset: o.sent, Total: whole, Addresses: e.machine.Members().Everyone()})
+		e.send(now, replica.Message{Kind: replica.SnapshotChunk, Group: e.settings.Name, From: e.settings.Self.ID, To: to, Term: o.term,
+			Snapshot: &part, Offset: o.sent, Total: whole, Addresses: e.machine.Membership().AllMembers()})
 		o.sent, o.sentAt = end, now
 	}
 }
@@ -105,7 +105,7 @@
 func (e *Engine) tickTransfers(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(e.outgoing)) {
 		o := e.outgoing[id]
-		if _, member := e.machine.Members().Find(id); !member || o.over(now) || e.machine.Role() != replica.Leader {
+		if _, member := e.machine.Membership().Find(id); !member || o.over(now) || e.machine.Role() != replica.Leader {
 			delete(e.outgoing, id)
 			continue
 		}
@@ -154,7 +154,7 @@
 	}
 	in := e.incoming
 	in.take(message.Offset, part.Data)
-	e.send(now, replica.Message{Kind: replica.AnswerPart, Group: e.settings.Name, From: e.settings.Self.ID, To: message.From,
+	e.send(now, replica.Message{Kind: replica.SnapshotChunkResponse, Group: e.settings.Name, From: e.settings.Self.ID, To: message.From,
 		Term: message.Term, Index: part.Index, Offset: len(in.data)})
 	if len(in.data) < message.Total || part.Index <= e.machine.Commit() {
 		return
--- a/coord/replica/fresh.go
+++ b/coord/replica/fresh.go
@@ -25,8 +25,8 @@
 	before map[string]Message // of the round before; nil: not all answered it
 }
 
-func (m *Machine) askFresh(now time.Duration) {
-	if m.heardOnce || !m.waits() || now < m.fresh.askAt || !m.Members().Votes(m.id) {
+func (m *Node) askFresh(now time.Duration) {
+	if m.heardOnce || !m.waits() || now < m.fresh.askAt || !m.Membership().IsVoter(m.id) {
 		return
 	}
 	m.askFreshRound(now)
@@ -34,10 +34,10 @@
 
 // waits tells whether the replica has not stood in earnest: one that only asks beforehand, in
 // vain while the others keep their promises, may learn meanwhile that all have started anew.
-func (m *Machine) waits() bool { return m.role == Follower || m.role == PreCandidate }
+func (m *Node) waits() bool { return m.role == Follower || m.role == PreCandidate }
 
 // askFreshRound begins the next round.
-func (m *Machine) askFreshRound(now time.Duration) {
+func (m *Node) askFreshRound(now time.Duration) {
 	m.fresh.before = nil
 	if m.allFresh() {
 		m.fresh.before = m.fresh.now
@@ -46,14 +46,14 @@
 	m.fresh.round++
 	m.fresh.askAt = now + askFreshEvery
 	for _, member := range m.otherVoters() {
-		m.send(Message{Kind: AskFresh, To: member, Round: m.fresh.round})
+		m.send(Message{Kind: ColdStartRequest, To: member, Round: m.fresh.round})
 	}
 }
 
-func (m *Machine) otherVoters() []string {
+func (m *Node) otherVoters() []string {
 	var ids []string
-	for _, member := range m.Members().Everyone() {
-		if member.ID != m.id && m.Members().Votes(member.ID) {
+	for _, member := range m.Membership().AllMembers() {
+		if member.ID != m.id && m.Membership().IsVoter(member.ID) {
 			ids = append(ids, member.ID)
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 // allFresh tells whether all other voters have answered this round.
-func (m *Machine) allFresh() bool {
+func (m *Node) allFresh() bool {
 	for _, id := range m.otherVoters() {
 		if _, ok := m.fresh.now[id]; !ok {
 			return false
@@ -70,15 +70,15 @@
 	return len(m.fresh.now) > 0
 }
 
-func (m *Machine) answerFresh(message Message) {
+func (m *Node) answerFresh(message Message) {
 	if m.heardOnce {
 		return
 	}
 	last := m.log.last()
-	m.send(Message{Kind: AnswerFresh, To: message.From, Index: last, LogTerm: m.log.term(last), Round: message.Round, Life: m.life})
+	m.send(Message{Kind: ColdStartResponse, To: message.From, Index: last, LogTerm: m.log.term(last), Round: message.Round, Life: m.life})
 }
 
-func (m *Machine) countFresh(now time.Duration, message Message) {
+func (m *Node) countFresh(now time.Duration, message Message) {
 	if m.heardOnce || !m.waits() || message.Round != m.fresh.round {
 		return
 	}
@@ -94,7 +94,7 @@
 
 // firstOfAll tells whether the same lives answered both rounds and this replica goes first
 // among them: by its log, and by its ID where logs are alike.
-func (m *Machine) firstOfAll() bool {
+func (m *Node) firstOfAll() bool {
 	for _, id := range m.otherVoters() {
 		answer := m.fresh.now[id]
 		if m.fresh.before[id].Life != answer.Life || !m.before(answer) {
@@ -105,7 +105,7 @@
 }
 
 // before tells whether this replica goes before the one that answered.
-func (m *Machine) before(answer Message) bool {
+func (m *Node) before(answer Message) bool {
 	last := m.log.last()
 	term := m.log.term(last)
 	if term != answer.LogTerm || last != answer.Index {
--- a/coord/replica/log.go
+++ b/coord/replica/log.go
@@ -94,7 +94,7 @@
 	return index - 1
 }
 
-func (l *log) compact(snapshot Snapshot, keep Keep) {
+func (l *log) compact(snapshot Snapshot, keep LogRetention) {
 	if snapshot.Index <= l.base.Index {
 		return
 	}
@@ -110,7 +110,7 @@
 }
 
 // firstKept returns the first index to keep of those up to a snapshot's.
-func (l *log) firstKept(upTo uint64, keep Keep) uint64 {
+func (l *log) firstKept(upTo uint64, keep LogRetention) uint64 {
 	first, size := upTo+1, 0
 	for first > l.first && upTo-first+1 < keep.Entries {
 		size += len(l.entries[first-1-l.first].Data)
@@ -119,8 +119,8 @@
 		}
 		first--
 	}
-	if keep.After > 0 {
-		first = min(first, keep.After+1)
+	if keep.AfterIndex > 0 {
+		first = min(first, keep.AfterIndex+1)
 	}
 	return max(first, l.first)
 }
--- a/coord/replica/membership.go
+++ b/coord/replica/membership.go
@@ -17,8 +17,8 @@
 	Learners []Member // they receive the log and do not vote
 }
 
-// Joint tells whether a change of the voters is under way.
-func (m Membership) Joint() bool { return len(m.Outgoing) > 0 }
+// IsJoint tells whether a change of the voters is under way.
+func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
 // Find returns the member of that ID, in whatever capacity.
 func (m Membership) Find(id string) (Member, bool) {
@@ -30,13 +30,13 @@
 	return Member{}, false
 }
 
-// Votes tells whether the member of that ID has a vote.
-func (m Membership) Votes(id string) bool {
+// IsVoter tells whether the member of that ID has a vote.
+func (m Membership) IsVoter(id string) bool {
 	return indexOf(m.Voters, id) >= 0 || indexOf(m.Outgoing, id) >= 0
 }
 
-// Everyone lists each member once.
-func (m Membership) Everyone() []Member {
+// AllMembers lists each member once.
+func (m Membership) AllMembers() []Member {
 	var all []Member
 	for _, set := range [][]Member{m.Voters, m.Outgoing, m.Learners} {
 		for _, member := range set {
@@ -62,9 +62,9 @@
 	return next
 }
 
-// Replacing returns the joint membership in which a learner becomes a voter in place of
+// EnterJoint returns the joint membership in which a learner becomes a voter in place of
 // leaving; an empty leaving only adds the learner.
-func (m Membership) Replacing(leaving string, learner Member) Membership {
+func (m Membership) EnterJoint(leaving string, learner Member) Membership {
 	next := Membership{Outgoing: m.Voters}
 	for _, voter := range m.Voters {
 		if voter.ID != leaving {
@@ -80,15 +80,15 @@
 	return next
 }
 
-// Settled returns the membership after a change: the outgoing voters have left.
-func (m Membership) Settled() Membership {
+// LeaveJoint returns the membership after a change: the outgoing voters have left.
+func (m Membership) LeaveJoint() Membership {
 	return Membership{Voters: m.Voters, Learners: m.Learners}
 }
 
 // quorum returns the largest value that a majority of each set of voters has reached.
 func (m Membership) quorum(value func(id string) int64) int64 {
 	reached := majorityOf(m.Voters, value)
-	if m.Joint() {
+	if m.IsJoint() {
 		reached = min(reached, majorityOf(m.Outgoing, value))
 	}
 	return reached
--- a/coord/replica/replica.go
+++ b/coord/replica/replica.go
@@ -64,18 +64,18 @@
 
 // Kinds of messages.
 const (
-	AskPreVote MessageKind = iota
-	AnswerPreVote
-	AskVote
-	AnswerVote
-	Append
-	AnswerAppend
+	PreVoteRequest MessageKind = iota
+	PreVoteResponse
+	VoteRequest
+	VoteResponse
+	AppendRequest
+	AppendResponse
 	InstallSnapshot
-	TimeoutNow // the leader hands the lead over: the receiver is to stand at once
-	AskFresh   // has the receiver heard of no leader since its start?
-	AnswerFresh
-	SnapshotPart // a part of a snapshot; the driver cuts InstallSnapshot into these, the machine sees neither
-	AnswerPart   // how much of a snapshot has come
+	TimeoutNow       // the leader hands the lead over: the receiver is to stand at once
+	ColdStartRequest // has the receiver heard of no leader since its start?
+	ColdStartResponse
+	SnapshotChunk         // a part of a snapshot; the driver cuts InstallSnapshot into these, the machine sees neither
+	SnapshotChunkResponse // how much of a snapshot has come
 )
 
 // Message is what one replica tells another.
@@ -103,26 +103,26 @@
 // Timing are the spans of a group. Promise must be longer than Lease by more than the
 // clocks' drift.
 type Timing struct {
-	Heartbeat time.Duration
-	Lease     time.Duration
-	Promise   time.Duration // a follower hears no other candidate for so long after its leader
-	Spread    time.Duration // candidates stand up to so long after Promise
+	HeartbeatInterval  time.Duration
+	LeaseDuration      time.Duration
+	MinElectionTimeout time.Duration // a follower hears no other candidate for so long after its leader
+	ElectionJitter     time.Duration // candidates stand up to so long after Promise
 }
 
-// Output is what a step of the machine asks of its driver. The driver sends Send at once,
+// Ready is what a step of the machine asks of its driver. The driver sends Send at once,
 // writes State and Entries, and after their sync sends AfterSync and calls Synced.
-type Output struct {
-	State     *HardState // nil: unchanged
-	Entries   []Entry    // to be appended; the first one's index cuts off what was there
-	Install   *Snapshot  // replaces all state and log
-	Send      []Message
-	AfterSync []Message
-	Apply     []Entry // newly committed, in order
+type Ready struct {
+	HardState         *HardState // nil: unchanged
+	Entries           []Entry    // to be appended; the first one's index cuts off what was there
+	Snapshot          *Snapshot  // replaces all state and log
+	Messages          []Message
+	MessagesAfterSync []Message
+	CommittedEntries  []Entry // newly committed, in order
 }
 
 // Empty tells whether nothing is asked.
-func (o *Output) Empty() bool {
-	return o.State == nil && len(o.Entries) == 0 && o.Install == nil && len(o.Send) == 0 && len(o.AfterSync) == 0 && len(o.Apply) == 0
+func (o *Ready) Empty() bool {
+	return o.HardState == nil && len(o.Entries) == 0 && o.Snapshot == nil && len(o.Messages) == 0 && len(o.MessagesAfterSync) == 0 && len(o.CommittedEntries) == 0
 }
 
 // maxAppendBytes bounds the entries of one message, beyond its first entry.
@@ -140,8 +140,8 @@
 	snapshotAt  time.Duration // when a snapshot was last sent
 }
 
-// Machine is one replica. Its methods must not be called concurrently.
-type Machine struct {
+// Node is one replica. Its methods must not be called concurrently.
+type Node struct {
 	id     string
 	group  string
 	timing Timing
@@ -168,22 +168,22 @@
 	handingOver string
 	handOverEnd time.Duration // a handover that was not taken by then is given up, and the lead with it
 
-	out Output
+	out Ready
 }
 
-// Restored is what a replica found on its disk.
-type Restored struct {
-	State    HardState
-	Snapshot Snapshot
-	Entries  []Entry
+// PersistedState is what a replica found on its disk.
+type PersistedState struct {
+	HardState HardState
+	Snapshot  Snapshot
+	Entries   []Entry
 }
 
-// New returns a replica as it was left on disk. The seed must differ from life to life. It votes for nobody for a promise's length,
+// NewNode returns a replica as it was left on disk. The seed must differ from life to life. It votes for nobody for a promise's length,
 // since it may have made one before its restart.
-func New(id, group string, timing Timing, found Restored, seed uint64, now time.Duration) *Machine {
-	m := &Machine{id: id, group: group, timing: timing, random: rand.New(rand.NewPCG(seed, hashOf(group)))}
+func NewNode(id, group string, timing Timing, found PersistedState, seed uint64, now time.Duration) *Node {
+	m := &Node{id: id, group: group, timing: timing, random: rand.New(rand.NewPCG(seed, hashOf(group)))}
 	m.life = m.random.Uint64()
-	m.state = found.State
+	m.state = found.HardState
 	m.log.reset(found.Snapshot)
 	m.log.append(found.Entries)
 	m.log.stable = m.log.last()
@@ -201,52 +201,52 @@
 }
 
 // Role returns what the replica is.
-func (m *Machine) Role() Role { return m.role }
+func (m *Node) Role() Role { return m.role }
 
 // Term returns the current term.
-func (m *Machine) Term() uint64 { return m.state.Term }
+func (m *Node) Term() uint64 { return m.state.Term }
 
 // LeaderID returns the member that leads as far as this one knows, or nothing.
-func (m *Machine) LeaderID() string { return m.leader }
+func (m *Node) LeaderID() string { return m.leader }
 
-// Members returns the newest membership of the log.
-func (m *Machine) Members() Membership { return m.log.membership() }
+// Membership returns the newest membership of the log.
+func (m *Node) Membership() Membership { return m.log.membership() }
 
 // Applied returns the last index handed out for applying.
-func (m *Machine) Applied() uint64 { return m.applied }
+func (m *Node) Applied() uint64 { return m.applied }
 
 // LastIndex returns the last index of the log.
-func (m *Machine) LastIndex() uint64 { return m.log.last() }
+func (m *Node) LastIndex() uint64 { return m.log.last() }
 
 // LeaseUntil returns when this replica's lease as a leader ends; zero: it has none. A
 // leader holds it only once an entry of its own term is applied, so that all that was
 // committed before is too.
-func (m *Machine) LeaseUntil() time.Duration {
+func (m *Node) LeaseUntil() time.Duration {
 	if m.role != Leader || m.handingOver != "" || m.applied < m.firstOwn {
 		return 0
 	}
 	return m.lease
 }
 
-// Take returns what the steps since the last Take ask for.
-func (m *Machine) Take() Output {
+// Ready returns what the steps since the last Take ask for.
+func (m *Node) Ready() Ready {
 	m.collectCommitted()
 	out := m.out
-	m.out = Output{}
+	m.out = Ready{}
 	return out
 }
 
-func (m *Machine) collectCommitted() {
+func (m *Node) collectCommitted() {
 	if m.applied >= m.commit {
 		return
 	}
-	m.out.Apply = append(m.out.Apply, m.log.slice(m.applied+1, m.commit)...)
+	m.out.CommittedEntries = append(m.out.CommittedEntries, m.log.slice(m.applied+1, m.commit)...)
 	m.applied = m.commit
 }
 
 // Propose appends a command. It returns the place it will have if it is committed, or
 // false where this replica does not lead.
-func (m *Machine) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
+func (m *Node) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
 	if m.role != Leader || m.handingOver != "" {
 		return 0, 0, false
 	}
@@ -254,7 +254,7 @@
 }
 
 // ChangeMembers proposes a membership. Only one change may be under way.
-func (m *Machine) ChangeMembers(now time.Duration, next Membership) bool {
+func (m *Node) ChangeMembers(now time.Duration, next Membership) bool {
 	if m.role != Leader || m.handingOver != "" || m.log.membershipIndex() > m.commit || m.applied < m.firstOwn {
 		return false
 	}
@@ -263,13 +263,13 @@
 }
 
 // CaughtUp tells whether a member has all entries but the last few.
-func (m *Machine) CaughtUp(id string, within uint64) bool {
+func (m *Node) CaughtUp(id string, within uint64) bool {
 	peer := m.peers[id]
 	return m.role == Leader && peer != nil && peer.match > 0 && peer.match+within >= m.commit
 }
 
-// SilentFor returns how long a member has not answered this leader.
-func (m *Machine) SilentFor(id string, now time.Duration) time.Duration {
+// UnresponsiveFor returns how long a member has not answered this leader.
+func (m *Node) UnresponsiveFor(id string, now time.Duration) time.Duration {
 	peer := m.peers[id]
 	if peer == nil {
 		return 0
@@ -277,29 +277,29 @@
 	return now - max(peer.answeredAt, m.leading)
 }
 
-// HandOver gives the lead to the voter that has most of the log. The lease ends at once and
+// TransferLeadership gives the lead to the voter that has most of the log. The lease ends at once and
 // is not taken up again in this term: a late TimeoutNow finds no lease beside it. Where the
 // other one does not take the lead, this one gives it up all the same, so that anyone can.
-func (m *Machine) HandOver(now time.Duration) bool {
+func (m *Node) TransferLeadership(now time.Duration) bool {
 	if m.role != Leader {
 		return false
 	}
 	best, bestMatch := "", uint64(0)
-	for _, voter := range m.Members().Voters {
+	for _, voter := range m.Membership().Voters {
 		peer := m.peers[voter.ID]
-		if peer != nil && peer.match >= bestMatch && m.SilentFor(voter.ID, now) < 2*m.timing.Heartbeat {
+		if peer != nil && peer.match >= bestMatch && m.UnresponsiveFor(voter.ID, now) < 2*m.timing.HeartbeatInterval {
 			best, bestMatch = voter.ID, peer.match
 		}
 	}
 	if best == "" {
 		return false
 	}
-	m.handingOver, m.handOverEnd = best, now+2*m.timing.Promise
+	m.handingOver, m.handOverEnd = best, now+2*m.timing.MinElectionTimeout
 	m.handOverIfReady()
 	return true
 }
 
-func (m *Machine) handOverIfReady() {
+func (m *Node) handOverIfReady() {
 	peer := m.peers[m.handingOver]
 	if peer == nil || peer.match < m.log.last() { // one that was removed is waited for until the handover ends
 		return
@@ -307,10 +307,10 @@
 	m.send(Message{Kind: TimeoutNow, To: m.handingOver})
 }
 
-// Synced tells that all entries up to that one, or an installed snapshot that ends with it,
+// Persisted tells that all entries up to that one, or an installed snapshot that ends with it,
 // are on this replica's disk. It says nothing
 // where the log has meanwhile another entry there.
-func (m *Machine) Synced(now time.Duration, index, term uint64) {
+func (m *Node) Persisted(now time.Duration, index, term uint64) {
 	if m.log.term(index) != term {
 		return
 	}
@@ -320,37 +320,37 @@
 	}
 }
 
-// Keep bounds what stays in memory of the entries that a snapshot stands for.
-type Keep struct {
-	Entries uint64
-	Bytes   int    // of the entries' data
-	After   uint64 // all entries after this index stay, whatever the other bounds; 0: none
+// LogRetention bounds what stays in memory of the entries that a snapshot stands for.
+type LogRetention struct {
+	Entries    uint64
+	Bytes      int    // of the entries' data
+	AfterIndex uint64 // all entries after this index stay, whatever the other bounds; 0: none
 }
 
 // Compact forgets entries that a snapshot stands for, but for the last ones within the
 // bounds: a replica that was away for a moment catches up by them.
-func (m *Machine) Compact(snapshot Snapshot, keep Keep) { m.log.compact(snapshot, keep) }
+func (m *Node) Compact(snapshot Snapshot, keep LogRetention) { m.log.compact(snapshot, keep) }
 
 // Commit returns the last index that is known to be committed.
-func (m *Machine) Commit() uint64 { return m.commit }
+func (m *Node) Commit() uint64 { return m.commit }
 
 // FirstIndex returns the first index of the log in memory, and SnapshotIndex the one up to
 // which a snapshot stands for the log.
-func (m *Machine) FirstIndex() uint64 { return m.log.first }
+func (m *Node) FirstIndex() uint64 { return m.log.first }
 
 // SnapshotIndex returns the index of the newest snapshot.
-func (m *Machine) SnapshotIndex() uint64 { return m.log.base.Index }
+func (m *Node) SnapshotIndex() uint64 { return m.log.base.Index }
 
-// Has returns the last index that a member has on its disk, as far as this leader knows.
-func (m *Machine) Has(id string) uint64 {
+// Match returns the last index that a member has on its disk, as far as this leader knows.
+func (m *Node) Match(id string) uint64 {
 	if peer := m.peers[id]; peer != nil {
 		return peer.match
 	}
 	return 0
 }
 
-// Lacks returns how many entries a member lacks, as far as this leader knows.
-func (m *Machine) Lacks(id string) uint64 {
+// Lag returns how many entries a member lacks, as far as this leader knows.
+func (m *Node) Lag(id string) uint64 {
 	if id == m.id {
 		return m.log.last() - min(m.log.stable, m.log.last())
 	}
@@ -360,13 +360,13 @@
 	return m.log.last()
 }
 
-// SnapshotAt returns a snapshot's head at the last applied index.
-func (m *Machine) SnapshotAt() Snapshot {
+// AppliedSnapshot returns a snapshot's head at the last applied index.
+func (m *Node) AppliedSnapshot() Snapshot {
 	return Snapshot{Index: m.applied, Term: m.log.term(m.applied), Membership: m.log.membershipAt(m.applied)}
 }
 
 // Tick lets time pass.
-func (m *Machine) Tick(now time.Duration) {
+func (m *Node) Tick(now time.Duration) {
 	if m.role == Leader {
 		m.tickLeader(now)
 		return
@@ -375,7 +375,7 @@
 	if now < m.standAt {
 		return
 	}
-	if m.Members().Votes(m.id) {
+	if m.Membership().IsVoter(m.id) {
 		m.stand(now, PreCandidate, Message{})
 		return
 	}
@@ -383,60 +383,60 @@
 	m.rest(now)
 }
 
-func (m *Machine) tickLeader(now time.Duration) {
+func (m *Node) tickLeader(now time.Duration) {
 	m.renewLease(now)
 	if m.handingOver != "" && now > m.handOverEnd {
 		m.follow(now, "")
 		return
 	}
-	if now > m.lease+m.timing.Promise && now > m.leading+2*m.timing.Promise {
+	if now > m.lease+m.timing.MinElectionTimeout && now > m.leading+2*m.timing.MinElectionTimeout {
 		m.follow(now, "")
 		return
 	}
 	if now < m.heartbeatAt {
 		return
 	}
-	m.heartbeatAt = now + m.timing.Heartbeat
+	m.heartbeatAt = now + m.timing.HeartbeatInterval
 	for _, id := range m.others() {
 		m.replicate(now, id, true)
 	}
 }
 
 // NextTick returns when Tick has something to do.
-func (m *Machine) NextTick() time.Duration {
+func (m *Node) NextTick() time.Duration {
 	if m.role == Leader {
 		return m.heartbeatAt
 	}
-	if !m.heardOnce && m.Members().Votes(m.id) {
+	if !m.heardOnce && m.Membership().IsVoter(m.id) {
 		return min(m.standAt, m.fresh.askAt)
 	}
 	return m.standAt
 }
 
-func (m *Machine) rest(now time.Duration) {
-	m.standAt = now + m.timing.Promise + time.Duration(m.random.Int64N(int64(m.timing.Spread)))
+func (m *Node) rest(now time.Duration) {
+	m.standAt = now + m.timing.MinElectionTimeout + time.Duration(m.random.Int64N(int64(m.timing.ElectionJitter)))
 }
 
-func (m *Machine) follow(now time.Duration, leader string) {
+func (m *Node) follow(now time.Duration, leader string) {
 	m.role, m.leader, m.votes, m.peers, m.handingOver = Follower, leader, nil, nil, ""
 	m.rest(now)
 }
 
-func (m *Machine) setState(term uint64, vote string) {
+func (m *Node) setState(term uint64, vote string) {
 	m.state = HardState{Term: term, Vote: vote}
 	state := m.state
-	m.out.State = &state
+	m.out.HardState = &state
 }
 
-func (m *Machine) send(message Message) {
-	m.out.Send = append(m.out.Send, m.stamped(message))
+func (m *Node) send(message Message) {
+	m.out.Messages = append(m.out.Messages, m.stamped(message))
 }
 
-func (m *Machine) sendAfterSync(message Message) {
-	m.out.AfterSync = append(m.out.AfterSync, m.stamped(message))
+func (m *Node) sendAfterSync(message Message) {
+	m.out.MessagesAfterSync = append(m.out.MessagesAfterSync, m.stamped(message))
 }
 
-func (m *Machine) stamped(message Message) Message {
+func (m *Node) stamped(message Message) Message {
 	message.Group, message.From = m.group, m.id
 	if message.Term == 0 {
 		message.Term = m.state.Term
--- a/coord/replica/step.go
+++ b/coord/replica/step.go
@@ -6,18 +6,18 @@
 )
 
 // Step takes in a message.
-func (m *Machine) Step(now time.Duration, message Message) {
+func (m *Node) Step(now time.Duration, message Message) {
 	switch message.Kind {
-	case AskPreVote, AskVote:
+	case PreVoteRequest, VoteRequest:
 		m.answerCandidate(now, message)
 		return
-	case AnswerPreVote:
+	case PreVoteResponse:
 		m.countPreVote(now, message)
 		return
-	case AskFresh:
+	case ColdStartRequest:
 		m.answerFresh(message)
 		return
-	case AnswerFresh:
+	case ColdStartResponse:
 		m.countFresh(now, message)
 		return
 	}
@@ -30,11 +30,11 @@
 		m.follow(now, "")
 	}
 	switch message.Kind {
-	case AnswerVote:
+	case VoteResponse:
 		m.countVote(now, message)
-	case Append:
+	case AppendRequest:
 		m.takeAppend(now, message)
-	case AnswerAppend:
+	case AppendResponse:
 		m.takeAnswer(now, message)
 	case InstallSnapshot:
 		m.install(now, message)
@@ -44,27 +44,27 @@
 }
 
 // answerOutdated tells an older leader of the newer term.
-func (m *Machine) answerOutdated(message Message) {
-	if message.Kind == Append || message.Kind == InstallSnapshot {
-		m.send(Message{Kind: AnswerAppend, To: message.From, Reject: true, Index: m.log.last()})
+func (m *Node) answerOutdated(message Message) {
+	if message.Kind == AppendRequest || message.Kind == InstallSnapshot {
+		m.send(Message{Kind: AppendResponse, To: message.From, Reject: true, Index: m.log.last()})
 	}
 }
 
 // stand begins an election, or the vote before it. The claim says why promises do not count.
-func (m *Machine) stand(now time.Duration, role Role, claim Message) {
-	if !m.Members().Votes(m.id) {
+func (m *Node) stand(now time.Duration, role Role, claim Message) {
+	if !m.Membership().IsVoter(m.id) {
 		return
 	}
-	term, kind := m.state.Term+1, AskPreVote
+	term, kind := m.state.Term+1, PreVoteRequest
 	if role == Candidate {
 		m.setState(term, m.id)
-		kind = AskVote
+		kind = VoteRequest
 	}
 	m.role, m.leader, m.peers = role, "", nil
 	m.votes = map[string]bool{m.id: true}
 	m.rest(now)
-	for _, member := range m.Members().Everyone() {
-		if member.ID == m.id || !m.Members().Votes(member.ID) {
+	for _, member := range m.Membership().AllMembers() {
+		if member.ID == m.id || !m.Membership().IsVoter(member.ID) {
 			continue
 		}
 		m.sendAfterSync(Message{Kind: kind, To: member.ID, Term: term, Index: m.log.last(), LogTerm: m.log.term(m.log.last()), Handover: claim.Handover, Fresh: claim.Fresh, Life: m.fresh.now[member.ID].Life})
@@ -73,24 +73,24 @@
 }
 
 // promised tells whether a leader was heard so lately that no other may be helped.
-func (m *Machine) promised(now time.Duration, message Message) bool {
+func (m *Node) promised(now time.Duration, message Message) bool {
 	if message.Handover || message.Fresh && !m.heardOnce && message.Life == m.life {
 		return false
 	}
-	return m.role == Leader && now < m.lease+m.timing.Promise-m.timing.Lease || now < m.lastHeard+m.timing.Promise
+	return m.role == Leader && now < m.lease+m.timing.MinElectionTimeout-m.timing.LeaseDuration || now < m.lastHeard+m.timing.MinElectionTimeout
 }
 
-func (m *Machine) upToDate(message Message) bool {
+func (m *Node) upToDate(message Message) bool {
 	last := m.log.last()
 	lastTerm := m.log.term(last)
 	return message.LogTerm > lastTerm || message.LogTerm == lastTerm && message.Index >= last
 }
 
-func (m *Machine) answerCandidate(now time.Duration, message Message) {
+func (m *Node) answerCandidate(now time.Duration, message Message) {
 	if m.promised(now, message) {
 		return
 	}
-	if message.Kind == AskPreVote {
+	if message.Kind == PreVoteRequest {
 		m.answerPreVote(message)
 		return
 	}
@@ -109,21 +109,21 @@
 		m.setState(m.state.Term, message.From)
 	}
 	m.rest(now)
-	m.sendAfterSync(Message{Kind: AnswerVote, To: message.From})
+	m.sendAfterSync(Message{Kind: VoteResponse, To: message.From})
 }
 
 // answerPreVote tells a candidate of an older term the newer one: without it, a candidate
 // with the better log could wait for ever on a voter with the newer term.
-func (m *Machine) answerPreVote(message Message) {
+func (m *Node) answerPreVote(message Message) {
 	switch {
 	case message.Term <= m.state.Term:
-		m.send(Message{Kind: AnswerPreVote, To: message.From, Reject: true})
+		m.send(Message{Kind: PreVoteResponse, To: message.From, Reject: true})
 	case m.upToDate(message):
-		m.send(Message{Kind: AnswerPreVote, To: message.From, Term: message.Term})
+		m.send(Message{Kind: PreVoteResponse, To: message.From, Term: message.Term})
 	}
 }
 
-func (m *Machine) countPreVote(now time.Duration, message Message) {
+func (m *Node) countPreVote(now time.Duration, message Message) {
 	if message.Reject {
 		if message.Term > m.state.Term {
 			m.setState(message.Term, "")
@@ -138,7 +138,7 @@
 	m.countVotes(now)
 }
 
-func (m *Machine) countVote(now time.Duration, message Message) {
+func (m *Node) countVote(now time.Duration, message Message) {
 	if m.role != Candidate {
 		return
 	}
@@ -146,8 +146,8 @@
 	m.countVotes(now)
 }
 
-func (m *Machine) countVotes(now time.Duration) {
-	won := m.Members().quorum(func(id string) int64 {
+func (m *Node) countVotes(now time.Duration) {
+	won := m.Membership().quorum(func(id string) int64 {
 		if m.votes[id] {
 			return 1
 		}
@@ -163,19 +163,19 @@
 	m.becomeLeader(now)
 }
 
-func (m *Machine) becomeLeader(now time.Duration) {
+func (m *Node) becomeLeader(now time.Duration) {
 	m.role, m.leader, m.votes, m.heardOnce = Leader, m.id, nil, true
 	m.lease, m.leading, m.handingOver = 0, now, ""
 	m.peers = map[string]*progress{}
 	m.followMembers(now)
 	m.firstOwn = m.lead(now, Entry{Kind: EntryNoop})
-	m.heartbeatAt = now + m.timing.Heartbeat
+	m.heartbeatAt = now + m.timing.HeartbeatInterval
 }
 
 // followMembers keeps a progress for each other member.
-func (m *Machine) followMembers(now time.Duration) {
-	members := m.Members()
-	for _, member := range members.Everyone() {
+func (m *Node) followMembers(now time.Duration) {
+	members := m.Membership()
+	for _, member := range members.AllMembers() {
 		if member.ID != m.id && m.peers[member.ID] == nil {
 			m.peers[member.ID] = &progress{next: m.log.last() + 1, sentAt: now}
 		}
@@ -188,9 +188,9 @@
 }
 
 // others lists the other members in a fixed order, so that a run can be repeated.
-func (m *Machine) others() []string {
+func (m *Node) others() []string {
 	var ids []string
-	for _, member := range m.Members().Everyone() {
+	for _, member := range m.Membership().AllMembers() {
 		if m.peers[member.ID] != nil {
 			ids = append(ids, member.ID)
 		}
@@ -199,7 +199,7 @@
 }
 
 // lead appends an entry of this leader's and sends it on.
-func (m *Machine) lead(now time.Duration, entry Entry) uint64 {
+func (m *Node) lead(now time.Duration, entry Entry) uint64 {
 	entry.Index, entry.Term = m.log.last()+1, m.state.Term
 	m.record([]Entry{entry})
 	if entry.Kind == EntryMembership {
@@ -211,7 +211,7 @@
 	return entry.Index
 }
 
-func (m *Machine) record(entries []Entry) {
+func (m *Node) record(entries []Entry) {
 	m.log.append(entries)
 	m.out.Entries = cutAndAppend(m.out.Entries, entries)
 }
@@ -225,12 +225,12 @@
 }
 
 // replicate sends a member what it lacks; an empty message is sent as a heartbeat only.
-func (m *Machine) replicate(now time.Duration, id string, heartbeat bool) {
+func (m *Node) replicate(now time.Duration, id string, heartbeat bool) {
 	peer := m.peers[id]
 	if peer.next <= m.log.last() && peer.next > peer.match+1 && now > peer.sentAt+resendAfter {
 		peer.next = peer.match + 1
 	}
-	if now-max(peer.answeredAt, m.leading) > m.timing.Promise {
+	if now-max(peer.answeredAt, m.leading) > m.timing.MinElectionTimeout {
 		m.probe(now, id, heartbeat)
 		return
 	}
@@ -247,32 +247,32 @@
 		peer.sentAt = now
 		peer.next = entries[len(entries)-1].Index + 1
 	}
-	m.send(Message{Kind: Append, To: id, Index: before, LogTerm: m.log.term(before), Commit: m.commit, Entries: entries, SentAt: now, Addresses: m.introduction(peer)})
+	m.send(Message{Kind: AppendRequest, To: id, Index: before, LogTerm: m.log.term(before), Commit: m.commit, Entries: entries, SentAt: now, Addresses: m.introduction(peer)})
 }
 
 // probe sends a member that does not answer heartbeats only: what it lacks is not piled up.
-func (m *Machine) probe(now time.Duration, id string, heartbeat bool) {
+func (m *Node) probe(now time.Duration, id string, heartbeat bool) {
 	if !heartbeat {
 		return
 	}
 	peer := m.peers[id]
-	m.send(Message{Kind: Append, To: id, Index: m.commit, LogTerm: m.log.term(m.commit), SentAt: now, Addresses: m.introduction(peer)})
+	m.send(Message{Kind: AppendRequest, To: id, Index: m.commit, LogTerm: m.log.term(m.commit), SentAt: now, Addresses: m.introduction(peer)})
 }
 
 // introduction names the members to one that has never answered.
-func (m *Machine) introduction(peer *progress) []Member {
+func (m *Node) introduction(peer *progress) []Member {
 	if peer.match > 0 {
 		return nil
 	}
-	return m.Members().Everyone()
+	return m.Membership().AllMembers()
 }
 
 // sendSnapshot asks the driver, by an empty snapshot, to send its newest one.
-func (m *Machine) sendSnapshot(now time.Duration, id string, heartbeat bool) {
+func (m *Node) sendSnapshot(now time.Duration, id string, heartbeat bool) {
 	peer := m.peers[id]
 	if peer.snapshotAt != 0 && now < peer.snapshotAt+resendAfter {
 		if heartbeat {
-			m.send(Message{Kind: Append, To: id, Index: m.commit, LogTerm: m.log.term(m.commit), SentAt: now, Addresses: m.introduction(peer)})
+			m.send(Message{Kind: AppendRequest, To: id, Index: m.commit, LogTerm: m.log.term(m.commit), SentAt: now, Addresses: m.introduction(peer)})
 		}
 		return
 	}
@@ -280,13 +280,13 @@
 	m.send(Message{Kind: InstallSnapshot, To: id, SentAt: now, Snapshot: &Snapshot{}})
 }
 
-func (m *Machine) takeAppend(now time.Duration, message Message) {
+func (m *Node) takeAppend(now time.Duration, message Message) {
 	if m.role != Follower || m.leader != message.From {
 		m.follow(now, message.From)
 	}
 	m.lastHeard, m.heardOnce = now, true
 	m.rest(now)
-	answer := Message{Kind: AnswerAppend, To: message.From, SentAt: message.SentAt}
+	answer := Message{Kind: AppendResponse, To: message.From, SentAt: message.SentAt}
 	if !m.log.has(message.Index, message.LogTerm) {
 		answer.Reject, answer.Index = true, min(m.log.last(), m.log.beforeTermOf(message.Index))
 		m.send(answer)
@@ -310,7 +310,7 @@
 	m.sendAfterSync(answer)
 }
 
-func (m *Machine) takeAnswer(now time.Duration, message Message) {
+func (m *Node) takeAnswer(now time.Duration, message Message) {
 	peer := m.peers[message.From]
 	if m.role != Leader || peer == nil {
 		return
@@ -335,8 +335,8 @@
 	m.handOverIfReady()
 }
 
-func (m *Machine) renewLease(now time.Duration) {
-	heard := m.Members().quorum(func(id string) int64 {
+func (m *Node) renewLease(now time.Duration) {
+	heard := m.Membership().quorum(func(id string) int64 {
 		if id == m.id {
 			return 1<<63 - 1
 		}
@@ -346,17 +346,17 @@
 		return 0
 	})
 	if heard == 1<<63-1 { // it is alone
-		m.lease = max(m.lease, now+m.timing.Lease)
+		m.lease = max(m.lease, now+m.timing.LeaseDuration)
 		return
 	}
 	if heard > 0 {
-		m.lease = max(m.lease, time.Duration(heard)+m.timing.Lease)
+		m.lease = max(m.lease, time.Duration(heard)+m.timing.LeaseDuration)
 	}
 }
 
 // advance commits what a majority has on disk, and ends a change of membership.
-func (m *Machine) advance(now time.Duration) {
-	reached := uint64(m.Members().quorum(func(id string) int64 {
+func (m *Node) advance(now time.Duration) {
+	reached := uint64(m.Membership().quorum(func(id string) int64 {
 		if id == m.id {
 			return int64(m.log.stable)
 		}
@@ -369,24 +369,24 @@
 		return
 	}
 	m.commit = reached
-	if m.Members().Joint() && m.log.membershipIndex() <= m.commit {
-		m.lead(now, Entry{Kind: EntryMembership, Membership: pointer(m.Members().Settled())})
+	if m.Membership().IsJoint() && m.log.membershipIndex() <= m.commit {
+		m.lead(now, Entry{Kind: EntryMembership, Membership: pointer(m.Membership().LeaveJoint())})
 		return
 	}
-	if m.log.membershipIndex() <= m.commit && !m.Members().Votes(m.id) {
+	if m.log.membershipIndex() <= m.commit && !m.Membership().IsVoter(m.id) {
 		m.follow(now, "")
 	}
 }
 
 func pointer[T any](value T) *T { return &value }
 
-func (m *Machine) install(now time.Duration, message Message) {
+func (m *Node) install(now time.Duration, message Message) {
 	if m.role != Follower || m.leader != message.From {
 		m.follow(now, message.From)
 	}
 	m.lastHeard, m.heardOnce = now, true
 	m.rest(now)
-	answer := Message{Kind: AnswerAppend, To: message.From, SentAt: message.SentAt, Index: message.Snapshot.Index}
+	answer := Message{Kind: AppendResponse, To: message.From, SentAt: message.SentAt, Index: message.Snapshot.Index}
 	if message.Snapshot.Index <= m.commit {
 		answer.Index = min(m.commit, m.log.stable)
 		m.send(answer)
@@ -399,20 +399,20 @@
 	m.log.reset(*message.Snapshot)
 	m.log.stable = 0 // until it is synced
 	m.commit, m.applied = message.Snapshot.Index, message.Snapshot.Index
-	m.out.Entries, m.out.Apply = nil, nil
-	m.out.AfterSync = withoutAnswers(m.out.AfterSync)
-	m.out.Install = message.Snapshot
+	m.out.Entries, m.out.CommittedEntries = nil, nil
+	m.out.MessagesAfterSync = withoutAnswers(m.out.MessagesAfterSync)
+	m.out.Snapshot = message.Snapshot
 	m.sendAfterSync(answer)
 }
 
 // withoutAnswers drops the answers that told of entries which an installed snapshot replaces.
 func withoutAnswers(messages []Message) []Message {
-	return slices.DeleteFunc(messages, func(m Message) bool { return m.Kind == AnswerAppend })
+	return slices.DeleteFunc(messages, func(m Message) bool { return m.Kind == AppendResponse })
 }
 
 // keepTail takes from a snapshot only that its entries are committed: the log holds them all,
 // and what follows them may be needed for a majority.
-func (m *Machine) keepTail(committed uint64, answer Message) {
+func (m *Node) keepTail(committed uint64, answer Message) {
 	m.commit = max(m.commit, committed)
 	answer.Index = min(committed, m.log.stable)
 	m.send(answer)
--- a/coord/ringlog/recover.go
+++ b/coord/ringlog/recover.go
@@ -11,8 +11,8 @@
 )
 
 // recover reads the newest snapshot and the records after it.
-func (r *Ring) recover() (replica.Restored, error) {
-	found := replica.Restored{}
+func (r *Ring) recover() (replica.PersistedState, error) {
+	found := replica.PersistedState{}
 	snapshot, slot, ok := r.newestSnapshot()
 	if ok {
 		found.Snapshot, r.base, r.baseTerm, r.slot = snapshot, snapshot.Index, snapshot.Term, 1-slot
@@ -28,7 +28,7 @@
 	if err := r.syncRead(ok); err != nil {
 		return found, err
 	}
-	found.State = r.state
+	found.HardState = r.state
 	if len(found.Entries) > 0 && found.Entries[0].Index != found.Snapshot.Index+1 {
 		return found, errors.Wrapf(ErrDamaged, "the first entry is %d after a snapshot of %d", found.Entries[0].Index, found.Snapshot.Index)
 	}
@@ -98,7 +98,7 @@
 }
 
 // replay reads a segment's records, up to the first that does not check.
-func (r *Ring) replay(s *segment, found *replica.Restored) error {
+func (r *Ring) replay(s *segment, found *replica.PersistedState) error {
 	if s.first != r.number {
 		return errors.Wrapf(ErrDamaged, "the segment begins with record %d, where %d is next", s.first, r.number)
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-func (r *Ring) replayRecord(s *segment, next record, found *replica.Restored) bool {
+func (r *Ring) replayRecord(s *segment, next record, found *replica.PersistedState) bool {
 	switch next.kind {
 	case recordState:
 		state, ok := decodeState(next.payload)
@@ -144,7 +144,7 @@
 }
 
 // replayEntry takes an entry in; its index cuts off what was there.
-func replayEntry(found *replica.Restored, entry replica.Entry) bool {
+func replayEntry(found *replica.PersistedState, entry replica.Entry) bool {
 	if entry.Index <= found.Snapshot.Index {
 		found.Entries = nil
 		return true
--- a/coord/ringlog/ring.go
+++ b/coord/ringlog/ring.go
@@ -25,12 +25,12 @@
 	Close() error
 }
 
-// Files opens and reads the files of a ring. Faults are injected here by the tests.
-type Files interface {
-	MakeFolder(path string) error
+// FileSystem opens and reads the files of a ring. Faults are injected here by the tests.
+type FileSystem interface {
+	MakeDir(path string) error
 	Open(path string) (File, error)
 	ReadFile(path string) ([]byte, error)
-	SyncFolder(path string) error
+	SyncDir(path string) error
 }
 
 // ErrDamaged is a log that lacks synced records: the replica must join anew, with an empty
@@ -49,7 +49,7 @@
 
 // Ring is an open log. Its methods must not be called concurrently; they block on the disk.
 type Ring struct {
-	files    Files
+	files    FileSystem
 	folder   string
 	sizes    Sizes
 	segments []*segment // in the order of their use; the last is written to
@@ -65,22 +65,22 @@
 	unsynced bool // the current segment's beginning is written and not synced yet
 }
 
-// OSFiles are the files of the operating system.
-type OSFiles struct{}
+// OSFileSystem are the files of the operating system.
+type OSFileSystem struct{}
 
-// MakeFolder implements Files.
-func (OSFiles) MakeFolder(path string) error { return os.MkdirAll(path, 0o755) }
+// MakeDir implements Files.
+func (OSFileSystem) MakeDir(path string) error { return os.MkdirAll(path, 0o755) }
 
 // Open implements Files.
-func (OSFiles) Open(path string) (File, error) {
+func (OSFileSystem) Open(path string) (File, error) {
 	return os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 }
 
 // ReadFile implements Files.
-func (OSFiles) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+func (OSFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-// SyncFolder implements Files.
-func (OSFiles) SyncFolder(path string) error {
+// SyncDir implements Files.
+func (OSFileSystem) SyncDir(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return err
@@ -90,23 +90,23 @@
 }
 
 // Open reads what the folder holds, creating it where it is not there.
-func Open(files Files, folder string, sizes Sizes) (*Ring, replica.Restored, error) {
-	if err := files.MakeFolder(folder); err != nil {
-		return nil, replica.Restored{}, errors.Wrap(err, "make the log's folder")
+func Open(files FileSystem, folder string, sizes Sizes) (*Ring, replica.PersistedState, error) {
+	if err := files.MakeDir(folder); err != nil {
+		return nil, replica.PersistedState{}, errors.Wrap(err, "make the log's folder")
 	}
 	r := &Ring{files: files, folder: folder, sizes: sizes, number: 1}
 	found, err := r.recover()
 	if err != nil {
-		return nil, replica.Restored{}, err
+		return nil, replica.PersistedState{}, err
 	}
 	if err := r.preallocate(); err != nil {
-		return nil, replica.Restored{}, err
+		return nil, replica.PersistedState{}, err
 	}
 	// What a loss of power tore may leave whole records behind the torn one. They must never
 	// follow a new record: each life writes to a segment of its own. Its beginning is synced
 	// with the first records, before which nothing rests on it.
 	if err := r.openSegment(); err != nil {
-		return nil, replica.Restored{}, err
+		return nil, replica.PersistedState{}, err
 	}
 	return r, found, nil
 }
@@ -122,7 +122,7 @@
 			return err
 		}
 	}
-	return errors.Wrap(r.files.SyncFolder(r.folder), "sync the log's folder")
+	return errors.Wrap(r.files.SyncDir(r.folder), "sync the log's folder")
 }
 
 func (r *Ring) addSegment(n int) error {
@@ -218,7 +218,7 @@
 	for _, entry := range entries {
 		need += framingBytes + 17 + len(entry.Data)
 		if entry.Membership != nil {
-			need += 1024 + 128*len(entry.Membership.Everyone())
+			need += 1024 + 128*len(entry.Membership.AllMembers())
 		}
 	}
 	if len(r.segments) > 0 && r.offset+need <= r.sizes.SegmentBytes {
@@ -259,7 +259,7 @@
 		if err := r.addSegment(len(r.segments)); err != nil {
 			return err
 		}
-		if err := r.files.SyncFolder(r.folder); err != nil {
+		if err := r.files.SyncDir(r.folder); err != nil {
 			return errors.Wrap(err, "sync the log's folder")
 		}
 	}
@@ -286,8 +286,8 @@
 	}
 }
 
-// Used returns the bytes of entries written since the newest snapshot.
-func (r *Ring) Used() int { return r.used }
+// BytesSinceSnapshot returns the bytes of entries written since the newest snapshot.
+func (r *Ring) BytesSinceSnapshot() int { return r.used }
 
 // Reset begins the log anew after a snapshot that was installed from another replica.
 func (r *Ring) Reset(snapshot replica.Snapshot) error {
@@ -305,8 +305,8 @@
 	return r.flush(r.segments[len(r.segments)-1], r.offset)
 }
 
-// Crowded tells whether most of the ring is in use, so that a snapshot is due.
-func (r *Ring) Crowded() bool {
+// NearlyFull tells whether most of the ring is in use, so that a snapshot is due.
+func (r *Ring) NearlyFull() bool {
 	r.reclaim()
 	return len(r.segments) > r.sizes.Segments/2
 }
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -46,7 +46,7 @@
 	if err := file.Sync(); err != nil {
 		return errors.Wrap(err, "sync a snapshot")
 	}
-	return errors.Wrap(r.files.SyncFolder(r.folder), "sync the log's folder")
+	return errors.Wrap(r.files.SyncDir(r.folder), "sync the log's folder")
 }
 
 // newestSnapshot returns the newer of the two slots that checks.
--- a/coord/rpc/client.go
+++ b/coord/rpc/client.go
@@ -83,19 +83,19 @@
 	select {
 	case got, ok := <-answer:
 		if !ok {
-			return nil, ErrGone
+			return nil, ErrConnectionLost
 		}
 		return got, nil
 	case <-ctx.Done():
 		givenUp.Store(true)
 		c.forget(id)
 		c.doubt(began)
-		return nil, errors.Wrapf(ErrGone, "no answer from %s", c.address)
+		return nil, errors.Wrapf(ErrConnectionLost, "no answer from %s", c.address)
 	}
 }
 
-// Cast sends a message that has no answer; it may be lost.
-func (c *Client) Cast(body any) error {
+// SendOneWay sends a message that has no answer; it may be lost.
+func (c *Client) SendOneWay(body any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current == nil && len(c.queued) >= maxCasts || c.current != nil && c.current.waiting() >= maxCasts {
--- a/coord/rpc/clients.go
+++ b/coord/rpc/clients.go
@@ -5,15 +5,15 @@
 	"sync"
 )
 
-// Clients are the peers that a process knows, by address. A client is made when it is first
+// ClientPool are the peers that a process knows, by address. A client is made when it is first
 // asked for. The methods may be called concurrently.
-type Clients struct {
+type ClientPool struct {
 	mu  sync.Mutex
 	all map[string]*Client
 }
 
-// To returns the client of the peer at an address, as host:port.
-func (c *Clients) To(address string) *Client {
+// Client returns the client of the peer at an address, as host:port.
+func (c *ClientPool) Client(address string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client := c.all[address]
@@ -28,12 +28,12 @@
 }
 
 // Call sends a message to a peer, once, and waits for its answer.
-func (c *Clients) Call(ctx context.Context, address string, body any) (any, error) {
-	return c.To(address).Call(ctx, body)
+func (c *ClientPool) Call(ctx context.Context, address string, body any) (any, error) {
+	return c.Client(address).Call(ctx, body)
 }
 
 // Close ends all connections.
-func (c *Clients) Close() {
+func (c *ClientPool) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, client := range c.all {
--- a/coord/rpc/frame.go
+++ b/coord/rpc/frame.go
@@ -37,8 +37,8 @@
 
 // Errors of calls.
 var (
-	ErrBusy = errors.New("the connection's queue is full: try again later")
-	ErrGone = errors.New("the connection ended: whether the call was carried out is not known")
+	ErrBusy           = errors.New("the connection's queue is full: try again later")
+	ErrConnectionLost = errors.New("the connection ended: whether the call was carried out is not known")
 )
 
 // Register makes a type of message known, at the start of the program.
--- a/coord/rpc/server.go
+++ b/coord/rpc/server.go
@@ -10,11 +10,11 @@
 
 // Handler takes the messages of peers. Its methods are called concurrently.
 type Handler interface {
-	// Call answers a call. Each runs in a goroutine of its own.
-	Call(body any) any
-	// Cast takes a message that has no answer. It is called in the order of a
+	// HandleCall answers a call. Each runs in a goroutine of its own.
+	HandleCall(body any) any
+	// HandleOneWay takes a message that has no answer. It is called in the order of a
 	// connection's messages and must not block.
-	Cast(body any)
+	HandleOneWay(body any)
 }
 
 // Server serves upgraded connections; it is an http.Handler for Path.
@@ -93,11 +93,11 @@
 	}
 	stream.read(func(f frame) {
 		if f.Kind == frameCast {
-			s.handler.Cast(f.Body)
+			s.handler.HandleOneWay(f.Body)
 			return
 		}
 		go func() {
-			_ = stream.put(frame{ID: f.ID, Kind: frameAnswer, Body: s.handler.Call(f.Body)})
+			_ = stream.put(frame{ID: f.ID, Kind: frameAnswer, Body: s.handler.HandleCall(f.Body)})
 		}()
 	})
 }
--- a/internal/cluster/controlplane/core.go
+++ b/internal/cluster/controlplane/core.go
@@ -31,10 +31,10 @@
 // timing of all groups. A follower's promise outlasts the leader's lease by more than any
 // drift of the clocks.
 var timing = replica.Timing{
-	Heartbeat: 100 * time.Millisecond,
-	Lease:     420 * time.Millisecond,
-	Promise:   520 * time.Millisecond,
-	Spread:    260 * time.Millisecond,
+	HeartbeatInterval:  100 * time.Millisecond,
+	LeaseDuration:      420 * time.Millisecond,
+	MinElectionTimeout: 520 * time.Millisecond,
+	ElectionJitter:     260 * time.Millisecond,
 }
 
 // Sizes of the groups' logs.
@@ -47,8 +47,8 @@
 // commandsByCalls is the one way of telling runners what to do that is described.
 const commandsByCalls = "rpc"
 
-// Core is one process of the core.
-type Core struct {
+// Node is one process of the core.
+type Node struct {
 	settings settings.Settings
 	log      *slog.Logger
 	started  time.Time
@@ -70,11 +70,11 @@
 }
 
 // New opens a process's state. It does not serve yet.
-func New(settings settings.Settings, log *slog.Logger) (*Core, error) {
+func New(settings settings.Settings, log *slog.Logger) (*Node, error) {
 	if settings.DataDir == "" {
 		return nil, errors.New("data_dir is empty: run the core on machines with a disk")
 	}
-	c := &Core{settings: settings, log: log, started: time.Now(), groups: map[string]*group.Group{}, stop: make(chan struct{})}
+	c := &Node{settings: settings, log: log, started: time.Now(), groups: map[string]*group.Group{}, stop: make(chan struct{})}
 	c.self.Address = settings.InternalAddress(settings.IP)
 	if settings.Commands != "" && settings.Commands != commandsByCalls {
 		log.Warn("commands names a way that is not known: runners are told by calls", "commands", settings.Commands)
@@ -89,9 +89,9 @@
 	return c, err
 }
 
-func (c *Core) now() time.Duration { return time.Since(c.started) + time.Hour }
+func (c *Node) now() time.Duration { return time.Since(c.started) + time.Hour }
 
-func (c *Core) open() error {
+func (c *Node) open() error {
 	found, err := loadIdentity(c.settings.DataDir, c.freshIdentity)
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 	runners := newRunnerClient()
 	states := map[string]group.StateMachine{protocol.ConfigGroup: c.config}
 	var shards []*shardLoop
-	for number := range protocol.Shards {
+	for number := range protocol.ShardCount {
 		loop := c.newShard(number, runners)
 		states[protocol.ShardGroup(number)] = loop
 		shards = append(shards, loop)
@@ -114,16 +114,16 @@
 		return err
 	}
 	c.configGroup = c.groups[protocol.ConfigGroup]
-	c.config.Join(c.configGroup)
+	c.config.SetGroup(c.configGroup)
 	for number, loop := range shards {
-		loop.Join(c.groups[protocol.ShardGroup(number)])
-		loop.TakeConfig(c.config.Current())
+		loop.SetGroup(c.groups[protocol.ShardGroup(number)])
+		loop.UpdateConfig(c.config.Current())
 	}
 	c.shards = shards
 	return nil
 }
 
-func (c *Core) newShard(number int, runners *runnerClient) *shardLoop {
+func (c *Node) newShard(number int, runners *runnerClient) *shardLoop {
 	loop := &shardLoop{runner: runners, wake: make(chan struct{}, 1), stop: c.stop}
 	nudge := func() {
 		select {
@@ -131,30 +131,30 @@
 		default:
 		}
 	}
-	clocks := leader.Clocks{Steady: c.now, WallMs: func() int64 { return time.Now().UnixMilli() }}
+	clocks := leader.Clocks{Monotonic: c.now, UnixMs: func() int64 { return time.Now().UnixMilli() }}
 	loop.Shard = leader.NewShard(number, c.schedulerBounds(), clocks, nudge, c.log)
 	return loop
 }
 
 // tellShards tells the shards of a configuration that is in force.
-func (c *Core) tellShards(config *opconfig.Config) {
+func (c *Node) tellShards(config *opconfig.Config) {
 	for _, loop := range c.shards {
-		loop.TakeConfig(config)
+		loop.UpdateConfig(config)
 	}
 }
 
-func (c *Core) schedulerBounds() scheduler.Bounds {
+func (c *Node) schedulerBounds() scheduler.Config {
 	b := c.settings.Bounds
-	return scheduler.Bounds{
-		HoldMax: b.HoldMax(), StopMs: b.StopMs, FarX: b.FarX,
-		Restore: time.Duration(b.RestoreMs) * time.Millisecond,
-		Status:  time.Duration(b.StatusS * float64(time.Second)),
+	return scheduler.Config{
+		MaxLease: b.MaxLease(), StopMs: b.StopMs, RemoteSlowdown: b.RemoteSlowdown,
+		RestoreTime:     time.Duration(b.RestoreMs) * time.Millisecond,
+		StatusRetention: time.Duration(b.StatusRetentionS * float64(time.Second)),
 	}
 }
 
 // openGroups opens the groups' replicas side by side: each waits for the disk several times.
 // Those that could be opened are kept, also where another could not.
-func (c *Core) openGroups(states map[string]group.StateMachine) error {
+func (c *Node) openGroups(states map[string]group.StateMachine) error {
 	type opening struct {
 		group *group.Group
 		err   error
@@ -177,15 +177,15 @@
 	return failed
 }
 
-func (c *Core) openGroup(name string, states group.StateMachine) (*group.Group, error) {
+func (c *Node) openGroup(name string, states group.StateMachine) (*group.Group, error) {
 	return group.Open(group.Settings{
-		Name: name, Self: c.self, Timing: timing, Size: 2*c.settings.FaultTolerance.Machines + 1,
-		Seed: rand.Uint64(), Snapshot: snapshotAfter,
-	}, filepath.Join(c.settings.DataDir, name), ringlog.Sizes{SegmentBytes: segmentBytes, Segments: segments}, ringlog.OSFiles{}, states, c.peers, c.now, c.log)
+		Name: name, Self: c.self, Timing: timing, VoterCount: 2*c.settings.FaultTolerance.Machines + 1,
+		Seed: rand.Uint64(), SnapshotThresholdBytes: snapshotAfter,
+	}, filepath.Join(c.settings.DataDir, name), ringlog.Sizes{SegmentBytes: segmentBytes, Segments: segments}, ringlog.OSFileSystem{}, states, c.peers, c.now, c.log)
 }
 
 // Run serves until the context ends, and then hands over what this process leads.
-func (c *Core) Run(ctx context.Context) error {
+func (c *Node) Run(ctx context.Context) error {
 	if err := c.recoverDisk(ctx); err != nil {
 		return err
 	}
@@ -217,7 +217,7 @@
 const closeWithin = 300 * time.Millisecond
 
 // close ends the replicas. What they promised is on disk; a disk that hangs is not waited for.
-func (c *Core) close() {
+func (c *Node) close() {
 	if !c.running.Load() {
 		return
 	}
@@ -234,7 +234,7 @@
 	}
 }
 
-func (c *Core) servers() (internal, operators *http.Server) {
+func (c *Node) servers() (internal, operators *http.Server) {
 	private := http.NewServeMux()
 	private.Handle(rpc.Path, c.rpc)
 	public := http.NewServeMux()
@@ -251,7 +251,7 @@
 
 // handOver gives away what this process leads, so that a planned end costs no election, and
 // its votes, where a learner waits for them: the group bears the next loss at once.
-func (c *Core) handOver() {
+func (c *Node) handOver() {
 	if !c.running.Load() {
 		return
 	}
@@ -264,13 +264,13 @@
 // handOverTick is how often a process that ends looks whether others have taken its part.
 const handOverTick = 50 * time.Millisecond
 
-func (c *Core) handOverAll() {
+func (c *Node) handOverAll() {
 	for _, g := range c.groups {
-		g.HandOver()
+		g.TransferLeadership()
 	}
 }
 
-func (c *Core) leadsAny() bool {
+func (c *Node) leadsAny() bool {
 	for _, g := range c.groups {
 		if g.Leader().ID == c.self.ID {
 			return true
@@ -280,7 +280,7 @@
 }
 
 // start runs all replicas, once their first membership is known or they wait to be taken in.
-func (c *Core) start() {
+func (c *Node) start() {
 	if c.running.Swap(true) {
 		return
 	}
@@ -294,57 +294,57 @@
 }
 
 // receive hands a replica's message to its group.
-func (c *Core) receive(message replica.Message) {
+func (c *Node) receive(message replica.Message) {
 	if g := c.groups[message.Group]; g != nil && c.running.Load() {
 		g.Receive(message)
 	}
 }
 
-// Cast implements rpc.Handler.
-func (c *Core) Cast(body any) {
+// HandleOneWay implements rpc.Handler.
+func (c *Node) HandleOneWay(body any) {
 	switch message := body.(type) {
 	case replica.Message:
 		c.receive(message)
-	case protocol.Join:
+	case protocol.JoinRequest:
 		c.takeJoin(message)
-	case protocol.Leave:
+	case protocol.LeaveNotice:
 		c.takeLeave(message)
-	case protocol.Runners:
+	case protocol.RunnerList:
 		c.reader.take(message)
 	}
 }
 
-// Call implements rpc.Handler.
-func (c *Core) Call(body any) any {
+// HandleCall implements rpc.Handler.
+func (c *Node) HandleCall(body any) any {
 	if !c.running.Load() {
-		return protocol.Answer{}
+		return protocol.JobResponse{}
 	}
 	switch request := body.(type) {
-	case protocol.Submit:
-		return c.shard(request.Shard, func(s *shardLoop, reply func(protocol.Answer)) { s.Submit(request, reply) })
-	case protocol.Ask:
-		return c.shard(request.Shard, func(s *shardLoop, reply func(protocol.Answer)) { s.Ask(request, reply) })
-	case protocol.Feed:
+	case protocol.SubmitRequest:
+		return c.shard(request.Shard, func(s *shardLoop, reply func(protocol.JobResponse)) { s.Submit(request, reply) })
+	case protocol.JobRequest:
+		return c.shard(request.Shard, func(s *shardLoop, reply func(protocol.JobResponse)) { s.HandleJobRequest(request, reply) })
+	case protocol.WatchRequest:
 		return c.operator.feed(request)
-	case protocol.Operate:
+	case protocol.OperatorRequest:
 		return c.operator.operate(request)
-	case protocol.AskStatus:
+	case protocol.StatusRequest:
 		return c.status()
 	}
-	return protocol.Answer{Status: http.StatusBadRequest, Reason: "this message is not known here: run the same version everywhere"}
+	return protocol.JobResponse{Status: http.StatusBadRequest, Reason: "this message is not known here: run the same version everywhere"}
 }
 
-func (c *Core) shard(number int, do func(*shardLoop, func(protocol.Answer))) protocol.Answer {
+func (c *Node) shard(number int, do func(*shardLoop, func(protocol.JobResponse))) protocol.JobResponse {
 	if number < 0 || number >= len(c.shards) {
-		return protocol.Answer{}
+		return protocol.JobResponse{}
 	}
 	loop := c.shards[number]
-	return loop.wait(func(reply func(protocol.Answer)) { do(loop, reply) })
+	return loop.wait(func(reply func(protocol.JobResponse)) { do(loop, reply) })
 }
 
 // status tells what this process holds, by the groups' names.
-func (c *Core) status() protocol.StatusAnswer {
-	answer := protocol.StatusAnswer{Node: c.settings.NodeName, Member: c.self}
+func (c *Node) status() protocol.StatusResponse {
+	answer := protocol.StatusResponse{Node: c.settings.NodeName, Member: c.self}
 	if config := c.config.Current(); config != nil {
 		answer.Version = config.Version
 	}
@@ -356,7 +356,7 @@
 }
 
 // owners lists who leads each shard as far as is known here.
-func (c *Core) owners() []string {
+func (c *Node) owners() []string {
 	var addresses []string
 	for number := range c.shards {
 		addresses = append(addresses, c.groups[protocol.ShardGroup(number)].Leader().Address)
@@ -365,16 +365,16 @@
 }
 
 // cores lists where the members of the configuration's group hear other processes.
-func (c *Core) cores() []string {
+func (c *Node) cores() []string {
 	var addresses []string
-	for _, member := range c.configGroup.Members().Everyone() {
+	for _, member := range c.configGroup.Membership().AllMembers() {
 		addresses = append(addresses, member.Address)
 	}
 	return addresses
 }
 
 // Reload takes in settings that have changed: the seeds.
-func (c *Core) Reload(settings settings.Settings) {
+func (c *Node) Reload(settings settings.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.settings.Seeds = settings.Seeds
--- a/internal/cluster/controlplane/identity.go
+++ b/internal/cluster/controlplane/identity.go
@@ -38,7 +38,7 @@
 			return identity{}, errors.Wrapf(errIdentity, "%s", folder)
 		}
 		// The last life may have been killed before its folder was synced.
-		return found, errors.Wrap(ringlog.OSFiles{}.SyncFolder(folder), "sync the data folder")
+		return found, errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 	}
 	if !errors.Is(err, os.ErrNotExist) {
 		return identity{}, errors.Wrap(err, "read the identity")
@@ -56,12 +56,12 @@
 }
 
 // freshIdentity is the identity of this process on an empty disk.
-func (c *Core) freshIdentity() (identity, error) {
+func (c *Node) freshIdentity() (identity, error) {
 	drawn := make([]byte, 8)
 	if _, err := rand.Read(drawn); err != nil {
 		return identity{}, errors.Wrap(err, "draw an identity")
 	}
-	id, founding := leader.Founding(c.settings.Bootstrap, c.settings.SeedAddresses(), c.self.Address, hex.EncodeToString(drawn))
+	id, founding := leader.FoundingMembership(c.settings.Bootstrap, c.settings.SeedAddresses(), c.self.Address, hex.EncodeToString(drawn))
 	return identity{ID: id, Founding: founding}, nil
 }
 
@@ -92,10 +92,10 @@
 			return errors.Wrap(err, "set the damaged state aside")
 		}
 	}
-	if err := (ringlog.OSFiles{}).SyncFolder(aside); err != nil {
+	if err := (ringlog.OSFileSystem{}).SyncDir(aside); err != nil {
 		return errors.Wrap(err, "sync the damaged state's folder")
 	}
-	return errors.Wrap(ringlog.OSFiles{}.SyncFolder(folder), "sync the data folder")
+	return errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 }
 
 func identityLast(entry os.DirEntry) int {
@@ -118,7 +118,7 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return errors.Wrap(err, "put the identity in place")
 	}
-	return errors.Wrap(ringlog.OSFiles{}.SyncFolder(folder), "sync the data folder")
+	return errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 }
 
 func writeSynced(path string, content []byte) error {
--- a/internal/cluster/controlplane/join.go
+++ b/internal/cluster/controlplane/join.go
@@ -14,14 +14,14 @@
 
 // join makes this process part of its groups: by forming those of a founding that it is part
 // of, or by asking their leaders.
-func (c *Core) join() {
+func (c *Node) join() {
 	c.formLeft()
 	c.start()
 	for c.wait(c.askToJoin()) {
 	}
 }
 
-func (c *Core) wait(pause time.Duration) bool {
+func (c *Node) wait(pause time.Duration) bool {
 	select {
 	case <-c.stop:
 		return false
@@ -31,7 +31,7 @@
 }
 
 // formLeft forms the groups that a founding of which this process is part has not formed yet.
-func (c *Core) formLeft() {
+func (c *Node) formLeft() {
 	founding := c.identity.Founding
 	if founding == nil {
 		return
@@ -40,17 +40,17 @@
 		return
 	}
 	for name, g := range c.groups {
-		if g.Formed() {
+		if g.IsBootstrapped() {
 			continue
 		}
-		if err := g.Form(*founding); err != nil {
+		if err := g.Bootstrap(*founding); err != nil {
 			c.log.Error("a group can't be formed: check the disk", "group", name, "error", err)
 		}
 	}
 }
 
 // seeds lists the seeds as they are now.
-func (c *Core) seeds() []string {
+func (c *Node) seeds() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.settings.SeedAddresses()
@@ -58,12 +58,12 @@
 
 // askToJoin asks for a place in each group in which this process has no vote, and returns
 // when to ask again.
-func (c *Core) askToJoin() time.Duration {
+func (c *Node) askToJoin() time.Duration {
 	asked := false
 	for name, g := range c.groups {
-		for _, address := range leader.JoinTargets(g.Members(), g.Leader(), c.self.ID, c.seeds()) {
+		for _, address := range leader.JoinTargets(g.Membership(), g.Leader(), c.self.ID, c.seeds()) {
 			asked = true
-			c.peers.cast(address, protocol.Join{Group: name, Member: c.self})
+			c.peers.cast(address, protocol.JoinRequest{Group: name, Member: c.self})
 		}
 	}
 	if asked {
@@ -73,32 +73,32 @@
 }
 
 // takeJoin notes that a process wants to join, and passes it on to the leader once.
-func (c *Core) takeJoin(ask protocol.Join) {
+func (c *Node) takeJoin(ask protocol.JoinRequest) {
 	g := c.groups[ask.Group]
 	if g == nil || !c.running.Load() {
 		return
 	}
-	g.AskToJoin(ask.Member)
-	address := leader.Relay(ask, g.Leader(), c.self.ID)
+	g.RequestJoin(ask.Member)
+	address := leader.JoinRelayAddress(ask, g.Leader(), c.self.ID)
 	ask.Relayed = true
 	c.peers.cast(address, ask)
 }
 
 // takeLeave notes that a member ends for now.
-func (c *Core) takeLeave(notice protocol.Leave) {
+func (c *Node) takeLeave(notice protocol.LeaveNotice) {
 	if g := c.groups[notice.Group]; g != nil && c.running.Load() {
-		g.AskToLeave(notice.ID)
+		g.RequestLeave(notice.ID)
 	}
 }
 
 // tellLeave tells the leaders of its groups that this process ends, so that a learner that
 // waits takes its place at once. It returns whether one waits in some group where this
 // process still votes.
-func (c *Core) tellLeave() (waits bool) {
+func (c *Node) tellLeave() (waits bool) {
 	for name, g := range c.groups {
-		for _, address := range leader.LeaveTargets(g.Members(), c.self.ID, c.seeds()) {
+		for _, address := range leader.LeaveTargets(g.Membership(), c.self.ID, c.seeds()) {
 			waits = true
-			c.peers.cast(address, protocol.Leave{Group: name, ID: c.self.ID})
+			c.peers.cast(address, protocol.LeaveNotice{Group: name, ID: c.self.ID})
 		}
 	}
 	return waits
--- a/internal/cluster/controlplane/operators.go
+++ b/internal/cluster/controlplane/operators.go
@@ -15,7 +15,7 @@
 // operators is the operator's interface: it passes each call to the owner of the
 // configuration, once.
 type operators struct {
-	core   *Core
+	core   *Node
 	config *leader.Configuration
 }
 
@@ -28,10 +28,10 @@
 )
 
 // feed answers a dispatcher, waiting a while for a newer configuration than it has.
-func (o *operators) feed(request protocol.Feed) protocol.FeedAnswer {
+func (o *operators) feed(request protocol.WatchRequest) protocol.WatchResponse {
 	came := time.Now()
 	changed, version := o.config.Changed()
-	if version <= request.Have && request.WaitMs > 0 && o.core.configGroup.Leads() {
+	if version <= request.Have && request.WaitMs > 0 && o.core.configGroup.IsLeader() {
 		select {
 		case <-changed:
 		case <-o.core.stop:
@@ -40,22 +40,22 @@
 	}
 	cores, owners := o.core.cores(), o.core.owners()
 	held := time.Since(came)
-	answer := o.config.Feed(request.Have)
+	answer := o.config.Watch(request.Have)
 	answer.Cores, answer.Owners, answer.HeldMs = cores, owners, held.Milliseconds()
 	return answer
 }
 
 // operate carries out an operator's call, if this process owns the configuration.
-func (o *operators) operate(request protocol.Operate) protocol.OperateAnswer {
-	answer := make(chan protocol.OperateAnswer, 1)
-	o.config.Operate(request, func(got protocol.OperateAnswer) { answer <- got })
+func (o *operators) operate(request protocol.OperatorRequest) protocol.OperatorResponse {
+	answer := make(chan protocol.OperatorResponse, 1)
+	o.config.HandleOperatorRequest(request, func(got protocol.OperatorResponse) { answer <- got })
 	select {
 	case got := <-answer:
 		return got
 	case <-time.After(commitWithin):
-		return protocol.OperateAnswer{Status: http.StatusGatewayTimeout, Reason: "the commit was not seen: send the same again"}
+		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "the commit was not seen: send the same again"}
 	case <-o.core.stop:
-		return protocol.OperateAnswer{Status: http.StatusGatewayTimeout, Reason: "this process ends: send the same again"}
+		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "this process ends: send the same again"}
 	}
 }
 
@@ -76,15 +76,15 @@
 		http.Error(w, "Base-Version must be the version that the configuration builds on", http.StatusBadRequest)
 		return
 	}
-	o.answer(w, protocol.Operate{Replace: true, Base: base, Content: content})
+	o.answer(w, protocol.OperatorRequest{Replace: true, Base: base, Content: content})
 }
 
 // serveGet answers with the newest configuration.
 func (o *operators) serveGet(w http.ResponseWriter, _ *http.Request) {
-	o.answer(w, protocol.Operate{})
+	o.answer(w, protocol.OperatorRequest{})
 }
 
-func (o *operators) answer(w http.ResponseWriter, request protocol.Operate) {
+func (o *operators) answer(w http.ResponseWriter, request protocol.OperatorRequest) {
 	got := o.passOn(request)
 	if got.Status == 0 {
 		w.Header().Set("Retry-After", "1")
@@ -100,18 +100,18 @@
 }
 
 // passOn asks the owner of the configuration, wherever it is, once.
-func (o *operators) passOn(request protocol.Operate) protocol.OperateAnswer {
+func (o *operators) passOn(request protocol.OperatorRequest) protocol.OperatorResponse {
 	got := o.operate(request)
 	if got.Status != 0 || got.Leader == "" || got.Leader == o.core.self.Address {
 		return got
 	}
 	answer, err := o.core.peers.call(got.Leader, passOnWithin, request)
 	if err != nil {
-		return protocol.OperateAnswer{Status: http.StatusGatewayTimeout, Reason: "the owner did not answer: send the same again"}
+		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "the owner did not answer: send the same again"}
 	}
-	passed, ok := answer.(protocol.OperateAnswer)
+	passed, ok := answer.(protocol.OperatorResponse)
 	if !ok {
-		return protocol.OperateAnswer{Status: http.StatusGatewayTimeout, Reason: "the owner answered otherwise: run the same version on all core machines"}
+		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "the owner answered otherwise: run the same version on all core machines"}
 	}
 	return passed
 }
--- a/internal/cluster/controlplane/peers.go
+++ b/internal/cluster/controlplane/peers.go
@@ -11,7 +11,7 @@
 // peers are the other core processes, by address. It implements group.Transport.
 type peers struct {
 	self    string
-	clients rpc.Clients
+	clients rpc.ClientPool
 	own     func(message replica.Message) // takes what this process sends to itself
 }
 
@@ -23,13 +23,13 @@
 		p.own(message)
 		return
 	}
-	_ = p.clients.To(address).Cast(message)
+	_ = p.clients.Client(address).SendOneWay(message)
 }
 
 // cast sends a message that may be lost.
 func (p *peers) cast(address string, message any) {
 	if address != "" && address != p.self {
-		_ = p.clients.To(address).Cast(message)
+		_ = p.clients.Client(address).SendOneWay(message)
 	}
 }
 
--- a/internal/cluster/controlplane/reader.go
+++ b/internal/cluster/controlplane/reader.go
@@ -20,14 +20,14 @@
 // reader reads the platform's list, in the one process that owns the configuration, and
 // passes it to all others.
 type reader struct {
-	core *Core
+	core *Node
 	http *http.Client
 	wake chan struct{}
 
 	mu       sync.Mutex
 	epoch    uint64 // of this process's lead; 0: another one reads
 	sequence uint64
-	newest   protocol.Runners
+	newest   protocol.RunnerList
 	sentAt   time.Time
 }
 
@@ -40,7 +40,7 @@
 	mostList   = 8 << 20 // bytes of a page
 )
 
-func newReader(c *Core) *reader {
+func newReader(c *Node) *reader {
 	transport := &http.Transport{DialContext: rpc.Dialer().DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1}
 	return &reader{core: c, http: &http.Client{CheckRedirect: noRedirect, Transport: transport}, wake: make(chan struct{}, 1)}
 }
@@ -74,7 +74,7 @@
 	r.mu.Lock()
 	epoch := r.epoch
 	r.mu.Unlock()
-	if epoch == 0 || !r.core.configGroup.Leads() {
+	if epoch == 0 || !r.core.configGroup.IsLeader() {
 		return readEvery
 	}
 	list, err := r.readAll()
@@ -151,7 +151,7 @@
 func (r *reader) pass(epoch uint64, list []protocol.Runner) {
 	r.mu.Lock()
 	r.sequence++
-	message := protocol.Runners{Epoch: epoch, Sequence: r.sequence, List: list}
+	message := protocol.RunnerList{Epoch: epoch, Sequence: r.sequence, List: list}
 	changed := !reflect.DeepEqual(list, r.newest.List)
 	due := changed || time.Since(r.sentAt) > passEvery
 	if due {
@@ -168,7 +168,7 @@
 }
 
 // take hands a list to the shards, unless a newer one was there.
-func (r *reader) take(message protocol.Runners) {
+func (r *reader) take(message protocol.RunnerList) {
 	r.mu.Lock()
 	older := message.Epoch < r.newest.Epoch || message.Epoch == r.newest.Epoch && message.Sequence <= r.newest.Sequence
 	if !older {
@@ -179,6 +179,6 @@
 		return
 	}
 	for _, s := range r.core.shards {
-		s.TakeRunners(message.List)
+		s.UpdateRunners(message.List)
 	}
 }
--- a/internal/cluster/controlplane/recover.go
+++ b/internal/cluster/controlplane/recover.go
@@ -20,7 +20,7 @@
 // of something acknowledged, so it is set aside only once each group is seen to be led by
 // others: a lease says that a majority has what this disk had. Until then the process serves
 // nothing and says why. It stays damaged where the context ended first.
-func (c *Core) recoverDisk(ctx context.Context) error {
+func (c *Node) recoverDisk(ctx context.Context) error {
 	if c.damaged == nil {
 		return nil
 	}
@@ -54,7 +54,7 @@
 
 // othersLead tells whether each group has a leader with a lease among the seeds and the
 // members that they name.
-func (c *Core) othersLead() bool {
+func (c *Node) othersLead() bool {
 	led := map[string]bool{}
 	asked := map[string]bool{c.self.Address: true}
 	waiting := c.seeds()
@@ -65,14 +65,14 @@
 			continue
 		}
 		asked[address] = true
-		got, err := c.peers.call(address, askLeadersWithin, protocol.AskStatus{})
-		status, ok := got.(protocol.StatusAnswer)
+		got, err := c.peers.call(address, askLeadersWithin, protocol.StatusRequest{})
+		status, ok := got.(protocol.StatusResponse)
 		if err != nil || !ok {
 			continue
 		}
 		for _, g := range status.Groups {
 			led[g.Name] = led[g.Name] || g.Leads
-			for _, member := range g.Members.Everyone() {
+			for _, member := range g.Members.AllMembers() {
 				waiting = append(waiting, member.Address)
 			}
 		}
@@ -80,7 +80,7 @@
 	if !led[protocol.ConfigGroup] {
 		return false
 	}
-	for number := range protocol.Shards {
+	for number := range protocol.ShardCount {
 		if !led[protocol.ShardGroup(number)] {
 			return false
 		}
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -104,17 +104,17 @@
 func (c *runnerClient) start(order scheduler.Order) (scheduler.StartReply, int64) {
 	status, got, err := c.post(startWithin, order, "/-/run-start", startBody{
 		Task: order.Task.String(), Attempt: order.Attempt, Spec: order.Spec,
-		DeadlineMs: order.DeadlineMs, FenceToken: order.Token, Checkpointed: order.Saved,
+		DeadlineMs: order.DeadlineMs, FenceToken: order.Token, Checkpointed: order.Checkpoint,
 	})
 	switch {
 	case err != nil, status >= 500 && status != http.StatusServiceUnavailable:
-		return scheduler.StartUnknown, 0
+		return scheduler.StartNoReply, 0
 	case status == http.StatusOK:
-		return scheduler.StartTaken, got.ClockMs
+		return scheduler.StartAccepted, got.ClockMs
 	case status == http.StatusMisdirectedRequest:
-		return scheduler.StartOtherOne, 0
+		return scheduler.StartOtherIncarnation, 0
 	case got.Reason == "room":
-		return scheduler.StartNoRoom, got.ClockMs
+		return scheduler.StartNoCapacity, got.ClockMs
 	}
 	return scheduler.StartRefused, got.ClockMs
 }
@@ -129,28 +129,28 @@
 }
 
 // hold renews a runner's holds and looks at what it runs.
-func (c *runnerClient) hold(order scheduler.Order) (scheduler.HoldReply, scheduler.Look) {
+func (c *runnerClient) hold(order scheduler.Order) (scheduler.LeaseReply, scheduler.RunnerReport) {
 	within := time.Duration(order.WaitMs)*time.Millisecond + holdGrace
-	status, got, err := c.post(within, order, "/-/hold", holdBody{DeadlineMs: order.DeadlineMs, FenceToken: order.Token, LastSeen: order.LastSeen, WaitMs: order.WaitMs})
+	status, got, err := c.post(within, order, "/-/hold", holdBody{DeadlineMs: order.DeadlineMs, FenceToken: order.Token, LastSeen: order.AckedThrough, WaitMs: order.WaitMs})
 	switch {
 	case err != nil:
-		return scheduler.HoldUnknown, scheduler.Look{}
+		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
 	case status == http.StatusMisdirectedRequest:
-		return scheduler.HoldOtherOne, scheduler.Look{}
+		return scheduler.LeaseOtherIncarnation, scheduler.RunnerReport{}
 	case status == http.StatusConflict:
-		return scheduler.HoldFenced, scheduler.Look{}
+		return scheduler.LeaseFenced, scheduler.RunnerReport{}
 	case status != http.StatusOK:
-		return scheduler.HoldUnknown, scheduler.Look{}
+		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
 	}
 	look, err := readLook(got)
 	if err != nil {
-		return scheduler.HoldUnknown, scheduler.Look{}
+		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
 	}
-	return scheduler.HoldTaken, look
+	return scheduler.LeaseRenewed, look
 }
 
-func readLook(got reply) (scheduler.Look, error) {
-	look := scheduler.Look{ClockMs: got.ClockMs, RemainingMs: got.RemainingMs}
+func readLook(got reply) (scheduler.RunnerReport, error) {
+	look := scheduler.RunnerReport{ClockMs: got.ClockMs, RemainingMs: got.RemainingMs}
 	for _, row := range got.Running {
 		running, err := readRunning(row)
 		if err != nil {
@@ -169,11 +169,11 @@
 }
 
 // readRunning reads [task, run, saved, percent].
-func readRunning(row json.RawMessage) (scheduler.ListedRun, error) {
+func readRunning(row json.RawMessage) (scheduler.ReportedRun, error) {
 	var name string
 	var percent float64
-	running := scheduler.ListedRun{}
-	if err := readRow(row, &name, &running.Attempt, &running.Saved, &percent); err != nil {
+	running := scheduler.ReportedRun{}
+	if err := readRow(row, &name, &running.Attempt, &running.Checkpoint, &percent); err != nil {
 		return running, err
 	}
 	running.Percent = int(percent)
@@ -183,13 +183,13 @@
 }
 
 // readEnd reads [N, task, run, how, saved].
-func readEnd(row json.RawMessage) (scheduler.ListedEnd, error) {
+func readEnd(row json.RawMessage) (scheduler.ReportedEnd, error) {
 	var name, how string
-	end := scheduler.ListedEnd{}
-	if err := readRow(row, &end.Number, &name, &end.Attempt, &how, &end.Saved); err != nil {
+	end := scheduler.ReportedEnd{}
+	if err := readRow(row, &end.Number, &name, &end.Attempt, &how, &end.Checkpoint); err != nil {
 		return end, err
 	}
-	end.How = job.ParseHow(how)
+	end.Reason = job.ParseEndReason(how)
 	var err error
 	end.Task, err = job.ParseTaskRef(name)
 	return end, err
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -34,11 +34,11 @@
 		case <-s.wake:
 		case <-timer.C:
 		}
-		orders := s.Drive()
+		orders := s.RunCycle()
 		for _, order := range orders.List {
-			go s.send(orders.Owner, order)
+			go s.send(orders.Scheduler, order)
 		}
-		if orders.Again {
+		if orders.CyclePending {
 			timer.Reset(soonTick)
 			continue
 		}
@@ -48,38 +48,38 @@
 
 // send carries an order out while the lease lasts. An order is sent once; whether one without
 // an answer is sent again is the scheduler's to say.
-func (s *shardLoop) send(sender *scheduler.Owner, order scheduler.Order) {
+func (s *shardLoop) send(sender *scheduler.Scheduler, order scheduler.Order) {
 	leads := s.MaySend(order)
 	switch order.Kind {
-	case scheduler.OrderHold:
-		reply, look := scheduler.HoldUnknown, scheduler.Look{}
+	case scheduler.OrderRenewLease:
+		reply, look := scheduler.LeaseNoReply, scheduler.RunnerReport{}
 		if leads {
 			reply, look = s.runner.hold(order)
 		}
-		s.Answered(sender, func(now time.Duration) { sender.HoldAnswered(now, order, reply, look) })
+		s.OrderReplied(sender, func(now time.Duration) { sender.LeaseReplied(now, order, reply, look) })
 	case scheduler.OrderStart:
-		reply, clock := scheduler.StartUnknown, int64(0)
+		reply, clock := scheduler.StartNoReply, int64(0)
 		if leads {
 			reply, clock = s.runner.start(order)
 		}
-		s.Answered(sender, func(now time.Duration) { sender.StartAnswered(now, order, reply, clock) })
+		s.OrderReplied(sender, func(now time.Duration) { sender.StartReplied(now, order, reply, clock) })
 	case scheduler.OrderStop:
 		ok, otherLife, clock := false, false, int64(0)
 		if leads {
 			ok, otherLife, clock = s.runner.stop(order)
 		}
-		s.Answered(sender, func(now time.Duration) { sender.StopAnswered(now, order, ok, otherLife, clock) })
+		s.OrderReplied(sender, func(now time.Duration) { sender.StopReplied(now, order, ok, otherLife, clock) })
 	}
 }
 
 // wait runs a request whose answer comes by a callback, and waits for it.
-func (s *shardLoop) wait(do func(reply func(protocol.Answer))) protocol.Answer {
-	answer := make(chan protocol.Answer, 1)
-	do(func(got protocol.Answer) { answer <- got })
+func (s *shardLoop) wait(do func(reply func(protocol.JobResponse))) protocol.JobResponse {
+	answer := make(chan protocol.JobResponse, 1)
+	do(func(got protocol.JobResponse) { answer <- got })
 	select {
 	case got := <-answer:
 		return got
 	case <-s.stop:
-		return protocol.Answer{Status: badGateway, Unknown: true}
+		return protocol.JobResponse{Status: badGateway, Unknown: true}
 	}
 }
--- a/internal/cluster/dataplane/edge.go
+++ b/internal/cluster/dataplane/edge.go
@@ -12,8 +12,8 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// Edge is one edge process.
-type Edge struct {
+// Dispatcher is one edge process.
+type Dispatcher struct {
 	settings settings.Settings
 	log      *slog.Logger
 	started  time.Time
@@ -22,13 +22,13 @@
 }
 
 // New returns an edge process that does not serve yet.
-func New(settings settings.Settings, log *slog.Logger) *Edge {
-	e := &Edge{settings: settings, log: log, started: time.Now()}
+func New(settings settings.Settings, log *slog.Logger) *Dispatcher {
+	e := &Dispatcher{settings: settings, log: log, started: time.Now()}
 	e.follower = newFollower(settings, log, e.now)
 	return e
 }
 
-func (e *Edge) now() time.Duration { return time.Since(e.started) + time.Hour }
+func (e *Dispatcher) now() time.Duration { return time.Since(e.started) + time.Hour }
 
 const (
 	headerWithin = 5 * time.Second
@@ -41,7 +41,7 @@
 
 // Run serves until the context ends; then it takes no new connections once the platform
 // sends none, and finishes what it has.
-func (e *Edge) Run(ctx context.Context) error {
+func (e *Dispatcher) Run(ctx context.Context) error {
 	front := &http.Server{
 		Addr: e.settings.Listen.HTTP, Handler: &ingress{follower: e.follower, clock: e.now, leaving: e.leaving.Load, pause: time.Sleep},
 		ReadHeaderTimeout: headerWithin, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes,
@@ -61,7 +61,7 @@
 }
 
 // leave ends the process in order, within the grace that the platform gives.
-func (e *Edge) leave(front, ready *http.Server) error {
+func (e *Dispatcher) leave(front, ready *http.Server) error {
 	grace := e.settings.Bounds.Grace()
 	e.leaving.Store(true)
 	e.log.Info("leaves", "grace", grace)
@@ -76,7 +76,7 @@
 
 // serveReady tells whether this process can serve: it has a configuration that it may act on,
 // and does not leave.
-func (e *Edge) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (e *Dispatcher) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if _, ok := e.follower.current(); !ok || e.leaving.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -85,4 +85,6 @@
 }
 
 // Reload takes in settings that have changed.
-func (e *Edge) Reload(settings settings.Settings) { e.follower.Reload(settings.SeedAddresses()) }
+func (e *Dispatcher) Reload(settings settings.Settings) {
+	e.follower.UpdateSeeds(settings.SeedAddresses())
+}
--- a/internal/cluster/dataplane/follower.go
+++ b/internal/cluster/dataplane/follower.go
@@ -13,10 +13,10 @@
 
 // follower drives a dispatch.Follower: it asks core processes for the configuration.
 type follower struct {
-	*router.Follower
+	*router.Watcher
 	clock   func() time.Duration
 	stop    chan struct{}
-	clients rpc.Clients
+	clients rpc.ClientPool
 }
 
 const (
@@ -27,8 +27,8 @@
 func newFollower(settings settings.Settings, log *slog.Logger, clock func() time.Duration) *follower {
 	applyWithin := time.Duration(settings.Bounds.ConfigApplyMs) * time.Millisecond
 	return &follower{
-		Follower: router.NewFollower(settings.NodeName, settings.SeedAddresses(), applyWithin, log),
-		clock:    clock, stop: make(chan struct{}),
+		Watcher: router.NewWatcher(settings.NodeName, settings.SeedAddresses(), applyWithin, log),
+		clock:   clock, stop: make(chan struct{}),
 	}
 }
 
@@ -47,16 +47,16 @@
 // poll asks once and returns how long to wait before the next time.
 func (f *follower) poll() time.Duration {
 	asked := f.clock()
-	target, feed := f.Next(asked)
+	target, feed := f.NextRequest(asked)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(feed.WaitMs)*time.Millisecond+feedSlack)
 	defer cancel()
 	got, err := f.clients.Call(ctx, target, feed)
-	answer, ok := got.(protocol.FeedAnswer)
+	answer, ok := got.(protocol.WatchResponse)
 	if err != nil || !ok {
-		f.Failed(target, asked, f.clock())
+		f.RequestFailed(target, asked, f.clock())
 		return feedAgain
 	}
-	if !f.Answered(target, asked, answer) {
+	if !f.HandleResponse(target, asked, answer) {
 		return feedAgain
 	}
 	return 0
--- a/internal/cluster/dataplane/ingress.go
+++ b/internal/cluster/dataplane/ingress.go
@@ -77,7 +77,7 @@
 	case r.Method == http.MethodGet && id == "":
 		in.ask(w, v, route, deadline, protocol.CountPending, "")
 	case r.Method == http.MethodGet:
-		in.ask(w, v, route, deadline, protocol.AskState, id)
+		in.ask(w, v, route, deadline, protocol.GetJobState, id)
 	case r.Method == http.MethodDelete && id != "":
 		in.ask(w, v, route, deadline, protocol.CancelJob, id)
 	case r.Method == http.MethodPost && id != "":
@@ -101,9 +101,9 @@
 	return time.Duration(heldPart * float64(whole))
 }
 
-func (in *ingress) ask(w http.ResponseWriter, v *router.View, route *opconfig.Route, deadline time.Duration, verb protocol.Verb, id string) {
+func (in *ingress) ask(w http.ResponseWriter, v *router.View, route *opconfig.Route, deadline time.Duration, verb protocol.JobOperation, id string) {
 	in.write(w, verb, in.carry(deadline, v, route, func(v *router.View, route *opconfig.Route) *router.Call {
-		return router.NewAsk(v, route, verb, id)
+		return router.NewJobCall(v, route, verb, id)
 	}))
 }
 
@@ -118,30 +118,30 @@
 		return
 	}
 	in.write(w, 0, in.carry(deadline, v, route, func(v *router.View, route *opconfig.Route) *router.Call {
-		return router.NewSubmit(v, route, id, body)
+		return router.NewSubmitCall(v, route, id, body)
 	}))
 }
 
 // carry brings a request to the owners that can answer it. Where one knows a newer
 // configuration that sends the queue elsewhere, it waits for that and begins anew.
-func (in *ingress) carry(deadline time.Duration, v *router.View, route *opconfig.Route, build func(*router.View, *opconfig.Route) *router.Call) protocol.Answer {
+func (in *ingress) carry(deadline time.Duration, v *router.View, route *opconfig.Route, build func(*router.View, *opconfig.Route) *router.Call) protocol.JobResponse {
 	call := build(v, route)
 	for {
 		answer, progress := in.pass(call, deadline)
-		if progress != router.Outdated {
+		if progress != router.ConfigOutdated {
 			return answer
 		}
 		newer, ok := in.newer(v.Config.Version, answer.Moved, deadline)
 		if !ok {
-			return call.GivenUp()
+			return call.TimeoutResponse()
 		}
 		next, ok := newer.Config.Route(route.Queue())
 		if !ok {
-			return call.GivenUp()
+			return call.TimeoutResponse()
 		}
 		v, route = newer, next
 		again := build(v, route)
-		again.After(call)
+		again.InheritOutcome(call)
 		call = again
 	}
 }
@@ -158,40 +158,40 @@
 }
 
 // pass asks the owners by turns until a call has its answer.
-func (in *ingress) pass(call *router.Call, deadline time.Duration) (protocol.Answer, router.Progress) {
+func (in *ingress) pass(call *router.Call, deadline time.Duration) (protocol.JobResponse, router.Progress) {
 	for in.clock() < deadline {
 		shard, message := call.Next()
 		asked := in.clock()
-		owner := in.follower.Owner(shard, asked)
+		owner := in.follower.LeaderOf(shard, asked)
 		answer, err := in.try(owner, message, deadline)
 		progress := router.Retry
 		switch {
 		case err != nil:
-			call.Silent()
-			in.follower.Unanswered(shard, owner, asked, in.clock())
+			call.NoResponse()
+			in.follower.LeaderUnresponsive(shard, owner, asked, in.clock())
 		case answer.Status == 0:
-			in.follower.Correct(shard, owner, answer.Owner)
+			in.follower.UpdateLeader(shard, owner, answer.Owner)
 		default:
-			answer, progress = call.Answered(answer)
+			answer, progress = call.HandleResponse(answer)
 		}
-		if progress == router.Finished || progress == router.Outdated {
+		if progress == router.Finished || progress == router.ConfigOutdated {
 			return answer, progress
 		}
 		if progress == router.Retry {
 			in.pause(triesApart)
 		}
 	}
-	return call.GivenUp(), router.Finished
+	return call.TimeoutResponse(), router.Finished
 }
 
-func (in *ingress) try(owner string, message any, deadline time.Duration) (protocol.Answer, error) {
+func (in *ingress) try(owner string, message any, deadline time.Duration) (protocol.JobResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(tryWithin, deadline-in.clock()))
 	defer cancel()
 	got, err := in.follower.clients.Call(ctx, owner, message)
 	if err != nil {
-		return protocol.Answer{}, err
+		return protocol.JobResponse{}, err
 	}
-	answer, _ := got.(protocol.Answer)
+	answer, _ := got.(protocol.JobResponse)
 	return answer, nil
 }
 
@@ -204,14 +204,14 @@
 	Pending int `json:"pending"`
 }
 
-func (in *ingress) write(w http.ResponseWriter, verb protocol.Verb, answer protocol.Answer) {
+func (in *ingress) write(w http.ResponseWriter, verb protocol.JobOperation, answer protocol.JobResponse) {
 	if answer.Status != http.StatusOK {
 		refuse(w, int(answer.Status), answer.Reason, answer.RetryAfterMs)
 		return
 	}
 	var body any = struct{}{}
 	switch verb {
-	case protocol.AskState:
+	case protocol.GetJobState:
 		body = stateBody{State: answer.State.String()}
 	case protocol.CountPending:
 		body = countBody{Pending: answer.Pending}
--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -31,21 +31,21 @@
 }
 
 func appendCommand(to []byte, c *Command) []byte {
-	to = append(to, byte(c.Kind), byte(c.How))
+	to = append(to, byte(c.Kind), byte(c.EndReason))
 	to = appendText(to, c.Task.Job)
-	for _, number := range []int{c.Task.Time, c.Task.Step, c.Task.Index, c.Attempt} {
+	for _, number := range []int{c.Task.Occurrence, c.Task.Step, c.Task.Index, c.Attempt} {
 		to = binary.AppendUvarint(to, uint64(number))
 	}
 	to = appendText(to, c.Runner)
 	to = appendText(to, c.Address)
-	to = appendText(to, c.Saved)
-	to = binary.AppendVarint(to, c.AtMs)
+	to = appendText(to, c.Checkpoint)
+	to = binary.AppendVarint(to, c.ProposedAtMs)
 	to = appendText(to, c.Queue)
-	to = binary.AppendVarint(to, c.Version)
-	if c.Kind != Accept {
+	to = binary.AppendVarint(to, c.ConfigVersion)
+	if c.Kind != AcceptJob {
 		return to
 	}
-	body, err := json.Marshal(c.New)
+	body, err := json.Marshal(c.Submission)
 	if err != nil { // no field of New can fail
 		body = nil
 	}
@@ -127,20 +127,20 @@
 }
 
 func (r *reader) command(format byte) (Command, error) {
-	c := Command{Kind: Kind(r.byte()), How: How(r.byte())}
+	c := Command{Kind: CommandKind(r.byte()), EndReason: EndReason(r.byte())}
 	c.Task.Job = r.text()
-	for _, to := range []*int{&c.Task.Time, &c.Task.Step, &c.Task.Index, &c.Attempt} {
+	for _, to := range []*int{&c.Task.Occurrence, &c.Task.Step, &c.Task.Index, &c.Attempt} {
 		*to = int(r.number())
 	}
-	c.Runner, c.Address, c.Saved = r.text(), r.text(), r.text()
-	c.AtMs = r.signed()
+	c.Runner, c.Address, c.Checkpoint = r.text(), r.text(), r.text()
+	c.ProposedAtMs = r.signed()
 	if format != formatBefore {
 		c.Queue = r.text()
-		c.Version = r.signed()
+		c.ConfigVersion = r.signed()
 	}
-	if c.Kind == Accept {
-		c.New = &New{}
-		if body := r.text(); !r.bad && json.Unmarshal([]byte(body), c.New) != nil {
+	if c.Kind == AcceptJob {
+		c.Submission = &New{}
+		if body := r.text(); !r.bad && json.Unmarshal([]byte(body), c.Submission) != nil {
 			return c, ErrFormat
 		}
 	}
