--- a/internal/cluster/job/command.go
+++ b/internal/cluster/job/command.go
@@ -10,15 +10,15 @@
 
 // TaskRef names a task within its shard.
 type TaskRef struct {
-	Job   string
-	Time  int
-	Step  int
-	Index int
+	Job        string
+	Occurrence int
+	Step       int
+	Index      int
 }
 
 // String returns the name that runners know the task by.
 func (r TaskRef) String() string {
-	return fmt.Sprintf("%s.%d.%d.%d", r.Job, r.Time, r.Step, r.Index)
+	return fmt.Sprintf("%s.%d.%d.%d", r.Job, r.Occurrence, r.Step, r.Index)
 }
 
 // ParseTaskRef reads a task's name.
@@ -28,7 +28,7 @@
 		return TaskRef{}, errors.Newf("%q is not a task's name", name)
 	}
 	ref := TaskRef{Job: parts[0]}
-	for at, to := range []*int{&ref.Time, &ref.Step, &ref.Index} {
+	for at, to := range []*int{&ref.Occurrence, &ref.Step, &ref.Index} {
 		number, err := strconv.Atoi(parts[at+1])
 		if err != nil || number < 0 {
 			return TaskRef{}, errors.Newf("%q is not a task's name", name)
@@ -38,61 +38,61 @@
 	return ref, nil
 }
 
-// How says how a run ended.
-type How uint8
+// EndReason says how a run ended.
+type EndReason uint8
 
 // Ends of runs. Refused and Lost are this program's own: a run that never began, and one
 // that is surely over without its end having been listed.
 const (
-	Done How = iota + 1
-	Failed
-	Stopped
-	Lapsed
-	Broken
-	Alone
-	Refused
-	Lost
+	EndDone EndReason = iota + 1
+	EndFailed
+	EndStopped
+	EndLeaseExpired
+	EndGangBroken
+	EndGangIncomplete
+	EndRejected
+	EndLost
 )
 
-var howNames = map[string]How{"done": Done, "failed": Failed, "stopped": Stopped, "lapsed": Lapsed, "broken": Broken, "alone": Alone}
+var howNames = map[string]EndReason{"done": EndDone, "failed": EndFailed, "stopped": EndStopped, "lapsed": EndLeaseExpired, "broken": EndGangBroken, "alone": EndGangIncomplete}
 
-// ParseHow reads an end as runners list it. What is not known is taken as lapsed: it
+// ParseEndReason reads an end as runners list it. What is not known is taken as lapsed: it
 // counts against nothing.
-func ParseHow(name string) How {
+func ParseEndReason(name string) EndReason {
 	if how, ok := howNames[name]; ok {
 		return how
 	}
-	return Lapsed
+	return EndLeaseExpired
 }
 
-// Kind says what a command does.
-type Kind uint8
+// CommandKind says what a command does.
+type CommandKind uint8
 
 // Kinds of commands.
 const (
-	Accept Kind = iota + 1 // New
-	Due                    // Task.Job, Task.Time: the time's tasks exist from now on
-	Start                  // Task, Attempt, Runner, Address
-	End                    // Task, Attempt, Runner, How, Saved
-	Save                   // Task, Attempt, Saved
-	Cancel                 // Task.Job, Queue, Version
-	Forget                 // Task.Job
-	Seal                   // Queue, Version: nothing is accepted under older configurations any more
+	AcceptJob      CommandKind = iota + 1 // New
+	OpenOccurrence                        // Task.Job, Task.Time: the time's tasks exist from now on
+	StartRun                              // Task, Attempt, Runner, Address
+	EndRun                                // Task, Attempt, Runner, How, Saved
+	SaveCheckpoint                        // Task, Attempt, Saved
+	CancelJob                             // Task.Job, Queue, Version
+	ForgetJob                             // Task.Job
+	SealQueue                             // Queue, Version: nothing is accepted under older configurations any more
 )
 
 // Command is one change of a shard's jobs.
 type Command struct {
-	Kind    Kind
-	Task    TaskRef
-	Attempt int
-	Runner  string // the life of a runner, as its instance ID
-	Address string
-	How     How
-	Saved   string
-	New     *New
-	AtMs    int64 // time of day at the proposer
-	Queue   string
-	Version int64 // of the configuration by which it was asked for
+	Kind          CommandKind
+	Task          TaskRef
+	Attempt       int
+	Runner        string // the life of a runner, as its instance ID
+	Address       string
+	EndReason     EndReason
+	Checkpoint    string
+	Submission    *New
+	ProposedAtMs  int64 // time of day at the proposer
+	Queue         string
+	ConfigVersion int64 // of the configuration by which it was asked for
 }
 
 // New is a job to be accepted, with what its queue's configuration says of it now.
--- a/internal/cluster/job/spec.go
+++ b/internal/cluster/job/spec.go
@@ -17,28 +17,28 @@
 	GPU   int64 `json:"gpu"`
 }
 
-// Plus returns the sum.
-func (r Resources) Plus(other Resources) Resources {
+// Add returns the sum.
+func (r Resources) Add(other Resources) Resources {
 	return Resources{CPU: r.CPU + other.CPU, MemMB: r.MemMB + other.MemMB, GPU: r.GPU + other.GPU}
 }
 
-// Minus returns the difference.
-func (r Resources) Minus(other Resources) Resources {
+// Subtract returns the difference.
+func (r Resources) Subtract(other Resources) Resources {
 	return Resources{CPU: r.CPU - other.CPU, MemMB: r.MemMB - other.MemMB, GPU: r.GPU - other.GPU}
 }
 
-// Times returns the resources of n tasks.
-func (r Resources) Times(n int64) Resources {
+// Multiply returns the resources of n tasks.
+func (r Resources) Multiply(n int64) Resources {
 	return Resources{CPU: r.CPU * n, MemMB: r.MemMB * n, GPU: r.GPU * n}
 }
 
-// Fits tells whether all of it fits into free.
-func (r Resources) Fits(free Resources) bool {
+// FitsIn tells whether all of it fits into free.
+func (r Resources) FitsIn(free Resources) bool {
 	return r.CPU <= free.CPU && r.MemMB <= free.MemMB && r.GPU <= free.GPU
 }
 
-// FitTimes returns how many times all of it fits into free.
-func (r Resources) FitTimes(free Resources) int {
+// CountFittingIn returns how many times all of it fits into free.
+func (r Resources) CountFittingIn(free Resources) int {
 	times := int64(math.MaxInt32)
 	for _, pair := range [][2]int64{{r.CPU, free.CPU}, {r.MemMB, free.MemMB}, {r.GPU, free.GPU}} {
 		if need, have := pair[0], pair[1]; need > 0 {
@@ -154,19 +154,19 @@
 	return nil
 }
 
-// Times returns how often the steps run.
-func (s *Spec) Times() int { return max(1, s.Repeats) }
+// Occurrences returns how often the steps run.
+func (s *Spec) Occurrences() int { return max(1, s.Repeats) }
 
 // DueMs returns when a time falls due, in milliseconds from 1970; 0: at once.
-func (s *Spec) DueMs(time int) int64 {
+func (s *Spec) DueMs(occurrence int) int64 {
 	if s.Repeats == 0 {
 		return 0
 	}
-	return s.StartAtMs + int64(time)*s.IntervalMs
+	return s.StartAtMs + int64(occurrence)*s.IntervalMs
 }
 
-// Lasting tells whether the job runs until it is cancelled.
-func (s *Spec) Lasting() bool {
+// HasLongRunningStep tells whether the job runs until it is cancelled.
+func (s *Spec) HasLongRunningStep() bool {
 	for _, step := range s.Steps {
 		if step.LongRunning {
 			return true
--- a/internal/cluster/job/store.go
+++ b/internal/cluster/job/store.go
@@ -15,11 +15,11 @@
 
 // States of jobs.
 const (
-	Pending State = iota
-	Running
-	Completed
-	FailedState
-	Canceled
+	StatePending State = iota
+	StateRunning
+	StateCompleted
+	StateFailed
+	StateCanceled
 )
 
 // String returns the state's name in the protocol.
@@ -27,8 +27,8 @@
 	return [...]string{"pending", "running", "completed", "failed", "canceled"}[s]
 }
 
-// Over tells whether nothing more is to run.
-func (s State) Over() bool { return s >= Completed }
+// Terminal tells whether nothing more is to run.
+func (s State) Terminal() bool { return s >= StateCompleted }
 
 // Run is one run of a task that may be under way: it was ordered, and is not known to be over.
 type Run struct {
@@ -47,8 +47,8 @@
 	Runs    []Run
 }
 
-// StepRun is the state of one step of one time.
-type StepRun struct {
+// StepState is the state of one step of one time.
+type StepState struct {
 	Tasks []Task
 	Done  int
 	Saved string // of a gang: any member's is good for all
@@ -56,19 +56,19 @@
 }
 
 // Complete tells whether all its tasks ended done.
-func (s *StepRun) Complete() bool { return s.Done == len(s.Tasks) }
+func (s *StepState) Complete() bool { return s.Done == len(s.Tasks) }
 
-// Time is the state of one time that a job's steps run.
-type Time struct {
-	Steps []StepRun // none once it is complete and nothing runs
-	Open  int       // steps that are not complete
+// Occurrence is the state of one time that a job's steps run.
+type Occurrence struct {
+	Steps []StepState // none once it is complete and nothing runs
+	Open  int         // steps that are not complete
 }
 
 // Job is one job.
 type Job struct {
 	New
 	State      State
-	Times      []*Time // those that are due; the others are not there yet
+	Times      []*Occurrence // those that are due; the others are not there yet
 	OpenTimes  int
 	Live       int // runs that may be under way
 	AcceptedMs int64
@@ -78,10 +78,10 @@
 	Withdrawn bool
 }
 
-// Ready tells whether a step's tasks may start: all steps that it depends on are complete.
-func (j *Job) Ready(time *Time, step int) bool {
+// DependenciesComplete tells whether a step's tasks may start: all steps that it depends on are complete.
+func (j *Job) DependenciesComplete(occurrence *Occurrence, step int) bool {
 	for _, before := range j.Spec.Steps[step].DependsOn {
-		if !time.Steps[before].Complete() {
+		if !occurrence.Steps[before].Complete() {
 			return false
 		}
 	}
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// Sum stands for the whole state: equal where the states are, however they came about.
-func (s *Store) Sum() uint64 {
+// Digest stands for the whole state: equal where the states are, however they came about.
+func (s *Store) Digest() uint64 {
 	sum := sumOf(s.Pending, s.Sealed)
 	for _, j := range s.Jobs {
 		sum ^= j.sum()
@@ -157,22 +157,22 @@
 
 // Outcomes.
 const (
-	Applied   Outcome = iota + 1
-	Known             // nothing changed: it had been done before
-	Rejected          // nothing changed: the state does not allow it
-	Missing           // there is no such job, and there never will be
-	Moved             // nothing changed: a newer configuration has sent the queue elsewhere
-	Withdrawn         // nothing changed: the job was cancelled before it was handed in
+	Applied                   Outcome = iota + 1
+	AlreadyApplied                    // nothing changed: it had been done before
+	Rejected                          // nothing changed: the state does not allow it
+	UnknownJob                        // there is no such job, and there never will be
+	QueueMoved                        // nothing changed: a newer configuration has sent the queue elsewhere
+	CancelledBeforeAcceptance         // nothing changed: the job was cancelled before it was handed in
 )
 
 // Apply carries out a command.
 func (s *Store) Apply(c Command) Outcome {
 	switch c.Kind {
-	case Accept:
+	case AcceptJob:
 		return s.accept(c)
-	case Cancel:
+	case CancelJob:
 		return s.cancel(c)
-	case Seal:
+	case SealQueue:
 		return s.seal(c)
 	}
 	j := s.Jobs[c.Task.Job]
@@ -180,29 +180,29 @@
 		return Rejected
 	}
 	switch c.Kind {
-	case Due:
+	case OpenOccurrence:
 		return s.due(j, c)
-	case Start:
+	case StartRun:
 		return s.start(j, c)
-	case End:
+	case EndRun:
 		return s.end(j, c)
-	case Save:
+	case SaveCheckpoint:
 		return s.save(j, c)
-	case Forget:
+	case ForgetJob:
 		return s.forget(j)
 	}
 	return Rejected
 }
 
 func (s *Store) accept(c Command) Outcome {
-	if old := s.Jobs[c.New.ID]; old != nil {
-		return old.Again(c.New.Queue, c.New.Hash)
+	if old := s.Jobs[c.Submission.ID]; old != nil {
+		return old.Resubmitted(c.Submission.Queue, c.Submission.Hash)
 	}
-	if c.New.Version < s.Sealed[c.New.Queue] {
-		return Moved
+	if c.Submission.Version < s.Sealed[c.Submission.Queue] {
+		return QueueMoved
 	}
-	j := &Job{New: *c.New, AcceptedMs: c.AtMs}
-	j.OpenTimes = j.Spec.Times()
+	j := &Job{New: *c.Submission, AcceptedMs: c.ProposedAtMs}
+	j.OpenTimes = j.Spec.Occurrences()
 	s.Jobs[j.ID] = j
 	s.Pending[j.Queue]++
 	if j.Spec.Repeats == 0 {
@@ -211,53 +211,53 @@
 	return Applied
 }
 
-// Again says what becomes of another try to hand a job in under the ID of this one.
-func (j *Job) Again(queue string, hash uint64) Outcome {
+// Resubmitted says what becomes of another try to hand a job in under the ID of this one.
+func (j *Job) Resubmitted(queue string, hash uint64) Outcome {
 	switch {
 	case j.Withdrawn && j.Queue == queue:
-		return Withdrawn
+		return CancelledBeforeAcceptance
 	case j.Queue != queue || j.Hash != hash:
 		return Rejected
 	}
-	return Known
+	return AlreadyApplied
 }
 
 // seal turns down from now on what comes under configurations before the one that moved the
 // queue to another shard.
 func (s *Store) seal(c Command) Outcome {
-	if s.Sealed[c.Queue] >= c.Version {
-		return Known
+	if s.Sealed[c.Queue] >= c.ConfigVersion {
+		return AlreadyApplied
 	}
-	s.Sealed[c.Queue] = c.Version
+	s.Sealed[c.Queue] = c.ConfigVersion
 	return Applied
 }
 
 // begin makes the tasks of the next time.
 func (j *Job) begin(time int) {
-	steps := make([]StepRun, len(j.Spec.Steps))
+	steps := make([]StepState, len(j.Spec.Steps))
 	for at, step := range j.Spec.Steps {
 		steps[at].Tasks = make([]Task, step.Count)
 	}
 	for len(j.Times) <= time {
 		j.Times = append(j.Times, nil)
 	}
-	j.Times[time] = &Time{Steps: steps, Open: len(steps)}
+	j.Times[time] = &Occurrence{Steps: steps, Open: len(steps)}
 }
 
 func (s *Store) due(j *Job, c Command) Outcome {
-	if j.State.Over() || c.Task.Time != len(j.Times) || c.Task.Time >= j.Spec.Times() {
+	if j.State.Terminal() || c.Task.Occurrence != len(j.Times) || c.Task.Occurrence >= j.Spec.Occurrences() {
 		return Rejected
 	}
-	j.begin(c.Task.Time)
+	j.begin(c.Task.Occurrence)
 	return Applied
 }
 
 // Task returns a task's state, and that of its step; nil: there is none, or none any more.
-func (j *Job) Task(ref TaskRef) (*Task, *StepRun) {
-	if ref.Time >= len(j.Times) || j.Times[ref.Time] == nil || ref.Step >= len(j.Times[ref.Time].Steps) {
+func (j *Job) Task(ref TaskRef) (*Task, *StepState) {
+	if ref.Occurrence >= len(j.Times) || j.Times[ref.Occurrence] == nil || ref.Step >= len(j.Times[ref.Occurrence].Steps) {
 		return nil, nil
 	}
-	step := &j.Times[ref.Time].Steps[ref.Step]
+	step := &j.Times[ref.Occurrence].Steps[ref.Step]
 	if ref.Index >= len(step.Tasks) {
 		return nil, nil
 	}
@@ -268,14 +268,14 @@
 func (j *Job) mayStart(task *Task, c Command) bool {
 	step := j.Spec.Steps[c.Task.Step]
 	switch {
-	case j.State.Over(), task.Done, c.Attempt <= task.Attempt:
+	case j.State.Terminal(), task.Done, c.Attempt <= task.Attempt:
 		return false
 	case len(task.Runs) > 0 && !step.Speculative:
 		return false
 	case task.Failed >= j.Retries && !step.LongRunning:
 		return false
 	}
-	return j.Ready(j.Times[c.Task.Time], c.Task.Step)
+	return j.DependenciesComplete(j.Times[c.Task.Occurrence], c.Task.Step)
 }
 
 func (s *Store) start(j *Job, c Command) Outcome {
@@ -286,23 +286,23 @@
 	task.Attempt = c.Attempt
 	task.Runs = append(task.Runs, Run{Attempt: c.Attempt, Runner: c.Runner, Address: c.Address})
 	j.Live++
-	s.enter(j, Running, c.AtMs)
+	s.enter(j, StateRunning, c.ProposedAtMs)
 	return Applied
 }
 
 // enter changes a job's state.
 func (s *Store) enter(j *Job, state State, atMs int64) {
-	if j.State == state || j.State.Over() {
+	if j.State == state || j.State.Terminal() {
 		return
 	}
-	if j.State == Pending {
+	if j.State == StatePending {
 		s.Pending[j.Queue]--
 		if s.Pending[j.Queue] == 0 {
 			delete(s.Pending, j.Queue)
 		}
 	}
 	j.State = state
-	if state.Over() {
+	if state.Terminal() {
 		j.EndedMs = atMs
 	}
 }
@@ -316,19 +316,19 @@
 	if live {
 		j.Live--
 	}
-	listed := c.How != Refused && c.How != Lost
+	listed := c.EndReason != EndRejected && c.EndReason != EndLost
 	if !live && (!listed || task.counted(c.Attempt)) {
 		j.trim()
-		return Known
+		return AlreadyApplied
 	}
 	if listed {
 		task.count(c.Attempt)
 	}
-	task.keep(step, j.Spec.Steps[c.Task.Step], c.Saved)
-	switch c.How {
-	case Done:
+	task.keep(step, j.Spec.Steps[c.Task.Step], c.Checkpoint)
+	switch c.EndReason {
+	case EndDone:
 		s.taskDone(j, task, step, c)
-	case Failed:
+	case EndFailed:
 		task.Failed++
 		step.Fails |= 1 << min(c.Attempt, 63)
 		s.failIfSpent(j, task, step, c)
@@ -357,7 +357,7 @@
 }
 
 // keep notes saved progress.
-func (t *Task) keep(step *StepRun, spec Step, saved string) {
+func (t *Task) keep(step *StepState, spec Step, saved string) {
 	switch {
 	case saved == "":
 	case spec.Gang:
@@ -367,7 +367,7 @@
 	}
 }
 
-func (s *Store) taskDone(j *Job, task *Task, step *StepRun, c Command) {
+func (s *Store) taskDone(j *Job, task *Task, step *StepState, c Command) {
 	if task.Done || j.Spec.Steps[c.Task.Step].LongRunning {
 		return
 	}
@@ -381,18 +381,18 @@
 	if !step.Complete() {
 		return
 	}
-	time := j.Times[c.Task.Time]
+	time := j.Times[c.Task.Occurrence]
 	time.Open--
 	if time.Open > 0 {
 		return
 	}
 	j.OpenTimes--
 	if j.OpenTimes == 0 {
-		s.enter(j, Completed, c.AtMs)
+		s.enter(j, StateCompleted, c.ProposedAtMs)
 	}
 }
 
-func (s *StepRun) finish(task *Task) {
+func (s *StepState) finish(task *Task) {
 	if !task.Done {
 		task.Done = true
 		s.Done++
@@ -400,7 +400,7 @@
 }
 
 // failIfSpent fails the job once a task, or a gang, has failed as often as it may.
-func (s *Store) failIfSpent(j *Job, task *Task, step *StepRun, c Command) {
+func (s *Store) failIfSpent(j *Job, task *Task, step *StepState, c Command) {
 	spec := j.Spec.Steps[c.Task.Step]
 	if spec.LongRunning || task.Done {
 		return
@@ -410,7 +410,7 @@
 		failed = bits.OnesCount64(step.Fails)
 	}
 	if failed >= j.Retries {
-		s.enter(j, FailedState, c.AtMs)
+		s.enter(j, StateFailed, c.ProposedAtMs)
 	}
 }
 
@@ -420,11 +420,11 @@
 		return
 	}
 	for at, time := range j.Times {
-		if time != nil && (time.Open == 0 || j.State.Over()) {
-			j.Times[at] = &Time{}
+		if time != nil && (time.Open == 0 || j.State.Terminal()) {
+			j.Times[at] = &Occurrence{}
 		}
 	}
-	if j.State.Over() {
+	if j.State.Terminal() {
 		j.Times, j.Spec = nil, Spec{Repeats: j.Spec.Repeats}
 	}
 }
@@ -436,7 +436,7 @@
 	}
 	for _, run := range task.Runs {
 		if run.Attempt == c.Attempt {
-			task.keep(step, j.Spec.Steps[c.Task.Step], c.Saved)
+			task.keep(step, j.Spec.Steps[c.Task.Step], c.Checkpoint)
 			return Applied
 		}
 	}
@@ -451,25 +451,25 @@
 	case j == nil:
 		return s.withdraw(c)
 	case c.Queue != "" && j.Queue != c.Queue, j.Withdrawn:
-		return Missing
-	case j.State.Over():
-		return Known
+		return UnknownJob
+	case j.State.Terminal():
+		return AlreadyApplied
 	}
-	s.enter(j, Canceled, c.AtMs)
+	s.enter(j, StateCanceled, c.ProposedAtMs)
 	j.trim()
 	return Applied
 }
 
 func (s *Store) withdraw(c Command) Outcome {
-	if c.Version < s.Sealed[c.Queue] {
-		return Moved
+	if c.ConfigVersion < s.Sealed[c.Queue] {
+		return QueueMoved
 	}
-	s.Jobs[c.Task.Job] = &Job{New: New{ID: c.Task.Job, Queue: c.Queue}, State: Canceled, EndedMs: c.AtMs, Withdrawn: true}
-	return Missing
+	s.Jobs[c.Task.Job] = &Job{New: New{ID: c.Task.Job, Queue: c.Queue}, State: StateCanceled, EndedMs: c.ProposedAtMs, Withdrawn: true}
+	return UnknownJob
 }
 
 func (s *Store) forget(j *Job) Outcome {
-	if !j.State.Over() || j.Live > 0 {
+	if !j.State.Terminal() || j.Live > 0 {
 		return Rejected
 	}
 	delete(s.Jobs, j.ID)
--- a/internal/cluster/jobtrace/jobtrace.go
+++ b/internal/cluster/jobtrace/jobtrace.go
@@ -13,17 +13,17 @@
 
 // Task appends a task's place.
 func Task(t *digesttest.Trace, task job.TaskRef) {
-	t.String(task.Job).Int(int64(task.Time), int64(task.Step), int64(task.Index))
+	t.String(task.Job).Int(int64(task.Occurrence), int64(task.Step), int64(task.Index))
 }
 
 // Command appends a command.
 func Command(t *digesttest.Trace, c *job.Command) {
 	t.Int(int64(c.Kind))
 	Task(t, c.Task)
-	t.Int(int64(c.Attempt)).String(c.Runner, c.Address).Int(int64(c.How)).String(c.Saved)
-	t.Int(c.AtMs).String(c.Queue).Int(c.Version).Bool(c.New != nil)
-	if c.New != nil {
-		newJob(t, c.New)
+	t.Int(int64(c.Attempt)).String(c.Runner, c.Address).Int(int64(c.EndReason)).String(c.Checkpoint)
+	t.Int(c.ProposedAtMs).String(c.Queue).Int(c.ConfigVersion).Bool(c.Submission != nil)
+	if c.Submission != nil {
+		newJob(t, c.Submission)
 	}
 }
 
@@ -54,7 +54,7 @@
 func Order(t *digesttest.Trace, o *scheduler.Order) {
 	t.Int(int64(o.Kind)).String(o.Runner, o.Address).Uint(o.Token)
 	Task(t, o.Task)
-	t.Int(int64(o.Attempt)).String(o.Spec, o.Saved).Int(o.DeadlineMs).Uint(o.LastSeen).Int(o.WaitMs).Uint(o.Sequence)
+	t.Int(int64(o.Attempt)).String(o.Spec, o.Checkpoint).Int(o.DeadlineMs).Uint(o.AckedThrough).Int(o.WaitMs).Uint(o.Sequence)
 }
 
 // SortStops sorts stops that leave together for one runner by their tasks: the scheduler asks
@@ -75,21 +75,21 @@
 }
 
 func compareStops(a, b scheduler.Order) int {
-	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Time, b.Task.Time), cmp.Compare(a.Task.Step, b.Task.Step),
+	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Occurrence, b.Task.Occurrence), cmp.Compare(a.Task.Step, b.Task.Step),
 		cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
 }
 
 // Look appends what a runner says of itself.
-func Look(t *digesttest.Trace, l *scheduler.Look) {
+func Look(t *digesttest.Trace, l *scheduler.RunnerReport) {
 	t.Int(l.ClockMs, l.RemainingMs, int64(len(l.Running)))
 	for _, run := range l.Running {
 		Task(t, run.Task)
-		t.Int(int64(run.Attempt)).String(run.Saved).Int(int64(run.Percent))
+		t.Int(int64(run.Attempt)).String(run.Checkpoint).Int(int64(run.Percent))
 	}
 	t.Int(int64(len(l.Finished)))
 	for _, end := range l.Finished {
 		t.Uint(end.Number)
 		Task(t, end.Task)
-		t.Int(int64(end.Attempt), int64(end.How)).String(end.Saved)
+		t.Int(int64(end.Attempt), int64(end.Reason)).String(end.Checkpoint)
 	}
 }
--- a/internal/cluster/lateness/lateness.go
+++ b/internal/cluster/lateness/lateness.go
@@ -8,31 +8,31 @@
 // Cause is where time went.
 type Cause uint8
 
-// Causes.
+// CauseCount.
 const (
-	Earlier  Cause = iota // before this owner had the job: under another owner, or none
-	Commit                // until a start was committed
-	Behind                // behind other work that only budgets held back
-	Budget                // no runner's budget had room
-	Capacity              // no suitable runner had room
-	Rack                  // for a place near its data, or on one rack
-	Gang                  // with its gang: not all members had room, or another member's run ended
-	Silent                // a run at a runner that was not heard of, or whose order was not answered
-	Moved                 // a run that was stopped, since it crawled or its runner left
-	Failed                // a run that failed
-	Far                   // longer, since far from its data
-	Slow                  // longer, since the runner is slower than others
-	Work                  // the run that counted, as long as it takes near its data at a usual runner
-	Causes                // how many there are
+	PreviousLeader Cause = iota // before this owner had the job: under another owner, or none
+	Commit                      // until a start was committed
+	Queued                      // behind other work that only budgets held back
+	Budget                      // no runner's budget had room
+	Capacity                    // no suitable runner had room
+	Rack                        // for a place near its data, or on one rack
+	Gang                        // with its gang: not all members had room, or another member's run ended
+	Unresponsive                // a run at a runner that was not heard of, or whose order was not answered
+	Migrated                    // a run that was stopped, since it crawled or its runner left
+	Failed                      // a run that failed
+	Remote                      // longer, since far from its data
+	SlowRunner                  // longer, since the runner is slower than others
+	Work                        // the run that counted, as long as it takes near its data at a usual runner
+	CauseCount                  // how many there are
 )
 
-var names = [Causes]string{"earlier", "commit", "behind", "budget", "capacity", "rack", "gang", "silent", "moved", "failed", "far", "slow", "work"}
+var names = [CauseCount]string{"earlier", "commit", "behind", "budget", "capacity", "rack", "gang", "silent", "moved", "failed", "far", "slow", "work"}
 
 // String returns the name that stands in logs.
 func (c Cause) String() string { return names[c] }
 
-// Named returns the cause of a name.
-func Named(name string) (Cause, bool) {
+// ParseCause returns the cause of a name.
+func ParseCause(name string) (Cause, bool) {
 	for at, known := range names {
 		if known == name {
 			return Cause(at), true
@@ -41,11 +41,11 @@
 	return 0, false
 }
 
-// Spent is time by cause.
-type Spent [Causes]time.Duration
+// Breakdown is time by cause.
+type Breakdown [CauseCount]time.Duration
 
 // Plus returns the sum.
-func (s Spent) Plus(other Spent) Spent {
+func (s Breakdown) Plus(other Breakdown) Breakdown {
 	for at := range s {
 		s[at] += other[at]
 	}
@@ -53,7 +53,7 @@
 }
 
 // Minus returns the difference.
-func (s Spent) Minus(other Spent) Spent {
+func (s Breakdown) Minus(other Breakdown) Breakdown {
 	for at := range s {
 		s[at] -= other[at]
 	}
@@ -61,7 +61,7 @@
 }
 
 // Total returns the sum of all.
-func (s Spent) Total() time.Duration {
+func (s Breakdown) Total() time.Duration {
 	sum := time.Duration(0)
 	for _, span := range s {
 		sum += span
@@ -69,9 +69,9 @@
 	return sum
 }
 
-// Worst returns the cause, other than the work itself, that took most.
-func (s Spent) Worst() Cause {
-	worst := Earlier
+// Largest returns the cause, other than the work itself, that took most.
+func (s Breakdown) Largest() Cause {
+	worst := PreviousLeader
 	for at := range Work {
 		if s[at] > s[worst] {
 			worst = at
@@ -85,67 +85,67 @@
 	return time.Duration(extension*float64(work)) + target
 }
 
-// Queue is the account of one step's waiting tasks: they are alike, so that what one waits for
+// QueueAccount is the account of one step's waiting tasks: they are alike, so that what one waits for
 // the others do too.
-type Queue struct {
-	waited Spent
+type QueueAccount struct {
+	waited Breakdown
 	at     time.Duration // up to which it is accounted for
 	cause  Cause
 }
 
-// NewQueue returns the account of tasks that have become ready.
-func NewQueue(now time.Duration) *Queue { return &Queue{at: now, cause: Capacity} }
+// NewQueueAccount returns the account of tasks that have become ready.
+func NewQueueAccount(now time.Duration) *QueueAccount { return &QueueAccount{at: now, cause: Capacity} }
 
 // Wait accounts the time since the last call to what was then waited for, and notes what is
 // waited for from now on.
-func (q *Queue) Wait(now time.Duration, cause Cause) {
+func (q *QueueAccount) Wait(now time.Duration, cause Cause) {
 	q.waited[q.cause] += max(0, now-q.at)
 	q.at, q.cause = now, cause
 }
 
 // Waited returns what was waited for so far.
-func (q *Queue) Waited(now time.Duration) Spent {
+func (q *QueueAccount) Waited(now time.Duration) Breakdown {
 	so := q.waited
 	so[q.cause] += max(0, now-q.at)
 	return so
 }
 
-// Trail is the account of one task.
-type Trail struct {
-	spent Spent
-	base  Spent // what its queue had waited when the task last became ready
+// TaskAccount is the account of one task.
+type TaskAccount struct {
+	spent Breakdown
+	base  Breakdown // what its queue had waited when the task last became ready
 }
 
 // Ready notes that the task waits, for the first time or again.
-func (t *Trail) Ready(queue Spent) { t.base = queue }
+func (t *TaskAccount) Ready(queue Breakdown) { t.base = queue }
 
-// Leaves notes that a start of the task is decided.
-func (t *Trail) Leaves(queue Spent) { t.spent = t.spent.Plus(queue.Minus(t.base)) }
+// Started notes that a start of the task is decided.
+func (t *TaskAccount) Started(queue Breakdown) { t.spent = t.spent.Plus(queue.Minus(t.base)) }
 
 // Add notes time that went.
-func (t *Trail) Add(cause Cause, span time.Duration) { t.spent[cause] += max(0, span) }
+func (t *TaskAccount) Add(cause Cause, span time.Duration) { t.spent[cause] += max(0, span) }
 
-// Run notes the run that counted: how much longer it took by the distance from its data and by
+// Completed notes the run that counted: how much longer it took by the distance from its data and by
 // its runner, as factors, and its work.
-func (t *Trail) Run(took time.Duration, far, slow float64) {
+func (t *TaskAccount) Completed(took time.Duration, far, slow float64) {
 	near := time.Duration(float64(took) / far)
 	work := time.Duration(float64(near) / slow)
-	t.Add(Far, took-near)
-	t.Add(Slow, near-work)
+	t.Add(Remote, took-near)
+	t.Add(SlowRunner, near-work)
 	t.Add(Work, min(work, near))
 }
 
-// Path is the account of the chain of tasks that a step's end waited for.
-type Path struct {
-	Spent Spent
+// CriticalPath is the account of the chain of tasks that a step's end waited for.
+type CriticalPath struct {
+	Spent Breakdown
 	End   time.Duration
 }
 
-// After returns the path of a step whose last task has ended now: that of the step it waited
+// ExtendPath returns the path of a step whose last task has ended now: that of the step it waited
 // for last, and the task's own.
-func After(before []Path, last *Trail, now time.Duration) Path {
-	path := Path{End: now}
-	latest := Path{}
+func ExtendPath(before []CriticalPath, last *TaskAccount, now time.Duration) CriticalPath {
+	path := CriticalPath{End: now}
+	latest := CriticalPath{}
 	for _, one := range before {
 		if one.End >= latest.End {
 			latest = one
--- a/internal/cluster/lateness/table.go
+++ b/internal/cluster/lateness/table.go
@@ -20,13 +20,13 @@
 
 // LateJob is one late job, as it was logged.
 type LateJob struct {
-	ID    string
-	Queue string
-	Came  time.Duration // time of day, from 1970
-	Took  time.Duration
-	Owed  time.Duration
-	Cost  float64 // core-seconds, as estimated when it came
-	Spent Spent
+	ID        string
+	Queue     string
+	Arrived   time.Duration // time of day, from 1970
+	Took      time.Duration
+	Objective time.Duration
+	Cost      float64 // core-seconds, as estimated when it came
+	Spent     Breakdown
 }
 
 // ReadLog returns the late jobs of a log in logfmt; all other lines are passed over.
@@ -76,13 +76,13 @@
 	span := time.Duration(ms) * time.Millisecond
 	switch key {
 	case "came_ms":
-		j.Came = span
+		j.Arrived = span
 	case "took_ms":
 		j.Took = span
 	case "owed_ms":
-		j.Owed = span
+		j.Objective = span
 	}
-	if cause, ok := Named(key); ok {
+	if cause, ok := ParseCause(key); ok {
 		j.Spent[cause] = span
 	}
 }
@@ -91,7 +91,7 @@
 type Row struct {
 	Name  string
 	Jobs  int
-	Spent Spent
+	Spent Breakdown
 }
 
 // Grouping names what late jobs are grouped by.
@@ -106,18 +106,18 @@
 	first := time.Duration(0)
 	costs := make([]float64, 0, len(jobs))
 	for at, one := range jobs {
-		if at == 0 || one.Came < first {
-			first = one.Came
+		if at == 0 || one.Arrived < first {
+			first = one.Arrived
 		}
 		costs = append(costs, one.Cost)
 	}
 	slices.Sort(costs)
 	return []Grouping{
-		{"cause", func(j LateJob) string { return j.Spent.Worst().String() }},
+		{"cause", func(j LateJob) string { return j.Spent.Largest().String() }},
 		{"queue", func(j LateJob) string { return j.Queue }},
 		{"size", func(j LateJob) string { return sizeOf(costs, j.Cost) }},
 		{"from second", func(j LateJob) string {
-			return fmt.Sprintf("%5d", int64((j.Came-first)/window)*int64(window/time.Second))
+			return fmt.Sprintf("%5d", int64((j.Arrived-first)/window)*int64(window/time.Second))
 		}},
 	}
 }
@@ -163,7 +163,7 @@
 	table := tabwriter.NewWriter(to, 2, 8, 2, ' ', 0)
 	for _, by := range Groupings(jobs, window) {
 		fmt.Fprintf(table, "%s\tlate", by.Title)
-		for cause := range Causes {
+		for cause := range CauseCount {
 			fmt.Fprintf(table, "\t%s", cause)
 		}
 		fmt.Fprintln(table)
--- a/internal/cluster/leader/configuration.go
+++ b/internal/cluster/leader/configuration.go
@@ -29,15 +29,15 @@
 	return &Configuration{inForce: inForce, leading: leading, log: log, register: opconfig.NewRegister(), changed: make(chan struct{})}
 }
 
-// Join gives the replica its group, before it is used.
-func (c *Configuration) Join(own Group) { c.group = own }
+// SetGroup gives the replica its group, before it is used.
+func (c *Configuration) SetGroup(own Group) { c.group = own }
 
 // Apply implements group.StateMachine.
 func (c *Configuration) Apply(_ uint64, command []byte) (any, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	verdict, err := c.register.ApplyBytes(command)
-	if err == nil && verdict == opconfig.Taken {
+	verdict, err := c.register.ApplyEncoded(command)
+	if err == nil && verdict == opconfig.Accepted {
 		c.tell()
 	}
 	return verdict, err
@@ -73,14 +73,14 @@
 func (c *Configuration) Digest() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.register.SumOf()
+	return c.register.StateDigest()
 }
 
-// Leading implements group.StateMachine.
-func (c *Configuration) Leading(epoch uint64) { c.leading(epoch) }
+// BecameLeader implements group.StateMachine.
+func (c *Configuration) BecameLeader(epoch uint64) { c.leading(epoch) }
 
-// Following implements group.StateMachine.
-func (c *Configuration) Following() { c.leading(0) }
+// LostLeadership implements group.StateMachine.
+func (c *Configuration) LostLeadership() { c.leading(0) }
 
 // Current returns the newest configuration that this replica has applied; nil: none.
 func (c *Configuration) Current() *opconfig.Config {
@@ -97,19 +97,19 @@
 	return c.changed, c.register.Version
 }
 
-// Feed answers a dispatcher: the newest configuration, or that there is no newer one than
+// Watch answers a dispatcher: the newest configuration, or that there is no newer one than
 // what it has. Leads in the answer is looked at last.
-func (c *Configuration) Feed(have int64) protocol.FeedAnswer {
-	answer := protocol.FeedAnswer{Leader: c.group.Leader().Address}
-	if !c.group.Leads() {
+func (c *Configuration) Watch(have int64) protocol.WatchResponse {
+	answer := protocol.WatchResponse{Leader: c.group.Leader().Address}
+	if !c.group.IsLeader() {
 		return answer
 	}
 	c.read(have, &answer)
-	answer.Leads = c.group.Leads()
+	answer.Leads = c.group.IsLeader()
 	return answer
 }
 
-func (c *Configuration) read(have int64, answer *protocol.FeedAnswer) {
+func (c *Configuration) read(have int64, answer *protocol.WatchResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	answer.Version = c.register.Version
@@ -117,14 +117,14 @@
 		return
 	}
 	answer.Content = c.register.Content
-	answer.Moved = c.register.Moved()
+	answer.Moved = c.register.MovedQueues()
 }
 
-// Operate carries out an operator's call, if this process owns the configuration. A status
+// HandleOperatorRequest carries out an operator's call, if this process owns the configuration. A status
 // of 0 says that it does not, and nothing was done.
-func (c *Configuration) Operate(request protocol.Operate, reply func(protocol.OperateAnswer)) {
+func (c *Configuration) HandleOperatorRequest(request protocol.OperatorRequest, reply func(protocol.OperatorResponse)) {
 	switch {
-	case !c.group.Leads():
+	case !c.group.IsLeader():
 		reply(c.notOwner())
 	case request.Replace:
 		c.replace(request, reply)
@@ -133,20 +133,20 @@
 	}
 }
 
-func (c *Configuration) notOwner() protocol.OperateAnswer {
-	return protocol.OperateAnswer{Leader: c.group.Leader().Address}
+func (c *Configuration) notOwner() protocol.OperatorResponse {
+	return protocol.OperatorResponse{Leader: c.group.Leader().Address}
 }
 
-func (c *Configuration) replace(request protocol.Operate, reply func(protocol.OperateAnswer)) {
+func (c *Configuration) replace(request protocol.OperatorRequest, reply func(protocol.OperatorResponse)) {
 	config, err := opconfig.Parse(request.Content)
 	if err != nil {
-		reply(protocol.OperateAnswer{Status: http.StatusBadRequest, Reason: err.Error()})
+		reply(protocol.OperatorResponse{Status: http.StatusBadRequest, Reason: err.Error()})
 		return
 	}
 	change := opconfig.Change{Base: request.Base, Version: config.Version, Content: request.Content}
 	command, err := change.Encode()
 	if err != nil {
-		reply(protocol.OperateAnswer{Status: http.StatusServiceUnavailable, Reason: err.Error()})
+		reply(protocol.OperatorResponse{Status: http.StatusServiceUnavailable, Reason: err.Error()})
 		return
 	}
 	c.group.Propose(command, func(result any, err error) { reply(c.verdict(result, err)) })
@@ -154,34 +154,34 @@
 
 // verdict turns what became of a change into an answer: only a committed command confirms or
 // refuses it.
-func (c *Configuration) verdict(result any, err error) protocol.OperateAnswer {
+func (c *Configuration) verdict(result any, err error) protocol.OperatorResponse {
 	switch {
 	case errors.Is(err, group.ErrNotLeader):
 		return c.notOwner()
 	case err != nil:
-		return protocol.OperateAnswer{Status: http.StatusServiceUnavailable, Reason: err.Error()}
+		return protocol.OperatorResponse{Status: http.StatusServiceUnavailable, Reason: err.Error()}
 	}
 	switch result {
-	case opconfig.Taken, opconfig.WasTaken:
-		return protocol.OperateAnswer{Status: http.StatusOK}
+	case opconfig.Accepted, opconfig.AlreadyAccepted:
+		return protocol.OperatorResponse{Status: http.StatusOK}
 	case opconfig.Conflict:
-		return protocol.OperateAnswer{Status: http.StatusPreconditionFailed, Reason: "another version is current: read it and build on it"}
-	case opconfig.Unclear:
-		return protocol.OperateAnswer{Status: http.StatusServiceUnavailable, Reason: "so old a version that it can't be told whether it was taken: read the configuration and build on it"}
+		return protocol.OperatorResponse{Status: http.StatusPreconditionFailed, Reason: "another version is current: read it and build on it"}
+	case opconfig.Indeterminate:
+		return protocol.OperatorResponse{Status: http.StatusServiceUnavailable, Reason: "so old a version that it can't be told whether it was taken: read the configuration and build on it"}
 	}
-	return protocol.OperateAnswer{Status: http.StatusConflict, Reason: "the version is not above the current one: choose a higher one"}
+	return protocol.OperatorResponse{Status: http.StatusConflict, Reason: "the version is not above the current one: choose a higher one"}
 }
 
 // newest returns the newest configuration; what was read counts only while the lease lasts.
-func (c *Configuration) newest() protocol.OperateAnswer {
+func (c *Configuration) newest() protocol.OperatorResponse {
 	c.mu.Lock()
 	content := c.register.Content
 	c.mu.Unlock()
-	if !c.group.Leads() {
+	if !c.group.IsLeader() {
 		return c.notOwner()
 	}
 	if len(content) == 0 {
-		return protocol.OperateAnswer{Status: http.StatusNotFound, Reason: "there is no configuration yet"}
+		return protocol.OperatorResponse{Status: http.StatusNotFound, Reason: "there is no configuration yet"}
 	}
-	return protocol.OperateAnswer{Status: http.StatusOK, Content: content}
+	return protocol.OperatorResponse{Status: http.StatusOK, Content: content}
 }
--- a/internal/cluster/leader/membership.go
+++ b/internal/cluster/leader/membership.go
@@ -10,12 +10,12 @@
 // founderPrefix begins the ID of a founder, before its address.
 const founderPrefix = "founder-"
 
-// Founding returns the ID of a process on an empty disk and, where it is a founder, the first
+// FoundingMembership returns the ID of a process on an empty disk and, where it is a founder, the first
 // membership of all groups. On the first start of the whole system all processes are given
 // the same seeds, so that each seed knows the first membership by itself: nobody has to
 // decide it, and no process is waited for. A process that starts later, on an empty disk, is
 // never a founder: bootstrap is false then, and its ID is drawn.
-func Founding(bootstrap bool, seeds []string, self string, drawn string) (id string, founding *replica.Membership) {
+func FoundingMembership(bootstrap bool, seeds []string, self string, drawn string) (id string, founding *replica.Membership) {
 	seeds = distinct(seeds)
 	if !bootstrap || !slices.Contains(seeds, self) {
 		return drawn, nil
@@ -30,16 +30,16 @@
 // JoinTargets returns whom a replica asks for a place in its group: all that may know the
 // leader; none, where it has a vote and knows who leads.
 func JoinTargets(members replica.Membership, leader replica.Member, self string, seeds []string) []string {
-	if members.Votes(self) && leader.ID != "" {
+	if members.IsVoter(self) && leader.ID != "" {
 		return nil
 	}
-	return Addresses(members, seeds)
+	return KnownAddresses(members, seeds)
 }
 
-// Addresses returns the addresses of all that may know a group's leader.
-func Addresses(members replica.Membership, seeds []string) []string {
+// KnownAddresses returns the addresses of all that may know a group's leader.
+func KnownAddresses(members replica.Membership, seeds []string) []string {
 	addresses := slices.Clone(seeds)
-	for _, member := range members.Everyone() {
+	for _, member := range members.AllMembers() {
 		addresses = append(addresses, member.Address)
 	}
 	return distinct(addresses)
@@ -48,15 +48,15 @@
 // LeaveTargets returns whom a replica that ends tells so: all that may know the leader, where
 // a learner waits that can take its vote; else nobody.
 func LeaveTargets(members replica.Membership, self string, seeds []string) []string {
-	if !members.Votes(self) || len(members.Learners) == 0 {
+	if !members.IsVoter(self) || len(members.Learners) == 0 {
 		return nil
 	}
-	return Addresses(members, seeds)
+	return KnownAddresses(members, seeds)
 }
 
-// Relay returns the address to which a request to join is passed on, once: the leader's;
+// JoinRelayAddress returns the address to which a request to join is passed on, once: the leader's;
 // empty: it stays here.
-func Relay(ask protocol.Join, leader replica.Member, self string) string {
+func JoinRelayAddress(ask protocol.JoinRequest, leader replica.Member, self string) string {
 	if ask.Relayed || leader.ID == self {
 		return ""
 	}
--- a/internal/cluster/leader/owner.go
+++ b/internal/cluster/leader/owner.go
@@ -19,8 +19,8 @@
 	// Lease returns the epoch of this replica's lead and when it ends; false: it does not
 	// lead at this moment.
 	Lease() (epoch uint64, until time.Duration, ok bool)
-	// Leads tells whether the replica holds the lease at this moment.
-	Leads() bool
+	// IsLeader tells whether the replica holds the lease at this moment.
+	IsLeader() bool
 	// Leader returns the member that leads as far as is known; the zero value: none.
 	Leader() replica.Member
 	// Propose asks for a command to be committed; done is called once.
--- a/internal/cluster/leader/shard.go
+++ b/internal/cluster/leader/shard.go
@@ -18,15 +18,15 @@
 
 // Clocks are a process's clocks.
 type Clocks struct {
-	Steady func() time.Duration
-	WallMs func() int64 // time of day, from 1970
+	Monotonic func() time.Duration
+	UnixMs    func() int64 // time of day, from 1970
 }
 
 // Shard is one shard's replica of the jobs and, where this process leads the group, their
 // scheduler. It implements group.StateMachine. Its methods may be called concurrently.
 type Shard struct {
 	number int
-	bounds scheduler.Bounds
+	bounds scheduler.Config
 	group  Group
 	clocks Clocks
 	log    *slog.Logger
@@ -34,7 +34,7 @@
 
 	mu       sync.Mutex
 	store    *job.Store
-	owner    *scheduler.Owner // nil: another process owns the shard
+	owner    *scheduler.Scheduler // nil: another process owns the shard
 	runners  []scheduler.Runner
 	config   *opconfig.Config
 	clients  []clientCommand // to go into the next batch
@@ -58,12 +58,12 @@
 )
 
 // NewShard returns a replica without jobs.
-func NewShard(number int, bounds scheduler.Bounds, clocks Clocks, nudge func(), log *slog.Logger) *Shard {
+func NewShard(number int, bounds scheduler.Config, clocks Clocks, nudge func(), log *slog.Logger) *Shard {
 	return &Shard{number: number, bounds: bounds, clocks: clocks, nudge: nudge, log: log.With("shard", number), store: job.NewStore()}
 }
 
-// Join gives the replica its group, before it is used.
-func (s *Shard) Join(own Group) { s.group = own }
+// SetGroup gives the replica its group, before it is used.
+func (s *Shard) SetGroup(own Group) { s.group = own }
 
 // Apply implements group.StateMachine.
 func (s *Shard) Apply(_ uint64, command []byte) (any, error) {
@@ -77,7 +77,7 @@
 	for at, c := range batch.Commands {
 		outcomes[at] = s.store.Apply(c)
 		if s.owner != nil {
-			s.owner.Applied(s.clocks.Steady(), c, outcomes[at])
+			s.owner.Applied(s.clocks.Monotonic(), c, outcomes[at])
 		}
 	}
 	s.nudge()
@@ -102,29 +102,29 @@
 func (s *Shard) Digest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.store.Sum()
+	return s.store.Digest()
 }
 
-// Leading implements group.StateMachine.
-func (s *Shard) Leading(epoch uint64) {
+// BecameLeader implements group.StateMachine.
+func (s *Shard) BecameLeader(epoch uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight = 0
-	s.owner = scheduler.New(s.store, epoch, s.bounds, s.clocks.Steady(), s.clocks.WallMs(), s.log)
-	s.owner.Listed(s.clocks.Steady(), s.runners)
+	s.owner = scheduler.New(s.store, epoch, s.bounds, s.clocks.Monotonic(), s.clocks.UnixMs(), s.log)
+	s.owner.UpdateRunners(s.clocks.Monotonic(), s.runners)
 	s.nudge()
 }
 
-// Following implements group.StateMachine.
-func (s *Shard) Following() {
+// LostLeadership implements group.StateMachine.
+func (s *Shard) LostLeadership() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.owner = nil
 	s.nudge()
 }
 
-// TakeRunners takes in the platform's list, of which it keeps this shard's services.
-func (s *Shard) TakeRunners(list []protocol.Runner) {
+// UpdateRunners takes in the platform's list, of which it keeps this shard's services.
+func (s *Shard) UpdateRunners(list []protocol.Runner) {
 	var runners []scheduler.Runner
 	for _, r := range list {
 		if protocol.ShardOf(r.Service) != s.number {
@@ -137,13 +137,13 @@
 	defer s.mu.Unlock()
 	s.runners = runners
 	if s.owner != nil {
-		s.owner.Listed(s.clocks.Steady(), runners)
+		s.owner.UpdateRunners(s.clocks.Monotonic(), runners)
 		s.nudge()
 	}
 }
 
-// TakeConfig takes in a newer configuration.
-func (s *Shard) TakeConfig(config *opconfig.Config) {
+// UpdateConfig takes in a newer configuration.
+func (s *Shard) UpdateConfig(config *opconfig.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = config
@@ -151,14 +151,14 @@
 
 // Orders are what the scheduler of one lead wants sent.
 type Orders struct {
-	Owner *scheduler.Owner
-	List  []scheduler.Order
-	Again bool // there is more to look at soon
+	Scheduler    *scheduler.Scheduler
+	List         []scheduler.Order
+	CyclePending bool // there is more to look at soon
 }
 
-// Drive lets the scheduler decide and proposes what it wants. It returns the orders to send;
+// RunCycle lets the scheduler decide and proposes what it wants. It returns the orders to send;
 // their answers come back by Answered.
-func (s *Shard) Drive() Orders {
+func (s *Shard) RunCycle() Orders {
 	s.mu.Lock()
 	owner := s.owner
 	if owner == nil {
@@ -170,8 +170,8 @@
 		}
 		return Orders{}
 	}
-	owner.Tick(s.clocks.Steady(), s.clocks.WallMs())
-	out := owner.Take(s.clocks.Steady(), s.inFlight < mostInFlight)
+	owner.Tick(s.clocks.Monotonic(), s.clocks.UnixMs())
+	out := owner.TakeOutput(s.clocks.Monotonic(), s.inFlight < mostInFlight)
 	var clients []clientCommand
 	if s.inFlight < mostInFlight {
 		clients, s.clients = s.clients, nil
@@ -184,12 +184,12 @@
 	if wanted {
 		s.commit(owner, out, clients)
 	}
-	return Orders{Owner: owner, List: out.Orders, Again: out.Again}
+	return Orders{Scheduler: owner, List: out.Orders, CyclePending: out.Again}
 }
 
 // commit proposes a batch: the scheduler's commands and then the clients'. Where the lead is
 // lost the scheduler ends, and with it what it wanted.
-func (s *Shard) commit(owner *scheduler.Owner, out scheduler.Output, clients []clientCommand) {
+func (s *Shard) commit(owner *scheduler.Scheduler, out scheduler.Output, clients []clientCommand) {
 	batch := job.Batch{Commands: out.Commands}
 	for _, client := range clients {
 		batch.Commands = append(batch.Commands, client.command)
@@ -210,7 +210,7 @@
 		}
 		s.inFlight--
 		if err == nil && len(out.Commands) > 0 {
-			owner.Committed(s.clocks.Steady(), out.Batch)
+			owner.Committed(s.clocks.Monotonic(), out.Batch)
 		}
 		s.nudge()
 	})
@@ -222,22 +222,24 @@
 	return leads && epoch == order.Token
 }
 
-// Answered runs an input of the scheduler with the time, unless it is another one by now.
-func (s *Shard) Answered(owner *scheduler.Owner, input func(now time.Duration)) {
+// OrderReplied runs an input of the scheduler with the time, unless it is another one by now.
+func (s *Shard) OrderReplied(owner *scheduler.Scheduler, input func(now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.owner != owner {
 		return
 	}
-	input(s.clocks.Steady())
+	input(s.clocks.Monotonic())
 	s.nudge()
 }
 
-func (s *Shard) notOwner() protocol.Answer { return protocol.Answer{Owner: s.group.Leader().Address} }
+func (s *Shard) notOwner() protocol.JobResponse {
+	return protocol.JobResponse{Owner: s.group.Leader().Address}
+}
 
 // ifOwner gives an answer that was read from the state, if the lease still lasts.
-func (s *Shard) ifOwner(answer protocol.Answer) protocol.Answer {
-	if !s.group.Leads() {
+func (s *Shard) ifOwner(answer protocol.JobResponse) protocol.JobResponse {
+	if !s.group.IsLeader() {
 		return s.notOwner()
 	}
 	return answer
@@ -245,15 +247,15 @@
 
 // Answers that need no further facts.
 var (
-	gone      = protocol.Answer{Status: http.StatusGone, Reason: "there is no such job"}
-	otherJob  = protocol.Answer{Status: http.StatusConflict, Reason: "another job has this ID: choose a new one"}
-	withdrawn = protocol.Answer{Status: http.StatusServiceUnavailable, Never: true, Reason: "the job was cancelled before it was handed in: it never runs"}
-	accepted  = protocol.Answer{Status: http.StatusOK}
-	unknown   = protocol.Answer{Status: http.StatusBadGateway, Unknown: true, Reason: "whether it was done is not known: send the same again"}
+	gone      = protocol.JobResponse{Status: http.StatusGone, Reason: "there is no such job"}
+	otherJob  = protocol.JobResponse{Status: http.StatusConflict, Reason: "another job has this ID: choose a new one"}
+	withdrawn = protocol.JobResponse{Status: http.StatusServiceUnavailable, Never: true, Reason: "the job was cancelled before it was handed in: it never runs"}
+	accepted  = protocol.JobResponse{Status: http.StatusOK}
+	unknown   = protocol.JobResponse{Status: http.StatusBadGateway, Unknown: true, Reason: "whether it was done is not known: send the same again"}
 )
 
-func moved(version int64) protocol.Answer {
-	return protocol.Answer{Status: http.StatusServiceUnavailable, Moved: version, Reason: "a newer configuration sends the queue elsewhere"}
+func moved(version int64) protocol.JobResponse {
+	return protocol.JobResponse{Status: http.StatusServiceUnavailable, Moved: version, Reason: "a newer configuration sends the queue elsewhere"}
 }
 
 // route finds the route by which a job is handed in: by the newer of this process's
@@ -261,7 +263,7 @@
 // accepted under the asking one's all the same: by that the asking dispatcher knew which
 // shards had the queue before and asked their owners, and it may have missed that the queue
 // was elsewhere and came back since.
-func (s *Shard) route(request *protocol.Submit) (route opconfig.Route, version int64, ok bool) {
+func (s *Shard) route(request *protocol.SubmitRequest) (route opconfig.Route, version int64, ok bool) {
 	if s.config == nil || s.config.Version <= request.Version {
 		return request.Route, request.Version, true
 	}
@@ -273,8 +275,8 @@
 }
 
 // Submit takes a job in: it is answered once a majority has it on disk.
-func (s *Shard) Submit(request protocol.Submit, reply func(protocol.Answer)) {
-	if !s.group.Leads() {
+func (s *Shard) Submit(request protocol.SubmitRequest, reply func(protocol.JobResponse)) {
+	if !s.group.IsLeader() {
 		reply(s.notOwner())
 		return
 	}
@@ -283,82 +285,82 @@
 		reply(s.ifOwner(answer))
 		return
 	}
-	s.propose(job.Command{Kind: job.Accept, New: &wanted}, func(outcome job.Outcome, err error) {
+	s.propose(job.Command{Kind: job.AcceptJob, Submission: &wanted}, func(outcome job.Outcome, err error) {
 		reply(s.submitted(outcome, err, wanted.Version))
 	})
 }
 
-// HashOf is what a job's body is told by.
-func HashOf(body []byte) uint64 {
+// BodyHash is what a job's body is told by.
+func BodyHash(body []byte) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write(body)
 	return hash.Sum64()
 }
 
 // judge returns the job to be accepted, or the answer where that is clear already.
-func (s *Shard) judge(request *protocol.Submit) (wanted job.New, answer protocol.Answer, clear bool) {
+func (s *Shard) judge(request *protocol.SubmitRequest) (wanted job.New, answer protocol.JobResponse, clear bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	hash := HashOf(request.Body)
+	hash := BodyHash(request.Body)
 	if j := s.store.Jobs[request.ID]; j != nil {
-		return wanted, again(j.Again(request.Queue, hash)), true
+		return wanted, again(j.Resubmitted(request.Queue, hash)), true
 	}
 	route, version, ok := s.route(request)
 	if !ok {
-		return wanted, protocol.Answer{Status: http.StatusNotFound, Reason: "there is no such queue any more"}, true
+		return wanted, protocol.JobResponse{Status: http.StatusNotFound, Reason: "there is no such queue any more"}, true
 	}
 	if protocol.ShardOf(route.Backend) != s.number {
 		return wanted, moved(version), true
 	}
 	spec, err := job.ParseSpec(request.Body)
 	if err != nil {
-		return wanted, protocol.Answer{Status: http.StatusBadRequest, Reason: err.Error()}, true
+		return wanted, protocol.JobResponse{Status: http.StatusBadRequest, Reason: err.Error()}, true
 	}
 	wanted = job.New{ID: request.ID, Queue: request.Queue, Service: route.Backend, Hash: hash, Spec: spec, Version: request.Version,
 		Priority: route.Priority, Retries: route.Retries, TargetMs: int64(route.TargetMs), Stretch: route.Extension}
-	return wanted, protocol.Answer{}, false
+	return wanted, protocol.JobResponse{}, false
 }
 
 // again answers another try to hand in a job whose ID is held.
-func again(outcome job.Outcome) protocol.Answer {
+func again(outcome job.Outcome) protocol.JobResponse {
 	switch outcome {
-	case job.Known:
+	case job.AlreadyApplied:
 		return accepted
-	case job.Withdrawn:
+	case job.CancelledBeforeAcceptance:
 		return withdrawn
 	}
 	return otherJob
 }
 
-func (s *Shard) submitted(outcome job.Outcome, err error, version int64) protocol.Answer {
+func (s *Shard) submitted(outcome job.Outcome, err error, version int64) protocol.JobResponse {
 	if err != nil {
 		return s.failed(err)
 	}
 	switch outcome {
 	case job.Applied:
 		return accepted
-	case job.Moved:
+	case job.QueueMoved:
 		return moved(version + 1)
-	case job.Known, job.Withdrawn, job.Rejected:
+	case job.AlreadyApplied, job.CancelledBeforeAcceptance, job.Rejected:
 		return again(outcome)
 	}
 	return unknown
 }
 
 // failed answers for a command that was not seen to be committed.
-func (s *Shard) failed(err error) protocol.Answer {
+func (s *Shard) failed(err error) protocol.JobResponse {
 	switch {
 	case errors.Is(err, group.ErrNotLeader):
 		return s.notOwner()
 	case errors.Is(err, group.ErrBusy):
-		return protocol.Answer{Status: http.StatusServiceUnavailable, RetryAfterMs: retryAfterMs, Reason: err.Error()}
+		return protocol.JobResponse{Status: http.StatusServiceUnavailable, RetryAfterMs: retryAfterMs, Reason: err.Error()}
 	}
 	return unknown
 }
 
 // propose commits one client's command. done is called once.
 func (s *Shard) propose(c job.Command, done func(job.Outcome, error)) {
-	c.AtMs = s.clocks.WallMs()
+	c.ProposedAtMs = s.clocks.UnixMs()
 	s.mu.Lock()
 	full := len(s.clients) >= mostClients
 	if !full {
@@ -372,18 +374,18 @@
 	s.nudge()
 }
 
-// Ask answers what a client asks of a job or a queue. That a job is not known is said by
+// HandleJobRequest answers what a client asks of a job or a queue. That a job is not known is said by
 // the owner only, while its lease lasts, and for a cancelling only once a late try to hand
 // the job in can't be taken any more.
-func (s *Shard) Ask(request protocol.Ask, reply func(protocol.Answer)) {
-	if !s.group.Leads() {
+func (s *Shard) HandleJobRequest(request protocol.JobRequest, reply func(protocol.JobResponse)) {
+	if !s.group.IsLeader() {
 		reply(s.notOwner())
 		return
 	}
 	switch request.Verb {
 	case protocol.CancelJob:
 		s.cancel(request, reply)
-	case protocol.CheckEarlier:
+	case protocol.CheckFormerShard:
 		s.checkEarlier(request, reply)
 	default:
 		reply(s.ifOwner(s.look(request)))
@@ -391,14 +393,14 @@
 }
 
 // look reads a job's state or a queue's count.
-func (s *Shard) look(request protocol.Ask) protocol.Answer {
+func (s *Shard) look(request protocol.JobRequest) protocol.JobResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if request.Verb == protocol.CountPending {
-		return protocol.Answer{Status: http.StatusOK, Pending: s.store.Pending[request.Queue]}
+		return protocol.JobResponse{Status: http.StatusOK, Pending: s.store.Pending[request.Queue]}
 	}
 	if j, known := s.store.Lookup(request.Queue, request.ID); known {
-		return protocol.Answer{Status: http.StatusOK, State: j.State}
+		return protocol.JobResponse{Status: http.StatusOK, State: j.State}
 	}
 	if sealed := s.store.Sealed[request.Queue]; request.Version < sealed {
 		return moved(sealed)
@@ -406,29 +408,29 @@
 	return gone
 }
 
-func (s *Shard) cancel(request protocol.Ask, reply func(protocol.Answer)) {
+func (s *Shard) cancel(request protocol.JobRequest, reply func(protocol.JobResponse)) {
 	s.mu.Lock()
 	j, known := s.store.Lookup(request.Queue, request.ID)
-	over := known && j.State.Over()
+	over := known && j.State.Terminal()
 	s.mu.Unlock()
 	if over {
 		reply(s.ifOwner(accepted))
 		return
 	}
-	command := job.Command{Kind: job.Cancel, Task: job.TaskRef{Job: request.ID}, Queue: request.Queue, Version: request.Version}
+	command := job.Command{Kind: job.CancelJob, Task: job.TaskRef{Job: request.ID}, Queue: request.Queue, ConfigVersion: request.Version}
 	s.propose(command, func(outcome job.Outcome, err error) { reply(s.cancelled(outcome, err, request.Version)) })
 }
 
-func (s *Shard) cancelled(outcome job.Outcome, err error, version int64) protocol.Answer {
+func (s *Shard) cancelled(outcome job.Outcome, err error, version int64) protocol.JobResponse {
 	if err != nil {
 		return s.failed(err)
 	}
 	switch outcome {
-	case job.Applied, job.Known:
+	case job.Applied, job.AlreadyApplied:
 		return accepted
-	case job.Missing:
+	case job.UnknownJob:
 		return gone
-	case job.Moved:
+	case job.QueueMoved:
 		return moved(version + 1)
 	}
 	return unknown
@@ -436,7 +438,7 @@
 
 // checkEarlier tells whether an ID of a queue that has moved on is held here. Before it says
 // that it is not, the queue is sealed: no older dispatcher can hand it in here afterwards.
-func (s *Shard) checkEarlier(request protocol.Ask, reply func(protocol.Answer)) {
+func (s *Shard) checkEarlier(request protocol.JobRequest, reply func(protocol.JobResponse)) {
 	s.mu.Lock()
 	sealed := s.store.Sealed[request.Queue] >= request.Since
 	s.mu.Unlock()
@@ -444,9 +446,9 @@
 		reply(s.ifOwner(s.held(request)))
 		return
 	}
-	command := job.Command{Kind: job.Seal, Queue: request.Queue, Version: request.Since}
+	command := job.Command{Kind: job.SealQueue, Queue: request.Queue, ConfigVersion: request.Since}
 	s.propose(command, func(outcome job.Outcome, err error) {
-		if err != nil || outcome != job.Applied && outcome != job.Known {
+		if err != nil || outcome != job.Applied && outcome != job.AlreadyApplied {
 			reply(s.failed(err))
 			return
 		}
@@ -454,11 +456,11 @@
 	})
 }
 
-func (s *Shard) held(request protocol.Ask) protocol.Answer {
+func (s *Shard) held(request protocol.JobRequest) protocol.JobResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j := s.store.Jobs[request.ID]; j != nil {
-		return again(j.Again(request.Queue, request.Hash))
+		return again(j.Resubmitted(request.Queue, request.Hash))
 	}
 	return gone
 }
--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -81,11 +81,11 @@
 	if err := schema.Validate(document); err != nil {
 		return nil, errors.Wrapf(ErrInvalid, "not of the form that the schema gives: %v", err)
 	}
-	return Read(content)
+	return Decode(content)
 }
 
-// Read reads a configuration that was checked before.
-func Read(content []byte) (*Config, error) {
+// Decode reads a configuration that was checked before.
+func Decode(content []byte) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(content, c); err != nil {
 		return nil, errors.Wrapf(ErrInvalid, "not whole JSON: %v", err)
--- a/internal/cluster/opconfig/register.go
+++ b/internal/cluster/opconfig/register.go
@@ -37,17 +37,17 @@
 
 // Verdicts.
 const (
-	Taken    Verdict = iota + 1
-	WasTaken         // that very configuration had been taken before
-	Conflict         // another version is current
-	Stale            // its version is not above the current one
-	Unclear          // so old that it can't be told from one that was taken: neither confirm nor refuse it
+	Accepted        Verdict = iota + 1
+	AlreadyAccepted         // that very configuration had been taken before
+	Conflict                // another version is current
+	Stale                   // its version is not above the current one
+	Indeterminate           // so old that it can't be told from one that was taken: neither confirm nor refuse it
 )
 
-// Remembered is how many of the newest changes are told from others when they are sent again,
+// RememberedChanges is how many of the newest changes are told from others when they are sent again,
 // and for how many changes it is known where the jobs of a removed queue are. It bounds the
 // register, whatever number of changes was ever made.
-const Remembered = 4096
+const RememberedChanges = 4096
 
 // Register holds the newest configuration and remembers the last changes that were taken.
 type Register struct {
@@ -74,30 +74,30 @@
 	return &Register{Taken: map[int64]Digest{}, Backends: map[string][]string{}, Since: map[string]int64{}, Removed: map[string]uint64{}}
 }
 
-// Judge says what Apply would make of a change now.
-func (r *Register) Judge(c Change) Verdict {
+// Evaluate says what Apply would make of a change now.
+func (r *Register) Evaluate(c Change) Verdict {
 	digest, known := r.Taken[c.Version]
 	switch {
 	case known && digest == DigestOf(c.Content):
-		return WasTaken
+		return AlreadyAccepted
 	case !known && c.Version <= r.Forgotten:
-		return Unclear
+		return Indeterminate
 	case c.Base != r.Version:
 		return Conflict
 	case c.Version <= r.Version:
 		return Stale
 	}
-	return Taken
+	return Accepted
 }
 
 // Apply carries a change out. An error is a configuration that this program can't read,
 // though it was checked before it was proposed.
 func (r *Register) Apply(c Change) (Verdict, error) {
-	verdict := r.Judge(c)
-	if verdict != Taken {
+	verdict := r.Evaluate(c)
+	if verdict != Accepted {
 		return verdict, nil
 	}
-	config, err := Read(c.Content)
+	config, err := Decode(c.Content)
 	if err != nil {
 		return 0, err
 	}
@@ -105,13 +105,13 @@
 	r.Changes++
 	r.remember(c)
 	r.noteQueues(config)
-	return Taken, nil
+	return Accepted, nil
 }
 
 func (r *Register) remember(c Change) {
 	r.Taken[c.Version] = DigestOf(c.Content)
 	r.Order = append(r.Order, c.Version)
-	for len(r.Order) > Remembered {
+	for len(r.Order) > RememberedChanges {
 		r.Forgotten = max(r.Forgotten, r.Order[0])
 		delete(r.Taken, r.Order[0])
 		r.Order = r.Order[1:]
@@ -132,7 +132,7 @@
 		switch {
 		case !known:
 			r.Removed[queue] = r.Changes
-		case r.Changes-since > Remembered:
+		case r.Changes-since > RememberedChanges:
 			delete(r.Removed, queue)
 			delete(r.Backends, queue)
 			delete(r.Since, queue)
@@ -157,21 +157,21 @@
 	r.Backends[route.Queue()] = append(services, route.Backend)
 }
 
-// Moved returns the queues that were sent to several services: their services, oldest first,
+// MovedQueues returns the queues that were sent to several services: their services, oldest first,
 // and the version since which the last of them has the queue.
-func (r *Register) Moved() map[string]Moves {
-	moved := map[string]Moves{}
+func (r *Register) MovedQueues() map[string]ServiceHistory {
+	moved := map[string]ServiceHistory{}
 	for queue, services := range r.Backends {
 		if len(services) > 1 {
-			moved[queue] = Moves{Services: services, Since: r.Since[queue]}
+			moved[queue] = ServiceHistory{Services: services, Since: r.Since[queue]}
 		}
 	}
 	return moved
 }
 
-// Moves are the services that a queue was sent to, oldest first, and the version since which
+// ServiceHistory are the services that a queue was sent to, oldest first, and the version since which
 // the last of them has it.
-type Moves struct {
+type ServiceHistory struct {
 	Services []string
 	Since    int64
 }
@@ -179,8 +179,8 @@
 // Current returns the newest configuration; nil: there is none yet.
 func (r *Register) Current() *Config { return r.parsed }
 
-// ApplyBytes carries out an encoded change.
-func (r *Register) ApplyBytes(command []byte) (Verdict, error) {
+// ApplyEncoded carries out an encoded change.
+func (r *Register) ApplyEncoded(command []byte) (Verdict, error) {
 	var c Change
 	if err := gob.NewDecoder(bytes.NewReader(command)).Decode(&c); err != nil {
 		return 0, errors.Wrap(err, "decode a change of the configuration")
@@ -188,8 +188,8 @@
 	return r.Apply(c)
 }
 
-// SumOf stands for the whole state: equal where the states are.
-func (r *Register) SumOf() uint64 {
+// StateDigest stands for the whole state: equal where the states are.
+func (r *Register) StateDigest() uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintln(hash, r.Version, DigestOf(r.Content), r.Order, r.Forgotten, r.Changes)
 	for _, version := range r.Order {
@@ -213,7 +213,7 @@
 		return errors.Wrap(err, "decode the configuration")
 	}
 	if len(next.Content) > 0 {
-		config, err := Read(next.Content)
+		config, err := Decode(next.Content)
 		if err != nil {
 			return err
 		}
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -12,46 +12,46 @@
 
 // Candidate is a runner that takes work now, as the scheduler sees it at this moment.
 type Candidate struct {
-	Key      int // the caller's name for it
-	Service  string
-	Labels   []string
-	Capacity job.Resources
-	Free     job.Resources
-	Room     float64 // of its budget, in cost
-	Idle     bool
-	Reserved bool    // kept for work that has waited long
-	Pace     float64 // its run times beside what was expected of them; 1 is usual
-	Speed    float64 // run times there beside those of the same steps elsewhere; 1 is usual
-	Doubtful bool    // it fails more than the others do, or what it runs crawls
+	Key           int // the caller's name for it
+	Service       string
+	Labels        []string
+	Capacity      job.Resources
+	Free          job.Resources
+	Headroom      float64 // of its budget, in cost
+	Idle          bool
+	Reserved      bool    // kept for work that has waited long
+	Slowdown      float64 // its run times beside what was expected of them; 1 is usual
+	RunTimeFactor float64 // run times there beside those of the same steps elsewhere; 1 is usual
+	Suspect       bool    // it fails more than the others do, or what it runs crawls
 }
 
-// Haste says how much of a task's time is spare.
-type Haste uint8
+// Urgency says how much of a task's time is spare.
+type Urgency uint8
 
 // Hastes.
 const (
-	Usual Haste = iota
-	Tight       // it takes quick runners first
-	Loose       // it leaves quick runners to others
+	UrgencyNormal Urgency = iota
+	UrgencyTight          // it takes quick runners first
+	UrgencyLoose          // it leaves quick runners to others
 )
 
-// Ask is what a task wants.
-type Ask struct {
+// Request is what a task wants.
+type Request struct {
 	Service     string
-	Need        job.Resources
+	Resources   job.Resources
 	Cost        float64
 	Constraints []string
-	Rack        string // label of the rack where its data lies; empty: no matter
-	NearOnly    bool   // it rather waits than run far from its data
-	Haste       Haste  // how much its time matters
-	SoundOnly   bool   // it rather waits than try a doubtful runner, if any sound one suits it
-	Count       int    // tasks that are alike and wait; 0: one
+	DataRack    string  // label of the rack where its data lies; empty: no matter
+	LocalOnly   bool    // it rather waits than run far from its data
+	Urgency     Urgency // how much its time matters
+	HealthyOnly bool    // it rather waits than try a doubtful runner, if any sound one suits it
+	Count       int     // tasks that are alike and wait; 0: one
 	// Limit returns how many more of them a runner may take; nil: any number.
 	Limit func(key int) int
 }
 
 // limit returns how many of the tasks a runner may take by the caller's word.
-func (a *Ask) limit(key int) int {
+func (a *Request) limit(key int) int {
 	count := max(1, a.Count)
 	if a.Limit == nil {
 		return count
@@ -71,8 +71,8 @@
 )
 
 // suits tells whether a runner could ever take the task.
-func suits(ask *Ask, c *Candidate) bool {
-	if ask.Service != c.Service || !ask.Need.Fits(c.Capacity) {
+func suits(ask *Request, c *Candidate) bool {
+	if ask.Service != c.Service || !ask.Resources.FitsIn(c.Capacity) {
 		return false
 	}
 	for _, label := range ask.Constraints {
@@ -83,19 +83,19 @@
 	return true
 }
 
-func near(ask *Ask, c *Candidate) bool {
-	return ask.Rack == "" || slices.Contains(c.Labels, ask.Rack)
+func near(ask *Request, c *Candidate) bool {
+	return ask.DataRack == "" || slices.Contains(c.Labels, ask.DataRack)
 }
 
-// Place is a candidate that was chosen.
-type Place struct {
-	At    int // its place among the candidates
-	Takes int // so many of the tasks that were asked for fit there
+// Assignment is a candidate that was chosen.
+type Assignment struct {
+	Candidate int // its place among the candidates
+	Count     int // so many of the tasks that were asked for fit there
 }
 
 // Choose returns the best candidate and how many of the tasks fit there.
-func Choose(ask *Ask, candidates []Candidate) (best Place, result Result) {
-	if ask.SoundOnly {
+func Choose(ask *Request, candidates []Candidate) (best Assignment, result Result) {
+	if ask.HealthyOnly {
 		if best, result = choose(ask, candidates, true); result != Unsuitable {
 			return best, result
 		}
@@ -103,14 +103,14 @@
 	return choose(ask, candidates, false)
 }
 
-func choose(ask *Ask, candidates []Candidate, soundOnly bool) (best Place, result Result) {
-	best, result = Place{At: -1}, Unsuitable
+func choose(ask *Request, candidates []Candidate, soundOnly bool) (best Assignment, result Result) {
+	best, result = Assignment{Candidate: -1}, Unsuitable
 	for at := range candidates {
 		c := &candidates[at]
-		if soundOnly && c.Doubtful || !suits(ask, c) {
+		if soundOnly && c.Suspect || !suits(ask, c) {
 			continue
 		}
-		if c.Reserved || !ask.Need.Fits(c.Free) || ask.NearOnly && !near(ask, c) {
+		if c.Reserved || !ask.Resources.FitsIn(c.Free) || ask.LocalOnly && !near(ask, c) {
 			result = better(result, NoCapacity)
 			continue
 		}
@@ -119,16 +119,16 @@
 			continue
 		}
 		result = better(result, NoCapacity)
-		if !c.Idle && c.Room < ask.Cost {
+		if !c.Idle && c.Headroom < ask.Cost {
 			result = better(result, NoBudget)
 			continue
 		}
-		place := Place{At: at, Takes: min(limit, c.takes(ask))}
-		if best.At < 0 || prefers(ask, c, place, &candidates[best.At], best) {
+		place := Assignment{Candidate: at, Count: min(limit, c.takes(ask))}
+		if best.Candidate < 0 || prefers(ask, c, place, &candidates[best.Candidate], best) {
 			best = place
 		}
 	}
-	if best.At >= 0 {
+	if best.Candidate >= 0 {
 		return best, Found
 	}
 	return best, result
@@ -136,13 +136,13 @@
 
 // takes returns how many of the tasks fit a runner's free capacity and budget; one at least,
 // since a task that was let in by Choose fits, and no more at one that is on trial.
-func (c *Candidate) takes(ask *Ask) int {
-	if c.Doubtful {
+func (c *Candidate) takes(ask *Request) int {
+	if c.Suspect {
 		return 1
 	}
-	n := ask.Need.FitTimes(c.Free)
+	n := ask.Resources.CountFittingIn(c.Free)
 	if ask.Cost > 0 {
-		n = min(n, int(max(0, c.Room)/ask.Cost))
+		n = min(n, int(max(0, c.Headroom)/ask.Cost))
 	}
 	return max(1, n)
 }
@@ -154,20 +154,20 @@
 // its pace, of a speed that fits its haste, one that takes more of the tasks, and then the roomiest. Tasks that ask for
 // accelerators take the runner that has the fewest left: spread out, small tasks would leave
 // no runner whole for large ones.
-func prefers(ask *Ask, a *Candidate, atA Place, b *Candidate, atB Place) bool {
+func prefers(ask *Request, a *Candidate, atA Assignment, b *Candidate, atB Assignment) bool {
 	switch {
-	case a.Doubtful != b.Doubtful:
-		return b.Doubtful
+	case a.Suspect != b.Suspect:
+		return b.Suspect
 	case near(ask, a) != near(ask, b):
 		return near(ask, a)
 	case slow(a) != slow(b):
 		return slow(b)
-	case ask.Haste != Usual && a.speedClass() != b.speedClass():
-		return (a.speedClass() < b.speedClass()) == (ask.Haste == Tight)
-	case ask.Need.GPU > 0 && a.Free.GPU != b.Free.GPU:
+	case ask.Urgency != UrgencyNormal && a.speedClass() != b.speedClass():
+		return (a.speedClass() < b.speedClass()) == (ask.Urgency == UrgencyTight)
+	case ask.Resources.GPU > 0 && a.Free.GPU != b.Free.GPU:
 		return a.Free.GPU < b.Free.GPU
-	case atA.Takes != atB.Takes:
-		return atA.Takes > atB.Takes
+	case atA.Count != atB.Count:
+		return atA.Count > atB.Count
 	}
 	return roomier(a, b)
 }
@@ -182,28 +182,28 @@
 // speedClass is negative for quick runners, positive for slow ones.
 func (c *Candidate) speedClass() int {
 	switch {
-	case c.Speed < 1-usualSpeeds:
+	case c.RunTimeFactor < 1-usualSpeeds:
 		return -1
-	case c.Speed > 1+usualSpeeds:
+	case c.RunTimeFactor > 1+usualSpeeds:
 		return 1
 	}
 	return 0
 }
 
-func slow(c *Candidate) bool { return c.Pace > slowBeyond }
+func slow(c *Candidate) bool { return c.Slowdown > slowBeyond }
 
 // roomier compares what is left of the budgets, and of the capacities where these are alike.
 func roomier(a, b *Candidate) bool {
-	if a.Room != b.Room {
-		return a.Room > b.Room
+	if a.Headroom != b.Headroom {
+		return a.Headroom > b.Headroom
 	}
 	return a.Free.CPU > b.Free.CPU
 }
 
-// Take notes at a candidate that a task goes there; one that is on trial takes no other.
-func (c *Candidate) Take(ask *Ask) {
-	c.Free = c.Free.Minus(ask.Need)
-	c.Room -= ask.Cost
+// Assign notes at a candidate that a task goes there; one that is on trial takes no other.
+func (c *Candidate) Assign(ask *Request) {
+	c.Free = c.Free.Subtract(ask.Resources)
+	c.Headroom -= ask.Cost
 	c.Idle = false
-	c.Reserved = c.Reserved || c.Doubtful
+	c.Reserved = c.Reserved || c.Suspect
 }
--- a/internal/cluster/protocol/protocol.go
+++ b/internal/cluster/protocol/protocol.go
@@ -16,8 +16,8 @@
 // ConfigGroup is the group that holds the configuration.
 const ConfigGroup = "config"
 
-// Shards is how many shards the jobs are spread over, by a hash of their service's name.
-const Shards = 4
+// ShardCount is how many shards the jobs are spread over, by a hash of their service's name.
+const ShardCount = 4
 
 // ShardGroup returns the group of a shard.
 func ShardGroup(shard int) string { return "jobs-" + strconv.Itoa(shard) }
@@ -27,14 +27,14 @@
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(service))
 	sum := hash.Sum64()
-	return int((sum ^ sum>>32) % Shards)
+	return int((sum ^ sum>>32) % ShardCount)
 }
 
 // Status is how a request of a client fared, in the numbers of HTTP.
 type Status int
 
-// Submit hands a job in.
-type Submit struct {
+// SubmitRequest hands a job in.
+type SubmitRequest struct {
 	Shard   int
 	Queue   string
 	ID      string
@@ -43,22 +43,22 @@
 	Route   opconfig.Route
 }
 
-// Verb says what a client asks of a job.
-type Verb uint8
+// JobOperation says what a client asks of a job.
+type JobOperation uint8
 
 // Verbs.
 const (
-	AskState Verb = iota + 1
+	GetJobState JobOperation = iota + 1
 	CancelJob
 	CountPending
-	// CheckEarlier asks the owner of a shard that had the queue before whether it holds the
+	// CheckFormerShard asks the owner of a shard that had the queue before whether it holds the
 	// ID, after it has sealed the queue: from then on it takes nothing more of it.
-	CheckEarlier
+	CheckFormerShard
 )
 
-// Ask asks for a job's state or its cancelling, or for a queue's count.
-type Ask struct {
-	Verb    Verb
+// JobRequest asks for a job's state or its cancelling, or for a queue's count.
+type JobRequest struct {
+	Verb    JobOperation
 	Shard   int
 	Queue   string
 	ID      string
@@ -67,8 +67,8 @@
 	Hash    uint64 // CheckEarlier: of the job's body
 }
 
-// Answer is the owner's answer to a Submit or an Ask.
-type Answer struct {
+// JobResponse is the owner's answer to a Submit or an Ask.
+type JobResponse struct {
 	Status       Status // 0: this process does not own the shard, and nothing was done
 	State        job.State
 	Pending      int
@@ -82,55 +82,55 @@
 	Moved int64
 }
 
-// Feed asks for the configuration from a version on, and renews the asking dispatcher's lease.
-type Feed struct {
+// WatchRequest asks for the configuration from a version on, and renews the asking dispatcher's lease.
+type WatchRequest struct {
 	Node   string
 	Have   int64
 	WaitMs int64
 }
 
-// FeedAnswer is what the owner of the configuration answers.
-type FeedAnswer struct {
+// WatchResponse is what the owner of the configuration answers.
+type WatchResponse struct {
 	Leads   bool // the answering process owned the configuration when it answered
 	Leader  string
 	Version int64
-	Content []byte                    // empty where Have is the newest
-	Moved   map[string]opconfig.Moves // queues that were sent to more than one service
+	Content []byte                             // empty where Have is the newest
+	Moved   map[string]opconfig.ServiceHistory // queues that were sent to more than one service
 	Cores   []string
 	Owners  []string // by shard; empty: not known
 	HeldMs  int64    // how long the question had been held here when Version was read
 }
 
-// Operate passes an operator's call on to the owner of the configuration.
-type Operate struct {
+// OperatorRequest passes an operator's call on to the owner of the configuration.
+type OperatorRequest struct {
 	Replace bool // else: read
 	Base    int64
 	Content []byte
 }
 
-// OperateAnswer is the owner's answer.
-type OperateAnswer struct {
+// OperatorResponse is the owner's answer.
+type OperatorResponse struct {
 	Status  Status // 0: this process does not own the configuration
 	Leader  string
 	Content []byte
 	Reason  string
 }
 
-// Leave tells that a member ends for now.
-type Leave struct {
+// LeaveNotice tells that a member ends for now.
+type LeaveNotice struct {
 	Group string
 	ID    string
 }
 
-// Join asks for a place in a group.
-type Join struct {
+// JoinRequest asks for a place in a group.
+type JoinRequest struct {
 	Group   string
 	Member  replica.Member
 	Relayed bool
 }
 
-// Runners is the platform's list as its reader got it.
-type Runners struct {
+// RunnerList is the platform's list as its reader got it.
+type RunnerList struct {
 	Epoch    uint64 // of the reader
 	Sequence uint64
 	List     []Runner
@@ -147,11 +147,11 @@
 	RemainingMs int64
 }
 
-// AskStatus asks a core process what it holds.
-type AskStatus struct{}
+// StatusRequest asks a core process what it holds.
+type StatusRequest struct{}
 
-// StatusAnswer is what a core process holds.
-type StatusAnswer struct {
+// StatusResponse is what a core process holds.
+type StatusResponse struct {
 	Node    string
 	Member  replica.Member
 	Version int64 // of the configuration that this process has applied
@@ -169,21 +169,21 @@
 // They are part of the protocol between builds and don't follow the types' own names.
 const (
 	replicaNames  = "basaltloft/coord/replica."
-	protocolNames = "basaltloft/internal/cluster/protocol."
+	protocolNames = "basaltloft/internal/protocol."
 )
 
 func init() {
 	rpc.RegisterName(replicaNames+"Message", replica.Message{})
-	rpc.RegisterName(protocolNames+"Submit", Submit{})
-	rpc.RegisterName(protocolNames+"Ask", Ask{})
-	rpc.RegisterName(protocolNames+"Answer", Answer{})
-	rpc.RegisterName(protocolNames+"Feed", Feed{})
-	rpc.RegisterName(protocolNames+"FeedAnswer", FeedAnswer{})
-	rpc.RegisterName(protocolNames+"Operate", Operate{})
-	rpc.RegisterName(protocolNames+"OperateAnswer", OperateAnswer{})
-	rpc.RegisterName(protocolNames+"Leave", Leave{})
-	rpc.RegisterName(protocolNames+"Join", Join{})
-	rpc.RegisterName(protocolNames+"Runners", Runners{})
-	rpc.RegisterName(protocolNames+"AskStatus", AskStatus{})
-	rpc.RegisterName(protocolNames+"StatusAnswer", StatusAnswer{})
+	rpc.RegisterName(protocolNames+"Submit", SubmitRequest{})
+	rpc.RegisterName(protocolNames+"Ask", JobRequest{})
+	rpc.RegisterName(protocolNames+"Answer", JobResponse{})
+	rpc.RegisterName(protocolNames+"Feed", WatchRequest{})
+	rpc.RegisterName(protocolNames+"FeedAnswer", WatchResponse{})
+	rpc.RegisterName(protocolNames+"Operate", OperatorRequest{})
+	rpc.RegisterName(protocolNames+"OperateAnswer", OperatorResponse{})
+	rpc.RegisterName(protocolNames+"Leave", LeaveNotice{})
+	rpc.RegisterName(protocolNames+"Join", JoinRequest{})
+	rpc.RegisterName(protocolNames+"Runners", RunnerList{})
+	rpc.RegisterName(protocolNames+"AskStatus", StatusRequest{})
+	rpc.RegisterName(protocolNames+"StatusAnswer", StatusResponse{})
 }
--- a/internal/cluster/router/call.go
+++ b/internal/cluster/router/call.go
@@ -46,65 +46,65 @@
 const (
 	Retry Progress = iota // ask Next after a pause
 	Continue
-	Finished // the answer is the client's
-	Outdated // a newer configuration is needed: its version is in the answer's Moved
+	Finished       // the answer is the client's
+	ConfigOutdated // a newer configuration is needed: its version is in the answer's Moved
 )
 
 const (
 	givenUpRetryMs = 1000
 )
 
-// NewAsk returns a client's question for a job's state, its cancelling, or a queue's count.
-func NewAsk(v *View, route *opconfig.Route, verb protocol.Verb, id string) *Call {
-	kinds := map[protocol.Verb]stepKind{protocol.AskState: stepRead, protocol.CancelJob: stepCancel, protocol.CountPending: stepCount}
+// NewJobCall returns a client's question for a job's state, its cancelling, or a queue's count.
+func NewJobCall(v *View, route *opconfig.Route, verb protocol.JobOperation, id string) *Call {
+	kinds := map[protocol.JobOperation]stepKind{protocol.GetJobState: stepRead, protocol.CancelJob: stepCancel, protocol.CountPending: stepCount}
 	c := &Call{}
 	for _, shard := range v.shards(route) {
-		ask := protocol.Ask{Verb: verb, Shard: shard, Queue: route.Queue(), ID: id, Version: v.Config.Version}
+		ask := protocol.JobRequest{Verb: verb, Shard: shard, Queue: route.Queue(), ID: id, Version: v.Config.Version}
 		c.steps = append(c.steps, step{shard: shard, message: ask, kind: kinds[verb]})
 	}
 	return c
 }
 
-// NewSubmit returns a client's job. Where the queue was in other shards before, their owners
+// NewSubmitCall returns a client's job. Where the queue was in other shards before, their owners
 // are asked first whether they hold the ID, and take nothing more of the queue from then on.
-func NewSubmit(v *View, route *opconfig.Route, id string, body []byte) *Call {
+func NewSubmitCall(v *View, route *opconfig.Route, id string, body []byte) *Call {
 	c := &Call{}
 	shards := v.shards(route)
 	for _, earlier := range shards[1:] {
-		check := protocol.Ask{Verb: protocol.CheckEarlier, Shard: earlier, Queue: route.Queue(), ID: id, Version: v.Config.Version,
-			Since: v.Moved[route.Queue()].Since, Hash: leader.HashOf(body)}
+		check := protocol.JobRequest{Verb: protocol.CheckFormerShard, Shard: earlier, Queue: route.Queue(), ID: id, Version: v.Config.Version,
+			Since: v.ServiceHistories[route.Queue()].Since, Hash: leader.BodyHash(body)}
 		c.steps = append(c.steps, step{shard: earlier, message: check, kind: stepCheck})
 	}
-	submit := protocol.Submit{Shard: shards[0], Queue: route.Queue(), ID: id, Body: body, Version: v.Config.Version, Route: *route}
+	submit := protocol.SubmitRequest{Shard: shards[0], Queue: route.Queue(), ID: id, Body: body, Version: v.Config.Version, Route: *route}
 	c.steps = append(c.steps, step{shard: shards[0], message: submit, kind: stepSubmit})
 	return c
 }
 
-// After lets a call go on from an earlier one that needed a newer configuration.
-func (c *Call) After(earlier *Call) { c.silent, c.unknown = earlier.silent, earlier.unknown }
+// InheritOutcome lets a call go on from an earlier one that needed a newer configuration.
+func (c *Call) InheritOutcome(earlier *Call) { c.silent, c.unknown = earlier.silent, earlier.unknown }
 
 // Next returns the shard whose owner is to be asked, and what.
 func (c *Call) Next() (shard int, message any) {
 	return c.steps[c.at].shard, c.steps[c.at].message
 }
 
-// Silent tells that a try had no answer.
-func (c *Call) Silent() {
+// NoResponse tells that a try had no answer.
+func (c *Call) NoResponse() {
 	kind := c.steps[c.at].kind
 	c.silent = true
 	c.unknown = c.unknown || kind == stepSubmit || kind == stepCancel
 }
 
-// Answered takes in an answer to the present question.
-func (c *Call) Answered(answer protocol.Answer) (protocol.Answer, Progress) {
+// HandleResponse takes in an answer to the present question.
+func (c *Call) HandleResponse(answer protocol.JobResponse) (protocol.JobResponse, Progress) {
 	switch {
 	case answer.Status == 0:
 		return answer, Retry
 	case answer.Unknown:
-		c.Silent()
+		c.NoResponse()
 		return answer, Retry
 	case answer.Moved > 0:
-		return answer, Outdated
+		return answer, ConfigOutdated
 	}
 	switch c.steps[c.at].kind {
 	case stepCount:
@@ -117,7 +117,7 @@
 	return c.final(answer), Finished
 }
 
-func (c *Call) counted(answer protocol.Answer) (protocol.Answer, Progress) {
+func (c *Call) counted(answer protocol.JobResponse) (protocol.JobResponse, Progress) {
 	if answer.Status != http.StatusOK {
 		return answer, Finished
 	}
@@ -127,7 +127,7 @@
 }
 
 // passed goes on to the next shard; the last one's answer is the client's.
-func (c *Call) passed(answer protocol.Answer) (protocol.Answer, Progress) {
+func (c *Call) passed(answer protocol.JobResponse) (protocol.JobResponse, Progress) {
 	if c.at == len(c.steps)-1 {
 		return answer, Finished
 	}
@@ -136,17 +136,17 @@
 }
 
 // final returns what an answer is worth to the client.
-func (c *Call) final(answer protocol.Answer) protocol.Answer {
+func (c *Call) final(answer protocol.JobResponse) protocol.JobResponse {
 	if c.unknown && answer.Status != http.StatusOK && !answer.Never {
-		return c.GivenUp()
+		return c.TimeoutResponse()
 	}
 	return answer
 }
 
-// GivenUp returns the answer where no other came in time.
-func (c *Call) GivenUp() protocol.Answer {
+// TimeoutResponse returns the answer where no other came in time.
+func (c *Call) TimeoutResponse() protocol.JobResponse {
 	if c.silent {
-		return protocol.Answer{Status: http.StatusGatewayTimeout, Reason: "an owner did not answer, and what became of it is not known: send the same again"}
+		return protocol.JobResponse{Status: http.StatusGatewayTimeout, Reason: "an owner did not answer, and what became of it is not known: send the same again"}
 	}
-	return protocol.Answer{Status: http.StatusServiceUnavailable, RetryAfterMs: givenUpRetryMs, Reason: "nobody owns this queue at this moment"}
+	return protocol.JobResponse{Status: http.StatusServiceUnavailable, RetryAfterMs: givenUpRetryMs, Reason: "nobody owns this queue at this moment"}
 }
--- a/internal/cluster/router/follower.go
+++ b/internal/cluster/router/follower.go
@@ -15,14 +15,14 @@
 
 // View is what an edge goes by. It is replaced as a whole, never changed.
 type View struct {
-	Config *opconfig.Config
-	Moved  map[string]opconfig.Moves // queues that were sent to several services
+	Config           *opconfig.Config
+	ServiceHistories map[string]opconfig.ServiceHistory // queues that were sent to several services
 }
 
 // services lists where a queue's jobs may be: the present service first, then earlier ones.
 func (v *View) services(route *opconfig.Route) []string {
 	services := []string{route.Backend}
-	earlier := v.Moved[route.Queue()].Services
+	earlier := v.ServiceHistories[route.Queue()].Services
 	for at := len(earlier) - 1; at >= 0; at-- {
 		if earlier[at] != route.Backend {
 			services = append(services, earlier[at])
@@ -42,10 +42,10 @@
 	return numbers
 }
 
-// Follower keeps an edge's view up to date: it tails the owner of the configuration, which
+// Watcher keeps an edge's view up to date: it tails the owner of the configuration, which
 // renews the edge's right to go by its view with each answer. It also knows who owns which
 // shard. Its methods may be called concurrently.
-type Follower struct {
+type Watcher struct {
 	node  string
 	fresh time.Duration // how long a view that was confirmed may be gone by
 	log   *slog.Logger
@@ -69,20 +69,20 @@
 	heldPart     = 0.98                   // of the time that an owner says it held a question: its clock may run fast
 )
 
-// NewFollower returns a follower without a view. A view may be gone by until the bound on a
+// NewWatcher returns a follower without a view. A view may be gone by until the bound on a
 // configuration's way is nearly over after its owner read it for the last answer: no newer one
 // has then been in force for longer.
-func NewFollower(node string, seeds []string, applyWithin time.Duration, log *slog.Logger) *Follower {
+func NewWatcher(node string, seeds []string, applyWithin time.Duration, log *slog.Logger) *Watcher {
 	fresh := applyWithin - min(confirmSlack, applyWithin/slackParts)
-	return &Follower{node: node, fresh: fresh, log: log, seeds: seeds, cores: slices.Clone(seeds), owners: make([]string, protocol.Shards), silences: silences{}}
+	return &Watcher{node: node, fresh: fresh, log: log, seeds: seeds, cores: slices.Clone(seeds), owners: make([]string, protocol.ShardCount), silences: silences{}}
 }
 
-// Next returns whom to ask for the configuration, and what: the owner, unless it was silent a
+// NextRequest returns whom to ask for the configuration, and what: the owner, unless it was silent a
 // short while ago. The others may go on naming it until they have a new one.
-func (f *Follower) Next(now time.Duration) (target string, feed protocol.Feed) {
+func (f *Watcher) NextRequest(now time.Duration) (target string, feed protocol.WatchRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	feed = protocol.Feed{Node: f.node, WaitMs: min(feedWait, f.fresh/feedParts).Milliseconds()}
+	feed = protocol.WatchRequest{Node: f.node, WaitMs: min(feedWait, f.fresh/feedParts).Milliseconds()}
 	if f.view != nil {
 		feed.Have = f.view.Config.Version
 	}
@@ -92,8 +92,8 @@
 	return f.silences.next(f.cores, &f.turn, now), feed
 }
 
-// Failed tells that a target did not answer a question that was sent at a time.
-func (f *Follower) Failed(target string, asked, now time.Duration) {
+// RequestFailed tells that a target did not answer a question that was sent at a time.
+func (f *Watcher) RequestFailed(target string, asked, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silences.note(target, asked, now)
@@ -106,9 +106,9 @@
 	}
 }
 
-// Answered takes in a target's answer to a question that was sent at a time. It tells whether
+// HandleResponse takes in a target's answer to a question that was sent at a time. It tells whether
 // the target led; else another is to be asked after a pause.
-func (f *Follower) Answered(target string, asked time.Duration, answer protocol.FeedAnswer) (led bool) {
+func (f *Watcher) HandleResponse(target string, asked time.Duration, answer protocol.WatchResponse) (led bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silences.end(target)
@@ -122,7 +122,7 @@
 }
 
 // follow goes to the owner that another core process named.
-func (f *Follower) follow(leader, from string) {
+func (f *Watcher) follow(leader, from string) {
 	f.leader = leader
 	if leader == "" || leader == from {
 		f.leader = ""
@@ -130,7 +130,7 @@
 	}
 }
 
-func (f *Follower) takeCores(answer protocol.FeedAnswer) {
+func (f *Watcher) takeCores(answer protocol.WatchResponse) {
 	if len(answer.Cores) > 0 {
 		f.cores = distinct(answer.Cores, f.seeds)
 	}
@@ -142,7 +142,7 @@
 	return slices.Compact(all)
 }
 
-func (f *Follower) take(asked time.Duration, answer protocol.FeedAnswer) {
+func (f *Watcher) take(asked time.Duration, answer protocol.WatchResponse) {
 	f.leader = answer.Leader
 	for at, owner := range answer.Owners {
 		if owner != "" && at < len(f.owners) {
@@ -159,8 +159,8 @@
 }
 
 // install replaces the view by a newer one.
-func (f *Follower) install(answer protocol.FeedAnswer) bool {
-	config, err := opconfig.Read(answer.Content)
+func (f *Watcher) install(answer protocol.WatchResponse) bool {
+	config, err := opconfig.Decode(answer.Content)
 	if err != nil {
 		f.log.Error("the configuration can't be read: this program is older than the core's", "error", err)
 		return false
@@ -168,22 +168,22 @@
 	if f.view != nil && config.Version < f.view.Config.Version {
 		return false
 	}
-	f.view = &View{Config: config, Moved: answer.Moved}
+	f.view = &View{Config: config, ServiceHistories: answer.Moved}
 	f.log.Info("a configuration is in force", "version", config.Version)
 	return true
 }
 
 // Current returns the view, if it may be acted on: it was confirmed to be the newest a short
 // while ago, so that no newer one has been in force for longer than the deployment allows.
-func (f *Follower) Current(now time.Duration) (*View, bool) {
+func (f *Watcher) Current(now time.Duration) (*View, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view, f.view != nil && now-f.confirmed < f.fresh
 }
 
-// Owner returns whom to ask for a shard: its owner as far as is known, or each core process
+// LeaderOf returns whom to ask for a shard: its owner as far as is known, or each core process
 // by turns. One that was silent a short while ago is passed by.
-func (f *Follower) Owner(shard int, now time.Duration) string {
+func (f *Watcher) LeaderOf(shard int, now time.Duration) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if owner := f.owners[shard]; owner != "" && !f.silences.lately(owner, now) {
@@ -193,24 +193,24 @@
 	return f.silences.next(f.cores, &f.turn, now)
 }
 
-// Correct notes what an answer said of a shard's owner; nothing: the one that was asked does
+// UpdateLeader notes what an answer said of a shard's owner; nothing: the one that was asked does
 // not own it.
-func (f *Follower) Correct(shard int, asked, owner string) {
+func (f *Watcher) UpdateLeader(shard int, asked, owner string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silences.end(asked)
 	f.correct(shard, asked, owner)
 }
 
-// Unanswered notes that a shard's owner left a question without an answer.
-func (f *Follower) Unanswered(shard int, owner string, asked, now time.Duration) {
+// LeaderUnresponsive notes that a shard's owner left a question without an answer.
+func (f *Watcher) LeaderUnresponsive(shard int, owner string, asked, now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silences.note(owner, asked, now)
 	f.correct(shard, owner, "")
 }
 
-func (f *Follower) correct(shard int, asked, owner string) {
+func (f *Watcher) correct(shard int, asked, owner string) {
 	switch {
 	case owner != "" && owner != asked:
 		f.owners[shard] = owner
@@ -219,8 +219,8 @@
 	}
 }
 
-// Reload takes in new seeds.
-func (f *Follower) Reload(seeds []string) {
+// UpdateSeeds takes in new seeds.
+func (f *Watcher) UpdateSeeds(seeds []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seeds = seeds
--- a/internal/cluster/scheduler/ask.go
+++ b/internal/cluster/scheduler/ask.go
@@ -7,11 +7,11 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-func (o *Owner) ask(b *bundle) *placement.Ask {
-	return &placement.Ask{
-		Service: b.job.Service, Count: len(b.pending), Haste: haste(b), SoundOnly: haste(b) == placement.Tight && o.now-b.readyAt < soundFor,
-		Need: b.step.Resources, Cost: stepCost(b.expects, b.step), Constraints: b.step.Constraints, Rack: b.step.Affinity,
-		NearOnly: b.step.Affinity != "" && o.waitsNear(b),
+func (o *Scheduler) ask(b *bundle) *placement.Request {
+	return &placement.Request{
+		Service: b.job.Service, Count: len(b.pending), Urgency: haste(b), HealthyOnly: haste(b) == placement.UrgencyTight && o.now-b.readyAt < soundFor,
+		Resources: b.step.Resources, Cost: stepCost(b.expects, b.step), Constraints: b.step.Constraints, DataRack: b.step.Affinity,
+		LocalOnly: b.step.Affinity != "" && o.waitsNear(b),
 	}
 }
 
@@ -27,20 +27,20 @@
 const soundFor = time.Second
 
 // haste tells how much time a bundle's job has to spare.
-func haste(b *bundle) placement.Haste {
+func haste(b *bundle) placement.Urgency {
 	if b.step.LongRunning {
-		return placement.Loose
+		return placement.UrgencyLoose
 	}
 	allowed := b.job.Stretch + float64(b.job.TargetMs)/1000/max(b.expects, 0.001)/float64(len(b.job.Spec.Steps))
 	switch {
 	case b.job.Stretch <= 0:
-		return placement.Usual
+		return placement.UrgencyNormal
 	case allowed < tightBelow:
-		return placement.Tight
+		return placement.UrgencyTight
 	case allowed >= looseFrom:
-		return placement.Loose
+		return placement.UrgencyLoose
 	}
-	return placement.Usual
+	return placement.UrgencyNormal
 }
 
 // nearPatience is the part of the time lost by running far that is waited for a near place; a
@@ -51,17 +51,17 @@
 )
 
 // waitsNear tells whether a bundle's tasks rather wait than run far from their data.
-func (o *Owner) waitsNear(b *bundle) bool {
+func (o *Scheduler) waitsNear(b *bundle) bool {
 	patience := nearPatience
-	if haste(b) == placement.Tight {
+	if haste(b) == placement.UrgencyTight {
 		patience = nearPatienceTight
 	}
-	return (o.now - b.readyAt).Seconds() < patience*(o.bounds.FarX-1)*b.expects
+	return (o.now - b.readyAt).Seconds() < patience*(o.bounds.RemoteSlowdown-1)*b.expects
 }
 
 // alike returns how many of a bundle's next tasks may go to the same runner: those that have
 // no run, which stand first, or else one that is to have a second run.
-func (o *Owner) alike(b *bundle) int {
+func (o *Scheduler) alike(b *bundle) int {
 	n := 0
 	for n < len(b.pending) && len(o.taskOf(b, b.pending[n]).Runs) == 0 {
 		n++
@@ -71,7 +71,7 @@
 
 // choose finds a runner for a bundle's next tasks, one at which none of its step failed where
 // it can, and never one that has a run of the task.
-func (o *Owner) choose(b *bundle, alike int, candidates []placement.Candidate, sessions []*session) (placement.Place, placement.Result) {
+func (o *Scheduler) choose(b *bundle, alike int, candidates []placement.Candidate, sessions []*session) (placement.Assignment, placement.Result) {
 	ask := o.ask(b)
 	ask.Count = alike
 	beside := o.taskOf(b, b.pending[0]).Runs
@@ -99,7 +99,7 @@
 }
 
 // roomApart tells how many more tasks of a step a runner may take beside those it has.
-func (o *Owner) roomApart(b *bundle, sessions []*session) func(key int) int {
+func (o *Scheduler) roomApart(b *bundle, sessions []*session) func(key int) int {
 	if b.step.AntiAffinity == 0 {
 		return func(int) int { return b.step.Count }
 	}
--- a/internal/cluster/scheduler/bundle.go
+++ b/internal/cluster/scheduler/bundle.go
@@ -15,7 +15,9 @@
 	step int
 }
 
-func keyOf(ref job.TaskRef) bundleKey { return bundleKey{job: ref.Job, time: ref.Time, step: ref.Step} }
+func keyOf(ref job.TaskRef) bundleKey {
+	return bundleKey{job: ref.Job, time: ref.Occurrence, step: ref.Step}
+}
 
 // bundle is what is to start of one step: tasks that are alike.
 type bundle struct {
@@ -31,8 +33,8 @@
 	expects float64
 	ended   []admission.PeerRun // runs that ended well, for the runners' speeds
 	cameMs  int64               // time of day from which on the job's time is owed
-	queue   *lateness.Queue
-	trails  map[int]*lateness.Trail // by task
+	queue   *lateness.QueueAccount
+	trails  map[int]*lateness.TaskAccount // by task
 }
 
 // weight is the size of resources in cores. One accelerator counts as eight cores.
@@ -53,38 +55,38 @@
 	return cost(seconds, step.Resources)
 }
 
-func (o *Owner) typeOf(j *job.Job, step int) admission.Type {
-	return admission.Type{Queue: j.Queue, Step: step}
+func (o *Scheduler) typeOf(j *job.Job, step int) admission.TaskType {
+	return admission.TaskType{Queue: j.Queue, Step: step}
 }
 
 // expected returns the run time to expect of a step's task, in seconds.
-func (o *Owner) expected(j *job.Job, step int) float64 {
+func (o *Scheduler) expected(j *job.Job, step int) float64 {
 	return o.costs.Expect(o.typeOf(j, step), float64(j.Spec.Steps[step].EstimateMs)/1000)
 }
 
 // openTime makes bundles of the steps of a time that are ready and not complete.
-func (o *Owner) openTime(j *job.Job, time int) {
+func (o *Scheduler) openTime(j *job.Job, time int) {
 	if time >= len(j.Times) || j.Times[time] == nil {
 		return
 	}
 	state := j.Times[time]
 	for step := range state.Steps {
 		key := bundleKey{job: j.ID, time: time, step: step}
-		if o.bundles[key] != nil || state.Steps[step].Complete() || !j.Ready(state, step) {
+		if o.bundles[key] != nil || state.Steps[step].Complete() || !j.DependenciesComplete(state, step) {
 			continue
 		}
 		o.sequence++
 		o.byJob[j.ID] = append(o.byJob[j.ID], key)
 		o.bundles[key] = &bundle{key: key, job: j, step: &j.Spec.Steps[step], waiting: map[int]bool{}, avoid: map[string]bool{}, readyAt: o.now, seq: o.sequence,
-			cameMs: cameMs(j, time), queue: lateness.NewQueue(o.now), trails: map[int]*lateness.Trail{}}
+			cameMs: cameMs(j, time), queue: lateness.NewQueueAccount(o.now), trails: map[int]*lateness.TaskAccount{}}
 		o.accountOf(j)
-		o.refill(j, job.TaskRef{Job: j.ID, Time: time, Step: step})
+		o.refill(j, job.TaskRef{Job: j.ID, Occurrence: time, Step: step})
 	}
 }
 
 // refill finds anew which tasks of a step are to be started, one of which does not wait for
 // the commitment of its start any more.
-func (o *Owner) refill(j *job.Job, ref job.TaskRef) {
+func (o *Scheduler) refill(j *job.Job, ref job.TaskRef) {
 	b := o.bundles[keyOf(ref)]
 	if b == nil || j == nil {
 		return
@@ -94,7 +96,7 @@
 }
 
 // fill finds anew which tasks of a step are to be started, those last that run already.
-func (o *Owner) fill(b *bundle, j *job.Job) {
+func (o *Scheduler) fill(b *bundle, j *job.Job) {
 	o.dirty = true
 	b.pending = b.pending[:0]
 	step := &j.Times[b.key.time].Steps[b.key.step]
@@ -116,11 +118,11 @@
 }
 
 // taskOf returns the state of one task of a bundle.
-func (o *Owner) taskOf(b *bundle, index int) *job.Task {
+func (o *Scheduler) taskOf(b *bundle, index int) *job.Task {
 	return &b.job.Times[b.key.time].Steps[b.key.step].Tasks[index]
 }
 
-func (o *Owner) nextAttempt(b *bundle, index int) int {
+func (o *Scheduler) nextAttempt(b *bundle, index int) int {
 	step := &b.job.Times[b.key.time].Steps[b.key.step]
 	if !b.step.Gang {
 		return step.Tasks[index].Attempt + 1
--- a/internal/cluster/scheduler/gang.go
+++ b/internal/cluster/scheduler/gang.go
@@ -7,7 +7,7 @@
 )
 
 // placeGang starts all tasks of a step or none.
-func (o *Owner) placeGang(b *bundle, candidates []placement.Candidate, sessions []*session) placement.Result {
+func (o *Scheduler) placeGang(b *bundle, candidates []placement.Candidate, sessions []*session) placement.Result {
 	if b.step.SameRack {
 		if places := o.gangOnOneRack(b, candidates, sessions); places != nil {
 			o.startGang(b, places, candidates, sessions)
@@ -26,7 +26,7 @@
 }
 
 // gangPlaces finds a runner for each task, on a copy of the candidates.
-func (o *Owner) gangPlaces(b *bundle, copies []placement.Candidate, sessions []*session) ([]int, placement.Result) {
+func (o *Scheduler) gangPlaces(b *bundle, copies []placement.Candidate, sessions []*session) ([]int, placement.Result) {
 	places := make([]int, 0, len(b.pending))
 	taken := map[int]int{}
 	room := o.roomApart(b, sessions)
@@ -38,17 +38,17 @@
 		if result != placement.Found {
 			return nil, result
 		}
-		for range chosen.Takes {
-			copies[chosen.At].Take(ask)
-			taken[copies[chosen.At].Key]++
-			places = append(places, chosen.At)
+		for range chosen.Count {
+			copies[chosen.Candidate].Assign(ask)
+			taken[copies[chosen.Candidate].Key]++
+			places = append(places, chosen.Candidate)
 		}
 	}
 	return places, placement.Found
 }
 
 // gangOnOneRack finds the rack with the most room that takes all tasks.
-func (o *Owner) gangOnOneRack(b *bundle, candidates []placement.Candidate, sessions []*session) []int {
+func (o *Scheduler) gangOnOneRack(b *bundle, candidates []placement.Candidate, sessions []*session) []int {
 	racks := map[string][]int{}
 	for at := range candidates {
 		rack := sessions[candidates[at].Key].rack()
@@ -61,7 +61,7 @@
 		copies := make([]placement.Candidate, 0, len(racks[rack]))
 		for _, at := range racks[rack] {
 			copies = append(copies, candidates[at])
-			room += candidates[at].Room
+			room += candidates[at].Headroom
 		}
 		places, result := o.gangPlaces(b, copies, sessions)
 		if result != placement.Found || best != nil && room <= bestRoom {
@@ -76,11 +76,11 @@
 	return best
 }
 
-func (o *Owner) startGang(b *bundle, places []int, candidates []placement.Candidate, sessions []*session) {
+func (o *Scheduler) startGang(b *bundle, places []int, candidates []placement.Candidate, sessions []*session) {
 	attempt := o.nextAttempt(b, 0)
 	for i, at := range places {
 		ask := o.ask(b)
-		candidates[at].Take(ask)
+		candidates[at].Assign(ask)
 		o.start(b, b.pending[i], attempt, sessions[candidates[at].Key], ask)
 	}
 	b.pending = b.pending[:0]
--- a/internal/cluster/scheduler/hold.go
+++ b/internal/cluster/scheduler/hold.go
@@ -19,12 +19,12 @@
 
 // holdIfDue sends a hold where none is out. A runner that is not heard of is looked at without
 // its holds being renewed: else what it runs could never be known to be over.
-func (o *Owner) holdIfDue(s *session) {
+func (o *Scheduler) holdIfDue(s *session) {
 	if s.holdOut || s.over || o.now < s.holdAt || !s.listed && len(s.runs) == 0 && s.fenced {
 		return
 	}
 	o.sequence++
-	order := Order{Kind: OrderHold, Runner: s.id, Address: s.address, LastSeen: s.lastSeen, Sequence: o.sequence}
+	order := Order{Kind: OrderRenewLease, Runner: s.id, Address: s.address, AckedThrough: s.lastSeen, Sequence: o.sequence}
 	if s.fenced && o.now-s.heardAt < contactWithin {
 		order.DeadlineMs = s.clockNow(o.now) + o.holdSpan().Milliseconds()
 		if !s.lookNow {
@@ -41,13 +41,13 @@
 // holdSpan is how long a runner's holds last from each look on: longer than a change of the
 // owner, or a restart of the whole core, takes, and no longer, since what ran at a runner
 // that fell silent is known to be over only then.
-func (o *Owner) holdSpan() time.Duration {
-	return min(o.bounds.HoldMax-holdMargin*time.Millisecond, holdSpan)
+func (o *Scheduler) holdSpan() time.Duration {
+	return min(o.bounds.MaxLease-holdMargin*time.Millisecond, holdSpan)
 }
 
 // holdWait returns how long a runner may wait for an end before it answers, in milliseconds:
 // less where answers get lost, and only until an order whose answer is missing is past.
-func (o *Owner) holdWait(s *session) int64 {
+func (o *Scheduler) holdWait(s *session) int64 {
 	wait := max(holdWaitMin, int64(holdWaitMost/(1+100*o.losses.Value)))
 	for _, r := range s.runs {
 		if r.phase == ordered && o.now-r.sentAt > orderPatience {
@@ -61,7 +61,7 @@
 const orderPatience = 120 * time.Millisecond
 
 // loseHold sends another hold where the last one's answer is late.
-func (o *Owner) loseHold(s *session) {
+func (o *Scheduler) loseHold(s *session) {
 	if !s.holdOut || o.now < s.holdLateAt {
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // lookSoon asks a runner at once where an order without an answer is past its deadline.
-func (o *Owner) lookSoon(s *session) {
+func (o *Scheduler) lookSoon(s *session) {
 	if !s.holdOut || !s.fenced || s.failures > 0 {
 		return
 	}
@@ -86,44 +86,44 @@
 	}
 }
 
-// ListedRun is a run that a runner says it has.
-type ListedRun struct {
-	Task    job.TaskRef
-	Attempt int
-	Saved   string
-	Percent int
+// ReportedRun is a run that a runner says it has.
+type ReportedRun struct {
+	Task       job.TaskRef
+	Attempt    int
+	Checkpoint string
+	Percent    int
 }
 
-// ListedEnd is an end that a runner lists.
-type ListedEnd struct {
-	Number  uint64
-	Task    job.TaskRef
-	Attempt int
-	How     job.How
-	Saved   string
+// ReportedEnd is an end that a runner lists.
+type ReportedEnd struct {
+	Number     uint64
+	Task       job.TaskRef
+	Attempt    int
+	Reason     job.EndReason
+	Checkpoint string
 }
 
-// Look is a runner's answer to a hold.
-type Look struct {
+// RunnerReport is a runner's answer to a hold.
+type RunnerReport struct {
 	ClockMs     int64
-	Running     []ListedRun
-	Finished    []ListedEnd
+	Running     []ReportedRun
+	Finished    []ReportedEnd
 	RemainingMs int64 // of a runner that drains; 0: not told
 }
 
-// HoldReply is how a runner answered a hold.
-type HoldReply uint8
+// LeaseReply is how a runner answered a hold.
+type LeaseReply uint8
 
 // Replies to holds.
 const (
-	HoldTaken    HoldReply = iota + 1
-	HoldOtherOne           // 421
-	HoldFenced             // 409: a newer owner is there
-	HoldUnknown            // no answer
+	LeaseRenewed          LeaseReply = iota + 1
+	LeaseOtherIncarnation            // 421
+	LeaseFenced                      // 409: a newer owner is there
+	LeaseNoReply                     // no answer
 )
 
-// HoldAnswered takes in the answer to a hold.
-func (o *Owner) HoldAnswered(now time.Duration, order Order, reply HoldReply, look Look) {
+// LeaseReplied takes in the answer to a hold.
+func (o *Scheduler) LeaseReplied(now time.Duration, order Order, reply LeaseReply, report RunnerReport) {
 	o.now = now
 	s := o.sessions[order.Runner]
 	if s == nil {
@@ -134,13 +134,13 @@
 		s.holdOut = false
 	}
 	switch reply {
-	case HoldOtherOne:
+	case LeaseOtherIncarnation:
 		o.lifeOver(s)
 		return
-	case HoldFenced:
+	case LeaseFenced:
 		s.holdAt = now + holdRetryMax
 		return
-	case HoldUnknown:
+	case LeaseNoReply:
 		if current {
 			s.failures++
 			s.holdAt = now + min(holdRetryMax, time.Duration(s.failures)*holdRetry)
@@ -150,13 +150,13 @@
 	if s.failures == 0 {
 		o.losses.Add(0, lossWindow)
 	}
-	if look.ClockMs < s.clock && s.fenced {
+	if report.ClockMs < s.clock && s.fenced {
 		return // it was overtaken by a later look
 	}
-	o.takeLook(s, look)
+	o.takeLook(s, report)
 }
 
-func (o *Owner) takeLook(s *session, look Look) {
+func (o *Scheduler) takeLook(s *session, look RunnerReport) {
 	first := !s.fenced
 	s.fenced = true
 	s.heard(o.now, look.ClockMs)
@@ -180,7 +180,7 @@
 
 // takeEnds proposes the ends that are new. Until they are committed the runner is not told
 // that they were seen, and the next hold waits for that.
-func (o *Owner) takeEnds(s *session, look Look, named map[runKey]bool) {
+func (o *Scheduler) takeEnds(s *session, look RunnerReport, named map[runKey]bool) {
 	s.holdAt = o.now
 	for _, end := range look.Finished {
 		key := runKey{task: end.Task, attempt: end.Attempt}
@@ -192,7 +192,7 @@
 		if r := s.runs[key]; r != nil {
 			r.ending = true
 		}
-		o.propose(job.Command{Kind: job.End, Task: end.Task, Attempt: end.Attempt, Runner: s.id, How: end.How, Saved: end.Saved})
+		o.propose(job.Command{Kind: job.EndRun, Task: end.Task, Attempt: end.Attempt, Runner: s.id, EndReason: end.Reason, Checkpoint: end.Checkpoint})
 	}
 	if s.taken > s.lastSeen {
 		o.notes[o.batch] = append(o.notes[o.batch], endNote{session: s, upTo: s.taken})
@@ -200,7 +200,7 @@
 	}
 }
 
-func (o *Owner) takeRunning(s *session, listed ListedRun, named map[runKey]bool) {
+func (o *Scheduler) takeRunning(s *session, listed ReportedRun, named map[runKey]bool) {
 	key := runKey{task: listed.Task, attempt: listed.Attempt}
 	named[key] = true
 	r := s.runs[key]
@@ -213,21 +213,21 @@
 	}
 	o.trust(r)
 	r.progress(o.now, listed.Percent)
-	if listed.Saved != "" && listed.Saved != r.saved && !r.ending {
-		r.saved = listed.Saved
-		o.propose(job.Command{Kind: job.Save, Task: r.task, Attempt: r.attempt, Saved: listed.Saved})
+	if listed.Checkpoint != "" && listed.Checkpoint != r.saved && !r.ending {
+		r.saved = listed.Checkpoint
+		o.propose(job.Command{Kind: job.SaveCheckpoint, Task: r.task, Attempt: r.attempt, Checkpoint: listed.Checkpoint})
 	}
 }
 
 // findAbsent ends the runs that a look proves to be over: they are in neither list, and
 // could not begin after it.
-func (o *Owner) findAbsent(s *session, clock int64, named map[runKey]bool) {
+func (o *Scheduler) findAbsent(s *session, clock int64, named map[runKey]bool) {
 	for _, r := range s.sortedRuns() {
 		if named[r.runKey] || r.ending {
 			continue
 		}
 		if r.provenAbsent(clock) {
-			o.endRun(s, r, job.Lost, "")
+			o.endRun(s, r, job.EndLost, "")
 		}
 	}
 }
@@ -250,7 +250,7 @@
 const tickEvery = 40 * time.Millisecond
 
 // Tick lets time pass. wallMs is the time of day, from 1970.
-func (o *Owner) Tick(now time.Duration, wallMs int64) {
+func (o *Scheduler) Tick(now time.Duration, wallMs int64) {
 	o.now, o.wallMs = now, wallMs
 	if now < o.tickedAt+tickEvery {
 		return
@@ -268,7 +268,7 @@
 	}
 }
 
-func (o *Owner) tickSession(s *session) {
+func (o *Scheduler) tickSession(s *session) {
 	if s.over {
 		return
 	}
@@ -286,7 +286,7 @@
 const checkEvery = 160 * time.Millisecond
 
 // checkRuns follows up what is owed by or for the runs of one runner.
-func (o *Owner) checkRuns(s *session) {
+func (o *Scheduler) checkRuns(s *session) {
 	s.checkAt = o.now + checkEvery
 	o.lookSoon(s)
 	for _, r := range s.runs {
@@ -302,7 +302,7 @@
 }
 
 // dropSessions forgets runners that are gone and have nothing left.
-func (o *Owner) dropSessions() {
+func (o *Scheduler) dropSessions() {
 	kept := o.ordered[:0]
 	for _, s := range o.ordered {
 		gone := s.over || !s.listed && o.now-s.heardAt > 2*contactWithin
@@ -317,23 +317,23 @@
 }
 
 // tickRepeats proposes the times that fall due.
-func (o *Owner) tickRepeats() {
+func (o *Scheduler) tickRepeats() {
 	for _, id := range sortedKeys(o.repeats) {
 		j := o.repeats[id]
-		for time := len(j.Times); time < j.Spec.Times() && j.Spec.DueMs(time) <= o.wallMs; time++ {
-			o.propose(job.Command{Kind: job.Due, Task: job.TaskRef{Job: id, Time: time}})
+		for time := len(j.Times); time < j.Spec.Occurrences() && j.Spec.DueMs(time) <= o.wallMs; time++ {
+			o.propose(job.Command{Kind: job.OpenOccurrence, Task: job.TaskRef{Job: id, Occurrence: time}})
 		}
-		if len(j.Times) >= j.Spec.Times() {
+		if len(j.Times) >= j.Spec.Occurrences() {
 			delete(o.repeats, id)
 		}
 	}
 }
 
 // forgetOld proposes to forget jobs that have been over for long enough.
-func (o *Owner) forgetOld() {
+func (o *Scheduler) forgetOld() {
 	const margin = 30_000
-	for len(o.endings) > 0 && o.endings[0].atMs+o.bounds.Status.Milliseconds()+margin < o.wallMs {
-		o.propose(job.Command{Kind: job.Forget, Task: job.TaskRef{Job: o.endings[0].id}})
+	for len(o.endings) > 0 && o.endings[0].atMs+o.bounds.StatusRetention.Milliseconds()+margin < o.wallMs {
+		o.propose(job.Command{Kind: job.ForgetJob, Task: job.TaskRef{Job: o.endings[0].id}})
 		delete(o.ended, o.endings[0].id)
 		o.endings = o.endings[1:]
 	}
--- a/internal/cluster/scheduler/late.go
+++ b/internal/cluster/scheduler/late.go
@@ -12,16 +12,16 @@
 // jobAccount is what is known of where a job's time went, under this owner.
 type jobAccount struct {
 	cost  float64 // core-seconds, as estimated when it came
-	paths map[bundleKey]lateness.Path
+	paths map[bundleKey]lateness.CriticalPath
 }
 
 // accountOf returns a job's account, made when it is first asked for.
-func (o *Owner) accountOf(j *job.Job) *jobAccount {
+func (o *Scheduler) accountOf(j *job.Job) *jobAccount {
 	account := o.accounts[j.ID]
 	if account != nil {
 		return account
 	}
-	account = &jobAccount{paths: map[bundleKey]lateness.Path{}}
+	account = &jobAccount{paths: map[bundleKey]lateness.CriticalPath{}}
 	for at := range j.Spec.Steps {
 		step := &j.Spec.Steps[at]
 		account.cost += float64(step.Count) * stepCost(o.expected(j, at), step)
@@ -40,43 +40,43 @@
 }
 
 // trail returns the account of a bundle's task.
-func (b *bundle) trail(index int) *lateness.Trail {
+func (b *bundle) trail(index int) *lateness.TaskAccount {
 	trail := b.trails[index]
 	if trail == nil {
-		trail = &lateness.Trail{}
+		trail = &lateness.TaskAccount{}
 		b.trails[index] = trail
 	}
 	return trail
 }
 
 // waitsFor tells what a bundle waits for, by why its tasks found no runner.
-func waitsFor(ask *placement.Ask, gang bool, result placement.Result) lateness.Cause {
+func waitsFor(ask *placement.Request, gang bool, result placement.Result) lateness.Cause {
 	switch {
 	case result == placement.NoBudget:
 		return lateness.Budget
 	case gang:
 		return lateness.Gang
-	case ask.NearOnly:
+	case ask.LocalOnly:
 		return lateness.Rack
 	}
 	return lateness.Capacity
 }
 
 // lostTo tells under which cause the time of a run counts that did not end well.
-func lostTo(how job.How) lateness.Cause {
+func lostTo(how job.EndReason) lateness.Cause {
 	switch how {
-	case job.Failed:
+	case job.EndFailed:
 		return lateness.Failed
-	case job.Stopped:
-		return lateness.Moved
-	case job.Broken, job.Alone:
+	case job.EndStopped:
+		return lateness.Migrated
+	case job.EndGangBroken, job.EndGangIncomplete:
 		return lateness.Gang
 	}
-	return lateness.Silent
+	return lateness.Unresponsive
 }
 
 // accountRun takes in the end of a run. Of runs side by side only the last to end counts.
-func (o *Owner) accountRun(s *session, r *run, how job.How, beside bool) {
+func (o *Scheduler) accountRun(s *session, r *run, how job.EndReason, beside bool) {
 	b := o.bundles[keyOf(r.task)]
 	if b == nil {
 		return
@@ -84,12 +84,12 @@
 	took := o.now - r.sentAt
 	trail := b.trail(r.task.Index)
 	switch {
-	case how == job.Done:
+	case how == job.EndDone:
 		far := 1.0
 		if r.far {
-			far = o.bounds.FarX
+			far = o.bounds.RemoteSlowdown
 		}
-		trail.Run(took, far, s.speed.Now())
+		trail.Completed(took, far, s.speed.Value())
 	case !beside:
 		trail.Add(lostTo(how), took)
 		trail.Ready(b.queue.Waited(o.now))
@@ -97,35 +97,35 @@
 }
 
 // accountEnd takes in that a task is done: with it its step may be complete, and its job.
-func (o *Owner) accountEnd(j *job.Job, ref job.TaskRef) {
+func (o *Scheduler) accountEnd(j *job.Job, ref job.TaskRef) {
 	b := o.bundles[keyOf(ref)]
 	_, step := j.Task(ref)
 	if b == nil || step != nil && !step.Complete() {
 		return
 	}
 	o.accountStep(b, ref.Index)
-	if step == nil || j.Times[ref.Time].Open == 0 {
+	if step == nil || j.Times[ref.Occurrence].Open == 0 {
 		o.reportIfLate(b)
 	}
 }
 
 // accountStep takes in that a step is complete, its last task being that one.
-func (o *Owner) accountStep(b *bundle, last int) {
+func (o *Scheduler) accountStep(b *bundle, last int) {
 	account := o.accounts[b.key.job]
 	if account == nil {
 		return
 	}
-	var before []lateness.Path
+	var before []lateness.CriticalPath
 	for _, step := range b.step.DependsOn {
 		key := b.key
 		key.step = step
 		before = append(before, account.paths[key])
 	}
-	account.paths[b.key] = lateness.After(before, b.trail(last), o.now)
+	account.paths[b.key] = lateness.ExtendPath(before, b.trail(last), o.now)
 }
 
 // reportIfLate logs where the time of a job went whose last step ended later than is owed.
-func (o *Owner) reportIfLate(b *bundle) {
+func (o *Scheduler) reportIfLate(b *bundle) {
 	account := o.accounts[b.key.job]
 	if account == nil || b.step.LongRunning || b.job.Stretch <= 0 {
 		return
@@ -136,7 +136,7 @@
 	if took <= owed {
 		return
 	}
-	path.Spent[lateness.Earlier] += max(0, took-path.Spent.Total())
+	path.Spent[lateness.PreviousLeader] += max(0, took-path.Spent.Total())
 	attributes := []any{slog.String("job", b.key.job), slog.String("queue", b.job.Queue), slog.Int64("came_ms", b.cameMs),
 		slog.Int64("took_ms", took.Milliseconds()), slog.Int64("owed_ms", owed.Milliseconds()), slog.Float64("cost", account.cost)}
 	for cause, span := range path.Spent {
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -18,13 +18,13 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// Bounds are the deployment's figures that decisions need.
-type Bounds struct {
-	HoldMax time.Duration
-	StopMs  int64
-	FarX    float64
-	Restore time.Duration
-	Status  time.Duration // how long the state of a job that is over is kept
+// Config are the deployment's figures that decisions need.
+type Config struct {
+	MaxLease        time.Duration
+	StopMs          int64
+	RemoteSlowdown  float64
+	RestoreTime     time.Duration
+	StatusRetention time.Duration // how long the state of a job that is over is kept
 }
 
 // OrderKind tells what a runner is told to do.
@@ -32,7 +32,7 @@
 
 // Kinds of orders.
 const (
-	OrderHold OrderKind = iota + 1
+	OrderRenewLease OrderKind = iota + 1
 	OrderStart
 	OrderStop
 )
@@ -40,18 +40,18 @@
 // Order is what is to be sent to a runner. Its answer comes back by HoldAnswered,
 // StartAnswered or StopAnswered.
 type Order struct {
-	Kind       OrderKind
-	Runner     string // the life that is meant
-	Address    string
-	Token      uint64
-	Task       job.TaskRef
-	Attempt    int
-	Spec       string
-	Saved      string
-	DeadlineMs int64 // runner's clock; 0: none
-	LastSeen   uint64
-	WaitMs     int64
-	Sequence   uint64 // of a hold
+	Kind         OrderKind
+	Runner       string // the life that is meant
+	Address      string
+	Token        uint64
+	Task         job.TaskRef
+	Attempt      int
+	Spec         string
+	Checkpoint   string
+	DeadlineMs   int64 // runner's clock; 0: none
+	AckedThrough uint64
+	WaitMs       int64
+	Sequence     uint64 // of a hold
 }
 
 // Output is what the owner wants done.
@@ -62,12 +62,12 @@
 	Again    bool // call again within a few milliseconds
 }
 
-// Owner schedules one shard. Its methods must not be called concurrently, nor while the
+// Scheduler schedules one shard. Its methods must not be called concurrently, nor while the
 // store changes but through Applied.
-type Owner struct {
+type Scheduler struct {
 	store  *job.Store
 	epoch  uint64
-	bounds Bounds
+	bounds Config
 	log    *slog.Logger
 
 	sessions map[string]*session
@@ -79,9 +79,9 @@
 	endings  []ending            // jobs that are over, oldest first
 	ended    map[string]bool     // by ID, those in endings
 
-	costs  *admission.Costs
-	means  map[string]*admission.Means // by service
-	losses admission.Average           // share of holds that stay without an answer
+	costs  *admission.RunTimeEstimates
+	means  map[string]*admission.MeanCost // by service
+	losses admission.Average              // share of holds that stay without an answer
 
 	accounts map[string]*jobAccount // by job
 
@@ -114,11 +114,11 @@
 }
 
 // New returns the owner of a store at the beginning of an epoch.
-func New(store *job.Store, epoch uint64, bounds Bounds, now time.Duration, wallMs int64, log *slog.Logger) *Owner {
-	o := &Owner{
+func New(store *job.Store, epoch uint64, bounds Config, now time.Duration, wallMs int64, log *slog.Logger) *Scheduler {
+	o := &Scheduler{
 		store: store, epoch: epoch, bounds: bounds, log: log, now: now, wallMs: wallMs,
 		sessions: map[string]*session{}, bundles: map[bundleKey]*bundle{}, byJob: map[string][]bundleKey{}, repeats: map[string]*job.Job{},
-		ended: map[string]bool{}, costs: admission.NewCosts(), means: map[string]*admission.Means{}, notes: map[uint64][]endNote{}, dirty: true,
+		ended: map[string]bool{}, costs: admission.NewRunTimeEstimates(), means: map[string]*admission.MeanCost{}, notes: map[uint64][]endNote{}, dirty: true,
 		accounts: map[string]*jobAccount{},
 	}
 	for _, id := range sortedKeys(store.Jobs) {
@@ -128,7 +128,7 @@
 }
 
 // inherit takes over what an earlier owner left of a job.
-func (o *Owner) inherit(j *job.Job) {
+func (o *Scheduler) inherit(j *job.Job) {
 	for time, state := range j.Times {
 		if state == nil {
 			continue
@@ -136,12 +136,12 @@
 		for step := range state.Steps {
 			for index, task := range state.Steps[step].Tasks {
 				for _, live := range task.Runs {
-					o.inheritRun(j, job.TaskRef{Job: j.ID, Time: time, Step: step, Index: index}, live)
+					o.inheritRun(j, job.TaskRef{Job: j.ID, Occurrence: time, Step: step, Index: index}, live)
 				}
 			}
 		}
 	}
-	if j.State.Over() {
+	if j.State.Terminal() {
 		o.jobOver(j)
 		return
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-func (o *Owner) inheritRun(j *job.Job, ref job.TaskRef, live job.Run) {
+func (o *Scheduler) inheritRun(j *job.Job, ref job.TaskRef, live job.Run) {
 	s := o.session(live.Runner, live.Address)
 	step := &j.Spec.Steps[ref.Step]
 	r := &run{runKey: runKey{task: ref, attempt: live.Attempt}, phase: inherited, need: step.Resources, sentAt: o.now, resumed: true}
@@ -163,10 +163,10 @@
 }
 
 // meansOf returns the mean costs of a service's tasks.
-func (o *Owner) meansOf(service string) *admission.Means {
+func (o *Scheduler) meansOf(service string) *admission.MeanCost {
 	means := o.means[service]
 	if means == nil {
-		means = &admission.Means{}
+		means = &admission.MeanCost{}
 		o.means[service] = means
 	}
 	return means
@@ -177,7 +177,7 @@
 const takeOverSlack = 400 * time.Millisecond
 
 // session returns that of a life of a runner, made if it was not known.
-func (o *Owner) session(id, address string) *session {
+func (o *Scheduler) session(id, address string) *session {
 	s := o.sessions[id]
 	if s == nil {
 		s = &session{id: id, address: address, runs: map[runKey]*run{}, heardAt: o.now, holdAt: o.now}
@@ -198,8 +198,8 @@
 	RemainingMs int64 // of a draining one, at least; 0: not told
 }
 
-// Listed takes in the runners of this shard's services, as the platform lists them.
-func (o *Owner) Listed(now time.Duration, runners []Runner) {
+// UpdateRunners takes in the runners of this shard's services, as the platform lists them.
+func (o *Scheduler) UpdateRunners(now time.Duration, runners []Runner) {
 	o.now = now
 	current := map[string]bool{}
 	at := map[string]string{}
@@ -217,7 +217,7 @@
 	o.dirty = true
 }
 
-func (o *Owner) listed(r Runner) {
+func (o *Scheduler) listed(r Runner) {
 	s := o.session(r.ID, r.Address)
 	s.service, s.labels, s.capacity = r.Service, r.Labels, r.Capacity
 	if r.Draining && !s.draining {
@@ -230,7 +230,7 @@
 }
 
 // lifeOver ends all that a life of a runner ran.
-func (o *Owner) lifeOver(s *session) {
+func (o *Scheduler) lifeOver(s *session) {
 	if s.over {
 		return
 	}
@@ -240,29 +240,29 @@
 }
 
 // endAll proposes that each run of a runner is over.
-func (o *Owner) endAll(s *session) {
+func (o *Scheduler) endAll(s *session) {
 	for _, r := range s.sortedRuns() {
 		if r.phase != proposed {
-			o.endRun(s, r, job.Lost, "")
+			o.endRun(s, r, job.EndLost, "")
 		}
 	}
 }
 
 // endRun proposes the end of a run, once.
-func (o *Owner) endRun(s *session, r *run, how job.How, saved string) {
+func (o *Scheduler) endRun(s *session, r *run, how job.EndReason, saved string) {
 	if r.ending {
 		return
 	}
 	r.ending = true
-	o.propose(job.Command{Kind: job.End, Task: r.task, Attempt: r.attempt, Runner: s.id, How: how, Saved: saved})
+	o.propose(job.Command{Kind: job.EndRun, Task: r.task, Attempt: r.attempt, Runner: s.id, EndReason: how, Checkpoint: saved})
 }
 
-func (o *Owner) propose(c job.Command) {
-	c.AtMs = o.wallMs
+func (o *Scheduler) propose(c job.Command) {
+	c.ProposedAtMs = o.wallMs
 	o.out.Commands = append(o.out.Commands, c)
 }
 
-func (o *Owner) order(order Order) {
+func (o *Scheduler) order(order Order) {
 	order.Token = o.epoch
 	o.out.Orders = append(o.out.Orders, order)
 }
@@ -270,9 +270,9 @@
 // passPause is the least pause between two passes over the ready work.
 const passPause = 3 * time.Millisecond
 
-// Take returns what is to be done since the last call. Where commands is false, those stay
+// TakeOutput returns what is to be done since the last call. Where commands is false, those stay
 // for the next call.
-func (o *Owner) Take(now time.Duration, commands bool) Output {
+func (o *Scheduler) TakeOutput(now time.Duration, commands bool) Output {
 	o.now = now
 	if o.dirty && now >= o.passAt+passPause {
 		o.dirty = false
@@ -290,7 +290,7 @@
 }
 
 // Committed tells that all commands of a batch were applied.
-func (o *Owner) Committed(now time.Duration, batch uint64) {
+func (o *Scheduler) Committed(now time.Duration, batch uint64) {
 	o.now = now
 	for _, note := range o.notes[batch] {
 		s := note.session
@@ -302,16 +302,16 @@
 }
 
 // Applied tells what a command did to the store.
-func (o *Owner) Applied(now time.Duration, c job.Command, outcome job.Outcome) {
+func (o *Scheduler) Applied(now time.Duration, c job.Command, outcome job.Outcome) {
 	o.now = now
 	o.dirty = true
 	switch c.Kind {
-	case job.Accept:
+	case job.AcceptJob:
 		if outcome == job.Applied {
-			o.accepted(o.store.Jobs[c.New.ID])
+			o.accepted(o.store.Jobs[c.Submission.ID])
 		}
 		return
-	case job.Start:
+	case job.StartRun:
 		o.startApplied(c, outcome)
 		return
 	}
@@ -320,32 +320,32 @@
 		return
 	}
 	switch c.Kind {
-	case job.Due:
+	case job.OpenOccurrence:
 		if outcome == job.Applied {
-			o.openTime(j, c.Task.Time)
+			o.openTime(j, c.Task.Occurrence)
 		}
-	case job.End:
+	case job.EndRun:
 		o.endApplied(j, c, outcome)
-	case job.Cancel:
-		if outcome == job.Applied || outcome == job.Known || j.Withdrawn {
+	case job.CancelJob:
+		if outcome == job.Applied || outcome == job.AlreadyApplied || j.Withdrawn {
 			o.jobOver(j)
 		}
 	}
 }
 
-func (o *Owner) accepted(j *job.Job) {
+func (o *Scheduler) accepted(j *job.Job) {
 	o.watchRepeats(j)
 	o.openTime(j, 0)
 }
 
-func (o *Owner) watchRepeats(j *job.Job) {
-	if len(j.Times) < j.Spec.Times() && j.Spec.Repeats > 0 {
+func (o *Scheduler) watchRepeats(j *job.Job) {
+	if len(j.Times) < j.Spec.Occurrences() && j.Spec.Repeats > 0 {
 		o.repeats[j.ID] = j
 	}
 }
 
 // jobOver stops what runs of a job that is over and forgets what was to start.
-func (o *Owner) jobOver(j *job.Job) {
+func (o *Scheduler) jobOver(j *job.Job) {
 	if o.ended[j.ID] {
 		return
 	}
@@ -360,7 +360,7 @@
 	for time, state := range j.Times {
 		for step := range state.Steps {
 			for index := range state.Steps[step].Tasks {
-				o.stopRunsOf(job.TaskRef{Job: j.ID, Time: time, Step: step}, index, &state.Steps[step].Tasks[index])
+				o.stopRunsOf(job.TaskRef{Job: j.ID, Occurrence: time, Step: step}, index, &state.Steps[step].Tasks[index])
 			}
 		}
 	}
