--- a/internal/cluster/scheduler/pass.go
+++ b/internal/cluster/scheduler/pass.go
@@ -22,7 +22,7 @@
 // pass starts what fits, in the aged order. Work at the head that fits no budget holds up
 // the rest while some runner has the capacity for it; work for which none has is passed by,
 // and once it has aged a runner is kept for it.
-func (o *Owner) pass() {
+func (o *Scheduler) pass() {
 	o.passAt = o.now
 	ready := o.readyBundles()
 	if len(ready) == 0 {
@@ -30,7 +30,7 @@
 	}
 	candidates, sessions := o.candidates()
 	for _, b := range ready {
-		b.queue.Wait(o.now, lateness.Behind)
+		b.queue.Wait(o.now, lateness.Queued)
 	}
 	kept := 0
 	for _, b := range ready {
@@ -53,7 +53,7 @@
 // keptPart: at most one runner in so many is kept for work that has aged.
 const keptPart = 8
 
-func (o *Owner) readyBundles() []*bundle {
+func (o *Scheduler) readyBundles() []*bundle {
 	var ready []*bundle
 	for _, b := range o.bundles {
 		if len(b.pending) == 0 {
@@ -71,7 +71,7 @@
 }
 
 // candidates are the runners that take work now.
-func (o *Owner) candidates() ([]placement.Candidate, []*session) {
+func (o *Scheduler) candidates() ([]placement.Candidate, []*session) {
 	candidates, sessions := o.scratchCandidates[:0], o.scratchSessions[:0]
 	for _, s := range o.ordered {
 		if !s.listed || s.draining || !s.inTouch(o.now) || s.silent() {
@@ -79,9 +79,9 @@
 		}
 		doubtful := s.doubtful()
 		candidates = append(candidates, placement.Candidate{
-			Key: len(sessions), Service: s.service, Labels: s.labels, Capacity: s.capacity, Free: s.capacity.Minus(s.used),
-			Room: s.budget.Room(s.out, o.meansOf(s.service)), Idle: len(s.runs) == 0, Pace: s.paceNow(), Speed: s.speed.Now(),
-			Doubtful: doubtful, Reserved: doubtful && (s.onTrial() || o.now < s.trialAt),
+			Key: len(sessions), Service: s.service, Labels: s.labels, Capacity: s.capacity, Free: s.capacity.Subtract(s.used),
+			Headroom: s.budget.Headroom(s.out, o.meansOf(s.service)), Idle: len(s.runs) == 0, Slowdown: s.paceNow(), RunTimeFactor: s.speed.Value(),
+			Suspect: doubtful, Reserved: doubtful && (s.onTrial() || o.now < s.trialAt),
 		})
 		sessions = append(sessions, s)
 	}
@@ -90,7 +90,7 @@
 }
 
 // place starts as much of a bundle as fits, as many tasks at one runner as fit there.
-func (o *Owner) place(b *bundle, candidates []placement.Candidate, sessions []*session) placement.Result {
+func (o *Scheduler) place(b *bundle, candidates []placement.Candidate, sessions []*session) placement.Result {
 	if b.step.Gang {
 		return o.placeGang(b, candidates, sessions)
 	}
@@ -100,10 +100,10 @@
 		if result != placement.Found {
 			return result
 		}
-		for range chosen.Takes {
+		for range chosen.Count {
 			ask := o.ask(b)
-			candidates[chosen.At].Take(ask)
-			o.start(b, b.pending[0], o.nextAttempt(b, b.pending[0]), sessions[candidates[chosen.At].Key], ask)
+			candidates[chosen.Candidate].Assign(ask)
+			o.start(b, b.pending[0], o.nextAttempt(b, b.pending[0]), sessions[candidates[chosen.Candidate].Key], ask)
 			b.pending = b.pending[1:]
 		}
 	}
@@ -111,23 +111,23 @@
 }
 
 // start proposes a start and keeps its place at the runner.
-func (o *Owner) start(b *bundle, index, attempt int, s *session, ask *placement.Ask) {
-	ref := job.TaskRef{Job: b.key.job, Time: b.key.time, Step: b.key.step, Index: index}
-	r := &run{runKey: runKey{task: ref, attempt: attempt}, need: ask.Need, cost: ask.Cost, expected: b.expects, sentAt: o.now}
-	r.far = ask.Rack != "" && !slices.Contains(s.labels, ask.Rack)
+func (o *Scheduler) start(b *bundle, index, attempt int, s *session, ask *placement.Request) {
+	ref := job.TaskRef{Job: b.key.job, Occurrence: b.key.time, Step: b.key.step, Index: index}
+	r := &run{runKey: runKey{task: ref, attempt: attempt}, need: ask.Resources, cost: ask.Cost, expected: b.expects, sentAt: o.now}
+	r.far = ask.DataRack != "" && !slices.Contains(s.labels, ask.DataRack)
 	if r.far {
-		r.expected *= o.bounds.FarX
+		r.expected *= o.bounds.RemoteSlowdown
 	}
-	r.expected *= s.speed.Now()
+	r.expected *= s.speed.Value()
 	if s.doubtful() {
 		s.trials++
 		s.trialAt = o.now + min(trialMax, trialFirst<<min(s.trials, 4))
 	}
 	s.add(r)
 	b.waiting[index] = true
-	b.trail(index).Leaves(b.queue.Waited(o.now))
+	b.trail(index).Started(b.queue.Waited(o.now))
 	o.meansOf(b.job.Service).Add(ask.Cost)
-	o.propose(job.Command{Kind: job.Start, Task: ref, Attempt: attempt, Runner: s.id, Address: s.address})
+	o.propose(job.Command{Kind: job.StartRun, Task: ref, Attempt: attempt, Runner: s.id, Address: s.address})
 }
 
 // Trials of a runner that fails most of what it runs.
@@ -138,24 +138,24 @@
 
 // holdBack notes which budgets keep the head of the queue from leaving, so that they grow
 // with the next run that ends well.
-func (o *Owner) holdBack(b *bundle, candidates []placement.Candidate, sessions []*session) {
+func (o *Scheduler) holdBack(b *bundle, candidates []placement.Candidate, sessions []*session) {
 	ask := o.ask(b)
 	for at := range candidates {
 		c := &candidates[at]
-		if c.Service == ask.Service && ask.Need.Fits(c.Free) && hasAll(c.Labels, ask.Constraints) {
+		if c.Service == ask.Service && ask.Resources.FitsIn(c.Free) && hasAll(c.Labels, ask.Constraints) {
 			s := sessions[c.Key]
-			s.budget.HeldBack(o.now, ask.Cost, max(o.mostBudget(s), s.out+ask.Cost))
+			s.budget.NoteBlocked(o.now, ask.Cost, max(o.mostBudget(s), s.out+ask.Cost))
 		}
 	}
 }
 
 // reserve keeps the suitable runner with the most free capacity, too little as yet, for work
 // that has aged.
-func reserve(ask *placement.Ask, candidates []placement.Candidate) {
+func reserve(ask *placement.Request, candidates []placement.Candidate) {
 	best := -1
 	for at := range candidates {
 		c := &candidates[at]
-		if c.Reserved || c.Service != ask.Service || ask.Need.Fits(c.Free) || !ask.Need.Fits(c.Capacity) || !hasAll(c.Labels, ask.Constraints) {
+		if c.Reserved || c.Service != ask.Service || ask.Resources.FitsIn(c.Free) || !ask.Resources.FitsIn(c.Capacity) || !hasAll(c.Labels, ask.Constraints) {
 			continue
 		}
 		if best < 0 || c.Free.CPU > candidates[best].Free.CPU {
--- a/internal/cluster/scheduler/rescue.go
+++ b/internal/cluster/scheduler/rescue.go
@@ -75,7 +75,7 @@
 
 // rescue stops runs that stand still, crawl, or would die with their runner; they start
 // again elsewhere, from what they saved.
-func (o *Owner) rescue(s *session) {
+func (o *Scheduler) rescue(s *session) {
 	if !s.fenced || o.now-s.heardAt > contactWithin || len(s.runs) == 0 {
 		return
 	}
@@ -97,7 +97,7 @@
 // expected says little: its job's estimate may be wrong. It counts where the same step's
 // runs elsewhere do better, where it stands still, or where all jobs that run here, several,
 // are slow.
-func (o *Owner) noteSlowness(s *session) bool {
+func (o *Scheduler) noteSlowness(s *session) bool {
 	slow, usual := map[string]bool{}, 0
 	sure := false
 	for _, r := range s.runs {
@@ -126,7 +126,7 @@
 
 // slownessElsewhere returns the mean slowness of the same step's runs at other runners;
 // false: none is known.
-func (o *Owner) slownessElsewhere(s *session, r *run) (mean float64, known bool) {
+func (o *Scheduler) slownessElsewhere(s *session, r *run) (mean float64, known bool) {
 	j := o.store.Jobs[r.task.Job]
 	_, step := j.Task(r.task)
 	if step == nil {
@@ -150,7 +150,7 @@
 	return mean / max(1, float64(n)), n > 0
 }
 
-func (o *Owner) shouldMove(s *session, r *run, slow bool) bool {
+func (o *Scheduler) shouldMove(s *session, r *run, slow bool) bool {
 	j := o.store.Jobs[r.task.Job]
 	if j == nil || r.task.Step >= len(j.Spec.Steps) {
 		return false
@@ -163,7 +163,7 @@
 }
 
 // crawls tells whether a run takes so long that a new one would end sooner.
-func (o *Owner) crawls(s *session, r *run, step *job.Step) bool {
+func (o *Scheduler) crawls(s *session, r *run, step *job.Step) bool {
 	ratio := r.slowness(o.now)
 	if r.attempt >= mostMoves || ratio < slowBeyond {
 		return false
@@ -176,11 +176,11 @@
 		return false
 	}
 	left, ok := r.left()
-	return ok && left > time.Duration(movingGain*float64(expected))+o.bounds.Restore+movingCost
+	return ok && left > time.Duration(movingGain*float64(expected))+o.bounds.RestoreTime+movingCost
 }
 
 // leftBehind tells whether a run will not end before its runner leaves.
-func (o *Owner) leftBehind(s *session, r *run, step *job.Step) bool {
+func (o *Scheduler) leftBehind(s *session, r *run, step *job.Step) bool {
 	if s.leavesAt == 0 {
 		return false
 	}
@@ -194,6 +194,6 @@
 	return !step.Checkpoints || o.mustEvacuate(s)
 }
 
-func (o *Owner) mustEvacuate(s *session) bool {
+func (o *Scheduler) mustEvacuate(s *session) bool {
 	return s.leavesAt > 0 && o.now+evacuateLed > s.leavesAt
 }
--- a/internal/cluster/scheduler/runs.go
+++ b/internal/cluster/scheduler/runs.go
@@ -9,7 +9,7 @@
 )
 
 // startApplied sends the order whose command was committed, or gives its place back.
-func (o *Owner) startApplied(c job.Command, outcome job.Outcome) {
+func (o *Scheduler) startApplied(c job.Command, outcome job.Outcome) {
 	key := runKey{task: c.Task, attempt: c.Attempt}
 	s := o.sessions[c.Runner]
 	if s == nil || s.runs[key] == nil {
@@ -27,14 +27,14 @@
 		b.trail(c.Task.Index).Add(lateness.Commit, o.now-r.sentAt)
 	}
 	r.phase = ordered
-	if r.stopWanted || s.over || j.State.Over() {
-		o.endRun(s, r, job.Refused, "") // its order never left
+	if r.stopWanted || s.over || j.State.Terminal() {
+		o.endRun(s, r, job.EndRejected, "") // its order never left
 		return
 	}
 	o.sendStart(j, s, r)
 }
 
-func (o *Owner) sendStart(j *job.Job, s *session, r *run) {
+func (o *Scheduler) sendStart(j *job.Job, s *session, r *run) {
 	_, step := j.Task(r.task)
 	task := &step.Tasks[r.task.Index]
 	saved := task.Saved
@@ -44,13 +44,13 @@
 	r.resumed = saved != ""
 	r.saved = saved
 	if r.resumed {
-		r.restore = o.bounds.Restore
+		r.restore = o.bounds.RestoreTime
 	}
 	r.sentAt, s.checkAt = o.now, o.now
 	r.orderDeadline = s.clockNow(o.now) + orderLife
 	s.extend(r.orderDeadline)
 	o.order(Order{Kind: OrderStart, Runner: s.id, Address: s.address, Task: r.task, Attempt: r.attempt,
-		Spec: j.Spec.Text, Saved: saved, DeadlineMs: r.orderDeadline})
+		Spec: j.Spec.Text, Checkpoint: saved, DeadlineMs: r.orderDeadline})
 }
 
 // StartReply is how a runner answered an order to start.
@@ -58,25 +58,25 @@
 
 // Replies to starts.
 const (
-	StartTaken    StartReply = iota + 1
-	StartNoRoom              // 409 room
-	StartRefused             // 409 otherwise, 400, 429, 503: it does not run and never will
-	StartOtherOne            // 421: another life answered
-	StartUnknown             // no answer
+	StartAccepted         StartReply = iota + 1
+	StartNoCapacity                  // 409 room
+	StartRefused                     // 409 otherwise, 400, 429, 503: it does not run and never will
+	StartOtherIncarnation            // 421: another life answered
+	StartNoReply                     // no answer
 )
 
-// StartAnswered takes in the answer to an order to start.
-func (o *Owner) StartAnswered(now time.Duration, order Order, reply StartReply, clock int64) {
+// StartReplied takes in the answer to an order to start.
+func (o *Scheduler) StartReplied(now time.Duration, order Order, reply StartReply, clock int64) {
 	o.now = now
 	s := o.sessions[order.Runner]
 	if s == nil {
 		return
 	}
-	if reply == StartOtherOne {
+	if reply == StartOtherIncarnation {
 		o.lifeOver(s)
 		return
 	}
-	if reply != StartUnknown {
+	if reply != StartNoReply {
 		s.heard(now, clock)
 	}
 	r := s.runs[runKey{task: order.Task, attempt: order.Attempt}]
@@ -84,28 +84,28 @@
 		return
 	}
 	switch reply {
-	case StartTaken:
+	case StartAccepted:
 		r.phase, r.startedClock = confirmed, clock
 		o.trust(r)
-	case StartUnknown:
+	case StartNoReply:
 		s.budget.Shrink(r.sentAt, now, o.meansOf(s.service))
 	default:
 		s.budget.Shrink(r.sentAt, now, o.meansOf(s.service))
 		o.log.Info("a runner refused a start", "runner", s.id, "task", order.Task.String(), "attempt", order.Attempt, "reply", reply)
-		o.endRun(s, r, job.Refused, "")
+		o.endRun(s, r, job.EndRejected, "")
 	}
 }
 
 // dropIfUseless stops a run that nobody wants any more.
-func (o *Owner) dropIfUseless(j *job.Job, s *session, r *run) {
+func (o *Scheduler) dropIfUseless(j *job.Job, s *session, r *run) {
 	task, _ := j.Task(r.task)
-	if j.State.Over() || task == nil || task.Done {
+	if j.State.Terminal() || task == nil || task.Done {
 		o.wantStop(s, r)
 	}
 }
 
 // wantStop stops a run, now and again until it is known to be over.
-func (o *Owner) wantStop(s *session, r *run) {
+func (o *Scheduler) wantStop(s *session, r *run) {
 	r.stopWanted, s.checkAt = true, o.now
 	o.sendStop(s, r)
 }
@@ -113,7 +113,7 @@
 // stopAgain is the pause before a stop that was not answered is sent again.
 const stopAgain = 400 * time.Millisecond
 
-func (o *Owner) sendStop(s *session, r *run) {
+func (o *Scheduler) sendStop(s *session, r *run) {
 	if r.phase == proposed || r.ending || r.stopOut || r.stopClock > 0 || s.over || o.now < r.stopAt {
 		return
 	}
@@ -121,14 +121,14 @@
 	o.order(Order{Kind: OrderStop, Runner: s.id, Address: s.address, Task: r.task, Attempt: r.attempt})
 }
 
-// StopAnswered takes in the answer to a stop: a 200, or none that helps.
-func (o *Owner) StopAnswered(now time.Duration, order Order, ok, otherLife bool, clock int64) {
+// StopReplied takes in the answer to a stop: a 200, or none that helps.
+func (o *Scheduler) StopReplied(now time.Duration, order Order, ok, otherIncarnation bool, clock int64) {
 	o.now = now
 	s := o.sessions[order.Runner]
 	if s == nil {
 		return
 	}
-	if otherLife {
+	if otherIncarnation {
 		o.lifeOver(s)
 		return
 	}
@@ -144,26 +144,26 @@
 }
 
 // endApplied follows up a run that is over.
-func (o *Owner) endApplied(j *job.Job, c job.Command, outcome job.Outcome) {
+func (o *Scheduler) endApplied(j *job.Job, c job.Command, outcome job.Outcome) {
 	key := runKey{task: c.Task, attempt: c.Attempt}
 	if s := o.sessions[c.Runner]; s != nil {
 		if r := s.remove(key); r != nil {
-			o.learn(j, s, r, c.How)
+			o.learn(j, s, r, c.EndReason)
 			task, _ := j.Task(c.Task)
-			o.accountRun(s, r, c.How, task != nil && len(task.Runs) > 0)
+			o.accountRun(s, r, c.EndReason, task != nil && len(task.Runs) > 0)
 		}
 	}
 	if outcome != job.Applied {
 		return
 	}
-	if c.How == job.Done {
+	if c.EndReason == job.EndDone {
 		o.accountEnd(j, c.Task)
 	}
-	if j.State.Over() {
+	if j.State.Terminal() {
 		o.jobOver(j)
 		return
 	}
-	if b := o.bundles[keyOf(c.Task)]; b != nil && c.How == job.Failed {
+	if b := o.bundles[keyOf(c.Task)]; b != nil && c.EndReason == job.EndFailed {
 		b.avoid[c.Runner] = true
 	}
 	o.stopCopies(j, c)
@@ -172,13 +172,13 @@
 
 // stopCopies stops the other runs that the end of one makes useless: of the same task, once
 // it is done, and of the same gang, if it is not.
-func (o *Owner) stopCopies(j *job.Job, c job.Command) {
+func (o *Scheduler) stopCopies(j *job.Job, c job.Command) {
 	task, step := j.Task(c.Task)
 	if step == nil {
 		return
 	}
 	gang := j.Spec.Steps[c.Task.Step].Gang
-	if gang && c.How != job.Done {
+	if gang && c.EndReason != job.EndDone {
 		for index := range step.Tasks {
 			o.stopRunsOf(c.Task, index, &step.Tasks[index])
 		}
@@ -188,7 +188,7 @@
 	}
 }
 
-func (o *Owner) stopRunsOf(ref job.TaskRef, index int, task *job.Task) {
+func (o *Scheduler) stopRunsOf(ref job.TaskRef, index int, task *job.Task) {
 	ref.Index = index
 	for _, live := range task.Runs {
 		s := o.sessions[live.Runner]
@@ -202,10 +202,10 @@
 }
 
 // followStep makes ready what an end allows: the task again, or the steps that waited.
-func (o *Owner) followStep(j *job.Job, c job.Command) {
+func (o *Scheduler) followStep(j *job.Job, c job.Command) {
 	_, step := j.Task(c.Task)
 	if step == nil { // the whole time is complete, and its state was dropped
-		o.dropTime(j.ID, c.Task.Time)
+		o.dropTime(j.ID, c.Task.Occurrence)
 		return
 	}
 	if !step.Complete() {
@@ -213,11 +213,11 @@
 		return
 	}
 	o.closeBundle(keyOf(c.Task))
-	o.openTime(j, c.Task.Time)
+	o.openTime(j, c.Task.Occurrence)
 }
 
 // dropTime forgets what was to start of a time that is complete, and its account.
-func (o *Owner) dropTime(id string, time int) {
+func (o *Scheduler) dropTime(id string, time int) {
 	for _, key := range o.byJob[id] {
 		if key.time != time {
 			continue
@@ -230,11 +230,11 @@
 }
 
 // learn draws from an end what it says of the type's run time and of the runner.
-func (o *Owner) learn(j *job.Job, s *session, r *run, how job.How) {
+func (o *Scheduler) learn(j *job.Job, s *session, r *run, how job.EndReason) {
 	switch how {
-	case job.Done:
+	case job.EndDone:
 		s.ends.Add(0, endsWindow)
-	case job.Failed:
+	case job.EndFailed:
 		s.ends.Add(1, endsWindow)
 		return
 	default:
@@ -250,7 +250,7 @@
 	took := (o.now - r.sentAt).Seconds()
 	near := took
 	if r.far {
-		near /= o.bounds.FarX
+		near /= o.bounds.RemoteSlowdown
 	}
 	o.noteSpeed(s, r, near)
 	ratio := took / r.expected
@@ -264,23 +264,23 @@
 		s.budget.Grow(r.cost, o.mostBudget(s))
 	}
 	if s.paceNow() < usualPace && len(j.Spec.Steps) > r.task.Step {
-		o.costs.Learn(o.typeOf(j, r.task.Step), float64(step.EstimateMs)/1000, near/s.speed.Now())
+		o.costs.Learn(o.typeOf(j, r.task.Step), float64(step.EstimateMs)/1000, near/s.speed.Value())
 	}
 }
 
 // noteSpeed keeps how long a run of a step took near its data, for what it tells of its
 // runner's speed once the step is complete.
-func (o *Owner) noteSpeed(s *session, r *run, took float64) {
+func (o *Scheduler) noteSpeed(s *session, r *run, took float64) {
 	if b := o.bundles[keyOf(r.task)]; b != nil && !b.step.Gang && !b.step.LongRunning {
-		b.ended = append(b.ended, admission.PeerRun{Speed: &s.speed, Took: took})
+		b.ended = append(b.ended, admission.PeerRun{Factor: &s.speed, Took: took})
 	}
 }
 
 // closeBundle forgets a step that is complete, and draws from its runs what they tell of the
 // runners' speeds.
-func (o *Owner) closeBundle(key bundleKey) {
+func (o *Scheduler) closeBundle(key bundleKey) {
 	if b := o.bundles[key]; b != nil {
-		admission.LearnSpeeds(b.ended)
+		admission.LearnRunTimeFactors(b.ended)
 	}
 	delete(o.bundles, key)
 }
@@ -291,6 +291,6 @@
 )
 
 // mostBudget bounds a runner's budget: its whole capacity, busy for some mean runs.
-func (o *Owner) mostBudget(s *session) float64 {
+func (o *Scheduler) mostBudget(s *session) float64 {
 	return weight(s.capacity) * 30
 }
--- a/internal/cluster/scheduler/session.go
+++ b/internal/cluster/scheduler/session.go
@@ -91,7 +91,7 @@
 	crawls      bool              // its runs were seen to crawl or to stand still
 	slowNotedAt time.Duration
 	pace        admission.Average // run times beside the expected ones
-	speed       admission.Speed
+	speed       admission.RunTimeFactor
 	trialAt     time.Duration // a doubtful runner gets its next trial then
 	trials      int
 }
@@ -147,7 +147,7 @@
 
 func (s *session) add(r *run) {
 	s.runs[r.runKey] = r
-	s.used = s.used.Plus(r.need)
+	s.used = s.used.Add(r.need)
 	s.out += r.cost
 }
 
@@ -157,7 +157,7 @@
 		return nil
 	}
 	delete(s.runs, key)
-	s.used = s.used.Minus(r.need)
+	s.used = s.used.Subtract(r.need)
 	s.out = max(0, s.out-r.cost)
 	if len(s.runs) == 0 {
 		s.out = 0
@@ -213,8 +213,8 @@
 	switch {
 	case a.task.Job != b.task.Job:
 		return compareText(a.task.Job, b.task.Job)
-	case a.task.Time != b.task.Time:
-		return a.task.Time - b.task.Time
+	case a.task.Occurrence != b.task.Occurrence:
+		return a.task.Occurrence - b.task.Occurrence
 	case a.task.Step != b.task.Step:
 		return a.task.Step - b.task.Step
 	case a.task.Index != b.task.Index:
--- a/internal/cluster/scheduler/silence.go
+++ b/internal/cluster/scheduler/silence.go
@@ -30,7 +30,7 @@
 }
 
 // noteSilence notes whether a runner owes an answer, and what follows for its runs.
-func (o *Owner) noteSilence(s *session) {
+func (o *Scheduler) noteSilence(s *session) {
 	s.owes = false
 	for _, r := range s.runs {
 		late := r.unanswered(o.now)
@@ -51,7 +51,7 @@
 }
 
 // alarm looks at all runners where several have fallen silent lately.
-func (o *Owner) alarm() {
+func (o *Scheduler) alarm() {
 	recent := o.silences[:0]
 	for _, at := range o.silences {
 		if o.now-at < alarmSpan {
@@ -74,7 +74,7 @@
 
 // copyIfAllowed makes a task ready again beside a run of which it is not known whether it goes
 // on, where the task's step allows runs side by side. The first one to end counts.
-func (o *Owner) copyIfAllowed(s *session, r *run) {
+func (o *Scheduler) copyIfAllowed(s *session, r *run) {
 	j := o.store.Jobs[r.task.Job]
 	b := o.bundles[keyOf(r.task)]
 	if j == nil || b == nil || !mayCopy(b.step) {
@@ -85,7 +85,7 @@
 }
 
 // trust notes that a doubted run goes on. A second one that has not left yet does not leave.
-func (o *Owner) trust(r *run) {
+func (o *Scheduler) trust(r *run) {
 	if !r.doubted {
 		return
 	}
@@ -100,7 +100,7 @@
 func mayCopy(step *job.Step) bool { return step.Speculative && !step.Gang && !step.LongRunning }
 
 // wantsCopy tells whether a task's only run is doubted, so that a second one may start.
-func (o *Owner) wantsCopy(b *bundle, index int, task *job.Task) bool {
+func (o *Scheduler) wantsCopy(b *bundle, index int, task *job.Task) bool {
 	if len(task.Runs) != 1 || !mayCopy(b.step) {
 		return false
 	}
@@ -109,7 +109,7 @@
 	if s == nil {
 		return false
 	}
-	ref := job.TaskRef{Job: b.key.job, Time: b.key.time, Step: b.key.step, Index: index}
+	ref := job.TaskRef{Job: b.key.job, Occurrence: b.key.time, Step: b.key.step, Index: index}
 	r := s.runs[runKey{task: ref, attempt: live.Attempt}]
 	return r != nil && r.doubted && !r.ending
 }
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -11,29 +11,29 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Variable names the environment variable with the settings file's path.
-const Variable = "BASALTLOFT_BOOT"
+// PathVariable names the environment variable with the settings file's path.
+const PathVariable = "BASALTLOFT_BOOT"
 
 // DefaultPath is read where the variable is not set.
 const DefaultPath = "/etc/basaltloft/settings.yaml"
 
 // Settings are what a process is told of its machine and its deployment.
 type Settings struct {
-	NodeName        string   `yaml:"node_name"`
-	IP              string   `yaml:"ip"`
-	Zone            string   `yaml:"zone"`
-	Region          string   `yaml:"region"`
-	Listen          Listen   `yaml:"listen"`
-	PortRange       []int    `yaml:"port_range"`
-	Seeds           []string `yaml:"seeds"`
-	Bootstrap       bool     `yaml:"bootstrap"`
-	CountsForQuorum bool     `yaml:"counts_for_quorum"`
-	Limits          Limits   `yaml:"limits"`
-	DataDir         string   `yaml:"data_dir"`
-	FaultTolerance  Losses   `yaml:"fault_tolerance"`
-	Bounds          Bounds   `yaml:"bounds"`
-	Commands        string   `yaml:"commands"`
-	CloudAPI        CloudAPI `yaml:"cloud_api"`
+	NodeName        string         `yaml:"node_name"`
+	IP              string         `yaml:"ip"`
+	Zone            string         `yaml:"zone"`
+	Region          string         `yaml:"region"`
+	Listen          Listen         `yaml:"listen"`
+	PortRange       []int          `yaml:"port_range"`
+	Seeds           []string       `yaml:"seeds"`
+	Bootstrap       bool           `yaml:"bootstrap"`
+	CountsForQuorum bool           `yaml:"counts_for_quorum"`
+	Limits          Limits         `yaml:"limits"`
+	DataDir         string         `yaml:"data_dir"`
+	FaultTolerance  FaultTolerance `yaml:"fault_tolerance"`
+	Bounds          Bounds         `yaml:"bounds"`
+	Commands        string         `yaml:"commands"`
+	CloudAPI        CloudAPI       `yaml:"cloud_api"`
 }
 
 // Listen are the addresses, as host:port, of what a process serves to others.
@@ -51,8 +51,8 @@
 	DiskMB   int     `yaml:"disk_mb"`
 }
 
-// Losses are what may be lost at once.
-type Losses struct {
+// FaultTolerance are what may be lost at once.
+type FaultTolerance struct {
 	Machines int `yaml:"machines"`
 	Zones    int `yaml:"zones"`
 	Regions  int `yaml:"regions"`
@@ -60,33 +60,33 @@
 
 // Bounds are the spans that the deployment's rules name, in the units of their names.
 type Bounds struct {
-	ContactMs     int64   `yaml:"contact_ms"`
-	AckMs         int64   `yaml:"ack_ms"`
-	DrainMs       int64   `yaml:"drain_ms"`
-	GraceS        float64 `yaml:"grace_s"`
-	ConfigApplyMs int64   `yaml:"config_apply_ms"`
-	HoldMaxMs     int64   `yaml:"hold_max_ms"`
-	StopMs        int64   `yaml:"stop_ms"`
-	GangMs        int64   `yaml:"gang_ms"`
-	CancelMs      int64   `yaml:"cancel_ms"`
-	VisibleMs     int64   `yaml:"visible_ms"`
-	EarlyMs       int64   `yaml:"early_ms"`
-	StatusS       float64 `yaml:"status_s"`
-	FarX          float64 `yaml:"far_x"`
-	SaveS         float64 `yaml:"save_s"`
-	RestoreMs     int64   `yaml:"restore_ms"`
+	ContactMs        int64   `yaml:"contact_ms"`
+	AckMs            int64   `yaml:"ack_ms"`
+	DrainMs          int64   `yaml:"drain_ms"`
+	GraceS           float64 `yaml:"grace_s"`
+	ConfigApplyMs    int64   `yaml:"config_apply_ms"`
+	MaxLeaseMs       int64   `yaml:"hold_max_ms"`
+	StopMs           int64   `yaml:"stop_ms"`
+	GangMs           int64   `yaml:"gang_ms"`
+	CancelMs         int64   `yaml:"cancel_ms"`
+	VisibleMs        int64   `yaml:"visible_ms"`
+	EarlyMs          int64   `yaml:"early_ms"`
+	StatusRetentionS float64 `yaml:"status_s"`
+	RemoteSlowdown   float64 `yaml:"far_x"`
+	CheckpointS      float64 `yaml:"save_s"`
+	RestoreMs        int64   `yaml:"restore_ms"`
 }
 
 // CloudAPI is where the platform's list of runners is.
 type CloudAPI struct {
-	Address  string  `yaml:"address"`
-	PerS     float64 `yaml:"rate_per_s"`
-	MaxLagMs int64   `yaml:"max_lag_ms"`
+	Address      string  `yaml:"address"`
+	RequestsPerS float64 `yaml:"rate_per_s"`
+	MaxLagMs     int64   `yaml:"max_lag_ms"`
 }
 
 // Path returns where this process's settings are.
 func Path() string {
-	if path := os.Getenv(Variable); path != "" {
+	if path := os.Getenv(PathVariable); path != "" {
 		return path
 	}
 	return DefaultPath
@@ -96,7 +96,7 @@
 func Load(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, errors.Wrapf(err, "read the settings: set %s to the file's path", Variable)
+		return Settings{}, errors.Wrapf(err, "read the settings: set %s to the file's path", PathVariable)
 	}
 	return Parse(content)
 }
@@ -118,7 +118,7 @@
 		normal int64
 	}{
 		{&s.Bounds.ContactMs, 3000}, {&s.Bounds.AckMs, 4000}, {&s.Bounds.DrainMs, 3000}, {&s.Bounds.ConfigApplyMs, 2000},
-		{&s.Bounds.HoldMaxMs, 6000}, {&s.Bounds.StopMs, 400}, {&s.Bounds.GangMs, 3000}, {&s.Bounds.CancelMs, 3000},
+		{&s.Bounds.MaxLeaseMs, 6000}, {&s.Bounds.StopMs, 400}, {&s.Bounds.GangMs, 3000}, {&s.Bounds.CancelMs, 3000},
 		{&s.Bounds.EarlyMs, 250}, {&s.Bounds.RestoreMs, 250},
 	} {
 		if *b.field == 0 {
@@ -128,11 +128,11 @@
 	if s.Bounds.GraceS == 0 {
 		s.Bounds.GraceS = 6
 	}
-	if s.Bounds.StatusS == 0 {
-		s.Bounds.StatusS = 120
+	if s.Bounds.StatusRetentionS == 0 {
+		s.Bounds.StatusRetentionS = 120
 	}
-	if s.Bounds.FarX < 1 {
-		s.Bounds.FarX = 1
+	if s.Bounds.RemoteSlowdown < 1 {
+		s.Bounds.RemoteSlowdown = 1
 	}
 }
 
@@ -172,8 +172,8 @@
 	return addresses
 }
 
-// HoldMax returns the longest hold of a runner.
-func (b *Bounds) HoldMax() time.Duration { return time.Duration(b.HoldMaxMs) * time.Millisecond }
+// MaxLease returns the longest hold of a runner.
+func (b *Bounds) MaxLease() time.Duration { return time.Duration(b.MaxLeaseMs) * time.Millisecond }
 
 // Grace returns how long a process has from SIGTERM to its end.
 func (b *Bounds) Grace() time.Duration { return time.Duration(b.GraceS * float64(time.Second)) }
--- a/internal/cluster/systemtest/standin.go
+++ b/internal/cluster/systemtest/standin.go
@@ -39,8 +39,8 @@
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-// Add lists a runner.
-func (p *Platform) Add(r *Runner, service string) {
+// AddRunner lists a runner.
+func (p *Platform) AddRunner(r *Runner, service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.entries = append(p.entries, map[string]any{
@@ -51,9 +51,9 @@
 
 // Runner is a stand-in of a runner: its tasks end done after a while.
 type Runner struct {
-	ID     string
-	Server *httptest.Server
-	Takes  time.Duration
+	ID           string
+	Server       *httptest.Server
+	TaskDuration time.Duration
 
 	mu       sync.Mutex
 	changed  chan struct{}
@@ -67,7 +67,7 @@
 
 // NewRunner returns a runner whose tasks take so long.
 func NewRunner(id string, takes time.Duration) *Runner {
-	r := &Runner{ID: id, Takes: takes, changed: make(chan struct{}), runs: map[string]int{}, began: map[string]int{}, started: time.Now()}
+	r := &Runner{ID: id, TaskDuration: takes, changed: make(chan struct{}), runs: map[string]int{}, began: map[string]int{}, started: time.Now()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/run-start", r.start)
 	mux.HandleFunc("POST /-/run-stop", r.stop)
@@ -85,8 +85,8 @@
 	WaitMs  int64  `json:"wait_ms"`
 }
 
-// Starts returns how often each task began.
-func (r *Runner) Starts() map[string]int {
+// StartCounts returns how often each task began.
+func (r *Runner) StartCounts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	starts := map[string]int{}
@@ -128,7 +128,7 @@
 	if r.runs[o.Task] != o.Attempt {
 		r.runs[o.Task] = o.Attempt
 		r.began[o.Task]++
-		time.AfterFunc(r.Takes, func() { r.end(o, "done") })
+		time.AfterFunc(r.TaskDuration, func() { r.end(o, "done") })
 	}
 	fmt.Fprintf(w, `{"clock_ms":%d}`, r.clock())
 }
--- a/internal/dispatcher/accounting/asks.go
+++ b/internal/dispatcher/accounting/asks.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Asks counts what clients wanted, each once however often it was tried. An
+// LogicalRequests counts what clients wanted, each once however often it was tried. An
 // ask is open while one of its tries is. It ends as served if any try was,
 // else as its last try; a try that comes after an end that did not serve opens
 // it again. Asked + sum of Reopened = sum of Ends + Open.
-type Asks struct {
+type LogicalRequests struct {
 	Asked    int64
 	Retries  int64 // tries of an ask that was known
 	Echoes   int64 // of them those of an ask that had been served
@@ -21,7 +21,7 @@
 }
 
 // Final is how many asks stand at an outcome.
-func (a *Asks) Final(o Outcome) int64 { return a.Ends[o] - a.Reopened[o] }
+func (a *LogicalRequests) Final(o Outcome) int64 { return a.Ends[o] - a.Reopened[o] }
 
 type ask struct {
 	open    uint32
@@ -40,7 +40,7 @@
 // Of a million asks that are remembered together two share a hash with a
 // chance of 1 in 36 million.
 type asks struct {
-	Asks
+	LogicalRequests
 	known  map[uint64]ask
 	oldest []remembered // a ring
 	first  int
@@ -53,8 +53,8 @@
 	return asks{known: make(map[uint64]ask), most: max(1, most), keep: keep}
 }
 
-// AskID is the hash that ties the tries of one ask; 0: it has no key.
-func AskID(class, key string) uint64 {
+// LogicalRequestID is the hash that ties the tries of one ask; 0: it has no key.
+func LogicalRequestID(class, key string) uint64 {
 	if key == "" {
 		return 0
 	}
@@ -67,7 +67,7 @@
 }
 
 func (a *asks) enter(j Job, now time.Time) (id uint64, stray bool) {
-	id = AskID(j.Class, j.Key)
+	id = LogicalRequestID(j.Class, j.Key)
 	if id == 0 {
 		if j.Retry {
 			a.Strays++
--- a/internal/dispatcher/accounting/book.go
+++ b/internal/dispatcher/accounting/book.go
@@ -8,11 +8,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Other is what a name counts under when there are too many.
-const Other = "(other)"
+// OtherNames is what a name counts under when there are too many.
+const OtherNames = "(other)"
 
-// Nowhere is the member group of a job that was not sent yet.
-const Nowhere = "-"
+// NoGroup is the member group of a job that was not sent yet.
+const NoGroup = "-"
 
 // Job is what a job is counted under.
 type Job struct {
@@ -21,17 +21,17 @@
 	Retry                bool   // the client says that it asked before
 }
 
-// Place names a row of the book: jobs of one front, class and tenant that
+// RowKey names a row of the book: jobs of one front, class and tenant that
 // are, or were last, at one group of members.
-type Place struct{ Front, Class, Tenant, Group string }
+type RowKey struct{ Front, Class, Tenant, Group string }
 
 // Row counts the jobs of one place. A job moves to another row when it is sent
 // to another group. Entered + Came = sum of Ends + Went + Open.
 type Row struct {
-	Place
+	RowKey
 	Entered, Came, Went, Open int64
 	Ends                      [Reasons]int64
-	line                      *Line
+	line                      *Series
 }
 
 // Ended is how many jobs ended in this row.
@@ -42,8 +42,8 @@
 	return n
 }
 
-// Line counts the jobs of one front, class and tenant in windows of time.
-type Line struct {
+// Series counts the jobs of one front, class and tenant in windows of time.
+type Series struct {
 	Front, Class, Tenant string
 	Windows              Windows
 }
@@ -54,8 +54,8 @@
 	Ends        [Reasons]int64
 }
 
-// By sums the ends of one outcome.
-func (t *Totals) By(o Outcome) (n int64) {
+// EndedAs sums the ends of one outcome.
+func (t *Totals) EndedAs(o Outcome) (n int64) {
 	for r, e := range t.Ends {
 		if Reason(r).Outcome() == o {
 			n += e
@@ -65,17 +65,17 @@
 }
 
 // flowStatuses is how many ways a flow may end.
-const flowStatuses = int(policy.Unfit) + 1
+const flowStatuses = int(policy.InvalidRequest) + 1
 
-// FlowRow counts the flows of one class at one group. Sent = sum of Ends + Out.
-type FlowRow struct {
+// FlowCounts counts the flows of one class at one group. Sent = sum of Ends + Out.
+type FlowCounts struct {
 	Class, Group string
 	Sent, Out    int64
 	Ends         [flowStatuses]int64
 }
 
-// Times are one class's spans, in microseconds.
-type Times struct {
+// Latencies are one class's spans, in microseconds.
+type Latencies struct {
 	Wait  *hdrhistogram.Histogram // from taking in to the last send
 	Run   *hdrhistogram.Histogram // from the last send to the answer; served jobs only
 	Whole *hdrhistogram.Histogram // from taking in to the answer
@@ -85,16 +85,16 @@
 
 // Limits bound a book.
 type Limits struct {
-	Tenants []string // names that count under themselves; none: the first that come
-	Names   int      // how many of a kind come first
-	Rows    int
-	Asks    int           // that are remembered
-	AskFor  time.Duration // and how long
+	Tenants                 []string // names that count under themselves; none: the first that come
+	MaxNames                int      // how many of a kind come first
+	MaxRows                 int
+	MaxLogicalRequests      int           // that are remembered
+	LogicalRequestRetention time.Duration // and how long
 }
 
 // DefaultLimits keep a book within about 2 MB.
 func DefaultLimits() Limits {
-	return Limits{Names: 64, Rows: 2048, Asks: 8192, AskFor: time.Hour}
+	return Limits{MaxNames: 64, MaxRows: 2048, MaxLogicalRequests: 8192, LogicalRequestRetention: time.Hour}
 }
 
 // Entry is a job that is open.
@@ -112,13 +112,13 @@
 // Group is where the job was last sent.
 func (e *Entry) Group() string { return e.row.Group }
 
-// Book is the account of one run of the program.
-type Book struct {
+// Ledger is the account of one run of the program.
+type Ledger struct {
 	limits  Limits
-	rows    map[Place]*Row
-	lines   map[Place]*Line // by places without a group
-	flows   map[[2]string]*FlowRow
-	times   map[string]*Times
+	rows    map[RowKey]*Row
+	lines   map[RowKey]*Series // by places without a group
+	flows   map[[2]string]*FlowCounts
+	times   map[string]*Latencies
 	tenants map[string]bool
 	asks    asks
 	totals  Totals
@@ -129,10 +129,10 @@
 }
 
 // New returns an empty book.
-func New(l Limits) *Book {
-	b := &Book{
-		limits: l, rows: make(map[Place]*Row), lines: make(map[Place]*Line), flows: make(map[[2]string]*FlowRow),
-		times: make(map[string]*Times), tenants: make(map[string]bool), asks: newAsks(l.Asks, l.AskFor),
+func New(l Limits) *Ledger {
+	b := &Ledger{
+		limits: l, rows: make(map[RowKey]*Row), lines: make(map[RowKey]*Series), flows: make(map[[2]string]*FlowCounts),
+		times: make(map[string]*Latencies), tenants: make(map[string]bool), asks: newAsks(l.MaxLogicalRequests, l.LogicalRequestRetention),
 	}
 	for _, t := range l.Tenants {
 		b.tenants[t] = true
@@ -142,51 +142,51 @@
 
 // tenant is the name that a tenant counts under. Clients choose the names they
 // send, and a book must not grow with them.
-func (b *Book) tenant(name string) string {
+func (b *Ledger) tenant(name string) string {
 	switch {
 	case b.tenants[name]:
 		return name
-	case len(b.limits.Tenants) > 0 || len(b.tenants) >= b.limits.Names:
-		return Other
+	case len(b.limits.Tenants) > 0 || len(b.tenants) >= b.limits.MaxNames:
+		return OtherNames
 	}
 	b.tenants[name] = true
 	return name
 }
 
-func (b *Book) row(p Place) *Row {
+func (b *Ledger) row(p RowKey) *Row {
 	if r := b.rows[p]; r != nil {
 		return r
 	}
-	if len(b.rows) >= b.limits.Rows { // what would be one row too many shares one
-		p.Tenant, p.Group = Other, Other
+	if len(b.rows) >= b.limits.MaxRows { // what would be one row too many shares one
+		p.Tenant, p.Group = OtherNames, OtherNames
 		if r := b.rows[p]; r != nil {
 			return r
 		}
 	}
-	at := Place{Front: p.Front, Class: p.Class, Tenant: p.Tenant}
+	at := RowKey{Front: p.Front, Class: p.Class, Tenant: p.Tenant}
 	l := b.lines[at]
 	if l == nil {
-		l = &Line{Front: p.Front, Class: p.Class, Tenant: p.Tenant}
+		l = &Series{Front: p.Front, Class: p.Class, Tenant: p.Tenant}
 		b.lines[at] = l
 	}
-	r := &Row{Place: p, line: l}
+	r := &Row{RowKey: p, line: l}
 	b.rows[p] = r
 	return r
 }
 
-func (b *Book) class(name string) *Times {
+func (b *Ledger) class(name string) *Latencies {
 	t := b.times[name]
 	if t == nil {
 		fresh := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest.Microseconds(), 2) }
-		t = &Times{Wait: fresh(), Run: fresh(), Whole: fresh()}
+		t = &Latencies{Wait: fresh(), Run: fresh(), Whole: fresh()}
 		b.times[name] = t
 	}
 	return t
 }
 
-// Enter counts a job that is taken. The entry is the book's: it is void once
+// JobAccepted counts a job that is taken. The entry is the book's: it is void once
 // the job has ended.
-func (b *Book) Enter(j Job, now time.Time) *Entry {
+func (b *Ledger) JobAccepted(j Job, now time.Time) *Entry {
 	var e *Entry
 	if n := len(b.free); n > 0 {
 		e, b.free = b.free[n-1], b.free[:n-1]
@@ -195,7 +195,7 @@
 	}
 	b.last++
 	j.Tenant = b.tenant(j.Tenant)
-	*e = Entry{Number: b.last, Job: j, row: b.row(Place{j.Front, j.Class, j.Tenant, Nowhere}), arrived: now, open: true}
+	*e = Entry{Number: b.last, Job: j, row: b.row(RowKey{j.Front, j.Class, j.Tenant, NoGroup}), arrived: now, open: true}
 	e.row.Entered++
 	e.row.Open++
 	e.row.line.Windows.taken(now)
@@ -205,8 +205,8 @@
 	return e
 }
 
-// Sent counts a flow of an open job to a group of members.
-func (b *Book) Sent(e *Entry, group string, now time.Time) {
+// FlowSent counts a flow of an open job to a group of members.
+func (b *Ledger) FlowSent(e *Entry, group string, now time.Time) {
 	f := b.flow(e.Job.Class, group)
 	f.Sent++
 	f.Out++
@@ -222,7 +222,7 @@
 	}
 	e.row.Went++
 	e.row.Open--
-	p := e.row.Place
+	p := e.row.RowKey
 	p.Group = group
 	e.row = b.row(p)
 	e.row.Came++
@@ -230,32 +230,32 @@
 }
 
 // FlowEnded counts the end of a flow, which may come after its job's.
-func (b *Book) FlowEnded(class, group string, s policy.Status) {
+func (b *Ledger) FlowEnded(class, group string, s policy.Status) {
 	f := b.flow(class, group)
 	f.Out--
 	f.Ends[s]++
 	b.flowed.out--
 }
 
-func (b *Book) flow(class, group string) *FlowRow {
+func (b *Ledger) flow(class, group string) *FlowCounts {
 	key := [2]string{class, group}
 	f := b.flows[key]
 	if f == nil {
-		if len(b.flows) >= b.limits.Rows {
-			key[1] = Other
+		if len(b.flows) >= b.limits.MaxRows {
+			key[1] = OtherNames
 			if f = b.flows[key]; f != nil {
 				return f
 			}
 		}
-		f = &FlowRow{Class: class, Group: key[1]}
+		f = &FlowCounts{Class: class, Group: key[1]}
 		b.flows[key] = f
 	}
 	return f
 }
 
-// End counts the end of a job. A job ends once: whatever ends one again is
+// JobEnded counts the end of a job. A job ends once: whatever ends one again is
 // counted as misuse, which an audit complains of.
-func (b *Book) End(e *Entry, r Reason, now time.Time) {
+func (b *Ledger) JobEnded(e *Entry, r Reason, now time.Time) {
 	if !e.open {
 		b.misuse++
 		return
@@ -283,4 +283,4 @@
 }
 
 // Totals are the sums so far.
-func (b *Book) Totals() Totals { return b.totals }
+func (b *Ledger) Totals() Totals { return b.totals }
--- a/internal/dispatcher/accounting/reason.go
+++ b/internal/dispatcher/accounting/reason.go
@@ -37,20 +37,20 @@
 
 // Reasons for which jobs end.
 const (
-	Answered    Reason = iota // a member's result
-	Declined                  // refused by the decisions
-	NoRoom                    // refused before the decisions: too much in hand, or no time left
-	GoingAway                 // refused by a dispatcher that ends
-	GivenUp                   // failed by the decisions
-	OverTime                  // failed at its deadline
-	MemberError               // failed after a member's error
-	ClientLeft                // nobody waits for the answer
-	BadRequest                // a member can't use the request
-	IDInHand                  // its id names another job in hand
-	Stopped                   // failed by a dispatcher that ends
-	CutOff                    // open when the dispatcher crashed
-	Behind                    // refused by a dispatcher that is behind with its own work
-	NoShare                   // refused: this dispatcher's share of a budget of the fleet's is spent
+	Answered       Reason = iota // a member's result
+	Declined                     // refused by the decisions
+	NoRoom                       // refused before the decisions: too much in hand, or no time left
+	ShuttingDown                 // refused by a dispatcher that ends
+	GivenUp                      // failed by the decisions
+	DeadlinePassed               // failed at its deadline
+	MemberError                  // failed after a member's error
+	ClientLeft                   // nobody waits for the answer
+	BadRequest                   // a member can't use the request
+	DuplicateID                  // its id names another job in hand
+	Stopped                      // failed by a dispatcher that ends
+	Crashed                      // open when the dispatcher crashed
+	Overloaded                   // refused by a dispatcher that is behind with its own work
+	BudgetSpent                  // refused: this dispatcher's share of a budget of the fleet's is spent
 	Reasons
 )
 
@@ -58,10 +58,10 @@
 	name    string
 	outcome Outcome
 }{
-	Answered: {"answered", Served}, Declined: {"declined", Refused}, NoRoom: {"no room", Refused}, GoingAway: {"going away", Refused},
-	GivenUp: {"given up", Failed}, OverTime: {"deadline", Failed}, MemberError: {"member error", Failed}, ClientLeft: {"client left", Failed},
-	BadRequest: {"bad request", Failed}, IDInHand: {"id in hand", Failed}, Stopped: {"stopped", Failed}, CutOff: {"cut off by a crash", Failed},
-	Behind: {"behind", Refused}, NoShare: {"no share", Refused},
+	Answered: {"answered", Served}, Declined: {"declined", Refused}, NoRoom: {"no room", Refused}, ShuttingDown: {"going away", Refused},
+	GivenUp: {"given up", Failed}, DeadlinePassed: {"deadline", Failed}, MemberError: {"member error", Failed}, ClientLeft: {"client left", Failed},
+	BadRequest: {"bad request", Failed}, DuplicateID: {"id in hand", Failed}, Stopped: {"stopped", Failed}, Crashed: {"cut off by a crash", Failed},
+	Overloaded: {"behind", Refused}, BudgetSpent: {"no share", Refused},
 }
 
 func (r Reason) String() string {
@@ -75,13 +75,13 @@
 func (r Reason) Outcome() Outcome { return reasons[r].outcome }
 
 var statuses = [flowStatuses]string{
-	policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.TimedOut: "timed out",
-	policy.ConnectFailed: "connect failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.Moot: "moot",
-	policy.Unfit: "unfit",
+	policy.OK: "ok", policy.Error: "error", policy.Rejected: "full", policy.TimedOut: "timed out",
+	policy.ConnectFailed: "connect failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot",
+	policy.InvalidRequest: "unfit",
 }
 
 // StatusName is how a flow ended, in a word or two.
 func StatusName(s policy.Status) string { return statuses[s] }
 
-// FlowStatus is the same for the number of a column of FlowRow.Ends.
-func FlowStatus(i int) string { return statuses[i] }
+// StatusNameAt is the same for the number of a column of FlowRow.Ends.
+func StatusNameAt(i int) string { return statuses[i] }
--- a/internal/dispatcher/accounting/snapshot.go
+++ b/internal/dispatcher/accounting/snapshot.go
@@ -13,22 +13,22 @@
 type Snapshot struct {
 	At     time.Time
 	Totals Totals
-	Asks   Asks
+	Asks   LogicalRequests
 	Rows   []Row
-	Lines  []LineSnapshot
-	Flows  []FlowRow
-	Times  map[string]Spans
+	Lines  []SeriesSnapshot
+	Flows  []FlowCounts
+	Times  map[string]LatencySnapshots
 }
 
-// LineSnapshot is one line's windows.
-type LineSnapshot struct {
+// SeriesSnapshot is one line's windows.
+type SeriesSnapshot struct {
 	Front, Class, Tenant string
-	Minute, Hour, Day    Span // the ones that run
-	Hour60, Day24        Span // the last 60 minutes and 24 hours
+	Minute, Hour, Day    WindowCounts // the ones that run
+	Hour60, Day24        WindowCounts // the last 60 minutes and 24 hours
 }
 
-// Spans are one class's times.
-type Spans struct{ Wait, Run, Whole Distribution }
+// LatencySnapshots are one class's times.
+type LatencySnapshots struct{ Wait, Run, Whole Distribution }
 
 // Distribution is a histogram that has been read.
 type Distribution struct {
@@ -39,15 +39,15 @@
 	Buckets       map[time.Duration]int64 // how many took so long at most
 }
 
-// Edges are the upper edges of a distribution's buckets.
-var Edges = []time.Duration{
+// BucketEdges are the upper edges of a distribution's buckets.
+var BucketEdges = []time.Duration{
 	5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 250 * time.Millisecond,
 	500 * time.Millisecond, time.Second, 2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 25 * time.Second, time.Minute,
 }
 
 // Snapshot copies the account.
-func (b *Book) Snapshot(now time.Time) Snapshot {
-	s := Snapshot{At: now, Totals: b.totals, Asks: b.asks.Asks, Times: make(map[string]Spans)}
+func (b *Ledger) Snapshot(now time.Time) Snapshot {
+	s := Snapshot{At: now, Totals: b.totals, Asks: b.asks.LogicalRequests, Times: make(map[string]LatencySnapshots)}
 	for _, r := range b.rows {
 		s.Rows = append(s.Rows, *r)
 	}
@@ -56,23 +56,23 @@
 	})
 	for _, l := range b.lines {
 		w := &l.Windows
-		s.Lines = append(s.Lines, LineSnapshot{
+		s.Lines = append(s.Lines, SeriesSnapshot{
 			Front: l.Front, Class: l.Class, Tenant: l.Tenant,
 			Minute: w.Latest(Minute, now), Hour: w.Latest(Hour, now), Day: w.Latest(Day, now),
 			Hour60: w.Kept(Minute, now), Day24: w.Kept(Hour, now),
 		})
 	}
-	slices.SortFunc(s.Lines, func(x, y LineSnapshot) int {
+	slices.SortFunc(s.Lines, func(x, y SeriesSnapshot) int {
 		return cmp.Or(strings.Compare(x.Front, y.Front), strings.Compare(x.Class, y.Class), strings.Compare(x.Tenant, y.Tenant))
 	})
 	for _, f := range b.flows {
 		s.Flows = append(s.Flows, *f)
 	}
-	slices.SortFunc(s.Flows, func(x, y FlowRow) int {
+	slices.SortFunc(s.Flows, func(x, y FlowCounts) int {
 		return cmp.Or(strings.Compare(x.Class, y.Class), strings.Compare(x.Group, y.Group))
 	})
 	for class, t := range b.times {
-		s.Times[class] = Spans{Wait: read(t.Wait), Run: read(t.Run), Whole: read(t.Whole)}
+		s.Times[class] = LatencySnapshots{Wait: read(t.Wait), Run: read(t.Run), Whole: read(t.Whole)}
 	}
 	return s
 }
@@ -81,11 +81,11 @@
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	d := Distribution{
 		Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: time.Duration(h.Max()) * time.Microsecond,
-		Buckets: make(map[time.Duration]int64, len(Edges)),
+		Buckets: make(map[time.Duration]int64, len(BucketEdges)),
 	}
 	d.Sum = time.Duration(h.Mean() * float64(d.Count) * float64(time.Microsecond))
 	for _, bar := range h.Distribution() {
-		for _, edge := range Edges {
+		for _, edge := range BucketEdges {
 			if bar.To <= edge.Microseconds() {
 				d.Buckets[edge] += bar.Count
 			}
--- a/internal/dispatcher/accounting/windows.go
+++ b/internal/dispatcher/accounting/windows.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Span counts one stretch of time.
-type Span struct {
-	Taken uint32           `json:"taken"`
-	Ends  [Outcomes]uint32 `json:"ends"` // served, refused, failed
+// WindowCounts counts one stretch of time.
+type WindowCounts struct {
+	Accepted uint32           `json:"taken"`
+	Ends     [Outcomes]uint32 `json:"ends"` // served, refused, failed
 }
 
-func (s *Span) add(o Span) {
-	s.Taken += o.Taken
+func (s *WindowCounts) add(o WindowCounts) {
+	s.Accepted += o.Accepted
 	for i := range s.Ends {
 		s.Ends[i] += o.Ends[i]
 	}
@@ -24,15 +24,15 @@
 // Windows are a line's counts by the minute, the hour and the day (UTC), the
 // latest of each. Time that runs backward counts into the latest stretch.
 type Windows struct {
-	minutes [minutes]Span
-	hours   [hours]Span
-	days    [days]Span
+	minutes [minutes]WindowCounts
+	hours   [hours]WindowCounts
+	days    [days]WindowCounts
 	at      [3]int64 // the latest minute, hour and day since 1970
 }
 
 var units = [3]int64{60, 3600, 86400}
 
-func (w *Windows) ring(i int) []Span {
+func (w *Windows) ring(i int) []WindowCounts {
 	switch i {
 	case 0:
 		return w.minutes[:]
@@ -51,7 +51,7 @@
 	for i, unit := range units {
 		ring, to := w.ring(i), s/unit
 		for n := max(w.at[i]+1, to-int64(len(ring))+1); n <= to; n++ {
-			ring[n%int64(len(ring))] = Span{}
+			ring[n%int64(len(ring))] = WindowCounts{}
 		}
 		w.at[i] = to
 	}
@@ -61,7 +61,7 @@
 	w.roll(now)
 	for i := range units {
 		ring := w.ring(i)
-		ring[w.at[i]%int64(len(ring))].Taken++
+		ring[w.at[i]%int64(len(ring))].Accepted++
 	}
 }
 
@@ -85,14 +85,14 @@
 )
 
 // Latest is the stretch that runs at a time.
-func (w *Windows) Latest(of Window, now time.Time) Span {
+func (w *Windows) Latest(of Window, now time.Time) WindowCounts {
 	w.roll(now)
 	ring := w.ring(int(of))
 	return ring[w.at[of]%int64(len(ring))]
 }
 
 // Kept sums all stretches that are kept: 60 minutes, 24 hours or 8 days.
-func (w *Windows) Kept(of Window, now time.Time) (sum Span) {
+func (w *Windows) Kept(of Window, now time.Time) (sum WindowCounts) {
 	w.roll(now)
 	for _, s := range w.ring(int(of)) {
 		sum.add(s)
--- a/internal/dispatcher/adminapi/door.go
+++ b/internal/dispatcher/adminapi/door.go
@@ -21,17 +21,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// ErrUnknown is what Out and Back return for a runner that nobody listed.
-var ErrUnknown = errors.New("no runner of this id is known")
-
-// Operator is what the door sets and asks.
-type Operator interface {
-	Serving() bool          // this process can serve
-	Out(id string) error    // take a runner out; ErrUnknown
-	Back(id string) error   // put a runner back; ErrUnknown
-	Drain()                 // the dispatcher is to drain
-	Undrain()               // the drain ends
-	News(body []byte) error // a pool member's call-back, handed on by the other process of this dispatcher
+// ErrUnknownRunner is what Out and Back return for a runner that nobody listed.
+var ErrUnknownRunner = errors.New("no runner of this id is known")
+
+// Operations is what the door sets and asks.
+type Operations interface {
+	Serving() bool                           // this process can serve
+	TakeOut(id string) error                 // take a runner out; ErrUnknown
+	PutBack(id string) error                 // put a runner back; ErrUnknown
+	Drain()                                  // the dispatcher is to drain
+	Undrain()                                // the drain ends
+	HandleForwardedUpdate(body []byte) error // a pool member's call-back, handed on by the other process of this dispatcher
 }
 
 const (
@@ -40,25 +40,25 @@
 	callFor = 400 * time.Millisecond
 	// and its answer this long to be taken.
 	answerFor = 400 * time.Millisecond
-	// Most connections held at a time; more wait to be accepted, for callFor at most.
-	Most     = 32
-	mostCall = 4 << 10
+	// MaxConnections connections held at a time; more wait to be accepted, for callFor at most.
+	MaxConnections = 32
+	mostCall       = 4 << 10
 	// mostNews leaves room for a result of the greatest size, escaped in JSON,
 	// as the clients' address does.
 	mostNews = 2*pipeline.MaxBody + 1024
 )
 
-// Door is the listener's server.
-type Door struct {
-	op     Operator
+// Server is the listener's server.
+type Server struct {
+	op     Operations
 	log    logrus.FieldLogger
 	server *http.Server
 	fleet  Fleet // nil: this process is alone
 }
 
 // New returns a door that is not serving yet.
-func New(op Operator, log *logrus.Logger) *Door {
-	d := &Door{op: op, log: log}
+func New(op Operations, log *logrus.Logger) *Server {
+	d := &Server{op: op, log: log}
 	quiet := stdlog.New(debug{log}, "", 0)
 	d.server = &http.Server{
 		Handler: d, ReadHeaderTimeout: callFor, ReadTimeout: callFor, WriteTimeout: callFor + answerFor,
@@ -76,17 +76,17 @@
 }
 
 // Serve serves on l until the context ends.
-func (d *Door) Serve(ctx context.Context, l net.Listener) error {
+func (d *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { d.server.Close() })
 	defer stop()
-	if err := d.server.Serve(newBounded(l, Most)); err != http.ErrServerClosed && ctx.Err() == nil {
+	if err := d.server.Serve(newBounded(l, MaxConnections)); err != http.ErrServerClosed && ctx.Err() == nil {
 		return fmt.Errorf("the operators' door at %s: %w", l.Addr(), err)
 	}
 	return nil
 }
 
 // ServeHTTP implements http.Handler.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Connection", "close")
 	path := r.URL.Path
 	switch {
@@ -125,7 +125,7 @@
 }
 
 // runner takes a runner out or puts it back.
-func (d *Door) runner(w http.ResponseWriter, r *http.Request, rest string) {
+func (d *Server) runner(w http.ResponseWriter, r *http.Request, rest string) {
 	id, what, ok := strings.Cut(rest, "/")
 	if !ok || id == "" || (what != "maint" && what != "ready") {
 		d.refuse(w, r, http.StatusNotFound, "no such call")
@@ -135,12 +135,12 @@
 		d.refuse(w, r, http.StatusMethodNotAllowed, "runners are taken out and put back with POST")
 		return
 	}
-	set, word := d.op.Out, "out"
+	set, word := d.op.TakeOut, "out"
 	if what == "ready" {
-		set, word = d.op.Back, "back"
+		set, word = d.op.PutBack, "back"
 	}
 	switch err := set(id); {
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownRunner):
 		d.refuse(w, r, http.StatusNotFound, err.Error())
 	case err != nil:
 		d.log.WithError(err).WithField("runner", id).Error("the operators' call failed")
@@ -153,7 +153,7 @@
 
 // news takes a call-back that the other process of this dispatcher got for a
 // job of this one.
-func (d *Door) news(w http.ResponseWriter, r *http.Request) {
+func (d *Server) news(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		d.refuse(w, r, http.StatusMethodNotAllowed, "news is told with POST")
 		return
@@ -167,14 +167,14 @@
 		d.refuse(w, r, http.StatusRequestEntityTooLarge, "news too large")
 		return
 	}
-	if err := d.op.News(body); err != nil {
+	if err := d.op.HandleForwardedUpdate(body); err != nil {
 		d.refuse(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (d *Door) refuse(w http.ResponseWriter, r *http.Request, status int, text string) {
+func (d *Server) refuse(w http.ResponseWriter, r *http.Request, status int, text string) {
 	d.log.WithFields(logrus.Fields{"method": r.Method, "path": r.URL.Path, "status": status}).Debug("the operators' door said no")
 	http.Error(w, text, status)
 }
--- a/internal/dispatcher/capacityindex/vacancy.go
+++ b/internal/dispatcher/capacityindex/vacancy.go
@@ -9,23 +9,23 @@
 // docs/routing-design.md.
 package capacityindex
 
-// Place is where a member stands in one set. Its zero value stands nowhere. A
+// Position is where a member stands in one set. Its zero value stands nowhere. A
 // member has one for each set that it may be in.
-type Place struct{ at int } // in the set, plus one
+type Position struct{ at int } // in the set, plus one
 
 // In tells whether the member is in the set.
-func (p *Place) In() bool { return p.at != 0 }
+func (p *Position) In() bool { return p.at != 0 }
 
 // Set holds members, each at most once. The invariant is that the place of
 // all[i] is i+1, and that nobody else has a place.
 type Set[M any] struct {
-	place func(M) *Place
+	place func(M) *Position
 	all   []M
 }
 
 // New returns an empty set that keeps the places of its members where place
 // says.
-func New[M any](place func(M) *Place) Set[M] { return Set[M]{place: place} }
+func New[M any](place func(M) *Position) Set[M] { return Set[M]{place: place} }
 
 // Put takes a member in, or takes it out. It does nothing when that is so
 // already, and reports whether it did something.
--- a/internal/dispatcher/cli/faktory.go
+++ b/internal/dispatcher/cli/faktory.go
@@ -132,7 +132,7 @@
 
 func (f *faktoryCall) info(out io.Writer, conn *client.Conn) error {
 	var raw json.RawMessage
-	if err := conn.Ask("INFO", &raw, time.Now().Add(answerWithin)); err != nil {
+	if err := conn.Query("INFO", &raw, time.Now().Add(answerWithin)); err != nil {
 		return err
 	}
 	if f.format == "json" {
@@ -160,11 +160,11 @@
 
 func (f *faktoryCall) queues(out io.Writer, conn *client.Conn, only []string) error {
 	var i client.Info
-	if err := conn.Ask("INFO", &i, time.Now().Add(answerWithin)); err != nil {
+	if err := conn.Query("INFO", &i, time.Now().Add(answerWithin)); err != nil {
 		return err
 	}
 	latency := map[string]float64{}
-	if err := conn.Ask("QUEUE LATENCY *", &latency, time.Now().Add(answerWithin)); err != nil {
+	if err := conn.Query("QUEUE LATENCY *", &latency, time.Now().Add(answerWithin)); err != nil {
 		return err
 	}
 	type queue struct {
@@ -196,7 +196,7 @@
 	all := []T{}
 	for {
 		var page []T
-		if err := conn.Ask(fmt.Sprintf("SHOW %s %d", what, len(all)), &page, time.Now().Add(answerWithin)); err != nil {
+		if err := conn.Query(fmt.Sprintf("SHOW %s %d", what, len(all)), &page, time.Now().Add(answerWithin)); err != nil {
 			return nil, err
 		}
 		if len(page) == 0 {
@@ -207,7 +207,7 @@
 }
 
 func (f *faktoryCall) jobs(out io.Writer, conn *client.Conn, set string) error {
-	all, err := pages[client.Listed](conn, set)
+	all, err := pages[client.JobEntry](conn, set)
 	if err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 		if len(j.Failure) > 0 {
 			json.Unmarshal(j.Failure, &failure) // for people: what can't be read is left out
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\n", j.ID, j.Type, j.Queue, j.When.Format(time.RFC3339), j.MayRun, strings.TrimPrefix(failure.Errtype+": "+failure.Message, ": "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\n", j.ID, j.Type, j.Queue, j.At.Format(time.RFC3339), j.MayHaveRun, strings.TrimPrefix(failure.Errtype+": "+failure.Message, ": "))
 	}
 	return w.Flush()
 }
@@ -237,8 +237,8 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "wid\thost\tpid\tconnections\tholding\tquiet\tlast beat\trss, MB\tqueues")
 	for _, x := range all {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%d\t%s\n", x.ID, x.Host, x.PID, x.Connections, x.Holding, x.Quiet,
-			x.Beat.Format(time.TimeOnly), x.RSSKB>>10, strings.Join(x.Queues, " "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%d\t%s\n", x.ID, x.Host, x.PID, x.Connections, x.HeldJobs, x.Quiet,
+			x.LastHeartbeat.Format(time.TimeOnly), x.RSSKB>>10, strings.Join(x.Queues, " "))
 	}
 	return w.Flush()
 }
--- a/internal/dispatcher/cli/figures.go
+++ b/internal/dispatcher/cli/figures.go
@@ -114,7 +114,7 @@
 	c.Flags().StringVar(&a.by, "by", by, "what to count by: any of "+strings.Join(journal.Dimensions, ", "))
 }
 
-func (a *asked) query() (journal.Folder, journal.Query, error) {
+func (a *asked) query() (journal.Directory, journal.Query, error) {
 	var q journal.Query
 	if a.folder == "" {
 		return nil, q, misuse{fmt.Errorf("--folder is needed")}
@@ -135,10 +135,10 @@
 	if a.by != "" {
 		q.By = strings.Split(a.by, ",")
 	}
-	if err := q.Check(); err != nil {
+	if err := q.Validate(); err != nil {
 		return nil, q, misuse{err}
 	}
-	f, err := journal.ReadFolder(a.folder)
+	f, err := journal.ReadDirectory(a.folder)
 	return f, q, err
 }
 
@@ -148,7 +148,7 @@
 	c := &cobra.Command{
 		Use: "report", Short: "report what a journal has counted", Args: none,
 		RunE: func(*cobra.Command, []string) error {
-			write := map[string]func(io.Writer, journal.Query, []*journal.Figures) error{"table": reportTable, "csv": reportCSV, "json": reportJSON}[format]
+			write := map[string]func(io.Writer, journal.Query, []*journal.ReportRow) error{"table": reportTable, "csv": reportCSV, "json": reportJSON}[format]
 			if write == nil {
 				return misuse{fmt.Errorf("--format is table, csv or json, not %q", format)}
 			}
@@ -173,9 +173,9 @@
 
 var reportColumns = []string{"opened", "taken", "served", "refused", "failed", "open", "asks", "p50_ms", "p95_ms", "p99_ms", "longest_ms"}
 
-func reportRow(f *journal.Figures) []string {
+func reportRow(f *journal.ReportRow) []string {
 	row := append([]string(nil), f.By...)
-	for _, n := range []int64{f.Opened, f.Taken, f.Outcome(accounting.Served), f.Outcome(accounting.Refused), f.Outcome(accounting.Failed), f.Open, f.Asks} {
+	for _, n := range []int64{f.OpenBefore, f.Accepted, f.Outcome(accounting.Served), f.Outcome(accounting.Refused), f.Outcome(accounting.Failed), f.Open, f.LogicalRequests} {
 		row = append(row, strconv.FormatInt(n, 10))
 	}
 	for _, d := range []time.Duration{f.P50, f.P95, f.P99, f.Longest} {
@@ -184,7 +184,7 @@
 	return row
 }
 
-func reportTable(out io.Writer, q journal.Query, rows []*journal.Figures) error {
+func reportTable(out io.Writer, q journal.Query, rows []*journal.ReportRow) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, strings.Join(append(append([]string(nil), q.By...), reportColumns...), "\t")+"\t")
 	for _, r := range rows {
@@ -193,7 +193,7 @@
 	return w.Flush()
 }
 
-func reportCSV(out io.Writer, q journal.Query, rows []*journal.Figures) error {
+func reportCSV(out io.Writer, q journal.Query, rows []*journal.ReportRow) error {
 	w := csv.NewWriter(out)
 	w.Write(append(append([]string(nil), q.By...), reportColumns...))
 	for _, r := range rows {
@@ -203,7 +203,7 @@
 	return w.Error()
 }
 
-func reportJSON(out io.Writer, q journal.Query, rows []*journal.Figures) error {
+func reportJSON(out io.Writer, q journal.Query, rows []*journal.ReportRow) error {
 	type row struct {
 		By                      map[string]string
 		Opened, Taken           int64
@@ -214,7 +214,7 @@
 	}
 	all := []row{}
 	for _, f := range rows {
-		r := row{By: map[string]string{}, Opened: f.Opened, Taken: f.Taken, Reasons: map[string]int64{}, Open: f.Open, Asks: f.Asks,
+		r := row{By: map[string]string{}, Opened: f.OpenBefore, Taken: f.Accepted, Reasons: map[string]int64{}, Open: f.Open, Asks: f.LogicalRequests,
 			Served: f.Outcome(accounting.Served), Refused: f.Outcome(accounting.Refused), Failed: f.Outcome(accounting.Failed)}
 		for i, by := range q.By {
 			r.By[by] = f.By[i]
@@ -235,7 +235,7 @@
 	return &cobra.Command{
 		Use: "verify FOLDER", Short: "recount a journal and name every entry that does not add up", Args: exactly("FOLDER"),
 		RunE: func(_ *cobra.Command, args []string) error {
-			f, err := journal.ReadFolder(args[0])
+			f, err := journal.ReadDirectory(args[0])
 			if err != nil {
 				return err
 			}
@@ -244,18 +244,18 @@
 				return err
 			}
 			t := &v.Totals
-			fmt.Fprintf(sh.out, "%d segments, %d epochs, %d records, %d jobs, %d marks of the account\n", v.Segments, v.Epochs, v.Records, v.Jobs, v.Marks)
-			fmt.Fprintf(sh.out, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.By(accounting.Served), t.By(accounting.Refused), t.By(accounting.Failed), t.Open)
-			if v.Torn > 0 {
-				fmt.Fprintf(sh.out, "%d torn bytes at the very end: the next start cuts them\n", v.Torn)
+			fmt.Fprintf(sh.out, "%d segments, %d epochs, %d records, %d jobs, %d marks of the account\n", v.Segments, v.Epochs, v.Records, v.Jobs, v.Checkpoints)
+			fmt.Fprintf(sh.out, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open)
+			if v.TornBytes > 0 {
+				fmt.Fprintf(sh.out, "%d torn bytes at the very end: the next start cuts them\n", v.TornBytes)
 			}
-			if !v.LastEpochInOrder {
+			if !v.LastShutdownClean {
 				fmt.Fprintln(sh.out, "the last epoch has not ended in order: it runs, or was cut off")
 			}
-			for _, wrong := range v.Wrong {
+			for _, wrong := range v.Inconsistencies {
 				fmt.Fprintln(sh.out, "WRONG:", wrong)
 			}
-			if len(v.Wrong) > 0 {
+			if len(v.Inconsistencies) > 0 {
 				return silent
 			}
 			return nil
--- a/internal/dispatcher/cli/serve.go
+++ b/internal/dispatcher/cli/serve.go
@@ -57,10 +57,10 @@
 	if extra.Fleet != nil && os.Getenv("ROUTER_NAME") != "" && os.Getenv("ROUTER_LISTEN") != "" {
 		return errors.New("operator's file: fleet: the platform that sets ROUTER_NAME and ROUTER_LISTEN has no lasting folder and no talk among dispatchers: take the section out")
 	}
-	server.Fit(c)
+	server.ApplyResourceLimits(c)
 	return server.Run(ctx, server.Options{
 		Config: c, Operator: extra, OperatorDir: filepath.Dir(operator), Log: sh.logger(),
-		Reread: func() (settings.Config, error) { return configure(nil) },
+		ReadConfig: func() (settings.Config, error) { return configure(nil) },
 	}, told, reloads)
 }
 
@@ -72,7 +72,7 @@
 		return settings.Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
 	if over == nil { // read again while serving: what can't be used whole is not used
-		if err := settings.Retunable(text); err != nil {
+		if err := settings.CheckReload(text); err != nil {
 			return settings.Config{}, fmt.Errorf("%s: %w", path, err)
 		}
 	}
--- a/internal/dispatcher/cli/tools.go
+++ b/internal/dispatcher/cli/tools.go
@@ -57,7 +57,7 @@
 	c := &cobra.Command{
 		Use: "soak", Short: "load a dispatcher, kill it at random, and check every sum", Args: none,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if span <= 0 || s.Kills < 0 || s.Workers < 0 || s.Rate <= 0 {
+			if span <= 0 || s.Kills < 0 || s.WorkerKills < 0 || s.Rate <= 0 {
 				return misuse{errors.New("--for, --kills and --rate must be more than nothing")}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -66,11 +66,11 @@
 			if s.Program, err = os.Executable(); err != nil {
 				return err
 			}
-			if s.Folder == "" {
-				if s.Folder, err = os.MkdirTemp("", "basaltloft-figures"); err != nil {
+			if s.JournalDir == "" {
+				if s.JournalDir, err = os.MkdirTemp("", "basaltloft-figures"); err != nil {
 					return err
 				}
-				defer os.RemoveAll(s.Folder)
+				defer os.RemoveAll(s.JournalDir)
 			}
 			s.Until = time.Now().Add(span)
 			r, err := soak.Run(ctx, s, sh.err)
@@ -82,9 +82,9 @@
 	}
 	c.Flags().DurationVar(&span, "for", time.Minute, "how `long`")
 	c.Flags().IntVar(&s.Kills, "kills", 10, "how often the dispatcher is killed")
-	c.Flags().IntVar(&s.Workers, "worker-kills", 0, "how often a Faktory worker is killed")
+	c.Flags().IntVar(&s.WorkerKills, "worker-kills", 0, "how often a Faktory worker is killed")
 	c.Flags().Float64Var(&s.Rate, "rate", 60, "asks a second by each front")
-	c.Flags().StringVar(&s.Folder, "folder", "", "keep the journal in this `folder`")
+	c.Flags().StringVar(&s.JournalDir, "folder", "", "keep the journal in this `folder`")
 	c.Flags().Uint64Var(&s.Seed, "seed", 1, "of the random numbers")
 	return c
 }
@@ -169,7 +169,7 @@
 	c := &cobra.Command{
 		Use: "standin --folder DIR", Short: "serve stand-in members and discovery for a dispatcher", Args: none,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if folder == "" || l.Members < 1 || l.Slots < 1 || l.Run < 0 {
+			if folder == "" || l.Members < 1 || l.Slots < 1 || l.RunTime < 0 {
 				return misuse{errors.New("--folder must be named, --members and --slots be 1 or more, --run not below 0")}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -185,7 +185,7 @@
 					return fmt.Errorf("standing in: %w", err)
 				}
 			}
-			fmt.Fprintf(sh.out, "%d members, discovery at %s; a dispatcher for them, which listens at %s (Faktory: %s):\n", l.Members, w.Discovery.Addr(), w.Addr, w.Faktory)
+			fmt.Fprintf(sh.out, "%d members, discovery at %s; a dispatcher for them, which listens at %s (Faktory: %s):\n", l.Members, w.Discovery.Addr(), w.HTTPAddr, w.FaktoryAddr)
 			fmt.Fprintf(sh.out, "ROUTER_CONFIG=%s basaltloft serve --operator %s\n", config, operator)
 			<-ctx.Done()
 			return nil
@@ -194,6 +194,6 @@
 	c.Flags().StringVar(&folder, "folder", "", "`folder` for the files with which a dispatcher finds them")
 	c.Flags().IntVar(&l.Members, "members", 8, "how many members")
 	c.Flags().IntVar(&l.Slots, "slots", 4, "jobs that a member runs at a time")
-	c.Flags().DurationVar(&l.Run, "run", 20*time.Millisecond, "how `long` a job runs; 0: 10 to 30 ms, tickets three times as long")
+	c.Flags().DurationVar(&l.RunTime, "run", 20*time.Millisecond, "how `long` a job runs; 0: 10 to 30 ms, tickets three times as long")
 	return c
 }
--- a/internal/dispatcher/demo/demo.go
+++ b/internal/dispatcher/demo/demo.go
@@ -36,25 +36,25 @@
 // Configuration is the configuration file of this world's dispatcher. It knows
 // the members from the start.
 func (w *World) Configuration() string {
-	var listed []fakes.Listed
+	var listed []fakes.Instance
 	for _, m := range w.members {
-		listed = append(listed, m.Listed())
+		listed = append(listed, m.Instance())
 	}
-	return Dispatcher{Name: "demo", Listen: w.Addr, Discovery: w.Discovery.Addr(), Of: 1, Known: listed}.Configuration()
+	return Dispatcher{Name: "demo", Listen: w.HTTPAddr, Discovery: w.Discovery.Addr(), Count: 1, InitialMembers: listed}.Configuration()
 }
 
 // Dispatcher is what the platform tells one dispatcher, of so many.
 type Dispatcher struct {
 	Name, Listen, Discovery, Admin string
-	Rank, Of                       int
-	Known                          []fakes.Listed
+	Rank, Count                    int
+	InitialMembers                 []fakes.Instance
 }
 
 // Configuration is a dispatcher's configuration file.
 func (d Dispatcher) Configuration() string {
-	known, _ := json.Marshal(d.Known)
+	known, _ := json.Marshal(d.InitialMembers)
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"admin":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},`+
-		`"known":{"generation":0,"reset":true,"instances":%s},"settings":%s}`, d.Name, d.Listen, d.Discovery, d.Admin, known, fmt.Sprintf(settingsText, d.Of, d.Rank))
+		`"known":{"generation":0,"reset":true,"instances":%s},"settings":%s}`, d.Name, d.Listen, d.Discovery, d.Admin, known, fmt.Sprintf(settingsText, d.Count, d.Rank))
 }
 
 // OperatorFile is its operator's file. An empty folder leaves the journal off.
@@ -64,18 +64,18 @@
 "faktory":{"listen":%q,"connections":128,"default":{"class":"place-hold","deadline_ms":10000},
 "workers":{"cell":7},
 "queues":{"holds":{"class":"place-hold","deadline_ms":10000,"cost_us":20000},"tickets":{"class":"group-ticket","deadline_ms":25000,"cost_us":60000}},
-"jobtypes":{"IssueTicket":{"class":"group-ticket","deadline_ms":25000,"cost_us":60000}}}}`, w.Agent, w.Figures, folder, w.Faktory)
+"jobtypes":{"IssueTicket":{"class":"group-ticket","deadline_ms":25000,"cost_us":60000}}}}`, w.AgentCheckAddr, w.MetricsAddr, folder, w.FaktoryAddr)
 }
 
 // World is the outside of one dispatcher.
 type World struct {
-	Addr, Faktory, Agent, Figures string
-	Discovery                     *fakes.Discovery
-	Till                          *fakes.Till
-	HTTP, Pushed                  fakes.Answers
-	members                       []*fakes.Member
-	all                           sync.WaitGroup
-	stopClients, stopWorkers      context.CancelFunc
+	HTTPAddr, FaktoryAddr, AgentCheckAddr, MetricsAddr string
+	Discovery                                          *fakes.Discovery
+	RunLog                                             *fakes.RunLog
+	HTTPAnswers, FaktoryAnswers                        fakes.Answers
+	members                                            []*fakes.Member
+	all                                                sync.WaitGroup
+	stopClients, stopWorkers                           context.CancelFunc
 
 	mu      sync.Mutex
 	load    Load
@@ -86,32 +86,32 @@
 
 // Load is how busy the world is.
 type Load struct {
-	Rate     float64 // asks a second by each front
-	Members  int
-	Workers  int
-	Slots    int           // of a member; 0: 4
-	Run      time.Duration // how long each job runs; 0: short, by chance
-	Troubles fakes.Troubles
-	Seed     uint64
+	Rate    float64 // asks a second by each front
+	Members int
+	Workers int
+	Slots   int           // of a member; 0: 4
+	RunTime time.Duration // how long each job runs; 0: short, by chance
+	Faults  fakes.Faults
+	Seed    uint64
 }
 
 // NewWorld starts discovery and members. Nobody asks anything yet.
 func NewWorld(l Load) (*World, error) {
-	w := &World{Till: fakes.NewTill()}
-	for _, at := range []*string{&w.Addr, &w.Faktory, &w.Agent, &w.Figures} {
+	w := &World{RunLog: fakes.NewRunLog()}
+	for _, at := range []*string{&w.HTTPAddr, &w.FaktoryAddr, &w.AgentCheckAddr, &w.MetricsAddr} {
 		var err error
-		if *at, err = fakes.Free(); err != nil {
+		if *at, err = fakes.FreeAddr(); err != nil {
 			return nil, err
 		}
 	}
 	l.Slots = cmp.Or(l.Slots, 4)
 	var err error
-	if w.members, err = l.NewMembers(fakes.MemberSettings{Reports: func() string { return w.Addr }, Till: w.Till}); err != nil {
+	if w.members, err = l.NewMembers(fakes.MemberSettings{ReportTo: func() string { return w.HTTPAddr }, RunLog: w.RunLog}); err != nil {
 		return nil, err
 	}
-	var listed []fakes.Listed
+	var listed []fakes.Instance
 	for _, m := range w.members {
-		listed = append(listed, m.Listed())
+		listed = append(listed, m.Instance())
 	}
 	if w.Discovery, err = fakes.NewDiscovery(listed...); err != nil {
 		w.Close()
@@ -123,9 +123,9 @@
 // NewMembers starts the members of a load, each as one is set up and with an id, cell,
 // and chances of its own.
 func (l Load) NewMembers(one fakes.MemberSettings) (all []*fakes.Member, err error) {
-	one.Slots, one.Troubles, one.Once = l.Slots, l.Troubles, Once
+	one.Slots, one.Faults, one.AtMostOnce = l.Slots, l.Faults, AtMostOnce
 	for i := range l.Members {
-		one.ID, one.Cell, one.Run, one.Seed = fmt.Sprintf("s-%d", i+1), i/4, l.Running(uint64(i)), l.Seed+uint64(i)
+		one.ID, one.Cell, one.Run, one.Seed = fmt.Sprintf("s-%d", i+1), i/4, l.RunTimes(uint64(i)), l.Seed+uint64(i)
 		m, err := fakes.NewMember(one)
 		if err != nil {
 			for _, m := range all {
@@ -138,14 +138,14 @@
 	return all, nil
 }
 
-// Once tells the classes that must never run twice.
-func Once(class string) bool { return class == "group-ticket" || class == "IssueTicket" }
+// AtMostOnce tells the classes that must never run twice.
+func AtMostOnce(class string) bool { return class == "group-ticket" || class == "IssueTicket" }
 
-// Running is how long jobs run: holds for 10 to 30 ms, tickets for three times
+// RunTimes is how long jobs run: holds for 10 to 30 ms, tickets for three times
 // as long.
-func (l Load) Running(n uint64) func(string) time.Duration {
-	if l.Run > 0 {
-		return func(string) time.Duration { return l.Run }
+func (l Load) RunTimes(n uint64) func(string) time.Duration {
+	if l.RunTime > 0 {
+		return func(string) time.Duration { return l.RunTime }
 	}
 	random := rand.New(rand.NewPCG(l.Seed+n, 3))
 	var mu sync.Mutex
@@ -153,32 +153,32 @@
 		mu.Lock()
 		defer mu.Unlock()
 		d := 10*time.Millisecond + time.Duration(random.Int64N(int64(20*time.Millisecond)))
-		if Once(class) {
+		if AtMostOnce(class) {
 			d *= 3
 		}
 		return d
 	}
 }
 
-// Begin lets workers fetch and clients ask.
-func (w *World) Begin(l Load) {
+// StartLoad lets workers fetch and clients ask.
+func (w *World) StartLoad(l Load) {
 	clients, stop := context.WithCancel(context.Background())
 	w.stopClients = stop
 	workers, stop := context.WithCancel(context.Background())
 	w.stopWorkers = stop
-	mix := fakes.Mix{Rate: l.Rate, Tickets: 0.28, Tenants: Tenants, Retries: 2, Impatient: 0.02, Seed: l.Seed}
-	http, faktory := func() string { return w.Addr }, w.faktory
+	mix := fakes.ClientSettings{Rate: l.Rate, TicketShare: 0.28, Tenants: Tenants, Retries: 2, AbandonShare: 0.02, Seed: l.Seed}
+	http, faktory := func() string { return w.HTTPAddr }, w.faktory
 	w.load, w.ctx = l, workers
 	for range l.Workers {
 		w.workers = append(w.workers, w.worker())
 	}
-	w.all.Go(func() { fakes.HTTPClients(clients, http, "h", mix, &w.HTTP) })
+	w.all.Go(func() { fakes.HTTPClients(clients, http, "h", mix, &w.HTTPAnswers) })
 	if l.Workers > 0 {
-		w.all.Go(func() { fakes.FaktoryClients(clients, faktory, "f", mix, &w.Pushed) })
+		w.all.Go(func() { fakes.FaktoryClients(clients, faktory, "f", mix, &w.FaktoryAnswers) })
 	}
 }
 
-func (w *World) faktory() string { return w.Faktory }
+func (w *World) faktory() string { return w.FaktoryAddr }
 
 // worker starts a Faktory worker with a wid of its own.
 func (w *World) worker() context.CancelFunc {
@@ -187,8 +187,8 @@
 	n := uint64(w.begun)
 	w.all.Go(func() {
 		fakes.FaktoryWorker(ctx, w.faktory, fakes.WorkerSettings{
-			WID: fmt.Sprintf("worker-%d", n), Queues: []string{"tickets", "holds"}, Run: w.load.Running(100 + n),
-			Troubles: w.load.Troubles, Till: w.Till, Once: Once, Seed: w.load.Seed + 100 + n,
+			WID: fmt.Sprintf("worker-%d", n), Queues: []string{"tickets", "holds"}, Run: w.load.RunTimes(100 + n),
+			Faults: w.load.Faults, RunLog: w.RunLog, AtMostOnce: AtMostOnce, Seed: w.load.Seed + 100 + n,
 		})
 	})
 	return kill
@@ -204,8 +204,8 @@
 	w.workers[n] = w.worker()
 }
 
-// EndClients asks nothing more.
-func (w *World) EndClients() { w.stopClients() }
+// StopClients asks nothing more.
+func (w *World) StopClients() { w.stopClients() }
 
 // Close ends everything and waits for it.
 func (w *World) Close() {
@@ -222,8 +222,8 @@
 	}
 }
 
-// Decoded are the configuration and operator's file for this world.
-func (w *World) Decoded(folder string) (c settings.Config, o settings.Operator, err error) {
+// DecodedSettings are the configuration and operator's file for this world.
+func (w *World) DecodedSettings(folder string) (c settings.Config, o settings.Operator, err error) {
 	if c, err = settings.DecodeConfig([]byte(w.Configuration())); err != nil {
 		return c, o, err
 	}
@@ -231,5 +231,5 @@
 	return c, o, err
 }
 
-// Ended is the signal that ends a dispatcher in the same process.
-var Ended os.Signal = syscall.SIGTERM
+// ShutdownSignal is the signal that ends a dispatcher in the same process.
+var ShutdownSignal os.Signal = syscall.SIGTERM
--- a/internal/dispatcher/demo/fleet.go
+++ b/internal/dispatcher/demo/fleet.go
@@ -42,11 +42,11 @@
 	return cmd, nil
 }
 
-// Doors opens a door of each member for one dispatcher of several, and a discovery that
+// OpenMembersFor opens a door of each member for one dispatcher of several, and a discovery that
 // lists them.
-func Doors(members []*fakes.Member, name string, reports func() string) (known []fakes.Listed, d *fakes.Discovery, err error) {
+func OpenMembersFor(members []*fakes.Member, name string, reports func() string) (known []fakes.Instance, d *fakes.Discovery, err error) {
 	for _, m := range members {
-		listed, err := m.Door(name, reports)
+		listed, err := m.OpenFor(name, reports)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -88,7 +88,7 @@
 	nodes   []*node
 	members []*fakes.Member
 	lists   []*fakes.Discovery
-	till    *fakes.Till
+	till    *fakes.RunLog
 	answers fakes.Answers
 
 	mu      sync.Mutex
@@ -106,7 +106,7 @@
 		return err
 	}
 	defer os.RemoveAll(home)
-	f := &fleet{FleetSettings: s, till: fakes.NewTill(), tickets: map[string]int{}}
+	f := &fleet{FleetSettings: s, till: fakes.NewRunLog(), tickets: map[string]int{}}
 	defer f.close()
 	if err := f.start(ctx, home); err != nil {
 		return err
@@ -126,8 +126,8 @@
 
 // start starts members and processes, and waits until each has joined.
 func (f *fleet) start(ctx context.Context, home string) (err error) {
-	load := Load{Members: 6, Slots: 8, Seed: 3, Troubles: fakes.Troubles{TurnAway: 0.01, Again: 0.05}}
-	if f.members, err = load.NewMembers(fakes.MemberSettings{Till: f.till, Ends: f.ends}); err != nil {
+	load := Load{Members: 6, Slots: 8, Seed: 3, Faults: fakes.Faults{Reject: 0.01, DuplicateEnd: 0.05}}
+	if f.members, err = load.NewMembers(fakes.MemberSettings{RunLog: f.till, Outcome: f.ends}); err != nil {
 		return err
 	}
 	keepers, kept := map[string]map[string]string{}, mostKeepers
@@ -139,7 +139,7 @@
 		n.home = filepath.Join(home, n.name)
 		n.folder = filepath.Join(n.home, "folder")
 		for _, at := range []*string{&n.listen, &n.admin, &n.figures, &n.calls, &n.votes} {
-			if *at, err = fakes.Free(); err != nil {
+			if *at, err = fakes.FreeAddr(); err != nil {
 				return err
 			}
 		}
@@ -155,7 +155,7 @@
 		return err
 	}
 	for i, n := range f.nodes {
-		known, list, err := Doors(f.members, n.name, func() string { return n.listen })
+		known, list, err := OpenMembersFor(f.members, n.name, func() string { return n.listen })
 		if err != nil {
 			return err
 		}
@@ -171,13 +171,13 @@
 		if err != nil {
 			return err
 		}
-		d := Dispatcher{Name: n.name, Listen: n.listen, Discovery: list.Addr(), Admin: n.admin, Rank: i, Of: len(f.nodes), Known: known}
+		d := Dispatcher{Name: n.name, Listen: n.listen, Discovery: list.Addr(), Admin: n.admin, Rank: i, Count: len(f.nodes), InitialMembers: known}
 		if err := n.start(d, f.Program, string(operator)); err != nil {
 			return err
 		}
 	}
 	for _, n := range f.nodes {
-		if err := Ready(ctx, n.listen, n.ended); err != nil {
+		if err := WaitReady(ctx, n.listen, n.ended); err != nil {
 			return fmt.Errorf("%s: %w; its log ends with %s", n.name, err, n.last())
 		}
 		if err := n.joined(ctx); err != nil {
@@ -267,7 +267,7 @@
 		defer mu.Unlock()
 		return f.nodes[random.IntN(len(f.nodes))].listen
 	}
-	mix := fakes.Mix{Rate: 60, Tickets: 0.28, Tenants: Tenants, Retries: 2, Impatient: 0.02, Seed: 3}
+	mix := fakes.ClientSettings{Rate: 60, TicketShare: 0.28, Tenants: Tenants, Retries: 2, AbandonShare: 0.02, Seed: 3}
 	all.Go(func() { fakes.HTTPClients(asking, anyone, "h", mix, &f.answers) })
 	all.Go(func() { f.book(asking) })
 	var died error
@@ -363,7 +363,7 @@
 	}
 	var served int64
 	for _, n := range f.nodes {
-		if err := Settled(n.figures); err != nil {
+		if err := WaitIdle(n.figures); err != nil {
 			return fmt.Errorf("%s: %w", n.name, err)
 		}
 		var r metrics.Report
@@ -375,9 +375,9 @@
 			return fmt.Errorf("the account of %s does not add up: %v", n.name, r.Audit.Differences)
 		}
 		total := &r.Account.Totals
-		served += total.By(accounting.Served)
+		served += total.EndedAs(accounting.Served)
 		fmt.Fprintf(out, "%s: %d jobs taken, %d served, %d refused, %d failed; the account adds up\n   fleet: %s\n", n.name, total.Taken,
-			total.By(accounting.Served), total.By(accounting.Refused), total.By(accounting.Failed), status)
+			total.EndedAs(accounting.Served), total.EndedAs(accounting.Refused), total.EndedAs(accounting.Failed), status)
 	}
 	var twice []string
 	f.mu.Lock()
@@ -387,7 +387,7 @@
 		}
 	}
 	f.mu.Unlock()
-	twice = append(twice, f.till.Twice()...)
+	twice = append(twice, f.till.RunTwice()...)
 	fmt.Fprintf(out, "clients were told: %v\n", &f.answers)
 	fmt.Fprintf(out, "%d plans of %d seats: %d served, %d refused, %d otherwise; %d tickets ran twice\n", len(runs), seats, outcomes["served"],
 		outcomes["refused"], len(runs)-outcomes["served"]-outcomes["refused"], len(twice))
--- a/internal/dispatcher/demo/run.go
+++ b/internal/dispatcher/demo/run.go
@@ -23,7 +23,7 @@
 // the account on out. It fails if anything does not add up.
 func Run(ctx context.Context, until time.Time, log *logrus.Logger, out, errs io.Writer) error {
 	load := Load{Rate: 40, Members: 6, Workers: 3, Seed: 3}
-	load.Troubles.TurnAway, load.Troubles.Fail, load.Troubles.Again = 0.01, 0.005, 0.05
+	load.Faults.Reject, load.Faults.Fail, load.Faults.DuplicateEnd = 0.01, 0.005, 0.05
 	w, err := NewWorld(load)
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	c, o, err := w.Decoded(folder)
+	c, o, err := w.DecodedSettings(folder)
 	if err != nil {
 		return err
 	}
@@ -42,11 +42,11 @@
 	go func() {
 		ended <- server.Run(ctx, server.Options{Config: c, Operator: o, Log: log}, told, nil)
 	}()
-	if err := Ready(ctx, w.Addr, ended); err != nil {
+	if err := WaitReady(ctx, w.HTTPAddr, ended); err != nil {
 		return err
 	}
-	fmt.Fprintf(errs, "HTTP front %s, Faktory front %s, agent check %s, figures http://%s/metrics\n", w.Addr, w.Faktory, w.Agent, w.Figures)
-	w.Begin(load)
+	fmt.Fprintf(errs, "HTTP front %s, Faktory front %s, agent check %s, figures http://%s/metrics\n", w.HTTPAddr, w.FaktoryAddr, w.AgentCheckAddr, w.MetricsAddr)
+	w.StartLoad(load)
 	bar := progressbar.NewOptions64(int64(time.Until(until)), progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription("serving"),
 		progressbar.OptionSetWidth(30), progressbar.OptionSetPredictTime(false))
 	began := time.Now()
@@ -58,30 +58,30 @@
 			return fmt.Errorf("the dispatcher ended: %w", err)
 		case <-ctx.Done():
 		case <-tick.C:
-			bar.Describe(fmt.Sprintf("%d answered by HTTP, %d pushed", w.HTTP.Served.Load(), w.Pushed.Served.Load()))
+			bar.Describe(fmt.Sprintf("%d answered by HTTP, %d pushed", w.HTTPAnswers.Served.Load(), w.FaktoryAnswers.Served.Load()))
 			bar.Set64(int64(min(time.Since(began), until.Sub(began))))
 		}
 	}
 	fmt.Fprintln(errs)
-	w.EndClients()
-	if err := Settled(w.Figures); err != nil {
+	w.StopClients()
+	if err := WaitIdle(w.MetricsAddr); err != nil {
 		return err
 	}
 	var r metrics.Report
-	if err := get(w.Figures, "/audit", &struct{}{}); err != nil {
+	if err := get(w.MetricsAddr, "/audit", &struct{}{}); err != nil {
 		return err
 	}
-	if err := get(w.Figures, "/figures", &r); err != nil {
+	if err := get(w.MetricsAddr, "/figures", &r); err != nil {
 		return err
 	}
-	told <- Ended
+	told <- ShutdownSignal
 	if err := <-ended; err != nil {
 		return err
 	}
 	if err := metrics.Table(out, r, []string{"front", "class", "tenant"}); err != nil {
 		return err
 	}
-	f, err := journal.ReadFolder(folder)
+	f, err := journal.ReadDirectory(folder)
 	if err != nil {
 		return err
 	}
@@ -89,16 +89,16 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "the journal has %d jobs in %d segments; %d things in it do not add up\n", v.Jobs, v.Segments, len(v.Wrong))
-	fmt.Fprintf(out, "clients were told: %v\n", &w.HTTP)
-	twice := w.Till.Twice()
-	fmt.Fprintf(out, "%d jobs ran, %d tickets of them twice\n", w.Till.Jobs(), len(twice))
+	fmt.Fprintf(out, "the journal has %d jobs in %d segments; %d things in it do not add up\n", v.Jobs, v.Segments, len(v.Inconsistencies))
+	fmt.Fprintf(out, "clients were told: %v\n", &w.HTTPAnswers)
+	twice := w.RunLog.RunTwice()
+	fmt.Fprintf(out, "%d jobs ran, %d tickets of them twice\n", w.RunLog.JobCount(), len(twice))
 	switch {
-	case len(r.Audit.Differences) > 0 || len(v.Wrong) > 0:
+	case len(r.Audit.Differences) > 0 || len(v.Inconsistencies) > 0:
 		return errors.New("the account does not add up")
 	case len(twice) > 0:
 		return fmt.Errorf("tickets ran twice: %v", twice)
-	case r.Account.Totals.By(accounting.Served) == 0:
+	case r.Account.Totals.EndedAs(accounting.Served) == 0:
 		return errors.New("nothing was served")
 	}
 	return nil
@@ -106,8 +106,8 @@
 
 const patience = 40 * time.Second // more than any job's deadline
 
-// Settled waits until nothing is open.
-func Settled(at string) error {
+// WaitIdle waits until nothing is open.
+func WaitIdle(at string) error {
 	for until := time.Now().Add(patience); ; {
 		var r metrics.Report
 		if err := get(at, "/figures", &r); err != nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// Ready waits until a dispatcher is ready, or has ended.
-func Ready(ctx context.Context, addr string, ended <-chan error) error {
+// WaitReady waits until a dispatcher is ready, or has ended.
+func WaitReady(ctx context.Context, addr string, ended <-chan error) error {
 	for until := time.Now().Add(patience); ; {
 		resp, err := http.Get("http://" + addr + "/health/ready")
 		if err == nil {
--- a/internal/dispatcher/discovery/pace.go
+++ b/internal/dispatcher/discovery/pace.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// Pace is when discovery is called, how long a call may take, and when one that failed
+// CallSchedule is when discovery is called, how long a call may take, and when one that failed
 // is made anew. It only decides; the Follower calls.
 //
 // What discovery has counts as told a fixed time after it could be reached, whatever
 // became of the calls before: so what bounds a pace is the time from one call's begin to
 // the next one's, By, however the first ends. From the moment that discovery can be
 // reached a good answer is in hand within By and the time that an answer takes.
-type Pace struct {
+type CallSchedule struct {
 	Wait  time.Duration // discovery holds a watch so long when nothing changes
 	Late  time.Duration // the answer to a watch that goes on may come so long after that
 	Reply time.Duration // the answer to a call that waits for nothing may take so long
@@ -34,13 +34,13 @@
 	atOnce = time.Millisecond
 )
 
-// Asked is the pace at a service that so many callers share and that the settings want
+// SharedServiceSchedule is the pace at a service that so many callers share and that the settings want
 // asked at intervals (0: they don't say). A failed call must not be made anew by all at
 // once, since a service that is asked by more than it can answer in time fails them
 // all: the next call comes by chance in a span that grows up to By. What it has counts
 // as told 6 s after it could be reached: the answer has the time that is left of them.
-func Asked(callers int, every time.Duration) Pace {
-	p := Pace{
+func SharedServiceSchedule(callers int, every time.Duration) CallSchedule {
+	p := CallSchedule{
 		Wait: 2 * time.Second, Late: 750 * time.Millisecond, Reply: 2250 * time.Millisecond, Ask: true,
 		Most: 4250 * time.Millisecond, By: 4250 * time.Millisecond,
 	}
@@ -51,12 +51,12 @@
 	return p
 }
 
-// Pushed is the pace at an agent on this machine, which answers at once and at no cost
+// LocalAgentSchedule is the pace at an agent on this machine, which answers at once and at no cost
 // and is silent while discovery is down. Its watch is short, so that a silent call is
 // given up and the agent asked anew well within the 2 s in which a drain must bind, and
 // a failed call is made anew after a pause that is never none and never long.
-func Pushed() Pace {
-	return Pace{
+func LocalAgentSchedule() CallSchedule {
+	return CallSchedule{
 		Wait: time.Second, Late: 250 * time.Millisecond, Reply: 250 * time.Millisecond,
 		Least: 2 * leastPause, Most: 200 * time.Millisecond, By: 1450 * time.Millisecond,
 	}
@@ -65,7 +65,7 @@
 // Call is how long a call has discovery wait for news, and when it is given up, given
 // whether the version is known that news are to follow, and whether the call goes on
 // with a watch. Without a version the whole list is asked for, which is no watch.
-func (p Pace) Call(began time.Time, known, goesOn bool) (wait time.Duration, until time.Time) {
+func (p CallSchedule) Call(began time.Time, known, goesOn bool) (wait time.Duration, until time.Time) {
 	switch {
 	case !known:
 		return 0, began.Add(p.Reply)
@@ -78,7 +78,7 @@
 // Again is when the call after a failed one begins, given how many have failed in a row
 // (one or more) and a draw (0 to 1): by chance after a least pause, up to a span that
 // doubles with each failure, and in any case By after the failed one began.
-func (p Pace) Again(began, failed time.Time, failures int, draw float64) time.Time {
+func (p CallSchedule) Again(began, failed time.Time, failures int, draw float64) time.Time {
 	span := p.Most
 	if n := failures - 1; n < 16 { // more would be over any Most, and over the type's range
 		span = min(span, p.Least<<max(0, n))
