--- a/internal/dispatcher/discovery/pool.go
+++ b/internal/dispatcher/discovery/pool.go
@@ -28,17 +28,17 @@
 	breather = 50 * time.Millisecond // calls of a watch begin so long apart; a gap of 200 ms would end it
 )
 
-// Lists is told what discovery tells.
-type Lists interface {
-	List(source string, kind policy.ListKind, entries []*engine.Member)
+// MembershipSink is told what discovery tells.
+type MembershipSink interface {
+	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
 // Follower asks discovery. It implements core.Lister.
 type Follower struct {
 	ctx     context.Context
-	pace    Pace
-	lists   Lists
-	carrier engine.Carrier
+	pace    CallSchedule
+	lists   MembershipSink
+	carrier engine.Transport
 	log     logrus.FieldLogger
 
 	heard chan struct{} // closed once a service has answered
@@ -64,7 +64,7 @@
 
 // New returns a follower of the discovery service at addr, which is called at a pace.
 // Calls end with ctx.
-func New(ctx context.Context, addr string, pace Pace, lists Lists, carrier engine.Carrier, log logrus.FieldLogger) *Follower {
+func New(ctx context.Context, addr string, pace CallSchedule, lists MembershipSink, carrier engine.Transport, log logrus.FieldLogger) *Follower {
 	f := &Follower{ctx: ctx, pace: pace, lists: lists, carrier: carrier, log: log, heard: make(chan struct{})}
 	f.at = f.service(addr)
 	return f
@@ -87,14 +87,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.at.generation, f.at.known = l.Generation, true
-	f.lists.List(Source, policy.ListRestored, f.members(l))
+	f.lists.UpdateMembers(Source, policy.ListRestored, f.members(l))
 }
 
-// Move follows the service at another address from here on and asks it for its
+// SwitchTo follows the service at another address from here on and asks it for its
 // whole list. The old one's watch, connections and late answers are dropped:
 // its versions are not the new one's, and it may be about to end. The members
 // stay until the new list says otherwise.
-func (f *Follower) Move(addr string) {
+func (f *Follower) SwitchTo(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.at
@@ -107,14 +107,14 @@
 	f.begin(f.at)
 }
 
-// Keep follows a list that is pushed to an agent on this machine rather than
+// KeepWatching follows a list that is pushed to an agent on this machine rather than
 // asked of a shared service: nobody else asks for it, so a watch is kept from
 // now on until the follower ends, and one that fails or falls silent is begun
 // anew after a short pause. Service goes on meanwhile with the members known.
 // What the agent has counts as told from a process's first moment, however old
 // the list that it was started with: so the whole list is asked for first, which
 // comes at once, where a watch from that list's version would wait for news.
-func (f *Follower) Keep() {
+func (f *Follower) KeepWatching() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.at.stop == nil {
@@ -123,10 +123,10 @@
 	}
 }
 
-// Heard waits until a service has answered, but no longer than until the time
+// WaitFirstAnswer waits until a service has answered, but no longer than until the time
 // given, and tells whether one has. A process that sends nothing before goes by no
 // list older than its agent's, as long as that speaks.
-func (f *Follower) Heard(until time.Time) bool {
+func (f *Follower) WaitFirstAnswer(until time.Time) bool {
 	ctx, cancel := context.WithDeadline(f.ctx, until)
 	defer cancel()
 	select {
@@ -170,7 +170,7 @@
 			f.failed(s.ctx, s, err)
 			return
 		}
-		f.tell(s.ctx, s, l, policy.ListWhole, true)
+		f.tell(s.ctx, s, l, policy.ListSnapshot, true)
 	}()
 }
 
@@ -183,9 +183,9 @@
 		began, query := time.Now(), url.Values(nil)
 		generation, known := f.seen(s)
 		wait, until := f.pace.Call(began, known, goesOn)
-		kind := policy.ListWhole
+		kind := policy.ListSnapshot
 		if known {
-			kind = policy.ListChange
+			kind = policy.ListDelta
 			query = url.Values{
 				"index": {strconv.FormatInt(generation, 10)}, "wait": {strconv.FormatInt(wait.Milliseconds(), 10)},
 			}
@@ -196,9 +196,9 @@
 			next = f.pace.Again(began, time.Now(), f.failed(ctx, s, err), rand.Float64())
 		} else {
 			if l.Whole {
-				kind = policy.ListWhole
+				kind = policy.ListSnapshot
 			}
-			quiet := goesOn && kind == policy.ListChange && len(l.Entries) == 0
+			quiet := goesOn && kind == policy.ListDelta && len(l.Entries) == 0
 			f.tell(ctx, s, l, kind, !quiet)
 			if !goesOn { // a watch ends the sooner the later it goes on
 				next = began
@@ -226,7 +226,7 @@
 	if s.failures++; s.failures == 1 {
 		f.log.WithError(err).Warn("a call to discovery failed")
 	}
-	f.lists.List(Source, policy.ListFailed, nil)
+	f.lists.UpdateMembers(Source, policy.ListFailed, nil)
 	return s.failures
 }
 
@@ -244,10 +244,10 @@
 	}
 	// News up to a version older than the one that they follow are of another life of
 	// the service: what came before them is not known.
-	s.known = kind == policy.ListWhole || l.Generation >= s.generation
+	s.known = kind == policy.ListSnapshot || l.Generation >= s.generation
 	s.generation, s.failures = l.Generation, 0
 	if news {
-		f.lists.List(Source, kind, f.members(l))
+		f.lists.UpdateMembers(Source, kind, f.members(l))
 	}
 	f.first.Do(func() { close(f.heard) })
 }
@@ -292,7 +292,7 @@
 		}
 		members = append(members, &engine.Member{
 			ID: e.ID, Addr: e.Addr, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State, Weight: e.Weight,
-			Started: e.Started, Carrier: f.carrier, Group: group,
+			Started: e.Started, Transport: f.carrier, Group: group,
 		})
 	}
 	return members
--- a/internal/dispatcher/engine/core.go
+++ b/internal/dispatcher/engine/core.go
@@ -29,8 +29,8 @@
 // away at least.
 const leastAway = time.Second
 
-// Core is the hub between fronts, decisions and carriers.
-type Core struct {
+// Engine is the hub between fronts, decisions and carriers.
+type Engine struct {
 	settings policy.Settings
 	stages   Stages
 	lister   Lister
@@ -57,12 +57,12 @@
 	held         map[string]bool      // members out by hand
 	warmFrom     map[string]time.Time // when a member was put back by hand
 	load         Load
-	gauge        schedulingdelay.Gauge // of what events wait
-	flowing      int64                 // flows that are out
-	late, leaves time.Time             // see Leaving
-	closed       bool                  // see Close
-	spending     Spending              // nil: nothing is shared
-	trails       bool                  // see KeepTrails
+	gauge        schedulingdelay.Detector // of what events wait
+	flowing      int64                    // flows that are out
+	late, leaves time.Time                // see Leaving
+	closed       bool                     // see Close
+	spending     SharedBudget             // nil: nothing is shared
+	trails       bool                     // see KeepTrails
 
 	unanswered atomic.Int64
 	known      atomic.Bool
@@ -70,15 +70,15 @@
 
 // New returns a core that is not running yet; spending may be nil. It fails if the module does not
 // accept the settings.
-func New(s policy.Settings, stages Stages, spending Spending, log logrus.FieldLogger) (*Core, error) {
-	c := &Core{
+func New(s policy.Settings, stages Stages, spending SharedBudget, log logrus.FieldLogger) (*Engine, error) {
+	c := &Engine{
 		settings: s, stages: stages, log: log, base: time.Now(),
 		posted: make(chan struct{}, 1), stopped: make(chan struct{}),
 		open: make(map[string]*Transaction), left: make(map[string]calledOff), members: make(map[string]*Member), numbers: make(map[uint32]*Member),
 		sources: make(map[string]int), listed: make(map[string]bool), held: make(map[string]bool), warmFrom: make(map[string]time.Time), timers: newTimers(), asked: make(map[moment]bool),
 	}
 	if c.spending = spending; spending != nil {
-		s.Purse = purse{c, spending}
+		s.SharedBudget = purse{c, spending}
 	}
 	var err error
 	if c.decisions, err = policy.New(s, host{c}); err != nil {
@@ -87,29 +87,29 @@
 	return c, nil
 }
 
-// Spending are the budgets that this dispatcher shares with others. Its methods
+// SharedBudget are the budgets that this dispatcher shares with others. Its methods
 // are called by Run's goroutine and answer at once.
-type Spending interface {
-	policy.Purse
-	// Begin takes a place for a job that is under way at members of a kind until
+type SharedBudget interface {
+	policy.SharedBudget
+	// Reserve takes a place for a job that is under way at members of a kind until
 	// then at the latest; false: there is none. A nil place needs no End.
-	Begin(kind string, until time.Time) (Place, bool)
-	// ComeBack is when another attempt of a class is worth while.
-	ComeBack(class string, now time.Time) time.Time
+	Reserve(kind string, until time.Time) (Reservation, bool)
+	// RetryTime is when another attempt of a class is worth while.
+	RetryTime(class string, now time.Time) time.Time
 }
 
-// Place is one job's among what is under way.
-type Place interface {
+// Reservation is one job's among what is under way.
+type Reservation interface {
 	End()
 }
 
-// KeepTrails makes each answer tell the members that its flows went to. It must be
+// RecordMembersTried makes each answer tell the members that its flows went to. It must be
 // called before Run.
-func (c *Core) KeepTrails() { c.trails = true }
+func (c *Engine) RecordMembersTried() { c.trails = true }
 
 // release gives back the place of a flow that was under way. What may run on at its
 // member though nobody waits keeps its place to the deadline.
-func (c *Core) release(f *Flow, s policy.Status) {
+func (c *Engine) release(f *Flow, s policy.Status) {
 	p := f.place
 	if p == nil {
 		return
@@ -122,11 +122,11 @@
 	p.End()
 }
 
-// Follow names the lister. It must be called before Run.
-func (c *Core) Follow(l Lister) { c.lister = l }
+// SetLister names the lister. It must be called before Run.
+func (c *Engine) SetLister(l Lister) { c.lister = l }
 
 // Run handles events until the context ends.
-func (c *Core) Run(ctx context.Context) {
+func (c *Engine) Run(ctx context.Context) {
 	defer close(c.stopped)
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
@@ -151,10 +151,10 @@
 
 // handle runs one event and what it left to do. The module's methods must not
 // be called from within its host's: those put what follows into later.
-func (c *Core) handle(event posted) {
+func (c *Engine) handle(event posted) {
 	c.now = time.Now()
 	if !event.at.IsZero() {
-		c.gauge.Saw(c.now.Sub(event.at), c.now)
+		c.gauge.Observe(c.now.Sub(event.at), c.now)
 	}
 	event.do()
 	for len(c.later) > 0 {
@@ -170,15 +170,15 @@
 	do func()
 }
 
-// Bound says when this dispatcher is behind with its own work, so that it turns
+// SetDelayBounds says when this dispatcher is behind with its own work, so that it turns
 // away what comes. It must be called before Run.
-func (c *Core) Bound(b schedulingdelay.Bounds) { c.gauge = schedulingdelay.New(b) }
+func (c *Engine) SetDelayBounds(b schedulingdelay.Bounds) { c.gauge = schedulingdelay.New(b) }
 
 // post hands an event to Run's goroutine. It never waits: a carrier posts while
 // it holds a lock that its Start, called by Run's goroutine, needs too. What
 // may be queued is bounded by who posts: each connection, flow and call-back
 // waits for its event before it causes another.
-func (c *Core) post(event func()) {
+func (c *Engine) post(event func()) {
 	c.mu.Lock()
 	c.events = append(c.events, posted{time.Now(), event})
 	c.mu.Unlock()
@@ -189,7 +189,7 @@
 }
 
 // taken empties the queue of events.
-func (c *Core) taken() []posted {
+func (c *Engine) taken() []posted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	events := c.events
@@ -197,8 +197,8 @@
 	return events
 }
 
-// Sync posts an event and waits until it has been handled.
-func (c *Core) Sync(event func()) {
+// Do posts an event and waits until it has been handled.
+func (c *Engine) Do(event func()) {
 	done := make(chan struct{})
 	c.post(func() { event(); close(done) })
 	select {
@@ -209,21 +209,21 @@
 
 // clock turns a time into the module's: nanoseconds since 1970, by the
 // monotonic clock from the start on, so that it never runs backward.
-func (c *Core) clock(t time.Time) time.Duration {
+func (c *Engine) clock(t time.Time) time.Duration {
 	return time.Duration(c.base.UnixNano()) + t.Sub(c.base)
 }
 
 // Unanswered is how many transactions were taken and have no final answer.
-func (c *Core) Unanswered() int { return int(c.unanswered.Load()) }
+func (c *Engine) Unanswered() int { return int(c.unanswered.Load()) }
 
 // Ready tells whether the core has a list of members and takes transactions.
-func (c *Core) Ready() bool { return c.known.Load() }
+func (c *Engine) Ready() bool { return c.known.Load() }
 
-// Census counts what is open, by front and class, from the table of open
+// OpenCounts counts what is open, by front and class, from the table of open
 // transactions alone, and the flows that are out. It may be called by Run's
 // goroutine only, such as in a Sync.
-func (c *Core) Census() (open accounting.Census, flows int64) {
-	open = make(accounting.Census)
+func (c *Engine) OpenCounts() (open accounting.OpenCounts, flows int64) {
+	open = make(accounting.OpenCounts)
 	for _, t := range c.open {
 		if !t.answered {
 			open[[2]string{t.Front, t.Class}]++
@@ -233,20 +233,20 @@
 }
 
 // Submit takes a transaction. Its client is told exactly one final answer.
-func (c *Core) Submit(t *Transaction) {
+func (c *Engine) Submit(t *Transaction) {
 	c.unanswered.Add(1)
 	c.post(func() {
-		c.stages.Enter(t, c.now)
+		c.stages.RecordAccepted(t, c.now)
 		t.class = c.class(t.Class)
-		if t.class.Effect == policy.Keyed && t.Key == "" {
-			t.class.Effect = policy.Unsafe // members know no repeat of it
+		if t.class.Effect == policy.Deduplicated && t.Key == "" {
+			t.class.Effect = policy.AtMostOnce // members know no repeat of it
 		}
 		if first := c.open[t.ID]; first != nil && first.Gone() { // and Leave is still under way
 			c.leave(first)
 		}
 		if a := c.twice(t); a != nil {
 			c.unanswered.Add(-1)
-			c.stages.Book(t, *a, c.now)
+			c.stages.RecordEnd(t, *a, c.now)
 			t.Client.Answer(*a)
 			return
 		}
@@ -254,19 +254,19 @@
 		c.load.Open++
 		c.load.Bytes += len(t.Body)
 		load := c.load
-		if c.gauge.Behind() {
-			load.Behind = c.gauge.ComeBack(leastAway)
+		if c.gauge.Overloaded() {
+			load.RetryDelay = c.gauge.RetryDelay(leastAway)
 		}
 		if a := c.stages.Admit(t, load, c.now); a != nil {
 			c.answer(t, *a)
 			return
 		}
 		if c.closed || c.comesLate(t) && c.now.Add(t.Hint).After(c.leaves) {
-			c.answer(t, Answer{Verdict: Refused, Reason: accounting.GoingAway, RetryAt: c.now})
+			c.answer(t, Answer{Verdict: Refused, Reason: accounting.ShuttingDown, RetryAt: c.now})
 			return
 		}
 		t.due = c.timers.add(t.Deadline.Add(overdue), func() { c.expire(t) })
-		c.decisions.Request(c.clock(c.now), c.request(t))
+		c.decisions.HandleRequest(c.clock(c.now), c.request(t))
 	})
 }
 
@@ -274,7 +274,7 @@
 // whose client left: the module would drop it in silence, and its attempt could run
 // beside the other's. It may come again once the other is called off, where running
 // twice is harmless; else it is denied. Nil: its id is its own.
-func (c *Core) twice(t *Transaction) *Answer {
+func (c *Engine) twice(t *Transaction) *Answer {
 	first, left := c.left[t.ID]
 	if left = left && c.now.Before(first.until); c.open[t.ID] == nil && !left {
 		return nil
@@ -286,35 +286,35 @@
 		}
 		return &Answer{Verdict: Refused, Reason: accounting.Declined, RetryAt: back}
 	}
-	return &Answer{Verdict: Denied, Reason: accounting.IDInHand, Body: []byte("this id is in hand already\n")}
+	return &Answer{Verdict: Denied, Reason: accounting.DuplicateID, Body: []byte("this id is in hand already\n")}
 }
 
 // class is a class as the settings have it now.
-func (c *Core) class(name string) policy.Class {
+func (c *Engine) class(name string) policy.Class {
 	for _, class := range c.settings.Classes {
 		if class.Name == name {
 			return class
 		}
 	}
-	return policy.Class{Effect: policy.Unsafe} // gone with a reload since it was taken in: nothing is promised of it
+	return policy.Class{Effect: policy.AtMostOnce} // gone with a reload since it was taken in: nothing is promised of it
 }
 
-// Retune takes new settings of classes and limits for what comes from now on;
+// Reconfigure takes new settings of classes and limits for what comes from now on;
 // what is under way keeps its own. It tells once the decisions have them, or why
 // they were turned down.
-func (c *Core) Retune(s policy.Settings) (err error) {
-	c.Sync(func() {
-		if err = c.decisions.Retune(c.clock(c.now), s); err == nil {
+func (c *Engine) Reconfigure(s policy.Settings) (err error) {
+	c.Do(func() {
+		if err = c.decisions.Reconfigure(c.clock(c.now), s); err == nil {
 			c.settings.Classes, c.settings.Limits = s.Classes, s.Limits
 		}
 	})
 	return err
 }
 
-// Leaving tells that the program ends. What arrived late is answered by the end:
+// BeginShutdown tells that the program ends. What arrived late is answered by the end:
 // what can't be done by then is refused at once, and what is not done then is
 // answered, since nothing can be after that. What came before keeps its deadline.
-func (c *Core) Leaving(late, end time.Time) {
+func (c *Engine) BeginShutdown(late, end time.Time) {
 	c.post(func() {
 		c.late, c.leaves = late, end
 		c.timers.add(end, func() {
@@ -331,10 +331,10 @@
 				}
 				a := Answer{Verdict: Failed, Reason: accounting.Stopped}
 				if c.harmless(t) {
-					a = Answer{Verdict: Refused, Reason: accounting.GoingAway, RetryAt: c.now}
+					a = Answer{Verdict: Refused, Reason: accounting.ShuttingDown, RetryAt: c.now}
 				}
 				c.answer(t, a)
-				c.decisions.Gone(c.clock(c.now), t.ID)
+				c.decisions.HandleClientGone(c.clock(c.now), t.ID)
 			}
 			if early > 0 {
 				c.log.WithFields(logrus.Fields{"early": early, "held": held}).Info("jobs in hand at the end")
@@ -343,23 +343,23 @@
 	})
 }
 
-// Close takes no more transactions, all that come are refused, if nothing is in hand in
+// CloseIfIdle takes no more transactions, all that come are refused, if nothing is in hand in
 // that moment, and tells whether that is so: no result is owed from then on, and the
 // way on which results come may be shut.
-func (c *Core) Close() (done bool) {
+func (c *Engine) CloseIfIdle() (done bool) {
 	done = true // by Run's end, if that came before
-	c.Sync(func() { done = c.shut() })
+	c.Do(func() { done = c.shut() })
 	return done
 }
 
-func (c *Core) shut() bool {
+func (c *Engine) shut() bool {
 	c.closed = c.closed || c.load.Open == 0
 	return c.closed
 }
 
-// Longest is the longest deadline of any class. It may be called by Run's goroutine
+// LongestClientTimeout is the longest deadline of any class. It may be called by Run's goroutine
 // only, such as in a Sync.
-func (c *Core) Longest() (longest time.Duration) {
+func (c *Engine) LongestClientTimeout() (longest time.Duration) {
 	for _, class := range c.settings.Classes {
 		longest = max(longest, class.GiveUp)
 	}
@@ -369,15 +369,15 @@
 // harmless tells whether a client may try a transaction again that has no result: it
 // was never sent on, no attempt may have run, or its class lets it run twice. Such a
 // one is refused, not failed, as the module itself does.
-func (c *Core) harmless(t *Transaction) bool {
+func (c *Engine) harmless(t *Transaction) bool {
 	since := t.ranFrom
 	if since.IsZero() && t.live != nil {
 		since = t.live.SentAt
 	}
 	switch {
-	case since.IsZero(), t.class.Effect == policy.Safe:
+	case since.IsZero(), t.class.Effect == policy.Idempotent:
 		return true
-	case t.class.Effect == policy.Keyed && t.class.Group == policy.GroupAll: // if the key is known yet when it comes again
+	case t.class.Effect == policy.Deduplicated && t.class.Group == policy.DedupAll: // if the key is known yet when it comes again
 		return c.now.Add(c.settings.Limits.MaxRetryAfter).Before(since.Add(t.class.Window))
 	}
 	return false
@@ -391,39 +391,39 @@
 // no matter. A key's window counts from the first flow that may have run, at the
 // soonest from its sending.
 func (t *Transaction) latest() time.Time {
-	if t.class.Effect != policy.Keyed || t.ranFrom.IsZero() {
+	if t.class.Effect != policy.Deduplicated || t.ranFrom.IsZero() {
 		return time.Time{}
 	}
 	return t.ranFrom.Add(t.class.Window - repeatMargin)
 }
 
-func (c *Core) comesLate(t *Transaction) bool { return !c.late.IsZero() && t.Arrived.After(c.late) }
+func (c *Engine) comesLate(t *Transaction) bool { return !c.late.IsZero() && t.Arrived.After(c.late) }
 
 // request is the stage's view of the transaction, on the module's clock.
-func (c *Core) request(t *Transaction) policy.Request {
+func (c *Engine) request(t *Transaction) policy.Request {
 	r := c.stages.Route(t)
-	r.Expires, r.Unkeyed = c.clock(t.Deadline), t.Key == ""
-	if m := c.members[t.NotMember]; m != nil {
-		if r.NotWorker = m.number; t.NotItsZone {
-			r.NotZone = m.Zone
+	r.Deadline, r.NoDedupKey = c.clock(t.Deadline), t.Key == ""
+	if m := c.members[t.ExcludedMember]; m != nil {
+		if r.ExcludedWorker = m.number; t.ExcludeItsZone {
+			r.ExcludedZone = m.Zone
 		}
 	}
 	return r
 }
 
-// Leave tells that the client of a transaction is gone: nothing is owed.
-func (c *Core) Leave(t *Transaction) {
+// ClientLeft tells that the client of a transaction is gone: nothing is owed.
+func (c *Engine) ClientLeft(t *Transaction) {
 	c.post(func() { c.leave(t) })
 }
 
-func (c *Core) leave(t *Transaction) {
+func (c *Engine) leave(t *Transaction) {
 	if t.answered || c.open[t.ID] != t {
 		return
 	}
 	c.remember(t)
 	c.close(t)
-	c.stages.Book(t, Answer{Verdict: Failed, Reason: accounting.ClientLeft}, c.now)
-	c.decisions.Gone(c.clock(c.now), t.ID)
+	c.stages.RecordEnd(t, Answer{Verdict: Failed, Reason: accounting.ClientLeft}, c.now)
+	c.decisions.HandleClientGone(c.clock(c.now), t.ID)
 }
 
 // hearing is how long a member may take to hear that a flow is abandoned.
@@ -440,7 +440,7 @@
 // flow ends here at once, and its member hears of it later: a client that sends the
 // same id again on another connection meanwhile, as one does whose connection was
 // closed on it, would have two attempts at once, or one too many.
-func (c *Core) remember(t *Transaction) {
+func (c *Engine) remember(t *Transaction) {
 	if t.live == nil && c.harmless(t) {
 		return
 	}
@@ -459,35 +459,35 @@
 
 // expire answers for the module what it still owes after the deadline: an
 // answer too late would break the rule, and a lost one would hang the client.
-func (c *Core) expire(t *Transaction) {
+func (c *Engine) expire(t *Transaction) {
 	if t.answered {
 		return
 	}
 	c.log.WithField("transaction", t.ID).Error("no final answer by the deadline")
-	a := Answer{Verdict: Failed, Reason: accounting.OverTime}
+	a := Answer{Verdict: Failed, Reason: accounting.DeadlinePassed}
 	if c.harmless(t) {
 		a = Answer{Verdict: Refused, Reason: accounting.Declined, RetryAt: c.now}
 	}
 	c.answer(t, a)
-	c.decisions.Gone(c.clock(c.now), t.ID)
+	c.decisions.HandleClientGone(c.clock(c.now), t.ID)
 }
 
 // answer gives a transaction its one final answer.
-func (c *Core) answer(t *Transaction, a Answer) {
+func (c *Engine) answer(t *Transaction, a Answer) {
 	if t.answered {
 		return
 	}
-	a.Sends, a.MayHaveRun, a.Last, a.Member, a.Said, a.Went = t.sends, !t.ranFrom.IsZero() || t.live != nil, t.last, t.at, t.said, t.went
+	a.Attempts, a.MayHaveRun, a.LastStatus, a.LastMember, a.MemberError, a.MembersTried = t.sends, !t.ranFrom.IsZero() || t.live != nil, t.last, t.at, t.said, t.went
 	if t.live != nil {
 		c.remember(t)
 	}
 	c.close(t)
-	c.stages.Book(t, a, c.now)
+	c.stages.RecordEnd(t, a, c.now)
 	t.Client.Answer(a)
 }
 
 // close marks a transaction as done with its client.
-func (c *Core) close(t *Transaction) {
+func (c *Engine) close(t *Transaction) {
 	t.answered = true
 	c.timers.drop(t.due)
 	c.load.Open--
@@ -497,20 +497,20 @@
 }
 
 // forget drops a transaction that is answered and has no live flow.
-func (c *Core) forget(t *Transaction) {
+func (c *Engine) forget(t *Transaction) {
 	if t.answered && t.live == nil && c.open[t.ID] == t {
 		delete(c.open, t.ID)
 	}
 }
 
-// End tells how a flow ended. Only the first end of a flow counts.
-func (c *Core) End(f *Flow, s policy.Status, result []byte) {
+// EndFlow tells how a flow ended. Only the first end of a flow counts.
+func (c *Engine) EndFlow(f *Flow, s policy.Status, result []byte) {
 	c.post(func() { c.end(f, s, result) })
 }
 
-// EndWith is End with the load report of the answer that ended the flow. Like any
+// EndFlowWithLoad is End with the load report of the answer that ended the flow. Like any
 // end it may come when the flow has ended, by its deadline: then it counts nothing.
-func (c *Core) EndWith(f *Flow, s policy.Status, load policy.Report) {
+func (c *Engine) EndFlowWithLoad(f *Flow, s policy.Status, load policy.Report) {
 	c.post(func() {
 		if !f.ended {
 			f.Load = load
@@ -519,7 +519,7 @@
 	})
 }
 
-func (c *Core) end(f *Flow, s policy.Status, result []byte) {
+func (c *Engine) end(f *Flow, s policy.Status, result []byte) {
 	t := f.Transaction
 	if f.ended {
 		return
@@ -532,7 +532,7 @@
 	})
 	c.timers.drop(f.due)
 	c.release(f, s)
-	if t.last = s; t.ranFrom.IsZero() && !c.settings.Rules.NeverRan(s) {
+	if t.last = s; t.ranFrom.IsZero() && !c.settings.Rules.ProvesNotRun(s) {
 		t.ranFrom = f.SentAt
 	}
 	if s == policy.Error {
@@ -545,53 +545,53 @@
 	if a := c.stages.Relay(f, s, result, c.now); a != nil {
 		c.answer(t, *a)
 	}
-	c.decisions.Outcome(c.clock(c.now), policy.Outcome{
-		Request: t.ID, Attempt: f.Number, Worker: f.Member.number, Status: s, Ended: t.answered,
+	c.decisions.HandleAttemptResult(c.clock(c.now), policy.AttemptResult{
+		Request: t.ID, Attempt: f.Number, Worker: f.Member.number, Status: s, Final: t.answered,
 		Latency: c.now.Sub(f.SentAt), Report: f.Load,
 	})
 	c.forget(t)
 }
 
-// Note tells news of a flow that is out.
-func (c *Core) Note(f *Flow, topic policy.NoteTopic, share float64) {
+// UpdateFlow tells news of a flow that is out.
+func (c *Engine) UpdateFlow(f *Flow, topic policy.UpdateKind, share float64) {
 	c.post(func() { c.note(f, topic, share) })
 }
 
-func (c *Core) note(f *Flow, topic policy.NoteTopic, share float64) {
+func (c *Engine) note(f *Flow, topic policy.UpdateKind, share float64) {
 	if !f.ended {
-		if topic == policy.NoteStarted {
+		if topic == policy.UpdateStarted {
 			c.trace("started", f.fields)
 		}
-		c.decisions.Note(c.clock(c.now), policy.Note{
-			Request: f.Transaction.ID, Attempt: f.Number, Worker: f.Member.number, Topic: topic, Value: share,
+		c.decisions.HandleAttemptUpdate(c.clock(c.now), policy.AttemptUpdate{
+			Request: f.Transaction.ID, Attempt: f.Number, Worker: f.Member.number, Kind: topic, Value: share,
 		})
 	}
 }
 
-// News is what a member reports of a job by its id, outside any flow's own
+// JobUpdate is what a member reports of a job by its id, outside any flow's own
 // connection.
-type News struct {
+type JobUpdate struct {
 	ID, Member string
 	Started    bool
 	Running    bool
-	Share      float64
+	Progress   float64
 	Ended      bool
 	Status     policy.Status
 	Result     []byte
 	Load       policy.Report // the member's load report, where the news that ends a job carries one
 }
 
-// Report takes in news. It counts for the live flow of that transaction at
+// HandleJobUpdate takes in news. It counts for the live flow of that transaction at
 // that member; news of an ended flow or from another member counts nothing. It
 // returns once the news has been handled, so that a flood of it waits outside,
 // and tells whether a transaction of that id is in hand here: news of one that
 // is not may be owed to another process of this dispatcher.
-func (c *Core) Report(n News) (here bool) {
-	c.Sync(func() { here = c.report(n) })
+func (c *Engine) HandleJobUpdate(n JobUpdate) (here bool) {
+	c.Do(func() { here = c.report(n) })
 	return here
 }
 
-func (c *Core) report(n News) bool {
+func (c *Engine) report(n JobUpdate) bool {
 	t := c.open[n.ID]
 	if t == nil {
 		_, left := c.left[n.ID]
@@ -603,32 +603,32 @@
 	switch {
 	case n.Ended:
 		t.live.Load = n.Load
-		t.live.Member.Carrier.Release(t.live)
+		t.live.Member.Transport.EndedOutOfBand(t.live)
 		c.end(t.live, n.Status, n.Result)
 	case n.Started:
-		c.note(t.live, policy.NoteStarted, 0)
+		c.note(t.live, policy.UpdateStarted, 0)
 	case n.Running:
-		c.note(t.live, policy.NoteProgress, n.Share)
+		c.note(t.live, policy.UpdateProgress, n.Progress)
 	}
 	return true
 }
 
-// Probed tells how a probe of a member ended, with the load report that its
+// EndProbe tells how a probe of a member ended, with the load report that its
 // answer held (none: an empty one).
-func (c *Core) Probed(m *Member, s policy.Status, r policy.Report, sentAt time.Time) {
+func (c *Engine) EndProbe(m *Member, s policy.Status, r policy.Report, sentAt time.Time) {
 	c.post(func() {
 		c.trace("probe ended", func() logrus.Fields {
 			fields := m.fields()
 			fields["status"], fields["after"] = accounting.StatusName(s), c.now.Sub(sentAt).String()
 			return fields
 		})
-		c.decisions.Probed(c.clock(c.now), policy.Probed{Worker: m.number, Status: s, Latency: c.now.Sub(sentAt), Report: r})
+		c.decisions.HandleProbeResult(c.clock(c.now), policy.ProbeResult{Worker: m.number, Status: s, Latency: c.now.Sub(sentAt), Report: r})
 	})
 }
 
 // trace writes what happens at one member to the log, where that is asked for. It
 // is how the fleet's behaviour is counted over the logs of all dispatchers.
-func (c *Core) trace(what string, fields func() logrus.Fields) {
+func (c *Engine) trace(what string, fields func() logrus.Fields) {
 	if l, ok := c.log.(*logrus.Logger); ok && l.IsLevelEnabled(logrus.TraceLevel) {
 		l.WithFields(fields()).Trace(what)
 	}
--- a/internal/dispatcher/engine/host.go
+++ b/internal/dispatcher/engine/host.go
@@ -9,7 +9,7 @@
 
 // host is the module's side of the core. The module calls it while it handles
 // an event; nothing here calls back into it before that is done.
-type host struct{ c *Core }
+type host struct{ c *Engine }
 
 // Send implements basaltloft.Host. The module's spans become points in time here, and
 // nowhere else.
@@ -37,16 +37,16 @@
 	if timeout != 0 {
 		until = c.now.Add(timeout)
 	}
-	var place Place
+	var place Reservation
 	if c.spending != nil {
 		var ok bool
-		if place, ok = c.spending.Begin(m.Kind, until); !ok { // its share went since the decisions looked
+		if place, ok = c.spending.Reserve(m.Kind, until); !ok { // its share went since the decisions looked
 			h.unsent(t, worker)
 			return
 		}
 	}
-	f := c.stages.Send(t, m, t.sends, c.now, until)
-	f.Latest = latest
+	f := c.stages.NewFlow(t, m, t.sends, c.now, until)
+	f.LatestSend = latest
 	t.sends++
 	t.live, t.at, f.place = f, m.ID, place
 	if c.trails {
@@ -55,12 +55,12 @@
 	c.flowing++
 	f.due = c.timers.add(f.Deadline, func() {
 		if !f.ended {
-			m.Carrier.Abandon(f)
+			m.Transport.Abandon(f)
 			c.end(f, policy.TimedOut, nil)
 		}
 	})
 	c.trace("sent", f.fields)
-	m.Carrier.Start(f)
+	m.Transport.Start(f)
 }
 
 // unsent tells the decisions that a send did not go out.
@@ -71,19 +71,19 @@
 	c, n := h.c, t.sends
 	t.sends++
 	c.later = append(c.later, func() {
-		c.decisions.Outcome(c.clock(c.now), policy.Outcome{Request: t.ID, Attempt: n, Worker: worker, Status: policy.Moot, Ended: t.answered})
+		c.decisions.HandleAttemptResult(c.clock(c.now), policy.AttemptResult{Request: t.ID, Attempt: n, Worker: worker, Status: policy.NotSent, Final: t.answered})
 	})
 }
 
 // purse notes on a transaction that another attempt was not to be had.
 type purse struct {
-	c *Core
-	Spending
+	c *Engine
+	SharedBudget
 }
 
-// Again implements basaltloft.Purse.
-func (p purse) Again(id, class string) bool {
-	ok := p.Spending.Again(id, class)
+// TakeRetry implements basaltloft.Purse.
+func (p purse) TakeRetry(id, class string) bool {
+	ok := p.SharedBudget.TakeRetry(id, class)
 	if t := p.c.open[id]; t != nil {
 		t.short = !ok
 	}
@@ -98,7 +98,7 @@
 			a.RetryAt = h.c.now.Add(retryAfter)
 		}
 		if t.short {
-			a.Reason, a.RetryAt = accounting.NoShare, h.c.spending.ComeBack(t.Class, h.c.now)
+			a.Reason, a.RetryAt = accounting.BudgetSpent, h.c.spending.RetryTime(t.Class, h.c.now)
 		}
 		h.c.answer(t, a)
 	}
@@ -110,7 +110,7 @@
 		a := Answer{Verdict: Failed, Reason: accounting.GivenUp}
 		switch {
 		case !h.c.now.Before(t.Deadline):
-			a.Reason = accounting.OverTime
+			a.Reason = accounting.DeadlinePassed
 		case t.sends > 0 && t.last == policy.Error:
 			a.Reason = accounting.MemberError
 		}
@@ -127,10 +127,10 @@
 	}
 	f := t.live
 	if !t.answered {
-		f.Member.Carrier.Recall(f)
+		f.Member.Transport.Recall(f)
 		return
 	}
-	f.Member.Carrier.Abandon(f)
+	f.Member.Transport.Abandon(f)
 	c.later = append(c.later, func() { c.end(f, policy.Cancelled, nil) })
 }
 
@@ -138,7 +138,7 @@
 func (h host) Probe(worker uint32) {
 	if m := h.c.numbers[worker]; m != nil {
 		h.c.trace("probed", m.fields)
-		m.Carrier.Probe(m)
+		m.Transport.Probe(m)
 	}
 }
 
@@ -155,7 +155,7 @@
 func (h host) Timer(in time.Duration, token string) {
 	c := h.c
 	if c.flowing < together {
-		c.timers.add(time.Now().Add(in), func() { c.decisions.Timer(c.clock(c.now), token) })
+		c.timers.add(time.Now().Add(in), func() { c.decisions.HandleTimer(c.clock(c.now), token) })
 		return
 	}
 	due := moment{time.Now().Add(in+time.Millisecond-1).Sub(c.base) / time.Millisecond, token}
@@ -165,7 +165,7 @@
 	c.asked[due] = true
 	c.timers.add(c.base.Add(due.at*time.Millisecond), func() {
 		delete(c.asked, due)
-		c.decisions.Timer(c.clock(c.now), token)
+		c.decisions.HandleTimer(c.clock(c.now), token)
 	})
 }
 
--- a/internal/dispatcher/engine/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -14,9 +14,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// List takes in what a source tells of its members. A source's whole list
+// UpdateMembers takes in what a source tells of its members. A source's whole list
 // leaves the members of other sources as they are.
-func (c *Core) List(source string, kind policy.ListKind, entries []*Member) {
+func (c *Engine) UpdateMembers(source string, kind policy.ListKind, entries []*Member) {
 	c.post(func() {
 		c.trace("list", func() logrus.Fields {
 			states := make([]string, 0, len(entries))
@@ -26,7 +26,7 @@
 			return logrus.Fields{"source": source, "kind": int(kind), "entries": strings.Join(states, " ")}
 		})
 		if kind == policy.ListFailed {
-			c.decisions.Members(c.clock(c.now), kind, nil)
+			c.decisions.HandleMembers(c.clock(c.now), kind, nil)
 			return
 		}
 		entries = slices.Clone(entries)
@@ -39,17 +39,17 @@
 			m.Group = cmp.Or(m.Group, source)
 			listed = append(listed, c.place(m))
 		}
-		if kind != policy.ListChange {
+		if kind != policy.ListDelta {
 			listed = c.complete(source, entries, listed)
 		}
-		c.decisions.Members(c.clock(c.now), kind, listed)
+		c.decisions.HandleMembers(c.clock(c.now), kind, listed)
 		c.known.Store(true)
 	})
 }
 
 // complete makes a source's whole list the whole list of all sources, since
 // the module takes for gone whatever a whole list leaves out.
-func (c *Core) complete(source string, entries []*Member, listed []policy.Member) []policy.Member {
+func (c *Engine) complete(source string, entries []*Member, listed []policy.Member) []policy.Member {
 	in := make(map[string]bool, len(entries))
 	for _, m := range entries {
 		in[m.ID] = true
@@ -66,7 +66,7 @@
 	return listed
 }
 
-func (c *Core) count(source, id string, by int) {
+func (c *Engine) count(source, id string, by int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sources[source] += by
@@ -80,12 +80,12 @@
 	}
 }
 
-// Hold takes a member out by hand, whatever its lists say, or puts it back; it
+// SetMemberOut takes a member out by hand, whatever its lists say, or puts it back; it
 // counts as draining meanwhile, and as just started once back. It tells, without
 // waiting for the core, whether the member is listed; one that is not is held
 // only where anyway is set, as when a new process takes over what an older one
 // held.
-func (c *Core) Hold(id string, out, anyway bool) bool {
+func (c *Engine) SetMemberOut(id string, out, anyway bool) bool {
 	c.mu.Lock()
 	listed := c.listed[id]
 	c.mu.Unlock()
@@ -96,13 +96,13 @@
 	return listed
 }
 
-// Warm says that a member put back by hand at a time started then, unless its
+// MarkRestored says that a member put back by hand at a time started then, unless its
 // list says it started later.
-func (c *Core) Warm(id string, back time.Time) {
+func (c *Engine) MarkRestored(id string, back time.Time) {
 	c.post(func() { c.warmFrom[id] = back })
 }
 
-func (c *Core) hold(id string, out bool, now time.Time) {
+func (c *Engine) hold(id string, out bool, now time.Time) {
 	if out {
 		c.held[id] = true
 	} else if c.held[id] {
@@ -116,11 +116,11 @@
 	if at := c.warmFrom[id]; at.After(m.Started) {
 		m.Started = at
 	}
-	c.decisions.Members(c.clock(c.now), policy.ListChange, []policy.Member{c.listing(m)})
+	c.decisions.HandleMembers(c.clock(c.now), policy.ListDelta, []policy.Member{c.listing(m)})
 }
 
-// Others tells whether members of other sources than this one are known.
-func (c *Core) Others(source string) bool {
+// HasOtherSources tells whether members of other sources than this one are known.
+func (c *Engine) HasOtherSources(source string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, n := range c.sources {
@@ -142,7 +142,7 @@
 
 // place puts a member into the tables. Flows keep the entry they were sent
 // with; new ones use the latest.
-func (c *Core) place(m *Member) policy.Member {
+func (c *Engine) place(m *Member) policy.Member {
 	if old := c.members[m.ID]; old != nil {
 		m.number = old.number
 	} else {
@@ -161,21 +161,21 @@
 }
 
 // drop forgets a member that is gone, unless it may still be sent to.
-func (c *Core) drop(m *Member) {
-	if !c.settings.Rules.OnlyDrainingBinds && c.members[m.ID] != nil {
+func (c *Engine) drop(m *Member) {
+	if !c.settings.Rules.OnlyDrainBinds && c.members[m.ID] != nil {
 		c.count(m.source, m.ID, -1)
 		delete(c.members, m.ID)
 		delete(c.numbers, m.number)
 	}
 }
 
-func (c *Core) listing(m *Member) policy.Member {
-	l := policy.Member{Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, State: m.State, Weight: m.Weight, Offers: m.Offers}
+func (c *Engine) listing(m *Member) policy.Member {
+	l := policy.Member{Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, State: m.State, Weight: m.Weight, Capabilities: m.Capabilities}
 	if c.held[m.ID] && l.State == policy.Ready {
 		l.State = policy.Draining
 	}
 	if !m.Started.IsZero() {
-		l.Since = c.clock(m.Started)
+		l.StartedAt = c.clock(m.Started)
 	}
 	return l
 }
@@ -183,7 +183,7 @@
 // number derives a member's number from its id alone: the module spreads cold
 // starts over the dispatchers by it, which a counter, different at each of
 // them, would upset. An id that hashes like another is hashed again.
-func (c *Core) number(id string) uint32 {
+func (c *Engine) number(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	n := h.Sum32()
--- a/internal/dispatcher/engine/transaction.go
+++ b/internal/dispatcher/engine/transaction.go
@@ -14,22 +14,22 @@
 	Front             string // the front that took it
 	Target            string // path and raw query, where the client's wire has them
 	Key               string // the idempotency key
-	Subject           string // what it is about; empty: not told
+	AffinityKey       string // what it is about; empty: not told
 	Body              []byte
-	Form              string // what the body is, in the words of the front that took it; empty: opaque bytes
+	BodyFormat        string // what the body is, in the words of the front that took it; empty: opaque bytes
 	Arrived           time.Time
 	Deadline          time.Time // the final answer is due before this
 	Hint              time.Duration
 	Slots, Memory     float64
-	Once              bool   // an error ends it; see basaltloft.Request
-	NotMember         string // not to be sent there, or, with NotItsZone, anywhere in that one's zone
-	NotItsZone        bool
+	NoRetryOnError    bool   // an error ends it; see basaltloft.Request
+	ExcludedMember    string // not to be sent there, or, with NotItsZone, anywhere in that one's zone
+	ExcludeItsZone    bool
 	Plan, Stage       string // that it is a part of; empty: none
-	Needs             string // only members that offer it may have this one; empty: any
+	Capability        string // only members that offer it may have this one; empty: any
 	Retry             bool
-	First             bool // known to be no retry; see basaltloft.Request
+	KnownFirst        bool // known to be no retry; see basaltloft.Request
 	Client            Client
-	Booked            any // the books' own
+	LedgerEntry       any // the books' own
 
 	sends    int
 	short    bool // another attempt was not to be had of the fleet's budget
@@ -49,16 +49,16 @@
 	Answer(Answer)
 }
 
-// Leaver is a Client that can tell, to any goroutine, whether it has left. It is
+// GoneReporter is a Client that can tell, to any goroutine, whether it has left. It is
 // asked where waiting to be told by Leave would be too late. One that says yes is
 // followed by Leave.
-type Leaver interface {
+type GoneReporter interface {
 	Gone() bool
 }
 
 // Gone tells whether the client is known to have left: no attempt may begin any more.
 func (t *Transaction) Gone() bool {
-	c, ok := t.Client.(Leaver)
+	c, ok := t.Client.(GoneReporter)
 	return ok && c.Gone()
 }
 
@@ -92,12 +92,12 @@
 	Ran     bool // Refused: a member has run it and called it failed, which its class lets be repeated
 
 	// What came before it, for who decides what follows; the core sets them.
-	Sends      int           // flows
-	MayHaveRun bool          // at some member, or may yet
-	Last       policy.Status // how the last flow ended; of no meaning without flows
-	Member     string        // that the last flow went to
-	Said       []byte        // with the last error of a member
-	Went       []string      // the members of all flows, where the core was told to keep them
+	Attempts     int           // flows
+	MayHaveRun   bool          // at some member, or may yet
+	LastStatus   policy.Status // how the last flow ended; of no meaning without flows
+	LastMember   string        // that the last flow went to
+	MemberError  []byte        // with the last error of a member
+	MembersTried []string      // the members of all flows, where the core was told to keep them
 }
 
 // Flow is a server-side flow: one attempt of a transaction at a pool member.
@@ -107,22 +107,24 @@
 	Number      int
 	SentAt      time.Time
 	Deadline    time.Time // nobody waits for it any longer then
-	// Latest is when a repeat of a keyed request must have reached its member whole:
+	// LatestSend is when a repeat of a keyed request must have reached its member whole:
 	// later it could be one that the members no longer know, and would run again. A
 	// carrier that is late lets it be and ends the flow as Moot. Zero: no matter.
-	Latest  time.Time
-	Carried any // the carrier's own; only its Start and Abandon touch it
+	LatestSend     time.Time
+	TransportState any // the carrier's own; only its Start and Abandon touch it
 	// Load is the member's load report that came with the answer that ends the
 	// flow; only the fields in Load.Has were told. The core's goroutine alone touches it.
 	Load policy.Report
 
 	ended bool
-	place Place  // among what is under way in the fleet; nil: none is needed
-	due   *timer // its deadline
+	place Reservation // among what is under way in the fleet; nil: none is needed
+	due   *timer      // its deadline
 }
 
-// Stale tells whether it is too late to hand a flow to its member.
-func (f *Flow) Stale(now time.Time) bool { return !f.Latest.IsZero() && !now.Before(f.Latest) }
+// TooLate tells whether it is too late to hand a flow to its member.
+func (f *Flow) TooLate(now time.Time) bool {
+	return !f.LatestSend.IsZero() && !now.Before(f.LatestSend)
+}
 
 // Member is a pool member: something that runs jobs.
 type Member struct {
@@ -131,9 +133,9 @@
 	Cell                 int
 	State                policy.MemberState
 	Weight               float64
-	Offers               []string  // the needs that it serves; nil: all
+	Capabilities         []string  // the needs that it serves; nil: all
 	Started              time.Time // its latest start; zero: long ago
-	Carrier              Carrier
+	Transport            Transport
 
 	source string
 	number uint32
@@ -142,10 +144,10 @@
 // Number is what the decisions call the member: the same at every dispatcher.
 func (m *Member) Number() uint32 { return m.number }
 
-// Carrier takes flows to the members of one wire. Its methods are called by
+// Transport takes flows to the members of one wire. Its methods are called by
 // the core's goroutine and must not block. Each flow that is started is ended
 // once with Core.End; ending it again does no harm.
-type Carrier interface {
+type Transport interface {
 	Start(*Flow)
 	// Abandon drops a flow for which nobody waits any more.
 	Abandon(*Flow)
@@ -153,9 +155,9 @@
 	// once the member has heard: until then a second attempt would run beside
 	// it. Where the member can't be told the flow stays.
 	Recall(*Flow)
-	// Release tells that the member has told the end of a flow otherwise than on the
+	// EndedOutOfBand tells that the member has told the end of a flow otherwise than on the
 	// flow's own connection: what is still held for it is given back.
-	Release(*Flow)
+	EndedOutOfBand(*Flow)
 	Probe(*Member)
 }
 
@@ -169,24 +171,24 @@
 type Load struct {
 	Open  int // transactions without a final answer
 	Bytes int // of their bodies
-	// Behind is how long what comes now should stay away, since events are handled
+	// RetryDelay is how long what comes now should stay away, since events are handled
 	// late; 0: they are handled in time.
-	Behind time.Duration
+	RetryDelay time.Duration
 }
 
 // Stages are the steps of a transaction between its taking in and its end.
 type Stages interface {
-	// Enter books a transaction that is taken.
-	Enter(t *Transaction, now time.Time)
+	// RecordAccepted books a transaction that is taken.
+	RecordAccepted(t *Transaction, now time.Time)
 	// Admit returns the final answer of a transaction that is not let in.
 	Admit(t *Transaction, load Load, now time.Time) *Answer
 	// Route puts a transaction into the words of the decisions.
 	Route(t *Transaction) policy.Request
-	// Send makes the flow that the decisions asked for.
-	Send(t *Transaction, m *Member, number int, now, until time.Time) *Flow
+	// NewFlow makes the flow that the decisions asked for.
+	NewFlow(t *Transaction, m *Member, number int, now, until time.Time) *Flow
 	// Relay tells what a flow's end means for its client: an answer, or
 	// nothing yet.
 	Relay(f *Flow, s policy.Status, result []byte, now time.Time) *Answer
-	// Book writes down a final answer, or that the client is owed none any more.
-	Book(t *Transaction, a Answer, now time.Time)
+	// RecordEnd writes down a final answer, or that the client is owed none any more.
+	RecordEnd(t *Transaction, a Answer, now time.Time)
 }
--- a/internal/dispatcher/fakes/discovery.go
+++ b/internal/dispatcher/fakes/discovery.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Listed is one member on discovery's list.
-type Listed struct {
+// Instance is one member on discovery's list.
+type Instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
@@ -33,12 +33,12 @@
 
 	mu         sync.Mutex
 	generation int64
-	members    []Listed
+	members    []Instance
 	changed    chan struct{}
 }
 
 // NewDiscovery serves a list on a loopback address.
-func NewDiscovery(members ...Listed) (*Discovery, error) {
+func NewDiscovery(members ...Instance) (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in discovery: %w", err)
@@ -54,8 +54,8 @@
 // Addr is where it is asked.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Set changes the list.
-func (d *Discovery) Set(members ...Listed) {
+// SetInstances changes the list.
+func (d *Discovery) SetInstances(members ...Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.members = members
@@ -86,12 +86,12 @@
 		d.mu.Lock()
 	}
 	answer := struct {
-		Generation int64    `json:"generation"`
-		Reset      bool     `json:"reset"`
-		Instances  []Listed `json:"instances"`
-	}{d.generation, true, append([]Listed{}, d.members...)}
+		Generation int64      `json:"generation"`
+		Reset      bool       `json:"reset"`
+		Instances  []Instance `json:"instances"`
+	}{d.generation, true, append([]Instance{}, d.members...)}
 	if watch && d.generation <= index {
-		answer.Reset, answer.Instances = false, []Listed{}
+		answer.Reset, answer.Instances = false, []Instance{}
 	}
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/dispatcher/fakes/free.go
+++ b/internal/dispatcher/fakes/free.go
@@ -9,10 +9,10 @@
 
 var tried atomic.Uint32
 
-// Free is a loopback address that nothing listens on. It lies below the ports
+// FreeAddr is a loopback address that nothing listens on. It lies below the ports
 // that the system gives out by itself: one of those may be taken by anybody's
 // connection before the program that is told of it listens there.
-func Free() (string, error) {
+func FreeAddr() (string, error) {
 	const first, count = 20000, 12000
 	for range count {
 		port := first + (uint32(os.Getpid())*131+tried.Add(1))%count
--- a/internal/dispatcher/fakes/till.go
+++ b/internal/dispatcher/fakes/till.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Till counts how often each job was run, by whoever ran it: it is how a
+// RunLog counts how often each job was run, by whoever ran it: it is how a
 // second charge would show.
-type Till struct {
+type RunLog struct {
 	mu   sync.Mutex
 	runs map[string]int
 	once map[string]bool // those that must not run twice
@@ -19,26 +19,26 @@
 // Arrival is a job's arrival at a member, as the member saw it. Times are the
 // member's own; those of what has not happened are zero.
 type Arrival struct {
-	At, Ran, Ended         time.Time
-	ID, Class, Key, Tenant string
-	Ask                    string    // what the client calls it over all its tries, in the target's sid
-	Dispatcher, Member     string    // who sent it, by the door it came through; who got it
-	TurnedAway             bool      // or handed back: it never ran
-	Over                   time.Time // just before its dispatcher could learn that it is over, or when it was told that nobody waits
+	ArrivedAt, StartedAt, EndedAt time.Time
+	ID, Class, Key, Tenant        string
+	LogicalID                     string    // what the client calls it over all its tries, in the target's sid
+	Dispatcher, Member            string    // who sent it, by the door it came through; who got it
+	Rejected                      bool      // or handed back: it never ran
+	SettledAt                     time.Time // just before its dispatcher could learn that it is over, or when it was told that nobody waits
 }
 
-// Log makes the till keep each arrival.
-func (t *Till) Log() { t.keep = true }
+// KeepArrivals makes the till keep each arrival.
+func (t *RunLog) KeepArrivals() { t.keep = true }
 
 // Arrivals are those so far, in their order, if they are kept.
-func (t *Till) Arrivals() []Arrival {
+func (t *RunLog) Arrivals() []Arrival {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.log)
 }
 
 // arrive logs an arrival, and returns its number.
-func (t *Till) arrive(a Arrival) int {
+func (t *RunLog) arrive(a Arrival) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.keep {
@@ -48,7 +48,7 @@
 }
 
 // mark notes what became of an arrival.
-func (t *Till) mark(n int, note func(*Arrival)) {
+func (t *RunLog) mark(n int, note func(*Arrival)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.keep {
@@ -57,24 +57,24 @@
 }
 
 // abandon notes that nobody waits for a job at a member any more.
-func (t *Till) abandon(id, member string) {
+func (t *RunLog) abandon(id, member string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := len(t.log) - 1; i >= 0; i-- {
 		if a := &t.log[i]; a.ID == id && a.Member == member {
-			if a.Over.IsZero() {
-				a.Over = time.Now()
+			if a.SettledAt.IsZero() {
+				a.SettledAt = time.Now()
 			}
 			return
 		}
 	}
 }
 
-// NewTill returns an empty till.
-func NewTill() *Till { return &Till{runs: make(map[string]int), once: make(map[string]bool)} }
+// NewRunLog returns an empty till.
+func NewRunLog() *RunLog { return &RunLog{runs: make(map[string]int), once: make(map[string]bool)} }
 
-// Run counts a run and returns how many there were of that job before.
-func (t *Till) Run(job string, once bool) int {
+// RecordRun counts a run and returns how many there were of that job before.
+func (t *RunLog) RecordRun(job string, once bool) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs[job]++
@@ -84,8 +84,8 @@
 	return t.runs[job] - 1
 }
 
-// Twice names the jobs that were run more than once and must not be.
-func (t *Till) Twice() (jobs []string) {
+// RunTwice names the jobs that were run more than once and must not be.
+func (t *RunLog) RunTwice() (jobs []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for job := range t.once {
@@ -96,8 +96,8 @@
 	return jobs
 }
 
-// Jobs is how many jobs ran.
-func (t *Till) Jobs() int {
+// JobCount is how many jobs ran.
+func (t *RunLog) JobCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.runs)
--- a/internal/dispatcher/faktory/backlog.go
+++ b/internal/dispatcher/faktory/backlog.go
@@ -41,7 +41,7 @@
 	intake Intake
 	set    *settings.Faktory
 	log    logrus.FieldLogger
-	desk   *accounting.Desk
+	desk   *accounting.FrontCounters
 	plans  Plans // nil: none can be run
 
 	mu      sync.Mutex
@@ -99,7 +99,7 @@
 	backtrace     []string
 }
 
-func newBacklog(hub Hub, intake Intake, set *settings.Faktory, desk *accounting.Desk, log logrus.FieldLogger) *backlog {
+func newBacklog(hub Hub, intake Intake, set *settings.Faktory, desk *accounting.FrontCounters, log logrus.FieldLogger) *backlog {
 	b := &backlog{
 		hub: hub, intake: intake, set: set, log: log, desk: desk,
 		book: sets.NewBook(sets.Limits{
@@ -208,7 +208,7 @@
 	if err != nil || t == nil {
 		return err
 	}
-	b.hub.Sync(func() {}) // the decisions have seen it, if it went there
+	b.hub.Do(func() {}) // the decisions have seen it, if it went there
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t.pushing = false
@@ -278,7 +278,7 @@
 }
 
 func (b *backlog) mayFeed(queue string) bool {
-	return b.waiting[queue] < b.workers.wanting(queue) || b.hub.Others(Source) && b.out < others
+	return b.waiting[queue] < b.workers.wanting(queue) || b.hub.HasOtherSources(Source) && b.out < others
 }
 
 // feedOne hands the first job of a queue to the core, and returns its jid.
@@ -301,13 +301,13 @@
 			if j, err = readJob(v, b.set, now); err == nil {
 				j.arrival.Retry = w.Again
 				var tx *engine.Transaction
-				if tx, err = b.intake.TakeIn(j.arrival, now, t); err == nil {
+				if tx, err = b.intake.NewTransaction(j.arrival, now, t); err == nil {
 					t.state, t.failed, t.fetched, t.counted = isOut, nil, false, false
 					b.waiting[queue]++
 					b.out++
-					b.desk.Begin()
+					b.desk.JobStarted()
 					b.hub.Submit(tx)
-					b.desk.Handed()
+					b.desk.JobSubmitted()
 					b.feedPlans(queue)
 					return w.ID
 				}
@@ -336,7 +336,7 @@
 // Answer implements core.Client: a try of the job has its final answer.
 func (t *task) Answer(a engine.Answer) {
 	b := t.of
-	b.desk.Answered(a.Verdict.Outcome())
+	b.desk.JobAnswered(a.Verdict.Outcome())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t.state != isOut {
@@ -365,7 +365,7 @@
 			f = &failure{kind: "Error", message: "a pool member called it failed"}
 			t.failed = f
 		}
-		mayRepeat := t.effect == policy.Safe
+		mayRepeat := t.effect == policy.Idempotent
 		t.job.MayHaveRun = !mayRepeat
 		fate = b.book.Failed(now, t.job, mayRepeat, f.kind, f.message, f.backtrace)
 	case a.Verdict == engine.Refused:
--- a/internal/dispatcher/faktory/client/client.go
+++ b/internal/dispatcher/faktory/client/client.go
@@ -87,8 +87,8 @@
 	return c.reply()
 }
 
-// Ask sends a command and decodes its reply.
-func (c *Conn) Ask(command string, into any, deadline time.Time) error {
+// Query sends a command and decodes its reply.
+func (c *Conn) Query(command string, into any, deadline time.Time) error {
 	text, err := c.Do(command, deadline)
 	if err != nil {
 		return err
@@ -162,25 +162,25 @@
 	} `json:"server"`
 }
 
-// Listed is one job of a set, as SHOW tells it.
-type Listed struct {
-	ID      string          `json:"jid"`
-	Type    string          `json:"jobtype"`
-	Queue   string          `json:"queue"`
-	When    time.Time       `json:"when"`
-	MayRun  bool            `json:"may_have_run"`
-	Failure json.RawMessage `json:"failure,omitempty"`
+// JobEntry is one job of a set, as SHOW tells it.
+type JobEntry struct {
+	ID         string          `json:"jid"`
+	Type       string          `json:"jobtype"`
+	Queue      string          `json:"queue"`
+	At         time.Time       `json:"when"`
+	MayHaveRun bool            `json:"may_have_run"`
+	Failure    json.RawMessage `json:"failure,omitempty"`
 }
 
 // Worker is one worker, as SHOW tells it.
 type Worker struct {
-	ID          string    `json:"wid"`
-	Host        string    `json:"hostname"`
-	PID         int       `json:"pid"`
-	Connections int       `json:"connections"`
-	Holding     int       `json:"holding"`
-	Quiet       bool      `json:"quiet"`
-	Beat        time.Time `json:"beat"`
-	RSSKB       int64     `json:"rss_kb"`
-	Queues      []string  `json:"queues"`
+	ID            string    `json:"wid"`
+	Host          string    `json:"hostname"`
+	PID           int       `json:"pid"`
+	Connections   int       `json:"connections"`
+	HeldJobs      int       `json:"holding"`
+	Quiet         bool      `json:"quiet"`
+	LastHeartbeat time.Time `json:"beat"`
+	RSSKB         int64     `json:"rss_kb"`
+	Queues        []string  `json:"queues"`
 }
--- a/internal/dispatcher/faktory/commands.go
+++ b/internal/dispatcher/faktory/commands.go
@@ -163,7 +163,7 @@
 		}
 	}
 	if s.back.finish(s.worker, string(v.GetStringBytes("jid")), status, result, f) {
-		s.hub.Sync(func() {}) // what is asked after the reply is told with it
+		s.hub.Do(func() {}) // what is asked after the reply is told with it
 	}
 	return ok
 }
--- a/internal/dispatcher/faktory/job.go
+++ b/internal/dispatcher/faktory/job.go
@@ -40,7 +40,7 @@
 	uniqueFor       time.Duration
 	uniqueUntil     sets.Until
 	plan            string // it is run as; empty: it is fetched
-	arrival         pipeline.Arrival
+	arrival         pipeline.Submission
 }
 
 const (
@@ -95,15 +95,15 @@
 	if as.Class == "" && j.plan == "" {
 		return j, fmt.Errorf("neither jobtype %q nor queue %q is set up here", j.kind, j.queue)
 	}
-	j.arrival = pipeline.Arrival{
-		ID: j.id, Class: as.Class, Tenant: as.Tenant, Front: Front, Key: j.id, Form: form, Body: jsontext.Append(nil, v), Hint: as.Cost, Slots: 1,
-		Needs: j.queue, Once: true,
+	j.arrival = pipeline.Submission{
+		ID: j.id, Class: as.Class, Tenant: as.Tenant, Front: Front, Key: j.id, BodyFormat: form, Body: jsontext.Append(nil, v), Hint: as.Cost, Slots: 1,
+		Capability: j.queue, NoRetryOnError: true,
 	}
 	if len(j.arrival.Body) > pipeline.MaxBody {
 		return j, pipeline.ErrTooLarge
 	}
 	if as.Deadline > 0 {
-		j.arrival.GivesUp = now.Add(as.Deadline)
+		j.arrival.ClientDeadline = now.Add(as.Deadline)
 	}
 	return j, j.custom(v)
 }
@@ -161,8 +161,8 @@
 	if j.expires, err = timeOf(v, "expires_at"); err != nil {
 		return err
 	}
-	if !j.expires.IsZero() && (j.arrival.GivesUp.IsZero() || j.expires.Before(j.arrival.GivesUp)) {
-		j.arrival.GivesUp = j.expires
+	if !j.expires.IsZero() && (j.arrival.ClientDeadline.IsZero() || j.expires.Before(j.arrival.ClientDeadline)) {
+		j.arrival.ClientDeadline = j.expires
 	}
 	j.batch = string(v.GetStringBytes("bid"))
 	if j.uniqueFor = seconds(v.GetFloat64("unique_for")); j.uniqueFor <= 0 {
@@ -187,7 +187,7 @@
 // forWorker is the job that a worker fetches: a pushed one as it came, one of
 // another front in Faktory's form, with its body as the only argument.
 func forWorker(t *engine.Transaction, queue string) []byte {
-	if t.Form == form {
+	if t.BodyFormat == form {
 		return withFailure(t)
 	}
 	var a fastjson.Arena
@@ -251,7 +251,7 @@
 // reservation is how long a worker may keep a job. What a job asks for counts
 // from one minute on, as the protocol has it.
 func reservation(t *engine.Transaction, set *settings.Faktory) time.Duration {
-	if t.Form == form {
+	if t.BodyFormat == form {
 		if v, err := fastjson.ParseBytes(t.Body); err == nil {
 			if s := v.GetFloat64("reserve_for"); s > 0 {
 				return max(seconds(s), min(soonest, set.ReserveFor))
--- a/internal/dispatcher/faktory/plans.go
+++ b/internal/dispatcher/faktory/plans.go
@@ -116,7 +116,7 @@
 	t.state, t.failed, t.at = isOut, nil, now
 	b.book.Started(t.job)
 	run, queue := t.plan.run(t.id), t.job.Queue
-	err = b.plans.Begin(run, t.plan.name, j.arrival.Tenant, planInput(v), j.arrival.GivesUp, func(a engine.Answer) {
+	err = b.plans.Begin(run, t.plan.name, j.arrival.Tenant, planInput(v), j.arrival.ClientDeadline, func(a engine.Answer) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		t.plan.ends++
--- a/internal/dispatcher/faktory/server.go
+++ b/internal/dispatcher/faktory/server.go
@@ -30,13 +30,13 @@
 
 // Intake makes transactions of arrivals.
 type Intake interface {
-	TakeIn(a pipeline.Arrival, now time.Time, client engine.Client) (*engine.Transaction, error)
+	NewTransaction(a pipeline.Submission, now time.Time, client engine.Client) (*engine.Transaction, error)
 	Effect(class string) (policy.Effect, bool)
 }
 
 // Server is the Faktory front.
 type Server struct {
-	Desk    accounting.Desk // its own book
+	Desk    accounting.FrontCounters // its own book
 	hub     Hub
 	intake  Intake
 	set     *settings.Faktory
@@ -58,7 +58,7 @@
 // New returns a front that is not serving yet.
 func New(hub Hub, intake Intake, set *settings.Faktory, log logrus.FieldLogger) *Server {
 	s := &Server{
-		Desk: accounting.Desk{Front: Front}, hub: hub, intake: intake, set: set, log: log,
+		Desk: accounting.FrontCounters{Front: Front}, hub: hub, intake: intake, set: set, log: log,
 		started: time.Now(), slots: make(chan struct{}, set.Connections), conns: make(map[net.Conn]time.Time), by: make(map[string]int),
 	}
 	s.back = newBacklog(hub, intake, set, &s.Desk, log)
--- a/internal/dispatcher/faktory/workers.go
+++ b/internal/dispatcher/faktory/workers.go
@@ -22,12 +22,12 @@
 // Hub is what the front needs of the core.
 type Hub interface {
 	Submit(*engine.Transaction)
-	Sync(func())
-	Others(source string) bool
-	End(f *engine.Flow, s policy.Status, result []byte)
-	Note(f *engine.Flow, topic policy.NoteTopic, share float64)
-	Probed(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
-	List(source string, kind policy.ListKind, entries []*engine.Member)
+	Do(func())
+	HasOtherSources(source string) bool
+	EndFlow(f *engine.Flow, s policy.Status, result []byte)
+	UpdateFlow(f *engine.Flow, topic policy.UpdateKind, share float64)
+	EndProbe(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
+	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
 // workers are the Faktory workers as pool members. It implements core.Carrier.
@@ -146,15 +146,15 @@
 func (ws *workers) handBack(w *worker) {
 	for _, e := range w.mailbox {
 		ws.over(e)
-		ws.hub.End(e.flow, policy.Full, nil)
+		ws.hub.EndFlow(e.flow, policy.Rejected, nil)
 	}
 	w.mailbox = nil
 }
 
 func (ws *workers) list(w *worker, state policy.MemberState) {
-	ws.hub.List(Source, policy.ListChange, []*engine.Member{{
-		ID: prefix + w.id, Kind: ws.set.Kind, Zone: ws.set.Zone, Cell: ws.cell(w), State: state, Weight: 1, Carrier: ws,
-		Offers: ws.offers(w),
+	ws.hub.UpdateMembers(Source, policy.ListDelta, []*engine.Member{{
+		ID: prefix + w.id, Kind: ws.set.Kind, Zone: ws.set.Zone, Cell: ws.cell(w), State: state, Weight: 1, Transport: ws,
+		Capabilities: ws.offers(w),
 	}})
 }
 
@@ -231,12 +231,12 @@
 func (ws *workers) Start(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	e := &errand{flow: f, queue: f.Transaction.Needs}
-	f.Carried = e
+	e := &errand{flow: f, queue: f.Transaction.Capability}
+	f.TransportState = e
 	w := ws.byID[strings.TrimPrefix(f.Member.ID, prefix)]
 	if e.worker = w; w == nil || w.quiet || w.connections == 0 || !w.queues[e.queue] || ws.paused(e.queue) {
 		e.over = true
-		ws.hub.End(f, policy.Full, nil) // it never reached the worker
+		ws.hub.EndFlow(f, policy.Rejected, nil) // it never reached the worker
 		return
 	}
 	for _, waiting := range w.fetches {
@@ -248,9 +248,9 @@
 	w.mailbox = append(w.mailbox, e)
 	// A worker that is busy or stuck does not fetch. What it has not fetched
 	// has not run and may go elsewhere; one that it fetches too late might run again.
-	until, ends := time.Now().Add(ws.set.FetchIn), policy.Full
-	if f.Stale(until) {
-		until, ends = f.Latest, policy.Moot
+	until, ends := time.Now().Add(ws.set.FetchIn), policy.Rejected
+	if f.TooLate(until) {
+		until, ends = f.LatestSend, policy.NotSent
 	}
 	e.timer = time.AfterFunc(time.Until(until), func() { ws.drop(e, false, ends) })
 }
@@ -296,7 +296,7 @@
 			continue
 		}
 		for i, e := range w.mailbox {
-			if e.queue == q && !e.flow.Stale(time.Now()) {
+			if e.queue == q && !e.flow.TooLate(time.Now()) {
 				w.mailbox = slices.Delete(w.mailbox, i, i+1)
 				ws.give(f, e)
 				return
@@ -338,7 +338,7 @@
 		return
 	}
 	e.worker.mailbox = without(e.worker.mailbox, e)
-	ws.hub.End(e.flow, s, nil)
+	ws.hub.EndFlow(e.flow, s, nil)
 }
 
 func without(all []*errand, e *errand) []*errand {
@@ -350,22 +350,22 @@
 func (ws *workers) Abandon(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	if e, ok := f.Carried.(*errand); ok && ws.over(e) && e.worker != nil {
+	if e, ok := f.TransportState.(*errand); ok && ws.over(e) && e.worker != nil {
 		e.worker.mailbox = without(e.worker.mailbox, e)
 	}
 }
 
-// Release implements core.Carrier.
-func (ws *workers) Release(f *engine.Flow) { ws.Abandon(f) }
+// EndedOutOfBand implements core.Carrier.
+func (ws *workers) EndedOutOfBand(f *engine.Flow) { ws.Abandon(f) }
 
 // Recall implements core.Carrier. What was not fetched has not run and comes
 // back at once; a worker can't be told to stop, and its ACK counts.
 func (ws *workers) Recall(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	if e, ok := f.Carried.(*errand); ok && !e.fetched && ws.over(e) && e.worker != nil {
+	if e, ok := f.TransportState.(*errand); ok && !e.fetched && ws.over(e) && e.worker != nil {
 		e.worker.mailbox = without(e.worker.mailbox, e)
-		ws.hub.End(f, policy.Moot, nil)
+		ws.hub.EndFlow(f, policy.NotSent, nil)
 	}
 }
 
@@ -377,7 +377,7 @@
 	if w := ws.byID[strings.TrimPrefix(m.ID, prefix)]; w != nil && w.connections > 0 {
 		s = policy.OK
 	}
-	ws.hub.Probed(m, s, policy.Report{}, time.Now())
+	ws.hub.EndProbe(m, s, policy.Report{}, time.Now())
 }
 
 // fetch takes a job for a worker, or waits for one. A worker joins the pool by
@@ -421,7 +421,7 @@
 }
 
 // started tells that a fetched job is on its way to its worker.
-func (ws *workers) started(e *errand) { ws.hub.Note(e.flow, policy.NoteStarted, 0) }
+func (ws *workers) started(e *errand) { ws.hub.UpdateFlow(e.flow, policy.UpdateStarted, 0) }
 
 // undelivered takes back a job that did not reach its worker whole.
 func (ws *workers) undelivered(e *errand) { ws.drop(e, true, policy.ConnectFailed) }
@@ -435,7 +435,7 @@
 	if e == nil || e.worker != w || !ws.over(e) {
 		return false
 	}
-	ws.hub.End(e.flow, s, result)
+	ws.hub.EndFlow(e.flow, s, result)
 	return true
 }
 
--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -29,9 +29,9 @@
 // Settings are what an agent is made of.
 type Settings struct {
 	Process, Version string
-	Keepers          map[string]string // where their calls arrive, as reached from here
-	Set              state.SetBody     // what the operator's file says for the whole fleet
-	Expect           []string          // the budgets that it names
+	RaftNodes        map[string]string   // where their calls arrive, as reached from here
+	FleetSettings    state.FleetSettings // what the operator's file says for the whole fleet
+	ExpectedBudgets  []string            // the budgets that it names
 	Log              logrus.FieldLogger
 }
 
@@ -57,10 +57,10 @@
 // New returns an agent that has not joined. Until its first grant it admits nothing
 // of the budgets that it expects.
 func New(s Settings) *Agent {
-	a := &Agent{s: s, client: rpc.New(s.Keepers), base: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), purse: budget.NewPurse(),
+	a := &Agent{s: s, client: rpc.New(s.RaftNodes), base: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), purse: budget.NewPurse(),
 		leave: make(chan struct{}), short: make(map[string]time.Duration)}
-	a.purse.Expect(s.Expect...)
-	a.see(s.Expect)
+	a.purse.Expect(s.ExpectedBudgets...)
+	a.see(s.ExpectedBudgets)
 	return a
 }
 
@@ -106,7 +106,7 @@
 		return err
 	}
 	a.purse.Become(a.s.Process, s.Incarnation)
-	if err := s.Order(join, state.Set, a.s.Set, nil); err != nil && !errors.Is(err, rpc.ErrNobody) {
+	if err := s.Execute(join, state.Set, a.s.FleetSettings, nil); err != nil && !errors.Is(err, rpc.ErrUnavailable) {
 		if errors.Is(err, state.ErrFenced) {
 			return err
 		}
@@ -164,7 +164,7 @@
 			return err
 		}
 		a.purse.Apply(sent, a.now(), g)
-		names := append([]string(nil), a.s.Expect...)
+		names := append([]string(nil), a.s.ExpectedBudgets...)
 		for _, share := range g.Shares {
 			names = append(names, share.Name)
 		}
@@ -185,10 +185,10 @@
 	if s == nil {
 		return nil
 	}
-	if err := s.Order(ctx, partition.BudgetsLeave, partition.BudgetsLeft{Left: left}, nil); err != nil {
+	if err := s.Execute(ctx, partition.BudgetsLeave, partition.BudgetsLeft{Left: left}, nil); err != nil {
 		return fmt.Errorf("leaving the fleet: %w", err)
 	}
-	if err := s.Order(ctx, state.Leave, nil, nil); err != nil {
+	if err := s.Execute(ctx, state.Leave, nil, nil); err != nil {
 		return fmt.Errorf("leaving the fleet: %w", err)
 	}
 	return nil
@@ -196,18 +196,18 @@
 
 // Status is what an agent can tell of itself.
 type Status struct {
-	Process     string
-	Incarnation uint64 // 0: not in the fleet
-	Joined      int64  // how often
-	Members     int64  // in force, as of the last renewal
-	RenewedMS   int64  // since the last renewal that was granted was sent; -1: none was
+	Process        string
+	Incarnation    uint64 // 0: not in the fleet
+	Joins          int64  // how often
+	Members        int64  // in force, as of the last renewal
+	SinceRenewalMS int64  // since the last renewal that was granted was sent; -1: none was
 }
 
 // Status tells how this process stands.
 func (a *Agent) Status() Status {
-	s := Status{Process: a.s.Process, Joined: a.joined.Load(), Members: a.members.Load(), RenewedMS: -1}
+	s := Status{Process: a.s.Process, Joins: a.joined.Load(), Members: a.members.Load(), SinceRenewalMS: -1}
 	if at := a.renewed.Load(); at != 0 {
-		s.RenewedMS = (a.now() - time.Duration(at)).Milliseconds()
+		s.SinceRenewalMS = (a.now() - time.Duration(at)).Milliseconds()
 	}
 	if in := a.session.Load(); in != nil {
 		s.Incarnation = in.Incarnation
--- a/internal/dispatcher/fleet/agent/spend.go
+++ b/internal/dispatcher/fleet/agent/spend.go
@@ -68,14 +68,14 @@
 	return now.Add(t.ComeBack(own)), false
 }
 
-// Again implements basaltloft.Purse.
-func (a *Agent) Again(_, class string) bool {
+// TakeRetry implements basaltloft.Purse.
+func (a *Agent) TakeRetry(_, class string) bool {
 	t := a.taps.Load().retries[class]
 	return t == nil || t.Take(a.now())
 }
 
-// ComeBack implements core.Spending.
-func (a *Agent) ComeBack(class string, now time.Time) time.Time {
+// RetryTime implements core.Spending.
+func (a *Agent) RetryTime(class string, now time.Time) time.Time {
 	if t := a.taps.Load().retries[class]; t != nil {
 		return now.Add(t.ComeBack(a.now()))
 	}
@@ -86,8 +86,8 @@
 // want is counted this often.
 const shortEvery = 20 * time.Millisecond
 
-// Room implements basaltloft.Purse.
-func (a *Agent) Room(kind string) bool {
+// HasHeadroom implements basaltloft.Purse.
+func (a *Agent) HasHeadroom(kind string) bool {
 	t := a.taps.Load().underWay[kind]
 	if t == nil {
 		return true
@@ -101,8 +101,8 @@
 	return free
 }
 
-// Begin implements core.Spending.
-func (a *Agent) Begin(kind string, until time.Time) (engine.Place, bool) {
+// Reserve implements core.Spending.
+func (a *Agent) Reserve(kind string, until time.Time) (engine.Reservation, bool) {
 	t := a.taps.Load().underWay[kind]
 	if t == nil {
 		return nil, true
@@ -110,14 +110,14 @@
 	return t, t.Begin(a.now(), until.Sub(a.base))
 }
 
-// Probe implements basaltloft.Purse.
-func (a *Agent) Probe() bool {
+// TakeProbe implements basaltloft.Purse.
+func (a *Agent) TakeProbe() bool {
 	t := a.taps.Load().probes
 	return t == nil || t.Take(a.now())
 }
 
-// Cold implements basaltloft.Purse.
-func (a *Agent) Cold() (float64, bool) {
+// ColdShare implements basaltloft.Purse.
+func (a *Agent) ColdShare() (float64, bool) {
 	t := a.taps.Load().cold
 	if t == nil {
 		return 0, false
@@ -125,9 +125,9 @@
 	return t.Amount(a.now())
 }
 
-// Want tells how many jobs a second this dispatcher has, by which a cold member's
+// SetArrivalRate tells how many jobs a second this dispatcher has, by which a cold member's
 // parts are divided.
-func (a *Agent) Want(rate float64) {
+func (a *Agent) SetArrivalRate(rate float64) {
 	if t := a.taps.Load().cold; t != nil {
 		t.Want(rate)
 	}
--- a/internal/dispatcher/fleet/budget/book.go
+++ b/internal/dispatcher/fleet/budget/book.go
@@ -259,13 +259,13 @@
 		l, u := &h.Lines[i], r.Uses[s.Name]
 		b.change(s, l, func() {
 			under := millionths(u.UnderWay)
-			if s.Kind == UnderWay && (fresh || h.Number == 0 || under < l.Under) {
+			if s.Kind == InFlight && (fresh || h.Number == 0 || under < l.Under) {
 				l.Under = under
 			}
 			if fresh {
 				before := l.held().Amount
 				l.Bound = l.Offered
-				if freed := before - l.held().Amount; freed > 0 && s.Kind == Part {
+				if freed := before - l.held().Amount; freed > 0 && s.Kind == Divided {
 					until := b.At + rests(max(s.Linger, l.Bound.Linger))
 					s.put(rest{Amount: freed, Until: until})
 					b.due = min(b.due, until)
@@ -352,7 +352,7 @@
 			Floor: figure(o.Floor), FloorFor: o.FloorFor, Linger: o.Linger,
 		}
 		waits := s.Dirty && l.Due == 0 && l.Demand > 0 // not divided since it asked
-		if waits || s.Kind != Part && float64(o.Amount) < (1-steady)*float64(l.Due+o.Floor) {
+		if waits || s.Kind != Divided && float64(o.Amount) < (1-steady)*float64(l.Due+o.Floor) {
 			g.Soon = true
 		}
 	}
@@ -382,7 +382,7 @@
 		if next.Burst < unit {
 			next.Burst = 0
 		}
-	case UnderWay:
+	case InFlight:
 		next.Amount -= next.Amount % unit
 	}
 	changed := next != l.Bound
@@ -413,9 +413,9 @@
 		held := h.Lines[k].held()
 		u, told := left[s.Name]
 		switch {
-		case s.Kind == Part || s.Kind == UnderWay && !told:
+		case s.Kind == Divided || s.Kind == InFlight && !told:
 			s.put(rest{Amount: held.Amount, Until: b.At + rests(max(held.Linger, s.Linger))})
-		case s.Kind == UnderWay:
+		case s.Kind == InFlight:
 			s.put(rest{Amount: millionths(u.UnderWay), Until: b.At + rests(u.Latest)})
 		}
 	}
--- a/internal/dispatcher/fleet/budget/book_divide.go
+++ b/internal/dispatcher/fleet/budget/book_divide.go
@@ -23,7 +23,7 @@
 	amount, burst, _ := s.aside()
 	whole, bursts := millionths(s.Whole)-amount, millionths(s.Burst)-burst
 	for _, r := range s.Rests {
-		if s.Kind != Part || r.Floor {
+		if s.Kind != Divided || r.Floor {
 			whole -= r.Amount
 		}
 		bursts -= r.Burst
@@ -57,7 +57,7 @@
 	switch s.Kind {
 	case Rate:
 		seats = int(min(bursts/unit, int64(live)))
-	case UnderWay: // who wants nothing needs no seat
+	case InFlight: // who wants nothing needs no seat
 		seats, most = int(min(whole/unit, int64(live))), wanting
 	}
 	s.Turn = 0
@@ -73,7 +73,7 @@
 	}
 	b.outs = slices.Grow(b.outs[:0], len(b.asks))[:len(b.asks)]
 	switch s.Kind {
-	case UnderWay:
+	case InFlight:
 		b.whole(i, whole/unit)
 	default:
 		b.way(figure(whole), b.asks, b.outs)
@@ -93,7 +93,7 @@
 	if l.hasFloor() {
 		d -= s.Floor
 	}
-	if s.Kind == UnderWay {
+	if s.Kind == InFlight {
 		d = math.Ceil(d)
 	}
 	return min(max(d, 0), s.Whole)
--- a/internal/dispatcher/fleet/budget/figures.go
+++ b/internal/dispatcher/fleet/budget/figures.go
@@ -45,9 +45,9 @@
 		return Cut
 	case s.at(now) <= 0:
 		return NoShare
-	case kind == UnderWay && lasts > s.linger:
+	case kind == InFlight && lasts > s.linger:
 		return TooLong
-	case kind == UnderWay && float64(t.under.Load()+1) > s.at(now):
+	case kind == InFlight && float64(t.under.Load()+1) > s.at(now):
 		return Spent
 	case kind == Rate && t.taken.Load() >= t.ceiling.Load():
 		return Spent
--- a/internal/dispatcher/fleet/budget/shares.go
+++ b/internal/dispatcher/fleet/budget/shares.go
@@ -34,8 +34,8 @@
 // The kinds.
 const (
 	Rate     Kind = iota // Whole a second with Burst, all processes together
-	UnderWay             // Whole at a time
-	Part                 // a whole that is divided; who holds a part may use it; a part that is freed rests for Linger
+	InFlight             // Whole at a time
+	Divided              // a whole that is divided; who holds a part may use it; a part that is freed rests for Linger
 )
 
 // String is the name of a kind, for people.
@@ -141,7 +141,7 @@
 		return fmt.Errorf("grant %d: a lease of %v", g.Number, g.Lease)
 	}
 	for i, s := range g.Shares {
-		bad := s.Name == "" || s.Kind > Part || s.FloorFor < 0 || s.Linger < 0 || i > 0 && g.Shares[i-1].Name >= s.Name
+		bad := s.Name == "" || s.Kind > Divided || s.FloorFor < 0 || s.Linger < 0 || i > 0 && g.Shares[i-1].Name >= s.Name
 		for _, x := range []float64{s.Amount, s.Burst, s.Floor} {
 			bad = bad || !(x >= 0 && x <= mostWhole)
 		}
@@ -176,7 +176,7 @@
 	switch {
 	case b.Name == "":
 		return errors.New("no name")
-	case b.Kind > Part:
+	case b.Kind > Divided:
 		return fmt.Errorf("%v: no such kind", b.Kind)
 	case !inside(b.Whole, mostWhole):
 		return fmt.Errorf("whole %v: not from 0 to %v", b.Whole, mostWhole)
@@ -190,7 +190,7 @@
 		return fmt.Errorf("%d floors of %v: more than the whole, %v", b.Floors, b.Floor, b.Whole)
 	case b.Kind == Rate && b.Floor > 0 && float64(b.Floors) >= b.Burst:
 		return fmt.Errorf("%d floors: each needs 1 of the burst, %v, and the shares need some", b.Floors, b.Burst)
-	case b.Kind == UnderWay && !(whole(b.Whole) && whole(b.Floor)):
+	case b.Kind == InFlight && !(whole(b.Whole) && whole(b.Floor)):
 		return fmt.Errorf("whole %v, floor %v: jobs under way are whole numbers", b.Whole, b.Floor)
 	case b.Linger < 0 || b.Kind != Rate && b.Linger == 0:
 		return fmt.Errorf("linger %v: must be above 0", b.Linger)
--- a/internal/dispatcher/fleet/budget/tap.go
+++ b/internal/dispatcher/fleet/budget/tap.go
@@ -146,7 +146,7 @@
 	}
 	most(&t.latest, int64(until))
 	n := t.under.Add(1)
-	if s := t.terms.Load(); float64(n) > s.at(now) || s.kind != UnderWay && s != &open {
+	if s := t.terms.Load(); float64(n) > s.at(now) || s.kind != InFlight && s != &open {
 		t.under.Add(-1)
 		t.turned.Add(1)
 		return false
@@ -205,9 +205,9 @@
 	refused, began := float64(turned-t.turnedThen), float64(begun-t.begunThen)
 	t.turnedThen, t.begunThen = turned, begun
 	switch s := t.terms.Load(); {
-	case s.kind == Part:
+	case s.kind == Divided:
 		t.told = math.Float64frombits(t.want.Load())
-	case s.kind == UnderWay || began > 0:
+	case s.kind == InFlight || began > 0:
 		d := float64(t.peak.Swap(int64(under)))
 		if began > 0 {
 			d = min(d+refused, d*(1+refused/began))
@@ -234,10 +234,10 @@
 // moved tells whether what came in a time is not what was told, by half.
 func (t *Tap) moved(since time.Duration) bool {
 	s := t.terms.Load()
-	if s.kind == Part {
+	if s.kind == Divided {
 		return t.told != math.Float64frombits(t.want.Load())
 	}
-	if s.kind == UnderWay {
+	if s.kind == InFlight {
 		n, had := float64(t.turned.Load()-t.turnedThen)+float64(t.peak.Load()), t.told
 		return math.Abs(n-had) > max(n, had)/2+chance(had)
 	}
--- a/internal/dispatcher/fleet/coordinator/run.go
+++ b/internal/dispatcher/fleet/coordinator/run.go
@@ -140,10 +140,10 @@
 	for {
 		var p partition.PlanReply
 		s := r.c.fleet.Session()
-		err := ErrNoFleet
+		err := ErrNoSession
 		if s != nil {
 			once, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
-			err = s.Order(once, partition.PlansDo, do, &p)
+			err = s.Execute(once, partition.PlansDo, do, &p)
 			cancel()
 		}
 		if err == nil {
@@ -229,14 +229,14 @@
 // job makes the job of an attempt.
 func (r *run) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
 	st, it := r.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
-	j = Job{ID: jobID(r.id, a), Class: a.Class, Tenant: v.Run.Tenant, Hint: st.Cost, Plan: r.plan.Name, Stage: st.Name, Until: time.Now().Add(a.At - at)}
+	j = Job{ID: jobID(r.id, a), Class: a.Class, Tenant: v.Run.Tenant, CostHint: st.Cost, Plan: r.plan.Name, Stage: st.Name, Deadline: time.Now().Add(a.At - at)}
 	if vals := r.values(v, a.Stage, it.Value); a.Undo {
 		j.Path, j.Body, j.Key, err = st.Undo.Render(vals)
 	} else {
 		j.Path, j.Body, j.Key, err = st.Render(vals)
 	}
 	if a.Where != plan.Anywhere {
-		j.NotMember, j.NotItsZone = a.Member, a.Where == plan.OtherZone
+		j.ExcludedMember, j.ExcludeItsZone = a.Member, a.Where == plan.OtherZone
 	}
 	return j, err
 }
@@ -246,10 +246,10 @@
 	j, err := r.job(t.Action, v, at)
 	if err != nil {
 		r.abandon(ctx, t.Stage, err)
-	} else if !t.Extra || r.pay(ctx, t.Class, j.Until) {
+	} else if !t.Extra || r.pay(ctx, t.Class, j.Deadline) {
 		err = r.order(ctx, planrun.Command{Sending: t.Sending})
 	} else {
-		err = ErrNoFleet
+		err = ErrNoSession
 	}
 	may := false
 	r.c.remember(func(m *planrun.Coordinator) { may = m.Accepted(*t.Sending, t.ID, err, r.c.fleet.Leased()) })
@@ -263,8 +263,8 @@
 		return
 	}
 	answer := <-done
-	end, result, said := endOf(answer), []byte(nil), answer.Said
-	r.c.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "flows": answer.Sends}).Debug("a stage's job ended")
+	end, result, said := endOf(answer), []byte(nil), answer.MemberError
+	r.c.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "flows": answer.Attempts}).Debug("a stage's job ended")
 	if end == plan.Done {
 		r.c.remember(func(m *planrun.Coordinator) { m.Estimate.Ran(t.Class, time.Since(sent)) })
 		result, said = answer.Body, answer.Body
@@ -275,7 +275,7 @@
 			end, result = plan.Lost, nil
 		}
 	}
-	r.tell(t.Sending.End(end, result, answer.Member, lost))
+	r.tell(t.Sending.End(end, result, answer.LastMember, lost))
 }
 
 // tell tells an end, also when another drives the run by then: it may still count.
@@ -306,8 +306,8 @@
 // pay takes an attempt beyond the first of the fleet's budget, and waits for one while
 // the attempt can still begin.
 func (r *run) pay(ctx context.Context, class string, until time.Time) bool {
-	for !r.c.fleet.Again(r.id, class) {
-		at := r.c.fleet.ComeBack(class, time.Now())
+	for !r.c.fleet.TakeRetry(r.id, class) {
+		at := r.c.fleet.RetryTime(class, time.Now())
 		if !at.Before(until) {
 			at = until
 		}
@@ -338,15 +338,15 @@
 	switch {
 	case a.Verdict == engine.Served:
 		return plan.Done
-	case !a.MayHaveRun && a.Sends > 0 && a.Last == policy.Full:
+	case !a.MayHaveRun && a.Attempts > 0 && a.LastStatus == policy.Rejected:
 		return plan.Full
-	case !a.MayHaveRun && a.Sends > 0:
+	case !a.MayHaveRun && a.Attempts > 0:
 		return plan.Unsent
 	case !a.MayHaveRun:
 		return plan.Refused
-	case a.Reason == accounting.MemberError || a.Reason == accounting.BadRequest || a.Last == policy.Error:
+	case a.Reason == accounting.MemberError || a.Reason == accounting.BadRequest || a.LastStatus == policy.Error:
 		return plan.Failed
-	case a.Last == policy.Reset:
+	case a.LastStatus == policy.Reset:
 		return plan.Reset
 	}
 	return plan.Late
--- a/internal/dispatcher/fleet/harness/process.go
+++ b/internal/dispatcher/fleet/harness/process.go
@@ -35,7 +35,7 @@
 	rig       *Rig
 	place     int
 	discovery *fakes.Discovery
-	known     []fakes.Listed
+	known     []fakes.Instance
 
 	mu      sync.Mutex
 	addrs   map[string]string
@@ -52,7 +52,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.addrs[name] == "" {
-		addr, err := fakes.Free()
+		addr, err := fakes.FreeAddr()
 		if err != nil {
 			panic(err) // no port at all: no test can go on
 		}
@@ -112,7 +112,7 @@
 	}
 	cmd, err := demo.Dispatcher{
 		Name: p.Name, Listen: p.Addr("listen"), Discovery: p.discovery.Addr(), Admin: p.Addr("admin"),
-		Rank: p.place, Of: len(p.rig.Processes), Known: p.known,
+		Rank: p.place, Count: len(p.rig.Processes), InitialMembers: p.known,
 	}.Command(p.rig.binary, p.Home, operator.String(), append([]string{"--log-level", "info"}, p.rig.Args...)...)
 	if err != nil {
 		return err
@@ -160,7 +160,7 @@
 	p.mu.Lock()
 	ended := p.ended
 	p.mu.Unlock()
-	return demo.Ready(context.Background(), p.Addr("listen"), ended)
+	return demo.WaitReady(context.Background(), p.Addr("listen"), ended)
 }
 
 // Ask asks its operators' door, and returns the status and text of the answer.
--- a/internal/dispatcher/fleet/harness/rig.go
+++ b/internal/dispatcher/fleet/harness/rig.go
@@ -39,7 +39,7 @@
 type Rig struct {
 	Settings
 	Processes []*Process // n1, n2 and so on
-	Till      *fakes.Till
+	Till      *fakes.RunLog
 	Answers   fakes.Answers
 
 	t       testing.TB
@@ -71,15 +71,15 @@
 	binary, err := scenario.BuildTags(s.Tags)
 	require.NoError(t, err)
 	r := &Rig{
-		Settings: s, Till: fakes.NewTill(), t: t, binary: binary, links: make(map[pair][]*faultproxy.Link),
+		Settings: s, Till: fakes.NewRunLog(), t: t, binary: binary, links: make(map[pair][]*faultproxy.Link),
 		random: rand.New(rand.NewPCG(s.Load.Seed, 31)), stop: func() {},
 	}
-	r.Till.Log()
+	r.Till.KeepArrivals()
 	dir := t.TempDir()
 	t.Cleanup(r.close) // before the folders go
 	load := s.Load
 	load.Slots = max(1, load.Slots)
-	r.members, err = load.NewMembers(fakes.MemberSettings{Till: r.Till, Ends: s.Ends})
+	r.members, err = load.NewMembers(fakes.MemberSettings{RunLog: r.Till, Outcome: s.Ends})
 	require.NoError(t, err)
 	for i := range s.Processes {
 		name := fmt.Sprintf("n%d", i+1)
@@ -88,7 +88,7 @@
 		}
 		p.Folder, p.Log = filepath.Join(p.Home, "folder"), filepath.Join(p.Home, "log")
 		require.NoError(t, os.MkdirAll(p.Folder, 0o700))
-		p.known, p.discovery, err = demo.Doors(r.members, name, func() string { return p.Addr("listen") })
+		p.known, p.discovery, err = demo.OpenMembersFor(r.members, name, func() string { return p.Addr("listen") })
 		require.NoError(t, err)
 		r.Processes = append(r.Processes, p)
 	}
@@ -110,7 +110,7 @@
 func (r *Rig) Begin() {
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	mix := fakes.Mix{Rate: r.Load.Rate, Tickets: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: r.Load.Seed, Told: func(c fakes.Call) {
+	mix := fakes.ClientSettings{Rate: r.Load.Rate, TicketShare: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: r.Load.Seed, OnCall: func(c fakes.Call) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.calls = append(r.calls, c)
--- a/internal/dispatcher/fleet/partition/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -18,15 +18,15 @@
 
 // Kinds of commands and queries of records.
 const (
-	RecordsShip state.Kind = "records/ship" // a records.Ship, answered with a RecordsShipped
-	RecordsCut  state.Kind = "records/cut"  // a records.Cut, answered with a records.Cuts
-	RecordsHold state.Kind = "records/hold" // a records.SetHold
-	RecordsLift state.Kind = "records/lift" // a records.Lift
+	RecordsShip        state.Kind = "records/ship" // a records.Ship, answered with a RecordsShipped
+	RecordsPrune       state.Kind = "records/cut"  // a records.Cut, answered with a records.Cuts
+	RecordsSetHold     state.Kind = "records/hold" // a records.SetHold
+	RecordsReleaseHold state.Kind = "records/lift" // a records.Lift
 
-	RecordsPlan  state.Kind = "records/plan"  // a query with a time: a RecordsPlanned
-	RecordsFind  state.Kind = "records/find"  // a query with an id: []records.Record
-	RecordsPage  state.Kind = "records/page"  // a records.Query: a records.Page
-	RecordsStand state.Kind = "records/stand" // a query: a RecordsStanding
+	RecordsPlanPrune state.Kind = "records/plan"  // a query with a time: a RecordsPlanned
+	RecordsByID      state.Kind = "records/find"  // a query with an id: []records.Record
+	RecordsPage      state.Kind = "records/page"  // a records.Query: a records.Page
+	RecordsStatus    state.Kind = "records/stand" // a query: a RecordsStanding
 )
 
 // RecordsShipped answers a Ship. With Gap the number counts too.
@@ -35,14 +35,14 @@
 	Gap bool
 }
 
-// RecordsPlanned is the next cut, if one is needed.
-type RecordsPlanned struct {
+// RecordsPrunePlan is the next cut, if one is needed.
+type RecordsPrunePlan struct {
 	Needed bool
-	Cut    records.Cut
+	Cut    records.Prune
 }
 
-// RecordsStanding is what is kept.
-type RecordsStanding struct {
+// RecordsStatusBody is what is kept.
+type RecordsStatusBody struct {
 	Counts records.Counts
 	Holds  []records.Hold
 	Usage  map[string]records.Usage // by tenant, over its lanes
@@ -123,20 +123,20 @@
 			return RecordsShipped{done, true}, nil
 		}
 		return RecordsShipped{Shipped: done}, err
-	case RecordsCut:
-		b, err := read[records.Cut](c)
+	case RecordsPrune:
+		b, err := read[records.Prune](c)
 		if err != nil {
 			return nil, err
 		}
 		return p.state.Cut(c.At, st, b)
-	case RecordsHold:
+	case RecordsSetHold:
 		b, err := read[records.SetHold](c)
 		if err != nil {
 			return nil, err
 		}
 		return nil, p.state.Hold(c.At, st, b)
-	case RecordsLift:
-		b, err := read[records.Lift](c)
+	case RecordsReleaseHold:
+		b, err := read[records.ReleaseHold](c)
 		if err != nil {
 			return nil, err
 		}
@@ -171,15 +171,15 @@
 	var reply any
 	err = p.store.View(func(st records.Reader) (err error) {
 		switch kind {
-		case RecordsPlan:
+		case RecordsPlanPrune:
 			var now int64
 			if err := codec.Decode(body, &now); err != nil {
 				return err
 			}
 			c, needed, err := p.state.Plan(st, now, mostLooked)
-			reply = RecordsPlanned{needed, c}
+			reply = RecordsPrunePlan{needed, c}
 			return err
-		case RecordsFind:
+		case RecordsByID:
 			var id string
 			if err := codec.Decode(body, &id); err != nil {
 				return err
@@ -193,7 +193,7 @@
 			}
 			reply, err = p.state.View().Page(st, q)
 			return err
-		case RecordsStand:
+		case RecordsStatus:
 			reply, err = p.standing()
 			return err
 		}
@@ -205,8 +205,8 @@
 	return codec.Encode(reply)
 }
 
-func (p *Records) standing() (s RecordsStanding, err error) {
-	s = RecordsStanding{Counts: p.state.Counts(), Holds: p.state.Holds(), Usage: map[string]records.Usage{}}
+func (p *Records) standing() (s RecordsStatusBody, err error) {
+	s = RecordsStatusBody{Counts: p.state.Counts(), Holds: p.state.Holds(), Usage: map[string]records.Usage{}}
 	for _, name := range p.state.Tenants() {
 		all, _ := p.state.Usage(name)
 		u := all[records.Ordinary]
--- a/internal/dispatcher/fleet/plan/file.go
+++ b/internal/dispatcher/fleet/plan/file.go
@@ -11,7 +11,7 @@
 // what its plans may come to; ok tells which. No classes at all is a problem: the
 // rules on what may run again need them.
 func CheckFile(name, text string, classes []policy.Class) (lines []string, ok bool) {
-	plans, problems := Parse(name, []byte(text), Classes(classes))
+	plans, problems := Parse(name, []byte(text), ClassesByName(classes))
 	for _, p := range problems {
 		lines = append(lines, fmt.Sprintf("%s:%d:%d: error: %s", p.File, p.Line, p.Column, p.Text))
 	}
@@ -26,8 +26,8 @@
 	return lines, true
 }
 
-// Classes are classes by their names, as Parse takes them.
-func Classes(list []policy.Class) map[string]policy.Class {
+// ClassesByName are classes by their names, as Parse takes them.
+func ClassesByName(list []policy.Class) map[string]policy.Class {
 	by := make(map[string]policy.Class, len(list))
 	for _, c := range list {
 		by[c.Name] = c
--- a/internal/dispatcher/fleet/plan/worst.go
+++ b/internal/dispatcher/fleet/plan/worst.go
@@ -171,7 +171,7 @@
 	fmt.Fprintf(&b, "plan %q: at most %d attempts (bound %d) and %s (bound %s)\n", p.Name, p.Worst.Attempts, p.Most, p.Worst.Duration, short(p.Within))
 	for _, s := range p.Stages {
 		fmt.Fprintf(&b, "  %s, %s (%s): %s; a run takes at most %s\n", s.Name, s.Class, effects[s.Effect], s.sum(), s.span())
-		if s.Effect == policy.Unsafe {
+		if s.Effect == policy.AtMostOnce {
 			fmt.Fprintf(&b, "    never again once it may have run\n")
 		}
 	}
