--- a/internal/dispatcher/fleet/planrun/end.go
+++ b/internal/dispatcher/fleet/planrun/end.go
@@ -324,7 +324,7 @@
 		for k := range st.Items {
 			it := &st.Items[k]
 			ran = ran || it.Job.Ran
-			if !it.Job.Ran || it.Undo.State == Ok || sh.Shared || sh.Effect == policy.Safe {
+			if !it.Job.Ran || it.Undo.State == Ok || sh.Shared || sh.Effect == policy.Idempotent {
 				continue
 			}
 			left = true
--- a/internal/dispatcher/fleet/planrun/run.go
+++ b/internal/dispatcher/fleet/planrun/run.go
@@ -157,7 +157,7 @@
 
 // again tells whether what may have run may be sent again.
 func again(e policy.Effect, ran bool) bool {
-	return !ran || e != policy.Unsafe || faultTwice || plantTwice
+	return !ran || e != policy.AtMostOnce || faultTwice || plantTwice
 }
 
 // plantTwice plants the fault of hooks_faults.go in a test.
--- a/internal/dispatcher/fleet/planrun/shape.go
+++ b/internal/dispatcher/fleet/planrun/shape.go
@@ -121,7 +121,7 @@
 			items += max(st.MostEach, 0)
 		}
 		bad := len(st.Name) > mostName || len(st.Class) > mostName || st.AtLeast < 0 || st.Cost < 0 ||
-			st.Shared && (st.Effect == policy.Unsafe || st.SharedFor < 0) || st.Undo != nil && (st.Undo.Most < 0 || st.Undo.Wait < 0)
+			st.Shared && (st.Effect == policy.AtMostOnce || st.SharedFor < 0) || st.Undo != nil && (st.Undo.Most < 0 || st.Undo.Wait < 0)
 		for _, r := range st.Reruns {
 			bad = bad || r.Of < 0 || r.Of >= i || up[i]&(1<<r.Of) == 0
 		}
--- a/internal/dispatcher/fleet/raftnode/enter.go
+++ b/internal/dispatcher/fleet/raftnode/enter.go
@@ -22,7 +22,7 @@
 
 // enter tells whether the fleet is to be founded, once that is known, or returns
 // when the others have taken this keeper in.
-func (k *Keeper) enter(ctx context.Context, own *folder) (found bool, err error) {
+func (k *Node) enter(ctx context.Context, own *folder) (found bool, err error) {
 	k.mu.Lock()
 	k.empty = true
 	k.mu.Unlock()
@@ -64,7 +64,7 @@
 
 // askAll asks the other keepers what they have, side by side; those that do not
 // answer are left out.
-func (k *Keeper) askAll(ctx context.Context) (all []rpc.AboutBody) {
+func (k *Node) askAll(ctx context.Context) (all []rpc.AboutBody) {
 	answers := make(chan *rpc.AboutBody)
 	others := 0
 	for _, name := range sorted(k.s.Peers) {
@@ -92,7 +92,7 @@
 
 // isOldCopy tells whether another keeper knows of a later start of this one than
 // its folder does. Such a folder has forgotten, like an empty one.
-func (k *Keeper) isOldCopy(ctx context.Context, own *folder) bool {
+func (k *Node) isOldCopy(ctx context.Context, own *folder) bool {
 	for _, a := range k.askAll(ctx) {
 		if a.Boots[k.s.Name] > own.mark.Starts {
 			return true
@@ -104,7 +104,7 @@
 // attend does what a keeper does while raft runs: it leads when elected, tells the
 // others of its start, asks for its vote, and compares digests. It returns when the
 // context ends, or with true when the state must be taken anew.
-func (k *Keeper) attend(ctx context.Context, n *node, own *folder) (anew bool) {
+func (k *Node) attend(ctx context.Context, n *node, own *folder) (anew bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	sums := make(chan state.SumsBody, 1)
@@ -161,7 +161,7 @@
 }
 
 // elected notes that this keeper has begun to lead, or leads no more.
-func (k *Keeper) elected(ctx context.Context, n *node) {
+func (k *Node) elected(ctx context.Context, n *node) {
 	leads := n.raft.State() == raft.Leader
 	k.mu.Lock()
 	was := k.lead
@@ -184,7 +184,7 @@
 }
 
 // goOn lets fleet time go on while nobody asks, and has digests taken when due.
-func (k *Keeper) goOn(summed *time.Time) {
+func (k *Node) goOn(summed *time.Time) {
 	k.mu.Lock()
 	l := k.lead
 	k.mu.Unlock()
@@ -192,7 +192,7 @@
 		return
 	}
 	c := state.Command{Kind: state.Tick}
-	if time.Since(*summed) >= k.s.SumEvery {
+	if time.Since(*summed) >= k.s.DigestInterval {
 		*summed, c.Body = time.Now(), sumUp
 	} else if l.now()-time.Duration(l.last.Load()) < idleTick {
 		return
@@ -203,7 +203,7 @@
 }
 
 // command has one of the keepers' own commands carried out by whoever leads.
-func (k *Keeper) command(ctx context.Context, kind state.Kind, body any) error {
+func (k *Node) command(ctx context.Context, kind state.Kind, body any) error {
 	text, err := codec.Encode(body)
 	if err != nil {
 		return err
@@ -215,7 +215,7 @@
 	if len(k.s.Peers) == 1 {
 		return raft.ErrNotLeader
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.s.Election))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.s.ElectionTimeout))
 	defer cancel()
 	_, err = k.peers.Do(ctx, c)
 	return err
@@ -225,7 +225,7 @@
 // also asks when no leader has turned to it for long: a late copy of its own call to
 // be taken in, or a leader that failed half-way, may have put it out of the
 // configuration, and who is out hears of nothing.
-func (k *Keeper) askForVote(ctx context.Context, n *node) {
+func (k *Node) askForVote(ctx context.Context, n *node) {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil || n.raft.State() == raft.Leader || len(k.s.Peers) == 1 {
 		return
@@ -234,14 +234,14 @@
 	for _, s := range f.Configuration().Servers {
 		votes = votes || string(s.ID) == k.s.Name && s.Suffrage == raft.Voter
 	}
-	if votes && time.Since(n.raft.LastContact()) < unheard*k.s.Election {
+	if votes && time.Since(n.raft.LastContact()) < unheard*k.s.ElectionTimeout {
 		return
 	}
 	self, err := codec.Encode(readyBody{k.s.Name, n.raft.AppliedIndex()})
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.s.Election))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.s.ElectionTimeout))
 	defer cancel()
 	var ok bool
 	if err := k.peers.Leader(ctx, rpc.Ready, self, &ok); err == nil && ok && !votes {
@@ -259,7 +259,7 @@
 
 // compare tells whether this replica's state is not the others'. It serves nothing
 // from then on.
-func (k *Keeper) compare(n *node) bool {
+func (k *Node) compare(n *node) bool {
 	voters := 0
 	if f := n.raft.GetConfiguration(); f.Error() == nil {
 		for _, s := range f.Configuration().Servers {
@@ -278,7 +278,7 @@
 }
 
 // serveNot keeps this replica from serving anything until it has taken the state anew.
-func (k *Keeper) serveNot(n *node, differs []string) {
+func (k *Node) serveNot(n *node, differs []string) {
 	k.mu.Lock()
 	k.differs = differs
 	k.mu.Unlock()
--- a/internal/dispatcher/fleet/raftnode/folder.go
+++ b/internal/dispatcher/fleet/raftnode/folder.go
@@ -43,7 +43,7 @@
 
 // openFolder takes the folder, and refuses one that is another keeper's, of another
 // version, or in use.
-func (k *Keeper) openFolder() (*folder, error) {
+func (k *Node) openFolder() (*folder, error) {
 	path := k.s.Folder
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
--- a/internal/dispatcher/fleet/raftnode/keeper.go
+++ b/internal/dispatcher/fleet/raftnode/keeper.go
@@ -26,19 +26,19 @@
 )
 
 // Peer is where another keeper is reached from here.
-type Peer struct{ Calls, Votes string }
+type Peer struct{ RPCAddr, RaftAddr string }
 
 // Settings are what a keeper is made of.
 type Settings struct {
-	Name     string
-	Folder   string
-	Peers    map[string]Peer // all keepers, this one too
-	Votes    net.Listener    // where the others' votes and logs arrive
-	Election time.Duration   // a leader that was silent for so long is replaced
-	SumEvery time.Duration   // the replicas' digests are compared so often
-	// Machine makes an empty state; the one before it is not used any more.
-	Machine func() (*state.Machine, error)
-	Log     *logrus.Logger
+	Name            string
+	Folder          string
+	Peers           map[string]Peer // all keepers, this one too
+	RaftListener    net.Listener    // where the others' votes and logs arrive
+	ElectionTimeout time.Duration   // a leader that was silent for so long is replaced
+	DigestInterval  time.Duration   // the replicas' digests are compared so often
+	// NewMachine makes an empty state; the one before it is not used any more.
+	NewMachine func() (*state.Machine, error)
+	Log        *logrus.Logger
 }
 
 // callElections: the end of a replica waits so many elections for what is under way.
@@ -47,8 +47,8 @@
 // idleTick: fleet time goes on at least so often.
 const idleTick = 200 * time.Millisecond
 
-// Keeper is one replica.
-type Keeper struct {
+// Node is one replica.
+type Node struct {
 	s     Settings
 	log   *logrus.Entry
 	peers *rpc.Client // the other keepers
@@ -97,22 +97,22 @@
 func (l *lead) now() time.Duration { return l.from + time.Since(l.since) }
 
 // New returns a keeper that is not running.
-func New(s Settings) (*Keeper, error) {
+func New(s Settings) (*Node, error) {
 	if err := os.MkdirAll(s.Folder, 0o750); err != nil {
 		return nil, fmt.Errorf("the fleet's folder: %w", err)
 	}
 	others := map[string]string{}
 	for name, p := range s.Peers {
 		if name != s.Name {
-			others[name] = p.Calls
+			others[name] = p.RPCAddr
 		}
 	}
-	return &Keeper{s: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &machine{m: state.New(), applied: make(chan struct{})}, empty: true}, nil
+	return &Node{s: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &machine{m: state.New(), applied: make(chan struct{})}, empty: true}, nil
 }
 
 // Run takes part until the context ends. It returns an error if the folder can't be
 // used; that it must not be guessed at.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Node) Run(ctx context.Context) error {
 	defer k.peers.Close()
 	own, err := k.openFolder()
 	if err != nil {
@@ -136,8 +136,8 @@
 
 // live runs raft on what the folder has. It tells whether the state is to be taken
 // anew.
-func (k *Keeper) live(ctx context.Context, own *folder) (anew bool, err error) {
-	m, err := k.s.Machine() // from nothing: raft brings the snapshot and the log
+func (k *Node) live(ctx context.Context, own *folder) (anew bool, err error) {
+	m, err := k.s.NewMachine() // from nothing: raft brings the snapshot and the log
 	if err != nil {
 		return false, fmt.Errorf("the fleet's state: %w", err)
 	}
@@ -173,7 +173,7 @@
 		n.store.Close()
 		return false, err
 	}
-	n.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStream(k.s.Votes, k.s.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.quiet()})
+	n.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStream(k.s.RaftListener, k.s.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.quiet()})
 	if n.raft, err = raft.NewRaft(k.config(), k.fsm, n.store, n.store, own.snaps, n.trans); err != nil {
 		n.trans.Close()
 		n.store.Close()
@@ -186,7 +186,7 @@
 	k.mu.Lock()
 	k.node, k.lead = nil, nil
 	k.mu.Unlock()
-	n.finishCalls(callElections * k.s.Election)
+	n.finishCalls(callElections * k.s.ElectionTimeout)
 	if err := n.raft.Shutdown().Error(); err != nil {
 		k.log.WithError(err).Error("ending the fleet's log")
 	}
@@ -198,10 +198,10 @@
 	return anew, nil
 }
 
-func (k *Keeper) config() *raft.Config {
+func (k *Node) config() *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(k.s.Name)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = k.s.Election, k.s.Election, k.s.Election/2
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = k.s.ElectionTimeout, k.s.ElectionTimeout, k.s.ElectionTimeout/2
 	c.MaxAppendEntries, c.BatchApplyCh = 256, true
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 20*time.Second, 8192, 4096
 	c.NoLegacyTelemetry = true
@@ -210,14 +210,14 @@
 	return c
 }
 
-func (k *Keeper) founders() (c raft.Configuration) {
+func (k *Node) founders() (c raft.Configuration) {
 	for _, name := range sorted(k.s.Peers) {
 		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)})
 	}
 	return c
 }
 
-func (k *Keeper) quiet() hclog.Logger {
+func (k *Node) quiet() hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: debug{k.log}, DisableTime: true})
 }
 
@@ -229,7 +229,7 @@
 }
 
 // open opens the log.
-func (k *Keeper) open(own *folder) (*node, error) {
+func (k *Node) open(own *folder) (*node, error) {
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(own.path, "log.db"), BoltOptions: boltOptions})
 	if err != nil {
 		return nil, fmt.Errorf("opening the fleet's log: %w", err)
@@ -311,7 +311,7 @@
 	if !ok {
 		return nil, fmt.Errorf("no keeper is called %q", address)
 	}
-	return net.DialTimeout("tcp", p.Votes, within)
+	return net.DialTimeout("tcp", p.RaftAddr, within)
 }
 
 // machine joins the state to raft. Commands are applied by raft's one goroutine,
@@ -408,7 +408,7 @@
 
 // propose puts a command into the log and waits for what it comes to. An error says
 // that it may have been carried out, or may yet be.
-func (k *Keeper) propose(c state.Command) (state.Reply, error) {
+func (k *Node) propose(c state.Command) (state.Reply, error) {
 	k.mu.Lock()
 	n, l := k.node, k.lead
 	if n == nil || l == nil || len(k.differs) > 0 {
--- a/internal/dispatcher/fleet/raftnode/serve.go
+++ b/internal/dispatcher/fleet/raftnode/serve.go
@@ -21,7 +21,7 @@
 const readFor = time.Second
 
 // ServeHTTP answers calls of the fleet's processes and of the other keepers.
-func (k *Keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (k *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, rpc.MostBody+1))
 	switch {
 	case err != nil:
@@ -49,7 +49,7 @@
 	}
 }
 
-func (k *Keeper) write(w http.ResponseWriter, v any) {
+func (k *Node) write(w http.ResponseWriter, v any) {
 	text, err := codec.Encode(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -59,7 +59,7 @@
 }
 
 // notHere says that another keeper leads, and which.
-func (k *Keeper) notHere(w http.ResponseWriter, why string) {
+func (k *Node) notHere(w http.ResponseWriter, why string) {
 	k.mu.Lock()
 	n := k.node
 	k.mu.Unlock()
@@ -71,7 +71,7 @@
 	http.Error(w, why, http.StatusMisdirectedRequest)
 }
 
-func (k *Keeper) about() rpc.AboutBody {
+func (k *Node) about() rpc.AboutBody {
 	k.mu.Lock()
 	a := rpc.AboutBody{Name: k.s.Name, Empty: k.empty, Leads: k.lead != nil, Differs: k.differs, Boots: map[string]uint64{}}
 	k.mu.Unlock()
@@ -85,7 +85,7 @@
 	return a
 }
 
-func (k *Keeper) do(w http.ResponseWriter, body []byte) {
+func (k *Node) do(w http.ResponseWriter, body []byte) {
 	c, err := state.Decode(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -101,7 +101,7 @@
 
 // answer answers a query. The leader's answer knows of all that was answered before:
 // it first makes sure that it still leads.
-func (k *Keeper) answer(w http.ResponseWriter, r *http.Request, body []byte) {
+func (k *Node) answer(w http.ResponseWriter, r *http.Request, body []byte) {
 	var q rpc.Query
 	if err := codec.Decode(body, &q); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -135,7 +135,7 @@
 
 // reached waits until what was committed at an index is applied. Some entries of
 // the log are raft's own, which the state does not see.
-func (k *Keeper) reached(ctx context.Context, n *node, index uint64) error {
+func (k *Node) reached(ctx context.Context, n *node, index uint64) error {
 	for n.raft.AppliedIndex() < index {
 		select {
 		case <-ctx.Done():
@@ -147,7 +147,7 @@
 }
 
 // Ask answers a query of the state as it is here.
-func (k *Keeper) Ask(q rpc.Query) (a rpc.Answer) {
+func (k *Node) Ask(q rpc.Query) (a rpc.Answer) {
 	k.fsm.read(func(m *state.Machine) {
 		a.Index, a.At = m.Index(), m.At()
 		body, err := m.Ask(q.Kind, q.Body)
@@ -162,7 +162,7 @@
 
 // beginChange returns the replica of which a change of who votes begins; nil: it does not
 // lead, or ends.
-func (k *Keeper) beginChange() *node {
+func (k *Node) beginChange() *node {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.node == nil || k.lead == nil {
@@ -173,7 +173,7 @@
 }
 
 // change carries out a change of who votes.
-func (k *Keeper) change(w http.ResponseWriter, body []byte, how func(*node, readyBody) error) {
+func (k *Node) change(w http.ResponseWriter, body []byte, how func(*node, readyBody) error) {
 	n := k.beginChange()
 	if n == nil {
 		k.notHere(w, "another keeper leads")
@@ -198,7 +198,7 @@
 
 // takeIn puts a keeper that has nothing out of the configuration, so that nothing
 // counts on what it has forgotten, and takes it in without a vote.
-func (k *Keeper) takeIn(n *node, b readyBody) error {
+func (k *Node) takeIn(n *node, b readyBody) error {
 	id := raft.ServerID(b.Name)
 	if err := n.raft.RemoveServer(id, 0, 0).Error(); err != nil {
 		return err
@@ -210,7 +210,7 @@
 
 // letVote lets a keeper vote that has all that is committed by now. One that is not
 // in the configuration is taken in first: it has not forgotten anything.
-func (k *Keeper) letVote(n *node, b readyBody) error {
+func (k *Node) letVote(n *node, b readyBody) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return err
@@ -238,9 +238,9 @@
 // a large one would leave a majority that is far behind.
 const voteWithin = 64
 
-// Retire hands the lead over, if this keeper has it: a planned end costs the fleet no
+// TransferLeadership hands the lead over, if this keeper has it: a planned end costs the fleet no
 // election.
-func (k *Keeper) Retire() {
+func (k *Node) TransferLeadership() {
 	k.mu.Lock()
 	n, leads := k.node, k.lead != nil
 	k.mu.Unlock()
@@ -252,8 +252,8 @@
 	}
 }
 
-// Leads tells whether this keeper leads.
-func (k *Keeper) Leads() bool {
+// IsLeader tells whether this keeper leads.
+func (k *Node) IsLeader() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lead != nil
@@ -261,10 +261,10 @@
 
 // Look lets a function see the state as it is here. It must be short: no command is
 // applied meanwhile.
-func (k *Keeper) Look(see func(*state.Machine)) { k.fsm.read(see) }
+func (k *Node) Look(see func(*state.Machine)) { k.fsm.read(see) }
 
 // Status tells how this keeper stands, as JSON.
-func (k *Keeper) Status(arena *fastjson.Arena) *fastjson.Value {
+func (k *Node) Status(arena *fastjson.Arena) *fastjson.Value {
 	a := k.about()
 	o := arena.NewObject()
 	flag := func(name string, on bool) {
--- a/internal/dispatcher/fleet/records/commands.go
+++ b/internal/dispatcher/fleet/records/commands.go
@@ -76,8 +76,8 @@
 	Hold Hold
 }
 
-// Lift ends a hold.
-type Lift struct {
+// ReleaseHold ends a hold.
+type ReleaseHold struct {
 	At   int64
 	Name string
 }
@@ -89,8 +89,8 @@
 	Below  Order
 }
 
-// Cut removes records. It is computed by Plan and carries all that it depends on.
-type Cut struct {
+// Prune removes records. It is computed by Plan and carries all that it depends on.
+type Prune struct {
 	At    int64 // nanoseconds since 1970: holds that end by then are over
 	Rules uint64
 	Marks []Mark
@@ -98,8 +98,8 @@
 	Turn  string // the tenant that the next plan begins with
 }
 
-// Cuts answers a Cut.
-type Cuts struct {
+// Pruned answers a Cut.
+type Pruned struct {
 	Removed, Held int // held: below a mark now, and kept
 }
 
--- a/internal/dispatcher/fleet/records/plan.go
+++ b/internal/dispatcher/fleet/records/plan.go
@@ -9,8 +9,8 @@
 // no longer keep, at most as many records looked at as most says, so that no cut
 // holds the store for long. It changes nothing. None is needed if it returns false.
 // While there is more to cut than one cut may, each plan begins with another tenant.
-func (s *State) Plan(st Reader, now int64, most int) (c Cut, needed bool, err error) {
-	c = Cut{At: now, Rules: s.ruled, Sweep: most, Turn: s.turn}
+func (s *State) Plan(st Reader, now int64, most int) (c Prune, needed bool, err error) {
+	c = Prune{At: now, Rules: s.ruled, Sweep: most, Turn: s.turn}
 	for i := range s.holds {
 		needed = needed || s.holds[i].Until != 0 && s.holds[i].Until <= now
 	}
@@ -22,7 +22,7 @@
 		for l, limits := range []Limits{Ordinary: rule.Keep, Failures: rule.Failed} {
 			m, seen, err := s.planLane(st, t, Lane(l), limits, now, rest)
 			if err != nil {
-				return Cut{}, false, err
+				return Prune{}, false, err
 			}
 			rest -= seen
 			if m.Compare(t.Lanes[l].Mark) > 0 {
--- a/internal/dispatcher/fleet/records/state.go
+++ b/internal/dispatcher/fleet/records/state.go
@@ -116,9 +116,9 @@
 func (s *State) filed(name string) string {
 	switch {
 	case name == "":
-		return accounting.Nowhere
+		return accounting.NoGroup
 	case name == Others, s.tenants[name] == nil && len(s.names) >= mostTenants:
-		return accounting.Other
+		return accounting.OtherNames
 	}
 	return name
 }
@@ -295,7 +295,7 @@
 
 // Lift ends a hold. From here on what it alone kept is not served; the next cuts
 // remove it.
-func (s *State) Lift(_ time.Duration, c Lift) error {
+func (s *State) Lift(_ time.Duration, c ReleaseHold) error {
 	i, ok := s.findHold(c.Name)
 	if !ok {
 		return fmt.Errorf("hold %q: %w", c.Name, ErrNoHold)
@@ -310,7 +310,7 @@
 
 // Cut removes what is below its marks and not held, and goes on with what ended
 // holds have kept. ErrStale means that the rules were changed since it was planned.
-func (s *State) Cut(at time.Duration, st Store, c Cut) (done Cuts, err error) {
+func (s *State) Cut(at time.Duration, st Store, c Prune) (done Pruned, err error) {
 	if c.Rules != s.ruled {
 		return done, fmt.Errorf("a cut: %w", ErrStale)
 	}
--- a/internal/dispatcher/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -202,9 +202,9 @@
 // ErrFleet says that a fence is another fleet's.
 var ErrFleet = errors.New("of another fleet")
 
-// KeepFence writes down, safe from a power loss, how far this process knows that the
+// SaveFence writes down, safe from a power loss, how far this process knows that the
 // records of a fleet were cut. It outlasts the store.
-func KeepFence(folder, fleet string, f records.Fence) error {
+func SaveFence(folder, fleet string, f records.Fence) error {
 	text, err := codec.Encode(fence{version, fleet, f})
 	if err != nil {
 		return err
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// ReadFence reads what KeepFence wrote; there may be none.
-func ReadFence(folder, fleet string) (records.Fence, error) {
+// LoadFence reads what KeepFence wrote; there may be none.
+func LoadFence(folder, fleet string) (records.Fence, error) {
 	text, err := os.ReadFile(filepath.Join(folder, "fence"))
 	if errors.Is(err, os.ErrNotExist) {
 		return records.Fence{}, nil
--- a/internal/dispatcher/fleet/spool/segment.go
+++ b/internal/dispatcher/fleet/spool/segment.go
@@ -57,7 +57,7 @@
 
 // scanned is what a reading of a segment found.
 type scanned struct {
-	segment.Scanned
+	segment.ScanResult
 	owner   owner
 	records uint64
 }
@@ -77,17 +77,17 @@
 		return s, fmt.Errorf("version %d, this program writes %d: %w", v, version, ErrVersion)
 	}
 	owned := false
-	s.Scanned, err = segment.Scan(text, headerSize, xxhash.Sum64(text[:headerSize]), func(payload []byte) error {
+	s.ScanResult, err = segment.Scan(text, headerSize, xxhash.Sum64(text[:headerSize]), func(payload []byte) error {
 		if !owned {
 			if codec.Decode(payload, &s.owner) != nil {
-				return segment.ErrNoSense
+				return segment.ErrInvalidRecord
 			}
 			owned = true
 			return nil
 		}
 		texts, ok := split(payload)
 		if !ok {
-			return segment.ErrNoSense
+			return segment.ErrInvalidRecord
 		}
 		first := s.owner.First + s.records
 		s.records += uint64(len(texts))
@@ -135,17 +135,17 @@
 		}
 		last = max(last, epoch)
 		if s.Err != nil { // kept as a witness
-			p.log.WithError(s.Err).Errorf("%s of the spool of records is damaged: %d bytes can't be shipped; the file stays until it is removed by hand", name, len(text)-s.Valid)
+			p.log.WithError(s.Err).Errorf("%s of the spool of records is damaged: %d bytes can't be shipped; the file stays until it is removed by hand", name, len(text)-s.ValidBytes)
 		}
 		if s.owner.Process != "" && s.owner.Process != p.settings.Process {
 			return 0, fmt.Errorf("%s is of process %q, this is %q: %w", name, s.owner.Process, p.settings.Process, ErrForeign)
 		}
 		if s.Torn {
-			cut = append(cut, torn{name, s.Valid, len(text)})
+			cut = append(cut, torn{name, s.ValidBytes, len(text)})
 		}
 		if s.records > 0 {
 			p.segs = append(p.segs, &seg{
-				name: name, epoch: s.owner.Epoch, first: s.owner.First, next: s.owner.First + s.records, sent: s.owner.First - 1, size: int64(s.Valid), keep: s.Err != nil,
+				name: name, epoch: s.owner.Epoch, first: s.owner.First, next: s.owner.First + s.records, sent: s.owner.First - 1, size: int64(s.ValidBytes), keep: s.Err != nil,
 			})
 		} else if s.Err == nil && !s.Torn {
 			cut = append(cut, torn{name, 0, len(text)})
--- a/internal/dispatcher/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -49,7 +49,7 @@
 			}
 			s.told = true
 		}
-		timer.Reset(p.settings.Retry)
+		timer.Reset(p.settings.RetryInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -102,7 +102,7 @@
 			if err != nil {
 				return err
 			}
-			if ship.Records = append(ship.Records, all...); len(ship.Records) >= p.settings.Batch {
+			if ship.Records = append(ship.Records, all...); len(ship.Records) >= p.settings.BatchSize {
 				return errEnough
 			}
 			return nil
--- a/internal/dispatcher/fleet/spool/spool.go
+++ b/internal/dispatcher/fleet/spool/spool.go
@@ -21,16 +21,16 @@
 
 // Settings bound a spool.
 type Settings struct {
-	Process      string
-	Epoch        uint64 // of this start, above all before it; 0: taken from the clock
-	Waiting      int    // records that may wait for the disk; more are dropped and counted
-	Batch        int    // records written or shipped together
-	Body         int    // bytes of a body that are kept; a longer one is left out
-	SegmentBytes int64
-	MostBytes    int64         // of the whole spool; beyond it the queue fills; 0: no bound
-	WriteWithin  time.Duration // records wait this long for others to be written with
-	SyncWithin   time.Duration // and this long to be safe from a power loss
-	Retry        time.Duration // between tries, of writing and of shipping
+	Process       string
+	Epoch         uint64 // of this start, above all before it; 0: taken from the clock
+	QueueLength   int    // records that may wait for the disk; more are dropped and counted
+	BatchSize     int    // records written or shipped together
+	MaxBodyBytes  int    // bytes of a body that are kept; a longer one is left out
+	SegmentBytes  int64
+	MaxBytes      int64         // of the whole spool; beyond it the queue fills; 0: no bound
+	WriteDelay    time.Duration // records wait this long for others to be written with
+	SyncInterval  time.Duration // and this long to be safe from a power loss
+	RetryInterval time.Duration // between tries, of writing and of shipping
 }
 
 // Ship brings records to the fleet and returns the number of the epoch up to which it
@@ -38,23 +38,23 @@
 // counts too: the spool goes back to it, or says that what is missing is lost.
 type Ship func(ctx context.Context, batch records.Ship) (through uint64, err error)
 
-// Reading is what a spool says of itself. Each count is of this run.
-type Reading struct {
-	Added    int64 // records that were given to it
-	Dropped  int64 // of them: the queue was full, the spool closed, or too large
-	Written  int64 // of them: in a segment
-	Shipped  int64 // records that the fleet has said to have
-	Lost     int64 // records of which a damaged or removed file left nothing to ship
-	Failures int64 // of file calls
-	Unsent   int64 // records written and not yet shipped
-	Bytes    int64 // of all segments
-	Oldest   int64 // when the oldest unshipped one ended, nanoseconds since 1970; 0: there is none
-	Why      string
+// Stats is what a spool says of itself. Each count is of this run.
+type Stats struct {
+	Added     int64 // records that were given to it
+	Dropped   int64 // of them: the queue was full, the spool closed, or too large
+	Written   int64 // of them: in a segment
+	Shipped   int64 // records that the fleet has said to have
+	Lost      int64 // records of which a damaged or removed file left nothing to ship
+	Failures  int64 // of file calls
+	Unsent    int64 // records written and not yet shipped
+	Bytes     int64 // of all segments
+	Oldest    int64 // when the oldest unshipped one ended, nanoseconds since 1970; 0: there is none
+	LastError string
 }
 
 // Spool is one process's. Its methods may be called by any goroutine.
 type Spool struct {
-	folder   segment.Folder
+	folder   segment.Directory
 	settings Settings
 	log      logrus.FieldLogger
 	ship     Ship
@@ -82,7 +82,7 @@
 
 // Lag is how old the oldest unshipped record is at a time: what the loss of this
 // machine's disk would cost, in time.
-func (r Reading) Lag(now time.Time) time.Duration {
+func (r Stats) Lag(now time.Time) time.Duration {
 	if r.Oldest == 0 {
 		return 0
 	}
@@ -92,12 +92,12 @@
 // Open takes a folder over, cuts torn ends with a line in the log, and begins to ship
 // what is there. It refuses what another process's spool or a program of another
 // version wrote, and changes nothing then. The folder is the spool's from then on.
-func Open(f segment.Folder, s Settings, now time.Time, log logrus.FieldLogger, ship Ship) (*Spool, error) {
-	if s.Process == "" || s.Waiting < 1 || s.Batch < 1 || s.SegmentBytes < 1 {
+func Open(f segment.Directory, s Settings, now time.Time, log logrus.FieldLogger, ship Ship) (*Spool, error) {
+	if s.Process == "" || s.QueueLength < 1 || s.BatchSize < 1 || s.SegmentBytes < 1 {
 		return nil, fmt.Errorf("the spool of records: settings %+v", s)
 	}
 	p := &Spool{
-		folder: f, settings: s, log: log, ship: ship, queue: make(chan records.Record, s.Waiting),
+		folder: f, settings: s, log: log, ship: ship, queue: make(chan records.Record, s.QueueLength),
 		closing: make(chan struct{}), written: make(chan struct{}, 1), freed: make(chan struct{}, 1),
 	}
 	last, err := p.recover()
@@ -153,16 +153,16 @@
 	return err
 }
 
-// Read reads the spool's figures.
-func (p *Spool) Read() Reading {
-	r := Reading{
+// Stats reads the spool's figures.
+func (p *Spool) Stats() Stats {
+	r := Stats{
 		Added: p.added.Load(), Dropped: p.dropped.Load(), Written: p.done.Load(), Shipped: p.shipped.Load(),
 		Lost: p.lost.Load(), Failures: p.failures.Load(), Oldest: p.shippingSince.Load(),
 	}
 	if since := p.pendingSince.Load(); since != 0 && (r.Oldest == 0 || since < r.Oldest) {
 		r.Oldest = since
 	}
-	r.Why, _ = p.why.Load().(string)
+	r.LastError, _ = p.why.Load().(string)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.segs {
--- a/internal/dispatcher/fleet/state/members.go
+++ b/internal/dispatcher/fleet/state/members.go
@@ -78,9 +78,9 @@
 	return replied(body, err)
 }
 
-// SetBody is what the operators set for the whole fleet. Of two the one with the
+// FleetSettings is what the operators set for the whole fleet. Of two the one with the
 // higher revision is in force; one revision can't mean two things.
-type SetBody struct {
+type FleetSettings struct {
 	Revision uint64
 	Lease    time.Duration
 	Parts    map[string][]byte // by the part's name; one that is not named keeps what it has
@@ -96,7 +96,7 @@
 func (m *Machine) Revision() uint64 { return m.set.Revision }
 
 func (m *Machine) takeSettings(c Command) Reply {
-	var b SetBody
+	var b FleetSettings
 	if err := codec.Decode(c.Body, &b); err != nil {
 		return Reply{Code: Bad, Text: err.Error()}
 	}
--- a/internal/dispatcher/httpfront/jobs.go
+++ b/internal/dispatcher/httpfront/jobs.go
@@ -33,7 +33,7 @@
 
 // client waits for the answer of one transaction.
 type client struct {
-	desk   *accounting.Desk
+	desk   *accounting.FrontCounters
 	answer chan engine.Answer // has room for the one answer
 	ctx    context.Context    // of its request, which ends as the client leaves
 	left   atomic.Bool        // the desk was told
@@ -45,14 +45,14 @@
 		return false
 	}
 	if c.left.CompareAndSwap(false, true) {
-		c.desk.Left()
+		c.desk.ClientLeft()
 	}
 	return true
 }
 
 // Answer implements core.Client.
 func (c *client) Answer(a engine.Answer) {
-	c.desk.Answered(a.Verdict.Outcome())
+	c.desk.JobAnswered(a.Verdict.Outcome())
 	c.answer <- a
 }
 
@@ -64,34 +64,34 @@
 	if err != nil {
 		return reply(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
 	}
-	mine := &client{desk: &t.s.Desk, answer: make(chan engine.Answer, 1), ctx: r.Context()}
-	tx, err := t.s.intake.TakeIn(arrival, arrived, mine)
+	mine := &client{desk: &t.s.Counters, answer: make(chan engine.Answer, 1), ctx: r.Context()}
+	tx, err := t.s.intake.NewTransaction(arrival, arrived, mine)
 	switch {
 	case errors.Is(err, pipeline.ErrUnknownClass):
 		return reply(r, http.StatusNotFound, []byte(err.Error()+"\n")), nil
 	case err != nil:
 		return reply(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
 	}
-	t.s.Desk.Begin()
+	t.s.Counters.JobStarted()
 	t.s.hub.Submit(tx)
-	t.s.Desk.Handed()
+	t.s.Counters.JobSubmitted()
 	select {
 	case a := <-mine.answer:
 		return respond(r, a), nil
 	case <-r.Context().Done():
 		mine.Gone()
-		t.s.hub.Leave(tx)
+		t.s.hub.ClientLeft(tx)
 		return nil, r.Context().Err()
 	}
 }
 
 // read takes the platform's headers apart. A budget runs from the sending of
 // the request, of which its arrival is the nearest that is known.
-func read(r *http.Request, arrived time.Time, body []byte) (pipeline.Arrival, error) {
+func read(r *http.Request, arrived time.Time, body []byte) (pipeline.Submission, error) {
 	h := r.Header
-	a := pipeline.Arrival{
+	a := pipeline.Submission{
 		ID: h.Get("X-Call-Id"), Class: h.Get("X-Call-Class"), Tenant: h.Get("X-Caller"), Target: r.URL.RequestURI(), Front: Front,
-		Key: h.Get("Idempotency-Key"), Body: body, Retry: h.Get("X-Again") == "1", Subject: r.URL.Query().Get("sid"),
+		Key: h.Get("Idempotency-Key"), Body: body, Retry: h.Get("X-Again") == "1", AffinityKey: r.URL.Query().Get("sid"),
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if a.Class == "" {
@@ -104,7 +104,7 @@
 		if err != nil || !(budget > 0 && budget < 1e6) {
 			return a, errors.New("X-Budget must be a number of seconds above 0")
 		}
-		a.GivesUp = arrived.Add(time.Duration(budget * float64(time.Second)))
+		a.ClientDeadline = arrived.Add(time.Duration(budget * float64(time.Second)))
 	}
 	if text := h.Get("X-Call-Cost"); text != "" {
 		cost, err := strconv.ParseFloat(text, 64)
@@ -117,7 +117,7 @@
 }
 
 // info reads X-Call-Info, name=value,name=value; names not known are skipped.
-func info(a *pipeline.Arrival, text string) error {
+func info(a *pipeline.Submission, text string) error {
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		into := map[string]*float64{"slots": &a.Slots, "width": &a.Slots, "memory": &a.Memory, "mem": &a.Memory}[name]
--- a/internal/dispatcher/httpfront/news.go
+++ b/internal/dispatcher/httpfront/news.go
@@ -28,8 +28,8 @@
 		refuse(w, http.StatusBadRequest, "this is no news of a job")
 		return
 	}
-	if !s.hub.Report(n) && s.Elsewhere != nil {
-		s.Elsewhere(text)
+	if !s.hub.HandleJobUpdate(n) && s.ForwardUpdate != nil {
+		s.ForwardUpdate(text)
 	}
 	s.parted(w.Header())
 	w.WriteHeader(http.StatusNoContent)
@@ -38,30 +38,30 @@
 // mostNews leaves room for a result of the greatest size, escaped in JSON.
 const mostNews = 2*pipeline.MaxBody + 1024
 
-func readNews(text []byte) (engine.News, bool) {
+func readNews(text []byte) (engine.JobUpdate, bool) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return engine.News{}, false
+		return engine.JobUpdate{}, false
 	}
-	n := engine.News{ID: string(v.GetStringBytes("id")), Member: string(v.GetStringBytes("from"))}
+	n := engine.JobUpdate{ID: string(v.GetStringBytes("id")), Member: string(v.GetStringBytes("from"))}
 	switch string(v.GetStringBytes("state")) {
 	case "started":
 		n.Started = true
 	case "running":
-		n.Running, n.Share = true, v.GetFloat64("share")
+		n.Running, n.Progress = true, v.GetFloat64("share")
 	case "done":
 		n.Ended, n.Status, n.Result = true, policy.OK, result(v)
 	case "failed": // its result is for plans, which may go by it
 		n.Ended, n.Status, n.Result = true, policy.Error, result(v)
 	case "returned":
-		n.Ended, n.Status = true, policy.Full
+		n.Ended, n.Status = true, policy.Rejected
 	case "lost":
 		n.Ended, n.Status = true, policy.Reset
 	default:
 		return n, false
 	}
 	if n.Ended { // a report that can't be read is left out; the news stands
-		n.Load, _ = loadreport.Object(v.Get("load"))
+		n.Load, _ = loadreport.ParseObject(v.Get("load"))
 	}
 	return n, n.ID != "" && n.Member != ""
 }
@@ -78,13 +78,13 @@
 	}
 }
 
-// Handed takes news that the other process of this dispatcher got for a job
+// HandleForwardedUpdate takes news that the other process of this dispatcher got for a job
 // of this one. It is not handed on again. It fails for what is no news.
-func (s *Server) Handed(text []byte) error {
+func (s *Server) HandleForwardedUpdate(text []byte) error {
 	n, ok := readNews(text)
 	if !ok {
 		return fmt.Errorf("this is no news of a job")
 	}
-	s.hub.Report(n)
+	s.hub.HandleJobUpdate(n)
 	return nil
 }
--- a/internal/dispatcher/httpfront/virtualserver.go
+++ b/internal/dispatcher/httpfront/virtualserver.go
@@ -23,17 +23,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Hub is what the virtual server needs of the core.
-type Hub interface {
+// Engine is what the virtual server needs of the core.
+type Engine interface {
 	Submit(*engine.Transaction)
-	Leave(*engine.Transaction)
-	Report(engine.News) bool
+	ClientLeft(*engine.Transaction)
+	HandleJobUpdate(engine.JobUpdate) bool
 	Ready() bool
 }
 
-// Intake makes transactions of arrivals.
-type Intake interface {
-	TakeIn(a pipeline.Arrival, now time.Time, client engine.Client) (*engine.Transaction, error)
+// TransactionFactory makes transactions of arrivals.
+type TransactionFactory interface {
+	NewTransaction(a pipeline.Submission, now time.Time, client engine.Client) (*engine.Transaction, error)
 }
 
 const (
@@ -49,9 +49,9 @@
 
 // Server is the HTTP front.
 type Server struct {
-	Desk     accounting.Desk // its own book
-	hub      Hub
-	intake   Intake
+	Counters accounting.FrontCounters // its own book
+	hub      Engine
+	intake   TransactionFactory
 	log      logrus.FieldLogger
 	proxy    *httputil.ReverseProxy
 	server   *http.Server
@@ -61,15 +61,15 @@
 	limited  atomic.Pointer[limited] // what is served; nil: nothing yet
 	jobs     room                    // bodies of jobs
 	told     room                    // and of call-backs, which jobs must not shut out
-	// Elsewhere hands on news of a job that is not in hand here: with a socket
+	// ForwardUpdate hands on news of a job that is not in hand here: with a socket
 	// shared by two processes of one dispatcher, a member's call-back may reach
 	// the other one. Nil: none.
-	Elsewhere func(text []byte)
+	ForwardUpdate func(text []byte)
 }
 
 // New returns a front that is not serving yet.
-func New(hub Hub, intake Intake, log *logrus.Logger) *Server {
-	s := &Server{Desk: accounting.Desk{Front: Front}, hub: hub, intake: intake, log: log}
+func New(hub Engine, intake TransactionFactory, log *logrus.Logger) *Server {
+	s := &Server{Counters: accounting.FrontCounters{Front: Front}, hub: hub, intake: intake, log: log}
 	quiet := stdlog.New(debug{log}, "", 0) // what clients do wrong is theirs
 	s.proxy = &httputil.ReverseProxy{
 		// The query goes on as it came: ReverseProxy drops from it what it
@@ -99,9 +99,9 @@
 	return len(text), nil
 }
 
-// Bound bounds the memory that bodies of jobs take at a time, in bytes, and those of
+// SetBodyMemory bounds the memory that bodies of jobs take at a time, in bytes, and those of
 // call-backs to half as much beside them. It is called before Serve.
-func (s *Server) Bound(bytes int) { s.jobs.most, s.told.most = int64(bytes), int64(bytes/2) }
+func (s *Server) SetBodyMemory(bytes int) { s.jobs.most, s.told.most = int64(bytes), int64(bytes/2) }
 
 // Serve serves up to so many connections at a time until Shutdown.
 func (s *Server) Serve(l net.Listener, most int) error {
@@ -126,18 +126,18 @@
 	s.parting.Store(false)
 }
 
-// Part closes connections between requests from here on. The listener stays
+// CloseIdleConnections closes connections between requests from here on. The listener stays
 // open for the call-backs that still bring results. net/http's own way to do so,
 // SetKeepAlivesEnabled, also closes one whose next request has just been read.
-func (s *Server) Part() {
+func (s *Server) CloseIdleConnections() {
 	s.parting.Store(true)
 	if l := s.limited.Load(); l != nil {
 		l.part()
 	}
 }
 
-// InHand is how many jobs are being taken in or wait for their answer.
-func (s *Server) InHand() int { return int(s.inHand.Load()) }
+// InFlight is how many jobs are being taken in or wait for their answer.
+func (s *Server) InFlight() int { return int(s.inHand.Load()) }
 
 // Shutdown closes the listener and waits for connections in use. It shuts
 // call-backs out first, so it may be called only once nothing is in hand. What
@@ -147,7 +147,7 @@
 func (s *Server) Shutdown(ctx context.Context) error {
 	if l := s.limited.Load(); l != nil {
 		l.Close()
-		s.Part()
+		s.CloseIdleConnections()
 		defer time.AfterFunc(trickling, l.cut).Stop()
 		tick := time.NewTicker(5 * time.Millisecond)
 		defer tick.Stop()
--- a/internal/dispatcher/journal/balance.go
+++ b/internal/dispatcher/journal/balance.go
@@ -10,16 +10,16 @@
 // balance is the journal's own count of what it has written: by line, over all
 // epochs, and the jobs that are open.
 type balance struct {
-	lines map[Line]*accounting.Totals
+	lines map[Series]*accounting.Totals
 	open  map[uint64]Record // by number, as they were entered
 	epoch accounting.Totals // of this epoch alone
 }
 
 func newBalance() *balance {
-	return &balance{lines: make(map[Line]*accounting.Totals), open: make(map[uint64]Record)}
+	return &balance{lines: make(map[Series]*accounting.Totals), open: make(map[uint64]Record)}
 }
 
-func (b *balance) line(l Line) *accounting.Totals {
+func (b *balance) line(l Series) *accounting.Totals {
 	t := b.lines[l]
 	if t == nil {
 		t = new(accounting.Totals)
@@ -33,36 +33,36 @@
 func (b *balance) apply(r *Record) bool {
 	switch r.Kind {
 	case KindBalance:
-		t := b.line(r.Line)
-		t.Taken, t.Ends = r.Taken, r.Ends
-		t.Open = r.Taken
+		t := b.line(r.Series)
+		t.Taken, t.Ends = r.Accepted, r.Ends
+		t.Open = r.Accepted
 		for _, n := range r.Ends {
 			t.Open -= n
 		}
-	case KindOpening:
-		b.epoch = accounting.Totals{Taken: r.Taken, Open: r.Open, Ends: r.Ends}
-	case KindCarried:
+	case KindSegmentStart:
+		b.epoch = accounting.Totals{Taken: r.Accepted, Open: r.Open, Ends: r.Ends}
+	case KindCarriedOver:
 		b.open[r.Number] = *r
-	case KindEnter:
+	case KindAccepted:
 		if _, twice := b.open[r.Number]; twice {
 			return false
 		}
 		b.open[r.Number] = *r
-		t := b.line(r.Line)
+		t := b.line(r.Series)
 		t.Taken++
 		t.Open++
 		b.epoch.Taken++
 		b.epoch.Open++
-	case KindEnd:
+	case KindEnded:
 		job, ok := b.open[r.Number]
 		if !ok {
 			return false
 		}
 		delete(b.open, r.Number)
-		t := b.line(job.Line)
+		t := b.line(job.Series)
 		t.Open--
 		t.Ends[r.Reason]++
-		if r.Reason == accounting.CutOff { // of an epoch that is over
+		if r.Reason == accounting.Crashed { // of an epoch that is over
 			break
 		}
 		b.epoch.Open--
@@ -74,14 +74,14 @@
 // opening is what a segment begins with.
 func (b *balance) opening() (records []Record) {
 	for l, t := range b.lines {
-		records = append(records, Record{Kind: KindBalance, Line: l, Taken: t.Taken, Ends: t.Ends})
+		records = append(records, Record{Kind: KindBalance, Series: l, Accepted: t.Taken, Ends: t.Ends})
 	}
 	slices.SortFunc(records, func(x, y Record) int {
-		return cmp.Or(cmp.Compare(x.Line.Front, y.Line.Front), cmp.Compare(x.Line.Class, y.Line.Class), cmp.Compare(x.Line.Tenant, y.Line.Tenant))
+		return cmp.Or(cmp.Compare(x.Series.Front, y.Series.Front), cmp.Compare(x.Series.Class, y.Series.Class), cmp.Compare(x.Series.Tenant, y.Series.Tenant))
 	})
 	jobs := len(records)
 	for _, job := range b.open {
-		job.Kind = KindCarried
+		job.Kind = KindCarriedOver
 		records = append(records, job)
 	}
 	slices.SortFunc(records[jobs:], func(x, y Record) int { return cmp.Compare(x.Number, y.Number) })
--- a/internal/dispatcher/journal/report.go
+++ b/internal/dispatcher/journal/report.go
@@ -34,8 +34,8 @@
 // Dimensions are what a report can be by.
 var Dimensions = []string{"front", "class", "tenant", "group", "minute", "hour", "day"}
 
-// Check says what is wrong with a query.
-func (q Query) Check() error {
+// Validate says what is wrong with a query.
+func (q Query) Validate() error {
 	for _, by := range q.By {
 		if !slices.Contains(Dimensions, by) {
 			return fmt.Errorf("a report is by any of %s, not by %q", strings.Join(Dimensions, ", "), by)
@@ -47,22 +47,22 @@
 	return nil
 }
 
-// Figures are one row of a report. Opened + Taken = sum of Ends + Open, where
+// ReportRow are one row of a report. Opened + Taken = sum of Ends + Open, where
 // opened and open are the jobs in hand at its begin and end.
-type Figures struct {
-	By           []string // one for each of the query's dimensions
-	Opened       int64
-	Taken        int64
-	Ends         [accounting.Reasons]int64
-	Open         int64
-	Asks         int64 // of the jobs taken, those that are no repeats
-	P50, P95     time.Duration
-	P99, Longest time.Duration // from taking in to the end, of served jobs
-	times        *hdrhistogram.Histogram
+type ReportRow struct {
+	By              []string // one for each of the query's dimensions
+	OpenBefore      int64
+	Accepted        int64
+	Ends            [accounting.Reasons]int64
+	Open            int64
+	LogicalRequests int64 // of the jobs taken, those that are no repeats
+	P50, P95        time.Duration
+	P99, Longest    time.Duration // from taking in to the end, of served jobs
+	times           *hdrhistogram.Histogram
 }
 
 // Outcome sums the ends of one outcome.
-func (f *Figures) Outcome(o accounting.Outcome) (n int64) {
+func (f *ReportRow) Outcome(o accounting.Outcome) (n int64) {
 	for r, e := range f.Ends {
 		if accounting.Reason(r).Outcome() == o {
 			n += e
@@ -74,15 +74,15 @@
 // Report counts what a folder has to say to a query. A job counts under the
 // group and the stretch of time that it ended in where it has ended, so that
 // each row is in balance. Complaints are of what could not be read.
-func Report(f Folder, q Query) (rows []*Figures, complaints []string, err error) {
-	if err := q.Check(); err != nil {
+func Report(f Directory, q Query) (rows []*ReportRow, complaints []string, err error) {
+	if err := q.Validate(); err != nil {
 		return nil, nil, err
 	}
 	names, err := f.Names()
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &reporter{query: q, rows: make(map[string]*Figures), open: make(map[uint64]Record), asks: make(map[uint64]struct{})}
+	c := &reporter{query: q, rows: make(map[string]*ReportRow), open: make(map[uint64]Record), asks: make(map[uint64]struct{})}
 	for _, name := range names {
 		text, err := f.Read(name)
 		if err != nil {
@@ -104,29 +104,29 @@
 		}
 		rows = append(rows, r)
 	}
-	slices.SortFunc(rows, func(x, y *Figures) int { return slices.Compare(x.By, y.By) })
+	slices.SortFunc(rows, func(x, y *ReportRow) int { return slices.Compare(x.By, y.By) })
 	return rows, complaints, nil
 }
 
 type reporter struct {
 	query Query
-	rows  map[string]*Figures
+	rows  map[string]*ReportRow
 	open  map[uint64]Record
 	asks  map[uint64]struct{}
 }
 
 func (c *reporter) record(r *Record) error {
 	switch r.Kind {
-	case KindCarried: // only the oldest segment's are news
+	case KindCarriedOver: // only the oldest segment's are news
 		if _, known := c.open[r.Number]; !known {
 			c.open[r.Number] = *r
 			c.noteAsk(r)
 		}
-	case KindEnter:
+	case KindAccepted:
 		again := *r
 		again.Retry = !c.noteAsk(r)
 		c.open[r.Number] = again
-	case KindEnd:
+	case KindEnded:
 		job, ok := c.open[r.Number]
 		if !ok {
 			return nil
@@ -139,13 +139,13 @@
 
 // noteAsk reports whether a job is an ask that was not seen before.
 func (c *reporter) noteAsk(r *Record) bool {
-	if r.Ask == 0 {
+	if r.LogicalRequest == 0 {
 		return !r.Retry
 	}
-	if _, known := c.asks[r.Ask]; known {
+	if _, known := c.asks[r.LogicalRequest]; known {
 		return false
 	}
-	c.asks[r.Ask] = struct{}{}
+	c.asks[r.LogicalRequest] = struct{}{}
 	return true
 }
 
@@ -159,17 +159,17 @@
 	if end != nil && after(end.At) {
 		end = nil // open at the report's end
 	}
-	group, at := accounting.Nowhere, job.At
+	group, at := accounting.NoGroup, job.At
 	if end != nil {
 		group, at = end.Group, end.At
 	}
 	row := c.row(c.key(job, group, at))
 	if before(job.At) {
-		row.Opened++
+		row.OpenBefore++
 	} else {
-		row.Taken++
+		row.Accepted++
 		if !job.Retry {
-			row.Asks++
+			row.LogicalRequests++
 		}
 	}
 	if end == nil {
@@ -191,11 +191,11 @@
 	for i, d := range c.query.By {
 		switch d {
 		case "front":
-			by[i] = job.Line.Front
+			by[i] = job.Series.Front
 		case "class":
-			by[i] = job.Line.Class
+			by[i] = job.Series.Class
 		case "tenant":
-			by[i] = cmp.Or(job.Line.Tenant, "-")
+			by[i] = cmp.Or(job.Series.Tenant, "-")
 		case "group":
 			by[i] = group
 		case "minute":
@@ -209,11 +209,11 @@
 	return by
 }
 
-func (c *reporter) row(by []string) *Figures {
+func (c *reporter) row(by []string) *ReportRow {
 	key := strings.Join(by, "\x00")
 	r := c.rows[key]
 	if r == nil {
-		r = &Figures{By: by}
+		r = &ReportRow{By: by}
 		c.rows[key] = r
 	}
 	return r
--- a/internal/dispatcher/journal/writer.go
+++ b/internal/dispatcher/journal/writer.go
@@ -15,10 +15,10 @@
 // Settings bound a journal.
 type Settings struct {
 	SegmentBytes int64
-	KeepBytes    int64
-	KeepFor      time.Duration
-	WriteWithin  time.Duration // records wait this long for others to be written with
-	SyncWithin   time.Duration // and this long to be safe from a power loss
+	MaxBytes     int64
+	MaxAge       time.Duration
+	WriteDelay   time.Duration // records wait this long for others to be written with
+	SyncInterval time.Duration // and this long to be safe from a power loss
 }
 
 // mostWaiting is how many records may wait for a disk that does not keep up.
@@ -28,10 +28,10 @@
 // of its own. Adding never waits. When anything fails the journal stops, says
 // so, and drops what is added: no job depends on it.
 type Journal struct {
-	folder   Folder
+	folder   Directory
 	settings Settings
 	log      logrus.FieldLogger
-	found    Found
+	found    Recovery
 	differ   func([]accounting.Difference)
 
 	mu      sync.Mutex
@@ -63,7 +63,7 @@
 // Open takes a folder over, closes what the last epoch left open, and begins a
 // new one. When it returns, all of that is safe from a power loss. differ is
 // told where a mark and the journal's own count differ.
-func Open(f Folder, s Settings, now time.Time, log logrus.FieldLogger, differ func([]accounting.Difference)) (*Journal, error) {
+func Open(f Directory, s Settings, now time.Time, log logrus.FieldLogger, differ func([]accounting.Difference)) (*Journal, error) {
 	j := &Journal{
 		folder: f, settings: s, log: log, differ: differ,
 		wake: make(chan struct{}, 1), done: make(chan struct{}),
@@ -93,8 +93,8 @@
 	return j, nil
 }
 
-// Found is what Open found.
-func (j *Journal) Found() Found { return j.found }
+// Recovery is what Open found.
+func (j *Journal) Recovery() Recovery { return j.found }
 
 // Stopped tells whether and why the journal has stopped writing.
 func (j *Journal) Stopped() (bool, string) {
@@ -105,23 +105,23 @@
 // Written is how many records have been written.
 func (j *Journal) Written() int64 { return j.written.Load() }
 
-// Enter adds an entry.
-func (j *Journal) Enter(number uint64, job accounting.Job, at time.Time) {
+// JobAccepted adds an entry.
+func (j *Journal) JobAccepted(number uint64, job accounting.Job, at time.Time) {
 	j.add(Record{
-		Kind: KindEnter, Number: number, At: at.UnixMicro(), Line: Line{job.Front, job.Class, job.Tenant},
-		Ask: accounting.AskID(job.Class, job.Key), Retry: job.Retry,
+		Kind: KindAccepted, Number: number, At: at.UnixMicro(), Series: Series{job.Front, job.Class, job.Tenant},
+		LogicalRequest: accounting.LogicalRequestID(job.Class, job.Key), Retry: job.Retry,
 	})
 }
 
-// End adds an end.
-func (j *Journal) End(number uint64, group string, r accounting.Reason, at time.Time) {
-	j.add(Record{Kind: KindEnd, Number: number, At: at.UnixMicro(), Group: group, Reason: r})
+// JobEnded adds an end.
+func (j *Journal) JobEnded(number uint64, group string, r accounting.Reason, at time.Time) {
+	j.add(Record{Kind: KindEnded, Number: number, At: at.UnixMicro(), Group: group, Reason: r})
 }
 
-// Mark adds the account's totals, to be held against the journal's count at
+// Checkpoint adds the account's totals, to be held against the journal's count at
 // the same place.
-func (j *Journal) Mark(t accounting.Totals, at time.Time) {
-	j.add(Record{Kind: KindMark, At: at.UnixMicro(), Taken: t.Taken, Open: t.Open, Ends: t.Ends})
+func (j *Journal) Checkpoint(t accounting.Totals, at time.Time) {
+	j.add(Record{Kind: KindCheckpoint, At: at.UnixMicro(), Accepted: t.Taken, Open: t.Open, Ends: t.Ends})
 }
 
 func (j *Journal) add(r Record) {
@@ -183,13 +183,13 @@
 	for {
 		wait := time.Hour
 		if j.unsynced {
-			wait = max(0, time.Until(synced.Add(j.settings.SyncWithin)))
+			wait = max(0, time.Until(synced.Add(j.settings.SyncInterval)))
 		}
 		pause.Reset(wait)
 		select {
 		case <-j.wake:
 			if !j.ending() {
-				pause.Reset(j.settings.WriteWithin)
+				pause.Reset(j.settings.WriteDelay)
 				select {
 				case <-pause.C:
 				case <-j.wake: // the end, or too much
@@ -201,7 +201,7 @@
 		if err := j.write(closing); err != nil {
 			j.stop(err)
 		}
-		if !j.stopped.Load() && j.unsynced && (closing || time.Since(synced) >= j.settings.SyncWithin) {
+		if !j.stopped.Load() && j.unsynced && (closing || time.Since(synced) >= j.settings.SyncInterval) {
 			if err := j.segment.Sync(); err != nil {
 				j.stop(fmt.Errorf("syncing %s: %w", j.header.name(), err))
 			}
@@ -245,19 +245,19 @@
 	for i := range records {
 		r := &records[i]
 		latest = r.At
-		if r.Kind == KindMark {
+		if r.Kind == KindCheckpoint {
 			there := j.balance.epoch
-			here := accounting.Totals{Taken: r.Taken, Open: r.Open, Ends: r.Ends}
-			if d := here.Against(accounting.AuditJournal, there); len(d) > 0 {
+			here := accounting.Totals{Taken: r.Accepted, Open: r.Open, Ends: r.Ends}
+			if d := here.Compare(accounting.AuditJournal, there); len(d) > 0 {
 				j.differ(d)
 			}
 		} else if !j.balance.apply(r) {
-			j.differ([]accounting.Difference{{Audit: accounting.AuditJournal, What: fmt.Sprintf("job %d ends or enters twice", r.Number), Here: 1}})
+			j.differ([]accounting.Difference{{Audit: accounting.AuditJournal, What: fmt.Sprintf("job %d ends or enters twice", r.Number), Ledger: 1}})
 		}
 		j.encoder.add(r)
 	}
 	if closing && len(j.balance.open) == 0 {
-		j.encoder.add(&Record{Kind: KindClosed, At: max(latest, j.encoder.at)})
+		j.encoder.add(&Record{Kind: KindCleanShutdown, At: max(latest, j.encoder.at)})
 	}
 	if err := j.flush(len(records)); err != nil {
 		return err
@@ -316,7 +316,7 @@
 	}
 	j.header, j.encoder, j.size = h, newEncoder(h), headerSize
 	sums := j.balance.epoch
-	j.encoder.add(&Record{Kind: KindOpening, At: h.Created, Taken: sums.Taken, Open: sums.Open, Ends: sums.Ends})
+	j.encoder.add(&Record{Kind: KindSegmentStart, At: h.Created, Accepted: sums.Taken, Open: sums.Open, Ends: sums.Ends})
 	opening := j.balance.opening()
 	for i := range opening {
 		j.encoder.add(&opening[i])
@@ -348,7 +348,7 @@
 	}
 	for len(j.names) > 2 {
 		old := j.header.Created - j.names[1].created
-		if total <= j.settings.KeepBytes && old <= j.settings.KeepFor.Microseconds() {
+		if total <= j.settings.MaxBytes && old <= j.settings.MaxAge.Microseconds() {
 			return
 		}
 		if err := j.folder.Remove(j.names[0].name); err != nil {
@@ -361,11 +361,11 @@
 }
 
 // String says what a start found, for the log.
-func (f Found) String() string {
+func (f Recovery) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "epoch %d", f.Epoch)
-	if !f.InOrder {
-		fmt.Fprintf(&b, ", the last one did not end in order: %d jobs closed as cut off, %d torn bytes cut", f.CutOff, f.Cut)
+	if !f.CleanShutdown {
+		fmt.Fprintf(&b, ", the last one did not end in order: %d jobs closed as cut off, %d torn bytes cut", f.CrashedJobs, f.TruncatedBytes)
 	}
 	return b.String()
 }
--- a/internal/dispatcher/lab/draw/draw.go
+++ b/internal/dispatcher/lab/draw/draw.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// ErrNothing says that there are no runs to draw.
-var ErrNothing = errors.New("there are no runs to draw")
+// ErrNoRuns says that there are no runs to draw.
+var ErrNoRuns = errors.New("there are no runs to draw")
 
 // distinct are the values of the runs in the order in which they come.
 func distinct[T comparable](runs []lab.Run, of func(lab.Run) T) (all []T) {
@@ -40,13 +40,13 @@
 	return some
 }
 
-// All draws what the runs have: goodput and median latency over the load, or
+// Charts draws what the runs have: goodput and median latency over the load, or
 // over what was swept where that is a number, and for the heaviest of them the
 // latency's distribution, goodput by the second, and the members' work by the
 // second. It returns the names of the plots, which begin as out does.
-func All(runs []lab.Run, out string) (names []string, err error) {
+func Charts(runs []lab.Run, out string) (names []string, err error) {
 	if len(runs) == 0 {
-		return nil, ErrNothing
+		return nil, ErrNoRuns
 	}
 	ext := filepath.Ext(out)
 	draw := func(what, title, x, y string, all []textchart.Line) {
@@ -94,7 +94,7 @@
 // over is a line for each policy, with the means and deviations over the seeds.
 func over(runs []lab.Run, at, of func(lab.Run) float64) (all []textchart.Line) {
 	for _, name := range distinct(runs, policy) {
-		s := textchart.Line{Name: name, Colour: -1}
+		s := textchart.Line{Name: name, ColourIndex: -1}
 		own := only(runs, func(r lab.Run) bool { return r.Policy == name })
 		for _, x := range distinct(own, at) {
 			var values []float64
@@ -107,7 +107,7 @@
 			if len(values) == 1 {
 				sd = 0
 			}
-			s.Points, s.Spread = append(s.Points, plotter.XY{X: x, Y: mean}), append(s.Spread, sd)
+			s.Points, s.ErrorBars = append(s.Points, plotter.XY{X: x, Y: mean}), append(s.ErrorBars, sd)
 		}
 		all = append(all, s)
 	}
@@ -117,7 +117,7 @@
 func distributions(runs []lab.Run) (all []textchart.Line) {
 	for _, name := range distinct(runs, policy) {
 		own := only(runs, func(r lab.Run) bool { return r.Policy == name })
-		s := textchart.Line{Name: name, Colour: -1}
+		s := textchart.Line{Name: name, ColourIndex: -1}
 		for i, q := range own[0].Latency {
 			sum := 0.0
 			for _, r := range own {
@@ -145,7 +145,7 @@
 				inTime[n] += float64(second.InTime)
 			}
 		}
-		s := textchart.Line{Name: name, Colour: -1}
+		s := textchart.Line{Name: name, ColourIndex: -1}
 		for n := range asked {
 			if asked[n] > 0 { // answers go on after the last ask
 				s.Points = append(s.Points, plotter.XY{X: float64(n), Y: inTime[n] / asked[n]})
@@ -166,7 +166,7 @@
 		return nil
 	}
 	for n, name := range []string{"least", "median", "most"} {
-		s := textchart.Line{Name: runs[0].Policy + ", " + name, Dashed: n != 1, Colour: -1}
+		s := textchart.Line{Name: runs[0].Policy + ", " + name, Dashed: n != 1, ColourIndex: -1}
 		for second, row := range rows {
 			sorted := slices.Sorted(slices.Values(row))
 			s.Points = append(s.Points, plotter.XY{X: float64(second), Y: sorted[n*(len(sorted)-1)/2]})
--- a/internal/dispatcher/lab/member.go
+++ b/internal/dispatcher/lab/member.go
@@ -159,7 +159,7 @@
 		m.w.reply(a, policy.ConnectFailed)
 		return
 	case m.state == policy.Draining || len(m.queue) >= m.kind.Queue && m.busy+a.req.slots > float64(m.kind.Slots):
-		m.w.reply(a, policy.Full)
+		m.w.reply(a, policy.Rejected)
 		return
 	}
 	m.w.check.arrives(m, a)
@@ -192,7 +192,7 @@
 func (m *member) drain() {
 	m.state = policy.Draining
 	for _, a := range m.queue {
-		m.w.reply(a, policy.Full)
+		m.w.reply(a, policy.Rejected)
 	}
 	m.queue = nil
 }
--- a/internal/dispatcher/loadgen/drive.go
+++ b/internal/dispatcher/loadgen/drive.go
@@ -17,7 +17,7 @@
 
 // Target is who is asked. Its Ask may be called concurrently.
 type Target interface {
-	Ask(ctx context.Context, n int) (outcome string)
+	Send(ctx context.Context, n int) (outcome string)
 	Close()
 }
 
@@ -32,7 +32,7 @@
 	defer wake.Stop()
 	<-wake.C
 	begin, n := time.Now(), 0
-	for due := range p.Times() {
+	for due := range p.DueTimes() {
 		if wait := due - time.Since(begin); wait > 0 {
 			wake.Reset(wait)
 			select {
@@ -51,7 +51,7 @@
 		all.Go(func() {
 			defer func() { <-slots }()
 			sent := time.Since(begin)
-			outcome := to.Ask(ctx, ask)
+			outcome := to.Send(ctx, ask)
 			record.Add(due, sent, time.Since(begin), outcome)
 		})
 	}
@@ -59,13 +59,13 @@
 
 // Job is what is asked for.
 type Job struct {
-	Prefix string // of ids and keys, so that runs don't meet
-	Class  string // of an HTTP request, or the jobtype of a Faktory job
-	Queue  string
-	Tenant string
-	Cost   time.Duration // told; 0: not told
-	Budget time.Duration
-	Body   int // bytes
+	IDPrefix  string // of ids and keys, so that runs don't meet
+	Class     string // of an HTTP request, or the jobtype of a Faktory job
+	Queue     string
+	Tenant    string
+	CostHint  time.Duration // told; 0: not told
+	Timeout   time.Duration
+	BodyBytes int // bytes
 }
 
 // HTTP asks by the platform's protocol.
@@ -78,26 +78,26 @@
 
 // NewHTTP returns a target with connections for so many asks at a time.
 func NewHTTP(addr string, j Job, most int) *HTTP {
-	return &HTTP{addr: addr, job: j, body: strings.Repeat("b", j.Body), client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: most}}}
+	return &HTTP{addr: addr, job: j, body: strings.Repeat("b", j.BodyBytes), client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: most}}}
 }
 
-// Ask implements Target.
-func (h *HTTP) Ask(ctx context.Context, n int) string {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(h.job.Budget+time.Second))
+// Send implements Target.
+func (h *HTTP) Send(ctx context.Context, n int) string {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(h.job.Timeout+time.Second))
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.addr+"/"+h.job.Class, strings.NewReader(h.body))
 	if err != nil {
 		return "bad address"
 	}
-	name := h.job.Prefix + "-" + strconv.Itoa(n)
+	name := h.job.IDPrefix + "-" + strconv.Itoa(n)
 	req.Header.Set("X-Call-Id", name)
 	req.Header.Set("Idempotency-Key", name)
-	req.Header.Set("X-Budget", strconv.FormatFloat(h.job.Budget.Seconds(), 'f', 3, 64))
+	req.Header.Set("X-Budget", strconv.FormatFloat(h.job.Timeout.Seconds(), 'f', 3, 64))
 	if h.job.Tenant != "" {
 		req.Header.Set("X-Caller", h.job.Tenant)
 	}
-	if h.job.Cost > 0 {
-		req.Header.Set("X-Call-Cost", strconv.FormatInt(h.job.Cost.Microseconds(), 10))
+	if h.job.CostHint > 0 {
+		req.Header.Set("X-Call-Cost", strconv.FormatInt(h.job.CostHint.Microseconds(), 10))
 	}
 	resp, err := h.client.Do(req)
 	if err != nil {
@@ -139,8 +139,8 @@
 	return f
 }
 
-// Ask implements Target.
-func (f *Faktory) Ask(ctx context.Context, n int) string {
+// Send implements Target.
+func (f *Faktory) Send(ctx context.Context, n int) string {
 	var c *fakes.FaktoryConn
 	select {
 	case c = <-f.free:
@@ -155,7 +155,7 @@
 			return "no connection"
 		}
 	}
-	_, err = c.Do(fmt.Sprintf(`PUSH {"jid":"%s-%d","jobtype":%q,"queue":%q,"args":[%q]}`, f.job.Prefix, n, f.job.Class, f.job.Queue, strings.Repeat("b", f.job.Body)))
+	_, err = c.Do(fmt.Sprintf(`PUSH {"jid":"%s-%d","jobtype":%q,"queue":%q,"args":[%q]}`, f.job.IDPrefix, n, f.job.Class, f.job.Queue, strings.Repeat("b", f.job.BodyBytes)))
 	switch {
 	case err == nil:
 		return Served
@@ -176,8 +176,8 @@
 	}
 }
 
-// Local tells whether an address is this machine's own.
-func Local(addr string) (bool, error) {
+// IsLoopback tells whether an address is this machine's own.
+func IsLoopback(addr string) (bool, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return false, err
