--- a/internal/dispatcher/loadgen/plan.go
+++ b/internal/dispatcher/loadgen/plan.go
@@ -16,21 +16,21 @@
 
 // Plan says when asks are due.
 type Plan struct {
-	From, To float64 // asks a second at the begin and at the end
-	Length   time.Duration
-	Even     bool // evenly apart; else a Poisson stream
-	Seed     uint64
-	Trace    []time.Duration // in place of all these: when each ask is due
+	StartRate, EndRate float64 // asks a second at the begin and at the end
+	Length             time.Duration
+	EvenlySpaced       bool // evenly apart; else a Poisson stream
+	Seed               uint64
+	Trace              []time.Duration // in place of all these: when each ask is due
 }
 
-// Check tells what is wrong with a plan.
-func (p *Plan) Check() error {
+// Validate tells what is wrong with a plan.
+func (p *Plan) Validate() error {
 	switch {
 	case p.Trace != nil:
 		if !slices.IsSorted(p.Trace) || len(p.Trace) == 0 || p.Trace[0] < 0 {
 			return errors.New("a trace must have times, in their order and none below 0")
 		}
-	case p.From < 0 || p.To < 0 || p.From+p.To <= 0 || math.IsInf(p.From+p.To, 0) || math.IsNaN(p.From+p.To):
+	case p.StartRate < 0 || p.EndRate < 0 || p.StartRate+p.EndRate <= 0 || math.IsInf(p.StartRate+p.EndRate, 0) || math.IsNaN(p.StartRate+p.EndRate):
 		return errors.New("rates must not be below 0, and not both be 0")
 	case p.Length <= 0:
 		return errors.New("the length must be more than nothing")
@@ -38,25 +38,25 @@
 	return nil
 }
 
-// Asks is how many asks are due, on average.
-func (p *Plan) Asks() int {
+// ExpectedRequests is how many asks are due, on average.
+func (p *Plan) ExpectedRequests() int {
 	if p.Trace != nil {
 		return len(p.Trace)
 	}
-	return int((p.From + p.To) / 2 * p.Length.Seconds())
+	return int((p.StartRate + p.EndRate) / 2 * p.Length.Seconds())
 }
 
-// Times are when the asks are due, from the begin on. They are the points at which
+// DueTimes are when the asks are due, from the begin on. They are the points at which
 // the integral of the rate passes whole numbers, or the sums of exponential draws
 // for a Poisson stream: a ramp is exact at each moment, not in steps.
-func (p *Plan) Times() iter.Seq[time.Duration] {
+func (p *Plan) DueTimes() iter.Seq[time.Duration] {
 	if p.Trace != nil {
 		return slices.Values(p.Trace)
 	}
 	random := rand.New(rand.NewPCG(p.Seed, 17))
 	return func(yield func(time.Duration) bool) {
 		for due := 0.0; ; {
-			if p.Even {
+			if p.EvenlySpaced {
 				due++
 			} else {
 				due += random.ExpFloat64()
@@ -73,16 +73,16 @@
 // the rate a + (b-a)t/T, the asks until t are at + (b-a)t²/2T.
 func (p *Plan) when(asks float64) (time.Duration, bool) {
 	length := p.Length.Seconds()
-	slope := (p.To - p.From) / length
+	slope := (p.EndRate - p.StartRate) / length
 	var t float64
 	if math.Abs(slope) < 1e-12 {
-		t = asks / p.From
+		t = asks / p.StartRate
 	} else {
-		root := p.From*p.From + 2*slope*asks
+		root := p.StartRate*p.StartRate + 2*slope*asks
 		if root < 0 { // a falling ramp never gets to so many
 			return 0, false
 		}
-		t = (math.Sqrt(root) - p.From) / slope
+		t = (math.Sqrt(root) - p.StartRate) / slope
 	}
 	return time.Duration(t * float64(time.Second)), t <= length
 }
--- a/internal/dispatcher/loadreport/loadreport.go
+++ b/internal/dispatcher/loadreport/loadreport.go
@@ -74,21 +74,21 @@
 	return r, nil
 }
 
-// Body reads a probe's body: an object as the news carries it, or text.
-func Body(text []byte) (policy.Report, error) {
+// ParseBody reads a probe's body: an object as the news carries it, or text.
+func ParseBody(text []byte) (policy.Report, error) {
 	if t := bytes.TrimSpace(text); len(t) > 0 && t[0] == '{' {
 		v, err := fastjson.ParseBytes(t)
 		if err != nil {
 			return policy.Report{}, fmt.Errorf("load report: %w", err)
 		}
-		return Object(v)
+		return ParseObject(v)
 	}
 	return Parse(text)
 }
 
-// Object reads a report given as a JSON object; nil is an empty report. A
+// ParseObject reads a report given as a JSON object; nil is an empty report. A
 // value that is not a number makes it an error.
-func Object(v *fastjson.Value) (policy.Report, error) {
+func ParseObject(v *fastjson.Value) (policy.Report, error) {
 	var r policy.Report
 	if v == nil {
 		return r, nil
--- a/internal/dispatcher/metrics/export.go
+++ b/internal/dispatcher/metrics/export.go
@@ -22,7 +22,7 @@
 	Name    string
 	Started time.Time
 	Account accounting.Snapshot
-	Audit   State
+	Audit   AuditState
 	Journal *JournalState `json:",omitempty"`
 }
 
@@ -37,20 +37,20 @@
 // Exporter tells the account on a listener of the operator's: /metrics for
 // Prometheus, /figures as JSON, /audit runs an audit now.
 type Exporter struct {
-	Name    string
-	Started time.Time
-	Keeper  *Keeper
-	Hub     Hub
-	Auditor *Auditor
-	Journal *journal.Journal // nil: off
+	Name     string
+	Started  time.Time
+	Recorder *Recorder
+	Engine   Engine
+	Auditor  *Auditor
+	Journal  *journal.Journal // nil: off
 }
 
 // Report reads the account at one moment.
 func (x *Exporter) Report() Report {
 	r := Report{Name: x.Name, Started: x.Started, Audit: x.Auditor.State()}
-	x.Hub.Sync(func() { r.Account = x.Keeper.Book.Snapshot(time.Now()) })
+	x.Engine.Do(func() { r.Account = x.Recorder.Ledger.Snapshot(time.Now()) })
 	if x.Journal != nil {
-		r.Journal = &JournalState{Epoch: x.Journal.Found().Epoch, Written: x.Journal.Written()}
+		r.Journal = &JournalState{Epoch: x.Journal.Recovery().Epoch, Written: x.Journal.Written()}
 		r.Journal.Stopped, r.Journal.Why = x.Journal.Stopped()
 	}
 	return r
@@ -146,7 +146,7 @@
 		gauge(flowsOut, f.Out, f.Class, f.Group)
 		for s, n := range f.Ends {
 			if n > 0 {
-				count(flowsDone, n, f.Class, f.Group, accounting.FlowStatus(s))
+				count(flowsDone, n, f.Class, f.Group, accounting.StatusNameAt(s))
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 	for class, t := range r.Account.Times {
 		for span, d := range map[string]accounting.Distribution{"wait": t.Wait, "run": t.Run, "whole": t.Whole} {
 			buckets := make(map[float64]uint64, len(d.Buckets))
-			for _, edge := range accounting.Edges {
+			for _, edge := range accounting.BucketEdges {
 				buckets[edge.Seconds()] = uint64(d.Buckets[edge])
 			}
 			ch <- prometheus.MustNewConstHistogram(seconds, uint64(d.Count), d.Sum.Seconds(), buckets, class, span)
--- a/internal/dispatcher/metrics/keeper.go
+++ b/internal/dispatcher/metrics/keeper.go
@@ -11,58 +11,58 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Second is a second count beside the account.
-type Second interface {
-	Enter(number uint64, job accounting.Job, at time.Time)
-	End(number uint64, group string, r accounting.Reason, at time.Time)
-	Mark(t accounting.Totals, at time.Time)
+// JobJournal is a second count beside the account.
+type JobJournal interface {
+	JobAccepted(number uint64, job accounting.Job, at time.Time)
+	JobEnded(number uint64, group string, r accounting.Reason, at time.Time)
+	Checkpoint(t accounting.Totals, at time.Time)
 }
 
-// Keeper writes what happens to transactions and flows into the account and,
+// Recorder writes what happens to transactions and flows into the account and,
 // where there is one, the second count. It implements stage.Books. The core's
 // goroutine owns it.
-type Keeper struct {
-	Book   *accounting.Book
-	second Second
+type Recorder struct {
+	Ledger *accounting.Ledger
+	second JobJournal
 }
 
-// NewKeeper returns a keeper of an empty account.
-func NewKeeper(l accounting.Limits) *Keeper { return &Keeper{Book: accounting.New(l)} }
+// NewRecorder returns a keeper of an empty account.
+func NewRecorder(l accounting.Limits) *Recorder { return &Recorder{Ledger: accounting.New(l)} }
 
-// With sets the second count. It must be called before the first job.
-func (k *Keeper) With(s Second) { k.second = s }
+// SetJobJournal sets the second count. It must be called before the first job.
+func (k *Recorder) SetJobJournal(s JobJournal) { k.second = s }
 
-// Enter implements stage.Books.
-func (k *Keeper) Enter(t *engine.Transaction, now time.Time) {
-	e := k.Book.Enter(accounting.Job{Front: t.Front, Class: t.Class, Tenant: t.Tenant, Key: t.Key, Retry: t.Retry}, now)
-	t.Booked = e
+// JobAccepted implements stage.Books.
+func (k *Recorder) JobAccepted(t *engine.Transaction, now time.Time) {
+	e := k.Ledger.JobAccepted(accounting.Job{Front: t.Front, Class: t.Class, Tenant: t.Tenant, Key: t.Key, Retry: t.Retry}, now)
+	t.LedgerEntry = e
 	if k.second != nil {
-		k.second.Enter(e.Number, e.Job, now)
+		k.second.JobAccepted(e.Number, e.Job, now)
 	}
 }
 
-// Sent implements stage.Books.
-func (k *Keeper) Sent(f *engine.Flow, now time.Time) {
-	if e, ok := f.Transaction.Booked.(*accounting.Entry); ok {
-		k.Book.Sent(e, f.Member.Group, now)
+// FlowSent implements stage.Books.
+func (k *Recorder) FlowSent(f *engine.Flow, now time.Time) {
+	if e, ok := f.Transaction.LedgerEntry.(*accounting.Entry); ok {
+		k.Ledger.FlowSent(e, f.Member.Group, now)
 	}
 }
 
 // FlowEnded implements stage.Books.
-func (k *Keeper) FlowEnded(f *engine.Flow, s policy.Status, _ time.Time) {
-	k.Book.FlowEnded(f.Transaction.Class, f.Member.Group, s)
+func (k *Recorder) FlowEnded(f *engine.Flow, s policy.Status, _ time.Time) {
+	k.Ledger.FlowEnded(f.Transaction.Class, f.Member.Group, s)
 }
 
-// End implements stage.Books.
-func (k *Keeper) End(t *engine.Transaction, a engine.Answer, now time.Time) {
-	e, ok := t.Booked.(*accounting.Entry)
+// JobEnded implements stage.Books.
+func (k *Recorder) JobEnded(t *engine.Transaction, a engine.Answer, now time.Time) {
+	e, ok := t.LedgerEntry.(*accounting.Entry)
 	if !ok {
 		return
 	}
-	t.Booked = nil
+	t.LedgerEntry = nil
 	number, group := e.Number, e.Group()
-	k.Book.End(e, a.Reason, now)
+	k.Ledger.JobEnded(e, a.Reason, now)
 	if k.second != nil {
-		k.second.End(number, group, a.Reason, now)
+		k.second.JobEnded(number, group, a.Reason, now)
 	}
 }
--- a/internal/dispatcher/metrics/table.go
+++ b/internal/dispatcher/metrics/table.go
@@ -14,7 +14,7 @@
 // Dimensions are what a table can be by.
 var Dimensions = []string{"front", "class", "tenant", "group"}
 
-func dimension(p *accounting.Place, by string) string {
+func dimension(p *accounting.RowKey, by string) string {
 	return map[string]string{"front": p.Front, "class": p.Class, "tenant": p.Tenant, "group": p.Group}[by]
 }
 
@@ -35,7 +35,7 @@
 		row := &r.Account.Rows[i]
 		var cells []string
 		for _, d := range by {
-			cells = append(cells, dimension(&row.Place, d))
+			cells = append(cells, dimension(&row.RowKey, d))
 		}
 		key := strings.Join(cells, "\t")
 		if sums[key] == nil {
@@ -97,9 +97,9 @@
 		}
 		fmt.Fprintf(out, "journal: epoch %d, %d records, %s\n", j.Epoch, j.Written, state)
 	}
-	if t := &r.Account.Totals; t.Taken == t.By(accounting.Served)+t.By(accounting.Refused)+t.By(accounting.Failed)+t.Open && len(r.Audit.Differences) == 0 {
+	if t := &r.Account.Totals; t.Taken == t.EndedAs(accounting.Served)+t.EndedAs(accounting.Refused)+t.EndedAs(accounting.Failed)+t.Open && len(r.Audit.Differences) == 0 {
 		fmt.Fprintf(out, "%d taken = %d served + %d refused + %d failed + %d open; %d audits found nothing\n", t.Taken,
-			t.By(accounting.Served), t.By(accounting.Refused), t.By(accounting.Failed), t.Open, r.Audit.Audits)
+			t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open, r.Audit.Audits)
 		return nil
 	}
 	fmt.Fprintln(out, "THE ACCOUNT DOES NOT ADD UP:")
@@ -124,13 +124,13 @@
 	fmt.Fprintln(w, "front\tclass\ttenant\topened\ttaken\tserved\trefused\tfailed\topen\t")
 	for i := range r.Account.Lines {
 		l := &r.Account.Lines[i]
-		s := map[string]accounting.Span{"minute": l.Minute, "hour": l.Hour, "day": l.Day, "last60m": l.Hour60, "last24h": l.Day24}[window]
+		s := map[string]accounting.WindowCounts{"minute": l.Minute, "hour": l.Hour, "day": l.Day, "last60m": l.Hour60, "last24h": l.Day24}[window]
 		now := open[[3]string{l.Front, l.Class, l.Tenant}]
 		var ended int64
 		for _, n := range s.Ends {
 			ended += int64(n)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Front, l.Class, l.Tenant, now+ended-int64(s.Taken), s.Taken,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Front, l.Class, l.Tenant, now+ended-int64(s.Accepted), s.Accepted,
 			s.Ends[accounting.Served], s.Ends[accounting.Refused], s.Ends[accounting.Failed], now)
 	}
 	return w.Flush()
--- a/internal/dispatcher/pipeline/book.go
+++ b/internal/dispatcher/pipeline/book.go
@@ -9,20 +9,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Books keep the account. The core's goroutine calls them.
-type Books interface {
-	Enter(t *engine.Transaction, now time.Time)
-	Sent(f *engine.Flow, now time.Time)
+// Ledger keep the account. The core's goroutine calls them.
+type Ledger interface {
+	JobAccepted(t *engine.Transaction, now time.Time)
+	FlowSent(f *engine.Flow, now time.Time)
 	FlowEnded(f *engine.Flow, s policy.Status, now time.Time)
-	End(t *engine.Transaction, a engine.Answer, now time.Time)
+	JobEnded(t *engine.Transaction, a engine.Answer, now time.Time)
 }
 
-// Enter implements core.Stages.
-func (c *Chain) Enter(t *engine.Transaction, now time.Time) { c.books.Enter(t, now) }
+// RecordAccepted implements core.Stages.
+func (c *Pipeline) RecordAccepted(t *engine.Transaction, now time.Time) { c.books.JobAccepted(t, now) }
 
-// Book implements core.Stages.
-func (c *Chain) Book(t *engine.Transaction, a engine.Answer, now time.Time) {
-	c.books.End(t, a, now)
+// RecordEnd implements core.Stages.
+func (c *Pipeline) RecordEnd(t *engine.Transaction, a engine.Answer, now time.Time) {
+	c.books.JobEnded(t, a, now)
 	if a.Verdict != engine.Served && c.log.IsLevelEnabled(logrus.DebugLevel) {
 		c.log.WithFields(logrus.Fields{
 			"transaction": t.ID, "class": t.Class, "tenant": t.Tenant, "left": t.Deadline.Sub(now).String(), "reason": a.Reason.String(),
--- a/internal/dispatcher/pipeline/relay.go
+++ b/internal/dispatcher/pipeline/relay.go
@@ -13,12 +13,12 @@
 // Relay implements core.Stages. A result goes to the client at once, and so
 // does a member's word that the request is bad; whether anything else ends the
 // transaction is for the decisions to say.
-func (c *Chain) Relay(f *engine.Flow, s policy.Status, result []byte, now time.Time) *engine.Answer {
+func (c *Pipeline) Relay(f *engine.Flow, s policy.Status, result []byte, now time.Time) *engine.Answer {
 	c.books.FlowEnded(f, s, now)
 	switch s {
 	case policy.OK:
 		return &engine.Answer{Verdict: engine.Served, Body: result}
-	case policy.Unfit:
+	case policy.InvalidRequest:
 		return &engine.Answer{Verdict: engine.Denied, Reason: accounting.BadRequest, Body: []byte("the pool member can't use this request\n")}
 	}
 	if c.log.IsLevelEnabled(logrus.DebugLevel) {
--- a/internal/dispatcher/pipeline/route.go
+++ b/internal/dispatcher/pipeline/route.go
@@ -7,6 +7,6 @@
 
 // Route implements core.Stages: it is all that the decisions learn of a
 // transaction but its deadline, which the core puts on their clock.
-func (c *Chain) Route(t *engine.Transaction) policy.Request {
-	return policy.Request{ID: t.ID, Class: t.Class, Subject: t.Subject, Hint: t.Hint, Slots: t.Slots, Memory: t.Memory, Retry: t.Retry, First: t.First, Needs: t.Needs, Once: t.Once}
+func (c *Pipeline) Route(t *engine.Transaction) policy.Request {
+	return policy.Request{ID: t.ID, Class: t.Class, AffinityKey: t.AffinityKey, Hint: t.Hint, Slots: t.Slots, Memory: t.Memory, Retry: t.Retry, KnownFirst: t.KnownFirst, Capability: t.Capability, NoRetryOnError: t.NoRetryOnError}
 }
--- a/internal/dispatcher/pipeline/send.go
+++ b/internal/dispatcher/pipeline/send.go
@@ -6,12 +6,12 @@
 	"basaltloft/internal/dispatcher/engine"
 )
 
-// Send implements core.Stages. No flow outlives its transaction's deadline.
-func (c *Chain) Send(t *engine.Transaction, m *engine.Member, number int, now, until time.Time) *engine.Flow {
+// NewFlow implements core.Stages. No flow outlives its transaction's deadline.
+func (c *Pipeline) NewFlow(t *engine.Transaction, m *engine.Member, number int, now, until time.Time) *engine.Flow {
 	if until.After(t.Deadline) {
 		until = t.Deadline
 	}
 	f := &engine.Flow{Transaction: t, Member: m, Number: number, SentAt: now, Deadline: until}
-	c.books.Sent(f, now)
+	c.books.FlowSent(f, now)
 	return f
 }
--- a/internal/dispatcher/pipeline/takein.go
+++ b/internal/dispatcher/pipeline/takein.go
@@ -25,28 +25,28 @@
 // ErrUnknownClass says that the settings have no such class.
 var ErrUnknownClass = errors.New("unknown class")
 
-// Arrival is what a front read of a job, in no wire's terms.
-type Arrival struct {
+// Submission is what a front read of a job, in no wire's terms.
+type Submission struct {
 	ID, Class, Tenant, Target, Key string
-	Subject                        string // see core.Transaction
+	AffinityKey                    string // see core.Transaction
 	Front                          string // the front that read it
 	Body                           []byte
-	Form                           string    // see core.Transaction
-	GivesUp                        time.Time // when the client stops waiting; zero: as the class says
+	BodyFormat                     string    // see core.Transaction
+	ClientDeadline                 time.Time // when the client stops waiting; zero: as the class says
 	Hint                           time.Duration
 	Slots, Memory                  float64
 	Retry                          bool
-	First                          bool
-	Once                           bool
-	Needs                          string // see core.Transaction
+	KnownFirst                     bool
+	NoRetryOnError                 bool
+	Capability                     string // see core.Transaction
 	Plan, Stage                    string
-	NotMember                      string
-	NotItsZone                     bool
+	ExcludedMember                 string
+	ExcludeItsZone                 bool
 }
 
-// TakeIn makes a transaction of an arrival, or says what is wrong with it. Bad
+// NewTransaction makes a transaction of an arrival, or says what is wrong with it. Bad
 // input goes no further: the decisions never see it.
-func (c *Chain) TakeIn(a Arrival, now time.Time, client engine.Client) (*engine.Transaction, error) {
+func (c *Pipeline) NewTransaction(a Submission, now time.Time, client engine.Client) (*engine.Transaction, error) {
 	class, ok := (*c.classes.Load())[a.Class]
 	switch {
 	case a.ID == "" || len(a.ID) > maxID:
@@ -60,22 +60,22 @@
 	case !sane(a.Slots) || !sane(a.Memory) || a.Hint < 0:
 		return nil, errors.New("a figure is negative or no number")
 	}
-	if a.Needs == "" && c.needs != nil {
-		a.Needs = c.needs(a.Class)
+	if a.Capability == "" && c.needs != nil {
+		a.Capability = c.needs(a.Class)
 	}
-	if latest := now.Add(class.GiveUp); a.GivesUp.IsZero() || a.GivesUp.After(latest) {
-		a.GivesUp = latest
+	if latest := now.Add(class.GiveUp); a.ClientDeadline.IsZero() || a.ClientDeadline.After(latest) {
+		a.ClientDeadline = latest
 	}
 	return &engine.Transaction{
-		ID: a.ID, Class: a.Class, Tenant: a.Tenant, Front: a.Front, Target: a.Target, Key: a.Key, Body: a.Body, Form: a.Form, Subject: a.Subject,
-		Arrived: now, Deadline: a.GivesUp.Add(-early), Hint: a.Hint, Slots: a.Slots, Memory: a.Memory, Retry: a.Retry, Needs: a.Needs, Once: a.Once, Client: client,
-		First: a.First, Plan: a.Plan, Stage: a.Stage, NotMember: a.NotMember, NotItsZone: a.NotItsZone,
+		ID: a.ID, Class: a.Class, Tenant: a.Tenant, Front: a.Front, Target: a.Target, Key: a.Key, Body: a.Body, BodyFormat: a.BodyFormat, AffinityKey: a.AffinityKey,
+		Arrived: now, Deadline: a.ClientDeadline.Add(-early), Hint: a.Hint, Slots: a.Slots, Memory: a.Memory, Retry: a.Retry, Capability: a.Capability, NoRetryOnError: a.NoRetryOnError, Client: client,
+		KnownFirst: a.KnownFirst, Plan: a.Plan, Stage: a.Stage, ExcludedMember: a.ExcludedMember, ExcludeItsZone: a.ExcludeItsZone,
 	}, nil
 }
 
 // Effect tells how often a job of a class may run. It reports false for a class
 // that is not known.
-func (c *Chain) Effect(class string) (policy.Effect, bool) {
+func (c *Pipeline) Effect(class string) (policy.Effect, bool) {
 	known, ok := (*c.classes.Load())[class]
 	return known.Effect, ok
 }
--- a/internal/dispatcher/plots/plots.go
+++ b/internal/dispatcher/plots/plots.go
@@ -18,7 +18,7 @@
 
 // stretch is the query's dimension that gives 20 points or more, and how its
 // names are read.
-func stretch(f journal.Folder, q journal.Query) (by, layout string, err error) {
+func stretch(f journal.Directory, q journal.Query) (by, layout string, err error) {
 	for _, s := range [][2]string{{"day", "2006-01-02"}, {"hour", "2006-01-02T15Z"}, {"minute", "2006-01-02T15:04Z"}} {
 		q.By = []string{s[0]}
 		rows, _, err := journal.Report(f, q)
@@ -32,13 +32,13 @@
 	return by, layout, nil
 }
 
-// ErrNothing says that there is nothing to draw.
-var ErrNothing = errors.New("the journal has no jobs of that time")
+// ErrNoJobs says that there is nothing to draw.
+var ErrNoJobs = errors.New("the journal has no jobs of that time")
 
 // Draw writes two plots: jobs by outcome over time to out, and the latency of
 // served jobs by class to the same name with -latency in it. The names' ending
 // says what they are: .svg or .png. It returns the names.
-func Draw(f journal.Folder, q journal.Query, out string) ([]string, error) {
+func Draw(f journal.Directory, q journal.Query, out string) ([]string, error) {
 	by, layout, err := stretch(f, q)
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	if len(rows) == 0 {
-		return nil, ErrNothing
+		return nil, ErrNoJobs
 	}
 	outcomes := make(map[float64]*[accounting.Outcomes]float64)
 	latency := make(map[string]map[string]plotter.XYs)
@@ -82,7 +82,7 @@
 			points = append(points, plotter.XY{X: x, Y: n[o]})
 		}
 		slices.SortFunc(points, func(a, b plotter.XY) int { return int(a.X - b.X) })
-		counts.Lines = append(counts.Lines, textchart.Line{Name: o.String(), Points: points, Colour: int(o)})
+		counts.Lines = append(counts.Lines, textchart.Line{Name: o.String(), Points: points, ColourIndex: int(o)})
 	}
 	times := textchart.Chart{Title: "Latency of served jobs", X: "time (UTC)", Y: "milliseconds", Time: true}
 	var classes []string
@@ -92,7 +92,7 @@
 	slices.Sort(classes)
 	for n, class := range classes {
 		for _, p := range []string{"p50", "p95"} {
-			times.Lines = append(times.Lines, textchart.Line{Name: class + " " + p, Points: latency[class][p], Colour: n + 3, Dashed: p == "p95"})
+			times.Lines = append(times.Lines, textchart.Line{Name: class + " " + p, Points: latency[class][p], ColourIndex: n + 3, Dashed: p == "p95"})
 		}
 	}
 	ext := filepath.Ext(out)
--- a/internal/dispatcher/policy/basaltloft.go
+++ b/internal/dispatcher/policy/basaltloft.go
@@ -38,19 +38,19 @@
 	Log(text string)
 }
 
-// Purse is what this dispatcher may spend of budgets that many share. Its methods
+// SharedBudget is what this dispatcher may spend of budgets that many share. Its methods
 // are called while an event is handled, answer at once and do not call back.
-type Purse interface {
-	// Again takes one attempt beyond a request's first from the budget of its
+type SharedBudget interface {
+	// TakeRetry takes one attempt beyond a request's first from the budget of its
 	// class; false: there is none left.
-	Again(request, class string) bool
-	// Room tells whether one more job may be under way at workers of a kind.
-	Room(kind string) bool
-	// Probe takes one probe.
-	Probe() bool
-	// Cold is the part of what all may send to a cold worker that is this
+	TakeRetry(request, class string) bool
+	// HasHeadroom tells whether one more job may be under way at workers of a kind.
+	HasHeadroom(kind string) bool
+	// TakeProbe takes one probe.
+	TakeProbe() bool
+	// ColdShare is the part of what all may send to a cold worker that is this
 	// dispatcher's; false: it is not divided, and the dispatcher goes by its rank.
-	Cold() (part float64, divided bool)
+	ColdShare() (part float64, divided bool)
 }
 
 // Settings are what a dispatcher is told at its start. All times are
@@ -63,17 +63,17 @@
 	Kinds     []string
 	Classes   []Class
 
-	WorthByWork    bool   // worth is counted per unit of work, not per request
-	AskLists       bool   // worker lists arrive only when asked for
-	TellsStart     bool   // workers tell when a job starts
-	MarksRetry     bool   // clients mark their retries
-	ReportX0       string // meaning of Report.X0, such as FreeSlots
-	ReportX1       string
-	CrossZonePrice float64 // price of an attempt that crosses zones
-
-	Limits Limits
-	Rules  Rules
-	Purse  Purse // nil: nothing is shared
+	ValueByWork        bool   // worth is counted per unit of work, not per request
+	PullsMembership    bool   // worker lists arrive only when asked for
+	ReportsStart       bool   // workers tell when a job starts
+	ClientsMarkRetries bool   // clients mark their retries
+	ReportX0           string // meaning of Report.X0, such as FreeSlots
+	ReportX1           string
+	CrossZonePrice     float64 // price of an attempt that crosses zones
+
+	Limits       Limits
+	Rules        Rules
+	SharedBudget SharedBudget // nil: nothing is shared
 }
 
 // FreeSlots and FreeMemory are the meanings of report fields that a
@@ -88,26 +88,26 @@
 
 // Effects of a class of requests.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // repeats are dropped by the workers of one group, for a time
-	Unsafe               // must never run twice
+	Idempotent   Effect = iota // may be repeated at will
+	Deduplicated               // repeats are dropped by the workers of one group, for a time
+	AtMostOnce                 // must never run twice
 )
 
-// Group says which workers drop the repeats of a keyed request.
-type Group uint8
+// DedupScope says which workers drop the repeats of a keyed request.
+type DedupScope uint8
 
 // Groups of workers.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name    string
 	Effect  Effect
-	Group   Group         // Keyed only
+	Group   DedupScope    // Keyed only
 	Window  time.Duration // Keyed only: how long repeats are remembered
 	Aim     time.Duration // an answer within this time is in time
 	Stretch float64       // the aim grows by this multiple of the request's own work
@@ -118,38 +118,38 @@
 
 // Limits are what a dispatcher may do.
 type Limits struct {
-	MaxAttempts   int // per request
-	Cancel        bool
-	Probes        bool
-	SecondCopies  bool // two attempts of one request may be out together; one is all this module keeps out
-	RetryAfter    bool // clients are told how long to wait
-	MaxRetryAfter time.Duration
-	// ConnectWithin is how long an attempt may take to reach its worker, which counts
+	MaxAttempts        int // per request
+	Cancel             bool
+	Probes             bool
+	ConcurrentAttempts bool // two attempts of one request may be out together; one is all this module keeps out
+	RetryAfter         bool // clients are told how long to wait
+	MaxRetryAfter      time.Duration
+	// ConnectTimeout is how long an attempt may take to reach its worker, which counts
 	// against a key's window; 0: whoever carries attempts holds them to it.
-	ConnectWithin time.Duration
+	ConnectTimeout time.Duration
 }
 
 // Rules are the figures of the rules that no run may break.
 type Rules struct {
-	AnswerGrace  time.Duration // a final answer may come this long after the client's deadline
-	AskWithin    time.Duration // AskLists: news older than this counts as told
-	ColdFrom     float64       // share of its capacity that a worker starts with
-	ColdFor      time.Duration // it is warm after this long
-	FallMultiple float64       // a cold worker falls over at this multiple of its capacity
-	FallFor      time.Duration // sent for this long
-
-	// FullMayHaveRun says that a worker may also answer Full for work that it
+	AnswerGrace          time.Duration // a final answer may come this long after the client's deadline
+	MembershipMaxAge     time.Duration // AskLists: news older than this counts as told
+	ColdCapacity         float64       // share of its capacity that a worker starts with
+	WarmupTime           time.Duration // it is warm after this long
+	ColdOverloadMultiple float64       // a cold worker falls over at this multiple of its capacity
+	ColdOverloadWindow   time.Duration // sent for this long
+
+	// RejectedMayHaveRun says that a worker may also answer Full for work that it
 	// had begun, so that Full proves nothing.
-	FullMayHaveRun bool
-	// OnlyDrainingBinds says that lists may be wrong: a worker that is listed
+	RejectedMayHaveRun bool
+	// OnlyDrainBinds says that lists may be wrong: a worker that is listed
 	// as Removed, or left out, without having been seen Draining, may still be
 	// sent to.
-	OnlyDrainingBinds bool
+	OnlyDrainBinds bool
 }
 
-// NeverRan tells whether a status proves that the attempt did not run.
-func (r Rules) NeverRan(s Status) bool {
-	return s == ConnectFailed || s == Moot || s == Full && !r.FullMayHaveRun
+// ProvesNotRun tells whether a status proves that the attempt did not run.
+func (r Rules) ProvesNotRun(s Status) bool {
+	return s == ConnectFailed || s == NotSent || s == Rejected && !r.RejectedMayHaveRun
 }
 
 // ListKind says what a list event holds.
@@ -157,8 +157,8 @@
 
 // Kinds of list events.
 const (
-	ListChange   ListKind = iota // the entries that changed
-	ListWhole                    // the entire list
+	ListDelta    ListKind = iota // the entries that changed
+	ListSnapshot                 // the entire list
 	ListRestored                 // the entire list as last seen, possibly old
 	ListFailed                   // a call for the list failed; no entries
 )
@@ -175,33 +175,33 @@
 
 // Member is an entry of the worker list.
 type Member struct {
-	Worker uint32
-	Kind   string
-	Cell   int
-	Zone   string
-	State  MemberState
-	Since  time.Duration // its latest start; 0: long past
-	Weight float64       // size beside other workers; 0: not told
-	Offers []string      // the needs that it serves; nil: all
+	Worker       uint32
+	Kind         string
+	Cell         int
+	Zone         string
+	State        MemberState
+	StartedAt    time.Duration // its latest start; 0: long past
+	Weight       float64       // size beside other workers; 0: not told
+	Capabilities []string      // the needs that it serves; nil: all
 }
 
 // Request is a client's request.
 type Request struct {
-	ID      string
-	Class   string
-	Subject string        // jobs of one need the same, which workers may keep; empty: not told
-	Unkeyed bool          // of a keyed class, but workers are told no key that they could know a repeat by
-	Hint    time.Duration // estimated work; 0: not told
-	Expires time.Duration // when the client gives up
-	Slots   float64       // slots it takes; 0 counts as 1
-	Memory  float64
-	Retry   bool   // the client repeats it; see Settings.MarksRetry
-	First   bool   // it is known to be none, however near its deadline
-	Once    bool   // an error ends it: whoever sent it tries again by rules of its own
-	Needs   string // only workers that offer this may get it; empty: any
-
-	NotWorker uint32 // this one may not get it; 0: none
-	NotZone   string // nor may any in this zone; empty: none
+	ID             string
+	Class          string
+	AffinityKey    string        // jobs of one need the same, which workers may keep; empty: not told
+	NoDedupKey     bool          // of a keyed class, but workers are told no key that they could know a repeat by
+	Hint           time.Duration // estimated work; 0: not told
+	Deadline       time.Duration // when the client gives up
+	Slots          float64       // slots it takes; 0 counts as 1
+	Memory         float64
+	Retry          bool   // the client repeats it; see Settings.MarksRetry
+	KnownFirst     bool   // it is known to be none, however near its deadline
+	NoRetryOnError bool   // an error ends it: whoever sent it tries again by rules of its own
+	Capability     string // only workers that offer this may get it; empty: any
+
+	ExcludedWorker uint32 // this one may not get it; 0: none
+	ExcludedZone   string // nor may any in this zone; empty: none
 }
 
 // Status is how an attempt or probe ended.
@@ -209,30 +209,30 @@
 
 // Outcomes of attempts and probes.
 const (
-	OK            Status = iota
-	Error                // the worker answered with an error; it may have run
-	Full                 // turned away; see Rules.FullMayHaveRun
-	TimedOut             // no answer in time; it may have run, or still run
-	ConnectFailed        // no connection was made
-	Reset                // the connection broke; it may have run
-	Cancelled            // called off; it may have run
-	Moot                 // never sent
-	Unfit                // the worker can't use the request, and no other could; it may have run
+	OK             Status = iota
+	Error                 // the worker answered with an error; it may have run
+	Rejected              // turned away; see Rules.FullMayHaveRun
+	TimedOut              // no answer in time; it may have run, or still run
+	ConnectFailed         // no connection was made
+	Reset                 // the connection broke; it may have run
+	Cancelled             // called off; it may have run
+	NotSent               // never sent
+	InvalidRequest        // the worker can't use the request, and no other could; it may have run
 )
 
-// Outcome ends an attempt. Each send gets exactly one.
-type Outcome struct {
+// AttemptResult ends an attempt. Each send gets exactly one.
+type AttemptResult struct {
 	Request string
 	Attempt int
 	Worker  uint32
 	Status  Status
-	Ended   bool          // the request has its final answer
+	Final   bool          // the request has its final answer
 	Latency time.Duration // since the send
 	Report  Report
 }
 
-// Probed is the answer to a probe.
-type Probed struct {
+// ProbeResult is the answer to a probe.
+type ProbeResult struct {
 	Worker  uint32
 	Status  Status
 	Latency time.Duration
@@ -266,27 +266,27 @@
 	HasX1
 )
 
-// NoteTopic says what a note tells.
-type NoteTopic uint8
+// UpdateKind says what a note tells.
+type UpdateKind uint8
 
 // Topics of notes.
 const (
-	NoteStarted  NoteTopic = 1
-	NoteProgress NoteTopic = 2
+	UpdateStarted  UpdateKind = 1
+	UpdateProgress UpdateKind = 2
 )
 
-// Note is news of an attempt that is still out.
-type Note struct {
+// AttemptUpdate is news of an attempt that is still out.
+type AttemptUpdate struct {
 	Request string
 	Attempt int
 	Worker  uint32
-	Topic   NoteTopic
+	Kind    UpdateKind
 	Value   float64 // NoteProgress: the share done
 }
 
-// First tells that a streamed answer has started; the attempt now belongs to
+// StreamStart tells that a streamed answer has started; the attempt now belongs to
 // the client.
-type First struct {
+type StreamStart struct {
 	Request string
 	Attempt int
 	Worker  uint32
--- a/internal/dispatcher/policy/dispatcher.go
+++ b/internal/dispatcher/policy/dispatcher.go
@@ -88,8 +88,8 @@
 	return admission.Rank{Aged: j.aged && !overload, AgedAt: j.agedAt, Cost: j.cost, Seq: j.seq}
 }
 
-// Request takes in a request.
-func (d *Dispatcher) Request(now time.Duration, r Request) {
+// HandleRequest takes in a request.
+func (d *Dispatcher) HandleRequest(now time.Duration, r Request) {
 	d.start(now)
 	c := d.classes[r.Class]
 	if c == nil {
@@ -101,7 +101,7 @@
 	j := d.newJob(c, r)
 	d.probes = min(d.probes+probeShare, float64(2*len(d.subset)+2))
 	j.aim, j.worth = d.aim(j), c.Worth
-	if !d.WorthByWork {
+	if !d.ValueByWork {
 		j.worth /= max(j.cost, 1)
 	}
 	slack := float64(j.aim-now) - j.run*d.best*d.common
@@ -121,33 +121,34 @@
 // aim is when the job must be done. A retry is timed from its first try, which its deadline shows beside the
 // client's patience: it is late all the same. Where retries are marked, others in haste are impatient.
 func (d *Dispatcher) aim(j *job) time.Duration {
-	left, born := j.Expires-d.now, d.now
+	left, born := j.Deadline-d.now, d.now
 	j.class.patience = max(j.class.patience, min(left, j.class.GiveUp))
-	if j.Retry || !d.MarksRetry && !j.First {
+	if j.Retry || !d.ClientsMarkRetries && !j.KnownFirst {
 		born -= max(0, j.class.patience-left)
 	}
 	work := cmp.Or(float64(j.Hint), j.run)
-	return min(born+j.class.Aim+time.Duration(j.class.Stretch*work), j.Expires)
+	return min(born+j.class.Aim+time.Duration(j.class.Stretch*work), j.Deadline)
 }
 
-// Outcome takes in the end of an attempt.
-func (d *Dispatcher) Outcome(now time.Duration, o Outcome) {
+// HandleAttemptResult takes in the end of an attempt.
+func (d *Dispatcher) HandleAttemptResult(now time.Duration, o AttemptResult) {
 	d.start(now)
 	a := d.attempt(o.Request, o.Attempt)
 	if a == nil {
 		return
 	}
 	d.free(a)
-	if a.job.ran == nil && !d.Rules.NeverRan(o.Status) {
+	if a.job.ran == nil && !d.Rules.ProvesNotRun(o.Status) {
 		a.job.ran = a
 	}
 	d.judge(a, o)
 	d.report(a.worker, o.Report, a.slots)
 	switch {
-	case o.Ended:
+	case o.Final:
 		d.finish(a.job)
 	case a.job.done || a.job.outs > 0:
-	case o.Status == Unfit || o.Status == Error && (a.job.Once || d.ownFault(a)): // it would fail anywhere
+	case o.Status == InvalidRequest ||
+		o.Status == Error && (a.job.NoRetryOnError || d.ownFault(a)): // it would fail anywhere
 		d.end(a.job)
 	case d.mayResend(a.job) && !d.hopeless(a.job) && d.again(a.job):
 		d.hold(a.job)
@@ -157,8 +158,8 @@
 	d.release()
 }
 
-// Probed takes in the answer to a probe.
-func (d *Dispatcher) Probed(now time.Duration, p Probed) {
+// HandleProbeResult takes in the answer to a probe.
+func (d *Dispatcher) HandleProbeResult(now time.Duration, p ProbeResult) {
 	d.start(now)
 	w := d.byID[p.Worker]
 	if w == nil {
@@ -175,8 +176,8 @@
 	d.release()
 }
 
-// Timer takes in a timer that has come due.
-func (d *Dispatcher) Timer(now time.Duration, token string) {
+// HandleTimer takes in a timer that has come due.
+func (d *Dispatcher) HandleTimer(now time.Duration, token string) {
 	d.start(now)
 	d.ticking = d.ticking && token != tickToken
 	if len(d.busy) < many || token == tickToken {
@@ -238,7 +239,7 @@
 }
 
 // judge draws from an outcome what it says of the worker: its pace, its budget, its health.
-func (d *Dispatcher) judge(a *attempt, o Outcome) {
+func (d *Dispatcher) judge(a *attempt, o AttemptResult) {
 	w := a.worker
 	switch o.Status {
 	case OK:
@@ -263,16 +264,17 @@
 			w.full = false
 			d.index(w)
 		}
-	case Full:
+	case Rejected:
 		d.heard(w)
 		d.cutBudget(w, a.at)
 		w.free, w.reportAt, w.wary = 0, d.now, d.now+waryFor
 	case Error:
 		a.failed = true
 		d.failed(w)
-	case Unfit: // says nothing of the worker: else one client's bad input shuts one worker after the other
+	case InvalidRequest:
+		// It says nothing of the worker: else one client's bad input would eject them all in turn.
 		d.heard(w)
-	case Moot:
+	case NotSent:
 		a.called = true // it never arrived, which proves little, but others are tried first
 	case TimedOut, ConnectFailed, Reset: // one broke: whether the process died shows when the next one fails
 		if d.cutBudget(w, a.at); o.Status != TimedOut {
@@ -300,7 +302,7 @@
 // probation tells whether a worker that fails many of its jobs is no place for this one: it gets one at a
 // time, of those that may be sent again elsewhere, until its share has fallen.
 func (d *Dispatcher) probation(w *worker, j *job) bool {
-	return w.failing && (len(w.attempts) > 0 || j.effect() == Unsafe && d.now < w.sentAt+unsafeTrial)
+	return w.failing && (len(w.attempts) > 0 || j.effect() == AtMostOnce && d.now < w.sentAt+unsafeTrial)
 }
 
 // ownFault tells whether an error is the request's: it failed at another worker too, or many do everywhere.
@@ -315,7 +317,7 @@
 // cutBudget shrinks a budget, at most once for all the jobs of one round trip.
 func (d *Dispatcher) cutBudget(w *worker, sentAt time.Duration) {
 	if sentAt >= w.lastCut {
-		w.budget = admission.Shrunk(w.budget, cut, minBudget*d.mean)
+		w.budget = admission.ShrunkBudget(w.budget, cut, minBudget*d.mean)
 		w.lastCut = d.now
 		d.index(w)
 	}
@@ -372,7 +374,7 @@
 // is asked back runs on there.
 func (d *Dispatcher) rescue(a *attempt) {
 	j := a.job
-	if a.called || a.started != 0 || j.done || !d.watches() || !d.Limits.Cancel || j.effect() == Unsafe ||
+	if a.called || a.started != 0 || j.done || !d.watches() || !d.Limits.Cancel || j.effect() == AtMostOnce ||
 		d.tied(j) || len(j.attempts) >= j.most {
 		return
 	}
@@ -391,12 +393,13 @@
 }
 
 // watches tells whether a missing start shuts a worker: where own sums and reports say little of its room.
-func (d *Dispatcher) watches() bool { return d.TellsStart && (d.crowded || !d.asks) }
+func (d *Dispatcher) watches() bool { return d.ReportsStart && (d.crowded || !d.asks) }
 
 // tied tells whether a job may wait at several workers until one starts it: where nobody reports free slots,
 // a told start is the only evidence of room ("tied requests", Dean and Barroso, The Tail at Scale, 2013).
 func (d *Dispatcher) tied(j *job) bool {
-	return !d.asks && d.TellsStart && d.Limits.SecondCopies && d.Limits.Cancel && j.class.Effect == Safe
+	return !d.asks && d.ReportsStart && d.Limits.ConcurrentAttempts && d.Limits.Cancel &&
+		j.class.Effect == Idempotent
 }
 
 // tie sends a further copy of a job that does not start soon. One that waits at workers until it is hopeless
@@ -447,7 +450,7 @@
 
 // cold tells whether a worker may not be warm yet.
 func (d *Dispatcher) cold(w *worker) bool {
-	return w.coldFrom != 0 && d.now-w.coldFrom < d.Rules.ColdFor
+	return w.coldFrom != 0 && d.now-w.coldFrom < d.Rules.WarmupTime
 }
 
 // share is the part of its capacity that a worker has at least, at an age.
@@ -455,16 +458,18 @@
 	if !d.cold(w) {
 		return 1
 	}
-	return d.Rules.ColdFrom + (1-d.Rules.ColdFrom)*min(1, float64(age)/float64(max(1, d.Rules.ColdFor)))
+	warmed := min(1, float64(age)/float64(max(1, d.Rules.WarmupTime)))
+	return d.Rules.ColdCapacity + (1-d.Rules.ColdCapacity)*warmed
 }
 
 // coldRoom is the cost that a cold worker may still get from this instance. Slots seen at its kind, at its
 // pace, stand for its capacity at the window's start. Even parts, where they take the job, keep the
 // sum for sure. Where many share they don't: there each draws, once a window, what it may send.
 func (d *Dispatcher) coldRoom(w *worker, j *job) float64 {
-	capacity := max(1, 0.8*w.kind.slots) / w.pace() * float64(d.Rules.FallFor)
-	whole := d.Rules.FallMultiple * d.share(w, max(0, d.now-w.coldFrom-d.Rules.FallFor)) * capacity
-	got := w.sentSince(d.now - d.Rules.FallFor)
+	capacity := max(1, 0.8*w.kind.slots) / w.pace() * float64(d.Rules.ColdOverloadWindow)
+	age := max(0, d.now-w.coldFrom-d.Rules.ColdOverloadWindow)
+	whole := d.Rules.ColdOverloadMultiple * d.share(w, age) * capacity
+	got := w.sentSince(d.now - d.Rules.ColdOverloadWindow)
 	if d.divided(&whole) {
 		return coldSure*whole - got
 	}
@@ -596,7 +601,7 @@
 		of := one(d.dubious(w, j))
 		serving = min(serving, of)
 		late := float64(d.now)+hope*j.run*w.pace()*d.common*d.chilled(w) > float64(j.aim)
-		if late || j.ran != nil && j.class.Effect == Keyed && !j.class.Group.same(j.ran.to, w.Member) {
+		if late || j.ran != nil && j.class.Effect == Deduplicated && !j.class.Group.same(j.ran.to, w.Member) {
 			continue
 		}
 		room, fits := d.room(w, j)
@@ -613,7 +618,7 @@
 
 // dueAt is when an attempt is overdue: where starts are told, soon for one that has not started.
 func (d *Dispatcher) dueAt(a *attempt) time.Duration {
-	if d.TellsStart && a.started == 0 {
+	if d.ReportsStart && a.started == 0 {
 		return a.at + overdueFloor + time.Duration(startMeans*d.mean)
 	}
 	return d.now + overdueFloor + time.Duration(overdueRuns*a.run*a.worker.pace()*d.common)
@@ -648,14 +653,14 @@
 // lastChance is when a job becomes hopeless.
 func (d *Dispatcher) lastChance(j *job) time.Duration {
 	start := j.aim - time.Duration(hope*j.run*d.best*d.common)
-	return min(start, j.Expires-2*tickEvery) // held jobs are answered by the tick
+	return min(start, j.Deadline-2*tickEvery) // held jobs are answered by the tick
 }
 
 // end answers a job that was not served: refused where the client's retry can do no harm, else failed.
 func (d *Dispatcher) end(j *job) {
 	c := j.class
-	known := c.Group == GroupAll && d.remembered(j, d.Limits.MaxRetryAfter) // yet, when it comes again
-	if j.ran == nil && j.outs == 0 || c.Effect == Safe || known {
+	known := c.Group == DedupAll && d.remembered(j, d.Limits.MaxRetryAfter) // yet, when it comes again
+	if j.ran == nil && j.outs == 0 || c.Effect == Idempotent || known {
 		d.host.Refuse(j.ID, d.Limits.MaxRetryAfter)
 	} else {
 		d.host.Fail(j.ID)
@@ -665,7 +670,7 @@
 
 // mayResend tells whether a further attempt is allowed anywhere: an effect must not happen twice.
 func (d *Dispatcher) mayResend(j *job) bool {
-	known := j.ran == nil || j.class.Effect == Safe || d.remembered(j, d.Limits.ConnectWithin)
+	known := j.ran == nil || j.class.Effect == Idempotent || d.remembered(j, d.Limits.ConnectTimeout)
 	free := j.outs == 0 || j.running == nil && d.tied(j)
 	return known && free && len(j.attempts) < j.most
 }
@@ -681,34 +686,35 @@
 	}
 	d.backoff = time.Duration(d.Instances) * watchEach
 	if kind == ListRestored {
-		d.host.Timer(time.Duration(d.rng.Float64()*float64(min(d.backoff, d.Rules.AskWithin/2))), watchToken)
+		longest := min(d.backoff, d.Rules.MembershipMaxAge/2)
+		d.host.Timer(time.Duration(d.rng.Float64()*float64(longest)), watchToken)
 	}
 }
 
 // usable tells whether a worker may get new work. A drain binds until a later start; where it alone binds, a
 // list that calls a worker gone, or leaves it out, is a claim: own answers and probes decide.
 func (d *Dispatcher) usable(w *worker) bool {
-	return !w.closed && (w.State == Ready || w.State == Removed && d.Rules.OnlyDrainingBinds)
+	return !w.closed && (w.State == Ready || w.State == Removed && d.Rules.OnlyDrainBinds)
 }
 
 // listed takes in what the list says of a known worker. An old list may come back: the latest start and,
 // where lists may be wrong, a drain hold. One called gone that gave no sign of life of late is tried like a
 // suspect. This meets short, empty and old lists; it costs an attempt on a worker that died.
 func (d *Dispatcher) listed(w *worker, m Member) {
-	was, since := w.State, w.Since
-	w.Member, w.Since = m, max(m.Since, since)
+	was, since := w.State, w.StartedAt
+	w.Member, w.StartedAt = m, max(m.StartedAt, since)
 	if m.State != Ready && was == Ready {
 		d.log("worker %d is listed as draining or gone, %d jobs out", m.Worker, len(w.attempts))
 	}
 	switch {
-	case m.Since > since: // the same id, a new process: cold, and nothing known of it holds
-		w.coldFrom, w.suspect, w.down, w.closed = m.Since, false, false, m.State == Draining
+	case m.StartedAt > since: // the same id, a new process: cold, and nothing known of it holds
+		w.coldFrom, w.suspect, w.down, w.closed = m.StartedAt, false, false, m.State == Draining
 		w.budget, w.lastCut, w.reportAt, w.silent = 0, 0, 0, 0
 		d.index(w)
 		d.joinCold(w)
 	case m.State == Draining:
 		w.closed = true
-	case m.State == Ready && !d.Rules.OnlyDrainingBinds:
+	case m.State == Ready && !d.Rules.OnlyDrainBinds:
 		w.closed = false
 	case m.State == Removed && was != Removed:
 		if w.goneAt = d.now; d.now-w.news > evidenceFor {
@@ -719,7 +725,7 @@
 
 // tryFirst holds work back until a trial, soon, where lists may be wrong: one named later may not exist.
 func (d *Dispatcher) tryFirst(w *worker) {
-	if d.Rules.OnlyDrainingBinds && d.filledAt != 0 && !w.suspect {
+	if d.Rules.OnlyDrainBinds && d.filledAt != 0 && !w.suspect {
 		w.suspect, w.trialWait = true, max(w.trialWait, trialFirst)
 		if w.member { // else it begins once it joins
 			d.trialIn(w, d.jitter(trialFirst/2))
@@ -730,7 +736,7 @@
 // forgotten tells whether to drop a worker that is gone: where lists may be wrong, so that drains and cold
 // times survive an old one and workers called gone serve on, only when it has been silent for long.
 func (d *Dispatcher) forgotten(w *worker) bool {
-	kept := d.Rules.OnlyDrainingBinds && d.now-max(w.goneAt, w.news) < keepGone
+	kept := d.Rules.OnlyDrainBinds && d.now-max(w.goneAt, w.news) < keepGone
 	return w.State == Removed && len(w.attempts) == 0 && !kept
 }
 
--- a/internal/dispatcher/policy/state.go
+++ b/internal/dispatcher/policy/state.go
@@ -35,7 +35,7 @@
 	budget   float64    // in cost; 0: not yet set
 	full     bool       // its budget has held a job back since it last grew
 	busy     bool       // in the list of those with attempts out; it may stay there for a tick after the last
-	place    capacityindex.Place
+	place    capacityindex.Position
 	leftAt   uint64 // which search was the last before it left the vacancies
 	lastCut  time.Duration
 	coldFrom time.Duration // its latest start or return; it ramps up from there
@@ -161,8 +161,8 @@
 
 // effect is that of the job's class, but that a repeat is known by nothing where no key is told.
 func (j *job) effect() Effect {
-	if j.class.Effect == Keyed && j.Unkeyed {
-		return Unsafe
+	if j.class.Effect == Deduplicated && j.NoDedupKey {
+		return AtMostOnce
 	}
 	return j.class.Effect
 }
@@ -176,7 +176,7 @@
 			first = a
 		}
 	}
-	return j.effect() == Keyed && first != nil && d.now+in-first.at < j.class.Window
+	return j.effect() == Deduplicated && first != nil && d.now+in-first.at < j.class.Window
 }
 
 // waitsAt tells whether a job has an attempt out at a worker.
@@ -265,7 +265,7 @@
 		classes: make(map[string]*typeCost), byID: make(map[uint32]*worker), jobs: make(map[string]*job),
 		kinds: make(map[string]*kind), subjects: make(map[uint32]*subject), unheardOf: make(map[string]int), needed: make(map[need]*queue), common: 1, best: 1, chill: 0.25, prompt: [2]float64{1, 1},
 		slotsX0: s.ReportX0 == FreeSlots, memX1: s.ReportX1 == FreeMemory,
-		vacant: capacityindex.New(func(w *worker) *capacityindex.Place { return &w.place }),
+		vacant: capacityindex.New(func(w *worker) *capacityindex.Position { return &w.place }),
 	}
 	d.known = float64(s.Classes[0].Aim) / 2
 	for _, c := range s.Classes {
@@ -285,13 +285,13 @@
 	return d, nil
 }
 
-// Retune takes new settings of classes and limits; the rest stays as it was
+// Reconfigure takes new settings of classes and limits; the rest stays as it was
 // set at New. A class that is new is in use for what comes from now on, one
 // that is gone takes nothing more, one that changed is new from now on but
 // keeps what was learned of its costs. Jobs under way keep the class and the
 // number of attempts that they came with. It fails, and changes nothing, if a
 // setting is invalid.
-func (d *Dispatcher) Retune(now time.Duration, s Settings) error {
+func (d *Dispatcher) Reconfigure(now time.Duration, s Settings) error {
 	next := d.Settings
 	next.Classes, next.Limits = s.Classes, s.Limits
 	if err := next.validate(); err != nil {
@@ -337,7 +337,7 @@
 func (d *Dispatcher) thronged() bool { return d.Instances >= throng }
 
 func (d *Dispatcher) probe(w *worker) {
-	if d.Purse != nil && !d.Purse.Probe() {
+	if d.SharedBudget != nil && !d.SharedBudget.TakeProbe() {
 		return
 	}
 	w.probing, w.probedAt = true, d.now
@@ -422,10 +422,10 @@
 
 func (d *Dispatcher) suits(j *job, w *worker) bool {
 	k := j.class.Kind
-	if j.NotWorker != 0 && j.NotWorker == w.Worker || j.NotZone != "" && j.NotZone == w.Zone {
+	if j.ExcludedWorker != 0 && j.ExcludedWorker == w.Worker || j.ExcludedZone != "" && j.ExcludedZone == w.Zone {
 		return false
 	}
-	return d.usable(w) && (d.Purse == nil || d.Purse.Room(w.Kind)) && (k < 0 || d.Kinds[k] == w.Kind) && (w.Offers == nil || j.Needs == "" || slices.Contains(w.Offers, j.Needs))
+	return d.usable(w) && (d.SharedBudget == nil || d.SharedBudget.HasHeadroom(w.Kind)) && (k < 0 || d.Kinds[k] == w.Kind) && (w.Capabilities == nil || j.Capability == "" || slices.Contains(w.Capabilities, j.Capability))
 }
 
 func (d *Dispatcher) free(a *attempt) {
@@ -459,8 +459,8 @@
 func (d *Dispatcher) hold(j *job) {
 	at := 2*(j.class.Kind+1) + one(j.Slots > 1)
 	q := d.queues[at]
-	if j.Needs != "" {
-		key := need{j.Needs, at}
+	if j.Capability != "" {
+		key := need{j.Capability, at}
 		if q = d.needed[key]; q == nil {
 			q = &queue{need: key}
 			d.needed[key], d.queues = q, append(d.queues, q)
@@ -512,7 +512,7 @@
 		return bad("Classes")
 	case s.Limits.MaxAttempts < 1:
 		return bad("Limits.MaxAttempts")
-	case s.Rules.ColdFrom < 0 || s.Rules.ColdFrom > 1 || math.IsNaN(s.Rules.ColdFrom):
+	case s.Rules.ColdCapacity < 0 || s.Rules.ColdCapacity > 1 || math.IsNaN(s.Rules.ColdCapacity):
 		return bad("Rules.ColdFrom")
 	}
 	for i, c := range s.Classes {
@@ -526,7 +526,7 @@
 // apply brings the table of workers up to date, in the order of their ids. What an entry means for its
 // worker is decided by listed and tryFirst.
 func (d *Dispatcher) apply(kind ListKind, entries []Member) {
-	if kind != ListChange {
+	if kind != ListDelta {
 		listed := make(map[uint32]bool, len(entries))
 		for _, m := range entries {
 			listed[m.Worker] = true
@@ -544,7 +544,7 @@
 		if w := d.byID[m.Worker]; w != nil {
 			d.listed(w, m)
 		} else if m.State != Removed {
-			w = &worker{Member: m, kind: d.kindOf(m.Kind), own: 1, coldFrom: m.Since, closed: m.State == Draining}
+			w = &worker{Member: m, kind: d.kindOf(m.Kind), own: 1, coldFrom: m.StartedAt, closed: m.State == Draining}
 			d.byID[m.Worker], added = w, append(added, w)
 			d.tryFirst(w)
 			d.joinCold(w)
@@ -653,10 +653,10 @@
 	}
 }
 
-// Members takes in news of the worker list.
-func (d *Dispatcher) Members(now time.Duration, kind ListKind, entries []Member) {
+// HandleMembers takes in news of the worker list.
+func (d *Dispatcher) HandleMembers(now time.Duration, kind ListKind, entries []Member) {
 	d.start(now)
-	if d.AskLists {
+	if d.PullsMembership {
 		d.followList(kind)
 	}
 	if kind != ListFailed {
@@ -666,8 +666,8 @@
 	d.release()
 }
 
-// Gone takes in that a request ended without an answer of this dispatcher.
-func (d *Dispatcher) Gone(now time.Duration, id string) {
+// HandleClientGone takes in that a request ended without an answer of this dispatcher.
+func (d *Dispatcher) HandleClientGone(now time.Duration, id string) {
 	d.start(now)
 	if j := d.jobs[id]; j != nil {
 		d.finish(j)
@@ -675,8 +675,8 @@
 	d.release()
 }
 
-// First takes in the start of a streamed answer; the job has its answer.
-func (d *Dispatcher) First(now time.Duration, f First) {
+// HandleStreamStart takes in the start of a streamed answer; the job has its answer.
+func (d *Dispatcher) HandleStreamStart(now time.Duration, f StreamStart) {
 	d.start(now)
 	if a := d.attempt(f.Request, f.Attempt); a != nil {
 		d.callOffBut(a.job, a)
@@ -718,8 +718,8 @@
 }
 
 // same tells whether two workers are of one group.
-func (g Group) same(a, b Member) bool {
-	return g == GroupAll || a.Zone == b.Zone && (g == GroupZone || a.Cell == b.Cell)
+func (g DedupScope) same(a, b Member) bool {
+	return g == DedupAll || a.Zone == b.Zone && (g == DedupZone || a.Cell == b.Cell)
 }
 
 // triedAt tells whether a job ended in error at a worker, or was asked back from it.
@@ -778,15 +778,15 @@
 	})
 }
 
-// Note takes in news of an attempt that is out.
-func (d *Dispatcher) Note(now time.Duration, n Note) {
+// HandleAttemptUpdate takes in news of an attempt that is out.
+func (d *Dispatcher) HandleAttemptUpdate(now time.Duration, n AttemptUpdate) {
 	d.start(now)
 	a := d.attempt(n.Request, n.Attempt)
 	if a == nil {
 		return
 	}
 	d.heard(a.worker)
-	if n.Topic == NoteStarted && a.started == 0 {
+	if n.Kind == UpdateStarted && a.started == 0 {
 		a.started = now
 		a.due = d.dueAt(a)
 		d.host.Timer(a.due-now, "due")
@@ -800,7 +800,7 @@
 // it asks for; the draws of the instances change one after the other. Those of one window lie evenly: that many win
 // as the mean says, and no more. One that began before this instance was started may have been used: it does not win.
 func (d *Dispatcher) drawn(w *worker) float64 {
-	each := max(1, float64(d.Rules.FallFor))
+	each := max(1, float64(d.Rules.ColdOverloadWindow))
 	phase := w.chance(uint64(d.Rank)) * each
 	n := math.Floor((float64(d.now-w.coldFrom) + phase) / each)
 	if began := w.coldFrom + time.Duration(n*each-phase); began < d.born && w.coldFrom < d.born {
@@ -866,8 +866,8 @@
 
 // again takes the job's next attempt from what all dispatchers share, once; false: there is none left.
 func (d *Dispatcher) again(j *job) bool {
-	if d.Purse != nil && j.paid < len(j.attempts) {
-		if !d.Purse.Again(j.ID, j.class.Name) {
+	if d.SharedBudget != nil && j.paid < len(j.attempts) {
+		if !d.SharedBudget.TakeRetry(j.ID, j.class.Name) {
 			return false
 		}
 		j.paid = len(j.attempts)
@@ -877,10 +877,10 @@
 
 // divided makes what all may send to a cold worker this dispatcher's part of it, where it has one.
 func (d *Dispatcher) divided(whole *float64) bool {
-	if d.Purse == nil {
+	if d.SharedBudget == nil {
 		return false
 	}
-	part, ok := d.Purse.Cold()
+	part, ok := d.SharedBudget.ColdShare()
 	if ok {
 		*whole *= part
 	}
--- a/internal/dispatcher/policy/subjects.go
+++ b/internal/dispatcher/policy/subjects.go
@@ -28,11 +28,11 @@
 
 // about counts a job for its subject; nil: it named none. Of subjects only hashes are kept, of few jobs at most.
 func (d *Dispatcher) about(r Request) *subject {
-	if r.Subject == "" {
+	if r.AffinityKey == "" {
 		return nil
 	}
 	h := fnv.New32a()
-	h.Write([]byte(r.Subject))
+	h.Write([]byte(r.AffinityKey))
 	s := d.subjects[h.Sum32()]
 	if s == nil {
 		s = &subject{hash: h.Sum32()}
--- a/internal/dispatcher/poolmember/poolmember.go
+++ b/internal/dispatcher/poolmember/poolmember.go
@@ -20,11 +20,11 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Ends is told what becomes of flows and probes.
-type Ends interface {
-	End(f *engine.Flow, s policy.Status, result []byte)
-	EndWith(f *engine.Flow, s policy.Status, load policy.Report)
-	Probed(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
+// ResultSink is told what becomes of flows and probes.
+type ResultSink interface {
+	EndFlow(f *engine.Flow, s policy.Status, result []byte)
+	EndFlowWithLoad(f *engine.Flow, s policy.Status, load policy.Report)
+	EndProbe(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
 }
 
 const (
@@ -43,34 +43,34 @@
 	beginWithin = time.Second
 )
 
-// Carrier implements core.Carrier for HTTP pool members.
-type Carrier struct {
-	ends  Ends
+// Transport implements core.Transport for HTTP pool members.
+type Transport struct {
+	ends  ResultSink
 	wire  http.RoundTripper
 	slots chan struct{} // one for each connection that may be in use by a flow
 	asks  chan struct{} // and by a probe or the end of a flow, which flows must not shut out
 
-	figures Figures
+	figures Options
 	readOn  time.Duration
 }
 
-// Figures are what the deployment says of connections to members.
-type Figures struct {
-	DialWithin time.Duration // a connection that is not up by then has failed
-	// Settle is how long the last byte of a request is kept back. A member starts
+// Options are what the deployment says of connections to members.
+type Options struct {
+	ConnectTimeout time.Duration // a connection that is not up by then has failed
+	// LastByteDelay is how long the last byte of a request is kept back. A member starts
 	// a request once it is whole; one that breaks the connection while a request
 	// comes does so in that time, and the request, a ticket too, has then never
 	// run. Sent in one piece it may have run.
-	Settle time.Duration
-	Most   int // flows that are being submitted at a time; half as many probes and ends beside them
-	// Stats: members report their load, so a probe asks /stats, whose body is
+	LastByteDelay  time.Duration
+	MaxSubmissions int // flows that are being submitted at a time; half as many probes and ends beside them
+	// ProbeStats: members report their load, so a probe asks /stats, whose body is
 	// the report; else /health/live.
-	Stats bool
+	ProbeStats bool
 }
 
 // New returns a carrier.
-func New(ends Ends, f Figures) *Carrier {
-	return &Carrier{ends: ends, wire: newTransport(f), slots: make(chan struct{}, f.Most), asks: make(chan struct{}, max(1, f.Most/2)), figures: f, readOn: readOn}
+func New(ends ResultSink, f Options) *Transport {
+	return &Transport{ends: ends, wire: newTransport(f), slots: make(chan struct{}, f.MaxSubmissions), asks: make(chan struct{}, max(1, f.MaxSubmissions/2)), figures: f, readOn: readOn}
 }
 
 // call is the carrier's part of a flow. A flow is abandoned by closing its
@@ -83,15 +83,15 @@
 }
 
 // Start implements core.Carrier.
-func (c *Carrier) Start(f *engine.Flow) {
+func (c *Transport) Start(f *engine.Flow) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
 	k := &call{cancel: cancel}
-	f.Carried = k
+	f.TransportState = k
 	select {
 	case c.slots <- struct{}{}:
 	default: // no descriptor to spare: it was never sent, and no member is to blame
 		cancel()
-		c.ends.End(f, policy.Moot, nil)
+		c.ends.EndFlow(f, policy.NotSent, nil)
 		return
 	}
 	go func() {
@@ -108,9 +108,9 @@
 			// member is told by DELETE as well, before the job may go elsewhere: it may
 			// not have noticed the close.
 			c.delete(f, time.Now().Add(crossedFor))
-			c.ends.End(f, policy.Cancelled, nil)
+			c.ends.EndFlow(f, policy.Cancelled, nil)
 		case !taken:
-			c.ends.EndWith(f, status, load)
+			c.ends.EndFlowWithLoad(f, status, load)
 		case abandoned: // while the answer was under way: closing the connection told nobody
 			c.drop(f, recalled)
 		}
@@ -123,14 +123,14 @@
 }
 
 // Abandon implements core.Carrier.
-func (c *Carrier) Abandon(f *engine.Flow) { c.abandon(f, false) }
+func (c *Transport) Abandon(f *engine.Flow) { c.abandon(f, false) }
 
 // Recall implements core.Carrier. A member that can't be reached keeps the
 // flow: it may run, or report, yet.
-func (c *Carrier) Recall(f *engine.Flow) { c.abandon(f, true) }
+func (c *Transport) Recall(f *engine.Flow) { c.abandon(f, true) }
 
-func (c *Carrier) abandon(f *engine.Flow, recall bool) {
-	k, ok := f.Carried.(*call)
+func (c *Transport) abandon(f *engine.Flow, recall bool) {
+	k, ok := f.TransportState.(*call)
 	if !ok {
 		return
 	}
@@ -150,11 +150,11 @@
 	}
 }
 
-// Release implements core.Carrier. The member has told the end of the flow by
+// EndedOutOfBand implements core.Carrier. The member has told the end of the flow by
 // call-back: its 202, if it is yet to come, is waited for only so long. A request that
 // isn't whole stays so: what was told is of an earlier attempt at that member.
-func (c *Carrier) Release(f *engine.Flow) {
-	k, ok := f.Carried.(*call)
+func (c *Transport) EndedOutOfBand(f *engine.Flow) {
+	k, ok := f.TransportState.(*call)
 	if !ok {
 		return
 	}
@@ -187,11 +187,11 @@
 // outcome comes by call-back. What an answer means its header says; the rest of it, if
 // there was one, is left to the caller to read and close. The load report is that of
 // an answer which ends the flow.
-func (c *Carrier) send(ctx context.Context, f *engine.Flow, k *call) (status policy.Status, taken bool, load policy.Report, rest io.ReadCloser) {
+func (c *Transport) send(ctx context.Context, f *engine.Flow, k *call) (status policy.Status, taken bool, load policy.Report, rest io.ReadCloser) {
 	var at *conn
 	begin, latest := f.SentAt.Add(beginWithin), f.Deadline
-	if f.Stale(latest) {
-		latest = f.Latest
+	if f.TooLate(latest) {
+		latest = f.LatestSend
 	}
 	ctx = dialUntil(ctx, begin)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -210,19 +210,19 @@
 	})
 	req, err := request(ctx, f)
 	if err != nil {
-		return policy.Moot, false, load, nil
+		return policy.NotSent, false, load, nil
 	}
 	resp, err := c.wire.RoundTrip(req)
 	switch {
 	case err != nil && at == nil:
 		return policy.ConnectFailed, false, load, nil
 	case err != nil && !at.mayHaveSent(): // it came up, so the member is there
-		return policy.Moot, false, load, nil
+		return policy.NotSent, false, load, nil
 	case err != nil:
 		return policy.Reset, false, load, nil
 	case resp.StatusCode == http.StatusAccepted && !at.sending.Load() && !at.mayHaveSent(): // it can't have what it took
 		resp.Body.Close()
-		return policy.Moot, false, load, nil
+		return policy.NotSent, false, load, nil
 	case resp.StatusCode == http.StatusAccepted:
 		return policy.OK, true, load, resp.Body
 	}
@@ -231,9 +231,9 @@
 	status = policy.Error
 	switch rejected := resp.Header.Get("X-Rejected") == "1"; {
 	case rejected && (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout):
-		status = policy.Full
+		status = policy.Rejected
 	case slices.Contains(unfit, resp.StatusCode):
-		status = policy.Unfit
+		status = policy.InvalidRequest
 	}
 	return status, false, load, resp.Body
 }
@@ -285,14 +285,14 @@
 }
 
 // drop tells a member to forget a flow, and ends one that was asked back.
-func (c *Carrier) drop(f *engine.Flow, recalled bool) {
+func (c *Transport) drop(f *engine.Flow, recalled bool) {
 	if c.delete(f, time.Now().Add(deleteFor)) && recalled {
-		c.ends.End(f, policy.Cancelled, nil)
+		c.ends.EndFlow(f, policy.Cancelled, nil)
 	}
 }
 
 // delete reports whether the member has heard by then.
-func (c *Carrier) delete(f *engine.Flow, until time.Time) bool {
+func (c *Transport) delete(f *engine.Flow, until time.Time) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	if !c.ask(ctx) {
@@ -310,7 +310,7 @@
 }
 
 // ask waits for a descriptor that may be used beside the flows'.
-func (c *Carrier) ask(ctx context.Context) bool {
+func (c *Transport) ask(ctx context.Context) bool {
 	select {
 	case c.asks <- struct{}{}:
 		return true
@@ -320,18 +320,18 @@
 }
 
 // Probe implements core.Carrier.
-func (c *Carrier) Probe(m *engine.Member) {
+func (c *Transport) Probe(m *engine.Member) {
 	go func() {
 		sentAt := time.Now()
 		s, r := c.probe(m, sentAt.Add(probeFor))
-		c.ends.Probed(m, s, r, sentAt)
+		c.ends.EndProbe(m, s, r, sentAt)
 	}()
 }
 
 // probe asks a member for a sign of life, at /stats where the deployment's
 // members report their load (its body is the report), else at /health/live.
 // A report that can't be read is left out: the sign of life stands.
-func (c *Carrier) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
+func (c *Transport) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	if !c.ask(ctx) {
@@ -341,7 +341,7 @@
 	var connected bool
 	ctx = httptrace.WithClientTrace(dialUntil(ctx, until), &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
 	u := &url.URL{Scheme: "http", Host: m.Addr, Path: "/health/live"}
-	if c.figures.Stats {
+	if c.figures.ProbeStats {
 		u.Path = "/stats"
 	}
 	// Without a body the transport would send a probe again by itself when a
@@ -361,8 +361,8 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, mostReply))
 	resp.Body.Close()
 	var r policy.Report
-	if err == nil && c.figures.Stats {
-		r, _ = loadreport.Body(body)
+	if err == nil && c.figures.ProbeStats {
+		r, _ = loadreport.ParseBody(body)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return policy.Error, r
--- a/internal/dispatcher/poolmember/transport.go
+++ b/internal/dispatcher/poolmember/transport.go
@@ -15,7 +15,7 @@
 // newTransport returns a transport that does nothing of its own accord: no
 // proxy from the environment, no HTTP/2, no compression, no redirects (they
 // are http.Client's, which is not used).
-func newTransport(f Figures) *http.Transport {
+func newTransport(f Options) *http.Transport {
 	// No keep-alive of the system's: a connection lives for one request, and what
 	// is waited for has a deadline. It would cost four calls a connection.
 	dialer := &net.Dialer{KeepAlive: -1}
@@ -24,7 +24,7 @@
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
-			due := time.Now().Add(f.DialWithin)
+			due := time.Now().Add(f.ConnectTimeout)
 			last := due
 			if of, ok := ctx.Value(dialing{}).(dialing); ok {
 				defer context.AfterFunc(of.request, cancel)()
@@ -36,7 +36,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &conn{Conn: c, settle: f.Settle, closed: make(chan struct{})}, nil
+			return &conn{Conn: c, settle: f.LastByteDelay, closed: make(chan struct{})}, nil
 		},
 		TLSNextProto:       map[string]func(string, *tls.Conn) http.RoundTripper{},
 		DisableCompression: true,
