--- a/internal/dispatcher/scenario/race_off.go
+++ b/internal/dispatcher/scenario/race_off.go
@@ -4,5 +4,5 @@
 
 var buildFlags []string
 
-// Race tells whether the program is built under the race detector.
-const Race = false
+// RaceEnabled tells whether the program is built under the race detector.
+const RaceEnabled = false
--- a/internal/dispatcher/scenario/scenario.go
+++ b/internal/dispatcher/scenario/scenario.go
@@ -30,20 +30,20 @@
 
 const limit = 20 * time.Second
 
-// End is an actor's end of a connection, or the like.
-type End interface {
+// Conn is an actor's end of a connection, or the like.
+type Conn interface {
 	io.ReadWriteCloser
 	SetReadDeadline(time.Time) error
 }
 
-// Cast is who may act: each peer with the way to open an end at it.
-type Cast map[string]func() (End, error)
+// Peers is who may act: each peer with the way to open an end at it.
+type Peers map[string]func() (Conn, error)
 
-// Words are the functions that a scenario may call.
-type Words map[string]func(args ...string) string
+// Functions are the functions that a scenario may call.
+type Functions map[string]func(args ...string) string
 
 type actor struct {
-	end    End
+	end    Conn
 	unread []byte
 	sent   []byte // the text of its last send
 }
@@ -52,14 +52,14 @@
 const again = "again"
 
 type player struct {
-	cast   Cast
-	words  Words
+	cast   Peers
+	words  Functions
 	actors map[string]*actor
 	known  map[string]string
 }
 
-// Play runs a scenario and fails the test at the first step that fails.
-func Play(t testing.TB, cast Cast, words Words, text string) {
+// RunScript runs a scenario and fails the test at the first step that fails.
+func RunScript(t testing.TB, cast Peers, words Functions, text string) {
 	t.Helper()
 	p := &player{cast: cast, words: words, actors: make(map[string]*actor), known: make(map[string]string)}
 	defer func() {
--- a/internal/dispatcher/schedulingdelay/lag.go
+++ b/internal/dispatcher/schedulingdelay/lag.go
@@ -11,12 +11,12 @@
 
 // Bounds say when a dispatcher is behind.
 type Bounds struct {
-	Target time.Duration // an event that waited no longer was handled in time
-	For    time.Duration // behind once none was for as long
+	Target   time.Duration // an event that waited no longer was handled in time
+	Interval time.Duration // behind once none was for as long
 }
 
-// Gauge judges one dispatcher. The zero Gauge is never behind.
-type Gauge struct {
+// Detector judges one dispatcher. The zero Gauge is never behind.
+type Detector struct {
 	bounds Bounds
 	since  time.Time // none was handled in time since then; zero: the last one was
 	behind bool
@@ -24,11 +24,11 @@
 }
 
 // New returns a gauge; with a Target of 0 it measures and is never behind.
-func New(b Bounds) Gauge { return Gauge{bounds: b} }
+func New(b Bounds) Detector { return Detector{bounds: b} }
 
-// Saw takes in that an event was handled at a time after it had waited so long.
+// Observe takes in that an event was handled at a time after it had waited so long.
 // Times must not run backward.
-func (g *Gauge) Saw(waited time.Duration, at time.Time) {
+func (g *Detector) Observe(waited time.Duration, at time.Time) {
 	g.last = waited
 	switch {
 	case g.bounds.Target <= 0:
@@ -36,14 +36,14 @@
 		g.since, g.behind = time.Time{}, false
 	case g.since.IsZero():
 		g.since = at
-	case at.Sub(g.since) >= g.bounds.For:
+	case at.Sub(g.since) >= g.bounds.Interval:
 		g.behind = true
 	}
 }
 
-// Behind tells whether work that comes now should be turned away.
-func (g *Gauge) Behind() bool { return g.behind }
+// Overloaded tells whether work that comes now should be turned away.
+func (g *Detector) Overloaded() bool { return g.behind }
 
-// ComeBack is how long what is turned away should stay away: as long as the
+// RetryDelay is how long what is turned away should stay away: as long as the
 // last event waited, which is about what it takes to catch up, and at least least.
-func (g *Gauge) ComeBack(least time.Duration) time.Duration { return max(least, g.last) }
+func (g *Detector) RetryDelay(least time.Duration) time.Duration { return max(least, g.last) }
--- a/internal/dispatcher/segment/folder.go
+++ b/internal/dispatcher/segment/folder.go
@@ -15,8 +15,8 @@
 	"syscall"
 )
 
-// Folder is where segments are kept. Its methods fail as those of os do.
-type Folder interface {
+// Directory is where segments are kept. Its methods fail as those of os do.
+type Directory interface {
 	Names() ([]string, error)
 	Read(name string) ([]byte, error)
 	Create(name string) (File, error) // which must not exist
@@ -41,9 +41,9 @@
 	lock *os.File // nil: read only
 }
 
-// OpenFolder opens a folder for writing, makes it if there is none, and keeps
+// OpenDirectory opens a folder for writing, makes it if there is none, and keeps
 // other processes out until it is closed.
-func OpenFolder(path string) (Folder, error) {
+func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, err
 	}
@@ -58,8 +58,8 @@
 	return &folder{path, lock}, nil
 }
 
-// ReadFolder opens a folder for reading, also while a process writes to it.
-func ReadFolder(path string) (Folder, error) {
+// ReadDirectory opens a folder for reading, also while a process writes to it.
+func ReadDirectory(path string) (Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
--- a/internal/dispatcher/server/assembly.go
+++ b/internal/dispatcher/server/assembly.go
@@ -32,7 +32,7 @@
 	c := o.Config
 	s.sockets = sockets(c)
 	if c.Admin != "" { // its callers have descriptors of their own
-		s.sockets = max(s.sockets/2, s.sockets-adminapi.Most)
+		s.sockets = max(s.sockets/2, s.sockets-adminapi.MaxConnections)
 	}
 	if o.Operator.Faktory != nil { // its connections are held beside the others
 		s.sockets = max(s.sockets/2, s.sockets-o.Operator.Faktory.Connections)
@@ -40,16 +40,16 @@
 	// Fewer jobs than connections: those that wait for an answer must leave some for
 	// the call-backs that bring answers, and for refusals. Were all taken by clients,
 	// no job would be told to have started or ended, and all members would look full.
-	s.limits = pipeline.Limits{Open: s.sockets/2 - max(8, s.sockets/16), Bytes: 16 << 20}
+	s.limits = pipeline.Limits{MaxOpen: s.sockets/2 - max(8, s.sockets/16), MaxBodyBytes: 16 << 20}
 	if c.MemoryMB > 0 { // a body is held twice for a moment, and connections have buffers
-		s.limits.Bytes = min(s.limits.Bytes, c.MemoryMB<<20/8)
+		s.limits.MaxBodyBytes = min(s.limits.MaxBodyBytes, c.MemoryMB<<20/8)
 	}
 	counted := accounting.DefaultLimits()
-	counted.Tenants, counted.Asks = c.Tenants, o.Operator.Figures.Asks
-	s.keeper = metrics.NewKeeper(counted)
+	counted.Tenants, counted.MaxLogicalRequests = c.Tenants, o.Operator.Metrics.LogicalRequests
+	s.keeper = metrics.NewRecorder(counted)
 	var err error
-	var books pipeline.Books = s.keeper
-	var spending engine.Spending
+	var books pipeline.Ledger = s.keeper
+	var spending engine.SharedBudget
 	if f := o.Operator.Fleet; f != nil {
 		if s.fleet, err = s.newFleet(f); err != nil {
 			return nil, err
@@ -58,26 +58,26 @@
 	}
 	s.chain = pipeline.New(c.Settings, s.limits, books, s.log)
 	if s.fleet != nil {
-		s.chain.Share(s.fleet.agent)
+		s.chain.SetTenantLimiter(s.fleet.agent)
 	}
 	if s.hub, err = engine.New(c.Settings, s.chain, spending, s.log); err != nil {
 		return nil, err
 	}
-	s.hub.Bound(o.Operator.Behind)
+	s.hub.SetDelayBounds(o.Operator.Overload)
 	if s.fleet != nil && s.fleet.recorder.spool != nil {
-		s.hub.KeepTrails()
+		s.hub.RecordMembersTried()
 	}
-	carrier := poolmember.New(s.hub, poolmember.Figures{DialWithin: c.DialWithin, Settle: settle, Most: s.sockets / 4, Stats: c.Reports})
-	pace := discovery.Pushed() // to an agent here: nobody else reads it
-	if c.Settings.AskLists {
-		pace = discovery.Asked(c.Settings.Instances, c.Settings.Rules.AskWithin)
+	carrier := poolmember.New(s.hub, poolmember.Options{ConnectTimeout: c.ConnectTimeout, LastByteDelay: settle, MaxSubmissions: s.sockets / 4, ProbeStats: c.ReportsLoad})
+	pace := discovery.LocalAgentSchedule() // to an agent here: nobody else reads it
+	if c.Settings.PullsMembership {
+		pace = discovery.SharedServiceSchedule(c.Settings.Instances, c.Settings.Rules.MembershipMaxAge)
 	}
 	s.follower = discovery.New(ctx, c.Discovery, pace, s.hub, carrier, s.log)
-	s.hub.Follow(s.follower)
+	s.hub.SetLister(s.follower)
 
 	http := httpfront.New(s.hub, s.chain, s.log)
-	http.Bound(s.limits.Bytes)
-	desks := []*accounting.Desk{&http.Desk}
+	http.SetBodyMemory(s.limits.MaxBodyBytes)
+	desks := []*accounting.FrontCounters{&http.Counters}
 	if s.fleet != nil {
 		desks = append(desks, &s.fleet.plans.desk)
 	}
@@ -85,20 +85,20 @@
 	front := &component{
 		name: "virtual server", listen: c.Listen, inherit: c.AcceptFD,
 		serve: func(_ context.Context, l net.Listener) error { return http.Serve(l, s.sockets/2) },
-		drain: func(End) { http.Drain() }, part: http.Part, inHand: http.InHand, stop: http.Shutdown,
+		drain: func(ShutdownSchedule) { http.Drain() }, part: http.CloseIdleConnections, inHand: http.InFlight, stop: http.Shutdown,
 	}
 	if c.AcceptFD > 0 { // the socket lives on in the new process, with what waits in its queue
-		front.drain = func(End) {
+		front.drain = func(ShutdownSchedule) {
 			http.Drain()
 			front.listener.Close()
 		}
 	}
 	s.components = append(s.components, front)
 	if c.Admin != "" {
-		http.Elsewhere = s.operators.elsewhere
+		http.ForwardUpdate = s.operators.elsewhere
 		d := adminapi.New(s.operators, s.log)
 		if s.fleet != nil {
-			d.With(s.fleet)
+			d.SetFleet(s.fleet)
 		}
 		s.components = append(s.components, &component{name: "operators' door", listen: c.Admin, serve: d.Serve})
 	}
@@ -106,21 +106,21 @@
 		if f.Zone == "" {
 			f.Zone = c.Settings.Zone
 		}
-		s.chain.Need(func(class string) string { return faktory.QueueOf(class, f) })
+		s.chain.SetDefaultCapability(func(class string) string { return faktory.QueueOf(class, f) })
 		second := faktory.New(s.hub, s.chain, f, s.log)
 		desks = append(desks, &second.Desk)
 		if s.fleet != nil {
 			second.With(s.fleet.plans)
 		}
 		s.components = append(s.components, &component{
-			name: "faktory", listen: f.Listen, serve: second.Serve, drain: func(End) { second.Drain() },
+			name: "faktory", listen: f.Listen, serve: second.Serve, drain: func(ShutdownSchedule) { second.Drain() },
 		})
 	}
 	s.auditor = metrics.NewAuditor(s.keeper, s.hub, desks, s.log)
 	s.components = append(s.components, &component{
 		name: "audit",
 		serve: func(ctx context.Context, _ net.Listener) error {
-			return s.auditor.Run(ctx, o.Operator.Figures.AuditEvery)
+			return s.auditor.Run(ctx, o.Operator.Metrics.AuditEvery)
 		},
 	})
 	if at := o.Operator.AgentCheck; at != "" {
@@ -133,8 +133,8 @@
 	if s.fleet != nil {
 		defer func() { s.components = append(s.components, s.fleet.components...) }()
 	}
-	if at := o.Operator.Figures.Listen; at != "" {
-		x := &metrics.Exporter{Name: c.Name, Started: s.began, Keeper: s.keeper, Hub: s.hub, Auditor: s.auditor, Journal: s.journal}
+	if at := o.Operator.Metrics.Listen; at != "" {
+		x := &metrics.Exporter{Name: c.Name, Started: s.began, Recorder: s.keeper, Engine: s.hub, Auditor: s.auditor, Journal: s.journal}
 		s.components = append(s.components, &component{name: "figures", listen: at, serve: x.Serve})
 	}
 	return s, nil
@@ -167,45 +167,45 @@
 // openJournal begins an epoch where the operator names a folder. A folder that
 // can't be used is complained of; jobs are served without it.
 func (s *Service) openJournal() {
-	f := s.options.Operator.Figures
-	if f.Folder == "" {
+	f := s.options.Operator.Metrics
+	if f.JournalDir == "" {
 		return
 	}
-	log := s.log.WithField("folder", f.Folder)
-	folder, err := journal.OpenFolder(f.Folder)
+	log := s.log.WithField("folder", f.JournalDir)
+	folder, err := journal.OpenDirectory(f.JournalDir)
 	if err != nil {
 		log.WithError(err).Error("the journal of figures is off: its folder can't be used")
 		return
 	}
 	j, err := journal.Open(folder, journal.Settings{
-		SegmentBytes: int64(f.SegmentMB) << 20, KeepBytes: int64(f.KeepMB) << 20, KeepFor: time.Duration(f.KeepDays) * 24 * time.Hour,
-		WriteWithin: f.WriteWithin, SyncWithin: f.SyncWithin,
-	}, time.Now(), log, s.auditor.Differ)
+		SegmentBytes: int64(f.SegmentMB) << 20, MaxBytes: int64(f.KeepMB) << 20, MaxAge: time.Duration(f.KeepDays) * 24 * time.Hour,
+		WriteDelay: f.WriteWithin, SyncInterval: f.SyncWithin,
+	}, time.Now(), log, s.auditor.ReportDifferences)
 	if err != nil {
 		folder.Close()
 		log.WithError(err).Error("the journal of figures is off: what it has can't be gone on from")
 		return
 	}
-	found := j.Found()
-	for _, damage := range found.Complain {
+	found := j.Recovery()
+	for _, damage := range found.Warnings {
 		log.Error("the journal of figures is damaged: " + damage)
 	}
 	log.Info("journal of figures: " + found.String())
 	s.journal = j
-	s.keeper.With(j)
+	s.keeper.SetJobJournal(j)
 }
 
 // state is what balancers are told.
 func (s *Service) state() agentcheck.State {
-	st := agentcheck.State{Ready: s.hub.Ready(), Draining: s.isDraining(), Open: s.hub.Unanswered(), Most: s.limits.Open}
+	st := agentcheck.State{Ready: s.hub.Ready(), Draining: s.isDraining(), Open: s.hub.Unanswered(), Most: s.limits.MaxOpen}
 	stopped := false
 	if s.journal != nil {
 		stopped, _ = s.journal.Stopped()
 	}
 	switch {
-	case !s.auditor.AddsUp():
+	case !s.auditor.Balanced():
 		st.Note = "the account does not add up"
-	case stopped || s.journal == nil && s.options.Operator.Figures.Folder != "":
+	case stopped || s.journal == nil && s.options.Operator.Metrics.JournalDir != "":
 		st.Note = "the journal of figures has stopped"
 	}
 	return st
--- a/internal/dispatcher/server/component.go
+++ b/internal/dispatcher/server/component.go
@@ -12,28 +12,28 @@
 	"github.com/sirupsen/logrus"
 )
 
-// End is a planned end: what happens when, in absolute times.
-type End struct {
-	Began   time.Time
-	Late    time.Time // what comes from here on must be answered by Dismiss
-	Stays   time.Time // connections between requests are closed then
-	Parts   time.Time // listeners stay open until here at least
-	Dismiss time.Time
+// ShutdownSchedule is a planned end: what happens when, in absolute times.
+type ShutdownSchedule struct {
+	Began       time.Time
+	RefuseFrom  time.Time // what comes from here on must be answered by Dismiss
+	CloseIdleAt time.Time // connections between requests are closed then
+	ListenUntil time.Time // listeners stay open until here at least
+	DismissAt   time.Time
 }
 
-// PlannedEnd is what happens when after a signal. Clients learn of it late and go on opening connections for a
+// PlanShutdown is what happens when after a signal. Clients learn of it late and go on opening connections for a
 // while; those that hold one are served on it for longer, since the dispatcher
 // that they would turn to may be on its way back. The end by force comes no
 // sooner after the signal than the longest deadline, taken as 3 s where it is
 // longer, and 0.7 s, and finds nothing unanswered that came later than 0.7 s
 // after the signal.
-func PlannedEnd(began time.Time, longest time.Duration) End {
+func PlanShutdown(began time.Time, longest time.Duration) ShutdownSchedule {
 	force := began.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
 	// New connections come for 0.4 s: no end, however near, closes before that.
 	parts := latest(force.Add(-1200*time.Millisecond), began.Add(500*time.Millisecond))
-	return End{
-		Began: began, Late: began.Add(600 * time.Millisecond), Stays: parts.Add(-100 * time.Millisecond), Parts: parts,
-		Dismiss: force.Add(-400 * time.Millisecond),
+	return ShutdownSchedule{
+		Began: began, RefuseFrom: began.Add(600 * time.Millisecond), CloseIdleAt: parts.Add(-100 * time.Millisecond), ListenUntil: parts,
+		DismissAt: force.Add(-400 * time.Millisecond),
 	}
 }
 
@@ -51,7 +51,7 @@
 	listen  string                                          // an address; empty: none
 	inherit int                                             // a listening descriptor to serve on instead of listen; 0: none
 	serve   func(ctx context.Context, l net.Listener) error // until the context ends; l is nil without an address
-	drain   func(End)                                       // a planned end has begun
+	drain   func(ShutdownSchedule)                          // a planned end has begun
 	part    func()                                          // at its Stays
 	inHand  func() int                                      // what the end still waits for
 	stop    func(ctx context.Context) error                 // once nothing is in hand
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -37,8 +37,8 @@
 	store    *recordstore.Store // of its keeper; nil: none is open
 	log      *logrus.Entry
 
-	components []*component                    // they stop after all others, in this order
-	keeper     atomic.Pointer[raftnode.Keeper] // nil: this process keeps nothing for others, or not yet
+	components []*component                  // they stop after all others, in this order
+	keeper     atomic.Pointer[raftnode.Node] // nil: this process keeps nothing for others, or not yet
 }
 
 // leaveWithin is how long a planned end waits to say that this process leaves.
@@ -55,8 +55,8 @@
 	if f.Name == "" {
 		return nil, fmt.Errorf("fleet.name: a process of a fleet needs a name")
 	}
-	_, keeps := f.Keepers[f.Name]
-	if keeps != (f.Calls != "") {
+	_, keeps := f.RaftNodes[f.Name]
+	if keeps != (f.RPCAddress != "") {
 		return nil, fmt.Errorf("fleet.keepers: %q is to listen as a keeper exactly if it is named there", f.Name)
 	}
 	set, expect, err := fleetSettings(f)
@@ -64,10 +64,10 @@
 		return nil, err
 	}
 	calls := map[string]string{}
-	for name, k := range f.Keepers {
-		calls[name] = k.Calls
+	for name, k := range f.RaftNodes {
+		calls[name] = k.RPCAddress
 	}
-	out := &fleet{log: s.log.WithField("fleet", f.Name), agent: agent.New(agent.Settings{Process: f.Name, Version: "1", Keepers: calls, Set: set, Expect: expect, Log: s.log.WithField("fleet", f.Name)})}
+	out := &fleet{log: s.log.WithField("fleet", f.Name), agent: agent.New(agent.Settings{Process: f.Name, Version: "1", RaftNodes: calls, FleetSettings: set, ExpectedBudgets: expect, Log: s.log.WithField("fleet", f.Name)})}
 	if out.recorder, err = s.newRecorder(f, out); err != nil {
 		return nil, err
 	}
@@ -96,23 +96,27 @@
 }
 
 // StartPlan implements door.Fleet.
-func (f *fleet) StartPlan(ctx context.Context, a adminapi.PlanAsk) ([]byte, error) {
+func (f *fleet) StartPlan(ctx context.Context, a adminapi.PlanRequest) ([]byte, error) {
 	return f.plans.StartPlan(ctx, a)
 }
 
-// Run implements door.Fleet.
-func (f *fleet) Run(ctx context.Context, id string) ([]byte, error) { return f.plans.Run(ctx, id) }
+// RunStatus implements door.Fleet.
+func (f *fleet) RunStatus(ctx context.Context, id string) ([]byte, error) {
+	return f.plans.RunStatus(ctx, id)
+}
 
 // Record, Records and Hold implement door.Fleet.
 func (f *fleet) Record(ctx context.Context, id string) ([]byte, error) {
 	return f.recorder.Record(ctx, id)
 }
 
-func (f *fleet) Records(ctx context.Context, q adminapi.RecordsAsk) ([]byte, error) {
+func (f *fleet) Records(ctx context.Context, q adminapi.RecordsQuery) ([]byte, error) {
 	return f.recorder.Records(ctx, q)
 }
 
-func (f *fleet) Hold(ctx context.Context, h adminapi.HoldAsk) error { return f.recorder.Hold(ctx, h) }
+func (f *fleet) SetHold(ctx context.Context, h adminapi.HoldRequest) error {
+	return f.recorder.SetHold(ctx, h)
+}
 
 // Status implements door.Fleet.
 func (f *fleet) Status(context.Context) ([]byte, error) {
@@ -121,18 +125,18 @@
 	o := arena.NewObject()
 	o.Set("process", arena.NewString(a.Process))
 	o.Set("incarnation", arena.NewNumberString(fmt.Sprint(a.Incarnation)))
-	o.Set("joined", arena.NewNumberString(fmt.Sprint(a.Joined)))
+	o.Set("joined", arena.NewNumberString(fmt.Sprint(a.Joins)))
 	o.Set("members", arena.NewNumberString(fmt.Sprint(a.Members)))
-	o.Set("renewed_ms", arena.NewNumberString(fmt.Sprint(a.RenewedMS)))
+	o.Set("renewed_ms", arena.NewNumberString(fmt.Sprint(a.SinceRenewalMS)))
 	if p := f.recorder.spool; p != nil {
-		r, now := p.Read(), time.Now()
+		r, now := p.Stats(), time.Now()
 		spooled := arena.NewObject()
 		for name, n := range map[string]int64{"added": r.Added, "dropped": r.Dropped, "shipped": r.Shipped, "lost": r.Lost, "unsent": r.Unsent,
 			"failures": r.Failures, "bytes": r.Bytes, "lag_ms": r.Lag(now).Milliseconds()} {
 			spooled.Set(name, arena.NewNumberString(fmt.Sprint(n)))
 		}
-		if r.Why != "" {
-			spooled.Set("why", arena.NewString(r.Why))
+		if r.LastError != "" {
+			spooled.Set("why", arena.NewString(r.LastError))
 		}
 		o.Set("spool", spooled)
 	}
@@ -144,17 +148,17 @@
 
 // keep adds the components of a keeper.
 func (s *Service) keep(f *settings.Fleet, out *fleet) {
-	votes := &component{name: "fleet votes", listen: f.Votes}
+	votes := &component{name: "fleet votes", listen: f.RaftAddress}
 	peers := map[string]raftnode.Peer{}
-	for name, k := range f.Keepers {
-		peers[name] = raftnode.Peer{Calls: k.Calls, Votes: k.Votes}
+	for name, k := range f.RaftNodes {
+		peers[name] = raftnode.Peer{RPCAddr: k.RPCAddress, RaftAddr: k.RaftAddress}
 	}
-	ready := make(chan *raftnode.Keeper, 1)
+	ready := make(chan *raftnode.Node, 1)
 	votes.serve = func(ctx context.Context, l net.Listener) error {
 		k, err := raftnode.New(raftnode.Settings{
-			Name: f.Name, Folder: filepath.Join(f.Folder, "keeper"), Peers: peers, Votes: l, Election: f.Election, SumEvery: f.SumEvery, Log: s.log,
-			Machine: func() (*state.Machine, error) {
-				kept, err := out.openStore(f.Folder)
+			Name: f.Name, Folder: filepath.Join(f.DataDir, "keeper"), Peers: peers, RaftListener: l, ElectionTimeout: f.ElectionTimeout, DigestInterval: f.DigestInterval, Log: s.log,
+			NewMachine: func() (*state.Machine, error) {
+				kept, err := out.openStore(f.DataDir)
 				if err != nil {
 					return nil, err
 				}
@@ -169,7 +173,7 @@
 		var all sync.WaitGroup
 		defer all.Wait()
 		all.Go(func() { out.recorder.cut(ctx) })
-		all.Go(func() { out.keepFence(ctx, f.Folder) })
+		all.Go(func() { out.keepFence(ctx, f.DataDir) })
 		err = k.Run(ctx)
 		if out.store != nil {
 			err = errors.Join(err, out.store.Close())
@@ -178,12 +182,12 @@
 	}
 	votes.stop = func(context.Context) error {
 		if k := out.keeper.Load(); k != nil {
-			k.Retire()
+			k.TransferLeadership()
 		}
 		return nil
 	}
 	out.components = append(out.components, votes, &component{
-		name: "fleet calls", listen: f.Calls,
+		name: "fleet calls", listen: f.RPCAddress,
 		serve: func(ctx context.Context, l net.Listener) error {
 			select {
 			case <-ctx.Done():
@@ -204,7 +208,7 @@
 
 // fleetSettings are what the operator's file says for the whole fleet, and the
 // budgets that it names.
-func fleetSettings(f *settings.Fleet) (set state.SetBody, expect []string, err error) {
+func fleetSettings(f *settings.Fleet) (set state.FleetSettings, expect []string, err error) {
 	budgets := budget.Config{Lease: f.Lease}
 	for _, b := range f.Budgets {
 		one := budget.Budget{
@@ -212,9 +216,9 @@
 		}
 		switch b.Of {
 		case settings.BudgetUnderWay:
-			one.Kind = budget.UnderWay
+			one.Kind = budget.InFlight
 		case settings.BudgetCold:
-			one.Kind = budget.Part
+			one.Kind = budget.Divided
 		}
 		budgets.Budgets = append(budgets.Budgets, one)
 		expect = append(expect, one.Name)
@@ -226,7 +230,7 @@
 	if err != nil {
 		return set, nil, err
 	}
-	set = state.SetBody{Revision: f.Revision, Lease: f.Lease, Parts: map[string][]byte{partition.BudgetsName: text}}
+	set = state.FleetSettings{Revision: f.Revision, Lease: f.Lease, Parts: map[string][]byte{partition.BudgetsName: text}}
 	if f.Records != nil {
 		rules := recordRules(f.Records)
 		slices.SortFunc(rules.Rules, func(a, b records.Rule) int { return strings.Compare(a.Tenant, b.Tenant) })
@@ -248,8 +252,8 @@
 			return
 		case now := <-tick.C:
 			var taken int64
-			s.hub.Sync(func() { taken = s.keeper.Book.Totals().Taken })
-			a.Want(float64(taken-last) / now.Sub(at).Seconds())
+			s.hub.Do(func() { taken = s.keeper.Ledger.Totals().Taken })
+			a.SetArrivalRate(float64(taken-last) / now.Sub(at).Seconds())
 			last, at = taken, now
 		}
 	}
--- a/internal/dispatcher/server/operators.go
+++ b/internal/dispatcher/server/operators.go
@@ -46,10 +46,10 @@
 // Serving implements door.Operator.
 func (o *operators) Serving() bool { return o.s.hub.Ready() && !o.s.isDraining() }
 
-// Out implements door.Operator.
-func (o *operators) Out(id string) error {
-	if !o.s.hub.Hold(id, true, false) {
-		return adminapi.ErrUnknown
+// TakeOut implements door.Operator.
+func (o *operators) TakeOut(id string) error {
+	if !o.s.hub.SetMemberOut(id, true, false) {
+		return adminapi.ErrUnknownRunner
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -57,13 +57,13 @@
 	return o.save()
 }
 
-// Back implements door.Operator. A runner that is out is put back also when
+// PutBack implements door.Operator. A runner that is out is put back also when
 // no list names it any more.
-func (o *operators) Back(id string) error {
+func (o *operators) PutBack(id string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.s.hub.Hold(id, false, o.hand.IsOut(id)) && !o.hand.IsOut(id) {
-		return adminapi.ErrUnknown
+	if !o.s.hub.SetMemberOut(id, false, o.hand.IsOut(id)) && !o.hand.IsOut(id) {
+		return adminapi.ErrUnknownRunner
 	}
 	now := time.Now()
 	o.hand.Back(id, now)
@@ -91,7 +91,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.parting == due {
-		o.http.Part()
+		o.http.CloseIdleConnections()
 	}
 }
 
@@ -108,8 +108,10 @@
 	}
 }
 
-// News implements door.Operator.
-func (o *operators) News(text []byte) error { return o.http.Handed(text) }
+// HandleForwardedUpdate implements door.Operator.
+func (o *operators) HandleForwardedUpdate(text []byte) error {
+	return o.http.HandleForwardedUpdate(text)
+}
 
 // statePath is the file of what operators set, for a new version of the program.
 func (o *operators) statePath() string {
@@ -154,10 +156,10 @@
 	now := time.Now()
 	h.Forget(now.Add(-handFor))
 	for _, id := range h.Outs() {
-		o.s.hub.Hold(id, true, true)
+		o.s.hub.SetMemberOut(id, true, true)
 	}
 	for _, id := range h.Backs() {
-		o.s.hub.Warm(id, h.BackAt(id))
+		o.s.hub.MarkRestored(id, h.BackAt(id))
 	}
 	log.WithField("out", len(h.Outs())).Info("the operators' settings of an older process are taken over")
 }
--- a/internal/dispatcher/server/service.go
+++ b/internal/dispatcher/server/service.go
@@ -29,7 +29,7 @@
 	// OperatorDir is the folder of the operator's file: names in it that are not
 	// absolute are looked up there.
 	OperatorDir string
-	Reread      func() (settings.Config, error) // reads the configuration file again, for a reload
+	ReadConfig  func() (settings.Config, error) // reads the configuration file again, for a reload
 	Log         *logrus.Logger
 }
 
@@ -43,11 +43,11 @@
 	log        *logrus.Logger
 	limits     pipeline.Limits
 	sockets    int
-	keeper     *metrics.Keeper
+	keeper     *metrics.Recorder
 	auditor    *metrics.Auditor
 	journal    *journal.Journal // nil: off
-	hub        *engine.Core
-	chain      *pipeline.Chain
+	hub        *engine.Engine
+	chain      *pipeline.Pipeline
 	follower   *discovery.Follower
 	components []*component
 	operators  *operators
@@ -59,8 +59,8 @@
 // text is what the program itself takes of the memory beside what the run time counts.
 const text = 16 << 20
 
-// Fit holds the run time of this process to the machine that it is told of.
-func Fit(c settings.Config) {
+// ApplyResourceLimits holds the run time of this process to the machine that it is told of.
+func ApplyResourceLimits(c settings.Config) {
 	if c.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	}
@@ -84,13 +84,13 @@
 	}
 	defer s.closeJournal()
 	all.Go(func() { s.hub.Run(ctx) })
-	s.follower.Restore(o.Config.Known)
-	if !o.Config.Settings.AskLists { // pushed to an agent here: nobody else reads it
-		s.follower.Keep()
-		s.follower.Heard(time.Now().Add(agentFor))
+	s.follower.Restore(o.Config.LastMembership)
+	if !o.Config.Settings.PullsMembership { // pushed to an agent here: nobody else reads it
+		s.follower.KeepWatching()
+		s.follower.WaitFirstAnswer(time.Now().Add(agentFor))
 	}
 	s.operators.restore()
-	s.hub.Sync(func() {}) // the pool is known before anybody asks
+	s.hub.Do(func() {}) // the pool is known before anybody asks
 	select {
 	case <-told: // nobody could connect yet: nothing is owed
 		s.log.Info("told to end before serving")
@@ -123,7 +123,7 @@
 			})
 		}
 	}
-	s.log.WithFields(logrus.Fields{"name": o.Config.Name, "listen": o.Config.Listen, "members": len(o.Config.Known.Entries)}).Info("serving")
+	s.log.WithFields(logrus.Fields{"name": o.Config.Name, "listen": o.Config.Listen, "members": len(o.Config.LastMembership.Entries)}).Info("serving")
 	all.Go(func() { // also while it drains: jobs in hand may still need the list
 		for {
 			select {
@@ -155,42 +155,42 @@
 // A file that can't be used changes nothing: a dispatcher with jobs in hand
 // goes on as it was.
 func (s *Service) reload() {
-	c, err := s.options.Reread()
+	c, err := s.options.ReadConfig()
 	if err == nil {
-		err = s.hub.Retune(c.Settings)
+		err = s.hub.Reconfigure(c.Settings)
 	}
 	if err != nil {
 		s.log.WithError(err).Error("the configuration can't be reloaded and stays as it was")
 		return
 	}
-	s.chain.Retune(c.Settings)
+	s.chain.Reconfigure(c.Settings)
 	if s.fleet != nil {
 		if err := s.fleet.plans.read(c); err != nil {
 			s.log.WithError(err).Error("the plan files can't be reloaded: those in use stay")
 		}
 	}
-	s.follower.Move(c.Discovery)
+	s.follower.SwitchTo(c.Discovery)
 	s.log.WithFields(logrus.Fields{"discovery": c.Discovery, "classes": len(c.Settings.Classes), "most_tries": c.Settings.Limits.MaxAttempts}).Info("reloaded")
 }
 
 // end is the planned end.
 func (s *Service) end(ctx context.Context) error {
-	e := PlannedEnd(time.Now(), s.longest())
+	e := PlanShutdown(time.Now(), s.longest())
 	close(s.draining)
-	s.hub.Leaving(e.Late, e.Dismiss)
+	s.hub.BeginShutdown(e.RefuseFrom, e.DismissAt)
 	for _, c := range s.components {
 		if c.drain != nil {
 			c.drain(e)
 		}
 	}
 	s.log.Info("draining") // a socket handed over is the new process's alone from here on
-	time.Sleep(time.Until(e.Stays))
+	time.Sleep(time.Until(e.CloseIdleAt))
 	for _, c := range s.components {
 		if c.part != nil {
 			c.part()
 		}
 	}
-	s.drained(e.Parts)
+	s.drained(e.ListenUntil)
 	s.log.Info("closing")
 	for _, c := range s.components {
 		if c.stop != nil {
@@ -206,7 +206,7 @@
 
 // longest is the longest deadline of any class.
 func (s *Service) longest() (d time.Duration) {
-	s.hub.Sync(func() { d = s.hub.Longest() })
+	s.hub.Do(func() { d = s.hub.LongestClientTimeout() })
 	return d
 }
 
@@ -223,7 +223,7 @@
 				inHand += c.inHand()
 			}
 		}
-		if now.After(from) && inHand == 0 && s.hub.Close() {
+		if now.After(from) && inHand == 0 && s.hub.CloseIfIdle() {
 			return
 		}
 	}
@@ -232,11 +232,11 @@
 // totals is a line on what has been booked, for the log at the end.
 func (s *Service) totals() logrus.Fields {
 	f := logrus.Fields{}
-	s.hub.Sync(func() {
-		t := s.keeper.Book.Totals()
+	s.hub.Do(func() {
+		t := s.keeper.Ledger.Totals()
 		f["taken"], f["open"] = t.Taken, t.Open
 		for o := range accounting.Outcomes {
-			f[o.String()] = t.By(o)
+			f[o.String()] = t.EndedAs(o)
 		}
 	})
 	return f
--- a/internal/dispatcher/settings/config.go
+++ b/internal/dispatcher/settings/config.go
@@ -20,13 +20,13 @@
 	AcceptFD                int    // a listening socket handed over for the clients, from $ROUTER_ACCEPT_FD; 0: bind Listen
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   List
+	LastMembership          List
 	Settings                policy.Settings
 	Tenants                 []string // those that the settings know
-	// Reports: members report their load (reporting.via is not silent and names
+	// ReportsLoad: members report their load (reporting.via is not silent and names
 	// columns), in answers and news where via is piggyback, and to probes.
-	Reports    bool
-	DialWithin time.Duration // how long a connection to a runner takes to come up
+	ReportsLoad    bool
+	ConnectTimeout time.Duration // how long a connection to a runner takes to come up
 }
 
 // List is discovery's list, or the changes to one.
@@ -63,9 +63,9 @@
 	c := Config{
 		Name: r.text("name"), Listen: r.text("listen"), Discovery: r.text("discovery"), Admin: r.text("admin"),
 		Cores: r.number("limits.cores"), MemoryMB: int(r.number("limits.memory_mb")), Sockets: int(r.number("limits.sockets")),
-		DialWithin: cmp.Or(r.span("settings.limits.dial_timeout"), time.Second),
+		ConnectTimeout: cmp.Or(r.span("settings.limits.dial_timeout"), time.Second),
 	}
-	c.Reports = string(v.GetStringBytes("settings", "reporting", "via")) != "silent" &&
+	c.ReportsLoad = string(v.GetStringBytes("settings", "reporting", "via")) != "silent" &&
 		len(v.GetArray("settings", "reporting", "columns")) > 0
 	for _, t := range v.GetArray("settings", "tenants") {
 		if name := string(t.GetStringBytes("name")); name != "" {
@@ -76,10 +76,10 @@
 	if c.Settings, err = Decode(r.find("settings")); err != nil {
 		r.take("settings", err)
 	}
-	c.Settings.Limits.ConnectWithin = 0    // the carriers hold attempts to a key's window to the last byte
-	c.Settings.Limits.SecondCopies = false // the ledger keeps one flow of a transaction: another copy would be told as never sent
+	c.Settings.Limits.ConnectTimeout = 0         // the carriers hold attempts to a key's window to the last byte
+	c.Settings.Limits.ConcurrentAttempts = false // the ledger keeps one flow of a transaction: another copy would be told as never sent
 	if known := r.find("known"); known != nil {
-		if c.Known, err = decodeList(known); err != nil {
+		if c.LastMembership, err = decodeList(known); err != nil {
 			r.take("known", err)
 		}
 	}
--- a/internal/dispatcher/settings/fleet.go
+++ b/internal/dispatcher/settings/fleet.go
@@ -12,22 +12,22 @@
 
 // Fleet joins this process with others to a fleet.
 type Fleet struct {
-	Name     string // of this process among them; empty: the configuration's
-	Folder   string // what it keeps; it must last
-	Calls    string // a keeper: where processes' calls arrive
-	Votes    string // a keeper: where the other keepers' votes and logs arrive
-	Keepers  map[string]FleetKeeper
-	Revision uint64        // of what follows, which is one for the whole fleet
-	Lease    time.Duration // a process that was not heard of for so long is out of force
-	Budgets  []FleetBudget
-	Plans    []string      // files of plans, from the operator's file's folder or absolute
-	Records  *FleetRecords // nil: none are kept
-	Election time.Duration // a silent leader of the keepers is replaced after this long
-	SumEvery time.Duration // the replicas' digests are compared so often
+	Name            string // of this process among them; empty: the configuration's
+	DataDir         string // what it keeps; it must last
+	RPCAddress      string // a keeper: where processes' calls arrive
+	RaftAddress     string // a keeper: where the other keepers' votes and logs arrive
+	RaftNodes       map[string]FleetRaftNode
+	Revision        uint64        // of what follows, which is one for the whole fleet
+	Lease           time.Duration // a process that was not heard of for so long is out of force
+	Budgets         []FleetBudget
+	Plans           []string      // files of plans, from the operator's file's folder or absolute
+	Records         *FleetRecords // nil: none are kept
+	ElectionTimeout time.Duration // a silent leader of the keepers is replaced after this long
+	DigestInterval  time.Duration // the replicas' digests are compared so often
 }
 
-// FleetKeeper is where a keeper is reached from this process.
-type FleetKeeper struct{ Calls, Votes string }
+// FleetRaftNode is where a keeper is reached from this process.
+type FleetRaftNode struct{ RPCAddress, RaftAddress string }
 
 // FleetBudget is what all processes together may spend.
 type FleetBudget struct {
@@ -81,31 +81,31 @@
 
 func (r *reader) fleet() *Fleet {
 	f := &Fleet{
-		Name: r.text("fleet.name"), Folder: r.text("fleet.folder"), Calls: r.text("fleet.calls"), Votes: r.text("fleet.votes"),
-		Keepers: map[string]FleetKeeper{}, Revision: uint64(r.count("fleet.revision", 1)),
-		Lease:    time.Duration(r.count("fleet.lease_ms", 3000)) * time.Millisecond,
-		Election: time.Duration(r.count("fleet.election_ms", 1000)) * time.Millisecond,
-		SumEvery: time.Duration(r.count("fleet.compare_every_ms", 5000)) * time.Millisecond,
-		Plans:    r.names("fleet.plans"),
+		Name: r.text("fleet.name"), DataDir: r.text("fleet.folder"), RPCAddress: r.text("fleet.calls"), RaftAddress: r.text("fleet.votes"),
+		RaftNodes: map[string]FleetRaftNode{}, Revision: uint64(r.count("fleet.revision", 1)),
+		Lease:           time.Duration(r.count("fleet.lease_ms", 3000)) * time.Millisecond,
+		ElectionTimeout: time.Duration(r.count("fleet.election_ms", 1000)) * time.Millisecond,
+		DigestInterval:  time.Duration(r.count("fleet.compare_every_ms", 5000)) * time.Millisecond,
+		Plans:           r.names("fleet.plans"),
 	}
 	r.eachOf("fleet.keepers", func(name string, k *reader) {
-		at := FleetKeeper{Calls: k.text("calls"), Votes: k.text("votes")}
-		k.address("calls", at.Calls)
-		k.address("votes", at.Votes)
-		f.Keepers[name] = at
+		at := FleetRaftNode{RPCAddress: k.text("calls"), RaftAddress: k.text("votes")}
+		k.address("calls", at.RPCAddress)
+		k.address("votes", at.RaftAddress)
+		f.RaftNodes[name] = at
 	})
-	if n := len(f.Keepers); n != 1 && n != 3 && n != 5 {
+	if n := len(f.RaftNodes); n != 1 && n != 3 && n != 5 {
 		r.fail("fleet.keepers", fmt.Errorf("there must be 1, 3 or %d keepers, not %d", mostKeepers, n))
 	}
-	if f.Folder == "" {
+	if f.DataDir == "" {
 		r.fail("fleet.folder", errors.New("must name a folder that lasts"))
 	}
-	if (f.Calls == "") != (f.Votes == "") {
+	if (f.RPCAddress == "") != (f.RaftAddress == "") {
 		r.fail("fleet.calls", errors.New("a keeper listens for calls and for votes, another process for neither"))
 	}
-	if f.Calls != "" {
-		r.address("fleet.calls", f.Calls)
-		r.address("fleet.votes", f.Votes)
+	if f.RPCAddress != "" {
+		r.address("fleet.calls", f.RPCAddress)
+		r.address("fleet.votes", f.RaftAddress)
 	}
 	for i, v := range r.list("fleet.budgets") {
 		at := r.inner(v, fmt.Sprintf("fleet.budgets[%d].", i))
--- a/internal/dispatcher/settings/operator.go
+++ b/internal/dispatcher/settings/operator.go
@@ -14,10 +14,10 @@
 // Operator is the operator's file: what the platform does not ask for.
 type Operator struct {
 	Faktory    *Faktory // nil: off
-	Figures    Figures
+	Metrics    Metrics
 	AgentCheck string                 // where the agent check listens; empty: off
 	Fleet      *Fleet                 // nil: this process is alone
-	Behind     schedulingdelay.Bounds // when new work is turned away since own work is late; a Target of 0: never
+	Overload   schedulingdelay.Bounds // when new work is turned away since own work is late; a Target of 0: never
 }
 
 // Faktory sets up the front for the Faktory work protocol.
@@ -51,17 +51,17 @@
 	Cost          time.Duration // 0: not told
 }
 
-// Figures sets up what is told of the account, and the journal beside it.
-type Figures struct {
-	Listen      string // metrics and figures; empty: off
-	Folder      string // the journal's; empty: off
-	SegmentMB   int    // a segment is closed at about this size
-	KeepMB      int    // segments beyond this go, the oldest first
-	KeepDays    int
-	WriteWithin time.Duration // what a kill of the process may cost
-	SyncWithin  time.Duration // what a power loss may cost, and a write beside it
-	AuditEvery  time.Duration
-	Asks        int // that are remembered
+// Metrics sets up what is told of the account, and the journal beside it.
+type Metrics struct {
+	Listen          string // metrics and figures; empty: off
+	JournalDir      string // the journal's; empty: off
+	SegmentMB       int    // a segment is closed at about this size
+	KeepMB          int    // segments beyond this go, the oldest first
+	KeepDays        int
+	WriteWithin     time.Duration // what a kill of the process may cost
+	SyncWithin      time.Duration // what a power loss may cost, and a write beside it
+	AuditEvery      time.Duration
+	LogicalRequests int // that are remembered
 }
 
 const auditEvery = 10 * time.Second
@@ -82,11 +82,11 @@
 
 func decodeOperator(v *fastjson.Value) (Operator, *reader) {
 	r := newReader(v, "")
-	o := Operator{AgentCheck: r.text("agent_check.listen"), Figures: r.figures()}
+	o := Operator{AgentCheck: r.text("agent_check.listen"), Metrics: r.figures()}
 	if r.get("admission", fastjson.TypeObject) != nil {
-		o.Behind = schedulingdelay.Bounds{
-			Target: time.Duration(r.count("admission.behind_ms", 50)) * time.Millisecond,
-			For:    time.Duration(r.count("admission.behind_for_ms", 200)) * time.Millisecond,
+		o.Overload = schedulingdelay.Bounds{
+			Target:   time.Duration(r.count("admission.behind_ms", 50)) * time.Millisecond,
+			Interval: time.Duration(r.count("admission.behind_for_ms", 200)) * time.Millisecond,
 		}
 	}
 	if o.AgentCheck != "" {
@@ -127,15 +127,15 @@
 	return f
 }
 
-func (r *reader) figures() Figures {
-	f := Figures{
-		Listen: r.text("figures.listen"), Folder: r.text("figures.journal.folder"),
+func (r *reader) figures() Metrics {
+	f := Metrics{
+		Listen: r.text("figures.listen"), JournalDir: r.text("figures.journal.folder"),
 		SegmentMB: int(r.count("figures.journal.segment_mb", 8)), KeepMB: int(r.count("figures.journal.keep_mb", 1024)),
-		KeepDays:    int(r.count("figures.journal.keep_days", 90)),
-		WriteWithin: time.Duration(r.count("figures.journal.write_within_ms", 10)) * time.Millisecond,
-		SyncWithin:  time.Duration(r.count("figures.journal.sync_within_ms", 1000)) * time.Millisecond,
-		AuditEvery:  time.Duration(r.count("figures.audit_every_ms", auditEvery.Milliseconds())) * time.Millisecond,
-		Asks:        int(r.count("figures.asks", 8192)),
+		KeepDays:        int(r.count("figures.journal.keep_days", 90)),
+		WriteWithin:     time.Duration(r.count("figures.journal.write_within_ms", 10)) * time.Millisecond,
+		SyncWithin:      time.Duration(r.count("figures.journal.sync_within_ms", 1000)) * time.Millisecond,
+		AuditEvery:      time.Duration(r.count("figures.audit_every_ms", auditEvery.Milliseconds())) * time.Millisecond,
+		LogicalRequests: int(r.count("figures.asks", 8192)),
 	}
 	if f.Listen != "" {
 		r.address("figures.listen", f.Listen)
--- a/internal/dispatcher/settings/path.go
+++ b/internal/dispatcher/settings/path.go
@@ -37,7 +37,7 @@
 }
 
 // put sets the value at a path, which must be there.
-func put(v *fastjson.Value, p Put) error {
+func put(v *fastjson.Value, p Override) error {
 	keys, ok := steps(p.Path)
 	if !ok || v.Get(keys...) == nil {
 		return fmt.Errorf("the file has nothing at %q", p.Path)
--- a/internal/dispatcher/settings/retune.go
+++ b/internal/dispatcher/settings/retune.go
@@ -7,13 +7,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// Retunable checks a configuration that is read again while the program
+// CheckReload checks a configuration that is read again while the program
 // serves, more closely than one at its start: what is turned down here leaves
 // the running settings as they are, whole. Beyond what DecodeConfig asks, the
 // keys that say where to listen, whom to ask and which classes there are must
 // be there, and each class's deadline and the number of attempts must be
 // numbers above 0. It names the first thing that is wrong.
-func Retunable(text []byte) error {
+func CheckReload(text []byte) error {
 	if len(text) == 0 {
 		return fmt.Errorf("configuration: the file is empty")
 	}
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -29,32 +29,32 @@
 	}
 	r := newReader(v, "")
 	s := policy.Settings{
-		Instances:      int(r.whole("balancers")),
-		Rank:           int(r.whole("rank")),
-		Zone:           r.text("zone"),
-		TellsStart:     r.flag("family_info.tells_start"),
-		MarksRetry:     r.flag("clients.marks_retry"),
-		ReportX0:       r.text("family_info.report_x0"),
-		ReportX1:       r.text("family_info.report_x1"),
-		CrossZonePrice: r.number("prices.cross_zone"),
+		Instances:          int(r.whole("balancers")),
+		Rank:               int(r.whole("rank")),
+		Zone:               r.text("zone"),
+		ReportsStart:       r.flag("family_info.tells_start"),
+		ClientsMarkRetries: r.flag("clients.marks_retry"),
+		ReportX0:           r.text("family_info.report_x0"),
+		ReportX1:           r.text("family_info.report_x1"),
+		CrossZonePrice:     r.number("prices.cross_zone"),
 		Limits: policy.Limits{
-			MaxAttempts:   int(r.whole("limits.most_tries")),
-			Cancel:        r.flag("limits.cancel"),
-			Probes:        r.flag("limits.probes"),
-			SecondCopies:  r.flag("limits.second_copies"),
-			RetryAfter:    r.flag("limits.retry_after"),
-			MaxRetryAfter: r.span("limits.max_retry_after"),
-			ConnectWithin: r.span("limits.dial_timeout"),
+			MaxAttempts:        int(r.whole("limits.most_tries")),
+			Cancel:             r.flag("limits.cancel"),
+			Probes:             r.flag("limits.probes"),
+			ConcurrentAttempts: r.flag("limits.second_copies"),
+			RetryAfter:         r.flag("limits.retry_after"),
+			MaxRetryAfter:      r.span("limits.max_retry_after"),
+			ConnectTimeout:     r.span("limits.dial_timeout"),
 		},
 		Rules: policy.Rules{
-			AnswerGrace:       r.span("guarantees.grace_to_answer"),
-			AskWithin:         r.span("guarantees.ask_every"),
-			ColdFrom:          r.number("guarantees.start_capacity"),
-			ColdFor:           r.span("guarantees.warm_after"),
-			FallMultiple:      r.number("guarantees.fall_multiple"),
-			FallFor:           r.span("guarantees.tip_after"),
-			FullMayHaveRun:    r.flag("guarantees.late_shedding"),
-			OnlyDrainingBinds: r.flag("guarantees.dropped_stay_open"),
+			AnswerGrace:          r.span("guarantees.grace_to_answer"),
+			MembershipMaxAge:     r.span("guarantees.ask_every"),
+			ColdCapacity:         r.number("guarantees.start_capacity"),
+			WarmupTime:           r.span("guarantees.warm_after"),
+			ColdOverloadMultiple: r.number("guarantees.fall_multiple"),
+			ColdOverloadWindow:   r.span("guarantees.tip_after"),
+			RejectedMayHaveRun:   r.flag("guarantees.late_shedding"),
+			OnlyDrainBinds:       r.flag("guarantees.dropped_stay_open"),
 		},
 	}
 	s.Kinds = r.names("shapes")
@@ -71,14 +71,14 @@
 	switch mode := r.text("registry_mode"); mode {
 	case "push":
 	case "ask":
-		s.AskLists = true
+		s.PullsMembership = true
 	default:
 		r.fail("registry_mode", fmt.Errorf("unknown mode %q", mode))
 	}
 	switch by := r.text("worth_by"); by {
 	case "request", "":
 	case "work":
-		s.WorthByWork = true
+		s.ValueByWork = true
 	default:
 		r.fail("worth_by", fmt.Errorf("unknown word %q", by))
 	}
@@ -116,21 +116,21 @@
 	}
 	switch effect := r.text("effect"); effect {
 	case "idempotent":
-		c.Effect = policy.Safe
+		c.Effect = policy.Idempotent
 	case "deduplicated":
-		c.Effect = policy.Keyed
+		c.Effect = policy.Deduplicated
 	case "at_most_once":
-		c.Effect = policy.Unsafe
+		c.Effect = policy.AtMostOnce
 	default:
 		r.fail("effect", fmt.Errorf("unknown effect %q", effect))
 	}
 	switch scope := r.text("key_scope"); scope {
 	case "all":
-		c.Group = policy.GroupAll
+		c.Group = policy.DedupAll
 	case "zone":
-		c.Group = policy.GroupZone
+		c.Group = policy.DedupZone
 	case "cell", "": // a key that nobody says how far it is known is taken to be known nowhere else
-		c.Group = policy.GroupCell
+		c.Group = policy.DedupCell
 	default:
 		r.fail("key_scope", fmt.Errorf("unknown scope %q", scope))
 	}
--- a/internal/dispatcher/soak/soak.go
+++ b/internal/dispatcher/soak/soak.go
@@ -25,13 +25,13 @@
 
 // Settings are what a soak is to do.
 type Settings struct {
-	Program string // the dispatcher
-	Until   time.Time
-	Kills   int     // of the dispatcher
-	Workers int     // Faktory workers that are killed
-	Rate    float64 // asks a second by each front
-	Folder  string  // where the journal is kept; it must be empty
-	Seed    uint64
+	Program     string // the dispatcher
+	Until       time.Time
+	Kills       int     // of the dispatcher
+	WorkerKills int     // Faktory workers that are killed
+	Rate        float64 // asks a second by each front
+	JournalDir  string  // where the journal is kept; it must be empty
+	Seed        uint64
 }
 
 // Result is what a soak saw.
@@ -40,21 +40,21 @@
 	WorkerKills     int
 	Audits          int64
 	Differences     int64
-	HTTP, Pushed    string
+	HTTP, Faktory   string
 	ServedToClients int64 // 200 that HTTP clients read
-	Journal         *journal.Verdict
+	Journal         *journal.Verification
 	ServedByJournal int64 // of the HTTP front
 	Lost            int64 // answers that a kill took from the journal
-	Twice           []string
+	RunTwice        []string
 	RSS             []int64 // of the dispatcher, in kB, before each kill
-	Broken          []string
+	Violations      []string
 }
 
 // Run soaks. It returns an error if it could not be done; what it found broken
 // is in the result.
 func Run(ctx context.Context, s Settings, out io.Writer) (*Result, error) {
 	load := demo.Load{Rate: s.Rate, Members: 6, Workers: 4, Seed: s.Seed}
-	load.Troubles.TurnAway, load.Troubles.Fail, load.Troubles.Break, load.Troubles.Again = 0.02, 0.01, 0.005, 0.1
+	load.Faults.Reject, load.Faults.Fail, load.Faults.Break, load.Faults.DuplicateEnd = 0.02, 0.01, 0.005, 0.1
 	w, err := demo.NewWorld(load)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	if err := os.WriteFile(config, []byte(w.Configuration()), 0o600); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(operator, []byte(w.OperatorFile(s.Folder)), 0o600); err != nil {
+	if err := os.WriteFile(operator, []byte(w.OperatorFile(s.JournalDir)), 0o600); err != nil {
 		return nil, err
 	}
 	start := func() (*exec.Cmd, error) {
@@ -83,7 +83,7 @@
 	began := time.Now()
 	every := s.Until.Sub(began) / time.Duration(s.Kills+1)
 	bar := progressbar.NewOptions(s.Kills, progressbar.OptionSetWriter(out), progressbar.OptionSetDescription("kills"), progressbar.OptionShowCount())
-	w.Begin(load)
+	w.StartLoad(load)
 	stop := make(chan struct{})
 	killed := make(chan int, 1)
 	go func() { killed <- killWorkers(w, s, stop) }()
@@ -99,38 +99,38 @@
 			end = began.Add(every*time.Duration(r.Kills) + time.Duration((0.5+0.5*random.Float64())*float64(every)))
 		}
 		if !last {
-			r.watch(w.Figures, end)
+			r.watch(w.MetricsAddr, end)
 			r.RSS = append(r.RSS, rss(cmd.Process.Pid))
 			cmd.Process.Kill()
 			cmd.Wait()
 			r.Kills++
 			bar.Add(1)
-			r.recount(s.Folder, "after a kill")
+			r.recount(s.JournalDir, "after a kill")
 			continue
 		}
-		r.watch(w.Figures, end)
+		r.watch(w.MetricsAddr, end)
 		close(stop)
 		r.WorkerKills = <-killed
-		w.EndClients()
-		if err := demo.Settled(w.Figures); err != nil {
-			r.Broken = append(r.Broken, err.Error())
+		w.StopClients()
+		if err := demo.WaitIdle(w.MetricsAddr); err != nil {
+			r.Violations = append(r.Violations, err.Error())
 		}
-		r.audit(w.Figures)
-		cmd.Process.Signal(demo.Ended)
+		r.audit(w.MetricsAddr)
+		cmd.Process.Signal(demo.ShutdownSignal)
 		if err := cmd.Wait(); err != nil {
-			r.Broken = append(r.Broken, "the dispatcher did not end in order: "+err.Error())
+			r.Violations = append(r.Violations, "the dispatcher did not end in order: "+err.Error())
 		}
 		break
 	}
 	fmt.Fprintln(out)
 	w.Close()
-	r.recount(s.Folder, "at the end")
-	r.HTTP, r.Pushed = w.HTTP.String(), w.Pushed.String()
-	r.ServedToClients = w.HTTP.Served.Load()
-	if r.Twice = w.Till.Twice(); len(r.Twice) > 0 {
-		r.Broken = append(r.Broken, fmt.Sprintf("tickets ran twice: %v", r.Twice))
+	r.recount(s.JournalDir, "at the end")
+	r.HTTP, r.Faktory = w.HTTPAnswers.String(), w.FaktoryAnswers.String()
+	r.ServedToClients = w.HTTPAnswers.Served.Load()
+	if r.RunTwice = w.RunLog.RunTwice(); len(r.RunTwice) > 0 {
+		r.Violations = append(r.Violations, fmt.Sprintf("tickets ran twice: %v", r.RunTwice))
 	}
-	f, err := journal.ReadFolder(s.Folder)
+	f, err := journal.ReadDirectory(s.JournalDir)
 	if err != nil {
 		return r, err
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.Broken = append(r.Broken, complaints...)
+	r.Violations = append(r.Violations, complaints...)
 	for _, row := range rows {
 		if row.By[0] == "http" {
 			r.ServedByJournal = row.Outcome(accounting.Served)
@@ -150,7 +150,7 @@
 	// then the journal has more.
 	r.Lost = max(0, r.ServedToClients-r.ServedByJournal)
 	if most := int64(r.Kills) * int64(1+s.Rate*mostLost.Seconds()*4); r.Lost > most {
-		r.Broken = append(r.Broken, fmt.Sprintf("clients read %d answers that the journal does not have, more than the %d that %d kills may take", r.Lost, most, r.Kills))
+		r.Violations = append(r.Violations, fmt.Sprintf("clients read %d answers that the journal does not have, more than the %d that %d kills may take", r.Lost, most, r.Kills))
 	}
 	return r, ctx.Err()
 }
@@ -161,7 +161,7 @@
 // killWorkers kills workers at random times until it has killed enough.
 func killWorkers(w *demo.World, s Settings, stop <-chan struct{}) (n int) {
 	random := rand.New(rand.NewPCG(s.Seed, 29))
-	for left := s.Workers; left > 0; left-- {
+	for left := s.WorkerKills; left > 0; left-- {
 		wait := time.Until(s.Until) / time.Duration(left) * time.Duration(random.IntN(2000)) / 1000
 		select {
 		case <-stop:
@@ -195,28 +195,28 @@
 		return // it starts
 	}
 	defer resp.Body.Close()
-	var s metrics.State
+	var s metrics.AuditState
 	if json.NewDecoder(resp.Body).Decode(&s) != nil {
 		return
 	}
 	r.Audits++
 	r.Differences += int64(len(s.Differences))
 	for _, d := range s.Differences {
-		r.Broken = append(r.Broken, d.String())
+		r.Violations = append(r.Violations, d.String())
 	}
 }
 
 func (r *Result) recount(folder, when string) {
-	f, err := journal.ReadFolder(folder)
+	f, err := journal.ReadDirectory(folder)
 	if err == nil {
 		r.Journal, err = journal.Verify(f)
 	}
 	if err != nil {
-		r.Broken = append(r.Broken, when+": "+err.Error())
+		r.Violations = append(r.Violations, when+": "+err.Error())
 		return
 	}
-	for _, wrong := range r.Journal.Wrong {
-		r.Broken = append(r.Broken, when+": "+wrong)
+	for _, wrong := range r.Journal.Inconsistencies {
+		r.Violations = append(r.Violations, when+": "+wrong)
 	}
 }
 
@@ -234,20 +234,20 @@
 // Write tells the result, and fails if anything was broken.
 func (r *Result) Write(out io.Writer) error {
 	fmt.Fprintf(out, "%d kills, %d starts, %d workers killed, %d audits with %d differences\n", r.Kills, r.Starts, r.WorkerKills, r.Audits, r.Differences)
-	fmt.Fprintf(out, "HTTP clients: %s\nFaktory clients: %s\n", r.HTTP, r.Pushed)
+	fmt.Fprintf(out, "HTTP clients: %s\nFaktory clients: %s\n", r.HTTP, r.Faktory)
 	if v := r.Journal; v != nil {
 		t := &v.Totals
 		fmt.Fprintf(out, "journal: %d segments, %d epochs, %d jobs, %d marks; %d taken = %d served + %d refused + %d failed (%d cut off) + %d open\n",
-			v.Segments, v.Epochs, v.Jobs, v.Marks, t.Taken, t.By(accounting.Served), t.By(accounting.Refused), t.By(accounting.Failed), t.Ends[accounting.CutOff], t.Open)
+			v.Segments, v.Epochs, v.Jobs, v.Checkpoints, t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Ends[accounting.Crashed], t.Open)
 	}
 	fmt.Fprintf(out, "served by HTTP: %d answers read, %d in the journal\n", r.ServedToClients, r.ServedByJournal)
 	if n := len(r.RSS); n > 0 {
 		fmt.Fprintf(out, "resident memory before a kill: first %d kB, last %d kB\n", r.RSS[0], r.RSS[n-1])
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintln(out, "BROKEN:", b)
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		return errors.New("the soak found something broken")
 	}
 	fmt.Fprintln(out, "nothing broken")
--- a/internal/dispatcher/textchart/chart.go
+++ b/internal/dispatcher/textchart/chart.go
@@ -16,17 +16,17 @@
 type Chart struct {
 	Title, X, Y string
 	Time        bool     // X is seconds since 1970
-	Names       []string // X is numbers of these
+	Categories  []string // X is numbers of these
 	Lines       []Line
 }
 
 // Line is one line of a chart.
 type Line struct {
-	Name   string
-	Points plotter.XYs
-	Spread []float64 // up and down of each point; nil: none
-	Dashed bool
-	Colour int // of those there are; below 0: by the line's place
+	Name        string
+	Points      plotter.XYs
+	ErrorBars   []float64 // up and down of each point; nil: none
+	Dashed      bool
+	ColourIndex int // of those there are; below 0: by the line's place
 }
 
 var colours = []color.Color{
@@ -44,17 +44,17 @@
 	if c.Time {
 		p.X.Tick.Marker = plot.TimeTicks{Format: "01-02\n15:04", Time: plot.UTCUnixTime}
 	}
-	if c.Names != nil {
+	if c.Categories != nil {
 		p.X.Tick.Marker = plot.TickerFunc(func(_, _ float64) (ticks []plot.Tick) {
-			for i, n := range c.Names {
+			for i, n := range c.Categories {
 				ticks = append(ticks, plot.Tick{Value: float64(i), Label: n})
 			}
 			return ticks
 		})
 	}
 	for n, l := range c.Lines {
-		if l.Colour < 0 {
-			l.Colour = n
+		if l.ColourIndex < 0 {
+			l.ColourIndex = n
 		}
 		if err := l.add(p); err != nil {
 			return fmt.Errorf("drawing %s: %w", name, err)
@@ -71,21 +71,21 @@
 	if err != nil {
 		return err
 	}
-	line.Color = colours[l.Colour%len(colours)]
+	line.Color = colours[l.ColourIndex%len(colours)]
 	dots.Color, dots.Radius = line.Color, vg.Points(1.5)
 	if l.Dashed {
 		line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	}
 	p.Add(line, dots)
 	p.Legend.Add(l.Name, line)
-	if l.Spread == nil {
+	if l.ErrorBars == nil {
 		return nil
 	}
 	errs := struct {
 		plotter.XYs
 		plotter.YErrors
 	}{XYs: l.Points}
-	for _, e := range l.Spread {
+	for _, e := range l.ErrorBars {
 		errs.YErrors = append(errs.YErrors, struct{ Low, High float64 }{e, e})
 	}
 	bars, err := plotter.NewYErrorBars(errs)
--- a/internal/dispatcher/top/top.go
+++ b/internal/dispatcher/top/top.go
@@ -20,8 +20,8 @@
 	tea "github.com/charmbracelet/bubbletea"
 )
 
-// Reading is what was read at a moment. What could not be read has an error.
-type Reading struct {
+// Sample is what was read at a moment. What could not be read has an error.
+type Sample struct {
 	At       time.Time
 	Figures  *metrics.Report
 	Faktory  *client.Info
@@ -30,17 +30,17 @@
 }
 
 // Source reads a dispatcher. An empty address is not read.
-type Source struct{ Figures, Faktory, Password string }
+type Source struct{ MetricsAddr, FaktoryAddr, Password string }
 
 const readWithin = 2 * time.Second
 
 // Read reads now.
-func (s Source) Read(now time.Time) (r Reading) {
+func (s Source) Read(now time.Time) (r Sample) {
 	r.At = now
-	if s.Figures != "" {
+	if s.MetricsAddr != "" {
 		r.Figures = new(metrics.Report)
 		web := http.Client{Timeout: readWithin}
-		resp, err := web.Get("http://" + s.Figures + "/figures")
+		resp, err := web.Get("http://" + s.MetricsAddr + "/figures")
 		if err == nil {
 			err = json.NewDecoder(resp.Body).Decode(r.Figures)
 			resp.Body.Close()
@@ -49,14 +49,14 @@
 			r.Figures, r.Problems = nil, append(r.Problems, "figures: "+err.Error())
 		}
 	}
-	if s.Faktory != "" {
+	if s.FaktoryAddr != "" {
 		until := now.Add(readWithin)
 		r.Faktory = new(client.Info)
-		conn, err := client.Dial(s.Faktory, s.Password, until)
+		conn, err := client.Dial(s.FaktoryAddr, s.Password, until)
 		if err == nil {
 			defer conn.Close()
-			if err = conn.Ask("INFO", r.Faktory, until); err == nil {
-				err = conn.Ask("SHOW workers", &r.Workers, until)
+			if err = conn.Query("INFO", r.Faktory, until); err == nil {
+				err = conn.Query("SHOW workers", &r.Workers, until)
 			}
 		}
 		if err != nil {
@@ -70,8 +70,8 @@
 type Model struct {
 	source Source
 	every  time.Duration
-	last   Reading
-	before Reading
+	last   Sample
+	before Sample
 	paused bool
 	height int
 	by     int // the first dimension of the table
@@ -103,7 +103,7 @@
 		}
 	case tea.WindowSizeMsg:
 		m.height = msg.Height
-	case Reading:
+	case Sample:
 		m.before, m.last = m.last, msg
 		if !m.paused {
 			return m, tea.Tick(m.every, func(time.Time) tea.Msg { return tick{} })
@@ -162,9 +162,9 @@
 		verdict = "THE ACCOUNT DOES NOT ADD UP: " + r.Audit.Differences[0].String()
 	}
 	fmt.Fprintf(b, "\n%s up %s   taken %d = served %d + refused %d + failed %d + open %d   %s\n", r.Name, r.Account.At.Sub(r.Started).Round(time.Second),
-		t.Taken, t.By(accounting.Served), t.By(accounting.Refused), t.By(accounting.Failed), t.Open, verdict)
+		t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open, verdict)
 	fmt.Fprintf(b, "a second: taken %.1f, served %.1f, refused %.1f, failed %.1f\n", m.rate(t.Taken, old.Taken),
-		m.rate(t.By(accounting.Served), old.By(accounting.Served)), m.rate(t.By(accounting.Refused), old.By(accounting.Refused)), m.rate(t.By(accounting.Failed), old.By(accounting.Failed)))
+		m.rate(t.EndedAs(accounting.Served), old.EndedAs(accounting.Served)), m.rate(t.EndedAs(accounting.Refused), old.EndedAs(accounting.Refused)), m.rate(t.EndedAs(accounting.Failed), old.EndedAs(accounting.Failed)))
 	if j := r.Journal; j != nil && j.Stopped {
 		fmt.Fprintf(b, "! the journal has stopped: %s\n", j.Why)
 	}
@@ -246,7 +246,7 @@
 		if x.Quiet {
 			name += " (quiet)"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s ago\t%s\n", name, x.Host, x.Holding, x.Connections, m.last.At.Sub(x.Beat).Round(time.Second), strings.Join(x.Queues, " "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s ago\t%s\n", name, x.Host, x.HeldJobs, x.Connections, m.last.At.Sub(x.LastHeartbeat).Round(time.Second), strings.Join(x.Queues, " "))
 	}
 	w.Flush()
 }
--- a/internal/shared/admission/admission.go
+++ b/internal/shared/admission/admission.go
@@ -20,8 +20,8 @@
 // Known tells whether any value was seen.
 func (a *Average) Known() bool { return a.Count > 0 }
 
-// Shrunk is what remains of a budget after a time-out, a slowing or a refusal.
-func Shrunk(budget, part, least float64) float64 { return max(budget*part, least) }
+// ShrunkBudget is what remains of a budget after a time-out, a slowing or a refusal.
+func ShrunkBudget(budget, part, least float64) float64 { return max(budget*part, least) }
 
 // Rank is the place of a piece of ready work in the order in which work leaves.
 type Rank struct {
--- a/internal/shared/admission/budget.go
+++ b/internal/shared/admission/budget.go
@@ -14,19 +14,19 @@
 	costsWindow = 200.0
 )
 
-// Means is the moving mean of the costs of what was started, which budgets are counted in.
-type Means struct{ cost Average }
+// MeanCost is the moving mean of the costs of what was started, which budgets are counted in.
+type MeanCost struct{ cost Average }
 
 // Add takes in the cost of a task that was started. One without a cost tells nothing of the
 // others'.
-func (m *Means) Add(cost float64) {
+func (m *MeanCost) Add(cost float64) {
 	if cost > 0 {
 		m.cost.Add(cost, costsWindow)
 	}
 }
 
 // Mean returns the mean cost; 1 while nothing is known.
-func (m *Means) Mean() float64 {
+func (m *MeanCost) Mean() float64 {
 	if !m.cost.Known() {
 		return 1
 	}
@@ -41,9 +41,9 @@
 	lastCut time.Duration
 }
 
-// Room returns what the budget leaves beside what is out. While no cost is known the budget
+// Headroom returns what the budget leaves beside what is out. While no cost is known the budget
 // is not set, and it leaves everything.
-func (b *Budget) Room(out float64, means *Means) float64 {
+func (b *Budget) Headroom(out float64, means *MeanCost) float64 {
 	if b.amount == 0 && !means.cost.Known() {
 		return math.MaxFloat64
 	}
@@ -53,7 +53,7 @@
 
 // set begins a budget with a few mean costs beside what is out: where that comes from an
 // earlier dispatcher, its budget had let it out, and the runner carries it.
-func (b *Budget) set(out float64, means *Means) {
+func (b *Budget) set(out float64, means *MeanCost) {
 	if b.amount == 0 {
 		b.amount = out + startMeans*means.Mean()
 	}
@@ -63,8 +63,8 @@
 // by itself: what runs at its runner may last, and end no run that would let it grow.
 const growAfter = 400 * time.Millisecond
 
-// HeldBack notes that the budget kept work of that cost from its runner.
-func (b *Budget) HeldBack(now time.Duration, cost, most float64) {
+// NoteBlocked notes that the budget kept work of that cost from its runner.
+func (b *Budget) NoteBlocked(now time.Duration, cost, most float64) {
 	if !b.full {
 		b.full, b.since = true, now
 		return
@@ -84,11 +84,11 @@
 }
 
 // Shrink cuts the budget, once for all that was sent in one round trip.
-func (b *Budget) Shrink(sentAt, now time.Duration, means *Means) {
+func (b *Budget) Shrink(sentAt, now time.Duration, means *MeanCost) {
 	if sentAt < b.lastCut {
 		return
 	}
 	b.set(0, means)
-	b.amount = Shrunk(b.amount, shrinkPart, leastMeans*means.Mean())
+	b.amount = ShrunkBudget(b.amount, shrinkPart, leastMeans*means.Mean())
 	b.lastCut = now
 }
--- a/internal/shared/admission/costs.go
+++ b/internal/shared/admission/costs.go
@@ -6,8 +6,8 @@
 	outlier    = 3.0 // a run so many times off the expected one counts as this much
 )
 
-// Type names what is alike: the tasks of one step of one queue's jobs.
-type Type struct {
+// TaskType names what is alike: the tasks of one step of one queue's jobs.
+type TaskType struct {
 	Queue string
 	Step  int
 }
@@ -18,18 +18,20 @@
 	ratio Average // run times beside their estimates
 }
 
-// Costs learns run times, in seconds.
-type Costs struct {
-	types map[Type]*typeCosts
+// RunTimeEstimates learns run times, in seconds.
+type RunTimeEstimates struct {
+	types map[TaskType]*typeCosts
 	all   Average
 }
 
-// NewCosts returns costs that know nothing.
-func NewCosts() *Costs { return &Costs{types: map[Type]*typeCosts{}} }
+// NewRunTimeEstimates returns costs that know nothing.
+func NewRunTimeEstimates() *RunTimeEstimates {
+	return &RunTimeEstimates{types: map[TaskType]*typeCosts{}}
+}
 
 // Expect returns the run time to expect of a task, in seconds. A type that was not seen
 // starts at the estimate, and where there is none at the mean of all that was.
-func (c *Costs) Expect(of Type, estimate float64) float64 {
+func (c *RunTimeEstimates) Expect(of TaskType, estimate float64) float64 {
 	known := c.types[of]
 	switch {
 	case estimate > 0 && (known == nil || !known.ratio.Known()):
@@ -45,7 +47,7 @@
 }
 
 // Learn takes in how long a run took, in seconds.
-func (c *Costs) Learn(of Type, estimate, run float64) {
+func (c *RunTimeEstimates) Learn(of TaskType, estimate, run float64) {
 	known := c.types[of]
 	if known == nil {
 		known = &typeCosts{}
--- a/internal/shared/admission/speeds.go
+++ b/internal/shared/admission/speeds.go
@@ -11,11 +11,11 @@
 	speedMost   = 3.0  // a run so many times longer or shorter than its peers counts as this much
 )
 
-// Speed is what is known of one runner's speed.
-type Speed struct{ average Average }
+// RunTimeFactor is what is known of one runner's speed.
+type RunTimeFactor struct{ average Average }
 
-// Now returns how long tasks take at the runner beside their peers; 1 while that is not known.
-func (s *Speed) Now() float64 {
+// Value returns how long tasks take at the runner beside their peers; 1 while that is not known.
+func (s *RunTimeFactor) Value() float64 {
 	if s.average.Count < speedKnown {
 		return 1
 	}
@@ -24,23 +24,23 @@
 
 // PeerRun is a run of a step's task that ended well.
 type PeerRun struct {
-	Speed *Speed  // of its runner
-	Took  float64 // seconds near its data
+	Factor *RunTimeFactor // of its runner
+	Took   float64        // seconds near its data
 }
 
-// LearnSpeeds takes in how long the runs of one complete step took.
-func LearnSpeeds(peers []PeerRun) {
+// LearnRunTimeFactors takes in how long the runs of one complete step took.
+func LearnRunTimeFactors(peers []PeerRun) {
 	if len(peers) < leastPeers {
 		return
 	}
 	work := 0.0
 	for _, peer := range peers {
-		work += peer.Took / peer.Speed.Now() / float64(len(peers))
+		work += peer.Took / peer.Factor.Value() / float64(len(peers))
 	}
 	if work <= 0 {
 		return
 	}
 	for _, peer := range peers {
-		peer.Speed.average.Add(min(max(peer.Took/work, 1/speedMost), speedMost), speedWindow)
+		peer.Factor.average.Add(min(max(peer.Took/work, 1/speedMost), speedMost), speedWindow)
 	}
 }
--- a/internal/shared/failuretest/witness.go
+++ b/internal/shared/failuretest/witness.go
@@ -24,9 +24,9 @@
 	panic(stopped{})
 }
 
-// Catch runs a function whose checks call Fatalf, and returns what the first that failed
+// CatchFatal runs a function whose checks call Fatalf, and returns what the first that failed
 // said; empty: none did.
-func Catch(t testing.TB, run func(t testing.TB)) (failed string) {
+func CatchFatal(t testing.TB, run func(t testing.TB)) (failed string) {
 	seen := &witness{TB: t}
 	defer func() {
 		if r := recover(); r != nil {
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -12,7 +12,7 @@
 //
 // What a named test does changes no verdict. More than three lines, a line of
 // another form and one that names no existing test end the check with status 1.
-package knownred
+package main
 
 import (
 	"bytes"
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -1,4 +1,4 @@
-package knownred
+package main
 
 import (
 	"bytes"
