--- /dev/null
+++ b/coord/replica/election.go
@@ -0,0 +1,148 @@
+package replica
+
+import "time"
+
+// campaignReason says why a candidate's voters may disregard a leader's lease; the zero value: they
+// may not.
+type campaignReason struct {
+	leaseGivenUp bool // the leader gave its lease up in a transfer of its leadership
+	coldStart    bool // all voters have restarted, so that no lease is left
+}
+
+// campaign begins an election, or as PreCandidate the pre-vote before it.
+func (n *Node) campaign(now time.Duration, role Role, reason campaignReason) {
+	if !n.Membership().IsVoter(n.id) {
+		return
+	}
+	term, kind := n.hardState.Term+1, PreVoteRequest
+	if role == Candidate {
+		n.setHardState(term, n.id)
+		kind = VoteRequest
+	}
+	n.role, n.leaderID, n.progress = role, "", nil
+	n.votes = map[string]bool{n.id: true}
+	n.resetElectionTimer(now)
+	lastIndex := n.log.last()
+	for _, voter := range n.otherVoters() {
+		n.sendAfterSync(Message{
+			Kind: kind, To: voter, Term: term, Index: lastIndex, LogTerm: n.log.term(lastIndex),
+			Handover: reason.leaseGivenUp, Fresh: reason.coldStart, Life: n.coldStart.responses[voter].Life,
+		})
+	}
+	n.countVotes(now)
+}
+
+// otherVoters lists the IDs of the other members that vote, in a fixed order.
+func (n *Node) otherVoters() []string {
+	var ids []string
+	members := n.Membership()
+	for _, member := range members.AllMembers() {
+		if member.ID != n.id && members.IsVoter(member.ID) {
+			ids = append(ids, member.ID)
+		}
+	}
+	return ids
+}
+
+// supportsLeader tells whether this node's contact to a leader is so recent that it must not help
+// another candidate: the leader's lease rests on it (dissertation 4.2.3 and 6.4.1).
+func (n *Node) supportsLeader(now time.Duration, request Message) bool {
+	if request.Handover || request.Fresh && !n.hadLeader && request.Life == n.incarnation {
+		return false
+	}
+	ownSupportEnd := n.leaseExpiry - n.timing.LeaseDuration + n.timing.MinElectionTimeout
+	return n.role == Leader && now < ownSupportEnd || now < n.lastLeaderContact+n.timing.MinElectionTimeout
+}
+
+// isUpToDate tells whether a candidate's log is at least as complete as this node's (paper, section
+// 5.4.1).
+func (n *Node) isUpToDate(request Message) bool {
+	last := n.log.last()
+	lastTerm := n.log.term(last)
+	return request.LogTerm > lastTerm || request.LogTerm == lastTerm && request.Index >= last
+}
+
+func (n *Node) handleVoteRequest(now time.Duration, request Message) {
+	if n.supportsLeader(now, request) {
+		return
+	}
+	if request.Kind == PreVoteRequest {
+		n.respondToPreVote(request)
+		return
+	}
+	if request.Term < n.hardState.Term {
+		return
+	}
+	if request.Term > n.hardState.Term {
+		n.enterTerm(now, request.Term)
+	}
+	mayVote := n.hardState.Vote == "" || n.hardState.Vote == request.From
+	if !mayVote || !n.isUpToDate(request) {
+		return
+	}
+	if n.hardState.Vote == "" {
+		n.setHardState(n.hardState.Term, request.From)
+	}
+	n.resetElectionTimer(now)
+	n.sendAfterSync(Message{Kind: VoteResponse, To: request.From})
+}
+
+// respondToPreVote grants a pre-vote, which changes nothing here, or tells a candidate of an older
+// term the newer one: without it, a candidate with the more complete log could wait for ever on a
+// voter with the newer term.
+func (n *Node) respondToPreVote(request Message) {
+	switch {
+	case request.Term <= n.hardState.Term:
+		n.send(Message{Kind: PreVoteResponse, To: request.From, Reject: true})
+	case n.isUpToDate(request):
+		n.send(Message{Kind: PreVoteResponse, To: request.From, Term: request.Term})
+	}
+}
+
+func (n *Node) handlePreVoteResponse(now time.Duration, response Message) {
+	if response.Reject {
+		if response.Term > n.hardState.Term {
+			n.enterTerm(now, response.Term)
+		}
+		return
+	}
+	if n.role != PreCandidate || response.Term != n.hardState.Term+1 {
+		return
+	}
+	n.votes[response.From] = true
+	n.countVotes(now)
+}
+
+func (n *Node) handleVoteResponse(now time.Duration, response Message) {
+	if n.role != Candidate {
+		return
+	}
+	n.votes[response.From] = true
+	n.countVotes(now)
+}
+
+func (n *Node) countVotes(now time.Duration) {
+	granted := majority(n.Membership(), func(id string) int {
+		if n.votes[id] {
+			return 1
+		}
+		return 0
+	})
+	if granted == 0 {
+		return
+	}
+	if n.role == PreCandidate {
+		n.campaign(now, Candidate, campaignReason{})
+		return
+	}
+	n.becomeLeader(now)
+}
+
+func (n *Node) becomeLeader(now time.Duration) {
+	n.role, n.leaderID, n.votes, n.hadLeader = Leader, n.id, nil, true
+	n.leaseExpiry, n.leaderSince, n.transferee = 0, now, ""
+	n.progress = nil
+	n.trackMembers(now)
+	n.termStartIndex = n.appendAsLeader(now, Entry{Kind: EntryNoop})
+	n.heartbeatDue = now + n.timing.HeartbeatInterval
+}
--- a/coord/replica/log.go
+++ b/coord/replica/log.go
@@ -2,60 +2,74 @@
 
 import "slices"
 
-// log holds the entries after a snapshot, in memory.
-type log struct {
-	base    Snapshot // Data is empty once it is installed
-	entries []Entry  // the first has index base.Index+1, or the base was moved within them
-	first   uint64   // index of entries[0]
-	before  uint64   // term of the entry before that
-	stable  uint64   // last index that is on this replica's disk
+// maxAppendBytes bounds the data of the entries of one message, except for its first entry.
+const maxAppendBytes = 256 << 10
+
+// LogRetention bounds what stays in memory of the entries that a snapshot stands for. Entries and
+// Bytes hold both.
+type LogRetention struct {
+	Entries uint64
+	Bytes   int // of the entries' data
+	// AfterIndex keeps all entries after this index, whatever the other bounds; 0: none.
+	AfterIndex uint64
 }
 
-func (l *log) reset(snapshot Snapshot) {
+// raftLog holds in memory the log after a snapshot, and some of the entries before that.
+type raftLog struct {
+	snapshot  Snapshot // the newest one, without its Data
+	entries   []Entry  // without a gap; they may begin before the snapshot's index, never later than just after it
+	first     uint64   // index of entries[0], or of the next entry where there are none
+	priorTerm uint64   // term of the entry before first
+	stable    uint64   // highest index on this replica's disk
+}
+
+// reset begins the log anew after a snapshot.
+func (l *raftLog) reset(snapshot Snapshot) {
 	snapshot.Data = nil
-	l.base, l.entries, l.first, l.stable = snapshot, nil, snapshot.Index+1, snapshot.Index
-	l.before = snapshot.Term
+	l.snapshot, l.entries, l.first, l.stable = snapshot, nil, snapshot.Index+1, snapshot.Index
+	l.priorTerm = snapshot.Term
 }
 
-func (l *log) last() uint64 { return l.first + uint64(len(l.entries)) - 1 }
+func (l *raftLog) last() uint64 { return l.first + uint64(len(l.entries)) - 1 }
 
 // term returns the term of the entry at an index; zero: it is not known here.
-func (l *log) term(index uint64) uint64 {
+func (l *raftLog) term(index uint64) uint64 {
 	switch {
 	case index >= l.first && index <= l.last():
 		return l.entries[index-l.first].Term
-	case index == l.base.Index:
-		return l.base.Term
+	case index == l.snapshot.Index:
+		return l.snapshot.Term
 	case index == l.first-1:
-		return l.before
+		return l.priorTerm
 	}
 	return 0
 }
 
 // has tells whether the log holds that entry, or a snapshot that stands for it.
-func (l *log) has(index, term uint64) bool {
-	return index == 0 || index < l.base.Index || l.term(index) == term
+func (l *raftLog) has(index, term uint64) bool {
+	return index == 0 || index < l.snapshot.Index || l.term(index) == term
 }
 
-func (l *log) slice(from, to uint64) []Entry { return l.entries[from-l.first : to-l.first+1] }
+// slice returns the entries from one index to another, both included; the log must hold them.
+func (l *raftLog) slice(from, to uint64) []Entry { return l.entries[from-l.first : to-l.first+1] }
 
-// append takes entries in; the first one's index cuts off what was there.
-func (l *log) append(entries []Entry) {
+// append adds entries; the first one's index cuts off what was there.
+func (l *raftLog) append(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
-	keep := entries[0].Index - l.first
-	if keep < uint64(len(l.entries)) { // what was handed out before must stay as it was
-		l.entries = slices.Clip(l.entries[:keep])
+	kept := entries[0].Index - l.first
+	if kept < uint64(len(l.entries)) { // slices that were handed out must not change
+		l.entries = slices.Clip(l.entries[:kept])
 	}
 	l.entries = append(l.entries, entries...)
 	l.stable = min(l.stable, entries[0].Index-1)
 }
 
-// conflict returns the entries that the log lacks or holds otherwise.
-func (l *log) conflict(entries []Entry) []Entry {
+// conflict returns the entries from the first on that the log lacks or has otherwise.
+func (l *raftLog) conflict(entries []Entry) []Entry {
 	for i, entry := range entries {
-		if entry.Index <= l.base.Index {
+		if entry.Index <= l.snapshot.Index {
 			continue
 		}
 		if entry.Index > l.last() || l.term(entry.Index) != entry.Term {
@@ -65,8 +79,8 @@
 	return nil
 }
 
-// batch returns entries from an index on, within the bound on one message.
-func (l *log) batch(from uint64) []Entry {
+// batch returns the entries from an index on that go in one message.
+func (l *raftLog) batch(from uint64) []Entry {
 	if from > l.last() {
 		return nil
 	}
@@ -81,9 +95,9 @@
 	return rest
 }
 
-// beforeTermOf returns the index before the first entry of the term that the log has at an
-// index: a leader that has another entry there skips the whole term at once.
-func (l *log) beforeTermOf(index uint64) uint64 {
+// indexBeforeTermOf returns the index before the first entry of the term at an index: a leader that
+// has another entry there skips the whole term at once (paper, end of section 5.3).
+func (l *raftLog) indexBeforeTermOf(index uint64) uint64 {
 	term := l.term(index)
 	if term == 0 {
 		return index - 1
@@ -94,54 +108,59 @@
 	return index - 1
 }
 
-func (l *log) compact(snapshot Snapshot, keep LogRetention) {
-	if snapshot.Index <= l.base.Index {
+// compact moves to a newer snapshot and drops entries that it stands for.
+func (l *raftLog) compact(snapshot Snapshot, retention LogRetention) {
+	if snapshot.Index <= l.snapshot.Index {
 		return
 	}
 	snapshot.Data = nil
-	l.base = snapshot
-	first := l.firstKept(snapshot.Index, keep)
+	l.snapshot = snapshot
+	first := l.firstRetained(snapshot.Index, retention)
 	if first <= l.first {
 		return
 	}
-	l.before = l.term(first - 1)
-	l.entries = append([]Entry(nil), l.entries[first-l.first:]...)
+	l.priorTerm = l.term(first - 1)
+	l.entries = append([]Entry(nil), l.entries[first-l.first:]...) // a copy, so that the dropped ones are freed
 	l.first = first
 }
 
-// firstKept returns the first index to keep of those up to a snapshot's.
-func (l *log) firstKept(upTo uint64, keep LogRetention) uint64 {
-	first, size := upTo+1, 0
-	for first > l.first && upTo-first+1 < keep.Entries {
+// firstRetained returns the first index to keep, of those up to a snapshot's.
+func (l *raftLog) firstRetained(snapshotIndex uint64, retention LogRetention) uint64 {
+	first, size := snapshotIndex+1, 0
+	for first > l.first && snapshotIndex-first+1 < retention.Entries {
 		size += len(l.entries[first-1-l.first].Data)
-		if size > keep.Bytes {
+		if size > retention.Bytes {
 			break
 		}
 		first--
 	}
-	if keep.AfterIndex > 0 {
-		first = min(first, keep.AfterIndex+1)
+	if retention.AfterIndex > 0 {
+		first = min(first, retention.AfterIndex+1)
 	}
 	return max(first, l.first)
 }
 
-func (l *log) membership() Membership { return l.membershipAt(l.last()) }
+// membership returns the newest membership, committed or not.
+func (l *raftLog) membership() Membership { return l.membershipAt(l.last()) }
 
-func (l *log) membershipAt(index uint64) Membership {
+// membershipAt returns the membership in force at an index.
+func (l *raftLog) membershipAt(index uint64) Membership {
 	for i := len(l.entries) - 1; i >= 0; i-- {
-		entry := l.entries[i]
-		if entry.Index <= index && entry.Index > l.base.Index && entry.Kind == EntryMembership {
+		entry := &l.entries[i]
+		if entry.Index <= index && entry.Index > l.snapshot.Index && entry.Kind == EntryMembership {
 			return *entry.Membership
 		}
 	}
-	return l.base.Membership
+	return l.snapshot.Membership
 }
 
-func (l *log) membershipIndex() uint64 {
+// membershipIndex returns the index of the newest membership.
+func (l *raftLog) membershipIndex() uint64 {
 	for i := len(l.entries) - 1; i >= 0; i-- {
-		if l.entries[i].Kind == EntryMembership {
-			return l.entries[i].Index
+		entry := &l.entries[i]
+		if entry.Kind == EntryMembership {
+			return entry.Index
 		}
 	}
-	return l.base.Index
+	return l.snapshot.Index
 }
--- a/coord/replica/membership.go
+++ b/coord/replica/membership.go
@@ -1,26 +1,36 @@
 package replica
 
-import "slices"
+import (
+	"cmp"
+	"slices"
+	"time"
 
-// Member is one replica of a group. Its ID was drawn when its disk was first used, so that
-// a replica that lost its disk comes back as another member.
+	"basaltloft/coord/replica/quorum"
+)
+
+// Member is one replica of a group.
 type Member struct {
+	// ID is drawn when the replica's disk is first used: a replica that lost its disk comes back as
+	// another member.
 	ID      string
-	Address string // host:port at which it hears its peers
+	Address string // host:port where it receives messages of its peers
 }
 
-// Membership says who votes. While Outgoing is not empty a change is under way, and every
-// decision needs a majority of both sets of voters.
+// Membership is the configuration of a group (dissertation, chapter 4). It is stored and sent by
+// encoding/gob, so that its field names stay. A value is immutable once it is in the log.
 type Membership struct {
-	Voters   []Member
+	Voters []Member
+	// Outgoing are the voters before a change that is under way; empty: there is none. Until it ends
+	// each decision needs a majority of both sets (joint consensus, dissertation 4.3).
 	Outgoing []Member
-	Learners []Member // they receive the log and do not vote
+	// Learners receive the log and have no vote (dissertation 4.2.1).
+	Learners []Member
 }
 
 // IsJoint tells whether a change of the voters is under way.
 func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
-// Find returns the member of that ID, in whatever capacity.
+// Find returns the voter, outgoing voter or learner of that ID.
 func (m Membership) Find(id string) (Member, bool) {
 	for _, set := range [][]Member{m.Voters, m.Outgoing, m.Learners} {
 		if at := indexOf(set, id); at >= 0 {
@@ -30,12 +40,12 @@
 	return Member{}, false
 }
 
-// IsVoter tells whether the member of that ID has a vote.
+// IsVoter tells whether the member of that ID has a vote, in either set.
 func (m Membership) IsVoter(id string) bool {
 	return indexOf(m.Voters, id) >= 0 || indexOf(m.Outgoing, id) >= 0
 }
 
-// AllMembers lists each member once.
+// AllMembers lists each member once: voters, outgoing voters, learners.
 func (m Membership) AllMembers() []Member {
 	var all []Member
 	for _, set := range [][]Member{m.Voters, m.Outgoing, m.Learners} {
@@ -48,8 +58,8 @@
 	return all
 }
 
-// WithLearner returns the membership with one more learner. A learner that was at the same
-// address has lost its disk and leaves.
+// WithLearner returns the membership with one more learner. A learner that was at the same address
+// has lost its disk and is removed.
 func (m Membership) WithLearner(learner Member) Membership {
 	next := m
 	next.Learners = nil
@@ -62,8 +72,8 @@
 	return next
 }
 
-// EnterJoint returns the joint membership in which a learner becomes a voter in place of
-// leaving; an empty leaving only adds the learner.
+// EnterJoint returns the joint membership in which a learner becomes a voter in place of the voter
+// with the ID leaving; an empty ID only adds the learner.
 func (m Membership) EnterJoint(leaving string, learner Member) Membership {
 	next := Membership{Outgoing: m.Voters}
 	for _, voter := range m.Voters {
@@ -85,28 +95,54 @@
 	return Membership{Voters: m.Voters, Learners: m.Learners}
 }
 
-// quorum returns the largest value that a majority of each set of voters has reached.
-func (m Membership) quorum(value func(id string) int64) int64 {
-	reached := majorityOf(m.Voters, value)
+// majority returns the largest value that a majority of each set of voters has reached.
+func majority[V cmp.Ordered](m Membership, value func(id string) V) V {
+	reached := quorum.Majority(valuesOf(m.Voters, value))
 	if m.IsJoint() {
-		reached = min(reached, majorityOf(m.Outgoing, value))
+		reached = min(reached, quorum.Majority(valuesOf(m.Outgoing, value)))
 	}
 	return reached
 }
 
-// majorityOf returns the largest value that more than half of the members have reached.
-func majorityOf(members []Member, value func(id string) int64) int64 {
-	if len(members) == 0 {
-		return 0
-	}
-	values := make([]int64, len(members))
+func valuesOf[V any](members []Member, value func(id string) V) []V {
+	values := make([]V, len(members))
 	for i, member := range members {
 		values[i] = value(member.ID)
 	}
-	slices.Sort(values)
-	return values[(len(values)-1)/2]
+	return values
 }
 
 func indexOf(members []Member, id string) int {
 	return slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 }
+
+// ChangeMembers proposes a membership at the leader; false: this node is not the leader, transfers
+// its leadership, or another change is not committed yet. A change is also refused before the
+// leader has committed an entry of its own term: an uncommitted change of an earlier term may
+// exist elsewhere (dissertation 4.1 and Ongaro's correction of 2015).
+//
+// A joint membership is left by the leader itself, as soon as it is committed.
+func (n *Node) ChangeMembers(now time.Duration, next Membership) bool {
+	if n.role != Leader || n.transferee != "" || n.log.membershipIndex() > n.commit || n.applied < n.termStartIndex {
+		return false
+	}
+	n.appendAsLeader(now, Entry{Kind: EntryMembership, Membership: &next})
+	return true
+}
+
+// finishMembershipChange goes on with a change once its membership is committed: a joint one is
+// left, and a leader that is no voter any more steps down (dissertation 4.2.2).
+func (n *Node) finishMembershipChange(now time.Duration) {
+	if n.log.membershipIndex() > n.commit {
+		return
+	}
+	members := n.Membership()
+	if members.IsJoint() {
+		settled := members.LeaveJoint()
+		n.appendAsLeader(now, Entry{Kind: EntryMembership, Membership: &settled})
+		return
+	}
+	if !members.IsVoter(n.id) {
+		n.becomeFollower(now, "")
+	}
+}
--- /dev/null
+++ b/coord/replica/replication.go
@@ -0,0 +1,233 @@
+package replica
+
+import (
+	"time"
+
+	"basaltloft/coord/replica/progress"
+)
+
+// Propose appends a command at the leader. It returns the index and term that the command will have
+// if it is committed; false: this node is not the leader, or transfers its leadership.
+func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
+	if n.role != Leader || n.transferee != "" {
+		return 0, 0, false
+	}
+	return n.appendAsLeader(now, Entry{Kind: EntryCommand, Data: data}), n.hardState.Term, true
+}
+
+// Match returns the highest index that a member is known to have on its disk; 0 at a node that is
+// not the leader.
+func (n *Node) Match(id string) uint64 {
+	if peer := n.progress[id]; peer != nil {
+		return peer.Match
+	}
+	return 0
+}
+
+// Lag returns how many entries of this node's log are not known to be on a member's disk.
+func (n *Node) Lag(id string) uint64 {
+	onDisk := n.Match(id)
+	if id == n.id {
+		onDisk = n.log.stable
+	}
+	return n.log.last() - min(onDisk, n.log.last())
+}
+
+// CaughtUp tells whether a member lacks at most so many of the committed entries, as far as this
+// leader knows; false at a node that is not the leader.
+func (n *Node) CaughtUp(id string, within uint64) bool {
+	peer := n.progress[id]
+	return n.role == Leader && peer != nil && peer.Match > 0 && peer.Match+within >= n.commit
+}
+
+// UnresponsiveFor returns how long a member has not responded to this leader; 0 for one that is not
+// tracked.
+func (n *Node) UnresponsiveFor(id string, now time.Duration) time.Duration {
+	peer := n.progress[id]
+	if peer == nil {
+		return 0
+	}
+	return peer.UnresponsiveFor(n.leaderSince, now)
+}
+
+// trackMembers keeps a progress for each other member, and for nobody else.
+func (n *Node) trackMembers(now time.Duration) {
+	if n.progress == nil {
+		n.progress = map[string]*progress.Progress{}
+	}
+	members := n.Membership()
+	for _, member := range members.AllMembers() {
+		if member.ID != n.id && n.progress[member.ID] == nil {
+			n.progress[member.ID] = progress.New(n.log.last()+1, now)
+		}
+	}
+	for id := range n.progress {
+		if _, ok := members.Find(id); !ok {
+			delete(n.progress, id)
+		}
+	}
+}
+
+// trackedMembers lists the IDs of the other members in a fixed order, so that a run can be repeated.
+func (n *Node) trackedMembers() []string {
+	var ids []string
+	for _, member := range n.Membership().AllMembers() {
+		if n.progress[member.ID] != nil {
+			ids = append(ids, member.ID)
+		}
+	}
+	return ids
+}
+
+// appendAsLeader appends an entry of this leader's term and replicates it. It is sent before it is
+// on the leader's own disk (dissertation 10.2.1).
+func (n *Node) appendAsLeader(now time.Duration, entry Entry) (index uint64) {
+	entry.Index, entry.Term = n.log.last()+1, n.hardState.Term
+	n.appendToLog([]Entry{entry})
+	if entry.Kind == EntryMembership {
+		n.trackMembers(now)
+	}
+	for _, id := range n.trackedMembers() {
+		n.replicate(now, id, false)
+	}
+	return entry.Index
+}
+
+// appendToLog appends entries in memory and asks for their write.
+func (n *Node) appendToLog(entries []Entry) {
+	n.log.append(entries)
+	n.ready.Entries = truncateAndAppend(n.ready.Entries, entries)
+}
+
+// truncateAndAppend adds entries to those that are yet to be written; they may replace their tail.
+func truncateAndAppend(pending, entries []Entry) []Entry {
+	for len(pending) > 0 && pending[len(pending)-1].Index >= entries[0].Index {
+		pending = pending[:len(pending)-1]
+	}
+	return append(pending, entries...)
+}
+
+// replicate sends a member the entries that it lacks, or asks for a snapshot where the log does not
+// have them any more. Where there is nothing to send, a heartbeat is sent if one is due.
+func (n *Node) replicate(now time.Duration, id string, heartbeat bool) {
+	peer := n.progress[id]
+	peer.RewindIfLost(n.log.last(), now)
+	if peer.UnresponsiveFor(n.leaderSince, now) > n.timing.MinElectionTimeout {
+		n.probe(now, id, heartbeat) // entries would pile up on the way to it
+		return
+	}
+	previous := peer.Next - 1
+	if previous != 0 && n.log.term(previous) == 0 || peer.Next < n.log.first {
+		n.askForSnapshot(now, id, heartbeat)
+		return
+	}
+	entries := n.log.batch(peer.Next)
+	if len(entries) == 0 && !heartbeat {
+		return
+	}
+	if len(entries) > 0 {
+		peer.RecordSent(entries[len(entries)-1].Index, now)
+	}
+	n.send(Message{
+		Kind: AppendRequest, To: id, Index: previous, LogTerm: n.log.term(previous), Commit: n.commit,
+		Entries: entries, SentAt: now, Addresses: n.introduction(peer),
+	})
+}
+
+// probe sends a heartbeat without entries, if one is due. It commits nothing at the receiver, whose
+// log may end before it.
+func (n *Node) probe(now time.Duration, id string, heartbeat bool) {
+	if !heartbeat {
+		return
+	}
+	n.send(Message{
+		Kind: AppendRequest, To: id, Index: n.commit, LogTerm: n.log.term(n.commit),
+		SentAt: now, Addresses: n.introduction(n.progress[id]),
+	})
+}
+
+// introduction returns the members for one that has acknowledged nothing yet: its log may not name
+// them.
+func (n *Node) introduction(peer *progress.Progress) []Member {
+	if peer.Match > 0 {
+		return nil
+	}
+	return n.Membership().AllMembers()
+}
+
+// askForSnapshot asks the driver, by an empty snapshot, to send the newest one.
+func (n *Node) askForSnapshot(now time.Duration, id string, heartbeat bool) {
+	peer := n.progress[id]
+	if peer.SnapshotPending(now) {
+		n.probe(now, id, heartbeat)
+		return
+	}
+	peer.RecordSnapshotAsked(now)
+	n.send(Message{Kind: InstallSnapshot, To: id, SentAt: now, Snapshot: &Snapshot{}})
+}
+
+// handleAppendRequest is the follower's part of replication (paper, figure 2, AppendEntries).
+func (n *Node) handleAppendRequest(now time.Duration, request Message) {
+	n.acceptLeader(now, request.From)
+	response := Message{Kind: AppendResponse, To: request.From, SentAt: request.SentAt}
+	if !n.log.has(request.Index, request.LogTerm) {
+		response.Reject, response.Index = true, min(n.log.last(), n.log.indexBeforeTermOf(request.Index))
+		n.send(response)
+		return
+	}
+	end := request.Index + uint64(len(request.Entries))
+	if newEntries := n.log.conflict(request.Entries); len(newEntries) > 0 {
+		n.appendToLog(newEntries)
+	}
+	n.commit = max(n.commit, min(request.Commit, end, n.log.last()))
+	switch {
+	case end <= n.log.stable:
+		response.Index = end
+		n.send(response)
+	case len(request.Entries) == 0: // a heartbeat's response must not wait for the disk: the lease rests on it
+		response.Index = min(end, n.log.stable)
+		n.send(response)
+	default:
+		response.Index = end
+		n.sendAfterSync(response)
+	}
+}
+
+func (n *Node) handleAppendResponse(now time.Duration, response Message) {
+	peer := n.progress[response.From]
+	if n.role != Leader || peer == nil {
+		return
+	}
+	peer.RecordResponse(response.SentAt, now)
+	n.renewLease(now)
+	if response.Reject {
+		peer.Reject(response.Index, n.log.last())
+		n.replicate(now, response.From, false)
+		return
+	}
+	peer.Acknowledge(response.Index)
+	n.advanceCommit(now)
+	if n.progress[response.From] != peer {
+		return // the change of membership that this response committed has removed it
+	}
+	if peer.Next <= n.log.last() {
+		n.replicate(now, response.From, false)
+	}
+	n.sendTimeoutNowIfReady()
+}
+
+// advanceCommit commits what a majority has on disk. Entries of earlier terms are committed only
+// with one of this term (paper, section 5.4.2).
+func (n *Node) advanceCommit(now time.Duration) {
+	reached := majority(n.Membership(), func(id string) uint64 {
+		if id == n.id {
+			return n.log.stable
+		}
+		return n.Match(id)
+	})
+	if reached <= n.commit || n.log.term(reached) != n.hardState.Term {
+		return
+	}
+	n.commit = reached
+	n.finishMembershipChange(now)
+}
--- /dev/null
+++ b/coord/replica/snapshot.go
@@ -0,0 +1,39 @@
+package replica
+
+import (
+	"slices"
+	"time"
+)
+
+// handleInstallSnapshot replaces the log by a leader's snapshot (dissertation 5.3).
+func (n *Node) handleInstallSnapshot(now time.Duration, request Message) {
+	n.acceptLeader(now, request.From)
+	snapshot := request.Snapshot
+	response := Message{Kind: AppendResponse, To: request.From, SentAt: request.SentAt}
+	if snapshot.Index <= n.commit {
+		response.Index = min(n.commit, n.log.stable)
+		n.send(response)
+		return
+	}
+	if n.log.term(snapshot.Index) == snapshot.Term {
+		// The log holds all its entries: only that they are committed is new. What follows them stays,
+		// since a majority may rest on it.
+		n.commit = max(n.commit, snapshot.Index)
+		response.Index = min(snapshot.Index, n.log.stable)
+		n.send(response)
+		return
+	}
+	n.log.reset(*snapshot)
+	n.log.stable = 0 // until the snapshot is synced
+	n.commit, n.applied = snapshot.Index, snapshot.Index
+	n.ready.Entries, n.ready.CommittedEntries = nil, nil
+	n.ready.MessagesAfterSync = withoutAppendResponses(n.ready.MessagesAfterSync)
+	n.ready.Snapshot = snapshot
+	response.Index = snapshot.Index
+	n.sendAfterSync(response)
+}
+
+// withoutAppendResponses drops acknowledgements of entries that an installed snapshot has replaced.
+func withoutAppendResponses(messages []Message) []Message {
+	return slices.DeleteFunc(messages, func(m Message) bool { return m.Kind == AppendResponse })
+}
