--- a/coord/group/disk.go
+++ b/coord/group/disk.go
@@ -1,61 +1,61 @@
 package group
 
-import (
-	"basaltloft/coord/replica"
-	"basaltloft/coord/ringlog"
-)
+import "time"
 
-// DiskWrite is what the disk is to do next, and what follows its sync.
-type DiskWrite struct {
-	state     *replica.HardState
-	entries   []replica.Entry
-	install   *replica.Snapshot
-	snapshot  *replica.Snapshot
-	afterSync []replica.Message
-	size      int // bytes of data
-}
+// writeRetryInterval is the pause before a failed write is tried again.
+const writeRetryInterval = 300 * time.Millisecond
 
-// appends tells whether a write only appends, so that it can share a sync.
-func (w *DiskWrite) appends() bool { return w.install == nil && w.snapshot == nil }
+func (g *Group) queueWrites(writes []DiskWrite) {
+	g.mu.Lock()
+	g.writes = append(g.writes, writes...)
+	g.mu.Unlock()
+	wake(g.writesReady)
+}
 
-// SyncBatchSize returns how many of the first writes can share one sync; there is at least one.
-func SyncBatchSize(writes []DiskWrite) int {
-	n := 1
-	for n < len(writes) && writes[n].appends() && writes[0].appends() {
-		n++
-	}
-	return n
+func (g *Group) takeWrites() []DiskWrite {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	writes := g.writes
+	g.writes = nil
+	return writes
 }
 
-// PersistWrites carries out writes that go together. After an error the same call may be made
-// again.
-func PersistWrites(ring *ringlog.Ring, writes []DiskWrite) error {
-	first := writes[0]
-	if first.snapshot != nil {
-		return ring.SaveSnapshot(*first.snapshot)
-	}
-	if first.install != nil {
-		if err := ring.Reset(*first.install); err != nil {
-			return err
+// runDisk carries out the queued writes, until the group is closed. All appends that wait together
+// share one sync.
+func (g *Group) runDisk() {
+	defer g.stopped.Done()
+	for {
+		select {
+		case <-g.stop:
+			return
+		case <-g.writesReady:
+		}
+		for writes := g.takeWrites(); len(writes) > 0; {
+			size := SyncBatchSize(writes)
+			batch := writes[:size]
+			if !g.persist(batch) {
+				return
+			}
+			nearlyFull := g.ring.NearlyFull() || g.ring.BytesSinceSnapshot() > g.snapshotThreshold
+			g.post(func(now time.Duration) { g.engine.Persisted(now, batch, nearlyFull) })
+			writes = writes[size:]
 		}
 	}
-	state, entries := merge(writes)
-	if state == nil && len(entries) == 0 {
-		return nil
-	}
-	return ring.Append(state, entries)
 }
 
-// merge joins appends into one.
-func merge(writes []DiskWrite) (state *replica.HardState, entries []replica.Entry) {
-	if len(writes) == 1 {
-		return writes[0].state, writes[0].entries
-	}
-	for _, w := range writes {
-		if w.state != nil {
-			state = w.state
+// persist repeats a batch of writes until it succeeds; false: the group is closed. Meanwhile this
+// replica acknowledges nothing, and the group goes on without it.
+func (g *Group) persist(batch []DiskWrite) bool {
+	for {
+		err := PersistWrites(g.ring, batch)
+		if err == nil {
+			return true
+		}
+		g.logger.Warn("disk write failed: make room or replace the machine", "error", err)
+		select {
+		case <-g.stop:
+			return false
+		case <-time.After(writeRetryInterval):
 		}
-		entries = append(entries, w.entries...)
 	}
-	return state, entries
 }
--- /dev/null
+++ b/coord/group/diskwrite.go
@@ -0,0 +1,79 @@
+package group
+
+import (
+	"basaltloft/coord/replica"
+	"basaltloft/coord/ringlog"
+)
+
+// DiskWrite is one write of the log or of a snapshot. PersistWrites carries it out and
+// Engine.Persisted hears of it; what it holds is nobody else's.
+type DiskWrite struct {
+	hardState *replica.HardState
+	entries   []replica.Entry
+	install   *replica.Snapshot // of the leader: the log begins anew after it
+	snapshot  *replica.Snapshot // of this replica: the log goes on
+
+	messagesAfterSync []replica.Message
+	bytes             int // of data, as counted in Engine.unsyncedBytes
+}
+
+// newWrite returns the write that a Ready asks for, if any.
+func (e *Engine) newWrite(ready *replica.Ready) (write DiskWrite, needed bool) {
+	if ready.HardState == nil && len(ready.Entries) == 0 && ready.Snapshot == nil && len(ready.MessagesAfterSync) == 0 {
+		return DiskWrite{}, false
+	}
+	write = DiskWrite{hardState: ready.HardState, entries: ready.Entries, install: ready.Snapshot, messagesAfterSync: ready.MessagesAfterSync}
+	for at := range write.entries {
+		write.bytes += len(write.entries[at].Data)
+	}
+	if write.install != nil {
+		write.bytes += len(write.install.Data)
+	}
+	e.unsyncedBytes += write.bytes
+	return write, true
+}
+
+// onlyAppends tells whether a write can share a sync with other appends.
+func (w *DiskWrite) onlyAppends() bool { return w.install == nil && w.snapshot == nil }
+
+// SyncBatchSize returns how many of the first writes can share one sync; there must be at least one.
+func SyncBatchSize(writes []DiskWrite) int {
+	n := 1
+	for n < len(writes) && writes[n].onlyAppends() && writes[0].onlyAppends() {
+		n++
+	}
+	return n
+}
+
+// PersistWrites writes and syncs a batch of SyncBatchSize. After an error it may be called again
+// with the same batch.
+func PersistWrites(ring *ringlog.Ring, batch []DiskWrite) error {
+	first := batch[0]
+	if first.snapshot != nil {
+		return ring.SaveSnapshot(*first.snapshot)
+	}
+	if first.install != nil {
+		if err := ring.Reset(*first.install); err != nil {
+			return err
+		}
+	}
+	hardState, entries := merge(batch)
+	if hardState == nil && len(entries) == 0 {
+		return nil
+	}
+	return ring.Append(hardState, entries)
+}
+
+// merge joins appends into one: the last hard state and all entries.
+func merge(batch []DiskWrite) (hardState *replica.HardState, entries []replica.Entry) {
+	if len(batch) == 1 {
+		return batch[0].hardState, batch[0].entries
+	}
+	for _, write := range batch {
+		if write.hardState != nil {
+			hardState = write.hardState
+		}
+		entries = append(entries, write.entries...)
+	}
+	return hardState, entries
+}
--- /dev/null
+++ b/coord/group/snapshot_transfer.go
@@ -0,0 +1,178 @@
+package group
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"basaltloft/coord/replica"
+)
+
+// A snapshot goes to a member in chunks, a few of them in flight at a time. The member responds to
+// each with how many bytes it has without a gap: a lost chunk is sent again, and a transfer goes on
+// where it was, however long it takes. The log after the snapshot's index stays in memory
+// meanwhile, so that compaction does not overtake the transfer.
+
+const (
+	chunksInFlight = 4
+	// chunkResendAfter is the wait for a response before chunks are sent again.
+	chunkResendAfter = 600 * time.Millisecond
+	// abandonAfter: the transfer to a member that responds to nothing for so long is given up. It
+	// begins anew when the member responds to heartbeats again.
+	abandonAfter = 10 * time.Second
+	// installWithin: a member that has the whole snapshot may take so long to write it before another
+	// one is sent.
+	installWithin = 5 * time.Second
+	// maxSnapshotBytes bounds what a member receives into memory.
+	maxSnapshotBytes = 256 << 20
+)
+
+// snapshotSender is the transfer of a snapshot to one member.
+type snapshotSender struct {
+	snapshot     replica.Snapshot
+	term         uint64        // of the leadership that sends it
+	sent         int           // bytes
+	acked        int           // most bytes that the member has acknowledged
+	lastAcked    int           // bytes that it acknowledged last: fewer than acked after its restart
+	lastResponse time.Duration // or the beginning of the transfer
+	lastSend     time.Duration
+}
+
+// complete tells whether the member has the whole snapshot; it may not be on its disk yet.
+func (s *snapshotSender) complete() bool { return s.acked >= len(s.snapshot.Data) }
+
+// expired tells whether the transfer is given up.
+func (s *snapshotSender) expired(now time.Duration) bool {
+	if s.complete() {
+		return now > s.lastResponse+installWithin
+	}
+	return now > s.lastResponse+abandonAfter
+}
+
+// beginSnapshotTransfer begins to send the newest state to a member, unless a transfer is under way.
+// One whose snapshot the member has installed is not: the log was compacted further since.
+func (e *Engine) beginSnapshotTransfer(now time.Duration, message replica.Message) {
+	running := e.senders[message.To]
+	if running != nil && running.term == e.node.Term() && !running.expired(now) && e.node.Match(message.To) < running.snapshot.Index {
+		return
+	}
+	snapshot, err := e.takeSnapshot()
+	if err != nil {
+		return
+	}
+	e.senders[message.To] = &snapshotSender{snapshot: snapshot, term: e.node.Term(), lastResponse: now}
+	e.sendChunks(now, message.To)
+}
+
+// sendChunks sends the chunks that may be in flight. The first one goes also where the state is
+// empty: the member responds to it.
+func (e *Engine) sendChunks(now time.Duration, to string) {
+	s := e.senders[to]
+	total, chunkBytes := len(s.snapshot.Data), e.settings.SnapshotChunkBytes
+	for first := s.sent == 0; first || s.sent < min(total, s.acked+chunksInFlight*chunkBytes); first = false {
+		end := min(total, s.sent+chunkBytes)
+		chunk := s.snapshot
+		chunk.Data = s.snapshot.Data[s.sent:end]
+		e.enqueue(replica.Message{
+			Kind: replica.SnapshotChunk, Group: e.settings.Name, From: e.settings.Self.ID, To: to, Term: s.term,
+			Snapshot: &chunk, Offset: s.sent, Total: total, Addresses: e.node.Membership().AllMembers(),
+		})
+		s.sent, s.lastSend = end, now
+	}
+}
+
+// tickSnapshotSenders sends chunks again that got no response, and ends transfers that expired.
+func (e *Engine) tickSnapshotSenders(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(e.senders)) {
+		s := e.senders[id]
+		if _, isMember := e.node.Membership().Find(id); !isMember || s.expired(now) || e.node.Role() != replica.Leader {
+			delete(e.senders, id)
+			continue
+		}
+		if !s.complete() && now > s.lastSend+chunkResendAfter {
+			s.acked = s.lastAcked
+			s.sent = s.acked
+			e.sendChunks(now, id)
+		}
+	}
+}
+
+// handleSnapshotChunkResponse goes on with a transfer.
+func (e *Engine) handleSnapshotChunkResponse(now time.Duration, response replica.Message) {
+	s := e.senders[response.From]
+	if s == nil || response.Term != s.term || response.Index != s.snapshot.Index {
+		return
+	}
+	s.lastResponse, s.lastAcked = now, response.Offset
+	advanced := response.Offset > s.acked
+	s.acked = max(s.acked, response.Offset)
+	s.sent = max(s.sent, s.acked)
+	if advanced && !s.complete() {
+		e.sendChunks(now, response.From)
+	}
+}
+
+// lowestSentSnapshotIndex returns the lowest index of the snapshots that are being sent; 0: none is.
+func (e *Engine) lowestSentSnapshotIndex() uint64 {
+	lowest := uint64(0)
+	for _, s := range e.senders {
+		if lowest == 0 || s.snapshot.Index < lowest {
+			lowest = s.snapshot.Index
+		}
+	}
+	return lowest
+}
+
+// snapshotReceiver is a snapshot that is arriving.
+type snapshotReceiver struct {
+	from  string // ID of the leader that sends it
+	term  uint64 // of that leader
+	index uint64 // the snapshot's
+	// snapshotTerm is the term of the entry at index.
+	snapshotTerm uint64
+	data         []byte         // without a gap
+	early        map[int][]byte // chunks behind a gap, by offset; at most chunksInFlight
+}
+
+// matches tells whether a chunk belongs to this snapshot.
+func (r *snapshotReceiver) matches(message replica.Message) bool {
+	return r != nil && r.from == message.From && r.term == message.Term && r.index == message.Snapshot.Index && r.snapshotTerm == message.Snapshot.Term
+}
+
+// add takes in a chunk and those that follow it without a gap.
+func (r *snapshotReceiver) add(offset int, chunk []byte) {
+	if offset > len(r.data) && len(r.early) < chunksInFlight {
+		r.early[offset] = chunk
+	}
+	for offset == len(r.data) && len(chunk) > 0 {
+		r.data = append(r.data, chunk...)
+		offset, chunk = len(r.data), r.early[len(r.data)]
+		delete(r.early, offset)
+	}
+}
+
+// handleSnapshotChunk takes in a chunk. The complete snapshot goes to the node as one message.
+func (e *Engine) handleSnapshotChunk(now time.Duration, message replica.Message) {
+	chunk := message.Snapshot
+	if message.Term < e.node.Term() || chunk == nil || message.Total > maxSnapshotBytes {
+		return
+	}
+	if !e.receiver.matches(message) {
+		e.receiver = &snapshotReceiver{from: message.From, term: message.Term, index: chunk.Index, snapshotTerm: chunk.Term, early: map[int][]byte{}}
+	}
+	r := e.receiver
+	r.add(message.Offset, chunk.Data)
+	e.enqueue(replica.Message{
+		Kind: replica.SnapshotChunkResponse, Group: e.settings.Name, From: e.settings.Self.ID, To: message.From,
+		Term: message.Term, Index: chunk.Index, Offset: len(r.data),
+	})
+	if len(r.data) < message.Total || chunk.Index <= e.node.Commit() {
+		return
+	}
+	whole := *chunk
+	whole.Data = r.data
+	e.receiver = nil
+	message.Kind, message.Snapshot, message.Offset, message.Total = replica.InstallSnapshot, &whole, 0, 0
+	message.SentAt = 0 // it renews no lease: its first chunk may be old
+	e.node.Step(now, message)
+}
--- a/coord/group/status.go
+++ b/coord/group/status.go
@@ -6,43 +6,44 @@
 	"basaltloft/coord/replica"
 )
 
-// Status is how a replica stands.
+// Status is the state of a replica for operators. It is sent by encoding/gob, so that its field
+// names stay.
 type Status struct {
 	Role      replica.Role
 	Term      uint64
-	Leads     bool          // it holds the lease
+	Leads     bool          // it is the leader and holds the lease
 	LeaseLeft time.Duration // 0: it has none
-	Applied   uint64
-	Last      uint64 // index of the log's last entry
-	Snapshot  uint64 // index of the newest snapshot
-	Unsynced  int    // bytes that wait for the disk
-	Digest    uint64 // of the applied state: equal at each replica that has applied as much
+	Applied   uint64        // highest index applied
+	Last      uint64        // index of the log's last entry
+	Snapshot  uint64        // index of the newest snapshot
+	Unsynced  int           // bytes of writes that are not synced
+	Digest    uint64        // of the applied state: equal at each replica with the same Applied
 	Members   replica.Membership
-	Lacks     map[string]uint64 // by member: entries that it lacks, as far as a leader knows
-	Receiving int               // bytes of a snapshot that have come
+	Lacks     map[string]uint64 // of a leader, by member ID: the lag in entries
+	Receiving int               // bytes of an arriving snapshot
 	Halted    string            // why it has halted; empty: it has not
 }
 
-// Status tells how the replica stands.
+// Status returns the state of the replica at a time.
 func (e *Engine) Status(now time.Duration) Status {
 	status := Status{
-		Role: e.machine.Role(), Term: e.machine.Term(), Applied: e.machine.Applied(), Last: e.machine.LastIndex(),
-		Snapshot: e.machine.SnapshotIndex(), Unsynced: e.unsynced, Digest: e.states.Digest(), Members: e.machine.Membership(),
+		Role: e.node.Role(), Term: e.node.Term(), Applied: e.node.Applied(), Last: e.node.LastIndex(),
+		Snapshot: e.node.SnapshotIndex(), Unsynced: e.unsyncedBytes, Digest: e.stateMachine.Digest(), Members: e.node.Membership(),
 	}
-	if lease := e.currentLease(); lease.Until > now && e.halted == nil {
+	if lease := e.lease(); lease.Until > now && e.haltCause == nil {
 		status.Leads, status.LeaseLeft = true, lease.Until-now
 	}
 	if status.Role == replica.Leader {
 		status.Lacks = map[string]uint64{}
 		for _, member := range status.Members.AllMembers() {
-			status.Lacks[member.ID] = e.machine.Lag(member.ID)
+			status.Lacks[member.ID] = e.node.Lag(member.ID)
 		}
 	}
-	if e.incoming != nil {
-		status.Receiving = len(e.incoming.data)
+	if e.receiver != nil {
+		status.Receiving = len(e.receiver.data)
 	}
-	if e.halted != nil {
-		status.Halted = e.halted.Error()
+	if e.haltCause != nil {
+		status.Halted = e.haltCause.Error()
 	}
 	return status
 }
