--- a/coord/rpc/client.go
+++ b/coord/rpc/client.go
@@ -3,108 +3,97 @@
 import (
 	"context"
 	"io"
-	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"github.com/cockroachdb/errors"
 )
 
-// Path is where a server takes connections.
+// Path is the URL path of a server's upgrades.
 const Path = "/internal/stream"
 
-// maxCasts bounds the messages without an answer that wait for a peer; more are dropped.
-const maxCasts = 256
-
-// protocol is what the upgrade names.
-const protocol = "basaltloft-gob/1"
+// protocolName is what the Upgrade header names.
+const protocolName = "basaltloft-gob/1"
 
 const (
-	dialTimeout   = 900 * time.Millisecond
-	redialPause   = 60 * time.Millisecond
-	unackedFor    = 1500 * time.Millisecond // what no one acknowledges for so long ends a connection
-	tcpUserTimout = 18                      // TCP_USER_TIMEOUT
+	// maxQueuedOneWay bounds the frames that wait for a peer while one-way messages are still queued;
+	// above it they are dropped.
+	maxQueuedOneWay = 256
+	// upgradeTimeout bounds connecting and the wait for the response to the upgrade.
+	upgradeTimeout = 2 * dialTimeout
+	// redialInterval is the least time between a failed attempt to connect and the next.
+	redialInterval = 60 * time.Millisecond
+	// unresponsiveAfter: a connection on which nothing was read for so long is closed when a call that
+	// has no response is cancelled.
+	unresponsiveAfter = 300 * time.Millisecond
 )
 
-// Dialer dials with bounds on how long a silent peer is waited for. It serves HTTP
-// transports of other packages too.
-func Dialer() *net.Dialer {
-	return &net.Dialer{
-		Timeout:   dialTimeout,
-		KeepAlive: time.Second,
-		Control: func(_, _ string, c syscall.RawConn) error {
-			return c.Control(func(fd uintptr) {
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimout, int(unackedFor.Milliseconds()))
-			})
-		},
-	}
-}
-
-// Client is one peer as seen from here. It connects when it is first used and again after
-// each failure.
+// Client sends messages to one peer. It connects when it is first used and again after each failure.
+// Its methods may be called concurrently.
 type Client struct {
 	address   string
 	transport *http.Transport
 
-	mu      sync.Mutex
-	current *stream
-	waiting map[uint64]chan any
-	next    uint64
-	dialing bool
-	failed  time.Duration // when the last dial failed
-	queued  []frame       // until the dial is done
+	mu         sync.Mutex
+	current    *stream             // nil: not connected
+	pending    map[uint64]chan any // calls without a response, by ID; closed where the connection is lost
+	lastID     uint64
+	connecting bool
+	lastFailed time.Duration // when an attempt to connect last failed; 0: none has
+	queue      []frame       // until it is connected
 }
 
 // NewClient returns a client of the server at an address, as host:port.
 func NewClient(address string) *Client {
-	return &Client{address: address, transport: &http.Transport{DialContext: dialAgain, DisableCompression: true}, waiting: map[uint64]chan any{}}
+	transport := &http.Transport{DialContext: dialRepeatedly, DisableCompression: true}
+	return &Client{address: address, transport: transport, pending: map[uint64]chan any{}}
 }
 
-// Call sends a message, once, and waits for its answer. An error says nothing of whether the
-// peer carried it out, except ErrBusy, which says that it was not sent. One that is given up
-// before it left the queue is not sent any more.
+// Call sends a message, at most once, and waits for its response. ErrBusy means that it was not sent;
+// any other error is an ErrConnectionLost and says nothing of whether the peer carried it out. A call
+// that is cancelled while it is queued is not sent any more.
 func (c *Client) Call(ctx context.Context, body any) (any, error) {
-	answer := make(chan any, 1)
+	response := make(chan any, 1)
+	cancelled := &atomic.Bool{}
 	c.mu.Lock()
-	c.next++
-	id := c.next
-	c.waiting[id] = answer
-	givenUp := &atomic.Bool{}
-	err := c.putLocked(frame{ID: id, Kind: frameCall, Body: body, givenUp: givenUp})
+	c.lastID++
+	id := c.lastID
+	c.pending[id] = response
+	err := c.enqueueLocked(frame{ID: id, Kind: frameCall, Body: body, cancelled: cancelled})
 	c.mu.Unlock()
 	if err != nil {
 		c.forget(id)
 		return nil, err
 	}
-	began := steady()
+	began := monotonicNow()
 	select {
-	case got, ok := <-answer:
+	case got, ok := <-response:
 		if !ok {
 			return nil, ErrConnectionLost
 		}
 		return got, nil
 	case <-ctx.Done():
-		givenUp.Store(true)
+		cancelled.Store(true)
 		c.forget(id)
-		c.doubt(began)
+		c.closeIfUnresponsive(began)
 		return nil, errors.Wrapf(ErrConnectionLost, "no answer from %s", c.address)
 	}
 }
 
-// SendOneWay sends a message that has no answer; it may be lost.
+// SendOneWay sends a message without a response; it may be lost. ErrBusy means that it was dropped.
 func (c *Client) SendOneWay(body any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current == nil && len(c.queued) >= maxCasts || c.current != nil && c.current.waiting() >= maxCasts {
+	if c.queueLengthLocked() >= maxQueuedOneWay {
 		return ErrBusy
 	}
-	return c.putLocked(frame{Kind: frameCast, Body: body})
+	return c.enqueueLocked(frame{Kind: frameOneWay, Body: body})
 }
 
-// Close ends the connection.
+// Close closes the connection; calls without a response end with ErrConnectionLost. The client
+// connects again when it is used again.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,125 +105,145 @@
 func (c *Client) forget(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
 
-// silence is how long nothing may be read while an answer is owed and its call is given up.
-const silence = 300 * time.Millisecond
-
-// doubt ends a connection on which nothing came since a call began that had no answer.
-func (c *Client) doubt(began time.Duration) {
+// closeIfUnresponsive closes a connection on which nothing was read since a call began.
+func (c *Client) closeIfUnresponsive(began time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current != nil && time.Duration(c.current.lastRead.Load()) < began && steady()-began > silence {
+	if c.current != nil && time.Duration(c.current.lastRead.Load()) < began && monotonicNow()-began > unresponsiveAfter {
 		c.current.close()
 	}
 }
 
-func (c *Client) putLocked(f frame) error {
+func (c *Client) queueLengthLocked() int {
+	if c.current != nil {
+		return c.current.queueLength()
+	}
+	return len(c.queue)
+}
+
+// enqueueLocked queues a frame on the connection, or until there is one.
+func (c *Client) enqueueLocked(f frame) error {
 	if c.current != nil {
-		return c.current.put(f)
+		return c.current.enqueue(f)
 	}
-	if len(c.queued) >= maxQueued {
+	if len(c.queue) >= maxQueuedFrames {
 		return ErrBusy
 	}
-	c.queued = append(c.queued, f)
-	if !c.dialing {
-		c.dialing = true
-		go c.dial()
+	c.queue = append(c.queue, f)
+	if !c.connecting {
+		c.connecting = true
+		go c.serveConnection()
 	}
 	return nil
 }
 
-func (c *Client) dial() {
+// serveConnection connects, sends what is queued, and reads responses until the connection ends.
+// There is one such goroutine while the client is connecting or connected.
+func (c *Client) serveConnection() {
+	c.awaitRedial()
+	conn, err := c.connect()
+	s := c.connected(conn, err)
+	if s == nil {
+		return
+	}
+	s.read(c.handleResponse)
+	c.disconnected(s)
+}
+
+// awaitRedial keeps redialInterval after a failed attempt.
+func (c *Client) awaitRedial() {
 	c.mu.Lock()
-	pause := c.failed + redialPause - steady()
+	lastFailed := c.lastFailed
 	c.mu.Unlock()
-	if pause > 0 && c.failed > 0 {
-		time.Sleep(pause)
+	if lastFailed > 0 {
+		time.Sleep(lastFailed + redialInterval - monotonicNow())
 	}
-	conn, err := c.connect()
+}
+
+// connected makes a connection the current one; nil: the attempt has failed, and with it the calls
+// that wait.
+func (c *Client) connected(conn io.ReadWriteCloser, err error) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dialing = false
-	queued := c.queued
-	c.queued = nil
+	c.connecting = false
+	queue := c.queue
+	c.queue = nil
 	if err != nil {
-		c.failed = steady()
-		c.endWaitingLocked()
-		return
+		c.lastFailed = monotonicNow()
+		c.failPendingLocked()
+		return nil
 	}
 	s := newStream(conn)
 	c.current = s
-	for _, f := range queued {
-		_ = s.put(f)
+	for _, f := range queue {
+		_ = s.enqueue(f) // there is room: the queue had the same bound
 	}
-	go func() {
-		s.read(c.take)
-		c.ended(s)
-	}()
+	return s
 }
 
 // connect opens a connection and upgrades it.
 func (c *Client) connect() (io.ReadWriteCloser, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*dialTimeout)
-	defer cancel()
-	request, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodGet, "http://"+c.address+Path, nil)
+	ctx, cancel := context.WithCancel(context.Background())
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+Path, nil)
 	if err != nil {
+		cancel()
 		return nil, errors.Wrap(err, "build the upgrade")
 	}
 	request.Header.Set("Connection", "Upgrade")
-	request.Header.Set("Upgrade", protocol)
-	response, err := c.roundTrip(request)
+	request.Header.Set("Upgrade", protocolName)
+	response, err := c.roundTrip(request, cancel)
 	if err != nil {
-		return nil, err
+		cancel()
+		return nil, errors.Wrapf(err, "connect to %s", c.address)
 	}
-	body, ok := response.Body.(io.ReadWriteCloser)
+	conn, ok := response.Body.(io.ReadWriteCloser)
 	if response.StatusCode != http.StatusSwitchingProtocols || !ok {
-		response.Body.Close()
-		return nil, errors.Newf("%s does not speak %s", c.address, protocol)
+		_ = response.Body.Close() // nothing is read from it
+		cancel()
+		return nil, errors.Newf("%s does not speak %s", c.address, protocolName)
 	}
-	return body, nil
+	return conn, nil
 }
 
-// roundTrip bounds the wait for the answer to an upgrade; the connection outlives it.
-func (c *Client) roundTrip(request *http.Request) (*http.Response, error) {
-	ctx, cancel := context.WithCancel(request.Context())
-	timer := time.AfterFunc(2*dialTimeout, cancel)
-	response, err := c.transport.RoundTrip(request.WithContext(ctx))
+// roundTrip bounds the wait for the response to an upgrade by upgradeTimeout. A deadline of the
+// request's context would end the connection too, which outlives the response: it ends by its own
+// close, and its context is not cancelled.
+func (c *Client) roundTrip(request *http.Request, cancel context.CancelFunc) (*http.Response, error) {
+	timer := time.AfterFunc(upgradeTimeout, cancel)
+	response, err := c.transport.RoundTrip(request)
 	if !timer.Stop() && err == nil {
-		response.Body.Close()
-		err = context.DeadlineExceeded
-	}
-	if err != nil {
-		cancel()
-		return nil, errors.Wrapf(err, "connect to %s", c.address)
+		_ = response.Body.Close() // it came too late
+		return nil, context.DeadlineExceeded
 	}
-	return response, nil
+	return response, err
 }
 
-func (c *Client) take(f frame) {
+func (c *Client) handleResponse(f frame) {
 	c.mu.Lock()
-	answer := c.waiting[f.ID]
-	delete(c.waiting, f.ID)
+	response := c.pending[f.ID]
+	delete(c.pending, f.ID)
 	c.mu.Unlock()
-	if answer != nil {
-		answer <- f.Body
+	if response != nil {
+		response <- f.Body
 	}
 }
 
-func (c *Client) ended(s *stream) {
+func (c *Client) disconnected(s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current == s {
 		c.current = nil
-		c.endWaitingLocked()
+		c.failPendingLocked()
 	}
 }
 
-func (c *Client) endWaitingLocked() {
-	for id, answer := range c.waiting {
-		delete(c.waiting, id)
-		close(answer)
+// failPendingLocked ends the calls that have no response.
+func (c *Client) failPendingLocked() {
+	for id, response := range c.pending {
+		delete(c.pending, id)
+		close(response)
 	}
 }
--- a/coord/rpc/dial.go
+++ b/coord/rpc/dial.go
@@ -3,52 +3,76 @@
 import (
 	"context"
 	"net"
+	"syscall"
 	"time"
 
 	"github.com/cockroachdb/errors"
 )
 
-// dialEvery is the pause before another attempt to connect begins beside those under way. A
-// machine that was dark when an attempt began never sees it, and the system repeats it only
-// after a second.
-const dialEvery = 120 * time.Millisecond
+const (
+	dialTimeout = 900 * time.Millisecond
+	// dialInterval is the pause before another attempt to connect begins beside those under way. A
+	// machine that was off the network when an attempt began never sees its SYN packet, which the
+	// kernel repeats only after a second.
+	dialInterval = 120 * time.Millisecond
+	// unacknowledgedTimeout: a connection ends where sent data is not acknowledged by TCP for so long.
+	unacknowledgedTimeout = 1500 * time.Millisecond
+	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does not name.
+	tcpUserTimeout = 18
+)
 
-// dialed is the outcome of one attempt.
-type dialed struct {
-	conn net.Conn
-	err  error
+// Dialer returns a dialer with bounds on the wait for an unresponsive peer. It serves HTTP transports
+// of other packages too.
+func Dialer() *net.Dialer {
+	return &net.Dialer{
+		Timeout:   dialTimeout,
+		KeepAlive: time.Second,
+		Control: func(_, _ string, c syscall.RawConn) error {
+			return c.Control(func(fd uintptr) {
+				// Without the option a lost peer is found later, by keep-alives.
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedTimeout.Milliseconds()))
+			})
+		},
+	}
 }
 
-// dialAgain connects by several attempts that begin one after another; the first to succeed
-// counts. It fails once an attempt was refused, or all of them have timed out.
-func dialAgain(ctx context.Context, network, address string) (net.Conn, error) {
+// dialRepeatedly connects by several attempts that begin one after another; the first outcome
+// counts. It fails once an attempt was refused, or after dialTimeout.
+func dialRepeatedly(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return dialWith(ctx, func() (net.Conn, error) { return Dialer().DialContext(ctx, network, address) }, dialEvery)
+	return dialEvery(ctx, func() (net.Conn, error) { return Dialer().DialContext(ctx, network, address) }, dialInterval)
+}
+
+// dialResult is the outcome of one attempt.
+type dialResult struct {
+	conn net.Conn
+	err  error
 }
 
-// dialWith begins an attempt each span until one has an outcome.
-func dialWith(ctx context.Context, dial func() (net.Conn, error), every time.Duration) (net.Conn, error) {
-	outcomes := make(chan dialed)
+// dialEvery begins an attempt at each interval until one has an outcome. A connection that comes
+// later is closed. Attempts that are under way end by the context.
+func dialEvery(ctx context.Context, dial func() (net.Conn, error), interval time.Duration) (net.Conn, error) {
+	results := make(chan dialResult)
 	done := make(chan struct{})
 	defer close(done)
 	attempt := func() {
 		conn, err := dial()
 		select {
-		case outcomes <- dialed{conn: conn, err: err}:
+		case results <- dialResult{conn: conn, err: err}:
 		case <-done:
 			if conn != nil {
-				conn.Close()
+				_ = conn.Close() // nothing was sent on it
 			}
 		}
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	go attempt()
 	for {
 		select {
-		case got := <-outcomes:
-			return got.conn, got.err
+		case first := <-results:
+			return first.conn, first.err
 		case <-ticker.C:
 			go attempt()
 		case <-ctx.Done():
--- a/coord/rpc/dial_test.go
+++ b/coord/rpc/dial_test.go
@@ -20,7 +20,7 @@
 	begun <- 2
 	here, there := net.Pipe()
 	defer there.Close()
-	conn, err := dialWith(ctx, func() (net.Conn, error) {
+	conn, err := dialEvery(ctx, func() (net.Conn, error) {
 		if <-begun == 1 {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -33,7 +33,7 @@
 
 func TestARefusalIsTold(t *testing.T) {
 	refused := errors.New("refused")
-	_, err := dialWith(context.Background(), func() (net.Conn, error) { return nil, refused }, time.Hour)
+	_, err := dialEvery(context.Background(), func() (net.Conn, error) { return nil, refused }, time.Hour)
 	require.ErrorIs(t, err, refused)
 }
 
@@ -45,7 +45,7 @@
 	release, begun := make(chan struct{}), make(chan int, 2)
 	begun <- 1
 	begun <- 2
-	conn, err := dialWith(context.Background(), func() (net.Conn, error) {
+	conn, err := dialEvery(context.Background(), func() (net.Conn, error) {
 		if <-begun == 1 {
 			<-release
 			return late, nil
--- a/coord/rpc/server.go
+++ b/coord/rpc/server.go
@@ -8,12 +8,13 @@
 	"sync"
 )
 
-// Handler takes the messages of peers. Its methods are called concurrently.
+// Handler handles the messages of peers. Its methods are called concurrently.
 type Handler interface {
-	// HandleCall answers a call. Each runs in a goroutine of its own.
+	// HandleCall returns the response to a call, of a registered type. Each call has a goroutine of its
+	// own, which outlives the connection.
 	HandleCall(body any) any
-	// HandleOneWay takes a message that has no answer. It is called in the order of a
-	// connection's messages and must not block.
+	// HandleOneWay handles a message without a response. It is called in the order of a connection's
+	// messages and must not block: the connection's further messages wait.
 	HandleOneWay(body any)
 }
 
@@ -31,10 +32,11 @@
 	return &Server{handler: handler, streams: map[*stream]bool{}}
 }
 
-// Handler returns who takes the messages.
+// Handler returns the handler of the messages.
 func (s *Server) Handler() Handler { return s.handler }
 
-// Close ends all connections; an http.Server's own Close does not end those it gave away.
+// Close closes all connections and refuses new ones. http.Server.Close does not close those that
+// were upgraded. It does not wait for the calls that are being handled: their responses are lost.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,24 +46,27 @@
 	}
 }
 
-// keep notes a connection while it lasts; false: the server is closed.
-func (s *Server) keep(stream *stream, open bool) bool {
+// add records a connection, so that Close closes it; false: the server is closed.
+func (s *Server) add(stream *stream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !open {
-		delete(s.streams, stream)
-		return true
+	if s.closed {
+		return false
 	}
-	if !s.closed {
-		s.streams[stream] = true
-	}
-	return !s.closed
+	s.streams[stream] = true
+	return true
+}
+
+func (s *Server) remove(stream *stream) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.streams, stream)
 }
 
-// ServeHTTP takes over a connection that asks for the upgrade.
+// ServeHTTP upgrades a connection and serves it until it ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.Header.Get("Upgrade") != protocol {
-		http.Error(w, "only "+protocol+" is spoken here", http.StatusUpgradeRequired)
+	if r.Header.Get("Upgrade") != protocolName {
+		http.Error(w, "only "+protocolName+" is spoken here", http.StatusUpgradeRequired)
 		return
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
@@ -69,35 +74,37 @@
 		http.Error(w, "the connection can't be upgraded", http.StatusInternalServerError)
 		return
 	}
-	if _, err := io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: "+protocol+"\r\n\r\n"); err != nil {
-		conn.Close()
+	const accepted = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + protocolName + "\r\n\r\n"
+	if _, err := io.WriteString(conn, accepted); err != nil {
+		_ = conn.Close() // it is broken already
 		return
 	}
-	s.serve(conn, buffered.Reader)
+	s.serve(hijackedConn{Conn: conn, reader: buffered.Reader})
 }
 
-// hijacked reads what was buffered before the upgrade first.
-type hijacked struct {
+// hijackedConn reads first what net/http had buffered before the upgrade.
+type hijackedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (h hijacked) Read(p []byte) (int, error) { return h.reader.Read(p) }
+func (c hijackedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-func (s *Server) serve(conn net.Conn, reader *bufio.Reader) {
-	stream := newStream(hijacked{Conn: conn, reader: reader})
-	defer s.keep(stream, false)
-	if !s.keep(stream, true) {
+// serve handles a connection's messages until it ends.
+func (s *Server) serve(conn io.ReadWriteCloser) {
+	stream := newStream(conn)
+	if !s.add(stream) {
 		stream.close()
 		return
 	}
+	defer s.remove(stream)
 	stream.read(func(f frame) {
-		if f.Kind == frameCast {
+		if f.Kind == frameOneWay {
 			s.handler.HandleOneWay(f.Body)
 			return
 		}
 		go func() {
-			_ = stream.put(frame{ID: f.ID, Kind: frameAnswer, Body: s.handler.HandleCall(f.Body)})
+			_ = stream.enqueue(frame{ID: f.ID, Kind: frameResponse, Body: s.handler.HandleCall(f.Body)}) // without room it counts as lost
 		}()
 	})
 }
--- /dev/null
+++ b/coord/rpc/stream.go
@@ -0,0 +1,125 @@
+package rpc
+
+import (
+	"bufio"
+	"encoding/gob"
+	"io"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// maxQueuedFrames bounds the frames that wait to be written on one connection.
+	maxQueuedFrames = 4096
+	// writeBufferBytes is the size of a connection's write buffer.
+	writeBufferBytes = 16 << 10
+)
+
+// stream is one connection, at either end. Its writer is a goroutine that ends with the connection;
+// its reader is whoever calls read, who waits for the writer.
+type stream struct {
+	conn      io.ReadWriteCloser
+	closeOnce sync.Once
+	closed    chan struct{}
+	written   chan struct{} // closed once the writer has ended
+	lastRead  atomic.Int64  // by monotonicNow
+
+	mu    sync.Mutex
+	queue []frame
+	wake  chan struct{}
+}
+
+var processStart = time.Now()
+
+// monotonicNow is the time since the start of the process.
+func monotonicNow() time.Duration { return time.Since(processStart) }
+
+func newStream(conn io.ReadWriteCloser) *stream {
+	s := &stream{conn: conn, wake: make(chan struct{}, 1), closed: make(chan struct{}), written: make(chan struct{})}
+	s.lastRead.Store(int64(monotonicNow()))
+	go s.write()
+	return s
+}
+
+// enqueue queues a frame to be written.
+func (s *stream) enqueue(f frame) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.queue) >= maxQueuedFrames {
+		return ErrBusy
+	}
+	s.queue = append(s.queue, f)
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+	return nil
+}
+
+func (s *stream) queueLength() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.queue)
+}
+
+func (s *stream) takeQueue() []frame {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	queue := s.queue
+	s.queue = nil
+	return queue
+}
+
+// write writes what is queued, until the connection ends. Frames that wait together share a flush.
+func (s *stream) write() {
+	defer close(s.written)
+	buffer := bufio.NewWriterSize(s.conn, writeBufferBytes)
+	encoder := gob.NewEncoder(buffer)
+	for {
+		select {
+		case <-s.closed:
+			return
+		case <-s.wake:
+		}
+		for _, f := range s.takeQueue() {
+			if f.cancelled != nil && f.cancelled.Load() {
+				continue
+			}
+			if encoder.Encode(f) != nil {
+				s.close()
+				return
+			}
+		}
+		if buffer.Flush() != nil {
+			s.close()
+			return
+		}
+	}
+}
+
+// read passes each frame to a handler, until the connection ends. It closes the connection and waits
+// for its writer.
+func (s *stream) read(handle func(frame)) {
+	defer func() {
+		s.close()
+		<-s.written
+	}()
+	decoder := gob.NewDecoder(bufio.NewReader(s.conn))
+	for {
+		var f frame
+		if decoder.Decode(&f) != nil {
+			return
+		}
+		s.lastRead.Store(int64(monotonicNow()))
+		handle(f)
+	}
+}
+
+// close ends the connection; it may be called repeatedly.
+func (s *stream) close() {
+	s.closeOnce.Do(func() {
+		close(s.closed)
+		_ = s.conn.Close() // what was not sent counts as lost
+	})
+}
