--- /dev/null
+++ b/coord/ringlog/format.go
@@ -0,0 +1,141 @@
+package ringlog
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/gob"
+	"hash/crc32"
+
+	"basaltloft/coord/replica"
+)
+
+// recordKind is the kind of a record. The numbers are stored.
+type recordKind uint8
+
+const (
+	recordHardState recordKind = iota + 1
+	recordEntry
+	// recordReset has the index of a snapshot: the log begins anew after it.
+	recordReset
+)
+
+const (
+	// magic begins each segment and snapshot file.
+	magic = 0x62736c31
+	// segmentHeaderBytes: magic (4), checksum of the rest (4), number of the first record (8).
+	segmentHeaderBytes = 16
+	// recordHeaderBytes: length of the payload (4), checksum of the rest with the payload (4), number
+	// (8), kind (1).
+	recordHeaderBytes = 17
+	// entryHeaderBytes begin an entry's payload: index (8), term (8), kind (1). Its data follow, or the
+	// gob encoding of its membership.
+	entryHeaderBytes = 17
+	// termBytes begin a hard state's payload. The vote follows.
+	termBytes = 8
+	// snapshotHeaderBytes: magic (4), checksum of the body (4), its length (8). The body is the gob
+	// encoding of a replica.Snapshot.
+	snapshotHeaderBytes = 16
+)
+
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
+
+func checksum(content []byte) uint32 { return crc32.Checksum(content, checksumTable) }
+
+// record is one record of a segment.
+type record struct {
+	number  uint64
+	kind    recordKind
+	payload []byte
+}
+
+func appendSegmentHeader(to []byte, first uint64) []byte {
+	start := len(to)
+	to = binary.LittleEndian.AppendUint32(to, magic)
+	to = binary.LittleEndian.AppendUint32(to, 0)
+	to = binary.LittleEndian.AppendUint64(to, first)
+	binary.LittleEndian.PutUint32(to[start+4:], checksum(to[start+8:]))
+	return to
+}
+
+// readSegmentHeader returns the number of a segment's first record; false: it was never begun.
+func readSegmentHeader(segment []byte) (first uint64, ok bool) {
+	if len(segment) < segmentHeaderBytes || binary.LittleEndian.Uint32(segment) != magic {
+		return 0, false
+	}
+	if binary.LittleEndian.Uint32(segment[4:]) != checksum(segment[8:segmentHeaderBytes]) {
+		return 0, false
+	}
+	return binary.LittleEndian.Uint64(segment[8:]), true
+}
+
+func appendRecord(to []byte, r record) []byte {
+	start := len(to)
+	to = binary.LittleEndian.AppendUint32(to, uint32(len(r.payload)))
+	to = binary.LittleEndian.AppendUint32(to, 0)
+	to = binary.LittleEndian.AppendUint64(to, r.number)
+	to = append(to, byte(r.kind))
+	to = append(to, r.payload...)
+	binary.LittleEndian.PutUint32(to[start+4:], checksum(to[start+8:]))
+	return to
+}
+
+// readRecord returns the first record and what follows it; false: there is none with a right
+// checksum and the wanted number.
+func readRecord(from []byte, number uint64) (r record, rest []byte, ok bool) {
+	if len(from) < recordHeaderBytes {
+		return record{}, nil, false
+	}
+	length := int(binary.LittleEndian.Uint32(from))
+	if length < 0 || length > len(from)-recordHeaderBytes {
+		return record{}, nil, false
+	}
+	end := recordHeaderBytes + length
+	if binary.LittleEndian.Uint32(from[4:]) != checksum(from[8:end]) {
+		return record{}, nil, false
+	}
+	r = record{number: binary.LittleEndian.Uint64(from[8:]), kind: recordKind(from[16]), payload: from[recordHeaderBytes:end]}
+	return r, from[end:], r.number == number
+}
+
+func encodeHardState(state replica.HardState) []byte {
+	return append(binary.LittleEndian.AppendUint64(nil, state.Term), state.Vote...)
+}
+
+func decodeHardState(payload []byte) (replica.HardState, bool) {
+	if len(payload) < termBytes {
+		return replica.HardState{}, false
+	}
+	return replica.HardState{Term: binary.LittleEndian.Uint64(payload), Vote: string(payload[termBytes:])}, true
+}
+
+func encodeEntry(entry replica.Entry) ([]byte, error) {
+	to := binary.LittleEndian.AppendUint64(nil, entry.Index)
+	to = binary.LittleEndian.AppendUint64(to, entry.Term)
+	to = append(to, byte(entry.Kind))
+	if entry.Kind != replica.EntryMembership {
+		return append(to, entry.Data...), nil
+	}
+	var body bytes.Buffer
+	if err := gob.NewEncoder(&body).Encode(entry.Membership); err != nil {
+		return nil, err
+	}
+	return append(to, body.Bytes()...), nil
+}
+
+func decodeEntry(payload []byte) (replica.Entry, bool) {
+	if len(payload) < entryHeaderBytes {
+		return replica.Entry{}, false
+	}
+	entry := replica.Entry{
+		Index: binary.LittleEndian.Uint64(payload),
+		Term:  binary.LittleEndian.Uint64(payload[8:]),
+		Kind:  replica.EntryKind(payload[16]),
+	}
+	content := payload[entryHeaderBytes:]
+	if entry.Kind != replica.EntryMembership {
+		entry.Data = bytes.Clone(content)
+		return entry, true
+	}
+	entry.Membership = &replica.Membership{}
+	return entry, gob.NewDecoder(bytes.NewReader(content)).Decode(entry.Membership) == nil
+}
--- a/coord/ringlog/recover.go
+++ b/coord/ringlog/recover.go
@@ -1,6 +1,7 @@
 package ringlog
 
 import (
+	"cmp"
 	"encoding/binary"
 	"os"
 	"slices"
@@ -13,11 +14,11 @@
 // recover reads the newest snapshot and the records after it.
 func (r *Ring) recover() (replica.PersistedState, error) {
 	found := replica.PersistedState{}
-	snapshot, slot, ok := r.newestSnapshot()
-	if ok {
-		found.Snapshot, r.base, r.baseTerm, r.slot = snapshot, snapshot.Index, snapshot.Term, 1-slot
+	snapshot, slot, hasSnapshot := r.newestSnapshot()
+	if hasSnapshot {
+		found.Snapshot, r.snapshotIndex, r.nextSlot = snapshot, snapshot.Index, 1-slot
 	}
-	if err := r.openSegments(); err != nil {
+	if err := r.findSegments(); err != nil {
 		return found, err
 	}
 	for i, s := range r.segments {
@@ -25,39 +26,39 @@
 			return found, errors.Wrapf(err, "segment %d", i)
 		}
 	}
-	if err := r.syncRead(ok); err != nil {
+	if err := r.syncRecovered(hasSnapshot); err != nil {
 		return found, err
 	}
-	found.HardState = r.state
+	found.HardState = r.hardState
 	if len(found.Entries) > 0 && found.Entries[0].Index != found.Snapshot.Index+1 {
 		return found, errors.Wrapf(ErrDamaged, "the first entry is %d after a snapshot of %d", found.Entries[0].Index, found.Snapshot.Index)
 	}
 	return found, nil
 }
 
-// syncRead makes durable what was read and may not be: the last life may have been killed
-// between a write and its sync, and this life goes by what it read. That can be the last
-// segment's tail and, where a snapshot was found, that one. Each earlier segment was synced
-// before the next one was begun, and no record refers to a snapshot before its sync.
-func (r *Ring) syncRead(snapshot bool) error {
-	if last := len(r.segments) - 1; last >= 0 {
-		if err := r.segments[last].file.Sync(); err != nil {
+// syncRecovered makes durable what was read and may not be: the process may have been killed between
+// a write and its sync, and this one acts on what it read. That can be the tail of the last segment
+// and the snapshot, where one was found. Each earlier segment was synced before the next one was
+// begun, and no record refers to a snapshot before its sync.
+func (r *Ring) syncRecovered(hasSnapshot bool) error {
+	if len(r.segments) > 0 {
+		if err := r.currentSegment().file.Sync(); err != nil {
 			return errors.Wrap(err, "sync the segment that was written last")
 		}
 	}
-	if !snapshot {
+	if !hasSnapshot {
 		return nil
 	}
-	file, err := r.files.Open(r.slotPath(1 - r.slot))
+	file, err := r.files.Open(r.slotPath(1 - r.nextSlot))
 	if err != nil {
 		return errors.Wrap(err, "open a snapshot's slot")
 	}
-	defer file.Close()
+	defer closeFile(file)
 	return errors.Wrap(file.Sync(), "sync a snapshot that was read")
 }
 
-// openSegments finds the segments in use, in the order of their records.
-func (r *Ring) openSegments() error {
+// findSegments reads the segment files and finds those in use, in the order of their records.
+func (r *Ring) findSegments() error {
 	for n := 0; ; n++ {
 		path := r.segmentPath(n)
 		content, err := r.files.ReadFile(path)
@@ -72,58 +73,60 @@
 			return errors.Wrap(err, "open a segment")
 		}
 		s := &segment{path: path, file: file}
-		if s.first, s.begun = begunWith(content); s.begun {
-			s.found = content
+		var inUse bool
+		if s.firstNumber, inUse = firstRecordNumber(content); inUse {
+			s.content = content
 			r.segments = append(r.segments, s)
 		} else {
 			r.free = append(r.free, s)
 		}
 	}
-	slices.SortFunc(r.segments, func(a, b *segment) int { return int(int64(a.first) - int64(b.first)) })
+	slices.SortFunc(r.segments, func(a, b *segment) int { return cmp.Compare(a.firstNumber, b.firstNumber) })
 	if len(r.segments) > 0 {
-		r.number = r.segments[0].first
+		r.nextNumber = r.segments[0].firstNumber
 	}
 	return nil
 }
 
-// begunWith returns the number of a segment's first record; false: none was synced in it, so
+// firstRecordNumber returns the number of a segment's first record; false: it has no whole record, so
 // that it counts as free.
-func begunWith(content []byte) (first uint64, ok bool) {
-	first, ok = readHeader(content)
+func firstRecordNumber(content []byte) (first uint64, ok bool) {
+	first, ok = readSegmentHeader(content)
 	if !ok {
 		return 0, false
 	}
-	_, _, ok = readRecord(content[headerBytes:], first)
+	_, _, ok = readRecord(content[segmentHeaderBytes:], first)
 	return first, ok
 }
 
-// replay reads a segment's records, up to the first that does not check.
+// replay reads a segment's records, up to the first that is torn or missing.
 func (r *Ring) replay(s *segment, found *replica.PersistedState) error {
-	if s.first != r.number {
-		return errors.Wrapf(ErrDamaged, "the segment begins with record %d, where %d is next", s.first, r.number)
+	if s.firstNumber != r.nextNumber {
+		return errors.Wrapf(ErrDamaged, "the segment begins with record %d, where %d is next", s.firstNumber, r.nextNumber)
 	}
-	rest := s.found[headerBytes:]
-	s.found = nil
+	rest := s.content[segmentHeaderBytes:]
+	s.content = nil
 	for {
-		next, after, ok := readRecord(rest, r.number)
+		next, after, ok := readRecord(rest, r.nextNumber)
 		if !ok {
 			return nil
 		}
 		if !r.replayRecord(s, next, found) {
 			return errors.Wrapf(ErrDamaged, "record %d does not follow", next.number)
 		}
-		r.number++
+		r.nextNumber++
 		rest = after
 	}
 }
 
+// replayRecord takes in a record; false: it can't be read, or leaves a gap.
 func (r *Ring) replayRecord(s *segment, next record, found *replica.PersistedState) bool {
 	switch next.kind {
-	case recordState:
-		state, ok := decodeState(next.payload)
-		r.state = state
+	case recordHardState:
+		state, ok := decodeHardState(next.payload)
+		r.hardState = state
 		return ok
-	case recordBase:
+	case recordReset:
 		if len(next.payload) < 8 {
 			return false
 		}
@@ -137,13 +140,13 @@
 			return false
 		}
 		s.lastIndex = max(s.lastIndex, entry.Index)
-		r.used += len(next.payload)
+		r.bytesSinceSnapshot += len(next.payload)
 		return replayEntry(found, entry)
 	}
 	return false
 }
 
-// replayEntry takes an entry in; its index cuts off what was there.
+// replayEntry takes in an entry, which cuts off those of its index and after; false: it leaves a gap.
 func replayEntry(found *replica.PersistedState, entry replica.Entry) bool {
 	if entry.Index <= found.Snapshot.Index {
 		found.Entries = nil
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"encoding/gob"
 	"fmt"
-	"hash/crc32"
 	"path/filepath"
 
 	"github.com/cockroachdb/errors"
@@ -13,20 +12,18 @@
 	"basaltloft/coord/replica"
 )
 
-// SaveSnapshot writes a snapshot into the older of the two slots and syncs it.
+// SaveSnapshot writes a snapshot into the older of the two slots and syncs it: the newer one stays
+// whole whatever happens. The log goes on. After an error it may be called again.
 func (r *Ring) SaveSnapshot(snapshot replica.Snapshot) error {
-	var body bytes.Buffer
-	if err := gob.NewEncoder(&body).Encode(snapshot); err != nil {
+	content, err := encodeSnapshot(snapshot)
+	if err != nil {
 		return errors.Wrap(err, "encode a snapshot")
 	}
-	head := binary.LittleEndian.AppendUint32(nil, magic)
-	head = binary.LittleEndian.AppendUint32(head, crc32.Checksum(body.Bytes(), table))
-	head = binary.LittleEndian.AppendUint64(head, uint64(body.Len()))
-	if err := r.writeSlot(append(head, body.Bytes()...)); err != nil {
+	if err := r.writeSlot(content); err != nil {
 		return err
 	}
-	r.slot = 1 - r.slot
-	r.base, r.baseTerm, r.used = snapshot.Index, snapshot.Term, 0
+	r.nextSlot = 1 - r.nextSlot
+	r.snapshotIndex, r.bytesSinceSnapshot = snapshot.Index, 0
 	return nil
 }
 
@@ -35,11 +32,11 @@
 }
 
 func (r *Ring) writeSlot(content []byte) error {
-	file, err := r.files.Open(r.slotPath(r.slot))
+	file, err := r.files.Open(r.slotPath(r.nextSlot))
 	if err != nil {
 		return errors.Wrap(err, "open a snapshot's slot")
 	}
-	defer file.Close()
+	defer closeFile(file)
 	if _, err := file.WriteAt(content, 0); err != nil {
 		return errors.Wrap(err, "write a snapshot")
 	}
@@ -49,28 +46,44 @@
 	return errors.Wrap(r.files.SyncDir(r.folder), "sync the log's folder")
 }
 
-// newestSnapshot returns the newer of the two slots that checks.
+// newestSnapshot returns the newer of the whole snapshots and its slot; false: there is none.
 func (r *Ring) newestSnapshot() (newest replica.Snapshot, slot int, ok bool) {
 	for at := range 2 {
-		snapshot, checks := r.readSlot(at)
-		if checks && (!ok || snapshot.Index > newest.Index) {
+		content, err := r.files.ReadFile(r.slotPath(at))
+		if err != nil { // a slot that can't be read is taken for one that was never written
+			continue
+		}
+		snapshot, whole := decodeSnapshot(content)
+		if whole && (!ok || snapshot.Index > newest.Index) {
 			newest, slot, ok = snapshot, at, true
 		}
 	}
 	return newest, slot, ok
 }
 
-func (r *Ring) readSlot(slot int) (snapshot replica.Snapshot, ok bool) {
-	content, err := r.files.ReadFile(r.slotPath(slot))
-	if err != nil || len(content) < 16 || binary.LittleEndian.Uint32(content) != magic {
+func encodeSnapshot(snapshot replica.Snapshot) ([]byte, error) {
+	var body bytes.Buffer
+	if err := gob.NewEncoder(&body).Encode(snapshot); err != nil {
+		return nil, err
+	}
+	content := binary.LittleEndian.AppendUint32(nil, magic)
+	content = binary.LittleEndian.AppendUint32(content, checksum(body.Bytes()))
+	content = binary.LittleEndian.AppendUint64(content, uint64(body.Len()))
+	return append(content, body.Bytes()...), nil
+}
+
+// decodeSnapshot returns the snapshot of a slot; false: it is not whole. An older and longer snapshot
+// may stand behind it.
+func decodeSnapshot(content []byte) (snapshot replica.Snapshot, ok bool) {
+	if len(content) < snapshotHeaderBytes || binary.LittleEndian.Uint32(content) != magic {
 		return snapshot, false
 	}
 	length := binary.LittleEndian.Uint64(content[8:])
-	if length > uint64(len(content)-16) {
+	if length > uint64(len(content)-snapshotHeaderBytes) {
 		return snapshot, false
 	}
-	body := content[16 : 16+length]
-	if crc32.Checksum(body, table) != binary.LittleEndian.Uint32(content[4:]) {
+	body := content[snapshotHeaderBytes : snapshotHeaderBytes+length]
+	if checksum(body) != binary.LittleEndian.Uint32(content[4:]) {
 		return snapshot, false
 	}
 	return snapshot, gob.NewDecoder(bytes.NewReader(body)).Decode(&snapshot) == nil
