--- a/coord/group/engine_test.go
+++ b/coord/group/engine_test.go
@@ -13,49 +13,49 @@
 	"basaltloft/coord/replica"
 )
 
-// blob is a state machine whose state is the last command; it refuses what begins with '!'.
-type blob struct{ content []byte }
+// lastCommand is a state machine whose state is the last command; it can't read what begins with '!'.
+type lastCommand struct{ content []byte }
 
 var errUnreadable = errors.New("this program can't read it")
 
-func (b *blob) Apply(_ uint64, command []byte) (any, error) {
+func (b *lastCommand) Apply(_ uint64, command []byte) (any, error) {
 	if len(command) > 0 && command[0] == '!' {
 		return nil, errUnreadable
 	}
 	b.content = command
 	return len(command), nil
 }
-func (b *blob) Snapshot() ([]byte, error) { return b.content, nil }
-func (b *blob) Restore(content []byte) error {
+func (b *lastCommand) Snapshot() ([]byte, error) { return b.content, nil }
+func (b *lastCommand) Restore(content []byte) error {
 	if len(content) > 0 && content[0] == '!' {
 		return errUnreadable
 	}
 	b.content = content
 	return nil
 }
-func (b *blob) Digest() uint64      { return uint64(len(b.content)) }
-func (b *blob) BecameLeader(uint64) {}
-func (b *blob) LostLeadership()     {}
+func (b *lastCommand) Digest() uint64      { return uint64(len(b.content)) }
+func (b *lastCommand) BecameLeader(uint64) {}
+func (b *lastCommand) LostLeadership()     {}
 
-var quick = replica.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaseDuration: 420 * time.Millisecond, MinElectionTimeout: 520 * time.Millisecond, ElectionJitter: 260 * time.Millisecond}
+var testTiming = replica.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaseDuration: 420 * time.Millisecond, MinElectionTimeout: 520 * time.Millisecond, ElectionJitter: 260 * time.Millisecond}
 
-// pair is a leader of a group of two with a large state, and the other one, which has nothing.
+// pair is the leader of a group with a large state, and a learner with an empty disk.
 type pair struct {
-	t       *testing.T
-	now     time.Duration
-	engines map[string]*Engine
-	states  map[string]*blob
-	flying  []Envelope
-	lose    func(replica.Message) bool
-	shuffle *rand.Rand // nil: nothing overtakes
-	parts   int
+	t             *testing.T
+	now           time.Duration
+	engines       map[string]*Engine
+	stateMachines map[string]*lastCommand
+	inFlight      []Envelope
+	drops         func(replica.Message) bool
+	shuffle       *rand.Rand // nil: messages arrive in their order
+	chunkCount    int
 }
 
 func newPair(t *testing.T, state []byte) *pair {
-	p := &pair{t: t, now: time.Hour, engines: map[string]*Engine{}, states: map[string]*blob{}, lose: func(replica.Message) bool { return false }}
+	p := &pair{t: t, now: time.Hour, engines: map[string]*Engine{}, stateMachines: map[string]*lastCommand{}, drops: func(replica.Message) bool { return false }}
 	members := replica.Membership{Voters: []replica.Member{{ID: "a", Address: "a"}}, Learners: []replica.Member{{ID: "b", Address: "b"}}}
-	p.states["a"] = &blob{content: state}
-	first, err := InitialSnapshot(members, p.states["a"])
+	p.stateMachines["a"] = &lastCommand{content: state}
+	first, err := InitialSnapshot(members, p.stateMachines["a"])
 	require.NoError(t, err)
 	p.open("a", replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: first})
 	p.open("b", replica.PersistedState{})
@@ -63,101 +63,101 @@
 }
 
 func (p *pair) open(id string, found replica.PersistedState) {
-	if p.states[id] == nil || id == "b" {
-		p.states[id] = &blob{}
+	if p.stateMachines[id] == nil || id == "b" {
+		p.stateMachines[id] = &lastCommand{}
 	}
-	e, err := NewEngine(Settings{Name: "g", Self: replica.Member{ID: id, Address: id}, Timing: quick, VoterCount: 1, Seed: 7, SnapshotChunkBytes: 1000}, found, p.states[id], p.now, slog.New(slog.DiscardHandler))
+	e, err := NewEngine(Settings{Name: "g", Self: replica.Member{ID: id, Address: id}, Timing: testTiming, VoterCount: 1, Seed: 7, SnapshotChunkBytes: 1000}, found, p.stateMachines[id], p.now, slog.New(slog.DiscardHandler))
 	require.NoError(p.t, err)
 	p.engines[id] = e
 }
 
-// run lets time pass; disks sync at once.
+// run lets a span of time pass; disks sync at once.
 func (p *pair) run(span time.Duration) {
 	const tick = 5 * time.Millisecond
 	for end := p.now + span; p.now < end; p.now += tick {
-		flying := p.flying
-		p.flying = nil
+		flying := p.inFlight
+		p.inFlight = nil
 		if p.shuffle != nil {
 			p.shuffle.Shuffle(len(flying), func(i, j int) { flying[i], flying[j] = flying[j], flying[i] })
 		}
 		for _, send := range flying {
-			if e := p.engines[send.Address]; e != nil && !p.lose(send.Message) {
+			if e := p.engines[send.Address]; e != nil && !p.drops(send.Message) {
 				e.Receive(p.now, send.Message)
 			}
 		}
 		for _, id := range []string{"a", "b"} {
 			if e := p.engines[id]; e != nil {
 				e.Tick(p.now)
-				p.flush(e)
+				p.execute(e)
 			}
 		}
 	}
 }
 
-func (p *pair) flush(e *Engine) {
+func (p *pair) execute(e *Engine) {
 	effects := e.TakeEffects(p.now)
 	effects.Execute(func(Lease, replica.Member) {}, func(writes []DiskWrite) {
 		e.Persisted(p.now, writes, false)
 	}, func(send Envelope) {
 		if send.Message.Kind == replica.SnapshotChunk {
-			p.parts++
+			p.chunkCount++
 		}
-		p.flying = append(p.flying, send)
+		p.inFlight = append(p.inFlight, send)
 	})
 }
 
-func state(n int) []byte { return bytes.Repeat([]byte("state..."), n/8) }
+func stateOf(n int) []byte { return bytes.Repeat([]byte("state..."), n/8) }
 
-// TestALargeStateGoesInParts whatever is lost or overtaken, and about once.
-func TestALargeStateGoesInParts(t *testing.T) {
+// TestLargeSnapshotIsSentInChunks whatever is lost or reordered, and about once.
+func TestLargeSnapshotIsSentInChunks(t *testing.T) {
 	const parts = 200
 	for name, c := range map[string]struct {
 		lost    float64
 		shuffle bool
 		most    int
 	}{"undisturbed": {0, false, parts + 2}, "overtaking": {0, true, 2 * parts}, "one in twenty lost": {0.05, false, 4 * parts}} {
-		p := newPair(t, state(parts*1000))
+		p := newPair(t, stateOf(parts*1000))
 		random := rand.New(rand.NewPCG(5, 5))
-		p.lose = func(m replica.Message) bool {
+		p.drops = func(m replica.Message) bool {
 			return m.Kind == replica.SnapshotChunk && random.Float64() < c.lost
 		}
 		if c.shuffle {
 			p.shuffle = random
 		}
 		p.run(30 * time.Second)
-		require.True(t, bytes.Equal(p.states["a"].content, p.states["b"].content), name)
-		require.LessOrEqual(t, p.parts, c.most, name)
+		require.True(t, bytes.Equal(p.stateMachines["a"].content, p.stateMachines["b"].content), name)
+		require.LessOrEqual(t, p.chunkCount, c.most, name)
 	}
 }
 
-// TestATransferSurvivesARestart of the receiver at each part: it begins anew and ends.
-func TestATransferSurvivesARestart(t *testing.T) {
+// TestSnapshotTransferSurvivesRestart of the receiver after each chunk: it begins anew and ends.
+func TestSnapshotTransferSurvivesRestart(t *testing.T) {
 	for at := range 20 {
-		p := newPair(t, state(30_000))
+		p := newPair(t, stateOf(30_000))
 		for p.engines["b"].Status(p.now).Receiving < at*1000+1 {
 			p.run(5 * time.Millisecond)
 		}
 		p.open("b", replica.PersistedState{})
 		p.run(15 * time.Second)
-		require.True(t, bytes.Equal(p.states["a"].content, p.states["b"].content), "restarted at part %d", at)
+		require.True(t, bytes.Equal(p.stateMachines["a"].content, p.stateMachines["b"].content), "restarted at chunk %d", at)
 	}
 }
 
-// TestAnUnreadableSnapshotIsNotTaken: the replica halts with what it had, acknowledges
-// nothing, and says so.
-func TestAnUnreadableSnapshotIsNotTaken(t *testing.T) {
+// TestUnreadableSnapshotHaltsReplica: the replica keeps its state, acknowledges nothing, and names
+// the cause in its status.
+func TestUnreadableSnapshotHaltsReplica(t *testing.T) {
 	p := newPair(t, nil)
-	p.states["a"].content = []byte("!from a newer program")
+	p.stateMachines["a"].content = []byte("!from a newer program")
 	p.run(3 * time.Second)
-	require.Empty(t, p.states["b"].content)
+	require.Empty(t, p.stateMachines["b"].content)
 	status := p.engines["b"].Status(p.now)
 	require.Contains(t, status.Halted, "this program can't read it")
 	require.Zero(t, status.Applied-status.Snapshot)
 	require.NotEqual(t, uint64(0), p.engines["a"].Status(p.now).Lacks["b"], "it was not acknowledged")
 }
 
-// TestAnUnreadableCommandHaltsAReplica instead of letting it differ from the others.
-func TestAnUnreadableCommandHaltsAReplica(t *testing.T) {
+// TestUnreadableCommandHaltsReplica instead of letting it differ from the others.
+func TestUnreadableCommandHaltsReplica(t *testing.T) {
 	p := newPair(t, []byte("first"))
 	p.run(2 * time.Second)
 	var answers []error
@@ -165,8 +165,8 @@
 		p.engines["a"].Propose(p.now, []byte(command), func(_ any, err error) { answers = append(answers, err) })
 	}
 	p.run(time.Second)
-	require.Equal(t, "fine", string(p.states["a"].content))
-	require.Len(t, answers, 3, "each proposer is told, once")
+	require.Equal(t, "fine", string(p.stateMachines["a"].content))
+	require.Len(t, answers, 3, "each proposal is answered once")
 	require.NoError(t, answers[0])
 	require.ErrorIs(t, answers[1], ErrOutcomeUnknown)
 	require.ErrorIs(t, answers[2], ErrOutcomeUnknown)
@@ -176,31 +176,31 @@
 	require.ErrorIs(t, answers[3], ErrNotLeader)
 }
 
-// TestProposersBeforeTheLeaseAreTold: a lead that is lost before its lease was published
-// leaves nobody waiting.
-func TestProposersBeforeTheLeaseAreTold(t *testing.T) {
+// TestProposalsBeforeTheLeaseAreAnswered: no proposal stays unanswered where the leadership is lost
+// before its first lease was published.
+func TestProposalsBeforeTheLeaseAreAnswered(t *testing.T) {
 	voters := []replica.Member{{ID: "a", Address: "a"}, {ID: "b", Address: "b"}, {ID: "c", Address: "c"}}
-	states := &blob{}
+	states := &lastCommand{}
 	first, err := InitialSnapshot(replica.Membership{Voters: voters}, states)
 	require.NoError(t, err)
 	now := time.Hour
-	e, err := NewEngine(Settings{Name: "g", Self: voters[0], Timing: quick, VoterCount: 3, Seed: 7}, replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: first}, states, now, slog.New(slog.DiscardHandler))
+	e, err := NewEngine(Settings{Name: "g", Self: voters[0], Timing: testTiming, VoterCount: 3, Seed: 7}, replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: first}, states, now, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
 	e.Receive(now, replica.Message{Kind: replica.TimeoutNow, From: "b", To: "a", Term: 1})
 	e.Receive(now, replica.Message{Kind: replica.VoteResponse, From: "b", To: "a", Term: 2})
-	var told []error
-	e.Propose(now, []byte("x"), func(_ any, err error) { told = append(told, err) })
+	var results []error
+	e.Propose(now, []byte("x"), func(_ any, err error) { results = append(results, err) })
 	effects := e.TakeEffects(now)
-	require.Zero(t, effects.Lease.Until, "nothing of its term is committed: it has no lease yet")
-	require.Empty(t, told)
+	require.Zero(t, effects.Lease.Until, "no entry of its term is committed: it has no lease yet")
+	require.Empty(t, results)
 	e.Receive(now, replica.Message{Kind: replica.AppendRequest, From: "c", To: "a", Term: 3, Index: 1, LogTerm: 1})
 	e.TakeEffects(now)
-	require.Len(t, told, 1)
-	require.ErrorIs(t, told[0], ErrOutcomeUnknown)
+	require.Len(t, results, 1)
+	require.ErrorIs(t, results[0], ErrOutcomeUnknown)
 }
 
-// TestTheLeaseGoesBeforeWhatGivesItAway: effects publish the lease before they send.
-func TestTheLeaseGoesBeforeWhatGivesItAway(t *testing.T) {
+// TestLeaseIsPublishedBeforeMessages are sent: one may give the lease up.
+func TestLeaseIsPublishedBeforeMessages(t *testing.T) {
 	var order []string
 	effects := Effects{Messages: []Envelope{{}}, Writes: []DiskWrite{{}}}
 	effects.Execute(func(Lease, replica.Member) { order = append(order, "lease") }, func([]DiskWrite) { order = append(order, "write") }, func(Envelope) { order = append(order, "send") })
--- a/coord/group/group_test.go
+++ b/coord/group/group_test.go
@@ -18,40 +18,40 @@
 
 var timing = replica.Timing{HeartbeatInterval: 5 * time.Millisecond, LeaseDuration: 40 * time.Millisecond, MinElectionTimeout: 60 * time.Millisecond, ElectionJitter: 40 * time.Millisecond}
 
-// words is a state machine that keeps each command, in order.
-type words struct {
-	mu      sync.Mutex
-	all     []string
-	leading chan uint64
+// commandList is a state machine whose state is the list of all commands.
+type commandList struct {
+	mu           sync.Mutex
+	commands     []string
+	becameLeader chan uint64
 }
 
-func (w *words) Apply(_ uint64, command []byte) (any, error) {
+func (w *commandList) Apply(_ uint64, command []byte) (any, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.all = append(w.all, string(command))
-	return len(w.all), nil
+	w.commands = append(w.commands, string(command))
+	return len(w.commands), nil
 }
 
-func (w *words) Digest() uint64 { return uint64(w.len()) }
+func (w *commandList) Digest() uint64 { return uint64(w.len()) }
 
-func (w *words) Snapshot() ([]byte, error) {
+func (w *commandList) Snapshot() ([]byte, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var content []byte
-	for _, word := range w.all {
+	for _, word := range w.commands {
 		content = append(append(content, word...), '\n')
 	}
 	return append(content, '.'), nil
 }
 
-func (w *words) Restore(content []byte) error {
+func (w *commandList) Restore(content []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.all = nil
+	w.commands = nil
 	word := ""
 	for _, letter := range string(content[:len(content)-1]) {
 		if letter == '\n' {
-			w.all, word = append(w.all, word), ""
+			w.commands, word = append(w.commands, word), ""
 			continue
 		}
 		word += string(letter)
@@ -59,22 +59,22 @@
 	return nil
 }
 
-func (w *words) BecameLeader(epoch uint64) { w.leading <- epoch }
-func (w *words) LostLeadership()           {}
+func (w *commandList) BecameLeader(epoch uint64) { w.becameLeader <- epoch }
+func (w *commandList) LostLeadership()           {}
 
-func (w *words) len() int {
+func (w *commandList) len() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.all)
+	return len(w.commands)
 }
 
-// net is a network in memory. What goes to nobody is lost.
-type net struct {
+// memoryNetwork is a network in memory. A message to an address where no group runs is lost.
+type memoryNetwork struct {
 	mu     sync.Mutex
 	groups map[string]*group.Group
 }
 
-func (n *net) Send(address string, message replica.Message) {
+func (n *memoryNetwork) Send(address string, message replica.Message) {
 	n.mu.Lock()
 	to := n.groups[address]
 	n.mu.Unlock()
@@ -83,164 +83,164 @@
 	}
 }
 
-func (n *net) set(address string, g *group.Group) {
+func (n *memoryNetwork) connect(address string, g *group.Group) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.groups[address] = g
 }
 
-// fleet is a group's replicas in one process.
-type fleet struct {
-	t       *testing.T
-	net     *net
-	disks   map[string]*simdisk.Disk
-	states  map[string]*words
-	groups  map[string]*group.Group
-	leading chan uint64
+// replicaGroup is a group of three replicas in one process.
+type replicaGroup struct {
+	t             *testing.T
+	net           *memoryNetwork
+	disks         map[string]*simdisk.Disk
+	stateMachines map[string]*commandList
+	groups        map[string]*group.Group
+	becameLeader  chan uint64
 }
 
-func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, net: &net{groups: map[string]*group.Group{}}, disks: map[string]*simdisk.Disk{}, states: map[string]*words{}, groups: map[string]*group.Group{}, leading: make(chan uint64, 100)}
+func newReplicaGroup(t *testing.T) *replicaGroup {
+	r := &replicaGroup{t: t, net: &memoryNetwork{groups: map[string]*group.Group{}}, disks: map[string]*simdisk.Disk{}, stateMachines: map[string]*commandList{}, groups: map[string]*group.Group{}, becameLeader: make(chan uint64, 100)}
 	var voters []replica.Member
 	for i := range 3 {
 		voters = append(voters, replica.Member{ID: fmt.Sprint("id", i), Address: fmt.Sprint("a", i)})
 	}
 	for i, voter := range voters {
-		f.disks[voter.Address] = simdisk.New(uint64(i))
-		f.open(voter)
-		require.NoError(t, f.groups[voter.Address].Bootstrap(replica.Membership{Voters: voters}))
-		f.run(voter.Address)
+		r.disks[voter.Address] = simdisk.New(uint64(i))
+		r.open(voter)
+		require.NoError(t, r.groups[voter.Address].Bootstrap(replica.Membership{Voters: voters}))
+		r.start(voter.Address)
 	}
-	return f
+	return r
 }
 
-func (f *fleet) open(member replica.Member) {
-	f.states[member.Address] = &words{leading: f.leading}
+func (r *replicaGroup) open(member replica.Member) {
+	r.stateMachines[member.Address] = &commandList{becameLeader: r.becameLeader}
 	g, err := group.Open(group.Settings{Name: "g", Self: member, Timing: timing, VoterCount: 3, Seed: rand.Uint64(), SnapshotThresholdBytes: 8 << 10},
-		"log", ringlog.Sizes{SegmentBytes: 16 << 10, Segments: 4}, f.disks[member.Address], f.states[member.Address], f.net, started(), slog.New(slog.DiscardHandler))
-	require.NoError(f.t, err)
-	f.groups[member.Address] = g
+		"log", ringlog.Sizes{SegmentBytes: 16 << 10, Segments: 4}, r.disks[member.Address], r.stateMachines[member.Address], r.net, newClock(), slog.New(slog.DiscardHandler))
+	require.NoError(r.t, err)
+	r.groups[member.Address] = g
 }
 
-func started() func() time.Duration {
+func newClock() func() time.Duration {
 	base := time.Now()
 	return func() time.Duration { return time.Since(base) + time.Hour }
 }
 
-func (f *fleet) run(address string) {
-	f.net.set(address, f.groups[address])
-	f.groups[address].Run()
+func (r *replicaGroup) start(address string) {
+	r.net.connect(address, r.groups[address])
+	r.groups[address].Run()
 }
 
-func (f *fleet) stop(address string) {
-	f.net.set(address, nil)
-	f.groups[address].Close()
-	delete(f.groups, address)
+func (r *replicaGroup) stop(address string) {
+	r.net.connect(address, nil)
+	r.groups[address].Close()
+	delete(r.groups, address)
 }
 
-// leader waits for a replica to lead.
-func (f *fleet) leader() string {
+// leader waits for a leader and returns its address.
+func (r *replicaGroup) leader() string {
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); {
-		for address, g := range f.groups {
+		for address, g := range r.groups {
 			if g.IsLeader() {
 				return address
 			}
 		}
-		select { // a lease may lapse and be renewed without a new lead
-		case <-f.leading:
+		select { // a lease may expire and be renewed in the same term
+		case <-r.becameLeader:
 		case <-time.After(timing.HeartbeatInterval):
 		}
 	}
-	f.t.Fatal("nobody leads")
+	r.t.Fatal("there is no leader")
 	return ""
 }
 
-// commit proposes until a command is committed. A try whose fate is not known may have been too.
-func (f *fleet) commit(command string) {
+// commit proposes until a command is committed. An attempt whose outcome is unknown may be committed too.
+func (r *replicaGroup) commit(command string) {
 	for {
 		done := make(chan error, 1)
-		f.groups[f.leader()].Propose([]byte(command), func(_ any, err error) { done <- err })
+		r.groups[r.leader()].Propose([]byte(command), func(_ any, err error) { done <- err })
 		if err := <-done; err == nil {
 			return
 		}
 	}
 }
 
-func (f *fleet) close() {
-	for address := range f.groups {
-		f.stop(address)
+func (r *replicaGroup) close() {
+	for address := range r.groups {
+		r.stop(address)
 	}
 }
 
-func TestCommitsSurviveALostLeaderAndRestarts(t *testing.T) {
-	f := newFleet(t)
-	defer f.close()
+func TestCommitsSurviveLeaderLossAndRestarts(t *testing.T) {
+	r := newReplicaGroup(t)
+	defer r.close()
 	for i := range 300 { // enough for snapshots
-		f.commit(fmt.Sprintf("word-%d-%0100d", i, i))
+		r.commit(fmt.Sprintf("word-%d-%0100d", i, i))
 	}
-	lost := f.leader()
-	f.stop(lost)
-	f.disks[lost].LosePower()
-	f.commit("after")
-	f.open(replica.Member{ID: "id" + lost[1:], Address: lost})
-	f.run(lost)
-	f.commit("again")
-	other := f.leader()
-	f.stop(other)
-	f.commit("and again")
-	require.GreaterOrEqual(t, f.states[f.leader()].len(), 303)
-}
-
-func TestAWipedReplicaJoinsUnderANewID(t *testing.T) {
-	f := newFleet(t)
-	defer f.close()
-	f.commit("before")
+	lost := r.leader()
+	r.stop(lost)
+	r.disks[lost].LosePower()
+	r.commit("after")
+	r.open(replica.Member{ID: "id" + lost[1:], Address: lost})
+	r.start(lost)
+	r.commit("again")
+	other := r.leader()
+	r.stop(other)
+	r.commit("and again")
+	require.GreaterOrEqual(t, r.stateMachines[r.leader()].len(), 303)
+}
+
+func TestWipedReplicaJoinsUnderNewID(t *testing.T) {
+	r := newReplicaGroup(t)
+	defer r.close()
+	r.commit("before")
 	wiped := "a0"
-	f.stop(wiped)
-	f.disks[wiped].Wipe()
+	r.stop(wiped)
+	r.disks[wiped].Wipe()
 	fresh := replica.Member{ID: "new", Address: wiped}
-	f.open(fresh)
-	require.False(t, f.groups[wiped].IsBootstrapped())
-	f.run(wiped)
-	for !f.groups[wiped].Membership().IsVoter("new") {
-		for _, g := range f.groups {
+	r.open(fresh)
+	require.False(t, r.groups[wiped].IsBootstrapped())
+	r.start(wiped)
+	for !r.groups[wiped].Membership().IsVoter("new") {
+		for _, g := range r.groups {
 			g.RequestJoin(fresh)
 		}
-		f.commit("meanwhile")
+		r.commit("meanwhile")
 	}
-	f.commit("after")
-	for address := range f.groups { // it carries its part of a majority
-		if address != wiped && address != f.leader() {
-			f.stop(address)
+	r.commit("after")
+	for address := range r.groups { // a majority needs it now
+		if address != wiped && address != r.leader() {
+			r.stop(address)
 			break
 		}
 	}
-	f.commit("with the new one")
+	r.commit("with the new one")
 }
 
-func TestHandingOverTheLead(t *testing.T) {
-	f := newFleet(t)
-	defer f.close()
-	f.commit("x")
-	old := f.leader()
-	f.groups[old].TransferLeadership()
-	f.commit("y")
+func TestLeadershipTransfer(t *testing.T) {
+	r := newReplicaGroup(t)
+	defer r.close()
+	r.commit("x")
+	old := r.leader()
+	r.groups[old].TransferLeadership()
+	r.commit("y")
 	done := make(chan error, 1)
-	f.groups[old].Propose([]byte("z"), func(_ any, err error) { done <- err })
+	r.groups[old].Propose([]byte("z"), func(_ any, err error) { done <- err })
 	if err := <-done; err != nil {
 		require.ErrorIs(t, err, group.ErrNotLeader)
 	}
 }
 
-func TestADiskThatRefusesHoldsUpNothing(t *testing.T) {
-	f := newFleet(t)
-	defer f.close()
-	f.commit("x")
-	for address := range f.groups {
-		if address != f.leader() {
-			f.disks[address].SetFull(true)
+func TestFullDiskAtAFollowerDelaysNothing(t *testing.T) {
+	r := newReplicaGroup(t)
+	defer r.close()
+	r.commit("x")
+	for address := range r.groups {
+		if address != r.leader() {
+			r.disks[address].SetFull(true)
 			break
 		}
 	}
-	f.commit("y")
+	r.commit("y")
 }
--- a/coord/replica/leader_test.go
+++ b/coord/replica/leader_test.go
@@ -9,10 +9,9 @@
 	"basaltloft/coord/replica"
 )
 
-// TestAMemberWithoutAVoteForgetsASilentLeader: it stands in no election, so that it would else
-// name a leader that is gone for as long as nobody else speaks to it, and operators' calls would
-// be passed on to that one.
-func TestAMemberWithoutAVoteForgetsASilentLeader(t *testing.T) {
+// TestLearnerForgetsUnresponsiveLeader: a learner begins no election, so that it would name a lost
+// leader until another one contacts it, and operators' calls would be forwarded to the lost one.
+func TestLearnerForgetsUnresponsiveLeader(t *testing.T) {
 	timing := replica.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaseDuration: 420 * time.Millisecond, MinElectionTimeout: 520 * time.Millisecond, ElectionJitter: 260 * time.Millisecond}
 	members := replica.Membership{Voters: []replica.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}, Learners: []replica.Member{{ID: "d"}}}
 	found := replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: replica.Snapshot{Index: 1, Term: 1, Membership: members}}
@@ -24,5 +23,5 @@
 	require.Equal(t, "a", learner.LeaderID(), "a heartbeat may be late")
 	learner.Tick(now + timing.MinElectionTimeout + timing.ElectionJitter)
 	require.Empty(t, learner.LeaderID())
-	require.Equal(t, replica.Follower, learner.Role(), "and it stands in no election")
+	require.Equal(t, replica.Follower, learner.Role(), "it begins no election")
 }
--- a/coord/replica/world_test.go
+++ b/coord/replica/world_test.go
@@ -12,8 +12,8 @@
 	"basaltloft/coord/simdisk"
 )
 
-// The world of these tests: replicas with simulated disks and a lossy network, in virtual
-// time. One goroutine, no sleeping; a failing seed is printed.
+// These tests run replicas with simulated disks and a lossy network in virtual time, in one
+// goroutine. All randomness comes from a seed, which a failure names.
 
 var timing = replica.Timing{HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: time.Second, MinElectionTimeout: 1200 * time.Millisecond, ElectionJitter: 600 * time.Millisecond}
 
@@ -24,72 +24,71 @@
 
 // host is a machine with one replica.
 type host struct {
-	name    string
-	id      string
-	life    int
-	disk    *simdisk.Disk
-	ring    *ringlog.Ring
-	machine *replica.Node
-	up      bool
-	frozen  time.Duration // until then it does nothing
-	state   []string      // what it applied
-	writes  []pendingWrite
-	known   map[string]replica.Member
+	name          string
+	id            string
+	incarnation   int
+	disk          *simdisk.Disk
+	ring          *ringlog.Ring
+	node          *replica.Node
+	up            bool
+	pausedUntil   time.Duration // until then it does nothing
+	applied       []string      // what it applied
+	pendingWrites []pendingWrite
+	introduced    map[string]replica.Member
 }
 
-// pendingWrite is a write that the disk has not done yet.
+// pendingWrite is a write that the disk has not carried out yet.
 type pendingWrite struct {
-	at  time.Duration
-	out replica.Ready
+	due   time.Duration
+	ready replica.Ready
 }
 
 type envelope struct {
-	at      time.Duration
-	to      string // name of a host
+	due     time.Duration
+	host    string // name of a host
 	message replica.Message
 }
 
 type world struct {
-	t       testing.TB
-	seed    uint64
-	random  *rand.Rand
-	now     time.Duration
-	hosts   map[string]*host
-	names   []string
-	flying  []envelope
-	cut     map[[2]string]bool
-	loss    float64
-	history []string          // what was applied anywhere, by index
-	acked   []string          // commands whose proposers were told that they are committed
-	owed    map[string]uint64 // proposals: command to index
-	issued  int
-	leases  map[string][2]time.Duration
-	mistake mistake
-	sent    int
-	drops   func(replica.Message) bool // what is lost in any case; nil: nothing
+	t                testing.TB
+	seed             uint64
+	random           *rand.Rand
+	now              time.Duration
+	hosts            map[string]*host
+	names            []string
+	inFlight         []envelope
+	disconnected     map[[2]string]bool
+	lossRate         float64
+	history          []string          // what was applied at any host, by index
+	acknowledged     []string          // commands whose proposers know that they are committed
+	pendingProposals map[string]uint64 // proposals: ID of the proposer and command to index
+	proposalCount    int
+	fault            plantedFault
+	sentCount        int
+	dropMessage      func(replica.Message) bool // messages that are lost in any case; nil: none
 }
 
-// mistake is a bug planted to show that a check finds it.
-type mistake int
+// plantedFault is a fault in the driver, planted to show that a check finds it.
+type plantedFault int
 
 const (
-	none mistake = iota
+	noFault plantedFault = iota
 	acknowledgeBeforeSync
 	useLeaseAfterEnd
-	forgetState
-	keepIDWithoutDisk  // a host that lost its disk goes on under its old ID
-	oneStepChange      // two voters change in one step, without a joint membership
+	forgetHardState
+	keepIDWithoutDisk  // a host that lost its disk keeps its ID
+	changeInOneStep    // two voters change in one step, without a joint membership
 	installUnsynced    // an installed snapshot is acknowledged before it is on disk
-	olderStateRestored // a snapshot of a newer index comes with an older state
+	olderStateRestored // a snapshot's index is newer than its state
 )
 
 func newWorld(t testing.TB, seed uint64, n int) *world {
 	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, hosts: map[string]*host{},
-		cut: map[[2]string]bool{}, owed: map[string]uint64{}, leases: map[string][2]time.Duration{}}
+		disconnected: map[[2]string]bool{}, pendingProposals: map[string]uint64{}}
 	var voters []replica.Member
 	for i := range n {
 		name := fmt.Sprint("host", i)
-		h := &host{name: name, disk: simdisk.New(seed*31 + uint64(i)), known: map[string]replica.Member{}}
+		h := &host{name: name, disk: simdisk.New(seed*31 + uint64(i)), introduced: map[string]replica.Member{}}
 		w.hosts[name], w.names = h, append(w.names, name)
 		h.id = name + "#0"
 		voters = append(voters, replica.Member{ID: h.id, Address: name})
@@ -100,16 +99,16 @@
 		w.check(err == nil, "open: %v", err)
 		err = ring.Reset(replica.Snapshot{Index: 1, Term: 1, Membership: replica.Membership{Voters: voters}})
 		w.check(err == nil, "reset: %v", err)
-		w.boot(h)
+		w.start(h)
 	}
 	return w
 }
 
 // addHost adds a host with an empty disk that is a member of nothing yet.
 func (w *world) addHost(name string) {
-	h := &host{name: name, id: name + "#0", disk: simdisk.New(w.seed*31 + uint64(len(w.names))), known: map[string]replica.Member{}}
+	h := &host{name: name, id: name + "#0", disk: simdisk.New(w.seed*31 + uint64(len(w.names))), introduced: map[string]replica.Member{}}
 	w.hosts[name], w.names = h, append(w.names, name)
-	w.boot(h)
+	w.start(h)
 }
 
 func (w *world) check(ok bool, format string, args ...any) {
@@ -119,24 +118,24 @@
 	}
 }
 
-// boot starts a host with what its disk holds.
-func (w *world) boot(h *host) {
+// start starts a host with what its disk holds.
+func (w *world) start(h *host) {
 	h.disk.Full = false
 	ring, found, err := ringlog.Open(h.disk, "log", ringlog.Sizes{SegmentBytes: segmentSize, Segments: 3})
-	w.check(err == nil, "%s can't read its disk: %v", h.name, err)
-	h.ring, h.up, h.writes = ring, true, nil
-	h.state = nil
+	w.check(err == nil, "%s can't open its log: %v", h.name, err)
+	h.ring, h.up, h.pendingWrites = ring, true, nil
+	h.applied = nil
 	if found.Snapshot.Index > 1 {
-		h.state = slices.Clone(w.history[:found.Snapshot.Index-1])
+		h.applied = slices.Clone(w.history[:found.Snapshot.Index-1])
 	}
-	if w.mistake == forgetState {
+	if w.fault == forgetHardState {
 		found.HardState = replica.HardState{}
 	}
-	h.life++
-	h.machine = replica.NewNode(h.id, "g", timing, found, w.seed*7+uint64(h.life)*13+uint64(len(h.name)+int(h.name[4])), w.now)
+	h.incarnation++
+	h.node = replica.NewNode(h.id, "g", timing, found, w.seed*7+uint64(h.incarnation)*13+uint64(len(h.name)+int(h.name[4])), w.now)
 }
 
-func (w *world) kill(h *host, power bool) {
+func (w *world) stop(h *host, power bool) {
 	h.up = false
 	if power {
 		h.disk.LosePower()
@@ -146,15 +145,15 @@
 func (w *world) wipe(h *host) {
 	h.up = false
 	h.disk.Wipe()
-	if w.mistake == keepIDWithoutDisk {
-		w.formAgain(h)
+	if w.fault == keepIDWithoutDisk {
+		w.bootstrapAgain(h)
 		return
 	}
-	h.id = fmt.Sprintf("%s#%d", h.name, h.life+1)
+	h.id = fmt.Sprintf("%s#%d", h.name, h.incarnation+1)
 }
 
-// formAgain lets a host without a disk begin as a founder once more: its votes are forgotten.
-func (w *world) formAgain(h *host) {
+// bootstrapAgain makes a host that lost its disk a founding member once more: its votes are forgotten.
+func (w *world) bootstrapAgain(h *host) {
 	var voters []replica.Member
 	for _, name := range w.names {
 		voters = append(voters, replica.Member{ID: w.hosts[name].id, Address: name})
@@ -165,15 +164,15 @@
 	w.check(err == nil, "reset: %v", err)
 }
 
-// swapAll settles a change at once and takes another voter out with it, so that the old and
-// the new majority need not meet.
-func (w *world) swapAll(next replica.Membership) replica.Membership {
+// inOneStep skips the joint membership and removes another voter too, so that majorities before and
+// after the change need not overlap.
+func (w *world) inOneStep(next replica.Membership) replica.Membership {
 	settled := next.LeaveJoint()
 	settled.Voters = settled.Voters[len(settled.Voters)-1:]
 	return settled
 }
 
-// run lets time pass.
+// run lets a span of time pass.
 func (w *world) run(span time.Duration) {
 	for end := w.now + span; w.now < end; w.now += tick {
 		w.deliver()
@@ -184,41 +183,41 @@
 }
 
 func (w *world) deliver() {
-	due := slices.DeleteFunc(slices.Clone(w.flying), func(e envelope) bool { return e.at > w.now })
-	w.flying = slices.DeleteFunc(w.flying, func(e envelope) bool { return e.at <= w.now })
+	due := slices.DeleteFunc(slices.Clone(w.inFlight), func(e envelope) bool { return e.due > w.now })
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(e envelope) bool { return e.due <= w.now })
 	for _, e := range due {
-		h := w.hosts[e.to]
-		if h.up && h.id == e.message.To && w.now >= h.frozen {
+		h := w.hosts[e.host]
+		if h.up && h.id == e.message.To && w.now >= h.pausedUntil {
 			for _, m := range e.message.Addresses {
-				h.known[m.ID] = m
+				h.introduced[m.ID] = m
 			}
-			h.machine.Step(w.now, e.message)
-			w.carryOut(h)
+			h.node.Step(w.now, e.message)
+			w.execute(h)
 		}
 	}
 }
 
 func (w *world) stepHost(h *host) {
-	if !h.up || w.now < h.frozen {
+	if !h.up || w.now < h.pausedUntil {
 		return
 	}
-	h.machine.Tick(w.now)
-	w.carryOut(h)
+	h.node.Tick(w.now)
+	w.execute(h)
 	w.sync(h)
 	w.checkLease(h)
 }
 
-// carryOut does what a machine asks for, but for its writes, which take a while.
-func (w *world) carryOut(h *host) {
-	out := h.machine.Ready()
+// execute carries out what a node asks for; its writes take a while.
+func (w *world) execute(h *host) {
+	out := h.node.Ready()
 	if out.Snapshot != nil {
-		h.state = slices.Clone(w.history[:out.Snapshot.Index-1])
-		if w.mistake == olderStateRestored {
-			h.state = h.state[:len(h.state)/2]
+		h.applied = slices.Clone(w.history[:out.Snapshot.Index-1])
+		if w.fault == olderStateRestored {
+			h.applied = h.applied[:len(h.applied)/2]
 		}
 	}
-	if w.mistake == installUnsynced && out.Snapshot != nil {
-		h.machine.Persisted(w.now, out.Snapshot.Index, out.Snapshot.Term)
+	if w.fault == installUnsynced && out.Snapshot != nil {
+		h.node.Persisted(w.now, out.Snapshot.Index, out.Snapshot.Term)
 		for _, m := range out.MessagesAfterSync {
 			w.send(h, m)
 		}
@@ -231,22 +230,22 @@
 		w.apply(h, entry)
 	}
 	if out.HardState != nil || len(out.Entries) > 0 || out.Snapshot != nil || len(out.MessagesAfterSync) > 0 {
-		h.writes = append(h.writes, pendingWrite{at: w.now + time.Duration(w.random.Int64N(int64(30*time.Millisecond))), out: out})
+		h.pendingWrites = append(h.pendingWrites, pendingWrite{due: w.now + time.Duration(w.random.Int64N(int64(30*time.Millisecond))), ready: out})
 	}
-	if w.mistake == acknowledgeBeforeSync {
+	if w.fault == acknowledgeBeforeSync {
 		for _, m := range out.MessagesAfterSync {
 			w.send(h, m)
 		}
 		if n := len(out.Entries); n > 0 {
-			h.machine.Persisted(w.now, out.Entries[n-1].Index, out.Entries[n-1].Term)
+			h.node.Persisted(w.now, out.Entries[n-1].Index, out.Entries[n-1].Term)
 		}
 	}
 }
 
-// sync does the writes whose time has come, in order.
+// sync carries out the writes that are due, in order.
 func (w *world) sync(h *host) {
-	for len(h.writes) > 0 && h.writes[0].at <= w.now {
-		out := h.writes[0].out
+	for len(h.pendingWrites) > 0 && h.pendingWrites[0].due <= w.now {
+		out := h.pendingWrites[0].ready
 		if out.Snapshot != nil {
 			if h.ring.Reset(*out.Snapshot) != nil {
 				return
@@ -257,69 +256,69 @@
 				return
 			}
 		}
-		h.writes = h.writes[1:]
+		h.pendingWrites = h.pendingWrites[1:]
 		if out.Snapshot != nil {
-			h.machine.Persisted(w.now, out.Snapshot.Index, out.Snapshot.Term)
+			h.node.Persisted(w.now, out.Snapshot.Index, out.Snapshot.Term)
 		}
 		if n := len(out.Entries); n > 0 {
-			h.machine.Persisted(w.now, out.Entries[n-1].Index, out.Entries[n-1].Term)
+			h.node.Persisted(w.now, out.Entries[n-1].Index, out.Entries[n-1].Term)
 		}
-		if w.mistake != acknowledgeBeforeSync {
+		if w.fault != acknowledgeBeforeSync {
 			for _, m := range out.MessagesAfterSync {
 				w.send(h, m)
 			}
 		}
 		if h.ring.NearlyFull() {
-			at := h.machine.AppliedSnapshot()
+			at := h.node.AppliedSnapshot()
 			if h.ring.SaveSnapshot(at) == nil {
-				h.machine.Compact(at, replica.LogRetention{Entries: 5, Bytes: 1 << 20})
+				h.node.Compact(at, replica.LogRetention{Entries: 5, Bytes: 1 << 20})
 			}
 		}
-		w.carryOut(h)
+		w.execute(h)
 	}
 }
 
 func (w *world) apply(h *host, entry replica.Entry) {
 	text := fmt.Sprintf("%d:%s", entry.Term, entry.Data)
 	at := int(entry.Index) - 2
-	w.check(len(h.state) == at, "%s applies %d after %d entries", h.name, entry.Index, len(h.state))
-	h.state = append(h.state, text)
+	w.check(len(h.applied) == at, "%s applies %d after %d entries", h.name, entry.Index, len(h.applied))
+	h.applied = append(h.applied, text)
 	if at < len(w.history) {
 		w.check(w.history[at] == text, "%s applies %q at %d, where another applied %q", h.name, text, entry.Index, w.history[at])
 	} else {
 		w.history = append(w.history, text)
 	}
 	command := string(entry.Data)
-	if index, ok := w.owed[h.id+command]; ok && index == entry.Index {
-		w.acked = append(w.acked, text)
-		delete(w.owed, h.id+command)
+	if index, ok := w.pendingProposals[h.id+command]; ok && index == entry.Index {
+		w.acknowledged = append(w.acknowledged, text)
+		delete(w.pendingProposals, h.id+command)
 	}
 }
 
 func (w *world) send(from *host, m replica.Message) {
-	to, ok := from.machine.Membership().Find(m.To)
+	to, ok := from.node.Membership().Find(m.To)
 	if !ok {
-		to, ok = from.known[m.To]
+		to, ok = from.introduced[m.To]
 	}
-	w.sent++
-	if !ok || w.drops != nil && w.drops(m) || w.cut[[2]string{from.name, to.Address}] || w.random.Float64() < w.loss {
+	w.sentCount++
+	if !ok || w.dropMessage != nil && w.dropMessage(m) || w.disconnected[[2]string{from.name, to.Address}] || w.random.Float64() < w.lossRate {
 		return
 	}
 	if m.Kind == replica.InstallSnapshot {
-		at := from.machine.AppliedSnapshot()
+		at := from.node.AppliedSnapshot()
 		m.Snapshot = &at
 	}
 	delay := time.Duration(1+w.random.IntN(20)) * time.Millisecond
 	if w.random.IntN(50) == 0 {
 		delay += time.Duration(w.random.IntN(2000)) * time.Millisecond
 	}
-	w.flying = append(w.flying, envelope{at: w.now + delay, to: to.Address, message: m})
+	w.inFlight = append(w.inFlight, envelope{due: w.now + delay, host: to.Address, message: m})
 }
 
-// checkLease finds two hosts that both hold a lease at one moment.
+// checkLease requires that no two hosts hold a lease at the same time.
 func (w *world) checkLease(h *host) {
-	until := h.machine.LeaseUntil()
-	if w.mistake == useLeaseAfterEnd && h.machine.Role() == replica.Leader {
+	until := h.node.LeaseUntil()
+	if w.fault == useLeaseAfterEnd && h.node.Role() == replica.Leader {
 		until = w.now + time.Second
 	}
 	if until <= w.now {
@@ -330,8 +329,8 @@
 		if other == h || !other.up {
 			continue
 		}
-		held := other.machine.LeaseUntil()
-		if w.mistake == useLeaseAfterEnd && other.machine.Role() == replica.Leader {
+		held := other.node.LeaseUntil()
+		if w.fault == useLeaseAfterEnd && other.node.Role() == replica.Leader {
 			held = w.now + time.Second
 		}
 		w.check(held <= w.now, "%s and %s both hold the lease", h.name, other.name)
@@ -340,44 +339,44 @@
 
 func (w *world) leader() *host {
 	for _, name := range w.names {
-		if h := w.hosts[name]; h.up && w.now >= h.frozen && h.machine.LeaseUntil() > w.now {
+		if h := w.hosts[name]; h.up && w.now >= h.pausedUntil && h.node.LeaseUntil() > w.now {
 			return h
 		}
 	}
 	return nil
 }
 
-// propose asks the leader for a command, if there is one.
+// propose proposes a command at the leader, if there is one.
 func (w *world) propose() {
 	h := w.leader()
 	if h == nil {
 		return
 	}
-	w.issued++
-	command := fmt.Sprintf("c%d-%s", w.issued, "0123456789012345678901234567890123456789")
-	index, _, ok := h.machine.Propose(w.now, []byte(command))
+	w.proposalCount++
+	command := fmt.Sprintf("c%d-%s", w.proposalCount, "0123456789012345678901234567890123456789")
+	index, _, ok := h.node.Propose(w.now, []byte(command))
 	if ok {
-		w.owed[h.id+command] = index
-		w.carryOut(h)
+		w.pendingProposals[h.id+command] = index
+		w.execute(h)
 	}
 }
 
-// rejoin lets the leader take in a host that lost its disk.
-func (w *world) rejoin() {
+// manageMembership lets the leader admit a host that lost its disk.
+func (w *world) manageMembership() {
 	h := w.leader()
-	if h == nil || h.machine.Membership().IsJoint() {
+	if h == nil || h.node.Membership().IsJoint() {
 		return
 	}
-	members := h.machine.Membership()
+	members := h.node.Membership()
 	for _, learner := range members.Learners {
 		for _, voter := range members.Voters {
-			if voter.Address == learner.Address && h.machine.CaughtUp(learner.ID, 20) {
+			if voter.Address == learner.Address && h.node.CaughtUp(learner.ID, 20) {
 				next := members.EnterJoint(voter.ID, learner)
-				if w.mistake == oneStepChange {
-					next = w.swapAll(next)
+				if w.fault == changeInOneStep {
+					next = w.inOneStep(next)
 				}
-				h.machine.ChangeMembers(w.now, next)
-				w.carryOut(h)
+				h.node.ChangeMembers(w.now, next)
+				w.execute(h)
 				return
 			}
 		}
@@ -385,42 +384,42 @@
 	for _, name := range w.names {
 		other := w.hosts[name]
 		if _, known := members.Find(other.id); !known && other.up {
-			h.machine.ChangeMembers(w.now, members.WithLearner(replica.Member{ID: other.id, Address: other.name}))
-			w.carryOut(h)
+			h.node.ChangeMembers(w.now, members.WithLearner(replica.Member{ID: other.id, Address: other.name}))
+			w.execute(h)
 			return
 		}
 	}
 }
 
-// settle heals everything and expects the group to make progress.
-func (w *world) settle() {
-	w.cut, w.loss = map[[2]string]bool{}, 0
+// healAndVerify ends all faults and requires that the group makes progress and loses nothing.
+func (w *world) healAndVerify() {
+	w.disconnected, w.lossRate = map[[2]string]bool{}, 0
 	for _, name := range w.names {
 		h := w.hosts[name]
-		h.frozen = 0
+		h.pausedUntil = 0
 		h.disk.Full = false
 		if !h.up {
-			w.boot(h)
+			w.start(h)
 		}
 	}
 	for range 40 {
 		w.run(250 * time.Millisecond)
-		w.rejoin()
+		w.manageMembership()
 	}
-	before := len(w.acked)
-	sent := w.sent
+	before := len(w.acknowledged)
+	sent := w.sentCount
 	for range 10 {
 		w.propose()
 		w.run(100 * time.Millisecond)
 	}
 	w.run(time.Second)
-	w.check(len(w.acked) >= before+10, "after all is healed only %d of 10 proposals are committed", len(w.acked)-before)
-	w.check(w.sent-sent < 600, "%d messages for 10 proposals", w.sent-sent)
-	for _, text := range w.acked {
-		w.check(slices.Contains(w.history, text), "%q was acknowledged and is gone", text)
+	w.check(len(w.acknowledged) >= before+10, "after all faults have ended only %d of 10 proposals are committed", len(w.acknowledged)-before)
+	w.check(w.sentCount-sent < 600, "%d messages for 10 proposals", w.sentCount-sent)
+	for _, text := range w.acknowledged {
+		w.check(slices.Contains(w.history, text), "%q was acknowledged and is lost", text)
 	}
 	for _, name := range w.names {
 		h := w.hosts[name]
-		w.check(len(h.state) == len(w.history), "%s has applied %d of %d", name, len(h.state), len(w.history))
+		w.check(len(h.applied) == len(w.history), "%s has applied %d of %d", name, len(h.applied), len(w.history))
 	}
 }
--- a/coord/ringlog/ringlog_test.go
+++ b/coord/ringlog/ringlog_test.go
@@ -14,11 +14,11 @@
 
 var sizes = ringlog.Sizes{SegmentBytes: 2 << 10, Segments: 3}
 
-// model is what a ring should hold.
+// model is what a ring must hold.
 type model struct {
-	state    replica.HardState
-	snapshot replica.Snapshot
-	entries  []replica.Entry
+	hardState replica.HardState
+	snapshot  replica.Snapshot
+	entries   []replica.Entry
 }
 
 func (m *model) last() uint64 {
@@ -30,7 +30,7 @@
 
 func (m *model) append(state *replica.HardState, entries []replica.Entry) {
 	if state != nil {
-		m.state = *state
+		m.hardState = *state
 	}
 	if len(entries) > 0 {
 		keep := 0
@@ -48,16 +48,16 @@
 	}
 }
 
-// script is a run of operations drawn from a seed. It stops at the first error.
-type script struct {
-	random *rand.Rand
-	term   uint64
-	model  model
-	ring   *ringlog.Ring
-	before model // what held before the operation that failed
+// operations is a sequence of operations drawn from a seed, to be ended at the first error.
+type operations struct {
+	random     *rand.Rand
+	term       uint64
+	model      model
+	ring       *ringlog.Ring
+	beforeLast model // the model before the last operation
 }
 
-func (s *script) entries(from uint64) []replica.Entry {
+func (s *operations) entries(from uint64) []replica.Entry {
 	var entries []replica.Entry
 	for i := range 1 + s.random.IntN(4) {
 		entries = append(entries, replica.Entry{Index: from + uint64(i), Term: s.term, Data: []byte(fmt.Sprintf("%0*d", 5+s.random.IntN(120), i))})
@@ -65,15 +65,15 @@
 	return entries
 }
 
-func (s *script) step() error {
-	s.before = s.model
+func (s *operations) step() error {
+	s.beforeLast = s.model
 	switch s.random.IntN(8) {
 	case 0:
 		s.term++
 		state := replica.HardState{Term: s.term, Vote: "someone"}
 		s.model.append(&state, nil)
 		return s.ring.Append(&state, nil)
-	case 1: // a new leader cuts off the tail
+	case 1: // a new leader replaces the tail
 		s.term++
 		from := max(s.model.snapshot.Index+1, s.model.last()-min(s.model.last(), uint64(s.random.IntN(3))))
 		state, entries := replica.HardState{Term: s.term}, s.entries(from)
@@ -101,7 +101,7 @@
 }
 
 func (m *model) equals(found replica.PersistedState) bool {
-	if m.state != found.HardState || m.snapshot.Index != found.Snapshot.Index || m.snapshot.Term != found.Snapshot.Term || len(m.entries) != len(found.Entries) {
+	if m.hardState != found.HardState || m.snapshot.Index != found.Snapshot.Index || m.snapshot.Term != found.Snapshot.Term || len(m.entries) != len(found.Entries) {
 		return false
 	}
 	for at, entry := range m.entries {
@@ -113,10 +113,10 @@
 	return true
 }
 
-func TestReopenedRingHoldsAllThatWasSynced(t *testing.T) {
+func TestReopenedRingHoldsSyncedRecords(t *testing.T) {
 	for seed := range uint64(300) {
 		disk := simdisk.New(seed)
-		s := &script{random: rand.New(rand.NewPCG(seed, 3)), term: 1}
+		s := &operations{random: rand.New(rand.NewPCG(seed, 3)), term: 1}
 		for range 12 {
 			ring, found, err := ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err, "seed %d", seed)
@@ -132,13 +132,13 @@
 	}
 }
 
-// TestCrashAtEachPoint crashes a script at each of its writes and syncs in turn. What comes
-// back holds all that was synced; the operation that was interrupted may be there in part.
-func TestCrashAtEachPoint(t *testing.T) {
+// TestCrashAtEachOperation crashes a sequence at each of its writes and syncs in turn. All synced
+// records are recovered; the interrupted operation may be there in part.
+func TestCrashAtEachOperation(t *testing.T) {
 	for seed := range uint64(25) {
 		for point := 1; ; point++ {
 			disk := simdisk.New(seed*1000 + uint64(point))
-			s := &script{random: rand.New(rand.NewPCG(seed, 4)), term: 1}
+			s := &operations{random: rand.New(rand.NewPCG(seed, 4)), term: 1}
 			ring, _, err := ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err)
 			s.ring = ring
@@ -155,19 +155,19 @@
 			disk.LosePower()
 			_, found, err := ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err, "seed %d point %d", seed, point)
-			require.GreaterOrEqual(t, found.HardState.Term, s.before.state.Term, "seed %d point %d", seed, point)
-			checkHolds(t, s, found, seed, point)
+			require.GreaterOrEqual(t, found.HardState.Term, s.beforeLast.hardState.Term, "seed %d point %d", seed, point)
+			requireSyncedEntries(t, s, found, seed, point)
 		}
 	}
 }
 
-// TestWhatARestartReadSurvivesAPowerLoss kills the process at each point, which leaves
-// unsynced writes readable. What the next life read and went by must not vanish later.
-func TestWhatARestartReadSurvivesAPowerLoss(t *testing.T) {
+// TestRecoveredRecordsSurvivePowerLoss kills the process at each point, which leaves unsynced writes
+// readable. What the next process read and acted on must not vanish later.
+func TestRecoveredRecordsSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(25) {
 		for point := 1; ; point++ {
 			disk := simdisk.New(seed*1000 + uint64(point))
-			s := &script{random: rand.New(rand.NewPCG(seed, 6)), term: 1}
+			s := &operations{random: rand.New(rand.NewPCG(seed, 6)), term: 1}
 			ring, _, err := ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err)
 			s.ring = ring
@@ -192,15 +192,15 @@
 	}
 }
 
-// checkHolds checks that each entry that was synced before the interrupted operation is
-// there, unless that operation may have replaced it.
-func checkHolds(t *testing.T, s *script, found replica.PersistedState, seed uint64, point int) {
+// requireSyncedEntries requires each entry that was synced before the interrupted operation, unless
+// that operation may have replaced it.
+func requireSyncedEntries(t *testing.T, s *operations, found replica.PersistedState, seed uint64, point int) {
 	t.Helper()
 	terms := map[uint64]uint64{}
 	for _, entry := range found.Entries {
 		terms[entry.Index] = entry.Term
 	}
-	for _, entry := range s.before.entries {
+	for _, entry := range s.beforeLast.entries {
 		if entry.Index <= found.Snapshot.Index || terms[entry.Index] == entry.Term {
 			continue
 		}
@@ -212,17 +212,17 @@
 				replaced = false
 			}
 		}
-		require.True(t, replaced, "seed %d point %d: entry %d of term %d is gone", seed, point, entry.Index, entry.Term)
+		require.True(t, replaced, "seed %d point %d: entry %d of term %d is lost", seed, point, entry.Index, entry.Term)
 	}
 }
 
 // TestCrashWhileOpening crashes the opening of a ring at each of its writes and syncs in
-// turn, twice in a row: nothing that was synced is lost, and nothing counts as damaged.
+// turn, twice in a row: nothing that was synced is lost, and no log counts as damaged.
 func TestCrashWhileOpening(t *testing.T) {
 	for seed := range uint64(40) {
 		for point := 1; point < 40; point++ {
 			disk := simdisk.New(seed*1000 + uint64(point))
-			s := &script{random: rand.New(rand.NewPCG(seed, 5)), term: 1}
+			s := &operations{random: rand.New(rand.NewPCG(seed, 5)), term: 1}
 			var err error
 			for range 3 {
 				s.ring, _, err = ringlog.Open(disk, "log", sizes)
@@ -245,13 +245,13 @@
 	}
 }
 
-// TestKilledWhileOpening: a process is killed at a numbered point of its work, and the next life
-// at a point of its opening. What the life after that read and went by must not vanish.
+// TestKilledWhileOpening kills a process at a point of its operations, and the next one at a point of
+// its opening. What the process after that read and acted on must not vanish.
 func TestKilledWhileOpening(t *testing.T) {
 	for seed := range uint64(60) {
 		for point := 1; point < 24; point++ {
 			disk := simdisk.New(seed*1000 + uint64(point))
-			s := &script{random: rand.New(rand.NewPCG(seed, 6)), term: 1}
+			s := &operations{random: rand.New(rand.NewPCG(seed, 6)), term: 1}
 			var err error
 			s.ring, _, err = ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err)
@@ -266,7 +266,7 @@
 			disk.CrashAtOperation = 0
 			_, read, err := ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err, "seed %d point %d", seed, point)
-			checkHolds(t, s, read, seed, point)
+			requireSyncedEntries(t, s, read, seed, point)
 			disk.LosePower()
 			_, found, err := ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err, "seed %d point %d", seed, point)
@@ -275,7 +275,7 @@
 	}
 }
 
-func TestFullDiskKeepsWhatWasThere(t *testing.T) {
+func TestAppendIsRepeatedAfterAFullDisk(t *testing.T) {
 	disk := simdisk.New(1)
 	ring, _, err := ringlog.Open(disk, "log", sizes)
 	require.NoError(t, err)
@@ -285,13 +285,13 @@
 	more := []replica.Entry{{Index: 2, Term: 1, Data: []byte("b")}}
 	require.ErrorIs(t, ring.Append(nil, more), simdisk.ErrFull)
 	disk.Full = false
-	require.NoError(t, ring.Append(nil, more), "the same call may be made again")
+	require.NoError(t, ring.Append(nil, more), "the same call is repeated")
 	_, found, err := ringlog.Open(disk, "log", sizes)
 	require.NoError(t, err)
 	require.Len(t, found.Entries, 2)
 }
 
-func TestDamageIsToldFromATornTail(t *testing.T) {
+func TestDamageIsDistinguishedFromATornTail(t *testing.T) {
 	disk := simdisk.New(1)
 	ring, _, err := ringlog.Open(disk, "log", sizes)
 	require.NoError(t, err)
--- a/coord/rpc/dial_test.go
+++ b/coord/rpc/dial_test.go
@@ -10,16 +10,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestALaterAttemptCounts: the first attempt never has an outcome, as towards a machine that was
-// dark; the second one connects.
-func TestALaterAttemptCounts(t *testing.T) {
-	ctx, cancel := context.WithCancel(context.Background())
+// TestLaterDialAttemptSucceeds: the first attempt never has an outcome, as to a machine that was off
+// the network; the second one connects.
+func TestLaterDialAttemptSucceeds(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	begun := make(chan int, 2)
 	begun <- 1
 	begun <- 2
 	here, there := net.Pipe()
-	defer there.Close()
+	defer func() { require.NoError(t, there.Close()) }()
 	conn, err := dialEvery(ctx, func() (net.Conn, error) {
 		if <-begun == 1 {
 			<-ctx.Done()
@@ -31,21 +31,21 @@
 	require.Equal(t, here, conn)
 }
 
-func TestARefusalIsTold(t *testing.T) {
+func TestRefusedDialFails(t *testing.T) {
 	refused := errors.New("refused")
-	_, err := dialEvery(context.Background(), func() (net.Conn, error) { return nil, refused }, time.Hour)
+	_, err := dialEvery(t.Context(), func() (net.Conn, error) { return nil, refused }, time.Hour)
 	require.ErrorIs(t, err, refused)
 }
 
-// TestAConnectionTooLateIsClosed: of two attempts that succeed one is kept.
-func TestAConnectionTooLateIsClosed(t *testing.T) {
+// TestLateConnectionIsClosed: of two attempts that succeed one connection is kept.
+func TestLateConnectionIsClosed(t *testing.T) {
 	late, other := net.Pipe()
 	first, peer := net.Pipe()
-	defer peer.Close()
+	defer func() { require.NoError(t, peer.Close()) }()
 	release, begun := make(chan struct{}), make(chan int, 2)
 	begun <- 1
 	begun <- 2
-	conn, err := dialEvery(context.Background(), func() (net.Conn, error) {
+	conn, err := dialEvery(t.Context(), func() (net.Conn, error) {
 		if <-begun == 1 {
 			<-release
 			return late, nil
@@ -56,5 +56,5 @@
 	require.Equal(t, first, conn)
 	close(release)
 	_, err = other.Read(make([]byte, 1))
-	require.Error(t, err, "the late one was closed")
+	require.Error(t, err, "the late connection was closed")
 }
--- a/coord/rpc/rpc_test.go
+++ b/coord/rpc/rpc_test.go
@@ -20,10 +20,10 @@
 
 func init() { rpc.Register(question{}, statement{}) }
 
-// echo answers questions and keeps what is cast. A question "never" has no answer.
-type echo struct{ cast chan string }
+// echoHandler responds to questions and keeps one-way messages. A question "never" has no response.
+type echoHandler struct{ oneWay chan string }
 
-func (e *echo) HandleCall(body any) any {
+func (e *echoHandler) HandleCall(body any) any {
 	q := body.(question)
 	if q.Text == "never" {
 		select {}
@@ -31,11 +31,11 @@
 	return statement{Text: "re: " + q.Text}
 }
 
-func (e *echo) HandleOneWay(body any) { e.cast <- body.(statement).Text }
+func (e *echoHandler) HandleOneWay(body any) { e.oneWay <- body.(statement).Text }
 
-func serve(t *testing.T) (*echo, *httptest.Server, *rpc.Client) {
+func newEchoServer(t *testing.T) (*echoHandler, *httptest.Server, *rpc.Client) {
 	t.Helper()
-	e := &echo{cast: make(chan string, 100)}
+	e := &echoHandler{oneWay: make(chan string, 100)}
 	mux := http.NewServeMux()
 	mux.Handle(rpc.Path, rpc.NewServer(e))
 	server := httptest.NewServer(mux)
@@ -46,7 +46,7 @@
 }
 
 func TestManyCallsOverOneConnection(t *testing.T) {
-	_, _, client := serve(t)
+	_, _, client := newEchoServer(t)
 	answers := make(chan any, 50)
 	for range 50 {
 		go func() {
@@ -62,18 +62,18 @@
 	}
 }
 
-func TestCastsArriveInOrder(t *testing.T) {
-	e, _, client := serve(t)
+func TestOneWayMessagesArriveInOrder(t *testing.T) {
+	e, _, client := newEchoServer(t)
 	for _, text := range []string{"a", "b", "c"} {
 		require.NoError(t, client.SendOneWay(statement{Text: text}))
 	}
-	require.Equal(t, "a", <-e.cast)
-	require.Equal(t, "b", <-e.cast)
-	require.Equal(t, "c", <-e.cast)
+	require.Equal(t, "a", <-e.oneWay)
+	require.Equal(t, "b", <-e.oneWay)
+	require.Equal(t, "c", <-e.oneWay)
 }
 
-func TestACallWithoutAnAnswerIsUnknown(t *testing.T) {
-	_, _, client := serve(t)
+func TestCallWithoutResponseIsLost(t *testing.T) {
+	_, _, client := newEchoServer(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err := client.Call(ctx, question{Text: "never"})
@@ -83,12 +83,12 @@
 	require.Equal(t, statement{Text: "re: y"}, got)
 }
 
-func TestConnectsAgainAfterTheConnectionEnded(t *testing.T) {
-	_, _, client := serve(t)
+func TestReconnectsAfterConnectionLoss(t *testing.T) {
+	_, _, client := newEchoServer(t)
 	_, err := client.Call(t.Context(), question{Text: "x"})
 	require.NoError(t, err)
 	client.Close()
-	for { // a call may meet the connection's end
+	for { // a call may be sent on the old connection
 		if _, err = client.Call(t.Context(), question{Text: "x"}); err == nil {
 			return
 		}
@@ -96,24 +96,26 @@
 	}
 }
 
-func TestNobodyThere(t *testing.T) {
+func TestUnreachablePeer(t *testing.T) {
 	_, err := rpc.NewClient("127.0.0.1:1").Call(t.Context(), question{})
 	require.ErrorIs(t, err, rpc.ErrConnectionLost)
 }
 
-func TestOtherRequestsAreTurnedDown(t *testing.T) {
-	_, server, _ := serve(t)
-	response, err := http.Get(server.URL + rpc.Path)
+func TestRequestsWithoutUpgradeAreRejected(t *testing.T) {
+	_, server, _ := newEchoServer(t)
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+rpc.Path, nil)
 	require.NoError(t, err)
-	defer response.Body.Close()
+	response, err := http.DefaultClient.Do(request)
+	require.NoError(t, err)
+	require.NoError(t, response.Body.Close())
 	require.Equal(t, http.StatusUpgradeRequired, response.StatusCode)
 }
 
-// TestAnswersComeByTheirCall: answers that overtake one another reach who asked.
-func TestAnswersComeByTheirCall(t *testing.T) {
+// TestResponsesReachTheirCalls also where they come in another order.
+func TestResponsesReachTheirCalls(t *testing.T) {
 	release := map[string]chan struct{}{"0": make(chan struct{}), "1": make(chan struct{}), "2": make(chan struct{})}
 	asked := make(chan string, 3)
-	_, client := serveWith(t, func(text string) {
+	_, client := newCallbackServer(t, func(text string) {
 		asked <- text
 		<-release[text]
 	})
@@ -141,12 +143,12 @@
 	}
 }
 
-// TestACallIsSentOnce: where its connection ends before an answer, the caller is told that the
-// outcome is not known, and nothing is sent again over the next connection.
-func TestACallIsSentOnce(t *testing.T) {
+// TestCallIsSentOnce: where its connection is lost before the response, the call fails with an unknown
+// outcome, and it is not sent again over the next connection.
+func TestCallIsSentOnce(t *testing.T) {
 	asked := make(chan string, 10)
 	hold := make(chan struct{})
-	server, client := serveWith(t, func(text string) {
+	server, client := newCallbackServer(t, func(text string) {
 		asked <- text
 		if text == "once" {
 			<-hold
@@ -172,11 +174,10 @@
 	}
 }
 
-// TestACallThatWasGivenUpIsNotSent: one that waits in the queue of a connection that is not
-// there yet leaves it when its caller does.
-func TestACallThatWasGivenUpIsNotSent(t *testing.T) {
+// TestCancelledCallIsNotSent: a call that is cancelled before there is a connection leaves the queue.
+func TestCancelledCallIsNotSent(t *testing.T) {
 	asked := make(chan string, 10)
-	server, client := serveWith(t, func(text string) { asked <- text })
+	server, client := newCallbackServer(t, func(text string) { asked <- text })
 	dialing, dial := make(chan struct{}), make(chan struct{})
 	server.beforeUpgrade = func() {
 		close(dialing)
@@ -197,13 +198,13 @@
 	require.Equal(t, "next", <-asked)
 }
 
-// gate is a server whose connections can be dropped.
-type gate struct {
+// restartableServer is a server whose connections can be closed.
+type restartableServer struct {
 	inner         *rpc.Server
 	beforeUpgrade func()
 }
 
-func (g *gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *restartableServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if before := g.beforeUpgrade; before != nil {
 		g.beforeUpgrade = nil
 		before()
@@ -211,26 +212,26 @@
 	g.inner.ServeHTTP(w, r)
 }
 
-// drop ends all connections; new ones are served as before.
-func (g *gate) drop() {
+// drop closes all connections; new ones are served as before.
+func (g *restartableServer) drop() {
 	old := g.inner
 	g.inner = rpc.NewServer(old.Handler())
 	old.Close()
 }
 
-type asking func(text string)
+type callbackHandler func(text string)
 
-func (a asking) HandleOneWay(any) {}
+func (a callbackHandler) HandleOneWay(any) {}
 
-func (a asking) HandleCall(body any) any {
+func (a callbackHandler) HandleCall(body any) any {
 	text := body.(question).Text
 	a(text)
 	return statement{Text: "re: " + text}
 }
 
-func serveWith(t *testing.T, hear func(text string)) (*gate, *rpc.Client) {
+func newCallbackServer(t *testing.T, hear func(text string)) (*restartableServer, *rpc.Client) {
 	t.Helper()
-	g := &gate{inner: rpc.NewServer(asking(hear))}
+	g := &restartableServer{inner: rpc.NewServer(callbackHandler(hear))}
 	server := httptest.NewServer(g)
 	t.Cleanup(server.Close)
 	client := rpc.NewClient(strings.TrimPrefix(server.URL, "http://"))
