--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,21 +1,21 @@
-// Command knownred runs a test command without the tests that KNOWN-RED.txt
-// names, and these by themselves. .ci/run calls it; nothing imports it.
+// Command knownred runs a test command without the tests that KNOWN-RED.txt names, and then each of
+// these by itself. .ci/run calls it:
 //
 //	go run ./internal/tools/knownred go test -race ./...
 //
-// A line of KNOWN-RED.txt is test<TAB>cause<TAB>issue. The test is a package
-// and a name with a space between: "./internal/dispatcher/discovery TestSpread", or for one
-// subtest "./internal/dispatcher/httpfront TestProgram/drains"; the root package is
-// ".". The name is written as go test -v prints it. It is taken whole,
-// element by element, and skipped in its own package alone. The issue is a
-// number.
+// A line of KNOWN-RED.txt is test<TAB>cause<TAB>issue. The test is a package and a name with a space
+// between: "./internal/dispatcher/discovery TestSpread", or for one subtest
+// "./internal/dispatcher/httpfront TestProgram/drains"; the root package is ".". The name is written
+// as go test -v prints it. It is matched whole, element by element, and skipped in its own package
+// alone. The issue is a number.
 //
-// What a named test does changes no verdict. More than three lines, a line of
-// another form and one that names no existing test end the check with status 1.
+// The outcome of a named test is printed and does not change the verdict. More than three lines, a
+// line of another form, and one that names no existing test fail the check with status 1.
 package main
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -28,54 +28,57 @@
 )
 
 const (
-	file   = "KNOWN-RED.txt"
-	most   = 3
-	within = "-timeout=3m" // for one known test by itself
+	listFile       = "KNOWN-RED.txt"
+	maxKnownTests  = 3
+	aloneTimeout   = "-timeout=3m" // for one known test by itself
+	allPackages    = "./..."
+	runMarker      = "=== RUN   " // begins the line of go test -v that names a test
+	expectedFields = 3
 )
 
-// red is one line of the file.
-type red struct {
+// knownTest is one line of the file.
+type knownTest struct {
 	dir, name, cause, issue string
-	path                    string // the package's import path
+	importPath              string // of the package
 }
 
 var (
-	inPackage = regexp.MustCompile(`^(\.|\./\S+) ((?:Test|Example|Fuzz)\S*)$`)
-	number    = regexp.MustCompile(`^[0-9]+$`)
+	testPattern  = regexp.MustCompile(`^(\.|\./\S+) ((?:Test|Example|Fuzz)\S*)$`)
+	issuePattern = regexp.MustCompile(`^[0-9]+$`)
 )
 
 func main() {
-	if err := run(os.Args[1:], os.Stdout, os.Stderr); err != nil {
+	if err := run(context.Background(), os.Args[1:], os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// run runs the command in the working folder. An error is the check's verdict.
-func run(command []string, out, log io.Writer) error {
-	if len(command) < 3 || command[len(command)-1] != "./..." {
-		return errors.New("knownred: wants a test command that ends with ./...")
+// run runs the test command in the working directory. An error is the check's verdict.
+func run(ctx context.Context, command []string, out, errOut io.Writer) error {
+	if len(command) < 3 || command[len(command)-1] != allPackages {
+		return errors.New("knownred: wants a test command whose last argument is ./... (all packages)")
 	}
-	text, err := os.ReadFile(file)
+	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("knownred: %w", err)
 	}
 	if len(text) == 0 {
-		return pass(command, out, log)
+		return runPassingOutput(ctx, command, out, errOut)
 	}
-	reds, err := parse(string(text))
+	known, err := parse(string(text))
 	if err != nil {
 		return err
 	}
 	test := command[:len(command)-1]
-	for i := range reds {
-		if err := reds[i].find(test); err != nil {
+	for i := range known {
+		if err := known[i].resolve(ctx, test); err != nil {
 			return err
 		}
 	}
-	verdict := others(command, reds, out, log)
-	for _, r := range reds {
-		if err := r.alone(test, out); err != nil {
+	verdict := runOthers(ctx, test, known, out, errOut)
+	for _, k := range known {
+		if err := k.runAlone(ctx, test, out); err != nil {
 			verdict = errors.Join(verdict, err)
 		}
 	}
@@ -83,119 +86,128 @@
 }
 
 // parse reads the lines of a file that is not empty.
-func parse(text string) ([]red, error) {
+func parse(text string) ([]knownTest, error) {
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
-	if len(lines) > most {
-		return nil, fmt.Errorf("%s: %d lines, where %d may stand at most", file, len(lines), most)
+	if len(lines) > maxKnownTests {
+		return nil, fmt.Errorf("%s: %d lines, where %d may stand at most", listFile, len(lines), maxKnownTests)
 	}
-	var reds []red
+	var known []knownTest
 	for i, line := range lines {
-		fields := strings.Split(line, "\t")
-		if len(fields) != 3 {
-			return nil, fmt.Errorf("%s:%d: not test<TAB>cause<TAB>issue: %q", file, i+1, line)
+		k, err := parseLine(line)
+		if err != nil {
+			return nil, fmt.Errorf("%s:%d: %w", listFile, i+1, err)
 		}
-		named := inPackage.FindStringSubmatch(fields[0])
-		if named == nil {
-			return nil, fmt.Errorf("%s:%d: not a package, a space and a test: %q", file, i+1, fields[0])
+		if slices.ContainsFunc(known, func(o knownTest) bool { return o.dir == k.dir && o.name == k.name }) {
+			return nil, fmt.Errorf("%s:%d: named twice: %s %s", listFile, i+1, k.dir, k.name)
 		}
-		if strings.TrimSpace(fields[1]) == "" || !number.MatchString(fields[2]) {
-			return nil, fmt.Errorf("%s:%d: wants a cause and an issue's number: %q", file, i+1, line)
-		}
-		r := red{dir: named[1], name: named[2], cause: fields[1], issue: fields[2]}
-		if slices.ContainsFunc(reds, func(o red) bool { return o.dir == r.dir && o.name == r.name }) {
-			return nil, fmt.Errorf("%s:%d: named twice: %q", file, i+1, fields[0])
-		}
-		reds = append(reds, r)
+		known = append(known, k)
+	}
+	return known, nil
+}
+
+func parseLine(line string) (knownTest, error) {
+	fields := strings.Split(line, "\t")
+	if len(fields) != expectedFields {
+		return knownTest{}, fmt.Errorf("not test<TAB>cause<TAB>issue: %q", line)
+	}
+	test, cause, issue := testPattern.FindStringSubmatch(fields[0]), fields[1], fields[2]
+	if test == nil {
+		return knownTest{}, fmt.Errorf("not a package, a space and a test: %q", fields[0])
+	}
+	if strings.TrimSpace(cause) == "" || !issuePattern.MatchString(issue) {
+		return knownTest{}, fmt.Errorf("wants a cause and an issue's number: %q", line)
 	}
-	return reds, nil
+	return knownTest{dir: test[1], name: test[2], cause: cause, issue: issue}, nil
 }
 
-// pattern matches the test alone, as go test's -run and -skip read it: element
-// by element, each whole.
-func (r red) pattern() string {
-	elements := strings.Split(r.name, "/")
-	for i, e := range elements {
-		elements[i] = "^" + regexp.QuoteMeta(e) + "$"
+// pattern matches the test alone, as go test's -run and -skip read it: element by element, each
+// whole.
+func (k knownTest) pattern() string {
+	elements := strings.Split(k.name, "/")
+	for i, element := range elements {
+		elements[i] = "^" + regexp.QuoteMeta(element) + "$"
 	}
 	return strings.Join(elements, "/")
 }
 
-// find sets the package's import path. The error says that no such package or
-// top-level test exists.
-func (r *red) find(test []string) error {
-	listed, err := exec.Command(test[0], "list", r.dir).CombinedOutput()
+// resolve sets the package's import path. The error tells that no such package or top-level test
+// exists.
+func (k *knownTest) resolve(ctx context.Context, test []string) error {
+	listed, err := exec.CommandContext(ctx, test[0], "list", k.dir).CombinedOutput()
 	if err != nil || bytes.ContainsAny(bytes.TrimSpace(listed), " \n") {
-		return fmt.Errorf("%s: no such package: %s: %s", file, r.dir, bytes.TrimSpace(listed))
+		return fmt.Errorf("%s: no such package: %s: %s", listFile, k.dir, bytes.TrimSpace(listed))
 	}
-	r.path = string(bytes.TrimSpace(listed))
-	top, _, _ := strings.Cut(r.name, "/")
-	names, err := call(test, "-list", "^"+regexp.QuoteMeta(top)+"$", r.dir).CombinedOutput()
-	if err != nil || !slices.Contains(strings.Split(string(names), "\n"), top) {
-		return fmt.Errorf("%s: no such test: %s %s: %s", file, r.dir, r.name, bytes.TrimSpace(names))
+	k.importPath = string(bytes.TrimSpace(listed))
+	topLevel, _, _ := strings.Cut(k.name, "/")
+	names, err := withArguments(ctx, test, "-list", "^"+regexp.QuoteMeta(topLevel)+"$", k.dir).CombinedOutput()
+	if err != nil || !slices.Contains(strings.Split(string(names), "\n"), topLevel) {
+		return fmt.Errorf("%s: no such test: %s %s: %s", listFile, k.dir, k.name, bytes.TrimSpace(names))
 	}
 	return nil
 }
 
-// others runs all but the known tests: the packages without one as they are,
-// each other without its own.
-func others(command []string, reds []red, out, log io.Writer) error {
-	test := command[:len(command)-1]
-	listed, err := exec.Command(test[0], "list", "./...").Output()
+// runOthers runs all but the known tests: first the packages without one, then each other package
+// without its own.
+func runOthers(ctx context.Context, test []string, known []knownTest, out, errOut io.Writer) error {
+	listed, err := exec.CommandContext(ctx, test[0], "list", allPackages).Output()
 	if err != nil {
 		return fmt.Errorf("knownred: go list: %w", err)
 	}
-	skip := map[string][]string{}
-	for _, r := range reds {
-		skip[r.path] = append(skip[r.path], r.pattern())
+	patterns := map[string][]string{} // by import path
+	for _, k := range known {
+		patterns[k.importPath] = append(patterns[k.importPath], k.pattern())
 	}
-	var plain, with []string
+	var without, with []string
 	for _, path := range strings.Fields(string(listed)) {
-		if skip[path] == nil {
-			plain = append(plain, path)
+		if patterns[path] == nil {
+			without = append(without, path)
 		} else {
 			with = append(with, path)
 		}
 	}
 	var verdict error
-	if len(plain) > 0 {
-		verdict = pass(append(slices.Clone(test), plain...), out, log)
+	if len(without) > 0 {
+		verdict = runPassingOutput(ctx, slices.Concat(test, without), out, errOut)
 	}
 	for _, path := range with {
-		args := append(slices.Clone(test), "-skip", strings.Join(skip[path], "|"), path)
-		verdict = errors.Join(verdict, pass(args, out, log))
+		command := slices.Concat(test, []string{"-skip", strings.Join(patterns[path], "|"), path})
+		verdict = errors.Join(verdict, runPassingOutput(ctx, command, out, errOut))
 	}
 	return verdict
 }
 
-// alone runs one known test and prints its outcome. The error says that it
-// does not exist, which of a subtest shows only now.
-func (r red) alone(test []string, out io.Writer) error {
-	said, err := call(test, "-count=1", within, "-v", "-run", r.pattern(), r.dir).CombinedOutput()
-	lines := strings.Split(string(said), "\n")
-	if !slices.Contains(lines, "=== RUN   "+r.name) {
-		fmt.Fprintf(out, "%s", said)
-		return fmt.Errorf("%s: no such test: %s %s", file, r.dir, r.name)
-	}
-	outcome := "fails"
-	if err == nil {
-		outcome = "passes"
-	} else {
-		fmt.Fprintf(out, "%s", said)
-	}
-	fmt.Fprintf(out, "known red %s: %s %s (%s; issue %s)\n", outcome, r.dir, r.name, r.cause, r.issue)
+// runAlone runs one known test and prints its outcome. The error tells that the test does not exist,
+// which shows only now for a subtest.
+func (k knownTest) runAlone(ctx context.Context, test []string, out io.Writer) error {
+	output, testErr := withArguments(ctx, test, "-count=1", aloneTimeout, "-v", "-run", k.pattern(), k.dir).CombinedOutput()
+	outcome := "passes"
+	if testErr != nil {
+		outcome = "fails"
+	}
+	exists := slices.Contains(strings.Split(string(output), "\n"), runMarker+k.name)
+	if !exists || testErr != nil {
+		if _, err := out.Write(output); err != nil {
+			return fmt.Errorf("knownred: %w", err)
+		}
+	}
+	if !exists {
+		return fmt.Errorf("%s: no such test: %s %s", listFile, k.dir, k.name)
+	}
+	if _, err := fmt.Fprintf(out, "known red %s: %s %s (%s; issue %s)\n", outcome, k.dir, k.name, k.cause, k.issue); err != nil {
+		return fmt.Errorf("knownred: %w", err)
+	}
 	return nil
 }
 
-// call is the test command with further arguments.
-func call(test []string, more ...string) *exec.Cmd {
-	args := append(slices.Clone(test[1:]), more...)
-	return exec.Command(test[0], args...)
+// withArguments is the test command with further arguments.
+func withArguments(ctx context.Context, test []string, more ...string) *exec.Cmd {
+	return exec.CommandContext(ctx, test[0], slices.Concat(test[1:], more)...)
 }
 
-// pass runs a command with its output passed on.
-func pass(command []string, out, log io.Writer) error {
-	c := exec.Command(command[0], command[1:]...)
-	c.Stdout, c.Stderr = out, log
+// runPassingOutput runs a command and passes its output on.
+func runPassingOutput(ctx context.Context, command []string, out, errOut io.Writer) error {
+	c := exec.CommandContext(ctx, command[0], command[1:]...)
+	c.Stdout, c.Stderr = out, errOut
 	if err := c.Run(); err != nil {
 		return fmt.Errorf("%s: %w", strings.Join(command[:min(len(command), 3)], " "), err)
 	}
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"testing"
@@ -9,9 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// planted is a module whose tests of the same names do different things in two
-// packages.
-var planted = map[string]string{
+// plantedModule has tests of the same names that do different things in two packages.
+var plantedModule = map[string]string{
 	"go.mod": "module planted\n\ngo 1.24\n",
 	"a/a_test.go": `package a
 
@@ -49,10 +49,10 @@
 	sub = "./a TestParent/drains_at_once\tanother cause\t34\n"
 )
 
-// plant writes the module; one for all cases, so that it is built once.
-func plant(t *testing.T) {
+// writeModule writes the module; it is one for all cases, so that it is built once.
+func writeModule(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range planted {
+	for name, text := range plantedModule {
 		path := filepath.Join(dir, name)
 		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
@@ -61,36 +61,38 @@
 	t.Setenv("GOWORK", "off")
 }
 
-// play runs the check over the planted module with such a file.
-func play(t *testing.T, text string, broken bool) (string, error) {
+// runCheck runs the check over the planted module with such a KNOWN-RED.txt.
+func runCheck(t *testing.T, text string, broken bool) (string, error) {
 	t.Helper()
-	os.Remove(file)
+	if err := os.Remove(listFile); err != nil {
+		require.ErrorIs(t, err, fs.ErrNotExist)
+	}
 	if text != "absent" {
-		require.NoError(t, os.WriteFile(file, []byte(text), 0o644))
+		require.NoError(t, os.WriteFile(listFile, []byte(text), 0o644))
 	}
 	if broken {
 		t.Setenv("PLANTED", "broken")
 	}
-	var said bytes.Buffer
-	err := run([]string{"go", "test", "-v", "./..."}, &said, &said)
-	return said.String(), err
+	var output bytes.Buffer
+	err := run(t.Context(), []string{"go", "test", "-v", "./..."}, &output, &output)
+	return output.String(), err
 }
 
 func TestKnownRed(t *testing.T) {
 	cases := []struct {
 		name, text string
 		broken     bool
-		fails      string   // what the verdict says; none: it passes
-		says       []string // what is printed
+		fails      string // what the verdict contains; empty: it passes
+		prints     []string
 	}{
-		{name: "absent", text: "absent", fails: "exit status 1", says: []string{"a is red", "a sub is red", "ok  \tplanted/b"}},
-		{name: "empty", text: "", fails: "exit status 1", says: []string{"a is red", "a sub is red", "ok  \tplanted/b"}},
-		{name: "known ones fail or pass", text: top + sub + "./a TestGreen\ta race\t5\n", says: []string{
+		{name: "absent", text: "absent", fails: "exit status 1", prints: []string{"a is red", "a sub is red", "ok  \tplanted/b"}},
+		{name: "empty", text: "", fails: "exit status 1", prints: []string{"a is red", "a sub is red", "ok  \tplanted/b"}},
+		{name: "known ones fail or pass", text: top + sub + "./a TestGreen\ta race\t5\n", prints: []string{
 			"known red fails: ./a TestRed (a cause; issue 33)",
 			"known red fails: ./a TestParent/drains_at_once (another cause; issue 34)",
 			"known red passes: ./a TestGreen (a race; issue 5)",
 			"redder ran", "the other sub ran", "b's own ran", "b's sub ran", "ok  \tplanted/a", "ok  \tplanted/b"}},
-		{name: "others fail", text: top, broken: true, fails: "exit status 1", says: []string{
+		{name: "others fail", text: top, broken: true, fails: "exit status 1", prints: []string{
 			"known red fails: ./a TestRed", "a sub is red", "FAIL\tplanted/a", "FAIL\tplanted/b"}},
 		{name: "too many", text: top + sub + "./a TestGreen\tc\t1\n./b TestRed\tc\t1\n", fails: "4 lines"},
 		{name: "no such package", text: "./c TestRed\tc\t1\n", fails: "no such package"},
@@ -107,23 +109,23 @@
 		{name: "a blank line", text: top + "\n" + sub, fails: "not test<TAB>"},
 		{name: "named twice", text: top + top, fails: "named twice"},
 	}
-	plant(t)
+	writeModule(t)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			said, err := play(t, c.text, c.broken)
+			output, err := runCheck(t, c.text, c.broken)
 			if c.fails == "" {
-				require.NoError(t, err, said)
+				require.NoError(t, err, output)
 			} else {
-				require.ErrorContains(t, err, c.fails, said)
+				require.ErrorContains(t, err, c.fails, output)
 			}
-			for _, s := range c.says {
-				require.Contains(t, said, s)
+			for _, s := range c.prints {
+				require.Contains(t, output, s)
 			}
 		})
 	}
 }
 
-// TestCommand holds what .ci/run runs to the README's test command.
+// TestCommand requires that .ci/run runs the README's test command.
 func TestCommand(t *testing.T) {
 	readme, err := os.ReadFile("../../../README.md")
 	require.NoError(t, err)
@@ -132,5 +134,5 @@
 	const command = "go test -race ./..."
 	require.Contains(t, string(readme), "\n    # test\n    "+command+"\n")
 	require.Contains(t, string(ci), "\ngo run ./internal/tools/knownred "+command+"\n")
-	require.Error(t, run([]string{"go", "test"}, nil, nil))
+	require.Error(t, run(t.Context(), []string{"go", "test"}, nil, nil))
 }
