--- a/coord/group/membership.go
+++ b/coord/group/membership.go
@@ -91,15 +91,15 @@
 		return "", true
 	}
 	for _, voter := range members.Voters {
-		if voter.ID != e.settings.Self.ID && (e.node.UnresponsiveFor(voter.ID, now) > replaceableAfter || e.wantsToLeave(now, voter.ID)) {
+		if voter.ID != e.settings.Self.ID && (e.node.UnresponsiveFor(voter.ID, now) > replaceableAfter || e.hasLeaveRequest(now, voter.ID)) {
 			return voter.ID, true
 		}
 	}
 	return "", false
 }
 
-// wantsToLeave tells whether a member's request to leave is valid, and drops one that is not.
-func (e *Engine) wantsToLeave(now time.Duration, id string) bool {
+// hasLeaveRequest tells whether a member's request to leave is valid, and drops one that is not.
+func (e *Engine) hasLeaveRequest(now time.Duration, id string) bool {
 	at, ok := e.leaveRequests[id]
 	if ok && now-at > requestValidFor {
 		delete(e.leaveRequests, id)
--- a/coord/group/snapshot_transfer.go
+++ b/coord/group/snapshot_transfer.go
@@ -169,10 +169,10 @@
 	if len(r.data) < message.Total || chunk.Index <= e.node.Commit() {
 		return
 	}
-	whole := *chunk
-	whole.Data = r.data
+	complete := *chunk
+	complete.Data = r.data
 	e.receiver = nil
-	message.Kind, message.Snapshot, message.Offset, message.Total = replica.InstallSnapshot, &whole, 0, 0
+	message.Kind, message.Snapshot, message.Offset, message.Total = replica.InstallSnapshot, &complete, 0, 0
 	message.SentAt = 0 // it renews no lease: its first chunk may be old
 	e.node.Step(now, message)
 }
--- a/coord/replica/log.go
+++ b/coord/replica/log.go
@@ -58,9 +58,9 @@
 	if len(entries) == 0 {
 		return
 	}
-	kept := entries[0].Index - l.first
-	if kept < uint64(len(l.entries)) { // slices that were handed out must not change
-		l.entries = slices.Clip(l.entries[:kept])
+	keptCount := entries[0].Index - l.first
+	if keptCount < uint64(len(l.entries)) { // slices that were handed out must not change
+		l.entries = slices.Clip(l.entries[:keptCount])
 	}
 	l.entries = append(l.entries, entries...)
 	l.stable = min(l.stable, entries[0].Index-1)
@@ -85,14 +85,14 @@
 		return nil
 	}
 	size := 0
-	rest := l.entries[from-l.first:]
-	for i, entry := range rest {
+	remaining := l.entries[from-l.first:]
+	for i, entry := range remaining {
 		size += len(entry.Data)
 		if i > 0 && size > maxAppendBytes {
-			return rest[:i]
+			return remaining[:i]
 		}
 	}
-	return rest
+	return remaining
 }
 
 // indexBeforeTermOf returns the index before the first entry of the term at an index: a leader that
--- a/coord/replica/progress/progress.go
+++ b/coord/replica/progress/progress.go
@@ -15,10 +15,10 @@
 	Match uint64 // highest index known to be on the member's disk; 0: it has acknowledged nothing yet
 	Next  uint64 // index of the next entry to send; entries in between are in flight
 
-	ackedSentAt     time.Duration // when the newest message that the member responded to was sent
-	lastResponse    time.Duration // when its last response came; 0: none has
-	entriesSentAt   time.Duration // when entries were last sent
-	snapshotAskedAt time.Duration // when a snapshot was last asked for; 0: never
+	ackedSentAt         time.Duration // when the newest message that the member responded to was sent
+	lastResponse        time.Duration // when its last response came; 0: none has
+	entriesSentAt       time.Duration // when entries were last sent
+	snapshotRequestedAt time.Duration // when a snapshot was last asked for; 0: never
 }
 
 // New returns the progress of a member about which only the index of the next entry is assumed.
@@ -74,8 +74,8 @@
 
 // SnapshotPending tells whether a snapshot was asked for so lately that none is due.
 func (p *Progress) SnapshotPending(now time.Duration) bool {
-	return p.snapshotAskedAt != 0 && now < p.snapshotAskedAt+ResendAfter
+	return p.snapshotRequestedAt != 0 && now < p.snapshotRequestedAt+ResendAfter
 }
 
-// RecordSnapshotAsked records that the driver was asked to send a snapshot.
-func (p *Progress) RecordSnapshotAsked(now time.Duration) { p.snapshotAskedAt = now }
+// RecordSnapshotRequest records that the driver was asked to send a snapshot.
+func (p *Progress) RecordSnapshotRequest(now time.Duration) { p.snapshotRequestedAt = now }
--- a/coord/replica/progress/progress_test.go
+++ b/coord/replica/progress/progress_test.go
@@ -63,7 +63,7 @@
 func TestASnapshotIsAskedForAgainAfterAWhile(t *testing.T) {
 	p := progress.New(1, start)
 	require.False(t, p.SnapshotPending(start))
-	p.RecordSnapshotAsked(start)
+	p.RecordSnapshotRequest(start)
 	require.True(t, p.SnapshotPending(start+progress.ResendAfter-1))
 	require.False(t, p.SnapshotPending(start+progress.ResendAfter))
 }
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -118,7 +118,7 @@
 	}
 	previous := peer.Next - 1
 	if previous != 0 && n.log.term(previous) == 0 || peer.Next < n.log.first {
-		n.askForSnapshot(now, id, heartbeat)
+		n.requestSnapshot(now, id, heartbeat)
 		return
 	}
 	entries := n.log.batch(peer.Next)
@@ -155,14 +155,14 @@
 	return n.Membership().AllMembers()
 }
 
-// askForSnapshot asks the driver, by an empty snapshot, to send the newest one.
-func (n *Node) askForSnapshot(now time.Duration, id string, heartbeat bool) {
+// requestSnapshot asks the driver, by an empty snapshot, to send the newest one.
+func (n *Node) requestSnapshot(now time.Duration, id string, heartbeat bool) {
 	peer := n.progress[id]
 	if peer.SnapshotPending(now) {
 		n.probe(now, id, heartbeat)
 		return
 	}
-	peer.RecordSnapshotAsked(now)
+	peer.RecordSnapshotRequest(now)
 	n.send(Message{Kind: InstallSnapshot, To: id, SentAt: now, Snapshot: &Snapshot{}})
 }
 
--- a/coord/ringlog/format.go
+++ b/coord/ringlog/format.go
@@ -81,7 +81,7 @@
 
 // readRecord returns the first record and what follows it; false: there is none with a right
 // checksum and the wanted number.
-func readRecord(from []byte, number uint64) (r record, rest []byte, ok bool) {
+func readRecord(from []byte, number uint64) (r record, remaining []byte, ok bool) {
 	if len(from) < recordHeaderBytes {
 		return record{}, nil, false
 	}
--- a/coord/ringlog/recover.go
+++ b/coord/ringlog/recover.go
@@ -104,10 +104,10 @@
 	if s.firstNumber != r.nextNumber {
 		return errors.Wrapf(ErrDamaged, "the segment begins with record %d, where %d is next", s.firstNumber, r.nextNumber)
 	}
-	rest := s.content[segmentHeaderBytes:]
+	remaining := s.content[segmentHeaderBytes:]
 	s.content = nil
 	for {
-		next, after, ok := readRecord(rest, r.nextNumber)
+		next, after, ok := readRecord(remaining, r.nextNumber)
 		if !ok {
 			return nil
 		}
@@ -115,7 +115,7 @@
 			return errors.Wrapf(ErrDamaged, "record %d does not follow", next.number)
 		}
 		r.nextNumber++
-		rest = after
+		remaining = after
 	}
 }
 
--- a/coord/ringlog/ring.go
+++ b/coord/ringlog/ring.go
@@ -69,19 +69,19 @@
 		r.hardState = *hardState
 	}
 	for {
-		batch, rest := r.split(entries)
+		batch, remaining := r.split(entries)
 		if err := r.appendBatch(hardState, batch); err != nil {
 			return err
 		}
-		if len(rest) == 0 {
+		if len(remaining) == 0 {
 			return nil
 		}
-		hardState, entries = nil, rest
+		hardState, entries = nil, remaining
 	}
 }
 
 // split cuts off as many entries as half a segment takes.
-func (r *Ring) split(entries []replica.Entry) (batch, rest []replica.Entry) {
+func (r *Ring) split(entries []replica.Entry) (batch, remaining []replica.Entry) {
 	size := 0
 	for i, entry := range entries {
 		size += recordHeaderBytes + entryHeaderBytes + len(entry.Data)
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -53,8 +53,8 @@
 		if err != nil { // a slot that can't be read is taken for one that was never written
 			continue
 		}
-		snapshot, whole := decodeSnapshot(content)
-		if whole && (!ok || snapshot.Index > newest.Index) {
+		snapshot, complete := decodeSnapshot(content)
+		if complete && (!ok || snapshot.Index > newest.Index) {
 			newest, slot, ok = snapshot, at, true
 		}
 	}
--- a/coord/simdisk/simdisk.go
+++ b/coord/simdisk/simdisk.go
@@ -127,14 +127,14 @@
 			continue
 		}
 		for _, w := range f.pending {
-			d.keepSome(f, w)
+			d.persistPartially(f, w)
 		}
 		f.pending, f.durable = nil, true
 	}
 }
 
-// keepSome decides what a loss of power leaves of a write.
-func (d *Disk) keepSome(f *file, w write) {
+// persistPartially decides what a loss of power leaves of a write.
+func (d *Disk) persistPartially(f *file, w write) {
 	switch d.random.IntN(3) {
 	case 0:
 		f.synced = overwrite(f.synced, w)
