--- /dev/null
+++ b/internal/tools/doccheck/doccheck_test.go
@@ -0,0 +1,100 @@
+package doccheck
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+const root = "../../.."
+
+var (
+	quoted     = regexp.MustCompile("`([^`\n]+)`")
+	sourcePath = regexp.MustCompile(`^(?:\./)?((?:internal|coord|cmd|deploy|docs|experiments|cluster|dispatcher|shared)/[\w./{},-]+)$`)
+	identifier = regexp.MustCompile(`^([a-z]\w+)\.([A-Z]\w+)(?:\.\w+)*(?:\(\))?$`)
+	link       = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
+)
+
+// pages returns the names of all pages, from the root; the changelog tells of the past.
+func pages(t *testing.T) []string {
+	t.Helper()
+	found, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	require.NoError(t, err)
+	require.NotEmpty(t, found)
+	return append(found, filepath.Join(root, "README.md"), filepath.Join(root, "CONTRIBUTING.md"))
+}
+
+// sources returns the text of each package's files, by the package's name.
+func sources(t *testing.T) map[string]string {
+	t.Helper()
+	byPackage := map[string]string{}
+	for _, tree := range []string{"internal", "coord"} {
+		err := filepath.WalkDir(filepath.Join(root, tree), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" {
+				return err
+			}
+			content, err := os.ReadFile(path)
+			byPackage[filepath.Base(filepath.Dir(path))] += string(content)
+			return err
+		})
+		require.NoError(t, err)
+	}
+	return byPackage
+}
+
+// exists tells whether a path that a page names is there. A page may leave internal/ out, list
+// several in braces, and end a path with "..." for all below it.
+func exists(name string) bool {
+	name = strings.TrimRight(strings.TrimSuffix(strings.TrimSuffix(name, "..."), "..."), "/.")
+	if before, rest, ok := strings.Cut(name, "{"); ok {
+		inside, after, _ := strings.Cut(rest, "}")
+		for choice := range strings.SplitSeq(inside, ",") {
+			if !exists(before + choice + after) {
+				return false
+			}
+		}
+		return true
+	}
+	for _, at := range []string{name, filepath.Join("internal", name)} {
+		if _, err := os.Stat(filepath.Join(root, at)); err == nil {
+			return true
+		}
+	}
+	return false
+}
+
+func TestPagesNameWhatExists(t *testing.T) {
+	packages := sources(t)
+	for _, page := range pages(t) {
+		t.Run(filepath.Base(page), func(t *testing.T) {
+			content, err := os.ReadFile(page)
+			require.NoError(t, err)
+			for _, match := range quoted.FindAllStringSubmatch(string(content), -1) {
+				name := match[1]
+				if path := sourcePath.FindStringSubmatch(name); path != nil && !exists(path[1]) {
+					t.Errorf("no such file or folder: %s", name)
+				}
+				parts := identifier.FindStringSubmatch(name)
+				if parts == nil || packages[parts[1]] == "" || strings.HasSuffix(name, ".go") {
+					continue
+				}
+				if !regexp.MustCompile(`\b` + parts[2] + `\b`).MatchString(packages[parts[1]]) {
+					t.Errorf("no such identifier: %s", name)
+				}
+			}
+			for _, match := range link.FindAllStringSubmatch(string(content), -1) {
+				if strings.Contains(match[1], "://") {
+					continue
+				}
+				if _, err := os.Stat(filepath.Join(filepath.Dir(page), match[1])); err != nil {
+					t.Errorf("the link leads nowhere: %s", match[1])
+				}
+			}
+		})
+	}
+}
