--- a/coord/ringlog/ringlog_test.go
+++ b/coord/ringlog/ringlog_test.go
@@ -233,7 +233,7 @@
 			}
 			for range 2 {
 				disk.CrashAtOperation = disk.OperationCount + point
-				_, _, _ = ringlog.Open(disk, "log", sizes)
+				_, _, _ = ringlog.Open(disk, "log", sizes) // it crashes, or not, at that operation
 				disk.LosePower()
 			}
 			for range 3 {
@@ -262,7 +262,7 @@
 				}
 			}
 			disk.CrashAtOperation = disk.OperationCount + 1 + int(seed%9)
-			_, _, _ = ringlog.Open(disk, "log", sizes)
+			_, _, _ = ringlog.Open(disk, "log", sizes) // it crashes, or not, at that operation
 			disk.CrashAtOperation = 0
 			_, read, err := ringlog.Open(disk, "log", sizes)
 			require.NoError(t, err, "seed %d point %d", seed, point)
