--- a/internal/cluster/placement/digest_test.go
+++ b/internal/cluster/placement/digest_test.go
@@ -11,7 +11,7 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// digestFile has a line for each part: its number, how many places were found, and the digest
+// digestFile has a line for each part: its number, how many runners were found, and the digest
 // of what was chosen.
 const digestFile = "testdata/digests.txt"
 
@@ -34,25 +34,25 @@
 	return c
 }
 
-func randomAsk(random *rand.Rand) *placement.Request {
-	asked := &placement.Request{
+func randomRequest(random *rand.Rand) *placement.Request {
+	request := &placement.Request{
 		Service: "s", Resources: randomResources(random, 5), Cost: float64(random.IntN(20)), LocalOnly: random.IntN(5) == 0,
 		Urgency: placement.Urgency(random.IntN(3)), HealthyOnly: random.IntN(4) == 0, Count: random.IntN(6),
 	}
 	if random.IntN(3) == 0 {
-		asked.Constraints = []string{"a"}
+		request.Constraints = []string{"a"}
 	}
 	if random.IntN(3) == 0 {
-		asked.DataRack = fmt.Sprint("r", random.IntN(3))
+		request.DataRack = fmt.Sprint("r", random.IntN(3))
 	}
 	if random.IntN(4) == 0 {
 		forbidden := random.IntN(6)
-		asked.Limit = func(key int) int { return (key + forbidden) % 4 }
+		request.Limit = func(key int) int { return (key + forbidden) % 4 }
 	}
-	return asked
+	return request
 }
 
-// choose makes random choices, takes each place, and records what came of it.
+// choose makes random choices, assigns each, and records what came of it.
 func choose(part uint64, trace *digesttest.Trace) (found int) {
 	random := rand.New(rand.NewPCG(part, 17))
 	for number := range choicesPerPart {
@@ -60,14 +60,14 @@
 		for key := range candidates {
 			candidates[key] = randomCandidate(random, key)
 		}
-		asked := randomAsk(random)
-		place, result := placement.Choose(asked, candidates)
-		trace.Begin(time.Duration(number), "choice").Int(int64(place.Candidate), int64(place.Count), int64(result))
+		request := randomRequest(random)
+		assignment, result := placement.Choose(request, candidates)
+		trace.Begin(time.Duration(number), "choice").Int(int64(assignment.Candidate), int64(assignment.Count), int64(result))
 		if result == placement.Found {
 			found++
-			taken := &candidates[place.Candidate]
-			taken.Assign(asked)
-			trace.Int(taken.Free.CPU, taken.Free.MemMB, taken.Free.GPU).Float(taken.Headroom).Bool(taken.Idle, taken.Reserved)
+			assigned := &candidates[assignment.Candidate]
+			assigned.Assign(request)
+			trace.Int(assigned.Free.CPU, assigned.Free.MemMB, assigned.Free.GPU).Float(assigned.Headroom).Bool(assigned.Idle, assigned.Reserved)
 		}
 		trace.End()
 	}
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -1,7 +1,10 @@
-// Package placement finds the runner for tasks: it filters by labels, capacity and budget
-// and takes the roomiest that is left, near the tasks' data where it can. Of the tasks of one
-// step as many as fit go to one runner: a job needs all of them, so each further runner is one
-// more whose failure makes the job late. It does no I/O.
+// Package placement chooses the runner for tasks: of the feasible runners, by labels, capacity and
+// budget, it takes the best ranked, which is one near the tasks' data with the most headroom. Of
+// the tasks of one step as many as fit go to one runner: a job needs all of them, so each further
+// runner is one more whose failure makes the job late. It does no I/O.
+//
+// The source is the design's placement, with the deviations that docs/scheduler-design.md names
+// ("The design on the ordinary path").
 package placement
 
 import (
@@ -12,70 +15,73 @@
 
 // Candidate is a runner that takes work now, as the scheduler sees it at this moment.
 type Candidate struct {
-	Key           int // the caller's name for it
-	Service       string
-	Labels        []string
-	Capacity      job.Resources
-	Free          job.Resources
-	Headroom      float64 // of its budget, in cost
-	Idle          bool
-	Reserved      bool    // kept for work that has waited long
-	Slowdown      float64 // its run times beside what was expected of them; 1 is usual
-	RunTimeFactor float64 // run times there beside those of the same steps elsewhere; 1 is usual
-	Suspect       bool    // it fails more than the others do, or what it runs crawls
+	Key      int // the caller's name for it
+	Service  string
+	Labels   []string
+	Capacity job.Resources
+	Free     job.Resources
+	Headroom float64 // of its budget, in core-seconds
+	Idle     bool    // nothing runs there: whatever fits may start, whatever the budget says
+	Reserved bool    // for aged work, or until a probe of it has ended: it takes nothing
+	// Slowdown is its recent run times over those that were expected of them; 1 is normal.
+	Slowdown float64
+	// RunTimeFactor is its run times over those of the same steps' tasks elsewhere; 1 is normal.
+	RunTimeFactor float64
+	Suspect       bool // it fails more than others do, or what it runs is slow: it takes one task at a time
 }
 
-// Urgency says how much of a task's time is spare.
+// Urgency says how much time a task's job has to spare.
 type Urgency uint8
 
-// Hastes.
+// Urgencies.
 const (
 	UrgencyNormal Urgency = iota
-	UrgencyTight          // it takes quick runners first
-	UrgencyLoose          // it leaves quick runners to others
+	UrgencyHigh           // it takes fast runners first
+	UrgencyLow            // it leaves fast runners to others
 )
 
-// Request is what a task wants.
+// Request is what a task asks of a runner.
 type Request struct {
 	Service     string
 	Resources   job.Resources
-	Cost        float64
-	Constraints []string
-	DataRack    string  // label of the rack where its data lies; empty: no matter
-	LocalOnly   bool    // it rather waits than run far from its data
-	Urgency     Urgency // how much its time matters
-	HealthyOnly bool    // it rather waits than try a doubtful runner, if any sound one suits it
-	Count       int     // tasks that are alike and wait; 0: one
-	// Limit returns how many more of them a runner may take; nil: any number.
+	Cost        float64  // what a task takes of the budget, in core-seconds
+	Constraints []string // labels that the runner must have
+	DataRack    string   // label of the rack where its data lies; empty: no matter
+	LocalOnly   bool     // it rather waits than run away from its data
+	Urgency     Urgency
+	HealthyOnly bool // it rather waits than probe a suspect runner, if any healthy one is feasible
+	Count       int  // tasks that are alike and wait; 0: one
+	// Limit returns how many more of them a runner, by its key, may take; nil: any number.
 	Limit func(key int) int
 }
 
-// limit returns how many of the tasks a runner may take by the caller's word.
-func (a *Request) limit(key int) int {
-	count := max(1, a.Count)
-	if a.Limit == nil {
+// limit returns how many of the tasks a runner may take by the caller's limit.
+func (r *Request) limit(key int) int {
+	count := max(1, r.Count)
+	if r.Limit == nil {
 		return count
 	}
-	return min(count, a.Limit(key))
+	return min(count, r.Limit(key))
 }
 
-// Result says why no runner was found.
+// Result says whether a runner was found, or why none was. Of several reasons the one that comes
+// first counts.
 type Result uint8
 
 // Results.
 const (
 	Found      Result = iota
-	NoBudget          // some runner has the capacity free, and no budget for it
-	NoCapacity        // no suitable runner has the capacity free
-	Unsuitable        // no runner suits at all, whatever is free
+	NoBudget          // some runner has the capacity free, but its budget has no headroom
+	NoCapacity        // no feasible runner has the capacity free
+	Unsuitable        // no runner is feasible at all, whatever is free
 )
 
-// suits tells whether a runner could ever take the task.
-func suits(ask *Request, c *Candidate) bool {
-	if ask.Service != c.Service || !ask.Resources.FitsIn(c.Capacity) {
+// feasible tells whether a runner could ever take the task.
+func (c *Candidate) feasible(request *Request) bool {
+	if request.Service != c.Service || !request.Resources.FitsIn(c.Capacity) {
 		return false
 	}
-	for _, label := range ask.Constraints {
+	for _, label := range request.Constraints {
 		if !slices.Contains(c.Labels, label) {
 			return false
 		}
@@ -83,49 +89,53 @@
 	return true
 }
 
-func near(ask *Request, c *Candidate) bool {
-	return ask.DataRack == "" || slices.Contains(c.Labels, ask.DataRack)
+// local tells whether a runner is near the task's data.
+func (c *Candidate) local(request *Request) bool {
+	return request.DataRack == "" || slices.Contains(c.Labels, request.DataRack)
 }
 
-// Assignment is a candidate that was chosen.
+// Assignment is a candidate that was chosen, and how many of the tasks it takes.
 type Assignment struct {
-	Candidate int // its place among the candidates
-	Count     int // so many of the tasks that were asked for fit there
+	Candidate int // its index among the candidates; -1: none was found
+	Count     int // 1 or more, and no more than the request's Count
 }
 
-// Choose returns the best candidate and how many of the tasks fit there.
-func Choose(ask *Request, candidates []Candidate) (best Assignment, result Result) {
-	if ask.HealthyOnly {
-		if best, result = choose(ask, candidates, true); result != Unsuitable {
+// Choose returns the best candidate and how many of the tasks fit there. It changes nothing: the
+// caller notes what it assigns by Candidate.Assign.
+func Choose(request *Request, candidates []Candidate) (best Assignment, result Result) {
+	if request.HealthyOnly {
+		if best, result = choose(request, candidates, true); result != Unsuitable {
 			return best, result
 		}
 	}
-	return choose(ask, candidates, false)
+	return choose(request, candidates, false)
 }
 
-func choose(ask *Request, candidates []Candidate, soundOnly bool) (best Assignment, result Result) {
+func choose(request *Request, candidates []Candidate, healthyOnly bool) (best Assignment, result Result) {
 	best, result = Assignment{Candidate: -1}, Unsuitable
 	for at := range candidates {
 		c := &candidates[at]
-		if soundOnly && c.Suspect || !suits(ask, c) {
+		if result <= NoCapacity && !request.Resources.FitsIn(c.Free) {
+			continue // most runners are full: the cheapest check first, once it changes no result
+		}
+		if healthyOnly && c.Suspect || !c.feasible(request) {
 			continue
 		}
-		if c.Reserved || !ask.Resources.FitsIn(c.Free) || ask.LocalOnly && !near(ask, c) {
-			result = better(result, NoCapacity)
+		if c.Reserved || !request.Resources.FitsIn(c.Free) || request.LocalOnly && !c.local(request) {
+			result = min(result, NoCapacity)
 			continue
 		}
-		limit := ask.limit(c.Key) // after what is cheaper to look at
+		limit := request.limit(c.Key) // after what costs less to find out
 		if limit < 1 {
 			continue
 		}
-		result = better(result, NoCapacity)
-		if !c.Idle && c.Headroom < ask.Cost {
-			result = better(result, NoBudget)
+		if !c.Idle && c.Headroom < request.Cost {
+			result = min(result, NoBudget)
 			continue
 		}
-		place := Assignment{Candidate: at, Count: min(limit, c.takes(ask))}
-		if best.Candidate < 0 || prefers(ask, c, place, &candidates[best.Candidate], best) {
-			best = place
+		assignment := Assignment{Candidate: at, Count: min(limit, c.fitting(request))}
+		if best.Candidate < 0 || better(request, c, assignment.Count, &candidates[best.Candidate], best.Count) {
+			best = assignment
 		}
 	}
 	if best.Candidate >= 0 {
@@ -134,76 +144,68 @@
 	return best, result
 }
 
-// takes returns how many of the tasks fit a runner's free capacity and budget; one at least,
-// since a task that was let in by Choose fits, and no more at one that is on trial.
-func (c *Candidate) takes(ask *Request) int {
+// fitting returns how many of the tasks fit a runner's free capacity and budget: one at least,
+// since a task that Choose let in fits, and no more at one that is suspect.
+func (c *Candidate) fitting(request *Request) int {
 	if c.Suspect {
 		return 1
 	}
-	n := ask.Resources.CountFittingIn(c.Free)
-	if ask.Cost > 0 {
-		n = min(n, int(max(0, c.Headroom)/ask.Cost))
+	n := request.Resources.CountFittingIn(c.Free)
+	if request.Cost > 0 {
+		n = min(n, int(max(0, c.Headroom)/request.Cost))
 	}
 	return max(1, n)
 }
 
-// better keeps the reason that says most.
-func better(a, b Result) Result { return min(a, b) }
-
-// prefers tells whether a is to be taken rather than b: a sound one, near the data, usual in
-// its pace, of a speed that fits its haste, one that takes more of the tasks, and then the roomiest. Tasks that ask for
-// accelerators take the runner that has the fewest left: spread out, small tasks would leave
-// no runner whole for large ones.
-func prefers(ask *Request, a *Candidate, atA Assignment, b *Candidate, atB Assignment) bool {
+// better tells whether a, which takes countA of the tasks, ranks before b, which takes countB: a
+// healthy runner, near the data, of normal slowdown, whose speed fits the urgency, that takes more
+// of the tasks, and then the one with the most headroom. Tasks that ask for accelerators take the
+// runner that has the fewest left: spread out, small tasks would leave no runner whole for large
+// ones.
+func better(request *Request, a *Candidate, countA int, b *Candidate, countB int) bool {
 	switch {
 	case a.Suspect != b.Suspect:
 		return b.Suspect
-	case near(ask, a) != near(ask, b):
-		return near(ask, a)
-	case slow(a) != slow(b):
-		return slow(b)
-	case ask.Urgency != UrgencyNormal && a.speedClass() != b.speedClass():
-		return (a.speedClass() < b.speedClass()) == (ask.Urgency == UrgencyTight)
-	case ask.Resources.GPU > 0 && a.Free.GPU != b.Free.GPU:
+	case a.local(request) != b.local(request):
+		return a.local(request)
+	case a.slow() != b.slow():
+		return b.slow()
+	case request.Urgency != UrgencyNormal && a.speedClass() != b.speedClass():
+		return (a.speedClass() < b.speedClass()) == (request.Urgency == UrgencyHigh)
+	case request.Resources.GPU > 0 && a.Free.GPU != b.Free.GPU:
 		return a.Free.GPU < b.Free.GPU
-	case atA.Count != atB.Count:
-		return atA.Count > atB.Count
+	case countA != countB:
+		return countA > countB
+	case a.Headroom != b.Headroom:
+		return a.Headroom > b.Headroom
 	}
-	return roomier(a, b)
+	return a.Free.CPU > b.Free.CPU
 }
 
-// slowBeyond is the pace from which on a runner is taken last.
-const slowBeyond = 1.6
+// slowFrom is the slowdown beyond which a runner is taken last.
+const slowFrom = 1.6
+
+func (c *Candidate) slow() bool { return c.Slowdown > slowFrom }
 
-// usualSpeeds is how far a speed lies from 1 that still counts as usual: the scatter of what
-// is known of a runner after a few steps.
-const usualSpeeds = 0.07
+// normalSpread is how far a run-time factor may lie from 1 and still count as normal: the scatter
+// of what is known of a runner after a few steps.
+const normalSpread = 0.07
 
-// speedClass is negative for quick runners, positive for slow ones.
+// speedClass is negative for fast runners, positive for slow ones.
 func (c *Candidate) speedClass() int {
 	switch {
-	case c.RunTimeFactor < 1-usualSpeeds:
+	case c.RunTimeFactor < 1-normalSpread:
 		return -1
-	case c.RunTimeFactor > 1+usualSpeeds:
+	case c.RunTimeFactor > 1+normalSpread:
 		return 1
 	}
 	return 0
 }
 
-func slow(c *Candidate) bool { return c.Slowdown > slowBeyond }
-
-// roomier compares what is left of the budgets, and of the capacities where these are alike.
-func roomier(a, b *Candidate) bool {
-	if a.Headroom != b.Headroom {
-		return a.Headroom > b.Headroom
-	}
-	return a.Free.CPU > b.Free.CPU
-}
-
-// Assign notes at a candidate that a task goes there; one that is on trial takes no other.
-func (c *Candidate) Assign(ask *Request) {
-	c.Free = c.Free.Subtract(ask.Resources)
-	c.Headroom -= ask.Cost
+// Assign notes at a candidate that one task goes there; a suspect one takes no other.
+func (c *Candidate) Assign(request *Request) {
+	c.Free = c.Free.Subtract(request.Resources)
+	c.Headroom -= request.Cost
 	c.Idle = false
 	c.Reserved = c.Reserved || c.Suspect
 }
--- a/internal/cluster/scheduler/ask.go
+++ b/internal/cluster/scheduler/ask.go
@@ -9,7 +9,7 @@
 
 func (o *Scheduler) ask(b *bundle) *placement.Request {
 	return &placement.Request{
-		Service: b.job.Service, Count: len(b.pending), Urgency: haste(b), HealthyOnly: haste(b) == placement.UrgencyTight && o.now-b.readyAt < soundFor,
+		Service: b.job.Service, Count: len(b.pending), Urgency: haste(b), HealthyOnly: haste(b) == placement.UrgencyHigh && o.now-b.readyAt < soundFor,
 		Resources: b.step.Resources, Cost: stepCost(b.expects, b.step), Constraints: b.step.Constraints, DataRack: b.step.Affinity,
 		LocalOnly: b.step.Affinity != "" && o.waitsNear(b),
 	}
@@ -29,16 +29,16 @@
 // haste tells how much time a bundle's job has to spare.
 func haste(b *bundle) placement.Urgency {
 	if b.step.LongRunning {
-		return placement.UrgencyLoose
+		return placement.UrgencyLow
 	}
 	allowed := b.job.Stretch + float64(b.job.TargetMs)/1000/max(b.expects, 0.001)/float64(len(b.job.Spec.Steps))
 	switch {
 	case b.job.Stretch <= 0:
 		return placement.UrgencyNormal
 	case allowed < tightBelow:
-		return placement.UrgencyTight
+		return placement.UrgencyHigh
 	case allowed >= looseFrom:
-		return placement.UrgencyLoose
+		return placement.UrgencyLow
 	}
 	return placement.UrgencyNormal
 }
@@ -53,7 +53,7 @@
 // waitsNear tells whether a bundle's tasks rather wait than run far from their data.
 func (o *Scheduler) waitsNear(b *bundle) bool {
 	patience := nearPatience
-	if haste(b) == placement.UrgencyTight {
+	if haste(b) == placement.UrgencyHigh {
 		patience = nearPatienceTight
 	}
 	return (o.now - b.readyAt).Seconds() < patience*(o.bounds.RemoteSlowdown-1)*b.expects
--- a/internal/cluster/scheduler/pass.go
+++ b/internal/cluster/scheduler/pass.go
@@ -144,7 +144,7 @@
 		c := &candidates[at]
 		if c.Service == ask.Service && ask.Resources.FitsIn(c.Free) && hasAll(c.Labels, ask.Constraints) {
 			s := sessions[c.Key]
-			s.budget.NoteBlocked(o.now, ask.Cost, max(o.mostBudget(s), s.out+ask.Cost))
+			s.budget.RecordBlocked(o.now, ask.Cost, max(o.mostBudget(s), s.out+ask.Cost))
 		}
 	}
 }
