--- a/internal/shared/admission/admission_test.go
+++ b/internal/shared/admission/admission_test.go
@@ -11,24 +11,24 @@
 )
 
 func TestNewTypeStartsAtItsEstimateElseAtTheMeanOfAll(t *testing.T) {
-	costs := admission.NewRunTimeEstimates()
+	estimates := admission.NewRunTimeEstimates()
 	known, other := admission.TaskType{Queue: "q", Step: 1}, admission.TaskType{Queue: "q", Step: 2}
-	require.Equal(t, 3.0, costs.Expect(known, 3))
-	costs.Learn(known, 0, 2)
-	costs.Learn(known, 0, 4)
-	require.InDelta(t, 2.5, costs.Expect(known, 0), 1.2)
-	require.Equal(t, costs.Expect(known, 0), costs.Expect(other, 0), "the mean of what is known")
+	require.Equal(t, 3.0, estimates.Expect(known, 3))
+	estimates.Learn(known, 0, 2)
+	estimates.Learn(known, 0, 4)
+	require.InDelta(t, 2.5, estimates.Expect(known, 0), 1.2)
+	require.Equal(t, estimates.Expect(known, 0), estimates.Expect(other, 0), "the mean of what is known")
 }
 
 func TestEstimatesAreCorrectedByWhatRunsTook(t *testing.T) {
-	costs := admission.NewRunTimeEstimates()
-	of := admission.TaskType{Queue: "q"}
+	estimates := admission.NewRunTimeEstimates()
+	taskType := admission.TaskType{Queue: "q"}
 	for range 60 {
-		costs.Learn(of, 1, 2)
+		estimates.Learn(taskType, 1, 2)
 	}
-	require.InDelta(t, 6, costs.Expect(of, 3), 0.2, "tasks of this type run twice as long as estimated")
-	costs.Learn(of, 1, 1000)
-	require.Less(t, costs.Expect(of, 3), 7.0, "one outlier counts as three times the expected at the most")
+	require.InDelta(t, 6, estimates.Expect(taskType, 3), 0.2, "tasks of this type run twice as long as estimated")
+	estimates.Learn(taskType, 1, 1000)
+	require.Less(t, estimates.Expect(taskType, 3), 7.0, "one outlier counts as three times the expected at the most")
 }
 
 func TestCompare(t *testing.T) {
@@ -43,44 +43,44 @@
 }
 
 func TestBudget(t *testing.T) {
-	budget, means := admission.Budget{}, &admission.MeanCost{}
-	require.Equal(t, math.MaxFloat64, budget.Headroom(0, means), "it is not set before a cost is known")
-	means.Add(10)
-	first := budget.Headroom(0, means)
+	budget, mean := admission.Budget{}, &admission.MeanCost{}
+	require.Equal(t, math.MaxFloat64, budget.Headroom(0, mean), "it is not set before a cost is known")
+	mean.Add(10)
+	first := budget.Headroom(0, mean)
 	require.Equal(t, 60.0, first, "a few mean costs")
 	budget.Grow(10, 1000)
-	require.Equal(t, first, budget.Headroom(0, means), "it does not grow while it held nothing back")
-	budget.NoteBlocked(0, 10, 1000)
+	require.Equal(t, first, budget.Headroom(0, mean), "it does not grow while it blocked nothing")
+	budget.RecordBlocked(0, 10, 1000)
 	budget.Grow(10, 1000)
-	grown := budget.Headroom(0, means)
+	grown := budget.Headroom(0, mean)
 	require.Greater(t, grown, first)
-	budget.Shrink(time.Second, 2*time.Second, means)
-	cut := budget.Headroom(0, means)
-	require.Less(t, cut, grown)
-	budget.Shrink(time.Second, 2*time.Second, means)
-	require.Equal(t, cut, budget.Headroom(0, means), "what was sent in one round trip cuts once")
+	budget.Shrink(time.Second, 2*time.Second, mean)
+	shrunk := budget.Headroom(0, mean)
+	require.Less(t, shrunk, grown)
+	budget.Shrink(time.Second, 2*time.Second, mean)
+	require.Equal(t, shrunk, budget.Headroom(0, mean), "what was sent in one round trip shrinks it once")
 	for at := range 50 {
-		budget.Shrink(time.Duration(at+3)*time.Second, time.Duration(at+3)*time.Second, means)
+		budget.Shrink(time.Duration(at+3)*time.Second, time.Duration(at+3)*time.Second, mean)
 	}
-	require.Equal(t, 15.0, budget.Headroom(0, means), "a floor remains")
+	require.Equal(t, 15.0, budget.Headroom(0, mean), "a floor remains")
 }
 
-// TestABudgetBeginsBesideWhatIsOut: a dispatcher that takes over finds runners at work, and may
+// TestBudgetBeginsBesideTheCostInFlight: a dispatcher that takes over finds runners at work, and may
 // give them more at once.
-func TestABudgetBeginsBesideWhatIsOut(t *testing.T) {
-	budget, means := admission.Budget{}, &admission.MeanCost{}
-	means.Add(10)
-	require.Equal(t, 60.0, budget.Headroom(500, means))
-	require.Equal(t, 160.0, budget.Headroom(400, means), "what has ended leaves its room")
+func TestBudgetBeginsBesideTheCostInFlight(t *testing.T) {
+	budget, mean := admission.Budget{}, &admission.MeanCost{}
+	mean.Add(10)
+	require.Equal(t, 60.0, budget.Headroom(500, mean))
+	require.Equal(t, 160.0, budget.Headroom(400, mean), "what has ended leaves headroom")
 }
 
-func TestBudgetThatHoldsWorkBackForLongGrowsByItself(t *testing.T) {
-	budget, means := admission.Budget{}, &admission.MeanCost{}
-	means.Add(10)
-	first := budget.Headroom(0, means)
-	budget.NoteBlocked(time.Second, 10, 1000)
-	budget.NoteBlocked(time.Second+300*time.Millisecond, 10, 1000)
-	require.Equal(t, first, budget.Headroom(0, means))
-	budget.NoteBlocked(2*time.Second, 10, 1000)
-	require.Greater(t, budget.Headroom(0, means), first)
+func TestBudgetThatBlocksWorkForLongGrowsByItself(t *testing.T) {
+	budget, mean := admission.Budget{}, &admission.MeanCost{}
+	mean.Add(10)
+	first := budget.Headroom(0, mean)
+	budget.RecordBlocked(time.Second, 10, 1000)
+	budget.RecordBlocked(time.Second+300*time.Millisecond, 10, 1000)
+	require.Equal(t, first, budget.Headroom(0, mean))
+	budget.RecordBlocked(2*time.Second, 10, 1000)
+	require.Greater(t, budget.Headroom(0, mean), first)
 }
--- a/internal/shared/admission/digest_test.go
+++ b/internal/shared/admission/digest_test.go
@@ -21,65 +21,65 @@
 
 // learner is all state of the package, with random input.
 type learner struct {
-	random  *rand.Rand
-	trace   *digesttest.Trace
-	now     time.Duration
-	costs   *admission.RunTimeEstimates
-	means   admission.MeanCost
-	budgets [4]admission.Budget
-	speeds  [4]admission.RunTimeFactor
-	average admission.Average
+	random    *rand.Rand
+	trace     *digesttest.Trace
+	now       time.Duration
+	estimates *admission.RunTimeEstimates
+	meanCost  admission.MeanCost
+	budgets   [4]admission.Budget
+	factors   [4]admission.RunTimeFactor
+	average   admission.Average
 }
 
 func (l *learner) step() {
 	l.now += time.Duration(l.random.IntN(300)) * time.Millisecond
-	l.learnCost()
+	l.learnRunTime()
 	l.useBudget(&l.budgets[l.random.IntN(len(l.budgets))])
-	l.learnSpeeds()
+	l.learnFactors()
 	l.compareRanks()
 	l.average.Add(l.random.Float64(), 1+l.random.Float64()*30)
 	l.trace.Begin(l.now, "average").Float(l.average.Value, l.average.Count).Bool(l.average.Known())
 	l.trace.Float(admission.ShrunkBudget(100*l.random.Float64(), l.random.Float64(), 20*l.random.Float64())).End()
 }
 
-func (l *learner) learnCost() {
-	of := admission.TaskType{Queue: []string{"p", "q"}[l.random.IntN(2)], Step: l.random.IntN(3)}
+func (l *learner) learnRunTime() {
+	taskType := admission.TaskType{Queue: []string{"p", "q"}[l.random.IntN(2)], Step: l.random.IntN(3)}
 	estimate := 0.0
 	if l.random.IntN(2) == 0 {
 		estimate = 10 * l.random.Float64()
 	}
-	l.trace.Begin(l.now, "cost").Float(l.costs.Expect(of, estimate)).End()
+	l.trace.Begin(l.now, "cost").Float(l.estimates.Expect(taskType, estimate)).End()
 	if l.random.IntN(3) > 0 {
-		l.costs.Learn(of, estimate, l.random.ExpFloat64()*4)
+		l.estimates.Learn(taskType, estimate, l.random.ExpFloat64()*4)
 	}
 }
 
 func (l *learner) useBudget(budget *admission.Budget) {
-	cost, out := 10*l.random.Float64(), 50*l.random.Float64()
+	cost, inFlight := 10*l.random.Float64(), 50*l.random.Float64()
 	switch l.random.IntN(4) {
 	case 0:
-		l.means.Add(cost)
+		l.meanCost.Add(cost)
 	case 1:
-		budget.NoteBlocked(l.now, cost, 400)
+		budget.RecordBlocked(l.now, cost, 400)
 	case 2:
 		budget.Grow(cost, 400)
 	case 3:
 		if l.random.IntN(3) == 0 {
-			budget.Shrink(l.now-time.Duration(l.random.IntN(500))*time.Millisecond, l.now, &l.means)
+			budget.Shrink(l.now-time.Duration(l.random.IntN(500))*time.Millisecond, l.now, &l.meanCost)
 		}
 	}
-	l.trace.Begin(l.now, "budget").Float(l.means.Mean(), budget.Headroom(out, &l.means)).End()
+	l.trace.Begin(l.now, "budget").Float(l.meanCost.Mean(), budget.Headroom(inFlight, &l.meanCost)).End()
 }
 
-func (l *learner) learnSpeeds() {
+func (l *learner) learnFactors() {
 	var peers []admission.PeerRun
 	for range l.random.IntN(6) {
-		peers = append(peers, admission.PeerRun{Factor: &l.speeds[l.random.IntN(len(l.speeds))], Took: 5 * l.random.Float64()})
+		peers = append(peers, admission.PeerRun{Factor: &l.factors[l.random.IntN(len(l.factors))], Took: 5 * l.random.Float64()})
 	}
 	admission.LearnRunTimeFactors(peers)
 	l.trace.Begin(l.now, "speeds")
-	for at := range l.speeds {
-		l.trace.Float(l.speeds[at].Value())
+	for at := range l.factors {
+		l.trace.Float(l.factors[at].Value())
 	}
 	l.trace.End()
 }
@@ -96,7 +96,7 @@
 func TestLearningDigests(t *testing.T) {
 	var lines []string
 	for part := range uint64(digestParts) {
-		l := &learner{random: rand.New(rand.NewPCG(part, 23)), trace: digesttest.New(true), costs: admission.NewRunTimeEstimates()}
+		l := &learner{random: rand.New(rand.NewPCG(part, 23)), trace: digesttest.New(true), estimates: admission.NewRunTimeEstimates()}
 		for range stepsPerPart {
 			l.step()
 		}
--- a/internal/shared/admission/runtimefactor.go
+++ b/internal/shared/admission/runtimefactor.go
@@ -1,25 +1,23 @@
 package admission
 
-// A runner's speed is how long tasks take there beside their peers elsewhere: tasks of one step
-// are alike, so that their run times differ by the runners' speeds and by little else. Estimates
-// do not come into it.
-
 const (
-	speedWindow = 16.0 // runs in the average of one runner
-	speedKnown  = 3.0  // runs from which on a runner's speed counts
-	leastPeers  = 3    // runs of a step that tell of speeds
-	speedMost   = 3.0  // a run so many times longer or shorter than its peers counts as this much
+	factorWindow    = 16.0 // window of the average of one runner, in runs
+	leastFactorRuns = 3.0  // runs from which on a runner's factor counts
+	leastPeers      = 3    // runs of a step that say something of their runners
+	maxFactor       = 3.0  // a run so many times longer or shorter than its peers counts as this much
 )
 
-// RunTimeFactor is what is known of one runner's speed.
+// RunTimeFactor is how long tasks take at one runner over what their peers take elsewhere: tasks of
+// one step are alike, so that their run times differ by their runners' speeds and by little else.
+// Estimates do not come into it. The zero value is that of a new runner.
 type RunTimeFactor struct{ average Average }
 
-// Value returns how long tasks take at the runner beside their peers; 1 while that is not known.
-func (s *RunTimeFactor) Value() float64 {
-	if s.average.Count < speedKnown {
+// Value returns the factor: 1 is normal, more is slower; 1 while it is not known.
+func (f *RunTimeFactor) Value() float64 {
+	if f.average.Count < leastFactorRuns {
 		return 1
 	}
-	return s.average.Value
+	return f.average.Value
 }
 
 // PeerRun is a run of a step's task that ended well.
@@ -33,7 +31,7 @@
 	if len(peers) < leastPeers {
 		return
 	}
-	work := 0.0
+	work := 0.0 // mean seconds at a normal runner
 	for _, peer := range peers {
 		work += peer.Took / peer.Factor.Value() / float64(len(peers))
 	}
@@ -41,6 +39,6 @@
 		return
 	}
 	for _, peer := range peers {
-		peer.Factor.average.Add(min(max(peer.Took/work, 1/speedMost), speedMost), speedWindow)
+		peer.Factor.average.Add(min(max(peer.Took/work, 1/maxFactor), maxFactor), factorWindow)
 	}
 }
--- a/internal/shared/admission/runtimefactor_test.go
+++ b/internal/shared/admission/runtimefactor_test.go
@@ -9,28 +9,28 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// TestSpeedsAreLearnedFromPeers: steps of any length on runners of three speeds tell these
+// TestFactorsAreLearnedFromPeers: steps of any length on runners of three speeds give these
 // speeds, whatever their tasks were estimated to take.
-func TestSpeedsAreLearnedFromPeers(t *testing.T) {
+func TestFactorsAreLearnedFromPeers(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	truth := []float64{0.8, 1, 1.25, 0.8, 1, 1.25}
-	speeds := make([]admission.RunTimeFactor, len(truth))
-	require.Equal(t, 1.0, speeds[0].Value(), "nothing is known yet")
+	factors := make([]admission.RunTimeFactor, len(truth))
+	require.Equal(t, 1.0, factors[0].Value(), "nothing is known yet")
 	for range 60 {
 		work := 0.1 + 20*random.Float64()
 		var peers []admission.PeerRun
 		for range 6 {
 			at := random.IntN(len(truth))
-			peers = append(peers, admission.PeerRun{Factor: &speeds[at], Took: work * truth[at] * (0.9 + 0.2*random.Float64())})
+			peers = append(peers, admission.PeerRun{Factor: &factors[at], Took: work * truth[at] * (0.9 + 0.2*random.Float64())})
 		}
 		admission.LearnRunTimeFactors(peers)
 	}
 	for at := range truth {
-		require.InDelta(t, truth[at]/truth[1], speeds[at].Value()/speeds[1].Value(), 0.12, "runner %d", at)
+		require.InDelta(t, truth[at]/truth[1], factors[at].Value()/factors[1].Value(), 0.12, "runner %d", at)
 	}
 }
 
-func TestFewPeersTellNothing(t *testing.T) {
+func TestFewPeersSayNothing(t *testing.T) {
 	var one, other admission.RunTimeFactor
 	for range 9 {
 		admission.LearnRunTimeFactors([]admission.PeerRun{{Factor: &one, Took: 1}, {Factor: &other, Took: 3}})
