--- /dev/null
+++ b/internal/cluster/scheduler/aging_test.go
@@ -0,0 +1,45 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/placement"
+)
+
+func TestAgedOrder(t *testing.T) {
+	urgentClass, long, short := groupExpecting(9), groupExpecting(3), groupExpecting(1)
+	urgentClass.job.Priority, long.job.Priority, short.job.Priority = 0, 1, 1
+	order := func(now time.Duration) []*taskGroup {
+		groups := []*taskGroup{short, long, urgentClass}
+		for _, group := range groups {
+			group.rank = group.rankAt(now)
+		}
+		slices.SortFunc(groups, compareAged)
+		return groups
+	}
+	require.Equal(t, []*taskGroup{urgentClass, short, long}, order(testNow), "the priority, then the shortest")
+	short.readyAt = testNow + 6*time.Second
+	require.Equal(t, []*taskGroup{urgentClass, short, long}, order(testNow+6*time.Second-1))
+	require.Equal(t, []*taskGroup{urgentClass, long, short}, order(testNow+6*time.Second), "it has waited twice its run time")
+}
+
+func TestRunnerIsReservedForAgedWork(t *testing.T) {
+	whole := job.Resources{CPU: 8000}
+	candidates := make([]placement.Candidate, 4)
+	for at := range candidates {
+		candidates[at] = placement.Candidate{Key: at, Service: "s", Capacity: whole, Free: job.Resources{CPU: int64(1000 * at)}}
+	}
+	candidates[3].Capacity = job.Resources{CPU: 3000} // never large enough
+	request := &placement.Request{Service: "s", Resources: job.Resources{CPU: 6000}}
+	reserveForAged(request, candidates)
+	require.True(t, candidates[2].Reserved, "the one with the most free capacity")
+	reserveForAged(request, candidates)
+	require.True(t, candidates[1].Reserved, "and the next one")
+	require.False(t, candidates[3].Reserved)
+	require.Equal(t, 2, (&cycle{candidates: make([]placement.Candidate, 2*reservableFraction+1)}).maxReservations())
+}
--- /dev/null
+++ b/internal/cluster/scheduler/cycle.go
@@ -0,0 +1,203 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+	"basaltloft/internal/cluster/placement"
+)
+
+const (
+	// minCycleInterval is the least time between two cycles: inputs that come together share one.
+	minCycleInterval = 3 * time.Millisecond
+	// maxCycleInterval is the longest time without a cycle: work ages, patience ends, and probes of
+	// suspect runners fall due though nothing happens.
+	maxCycleInterval = 200 * time.Millisecond
+)
+
+// cycle is the state of the scheduling cycle. Candidates and runners are those of the current
+// cycle; their slices are used again by the next one.
+type cycle struct {
+	needed  bool          // something changed since the last cycle
+	lastRun time.Duration // when it last ran
+
+	candidates []placement.Candidate
+	runners    []*runnerSession // by Candidate.Key
+}
+
+// runCycle starts what fits: for each task group, in the aged order, it takes the best of the
+// feasible runners whose budget has headroom, reserves the task's resources there, and proposes the
+// start, whose order leaves once that is committed. Work at the head that fits no budget holds up
+// the rest while some runner has the capacity for it; work for which none has the capacity is
+// passed by, and once it has aged a runner is reserved for it.
+func (s *Scheduler) runCycle() {
+	s.cycle.lastRun = s.now
+	ready := s.readyInAgedOrder()
+	if len(ready) == 0 {
+		return
+	}
+	s.collectCandidates()
+	for _, group := range ready {
+		group.queue.Wait(s.now, lateness.Queued)
+	}
+	reserved := 0
+	for _, group := range ready {
+		request := s.requestFor(group)
+		result := s.assign(group, request)
+		if len(group.pending) == 0 {
+			continue
+		}
+		group.queue.Wait(s.now, waitCause(request, group.step.Gang, result))
+		switch {
+		case result == placement.NoBudget:
+			s.recordBlockedBudgets(request)
+			return
+		case result == placement.NoCapacity && group.rank.Aged && reserved < s.cycle.maxReservations():
+			reserved++
+			reserveForAged(request, s.cycle.candidates)
+		}
+	}
+}
+
+// collectCandidates finds the runners that take work now.
+func (s *Scheduler) collectCandidates() {
+	candidates, runners := s.cycle.candidates[:0], s.cycle.runners[:0]
+	for _, runner := range s.runners.inOrder {
+		if !runner.takesWork(s.now) {
+			continue
+		}
+		suspect := runner.suspicion.suspect()
+		candidates = append(candidates, placement.Candidate{
+			Key:      len(runners),
+			Service:  runner.service,
+			Labels:   runner.labels,
+			Capacity: runner.capacity,
+			Free:     runner.capacity.Subtract(runner.load.reserved),
+			Headroom: runner.load.budget.Headroom(runner.load.cost, s.learner.meanCost(runner.service)),
+			Idle:     len(runner.load.runs) == 0,
+			Slowdown: runner.speed.recentSlowdown(), RunTimeFactor: runner.speed.factor.Value(),
+			Suspect:  suspect,
+			Reserved: suspect && (runner.load.hasCost() || !runner.suspicion.probeDue(s.now)),
+		})
+		runners = append(runners, runner)
+	}
+	s.cycle.candidates, s.cycle.runners = candidates, runners
+}
+
+// requestFor returns what a group's tasks ask of a runner.
+func (s *Scheduler) requestFor(group *taskGroup) *placement.Request {
+	urgency := group.urgency()
+	return &placement.Request{
+		Service: group.job.Service, Count: len(group.pending),
+		Resources: group.step.Resources, Cost: stepCost(group.expected, group.step), Constraints: group.step.Constraints,
+		Urgency: urgency, HealthyOnly: urgency == placement.UrgencyHigh && s.now-group.readyAt < healthyOnlyWait,
+		DataRack: group.step.Affinity, LocalOnly: group.step.Affinity != "" && s.patience.waits(s.now, group),
+	}
+}
+
+// assign starts as much of a group as fits, as many tasks at one runner as fit there. A result
+// other than Found says why the rest waits.
+func (s *Scheduler) assign(group *taskGroup, request *placement.Request) placement.Result {
+	if group.step.Gang {
+		return s.assignGang(group, request)
+	}
+	for len(group.pending) > 0 {
+		request.Count = group.interchangeable()
+		chosen, result := s.chooseRunner(group, request)
+		if result != placement.Found {
+			return result
+		}
+		for range chosen.Count {
+			index := group.pending[0]
+			s.start(group, index, group.nextAttempt(index), chosen.Candidate, request)
+			group.pending = group.pending[1:]
+		}
+	}
+	return placement.Found
+}
+
+// chooseRunner finds a runner for a group's next tasks: one at which none of its step failed where
+// it can, and never one that has a run of the task already.
+func (s *Scheduler) chooseRunner(group *taskGroup, request *placement.Request) (placement.Assignment, placement.Result) {
+	running := group.task(group.pending[0]).Runs
+	spread := s.spreadLimit(group)
+	limit := func(key int) int {
+		for _, live := range running {
+			if live.Runner == s.cycle.runners[key].id {
+				return 0
+			}
+		}
+		return spread(key)
+	}
+	request.Limit = func(key int) int {
+		if group.avoid[s.cycle.runners[key].id] {
+			return 0
+		}
+		return limit(key)
+	}
+	chosen, result := placement.Choose(request, s.cycle.candidates)
+	if result != placement.Found && len(group.avoid) > 0 {
+		request.Limit = limit
+		chosen, result = placement.Choose(request, s.cycle.candidates)
+	}
+	return chosen, result
+}
+
+// spreadLimit returns how many more tasks of a step a runner may take beside those it has, by
+// the step's anti-affinity.
+func (s *Scheduler) spreadLimit(group *taskGroup) func(key int) int {
+	if group.step.AntiAffinity == 0 {
+		return func(int) int { return group.step.Count }
+	}
+	return func(key int) int {
+		left := group.step.AntiAffinity
+		for other := range s.cycle.runners[key].load.runs {
+			if groupOf(other.task) == group.key {
+				left--
+			}
+		}
+		return left
+	}
+}
+
+// start reserves a task's resources at a candidate and proposes the start there.
+func (s *Scheduler) start(group *taskGroup, index, attempt, candidate int, request *placement.Request) {
+	s.cycle.candidates[candidate].Assign(request)
+	runner := s.cycle.runners[s.cycle.candidates[candidate].Key]
+	ref := group.taskRef(index)
+	r := &run{runKey: runKey{task: ref, attempt: attempt}, resources: request.Resources, cost: request.Cost, expected: group.expected, orderedAt: s.now}
+	r.remote = request.DataRack != "" && !slices.Contains(runner.labels, request.DataRack)
+	if r.remote {
+		r.expected *= s.config.RemoteSlowdown
+	}
+	r.expected *= runner.speed.factor.Value()
+	runner.suspicion.runStarted(s.now)
+	runner.load.add(r)
+	group.starting[index] = true
+	group.account(index).Started(group.queue.Waited(s.now))
+	s.learner.meanCost(group.job.Service).Add(request.Cost)
+	s.propose(job.Command{Kind: job.StartRun, Task: ref, Attempt: attempt, Runner: runner.id, Address: runner.address})
+}
+
+// recordBlockedBudgets notes which budgets keep the head of the queue from leaving, so that they
+// grow with the next run that ends well.
+func (s *Scheduler) recordBlockedBudgets(request *placement.Request) {
+	for at := range s.cycle.candidates {
+		c := &s.cycle.candidates[at]
+		if c.Service == request.Service && request.Resources.FitsIn(c.Free) && hasAllLabels(c.Labels, request.Constraints) {
+			runner := s.cycle.runners[c.Key]
+			runner.load.budget.RecordBlocked(s.now, request.Cost, max(runner.maxBudget(), runner.load.cost+request.Cost))
+		}
+	}
+}
+
+func hasAllLabels(labels, required []string) bool {
+	for _, label := range required {
+		if !slices.Contains(labels, label) {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/cluster/scheduler/ends.go
@@ -0,0 +1,89 @@
+package scheduler
+
+import "basaltloft/internal/cluster/job"
+
+// endAllRuns proposes that each run of a runner is over.
+func (s *Scheduler) endAllRuns(runner *runnerSession) {
+	for _, r := range runner.load.sorted() {
+		if r.phase != phaseProposed {
+			s.endRun(runner, r, job.EndLost)
+		}
+	}
+}
+
+// endRun proposes, once, that a run is over.
+func (s *Scheduler) endRun(runner *runnerSession, r *run, reason job.EndReason) {
+	if r.ending {
+		return
+	}
+	r.ending = true
+	s.propose(job.Command{Kind: job.EndRun, Task: r.task, Attempt: r.attempt, Runner: runner.id, EndReason: reason})
+}
+
+// endCommitted follows up a run that is over.
+func (s *Scheduler) endCommitted(j *job.Job, c job.Command, outcome job.Outcome) {
+	s.removeRun(j, c)
+	if outcome != job.Applied {
+		return
+	}
+	if c.EndReason == job.EndDone {
+		s.taskDone(j, c.Task)
+	}
+	if j.State.Terminal() {
+		s.jobEnded(j)
+		return
+	}
+	if group := s.groups.of(c.Task); group != nil && c.EndReason == job.EndFailed {
+		group.avoid[c.Runner] = true
+	}
+	s.stopRedundantRuns(j, c)
+	s.advanceOccurrence(j, c.Task)
+}
+
+// removeRun gives back what a run that is over took of its runner, and learns from it.
+func (s *Scheduler) removeRun(j *job.Job, c job.Command) {
+	runner := s.runners.byID[c.Runner]
+	if runner == nil {
+		return
+	}
+	r := runner.load.remove(runKey{task: c.Task, attempt: c.Attempt})
+	if r == nil {
+		return
+	}
+	group := s.groups.of(c.Task)
+	s.learner.runEnded(s.now, j, group, runner, r, c.EndReason)
+	if group != nil {
+		task, _ := j.Task(c.Task)
+		othersRun := task != nil && len(task.Runs) > 0
+		s.lateness.runEnded(s.now, group, r, runner.speed.factor.Value(), c.EndReason, othersRun)
+	}
+}
+
+// taskDone accounts for a task that is done: with it its step may be complete, and its job.
+func (s *Scheduler) taskDone(j *job.Job, ref job.TaskRef) {
+	group := s.groups.of(ref)
+	_, step := j.Task(ref)
+	if group == nil || step != nil && !step.Complete() {
+		return
+	}
+	s.lateness.stepComplete(s.now, group, ref.Index)
+	if step == nil || j.Times[ref.Occurrence].Open == 0 {
+		s.lateness.reportIfLate(s.wallMs, group)
+	}
+}
+
+// advanceOccurrence makes ready what an end allows: the task again, or the steps that waited.
+func (s *Scheduler) advanceOccurrence(j *job.Job, ref job.TaskRef) {
+	_, step := j.Task(ref)
+	if step == nil { // the whole occurrence is complete, and its state was dropped
+		s.groups.closeOccurrence(j.ID, ref.Occurrence)
+		s.lateness.closeOccurrence(j.ID, ref.Occurrence)
+		return
+	}
+	if !step.Complete() {
+		s.startResolved(j, ref)
+		return
+	}
+	s.groups.close(groupOf(ref))
+	s.openOccurrence(j, ref.Occurrence)
+}
--- a/internal/cluster/scheduler/gang.go
+++ b/internal/cluster/scheduler/gang.go
@@ -6,82 +6,84 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-// placeGang starts all tasks of a step or none.
-func (o *Scheduler) placeGang(b *bundle, candidates []placement.Candidate, sessions []*session) placement.Result {
-	if b.step.SameRack {
-		if places := o.gangOnOneRack(b, candidates, sessions); places != nil {
-			o.startGang(b, places, candidates, sessions)
+// A gang's tasks run together: all of them start, under one attempt number, or none does.
+
+// assignGang starts all tasks of a gang or none. One that is asked for on one rack waits a while
+// for a rack that has capacity for all before it is spread out.
+func (s *Scheduler) assignGang(group *taskGroup, request *placement.Request) placement.Result {
+	if group.step.SameRack {
+		if chosen := s.gangOnOneRack(group, request); chosen != nil {
+			s.startGang(group, chosen, request)
 			return placement.Found
 		}
-		if o.waitsNear(b) {
+		if s.patience.waits(s.now, group) {
 			return placement.NoCapacity
 		}
 	}
-	places, result := o.gangPlaces(b, slices.Clone(candidates), sessions)
+	chosen, result := s.gangCandidates(group, request, slices.Clone(s.cycle.candidates))
 	if result != placement.Found {
 		return result
 	}
-	o.startGang(b, places, candidates, sessions)
+	s.startGang(group, chosen, request)
 	return placement.Found
 }
 
-// gangPlaces finds a runner for each task, on a copy of the candidates.
-func (o *Scheduler) gangPlaces(b *bundle, copies []placement.Candidate, sessions []*session) ([]int, placement.Result) {
-	places := make([]int, 0, len(b.pending))
-	taken := map[int]int{}
-	room := o.roomApart(b, sessions)
-	ask := o.ask(b)
-	ask.Limit = func(key int) int { return room(key) - taken[key] }
-	for len(places) < len(b.pending) {
-		ask.Count = len(b.pending) - len(places)
-		chosen, result := placement.Choose(ask, copies)
+// gangCandidates finds a candidate for each task. It notes what it assigns at the candidates it is
+// given: pass copies.
+func (s *Scheduler) gangCandidates(group *taskGroup, request *placement.Request, candidates []placement.Candidate) ([]int, placement.Result) {
+	chosen := make([]int, 0, len(group.pending))
+	assigned := map[int]int{} // by Candidate.Key
+	spread := s.spreadLimit(group)
+	request.Limit = func(key int) int { return spread(key) - assigned[key] }
+	for len(chosen) < len(group.pending) {
+		request.Count = len(group.pending) - len(chosen)
+		next, result := placement.Choose(request, candidates)
 		if result != placement.Found {
 			return nil, result
 		}
-		for range chosen.Count {
-			copies[chosen.Candidate].Assign(ask)
-			taken[copies[chosen.Candidate].Key]++
-			places = append(places, chosen.Candidate)
+		for range next.Count {
+			candidates[next.Candidate].Assign(request)
+			assigned[candidates[next.Candidate].Key]++
+			chosen = append(chosen, next.Candidate)
 		}
 	}
-	return places, placement.Found
+	return chosen, placement.Found
 }
 
-// gangOnOneRack finds the rack with the most room that takes all tasks.
-func (o *Scheduler) gangOnOneRack(b *bundle, candidates []placement.Candidate, sessions []*session) []int {
+// gangOnOneRack finds candidates for all tasks on one rack: of those that can take them the one
+// whose budgets have the most headroom. Nil: there is none.
+func (s *Scheduler) gangOnOneRack(group *taskGroup, request *placement.Request) []int {
 	racks := map[string][]int{}
-	for at := range candidates {
-		rack := sessions[candidates[at].Key].rack()
+	for at := range s.cycle.candidates {
+		rack := s.cycle.runners[s.cycle.candidates[at].Key].rack()
 		racks[rack] = append(racks[rack], at)
 	}
 	var best []int
-	bestRoom := 0.0
+	bestHeadroom := 0.0
 	for _, rack := range sortedKeys(racks) {
-		room := 0.0
-		copies := make([]placement.Candidate, 0, len(racks[rack]))
+		headroom := 0.0
+		candidates := make([]placement.Candidate, 0, len(racks[rack]))
 		for _, at := range racks[rack] {
-			copies = append(copies, candidates[at])
-			room += candidates[at].Headroom
+			candidates = append(candidates, s.cycle.candidates[at])
+			headroom += s.cycle.candidates[at].Headroom
 		}
-		places, result := o.gangPlaces(b, copies, sessions)
-		if result != placement.Found || best != nil && room <= bestRoom {
+		chosen, result := s.gangCandidates(group, request, candidates)
+		if result != placement.Found || best != nil && headroom <= bestHeadroom {
 			continue
 		}
-		bestRoom = room
+		bestHeadroom = headroom
 		best = best[:0]
-		for _, place := range places {
-			best = append(best, racks[rack][place])
+		for _, at := range chosen {
+			best = append(best, racks[rack][at])
 		}
 	}
 	return best
 }
 
-func (o *Scheduler) startGang(b *bundle, places []int, candidates []placement.Candidate, sessions []*session) {
-	attempt := o.nextAttempt(b, 0)
-	for i, at := range places {
-		ask := o.ask(b)
-		candidates[at].Assign(ask)
-		o.start(b, b.pending[i], attempt, sessions[candidates[at].Key], ask)
+func (s *Scheduler) startGang(group *taskGroup, chosen []int, request *placement.Request) {
+	attempt := group.nextAttempt(0)
+	for i, candidate := range chosen {
+		s.start(group, group.pending[i], attempt, candidate, request)
 	}
-	b.pending = b.pending[:0]
+	group.pending = group.pending[:0]
 }
--- /dev/null
+++ b/internal/cluster/scheduler/gang_test.go
@@ -0,0 +1,62 @@
+package scheduler
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/job"
+)
+
+// gangCase is a scheduler with a runner of four cores for each rack name, and a gang of tasks
+// of three cores each.
+func gangCase(t *testing.T, tasks int, racks ...string) (*Scheduler, *taskGroup) {
+	t.Helper()
+	s := New(job.NewStore(), 1, Config{MaxLease: 6 * time.Second, RemoteSlowdown: 1.5}, testNow, 0, slog.New(slog.DiscardHandler))
+	for at, rack := range racks {
+		runner := contactedRunner()
+		runner.id = string(rune('a' + at))
+		runner.service, runner.labels, runner.capacity = "s", []string{rack}, job.Resources{CPU: 4000}
+		s.runners.add(runner)
+	}
+	step := job.Step{Count: tasks, Gang: true, SameRack: true, Resources: job.Resources{CPU: 3000}}
+	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.New{ID: "g", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
+	s.openOccurrence(s.store.Jobs["g"], 0)
+	group := s.groups.byKey[groupKey{job: "g"}]
+	group.expected = 10
+	s.learner.meanCost("s").Add(100) // budgets have headroom for all, and are bounded
+	s.collectCandidates()
+	return s, group
+}
+
+func TestGangStartsOnTheRackThatTakesAll(t *testing.T) {
+	s, group := gangCase(t, 2, "r1", "r2", "r2", "r1", "r2")
+	require.Equal(t, []int{1, 2}, s.gangOnOneRack(group, s.requestFor(group)), "of two racks the one with the most headroom")
+	s.assign(group, s.requestFor(group))
+	require.Empty(t, group.pending)
+	require.Len(t, s.outbox.commands, 2)
+	for _, start := range s.outbox.commands {
+		require.Equal(t, job.StartRun, start.Kind)
+		require.Equal(t, 1, start.Attempt, "all under one number")
+	}
+}
+
+func TestGangIsSpreadOutAfterItsPatience(t *testing.T) {
+	s, group := gangCase(t, 2, "r1", "r2")
+	s.assign(group, s.requestFor(group))
+	require.Len(t, group.pending, 2, "it waits for one rack")
+	s.now += 2500 * time.Millisecond // half of what it loses by running remote
+	s.assign(group, s.requestFor(group))
+	require.Empty(t, group.pending)
+}
+
+func TestGangStartsNothingWhereOneTaskDoesNotFit(t *testing.T) {
+	s, group := gangCase(t, 3, "r1", "r2")
+	s.now += time.Minute
+	s.assign(group, s.requestFor(group))
+	require.Len(t, group.pending, 3)
+	require.Empty(t, s.outbox.commands)
+	require.Equal(t, int64(4000), s.cycle.candidates[0].Free.CPU, "nothing is left assigned")
+}
--- /dev/null
+++ b/internal/cluster/scheduler/group.go
@@ -0,0 +1,190 @@
+package scheduler
+
+import (
+	"time"
+
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+	"basaltloft/internal/shared/admission"
+)
+
+// groupKey names the tasks of one step of one occurrence of a job.
+type groupKey struct {
+	job        string
+	occurrence int
+	step       int
+}
+
+// groupOf returns the key of the group that a task is in.
+func groupOf(ref job.TaskRef) groupKey {
+	return groupKey{job: ref.Job, occurrence: ref.Occurrence, step: ref.Step}
+}
+
+// taskGroup is the tasks of one step of one occurrence, which are alike, from when they are ready
+// to when all are done.
+type taskGroup struct {
+	key      groupKey
+	job      *job.Job
+	step     *job.Step
+	sequence uint64        // in the order of becoming ready
+	readyAt  time.Duration // when its tasks became ready
+
+	pending  []int           // tasks to be started, by index; speculative attempts come last
+	starting map[int]bool    // tasks whose start waits for its commitment
+	avoid    map[string]bool // runners, by instance ID, at which a task of it failed or may be lost
+
+	expected float64        // run time to expect of a task, in seconds, as of the current cycle
+	rank     admission.Rank // its place in the aged order, as of the current cycle
+
+	finished []admission.PeerRun // runs that ended well, for the runners' run-time factors
+
+	arrivedMs int64 // from when on the occurrence's objective counts, Unix milliseconds
+	queue     *lateness.QueueAccount
+	accounts  map[int]*lateness.TaskAccount // by task index
+}
+
+// state returns the replicated state of the group's step.
+func (g *taskGroup) state() *job.StepState { return &g.job.Times[g.key.occurrence].Steps[g.key.step] }
+
+// task returns the replicated state of one of its tasks.
+func (g *taskGroup) task(index int) *job.Task { return &g.state().Tasks[index] }
+
+// taskRef names one of its tasks.
+func (g *taskGroup) taskRef(index int) job.TaskRef {
+	return job.TaskRef{Job: g.key.job, Occurrence: g.key.occurrence, Step: g.key.step, Index: index}
+}
+
+// account returns the lateness account of one of its tasks.
+func (g *taskGroup) account(index int) *lateness.TaskAccount {
+	account := g.accounts[index]
+	if account == nil {
+		account = &lateness.TaskAccount{}
+		g.accounts[index] = account
+	}
+	return account
+}
+
+// interchangeable returns how many of the next pending tasks may go to the same runner: those that
+// have no run, which come first, or else one that is to have a speculative attempt.
+func (g *taskGroup) interchangeable() int {
+	n := 0
+	for n < len(g.pending) && len(g.task(g.pending[n]).Runs) == 0 {
+		n++
+	}
+	return max(1, n)
+}
+
+// nextAttempt returns the number of a task's next attempt; all tasks of a gang share one.
+func (g *taskGroup) nextAttempt(index int) int {
+	if !g.step.Gang {
+		return g.task(index).Attempt + 1
+	}
+	highest := 0
+	for _, task := range g.state().Tasks {
+		highest = max(highest, task.Attempt)
+	}
+	return highest + 1
+}
+
+// findPending finds anew which tasks are to be started: those that have no run, and then those
+// that are to have a speculative attempt. Of a gang it is all tasks or none.
+func (g *taskGroup) findPending(tasks []job.Task, speculation *speculationPolicy) {
+	g.pending = g.pending[:0]
+	var speculative []int
+	for index := range tasks {
+		task := &tasks[index]
+		switch {
+		case task.Done || g.starting[index]:
+		case len(task.Runs) == 0:
+			g.pending = append(g.pending, index)
+		case speculation.wants(g, index, task):
+			speculative = append(speculative, index)
+		}
+	}
+	g.pending = append(g.pending, speculative...)
+	if g.step.Gang && len(g.pending) < len(tasks) {
+		g.pending = g.pending[:0]
+	}
+}
+
+// groupTable holds the groups that are ready and not complete.
+type groupTable struct {
+	byKey map[groupKey]*taskGroup
+	byJob map[string][]groupKey // of jobs that are not over, complete groups too
+}
+
+func newGroupTable() *groupTable {
+	return &groupTable{byKey: map[groupKey]*taskGroup{}, byJob: map[string][]groupKey{}}
+}
+
+// of returns the group that a task is in; nil: it is not ready, or complete.
+func (t *groupTable) of(ref job.TaskRef) *taskGroup { return t.byKey[groupOf(ref)] }
+
+func (t *groupTable) add(group *taskGroup) {
+	t.byJob[group.key.job] = append(t.byJob[group.key.job], group.key)
+	t.byKey[group.key] = group
+}
+
+// close forgets a group that is complete, and draws from its runs what they say of the runners.
+func (t *groupTable) close(key groupKey) {
+	if group := t.byKey[key]; group != nil {
+		admission.LearnRunTimeFactors(group.finished)
+	}
+	delete(t.byKey, key)
+}
+
+// closeOccurrence forgets the groups of an occurrence that is complete.
+func (t *groupTable) closeOccurrence(id string, occurrence int) {
+	for _, key := range t.byJob[id] {
+		if key.occurrence == occurrence {
+			t.close(key)
+		}
+	}
+}
+
+// removeJob forgets the groups of a job that is over.
+func (t *groupTable) removeJob(id string) {
+	for _, key := range t.byJob[id] {
+		delete(t.byKey, key)
+	}
+	delete(t.byJob, id)
+}
+
+// openOccurrence makes groups of the steps of an occurrence that are ready and not complete.
+func (s *Scheduler) openOccurrence(j *job.Job, occurrence int) {
+	if occurrence >= len(j.Times) || j.Times[occurrence] == nil {
+		return
+	}
+	state := j.Times[occurrence]
+	for step := range state.Steps {
+		key := groupKey{job: j.ID, occurrence: occurrence, step: step}
+		if s.groups.byKey[key] != nil || state.Steps[step].Complete() || !j.DependenciesComplete(state, step) {
+			continue
+		}
+		group := &taskGroup{
+			key: key, job: j, step: &j.Spec.Steps[step], sequence: s.sequence.next(), readyAt: s.now,
+			starting: map[int]bool{}, avoid: map[string]bool{}, arrivedMs: arrivedMs(j, occurrence),
+			queue: lateness.NewQueueAccount(s.now), accounts: map[int]*lateness.TaskAccount{},
+		}
+		s.groups.add(group)
+		s.lateness.open(j, s.learner)
+		s.refill(group, j)
+	}
+}
+
+// startResolved finds anew which tasks of a group are to be started after the start, or the run,
+// of one of them came to an end.
+func (s *Scheduler) startResolved(j *job.Job, ref job.TaskRef) {
+	group := s.groups.of(ref)
+	if group == nil || j == nil {
+		return
+	}
+	delete(group.starting, ref.Index)
+	s.refill(group, j)
+}
+
+// refill finds anew which tasks of a group are to be started.
+func (s *Scheduler) refill(group *taskGroup, j *job.Job) {
+	s.cycle.needed = true
+	group.findPending(j.Times[group.key.occurrence].Steps[group.key.step].Tasks, s.speculation)
+}
--- /dev/null
+++ b/internal/cluster/scheduler/repeats_test.go
@@ -0,0 +1,24 @@
+package scheduler
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/job"
+)
+
+func TestRepeatsFallDue(t *testing.T) {
+	schedule := newRepeatSchedule()
+	j := &job.Job{New: job.New{ID: "a", Spec: job.Spec{Repeats: 3, StartAtMs: 1000, IntervalMs: 500}}}
+	schedule.watch(j)
+	schedule.watch(&job.Job{New: job.New{ID: "once"}, Times: []*job.Occurrence{{}}})
+	require.Empty(t, schedule.due(999))
+	first, second := job.TaskRef{Job: "a"}, job.TaskRef{Job: "a", Occurrence: 1}
+	require.Equal(t, []job.TaskRef{first, second}, schedule.due(1500))
+	j.Times = append(j.Times, &job.Occurrence{})
+	require.Equal(t, []job.TaskRef{second}, schedule.due(1500), "until it is open")
+	j.Times = append(j.Times, &job.Occurrence{}, &job.Occurrence{})
+	require.Empty(t, schedule.due(9000))
+	require.Empty(t, schedule.jobs, "all are open")
+}
--- /dev/null
+++ b/internal/cluster/scheduler/retention.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import "time"
+
+// retentionMargin is how much longer than promised the state of a job that is over is kept: clocks
+// of clients and leaders differ.
+const retentionMargin = 30 * time.Second
+
+// retentionQueue knows the jobs that are over, and when their state is no longer promised.
+type retentionQueue struct {
+	retention time.Duration
+	jobs      []endedJob // oldest first
+	known     map[string]bool
+}
+
+type endedJob struct {
+	id      string
+	endedMs int64 // time of day, Unix milliseconds
+}
+
+func newRetentionQueue(retention time.Duration) *retentionQueue {
+	return &retentionQueue{retention: retention, known: map[string]bool{}}
+}
+
+// add notes that a job is over; false: that was known.
+func (q *retentionQueue) add(id string, endedMs int64) bool {
+	if q.known[id] {
+		return false
+	}
+	q.known[id] = true
+	q.jobs = append(q.jobs, endedJob{id: id, endedMs: endedMs})
+	return true
+}
+
+// expired returns, once, the jobs that may be forgotten.
+func (q *retentionQueue) expired(wallMs int64) []string {
+	var ids []string
+	for len(q.jobs) > 0 && q.jobs[0].endedMs+(q.retention+retentionMargin).Milliseconds() < wallMs {
+		ids = append(ids, q.jobs[0].id)
+		delete(q.known, q.jobs[0].id)
+		q.jobs = q.jobs[1:]
+	}
+	return ids
+}
--- /dev/null
+++ b/internal/cluster/scheduler/starts.go
@@ -0,0 +1,88 @@
+package scheduler
+
+import (
+	"time"
+
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/lateness"
+)
+
+// startWithinMs is how long an order to start may take to arrive, in milliseconds of the runner's
+// clock; later it is not carried out.
+const startWithinMs = 250
+
+// startCommitted sends the order whose command was committed, or gives its reservation back.
+func (s *Scheduler) startCommitted(c job.Command, outcome job.Outcome) {
+	key := runKey{task: c.Task, attempt: c.Attempt}
+	runner := s.runners.byID[c.Runner]
+	if runner == nil || runner.load.runs[key] == nil {
+		return
+	}
+	r := runner.load.runs[key]
+	j := s.store.Jobs[c.Task.Job]
+	if outcome != job.Applied {
+		runner.load.remove(key)
+		s.startResolved(j, c.Task)
+		return
+	}
+	if group := s.groups.of(c.Task); group != nil {
+		delete(group.starting, c.Task.Index)
+		group.account(c.Task.Index).Add(lateness.Commit, s.now-r.orderedAt)
+	}
+	r.phase = phaseOrdered
+	if r.stop.requested || runner.ended || j.State.Terminal() {
+		s.endRun(runner, r, job.EndRejected) // its order never left
+		return
+	}
+	s.sendStart(j, runner, r)
+}
+
+func (s *Scheduler) sendStart(j *job.Job, runner *runnerSession, r *run) {
+	_, step := j.Task(r.task)
+	checkpoint := step.Tasks[r.task.Index].Saved
+	if j.Spec.Steps[r.task.Step].Gang {
+		checkpoint = step.Saved
+	}
+	r.checkpoint, r.resumed = checkpoint, checkpoint != ""
+	if r.resumed {
+		r.restoreTime = s.config.RestoreTime
+	}
+	r.orderedAt, runner.nextRunCheck = s.now, s.now
+	r.orderDeadlineMs = runner.contact.clockAt(s.now) + startWithinMs
+	runner.granted(r.orderDeadlineMs)
+	s.outbox.send(Order{
+		Kind: OrderStart, Runner: runner.id, Address: runner.address, Task: r.task, Attempt: r.attempt,
+		Spec: j.Spec.Text, Checkpoint: checkpoint, DeadlineMs: r.orderDeadlineMs,
+	})
+}
+
+// StartReplied takes in the reply to an order to start. clockMs is the runner's clock; 0: not known.
+func (s *Scheduler) StartReplied(now time.Duration, order Order, reply StartReply, clockMs int64) {
+	s.now = now
+	runner := s.runners.byID[order.Runner]
+	if runner == nil {
+		return
+	}
+	if reply == StartOtherIncarnation {
+		s.endIncarnation(runner)
+		return
+	}
+	if reply != StartNoReply {
+		runner.contact.replied(now, clockMs)
+	}
+	r := runner.load.runs[runKey{task: order.Task, attempt: order.Attempt}]
+	if r == nil || r.ending {
+		return
+	}
+	if reply == StartAccepted {
+		r.phase, r.confirmedMs = phaseConfirmed, clockMs
+		s.confirmRun(r)
+		return
+	}
+	runner.load.budget.Shrink(r.orderedAt, now, s.learner.meanCost(runner.service))
+	if reply == StartNoReply {
+		return // the next report will say whether it runs
+	}
+	s.log.Info("runner rejected a start", "runner", runner.id, "task", order.Task.String(), "attempt", order.Attempt, "reply", reply.String())
+	s.endRun(runner, r, job.EndRejected)
+}
--- /dev/null
+++ b/internal/cluster/scheduler/stops.go
@@ -0,0 +1,85 @@
+package scheduler
+
+import (
+	"time"
+
+	"basaltloft/internal/cluster/job"
+)
+
+// stopRetryInterval is the pause before a stop that got no reply is sent again.
+const stopRetryInterval = 400 * time.Millisecond
+
+// stopIfUnwanted stops a run that nobody waits for any more.
+func (s *Scheduler) stopIfUnwanted(j *job.Job, runner *runnerSession, r *run) {
+	task, _ := j.Task(r.task)
+	if j.State.Terminal() || task == nil || task.Done {
+		s.requestStop(runner, r)
+	}
+}
+
+// requestStop stops a run: the order is sent again until the run is known to be over.
+func (s *Scheduler) requestStop(runner *runnerSession, r *run) {
+	r.stop.requested, runner.nextRunCheck = true, s.now
+	s.sendStop(runner, r)
+}
+
+// sendStop sends the order to stop a run, unless there is no need or the last one was sent lately.
+func (s *Scheduler) sendStop(runner *runnerSession, r *run) {
+	if r.phase == phaseProposed || r.ending || runner.ended || r.stop.pending || r.stop.confirmedMs > 0 || s.now < r.stop.retryAt {
+		return
+	}
+	r.stop.pending, r.stop.retryAt = true, s.now+stopRetryInterval
+	s.outbox.send(Order{Kind: OrderStop, Runner: runner.id, Address: runner.address, Task: r.task, Attempt: r.attempt})
+}
+
+// StopReplied takes in the reply to a stop. ok says that the runner confirmed it, at clockMs of its
+// clock; otherIncarnation that another incarnation runs at the address.
+func (s *Scheduler) StopReplied(now time.Duration, order Order, ok, otherIncarnation bool, clockMs int64) {
+	s.now = now
+	runner := s.runners.byID[order.Runner]
+	if runner == nil {
+		return
+	}
+	if otherIncarnation {
+		s.endIncarnation(runner)
+		return
+	}
+	r := runner.load.runs[runKey{task: order.Task, attempt: order.Attempt}]
+	if r == nil {
+		return
+	}
+	r.stop.pending = false
+	if ok {
+		runner.contact.replied(now, clockMs)
+		r.stop.confirmedMs = clockMs
+	}
+}
+
+// stopRunsOf stops all runs of a task.
+func (s *Scheduler) stopRunsOf(ref job.TaskRef, task *job.Task) {
+	for _, live := range task.Runs {
+		if runner, r := s.runners.find(ref, live); r != nil {
+			s.requestStop(runner, r)
+		}
+	}
+}
+
+// stopRedundantRuns stops the other runs that the end of one makes useless: of the same task, once
+// it is done, and of the same gang, if it is not.
+func (s *Scheduler) stopRedundantRuns(j *job.Job, c job.Command) {
+	task, step := j.Task(c.Task)
+	if step == nil {
+		return
+	}
+	gang := j.Spec.Steps[c.Task.Step].Gang
+	if gang && c.EndReason != job.EndDone {
+		for index := range step.Tasks {
+			member := c.Task
+			member.Index = index
+			s.stopRunsOf(member, &step.Tasks[index])
+		}
+	}
+	if !gang && task.Done {
+		s.stopRunsOf(c.Task, task)
+	}
+}
