--- a/internal/cluster/capacity/capacity_test.go
+++ b/internal/cluster/capacity/capacity_test.go
@@ -20,7 +20,7 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-var bounds = scheduler.Config{MaxLease: 6 * time.Second, StopMs: 400, RemoteSlowdown: 1.5, StatusRetention: 2 * time.Minute}
+var bounds = scheduler.Config{MaxLease: 6 * time.Second, RemoteSlowdown: 1.5, StatusRetention: 2 * time.Minute}
 
 // fleet is an owner with so many runners in touch, and its store.
 type fleet struct {
--- a/internal/cluster/controlplane/core.go
+++ b/internal/cluster/controlplane/core.go
@@ -146,7 +146,7 @@
 func (c *Node) schedulerBounds() scheduler.Config {
 	b := c.settings.Bounds
 	return scheduler.Config{
-		MaxLease: b.MaxLease(), StopMs: b.StopMs, RemoteSlowdown: b.RemoteSlowdown,
+		MaxLease: b.MaxLease(), RemoteSlowdown: b.RemoteSlowdown,
 		RestoreTime:     time.Duration(b.RestoreMs) * time.Millisecond,
 		StatusRetention: time.Duration(b.StatusRetentionS * float64(time.Second)),
 	}
--- a/internal/cluster/scheduler/golden_late_test.go
+++ b/internal/cluster/scheduler/golden_late_test.go
@@ -35,7 +35,7 @@
 		return attribute
 	}
 	handler := slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})
-	bounds := scheduler.Config{MaxLease: holdMax, StopMs: 400, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
+	bounds := scheduler.Config{MaxLease: holdMax, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
 	w.owner = scheduler.New(w.store, w.epoch, bounds, w.now, w.wallMs(), slog.New(handler))
 	w.list()
 	w.run(100 * time.Millisecond)
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -38,7 +38,6 @@
 type Config struct {
 	// MaxLease is the longest task lease that a runner grants.
 	MaxLease time.Duration
-	StopMs   int64 // not used
 	// RemoteSlowdown is how many times longer a task runs away from its data's rack; 1 or more.
 	RemoteSlowdown float64
 	// RestoreTime is how long a run that resumes from a checkpoint makes no progress at first.
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -249,7 +249,7 @@
 	if w.mistake != fenceNotRaised {
 		w.epoch++
 	}
-	w.owner = scheduler.New(w.store, w.epoch, scheduler.Config{MaxLease: holdMax, StopMs: 400, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute},
+	w.owner = scheduler.New(w.store, w.epoch, scheduler.Config{MaxLease: holdMax, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute},
 		w.now, w.wallMs(), slog.New(slog.DiscardHandler))
 	w.list()
 }
--- a/internal/cluster/simworld/core_test.go
+++ b/internal/cluster/simworld/core_test.go
@@ -161,7 +161,7 @@
 	c.config = leader.NewConfiguration(c.tellShards, func(uint64) {}, c.w.log)
 	c.config.SetGroup(c.openGroup(protocol.ConfigGroup, c.w.mistaken(c.config)))
 	clocks := leader.Clocks{Monotonic: c.steady, UnixMs: c.wallMs}
-	limits := scheduler.Config{MaxLease: 6 * time.Second, StopMs: 400, RemoteSlowdown: 1, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
+	limits := scheduler.Config{MaxLease: 6 * time.Second, RemoteSlowdown: 1, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
 	for _, service := range services {
 		number := protocol.ShardOf(service)
 		shard := leader.NewShard(number, limits, clocks, func() { c.nudge(number) }, c.w.log)
