--- a/internal/cluster/scheduler/digest_test.go
+++ b/internal/cluster/scheduler/digest_test.go
@@ -23,7 +23,7 @@
 	firstTroubleSeed = 1000
 )
 
-// decisions records what the owners of a world decide; the zero value records nothing.
+// decisions records what the schedulers of a world decide; the zero value records nothing.
 type decisions struct {
 	trace    *digesttest.Trace
 	orders   int
@@ -31,7 +31,7 @@
 }
 
 // record also puts stops that leave together into a fixed order, for the runners too: in the
-// owner's own, that of a map, the same seed would give other days. Worlds that are not recorded
+// scheduler's own, that of a map, the same seed would give other days. Worlds that are not recorded
 // take them as they come.
 func (d *decisions) record(now time.Duration, out *scheduler.Output) {
 	if d.trace == nil {
--- a/internal/cluster/scheduler/golden_late_test.go
+++ b/internal/cluster/scheduler/golden_late_test.go
@@ -23,7 +23,7 @@
 const goldenLog = "testdata/late.log"
 
 // lateLog returns the log of a scheduler whose only runner is asked for more than it has, and
-// falls silent for a while, so that most jobs end late.
+// is unresponsive for a while, so that most jobs end late.
 func lateLog(t *testing.T) string {
 	t.Helper()
 	var log bytes.Buffer
@@ -35,19 +35,19 @@
 		return attribute
 	}
 	handler := slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})
-	bounds := scheduler.Config{MaxLease: holdMax, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
-	w.owner = scheduler.New(w.store, w.epoch, bounds, w.now, w.wallMs(), slog.New(handler))
-	w.list()
+	bounds := scheduler.Config{MaxLease: maxLease, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
+	w.scheduler = scheduler.New(w.store, w.epoch, bounds, w.now, w.wallMs(), slog.New(handler))
+	w.listRunners()
 	w.run(100 * time.Millisecond)
 	for number, id := range []string{"at-once", "late-2", "late-3", "late-4", "late-5", "late-6", "in-time"} {
 		stretch := 1.25
 		if id == "in-time" {
 			stretch = 100
 		}
-		w.accept(id, one(1000, 9000), stretch, number)
+		w.accept(id, oneTask(1000, 9000), stretch, number)
 	}
 	w.run(2 * time.Second)
-	w.lives[0].cutUntil = w.now + 12*time.Second
+	w.incarnations[0].unreachableUntil = w.now + 12*time.Second
 	w.run(30 * time.Second)
 	return log.String()
 }
@@ -55,7 +55,7 @@
 // accept hands a job with an objective in.
 func (w *world) accept(id string, spec job.Spec, stretch float64, number int) {
 	queue := []string{"h.example/first/", "h.example/second/"}[number%2]
-	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: 9, ended: map[job.TaskRef]bool{}, noted: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, saves: map[string]bool{}}
+	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: 9, ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
 	w.order = append(w.order, id)
 	w.apply([]job.Command{{Kind: job.AcceptJob, ProposedAtMs: w.wallMs(), Submission: &job.New{
 		ID: id, Queue: queue, Service: "desk", Spec: spec, Retries: 9, TargetMs: 100, Stretch: stretch,
--- a/internal/cluster/scheduler/runner_test.go
+++ b/internal/cluster/scheduler/runner_test.go
@@ -9,56 +9,56 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// clock returns the runner's clock, in milliseconds.
-func (l *life) clock() int64 {
-	return l.offset + int64(float64(l.w.now.Milliseconds())*l.rate)
+// clockMs returns the runner's clock, in milliseconds.
+func (l *incarnation) clockMs() int64 {
+	return l.clockOffsetMs + int64(float64(l.w.now.Milliseconds())*l.clockRate)
 }
 
-func (l *life) fenced(token uint64) bool {
-	if token < l.fence {
+func (l *incarnation) fencesOff(token uint64) bool {
+	if token < l.highestToken {
 		return true
 	}
-	l.fence = token
+	l.highestToken = token
 	return false
 }
 
-func (l *life) extend(deadline int64) {
+func (l *incarnation) extendLease(deadline int64) {
 	if deadline > 0 {
-		l.until = max(l.until, min(deadline, l.clock()+holdMax.Milliseconds()))
+		l.leaseDeadlineMs = max(l.leaseDeadlineMs, min(deadline, l.clockMs()+maxLease.Milliseconds()))
 	}
 }
 
-func (l *life) hold(order scheduler.Order, answer func(func(*scheduler.Scheduler))) {
-	if l.fenced(order.Token) {
+func (l *incarnation) renewLease(order scheduler.Order, answer func(func(*scheduler.Scheduler))) {
+	if l.fencesOff(order.Token) {
 		answer(func(o *scheduler.Scheduler) {
 			o.LeaseReplied(l.w.now, order, scheduler.LeaseFenced, scheduler.RunnerReport{})
 		})
 		return
 	}
-	l.extend(order.DeadlineMs)
+	l.extendLease(order.DeadlineMs)
 	for len(l.finished) > 0 && l.finished[0].Number <= order.AckedThrough {
-		l.w.note(l.finished[0])
+		l.w.recordAcknowledged(l.finished[0])
 		l.finished = l.finished[1:]
 	}
-	l.waiting = append(l.waiting, waitingHold{until: l.w.now + time.Duration(order.WaitMs)*time.Millisecond, seen: order.AckedThrough, answer: func() {
-		look := l.look()
-		answer(func(o *scheduler.Scheduler) { o.LeaseReplied(l.w.now, order, scheduler.LeaseRenewed, look) })
+	l.polls = append(l.polls, longPoll{deadline: l.w.now + time.Duration(order.WaitMs)*time.Millisecond, ackedThrough: order.AckedThrough, answer: func() {
+		report := l.report()
+		answer(func(o *scheduler.Scheduler) { o.LeaseReplied(l.w.now, order, scheduler.LeaseRenewed, report) })
 	}})
 }
 
-func (l *life) look() scheduler.RunnerReport {
-	look := scheduler.RunnerReport{ClockMs: l.clock(), Finished: append([]scheduler.ReportedEnd(nil), l.finished...)}
+func (l *incarnation) report() scheduler.RunnerReport {
+	report := scheduler.RunnerReport{ClockMs: l.clockMs(), Finished: append([]scheduler.ReportedEnd(nil), l.finished...)}
 	for _, r := range l.inOrder {
-		percent := int(100 * (r.base + l.w.now - r.began) / r.work)
-		if l.hangs {
+		percent := int(100 * (r.workBefore + l.w.now - r.startedAt) / r.work)
+		if l.stallsRuns {
 			percent = 0
 		}
-		look.Running = append(look.Running, scheduler.ReportedRun{Task: r.ref, Attempt: r.attempt, Checkpoint: r.saved, Percent: min(percent, 99)})
+		report.Running = append(report.Running, scheduler.ReportedRun{Task: r.ref, Attempt: r.attempt, Checkpoint: r.checkpoint, Percent: min(percent, 99)})
 	}
-	return look
+	return report
 }
 
-func (l *life) used() job.Resources {
+func (l *incarnation) used() job.Resources {
 	used := job.Resources{}
 	for _, r := range l.runs {
 		used = used.Add(r.job.spec.Steps[r.ref.Step].Resources)
@@ -66,53 +66,54 @@
 	return used
 }
 
-func (l *life) start(order scheduler.Order) scheduler.StartReply {
+func (l *incarnation) start(order scheduler.Order) scheduler.StartReply {
 	w := l.w
-	if l.fenced(order.Token) {
+	if l.fencesOff(order.Token) {
 		return scheduler.StartRefused
 	}
 	if r := l.runs[order.Task]; r != nil && r.attempt == order.Attempt {
 		return scheduler.StartAccepted
 	}
-	if l.clock() > order.DeadlineMs || order.Attempt <= l.highest[order.Task] {
+	if l.clockMs() > order.DeadlineMs || order.Attempt <= l.highestAttempt[order.Task] {
 		return scheduler.StartRefused
 	}
 	j := w.jobs[order.Task.Job]
 	w.check(j != nil && order.Spec == j.spec.Text, "UNASKED", "%v with spec %q", order.Task, order.Spec)
-	l.extend(order.DeadlineMs)
+	l.extendLease(order.DeadlineMs)
 	spec := j.spec.Steps[order.Task.Step]
 	if !l.used().Add(spec.Resources).FitsIn(l.capacity) {
-		w.check(l.guards, "LIMIT", "%v at %s", order.Task, l.id)
+		w.check(l.enforcesCapacity, "LIMIT", "%v at %s", order.Task, l.id)
 		return scheduler.StartNoCapacity
 	}
 	w.checkStart(l, j, spec, order)
 	work := time.Duration(float64(spec.EstimateMs)*(0.6+0.8*w.random.Float64())) * time.Millisecond
-	r := &running{ref: order.Task, attempt: order.Attempt, job: j, began: w.now, saved: order.Checkpoint, work: max(work, step)}
+	r := &running{ref: order.Task, attempt: order.Attempt, job: j, startedAt: w.now, checkpoint: order.Checkpoint, work: max(work, tickLength)}
 	if order.Checkpoint != "" {
-		r.base = r.work / 3
+		r.workBefore = r.work / 3
 	}
 	l.runs[order.Task] = r
 	l.inOrder = append(l.inOrder, r)
 	return scheduler.StartAccepted
 }
 
-// copyAfterEnd is how long after the noted end of a task a copy that was on its way may start.
-const copyAfterEnd = time.Second
+// speculativeStartTolerance is how long after the acknowledged end of a task a speculative attempt that was
+// on its way may start.
+const speculativeStartTolerance = time.Second
 
 // checkStart checks the rules that a start can break.
-func (w *world) checkStart(l *life, j *submitted, spec job.Step, order scheduler.Order) {
+func (w *world) checkStart(l *incarnation, j *submitted, spec job.Step, order scheduler.Order) {
 	ref := order.Task
-	for _, other := range w.lives {
+	for _, other := range w.incarnations {
 		if r := other.runs[ref]; other.up && r != nil {
-			w.copies++
+			w.speculativeStarts++
 			w.check(spec.Speculative && other != l, "TWICE", "%v attempt %d at %s, while attempt %d is at %s", ref, order.Attempt, l.id, r.attempt, other.id)
 		}
 	}
 	allowed := time.Duration(0)
 	if spec.Speculative {
-		allowed = copyAfterEnd
+		allowed = speculativeStartTolerance
 	}
-	w.check(j.noted[ref] == 0 || w.now-j.noted[ref] < allowed || spec.LongRunning, "TWICE", "%v starts after its end was taken note of", ref)
+	w.check(j.acknowledged[ref] == 0 || w.now-j.acknowledged[ref] < allowed || spec.LongRunning, "TWICE", "%v starts after its end was taken note of", ref)
 	w.check(j.failures[ref] < j.retries || spec.LongRunning, "BUDGET", "%v after %d failures of %d", ref, j.failures[ref], j.retries)
 	for _, before := range spec.DependsOn {
 		for index := range j.spec.Steps[before].Count {
@@ -122,10 +123,10 @@
 	if due := j.spec.DueMs(ref.Occurrence); due > 0 {
 		w.check(w.wallMs() >= due-250, "ORDER", "%v before its time", ref)
 	}
-	w.check(order.Checkpoint == "" || j.saves[order.Checkpoint], "UNASKED", "%v with progress %q that is not its own", ref, order.Checkpoint)
+	w.check(order.Checkpoint == "" || j.checkpoints[order.Checkpoint], "UNASKED", "%v with progress %q that is not its own", ref, order.Checkpoint)
 	w.check(j.cancelled == 0 || w.now-j.cancelled < 3*time.Second, "UNASKED", "%v after its cancelling", ref)
 	for _, label := range spec.Constraints {
-		w.check(hasLabel(l.labels, label), "ROUTE", "%v at %s, which lacks %s", ref, l.id, label)
+		w.check(containsLabel(l.labels, label), "ROUTE", "%v at %s, which lacks %s", ref, l.id, label)
 	}
 	if spec.AntiAffinity > 0 {
 		n := 1
@@ -138,7 +139,7 @@
 	}
 }
 
-func hasLabel(labels []string, wanted string) bool {
+func containsLabel(labels []string, wanted string) bool {
 	for _, label := range labels {
 		if label == wanted {
 			return true
@@ -147,46 +148,46 @@
 	return false
 }
 
-func (l *life) stop(order scheduler.Order) bool {
-	if l.fenced(order.Token) {
+func (l *incarnation) stop(order scheduler.Order) bool {
+	if l.fencesOff(order.Token) {
 		return false
 	}
-	l.highest[order.Task] = max(l.highest[order.Task], order.Attempt)
+	l.highestAttempt[order.Task] = max(l.highestAttempt[order.Task], order.Attempt)
 	if r := l.runs[order.Task]; r != nil && r.attempt <= order.Attempt {
-		r.saved = l.save(r)
+		r.checkpoint = l.checkpoint(r)
 		l.end(r, job.EndStopped)
 	}
 	return true
 }
 
-// save returns the text of a run's progress, where its step saves any.
-func (l *life) save(r *running) string {
-	if !r.job.spec.Steps[r.ref.Step].Checkpoints || r.base+l.w.now-r.began < saveFor {
-		return r.saved
+// checkpoint returns the text of a run's progress, where its step saves any.
+func (l *incarnation) checkpoint(r *running) string {
+	if !r.job.spec.Steps[r.ref.Step].Checkpoints || r.workBefore+l.w.now-r.startedAt < checkpointInterval {
+		return r.checkpoint
 	}
-	text := fmt.Sprintf("%s-%d-%d", r.ref, r.attempt, (r.base+l.w.now-r.began)/saveFor)
-	r.job.saves[text] = true
+	text := fmt.Sprintf("%s-%d-%d", r.ref, r.attempt, (r.workBefore+l.w.now-r.startedAt)/checkpointInterval)
+	r.job.checkpoints[text] = true
 	return text
 }
 
-func (l *life) end(r *running, how job.EndReason) {
+func (l *incarnation) end(r *running, how job.EndReason) {
 	l.remove(r)
 	if how == job.EndDone {
 		for _, ref := range r.job.peers(r.ref) {
 			r.job.ended[ref] = true
 		}
 	}
-	l.highest[r.ref] = max(l.highest[r.ref], r.attempt)
+	l.highestAttempt[r.ref] = max(l.highestAttempt[r.ref], r.attempt)
 	l.number++
-	l.finished = append(l.finished, scheduler.ReportedEnd{Number: l.number, Task: r.ref, Attempt: r.attempt, Reason: how, Checkpoint: r.saved})
+	l.finished = append(l.finished, scheduler.ReportedEnd{Number: l.number, Task: r.ref, Attempt: r.attempt, Reason: how, Checkpoint: r.checkpoint})
 	if r.job.spec.Steps[r.ref.Step].Gang {
 		l.w.gangEnds(r, how)
 	}
 }
 
 // gang returns the runs of a gang's attempt, wherever they are.
-func (w *world) gang(r *running) (members []*running, at []*life) {
-	for _, l := range w.lives {
+func (w *world) gang(r *running) (members []*running, at []*incarnation) {
+	for _, l := range w.incarnations {
 		if !l.up {
 			continue
 		}
@@ -220,7 +221,7 @@
 }
 
 // tick lets time pass at a runner.
-func (l *life) tick() {
+func (l *incarnation) tick() {
 	if !l.up {
 		return
 	}
@@ -229,65 +230,65 @@
 			l.tickRun(r)
 		}
 	}
-	kept := l.waiting[:0]
-	for _, h := range l.waiting {
-		if l.number > h.seen && len(l.finished) > 0 || l.w.now >= h.until {
-			if l.w.now >= l.cutUntil {
+	kept := l.polls[:0]
+	for _, h := range l.polls {
+		if l.number > h.ackedThrough && len(l.finished) > 0 || l.w.now >= h.deadline {
+			if l.w.now >= l.unreachableUntil {
 				h.answer()
 			}
 			continue
 		}
 		kept = append(kept, h)
 	}
-	l.waiting = kept
+	l.polls = kept
 }
 
 // remove forgets a run, keeping the others in the order of their starts.
-func (l *life) remove(r *running) {
+func (l *incarnation) remove(r *running) {
 	delete(l.runs, r.ref)
 	l.inOrder = slices.DeleteFunc(slices.Clone(l.inOrder), func(other *running) bool { return other == r })
 }
 
-func (l *life) tickRun(r *running) {
+func (l *incarnation) tickRun(r *running) {
 	w := l.w
 	spec := r.job.spec.Steps[r.ref.Step]
-	if l.clock() > l.until {
+	if l.clockMs() > l.leaseDeadlineMs {
 		l.end(r, job.EndLeaseExpired)
 		return
 	}
 	if spec.Gang {
 		members, _ := w.gang(r)
 		if len(members) < spec.Count {
-			if w.now-r.began > gangMax {
-				w.alone++
+			if w.now-r.startedAt > gangTimeout {
+				w.incompleteGangs++
 				l.end(r, job.EndGangIncomplete)
 			}
 			return
 		}
 		for _, other := range members {
-			if other.began > r.began {
+			if other.startedAt > r.startedAt {
 				return // the work begins once all are there; the last one's run counts
 			}
 		}
 	}
-	r.saved = l.save(r)
-	if l.hangs || r.base+w.now-r.began < r.work {
+	r.checkpoint = l.checkpoint(r)
+	if l.stallsRuns || r.workBefore+w.now-r.startedAt < r.work {
 		return
 	}
 	switch {
-	case r.job.poison && r.ref.Step == 0, l.fails, w.random.IntN(25) == 0:
+	case r.job.alwaysFails && r.ref.Step == 0, l.failsRuns, w.random.IntN(25) == 0:
 		l.end(r, job.EndFailed)
 	default:
 		l.end(r, job.EndDone)
 	}
 }
 
-// crash ends a life. Another one may come at its address.
-func (w *world) crash(l *life, returns bool) {
+// crash ends an incarnation. Another one may come at its address.
+func (w *world) crash(l *incarnation, returns bool) {
 	l.up = false
-	for i, other := range w.lives {
+	for i, other := range w.incarnations {
 		if other == l && returns {
-			w.later(w.between(500*time.Millisecond, 3*time.Second), func() { w.addLife(l.address, i) })
+			w.later(w.between(500*time.Millisecond, 3*time.Second), func() { w.addIncarnation(l.address, i) })
 		}
 	}
 }
--- a/internal/cluster/scheduler/scheduler_test.go
+++ b/internal/cluster/scheduler/scheduler_test.go
@@ -11,8 +11,8 @@
 	"basaltloft/internal/shared/failuretest"
 )
 
-// draw makes a job of any kind.
-func (w *world) draw() job.Spec {
+// randomSpec makes a job of any kind.
+func (w *world) randomSpec() job.Spec {
 	spec := job.Spec{Text: fmt.Sprint("text ", w.random.IntN(1000))}
 	for at := range 1 + w.random.IntN(3) {
 		s := job.Step{Count: 1 + w.random.IntN(5), EstimateMs: int64(100 + w.random.IntN(1500)),
@@ -48,9 +48,9 @@
 	return spec
 }
 
-// disturb does one random harmful thing.
-func (w *world) disturb() {
-	l := w.lives[w.random.IntN(len(w.lives))]
+// injectFault does one random harmful thing.
+func (w *world) injectFault() {
+	l := w.incarnations[w.random.IntN(len(w.incarnations))]
 	if !l.up {
 		return
 	}
@@ -58,27 +58,27 @@
 	case 0:
 		w.crash(l, w.random.IntN(3) > 0)
 	case 1:
-		l.cutUntil = w.now + w.between(time.Second, 9*time.Second)
+		l.unreachableUntil = w.now + w.between(time.Second, 9*time.Second)
 	case 2:
-		w.lose()
+		w.loseLeader()
 	case 3:
-		w.lateFor = 0.06
+		w.lateShare = 0.06
 	case 4:
-		w.lateFor = 0
+		w.lateShare = 0
 	case 5:
-		l.fails = !l.fails
+		l.failsRuns = !l.failsRuns
 	case 6:
-		l.hangs = !l.hangs
+		l.stallsRuns = !l.stallsRuns
 	case 7:
-		if w.ups() > 4 {
+		if w.countHealthy() > 4 {
 			l.draining = true
 			w.later(4*time.Second, func() { w.crash(l, true) })
 		}
 	}
 }
 
-func (w *world) ups() (n int) {
-	for _, l := range w.lives {
+func (w *world) countHealthy() (n int) {
+	for _, l := range w.incarnations {
 		if l.up && !l.draining {
 			n++
 		}
@@ -86,20 +86,20 @@
 	return n
 }
 
-// settle heals everything and expects each job to end.
-func (w *world) settle() {
-	w.lateFor = 0
-	for i := range 3 { // of each kind and rack at least one is sound
-		w.addLife(fmt.Sprintf("10.0.9.%d:1", i), i)
-		w.addLife(fmt.Sprintf("10.0.8.%d:1", i), i+3)
+// healAndFinish heals everything and expects each job to end.
+func (w *world) healAndFinish() {
+	w.lateShare = 0
+	for i := range 3 { // of each kind and rack at least one is healthy
+		w.addIncarnation(fmt.Sprintf("10.0.9.%d:1", i), i)
+		w.addIncarnation(fmt.Sprintf("10.0.8.%d:1", i), i+3)
 	}
-	for _, l := range w.lives {
-		l.cutUntil, l.fails, l.hangs = 0, false, false
+	for _, l := range w.incarnations {
+		l.unreachableUntil, l.failsRuns, l.stallsRuns = 0, false, false
 	}
 	for range 80 {
 		w.run(500 * time.Millisecond)
-		w.list()
-		if w.open() == 0 {
+		w.listRunners()
+		if w.countOpen() == 0 {
 			break
 		}
 	}
@@ -107,7 +107,7 @@
 		j := w.store.Jobs[id]
 		w.check(j.State.Terminal(), "LOST", "job %s is %v at the end, live %d, %s", id, j.State, j.Live, describe(j))
 		if j.State == job.StateCompleted {
-			w.check(!w.jobs[id].poison, "MIXED", "job %s is completed, though its tasks always fail", id)
+			w.check(!w.jobs[id].alwaysFails, "MIXED", "job %s is completed, though its tasks always fail", id)
 			w.checkComplete(w.jobs[id])
 		}
 	}
@@ -123,7 +123,7 @@
 	return text
 }
 
-func (w *world) open() (n int) {
+func (w *world) countOpen() (n int) {
 	for _, id := range w.order {
 		if !w.store.Jobs[id].State.Terminal() {
 			n++
@@ -147,41 +147,41 @@
 	w.run(100 * time.Millisecond)
 	for range rounds {
 		for range w.random.IntN(3) {
-			w.submit(w.draw(), w.random.IntN(15) == 0)
+			w.submit(w.randomSpec(), w.random.IntN(15) == 0)
 		}
 		if w.random.IntN(12) == 0 && len(w.order) > 0 {
 			w.cancel(w.order[w.random.IntN(len(w.order))])
 		}
 		if trouble && w.random.IntN(4) == 0 {
-			w.disturb()
+			w.injectFault()
 		}
 		w.run(w.between(50*time.Millisecond, 400*time.Millisecond))
-		w.list()
+		w.listRunners()
 	}
-	w.settle()
+	w.healAndFinish()
 }
 
-func TestCalmDays(t *testing.T) {
+func TestDaysWithoutFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		w := newWorld(t, seed, 8)
 		play(w, 40, false)
-		w.check(w.alone == 0, "GANG", "%d runs ended alone", w.alone)
+		w.check(w.incompleteGangs == 0, "GANG", "%d runs ended alone", w.incompleteGangs)
 	}
 }
 
-func TestDaysOfTrouble(t *testing.T) {
+func TestDaysWithFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		play(newWorld(t, 1000+seed, 6+int(seed%5)), 50, true)
 	}
 }
 
-// trips plays seeds with a planted mistake until a check finds it.
-func trips(t *testing.T, planted mistake) {
+// requireCaught plays seeds with a planted fault until a check finds it.
+func requireCaught(t *testing.T, planted plantedFault) {
 	t.Helper()
 	for seed := range uint64(200) {
 		found := failuretest.CatchFatal(t, func(t testing.TB) {
 			w := newWorld(t, 70_000+seed, 7)
-			w.mistake = planted
+			w.fault = planted
 			play(w, 50, true)
 		})
 		if found != "" {
@@ -189,26 +189,26 @@
 			return
 		}
 	}
-	t.Fatal("no check found the planted mistake")
+	t.Fatal("no check found the planted fault")
 }
 
-func TestPlantedMistakesAreFound(t *testing.T) {
-	t.Run("ends counted as seen before their commit", func(t *testing.T) { trips(t, seenBeforeCommit) })
-	t.Run("a fence that is not raised", func(t *testing.T) { trips(t, fenceNotRaised) })
-	t.Run("copies where none are allowed", func(t *testing.T) { trips(t, copiesUnasked) })
+func TestPlantedFaultsAreFound(t *testing.T) {
+	t.Run("ends counted as seen before their commit", func(t *testing.T) { requireCaught(t, acknowledgedBeforeCommit) })
+	t.Run("a fence that is not raised", func(t *testing.T) { requireCaught(t, tokenNotRaised) })
+	t.Run("speculative attempts where none are allowed", func(t *testing.T) { requireCaught(t, speculationNotAllowed) })
 }
 
 // The properties of the design, each by itself, on the ordinary path.
 
-func one(ms, cpu int64) job.Spec {
+func oneTask(ms, cpu int64) job.Spec {
 	return job.Spec{Text: "t", Steps: []job.Step{{Count: 1, EstimateMs: ms, Resources: job.Resources{CPU: cpu, MemMB: 100}}}}
 }
 
 func (w *world) startedAt(id string) time.Duration {
-	for _, l := range w.lives {
+	for _, l := range w.incarnations {
 		for ref, r := range l.runs {
 			if ref.Job == id {
-				return r.began
+				return r.startedAt
 			}
 		}
 	}
@@ -218,23 +218,23 @@
 func TestIdleRunnerTakesAnyTaskThatFits(t *testing.T) {
 	w := newWorld(t, 1, 1)
 	w.run(100 * time.Millisecond)
-	id := w.submit(one(60_000, 16_000), false)
+	id := w.submit(oneTask(60_000, 16_000), false)
 	w.run(100 * time.Millisecond)
 	require.NotZero(t, w.startedAt(id), "its cost is beyond any first budget, and its runner is idle")
 }
 
-func TestShorterWorkLeavesFirstUntilTheLongerHasAged(t *testing.T) {
+func TestShorterWorkStartsFirstUntilTheLongerHasAged(t *testing.T) {
 	w := newWorld(t, 2, 1)
 	w.run(100 * time.Millisecond)
-	w.submit(one(1000, 16_000), false) // fills the runner
+	w.submit(oneTask(1000, 16_000), false) // fills the runner
 	w.run(50 * time.Millisecond)
-	long, short := w.submit(one(900, 16_000), false), w.submit(one(300, 16_000), false)
+	long, short := w.submit(oneTask(900, 16_000), false), w.submit(oneTask(300, 16_000), false)
 	for w.startedAt(long) == 0 && w.startedAt(short) == 0 {
-		w.run(step)
+		w.run(tickLength)
 	}
 	require.NotZero(t, w.startedAt(short))
 	for range 40 { // short work keeps coming
-		w.submit(one(300, 16_000), false)
+		w.submit(oneTask(300, 16_000), false)
 		w.run(200 * time.Millisecond)
 		if w.startedAt(long) != 0 {
 			return
@@ -243,30 +243,30 @@
 	t.Fatal("the longer work has starved")
 }
 
-func TestWorkThatFitsNowhereHoldsNothingUp(t *testing.T) {
+func TestWorkThatFitsNowhereBlocksNothing(t *testing.T) {
 	w := newWorld(t, 3, 2)
 	w.run(100 * time.Millisecond)
-	w.submit(one(100, 500_000), false)
-	id := w.submit(one(2000, 1000), false)
+	w.submit(oneTask(100, 500_000), false)
+	id := w.submit(oneTask(2000, 1000), false)
 	w.run(100 * time.Millisecond)
 	require.NotZero(t, w.startedAt(id))
 }
 
-func TestRoomiestRunnerIsTaken(t *testing.T) {
+func TestRunnerWithMostHeadroomIsTaken(t *testing.T) {
 	w := newWorld(t, 4, 2)
 	w.run(100 * time.Millisecond)
 	for range 2 {
-		w.submit(one(5000, 4000), false)
+		w.submit(oneTask(5000, 4000), false)
 	}
 	w.run(100 * time.Millisecond)
-	require.Len(t, w.lives[0].runs, 1)
-	require.Len(t, w.lives[1].runs, 1)
+	require.Len(t, w.incarnations[0].runs, 1)
+	require.Len(t, w.incarnations[1].runs, 1)
 }
 
-func TestGangLeavesWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsCompleteOrNotAtAll(t *testing.T) {
 	w := newWorld(t, 5, 2)
 	w.run(100 * time.Millisecond)
-	w.submit(one(3000, 10_000), false)
+	w.submit(oneTask(3000, 10_000), false)
 	w.run(50 * time.Millisecond)
 	gang := job.Spec{Text: "g", Steps: []job.Step{{Count: 2, EstimateMs: 500, Gang: true, Resources: job.Resources{CPU: 10_000, MemMB: 10}}}}
 	id := w.submit(gang, false)
@@ -274,43 +274,44 @@
 	require.Zero(t, w.startedAt(id), "only one of its two tasks would fit")
 	w.run(5 * time.Second)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[id].State)
-	require.Zero(t, w.alone)
+	require.Zero(t, w.incompleteGangs)
 }
 
 func TestDrainingRunnerGetsNothing(t *testing.T) {
 	w := newWorld(t, 6, 2)
-	w.lives[0].draining = true
-	w.list()
+	w.incarnations[0].draining = true
+	w.listRunners()
 	w.run(100 * time.Millisecond)
 	for range 4 {
-		w.submit(one(2000, 1000), false)
+		w.submit(oneTask(2000, 1000), false)
 	}
 	w.run(200 * time.Millisecond)
-	require.Empty(t, w.lives[0].runs)
-	require.Len(t, w.lives[1].runs, 4)
+	require.Empty(t, w.incarnations[0].runs)
+	require.Len(t, w.incarnations[1].runs, 4)
 }
 
-func TestTaskMovesFromARunnerThatStandsStill(t *testing.T) {
+func TestTaskMigratesFromAStalledRunner(t *testing.T) {
 	w := newWorld(t, 7, 2)
-	w.lives[0].hangs, w.lives[1].hangs = true, false
+	w.incarnations[0].stallsRuns, w.incarnations[1].stallsRuns = true, false
 	w.run(100 * time.Millisecond)
-	id := w.submit(one(300, 9000), false)
-	other := w.submit(one(300, 9000), false)
+	id := w.submit(oneTask(300, 9000), false)
+	other := w.submit(oneTask(300, 9000), false)
 	w.run(12 * time.Second)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[id].State)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[other].State)
 }
 
-// TestAHungRunnerIsNoSink: its tasks move away, so that it always has room; it gets trials only,
+// TestStalledRunnerGetsProbesOnly: its tasks migrate, so that it always has free capacity; it gets probes
+// only,
 // and all it is given once it works again.
-func TestAHungRunnerIsNoSink(t *testing.T) {
+func TestStalledRunnerGetsProbesOnly(t *testing.T) {
 	w := newWorld(t, 13, 3)
 	w.run(100 * time.Millisecond)
-	hung := w.lives[0]
-	hung.hangs = true
+	hung := w.incarnations[0]
+	hung.stallsRuns = true
 	began := map[string]bool{}
 	for at := range 120 {
-		w.submit(one(400, 4000), false)
+		w.submit(oneTask(400, 4000), false)
 		w.run(100 * time.Millisecond)
 		if at < 30 {
 			continue // until it is noticed
@@ -319,67 +320,67 @@
 			began[ref.Job] = true
 		}
 	}
-	require.LessOrEqual(t, len(began), 6, "trials of 90 tasks")
-	hung.hangs = false
+	require.LessOrEqual(t, len(began), 6, "probes, of 90 tasks")
+	hung.stallsRuns = false
 	for range 100 { // as much as all three take
 		for range 3 {
-			w.submit(one(400, 4000), false)
+			w.submit(oneTask(400, 4000), false)
 		}
 		w.run(100 * time.Millisecond)
 	}
 	require.GreaterOrEqual(t, len(hung.runs), 3, "it works again")
 }
 
-// TestALastingTaskDoesNotKeepARunnerFromItsTrial: it tells nothing of its runner and does not end.
-func TestALastingTaskDoesNotKeepARunnerFromItsTrial(t *testing.T) {
+// TestLongRunningTaskDoesNotPreventProbes: it tells nothing of its runner and does not end.
+func TestLongRunningTaskDoesNotPreventProbes(t *testing.T) {
 	w := newWorld(t, 14, 2)
 	w.run(100 * time.Millisecond)
-	lasting := one(600_000, 1000)
-	lasting.Steps[0].LongRunning, lasting.Steps[0].Count = true, 2
-	lasting.Steps[0].AntiAffinity = 1 // one on each
-	w.submit(lasting, false)
+	longRunning := oneTask(600_000, 1000)
+	longRunning.Steps[0].LongRunning, longRunning.Steps[0].Count = true, 2
+	longRunning.Steps[0].AntiAffinity = 1 // one on each
+	w.submit(longRunning, false)
 	w.run(200 * time.Millisecond)
-	bad := w.lives[0]
-	bad.hangs = true
+	bad := w.incarnations[0]
+	bad.stallsRuns = true
 	for range 40 {
-		w.submit(one(400, 7000), false)
+		w.submit(oneTask(400, 7000), false)
 		w.run(100 * time.Millisecond)
 	}
-	bad.hangs = false
+	bad.stallsRuns = false
 	for range 200 {
-		w.submit(one(400, 7000), false)
+		w.submit(oneTask(400, 7000), false)
 		w.run(100 * time.Millisecond)
 	}
-	require.GreaterOrEqual(t, len(bad.runs), 2, "it works again, beside its lasting task")
+	require.GreaterOrEqual(t, len(bad.runs), 2, "it works again, beside its long-running task")
 }
 
-// TestLastingTasksDoNotBlockTheQueue fills the only runner of a label with a lasting task
-// whose cost is beyond any budget; work for that label still leaves, and so does the rest.
-func TestLastingTasksDoNotBlockTheQueue(t *testing.T) {
+// TestLongRunningTasksDoNotBlockTheQueue fills the only runner of a label with a long-running task
+// whose cost is beyond any budget; work for that label still starts, and so does the rest.
+func TestLongRunningTasksDoNotBlockTheQueue(t *testing.T) {
 	w := newWorld(t, 11, 2)
 	w.run(100 * time.Millisecond)
-	lasting := one(600_000, 2000)
-	lasting.Steps[0].LongRunning, lasting.Steps[0].Constraints = true, job.Labels{"a"}
-	w.submit(one(300, 500), false)
+	longRunning := oneTask(600_000, 2000)
+	longRunning.Steps[0].LongRunning, longRunning.Steps[0].Constraints = true, job.Labels{"a"}
+	w.submit(oneTask(300, 500), false)
 	w.run(2 * time.Second)
-	w.submit(lasting, false)
+	w.submit(longRunning, false)
 	w.run(200 * time.Millisecond)
-	labelled := one(1000, 1000)
+	labelled := oneTask(1000, 1000)
 	labelled.Steps[0].Constraints = job.Labels{"a"}
-	head, rest := w.submit(labelled, false), w.submit(one(1500, 1000), false)
+	head, rest := w.submit(labelled, false), w.submit(oneTask(1500, 1000), false)
 	w.run(15 * time.Second)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[head].State)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[rest].State)
 }
 
-func TestRunOfALostRunnerStartsAgainOnlyAfterAllHoldsEnded(t *testing.T) {
+func TestRunOfALostRunnerStartsAgainOnlyAfterAllLeasesExpired(t *testing.T) {
 	w := newWorld(t, 8, 2)
 	w.run(100 * time.Millisecond)
-	id := w.submit(one(4000, 9000), false)
+	id := w.submit(oneTask(4000, 9000), false)
 	w.run(300 * time.Millisecond)
-	for _, l := range w.lives {
+	for _, l := range w.incarnations {
 		if len(l.runs) > 0 {
-			l.cutUntil = w.now + time.Minute
+			l.unreachableUntil = w.now + time.Minute
 		}
 	}
 	w.run(5 * time.Second)
@@ -388,40 +389,40 @@
 	require.Equal(t, job.StateCompleted, w.store.Jobs[id].State)
 }
 
-// TestACopyIsNotWaitedFor: a task that may run side by side is done though its first runner has
-// fallen silent, long before that one's holds have ended; the first run counts for nothing.
-func TestACopyIsNotWaitedFor(t *testing.T) {
+// TestSpeculativeAttemptCompletesItsTask: a task that may run side by side is done though its first runner has
+// become unresponsive, long before that one's leases have expired; the first run counts for nothing.
+func TestSpeculativeAttemptCompletesItsTask(t *testing.T) {
 	w := newWorld(t, 8, 2)
 	w.run(100 * time.Millisecond)
-	spec := one(1000, 9000)
+	spec := oneTask(1000, 9000)
 	spec.Steps[0].Speculative = true
 	id := w.submit(spec, false)
 	w.run(300 * time.Millisecond)
-	for _, l := range w.lives {
+	for _, l := range w.incarnations {
 		if len(l.runs) > 0 {
-			l.cutUntil = w.now + time.Minute
+			l.unreachableUntil = w.now + time.Minute
 		}
 	}
 	w.run(2800 * time.Millisecond)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[id].State)
-	require.Equal(t, 1, w.copies)
+	require.Equal(t, 1, w.speculativeStarts)
 	w.run(10 * time.Second)
-	require.Zero(t, w.startedAt(id), "what is left of it ends with its holds")
+	require.Zero(t, w.startedAt(id), "what is left of it ends with its leases")
 }
 
-// TestNothingNewToASilentRunner: one order without an answer is enough.
-func TestNothingNewToASilentRunner(t *testing.T) {
+// TestUnresponsiveRunnerGetsNothingNew: one order without an answer is enough.
+func TestUnresponsiveRunnerGetsNothingNew(t *testing.T) {
 	w := newWorld(t, 10, 2)
 	w.run(100 * time.Millisecond)
-	cut := w.lives[0]
-	cut.cutUntil = w.now + time.Minute
+	cut := w.incarnations[0]
+	cut.unreachableUntil = w.now + time.Minute
 	for range 2 {
-		w.submit(one(3000, 9000), false) // one goes to each
+		w.submit(oneTask(3000, 9000), false) // one goes to each
 	}
 	w.run(250 * time.Millisecond)
 	var later []string
 	for range 6 {
-		later = append(later, w.submit(one(400, 500), false))
+		later = append(later, w.submit(oneTask(400, 500), false))
 	}
 	w.run(800 * time.Millisecond)
 	for _, id := range later {
@@ -429,27 +430,27 @@
 	}
 }
 
-// TestSilenceOfSeveralIsAskedAfter: runners that have nothing to answer for are looked at as
-// soon as others fall silent together, not only when their own look is due.
-func TestSilenceOfSeveralIsAskedAfter(t *testing.T) {
+// TestMassTimeoutPollsAllRunners: runners that owe no reply are polled as soon as others
+// become unresponsive together, not only when their own poll is due.
+func TestMassTimeoutPollsAllRunners(t *testing.T) {
 	w := newWorld(t, 12, 12)
 	w.run(time.Second)
-	for _, l := range w.lives[:8] {
-		l.cutUntil = w.now + time.Minute
+	for _, l := range w.incarnations[:8] {
+		l.unreachableUntil = w.now + time.Minute
 	}
 	for range 12 {
-		w.submit(one(5000, 9000), false)
+		w.submit(oneTask(5000, 9000), false)
 	}
 	w.run(450 * time.Millisecond)
-	late := w.submit(one(200, 1000), false)
+	late := w.submit(oneTask(200, 1000), false)
 	w.run(700 * time.Millisecond)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[late].State, "it went to one that answers")
 }
 
-func TestLastingJobRunsAgainAndStopsWhenCancelled(t *testing.T) {
+func TestLongRunningJobRunsAgainAndStopsWhenCancelled(t *testing.T) {
 	w := newWorld(t, 9, 3)
 	w.run(100 * time.Millisecond)
-	spec := one(200, 1000)
+	spec := oneTask(200, 1000)
 	spec.Steps[0].LongRunning = true
 	id := w.submit(spec, false)
 	w.run(5 * time.Second)
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -12,83 +12,83 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// The world of these tests: a shard's store with a commit that takes a while, owners that
+// The world of these tests: a shard's store with a commit that takes a while, schedulers that
 // come and go, and runners with clocks of their own that answer late, not at all, or carry
 // orders out seconds later. Virtual time, one goroutine, no sleeping. The checks bear the
 // names of the deployment's rules.
 
 const (
-	step    = 5 * time.Millisecond
-	holdMax = 6 * time.Second
-	gangMax = 3 * time.Second
-	saveFor = 500 * time.Millisecond // work between two savings
+	tickLength         = 5 * time.Millisecond
+	maxLease           = 6 * time.Second
+	gangTimeout        = 3 * time.Second
+	checkpointInterval = 500 * time.Millisecond // work between two savings
 )
 
-// mistake is a bug planted to show that a check finds it.
-type mistake int
+// plantedFault is a bug planted to show that a check finds it.
+type plantedFault int
 
 const (
-	none mistake = iota
-	seenBeforeCommit
-	fenceNotRaised
-	copiesUnasked // the owner is told that all steps may run side by side
+	noFault plantedFault = iota
+	acknowledgedBeforeCommit
+	tokenNotRaised
+	speculationNotAllowed // the scheduler is told that all steps may have speculative attempts
 )
 
-// life is one life of a simulated runner.
-type life struct {
-	w        *world
-	id       string
-	address  string
-	labels   []string
-	service  string
-	capacity job.Resources
-	guards   bool
-	rate     float64 // of its clock
-	offset   int64
-	up       bool
-	cutUntil time.Duration
-	draining bool
-	fails    bool // all that it starts
-	hangs    bool // all that it runs stands still
-
-	fence    uint64
-	until    int64 // the hold, on its clock
-	runs     map[job.TaskRef]*running
-	inOrder  []*running
-	highest  map[job.TaskRef]int // attempts stopped or ended there
-	finished []scheduler.ReportedEnd
-	number   uint64
-	waiting  []waitingHold
+// incarnation is one incarnation of a simulated runner.
+type incarnation struct {
+	w                *world
+	id               string
+	address          string
+	labels           []string
+	service          string
+	capacity         job.Resources
+	enforcesCapacity bool
+	clockRate        float64 // 1 is exact
+	clockOffsetMs    int64
+	up               bool
+	unreachableUntil time.Duration
+	draining         bool
+	failsRuns        bool // all that it starts
+	stallsRuns       bool // no run of it makes progress
+
+	highestToken    uint64
+	leaseDeadlineMs int64 // its tasks' leases expire then, on its clock
+	runs            map[job.TaskRef]*running
+	inOrder         []*running
+	highestAttempt  map[job.TaskRef]int // attempts stopped or ended there
+	finished        []scheduler.ReportedEnd
+	number          uint64
+	polls           []longPoll
 }
 
 type running struct {
-	ref     job.TaskRef
-	attempt int
-	job     *submitted
-	began   time.Duration
-	saved   string
-	base    time.Duration // work that was done before
-	work    time.Duration
+	ref        job.TaskRef
+	attempt    int
+	job        *submitted
+	startedAt  time.Duration
+	checkpoint string
+	workBefore time.Duration // work that was done before
+	work       time.Duration
 }
 
-type waitingHold struct {
-	until  time.Duration
-	seen   uint64
-	answer func()
+type longPoll struct {
+	deadline     time.Duration
+	ackedThrough uint64
+	answer       func()
 }
 
 // submitted is what the world knows of a job, apart from the store.
 type submitted struct {
-	id        string
-	spec      job.Spec
-	service   string
-	retries   int
-	poison    bool
-	cancelled time.Duration                 // when the cancelling was acknowledged; 0: it was not
-	ended     map[job.TaskRef]bool          // tasks with a run that ended done
-	noted     map[job.TaskRef]time.Duration // and of them those whose end was taken note of, and when: the runner was told that it was seen
-	failures  map[job.TaskRef]int           // failed ends that were taken note of
-	saves     map[string]bool               // texts that its tasks saved
+	id           string
+	spec         job.Spec
+	service      string
+	retries      int
+	alwaysFails  bool
+	cancelled    time.Duration                 // when the cancelling was acknowledged; 0: it was not
+	ended        map[job.TaskRef]bool          // tasks with a run that ended done
+	acknowledged map[job.TaskRef]time.Duration // and of them those whose end was acknowledged to the runner, and when
+	failures     map[job.TaskRef]int           // failed ends that were acknowledged
+	checkpoints  map[string]bool               // texts that its tasks saved
 }
 
 // event is something that happens later.
@@ -98,33 +98,33 @@
 }
 
 type world struct {
-	t          testing.TB
-	seed       uint64
-	random     *rand.Rand
-	now        time.Duration
-	store      *job.Store
-	owner      *scheduler.Scheduler
-	epoch      uint64
-	lives      []*life
-	jobs       map[string]*submitted
-	order      []string
-	events     []event
-	lateFor    float64 // share of orders that get no answer and are carried out late
-	mistake    mistake
-	serial     int
-	alone      int
-	copies     int // starts beside another run of the same task
-	priorities int
-	slowUntil  time.Duration
-	decisions  decisions // what the owner decided
+	t                 testing.TB
+	seed              uint64
+	random            *rand.Rand
+	now               time.Duration
+	store             *job.Store
+	scheduler         *scheduler.Scheduler
+	epoch             uint64
+	incarnations      []*incarnation
+	jobs              map[string]*submitted
+	order             []string
+	events            []event
+	lateShare         float64 // share of orders that get no answer and are carried out late
+	fault             plantedFault
+	serial            int
+	incompleteGangs   int
+	speculativeStarts int // starts beside another run of the same task
+	priorities        int
+	slowUntil         time.Duration
+	decisions         decisions // what the schedulers decided
 }
 
 func newWorld(t testing.TB, seed uint64, runners int) *world {
 	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 9)), now: time.Hour, store: job.NewStore(), jobs: map[string]*submitted{}, epoch: 1, priorities: 1}
 	for i := range runners {
-		w.addLife(fmt.Sprintf("10.0.0.%d:1", i), i)
+		w.addIncarnation(fmt.Sprintf("10.0.0.%d:1", i), i)
 	}
-	w.takeOver()
+	w.startScheduler()
 	return w
 }
 
@@ -135,14 +135,15 @@
 	}
 }
 
-func (w *world) addLife(address string, i int) *life {
+// addIncarnation starts a runner; i chooses its labels, its accelerators and whether it rejects starts
+// beyond its capacity.
+func (w *world) addIncarnation(address string, i int) {
 	w.serial++
 	kinds := []string{"a", "b"}
-	l := &life{w: w, id: fmt.Sprintf("i-%d", w.serial), address: address, service: "desk", up: true, guards: i%3 != 0,
+	l := &incarnation{w: w, id: fmt.Sprintf("i-%d", w.serial), address: address, service: "desk", up: true, enforcesCapacity: i%3 != 0,
 		labels: []string{kinds[i%2], fmt.Sprintf("r-%d", i%3)}, capacity: job.Resources{CPU: 16000, MemMB: 32000, GPU: int64(i%2) * 4},
-		rate: 1 - 0.02*w.random.Float64(), offset: int64(w.random.IntN(1_000_000)), runs: map[job.TaskRef]*running{}, highest: map[job.TaskRef]int{}}
-	w.lives = append(w.lives, l)
-	return l
+		clockRate: 1 - 0.02*w.random.Float64(), clockOffsetMs: int64(w.random.IntN(1_000_000)), runs: map[job.TaskRef]*running{}, highestAttempt: map[job.TaskRef]int{}}
+	w.incarnations = append(w.incarnations, l)
 }
 
 func (w *world) later(in time.Duration, do func()) {
@@ -155,7 +156,7 @@
 
 // run lets time pass.
 func (w *world) run(span time.Duration) {
-	for end := w.now + span; w.now < end; w.now += step {
+	for end := w.now + span; w.now < end; w.now += tickLength {
 		due := []event{}
 		w.events = slices.DeleteFunc(w.events, func(e event) bool {
 			if e.at <= w.now {
@@ -167,21 +168,21 @@
 		for _, e := range due {
 			e.do()
 		}
-		for _, l := range w.lives {
+		for _, l := range w.incarnations {
 			l.tick()
 		}
-		w.drive()
+		w.driveScheduler()
 	}
 }
 
 func (w *world) wallMs() int64 { return 1_700_000_000_000 + (w.now - time.Hour).Milliseconds() }
 
-func (w *world) drive() {
-	if w.owner == nil {
+func (w *world) driveScheduler() {
+	if w.scheduler == nil {
 		return
 	}
-	w.owner.Tick(w.now, w.wallMs())
-	out := w.owner.TakeOutput(w.now, true)
+	w.scheduler.Tick(w.now, w.wallMs())
+	out := w.scheduler.TakeOutput(w.now, true)
 	w.decisions.record(w.now, &out)
 	if len(out.Commands) > 0 {
 		w.commit(out)
@@ -193,36 +194,36 @@
 
 // commit applies a batch after a while, in order.
 func (w *world) commit(out scheduler.Output) {
-	owner, epoch := w.owner, w.epoch
-	if w.mistake == seenBeforeCommit {
-		owner.Committed(w.now, out.Batch)
+	current, epoch := w.scheduler, w.epoch
+	if w.fault == acknowledgedBeforeCommit {
+		current.Committed(w.now, out.Batch)
 	}
-	w.later(w.between(5*time.Millisecond, 6*time.Millisecond)+step*2, func() {
-		if w.epoch != epoch || w.owner != owner {
+	w.later(w.between(5*time.Millisecond, 6*time.Millisecond)+tickLength*2, func() {
+		if w.epoch != epoch || w.scheduler != current {
 			return // lost with its leader
 		}
 		w.apply(out.Commands)
-		owner.Committed(w.now, out.Batch)
+		current.Committed(w.now, out.Batch)
 	})
 }
 
 func (w *world) apply(commands []job.Command) {
 	for _, c := range commands {
 		outcome := w.store.Apply(c)
-		if w.owner != nil {
-			w.owner.Applied(w.now, c, outcome)
+		if w.scheduler != nil {
+			w.scheduler.Applied(w.now, c, outcome)
 		}
 	}
 }
 
-// note keeps what a runner was told to be seen, for the rules on further starts.
-func (w *world) note(end scheduler.ReportedEnd) {
+// recordAcknowledged keeps what a runner was told to be seen, for the rules on further starts.
+func (w *world) recordAcknowledged(end scheduler.ReportedEnd) {
 	j := w.jobs[end.Task.Job]
 	switch end.Reason {
 	case job.EndDone:
 		for _, ref := range j.peers(end.Task) {
-			if j.noted[ref] == 0 {
-				j.noted[ref] = w.now
+			if j.acknowledged[ref] == 0 {
+				j.acknowledged[ref] = w.now
 			}
 		}
 	case job.EndFailed:
@@ -244,43 +245,43 @@
 	return all
 }
 
-// takeOver replaces the owner. The old one's orders may still be on their way.
-func (w *world) takeOver() {
-	if w.mistake != fenceNotRaised {
+// startScheduler replaces the scheduler. The old one's orders may still be on their way.
+func (w *world) startScheduler() {
+	if w.fault != tokenNotRaised {
 		w.epoch++
 	}
-	w.owner = scheduler.New(w.store, w.epoch, scheduler.Config{MaxLease: holdMax, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute},
+	w.scheduler = scheduler.New(w.store, w.epoch, scheduler.Config{MaxLease: maxLease, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute},
 		w.now, w.wallMs(), slog.New(slog.DiscardHandler))
-	w.list()
+	w.listRunners()
 }
 
-// lose lets the owner vanish, some of its orders still on their way.
-func (w *world) lose() {
+// loseLeader lets the leader, and its scheduler, vanish, some of its orders still on their way.
+func (w *world) loseLeader() {
 	w.slowUntil = w.now + 100*time.Millisecond
-	w.later(100*time.Millisecond, func() { w.owner = nil })
+	w.later(100*time.Millisecond, func() { w.scheduler = nil })
 	w.later(w.between(150*time.Millisecond, 2*time.Second), func() {
-		if w.owner == nil {
-			w.takeOver()
+		if w.scheduler == nil {
+			w.startScheduler()
 		}
 	})
 }
 
-// list tells the owner of the runners, as the platform does.
-func (w *world) list() {
-	if w.owner == nil {
+// listRunners tells the scheduler of the runners, as the platform does.
+func (w *world) listRunners() {
+	if w.scheduler == nil {
 		return
 	}
 	var runners []scheduler.Runner
-	for _, l := range w.lives {
+	for _, l := range w.incarnations {
 		if l.up || w.random.IntN(2) == 0 && !w.replaced(l) {
 			runners = append(runners, scheduler.Runner{ID: l.id, Service: l.service, Address: l.address, Labels: l.labels, Capacity: l.capacity, Draining: l.draining})
 		}
 	}
-	w.owner.UpdateRunners(w.now, runners)
+	w.scheduler.UpdateRunners(w.now, runners)
 }
 
-func (w *world) replaced(l *life) bool {
-	for _, other := range w.lives {
+func (w *world) replaced(l *incarnation) bool {
+	for _, other := range w.incarnations {
 		if other != l && other.address == l.address && other.up {
 			return true
 		}
@@ -288,9 +289,9 @@
 	return false
 }
 
-// at returns the life that answers at an address.
-func (w *world) at(address string) *life {
-	for _, l := range w.lives {
+// incarnationAt returns the incarnation that answers at an address.
+func (w *world) incarnationAt(address string) *incarnation {
+	for _, l := range w.incarnations {
 		if l.up && l.address == address {
 			return l
 		}
@@ -302,9 +303,9 @@
 	w.serial++
 	id := fmt.Sprintf("%016x", w.serial)
 	retries := 2 + w.random.IntN(3)
-	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: retries, poison: poison, ended: map[job.TaskRef]bool{}, noted: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, saves: map[string]bool{}}
+	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: retries, alwaysFails: poison, ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
 	w.order = append(w.order, id)
-	if w.mistake == copiesUnasked {
+	if w.fault == speculationNotAllowed {
 		spec.Steps = slices.Clone(spec.Steps)
 		for at := range spec.Steps {
 			spec.Steps[at].Speculative = true
@@ -323,23 +324,23 @@
 
 // send carries an order to its runner and the answer back.
 func (w *world) send(order scheduler.Order) {
-	owner := w.owner
+	current := w.scheduler
 	way := w.between(time.Millisecond, 4*time.Millisecond)
-	if w.now < w.slowUntil { // the owner is about to be lost; these arrive after the next one's first
-		way = w.between(100*time.Millisecond, 240*time.Millisecond) // within an order's life
+	if w.now < w.slowUntil { // the leader is about to be lost; these arrive after the next one's first
+		way = w.between(100*time.Millisecond, 240*time.Millisecond) // within an order's time
 	}
-	if w.random.Float64() < w.lateFor { // no answer; carried out seconds later
+	if w.random.Float64() < w.lateShare { // no answer; carried out seconds later
 		w.later(w.between(2*time.Second, 12*time.Second), func() { w.carryOut(order, func(func(*scheduler.Scheduler)) {}) })
-		w.later(time.Second, func() { w.unanswered(owner, order) })
+		w.later(time.Second, func() { w.unanswered(current, order) })
 		return
 	}
 	answered := false
 	w.later(way, func() {
 		w.carryOut(order, func(tell func(*scheduler.Scheduler)) {
 			w.later(w.between(time.Millisecond, 4*time.Millisecond), func() {
-				if !answered && w.owner == owner {
+				if !answered && w.scheduler == current {
 					answered = true
-					tell(owner)
+					tell(current)
 				}
 			})
 		})
@@ -347,29 +348,29 @@
 	w.later(time.Duration(order.WaitMs)*time.Millisecond+time.Second, func() {
 		if !answered {
 			answered = true
-			w.unanswered(owner, order)
+			w.unanswered(current, order)
 		}
 	})
 }
 
-func (w *world) unanswered(owner *scheduler.Scheduler, order scheduler.Order) {
-	if w.owner != owner || owner == nil {
+func (w *world) unanswered(current *scheduler.Scheduler, order scheduler.Order) {
+	if w.scheduler != current || current == nil {
 		return
 	}
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
-		owner.LeaseReplied(w.now, order, scheduler.LeaseNoReply, scheduler.RunnerReport{})
+		current.LeaseReplied(w.now, order, scheduler.LeaseNoReply, scheduler.RunnerReport{})
 	case scheduler.OrderStart:
-		owner.StartReplied(w.now, order, scheduler.StartNoReply, 0)
+		current.StartReplied(w.now, order, scheduler.StartNoReply, 0)
 	case scheduler.OrderStop:
-		owner.StopReplied(w.now, order, false, false, 0)
+		current.StopReplied(w.now, order, false, false, 0)
 	}
 }
 
 // carryOut does what an order says at the runner, if one is there, and answers.
 func (w *world) carryOut(order scheduler.Order, answer func(tell func(*scheduler.Scheduler))) {
-	l := w.at(order.Address)
-	if l == nil || w.now < l.cutUntil {
+	l := w.incarnationAt(order.Address)
+	if l == nil || w.now < l.unreachableUntil {
 		return
 	}
 	if l.id != order.Runner {
@@ -387,14 +388,14 @@
 	}
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
-		l.hold(order, answer)
+		l.renewLease(order, answer)
 	case scheduler.OrderStart:
 		reply := l.start(order)
-		clock := l.clock()
+		clock := l.clockMs()
 		answer(func(o *scheduler.Scheduler) { o.StartReplied(w.now, order, reply, clock) })
 	case scheduler.OrderStop:
 		ok := l.stop(order)
-		clock := l.clock()
+		clock := l.clockMs()
 		answer(func(o *scheduler.Scheduler) { o.StopReplied(w.now, order, ok, false, clock) })
 	}
 }
