--- /dev/null
+++ b/internal/cluster/scheduler/cycle_test.go
@@ -0,0 +1,111 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/placement"
+)
+
+// addRunner adds a runner of four cores that takes work.
+func addRunner(s *Scheduler, id string) *runnerSession {
+	runner := contactedRunner()
+	runner.id, runner.service, runner.capacity = id, "s", job.Resources{CPU: 4000}
+	s.runners.add(runner)
+	return runner
+}
+
+// submit adds a job of one step that runs for a second.
+func submit(s *Scheduler, id string, step job.Step) *taskGroup {
+	step.EstimateMs = 1000
+	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.New{ID: id, Queue: "q", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
+	s.openOccurrence(s.store.Jobs[id], 0)
+	return s.groups.byKey[groupKey{job: id}]
+}
+
+// startsAt returns the runners of the starts that were proposed, in their order.
+func startsAt(s *Scheduler) []string {
+	var runners []string
+	for _, command := range s.outbox.commands {
+		runners = append(runners, command.Runner)
+	}
+	return runners
+}
+
+func TestRunnersThatTakeNoWork(t *testing.T) {
+	for name, change := range map[string]func(*runnerSession){
+		"not listed":              func(r *runnerSession) { r.listed = false },
+		"incarnation has ended":   func(r *runnerSession) { r.ended = true },
+		"draining":                func(r *runnerSession) { r.drain.draining = true },
+		"has not replied yet":     func(r *runnerSession) { r.contact.fenced = false },
+		"out of contact":          func(r *runnerSession) { r.contact.lastContact = testNow - contactTimeout },
+		"misses its polls":        func(r *runnerSession) { r.contact.missedPolls = 1 },
+		"owes a reply to a start": func(r *runnerSession) { r.contact.replyPending = true },
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newTestScheduler()
+			runner := addRunner(s, "a")
+			s.collectCandidates()
+			require.Len(t, s.cycle.candidates, 1)
+			change(runner)
+			s.collectCandidates()
+			require.Empty(t, s.cycle.candidates)
+		})
+	}
+}
+
+func TestSuspectRunnerTakesOneProbeAtATime(t *testing.T) {
+	s := newTestScheduler()
+	runner := addRunner(s, "a")
+	runner.suspicion.slowObserved(testNow)
+	submit(s, "j", job.Step{Count: 3, Resources: job.Resources{CPU: 1000}})
+	s.runCycle()
+	require.Equal(t, []string{"a"}, startsAt(s))
+	s.now += time.Minute
+	runner.contact.lastContact = s.now
+	s.runCycle()
+	require.Len(t, startsAt(s), 1, "the probe is under way")
+}
+
+func TestRunnerAtWhichATaskFailedIsAvoidedWhereThereIsAnother(t *testing.T) {
+	s := newTestScheduler()
+	addRunner(s, "a")
+	group := submit(s, "j", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}})
+	group.avoid["a"] = true
+	s.collectCandidates()
+	_, result := s.chooseRunner(group, s.requestFor(group))
+	require.Equal(t, placement.Found, result, "there is no other")
+	addRunner(s, "b")
+	s.runCycle()
+	require.Equal(t, []string{"b"}, startsAt(s))
+}
+
+func TestAntiAffinityLimitsTheTasksOfAStepAtOneRunner(t *testing.T) {
+	s := newTestScheduler()
+	addRunner(s, "a")
+	group := submit(s, "j", job.Step{Count: 3, AntiAffinity: 2, Resources: job.Resources{CPU: 1000}})
+	s.runCycle()
+	require.Equal(t, []string{"a", "a"}, startsAt(s))
+	require.Len(t, group.pending, 1)
+}
+
+// TestHeadThatNoBudgetLetsStartHoldsUpTheRest: budgets grow for it, not for shorter work behind it.
+func TestHeadThatNoBudgetLetsStartHoldsUpTheRest(t *testing.T) {
+	s := newTestScheduler()
+	runner := addRunner(s, "a")
+	s.learner.meanCost("s").Add(0.01)
+	busy := &run{runKey: runKey{task: job.TaskRef{Job: "other"}}, cost: 0.01}
+	runner.load.add(busy) // an idle runner would take it whatever its budget
+	head := submit(s, "head", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}})
+	small := submit(s, "small", job.Step{Count: 1, Resources: job.Resources{CPU: 10}})
+	small.job.Priority = 1
+	s.runCycle()
+	require.Empty(t, startsAt(s))
+	require.Len(t, head.pending, 1)
+	before := runner.load.budget.Headroom(runner.load.cost, s.learner.meanCost("s"))
+	runner.load.budget.Grow(1, runner.maxBudget())
+	require.Greater(t, runner.load.budget.Headroom(runner.load.cost, s.learner.meanCost("s")), before, "that it blocked work was recorded")
+}
--- a/internal/cluster/scheduler/fixtures_test.go
+++ b/internal/cluster/scheduler/fixtures_test.go
@@ -1,11 +1,18 @@
 package scheduler
 
 import (
+	"log/slog"
 	"time"
 
 	"basaltloft/internal/cluster/job"
 )
 
+// newTestScheduler returns a scheduler of an empty store, at testNow.
+func newTestScheduler() *Scheduler {
+	config := Config{MaxLease: 6 * time.Second, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
+	return New(job.NewStore(), 1, config, testNow, 0, slog.New(slog.DiscardHandler))
+}
+
 // groupExpecting returns a group of a job of one step that is ready since testNow and whose tasks
 // are expected to run for so many seconds.
 func groupExpecting(seconds float64) *taskGroup {
--- a/internal/cluster/scheduler/gang_test.go
+++ b/internal/cluster/scheduler/gang_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"log/slog"
 	"testing"
 	"time"
 
@@ -14,7 +13,7 @@
 // of three cores each.
 func gangCase(t *testing.T, tasks int, racks ...string) (*Scheduler, *taskGroup) {
 	t.Helper()
-	s := New(job.NewStore(), 1, Config{MaxLease: 6 * time.Second, RemoteSlowdown: 1.5}, testNow, 0, slog.New(slog.DiscardHandler))
+	s := newTestScheduler()
 	for at, rack := range racks {
 		runner := contactedRunner()
 		runner.id = string(rune('a' + at))
