--- /dev/null
+++ b/internal/cluster/systemtest/runner_test.go
@@ -0,0 +1,60 @@
+package systemtest_test
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/systemtest"
+)
+
+// sendOrder sends an order to a runner and returns the answer.
+func sendOrder(t *testing.T, runner *systemtest.Runner, path, body string) (status int, answer string) {
+	t.Helper()
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, runner.Server.URL+path, strings.NewReader(body))
+	require.NoError(t, err)
+	request.Header.Set("Expect-Instance", runner.ID)
+	response, err := runner.Server.Client().Do(request)
+	require.NoError(t, err)
+	defer response.Body.Close()
+	content, err := io.ReadAll(response.Body)
+	require.NoError(t, err)
+	return response.StatusCode, string(content)
+}
+
+// TestRunnerRefusesOrders: a start that arrives late, after its attempt was over, or from an
+// earlier leader begins nothing.
+func TestRunnerRefusesOrders(t *testing.T) {
+	const start = `{"task":"job.0.0.0","attempt":%d,"fence_token":%d,"deadline_ms":%d}`
+	const farDeadline = 1 << 40
+	runner := systemtest.NewRunner("i-1", time.Hour)
+	defer runner.Server.Close()
+	for _, step := range []struct {
+		name, path, order string
+		status            int
+		answer            string
+		starts            int
+	}{
+		{"late", "/-/run-start", fmt.Sprintf(start, 1, 7, 1), http.StatusConflict, `"late"`, 0},
+		{"in time", "/-/run-start", fmt.Sprintf(start, 1, 7, farDeadline), http.StatusOK, "", 1},
+		{"there already, late", "/-/run-start", fmt.Sprintf(start, 1, 7, 1), http.StatusOK, "", 1},
+		{"earlier leader", "/-/run-start", fmt.Sprintf(start, 2, 6, farDeadline), http.StatusConflict, `"fence"`, 1},
+		{"stop", "/-/run-stop", `{"task":"job.0.0.0","attempt":1,"fence_token":7}`, http.StatusOK, "", 1},
+		{"over already", "/-/run-start", fmt.Sprintf(start, 1, 7, farDeadline), http.StatusConflict, `"old"`, 1},
+		{"stop of what never began", "/-/run-stop", `{"task":"job.0.0.0","attempt":2,"fence_token":7}`, http.StatusOK, "", 1},
+		{"stopped before it came", "/-/run-start", fmt.Sprintf(start, 2, 7, farDeadline), http.StatusConflict, `"old"`, 1},
+		{"next attempt", "/-/run-start", fmt.Sprintf(start, 3, 7, farDeadline), http.StatusOK, "", 2},
+	} {
+		t.Run(step.name, func(t *testing.T) {
+			status, answer := sendOrder(t, runner, step.path, step.order)
+			require.Equal(t, step.status, status, answer)
+			require.Contains(t, answer, step.answer)
+			require.Equal(t, step.starts, runner.StartCounts()["job.0.0.0"])
+		})
+	}
+}
