--- a/internal/cluster/router/call.go
+++ b/internal/cluster/router/call.go
@@ -8,145 +8,164 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// Call is a client's request on its way to the owners that can answer it.
+// Call is a client's request while the requests to shards' leaders that serve it are under way.
+// It is used by one goroutine.
 //
-// What may be asked again: each of its questions, since an owner tells a job by its ID. What
-// an answer is worth after a try that had none: that a job was taken, cancelled, or is not
-// held, is a fact, whoever was asked before; a refusal says nothing of the earlier try, which
-// may have been taken, so that the client is told that the outcome is not known.
+// Each request to a leader may be sent again, since a leader knows a job by its ID. That a job
+// was accepted, cancelled or is unknown is a fact, whatever earlier attempts came to. A rejection
+// is not: an earlier attempt without a response may have been accepted, so that the client is
+// told that the outcome is unknown. docs/control-safety.md has the whole table.
 type Call struct {
 	steps   []step
-	at      int
-	silent  bool // a try had no answer, or one that did not say
-	unknown bool // and it was one that may have had an effect
-	pending int  // counted so far
+	current int // index into steps
+	// unanswered tells that an attempt had no response, or one that left its outcome open.
+	unanswered bool
+	// mayHaveEffect tells that such an attempt would have changed something.
+	mayHaveEffect bool
+	pending       int // jobs counted by the shards so far
 }
 
-// step is one question to a shard's owner.
+// step is one request to a shard's leader.
 type step struct {
 	shard   int
-	message any
+	message any // a protocol.JobRequest or a protocol.SubmitRequest
 	kind    stepKind
 }
 
 type stepKind uint8
 
 const (
-	stepRead   stepKind = iota // a state: the first shard that holds the job answers
+	stepRead   stepKind = iota // state of a job: the first shard that knows it responds for all
 	stepCancel                 // likewise
-	stepCount                  // all shards' counts are added
-	stepCheck                  // an earlier shard that does not hold the ID lets it pass
+	stepCount                  // pending jobs of a queue: the sum over all shards
+	stepCheck                  // a former shard of the queue: goes on unless that knows the ID
 	stepSubmit
 )
 
-// Progress is what an answer leads to.
+// Progress is what the caller does after a response.
 type Progress uint8
 
-// What an answer leads to.
+// What the caller does after a response.
 const (
-	Retry Progress = iota // ask Next after a pause
+	// Retry: send the request of Next again after a pause.
+	Retry Progress = iota
+	// Continue: send the request of Next, which is another one now.
 	Continue
-	Finished       // the answer is the client's
-	ConfigOutdated // a newer configuration is needed: its version is in the answer's Moved
+	// Finished: the response is the client's.
+	Finished
+	// ConfigOutdated: wait for the version in the response's Moved, and build the call anew.
+	ConfigOutdated
 )
 
-const (
-	givenUpRetryMs = 1000
-)
+// noLeaderRetryMs is after how long a client is told to come back where a shard has no leader.
+const noLeaderRetryMs = 1000
 
-// NewJobCall returns a client's question for a job's state, its cancelling, or a queue's count.
-func NewJobCall(v *View, route *opconfig.Route, verb protocol.JobOperation, id string) *Call {
-	kinds := map[protocol.JobOperation]stepKind{protocol.GetJobState: stepRead, protocol.CancelJob: stepCancel, protocol.CountPending: stepCount}
+// NewJobCall returns the call for a job's state, its cancellation, or the number of a queue's
+// pending jobs (with an empty ID). Other operations than these three are not for clients.
+func NewJobCall(v *View, route *opconfig.Route, operation protocol.JobOperation, id string) *Call {
+	kinds := map[protocol.JobOperation]stepKind{
+		protocol.GetJobState: stepRead, protocol.CancelJob: stepCancel, protocol.CountPending: stepCount,
+	}
 	c := &Call{}
 	for _, shard := range v.shards(route) {
-		ask := protocol.JobRequest{Verb: verb, Shard: shard, Queue: route.Queue(), ID: id, Version: v.Config.Version}
-		c.steps = append(c.steps, step{shard: shard, message: ask, kind: kinds[verb]})
+		request := protocol.JobRequest{Verb: operation, Shard: shard, Queue: route.Queue(), ID: id, Version: v.Config.Version}
+		c.steps = append(c.steps, step{shard: shard, message: request, kind: kinds[operation]})
 	}
 	return c
 }
 
-// NewSubmitCall returns a client's job. Where the queue was in other shards before, their owners
-// are asked first whether they hold the ID, and take nothing more of the queue from then on.
+// NewSubmitCall returns the call that submits a job. Where the queue was in other shards before,
+// their leaders are first asked whether they know the ID, and accept nothing more of the queue
+// from then on.
 func NewSubmitCall(v *View, route *opconfig.Route, id string, body []byte) *Call {
 	c := &Call{}
 	shards := v.shards(route)
-	for _, earlier := range shards[1:] {
-		check := protocol.JobRequest{Verb: protocol.CheckFormerShard, Shard: earlier, Queue: route.Queue(), ID: id, Version: v.Config.Version,
-			Since: v.ServiceHistories[route.Queue()].Since, Hash: leader.BodyHash(body)}
-		c.steps = append(c.steps, step{shard: earlier, message: check, kind: stepCheck})
+	present, former := shards[0], shards[1:]
+	for _, shard := range former {
+		check := protocol.JobRequest{
+			Verb: protocol.CheckFormerShard, Shard: shard, Queue: route.Queue(), ID: id, Version: v.Config.Version,
+			Since: v.ServiceHistories[route.Queue()].Since, Hash: leader.BodyHash(body),
+		}
+		c.steps = append(c.steps, step{shard: shard, message: check, kind: stepCheck})
 	}
-	submit := protocol.SubmitRequest{Shard: shards[0], Queue: route.Queue(), ID: id, Body: body, Version: v.Config.Version, Route: *route}
-	c.steps = append(c.steps, step{shard: shards[0], message: submit, kind: stepSubmit})
+	submit := protocol.SubmitRequest{Shard: present, Queue: route.Queue(), ID: id, Body: body, Version: v.Config.Version, Route: *route}
+	c.steps = append(c.steps, step{shard: present, message: submit, kind: stepSubmit})
 	return c
 }
 
-// InheritOutcome lets a call go on from an earlier one that needed a newer configuration.
-func (c *Call) InheritOutcome(earlier *Call) { c.silent, c.unknown = earlier.silent, earlier.unknown }
+// InheritOutcome lets a call replace an earlier one of the same request, which ended with
+// ConfigOutdated: what that one's attempts left open stays open.
+func (c *Call) InheritOutcome(earlier *Call) {
+	c.unanswered, c.mayHaveEffect = earlier.unanswered, earlier.mayHaveEffect
+}
 
-// Next returns the shard whose owner is to be asked, and what.
+// Next returns the shard whose leader is to be asked, and the message for it.
 func (c *Call) Next() (shard int, message any) {
-	return c.steps[c.at].shard, c.steps[c.at].message
+	return c.steps[c.current].shard, c.steps[c.current].message
 }
 
-// NoResponse tells that a try had no answer.
+// NoResponse records that an attempt at the request of Next had no response.
 func (c *Call) NoResponse() {
-	kind := c.steps[c.at].kind
-	c.silent = true
-	c.unknown = c.unknown || kind == stepSubmit || kind == stepCancel
+	kind := c.steps[c.current].kind
+	c.unanswered = true
+	c.mayHaveEffect = c.mayHaveEffect || kind == stepSubmit || kind == stepCancel
 }
 
-// HandleResponse takes in an answer to the present question.
-func (c *Call) HandleResponse(answer protocol.JobResponse) (protocol.JobResponse, Progress) {
+// HandleResponse applies a response to the request of Next. The response that it returns is the
+// client's where the progress is Finished.
+func (c *Call) HandleResponse(response protocol.JobResponse) (protocol.JobResponse, Progress) {
 	switch {
-	case answer.Status == 0:
-		return answer, Retry
-	case answer.Unknown:
+	case response.Status == 0: // not the shard's leader
+		return response, Retry
+	case response.Unknown:
 		c.NoResponse()
-		return answer, Retry
-	case answer.Moved > 0:
-		return answer, ConfigOutdated
+		return response, Retry
+	case response.Moved > 0:
+		return response, ConfigOutdated
 	}
-	switch c.steps[c.at].kind {
+	switch c.steps[c.current].kind {
 	case stepCount:
-		return c.counted(answer)
+		return c.addCount(response)
 	case stepRead, stepCancel, stepCheck:
-		if answer.Status == http.StatusGone {
-			return c.passed(answer)
+		if response.Status == http.StatusGone {
+			return c.nextStep(response)
 		}
 	}
-	return c.final(answer), Finished
+	return c.finalResponse(response), Finished
 }
 
-func (c *Call) counted(answer protocol.JobResponse) (protocol.JobResponse, Progress) {
-	if answer.Status != http.StatusOK {
-		return answer, Finished
+// addCount adds a shard's pending jobs to those of the others.
+func (c *Call) addCount(response protocol.JobResponse) (protocol.JobResponse, Progress) {
+	if response.Status != http.StatusOK {
+		return response, Finished
 	}
-	c.pending += answer.Pending
-	answer.Pending = c.pending
-	return c.passed(answer)
+	c.pending += response.Pending
+	response.Pending = c.pending
+	return c.nextStep(response)
 }
 
-// passed goes on to the next shard; the last one's answer is the client's.
-func (c *Call) passed(answer protocol.JobResponse) (protocol.JobResponse, Progress) {
-	if c.at == len(c.steps)-1 {
-		return answer, Finished
+// nextStep goes on to the next shard. The last shard's response is the client's.
+func (c *Call) nextStep(response protocol.JobResponse) (protocol.JobResponse, Progress) {
+	if c.current == len(c.steps)-1 {
+		return response, Finished
 	}
-	c.at++
-	return answer, Continue
+	c.current++
+	return response, Continue
 }
 
-// final returns what an answer is worth to the client.
-func (c *Call) final(answer protocol.JobResponse) protocol.JobResponse {
-	if c.unknown && answer.Status != http.StatusOK && !answer.Never {
+// finalResponse returns what a leader's last response allows the client to be told.
+func (c *Call) finalResponse(response protocol.JobResponse) protocol.JobResponse {
+	if c.mayHaveEffect && response.Status != http.StatusOK && !response.Never {
 		return c.TimeoutResponse()
 	}
-	return answer
+	return response
 }
 
-// TimeoutResponse returns the answer where no other came in time.
+// TimeoutResponse returns what the client is told where no response came in time: 504 where an
+// attempt may have been carried out, else 503.
 func (c *Call) TimeoutResponse() protocol.JobResponse {
-	if c.silent {
+	if c.unanswered {
 		return protocol.JobResponse{Status: http.StatusGatewayTimeout, Reason: "an owner did not answer, and what became of it is not known: send the same again"}
 	}
-	return protocol.JobResponse{Status: http.StatusServiceUnavailable, RetryAfterMs: givenUpRetryMs, Reason: "nobody owns this queue at this moment"}
+	return protocol.JobResponse{Status: http.StatusServiceUnavailable, RetryAfterMs: noLeaderRetryMs, Reason: "nobody owns this queue at this moment"}
 }
