--- /dev/null
+++ b/internal/cluster/dataplane/clients_test.go
@@ -0,0 +1,94 @@
+package dataplane
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/router"
+)
+
+// fixture is a clientHandler in virtual time: each pause advances the clock, and may do more.
+type fixture struct {
+	*clientHandler
+	now     time.Duration
+	onPause func()
+}
+
+func newFixture() *fixture {
+	f := &fixture{now: time.Hour, onPause: func() {}}
+	clock := func() time.Duration { return f.now }
+	watcher := &configWatcher{Watcher: router.NewWatcher("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler)), clock: clock}
+	f.clientHandler = &clientHandler{watcher: watcher, clock: clock, leaving: func() bool { return false }, pause: func(span time.Duration) {
+		f.now += span
+		f.onPause()
+	}}
+	return f
+}
+
+// status serves a request and returns the answer's status.
+func (f *fixture) status(r *http.Request) int {
+	recorder := httptest.NewRecorder()
+	f.ServeHTTP(recorder, r)
+	return recorder.Code
+}
+
+// stateRequest asks for a job's state, with a time-out of 3 s.
+func stateRequest(ctx context.Context) *http.Request {
+	r := httptest.NewRequestWithContext(ctx, http.MethodGet, "/q/0123456789abcdef", nil)
+	r.Header.Set("Timeout-Ms", "3000")
+	return r
+}
+
+// TestRequestWaitsForConfiguration: one that arrives while this process has no view that it may
+// act on is answered once it has, by the newest version.
+func TestRequestWaitsForConfiguration(t *testing.T) {
+	f := newFixture()
+	arrived := f.now
+	f.onPause = func() {
+		if f.now-arrived >= 400*time.Millisecond {
+			f.watcher.HandleResponse("core-0", f.now, protocol.WatchResponse{Leads: true, Version: 5, Content: []byte(`{"version":5,"routes":[],"services":[]}`)})
+		}
+	}
+	require.Equal(t, http.StatusNotFound, f.status(stateRequest(t.Context())), "no such queue in version 5")
+	require.Less(t, f.now-arrived, 500*time.Millisecond)
+}
+
+// TestWaitingRequestTimesOut: it is rejected well under half of the client's time-out.
+func TestWaitingRequestTimesOut(t *testing.T) {
+	f := newFixture()
+	arrived := f.now
+	require.Equal(t, http.StatusServiceUnavailable, f.status(stateRequest(t.Context())))
+	require.Less(t, f.now-arrived, 1400*time.Millisecond)
+	require.Greater(t, f.now-arrived, time.Second)
+}
+
+// TestGoneClientIsNotWaitedFor: the wait ends with the client's connection.
+func TestGoneClientIsNotWaitedFor(t *testing.T) {
+	f := newFixture()
+	arrived := f.now
+	ctx, cancel := context.WithCancel(t.Context())
+	f.onPause = cancel
+	f.status(stateRequest(ctx))
+	require.LessOrEqual(t, f.now-arrived, 2*retryPause)
+}
+
+// TestWaitingRequestsAreBounded: above the bound, and in a process that stops, none waits.
+func TestWaitingRequestsAreBounded(t *testing.T) {
+	f := newFixture()
+	arrived := f.now
+	f.waiting.Store(maxWaiting)
+	require.Equal(t, http.StatusServiceUnavailable, f.status(stateRequest(t.Context())))
+	require.Equal(t, arrived, f.now, "answered at once")
+	require.EqualValues(t, maxWaiting, f.waiting.Load())
+	f.waiting.Store(0)
+	f.leaving = func() bool { return true }
+	require.Equal(t, http.StatusServiceUnavailable, f.status(stateRequest(t.Context())))
+	require.Equal(t, arrived, f.now, "in a process that stops no request waits")
+}
--- /dev/null
+++ b/internal/cluster/dataplane/dispatcher.go
@@ -0,0 +1,108 @@
+package dataplane
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"basaltloft/internal/cluster/settings"
+)
+
+// Dispatcher is one dispatcher process.
+type Dispatcher struct {
+	settings settings.Settings
+	log      *slog.Logger
+	started  time.Time
+	watcher  *configWatcher
+	leaving  atomic.Bool // it has been told to stop
+}
+
+// New returns a dispatcher that does not serve yet.
+func New(settings settings.Settings, log *slog.Logger) *Dispatcher {
+	d := &Dispatcher{settings: settings, log: log, started: time.Now()}
+	d.watcher = newConfigWatcher(settings, log, d.now)
+	return d
+}
+
+// clockStart is what the dispatcher's clock shows at its start; 0 stands for "never" in router.
+const clockStart = time.Hour
+
+// now returns the time of the dispatcher's monotonic clock.
+func (d *Dispatcher) now() time.Duration { return time.Since(d.started) + clockStart }
+
+// Limits of HTTP connections.
+const (
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 32 << 10
+)
+
+// Times of a stop, within the grace that the platform gives until it kills the process.
+const (
+	// drainMargin is kept free at the end of the grace for the requests under way.
+	drainMargin = 1500 * time.Millisecond
+	// exitMargin is the part of drainMargin that is kept free for the exit itself.
+	exitMargin = 400 * time.Millisecond
+	// platformDelay is how long the platform may go on sending new connections.
+	platformDelay = time.Second
+	// minLeaving is how long new connections are served at least, on a grace of twice that.
+	minLeaving = 2500 * time.Millisecond
+)
+
+// Run serves until the context ends. Then it goes on serving until the platform sends no new
+// connections any more, finishes the requests under way, and returns. It returns an error where
+// it can't listen or where requests are left when the grace is over.
+func (d *Dispatcher) Run(ctx context.Context) error {
+	front := &http.Server{
+		Addr: d.settings.Listen.HTTP, Handler: &clientHandler{watcher: d.watcher, clock: d.now, leaving: d.leaving.Load, pause: time.Sleep},
+		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+	}
+	ready := &http.Server{Addr: d.settings.Listen.Readiness, Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}
+	watchCtx, stopWatching := context.WithCancel(context.WithoutCancel(ctx)) // it goes on while this process leaves
+	failed := make(chan error, 2)
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer stopWatching()
+	for _, server := range []*http.Server{front, ready} {
+		defer func() { _ = server.Close() }() // its listener; after leave there is nothing to close
+		background.Go(func() { failed <- server.ListenAndServe() })
+	}
+	background.Go(func() { d.watcher.run(watchCtx) })
+	select {
+	case err := <-failed:
+		return errors.Wrap(err, "serve: check the addresses under listen")
+	case <-ctx.Done():
+		return d.leave(front)
+	}
+}
+
+// leave stops the server of clients in order, within the grace that the platform gives.
+func (d *Dispatcher) leave(front *http.Server) error {
+	grace := d.settings.Bounds.Grace()
+	d.leaving.Store(true)
+	d.log.Info("stopping", "grace", grace)
+	time.Sleep(max(grace-drainMargin-platformDelay, min(minLeaving, grace/2)))
+	ctx, cancel := context.WithTimeout(context.Background(), max(drainMargin-exitMargin, exitMargin))
+	defer cancel()
+	return errors.Wrap(front.Shutdown(ctx), "finish what was under way")
+}
+
+// serveReady tells the platform whether this process can serve: it has a configuration that it
+// may act on, and has not been told to stop.
+func (d *Dispatcher) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if _, valid := d.watcher.current(); !valid || d.leaving.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
+// Reload applies settings that have changed: the seeds alone may change while it runs.
+func (d *Dispatcher) Reload(settings settings.Settings) {
+	d.watcher.UpdateSeeds(settings.SeedAddresses())
+}
--- a/internal/cluster/dataplane/golden_test.go
+++ b/internal/cluster/dataplane/golden_test.go
@@ -1,6 +1,7 @@
 package dataplane
 
 import (
+	"context"
 	"flag"
 	"fmt"
 	"io"
@@ -34,47 +35,51 @@
 const goldenConfiguration = `{"version":5,"routes":[{"name":"route","host":"h.example","path_prefix":"/q/","timeout_ms":3000,"target_ms":250.5,` +
 	`"priority":2,"backend":"desk","retries":3,"extension":1.5}],"services":[{"name":"desk","guards":true}],"limits":{"max_body_bytes":64}}`
 
-// standInOwner owns all shards and gives one answer to everything.
-type standInOwner struct {
-	mu     sync.Mutex
-	answer protocol.JobResponse
-	asked  []any
+// fakeLeader leads all shards and gives one response to all requests.
+type fakeLeader struct {
+	response protocol.JobResponse
+
+	mu       sync.Mutex
+	requests []any
 }
 
-func (o *standInOwner) HandleOneWay(any) {}
+// HandleOneWay implements rpc.Handler.
+func (l *fakeLeader) HandleOneWay(any) {}
 
-func (o *standInOwner) HandleCall(body any) any {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.asked = append(o.asked, body)
-	return o.answer
+// HandleCall implements rpc.Handler.
+func (l *fakeLeader) HandleCall(body any) any {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requests = append(l.requests, body)
+	return l.response
 }
 
-// goldenBench is an ingress that goes by the golden configuration.
-func goldenBench(t *testing.T, answer protocol.JobResponse) (*bench, *standInOwner) {
+// newGoldenFixture returns a clientHandler that acts on the golden configuration.
+func newGoldenFixture(t *testing.T, response protocol.JobResponse) (*fixture, *fakeLeader) {
 	t.Helper()
-	standIn := &standInOwner{answer: answer}
+	leader := &fakeLeader{response: response}
 	mux := http.NewServeMux()
-	mux.Handle(rpc.Path, rpc.NewServer(standIn))
+	mux.Handle(rpc.Path, rpc.NewServer(leader))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	b := newBench()
-	b.follower.Watcher = router.NewWatcher("edge", []string{address}, 2*time.Second, slog.New(slog.DiscardHandler))
-	b.follower.HandleResponse(address, b.now, protocol.WatchResponse{
+	f := newFixture()
+	f.watcher.Watcher = router.NewWatcher("edge", []string{address}, 2*time.Second, slog.New(slog.DiscardHandler))
+	f.watcher.HandleResponse(address, f.now, protocol.WatchResponse{
 		Leads: true, Version: 5, Content: []byte(goldenConfiguration), Owners: []string{address, address, address, address}, Cores: []string{address},
 	})
-	t.Cleanup(b.follower.clients.Close)
-	return b, standIn
+	t.Cleanup(f.watcher.nodes.Close)
+	return f, leader
 }
 
-func clientRequest(method, path, body string) *http.Request {
-	request := httptest.NewRequest(method, path, strings.NewReader(body))
+// clientRequest returns a request of a client to the golden host.
+func clientRequest(ctx context.Context, method, path, body string) *http.Request {
+	request := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	request.Host = "h.example"
 	return request
 }
 
-// answerText returns an answer as the ingress writes it; net/http adds its date and length.
+// answerText returns an answer as the handler writes it; net/http adds its date and length.
 func answerText(t *testing.T, recorded *httptest.ResponseRecorder) string {
 	t.Helper()
 	response := recorded.Result()
@@ -90,7 +95,7 @@
 	const id = "/q/0123456789abcdef"
 	type exchange struct {
 		name, method, path, body string
-		answer                   protocol.JobResponse
+		response                 protocol.JobResponse
 	}
 	exchanges := []exchange{
 		{"handed in", http.MethodPost, id, "{}", protocol.JobResponse{Status: 200}},
@@ -117,18 +122,18 @@
 	}
 	var text strings.Builder
 	for _, e := range exchanges {
-		b, _ := goldenBench(t, e.answer)
+		f, _ := newGoldenFixture(t, e.response)
 		recorded := httptest.NewRecorder()
-		b.ServeHTTP(recorded, clientRequest(e.method, e.path, e.body))
+		f.ServeHTTP(recorded, clientRequest(t.Context(), e.method, e.path, e.body))
 		fmt.Fprintf(&text, "== %s: %s %s\n%s", e.name, e.method, e.path, answerText(t, recorded))
 	}
-	b, _ := goldenBench(t, protocol.JobResponse{Status: 200})
-	b.leaving = func() bool { return true }
+	f, _ := newGoldenFixture(t, protocol.JobResponse{Status: 200})
+	f.leaving = func() bool { return true }
 	recorded := httptest.NewRecorder()
-	b.ServeHTTP(recorded, clientRequest(http.MethodPost, id, "{}"))
+	f.ServeHTTP(recorded, clientRequest(t.Context(), http.MethodPost, id, "{}"))
 	fmt.Fprintf(&text, "== a process that leaves\n%s", answerText(t, recorded))
 	recorded = httptest.NewRecorder()
-	newBench().ServeHTTP(recorded, clientRequest(http.MethodPost, id, "{}"))
+	newFixture().ServeHTTP(recorded, clientRequest(t.Context(), http.MethodPost, id, "{}"))
 	fmt.Fprintf(&text, "== no configuration\n%s", answerText(t, recorded))
 
 	if *writeGolden {
@@ -140,8 +145,8 @@
 	require.Equal(t, string(golden), text.String())
 }
 
-// TestWhatOwnersAreAskedAsBefore: the messages that clients' requests become, field by field.
-func TestWhatOwnersAreAskedAsBefore(t *testing.T) {
+// TestMessagesToLeadersAsBefore: the messages that clients' requests become, field by field.
+func TestMessagesToLeadersAsBefore(t *testing.T) {
 	const id = "0123456789abcdef"
 	shard := protocol.ShardOf("desk")
 	for _, c := range []struct {
@@ -158,11 +163,11 @@
 		{http.MethodGet, "/q/", "", protocol.JobRequest{Verb: protocol.CountPending, Shard: shard, Queue: "h.example/q/", Version: 5}},
 		{http.MethodDelete, "/q/" + id, "", protocol.JobRequest{Verb: protocol.CancelJob, Shard: shard, Queue: "h.example/q/", ID: id, Version: 5}},
 	} {
-		b, standIn := goldenBench(t, protocol.JobResponse{Status: 200})
-		b.ServeHTTP(httptest.NewRecorder(), clientRequest(c.method, c.path, c.body))
-		standIn.mu.Lock()
-		require.Equal(t, []any{c.wanted}, standIn.asked, "%s %s", c.method, c.path)
-		standIn.mu.Unlock()
+		f, leader := newGoldenFixture(t, protocol.JobResponse{Status: 200})
+		f.ServeHTTP(httptest.NewRecorder(), clientRequest(t.Context(), c.method, c.path, c.body))
+		leader.mu.Lock()
+		require.Equal(t, []any{c.wanted}, leader.requests, "%s %s", c.method, c.path)
+		leader.mu.Unlock()
 	}
 }
 
@@ -173,11 +178,11 @@
 
 // TestReadinessAsBefore: what the platform is told.
 func TestReadinessAsBefore(t *testing.T) {
-	b, _ := goldenBench(t, protocol.JobResponse{})
-	edge := &Dispatcher{settings: settings.Settings{}, follower: b.follower}
+	f, _ := newGoldenFixture(t, protocol.JobResponse{})
+	dispatcher := &Dispatcher{settings: settings.Settings{}, watcher: f.watcher}
 	ask := func() (int, string) {
 		recorded := httptest.NewRecorder()
-		edge.serveReady(recorded, httptest.NewRequest(http.MethodGet, "/", nil))
+		dispatcher.serveReady(recorded, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil))
 		body, err := io.ReadAll(recorded.Body)
 		require.NoError(t, err)
 		return recorded.Code, string(body)
@@ -185,7 +190,7 @@
 	code, body := ask()
 	require.Equal(t, http.StatusOK, code)
 	require.Empty(t, body)
-	edge.leaving.Store(true)
+	dispatcher.leaving.Store(true)
 	code, body = ask()
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	require.Empty(t, body)
--- /dev/null
+++ b/internal/cluster/dataplane/response.go
@@ -0,0 +1,55 @@
+package dataplane
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+
+	"basaltloft/internal/cluster/protocol"
+)
+
+// stateBody is the answer to a request for a job's state.
+type stateBody struct {
+	State string `json:"state"`
+}
+
+// countBody is the answer to a request for the number of a queue's pending jobs.
+type countBody struct {
+	Pending int `json:"pending"`
+}
+
+// writeResponse writes what the client is told. The operation is 0 for a submitted job.
+func writeResponse(w http.ResponseWriter, operation protocol.JobOperation, response protocol.JobResponse) {
+	if response.Status != http.StatusOK {
+		reject(w, int(response.Status), response.Reason, response.RetryAfterMs)
+		return
+	}
+	var body any = struct{}{}
+	switch operation {
+	case protocol.GetJobState:
+		body = stateBody{State: response.State.String()}
+	case protocol.CountPending:
+		body = countBody{Pending: response.Pending}
+	}
+	content, err := json.Marshal(body)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(content) // a client that has gone asks again
+}
+
+// reject writes the answer to a request that was not served, with when the client may come back
+// (0: not told). Status 0, of a node that does not lead, is told as 503.
+func reject(w http.ResponseWriter, status int, reason string, retryAfterMs int64) {
+	const msPerSecond = 1000
+	if status == 0 {
+		status = http.StatusServiceUnavailable
+	}
+	if retryAfterMs > 0 {
+		seconds := (retryAfterMs + msPerSecond - 1) / msPerSecond
+		w.Header().Set("Retry-After", strconv.FormatInt(max(1, seconds), 10))
+	}
+	http.Error(w, reason, status)
+}
