--- /dev/null
+++ b/internal/cluster/daemon/daemon.go
@@ -0,0 +1,132 @@
+// Package daemon has what the processes of the cluster scheduler share: the command line, the
+// log, the limits of the Go runtime, signals, and the reload of changed settings.
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"runtime/debug"
+	"sync"
+	"syscall"
+
+	"github.com/cockroachdb/errors"
+	"github.com/jessevdk/go-flags"
+
+	"basaltloft/internal/cluster/settings"
+)
+
+// Options are the flags of each daemon.
+type Options struct {
+	Settings string `long:"settings" value-name:"FILE" description:"settings file (default: what BASALTLOFT_BOOT names)"`
+	Log      string `long:"log" value-name:"LEVEL" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info" description:"least level of what is logged"`
+	Check    bool   `long:"check" description:"check the settings file and exit"`
+}
+
+// Daemon is a process that serves until it is told to stop.
+type Daemon interface {
+	// Run serves until the context ends, and returns once the daemon has stopped in order.
+	Run(ctx context.Context) error
+	// Reload applies settings that have changed. It is called while Run runs, by one goroutine.
+	Reload(settings settings.Settings)
+}
+
+// Builder makes a daemon that does not run yet.
+type Builder func(settings settings.Settings, log *slog.Logger) (Daemon, error)
+
+// Exit statuses besides 0.
+const (
+	exitFailed = 1
+	exitUsage  = 2 // wrong flags or settings
+)
+
+// Main parses the command line, runs a daemon and returns the process's exit status. The summary
+// is shown by --help.
+func Main(name, summary string, args []string, build Builder) int {
+	options := Options{}
+	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = summary
+	if _, err := parser.AddGroup("Options", "", &options); err != nil {
+		return report(err, exitUsage)
+	}
+	if rest, err := parser.ParseArgs(args); err != nil || len(rest) > 0 {
+		return reportUsage(err, rest)
+	}
+	path := options.Settings
+	if path == "" {
+		path = settings.Path()
+	}
+	loaded, err := settings.Load(path)
+	if err != nil {
+		return report(err, exitUsage)
+	}
+	if options.Check {
+		fmt.Println("the settings can be used")
+		return 0
+	}
+	log := newLogger(options.Log, loaded.NodeName)
+	limitMemory(loaded.Limits.MemoryMB)
+	daemon, err := build(loaded, log)
+	if err != nil {
+		return report(err, exitFailed)
+	}
+	return run(name, path, log, daemon)
+}
+
+// reportUsage prints the help where it was asked for, else what is wrong with the command line.
+func reportUsage(err error, rest []string) int {
+	if flags.WroteHelp(err) {
+		fmt.Println(err)
+		return 0
+	}
+	if err == nil {
+		err = errors.Newf("unexpected argument %q: see --help", rest[0])
+	}
+	return report(err, exitUsage)
+}
+
+// report prints an error and returns the exit status.
+func report(err error, status int) int {
+	fmt.Fprintln(os.Stderr, err)
+	return status
+}
+
+// newLogger returns the process's log, on standard error.
+func newLogger(levelName, node string) *slog.Logger {
+	level := slog.LevelInfo
+	_ = level.UnmarshalText([]byte(levelName)) // the flag allows the names of levels only
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", node)
+}
+
+// Limits of the runtime: the collector works harder before the platform's limit is reached.
+const (
+	memoryShare  = 0.6 // of the process's limit
+	gcPercent    = 60
+	bytesPerMega = 1 << 20
+)
+
+// limitMemory sets the collector's limits. 0 megabytes: the platform sets no limit.
+func limitMemory(megabytes int) {
+	debug.SetGCPercent(gcPercent)
+	if megabytes > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(megabytes) * bytesPerMega))
+	}
+}
+
+// run runs a daemon until SIGTERM or an interrupt, or until it fails.
+func run(name, path string, log *slog.Logger, daemon Daemon) int {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	var reloads sync.WaitGroup
+	defer reloads.Wait()
+	defer stop()
+	reloads.Go(func() { reloadChanges(ctx, path, log, daemon) })
+	log.Info("started", "program", name)
+	if err := daemon.Run(ctx); err != nil {
+		log.Error("failed", "error", err)
+		return exitFailed
+	}
+	log.Info("stopped")
+	return 0
+}
--- a/internal/cluster/daemon/program_test.go
+++ b/internal/cluster/daemon/daemon_test.go
@@ -30,6 +30,7 @@
 	})
 }
 
+// TestCommandLines runs the programs with the flags and settings of testdata/script.
 func TestCommandLines(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
--- /dev/null
+++ b/internal/cluster/daemon/reload.go
@@ -0,0 +1,52 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"basaltloft/internal/cluster/settings"
+)
+
+// settingsCheckInterval is how often the settings file is checked for changes.
+const settingsCheckInterval = 2 * time.Second
+
+// reloadChanges reloads the settings at each SIGHUP and when the file has changed, until the
+// context ends.
+func reloadChanges(ctx context.Context, path string, log *slog.Logger, daemon Daemon) {
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	defer signal.Stop(hangup)
+	last := fileVersion(path)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-hangup:
+		case <-time.After(settingsCheckInterval):
+			if fileVersion(path) == last {
+				continue
+			}
+		}
+		last = fileVersion(path)
+		loaded, err := settings.Load(path)
+		if err != nil {
+			log.Error("changed settings rejected", "error", err)
+			continue
+		}
+		daemon.Reload(loaded)
+	}
+}
+
+// fileVersion returns a text that changes with the file; empty: the file can't be read.
+func fileVersion(path string) string {
+	info, err := os.Stat(path)
+	if err != nil {
+		return ""
+	}
+	return fmt.Sprint(info.ModTime().UnixNano(), info.Size())
+}
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -10,7 +10,8 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-const whole = `
+// validSettings has a value for each key that is checked, and keys that are unknown.
+const validSettings = `
 node_name: "core-a-1"
 ip: "10.1.0.15"
 zone: "a"
@@ -39,7 +40,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := settings.Parse([]byte(whole))
+	s, err := settings.Parse([]byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, []string{"10.1.0.15:7660", "10.2.0.25:7660"}, s.SeedAddresses())
 	require.Equal(t, 5*time.Second, s.Bounds.MaxLease())
@@ -48,15 +49,18 @@
 	require.True(t, s.Bootstrap)
 }
 
+// TestParseNamesEachFault: an error says which key is wrong, and how it should be.
 func TestParseNamesEachFault(t *testing.T) {
-	for name, one := range map[string]struct{ from, to, says string }{
+	for name, c := range map[string]struct{ from, to, fault string }{
 		"ip":    {`ip: "10.1.0.15"`, `ip: "here"`, "ip is not"},
 		"ports": {"  - 7675", "  - 7000", "port_range"},
 		"seeds": {`"10.2.0.25:8146"`, `"10.2.0.25"`, "write host:port"},
 		"yaml":  {"limits:", "limits: [", "not YAML"},
 	} {
-		_, err := settings.Parse([]byte(strings.Replace(whole, one.from, one.to, 1)))
-		require.ErrorContains(t, err, one.says, name)
+		t.Run(name, func(t *testing.T) {
+			_, err := settings.Parse([]byte(strings.Replace(validSettings, c.from, c.to, 1)))
+			require.ErrorContains(t, err, c.fault)
+		})
 	}
 	_, err := settings.Load("/nowhere/settings.yaml")
 	require.ErrorContains(t, err, settings.PathVariable)
