--- a/cmd/basaltloft-core/main.go
+++ b/cmd/basaltloft-core/main.go
@@ -1,5 +1,5 @@
-// Command basaltloft-core is the control plane of the cluster scheduler: it keeps jobs and the
-// configuration, and runs tasks on runners.
+// Command basaltloft-core is a control-plane node of the cluster scheduler: it stores jobs and
+// the configuration, replicated, and has the tasks run on runners.
 package main
 
 import (
--- a/cmd/basaltloft-edge/main.go
+++ b/cmd/basaltloft-edge/main.go
@@ -1,5 +1,5 @@
-// Command basaltloft-edge is the data plane of the cluster scheduler: clients hand jobs in to
-// it, ask for them and cancel them.
+// Command basaltloft-edge is the dispatcher of the cluster scheduler: clients submit jobs to it,
+// ask for their states and cancel them.
 package main
 
 import (
--- a/cmd/basaltloftctl/late.go
+++ b/cmd/basaltloftctl/late.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 	"time"
 
@@ -11,7 +10,7 @@
 	"basaltloft/internal/cluster/lateness"
 )
 
-// lateCommand shows where the time of late jobs went.
+// lateCommand shows what late jobs waited for.
 type lateCommand struct {
 	Window time.Duration `long:"window" default:"2s" description:"length of the windows of time"`
 	Args   struct {
@@ -19,12 +18,15 @@
 	} `positional-args:"yes"`
 }
 
+// minWindow is the shortest window of time: shorter ones hold too few jobs for a mean.
+const minWindow = time.Second
+
 // Execute implements flags.Commander.
 func (c *lateCommand) Execute([]string) error {
-	if c.Window < time.Second {
+	if c.Window < minWindow {
 		return errors.Newf("a window of %v is too short: give one second or more", c.Window)
 	}
-	jobs, err := c.read()
+	jobs, err := c.readLogs()
 	if err != nil {
 		return err
 	}
@@ -32,13 +34,14 @@
 	return lateness.Print(os.Stdout, jobs, c.Window)
 }
 
-func (c *lateCommand) read() ([]lateness.LateJob, error) {
+// readLogs reads the late jobs from all logs.
+func (c *lateCommand) readLogs() ([]lateness.LateJob, error) {
 	if len(c.Args.Files) == 0 {
 		return lateness.ReadLog(os.Stdin)
 	}
 	var jobs []lateness.LateJob
 	for _, path := range c.Args.Files {
-		found, err := readFile(path)
+		found, err := readLog(path)
 		if err != nil {
 			return nil, err
 		}
@@ -47,11 +50,12 @@
 	return jobs, nil
 }
 
-func readFile(path string) ([]lateness.LateJob, error) {
+// readLog reads the late jobs from one log.
+func readLog(path string) ([]lateness.LateJob, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "open a log")
 	}
-	defer file.Close()
-	return lateness.ReadLog(io.Reader(file))
+	defer func() { _ = file.Close() }() // it was only read
+	return lateness.ReadLog(file)
 }
