--- a/internal/dispatcher/engine/core.go
+++ b/internal/dispatcher/engine/core.go
@@ -22,12 +22,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// overdue: an answer that the module still owes so long after the deadline is given for it.
-const overdue = 10 * time.Millisecond
+// answerGrace: an answer that the module still owes so long after the deadline is given for it.
+const answerGrace = 10 * time.Millisecond
 
-// leastAway is how long what is turned away by a dispatcher that is behind stays
+// minRetryDelay is how long what is turned away by a dispatcher that is behind stays
 // away at least.
-const leastAway = time.Second
+const minRetryDelay = time.Second
 
 // Engine is the hub between fronts, decisions and carriers.
 type Engine struct {
@@ -37,35 +37,35 @@
 	log      logrus.FieldLogger
 	stopped  chan struct{}
 
-	mu      sync.Mutex
-	events  []posted
-	sources map[string]int // how many members each has
-	listed  map[string]bool
-	posted  chan struct{} // there are events
+	mu        sync.Mutex
+	events    []queuedEvent
+	sources   map[string]int // how many members each has
+	listedIDs map[string]bool
+	wake      chan struct{} // there are events
 
 	// Owned by Run's goroutine.
-	decisions    *policy.Dispatcher
-	base         time.Time
-	now          time.Time
-	later        []func() // what the handling of an event leaves to do after it
-	timers       timers
-	asked        map[moment]bool // timers of the module's that are set
-	open         map[string]*Transaction
-	left         map[string]calledOff // ids that were closed while an attempt was out, or may have run: see remember
-	members      map[string]*Member
-	numbers      map[uint32]*Member
-	held         map[string]bool      // members out by hand
-	warmFrom     map[string]time.Time // when a member was put back by hand
-	load         Load
-	gauge        schedulingdelay.Detector // of what events wait
-	flowing      int64                    // flows that are out
-	late, leaves time.Time                // see Leaving
-	closed       bool                     // see Close
-	spending     SharedBudget             // nil: nothing is shared
-	trails       bool                     // see KeepTrails
-
-	unanswered atomic.Int64
-	known      atomic.Bool
+	decisions         *policy.Dispatcher
+	base              time.Time
+	now               time.Time
+	deferred          []func() // what the handling of an event leaves to do after it
+	timers            timers
+	pendingTimers     map[timerKey]bool // timers of the module's that are set
+	open              map[string]*Transaction
+	closedEarly       map[string]closedTransaction // ids that were closed while an attempt was out, or may have run: see remember
+	members           map[string]*Member
+	membersByNumber   map[uint32]*Member
+	heldOut           map[string]bool      // members out by hand
+	restoredAt        map[string]time.Time // when a member was put back by hand
+	load              Load
+	delay             schedulingdelay.Detector // of what events wait
+	flowsOut          int64                    // flows that are out
+	lateFrom, stopsAt time.Time                // see Leaving
+	closed            bool                     // see Close
+	sharedBudget      SharedBudget             // nil: nothing is shared
+	recordMembers     bool                     // see KeepTrails
+
+	unanswered   atomic.Int64
+	membersKnown atomic.Bool
 }
 
 // New returns a core that is not running yet; spending may be nil. It fails if the module does not
@@ -73,12 +73,12 @@
 func New(s policy.Settings, stages Stages, spending SharedBudget, log logrus.FieldLogger) (*Engine, error) {
 	c := &Engine{
 		settings: s, stages: stages, log: log, base: time.Now(),
-		posted: make(chan struct{}, 1), stopped: make(chan struct{}),
-		open: make(map[string]*Transaction), left: make(map[string]calledOff), members: make(map[string]*Member), numbers: make(map[uint32]*Member),
-		sources: make(map[string]int), listed: make(map[string]bool), held: make(map[string]bool), warmFrom: make(map[string]time.Time), timers: newTimers(), asked: make(map[moment]bool),
+		wake: make(chan struct{}, 1), stopped: make(chan struct{}),
+		open: make(map[string]*Transaction), closedEarly: make(map[string]closedTransaction), members: make(map[string]*Member), membersByNumber: make(map[uint32]*Member),
+		sources: make(map[string]int), listedIDs: make(map[string]bool), heldOut: make(map[string]bool), restoredAt: make(map[string]time.Time), timers: newTimers(), pendingTimers: make(map[timerKey]bool),
 	}
-	if c.spending = spending; spending != nil {
-		s.SharedBudget = purse{c, spending}
+	if c.sharedBudget = spending; spending != nil {
+		s.SharedBudget = budgetRecorder{c, spending}
 	}
 	var err error
 	if c.decisions, err = policy.New(s, host{c}); err != nil {
@@ -105,18 +105,18 @@
 
 // RecordMembersTried makes each answer tell the members that its flows went to. It must be
 // called before Run.
-func (c *Engine) RecordMembersTried() { c.trails = true }
+func (c *Engine) RecordMembersTried() { c.recordMembers = true }
 
-// release gives back the place of a flow that was under way. What may run on at its
+// releaseReservation gives back the place of a flow that was under way. What may run on at its
 // member though nobody waits keeps its place to the deadline.
-func (c *Engine) release(f *Flow, s policy.Status) {
-	p := f.place
+func (c *Engine) releaseReservation(f *Flow, s policy.Status) {
+	p := f.reservation
 	if p == nil {
 		return
 	}
-	f.place = nil
+	f.reservation = nil
 	if (s == policy.Cancelled || s == policy.Reset) && c.now.Before(f.Deadline) {
-		c.timers.add(f.Deadline, p.End)
+		c.timers.schedule(f.Deadline, p.End)
 		return
 	}
 	p.End()
@@ -131,48 +131,48 @@
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	for {
-		wake.Reset(c.timers.wait(time.Now()))
+		wake.Reset(c.timers.untilNext(time.Now()))
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.posted:
+		case <-c.wake:
 		case <-wake.C:
 		}
-		for _, event := range c.taken() {
+		for _, event := range c.takeEvents() {
 			c.handle(event)
 		}
 		// What comes due meanwhile waits for the events that came meanwhile.
 		now := time.Now()
-		for due := c.timers.due(now); due != nil; due = c.timers.due(now) {
-			c.handle(posted{do: due})
+		for due := c.timers.popDue(now); due != nil; due = c.timers.popDue(now) {
+			c.handle(queuedEvent{run: due})
 		}
 	}
 }
 
 // handle runs one event and what it left to do. The module's methods must not
 // be called from within its host's: those put what follows into later.
-func (c *Engine) handle(event posted) {
+func (c *Engine) handle(event queuedEvent) {
 	c.now = time.Now()
 	if !event.at.IsZero() {
-		c.gauge.Observe(c.now.Sub(event.at), c.now)
+		c.delay.Observe(c.now.Sub(event.at), c.now)
 	}
-	event.do()
-	for len(c.later) > 0 {
-		next := c.later[0]
-		c.later = c.later[1:]
+	event.run()
+	for len(c.deferred) > 0 {
+		next := c.deferred[0]
+		c.deferred = c.deferred[1:]
 		next()
 	}
 }
 
-// posted is an event and when it was handed over; a timer is not.
-type posted struct {
-	at time.Time
-	do func()
+// queuedEvent is an event and when it was handed over; a timer is not.
+type queuedEvent struct {
+	at  time.Time
+	run func()
 }
 
 // SetDelayBounds says when this dispatcher is behind with its own work, so that it turns
 // away what comes. It must be called before Run.
-func (c *Engine) SetDelayBounds(b schedulingdelay.Bounds) { c.gauge = schedulingdelay.New(b) }
+func (c *Engine) SetDelayBounds(b schedulingdelay.Bounds) { c.delay = schedulingdelay.New(b) }
 
 // post hands an event to Run's goroutine. It never waits: a carrier posts while
 // it holds a lock that its Start, called by Run's goroutine, needs too. What
@@ -180,16 +180,16 @@
 // waits for its event before it causes another.
 func (c *Engine) post(event func()) {
 	c.mu.Lock()
-	c.events = append(c.events, posted{time.Now(), event})
+	c.events = append(c.events, queuedEvent{time.Now(), event})
 	c.mu.Unlock()
 	select {
-	case c.posted <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// taken empties the queue of events.
-func (c *Engine) taken() []posted {
+// takeEvents empties the queue of events.
+func (c *Engine) takeEvents() []queuedEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	events := c.events
@@ -217,7 +217,7 @@
 func (c *Engine) Unanswered() int { return int(c.unanswered.Load()) }
 
 // Ready tells whether the core has a list of members and takes transactions.
-func (c *Engine) Ready() bool { return c.known.Load() }
+func (c *Engine) Ready() bool { return c.membersKnown.Load() }
 
 // OpenCounts counts what is open, by front and class, from the table of open
 // transactions alone, and the flows that are out. It may be called by Run's
@@ -229,7 +229,7 @@
 			open[[2]string{t.Front, t.Class}]++
 		}
 	}
-	return open, c.flowing
+	return open, c.flowsOut
 }
 
 // Submit takes a transaction. Its client is told exactly one final answer.
@@ -237,14 +237,14 @@
 	c.unanswered.Add(1)
 	c.post(func() {
 		c.stages.RecordAccepted(t, c.now)
-		t.class = c.class(t.Class)
+		t.class = c.classNamed(t.Class)
 		if t.class.Effect == policy.Deduplicated && t.Key == "" {
 			t.class.Effect = policy.AtMostOnce // members know no repeat of it
 		}
 		if first := c.open[t.ID]; first != nil && first.Gone() { // and Leave is still under way
-			c.leave(first)
+			c.clientLeft(first)
 		}
-		if a := c.twice(t); a != nil {
+		if a := c.answerDuplicate(t); a != nil {
 			c.unanswered.Add(-1)
 			c.stages.RecordEnd(t, *a, c.now)
 			t.Client.Answer(*a)
@@ -254,32 +254,32 @@
 		c.load.Open++
 		c.load.Bytes += len(t.Body)
 		load := c.load
-		if c.gauge.Overloaded() {
-			load.RetryDelay = c.gauge.RetryDelay(leastAway)
+		if c.delay.Overloaded() {
+			load.RetryDelay = c.delay.RetryDelay(minRetryDelay)
 		}
 		if a := c.stages.Admit(t, load, c.now); a != nil {
 			c.answer(t, *a)
 			return
 		}
-		if c.closed || c.comesLate(t) && c.now.Add(t.Hint).After(c.leaves) {
+		if c.closed || c.arrivedLate(t) && c.now.Add(t.Hint).After(c.stopsAt) {
 			c.answer(t, Answer{Verdict: Refused, Reason: accounting.ShuttingDown, RetryAt: c.now})
 			return
 		}
-		t.due = c.timers.add(t.Deadline.Add(overdue), func() { c.expire(t) })
-		c.decisions.HandleRequest(c.clock(c.now), c.request(t))
+		t.deadlineTimer = c.timers.schedule(t.Deadline.Add(answerGrace), func() { c.expire(t) })
+		c.decisions.HandleRequest(c.clock(c.now), c.policyRequest(t))
 	})
 }
 
-// twice is the answer to a transaction whose id is that of another that is open, or
+// answerDuplicate is the answer to a transaction whose id is that of another that is open, or
 // whose client left: the module would drop it in silence, and its attempt could run
 // beside the other's. It may come again once the other is called off, where running
 // twice is harmless; else it is denied. Nil: its id is its own.
-func (c *Engine) twice(t *Transaction) *Answer {
-	first, left := c.left[t.ID]
+func (c *Engine) answerDuplicate(t *Transaction) *Answer {
+	first, left := c.closedEarly[t.ID]
 	if left = left && c.now.Before(first.until); c.open[t.ID] == nil && !left {
 		return nil
 	}
-	if t.ranFrom = first.ranFrom; left && c.harmless(t) {
+	if t.mayHaveRunSince = first.mayHaveRunSince; left && c.mayRunAgain(t) {
 		back := c.now.Add(c.settings.Limits.MaxRetryAfter)
 		if back.After(first.until) {
 			back = first.until
@@ -289,8 +289,8 @@
 	return &Answer{Verdict: Denied, Reason: accounting.DuplicateID, Body: []byte("this id is in hand already\n")}
 }
 
-// class is a class as the settings have it now.
-func (c *Engine) class(name string) policy.Class {
+// classNamed is a class as the settings have it now.
+func (c *Engine) classNamed(name string) policy.Class {
 	for _, class := range c.settings.Classes {
 		if class.Name == name {
 			return class
@@ -316,21 +316,21 @@
 // answered, since nothing can be after that. What came before keeps its deadline.
 func (c *Engine) BeginShutdown(late, end time.Time) {
 	c.post(func() {
-		c.late, c.leaves = late, end
-		c.timers.add(end, func() {
+		c.lateFrom, c.stopsAt = late, end
+		c.timers.schedule(end, func() {
 			early, held := 0, 0
 			for _, t := range c.open {
-				if t.answered || !c.comesLate(t) {
+				if t.answered || !c.arrivedLate(t) {
 					if !t.answered {
 						early++
-						if t.live == nil {
+						if t.liveFlow == nil {
 							held++
 						}
 					}
 					continue
 				}
 				a := Answer{Verdict: Failed, Reason: accounting.Stopped}
-				if c.harmless(t) {
+				if c.mayRunAgain(t) {
 					a = Answer{Verdict: Refused, Reason: accounting.ShuttingDown, RetryAt: c.now}
 				}
 				c.answer(t, a)
@@ -348,11 +348,11 @@
 // way on which results come may be shut.
 func (c *Engine) CloseIfIdle() (done bool) {
 	done = true // by Run's end, if that came before
-	c.Do(func() { done = c.shut() })
+	c.Do(func() { done = c.closeIfIdle() })
 	return done
 }
 
-func (c *Engine) shut() bool {
+func (c *Engine) closeIfIdle() bool {
 	c.closed = c.closed || c.load.Open == 0
 	return c.closed
 }
@@ -366,13 +366,13 @@
 	return longest
 }
 
-// harmless tells whether a client may try a transaction again that has no result: it
+// mayRunAgain tells whether a client may try a transaction again that has no result: it
 // was never sent on, no attempt may have run, or its class lets it run twice. Such a
 // one is refused, not failed, as the module itself does.
-func (c *Engine) harmless(t *Transaction) bool {
-	since := t.ranFrom
-	if since.IsZero() && t.live != nil {
-		since = t.live.SentAt
+func (c *Engine) mayRunAgain(t *Transaction) bool {
+	since := t.mayHaveRunSince
+	if since.IsZero() && t.liveFlow != nil {
+		since = t.liveFlow.SentAt
 	}
 	switch {
 	case since.IsZero(), t.class.Effect == policy.Idempotent:
@@ -383,24 +383,26 @@
 	return false
 }
 
-// repeatMargin is by how much sooner than a key's window ends a repeat has to be
+// dedupMargin is by how much sooner than a key's window ends a repeat has to be
 // with its member: the way there may take longer than the first one's did.
-const repeatMargin = 50 * time.Millisecond
+const dedupMargin = 50 * time.Millisecond
 
-// latest is when the next flow of a transaction must have reached its member; zero:
+// latestSend is when the next flow of a transaction must have reached its member; zero:
 // no matter. A key's window counts from the first flow that may have run, at the
 // soonest from its sending.
-func (t *Transaction) latest() time.Time {
-	if t.class.Effect != policy.Deduplicated || t.ranFrom.IsZero() {
+func (t *Transaction) latestSend() time.Time {
+	if t.class.Effect != policy.Deduplicated || t.mayHaveRunSince.IsZero() {
 		return time.Time{}
 	}
-	return t.ranFrom.Add(t.class.Window - repeatMargin)
+	return t.mayHaveRunSince.Add(t.class.Window - dedupMargin)
 }
 
-func (c *Engine) comesLate(t *Transaction) bool { return !c.late.IsZero() && t.Arrived.After(c.late) }
+func (c *Engine) arrivedLate(t *Transaction) bool {
+	return !c.lateFrom.IsZero() && t.Arrived.After(c.lateFrom)
+}
 
-// request is the stage's view of the transaction, on the module's clock.
-func (c *Engine) request(t *Transaction) policy.Request {
+// policyRequest is the stage's view of the transaction, on the module's clock.
+func (c *Engine) policyRequest(t *Transaction) policy.Request {
 	r := c.stages.Route(t)
 	r.Deadline, r.NoDedupKey = c.clock(t.Deadline), t.Key == ""
 	if m := c.members[t.ExcludedMember]; m != nil {
@@ -413,46 +415,46 @@
 
 // ClientLeft tells that the client of a transaction is gone: nothing is owed.
 func (c *Engine) ClientLeft(t *Transaction) {
-	c.post(func() { c.leave(t) })
+	c.post(func() { c.clientLeft(t) })
 }
 
-func (c *Engine) leave(t *Transaction) {
+func (c *Engine) clientLeft(t *Transaction) {
 	if t.answered || c.open[t.ID] != t {
 		return
 	}
-	c.remember(t)
-	c.close(t)
+	c.rememberClosed(t)
+	c.closeTransaction(t)
 	c.stages.RecordEnd(t, Answer{Verdict: Failed, Reason: accounting.ClientLeft}, c.now)
 	c.decisions.HandleClientGone(c.clock(c.now), t.ID)
 }
 
-// hearing is how long a member may take to hear that a flow is abandoned.
-const hearing = 2 * time.Second
+// abandonDelay is how long a member may take to hear that a flow is abandoned.
+const abandonDelay = 2 * time.Second
 
-// calledOff is what is remembered of a transaction that was closed early.
-type calledOff struct {
-	until   time.Time
-	ranFrom time.Time // since when an attempt may have run
+// closedTransaction is what is remembered of a transaction that was closed early.
+type closedTransaction struct {
+	until           time.Time
+	mayHaveRunSince time.Time // since when an attempt may have run
 }
 
-// remember keeps the id of a transaction that is closed, by its client's leaving or by
+// rememberClosed keeps the id of a transaction that is closed, by its client's leaving or by
 // an answer, while an attempt is out, or after one that must not be repeated. The
 // flow ends here at once, and its member hears of it later: a client that sends the
 // same id again on another connection meanwhile, as one does whose connection was
 // closed on it, would have two attempts at once, or one too many.
-func (c *Engine) remember(t *Transaction) {
-	if t.live == nil && c.harmless(t) {
+func (c *Engine) rememberClosed(t *Transaction) {
+	if t.liveFlow == nil && c.mayRunAgain(t) {
 		return
 	}
-	since := t.ranFrom
+	since := t.mayHaveRunSince
 	if since.IsZero() {
-		since = t.live.SentAt
+		since = t.liveFlow.SentAt
 	}
-	id, until := t.ID, c.now.Add(hearing)
-	c.left[id] = calledOff{until, since}
-	c.timers.add(until, func() {
-		if !c.now.Before(c.left[id].until) {
-			delete(c.left, id)
+	id, until := t.ID, c.now.Add(abandonDelay)
+	c.closedEarly[id] = closedTransaction{until, since}
+	c.timers.schedule(until, func() {
+		if !c.now.Before(c.closedEarly[id].until) {
+			delete(c.closedEarly, id)
 		}
 	})
 }
@@ -465,7 +467,7 @@
 	}
 	c.log.WithField("transaction", t.ID).Error("no final answer by the deadline")
 	a := Answer{Verdict: Failed, Reason: accounting.DeadlinePassed}
-	if c.harmless(t) {
+	if c.mayRunAgain(t) {
 		a = Answer{Verdict: Refused, Reason: accounting.Declined, RetryAt: c.now}
 	}
 	c.answer(t, a)
@@ -477,35 +479,35 @@
 	if t.answered {
 		return
 	}
-	a.Attempts, a.MayHaveRun, a.LastStatus, a.LastMember, a.MemberError, a.MembersTried = t.sends, !t.ranFrom.IsZero() || t.live != nil, t.last, t.at, t.said, t.went
-	if t.live != nil {
-		c.remember(t)
+	a.Attempts, a.MayHaveRun, a.LastStatus, a.LastMember, a.MemberError, a.MembersTried = t.attempts, !t.mayHaveRunSince.IsZero() || t.liveFlow != nil, t.lastStatus, t.lastMember, t.memberError, t.membersTried
+	if t.liveFlow != nil {
+		c.rememberClosed(t)
 	}
-	c.close(t)
+	c.closeTransaction(t)
 	c.stages.RecordEnd(t, a, c.now)
 	t.Client.Answer(a)
 }
 
-// close marks a transaction as done with its client.
-func (c *Engine) close(t *Transaction) {
+// closeTransaction marks a transaction as done with its client.
+func (c *Engine) closeTransaction(t *Transaction) {
 	t.answered = true
-	c.timers.drop(t.due)
+	c.timers.cancel(t.deadlineTimer)
 	c.load.Open--
 	c.load.Bytes -= len(t.Body)
 	c.unanswered.Add(-1)
-	c.forget(t)
+	c.forgetIfDone(t)
 }
 
-// forget drops a transaction that is answered and has no live flow.
-func (c *Engine) forget(t *Transaction) {
-	if t.answered && t.live == nil && c.open[t.ID] == t {
+// forgetIfDone drops a transaction that is answered and has no live flow.
+func (c *Engine) forgetIfDone(t *Transaction) {
+	if t.answered && t.liveFlow == nil && c.open[t.ID] == t {
 		delete(c.open, t.ID)
 	}
 }
 
 // EndFlow tells how a flow ended. Only the first end of a flow counts.
 func (c *Engine) EndFlow(f *Flow, s policy.Status, result []byte) {
-	c.post(func() { c.end(f, s, result) })
+	c.post(func() { c.endFlow(f, s, result) })
 }
 
 // EndFlowWithLoad is End with the load report of the answer that ended the flow. Like any
@@ -514,12 +516,12 @@
 	c.post(func() {
 		if !f.ended {
 			f.Load = load
-			c.end(f, s, nil)
+			c.endFlow(f, s, nil)
 		}
 	})
 }
 
-func (c *Engine) end(f *Flow, s policy.Status, result []byte) {
+func (c *Engine) endFlow(f *Flow, s policy.Status, result []byte) {
 	t := f.Transaction
 	if f.ended {
 		return
@@ -530,17 +532,17 @@
 		fields["status"], fields["after"] = accounting.StatusName(s), c.now.Sub(f.SentAt).String()
 		return fields
 	})
-	c.timers.drop(f.due)
-	c.release(f, s)
-	if t.last = s; t.ranFrom.IsZero() && !c.settings.Rules.ProvesNotRun(s) {
-		t.ranFrom = f.SentAt
+	c.timers.cancel(f.deadlineTimer)
+	c.releaseReservation(f, s)
+	if t.lastStatus = s; t.mayHaveRunSince.IsZero() && !c.settings.Rules.ProvesNotRun(s) {
+		t.mayHaveRunSince = f.SentAt
 	}
 	if s == policy.Error {
-		t.said = result
+		t.memberError = result
 	}
-	c.flowing--
-	if t.live == f {
-		t.live = nil
+	c.flowsOut--
+	if t.liveFlow == f {
+		t.liveFlow = nil
 	}
 	if a := c.stages.Relay(f, s, result, c.now); a != nil {
 		c.answer(t, *a)
@@ -549,15 +551,15 @@
 		Request: t.ID, Attempt: f.Number, Worker: f.Member.number, Status: s, Final: t.answered,
 		Latency: c.now.Sub(f.SentAt), Report: f.Load,
 	})
-	c.forget(t)
+	c.forgetIfDone(t)
 }
 
 // UpdateFlow tells news of a flow that is out.
 func (c *Engine) UpdateFlow(f *Flow, topic policy.UpdateKind, share float64) {
-	c.post(func() { c.note(f, topic, share) })
+	c.post(func() { c.updateFlow(f, topic, share) })
 }
 
-func (c *Engine) note(f *Flow, topic policy.UpdateKind, share float64) {
+func (c *Engine) updateFlow(f *Flow, topic policy.UpdateKind, share float64) {
 	if !f.ended {
 		if topic == policy.UpdateStarted {
 			c.trace("started", f.fields)
@@ -587,28 +589,28 @@
 // and tells whether a transaction of that id is in hand here: news of one that
 // is not may be owed to another process of this dispatcher.
 func (c *Engine) HandleJobUpdate(n JobUpdate) (here bool) {
-	c.Do(func() { here = c.report(n) })
+	c.Do(func() { here = c.handleJobUpdate(n) })
 	return here
 }
 
-func (c *Engine) report(n JobUpdate) bool {
+func (c *Engine) handleJobUpdate(n JobUpdate) bool {
 	t := c.open[n.ID]
 	if t == nil {
-		_, left := c.left[n.ID]
+		_, left := c.closedEarly[n.ID]
 		return left
 	}
-	if t.live == nil || t.live.Member.ID != n.Member {
+	if t.liveFlow == nil || t.liveFlow.Member.ID != n.Member {
 		return true
 	}
 	switch {
 	case n.Ended:
-		t.live.Load = n.Load
-		t.live.Member.Transport.EndedOutOfBand(t.live)
-		c.end(t.live, n.Status, n.Result)
+		t.liveFlow.Load = n.Load
+		t.liveFlow.Member.Transport.EndedOutOfBand(t.liveFlow)
+		c.endFlow(t.liveFlow, n.Status, n.Result)
 	case n.Started:
-		c.note(t.live, policy.UpdateStarted, 0)
+		c.updateFlow(t.liveFlow, policy.UpdateStarted, 0)
 	case n.Running:
-		c.note(t.live, policy.UpdateProgress, n.Progress)
+		c.updateFlow(t.liveFlow, policy.UpdateProgress, n.Progress)
 	}
 	return true
 }
--- a/internal/dispatcher/engine/ledger_test.go
+++ b/internal/dispatcher/engine/ledger_test.go
@@ -89,9 +89,9 @@
 		return c, p, tx
 	}
 	play := func(c *Engine) {
-		for events := c.taken(); len(events) > 0; events = c.taken() {
+		for events := c.takeEvents(); len(events) > 0; events = c.takeEvents() {
 			for _, e := range events {
-				c.handle(posted{do: e.do})
+				c.handle(queuedEvent{run: e.run})
 			}
 		}
 	}
@@ -115,10 +115,10 @@
 				c.Submit(&Transaction{ID: id, Class: "ticket", Hint: time.Second, Deadline: tx.Deadline, Client: told{p, id}})
 			}
 			now := time.Now()
-			c.post(func() { c.gauge.Observe(time.Minute, now); c.gauge.Observe(time.Minute, now.Add(time.Second)) })
+			c.post(func() { c.delay.Observe(time.Minute, now); c.delay.Observe(time.Minute, now.Add(time.Second)) })
 			come("x")
 			c.EndFlow(p.flows[0], policy.OK, nil)
-			c.post(func() { c.gauge.Observe(0, now.Add(2*time.Second)) })
+			c.post(func() { c.delay.Observe(0, now.Add(2*time.Second)) })
 			come("y")
 		}, `["start t","behind x","book x","refused x","book t","served t","start y"]`},
 		"an id names one transaction": {func(c *Engine, p *tape, tx *Transaction) {
@@ -142,8 +142,8 @@
 			}
 			again()
 			c.post(func() {
-				for due := c.timers.due(time.Now().Add(hearing)); due != nil; due = c.timers.due(time.Now().Add(hearing)) {
-					c.now = time.Now().Add(hearing)
+				for due := c.timers.popDue(time.Now().Add(abandonDelay)); due != nil; due = c.timers.popDue(time.Now().Add(abandonDelay)) {
+					c.now = time.Now().Add(abandonDelay)
 					due()
 				}
 				again()
@@ -175,7 +175,7 @@
 				}
 			})
 			c.EndFlow(p.flows[0], policy.OK, nil)
-			c.post(func() { c.end(p.flows[1], policy.ConnectFailed, nil) })
+			c.post(func() { c.endFlow(p.flows[1], policy.ConnectFailed, nil) })
 			c.post(func() { require.Len(p.t, p.flows, out) })
 			for _, x := range held {
 				c.ClientLeft(x)
@@ -210,7 +210,7 @@
 			x := &Transaction{ID: "x", Class: "hold", Key: "k", Hint: time.Second, Deadline: tx.Deadline, Client: &leaver{told{p, "x"}, false}}
 			c.UpdateMembers("test", policy.ListDelta, []*Member{{ID: "b", Transport: p}})
 			c.Submit(x)
-			c.post(func() { x.Client.(*leaver).gone = true; c.end(p.flows[1], policy.Reset, nil) })
+			c.post(func() { x.Client.(*leaver).gone = true; c.endFlow(p.flows[1], policy.Reset, nil) })
 			c.Submit(&Transaction{ID: "x", Class: "hold", Key: "k", Hint: time.Second, Deadline: tx.Deadline, Client: told{p, "again"}})
 			c.ClientLeft(x)
 		}, `["start t","start x","book x","book x","denied again"]`},
@@ -221,13 +221,13 @@
 		// A second attempt would run beside the first until the member has heard.
 		"what is asked back goes elsewhere once the member has heard": {func(c *Engine, p *tape, tx *Transaction) {
 			c.post(func() { host{c}.Cancel("t", 0); host{c}.Send("t", p.flows[0].Member.number, 0) })
-			c.post(func() { require.Same(p.t, p.flows[0], tx.live) })
+			c.post(func() { require.Same(p.t, p.flows[0], tx.liveFlow) })
 			c.EndFlow(p.flows[0], policy.Cancelled, nil)
-			c.post(func() { require.Nil(p.t, tx.live) })
+			c.post(func() { require.Nil(p.t, tx.liveFlow) })
 		}, `["start t","recall t","book t","failed t"]`},
 		"news counts for the live flow at that member": {func(c *Engine, p *tape, tx *Transaction) {
 			for _, from := range []string{"b", "a", "a", "b"} {
-				c.post(func() { c.report(JobUpdate{ID: "t", Member: from, Ended: true}) })
+				c.post(func() { c.handleJobUpdate(JobUpdate{ID: "t", Member: from, Ended: true}) })
 			}
 		}, `["start t","release t","book t","served t"]`},
 		"what comes late to a program that ends is answered by its end": {func(c *Engine, p *tape, tx *Transaction) {
@@ -238,8 +238,8 @@
 				c.Submit(&Transaction{ID: id, Class: "ticket", Hint: hint, Arrived: now.Add(1), Deadline: tx.Deadline, Client: told{p, id}})
 			}
 			c.post(func() {
-				for due := c.timers.due(now.Add(time.Second)); due != nil; due = c.timers.due(now.Add(time.Second)) {
-					c.handle(posted{do: due})
+				for due := c.timers.popDue(now.Add(time.Second)); due != nil; due = c.timers.popDue(now.Add(time.Second)) {
+					c.handle(queuedEvent{run: due})
 				}
 			})
 		}, `["start t","book long","refused long","start short","book short","failed short","abandon short"]`},
@@ -250,12 +250,12 @@
 			come := func(id string) {
 				c.Submit(&Transaction{ID: id, Class: "ticket", Hint: time.Second, Arrived: now, Deadline: tx.Deadline, Client: told{p, id}})
 			}
-			shut := func(want bool) { c.post(func() { require.Equal(p.t, want, c.shut()) }) }
+			shut := func(want bool) { c.post(func() { require.Equal(p.t, want, c.closeIfIdle()) }) }
 			shut(false)
 			c.EndFlow(p.flows[0], policy.OK, nil)
 			come("x") // between the last answer and the close
 			shut(false)
-			c.post(func() { c.end(p.flows[1], policy.OK, nil) })
+			c.post(func() { c.endFlow(p.flows[1], policy.OK, nil) })
 			shut(true)
 			come("y")
 		}, `["start t","book t","served t","start x","book x","served x","book y","refused y"]`},
@@ -268,10 +268,10 @@
 				c.Submit(&Transaction{ID: fmt.Sprint(n), Class: class, Hint: time.Millisecond, Arrived: now.Add(1), Deadline: tx.Deadline, Client: told{p, fmt.Sprint(n)}})
 			}
 			c.UpdateMembers("test", policy.ListDelta, []*Member{{ID: "a", State: policy.Draining, Transport: p}}) // so nothing is sent again
-			c.post(func() { c.end(p.flows[1], policy.ConnectFailed, nil) })
+			c.post(func() { c.endFlow(p.flows[1], policy.ConnectFailed, nil) })
 			c.post(func() {
-				for due := c.timers.due(now.Add(time.Second)); due != nil; due = c.timers.due(now.Add(time.Second)) {
-					c.handle(posted{do: due})
+				for due := c.timers.popDue(now.Add(time.Second)); due != nil; due = c.timers.popDue(now.Add(time.Second)) {
+					c.handle(queuedEvent{run: due})
 				}
 				p.said = slices.DeleteFunc(p.said, func(s string) bool { return !strings.Contains(s, "ed ") })
 				slices.Sort(p.said)
@@ -285,13 +285,13 @@
 		// A result and the deadline in one turn: what is handled first counts, alone.
 		"a result just before the deadline": {func(c *Engine, p *tape, tx *Transaction) {
 			c.EndFlow(p.flows[0], policy.OK, nil)
-			c.post(func() { p.flows[0].due.do(); c.expire(tx) })
+			c.post(func() { p.flows[0].deadlineTimer.run(); c.expire(tx) })
 		}, `["start t","book t","served t"]`},
 		"a result just after the deadline": {func(c *Engine, p *tape, tx *Transaction) {
-			c.post(func() { p.flows[0].due.do() })
+			c.post(func() { p.flows[0].deadlineTimer.run() })
 			c.EndFlow(p.flows[0], policy.OK, nil)
-			c.post(func() { c.report(JobUpdate{ID: "t", Member: "a", Ended: true}) })
-			c.post(func() { p.flows[0].due.do(); c.expire(tx) })
+			c.post(func() { c.handleJobUpdate(JobUpdate{ID: "t", Member: "a", Ended: true}) })
+			c.post(func() { p.flows[0].deadlineTimer.run(); c.expire(tx) })
 		}, `["start t","abandon t","book t","failed t"]`},
 		"what the module still owes after the deadline is answered": {func(c *Engine, p *tape, tx *Transaction) {
 			c.post(func() { c.expire(tx); c.expire(tx) })
--- a/internal/dispatcher/engine/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -37,19 +37,19 @@
 		for _, m := range entries {
 			m.source = source
 			m.Group = cmp.Or(m.Group, source)
-			listed = append(listed, c.place(m))
+			listed = append(listed, c.placeMember(m))
 		}
 		if kind != policy.ListDelta {
-			listed = c.complete(source, entries, listed)
+			listed = c.completeList(source, entries, listed)
 		}
 		c.decisions.HandleMembers(c.clock(c.now), kind, listed)
-		c.known.Store(true)
+		c.membersKnown.Store(true)
 	})
 }
 
-// complete makes a source's whole list the whole list of all sources, since
+// completeList makes a source's whole list the whole list of all sources, since
 // the module takes for gone whatever a whole list leaves out.
-func (c *Engine) complete(source string, entries []*Member, listed []policy.Member) []policy.Member {
+func (c *Engine) completeList(source string, entries []*Member, listed []policy.Member) []policy.Member {
 	in := make(map[string]bool, len(entries))
 	for _, m := range entries {
 		in[m.ID] = true
@@ -58,25 +58,25 @@
 		switch m := c.members[id]; {
 		case in[id]:
 		case m.source == source:
-			c.drop(m)
+			c.dropMember(m)
 		default:
-			listed = append(listed, c.listing(m))
+			listed = append(listed, c.policyMember(m))
 		}
 	}
 	return listed
 }
 
-func (c *Engine) count(source, id string, by int) {
+func (c *Engine) countMember(source, id string, by int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sources[source] += by
-	if c.listed == nil {
-		c.listed = make(map[string]bool)
+	if c.listedIDs == nil {
+		c.listedIDs = make(map[string]bool)
 	}
 	if by > 0 {
-		c.listed[id] = true
+		c.listedIDs[id] = true
 	} else {
-		delete(c.listed, id)
+		delete(c.listedIDs, id)
 	}
 }
 
@@ -87,36 +87,36 @@
 // held.
 func (c *Engine) SetMemberOut(id string, out, anyway bool) bool {
 	c.mu.Lock()
-	listed := c.listed[id]
+	listed := c.listedIDs[id]
 	c.mu.Unlock()
 	if !listed && !anyway {
 		return false
 	}
-	c.post(func() { c.hold(id, out, c.now) })
+	c.post(func() { c.setMemberOut(id, out, c.now) })
 	return listed
 }
 
 // MarkRestored says that a member put back by hand at a time started then, unless its
 // list says it started later.
 func (c *Engine) MarkRestored(id string, back time.Time) {
-	c.post(func() { c.warmFrom[id] = back })
+	c.post(func() { c.restoredAt[id] = back })
 }
 
-func (c *Engine) hold(id string, out bool, now time.Time) {
+func (c *Engine) setMemberOut(id string, out bool, now time.Time) {
 	if out {
-		c.held[id] = true
-	} else if c.held[id] {
-		delete(c.held, id)
-		c.warmFrom[id] = now
+		c.heldOut[id] = true
+	} else if c.heldOut[id] {
+		delete(c.heldOut, id)
+		c.restoredAt[id] = now
 	}
 	m := c.members[id]
 	if m == nil {
 		return
 	}
-	if at := c.warmFrom[id]; at.After(m.Started) {
+	if at := c.restoredAt[id]; at.After(m.Started) {
 		m.Started = at
 	}
-	c.decisions.HandleMembers(c.clock(c.now), policy.ListDelta, []policy.Member{c.listing(m)})
+	c.decisions.HandleMembers(c.clock(c.now), policy.ListDelta, []policy.Member{c.policyMember(m)})
 }
 
 // HasOtherSources tells whether members of other sources than this one are known.
@@ -140,38 +140,38 @@
 	return ids
 }
 
-// place puts a member into the tables. Flows keep the entry they were sent
+// placeMember puts a member into the tables. Flows keep the entry they were sent
 // with; new ones use the latest.
-func (c *Engine) place(m *Member) policy.Member {
+func (c *Engine) placeMember(m *Member) policy.Member {
 	if old := c.members[m.ID]; old != nil {
 		m.number = old.number
 	} else {
-		m.number = c.number(m.ID)
-		c.count(m.source, m.ID, 1)
+		m.number = c.numberOf(m.ID)
+		c.countMember(m.source, m.ID, 1)
 	}
-	if at := c.warmFrom[m.ID]; at.After(m.Started) {
+	if at := c.restoredAt[m.ID]; at.After(m.Started) {
 		m.Started = at
 	}
-	c.members[m.ID], c.numbers[m.number] = m, m
-	listing := c.listing(m)
+	c.members[m.ID], c.membersByNumber[m.number] = m, m
+	listing := c.policyMember(m)
 	if m.State == policy.Removed {
-		c.drop(m)
+		c.dropMember(m)
 	}
 	return listing
 }
 
-// drop forgets a member that is gone, unless it may still be sent to.
-func (c *Engine) drop(m *Member) {
+// dropMember forgets a member that is gone, unless it may still be sent to.
+func (c *Engine) dropMember(m *Member) {
 	if !c.settings.Rules.OnlyDrainBinds && c.members[m.ID] != nil {
-		c.count(m.source, m.ID, -1)
+		c.countMember(m.source, m.ID, -1)
 		delete(c.members, m.ID)
-		delete(c.numbers, m.number)
+		delete(c.membersByNumber, m.number)
 	}
 }
 
-func (c *Engine) listing(m *Member) policy.Member {
+func (c *Engine) policyMember(m *Member) policy.Member {
 	l := policy.Member{Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, State: m.State, Weight: m.Weight, Capabilities: m.Capabilities}
-	if c.held[m.ID] && l.State == policy.Ready {
+	if c.heldOut[m.ID] && l.State == policy.Ready {
 		l.State = policy.Draining
 	}
 	if !m.Started.IsZero() {
@@ -180,14 +180,14 @@
 	return l
 }
 
-// number derives a member's number from its id alone: the module spreads cold
+// numberOf derives a member's number from its id alone: the module spreads cold
 // starts over the dispatchers by it, which a counter, different at each of
 // them, would upset. An id that hashes like another is hashed again.
-func (c *Engine) number(id string) uint32 {
+func (c *Engine) numberOf(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	n := h.Sum32()
-	for c.numbers[n] != nil {
+	for c.membersByNumber[n] != nil {
 		h.Write(binary.LittleEndian.AppendUint32(nil, n))
 		n = h.Sum32()
 	}
--- a/internal/dispatcher/engine/members_test.go
+++ b/internal/dispatcher/engine/members_test.go
@@ -31,15 +31,15 @@
 func TestNumbers(t *testing.T) {
 	first, second := alike()
 	for _, before := range []int{0, 5} {
-		c := &Engine{sources: make(map[string]int), members: make(map[string]*Member), numbers: make(map[uint32]*Member)}
+		c := &Engine{sources: make(map[string]int), members: make(map[string]*Member), membersByNumber: make(map[uint32]*Member)}
 		for n := range before {
-			c.place(&Member{ID: fmt.Sprint("other-", n)})
+			c.placeMember(&Member{ID: fmt.Sprint("other-", n)})
 		}
-		one, two := c.place(&Member{ID: first}), c.place(&Member{ID: second})
+		one, two := c.placeMember(&Member{ID: first}), c.placeMember(&Member{ID: second})
 		require.Equal(t, hashed(first), one.Worker)
 		require.NotEqual(t, one.Worker, two.Worker)
-		require.Equal(t, two, c.place(&Member{ID: second}), "listed again")
-		require.Equal(t, first, c.numbers[one.Worker].ID)
-		require.Equal(t, second, c.numbers[two.Worker].ID)
+		require.Equal(t, two, c.placeMember(&Member{ID: second}), "listed again")
+		require.Equal(t, first, c.membersByNumber[one.Worker].ID)
+		require.Equal(t, second, c.membersByNumber[two.Worker].ID)
 	}
 }
--- a/internal/dispatcher/engine/starve_test.go
+++ b/internal/dispatcher/engine/starve_test.go
@@ -28,10 +28,10 @@
 			c.post(func() { heard = laps })
 		}
 		if laps < 100 {
-			c.timers.add(time.Now(), again)
+			c.timers.schedule(time.Now(), again)
 		}
 	}
-	c.timers.add(time.Now(), again)
+	c.timers.schedule(time.Now(), again)
 	ctx, cancel := context.WithCancel(context.Background())
 	go c.Run(ctx)
 	defer cancel()
@@ -44,6 +44,6 @@
 	c.Do(func() {
 		c.now = time.Now().Add(-time.Minute) // the event has taken a minute so far
 		host{c}.Timer(time.Second, "tick")
-		require.Positive(t, c.timers.wait(time.Now()))
+		require.Positive(t, c.timers.untilNext(time.Now()))
 	})
 }
--- a/internal/dispatcher/engine/timers.go
+++ b/internal/dispatcher/engine/timers.go
@@ -15,7 +15,7 @@
 type timer struct {
 	at    time.Time
 	seq   uint64
-	do    func()
+	run   func()
 	index int // in the queue; below 0: not in it
 }
 
@@ -28,31 +28,31 @@
 	}, func(t *timer, at int) { t.index = at })}
 }
 
-func (t *timers) add(at time.Time, do func()) *timer {
+func (t *timers) schedule(at time.Time, do func()) *timer {
 	t.seq++
-	one := &timer{at: at, seq: t.seq, do: do}
+	one := &timer{at: at, seq: t.seq, run: do}
 	t.queue.Push(one)
 	return one
 }
 
-// drop takes a timer out that is not wanted any more, with all that it holds on
+// cancel takes a timer out that is not wanted any more, with all that it holds on
 // to: at thousands of jobs a second those that wait for far deadlines add up.
-func (t *timers) drop(one *timer) {
+func (t *timers) cancel(one *timer) {
 	if one != nil && one.index >= 0 {
 		t.queue.Remove(one.index)
 	}
 }
 
-// due takes out the first timer that is due, or returns nil.
-func (t *timers) due(now time.Time) func() {
+// popDue takes out the first timer that is due, or returns nil.
+func (t *timers) popDue(now time.Time) func() {
 	if t.queue.Len() == 0 || t.queue.All()[0].at.After(now) {
 		return nil
 	}
-	return t.queue.Pop().do
+	return t.queue.Pop().run
 }
 
-// wait is how long nothing is due.
-func (t *timers) wait(now time.Time) time.Duration {
+// untilNext is how long nothing is due.
+func (t *timers) untilNext(now time.Time) time.Duration {
 	if t.queue.Len() == 0 {
 		return time.Hour
 	}
--- a/internal/dispatcher/engine/transaction.go
+++ b/internal/dispatcher/engine/transaction.go
@@ -31,17 +31,17 @@
 	Client            Client
 	LedgerEntry       any // the books' own
 
-	sends    int
-	short    bool // another attempt was not to be had of the fleet's budget
-	live     *Flow
-	answered bool
-	class    policy.Class  // as the settings had it when it came
-	ranFrom  time.Time     // when the first attempt was sent that has ended and may have run; zero: none
-	last     policy.Status // how the last flow ended
-	at       string        // the member of the last flow
-	said     []byte        // with the last error of a member
-	went     []string      // see Answer.Went
-	due      *timer        // its deadline
+	attempts        int
+	budgetSpent     bool // another attempt was not to be had of the fleet's budget
+	liveFlow        *Flow
+	answered        bool
+	class           policy.Class  // as the settings had it when it came
+	mayHaveRunSince time.Time     // when the first attempt was sent that has ended and may have run; zero: none
+	lastStatus      policy.Status // how the last flow ended
+	lastMember      string        // the member of the last flow
+	memberError     []byte        // with the last error of a member
+	membersTried    []string      // see Answer.Went
+	deadlineTimer   *timer        // its deadline
 }
 
 // Client is told the one final answer of its transaction. It must not block.
@@ -73,9 +73,9 @@
 	Denied          // bad input
 )
 
-var verdicts = [...]string{"served", "refused", "failed", "denied"}
+var verdictNames = [...]string{"served", "refused", "failed", "denied"}
 
-func (v Verdict) String() string { return verdicts[v] }
+func (v Verdict) String() string { return verdictNames[v] }
 
 // Outcome is what a verdict counts as. What is denied failed: nobody promises
 // that a request which a member calls bad did not run.
@@ -116,9 +116,9 @@
 	// flow; only the fields in Load.Has were told. The core's goroutine alone touches it.
 	Load policy.Report
 
-	ended bool
-	place Reservation // among what is under way in the fleet; nil: none is needed
-	due   *timer      // its deadline
+	ended         bool
+	reservation   Reservation // among what is under way in the fleet; nil: none is needed
+	deadlineTimer *timer      // its deadline
 }
 
 // TooLate tells whether it is too late to hand a flow to its member.
--- a/internal/dispatcher/engine/window_test.go
+++ b/internal/dispatcher/engine/window_test.go
@@ -25,7 +25,7 @@
 	}{
 		"inside the window":           {policy.Deduplicated, "k", policy.Reset, 0, 2, true, Refused},
 		"just inside":                 {policy.Deduplicated, "k", policy.Reset, 9 * time.Second, 2, true, Failed},
-		"too near its end":            {policy.Deduplicated, "k", policy.Reset, 10*time.Second - repeatMargin, 1, false, Failed},
+		"too near its end":            {policy.Deduplicated, "k", policy.Reset, 10*time.Second - dedupMargin, 1, false, Failed},
 		"the first never ran":         {policy.Deduplicated, "k", policy.ConnectFailed, 9 * time.Second, 2, false, Refused},
 		"it brought no key":           {policy.Deduplicated, "", policy.Reset, 0, 1, false, Failed},
 		"no key, but it never ran":    {policy.Deduplicated, "", policy.ConnectFailed, 0, 2, false, Failed},
@@ -44,8 +44,8 @@
 			tx := &Transaction{ID: "t", Class: "hold", Key: c.key, Hint: time.Second, Deadline: time.Now().Add(time.Hour), Client: told{p, "t"}}
 			hub.Submit(tx)
 			turn := func() {
-				for _, e := range hub.taken() {
-					hub.handle(posted{do: e.do})
+				for _, e := range hub.takeEvents() {
+					hub.handle(queuedEvent{run: e.run})
 				}
 			}
 			turn()
@@ -55,12 +55,12 @@
 			require.Len(t, p.flows, c.sent)
 			last := p.flows[c.sent-1]
 			if c.bound {
-				require.Equal(t, p.flows[0].SentAt.Add(10*time.Second-repeatMargin), last.LatestSend)
+				require.Equal(t, p.flows[0].SentAt.Add(10*time.Second-dedupMargin), last.LatestSend)
 			} else {
 				require.Zero(t, last.LatestSend)
 			}
 			if c.sent > 1 || c.key == "" {
-				require.Equal(t, c.want == Refused, hub.harmless(tx), "an attempt is out")
+				require.Equal(t, c.want == Refused, hub.mayRunAgain(tx), "an attempt is out")
 			}
 			require.False(t, last.TooLate(time.Now()))
 		})
