--- a/internal/dispatcher/accounting/account_test.go
+++ b/internal/dispatcher/accounting/account_test.go
@@ -80,7 +80,7 @@
 				require.EqualValues(t, len(open), b.Totals().Open)
 				require.EqualValues(t, int64(len(open))+ended, b.Totals().Taken)
 				require.LessOrEqual(t, len(b.rows), 12+2*2*4, "rows are bounded, but for the shared ones")
-				require.LessOrEqual(t, len(b.asks.known), 8+len(open)+1)
+				require.LessOrEqual(t, len(b.requests.tracked), 8+len(open)+1)
 			},
 		})
 	})
@@ -130,7 +130,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := New(small())
 			c.do(b)
-			require.Equal(t, c.want, b.asks.LogicalRequests)
+			require.Equal(t, c.want, b.requests.LogicalRequests)
 			require.Empty(t, b.CheckBalance())
 		})
 	}
@@ -179,9 +179,9 @@
 		"the total":         {func(b *Ledger, e *Entry) { b.totals.Taken++ }, sums},
 		"a whole job twice": {func(b *Ledger, e *Entry) { e.row.Entered++; e.row.Ends[Answered]++ }, sums},
 		"a job ended twice": {func(b *Ledger, e *Entry) { b.JobEnded(e, GivenUp, start); b.JobEnded(e, GivenUp, start) }, sums},
-		"a flow":            {func(b *Ledger, e *Entry) { b.flow("hold", "cell 0").Ends[policy.Rejected]++ }, sums},
-		"a flow, whole":     {func(b *Ledger, e *Entry) { f := b.flow("hold", "cell 0"); f.Sent++; f.Out++ }, sums},
-		"an ask":            {func(b *Ledger, e *Entry) { b.asks.Ends[Served]++ }, sums},
+		"a flow":            {func(b *Ledger, e *Entry) { b.flowCounts("hold", "cell 0").Ends[policy.Rejected]++ }, sums},
+		"a flow, whole":     {func(b *Ledger, e *Entry) { f := b.flowCounts("hold", "cell 0"); f.Sent++; f.Out++ }, sums},
+		"an ask":            {func(b *Ledger, e *Entry) { b.requests.Ends[Served]++ }, sums},
 		"a job the core lost": {func(b *Ledger, e *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			return b.CompareEngine(OpenCounts{}, 1)
 		}},
@@ -232,8 +232,8 @@
 	require.Empty(t, b.CheckBalance())
 	require.LessOrEqual(t, len(b.rows), 66)
 	require.LessOrEqual(t, len(b.flows), 65)
-	require.Len(t, b.lines, 1)
-	require.LessOrEqual(t, len(b.asks.known), 16)
+	require.Len(t, b.series, 1)
+	require.LessOrEqual(t, len(b.requests.tracked), 16)
 }
 
 // BenchmarkJob is what the account costs a job: entry, one flow, and end.
--- a/internal/dispatcher/accounting/asks.go
+++ b/internal/dispatcher/accounting/asks.go
@@ -23,34 +23,34 @@
 // Final is how many asks stand at an outcome.
 func (a *LogicalRequests) Final(o Outcome) int64 { return a.Ends[o] - a.Reopened[o] }
 
-type ask struct {
+type trackedRequest struct {
 	open    uint32
-	out     Outcome // of its last try, or Served once one was
+	outcome Outcome // of its last try, or Served once one was
 	served  bool
 	settled bool // it has been counted as ended, and counts no more
 }
 
-type remembered struct {
+type ringEntry struct {
 	id    uint64
 	since time.Time
 }
 
-// asks remembers asks by a hash of class and key: the members that drop a
+// requestTracker remembers asks by a hash of class and key: the members that drop a
 // repeat go by these two also, and a retry by the other front has the same.
 // Of a million asks that are remembered together two share a hash with a
 // chance of 1 in 36 million.
-type asks struct {
+type requestTracker struct {
 	LogicalRequests
-	known  map[uint64]ask
-	oldest []remembered // a ring
-	first  int
-	count  int
-	most   int
-	keep   time.Duration
+	tracked   map[uint64]trackedRequest
+	ring      []ringEntry // a ring
+	first     int
+	count     int
+	capacity  int
+	retention time.Duration
 }
 
-func newAsks(most int, keep time.Duration) asks {
-	return asks{known: make(map[uint64]ask), most: max(1, most), keep: keep}
+func newRequestTracker(most int, keep time.Duration) requestTracker {
+	return requestTracker{tracked: make(map[uint64]trackedRequest), capacity: max(1, most), retention: keep}
 }
 
 // LogicalRequestID is the hash that ties the tries of one ask; 0: it has no key.
@@ -66,7 +66,7 @@
 	return max(1, d.Sum64())
 }
 
-func (a *asks) enter(j Job, now time.Time) (id uint64, stray bool) {
+func (a *requestTracker) begin(j Job, now time.Time) (id uint64, stray bool) {
 	id = LogicalRequestID(j.Class, j.Key)
 	if id == 0 {
 		if j.Retry {
@@ -77,10 +77,10 @@
 		a.Open++
 		return 0, false
 	}
-	at, known := a.known[id]
+	at, known := a.tracked[id]
 	switch {
 	case !known:
-		a.remember(id, now)
+		a.track(id, now)
 		a.Asked++
 		a.Open++
 	default:
@@ -91,47 +91,47 @@
 			a.Echoes++
 		default:
 			at.settled = false
-			a.Reopened[at.out]++
+			a.Reopened[at.outcome]++
 			a.Open++
 		}
 	}
 	at.open++
-	a.known[id] = at
+	a.tracked[id] = at
 	return id, false
 }
 
-// remember makes a place for an ask. Asks that are open are never forgotten;
+// track makes a place for an ask. Asks that are open are never forgotten;
 // where all are, the memory grows, by no more than jobs may be open.
-func (a *asks) remember(id uint64, now time.Time) {
+func (a *requestTracker) track(id uint64, now time.Time) {
 	for tries := a.count; tries > 0; tries-- {
-		head := a.oldest[a.first]
-		if a.count < a.most && now.Sub(head.since) <= a.keep {
+		head := a.ring[a.first]
+		if a.count < a.capacity && now.Sub(head.since) <= a.retention {
 			break
 		}
-		a.first = (a.first + 1) % len(a.oldest)
+		a.first = (a.first + 1) % len(a.ring)
 		a.count--
-		if a.known[head.id].open == 0 {
-			delete(a.known, head.id)
+		if a.tracked[head.id].open == 0 {
+			delete(a.tracked, head.id)
 			break // one goes for each that comes: no long pause here
 		}
-		a.append(remembered{head.id, now})
+		a.push(ringEntry{head.id, now})
 	}
-	a.append(remembered{id, now})
+	a.push(ringEntry{id, now})
 }
 
-func (a *asks) append(r remembered) {
-	if a.count == len(a.oldest) {
-		larger := make([]remembered, max(64, 2*len(a.oldest)))
+func (a *requestTracker) push(r ringEntry) {
+	if a.count == len(a.ring) {
+		larger := make([]ringEntry, max(64, 2*len(a.ring)))
 		for i := range a.count {
-			larger[i] = a.oldest[(a.first+i)%len(a.oldest)]
+			larger[i] = a.ring[(a.first+i)%len(a.ring)]
 		}
-		a.oldest, a.first = larger, 0
+		a.ring, a.first = larger, 0
 	}
-	a.oldest[(a.first+a.count)%len(a.oldest)] = r
+	a.ring[(a.first+a.count)%len(a.ring)] = r
 	a.count++
 }
 
-func (a *asks) end(id uint64, stray bool, o Outcome) {
+func (a *requestTracker) end(id uint64, stray bool, o Outcome) {
 	switch {
 	case stray:
 		return
@@ -140,16 +140,16 @@
 		a.Ends[o]++
 		return
 	}
-	at := a.known[id]
+	at := a.tracked[id]
 	at.open--
 	if at.served = at.served || o == Served; at.served {
 		o = Served
 	}
-	at.out = o
+	at.outcome = o
 	if at.open == 0 && !at.settled {
 		at.settled = true
 		a.Open--
-		a.Ends[at.out]++
+		a.Ends[at.outcome]++
 	}
-	a.known[id] = at
+	a.tracked[id] = at
 }
--- a/internal/dispatcher/accounting/audit.go
+++ b/internal/dispatcher/accounting/audit.go
@@ -28,7 +28,7 @@
 
 type differences []Difference
 
-func (d *differences) same(audit, what string, here, there int64) {
+func (d *differences) compare(audit, what string, here, there int64) {
 	if here != there {
 		*d = append(*d, Difference{audit, what, here, there})
 	}
@@ -41,9 +41,9 @@
 	var d differences
 	var all Row
 	for _, r := range b.rows {
-		d.same(AuditBalance, fmt.Sprintf("row %v in balance", r.RowKey), r.Entered+r.Came, r.Ended()+r.Went+r.Open)
+		d.compare(AuditBalance, fmt.Sprintf("row %v in balance", r.RowKey), r.Entered+r.Came, r.Ended()+r.Went+r.Open)
 		if r.Open < 0 {
-			d.same(AuditBalance, fmt.Sprintf("row %v below nothing", r.RowKey), r.Open, 0)
+			d.compare(AuditBalance, fmt.Sprintf("row %v below nothing", r.RowKey), r.Open, 0)
 		}
 		all.Entered += r.Entered
 		all.Came += r.Came
@@ -53,35 +53,35 @@
 			all.Ends[i] += n
 		}
 	}
-	d.same(AuditBalance, "jobs that came into rows and went out of rows", all.Came, all.Went)
-	d.same(AuditBalance, "taken, by rows and in total", all.Entered, b.totals.Taken)
-	d.same(AuditBalance, "open, by rows and in total", all.Open, b.totals.Open)
+	d.compare(AuditBalance, "jobs that came into rows and went out of rows", all.Came, all.Went)
+	d.compare(AuditBalance, "taken, by rows and in total", all.Entered, b.totals.Taken)
+	d.compare(AuditBalance, "open, by rows and in total", all.Open, b.totals.Open)
 	var ended int64
 	for i, n := range all.Ends {
-		d.same(AuditBalance, fmt.Sprintf("%s, by rows and in total", Reason(i)), n, b.totals.Ends[i])
+		d.compare(AuditBalance, fmt.Sprintf("%s, by rows and in total", Reason(i)), n, b.totals.Ends[i])
 		ended += b.totals.Ends[i]
 	}
-	d.same(AuditBalance, "taken, and ended with open", b.totals.Taken, ended+b.totals.Open)
+	d.compare(AuditBalance, "taken, and ended with open", b.totals.Taken, ended+b.totals.Open)
 	var sent, out int64
 	for _, f := range b.flows {
 		var ends int64
 		for _, n := range f.Ends {
 			ends += n
 		}
-		d.same(AuditBalance, fmt.Sprintf("flows of %s at %s in balance", f.Class, f.Group), f.Sent, ends+f.Out)
+		d.compare(AuditBalance, fmt.Sprintf("flows of %s at %s in balance", f.Class, f.Group), f.Sent, ends+f.Out)
 		sent += f.Sent
 		out += f.Out
 	}
-	d.same(AuditBalance, "flows sent, by rows and in total", sent, b.flowed.sent)
-	d.same(AuditBalance, "flows out, by rows and in total", out, b.flowed.out)
-	a := &b.asks.LogicalRequests
+	d.compare(AuditBalance, "flows sent, by rows and in total", sent, b.flowTotals.sent)
+	d.compare(AuditBalance, "flows out, by rows and in total", out, b.flowTotals.out)
+	a := &b.requests.LogicalRequests
 	var asked, settled int64 = a.Asked, a.Open
 	for o := range a.Ends {
 		asked += a.Reopened[o]
 		settled += a.Ends[o]
 	}
-	d.same(AuditBalance, "asks in balance", asked, settled)
-	d.same(AuditBalance, "jobs that ended without being open", b.misuse, 0)
+	d.compare(AuditBalance, "asks in balance", asked, settled)
+	d.compare(AuditBalance, "jobs that ended without being open", b.unmatchedEnds, 0)
 	slices.SortFunc(d, func(x, y Difference) int { return cmp.Compare(x.What, y.What) })
 	return d
 }
@@ -101,9 +101,9 @@
 		mine[at] += 0
 	}
 	for at, n := range mine {
-		d.same(AuditEngine, fmt.Sprintf("%s by %s open", at[1], at[0]), n, open[at])
+		d.compare(AuditEngine, fmt.Sprintf("%s by %s open", at[1], at[0]), n, open[at])
 	}
-	d.same(AuditEngine, "flows out", b.flowed.out, flowsOut)
+	d.compare(AuditEngine, "flows out", b.flowTotals.out, flowsOut)
 	return d
 }
 
@@ -127,16 +127,16 @@
 		}
 	}
 	if taken < before.Submitted {
-		d.same(AuditFronts, front+" handed over", taken, before.Submitted)
+		d.compare(AuditFronts, front+" handed over", taken, before.Submitted)
 	}
 	if taken > now.Started {
-		d.same(AuditFronts, front+" began", taken, now.Started)
+		d.compare(AuditFronts, front+" began", taken, now.Started)
 	}
 	for o, n := range ends {
-		d.same(AuditFronts, fmt.Sprintf("%s %s", front, Outcome(o)), n, now.Answers[o])
+		d.compare(AuditFronts, fmt.Sprintf("%s %s", front, Outcome(o)), n, now.Answers[o])
 	}
 	if left > now.ClientsLeft {
-		d.same(AuditFronts, front+" left by clients", left, now.ClientsLeft)
+		d.compare(AuditFronts, front+" left by clients", left, now.ClientsLeft)
 	}
 	return d
 }
@@ -144,10 +144,10 @@
 // Compare holds totals of one moment against another count's.
 func (t Totals) Compare(audit string, there Totals) []Difference {
 	var d differences
-	d.same(audit, "taken", t.Taken, there.Taken)
-	d.same(audit, "open", t.Open, there.Open)
+	d.compare(audit, "taken", t.Taken, there.Taken)
+	d.compare(audit, "open", t.Open, there.Open)
 	for i, n := range t.Ends {
-		d.same(audit, Reason(i).String(), n, there.Ends[i])
+		d.compare(audit, Reason(i).String(), n, there.Ends[i])
 	}
 	return d
 }
--- a/internal/dispatcher/accounting/book.go
+++ b/internal/dispatcher/accounting/book.go
@@ -31,7 +31,7 @@
 	RowKey
 	Entered, Came, Went, Open int64
 	Ends                      [Reasons]int64
-	line                      *Series
+	series                    *Series
 }
 
 // Ended is how many jobs ended in this row.
@@ -81,7 +81,7 @@
 	Whole *hdrhistogram.Histogram // from taking in to the answer
 }
 
-const longest = 10 * time.Minute // a longer span counts as this
+const maxLatency = 10 * time.Minute // a longer span counts as this
 
 // Limits bound a book.
 type Limits struct {
@@ -99,14 +99,14 @@
 
 // Entry is a job that is open.
 type Entry struct {
-	Number  uint64 // of the job: 1 for the first of this book
-	Job     Job    // as it is counted
-	row     *Row
-	ask     uint64
-	strayed bool
-	arrived time.Time
-	sent    time.Time
-	open    bool
+	Number         uint64 // of the job: 1 for the first of this book
+	Job            Job    // as it is counted
+	row            *Row
+	request        uint64
+	unmatchedRetry bool
+	arrived        time.Time
+	sent           time.Time
+	open           bool
 }
 
 // Group is where the job was last sent.
@@ -114,25 +114,25 @@
 
 // Ledger is the account of one run of the program.
 type Ledger struct {
-	limits  Limits
-	rows    map[RowKey]*Row
-	lines   map[RowKey]*Series // by places without a group
-	flows   map[[2]string]*FlowCounts
-	times   map[string]*Latencies
-	tenants map[string]bool
-	asks    asks
-	totals  Totals
-	flowed  struct{ sent, out int64 }
-	last    uint64
-	free    []*Entry
-	misuse  int64 // ends of jobs that were not open
+	limits        Limits
+	rows          map[RowKey]*Row
+	series        map[RowKey]*Series // by places without a group
+	flows         map[[2]string]*FlowCounts
+	latencies     map[string]*Latencies
+	tenants       map[string]bool
+	requests      requestTracker
+	totals        Totals
+	flowTotals    struct{ sent, out int64 }
+	lastNumber    uint64
+	freeEntries   []*Entry
+	unmatchedEnds int64 // ends of jobs that were not open
 }
 
 // New returns an empty book.
 func New(l Limits) *Ledger {
 	b := &Ledger{
-		limits: l, rows: make(map[RowKey]*Row), lines: make(map[RowKey]*Series), flows: make(map[[2]string]*FlowCounts),
-		times: make(map[string]*Latencies), tenants: make(map[string]bool), asks: newAsks(l.MaxLogicalRequests, l.LogicalRequestRetention),
+		limits: l, rows: make(map[RowKey]*Row), series: make(map[RowKey]*Series), flows: make(map[[2]string]*FlowCounts),
+		latencies: make(map[string]*Latencies), tenants: make(map[string]bool), requests: newRequestTracker(l.MaxLogicalRequests, l.LogicalRequestRetention),
 	}
 	for _, t := range l.Tenants {
 		b.tenants[t] = true
@@ -140,9 +140,9 @@
 	return b
 }
 
-// tenant is the name that a tenant counts under. Clients choose the names they
+// tenantName is the name that a tenant counts under. Clients choose the names they
 // send, and a book must not grow with them.
-func (b *Ledger) tenant(name string) string {
+func (b *Ledger) tenantName(name string) string {
 	switch {
 	case b.tenants[name]:
 		return name
@@ -153,7 +153,7 @@
 	return name
 }
 
-func (b *Ledger) row(p RowKey) *Row {
+func (b *Ledger) rowOf(p RowKey) *Row {
 	if r := b.rows[p]; r != nil {
 		return r
 	}
@@ -164,22 +164,22 @@
 		}
 	}
 	at := RowKey{Front: p.Front, Class: p.Class, Tenant: p.Tenant}
-	l := b.lines[at]
+	l := b.series[at]
 	if l == nil {
 		l = &Series{Front: p.Front, Class: p.Class, Tenant: p.Tenant}
-		b.lines[at] = l
+		b.series[at] = l
 	}
-	r := &Row{RowKey: p, line: l}
+	r := &Row{RowKey: p, series: l}
 	b.rows[p] = r
 	return r
 }
 
-func (b *Ledger) class(name string) *Latencies {
-	t := b.times[name]
+func (b *Ledger) latenciesOf(name string) *Latencies {
+	t := b.latencies[name]
 	if t == nil {
-		fresh := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest.Microseconds(), 2) }
+		fresh := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency.Microseconds(), 2) }
 		t = &Latencies{Wait: fresh(), Run: fresh(), Whole: fresh()}
-		b.times[name] = t
+		b.latencies[name] = t
 	}
 	return t
 }
@@ -188,32 +188,32 @@
 // the job has ended.
 func (b *Ledger) JobAccepted(j Job, now time.Time) *Entry {
 	var e *Entry
-	if n := len(b.free); n > 0 {
-		e, b.free = b.free[n-1], b.free[:n-1]
+	if n := len(b.freeEntries); n > 0 {
+		e, b.freeEntries = b.freeEntries[n-1], b.freeEntries[:n-1]
 	} else {
 		e = new(Entry)
 	}
-	b.last++
-	j.Tenant = b.tenant(j.Tenant)
-	*e = Entry{Number: b.last, Job: j, row: b.row(RowKey{j.Front, j.Class, j.Tenant, NoGroup}), arrived: now, open: true}
+	b.lastNumber++
+	j.Tenant = b.tenantName(j.Tenant)
+	*e = Entry{Number: b.lastNumber, Job: j, row: b.rowOf(RowKey{j.Front, j.Class, j.Tenant, NoGroup}), arrived: now, open: true}
 	e.row.Entered++
 	e.row.Open++
-	e.row.line.Windows.taken(now)
+	e.row.series.Windows.addAccepted(now)
 	b.totals.Taken++
 	b.totals.Open++
-	e.ask, e.strayed = b.asks.enter(j, now)
+	e.request, e.unmatchedRetry = b.requests.begin(j, now)
 	return e
 }
 
 // FlowSent counts a flow of an open job to a group of members.
 func (b *Ledger) FlowSent(e *Entry, group string, now time.Time) {
-	f := b.flow(e.Job.Class, group)
+	f := b.flowCounts(e.Job.Class, group)
 	f.Sent++
 	f.Out++
-	b.flowed.sent++
-	b.flowed.out++
+	b.flowTotals.sent++
+	b.flowTotals.out++
 	if !e.open {
-		b.misuse++
+		b.unmatchedEnds++
 		return
 	}
 	e.sent = now
@@ -224,20 +224,20 @@
 	e.row.Open--
 	p := e.row.RowKey
 	p.Group = group
-	e.row = b.row(p)
+	e.row = b.rowOf(p)
 	e.row.Came++
 	e.row.Open++
 }
 
 // FlowEnded counts the end of a flow, which may come after its job's.
 func (b *Ledger) FlowEnded(class, group string, s policy.Status) {
-	f := b.flow(class, group)
+	f := b.flowCounts(class, group)
 	f.Out--
 	f.Ends[s]++
-	b.flowed.out--
+	b.flowTotals.out--
 }
 
-func (b *Ledger) flow(class, group string) *FlowCounts {
+func (b *Ledger) flowCounts(class, group string) *FlowCounts {
 	key := [2]string{class, group}
 	f := b.flows[key]
 	if f == nil {
@@ -257,17 +257,17 @@
 // counted as misuse, which an audit complains of.
 func (b *Ledger) JobEnded(e *Entry, r Reason, now time.Time) {
 	if !e.open {
-		b.misuse++
+		b.unmatchedEnds++
 		return
 	}
 	e.open = false
 	e.row.Open--
 	e.row.Ends[r]++
-	e.row.line.Windows.ended(now, r.Outcome())
+	e.row.series.Windows.addEnded(now, r.Outcome())
 	b.totals.Open--
 	b.totals.Ends[r]++
-	b.asks.end(e.ask, e.strayed, r.Outcome())
-	t := b.class(e.Job.Class)
+	b.requests.end(e.request, e.unmatchedRetry, r.Outcome())
+	t := b.latenciesOf(e.Job.Class)
 	record(t.Whole, now.Sub(e.arrived))
 	if !e.sent.IsZero() {
 		record(t.Wait, e.sent.Sub(e.arrived))
@@ -275,11 +275,11 @@
 			record(t.Run, now.Sub(e.sent))
 		}
 	}
-	b.free = append(b.free, e)
+	b.freeEntries = append(b.freeEntries, e)
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(int64(min(max(d, 0), longest) / time.Microsecond)) // within range: it can't fail
+	h.RecordValue(int64(min(max(d, 0), maxLatency) / time.Microsecond)) // within range: it can't fail
 }
 
 // Totals are the sums so far.
--- a/internal/dispatcher/accounting/reason.go
+++ b/internal/dispatcher/accounting/reason.go
@@ -74,14 +74,14 @@
 // Outcome is the outcome that the reason belongs to.
 func (r Reason) Outcome() Outcome { return reasons[r].outcome }
 
-var statuses = [flowStatuses]string{
+var statusNames = [flowStatuses]string{
 	policy.OK: "ok", policy.Error: "error", policy.Rejected: "full", policy.TimedOut: "timed out",
 	policy.ConnectFailed: "connect failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot",
 	policy.InvalidRequest: "unfit",
 }
 
 // StatusName is how a flow ended, in a word or two.
-func StatusName(s policy.Status) string { return statuses[s] }
+func StatusName(s policy.Status) string { return statusNames[s] }
 
 // StatusNameAt is the same for the number of a column of FlowRow.Ends.
-func StatusNameAt(i int) string { return statuses[i] }
+func StatusNameAt(i int) string { return statusNames[i] }
--- a/internal/dispatcher/accounting/snapshot.go
+++ b/internal/dispatcher/accounting/snapshot.go
@@ -47,14 +47,14 @@
 
 // Snapshot copies the account.
 func (b *Ledger) Snapshot(now time.Time) Snapshot {
-	s := Snapshot{At: now, Totals: b.totals, Asks: b.asks.LogicalRequests, Times: make(map[string]LatencySnapshots)}
+	s := Snapshot{At: now, Totals: b.totals, Asks: b.requests.LogicalRequests, Times: make(map[string]LatencySnapshots)}
 	for _, r := range b.rows {
 		s.Rows = append(s.Rows, *r)
 	}
 	slices.SortFunc(s.Rows, func(x, y Row) int {
 		return cmp.Or(strings.Compare(x.Front, y.Front), strings.Compare(x.Class, y.Class), strings.Compare(x.Tenant, y.Tenant), strings.Compare(x.Group, y.Group))
 	})
-	for _, l := range b.lines {
+	for _, l := range b.series {
 		w := &l.Windows
 		s.Lines = append(s.Lines, SeriesSnapshot{
 			Front: l.Front, Class: l.Class, Tenant: l.Tenant,
@@ -71,13 +71,13 @@
 	slices.SortFunc(s.Flows, func(x, y FlowCounts) int {
 		return cmp.Or(strings.Compare(x.Class, y.Class), strings.Compare(x.Group, y.Group))
 	})
-	for class, t := range b.times {
-		s.Times[class] = LatencySnapshots{Wait: read(t.Wait), Run: read(t.Run), Whole: read(t.Whole)}
+	for class, t := range b.latencies {
+		s.Times[class] = LatencySnapshots{Wait: distribution(t.Wait), Run: distribution(t.Run), Whole: distribution(t.Whole)}
 	}
 	return s
 }
 
-func read(h *hdrhistogram.Histogram) Distribution {
+func distribution(h *hdrhistogram.Histogram) Distribution {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	d := Distribution{
 		Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: time.Duration(h.Max()) * time.Microsecond,
--- a/internal/dispatcher/accounting/windows.go
+++ b/internal/dispatcher/accounting/windows.go
@@ -27,7 +27,7 @@
 	minutes [minutes]WindowCounts
 	hours   [hours]WindowCounts
 	days    [days]WindowCounts
-	at      [3]int64 // the latest minute, hour and day since 1970
+	latest  [3]int64 // the latest minute, hour and day since 1970
 }
 
 var units = [3]int64{60, 3600, 86400}
@@ -45,31 +45,31 @@
 // roll clears what a ring holds of a time that is over.
 func (w *Windows) roll(now time.Time) {
 	s := now.Unix()
-	if s < (w.at[0]+1)*units[0] { // the usual case: still the same minute
+	if s < (w.latest[0]+1)*units[0] { // the usual case: still the same minute
 		return
 	}
 	for i, unit := range units {
 		ring, to := w.ring(i), s/unit
-		for n := max(w.at[i]+1, to-int64(len(ring))+1); n <= to; n++ {
+		for n := max(w.latest[i]+1, to-int64(len(ring))+1); n <= to; n++ {
 			ring[n%int64(len(ring))] = WindowCounts{}
 		}
-		w.at[i] = to
+		w.latest[i] = to
 	}
 }
 
-func (w *Windows) taken(now time.Time) {
+func (w *Windows) addAccepted(now time.Time) {
 	w.roll(now)
 	for i := range units {
 		ring := w.ring(i)
-		ring[w.at[i]%int64(len(ring))].Accepted++
+		ring[w.latest[i]%int64(len(ring))].Accepted++
 	}
 }
 
-func (w *Windows) ended(now time.Time, o Outcome) {
+func (w *Windows) addEnded(now time.Time, o Outcome) {
 	w.roll(now)
 	for i := range units {
 		ring := w.ring(i)
-		ring[w.at[i]%int64(len(ring))].Ends[o]++
+		ring[w.latest[i]%int64(len(ring))].Ends[o]++
 	}
 }
 
@@ -88,7 +88,7 @@
 func (w *Windows) Latest(of Window, now time.Time) WindowCounts {
 	w.roll(now)
 	ring := w.ring(int(of))
-	return ring[w.at[of]%int64(len(ring))]
+	return ring[w.latest[of]%int64(len(ring))]
 }
 
 // Kept sums all stretches that are kept: 60 minutes, 24 hours or 8 days.
--- a/internal/dispatcher/capacityindex/vacancy.go
+++ b/internal/dispatcher/capacityindex/vacancy.go
@@ -11,10 +11,10 @@
 
 // Position is where a member stands in one set. Its zero value stands nowhere. A
 // member has one for each set that it may be in.
-type Position struct{ at int } // in the set, plus one
+type Position struct{ index int } // in the set, plus one
 
 // In tells whether the member is in the set.
-func (p *Position) In() bool { return p.at != 0 }
+func (p *Position) In() bool { return p.index != 0 }
 
 // Set holds members, each at most once. The invariant is that the place of
 // all[i] is i+1, and that nobody else has a place.
@@ -36,14 +36,14 @@
 		return false
 	case in:
 		s.all = append(s.all, m)
-		p.at = len(s.all)
+		p.index = len(s.all)
 	default:
 		last := len(s.all) - 1
-		s.all[p.at-1] = s.all[last]
-		s.place(s.all[p.at-1]).at = p.at
+		s.all[p.index-1] = s.all[last]
+		s.place(s.all[p.index-1]).index = p.index
 		var none M
 		s.all[last], s.all = none, s.all[:last]
-		p.at = 0
+		p.index = 0
 	}
 	return true
 }
--- a/internal/dispatcher/discovery/pace_test.go
+++ b/internal/dispatcher/discovery/pace_test.go
@@ -38,11 +38,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
-			wait, until := c.pace.Call(began, c.known, c.goesOn)
+			wait, until := c.pace.Timeouts(began, c.known, c.goesOn)
 			require.Equal(t, c.wait, wait)
 			require.Equal(t, c.givenUp, until.Sub(began))
 			for failures := 1; failures < 100; failures++ {
-				require.LessOrEqual(t, c.pace.Again(began, until, failures, 1).Sub(began), c.latestOne)
+				require.LessOrEqual(t, c.pace.NextCall(began, until, failures, 1).Sub(began), c.latestOne)
 			}
 		})
 	}
@@ -65,12 +65,12 @@
 		t.Run(name, func(t *testing.T) {
 			at := time.Now()
 			for n, want := range append(c.want, c.want[len(c.want)-1]) {
-				require.Equal(t, leastPause, c.pace.Again(at, at, n+1, 0).Sub(at))
-				require.Equal(t, ms(want), c.pace.Again(at, at, n+1, 1).Sub(at), "after %d failures", n+1)
+				require.Equal(t, minPause, c.pace.NextCall(at, at, n+1, 0).Sub(at))
+				require.Equal(t, ms(want), c.pace.NextCall(at, at, n+1, 1).Sub(at), "after %d failures", n+1)
 			}
 			last := ms(c.want[len(c.want)-1])
 			for _, n := range []int{64, 65, 1 << 30} {
-				require.Equal(t, last, c.pace.Again(at, at, n, 1).Sub(at))
+				require.Equal(t, last, c.pace.NextCall(at, at, n, 1).Sub(at))
 			}
 		})
 	}
@@ -85,31 +85,31 @@
 		pace := SharedServiceSchedule(rapid.IntRange(0, 10000).Draw(t, "callers"), time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "every")))
 		reply := answer
 		if rapid.Bool().Draw(t, "pushed") {
-			pace, reply = LocalAgentSchedule(), pace.Late/3
+			pace, reply = LocalAgentSchedule(), pace.WatchGrace/3
 		}
 		start := time.Unix(0, 0)
 		reached := start.Add(time.Duration(rapid.Int64Range(0, int64(40*time.Second)).Draw(t, "down for")))
 		known, goesOn := rapid.Bool().Draw(t, "known"), rapid.Bool().Draw(t, "watched before")
 		began := start
 		for failures := 1; began.Before(reached); failures++ {
-			_, until := pace.Call(began, known, known && goesOn)
+			_, until := pace.Timeouts(began, known, known && goesOn)
 			// Refused or reset at once, at any moment later, or never: 503, an answer that
 			// can't be read, one that is cut or trickles all end between the two.
 			end := time.Duration(rapid.OneOf(rapid.Just(int64(0)), rapid.Int64Range(0, int64(until.Sub(began))), rapid.Just(int64(until.Sub(began)))).Draw(t, "fails after"))
-			next := pace.Again(began, began.Add(end), failures, rapid.Float64Range(0, 1).Draw(t, "draw"))
-			if next.Sub(began) < leastPause {
+			next := pace.NextCall(began, began.Add(end), failures, rapid.Float64Range(0, 1).Draw(t, "draw"))
+			if next.Sub(began) < minPause {
 				t.Fatalf("a call is made anew after %v", next.Sub(began))
 			}
 			began, goesOn = next, false
 		}
 		most := told - margin
-		if !pace.Ask {
+		if !pace.PollFirst {
 			most = 1700 * time.Millisecond // a drain that an agent has binds after 2 s
 		}
 		if heard := began.Add(reply).Sub(reached); heard > most {
 			t.Fatalf("heard %v after it could be reached", heard)
 		}
-		if _, until := pace.Call(began, known, false); until.Sub(began) < reply {
+		if _, until := pace.Timeouts(began, known, false); until.Sub(began) < reply {
 			t.Fatal("an answer in time is not waited for")
 		}
 	})
@@ -203,7 +203,7 @@
 			draw := rand.New(rand.NewPCG(1, 2))
 			p, zero := SharedServiceSchedule(c.callers, 10*time.Second), time.Unix(0, 0)
 			pace := func(began, failed time.Duration, failures int) time.Duration {
-				return p.Again(zero.Add(began), zero.Add(failed), failures, draw.Float64()).Sub(zero)
+				return p.NextCall(zero.Add(began), zero.Add(failed), failures, draw.Float64()).Sub(zero)
 			}
 			// As it was: failed calls by 25 ms a caller, doubled up to 8 s, a quarter more or
 			// less; calls that hung for 4 s by chance within the next second.
@@ -211,13 +211,13 @@
 				if failed-began >= 4*time.Second {
 					return failed + time.Duration(draw.Float64()*float64(time.Second))
 				}
-				backoff := min(8*time.Second, time.Duration(c.callers)*eachCall<<min(failures-1, 16))
+				backoff := min(8*time.Second, time.Duration(c.callers)*serviceCallTime<<min(failures-1, 16))
 				return failed + time.Duration((0.75+draw.Float64()/2)*float64(backoff))
 			}
 			var now, was []time.Duration // of all callers, in 20 outages each
 			for range 20 {
 				q := queue{each: c.all / time.Duration(c.callers), patience: c.patience}
-				now = append(now, herd(draw, c.callers, 8*time.Second, c.hang, q, p.Reply, pace)...)
+				now = append(now, herd(draw, c.callers, 8*time.Second, c.hang, q, p.ReplyTimeout, pace)...)
 				was = append(was, herd(draw, c.callers, 8*time.Second, c.hang, q, 4*time.Second, before)...)
 			}
 			slices.Sort(now)
--- a/internal/dispatcher/discovery/pool.go
+++ b/internal/dispatcher/discovery/pool.go
@@ -24,8 +24,8 @@
 const Source = "discovery"
 
 const (
-	mostList = 8 << 20               // bytes of a list
-	breather = 50 * time.Millisecond // calls of a watch begin so long apart; a gap of 200 ms would end it
+	maxListBytes    = 8 << 20               // bytes of a list
+	minCallInterval = 50 * time.Millisecond // calls of a watch begin so long apart; a gap of 200 ms would end it
 )
 
 // MembershipSink is told what discovery tells.
@@ -35,50 +35,50 @@
 
 // Follower asks discovery. It implements core.Lister.
 type Follower struct {
-	ctx     context.Context
-	pace    CallSchedule
-	lists   MembershipSink
-	carrier engine.Transport
-	log     logrus.FieldLogger
+	ctx       context.Context
+	schedule  CallSchedule
+	sink      MembershipSink
+	transport engine.Transport
+	log       logrus.FieldLogger
 
-	heard chan struct{} // closed once a service has answered
-	first sync.Once
+	answered   chan struct{} // closed once a service has answered
+	answerOnce sync.Once
 
-	mu sync.Mutex
-	at *service
+	mu      sync.Mutex
+	current *service
 }
 
 // service is one discovery service while it is followed. Its versions mean
 // nothing to the next one. What is not constant is under the follower's lock.
 type service struct {
-	ctx  context.Context // ends with the follower, or when another is followed
-	end  context.CancelFunc
-	base url.URL
-	wire *http.Transport
+	ctx       context.Context // ends with the follower, or when another is followed
+	cancel    context.CancelFunc
+	base      url.URL
+	transport *http.Transport
 
-	generation int64
-	known      bool               // generation is this service's own
-	stop       context.CancelFunc // of the watch, from its begin through all failures on; nil: none is wanted
-	failures   int                // calls failed in a row
+	generation    int64
+	hasGeneration bool               // generation is this service's own
+	stopWatch     context.CancelFunc // of the watch, from its begin through all failures on; nil: none is wanted
+	failures      int                // calls failed in a row
 }
 
 // New returns a follower of the discovery service at addr, which is called at a pace.
 // Calls end with ctx.
 func New(ctx context.Context, addr string, pace CallSchedule, lists MembershipSink, carrier engine.Transport, log logrus.FieldLogger) *Follower {
-	f := &Follower{ctx: ctx, pace: pace, lists: lists, carrier: carrier, log: log, heard: make(chan struct{})}
-	f.at = f.service(addr)
+	f := &Follower{ctx: ctx, schedule: pace, sink: lists, transport: carrier, log: log, answered: make(chan struct{})}
+	f.current = f.newService(addr)
 	return f
 }
 
-func (f *Follower) service(addr string) *service {
+func (f *Follower) newService(addr string) *service {
 	// The transport lets a dial go on whose call was given up, since the next call
 	// may use what comes up late. Those that never come up must not heap up.
-	dialer := &net.Dialer{Timeout: f.pace.By}
+	dialer := &net.Dialer{Timeout: f.schedule.MaxCallInterval}
 	s := &service{
-		base: url.URL{Scheme: "http", Host: addr, Path: "/registry/instances"},
-		wire: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true},
+		base:      url.URL{Scheme: "http", Host: addr, Path: "/registry/instances"},
+		transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true},
 	}
-	s.ctx, s.end = context.WithCancel(f.ctx)
+	s.ctx, s.cancel = context.WithCancel(f.ctx)
 	return s
 }
 
@@ -86,8 +86,8 @@
 func (f *Follower) Restore(l settings.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.at.generation, f.at.known = l.Generation, true
-	f.lists.UpdateMembers(Source, policy.ListRestored, f.members(l))
+	f.current.generation, f.current.hasGeneration = l.Generation, true
+	f.sink.UpdateMembers(Source, policy.ListRestored, f.members(l))
 }
 
 // SwitchTo follows the service at another address from here on and asks it for its
@@ -97,14 +97,14 @@
 func (f *Follower) SwitchTo(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old := f.at
+	old := f.current
 	if old.base.Host == addr {
 		return
 	}
-	old.end()
-	old.wire.CloseIdleConnections()
-	f.at = f.service(addr)
-	f.begin(f.at)
+	old.cancel()
+	old.transport.CloseIdleConnections()
+	f.current = f.newService(addr)
+	f.startWatch(f.current)
 }
 
 // KeepWatching follows a list that is pushed to an agent on this machine rather than
@@ -117,9 +117,9 @@
 func (f *Follower) KeepWatching() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.at.stop == nil {
-		f.at.known = false
-		f.begin(f.at)
+	if f.current.stopWatch == nil {
+		f.current.hasGeneration = false
+		f.startWatch(f.current)
 	}
 }
 
@@ -130,7 +130,7 @@
 	ctx, cancel := context.WithDeadline(f.ctx, until)
 	defer cancel()
 	select {
-	case <-f.heard:
+	case <-f.answered:
 		return true
 	case <-ctx.Done():
 		return false
@@ -142,35 +142,35 @@
 func (f *Follower) Watch(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	switch s := f.at; {
-	case on && s.stop == nil:
-		f.begin(s)
-	case !on && s.stop != nil:
-		s.stop()
-		s.stop = nil
+	switch s := f.current; {
+	case on && s.stopWatch == nil:
+		f.startWatch(s)
+	case !on && s.stopWatch != nil:
+		s.stopWatch()
+		s.stopWatch = nil
 	}
 }
 
-// begin starts a watch. The caller holds the lock.
-func (f *Follower) begin(s *service) {
+// startWatch starts a watch. The caller holds the lock.
+func (f *Follower) startWatch(s *service) {
 	ctx, stop := context.WithCancel(s.ctx)
-	s.stop = stop
+	s.stopWatch = stop
 	go f.watch(ctx, s)
 }
 
 // Fetch implements core.Lister.
 func (f *Follower) Fetch() {
 	f.mu.Lock()
-	s := f.at
+	s := f.current
 	f.mu.Unlock()
 	go func() {
-		_, until := f.pace.Call(time.Now(), false, false)
+		_, until := f.schedule.Timeouts(time.Now(), false, false)
 		l, err := s.call(s.ctx, nil, until)
 		if err != nil {
-			f.failed(s.ctx, s, err)
+			f.recordFailure(s.ctx, s, err)
 			return
 		}
-		f.tell(s.ctx, s, l, policy.ListSnapshot, true)
+		f.deliver(s.ctx, s, l, policy.ListSnapshot, true)
 	}()
 }
 
@@ -181,8 +181,8 @@
 func (f *Follower) watch(ctx context.Context, s *service) {
 	for goesOn := false; ctx.Err() == nil; {
 		began, query := time.Now(), url.Values(nil)
-		generation, known := f.seen(s)
-		wait, until := f.pace.Call(began, known, goesOn)
+		generation, known := f.generation(s)
+		wait, until := f.schedule.Timeouts(began, known, goesOn)
 		kind := policy.ListSnapshot
 		if known {
 			kind = policy.ListDelta
@@ -191,15 +191,15 @@
 			}
 		}
 		l, err := s.call(ctx, query, until)
-		next := began.Add(breather)
+		next := began.Add(minCallInterval)
 		if err != nil {
-			next = f.pace.Again(began, time.Now(), f.failed(ctx, s, err), rand.Float64())
+			next = f.schedule.NextCall(began, time.Now(), f.recordFailure(ctx, s, err), rand.Float64())
 		} else {
 			if l.Whole {
 				kind = policy.ListSnapshot
 			}
 			quiet := goesOn && kind == policy.ListDelta && len(l.Entries) == 0
-			f.tell(ctx, s, l, kind, !quiet)
+			f.deliver(ctx, s, l, kind, !quiet)
 			if !goesOn { // a watch ends the sooner the later it goes on
 				next = began
 			}
@@ -214,10 +214,10 @@
 	}
 }
 
-// failed tells the module of a failed call, and returns how many have failed in a row.
+// recordFailure tells the module of a failed call, and returns how many have failed in a row.
 // The log has it once for a run of failures. A call that was ended, with its watch or
 // with its service, has not failed.
-func (f *Follower) failed(ctx context.Context, s *service, err error) int {
+func (f *Follower) recordFailure(ctx context.Context, s *service, err error) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
@@ -226,14 +226,14 @@
 	if s.failures++; s.failures == 1 {
 		f.log.WithError(err).Warn("a call to discovery failed")
 	}
-	f.lists.UpdateMembers(Source, policy.ListFailed, nil)
+	f.sink.UpdateMembers(Source, policy.ListFailed, nil)
 	return s.failures
 }
 
-// tell passes on what a service answered, unless the call was ended meanwhile: a list
+// deliver passes on what a service answered, unless the call was ended meanwhile: a list
 // of a service that was left, under way then, must not undo what the new one has told.
 // The module hears of one without news only where it may have heard of a failure.
-func (f *Follower) tell(ctx context.Context, s *service, l settings.List, kind policy.ListKind, news bool) {
+func (f *Follower) deliver(ctx context.Context, s *service, l settings.List, kind policy.ListKind, news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if ctx.Err() != nil {
@@ -244,18 +244,18 @@
 	}
 	// News up to a version older than the one that they follow are of another life of
 	// the service: what came before them is not known.
-	s.known = kind == policy.ListSnapshot || l.Generation >= s.generation
+	s.hasGeneration = kind == policy.ListSnapshot || l.Generation >= s.generation
 	s.generation, s.failures = l.Generation, 0
 	if news {
-		f.lists.UpdateMembers(Source, kind, f.members(l))
+		f.sink.UpdateMembers(Source, kind, f.members(l))
 	}
-	f.first.Do(func() { close(f.heard) })
+	f.answerOnce.Do(func() { close(f.answered) })
 }
 
-func (f *Follower) seen(s *service) (int64, bool) {
+func (f *Follower) generation(s *service) (int64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return s.generation, s.known
+	return s.generation, s.hasGeneration
 }
 
 // call asks discovery. A malformed answer is a failed call: it changes nothing.
@@ -268,12 +268,12 @@
 	if err != nil {
 		return settings.List{}, fmt.Errorf("asking discovery: %w", err)
 	}
-	resp, err := s.wire.RoundTrip(req)
+	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
 		return settings.List{}, fmt.Errorf("asking discovery: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return settings.List{}, fmt.Errorf("reading discovery's answer: %w", err)
 	}
@@ -292,7 +292,7 @@
 		}
 		members = append(members, &engine.Member{
 			ID: e.ID, Addr: e.Addr, Kind: e.Kind, Zone: e.Zone, Cell: e.Cell, State: e.State, Weight: e.Weight,
-			Started: e.Started, Transport: f.carrier, Group: group,
+			Started: e.Started, Transport: f.transport, Group: group,
 		})
 	}
 	return members
--- a/internal/dispatcher/discovery/pool_test.go
+++ b/internal/dispatcher/discovery/pool_test.go
@@ -96,7 +96,7 @@
 // watch: what the module asks while a failed call is yet to be made anew changes nothing.
 func TestAskedListsWaitForTheModule(t *testing.T) {
 	pace := SharedServiceSchedule(few, every)
-	pace.Least, pace.Most, pace.By = 10*time.Hour, 10*time.Hour, 10*time.Hour
+	pace.MinBackoff, pace.MaxBackoff, pace.MaxCallInterval = 10*time.Hour, 10*time.Hour, 10*time.Hour
 	addr, open := scenario.Listen(t)
 	h := &heard{}
 	f := New(t.Context(), addr, pace, h, nil, logrus.New())
@@ -247,7 +247,7 @@
 		defer c.Close()
 	}
 	pace := LocalAgentSchedule()
-	pace.Most = pace.Least
+	pace.MaxBackoff = pace.MinBackoff
 	h := &heard{}
 	f := New(t.Context(), addr, pace, h, nil, logrus.New())
 	f.KeepWatching()
@@ -256,7 +256,7 @@
 	require.NoError(t, err)
 	dials := strings.Count(string(text), fmt.Sprintf(" 0100007F:%04X 02 ", port))
 	require.Positive(t, dials)
-	require.LessOrEqual(t, dials, int(pace.By/pace.Reply)+1)
+	require.LessOrEqual(t, dials, int(pace.MaxCallInterval/pace.ReplyTimeout)+1)
 }
 
 // TestSilentWatchIsRenewed: a watch that goes on and falls silent is given up and begun
@@ -315,7 +315,7 @@
 		gap := at[n+2].Sub(at[n+1])
 		least = min(least, gap)
 	}
-	require.GreaterOrEqual(t, at[len(at)-1].Sub(began), 4*breather)
+	require.GreaterOrEqual(t, at[len(at)-1].Sub(began), 4*minCallInterval)
 	require.Less(t, least, 200*time.Millisecond) // the least, since any one may meet with a busy machine
 	require.Equal(t, []string{"restored", "change", "whole s-1=ready", "whole"}, h.told())
 }
--- a/internal/dispatcher/httpfront/ahead.go
+++ b/internal/dispatcher/httpfront/ahead.go
@@ -8,49 +8,49 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// mostAhead is how much may lie unread behind a request that is served: one whole
+// maxReadAhead is how much may lie unread behind a request that is served: one whole
 // request, for a client that sends its next at the last byte of its answer. Who
 // sends more sends several at a time, which the protocol does not have.
 // And so much may lie unread of all connections, to stay within the memory.
 const (
-	mostAhead      = mostHeader + pipeline.MaxBody
-	mostAheadOfAll = 4 << 20
+	maxReadAhead      = maxHeaderBytes + pipeline.MaxBody
+	maxTotalReadAhead = 4 << 20
 )
 
-// ahead is what is read of a connection while a request on it is served. net/http
+// readAhead is what is read of a connection while a request on it is served. net/http
 // reads one byte then, to notice a client that leaves; with that byte it stops, and
 // a close behind it goes unseen until all requests before it have been begun. From
 // that byte on the connection is read on here.
-type ahead struct {
-	unread  []byte
-	reading chan struct{}      // closed once nobody reads ahead; nil: nobody does
-	over    error              // how reading ended: the client has gone, or sent too much
-	left    bool               // the client has gone
-	leave   context.CancelFunc // ends the request that is served; nil: none is
+type readAhead struct {
+	unread        []byte
+	done          chan struct{}      // closed once nobody reads ahead; nil: nobody does
+	readErr       error              // how reading ended: the client has gone, or sent too much
+	clientLeft    bool               // the client has gone
+	cancelRequest context.CancelFunc // ends the request that is served; nil: none is
 }
 
-// errFlood ends a connection on which more came than one request ahead.
-var errFlood = errors.New("requests sent without waiting for an answer")
+// errTooMuchAhead ends a connection on which more came than one request ahead.
+var errTooMuchAhead = errors.New("requests sent without waiting for an answer")
 
-// attend begins to serve a request, whose context leave ends, or with nil ends to.
+// watchClient begins to serve a request, whose context leave ends, or with nil ends to.
 // It reports whether the client is still there.
-func (c *limitedConn) attend(leave context.CancelFunc) bool {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	c.leave = leave
-	return !c.left
+func (c *limitedConn) watchClient(leave context.CancelFunc) bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.cancelRequest = leave
+	return !c.clientLeft
 }
 
-// readAhead reads on from a byte that came early until stop, or until the client
+// startReadAhead reads on from a byte that came early until stop, or until the client
 // goes. The lock is held.
-func (c *limitedConn) readAhead() {
-	if c.reading == nil && c.over == nil && !c.gone {
-		c.reading = make(chan struct{})
-		go c.follow(c.reading)
+func (c *limitedConn) startReadAhead() {
+	if c.done == nil && c.readErr == nil && !c.closed {
+		c.done = make(chan struct{})
+		go c.readAheadLoop(c.done)
 	}
 }
 
-func (c *limitedConn) follow(done chan struct{}) {
+func (c *limitedConn) readAheadLoop(done chan struct{}) {
 	defer close(done)
 	for part := make([]byte, 4<<10); ; {
 		n, err := c.Conn.Read(part)
@@ -58,69 +58,69 @@
 		if stopped {
 			err = nil
 		}
-		if more := c.came(part[:n], err); !more || stopped {
+		if more := c.addReadAhead(part[:n], err); !more || stopped {
 			return
 		}
 	}
 }
 
-// came takes in what was read ahead, and reports whether more may come. Of what is
+// addReadAhead takes in what was read ahead, and reports whether more may come. Of what is
 // too much nothing is kept, but the end behind it is still looked for.
-func (c *limitedConn) came(b []byte, err error) bool {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	if len(c.unread)+len(b) > mostAhead || c.of.unread+len(b) > mostAheadOfAll {
-		c.over = errFlood
-		c.spend(len(c.unread))
+func (c *limitedConn) addReadAhead(b []byte, err error) bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if len(c.unread)+len(b) > maxReadAhead || c.listener.readAheadBytes+len(b) > maxTotalReadAhead {
+		c.readErr = errTooMuchAhead
+		c.dropReadAhead(len(c.unread))
 	}
-	if c.over == nil && !c.gone {
+	if c.readErr == nil && !c.closed {
 		c.unread = append(c.unread, b...)
-		c.of.unread += len(b)
+		c.listener.readAheadBytes += len(b)
 	}
 	if err == nil {
 		return true
 	}
-	if c.over == nil {
-		c.over = err
+	if c.readErr == nil {
+		c.readErr = err
 	}
-	if c.left = true; c.leave != nil {
-		c.leave()
+	if c.clientLeft = true; c.cancelRequest != nil {
+		c.cancelRequest()
 	}
 	return false
 }
 
-// stop ends reading ahead: net/http reads again.
-func (c *limitedConn) stop() {
-	c.of.mu.Lock()
-	done := c.reading
+// stopReadAhead ends reading ahead: net/http reads again.
+func (c *limitedConn) stopReadAhead() {
+	c.listener.mu.Lock()
+	done := c.done
 	if done != nil {
-		c.Conn.SetReadDeadline(atOnce)
+		c.Conn.SetReadDeadline(pastDeadline)
 	}
-	c.of.mu.Unlock()
+	c.listener.mu.Unlock()
 	if done == nil {
 		return
 	}
 	<-done
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	c.reading = nil
-	c.until(c.asked)
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.done = nil
+	c.until(c.readDeadline)
 }
 
-// taken gives out what was read ahead, and then how reading ended. It reports
+// takeReadAhead gives out what was read ahead, and then how reading ended. It reports
 // whether there was either. The lock is held.
-func (c *limitedConn) taken(b []byte) (n int, err error, any bool) {
+func (c *limitedConn) takeReadAhead(b []byte) (n int, err error, any bool) {
 	if len(c.unread) == 0 {
-		return 0, c.over, c.over != nil
+		return 0, c.readErr, c.readErr != nil
 	}
 	n = copy(b, c.unread)
-	c.spend(n)
+	c.dropReadAhead(n)
 	return n, nil, true
 }
 
-// spend takes off what was read ahead. The lock is held.
-func (c *limitedConn) spend(n int) {
-	c.of.unread -= n
+// dropReadAhead takes off what was read ahead. The lock is held.
+func (c *limitedConn) dropReadAhead(n int) {
+	c.listener.readAheadBytes -= n
 	if c.unread = c.unread[n:]; len(c.unread) == 0 {
 		c.unread = nil
 	}
--- a/internal/dispatcher/httpfront/ahead_test.go
+++ b/internal/dispatcher/httpfront/ahead_test.go
@@ -15,10 +15,10 @@
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
 	l := newLimited(nil, 2)
-	c, left = &limitedConn{Conn: near, of: l, since: time.Now()}, make(chan bool, 9)
+	c, left = &limitedConn{Conn: near, listener: l, since: time.Now()}, make(chan bool, 9)
 	l.enter(c)
 	require.True(t, c.serve(true))
-	require.True(t, c.attend(func() { left <- true }))
+	require.True(t, c.watchClient(func() { left <- true }))
 	return c, far, left
 }
 
@@ -38,8 +38,8 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
 	<-left
-	c.attend(nil)
-	require.False(t, c.attend(nil), "nothing begins for a client that has gone")
+	c.watchClient(nil)
+	require.False(t, c.watchClient(nil), "nothing begins for a client that has gone")
 	rest, err := io.ReadAll(c)
 	require.NoError(t, err)
 	require.Equal(t, sent, string(first)+string(rest))
@@ -53,7 +53,7 @@
 	b := make([]byte, 1)
 	_, err := c.Read(b)
 	require.NoError(t, err)
-	c.attend(nil)
+	c.watchClient(nil)
 	got := string(b)
 	part := make([]byte, 4)
 	for len(got) < 3 {
@@ -68,7 +68,7 @@
 		got += string(part[:n])
 	}
 	require.Equal(t, "abcdef", got)
-	require.Nil(t, c.reading)
+	require.Nil(t, c.done)
 	require.Empty(t, left)
 }
 
@@ -77,17 +77,17 @@
 func TestReadAheadIsBounded(t *testing.T) {
 	c, far, left := served(t)
 	go c.Read(make([]byte, 1))
-	_, err := far.Write(make([]byte, mostAhead+2))
+	_, err := far.Write(make([]byte, maxReadAhead+2))
 	require.NoError(t, err)
-	_, err = far.Write(make([]byte, mostAhead))
+	_, err = far.Write(make([]byte, maxReadAhead))
 	require.NoError(t, err)
 	require.Empty(t, left)
 	far.Close()
 	<-left
-	c.attend(nil)
+	c.watchClient(nil)
 	require.Empty(t, c.unread)
 	_, err = c.Read(make([]byte, 4))
-	require.ErrorIs(t, err, errFlood)
+	require.ErrorIs(t, err, errTooMuchAhead)
 }
 
 // TestReadAheadOfAll: what lies unread of all connections is bounded, and given back
@@ -99,25 +99,25 @@
 	require.NoError(t, err)
 	_, err = far.Write([]byte("x")) // taken once what came before is kept
 	require.NoError(t, err)
-	c.stop()
-	require.Equal(t, 11, c.of.unread)
+	c.stopReadAhead()
+	require.Equal(t, 11, c.listener.readAheadBytes)
 	_, err = c.Read(make([]byte, 4))
 	require.NoError(t, err)
-	require.Equal(t, 7, c.of.unread)
-	c.of.unread += mostAheadOfAll - 8
-	require.True(t, c.came([]byte("y"), nil))
+	require.Equal(t, 7, c.listener.readAheadBytes)
+	c.listener.readAheadBytes += maxTotalReadAhead - 8
+	require.True(t, c.addReadAhead([]byte("y"), nil))
 	require.Equal(t, 8, len(c.unread))
-	require.True(t, c.came([]byte("z"), nil))
-	require.Equal(t, mostAheadOfAll-8, c.of.unread, "its own is given back")
+	require.True(t, c.addReadAhead([]byte("z"), nil))
+	require.Equal(t, maxTotalReadAhead-8, c.listener.readAheadBytes, "its own is given back")
 	_, err = c.Read(make([]byte, 4))
-	require.ErrorIs(t, err, errFlood)
+	require.ErrorIs(t, err, errTooMuchAhead)
 
-	other := &limitedConn{Conn: far, of: c.of, since: time.Now()}
-	c.of.enter(other)
-	require.True(t, other.came([]byte("12345678"), nil))
-	require.Equal(t, mostAheadOfAll, c.of.unread)
+	other := &limitedConn{Conn: far, listener: c.listener, since: time.Now()}
+	c.listener.enter(other)
+	require.True(t, other.addReadAhead([]byte("12345678"), nil))
+	require.Equal(t, maxTotalReadAhead, c.listener.readAheadBytes)
 	other.Close()
-	require.Equal(t, mostAheadOfAll-8, c.of.unread)
+	require.Equal(t, maxTotalReadAhead-8, c.listener.readAheadBytes)
 }
 
 // TestServedIsNotClosed: net/http takes a connection for idle, a request comes on it,
@@ -130,10 +130,10 @@
 	_, err := io.ReadFull(far, b)
 	require.NoError(t, err)
 	require.Equal(t, "answer", string(b))
-	c.attend(nil)
-	require.Equal(t, 1, c.of.holds())
+	c.watchClient(nil)
+	require.Equal(t, 1, c.listener.holds())
 	require.NoError(t, c.Close())
-	require.Equal(t, 0, c.of.holds())
+	require.Equal(t, 0, c.listener.holds())
 	_, err = far.Read(b)
 	require.ErrorIs(t, err, io.EOF)
 }
--- a/internal/dispatcher/httpfront/bodies_test.go
+++ b/internal/dispatcher/httpfront/bodies_test.go
@@ -23,9 +23,9 @@
 func TestRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 64 << 10
-		r := room{most: rapid.Int64Range(1, 3*most).Draw(t, "room")}
-		before := rapid.IntRange(0, int(r.most)).Draw(t, "taken before")
-		require.True(t, r.take(before))
+		r := bodyMemory{max: rapid.Int64Range(1, 3*most).Draw(t, "room")}
+		before := rapid.IntRange(0, int(r.max)).Draw(t, "taken before")
+		require.True(t, r.reserve(before))
 		text := bytes.Repeat([]byte("x"), rapid.IntRange(0, most+100).Draw(t, "bytes"))
 		size := int64(len(text))
 		if rapid.Bool().Draw(t, "in chunks") {
@@ -38,21 +38,21 @@
 			from = io.MultiReader(bytes.NewReader(text[:come]), failing{broken})
 		}
 		body, ok, err := r.read(from, size, most)
-		require.LessOrEqual(t, r.taken.Load(), r.most)
-		require.Equal(t, int64(before+cap(body)), r.taken.Load())
-		require.LessOrEqual(t, cap(body), max(firstPart, 2*come+2))
+		require.LessOrEqual(t, r.used.Load(), r.max)
+		require.Equal(t, int64(before+cap(body)), r.used.Load())
+		require.LessOrEqual(t, cap(body), max(initialBodyBuffer, 2*come+2))
 		switch {
 		case !ok:
-			require.Greater(t, int64(before)+max(firstPart, 2*int64(cap(body))), r.most)
+			require.Greater(t, int64(before)+max(initialBodyBuffer, 2*int64(cap(body))), r.max)
 		case come < len(text) && come <= most:
 			require.ErrorIs(t, err, broken)
 		default:
 			require.NoError(t, err)
 			require.Len(t, body, min(len(text), most+1))
 		}
-		r.give(cap(body))
-		r.give(before)
-		require.Zero(t, r.taken.Load())
+		r.release(cap(body))
+		r.release(before)
+		require.Zero(t, r.used.Load())
 	})
 }
 
@@ -72,11 +72,11 @@
 	defer s.server.Close()
 	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{
 		"fill": func(...string) string {
-			require.True(t, s.jobs.take(64<<10))
-			require.True(t, s.told.take(32<<10))
+			require.True(t, s.jobBodies.reserve(64<<10))
+			require.True(t, s.updateBodies.reserve(32<<10))
 			return ""
 		},
-		"free": func(...string) string { s.told.give(32 << 10); return "" },
+		"free": func(...string) string { s.updateBodies.release(32 << 10); return "" },
 		"big":  func(...string) string { return strings.Repeat("x", 60000) },
 	}, `
 		c.1 send @fill()POST /send-notice HTTP/1.1\r\nHost: a\r\nContent-Length: 60000\r\n\r\n@big()
@@ -88,8 +88,8 @@
 		c.2 wait
 		c.3 send @free()POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: 44\r\n\r\n{"id":"h-1","from":"s-r1","state":"started"}
 		c.3 expect ^HTTP/1.1 204`)
-	require.Equal(t, int64(64<<10), s.jobs.taken.Load())
-	require.Eventually(t, func() bool { return s.told.taken.Load() == 0 }, 10*time.Second, time.Millisecond)
+	require.Equal(t, int64(64<<10), s.jobBodies.used.Load())
+	require.Eventually(t, func() bool { return s.updateBodies.used.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 // hears is a hub to which call-backs are told.
--- a/internal/dispatcher/httpfront/jobs.go
+++ b/internal/dispatcher/httpfront/jobs.go
@@ -17,77 +17,77 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// job passes a client's job to the reverse proxy, whose transport is the core.
-func (s *Server) job(w http.ResponseWriter, r *http.Request) {
+// serveJob passes a client's job to the reverse proxy, whose transport is the core.
+func (s *Server) serveJob(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
-		refuse(w, http.StatusMethodNotAllowed, "jobs are submitted with POST")
+		rejectInput(w, http.StatusMethodNotAllowed, "jobs are submitted with POST")
 		return
 	}
 	http.NewResponseController(w).SetWriteDeadline(time.Time{}) // set anew once there is an answer
 	s.proxy.ServeHTTP(w, r)
 }
 
-// transactions is the reverse proxy's transport: a round trip is a
+// engineRoundTripper is the reverse proxy's transport: a round trip is a
 // transaction in the core, from taking it in to its one final answer.
-type transactions struct{ s *Server }
+type engineRoundTripper struct{ s *Server }
 
-// client waits for the answer of one transaction.
-type client struct {
-	desk   *accounting.FrontCounters
-	answer chan engine.Answer // has room for the one answer
-	ctx    context.Context    // of its request, which ends as the client leaves
-	left   atomic.Bool        // the desk was told
+// waitingClient waits for the answer of one transaction.
+type waitingClient struct {
+	counters *accounting.FrontCounters
+	answer   chan engine.Answer // has room for the one answer
+	ctx      context.Context    // of its request, which ends as the client leaves
+	counted  atomic.Bool        // the desk was told
 }
 
 // Gone implements core.Leaver.
-func (c *client) Gone() bool {
+func (c *waitingClient) Gone() bool {
 	if c.ctx.Err() == nil {
 		return false
 	}
-	if c.left.CompareAndSwap(false, true) {
-		c.desk.ClientLeft()
+	if c.counted.CompareAndSwap(false, true) {
+		c.counters.ClientLeft()
 	}
 	return true
 }
 
 // Answer implements core.Client.
-func (c *client) Answer(a engine.Answer) {
-	c.desk.JobAnswered(a.Verdict.Outcome())
+func (c *waitingClient) Answer(a engine.Answer) {
+	c.counters.JobAnswered(a.Verdict.Outcome())
 	c.answer <- a
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t transactions) RoundTrip(r *http.Request) (*http.Response, error) {
-	whole, _ := r.Context().Value(requestKey{}).(request)
+func (t engineRoundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
+	whole, _ := r.Context().Value(requestKey{}).(wholeRequest)
 	arrived, body := whole.arrived, whole.body
-	arrival, err := read(r, arrived, body)
+	arrival, err := readSubmission(r, arrived, body)
 	if err != nil {
-		return reply(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
+		return newResponse(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
 	}
-	mine := &client{desk: &t.s.Counters, answer: make(chan engine.Answer, 1), ctx: r.Context()}
-	tx, err := t.s.intake.NewTransaction(arrival, arrived, mine)
+	mine := &waitingClient{counters: &t.s.Counters, answer: make(chan engine.Answer, 1), ctx: r.Context()}
+	tx, err := t.s.factory.NewTransaction(arrival, arrived, mine)
 	switch {
 	case errors.Is(err, pipeline.ErrUnknownClass):
-		return reply(r, http.StatusNotFound, []byte(err.Error()+"\n")), nil
+		return newResponse(r, http.StatusNotFound, []byte(err.Error()+"\n")), nil
 	case err != nil:
-		return reply(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
+		return newResponse(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
 	}
 	t.s.Counters.JobStarted()
-	t.s.hub.Submit(tx)
+	t.s.engine.Submit(tx)
 	t.s.Counters.JobSubmitted()
 	select {
 	case a := <-mine.answer:
-		return respond(r, a), nil
+		return writeAnswer(r, a), nil
 	case <-r.Context().Done():
 		mine.Gone()
-		t.s.hub.ClientLeft(tx)
+		t.s.engine.ClientLeft(tx)
 		return nil, r.Context().Err()
 	}
 }
 
-// read takes the platform's headers apart. A budget runs from the sending of
+// readSubmission takes the platform's headers apart. A budget runs from the sending of
 // the request, of which its arrival is the nearest that is known.
-func read(r *http.Request, arrived time.Time, body []byte) (pipeline.Submission, error) {
+func readSubmission(r *http.Request, arrived time.Time, body []byte) (pipeline.Submission, error) {
 	h := r.Header
 	a := pipeline.Submission{
 		ID: h.Get("X-Call-Id"), Class: h.Get("X-Call-Class"), Tenant: h.Get("X-Caller"), Target: r.URL.RequestURI(), Front: Front,
@@ -113,11 +113,11 @@
 		}
 		a.Hint = time.Duration(cost * float64(time.Microsecond))
 	}
-	return a, info(&a, h.Get("X-Call-Info"))
+	return a, readCallInfo(&a, h.Get("X-Call-Info"))
 }
 
-// info reads X-Call-Info, name=value,name=value; names not known are skipped.
-func info(a *pipeline.Submission, text string) error {
+// readCallInfo reads X-Call-Info, name=value,name=value; names not known are skipped.
+func readCallInfo(a *pipeline.Submission, text string) error {
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		into := map[string]*float64{"slots": &a.Slots, "width": &a.Slots, "memory": &a.Memory, "mem": &a.Memory}[name]
@@ -133,25 +133,25 @@
 	return nil
 }
 
-// respond writes a final answer in the platform's form.
-func respond(r *http.Request, a engine.Answer) *http.Response {
+// writeAnswer writes a final answer in the platform's form.
+func writeAnswer(r *http.Request, a engine.Answer) *http.Response {
 	switch a.Verdict {
 	case engine.Served:
-		return reply(r, http.StatusOK, a.Body)
+		return newResponse(r, http.StatusOK, a.Body)
 	case engine.Refused:
-		resp := reply(r, http.StatusServiceUnavailable, nil)
+		resp := newResponse(r, http.StatusServiceUnavailable, nil)
 		if !a.RetryAt.IsZero() {
 			wait := max(0, time.Until(a.RetryAt))
 			resp.Header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		}
 		return resp
 	case engine.Denied:
-		return reply(r, http.StatusBadRequest, a.Body)
+		return newResponse(r, http.StatusBadRequest, a.Body)
 	}
-	return reply(r, http.StatusBadGateway, nil)
+	return newResponse(r, http.StatusBadGateway, nil)
 }
 
-func reply(r *http.Request, status int, body []byte) *http.Response {
+func newResponse(r *http.Request, status int, body []byte) *http.Response {
 	return &http.Response{
 		StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Request: r, Header: make(http.Header),
 		Body: io.NopCloser(bytes.NewReader(body)), ContentLength: int64(len(body)),
--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/joined_test.go
@@ -15,13 +15,13 @@
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	require.True(t, c.serve(true))
-	require.True(t, c.attend(func() {}))
+	require.True(t, c.watchClient(func() {}))
 	_, err := far.Write([]byte("a"))
 	require.NoError(t, err)
 	b := make([]byte, 1)
 	_, err = c.Read(b)
 	require.NoError(t, err)
-	c.attend(nil)
+	c.watchClient(nil)
 	l.state(c, http.StateIdle)
 	require.True(t, waits(c)(), "somebody reads ahead")
 	_, err = far.Write([]byte("bcd"))
@@ -45,7 +45,7 @@
 	victim, _ := l.look(time.Minute)
 	require.Same(t, c, victim)
 	require.NoError(t, c.Close())
-	require.Zero(t, l.unread)
+	require.Zero(t, l.readAheadBytes)
 }
 
 // TestPartCrossesBytes: resting connections end as a request lies unread in the system:
@@ -54,20 +54,20 @@
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	l.mu.Lock()
-	c.move(&l.kept)
+	c.move(&l.idleUsed)
 	l.mu.Unlock()
 	ended := make(chan error, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 4))
 		ended <- err
 	}()
-	l.part()
+	l.closeIdle()
 	require.ErrorIs(t, <-ended, os.ErrDeadlineExceeded)
 	_, err := far.Write([]byte("POST"))
 	require.NoError(t, err)
 	require.Eventually(t, waits(c), 10*time.Second, time.Millisecond)
 	l.mu.Lock()
-	c.move(&l.kept)
+	c.move(&l.idleUsed)
 	l.mu.Unlock()
 	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http sets it for the next request")
 	var got []byte
@@ -78,7 +78,7 @@
 		return string(got) == "POST"
 	}, 10*time.Second, time.Millisecond)
 	l.mu.Lock()
-	require.Same(t, &l.fresh, c.in, "its request has begun")
+	require.Same(t, &l.fresh, c.class, "its request has begun")
 	l.mu.Unlock()
 }
 
@@ -93,8 +93,8 @@
 	_, err = c.Read(make([]byte, 1))
 	require.NoError(t, err)
 	l.state(c, http.StateIdle)
-	l.cut()
-	c.stop()
+	l.closePartial()
+	c.stopReadAhead()
 	_, err = c.Conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
@@ -106,9 +106,9 @@
 	c, _ := arrive(t, l)
 	_, err := c.Write([]byte("answer"))
 	require.NoError(t, err)
-	require.True(t, c.short)
+	require.True(t, c.answeredEarly)
 	l.state(c, http.StateIdle)
-	require.False(t, c.short)
+	require.False(t, c.answeredEarly)
 }
 
 // TestServedIsNotCut: the end of halves comes as a request has become whole, and the look
@@ -116,7 +116,7 @@
 func TestServedIsNotCut(t *testing.T) {
 	l := listening(t, 1)
 	c, far := arrive(t, l)
-	l.cut()
+	l.closePartial()
 	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http does before it looks")
 	require.True(t, c.serve(true))
 	looked := make(chan error, 1)
@@ -143,7 +143,7 @@
 			l := listening(t, 1)
 			c, far := arrive(t, l)
 			if before {
-				l.cut()
+				l.closePartial()
 			}
 			looked := make(chan error, 1)
 			go func() {
@@ -153,10 +153,10 @@
 			require.Eventually(t, func() bool {
 				l.mu.Lock()
 				defer l.mu.Unlock()
-				return c.looks
+				return c.backgroundRead
 			}, 10*time.Second, time.Millisecond)
 			if !before {
-				l.cut()
+				l.closePartial()
 			}
 			require.True(t, c.serve(true))
 			require.NoError(t, c.SetReadDeadline(time.Time{}))
--- a/internal/dispatcher/httpfront/limited.go
+++ b/internal/dispatcher/httpfront/limited.go
@@ -14,89 +14,89 @@
 )
 
 const (
-	// silence is how long a new connection may say nothing before it may be closed
+	// freshGrace is how long a new connection may say nothing before it may be closed
 	// for another's sake. A usual client sends at once. What it sent and nobody has
 	// read yet, on a busy machine, is seen before the close.
-	silence = 100 * time.Millisecond
-	// patience is how long one that has begun a request is left to send the rest.
-	patience = 250 * time.Millisecond
-	// soon is when to look again where all that could be spared have bytes waiting.
-	soon = 5 * time.Millisecond
+	freshGrace = 100 * time.Millisecond
+	// partialRequestGrace is how long one that has begun a request is left to send the rest.
+	partialRequestGrace = 250 * time.Millisecond
+	// evictionRetry is when to look again where all that could be spared have bytes waiting.
+	evictionRetry = 5 * time.Millisecond
 )
 
-// limited is a listener that holds so many connections at a time, to stay
+// limitedListener is a listener that holds so many connections at a time, to stay
 // within the descriptors. When all are taken it closes one that can best be
 // spared, so that clients that only connect, or only stay, shut out neither
 // those with jobs nor the call-backs that end jobs. It never closes one whose
 // request is being served.
-type limited struct {
+type limitedListener struct {
 	net.Listener
-	most   int
-	done   chan struct{}
-	closed sync.Once
-	change chan struct{} // something that enter waits for may have happened
-	// parting ends connections between requests, and cutting those with half a request.
-	parting *atomic.Bool
-	cutting atomic.Bool
-
-	mu     sync.Mutex
-	held   int
-	unread int // bytes read ahead on all connections
+	maxConns int
+	done     chan struct{}
+	closed   sync.Once
+	changed  chan struct{} // something that enter waits for may have happened
+	// closingIdle ends connections between requests, and cutting those with half a request.
+	closingIdle    *atomic.Bool
+	closingPartial atomic.Bool
+
+	mu             sync.Mutex
+	open           int
+	readAheadBytes int // bytes read ahead on all connections
 	// Each connection is in one of these, the longest there first, or in none
 	// while it is served.
-	fresh list.List // its request is not whole: silent, trickling or just come
-	spare list.List // idle, and it never carried a job or a call-back
-	kept  list.List // idle after one
+	fresh      list.List // its request is not whole: silent, trickling or just come
+	idleUnused list.List // idle, and it never carried a job or a call-back
+	idleUsed   list.List // idle after one
 }
 
 type limitedConn struct {
 	net.Conn
-	of    *limited
-	in    *list.List
-	at    *list.Element
-	since time.Time // it is fresh
-	heard bool      // since then
-	used  bool      // it carried a job or a call-back
-	gone  bool
-	// early: a byte of the next request came while one was served. net/http reads it
+	listener    *limitedListener
+	class       *list.List
+	element     *list.Element
+	since       time.Time // it is fresh
+	sentBytes   bool      // since then
+	carriedWork bool      // it carried a job or a call-back
+	closed      bool
+	// nextStarted: a byte of the next request came while one was served. net/http reads it
 	// then, to notice a client that leaves, and would wait for the rest as long as
 	// for a connection that is idle.
-	early bool
-	asked time.Time // the read deadline that net/http set
-	// short: its request was answered before it was whole, as bad input is: its rest
+	nextStarted  bool
+	readDeadline time.Time // the read deadline that net/http set
+	// answeredEarly: its request was answered before it was whole, as bad input is: its rest
 	// may be on its way.
-	short bool
-	// looks: net/http looks whether the client leaves, which it begins once a request is
+	answeredEarly bool
+	// backgroundRead: net/http looks whether the client leaves, which it begins once a request is
 	// whole and perhaps before serve hears of it.
-	looks  bool
-	raw    syscall.RawConn // nil: not a connection of the system's, but one that wraps it
-	peeked []byte          // read by waiting, for the next Read
-	ahead
+	backgroundRead bool
+	raw            syscall.RawConn // nil: not a connection of the system's, but one that wraps it
+	peeked         []byte          // read by waiting, for the next Read
+	readAhead
 }
 
-// atOnce is a read deadline that is over.
-var atOnce = time.Unix(1, 0)
+// pastDeadline is a read deadline that is over.
+var pastDeadline = time.Unix(1, 0)
 
-// lingering is how long the rest of a request that was answered already is read, so that
+// lingerTime is how long the rest of a request that was answered already is read, so that
 // no close over unread bytes resets the connection before the answer is read.
-const lingering = 500 * time.Millisecond
+const lingerTime = 500 * time.Millisecond
 
-// silentFor is how long a client that has begun a request, or only connected,
+// silentTimeout is how long a client that has begun a request, or only connected,
 // may send nothing. One that goes on sending, in pieces of any size, is read
 // until net/http's deadline for a header or a whole request.
-const silentFor = 2 * time.Second
+const silentTimeout = 2 * time.Second
 
-func newLimited(l net.Listener, most int) *limited {
-	return &limited{Listener: l, most: most, done: make(chan struct{}), change: make(chan struct{}, 1), parting: new(atomic.Bool)}
+func newLimited(l net.Listener, most int) *limitedListener {
+	return &limitedListener{Listener: l, maxConns: most, done: make(chan struct{}), changed: make(chan struct{}, 1), closingIdle: new(atomic.Bool)}
 }
 
 // Accept implements net.Listener.
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	lc := &limitedConn{Conn: c, of: l, since: time.Now()}
+	lc := &limitedConn{Conn: c, listener: l, since: time.Now()}
 	if s, ok := c.(*net.TCPConn); ok { // the Read of another that only embeds one must be called
 		if lc.raw, err = s.SyscallConn(); err != nil {
 			c.Close()
@@ -106,7 +106,7 @@
 	for until := l.enter(lc); !until.IsZero(); until = l.enter(lc) {
 		wake := time.NewTimer(time.Until(until))
 		select {
-		case <-l.change:
+		case <-l.changed:
 		case <-wake.C:
 		case <-l.done: // the client has been accepted, and may have sent its request
 			l.admit(lc)
@@ -119,13 +119,13 @@
 }
 
 // Close implements net.Listener.
-func (l *limited) Close() error {
+func (l *limitedListener) Close() error {
 	l.closed.Do(func() { close(l.done) })
 	return l.Listener.Close()
 }
 
-// over tells whether the listener has been closed.
-func (l *limited) over() bool {
+// isClosed tells whether the listener has been closed.
+func (l *limitedListener) isClosed() bool {
 	select {
 	case <-l.done:
 		return true
@@ -134,28 +134,28 @@
 	}
 }
 
-// part ends all connections between requests, now and from here on. Each is ended by
+// closeIdle ends all connections between requests, now and from here on. Each is ended by
 // whoever reads it, and only if nothing has come: what has been read is answered, and
 // what comes later stays unread, so that its client sends it again. Were they closed
 // from here, a request that is being read in that moment would be lost.
-func (l *limited) part() {
-	l.parting.Store(true)
-	l.expire(&l.spare, &l.kept)
+func (l *limitedListener) closeIdle() {
+	l.closingIdle.Store(true)
+	l.expire(&l.idleUnused, &l.idleUsed)
 }
 
-// cut ends, in the same way, all connections whose request is not whole.
-func (l *limited) cut() {
-	l.cutting.Store(true)
+// closePartial ends, in the same way, all connections whose request is not whole.
+func (l *limitedListener) closePartial() {
+	l.closingPartial.Store(true)
 	l.expire(&l.fresh)
 }
 
-func (l *limited) expire(lists ...*list.List) {
+func (l *limitedListener) expire(lists ...*list.List) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, in := range lists {
 		for at := in.Front(); at != nil; at = at.Next() {
 			if c := at.Value.(*limitedConn); c.ended() {
-				c.Conn.SetReadDeadline(atOnce)
+				c.Conn.SetReadDeadline(pastDeadline)
 			}
 		}
 	}
@@ -164,34 +164,34 @@
 // ended tells whether a connection is to be ended where it is now. The lock is held.
 func (c *limitedConn) ended() bool {
 	switch {
-	case c.in == nil, c.looks:
+	case c.class == nil, c.backgroundRead:
 		return false
-	case c.in == &c.of.fresh:
-		return c.of.cutting.Load()
+	case c.class == &c.listener.fresh:
+		return c.listener.closingPartial.Load()
 	}
-	return c.of.parting.Load()
+	return c.listener.closingIdle.Load()
 }
 
 // holds is how many connections are open.
-func (l *limited) holds() int {
+func (l *limitedListener) holds() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held
+	return l.open
 }
 
 // enter lets a connection in, in another's place if need be. Where none can be
 // spared it returns when to try again.
-func (l *limited) enter(c *limitedConn) (until time.Time) {
+func (l *limitedListener) enter(c *limitedConn) (until time.Time) {
 	l.mu.Lock()
 	var victim *limitedConn
-	if l.held >= l.most {
+	if l.open >= l.maxConns {
 		if victim, until = l.victim(time.Now()); victim == nil {
 			l.mu.Unlock()
 			return until
 		}
 		victim.release()
 	}
-	l.held++
+	l.open++
 	c.move(&l.fresh)
 	l.mu.Unlock()
 	if victim != nil {
@@ -202,10 +202,10 @@
 
 // admit lets a connection in beside the others: the last, which waited for a place as
 // the listener was closed, and has its descriptor already.
-func (l *limited) admit(c *limitedConn) {
+func (l *limitedListener) admit(c *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held++
+	l.open++
 	c.move(&l.fresh)
 }
 
@@ -214,29 +214,29 @@
 // has not sent all in that time, an idle one. A client may always meet the
 // close of an idle connection, and sends again what crosses it. One on which bytes
 // wait is no victim: the close would reset it, and what they ask would be lost.
-func (l *limited) victim(now time.Time) (c *limitedConn, until time.Time) {
+func (l *limitedListener) victim(now time.Time) (c *limitedConn, until time.Time) {
 	until = now.Add(time.Hour)
 	spared := func(c *limitedConn) bool {
 		if c.waiting() {
-			until = earlier(until, now.Add(soon))
+			until = earlier(until, now.Add(evictionRetry))
 			return false
 		}
 		return true
 	}
-	if c := first(&l.spare, spared); c != nil {
+	if c := first(&l.idleUnused, spared); c != nil {
 		return c, until
 	}
 	var slow []*limitedConn
 	for at := l.fresh.Front(); at != nil; at = at.Next() {
 		c := at.Value.(*limitedConn)
-		wait := silence
-		if c.heard {
-			wait = patience
+		wait := freshGrace
+		if c.sentBytes {
+			wait = partialRequestGrace
 		}
 		switch due := c.since.Add(wait); {
 		case due.After(now):
 			until = earlier(until, due)
-		case c.heard:
+		case c.sentBytes:
 			slow = append(slow, c)
 		case spared(c):
 			return c, until
@@ -247,7 +247,7 @@
 			return c, until
 		}
 	}
-	c = first(&l.kept, spared)
+	c = first(&l.idleUsed, spared)
 	return c, until
 }
 
@@ -271,7 +271,7 @@
 }
 
 // state is told what becomes of connections.
-func (l *limited) state(c net.Conn, s http.ConnState) {
+func (l *limitedListener) state(c net.Conn, s http.ConnState) {
 	lc, ok := c.(*limitedConn)
 	if !ok {
 		return
@@ -279,42 +279,42 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s == http.StateIdle { // also where the answer came first, its request has been read to its end
-		lc.short, lc.looks = false, false
+		lc.answeredEarly, lc.backgroundRead = false, false
 	}
 	switch {
-	case s == http.StateIdle && (lc.early || len(lc.unread) > 0):
-		lc.since, lc.heard = time.Now(), true
+	case s == http.StateIdle && (lc.nextStarted || len(lc.unread) > 0):
+		lc.since, lc.sentBytes = time.Now(), true
 		lc.move(&l.fresh)
-	case s == http.StateIdle && lc.used:
-		lc.move(&l.kept)
+	case s == http.StateIdle && lc.carriedWork:
+		lc.move(&l.idleUsed)
 	case s == http.StateIdle:
-		lc.move(&l.spare)
+		lc.move(&l.idleUnused)
 	case s == http.StateActive:
-		lc.early = false
+		lc.nextStarted = false
 		lc.begin()
 	}
 }
 
 // begin takes in that a request begins. The lock is held.
 func (c *limitedConn) begin() {
-	if c.in == &c.of.spare || c.in == &c.of.kept {
-		c.since, c.heard = time.Now(), true
-		c.move(&c.of.fresh)
+	if c.class == &c.listener.idleUnused || c.class == &c.listener.idleUsed {
+		c.since, c.sentBytes = time.Now(), true
+		c.move(&c.listener.fresh)
 	}
 }
 
 // move puts a connection into a list, or into none. The lock is held.
 func (c *limitedConn) move(to *list.List) {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	if c.in != nil {
-		c.in.Remove(c.at)
+	if c.class != nil {
+		c.class.Remove(c.element)
 	}
-	if c.in = to; to != nil {
-		c.at = to.PushBack(c)
+	if c.class = to; to != nil {
+		c.element = to.PushBack(c)
 		select {
-		case c.of.change <- struct{}{}:
+		case c.listener.changed <- struct{}{}:
 		default:
 		}
 	}
@@ -324,40 +324,40 @@
 // still there: one that was closed for another's sake meanwhile must not have
 // its request served, since its client sends it again elsewhere.
 func (c *limitedConn) serve(used bool) bool {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	c.used, c.early, c.short = c.used || used, c.reading != nil, false
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.carriedWork, c.nextStarted, c.answeredEarly = c.carriedWork || used, c.done != nil, false
 	c.move(nil)
-	c.until(c.asked) // it may have been over: the look whether the client leaves would fail
-	return !c.gone
+	c.until(c.readDeadline) // it may have been over: the look whether the client leaves would fail
+	return !c.closed
 }
 
 // Read implements net.Conn. From the first byte of a request on its rest is
 // due, also of one that follows another: net/http counts from the fifth byte.
 func (c *limitedConn) Read(b []byte) (n int, err error) {
-	c.stop()
+	c.stopReadAhead()
 	looks := len(b) == 1
-	c.of.mu.Lock()
-	c.looks = looks
+	c.listener.mu.Lock()
+	c.backgroundRead = looks
 	c.hurry()
-	n, err, ahead := c.taken(b)
+	n, err, ahead := c.takeReadAhead(b)
 	c.note(n, looks)
-	c.of.mu.Unlock()
+	c.listener.mu.Unlock()
 	if ahead {
 		return n, err
 	}
 	if c.raw == nil {
 		n, err = c.Conn.Read(b)
-		c.of.mu.Lock()
-		defer c.of.mu.Unlock()
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
 		c.note(n, looks)
 		return n, err
 	}
 	// Bytes are taken from the system and noted under one lock: there is no moment
 	// in which a request was read and its connection still passes for idle.
 	failed := c.raw.Read(func(fd uintptr) bool {
-		c.of.mu.Lock()
-		defer c.of.mu.Unlock()
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
 		if n, err = c.take(int(fd), b); err != syscall.EAGAIN {
 			c.note(n, looks)
 			return true
@@ -376,8 +376,8 @@
 // last reads what has come by the time that a deadline is over: a close over it would
 // reset the connection, and lose what it asks. Where nothing has, it fails as told.
 func (c *limitedConn) last(b []byte, over error) (n int, err error) {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	if c.raw.Control(func(fd uintptr) { n, err = c.take(int(fd), b) }) != nil || err != nil || n == 0 {
 		return 0, over
 	}
@@ -387,12 +387,12 @@
 
 // hurry sets when the next byte of a request that is not whole is due. The lock is held.
 func (c *limitedConn) hurry() {
-	if c.in != &c.of.fresh {
+	if c.class != &c.listener.fresh {
 		return
 	}
-	due := time.Now().Add(silentFor)
-	if !c.asked.IsZero() && c.asked.Before(due) {
-		due = c.asked
+	due := time.Now().Add(silentTimeout)
+	if !c.readDeadline.IsZero() && c.readDeadline.Before(due) {
+		due = c.readDeadline
 	}
 	c.until(due)
 }
@@ -404,19 +404,19 @@
 		return
 	}
 	if looks {
-		c.readAhead()
+		c.startReadAhead()
 	}
-	if c.heard = true; c.in == &c.of.spare || c.in == &c.of.kept {
+	if c.sentBytes = true; c.class == &c.listener.idleUnused || c.class == &c.listener.idleUsed {
 		c.begin()
-		c.asked = c.since.Add(headerFor)
+		c.readDeadline = c.since.Add(headerTimeout)
 	}
-	c.early = c.early || c.in == nil && !c.gone
+	c.nextStarted = c.nextStarted || c.class == nil && !c.closed
 }
 
 // take reads what is there: first what waiting has read. It fails with EAGAIN where
 // nothing is. The lock is held.
 func (c *limitedConn) take(fd int, b []byte) (int, error) {
-	if c.gone {
+	if c.closed {
 		return 0, net.ErrClosed
 	}
 	if len(c.peeked) > 0 {
@@ -444,7 +444,7 @@
 // Read may be waiting. What is read ahead waits as well, and while somebody reads
 // ahead no byte may be taken beside him. The lock is held.
 func (c *limitedConn) waiting() bool {
-	if len(c.unread) > 0 || c.reading != nil {
+	if len(c.unread) > 0 || c.done != nil {
 		return true
 	}
 	if c.raw == nil {
@@ -469,12 +469,12 @@
 // SetReadDeadline implements net.Conn. The rest of a request whose first byte came
 // early is due as soon as that of any other.
 func (c *limitedConn) SetReadDeadline(t time.Time) error {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	if due := c.since.Add(headerFor); c.early && c.in == &c.of.fresh && (t.IsZero() || t.After(due)) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if due := c.since.Add(headerTimeout); c.nextStarted && c.class == &c.listener.fresh && (t.IsZero() || t.After(due)) {
 		t = due
 	}
-	c.asked = t
+	c.readDeadline = t
 	return c.until(t)
 }
 
@@ -482,16 +482,16 @@
 // The lock is held.
 func (c *limitedConn) until(t time.Time) error {
 	if c.ended() {
-		t = atOnce
+		t = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
 // Write implements net.Conn.
 func (c *limitedConn) Write(b []byte) (int, error) {
-	c.of.mu.Lock()
-	c.short = c.in == &c.of.fresh
-	c.of.mu.Unlock()
+	c.listener.mu.Lock()
+	c.answeredEarly = c.class == &c.listener.fresh
+	c.listener.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
@@ -504,15 +504,15 @@
 // linger tells the client that nothing more is said, and takes the rest of its request.
 // Nothing is read where a request was whole: what follows it is another one.
 func (c *limitedConn) linger() {
-	c.of.mu.Lock()
-	short := c.short && !c.gone
-	c.short = false
-	c.of.mu.Unlock()
+	c.listener.mu.Lock()
+	short := c.answeredEarly && !c.closed
+	c.answeredEarly = false
+	c.listener.mu.Unlock()
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !short || !ok || half.CloseWrite() != nil {
 		return
 	}
-	c.Conn.SetReadDeadline(time.Now().Add(lingering))
+	c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
 	io.Copy(io.Discard, struct{ io.Reader }{c.Conn})
 }
 
@@ -521,18 +521,18 @@
 // connection first and closes it then, with a request begun in between. No connection
 // is kept from there on, so this one ends with its answer.
 func (c *limitedConn) Close() error {
-	c.of.mu.Lock()
-	if c.short {
-		c.of.mu.Unlock()
+	c.listener.mu.Lock()
+	if c.answeredEarly {
+		c.listener.mu.Unlock()
 		c.linger()
-		c.of.mu.Lock()
+		c.listener.mu.Lock()
 	}
-	if c.leave != nil {
-		c.of.mu.Unlock()
+	if c.cancelRequest != nil {
+		c.listener.mu.Unlock()
 		return nil
 	}
 	first := c.release()
-	c.of.mu.Unlock()
+	c.listener.mu.Unlock()
 	if !first {
 		return net.ErrClosed
 	}
@@ -543,15 +543,15 @@
 // whoever gets true closes the connection, without the lock: a close waits for a
 // Read under way, and that for the lock. Such a Read takes nothing any more.
 func (c *limitedConn) release() bool {
-	if c.gone {
+	if c.closed {
 		return false
 	}
 	c.move(nil)
-	c.gone = true
-	c.spend(len(c.unread))
-	c.of.held--
+	c.closed = true
+	c.dropReadAhead(len(c.unread))
+	c.listener.open--
 	select {
-	case c.of.change <- struct{}{}:
+	case c.listener.changed <- struct{}{}:
 	default:
 	}
 	return true
--- a/internal/dispatcher/httpfront/limited_test.go
+++ b/internal/dispatcher/httpfront/limited_test.go
@@ -58,10 +58,10 @@
 			scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{
 				"idle": func(n ...string) string { // an answer comes before its connection is idle
 					require.Eventually(t, func() bool {
-						l := s.limited.Load()
+						l := s.listener.Load()
 						l.mu.Lock()
 						defer l.mu.Unlock()
-						return strconv.Itoa(l.spare.Len()) == n[0]
+						return strconv.Itoa(l.idleUnused.Len()) == n[0]
 					}, 20*time.Second, time.Millisecond)
 					return ""
 				},
@@ -80,23 +80,23 @@
 	enter := func(age time.Duration, heard, used bool, to *list.List) *limitedConn {
 		near, far := net.Pipe()
 		t.Cleanup(func() { far.Close() })
-		c := &limitedConn{Conn: near, of: l, since: now.Add(-age)}
+		c := &limitedConn{Conn: near, listener: l, since: now.Add(-age)}
 		l.enter(c)
-		c.heard, c.used = heard, used
+		c.sentBytes, c.carriedWork = heard, used
 		c.move(to)
 		return c
 	}
-	trickling := enter(2*patience, true, false, &l.fresh)
-	silent := enter(patience, false, false, &l.fresh)
-	kept := enter(patience, true, true, &l.kept)
-	spare := enter(0, true, false, &l.spare)
+	trickling := enter(2*partialRequestGrace, true, false, &l.fresh)
+	silent := enter(partialRequestGrace, false, false, &l.fresh)
+	kept := enter(partialRequestGrace, true, true, &l.idleUsed)
+	spare := enter(0, true, false, &l.idleUnused)
 	enter(0, false, false, &l.fresh)
-	enter(2*patience, true, true, nil)
+	enter(2*partialRequestGrace, true, true, nil)
 	for _, want := range []*limitedConn{spare, silent, trickling, kept, nil} {
 		c, until := l.victim(now)
 		require.Same(t, want, c)
 		if c == nil {
-			require.Equal(t, now.Add(silence), until)
+			require.Equal(t, now.Add(freshGrace), until)
 			continue
 		}
 		c.Close()
@@ -109,17 +109,17 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	l := newLimited(nil, 1)
-	c := &limitedConn{Conn: near, of: l, since: time.Now().Add(-patience)}
+	c := &limitedConn{Conn: near, listener: l, since: time.Now().Add(-partialRequestGrace)}
 	require.True(t, l.enter(c).IsZero())
 	require.True(t, c.serve(true))
-	next := &limitedConn{Conn: far, of: l}
+	next := &limitedConn{Conn: far, listener: l}
 	require.False(t, l.enter(next).IsZero(), "one that is served stays")
-	c.move(&l.kept)
+	c.move(&l.idleUsed)
 	require.True(t, l.enter(next).IsZero())
 	require.False(t, c.serve(true))
-	require.Equal(t, 1, l.held)
+	require.Equal(t, 1, l.open)
 	c.Close()
-	require.Equal(t, 1, l.held, "a place is given back once")
+	require.Equal(t, 1, l.open, "a place is given back once")
 }
 
 // TestEarlyByte: the first byte of a next request that comes while one is served
@@ -128,7 +128,7 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	l := newLimited(nil, 2)
-	c := &limitedConn{Conn: far, of: l, since: time.Now()}
+	c := &limitedConn{Conn: far, listener: l, since: time.Now()}
 	l.enter(c)
 	require.True(t, c.serve(false))
 	go near.Write([]byte("G"))
@@ -137,12 +137,12 @@
 	require.Equal(t, 1, n)
 	before := time.Now()
 	l.state(c, http.StateIdle)
-	require.Same(t, &l.fresh, c.in, "it is no idle one")
+	require.Same(t, &l.fresh, c.class, "it is no idle one")
 	require.False(t, c.since.Before(before))
-	c.since = c.since.Add(-headerFor) // its time is over
+	c.since = c.since.Add(-headerTimeout) // its time is over
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(time.Hour)))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	l.state(c, http.StateActive)
-	require.False(t, c.early)
+	require.False(t, c.nextStarted)
 }
--- a/internal/dispatcher/httpfront/news.go
+++ b/internal/dispatcher/httpfront/news.go
@@ -13,32 +13,32 @@
 	"github.com/valyala/fastjson"
 )
 
-// news takes a pool member's call-back. It is answered alike whether it
+// serveJobUpdate takes a pool member's call-back. It is answered alike whether it
 // counts, was told before or concerns an ended flow: the member has done its
 // part, and would repeat what is not answered.
-func (s *Server) news(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveJobUpdate(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
-		refuse(w, http.StatusMethodNotAllowed, "news is told with POST")
+		rejectInput(w, http.StatusMethodNotAllowed, "news is told with POST")
 		return
 	}
-	whole, _ := r.Context().Value(requestKey{}).(request)
+	whole, _ := r.Context().Value(requestKey{}).(wholeRequest)
 	text := whole.body
-	n, ok := readNews(text)
+	n, ok := readJobUpdate(text)
 	if !ok {
-		refuse(w, http.StatusBadRequest, "this is no news of a job")
+		rejectInput(w, http.StatusBadRequest, "this is no news of a job")
 		return
 	}
-	if !s.hub.HandleJobUpdate(n) && s.ForwardUpdate != nil {
+	if !s.engine.HandleJobUpdate(n) && s.ForwardUpdate != nil {
 		s.ForwardUpdate(text)
 	}
-	s.parted(w.Header())
+	s.announceClose(w.Header())
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// mostNews leaves room for a result of the greatest size, escaped in JSON.
-const mostNews = 2*pipeline.MaxBody + 1024
+// maxUpdateBytes leaves room for a result of the greatest size, escaped in JSON.
+const maxUpdateBytes = 2*pipeline.MaxBody + 1024
 
-func readNews(text []byte) (engine.JobUpdate, bool) {
+func readJobUpdate(text []byte) (engine.JobUpdate, bool) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return engine.JobUpdate{}, false
@@ -81,10 +81,10 @@
 // HandleForwardedUpdate takes news that the other process of this dispatcher got for a job
 // of this one. It is not handed on again. It fails for what is no news.
 func (s *Server) HandleForwardedUpdate(text []byte) error {
-	n, ok := readNews(text)
+	n, ok := readJobUpdate(text)
 	if !ok {
 		return fmt.Errorf("this is no news of a job")
 	}
-	s.hub.HandleJobUpdate(n)
+	s.engine.HandleJobUpdate(n)
 	return nil
 }
--- a/internal/dispatcher/httpfront/news_test.go
+++ b/internal/dispatcher/httpfront/news_test.go
@@ -25,7 +25,7 @@
 		`{"id":"j","from":"s-1","state":"lost","load":{"x0":"none"}}`:           {},
 		`{"id":"j","from":"s-1","state":"running","share":0.5,"load":{"x0":4}}`: {},
 	} {
-		n, ok := readNews([]byte(text))
+		n, ok := readJobUpdate([]byte(text))
 		require.True(t, ok, text)
 		require.Equal(t, want, n.Load, text)
 	}
@@ -37,7 +37,7 @@
 	for query, want := range map[string]string{"?sid=7f3a": "7f3a", "?a=1&sid=a%20b": "a b", "": "", "?sid=": "", "?sid=%zz": ""} {
 		r := httptest.NewRequest(http.MethodPost, "/hold"+query, nil)
 		r.Header.Set("X-Call-Id", "1")
-		a, err := read(r, time.Now(), nil)
+		a, err := readSubmission(r, time.Now(), nil)
 		require.NoError(t, err, query)
 		require.Equal(t, want, a.AffinityKey, query)
 		require.Equal(t, "/hold"+query, a.Target)
@@ -52,8 +52,8 @@
 		"slots=1,memory=0.359": {1, 0.359}, "width=2, mem=1.5": {2, 1.5}, "kind=x,slots=3": {3, 0}, "": {0, 0},
 	} {
 		var a pipeline.Submission
-		require.NoError(t, info(&a, text), text)
+		require.NoError(t, readCallInfo(&a, text), text)
 		require.Equal(t, want, [2]float64{a.Slots, a.Memory}, text)
 	}
-	require.ErrorContains(t, info(&pipeline.Submission{}, "slots=1,memory=lots"), "memory must be a number")
+	require.ErrorContains(t, readCallInfo(&pipeline.Submission{}, "slots=1,memory=lots"), "memory must be a number")
 }
--- a/internal/dispatcher/httpfront/part_test.go
+++ b/internal/dispatcher/httpfront/part_test.go
@@ -123,7 +123,7 @@
 			var stopped atomic.Bool
 			s := New(server{}, server{}, logrus.New())
 			hold := func(text string, err error) { // one connection, so one Read at a time
-				if err != nil && strings.Contains(err.Error(), "timeout") && s.parting.Load() { // net/http ends some reads too
+				if err != nil && strings.Contains(err.Error(), "timeout") && s.closingIdle.Load() { // net/http ends some reads too
 					text = "timeout"
 				}
 				reads <- text
@@ -152,7 +152,7 @@
 				},
 				"go":   func(...string) string { on <- true; return "" },
 				"part": func(...string) string { s.CloseIdleConnections(); return "" },
-				"cut":  func(...string) string { s.limited.Load().cut(); return "" },
+				"cut":  func(...string) string { s.listener.Load().closePartial(); return "" },
 				"reading": func(...string) string { // the header has been read
 					for text := range reads {
 						if strings.Contains(text, "j-1") {
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -13,7 +13,7 @@
 )
 
 // arrive is a connection that l has let in, and its client's end.
-func arrive(t *testing.T, l *limited) (*limitedConn, net.Conn) {
+func arrive(t *testing.T, l *limitedListener) (*limitedConn, net.Conn) {
 	t.Helper()
 	far, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
@@ -24,7 +24,7 @@
 	return near.(*limitedConn), far
 }
 
-func listening(t *testing.T, most int) *limited {
+func listening(t *testing.T, most int) *limitedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 }
 
 // look is a look for a victim as Accept does it, so much later.
-func (l *limited) look(later time.Duration) (c *limitedConn, in time.Duration) {
+func (l *limitedListener) look(later time.Duration) (c *limitedConn, in time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now().Add(later)
@@ -44,8 +44,8 @@
 // waits tells whether bytes wait on a connection.
 func waits(c *limitedConn) func() bool {
 	return func() bool {
-		c.of.mu.Lock()
-		defer c.of.mu.Unlock()
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
 		return c.waiting()
 	}
 }
@@ -54,10 +54,10 @@
 // closed for another's sake, wherever it stands, and none of the bytes is lost. Another
 // one goes, or the next look comes soon.
 func TestUnreadStays(t *testing.T) {
-	for name, to := range map[string]func(*limited) *list.List{
-		"new":            func(l *limited) *list.List { return &l.fresh },
-		"never of use":   func(l *limited) *list.List { return &l.spare },
-		"idle after use": func(l *limited) *list.List { return &l.kept },
+	for name, to := range map[string]func(*limitedListener) *list.List{
+		"new":            func(l *limitedListener) *list.List { return &l.fresh },
+		"never of use":   func(l *limitedListener) *list.List { return &l.idleUnused },
+		"idle after use": func(l *limitedListener) *list.List { return &l.idleUsed },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := listening(t, 2)
@@ -70,7 +70,7 @@
 			if name != "new" { // where it has not come yet, the connection may be closed
 				require.Eventually(t, waits(asks), 10*time.Second, time.Millisecond)
 			}
-			require.Eventually(t, func() bool { _, in := l.look(time.Minute); return in == soon }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { _, in := l.look(time.Minute); return in == evictionRetry }, 10*time.Second, time.Millisecond)
 			victim, _ := l.look(time.Minute)
 			require.Nil(t, victim)
 			silent, _ := arrive(t, l)
@@ -95,7 +95,7 @@
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	l.mu.Lock()
-	c.move(&l.kept)
+	c.move(&l.idleUsed)
 	l.mu.Unlock()
 	got, begun := make(chan string, 1), make(chan struct{})
 	go func() {
@@ -109,9 +109,9 @@
 	l.mu.Lock()
 	far.Write([]byte("POST"))
 	time.Sleep(20 * time.Millisecond) // a Read that goes by no lock has the byte by then
-	require.Same(t, &l.kept, c.in)
+	require.Same(t, &l.idleUsed, c.class)
 	require.Eventually(t, c.waiting, 10*time.Second, time.Millisecond)
-	require.Same(t, &l.fresh, c.in, "its request has begun")
+	require.Same(t, &l.fresh, c.class, "its request has begun")
 	l.mu.Unlock()
 	require.Regexp(t, "^P", <-got)
 }
@@ -184,7 +184,7 @@
 		_, err = c.Write(asks)
 	}
 	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it still has its place")
-	require.Eventually(t, func() bool { return s.limited.Load().holds() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.listener.Load().holds() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 // TestWaitsAsItCloses: a connection that was accepted and waits for a place as the
--- a/internal/dispatcher/httpfront/virtualserver.go
+++ b/internal/dispatcher/httpfront/virtualserver.go
@@ -37,11 +37,11 @@
 }
 
 const (
-	headerFor  = 20 * time.Second // a client may take so long to write a header, where its place is not needed
-	requestFor = 25 * time.Second // and a whole request
-	answerFor  = 5 * time.Second  // and to take its answer
-	idleFor    = 5 * time.Minute  // and keep an idle connection so long
-	mostHeader = 16 << 10
+	headerTimeout  = 20 * time.Second // a client may take so long to write a header, where its place is not needed
+	requestTimeout = 25 * time.Second // and a whole request
+	answerTimeout  = 5 * time.Second  // and to take its answer
+	idleTimeout    = 5 * time.Minute  // and keep an idle connection so long
+	maxHeaderBytes = 16 << 10
 )
 
 // Front is what this front's jobs are counted under.
@@ -49,18 +49,18 @@
 
 // Server is the HTTP front.
 type Server struct {
-	Counters accounting.FrontCounters // its own book
-	hub      Engine
-	intake   TransactionFactory
-	log      logrus.FieldLogger
-	proxy    *httputil.ReverseProxy
-	server   *http.Server
-	draining atomic.Bool
-	parting  atomic.Bool // see Part
-	inHand   atomic.Int64
-	limited  atomic.Pointer[limited] // what is served; nil: nothing yet
-	jobs     room                    // bodies of jobs
-	told     room                    // and of call-backs, which jobs must not shut out
+	Counters     accounting.FrontCounters // its own book
+	engine       Engine
+	factory      TransactionFactory
+	log          logrus.FieldLogger
+	proxy        *httputil.ReverseProxy
+	server       *http.Server
+	draining     atomic.Bool
+	closingIdle  atomic.Bool // see Part
+	inFlight     atomic.Int64
+	listener     atomic.Pointer[limitedListener] // what is served; nil: nothing yet
+	jobBodies    bodyMemory                      // bodies of jobs
+	updateBodies bodyMemory                      // and of call-backs, which jobs must not shut out
 	// ForwardUpdate hands on news of a job that is not in hand here: with a socket
 	// shared by two processes of one dispatcher, a member's call-back may reach
 	// the other one. Nil: none.
@@ -69,8 +69,8 @@
 
 // New returns a front that is not serving yet.
 func New(hub Engine, intake TransactionFactory, log *logrus.Logger) *Server {
-	s := &Server{Counters: accounting.FrontCounters{Front: Front}, hub: hub, intake: intake, log: log}
-	quiet := stdlog.New(debug{log}, "", 0) // what clients do wrong is theirs
+	s := &Server{Counters: accounting.FrontCounters{Front: Front}, engine: hub, factory: intake, log: log}
+	quiet := stdlog.New(debugWriter{log}, "", 0) // what clients do wrong is theirs
 	s.proxy = &httputil.ReverseProxy{
 		// The query goes on as it came: ReverseProxy drops from it what it
 		// cannot parse, and the members are owed every byte.
@@ -78,38 +78,40 @@
 			p.Out.URL.Scheme, p.Out.URL.Host = "http", "pool"
 			p.Out.URL.RawQuery = p.In.URL.RawQuery
 		},
-		ModifyResponse: s.answering,
-		Transport:      transactions{s},
-		ErrorHandler:   s.unanswered,
+		ModifyResponse: s.prepareAnswer,
+		Transport:      engineRoundTripper{s},
+		ErrorHandler:   s.logClientLeft,
 		ErrorLog:       quiet,
 	}
 	s.server = &http.Server{
-		Handler: s, ReadHeaderTimeout: headerFor, ReadTimeout: requestFor, IdleTimeout: idleFor, MaxHeaderBytes: mostHeader,
+		Handler: s, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: quiet, DisableGeneralOptionsHandler: true, // it would tell OPTIONS * that all is well
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
 	return s
 }
 
-// debug is a writer to the log: logrus's own has a goroutine that never ends.
-type debug struct{ log logrus.FieldLogger }
+// debugWriter is a writer to the log: logrus's own has a goroutine that never ends.
+type debugWriter struct{ log logrus.FieldLogger }
 
-func (d debug) Write(text []byte) (int, error) {
+func (d debugWriter) Write(text []byte) (int, error) {
 	d.log.Debug(strings.TrimSpace(string(text)))
 	return len(text), nil
 }
 
 // SetBodyMemory bounds the memory that bodies of jobs take at a time, in bytes, and those of
 // call-backs to half as much beside them. It is called before Serve.
-func (s *Server) SetBodyMemory(bytes int) { s.jobs.most, s.told.most = int64(bytes), int64(bytes/2) }
+func (s *Server) SetBodyMemory(bytes int) {
+	s.jobBodies.max, s.updateBodies.max = int64(bytes), int64(bytes/2)
+}
 
 // Serve serves up to so many connections at a time until Shutdown.
 func (s *Server) Serve(l net.Listener, most int) error {
 	limited := newLimited(l, most)
-	limited.parting = &s.parting
+	limited.closingIdle = &s.closingIdle
 	s.server.ConnState = limited.state
-	s.limited.Store(limited)
-	if err := s.server.Serve(limited); err != http.ErrServerClosed && !limited.over() {
+	s.listener.Store(limited)
+	if err := s.server.Serve(limited); err != http.ErrServerClosed && !limited.isClosed() {
 		return fmt.Errorf("serving %s: %w", l.Addr(), err)
 	}
 	return nil
@@ -123,21 +125,21 @@
 // on and connections are kept again.
 func (s *Server) Undrain() {
 	s.draining.Store(false)
-	s.parting.Store(false)
+	s.closingIdle.Store(false)
 }
 
 // CloseIdleConnections closes connections between requests from here on. The listener stays
 // open for the call-backs that still bring results. net/http's own way to do so,
 // SetKeepAlivesEnabled, also closes one whose next request has just been read.
 func (s *Server) CloseIdleConnections() {
-	s.parting.Store(true)
-	if l := s.limited.Load(); l != nil {
-		l.part()
+	s.closingIdle.Store(true)
+	if l := s.listener.Load(); l != nil {
+		l.closeIdle()
 	}
 }
 
 // InFlight is how many jobs are being taken in or wait for their answer.
-func (s *Server) InFlight() int { return int(s.inHand.Load()) }
+func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
 // Shutdown closes the listener and waits for connections in use. It shuts
 // call-backs out first, so it may be called only once nothing is in hand. What
@@ -145,13 +147,13 @@
 // connection without a word on which it reads a request from then on, so it is
 // never called. Connections end by themselves, each when nothing is owed on it.
 func (s *Server) Shutdown(ctx context.Context) error {
-	if l := s.limited.Load(); l != nil {
+	if l := s.listener.Load(); l != nil {
 		l.Close()
 		s.CloseIdleConnections()
-		defer time.AfterFunc(trickling, l.cut).Stop()
+		defer time.AfterFunc(partialRequestWait, l.closePartial).Stop()
 		tick := time.NewTicker(5 * time.Millisecond)
 		defer tick.Stop()
-		for last := time.Now().Add(trickling + 2*answerFor); l.holds() > 0 && time.Now().Before(last); {
+		for last := time.Now().Add(partialRequestWait + 2*answerTimeout); l.holds() > 0 && time.Now().Before(last); {
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("shutting the virtual server down: %w", ctx.Err())
@@ -163,14 +165,14 @@
 	return nil
 }
 
-// trickling is how long an end waits for requests that come in pieces.
-const trickling = 5 * time.Second
+// partialRequestWait is how long an end waits for requests that come in pieces.
+const partialRequestWait = 5 * time.Second
 
 // connKey is a request's way to its connection.
 type connKey struct{}
 
-// request is what was read of one that is whole.
-type request struct {
+// wholeRequest is what was read of one that is whole.
+type wholeRequest struct {
 	arrived time.Time
 	body    []byte
 }
@@ -181,22 +183,22 @@
 // whole, and in the time a client has for that.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	most, serve, room, ctx := int64(0), s.ready, &s.told, r.Context()
+	most, serve, room, ctx := int64(0), s.serveReady, &s.updateBodies, r.Context()
 	switch r.URL.Path {
 	case "/health/ready":
 	case "/health/live":
-		serve = s.live
+		serve = s.serveLive
 	case "/_jobs/news":
-		most, serve = mostNews, s.news
+		most, serve = maxUpdateBytes, s.serveJobUpdate
 	default:
-		s.inHand.Add(1)
-		defer s.inHand.Add(-1)
-		most, serve, room = pipeline.MaxBody, s.job, &s.jobs
+		s.inFlight.Add(1)
+		defer s.inFlight.Add(-1)
+		most, serve, room = pipeline.MaxBody, s.serveJob, &s.jobBodies
 	}
 	// Whoever does not take what is said on the way to the answer is not waited for.
-	http.NewResponseController(w).SetWriteDeadline(arrived.Add(requestFor + answerFor))
-	body, ok := whole(w, r, most, room)
-	defer room.give(cap(body))
+	http.NewResponseController(w).SetWriteDeadline(arrived.Add(requestTimeout + answerTimeout))
+	body, ok := readWhole(w, r, most, room)
+	defer room.release(cap(body))
 	if !ok {
 		return
 	}
@@ -207,32 +209,32 @@
 		var leave context.CancelFunc
 		ctx, leave = context.WithCancel(ctx)
 		defer leave()
-		defer c.attend(nil)
-		if !c.attend(leave) {
+		defer c.watchClient(nil)
+		if !c.watchClient(leave) {
 			leave()
 		}
 	}
 	// The server goes on reading to learn whether the client leaves: with the
 	// deadline still set it would take a patient one for gone.
 	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerFor))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	serve(w, r.WithContext(context.WithValue(ctx, requestKey{}, request{arrived, body})))
+	serve(w, r.WithContext(context.WithValue(ctx, requestKey{}, wholeRequest{arrived, body})))
 }
 
-// whole reads a request's body, or answers what is wrong with it; what it returns
+// readWhole reads a request's body, or answers what is wrong with it; what it returns
 // holds room either way. A body in
 // chunks is read whole, up to most, and goes on to members with a length of its
 // own. Where a Content-Length came beside the chunks, net/http has deleted it
 // and reads the chunks, as RFC 9112 asks; the connection is closed after the
 // answer, so that no request that one reader would find and another not can
 // follow on it.
-func whole(w http.ResponseWriter, r *http.Request, most int64, room *room) ([]byte, bool) {
+func readWhole(w http.ResponseWriter, r *http.Request, most int64, room *bodyMemory) ([]byte, bool) {
 	if len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
 	if r.ContentLength > most {
-		refuse(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
+		rejectInput(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
 		return nil, false
 	}
 	if r.ContentLength == 0 {
@@ -240,57 +242,57 @@
 	}
 	body, fits, err := room.read(r.Body, r.ContentLength, most)
 	switch {
-	case !fits && most == mostNews: // a member repeats what is not answered
-		room.give(cap(body))
+	case !fits && most == maxUpdateBytes: // a member repeats what is not answered
+		room.release(cap(body))
 		panic(http.ErrAbortHandler)
 	case !fits: // the rest is read by net/http, piece by piece, and dropped
-		room.give(cap(body))
+		room.release(cap(body))
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "no room for the body now", http.StatusServiceUnavailable)
 		return nil, false
 	case err != nil:
-		refuse(w, http.StatusBadRequest, "the body could not be read")
+		rejectInput(w, http.StatusBadRequest, "the body could not be read")
 		return body, false
 	case int64(len(body)) > most:
-		refuse(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
+		rejectInput(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
 		return body, false
 	}
 	return body, true
 }
 
-// answering is told of a job's answer before it is written. Bad input ends its
+// prepareAnswer is told of a job's answer before it is written. Bad input ends its
 // connection, and whoever does not take its answer is not waited for.
-func (s *Server) answering(resp *http.Response) error {
-	if s.parted(resp.Header); bad(resp.StatusCode) {
+func (s *Server) prepareAnswer(resp *http.Response) error {
+	if s.announceClose(resp.Header); isClientError(resp.StatusCode) {
 		resp.Header.Set("Connection", "close")
 	}
 	if c, ok := resp.Request.Context().Value(connKey{}).(net.Conn); ok {
-		c.SetWriteDeadline(time.Now().Add(answerFor))
+		c.SetWriteDeadline(time.Now().Add(answerTimeout))
 	}
 	return nil
 }
 
-// parted tells the client, with an answer, if its connection ends with that.
-func (s *Server) parted(h http.Header) {
-	if s.parting.Load() {
+// announceClose tells the client, with an answer, if its connection ends with that.
+func (s *Server) announceClose(h http.Header) {
+	if s.closingIdle.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
-func bad(status int) bool { return status >= 400 && status < 500 }
+func isClientError(status int) bool { return status >= 400 && status < 500 }
 
-func (s *Server) ready(w http.ResponseWriter, r *http.Request) {
-	s.health(w, r, s.hub.Ready() && !s.draining.Load())
+func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
+	s.serveHealth(w, r, s.engine.Ready() && !s.draining.Load())
 }
 
-func (s *Server) live(w http.ResponseWriter, r *http.Request) { s.health(w, r, true) }
+func (s *Server) serveLive(w http.ResponseWriter, r *http.Request) { s.serveHealth(w, r, true) }
 
-func (s *Server) health(w http.ResponseWriter, r *http.Request, well bool) {
-	s.parted(w.Header())
+func (s *Server) serveHealth(w http.ResponseWriter, r *http.Request, well bool) {
+	s.announceClose(w.Header())
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead:
 		w.Header().Set("Allow", "GET, HEAD")
-		refuse(w, http.StatusMethodNotAllowed, "health checks are read with GET")
+		rejectInput(w, http.StatusMethodNotAllowed, "health checks are read with GET")
 	case well:
 		fmt.Fprintln(w, "ok")
 	default:
@@ -298,7 +300,7 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, text string) {
+func rejectInput(w http.ResponseWriter, status int, text string) {
 	if status == http.StatusMethodNotAllowed && w.Header().Get("Allow") == "" {
 		w.Header().Set("Allow", http.MethodPost)
 	}
@@ -306,8 +308,8 @@
 	http.Error(w, text, status)
 }
 
-// unanswered handles a job without an answer: its client has gone.
-func (s *Server) unanswered(w http.ResponseWriter, r *http.Request, err error) {
+// logClientLeft handles a job without an answer: its client has gone.
+func (s *Server) logClientLeft(w http.ResponseWriter, r *http.Request, err error) {
 	s.log.WithError(err).Debug("a client left before its answer")
 	w.WriteHeader(http.StatusBadGateway)
 }
--- a/internal/dispatcher/pipeline/admit.go
+++ b/internal/dispatcher/pipeline/admit.go
@@ -13,21 +13,21 @@
 	MaxBodyBytes int // of their bodies
 }
 
-// comeBack is when a client may try again that found no room, or came before
+// retryDelay is when a client may try again that found no room, or came before
 // the pool was known.
-const comeBack = time.Second
+const retryDelay = time.Second
 
 // Admit implements core.Stages. What it turns away has not run and was never
 // seen by the decisions, so that trying again is harmless.
 func (c *Pipeline) Admit(t *engine.Transaction, load engine.Load, now time.Time) *engine.Answer {
 	if load.Open > c.limits.MaxOpen || load.Bytes > c.limits.MaxBodyBytes || !t.Deadline.After(now) {
-		return &engine.Answer{Verdict: engine.Refused, Reason: accounting.NoRoom, RetryAt: now.Add(comeBack)}
+		return &engine.Answer{Verdict: engine.Refused, Reason: accounting.NoRoom, RetryAt: now.Add(retryDelay)}
 	}
 	if load.RetryDelay > 0 {
 		return &engine.Answer{Verdict: engine.Refused, Reason: accounting.Overloaded, RetryAt: now.Add(load.RetryDelay)}
 	}
-	if c.shares != nil {
-		if until, ok := c.shares.Admit(t.Tenant, now); !ok {
+	if c.tenants != nil {
+		if until, ok := c.tenants.Admit(t.Tenant, now); !ok {
 			return &engine.Answer{Verdict: engine.Refused, Reason: accounting.BudgetSpent, RetryAt: until}
 		}
 	}
--- a/internal/dispatcher/pipeline/admit_test.go
+++ b/internal/dispatcher/pipeline/admit_test.go
@@ -20,9 +20,9 @@
 		wait time.Duration
 	}{
 		"room":           {engine.Load{Open: 2, Bytes: 100}, time.Second, accounting.Reasons, 0},
-		"too many":       {engine.Load{Open: 3, Bytes: 1}, time.Second, accounting.NoRoom, comeBack},
-		"too large":      {engine.Load{Open: 1, Bytes: 101}, time.Second, accounting.NoRoom, comeBack},
-		"no time left":   {engine.Load{Open: 1}, 0, accounting.NoRoom, comeBack},
+		"too many":       {engine.Load{Open: 3, Bytes: 1}, time.Second, accounting.NoRoom, retryDelay},
+		"too large":      {engine.Load{Open: 1, Bytes: 101}, time.Second, accounting.NoRoom, retryDelay},
+		"no time left":   {engine.Load{Open: 1}, 0, accounting.NoRoom, retryDelay},
 		"late by itself": {engine.Load{Open: 1, RetryDelay: 3 * time.Second}, time.Minute, accounting.Overloaded, 3 * time.Second},
 	} {
 		a := c.Admit(&engine.Transaction{Deadline: now.Add(at.left)}, at.load, now)
--- a/internal/dispatcher/pipeline/book.go
+++ b/internal/dispatcher/pipeline/book.go
@@ -18,11 +18,11 @@
 }
 
 // RecordAccepted implements core.Stages.
-func (c *Pipeline) RecordAccepted(t *engine.Transaction, now time.Time) { c.books.JobAccepted(t, now) }
+func (c *Pipeline) RecordAccepted(t *engine.Transaction, now time.Time) { c.ledger.JobAccepted(t, now) }
 
 // RecordEnd implements core.Stages.
 func (c *Pipeline) RecordEnd(t *engine.Transaction, a engine.Answer, now time.Time) {
-	c.books.JobEnded(t, a, now)
+	c.ledger.JobEnded(t, a, now)
 	if a.Verdict != engine.Served && c.log.IsLevelEnabled(logrus.DebugLevel) {
 		c.log.WithFields(logrus.Fields{
 			"transaction": t.ID, "class": t.Class, "tenant": t.Tenant, "left": t.Deadline.Sub(now).String(), "reason": a.Reason.String(),
--- a/internal/dispatcher/pipeline/relay.go
+++ b/internal/dispatcher/pipeline/relay.go
@@ -14,7 +14,7 @@
 // does a member's word that the request is bad; whether anything else ends the
 // transaction is for the decisions to say.
 func (c *Pipeline) Relay(f *engine.Flow, s policy.Status, result []byte, now time.Time) *engine.Answer {
-	c.books.FlowEnded(f, s, now)
+	c.ledger.FlowEnded(f, s, now)
 	switch s {
 	case policy.OK:
 		return &engine.Answer{Verdict: engine.Served, Body: result}
--- a/internal/dispatcher/pipeline/send.go
+++ b/internal/dispatcher/pipeline/send.go
@@ -12,6 +12,6 @@
 		until = t.Deadline
 	}
 	f := &engine.Flow{Transaction: t, Member: m, Number: number, SentAt: now, Deadline: until}
-	c.books.FlowSent(f, now)
+	c.ledger.FlowSent(f, now)
 	return f
 }
--- a/internal/dispatcher/pipeline/stage.go
+++ b/internal/dispatcher/pipeline/stage.go
@@ -14,12 +14,12 @@
 
 // Pipeline is the stages of one dispatcher. It implements core.Stages.
 type Pipeline struct {
-	limits  Limits
-	classes atomic.Pointer[map[string]policy.Class] // fronts read it, a retune replaces it
-	books   Ledger
-	needs   func(class string) string // what jobs need that do not say; nil: nothing
-	shares  TenantLimiter             // nil: nothing is shared
-	log     *logrus.Logger
+	limits            Limits
+	classes           atomic.Pointer[map[string]policy.Class] // fronts read it, a retune replaces it
+	ledger            Ledger
+	defaultCapability func(class string) string // what jobs need that do not say; nil: nothing
+	tenants           TenantLimiter             // nil: nothing is shared
+	log               *logrus.Logger
 }
 
 // TenantLimiter are this dispatcher's of what the whole fleet may take.
@@ -28,16 +28,17 @@
 	Admit(tenant string, now time.Time) (until time.Time, ok bool)
 }
 
-// SetTenantLimiter bounds what is admitted by this dispatcher's shares. It must be called before the first job.
-func (c *Pipeline) SetTenantLimiter(s TenantLimiter) { c.shares = s }
+// SetTenantLimiter bounds what is admitted by this dispatcher's shares. It must be called before
+// the first job.
+func (c *Pipeline) SetTenantLimiter(s TenantLimiter) { c.tenants = s }
 
 // SetDefaultCapability says what jobs need of a member whose front does not say. It must be
 // called before the first job.
-func (c *Pipeline) SetDefaultCapability(of func(class string) string) { c.needs = of }
+func (c *Pipeline) SetDefaultCapability(of func(class string) string) { c.defaultCapability = of }
 
 // New returns the chain for the module's settings.
 func New(s policy.Settings, limits Limits, books Ledger, log *logrus.Logger) *Pipeline {
-	c := &Pipeline{limits: limits, books: books, log: log}
+	c := &Pipeline{limits: limits, ledger: books, log: log}
 	c.Reconfigure(s)
 	return c
 }
--- a/internal/dispatcher/pipeline/takein.go
+++ b/internal/dispatcher/pipeline/takein.go
@@ -13,11 +13,11 @@
 // MaxBody is the most bytes that a job may have on any wire.
 const MaxBody = 64 << 10
 
-// early is kept back from a client's own deadline, so that the final answer
+// answerMargin is kept back from a client's own deadline, so that the final answer
 // is whole at the client before it gives up.
-const early = 25 * time.Millisecond
+const answerMargin = 25 * time.Millisecond
 
-const maxID = 128
+const maxIDLength = 128
 
 // ErrTooLarge says that a job is larger than MaxBody.
 var ErrTooLarge = errors.New("the job is too large")
@@ -49,26 +49,26 @@
 func (c *Pipeline) NewTransaction(a Submission, now time.Time, client engine.Client) (*engine.Transaction, error) {
 	class, ok := (*c.classes.Load())[a.Class]
 	switch {
-	case a.ID == "" || len(a.ID) > maxID:
-		return nil, fmt.Errorf("the id must have 1 to %d bytes", maxID)
-	case !plain(a.ID):
+	case a.ID == "" || len(a.ID) > maxIDLength:
+		return nil, fmt.Errorf("the id must have 1 to %d bytes", maxIDLength)
+	case !printable(a.ID):
 		return nil, errors.New("the id must be plain printable characters without spaces")
 	case !ok:
 		return nil, fmt.Errorf("%w %q", ErrUnknownClass, a.Class)
 	case len(a.Body) > MaxBody:
 		return nil, ErrTooLarge
-	case !sane(a.Slots) || !sane(a.Memory) || a.Hint < 0:
+	case !validAmount(a.Slots) || !validAmount(a.Memory) || a.Hint < 0:
 		return nil, errors.New("a figure is negative or no number")
 	}
-	if a.Capability == "" && c.needs != nil {
-		a.Capability = c.needs(a.Class)
+	if a.Capability == "" && c.defaultCapability != nil {
+		a.Capability = c.defaultCapability(a.Class)
 	}
 	if latest := now.Add(class.GiveUp); a.ClientDeadline.IsZero() || a.ClientDeadline.After(latest) {
 		a.ClientDeadline = latest
 	}
 	return &engine.Transaction{
 		ID: a.ID, Class: a.Class, Tenant: a.Tenant, Front: a.Front, Target: a.Target, Key: a.Key, Body: a.Body, BodyFormat: a.BodyFormat, AffinityKey: a.AffinityKey,
-		Arrived: now, Deadline: a.ClientDeadline.Add(-early), Hint: a.Hint, Slots: a.Slots, Memory: a.Memory, Retry: a.Retry, Capability: a.Capability, NoRetryOnError: a.NoRetryOnError, Client: client,
+		Arrived: now, Deadline: a.ClientDeadline.Add(-answerMargin), Hint: a.Hint, Slots: a.Slots, Memory: a.Memory, Retry: a.Retry, Capability: a.Capability, NoRetryOnError: a.NoRetryOnError, Client: client,
 		KnownFirst: a.KnownFirst, Plan: a.Plan, Stage: a.Stage, ExcludedMember: a.ExcludedMember, ExcludeItsZone: a.ExcludeItsZone,
 	}, nil
 }
@@ -80,9 +80,9 @@
 	return known.Effect, ok
 }
 
-func sane(f float64) bool { return f >= 0 && f < math.MaxInt32 }
+func validAmount(f float64) bool { return f >= 0 && f < math.MaxInt32 }
 
-func plain(s string) bool {
+func printable(s string) bool {
 	for _, r := range []byte(s) {
 		if r <= ' ' || r > '~' {
 			return false
--- a/internal/dispatcher/poolmember/golden_test.go
+++ b/internal/dispatcher/poolmember/golden_test.go
@@ -45,9 +45,9 @@
 		{ID: "j-2", Class: "a class", Deadline: deadline},
 	} {
 		c := New(nil, Options{ConnectTimeout: time.Second, MaxSubmissions: 4})
-		req, err := request(t.Context(), &engine.Flow{Transaction: job, Member: at, Deadline: deadline})
+		req, err := newRequest(t.Context(), &engine.Flow{Transaction: job, Member: at, Deadline: deadline})
 		require.NoError(t, err)
-		resp, err := c.wire.RoundTrip(req)
+		resp, err := c.roundTripper.RoundTrip(req)
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
 		note("job " + job.ID)
--- a/internal/dispatcher/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -47,7 +47,7 @@
 			defer l.Close()
 			ends, client := make(tells, 1), &leaver{}
 			carrier := New(ends, Options{ConnectTimeout: time.Minute, MaxSubmissions: 1})
-			wire := carrier.wire.(*http.Transport)
+			wire := carrier.roundTripper.(*http.Transport)
 			dial, dials, up := wire.DialContext, make(chan bool), make(chan bool)
 			wire.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				dials <- true
@@ -82,8 +82,8 @@
 			client := &leaver{}
 			to := &tapped{wrote: func() { client.gone.Store(goes) }}
 			c := &conn{Conn: to, closed: make(chan struct{})}
-			c.begin(2)
-			c.unless(client.Gone)
+			c.setBodySize(2)
+			c.setClientGone(client.Gone)
 			text := "POST /x HTTP/1.1\r\n\r\nbb"
 			_, err := c.Write([]byte(text))
 			if goes {
--- a/internal/dispatcher/poolmember/poolmember.go
+++ b/internal/dispatcher/poolmember/poolmember.go
@@ -28,30 +28,30 @@
 }
 
 const (
-	probeFor  = 500 * time.Millisecond // a probe without an answer has failed after this
-	deleteFor = 2 * time.Second        // a runner is told so long that a flow is abandoned
-	// crossedFor is how long a runner is told so whose 202 may have crossed the
+	probeTimeout  = 500 * time.Millisecond // a probe without an answer has failed after this
+	deleteTimeout = 2 * time.Second        // a runner is told so long that a flow is abandoned
+	// crossedDeleteTimeout is how long a runner is told so whose 202 may have crossed the
 	// closing of its connection: the job waits for it.
-	crossedFor = 300 * time.Millisecond
-	// readOn is how long an answer is read on that decides nothing any more, and a
+	crossedDeleteTimeout = 300 * time.Millisecond
+	// drainTime is how long an answer is read on that decides nothing any more, and a
 	// 202 waited for that may have crossed a flow's end.
-	readOn    = 100 * time.Millisecond
-	mostReply = 64 << 10
-	// beginWithin is how long after its decision a flow's first byte goes out at the
+	drainTime     = 100 * time.Millisecond
+	maxReplyBytes = 64 << 10
+	// firstByteWithin is how long after its decision a flow's first byte goes out at the
 	// latest. A member may have been told to drain meanwhile, and nothing may be sent
 	// to it 2 s after that; the half of it is left to the list's own way.
-	beginWithin = time.Second
+	firstByteWithin = time.Second
 )
 
 // Transport implements core.Transport for HTTP pool members.
 type Transport struct {
-	ends  ResultSink
-	wire  http.RoundTripper
-	slots chan struct{} // one for each connection that may be in use by a flow
-	asks  chan struct{} // and by a probe or the end of a flow, which flows must not shut out
+	sink            ResultSink
+	roundTripper    http.RoundTripper
+	submissionSlots chan struct{} // one for each connection that may be in use by a flow
+	controlSlots    chan struct{} // and by a probe or the end of a flow, which flows must not shut out
 
-	figures Options
-	readOn  time.Duration
+	options   Options
+	drainTime time.Duration
 }
 
 // Options are what the deployment says of connections to members.
@@ -70,33 +70,33 @@
 
 // New returns a carrier.
 func New(ends ResultSink, f Options) *Transport {
-	return &Transport{ends: ends, wire: newTransport(f), slots: make(chan struct{}, f.MaxSubmissions), asks: make(chan struct{}, max(1, f.MaxSubmissions/2)), figures: f, readOn: readOn}
+	return &Transport{sink: ends, roundTripper: newRoundTripper(f), submissionSlots: make(chan struct{}, f.MaxSubmissions), controlSlots: make(chan struct{}, max(1, f.MaxSubmissions/2)), options: f, drainTime: drainTime}
 }
 
-// call is the carrier's part of a flow. A flow is abandoned by closing its
+// submission is the carrier's part of a flow. A flow is abandoned by closing its
 // connection while the member has not answered, and by DELETE afterwards.
-type call struct {
+type submission struct {
 	mu                            sync.Mutex
 	accepted, abandoned, recalled bool
-	at                            *conn // once there is one
+	conn                          *conn // once there is one
 	cancel                        context.CancelFunc
 }
 
 // Start implements core.Carrier.
 func (c *Transport) Start(f *engine.Flow) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
-	k := &call{cancel: cancel}
+	k := &submission{cancel: cancel}
 	f.TransportState = k
 	select {
-	case c.slots <- struct{}{}:
+	case c.submissionSlots <- struct{}{}:
 	default: // no descriptor to spare: it was never sent, and no member is to blame
 		cancel()
-		c.ends.EndFlow(f, policy.NotSent, nil)
+		c.sink.EndFlow(f, policy.NotSent, nil)
 		return
 	}
 	go func() {
 		defer cancel()
-		defer func() { <-c.slots }()
+		defer func() { <-c.submissionSlots }()
 		status, taken, load, rest := c.send(ctx, f, k)
 		k.mu.Lock()
 		k.accepted = taken
@@ -107,16 +107,16 @@
 			// No 202 has come, so that by the protocol the close has abandoned it. The
 			// member is told by DELETE as well, before the job may go elsewhere: it may
 			// not have noticed the close.
-			c.delete(f, time.Now().Add(crossedFor))
-			c.ends.EndFlow(f, policy.Cancelled, nil)
+			c.delete(f, time.Now().Add(crossedDeleteTimeout))
+			c.sink.EndFlow(f, policy.Cancelled, nil)
 		case !taken:
-			c.ends.EndFlowWithLoad(f, status, load)
+			c.sink.EndFlowWithLoad(f, status, load)
 		case abandoned: // while the answer was under way: closing the connection told nobody
-			c.drop(f, recalled)
+			c.deleteAndEnd(f, recalled)
 		}
 		if rest != nil { // it decides nothing; a close over unread bytes would reset the connection
-			defer time.AfterFunc(c.readOn, func() { k.at.Close() }).Stop()
-			io.Copy(io.Discard, io.LimitReader(rest, mostReply))
+			defer time.AfterFunc(c.drainTime, func() { k.conn.Close() }).Stop()
+			io.Copy(io.Discard, io.LimitReader(rest, maxReplyBytes))
 			rest.Close()
 		}
 	}()
@@ -130,7 +130,7 @@
 func (c *Transport) Recall(f *engine.Flow) { c.abandon(f, true) }
 
 func (c *Transport) abandon(f *engine.Flow, recall bool) {
-	k, ok := f.TransportState.(*call)
+	k, ok := f.TransportState.(*submission)
 	if !ok {
 		return
 	}
@@ -142,9 +142,9 @@
 	k.abandoned, k.recalled = true, recall
 	switch {
 	case k.accepted:
-		go c.drop(f, recall)
-	case recall && k.whole() && k.at.endWrites() == nil: // a 202 may be on its way, which then binds
-		time.AfterFunc(c.readOn, k.cancel)
+		go c.deleteAndEnd(f, recall)
+	case recall && k.mayBeWhole() && k.conn.endWrites() == nil: // a 202 may be on its way, which then binds
+		time.AfterFunc(c.drainTime, k.cancel)
 	default:
 		k.close()
 	}
@@ -154,7 +154,7 @@
 // call-back: its 202, if it is yet to come, is waited for only so long. A request that
 // isn't whole stays so: what was told is of an earlier attempt at that member.
 func (c *Transport) EndedOutOfBand(f *engine.Flow) {
-	k, ok := f.TransportState.(*call)
+	k, ok := f.TransportState.(*submission)
 	if !ok {
 		return
 	}
@@ -162,23 +162,23 @@
 	defer k.mu.Unlock()
 	switch {
 	case k.accepted:
-	case k.whole():
-		time.AfterFunc(c.readOn, k.cancel)
+	case k.mayBeWhole():
+		time.AfterFunc(c.drainTime, k.cancel)
 	default:
 		k.abandoned = true
 		k.close()
 	}
 }
 
-// whole tells whether the request's last byte was written or is being written. The
+// mayBeWhole tells whether the request's last byte was written or is being written. The
 // lock is held.
-func (k *call) whole() bool { return k.at != nil && k.at.sending.Load() }
+func (k *submission) mayBeWhole() bool { return k.conn != nil && k.conn.sending.Load() }
 
 // close ends the flow's connection, or its dial, before it returns: the last byte is
 // not written then any more. The lock is held.
-func (k *call) close() {
-	if k.at != nil {
-		k.at.Close()
+func (k *submission) close() {
+	if k.conn != nil {
+		k.conn.Close()
 	}
 	k.cancel()
 }
@@ -187,9 +187,9 @@
 // outcome comes by call-back. What an answer means its header says; the rest of it, if
 // there was one, is left to the caller to read and close. The load report is that of
 // an answer which ends the flow.
-func (c *Transport) send(ctx context.Context, f *engine.Flow, k *call) (status policy.Status, taken bool, load policy.Report, rest io.ReadCloser) {
+func (c *Transport) send(ctx context.Context, f *engine.Flow, k *submission) (status policy.Status, taken bool, load policy.Report, rest io.ReadCloser) {
 	var at *conn
-	begin, latest := f.SentAt.Add(beginWithin), f.Deadline
+	begin, latest := f.SentAt.Add(firstByteWithin), f.Deadline
 	if f.TooLate(latest) {
 		latest = f.LatestSend
 	}
@@ -197,22 +197,22 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if at, _ = info.Conn.(*conn); at != nil {
-				at.begin(len(f.Transaction.Body))
-				at.before(begin, latest)
-				at.unless(f.Transaction.Gone)
+				at.setBodySize(len(f.Transaction.Body))
+				at.setLimits(begin, latest)
+				at.setClientGone(f.Transaction.Gone)
 				k.mu.Lock()
 				defer k.mu.Unlock()
-				if k.at = at; k.abandoned {
+				if k.conn = at; k.abandoned {
 					at.Close()
 				}
 			}
 		},
 	})
-	req, err := request(ctx, f)
+	req, err := newRequest(ctx, f)
 	if err != nil {
 		return policy.NotSent, false, load, nil
 	}
-	resp, err := c.wire.RoundTrip(req)
+	resp, err := c.roundTripper.RoundTrip(req)
 	switch {
 	case err != nil && at == nil:
 		return policy.ConnectFailed, false, load, nil
@@ -232,22 +232,22 @@
 	switch rejected := resp.Header.Get("X-Rejected") == "1"; {
 	case rejected && (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout):
 		status = policy.Rejected
-	case slices.Contains(unfit, resp.StatusCode):
+	case slices.Contains(invalidRequestStatuses, resp.StatusCode):
 		status = policy.InvalidRequest
 	}
 	return status, false, load, resp.Body
 }
 
-// unfit are the answers that blame the request alone. Others of their hundred
+// invalidRequestStatuses are the answers that blame the request alone. Others of their hundred
 // may come of a member that is set up wrong: those count as errors.
-var unfit = []int{
+var invalidRequestStatuses = []int{
 	http.StatusBadRequest, http.StatusLengthRequired, http.StatusRequestEntityTooLarge, http.StatusRequestURITooLong,
 	http.StatusUnsupportedMediaType, http.StatusUnprocessableEntity, http.StatusRequestHeaderFieldsTooLarge,
 }
 
-// request writes a flow in the platform's form. Path, query, body, id and key
+// newRequest writes a flow in the platform's form. Path, query, body, id and key
 // are the client's own, to the letter.
-func request(ctx context.Context, f *engine.Flow) (*http.Request, error) {
+func newRequest(ctx context.Context, f *engine.Flow) (*http.Request, error) {
 	t := f.Transaction
 	target := t.Target
 	if target == "" { // it came by a wire without paths
@@ -284,10 +284,10 @@
 	return req, nil
 }
 
-// drop tells a member to forget a flow, and ends one that was asked back.
-func (c *Transport) drop(f *engine.Flow, recalled bool) {
-	if c.delete(f, time.Now().Add(deleteFor)) && recalled {
-		c.ends.EndFlow(f, policy.Cancelled, nil)
+// deleteAndEnd tells a member to forget a flow, and ends one that was asked back.
+func (c *Transport) deleteAndEnd(f *engine.Flow, recalled bool) {
+	if c.delete(f, time.Now().Add(deleteTimeout)) && recalled {
+		c.sink.EndFlow(f, policy.Cancelled, nil)
 	}
 }
 
@@ -295,13 +295,13 @@
 func (c *Transport) delete(f *engine.Flow, until time.Time) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	if !c.ask(ctx) {
+	if !c.acquireControlSlot(ctx) {
 		return false
 	}
-	defer func() { <-c.asks }()
+	defer func() { <-c.controlSlots }()
 	u := &url.URL{Scheme: "http", Host: f.Member.Addr, Path: "/jobs/" + f.Transaction.ID}
 	req := (&http.Request{Method: http.MethodDelete, URL: u, Host: u.Host, Header: make(http.Header)}).WithContext(dialUntil(ctx, until))
-	resp, err := c.wire.RoundTrip(req)
+	resp, err := c.roundTripper.RoundTrip(req)
 	if err != nil {
 		return false
 	}
@@ -309,10 +309,10 @@
 	return true
 }
 
-// ask waits for a descriptor that may be used beside the flows'.
-func (c *Transport) ask(ctx context.Context) bool {
+// acquireControlSlot waits for a descriptor that may be used beside the flows'.
+func (c *Transport) acquireControlSlot(ctx context.Context) bool {
 	select {
-	case c.asks <- struct{}{}:
+	case c.controlSlots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
@@ -323,8 +323,8 @@
 func (c *Transport) Probe(m *engine.Member) {
 	go func() {
 		sentAt := time.Now()
-		s, r := c.probe(m, sentAt.Add(probeFor))
-		c.ends.EndProbe(m, s, r, sentAt)
+		s, r := c.probe(m, sentAt.Add(probeTimeout))
+		c.sink.EndProbe(m, s, r, sentAt)
 	}()
 }
 
@@ -334,22 +334,22 @@
 func (c *Transport) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	if !c.ask(ctx) {
+	if !c.acquireControlSlot(ctx) {
 		return policy.TimedOut, policy.Report{}
 	}
-	defer func() { <-c.asks }()
+	defer func() { <-c.controlSlots }()
 	var connected bool
 	ctx = httptrace.WithClientTrace(dialUntil(ctx, until), &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
 	u := &url.URL{Scheme: "http", Host: m.Addr, Path: "/health/live"}
-	if c.figures.ProbeStats {
+	if c.options.ProbeStats {
 		u.Path = "/stats"
 	}
 	// Without a body the transport would send a probe again by itself when a
 	// kept connection breaks, and each one costs the member work.
 	req := (&http.Request{
-		Method: http.MethodGet, URL: u, Host: u.Host, Header: make(http.Header), Body: &once{},
+		Method: http.MethodGet, URL: u, Host: u.Host, Header: make(http.Header), Body: &unrepeatableBody{},
 	}).WithContext(ctx)
-	resp, err := c.wire.RoundTrip(req)
+	resp, err := c.roundTripper.RoundTrip(req)
 	switch {
 	case err != nil && !connected:
 		return policy.ConnectFailed, policy.Report{}
@@ -358,10 +358,10 @@
 	case err != nil:
 		return policy.Reset, policy.Report{}
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostReply))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	resp.Body.Close()
 	var r policy.Report
-	if err == nil && c.figures.ProbeStats {
+	if err == nil && c.options.ProbeStats {
 		r, _ = loadreport.ParseBody(body)
 	}
 	if resp.StatusCode != http.StatusOK {
--- a/internal/dispatcher/poolmember/poolmember_test.go
+++ b/internal/dispatcher/poolmember/poolmember_test.go
@@ -95,7 +95,7 @@
 				case "stale":
 					f.LatestSend = time.Now()
 				case "late":
-					f.SentAt = f.SentAt.Add(-beginWithin)
+					f.SentAt = f.SentAt.Add(-firstByteWithin)
 				}
 				if flows[id] = f; most == 0 {
 					go d.carrier.Start(f) // ends before it returns
@@ -212,11 +212,11 @@
 func TestProbesAreBounded(t *testing.T) {
 	addr, open := scenario.Listen(t)
 	c := New(nil, Options{ConnectTimeout: time.Second, MaxSubmissions: 2})
-	c.asks <- struct{}{}
+	c.controlSlots <- struct{}{}
 	s, _ := c.probe(&engine.Member{Addr: addr}, time.Now().Add(20*time.Millisecond))
 	require.Equal(t, policy.TimedOut, s)
 	require.False(t, c.delete(&engine.Flow{Member: &engine.Member{Addr: addr}, Transaction: &engine.Transaction{ID: "t-1"}}, time.Now().Add(20*time.Millisecond)))
-	<-c.asks
+	<-c.controlSlots
 	done := make(chan policy.Status)
 	go func() {
 		s, _ := c.probe(&engine.Member{Addr: addr}, time.Now().Add(time.Minute))
@@ -249,7 +249,7 @@
 				return clock
 			}
 			ended := make(chan int)
-			stop := patience(begin.Add(10*time.Millisecond), begin.Add(3*time.Second), now, func() { ended <- asked - 1 })
+			stop := extendLateDial(begin.Add(10*time.Millisecond), begin.Add(3*time.Second), now, func() { ended <- asked - 1 })
 			require.Equal(t, len(late), <-ended)
 			stop()
 		})
@@ -274,7 +274,7 @@
 		text := "POST /x HTTP/1.1\r\nA: \r\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 		to := &pieces{}
 		c := &conn{Conn: to, closed: make(chan struct{})}
-		c.begin(len(body))
+		c.setBodySize(len(body))
 		for at := 0; at < len(text); {
 			require.False(t, c.whole, "before byte %d of %d", at, len(text))
 			size := rapid.IntRange(1, len(text)-at).Draw(t, "size")
@@ -291,8 +291,8 @@
 // TestClosedIsNotSent: what is closed before its last byte's time never sends it.
 func TestClosedIsNotSent(t *testing.T) {
 	to := &pieces{}
-	c := &conn{Conn: to, settle: time.Hour, closed: make(chan struct{})}
-	c.begin(2)
+	c := &conn{Conn: to, lastByteDelay: time.Hour, closed: make(chan struct{})}
+	c.setBodySize(2)
 	c.Close()
 	n, err := c.Write([]byte("POST /x HTTP/1.1\r\n\r\nbb"))
 	require.ErrorIs(t, err, net.ErrClosed)
@@ -309,8 +309,8 @@
 		t.Run(name, func(t *testing.T) {
 			to := &pieces{}
 			c := &conn{Conn: to, closed: make(chan struct{})}
-			c.begin(2)
-			c.before(time.Time{}, time.Now().Add(left))
+			c.setBodySize(2)
+			c.setLimits(time.Time{}, time.Now().Add(left))
 			_, err := c.Write([]byte("POST /x HTTP/1.1\r\n\r\nbb"))
 			require.Equal(t, left == 0, errors.Is(err, errStale))
 			require.Equal(t, left != 0, strings.HasSuffix(string(to.got), "bb"))
@@ -360,7 +360,7 @@
 // TestAnswers: an answer counts by its header, whatever becomes of the rest of it, and
 // what is no answer in so many bytes counts as a break of the connection.
 func TestAnswers(t *testing.T) {
-	words := scenario.Functions{"much": func(a ...string) string { return strings.Repeat(a[0], mostReply/len(a[0])+8<<10) }}
+	words := scenario.Functions{"much": func(a ...string) string { return strings.Repeat(a[0], maxReplyBytes/len(a[0])+8<<10) }}
 	for name, script := range map[string]string{
 		// It is told by DELETE, which shows that its 202 counted.
 		"takes it, in an answer that never ends": `
@@ -505,7 +505,7 @@
 			t.Parallel()
 			addr, open := scenario.Listen(t)
 			figures := Options{ConnectTimeout: time.Second, MaxSubmissions: 4}
-			long := driveWith(addr, figures, func(c *Transport) { c.readOn = time.Minute })
+			long := driveWith(addr, figures, func(c *Transport) { c.drainTime = time.Minute })
 			scenario.RunScript(t, scenario.Peers{"r": open, "flow": long, "brief": drive(addr, 4), "slow": drive(addr, 4, time.Minute)}, nil, script)
 		})
 	}
@@ -571,8 +571,8 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	c := &conn{Conn: near, closed: make(chan struct{})}
-	c.begin(2)
-	c.before(time.Time{}, time.Now().Add(50*time.Millisecond))
+	c.setBodySize(2)
+	c.setLimits(time.Time{}, time.Now().Add(50*time.Millisecond))
 	wrote := make(chan error, 1)
 	go func() {
 		_, err := c.Write([]byte(text))
--- a/internal/dispatcher/poolmember/transport.go
+++ b/internal/dispatcher/poolmember/transport.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// newTransport returns a transport that does nothing of its own accord: no
+// newRoundTripper returns a transport that does nothing of its own accord: no
 // proxy from the environment, no HTTP/2, no compression, no redirects (they
 // are http.Client's, which is not used).
-func newTransport(f Options) *http.Transport {
+func newRoundTripper(f Options) *http.Transport {
 	// No keep-alive of the system's: a connection lives for one request, and what
 	// is waited for has a deadline. It would cost four calls a connection.
 	dialer := &net.Dialer{KeepAlive: -1}
@@ -26,17 +26,17 @@
 			defer cancel()
 			due := time.Now().Add(f.ConnectTimeout)
 			last := due
-			if of, ok := ctx.Value(dialing{}).(dialing); ok {
+			if of, ok := ctx.Value(dialContextKey{}).(dialContextKey); ok {
 				defer context.AfterFunc(of.request, cancel)()
-				last = of.last
+				last = of.latest
 			}
-			stop := patience(due, last, time.Now, cancel)
+			stop := extendLateDial(due, last, time.Now, cancel)
 			defer stop()
 			c, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return &conn{Conn: c, settle: f.LastByteDelay, closed: make(chan struct{})}, nil
+			return &conn{Conn: c, lastByteDelay: f.LastByteDelay, closed: make(chan struct{})}, nil
 		},
 		TLSNextProto:       map[string]func(string, *tls.Conn) http.RoundTripper{},
 		DisableCompression: true,
@@ -46,32 +46,32 @@
 		// one that does not come up proves that it never ran.
 		DisableKeepAlives: true,
 		// What precedes an answer, 1xx included, is bounded, as its body is.
-		MaxResponseHeaderBytes: mostReply,
+		MaxResponseHeaderBytes: maxReplyBytes,
 	}
 }
 
-// dialing is what a dial is for, and the latest moment to which it may be given its
+// dialContextKey is what a dial is for, and the latest moment to which it may be given its
 // time again. http.Transport keeps a dial whose request was called off, for requests
 // to come; here none can use it, and its descriptor is counted with its request.
-type dialing struct {
+type dialContextKey struct {
 	request context.Context
-	last    time.Time
+	latest  time.Time
 }
 
 // dialUntil makes the dial for a request end with its context.
 func dialUntil(ctx context.Context, last time.Time) context.Context {
-	return context.WithValue(ctx, dialing{}, dialing{ctx, last})
+	return context.WithValue(ctx, dialContextKey{}, dialContextKey{ctx, last})
 }
 
 // lateShare is the share of its time by which a dial's end may be noticed late.
 const lateShare = 8
 
-// patience ends a dial once its time is up, unless this process is what was late:
+// extendLateDial ends a dial once its time is up, unless this process is what was late:
 // an end that is noticed late by more than a part of the dial's time says that
 // what has come up meanwhile was not noticed either. The dial then has its time
 // again, in the same attempt, up to the last moment, and the member is not blamed.
 // The function that it returns must be called once the dial has ended.
-func patience(due, last time.Time, now func() time.Time, cancel func()) (stop func()) {
+func extendLateDial(due, last time.Time, now func() time.Time, cancel func()) (stop func()) {
 	var mu sync.Mutex
 	var t *time.Timer
 	ended := false
@@ -105,76 +105,76 @@
 // know which byte is the request's last: that one alone is kept back.
 type conn struct {
 	net.Conn
-	settle time.Duration
-	closed chan struct{}
-	once   sync.Once
+	lastByteDelay time.Duration
+	closed        chan struct{}
+	once          sync.Once
 
 	sending atomic.Bool // the last byte is being written, or was
 
-	mu            sync.Mutex
-	gone          func() bool // whether the client has left: then nothing goes out, nor the last byte; nil: it stays
-	first, latest time.Time   // the first and the last byte go out before then or not at all; zero: whenever
-	begun         bool
-	body          int // bytes of the request's body that are still to come
-	head          int // how much of the end of its header has come: 4 is all
-	whole, failed bool
+	mu                      sync.Mutex
+	clientGone              func() bool // whether the client has left: then nothing goes out, nor the last byte; nil: it stays
+	firstByteBy, lastByteBy time.Time   // the first and the last byte go out before then or not at all; zero: whenever
+	started                 bool
+	bodyLeft                int // bytes of the request's body that are still to come
+	headerEnd               int // how much of the end of its header has come: 4 is all
+	whole, failed           bool
 }
 
-// before says when the request's first and its last byte must have gone out; zero: no
+// setLimits says when the request's first and its last byte must have gone out; zero: no
 // matter.
-func (c *conn) before(first, latest time.Time) {
+func (c *conn) setLimits(first, latest time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.first, c.latest = first, latest
+	c.firstByteBy, c.lastByteBy = first, latest
 }
 
-// unless says how to learn that nobody waits for the request.
-func (c *conn) unless(gone func() bool) {
+// setClientGone says how to learn that nobody waits for the request.
+func (c *conn) setClientGone(gone func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone = gone
+	c.clientGone = gone
 }
 
-// begin tells the size of the request's body. Without it the request has none.
-func (c *conn) begin(body int) {
+// setBodySize tells the size of the request's body. Without it the request has none.
+func (c *conn) setBodySize(body int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.body = body
+	c.bodyLeft = body
 }
 
-// ends counts what is about to be written, and tells whether it holds the request's
+// endsRequest counts what is about to be written, and tells whether it holds the request's
 // last byte.
-func (c *conn) ends(b []byte) bool {
+func (c *conn) endsRequest(b []byte) bool {
 	const end = "\r\n\r\n"
-	for len(b) > 0 && c.head < len(end) {
+	for len(b) > 0 && c.headerEnd < len(end) {
 		switch {
-		case b[0] == end[c.head]:
-			c.head++
+		case b[0] == end[c.headerEnd]:
+			c.headerEnd++
 		case b[0] == '\r':
-			c.head = 1
+			c.headerEnd = 1
 		default:
-			c.head = 0
+			c.headerEnd = 0
 		}
 		b = b[1:]
 	}
-	c.body -= len(b)
-	return c.head == len(end) && c.body <= 0
+	c.bodyLeft -= len(b)
+	return c.headerEnd == len(end) && c.bodyLeft <= 0
 }
 
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone != nil && c.gone() {
+	if c.clientGone != nil && c.clientGone() {
 		c.failed = true
 		return 0, errGone
 	}
-	if !c.begun {
-		if past(c.first) {
+	if !c.started {
+		if past(c.firstByteBy) {
 			return 0, errStale
 		}
-		c.begun = true
+		c.started = true
 	}
-	if !c.ends(b) {
+	if !c.endsRequest(b) {
 		n, err := c.Conn.Write(b)
 		c.failed = c.failed || err != nil
 		return n, err
@@ -182,8 +182,8 @@
 	last := max(0, len(b)-1)
 	n, err := c.Conn.Write(b[:last])
 	if err == nil {
-		if err = c.settled(); err == nil {
-			c.Conn.SetWriteDeadline(c.latest) // the other side may not read: what is held up here mustn't go out later
+		if err = c.awaitLastByte(); err == nil {
+			c.Conn.SetWriteDeadline(c.lastByteBy) // the other side may not read: what is held up here mustn't go out later
 			c.sending.Store(true)
 			var more int
 			more, err = c.Conn.Write(b[last:])
@@ -194,13 +194,13 @@
 	return n, err
 }
 
-// settled waits for the last byte's time. It fails if that is past the latest, for a
+// awaitLastByte waits for the last byte's time. It fails if that is past the latest, for a
 // connection that came up late or a process that was, and if the connection is closed
 // before: by the transport, whose read has found it broken, or since the flow was
 // called off. The byte then stays here, though the system might still take it,
 // and the attempt is known never to have run.
-func (c *conn) settled() error {
-	t := time.NewTimer(c.settle)
+func (c *conn) awaitLastByte() error {
+	t := time.NewTimer(c.lastByteDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -211,10 +211,10 @@
 		return net.ErrClosed
 	default:
 	}
-	if past(c.latest) {
+	if past(c.lastByteBy) {
 		return errStale
 	}
-	if c.gone != nil && c.gone() {
+	if c.clientGone != nil && c.clientGone() {
 		return errGone
 	}
 	return nil
@@ -256,11 +256,11 @@
 	return c.whole && !c.failed
 }
 
-// once is an empty body that cannot be had a second time. http.Transport sends a
+// unrepeatableBody is an empty body that cannot be had a second time. http.Transport sends a
 // request without a body again by itself when an idle connection turns out to be
 // broken; without GetBody, and with a body that is never http.NoBody, it must not.
 // A resent probe would count as a second one.
-type once struct{}
+type unrepeatableBody struct{}
 
-func (*once) Read([]byte) (int, error) { return 0, io.EOF }
-func (*once) Close() error             { return nil }
+func (*unrepeatableBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (*unrepeatableBody) Close() error             { return nil }
--- a/internal/dispatcher/schedulingdelay/lag.go
+++ b/internal/dispatcher/schedulingdelay/lag.go
@@ -17,10 +17,10 @@
 
 // Detector judges one dispatcher. The zero Gauge is never behind.
 type Detector struct {
-	bounds Bounds
-	since  time.Time // none was handled in time since then; zero: the last one was
-	behind bool
-	last   time.Duration
+	bounds     Bounds
+	lateSince  time.Time // none was handled in time since then; zero: the last one was
+	overloaded bool
+	lastDelay  time.Duration
 }
 
 // New returns a gauge; with a Target of 0 it measures and is never behind.
@@ -29,21 +29,21 @@
 // Observe takes in that an event was handled at a time after it had waited so long.
 // Times must not run backward.
 func (g *Detector) Observe(waited time.Duration, at time.Time) {
-	g.last = waited
+	g.lastDelay = waited
 	switch {
 	case g.bounds.Target <= 0:
 	case waited <= g.bounds.Target:
-		g.since, g.behind = time.Time{}, false
-	case g.since.IsZero():
-		g.since = at
-	case at.Sub(g.since) >= g.bounds.Interval:
-		g.behind = true
+		g.lateSince, g.overloaded = time.Time{}, false
+	case g.lateSince.IsZero():
+		g.lateSince = at
+	case at.Sub(g.lateSince) >= g.bounds.Interval:
+		g.overloaded = true
 	}
 }
 
 // Overloaded tells whether work that comes now should be turned away.
-func (g *Detector) Overloaded() bool { return g.behind }
+func (g *Detector) Overloaded() bool { return g.overloaded }
 
 // RetryDelay is how long what is turned away should stay away: as long as the
 // last event waited, which is about what it takes to catch up, and at least least.
-func (g *Detector) RetryDelay(least time.Duration) time.Duration { return max(least, g.last) }
+func (g *Detector) RetryDelay(least time.Duration) time.Duration { return max(least, g.lastDelay) }
