--- a/internal/dispatcher/policy/subjects_test.go
+++ b/internal/dispatcher/policy/affinity_test.go
@@ -102,10 +102,10 @@
 			ask(d, hosts[0], now, fmt.Sprint("other ", n), fmt.Sprint("other ", n))
 		}
 		ask(d, hosts[0], now, "first", "x")
-		return d, hosts[0], d.subjects[d.about(Request{AffinityKey: "x"}).hash].ranks
+		return d, hosts[0], d.affinities[d.affinityOf(Request{AffinityKey: "x"}).hash].ranked
 	}
 	home := func(d *Dispatcher) *worker {
-		return d.homes(&job{subject: d.about(Request{AffinityKey: "x"}), class: d.classes["safe"]}, 0)[0]
+		return d.homes(&job{affinity: d.affinityOf(Request{AffinityKey: "x"}), class: d.classes["safe"]}, 0)[0]
 	}
 	for name, out := range map[string]func(d *Dispatcher, w *worker){
 		"drains": func(d *Dispatcher, w *worker) {
@@ -123,7 +123,7 @@
 			m.State = Removed
 			d.HandleMembers(now, ListDelta, []Member{m})
 		},
-		"silent": func(d *Dispatcher, w *worker) { d.doubt(w, false) },
+		"silent": func(d *Dispatcher, w *worker) { d.suspectWorker(w, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, _, ranks := begin()
@@ -134,9 +134,9 @@
 	}
 	t.Run("a newcomer that comes first in the order", func(t *testing.T) {
 		d, _, ranks := begin()
-		hash := uint64(d.about(Request{AffinityKey: "x"}).hash)
+		hash := uint64(d.affinityOf(Request{AffinityKey: "x"}).hash)
 		id := uint32(1 << 20)
-		for (&worker{Member: Member{Worker: id}}).chance(hash) <= ranks[0].chance(hash) {
+		for (&worker{Member: Member{Worker: id}}).hashFraction(hash) <= ranks[0].hashFraction(hash) {
 			id++
 		}
 		d.HandleMembers(now, ListDelta, []Member{{Worker: id, Kind: "a", Zone: "a"}})
@@ -148,16 +148,16 @@
 		d.Zone = "elsewhere"
 		n := 0
 		for _, w := range d.workers {
-			if w != first && w.Zone == first.Zone && n < zoneCut {
+			if w != first && w.Zone == first.Zone && n < unresponsiveZone {
 				require.Same(t, first, home(d))
-				d.doubt(w, false)
+				d.suspectWorker(w, false)
 				n++
 			}
 		}
 		require.NotEqual(t, first.Zone, home(d).Zone)
 		for _, w := range d.workers {
 			if w != first && w.Zone == first.Zone {
-				d.trust(w)
+				d.clearSuspicion(w)
 				break
 			}
 		}
@@ -165,7 +165,7 @@
 		d.Zone = first.Zone
 		for _, w := range d.workers {
 			if w != first && w.Zone == first.Zone {
-				d.doubt(w, false)
+				d.suspectWorker(w, false)
 			}
 		}
 		require.Same(t, first, home(d), "the own zone is never taken for cut off")
@@ -181,14 +181,14 @@
 		ask(d, h, now, fmt.Sprint("other ", n), fmt.Sprint("other ", n))
 	}
 	var home *worker
-	for n := 0; home == nil || home.member; n++ { // one outside the subset
-		home = d.homes(&job{subject: d.about(Request{AffinityKey: fmt.Sprint("x", n)}), class: d.classes["safe"]}, 0)[0]
+	for n := 0; home == nil || home.inSubset; n++ { // one outside the subset
+		home = d.homes(&job{affinity: d.affinityOf(Request{AffinityKey: fmt.Sprint("x", n)}), class: d.classes["safe"]}, 0)[0]
 	}
-	d.doubt(home, true)
-	require.True(t, home.suspect && home.member)
+	d.suspectWorker(home, true)
+	require.True(t, home.suspect && home.inSubset)
 	for range 100 {
 		now += 50 * time.Millisecond
-		d.HandleTimer(now, trialToken)
+		d.HandleTimer(now, recheckToken)
 	}
 	require.False(t, home.suspect, "without probes a job is the trial")
 }
@@ -198,7 +198,7 @@
 	fleet, hosts := subjectsFleet(t, 1, 10)
 	for n := range 20000 {
 		ask(fleet[0], hosts[0], time.Minute, fmt.Sprint(n), fmt.Sprint("s", n))
-		require.LessOrEqual(t, len(fleet[0].subjects), int(subjectsFor))
+		require.LessOrEqual(t, len(fleet[0].affinities), int(affinityWindow))
 	}
-	require.Less(t, fleet[0].told, subjectsFor)
+	require.Less(t, fleet[0].affinityJobs, affinityWindow)
 }
--- a/internal/dispatcher/policy/cold_test.go
+++ b/internal/dispatcher/policy/coldstart_test.go
@@ -199,12 +199,12 @@
 		sum, own := 0.0, 0.0
 		for k := i; k >= 0 && sent[k].at > last.at-window; k-- {
 			sum += sent[k].work / mean
-			own += sent[k].work / mean * float64(one(sent[k].by == last.by))
+			own += sent[k].work / mean * float64(boolToInt(sent[k].by == last.by))
 		}
 		n := budget(last.at - window)
 		most := n + 2*math.Sqrt(n) + 2
 		f.windows++
-		f.over += one(sum > most)
+		f.over += boolToInt(sum > most)
 		f.worst = max(f.worst, sum/most)
 		f.alone = max(f.alone, own*float64(c.n)/n)
 		f.part += last.work / mean
@@ -217,7 +217,7 @@
 	return f
 }
 
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -226,7 +226,7 @@
 
 var (
 	evenRate = func(int, int) float64 { return 1 }
-	oneRate  = func(i, n int) float64 { return 1 + float64(one(i == 0))*4*float64(n)/float64(n-1) } // 5 times the mean, nearly
+	oneRate  = func(i, n int) float64 { return 1 + float64(boolToInt(i == 0))*4*float64(n)/float64(n-1) } // 5 times the mean, nearly
 	zipfRate = func(i, _ int) float64 { return 1 / float64(i+1) }
 )
 
--- a/internal/dispatcher/policy/dispatcher_test.go
+++ b/internal/dispatcher/policy/dispatcher_test.go
@@ -125,7 +125,7 @@
 		b.timers = slices.Delete(b.timers, next, next+1)
 		b.now = max(b.now, e.at)
 		b.fired++
-		b.Dispatcher.HandleTimer(b.now, e.token)
+		b.HandleTimer(b.now, e.token)
 	}
 }
 
@@ -662,7 +662,7 @@
 	b.HandleAttemptUpdate(b.now, policy.AttemptUpdate{Request: "nobody", Worker: 99, Kind: policy.UpdateStarted})
 	b.HandleStreamStart(b.now, policy.StreamStart{Request: "nobody"})
 	b.HandleClientGone(b.now, "nobody")
-	b.Dispatcher.HandleTimer(b.now, "other")
+	b.HandleTimer(b.now, "other")
 	b.HandleRequest(b.now, policy.Request{ID: "odd", Class: "unheard of", Deadline: b.now + time.Second})
 	if !b.has("refuse odd") {
 		t.Error("a request of an unknown class gets no answer")
--- a/internal/dispatcher/policy/internal_test.go
+++ b/internal/dispatcher/policy/internal_test.go
@@ -47,7 +47,7 @@
 			d.HandleRequest(now, Request{ID: id, Class: "c", Hint: 50 * time.Millisecond, Deadline: now + 5*time.Second})
 			now += 300 * time.Millisecond
 			for _, id := range slices.Sorted(maps.Keys(d.jobs)) { // also one that was held before
-				if j := d.jobs[id]; j.outs > 0 {
+				if j := d.jobs[id]; j.inFlight > 0 {
 					d.HandleAttemptResult(now, AttemptResult{Request: id, Worker: j.attempts[0].worker.Worker, Final: true})
 				}
 			}
@@ -59,7 +59,7 @@
 		kept += len(q.jobs)
 	}
 	for _, w := range d.workers {
-		kept += len(w.attempts) + len(w.coldSent)
+		kept += len(w.attempts) + len(w.coldSends)
 	}
 	if kept > most {
 		t.Errorf("%d things kept after 5000 jobs on 2500 workers", kept)
@@ -70,11 +70,11 @@
 // warming, and all averages with it, no number.
 func TestChillStaysANumber(t *testing.T) {
 	for _, from := range []float64{0, 1} {
-		d := &Dispatcher{Settings: Settings{Rules: Rules{ColdCapacity: from, WarmupTime: time.Second}}, now: time.Minute, chill: 0.25}
-		w := &worker{coldFrom: time.Minute}
-		d.warmer(w, 1, 1)
-		if d.chill != d.chill || d.chilled(w) != d.chilled(w) {
-			t.Errorf("from %v: chill %v, chilled %v", from, d.chill, d.chilled(w))
+		d := &Dispatcher{Settings: Settings{Rules: Rules{ColdCapacity: from, WarmupTime: time.Second}}, now: time.Minute, coldPenalty: 0.25}
+		w := &worker{coldSince: time.Minute}
+		d.learnColdPenalty(w, 1, 1)
+		if d.coldPenalty != d.coldPenalty || d.coldSlowdown(w) != d.coldSlowdown(w) {
+			t.Errorf("from %v: chill %v, chilled %v", from, d.coldPenalty, d.coldSlowdown(w))
 		}
 	}
 }
@@ -89,10 +89,10 @@
 			for window := 1; window <= windows; window++ {
 				taken := make([]bool, n)
 				for rank := range n {
-					w := &worker{Member: Member{Worker: id}, coldFrom: time.Minute}
+					w := &worker{Member: Member{Worker: id}, coldSince: time.Minute}
 					d := &Dispatcher{Settings: Settings{Instances: n, Rank: rank, Rules: Rules{WarmupTime: time.Hour, ColdOverloadWindow: 3 * time.Second}}}
-					d.now = w.coldFrom + time.Duration((float64(window)+0.5-w.chance(uint64(rank)))*float64(d.Rules.ColdOverloadWindow))
-					part := int(d.drawn(w) * float64(n))
+					d.now = w.coldSince + time.Duration((float64(window)+0.5-w.hashFraction(uint64(rank)))*float64(d.Rules.ColdOverloadWindow))
+					part := int(d.coldDraw(w) * float64(n))
 					if taken[part] {
 						t.Fatalf("%d instances, worker %d, window %d: two draws in part %d", n, id, window, part)
 					}
--- a/internal/dispatcher/policy/requests_test.go
+++ b/internal/dispatcher/policy/requests_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// crowd are settings under which many dispatchers share each worker, and starts are told.
-func crowd() policy.Settings {
+// crowdedSharing are settings under which many dispatchers share each worker, and starts are told.
+func crowdedSharing() policy.Settings {
 	s := settings()
 	s.ReportsStart, s.Limits.ConcurrentAttempts, s.Instances = true, false, 40
 	return s
@@ -119,7 +119,7 @@
 // meets. A worker that starts its jobs keeps its room, and so does one whose load few share.
 func TestWorkerWhereAJobWaitsHasNoRoom(t *testing.T) {
 	for _, instances := range []int{2, 40} {
-		s := crowd()
+		s := crowdedSharing()
 		s.Instances = instances
 		b := newBench(t, s, 1)
 		b.HandleProbeResult(b.now, full(1, 9))
@@ -197,7 +197,7 @@
 
 // TestWrongReportIsNotBelievedForAWhile: after a job has waited, reports count again after as long.
 func TestWrongReportIsNotBelievedForAWhile(t *testing.T) {
-	b := newBench(t, crowd(), 1)
+	b := newBench(t, crowdedSharing(), 1)
 	b.HandleProbeResult(b.now, full(1, 9))
 	b.request("r", "safe", 300*ms)
 	b.pass(200 * ms)
--- a/internal/dispatcher/policy/scale_test.go
+++ b/internal/dispatcher/policy/scale_test.go
@@ -48,7 +48,7 @@
 			if now >= told[i] && now-20*ms < told[i] {
 				b.HandleMembers(now, policy.ListSnapshot, []policy.Member{cold})
 			}
-			b.Dispatcher.HandleTimer(now, "tick")
+			b.HandleTimer(now, "tick")
 			if rng.Float64() > rate[i]/50 {
 				continue
 			}
@@ -428,7 +428,7 @@
 				at := float64(tick) * 0.02
 				for i, b := range benches {
 					b.now = cold.StartedAt + time.Duration(tick)*20*ms
-					b.Dispatcher.HandleTimer(b.now, "tick")
+					b.HandleTimer(b.now, "tick")
 					if rng.Float64() < rate[i]*0.02 {
 						r := policy.Request{ID: fmt.Sprint("r", tick), Class: "unsafe", Hint: 770 * ms, Slots: 1, Deadline: b.now + 10*time.Second}
 						if rng.Float64() < mix.wide {
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -17,19 +17,19 @@
 	chosen, top := [2]*worker{}, [2]float64{}
 	serving := 1
 	for _, w := range d.subset {
-		if !d.suits(j, w) || j.waitsAt(w) {
+		if !d.compatible(j, w) || j.inFlightAt(w) {
 			continue
 		}
-		of := one(d.dubious(w, j))
+		of := boolToInt(d.avoided(w, j))
 		serving = min(serving, of)
-		late := float64(d.now)+hope*j.run*w.pace()*d.common*d.chilled(w) > float64(j.aim)
-		if late || j.ran != nil && j.class.Effect == Deduplicated && !j.class.Group.same(j.ran.to, w.Member) {
+		late := float64(d.now)+bestCaseRun*j.expectedRun*w.pace()*d.slowdown*d.coldSlowdown(w) > float64(j.answerBy)
+		if late || j.firstMayHaveRun != nil && j.class.Effect == Deduplicated && !j.class.Group.covers(j.firstMayHaveRun.listing, w.Member) {
 			continue
 		}
-		room, fits := d.room(w, j)
-		if d.near(w) {
-			room += nearFirst
-			near += one(fits && of == 0)
+		room, fits := d.headroom(w, j)
+		if d.local(w) {
+			room += localPriority
+			near += boolToInt(fits && of == 0)
 		}
 		if fits && (chosen[of] == nil || room > top[of]) {
 			chosen[of], top[of] = w, room
@@ -67,7 +67,7 @@
 		d, err := New(s, h)
 		require.NoError(t, err)
 		now := time.Minute
-		n := rapid.IntRange(many, 3*many).Draw(t, "workers")
+		n := rapid.IntRange(manyMembers, 3*manyMembers).Draw(t, "workers")
 		member := func(i int) Member {
 			m := Member{Worker: uint32(i), Kind: s.Kinds[i%2], Zone: []string{"x", "y"}[i/2%2], Cell: i % 5}
 			if rapid.IntRange(0, 9).Draw(t, "cold") == 0 {
@@ -81,8 +81,8 @@
 			list = append(list, member(i))
 		}
 		d.HandleMembers(now, ListSnapshot, list)
-		d.peak = float64(n) // as with as many jobs in hand: all are in the subset
-		d.fill()
+		d.peakJobs = float64(n) // as with as many jobs in hand: all are in the subset
+		d.refillSubset()
 		d.HandleRequest(now, Request{ID: "first", Class: "safe", Hint: 50 * time.Millisecond, Slots: 1, Deadline: now + 5*time.Second})
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
@@ -107,28 +107,28 @@
 			case 4:
 				d.HandleMembers(now, ListDelta, []Member{member(rapid.IntRange(0, n-1).Draw(t, "changed"))})
 			case 5:
-				d.HandleTimer(now, rapid.SampledFrom([]string{tickToken, trialToken, "due", "start"}).Draw(t, "token"))
+				d.HandleTimer(now, rapid.SampledFrom([]string{tickToken, recheckToken, "due", "start"}).Draw(t, "token"))
 			}
-			if len(d.subset) < many {
+			if len(d.subset) < manyMembers {
 				continue
 			}
 			class := d.classes[s.Classes[rapid.IntRange(0, 2).Draw(t, "asked")].Name]
-			j := &job{Request: Request{ID: "probe", Slots: 1}, class: class, aim: d.now + time.Second}
-			j.run = float64(rapid.IntRange(1, 800).Draw(t, "run")) * float64(time.Millisecond)
-			j.cost = j.run
+			j := &job{Request: Request{ID: "probe", Slots: 1}, class: class, answerBy: d.now + time.Second}
+			j.expectedRun = float64(rapid.IntRange(1, 800).Draw(t, "run")) * float64(time.Millisecond)
+			j.cost = j.expectedRun
 			want, most, near := d.plainSearch(j)
-			got := d.place(j)
+			got := d.selectAny(j)
 			require.Equal(t, want == nil, got == nil, "plain %v, sampled %v", want, got)
 			if got == nil {
 				continue
 			}
-			room, fits := d.room(got, j)
-			if d.near(got) {
-				room += nearFirst
+			room, fits := d.headroom(got, j)
+			if d.local(got) {
+				room += localPriority
 			}
 			require.True(t, fits && d.usable(got))
 			require.False(t, math.IsNaN(room))
-			if near <= sample {
+			if near <= sampledMembers {
 				require.Equal(t, most, room, "of %d that fit", near)
 			}
 		}
@@ -152,7 +152,7 @@
 			list = append(list, Member{Worker: i + 1, Kind: "k"})
 		}
 		d.HandleMembers(time.Minute, ListSnapshot, list)
-		d.peak = workers
+		d.peakJobs = workers
 		d.HandleRequest(time.Minute, Request{ID: "r", Class: "c", Hint: time.Millisecond, Deadline: time.Minute + time.Second})
 		require.Len(t, h.out, 1)
 		got[h.out[0].Worker]++
@@ -227,7 +227,7 @@
 	}
 	require.Less(t, len(d.vacant.All()), n+1)
 	for _, w := range d.vacant.All() {
-		require.True(t, w.member)
+		require.True(t, w.inSubset)
 	}
 }
 
@@ -246,7 +246,7 @@
 		list = append(list, Member{Worker: i, Kind: "k"})
 	}
 	d.HandleMembers(now, ListSnapshot, list)
-	d.peak = n
+	d.peakJobs = n
 	type due struct {
 		at time.Duration
 		o  AttemptResult
@@ -335,32 +335,32 @@
 	}, h)
 	require.NoError(t, err)
 	var list []Member
-	for i := range 2 * many {
+	for i := range 2 * manyMembers {
 		list = append(list, Member{Worker: uint32(i), Kind: "a"})
 	}
 	now := time.Minute
 	d.HandleMembers(now, ListSnapshot, list)
-	d.peak = 2 * many
-	d.fill()
-	for i := range 2 * many {
+	d.peakJobs = 2 * manyMembers
+	d.refillSubset()
+	for i := range 2 * manyMembers {
 		d.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: "safe", Hint: 50 * time.Millisecond, Slots: 1, Deadline: now + time.Minute})
 	}
-	require.Greater(t, len(d.busy), many)
+	require.Greater(t, len(d.busy), manyMembers)
 	overdue := func() (n int) {
 		for _, w := range d.subset {
-			n += w.silent
+			n += w.overdueJobs
 		}
 		return n
 	}
 	now += 30 * time.Second
 	for _, token := range []string{"due", "start", "chance", watchToken} {
-		d.ticking, h.ticks = false, 0
+		d.tickPending, h.ticks = false, 0
 		d.HandleTimer(now, token)
 		require.Zero(t, overdue(), token)
 		require.Equal(t, 1, h.ticks, token)
 	}
 	d.HandleTimer(now, tickToken)
-	require.Greater(t, overdue(), many)
+	require.Greater(t, overdue(), manyMembers)
 }
 
 // looked is a host that counts the ticks asked for.
@@ -369,4 +369,4 @@
 	ticks int
 }
 
-func (l *looked) Timer(_ time.Duration, token string) { l.ticks += one(token == tickToken) }
+func (l *looked) Timer(_ time.Duration, token string) { l.ticks += boolToInt(token == tickToken) }
