--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	firstPause = 50 * time.Millisecond // after a join that failed; doubled up to lastPause
-	lastPause  = time.Second
-	orderFor   = 3 * time.Second // how long a command is asked for before it counts as lost
+	minJoinBackoff = 50 * time.Millisecond // after a join that failed; doubled up to lastPause
+	maxJoinBackoff = time.Second
+	commandTimeout = 3 * time.Second // how long a command is asked for before it counts as lost
 )
 
 // Settings are what an agent is made of.
@@ -38,34 +38,34 @@
 // Agent is a process's side. Its methods may be used by several goroutines, but for
 // those of spend.go that say otherwise.
 type Agent struct {
-	s      Settings
-	client *rpc.Client
-	base   time.Time // the own clock's zero
-	nonce  string
-	purse  *budget.Purse
-	taps   atomic.Pointer[taps]
-	short  map[string]time.Duration // see Room
-
-	session atomic.Pointer[rpc.Session] // nil: not joined
-	leave   chan struct{}
-	joined  atomic.Int64 // how often
-	renewed atomic.Int64 // the own clock when the last renewal that was granted was sent
-	members atomic.Int64
-	leased  atomic.Int64 // the own clock when the lease ends here
+	settings      Settings
+	client        *rpc.Client
+	clockZero     time.Time // the own clock's zero
+	nonce         string
+	allowance     *budget.Purse
+	buckets       atomic.Pointer[bucketSet]
+	lastRejection map[string]time.Duration // see Room
+
+	session   atomic.Pointer[rpc.Session] // nil: not joined
+	leaving   chan struct{}
+	joins     atomic.Int64 // how often
+	renewedAt atomic.Int64 // the own clock when the last renewal that was granted was sent
+	members   atomic.Int64
+	leaseEnd  atomic.Int64 // the own clock when the lease ends here
 }
 
 // New returns an agent that has not joined. Until its first grant it admits nothing
 // of the budgets that it expects.
 func New(s Settings) *Agent {
-	a := &Agent{s: s, client: rpc.New(s.RaftNodes), base: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), purse: budget.NewPurse(),
-		leave: make(chan struct{}), short: make(map[string]time.Duration)}
-	a.purse.Expect(s.ExpectedBudgets...)
-	a.see(s.ExpectedBudgets)
+	a := &Agent{settings: s, client: rpc.New(s.RaftNodes), clockZero: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), allowance: budget.NewPurse(),
+		leaving: make(chan struct{}), lastRejection: make(map[string]time.Duration)}
+	a.allowance.Expect(s.ExpectedBudgets...)
+	a.addBuckets(s.ExpectedBudgets)
 	return a
 }
 
 // now is the own clock, which never jumps and goes on while the process is stopped.
-func (a *Agent) now() time.Duration { return time.Since(a.base) }
+func (a *Agent) now() time.Duration { return time.Since(a.clockZero) }
 
 // Session is the incarnation in force, as far as is known here; nil: none.
 func (a *Agent) Session() *rpc.Session { return a.session.Load() }
@@ -73,48 +73,48 @@
 // Run keeps the process in the fleet until the context ends.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.client.Close()
-	pause := firstPause
+	pause := minJoinBackoff
 	for n := 0; ctx.Err() == nil; n++ {
 		// A start joins under its own nonce; one that went out of force is a new one.
-		err := a.belong(ctx, fmt.Sprintf("%s-%d", a.nonce, n))
+		err := a.joinAndRenew(ctx, fmt.Sprintf("%s-%d", a.nonce, n))
 		a.session.Store(nil)
 		switch {
 		case ctx.Err() != nil:
 		case errors.Is(err, state.ErrFenced):
-			a.s.Log.WithError(err).Warn("this process went out of force in the fleet and joins anew")
-			pause = firstPause
+			a.settings.Log.WithError(err).Warn("this process went out of force in the fleet and joins anew")
+			pause = minJoinBackoff
 			continue
 		default:
-			a.s.Log.WithError(err).Warn("the fleet's keepers can't be reached; asking again")
+			a.settings.Log.WithError(err).Warn("the fleet's keepers can't be reached; asking again")
 			n-- // the same start: its join may have counted
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxJoinBackoff)
 	}
 	return nil
 }
 
-// belong joins and renews until it is out of force or the context ends.
-func (a *Agent) belong(ctx context.Context, nonce string) error {
-	join, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
+// joinAndRenew joins and renews until it is out of force or the context ends.
+func (a *Agent) joinAndRenew(ctx context.Context, nonce string) error {
+	join, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
-	s, _, err := a.client.Join(join, a.s.Process, nonce, a.s.Version)
+	s, _, err := a.client.Join(join, a.settings.Process, nonce, a.settings.Version)
 	if err != nil {
 		return err
 	}
-	a.purse.Become(a.s.Process, s.Incarnation)
-	if err := s.Execute(join, state.Set, a.s.FleetSettings, nil); err != nil && !errors.Is(err, rpc.ErrUnavailable) {
+	a.allowance.Become(a.settings.Process, s.Incarnation)
+	if err := s.Execute(join, state.SetSettings, a.settings.FleetSettings, nil); err != nil && !errors.Is(err, rpc.ErrUnavailable) {
 		if errors.Is(err, state.ErrFenced) {
 			return err
 		}
-		a.s.Log.WithError(err).Error("the fleet goes by other settings than this operator's file")
+		a.settings.Log.WithError(err).Error("the fleet goes by other settings than this operator's file")
 	}
 	a.session.Store(s)
-	a.joined.Add(1)
-	a.s.Log.WithField("incarnation", s.Incarnation).Info("joined the fleet")
+	a.joins.Add(1)
+	a.settings.Log.WithField("incarnation", s.Incarnation).Info("joined the fleet")
 	for silent := false; ; {
 		sent := a.now()
 		switch err := a.renew(ctx, s, sent); {
@@ -124,68 +124,70 @@
 			return err
 		case err != nil && !silent:
 			silent = true
-			a.s.Log.WithError(err).Warn("the lease could not be renewed: shares are spent to its end, then floors")
+			a.settings.Log.WithError(err).Warn("the lease could not be renewed: shares are spent to its end, then floors")
 		case err == nil && silent:
 			silent = false
-			a.s.Log.Info("the lease is renewed again")
+			a.settings.Log.Info("the lease is renewed again")
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-a.leave:
+		case <-a.leaving:
 			<-ctx.Done() // nothing is spent any more
 			return ctx.Err()
-		case <-time.After(max(0, a.purse.Due(a.now())-a.now())):
+		case <-time.After(max(0, a.allowance.Due(a.now())-a.now())):
 		}
 	}
 }
 
 // renew renews the lease and takes in what it grants.
 func (a *Agent) renew(ctx context.Context, s *rpc.Session, sent time.Duration) error {
-	body, err := codec.Encode(a.purse.Renewal(sent))
+	body, err := codec.Encode(a.allowance.Renewal(sent))
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
 	told, err := s.Renew(ctx, map[string][]byte{partition.BudgetsName: body})
 	if err != nil {
 		return err
 	}
 	for part, why := range told.Refused {
-		a.s.Log.WithField("part", part).Warn("the fleet refuses what a renewal says: " + why)
+		a.settings.Log.WithField("part", part).Warn("the fleet refuses what a renewal says: " + why)
 	}
-	a.renewed.Store(int64(sent))
-	a.leased.Store(int64(sent + time.Duration(budget.Margin*float64(told.Lease))))
+	a.renewedAt.Store(int64(sent))
+	a.leaseEnd.Store(int64(sent + time.Duration(budget.Margin*float64(told.Lease))))
 	a.members.Store(int64(told.Members))
 	var g budget.Grant
 	if text := told.Parts[partition.BudgetsName]; text != nil {
 		if err := codec.Decode(text, &g); err != nil {
 			return err
 		}
-		a.purse.Apply(sent, a.now(), g)
-		names := append([]string(nil), a.s.ExpectedBudgets...)
+		a.allowance.Apply(sent, a.now(), g)
+		names := append([]string(nil), a.settings.ExpectedBudgets...)
 		for _, share := range g.Shares {
 			names = append(names, share.Name)
 		}
-		a.see(names)
+		a.addBuckets(names)
 	}
 	return nil
 }
 
-// Leased tells whether this process's lease holds, by its own clock.
-func (a *Agent) Leased() bool { return int64(a.now()) < a.leased.Load() && a.session.Load() != nil }
+// HoldsLease tells whether this process's lease holds, by its own clock.
+func (a *Agent) HoldsLease() bool {
+	return int64(a.now()) < a.leaseEnd.Load() && a.session.Load() != nil
+}
 
 // Leave says that this process ends as planned, and what it leaves under way. What
 // it can't say by the deadline the fleet finds out by the lease.
 func (a *Agent) Leave(ctx context.Context) error {
-	close(a.leave)
-	left := a.purse.Close(a.now())
+	close(a.leaving)
+	left := a.allowance.Close(a.now())
 	s := a.session.Load()
 	if s == nil {
 		return nil
 	}
-	if err := s.Execute(ctx, partition.BudgetsLeave, partition.BudgetsLeft{Left: left}, nil); err != nil {
+	if err := s.Execute(ctx, partition.BudgetsLeave, partition.BudgetsDeparture{Left: left}, nil); err != nil {
 		return fmt.Errorf("leaving the fleet: %w", err)
 	}
 	if err := s.Execute(ctx, state.Leave, nil, nil); err != nil {
@@ -205,8 +207,8 @@
 
 // Status tells how this process stands.
 func (a *Agent) Status() Status {
-	s := Status{Process: a.s.Process, Joins: a.joined.Load(), Members: a.members.Load(), SinceRenewalMS: -1}
-	if at := a.renewed.Load(); at != 0 {
+	s := Status{Process: a.settings.Process, Joins: a.joins.Load(), Members: a.members.Load(), SinceRenewalMS: -1}
+	if at := a.renewedAt.Load(); at != 0 {
 		s.SinceRenewalMS = (a.now() - time.Duration(at)).Milliseconds()
 	}
 	if in := a.session.Load(); in != nil {
--- a/internal/dispatcher/fleet/agent/spend.go
+++ b/internal/dispatcher/fleet/agent/spend.go
@@ -9,17 +9,17 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// taps are looked up on a job's path: an immutable snapshot, replaced when a grant
+// bucketSet are looked up on a job's path: an immutable snapshot, replaced when a grant
 // names a budget that was not known.
-type taps struct {
-	names                   map[string]bool
-	jobs, retries, underWay map[string]*budget.Tap
-	cold, probes            *budget.Tap
+type bucketSet struct {
+	names                        map[string]bool
+	admission, retries, inFlight map[string]*budget.Tap
+	cold, probes                 *budget.Tap
 }
 
-// see makes the taps of these budgets known.
-func (a *Agent) see(names []string) {
-	old := a.taps.Load()
+// addBuckets makes the taps of these budgets known.
+func (a *Agent) addBuckets(names []string) {
+	old := a.buckets.Load()
 	unknown := old == nil
 	for _, n := range names {
 		unknown = unknown || !old.names[n]
@@ -27,7 +27,7 @@
 	if !unknown {
 		return
 	}
-	t := &taps{names: map[string]bool{}, jobs: map[string]*budget.Tap{}, retries: map[string]*budget.Tap{}, underWay: map[string]*budget.Tap{}}
+	t := &bucketSet{names: map[string]bool{}, admission: map[string]*budget.Tap{}, retries: map[string]*budget.Tap{}, inFlight: map[string]*budget.Tap{}}
 	if old != nil {
 		for n := range old.names {
 			names = append(names, n)
@@ -36,20 +36,20 @@
 	for _, n := range names {
 		t.names[n] = true
 		of, name, _ := strings.Cut(n, "/")
-		switch tap := a.purse.Tap(n); of {
+		switch tap := a.allowance.Tap(n); of {
 		case settings.BudgetJobs:
-			t.jobs[name] = tap
+			t.admission[name] = tap
 		case settings.BudgetRetries:
 			t.retries[name] = tap
 		case settings.BudgetUnderWay:
-			t.underWay[name] = tap
+			t.inFlight[name] = tap
 		case settings.BudgetCold:
 			t.cold = tap
 		case settings.BudgetProbes:
 			t.probes = tap
 		}
 	}
-	a.taps.Store(t)
+	a.buckets.Store(t)
 }
 
 // The methods below are on a job's path: atomics and a snapshot. Those of
@@ -57,7 +57,7 @@
 
 // Admit implements stage.Shares.
 func (a *Agent) Admit(tenant string, now time.Time) (time.Time, bool) {
-	t := a.taps.Load().jobs[tenant]
+	t := a.buckets.Load().admission[tenant]
 	if t == nil {
 		return time.Time{}, true
 	}
@@ -70,32 +70,32 @@
 
 // TakeRetry implements basaltloft.Purse.
 func (a *Agent) TakeRetry(_, class string) bool {
-	t := a.taps.Load().retries[class]
+	t := a.buckets.Load().retries[class]
 	return t == nil || t.Take(a.now())
 }
 
 // RetryTime implements core.Spending.
 func (a *Agent) RetryTime(class string, now time.Time) time.Time {
-	if t := a.taps.Load().retries[class]; t != nil {
+	if t := a.buckets.Load().retries[class]; t != nil {
 		return now.Add(t.ComeBack(a.now()))
 	}
 	return now
 }
 
-// shortEvery: jobs that wait for room ask at each look of the decisions; what they
+// rejectionInterval: jobs that wait for room ask at each look of the decisions; what they
 // want is counted this often.
-const shortEvery = 20 * time.Millisecond
+const rejectionInterval = 20 * time.Millisecond
 
 // HasHeadroom implements basaltloft.Purse.
 func (a *Agent) HasHeadroom(kind string) bool {
-	t := a.taps.Load().underWay[kind]
+	t := a.buckets.Load().inFlight[kind]
 	if t == nil {
 		return true
 	}
 	now := a.now()
 	free := t.Free(now)
-	if !free && now-a.short[kind] >= shortEvery {
-		a.short[kind] = now
+	if !free && now-a.lastRejection[kind] >= rejectionInterval {
+		a.lastRejection[kind] = now
 		t.Short()
 	}
 	return free
@@ -103,22 +103,22 @@
 
 // Reserve implements core.Spending.
 func (a *Agent) Reserve(kind string, until time.Time) (engine.Reservation, bool) {
-	t := a.taps.Load().underWay[kind]
+	t := a.buckets.Load().inFlight[kind]
 	if t == nil {
 		return nil, true
 	}
-	return t, t.Begin(a.now(), until.Sub(a.base))
+	return t, t.Begin(a.now(), until.Sub(a.clockZero))
 }
 
 // TakeProbe implements basaltloft.Purse.
 func (a *Agent) TakeProbe() bool {
-	t := a.taps.Load().probes
+	t := a.buckets.Load().probes
 	return t == nil || t.Take(a.now())
 }
 
 // ColdShare implements basaltloft.Purse.
 func (a *Agent) ColdShare() (float64, bool) {
-	t := a.taps.Load().cold
+	t := a.buckets.Load().cold
 	if t == nil {
 		return 0, false
 	}
@@ -128,7 +128,7 @@
 // SetArrivalRate tells how many jobs a second this dispatcher has, by which a cold member's
 // parts are divided.
 func (a *Agent) SetArrivalRate(rate float64) {
-	if t := a.taps.Load().cold; t != nil {
+	if t := a.buckets.Load().cold; t != nil {
 		t.Want(rate)
 	}
 }
--- a/internal/dispatcher/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -44,8 +44,8 @@
 	Session() *rpc.Session // nil: it has none just now
 	// TakeRetry takes an attempt beyond the first of the fleet's budget of a class.
 	TakeRetry(request, class string) bool
-	// Leased tells whether this process's lease holds, by its own clock.
-	Leased() bool
+	// HoldsLease tells whether this process's lease holds, by its own clock.
+	HoldsLease() bool
 	// RetryTime is when another is worth asking for.
 	RetryTime(class string, now time.Time) time.Time
 }
@@ -59,12 +59,12 @@
 )
 
 const (
-	mostRuns  = 4096                   // that one process drives
-	claimMost = 64                     // runs taken over at a time
-	claimFor  = 250 * time.Millisecond // between looks for runs that nobody drives
-	lookEvery = 100 * time.Millisecond // at a run that waits for another one's output
-	tryEvery  = 50 * time.Millisecond  // a command for which no keeper answered
-	orderFor  = 3 * time.Second
+	maxRuns        = 4096                   // that one process drives
+	maxClaims      = 64                     // runs taken over at a time
+	claimInterval  = 250 * time.Millisecond // between looks for runs that nobody drives
+	pollInterval   = 100 * time.Millisecond // at a run that waits for another one's output
+	retryInterval  = 50 * time.Millisecond  // a command for which no keeper answered
+	commandTimeout = 3 * time.Second
 )
 
 // Coordinator drives the runs of one process.
@@ -74,21 +74,21 @@
 	log   logrus.FieldLogger
 	now   func() time.Time // the clock of the deadlines of Finish
 
-	mu      sync.Mutex
-	named   map[string]*plan.Plan // in use
-	digests map[uint64]*plan.Plan // those, and older ones that runs may have
-	runs    map[string]*run
-	memory  *planrun.Coordinator // of what was done about each attempt
-	life    context.Context      // nil: not running
-	leaving chan struct{}        // closed: nothing more is begun here
-	all     sync.WaitGroup
-	ends    waiters
+	mu            sync.Mutex
+	plansByName   map[string]*plan.Plan // in use
+	plansByDigest map[uint64]*plan.Plan // those, and older ones that runs may have
+	runs          map[string]*driver
+	attempts      *planrun.Coordinator // of what was done about each attempt
+	lifetime      context.Context      // nil: not running
+	draining      chan struct{}        // closed: nothing more is begun here
+	running       sync.WaitGroup
+	waiting       answerWaiters
 }
 
 // New returns a coordinator without plans.
 func New(f Fleet, d Dispatcher, log logrus.FieldLogger) *Coordinator {
-	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, memory: planrun.NewCoordinator(planrun.DefaultLimits().Grace), leaving: make(chan struct{}),
-		named: map[string]*plan.Plan{}, digests: map[uint64]*plan.Plan{}, runs: map[string]*run{}}
+	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, attempts: planrun.NewCoordinator(planrun.DefaultLimits().Grace), draining: make(chan struct{}),
+		plansByName: map[string]*plan.Plan{}, plansByDigest: map[uint64]*plan.Plan{}, runs: map[string]*driver{}}
 }
 
 // SetPlans takes plans in use in place of those before. Runs under way go on by the plan
@@ -96,20 +96,20 @@
 func (c *Coordinator) SetPlans(plans []*plan.Plan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.named = make(map[string]*plan.Plan, len(plans))
+	c.plansByName = make(map[string]*plan.Plan, len(plans))
 	for _, p := range plans {
-		c.named[p.Name], c.digests[p.Digest] = p, p
+		c.plansByName[p.Name], c.plansByDigest[p.Digest] = p, p
 	}
 }
 
 // Run takes over runs that nobody drives, until the context ends; then the runs of
 // this process are left to the others.
 func (c *Coordinator) Run(ctx context.Context) error {
-	defer c.all.Wait()
+	defer c.running.Wait()
 	c.mu.Lock()
-	c.life = ctx
+	c.lifetime = ctx
 	c.mu.Unlock()
-	tick := time.NewTicker(claimFor)
+	tick := time.NewTicker(claimInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -125,11 +125,11 @@
 
 // Drain begins nothing more, at a planned end: what is under way ends here and is told,
 // and the runs go on at other processes once this one has left.
-func (c *Coordinator) Drain() { close(c.leaving) }
+func (c *Coordinator) Drain() { close(c.draining) }
 
-func (c *Coordinator) left() bool {
+func (c *Coordinator) isDraining() bool {
 	select {
-	case <-c.leaving:
+	case <-c.draining:
 		return true
 	default:
 		return false
@@ -140,17 +140,17 @@
 func (c *Coordinator) claim(ctx context.Context) error {
 	s := c.fleet.Session()
 	c.mu.Lock()
-	claim := planrun.Claim{Most: min(claimMost, mostRuns-len(c.runs))}
-	for digest := range c.digests {
+	claim := planrun.Claim{Most: min(maxClaims, maxRuns-len(c.runs))}
+	for digest := range c.plansByDigest {
 		claim.Plans = append(claim.Plans, digest)
 	}
 	c.mu.Unlock()
-	if s == nil || c.left() || len(claim.Plans) == 0 || claim.Most <= 0 {
+	if s == nil || c.isDraining() || len(claim.Plans) == 0 || claim.Most <= 0 {
 		return nil
 	}
-	ctx2, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
+	ctx2, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
-	a, err := s.Read(ctx2, rpc.Query{Kind: partition.PlansOrphans})
+	a, err := s.Read(ctx2, rpc.Query{Kind: partition.PlansCountOrphans})
 	if err != nil {
 		return err
 	}
@@ -159,11 +159,11 @@
 		return err
 	}
 	var r partition.PlanReply
-	if err := s.Execute(ctx2, partition.PlansDo, planrun.Command{Claim: &claim}, &r); err != nil {
+	if err := s.Execute(ctx2, partition.PlansCommand, planrun.Command{Claim: &claim}, &r); err != nil {
 		return err
 	}
 	for _, one := range r.Claimed {
-		look, err := c.look(ctx2, s, one.Run)
+		look, err := c.queryRun(ctx2, s, one.Run)
 		if err != nil {
 			return fmt.Errorf("run %s: %w", one.Run, err) // its fence is this process's: no other takes it, until its lease ends
 		}
@@ -177,12 +177,12 @@
 	return nil
 }
 
-func (c *Coordinator) look(ctx context.Context, s *rpc.Session, id string) (r partition.PlanReply, err error) {
+func (c *Coordinator) queryRun(ctx context.Context, s *rpc.Session, id string) (r partition.PlanReply, err error) {
 	body, err := codec.Encode(id)
 	if err != nil {
 		return r, err
 	}
-	a, err := s.Read(ctx, rpc.Query{Kind: partition.PlansLook, Body: body})
+	a, err := s.Read(ctx, rpc.Query{Kind: partition.PlansRun, Body: body})
 	if err != nil {
 		return r, err
 	}
@@ -210,19 +210,19 @@
 // that may begin the run.
 func (c *Coordinator) start(ctx context.Context, a StartRequest) (answer *planrun.Answer, before time.Duration, err error) {
 	c.mu.Lock()
-	p := c.named[a.Plan]
-	full, life := len(c.runs) >= mostRuns, c.life
+	p := c.plansByName[a.Plan]
+	full, life := len(c.runs) >= maxRuns, c.lifetime
 	c.mu.Unlock()
 	s := c.fleet.Session()
 	switch {
 	case p == nil:
 		return nil, 0, fmt.Errorf("%w: %q", ErrUnknownPlan, a.Plan)
-	case s == nil || life == nil || c.left():
+	case s == nil || life == nil || c.isDraining():
 		return nil, 0, ErrNoSession
 	case full:
-		return nil, 0, fmt.Errorf("%w: this process drives %d runs", ErrRefused, mostRuns)
+		return nil, 0, fmt.Errorf("%w: this process drives %d runs", ErrRefused, maxRuns)
 	}
-	look, err := c.look(ctx, s, a.Run)
+	look, err := c.queryRun(ctx, s, a.Run)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -235,7 +235,7 @@
 	var r partition.PlanReply
 	start := planrun.Start{Run: a.Run, Plan: p.Name, Tenant: a.Tenant, Digest: p.Digest, Shape: planrun.ShapeOf(p), Input: a.Input,
 		Seed: codec.Digest([]byte(a.Run)), Before: look.At + a.Timeout}
-	if err := s.Execute(ctx, partition.PlansDo, planrun.Command{Start: &start}, &r); err != nil {
+	if err := s.Execute(ctx, partition.PlansCommand, planrun.Command{Start: &start}, &r); err != nil {
 		return nil, start.Before, err
 	}
 	if err := r.Err(); err != nil {
@@ -253,7 +253,7 @@
 	if s == nil {
 		return nil, ErrNoSession
 	}
-	r, err := c.look(ctx, s, id)
+	r, err := c.queryRun(ctx, s, id)
 	if err == nil && r.Run == nil && r.Ended == nil {
 		err = ErrUnknownRun
 	}
@@ -264,32 +264,34 @@
 func (c *Coordinator) drive(ctx context.Context, fence uint64, r partition.PlanReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.digests[r.Run.Digest]
+	p := c.plansByDigest[r.Run.Digest]
 	if old := c.runs[r.Run.ID]; p == nil || ctx.Err() != nil || old != nil && old.fence >= fence {
 		return
 	}
 	shape := planrun.ShapeOf(p)
-	d := &run{c: c, id: r.Run.ID, fence: fence, plan: p, shape: &shape, wake: make(chan struct{}, 1), life: ctx}
-	d.see(r)
+	d := &driver{coordinator: c, id: r.Run.ID, fence: fence, plan: p, shape: &shape, wake: make(chan struct{}, 1), lifetime: ctx}
+	d.update(r)
 	c.runs[d.id] = d
-	c.memory.Drive(d.id, fence)
-	c.all.Go(func() {
+	c.attempts.Drive(d.id, fence)
+	c.running.Go(func() {
 		d.drive(ctx)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.runs[d.id] == d {
 			delete(c.runs, d.id)
-			c.memory.Drop(d.id)
+			c.attempts.Drop(d.id)
 		}
 	})
 }
 
-// remember lets a function use what is remembered of attempts.
-func (c *Coordinator) remember(what func(*planrun.Coordinator)) {
+// withAttempts lets a function use what is remembered of attempts.
+func (c *Coordinator) withAttempts(what func(*planrun.Coordinator)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	what(c.memory)
+	what(c.attempts)
 }
 
-// gone tells whether an error means that this process no longer drives a run.
-func gone(err error) bool { return errors.Is(err, state.ErrFenced) || errors.Is(err, ErrNoSession) }
+// isOutOfForce tells whether an error means that this process no longer drives a run.
+func isOutOfForce(err error) bool {
+	return errors.Is(err, state.ErrFenced) || errors.Is(err, ErrNoSession)
+}
--- a/internal/dispatcher/fleet/coordinator/finish.go
+++ b/internal/dispatcher/fleet/coordinator/finish.go
@@ -15,37 +15,37 @@
 var ErrOutcomeUnknown = errors.New("how the run ended is not known")
 
 const (
-	lookAtMost = 2 * time.Second  // between looks at a run that another process drives
-	tellWithin = 30 * time.Second // after its deadline and grace nobody waits longer for a run's answer
+	maxPollInterval = 2 * time.Second  // between looks at a run that another process drives
+	answerTimeout   = 30 * time.Second // after its deadline and grace nobody waits longer for a run's answer
 )
 
-// waiters are told the answers of runs that this process drives.
-type waiters struct {
-	mu sync.Mutex
-	by map[string][]chan *planrun.Answer
+// answerWaiters are told the answers of runs that this process drives.
+type answerWaiters struct {
+	mu    sync.Mutex
+	byRun map[string][]chan *planrun.Answer
 }
 
-func (w *waiters) wait(run string) (heard chan *planrun.Answer, forget func()) {
+func (w *answerWaiters) subscribe(run string) (heard chan *planrun.Answer, forget func()) {
 	heard = make(chan *planrun.Answer, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.by == nil {
-		w.by = map[string][]chan *planrun.Answer{}
+	if w.byRun == nil {
+		w.byRun = map[string][]chan *planrun.Answer{}
 	}
-	w.by[run] = append(w.by[run], heard)
+	w.byRun[run] = append(w.byRun[run], heard)
 	return heard, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.by[run] = slices.DeleteFunc(w.by[run], func(c chan *planrun.Answer) bool { return c == heard }); len(w.by[run]) == 0 {
-			delete(w.by, run)
+		if w.byRun[run] = slices.DeleteFunc(w.byRun[run], func(c chan *planrun.Answer) bool { return c == heard }); len(w.byRun[run]) == 0 {
+			delete(w.byRun, run)
 		}
 	}
 }
 
-func (w *waiters) tell(a *planrun.Answer) {
+func (w *answerWaiters) publish(a *planrun.Answer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, heard := range w.by[a.Run] {
+	for _, heard := range w.byRun[a.Run] {
 		select {
 		case heard <- a:
 		default: // it was told before
@@ -57,7 +57,7 @@
 func (c *Coordinator) InUse(plan string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.named[plan] == nil {
+	if c.plansByName[plan] == nil {
 		return fmt.Errorf("%w: %q", ErrUnknownPlan, plan)
 	}
 	return nil
@@ -70,7 +70,7 @@
 func (c *Coordinator) StartAsync(a StartRequest, until time.Time, done func(*planrun.Answer, error)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p, life := c.named[a.Plan], c.life
+	p, life := c.plansByName[a.Plan], c.lifetime
 	switch {
 	case p == nil:
 		return fmt.Errorf("%w: %q", ErrUnknownPlan, a.Plan)
@@ -80,17 +80,17 @@
 	if most := c.now().Add(p.Within); until.IsZero() || until.After(most) {
 		until = most
 	}
-	c.all.Go(func() {
-		if answer, err := c.finish(life, a, until); life.Err() == nil {
+	c.running.Go(func() {
+		if answer, err := c.startAndWait(life, a, until); life.Err() == nil {
 			done(answer, err)
 		}
 	})
 	return nil
 }
 
-// finish asks for the start until it is known to be in the state, and then waits.
-func (c *Coordinator) finish(ctx context.Context, a StartRequest, until time.Time) (*planrun.Answer, error) {
-	heard, forget := c.ends.wait(a.Run)
+// startAndWait asks for the start until it is known to be in the state, and then waits.
+func (c *Coordinator) startAndWait(ctx context.Context, a StartRequest, until time.Time) (*planrun.Answer, error) {
+	heard, forget := c.waiting.subscribe(a.Run)
 	defer forget()
 	began, keep := c.now(), planrun.DefaultLimits().KeepFor
 	stop := began.Add(keep / 2) // a later start could begin it anew, were its answer forgotten
@@ -100,7 +100,7 @@
 	var before time.Duration // a start that was ordered counts up to then; 0: none was
 	err := fmt.Errorf("%w: its deadline has passed", ErrRefused)
 	for now := c.now(); now.Before(stop); now = c.now() {
-		once, cancel := context.WithTimeout(ctx, min(orderFor, stop.Sub(now)))
+		once, cancel := context.WithTimeout(ctx, min(commandTimeout, stop.Sub(now)))
 		a.Timeout = until.Sub(now)
 		var answer *planrun.Answer
 		var upTo time.Duration
@@ -118,14 +118,14 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(tryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 	if err != nil && before == 0 {
 		return nil, err
 	}
-	lost := until.Add(planrun.DefaultLimits().Grace + tellWithin)
-	for wait := lookEvery; c.now().Before(lost); {
+	lost := until.Add(planrun.DefaultLimits().Grace + answerTimeout)
+	for wait := pollInterval; c.now().Before(lost); {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -134,8 +134,8 @@
 		case <-time.After(wait):
 		}
 		if s := c.fleet.Session(); s != nil && !c.drives(a.Run) {
-			once, cancel := context.WithTimeout(ctx, orderFor)
-			r, bad := c.look(once, s, a.Run)
+			once, cancel := context.WithTimeout(ctx, commandTimeout)
+			r, bad := c.queryRun(once, s, a.Run)
 			cancel()
 			switch {
 			case bad != nil:
@@ -145,7 +145,7 @@
 				return nil, fmt.Errorf("%w: it was never begun", ErrRefused)
 			}
 		}
-		wait = min(2*wait, lookAtMost)
+		wait = min(2*wait, maxPollInterval)
 	}
 	return nil, fmt.Errorf("run %s: %w", a.Run, ErrOutcomeUnknown)
 }
--- a/internal/dispatcher/fleet/coordinator/finish_test.go
+++ b/internal/dispatcher/fleet/coordinator/finish_test.go
@@ -70,15 +70,15 @@
 	body, _ := io.ReadAll(r.Body)
 	at, n := k.at(), k.machine.Index()+1
 	lost, answer := false, any(nil)
-	if r.URL.Path == rpc.Do {
+	if r.URL.Path == rpc.PathCommand {
 		c, _ := state.Decode(body)
-		if c.Kind == partition.PlansDo {
+		if c.Kind == partition.PlansCommand {
 			defer k.clock.release() // the start of the run has come, and was carried out unless it is lost
 		}
-		if c.Kind == partition.PlansDo && k.lostIn {
+		if c.Kind == partition.PlansCommand && k.lostIn {
 			panic(http.ErrAbortHandler)
 		}
-		lost, c.At = c.Kind == partition.PlansDo && k.lostOut, at
+		lost, c.At = c.Kind == partition.PlansCommand && k.lostOut, at
 		text, _ := codec.Encode(c)
 		answer = k.machine.Apply(n, text)
 	} else {
@@ -86,7 +86,7 @@
 		k.machine.Apply(n, tick)
 		var q rpc.Query
 		codec.Decode(body, &q)
-		text, _ := k.machine.Ask(q.Kind, q.Body)
+		text, _ := k.machine.Query(q.Kind, q.Body)
 		answer = rpc.Answer{Index: n, At: at, Body: text}
 	}
 	if lost {
@@ -101,7 +101,7 @@
 
 func (p process) Session() *rpc.Session                     { return p.session }
 func (process) TakeRetry(string, string) bool               { return true }
-func (process) Leased() bool                                { return true }
+func (process) HoldsLease() bool                            { return true }
 func (process) RetryTime(_ string, now time.Time) time.Time { return now }
 func (process) Submit(_ Job, done func(engine.Answer)) error {
 	go done(engine.Answer{Body: []byte("1")})
--- a/internal/dispatcher/fleet/coordinator/run.go
+++ b/internal/dispatcher/fleet/coordinator/run.go
@@ -19,70 +19,70 @@
 	"github.com/sirupsen/logrus"
 )
 
-// run is one that this process drives, under one fence.
-type run struct {
-	c     *Coordinator
-	id    string
-	fence uint64
-	plan  *plan.Plan
-	shape *planrun.Shape
-	wake  chan struct{}   // the view is newer, or something has ended
-	life  context.Context // of the coordinator: ends are told also when the run is another's
+// driver is one that this process drives, under one fence.
+type driver struct {
+	coordinator *Coordinator
+	id          string
+	fence       uint64
+	plan        *plan.Plan
+	shape       *planrun.Shape
+	wake        chan struct{}   // the view is newer, or something has ended
+	lifetime    context.Context // of the coordinator: ends are told also when the run is another's
 
 	tasks sync.WaitGroup // that are being done
 
-	mu    sync.Mutex
-	view  planrun.View
-	index uint64
-	at    time.Duration // fleet time of the view
-	seen  time.Time     // when it came
-	over  bool          // it has its answer, or another fence
+	mu         sync.Mutex
+	view       planrun.View
+	index      uint64
+	viewTime   time.Duration // fleet time of the view
+	receivedAt time.Time     // when it came
+	finished   bool          // it has its answer, or another fence
 }
 
-// see takes in what a reply tells of the run.
-func (r *run) see(p partition.PlanReply) {
+// update takes in what a reply tells of the run.
+func (r *driver) update(p partition.PlanReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	defer r.rouse()
+	defer r.notify()
 	if p.Ended != nil {
-		r.c.ends.tell(p.Ended)
+		r.coordinator.waiting.publish(p.Ended)
 	}
 	if p.Ended != nil || p.Run != nil && p.Run.Fence != r.fence {
-		r.over = true
+		r.finished = true
 		return
 	}
 	if p.Run == nil || p.Index < r.index {
 		return
 	}
-	r.view, r.index, r.at, r.seen = planrun.View{Shape: r.shape, Run: p.Run, Makes: p.Makes}, p.Index, p.At, time.Now()
+	r.view, r.index, r.viewTime, r.receivedAt = planrun.View{Shape: r.shape, Run: p.Run, Makes: p.Makes}, p.Index, p.At, time.Now()
 }
 
-func (r *run) rouse() {
+func (r *driver) notify() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// now is the view, and the fleet time by what has passed since it came. The state
+// current is the view, and the fleet time by what has passed since it came. The state
 // has the last word on whether a time has come.
-func (r *run) now() (v planrun.View, at time.Duration, over bool) {
+func (r *driver) current() (v planrun.View, at time.Duration, over bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view, r.at + time.Since(r.seen), r.over
+	return r.view, r.viewTime + time.Since(r.receivedAt), r.finished
 }
 
 // drive does what comes next until the run has ended or is another's.
-func (r *run) drive(ctx context.Context) {
+func (r *driver) drive(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		v, at, over := r.now()
+		v, at, over := r.current()
 		var tasks []planrun.Task
 		var wake time.Duration
-		r.c.remember(func(m *planrun.Coordinator) {
+		r.coordinator.withAttempts(func(m *planrun.Coordinator) {
 			if tasks, wake = m.Tasks(at, v); !m.Drives(r.id) {
 				over = true
 			}
@@ -90,29 +90,29 @@
 		if over || ctx.Err() != nil {
 			return
 		}
-		if r.c.left() { // what was let is sent, and its end told
+		if r.coordinator.isDraining() { // what was let is sent, and its end told
 			r.tasks.Wait()
 			return
 		}
 		for _, t := range tasks {
 			r.tasks.Add(1)
-			r.c.all.Go(func() {
+			r.coordinator.running.Go(func() {
 				defer r.tasks.Done()
-				r.do(ctx, t, v, at)
-				r.rouse()
+				r.runTask(ctx, t, v, at)
+				r.notify()
 			})
 		}
 		wait := max(wake-at, time.Millisecond)
 		for i := range v.Run.Stages { // an output that another run makes comes unasked
 			if st := &v.Run.Stages[i]; st.Key != "" && !st.Joined && v.Makes&(1<<i) == 0 {
-				wait = min(wait, lookEvery)
+				wait = min(wait, pollInterval)
 			}
 		}
 		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.c.leaving:
+		case <-r.coordinator.draining:
 		case <-r.wake:
 		case <-timer.C:
 			r.refresh(ctx)
@@ -121,62 +121,62 @@
 }
 
 // refresh asks how the run stands.
-func (r *run) refresh(ctx context.Context) {
-	s := r.c.fleet.Session()
+func (r *driver) refresh(ctx context.Context) {
+	s := r.coordinator.fleet.Session()
 	if s == nil {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
-	if p, err := r.c.look(ctx, s, r.id); err == nil {
-		r.see(p)
+	if p, err := r.coordinator.queryRun(ctx, s, r.id); err == nil {
+		r.update(p)
 	}
 }
 
-// order has a command carried out, however often it must be asked. The book takes
+// execute has a command carried out, however often it must be asked. The book takes
 // each of these commands once. An error that is not the book's says that this process
 // has given up waiting, since the run or the process is out of force, or ends.
-func (r *run) order(ctx context.Context, do planrun.Command) error {
+func (r *driver) execute(ctx context.Context, do planrun.Command) error {
 	for {
 		var p partition.PlanReply
-		s := r.c.fleet.Session()
+		s := r.coordinator.fleet.Session()
 		err := ErrNoSession
 		if s != nil {
-			once, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
-			err = s.Execute(once, partition.PlansDo, do, &p)
+			once, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
+			err = s.Execute(once, partition.PlansCommand, do, &p)
 			cancel()
 		}
 		if err == nil {
-			r.see(p)
+			r.update(p)
 			return p.Err()
 		}
-		if ctx.Err() != nil || do.Sending != nil && gone(err) { // under another incarnation it is not this run's any more
+		if ctx.Err() != nil || do.Sending != nil && isOutOfForce(err) { // under another incarnation it is not this run's any more
 			return err
 		}
-		r.c.log.WithError(err).WithField("run", r.id).Debug("a command for a plan was not answered")
+		r.coordinator.log.WithError(err).WithField("run", r.id).Debug("a command for a plan was not answered")
 		select {
 		case <-ctx.Done():
-		case <-time.After(tryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// do carries out one task.
-func (r *run) do(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
+// runTask carries out one task.
+func (r *driver) runTask(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
 	if t.Sending != nil {
 		r.send(ctx, t, v, at)
 		return
 	}
-	defer r.c.remember(func(m *planrun.Coordinator) { m.Answered(r.id, t.ID) })
+	defer r.coordinator.withAttempts(func(m *planrun.Coordinator) { m.Answered(r.id, t.ID) })
 	if t.Open != nil {
-		r.open(ctx, *t.Open, v)
+		r.openStage(ctx, *t.Open, v)
 	} else {
-		r.order(ctx, planrun.Command{Ended: t.Ended})
+		r.execute(ctx, planrun.Command{Ended: t.Ended})
 	}
 }
 
 // values are what expressions of a stage are evaluated over.
-func (r *run) values(v planrun.View, stage int, item []byte) plan.Values {
+func (r *driver) values(v planrun.View, stage int, item []byte) plan.Values {
 	all := plan.Values{Input: v.Run.Input, Item: item, Results: map[string][]byte{}}
 	for _, u := range r.shape.Upstream(stage) {
 		st := &v.Run.Stages[u]
@@ -194,8 +194,8 @@
 	return all
 }
 
-// open fixes a stage's items and its shared key.
-func (r *run) open(ctx context.Context, o planrun.Open, v planrun.View) {
+// openStage fixes a stage's items and its shared key.
+func (r *driver) openStage(ctx context.Context, o planrun.Open, v planrun.View) {
 	st, vals := r.plan.Stages[o.Stage], r.values(v, o.Stage, nil)
 	o.Items = [][]byte{nil}
 	var err error
@@ -212,7 +212,7 @@
 		o.Key = fmt.Sprintf("%016x %s %s", r.plan.Digest, st.Name, o.Key) // one plan's stage: others mean something else by it
 	}
 	if err == nil {
-		err = r.order(ctx, planrun.Command{Open: &o})
+		err = r.execute(ctx, planrun.Command{Open: &o})
 		if !errors.Is(err, planrun.ErrTooLarge) && !errors.Is(err, planrun.ErrNoSuch) {
 			return
 		}
@@ -221,13 +221,13 @@
 }
 
 // abandon gives the run up: what it says can't be evaluated.
-func (r *run) abandon(ctx context.Context, stage int, why error) {
-	r.c.log.WithError(why).WithField("run", r.id).Error("a plan can't go on")
-	r.order(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: r.id, Fence: r.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
+func (r *driver) abandon(ctx context.Context, stage int, why error) {
+	r.coordinator.log.WithError(why).WithField("run", r.id).Error("a plan can't go on")
+	r.execute(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: r.id, Fence: r.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
 }
 
 // job makes the job of an attempt.
-func (r *run) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
+func (r *driver) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
 	st, it := r.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
 	j = Job{ID: jobID(r.id, a), Class: a.Class, Tenant: v.Run.Tenant, CostHint: st.Cost, Plan: r.plan.Name, Stage: st.Name, Deadline: time.Now().Add(a.At - at)}
 	if vals := r.values(v, a.Stage, it.Value); a.Undo {
@@ -242,57 +242,59 @@
 }
 
 // send sends an attempt, once the state has it written down, and tells its end.
-func (r *run) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
+func (r *driver) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
 	j, err := r.job(t.Action, v, at)
 	if err != nil {
 		r.abandon(ctx, t.Stage, err)
-	} else if !t.Extra || r.pay(ctx, t.Class, j.Deadline) {
-		err = r.order(ctx, planrun.Command{Sending: t.Sending})
+	} else if !t.Extra || r.takeRetryBudget(ctx, t.Class, j.Deadline) {
+		err = r.execute(ctx, planrun.Command{Sending: t.Sending})
 	} else {
 		err = ErrNoSession
 	}
 	may := false
-	r.c.remember(func(m *planrun.Coordinator) { may = m.Accepted(*t.Sending, t.ID, err, r.c.fleet.Leased()) })
+	r.coordinator.withAttempts(func(m *planrun.Coordinator) {
+		may = m.Accepted(*t.Sending, t.ID, err, r.coordinator.fleet.HoldsLease())
+	})
 	if !may {
 		return
 	}
 	done, sent := make(chan engine.Answer, 1), time.Now()
-	if err := r.c.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
-		r.c.log.WithError(err).WithField("run", r.id).Error("a stage of a plan is no job that can be taken")
-		r.tell(t.Sending.End(plan.Unsent, nil, "", nil))
+	if err := r.coordinator.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
+		r.coordinator.log.WithError(err).WithField("run", r.id).Error("a stage of a plan is no job that can be taken")
+		r.reportEnd(t.Sending.End(plan.Unsent, nil, "", nil))
 		return
 	}
 	answer := <-done
 	end, result, said := endOf(answer), []byte(nil), answer.MemberError
-	r.c.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "flows": answer.Attempts}).Debug("a stage's job ended")
+	r.coordinator.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "flows": answer.Attempts}).Debug("a stage's job ended")
 	if end == plan.Done {
-		r.c.remember(func(m *planrun.Coordinator) { m.Estimate.Ran(t.Class, time.Since(sent)) })
+		r.coordinator.withAttempts(func(m *planrun.Coordinator) { m.Estimate.Ran(t.Class, time.Since(sent)) })
 		result, said = answer.Body, answer.Body
 	}
 	var lost *planrun.LostInput
 	if !t.Undo {
-		if lost = r.lost(end, t, said); lost != nil {
+		if lost = r.lostInput(end, t, said); lost != nil {
 			end, result = plan.Lost, nil
 		}
 	}
-	r.tell(t.Sending.End(end, result, answer.LastMember, lost))
+	r.reportEnd(t.Sending.End(end, result, answer.LastMember, lost))
 }
 
-// tell tells an end, also when another drives the run by then: it may still count.
-func (r *run) tell(e planrun.Ended) {
-	if err := r.order(r.life, planrun.Command{Ended: &e}); errors.Is(err, planrun.ErrTooLarge) {
+// reportEnd tells an end, also when another drives the run by then: it may still count.
+func (r *driver) reportEnd(e planrun.Ended) {
+	if err := r.execute(r.lifetime, planrun.Command{Ended: &e}); errors.Is(err, planrun.ErrTooLarge) {
 		e.End, e.Result = plan.Failed, nil
-		r.order(r.life, planrun.Command{Ended: &e})
+		r.execute(r.lifetime, planrun.Command{Ended: &e})
 	}
 }
 
-// lost holds an end against the rules for what was lost upstream.
-func (r *run) lost(end plan.End, t planrun.Task, said []byte) *planrun.LostInput {
+// lostInput holds an end against the rules for what was lost upstream.
+func (r *driver) lostInput(end plan.End, t planrun.Task, said []byte) *planrun.LostInput {
 	st, upstream := r.plan.Stages[t.Stage], r.shape.Upstream(t.Stage)
 	for i := range st.Reruns {
 		holds, err := st.Reruns[i].Holds(end, said)
 		if err != nil {
-			r.c.log.WithError(err).WithField("run", r.id).Warn("a rerun's condition can't be evaluated and does not hold")
+			r.coordinator.log.WithError(err).WithField("run", r.id).Warn("a rerun's condition can't be evaluated and does not hold")
 			continue
 		}
 		at := slices.IndexFunc(upstream, func(u int) bool { return r.shape.Stages[u].Name == st.Reruns[i].Of })
@@ -303,11 +305,11 @@
 	return nil
 }
 
-// pay takes an attempt beyond the first of the fleet's budget, and waits for one while
+// takeRetryBudget takes an attempt beyond the first of the fleet's budget, and waits for one while
 // the attempt can still begin.
-func (r *run) pay(ctx context.Context, class string, until time.Time) bool {
-	for !r.c.fleet.TakeRetry(r.id, class) {
-		at := r.c.fleet.RetryTime(class, time.Now())
+func (r *driver) takeRetryBudget(ctx context.Context, class string, until time.Time) bool {
+	for !r.coordinator.fleet.TakeRetry(r.id, class) {
+		at := r.coordinator.fleet.RetryTime(class, time.Now())
 		if !at.Before(until) {
 			at = until
 		}
@@ -316,7 +318,7 @@
 			return false
 		case <-time.After(max(time.Millisecond, time.Until(at))):
 		}
-		if _, _, over := r.now(); over || r.c.left() || !time.Now().Before(until) {
+		if _, _, over := r.current(); over || r.coordinator.isDraining() || !time.Now().Before(until) {
 			return false
 		}
 	}
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -67,20 +67,20 @@
 		{"call to a keeper: reply", state.Reply{Code: state.Refused, Text: "a", Body: bytes("b")}},
 		{"call to a keeper: query", rpc.Query{Kind: "plans/look", Body: bytes("a")}},
 		{"call to a keeper: answer", rpc.Answer{Index: 1, At: span, Code: state.Bad, Text: "a", Body: bytes("b")}},
-		{"call to a keeper: about", rpc.AboutBody{Name: "a", Empty: true, Founded: false, Leads: true, Boots: map[string]uint64{"k1": 1, "k2": 2}, Differs: []string{"b"}, Index: 3, At: span}},
+		{"call to a keeper: about", rpc.NodeStatus{Name: "a", Empty: true, Founded: false, Leads: true, Boots: map[string]uint64{"k1": 1, "k2": 2}, Differs: []string{"b"}, Index: 3, At: span}},
 		{"members: join", state.JoinBody{Process: "a", Nonce: "b", Version: "c"}},
-		{"members: joined", state.Joined{Incarnation: 1, Lease: span}},
+		{"members: joined", state.JoinReply{Incarnation: 1, Lease: span}},
 		{"members: renew", state.RenewBody{Parts: map[string][]byte{"budgets": bytes("a")}}},
-		{"members: renewed", state.Renewed{Lease: span, Members: 1, Parts: map[string][]byte{"budgets": bytes("a")}, Refused: map[string]string{"plans": "b"}}},
+		{"members: renewed", state.RenewReply{Lease: span, Members: 1, Parts: map[string][]byte{"budgets": bytes("a")}, Refused: map[string]string{"plans": "b"}}},
 		{"settings", state.FleetSettings{Revision: 1, Lease: span, Parts: map[string][]byte{"budgets": bytes("a")}}},
 		{"keepers: boot", state.BootBody{Process: "a", Count: 1}},
-		{"keepers: sums", state.SumsBody{Replica: "a", Index: 1, Parts: map[string]uint64{"plans": 2}}},
+		{"keepers: sums", state.DigestsBody{Replica: "a", Index: 1, Parts: map[string]uint64{"plans": 2}}},
 		{"budgets: settings", budget.Config{Lease: span, Budgets: []budget.Budget{rate}}},
 		{"budgets: renewal", budget.Renewal{Process: "a", Incarnation: 1, Bound: 2, Uses: map[string]budget.Use{"b": {Demand: 1.5, UnderWay: 2.5, Latest: span}}}},
 		{"budgets: grant", budget.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, Soon: true, Shares: []budget.Share{
 			{Name: "b", Kind: budget.InFlight, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorFor: span + 1, Linger: span + 2},
 		}}},
-		{"budgets: leave", partition.BudgetsLeft{Left: map[string]budget.Left{"a": {UnderWay: 1.5, Latest: span}}}},
+		{"budgets: leave", partition.BudgetsDeparture{Left: map[string]budget.Left{"a": {UnderWay: 1.5, Latest: span}}}},
 		{"budgets: standings", []budget.Standing{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
 		{"plans: start", planrun.Command{Start: &planrun.Start{
 			Run: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: goldenShape(), Input: bytes("d"), Seed: 2, Before: span, Process: "e", Incarnation: 3,
@@ -148,13 +148,13 @@
 // the kinds of commands and queries.
 func TestGoldenCalls(t *testing.T) {
 	require.Equal(t, []string{"/fleet/do", "/fleet/read", "/fleet/nearby", "/fleet/about", "/fleet/rejoin", "/fleet/ready", "Fleet-Leader"},
-		[]string{rpc.Do, rpc.Read, rpc.Nearby, rpc.About, rpc.Rejoin, rpc.Ready, rpc.LeaderHeader})
+		[]string{rpc.PathCommand, rpc.PathRead, rpc.PathLocalRead, rpc.PathStatus, rpc.PathRejoin, rpc.PathPromote, rpc.LeaderHeader})
 	require.Equal(t, []string{"budgets", "plans", "records"}, []string{partition.BudgetsName, partition.PlansName, partition.RecordsName})
 	require.Equal(t, []state.Kind{
 		"tick", "join", "renew", "leave", "sums", "boot", "set", "budgets/leave", "budgets/standings", "plans/do", "plans/orphans", "plans/look",
 		"records/ship", "records/cut", "records/hold", "records/lift", "records/plan", "records/find", "records/page", "records/stand",
 	}, []state.Kind{
-		state.Tick, state.Join, state.Renew, state.Leave, state.Sums, state.Boot, state.Set, partition.BudgetsLeave, partition.BudgetsStandings, partition.PlansDo, partition.PlansOrphans, partition.PlansLook,
+		state.Tick, state.Join, state.Renew, state.Leave, state.ReportDigests, state.ReportBoot, state.SetSettings, partition.BudgetsLeave, partition.BudgetsStatus, partition.PlansCommand, partition.PlansCountOrphans, partition.PlansRun,
 		partition.RecordsShip, partition.RecordsPrune, partition.RecordsSetHold, partition.RecordsReleaseHold, partition.RecordsPlanPrune, partition.RecordsByID, partition.RecordsPage, partition.RecordsStatus,
 	})
 	require.EqualValues(t, 1, state.Version)
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -84,14 +84,14 @@
 func (l *goldenLog) join(at time.Duration, process, nonce string) uint64 {
 	reply := l.command(state.Command{At: at, Kind: state.Join}, state.JoinBody{Process: process, Nonce: nonce, Version: "352ebf2"})
 	require.NoError(l.t, reply.Err())
-	var joined state.Joined
+	var joined state.JoinReply
 	require.NoError(l.t, codec.Decode(reply.Body, &joined))
 	return joined.Incarnation
 }
 
 // plan applies a command of the plans' part and returns its reply, refused or not.
 func (l *goldenLog) plan(process string, incarnation uint64, at time.Duration, do planrun.Command) partition.PlanReply {
-	reply := l.by(process, incarnation, at, partition.PlansDo, do)
+	reply := l.by(process, incarnation, at, partition.PlansCommand, do)
 	require.NoError(l.t, reply.Err())
 	var answer partition.PlanReply
 	require.NoError(l.t, codec.Decode(reply.Body, &answer))
@@ -149,13 +149,13 @@
 	at := time.Second
 	first = l.join(at, "n1", "start-1")
 	second := l.join(at, "n2", "start-2")
-	require.NoError(l.t, l.by("n1", first, at, state.Set, l.goldenSettings()).Err())
-	l.command(state.Command{At: at, Kind: state.Boot}, state.BootBody{Process: "k1", Count: 1})
-	l.command(state.Command{At: at, Kind: state.Boot}, state.BootBody{Process: "k2", Count: 7})
-	l.command(state.Command{At: at, Kind: state.Sums}, state.SumsBody{Replica: "k1", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
-	l.command(state.Command{At: at, Kind: state.Sums}, state.SumsBody{Replica: "k2", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
+	require.NoError(l.t, l.by("n1", first, at, state.SetSettings, l.goldenSettings()).Err())
+	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k1", Count: 1})
+	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k2", Count: 7})
+	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k1", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
+	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k2", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
 	third = l.join(at, "n2", "start-3") // replaces the start before it
-	require.ErrorIs(l.t, l.by("n2", second, at, partition.PlansDo, planrun.Command{}).Err(), state.ErrFenced)
+	require.ErrorIs(l.t, l.by("n2", second, at, partition.PlansCommand, planrun.Command{}).Err(), state.ErrFenced)
 	fourth := l.join(at, "n3", "start-4")
 
 	renew := func(process string, incarnation uint64, at time.Duration, bound uint64) uint64 {
@@ -166,7 +166,7 @@
 			partition.PlansName: nil, // refused: plans are not renewed
 		}})
 		require.NoError(l.t, reply.Err())
-		var renewed state.Renewed
+		var renewed state.RenewReply
 		require.NoError(l.t, codec.Decode(reply.Body, &renewed))
 		var grant budget.Grant
 		require.NoError(l.t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
@@ -187,7 +187,7 @@
 	l.workRecords(at, first, third)
 
 	at += 2 * time.Second
-	require.NoError(l.t, l.by("n3", fourth, at, partition.BudgetsLeave, partition.BudgetsLeft{Left: map[string]budget.Left{
+	require.NoError(l.t, l.by("n3", fourth, at, partition.BudgetsLeave, partition.BudgetsDeparture{Left: map[string]budget.Left{
 		"under-way/hrad-kamenec": {UnderWay: 3, Latest: 4 * time.Second},
 	}}).Err())
 	require.NoError(l.t, l.by("n3", fourth, at, state.Leave, nil).Err())
@@ -294,20 +294,20 @@
 }
 
 func (l *goldenLog) ask(kind state.Kind, body, into any) {
-	text, err := l.machine.Ask(kind, l.encode(body))
+	text, err := l.machine.Query(kind, l.encode(body))
 	require.NoError(l.t, err)
 	require.NoError(l.t, codec.Decode(text, into))
 }
 
 func (l *goldenLog) view(run string) (r partition.PlanReply) {
-	l.ask(partition.PlansLook, run, &r)
+	l.ask(partition.PlansRun, run, &r)
 	return r
 }
 
 func snapshot(t *testing.T, m *state.Machine) []byte {
-	frozen, err := m.Freeze()
+	frozen, err := m.Snapshot()
 	require.NoError(t, err)
-	defer frozen.Let()
+	defer frozen.Discard()
 	var b bytes.Buffer
 	require.NoError(t, frozen.Write(&b))
 	return b.Bytes()
@@ -378,14 +378,14 @@
 func TestGoldenSnapshotIsRestored(t *testing.T) {
 	m := goldenMachine(t)
 	golden := goldentest.Read(t, filepath.Join(goldenState, "snapshot"))
-	require.NoError(t, m.Thaw(bytes.NewReader(golden)))
+	require.NoError(t, m.Restore(bytes.NewReader(golden)))
 	l := &goldenLog{t: t, machine: m, index: m.Index(), seq: map[string]uint64{}}
 	require.Equal(t, string(goldentest.Read(t, filepath.Join(goldenState, "digests"))), string(digests(t, m)))
 	require.Equal(t, beforeRecords(t, golden), beforeRecords(t, snapshot(t, m)))
 
 	require.EqualValues(t, 4, m.Revision())
-	require.EqualValues(t, 1, m.Boots("k1"))
-	require.EqualValues(t, 7, m.Boots("k2"))
+	require.EqualValues(t, 1, m.BootCount("k1"))
+	require.EqualValues(t, 7, m.BootCount("k2"))
 	require.Equal(t, 3901*time.Millisecond, m.At())
 	members := m.Members()
 	require.Len(t, members, 2)
@@ -429,7 +429,7 @@
 	require.Equal(t, &planrun.GiveUp{Stage: 1, End: plan.Failed, Reason: "no seat is left"}, l.view("run-given-up").Run.Gave)
 
 	var standings []budget.Standing
-	l.ask(partition.BudgetsStandings, nil, &standings)
+	l.ask(partition.BudgetsStatus, nil, &standings)
 	goldentest.Equal(t, filepath.Join(goldenState, "budgets"), fmt.Appendf(nil, "%x\n", l.encode(standings)))
 	require.Len(t, standings, 3)
 	require.Equal(t, "jobs/hrad-kamenec", standings[1].Name)
--- a/internal/dispatcher/fleet/partition/budgets.go
+++ b/internal/dispatcher/fleet/partition/budgets.go
@@ -16,15 +16,15 @@
 const (
 	BudgetsName = "budgets"
 
-	BudgetsLeave     state.Kind = "budgets/leave"     // a BudgetsLeft: a planned end
-	BudgetsStandings state.Kind = "budgets/standings" // asks for []shares.Standing
+	BudgetsLeave  state.Kind = "budgets/leave"     // a BudgetsLeft: a planned end
+	BudgetsStatus state.Kind = "budgets/standings" // asks for []shares.Standing
 )
 
-// BudgetsLeft is what a process leaves under way at its planned end, by budget.
-type BudgetsLeft struct{ Left map[string]budget.Left }
+// BudgetsDeparture is what a process leaves under way at its planned end, by budget.
+type BudgetsDeparture struct{ Left map[string]budget.Left }
 
 // Budgets is the part of the budgets. Its settings are a shares.Config.
-type Budgets struct{ book *budget.Book }
+type Budgets struct{ table *budget.Book }
 
 // NewBudgets returns a part without budgets.
 func NewBudgets() *Budgets { return &Budgets{budget.NewBook()} }
@@ -47,7 +47,7 @@
 	if err := codec.Decode(settings, &c); err != nil {
 		return err
 	}
-	return b.book.Configure(at, c)
+	return b.table.Configure(at, c)
 }
 
 // Apply implements state.Part.
@@ -55,15 +55,15 @@
 	if c.Kind != BudgetsLeave {
 		return nil, fmt.Errorf("%w: no budget command %q", state.ErrBad, c.Kind)
 	}
-	var left BudgetsLeft
+	var left BudgetsDeparture
 	if err := codec.Decode(c.Body, &left); err != nil {
 		return nil, fmt.Errorf("%w: %w", state.ErrBad, err)
 	}
-	return nil, b.book.Leave(c.At, c.Process, c.Incarnation, left.Left)
+	return nil, b.table.Leave(c.At, c.Process, c.Incarnation, left.Left)
 }
 
-// Renewed implements state.Part: it renews the shares.
-func (b *Budgets) Renewed(c state.Command, body []byte) ([]byte, error) {
+// Renew implements state.Part: it renews the shares.
+func (b *Budgets) Renew(c state.Command, body []byte) ([]byte, error) {
 	var r budget.Renewal
 	if err := codec.Decode(body, &r); err != nil {
 		return nil, err
@@ -71,45 +71,45 @@
 	if r.Process != c.Process || r.Incarnation != c.Incarnation {
 		return nil, fmt.Errorf("%w: a renewal for %s %d", budget.ErrFenced, r.Process, r.Incarnation)
 	}
-	g, err := b.book.Renew(c.At, r)
+	g, err := b.table.Renew(c.At, r)
 	if err != nil {
 		return nil, err
 	}
 	return codec.Encode(g)
 }
 
-// Gone implements state.Part. A share outlasts its holder: the book takes it back
+// IncarnationEnded implements state.Part. A share outlasts its holder: the book takes it back
 // when the lease has ended, whoever has the name by then.
-func (*Budgets) Gone(time.Duration, string, uint64, state.Going) {}
+func (*Budgets) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
 
 // Advance implements state.Part.
-func (b *Budgets) Advance(at time.Duration) { b.book.Advance(at) }
+func (b *Budgets) Advance(at time.Duration) { b.table.Advance(at) }
 
-// Ask implements state.Asked.
-func (b *Budgets) Ask(kind state.Kind, _ []byte) ([]byte, error) {
-	if kind != BudgetsStandings {
+// Query implements state.Asked.
+func (b *Budgets) Query(kind state.Kind, _ []byte) ([]byte, error) {
+	if kind != BudgetsStatus {
 		return nil, fmt.Errorf("no budget query %q", kind)
 	}
-	return codec.Encode(b.book.Standings())
+	return codec.Encode(b.table.Standings())
 }
 
-// Freeze implements state.Part.
-func (b *Budgets) Freeze() (state.Frozen, error) { return encoded(b.book.Encode()) }
+// Snapshot implements state.Part.
+func (b *Budgets) Snapshot() (state.Snapshot, error) { return snapshotOf(b.table.Encode()) }
 
-// Thaw implements state.Part.
-func (b *Budgets) Thaw(r io.Reader) error { return decoded(r, b.book.Decode) }
+// Restore implements state.Part.
+func (b *Budgets) Restore(r io.Reader) error { return restoreWith(r, b.table.Decode) }
 
 // Digest implements state.Part.
-func (b *Budgets) Digest() (uint64, error) { return b.book.Digest() }
+func (b *Budgets) Digest() (uint64, error) { return b.table.Digest() }
 
-func encoded(text []byte, err error) (state.Frozen, error) {
-	return state.Frozen{Write: func(w io.Writer) error {
+func snapshotOf(text []byte, err error) (state.Snapshot, error) {
+	return state.Snapshot{Write: func(w io.Writer) error {
 		_, err := w.Write(text)
 		return err
 	}}, err
 }
 
-func decoded(r io.Reader, decode func([]byte) error) error {
+func restoreWith(r io.Reader, decode func([]byte) error) error {
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return err
--- a/internal/dispatcher/fleet/partition/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -16,9 +16,9 @@
 
 // Kinds of commands and queries of plans.
 const (
-	PlansDo      state.Kind = "plans/do"      // a planrun.Command, answered with a PlanReply
-	PlansOrphans state.Kind = "plans/orphans" // a query: how many runs nobody drives
-	PlansLook    state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
+	PlansCommand      state.Kind = "plans/do"      // a planrun.Command, answered with a PlanReply
+	PlansCountOrphans state.Kind = "plans/orphans" // a query: how many runs nobody drives
+	PlansRun          state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
 )
 
 // PlanReply answers a command or a query of plans.
@@ -32,7 +32,7 @@
 }
 
 // Plans is the part of plans under way.
-type Plans struct{ book *planrun.Book }
+type Plans struct{ tracker *planrun.Book }
 
 // NewPlans returns a part without plans.
 func NewPlans() *Plans { return &Plans{planrun.NewBook(planrun.DefaultLimits())} }
@@ -51,7 +51,7 @@
 // by its session, which the state has checked.
 func (p *Plans) Apply(c state.Command, index uint64) ([]byte, error) {
 	var do planrun.Command
-	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansDo || do.Gone != nil {
+	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansCommand || do.Gone != nil {
 		return nil, fmt.Errorf("%w: no plan command %q", state.ErrBad, c.Kind)
 	}
 	run := ""
@@ -71,57 +71,57 @@
 	case do.Finish != nil:
 		run = do.Finish.Run
 	}
-	r := PlanReply{Reply: p.book.Apply(c.At, do), Index: index, At: c.At}
-	p.tell(run, &r)
+	r := PlanReply{Reply: p.tracker.Apply(c.At, do), Index: index, At: c.At}
+	p.describeRun(run, &r)
 	return codec.Encode(r)
 }
 
-// tell puts a run, or its answer, into a reply.
-func (p *Plans) tell(run string, r *PlanReply) {
+// describeRun puts a run, or its answer, into a reply.
+func (p *Plans) describeRun(run string, r *PlanReply) {
 	if run == "" {
 		return
 	}
-	if v, err := p.book.View(run); err == nil {
+	if v, err := p.tracker.View(run); err == nil {
 		r.Run, r.Makes = v.Run, v.Makes
 	}
-	r.Ended = p.book.Answer(run)
+	r.Ended = p.tracker.Answer(run)
 }
 
-// Renewed implements state.Part: a renewal says nothing to this part.
-func (*Plans) Renewed(state.Command, []byte) ([]byte, error) {
+// Renew implements state.Part: a renewal says nothing to this part.
+func (*Plans) Renew(state.Command, []byte) ([]byte, error) {
 	return nil, errors.New("plans are not renewed")
 }
 
-// Gone implements state.Part: the runs that an incarnation drove wait for another.
-func (p *Plans) Gone(at time.Duration, process string, incarnation uint64, _ state.Going) {
-	p.book.Lost(at, process, incarnation)
+// IncarnationEnded implements state.Part: the runs that an incarnation drove wait for another.
+func (p *Plans) IncarnationEnded(at time.Duration, process string, incarnation uint64, _ state.EndCause) {
+	p.tracker.Lost(at, process, incarnation)
 }
 
 // Advance implements state.Part.
-func (p *Plans) Advance(at time.Duration) { p.book.Advance(at) }
+func (p *Plans) Advance(at time.Duration) { p.tracker.Advance(at) }
 
-// Ask implements state.Asked.
-func (p *Plans) Ask(kind state.Kind, body []byte) ([]byte, error) {
+// Query implements state.Asked.
+func (p *Plans) Query(kind state.Kind, body []byte) ([]byte, error) {
 	switch kind {
-	case PlansOrphans:
-		return codec.Encode(p.book.Orphans())
-	case PlansLook:
+	case PlansCountOrphans:
+		return codec.Encode(p.tracker.Orphans())
+	case PlansRun:
 		var run string
 		if err := codec.Decode(body, &run); err != nil {
 			return nil, err
 		}
 		var r PlanReply
-		p.tell(run, &r)
+		p.describeRun(run, &r)
 		return codec.Encode(r)
 	}
 	return nil, fmt.Errorf("no plan query %q", kind)
 }
 
-// Freeze implements state.Part.
-func (p *Plans) Freeze() (state.Frozen, error) { return encoded(p.book.Encode()) }
+// Snapshot implements state.Part.
+func (p *Plans) Snapshot() (state.Snapshot, error) { return snapshotOf(p.tracker.Encode()) }
 
-// Thaw implements state.Part.
-func (p *Plans) Thaw(r io.Reader) error { return decoded(r, p.book.Decode) }
+// Restore implements state.Part.
+func (p *Plans) Restore(r io.Reader) error { return restoreWith(r, p.tracker.Decode) }
 
 // Digest implements state.Part.
-func (p *Plans) Digest() (uint64, error) { return p.book.Digest() }
+func (p *Plans) Digest() (uint64, error) { return p.tracker.Digest() }
--- a/internal/dispatcher/fleet/partition/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -49,18 +49,18 @@
 	Bytes  int64                    // on this keeper's disk
 }
 
-// mostFound records of one id are told; mostLooked are looked at for one cut.
+// maxRecordsByID records of one id are told; mostLooked are looked at for one cut.
 const (
-	mostFound  = 64
-	mostLooked = 1_000
+	maxRecordsByID     = 64
+	maxScannedPerPrune = 1_000
 )
 
 // Records is the part of the records. The small part of its state is in memory, the
 // records themselves in a store that the log fills.
 type Records struct {
-	state  *records.State
-	store  *recordstore.Store
-	broken error // of the store in the middle of a command: this replica's state is wrong
+	state   *records.State
+	store   *recordstore.Store
+	failure error // of the store in the middle of a command: this replica's state is wrong
 }
 
 // NewRecords returns an empty part over an empty store, of which it takes no more care
@@ -96,7 +96,7 @@
 func (p *Records) Apply(c state.Command, index uint64) (body []byte, err error) {
 	err = p.store.Update(index, func(st records.Store) error {
 		var reply any
-		if reply, err = p.carryOut(c, st); errors.Is(err, records.ErrStore) {
+		if reply, err = p.execute(c, st); errors.Is(err, records.ErrStore) {
 			return err // nothing of it is kept
 		}
 		if err == nil {
@@ -105,15 +105,15 @@
 		return nil
 	})
 	if errors.Is(err, records.ErrStore) {
-		p.broken = err
+		p.failure = err
 	}
 	return body, err
 }
 
-func (p *Records) carryOut(c state.Command, st records.Store) (any, error) {
+func (p *Records) execute(c state.Command, st records.Store) (any, error) {
 	switch c.Kind {
 	case RecordsShip:
-		b, err := read[records.Ship](c)
+		b, err := decodeBody[records.Ship](c)
 		if err != nil {
 			return nil, err
 		}
@@ -124,19 +124,19 @@
 		}
 		return RecordsShipped{Shipped: done}, err
 	case RecordsPrune:
-		b, err := read[records.Prune](c)
+		b, err := decodeBody[records.Prune](c)
 		if err != nil {
 			return nil, err
 		}
 		return p.state.Cut(c.At, st, b)
 	case RecordsSetHold:
-		b, err := read[records.SetHold](c)
+		b, err := decodeBody[records.SetHold](c)
 		if err != nil {
 			return nil, err
 		}
 		return nil, p.state.Hold(c.At, st, b)
 	case RecordsReleaseHold:
-		b, err := read[records.ReleaseHold](c)
+		b, err := decodeBody[records.ReleaseHold](c)
 		if err != nil {
 			return nil, err
 		}
@@ -145,28 +145,28 @@
 	return nil, fmt.Errorf("%w: no record command %q", state.ErrBad, c.Kind)
 }
 
-func read[T any](c state.Command) (v T, err error) {
+func decodeBody[T any](c state.Command) (v T, err error) {
 	if err := codec.Decode(c.Body, &v); err != nil {
 		return v, fmt.Errorf("%w: %w", state.ErrBad, err)
 	}
 	return v, nil
 }
 
-// Renewed implements state.Part: a renewal says nothing to this part.
-func (*Records) Renewed(state.Command, []byte) ([]byte, error) {
+// Renew implements state.Part: a renewal says nothing to this part.
+func (*Records) Renew(state.Command, []byte) ([]byte, error) {
 	return nil, errors.New("records are not renewed")
 }
 
-// Gone implements state.Part. What a process left in its spool comes when it is back.
-func (*Records) Gone(time.Duration, string, uint64, state.Going) {}
+// IncarnationEnded implements state.Part. What a process left in its spool comes when it is back.
+func (*Records) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
 
 // Advance implements state.Part: nothing goes but by a cut.
 func (*Records) Advance(time.Duration) {}
 
-// Ask implements state.Asked.
-func (p *Records) Ask(kind state.Kind, body []byte) (text []byte, err error) {
-	if p.broken != nil {
-		return nil, p.broken
+// Query implements state.Asked.
+func (p *Records) Query(kind state.Kind, body []byte) (text []byte, err error) {
+	if p.failure != nil {
+		return nil, p.failure
 	}
 	var reply any
 	err = p.store.View(func(st records.Reader) (err error) {
@@ -176,7 +176,7 @@
 			if err := codec.Decode(body, &now); err != nil {
 				return err
 			}
-			c, needed, err := p.state.Plan(st, now, mostLooked)
+			c, needed, err := p.state.Plan(st, now, maxScannedPerPrune)
 			reply = RecordsPrunePlan{needed, c}
 			return err
 		case RecordsByID:
@@ -184,7 +184,7 @@
 			if err := codec.Decode(body, &id); err != nil {
 				return err
 			}
-			reply, err = p.state.View().ByID(st, id, mostFound)
+			reply, err = p.state.View().ByID(st, id, maxRecordsByID)
 			return err
 		case RecordsPage:
 			var q records.Query
@@ -194,7 +194,7 @@
 			reply, err = p.state.View().Page(st, q)
 			return err
 		case RecordsStatus:
-			reply, err = p.standing()
+			reply, err = p.status()
 			return err
 		}
 		return fmt.Errorf("no record query %q", kind)
@@ -205,7 +205,7 @@
 	return codec.Encode(reply)
 }
 
-func (p *Records) standing() (s RecordsStatusBody, err error) {
+func (p *Records) status() (s RecordsStatusBody, err error) {
 	s = RecordsStatusBody{Counts: p.state.Counts(), Holds: p.state.Holds(), Usage: map[string]records.Usage{}}
 	for _, name := range p.state.Tenants() {
 		all, _ := p.state.Usage(name)
@@ -221,27 +221,27 @@
 // Fence is how far this replica knows that records were cut.
 func (p *Records) Fence() records.Fence { return p.state.Fence() }
 
-// Freeze implements state.Part.
-func (p *Records) Freeze() (state.Frozen, error) {
-	if p.broken != nil {
-		return state.Frozen{}, p.broken
+// Snapshot implements state.Part.
+func (p *Records) Snapshot() (state.Snapshot, error) {
+	if p.failure != nil {
+		return state.Snapshot{}, p.failure
 	}
 	small, err := p.state.Encode()
 	if err != nil {
-		return state.Frozen{}, err
+		return state.Snapshot{}, err
 	}
 	snap, err := p.store.Snapshot(small)
 	if err != nil {
-		return state.Frozen{}, err
+		return state.Snapshot{}, err
 	}
-	return state.Frozen{Release: snap.Release, Write: func(w io.Writer) error {
+	return state.Snapshot{Release: snap.Release, Write: func(w io.Writer) error {
 		_, err := snap.WriteTo(w)
 		return err
 	}}, nil
 }
 
-// Thaw implements state.Part.
-func (p *Records) Thaw(r io.Reader) error {
+// Restore implements state.Part.
+func (p *Records) Restore(r io.Reader) error {
 	small, _, err := p.store.Restore(r)
 	if err != nil {
 		return err
@@ -252,8 +252,8 @@
 // Digest implements state.Part: an error where the store has failed, so that this
 // replica finds no majority with its own.
 func (p *Records) Digest() (uint64, error) {
-	if p.broken != nil {
-		return 0, p.broken
+	if p.failure != nil {
+		return 0, p.failure
 	}
 	return p.state.Digest()
 }
--- a/internal/dispatcher/fleet/raftnode/folder.go
+++ b/internal/dispatcher/fleet/raftnode/folder.go
@@ -18,60 +18,60 @@
 // boltOptions: a log that another process holds is an error soon, not a wait.
 var boltOptions = &bbolt.Options{Timeout: time.Second}
 
-// folder is a keeper's own.
-type folder struct {
-	path  string
-	lock  *os.File
-	snaps *raft.FileSnapshotStore
-	mark  mark
+// dataDir is a keeper's own.
+type dataDir struct {
+	path      string
+	lock      *os.File
+	snapshots *raft.FileSnapshotStore
+	identity  identity
 }
 
-// mark says whose a folder is and how often it was started with.
-type mark struct {
+// identity says whose a folder is and how often it was started with.
+type identity struct {
 	V      uint8
 	Keeper string
 	Starts uint64
 }
 
 const (
-	markName    = "keeper"
-	markVersion = 1
+	identityFile    = "keeper"
+	identityVersion = 1
 )
 
-// ErrFolder says that a folder can't be this keeper's.
-var ErrFolder = errors.New("the fleet's folder can't be used")
+// ErrDataDir says that a folder can't be this keeper's.
+var ErrDataDir = errors.New("the fleet's folder can't be used")
 
-// openFolder takes the folder, and refuses one that is another keeper's, of another
+// openDir takes the folder, and refuses one that is another keeper's, of another
 // version, or in use.
-func (k *Node) openFolder() (*folder, error) {
-	path := k.s.Folder
+func (k *Node) openDir() (*dataDir, error) {
+	path := k.settings.Folder
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrFolder, err)
+		return nil, fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, fmt.Errorf("%w: another process uses %s", ErrFolder, path)
+		return nil, fmt.Errorf("%w: another process uses %s", ErrDataDir, path)
 	}
-	f := &folder{path: path, lock: lock, mark: mark{V: markVersion, Keeper: k.s.Name}}
-	text, err := os.ReadFile(filepath.Join(path, markName))
+	f := &dataDir{path: path, lock: lock, identity: identity{V: identityVersion, Keeper: k.settings.Name}}
+	text, err := os.ReadFile(filepath.Join(path, identityFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		if _, err := os.Stat(filepath.Join(path, "log.db")); err == nil {
 			lock.Close()
-			return nil, fmt.Errorf("%w: %s has a log, and no mark of whose it is", ErrFolder, path)
+			return nil, fmt.Errorf("%w: %s has a log, and no mark of whose it is", ErrDataDir, path)
 		}
 		return f, nil
 	case err == nil:
-		err = codec.Decode(text, &f.mark)
+		err = codec.Decode(text, &f.identity)
 	}
 	switch {
 	case err != nil:
-		err = fmt.Errorf("%w: its mark can't be read: %w", ErrFolder, err)
-	case f.mark.V != markVersion:
-		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrFolder, f.mark.V, markVersion)
-	case f.mark.Keeper != k.s.Name:
-		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrFolder, path, f.mark.Keeper, k.s.Name)
+		err = fmt.Errorf("%w: its mark can't be read: %w", ErrDataDir, err)
+	case f.identity.V != identityVersion:
+		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, f.identity.V, identityVersion)
+	case f.identity.Keeper != k.settings.Name:
+		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Keeper, k.settings.Name)
 	default:
 		return f, nil
 	}
@@ -80,32 +80,32 @@
 }
 
 // countStart writes one more start into the mark, whole or not at all.
-func (f *folder) countStart() error {
-	f.mark.Starts++
-	text, err := codec.Encode(f.mark)
+func (f *dataDir) countStart() error {
+	f.identity.Starts++
+	text, err := codec.Encode(f.identity)
 	if err != nil {
 		return err
 	}
 	temp, err := os.CreateTemp(f.path, "new-*")
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrFolder, err)
+		return fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
 	defer os.Remove(temp.Name())
 	_, err = temp.Write(text)
 	err = errors.Join(err, temp.Sync(), temp.Close())
 	if err == nil {
-		err = os.Rename(temp.Name(), filepath.Join(f.path, markName))
+		err = os.Rename(temp.Name(), filepath.Join(f.path, identityFile))
 	}
 	if err == nil {
 		err = f.sync()
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrFolder, err)
+		return fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
 	return nil
 }
 
-func (f *folder) sync() error {
+func (f *dataDir) sync() error {
 	d, err := os.Open(f.path)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 }
 
 // wipe clears the folder of all but its lock.
-func (f *folder) wipe() error {
+func (f *dataDir) wipe() error {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return err
@@ -124,11 +124,11 @@
 			err = errors.Join(err, os.RemoveAll(filepath.Join(f.path, e.Name())))
 		}
 	}
-	f.mark.Starts = 0
+	f.identity.Starts = 0
 	return errors.Join(err, f.sync())
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	var names []string
 	for name := range m {
 		names = append(names, name)
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -95,7 +95,7 @@
 	defer cancel()
 	who, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
 	require.NoError(t, err)
-	require.NoError(t, who.Execute(ctx, state.Set, state.FleetSettings{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
+	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
 		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Whole: 120, Burst: 40}}}),
 		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.Others, Keep: records.Limits{Count: 100}}}}),
 	}}, nil))
@@ -109,9 +109,9 @@
 	begin := func(run string) {
 		shape := planrun.Shape{Most: 9, Within: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: policy.Deduplicated}}}
 		var reply partition.PlanReply
-		require.NoError(t, who.Execute(ctx, partition.PlansDo, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
+		require.NoError(t, who.Execute(ctx, partition.PlansCommand, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
 		require.NoError(t, reply.Err())
-		require.NoError(t, who.Execute(ctx, partition.PlansDo, planrun.Command{Open: &planrun.Open{Run: run, Fence: reply.Started.Fence, Items: [][]byte{nil}}}, &reply))
+		require.NoError(t, who.Execute(ctx, partition.PlansCommand, planrun.Command{Open: &planrun.Open{Run: run, Fence: reply.Started.Fence, Items: [][]byte{nil}}}, &reply))
 		require.NoError(t, reply.Err())
 	}
 	ship := func(first uint64, ids ...string) {
@@ -124,7 +124,7 @@
 	begin("run-in-the-snapshot")
 	ship(1, "job-1", "job-2")
 	k.mu.Lock()
-	node := k.node
+	node := k.replica
 	k.mu.Unlock()
 	require.NoError(t, node.raft.Snapshot().Error())
 	begin("run-in-the-log")
@@ -154,7 +154,7 @@
 	}
 	for _, run := range []string{"run-in-the-snapshot", "run-in-the-log"} {
 		var reply partition.PlanReply
-		ask(partition.PlansLook, run, &reply)
+		ask(partition.PlansRun, run, &reply)
 		require.NotNil(t, reply.Run, run)
 		require.Equal(t, run, reply.Run.ID)
 		require.Equal(t, "booking", reply.Run.Plan)
@@ -173,7 +173,7 @@
 		require.Equal(t, want, page.Records[i])
 	}
 	var standings []budget.Standing
-	ask(partition.BudgetsStandings, nil, &standings)
+	ask(partition.BudgetsStatus, nil, &standings)
 	require.Len(t, standings, 1)
 	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
 	require.Positive(t, standings[0].Held)
@@ -204,7 +204,7 @@
 	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
 	require.NoError(t, err)
 	require.Equal(t, member.Incarnation, joined.Incarnation)
-	require.NoError(t, who.Client.Leader(ctx, rpc.Do, encoded(t, state.Command{
+	require.NoError(t, who.Client.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
 		V: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
 		Body: encoded(t, records.Ship{Epoch: 70, First: 4, Records: []records.Record{goldenRecord("job-4")}}),
 	}), &state.Reply{}))
@@ -214,19 +214,19 @@
 
 // TestGoldenMark: the mark of a folder has the bytes that 352ebf2 wrote.
 func TestGoldenMark(t *testing.T) {
-	text := goldentest.Read(t, filepath.Join(goldenFolder, markName))
-	require.Equal(t, "keeper", markName)
-	var m mark
+	text := goldentest.Read(t, filepath.Join(goldenFolder, identityFile))
+	require.Equal(t, "keeper", identityFile)
+	var m identity
 	require.NoError(t, codec.Decode(text, &m))
-	require.Equal(t, mark{V: 1, Keeper: "k1", Starts: 1}, m)
+	require.Equal(t, identity{V: 1, Keeper: "k1", Starts: 1}, m)
 	require.Equal(t, text, encoded(t, m))
 }
 
 // TestGoldenReady: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
 func TestGoldenReady(t *testing.T) {
 	text := []byte("\xa2\x64Name\x62k1\x65Index\x07")
-	require.Equal(t, text, encoded(t, readyBody{Name: "k1", Index: 7}))
-	var read readyBody
+	require.Equal(t, text, encoded(t, membershipRequest{Name: "k1", Index: 7}))
+	var read membershipRequest
 	require.NoError(t, codec.Decode(text, &read))
-	require.Equal(t, readyBody{Name: "k1", Index: 7}, read)
+	require.Equal(t, membershipRequest{Name: "k1", Index: 7}, read)
 }
--- a/internal/dispatcher/fleet/raftnode/keeper.go
+++ b/internal/dispatcher/fleet/raftnode/keeper.go
@@ -41,38 +41,38 @@
 	Log        *logrus.Logger
 }
 
-// callElections: the end of a replica waits so many elections for what is under way.
-const callElections = 8
+// drainElections: the end of a replica waits so many elections for what is under way.
+const drainElections = 8
 
-// idleTick: fleet time goes on at least so often.
-const idleTick = 200 * time.Millisecond
+// tickInterval: fleet time goes on at least so often.
+const tickInterval = 200 * time.Millisecond
 
 // Node is one replica.
 type Node struct {
-	s     Settings
-	log   *logrus.Entry
-	peers *rpc.Client // the other keepers
-	fsm   *machine
-
-	mu      sync.Mutex
-	node    *node // nil: not started, or being taken in again
-	empty   bool
-	differs []string
-	lead    *lead // nil: another one leads
+	settings Settings
+	log      *logrus.Entry
+	peers    *rpc.Client // the other keepers
+	fsm      *fsm
+
+	mu         sync.Mutex
+	replica    *replica // nil: not started, or being taken in again
+	empty      bool
+	divergent  []string
+	leadership *leadership // nil: another one leads
 }
 
-// node is what lives between a start of raft and its end.
-type node struct {
-	raft  *raft.Raft
-	store *raftboltdb.BoltStore
-	trans *raft.NetworkTransport
-	calls sync.WaitGroup // commands, reads and changes of who votes that are under way
+// replica is what lives between a start of raft and its end.
+type replica struct {
+	raft      *raft.Raft
+	store     *raftboltdb.BoltStore
+	transport *raft.NetworkTransport
+	calls     sync.WaitGroup // commands, reads and changes of who votes that are under way
 }
 
-// finishCalls waits, for a while at the most, until no command and no change of who votes is
+// drainCalls waits, for a while at the most, until no command and no change of who votes is
 // under way. The library answers one at its shutdown only if it has not handed it on yet; a
 // leader without a majority gives all of them up within its lease.
-func (n *node) finishCalls(most time.Duration) {
+func (n *replica) drainCalls(most time.Duration) {
 	finished := make(chan struct{})
 	go func() {
 		n.calls.Wait()
@@ -84,17 +84,17 @@
 	}
 }
 
-// lead is what a leader keeps: the fleet time that it goes on from.
-type lead struct {
-	from  time.Duration
-	since time.Time // by the monotonic clock
-	last  atomic.Int64
+// leadership is what a leader keeps: the fleet time that it goes on from.
+type leadership struct {
+	startTime   time.Duration
+	since       time.Time // by the monotonic clock
+	lastCommand atomic.Int64
 }
 
 // now is the fleet time: that of the last command when this one began to lead, and
 // what this process's monotonic clock has gone on since. Between two leaders none
 // goes by, so that it never runs ahead of the time that has passed.
-func (l *lead) now() time.Duration { return l.from + time.Since(l.since) }
+func (l *leadership) now() time.Duration { return l.startTime + time.Since(l.since) }
 
 // New returns a keeper that is not running.
 func New(s Settings) (*Node, error) {
@@ -107,20 +107,20 @@
 			others[name] = p.RPCAddr
 		}
 	}
-	return &Node{s: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &machine{m: state.New(), applied: make(chan struct{})}, empty: true}, nil
+	return &Node{settings: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &fsm{state: state.New(), applied: make(chan struct{})}, empty: true}, nil
 }
 
 // Run takes part until the context ends. It returns an error if the folder can't be
 // used; that it must not be guessed at.
 func (k *Node) Run(ctx context.Context) error {
 	defer k.peers.Close()
-	own, err := k.openFolder()
+	own, err := k.openDir()
 	if err != nil {
 		return err
 	}
 	defer own.lock.Close()
 	for ctx.Err() == nil {
-		anew, err := k.live(ctx, own)
+		anew, err := k.runReplica(ctx, own)
 		if err != nil {
 			return err
 		}
@@ -134,36 +134,36 @@
 	return nil
 }
 
-// live runs raft on what the folder has. It tells whether the state is to be taken
+// runReplica runs raft on what the folder has. It tells whether the state is to be taken
 // anew.
-func (k *Node) live(ctx context.Context, own *folder) (anew bool, err error) {
-	m, err := k.s.NewMachine() // from nothing: raft brings the snapshot and the log
+func (k *Node) runReplica(ctx context.Context, own *dataDir) (anew bool, err error) {
+	m, err := k.settings.NewMachine() // from nothing: raft brings the snapshot and the log
 	if err != nil {
 		return false, fmt.Errorf("the fleet's state: %w", err)
 	}
 	k.fsm.replace(m)
-	n, err := k.open(own)
+	n, err := k.openReplica(own)
 	if err != nil {
 		return false, err
 	}
-	has, err := raft.HasExistingState(n.store, n.store, own.snaps)
+	has, err := raft.HasExistingState(n.store, n.store, own.snapshots)
 	if err != nil {
 		n.store.Close()
 		return false, fmt.Errorf("reading the fleet's log: %w", err)
 	}
-	if has && k.isOldCopy(ctx, own) {
+	if has && k.isStaleCopy(ctx, own) {
 		k.log.Error("the folder is an older copy of this keeper's own: it is cleared and the state taken anew")
 		n.store.Close()
 		return true, nil
 	}
 	if !has {
-		found, err := k.enter(ctx, own)
+		found, err := k.joinWithEmptyDir(ctx, own)
 		if err != nil || ctx.Err() != nil {
 			n.store.Close()
 			return false, err
 		}
 		if found {
-			if err := raft.BootstrapCluster(k.config(), n.store, n.store, own.snaps, &raft.InmemTransport{}, k.founders()); err != nil {
+			if err := raft.BootstrapCluster(k.raftConfig(), n.store, n.store, own.snapshots, &raft.InmemTransport{}, k.initialConfiguration()); err != nil {
 				n.store.Close()
 				return false, fmt.Errorf("founding the fleet: %w", err)
 			}
@@ -173,93 +173,93 @@
 		n.store.Close()
 		return false, err
 	}
-	n.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStream(k.s.RaftListener, k.s.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.quiet()})
-	if n.raft, err = raft.NewRaft(k.config(), k.fsm, n.store, n.store, own.snaps, n.trans); err != nil {
-		n.trans.Close()
+	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(k.settings.RaftListener, k.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.raftLogger()})
+	if n.raft, err = raft.NewRaft(k.raftConfig(), k.fsm, n.store, n.store, own.snapshots, n.transport); err != nil {
+		n.transport.Close()
 		n.store.Close()
 		return false, fmt.Errorf("starting the fleet's log: %w", err)
 	}
 	k.mu.Lock()
-	k.node, k.empty, k.differs = n, false, nil
+	k.replica, k.empty, k.divergent = n, false, nil
 	k.mu.Unlock()
-	anew = k.attend(ctx, n, own)
+	anew = k.superviseReplica(ctx, n, own)
 	k.mu.Lock()
-	k.node, k.lead = nil, nil
+	k.replica, k.leadership = nil, nil
 	k.mu.Unlock()
-	n.finishCalls(callElections * k.s.ElectionTimeout)
+	n.drainCalls(drainElections * k.settings.ElectionTimeout)
 	if err := n.raft.Shutdown().Error(); err != nil {
 		k.log.WithError(err).Error("ending the fleet's log")
 	}
-	n.trans.CloseStreams()
-	n.trans.Close()
+	n.transport.CloseStreams()
+	n.transport.Close()
 	if err := n.store.Close(); err != nil {
 		k.log.WithError(err).Error("closing the fleet's log")
 	}
 	return anew, nil
 }
 
-func (k *Node) config() *raft.Config {
+func (k *Node) raftConfig() *raft.Config {
 	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(k.s.Name)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = k.s.ElectionTimeout, k.s.ElectionTimeout, k.s.ElectionTimeout/2
+	c.LocalID = raft.ServerID(k.settings.Name)
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = k.settings.ElectionTimeout, k.settings.ElectionTimeout, k.settings.ElectionTimeout/2
 	c.MaxAppendEntries, c.BatchApplyCh = 256, true
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 20*time.Second, 8192, 4096
 	c.NoLegacyTelemetry = true
 	c.ShutdownOnRemove = false // one put out by a late copy of its own call asks to come back
-	c.Logger = k.quiet()
+	c.Logger = k.raftLogger()
 	return c
 }
 
-func (k *Node) founders() (c raft.Configuration) {
-	for _, name := range sorted(k.s.Peers) {
+func (k *Node) initialConfiguration() (c raft.Configuration) {
+	for _, name := range sortedKeys(k.settings.Peers) {
 		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)})
 	}
 	return c
 }
 
-func (k *Node) quiet() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: debug{k.log}, DisableTime: true})
+func (k *Node) raftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: debugWriter{k.log}, DisableTime: true})
 }
 
-type debug struct{ log *logrus.Entry }
+type debugWriter struct{ log *logrus.Entry }
 
-func (d debug) Write(text []byte) (int, error) {
+func (d debugWriter) Write(text []byte) (int, error) {
 	d.log.Debug(string(text[:max(0, len(text)-1)]))
 	return len(text), nil
 }
 
-// open opens the log.
-func (k *Node) open(own *folder) (*node, error) {
+// openReplica opens the log.
+func (k *Node) openReplica(own *dataDir) (*replica, error) {
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(own.path, "log.db"), BoltOptions: boltOptions})
 	if err != nil {
 		return nil, fmt.Errorf("opening the fleet's log: %w", err)
 	}
-	own.snaps, err = raft.NewFileSnapshotStoreWithLogger(own.path, 2, k.quiet())
+	own.snapshots, err = raft.NewFileSnapshotStoreWithLogger(own.path, 2, k.raftLogger())
 	if err != nil {
 		store.Close()
 		return nil, fmt.Errorf("opening the fleet's snapshots: %w", err)
 	}
-	return &node{store: store}, nil
+	return &replica{store: store}, nil
 }
 
-// stream is how keepers reach one another: addresses are names, which each looks up
+// streamLayer is how keepers reach one another: addresses are names, which each looks up
 // among its own peers.
-type stream struct {
+type streamLayer struct {
 	net.Listener
 	peers  map[string]Peer
 	closed chan struct{}
 
-	mu   sync.Mutex
-	open map[net.Conn]bool // accepted; the library leaves them open
+	mu       sync.Mutex
+	accepted map[net.Conn]bool // accepted; the library leaves them open
 }
 
-func newStream(l net.Listener, peers map[string]Peer) *stream {
-	return &stream{Listener: l, peers: peers, closed: make(chan struct{}), open: make(map[net.Conn]bool)}
+func newStreamLayer(l net.Listener, peers map[string]Peer) *streamLayer {
+	return &streamLayer{Listener: l, peers: peers, closed: make(chan struct{}), accepted: make(map[net.Conn]bool)}
 }
 
 // Accept implements net.Listener. The listener outlives the stream: a keeper whose
 // state is taken anew goes on with it.
-func (s *stream) Accept() (net.Conn, error) {
+func (s *streamLayer) Accept() (net.Conn, error) {
 	l := s.Listener.(*net.TCPListener)
 	for {
 		select {
@@ -277,36 +277,36 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.open[c] = true
-		return &accepted{c, s}, nil
+		s.accepted[c] = true
+		return &acceptedConn{c, s}, nil
 	}
 }
 
-type accepted struct {
+type acceptedConn struct {
 	net.Conn
-	of *stream
+	layer *streamLayer
 }
 
-func (c *accepted) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c.Conn)
-	c.of.mu.Unlock()
+func (c *acceptedConn) Close() error {
+	c.layer.mu.Lock()
+	delete(c.layer.accepted, c.Conn)
+	c.layer.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // Close implements net.Listener.
-func (s *stream) Close() error {
+func (s *streamLayer) Close() error {
 	close(s.closed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.open {
+	for c := range s.accepted {
 		c.Close()
 	}
 	return nil
 }
 
 // Dial implements raft.StreamLayer.
-func (s *stream) Dial(address raft.ServerAddress, within time.Duration) (net.Conn, error) {
+func (s *streamLayer) Dial(address raft.ServerAddress, within time.Duration) (net.Conn, error) {
 	p, ok := s.peers[string(address)]
 	if !ok {
 		return nil, fmt.Errorf("no keeper is called %q", address)
@@ -314,31 +314,31 @@
 	return net.DialTimeout("tcp", p.RaftAddr, within)
 }
 
-// machine joins the state to raft. Commands are applied by raft's one goroutine,
+// fsm joins the state to raft. Commands are applied by raft's one goroutine,
 // and read by others.
-type machine struct {
-	mu      sync.RWMutex
-	m       *state.Machine
-	applied chan struct{} // closed and made anew at each command
-	summed  func(index uint64, sums map[string]uint64, err error)
-	told    func() // digests of some replica have arrived
+type fsm struct {
+	mu            sync.RWMutex
+	state         *state.Machine
+	applied       chan struct{} // closed and made anew at each command
+	onDigests     func(index uint64, sums map[string]uint64, err error)
+	onPeerDigests func() // digests of some replica have arrived
 }
 
-// sumUp is the body of a tick at which every replica sums its state up.
-var sumUp = []byte{1}
+// digestRequest is the body of a tick at which every replica sums its state up.
+var digestRequest = []byte{1}
 
 // Apply implements raft.FSM.
-func (f *machine) Apply(l *raft.Log) any {
+func (f *fsm) Apply(l *raft.Log) any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.m.Apply(l.Index, l.Data)
-	if c, err := state.Decode(l.Data); err == nil && f.summed != nil {
+	r := f.state.Apply(l.Index, l.Data)
+	if c, err := state.Decode(l.Data); err == nil && f.onDigests != nil {
 		switch {
 		case c.Kind == state.Tick && len(c.Body) > 0:
-			sums, err := f.m.Digests()
-			f.summed(l.Index, sums, err)
-		case c.Kind == state.Sums:
-			f.told()
+			sums, err := f.state.Digests()
+			f.onDigests(l.Index, sums, err)
+		case c.Kind == state.ReportDigests:
+			f.onPeerDigests()
 		}
 	}
 	close(f.applied)
@@ -347,39 +347,39 @@
 }
 
 // Snapshot implements raft.FSM.
-func (f *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	now, err := f.m.Freeze()
-	return frozen{now}, err
+	now, err := f.state.Snapshot()
+	return fsmSnapshot{now}, err
 }
 
 // Restore implements raft.FSM.
-func (f *machine) Restore(r io.ReadCloser) error {
+func (f *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.m.Thaw(r)
+	return f.state.Restore(r)
 }
 
-func (f *machine) replace(m *state.Machine) {
+func (f *fsm) replace(m *state.Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.m = m
+	f.state = m
 }
 
 // read lets a function see the state.
-func (f *machine) read(see func(*state.Machine)) {
+func (f *fsm) read(see func(*state.Machine)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	see(f.m)
+	see(f.state)
 }
 
-// reach waits until the command at an index has been applied.
-func (f *machine) reach(ctx context.Context, index uint64) error {
+// waitIndex waits until the command at an index has been applied.
+func (f *fsm) waitIndex(ctx context.Context, index uint64) error {
 	for {
 		f.mu.RLock()
-		at, more := f.m.Index(), f.applied
+		at, more := f.state.Index(), f.applied
 		f.mu.RUnlock()
 		if at >= index {
 			return nil
@@ -392,10 +392,10 @@
 	}
 }
 
-type frozen struct{ state.Frozen }
+type fsmSnapshot struct{ state.Snapshot }
 
 // Persist implements raft.FSMSnapshot.
-func (s frozen) Persist(to raft.SnapshotSink) error {
+func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
 	if err := s.Write(to); err != nil {
 		to.Cancel()
 		return fmt.Errorf("writing a snapshot: %w", err)
@@ -404,14 +404,14 @@
 }
 
 // Release implements raft.FSMSnapshot.
-func (s frozen) Release() { s.Let() }
+func (s fsmSnapshot) Release() { s.Discard() }
 
 // propose puts a command into the log and waits for what it comes to. An error says
 // that it may have been carried out, or may yet be.
 func (k *Node) propose(c state.Command) (state.Reply, error) {
 	k.mu.Lock()
-	n, l := k.node, k.lead
-	if n == nil || l == nil || len(k.differs) > 0 {
+	n, l := k.replica, k.leadership
+	if n == nil || l == nil || len(k.divergent) > 0 {
 		k.mu.Unlock()
 		return state.Reply{}, raft.ErrNotLeader
 	}
@@ -423,7 +423,7 @@
 	if err != nil {
 		return state.Reply{}, err
 	}
-	l.last.Store(int64(c.At))
+	l.lastCommand.Store(int64(c.At))
 	f := n.raft.Apply(text, 0)
 	if err := f.Error(); err != nil {
 		return state.Reply{}, err
--- a/internal/dispatcher/fleet/raftnode/keeper_test.go
+++ b/internal/dispatcher/fleet/raftnode/keeper_test.go
@@ -39,23 +39,23 @@
 	}
 	return codec.Encode(c.N)
 }
-func (c *counter) Ask(state.Kind, []byte) ([]byte, error)          { return codec.Encode(c.N) }
-func (c *counter) Renewed(state.Command, []byte) ([]byte, error)   { return nil, nil }
-func (c *counter) Gone(time.Duration, string, uint64, state.Going) {}
-func (c *counter) Check([]byte) error                              { return nil }
-func (c *counter) Set(time.Duration, []byte) error                 { return nil }
-func (c *counter) Advance(time.Duration)                           {}
-func (c *counter) Digest() (uint64, error)                         { return c.N, nil }
-func (c *counter) Thaw(r io.Reader) error {
+func (c *counter) Query(state.Kind, []byte) ([]byte, error)                       { return codec.Encode(c.N) }
+func (c *counter) Renew(state.Command, []byte) ([]byte, error)                    { return nil, nil }
+func (c *counter) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
+func (c *counter) Check([]byte) error                                             { return nil }
+func (c *counter) Set(time.Duration, []byte) error                                { return nil }
+func (c *counter) Advance(time.Duration)                                          {}
+func (c *counter) Digest() (uint64, error)                                        { return c.N, nil }
+func (c *counter) Restore(r io.Reader) error {
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return err
 	}
 	return codec.Decode(text, &c.N)
 }
-func (c *counter) Freeze() (state.Frozen, error) {
+func (c *counter) Snapshot() (state.Snapshot, error) {
 	text, err := codec.Encode(c.N)
-	return state.Frozen{Write: func(w io.Writer) error { _, err := w.Write(text); return err }}, err
+	return state.Snapshot{Write: func(w io.Writer) error { _, err := w.Write(text); return err }}, err
 }
 
 // fleet is three keepers in this process.
@@ -100,7 +100,7 @@
 	var err error
 	f.who, _, err = f.client.Join(f.ctx(), "n1", "first", "test")
 	require.NoError(t, err)
-	require.NoError(t, f.who.Execute(f.ctx(), state.Set, state.FleetSettings{Revision: 1, Lease: time.Minute}, nil))
+	require.NoError(t, f.who.Execute(f.ctx(), state.SetSettings, state.FleetSettings{Revision: 1, Lease: time.Minute}, nil))
 	_, err = f.who.Renew(f.ctx(), nil) // for a minute now: the tests renew nothing
 	require.NoError(t, err)
 	return f
@@ -184,7 +184,7 @@
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		var n uint64
-		a := f.up[name].Ask(rpc.Query{Kind: "count/read"})
+		a := f.up[name].Query(rpc.Query{Kind: "count/read"})
 		return codec.Decode(a.Body, &n) == nil && n == f.count && f.voters() == 3
 	}, 20*time.Second, 10*time.Millisecond, "%s has the state and a vote", name)
 }
@@ -193,7 +193,7 @@
 	name := ""
 	require.Eventually(f.t, func() bool {
 		for name = range f.up {
-			if f.up[name].about().Leads {
+			if f.up[name].status().Leads {
 				return true
 			}
 		}
@@ -206,10 +206,10 @@
 	k := f.up[f.leader()]
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.node == nil {
+	if k.replica == nil {
 		return 0
 	}
-	c := k.node.raft.GetConfiguration()
+	c := k.replica.raft.GetConfiguration()
 	if c.Error() != nil {
 		return 0
 	}
@@ -222,7 +222,7 @@
 }
 
 func (f *fleet) other(than string) string {
-	for _, name := range sorted(f.peers) {
+	for _, name := range sortedKeys(f.peers) {
 		if name != than {
 			return name
 		}
@@ -259,7 +259,7 @@
 	t.Run("with nothing, and nobody to ask, it neither votes nor founds", func(t *testing.T) {
 		f := found(t)
 		f.order(3)
-		for _, name := range sorted(f.peers) {
+		for _, name := range sortedKeys(f.peers) {
 			require.NoError(t, f.stops[name]())
 		}
 		require.NoError(t, os.RemoveAll(f.folder("k1")))
@@ -269,7 +269,7 @@
 		defer cancel()
 		require.ErrorIs(t, f.who.Execute(ctx, "count/one", nil, nil), rpc.ErrUnavailable)
 		f.count++ // asked again under the same number it would count once; here it is left open
-		require.True(t, f.up["k1"].about().Empty)
+		require.True(t, f.up["k1"].status().Empty)
 		f.start("k3")
 		f.leader()
 		f.count = f.read()
@@ -286,13 +286,13 @@
 		f.start(name)
 		f.order(5)
 		f.same(name)
-		require.Eventually(t, func() bool { return f.up[f.leader()].about().Boots[name] == 2 }, 10*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return f.up[f.leader()].status().Boots[name] == 2 }, 10*time.Second, 10*time.Millisecond)
 		require.NoError(t, f.stops[name]())
 		require.NoError(t, os.RemoveAll(f.folder(name)))
 		require.NoError(t, os.Rename(old, f.folder(name)))
 		f.start(name)
 		f.same(name)
-		require.Eventually(t, func() bool { return f.up[f.leader()].about().Boots[name] == 1 }, 10*time.Second, 10*time.Millisecond, "taken in anew")
+		require.Eventually(t, func() bool { return f.up[f.leader()].status().Boots[name] == 1 }, 10*time.Second, 10*time.Millisecond, "taken in anew")
 	})
 	t.Run("a late copy of its call to be taken in", func(t *testing.T) {
 		f := found(t)
@@ -302,12 +302,12 @@
 		self, err := codec.Encode(name)
 		require.NoError(t, err)
 		var ok bool
-		_, err = f.client.Post(f.ctx(), lead, rpc.Rejoin, self, &ok)
+		_, err = f.client.Post(f.ctx(), lead, rpc.PathRejoin, self, &ok)
 		require.NoError(t, err)
 		f.order(3)
 		f.same(name)
 		// And one of a leader that failed half-way: it is out, and was restarted since.
-		require.NoError(t, f.up[lead].node.raft.RemoveServer(raft.ServerID(name), 0, 0).Error())
+		require.NoError(t, f.up[lead].replica.raft.RemoveServer(raft.ServerID(name), 0, 0).Error())
 		require.NoError(t, f.stops[name]())
 		f.start(name)
 		f.order(3)
@@ -321,7 +321,7 @@
 		require.NoError(t, os.Rename(f.folder("k2"), f.folder("x")))
 		require.NoError(t, os.Rename(f.folder("k1"), f.folder("k2")))
 		f.start("k2")
-		require.ErrorIs(t, f.stops["k2"](), ErrFolder)
+		require.ErrorIs(t, f.stops["k2"](), ErrDataDir)
 	})
 	t.Run("a replica whose state is wrong", func(t *testing.T) {
 		f := found(t)
@@ -354,30 +354,30 @@
 		log  bool
 		want string
 	}{
-		"newer":     {mark{V: 9, Keeper: "k1"}, true, "it is of version 9"},
+		"newer":     {identity{V: 9, Keeper: "k1"}, true, "it is of version 9"},
 		"torn":      {"k", true, "its mark can't be read"},
 		"no mark":   {nil, true, "no mark of whose it is"},
-		"another's": {mark{V: markVersion, Keeper: "k2"}, true, "is that of keeper k2, not of k1"},
+		"another's": {identity{V: identityVersion, Keeper: "k2"}, true, "is that of keeper k2, not of k1"},
 	} {
 		dir := t.TempDir()
 		if at.mark != nil {
 			text, err := codec.Encode(at.mark)
 			require.NoError(t, err)
-			require.NoError(t, os.WriteFile(filepath.Join(dir, markName), text, 0o600))
+			require.NoError(t, os.WriteFile(filepath.Join(dir, identityFile), text, 0o600))
 		}
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "log.db"), nil, 0o600))
-		k := &Node{s: Settings{Name: "k1", Folder: dir}}
-		_, err := k.openFolder()
-		require.ErrorIs(t, err, ErrFolder, name)
+		k := &Node{settings: Settings{Name: "k1", Folder: dir}}
+		_, err := k.openDir()
+		require.ErrorIs(t, err, ErrDataDir, name)
 		require.ErrorContains(t, err, at.want, name)
 	}
 	dir := t.TempDir()
-	k := &Node{s: Settings{Name: "k1", Folder: dir}}
-	first, err := k.openFolder()
+	k := &Node{settings: Settings{Name: "k1", Folder: dir}}
+	first, err := k.openDir()
 	require.NoError(t, err)
 	defer first.lock.Close()
-	_, err = k.openFolder()
-	require.True(t, errors.Is(err, ErrFolder), fmt.Sprint(err))
+	_, err = k.openDir()
+	require.True(t, errors.Is(err, ErrDataDir), fmt.Sprint(err))
 }
 
 // TestAChangeOfVotersEndsBeforeItsReplica holds a change of who votes open while its keeper is
@@ -389,10 +389,10 @@
 		f.order(1)
 		name := f.leader()
 		k, other := f.up[name], f.other(name)
-		body, err := codec.Encode(readyBody{Name: other})
+		body, err := codec.Encode(membershipRequest{Name: other})
 		require.NoError(t, err)
 		begun, let, ended := make(chan struct{}), make(chan struct{}), make(chan raft.RaftState, 1)
-		go k.change(httptest.NewRecorder(), body, func(n *node, _ readyBody) error {
+		go k.handleMembershipChange(httptest.NewRecorder(), body, func(n *replica, _ membershipRequest) error {
 			close(begun)
 			<-let
 			ended <- n.raft.State()
@@ -404,9 +404,9 @@
 		require.Eventually(t, func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			return k.node == nil
+			return k.replica == nil
 		}, 10*time.Second, time.Millisecond)
-		require.Nil(t, k.beginChange(), "no change begins any more")
+		require.Nil(t, k.beginMembershipChange(), "no change begins any more")
 		runtime.Gosched()
 		close(let)
 		require.NotEqual(t, raft.Shutdown, <-ended)
--- a/internal/dispatcher/fleet/rpc/call.go
+++ b/internal/dispatcher/fleet/rpc/call.go
@@ -23,24 +23,24 @@
 
 // Paths of the keepers' calls.
 const (
-	Do     = "/fleet/do"     // a state.Command, answered with a state.Reply
-	Read   = "/fleet/read"   // a Query, answered with an Answer: by the leader, of all that was answered before
-	Nearby = "/fleet/nearby" // a Query, answered by any keeper of what it has, with how far that is
-	About  = "/fleet/about"  // what a keeper is and has: an AboutBody
-	Rejoin = "/fleet/rejoin" // a keeper's name: it has nothing, and is to be taken in again
-	Ready  = "/fleet/ready"  // a keeper's name: it has caught up, and may vote
+	PathCommand   = "/fleet/do"     // a state.Command, answered with a state.Reply
+	PathRead      = "/fleet/read"   // a Query, answered with an Answer: by the leader, of all that was answered before
+	PathLocalRead = "/fleet/nearby" // a Query, answered by any keeper of what it has, with how far that is
+	PathStatus    = "/fleet/about"  // what a keeper is and has: an AboutBody
+	PathRejoin    = "/fleet/rejoin" // a keeper's name: it has nothing, and is to be taken in again
+	PathPromote   = "/fleet/ready"  // a keeper's name: it has caught up, and may vote
 )
 
 const (
 	// LeaderHeader names the keeper that leads, in an answer of one that does not.
 	LeaderHeader = "Fleet-Leader"
-	// MostBody bounds the body of a call, in bytes.
-	MostBody = 4 << 20
-	// tryFor is how long one keeper has for an answer before the next is asked: a
+	// MaxBody bounds the body of a call, in bytes.
+	MaxBody = 4 << 20
+	// attemptTimeout is how long one keeper has for an answer before the next is asked: a
 	// cut link or a frozen keeper stays silent.
-	tryFor = 1200 * time.Millisecond
-	// pause is between two rounds over all keepers.
-	pause = 20 * time.Millisecond
+	attemptTimeout = 1200 * time.Millisecond
+	// roundPause is between two rounds over all keepers.
+	roundPause = 20 * time.Millisecond
 )
 
 // Query asks a part of the state.
@@ -58,8 +58,8 @@
 	Body  []byte
 }
 
-// AboutBody is what a keeper says of itself.
-type AboutBody struct {
+// NodeStatus is what a keeper says of itself.
+type NodeStatus struct {
 	Name    string
 	Empty   bool              // it has no state, and has founded none
 	Founded bool              // the fleet has applied a command, as far as this one knows
@@ -76,11 +76,11 @@
 
 // Client asks the keepers. It may be used by several goroutines.
 type Client struct {
-	names []string
-	addrs map[string]string
-	http  *http.Client
-	first atomic.Int64 // who is asked first
-	sent  atomic.Int64 // bytes of bodies, both ways
+	names     []string
+	addrs     map[string]string
+	http      *http.Client
+	preferred atomic.Int64 // who is asked first
+	bodyBytes atomic.Int64 // bytes of bodies, both ways
 }
 
 // New returns a client of the keepers with these addresses.
@@ -98,8 +98,8 @@
 // Close lets go of the connections that are kept.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Bytes counts the bytes of all bodies, both ways.
-func (c *Client) Bytes() int64 { return c.sent.Load() }
+// BodyBytes counts the bytes of all bodies, both ways.
+func (c *Client) BodyBytes() int64 { return c.bodyBytes.Load() }
 
 // Do has a command carried out. Its error is ErrNobody, the context's, or the reply's.
 func (c *Client) Do(ctx context.Context, cmd state.Command) (state.Reply, error) {
@@ -109,7 +109,7 @@
 		return state.Reply{}, err
 	}
 	var r state.Reply
-	if err := c.Leader(ctx, Do, text, &r); err != nil {
+	if err := c.PostToLeader(ctx, PathCommand, text, &r); err != nil {
 		return r, err
 	}
 	return r, r.Err()
@@ -123,17 +123,17 @@
 		return Answer{}, err
 	}
 	var a Answer
-	if err := c.Leader(ctx, Read, text, &a); err != nil {
+	if err := c.PostToLeader(ctx, PathRead, text, &a); err != nil {
 		return a, err
 	}
 	return a, state.Reply{Code: a.Code, Text: a.Text}.Err()
 }
 
-// Leader posts to whoever leads, until the context ends.
-func (c *Client) Leader(ctx context.Context, path string, text []byte, into any) error {
+// PostToLeader posts to whoever leads, until the context ends.
+func (c *Client) PostToLeader(ctx context.Context, path string, text []byte, into any) error {
 	var last error
 	for n := 0; ; n++ {
-		i := int(c.first.Load()) % len(c.names)
+		i := int(c.preferred.Load()) % len(c.names)
 		leader, err := c.Post(ctx, c.names[i], path, text, into)
 		if err == nil {
 			return nil
@@ -148,17 +148,17 @@
 		} else if (n+1)%len(c.names) == 0 {
 			select {
 			case <-ctx.Done():
-			case <-time.After(pause):
+			case <-time.After(roundPause):
 			}
 		}
-		c.first.CompareAndSwap(int64(i), next%int64(len(c.names)))
+		c.preferred.CompareAndSwap(int64(i), next%int64(len(c.names)))
 	}
 }
 
 // Post asks one keeper once. Of one that does not lead it returns who does, as far
 // as that one knows.
 func (c *Client) Post(ctx context.Context, name, path string, text []byte, into any) (leader string, err error) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(tryFor))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(attemptTimeout))
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.addrs[name]+path, bytes.NewReader(text))
 	if err != nil {
@@ -169,8 +169,8 @@
 		return "", fmt.Errorf("asking keeper %s: %w", name, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MostBody+1))
-	c.sent.Add(int64(len(text) + len(body)))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
+	c.bodyBytes.Add(int64(len(text) + len(body)))
 	switch {
 	case err != nil:
 		return "", fmt.Errorf("keeper %s: %w", name, err)
@@ -189,15 +189,15 @@
 	Process     string
 	Incarnation uint64
 
-	mu    sync.Mutex
-	seq   uint64
-	open  map[uint64]bool // commands without an answer
-	acked uint64
+	mu      sync.Mutex
+	lastSeq uint64
+	pending map[uint64]bool // commands without an answer
+	acked   uint64
 }
 
 // Join gets an incarnation for this start of a process; the nonce tells the start.
-func (c *Client) Join(ctx context.Context, process, nonce, version string) (*Session, state.Joined, error) {
-	var j state.Joined
+func (c *Client) Join(ctx context.Context, process, nonce, version string) (*Session, state.JoinReply, error) {
+	var j state.JoinReply
 	body, err := codec.Encode(state.JoinBody{Process: process, Nonce: nonce, Version: version})
 	if err != nil {
 		return nil, j, err
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, j, fmt.Errorf("joining the fleet as %s: %w", process, err)
 	}
-	return &Session{Client: c, Process: process, Incarnation: j.Incarnation, open: make(map[uint64]bool)}, j, nil
+	return &Session{Client: c, Process: process, Incarnation: j.Incarnation, pending: make(map[uint64]bool)}, j, nil
 }
 
 // Execute has a command carried out once, however often it has to be asked: an error
@@ -220,16 +220,16 @@
 		return err
 	}
 	s.mu.Lock()
-	s.seq++
-	seq, acked := s.seq, s.acked
-	s.open[seq] = true
+	s.lastSeq++
+	seq, acked := s.lastSeq, s.acked
+	s.pending[seq] = true
 	s.mu.Unlock()
 	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Seq: seq, Acked: acked, Kind: kind, Body: text})
 	// One that nobody answered counts as answered too: a late copy of it is refused from
 	// the next command on, and the state need not keep all later answers for its sake.
 	s.mu.Lock()
-	delete(s.open, seq)
-	for s.acked < s.seq && !s.open[s.acked+1] {
+	delete(s.pending, seq)
+	for s.acked < s.lastSeq && !s.pending[s.acked+1] {
 		s.acked++
 	}
 	s.mu.Unlock()
@@ -240,8 +240,8 @@
 }
 
 // Renew renews the lease with what each part is to be told.
-func (s *Session) Renew(ctx context.Context, parts map[string][]byte) (state.Renewed, error) {
-	var told state.Renewed
+func (s *Session) Renew(ctx context.Context, parts map[string][]byte) (state.RenewReply, error) {
+	var told state.RenewReply
 	body, err := codec.Encode(state.RenewBody{Parts: parts})
 	if err != nil {
 		return told, err
--- a/internal/dispatcher/fleet/state/state.go
+++ b/internal/dispatcher/fleet/state/state.go
@@ -37,13 +37,13 @@
 
 // Kinds of the machine itself. A part's kinds begin with its name and a slash.
 const (
-	Tick  Kind = "tick"  // time goes on
-	Join  Kind = "join"  // JoinBody
-	Renew Kind = "renew" // RenewBody
-	Leave Kind = "leave" // no body: a planned end
-	Sums  Kind = "sums"  // SumsBody
-	Boot  Kind = "boot"  // BootBody
-	Set   Kind = "set"   // SetBody
+	Tick          Kind = "tick"  // time goes on
+	Join          Kind = "join"  // JoinBody
+	Renew         Kind = "renew" // RenewBody
+	Leave         Kind = "leave" // no body: a planned end
+	ReportDigests Kind = "sums"  // SumsBody
+	ReportBoot    Kind = "boot"  // BootBody
+	SetSettings   Kind = "set"   // SetBody
 )
 
 // Reply is what a command comes to. The same command gives the same reply at
@@ -86,8 +86,8 @@
 	}
 }
 
-// Part is a part of the state. Its methods are called in the order of the log.
-type Part interface {
+// Partition is a part of the state. Its methods are called in the order of the log.
+type Partition interface {
 	// Name is the part's; the kinds of its commands begin with it and a slash.
 	Name() string
 	// Apply carries out a command of a process that is in force. An error refuses
@@ -96,86 +96,86 @@
 	// Check tells what is wrong with settings; Set takes ones in that were checked.
 	Check(settings []byte) error
 	Set(at time.Duration, settings []byte) error
-	// Renewed takes in what a renewal says to this part, and says what it is told.
-	Renewed(c Command, body []byte) (reply []byte, err error)
-	// Gone tells that an incarnation is out of force: its lease ended, it left, or
+	// Renew takes in what a renewal says to this part, and says what it is told.
+	Renew(c Command, body []byte) (reply []byte, err error)
+	// IncarnationEnded tells that an incarnation is out of force: its lease ended, it left, or
 	// a newer one of the same name joined.
-	Gone(at time.Duration, process string, incarnation uint64, how Going)
+	IncarnationEnded(at time.Duration, process string, incarnation uint64, how EndCause)
 	// Advance carries out what falls due by fleet time.
 	Advance(at time.Duration)
-	// Freeze takes the part as it is now, while later commands are applied.
-	Freeze() (Frozen, error)
-	// Thaw replaces the part by what Freeze wrote. On an error nothing has changed.
-	Thaw(io.Reader) error
+	// Snapshot takes the part as it is now, while later commands are applied.
+	Snapshot() (Snapshot, error)
+	// Restore replaces the part by what Freeze wrote. On an error nothing has changed.
+	Restore(io.Reader) error
 	// Digest sums the part up.
 	Digest() (uint64, error)
 }
 
-// Frozen is a state as it was at one command.
-type Frozen struct {
+// Snapshot is a state as it was at one command.
+type Snapshot struct {
 	Write   func(io.Writer) error
 	Release func() // once it is not needed any more; nil: nothing is held
 }
 
-// Let releases it.
-func (f Frozen) Let() {
+// Discard releases it.
+func (f Snapshot) Discard() {
 	if f.Release != nil {
 		f.Release()
 	}
 }
 
-// Going says how an incarnation went out of force.
-type Going uint8
+// EndCause says how an incarnation went out of force.
+type EndCause uint8
 
 // Ways to go.
 const (
-	Expired  Going = iota // its lease ended: it may be cut off or frozen, and what it sent may run
-	Left                  // it said so
-	Replaced              // a newer incarnation joined
+	Expired  EndCause = iota // its lease ended: it may be cut off or frozen, and what it sent may run
+	Left                     // it said so
+	Replaced                 // a newer incarnation joined
 )
 
 // Member is a process of the fleet.
 type Member struct {
 	Process     string
 	Incarnation uint64
-	Nonce       string        // of the start that joined
-	Since       time.Duration // fleet time of the join
-	Until       time.Duration // its lease ends then
-	Version     string        // of the program
-	Floor       uint64        // commands up to this one are answered, and forgotten
-	Answers     []answered    // above it, in order
+	Nonce       string            // of the start that joined
+	Since       time.Duration     // fleet time of the join
+	Until       time.Duration     // its lease ends then
+	Version     string            // of the program
+	Floor       uint64            // commands up to this one are answered, and forgotten
+	Answers     []rememberedReply // above it, in order
 }
 
-type answered struct {
+type rememberedReply struct {
 	Seq   uint64
 	Reply Reply
 }
 
-// mostAnswers bounds what is remembered for one process: the commands that it may
+// maxRememberedReplies bounds what is remembered for one process: the commands that it may
 // have under way at once.
-const mostAnswers = 1024
+const maxRememberedReplies = 1024
 
 // Machine is one replica's state.
 type Machine struct {
-	set     setting
-	at      time.Duration
-	index   uint64
-	members []*Member // by name
-	sums    sums
-	boots   []boot // by process
-	parts   []Part
+	settings   settingsInForce
+	now        time.Duration
+	index      uint64
+	members    []*Member // by name
+	digests    digestReports
+	boots      []bootCount // by process
+	partitions []Partition
 }
 
-// FirstLease is the length of leases until the operators set one.
-const FirstLease = 3 * time.Second
+// DefaultLease is the length of leases until the operators set one.
+const DefaultLease = 3 * time.Second
 
 // New returns an empty state of these parts.
-func New(parts ...Part) *Machine {
-	return &Machine{set: setting{Lease: FirstLease}, parts: parts}
+func New(parts ...Partition) *Machine {
+	return &Machine{settings: settingsInForce{Lease: DefaultLease}, partitions: parts}
 }
 
 // At is the fleet time of the last command.
-func (m *Machine) At() time.Duration { return m.at }
+func (m *Machine) At() time.Duration { return m.now }
 
 // Index is the log index of the last command.
 func (m *Machine) Index() uint64 { return m.index }
@@ -202,64 +202,64 @@
 	if err != nil { // a log written by a newer program: refused alike everywhere
 		return Reply{Code: Bad, Text: err.Error()}
 	}
-	m.at = max(m.at, c.At)
-	c.At = m.at
+	m.now = max(m.now, c.At)
+	c.At = m.now
 	m.advance()
 	switch c.Kind {
 	case Tick:
 		return Reply{}
 	case Join:
 		return m.join(c, index)
-	case Sums:
-		return m.takeSums(c)
-	case Boot:
-		return m.takeBoot(c)
+	case ReportDigests:
+		return m.recordDigests(c)
+	case ReportBoot:
+		return m.recordBoot(c)
 	}
-	who, r := m.inForce(c)
+	who, r := m.member(c)
 	if who == nil {
 		return r
 	}
 	if c.Seq != 0 {
-		if old, ok := who.answer(c.Seq); ok {
+		if old, ok := who.rememberedReply(c.Seq); ok {
 			return old
 		}
 	}
-	r = m.carryOut(who, c, index)
+	r = m.execute(who, c, index)
 	if c.Seq != 0 {
-		who.remember(c, r)
+		who.rememberReply(c, r)
 	}
 	return r
 }
 
-// inForce is the member that a command comes from, or why there is none.
-func (m *Machine) inForce(c Command) (*Member, Reply) {
-	i, ok := m.find(c.Process)
+// member is the member that a command comes from, or why there is none.
+func (m *Machine) member(c Command) (*Member, Reply) {
+	i, ok := m.findMember(c.Process)
 	if !ok || m.members[i].Incarnation != c.Incarnation {
 		return nil, Reply{Code: Fenced, Text: fmt.Sprintf("%s %d", c.Process, c.Incarnation)}
 	}
 	return m.members[i], Reply{}
 }
 
-func (m *Machine) carryOut(who *Member, c Command, index uint64) Reply {
+func (m *Machine) execute(who *Member, c Command, index uint64) Reply {
 	switch c.Kind {
 	case Renew:
 		return m.renew(who, c)
-	case Set:
-		return m.takeSettings(c)
+	case SetSettings:
+		return m.applySettings(c)
 	case Leave:
-		m.drop(who, Left)
+		m.endIncarnation(who, Left)
 		return Reply{}
 	}
-	for _, p := range m.parts {
-		if c.Kind.of(p.Name()) {
+	for _, p := range m.partitions {
+		if c.Kind.belongsTo(p.Name()) {
 			body, err := p.Apply(c, index)
-			return replied(body, err)
+			return replyOf(body, err)
 		}
 	}
 	return Reply{Code: Bad, Text: fmt.Sprintf("no part has commands of kind %q", c.Kind)}
 }
 
-func replied(body []byte, err error) Reply {
+func replyOf(body []byte, err error) Reply {
 	switch {
 	case errors.Is(err, ErrBad):
 		return Reply{Code: Bad, Text: err.Error()}
@@ -273,18 +273,18 @@
 // parts do what falls due.
 func (m *Machine) advance() {
 	for i := 0; i < len(m.members); {
-		if who := m.members[i]; who.Until <= m.at {
-			m.drop(who, Expired)
+		if who := m.members[i]; who.Until <= m.now {
+			m.endIncarnation(who, Expired)
 			continue
 		}
 		i++
 	}
-	for _, p := range m.parts {
-		p.Advance(m.at)
+	for _, p := range m.partitions {
+		p.Advance(m.now)
 	}
 }
 
-func (m *Machine) find(process string) (int, bool) {
+func (m *Machine) findMember(process string) (int, bool) {
 	return slices.BinarySearchFunc(m.members, process, func(x *Member, name string) int {
 		switch {
 		case x.Process < name:
@@ -296,18 +296,18 @@
 	})
 }
 
-// drop puts an incarnation out of force.
-func (m *Machine) drop(who *Member, how Going) {
-	if i, ok := m.find(who.Process); ok && m.members[i] == who {
+// endIncarnation puts an incarnation out of force.
+func (m *Machine) endIncarnation(who *Member, how EndCause) {
+	if i, ok := m.findMember(who.Process); ok && m.members[i] == who {
 		m.members = slices.Delete(m.members, i, i+1)
 	}
-	for _, p := range m.parts {
-		p.Gone(m.at, who.Process, who.Incarnation, how)
+	for _, p := range m.partitions {
+		p.IncarnationEnded(m.now, who.Process, who.Incarnation, how)
 	}
 }
 
-func (x *Member) answer(seq uint64) (Reply, bool) {
-	i, ok := slices.BinarySearchFunc(x.Answers, seq, func(a answered, s uint64) int { return int(int64(a.Seq - s)) })
+func (x *Member) rememberedReply(seq uint64) (Reply, bool) {
+	i, ok := slices.BinarySearchFunc(x.Answers, seq, func(a rememberedReply, s uint64) int { return int(int64(a.Seq - s)) })
 	switch {
 	case ok:
 		return x.Answers[i].Reply, true
@@ -317,28 +317,28 @@
 	return Reply{}, false
 }
 
-func (x *Member) remember(c Command, r Reply) {
-	i, _ := slices.BinarySearchFunc(x.Answers, c.Seq, func(a answered, s uint64) int { return int(int64(a.Seq - s)) })
-	x.Answers = slices.Insert(x.Answers, i, answered{c.Seq, r})
+func (x *Member) rememberReply(c Command, r Reply) {
+	i, _ := slices.BinarySearchFunc(x.Answers, c.Seq, func(a rememberedReply, s uint64) int { return int(int64(a.Seq - s)) })
+	x.Answers = slices.Insert(x.Answers, i, rememberedReply{c.Seq, r})
 	x.Floor = max(x.Floor, c.Acked)
 	from := 0
-	for from < len(x.Answers) && (x.Answers[from].Seq <= x.Floor || len(x.Answers)-from > mostAnswers) {
+	for from < len(x.Answers) && (x.Answers[from].Seq <= x.Floor || len(x.Answers)-from > maxRememberedReplies) {
 		x.Floor = max(x.Floor, x.Answers[from].Seq)
 		from++
 	}
 	x.Answers = slices.Delete(x.Answers, 0, from)
 }
 
-// Asked is a part that answers queries, of kinds that begin with its name and a
+// Queryable is a part that answers queries, of kinds that begin with its name and a
 // slash. A query changes nothing.
-type Asked interface {
-	Part
-	Ask(kind Kind, body []byte) ([]byte, error)
+type Queryable interface {
+	Partition
+	Query(kind Kind, body []byte) ([]byte, error)
 }
 
-// Part is the part of a name; nil: there is none.
-func (m *Machine) Part(name string) Part {
-	for _, p := range m.parts {
+// Partition is the part of a name; nil: there is none.
+func (m *Machine) Partition(name string) Partition {
+	for _, p := range m.partitions {
 		if p.Name() == name {
 			return p
 		}
@@ -346,17 +346,17 @@
 	return nil
 }
 
-// Ask answers a query.
-func (m *Machine) Ask(kind Kind, body []byte) ([]byte, error) {
-	for _, p := range m.parts {
-		if a, ok := p.(Asked); ok && kind.of(p.Name()) {
-			return a.Ask(kind, body)
+// Query answers a query.
+func (m *Machine) Query(kind Kind, body []byte) ([]byte, error) {
+	for _, p := range m.partitions {
+		if a, ok := p.(Queryable); ok && kind.belongsTo(p.Name()) {
+			return a.Query(kind, body)
 		}
 	}
 	return nil, fmt.Errorf("no part answers queries of kind %q", kind)
 }
 
-// of tells whether a kind is one of a part's.
-func (k Kind) of(part string) bool {
+// belongsTo tells whether a kind is one of a part's.
+func (k Kind) belongsTo(part string) bool {
 	return len(k) > len(part) && string(k[:len(part)]) == part && k[len(part)] == '/'
 }
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -42,16 +42,16 @@
 	t.Went = append(t.Went, string(settings))
 	return nil
 }
-func (t *tally) Renewed(_ Command, body []byte) ([]byte, error) { return body, nil }
-func (t *tally) Gone(at time.Duration, process string, incarnation uint64, how Going) {
+func (t *tally) Renew(_ Command, body []byte) ([]byte, error) { return body, nil }
+func (t *tally) IncarnationEnded(at time.Duration, process string, incarnation uint64, how EndCause) {
 	t.Went = append(t.Went, fmt.Sprintf("%s %d %d %s", process, incarnation, how, at))
 }
 func (t *tally) Advance(at time.Duration) { t.At = at }
-func (t *tally) Freeze() (Frozen, error) {
+func (t *tally) Snapshot() (Snapshot, error) {
 	text, err := codec.Encode(t)
-	return Frozen{Write: func(w io.Writer) error { _, err := w.Write(text); return err }}, err
+	return Snapshot{Write: func(w io.Writer) error { _, err := w.Write(text); return err }}, err
 }
-func (t *tally) Thaw(r io.Reader) error {
+func (t *tally) Restore(r io.Reader) error {
 	text, err := io.ReadAll(r)
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 	return codec.Digest(text), err
 }
 
-const lease = FirstLease
+const lease = DefaultLease
 
 type log struct {
 	t       require.TestingT
@@ -100,7 +100,7 @@
 func (l *log) join(at time.Duration, process, nonce string) uint64 {
 	r := l.apply(Command{At: at, Kind: Join}, JoinBody{Process: process, Nonce: nonce})
 	require.NoError(l.t, r.Err())
-	var j Joined
+	var j JoinReply
 	require.NoError(l.t, codec.Decode(r.Body, &j))
 	return j.Incarnation
 }
@@ -152,7 +152,7 @@
 				first[who]++
 			}
 			if len(l.entries) == cut {
-				now, err := l.m.Freeze()
+				now, err := l.m.Snapshot()
 				require.NoError(t, err)
 				require.NoError(t, now.Write(&frozen))
 			}
@@ -167,7 +167,7 @@
 			require.Equal(t, n, l.part.Count[who])
 		}
 		other := New(newTally())
-		require.NoError(t, other.Thaw(bytes.NewReader(frozen.Bytes())))
+		require.NoError(t, other.Restore(bytes.NewReader(frozen.Bytes())))
 		for i := cut; i < len(l.entries); i++ {
 			other.Apply(uint64(i+1), l.entries[i])
 		}
@@ -177,10 +177,10 @@
 		require.NoError(t, err)
 		require.Equal(t, a, b)
 		torn := frozen.Bytes()[:rapid.IntRange(0, frozen.Len()-1).Draw(t, "torn")]
-		require.ErrorIs(t, New(newTally()).Thaw(bytes.NewReader(torn)), ErrForeign)
+		require.ErrorIs(t, New(newTally()).Restore(bytes.NewReader(torn)), ErrForeign)
 		flipped := bytes.Clone(frozen.Bytes())
 		flipped[rapid.IntRange(0, len(flipped)-1).Draw(t, "at")] ^= 0x10
-		require.Error(t, New(newTally()).Thaw(bytes.NewReader(flipped)))
+		require.Error(t, New(newTally()).Restore(bytes.NewReader(flipped)))
 	})
 }
 
@@ -188,7 +188,7 @@
 	l := newLog(t)
 	inc := l.join(0, "n1", "a")
 	set := func(b FleetSettings) string {
-		return l.apply(Command{Process: "n1", Incarnation: inc, Kind: Set}, b).Text
+		return l.apply(Command{Process: "n1", Incarnation: inc, Kind: SetSettings}, b).Text
 	}
 	second := FleetSettings{Revision: 2, Lease: time.Second, Parts: map[string][]byte{"tally": []byte("two")}}
 	require.Empty(t, set(second))
@@ -207,31 +207,31 @@
 func TestMajorityOfDigests(t *testing.T) {
 	l := newLog(t)
 	tell := func(replica string, index uint64, sum uint64) {
-		l.apply(Command{Kind: Sums}, SumsBody{Replica: replica, Index: index, Parts: map[string]uint64{"tally": sum}})
+		l.apply(Command{Kind: ReportDigests}, DigestsBody{Replica: replica, Index: index, Parts: map[string]uint64{"tally": sum}})
 	}
 	tell("k1", 7, 1)
 	tell("k2", 7, 2)
-	require.Empty(t, l.m.Differs("k1", 3), "one against one proves nothing")
+	require.Empty(t, l.m.DivergentPartitions("k1", 3), "one against one proves nothing")
 	tell("k3", 7, 2)
-	require.Equal(t, []string{"tally"}, l.m.Differs("k1", 3))
-	require.Empty(t, l.m.Differs("k2", 3))
+	require.Equal(t, []string{"tally"}, l.m.DivergentPartitions("k1", 3))
+	require.Empty(t, l.m.DivergentPartitions("k2", 3))
 	tell("k1", 9, 5)
-	require.Empty(t, l.m.Differs("k1", 3), "a newer index begins anew")
+	require.Empty(t, l.m.DivergentPartitions("k1", 3), "a newer index begins anew")
 	tell("k2", 7, 5)
-	require.Empty(t, l.m.Differs("k2", 3), "what is out of date counts nothing")
+	require.Empty(t, l.m.DivergentPartitions("k2", 3), "what is out of date counts nothing")
 }
 
 func FuzzThaw(f *testing.F) {
 	l := newLog(f)
 	l.join(0, "n1", "a")
-	now, err := l.m.Freeze()
+	now, err := l.m.Snapshot()
 	require.NoError(f, err)
 	var b bytes.Buffer
 	require.NoError(f, now.Write(&b))
 	f.Add(b.Bytes())
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m := New(newTally())
-		if m.Thaw(bytes.NewReader(text)) != nil {
+		if m.Restore(bytes.NewReader(text)) != nil {
 			require.Empty(t, m.Members(), "nothing is taken of what is refused")
 		}
 	})
--- a/internal/dispatcher/server/records.go
+++ b/internal/dispatcher/server/records.go
@@ -294,8 +294,8 @@
 			continue
 		}
 		var fence records.Fence
-		k.Look(func(m *state.Machine) {
-			if p, ok := m.Part(partition.RecordsName).(*partition.Records); ok {
+		k.Inspect(func(m *state.Machine) {
+			if p, ok := m.Partition(partition.RecordsName).(*partition.Records); ok {
 				fence = p.Fence()
 			}
 		})
