--- a/internal/dispatcher/faultproxy/conn.go
+++ b/internal/dispatcher/faultproxy/conn.go
@@ -11,16 +11,16 @@
 
 // conn is one connection through a link: two, end to end.
 type conn struct {
-	l    *Link
-	a    *net.TCPConn
-	done chan struct{}
-
-	mu      sync.Mutex
-	b       *net.TCPConn // nil: not dialled yet
-	over    bool
-	hole    [2]bool
-	sent    []byte // by A, so that it can be replayed
-	tooMuch bool   // it can't
+	proxy  *Proxy
+	client *net.TCPConn
+	done   chan struct{}
+
+	mu            sync.Mutex
+	target        *net.TCPConn // nil: not dialled yet
+	closed        bool
+	lostBytes     [2]bool
+	recording     []byte // by A, so that it can be replayed
+	recordingFull bool   // it can't
 }
 
 // piece is bytes on their way, or the end of them.
@@ -30,8 +30,8 @@
 	end  error // io.EOF, or what broke the connection
 }
 
-func (l *Link) take(a *net.TCPConn) {
-	c := &conn{l: l, a: a, done: make(chan struct{})}
+func (l *Proxy) serveConn(a *net.TCPConn) {
+	c := &conn{proxy: l, client: a, done: make(chan struct{})}
 	l.mu.Lock()
 	number := l.counts.Made
 	l.counts.Made++
@@ -41,37 +41,37 @@
 	if ended {
 		c.reset()
 	}
-	l.all.Go(func() { c.run(uint64(number)) })
+	l.workers.Go(func() { c.run(uint64(number)) })
 }
 
 // run carries both ways until both have ended.
 func (c *conn) run(number uint64) {
 	defer c.finish()
-	if _, _, ok := c.pass(Forth, time.Time{}); !ok {
+	if _, _, ok := c.awaitOpen(Forward, time.Time{}); !ok {
 		return
 	}
-	b, err := c.l.dial()
+	b, err := c.proxy.dial()
 	if err != nil {
 		c.reset()
 		return
 	}
 	c.mu.Lock()
-	c.b = b
-	over := c.over
+	c.target = b
+	over := c.closed
 	c.mu.Unlock()
 	if over {
 		b.Close()
 		return
 	}
 	var ways sync.WaitGroup
-	ways.Go(func() { c.carry(Forth, c.a, b, number) })
-	c.carry(Back, b, c.a, number)
+	ways.Go(func() { c.forward(Forward, c.client, b, number) })
+	c.forward(Backward, b, c.client, number)
 	ways.Wait()
 }
 
-func (c *conn) carry(w Way, from, to *net.TCPConn, number uint64) {
-	queue := make(chan piece, pieces)
-	c.l.all.Go(func() { c.read(w, from, queue, rand.New(rand.NewPCG(c.l.seed, 2*number+uint64(w)))) })
+func (c *conn) forward(w Direction, from, to *net.TCPConn, number uint64) {
+	queue := make(chan piece, maxQueuedPieces)
+	c.proxy.workers.Go(func() { c.read(w, from, queue, rand.New(rand.NewPCG(c.proxy.seed, 2*number+uint64(w)))) })
 	for p := range queue {
 		if !c.deliver(w, to, p) {
 			return
@@ -80,21 +80,21 @@
 }
 
 // read takes in one way's bytes, and decides when each piece is due.
-func (c *conn) read(w Way, from *net.TCPConn, queue chan<- piece, random *rand.Rand) {
+func (c *conn) read(w Direction, from *net.TCPConn, queue chan<- piece, random *rand.Rand) {
 	defer close(queue)
 	for {
-		text := make([]byte, pieceLen)
+		text := make([]byte, pieceSize)
 		n, err := from.Read(text)
-		f, _ := c.l.way(w)
+		f, _ := c.proxy.faultOf(w)
 		due := time.Now().Add(f.delay)
 		if f.jitter > 0 {
 			due = due.Add(time.Duration(random.Int64N(int64(f.jitter))))
 		}
-		c.l.mu.Lock()
-		c.l.counts.Held[w] += n
-		c.l.mu.Unlock()
-		if w == Forth {
-			c.keep(text[:n])
+		c.proxy.mu.Lock()
+		c.proxy.counts.Held[w] += n
+		c.proxy.mu.Unlock()
+		if w == Forward {
+			c.record(text[:n])
 		}
 		select {
 		case queue <- piece{text[:n], due, err}:
@@ -108,14 +108,14 @@
 }
 
 // deliver passes a piece on, and tells whether the way goes on.
-func (c *conn) deliver(w Way, to *net.TCPConn, p piece) bool {
+func (c *conn) deliver(w Direction, to *net.TCPConn, p piece) bool {
 	for {
-		f, changed, ok := c.pass(w, p.due)
+		f, changed, ok := c.awaitOpen(w, p.due)
 		switch {
 		case !ok:
 			return false
 		case f.lost:
-			c.lose(w, len(p.text))
+			c.dropPiece(w, len(p.text))
 			return p.end == nil
 		case len(p.text) > 0:
 			part := p.text
@@ -126,7 +126,7 @@
 				c.reset()
 				return false
 			}
-			c.count(w, len(part), &c.l.counts.Passed)
+			c.count(w, len(part), &c.proxy.counts.Passed)
 			if p.text = p.text[len(part):]; f.rate > 0 {
 				c.wait(time.Duration(len(part))*time.Second/time.Duration(f.rate), changed)
 			}
@@ -142,11 +142,11 @@
 	}
 }
 
-// pass waits until a way is open and bytes are due, and tells whether the
+// awaitOpen waits until a way is open and bytes are due, and tells whether the
 // connection is still there. A way that has lost bytes goes on losing them.
-func (c *conn) pass(w Way, due time.Time) (f fault, changed <-chan struct{}, ok bool) {
+func (c *conn) awaitOpen(w Direction, due time.Time) (f fault, changed <-chan struct{}, ok bool) {
 	for {
-		f, changed = c.l.way(w)
+		f, changed = c.proxy.faultOf(w)
 		left := time.Until(due)
 		switch {
 		case f.held:
@@ -154,8 +154,8 @@
 		case left <= 0:
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			f.lost = f.lost || c.hole[w]
-			return f, changed, !c.over
+			f.lost = f.lost || c.lostBytes[w]
+			return f, changed, !c.closed
 		}
 		if !c.wait(left, changed) {
 			return f, changed, false
@@ -175,36 +175,36 @@
 	return true
 }
 
-// lose makes a hole in a way: of bytes, or of the end of them.
-func (c *conn) lose(w Way, n int) {
+// dropPiece makes a hole in a way: of bytes, or of the end of them.
+func (c *conn) dropPiece(w Direction, n int) {
 	c.mu.Lock()
-	c.hole[w] = true
+	c.lostBytes[w] = true
 	c.mu.Unlock()
-	c.count(w, n, &c.l.counts.Lost)
+	c.count(w, n, &c.proxy.counts.Lost)
 }
 
-func (c *conn) holed() bool {
+func (c *conn) hasLostBytes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hole[Forth] || c.hole[Back]
+	return c.lostBytes[Forward] || c.lostBytes[Backward]
 }
 
 // count moves bytes from those that wait.
-func (c *conn) count(w Way, n int, to *[2]int) {
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	c.l.counts.Held[w] -= n
+func (c *conn) count(w Direction, n int, to *[2]int) {
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	c.proxy.counts.Held[w] -= n
 	to[w] += n
 }
 
-func (c *conn) keep(text []byte) {
+func (c *conn) record(text []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.sent)+len(text) > mostKept {
-		c.tooMuch = true
+	if len(c.recording)+len(text) > maxRecording {
+		c.recordingFull = true
 	}
-	if !c.tooMuch {
-		c.sent = append(c.sent, text...)
+	if !c.recordingFull {
+		c.recording = append(c.recording, text...)
 	}
 }
 
@@ -214,12 +214,12 @@
 func (c *conn) close(abort bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over {
+	if c.closed {
 		return
 	}
-	c.over = true
+	c.closed = true
 	close(c.done)
-	for _, end := range []*net.TCPConn{c.a, c.b} {
+	for _, end := range []*net.TCPConn{c.client, c.target} {
 		if end == nil {
 			continue
 		}
@@ -234,18 +234,18 @@
 func (c *conn) finish() {
 	c.close(false)
 	c.mu.Lock()
-	sent := c.sent
-	if c.tooMuch {
+	sent := c.recording
+	if c.recordingFull {
 		sent = nil
 	}
 	c.mu.Unlock()
-	c.l.mu.Lock()
-	defer c.l.mu.Unlock()
-	delete(c.l.conns, c)
+	c.proxy.mu.Lock()
+	defer c.proxy.mu.Unlock()
+	delete(c.proxy.conns, c)
 	if len(sent) == 0 {
 		return
 	}
-	if c.l.kept = append(c.l.kept, sent); len(c.l.kept) > keepLast {
-		c.l.kept = c.l.kept[1:]
+	if c.proxy.recordings = append(c.proxy.recordings, sent); len(c.proxy.recordings) > maxRecordings {
+		c.proxy.recordings = c.proxy.recordings[1:]
 	}
 }
--- a/internal/dispatcher/faultproxy/faultlink.go
+++ b/internal/dispatcher/faultproxy/faultlink.go
@@ -15,20 +15,20 @@
 	"time"
 )
 
-// Way is a direction of a link's bytes.
-type Way int
+// Direction is a direction of a link's bytes.
+type Direction int
 
 // The ways of a link: from who dials, and to who dials.
 const (
-	Forth Way = iota
-	Back
+	Forward Direction = iota
+	Backward
 )
 
 const (
-	pieces   = 64       // of a way's bytes that wait in the link; then its sender waits
-	pieceLen = 16 << 10 // bytes
-	mostKept = 64 << 10 // bytes of a connection that can be replayed
-	keepLast = 8        // connections that can be
+	maxQueuedPieces = 64       // of a way's bytes that wait in the link; then its sender waits
+	pieceSize       = 16 << 10 // bytes
+	maxRecording    = 64 << 10 // bytes of a connection that can be replayed
+	maxRecordings   = 8        // connections that can be
 )
 
 // fault is what one way does to bytes.
@@ -45,43 +45,43 @@
 	Passed, Held, Lost [2]int
 }
 
-// Link is one link. Its methods may be called concurrently.
-type Link struct {
-	to, addr string
-	seed     uint64
-	guard    int // a socket that is bound and never listens: it keeps the port while the link refuses
-	ctx      context.Context
-	end      context.CancelFunc
-	all      sync.WaitGroup
+// Proxy is one link. Its methods may be called concurrently.
+type Proxy struct {
+	target, addr   string
+	seed           uint64
+	reservedSocket int // a socket that is bound and never listens: it keeps the port while the link refuses
+	ctx            context.Context
+	cancel         context.CancelFunc
+	workers        sync.WaitGroup
 
-	mu       sync.Mutex
-	listener net.Listener // nil: refuses
-	ways     [2]fault
-	changed  chan struct{}
-	conns    map[*conn]struct{}
-	counts   Counts
-	kept     [][]byte
-	random   *rand.Rand
+	mu         sync.Mutex
+	listener   net.Listener // nil: refuses
+	faults     [2]fault
+	changed    chan struct{}
+	conns      map[*conn]struct{}
+	counts     Counts
+	recordings [][]byte
+	random     *rand.Rand
 }
 
 // New starts a link to an address, which need not be there yet. The seed decides
 // its jitter, and what it replays.
-func New(to string, seed uint64) (*Link, error) {
-	l := &Link{to: to, seed: seed, changed: make(chan struct{}), conns: make(map[*conn]struct{}), random: rand.New(rand.NewPCG(seed, 5))}
+func New(to string, seed uint64) (*Proxy, error) {
+	l := &Proxy{target: to, seed: seed, changed: make(chan struct{}), conns: make(map[*conn]struct{}), random: rand.New(rand.NewPCG(seed, 5))}
 	var err error
-	if l.guard, l.addr, err = reserve(); err != nil {
+	if l.reservedSocket, l.addr, err = reservePort(); err != nil {
 		return nil, fmt.Errorf("reserving a link's port: %w", err)
 	}
-	l.ctx, l.end = context.WithCancel(context.Background())
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	if err := l.listen(); err != nil {
-		syscall.Close(l.guard)
+		syscall.Close(l.reservedSocket)
 		return nil, err
 	}
 	return l, nil
 }
 
-// reserve binds a loopback port without listening at it.
-func reserve() (fd int, addr string, err error) {
+// reservePort binds a loopback port without listening at it.
+func reservePort() (fd int, addr string, err error) {
 	if fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0); err != nil {
 		return 0, "", err
 	}
@@ -96,10 +96,10 @@
 }
 
 // Addr is where the link is dialled.
-func (l *Link) Addr() string { return l.addr }
+func (l *Proxy) Addr() string { return l.addr }
 
 // Counts tells what the link has done so far.
-func (l *Link) Counts() Counts {
+func (l *Proxy) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.counts
@@ -110,35 +110,37 @@
 // Cut silences both ways: connections stay open, and what is sent waits, to
 // arrive after Heal as a network's own repeats would. New connections are
 // refused, or come up and are as silent.
-func (l *Link) Cut(refuse bool) error {
-	l.set(func(f *fault) { f.held = true }, Forth, Back)
+func (l *Proxy) Cut(refuse bool) error {
+	l.updateFaults(func(f *fault) { f.held = true }, Forward, Backward)
 	if refuse {
 		return l.Refuse()
 	}
 	return nil
 }
 
-// OneWay swallows one way's bytes. A connection that has lost any never carries
+// DropOneWay swallows one way's bytes. A connection that has lost any never carries
 // more that way, and Heal resets it.
-func (l *Link) OneWay(w Way) { l.set(func(f *fault) { f.lost = true }, w) }
+func (l *Proxy) DropOneWay(w Direction) { l.updateFaults(func(f *fault) { f.lost = true }, w) }
 
 // Delay lets bytes come late, in their order, by so much and up to jitter more.
-func (l *Link) Delay(by, jitter time.Duration) {
-	l.set(func(f *fault) { f.delay, f.jitter = by, jitter }, Forth, Back)
+func (l *Proxy) Delay(by, jitter time.Duration) {
+	l.updateFaults(func(f *fault) { f.delay, f.jitter = by, jitter }, Forward, Backward)
 }
 
-// Trickle lets so many bytes a second through, each way.
-func (l *Link) Trickle(rate int) { l.set(func(f *fault) { f.rate = rate }, Forth, Back) }
+// LimitRate lets so many bytes a second through, each way.
+func (l *Proxy) LimitRate(rate int) {
+	l.updateFaults(func(f *fault) { f.rate = rate }, Forward, Backward)
+}
 
 // Reset resets all connections that are open, at both ends.
-func (l *Link) Reset() {
-	for _, c := range l.open() {
+func (l *Proxy) Reset() {
+	for _, c := range l.openConns() {
 		c.reset()
 	}
 }
 
 // Refuse refuses new connections. Those that are open stay.
-func (l *Link) Refuse() error {
+func (l *Proxy) Refuse() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener == nil {
@@ -150,26 +152,26 @@
 }
 
 // Heal ends all faults.
-func (l *Link) Heal() error {
-	for _, c := range l.open() {
-		if c.holed() {
+func (l *Proxy) Heal() error {
+	for _, c := range l.openConns() {
+		if c.hasLostBytes() {
 			c.reset()
 		}
 	}
-	l.set(func(f *fault) { *f = fault{} }, Forth, Back)
+	l.updateFaults(func(f *fault) { *f = fault{} }, Forward, Backward)
 	return l.listen()
 }
 
 // Replay plays what a connection that has ended was sent, from its first byte
 // on, on a new one: a call is delivered twice. It returns how many bytes it
 // wrote, 0 if no connection has ended yet. What is answered is read and dropped.
-func (l *Link) Replay() (int, error) {
+func (l *Proxy) Replay() (int, error) {
 	l.mu.Lock()
-	if len(l.kept) == 0 {
+	if len(l.recordings) == 0 {
 		l.mu.Unlock()
 		return 0, nil
 	}
-	text := l.kept[l.random.IntN(len(l.kept))]
+	text := l.recordings[l.random.IntN(len(l.recordings))]
 	l.mu.Unlock()
 	c, err := l.dial()
 	if err != nil {
@@ -177,10 +179,10 @@
 	}
 	n, err := c.Write(text)
 	stop := context.AfterFunc(l.ctx, func() { c.Close() })
-	l.all.Go(func() {
+	l.workers.Go(func() {
 		defer stop()
 		defer c.Close()
-		for rest := make([]byte, pieceLen); err == nil; {
+		for rest := make([]byte, pieceSize); err == nil; {
 			_, err = c.Read(rest)
 		}
 	})
@@ -188,31 +190,31 @@
 }
 
 // Close ends the link and all that runs for it.
-func (l *Link) Close() {
-	l.end()
+func (l *Proxy) Close() {
+	l.cancel()
 	l.Refuse()
 	l.Reset()
-	l.all.Wait()
-	syscall.Close(l.guard)
+	l.workers.Wait()
+	syscall.Close(l.reservedSocket)
 }
 
-func (l *Link) set(change func(*fault), ways ...Way) {
+func (l *Proxy) updateFaults(change func(*fault), ways ...Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, w := range ways {
-		change(&l.ways[w])
+		change(&l.faults[w])
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-func (l *Link) way(w Way) (fault, <-chan struct{}) {
+func (l *Proxy) faultOf(w Direction) (fault, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ways[w], l.changed
+	return l.faults[w], l.changed
 }
 
-func (l *Link) open() (all []*conn) {
+func (l *Proxy) openConns() (all []*conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -221,7 +223,7 @@
 	return all
 }
 
-func (l *Link) listen() error {
+func (l *Proxy) listen() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener != nil || l.ctx.Err() != nil {
@@ -232,20 +234,20 @@
 		return fmt.Errorf("a link's listener: %w", err)
 	}
 	l.listener = listener
-	l.all.Go(func() {
+	l.workers.Go(func() {
 		for {
 			a, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			l.take(a.(*net.TCPConn))
+			l.serveConn(a.(*net.TCPConn))
 		}
 	})
 	return nil
 }
 
-func (l *Link) dial() (*net.TCPConn, error) {
-	c, err := new(net.Dialer).DialContext(l.ctx, "tcp", l.to)
+func (l *Proxy) dial() (*net.TCPConn, error) {
+	c, err := new(net.Dialer).DialContext(l.ctx, "tcp", l.target)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dispatcher/faultproxy/faultlink_test.go
+++ b/internal/dispatcher/faultproxy/faultlink_test.go
@@ -20,7 +20,7 @@
 // hand is a link as an actor: what is sent to it are faults, and what is read
 // from it is its counts, until one matches.
 type hand struct {
-	*Link
+	*Proxy
 	until time.Time
 }
 
@@ -42,13 +42,13 @@
 	case "cut and refuse":
 		err = h.Cut(true)
 	case "lose forth":
-		h.OneWay(Forth)
+		h.DropOneWay(Forward)
 	case "lose back":
-		h.OneWay(Back)
+		h.DropOneWay(Backward)
 	case "delay":
 		h.Delay(40*time.Millisecond, 20*time.Millisecond)
 	case "trickle":
-		h.Trickle(200)
+		h.LimitRate(200)
 	case "reset":
 		h.Reset()
 	case "refuse":
@@ -155,11 +155,11 @@
 					return &frank{c, err}, nil
 				}
 			}
-			dial := func(l *Link) func() (scenario.Conn, error) {
+			dial := func(l *Proxy) func() (scenario.Conn, error) {
 				return tells(func() (scenario.Conn, error) { return net.Dial("tcp", l.Addr()) })
 			}
 			scenario.RunScript(t, scenario.Peers{"a": dial(l), "b": tells(open), "nowhere": dial(none),
-				"link": func() (scenario.Conn, error) { return &hand{Link: l}, nil }}, nil, script)
+				"link": func() (scenario.Conn, error) { return &hand{Proxy: l}, nil }}, nil, script)
 		})
 	}
 }
@@ -173,7 +173,7 @@
 		l, err := New(to, 7)
 		require.NoError(t, err)
 		defer l.Close()
-		_, err = (&hand{Link: l}).Write([]byte(fault))
+		_, err = (&hand{Proxy: l}).Write([]byte(fault))
 		require.NoError(t, err)
 		a, err := net.Dial("tcp", l.Addr())
 		require.NoError(t, err)
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -159,7 +159,7 @@
 	require.NoError(t, r.Processes[lead].Start())
 	served(t, r, 100)
 	for _, l := range r.Links(3, leader(t, r)) { // its renewals arrive; their answers do not
-		l.OneWay(faultproxy.Back)
+		l.DropOneWay(faultproxy.Backward)
 	}
 	served(t, r, 200)
 	for _, l := range r.Around(3) {
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -37,7 +37,7 @@
 func messages() []message {
 	span := 1234567 * time.Microsecond
 	bytes := func(text string) []byte { return []byte(text) }
-	order := records.Order{Ended: 91, Process: "n1", Epoch: 92, Seq: 93}
+	order := records.Position{Ended: 91, Process: "n1", Epoch: 92, Seq: 93}
 	limits := func(n int64) records.Limits { return records.Limits{For: n, Count: n + 1, Bytes: n + 2} }
 	hold := records.Hold{Name: "a", Tenant: "b", ID: "c", Key: "d", Class: "e", From: 1, To: 2, Owner: "f", Reason: "g", Until: 3}
 	record := records.Record{
@@ -106,7 +106,7 @@
 		{"records: shipped", partition.RecordsShipped{Shipped: records.Shipped{Through: 1, Taken: 2, Again: 3, Below: 4, Missing: 5, TooLarge: 6}, Gap: true}},
 		{"records: hold", records.SetHold{At: 4, Hold: hold}},
 		{"records: lift", records.ReleaseHold{At: 1, Name: "a"}},
-		{"records: cut", records.Prune{At: 1, Rules: 2, Marks: []records.Mark{{Tenant: "a", Lane: records.Failures, Below: order}}, Sweep: 3, Turn: "b"}},
+		{"records: cut", records.Prune{At: 1, Rules: 2, Marks: []records.Watermark{{Tenant: "a", Lane: records.Failures, Below: order}}, Sweep: 3, Turn: "b"}},
 		{"records: cuts", records.Pruned{Removed: 1, Held: 2}},
 		{"records: planned", partition.RecordsPrunePlan{Needed: true, Cut: records.Prune{At: 1, Rules: 2, Sweep: 3, Turn: "a"}}},
 		{"records: query", records.Query{Tenant: "a", From: 1, To: 2, Last: true, After: "b", Most: 3}},
@@ -165,7 +165,7 @@
 		[]plan.End{plan.Done, plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset, plan.MayRun, plan.Lost})
 	require.Equal(t, []plan.Place{"anywhere", "other_member", "other_zone"}, []plan.Place{plan.Anywhere, plan.OtherMember, plan.OtherZone})
 	require.Equal(t, []budget.Kind{0, 1, 2}, []budget.Kind{budget.Rate, budget.InFlight, budget.Divided})
-	require.Equal(t, []records.Lane{0, 1, 2}, []records.Lane{records.Ordinary, records.Failures, records.Lanes})
+	require.Equal(t, []records.RetentionClass{0, 1, 2}, []records.RetentionClass{records.Ordinary, records.Failures, records.RetentionClasses})
 	// A refusal's kind goes over the network by its number.
 	for i, refused := range []error{
 		planrun.ErrFull, planrun.ErrBefore, planrun.ErrUnknown, planrun.ErrEnded, planrun.ErrFence, planrun.ErrGivenUp, planrun.ErrNoSuch, planrun.ErrOut, planrun.ErrSettled,
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -138,7 +138,7 @@
 		}}),
 		partition.RecordsName: l.encode(records.SetRules{At: goldenWall, Rules: []records.Rule{
 			{Tenant: "hrad-kamenec", Keep: records.Limits{Count: 3}, Failed: records.Limits{For: int64(time.Hour), Count: 10, Bytes: 1 << 20}},
-			{Tenant: records.Others, Keep: records.Limits{For: int64(24 * time.Hour), Count: 100, Bytes: 4 << 20}, Failed: records.Limits{Count: 50}},
+			{Tenant: records.DefaultRuleTenant, Keep: records.Limits{For: int64(24 * time.Hour), Count: 100, Bytes: 4 << 20}, Failed: records.Limits{Count: 50}},
 		}}),
 	}}
 }
--- a/internal/dispatcher/fleet/harness/plan.go
+++ b/internal/dispatcher/fleet/harness/plan.go
@@ -61,7 +61,7 @@
 		}
 		return errors.Join(err, start(r, f))
 	}},
-	"is cut off": {begin: around(func(l *faultproxy.Link) error { return l.Cut(false) }), end: around((*faultproxy.Link).Heal)},
+	"is cut off": {begin: around(func(l *faultproxy.Proxy) error { return l.Cut(false) }), end: around((*faultproxy.Proxy).Heal)},
 	"loses its folder": {folder: true, begin: func(r *Rig, f Fault) error {
 		return errors.Join(r.who(f).Kill(), r.who(f).Wipe())
 	}, end: start},
@@ -75,13 +75,16 @@
 	}, end: func(r *Rig, f Fault) error {
 		return errors.Join(r.who(f).Kill(), r.who(f).Put(aside(r, f)), start(r, f))
 	}},
-	"is cut from":            link(func(l *faultproxy.Link, _ Fault, _ faultproxy.Way) error { return l.Cut(false) }),
-	"is refused by":          link(func(l *faultproxy.Link, _ Fault, _ faultproxy.Way) error { return l.Cut(true) }),
-	"is not heard by":        link(func(l *faultproxy.Link, _ Fault, w faultproxy.Way) error { l.OneWay(w); return nil }),
-	"is late at":             link(func(l *faultproxy.Link, f Fault, _ faultproxy.Way) error { l.Delay(f.For/8, f.For/8); return nil }),
-	"is slow at":             link(func(l *faultproxy.Link, f Fault, _ faultproxy.Way) error { l.Trickle(f.Rate); return nil }),
-	"has its calls reset by": link(func(l *faultproxy.Link, _ Fault, _ faultproxy.Way) error { l.Reset(); return nil }),
-	"has its calls twice at": link(func(l *faultproxy.Link, _ Fault, _ faultproxy.Way) error { l.Replay(); return nil }),
+	"is cut from":     link(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { return l.Cut(false) }),
+	"is refused by":   link(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { return l.Cut(true) }),
+	"is not heard by": link(func(l *faultproxy.Proxy, _ Fault, w faultproxy.Direction) error { l.DropOneWay(w); return nil }),
+	"is late at": link(func(l *faultproxy.Proxy, f Fault, _ faultproxy.Direction) error {
+		l.Delay(f.For/8, f.For/8)
+		return nil
+	}),
+	"is slow at":             link(func(l *faultproxy.Proxy, f Fault, _ faultproxy.Direction) error { l.LimitRate(f.Rate); return nil }),
+	"has its calls reset by": link(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { l.Reset(); return nil }),
+	"has its calls twice at": link(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { l.Replay(); return nil }),
 }
 
 // Kinds are the names of all kinds of faults.
@@ -100,7 +103,7 @@
 // aside is where a process's folder is kept while another is in its place.
 func aside(r *Rig, f Fault) string { return filepath.Join(r.who(f).Home, "aside") }
 
-func around(do func(*faultproxy.Link) error) func(*Rig, Fault) error {
+func around(do func(*faultproxy.Proxy) error) func(*Rig, Fault) error {
 	return func(r *Rig, f Fault) (err error) {
 		for _, l := range r.Around(f.Who) {
 			err = errors.Join(err, do(l))
@@ -111,18 +114,18 @@
 
 // link is a fault of the links between two processes, whoever dials: what Who
 // says to Whom goes forth on its own, and back on the other's.
-func link(do func(*faultproxy.Link, Fault, faultproxy.Way) error) kind {
-	each := func(r *Rig, f Fault, do func(*faultproxy.Link, Fault, faultproxy.Way) error) (err error) {
+func link(do func(*faultproxy.Proxy, Fault, faultproxy.Direction) error) kind {
+	each := func(r *Rig, f Fault, do func(*faultproxy.Proxy, Fault, faultproxy.Direction) error) (err error) {
 		for _, l := range r.Links(f.Who, f.Whom) {
-			err = errors.Join(err, do(l, f, faultproxy.Forth))
+			err = errors.Join(err, do(l, f, faultproxy.Forward))
 		}
 		for _, l := range r.Links(f.Whom, f.Who) {
-			err = errors.Join(err, do(l, f, faultproxy.Back))
+			err = errors.Join(err, do(l, f, faultproxy.Backward))
 		}
 		return err
 	}
 	return kind{two: true, begin: func(r *Rig, f Fault) error { return each(r, f, do) }, end: func(r *Rig, f Fault) error {
-		return each(r, f, func(l *faultproxy.Link, _ Fault, _ faultproxy.Way) error { return l.Heal() })
+		return each(r, f, func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { return l.Heal() })
 	}}
 }
 
--- a/internal/dispatcher/fleet/harness/rig.go
+++ b/internal/dispatcher/fleet/harness/rig.go
@@ -50,7 +50,7 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	links  map[pair][]*faultproxy.Link
+	links  map[pair][]*faultproxy.Proxy
 	calls  []fakes.Call
 	outs   []out
 }
@@ -71,7 +71,7 @@
 	binary, err := scenario.BuildTags(s.Tags)
 	require.NoError(t, err)
 	r := &Rig{
-		Settings: s, Till: fakes.NewRunLog(), t: t, binary: binary, links: make(map[pair][]*faultproxy.Link),
+		Settings: s, Till: fakes.NewRunLog(), t: t, binary: binary, links: make(map[pair][]*faultproxy.Proxy),
 		random: rand.New(rand.NewPCG(s.Load.Seed, 31)), stop: func() {},
 	}
 	r.Till.KeepArrivals()
@@ -172,14 +172,14 @@
 }
 
 // Links are the links from one process to another, by their places.
-func (r *Rig) Links(from, to int) []*faultproxy.Link {
+func (r *Rig) Links(from, to int) []*faultproxy.Proxy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.links[pair{from, to}]
 }
 
 // Around are all links from and to a process.
-func (r *Rig) Around(place int) (all []*faultproxy.Link) {
+func (r *Rig) Around(place int) (all []*faultproxy.Proxy) {
 	for other := range r.Processes {
 		all = append(append(all, r.Links(place, other)...), r.Links(other, place)...)
 	}
--- a/internal/dispatcher/fleet/harness/rig_test.go
+++ b/internal/dispatcher/fleet/harness/rig_test.go
@@ -63,7 +63,7 @@
 			require.NoError(t, kinds[name].begin(r, f))
 			require.Equal(t, silent, asks(addr, silent) != nil, f)
 			if name == "is not heard by" {
-				require.Equal(t, who == 0, link.Counts().Lost[faultproxy.Forth] > was.Lost[faultproxy.Forth], f)
+				require.Equal(t, who == 0, link.Counts().Lost[faultproxy.Forward] > was.Lost[faultproxy.Forward], f)
 			}
 			require.NoError(t, asks(own))
 			require.NoError(t, kinds[name].end(r, f))
--- a/internal/dispatcher/fleet/partition/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -67,7 +67,7 @@
 // than to use it.
 func NewRecords(s *recordstore.Store, known records.Fence) *Records {
 	r := &Records{state: records.New(), store: s}
-	r.state.Know(known)
+	r.state.LearnFence(known)
 	return r
 }
 
@@ -128,19 +128,19 @@
 		if err != nil {
 			return nil, err
 		}
-		return p.state.Cut(c.At, st, b)
+		return p.state.Prune(c.At, st, b)
 	case RecordsSetHold:
 		b, err := decodeBody[records.SetHold](c)
 		if err != nil {
 			return nil, err
 		}
-		return nil, p.state.Hold(c.At, st, b)
+		return nil, p.state.SetHold(c.At, st, b)
 	case RecordsReleaseHold:
 		b, err := decodeBody[records.ReleaseHold](c)
 		if err != nil {
 			return nil, err
 		}
-		return nil, p.state.Lift(c.At, b)
+		return nil, p.state.ReleaseHold(c.At, b)
 	}
 	return nil, fmt.Errorf("%w: no record command %q", state.ErrBad, c.Kind)
 }
@@ -176,7 +176,7 @@
 			if err := codec.Decode(body, &now); err != nil {
 				return err
 			}
-			c, needed, err := p.state.Plan(st, now, maxScannedPerPrune)
+			c, needed, err := p.state.PlanPrune(st, now, maxScannedPerPrune)
 			reply = RecordsPrunePlan{needed, c}
 			return err
 		case RecordsByID:
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -97,7 +97,7 @@
 	require.NoError(t, err)
 	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
 		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Whole: 120, Burst: 40}}}),
-		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.Others, Keep: records.Limits{Count: 100}}}}),
+		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{Count: 100}}}}),
 	}}, nil))
 	for grant := (budget.Grant{}); len(grant.Shares) == 0 || grant.Shares[0].Amount == 0; {
 		renewed, err := who.Renew(ctx, map[string][]byte{partition.BudgetsName: encoded(t, budget.Renewal{
--- a/internal/dispatcher/fleet/records/commands.go
+++ b/internal/dispatcher/fleet/records/commands.go
@@ -24,8 +24,8 @@
 	Failed Limits // failures
 }
 
-// Others is the tenant of the rule for all that have none.
-const Others = "*"
+// DefaultRuleTenant is the tenant of the rule for all that have none.
+const DefaultRuleTenant = "*"
 
 // Hold keeps records until it is lifted or ends.
 type Hold struct {
@@ -82,18 +82,18 @@
 	Name string
 }
 
-// Mark cuts a lane of a tenant below a place.
-type Mark struct {
+// Watermark cuts a lane of a tenant below a place.
+type Watermark struct {
 	Tenant string
-	Lane   Lane
-	Below  Order
+	Lane   RetentionClass
+	Below  Position
 }
 
 // Prune removes records. It is computed by Plan and carries all that it depends on.
 type Prune struct {
 	At    int64 // nanoseconds since 1970: holds that end by then are over
 	Rules uint64
-	Marks []Mark
+	Marks []Watermark
 	Sweep int    // how many records under ended holds are looked at
 	Turn  string // the tenant that the next plan begins with
 }
@@ -118,22 +118,22 @@
 var ErrStore = errors.New("the store of records failed")
 
 const (
-	mostRules  = 4096
-	mostHolds  = 4096
-	mostEpochs = 16 // of a process whose numbers are remembered
+	maxRules  = 4096
+	maxHolds  = 4096
+	maxEpochs = 16 // of a process whose numbers are remembered
 )
 
-func sound(text string) bool { return len(text) <= mostText && utf8.ValidString(text) }
+func isValidText(text string) bool { return len(text) <= maxText && utf8.ValidString(text) }
 
 func checkRules(rules []Rule) ([]Rule, error) {
 	rules = slices.Clone(rules)
 	slices.SortFunc(rules, func(a, b Rule) int { return strings.Compare(a.Tenant, b.Tenant) })
-	if len(rules) > mostRules {
-		return nil, fmt.Errorf("%d rules, more than %d: %w", len(rules), mostRules, ErrInvalid)
+	if len(rules) > maxRules {
+		return nil, fmt.Errorf("%d rules, more than %d: %w", len(rules), maxRules, ErrInvalid)
 	}
 	for i, r := range rules {
 		switch {
-		case r.Tenant == "" || !sound(r.Tenant):
+		case r.Tenant == "" || !isValidText(r.Tenant):
 			return nil, fmt.Errorf("a rule's tenant %q: %w", r.Tenant, ErrInvalid)
 		case i > 0 && rules[i-1].Tenant == r.Tenant:
 			return nil, fmt.Errorf("two rules for tenant %q: %w", r.Tenant, ErrInvalid)
@@ -149,7 +149,7 @@
 
 func checkHold(h *Hold) error {
 	for _, text := range []string{h.Name, h.Tenant, h.ID, h.Key, h.Class, h.Owner, h.Reason} {
-		if !sound(text) {
+		if !isValidText(text) {
 			return fmt.Errorf("a text of hold %.40q: %w", h.Name, ErrInvalid)
 		}
 	}
@@ -162,6 +162,6 @@
 	return nil
 }
 
-func compareMarks(a, b Mark) int {
+func compareWatermarks(a, b Watermark) int {
 	return cmp.Or(strings.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Lane, b.Lane))
 }
--- a/internal/dispatcher/fleet/records/encode.go
+++ b/internal/dispatcher/fleet/records/encode.go
@@ -15,8 +15,8 @@
 
 const stateVersion = 1 // stands before the encoded state
 
-// saved is the form in which a State is kept.
-type saved struct {
+// storedState is the form in which a State is kept.
+type storedState struct {
 	Wall      int64
 	CutAt     time.Duration
 	Edition   uint64
@@ -24,16 +24,16 @@
 	Turn      string
 	Rules     []Rule
 	Holds     []Hold
-	Tenants   []tenant
-	Processes []process
+	Tenants   []tenantState
+	Processes []processState
 	Counts    Counts
 }
 
 // Encode writes the small part of the state. The same commands give the same bytes.
 func (s *State) Encode() ([]byte, error) {
-	v := saved{
-		Wall: s.wall, CutAt: s.cutAt, Edition: s.edition, Ruled: s.ruled, Turn: s.turn, Rules: s.rules, Holds: s.holds,
-		Tenants: make([]tenant, 0, len(s.names)), Processes: make([]process, 0, len(s.processes)), Counts: s.counts,
+	v := storedState{
+		Wall: s.wallClock, CutAt: s.prunedAt, Edition: s.edition, Ruled: s.rulesEdition, Turn: s.nextTenant, Rules: s.rules, Holds: s.holds,
+		Tenants: make([]tenantState, 0, len(s.tenantNames)), Processes: make([]processState, 0, len(s.processes)), Counts: s.counts,
 	}
 	if len(v.Rules) == 0 { // nil and empty have two forms
 		v.Rules = []Rule{}
@@ -41,7 +41,7 @@
 	if len(v.Holds) == 0 {
 		v.Holds = []Hold{}
 	}
-	for _, name := range s.names {
+	for _, name := range s.tenantNames {
 		v.Tenants = append(v.Tenants, *s.tenants[name])
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.processes)) {
@@ -54,7 +54,7 @@
 // Decode reads what Encode wrote. On an error nothing is changed. What the process
 // knows by Know stays.
 func (s *State) Decode(text []byte) error {
-	var v saved
+	var v storedState
 	if len(text) == 0 || text[0] != stateVersion {
 		return fmt.Errorf("the state of records: %w", ErrVersion)
 	}
@@ -62,7 +62,7 @@
 		return fmt.Errorf("the state of records: %w", err)
 	}
 	n := New()
-	n.wall, n.cutAt, n.edition, n.ruled, n.turn, n.counts = v.Wall, v.CutAt, v.Edition, v.Ruled, v.Turn, v.Counts
+	n.wallClock, n.prunedAt, n.edition, n.rulesEdition, n.nextTenant, n.counts = v.Wall, v.CutAt, v.Edition, v.Ruled, v.Turn, v.Counts
 	rules, err := checkRules(v.Rules)
 	if err != nil {
 		return err
@@ -76,7 +76,7 @@
 	n.holds = v.Holds
 	for i := range v.Tenants {
 		t := &v.Tenants[i]
-		n.tenants[t.Name], n.names = t, append(n.names, t.Name)
+		n.tenants[t.Name], n.tenantNames = t, append(n.tenantNames, t.Name)
 		for _, l := range t.Lanes {
 			if l.Below.Count < 0 || l.All.Count < l.Below.Count || l.All.Bytes < l.Below.Bytes {
 				return fmt.Errorf("the state of records: the counts of tenant %q: %w", t.Name, ErrInvalid)
@@ -85,7 +85,7 @@
 	}
 	for i := range v.Processes {
 		p := &v.Processes[i]
-		if !rising(p.Epochs, func(a, b epoch) int { return cmp.Compare(a.Epoch, b.Epoch) }) || len(p.Epochs) > mostEpochs {
+		if !strictlyAscending(p.Epochs, func(a, b epochProgress) int { return cmp.Compare(a.Epoch, b.Epoch) }) || len(p.Epochs) > maxEpochs {
 			return fmt.Errorf("the state of records: the epochs of process %q: %w", p.Name, ErrInvalid)
 		}
 		n.processes[p.Name] = p
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	if !rising(n.names, strings.Compare) || !rising(n.holds, func(a, b Hold) int { return strings.Compare(a.Name, b.Name) }) || !bytes.Equal(again, text) {
+	if !strictlyAscending(n.tenantNames, strings.Compare) || !strictlyAscending(n.holds, func(a, b Hold) int { return strings.Compare(a.Name, b.Name) }) || !bytes.Equal(again, text) {
 		return fmt.Errorf("the state of records: not in the form it is written in: %w", ErrInvalid)
 	}
 	n.fence = s.fence
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func rising[T any](all []T, compare func(a, b T) int) bool {
+func strictlyAscending[T any](all []T, compare func(a, b T) int) bool {
 	for i := 1; i < len(all); i++ {
 		if compare(all[i-1], all[i]) >= 0 {
 			return false
@@ -120,9 +120,9 @@
 
 // Usage returns what a tenant's records come to, by lane: all that are stored, and
 // of these what is kept below the mark.
-func (s *State) Usage(name string) (all, below [Lanes]Usage) {
+func (s *State) Usage(name string) (all, below [RetentionClasses]Usage) {
 	if t := s.tenants[name]; t != nil {
-		for l := range Lanes {
+		for l := range RetentionClasses {
 			all[l], below[l] = t.Lanes[l].All, t.Lanes[l].Below
 		}
 	}
@@ -130,13 +130,13 @@
 }
 
 // Tenants are the names that records are kept under, sorted.
-func (s *State) Tenants() []string { return slices.Clone(s.names) }
+func (s *State) Tenants() []string { return slices.Clone(s.tenantNames) }
 
 // Counts are the counts so far.
 func (s *State) Counts() Counts { return s.counts }
 
-// CutAt is the fleet time of the last cut.
-func (s *State) CutAt() time.Duration { return s.cutAt }
+// PrunedAt is the fleet time of the last cut.
+func (s *State) PrunedAt() time.Duration { return s.prunedAt }
 
 // Rules and Holds are those in force.
 func (s *State) Rules() []Rule { return slices.Clone(s.rules) }
@@ -146,25 +146,25 @@
 // state counts otherwise. It is the checker of this part: it trusts no count of the
 // state's, only its marks and holds.
 func (s *State) Audit(st Reader) (wrong []string, err error) {
-	for _, name := range s.names {
+	for _, name := range s.tenantNames {
 		t := s.tenants[name]
-		var found, below [Lanes]Usage
-		var last Order
-		err = errors.Join(err, st.Range(name, last, func(r *Record, text []byte) bool {
-			found[r.Lane()].add(text)
-			if t.below(r) {
-				below[r.Lane()].add(text)
+		var found, below [RetentionClasses]Usage
+		var last Position
+		err = errors.Join(err, st.Ascend(name, last, func(r *Record, text []byte) bool {
+			found[r.RetentionClass()].add(text)
+			if t.isPruned(r) {
+				below[r.RetentionClass()].add(text)
 			}
-			switch o := r.Order(); {
+			switch o := r.Position(); {
 			case o.Compare(last) <= 0:
 				wrong = append(wrong, fmt.Sprintf("tenant %s: record %s out of order", name, r.ID))
-			case t.below(r) && !s.held(r) && !(t.Sweeping && o.Compare(t.Swept) >= 0):
+			case t.isPruned(r) && !s.isHeld(r) && !(t.Sweeping && o.Compare(t.Swept) >= 0):
 				wrong = append(wrong, fmt.Sprintf("tenant %s: record %s of process %s is back below the mark", name, r.ID, r.Process))
 			}
-			last = r.Order()
+			last = r.Position()
 			return len(wrong) < 100
 		}))
-		for l := range Lanes {
+		for l := range RetentionClasses {
 			if k := t.Lanes[l]; (found[l] != k.All || below[l] != k.Below) && len(wrong) < 100 {
 				wrong = append(wrong, fmt.Sprintf("tenant %s, lane %d: %d records stored and %d of them below the mark, counted %d and %d, sums %x and %x",
 					name, l, found[l].Count, below[l].Count, k.All.Count, k.Below.Count, found[l].Sum, k.All.Sum))
--- a/internal/dispatcher/fleet/records/hooks.go
+++ b/internal/dispatcher/fleet/records/hooks.go
@@ -2,6 +2,6 @@
 
 package records
 
-// plantResurrected makes a state take in records that were cut; it does so only
+// faultResurrectPruned makes a state take in records that were cut; it does so only
 // in builds with the tag faults.
-const plantResurrected = false
+const faultResurrectPruned = false
--- a/internal/dispatcher/fleet/records/plan.go
+++ b/internal/dispatcher/fleet/records/plan.go
@@ -5,41 +5,41 @@
 	"strings"
 )
 
-// Plan computes the next cut at a time, in nanoseconds since 1970: what the rules
+// PlanPrune computes the next cut at a time, in nanoseconds since 1970: what the rules
 // no longer keep, at most as many records looked at as most says, so that no cut
 // holds the store for long. It changes nothing. None is needed if it returns false.
 // While there is more to cut than one cut may, each plan begins with another tenant.
-func (s *State) Plan(st Reader, now int64, most int) (c Prune, needed bool, err error) {
-	c = Prune{At: now, Rules: s.ruled, Sweep: most, Turn: s.turn}
+func (s *State) PlanPrune(st Reader, now int64, most int) (c Prune, needed bool, err error) {
+	c = Prune{At: now, Rules: s.rulesEdition, Sweep: most, Turn: s.nextTenant}
 	for i := range s.holds {
 		needed = needed || s.holds[i].Until != 0 && s.holds[i].Until <= now
 	}
-	from, _ := slices.BinarySearch(s.names, s.turn)
+	from, _ := slices.BinarySearch(s.tenantNames, s.nextTenant)
 	rest := max(most, 1)
-	for n := 0; n < len(s.names) && rest > 0; n++ {
-		t := s.tenants[s.names[(from+n)%len(s.names)]]
+	for n := 0; n < len(s.tenantNames) && rest > 0; n++ {
+		t := s.tenants[s.tenantNames[(from+n)%len(s.tenantNames)]]
 		rule := s.rule(t.Name)
 		for l, limits := range []Limits{Ordinary: rule.Keep, Failures: rule.Failed} {
-			m, seen, err := s.planLane(st, t, Lane(l), limits, now, rest)
+			m, seen, err := s.planWatermark(st, t, RetentionClass(l), limits, now, rest)
 			if err != nil {
 				return Prune{}, false, err
 			}
 			rest -= seen
 			if m.Compare(t.Lanes[l].Mark) > 0 {
-				c.Marks = append(c.Marks, Mark{t.Name, Lane(l), m})
+				c.Marks = append(c.Marks, Watermark{t.Name, RetentionClass(l), m})
 			}
 		}
-		c.Turn = s.names[(from+n+1)%len(s.names)]
+		c.Turn = s.tenantNames[(from+n+1)%len(s.tenantNames)]
 	}
 	for _, t := range s.tenants {
 		needed = needed || t.Sweeping
 	}
-	slices.SortFunc(c.Marks, compareMarks)
+	slices.SortFunc(c.Marks, compareWatermarks)
 	return c, needed || len(c.Marks) > 0, nil
 }
 
 func (s *State) rule(name string) Rule {
-	for _, of := range []string{name, Others} {
+	for _, of := range []string{name, DefaultRuleTenant} {
 		if i, ok := slices.BinarySearchFunc(s.rules, of, func(r Rule, of string) int { return strings.Compare(r.Tenant, of) }); ok {
 			return s.rules[i]
 		}
@@ -47,8 +47,8 @@
 	return Rule{}
 }
 
-// planLane walks from the lane's mark over what must go, and returns the mark above that.
-func (s *State) planLane(st Reader, t *tenant, of Lane, limits Limits, now int64, most int) (mark Order, seen int, err error) {
+// planWatermark walks from the lane's mark over what must go, and returns the mark above that.
+func (s *State) planWatermark(st Reader, t *tenantState, of RetentionClass, limits Limits, now int64, most int) (mark Position, seen int, err error) {
 	l := &t.Lanes[of]
 	mark = l.Mark
 	var count, bytes int64 // beyond the bounds
@@ -61,14 +61,14 @@
 	if limits.For == 0 && count <= 0 && bytes <= 0 || l.All.Count == l.Below.Count {
 		return mark, 0, nil
 	}
-	err = st.Range(t.Name, l.Mark, func(r *Record, text []byte) bool {
+	err = st.Ascend(t.Name, l.Mark, func(r *Record, text []byte) bool {
 		tooOld := limits.For > 0 && r.Ended < now-limits.For
 		if seen == most || !tooOld && count <= 0 && bytes <= 0 {
 			return false
 		}
 		seen++
-		mark = r.Order().next()
-		if r.Lane() == of {
+		mark = r.Position().next()
+		if r.RetentionClass() == of {
 			count--
 			bytes -= int64(len(text))
 		}
--- a/internal/dispatcher/fleet/records/record.go
+++ b/internal/dispatcher/fleet/records/record.go
@@ -35,24 +35,24 @@
 
 // Bounds of a record, so that one client's job can't fill the state.
 const (
-	mostText    = 1024 // bytes of each text
-	mostMembers = 16
-	mostRecord  = 1 << 20 // bytes encoded
+	maxText    = 1024 // bytes of each text
+	maxMembers = 16
+	maxRecord  = 1 << 20 // bytes encoded
 )
 
 // Trim makes a record fit to be kept: texts are cut, of the members the last are
 // kept, and a body of more bytes than most is left out.
 func Trim(r Record, most int) Record {
 	for _, text := range []*string{&r.ID, &r.Key, &r.Tenant, &r.Class, &r.Plan, &r.Stage, &r.Outcome, &r.Reason} {
-		*text = trim(*text)
+		*text = trimText(*text)
 	}
-	if n := len(r.Members); n > mostMembers {
-		r.Members = r.Members[n-mostMembers:]
+	if n := len(r.Members); n > maxMembers {
+		r.Members = r.Members[n-maxMembers:]
 	}
 	members := r.Members
 	r.Members = nil
 	for _, m := range members {
-		r.Members = append(r.Members, trim(m))
+		r.Members = append(r.Members, trimText(m))
 	}
 	if len(r.Body) > most || len(r.Body) == 0 {
 		r.Body = nil
@@ -60,52 +60,52 @@
 	return r
 }
 
-// trim cuts a text and makes it one that has a form.
-func trim(text string) string {
+// trimText cuts a text and makes it one that has a form.
+func trimText(text string) string {
 	text = strings.ToValidUTF8(text, "?")
-	if len(text) > mostText {
-		text = strings.ToValidUTF8(text[:mostText], "")
+	if len(text) > maxText {
+		text = strings.ToValidUTF8(text[:maxText], "")
 	}
 	return text
 }
 
-// Lane tells failures, which may be kept longer, from the rest.
-type Lane uint8
+// RetentionClass tells failures, which may be kept longer, from the rest.
+type RetentionClass uint8
 
-// Lanes of a tenant.
+// RetentionClasses of a tenant.
 const (
-	Ordinary Lane = iota // served or refused
+	Ordinary RetentionClass = iota // served or refused
 	Failures
-	Lanes
+	RetentionClasses
 )
 
-var failed = accounting.Failed.String()
+var failedOutcome = accounting.Failed.String()
 
-// Lane is the lane that the record is kept in.
-func (r *Record) Lane() Lane {
-	if r.Outcome == failed {
+// RetentionClass is the lane that the record is kept in.
+func (r *Record) RetentionClass() RetentionClass {
+	if r.Outcome == failedOutcome {
 		return Failures
 	}
 	return Ordinary
 }
 
-// Order is a record's place among its tenant's. No two records have the same.
-type Order struct {
+// Position is a record's place among its tenant's. No two records have the same.
+type Position struct {
 	Ended      int64
 	Process    string
 	Epoch, Seq uint64
 }
 
-// Order is the record's place.
-func (r *Record) Order() Order { return Order{r.Ended, r.Process, r.Epoch, r.Seq} }
+// Position is the record's place.
+func (r *Record) Position() Position { return Position{r.Ended, r.Process, r.Epoch, r.Seq} }
 
 // Compare orders places.
-func (o Order) Compare(p Order) int {
+func (o Position) Compare(p Position) int {
 	return cmp.Or(cmp.Compare(o.Ended, p.Ended), strings.Compare(o.Process, p.Process), cmp.Compare(o.Epoch, p.Epoch), cmp.Compare(o.Seq, p.Seq))
 }
 
 // next is the least place after this one. Numbers of records do not reach the end.
-func (o Order) next() Order {
+func (o Position) next() Position {
 	o.Seq++
 	return o
 }
@@ -123,8 +123,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(text) >= mostRecord {
-		return nil, fmt.Errorf("record %q: %d bytes, more than %d", r.ID, len(text), mostRecord)
+	if len(text) >= maxRecord {
+		return nil, fmt.Errorf("record %q: %d bytes, more than %d", r.ID, len(text), maxRecord)
 	}
 	return append([]byte{recordVersion}, text...), nil
 }
@@ -140,10 +140,10 @@
 // Reader reads a consistent state of the records. What it yields holds until yield
 // returns; that returns false to end the reading.
 type Reader interface {
-	// Range yields a tenant's records whose place is at least from, in order.
-	Range(tenant string, from Order, yield func(r *Record, text []byte) bool) error
-	// Back yields those whose place is below before, the last first.
-	Back(tenant string, before Order, yield func(r *Record, text []byte) bool) error
+	// Ascend yields a tenant's records whose place is at least from, in order.
+	Ascend(tenant string, from Position, yield func(r *Record, text []byte) bool) error
+	// Descend yields those whose place is below before, the last first.
+	Descend(tenant string, before Position, yield func(r *Record, text []byte) bool) error
 	// ByID yields the records of an id, by tenant and order.
 	ByID(id string, yield func(r *Record, text []byte) bool) error
 }
--- a/internal/dispatcher/fleet/records/records_test.go
+++ b/internal/dispatcher/fleet/records/records_test.go
@@ -14,12 +14,12 @@
 // shelf is a store in memory, in the order of tenant and place.
 type shelf []Record
 
-func (s shelf) find(tenant string, o Order) int {
-	i, _ := slices.BinarySearchFunc(s, o, func(r Record, o Order) int {
+func (s shelf) find(tenant string, o Position) int {
+	i, _ := slices.BinarySearchFunc(s, o, func(r Record, o Position) int {
 		if c := strings.Compare(r.Tenant, tenant); c != 0 {
 			return c
 		}
-		return r.Order().Compare(o)
+		return r.Position().Compare(o)
 	})
 	return i
 }
@@ -33,12 +33,12 @@
 	return nil
 }
 
-func (s shelf) Range(tenant string, from Order, yield func(*Record, []byte) bool) error {
+func (s shelf) Ascend(tenant string, from Position, yield func(*Record, []byte) bool) error {
 	return s.each(yield, s[s.find(tenant, from):s.find(tenant, lastOrder)])
 }
 
-func (s shelf) Back(tenant string, before Order, yield func(*Record, []byte) bool) error {
-	in := slices.Clone(s[s.find(tenant, Order{}):s.find(tenant, before)])
+func (s shelf) Descend(tenant string, before Position, yield func(*Record, []byte) bool) error {
+	in := slices.Clone(s[s.find(tenant, Position{}):s.find(tenant, before)])
 	slices.Reverse(in)
 	return s.each(yield, in)
 }
@@ -48,14 +48,14 @@
 }
 
 func (s *shelf) Put(r *Record, _ []byte) error {
-	*s = slices.Insert(*s, s.find(r.Tenant, r.Order()), *r)
+	*s = slices.Insert(*s, s.find(r.Tenant, r.Position()), *r)
 	return nil
 }
 
 func (s *shelf) Delete(r *Record) error {
-	i := s.find(r.Tenant, r.Order())
-	if i == len(*s) || (*s)[i].Order() != r.Order() {
-		return fmt.Errorf("%v is not there", r.Order())
+	i := s.find(r.Tenant, r.Position())
+	if i == len(*s) || (*s)[i].Position() != r.Position() {
+		return fmt.Errorf("%v is not there", r.Position())
 	}
 	*s = slices.Delete(*s, i, i+1)
 	return nil
@@ -77,11 +77,11 @@
 	case SetRules:
 		err = r.SetRules(0, c)
 	case SetHold:
-		err = r.Hold(0, &r.shelf, c)
+		err = r.SetHold(0, &r.shelf, c)
 	case ReleaseHold:
-		err = r.Lift(0, c)
+		err = r.ReleaseHold(0, c)
 	case Prune:
-		_, err = r.Cut(0, &r.shelf, c)
+		_, err = r.Prune(0, &r.shelf, c)
 	}
 	require.NotErrorIs(t, err, ErrStore)
 	if after, _ := r.Digest(); err != nil {
@@ -107,14 +107,14 @@
 // once what no hold keeps, and counts nothing.
 type plain struct {
 	through map[string]uint64
-	live    map[Order]Record // of all tenants: places differ in process, epoch or number
-	dead    map[Order]bool
-	marks   map[string]Order
+	live    map[Position]Record // of all tenants: places differ in process, epoch or number
+	dead    map[Position]bool
+	marks   map[string]Position
 	holds   map[string]Hold
 	wall    int64
 }
 
-func laneOf(r Record) string { return fmt.Sprint(r.Tenant, r.Lane()) }
+func laneOf(r Record) string { return fmt.Sprint(r.Tenant, r.RetentionClass()) }
 
 func (m *plain) below(r Record) bool {
 	for _, h := range m.holds {
@@ -122,7 +122,7 @@
 			return false
 		}
 	}
-	return r.Order().Compare(m.marks[laneOf(r)]) < 0
+	return r.Position().Compare(m.marks[laneOf(r)]) < 0
 }
 
 func (m *plain) take(command any) {
@@ -133,7 +133,7 @@
 			if seq := c.First + uint64(i); seq > m.through[at] {
 				m.through[at] = seq
 				r.Process, r.Epoch, r.Seq = c.Process, c.Epoch, seq
-				m.live[r.Order()] = r
+				m.live[r.Position()] = r
 			}
 		}
 	case SetHold:
@@ -183,7 +183,7 @@
 			all = append(all, r)
 		}
 	}
-	slices.SortFunc(all, func(a, b Record) int { return a.Order().Compare(b.Order()) })
+	slices.SortFunc(all, func(a, b Record) int { return a.Position().Compare(b.Position()) })
 	return all
 }
 
@@ -197,7 +197,7 @@
 
 func replicas(t *rapid.T) {
 	var log []any
-	model := &plain{through: map[string]uint64{}, live: map[Order]Record{}, dead: map[Order]bool{}, marks: map[string]Order{}, holds: map[string]Hold{}}
+	model := &plain{through: map[string]uint64{}, live: map[Position]Record{}, dead: map[Position]bool{}, marks: map[string]Position{}, holds: map[string]Hold{}}
 	all := []*replica{{State: New()}, {State: New()}, {State: New()}}
 	lead, away := all[0], all[2]
 	type snapshot struct {
@@ -212,7 +212,7 @@
 	// A reader that goes on from page to page through all of it.
 	var query Query
 	var read []Record
-	var there map[Order]Record
+	var there map[Position]Record
 
 	do := func(command any) error {
 		log = append(log, command)
@@ -221,16 +221,16 @@
 		if err == nil {
 			model.take(command)
 		}
-		away.Know(lead.Fence())
+		away.LearnFence(lead.Fence())
 		return err
 	}
 	tenant := func() string { return rapid.SampledFrom(names).Draw(t, "tenant") }
 	plan := func(most int) (Prune, bool) {
-		c, needed, err := lead.Plan(lead.shelf, clock, most)
+		c, needed, err := lead.PlanPrune(lead.shelf, clock, most)
 		require.NoError(t, err)
 		return c, needed
 	}
-	_ = do(SetRules{Rules: []Rule{{Tenant: Others, Keep: Limits{For: 150, Count: 9}, Failed: Limits{For: 400, Count: 5}}}})
+	_ = do(SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{For: 150, Count: 9}, Failed: Limits{For: 400, Count: 5}}}})
 	ship := func(t *rapid.T) {
 		clock += rapid.Int64Range(0, 60).Draw(t, "time")
 		for range rapid.IntRange(1, 3).Draw(t, "ships") {
@@ -279,7 +279,7 @@
 			limit := func() Limits {
 				return Limits{For: rapid.SampledFrom([]int64{0, 100, 400}).Draw(t, "for"), Count: rapid.SampledFrom([]int64{0, 3, 9}).Draw(t, "count"), Bytes: rapid.SampledFrom([]int64{0, 500}).Draw(t, "bytes")}
 			}
-			require.NoError(t, do(SetRules{At: clock, Rules: []Rule{{Tenant: tenant(), Keep: limit(), Failed: limit()}, {Tenant: Others, Keep: limit()}}}))
+			require.NoError(t, do(SetRules{At: clock, Rules: []Rule{{Tenant: tenant(), Keep: limit(), Failed: limit()}, {Tenant: DefaultRuleTenant, Keep: limit()}}}))
 		},
 		"hold": hold, "hold more": hold, "lift": lift, "lift more": lift,
 		"plan": func(t *rapid.T) {
@@ -290,7 +290,7 @@
 		"old cut": func(t *rapid.T) { // which may have been planned long ago, or have been done already
 			if len(planned) > 0 {
 				c := rapid.SampledFrom(planned).Draw(t, "cut")
-				if err := do(c); c.Rules != lead.ruled {
+				if err := do(c); c.Rules != lead.rulesEdition {
 					require.ErrorIs(t, err, ErrStale)
 				}
 			}
@@ -306,7 +306,7 @@
 			if s.state != nil {
 				require.NoError(t, fresh.Decode(s.state))
 			}
-			fresh.Know(lead.Fence())
+			fresh.LearnFence(lead.Fence())
 			all[2], away = fresh, fresh
 		},
 		"catch up": func(t *rapid.T) {
@@ -316,9 +316,9 @@
 		},
 		"read on": func(t *rapid.T) {
 			if there == nil {
-				query, read, there = Query{Tenant: tenant(), Most: rapid.IntRange(1, 4).Draw(t, "most"), Last: rapid.Bool().Draw(t, "last")}, nil, map[Order]Record{}
+				query, read, there = Query{Tenant: tenant(), Most: rapid.IntRange(1, 4).Draw(t, "most"), Last: rapid.Bool().Draw(t, "last")}, nil, map[Position]Record{}
 				for _, r := range model.of(query.Tenant) {
-					there[r.Order()] = r
+					there[r.Position()] = r
 				}
 			}
 			p, err := all[rapid.IntRange(0, 1).Draw(t, "replica")].View().Page(all[1].shelf, query)
@@ -327,10 +327,10 @@
 			if query.After = p.Next; p.Next != "" {
 				return
 			}
-			seen := map[Order]bool{}
+			seen := map[Position]bool{}
 			for _, r := range read {
-				require.False(t, seen[r.Order()], "read twice")
-				seen[r.Order()] = true
+				require.False(t, seen[r.Position()], "read twice")
+				seen[r.Position()] = true
 			}
 			for o := range there {
 				if _, still := model.live[o]; still {
@@ -347,7 +347,7 @@
 					slices.Reverse(back)
 					require.Equal(t, served, back)
 					for _, x := range served {
-						require.False(t, model.dead[x.Order()], "a dead record is served: %s %v", x.ID, x.Order())
+						require.False(t, model.dead[x.Position()], "a dead record is served: %s %v", x.ID, x.Position())
 					}
 					if r.at == len(log) {
 						require.Equal(t, model.of(name), served)
@@ -357,7 +357,7 @@
 					found, err := r.View().ByID(r.shelf, id, 100)
 					require.NoError(t, err)
 					for _, x := range found {
-						require.False(t, model.dead[x.Order()], "a dead record is served by id")
+						require.False(t, model.dead[x.Position()], "a dead record is served by id")
 					}
 				}
 				wrong, err := r.Audit(r.shelf)
@@ -388,7 +388,7 @@
 			require.True(t, limits.Count == 0 || live[l].Count-below[l].Count <= limits.Count)
 			require.True(t, limits.Bytes == 0 || live[l].Bytes-below[l].Bytes <= limits.Bytes)
 		}
-		require.Len(t, lead.shelf[lead.shelf.find(name, Order{}):lead.shelf.find(name, lastOrder)], len(model.of(name)), "ended holds are swept")
+		require.Len(t, lead.shelf[lead.shelf.find(name, Position{}):lead.shelf.find(name, lastOrder)], len(model.of(name)), "ended holds are swept")
 	}
 }
 
@@ -401,7 +401,7 @@
 		for i := range 6 {
 			all = append(all, Record{ID: fmt.Sprint("j", i), Tenant: "hrad", Ended: int64(100 + i)})
 		}
-		require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: Others, Keep: Limits{Count: 2}}}}))
+		require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{Count: 2}}}}))
 		require.NoError(t, r.take(t, Ship{Process: "n1", Epoch: 1, First: 1, Records: all}))
 		return r
 	}
@@ -418,24 +418,24 @@
 		"hold cut lift": "j4 j5", "hold cut lift hold": "j4 j5", "hold cut lift hold cut cut": "j4 j5", "hold lift cut": "j4 j5",
 	} {
 		r := fresh()
-		stale, _, err := r.Plan(r.shelf, 200, 100) // under way while the others come
+		stale, _, err := r.PlanPrune(r.shelf, 200, 100) // under way while the others come
 		require.NoError(t, err)
 		planned := strings.HasPrefix(order, "rule cut") || strings.HasPrefix(order, "rule hold") || strings.Contains(order, "plan")
 		for _, c := range strings.Fields(order) {
 			switch c {
 			case "rule":
-				require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: Others, Keep: Limits{Count: 3}}}}))
+				require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{Count: 3}}}}))
 			case "hold":
 				require.NoError(t, r.take(t, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", ID: "j0", Owner: "o", Reason: "r"}}))
 			case "lift":
 				require.NoError(t, r.take(t, ReleaseHold{Name: "h"}))
 			case "cut":
 				if planned || strings.Contains(order, "cut cut") {
-					stale, _, err = r.Plan(r.shelf, 200, 100)
+					stale, _, err = r.PlanPrune(r.shelf, 200, 100)
 					require.NoError(t, err)
 				}
 				err = r.take(t, stale)
-				require.True(t, err == nil || stale.Rules != r.ruled, "%s: %v", order, err)
+				require.True(t, err == nil || stale.Rules != r.rulesEdition, "%s: %v", order, err)
 			}
 		}
 		require.Equal(t, want, ids(r), order)
@@ -447,7 +447,7 @@
 	r := fresh()
 	require.NoError(t, r.take(t, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", To: 104, Owner: "o", Reason: "r"}}))
 	for range 2 {
-		c, _, err := r.Plan(r.shelf, 200, 100)
+		c, _, err := r.PlanPrune(r.shelf, 200, 100)
 		require.NoError(t, err)
 		require.NoError(t, r.take(t, c))
 	}
@@ -479,7 +479,7 @@
 		{SetRules{Rules: []Rule{{Tenant: "a"}, {Tenant: "a"}}}, ErrInvalid},
 		{SetRules{Rules: []Rule{{Tenant: "a", Failed: Limits{Bytes: -1}}}}, ErrInvalid},
 		{Prune{Rules: 9}, ErrStale},
-		{Prune{Marks: []Mark{{Tenant: "nobody"}}}, ErrInvalid},
+		{Prune{Marks: []Watermark{{Tenant: "nobody"}}}, ErrInvalid},
 		{Ship{Process: "n1", Incarnation: 1, Epoch: 7, First: 2}, ErrIncarnation},
 		{Ship{Process: "n1", Incarnation: 2, Epoch: 7, First: 3}, ErrGap},
 		{Ship{Process: "n1", Incarnation: 2, Epoch: 8, First: 2}, ErrGap},
@@ -489,7 +489,7 @@
 	} {
 		require.ErrorIs(t, r.take(t, c.command), c.err, "%+v", c.command)
 	}
-	done, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 3, Epoch: 7, First: 4, Lost: true, Records: []Record{{ID: "\xff", Body: make([]byte, mostRecord)}, {ID: "\xff", Body: []byte{}}}})
+	done, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 3, Epoch: 7, First: 4, Lost: true, Records: []Record{{ID: "\xff", Body: make([]byte, maxRecord)}, {ID: "\xff", Body: []byte{}}}})
 	require.NoError(t, err)
 	require.Equal(t, Shipped{Through: 5, Taken: 1, Missing: 2, TooLarge: 1}, done)
 	for epoch := range uint64(40) { // of a process that starts again and again, the last are remembered
@@ -502,7 +502,7 @@
 	_, err = r.View().Page(r.shelf, Query{Tenant: "hrad", After: "AAAA"})
 	require.ErrorIs(t, err, ErrCursor)
 	x := Trim(Record{Key: strings.Repeat("k", 2000), Members: make([]string, 20), Body: []byte("four")}, 3)
-	require.Equal(t, Record{Key: strings.Repeat("k", mostText), Members: make([]string, mostMembers)}, x)
+	require.Equal(t, Record{Key: strings.Repeat("k", maxText), Members: make([]string, maxMembers)}, x)
 }
 
 // FuzzDecode: whatever bytes are given as a state are refused, or are just those
@@ -510,7 +510,7 @@
 func FuzzDecode(f *testing.F) {
 	r := &replica{State: New()}
 	for _, c := range []any{
-		SetRules{Rules: []Rule{{Tenant: Others, Keep: Limits{Count: 2}}}}, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", Owner: "o", Reason: "r"}},
+		SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{Count: 2}}}}, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", Owner: "o", Reason: "r"}},
 		Ship{Process: "n1", Epoch: 1, First: 1, Records: []Record{{ID: "a", Tenant: "hrad"}, {ID: "b", Outcome: "failed"}}},
 	} {
 		require.NoError(f, r.take(f, c))
--- a/internal/dispatcher/fleet/records/state.go
+++ b/internal/dispatcher/fleet/records/state.go
@@ -26,29 +26,31 @@
 	u.Sum += xxhash.Sum64(text)
 }
 
-func (u *Usage) sub(text []byte) {
+func (u *Usage) remove(text []byte) {
 	u.Count--
 	u.Bytes -= int64(len(text))
 	u.Sum -= xxhash.Sum64(text)
 }
 
-type lane struct {
-	Mark  Order // what is below it is cut, unless held; it never goes back
+type classState struct {
+	Mark  Position // what is below it is cut, unless held; it never goes back
 	All   Usage
 	Below Usage // of All: below the mark
 }
 
-type tenant struct {
+type tenantState struct {
 	Name     string
-	Lanes    [Lanes]lane
-	Sweeping bool  // a hold has ended: what it alone kept must go
-	Swept    Order // it is gone below this place
+	Lanes    [RetentionClasses]classState
+	Sweeping bool     // a hold has ended: what it alone kept must go
+	Swept    Position // it is gone below this place
 }
 
-func (t *tenant) below(r *Record) bool { return r.Order().Compare(t.Lanes[r.Lane()].Mark) < 0 }
+func (t *tenantState) isPruned(r *Record) bool {
+	return r.Position().Compare(t.Lanes[r.RetentionClass()].Mark) < 0
+}
 
-// top is the place above all that may have to be swept.
-func (t *tenant) top() Order {
+// sweepEnd is the place above all that may have to be swept.
+func (t *tenantState) sweepEnd() Position {
 	top := t.Lanes[Ordinary].Mark
 	if m := t.Lanes[Failures].Mark; m.Compare(top) > 0 {
 		top = m
@@ -56,38 +58,38 @@
 	return top
 }
 
-// epoch tells how far the records of one epoch of a process were taken in.
-type epoch struct{ Epoch, Through, Missing uint64 }
+// epochProgress tells how far the records of one epoch of a process were taken in.
+type epochProgress struct{ Epoch, Through, Missing uint64 }
 
-type process struct {
+type processState struct {
 	Name        string
 	Incarnation uint64
-	Forgotten   uint64  // epochs up to this one are no longer remembered
-	Epochs      []epoch // sorted
+	Forgotten   uint64          // epochs up to this one are no longer remembered
+	Epochs      []epochProgress // sorted
 }
 
-// mostTenants are filed under names of their own. Clients choose the names they
+// maxTenants are filed under names of their own. Clients choose the names they
 // send, and the state must not grow with them.
-const mostTenants = 4096
+const maxTenants = 4096
 
 // State is the small part of the records' replicated state. It belongs to one
 // goroutine, but for the View it gives. Each command that needs records is given
 // the store, within one transaction of it; after an error that is ErrStore, or a
 // transaction that could not be kept, the state must be taken anew.
 type State struct {
-	wall      int64         // the latest time of a command
-	cutAt     time.Duration // fleet time of the last cut
-	edition   uint64        // commands other than Ship so far
-	ruled     uint64        // edition of the rules
-	turn      string
-	rules     []Rule // sorted by tenant
-	holds     []Hold // sorted by name
-	tenants   map[string]*tenant
-	names     []string // of tenants, sorted
-	processes map[string]*process
-	counts    Counts
-	fence     Fence // not replicated
-	view      *View // nil: to be made
+	wallClock    int64         // the latest time of a command
+	prunedAt     time.Duration // fleet time of the last cut
+	edition      uint64        // commands other than Ship so far
+	rulesEdition uint64        // edition of the rules
+	nextTenant   string
+	rules        []Rule // sorted by tenant
+	holds        []Hold // sorted by name
+	tenants      map[string]*tenantState
+	tenantNames  []string // of tenants, sorted
+	processes    map[string]*processState
+	counts       Counts
+	fence        Fence // not replicated
+	view         *View // nil: to be made
 }
 
 // Counts count since the fleet's beginning.
@@ -98,34 +100,34 @@
 
 // New returns an empty state, which keeps everything.
 func New() *State {
-	return &State{tenants: make(map[string]*tenant), processes: make(map[string]*process)}
+	return &State{tenants: make(map[string]*tenantState), processes: make(map[string]*processState)}
 }
 
-func (s *State) tenant(name string) *tenant {
+func (s *State) tenant(name string) *tenantState {
 	t := s.tenants[name]
 	if t == nil {
-		t = &tenant{Name: name}
+		t = &tenantState{Name: name}
 		s.tenants[name] = t
-		i, _ := slices.BinarySearch(s.names, name)
-		s.names = slices.Insert(s.names, i, name)
+		i, _ := slices.BinarySearch(s.tenantNames, name)
+		s.tenantNames = slices.Insert(s.tenantNames, i, name)
 	}
 	return t
 }
 
-// filed is the name that a tenant's records are kept under.
-func (s *State) filed(name string) string {
+// storedTenant is the name that a tenant's records are kept under.
+func (s *State) storedTenant(name string) string {
 	switch {
 	case name == "":
 		return accounting.NoGroup
-	case name == Others, s.tenants[name] == nil && len(s.names) >= mostTenants:
+	case name == DefaultRuleTenant, s.tenants[name] == nil && len(s.tenantNames) >= maxTenants:
 		return accounting.OtherNames
 	}
 	return name
 }
 
-func (s *State) held(r *Record) bool { return held(s.holds, r) }
+func (s *State) isHeld(r *Record) bool { return coveredByHold(s.holds, r) }
 
-func held(holds []Hold, r *Record) bool {
+func coveredByHold(holds []Hold, r *Record) bool {
 	for i := range holds {
 		if holds[i].covers(r) {
 			return true
@@ -139,12 +141,12 @@
 // the reply still says how far the epoch was taken in.
 func (s *State) Ship(_ time.Duration, st Store, c Ship) (done Shipped, err error) {
 	switch {
-	case c.Process == "" || len(c.Process) > 255 || !sound(c.Process) || strings.ContainsRune(c.Process, 0):
+	case c.Process == "" || len(c.Process) > 255 || !isValidText(c.Process) || strings.ContainsRune(c.Process, 0):
 		return done, fmt.Errorf("a process's name %.40q: %w", c.Process, ErrInvalid)
 	case c.First == 0 || c.First+uint64(len(c.Records)) < c.First:
 		return done, fmt.Errorf("records from number %d on: %w", c.First, ErrInvalid)
 	}
-	p := &process{Name: c.Process}
+	p := &processState{Name: c.Process}
 	if known := s.processes[c.Process]; known != nil {
 		p = known
 	}
@@ -152,9 +154,9 @@
 		return done, fmt.Errorf("records of process %s, incarnation %d: %w", c.Process, c.Incarnation, ErrIncarnation)
 	}
 	last := c.First + uint64(len(c.Records)) - 1
-	i, known := slices.BinarySearchFunc(p.Epochs, c.Epoch, func(e epoch, of uint64) int { return cmp.Compare(e.Epoch, of) })
+	i, known := slices.BinarySearchFunc(p.Epochs, c.Epoch, func(e epochProgress, of uint64) int { return cmp.Compare(e.Epoch, of) })
 	switch {
-	case !known && len(p.Epochs) >= mostEpochs && i == 0, !known && c.Epoch <= p.Forgotten && p.Forgotten > 0:
+	case !known && len(p.Epochs) >= maxEpochs && i == 0, !known && c.Epoch <= p.Forgotten && p.Forgotten > 0:
 		// So many epochs after it were taken in that it is over.
 		p.Incarnation = c.Incarnation
 		s.counts.Again += int64(len(c.Records))
@@ -172,7 +174,7 @@
 			continue
 		}
 		r := Trim(c.Records[n], len(c.Records[n].Body))
-		r.Process, r.Epoch, r.Seq, r.Tenant = c.Process, c.Epoch, seq, s.filed(r.Tenant)
+		r.Process, r.Epoch, r.Seq, r.Tenant = c.Process, c.Epoch, seq, s.storedTenant(r.Tenant)
 		r.Ended = max(r.Ended, 0) // the least mark is at 0
 		text, err := r.Encode()
 		if err != nil {
@@ -180,8 +182,8 @@
 			continue
 		}
 		t := s.tenant(r.Tenant)
-		below := t.below(&r)
-		if below && !s.held(&r) && !plantResurrected {
+		below := t.isPruned(&r)
+		if below && !s.isHeld(&r) && !faultResurrectPruned {
 			done.Below++
 			continue
 		}
@@ -189,7 +191,7 @@
 			return done, errors.Join(ErrStore, err)
 		}
 		done.Taken++
-		l := &t.Lanes[r.Lane()]
+		l := &t.Lanes[r.RetentionClass()]
 		l.All.add(text)
 		if below {
 			l.Below.add(text)
@@ -201,11 +203,11 @@
 	done.Through = max(done.Through, last)
 	s.processes[p.Name] = p
 	if !known {
-		p.Epochs = slices.Insert(p.Epochs, i, epoch{Epoch: c.Epoch})
+		p.Epochs = slices.Insert(p.Epochs, i, epochProgress{Epoch: c.Epoch})
 	}
 	p.Epochs[i].Through = done.Through
 	p.Epochs[i].Missing += done.Missing
-	if len(p.Epochs) > mostEpochs {
+	if len(p.Epochs) > maxEpochs {
 		p.Forgotten = p.Epochs[0].Epoch
 		p.Epochs = slices.Delete(p.Epochs, 0, 1)
 	}
@@ -218,28 +220,28 @@
 	return done, nil
 }
 
-// turned counts a command other than Ship.
-func (s *State) turned(at int64) {
-	s.wall = max(s.wall, at)
+// beginEdition counts a command other than Ship.
+func (s *State) beginEdition(at int64) {
+	s.wallClock = max(s.wallClock, at)
 	s.edition++
 	s.view = nil
 }
 
-// expire ends the holds that are over.
-func (s *State) expire() {
+// expireHolds ends the holds that are over.
+func (s *State) expireHolds() {
 	s.holds = slices.DeleteFunc(s.holds, func(h Hold) bool {
-		over := h.Until != 0 && h.Until <= s.wall
+		over := h.Until != 0 && h.Until <= s.wallClock
 		if over {
-			s.release(&h)
+			s.scheduleSweep(&h)
 		}
 		return over
 	})
 }
 
-// release has what a hold kept looked through.
-func (s *State) release(h *Hold) {
+// scheduleSweep has what a hold kept looked through.
+func (s *State) scheduleSweep(h *Hold) {
 	if t := s.tenants[h.Tenant]; t != nil {
-		t.Sweeping, t.Swept = true, Order{}
+		t.Sweeping, t.Swept = true, Position{}
 	}
 }
 
@@ -250,35 +252,35 @@
 	if err != nil {
 		return err
 	}
-	s.turned(c.At)
-	s.rules, s.ruled = rules, s.edition
+	s.beginEdition(c.At)
+	s.rules, s.rulesEdition = rules, s.edition
 	return nil
 }
 
-// Hold sets a hold. It keeps what is there now, and what comes; what was cut before,
+// SetHold sets a hold. It keeps what is there now, and what comes; what was cut before,
 // or kept only by a hold that has ended, does not come back. The same hold may be
 // set again.
-func (s *State) Hold(_ time.Duration, st Store, c SetHold) error {
+func (s *State) SetHold(_ time.Duration, st Store, c SetHold) error {
 	h := c.Hold
 	if err := checkHold(&h); err != nil {
 		return err
 	}
-	if h.Until != 0 && h.Until <= max(s.wall, c.At) {
+	if h.Until != 0 && h.Until <= max(s.wallClock, c.At) {
 		return fmt.Errorf("hold %q is over: %w", h.Name, ErrInvalid)
 	}
 	i, taken := s.findHold(h.Name)
 	switch {
 	case taken && s.holds[i] == h:
-		s.turned(c.At)
-		s.expire()
+		s.beginEdition(c.At)
+		s.expireHolds()
 		return nil
 	case taken && (s.holds[i].Until == 0 || s.holds[i].Until > c.At):
 		return fmt.Errorf("hold %q: %w", h.Name, ErrHoldTaken)
-	case len(s.holds) >= mostHolds:
+	case len(s.holds) >= maxHolds:
 		return fmt.Errorf("%d holds already: %w", len(s.holds), ErrInvalid)
 	}
-	s.turned(c.At)
-	s.expire()
+	s.beginEdition(c.At)
+	s.expireHolds()
 	for t := s.tenants[h.Tenant]; t != nil && t.Sweeping; {
 		if _, err := s.sweep(st, t, sweepStep); err != nil {
 			return err
@@ -293,35 +295,35 @@
 	return slices.BinarySearchFunc(s.holds, name, func(h Hold, name string) int { return strings.Compare(h.Name, name) })
 }
 
-// Lift ends a hold. From here on what it alone kept is not served; the next cuts
+// ReleaseHold ends a hold. From here on what it alone kept is not served; the next cuts
 // remove it.
-func (s *State) Lift(_ time.Duration, c ReleaseHold) error {
+func (s *State) ReleaseHold(_ time.Duration, c ReleaseHold) error {
 	i, ok := s.findHold(c.Name)
 	if !ok {
 		return fmt.Errorf("hold %q: %w", c.Name, ErrNoHold)
 	}
-	s.turned(c.At)
+	s.beginEdition(c.At)
 	h := s.holds[i]
 	s.holds = slices.Delete(s.holds, i, i+1)
-	s.release(&h)
-	s.expire()
+	s.scheduleSweep(&h)
+	s.expireHolds()
 	return nil
 }
 
-// Cut removes what is below its marks and not held, and goes on with what ended
+// Prune removes what is below its marks and not held, and goes on with what ended
 // holds have kept. ErrStale means that the rules were changed since it was planned.
-func (s *State) Cut(at time.Duration, st Store, c Prune) (done Pruned, err error) {
-	if c.Rules != s.ruled {
+func (s *State) Prune(at time.Duration, st Store, c Prune) (done Pruned, err error) {
+	if c.Rules != s.rulesEdition {
 		return done, fmt.Errorf("a cut: %w", ErrStale)
 	}
 	for _, m := range c.Marks {
-		if m.Lane >= Lanes || s.tenants[m.Tenant] == nil {
+		if m.Lane >= RetentionClasses || s.tenants[m.Tenant] == nil {
 			return done, fmt.Errorf("a mark of tenant %.40q: %w", m.Tenant, ErrInvalid)
 		}
 	}
-	s.turned(c.At)
-	s.cutAt, s.turn = max(s.cutAt, at), c.Turn
-	s.expire()
+	s.beginEdition(c.At)
+	s.prunedAt, s.nextTenant = max(s.prunedAt, at), c.Turn
+	s.expireHolds()
 	for _, m := range c.Marks {
 		t := s.tenants[m.Tenant]
 		l := &t.Lanes[m.Lane]
@@ -329,22 +331,22 @@
 			continue // a mark never goes back
 		}
 		var gone []Record
-		err := st.Range(t.Name, l.Mark, func(r *Record, text []byte) bool {
+		err := st.Ascend(t.Name, l.Mark, func(r *Record, text []byte) bool {
 			switch {
-			case r.Order().Compare(m.Below) >= 0:
+			case r.Position().Compare(m.Below) >= 0:
 				return false
-			case r.Lane() != m.Lane:
-			case s.held(r):
+			case r.RetentionClass() != m.Lane:
+			case s.isHeld(r):
 				l.Below.add(text)
 				done.Held++
 			default:
-				l.All.sub(text)
+				l.All.remove(text)
 				gone = append(gone, *r)
 			}
 			return true
 		})
 		if err == nil {
-			err = remove(st, gone)
+			err = deleteAll(st, gone)
 		}
 		if err != nil {
 			return done, errors.Join(ErrStore, err)
@@ -354,7 +356,7 @@
 	}
 	s.counts.Cut += int64(done.Removed)
 	rest := max(c.Sweep, 0)
-	for _, name := range s.names {
+	for _, name := range s.tenantNames {
 		t := s.tenants[name]
 		if !t.Sweeping || rest == 0 {
 			continue
@@ -368,7 +370,7 @@
 	return done, nil
 }
 
-func remove(st Store, gone []Record) error {
+func deleteAll(st Store, gone []Record) error {
 	for i := range gone {
 		if err := st.Delete(&gone[i]); err != nil {
 			return err
@@ -382,11 +384,11 @@
 
 // sweep looks at the tenant's next records below its marks, at most so many, and
 // removes what no hold keeps any more.
-func (s *State) sweep(st Store, t *tenant, most int) (seen int, err error) {
+func (s *State) sweep(st Store, t *tenantState, most int) (seen int, err error) {
 	var gone []Record
-	top, done := t.top(), true
-	err = st.Range(t.Name, t.Swept, func(r *Record, text []byte) bool {
-		if r.Order().Compare(top) >= 0 {
+	top, done := t.sweepEnd(), true
+	err = st.Ascend(t.Name, t.Swept, func(r *Record, text []byte) bool {
+		if r.Position().Compare(top) >= 0 {
 			return false
 		}
 		if seen == most {
@@ -394,24 +396,24 @@
 			return false
 		}
 		seen++
-		t.Swept = r.Order().next()
-		if t.below(r) && !s.held(r) {
-			l := &t.Lanes[r.Lane()]
-			l.All.sub(text)
-			l.Below.sub(text)
+		t.Swept = r.Position().next()
+		if t.isPruned(r) && !s.isHeld(r) {
+			l := &t.Lanes[r.RetentionClass()]
+			l.All.remove(text)
+			l.Below.remove(text)
 			gone = append(gone, *r)
 		}
 		return true
 	})
 	if err == nil {
-		err = remove(st, gone)
+		err = deleteAll(st, gone)
 	}
 	if err != nil {
 		return seen, errors.Join(ErrStore, err)
 	}
 	s.counts.Swept += int64(len(gone))
 	if done {
-		t.Sweeping, t.Swept = false, Order{}
+		t.Sweeping, t.Swept = false, Position{}
 	}
 	return seen, nil
 }
--- a/internal/dispatcher/fleet/records/view.go
+++ b/internal/dispatcher/fleet/records/view.go
@@ -13,36 +13,36 @@
 // has been given since: it is kept apart from that. A replica whose state is older
 // serves nothing that is below the fence's marks.
 type Fence struct {
-	Edition uint64 // commands other than Ship
-	Marks   []Mark // sorted; all that there are
+	Edition uint64      // commands other than Ship
+	Marks   []Watermark // sorted; all that there are
 }
 
 // View is an immutable picture of what decides which records are served. A read of
 // records that were stored at the same time or later never serves one that was cut.
 type View struct {
-	edition uint64
-	marks   map[string][Lanes]Order
-	holds   []Hold
-	fence   map[string][Lanes]Order // nil: the state is as new as the fence
-	missing uint64
+	edition    uint64
+	watermarks map[string][RetentionClasses]Position
+	holds      []Hold
+	fence      map[string][RetentionClasses]Position // nil: the state is as new as the fence
+	missing    uint64
 }
 
 // Fence is the state's own.
 func (s *State) Fence() Fence {
 	f := Fence{Edition: s.edition}
-	for _, name := range s.names {
-		for l := range Lanes {
-			if m := s.tenants[name].Lanes[l].Mark; m != (Order{}) {
-				f.Marks = append(f.Marks, Mark{name, l, m})
+	for _, name := range s.tenantNames {
+		for l := range RetentionClasses {
+			if m := s.tenants[name].Lanes[l].Mark; m != (Position{}) {
+				f.Marks = append(f.Marks, Watermark{name, l, m})
 			}
 		}
 	}
 	return f
 }
 
-// Know takes in a fence, from this process's folder or from a peer. It is no part
+// LearnFence takes in a fence, from this process's folder or from a peer. It is no part
 // of the replicated state; the newest counts.
-func (s *State) Know(f Fence) {
+func (s *State) LearnFence(f Fence) {
 	if f.Edition > s.fence.Edition {
 		s.fence, s.view = f, nil
 	}
@@ -53,18 +53,18 @@
 	if s.view != nil {
 		return s.view
 	}
-	v := &View{edition: s.edition, marks: byTenant(s.Fence().Marks), holds: slices.Clone(s.holds)}
+	v := &View{edition: s.edition, watermarks: watermarksByTenant(s.Fence().Marks), holds: slices.Clone(s.holds)}
 	if s.fence.Edition > s.edition {
-		v.fence, v.missing = byTenant(s.fence.Marks), s.fence.Edition-s.edition
+		v.fence, v.missing = watermarksByTenant(s.fence.Marks), s.fence.Edition-s.edition
 	}
 	s.view = v
 	return v
 }
 
-func byTenant(marks []Mark) map[string][Lanes]Order {
-	m := make(map[string][Lanes]Order)
+func watermarksByTenant(marks []Watermark) map[string][RetentionClasses]Position {
+	m := make(map[string][RetentionClasses]Position)
 	for _, k := range marks {
-		if k.Lane < Lanes {
+		if k.Lane < RetentionClasses {
 			lanes := m[k.Tenant]
 			lanes[k.Lane] = k.Below
 			m[k.Tenant] = lanes
@@ -78,19 +78,19 @@
 // must ask another replica.
 func (v *View) Edition() (seen, missing uint64) { return v.edition, v.missing }
 
-func (v *View) serves(r *Record) bool {
-	o, lane := r.Order(), r.Lane()
+func (v *View) isServed(r *Record) bool {
+	o, lane := r.Position(), r.RetentionClass()
 	if v.fence != nil && o.Compare(v.fence[r.Tenant][lane]) < 0 {
 		return false
 	}
-	return o.Compare(v.marks[r.Tenant][lane]) >= 0 || held(v.holds, r)
+	return o.Compare(v.watermarks[r.Tenant][lane]) >= 0 || coveredByHold(v.holds, r)
 }
 
 // ByID returns the records of an id, at most so many: an id may have come to an end
 // more than once.
 func (v *View) ByID(st Reader, id string, most int) (found []Record, err error) {
 	err = st.ByID(id, func(r *Record, _ []byte) bool {
-		if v.serves(r) {
+		if v.isServed(r) {
 			found = append(found, *r)
 		}
 		return len(found) < most
@@ -121,11 +121,11 @@
 	_      struct{} `cbor:",toarray"`
 	Tenant string
 	Last   bool
-	At     Order
+	At     Position
 }
 
-// mostSeen is how many records are looked at for one page.
-const mostSeen = 100_000
+// maxScanned is how many records are looked at for one page.
+const maxScanned = 100_000
 
 // Page returns the next page of an answer. A cursor is a place in the tenant's
 // order, not a count: through cuts and arrivals no record comes twice, and none
@@ -133,7 +133,7 @@
 // Next: so much was looked at that was not to be served.
 func (v *View) Page(st Reader, q Query) (p Page, err error) {
 	p.Missing = v.missing
-	first, end := Order{Ended: q.From}, Order{Ended: q.To}
+	first, end := Position{Ended: q.From}, Position{Ended: q.To}
 	if q.After != "" {
 		c, err := q.place()
 		if err != nil {
@@ -147,13 +147,13 @@
 		}
 	}
 	seen, more := 0, false
-	var next Order
+	var next Position
 	yield := func(r *Record, _ []byte) bool {
-		o := r.Order()
+		o := r.Position()
 		switch {
 		case !q.Last && q.To != 0 && o.Compare(end) >= 0, q.Last && o.Compare(first) < 0:
 			return false
-		case len(p.Records) >= max(q.Most, 1) || seen == mostSeen:
+		case len(p.Records) >= max(q.Most, 1) || seen == maxScanned:
 			more = true
 			return false
 		}
@@ -161,18 +161,18 @@
 		if next = o; !q.Last {
 			next = o.next()
 		}
-		if v.serves(r) {
+		if v.isServed(r) {
 			p.Records = append(p.Records, *r)
 		}
 		return true
 	}
 	switch {
 	case !q.Last:
-		err = st.Range(q.Tenant, first, yield)
+		err = st.Ascend(q.Tenant, first, yield)
 	case q.To == 0 && q.After == "":
-		err = st.Back(q.Tenant, lastOrder, yield)
+		err = st.Descend(q.Tenant, lastOrder, yield)
 	default:
-		err = st.Back(q.Tenant, end, yield)
+		err = st.Descend(q.Tenant, end, yield)
 	}
 	if err != nil || !more {
 		return p, err
@@ -183,16 +183,16 @@
 }
 
 // lastOrder is above every place: no process has such a name.
-var lastOrder = Order{1<<63 - 1, "\xff", 1<<64 - 1, 1<<64 - 1}
+var lastOrder = Position{1<<63 - 1, "\xff", 1<<64 - 1, 1<<64 - 1}
 
-func (q *Query) place() (Order, error) {
+func (q *Query) place() (Position, error) {
 	text, err := base64.RawURLEncoding.DecodeString(q.After)
 	if err != nil {
-		return Order{}, ErrCursor
+		return Position{}, ErrCursor
 	}
 	var c cursor
 	if err := codec.Decode(text, &c); err != nil || c.Tenant != q.Tenant || c.Last != q.Last {
-		return Order{}, fmt.Errorf("%.80q: %w", q.After, ErrCursor)
+		return Position{}, fmt.Errorf("%.80q: %w", q.After, ErrCursor)
 	}
 	return c.At, nil
 }
--- a/internal/dispatcher/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -19,36 +19,36 @@
 // A snapshot is a header, the small part of the state, the file of records, and a
 // checksum of all that.
 const (
-	magic      = "BASALTFR"
-	version    = 1
-	headerSize = 36 // magic, version, length of the small part, of the file, checksum
-	mostSmall  = 1 << 30
+	snapshotMagic   = "BASALTFR"
+	snapshotVersion = 1
+	headerSize      = 36 // magic, version, length of the small part, of the file, checksum
+	maxStateSize    = 1 << 30
 )
 
 // ErrSnapshot says that something is no snapshot, or is not whole.
 var ErrSnapshot = errors.New("not a sound snapshot of records")
 
-// ErrNewer says that a snapshot was written by a newer program.
-var ErrNewer = errors.New("written by a newer version of the program")
+// ErrNewerVersion says that a snapshot was written by a newer program.
+var ErrNewerVersion = errors.New("written by a newer version of the program")
 
 // Snapshot is one consistent state of a store, which goes on meanwhile.
 type Snapshot struct {
-	s     *Store
-	file  *held
+	store *Store
+	file  *openFile
 	tx    *bolt.Tx
-	small []byte
+	state []byte
 }
 
 // Snapshot takes the state as it is now, together with the small part that belongs
 // to it. It must be released.
 func (s *Store) Snapshot(small []byte) (*Snapshot, error) {
-	f, err := s.use()
+	f, err := s.acquire()
 	if err != nil {
 		return nil, err
 	}
 	tx, err := f.db.Begin(false)
 	if err != nil {
-		s.letGo(f)
+		s.release(f)
 		return nil, fmt.Errorf("a snapshot of records: %w", err)
 	}
 	return &Snapshot{s, f, tx, small}, nil
@@ -61,14 +61,14 @@
 func (s *Snapshot) WriteTo(w io.Writer) (int64, error) {
 	sum := xxhash.New()
 	both := bufio.NewWriterSize(io.MultiWriter(w, sum), 1<<20)
-	header := append(make([]byte, 0, headerSize), magic...)
-	header = binary.LittleEndian.AppendUint32(header, version)
-	header = binary.LittleEndian.AppendUint64(header, uint64(len(s.small)))
+	header := append(make([]byte, 0, headerSize), snapshotMagic...)
+	header = binary.LittleEndian.AppendUint32(header, snapshotVersion)
+	header = binary.LittleEndian.AppendUint64(header, uint64(len(s.state)))
 	header = binary.LittleEndian.AppendUint64(header, uint64(s.tx.Size()))
 	header = binary.LittleEndian.AppendUint64(header, xxhash.Sum64(header))
-	both.Write(append(header, s.small...)) // an error is told by Flush
+	both.Write(append(header, s.state...)) // an error is told by Flush
 	n, err := s.tx.WriteTo(both)
-	n += int64(len(header) + len(s.small))
+	n += int64(len(header) + len(s.state))
 	if err == nil {
 		err = both.Flush()
 	}
@@ -87,7 +87,7 @@
 	if s.tx != nil {
 		s.tx.Rollback()
 		s.tx = nil
-		s.s.letGo(s.file)
+		s.store.release(s.file)
 	}
 }
 
@@ -97,22 +97,22 @@
 // that are open go on with what they began with.
 func (s *Store) Restore(r io.Reader) (small []byte, index uint64, err error) {
 	fail := func(err error) ([]byte, uint64, error) {
-		os.Remove(s.at(newName))
+		os.Remove(s.path(incomingFile))
 		return nil, 0, fmt.Errorf("restoring records: %w", err)
 	}
 	if small, err = s.receive(r); err != nil {
 		return fail(err)
 	}
-	db, index, err := check(s.at(newName))
+	db, index, err := openReceived(s.path(incomingFile))
 	if err != nil {
 		return fail(err)
 	}
-	if err := os.Rename(s.at(newName), s.at(fileName)); err != nil {
+	if err := os.Rename(s.path(incomingFile), s.path(recordsFile)); err != nil {
 		db.Close()
 		return fail(err)
 	}
-	s.replace(&held{db: db})
-	if err := syncFolder(s.folder); err != nil {
+	s.replace(&openFile{db: db})
+	if err := syncDir(s.folder); err != nil {
 		return nil, 0, fmt.Errorf("restoring records: %w", err)
 	}
 	return small, index, nil
@@ -126,20 +126,20 @@
 	if _, err := io.ReadFull(in, header); err != nil {
 		return nil, fmt.Errorf("its header: %w: %w", ErrSnapshot, err)
 	}
-	if string(header[:8]) != magic || xxhash.Sum64(header[:headerSize-8]) != binary.LittleEndian.Uint64(header[headerSize-8:]) {
+	if string(header[:8]) != snapshotMagic || xxhash.Sum64(header[:headerSize-8]) != binary.LittleEndian.Uint64(header[headerSize-8:]) {
 		return nil, fmt.Errorf("its header: %w", ErrSnapshot)
 	}
-	if v := binary.LittleEndian.Uint32(header[8:]); v != version {
-		return nil, fmt.Errorf("version %d, this program knows %d: %w", v, version, ErrNewer)
+	if v := binary.LittleEndian.Uint32(header[8:]); v != snapshotVersion {
+		return nil, fmt.Errorf("version %d, this program knows %d: %w", v, snapshotVersion, ErrNewerVersion)
 	}
 	sizes := [2]uint64{binary.LittleEndian.Uint64(header[12:]), binary.LittleEndian.Uint64(header[20:])}
-	if sizes[0] > mostSmall || sizes[1] > 1<<40 {
+	if sizes[0] > maxStateSize || sizes[1] > 1<<40 {
 		return nil, fmt.Errorf("its header: %w", ErrSnapshot)
 	}
 	if small, err = io.ReadAll(io.LimitReader(in, int64(sizes[0]))); err != nil || uint64(len(small)) != sizes[0] {
 		return nil, fmt.Errorf("it is torn: %w", errors.Join(ErrSnapshot, err))
 	}
-	file, err := os.Create(s.at(newName))
+	file, err := os.Create(s.path(incomingFile))
 	if err != nil {
 		return nil, err
 	}
@@ -163,13 +163,13 @@
 	return small, nil
 }
 
-// check opens a received file and sees that it is one of ours.
-func check(path string) (db *bolt.DB, index uint64, err error) {
-	if db, err = open(path); err != nil {
+// openReceived opens a received file and sees that it is one of ours.
+func openReceived(path string) (db *bolt.DB, index uint64, err error) {
+	if db, err = openDB(path); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	err = db.View(func(tx *bolt.Tx) error {
-		for _, name := range [][]byte{byOrder, byID, meta} {
+		for _, name := range [][]byte{recordsBucket, idsBucket, metaBucket} {
 			if tx.Bucket(name) == nil {
 				return fmt.Errorf("it has no %s: %w", name, ErrSnapshot)
 			}
@@ -183,7 +183,7 @@
 	return db, index, err
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
 		return err
@@ -192,8 +192,8 @@
 	return d.Sync()
 }
 
-// fence is what is kept of a records.Fence, with the fleet that it is of.
-type fence struct {
+// storedFence is what is kept of a records.Fence, with the fleet that it is of.
+type storedFence struct {
 	Version int
 	Fleet   string
 	Fence   records.Fence
@@ -205,7 +205,7 @@
 // SaveFence writes down, safe from a power loss, how far this process knows that the
 // records of a fleet were cut. It outlasts the store.
 func SaveFence(folder, fleet string, f records.Fence) error {
-	text, err := codec.Encode(fence{version, fleet, f})
+	text, err := codec.Encode(storedFence{snapshotVersion, fleet, f})
 	if err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 		err = os.Rename(path+".new", path)
 	}
 	if err == nil {
-		err = syncFolder(folder)
+		err = syncDir(folder)
 	}
 	if err != nil {
 		return fmt.Errorf("the fence of records: %w", err)
@@ -238,13 +238,13 @@
 	if err != nil {
 		return records.Fence{}, fmt.Errorf("the fence of records: %w", err)
 	}
-	var f fence
+	var f storedFence
 	n := len(text) - 8
 	if n < 0 || xxhash.Sum64(text[:n]) != binary.LittleEndian.Uint64(text[n:]) {
 		return records.Fence{}, fmt.Errorf("the fence of records is damaged: %w", ErrSnapshot)
 	}
-	if err := codec.Decode(text[:n], &f); err != nil || f.Version != version {
-		return records.Fence{}, fmt.Errorf("the fence of records, version %d: %w", f.Version, errors.Join(ErrNewer, err))
+	if err := codec.Decode(text[:n], &f); err != nil || f.Version != snapshotVersion {
+		return records.Fence{}, fmt.Errorf("the fence of records, version %d: %w", f.Version, errors.Join(ErrNewerVersion, err))
 	}
 	if f.Fleet != fleet {
 		return records.Fence{}, fmt.Errorf("the fence of records: fleet %q: %w", f.Fleet, ErrFleet)
--- a/internal/dispatcher/fleet/recordstore/store.go
+++ b/internal/dispatcher/fleet/recordstore/store.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	fileName = "records.db"
-	newName  = "records.new"
-	// mapped is the address space that is set aside for the file: a file that outgrows
+	recordsFile  = "records.db"
+	incomingFile = "records.new"
+	// initialMapSize is the address space that is set aside for the file: a file that outgrows
 	// it makes a write wait for the reads that are open.
-	mapped = 8 << 30
+	initialMapSize = 8 << 30
 )
 
 var (
-	byOrder = []byte("records") // tenant, place -> record
-	byID    = []byte("ids")     // hash of the id, tenant, place -> nothing
-	meta    = []byte("meta")
-	indexAt = []byte("index")
+	recordsBucket   = []byte("records") // tenant, place -> record
+	idsBucket       = []byte("ids")     // hash of the id, tenant, place -> nothing
+	metaBucket      = []byte("meta")
+	appliedIndexKey = []byte("index")
 )
 
 // ErrInUse says that another process uses the folder.
@@ -40,12 +40,12 @@
 // ErrClosed says that the store is closed.
 var ErrClosed = errors.New("the store of records is closed")
 
-// held is an open file with those who use it: one that a restore has replaced is
+// openFile is an open file with those who use it: one that a restore has replaced is
 // closed when the last of them has gone.
-type held struct {
-	db    *bolt.DB
-	users int
-	gone  bool
+type openFile struct {
+	db       *bolt.DB
+	users    int
+	replaced bool
 }
 
 // Store keeps records in a folder of this process. Its methods may be called by any
@@ -55,7 +55,7 @@
 	lock   *os.File
 
 	mu   sync.Mutex
-	file *held // nil: closed
+	file *openFile // nil: closed
 }
 
 // Open opens an empty store in a folder, makes that if there is none, and keeps other
@@ -70,54 +70,54 @@
 		return nil, fmt.Errorf("the folder of records: %w", err)
 	}
 	s := &Store{folder: folder, lock: lock}
-	if err := s.begin(); err != nil {
+	if err := s.initialize(); err != nil {
 		lock.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Store) begin() error {
+func (s *Store) initialize() error {
 	if err := syscall.Flock(int(s.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		return fmt.Errorf("%s: %w", s.folder, ErrInUse)
 	}
-	for _, name := range []string{fileName, newName} {
-		if err := os.Remove(s.at(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	for _, name := range []string{recordsFile, incomingFile} {
+		if err := os.Remove(s.path(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("removing the records of another run: %w", err)
 		}
 	}
-	db, err := open(s.at(fileName))
+	db, err := openDB(s.path(recordsFile))
 	if err != nil {
 		return err
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
-		for _, name := range [][]byte{byOrder, byID, meta} {
+		for _, name := range [][]byte{recordsBucket, idsBucket, metaBucket} {
 			if _, err := tx.CreateBucket(name); err != nil {
 				return err
 			}
 		}
-		return tx.Bucket(meta).Put(indexAt, make([]byte, 8))
+		return tx.Bucket(metaBucket).Put(appliedIndexKey, make([]byte, 8))
 	})
 	if err != nil {
 		db.Close()
 		return fmt.Errorf("beginning a store of records: %w", err)
 	}
-	s.file = &held{db: db}
+	s.file = &openFile{db: db}
 	return nil
 }
 
-func open(path string) (*bolt.DB, error) {
-	db, err := bolt.Open(path, 0o640, &bolt.Options{NoSync: true, NoFreelistSync: true, FreelistType: bolt.FreelistMapType, InitialMmapSize: mapped})
+func openDB(path string) (*bolt.DB, error) {
+	db, err := bolt.Open(path, 0o640, &bolt.Options{NoSync: true, NoFreelistSync: true, FreelistType: bolt.FreelistMapType, InitialMmapSize: initialMapSize})
 	if err != nil {
 		return nil, fmt.Errorf("opening a store of records: %w", err)
 	}
 	return db, nil
 }
 
-func (s *Store) at(name string) string { return filepath.Join(s.folder, name) }
+func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
-// use takes the file, which stays open until it is let go.
-func (s *Store) use() (*held, error) {
+// acquire takes the file, which stays open until it is let go.
+func (s *Store) acquire() (*openFile, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.file == nil {
@@ -127,10 +127,10 @@
 	return s.file, nil
 }
 
-func (s *Store) letGo(f *held) {
+func (s *Store) release(f *openFile) {
 	s.mu.Lock()
 	f.users--
-	last := f.gone && f.users == 0
+	last := f.replaced && f.users == 0
 	s.mu.Unlock()
 	if last {
 		f.db.Close()
@@ -138,13 +138,13 @@
 }
 
 // replace puts another file, or none, in the place of the present one.
-func (s *Store) replace(with *held) {
+func (s *Store) replace(with *openFile) {
 	s.mu.Lock()
 	old := s.file
 	s.file = with
 	last := old != nil && old.users == 0
 	if old != nil {
-		old.gone = true
+		old.replaced = true
 	}
 	s.mu.Unlock()
 	if last {
@@ -161,36 +161,36 @@
 // Update runs a change in one transaction, and keeps with it the index of the last
 // log entry that it covers. On an error nothing is changed.
 func (s *Store) Update(index uint64, change func(records.Store) error) error {
-	f, err := s.use()
+	f, err := s.acquire()
 	if err != nil {
 		return err
 	}
-	defer s.letGo(f)
+	defer s.release(f)
 	return f.db.Update(func(tx *bolt.Tx) error {
-		if err := change(table{tx}); err != nil {
+		if err := change(transaction{tx}); err != nil {
 			return err
 		}
-		return tx.Bucket(meta).Put(indexAt, binary.BigEndian.AppendUint64(nil, index))
+		return tx.Bucket(metaBucket).Put(appliedIndexKey, binary.BigEndian.AppendUint64(nil, index))
 	})
 }
 
 // View reads one consistent state of the store.
 func (s *Store) View(read func(records.Reader) error) error {
-	f, err := s.use()
+	f, err := s.acquire()
 	if err != nil {
 		return err
 	}
-	defer s.letGo(f)
-	return f.db.View(func(tx *bolt.Tx) error { return read(table{tx}) })
+	defer s.release(f)
+	return f.db.View(func(tx *bolt.Tx) error { return read(transaction{tx}) })
 }
 
 // Index is the index of the last log entry that is in the store.
 func (s *Store) Index() (index uint64, err error) {
-	f, err := s.use()
+	f, err := s.acquire()
 	if err != nil {
 		return 0, err
 	}
-	defer s.letGo(f)
+	defer s.release(f)
 	return index, f.db.View(func(tx *bolt.Tx) error {
 		index = appliedIndex(tx)
 		return nil
@@ -198,7 +198,7 @@
 }
 
 func appliedIndex(tx *bolt.Tx) uint64 {
-	if text := tx.Bucket(meta).Get(indexAt); len(text) == 8 {
+	if text := tx.Bucket(metaBucket).Get(appliedIndexKey); len(text) == 8 {
 		return binary.BigEndian.Uint64(text)
 	}
 	return 0
@@ -207,23 +207,23 @@
 // Size is the size of the file in bytes. Room that cuts have freed is used again,
 // but not given back before the next restore.
 func (s *Store) Size() (int64, error) {
-	info, err := os.Stat(s.at(fileName))
+	info, err := os.Stat(s.path(recordsFile))
 	if err != nil {
 		return 0, err
 	}
 	return info.Size(), nil
 }
 
-// table is the store within a transaction.
-type table struct{ tx *bolt.Tx }
+// transaction is the store within a transaction.
+type transaction struct{ tx *bolt.Tx }
 
-// prefix begins all keys of a tenant.
-func prefix(tenant string) []byte {
+// tenantPrefix begins all keys of a tenant.
+func tenantPrefix(tenant string) []byte {
 	return append(binary.BigEndian.AppendUint16(make([]byte, 0, 64+len(tenant)), uint16(len(tenant))), tenant...)
 }
 
-// place adds a place, so that keys sort as places do. Names of processes have no 0.
-func place(key []byte, o records.Order) []byte {
+// appendPosition adds a place, so that keys sort as places do. Names of processes have no 0.
+func appendPosition(key []byte, o records.Position) []byte {
 	key = binary.BigEndian.AppendUint64(key, uint64(o.Ended)^1<<63)
 	key = append(append(key, o.Process...), 0)
 	key = binary.BigEndian.AppendUint64(key, o.Epoch)
@@ -234,62 +234,62 @@
 	return binary.BigEndian.AppendUint64(make([]byte, 0, 128), xxhash.Sum64String(id))
 }
 
-func (t table) Put(r *records.Record, text []byte) error {
-	key := place(prefix(r.Tenant), r.Order())
-	if err := t.tx.Bucket(byOrder).Put(key, text); err != nil {
+func (t transaction) Put(r *records.Record, text []byte) error {
+	key := appendPosition(tenantPrefix(r.Tenant), r.Position())
+	if err := t.tx.Bucket(recordsBucket).Put(key, text); err != nil {
 		return fmt.Errorf("storing a record: %w", err)
 	}
-	if err := t.tx.Bucket(byID).Put(append(idPrefix(r.ID), key...), nil); err != nil {
+	if err := t.tx.Bucket(idsBucket).Put(append(idPrefix(r.ID), key...), nil); err != nil {
 		return fmt.Errorf("storing a record's id: %w", err)
 	}
 	return nil
 }
 
-func (t table) Delete(r *records.Record) error {
-	key := place(prefix(r.Tenant), r.Order())
-	if err := t.tx.Bucket(byOrder).Delete(key); err != nil {
+func (t transaction) Delete(r *records.Record) error {
+	key := appendPosition(tenantPrefix(r.Tenant), r.Position())
+	if err := t.tx.Bucket(recordsBucket).Delete(key); err != nil {
 		return fmt.Errorf("removing a record: %w", err)
 	}
-	if err := t.tx.Bucket(byID).Delete(append(idPrefix(r.ID), key...)); err != nil {
+	if err := t.tx.Bucket(idsBucket).Delete(append(idPrefix(r.ID), key...)); err != nil {
 		return fmt.Errorf("removing a record's id: %w", err)
 	}
 	return nil
 }
 
-func (t table) Range(tenant string, from records.Order, yield func(*records.Record, []byte) bool) error {
-	of, c := prefix(tenant), t.tx.Bucket(byOrder).Cursor()
-	for k, v := c.Seek(place(prefix(tenant), from)); bytes.HasPrefix(k, of); k, v = c.Next() {
-		if more, err := give(v, yield); !more || err != nil {
+func (t transaction) Ascend(tenant string, from records.Position, yield func(*records.Record, []byte) bool) error {
+	of, c := tenantPrefix(tenant), t.tx.Bucket(recordsBucket).Cursor()
+	for k, v := c.Seek(appendPosition(tenantPrefix(tenant), from)); bytes.HasPrefix(k, of); k, v = c.Next() {
+		if more, err := yieldRecord(v, yield); !more || err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t table) Back(tenant string, before records.Order, yield func(*records.Record, []byte) bool) error {
-	of, c := prefix(tenant), t.tx.Bucket(byOrder).Cursor()
-	k, v := c.Seek(place(prefix(tenant), before))
+func (t transaction) Descend(tenant string, before records.Position, yield func(*records.Record, []byte) bool) error {
+	of, c := tenantPrefix(tenant), t.tx.Bucket(recordsBucket).Cursor()
+	k, v := c.Seek(appendPosition(tenantPrefix(tenant), before))
 	if k == nil {
 		k, v = c.Last()
 	} else {
 		k, v = c.Prev()
 	}
 	for ; bytes.HasPrefix(k, of); k, v = c.Prev() {
-		if more, err := give(v, yield); !more || err != nil {
+		if more, err := yieldRecord(v, yield); !more || err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t table) ByID(id string, yield func(*records.Record, []byte) bool) error {
-	of, c, all := idPrefix(id), t.tx.Bucket(byID).Cursor(), t.tx.Bucket(byOrder)
+func (t transaction) ByID(id string, yield func(*records.Record, []byte) bool) error {
+	of, c, all := idPrefix(id), t.tx.Bucket(idsBucket).Cursor(), t.tx.Bucket(recordsBucket)
 	for k, _ := c.Seek(of); bytes.HasPrefix(k, of); k, _ = c.Next() {
 		v := all.Get(k[len(of):])
 		if v == nil {
 			return fmt.Errorf("the store of records: id %.40q names a record that is not there", id)
 		}
-		more, err := give(v, func(r *records.Record, text []byte) bool { return r.ID != id || yield(r, text) })
+		more, err := yieldRecord(v, func(r *records.Record, text []byte) bool { return r.ID != id || yield(r, text) })
 		if !more || err != nil {
 			return err
 		}
@@ -297,7 +297,7 @@
 	return nil
 }
 
-func give(text []byte, yield func(*records.Record, []byte) bool) (more bool, err error) {
+func yieldRecord(text []byte, yield func(*records.Record, []byte) bool) (more bool, err error) {
 	r, err := records.DecodeRecord(text)
 	if err != nil {
 		return false, fmt.Errorf("reading the store of records: %w", err)
--- a/internal/dispatcher/fleet/recordstore/store_test.go
+++ b/internal/dispatcher/fleet/recordstore/store_test.go
@@ -70,12 +70,12 @@
 	snap, err := s.Snapshot(small)
 	require.NoError(t, err)
 	// The store goes on, and the snapshot does not see it.
-	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.Others, Keep: records.Limits{Count: 1}}}}))
+	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{Count: 1}}}}))
 	require.NoError(t, s.Update(9, func(in records.Store) error {
-		c, needed, err := st.Plan(in, 0, 1000)
+		c, needed, err := st.PlanPrune(in, 0, 1000)
 		require.True(t, needed)
 		require.NoError(t, err)
-		done, err := st.Cut(0, in, c)
+		done, err := st.Prune(0, in, c)
 		require.Equal(t, 147, done.Removed)
 		return err
 	}))
@@ -106,11 +106,11 @@
 		index, err := other.Index()
 		require.NoError(t, err, name)
 		require.EqualValues(t, 7, index, name)
-		require.NoFileExists(t, other.at(newName))
+		require.NoFileExists(t, other.path(incomingFile))
 	}
 	copy(newer[headerSize-8:], binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(newer[:headerSize-8])))
 	_, _, err = other.Restore(bytes.NewReader(newer))
-	require.ErrorIs(t, err, ErrNewer)
+	require.ErrorIs(t, err, ErrNewerVersion)
 	require.NoError(t, fresh.Decode(small))
 	require.Equal(t, want, image(t, other, fresh))
 
@@ -149,7 +149,7 @@
 	require.NoError(t, err)
 	require.Zero(t, index)
 
-	f := records.Fence{Edition: 3, Marks: []records.Mark{{Tenant: "h", Lane: 1, Below: records.Order{Ended: 5, Process: "n1"}}}}
+	f := records.Fence{Edition: 3, Marks: []records.Watermark{{Tenant: "h", Lane: 1, Below: records.Position{Ended: 5, Process: "n1"}}}}
 	got, err := LoadFence(folder, "f1")
 	require.NoError(t, err)
 	require.Zero(t, got)
--- a/internal/dispatcher/fleet/recordstore/study_test.go
+++ b/internal/dispatcher/fleet/recordstore/study_test.go
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	t.Logf("an empty replica: snapshot of %.0f MB and %d bytes written in %v, restored in %v", float64(size)/1e6, len(small), written.Round(time.Millisecond), time.Since(begun).Round(time.Millisecond))
 
-	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.Others, Keep: records.Limits{Count: int64(n / 200)}}}}))
+	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{Count: int64(n / 200)}}}}))
 	for _, most := range []int{1000, 10000} {
 		var planned, cut []time.Duration
 		removed := 0
@@ -80,12 +80,12 @@
 			begun := time.Now()
 			var c records.Prune
 			require.NoError(t, s.View(func(in records.Reader) (err error) {
-				c, _, err = st.Plan(in, int64(n)*1e6, most)
+				c, _, err = st.PlanPrune(in, int64(n)*1e6, most)
 				return err
 			}))
 			planned, begun = append(planned, time.Since(begun)), time.Now()
 			require.NoError(t, s.Update(0, func(in records.Store) error {
-				done, err := st.Cut(0, in, c)
+				done, err := st.Prune(0, in, c)
 				removed += done.Removed
 				return err
 			}))
@@ -99,11 +99,11 @@
 	for needed := true; needed; cuts++ {
 		var c records.Prune
 		require.NoError(t, s.View(func(in records.Reader) (err error) {
-			c, needed, err = st.Plan(in, int64(n)*1e6, 10000)
+			c, needed, err = st.PlanPrune(in, int64(n)*1e6, 10000)
 			return err
 		}))
 		require.NoError(t, s.Update(0, func(in records.Store) error {
-			done, err := st.Cut(0, in, c)
+			done, err := st.Prune(0, in, c)
 			removed += done.Removed
 			return err
 		}))
--- a/internal/dispatcher/fleet/spool/segment.go
+++ b/internal/dispatcher/fleet/spool/segment.go
@@ -27,44 +27,44 @@
 	ErrForeign = errors.New("the spool of another process")
 )
 
-// owner is the first batch of a segment.
-type owner struct {
+// segmentOwner is the first batch of a segment.
+type segmentOwner struct {
 	Process      string
 	Epoch, First uint64
 }
 
-// seg is a segment that is in the folder.
-type seg struct {
-	name  string
-	epoch uint64
-	first uint64 // number of its first record
-	next  uint64 // number after its last record
-	sent  uint64 // the fleet has all up to this number
-	size  int64
-	open  bool // it is being written
-	keep  bool // it is damaged, and stays
+// segmentFile is a segment that is in the folder.
+type segmentFile struct {
+	name           string
+	epoch          uint64
+	first          uint64 // number of its first record
+	next           uint64 // number after its last record
+	shippedThrough uint64 // the fleet has all up to this number
+	size           int64
+	writing        bool // it is being written
+	damaged        bool // it is damaged, and stays
 }
 
-func name(epoch uint64, index int) string { return fmt.Sprintf("%020d-%08d.seg", epoch, index) }
+func segmentName(epoch uint64, index int) string { return fmt.Sprintf("%020d-%08d.seg", epoch, index) }
 
-func header() []byte {
+func segmentHeader() []byte {
 	b := binary.LittleEndian.AppendUint32([]byte(magic), version)
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// batch frames a payload that has room for the frame before it.
-func batch(b []byte, chain uint64) uint64 { return segment.Frame(b, b[segment.FrameSize:], chain) }
+// frameBatch frames a payload that has room for the frame before it.
+func frameBatch(b []byte, chain uint64) uint64 { return segment.Frame(b, b[segment.FrameSize:], chain) }
 
-// scanned is what a reading of a segment found.
-type scanned struct {
+// segmentScan is what a reading of a segment found.
+type segmentScan struct {
 	segment.ScanResult
-	owner   owner
+	owner   segmentOwner
 	records uint64
 }
 
-// scan reads a segment from its start, and yields each batch's records with the number
+// scanSegment reads a segment from its start, and yields each batch's records with the number
 // of the first. No owner: it was being begun.
-func scan(text []byte, yield func(first uint64, texts [][]byte) error) (s scanned, err error) {
+func scanSegment(text []byte, yield func(first uint64, texts [][]byte) error) (s segmentScan, err error) {
 	if len(text) < headerSize {
 		s.Torn = true
 		return s, nil
@@ -85,7 +85,7 @@
 			owned = true
 			return nil
 		}
-		texts, ok := split(payload)
+		texts, ok := splitBatch(payload)
 		if !ok {
 			return segment.ErrInvalidRecord
 		}
@@ -96,7 +96,7 @@
 	return s, err
 }
 
-func split(payload []byte) (texts [][]byte, ok bool) {
+func splitBatch(payload []byte) (texts [][]byte, ok bool) {
 	for len(payload) > 0 {
 		n, size := binary.Uvarint(payload)
 		if size <= 0 || n > uint64(len(payload)-size) {
@@ -108,9 +108,9 @@
 	return texts, true
 }
 
-// recover finds what is in the folder, cuts torn ends and returns the latest epoch.
+// recoverSegments finds what is in the folder, cuts torn ends and returns the latest epoch.
 // All is looked at before anything is changed.
-func (p *Spool) recover() (last uint64, err error) {
+func (p *Spool) recoverSegments() (last uint64, err error) {
 	names, err := p.folder.Names()
 	if err != nil {
 		return 0, fmt.Errorf("listing the spool of records: %w", err)
@@ -125,7 +125,7 @@
 		if err != nil {
 			return 0, fmt.Errorf("reading %s of the spool: %w", name, err)
 		}
-		s, err := scan(text, func(uint64, [][]byte) error { return nil })
+		s, err := scanSegment(text, func(uint64, [][]byte) error { return nil })
 		if err != nil {
 			return 0, fmt.Errorf("%s of the spool: %w", name, err)
 		}
@@ -144,15 +144,15 @@
 			cut = append(cut, torn{name, s.ValidBytes, len(text)})
 		}
 		if s.records > 0 {
-			p.segs = append(p.segs, &seg{
-				name: name, epoch: s.owner.Epoch, first: s.owner.First, next: s.owner.First + s.records, sent: s.owner.First - 1, size: int64(s.ValidBytes), keep: s.Err != nil,
+			p.segments = append(p.segments, &segmentFile{
+				name: name, epoch: s.owner.Epoch, first: s.owner.First, next: s.owner.First + s.records, shippedThrough: s.owner.First - 1, size: int64(s.ValidBytes), damaged: s.Err != nil,
 			})
 		} else if s.Err == nil && !s.Torn {
 			cut = append(cut, torn{name, 0, len(text)})
 		}
 	}
 	kept := func(name string) bool {
-		for _, s := range p.segs {
+		for _, s := range p.segments {
 			if s.name == name {
 				return true
 			}
@@ -175,8 +175,8 @@
 	return last, nil
 }
 
-// decode reads the records that are to be shipped.
-func decode(texts [][]byte) (all []records.Record, err error) {
+// decodeRecords reads the records that are to be shipped.
+func decodeRecords(texts [][]byte) (all []records.Record, err error) {
 	for _, text := range texts {
 		r, err := records.DecodeRecord(text)
 		if err != nil {
--- a/internal/dispatcher/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -11,22 +11,22 @@
 
 // sender ships what is written, the oldest first. It belongs to its goroutine.
 type sender struct {
-	p      *Spool
-	epochs map[uint64]uint64 // how far the fleet has each
-	lost   bool              // what is before the next records is not to be had
-	told   bool
+	spool          *Spool
+	shippedThrough map[uint64]uint64 // how far the fleet has each
+	gapBefore      bool              // what is before the next records is not to be had
+	failureLogged  bool
 }
 
 func (s *sender) run(ctx context.Context) {
-	p := s.p
+	p := s.spool
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	ended := p.writer.ended
+	ended := p.writer.stopped
 	for ctx.Err() == nil {
-		ship, last, err := s.load()
+		ship, last, err := s.nextBatch()
 		switch {
 		case err != nil:
-			p.failed(err)
+			p.recordFailure(err)
 		case ship.Process == "":
 			p.shippingSince.Store(0)
 			if ended == nil {
@@ -44,10 +44,10 @@
 			if err = s.send(ctx, ship, last); err == nil {
 				continue
 			}
-			if !s.told && ctx.Err() == nil {
+			if !s.failureLogged && ctx.Err() == nil {
 				p.log.WithError(err).Warn("records can't be shipped to the fleet: they wait in the spool")
 			}
-			s.told = true
+			s.failureLogged = true
 		}
 		timer.Reset(p.settings.RetryInterval)
 		select {
@@ -57,64 +57,64 @@
 	}
 }
 
-// load reads the next records to be shipped; none: there is nothing. Segments that
+// nextBatch reads the next records to be shipped; none: there is nothing. Segments that
 // the fleet has whole are removed.
-func (s *sender) load() (ship records.Ship, last uint64, err error) {
-	p := s.p
+func (s *sender) nextBatch() (ship records.Ship, last uint64, err error) {
+	p := s.spool
 	for {
 		ship = records.Ship{}
 		p.mu.Lock()
-		if len(p.segs) == 0 {
+		if len(p.segments) == 0 {
 			p.mu.Unlock()
 			return ship, 0, nil
 		}
-		g := *p.segs[0]
-		g.sent = max(g.sent, min(s.epochs[g.epoch], g.next-1))
-		p.segs[0].sent = g.sent
-		idle := g.sent+1 >= g.next
-		if idle && !g.open {
-			p.segs = p.segs[1:]
+		g := *p.segments[0]
+		g.shippedThrough = max(g.shippedThrough, min(s.shippedThrough[g.epoch], g.next-1))
+		p.segments[0].shippedThrough = g.shippedThrough
+		idle := g.shippedThrough+1 >= g.next
+		if idle && !g.writing {
+			p.segments = p.segments[1:]
 		}
 		p.mu.Unlock()
-		if idle && g.open {
+		if idle && g.writing {
 			return ship, 0, nil
 		}
 		if idle {
-			if g.keep {
+			if g.damaged {
 				continue
 			}
 			if err := p.folder.Remove(g.name); err != nil {
-				p.failed(fmt.Errorf("removing a shipped segment of the spool: %w", err)) // the fleet counts once
+				p.recordFailure(fmt.Errorf("removing a shipped segment of the spool: %w", err)) // the fleet counts once
 			}
-			poke(p.freed)
+			signal(p.freed)
 			continue
 		}
 		text, err := p.folder.Read(g.name)
 		if err != nil {
 			return ship, 0, fmt.Errorf("reading the spool: %w", err)
 		}
-		ship = records.Ship{Process: p.settings.Process, Epoch: g.epoch, First: g.sent + 1, Lost: s.lost}
-		found, err := scan(text[:min(int64(len(text)), g.size)], func(first uint64, texts [][]byte) error {
+		ship = records.Ship{Process: p.settings.Process, Epoch: g.epoch, First: g.shippedThrough + 1, Lost: s.gapBefore}
+		found, err := scanSegment(text[:min(int64(len(text)), g.size)], func(first uint64, texts [][]byte) error {
 			if skip := ship.First - first; first < ship.First {
 				texts = texts[min(skip, uint64(len(texts))):]
 			}
-			all, err := decode(texts)
+			all, err := decodeRecords(texts)
 			if err != nil {
 				return err
 			}
 			if ship.Records = append(ship.Records, all...); len(ship.Records) >= p.settings.BatchSize {
-				return errEnough
+				return errBatchComplete
 			}
 			return nil
 		})
-		if err != nil && !errors.Is(err, errEnough) {
+		if err != nil && !errors.Is(err, errBatchComplete) {
 			return ship, 0, fmt.Errorf("reading the spool: %w", err)
 		}
 		if len(ship.Records) == 0 { // it was sound when it was written or found
 			p.log.WithError(found.Err).Errorf("%s of the spool of records can't be read any more: %d records are lost", g.name, g.next-ship.First)
 			p.lost.Add(int64(g.next - ship.First))
-			s.lost = true
-			s.epochs[g.epoch] = max(s.epochs[g.epoch], g.next-1)
+			s.gapBefore = true
+			s.shippedThrough[g.epoch] = max(s.shippedThrough[g.epoch], g.next-1)
 			continue
 		}
 		return ship, ship.First + uint64(len(ship.Records)) - 1, nil
@@ -123,16 +123,16 @@
 
 // send ships records and takes in how far the fleet has them.
 func (s *sender) send(ctx context.Context, ship records.Ship, last uint64) error {
-	p := s.p
+	p := s.spool
 	through, err := p.ship(ctx, ship)
 	switch {
 	case errors.Is(err, records.ErrGap):
 		p.mu.Lock()
-		first := p.segs[0].first
+		first := p.segments[0].first
 		if through+1 >= first && through+1 < ship.First { // it is still here
-			p.segs[0].sent, s.epochs[ship.Epoch] = through, through
+			p.segments[0].shippedThrough, s.shippedThrough[ship.Epoch] = through, through
 		} else {
-			s.lost = true
+			s.gapBefore = true
 			p.lost.Add(int64(ship.First - 1 - min(through, ship.First-1)))
 		}
 		p.mu.Unlock()
@@ -142,11 +142,11 @@
 	case through < last:
 		return fmt.Errorf("the fleet has records up to %d after %d were shipped", through, last)
 	}
-	if s.told {
+	if s.failureLogged {
 		p.log.Info("records are shipped to the fleet again")
 	}
-	s.lost, s.told = false, false
+	s.gapBefore, s.failureLogged = false, false
 	p.shipped.Add(int64(last + 1 - ship.First))
-	s.epochs[ship.Epoch] = through
+	s.shippedThrough[ship.Epoch] = through
 	return nil
 }
--- a/internal/dispatcher/fleet/spool/spool_test.go
+++ b/internal/dispatcher/fleet/spool/spool_test.go
@@ -200,7 +200,7 @@
 				r := p.Stats()
 				end(t, p)
 				require.Equal(t, upTo(15), f.ids, "call %d", k)
-				require.Zero(t, r.Dropped+r.Unsent+r.Lost+r.Oldest)
+				require.Zero(t, r.Dropped+r.Unsent+r.Lost+r.OldestEnded)
 				require.EqualValues(t, 15, r.Shipped)
 				reached = d.calls >= k+times+1
 				require.Equal(t, reached || r.Failures > 0, r.Failures > 0, "call %d", k)
--- a/internal/dispatcher/segment/folder.go
+++ b/internal/dispatcher/segment/folder.go
@@ -36,7 +36,7 @@
 // ErrInUse says that another process writes to a folder.
 var ErrInUse = errors.New("in use by another process")
 
-type folder struct {
+type osDirectory struct {
 	path string
 	lock *os.File // nil: read only
 }
@@ -55,7 +55,7 @@
 		lock.Close()
 		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
-	return &folder{path, lock}, nil
+	return &osDirectory{path, lock}, nil
 }
 
 // ReadDirectory opens a folder for reading, also while a process writes to it.
@@ -67,12 +67,12 @@
 	if !info.IsDir() {
 		return nil, fmt.Errorf("%s is no folder", path)
 	}
-	return &folder{path: path}, nil
+	return &osDirectory{path: path}, nil
 }
 
-func (f *folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f *osDirectory) filePath(name string) string { return filepath.Join(f.path, name) }
 
-func (f *folder) Names() ([]string, error) {
+func (f *osDirectory) Names() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, err
@@ -87,16 +87,18 @@
 	return names, nil
 }
 
-func (f *folder) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
+func (f *osDirectory) Read(name string) ([]byte, error) { return os.ReadFile(f.filePath(name)) }
 
-func (f *folder) Create(name string) (File, error) {
-	return os.OpenFile(f.at(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
+func (f *osDirectory) Create(name string) (File, error) {
+	return os.OpenFile(f.filePath(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 }
 
-func (f *folder) Truncate(name string, size int64) error { return os.Truncate(f.at(name), size) }
-func (f *folder) Remove(name string) error               { return os.Remove(f.at(name)) }
+func (f *osDirectory) Truncate(name string, size int64) error {
+	return os.Truncate(f.filePath(name), size)
+}
+func (f *osDirectory) Remove(name string) error { return os.Remove(f.filePath(name)) }
 
-func (f *folder) Sync() error {
+func (f *osDirectory) Sync() error {
 	d, err := os.Open(f.path)
 	if err != nil {
 		return err
@@ -105,7 +107,7 @@
 	return d.Sync()
 }
 
-func (f *folder) Close() error {
+func (f *osDirectory) Close() error {
 	if f.lock == nil {
 		return nil
 	}
