--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -42,7 +42,7 @@
 	client        *rpc.Client
 	clockZero     time.Time // the own clock's zero
 	nonce         string
-	allowance     *budget.Purse
+	allowance     *budget.Allowance
 	buckets       atomic.Pointer[bucketSet]
 	lastRejection map[string]time.Duration // see Room
 
@@ -57,9 +57,9 @@
 // New returns an agent that has not joined. Until its first grant it admits nothing
 // of the budgets that it expects.
 func New(s Settings) *Agent {
-	a := &Agent{settings: s, client: rpc.New(s.RaftNodes), clockZero: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), allowance: budget.NewPurse(),
+	a := &Agent{settings: s, client: rpc.New(s.RaftNodes), clockZero: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), allowance: budget.NewAllowance(),
 		leaving: make(chan struct{}), lastRejection: make(map[string]time.Duration)}
-	a.allowance.Expect(s.ExpectedBudgets...)
+	a.allowance.ExpectBudgets(s.ExpectedBudgets...)
 	a.addBuckets(s.ExpectedBudgets)
 	return a
 }
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	a.allowance.Become(a.settings.Process, s.Incarnation)
+	a.allowance.SetIncarnation(a.settings.Process, s.Incarnation)
 	if err := s.Execute(join, state.SetSettings, a.settings.FleetSettings, nil); err != nil && !errors.Is(err, rpc.ErrUnavailable) {
 		if errors.Is(err, state.ErrFenced) {
 			return err
@@ -135,7 +135,7 @@
 		case <-a.leaving:
 			<-ctx.Done() // nothing is spent any more
 			return ctx.Err()
-		case <-time.After(max(0, a.allowance.Due(a.now())-a.now())):
+		case <-time.After(max(0, a.allowance.NextRenewal(a.now())-a.now())):
 		}
 	}
 }
@@ -156,7 +156,7 @@
 		a.settings.Log.WithField("part", part).Warn("the fleet refuses what a renewal says: " + why)
 	}
 	a.renewedAt.Store(int64(sent))
-	a.leaseEnd.Store(int64(sent + time.Duration(budget.Margin*float64(told.Lease))))
+	a.leaseEnd.Store(int64(sent + time.Duration(budget.LeaseMargin*float64(told.Lease))))
 	a.members.Store(int64(told.Members))
 	var g budget.Grant
 	if text := told.Parts[partition.BudgetsName]; text != nil {
--- a/internal/dispatcher/fleet/agent/spend.go
+++ b/internal/dispatcher/fleet/agent/spend.go
@@ -13,8 +13,8 @@
 // names a budget that was not known.
 type bucketSet struct {
 	names                        map[string]bool
-	admission, retries, inFlight map[string]*budget.Tap
-	cold, probes                 *budget.Tap
+	admission, retries, inFlight map[string]*budget.TokenBucket
+	cold, probes                 *budget.TokenBucket
 }
 
 // addBuckets makes the taps of these budgets known.
@@ -27,7 +27,7 @@
 	if !unknown {
 		return
 	}
-	t := &bucketSet{names: map[string]bool{}, admission: map[string]*budget.Tap{}, retries: map[string]*budget.Tap{}, inFlight: map[string]*budget.Tap{}}
+	t := &bucketSet{names: map[string]bool{}, admission: map[string]*budget.TokenBucket{}, retries: map[string]*budget.TokenBucket{}, inFlight: map[string]*budget.TokenBucket{}}
 	if old != nil {
 		for n := range old.names {
 			names = append(names, n)
@@ -36,7 +36,7 @@
 	for _, n := range names {
 		t.names[n] = true
 		of, name, _ := strings.Cut(n, "/")
-		switch tap := a.allowance.Tap(n); of {
+		switch tap := a.allowance.Bucket(n); of {
 		case settings.BudgetJobs:
 			t.admission[name] = tap
 		case settings.BudgetRetries:
@@ -65,7 +65,7 @@
 	if t.Take(own) {
 		return time.Time{}, true
 	}
-	return now.Add(t.ComeBack(own)), false
+	return now.Add(t.RetryAfter(own)), false
 }
 
 // TakeRetry implements basaltloft.Purse.
@@ -77,7 +77,7 @@
 // RetryTime implements core.Spending.
 func (a *Agent) RetryTime(class string, now time.Time) time.Time {
 	if t := a.buckets.Load().retries[class]; t != nil {
-		return now.Add(t.ComeBack(a.now()))
+		return now.Add(t.RetryAfter(a.now()))
 	}
 	return now
 }
@@ -93,10 +93,10 @@
 		return true
 	}
 	now := a.now()
-	free := t.Free(now)
+	free := t.CanBegin(now)
 	if !free && now-a.lastRejection[kind] >= rejectionInterval {
 		a.lastRejection[kind] = now
-		t.Short()
+		t.CountRejection()
 	}
 	return free
 }
@@ -129,6 +129,6 @@
 // parts are divided.
 func (a *Agent) SetArrivalRate(rate float64) {
 	if t := a.buckets.Load().cold; t != nil {
-		t.Want(rate)
+		t.SetDemand(rate)
 	}
 }
--- a/internal/dispatcher/fleet/budget/bench_test.go
+++ b/internal/dispatcher/fleet/budget/bench_test.go
@@ -10,12 +10,12 @@
 // that is enough and of one that mostly turns away; clock reads the time each time.
 func BenchmarkTap(b *testing.B) {
 	for _, rate := range []float64{1e8, 1e4} {
-		p, begin := NewPurse(), time.Now()
-		p.Become("n1", 1)
+		p, begin := NewAllowance(), time.Now()
+		p.SetIncarnation("n1", 1)
 		p.Apply(0, 0, Grant{Process: "n1", Incarnation: 1, Number: 1, Lease: time.Hour, Shares: []Share{
 			{Name: "r", Kind: Rate, Amount: rate, Burst: rate}, {Name: "u", Kind: InFlight, Amount: rate, Linger: time.Hour},
 		}})
-		r, u := p.Tap("r"), p.Tap("u")
+		r, u := p.Bucket("r"), p.Bucket("u")
 		for name, do := range map[string]func(now time.Duration){
 			"take":           func(now time.Duration) { r.Take(now) },
 			"take and clock": func(time.Duration) { r.Take(time.Since(begin)) },
@@ -38,18 +38,18 @@
 }
 
 // fleetOf is a book with n holders of one budget that have renewed and acknowledged.
-func fleetOf(n int, kind Kind) (*Book, []Renewal) {
-	b, at := NewBook(), time.Duration(0)
+func fleetOf(n int, kind Kind) (*AllocationTable, []Renewal) {
+	b, at := NewAllocationTable(), time.Duration(0)
 	budget := Budget{Name: "x", Kind: kind, Whole: float64(10 * n), Linger: time.Second}
 	if kind == Rate {
 		budget.Burst = float64(2 * n)
 	}
 	must(b.Configure(at, Config{Lease: lease, Budgets: []Budget{budget}}))
 	renewals := make([]Renewal, n)
-	for ; at < 6*Interval; at += Interval {
+	for ; at < 6*DivisionInterval; at += DivisionInterval {
 		for i := range renewals {
 			r := &renewals[i]
-			r.Process, r.Incarnation, r.Uses = fmt.Sprintf("n%04d", i), 1, map[string]Use{"x": {Demand: float64(1 + i%25)}}
+			r.Process, r.Incarnation, r.Uses = fmt.Sprintf("n%04d", i), 1, map[string]Usage{"x": {Demand: float64(1 + i%25)}}
 			g, err := b.Renew(at, *r)
 			must(err)
 			r.Bound = g.Number
@@ -72,7 +72,7 @@
 				})
 			}
 			run("divide", func(int) {
-				book.Budgets[0].Dirty, book.Budgets[0].Divided = true, -Interval
+				book.Budgets[0].Dirty, book.Budgets[0].Divided = true, -DivisionInterval
 				book.Advance(book.At)
 			})
 			run("nothing", func(int) { book.Advance(book.At) })
--- a/internal/dispatcher/fleet/budget/book_code.go
+++ b/internal/dispatcher/fleet/budget/book_code.go
@@ -8,12 +8,12 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// version is the form of the state that this program writes and reads.
-const version = 1
+// stateVersion is the form of the state that this program writes and reads.
+const stateVersion = 1
 
 // Encode writes the state: the same state gives the same bytes.
-func (b *Book) Encode() ([]byte, error) {
-	text, err := codec.Encode(&b.image)
+func (b *AllocationTable) Encode() ([]byte, error) {
+	text, err := codec.Encode(&b.storedState)
 	if err != nil {
 		return nil, fmt.Errorf("state of the budgets: %w", err)
 	}
@@ -23,23 +23,23 @@
 // Decode takes the state that Encode wrote in the place of its own. A text that
 // is cut short, of another version, or does not hold together is an error, and
 // nothing changes.
-func (b *Book) Decode(text []byte) error {
-	var im image
+func (b *AllocationTable) Decode(text []byte) error {
+	var im storedState
 	if err := codec.Decode(text, &im); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
 	}
-	if im.Version != version {
-		return fmt.Errorf("state of the budgets: version %d, not %d", im.Version, version)
+	if im.Version != stateVersion {
+		return fmt.Errorf("state of the budgets: version %d, not %d", im.Version, stateVersion)
 	}
 	if err := im.check(); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
 	}
-	b.image = im
-	b.sum()
+	b.storedState = im
+	b.rebuildTotals()
 	return nil
 }
 
-func (im *image) check() error {
+func (im *storedState) check() error {
 	for i, s := range im.Budgets {
 		if s == nil || i > 0 && im.Budgets[i-1].Name >= s.Name {
 			return fmt.Errorf("budget %d: out of order", i)
@@ -49,18 +49,18 @@
 		}
 	}
 	for i, h := range im.Holders {
-		if h == nil || len(h.Lines) != len(im.Budgets) {
+		if h == nil || len(h.Allocations) != len(im.Budgets) {
 			return fmt.Errorf("holder %d: not a line a budget", i)
 		}
-		if h.Bound > h.Number || h.Number > im.Number {
-			return fmt.Errorf("holder %q: numbers %d, %d, %d", h.Process, h.Bound, h.Number, im.Number)
+		if h.AcknowledgedGrant > h.OfferedGrant || h.OfferedGrant > im.Number {
+			return fmt.Errorf("holder %q: numbers %d, %d, %d", h.Process, h.AcknowledgedGrant, h.OfferedGrant, im.Number)
 		}
 	}
 	if im.At < 0 || im.Lease < 0 {
 		return fmt.Errorf("fleet time %v, lease %v: below 0", im.At, im.Lease)
 	}
 	for i, s := range im.Budgets {
-		if err := im.amounts(i, s); err != nil {
+		if err := im.checkAmounts(i, s); err != nil {
 			return fmt.Errorf("budget %q: %w", s.Name, err)
 		}
 	}
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// amounts looks whether what is given of a budget are figures that can be summed.
-func (im *image) amounts(i int, s *standing) error {
+// checkAmounts looks whether what is given of a budget are figures that can be summed.
+func (im *storedState) checkAmounts(i int, s *budgetState) error {
 	sum := 0.0
 	add := func(xs ...int64) bool {
 		for _, x := range xs {
@@ -91,9 +91,9 @@
 		}
 	}
 	for _, h := range im.Holders {
-		l := &h.Lines[i]
-		if p, q := l.Bound, l.Offered; !add(p.Amount, p.Burst, p.Floor, q.Amount, q.Burst, q.Floor, l.Under, l.Due, l.DueBurst) ||
-			p.FloorFor < 0 || p.Linger < 0 || q.FloorFor < 0 || q.Linger < 0 || !(l.Demand >= 0 && l.Demand <= mostWhole) {
+		l := &h.Allocations[i]
+		if p, q := l.Acknowledged, l.Offered; !add(p.Amount, p.Burst, p.Floor, q.Amount, q.Burst, q.Floor, l.InFlight, l.Due, l.DueBurst) ||
+			p.FloorDuration < 0 || p.SettleTime < 0 || q.FloorDuration < 0 || q.SettleTime < 0 || !(l.Demand >= 0 && l.Demand <= maxTotal) {
 			return fmt.Errorf("holder %q: figures below 0 or too great: %+v", h.Process, *l)
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 // Digest is the sum of the encoded state, compared between replicas.
-func (b *Book) Digest() (uint64, error) {
+func (b *AllocationTable) Digest() (uint64, error) {
 	text, err := b.Encode()
 	if err != nil {
 		return 0, err
@@ -109,22 +109,22 @@
 	return codec.Digest(text), nil
 }
 
-// sum makes anew what follows from the state.
-func (b *Book) sum() {
-	b.current = make(map[string]*holder, len(b.Holders))
+// rebuildTotals makes anew what follows from the state.
+func (b *AllocationTable) rebuildTotals() {
+	b.activeHolders = make(map[string]*holder, len(b.Holders))
 	for _, s := range b.Budgets {
-		s.held, s.resting = sums{}, sums{}
+		s.held, s.quarantined = totals{}, totals{}
 		for _, r := range s.Rests {
-			s.resting.rest(r, 1)
+			s.quarantined.addQuarantine(r, 1)
 		}
 	}
 	for _, h := range b.Holders {
-		if !h.Old {
-			b.current[h.Process] = h
+		if !h.Superseded {
+			b.activeHolders[h.Process] = h
 		}
 		for i, s := range b.Budgets {
-			s.held.add(&h.Lines[i], 1)
+			s.held.add(&h.Allocations[i], 1)
 		}
 	}
-	b.due = b.At // what is due is looked for with the next call
+	b.nextDue = b.At // what is due is looked for with the next call
 }
--- a/internal/dispatcher/fleet/budget/book_divide.go
+++ b/internal/dispatcher/fleet/budget/book_divide.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// divide divides the budgets anew that changed, each once an Interval at most.
-func (b *Book) divide() {
+// divideChanged divides the budgets anew that changed, each once an Interval at most.
+func (b *AllocationTable) divideChanged() {
 	for i, s := range b.Budgets {
-		if s.Dirty && b.At-s.Divided >= Interval {
-			b.divideOne(i, s)
+		if s.Dirty && b.At-s.Divided >= DivisionInterval {
+			b.divideBudget(i, s)
 			s.Dirty, s.Divided = false, b.At
 		}
 	}
 }
 
-// divideOne says what is due to each holder. What older incarnations hold, what
+// divideBudget says what is due to each holder. What older incarnations hold, what
 // rests and what is set aside is not divided; parts that rest are, as they come
 // back to those that they are due to.
-func (b *Book) divideOne(i int, s *standing) {
-	amount, burst, _ := s.aside()
-	whole, bursts := millionths(s.Whole)-amount, millionths(s.Burst)-burst
+func (b *AllocationTable) divideBudget(i int, s *budgetState) {
+	amount, burst, _ := s.reservedFloors()
+	whole, bursts := toMicros(s.Whole)-amount, toMicros(s.Burst)-burst
 	for _, r := range s.Rests {
 		if s.Kind != Divided || r.Floor {
 			whole -= r.Amount
 		}
 		bursts -= r.Burst
 	}
-	floor, live, wanting := millionths(s.Floor), 0, 0
-	b.asks, b.who = b.asks[:0], b.who[:0]
+	floor, live, wanting := toMicros(s.Floor), 0, 0
+	b.claims, b.candidates = b.claims[:0], b.candidates[:0]
 	for k, h := range b.Holders {
-		l := &h.Lines[i]
-		if h.Old {
-			held := l.held()
+		l := &h.Allocations[i]
+		if h.Superseded {
+			held := l.upperBound()
 			whole -= held.Amount
 			bursts -= held.Burst
 			continue
@@ -41,12 +41,12 @@
 		live++
 		if l.hasFloor() {
 			whole -= floor
-			bursts -= s.floorBurst()
+			bursts -= s.burstPerFloor()
 		}
-		if b.wants(i, s, h) > 0 {
+		if b.demandBeyondFloor(i, s, h) > 0 {
 			wanting++
 		}
-		b.who = append(b.who, k)
+		b.candidates = append(b.candidates, k)
 		l.Due, l.DueBurst = 0, 0
 	}
 	whole, bursts = max(whole, 0), max(bursts, 0)
@@ -56,39 +56,39 @@
 	seats, most := live, live
 	switch s.Kind {
 	case Rate:
-		seats = int(min(bursts/unit, int64(live)))
+		seats = int(min(bursts/microsPerUnit, int64(live)))
 	case InFlight: // who wants nothing needs no seat
-		seats, most = int(min(whole/unit, int64(live))), wanting
+		seats, most = int(min(whole/microsPerUnit, int64(live))), wanting
 	}
 	s.Turn = 0
 	if seats < most {
-		b.seat(i, s, seats, wanting)
+		b.assignSeats(i, s, seats, wanting)
 	}
 	if seats == 0 {
 		return
 	}
-	for _, k := range b.who {
+	for _, k := range b.candidates {
 		h := b.Holders[k]
-		b.asks = append(b.asks, Ask{Demand: b.wants(i, s, h), Weight: s.weight(h.Process)})
+		b.claims = append(b.claims, Claim{Demand: b.demandBeyondFloor(i, s, h), Weight: s.weight(h.Process)})
 	}
-	b.outs = slices.Grow(b.outs[:0], len(b.asks))[:len(b.asks)]
+	b.shares = slices.Grow(b.shares[:0], len(b.claims))[:len(b.claims)]
 	switch s.Kind {
 	case InFlight:
-		b.whole(i, whole/unit)
+		b.divideWholeJobs(i, whole/microsPerUnit)
 	default:
-		b.way(figure(whole), b.asks, b.outs)
-		for n, k := range b.who {
-			b.Holders[k].Lines[i].Due = min(millionths(max(b.outs[n], 0)), whole)
+		b.policy(fromMicros(whole), b.claims, b.shares)
+		for n, k := range b.candidates {
+			b.Holders[k].Allocations[i].Due = min(toMicros(max(b.shares[n], 0)), whole)
 		}
 	}
 	if s.Kind == Rate {
-		b.bursts(i, bursts)
+		b.divideBurst(i, bursts)
 	}
 }
 
-// wants is what a holder asks for beyond its floor.
-func (b *Book) wants(i int, s *standing, h *holder) float64 {
-	l := &h.Lines[i]
+// demandBeyondFloor is what a holder asks for beyond its floor.
+func (b *AllocationTable) demandBeyondFloor(i int, s *budgetState, h *holder) float64 {
+	l := &h.Allocations[i]
 	d := l.Demand
 	if l.hasFloor() {
 		d -= s.Floor
@@ -99,19 +99,19 @@
 	return min(max(d, 0), s.Whole)
 }
 
-// turns is how many leases a seat is kept where others wait for one.
-const turns = 2
+// seatTurnLeases is how many leases a seat is kept where others wait for one.
+const seatTurnLeases = 2
 
-// seat leaves in who those that get a share where one cannot be cut small enough
+// assignSeats leaves in who those that get a share where one cannot be cut small enough
 // for all: a token bucket needs 1 of the burst, and a job is whole. Who wants
 // something and has had a seat for less than a turn keeps it, then come those
 // that wait, the longest first, then who has had one for longest.
-func (b *Book) seat(i int, s *standing, seats, wanting int) {
+func (b *AllocationTable) assignSeats(i int, s *budgetState, seats, wanting int) {
 	class := func(k int) int {
 		h := b.Holders[k]
-		l := &h.Lines[i]
-		switch wants := b.wants(i, s, h) > 0; {
-		case wants && l.Seated && b.At-l.Since < turns*b.Lease:
+		l := &h.Allocations[i]
+		switch wants := b.demandBeyondFloor(i, s, h) > 0; {
+		case wants && l.Seated && b.At-l.Since < seatTurnLeases*b.Lease:
 			return 0
 		case wants && !l.Seated:
 			return 1
@@ -122,64 +122,64 @@
 		}
 		return 4
 	}
-	slices.SortFunc(b.who, func(x, y int) int {
+	slices.SortFunc(b.candidates, func(x, y int) int {
 		by := cmp.Compare(class(x), class(y))
-		since := cmp.Compare(b.Holders[x].Lines[i].Since, b.Holders[y].Lines[i].Since)
+		since := cmp.Compare(b.Holders[x].Allocations[i].Since, b.Holders[y].Allocations[i].Since)
 		if class(x) == 2 {
 			since = -since
 		}
 		return cmp.Or(by, since, cmp.Compare(x, y))
 	})
-	for n, k := range b.who {
-		if l := &b.Holders[k].Lines[i]; l.Seated != (n < seats) {
+	for n, k := range b.candidates {
+		if l := &b.Holders[k].Allocations[i]; l.Seated != (n < seats) {
 			l.Seated, l.Since = n < seats, b.At
 		}
 	}
 	if seats < wanting {
-		s.Turn = b.At + turns*b.Lease
-		b.due = min(b.due, s.Turn)
+		s.Turn = b.At + seatTurnLeases*b.Lease
+		b.nextDue = min(b.nextDue, s.Turn)
 	}
-	b.who = b.who[:seats]
-	slices.Sort(b.who)
+	b.candidates = b.candidates[:seats]
+	slices.Sort(b.candidates)
 }
 
-// bursts gives each that has a seat 1 and the rest by amount.
-func (b *Book) bursts(i int, bursts int64) {
+// divideBurst gives each that has a seat 1 and the rest by amount.
+func (b *AllocationTable) divideBurst(i int, bursts int64) {
 	all := 0.0
-	for _, k := range b.who {
-		all += float64(b.Holders[k].Lines[i].Due)
+	for _, k := range b.candidates {
+		all += float64(b.Holders[k].Allocations[i].Due)
 	}
-	rest := bursts - int64(len(b.who))*unit
-	for _, k := range b.who {
-		l := &b.Holders[k].Lines[i]
-		l.DueBurst = unit
+	rest := bursts - int64(len(b.candidates))*microsPerUnit
+	for _, k := range b.candidates {
+		l := &b.Holders[k].Allocations[i]
+		l.DueBurst = microsPerUnit
 		if all > 0 && rest > 0 {
 			l.DueBurst += int64(float64(rest) * (float64(l.Due) / all))
 		}
 	}
 }
 
-// whole divides whole jobs: one for each that wants any, the rest by the
+// divideWholeJobs divides whole jobs: one for each that wants any, the rest by the
 // way, and what is left of cutting to those that have it already.
-func (b *Book) whole(i int, jobs int64) {
+func (b *AllocationTable) divideWholeJobs(i int, jobs int64) {
 	left := jobs
-	for n, k := range b.who {
-		if b.asks[n].Demand >= 1 {
-			b.asks[n].Demand--
-			b.Holders[k].Lines[i].Due = unit
+	for n, k := range b.candidates {
+		if b.claims[n].Demand >= 1 {
+			b.claims[n].Demand--
+			b.Holders[k].Allocations[i].Due = microsPerUnit
 			left--
 		}
 	}
-	b.way(float64(left), b.asks, b.outs)
-	for n, k := range b.who {
-		got := min(int64(max(b.outs[n], 0)), left)
+	b.policy(float64(left), b.claims, b.shares)
+	for n, k := range b.candidates {
+		got := min(int64(max(b.shares[n], 0)), left)
 		left -= got
-		b.Holders[k].Lines[i].Due += got * unit
+		b.Holders[k].Allocations[i].Due += got * microsPerUnit
 	}
 	for _, having := range []bool{true, false} {
-		for _, k := range b.who {
-			if l := &b.Holders[k].Lines[i]; left > 0 && (l.Bound.Amount-l.Bound.Floor > l.Due) == having {
-				l.Due += unit
+		for _, k := range b.candidates {
+			if l := &b.Holders[k].Allocations[i]; left > 0 && (l.Acknowledged.Amount-l.Acknowledged.Floor > l.Due) == having {
+				l.Due += microsPerUnit
 				left--
 			}
 		}
--- a/internal/dispatcher/fleet/budget/book_test.go
+++ b/internal/dispatcher/fleet/budget/book_test.go
@@ -37,7 +37,7 @@
 	if b.Kind == InFlight {
 		all = max(all, m.under)
 	}
-	switch ends := m.ends + rests(b.Linger); {
+	switch ends := m.ends + quarantineSpan(b.Linger); {
 	case at < ends:
 		return all
 	case at < ends+b.FloorFor:
@@ -56,7 +56,7 @@
 		{Name: "u", Kind: InFlight, Whole: 5, Floors: 2, Floor: 1, FloorFor: time.Second, Linger: 700 * time.Millisecond},
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b, at := NewBook(), time.Duration(0)
+		b, at := NewAllocationTable(), time.Duration(0)
 		require.NoError(t, b.Configure(0, Config{Lease: time.Second, Budgets: budgets}))
 		type key struct {
 			name string
@@ -80,7 +80,7 @@
 			},
 			"renew": func(t *rapid.T) {
 				k, m := draw()
-				r := Renewal{Process: k.name, Incarnation: k.inc, Uses: map[string]Use{}}
+				r := Renewal{Process: k.name, Incarnation: k.inc, Uses: map[string]Usage{}}
 				next := plain{}
 				if m != nil {
 					next = *m
@@ -89,7 +89,7 @@
 					}
 				}
 				for i, budget := range budgets {
-					u := Use{Demand: float64(rapid.IntRange(0, 40).Draw(t, "demand"))}
+					u := Usage{Demand: float64(rapid.IntRange(0, 40).Draw(t, "demand"))}
 					if budget.Kind == InFlight && m != nil {
 						u.UnderWay = float64(rapid.IntRange(0, int(max(m.most(i, amount), m.under))).Draw(t, "under"))
 					}
@@ -114,7 +114,7 @@
 			},
 			"leave": func(t *rapid.T) {
 				if k, m := draw(); m != nil && at < m.ends {
-					require.NoError(t, b.Leave(at, k.name, k.inc, map[string]Left{"u": {}}))
+					require.NoError(t, b.Leave(at, k.name, k.inc, map[string]Departure{"u": {}}))
 					delete(all, k)
 					parts := []Share{{Amount: m.held(budgets[0], 0, at)}, {}, {}}
 					all[key{k.name + " left " + fmt.Sprint(at), k.inc}] = &plain{ends: at, grants: []Grant{{Shares: parts}}}
@@ -130,9 +130,9 @@
 				}
 				text, err := b.Encode()
 				require.NoError(t, err)
-				again := NewBook()
+				again := NewAllocationTable()
 				require.NoError(t, again.Decode(text))
-				require.Equal(t, b.Standings(), again.Standings(), "sums drifted")
+				require.Equal(t, b.Status(), again.Status(), "sums drifted")
 				b = again
 			},
 		})
@@ -143,13 +143,13 @@
 // that has more by weight, and uses the total up.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asks, demand := make([]Ask, rapid.IntRange(1, 20).Draw(t, "holders")), 0.0
+		asks, demand := make([]Claim, rapid.IntRange(1, 20).Draw(t, "holders")), 0.0
 		for i := range asks {
-			asks[i] = Ask{float64(rapid.IntRange(0, 30).Draw(t, "demand")), float64(rapid.IntRange(1, 3).Draw(t, "weight"))}
+			asks[i] = Claim{float64(rapid.IntRange(0, 30).Draw(t, "demand")), float64(rapid.IntRange(1, 3).Draw(t, "weight"))}
 			demand += asks[i].Demand
 		}
 		total, out := float64(rapid.IntRange(0, 300).Draw(t, "total")), make([]float64, len(asks))
-		for _, way := range []Way{Equal, Proportional, Loan, MaxMin} { // MaxMin last: its out is looked at
+		for _, way := range []DivisionPolicy{Equal, Proportional, Loan, MaxMin} { // MaxMin last: its out is looked at
 			way(total, asks, out)
 			sum := 0.0
 			for _, x := range out {
@@ -175,7 +175,7 @@
 
 // fleet renews for many, in rounds of a third of a lease.
 type fleet struct {
-	*Book
+	*AllocationTable
 	at    time.Duration
 	bound map[string]uint64
 }
@@ -183,17 +183,17 @@
 const lease = 3 * time.Second
 
 func newFleet(t *testing.T, budgets ...Budget) *fleet {
-	f := &fleet{Book: NewBook(), bound: map[string]uint64{}}
+	f := &fleet{AllocationTable: NewAllocationTable(), bound: map[string]uint64{}}
 	require.NoError(t, f.Configure(0, Config{Lease: lease, Budgets: budgets}))
 	return f
 }
 
 // ask renews one that wants so much, has so many under way, and acknowledges what it had.
 func (f *fleet) ask(name string, demand float64, under ...float64) Grant {
-	u := Use{Demand: demand}
+	u := Usage{Demand: demand}
 	for _, u.UnderWay = range under {
 	}
-	g, err := f.Renew(f.at, Renewal{Process: name, Incarnation: 1, Bound: f.bound[name], Uses: map[string]Use{"x": u}})
+	g, err := f.Renew(f.at, Renewal{Process: name, Incarnation: 1, Bound: f.bound[name], Uses: map[string]Usage{"x": u}})
 	must(err)
 	f.bound[name] = g.Number
 	return g
@@ -208,7 +208,7 @@
 	require.EqualValues(t, 10, got(f.ask("a", 10)))
 	old := f.bound["a"]
 	f.ask("b", 10)
-	f.at += Interval
+	f.at += DivisionInterval
 	f.ask("b", 10)
 	require.EqualValues(t, 5, got(f.ask("a", 10, 9)))
 	f.ask("a", 10, 9) // it has acknowledged 5 with 9 under way
@@ -237,7 +237,7 @@
 	f = newFleet(t, x)
 	f.ask("b", 10)
 	f.ask("a", 10, 10)
-	f.at += Interval
+	f.at += DivisionInterval
 	require.Zero(t, got(f.ask("a", 10, 10)))
 	f.ask("b", 10)
 	f.ask("b", 10)
@@ -245,12 +245,12 @@
 	require.EqualValues(t, 5, got(f.ask("a", 10)))
 
 	// It leaves with some under way.
-	require.NoError(t, f.Leave(f.at, "a", 1, map[string]Left{"x": {UnderWay: 7, Latest: 900 * time.Millisecond}}))
-	f.at += Interval
+	require.NoError(t, f.Leave(f.at, "a", 1, map[string]Departure{"x": {UnderWay: 7, Latest: 900 * time.Millisecond}}))
+	f.at += DivisionInterval
 	require.EqualValues(t, 3, got(f.ask("b", 10)))
 	f.at += time.Second
 	f.ask("b", 10)
-	f.at += Interval
+	f.at += DivisionInterval
 	require.EqualValues(t, 10, got(f.ask("b", 10)))
 
 	// The budget is new; nobody knows what is under way.
@@ -260,7 +260,7 @@
 	require.NoError(t, f.Configure(f.at, Config{Lease: lease, Budgets: []Budget{x}}))
 	for range 3 {
 		require.Zero(t, got(f.ask("b", 10)))
-		f.at += Interval
+		f.at += DivisionInterval
 	}
 	f.ask("a", 0, 7)
 	f.ask("a", 0, 7)
@@ -273,17 +273,17 @@
 	f := newFleet(t, Budget{Name: "x", Kind: Rate, Whole: 100, Burst: 10, Floors: 2, Floor: 5, FloorFor: lease})
 	for range 4 {
 		f.ask("a", 1000)
-		f.at += Interval
+		f.at += DivisionInterval
 	}
-	require.Equal(t, Holding{Process: "a", Incarnation: 1, Ends: f.at - Interval + lease, Acknowledged: true, Held: 95, Offered: 95, Due: 95, Floor: true, Demand: 1000},
-		f.Holdings("x")[0])
+	require.Equal(t, HolderStatus{Process: "a", Incarnation: 1, Ends: f.at - DivisionInterval + lease, Acknowledged: true, Held: 95, Offered: 95, Due: 95, Floor: true, Demand: 1000},
+		f.HolderStatuses("x")[0])
 	s := f.ask("b", 1).Shares[0]
 	require.Equal(t, []float64{5, 5, 1}, []float64{s.Amount, s.Floor, s.Burst})
 	require.Zero(t, f.ask("c", 1).Shares[0].Floor)
 
-	f.at += 2*lease - Interval // b's lease is over, its floor is not
+	f.at += 2*lease - DivisionInterval // b's lease is over, its floor is not
 	f.Advance(f.at)
-	require.EqualValues(t, 15, f.Standings()[0].Resting+f.Standings()[0].SetAside+5)
+	require.EqualValues(t, 15, f.Status()[0].Resting+f.Status()[0].SetAside+5)
 	_, err := f.Renew(f.at, Renewal{Process: "a", Incarnation: 2})
 	require.NoError(t, err)
 	_, err = f.Renew(f.at, Renewal{Process: "a", Incarnation: 3})
@@ -291,9 +291,9 @@
 	require.NoError(t, f.Leave(f.at, "a", 3, nil))
 	_, err = f.Renew(f.at, Renewal{Process: "a", Incarnation: 2})
 	require.ErrorIs(t, err, ErrFenced)
-	require.Less(t, f.Due(), f.at+Interval+1)
-	f.Advance(f.at + Interval)
-	require.Greater(t, f.Due(), f.at+Interval)
+	require.Less(t, f.NextDue(), f.at+DivisionInterval+1)
+	f.Advance(f.at + DivisionInterval)
+	require.Greater(t, f.NextDue(), f.at+DivisionInterval)
 }
 
 // TestNewcomer: others hold all and want all; a newcomer has a share by its third renewal.
@@ -312,7 +312,7 @@
 		for range 4 {
 			round()
 		}
-		require.InDelta(t, b.Whole, f.Standings()[0].Held, 1e-3, b.Kind)
+		require.InDelta(t, b.Whole, f.Status()[0].Held, 1e-3, b.Kind)
 		var got Share
 		for range 3 {
 			got = f.ask("new", 1000).Shares[0]
@@ -377,11 +377,11 @@
 	must(err)
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b := NewBook()
+		b := NewAllocationTable()
 		if b.Decode(text) == nil {
 			b.Advance(b.At + time.Second)
 			_, _ = b.Renew(b.At, Renewal{Process: "n1", Incarnation: 1 << 40})
-			b.Holdings("x")
+			b.HolderStatuses("x")
 		}
 	})
 }
@@ -390,7 +390,7 @@
 func TestRefused(t *testing.T) {
 	f := newFleet(t, Budget{Name: "x", Kind: Rate, Whole: 10, Burst: 4, Floors: 1, Floor: 1})
 	f.ask("a", 1)
-	before := digest(f.Book)
+	before := digest(f.AllocationTable)
 	good := Budget{Name: "x", Kind: InFlight, Whole: 10, Linger: time.Second}
 	for i, wrong := range []func(b *Budget){
 		func(b *Budget) { b.Name = "" }, func(b *Budget) { b.Kind = 9 }, func(b *Budget) { b.Whole = -1 }, func(b *Budget) { b.Whole = math.NaN() },
@@ -404,19 +404,19 @@
 	}
 	require.Error(t, f.Configure(f.at, Config{Lease: 0, Budgets: nil}))
 	require.Error(t, f.Configure(f.at, Config{Lease: lease, Budgets: []Budget{good, good}}))
-	for _, r := range []Renewal{{Process: "a"}, {Incarnation: 1}, {Process: "a", Incarnation: 1, Uses: map[string]Use{"x": {Demand: math.Inf(1)}}}} {
+	for _, r := range []Renewal{{Process: "a"}, {Incarnation: 1}, {Process: "a", Incarnation: 1, Uses: map[string]Usage{"x": {Demand: math.Inf(1)}}}} {
 		_, err := f.Renew(f.at, r)
 		require.Error(t, err)
 	}
-	require.Error(t, f.Leave(f.at, "a", 1, map[string]Left{"x": {UnderWay: -1}}))
+	require.Error(t, f.Leave(f.at, "a", 1, map[string]Departure{"x": {UnderWay: -1}}))
 	require.NoError(t, f.Leave(f.at, "nobody", 1, nil))
 	text, err := f.Encode()
 	require.NoError(t, err)
-	later := f.image
+	later := f.storedState
 	later.Version++
 	newer, err := codec.Encode(&later)
 	require.NoError(t, err)
 	require.ErrorContains(t, f.Decode(newer), "version 2, not 1")
 	require.Error(t, f.Decode(text[:len(text)-1]))
-	require.Equal(t, before, digest(f.Book))
+	require.Equal(t, before, digest(f.AllocationTable))
 }
--- a/internal/dispatcher/fleet/budget/budgetcheck/sharecheck.go
+++ b/internal/dispatcher/fleet/budget/budgetcheck/sharecheck.go
@@ -13,7 +13,7 @@
 // and drains by the whole a second never is above the burst, so one pass
 // does for all pairs of times.
 type Rate struct {
-	whole, burst, level float64
+	limit, burst, level float64
 	last                time.Duration
 }
 
@@ -24,11 +24,11 @@
 	if burst < r.burst {
 		r.level = 0
 	}
-	r.whole, r.burst = whole, burst
+	r.limit, r.burst = whole, burst
 }
 
 func (r *Rate) drain(at time.Duration) {
-	r.level = max(0, r.level-r.whole*(at-r.last).Seconds())
+	r.level = max(0, r.level-r.limit*(at-r.last).Seconds())
 	r.last = at
 }
 
@@ -37,61 +37,61 @@
 func (r *Rate) Admit(at time.Duration) error {
 	r.drain(at)
 	if r.level++; r.level > r.burst+1e-6 {
-		return fmt.Errorf("at %v: %.3f more than %v a second admits, burst %v", at, r.level, r.whole, r.burst)
+		return fmt.Errorf("at %v: %.3f more than %v a second admits, burst %v", at, r.level, r.limit, r.burst)
 	}
 	return nil
 }
 
-// UnderWay checks that at most the whole is under way.
-type UnderWay struct {
-	Whole float64 // as it binds now
-	Fill  float64 // the most that was under way, as a part of the whole
+// InFlight checks that at most the whole is under way.
+type InFlight struct {
+	Limit        float64 // as it binds now
+	PeakFraction float64 // the most that was under way, as a part of the whole
 
-	now int
+	inFlight int
 }
 
 // Add takes in that n began, or ended (below 0).
-func (u *UnderWay) Add(at time.Duration, n int) error {
-	u.now += n
-	u.Fill = max(u.Fill, float64(u.now)/u.Whole)
-	if n > 0 && float64(u.now) > u.Whole {
-		return fmt.Errorf("at %v: %d under way of %v", at, u.now, u.Whole)
+func (u *InFlight) Add(at time.Duration, n int) error {
+	u.inFlight += n
+	u.PeakFraction = max(u.PeakFraction, float64(u.inFlight)/u.Limit)
+	if n > 0 && float64(u.inFlight) > u.Limit {
+		return fmt.Errorf("at %v: %d under way of %v", at, u.inFlight, u.Limit)
 	}
 	return nil
 }
 
-// Part checks that what different ones used within any window sums to at most the
+// Divided checks that what different ones used within any window sums to at most the
 // whole, where each counts with the most that it used.
-type Part struct {
-	Window time.Duration
-	Whole  float64 // as it binds now
-	Fill   float64 // the most that was used, as a part of the whole
+type Divided struct {
+	Window       time.Duration
+	Limit        float64 // as it binds now
+	PeakFraction float64 // the most that was used, as a part of the whole
 
-	used []used
+	recent []usage
 }
 
-type used struct {
+type usage struct {
 	who    uint64
 	amount float64
 	at     time.Duration
 }
 
 // Use takes in that one used so much at a time no earlier than the last.
-func (p *Part) Use(at time.Duration, who uint64, amount float64) error {
-	p.used = append(p.used, used{who, amount, at})
-	for p.used[0].at <= at-p.Window {
-		p.used = p.used[1:]
+func (p *Divided) Use(at time.Duration, who uint64, amount float64) error {
+	p.recent = append(p.recent, usage{who, amount, at})
+	for p.recent[0].at <= at-p.Window {
+		p.recent = p.recent[1:]
 	}
 	most, sum := map[uint64]float64{}, 0.0
-	for _, u := range p.used {
+	for _, u := range p.recent {
 		if more := u.amount - most[u.who]; more > 0 {
 			most[u.who] += more
 			sum += more
 		}
 	}
-	p.Fill = max(p.Fill, sum/p.Whole)
-	if sum > p.Whole+1e-4 {
-		return fmt.Errorf("at %v: %.3f used within a window, of %v", at, sum, p.Whole)
+	p.PeakFraction = max(p.PeakFraction, sum/p.Limit)
+	if sum > p.Limit+1e-4 {
+		return fmt.Errorf("at %v: %.3f used within a window, of %v", at, sum, p.Limit)
 	}
 	return nil
 }
--- a/internal/dispatcher/fleet/budget/budgetlab/sharelab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/sharelab.go
@@ -16,7 +16,7 @@
 // Fleet is what is modelled. All times are true ones; clocks run alike.
 type Fleet struct {
 	Holders int
-	Way     budget.Way
+	Way     budget.DivisionPolicy
 	Rate    float64       // of the whole a second and holder
 	Burst   time.Duration // of the whole, at its rate
 	Offered float64       // all traffic, as a part of the whole
@@ -42,7 +42,7 @@
 	Fleet
 	*rand.Rand
 	now     time.Duration
-	book    *budget.Book
+	book    *budget.AllocationTable
 	holders []*holder
 	later   map[time.Duration][]func()
 	heavy   int
@@ -54,8 +54,8 @@
 
 type holder struct {
 	name  string
-	purse *budget.Purse
-	tap   *budget.Tap
+	purse *budget.Allowance
+	tap   *budget.TokenBucket
 	at    time.Duration // within a step, when it looks whether to renew
 	down  bool
 	begun time.Duration // when it was started
@@ -63,7 +63,7 @@
 }
 
 func newModel(f Fleet) (*model, error) {
-	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: budget.NewBookBy(f.Way), later: map[time.Duration][]func(){}}
+	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: budget.NewAllocationTableWith(f.Way), later: map[time.Duration][]func(){}}
 	rate := budget.Budget{Name: "x", Kind: budget.Rate, Whole: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
 	if err := m.book.Configure(0, budget.Config{Lease: f.Lease, Budgets: []budget.Budget{rate}}); err != nil {
 		return nil, fmt.Errorf("modelling a fleet: %w", err)
@@ -77,11 +77,11 @@
 func (m *model) whole() float64 { return m.Rate * float64(m.Fleet.Holders) }
 
 func (m *model) join() *holder {
-	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), purse: budget.NewPurse(), begun: m.now}
+	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), purse: budget.NewAllowance(), begun: m.now}
 	h.at = time.Duration(len(m.holders)%100) * step / 100
-	h.purse.Expect("x")
-	h.purse.Become(h.name, 1)
-	h.tap = h.purse.Tap("x")
+	h.purse.ExpectBudgets("x")
+	h.purse.SetIncarnation(h.name, 1)
+	h.tap = h.purse.Bucket("x")
 	m.holders = append(m.holders, h)
 	return h
 }
@@ -112,7 +112,7 @@
 				continue
 			}
 			m.jobs(i, h)
-			if h.purse.Due(m.now) <= m.now+h.at {
+			if h.purse.NextRenewal(m.now) <= m.now+h.at {
 				if err := m.renew(h); err != nil {
 					return 0, err
 				}
@@ -220,7 +220,7 @@
 		heavy := m.holders[m.heavy]
 		divided := func() bool {
 			held := 0.0
-			for _, h := range m.book.Holdings("x") {
+			for _, h := range m.book.HolderStatuses("x") {
 				if h.Process != heavy.name {
 					held += h.Offered
 				}
--- a/internal/dispatcher/fleet/budget/budgetlab/sharelab_test.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/sharelab_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, n := range fleets {
 		f := Fleet{Holders: n, Rate: 100, Burst: time.Second / 2, Heavy: 0.5, Lease: 3 * time.Second, Trip: 20 * time.Millisecond, Seed: 1}
-		for k, way := range []budget.Way{budget.Equal, budget.Proportional, budget.Loan, budget.MaxMin} {
+		for k, way := range []budget.DivisionPolicy{budget.Equal, budget.Proportional, budget.Loan, budget.MaxMin} {
 			for _, f.Offered = range []float64{1, 1.5} {
 				f.Way, f.Every = way, 10*time.Second
 				r, err := Run(f, 10*time.Second, 60*time.Second)
--- a/internal/dispatcher/fleet/budget/divide.go
+++ b/internal/dispatcher/fleet/budget/divide.go
@@ -1,7 +1,7 @@
 package budget
 
-// Ask is what one holder wants of a total.
-type Ask struct {
+// Claim is what one holder wants of a total.
+type Claim struct {
 	Demand float64
 	Weight float64 // above 0
 }
@@ -10,10 +10,10 @@
 // written whole; its sum is at most total. It is a pure function, and products are
 // rounded before they are added (no fused operations), so that each replica
 // divides alike.
-type Way func(total float64, asks []Ask, out []float64)
+type DivisionPolicy func(total float64, asks []Claim, out []float64)
 
 // Equal gives each its weight's part, whatever it asks for.
-func Equal(total float64, asks []Ask, out []float64) {
+func Equal(total float64, asks []Claim, out []float64) {
 	weights := 0.0
 	for _, a := range asks {
 		weights += a.Weight
@@ -25,7 +25,7 @@
 
 // Proportional gives each its part of all demand. A holder that asks for ten
 // times as much gets ten times as much, also where that starves the others.
-func Proportional(total float64, asks []Ask, out []float64) {
+func Proportional(total float64, asks []Claim, out []float64) {
 	all := 0.0
 	for _, a := range asks {
 		all += float64(a.Demand * a.Weight)
@@ -43,7 +43,7 @@
 // weight, that uses the total up: no holder can get more but by taking from one
 // that has less. What nobody asks for is spread, half by weight, so that a new
 // demand finds something, and half by demand, for demand that wavers.
-func MaxMin(total float64, asks []Ask, out []float64) {
+func MaxMin(total float64, asks []Claim, out []float64) {
 	all, weights := 0.0, 0.0
 	for _, a := range asks {
 		all += a.Demand
@@ -60,13 +60,13 @@
 		}
 		return
 	}
-	fill(total, asks, out)
+	waterFill(total, asks, out)
 }
 
-// fill is the level's search where there is less than is asked for: who asks for
+// waterFill is the level's search where there is less than is asked for: who asks for
 // less than the level gets that and leaves the rest to the others, until nobody
 // new does. The level only rises, so each is settled once; a few rounds do.
-func fill(total float64, asks []Ask, out []float64) {
+func waterFill(total float64, asks []Claim, out []float64) {
 	for i := range out {
 		out[i] = -1 // not settled
 	}
@@ -102,10 +102,10 @@
 
 // Loan gives each its weight's part and lets those that need less lend half of
 // what they do not use; what is lent goes to the others, max-min.
-func Loan(total float64, asks []Ask, out []float64) {
+func Loan(total float64, asks []Claim, out []float64) {
 	Equal(total, asks, out)
 	lent := 0.0
-	needs, got := make([]Ask, len(asks)), make([]float64, len(asks))
+	needs, got := make([]Claim, len(asks)), make([]float64, len(asks))
 	for i, a := range asks {
 		needs[i].Weight = a.Weight
 		if idle := out[i] - a.Demand; idle > 0 {
--- a/internal/dispatcher/fleet/budget/figures.go
+++ b/internal/dispatcher/fleet/budget/figures.go
@@ -6,53 +6,53 @@
 	"time"
 )
 
-// Reason is why a tap turned something away, for the account and the logs.
-type Reason uint8
+// RejectionReason is why a tap turned something away, for the account and the logs.
+type RejectionReason uint8
 
 // The reasons.
 const (
-	Admits   Reason = iota // it would let one through now
-	NoShare                // there is none: no grant told of one yet, or its amount is 0
-	Spent                  // the share, or the floor, is used up
-	Cut                    // the lease is over, and the floor too
-	TooLong                // the job may last longer than the budget's Linger
-	NotOfOne               // asked as another kind of budget than it is
+	ReasonNone         RejectionReason = iota // it would let one through now
+	ReasonNoShare                             // there is none: no grant told of one yet, or its amount is 0
+	ReasonExhausted                           // the share, or the floor, is used up
+	ReasonLeaseExpired                        // the lease is over, and the floor too
+	ReasonTooLong                             // the job may last longer than the budget's Linger
+	ReasonWrongKind                           // asked as another kind of budget than it is
 )
 
-var reasons = [...]string{"admits", "no share", "share spent", "cut off from the fleet", "longer than the budget lingers", "a budget of another kind"}
+var reasonNames = [...]string{"admits", "no share", "share spent", "cut off from the fleet", "longer than the budget lingers", "a budget of another kind"}
 
 // String is a reason in words.
-func (r Reason) String() string {
-	if int(r) < len(reasons) {
-		return reasons[r]
+func (r RejectionReason) String() string {
+	if int(r) < len(reasonNames) {
+		return reasonNames[r]
 	}
 	return fmt.Sprintf("reason %d", uint8(r))
 }
 
-// Why is why one more would be turned away at now, of a kind, lasting so long
+// RejectionReason is why one more would be turned away at now, of a kind, lasting so long
 // (UnderWay). It is asked after a refusal and changes nothing; by then one more may
 // be admitted.
-func (t *Tap) Why(now time.Duration, kind Kind, lasts time.Duration) Reason {
+func (t *TokenBucket) RejectionReason(now time.Duration, kind Kind, lasts time.Duration) RejectionReason {
 	s := t.terms.Load()
 	switch {
-	case s == &open:
-		return Admits
-	case s == &shut:
-		return NoShare
+	case s == &unlimited:
+		return ReasonNone
+	case s == &blocked:
+		return ReasonNoShare
 	case s.kind != kind:
-		return NotOfOne
-	case now >= s.floorEnds:
-		return Cut
-	case s.at(now) <= 0:
-		return NoShare
+		return ReasonWrongKind
+	case now >= s.floorEnd:
+		return ReasonLeaseExpired
+	case s.amountAt(now) <= 0:
+		return ReasonNoShare
 	case kind == InFlight && lasts > s.linger:
-		return TooLong
-	case kind == InFlight && float64(t.under.Load()+1) > s.at(now):
-		return Spent
+		return ReasonTooLong
+	case kind == InFlight && float64(t.inFlight.Load()+1) > s.amountAt(now):
+		return ReasonExhausted
 	case kind == Rate && t.taken.Load() >= t.ceiling.Load():
-		return Spent
+		return ReasonExhausted
 	}
-	return Admits
+	return ReasonNone
 }
 
 // Mode is what a process spends at the moment.
@@ -66,48 +66,48 @@
 	OnNothing
 )
 
-var modes = [...]string{"unbounded", "share", "floor", "nothing"}
+var modeNames = [...]string{"unbounded", "share", "floor", "nothing"}
 
 // String is a mode in a word.
 func (m Mode) String() string {
-	if int(m) < len(modes) {
-		return modes[m]
+	if int(m) < len(modeNames) {
+		return modeNames[m]
 	}
 	return fmt.Sprintf("mode %d", uint8(m))
 }
 
-// Figure is how one budget stands at this process.
-type Figure struct {
+// BucketStatus is how one budget stands at this process.
+type BucketStatus struct {
 	Name     string
 	Kind     Kind
 	Mode     Mode
 	Amount   float64       // that may be used now; 0 where unbounded
-	For      time.Duration // until that ends, without another grant; 0: it has, or never will
+	ValidFor time.Duration // until that ends, without another grant; 0: it has, or never will
 	Admitted int64         // since the start
-	Turned   int64         // turned away since the start
-	UnderWay int64
+	Rejected int64         // turned away since the start
+	InFlight int64
 	Demand   float64 // as last told
 }
 
-// Figures tells how the budgets stand here at now, by name.
-func (p *Purse) Figures(now time.Duration) []Figure {
+// Status tells how the budgets stand here at now, by name.
+func (p *Allowance) Status(now time.Duration) []BucketStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]Figure, 0, len(p.names))
+	out := make([]BucketStatus, 0, len(p.names))
 	for _, n := range slices.Sorted(slices.Values(p.names)) {
-		t := p.taps[n]
+		t := p.buckets[n]
 		s := t.terms.Load()
-		f := Figure{
-			Name: n, Kind: s.kind, Admitted: t.taken.Load() + t.begun.Load(), Turned: t.turned.Load(),
-			UnderWay: t.under.Load(), Demand: t.told, Amount: s.at(now),
+		f := BucketStatus{
+			Name: n, Kind: s.kind, Admitted: t.taken.Load() + t.begun.Load(), Rejected: t.rejected.Load(),
+			InFlight: t.inFlight.Load(), Demand: t.reportedDemand, Amount: s.amountAt(now),
 		}
 		switch {
-		case s == &open:
+		case s == &unlimited:
 			f.Amount = 0
-		case now < s.ends:
-			f.Mode, f.For = OnShare, s.ends-now
-		case now < s.floorEnds:
-			f.Mode, f.For = OnFloor, s.floorEnds-now
+		case now < s.leaseEnd:
+			f.Mode, f.ValidFor = OnShare, s.leaseEnd-now
+		case now < s.floorEnd:
+			f.Mode, f.ValidFor = OnFloor, s.floorEnd-now
 		default:
 			f.Mode = OnNothing
 		}
@@ -116,8 +116,8 @@
 	return out
 }
 
-// Holding is what one incarnation of a process holds of a budget.
-type Holding struct {
+// HolderStatus is what one incarnation of a process holds of a budget.
+type HolderStatus struct {
 	Process      string
 	Incarnation  uint64
 	Ends         time.Duration // of its lease, in fleet time
@@ -129,32 +129,32 @@
 	Demand       float64
 }
 
-// Holdings tells who holds what of a budget, by process and incarnation; none for a name
+// HolderStatuses tells who holds what of a budget, by process and incarnation; none for a name
 // that there is not.
-func (b *Book) Holdings(name string) []Holding {
-	i := b.find(name)
+func (b *AllocationTable) HolderStatuses(name string) []HolderStatus {
+	i := b.budgetIndex(name)
 	if i < 0 {
 		return nil
 	}
-	out := make([]Holding, len(b.Holders))
+	out := make([]HolderStatus, len(b.Holders))
 	for k, h := range b.Holders {
-		l := &h.Lines[i]
-		out[k] = Holding{
-			Process: h.Process, Incarnation: h.Incarnation, Ends: h.Ends, Fenced: h.Old, Acknowledged: h.Bound == h.Number,
-			Held: figure(l.held().Amount), Offered: figure(l.Offered.Amount), Due: figure(l.Due + l.Offered.Floor),
+		l := &h.Allocations[i]
+		out[k] = HolderStatus{
+			Process: h.Process, Incarnation: h.Incarnation, Ends: h.LeaseEnd, Fenced: h.Superseded, Acknowledged: h.AcknowledgedGrant == h.OfferedGrant,
+			Held: fromMicros(l.upperBound().Amount), Offered: fromMicros(l.Offered.Amount), Due: fromMicros(l.Due + l.Offered.Floor),
 			Floor: l.hasFloor(), Demand: l.Demand,
 		}
 	}
 	return out
 }
 
-// Due is the fleet time from which Advance has something to do, at the earliest. A leader
+// NextDue is the fleet time from which Advance has something to do, at the earliest. A leader
 // need not put an Advance into the log before; it may well have nothing to do then.
-func (b *Book) Due() time.Duration {
-	due := b.due
+func (b *AllocationTable) NextDue() time.Duration {
+	due := b.nextDue
 	for _, s := range b.Budgets {
 		if s.Dirty {
-			due = min(due, s.Divided+Interval)
+			due = min(due, s.Divided+DivisionInterval)
 		}
 	}
 	return due
--- a/internal/dispatcher/fleet/budget/hooks.go
+++ b/internal/dispatcher/fleet/budget/hooks.go
@@ -4,6 +4,6 @@
 
 // The planted bugs; a production build has none.
 const (
-	plantFull  = false
-	plantTwice = false
+	faultFullBucket = false
+	faultGrantTwice = false
 )
--- a/internal/dispatcher/fleet/budget/purse_test.go
+++ b/internal/dispatcher/fleet/budget/purse_test.go
@@ -20,14 +20,14 @@
 	}}
 }
 
-func drain(t *Tap, now time.Duration) (n int) {
+func drain(t *TokenBucket, now time.Duration) (n int) {
 	for n < 1000 && t.Take(now) {
 		n++
 	}
 	return n
 }
 
-func begin(t *Tap, now time.Duration) (n int) {
+func begin(t *TokenBucket, now time.Duration) (n int) {
 	for n < 1000 && t.Begin(now, now+second) {
 		n++
 	}
@@ -36,16 +36,16 @@
 
 // TestPurse: what a process may spend, from before its first grant to after its floor.
 func TestPurse(t *testing.T) {
-	p := NewPurse()
-	p.Expect("r", "u")
-	p.Become("n1", 1)
-	r, u, part, other := p.Tap("r"), p.Tap("u"), p.Tap("p"), p.Tap("other")
+	p := NewAllowance()
+	p.ExpectBudgets("r", "u")
+	p.SetIncarnation("n1", 1)
+	r, u, part, other := p.Bucket("r"), p.Bucket("u"), p.Bucket("p"), p.Bucket("other")
 	require.Equal(t, []int{0, 0, 1000, 1000}, []int{drain(r, 0), begin(u, 0), drain(other, 0), begin(other, 0)})
 	for range 1000 {
 		other.End()
 	}
-	require.Equal(t, p.Due(0), p.Due(second), "no lease yet: due at once")
-	require.Less(t, p.Due(0), time.Duration(0))
+	require.Equal(t, p.NextRenewal(0), p.NextRenewal(second), "no lease yet: due at once")
+	require.Less(t, p.NextRenewal(0), time.Duration(0))
 	require.True(t, p.Apply(0, second, one(2, 8)), "p was open: less than before")
 	require.Zero(t, drain(r, second), "a new share begins empty")
 	require.InDelta(t, 8, drain(r, 9*second-1), 0, "its burst, however long ago")
@@ -60,9 +60,9 @@
 	g.Incarnation = 2
 	require.False(t, p.Apply(5*second, 8*second, g), "another's")
 	require.Zero(t, drain(r, 9*second-1))
-	require.Equal(t, []Reason{Spent, Spent, TooLong}, []Reason{r.Why(9*second-1, Rate, 0), u.Why(8*second, InFlight, 0), u.Why(0, InFlight, 101*second)})
-	require.Equal(t, Figure{Name: "u", Kind: InFlight, Mode: OnFloor, Amount: 1, For: second, Admitted: 8, Turned: u.turned.Load(), UnderWay: 8},
-		p.Figures(17 * second)[3])
+	require.Equal(t, []RejectionReason{ReasonExhausted, ReasonExhausted, ReasonTooLong}, []RejectionReason{r.RejectionReason(9*second-1, Rate, 0), u.RejectionReason(8*second, InFlight, 0), u.RejectionReason(0, InFlight, 101*second)})
+	require.Equal(t, BucketStatus{Name: "u", Kind: InFlight, Mode: OnFloor, Amount: 1, ValidFor: second, Admitted: 8, Rejected: u.rejected.Load(), InFlight: 8},
+		p.Status(17 * second)[3])
 
 	// Cut off: the share until 0.9 of the lease from when it was asked, then the
 	// floor with 1 of the burst, then nothing.
@@ -77,50 +77,50 @@
 	require.Equal(t, 1, begin(u, 17*second))
 	u.End()
 	r.mu.Lock() // whoever is at filling the bucket, nobody takes after the end
-	r.fill(18*second - 1)
+	r.refill(18*second - 1)
 	require.Equal(t, r.taken.Load()+1, r.ceiling.Load())
 	require.Equal(t, []int{0, 0}, []int{drain(r, 18*second), begin(u, 18*second)})
 	r.mu.Unlock()
-	for kind, tap := range map[Kind]*Tap{Rate: r, InFlight: u, Divided: part} {
-		require.Equal(t, []Reason{NotOfOne, Cut}, []Reason{tap.Why(18*second, (kind+1)%3, 0), tap.Why(18*second, kind, 0)})
+	for kind, tap := range map[Kind]*TokenBucket{Rate: r, InFlight: u, Divided: part} {
+		require.Equal(t, []RejectionReason{ReasonWrongKind, ReasonLeaseExpired}, []RejectionReason{tap.RejectionReason(18*second, (kind+1)%3, 0), tap.RejectionReason(18*second, kind, 0)})
 	}
-	require.Equal(t, Figure{Name: "r", Mode: OnNothing, Admitted: r.taken.Load(), Turned: r.turned.Load()}, p.Figures(18 * second)[2])
-	require.Equal(t, 10*second/3, r.ComeBack(18*second))
+	require.Equal(t, BucketStatus{Name: "r", Mode: OnNothing, Admitted: r.taken.Load(), Rejected: r.rejected.Load()}, p.Status(18 * second)[2])
+	require.Equal(t, 10*second/3, r.RetryAfter(18*second))
 
 	// It is back: with nothing in the bucket, and a shrink is to be acknowledged soon.
 	require.True(t, p.Apply(19*second, 20*second, one(4, 4)))
 	require.Zero(t, drain(r, 20*second))
 	require.InDelta(t, 4, drain(r, 22*second), 0)
-	require.InDelta(t, float64(second)/(4*Pace)*5, float64(r.ComeBack(22*second)), float64(6*second))
+	require.InDelta(t, float64(second)/(4*RefillPace)*5, float64(r.RetryAfter(22*second)), float64(6*second))
 	require.EqualValues(t, 4, p.Renewal(22*second).Bound)
-	require.Equal(t, 22*second+10*second/3, p.Due(22*second))
+	require.Equal(t, 22*second+10*second/3, p.NextRenewal(22*second))
 
 	// Demand is what came, let in or not, and a change of it is told before its turn.
 	for range 60 {
 		r.Take(22 * second)
 	}
-	require.Equal(t, 22*second+10*second/12, p.Due(23*second))
+	require.Equal(t, 22*second+10*second/12, p.NextRenewal(23*second))
 	require.InDelta(t, 30, p.Renewal(24 * second).Uses["r"].Demand, 0)
 	require.Equal(t, 4, begin(u, 24*second))
 	use := p.Renewal(24*second + second/2).Uses["u"]
 	require.InDelta(t, 5, use.Demand, 1, "those let in, and one turned away; falling by halves")
-	require.Equal(t, Use{Demand: use.Demand, UnderWay: 4, Latest: second / 2}, use)
+	require.Equal(t, Usage{Demand: use.Demand, UnderWay: 4, Latest: second / 2}, use)
 
 	left := p.Close(24 * second)
-	require.Equal(t, Left{UnderWay: 4, Latest: second}, left["u"])
+	require.Equal(t, Departure{UnderWay: 4, Latest: second}, left["u"])
 	require.False(t, p.Apply(25*second, 25*second, one(5, 100)))
-	require.Equal(t, []int{0, 0, 0}, []int{drain(r, 26*second), begin(u, 26*second), drain(p.Tap("new"), 26*second)})
-	p.Become("n1", 2)
+	require.Equal(t, []int{0, 0, 0}, []int{drain(r, 26*second), begin(u, 26*second), drain(p.Bucket("new"), 26*second)})
+	p.SetIncarnation("n1", 2)
 	require.False(t, other.Take(26*second))
 }
 
 // TestManyThreads: by eight threads that share a clock, while the share changes, no
 // more is taken than the most that the shares let, and never more at once.
 func TestManyThreads(t *testing.T) {
-	p := NewPurse()
-	p.Become("n1", 1)
+	p := NewAllowance()
+	p.SetIncarnation("n1", 1)
 	p.Apply(0, 0, one(1, 100))
-	r, u := p.Tap("r"), p.Tap("u")
+	r, u := p.Bucket("r"), p.Bucket("u")
 	var now, taken, under, over atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
@@ -147,8 +147,8 @@
 	}
 	wg.Wait()
 	all := time.Duration(now.Load()).Seconds()
-	require.LessOrEqual(t, float64(taken.Load()), 100*Pace*all+1)
-	require.Greater(t, float64(taken.Load()), 40*Pace*all, "of a share of 50 at least")
+	require.LessOrEqual(t, float64(taken.Load()), 100*RefillPace*all+1)
+	require.Greater(t, float64(taken.Load()), 40*RefillPace*all, "of a share of 50 at least")
 	require.Zero(t, over.Load())
-	require.Zero(t, u.under.Load())
+	require.Zero(t, u.inFlight.Load())
 }
--- a/internal/dispatcher/fleet/budget/shares.go
+++ b/internal/dispatcher/fleet/budget/shares.go
@@ -19,14 +19,14 @@
 	"time"
 )
 
-// Margin is the part of a span of fleet time that a process uses, by its own clock
+// LeaseMargin is the part of a span of fleet time that a process uses, by its own clock
 // and counted from when it asked: with clocks up to 5% apart 0.95/1.05 = 0.904 is
 // safe. What rests in fleet time rests for its span divided by it.
-const Margin = 0.9
+const LeaseMargin = 0.9
 
-// Pace is how fast a share of a Rate fills by the holder's own clock: a clock
+// RefillPace is how fast a share of a Rate fills by the holder's own clock: a clock
 // that runs 2.5% faster than true fills it no faster than the share says.
-const Pace = 0.975
+const RefillPace = 0.975
 
 // Kind says how a budget is spent.
 type Kind uint8
@@ -40,13 +40,13 @@
 
 // String is the name of a kind, for people.
 func (k Kind) String() string {
-	if int(k) < len(kinds) {
-		return kinds[k]
+	if int(k) < len(kindNames) {
+		return kindNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-var kinds = [...]string{"rate", "under way", "part"}
+var kindNames = [...]string{"rate", "under way", "part"}
 
 // Budget is what all processes together may spend.
 type Budget struct {
@@ -78,18 +78,18 @@
 	Process     string
 	Incarnation uint64
 	Bound       uint64 // the number of the grant that it has applied; 0: none
-	Uses        map[string]Use
+	Uses        map[string]Usage
 }
 
-// Use is what a process says of one budget.
-type Use struct {
+// Usage is what a process says of one budget.
+type Usage struct {
 	Demand   float64       // what it would use if it could, a second or at a time
 	UnderWay float64       // how many are under way
 	Latest   time.Duration // the longest that one of those may still last
 }
 
-// Left is what a process that ends as planned leaves under way.
-type Left struct {
+// Departure is what a process that ends as planned leaves under way.
+type Departure struct {
 	UnderWay float64
 	Latest   time.Duration // the longest that one of those may still last
 }
@@ -121,19 +121,21 @@
 	ErrNoName = errors.New("a process without a name or an incarnation")
 )
 
-// unit is one whole of an amount: amounts are kept in millionths, so that sums are
+// microsPerUnit is one whole of an amount: amounts are kept in millionths, so that sums are
 // exact whatever their order.
-const unit = 1_000_000
+const microsPerUnit = 1_000_000
 
-// mostWhole keeps the sums of ten thousand holders that each may hold it within 63 bits.
-const mostWhole = 1e8
+// maxTotal keeps the sums of ten thousand holders that each may hold it within 63 bits.
+const maxTotal = 1e8
 
-func millionths(x float64) int64 { return int64(math.Floor(float64(x*unit) + 1e-3)) }
-func figure(n int64) float64     { return float64(n) / unit }
+func toMicros(x float64) int64   { return int64(math.Floor(float64(x*microsPerUnit) + 1e-3)) }
+func fromMicros(n int64) float64 { return float64(n) / microsPerUnit }
 
-// rests is how long something rests in fleet time so that a span of a
+// quarantineSpan is how long something rests in fleet time so that a span of a
 // process's clock is surely over.
-func rests(span time.Duration) time.Duration { return time.Duration(float64(span) / Margin) }
+func quarantineSpan(span time.Duration) time.Duration {
+	return time.Duration(float64(span) / LeaseMargin)
+}
 
 // Check names what is wrong with a grant that came from outside.
 func (g Grant) Check() error {
@@ -143,7 +145,7 @@
 	for i, s := range g.Shares {
 		bad := s.Name == "" || s.Kind > Divided || s.FloorFor < 0 || s.Linger < 0 || i > 0 && g.Shares[i-1].Name >= s.Name
 		for _, x := range []float64{s.Amount, s.Burst, s.Floor} {
-			bad = bad || !(x >= 0 && x <= mostWhole)
+			bad = bad || !(x >= 0 && x <= maxTotal)
 		}
 		if bad || s.Floor > s.Amount {
 			return fmt.Errorf("grant %d: share %d: %+v", g.Number, i, s)
@@ -178,13 +180,13 @@
 		return errors.New("no name")
 	case b.Kind > Divided:
 		return fmt.Errorf("%v: no such kind", b.Kind)
-	case !inside(b.Whole, mostWhole):
-		return fmt.Errorf("whole %v: not from 0 to %v", b.Whole, mostWhole)
-	case b.Kind == Rate && !(b.Burst >= 1 && b.Burst <= mostWhole):
-		return fmt.Errorf("burst %v: not from 1 to %v", b.Burst, mostWhole)
+	case !inside(b.Whole, maxTotal):
+		return fmt.Errorf("whole %v: not from 0 to %v", b.Whole, maxTotal)
+	case b.Kind == Rate && !(b.Burst >= 1 && b.Burst <= maxTotal):
+		return fmt.Errorf("burst %v: not from 1 to %v", b.Burst, maxTotal)
 	case b.Kind != Rate && b.Burst != 0:
 		return fmt.Errorf("burst %v: only a rate has one", b.Burst)
-	case b.Floors < 0 || !inside(b.Floor, mostWhole) || b.FloorFor < 0:
+	case b.Floors < 0 || !inside(b.Floor, maxTotal) || b.FloorFor < 0:
 		return fmt.Errorf("%d floors of %v for %v: below 0 or too much", b.Floors, b.Floor, b.FloorFor)
 	case float64(b.Floors)*b.Floor > b.Whole:
 		return fmt.Errorf("%d floors of %v: more than the whole, %v", b.Floors, b.Floor, b.Whole)
@@ -210,10 +212,10 @@
 	return 1
 }
 
-// floorBurst is what a floor needs of the burst.
-func (b *Budget) floorBurst() int64 {
+// burstPerFloor is what a floor needs of the burst.
+func (b *Budget) burstPerFloor() int64 {
 	if b.Kind == Rate && b.Floor > 0 {
-		return unit
+		return microsPerUnit
 	}
 	return 0
 }
--- a/internal/dispatcher/fleet/budget/sim_test.go
+++ b/internal/dispatcher/fleet/budget/sim_test.go
@@ -23,7 +23,7 @@
 	events indexedheap.Heap[*event]
 	order  int
 
-	book, follower *Book
+	book, follower *AllocationTable
 	fleet          time.Duration // fleet time when the leader began
 	since          time.Duration // true time then
 	rate           float64
@@ -51,12 +51,12 @@
 	*world
 	name        string
 	inc         uint64
-	purse       *Purse
+	purse       *Allowance
 	rate        float64
 	off         time.Duration
 	up, cut     bool
 	frozen      time.Duration // until then
-	r, u, p     *Tap
+	r, u, p     *TokenBucket
 	busy, using float64
 }
 
@@ -82,9 +82,9 @@
 		{Name: "u", Kind: InFlight, Whole: 24, Floors: 3, Floor: 2, FloorFor: simLease, Linger: simLife},
 	}}
 	w.check.part.Window = 500 * time.Millisecond
-	w.book, w.follower = NewBook(), NewBook()
-	w.book.twice, w.follower.twice = twice, twice
-	w.command(func(b *Book) { must(b.Configure(w.at(), w.config)) })
+	w.book, w.follower = NewAllocationTable(), NewAllocationTable()
+	w.book.grantTwice, w.follower.grantTwice = twice, twice
+	w.command(func(b *AllocationTable) { must(b.Configure(w.at(), w.config)) })
 	return w
 }
 
@@ -95,7 +95,7 @@
 }
 
 // command applies one at both replicas, and looks whether a lowered whole binds now.
-func (w *world) command(do func(b *Book)) {
+func (w *world) command(do func(b *AllocationTable)) {
 	do(w.book)
 	do(w.follower)
 	w.check.bind(w)
@@ -105,15 +105,15 @@
 	p.number++
 	p.inc, p.up, p.cut, p.frozen = p.number, true, false, 0
 	p.rate, p.off = p.clock(), p.span(time.Hour)
-	p.purse = NewPurse()
-	p.purse.full = p.full
-	p.purse.Expect("p", "r", "u")
-	p.purse.Become(p.name, p.inc)
-	p.r, p.u, p.p = p.purse.Tap("r"), p.purse.Tap("u"), p.purse.Tap("p")
+	p.purse = NewAllowance()
+	p.purse.fullBuckets = p.full
+	p.purse.ExpectBudgets("p", "r", "u")
+	p.purse.SetIncarnation(p.name, p.inc)
+	p.r, p.u, p.p = p.purse.Bucket("r"), p.purse.Bucket("u"), p.purse.Bucket("p")
 	inc := p.inc
 	var tick, spend func()
 	tick = p.whileUp(inc, func() {
-		if own := p.own(); p.purse.Due(own) <= own {
+		if own := p.own(); p.purse.NextRenewal(own) <= own {
 			p.renew()
 		}
 		p.after(20*time.Millisecond+p.span(20*time.Millisecond), tick)
@@ -170,7 +170,7 @@
 			})
 		})
 	}
-	p.p.Want(p.using)
+	p.p.SetDemand(p.using)
 	if amount, ok := p.p.Amount(p.own()); ok && p.chance(0.5) {
 		p.check.see(p.check.part.Use(p.now, p.inc, amount))
 	}
@@ -202,7 +202,7 @@
 		}
 		var g Grant
 		var err error
-		p.command(func(b *Book) { g, err = b.Renew(p.at(), r) })
+		p.command(func(b *AllocationTable) { g, err = b.Renew(p.at(), r) })
 		if err == nil {
 			send(p.whileUp(inc, func() { purse.Apply(sent, p.own(), g) }))
 		}
@@ -235,7 +235,7 @@
 		p.up = false
 		w.after(w.span(50*time.Millisecond), func() {
 			if !w.stopped {
-				w.command(func(b *Book) { must(b.Leave(w.at(), p.name, inc, left)) })
+				w.command(func(b *AllocationTable) { must(b.Leave(w.at(), p.name, inc, left)) })
 			}
 		})
 	case k == 5 && !w.stopped: // fleet time stands until there is a leader
@@ -245,9 +245,9 @@
 			w.since, w.rate, w.stopped = w.now, w.clock(), false
 			text, err := w.book.Encode()
 			must(err)
-			w.follower, w.book = w.book, NewBook()
+			w.follower, w.book = w.book, NewAllocationTable()
 			must(w.book.Decode(text))
-			w.book.twice = w.twice
+			w.book.grantTwice = w.twice
 		})
 	case k == 6 && !w.stopped:
 		w.faults["configs"]++
@@ -256,7 +256,7 @@
 			b.Whole, b.Burst = float64(int(b.Whole*(0.5+w.Float64()))), float64(int(b.Burst*(0.5+w.Float64())))
 			c.Budgets = append(c.Budgets, b)
 		}
-		w.command(func(b *Book) { must(b.Configure(w.at(), c)) })
+		w.command(func(b *AllocationTable) { must(b.Configure(w.at(), c)) })
 	default: // demand moves
 		p.busy, p.using = w.Float64()*w.Float64()*3, 60*w.Float64()
 	}
@@ -279,9 +279,9 @@
 	}
 	advance = func() {
 		if !w.stopped {
-			w.command(func(b *Book) { b.Advance(w.at()) })
+			w.command(func(b *AllocationTable) { b.Advance(w.at()) })
 		}
-		w.after(Interval, advance)
+		w.after(DivisionInterval, advance)
 	}
 	if w.IntN(40) > 0 {
 		w.after(time.Second, chaos)
@@ -308,7 +308,7 @@
 	return w
 }
 
-func digest(b *Book) uint64 {
+func digest(b *AllocationTable) uint64 {
 	d, err := b.Digest()
 	must(err)
 	return d
@@ -321,8 +321,8 @@
 	whole [3]float64 // of p, r, u
 	burst float64
 	rate  budgetcheck.Rate
-	under budgetcheck.UnderWay
-	part  budgetcheck.Part
+	under budgetcheck.InFlight
+	part  budgetcheck.Divided
 }
 
 func (c *checker) see(err error) {
@@ -332,7 +332,7 @@
 }
 
 func (c *checker) bind(w *world) {
-	for i, s := range w.book.Standings() {
+	for i, s := range w.book.Status() {
 		if s.Bound || s.Whole > c.whole[i] {
 			c.whole[i] = s.Whole
 		}
@@ -340,7 +340,7 @@
 			c.burst = s.Burst
 		}
 	}
-	c.part.Whole, c.under.Whole = c.whole[0], c.whole[2]
+	c.part.Limit, c.under.Limit = c.whole[0], c.whole[2]
 	c.rate.Set(w.now, c.whole[1], c.burst)
 }
 
@@ -357,7 +357,7 @@
 				for what, count := range w.faults {
 					all[what] += count
 				}
-				under, parted = max(under, w.check.under.Fill), max(parted, w.check.part.Fill)
+				under, parted = max(under, w.check.under.PeakFraction), max(parted, w.check.part.PeakFraction)
 				if w.check.wrong != "" {
 					wrong = append(wrong, fmt.Sprintf("seed %d %s", seed, w.check.wrong))
 				}
@@ -372,7 +372,7 @@
 // TestNeverOver: whatever goes wrong, no window holds more than the whole, and a
 // planted double spend is seen.
 func TestNeverOver(t *testing.T) {
-	wrong, all, under, parted := simulate(*seeds, plantFull, plantTwice)
+	wrong, all, under, parted := simulate(*seeds, faultFullBucket, faultGrantTwice)
 	t.Logf("%v; at most %.2f under way, %.2f parted", all, under, parted)
 	require.Empty(t, wrong)
 	require.Greater(t, under, 0.9, "the check would see little")
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -76,12 +76,12 @@
 		{"keepers: boot", state.BootBody{Process: "a", Count: 1}},
 		{"keepers: sums", state.DigestsBody{Replica: "a", Index: 1, Parts: map[string]uint64{"plans": 2}}},
 		{"budgets: settings", budget.Config{Lease: span, Budgets: []budget.Budget{rate}}},
-		{"budgets: renewal", budget.Renewal{Process: "a", Incarnation: 1, Bound: 2, Uses: map[string]budget.Use{"b": {Demand: 1.5, UnderWay: 2.5, Latest: span}}}},
+		{"budgets: renewal", budget.Renewal{Process: "a", Incarnation: 1, Bound: 2, Uses: map[string]budget.Usage{"b": {Demand: 1.5, UnderWay: 2.5, Latest: span}}}},
 		{"budgets: grant", budget.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, Soon: true, Shares: []budget.Share{
 			{Name: "b", Kind: budget.InFlight, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorFor: span + 1, Linger: span + 2},
 		}}},
-		{"budgets: leave", partition.BudgetsDeparture{Left: map[string]budget.Left{"a": {UnderWay: 1.5, Latest: span}}}},
-		{"budgets: standings", []budget.Standing{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
+		{"budgets: leave", partition.BudgetsDeparture{Left: map[string]budget.Departure{"a": {UnderWay: 1.5, Latest: span}}}},
+		{"budgets: standings", []budget.BudgetStatus{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
 		{"plans: start", planrun.Command{Start: &planrun.Start{
 			Run: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: goldenShape(), Input: bytes("d"), Seed: 2, Before: span, Process: "e", Incarnation: 3,
 		}}},
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -160,7 +160,7 @@
 
 	renew := func(process string, incarnation uint64, at time.Duration, bound uint64) uint64 {
 		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Parts: map[string][]byte{
-			partition.BudgetsName: l.encode(budget.Renewal{Process: process, Incarnation: incarnation, Bound: bound, Uses: map[string]budget.Use{
+			partition.BudgetsName: l.encode(budget.Renewal{Process: process, Incarnation: incarnation, Bound: bound, Uses: map[string]budget.Usage{
 				"jobs/hrad-kamenec": {Demand: 30.5}, "under-way/hrad-kamenec": {Demand: 12, UnderWay: 4, Latest: 2 * time.Second}, "cold": {Demand: 2},
 			}}),
 			partition.PlansName: nil, // refused: plans are not renewed
@@ -187,7 +187,7 @@
 	l.workRecords(at, first, third)
 
 	at += 2 * time.Second
-	require.NoError(l.t, l.by("n3", fourth, at, partition.BudgetsLeave, partition.BudgetsDeparture{Left: map[string]budget.Left{
+	require.NoError(l.t, l.by("n3", fourth, at, partition.BudgetsLeave, partition.BudgetsDeparture{Left: map[string]budget.Departure{
 		"under-way/hrad-kamenec": {UnderWay: 3, Latest: 4 * time.Second},
 	}}).Err())
 	require.NoError(l.t, l.by("n3", fourth, at, state.Leave, nil).Err())
@@ -428,7 +428,7 @@
 	require.Equal(t, `{"held":true}`, string(underWay.Stages[1].Items[2].Result))
 	require.Equal(t, &planrun.GiveUp{Stage: 1, End: plan.Failed, Reason: "no seat is left"}, l.view("run-given-up").Run.Gave)
 
-	var standings []budget.Standing
+	var standings []budget.BudgetStatus
 	l.ask(partition.BudgetsStatus, nil, &standings)
 	goldentest.Equal(t, filepath.Join(goldenState, "budgets"), fmt.Appendf(nil, "%x\n", l.encode(standings)))
 	require.Len(t, standings, 3)
--- a/internal/dispatcher/fleet/partition/budgets.go
+++ b/internal/dispatcher/fleet/partition/budgets.go
@@ -21,13 +21,13 @@
 )
 
 // BudgetsDeparture is what a process leaves under way at its planned end, by budget.
-type BudgetsDeparture struct{ Left map[string]budget.Left }
+type BudgetsDeparture struct{ Left map[string]budget.Departure }
 
 // Budgets is the part of the budgets. Its settings are a shares.Config.
-type Budgets struct{ table *budget.Book }
+type Budgets struct{ table *budget.AllocationTable }
 
 // NewBudgets returns a part without budgets.
-func NewBudgets() *Budgets { return &Budgets{budget.NewBook()} }
+func NewBudgets() *Budgets { return &Budgets{budget.NewAllocationTable()} }
 
 // Name implements state.Part.
 func (*Budgets) Name() string { return BudgetsName }
@@ -90,7 +90,7 @@
 	if kind != BudgetsStatus {
 		return nil, fmt.Errorf("no budget query %q", kind)
 	}
-	return codec.Encode(b.table.Standings())
+	return codec.Encode(b.table.Status())
 }
 
 // Snapshot implements state.Part.
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -101,7 +101,7 @@
 	}}, nil))
 	for grant := (budget.Grant{}); len(grant.Shares) == 0 || grant.Shares[0].Amount == 0; {
 		renewed, err := who.Renew(ctx, map[string][]byte{partition.BudgetsName: encoded(t, budget.Renewal{
-			Process: "n1", Incarnation: who.Incarnation, Bound: grant.Number, Uses: map[string]budget.Use{"jobs/hrad-kamenec": {Demand: 9}},
+			Process: "n1", Incarnation: who.Incarnation, Bound: grant.Number, Uses: map[string]budget.Usage{"jobs/hrad-kamenec": {Demand: 9}},
 		})})
 		require.NoError(t, err)
 		require.NoError(t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
@@ -172,7 +172,7 @@
 		want.Process, want.Epoch, want.Seq = "n1", 70, uint64(i+1)
 		require.Equal(t, want, page.Records[i])
 	}
-	var standings []budget.Standing
+	var standings []budget.BudgetStatus
 	ask(partition.BudgetsStatus, nil, &standings)
 	require.Len(t, standings, 1)
 	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
