--- a/internal/dispatcher/fleet/budget/bench_test.go
+++ b/internal/dispatcher/fleet/budget/bench_test.go
@@ -13,7 +13,7 @@
 		p, begin := NewAllowance(), time.Now()
 		p.SetIncarnation("n1", 1)
 		p.Apply(0, 0, Grant{Process: "n1", Incarnation: 1, Number: 1, Lease: time.Hour, Shares: []Share{
-			{Name: "r", Kind: Rate, Amount: rate, Burst: rate}, {Name: "u", Kind: InFlight, Amount: rate, Linger: time.Hour},
+			{Name: "r", Kind: Rate, Amount: rate, Burst: rate}, {Name: "u", Kind: InFlight, Amount: rate, SettleTime: time.Hour},
 		}})
 		r, u := p.Bucket("r"), p.Bucket("u")
 		for name, do := range map[string]func(now time.Duration){
@@ -40,7 +40,7 @@
 // fleetOf is a book with n holders of one budget that have renewed and acknowledged.
 func fleetOf(n int, kind Kind) (*AllocationTable, []Renewal) {
 	b, at := NewAllocationTable(), time.Duration(0)
-	budget := Budget{Name: "x", Kind: kind, Whole: float64(10 * n), Linger: time.Second}
+	budget := Budget{Name: "x", Kind: kind, Total: float64(10 * n), SettleTime: time.Second}
 	if kind == Rate {
 		budget.Burst = float64(2 * n)
 	}
@@ -49,10 +49,10 @@
 	for ; at < 6*DivisionInterval; at += DivisionInterval {
 		for i := range renewals {
 			r := &renewals[i]
-			r.Process, r.Incarnation, r.Uses = fmt.Sprintf("n%04d", i), 1, map[string]Usage{"x": {Demand: float64(1 + i%25)}}
+			r.Process, r.Incarnation, r.Usage = fmt.Sprintf("n%04d", i), 1, map[string]Usage{"x": {Demand: float64(1 + i%25)}}
 			g, err := b.Renew(at, *r)
 			must(err)
-			r.Bound = g.Number
+			r.AppliedGrant = g.Number
 		}
 	}
 	return b, renewals
@@ -72,12 +72,12 @@
 				})
 			}
 			run("divide", func(int) {
-				book.Budgets[0].Dirty, book.Budgets[0].Divided = true, -DivisionInterval
-				book.Advance(book.At)
+				book.Budgets[0].NeedsDivision, book.Budgets[0].DividedAt = true, -DivisionInterval
+				book.Advance(book.Now)
 			})
-			run("nothing", func(int) { book.Advance(book.At) })
+			run("nothing", func(int) { book.Advance(book.Now) })
 			run("renew", func(i int) {
-				_, err := book.Renew(book.At+lease/time.Duration(3*n), renewals[i%n])
+				_, err := book.Renew(book.Now+lease/time.Duration(3*n), renewals[i%n])
 				must(err)
 			})
 		}
--- a/internal/dispatcher/fleet/budget/book.go
+++ b/internal/dispatcher/fleet/budget/book.go
@@ -32,21 +32,21 @@
 
 // storedState is what is encoded. The sums that Book keeps beside it follow from it.
 type storedState struct {
-	Version uint64
-	At      time.Duration
-	Lease   time.Duration
-	Number  uint64 // the last grant number given
-	Budgets []*budgetState
-	Holders []*holder // by process, then incarnation
+	Version   uint64
+	Now       time.Duration `cbor:"At"`
+	Lease     time.Duration
+	LastGrant uint64 `cbor:"Number"` // the last grant number given
+	Budgets   []*budgetState
+	Holders   []*holder // by process, then incarnation
 }
 
 // budgetState is a budget with what it has given.
 type budgetState struct {
 	Budget
-	Rests   []quarantine
-	Divided time.Duration // when last
-	Turn    time.Duration // when those without a seat get theirs; 0: all have one
-	Dirty   bool          // something changed since
+	Quarantines   []quarantine  `cbor:"Rests"`
+	DividedAt     time.Duration `cbor:"Divided"` // when last
+	SeatTurnAt    time.Duration `cbor:"Turn"`    // when those without a seat get theirs; 0: all have one
+	NeedsDivision bool          `cbor:"Dirty"`   // something changed since
 
 	held, quarantined totals
 }
@@ -135,15 +135,15 @@
 	b.expireDue(at)
 	next := make([]*budgetState, 0, len(c.Budgets))
 	for _, budget := range c.Budgets {
-		s := &budgetState{Budget: budget, Dirty: true, Divided: -DivisionInterval}
+		s := &budgetState{Budget: budget, NeedsDivision: true, DividedAt: -DivisionInterval}
 		if i := b.budgetIndex(budget.Name); i >= 0 && b.Budgets[i].Kind == budget.Kind {
-			s.Rests = b.Budgets[i].Rests
+			s.Quarantines = b.Budgets[i].Quarantines
 		}
 		next = append(next, s)
 	}
 	slices.SortFunc(next, func(x, y *budgetState) int { return strings.Compare(x.Name, y.Name) })
 	if len(b.Holders) > 0 {
-		b.Number++
+		b.LastGrant++
 	}
 	for _, h := range b.Holders {
 		lines := make([]allocation, len(next))
@@ -155,10 +155,10 @@
 				l.Acknowledged = l.Acknowledged.componentMax(l.Offered)
 				l.Offered = l.Acknowledged
 			} else if s.Kind != Rate {
-				l.Acknowledged = allotment{Amount: toMicros(s.Whole), SettleTime: s.Linger}
+				l.Acknowledged = allotment{Amount: toMicros(s.Total), SettleTime: s.SettleTime}
 			}
 		}
-		h.Allocations, h.OfferedGrant = lines, b.Number
+		h.Allocations, h.OfferedGrant = lines, b.LastGrant
 	}
 	b.Lease, b.Budgets = c.Lease, next
 	b.rebuildTotals()
@@ -202,8 +202,8 @@
 		return Grant{}, fmt.Errorf("renewing %q, %d: %w", r.Process, r.Incarnation, ErrFenced)
 	}
 	for _, s := range b.Budgets {
-		u := r.Uses[s.Name]
-		if !(u.Demand >= 0 && u.Demand <= maxTotal && u.UnderWay >= 0 && u.UnderWay <= maxTotal && u.Latest >= 0) {
+		u := r.Usage[s.Name]
+		if !(u.Demand >= 0 && u.Demand <= maxTotal && u.InFlight >= 0 && u.InFlight <= maxTotal && u.MaxRemaining >= 0) {
 			return Grant{}, fmt.Errorf("renewing %q, %d: use of budget %q: below 0, no number or above %v: %+v", r.Process, r.Incarnation, s.Name, maxTotal, u)
 		}
 	}
@@ -212,7 +212,7 @@
 	if h == nil || h.Incarnation < r.Incarnation {
 		h = b.addHolder(r)
 	}
-	h.LeaseEnd = max(h.LeaseEnd, b.At+b.Lease)
+	h.LeaseEnd = max(h.LeaseEnd, b.Now+b.Lease)
 	b.nextDue = min(b.nextDue, h.LeaseEnd)
 	b.acknowledge(h, r)
 	b.divideChanged()
@@ -241,8 +241,8 @@
 	b.Holders = slices.Insert(b.Holders, i, h)
 	b.activeHolders[r.Process] = h
 	for i, s := range b.Budgets {
-		h.Allocations[i].Since = b.At
-		s.Dirty = true
+		h.Allocations[i].Since = b.Now
+		s.NeedsDivision = true
 	}
 	return h
 }
@@ -251,14 +251,14 @@
 // acknowledged says nothing new. What is under way above the amount can only fall, as
 // nothing is begun above it: so the least that was said since counts.
 func (b *AllocationTable) acknowledge(h *holder, r Renewal) {
-	if r.Bound < h.AcknowledgedGrant {
+	if r.AppliedGrant < h.AcknowledgedGrant {
 		return
 	}
-	fresh := r.Bound == h.OfferedGrant && h.AcknowledgedGrant != h.OfferedGrant
+	fresh := r.AppliedGrant == h.OfferedGrant && h.AcknowledgedGrant != h.OfferedGrant
 	for i, s := range b.Budgets {
-		l, u := &h.Allocations[i], r.Uses[s.Name]
+		l, u := &h.Allocations[i], r.Usage[s.Name]
 		b.updateAllocation(s, l, func() {
-			under := toMicros(u.UnderWay)
+			under := toMicros(u.InFlight)
 			if s.Kind == InFlight && (fresh || h.OfferedGrant == 0 || under < l.InFlight) {
 				l.InFlight = under
 			}
@@ -266,15 +266,15 @@
 				before := l.upperBound().Amount
 				l.Acknowledged = l.Offered
 				if freed := before - l.upperBound().Amount; freed > 0 && s.Kind == Divided {
-					until := b.At + quarantineSpan(max(s.Linger, l.Acknowledged.SettleTime))
+					until := b.Now + quarantineSpan(max(s.SettleTime, l.Acknowledged.SettleTime))
 					s.addQuarantine(quarantine{Amount: freed, Until: until})
 					b.nextDue = min(b.nextDue, until)
 				}
 			}
 		})
-		l.Latest = max(l.Latest, b.At+quarantineSpan(u.Latest))
+		l.Latest = max(l.Latest, b.Now+quarantineSpan(u.MaxRemaining))
 		if l.Demand != u.Demand && (math.Abs(l.Demand-u.Demand) > demandTolerance*max(l.Demand, u.Demand)) {
-			l.Demand, s.Dirty = u.Demand, true
+			l.Demand, s.NeedsDivision = u.Demand, true
 		}
 	}
 	if fresh {
@@ -308,14 +308,14 @@
 
 func (s *budgetState) addQuarantine(r quarantine) {
 	if r.Amount > 0 || r.Burst > 0 || r.Floor {
-		s.Rests = append(s.Rests, r)
+		s.Quarantines = append(s.Quarantines, r)
 		s.quarantined.addQuarantine(r, 1)
 	}
 }
 
 // reservedFloors is what is set aside for the slots that nobody has.
 func (s *budgetState) reservedFloors() (amount, burst int64, slots int) {
-	slots = max(s.Floors-s.held.floors-s.quarantined.floors, 0)
+	slots = max(s.FloorSlots-s.held.floors-s.quarantined.floors, 0)
 	if s.Floor == 0 {
 		slots = 0
 	}
@@ -325,7 +325,7 @@
 // available is what may be given now; below 0 while a lowered whole does not bind yet.
 func (s *budgetState) available() (amount, burst int64) {
 	amount, burst, _ = s.reservedFloors()
-	return toMicros(s.Whole) - amount - s.held.amount - s.quarantined.amount,
+	return toMicros(s.Total) - amount - s.held.amount - s.quarantined.amount,
 		toMicros(s.Burst) - burst - s.held.burst - s.quarantined.burst
 }
 
@@ -339,8 +339,8 @@
 			b.updateAllocation(s, l, func() { changed = s.offer(l) || changed })
 		}
 		if changed {
-			b.Number++
-			h.OfferedGrant = b.Number
+			b.LastGrant++
+			h.OfferedGrant = b.LastGrant
 		}
 	}
 	g.Number = h.OfferedGrant
@@ -349,11 +349,11 @@
 		o := l.Offered
 		g.Shares[i] = Share{
 			Name: s.Name, Kind: s.Kind, Amount: fromMicros(o.Amount), Burst: fromMicros(o.Burst),
-			Floor: fromMicros(o.Floor), FloorFor: o.FloorDuration, Linger: o.SettleTime,
+			Floor: fromMicros(o.Floor), FloorDuration: o.FloorDuration, SettleTime: o.SettleTime,
 		}
-		waits := s.Dirty && l.Due == 0 && l.Demand > 0 // not divided since it asked
+		waits := s.NeedsDivision && l.Due == 0 && l.Demand > 0 // not divided since it asked
 		if waits || s.Kind != Divided && float64(o.Amount) < (1-demandTolerance)*float64(l.Due+o.Floor) {
-			g.Soon = true
+			g.RenewSoon = true
 		}
 	}
 	return g
@@ -362,13 +362,13 @@
 // offer sets what is offered to a holder that has acknowledged everything; it
 // tells whether that is a change. Its line is out of the sums meanwhile.
 func (s *budgetState) offer(l *allocation) bool {
-	held, next, slot := l.upperBound(), allotment{SettleTime: s.Linger}, 0
+	held, next, slot := l.upperBound(), allotment{SettleTime: s.SettleTime}, 0
 	free, burst := s.available()
-	if others := s.held.floors + s.quarantined.floors; s.Floor > 0 && others < s.Floors && (held.Floor > 0 || free >= 0 && burst >= 0) {
+	if others := s.held.floors + s.quarantined.floors; s.Floor > 0 && others < s.FloorSlots && (held.Floor > 0 || free >= 0 && burst >= 0) {
 		slot = 1 // its part of what is set aside is free, for it
-		next.Floor, next.FloorDuration = toMicros(s.Floor), s.FloorFor
+		next.Floor, next.FloorDuration = toMicros(s.Floor), s.FloorDuration
 	}
-	s.Dirty = s.Dirty || (slot > 0) != (held.Floor > 0)
+	s.NeedsDivision = s.NeedsDivision || (slot > 0) != (held.Floor > 0)
 	s.held.floors += slot
 	free, burst = s.available()
 	s.held.floors -= slot
@@ -399,7 +399,7 @@
 		return fmt.Errorf("leaving of %q, %d: %w", process, incarnation, ErrNoName)
 	}
 	for _, s := range b.Budgets {
-		if l := left[s.Name]; !(l.UnderWay >= 0 && l.UnderWay <= maxTotal && l.Latest >= 0) {
+		if l := left[s.Name]; !(l.InFlight >= 0 && l.InFlight <= maxTotal && l.MaxRemaining >= 0) {
 			return fmt.Errorf("leaving of %q, %d: budget %q: below 0, no number or above %v: %+v", process, incarnation, s.Name, maxTotal, l)
 		}
 	}
@@ -414,9 +414,9 @@
 		u, told := left[s.Name]
 		switch {
 		case s.Kind == Divided || s.Kind == InFlight && !told:
-			s.addQuarantine(quarantine{Amount: held.Amount, Until: b.At + quarantineSpan(max(held.SettleTime, s.Linger))})
+			s.addQuarantine(quarantine{Amount: held.Amount, Until: b.Now + quarantineSpan(max(held.SettleTime, s.SettleTime))})
 		case s.Kind == InFlight:
-			s.addQuarantine(quarantine{Amount: toMicros(u.UnderWay), Until: b.At + quarantineSpan(u.Latest)})
+			s.addQuarantine(quarantine{Amount: toMicros(u.InFlight), Until: b.Now + quarantineSpan(u.MaxRemaining)})
 		}
 	}
 	b.removeHolder(h)
@@ -430,7 +430,7 @@
 	for i, s := range b.Budgets {
 		l := &h.Allocations[i]
 		p := l.upperBound()
-		linger := quarantineSpan(max(p.SettleTime, s.Linger))
+		linger := quarantineSpan(max(p.SettleTime, s.SettleTime))
 		if s.Kind == Rate {
 			linger = 0
 		}
@@ -452,14 +452,14 @@
 func (b *AllocationTable) removeHolder(h *holder) {
 	for i, s := range b.Budgets {
 		s.held.add(&h.Allocations[i], -1)
-		s.Dirty = true
+		s.NeedsDivision = true
 	}
 	i, _ := b.holderIndex(h.Process, h.Incarnation)
 	b.Holders = slices.Delete(b.Holders, i, i+1)
 	if b.activeHolders[h.Process] == h {
 		delete(b.activeHolders, h.Process)
 	}
-	b.nextDue = min(b.nextDue, b.At) // rests may be due
+	b.nextDue = min(b.nextDue, b.Now) // rests may be due
 }
 
 // Advance takes in that fleet time is at: leases end, what rests is free, and
@@ -472,12 +472,12 @@
 
 // expireDue ends what is due. A rest may be of before: one that is over is dropped in the same call.
 func (b *AllocationTable) expireDue(at time.Duration) {
-	b.At = max(b.At, at)
-	if b.nextDue > b.At {
+	b.Now = max(b.Now, at)
+	if b.nextDue > b.Now {
 		return
 	}
 	for i := 0; i < len(b.Holders); {
-		if h := b.Holders[i]; h.LeaseEnd <= b.At {
+		if h := b.Holders[i]; h.LeaseEnd <= b.Now {
 			b.expireHolder(h, true)
 			continue
 		}
@@ -488,20 +488,20 @@
 		b.nextDue = min(b.nextDue, h.LeaseEnd)
 	}
 	for _, s := range b.Budgets {
-		s.Rests = slices.DeleteFunc(s.Rests, func(r quarantine) bool {
-			if r.Until > b.At {
+		s.Quarantines = slices.DeleteFunc(s.Quarantines, func(r quarantine) bool {
+			if r.Until > b.Now {
 				b.nextDue = min(b.nextDue, r.Until)
 				return false
 			}
 			s.quarantined.addQuarantine(r, -1)
-			s.Dirty = true
+			s.NeedsDivision = true
 			return true
 		})
-		if s.Turn > 0 && s.Turn <= b.At {
-			s.Turn, s.Dirty = 0, true
+		if s.SeatTurnAt > 0 && s.SeatTurnAt <= b.Now {
+			s.SeatTurnAt, s.NeedsDivision = 0, true
 		}
-		if s.Turn > 0 {
-			b.nextDue = min(b.nextDue, s.Turn)
+		if s.SeatTurnAt > 0 {
+			b.nextDue = min(b.nextDue, s.SeatTurnAt)
 		}
 	}
 }
@@ -521,7 +521,7 @@
 		aside, asideBurst, _ := s.reservedFloors()
 		free, burst := s.available()
 		out[i] = BudgetStatus{
-			Name: s.Name, Whole: s.Whole, Held: fromMicros(s.held.amount), Resting: fromMicros(s.quarantined.amount), SetAside: fromMicros(aside),
+			Name: s.Name, Whole: s.Total, Held: fromMicros(s.held.amount), Resting: fromMicros(s.quarantined.amount), SetAside: fromMicros(aside),
 			Burst: s.Burst, HeldBurst: fromMicros(s.held.burst + s.quarantined.burst + asideBurst), Bound: free >= 0 && burst >= 0,
 		}
 	}
--- a/internal/dispatcher/fleet/budget/book_code.go
+++ b/internal/dispatcher/fleet/budget/book_code.go
@@ -52,12 +52,12 @@
 		if h == nil || len(h.Allocations) != len(im.Budgets) {
 			return fmt.Errorf("holder %d: not a line a budget", i)
 		}
-		if h.AcknowledgedGrant > h.OfferedGrant || h.OfferedGrant > im.Number {
-			return fmt.Errorf("holder %q: numbers %d, %d, %d", h.Process, h.AcknowledgedGrant, h.OfferedGrant, im.Number)
+		if h.AcknowledgedGrant > h.OfferedGrant || h.OfferedGrant > im.LastGrant {
+			return fmt.Errorf("holder %q: numbers %d, %d, %d", h.Process, h.AcknowledgedGrant, h.OfferedGrant, im.LastGrant)
 		}
 	}
-	if im.At < 0 || im.Lease < 0 {
-		return fmt.Errorf("fleet time %v, lease %v: below 0", im.At, im.Lease)
+	if im.Now < 0 || im.Lease < 0 {
+		return fmt.Errorf("fleet time %v, lease %v: below 0", im.Now, im.Lease)
 	}
 	for i, s := range im.Budgets {
 		if err := im.checkAmounts(i, s); err != nil {
@@ -85,7 +85,7 @@
 		}
 		return sum < 4e18
 	}
-	for _, r := range s.Rests {
+	for _, r := range s.Quarantines {
 		if !add(r.Amount, r.Burst) {
 			return fmt.Errorf("a rest of %d, %d, sum %v", r.Amount, r.Burst, sum)
 		}
@@ -114,7 +114,7 @@
 	b.activeHolders = make(map[string]*holder, len(b.Holders))
 	for _, s := range b.Budgets {
 		s.held, s.quarantined = totals{}, totals{}
-		for _, r := range s.Rests {
+		for _, r := range s.Quarantines {
 			s.quarantined.addQuarantine(r, 1)
 		}
 	}
@@ -126,5 +126,5 @@
 			s.held.add(&h.Allocations[i], 1)
 		}
 	}
-	b.nextDue = b.At // what is due is looked for with the next call
+	b.nextDue = b.Now // what is due is looked for with the next call
 }
--- a/internal/dispatcher/fleet/budget/book_divide.go
+++ b/internal/dispatcher/fleet/budget/book_divide.go
@@ -9,9 +9,9 @@
 // divideChanged divides the budgets anew that changed, each once an Interval at most.
 func (b *AllocationTable) divideChanged() {
 	for i, s := range b.Budgets {
-		if s.Dirty && b.At-s.Divided >= DivisionInterval {
+		if s.NeedsDivision && b.Now-s.DividedAt >= DivisionInterval {
 			b.divideBudget(i, s)
-			s.Dirty, s.Divided = false, b.At
+			s.NeedsDivision, s.DividedAt = false, b.Now
 		}
 	}
 }
@@ -21,8 +21,8 @@
 // back to those that they are due to.
 func (b *AllocationTable) divideBudget(i int, s *budgetState) {
 	amount, burst, _ := s.reservedFloors()
-	whole, bursts := toMicros(s.Whole)-amount, toMicros(s.Burst)-burst
-	for _, r := range s.Rests {
+	whole, bursts := toMicros(s.Total)-amount, toMicros(s.Burst)-burst
+	for _, r := range s.Quarantines {
 		if s.Kind != Divided || r.Floor {
 			whole -= r.Amount
 		}
@@ -60,7 +60,7 @@
 	case InFlight: // who wants nothing needs no seat
 		seats, most = int(min(whole/microsPerUnit, int64(live))), wanting
 	}
-	s.Turn = 0
+	s.SeatTurnAt = 0
 	if seats < most {
 		b.assignSeats(i, s, seats, wanting)
 	}
@@ -96,7 +96,7 @@
 	if s.Kind == InFlight {
 		d = math.Ceil(d)
 	}
-	return min(max(d, 0), s.Whole)
+	return min(max(d, 0), s.Total)
 }
 
 // seatTurnLeases is how many leases a seat is kept where others wait for one.
@@ -111,7 +111,7 @@
 		h := b.Holders[k]
 		l := &h.Allocations[i]
 		switch wants := b.demandBeyondFloor(i, s, h) > 0; {
-		case wants && l.Seated && b.At-l.Since < seatTurnLeases*b.Lease:
+		case wants && l.Seated && b.Now-l.Since < seatTurnLeases*b.Lease:
 			return 0
 		case wants && !l.Seated:
 			return 1
@@ -132,12 +132,12 @@
 	})
 	for n, k := range b.candidates {
 		if l := &b.Holders[k].Allocations[i]; l.Seated != (n < seats) {
-			l.Seated, l.Since = n < seats, b.At
+			l.Seated, l.Since = n < seats, b.Now
 		}
 	}
 	if seats < wanting {
-		s.Turn = b.At + seatTurnLeases*b.Lease
-		b.nextDue = min(b.nextDue, s.Turn)
+		s.SeatTurnAt = b.Now + seatTurnLeases*b.Lease
+		b.nextDue = min(b.nextDue, s.SeatTurnAt)
 	}
 	b.candidates = b.candidates[:seats]
 	slices.Sort(b.candidates)
--- a/internal/dispatcher/fleet/budget/book_test.go
+++ b/internal/dispatcher/fleet/budget/book_test.go
@@ -37,10 +37,10 @@
 	if b.Kind == InFlight {
 		all = max(all, m.under)
 	}
-	switch ends := m.ends + quarantineSpan(b.Linger); {
+	switch ends := m.ends + quarantineSpan(b.SettleTime); {
 	case at < ends:
 		return all
-	case at < ends+b.FloorFor:
+	case at < ends+b.FloorDuration:
 		return floor
 	}
 	return 0
@@ -51,9 +51,9 @@
 // goes on alike.
 func TestBookAgainstPlain(t *testing.T) {
 	budgets := []Budget{
-		{Name: "p", Kind: Divided, Whole: 10, Floors: 1, Floor: 1, FloorFor: time.Second, Linger: 400 * time.Millisecond},
-		{Name: "r", Kind: Rate, Whole: 30, Burst: 3, Floors: 1, Floor: 5, FloorFor: 2 * time.Second},
-		{Name: "u", Kind: InFlight, Whole: 5, Floors: 2, Floor: 1, FloorFor: time.Second, Linger: 700 * time.Millisecond},
+		{Name: "p", Kind: Divided, Total: 10, FloorSlots: 1, Floor: 1, FloorDuration: time.Second, SettleTime: 400 * time.Millisecond},
+		{Name: "r", Kind: Rate, Total: 30, Burst: 3, FloorSlots: 1, Floor: 5, FloorDuration: 2 * time.Second},
+		{Name: "u", Kind: InFlight, Total: 5, FloorSlots: 2, Floor: 1, FloorDuration: time.Second, SettleTime: 700 * time.Millisecond},
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		b, at := NewAllocationTable(), time.Duration(0)
@@ -80,23 +80,23 @@
 			},
 			"renew": func(t *rapid.T) {
 				k, m := draw()
-				r := Renewal{Process: k.name, Incarnation: k.inc, Uses: map[string]Usage{}}
+				r := Renewal{Process: k.name, Incarnation: k.inc, Usage: map[string]Usage{}}
 				next := plain{}
 				if m != nil {
 					next = *m
 					if n := len(m.grants); n > 0 && rapid.IntRange(0, 5).Draw(t, "says") > 0 {
-						r.Bound = m.grants[rapid.IntRange(max(0, n-2), n-1).Draw(t, "bound")].Number
+						r.AppliedGrant = m.grants[rapid.IntRange(max(0, n-2), n-1).Draw(t, "bound")].Number
 					}
 				}
 				for i, budget := range budgets {
 					u := Usage{Demand: float64(rapid.IntRange(0, 40).Draw(t, "demand"))}
 					if budget.Kind == InFlight && m != nil {
-						u.UnderWay = float64(rapid.IntRange(0, int(max(m.most(i, amount), m.under))).Draw(t, "under"))
+						u.InFlight = float64(rapid.IntRange(0, int(max(m.most(i, amount), m.under))).Draw(t, "under"))
 					}
-					r.Uses[budget.Name] = u
+					r.Usage[budget.Name] = u
 				}
-				if r.Bound > next.bound && r.Bound == next.grants[len(next.grants)-1].Number {
-					next.bound, next.under = r.Bound, r.Uses["u"].UnderWay
+				if r.AppliedGrant > next.bound && r.AppliedGrant == next.grants[len(next.grants)-1].Number {
+					next.bound, next.under = r.AppliedGrant, r.Usage["u"].InFlight
 				}
 				g, err := b.Renew(at, r)
 				if err != nil {
@@ -126,7 +126,7 @@
 					for _, m := range all {
 						sum += m.held(budget, i, at)
 					}
-					require.LessOrEqual(t, sum, budget.Whole+1e-5, budget.Name)
+					require.LessOrEqual(t, sum, budget.Total+1e-5, budget.Name)
 				}
 				text, err := b.Encode()
 				require.NoError(t, err)
@@ -191,9 +191,9 @@
 // ask renews one that wants so much, has so many under way, and acknowledges what it had.
 func (f *fleet) ask(name string, demand float64, under ...float64) Grant {
 	u := Usage{Demand: demand}
-	for _, u.UnderWay = range under {
+	for _, u.InFlight = range under {
 	}
-	g, err := f.Renew(f.at, Renewal{Process: name, Incarnation: 1, Bound: f.bound[name], Uses: map[string]Usage{"x": u}})
+	g, err := f.Renew(f.at, Renewal{Process: name, Incarnation: 1, AppliedGrant: f.bound[name], Usage: map[string]Usage{"x": u}})
 	must(err)
 	f.bound[name] = g.Number
 	return g
@@ -202,7 +202,7 @@
 // TestUnderWayCounts: what is under way above the amount is nobody else's, whoever
 // says otherwise, and backs nothing twice.
 func TestUnderWayCounts(t *testing.T) {
-	x := Budget{Name: "x", Kind: InFlight, Whole: 10, Linger: time.Second}
+	x := Budget{Name: "x", Kind: InFlight, Total: 10, SettleTime: time.Second}
 	got := func(g Grant) float64 { return g.Shares[0].Amount }
 	f := newFleet(t, x)
 	require.EqualValues(t, 10, got(f.ask("a", 10)))
@@ -245,7 +245,7 @@
 	require.EqualValues(t, 5, got(f.ask("a", 10)))
 
 	// It leaves with some under way.
-	require.NoError(t, f.Leave(f.at, "a", 1, map[string]Departure{"x": {UnderWay: 7, Latest: 900 * time.Millisecond}}))
+	require.NoError(t, f.Leave(f.at, "a", 1, map[string]Departure{"x": {InFlight: 7, MaxRemaining: 900 * time.Millisecond}}))
 	f.at += DivisionInterval
 	require.EqualValues(t, 3, got(f.ask("b", 10)))
 	f.at += time.Second
@@ -270,7 +270,7 @@
 // TestFloorAside: others hold all, and a newcomer has its floor with its first
 // renewal; a fenced incarnation stays fenced.
 func TestFloorAside(t *testing.T) {
-	f := newFleet(t, Budget{Name: "x", Kind: Rate, Whole: 100, Burst: 10, Floors: 2, Floor: 5, FloorFor: lease})
+	f := newFleet(t, Budget{Name: "x", Kind: Rate, Total: 100, Burst: 10, FloorSlots: 2, Floor: 5, FloorDuration: lease})
 	for range 4 {
 		f.ask("a", 1000)
 		f.at += DivisionInterval
@@ -299,8 +299,8 @@
 // TestNewcomer: others hold all and want all; a newcomer has a share by its third renewal.
 func TestNewcomer(t *testing.T) {
 	for _, b := range []Budget{
-		{Name: "x", Kind: Rate, Whole: 100, Burst: 40}, {Name: "x", Kind: InFlight, Whole: 60, Linger: time.Second},
-		{Name: "x", Kind: Divided, Whole: 10, Linger: 100 * time.Millisecond},
+		{Name: "x", Kind: Rate, Total: 100, Burst: 40}, {Name: "x", Kind: InFlight, Total: 60, SettleTime: time.Second},
+		{Name: "x", Kind: Divided, Total: 10, SettleTime: 100 * time.Millisecond},
 	} {
 		f := newFleet(t, b)
 		round := func() {
@@ -312,13 +312,13 @@
 		for range 4 {
 			round()
 		}
-		require.InDelta(t, b.Whole, f.Status()[0].Held, 1e-3, b.Kind)
+		require.InDelta(t, b.Total, f.Status()[0].Held, 1e-3, b.Kind)
 		var got Share
 		for range 3 {
 			got = f.ask("new", 1000).Shares[0]
 			round()
 		}
-		require.Greater(t, got.Amount, b.Whole/30*0.9-1, b.Kind)
+		require.Greater(t, got.Amount, b.Total/30*0.9-1, b.Kind)
 		require.Greater(t, got.Amount, 0.0)
 		require.True(t, b.Kind != Rate || got.Burst >= 1)
 	}
@@ -327,7 +327,7 @@
 // TestSteady: demand that wavers by less than a tenth changes no share, and one
 // that changes by more does.
 func TestSteady(t *testing.T) {
-	f := newFleet(t, Budget{Name: "x", Kind: Rate, Whole: 100, Burst: 40})
+	f := newFleet(t, Budget{Name: "x", Kind: Rate, Total: 100, Burst: 40})
 	round := func(k int, waver float64) {
 		for n := range 10 {
 			f.ask(fmt.Sprint(n), 5*(1+waver*math.Sin(float64(7*k+n))))
@@ -337,23 +337,23 @@
 	for k := range 5 {
 		round(k, 0)
 	}
-	number := f.Number
+	number := f.LastGrant
 	for k := range 50 {
 		round(k, 0.09)
 	}
-	require.Equal(t, number, f.Number)
+	require.Equal(t, number, f.LastGrant)
 	round(1, 0.9)
 	round(1, 0.9)
-	require.Greater(t, f.Number, number)
+	require.Greater(t, f.LastGrant, number)
 	f.ask("0", 80)
 	f.ask("1", 80)
-	require.True(t, f.Budgets[0].Dirty, "divided once an interval")
+	require.True(t, f.Budgets[0].NeedsDivision, "divided once an interval")
 }
 
 // TestTurns: with fewer seats than want one, each has one in turn.
 func TestTurns(t *testing.T) {
 	for _, b := range []Budget{
-		{Name: "x", Kind: Rate, Whole: 100, Burst: 3}, {Name: "x", Kind: InFlight, Whole: 3, Linger: time.Second},
+		{Name: "x", Kind: Rate, Total: 100, Burst: 3}, {Name: "x", Kind: InFlight, Total: 3, SettleTime: time.Second},
 	} {
 		f, had := newFleet(t, b), map[string]int{}
 		for range 180 {
@@ -379,8 +379,8 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		b := NewAllocationTable()
 		if b.Decode(text) == nil {
-			b.Advance(b.At + time.Second)
-			_, _ = b.Renew(b.At, Renewal{Process: "n1", Incarnation: 1 << 40})
+			b.Advance(b.Now + time.Second)
+			_, _ = b.Renew(b.Now, Renewal{Process: "n1", Incarnation: 1 << 40})
 			b.HolderStatuses("x")
 		}
 	})
@@ -388,15 +388,15 @@
 
 // TestRefused: bad commands and states are errors that change nothing.
 func TestRefused(t *testing.T) {
-	f := newFleet(t, Budget{Name: "x", Kind: Rate, Whole: 10, Burst: 4, Floors: 1, Floor: 1})
+	f := newFleet(t, Budget{Name: "x", Kind: Rate, Total: 10, Burst: 4, FloorSlots: 1, Floor: 1})
 	f.ask("a", 1)
 	before := digest(f.AllocationTable)
-	good := Budget{Name: "x", Kind: InFlight, Whole: 10, Linger: time.Second}
+	good := Budget{Name: "x", Kind: InFlight, Total: 10, SettleTime: time.Second}
 	for i, wrong := range []func(b *Budget){
-		func(b *Budget) { b.Name = "" }, func(b *Budget) { b.Kind = 9 }, func(b *Budget) { b.Whole = -1 }, func(b *Budget) { b.Whole = math.NaN() },
-		func(b *Budget) { b.Whole = 1.5 }, func(b *Budget) { b.Floor = 0.5 }, func(b *Budget) { b.Floors, b.Floor = 11, 1 },
-		func(b *Budget) { b.Linger = 0 }, func(b *Budget) { b.Kind = Rate }, func(b *Budget) { b.Burst = 3 },
-		func(b *Budget) { b.Kind, b.Burst, b.Floors, b.Floor = Rate, 2, 2, 1 }, func(b *Budget) { b.Weights = map[string]float64{"a": 0} },
+		func(b *Budget) { b.Name = "" }, func(b *Budget) { b.Kind = 9 }, func(b *Budget) { b.Total = -1 }, func(b *Budget) { b.Total = math.NaN() },
+		func(b *Budget) { b.Total = 1.5 }, func(b *Budget) { b.Floor = 0.5 }, func(b *Budget) { b.FloorSlots, b.Floor = 11, 1 },
+		func(b *Budget) { b.SettleTime = 0 }, func(b *Budget) { b.Kind = Rate }, func(b *Budget) { b.Burst = 3 },
+		func(b *Budget) { b.Kind, b.Burst, b.FloorSlots, b.Floor = Rate, 2, 2, 1 }, func(b *Budget) { b.Weights = map[string]float64{"a": 0} },
 	} {
 		b := good
 		wrong(&b)
@@ -404,11 +404,11 @@
 	}
 	require.Error(t, f.Configure(f.at, Config{Lease: 0, Budgets: nil}))
 	require.Error(t, f.Configure(f.at, Config{Lease: lease, Budgets: []Budget{good, good}}))
-	for _, r := range []Renewal{{Process: "a"}, {Incarnation: 1}, {Process: "a", Incarnation: 1, Uses: map[string]Usage{"x": {Demand: math.Inf(1)}}}} {
+	for _, r := range []Renewal{{Process: "a"}, {Incarnation: 1}, {Process: "a", Incarnation: 1, Usage: map[string]Usage{"x": {Demand: math.Inf(1)}}}} {
 		_, err := f.Renew(f.at, r)
 		require.Error(t, err)
 	}
-	require.Error(t, f.Leave(f.at, "a", 1, map[string]Departure{"x": {UnderWay: -1}}))
+	require.Error(t, f.Leave(f.at, "a", 1, map[string]Departure{"x": {InFlight: -1}}))
 	require.NoError(t, f.Leave(f.at, "nobody", 1, nil))
 	text, err := f.Encode()
 	require.NoError(t, err)
--- a/internal/dispatcher/fleet/budget/budgetlab/sharelab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/sharelab.go
@@ -64,7 +64,7 @@
 
 func newModel(f Fleet) (*model, error) {
 	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: budget.NewAllocationTableWith(f.Way), later: map[time.Duration][]func(){}}
-	rate := budget.Budget{Name: "x", Kind: budget.Rate, Whole: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
+	rate := budget.Budget{Name: "x", Kind: budget.Rate, Total: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
 	if err := m.book.Configure(0, budget.Config{Lease: f.Lease, Budgets: []budget.Budget{rate}}); err != nil {
 		return nil, fmt.Errorf("modelling a fleet: %w", err)
 	}
--- a/internal/dispatcher/fleet/budget/figures.go
+++ b/internal/dispatcher/fleet/budget/figures.go
@@ -153,8 +153,8 @@
 func (b *AllocationTable) NextDue() time.Duration {
 	due := b.nextDue
 	for _, s := range b.Budgets {
-		if s.Dirty {
-			due = min(due, s.Divided+DivisionInterval)
+		if s.NeedsDivision {
+			due = min(due, s.DividedAt+DivisionInterval)
 		}
 	}
 	return due
--- a/internal/dispatcher/fleet/budget/purse.go
+++ b/internal/dispatcher/fleet/budget/purse.go
@@ -83,7 +83,7 @@
 	if !fresh && sent <= p.grantedAt {
 		return false
 	}
-	p.grantedAt, p.lease, p.renewSoon = max(p.grantedAt, sent), g.Lease, g.Soon
+	p.grantedAt, p.lease, p.renewSoon = max(p.grantedAt, sent), g.Lease, g.RenewSoon
 	ends := p.grantedAt + time.Duration(LeaseMargin*float64(g.Lease))
 	shrank := false
 	named := make(map[string]bool, len(g.Shares))
@@ -93,11 +93,11 @@
 		old := t.terms.Load()
 		shrank = shrank || s.Amount < old.amount || s.Burst < old.burst
 		next := &terms{
-			kind: s.Kind, amount: s.Amount, burst: s.Burst, floor: s.Floor, floorBurst: min(s.Burst, 1), linger: s.Linger, lease: g.Lease,
+			kind: s.Kind, amount: s.Amount, burst: s.Burst, floor: s.Floor, floorBurst: min(s.Burst, 1), linger: s.SettleTime, lease: g.Lease,
 			leaseEnd: ends, floorEnd: ends,
 		}
 		if s.Floor > 0 {
-			next.floorEnd = p.grantedAt + time.Duration(LeaseMargin*float64(g.Lease+s.FloorFor))
+			next.floorEnd = p.grantedAt + time.Duration(LeaseMargin*float64(g.Lease+s.FloorDuration))
 		}
 		if !fresh {
 			next.leaseEnd, next.floorEnd = max(next.leaseEnd, old.leaseEnd), max(next.floorEnd, old.floorEnd)
@@ -165,9 +165,9 @@
 func (p *Allowance) Renewal(now time.Duration) Renewal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := Renewal{Process: p.process, Incarnation: p.incarnation, Bound: p.appliedGrant, Uses: make(map[string]Usage, len(p.names))}
+	r := Renewal{Process: p.process, Incarnation: p.incarnation, AppliedGrant: p.appliedGrant, Usage: make(map[string]Usage, len(p.names))}
 	for _, n := range p.names {
-		r.Uses[n] = p.buckets[n].usage(now, now-p.renewalAt)
+		r.Usage[n] = p.buckets[n].usage(now, now-p.renewalAt)
 	}
 	p.renewalAt, p.renewSoon = now, false
 	return r
@@ -184,7 +184,7 @@
 		t := p.buckets[n]
 		t.reset(&blocked)
 		under, latest := t.unfinished(now)
-		left[n] = Departure{UnderWay: under, Latest: latest}
+		left[n] = Departure{InFlight: under, MaxRemaining: latest}
 	}
 	return left
 }
--- a/internal/dispatcher/fleet/budget/purse_test.go
+++ b/internal/dispatcher/fleet/budget/purse_test.go
@@ -14,9 +14,9 @@
 // one is a grant of a rate, a count and a part, with floors.
 func one(number uint64, amount float64) Grant {
 	return Grant{Process: "n1", Incarnation: 1, Number: number, Lease: 10 * second, Shares: []Share{
-		{Name: "p", Kind: Divided, Amount: amount, Floor: 1, FloorFor: 10 * second, Linger: second},
-		{Name: "r", Kind: Rate, Amount: amount, Burst: amount, Floor: 2, FloorFor: 10 * second},
-		{Name: "u", Kind: InFlight, Amount: amount, Floor: 1, FloorFor: 10 * second, Linger: 100 * second},
+		{Name: "p", Kind: Divided, Amount: amount, Floor: 1, FloorDuration: 10 * second, SettleTime: second},
+		{Name: "r", Kind: Rate, Amount: amount, Burst: amount, Floor: 2, FloorDuration: 10 * second},
+		{Name: "u", Kind: InFlight, Amount: amount, Floor: 1, FloorDuration: 10 * second, SettleTime: 100 * second},
 	}}
 }
 
@@ -92,7 +92,7 @@
 	require.Zero(t, drain(r, 20*second))
 	require.InDelta(t, 4, drain(r, 22*second), 0)
 	require.InDelta(t, float64(second)/(4*RefillPace)*5, float64(r.RetryAfter(22*second)), float64(6*second))
-	require.EqualValues(t, 4, p.Renewal(22*second).Bound)
+	require.EqualValues(t, 4, p.Renewal(22*second).AppliedGrant)
 	require.Equal(t, 22*second+10*second/3, p.NextRenewal(22*second))
 
 	// Demand is what came, let in or not, and a change of it is told before its turn.
@@ -100,14 +100,14 @@
 		r.Take(22 * second)
 	}
 	require.Equal(t, 22*second+10*second/12, p.NextRenewal(23*second))
-	require.InDelta(t, 30, p.Renewal(24 * second).Uses["r"].Demand, 0)
+	require.InDelta(t, 30, p.Renewal(24 * second).Usage["r"].Demand, 0)
 	require.Equal(t, 4, begin(u, 24*second))
-	use := p.Renewal(24*second + second/2).Uses["u"]
+	use := p.Renewal(24*second + second/2).Usage["u"]
 	require.InDelta(t, 5, use.Demand, 1, "those let in, and one turned away; falling by halves")
-	require.Equal(t, Usage{Demand: use.Demand, UnderWay: 4, Latest: second / 2}, use)
+	require.Equal(t, Usage{Demand: use.Demand, InFlight: 4, MaxRemaining: second / 2}, use)
 
 	left := p.Close(24 * second)
-	require.Equal(t, Departure{UnderWay: 4, Latest: second}, left["u"])
+	require.Equal(t, Departure{InFlight: 4, MaxRemaining: second}, left["u"])
 	require.False(t, p.Apply(25*second, 25*second, one(5, 100)))
 	require.Equal(t, []int{0, 0, 0}, []int{drain(r, 26*second), begin(u, 26*second), drain(p.Bucket("new"), 26*second)})
 	p.SetIncarnation("n1", 2)
--- a/internal/dispatcher/fleet/budget/shares.go
+++ b/internal/dispatcher/fleet/budget/shares.go
@@ -52,19 +52,19 @@
 type Budget struct {
 	Name  string
 	Kind  Kind
-	Whole float64 // a second (Rate), or at a time
+	Total float64 `cbor:"Whole"` // a second (Rate), or at a time
 	Burst float64 // Rate: how many may come at once, of all processes. Each holder needs 1, so Burst is at least 1 and should be the number of processes or more
 
 	// Floors slots of Floor each are set aside. A process that has one counts on it
 	// with its share and, cut off, after its share for FloorFor.
-	Floor    float64
-	Floors   int
-	FloorFor time.Duration
+	Floor         float64
+	FloorSlots    int           `cbor:"Floors"`
+	FloorDuration time.Duration `cbor:"FloorFor"`
 
-	// Linger is, for UnderWay, the longest life of a job: one that may last
+	// SettleTime is, for UnderWay, the longest life of a job: one that may last
 	// longer is not begun. For Part it is how long a freed part rests.
-	Linger  time.Duration
-	Weights map[string]float64 // by process; absent: 1
+	SettleTime time.Duration      `cbor:"Linger"`
+	Weights    map[string]float64 // by process; absent: 1
 }
 
 // Config is what the operators set for the fleet.
@@ -75,23 +75,23 @@
 
 // Renewal is how a process asks for its shares, and acknowledges.
 type Renewal struct {
-	Process     string
-	Incarnation uint64
-	Bound       uint64 // the number of the grant that it has applied; 0: none
-	Uses        map[string]Usage
+	Process      string
+	Incarnation  uint64
+	AppliedGrant uint64           `cbor:"Bound"` // the number of the grant that it has applied; 0: none
+	Usage        map[string]Usage `cbor:"Uses"`
 }
 
 // Usage is what a process says of one budget.
 type Usage struct {
-	Demand   float64       // what it would use if it could, a second or at a time
-	UnderWay float64       // how many are under way
-	Latest   time.Duration // the longest that one of those may still last
+	Demand       float64       // what it would use if it could, a second or at a time
+	InFlight     float64       `cbor:"UnderWay"` // how many are under way
+	MaxRemaining time.Duration `cbor:"Latest"`   // the longest that one of those may still last
 }
 
 // Departure is what a process that ends as planned leaves under way.
 type Departure struct {
-	UnderWay float64
-	Latest   time.Duration // the longest that one of those may still last
+	InFlight     float64       `cbor:"UnderWay"`
+	MaxRemaining time.Duration `cbor:"Latest"` // the longest that one of those may still last
 }
 
 // Grant answers a renewal.
@@ -100,19 +100,19 @@
 	Incarnation uint64
 	Number      uint64 // grows; a grant of a lower number is an older one
 	Lease       time.Duration
-	Soon        bool // more is due to it than could be given yet: asking again soon is worth while
+	RenewSoon   bool `cbor:"Soon"` // more is due to it than could be given yet: asking again soon is worth while
 	Shares      []Share
 }
 
 // Share is a holder's part of a budget for the lease's length.
 type Share struct {
-	Name     string
-	Kind     Kind
-	Amount   float64 // with the floor
-	Burst    float64 // Rate: with the floor's
-	Floor    float64 // after the lease's end, for FloorFor more; 0: nothing
-	FloorFor time.Duration
-	Linger   time.Duration
+	Name          string
+	Kind          Kind
+	Amount        float64       // with the floor
+	Burst         float64       // Rate: with the floor's
+	Floor         float64       // after the lease's end, for FloorFor more; 0: nothing
+	FloorDuration time.Duration `cbor:"FloorFor"`
+	SettleTime    time.Duration `cbor:"Linger"`
 }
 
 // The errors that commands are refused with.
@@ -143,7 +143,7 @@
 		return fmt.Errorf("grant %d: a lease of %v", g.Number, g.Lease)
 	}
 	for i, s := range g.Shares {
-		bad := s.Name == "" || s.Kind > Divided || s.FloorFor < 0 || s.Linger < 0 || i > 0 && g.Shares[i-1].Name >= s.Name
+		bad := s.Name == "" || s.Kind > Divided || s.FloorDuration < 0 || s.SettleTime < 0 || i > 0 && g.Shares[i-1].Name >= s.Name
 		for _, x := range []float64{s.Amount, s.Burst, s.Floor} {
 			bad = bad || !(x >= 0 && x <= maxTotal)
 		}
@@ -180,22 +180,22 @@
 		return errors.New("no name")
 	case b.Kind > Divided:
 		return fmt.Errorf("%v: no such kind", b.Kind)
-	case !inside(b.Whole, maxTotal):
-		return fmt.Errorf("whole %v: not from 0 to %v", b.Whole, maxTotal)
+	case !inside(b.Total, maxTotal):
+		return fmt.Errorf("whole %v: not from 0 to %v", b.Total, maxTotal)
 	case b.Kind == Rate && !(b.Burst >= 1 && b.Burst <= maxTotal):
 		return fmt.Errorf("burst %v: not from 1 to %v", b.Burst, maxTotal)
 	case b.Kind != Rate && b.Burst != 0:
 		return fmt.Errorf("burst %v: only a rate has one", b.Burst)
-	case b.Floors < 0 || !inside(b.Floor, maxTotal) || b.FloorFor < 0:
-		return fmt.Errorf("%d floors of %v for %v: below 0 or too much", b.Floors, b.Floor, b.FloorFor)
-	case float64(b.Floors)*b.Floor > b.Whole:
-		return fmt.Errorf("%d floors of %v: more than the whole, %v", b.Floors, b.Floor, b.Whole)
-	case b.Kind == Rate && b.Floor > 0 && float64(b.Floors) >= b.Burst:
-		return fmt.Errorf("%d floors: each needs 1 of the burst, %v, and the shares need some", b.Floors, b.Burst)
-	case b.Kind == InFlight && !(whole(b.Whole) && whole(b.Floor)):
-		return fmt.Errorf("whole %v, floor %v: jobs under way are whole numbers", b.Whole, b.Floor)
-	case b.Linger < 0 || b.Kind != Rate && b.Linger == 0:
-		return fmt.Errorf("linger %v: must be above 0", b.Linger)
+	case b.FloorSlots < 0 || !inside(b.Floor, maxTotal) || b.FloorDuration < 0:
+		return fmt.Errorf("%d floors of %v for %v: below 0 or too much", b.FloorSlots, b.Floor, b.FloorDuration)
+	case float64(b.FloorSlots)*b.Floor > b.Total:
+		return fmt.Errorf("%d floors of %v: more than the whole, %v", b.FloorSlots, b.Floor, b.Total)
+	case b.Kind == Rate && b.Floor > 0 && float64(b.FloorSlots) >= b.Burst:
+		return fmt.Errorf("%d floors: each needs 1 of the burst, %v, and the shares need some", b.FloorSlots, b.Burst)
+	case b.Kind == InFlight && !(whole(b.Total) && whole(b.Floor)):
+		return fmt.Errorf("whole %v, floor %v: jobs under way are whole numbers", b.Total, b.Floor)
+	case b.SettleTime < 0 || b.Kind != Rate && b.SettleTime == 0:
+		return fmt.Errorf("linger %v: must be above 0", b.SettleTime)
 	}
 	for name, w := range b.Weights {
 		if !(w > 0 && w <= 1e6) {
--- a/internal/dispatcher/fleet/budget/sim_test.go
+++ b/internal/dispatcher/fleet/budget/sim_test.go
@@ -77,9 +77,9 @@
 	w := &world{Rand: rand.New(rand.NewPCG(seed, 7)), rate: 1, full: full, twice: twice, faults: counts{}}
 	w.events = indexedheap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.order < b.order }, nil)
 	w.config = Config{Lease: simLease, Budgets: []Budget{
-		{Name: "p", Kind: Divided, Whole: 100, Floors: 2, Floor: 5, FloorFor: simLease, Linger: 500 * time.Millisecond},
-		{Name: "r", Kind: Rate, Whole: 120, Burst: 24, Floors: 2, Floor: 6, FloorFor: 2 * simLease, Weights: map[string]float64{"n1": 3}},
-		{Name: "u", Kind: InFlight, Whole: 24, Floors: 3, Floor: 2, FloorFor: simLease, Linger: simLife},
+		{Name: "p", Kind: Divided, Total: 100, FloorSlots: 2, Floor: 5, FloorDuration: simLease, SettleTime: 500 * time.Millisecond},
+		{Name: "r", Kind: Rate, Total: 120, Burst: 24, FloorSlots: 2, Floor: 6, FloorDuration: 2 * simLease, Weights: map[string]float64{"n1": 3}},
+		{Name: "u", Kind: InFlight, Total: 24, FloorSlots: 3, Floor: 2, FloorDuration: simLease, SettleTime: simLife},
 	}}
 	w.check.part.Window = 500 * time.Millisecond
 	w.book, w.follower = NewAllocationTable(), NewAllocationTable()
@@ -253,7 +253,7 @@
 		w.faults["configs"]++
 		c := Config{Lease: simLease}
 		for _, b := range w.config.Budgets {
-			b.Whole, b.Burst = float64(int(b.Whole*(0.5+w.Float64()))), float64(int(b.Burst*(0.5+w.Float64())))
+			b.Total, b.Burst = float64(int(b.Total*(0.5+w.Float64()))), float64(int(b.Burst*(0.5+w.Float64())))
 			c.Budgets = append(c.Budgets, b)
 		}
 		w.command(func(b *AllocationTable) { must(b.Configure(w.at(), c)) })
--- a/internal/dispatcher/fleet/budget/tap.go
+++ b/internal/dispatcher/fleet/budget/tap.go
@@ -225,7 +225,7 @@
 	if t.reportedDemand < 1e-3 {
 		t.reportedDemand = 0
 	}
-	return Usage{Demand: min(t.reportedDemand, maxTotal), UnderWay: under, Latest: latest}
+	return Usage{Demand: min(t.reportedDemand, maxTotal), InFlight: under, MaxRemaining: latest}
 }
 
 // samplingError is by how much a count of n may be off by chance: three times its root.
--- a/internal/dispatcher/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -78,16 +78,16 @@
 	plansByName   map[string]*plan.Plan // in use
 	plansByDigest map[uint64]*plan.Plan // those, and older ones that runs may have
 	runs          map[string]*driver
-	attempts      *planrun.Coordinator // of what was done about each attempt
-	lifetime      context.Context      // nil: not running
-	draining      chan struct{}        // closed: nothing more is begun here
+	attempts      *planrun.AttemptRegistry // of what was done about each attempt
+	lifetime      context.Context          // nil: not running
+	draining      chan struct{}            // closed: nothing more is begun here
 	running       sync.WaitGroup
 	waiting       answerWaiters
 }
 
 // New returns a coordinator without plans.
 func New(f Fleet, d Dispatcher, log logrus.FieldLogger) *Coordinator {
-	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, attempts: planrun.NewCoordinator(planrun.DefaultLimits().Grace), draining: make(chan struct{}),
+	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, attempts: planrun.NewAttemptRegistry(planrun.DefaultLimits().Grace), draining: make(chan struct{}),
 		plansByName: map[string]*plan.Plan{}, plansByDigest: map[uint64]*plan.Plan{}, runs: map[string]*driver{}}
 }
 
@@ -140,12 +140,12 @@
 func (c *Coordinator) claim(ctx context.Context) error {
 	s := c.fleet.Session()
 	c.mu.Lock()
-	claim := planrun.Claim{Most: min(maxClaims, maxRuns-len(c.runs))}
+	claim := planrun.Claim{MaxRuns: min(maxClaims, maxRuns-len(c.runs))}
 	for digest := range c.plansByDigest {
 		claim.Plans = append(claim.Plans, digest)
 	}
 	c.mu.Unlock()
-	if s == nil || c.isDraining() || len(claim.Plans) == 0 || claim.Most <= 0 {
+	if s == nil || c.isDraining() || len(claim.Plans) == 0 || claim.MaxRuns <= 0 {
 		return nil
 	}
 	ctx2, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
@@ -226,11 +226,11 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if look.Ended != nil || look.Run != nil {
-		return look.Ended, 0, nil
+	if look.FinalAnswer != nil || look.Run != nil {
+		return look.FinalAnswer, 0, nil
 	}
-	if a.Timeout <= 0 || a.Timeout > p.Within {
-		a.Timeout = p.Within
+	if a.Timeout <= 0 || a.Timeout > p.Timeout {
+		a.Timeout = p.Timeout
 	}
 	var r partition.PlanReply
 	start := planrun.Start{Run: a.Run, Plan: p.Name, Tenant: a.Tenant, Digest: p.Digest, Shape: planrun.ShapeOf(p), Input: a.Input,
@@ -244,7 +244,7 @@
 	if r.Run != nil && r.Started.Fence != 0 {
 		c.drive(life, r.Started.Fence, r)
 	}
-	return r.Ended, start.Before, nil
+	return r.FinalAnswer, start.Before, nil
 }
 
 // Lookup tells how a run stands: its final answer, or nil while it is under way.
@@ -254,10 +254,10 @@
 		return nil, ErrNoSession
 	}
 	r, err := c.queryRun(ctx, s, id)
-	if err == nil && r.Run == nil && r.Ended == nil {
+	if err == nil && r.Run == nil && r.FinalAnswer == nil {
 		err = ErrUnknownRun
 	}
-	return r.Ended, err
+	return r.FinalAnswer, err
 }
 
 // drive goes on with a run under a fence of this process's.
@@ -285,7 +285,7 @@
 }
 
 // withAttempts lets a function use what is remembered of attempts.
-func (c *Coordinator) withAttempts(what func(*planrun.Coordinator)) {
+func (c *Coordinator) withAttempts(what func(*planrun.AttemptRegistry)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	what(c.attempts)
--- a/internal/dispatcher/fleet/coordinator/finish.go
+++ b/internal/dispatcher/fleet/coordinator/finish.go
@@ -77,7 +77,7 @@
 	case life == nil || life.Err() != nil:
 		return ErrNoSession
 	}
-	if most := c.now().Add(p.Within); until.IsZero() || until.After(most) {
+	if most := c.now().Add(p.Timeout); until.IsZero() || until.After(most) {
 		until = most
 	}
 	c.running.Go(func() {
@@ -92,7 +92,7 @@
 func (c *Coordinator) startAndWait(ctx context.Context, a StartRequest, until time.Time) (*planrun.Answer, error) {
 	heard, forget := c.waiting.subscribe(a.Run)
 	defer forget()
-	began, keep := c.now(), planrun.DefaultLimits().KeepFor
+	began, keep := c.now(), planrun.DefaultLimits().AnswerRetention
 	stop := began.Add(keep / 2) // a later start could begin it anew, were its answer forgotten
 	if until.Before(stop) {
 		stop = until
@@ -139,8 +139,8 @@
 			cancel()
 			switch {
 			case bad != nil:
-			case r.Ended != nil:
-				return r.Ended, nil
+			case r.FinalAnswer != nil:
+				return r.FinalAnswer, nil
 			case r.Run == nil && r.At > before && c.now().Sub(began) < keep-keep/10: // no answer of it can have been forgotten by now
 				return nil, fmt.Errorf("%w: it was never begun", ErrRefused)
 			}
--- a/internal/dispatcher/fleet/coordinator/finish_test.go
+++ b/internal/dispatcher/fleet/coordinator/finish_test.go
@@ -82,7 +82,7 @@
 		text, _ := codec.Encode(c)
 		answer = k.machine.Apply(n, text)
 	} else {
-		tick, _ := codec.Encode(state.Command{V: state.Version, Kind: state.Tick, At: at})
+		tick, _ := codec.Encode(state.Command{Version: state.Version, Kind: state.Tick, At: at})
 		k.machine.Apply(n, tick)
 		var q rpc.Query
 		codec.Decode(body, &q)
--- a/internal/dispatcher/fleet/coordinator/run.go
+++ b/internal/dispatcher/fleet/coordinator/run.go
@@ -44,17 +44,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	defer r.notify()
-	if p.Ended != nil {
-		r.coordinator.waiting.publish(p.Ended)
+	if p.FinalAnswer != nil {
+		r.coordinator.waiting.publish(p.FinalAnswer)
 	}
-	if p.Ended != nil || p.Run != nil && p.Run.Fence != r.fence {
+	if p.FinalAnswer != nil || p.Run != nil && p.Run.Fence != r.fence {
 		r.finished = true
 		return
 	}
 	if p.Run == nil || p.Index < r.index {
 		return
 	}
-	r.view, r.index, r.viewTime, r.receivedAt = planrun.View{Shape: r.shape, Run: p.Run, Makes: p.Makes}, p.Index, p.At, time.Now()
+	r.view, r.index, r.viewTime, r.receivedAt = planrun.View{Shape: r.shape, Run: p.Run, Producing: p.Producing}, p.Index, p.At, time.Now()
 }
 
 func (r *driver) notify() {
@@ -82,7 +82,7 @@
 		v, at, over := r.current()
 		var tasks []planrun.Task
 		var wake time.Duration
-		r.coordinator.withAttempts(func(m *planrun.Coordinator) {
+		r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) {
 			if tasks, wake = m.Tasks(at, v); !m.Drives(r.id) {
 				over = true
 			}
@@ -104,7 +104,7 @@
 		}
 		wait := max(wake-at, time.Millisecond)
 		for i := range v.Run.Stages { // an output that another run makes comes unasked
-			if st := &v.Run.Stages[i]; st.Key != "" && !st.Joined && v.Makes&(1<<i) == 0 {
+			if st := &v.Run.Stages[i]; st.SharedKey != "" && !st.Complete && v.Producing&(1<<i) == 0 {
 				wait = min(wait, pollInterval)
 			}
 		}
@@ -150,7 +150,7 @@
 			r.update(p)
 			return p.Err()
 		}
-		if ctx.Err() != nil || do.Sending != nil && isOutOfForce(err) { // under another incarnation it is not this run's any more
+		if ctx.Err() != nil || do.SendAttempt != nil && isOutOfForce(err) { // under another incarnation it is not this run's any more
 			return err
 		}
 		r.coordinator.log.WithError(err).WithField("run", r.id).Debug("a command for a plan was not answered")
@@ -167,11 +167,11 @@
 		r.send(ctx, t, v, at)
 		return
 	}
-	defer r.coordinator.withAttempts(func(m *planrun.Coordinator) { m.Answered(r.id, t.ID) })
+	defer r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Answered(r.id, t.ID) })
 	if t.Open != nil {
 		r.openStage(ctx, *t.Open, v)
 	} else {
-		r.execute(ctx, planrun.Command{Ended: t.Ended})
+		r.execute(ctx, planrun.Command{ReportEnd: t.Ended})
 	}
 }
 
@@ -180,7 +180,7 @@
 	all := plan.Values{Input: v.Run.Input, Item: item, Results: map[string][]byte{}}
 	for _, u := range r.shape.Upstream(stage) {
 		st := &v.Run.Stages[u]
-		if !st.Joined {
+		if !st.Complete {
 			continue
 		}
 		results := st.Results()
@@ -213,7 +213,7 @@
 	}
 	if err == nil {
 		err = r.execute(ctx, planrun.Command{Open: &o})
-		if !errors.Is(err, planrun.ErrTooLarge) && !errors.Is(err, planrun.ErrNoSuch) {
+		if !errors.Is(err, planrun.ErrTooLarge) && !errors.Is(err, planrun.ErrNotFound) {
 			return
 		}
 	}
@@ -246,13 +246,13 @@
 	j, err := r.job(t.Action, v, at)
 	if err != nil {
 		r.abandon(ctx, t.Stage, err)
-	} else if !t.Extra || r.takeRetryBudget(ctx, t.Class, j.Deadline) {
-		err = r.execute(ctx, planrun.Command{Sending: t.Sending})
+	} else if !t.SpendsRetryBudget || r.takeRetryBudget(ctx, t.Class, j.Deadline) {
+		err = r.execute(ctx, planrun.Command{SendAttempt: t.Sending})
 	} else {
 		err = ErrNoSession
 	}
 	may := false
-	r.coordinator.withAttempts(func(m *planrun.Coordinator) {
+	r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) {
 		may = m.Accepted(*t.Sending, t.ID, err, r.coordinator.fleet.HoldsLease())
 	})
 	if !may {
@@ -261,14 +261,14 @@
 	done, sent := make(chan engine.Answer, 1), time.Now()
 	if err := r.coordinator.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
 		r.coordinator.log.WithError(err).WithField("run", r.id).Error("a stage of a plan is no job that can be taken")
-		r.reportEnd(t.Sending.End(plan.Unsent, nil, "", nil))
+		r.reportEnd(t.Sending.EndReport(plan.Unsent, nil, "", nil))
 		return
 	}
 	answer := <-done
 	end, result, said := endOf(answer), []byte(nil), answer.MemberError
 	r.coordinator.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "flows": answer.Attempts}).Debug("a stage's job ended")
 	if end == plan.Done {
-		r.coordinator.withAttempts(func(m *planrun.Coordinator) { m.Estimate.Ran(t.Class, time.Since(sent)) })
+		r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Estimator.Observe(t.Class, time.Since(sent)) })
 		result, said = answer.Body, answer.Body
 	}
 	var lost *planrun.LostInput
@@ -277,14 +277,14 @@
 			end, result = plan.Lost, nil
 		}
 	}
-	r.reportEnd(t.Sending.End(end, result, answer.LastMember, lost))
+	r.reportEnd(t.Sending.EndReport(end, result, answer.LastMember, lost))
 }
 
 // reportEnd tells an end, also when another drives the run by then: it may still count.
-func (r *driver) reportEnd(e planrun.Ended) {
-	if err := r.execute(r.lifetime, planrun.Command{Ended: &e}); errors.Is(err, planrun.ErrTooLarge) {
+func (r *driver) reportEnd(e planrun.ReportEnd) {
+	if err := r.execute(r.lifetime, planrun.Command{ReportEnd: &e}); errors.Is(err, planrun.ErrTooLarge) {
 		e.End, e.Result = plan.Failed, nil
-		r.execute(r.lifetime, planrun.Command{Ended: &e})
+		r.execute(r.lifetime, planrun.Command{ReportEnd: &e})
 	}
 }
 
--- a/internal/dispatcher/fleet/faktory_test.go
+++ b/internal/dispatcher/fleet/faktory_test.go
@@ -71,6 +71,6 @@
 		}
 	}
 	require.Greater(t, outcomes["served"], 4, "%v", outcomes)
-	require.Empty(t, harness.Twice(r.Till.Arrivals(), demo.AtMostOnce), "no ticket twice")
+	require.Empty(t, harness.RunTwice(r.Till.Arrivals(), demo.AtMostOnce), "no ticket twice")
 	t.Log(outcomes)
 }
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -30,12 +30,12 @@
 // logs are further arguments of the processes.
 var logs = strings.Fields(os.Getenv("BASALTLOFT_ARGS"))
 
-func found(t *testing.T, processes int, load demo.Load, more string) *harness.Rig {
+func found(t *testing.T, processes int, load demo.Load, more string) *harness.Cluster {
 	t.Helper()
 	return foundWith(t, harness.Settings{Processes: processes, Load: load}, more)
 }
 
-func foundWith(t *testing.T, s harness.Settings, more string) *harness.Rig {
+func foundWith(t *testing.T, s harness.Settings, more string) *harness.Cluster {
 	t.Helper()
 	s.Operator, s.Args = fmt.Sprintf(section, more), logs
 	r := harness.New(t, s)
@@ -91,11 +91,11 @@
 }
 
 // leader waits for one, and tells its place.
-func leader(t *testing.T, r *harness.Rig) (place int) {
+func leader(t *testing.T, r *harness.Cluster) (place int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, p := range r.Processes[:3] {
-			if !p.Runs() {
+			if !p.IsRunning() {
 				continue
 			}
 			if s, err := stands(p); err == nil && s.Keeper != nil && s.Keeper.Leads {
@@ -109,14 +109,14 @@
 }
 
 // served waits until so many more tries are served.
-func served(t *testing.T, r *harness.Rig, more int64) {
+func served(t *testing.T, r *harness.Cluster, more int64) {
 	t.Helper()
 	from := r.Answers.Served.Load()
 	require.Eventually(t, func() bool { return r.Answers.Served.Load() >= from+more }, 40*time.Second, 10*time.Millisecond, "%d more are served", more)
 }
 
 // alike waits until the keepers that run have the same state to the byte.
-func alike(t *testing.T, r *harness.Rig) {
+func alike(t *testing.T, r *harness.Cluster) {
 	t.Helper()
 	var last []status
 	require.Eventually(t, func() bool {
@@ -146,7 +146,7 @@
 	const rate, burst = 40, 12
 	budgets := fmt.Sprintf(`,"budgets":[{"of":"jobs","name":%q,"whole":%d,"burst":%d}]`, demo.Tenants[0], rate, burst)
 	r := found(t, 5, demo.Load{Rate: 300, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 7}, budgets)
-	r.Begin()
+	r.StartClients()
 	served(t, r, 100)
 	lead := leader(t, r)
 	require.NoError(t, r.Processes[lead].Kill())
@@ -155,23 +155,23 @@
 	require.NoError(t, holder.Freeze())
 	time.Sleep(2 * time.Second) // the fault itself: frozen for longer than a lease
 	require.NoError(t, holder.Thaw())
-	require.NoError(t, r.Processes[lead].Wipe())
+	require.NoError(t, r.Processes[lead].WipeFolder())
 	require.NoError(t, r.Processes[lead].Start())
 	served(t, r, 100)
 	for _, l := range r.Links(3, leader(t, r)) { // its renewals arrive; their answers do not
 		l.DropOneWay(faultproxy.Backward)
 	}
 	served(t, r, 200)
-	for _, l := range r.Around(3) {
+	for _, l := range r.LinksOf(3) {
 		l.Heal()
 	}
 	joined(t, r.Processes[lead])
 	served(t, r, 100)
-	r.End()
+	r.StopClients()
 	for _, p := range r.Processes {
-		require.Empty(t, p.Died(), p.Name)
+		require.Empty(t, p.UnexpectedExits(), p.Name)
 	}
-	spans := r.Admitted(demo.Tenants[0])
+	spans := r.AdmissionSpans(demo.Tenants[0])
 	over, window := harness.Overspent(spans, rate, burst)
 	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.To.Sub(window.From), window.From)
 	require.Greater(t, len(spans), 100, "the tenant with a budget is served")
@@ -231,7 +231,7 @@
 
 // begin begins a run at some process, asking again elsewhere until it is known to have
 // begun.
-func begin(t *testing.T, r *harness.Rig, at int, run string) {
+func begin(t *testing.T, r *harness.Cluster, at int, run string) {
 	t.Helper()
 	input := fmt.Sprintf(`{"booking":%q,"seats":[1,2,3]}`, run)
 	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); at++ {
@@ -244,14 +244,14 @@
 }
 
 // ends asks each process for the final answers of runs until all have one.
-func ends(t *testing.T, r *harness.Rig, runs []string) (all []harness.End) {
+func ends(t *testing.T, r *harness.Cluster, runs []string) (all []harness.FinalAnswer) {
 	t.Helper()
 	for i, p := range r.Processes {
 		for _, run := range runs {
 			require.Eventually(t, func() bool {
 				code, text := ask(p, http.MethodGet, "/runs/"+run, "")
 				if code == http.StatusOK {
-					all = append(all, harness.End{ID: run, Text: text})
+					all = append(all, harness.FinalAnswer{ID: run, Text: text})
 				}
 				return code == http.StatusOK
 			}, 60*time.Second, 20*time.Millisecond, "%s tells the end of %s", p.Name, run)
@@ -287,23 +287,23 @@
 	require.NoError(t, r.Processes[3].Thaw())
 	joined(t, r.Processes[3])
 	more(6)
-	require.NoError(t, r.Processes[3].Term()) // it ends in order, and leaves its plans to others
+	require.NoError(t, r.Processes[3].Terminate()) // it ends in order, and leaves its plans to others
 	require.NoError(t, r.Processes[3].Wait(time.Now().Add(15*time.Second)))
 	require.NoError(t, r.Processes[3].Start())
 	lead := leader(t, r)
 	more(6)
 	require.NoError(t, r.Processes[lead].Kill())
-	require.NoError(t, r.Processes[lead].Wipe())
+	require.NoError(t, r.Processes[lead].WipeFolder())
 	more(6)
 	require.NoError(t, r.Processes[lead].Start())
 	require.NoError(t, r.Processes[4].Start())
 	joined(t, r.Processes[lead])
 	joined(t, r.Processes[4])
 	more(4)
-	told := harness.Ended(runs, ends(t, r, runs))
+	told := harness.CompareOutcomes(runs, ends(t, r, runs))
 	require.Empty(t, told.Never)
-	require.Empty(t, told.Differ)
-	require.Empty(t, harness.Twice(r.Till.Arrivals(), demo.AtMostOnce), "no ticket twice")
+	require.Empty(t, told.Contradictory)
+	require.Empty(t, harness.RunTwice(r.Till.Arrivals(), demo.AtMostOnce), "no ticket twice")
 	outcomes := map[string]int{}
 	for _, run := range runs {
 		_, text := ask(r.Processes[0], http.MethodGet, "/runs/"+run, "")
@@ -363,7 +363,7 @@
 	var lists, stale atomic.Int64
 	some := make(chan struct{}) // closed once some have reported
 	r := foundWith(t, harness.Settings{Processes: 4, Load: demo.Load{Members: 8, Slots: 8, RunTime: 20 * time.Millisecond, Seed: 3},
-		Ends: func(class, _ string, body []byte) (string, string) {
+		MemberAnswer: func(class, _ string, body []byte) (string, string) {
 			switch {
 			case class == "send-notice":
 				return "done", fmt.Sprintf(`{"list":%d}`, lists.Add(1))
@@ -432,7 +432,7 @@
 	r := found(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 21}, rules)
 	code, text := ask(r.Processes[0], http.MethodPost, "/holds/case-1?tenant="+demo.Tenants[2]+"&class=group-ticket&owner=desk&reason=a+complaint", "")
 	require.Equal(t, http.StatusOK, code, text)
-	r.Begin()
+	r.StartClients()
 	served(t, r, 150)
 	kill := harness.Span{From: time.Now().Add(-500 * time.Millisecond)} // records have 10 ms to be written, on a crowded machine more
 	require.NoError(t, r.Processes[3].Kill())
@@ -445,7 +445,7 @@
 	time.Sleep(2 * time.Second) // the fault itself
 	require.NoError(t, r.Processes[lead].Thaw())
 	served(t, r, 150)
-	r.End()
+	r.StopClients()
 	// All that is spooled is shipped.
 	for _, p := range r.Processes {
 		require.Eventually(t, func() bool {
@@ -472,7 +472,7 @@
 			}
 		}
 		got, _ := kept(t, r.Processes[1], tenant)
-		missing, extra, back := harness.Records(want, nil, got)
+		missing, extra, back := harness.CompareRecords(want, nil, got)
 		extra = slices.DeleteFunc(extra, func(id string) bool { return slices.Contains(spared, id) })
 		if i != 2 {
 			require.Empty(t, missing, "%s", tenant)
@@ -480,7 +480,7 @@
 			require.LessOrEqual(t, len(extra), 20, "only what had no answer that arrived") // answered, and the link or process gone
 			continue
 		}
-		missing, _, _ = harness.Records(tickets, nil, got)
+		missing, _, _ = harness.CompareRecords(tickets, nil, got)
 		require.Empty(t, missing, "what is held is kept")
 		require.Greater(t, len(want)-len(tickets), 2*most, "there is something to cut")
 		require.Eventually(t, func() bool {
@@ -497,7 +497,7 @@
 	const whole = 10
 	budgets := fmt.Sprintf(`,"budgets":[{"of":"under_way","name":"std","whole":%d,"linger_ms":25000}]`, whole)
 	r := found(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 80 * time.Millisecond, Seed: 17}, budgets)
-	r.Begin()
+	r.StartClients()
 	served(t, r, 100)
 	for range 3 { // comes, takes a share and dies
 		require.NoError(t, r.Processes[3].Kill())
@@ -506,14 +506,14 @@
 		joined(t, r.Processes[3])
 	}
 	for _, p := range r.Processes {
-		require.NoError(t, p.Term())
+		require.NoError(t, p.Terminate())
 		require.NoError(t, p.Wait(time.Now().Add(40*time.Second)), "%s ends in order", p.Name)
 		require.NoError(t, p.Start())
 		joined(t, p)
 		served(t, r, 20)
 	}
-	r.End()
-	most := harness.MostAtOnce(harness.Spans(r.Till.Arrivals(), nil))
+	r.StopClients()
+	most := harness.MaxConcurrent(harness.Spans(r.Till.Arrivals(), nil))
 	require.LessOrEqual(t, most, whole)
 	require.Greater(t, most, whole/2, "the whole is used")
 	require.Empty(t, r.Till.RunTwice())
@@ -527,12 +527,12 @@
 		return fmt.Sprintf(`,"revision":%d,"records":{"tenants":{"*":{"count":%d}}}`, revision, count)
 	}
 	r := found(t, 4, demo.Load{Rate: 200, Members: 6, Slots: 8, RunTime: 2 * time.Millisecond, Seed: 5}, rules(1, 40))
-	r.Begin()
+	r.StartClients()
 	served(t, r, 200)
 	lead := leader(t, r)
 	away := (lead + 1) % 3
 	old := filepath.Join(t.TempDir(), "old")
-	require.NoError(t, r.Processes[away].Copy(old))
+	require.NoError(t, r.Processes[away].CopyFolder(old))
 	before, _ := kept(t, r.Processes[lead], demo.Tenants[0])
 	require.NoError(t, r.Processes[away].Kill())
 	few := func(p *harness.Process, most int) {
@@ -551,10 +551,10 @@
 	require.NoError(t, changed.Kill())
 	require.NoError(t, changed.Start())
 	joined(t, changed)
-	r.End()
+	r.StopClients()
 	few(r.Processes[lead], 15)
 	left, _ := kept(t, r.Processes[lead], demo.Tenants[0])
-	require.NoError(t, r.Processes[away].Put(old)) // its folder as it was before all cuts
+	require.NoError(t, r.Processes[away].ReplaceFolder(old)) // its folder as it was before all cuts
 	require.NoError(t, r.Processes[away].Start())
 	joined(t, r.Processes[away])
 	alike(t, r)
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -38,36 +38,36 @@
 	span := 1234567 * time.Microsecond
 	bytes := func(text string) []byte { return []byte(text) }
 	order := records.Position{Ended: 91, Process: "n1", Epoch: 92, Seq: 93}
-	limits := func(n int64) records.Limits { return records.Limits{For: n, Count: n + 1, Bytes: n + 2} }
+	limits := func(n int64) records.Limits { return records.Limits{MaxAge: n, MaxCount: n + 1, MaxBytes: n + 2} }
 	hold := records.Hold{Name: "a", Tenant: "b", ID: "c", Key: "d", Class: "e", From: 1, To: 2, Owner: "f", Reason: "g", Until: 3}
 	record := records.Record{
 		ID: "a", Key: "b", Tenant: "c", Class: "d", Plan: "e", Stage: "f", Outcome: "g", Reason: "h", Arrived: 1, Ended: 2, Attempts: 3,
 		Members: []string{"i", "j"}, Body: bytes("k"), Process: "l", Epoch: 4, Seq: 5,
 	}
-	try := func(n uint32) planrun.Try {
-		return planrun.Try{State: planrun.Out, Attempt: n, Fence: uint64(n) + 1, Sent: span, NotBefore: span + 1, End: plan.Reset, Ran: true, Before: false}
+	try := func(n uint32) planrun.Execution {
+		return planrun.Execution{State: planrun.InFlight, Attempt: n, Fence: uint64(n) + 1, SentAt: span, NotBefore: span + 1, End: plan.Reset, MayHaveRun: true, MayHaveRunBefore: false}
 	}
 	run := planrun.Run{
-		ID: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: 2, Input: bytes("d"), Seed: 3, Started: span, Before: span + 1, Deadline: span + 2, Process: "e", Incarnation: 4,
-		Fence: 5, Orphan: true, Used: 6, Bytes: 7, Gave: &planrun.GiveUp{Stage: 8, End: plan.Failed, Reason: "f"},
-		Stages: []planrun.Stage{{Gen: 9, Lost: 10, Again: 11, Opened: true, Joined: false, Key: "g", Copied: [][]byte{bytes("h")}, Items: []planrun.Item{{
-			Value: bytes("i"), Job: try(12), Gen: 14, Inputs: []uint64{15}, Tries: []int{16}, Result: bytes("j"), Member: "k", Where: plan.OtherMember, Undo: try(17),
+		ID: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: 2, Input: bytes("d"), Seed: 3, Started: span, StartBy: span + 1, Deadline: span + 2, Process: "e", Incarnation: 4,
+		Fence: 5, Orphan: true, AttemptsUsed: 6, Bytes: 7, GaveUp: &planrun.GiveUp{Stage: 8, End: plan.Failed, Reason: "f"},
+		Stages: []planrun.Stage{{Generation: 9, LostThrough: 10, RerunsUsed: 11, Opened: true, Complete: false, SharedKey: "g", SharedResults: [][]byte{bytes("h")}, Items: []planrun.Item{{
+			Value: bytes("i"), Job: try(12), Generation: 14, Inputs: []uint64{15}, RetriesUsed: []int{16}, Result: bytes("j"), Member: "k", RetryPlace: plan.OtherMember, Undo: try(17),
 		}}}},
 	}
 	answer := planrun.Answer{
 		Run: "a", Plan: "b", Digest: 1, Outcome: planrun.Unknown, Stage: "c", End: plan.MayRun, Reason: "d", Started: span, At: span + 1, Until: span + 2, Attempts: 2,
-		Left: []string{"e"}, Results: []planrun.Results{{Stage: "f", Items: [][]byte{bytes("g")}}}, Cut: true,
+		StagesWithEffects: []string{"e"}, Results: []planrun.Results{{Stage: "f", Items: [][]byte{bytes("g")}}}, ResultsOmitted: true,
 	}
 	usage := func(n int64) records.Usage { return records.Usage{Count: n, Bytes: n + 1, Sum: uint64(n) + 2} }
 	rate := budget.Budget{
-		Name: "a", Kind: budget.Divided, Whole: 1.5, Burst: 2.5, Floor: 3.5, Floors: 4, FloorFor: span, Linger: span + 1, Weights: map[string]float64{"n1": 5.5},
+		Name: "a", Kind: budget.Divided, Total: 1.5, Burst: 2.5, Floor: 3.5, FloorSlots: 4, FloorDuration: span, SettleTime: span + 1, Weights: map[string]float64{"n1": 5.5},
 	}
 	return []message{
-		{"call to a keeper: command", state.Command{V: 1, At: span, Process: "a", Incarnation: 2, Seq: 3, Acked: 4, Kind: "plans/do", Body: bytes("b")}},
+		{"call to a keeper: command", state.Command{Version: 1, At: span, Process: "a", Incarnation: 2, Seq: 3, Acked: 4, Kind: "plans/do", Body: bytes("b")}},
 		{"call to a keeper: reply", state.Reply{Code: state.Refused, Text: "a", Body: bytes("b")}},
 		{"call to a keeper: query", rpc.Query{Kind: "plans/look", Body: bytes("a")}},
 		{"call to a keeper: answer", rpc.Answer{Index: 1, At: span, Code: state.Bad, Text: "a", Body: bytes("b")}},
-		{"call to a keeper: about", rpc.NodeStatus{Name: "a", Empty: true, Founded: false, Leads: true, Boots: map[string]uint64{"k1": 1, "k2": 2}, Differs: []string{"b"}, Index: 3, At: span}},
+		{"call to a keeper: about", rpc.NodeStatus{Name: "a", Empty: true, Bootstrapped: false, IsLeader: true, BootCounts: map[string]uint64{"k1": 1, "k2": 2}, DivergentPartitions: []string{"b"}, Index: 3, At: span}},
 		{"members: join", state.JoinBody{Process: "a", Nonce: "b", Version: "c"}},
 		{"members: joined", state.JoinReply{Incarnation: 1, Lease: span}},
 		{"members: renew", state.RenewBody{Parts: map[string][]byte{"budgets": bytes("a")}}},
@@ -76,40 +76,40 @@
 		{"keepers: boot", state.BootBody{Process: "a", Count: 1}},
 		{"keepers: sums", state.DigestsBody{Replica: "a", Index: 1, Parts: map[string]uint64{"plans": 2}}},
 		{"budgets: settings", budget.Config{Lease: span, Budgets: []budget.Budget{rate}}},
-		{"budgets: renewal", budget.Renewal{Process: "a", Incarnation: 1, Bound: 2, Uses: map[string]budget.Usage{"b": {Demand: 1.5, UnderWay: 2.5, Latest: span}}}},
-		{"budgets: grant", budget.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, Soon: true, Shares: []budget.Share{
-			{Name: "b", Kind: budget.InFlight, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorFor: span + 1, Linger: span + 2},
+		{"budgets: renewal", budget.Renewal{Process: "a", Incarnation: 1, AppliedGrant: 2, Usage: map[string]budget.Usage{"b": {Demand: 1.5, InFlight: 2.5, MaxRemaining: span}}}},
+		{"budgets: grant", budget.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, RenewSoon: true, Shares: []budget.Share{
+			{Name: "b", Kind: budget.InFlight, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorDuration: span + 1, SettleTime: span + 2},
 		}}},
-		{"budgets: leave", partition.BudgetsDeparture{Left: map[string]budget.Departure{"a": {UnderWay: 1.5, Latest: span}}}},
+		{"budgets: leave", partition.BudgetsDeparture{Left: map[string]budget.Departure{"a": {InFlight: 1.5, MaxRemaining: span}}}},
 		{"budgets: standings", []budget.BudgetStatus{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
 		{"plans: start", planrun.Command{Start: &planrun.Start{
 			Run: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: goldenShape(), Input: bytes("d"), Seed: 2, Before: span, Process: "e", Incarnation: 3,
 		}}},
-		{"plans: claim", planrun.Command{Claim: &planrun.Claim{Process: "a", Incarnation: 1, Most: 2, Plans: []uint64{3, 4}}}},
+		{"plans: claim", planrun.Command{Claim: &planrun.Claim{Process: "a", Incarnation: 1, MaxRuns: 2, Plans: []uint64{3, 4}}}},
 		{"plans: open", planrun.Command{Open: &planrun.Open{Run: "a", Fence: 1, Stage: 2, Key: "b", Items: [][]byte{bytes("c"), nil}}}},
-		{"plans: sending", planrun.Command{Sending: &planrun.Sending{Run: "a", Fence: 1, Stage: 2, Item: 3, Undo: true, Generation: 4, Inputs: []uint64{5}, Attempt: 6, Rest: span}}},
-		{"plans: ended", planrun.Command{Ended: &planrun.Ended{
+		{"plans: sending", planrun.Command{SendAttempt: &planrun.SendAttempt{Run: "a", Fence: 1, Stage: 2, Item: 3, Undo: true, Generation: 4, Inputs: []uint64{5}, Attempt: 6, RemainingTime: span}}},
+		{"plans: ended", planrun.Command{ReportEnd: &planrun.ReportEnd{
 			Run: "a", Fence: 1, Stage: 2, Item: 3, Undo: true, Attempt: 4, End: plan.Lost, Result: bytes("b"), Member: "c", Lost: &planrun.LostInput{Stage: 5, Generation: 6},
 		}}},
 		{"plans: abandon", planrun.Command{Abandon: &planrun.Abandon{Run: "a", Fence: 1, Stage: 2, End: plan.Unsent, Reason: "b"}}},
 		{"plans: finish", planrun.Command{Finish: &planrun.Finish{Run: "a"}}},
-		{"plans: gone", planrun.Command{Gone: &planrun.Gone{Process: "a", Incarnation: 1}}},
+		{"plans: gone", planrun.Command{LeaseExpired: &planrun.LeaseExpired{Process: "a", Incarnation: 1}}},
 		{"plans: reply", partition.PlanReply{
 			Reply: planrun.Reply{
-				Started: &planrun.Started{Known: true, Fence: 1, Answer: &answer}, Claimed: []planrun.Claimed{{Run: "a", Fence: 2}}, Sent: &planrun.Sent{Again: true},
-				Counted: &planrun.Counted{Once: true, Fresh: false, Answer: &answer}, Answer: &answer, Refusal: "b", Kind: 3,
+				Started: &planrun.StartReply{Known: true, Fence: 1, Answer: &answer}, Claimed: []planrun.Claimed{{Run: "a", Fence: 2}}, Sent: &planrun.SendAttemptReply{Again: true},
+				Counted: &planrun.ReportEndReply{Accepted: true, NewLoss: false, Answer: &answer}, Answer: &answer, Refusal: "b", Kind: 3,
 			},
-			Index: 4, At: span, Run: &run, Makes: 5, Ended: &answer,
+			Index: 4, At: span, Run: &run, Producing: 5, FinalAnswer: &answer,
 		}},
 		{"records: settings", records.SetRules{At: 1, Rules: []records.Rule{{Tenant: "a", Keep: limits(2), Failed: limits(5)}}}},
-		{"records: ship", records.Ship{Process: "a", Incarnation: 1, Epoch: 2, First: 3, Lost: true, Records: []records.Record{record}}},
-		{"records: shipped", partition.RecordsShipped{Shipped: records.Shipped{Through: 1, Taken: 2, Again: 3, Below: 4, Missing: 5, TooLarge: 6}, Gap: true}},
+		{"records: ship", records.Ship{Process: "a", Incarnation: 1, Epoch: 2, FirstSeq: 3, GapLost: true, Records: []records.Record{record}}},
+		{"records: shipped", partition.RecordsShipped{Shipped: records.Shipped{Through: 1, Stored: 2, Duplicates: 3, AlreadyPruned: 4, Missing: 5, TooLarge: 6}, Gap: true}},
 		{"records: hold", records.SetHold{At: 4, Hold: hold}},
 		{"records: lift", records.ReleaseHold{At: 1, Name: "a"}},
-		{"records: cut", records.Prune{At: 1, Rules: 2, Marks: []records.Watermark{{Tenant: "a", Lane: records.Failures, Below: order}}, Sweep: 3, Turn: "b"}},
+		{"records: cut", records.Prune{At: 1, RulesEdition: 2, Watermarks: []records.Watermark{{Tenant: "a", Class: records.Failures, Position: order}}, MaxSwept: 3, NextTenant: "b"}},
 		{"records: cuts", records.Pruned{Removed: 1, Held: 2}},
-		{"records: planned", partition.RecordsPrunePlan{Needed: true, Cut: records.Prune{At: 1, Rules: 2, Sweep: 3, Turn: "a"}}},
-		{"records: query", records.Query{Tenant: "a", From: 1, To: 2, Last: true, After: "b", Most: 3}},
+		{"records: planned", partition.RecordsPrunePlan{Needed: true, Prune: records.Prune{At: 1, RulesEdition: 2, MaxSwept: 3, NextTenant: "a"}}},
+		{"records: query", records.Query{Tenant: "a", From: 1, To: 2, Descending: true, Cursor: "b", Limit: 3}},
 		{"records: page", records.Page{Records: []records.Record{record}, Next: "a", Missing: 1}},
 		{"records: standing", partition.RecordsStatusBody{
 			Counts: records.Counts{Taken: 1, Again: 2, Below: 3, TooLarge: 4, Cut: 5, Swept: 6, Missing: 7}, Holds: []records.Hold{hold}, Usage: map[string]records.Usage{"a": usage(8)}, Bytes: 11,
@@ -159,7 +159,7 @@
 	})
 	require.EqualValues(t, 1, state.Version)
 	require.Equal(t, []state.Code{0, 1, 2, 3}, []state.Code{state.OK, state.Fenced, state.Refused, state.Bad})
-	require.Equal(t, []planrun.TryState{0, 1, 2, 3}, []planrun.TryState{planrun.Idle, planrun.Out, planrun.Ok, planrun.Dead})
+	require.Equal(t, []planrun.ExecutionState{0, 1, 2, 3}, []planrun.ExecutionState{planrun.Pending, planrun.InFlight, planrun.Succeeded, planrun.PermanentlyFailed})
 	require.Equal(t, []planrun.Outcome{0, 1, 2, 3}, []planrun.Outcome{planrun.Served, planrun.Refused, planrun.Failed, planrun.Unknown})
 	require.Equal(t, []plan.End{"done", "refused", "full", "unsent", "late", "failed", "reset", "may_have_run", "lost_input"},
 		[]plan.End{plan.Done, plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset, plan.MayRun, plan.Lost})
@@ -168,8 +168,8 @@
 	require.Equal(t, []records.RetentionClass{0, 1, 2}, []records.RetentionClass{records.Ordinary, records.Failures, records.RetentionClasses})
 	// A refusal's kind goes over the network by its number.
 	for i, refused := range []error{
-		planrun.ErrFull, planrun.ErrBefore, planrun.ErrUnknown, planrun.ErrEnded, planrun.ErrFence, planrun.ErrGivenUp, planrun.ErrNoSuch, planrun.ErrOut, planrun.ErrSettled,
-		planrun.ErrAttempt, planrun.ErrTwice, planrun.ErrStale, planrun.ErrEarly, planrun.ErrElsewhere, planrun.ErrTooLarge, planrun.ErrShape,
+		planrun.ErrFull, planrun.ErrDeadline, planrun.ErrUnknownRun, planrun.ErrEnded, planrun.ErrFenced, planrun.ErrGivenUp, planrun.ErrNotFound, planrun.ErrInFlight, planrun.ErrSettled,
+		planrun.ErrWrongAttempt, planrun.ErrAtMostOnce, planrun.ErrStale, planrun.ErrTooEarly, planrun.ErrProducedElsewhere, planrun.ErrTooLarge, planrun.ErrInvalidShape,
 	} {
 		require.ErrorIs(t, planrun.Reply{Refusal: "no", Kind: i + 1}.Err(), refused)
 	}
--- a/internal/dispatcher/fleet/golden_plan_test.go
+++ b/internal/dispatcher/fleet/golden_plan_test.go
@@ -37,22 +37,22 @@
 	p := all[0]
 	require.Equal(t, "coach", p.Name)
 	shape := planrun.ShapeOf(p)
-	require.EqualExportedValues(t, planrun.Shape{Most: 1000, Within: 10 * time.Minute, Stages: []planrun.StageShape{
+	require.EqualExportedValues(t, planrun.Shape{MaxAttempts: 1000, Timeout: 10 * time.Minute, Stages: []planrun.StageShape{
 		{Name: "prices", Class: "notice", Effect: policy.Idempotent, Shared: true, SharedFor: 30 * time.Second, Retries: []planrun.RetryShape{{
-			On:   []plan.End{plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset},
-			Most: 1, Wait: 200 * time.Millisecond, WaitAtMost: 24 * time.Hour, Jitter: 500, Where: plan.Anywhere,
+			On:         []plan.End{plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset},
+			MaxRetries: 1, Wait: 200 * time.Millisecond, WaitAtMost: 24 * time.Hour, Jitter: 500, Where: plan.Anywhere,
 		}}},
 		{
-			Name: "hold", Class: "hold", Effect: policy.Deduplicated, After: []int{0}, Cost: 750 * time.Millisecond, Each: true, MostEach: 50, AtLeast: 40,
+			Name: "hold", Class: "hold", Effect: policy.Deduplicated, After: []int{0}, Cost: 750 * time.Millisecond, Each: true, MaxItems: 50, MinSucceeded: 40,
 			Retries: []planrun.RetryShape{
-				{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, Most: 3, Wait: 100 * time.Millisecond, WaitAtMost: time.Second, Jitter: 250, Where: plan.OtherZone},
-				{On: []plan.End{plan.Late, plan.Reset}, Most: 1, Wait: 500 * time.Millisecond, WaitAtMost: 24 * time.Hour, Where: plan.OtherMember},
+				{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, MaxRetries: 3, Wait: 100 * time.Millisecond, WaitAtMost: time.Second, Jitter: 250, Where: plan.OtherZone},
+				{On: []plan.End{plan.Late, plan.Reset}, MaxRetries: 1, Wait: 500 * time.Millisecond, WaitAtMost: 24 * time.Hour, Where: plan.OtherMember},
 			},
 			Reruns: []planrun.RerunShape{{Of: 0, Most: 2}},
-			Undo:   &planrun.UndoShape{Class: "hold", Effect: policy.Deduplicated, Most: 3, Wait: time.Second},
+			Undo:   &planrun.UndoShape{Class: "hold", Effect: policy.Deduplicated, MaxTries: 3, Wait: time.Second},
 		},
 		{Name: "ticket", Class: "ticket", Effect: policy.AtMostOnce, After: []int{1}, Retries: []planrun.RetryShape{
-			{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, Most: 2, Wait: 50 * time.Millisecond, WaitAtMost: 24 * time.Hour, Where: plan.Anywhere},
+			{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, MaxRetries: 2, Wait: 50 * time.Millisecond, WaitAtMost: 24 * time.Hour, Where: plan.Anywhere},
 		}},
 	}}, shape)
 	text, err := codec.Encode(shape)
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -63,7 +63,7 @@
 
 // command applies one command; a body of nil stays empty.
 func (l *goldenLog) command(c state.Command, body any) state.Reply {
-	c.V = state.Version
+	c.Version = state.Version
 	if body != nil {
 		c.Body = l.encode(body)
 	}
@@ -99,9 +99,9 @@
 }
 
 // served has an attempt of one item sent and ended well.
-func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.Sending, result string) partition.PlanReply {
-	require.NoError(l.t, l.plan(process, incarnation, at, planrun.Command{Sending: &do}).Err())
-	reply := l.plan(process, incarnation, at+time.Millisecond, planrun.Command{Ended: &planrun.Ended{
+func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply {
+	require.NoError(l.t, l.plan(process, incarnation, at, planrun.Command{SendAttempt: &do}).Err())
+	reply := l.plan(process, incarnation, at+time.Millisecond, planrun.Command{ReportEnd: &planrun.ReportEnd{
 		Run: do.Run, Fence: do.Fence, Stage: do.Stage, Item: do.Item, Undo: do.Undo, Attempt: do.Attempt, End: plan.Done, Result: []byte(result), Member: "cell-2",
 	}})
 	require.NoError(l.t, reply.Err())
@@ -110,12 +110,12 @@
 
 // goldenShape has each field of a shape set in some stage.
 func goldenShape() planrun.Shape {
-	retry := []planrun.RetryShape{{On: []plan.End{plan.Refused, plan.Late, plan.Reset}, Most: 2, Wait: 20 * time.Millisecond, WaitAtMost: 100 * time.Millisecond, Jitter: 200, Where: plan.OtherZone}}
-	return planrun.Shape{Most: 40, Within: 30 * time.Second, Stages: []planrun.StageShape{
+	retry := []planrun.RetryShape{{On: []plan.End{plan.Refused, plan.Late, plan.Reset}, MaxRetries: 2, Wait: 20 * time.Millisecond, WaitAtMost: 100 * time.Millisecond, Jitter: 200, Where: plan.OtherZone}}
+	return planrun.Shape{MaxAttempts: 40, Timeout: 30 * time.Second, Stages: []planrun.StageShape{
 		{Name: "prices", Class: "read", Effect: policy.Idempotent, Cost: 30 * time.Millisecond, Shared: true, SharedFor: 20 * time.Second, Retries: retry},
-		{Name: "hold", Class: "hold", Effect: policy.Deduplicated, After: []int{0}, Each: true, MostEach: 4, AtLeast: 1, Retries: retry,
+		{Name: "hold", Class: "hold", Effect: policy.Deduplicated, After: []int{0}, Each: true, MaxItems: 4, MinSucceeded: 1, Retries: retry,
 			Reruns: []planrun.RerunShape{{Of: 0, Most: 2}},
-			Undo:   &planrun.UndoShape{Class: "release", Effect: policy.Deduplicated, Most: 2, Wait: 25 * time.Millisecond}},
+			Undo:   &planrun.UndoShape{Class: "release", Effect: policy.Deduplicated, MaxTries: 2, Wait: 25 * time.Millisecond}},
 		{Name: "ticket", Class: "ticket", Effect: policy.AtMostOnce, After: []int{1}},
 	}}
 }
@@ -132,13 +132,13 @@
 func (l *goldenLog) goldenSettings() state.FleetSettings {
 	return state.FleetSettings{Revision: 4, Lease: 20 * time.Second, Parts: map[string][]byte{
 		partition.BudgetsName: l.encode(budget.Config{Lease: 20 * time.Second, Budgets: []budget.Budget{
-			{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Whole: 120, Burst: 40, Floor: 5, Floors: 3, FloorFor: time.Minute, Weights: map[string]float64{"n1": 2}},
-			{Name: "under-way/hrad-kamenec", Kind: budget.InFlight, Whole: 60, Floor: 2, Floors: 3, FloorFor: time.Minute, Linger: 8 * time.Second},
-			{Name: "cold", Kind: budget.Divided, Whole: 9, Linger: 3 * time.Second},
+			{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Total: 120, Burst: 40, Floor: 5, FloorSlots: 3, FloorDuration: time.Minute, Weights: map[string]float64{"n1": 2}},
+			{Name: "under-way/hrad-kamenec", Kind: budget.InFlight, Total: 60, Floor: 2, FloorSlots: 3, FloorDuration: time.Minute, SettleTime: 8 * time.Second},
+			{Name: "cold", Kind: budget.Divided, Total: 9, SettleTime: 3 * time.Second},
 		}}),
 		partition.RecordsName: l.encode(records.SetRules{At: goldenWall, Rules: []records.Rule{
-			{Tenant: "hrad-kamenec", Keep: records.Limits{Count: 3}, Failed: records.Limits{For: int64(time.Hour), Count: 10, Bytes: 1 << 20}},
-			{Tenant: records.DefaultRuleTenant, Keep: records.Limits{For: int64(24 * time.Hour), Count: 100, Bytes: 4 << 20}, Failed: records.Limits{Count: 50}},
+			{Tenant: "hrad-kamenec", Keep: records.Limits{MaxCount: 3}, Failed: records.Limits{MaxAge: int64(time.Hour), MaxCount: 10, MaxBytes: 1 << 20}},
+			{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxAge: int64(24 * time.Hour), MaxCount: 100, MaxBytes: 4 << 20}, Failed: records.Limits{MaxCount: 50}},
 		}}),
 	}}
 }
@@ -160,8 +160,8 @@
 
 	renew := func(process string, incarnation uint64, at time.Duration, bound uint64) uint64 {
 		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Parts: map[string][]byte{
-			partition.BudgetsName: l.encode(budget.Renewal{Process: process, Incarnation: incarnation, Bound: bound, Uses: map[string]budget.Usage{
-				"jobs/hrad-kamenec": {Demand: 30.5}, "under-way/hrad-kamenec": {Demand: 12, UnderWay: 4, Latest: 2 * time.Second}, "cold": {Demand: 2},
+			partition.BudgetsName: l.encode(budget.Renewal{Process: process, Incarnation: incarnation, AppliedGrant: bound, Usage: map[string]budget.Usage{
+				"jobs/hrad-kamenec": {Demand: 30.5}, "under-way/hrad-kamenec": {Demand: 12, InFlight: 4, MaxRemaining: 2 * time.Second}, "cold": {Demand: 2},
 			}}),
 			partition.PlansName: nil, // refused: plans are not renewed
 		}})
@@ -188,7 +188,7 @@
 
 	at += 2 * time.Second
 	require.NoError(l.t, l.by("n3", fourth, at, partition.BudgetsLeave, partition.BudgetsDeparture{Left: map[string]budget.Departure{
-		"under-way/hrad-kamenec": {UnderWay: 3, Latest: 4 * time.Second},
+		"under-way/hrad-kamenec": {InFlight: 3, MaxRemaining: 4 * time.Second},
 	}}).Err())
 	require.NoError(l.t, l.by("n3", fourth, at, state.Leave, nil).Err())
 	l.command(state.Command{At: at + time.Millisecond, Kind: state.Tick}, nil)
@@ -210,62 +210,62 @@
 	// One run is served.
 	fence := start("n1", first, "run-served")
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 0, Key: "prices/7", Items: [][]byte{nil}})
-	reply := l.served("n1", first, at, planrun.Sending{Run: "run-served", Fence: fence, Generation: 1, Attempt: 1, Rest: 50 * time.Millisecond}, `{"price":12}`)
-	prices := reply.Run.Stages[0].Gen
+	reply := l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Generation: 1, Attempt: 1, RemainingTime: 50 * time.Millisecond}, `{"price":12}`)
+	prices := reply.Run.Stages[0].Generation
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"A1"`), []byte(`"A2"`)}})
 	for item := range 2 {
-		reply = l.served("n1", first, at, planrun.Sending{Run: "run-served", Fence: fence, Stage: 1, Item: item, Generation: reply.Run.Stages[1].Gen, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
+		reply = l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 1, Item: item, Generation: reply.Run.Stages[1].Generation, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
 	}
-	holds := reply.Run.Stages[1].Gen
+	holds := reply.Run.Stages[1].Generation
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 2, Items: [][]byte{nil}})
-	reply = l.served("n1", first, at, planrun.Sending{Run: "run-served", Fence: fence, Stage: 2, Generation: 1, Inputs: []uint64{prices, holds}, Attempt: 1}, `{"ticket":1}`)
-	require.NotNil(l.t, reply.Ended)
+	reply = l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 2, Generation: 1, Inputs: []uint64{prices, holds}, Attempt: 1}, `{"ticket":1}`)
+	require.NotNil(l.t, reply.FinalAnswer)
 
 	// One is under way: a shared output taken, an item out, one that ended badly.
 	fence = start("n1", first, "run-under-way")
 	open("n1", first, planrun.Open{Run: "run-under-way", Fence: fence, Stage: 0, Key: "prices/7", Items: [][]byte{nil}})
 	open("n1", first, planrun.Open{Run: "run-under-way", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"B1"`), []byte(`"B2"`), []byte(`"B3"`)}})
-	sending := planrun.Sending{Run: "run-under-way", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}
-	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Sending: &sending}).Err())
+	sending := planrun.SendAttempt{Run: "run-under-way", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}
+	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &sending}).Err())
 	failing := sending
 	failing.Item = 1
-	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Sending: &failing}).Err())
-	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Ended: &planrun.Ended{Run: "run-under-way", Fence: fence, Stage: 1, Item: 1, Attempt: 1, End: plan.Late, Member: "cell-3"}}).Err())
-	l.served("n1", first, at, planrun.Sending{Run: "run-under-way", Fence: fence, Stage: 1, Item: 2, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
+	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &failing}).Err())
+	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{ReportEnd: &planrun.ReportEnd{Run: "run-under-way", Fence: fence, Stage: 1, Item: 1, Attempt: 1, End: plan.Late, Member: "cell-3"}}).Err())
+	l.served("n1", first, at, planrun.SendAttempt{Run: "run-under-way", Fence: fence, Stage: 1, Item: 2, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
 	skipped := sending
 	skipped.Attempt = 7
-	require.ErrorIs(l.t, l.plan("n1", first, at, planrun.Command{Sending: &skipped}).Err(), planrun.ErrOut)
+	require.ErrorIs(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &skipped}).Err(), planrun.ErrInFlight)
 
 	// One loses its coordinator and is claimed by another.
 	fence = start("n2", third, "run-claimed")
 	open("n2", third, planrun.Open{Run: "run-claimed", Fence: fence, Stage: 0, Key: "prices/8", Items: [][]byte{nil}})
-	require.NoError(l.t, l.plan("n2", third, at, planrun.Command{Sending: &planrun.Sending{Run: "run-claimed", Fence: fence, Generation: 2, Attempt: 1}}).Err())
-	l.plan("n1", first, at, planrun.Command{Claim: &planrun.Claim{Most: 3, Plans: []uint64{99}}})
+	require.NoError(l.t, l.plan("n2", third, at, planrun.Command{SendAttempt: &planrun.SendAttempt{Run: "run-claimed", Fence: fence, Generation: 2, Attempt: 1}}).Err())
+	l.plan("n1", first, at, planrun.Command{Claim: &planrun.Claim{MaxRuns: 3, Plans: []uint64{99}}})
 
 	// One gives up: what was done is to be undone.
 	fence = start("n1", first, "run-given-up")
 	open("n1", first, planrun.Open{Run: "run-given-up", Fence: fence, Stage: 0, Key: "prices/7", Items: [][]byte{nil}})
 	open("n1", first, planrun.Open{Run: "run-given-up", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"C1"`)}})
-	sending = planrun.Sending{Run: "run-given-up", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}
-	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Sending: &sending}).Err())
+	sending = planrun.SendAttempt{Run: "run-given-up", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}
+	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &sending}).Err())
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Abandon: &planrun.Abandon{Run: "run-given-up", Fence: fence, Stage: 1, End: plan.Failed, Reason: "no seat is left"}}).Err())
 
 	// One reports its input as lost, one has failed and is over.
 	fence = start("n1", first, "run-lost-input")
 	open("n1", first, planrun.Open{Run: "run-lost-input", Fence: fence, Stage: 0, Key: "prices/9", Items: [][]byte{nil}})
-	gen := l.view("run-lost-input").Run.Stages[0].Gen
-	l.served("n1", first, at, planrun.Sending{Run: "run-lost-input", Fence: fence, Generation: gen, Attempt: 1}, `{"price":13}`)
+	gen := l.view("run-lost-input").Run.Stages[0].Generation
+	l.served("n1", first, at, planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Generation: gen, Attempt: 1}, `{"price":13}`)
 	open("n1", first, planrun.Open{Run: "run-lost-input", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"D1"`)}})
-	sending = planrun.Sending{Run: "run-lost-input", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{gen}, Attempt: 1}
-	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Sending: &sending}).Err())
-	lost := l.plan("n1", first, at, planrun.Command{Ended: &planrun.Ended{
+	sending = planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{gen}, Attempt: 1}
+	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &sending}).Err())
+	lost := l.plan("n1", first, at, planrun.Command{ReportEnd: &planrun.ReportEnd{
 		Run: "run-lost-input", Fence: fence, Stage: 1, Attempt: 1, End: plan.Lost, Member: "cell-1", Lost: &planrun.LostInput{Stage: 0, Generation: gen},
 	}})
 	require.NoError(l.t, lost.Err())
 	fence = start("n1", first, "run-refused")
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Abandon: &planrun.Abandon{Run: "run-refused", Fence: fence, Stage: -1, End: plan.Refused, Reason: "not now"}}).Err())
 	l.plan("n1", first, at, planrun.Command{Finish: &planrun.Finish{Run: "run-refused"}})
-	require.ErrorIs(l.t, l.plan("n1", first, at, planrun.Command{Finish: &planrun.Finish{Run: "run-nobody-knows"}}).Err(), planrun.ErrUnknown)
+	require.ErrorIs(l.t, l.plan("n1", first, at, planrun.Command{Finish: &planrun.Finish{Run: "run-nobody-knows"}}).Err(), planrun.ErrUnknownRun)
 }
 
 func (l *goldenLog) workRecords(at time.Duration, first, third uint64) {
@@ -276,10 +276,10 @@
 	for n := range int64(6) {
 		all = append(all, goldenRecord(n, "hrad-kamenec", "served", ""))
 	}
-	ship("n1", first, records.Ship{Epoch: 70, First: 1, Records: all})
-	ship("n1", first, records.Ship{Epoch: 70, First: 5, Records: all[4:]})                                                             // again
-	ship("n1", first, records.Ship{Epoch: 71, First: 3, Records: []records.Record{goldenRecord(20, "zelena-hora", "failed", "late")}}) // a gap
-	ship("n2", third, records.Ship{Epoch: 80, First: 3, Lost: true, Records: []records.Record{
+	ship("n1", first, records.Ship{Epoch: 70, FirstSeq: 1, Records: all})
+	ship("n1", first, records.Ship{Epoch: 70, FirstSeq: 5, Records: all[4:]})                                                             // again
+	ship("n1", first, records.Ship{Epoch: 71, FirstSeq: 3, Records: []records.Record{goldenRecord(20, "zelena-hora", "failed", "late")}}) // a gap
+	ship("n2", third, records.Ship{Epoch: 80, FirstSeq: 3, GapLost: true, Records: []records.Record{
 		goldenRecord(21, "zelena-hora", "failed", "late"), goldenRecord(22, "hrad-kamenec", "failed", "reset"),
 	}})
 	require.NoError(l.t, l.by("n1", first, at, partition.RecordsSetHold, records.SetHold{At: goldenWall + 60*goldenSecond, Hold: records.Hold{
@@ -290,7 +290,7 @@
 	var planned partition.RecordsPrunePlan
 	l.ask(partition.RecordsPlanPrune, goldenWall+62*goldenSecond, &planned)
 	require.True(l.t, planned.Needed)
-	require.NoError(l.t, l.by("n1", first, at, partition.RecordsPrune, planned.Cut).Err())
+	require.NoError(l.t, l.by("n1", first, at, partition.RecordsPrune, planned.Prune).Err())
 }
 
 func (l *goldenLog) ask(kind state.Kind, body, into any) {
@@ -350,7 +350,7 @@
 
 // last is the command that is applied after the snapshot.
 func (l *goldenLog) last(first uint64) {
-	l.served("n1", first, 5*time.Second, planrun.Sending{Run: "run-under-way", Fence: 2, Stage: 1, Item: 1, Generation: 1, Inputs: []uint64{1}, Attempt: 2}, `{"held":true}`)
+	l.served("n1", first, 5*time.Second, planrun.SendAttempt{Run: "run-under-way", Fence: 2, Stage: 1, Item: 1, Generation: 1, Inputs: []uint64{1}, Attempt: 2}, `{"held":true}`)
 }
 
 // TestGoldenLogIsReplayed: a replica that starts with the golden log alone ends at the
@@ -393,19 +393,19 @@
 	require.EqualValues(t, 1, members[0].Incarnation)
 	require.Equal(t, "start-1", members[0].Nonce)
 	require.Equal(t, "352ebf2", members[0].Version)
-	require.Equal(t, time.Second, members[0].Since)
-	require.Equal(t, 1900*time.Millisecond+2+20*time.Second, members[0].Until)
-	require.NotEmpty(t, members[0].Answers)
+	require.Equal(t, time.Second, members[0].JoinedAt)
+	require.Equal(t, 1900*time.Millisecond+2+20*time.Second, members[0].LeaseEnd)
+	require.NotEmpty(t, members[0].Replies)
 	require.Equal(t, "n2", members[1].Process)
 	require.EqualValues(t, 8, members[1].Incarnation)
 
 	var seen strings.Builder
 	for _, run := range []string{"run-served", "run-under-way", "run-claimed", "run-given-up", "run-lost-input", "run-refused"} {
 		r := l.view(run)
-		fmt.Fprintf(&seen, "%s run=%x ended=%x makes=%d\n", run, l.encode(r.Run), l.encode(r.Ended), r.Makes)
+		fmt.Fprintf(&seen, "%s run=%x ended=%x makes=%d\n", run, l.encode(r.Run), l.encode(r.FinalAnswer), r.Producing)
 	}
 	goldentest.Equal(t, filepath.Join(goldenState, "plans"), []byte(seen.String()))
-	served := l.view("run-served").Ended
+	served := l.view("run-served").FinalAnswer
 	require.Equal(t, &planrun.Answer{
 		Run: "run-served", Plan: "booking", Digest: 99, Outcome: planrun.Served, Started: 1900*time.Millisecond + 2, At: 1901 * time.Millisecond,
 		Until: 601_901 * time.Millisecond, Attempts: 4, Results: []planrun.Results{{Stage: "ticket", Items: [][]byte{[]byte(`{"ticket":1}`)}}},
@@ -417,16 +417,16 @@
 	require.EqualValues(t, 5, underWay.Seed)
 	require.Equal(t, "n1", underWay.Process)
 	require.EqualValues(t, 1, underWay.Incarnation)
-	require.Equal(t, 3, underWay.Used)
-	require.True(t, underWay.Stages[0].Joined)
-	require.Equal(t, "prices/7", underWay.Stages[0].Key)
-	require.Equal(t, planrun.Out, underWay.Stages[1].Items[0].Job.State)
+	require.Equal(t, 3, underWay.AttemptsUsed)
+	require.True(t, underWay.Stages[0].Complete)
+	require.Equal(t, "prices/7", underWay.Stages[0].SharedKey)
+	require.Equal(t, planrun.InFlight, underWay.Stages[1].Items[0].Job.State)
 	require.Equal(t, plan.Late, underWay.Stages[1].Items[1].Job.End)
 	require.Equal(t, "cell-3", underWay.Stages[1].Items[1].Member)
-	require.Equal(t, plan.OtherZone, underWay.Stages[1].Items[1].Where)
-	require.Equal(t, planrun.Ok, underWay.Stages[1].Items[2].Job.State)
+	require.Equal(t, plan.OtherZone, underWay.Stages[1].Items[1].RetryPlace)
+	require.Equal(t, planrun.Succeeded, underWay.Stages[1].Items[2].Job.State)
 	require.Equal(t, `{"held":true}`, string(underWay.Stages[1].Items[2].Result))
-	require.Equal(t, &planrun.GiveUp{Stage: 1, End: plan.Failed, Reason: "no seat is left"}, l.view("run-given-up").Run.Gave)
+	require.Equal(t, &planrun.GiveUp{Stage: 1, End: plan.Failed, Reason: "no seat is left"}, l.view("run-given-up").Run.GaveUp)
 
 	var standings []budget.BudgetStatus
 	l.ask(partition.BudgetsStatus, nil, &standings)
@@ -436,7 +436,7 @@
 	require.InDelta(t, 120, standings[1].Whole, 0)
 
 	var page records.Page
-	l.ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 20}, &page)
+	l.ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Limit: 20}, &page)
 	var ids []string
 	for _, r := range page.Records {
 		ids = append(ids, r.ID)
@@ -455,7 +455,7 @@
 	}, kept.Holds[0])
 	require.EqualValues(t, 5, kept.Usage["hrad-kamenec"].Count)
 
-	l.seq["n1"] = members[0].Answers[len(members[0].Answers)-1].Seq
+	l.seq["n1"] = members[0].Replies[len(members[0].Replies)-1].Seq
 	l.last(members[0].Incarnation)
 	require.True(t, strings.HasSuffix(string(goldentest.Read(t, filepath.Join(goldenState, "log"))), l.text.String()), "the commands after the snapshot")
 	require.Equal(t, string(goldentest.Read(t, filepath.Join(goldenState, "digests-after"))), string(digests(t, m)))
--- a/internal/dispatcher/fleet/harness/check.go
+++ b/internal/dispatcher/fleet/harness/check.go
@@ -26,8 +26,8 @@
 	return all
 }
 
-// Points are the spans' beginnings alone.
-func Points(spans []Span) (all []Span) {
+// StartPoints are the spans' beginnings alone.
+func StartPoints(spans []Span) (all []Span) {
 	for _, s := range spans {
 		all = append(all, Span{s.From, s.From})
 	}
@@ -62,9 +62,9 @@
 	return by, window
 }
 
-// MostAtOnce is how many spans there were at a time, at the most. One that ends
+// MaxConcurrent is how many spans there were at a time, at the most. One that ends
 // as another begins was not there with it.
-func MostAtOnce(spans []Span) (most int) {
+func MaxConcurrent(spans []Span) (most int) {
 	type edge struct {
 		at time.Time
 		by int
@@ -90,25 +90,25 @@
 	return most
 }
 
-// End is a final answer that somebody was given.
-type End struct{ ID, Text string }
+// FinalAnswer is a final answer that somebody was given.
+type FinalAnswer struct{ ID, Text string }
 
-// Ends is what became of what was asked.
-type Ends struct {
-	Once                          []string // asked, and ended with one text
-	Never, Again, Differ, Unasked []string // no end; more than one, as the same; as others, with their texts; nobody asked
+// Outcomes is what became of what was asked.
+type Outcomes struct {
+	Once                                        []string // asked, and ended with one text
+	Never, Repeated, Contradictory, Unrequested []string // no end; more than one, as the same; as others, with their texts; nobody asked
 }
 
-// Ended holds final answers against what was asked. Again is wrong of a call,
+// CompareOutcomes holds final answers against what was asked. Again is wrong of a call,
 // which has one answer; of a plan, which may be asked about again, only Differ.
-func Ended(asked []string, ends []End) (e Ends) {
+func CompareOutcomes(asked []string, ends []FinalAnswer) (e Outcomes) {
 	texts := make(map[string][]string)
 	for _, id := range asked {
 		texts[id] = nil
 	}
 	for _, end := range ends {
 		if _, ok := texts[end.ID]; !ok {
-			e.Unasked = append(e.Unasked, end.ID)
+			e.Unrequested = append(e.Unrequested, end.ID)
 			continue
 		}
 		texts[end.ID] = append(texts[end.ID], end.Text)
@@ -119,9 +119,9 @@
 		case len(kinds) == 0:
 			e.Never = append(e.Never, id)
 		case len(kinds) > 1:
-			e.Differ = append(e.Differ, id+": "+strings.Join(kinds, " | "))
+			e.Contradictory = append(e.Contradictory, id+": "+strings.Join(kinds, " | "))
 		case len(all) > 1:
-			e.Again = append(e.Again, id)
+			e.Repeated = append(e.Repeated, id)
 			fallthrough
 		default:
 			e.Once = append(e.Once, id)
@@ -130,9 +130,9 @@
 	return e
 }
 
-// Twice are the asks of classes that must not run twice which did, over all
+// RunTwice are the asks of classes that must not run twice which did, over all
 // tries and dispatchers.
-func Twice(log []fakes.Arrival, once func(class string) bool) (asks []string) {
+func RunTwice(log []fakes.Arrival, once func(class string) bool) (asks []string) {
 	runs := make(map[string]int)
 	for _, a := range log {
 		ask := a.LogicalID
@@ -148,10 +148,10 @@
 	return asks
 }
 
-// Unfounded are the calls whose answer says what was not so: served without a
+// UnfoundedAnswers are the calls whose answer says what was not so: served without a
 // run that had begun, or refused though it ran, of a class that must not run
 // twice.
-func Unfounded(calls []fakes.Call, log []fakes.Arrival, once func(class string) bool) (ids []string) {
+func UnfoundedAnswers(calls []fakes.Call, log []fakes.Arrival, once func(class string) bool) (ids []string) {
 	ran := make(map[string]time.Time)
 	for _, a := range log {
 		if first, ok := ran[a.ID]; !a.StartedAt.IsZero() && (!ok || a.StartedAt.Before(first)) {
@@ -167,10 +167,10 @@
 	return ids
 }
 
-// Records holds what a replica has against what must be there and what was
+// CompareRecords holds what a replica has against what must be there and what was
 // pruned: those that are missing, those that came back, and those that nobody
 // made or that are there twice.
-func Records(want, pruned, got []string) (missing, extra, back []string) {
+func CompareRecords(want, pruned, got []string) (missing, extra, back []string) {
 	const wanted, gone = 1, 2
 	state := make(map[string]int)
 	for _, id := range pruned {
--- a/internal/dispatcher/fleet/harness/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -59,11 +59,11 @@
 
 // TestChecks plants what each check is to find, beside what is right.
 func TestChecks(t *testing.T) {
-	require.Equal(t, 2, MostAtOnce([]Span{{ms(0), ms(10)}, {ms(10), ms(20)}, {ms(5), ms(15)}, {ms(15), ms(15)}}))
-	require.Equal(t, 3, MostAtOnce([]Span{{ms(0), ms(10)}, {ms(9), ms(20)}, {From: ms(1)}}))
+	require.Equal(t, 2, MaxConcurrent([]Span{{ms(0), ms(10)}, {ms(10), ms(20)}, {ms(5), ms(15)}, {ms(15), ms(15)}}))
+	require.Equal(t, 3, MaxConcurrent([]Span{{ms(0), ms(10)}, {ms(9), ms(20)}, {From: ms(1)}}))
 
-	e := Ended([]string{"a", "b", "c", "d"}, []End{{"a", "sold"}, {"b", "sold"}, {"b", "sold"}, {"c", "sold"}, {"c", "gave up"}, {"x", "sold"}})
-	require.Equal(t, Ends{Once: []string{"a", "b"}, Never: []string{"d"}, Again: []string{"b"}, Differ: []string{"c: gave up | sold"}, Unasked: []string{"x"}}, e)
+	e := CompareOutcomes([]string{"a", "b", "c", "d"}, []FinalAnswer{{"a", "sold"}, {"b", "sold"}, {"b", "sold"}, {"c", "sold"}, {"c", "gave up"}, {"x", "sold"}})
+	require.Equal(t, Outcomes{Once: []string{"a", "b"}, Never: []string{"d"}, Repeated: []string{"b"}, Contradictory: []string{"c: gave up | sold"}, Unrequested: []string{"x"}}, e)
 
 	ticket, hold := "group-ticket", "place-hold"
 	log := []fakes.Arrival{
@@ -74,22 +74,22 @@
 		{ID: "3-1", LogicalID: "3", Class: hold, Dispatcher: "n1", ArrivedAt: ms(1), StartedAt: ms(2)},
 	}
 	calls := []fakes.Call{{ID: "1-0", Class: ticket, Status: 503}, {ID: "1-1", Class: ticket, Status: 200, Ended: ms(9)}, {ID: "3-0", Class: hold, Status: 503}, {ID: "2-0", Class: ticket}}
-	require.Empty(t, Twice(log, demo.AtMostOnce))
-	require.Empty(t, Unfounded(calls, log, demo.AtMostOnce))
+	require.Empty(t, RunTwice(log, demo.AtMostOnce))
+	require.Empty(t, UnfoundedAnswers(calls, log, demo.AtMostOnce))
 	again := append(log, fakes.Arrival{ID: "2-1", LogicalID: "2", Class: ticket, Dispatcher: "n2", StartedAt: ms(9)})
-	require.Equal(t, []string{"2"}, Twice(again, demo.AtMostOnce))
+	require.Equal(t, []string{"2"}, RunTwice(again, demo.AtMostOnce))
 	wrong := append(calls, fakes.Call{ID: "2-0", Class: ticket, Status: 503}, fakes.Call{ID: "4-0", Status: 200}, fakes.Call{ID: "3-0", Status: 200, Ended: ms(1)})
-	require.Equal(t, []string{"2-0", "4-0", "3-0"}, Unfounded(wrong, log, demo.AtMostOnce))
+	require.Equal(t, []string{"2-0", "4-0", "3-0"}, UnfoundedAnswers(wrong, log, demo.AtMostOnce))
 	n1 := func(a fakes.Arrival) bool { return a.Dispatcher == "n1" }
-	require.Equal(t, []Span{{ms(0), ms(0)}, {ms(1), ms(1)}, {ms(1), ms(1)}, {ms(1), ms(1)}}, Points(Spans(log, n1)))
+	require.Equal(t, []Span{{ms(0), ms(0)}, {ms(1), ms(1)}, {ms(1), ms(1)}, {ms(1), ms(1)}}, StartPoints(Spans(log, n1)))
 	require.Equal(t, Span{ms(0), ms(0)}, Spans(log, n1)[0])
 
-	r := &Rig{calls: []fakes.Call{{ID: "1", Addr: "a", Sent: ms(0), Ended: ms(10)}, {ID: "2", Addr: "a", Sent: ms(0), Ended: ms(30)},
+	r := &Cluster{calls: []fakes.Call{{ID: "1", Addr: "a", Sent: ms(0), Ended: ms(10)}, {ID: "2", Addr: "a", Sent: ms(0), Ended: ms(30)},
 		{ID: "3", Addr: "b", Sent: ms(0), Ended: ms(30)}, {ID: "4", Addr: "a", Sent: ms(41), Ended: ms(50)}, {ID: "5", Addr: "b", Sent: ms(50), Ended: ms(60), Status: 502},
-		{ID: "6", Addr: "a", Sent: ms(70), Ended: ms(90)}}, outs: []out{{"a", Span{ms(20), ms(40)}}, {"a", Span{From: ms(80)}}}}
-	require.Equal(t, []string{"1", "3", "4"}, r.Lost())
+		{ID: "6", Addr: "a", Sent: ms(70), Ended: ms(90)}}, outages: []outage{{"a", Span{ms(20), ms(40)}}, {"a", Span{From: ms(80)}}}}
+	require.Equal(t, []string{"1", "3", "4"}, r.LostCalls())
 
-	missing, extra, back := Records([]string{"a", "b", "c"}, []string{"p", "q"}, []string{"a", "c", "q", "x", "c"})
+	missing, extra, back := CompareRecords([]string{"a", "b", "c"}, []string{"p", "q"}, []string{"a", "c", "q", "x", "c"})
 	require.Equal(t, [][]string{{"b"}, {"x", "c"}, {"q"}}, [][]string{missing, extra, back})
 }
 
@@ -130,9 +130,9 @@
 				answered(one.out)
 			}
 		}
-		model := Leases()
+		model := LeaseModel()
 		if _, ok := c.calls[0].in.(RunCall); ok {
-			model = Runs()
+			model = RunModel()
 		}
 		err := h.Check(model, time.Now().Add(10*time.Second))
 		require.Equal(t, c.good, err == nil, "%s: %v", name, err)
@@ -142,7 +142,7 @@
 // TestDigests: keepers that differ at one place of the log are found, also when
 // they are alike again later; so are keepers that never come to one place.
 func TestDigests(t *testing.T) {
-	r := new(Rig)
+	r := new(Cluster)
 	say := make([]string, 2)
 	for i := range say {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, say[i]) }))
@@ -152,20 +152,20 @@
 	keeper := func(index int, digest string) string {
 		return fmt.Sprintf(`{"Process":"n","Keeper":{"Index":%d,"Digests":{"members":%q}}}`, index, digest)
 	}
-	var d Digests
+	var d DigestMonitor
 	for _, c := range []struct {
 		one, two string
 		differ   int
 	}{{keeper(5, "aa"), keeper(5, "aa"), 0}, {keeper(7, "bb"), keeper(7, "cc"), 1}, {keeper(8, "dd"), keeper(8, "dd"), 1}} {
 		say[0], say[1] = c.one, c.two
-		got, err := d.Differed(r, 2, time.Now().Add(patience))
+		got, err := d.WaitConverged(r, 2, time.Now().Add(transitionTimeout))
 		require.NoError(t, err)
 		require.Len(t, got, c.differ)
 	}
 	say[1] = keeper(9, "ee")
-	_, err := d.Differed(r, 2, time.Now().Add(50*time.Millisecond))
+	_, err := d.WaitConverged(r, 2, time.Now().Add(50*time.Millisecond))
 	require.Error(t, err)
 	say[1] = `{"Process":"n"}` // no keeper: it tells of nothing
-	_, err = new(Digests).Differed(r, 2, time.Now().Add(50*time.Millisecond))
+	_, err = new(DigestMonitor).WaitConverged(r, 2, time.Now().Add(50*time.Millisecond))
 	require.Error(t, err)
 }
--- a/internal/dispatcher/fleet/harness/history.go
+++ b/internal/dispatcher/fleet/harness/history.go
@@ -11,13 +11,13 @@
 
 // History records calls and their answers, of any number of clients.
 type History struct {
-	began time.Time
+	start time.Time
 	mu    sync.Mutex
 	calls []porcupine.Operation
 }
 
 // NewHistory is an empty history, which begins now.
-func NewHistory() *History { return &History{began: time.Now()} }
+func NewHistory() *History { return &History{start: time.Now()} }
 
 // Call notes that a call begins. What it returns notes the answer; it is not
 // called for a call of which nobody knows whether it took effect: it may have at
@@ -26,9 +26,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := len(h.calls)
-	h.calls = append(h.calls, porcupine.Operation{ClientId: client, Input: input, Call: int64(time.Since(h.began)), Return: math.MaxInt64})
+	h.calls = append(h.calls, porcupine.Operation{ClientId: client, Input: input, Call: int64(time.Since(h.start)), Return: math.MaxInt64})
 	return func(output any) {
-		at := int64(time.Since(h.began))
+		at := int64(time.Since(h.start))
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.calls[n].Output, h.calls[n].Return = output, at
@@ -62,38 +62,38 @@
 	At, Until time.Duration
 }
 
-// lease is one lease as it is held. Loose: a call without an answer may have
+// leaseState is one lease as it is held. Loose: a call without an answer may have
 // changed its end, and raised its fencing number.
-type lease struct {
+type leaseState struct {
 	holder    string
 	fence     uint64
 	at, until time.Duration
-	loose     bool
+	uncertain bool
 }
 
-// Leases are the rules of leases by name. Fleet time never runs backward; while
+// LeaseModel are the rules of leases by name. Fleet time never runs backward; while
 // a lease lasts no other holder is granted it; each grant has a greater fencing
 // number; only who holds it renews it, with its number, before its end; and it is
 // refused only while it is held, its renewal only while it is not.
-func Leases() porcupine.Model {
+func LeaseModel() porcupine.Model {
 	return porcupine.Model{
-		Partition: by(func(in any) string { return in.(LeaseCall).Name }),
-		Init:      func() any { return lease{} },
+		Partition: partitionBy(func(in any) string { return in.(LeaseCall).Name }),
+		Init:      func() any { return leaseState{} },
 		Step: func(state, input, output any) (bool, any) {
-			s, in := state.(lease), input.(LeaseCall)
-			own := s.holder == in.Holder && (in.Fence == s.fence || s.loose && in.Fence > s.fence)
+			s, in := state.(leaseState), input.(LeaseCall)
+			own := s.holder == in.Holder && (in.Fence == s.fence || s.uncertain && in.Fence > s.fence)
 			out, ok := output.(LeaseAnswer)
 			switch {
 			case !ok && (in.Fence == 0 || own):
-				return true, lease{in.Holder, max(s.fence, in.Fence), s.at, s.until, true}
+				return true, leaseState{in.Holder, max(s.fence, in.Fence), s.at, s.until, true}
 			case !ok:
 				return true, s
 			case out.At < s.at:
 				return false, s
 			}
-			lasts := s.holder != "" && (out.At < s.until || s.loose)
-			free := s.holder == "" || out.At >= s.until || s.loose || s.holder == in.Holder
-			next := lease{in.Holder, out.Fence, out.At, out.Until, false}
+			lasts := s.holder != "" && (out.At < s.until || s.uncertain)
+			free := s.holder == "" || out.At >= s.until || s.uncertain || s.holder == in.Holder
+			next := leaseState{in.Holder, out.Fence, out.At, out.Until, false}
 			s.at = out.At
 			switch {
 			case in.Fence == 0 && out.Granted && free && out.Fence > s.fence && out.Until > out.At:
@@ -103,7 +103,7 @@
 			case in.Fence != 0 && out.Granted && own && lasts && out.Until >= s.until:
 				next.fence = in.Fence
 				return true, next
-			case in.Fence != 0 && !out.Granted && !(own && lasts && !s.loose):
+			case in.Fence != 0 && !out.Granted && !(own && lasts && !s.uncertain):
 				return true, s
 			}
 			return false, s
@@ -115,11 +115,11 @@
 // is a string: the outcome that counts, or none.
 type RunCall struct{ Run, Outcome string }
 
-// Runs are the rules of runs that end once: the first outcome counts, and each
+// RunModel are the rules of runs that end once: the first outcome counts, and each
 // who comes later is told that one.
-func Runs() porcupine.Model {
+func RunModel() porcupine.Model {
 	return porcupine.Model{
-		Partition: by(func(in any) string { return in.(RunCall).Run }),
+		Partition: partitionBy(func(in any) string { return in.(RunCall).Run }),
 		Init:      func() any { return "" },
 		Step: func(state, input, output any) (bool, any) {
 			counts, in := state.(string), input.(RunCall)
@@ -132,8 +132,8 @@
 	}
 }
 
-// by parts a history by a key of its calls.
-func by(key func(input any) string) func([]porcupine.Operation) [][]porcupine.Operation {
+// partitionBy parts a history by a key of its calls.
+func partitionBy(key func(input any) string) func([]porcupine.Operation) [][]porcupine.Operation {
 	return func(all []porcupine.Operation) (parts [][]porcupine.Operation) {
 		place := make(map[string]int)
 		for _, o := range all {
--- a/internal/dispatcher/fleet/harness/process.go
+++ b/internal/dispatcher/fleet/harness/process.go
@@ -25,25 +25,25 @@
 
 // Process is one process of a rig. It is also what the template of its
 // operator's file is given: {{.Name}}, {{.Folder}}, {{.Addr "calls"}} for an
-// address of its own, {{.Reach "n2" "calls"}} for another's as this one reaches
+// address of its own, {{.PeerAddr "n2" "calls"}} for another's as this one reaches
 // it, {{.Peers 3 "calls" "votes"}} for an object of the first three by name, with
 // both addresses of each.
 type Process struct {
 	Name, Home, Folder, Log string
 	Operator                string // its template; a change counts from the next start
 
-	rig       *Rig
-	place     int
+	cluster   *Cluster
+	index     int
 	discovery *fakes.Discovery
-	known     []fakes.Instance
+	members   []fakes.Instance
 
-	mu      sync.Mutex
-	addrs   map[string]string
-	reached map[string]string
-	cmd     *exec.Cmd // nil: it does not run
-	ended   chan error
-	asked   bool // to end
-	died    []string
+	mu              sync.Mutex
+	addrs           map[string]string
+	linkAddrs       map[string]string
+	cmd             *exec.Cmd // nil: it does not run
+	exited          chan error
+	exitExpected    bool // to end
+	unexpectedExits []string
 }
 
 // Addr is one of its addresses, which stays its own over restarts: listen,
@@ -61,35 +61,35 @@
 	return p.addrs[name]
 }
 
-// Reach is another process's address as this one reaches it, through a link;
+// PeerAddr is another process's address as this one reaches it, through a link;
 // its own is not.
-func (p *Process) Reach(other, name string) (string, error) {
-	i := slices.IndexFunc(p.rig.Processes, func(q *Process) bool { return q.Name == other })
+func (p *Process) PeerAddr(other, name string) (string, error) {
+	i := slices.IndexFunc(p.cluster.Processes, func(q *Process) bool { return q.Name == other })
 	if i < 0 {
 		return "", fmt.Errorf("no process is called %q", other)
 	}
-	at := p.rig.Processes[i].Addr(name)
+	at := p.cluster.Processes[i].Addr(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var err error
-	if i != p.place && p.reached[at] == "" {
-		p.reached[at], err = p.rig.link(p.place, i, at)
+	if i != p.index && p.linkAddrs[at] == "" {
+		p.linkAddrs[at], err = p.cluster.link(p.index, i, at)
 	}
-	if i == p.place {
+	if i == p.index {
 		return at, nil
 	}
-	return p.reached[at], err
+	return p.linkAddrs[at], err
 }
 
 // Peers are the first so many processes and the named addresses of each, as
 // JSON.
 func (p *Process) Peers(first int, names ...string) (string, error) {
 	peers := make(map[string]map[string]string)
-	for _, q := range p.rig.Processes[:first] {
+	for _, q := range p.cluster.Processes[:first] {
 		peers[q.Name] = make(map[string]string)
 		for _, name := range names {
 			var err error
-			if peers[q.Name][name], err = p.Reach(q.Name, name); err != nil {
+			if peers[q.Name][name], err = p.PeerAddr(q.Name, name); err != nil {
 				return "", err
 			}
 		}
@@ -112,8 +112,8 @@
 	}
 	cmd, err := demo.Dispatcher{
 		Name: p.Name, Listen: p.Addr("listen"), Discovery: p.discovery.Addr(), Admin: p.Addr("admin"),
-		Rank: p.place, Count: len(p.rig.Processes), InitialMembers: p.known,
-	}.Command(p.rig.binary, p.Home, operator.String(), append([]string{"--log-level", "info"}, p.rig.Args...)...)
+		Rank: p.index, Count: len(p.cluster.Processes), InitialMembers: p.members,
+	}.Command(p.cluster.binary, p.Home, operator.String(), append([]string{"--log-level", "info"}, p.cluster.Args...)...)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 		return err
 	}
 	defer log.Close()
-	cmd.Env = append(cmd.Env, p.rig.Env...)
+	cmd.Env = append(cmd.Env, p.cluster.Env...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return err
@@ -137,34 +137,34 @@
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.cmd = nil; !p.asked {
-			p.died = append(p.died, fmt.Sprintf("%s ended by itself: %v", p.Name, err))
+		if p.cmd = nil; !p.exitExpected {
+			p.unexpectedExits = append(p.unexpectedExits, fmt.Sprintf("%s ended by itself: %v", p.Name, err))
 		}
 		ended <- err
 		close(ended)
 	}()
-	p.cmd, p.ended, p.asked = cmd, ended, false
+	p.cmd, p.exited, p.exitExpected = cmd, ended, false
 	return nil
 }
 
-// mayEnd says that its end is no surprise: it was given a folder that it must refuse.
-func (p *Process) mayEnd() error {
+// expectExit says that its end is no surprise: it was given a folder that it must refuse.
+func (p *Process) expectExit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asked = true
+	p.exitExpected = true
 	return nil
 }
 
-// Ready waits until it serves.
-func (p *Process) Ready() error {
+// WaitReady waits until it serves.
+func (p *Process) WaitReady() error {
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
 	return demo.WaitReady(context.Background(), p.Addr("listen"), ended)
 }
 
-// Ask asks its operators' door, and returns the status and text of the answer.
-func (p *Process) Ask(method, path, body string, until time.Time) (status int, text string, err error) {
+// AdminRequest asks its operators' door, and returns the status and text of the answer.
+func (p *Process) AdminRequest(method, path, body string, until time.Time) (status int, text string, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+p.Addr("admin")+path, strings.NewReader(body))
@@ -181,15 +181,15 @@
 	return resp.StatusCode, string(got), err
 }
 
-// Says asks its door again and again until what is there matches a pattern, and
+// WaitForAdmin asks its door again and again until what is there matches a pattern, and
 // returns the match and its groups.
-func (p *Process) Says(path, pattern string, until time.Time) ([]string, error) {
+func (p *Process) WaitForAdmin(path, pattern string, until time.Time) ([]string, error) {
 	re, err := regexp.Compile("(?s)" + pattern)
 	if err != nil {
 		return nil, err
 	}
 	for {
-		_, text, err := p.Ask(http.MethodGet, path, "", until)
+		_, text, err := p.AdminRequest(http.MethodGet, path, "", until)
 		if m := re.FindStringSubmatch(text); m != nil && err == nil {
 			return m, nil
 		}
@@ -200,18 +200,18 @@
 	}
 }
 
-// Runs tells whether it runs, or is frozen.
-func (p *Process) Runs() bool {
+// IsRunning tells whether it runs, or is frozen.
+func (p *Process) IsRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// Died tells of each end that nobody asked for.
-func (p *Process) Died() []string {
+// UnexpectedExits tells of each end that nobody asked for.
+func (p *Process) UnexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.died)
+	return slices.Clone(p.unexpectedExits)
 }
 
 func (p *Process) signal(s os.Signal) error {
@@ -220,7 +220,7 @@
 	if p.cmd == nil {
 		return nil
 	}
-	p.asked = p.asked || s == syscall.SIGKILL || s == syscall.SIGTERM
+	p.exitExpected = p.exitExpected || s == syscall.SIGKILL || s == syscall.SIGTERM
 	if err := p.cmd.Process.Signal(s); !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
@@ -231,7 +231,7 @@
 // was waited for before is nil.
 func (p *Process) Wait(until time.Time) error {
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
 	if ended == nil {
 		return nil
@@ -252,7 +252,7 @@
 		return err
 	}
 	var exit *exec.ExitError
-	if err := p.Wait(time.Now().Add(patience)); err != nil && !errors.As(err, &exit) {
+	if err := p.Wait(time.Now().Add(transitionTimeout)); err != nil && !errors.As(err, &exit) {
 		return err
 	}
 	return nil
@@ -263,7 +263,7 @@
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for until := time.Now().Add(patience); !p.still(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(transitionTimeout); !p.isStopped(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			return fmt.Errorf("%s does not stop", p.Name)
 		}
@@ -271,8 +271,8 @@
 	return nil
 }
 
-// still tells whether no thread of it can run.
-func (p *Process) still() bool {
+// isStopped tells whether no thread of it can run.
+func (p *Process) isStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -291,16 +291,16 @@
 // Thaw ends Freeze.
 func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
 
-// Term asks it to end in order; Wait waits for that.
-func (p *Process) Term() error { return p.signal(syscall.SIGTERM) }
+// Terminate asks it to end in order; Wait waits for that.
+func (p *Process) Terminate() error { return p.signal(syscall.SIGTERM) }
 
-// Wipe empties the folder of a process that does not run.
-func (p *Process) Wipe() error {
+// WipeFolder empties the folder of a process that does not run.
+func (p *Process) WipeFolder() error {
 	return errors.Join(os.RemoveAll(p.Folder), os.MkdirAll(p.Folder, 0o700))
 }
 
-// Copy copies its folder as it is at one moment, for which it is frozen.
-func (p *Process) Copy(to string) error {
+// CopyFolder copies its folder as it is at one moment, for which it is frozen.
+func (p *Process) CopyFolder(to string) error {
 	err := p.Freeze()
 	if err == nil {
 		err = errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(p.Folder)))
@@ -308,8 +308,8 @@
 	return errors.Join(err, p.Thaw())
 }
 
-// Put puts a copy of a folder in place of that of a process that does not run.
-func (p *Process) Put(from string) error {
+// ReplaceFolder puts a copy of a folder in place of that of a process that does not run.
+func (p *Process) ReplaceFolder(from string) error {
 	return errors.Join(os.RemoveAll(p.Folder), os.CopyFS(p.Folder, os.DirFS(from)))
 }
 
--- a/internal/dispatcher/fleet/harness/rig.go
+++ b/internal/dispatcher/fleet/harness/rig.go
@@ -25,70 +25,70 @@
 
 // Settings are what a rig is to be.
 type Settings struct {
-	Processes int
-	Load      demo.Load                                                   // Members, Slots, Run, Troubles, Rate and Seed
-	Operator  string                                                      // the template of the operators' files, see Process; empty: none
-	Tags      string                                                      // build tags of the program
-	Env       []string                                                    // more of the processes' environment
-	Args      []string                                                    // more of their arguments
-	Ends      func(class, ask string, body []byte) (state, result string) // see standin.MemberSettings
-	To        func(*Rig) *Process                                         // whom a client's try goes to; nil: any, by chance
+	Processes    int
+	Load         demo.Load                                                   // Members, Slots, Run, Troubles, Rate and Seed
+	Operator     string                                                      // the template of the operators' files, see Process; empty: none
+	Tags         string                                                      // build tags of the program
+	Env          []string                                                    // more of the processes' environment
+	Args         []string                                                    // more of their arguments
+	MemberAnswer func(class, ask string, body []byte) (state, result string) // see standin.MemberSettings
+	PickProcess  func(*Cluster) *Process                                     // whom a client's try goes to; nil: any, by chance
 }
 
-// Rig is processes and what is around them.
-type Rig struct {
+// Cluster is processes and what is around them.
+type Cluster struct {
 	Settings
 	Processes []*Process // n1, n2 and so on
 	Till      *fakes.RunLog
 	Answers   fakes.Answers
 
-	t       testing.TB
-	binary  string
-	members []*fakes.Member
-	all     sync.WaitGroup
-	stop    context.CancelFunc
-
-	mu     sync.Mutex
-	random *rand.Rand
-	links  map[pair][]*faultproxy.Proxy
-	calls  []fakes.Call
-	outs   []out
+	t           testing.TB
+	binary      string
+	members     []*fakes.Member
+	clients     sync.WaitGroup
+	stopClients context.CancelFunc
+
+	mu      sync.Mutex
+	random  *rand.Rand
+	links   map[linkKey][]*faultproxy.Proxy
+	calls   []fakes.Call
+	outages []outage
 }
 
-// out is a time in which a process was out of service by a fault.
-type out struct {
+// outage is a time in which a process was out of service by a fault.
+type outage struct {
 	addr string // of clients
 	Span
 }
 
-// pair is who dials whom, by their places.
-type pair struct{ from, to int }
+// linkKey is who dials whom, by their places.
+type linkKey struct{ from, to int }
 
 // New makes a rig, of which no process runs yet. The test's end ends it; a test
 // that has failed then shows the end of each process's log.
-func New(t testing.TB, s Settings) *Rig {
+func New(t testing.TB, s Settings) *Cluster {
 	t.Helper()
 	binary, err := scenario.BuildTags(s.Tags)
 	require.NoError(t, err)
-	r := &Rig{
-		Settings: s, Till: fakes.NewRunLog(), t: t, binary: binary, links: make(map[pair][]*faultproxy.Proxy),
-		random: rand.New(rand.NewPCG(s.Load.Seed, 31)), stop: func() {},
+	r := &Cluster{
+		Settings: s, Till: fakes.NewRunLog(), t: t, binary: binary, links: make(map[linkKey][]*faultproxy.Proxy),
+		random: rand.New(rand.NewPCG(s.Load.Seed, 31)), stopClients: func() {},
 	}
 	r.Till.KeepArrivals()
 	dir := t.TempDir()
 	t.Cleanup(r.close) // before the folders go
 	load := s.Load
 	load.Slots = max(1, load.Slots)
-	r.members, err = load.NewMembers(fakes.MemberSettings{RunLog: r.Till, Outcome: s.Ends})
+	r.members, err = load.NewMembers(fakes.MemberSettings{RunLog: r.Till, Outcome: s.MemberAnswer})
 	require.NoError(t, err)
 	for i := range s.Processes {
 		name := fmt.Sprintf("n%d", i+1)
 		p := &Process{
-			Name: name, Home: filepath.Join(dir, name), Operator: s.Operator, rig: r, place: i, addrs: make(map[string]string), reached: make(map[string]string),
+			Name: name, Home: filepath.Join(dir, name), Operator: s.Operator, cluster: r, index: i, addrs: make(map[string]string), linkAddrs: make(map[string]string),
 		}
 		p.Folder, p.Log = filepath.Join(p.Home, "folder"), filepath.Join(p.Home, "log")
 		require.NoError(t, os.MkdirAll(p.Folder, 0o700))
-		p.known, p.discovery, err = demo.OpenMembersFor(r.members, name, func() string { return p.Addr("listen") })
+		p.members, p.discovery, err = demo.OpenMembersFor(r.members, name, func() string { return p.Addr("listen") })
 		require.NoError(t, err)
 		r.Processes = append(r.Processes, p)
 	}
@@ -96,73 +96,73 @@
 }
 
 // Start starts all processes and waits until they are ready.
-func (r *Rig) Start() {
+func (r *Cluster) Start() {
 	r.t.Helper()
 	for _, p := range r.Processes {
 		require.NoError(r.t, p.Start(), p.Name)
 	}
 	for _, p := range r.Processes {
-		require.NoError(r.t, p.Ready(), p.Name)
+		require.NoError(r.t, p.WaitReady(), p.Name)
 	}
 }
 
-// Begin lets clients ask.
-func (r *Rig) Begin() {
+// StartClients lets clients ask.
+func (r *Cluster) StartClients() {
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
+	r.stopClients = stop
 	mix := fakes.ClientSettings{Rate: r.Load.Rate, TicketShare: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: r.Load.Seed, OnCall: func(c fakes.Call) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.calls = append(r.calls, c)
 	}}
-	r.all.Go(func() {
+	r.clients.Go(func() {
 		fakes.HTTPClients(ctx, func() string {
-			if r.To != nil {
-				return r.To(r).Addr("listen")
+			if r.PickProcess != nil {
+				return r.PickProcess(r).Addr("listen")
 			}
-			return r.Any().Addr("listen")
+			return r.RandomProcess().Addr("listen")
 		}, "h", mix, &r.Answers)
 	})
 }
 
-// End asks nothing more, and waits for the answers that are due.
-func (r *Rig) End() {
-	r.stop()
-	r.all.Wait()
+// StopClients asks nothing more, and waits for the answers that are due.
+func (r *Cluster) StopClients() {
+	r.stopClients()
+	r.clients.Wait()
 }
 
 // Calls are the tries of clients that have ended.
-func (r *Rig) Calls() []fakes.Call {
+func (r *Cluster) Calls() []fakes.Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.calls)
 }
 
-// goesOut notes that a process is out of service. What it returns notes that it
+// beginOutage notes that a process is out of service. What it returns notes that it
 // is back once it serves, or has ended again.
-func (r *Rig) goesOut(p *Process) (back func()) {
+func (r *Cluster) beginOutage(p *Process) (back func()) {
 	addr := p.Addr("listen")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := len(r.outs)
-	r.outs = append(r.outs, out{addr, Span{From: time.Now()}})
+	n := len(r.outages)
+	r.outages = append(r.outages, outage{addr, Span{From: time.Now()}})
 	return func() {
-		r.all.Go(func() {
-			p.Ready()
+		r.clients.Go(func() {
+			p.WaitReady()
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.outs[n].To = time.Now()
+			r.outages[n].To = time.Now()
 		})
 	}
 }
 
-// Lost are the calls that got no answer though the process that they went to was
+// LostCalls are the calls that got no answer though the process that they went to was
 // in service all the time.
-func (r *Rig) Lost() (ids []string) {
+func (r *Cluster) LostCalls() (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.calls {
-		if c.Status == 0 && !slices.ContainsFunc(r.outs, func(o out) bool {
+		if c.Status == 0 && !slices.ContainsFunc(r.outages, func(o outage) bool {
 			return o.addr == c.Addr && o.From.Before(c.Ended) && (o.To.IsZero() || o.To.After(c.Sent))
 		}) {
 			ids = append(ids, c.ID)
@@ -172,14 +172,14 @@
 }
 
 // Links are the links from one process to another, by their places.
-func (r *Rig) Links(from, to int) []*faultproxy.Proxy {
+func (r *Cluster) Links(from, to int) []*faultproxy.Proxy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.links[pair{from, to}]
+	return r.links[linkKey{from, to}]
 }
 
-// Around are all links from and to a process.
-func (r *Rig) Around(place int) (all []*faultproxy.Proxy) {
+// LinksOf are all links from and to a process.
+func (r *Cluster) LinksOf(place int) (all []*faultproxy.Proxy) {
 	for other := range r.Processes {
 		all = append(append(all, r.Links(place, other)...), r.Links(other, place)...)
 	}
@@ -187,10 +187,10 @@
 }
 
 // link makes a link for one of a process's addresses.
-func (r *Rig) link(from, to int, addr string) (string, error) {
+func (r *Cluster) link(from, to int, addr string) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := pair{from, to}
+	at := linkKey{from, to}
 	l, err := faultproxy.New(addr, r.Load.Seed<<16+uint64(from)<<8+uint64(to))
 	if err != nil {
 		return "", err
@@ -199,19 +199,19 @@
 	return l.Addr(), nil
 }
 
-// Any is one of the processes, by chance.
-func (r *Rig) Any() *Process {
+// RandomProcess is one of the processes, by chance.
+func (r *Cluster) RandomProcess() *Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Processes[r.random.IntN(len(r.Processes))]
 }
 
-func (r *Rig) close() {
-	r.stop()
+func (r *Cluster) close() {
+	r.stopClients()
 	for _, p := range r.Processes {
 		p.Kill()
 	}
-	r.all.Wait()
+	r.clients.Wait()
 	for _, m := range r.members {
 		m.Close()
 	}
@@ -224,12 +224,12 @@
 		p.discovery.Close()
 		if r.t.Failed() {
 			text, _ := os.ReadFile(p.Log)
-			r.t.Logf("the log of %s ends:\n%s", p.Name, text[max(0, len(text)-mostShown):])
+			r.t.Logf("the log of %s ends:\n%s", p.Name, text[max(0, len(text)-maxLogShown):])
 		}
 	}
 }
 
-const mostShown = 16000 // bytes of a log
+const maxLogShown = 16000 // bytes of a log
 
-// patience is how long an exit or a process's readiness may take.
-const patience = 40 * time.Second
+// transitionTimeout is how long an exit or a process's readiness may take.
+const transitionTimeout = 40 * time.Second
--- a/internal/dispatcher/fleet/harness/rig_test.go
+++ b/internal/dispatcher/fleet/harness/rig_test.go
@@ -23,13 +23,13 @@
 // link between two.
 func TestProcesses(t *testing.T) {
 	r := New(t, Settings{Processes: 2, Load: demo.Load{Members: 2, Seed: 3},
-		Operator: `{"#":{"name":"{{.Name}}","peer":"{{.Reach "n2" "listen"}}","all":{{.Peers 2 "listen"}}},"figures":{"journal":{"folder":"{{.Folder}}"}}}`})
+		Operator: `{"#":{"name":"{{.Name}}","peer":"{{.PeerAddr "n2" "listen"}}","all":{{.Peers 2 "listen"}}},"figures":{"journal":{"folder":"{{.Folder}}"}}}`})
 	r.Start()
 	one, two := r.Processes[0], r.Processes[1]
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
 	asks := func(addr string, quiet ...bool) error { // until the answer, or for a little while where none is to come
-		client := http.Client{Transport: transport, Timeout: patience}
+		client := http.Client{Transport: transport, Timeout: transitionTimeout}
 		if slices.Contains(quiet, true) {
 			client.Timeout = 250 * time.Millisecond
 		}
@@ -39,46 +39,46 @@
 		}
 		return err
 	}
-	addr, err := one.Reach("n2", "listen")
+	addr, err := one.PeerAddr("n2", "listen")
 	require.NoError(t, err)
 	require.NotEqual(t, two.Addr("listen"), addr)
 	require.NoError(t, asks(addr))
-	own, err := two.Reach("n2", "listen")
+	own, err := two.PeerAddr("n2", "listen")
 	require.NoError(t, err)
 	require.Equal(t, two.Addr("listen"), own)
-	status, _, err := two.Ask(http.MethodPost, "/nowhere", "x", time.Now().Add(patience))
+	status, _, err := two.AdminRequest(http.MethodPost, "/nowhere", "x", time.Now().Add(transitionTimeout))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNotFound, status)
-	said, err := two.Says("/healthcheck", "^(.*)$", time.Now().Add(patience))
+	said, err := two.WaitForAdmin("/healthcheck", "^(.*)$", time.Now().Add(transitionTimeout))
 	require.NoError(t, err)
 	require.Len(t, said, 2)
-	_, err = two.Says("/healthcheck", "nothing like it", time.Now())
+	_, err = two.WaitForAdmin("/healthcheck", "nothing like it", time.Now())
 	require.ErrorContains(t, err, "does not say")
 	link := r.Links(0, 1)[0]
 	for name, silent := range map[string]bool{"is cut from": true, "is cut off": true, "is refused by": true, "is not heard by": true, "is late at": false,
 		"is slow at": true, "has its calls reset by": false, "has its calls twice at": false} {
 		for who := range 2 { // whoever it is said of, the link is the same
-			f := Fault{For: 80 * time.Millisecond, Kind: name, Who: who, Whom: 1 - who, Rate: 50}
+			f := Fault{Duration: 80 * time.Millisecond, Kind: name, Process: who, Peer: 1 - who, Rate: 50}
 			was := link.Counts()
-			require.NoError(t, kinds[name].begin(r, f))
+			require.NoError(t, faultKinds[name].begin(r, f))
 			require.Equal(t, silent, asks(addr, silent) != nil, f)
 			if name == "is not heard by" {
 				require.Equal(t, who == 0, link.Counts().Lost[faultproxy.Forward] > was.Lost[faultproxy.Forward], f)
 			}
 			require.NoError(t, asks(own))
-			require.NoError(t, kinds[name].end(r, f))
+			require.NoError(t, faultKinds[name].end(r, f))
 			require.NoError(t, asks(addr), f)
 		}
 	}
 	require.NoError(t, two.Freeze())
 	require.Error(t, asks(own, true))
 	require.NoError(t, two.Thaw())
-	require.Eventually(t, func() bool { return asks(own) == nil }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return asks(own) == nil }, transitionTimeout, time.Millisecond)
 
 	copied := filepath.Join(one.Home, "copy")
-	require.NoError(t, one.Copy(copied))
+	require.NoError(t, one.CopyFolder(copied))
 	require.NoError(t, one.Kill())
-	require.False(t, one.Runs())
+	require.False(t, one.IsRunning())
 	require.Error(t, asks(one.Addr("listen")))
 	segments := func(dir string) int {
 		entries, err := os.ReadDir(dir)
@@ -86,26 +86,26 @@
 		return len(entries)
 	}
 	require.NotZero(t, segments(one.Folder))
-	require.NoError(t, one.Wipe())
+	require.NoError(t, one.WipeFolder())
 	require.Zero(t, segments(one.Folder))
-	require.NoError(t, one.Put(copied))
+	require.NoError(t, one.ReplaceFolder(copied))
 	require.Equal(t, segments(copied), segments(one.Folder))
 	require.NoError(t, one.Start())
-	require.NoError(t, one.Ready())
-	require.NoError(t, one.Term())
-	require.NoError(t, one.Wait(time.Now().Add(patience)))
+	require.NoError(t, one.WaitReady())
+	require.NoError(t, one.Terminate())
+	require.NoError(t, one.Wait(time.Now().Add(transitionTimeout)))
 	require.NoError(t, one.Start())
 
-	var all Faults
-	for n, name := range Kinds() {
-		all = append(all, Fault{At: time.Duration(n) * 20 * time.Millisecond, For: 15 * time.Millisecond, Kind: name, Who: 0, Whom: 1, Rate: 50})
+	var all FaultPlan
+	for n, name := range FaultKinds() {
+		all = append(all, Fault{At: time.Duration(n) * 20 * time.Millisecond, Duration: 15 * time.Millisecond, Kind: name, Process: 0, Peer: 1, Rate: 50})
 	}
-	require.NoError(t, r.Play(t.Context(), all))
-	r.all.Wait()
+	require.NoError(t, r.Inject(t.Context(), all))
+	r.clients.Wait()
 	require.NoError(t, asks(addr))
 	require.NoError(t, asks(one.Addr("listen")))
-	require.Empty(t, append(one.Died(), two.Died()...))
-	require.Error(t, r.Play(t.Context(), Faults{{Kind: "loses its mind"}}))
+	require.Empty(t, append(one.UnexpectedExits(), two.UnexpectedExits()...))
+	require.Error(t, r.Inject(t.Context(), FaultPlan{{Kind: "loses its mind"}}))
 }
 
 // TestPlan: a plan is its seed's, keeps a majority, and leaves time around the
@@ -113,22 +113,22 @@
 func TestPlan(t *testing.T) {
 	for seed := range uint64(40) {
 		n := 2 + int(seed%4)
-		plan := Plan(seed, n, 200)
-		require.Equal(t, plan.String(), Plan(seed, n, 200).String())
-		require.NotEqual(t, plan.String(), Plan(seed+1, n, 200).String())
+		plan := RandomFaults(seed, n, 200)
+		require.Equal(t, plan.String(), RandomFaults(seed, n, 200).String())
+		require.NotEqual(t, plan.String(), RandomFaults(seed+1, n, 200).String())
 		for i, f := range plan {
 			out := 0
 			for _, g := range plan[:i] {
-				together := g.At+g.For > f.At
-				require.False(t, together && (g.Who == f.Who || kinds[g.Kind].two && g.Whom == f.Who), "%v\n%v", g, f)
-				if together && (!kinds[g.Kind].two || kinds[g.Kind].folder) {
+				together := g.At+g.Duration > f.At
+				require.False(t, together && (g.Process == f.Process || faultKinds[g.Kind].pairwise && g.Peer == f.Process), "%v\n%v", g, f)
+				if together && (!faultKinds[g.Kind].pairwise || faultKinds[g.Kind].affectsFolder) {
 					out++
 				}
-				if kinds[f.Kind].folder && (!kinds[g.Kind].two || kinds[g.Kind].folder) || kinds[g.Kind].folder && !kinds[f.Kind].two {
-					require.LessOrEqual(t, g.At+g.For+calm, f.At, "%v\n%v", g, f)
+				if faultKinds[f.Kind].affectsFolder && (!faultKinds[g.Kind].pairwise || faultKinds[g.Kind].affectsFolder) || faultKinds[g.Kind].affectsFolder && !faultKinds[f.Kind].pairwise {
+					require.LessOrEqual(t, g.At+g.Duration+quietPeriod, f.At, "%v\n%v", g, f)
 				}
 			}
-			if !kinds[f.Kind].two {
+			if !faultKinds[f.Kind].pairwise {
 				require.Less(t, out, max(1, (n-1)/2), f)
 			}
 		}
@@ -144,7 +144,7 @@
 func today(processes int, seed uint64) Soak {
 	load := demo.Load{Members: 6, Rate: 60, Seed: seed}
 	load.Faults.Reject, load.Faults.Fail, load.Faults.Break, load.Faults.DuplicateEnd = 0.02, 0.01, 0.005, 0.1
-	return Soak{Settings: Settings{Processes: processes, Load: load}, Kinds: []string{"is killed", "is frozen", "is asked to end"}, Counts: Counts(nil)}
+	return Soak{Settings: Settings{Processes: processes, Load: load}, FaultKinds: []string{"is killed", "is frozen", "is asked to end"}, Checks: SoakChecks(nil)}
 }
 
 // joined is a soak of a fleet of three keepers and two more, with a budget for a
@@ -156,13 +156,13 @@
 	if err != nil {
 		panic(err)
 	}
-	s, digests := today(5, seed), new(Digests)
-	runs := &Bookings{Plan: "booking", Query: "within_ms=25000&tenant=" + demo.Tenants[1], Every: 200 * time.Millisecond}
-	var told Ends // once all is quiet
-	s.Kinds, s.Load.Rate = nil, 120
+	s, digests := today(5, seed), new(DigestMonitor)
+	runs := &PlanLoad{Plan: "booking", Query: "within_ms=25000&tenant=" + demo.Tenants[1], Interval: 200 * time.Millisecond}
+	var told Outcomes // once all is quiet
+	s.FaultKinds, s.Load.Rate = nil, 120
 	began := time.Now()
-	s.To = func(r *Rig) *Process {
-		if p := r.Any(); p.place > 1 {
+	s.PickProcess = func(r *Cluster) *Process {
+		if p := r.RandomProcess(); p.index > 1 {
 			return p
 		}
 		return r.Processes[int(time.Since(began)/(7*time.Second))%len(r.Processes)]
@@ -170,27 +170,29 @@
 	s.Operator = `{"fleet":{"name":"{{.Name}}","folder":"{{.Folder}}",{{if le .Name "n3"}}"calls":"{{.Addr "calls"}}","votes":"{{.Addr "votes"}}",{{end}}
 "keepers":{{.Peers 3 "calls" "votes"}},"lease_ms":1500,"election_ms":400,"compare_every_ms":500,
 "budgets":[{"of":"jobs","name":"` + demo.Tenants[0] + fmt.Sprintf(`","whole":%d,"burst":%d}],"plans":[%q],"records":{"tenants":{%q:{"count":150}}}}}`, rate, burst, plans, demo.Tenants[2])
-	records := &Kept{Cut: demo.Tenants[2], Whole: demo.Tenants[:2], Lag: 5 * time.Second}
-	s.Beside = append(s.Beside, digests.Watch, runs.Begin, records.Watch)
-	s.Counts = Counts(map[string]func(*Rig) ([]string, error){
-		"overspends": func(r *Rig) (over []string, _ error) {
-			if by, window := Overspent(r.Admitted(demo.Tenants[0]), rate, burst); by > 0 {
+	records := &RetentionMonitor{PrunedTenant: demo.Tenants[2], KeptTenants: demo.Tenants[:2], Lag: 5 * time.Second}
+	s.Background = append(s.Background, digests.Watch, runs.Run, records.Watch)
+	s.Checks = SoakChecks(map[string]func(*Cluster) ([]string, error){
+		"overspends": func(r *Cluster) (over []string, _ error) {
+			if by, window := Overspent(r.AdmissionSpans(demo.Tenants[0]), rate, burst); by > 0 {
 				over = append(over, fmt.Sprintf("by %.2f in the %v from %v", by, window.To.Sub(window.From), window.From))
 			}
 			return over, nil
 		},
-		"plans ended once": func(r *Rig) ([]string, error) {
-			told = runs.Told(r, time.Now().Add(2*patience))
+		"plans ended once": func(r *Cluster) ([]string, error) {
+			told = runs.Outcomes(r, time.Now().Add(2*transitionTimeout))
 			return told.Once, nil
 		},
-		"plans ended never or otherwise": func(*Rig) ([]string, error) { return append(told.Never, told.Differ...), nil },
-		"records missing": func(r *Rig) ([]string, error) {
-			err := records.Judge(r)
-			return records.misses, err
+		"plans ended never or otherwise": func(*Cluster) ([]string, error) { return append(told.Never, told.Contradictory...), nil },
+		"records missing": func(r *Cluster) ([]string, error) {
+			err := records.Check(r)
+			return records.missing, err
+		},
+		"extra":       func(*Cluster) ([]string, error) { return records.extra, nil },
+		"resurrected": func(*Cluster) ([]string, error) { return records.resurrected, nil },
+		"digests that differed": func(r *Cluster) ([]string, error) {
+			return digests.WaitConverged(r, 3, time.Now().Add(transitionTimeout))
 		},
-		"extra":                 func(*Rig) ([]string, error) { return records.extra, nil },
-		"resurrected":           func(*Rig) ([]string, error) { return records.back, nil },
-		"digests that differed": func(r *Rig) ([]string, error) { return digests.Differed(r, 3, time.Now().Add(patience)) },
 	})
 	return s
 }
--- a/internal/dispatcher/fleet/measure_test.go
+++ b/internal/dispatcher/fleet/measure_test.go
@@ -27,7 +27,7 @@
 		t.Skip("it takes minutes: -measure")
 	}
 	load := demo.Load{Members: 8, Slots: 8, RunTime: 5 * time.Millisecond, Rate: 300, Seed: 1}
-	cpu := func(r *harness.Rig) (sum time.Duration) {
+	cpu := func(r *harness.Cluster) (sum time.Duration) {
 		for _, p := range r.Processes {
 			used, err := p.CPU()
 			require.NoError(t, err)
@@ -40,7 +40,7 @@
 	for range 3 {
 		for _, name := range []string{"off", "on, by processes that keep nothing", "on"} {
 			t.Run("CPU a job", func(t *testing.T) {
-				var r *harness.Rig
+				var r *harness.Cluster
 				switch name {
 				case "off":
 					r = harness.New(t, harness.Settings{Processes: 2, Load: load})
@@ -49,7 +49,7 @@
 					r = found(t, 3, load, full)
 				default: // of five, jobs go to the two that are no keepers
 					s := harness.Settings{Processes: 5, Load: load}
-					s.To = func(r *harness.Rig) *harness.Process { return r.Processes[3+rand.IntN(2)] }
+					s.PickProcess = func(r *harness.Cluster) *harness.Process { return r.Processes[3+rand.IntN(2)] }
 					r = foundWith(t, s, full)
 				}
 				of := func() time.Duration {
@@ -62,12 +62,12 @@
 					}
 					return cpu(r)
 				}
-				r.Begin()
+				r.StartClients()
 				served(t, r, 300)
 				from, jobs := of(), r.Answers.Served.Load()
 				served(t, r, 1500)
 				perJob[name] = append(perJob[name], (of()-from)/time.Duration(r.Answers.Served.Load()-jobs))
-				r.End()
+				r.StopClients()
 			})
 		}
 	}
--- a/internal/dispatcher/fleet/partition/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -24,18 +24,18 @@
 // PlanReply answers a command or a query of plans.
 type PlanReply struct {
 	planrun.Reply
-	Index uint64        // of the state that it tells; a lower one is older
-	At    time.Duration // fleet time
-	Run   *planrun.Run  // as it is now, unless it has ended; its shape is known to who drives it
-	Makes uint64        // see planrun.View
-	Ended *planrun.Answer
+	Index       uint64          // of the state that it tells; a lower one is older
+	At          time.Duration   // fleet time
+	Run         *planrun.Run    // as it is now, unless it has ended; its shape is known to who drives it
+	Producing   uint64          `cbor:"Makes"` // see planrun.View
+	FinalAnswer *planrun.Answer `cbor:"Ended"`
 }
 
 // Plans is the part of plans under way.
-type Plans struct{ tracker *planrun.Book }
+type Plans struct{ tracker *planrun.Tracker }
 
 // NewPlans returns a part without plans.
-func NewPlans() *Plans { return &Plans{planrun.NewBook(planrun.DefaultLimits())} }
+func NewPlans() *Plans { return &Plans{planrun.NewTracker(planrun.DefaultLimits())} }
 
 // Name implements state.Part.
 func (*Plans) Name() string { return PlansName }
@@ -51,7 +51,7 @@
 // by its session, which the state has checked.
 func (p *Plans) Apply(c state.Command, index uint64) ([]byte, error) {
 	var do planrun.Command
-	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansCommand || do.Gone != nil {
+	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansCommand || do.LeaseExpired != nil {
 		return nil, fmt.Errorf("%w: no plan command %q", state.ErrBad, c.Kind)
 	}
 	run := ""
@@ -62,10 +62,10 @@
 		do.Claim.Process, do.Claim.Incarnation = c.Process, c.Incarnation
 	case do.Open != nil:
 		run = do.Open.Run
-	case do.Sending != nil:
-		run = do.Sending.Run
-	case do.Ended != nil:
-		run = do.Ended.Run
+	case do.SendAttempt != nil:
+		run = do.SendAttempt.Run
+	case do.ReportEnd != nil:
+		run = do.ReportEnd.Run
 	case do.Abandon != nil:
 		run = do.Abandon.Run
 	case do.Finish != nil:
@@ -82,9 +82,9 @@
 		return
 	}
 	if v, err := p.tracker.View(run); err == nil {
-		r.Run, r.Makes = v.Run, v.Makes
+		r.Run, r.Producing = v.Run, v.Producing
 	}
-	r.Ended = p.tracker.Answer(run)
+	r.FinalAnswer = p.tracker.Answer(run)
 }
 
 // Renew implements state.Part: a renewal says nothing to this part.
@@ -94,7 +94,7 @@
 
 // IncarnationEnded implements state.Part: the runs that an incarnation drove wait for another.
 func (p *Plans) IncarnationEnded(at time.Duration, process string, incarnation uint64, _ state.EndCause) {
-	p.tracker.Lost(at, process, incarnation)
+	p.tracker.LeaseExpired(at, process, incarnation)
 }
 
 // Advance implements state.Part.
--- a/internal/dispatcher/fleet/partition/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -38,7 +38,7 @@
 // RecordsPrunePlan is the next cut, if one is needed.
 type RecordsPrunePlan struct {
 	Needed bool
-	Cut    records.Prune
+	Prune  records.Prune `cbor:"Cut"`
 }
 
 // RecordsStatusBody is what is kept.
--- a/internal/dispatcher/fleet/plan/adversary_test.go
+++ b/internal/dispatcher/fleet/plan/adversary_test.go
@@ -106,7 +106,7 @@
 		return !slices.ContainsFunc(p.Stages[i].After, func(name string) bool { return !joined[index(name)] })
 	}
 	join := func(i int) {
-		well, need := 0, p.Stages[i].AtLeast
+		well, need := 0, p.Stages[i].MinSucceeded
 		if need == 0 {
 			need = len(jobs[i])
 		}
@@ -132,9 +132,9 @@
 		if j.key != "" && j.key != key {
 			wrong = append(wrong, st.Name+" had two keys")
 		}
-		j.key, j.out, j.ran, j.end = key, true, true, max(now, j.at)+time.Duration(r(int(st.GiveUp)+1))
+		j.key, j.out, j.ran, j.end = key, true, true, max(now, j.at)+time.Duration(r(int(st.AttemptTimeout)+1))
 		if r(2) == 0 {
-			j.end = max(now, j.at) + st.GiveUp
+			j.end = max(now, j.at) + st.AttemptTimeout
 		}
 		sent++
 	}
@@ -159,7 +159,7 @@
 			}
 			e = Lost
 			of := index(q.Of)
-			if lost[of] >= q.Most {
+			if lost[of] >= q.MaxReruns {
 				break
 			}
 			lost[of]++
@@ -187,7 +187,7 @@
 		}
 		for n := range st.Retries {
 			if q := &st.Retries[n]; slices.Contains(q.On, e) {
-				if j.tries[n] < q.Most {
+				if j.tries[n] < q.MaxRetries {
 					j.at = now + q.Pause(j.tries[n], r.Float64()*2-1)
 					j.tries[n]++
 					return
@@ -230,11 +230,11 @@
 			if st.Undo == nil {
 				continue
 			}
-			if st.Undo.Effect == policy.AtMostOnce && st.Undo.Most > 1 {
+			if st.Undo.Effect == policy.AtMostOnce && st.Undo.MaxTries > 1 {
 				wrong = append(wrong, "the undo of "+st.Name+" ran twice")
 			}
-			sent += st.Undo.Most * len(jobs[i])
-			over[i] += st.Undo.span()
+			sent += st.Undo.MaxTries * len(jobs[i])
+			over[i] += st.Undo.totalDuration()
 		}
 		now += slices.Max(over)
 	}
@@ -331,7 +331,7 @@
 			require.NotContains(t, p.String(), "\n")
 		}
 		for _, p := range plans {
-			require.True(t, p.Worst.Attempts <= p.Most && p.Worst.Duration <= p.Within && p.Worst.Attempts > 0 && p.Worst.Duration > 0)
+			require.True(t, p.Worst.Attempts <= p.MaxAttempts && p.Worst.Duration <= p.Timeout && p.Worst.Attempts > 0 && p.Worst.Duration > 0)
 			require.NotEmpty(t, p.Describe())
 			for i, st := range p.Stages {
 				v := Values{Input: []byte(`{"x":[1e300,null,{"x":"\u0000"}]}`), Item: []byte("1e-300"), Results: map[string][]byte{}}
@@ -341,7 +341,7 @@
 				}
 				for _, q := range st.Retries {
 					require.False(t, st.Effect == policy.AtMostOnce && slices.ContainsFunc(q.On, End.MayHaveRun))
-					require.LessOrEqual(t, q.Pause(99, 1), 2*q.WaitAtMost)
+					require.LessOrEqual(t, q.Pause(99, 1), 2*q.MaxWait)
 				}
 				for _, q := range st.Reruns {
 					require.True(t, hangs(p, i, slices.Index(p.Stages, p.ByName[q.Of])))
--- a/internal/dispatcher/fleet/plan/eval.go
+++ b/internal/dispatcher/fleet/plan/eval.go
@@ -25,14 +25,14 @@
 
 // Bounds of values.
 const (
-	mostValue   = 1 << 20 // bytes of JSON, in and out
-	mostWeight  = 8 << 20 // bytes of JSON that one expression may go over
-	mostDeep    = 32      // lists and objects within one another
-	mostList    = 1 << 10 // entries of one list or object, and items of a stage
-	mostEntries = 1 << 15 // of all of them together
-	longestPath = 2048
-	longestKey  = 256
-	largest     = 1e300 // of a number
+	maxValueSize  = 1 << 20 // bytes of JSON, in and out
+	maxInputSize  = 8 << 20 // bytes of JSON that one expression may go over
+	maxDepth      = 32      // lists and objects within one another
+	maxListLength = 1 << 10 // entries of one list or object, and items of a stage
+	maxEntries    = 1 << 15 // of all of them together
+	maxPathLength = 2048
+	maxKeyLength  = 256
+	maxNumber     = 1e300 // of a number
 )
 
 // Values are what expressions are evaluated over, as JSON. Text that is no JSON is
@@ -56,7 +56,7 @@
 		if text != nil {
 			var err error
 			if v, err = fastjson.ParseBytes(text); err != nil {
-				v = fastjson.MustParseBytes(quoted(string(text)))
+				v = fastjson.MustParseBytes(quoteJSON(string(text)))
 			}
 		}
 		list.SetArrayItem(i, v)
@@ -84,20 +84,20 @@
 
 func render(path, body, key hcl.Expression, v Values) (where string, sent []byte, same string, err error) {
 	names := v.names()
-	if where, err = word(path, names, pathFits); err != nil {
+	if where, err = evaluateString(path, names, validatePath); err != nil {
 		return "", nil, "", fmt.Errorf("path: %w", err)
 	}
 	if body != nil {
 		var made cty.Value
 		if made, err = evaluate(body, names); err == nil {
-			sent, err = encode(made)
+			sent, err = encodeJSON(made)
 		}
 		if err != nil {
 			return "", nil, "", fmt.Errorf("body: %w", err)
 		}
 	}
 	if key != nil {
-		if same, err = word(key, names, keyFits); err != nil {
+		if same, err = evaluateString(key, names, validateKey); err != nil {
 			return "", nil, "", fmt.Errorf("key: %w", err)
 		}
 	}
@@ -116,18 +116,18 @@
 		return nil, fmt.Errorf("stage %q: each: %w", s.Name, err)
 	}
 	if t := made.Type(); made.IsNull() || !t.IsTupleType() && !t.IsListType() {
-		return nil, fmt.Errorf("stage %q: each: a list is needed, not %s", s.Name, kind(made))
+		return nil, fmt.Errorf("stage %q: each: a list is needed, not %s", s.Name, typeName(made))
 	}
 	switch n := made.LengthInt(); {
-	case n > s.MostEach:
-		return nil, fmt.Errorf("stage %q: each: %d items, and at most %d are allowed", s.Name, n, s.MostEach)
-	case n < s.AtLeast:
-		return nil, fmt.Errorf("stage %q: each: %d items, and at least %d must end well", s.Name, n, s.AtLeast)
+	case n > s.MaxItems:
+		return nil, fmt.Errorf("stage %q: each: %d items, and at most %d are allowed", s.Name, n, s.MaxItems)
+	case n < s.MinSucceeded:
+		return nil, fmt.Errorf("stage %q: each: %d items, and at least %d must end well", s.Name, n, s.MinSucceeded)
 	}
 	items := make([]Item, 0, made.LengthInt())
 	for it := made.ElementIterator(); it.Next(); {
 		_, one := it.Element()
-		text, err := encode(one)
+		text, err := encodeJSON(one)
 		if err != nil {
 			return nil, fmt.Errorf("stage %q: each: %w", s.Name, err)
 		}
@@ -143,7 +143,7 @@
 	if s.Shared == nil {
 		return "", nil
 	}
-	key, err := word(s.Shared, v.names(), keyFits)
+	key, err := evaluateString(s.Shared, v.names(), validateKey)
 	if err != nil {
 		return "", fmt.Errorf("stage %q: shared: %w", s.Name, err)
 	}
@@ -154,7 +154,7 @@
 // reports that its input is lost or stale. Where that can't be told it doesn't
 // hold, and the error says why.
 func (r *Rerun) Holds(end End, result []byte) (bool, error) {
-	made, err := evaluate(r.When, map[string][]byte{"end": quoted(string(end)), "result": result})
+	made, err := evaluate(r.When, map[string][]byte{"end": quoteJSON(string(end)), "result": result})
 	if err == nil {
 		made, err = convert.Convert(made, cty.Bool)
 	}
@@ -176,30 +176,30 @@
 	return names
 }
 
-// word evaluates what must become text of a form.
-func word(e hcl.Expression, names map[string][]byte, fits func(string) error) (string, error) {
+// evaluateString evaluates what must become text of a form.
+func evaluateString(e hcl.Expression, names map[string][]byte, fits func(string) error) (string, error) {
 	made, err := evaluate(e, names)
 	if err != nil {
 		return "", err
 	}
 	text, err := convert.Convert(made, cty.String)
 	if err != nil || text.IsNull() || !text.IsKnown() {
-		return "", fmt.Errorf("text is needed, not %s", kind(made))
+		return "", fmt.Errorf("text is needed, not %s", typeName(made))
 	}
 	return text.AsString(), fits(text.AsString())
 }
 
-func pathFits(path string) error {
-	if !strings.HasPrefix(path, "/") || len(path) > longestPath ||
+func validatePath(path string) error {
+	if !strings.HasPrefix(path, "/") || len(path) > maxPathLength ||
 		strings.ContainsFunc(path, func(r rune) bool { return r <= ' ' || r > '~' || r == '#' }) {
-		return fmt.Errorf(`%.80q is no path: it begins with / and has at most %d of the letters that a URL may have; segment() writes others`, path, longestPath)
+		return fmt.Errorf(`%.80q is no path: it begins with / and has at most %d of the letters that a URL may have; segment() writes others`, path, maxPathLength)
 	}
 	return nil
 }
 
-func keyFits(key string) error {
-	if key == "" || len(key) > longestKey || strings.ContainsFunc(key, func(r rune) bool { return !unicode.IsPrint(r) || r > '~' }) {
-		return fmt.Errorf("%.80q is no key: 1 to %d printable ASCII letters; segment() writes others", key, longestKey)
+func validateKey(key string) error {
+	if key == "" || len(key) > maxKeyLength || strings.ContainsFunc(key, func(r rune) bool { return !unicode.IsPrint(r) || r > '~' }) {
+		return fmt.Errorf("%.80q is no key: 1 to %d printable ASCII letters; segment() writes others", key, maxKeyLength)
 	}
 	return nil
 }
@@ -213,21 +213,21 @@
 		if !known {
 			return cty.NilVal, fmt.Errorf("there is no %s yet", name)
 		}
-		if weight += len(text); len(text) > mostValue || weight > mostWeight {
-			return cty.NilVal, fmt.Errorf("%s has %d bytes, and the values in use have %d; at most %d and %d are used", name, len(text), weight, mostValue, mostWeight)
+		if weight += len(text); len(text) > maxValueSize || weight > maxInputSize {
+			return cty.NilVal, fmt.Errorf("%s has %d bytes, and the values in use have %d; at most %d and %d are used", name, len(text), weight, maxValueSize, maxInputSize)
 		}
 		if _, done := ctx.Variables[name]; !done {
-			v, err := decode(text)
+			v, err := decodeJSON(text)
 			if err != nil {
 				return cty.NilVal, fmt.Errorf("%s: %w", name, err)
 			}
 			ctx.Variables[name] = v
 		}
 	}
-	made, diags := value(e, ctx)
+	made, diags := evaluateRaw(e, ctx)
 	for _, d := range diags {
 		if d.Severity == hcl.DiagError {
-			return cty.NilVal, fmt.Errorf("%s:%d:%d: %s", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column, oneLine(d))
+			return cty.NilVal, fmt.Errorf("%s:%d:%d: %s", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column, diagnosticText(d))
 		}
 	}
 	if !made.IsWhollyKnown() {
@@ -236,9 +236,9 @@
 	return made, nil
 }
 
-// value computes an expression. Where the library panics, over values that it did not
+// evaluateRaw computes an expression. Where the library panics, over values that it did not
 // foresee, that is an error of the expression.
-func value(e hcl.Expression, ctx *hcl.EvalContext) (v cty.Value, diags hcl.Diagnostics) {
+func evaluateRaw(e hcl.Expression, ctx *hcl.EvalContext) (v cty.Value, diags hcl.Diagnostics) {
 	defer func() {
 		if r := recover(); r != nil {
 			v, diags = cty.DynamicVal, hcl.Diagnostics{{Severity: hcl.DiagError, Summary: "Can't be evaluated", Detail: fmt.Sprint(r), Subject: e.Range().Ptr()}}
@@ -247,8 +247,8 @@
 	return e.Value(ctx)
 }
 
-// decode reads JSON.
-func decode(text []byte) (cty.Value, error) {
+// decodeJSON reads JSON.
+func decodeJSON(text []byte) (cty.Value, error) {
 	if text == nil {
 		return cty.NullVal(cty.DynamicPseudoType), nil
 	}
@@ -256,16 +256,16 @@
 	if err != nil {
 		return cty.StringVal(string(text)), nil
 	}
-	left := mostEntries
-	return from(v, mostDeep, &left)
+	left := maxEntries
+	return fromJSON(v, maxDepth, &left)
 }
 
-func from(v *fastjson.Value, deep int, left *int) (cty.Value, error) {
+func fromJSON(v *fastjson.Value, deep int, left *int) (cty.Value, error) {
 	if deep == 0 {
-		return cty.NilVal, fmt.Errorf("lists and objects are nested more than %d deep", mostDeep)
+		return cty.NilVal, fmt.Errorf("lists and objects are nested more than %d deep", maxDepth)
 	}
 	if *left--; *left < 0 {
-		return cty.NilVal, fmt.Errorf("lists and objects have more than %d entries", mostEntries)
+		return cty.NilVal, fmt.Errorf("lists and objects have more than %d entries", maxEntries)
 	}
 	switch v.Type() {
 	case fastjson.TypeTrue, fastjson.TypeFalse:
@@ -274,17 +274,17 @@
 		return cty.StringVal(string(v.GetStringBytes())), nil
 	case fastjson.TypeNumber:
 		text := v.MarshalTo(nil)
-		if f, err := v.Float64(); err != nil || math.Abs(f) > largest || len(text) > longestKey {
+		if f, err := v.Float64(); err != nil || math.Abs(f) > maxNumber || len(text) > maxKeyLength {
 			return cty.NilVal, fmt.Errorf("%.40s is no number that can be used", text)
 		}
 		return cty.ParseNumberVal(string(text))
 	case fastjson.TypeArray:
-		if n := len(v.GetArray()); n > mostList { // the library compares types of entries, each with each
-			return cty.NilVal, fmt.Errorf("a list of %d entries; at most %d are used", n, mostList)
+		if n := len(v.GetArray()); n > maxListLength { // the library compares types of entries, each with each
+			return cty.NilVal, fmt.Errorf("a list of %d entries; at most %d are used", n, maxListLength)
 		}
 		var list []cty.Value
 		for _, one := range v.GetArray() {
-			made, err := from(one, deep-1, left)
+			made, err := fromJSON(one, deep-1, left)
 			if err != nil {
 				return cty.NilVal, err
 			}
@@ -292,12 +292,12 @@
 		}
 		return cty.TupleVal(list), nil
 	case fastjson.TypeObject:
-		if n := v.GetObject().Len(); n > mostList {
-			return cty.NilVal, fmt.Errorf("an object of %d fields; at most %d are used", n, mostList)
+		if n := v.GetObject().Len(); n > maxListLength {
+			return cty.NilVal, fmt.Errorf("an object of %d fields; at most %d are used", n, maxListLength)
 		}
 		fields, err := map[string]cty.Value{}, error(nil)
 		v.GetObject().Visit(func(name []byte, one *fastjson.Value) {
-			made, bad := from(one, deep-1, left)
+			made, bad := fromJSON(one, deep-1, left)
 			err = errors.Join(err, bad)
 			fields[string(name)] = made
 		})
@@ -309,20 +309,20 @@
 	return cty.NullVal(cty.DynamicPseudoType), nil
 }
 
-// encode writes JSON: the same value, the same bytes.
-func encode(v cty.Value) ([]byte, error) {
-	text, err := appendValue(nil, v)
+// encodeJSON writes JSON: the same value, the same bytes.
+func encodeJSON(v cty.Value) ([]byte, error) {
+	text, err := appendJSON(nil, v)
 	if err != nil {
 		return nil, err
 	}
 	return text, nil
 }
 
-func appendValue(to []byte, v cty.Value) (_ []byte, err error) {
+func appendJSON(to []byte, v cty.Value) (_ []byte, err error) {
 	t := v.Type()
 	switch {
-	case len(to) > mostValue:
-		return nil, fmt.Errorf("it has more than %d bytes", mostValue)
+	case len(to) > maxValueSize:
+		return nil, fmt.Errorf("it has more than %d bytes", maxValueSize)
 	case !v.IsKnown():
 		return nil, errors.New("its value can't be known")
 	case v.IsNull():
@@ -340,7 +340,7 @@
 			to = n.Append(to, 'f', -1)
 		}
 	case t == cty.String:
-		to = append(to, quoted(v.AsString())...)
+		to = append(to, quoteJSON(v.AsString())...)
 	case t.IsObjectType() || t.IsMapType():
 		to = append(to, '{')
 		fields := v.AsValueMap() // a copy
@@ -348,8 +348,8 @@
 			if i > 0 {
 				to = append(to, ',')
 			}
-			to = append(append(to, quoted(name)...), ':')
-			if to, err = appendValue(to, fields[name]); err != nil {
+			to = append(append(to, quoteJSON(name)...), ':')
+			if to, err = appendJSON(to, fields[name]); err != nil {
 				return nil, err
 			}
 		}
@@ -361,7 +361,7 @@
 				to = append(to, ',')
 			}
 			_, one := it.Element()
-			if to, err = appendValue(to, one); err != nil {
+			if to, err = appendJSON(to, one); err != nil {
 				return nil, err
 			}
 		}
@@ -369,18 +369,18 @@
 	default:
 		return nil, fmt.Errorf("%s can't be sent", t.FriendlyName())
 	}
-	if len(to) > mostValue {
-		return nil, fmt.Errorf("it has more than %d bytes", mostValue)
+	if len(to) > maxValueSize {
+		return nil, fmt.Errorf("it has more than %d bytes", maxValueSize)
 	}
 	return to, nil
 }
 
-func quoted(text string) []byte {
+func quoteJSON(text string) []byte {
 	out, _ := json.Marshal(text) // text has a form always
 	return out
 }
 
-func kind(v cty.Value) string {
+func typeName(v cty.Value) string {
 	if v.IsNull() {
 		return "null"
 	}
@@ -393,7 +393,7 @@
 	"can":        tryfunc.CanFunc,
 	"coalesce":   stdlib.CoalesceFunc,
 	"contains":   stdlib.ContainsFunc,
-	"format":     guarded(stdlib.FormatFunc, formatFits),
+	"format":     withValidation(stdlib.FormatFunc, validateFormat),
 	"join":       joinFunc,
 	"jsonencode": stdlib.JSONEncodeFunc,
 	"length":     stdlib.LengthFunc,
@@ -403,8 +403,8 @@
 	"try":        tryfunc.TryFunc,
 }
 
-// guarded looks at the first argument, which is text, before a function is called.
-func guarded(f function.Function, fits func(string) error) function.Function {
+// withValidation looks at the first argument, which is text, before a function is called.
+func withValidation(f function.Function, fits func(string) error) function.Function {
 	return function.New(&function.Spec{
 		Params: f.Params(), VarParam: f.VarParam(), Type: f.ReturnTypeForValues,
 		Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
@@ -418,15 +418,15 @@
 	})
 }
 
-// formatFits: a width of many digits would make much of nothing.
-func formatFits(spec string) error {
+// validateFormat: a width of many digits would make much of nothing.
+func validateFormat(spec string) error {
 	digits := 0
 	for _, r := range spec {
 		if digits++; !unicode.IsDigit(r) {
 			digits = 0
 		}
-		if digits > 2 || len(spec) > longestKey || strings.Count(spec, "%") > 16 {
-			return fmt.Errorf("a format has at most %d letters, 16 verbs, and numbers of 2 digits", longestKey)
+		if digits > 2 || len(spec) > maxKeyLength || strings.Count(spec, "%") > 16 {
+			return fmt.Errorf("a format has at most %d letters, 16 verbs, and numbers of 2 digits", maxKeyLength)
 		}
 	}
 	return nil
@@ -439,11 +439,11 @@
 	Type:   function.StaticReturnType(cty.String),
 	Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
 		between := args[0].AsString()
-		if len(between) > longestName {
-			return cty.NilVal, function.NewArgErrorf(0, "what goes between has at most %d letters", longestName)
+		if len(between) > maxNameLength {
+			return cty.NilVal, function.NewArgErrorf(0, "what goes between has at most %d letters", maxNameLength)
 		}
 		if t := args[1].Type(); !t.IsTupleType() && !t.IsListType() {
-			return cty.NilVal, function.NewArgErrorf(1, "a list is needed, not %s", kind(args[1]))
+			return cty.NilVal, function.NewArgErrorf(1, "a list is needed, not %s", typeName(args[1]))
 		}
 		var words []string
 		for it := args[1].ElementIterator(); it.Next(); {
@@ -453,7 +453,7 @@
 			}
 			text, err := convert.Convert(one, cty.String)
 			if err != nil || text.IsNull() {
-				return cty.NilVal, function.NewArgErrorf(1, "entry %d is not text but %s", len(words), kind(one))
+				return cty.NilVal, function.NewArgErrorf(1, "entry %d is not text but %s", len(words), typeName(one))
 			}
 			words = append(words, text.AsString())
 		}
@@ -469,7 +469,7 @@
 	},
 	Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
 		if t := args[0].Type(); !t.IsTupleType() && !t.IsListType() {
-			return cty.NilVal, function.NewArgErrorf(0, "a list is needed, not %s", kind(args[0]))
+			return cty.NilVal, function.NewArgErrorf(0, "a list is needed, not %s", typeName(args[0]))
 		}
 		var kept []cty.Value
 		for it := args[0].ElementIterator(); it.Next(); {
@@ -498,23 +498,23 @@
 	},
 })
 
-// plain tells whether an expression is of the allowed kinds, and within bounds; if
+// checkExpression tells whether an expression is of the allowed kinds, and within bounds; if
 // not, it says why.
-func (f *file) plain(e hcl.Expression) bool {
+func (f *fileParser) checkExpression(e hcl.Expression) bool {
 	before, nodes, splats := len(f.problems), 0, false
 	_ = hclsyntax.VisitAll(e.(hclsyntax.Expression), func(n hclsyntax.Node) hcl.Diagnostics {
-		if nodes++; nodes == mostNodes {
-			f.fail(e.Range(), "an expression of more than %d parts: make it smaller", mostNodes)
+		if nodes++; nodes == maxExpressionNodes {
+			f.addProblem(e.Range(), "an expression of more than %d parts: make it smaller", maxExpressionNodes)
 		}
-		if nodes >= mostNodes { // nothing of it is looked at again
+		if nodes >= maxExpressionNodes { // nothing of it is looked at again
 			return nil
 		}
 		switch n := n.(type) {
 		case *hclsyntax.ForExpr:
-			f.fail(n.Range(), "for has no place in a plan: each runs a stage for each item, and list[*].name takes a field of all")
+			f.addProblem(n.Range(), "for has no place in a plan: each runs a stage for each item, and list[*].name takes a field of all")
 		case *hclsyntax.FunctionCallExpr:
 			if _, known := functions[n.Name]; !known {
-				f.fail(n.NameRange, "unknown function %q%s", n.Name, instead(n.Name, slices.Sorted(maps.Keys(functions))))
+				f.addProblem(n.NameRange, "unknown function %q%s", n.Name, suggestion(n.Name, slices.Sorted(maps.Keys(functions))))
 			}
 		case *hclsyntax.SplatExpr:
 			if splats { // told already
@@ -523,13 +523,13 @@
 			_ = hclsyntax.VisitAll(n.Each, func(in hclsyntax.Node) hcl.Diagnostics {
 				if s, nested := in.(*hclsyntax.SplatExpr); nested && !splats {
 					splats = true
-					f.fail(s.Range(), "[*] within [*] has no place in a plan: let the stage return the list")
+					f.addProblem(s.Range(), "[*] within [*] has no place in a plan: let the stage return the list")
 				}
 				return nil
 			})
 		case *hclsyntax.LiteralValueExpr:
-			if n.Val.Type() == cty.Number && !n.Val.IsNull() && n.Val.AsBigFloat().Cmp(big.NewFloat(largest)) > 0 {
-				f.fail(n.Range(), "a number above %g", largest)
+			if n.Val.Type() == cty.Number && !n.Val.IsNull() && n.Val.AsBigFloat().Cmp(big.NewFloat(maxNumber)) > 0 {
+				f.addProblem(n.Range(), "a number above %g", maxNumber)
 			}
 		}
 		return nil
--- a/internal/dispatcher/fleet/plan/eval_test.go
+++ b/internal/dispatcher/fleet/plan/eval_test.go
@@ -55,7 +55,7 @@
 // TestRender: what is sent is what was said; the same values give the same bytes;
 // what can't be sent is an error that says where and why.
 func TestRender(t *testing.T) {
-	big := []byte(`"` + strings.Repeat("x", mostValue-10) + `"`)
+	big := []byte(`"` + strings.Repeat("x", maxValueSize-10) + `"`)
 	for _, c := range []struct{ body, input, item, a, want string }{
 		{`{ z = input.x, a = [item, a[*].id] }`, `{"x":1.50}`, `"s"`, string(List([][]byte{[]byte(`{"id":7}`), []byte(`{"id":null}`)})), `{"a":["s",[7,null]],"z":1.5}`},
 		{`present(a)`, `{}`, ``, string(List([][]byte{nil, []byte("3"), []byte("plain <text>")})), `[3,"plain \u003ctext\u003e"]`},
--- a/internal/dispatcher/fleet/plan/model.go
+++ b/internal/dispatcher/fleet/plan/model.go
@@ -33,16 +33,16 @@
 
 // Plan is a checked plan.
 type Plan struct {
-	Name   string
-	Digest uint64        // of its text and of the classes it was checked against
-	Within time.Duration // its absolute deadline is this long after its start, at the latest
-	Most   int           // attempts in all, reruns and compensations included
-	Stages []*Stage      // each after all that it comes after
-	ByName map[string]*Stage
-	Worst  Worst    // computed by the check, within the bounds above
-	Notes  []string // what the check allows and an operator should know
-
-	at map[string]hcl.Range // of its bounds
+	Name        string
+	Digest      uint64        // of its text and of the classes it was checked against
+	Timeout     time.Duration // its absolute deadline is this long after its start, at the latest
+	MaxAttempts int           // attempts in all, reruns and compensations included
+	Stages      []*Stage      // each after all that it comes after
+	ByName      map[string]*Stage
+	Worst       Worst    // computed by the check, within the bounds above
+	Notes       []string // what the check allows and an operator should know
+
+	boundRanges map[string]hcl.Range // of its bounds
 }
 
 // Worst is the worst case that the check has computed.
@@ -63,20 +63,20 @@
 
 // Stage is one job of a plan, or as many as its list has items.
 type Stage struct {
-	Name   string
-	Class  string
-	Effect policy.Effect
-	GiveUp time.Duration // of its class: how long an attempt may take
-	Runs   int           // at most, the first included; computed by the check
-	After  []string      // stages that must have ended well; their results may be used
-	Path   hcl.Expression
-	Body   hcl.Expression // what the job is sent, over input, item and stage results
-	Key    hcl.Expression // of a keyed class: the same at each run of the stage
-	Cost   time.Duration  // hint of its run time; 0: learned only
-
-	Each     hcl.Expression // a list: the stage is run for each item, those of its first run; nil: once
-	MostEach int            // longest list
-	AtLeast  int            // so many must end well, once each has ended; 0: all
+	Name           string
+	Class          string
+	Effect         policy.Effect
+	AttemptTimeout time.Duration // of its class: how long an attempt may take
+	Runs           int           // at most, the first included; computed by the check
+	After          []string      // stages that must have ended well; their results may be used
+	Path           hcl.Expression
+	Body           hcl.Expression // what the job is sent, over input, item and stage results
+	Key            hcl.Expression // of a keyed class: the same at each run of the stage
+	Cost           time.Duration  // hint of its run time; 0: learned only
+
+	Each         hcl.Expression // a list: the stage is run for each item, those of its first run; nil: once
+	MaxItems     int            // longest list
+	MinSucceeded int            // so many must end well, once each has ended; 0: all
 
 	Shared    hcl.Expression // a key by which plans share one run of it; nil: its own
 	SharedFor time.Duration  // a shared result is good for so long
@@ -86,40 +86,40 @@
 	Undo    *Undo // what compensates it when the plan gives up after it may have run
 	Range   hcl.Range
 
-	afterAt []hcl.Range // of each of After
+	afterRanges []hcl.Range // of each of After
 }
 
 // Retry says that a stage is tried again.
 type Retry struct {
 	On         []End
-	Most       int           // further tries by this rule, for a run of the stage
+	MaxRetries int           // further tries by this rule, for a run of the stage
 	Wait       time.Duration // before the first, doubled for each further one
-	WaitAtMost time.Duration
+	MaxWait    time.Duration
 	Jitter     float64 // the wait varies by this share of itself, in thousandths, either way
 	Where      Place
 	Range      hcl.Range
 
-	onAt []hcl.Range // of each of On
+	onRanges []hcl.Range // of each of On
 }
 
 // Rerun says that a stage upstream is run again, and with it all that hung on its
 // output, when this stage reports that what it was given is lost or stale.
 type Rerun struct {
-	Of    string         // a stage this one comes after, directly or not
-	When  hcl.Expression // over end and result of this stage
-	Most  int            // generations of Of beyond the first, for the plan, whichever rule asked
-	Range hcl.Range
+	Of        string         // a stage this one comes after, directly or not
+	When      hcl.Expression // over end and result of this stage
+	MaxReruns int            // generations of Of beyond the first, for the plan, whichever rule asked
+	Range     hcl.Range
 
-	ofAt hcl.Range
+	ofRange hcl.Range
 }
 
 // Undo compensates a stage.
 type Undo struct {
 	Class           string
 	Effect          policy.Effect
-	GiveUp          time.Duration // of its class: how long a try may take
+	AttemptTimeout  time.Duration // of its class: how long a try may take
 	Path, Body, Key hcl.Expression
-	Most            int           // tries
+	MaxTries        int           // tries
 	Wait            time.Duration // between tries, not doubled
 	Range           hcl.Range
 }
--- a/internal/dispatcher/fleet/plan/worst.go
+++ b/internal/dispatcher/fleet/plan/worst.go
@@ -10,26 +10,26 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// tries are the attempts of one item in one run: the first, and those that its
+// triesPerItem are the attempts of one item in one run: the first, and those that its
 // retries add.
-func (s *Stage) tries() int {
+func (s *Stage) triesPerItem() int {
 	n := 1
 	for _, r := range s.Retries {
-		n += r.Most
+		n += r.MaxRetries
 	}
 	return n
 }
 
-// items is how many items a run has at most.
-func (s *Stage) items() int { return max(s.MostEach, 1) }
+// itemCount is how many items a run has at most.
+func (s *Stage) itemCount() int { return max(s.MaxItems, 1) }
 
-// span is how long one run takes at most: each attempt until its class gives up,
+// runDuration is how long one run takes at most: each attempt until its class gives up,
 // and the waits between. Items run side by side.
-func (s *Stage) span() time.Duration {
-	d := times(s.GiveUp, s.tries())
+func (s *Stage) runDuration() time.Duration {
+	d := mulSaturating(s.AttemptTimeout, s.triesPerItem())
 	for _, r := range s.Retries {
-		for k := range r.Most {
-			d = plus(d, r.Pause(k, 1))
+		for k := range r.MaxRetries {
+			d = addSaturating(d, r.Pause(k, 1))
 		}
 	}
 	return d
@@ -40,26 +40,28 @@
 // the jitter.
 func (r *Retry) Pause(k int, share float64) time.Duration {
 	wait := r.Wait
-	for ; k > 0 && wait < r.WaitAtMost; k-- {
+	for ; k > 0 && wait < r.MaxWait; k-- {
 		wait *= 2
 	}
-	wait = min(wait, r.WaitAtMost)
+	wait = min(wait, r.MaxWait)
 	return wait + time.Duration(float64(wait)*r.Jitter*min(max(share, -1), 1))
 }
 
-// span is how long all tries of a compensation take at most.
-func (u *Undo) span() time.Duration { return plus(times(u.GiveUp, u.Most), times(u.Wait, u.Most-1)) }
+// totalDuration is how long all tries of a compensation take at most.
+func (u *Undo) totalDuration() time.Duration {
+	return addSaturating(mulSaturating(u.AttemptTimeout, u.MaxTries), mulSaturating(u.Wait, u.MaxTries-1))
+}
 
-// most is how many attempts the stage takes at most, its undos included.
-func (s *Stage) most() int {
-	n := s.Runs * s.items() * s.tries()
+// totalAttempts is how many attempts the stage takes at most, its undos included.
+func (s *Stage) totalAttempts() int {
+	n := s.Runs * s.itemCount() * s.triesPerItem()
 	if s.Undo != nil {
-		n += s.items() * s.Undo.Most
+		n += s.itemCount() * s.Undo.MaxTries
 	}
 	return n
 }
 
-// worst computes the worst case. Attempts are jobs handed to the dispatcher:
+// worstCase computes the worst case. Attempts are jobs handed to the dispatcher:
 //
 //	sum over stages of  runs x items x tries + items x tries of the undo
 //	runs  = 1 + repeats for the loss of its own output and of each that it comes after
@@ -67,35 +69,35 @@
 //
 // The time is that of the longest path, once more for each time that a stage is run
 // again the longest path from there on, and the longest path of undos at the end.
-func (p *Plan) worst() Worst {
+func (p *Plan) worstCase() Worst {
 	var w Worst
 	for _, s := range p.Stages {
-		w.Attempts += s.most()
+		w.Attempts += s.totalAttempts()
 	}
-	_, w.Duration = p.longest("", (*Stage).span)
-	for i, most := range p.again() {
-		_, d := p.longest(p.Stages[i].Name, (*Stage).span)
-		w.Duration = plus(w.Duration, times(d, most))
+	_, w.Duration = p.longestPath("", (*Stage).runDuration)
+	for i, most := range p.rerunsByStage() {
+		_, d := p.longestPath(p.Stages[i].Name, (*Stage).runDuration)
+		w.Duration = addSaturating(w.Duration, mulSaturating(d, most))
 	}
-	_, undo := p.longest("", func(s *Stage) time.Duration {
+	_, undo := p.longestPath("", func(s *Stage) time.Duration {
 		if s.Undo == nil {
 			return 0
 		}
-		return s.Undo.span()
+		return s.Undo.totalDuration()
 	})
-	w.Duration = plus(w.Duration, undo)
+	w.Duration = addSaturating(w.Duration, undo)
 	return w
 }
 
-// again is by stage how often its own loss may have it run again: the largest most
+// rerunsByStage is by stage how often its own loss may have it run again: the largest most
 // of the reruns that name it, which count its generations.
-func (p *Plan) again() []int {
+func (p *Plan) rerunsByStage() []int {
 	most := make([]int, len(p.Stages))
 	for i, of := range p.Stages {
 		for _, s := range p.Stages {
 			for _, r := range s.Reruns {
 				if r.Of == of.Name {
-					most[i] = max(most[i], r.Most)
+					most[i] = max(most[i], r.MaxReruns)
 				}
 			}
 		}
@@ -103,9 +105,9 @@
 	return most
 }
 
-// longest is the path that takes longest of those that begin at a stage; empty:
+// longestPath is the path that takes longest of those that begin at a stage; empty:
 // anywhere.
-func (p *Plan) longest(from string, span func(*Stage) time.Duration) (names []string, d time.Duration) {
+func (p *Plan) longestPath(from string, span func(*Stage) time.Duration) (names []string, d time.Duration) {
 	type reach struct {
 		d  time.Duration
 		by []string
@@ -125,7 +127,7 @@
 		if !reached {
 			continue
 		}
-		here := reach{plus(before.d, span(s)), append(slices.Clone(before.by), s.Name)}
+		here := reach{addSaturating(before.d, span(s)), append(slices.Clone(before.by), s.Name)}
 		best[s.Name] = here
 		if here.d >= d {
 			names, d = here.by, here.d
@@ -134,26 +136,26 @@
 	return names, d
 }
 
-func (p *Plan) path() string {
-	names, d := p.longest("", (*Stage).span)
+func (p *Plan) describeLongestPath() string {
+	names, d := p.longestPath("", (*Stage).runDuration)
 	return fmt.Sprintf("longest path: %s, %s without reruns and undos", strings.Join(names, " > "), d)
 }
 
-// dearest names the stage with most attempts.
-func (p *Plan) dearest() string {
-	s := slices.MaxFunc(p.Stages, func(a, b *Stage) int { return a.most() - b.most() })
-	return fmt.Sprintf("most are of %q: %s", s.Name, s.sum())
+// describeCostliest names the stage with most attempts.
+func (p *Plan) describeCostliest() string {
+	s := slices.MaxFunc(p.Stages, func(a, b *Stage) int { return a.totalAttempts() - b.totalAttempts() })
+	return fmt.Sprintf("most are of %q: %s", s.Name, s.describeAttempts())
 }
 
-func (s *Stage) sum() string {
-	text := fmt.Sprintf("%s x %s x %s", count(s.Runs, "run"), count(s.items(), "item"), count(s.tries(), "try"))
+func (s *Stage) describeAttempts() string {
+	text := fmt.Sprintf("%s x %s x %s", pluralize(s.Runs, "run"), pluralize(s.itemCount(), "item"), pluralize(s.triesPerItem(), "try"))
 	if s.Undo != nil {
-		text += fmt.Sprintf(" + %s x %s of its undo", count(s.items(), "item"), count(s.Undo.Most, "try"))
+		text += fmt.Sprintf(" + %s x %s of its undo", pluralize(s.itemCount(), "item"), pluralize(s.Undo.MaxTries, "try"))
 	}
-	return fmt.Sprintf("%s = %d", text, s.most())
+	return fmt.Sprintf("%s = %d", text, s.totalAttempts())
 }
 
-func count(n int, what string) string {
+func pluralize(n int, what string) string {
 	switch {
 	case n == 1:
 	case what == "try":
@@ -168,29 +170,29 @@
 // one for each stage in the order that they run in, one for each note.
 func (p *Plan) Describe() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "plan %q: at most %d attempts (bound %d) and %s (bound %s)\n", p.Name, p.Worst.Attempts, p.Most, p.Worst.Duration, short(p.Within))
+	fmt.Fprintf(&b, "plan %q: at most %d attempts (bound %d) and %s (bound %s)\n", p.Name, p.Worst.Attempts, p.MaxAttempts, p.Worst.Duration, formatDuration(p.Timeout))
 	for _, s := range p.Stages {
-		fmt.Fprintf(&b, "  %s, %s (%s): %s; a run takes at most %s\n", s.Name, s.Class, effects[s.Effect], s.sum(), s.span())
+		fmt.Fprintf(&b, "  %s, %s (%s): %s; a run takes at most %s\n", s.Name, s.Class, effectNames[s.Effect], s.describeAttempts(), s.runDuration())
 		if s.Effect == policy.AtMostOnce {
 			fmt.Fprintf(&b, "    never again once it may have run\n")
 		}
 	}
-	fmt.Fprintf(&b, "  %s\n", p.path())
+	fmt.Fprintf(&b, "  %s\n", p.describeLongestPath())
 	for _, n := range p.Notes {
 		fmt.Fprintf(&b, "  note: %s\n", n)
 	}
 	return b.String()
 }
 
-// plus and times stop at the largest time.
-func plus(a, b time.Duration) time.Duration {
+// addSaturating and times stop at the largest time.
+func addSaturating(a, b time.Duration) time.Duration {
 	if a > math.MaxInt64-b {
 		return math.MaxInt64
 	}
 	return a + b
 }
 
-func times(d time.Duration, n int) time.Duration {
+func mulSaturating(d time.Duration, n int) time.Duration {
 	if n > 0 && d > math.MaxInt64/time.Duration(n) {
 		return math.MaxInt64
 	}
--- a/internal/dispatcher/fleet/planrun/bench_test.go
+++ b/internal/dispatcher/fleet/planrun/bench_test.go
@@ -12,9 +12,9 @@
 )
 
 func chain(effects ...policy.Effect) Shape {
-	s := Shape{Most: 40, Within: 10 * time.Second}
+	s := Shape{MaxAttempts: 40, Timeout: 10 * time.Second}
 	for i, e := range effects {
-		st := StageShape{Name: string(rune('a' + i)), Class: "c", Effect: e, Retries: []RetryShape{{On: allEnds[3:10], Most: 2, Wait: 10 * ms, Jitter: 200}}}
+		st := StageShape{Name: string(rune('a' + i)), Class: "c", Effect: e, Retries: []RetryShape{{On: allEnds[3:10], MaxRetries: 2, Wait: 10 * ms, Jitter: 200}}}
 		if i > 0 {
 			st.After = []int{i - 1}
 		}
@@ -25,7 +25,7 @@
 
 // BenchmarkPlans is one plan of three stages: its Start, three Sendings, three Ends.
 func BenchmarkPlans(b *testing.B) {
-	book, s, at := NewBook(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.AtMostOnce), time.Duration(0)
+	book, s, at := NewTracker(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.AtMostOnce), time.Duration(0)
 	b.ReportAllocs()
 	for i := range b.N {
 		at += 100 * time.Microsecond
@@ -33,13 +33,13 @@
 		x, err := book.Start(at, Start{Run: id, Plan: "p", Shape: s, Before: at + time.Second, Process: "n", Incarnation: 1})
 		var in []uint64
 		for st := range 3 {
-			if _, e := book.Sending(at, Sending{Run: id, Fence: x.Fence, Stage: st, Generation: 1, Inputs: in, Attempt: 1}); e != nil || err != nil {
+			if _, e := book.SendAttempt(at, SendAttempt{Run: id, Fence: x.Fence, Stage: st, Generation: 1, Inputs: in, Attempt: 1}); e != nil || err != nil {
 				b.Fatal(e, err)
 			}
-			book.Ended(at, Ended{Run: id, Fence: x.Fence, Stage: st, Attempt: 1, End: plan.Done, Result: []byte(`{"ok":true}`)})
+			book.ReportEnd(at, ReportEnd{Run: id, Fence: x.Fence, Stage: st, Attempt: 1, End: plan.Done, Result: []byte(`{"ok":true}`)})
 			in = append(in, 1)
 		}
-		if book.Advance(at); book.ended[id] == nil {
+		if book.Advance(at); book.answers[id] == nil {
 			b.Fatal("not served")
 		}
 	}
@@ -48,7 +48,7 @@
 
 // BenchmarkSnapshot is the encoding of 5,000 plans under way.
 func BenchmarkSnapshot(b *testing.B) {
-	book, s := NewBook(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.AtMostOnce)
+	book, s := NewTracker(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.AtMostOnce)
 	for i := range 5000 {
 		book.Start(0, Start{Run: fmt.Sprint("run", i), Plan: "p", Shape: s, Input: make([]byte, 200), Before: time.Second, Process: "n", Incarnation: 1})
 	}
@@ -89,7 +89,7 @@
 
 // byBook steps through time; each attempt takes 10 ms.
 func byBook(rng *rand.Rand, failing float64, lose bool) (served, attempts, makes int) {
-	book, s, at, lost := NewBook(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.Deduplicated, policy.Idempotent), time.Duration(0), uint64(0)
+	book, s, at, lost := NewTracker(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.Deduplicated, policy.Idempotent), time.Duration(0), uint64(0)
 	s.Stages[0].Shared, s.Stages[0].SharedFor = true, time.Minute
 	s.Stages[1].Reruns = []RerunShape{{Of: 0, Most: 2}}
 	var ids []string
@@ -105,13 +105,13 @@
 				continue
 			}
 			for _, a := range Next(at, time.Second, v) {
-				switch a.What {
+				switch a.Kind {
 				case OpenStage:
 					book.Open(at, Open{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Key: "tour", Items: [][]byte{nil}})
 				case SendJob:
-					book.Sending(at, Sending{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Generation: a.Generation, Inputs: a.Inputs, Attempt: a.Attempt})
+					book.SendAttempt(at, SendAttempt{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Generation: a.Generation, Inputs: a.Inputs, Attempt: a.Attempt})
 				case AwaitEnd:
-					e := Ended{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Attempt: a.Attempt, End: plan.Done, Result: []byte("1")}
+					e := ReportEnd{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Attempt: a.Attempt, End: plan.Done, Result: []byte("1")}
 					if lose && a.Stage == 1 {
 						lost = 1
 					}
@@ -122,13 +122,13 @@
 					} else if a.Stage == 0 {
 						makes++
 					}
-					book.Ended(at, e)
+					book.ReportEnd(at, e)
 				}
 			}
 		}
 		book.Advance(at)
 	}
-	for _, a := range book.ended {
+	for _, a := range book.answers {
 		if a.Outcome == Served {
 			served++
 		}
