--- a/internal/dispatcher/fleet/planrun/book_test.go
+++ b/internal/dispatcher/fleet/planrun/book_test.go
@@ -16,11 +16,11 @@
 const ms = time.Millisecond
 
 // replicas are books that get the same commands.
-type replicas [3]*Book
+type replicas [3]*Tracker
 
 func newReplicas(l Limits) (r replicas) {
 	for i := range r {
-		r[i] = NewBook(l)
+		r[i] = NewTracker(l)
 	}
 	return r
 }
@@ -47,9 +47,9 @@
 func (r *replicas) alike(t require.TestingT) {
 	want, err := r[0].Encode()
 	require.NoError(t, err)
-	back := NewBook(Limits{})
+	back := NewTracker(Limits{})
 	require.NoError(t, back.Decode(want))
-	for _, b := range []*Book{r[1], r[2], back} {
+	for _, b := range []*Tracker{r[1], r[2], back} {
 		got, err := b.Encode()
 		require.NoError(t, err)
 		require.Equal(t, want, got)
@@ -60,12 +60,12 @@
 // booking: a price list shared by tour, a hold that is keyed and undone, tickets that
 // must never run twice, and a notice.
 func booking(seats int) Shape {
-	retry := []RetryShape{{On: []plan.End{plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset}, Most: 2, Wait: 20 * ms, WaitAtMost: 100 * ms, Jitter: 200}}
-	never := []RetryShape{{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, Most: 2, Wait: 20 * ms}}
-	return Shape{Most: 40 + 8*seats, Within: 3 * time.Second, Stages: []StageShape{
+	retry := []RetryShape{{On: []plan.End{plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset}, MaxRetries: 2, Wait: 20 * ms, WaitAtMost: 100 * ms, Jitter: 200}}
+	never := []RetryShape{{On: []plan.End{plan.Refused, plan.Full, plan.Unsent}, MaxRetries: 2, Wait: 20 * ms}}
+	return Shape{MaxAttempts: 40 + 8*seats, Timeout: 3 * time.Second, Stages: []StageShape{
 		{Name: "prices", Class: "read", Effect: policy.Idempotent, Shared: true, SharedFor: time.Second, Retries: retry},
-		{Name: "hold", Class: "hold", Effect: policy.Deduplicated, After: []int{0}, Each: true, MostEach: seats, AtLeast: max(1, seats*4/5), Retries: retry,
-			Reruns: []RerunShape{{Of: 0, Most: 2}}, Undo: &UndoShape{Class: "release", Effect: policy.Deduplicated, Most: 2, Wait: 20 * ms}},
+		{Name: "hold", Class: "hold", Effect: policy.Deduplicated, After: []int{0}, Each: true, MaxItems: seats, MinSucceeded: max(1, seats*4/5), Retries: retry,
+			Reruns: []RerunShape{{Of: 0, Most: 2}}, Undo: &UndoShape{Class: "release", Effect: policy.Deduplicated, MaxTries: 2, Wait: 20 * ms}},
 		{Name: "ticket", Class: "ticket", Effect: policy.AtMostOnce, After: []int{1}, Retries: never},
 		{Name: "notice", Class: "notice", Effect: policy.Idempotent, After: []int{2}, Retries: retry},
 	}}
@@ -86,7 +86,7 @@
 	return c
 }
 
-func (c *script) start(s Shape, run, process string) Started {
+func (c *script) start(s Shape, run, process string) StartReply {
 	reply, err := c.apply(c.at, Start{Run: run, Plan: "p", Shape: s, Before: c.at + 10*time.Second, Process: process, Incarnation: 1})
 	require.NoError(c.t, err)
 	return *reply.Started
@@ -98,10 +98,10 @@
 	return v
 }
 
-func (c *script) sending(stage, item int) Sending {
+func (c *script) sending(stage, item int) SendAttempt {
 	v := c.view()
 	it := v.Run.Stages[stage].Items[item]
-	return Sending{Run: c.run, Fence: c.fence, Stage: stage, Item: item, Generation: v.Run.Stages[stage].Gen, Inputs: v.Run.inputs(v.Shape, stage), Attempt: it.Job.Attempt + 1}
+	return SendAttempt{Run: c.run, Fence: c.fence, Stage: stage, Item: item, Generation: v.Run.Stages[stage].Generation, Inputs: v.Run.inputGenerations(v.Shape, stage), Attempt: it.Job.Attempt + 1}
 }
 
 func (c *script) send(stage, item int) error {
@@ -110,15 +110,15 @@
 	return err
 }
 
-func (c *script) ended(stage, item int, end plan.End, lost *LostInput) Counted {
+func (c *script) ended(stage, item int, end plan.End, lost *LostInput) ReportEndReply {
 	c.at += ms
 	j := c.view().Run.Stages[stage].Items[item].Job
-	reply, err := c.apply(c.at, Ended{Run: c.run, Fence: j.Fence, Stage: stage, Item: item, Attempt: j.Attempt, End: end, Result: []byte(`1`), Lost: lost})
+	reply, err := c.apply(c.at, ReportEnd{Run: c.run, Fence: j.Fence, Stage: stage, Item: item, Attempt: j.Attempt, End: end, Result: []byte(`1`), Lost: lost})
 	require.NoError(c.t, err)
 	return *reply.Counted
 }
 
-func (c *script) runs(stage, item int) Counted {
+func (c *script) runs(stage, item int) ReportEndReply {
 	require.NoError(c.t, c.send(stage, item))
 	return c.ended(stage, item, plan.Done, nil)
 }
@@ -130,8 +130,8 @@
 
 // takeOver has another coordinator claim all.
 func (c *script) takeOver() {
-	c.apply(c.at, Gone{"n1", 1})
-	reply, _ := c.apply(c.at, Claim{Process: "n2", Incarnation: 1, Most: 100})
+	c.apply(c.at, LeaseExpired{"n1", 1})
+	reply, _ := c.apply(c.at, Claim{Process: "n2", Incarnation: 1, MaxRuns: 100})
 	for _, k := range reply.Claimed {
 		if k.Run == c.run {
 			c.fence = k.Fence
@@ -148,8 +148,8 @@
 
 func TestServedOnceAndKnown(t *testing.T) {
 	c := begin(t, booking(2), "r")
-	require.Equal(t, Started{Known: true, Fence: c.fence}, c.start(booking(2), "r", "n1"), "started again")
-	require.Equal(t, Started{Known: true}, c.start(booking(2), "r", "n2"), "by another")
+	require.Equal(t, StartReply{Known: true, Fence: c.fence}, c.start(booking(2), "r", "n1"), "started again")
+	require.Equal(t, StartReply{Known: true}, c.start(booking(2), "r", "n2"), "by another")
 	c.open(0, 1, "tour")
 	c.runs(0, 0)
 	c.open(1, 2, "")
@@ -157,7 +157,7 @@
 	require.ErrorIs(t, c.send(2, 0), ErrStale, "a seat is yet to be held")
 	c.runs(1, 1)
 	c.runs(2, 0)
-	require.ErrorIs(t, c.send(2, 0), ErrTwice)
+	require.ErrorIs(t, c.send(2, 0), ErrAtMostOnce)
 	require.NotNil(t, c.runs(3, 0).Answer)
 	a := c.answer()
 	require.Equal(t, Served, a.Outcome)
@@ -166,7 +166,7 @@
 	c.at = a.Until + 1
 	c.apply(c.at, nil)
 	_, err := c.apply(c.at, Start{Run: "r", Shape: booking(2), Before: a.Until, Process: "n1"})
-	require.ErrorIs(t, err, ErrBefore, "delivered late, after the answer was dropped")
+	require.ErrorIs(t, err, ErrDeadline, "delivered late, after the answer was dropped")
 }
 
 func TestTicketOutAtTakeOver(t *testing.T) {
@@ -181,24 +181,24 @@
 		old.Attempt--
 		reply, err := c.apply(c.at, old)
 		require.NoError(t, err)
-		require.Equal(t, Sent{Again: true}, *reply.Sent, "the reply was lost")
+		require.Equal(t, SendAttemptReply{Again: true}, *reply.Sent, "the reply was lost")
 		c.takeOver()
 		_, err = c.apply(c.at, old)
-		require.ErrorIs(t, err, ErrFence)
-		require.ErrorIs(t, c.send(2, 0), ErrTwice)
+		require.ErrorIs(t, err, ErrFenced)
+		require.ErrorIs(t, c.send(2, 0), ErrAtMostOnce)
 		if late { // its end comes while the hold is undone: known, and the answer as decided
-			require.True(t, c.ended(2, 0, plan.Done, nil).Once)
-			require.False(t, c.ended(2, 0, plan.Done, nil).Once)
+			require.True(t, c.ended(2, 0, plan.Done, nil).Accepted)
+			require.False(t, c.ended(2, 0, plan.Done, nil).Accepted)
 		}
-		undo := Sending{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1}
+		undo := SendAttempt{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1}
 		_, err = c.apply(c.at, undo)
 		require.NoError(t, err)
-		_, err = c.apply(c.at, Ended{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
+		_, err = c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
 		require.NoError(t, err)
 		a := c.answer()
 		require.Equal(t, "ticket", a.Stage)
 		require.Equal(t, plan.MayRun, a.End)
-		require.Equal(t, []string{"ticket"}, a.Left)
+		require.Equal(t, []string{"ticket"}, a.StagesWithEffects)
 		require.Equal(t, map[bool]Outcome{false: Unknown, true: Failed}[late], a.Outcome)
 	}
 }
@@ -235,7 +235,7 @@
 		fresh, made := 0, 0
 		each(func() {
 			for i := range seats {
-				if c.ended(1, i, plan.Lost, &LostInput{0, 1}).Fresh {
+				if c.ended(1, i, plan.Lost, &LostInput{0, 1}).NewLoss {
 					fresh++
 				}
 			}
@@ -247,7 +247,7 @@
 				made++
 				c.ended(0, 0, plan.Done, nil)
 			}
-			require.EqualValues(t, 2, c.view().Run.Stages[0].Gen)
+			require.EqualValues(t, 2, c.view().Run.Stages[0].Generation)
 		})
 		require.Equal(t, 1, made)
 		each(func() {
@@ -272,9 +272,9 @@
 		require.NoError(t, c.send(0, 0))
 		c.run, c.fence = "r2", second
 		c.open(0, 1, "tour")
-		require.ErrorIs(t, c.send(0, 0), ErrElsewhere)
+		require.ErrorIs(t, c.send(0, 0), ErrProducedElsewhere)
 		if dies {
-			c.apply(c.at, Gone{"n1", 1})
+			c.apply(c.at, LeaseExpired{"n1", 1})
 		} else {
 			c.apply(c.at, Abandon{Run: "r1", Fence: first, Stage: -1, End: plan.Failed})
 		}
@@ -285,10 +285,10 @@
 		c.run, c.fence = "r3", c.start(booking(1), "r3", "n3").Fence
 		c.open(0, 1, "tour")
 		c.runs(0, 0)
-		require.EqualValues(t, 2, c.view().Run.Stages[0].Gen)
+		require.EqualValues(t, 2, c.view().Run.Stages[0].Generation)
 		c.run, c.fence = "r2", second
-		require.EqualValues(t, 1, c.view().Run.Stages[0].Gen, "it goes on with what it has")
-		require.False(t, c.ended(1, 0, plan.Lost, &LostInput{0, 1}).Fresh)
+		require.EqualValues(t, 1, c.view().Run.Stages[0].Generation, "it goes on with what it has")
+		require.False(t, c.ended(1, 0, plan.Lost, &LostInput{0, 1}).NewLoss)
 		require.Equal(t, []uint64{2}, c.sending(1, 0).Inputs)
 		old := c.sending(1, 0)
 		old.Inputs = []uint64{1}
@@ -304,7 +304,7 @@
 // TestUndoneLastFirst: undos wait for what is out, and go against the order of stages.
 func TestUndoneLastFirst(t *testing.T) {
 	s := booking(1)
-	s.Stages[2].Undo, s.Stages[2].Effect = &UndoShape{Class: "refund", Most: 1}, policy.Deduplicated
+	s.Stages[2].Undo, s.Stages[2].Effect = &UndoShape{Class: "refund", MaxTries: 1}, policy.Deduplicated
 	c := begin(t, s, "r")
 	c.open(0, 1, "tour")
 	c.runs(0, 0)
@@ -313,7 +313,7 @@
 	require.NoError(t, c.send(2, 0))
 	c.apply(c.at, Abandon{Run: "r", Fence: c.fence, Stage: -1, End: plan.Failed})
 	undo := func(stage int) error {
-		_, err := c.apply(c.at, Sending{Run: "r", Fence: c.fence, Stage: stage, Undo: true, Attempt: 1})
+		_, err := c.apply(c.at, SendAttempt{Run: "r", Fence: c.fence, Stage: stage, Undo: true, Attempt: 1})
 		return err
 	}
 	require.ErrorIs(t, undo(2), ErrStale, "its job is out")
@@ -321,19 +321,19 @@
 	require.ErrorIs(t, undo(1), ErrStale, "the ticket first")
 	require.NoError(t, undo(2))
 	require.ErrorIs(t, undo(1), ErrStale, "the ticket's undo is out")
-	c.apply(c.at, Ended{Run: "r", Fence: c.fence, Stage: 2, Undo: true, Attempt: 1, End: plan.Done})
+	c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 2, Undo: true, Attempt: 1, End: plan.Done})
 	require.NoError(t, undo(1))
-	c.apply(c.at, Ended{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
+	c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
 	a := c.answer()
 	require.Equal(t, Failed, a.Outcome)
-	require.Empty(t, a.Left)
+	require.Empty(t, a.StagesWithEffects)
 }
 
 // TestHardCases: one way each to an end that must not be what it looks like.
 func TestHardCases(t *testing.T) {
 	two := func(first policy.Effect, most int) Shape {
-		return Shape{Most: 6, Within: time.Second, Stages: []StageShape{
-			{Name: "a", Class: "a", Effect: first, Retries: []RetryShape{{On: []plan.End{plan.Failed}, Most: 9}}},
+		return Shape{MaxAttempts: 6, Timeout: time.Second, Stages: []StageShape{
+			{Name: "a", Class: "a", Effect: first, Retries: []RetryShape{{On: []plan.End{plan.Failed}, MaxRetries: 9}}},
 			{Name: "b", Class: "b", Effect: policy.Deduplicated, After: []int{0}, Reruns: []RerunShape{{Of: 0, Most: most}}},
 		}}
 	}
@@ -372,7 +372,7 @@
 		}, Failed, "no attempts left"},
 		"a rerun that can't end in time": {two(policy.Idempotent, 1), func(c *script) {
 			s := c.sending(0, 0)
-			s.Rest = time.Second
+			s.RemainingTime = time.Second
 			_, err := c.apply(c.at, s)
 			require.ErrorIs(c.t, err, ErrSettled)
 		}, Refused, "before the deadline"},
@@ -380,7 +380,7 @@
 			require.NoError(c.t, c.send(0, 0))
 			c.at += time.Second
 			c.apply(c.at, nil)
-			require.Equal(c.t, "its deadline passed", c.view().Run.Gave.Reason)
+			require.Equal(c.t, "its deadline passed", c.view().Run.GaveUp.Reason)
 			c.at += DefaultLimits().Grace
 			c.apply(c.at, nil)
 		}, Failed, "deadline"},
@@ -396,15 +396,15 @@
 }
 
 func TestShapeAndView(t *testing.T) {
-	p := &plan.Plan{Most: 9, Within: time.Minute, Stages: []*plan.Stage{
-		{Name: "a", Class: "x", Effect: policy.Deduplicated, Cost: 100 * ms, Undo: &plan.Undo{Class: "u", Effect: policy.AtMostOnce, Most: 1, Wait: ms}},
-		{Name: "b", Class: "y", After: []string{"a"}, AtLeast: 1, Retries: []plan.Retry{{On: []plan.End{plan.Full}, Most: 2, Jitter: 0.25}},
-			Reruns: []plan.Rerun{{Of: "a", Most: 3}}},
+	p := &plan.Plan{MaxAttempts: 9, Timeout: time.Minute, Stages: []*plan.Stage{
+		{Name: "a", Class: "x", Effect: policy.Deduplicated, Cost: 100 * ms, Undo: &plan.Undo{Class: "u", Effect: policy.AtMostOnce, MaxTries: 1, Wait: ms}},
+		{Name: "b", Class: "y", After: []string{"a"}, MinSucceeded: 1, Retries: []plan.Retry{{On: []plan.End{plan.Full}, MaxRetries: 2, Jitter: 0.25}},
+			Reruns: []plan.Rerun{{Of: "a", MaxReruns: 3}}},
 	}}
 	s := ShapeOf(p)
-	require.Equal(t, Shape{Most: 9, Within: time.Minute, Stages: []StageShape{
+	require.Equal(t, Shape{MaxAttempts: 9, Timeout: time.Minute, Stages: []StageShape{
 		{Name: "a", Class: "x", Effect: policy.Deduplicated, Cost: 100 * ms, Undo: &UndoShape{"u", policy.AtMostOnce, 1, ms}},
-		{Name: "b", Class: "y", After: []int{0}, AtLeast: 1, Retries: []RetryShape{{On: []plan.End{plan.Full}, Most: 2, Jitter: 250}}, Reruns: []RerunShape{{0, 3}}},
+		{Name: "b", Class: "y", After: []int{0}, MinSucceeded: 1, Retries: []RetryShape{{On: []plan.End{plan.Full}, MaxRetries: 2, Jitter: 250}}, Reruns: []RerunShape{{0, 3}}},
 	}}, s)
 	c := begin(t, s, "r")
 	text, err := codec.Encode(c.view())
@@ -413,27 +413,27 @@
 	require.NoError(t, codec.Decode(text, &far))
 	require.Equal(t, Next(c.at, 0, c.view()), Next(c.at, 0, far))
 
-	e := new(Estimate)
-	require.Equal(t, 100*ms, e.Rest(c.at, far))
+	e := new(RuntimeEstimator)
+	require.Equal(t, 100*ms, e.RemainingTime(c.at, far))
 	for range 50 {
-		e.Ran("x", 40*ms)
-		e.Ran("y", 30*ms)
+		e.Observe("x", 40*ms)
+		e.Observe("y", 30*ms)
 	}
-	require.InDelta(t, 70*ms, e.Rest(c.at, far), float64(ms))
+	require.InDelta(t, 70*ms, e.RemainingTime(c.at, far), float64(ms))
 	require.NoError(t, c.send(0, 0))
 	c.at += 30 * ms
-	require.InDelta(t, 40*ms, e.Rest(c.at, c.view()), float64(ms))
+	require.InDelta(t, 40*ms, e.RemainingTime(c.at, c.view()), float64(ms))
 	for _, bad := range []func(s *Shape){
-		func(s *Shape) { s.Stages[0].After = []int{1} }, func(s *Shape) { s.Stages[1].Reruns[0].Of = 1 }, func(s *Shape) { s.Most = 0 },
+		func(s *Shape) { s.Stages[0].After = []int{1} }, func(s *Shape) { s.Stages[1].Reruns[0].Of = 1 }, func(s *Shape) { s.MaxAttempts = 0 },
 		func(s *Shape) { s.Stages[0].Effect, s.Stages[0].Shared = policy.AtMostOnce, true },
-		func(s *Shape) { s.Stages[1].Each, s.Stages[1].MostEach = true, 9999 },
+		func(s *Shape) { s.Stages[1].Each, s.Stages[1].MaxItems = true, 9999 },
 	} {
 		s := ShapeOf(p)
 		bad(&s)
 		_, err := c.apply(c.at, Start{Run: "bad", Shape: s, Before: c.at + time.Second})
-		require.ErrorIs(t, err, ErrShape)
+		require.ErrorIs(t, err, ErrInvalidShape)
 	}
-	v2, err := codec.Encode(form{Version: 2})
+	v2, err := codec.Encode(envelope{Version: 2})
 	require.NoError(t, err)
 	require.ErrorContains(t, c.replicas[0].Decode(v2), "version 2")
 }
@@ -445,7 +445,7 @@
 	s.Stages = s.Stages[3:]
 	s.Stages[0].After = nil
 	c := begin(t, s, "r")
-	co := NewCoordinator(time.Second)
+	co := NewAttemptRegistry(time.Second)
 	co.Drive("r", c.fence)
 	tasks, _ := co.Tasks(c.at, c.view())
 	require.Len(t, tasks, 1)
--- a/internal/dispatcher/fleet/planrun/coordinator.go
+++ b/internal/dispatcher/fleet/planrun/coordinator.go
@@ -7,67 +7,67 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// Coordinator is what one incarnation of a process remembers of the runs that it
+// AttemptRegistry is what one incarnation of a process remembers of the runs that it
 // drives: the part that is not replicated. It sees to it that an attempt is sent at
 // most once for its Sending, whatever replies were lost, and never after its lease.
 // It does no I/O; whoever holds it asks the keepers, evaluates and sends. It must not
 // be used concurrently, and not be kept over a new incarnation.
-type Coordinator struct {
-	Estimate Estimate
-	grace    time.Duration
-	runs     map[string]*driven
+type AttemptRegistry struct {
+	Estimator RuntimeEstimator
+	grace     time.Duration
+	runs      map[string]*drivenRun
 }
 
-// driven is a run under a fence of this process.
-type driven struct {
-	fence uint64
-	tries map[TryID]memory
+// drivenRun is a run under a fence of this process.
+type drivenRun struct {
+	fence    uint64
+	attempts map[AttemptID]attemptState
 }
 
-// TryID names one attempt of a run.
-type TryID struct {
+// AttemptID names one attempt of a run.
+type AttemptID struct {
 	Stage, Item int
 	Undo        bool
 	Attempt     uint32
 }
 
-// memory says what this process did about an attempt.
-type memory struct {
-	asked bool // a command about it is on its way
-	spent bool // it was sent, or told to be unsent: it is never sent from here on
+// attemptState says what this process did about an attempt.
+type attemptState struct {
+	commandPending bool // a command about it is on its way
+	consumed       bool // it was sent, or told to be unsent: it is never sent from here on
 }
 
-// NewCoordinator returns one that drives nothing. Grace is Limits.Grace.
-func NewCoordinator(grace time.Duration) *Coordinator {
-	return &Coordinator{grace: grace, runs: make(map[string]*driven)}
+// NewAttemptRegistry returns one that drives nothing. Grace is Limits.Grace.
+func NewAttemptRegistry(grace time.Duration) *AttemptRegistry {
+	return &AttemptRegistry{grace: grace, runs: make(map[string]*drivenRun)}
 }
 
 // Drive takes on a run that a Start or Claim gave to this process, under its fence.
-func (c *Coordinator) Drive(run string, fence uint64) {
+func (c *AttemptRegistry) Drive(run string, fence uint64) {
 	if d := c.runs[run]; d == nil || d.fence != fence {
-		c.runs[run] = &driven{fence, make(map[TryID]memory)}
+		c.runs[run] = &drivenRun{fence, make(map[AttemptID]attemptState)}
 	}
 }
 
 // Drop forgets a run: it has ended, or another process has it.
-func (c *Coordinator) Drop(run string) { delete(c.runs, run) }
+func (c *AttemptRegistry) Drop(run string) { delete(c.runs, run) }
 
 // Drives tells whether it drives a run.
-func (c *Coordinator) Drives(run string) bool { return c.runs[run] != nil }
+func (c *AttemptRegistry) Drives(run string) bool { return c.runs[run] != nil }
 
 // Task is something to do for a run now.
 type Task struct {
 	Action
-	ID      TryID
-	Open    *Open    // to be filled with the key and items that were evaluated, and asked
-	Sending *Sending // to be asked, once a share is there for it if Extra
-	Ended   *Ended   // to be asked until there is a reply: an attempt that is out and that nobody sends any more
+	ID      AttemptID
+	Open    *Open        // to be filled with the key and items that were evaluated, and asked
+	Sending *SendAttempt // to be asked, once a share is there for it if Extra
+	Ended   *ReportEnd   // to be asked until there is a reply: an attempt that is out and that nobody sends any more
 }
 
 // Tasks lists what is to be done for a run now, and when to look again; what is on
 // its way is left out. A view under another fence ends the drive. Each Task is
 // answered by Answered (or, a Sending, by Accepted) once.
-func (c *Coordinator) Tasks(at time.Duration, v View) (list []Task, wake time.Duration) {
+func (c *AttemptRegistry) Tasks(at time.Duration, v View) (list []Task, wake time.Duration) {
 	d := c.runs[v.Run.ID]
 	if d == nil || v.Run.Fence != d.fence || v.Run.Orphan {
 		c.Drop(v.Run.ID)
@@ -75,46 +75,46 @@
 	}
 	var rest time.Duration
 	for _, a := range Next(at, c.grace, v) {
-		if a.What == WaitUntil {
+		if a.Kind == WaitUntil {
 			wake = a.At
 			continue
 		}
-		id := TryID{a.Stage, a.Item, a.Undo, a.Attempt}
-		m, t := d.tries[id], Task{Action: a, ID: id}
-		if m.asked || a.What == AwaitEnd && m.spent {
+		id := AttemptID{a.Stage, a.Item, a.Undo, a.Attempt}
+		m, t := d.attempts[id], Task{Action: a, ID: id}
+		if m.commandPending || a.Kind == AwaitEnd && m.consumed {
 			continue
 		}
-		switch a.What {
+		switch a.Kind {
 		case OpenStage:
 			t.Open = &Open{Run: v.Run.ID, Fence: d.fence, Stage: a.Stage}
 		case AwaitEnd: // its Sending was let, the reply lost: time has passed, so it is not sent
-			m.spent = true
-			t.Ended = &Ended{Run: v.Run.ID, Fence: d.fence, Stage: a.Stage, Item: a.Item, Undo: a.Undo, Attempt: a.Attempt, End: plan.Unsent}
+			m.consumed = true
+			t.Ended = &ReportEnd{Run: v.Run.ID, Fence: d.fence, Stage: a.Stage, Item: a.Item, Undo: a.Undo, Attempt: a.Attempt, End: plan.Unsent}
 		default:
 			if rest == 0 {
-				rest = c.Estimate.Rest(at, v)
+				rest = c.Estimator.RemainingTime(at, v)
 			}
-			t.Sending = &Sending{
+			t.Sending = &SendAttempt{
 				Run: v.Run.ID, Fence: d.fence, Stage: a.Stage, Item: a.Item, Undo: a.Undo, Generation: a.Generation,
-				Inputs: a.Inputs, Attempt: a.Attempt, Rest: rest,
+				Inputs: a.Inputs, Attempt: a.Attempt, RemainingTime: rest,
 			}
 		}
-		m.asked = true
-		d.tries[id] = m
+		m.commandPending = true
+		d.attempts[id] = m
 		list = append(list, t)
 	}
 	return list, wake
 }
 
 // Answered takes in that a task is done with: there was a reply, or none in time.
-func (c *Coordinator) Answered(run string, id TryID) {
+func (c *AttemptRegistry) Answered(run string, id AttemptID) {
 	if d := c.runs[run]; d != nil {
-		m := d.tries[id]
-		if m.asked = false; m == (memory{}) {
-			delete(d.tries, id)
+		m := d.attempts[id]
+		if m.commandPending = false; m == (attemptState{}) {
+			delete(d.attempts, id)
 			return
 		}
-		d.tries[id] = m
+		d.attempts[id] = m
 	}
 }
 
@@ -122,25 +122,25 @@
 // Leased says that this process's own lease holds at this moment; the send must
 // follow at once. A caller that gave up waiting for the reply passes an error, and
 // doesn't call again when the reply comes after all.
-func (c *Coordinator) Accepted(s Sending, id TryID, err error, leased bool) bool {
+func (c *AttemptRegistry) Accepted(s SendAttempt, id AttemptID, err error, leased bool) bool {
 	d := c.runs[s.Run]
 	if d == nil || d.fence != s.Fence {
 		return false
 	}
-	m := d.tries[id]
-	send := err == nil && leased && !m.spent
-	m.spent = m.spent || send
-	d.tries[id] = m
-	if c.Answered(s.Run, id); errors.Is(err, ErrFence) || errors.Is(err, ErrEnded) {
+	m := d.attempts[id]
+	send := err == nil && leased && !m.consumed
+	m.consumed = m.consumed || send
+	d.attempts[id] = m
+	if c.Answered(s.Run, id); errors.Is(err, ErrFenced) || errors.Is(err, ErrEnded) {
 		c.Drop(s.Run)
 	}
 	return send
 }
 
-// End makes the command that says how an attempt ended which this process has sent.
+// EndReport makes the command that says how an attempt ended which this process has sent.
 // It is asked until there is a reply, also after the run was dropped: it counts once.
-func (s Sending) End(end plan.End, result []byte, member string, lost *LostInput) Ended {
-	return Ended{
+func (s SendAttempt) EndReport(end plan.End, result []byte, member string, lost *LostInput) ReportEnd {
+	return ReportEnd{
 		Run: s.Run, Fence: s.Fence, Stage: s.Stage, Item: s.Item, Undo: s.Undo, Attempt: s.Attempt,
 		End: end, Result: result, Member: member, Lost: lost,
 	}
--- a/internal/dispatcher/fleet/planrun/hooks.go
+++ b/internal/dispatcher/fleet/planrun/hooks.go
@@ -2,5 +2,5 @@
 
 package planrun
 
-// faultTwice plants a second run of never-twice jobs; see hooks_faults.go.
-const faultTwice = false
+// faultRunTwice plants a second run of never-twice jobs; see hooks_faults.go.
+const faultRunTwice = false
--- a/internal/dispatcher/fleet/planrun/model_test.go
+++ b/internal/dispatcher/fleet/planrun/model_test.go
@@ -16,7 +16,7 @@
 
 // sentOnce is what the model keeps of an attempt that was let.
 type sentOnce struct {
-	Sending
+	SendAttempt
 	end      plan.End
 	counted  int
 	overtook bool // its coordinator died while it was out
@@ -26,12 +26,12 @@
 // was let and what counted; the rules are read off it.
 func TestModel(t *testing.T) {
 	shape := booking(3)
-	shape.Most = 30
-	shape.Stages[2].Undo = &UndoShape{Class: "refund", Effect: policy.AtMostOnce, Most: 2}
+	shape.MaxAttempts = 30
+	shape.Stages[2].Undo = &UndoShape{Class: "refund", Effect: policy.AtMostOnce, MaxTries: 2}
 	met := map[Outcome]int{}
 	check := func(t *rapid.T) {
 		l := DefaultLimits()
-		l.Runs, l.Answers, l.Grace = 3, 1, 200*ms
+		l.Runs, l.AnswersWithResults, l.Grace = 3, 1, 200*ms
 		r, at := newReplicas(l), time.Duration(0)
 		fence, history, answers := map[string]uint64{}, map[string][]*sentOnce{}, map[string]*Answer{}
 		run := func(t *rapid.T) string { return rapid.SampledFrom([]string{"r1", "r2", "r3", "r4"}).Draw(t, "run") }
@@ -40,14 +40,14 @@
 			v, _ := r[0].View(id)
 			return v.Run
 		}
-		send := func(t *rapid.T, c Sending, v *Run) {
+		send := func(t *rapid.T, c SendAttempt, v *Run) {
 			id := c.Run
 			reply, err := r.apply(at, c)
 			if err != nil || reply.Sent.Again {
 				return
 			}
 			require.Equal(t, fence[id], c.Fence, "an older fence")
-			require.Equal(t, c.Undo, v.Gave != nil)
+			require.Equal(t, c.Undo, v.GaveUp != nil)
 			sh, n := shape.Stages[c.Stage], uint32(0)
 			effect := sh.Effect
 			if c.Undo {
@@ -65,29 +65,29 @@
 			}
 			require.Equal(t, n+1, c.Attempt)
 			if !c.Undo {
-				require.Equal(t, v.Stages[c.Stage].Gen, c.Generation)
-				require.Equal(t, v.inputs(v.shape, c.Stage), c.Inputs)
+				require.Equal(t, v.Stages[c.Stage].Generation, c.Generation)
+				require.Equal(t, v.inputGenerations(v.shape, c.Stage), c.Inputs)
 				require.Less(t, at, v.Deadline)
 			}
-			history[id] = append(history[id], &sentOnce{Sending: c})
-			require.LessOrEqual(t, len(history[id]), shape.Most)
+			history[id] = append(history[id], &sentOnce{SendAttempt: c})
+			require.LessOrEqual(t, len(history[id]), shape.MaxAttempts)
 		}
 		end := func(t *rapid.T, h *sentOnce, how plan.End) {
 			id := h.Run
-			e := Ended{Run: id, Fence: h.Fence, Stage: h.Stage, Item: h.Item, Undo: h.Undo, Attempt: h.Attempt, End: how, Result: []byte("1")}
+			e := ReportEnd{Run: id, Fence: h.Fence, Stage: h.Stage, Item: h.Item, Undo: h.Undo, Attempt: h.Attempt, End: how, Result: []byte("1")}
 			if e.End == plan.Lost && len(h.Inputs) > 0 {
 				e.Lost = &LostInput{0, h.Inputs[0]}
 			}
 			before := view(id)
 			reply, err := r.apply(at, e)
-			if c := *reply.Counted; err == nil && c.Once {
+			if c := *reply.Counted; err == nil && c.Accepted {
 				require.True(t, h.counted == 0 && (!h.overtook || e.End == plan.Done) || e.End == plan.Done && h.end != plan.Done, "counted twice")
 				h.end = e.End
 				h.counted++
-				if now := view(id); e.End == plan.Lost && !h.Undo && now != nil && before.Gave == nil && now.Gave == nil && before.Stages[0].Again < 2 {
-					require.Greater(t, now.Stages[0].Gen, h.Inputs[0])
-					require.LessOrEqual(t, now.Stages[0].Again, 2)
-					require.Equal(t, before.Stages[0].Lost >= h.Inputs[0], now.Stages[0].Again == before.Stages[0].Again, "a loss counts once")
+				if now := view(id); e.End == plan.Lost && !h.Undo && now != nil && before.GaveUp == nil && now.GaveUp == nil && before.Stages[0].RerunsUsed < 2 {
+					require.Greater(t, now.Stages[0].Generation, h.Inputs[0])
+					require.LessOrEqual(t, now.Stages[0].RerunsUsed, 2)
+					require.Equal(t, before.Stages[0].LostThrough >= h.Inputs[0], now.Stages[0].RerunsUsed == before.Stages[0].RerunsUsed, "a loss counts once")
 				}
 			}
 		}
@@ -100,15 +100,15 @@
 						return
 					}
 					for _, a := range Next(at, l.Grace, v) {
-						switch a.What {
+						switch a.Kind {
 						case OpenStage:
-							o := Open{Run: id, Fence: fence[id], Stage: a.Stage, Items: make([][]byte, max(1, v.Shape.Stages[a.Stage].MostEach))}
+							o := Open{Run: id, Fence: fence[id], Stage: a.Stage, Items: make([][]byte, max(1, v.Shape.Stages[a.Stage].MaxItems))}
 							if a.Stage == 0 {
 								o.Key = "tour"
 							}
 							r.apply(at, o)
 						case SendJob, SendUndo:
-							send(t, Sending{Run: id, Fence: fence[id], Stage: a.Stage, Item: a.Item, Undo: a.Undo, Generation: a.Generation, Inputs: a.Inputs, Attempt: a.Attempt}, view(id))
+							send(t, SendAttempt{Run: id, Fence: fence[id], Stage: a.Stage, Item: a.Item, Undo: a.Undo, Generation: a.Generation, Inputs: a.Inputs, Attempt: a.Attempt}, view(id))
 						case AwaitEnd:
 							for _, h := range history[id] {
 								if h.Stage == a.Stage && h.Item == a.Item && h.Undo == a.Undo && h.Attempt == a.Attempt {
@@ -148,7 +148,7 @@
 				if v == nil {
 					t.Skip()
 				}
-				c := Sending{Run: id, Fence: fence[id] - uint64(draw(t, "older", 4)/4), Stage: draw(t, "stage", 3), Undo: v.Gave != nil, Rest: 10 * ms}
+				c := SendAttempt{Run: id, Fence: fence[id] - uint64(draw(t, "older", 4)/4), Stage: draw(t, "stage", 3), Undo: v.GaveUp != nil, RemainingTime: 10 * ms}
 				if items := v.Stages[c.Stage].Items; len(items) > 0 {
 					c.Item = draw(t, "item", len(items)-1)
 					c.Attempt = items[c.Item].Job.Attempt + 1
@@ -157,8 +157,8 @@
 					}
 				}
 				c.Attempt += uint32(draw(t, "ahead", 4) / 4)
-				c.Generation = v.Stages[c.Stage].Gen - uint64(draw(t, "stale", 4)/4)
-				c.Inputs = v.inputs(v.shape, c.Stage)
+				c.Generation = v.Stages[c.Stage].Generation - uint64(draw(t, "stale", 4)/4)
+				c.Inputs = v.inputGenerations(v.shape, c.Stage)
 				if len(c.Inputs) > 0 {
 					c.Inputs[0] -= uint64(draw(t, "old input", 2) / 2)
 				}
@@ -176,8 +176,8 @@
 				if draw(t, "rarely", 3) > 0 {
 					t.Skip()
 				}
-				r.apply(at, Gone{"n1", 1})
-				reply, _ := r.apply(at, Claim{Process: "n1", Incarnation: 1, Most: draw(t, "most", 3)})
+				r.apply(at, LeaseExpired{"n1", 1})
+				reply, _ := r.apply(at, Claim{Process: "n1", Incarnation: 1, MaxRuns: draw(t, "most", 3)})
 				for _, c := range reply.Claimed {
 					require.Greater(t, c.Fence, fence[c.Run])
 					fence[c.Run] = c.Fence
@@ -200,8 +200,8 @@
 				for _, id := range []string{"r1", "r2", "r3", "r4"} {
 					a, err := r.apply(at, Finish{id})
 					if old := answers[id]; old != nil {
-						if a := r[0].Answer(id); old.Cut != a.Cut {
-							old.Results, old.Cut = nil, true // the oldest answers lose their results
+						if a := r[0].Answer(id); old.ResultsOmitted != a.ResultsOmitted {
+							old.Results, old.ResultsOmitted = nil, true // the oldest answers lose their results
 						}
 						require.Equal(t, old, r[0].Answer(id))
 					} else if err == nil {
@@ -210,9 +210,9 @@
 						met[answers[id].Outcome]++
 					} else if v := view(id); v != nil {
 						require.Less(t, at, v.Deadline+l.Grace)
-						require.Equal(t, len(history[id]), v.Used)
+						require.Equal(t, len(history[id]), v.AttemptsUsed)
 					} else {
-						require.True(t, errors.Is(err, ErrUnknown))
+						require.True(t, errors.Is(err, ErrUnknownRun))
 					}
 				}
 			},
@@ -247,25 +247,25 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b := NewBook(DefaultLimits())
+	b := NewTracker(DefaultLimits())
 	x, _ := b.Start(0, Start{Run: "r", Shape: booking(2), Before: time.Second, Process: "n"})
 	b.Open(0, Open{Run: "r", Fence: x.Fence, Stage: 0, Key: "tour", Items: [][]byte{nil}})
-	b.Sending(0, Sending{Run: "r", Fence: x.Fence, Generation: 1, Attempt: 1})
+	b.SendAttempt(0, SendAttempt{Run: "r", Fence: x.Fence, Generation: 1, Attempt: 1})
 	text, _ := b.Encode()
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b := NewBook(DefaultLimits())
+		b := NewTracker(DefaultLimits())
 		if before, _ := b.Digest(); b.Decode(text) != nil {
 			after, _ := b.Digest()
 			require.Equal(t, before, after)
 			return
 		}
-		for _, id := range sorted(b.runs) {
+		for _, id := range sortedKeys(b.runs) {
 			v, _ := b.View(id)
 			Next(b.now, time.Second, v)
-			new(Estimate).Rest(b.now, v)
+			new(RuntimeEstimator).RemainingTime(b.now, v)
 		}
-		b.Claim(b.now, Claim{Process: "x", Most: 9})
+		b.Claim(b.now, Claim{Process: "x", MaxRuns: 9})
 		b.Advance(b.now + 48*time.Hour)
 		_, err := b.Encode()
 		require.NoError(t, err)
--- a/internal/dispatcher/fleet/planrun/shape.go
+++ b/internal/dispatcher/fleet/planrun/shape.go
@@ -20,34 +20,34 @@
 // Shape is what a Book needs to know of a plan. It travels in Start, so that a
 // replica neither reads plan files nor evaluates expressions.
 type Shape struct {
-	Stages []StageShape
-	Most   int           // attempts in all, reruns and undos included
-	Within time.Duration // its deadline is this long after its start, at the latest
+	Stages      []StageShape
+	MaxAttempts int           `cbor:"Most"`   // attempts in all, reruns and undos included
+	Timeout     time.Duration `cbor:"Within"` // its deadline is this long after its start, at the latest
 
-	up []uint64 // for each stage a bit for each stage upstream, however far; see link
+	upstreamSets []uint64 // for each stage a bit for each stage upstream, however far; see link
 }
 
 // StageShape is one stage: indexes of stages count from 0, and a stage comes after
 // lower ones only.
 type StageShape struct {
-	Name, Class string
-	Effect      policy.Effect
-	After       []int
-	Cost        time.Duration // hint of its run time; 0: none
-	Each        bool          // a list says how often it is run
-	MostEach    int           // longest list
-	AtLeast     int           // so many must end well; 0: all
-	Shared      bool
-	SharedFor   time.Duration
-	Retries     []RetryShape
-	Reruns      []RerunShape
-	Undo        *UndoShape
+	Name, Class  string
+	Effect       policy.Effect
+	After        []int
+	Cost         time.Duration // hint of its run time; 0: none
+	Each         bool          // a list says how often it is run
+	MaxItems     int           `cbor:"MostEach"` // longest list
+	MinSucceeded int           `cbor:"AtLeast"`  // so many must end well; 0: all
+	Shared       bool
+	SharedFor    time.Duration
+	Retries      []RetryShape
+	Reruns       []RerunShape
+	Undo         *UndoShape
 }
 
 // RetryShape is plan.Retry with its jitter in thousandths: replicas add no floats.
 type RetryShape struct {
 	On               []plan.End
-	Most             int
+	MaxRetries       int           `cbor:"Most"`
 	Wait, WaitAtMost time.Duration // at most 0: no cap
 	Jitter           int
 	Where            plan.Place
@@ -58,36 +58,36 @@
 
 // UndoShape is a stage's compensation.
 type UndoShape struct {
-	Class  string
-	Effect policy.Effect
-	Most   int
-	Wait   time.Duration
+	Class    string
+	Effect   policy.Effect
+	MaxTries int `cbor:"Most"`
+	Wait     time.Duration
 }
 
 // ShapeOf returns the shape of a checked plan.
 func ShapeOf(p *plan.Plan) Shape {
 	at := make(map[string]int, len(p.Stages))
-	s := Shape{Most: p.Most, Within: p.Within, Stages: make([]StageShape, len(p.Stages))}
+	s := Shape{MaxAttempts: p.MaxAttempts, Timeout: p.Timeout, Stages: make([]StageShape, len(p.Stages))}
 	for i, st := range p.Stages {
 		at[st.Name] = i
 		to := &s.Stages[i]
 		*to = StageShape{
-			Name: st.Name, Class: st.Class, Effect: st.Effect, Cost: st.Cost, Each: st.Each != nil, MostEach: st.MostEach,
-			AtLeast: st.AtLeast, Shared: st.Shared != nil, SharedFor: st.SharedFor,
+			Name: st.Name, Class: st.Class, Effect: st.Effect, Cost: st.Cost, Each: st.Each != nil, MaxItems: st.MaxItems,
+			MinSucceeded: st.MinSucceeded, Shared: st.Shared != nil, SharedFor: st.SharedFor,
 		}
 		for _, a := range st.After {
 			to.After = append(to.After, at[a])
 		}
 		for _, r := range st.Retries {
 			to.Retries = append(to.Retries, RetryShape{
-				On: r.On, Most: r.Most, Wait: r.Wait, WaitAtMost: r.WaitAtMost, Jitter: int(math.Round(r.Jitter * 1000)), Where: r.Where,
+				On: r.On, MaxRetries: r.MaxRetries, Wait: r.Wait, WaitAtMost: r.MaxWait, Jitter: int(math.Round(r.Jitter * 1000)), Where: r.Where,
 			})
 		}
 		for _, r := range st.Reruns {
-			to.Reruns = append(to.Reruns, RerunShape{Of: at[r.Of], Most: r.Most})
+			to.Reruns = append(to.Reruns, RerunShape{Of: at[r.Of], Most: r.MaxReruns})
 		}
 		if u := st.Undo; u != nil {
-			to.Undo = &UndoShape{Class: u.Class, Effect: u.Effect, Most: u.Most, Wait: u.Wait}
+			to.Undo = &UndoShape{Class: u.Class, Effect: u.Effect, MaxTries: u.MaxTries, Wait: u.Wait}
 		}
 	}
 	return s
@@ -95,63 +95,63 @@
 
 // Bounds of a shape. Stages fit a word of bits.
 const (
-	mostStages = 64
-	mostItems  = 4096 // over all stages of a plan
-	mostName   = 256  // bytes of a name
+	maxStages     = 64
+	maxItems      = 4096 // over all stages of a plan
+	maxNameLength = 256  // bytes of a name
 )
 
-// ErrShape says that a shape can't be run.
-var ErrShape = errors.New("unusable shape of a plan")
+// ErrInvalidShape says that a shape can't be run.
+var ErrInvalidShape = errors.New("unusable shape of a plan")
 
-// link checks a shape and works out what is upstream of what.
-func (s *Shape) link() error {
-	if n := len(s.Stages); n == 0 || n > mostStages || s.Most < 1 || s.Within <= 0 {
-		return fmt.Errorf("%w: %d stages, %d attempts, within %v", ErrShape, n, s.Most, s.Within)
+// resolve checks a shape and works out what is upstream of what.
+func (s *Shape) resolve() error {
+	if n := len(s.Stages); n == 0 || n > maxStages || s.MaxAttempts < 1 || s.Timeout <= 0 {
+		return fmt.Errorf("%w: %d stages, %d attempts, within %v", ErrInvalidShape, n, s.MaxAttempts, s.Timeout)
 	}
 	up, items := make([]uint64, len(s.Stages)), 0
 	for i := range s.Stages {
 		st := &s.Stages[i]
 		for _, a := range st.After {
 			if a < 0 || a >= i {
-				return fmt.Errorf("%w: stage %d comes after %d", ErrShape, i, a)
+				return fmt.Errorf("%w: stage %d comes after %d", ErrInvalidShape, i, a)
 			}
 			up[i] |= up[a] | 1<<a
 		}
 		if items++; st.Each {
-			items += max(st.MostEach, 0)
+			items += max(st.MaxItems, 0)
 		}
-		bad := len(st.Name) > mostName || len(st.Class) > mostName || st.AtLeast < 0 || st.Cost < 0 ||
-			st.Shared && (st.Effect == policy.AtMostOnce || st.SharedFor < 0) || st.Undo != nil && (st.Undo.Most < 0 || st.Undo.Wait < 0)
+		bad := len(st.Name) > maxNameLength || len(st.Class) > maxNameLength || st.MinSucceeded < 0 || st.Cost < 0 ||
+			st.Shared && (st.Effect == policy.AtMostOnce || st.SharedFor < 0) || st.Undo != nil && (st.Undo.MaxTries < 0 || st.Undo.Wait < 0)
 		for _, r := range st.Reruns {
 			bad = bad || r.Of < 0 || r.Of >= i || up[i]&(1<<r.Of) == 0
 		}
 		for _, r := range st.Retries {
-			bad = bad || r.Most < 0 || r.Wait < 0 || r.WaitAtMost < 0 || r.Jitter < 0 || r.Jitter > 1000
+			bad = bad || r.MaxRetries < 0 || r.Wait < 0 || r.WaitAtMost < 0 || r.Jitter < 0 || r.Jitter > 1000
 		}
 		if bad {
-			return fmt.Errorf("%w: stage %d", ErrShape, i)
+			return fmt.Errorf("%w: stage %d", ErrInvalidShape, i)
 		}
 	}
-	if items > mostItems {
-		return fmt.Errorf("%w: %d items", ErrShape, items)
+	if items > maxItems {
+		return fmt.Errorf("%w: %d items", ErrInvalidShape, items)
 	}
-	s.up = up
+	s.upstreamSets = up
 	return nil
 }
 
-// upstream calls f for each stage upstream of one, in order.
-func (s *Shape) upstream(of int, f func(i, stage int)) {
-	for i, left := 0, s.up[of]; left != 0; i, left = i+1, left&(left-1) {
+// eachUpstream calls f for each stage upstream of one, in order.
+func (s *Shape) eachUpstream(of int, f func(i, stage int)) {
+	for i, left := 0, s.upstreamSets[of]; left != 0; i, left = i+1, left&(left-1) {
 		f(i, bits.TrailingZeros64(left))
 	}
 }
 
-// hangs tells whether a stage is downstream of another.
-func (s *Shape) hangs(stage, on int) bool { return s.up[stage]&(1<<on) != 0 }
+// dependsOn tells whether a stage is downstream of another.
+func (s *Shape) dependsOn(stage, on int) bool { return s.upstreamSets[stage]&(1<<on) != 0 }
 
 // Upstream lists the stages upstream of one, however far, in order: Sending.Inputs
 // are their generations.
 func (s *Shape) Upstream(of int) (list []int) {
-	s.upstream(of, func(_, u int) { list = append(list, u) })
+	s.eachUpstream(of, func(_, u int) { list = append(list, u) })
 	return list
 }
--- a/internal/dispatcher/fleet/planrun/shared.go
+++ b/internal/dispatcher/fleet/planrun/shared.go
@@ -7,148 +7,148 @@
 
 // Output is an output that plans share by a key: made by one run at a time, for all.
 type Output struct {
-	Key     string
-	Gen     uint64 // made, or being made
-	Ready   bool
-	Until   time.Duration // who comes later has it made anew
-	Results [][]byte
-	Owner   *User // who makes it; nil: nobody
-	Users   []User
+	Key        string
+	Generation uint64 `cbor:"Gen"` // made, or being made
+	Ready      bool
+	FreshUntil time.Duration `cbor:"Until"` // who comes later has it made anew
+	Results    [][]byte
+	Producer   *OutputUser `cbor:"Owner"` // who makes it; nil: nobody
+	Users      []OutputUser
 }
 
-// User is a stage of a run under way that uses an output, or waits for it.
-type User struct {
+// OutputUser is a stage of a run under way that uses an output, or waits for it.
+type OutputUser struct {
 	Run   string
 	Stage int
 }
 
-func (o *Output) owned(r *Run, stage int) bool {
-	return !o.Ready && o.Owner != nil && *o.Owner == User{r.ID, stage}
+func (o *Output) isOwnedBy(r *Run, stage int) bool {
+	return !o.Ready && o.Producer != nil && *o.Producer == OutputUser{r.ID, stage}
 }
 
-// attach joins a stage that was just opened to its output: it takes what is there
+// attachOutput joins a stage that was just opened to its output: it takes what is there
 // and good, waits for what is being made, or makes it.
-func (b *Book) attach(at time.Duration, r *Run, stage int) {
-	key, me := r.Stages[stage].Key, User{r.ID, stage}
-	o := b.shared[key]
+func (b *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
+	key, me := r.Stages[stage].SharedKey, OutputUser{r.ID, stage}
+	o := b.outputs[key]
 	if o == nil {
-		o = &Output{Key: key, Gen: b.newest + 1} // above all that the key had, should it have been dropped
-		b.shared[key] = o
+		o = &Output{Key: key, Generation: b.lastSharedGeneration + 1} // above all that the key had, should it have been dropped
+		b.outputs[key] = o
 	}
 	o.Users = append(o.Users, me)
 	switch {
-	case o.Ready && at < o.Until:
-		r.take(stage, o)
+	case o.Ready && at < o.FreshUntil:
+		r.takeOutput(stage, o)
 		return
 	case o.Ready: // those that have it go on with it
-		o.Gen++
-		o.Ready, o.Results, o.Owner = false, nil, &me
-	case o.Owner == nil:
-		o.Owner = &me
+		o.Generation++
+		o.Ready, o.Results, o.Producer = false, nil, &me
+	case o.Producer == nil:
+		o.Producer = &me
 	}
-	b.newest = max(b.newest, o.Gen)
-	r.Stages[stage].Gen = o.Gen
+	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	r.Stages[stage].Generation = o.Generation
 }
 
-// take gives a stage an output that is there.
-func (r *Run) take(stage int, o *Output) {
+// takeOutput gives a stage an output that is there.
+func (r *Run) takeOutput(stage int, o *Output) {
 	st := &r.Stages[stage]
-	st.Gen, st.Joined, st.Copied = o.Gen, true, o.Results
+	st.Generation, st.Complete, st.SharedResults = o.Generation, true, o.Results
 }
 
-// publish gives the output that a stage has made to all that wait for it. It counts
+// publishOutput gives the output that a stage has made to all that wait for it. It counts
 // whoever the owner is by now: the first to be there is good.
-func (b *Book) publish(at time.Duration, r *Run, stage int) {
+func (b *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
 	st := &r.Stages[stage]
-	o := b.shared[st.Key]
-	if st.Key == "" || o == nil || o.Ready || o.Gen != st.Gen {
+	o := b.outputs[st.SharedKey]
+	if st.SharedKey == "" || o == nil || o.Ready || o.Generation != st.Generation {
 		return
 	}
-	o.Ready, o.Owner, o.Results = true, nil, st.Results()
-	o.Until = at + r.shape.Stages[stage].SharedFor
+	o.Ready, o.Producer, o.Results = true, nil, st.Results()
+	o.FreshUntil = at + r.shape.Stages[stage].SharedFor
 	for _, u := range slices.Clone(o.Users) {
-		if w := b.runs[u.Run]; w != nil && w.Gave == nil && !w.Stages[u.Stage].Joined {
-			w.take(u.Stage, o)
+		if w := b.runs[u.Run]; w != nil && w.GaveUp == nil && !w.Stages[u.Stage].Complete {
+			w.takeOutput(u.Stage, o)
 			if w != r {
-				b.settle(at, w)
+				b.finishIfDone(at, w)
 			}
 		}
 	}
 }
 
-// renewShared has the generation after gen made by a run that has lost it, unless
+// rerunShared has the generation after gen made by a run that has lost it, unless
 // another has begun to. Other runs that still need the output wait for it,
 // and keep what they did with the lost one until a stage of theirs reports it.
-func (b *Book) renewShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
-	if o.Gen > gen {
-		if r.Stages[stage].Gen = o.Gen; o.Ready {
-			r.take(stage, o)
+func (b *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
+	if o.Generation > gen {
+		if r.Stages[stage].Generation = o.Generation; o.Ready {
+			r.takeOutput(stage, o)
 		}
 		return false
 	}
-	o.Gen, o.Ready, o.Results, o.Owner = gen+1, false, nil, &User{r.ID, stage}
-	b.newest = max(b.newest, o.Gen)
-	r.Stages[stage].Gen = o.Gen
+	o.Generation, o.Ready, o.Results, o.Producer = gen+1, false, nil, &OutputUser{r.ID, stage}
+	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	r.Stages[stage].Generation = o.Generation
 	for _, u := range o.Users {
 		w := b.runs[u.Run]
-		if w == r && u.Stage == stage || w.Gave != nil || w.Stages[u.Stage].Gen > gen || !w.wants(u.Stage) {
+		if w == r && u.Stage == stage || w.GaveUp != nil || w.Stages[u.Stage].Generation > gen || !w.needsOutput(u.Stage) {
 			continue
 		}
-		w.unjoin(u.Stage, o.Gen)
+		w.resetStage(u.Stage, o.Generation)
 	}
 	return true
 }
 
-// wants tells whether something is still to be done with a stage's output.
-func (r *Run) wants(stage int) bool {
+// needsOutput tells whether something is still to be done with a stage's output.
+func (r *Run) needsOutput(stage int) bool {
 	for i := range r.Stages {
-		if i == stage && !r.Stages[i].Joined || r.shape.hangs(i, stage) && !r.Stages[i].Joined {
+		if i == stage && !r.Stages[i].Complete || r.shape.dependsOn(i, stage) && !r.Stages[i].Complete {
 			return true
 		}
 	}
 	return false
 }
 
-// leave takes a run that needs no more output off all that it uses.
-func (b *Book) leave(r *Run) {
+// detachOutputs takes a run that needs no more output off all that it uses.
+func (b *Tracker) detachOutputs(r *Run) {
 	for i := range r.Stages {
-		o := b.shared[r.Stages[i].Key]
-		if r.Stages[i].Key == "" || o == nil {
+		o := b.outputs[r.Stages[i].SharedKey]
+		if r.Stages[i].SharedKey == "" || o == nil {
 			continue
 		}
-		me := User{r.ID, i}
-		o.Users = slices.DeleteFunc(o.Users, func(u User) bool { return u == me })
-		b.pass(o, me)
+		me := OutputUser{r.ID, i}
+		o.Users = slices.DeleteFunc(o.Users, func(u OutputUser) bool { return u == me })
+		b.reassignOutput(o, me)
 		if len(o.Users) == 0 && !o.Ready {
-			delete(b.shared, o.Key)
+			delete(b.outputs, o.Key)
 		}
 	}
 }
 
-// handOn gives what a run was making to others that wait for it, if there are any
+// reassignOutputs gives what a run was making to others that wait for it, if there are any
 // whose coordinator lives.
-func (b *Book) handOn(r *Run) {
+func (b *Tracker) reassignOutputs(r *Run) {
 	for i := range r.Stages {
-		if o := b.shared[r.Stages[i].Key]; r.Stages[i].Key != "" && o != nil {
-			b.pass(o, User{r.ID, i})
+		if o := b.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
+			b.reassignOutput(o, OutputUser{r.ID, i})
 		}
 	}
 }
 
-// pass finds a new owner of an output, if from is its owner: the first in line that
+// reassignOutput finds a new owner of an output, if from is its owner: the first in line that
 // waits and has a coordinator, else the first that waits.
-func (b *Book) pass(o *Output, from User) {
-	if o.Ready || o.Owner == nil || *o.Owner != from {
+func (b *Tracker) reassignOutput(o *Output, from OutputUser) {
+	if o.Ready || o.Producer == nil || *o.Producer != from {
 		return
 	}
-	o.Owner = nil
+	o.Producer = nil
 	for _, u := range o.Users {
 		w := b.runs[u.Run]
-		if w == nil || w.Gave != nil || w.Stages[u.Stage].Joined {
+		if w == nil || w.GaveUp != nil || w.Stages[u.Stage].Complete {
 			continue
 		}
-		if o.Owner == nil || !w.Orphan {
-			o.Owner = &User{u.Run, u.Stage}
+		if o.Producer == nil || !w.Orphan {
+			o.Producer = &OutputUser{u.Run, u.Stage}
 		}
 		if !w.Orphan {
 			return
@@ -156,10 +156,10 @@
 	}
 }
 
-func (b *Book) pruneShared(at time.Duration) {
-	for key, o := range b.shared { // in any order: each is judged by itself
-		if o.Ready && len(o.Users) == 0 && o.Until <= at {
-			delete(b.shared, key)
+func (b *Tracker) pruneOutputs(at time.Duration) {
+	for key, o := range b.outputs { // in any order: each is judged by itself
+		if o.Ready && len(o.Users) == 0 && o.FreshUntil <= at {
+			delete(b.outputs, key)
 		}
 	}
 }
--- a/internal/dispatcher/fleet/planrun/sim_test.go
+++ b/internal/dispatcher/fleet/planrun/sim_test.go
@@ -76,7 +76,7 @@
 	rate        float64
 	frozen      time.Duration // until then
 	lease       time.Duration // by its own clock, good until then
-	co          *Coordinator
+	co          *AttemptRegistry
 	wakes       map[string]bool
 }
 
@@ -157,19 +157,19 @@
 	s.n.commands++
 	r, err := s.books.apply(s.fleet(), command)
 	switch c := command.(type) {
-	case Sending:
+	case SendAttempt:
 		if k := (try{job{c.Run, c.Stage, c.Item, c.Undo}, c.Attempt}); err == nil && !r.Sent.Again {
 			if s.tries[k] != nil {
 				s.fault("%v was let twice", k)
 			}
 			s.tries[k] = &seen{try: k, fence: c.Fence}
 		}
-	case Ended:
-		if k := s.tries[try{job{c.Run, c.Stage, c.Item, c.Undo}, c.Attempt}]; err == nil && r.Counted.Once {
+	case ReportEnd:
+		if k := s.tries[try{job{c.Run, c.Stage, c.Item, c.Undo}, c.Attempt}]; err == nil && r.Counted.Accepted {
 			if k.end != "" && (c.End != plan.Done || k.end == plan.Done) {
 				s.fault("%v ended twice, %v and %v", k.try, k.end, c.End)
 			}
-			if r.Counted.Fresh {
+			if r.Counted.NewLoss {
 				s.n.fresh++
 			}
 			k.end = c.End
@@ -232,7 +232,7 @@
 		switch {
 		case t.Open != nil:
 			if t.Open.Items = [][]byte{nil}; v.Shape.Stages[t.Stage].Each {
-				t.Open.Items = make([][]byte, v.Shape.Stages[t.Stage].MostEach)
+				t.Open.Items = make([][]byte, v.Shape.Stages[t.Stage].MaxItems)
 			} else {
 				t.Open.Key = "tour"
 			}
@@ -257,7 +257,7 @@
 }
 
 // tell reports an end until there is a reply.
-func (p *proc) tell(id TryID, e Ended) {
+func (p *proc) tell(id AttemptID, e ReportEnd) {
 	e.Result = []byte(`{}`)
 	p.ask(e, func(r Reply, err error) {
 		if errors.Is(err, errNoReply) {
@@ -273,7 +273,7 @@
 }
 
 // send has a member run an attempt, perhaps.
-func (p *proc) send(a *seen, c Sending, id TryID) {
+func (p *proc) send(a *seen, c SendAttempt, id AttemptID) {
 	s, epoch, told := p.s, p.epoch, false
 	if s.n.sends++; a.end == plan.MayRun && !a.unchecked {
 		s.fault("%v was sent when another had the run", a.try)
@@ -283,7 +283,7 @@
 		p.within(epoch, d, func() {
 			if !told || end == plan.Done { // an answer that came late is told too, and one that came twice
 				told = true
-				p.tell(id, c.End(end, nil, "m", lost))
+				p.tell(id, c.EndReport(end, nil, "m", lost))
 			}
 		})
 	}
@@ -313,7 +313,7 @@
 				} else if s.chance(0.04) {
 					end = plan.Failed
 				} else {
-					p.co.Estimate.Ran(sh.Class, took)
+					p.co.Estimator.Observe(sh.Class, took)
 				}
 				switch x := s.rng.Float64(); {
 				case x < 0.03:
@@ -382,7 +382,7 @@
 		})
 	}
 	if p.clock() < p.lease {
-		p.ask(Claim{Process: p.name, Incarnation: p.incarnation, Most: 3}, func(r Reply, _ error) {
+		p.ask(Claim{Process: p.name, Incarnation: p.incarnation, MaxRuns: 3}, func(r Reply, _ error) {
 			for _, c := range r.Claimed {
 				p.co.Drive(c.Run, c.Fence)
 				p.pump(c.Run)
@@ -396,7 +396,7 @@
 func (p *proc) join() {
 	p.epoch++
 	p.incarnation++
-	p.lease, p.co, p.wakes = 0, NewCoordinator(500*ms), map[string]bool{}
+	p.lease, p.co, p.wakes = 0, NewAttemptRegistry(500*ms), map[string]bool{}
 	p.after(p.s.net(), p.live)
 }
 
@@ -408,7 +408,7 @@
 				id := fmt.Sprintf("%s %d", p.name, i)
 				if until, ok := s.leases[id]; ok && until >= 0 && until <= s.fleet() || ok && until >= 0 && i < p.incarnation {
 					s.leases[id] = -1
-					s.commit(Gone{p.name, i})
+					s.commit(LeaseExpired{p.name, i})
 				}
 			}
 		}
@@ -477,7 +477,7 @@
 			continue // its Start never got through
 		}
 		s.heard(a)
-		most := s.shapes[run].Most
+		most := s.shapes[run].MaxAttempts
 		if sent := s.count(run); a.Attempts > most || sent != a.Attempts {
 			s.fault("%s: %d attempts of %d, the answer says %d", run, sent, most, a.Attempts)
 		}
@@ -539,8 +539,8 @@
 
 // TestCheckerTrips: with the planted fault, the checker sees tickets run twice.
 func TestCheckerTrips(t *testing.T) {
-	plantTwice = true
-	defer func() { plantTwice = false }()
+	testRunTwice = true
+	defer func() { testRunTwice = false }()
 	for seed := range uint64(100) {
 		if s := simulate(seed, 8, 4); len(s.faults) > 0 {
 			require.Contains(t, fmt.Sprint(s.faults), "ran twice")
--- a/internal/dispatcher/fleet/raftnode/enter.go
+++ b/internal/dispatcher/fleet/raftnode/enter.go
@@ -33,7 +33,7 @@
 	for waited := false; ctx.Err() == nil; waited = true {
 		nothing, taken := 0, false
 		for _, a := range k.queryPeers(ctx) {
-			if !a.Founded {
+			if !a.Bootstrapped {
 				nothing++
 				continue
 			}
@@ -94,7 +94,7 @@
 // its folder does. Such a folder has forgotten, like an empty one.
 func (k *Node) isStaleCopy(ctx context.Context, own *dataDir) bool {
 	for _, a := range k.queryPeers(ctx) {
-		if a.Boots[k.settings.Name] > own.identity.Starts {
+		if a.BootCounts[k.settings.Name] > own.identity.Starts {
 			return true
 		}
 	}
@@ -208,7 +208,7 @@
 	if err != nil {
 		return err
 	}
-	c := state.Command{V: state.Version, Kind: kind, Body: text}
+	c := state.Command{Version: state.Version, Kind: kind, Body: text}
 	if r, err := k.propose(c); err == nil || !errors.Is(err, raft.ErrNotLeader) {
 		return errors.Join(err, r.Err())
 	}
--- a/internal/dispatcher/fleet/raftnode/folder.go
+++ b/internal/dispatcher/fleet/raftnode/folder.go
@@ -28,9 +28,9 @@
 
 // identity says whose a folder is and how often it was started with.
 type identity struct {
-	V      uint8
-	Keeper string
-	Starts uint64
+	Version uint8  `cbor:"V"`
+	Node    string `cbor:"Keeper"`
+	Starts  uint64
 }
 
 const (
@@ -53,7 +53,7 @@
 		lock.Close()
 		return nil, fmt.Errorf("%w: another process uses %s", ErrDataDir, path)
 	}
-	f := &dataDir{path: path, lock: lock, identity: identity{V: identityVersion, Keeper: k.settings.Name}}
+	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: k.settings.Name}}
 	text, err := os.ReadFile(filepath.Join(path, identityFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
@@ -68,10 +68,10 @@
 	switch {
 	case err != nil:
 		err = fmt.Errorf("%w: its mark can't be read: %w", ErrDataDir, err)
-	case f.identity.V != identityVersion:
-		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, f.identity.V, identityVersion)
-	case f.identity.Keeper != k.settings.Name:
-		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Keeper, k.settings.Name)
+	case f.identity.Version != identityVersion:
+		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, f.identity.Version, identityVersion)
+	case f.identity.Node != k.settings.Name:
+		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Node, k.settings.Name)
 	default:
 		return f, nil
 	}
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -96,18 +96,18 @@
 	who, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
 	require.NoError(t, err)
 	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
-		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Whole: 120, Burst: 40}}}),
-		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{Count: 100}}}}),
+		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Total: 120, Burst: 40}}}),
+		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: 100}}}}),
 	}}, nil))
 	for grant := (budget.Grant{}); len(grant.Shares) == 0 || grant.Shares[0].Amount == 0; {
 		renewed, err := who.Renew(ctx, map[string][]byte{partition.BudgetsName: encoded(t, budget.Renewal{
-			Process: "n1", Incarnation: who.Incarnation, Bound: grant.Number, Uses: map[string]budget.Usage{"jobs/hrad-kamenec": {Demand: 9}},
+			Process: "n1", Incarnation: who.Incarnation, AppliedGrant: grant.Number, Usage: map[string]budget.Usage{"jobs/hrad-kamenec": {Demand: 9}},
 		})})
 		require.NoError(t, err)
 		require.NoError(t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
 	}
 	begin := func(run string) {
-		shape := planrun.Shape{Most: 9, Within: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: policy.Deduplicated}}}
+		shape := planrun.Shape{MaxAttempts: 9, Timeout: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: policy.Deduplicated}}}
 		var reply partition.PlanReply
 		require.NoError(t, who.Execute(ctx, partition.PlansCommand, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
 		require.NoError(t, reply.Err())
@@ -115,7 +115,7 @@
 		require.NoError(t, reply.Err())
 	}
 	ship := func(first uint64, ids ...string) {
-		s := records.Ship{Epoch: 70, First: first}
+		s := records.Ship{Epoch: 70, FirstSeq: first}
 		for _, id := range ids {
 			s.Records = append(s.Records, goldenRecord(id))
 		}
@@ -165,7 +165,7 @@
 		require.Len(t, reply.Run.Stages[0].Items, 1)
 	}
 	var page records.Page
-	ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
+	ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Limit: 9}, &page)
 	require.Len(t, page.Records, 3)
 	for i, id := range []string{"job-1", "job-2", "job-3"} {
 		want := goldenRecord(id)
@@ -205,10 +205,10 @@
 	require.NoError(t, err)
 	require.Equal(t, member.Incarnation, joined.Incarnation)
 	require.NoError(t, who.Client.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
-		V: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
-		Body: encoded(t, records.Ship{Epoch: 70, First: 4, Records: []records.Record{goldenRecord("job-4")}}),
+		Version: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
+		Body: encoded(t, records.Ship{Epoch: 70, FirstSeq: 4, Records: []records.Record{goldenRecord("job-4")}}),
 	}), &state.Reply{}))
-	ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Most: 9}, &page)
+	ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Limit: 9}, &page)
 	require.Len(t, page.Records, 4)
 }
 
@@ -218,7 +218,7 @@
 	require.Equal(t, "keeper", identityFile)
 	var m identity
 	require.NoError(t, codec.Decode(text, &m))
-	require.Equal(t, identity{V: 1, Keeper: "k1", Starts: 1}, m)
+	require.Equal(t, identity{Version: 1, Node: "k1", Starts: 1}, m)
 	require.Equal(t, text, encoded(t, m))
 }
 
--- a/internal/dispatcher/fleet/raftnode/keeper.go
+++ b/internal/dispatcher/fleet/raftnode/keeper.go
@@ -418,7 +418,7 @@
 	n.calls.Add(1)
 	k.mu.Unlock()
 	defer n.calls.Done()
-	c.V, c.At = state.Version, l.now()
+	c.Version, c.At = state.Version, l.now()
 	text, err := codec.Encode(c)
 	if err != nil {
 		return state.Reply{}, err
--- a/internal/dispatcher/fleet/raftnode/keeper_test.go
+++ b/internal/dispatcher/fleet/raftnode/keeper_test.go
@@ -193,7 +193,7 @@
 	name := ""
 	require.Eventually(f.t, func() bool {
 		for name = range f.up {
-			if f.up[name].status().Leads {
+			if f.up[name].status().IsLeader {
 				return true
 			}
 		}
@@ -286,13 +286,13 @@
 		f.start(name)
 		f.order(5)
 		f.same(name)
-		require.Eventually(t, func() bool { return f.up[f.leader()].status().Boots[name] == 2 }, 10*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return f.up[f.leader()].status().BootCounts[name] == 2 }, 10*time.Second, 10*time.Millisecond)
 		require.NoError(t, f.stops[name]())
 		require.NoError(t, os.RemoveAll(f.folder(name)))
 		require.NoError(t, os.Rename(old, f.folder(name)))
 		f.start(name)
 		f.same(name)
-		require.Eventually(t, func() bool { return f.up[f.leader()].status().Boots[name] == 1 }, 10*time.Second, 10*time.Millisecond, "taken in anew")
+		require.Eventually(t, func() bool { return f.up[f.leader()].status().BootCounts[name] == 1 }, 10*time.Second, 10*time.Millisecond, "taken in anew")
 	})
 	t.Run("a late copy of its call to be taken in", func(t *testing.T) {
 		f := found(t)
@@ -354,10 +354,10 @@
 		log  bool
 		want string
 	}{
-		"newer":     {identity{V: 9, Keeper: "k1"}, true, "it is of version 9"},
+		"newer":     {identity{Version: 9, Node: "k1"}, true, "it is of version 9"},
 		"torn":      {"k", true, "its mark can't be read"},
 		"no mark":   {nil, true, "no mark of whose it is"},
-		"another's": {identity{V: identityVersion, Keeper: "k2"}, true, "is that of keeper k2, not of k1"},
+		"another's": {identity{Version: identityVersion, Node: "k2"}, true, "is that of keeper k2, not of k1"},
 	} {
 		dir := t.TempDir()
 		if at.mark != nil {
--- a/internal/dispatcher/fleet/raftnode/serve.go
+++ b/internal/dispatcher/fleet/raftnode/serve.go
@@ -73,15 +73,15 @@
 
 func (k *Node) status() rpc.NodeStatus {
 	k.mu.Lock()
-	a := rpc.NodeStatus{Name: k.settings.Name, Empty: k.empty, Leads: k.leadership != nil, Differs: k.divergent, Boots: map[string]uint64{}}
+	a := rpc.NodeStatus{Name: k.settings.Name, Empty: k.empty, IsLeader: k.leadership != nil, DivergentPartitions: k.divergent, BootCounts: map[string]uint64{}}
 	k.mu.Unlock()
 	k.fsm.read(func(m *state.Machine) {
 		a.Index, a.At = m.Index(), m.At()
 		for name := range k.settings.Peers {
-			a.Boots[name] = m.BootCount(name)
+			a.BootCounts[name] = m.BootCount(name)
 		}
 	})
-	a.Founded = !a.Empty && a.Index > 0
+	a.Bootstrapped = !a.Empty && a.Index > 0
 	return a
 }
 
@@ -274,10 +274,10 @@
 		}
 		o.Set(name, v)
 	}
-	flag("leads", a.Leads)
+	flag("leads", a.IsLeader)
 	flag("empty", a.Empty)
 	differs, names := arena.NewArray(), arena.NewArray()
-	for i, name := range a.Differs {
+	for i, name := range a.DivergentPartitions {
 		differs.SetArrayItem(i, arena.NewString(name))
 	}
 	o.Set("differs", differs)
--- a/internal/dispatcher/fleet/records/commands.go
+++ b/internal/dispatcher/fleet/records/commands.go
@@ -11,9 +11,9 @@
 
 // Limits bound the records of one lane. 0 is no bound.
 type Limits struct {
-	For   int64 // nanoseconds since their end
-	Count int64
-	Bytes int64
+	MaxAge   int64 `cbor:"For"` // nanoseconds since their end
+	MaxCount int64 `cbor:"Count"`
+	MaxBytes int64 `cbor:"Bytes"`
 }
 
 // Rule says how long a tenant's records are kept. What a hold covers is kept
@@ -49,19 +49,19 @@
 	Process     string
 	Incarnation uint64
 	Epoch       uint64
-	First       uint64
-	Lost        bool
+	FirstSeq    uint64 `cbor:"First"`
+	GapLost     bool   `cbor:"Lost"`
 	Records     []Record
 }
 
 // Shipped answers a Ship.
 type Shipped struct {
-	Through  uint64 // all up to this number of the epoch were taken in
-	Taken    int    // records that were new
-	Again    int    // that had been taken in before
-	Below    int    // that were new, and cut already: below the tenant's mark and not held
-	Missing  uint64 // that were lost before First
-	TooLarge int
+	Through       uint64 // all up to this number of the epoch were taken in
+	Stored        int    `cbor:"Taken"` // records that were new
+	Duplicates    int    `cbor:"Again"` // that had been taken in before
+	AlreadyPruned int    `cbor:"Below"` // that were new, and cut already: below the tenant's mark and not held
+	Missing       uint64 // that were lost before First
+	TooLarge      int
 }
 
 // SetRules sets all rules anew.
@@ -84,18 +84,18 @@
 
 // Watermark cuts a lane of a tenant below a place.
 type Watermark struct {
-	Tenant string
-	Lane   RetentionClass
-	Below  Position
+	Tenant   string
+	Class    RetentionClass `cbor:"Lane"`
+	Position Position       `cbor:"Below"`
 }
 
 // Prune removes records. It is computed by Plan and carries all that it depends on.
 type Prune struct {
-	At    int64 // nanoseconds since 1970: holds that end by then are over
-	Rules uint64
-	Marks []Watermark
-	Sweep int    // how many records under ended holds are looked at
-	Turn  string // the tenant that the next plan begins with
+	At           int64       // nanoseconds since 1970: holds that end by then are over
+	RulesEdition uint64      `cbor:"Rules"`
+	Watermarks   []Watermark `cbor:"Marks"`
+	MaxSwept     int         `cbor:"Sweep"` // how many records under ended holds are looked at
+	NextTenant   string      `cbor:"Turn"`  // the tenant that the next plan begins with
 }
 
 // Pruned answers a Cut.
@@ -139,7 +139,7 @@
 			return nil, fmt.Errorf("two rules for tenant %q: %w", r.Tenant, ErrInvalid)
 		}
 		for _, l := range []Limits{r.Keep, r.Failed} {
-			if min(l.For, l.Count, l.Bytes) < 0 {
+			if min(l.MaxAge, l.MaxCount, l.MaxBytes) < 0 {
 				return nil, fmt.Errorf("a limit below 0 for tenant %q: %w", r.Tenant, ErrInvalid)
 			}
 		}
@@ -163,5 +163,5 @@
 }
 
 func compareWatermarks(a, b Watermark) int {
-	return cmp.Or(strings.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Lane, b.Lane))
+	return cmp.Or(strings.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Class, b.Class))
 }
--- a/internal/dispatcher/fleet/records/encode.go
+++ b/internal/dispatcher/fleet/records/encode.go
@@ -17,22 +17,22 @@
 
 // storedState is the form in which a State is kept.
 type storedState struct {
-	Wall      int64
-	CutAt     time.Duration
-	Edition   uint64
-	Ruled     uint64
-	Turn      string
-	Rules     []Rule
-	Holds     []Hold
-	Tenants   []tenantState
-	Processes []processState
-	Counts    Counts
+	WallClock    int64         `cbor:"Wall"`
+	PrunedAt     time.Duration `cbor:"CutAt"`
+	Edition      uint64
+	RulesEdition uint64 `cbor:"Ruled"`
+	NextTenant   string `cbor:"Turn"`
+	Rules        []Rule
+	Holds        []Hold
+	Tenants      []tenantState
+	Processes    []processState
+	Counts       Counts
 }
 
 // Encode writes the small part of the state. The same commands give the same bytes.
 func (s *State) Encode() ([]byte, error) {
 	v := storedState{
-		Wall: s.wallClock, CutAt: s.prunedAt, Edition: s.edition, Ruled: s.rulesEdition, Turn: s.nextTenant, Rules: s.rules, Holds: s.holds,
+		WallClock: s.wallClock, PrunedAt: s.prunedAt, Edition: s.edition, RulesEdition: s.rulesEdition, NextTenant: s.nextTenant, Rules: s.rules, Holds: s.holds,
 		Tenants: make([]tenantState, 0, len(s.tenantNames)), Processes: make([]processState, 0, len(s.processes)), Counts: s.counts,
 	}
 	if len(v.Rules) == 0 { // nil and empty have two forms
@@ -62,7 +62,7 @@
 		return fmt.Errorf("the state of records: %w", err)
 	}
 	n := New()
-	n.wallClock, n.prunedAt, n.edition, n.rulesEdition, n.nextTenant, n.counts = v.Wall, v.CutAt, v.Edition, v.Ruled, v.Turn, v.Counts
+	n.wallClock, n.prunedAt, n.edition, n.rulesEdition, n.nextTenant, n.counts = v.WallClock, v.PrunedAt, v.Edition, v.RulesEdition, v.NextTenant, v.Counts
 	rules, err := checkRules(v.Rules)
 	if err != nil {
 		return err
@@ -77,8 +77,8 @@
 	for i := range v.Tenants {
 		t := &v.Tenants[i]
 		n.tenants[t.Name], n.tenantNames = t, append(n.tenantNames, t.Name)
-		for _, l := range t.Lanes {
-			if l.Below.Count < 0 || l.All.Count < l.Below.Count || l.All.Bytes < l.Below.Bytes {
+		for _, l := range t.Classes {
+			if l.BelowWatermark.Count < 0 || l.All.Count < l.BelowWatermark.Count || l.All.Bytes < l.BelowWatermark.Bytes {
 				return fmt.Errorf("the state of records: the counts of tenant %q: %w", t.Name, ErrInvalid)
 			}
 		}
@@ -123,7 +123,7 @@
 func (s *State) Usage(name string) (all, below [RetentionClasses]Usage) {
 	if t := s.tenants[name]; t != nil {
 		for l := range RetentionClasses {
-			all[l], below[l] = t.Lanes[l].All, t.Lanes[l].Below
+			all[l], below[l] = t.Classes[l].All, t.Classes[l].BelowWatermark
 		}
 	}
 	return all, below
@@ -158,16 +158,16 @@
 			switch o := r.Position(); {
 			case o.Compare(last) <= 0:
 				wrong = append(wrong, fmt.Sprintf("tenant %s: record %s out of order", name, r.ID))
-			case t.isPruned(r) && !s.isHeld(r) && !(t.Sweeping && o.Compare(t.Swept) >= 0):
+			case t.isPruned(r) && !s.isHeld(r) && !(t.Sweeping && o.Compare(t.SweptThrough) >= 0):
 				wrong = append(wrong, fmt.Sprintf("tenant %s: record %s of process %s is back below the mark", name, r.ID, r.Process))
 			}
 			last = r.Position()
 			return len(wrong) < 100
 		}))
 		for l := range RetentionClasses {
-			if k := t.Lanes[l]; (found[l] != k.All || below[l] != k.Below) && len(wrong) < 100 {
+			if k := t.Classes[l]; (found[l] != k.All || below[l] != k.BelowWatermark) && len(wrong) < 100 {
 				wrong = append(wrong, fmt.Sprintf("tenant %s, lane %d: %d records stored and %d of them below the mark, counted %d and %d, sums %x and %x",
-					name, l, found[l].Count, below[l].Count, k.All.Count, k.Below.Count, found[l].Sum, k.All.Sum))
+					name, l, found[l].Count, below[l].Count, k.All.Count, k.BelowWatermark.Count, found[l].Sum, k.All.Sum))
 			}
 		}
 	}
--- a/internal/dispatcher/fleet/records/plan.go
+++ b/internal/dispatcher/fleet/records/plan.go
@@ -10,7 +10,7 @@
 // holds the store for long. It changes nothing. None is needed if it returns false.
 // While there is more to cut than one cut may, each plan begins with another tenant.
 func (s *State) PlanPrune(st Reader, now int64, most int) (c Prune, needed bool, err error) {
-	c = Prune{At: now, Rules: s.rulesEdition, Sweep: most, Turn: s.nextTenant}
+	c = Prune{At: now, RulesEdition: s.rulesEdition, MaxSwept: most, NextTenant: s.nextTenant}
 	for i := range s.holds {
 		needed = needed || s.holds[i].Until != 0 && s.holds[i].Until <= now
 	}
@@ -25,17 +25,17 @@
 				return Prune{}, false, err
 			}
 			rest -= seen
-			if m.Compare(t.Lanes[l].Mark) > 0 {
-				c.Marks = append(c.Marks, Watermark{t.Name, RetentionClass(l), m})
+			if m.Compare(t.Classes[l].Watermark) > 0 {
+				c.Watermarks = append(c.Watermarks, Watermark{t.Name, RetentionClass(l), m})
 			}
 		}
-		c.Turn = s.tenantNames[(from+n+1)%len(s.tenantNames)]
+		c.NextTenant = s.tenantNames[(from+n+1)%len(s.tenantNames)]
 	}
 	for _, t := range s.tenants {
 		needed = needed || t.Sweeping
 	}
-	slices.SortFunc(c.Marks, compareWatermarks)
-	return c, needed || len(c.Marks) > 0, nil
+	slices.SortFunc(c.Watermarks, compareWatermarks)
+	return c, needed || len(c.Watermarks) > 0, nil
 }
 
 func (s *State) rule(name string) Rule {
@@ -49,20 +49,20 @@
 
 // planWatermark walks from the lane's mark over what must go, and returns the mark above that.
 func (s *State) planWatermark(st Reader, t *tenantState, of RetentionClass, limits Limits, now int64, most int) (mark Position, seen int, err error) {
-	l := &t.Lanes[of]
-	mark = l.Mark
+	l := &t.Classes[of]
+	mark = l.Watermark
 	var count, bytes int64 // beyond the bounds
-	if limits.Count > 0 {
-		count = l.All.Count - l.Below.Count - limits.Count
+	if limits.MaxCount > 0 {
+		count = l.All.Count - l.BelowWatermark.Count - limits.MaxCount
 	}
-	if limits.Bytes > 0 {
-		bytes = l.All.Bytes - l.Below.Bytes - limits.Bytes
+	if limits.MaxBytes > 0 {
+		bytes = l.All.Bytes - l.BelowWatermark.Bytes - limits.MaxBytes
 	}
-	if limits.For == 0 && count <= 0 && bytes <= 0 || l.All.Count == l.Below.Count {
+	if limits.MaxAge == 0 && count <= 0 && bytes <= 0 || l.All.Count == l.BelowWatermark.Count {
 		return mark, 0, nil
 	}
-	err = st.Ascend(t.Name, l.Mark, func(r *Record, text []byte) bool {
-		tooOld := limits.For > 0 && r.Ended < now-limits.For
+	err = st.Ascend(t.Name, l.Watermark, func(r *Record, text []byte) bool {
+		tooOld := limits.MaxAge > 0 && r.Ended < now-limits.MaxAge
 		if seen == most || !tooOld && count <= 0 && bytes <= 0 {
 			return false
 		}
--- a/internal/dispatcher/fleet/records/records_test.go
+++ b/internal/dispatcher/fleet/records/records_test.go
@@ -95,9 +95,9 @@
 	for {
 		p, err := r.View().Page(r.shelf, q)
 		require.NoError(t, err)
-		require.LessOrEqual(t, len(p.Records), q.Most)
+		require.LessOrEqual(t, len(p.Records), q.Limit)
 		all = append(all, p.Records...)
-		if q.After = p.Next; q.After == "" {
+		if q.Cursor = p.Next; q.Cursor == "" {
 			return all
 		}
 	}
@@ -130,7 +130,7 @@
 	case Ship:
 		at := fmt.Sprint(c.Process, c.Epoch)
 		for i, r := range c.Records {
-			if seq := c.First + uint64(i); seq > m.through[at] {
+			if seq := c.FirstSeq + uint64(i); seq > m.through[at] {
 				m.through[at] = seq
 				r.Process, r.Epoch, r.Seq = c.Process, c.Epoch, seq
 				m.live[r.Position()] = r
@@ -150,9 +150,9 @@
 	case Prune:
 		m.wall = max(m.wall, c.At)
 		m.expire()
-		for _, k := range c.Marks {
-			if at := fmt.Sprint(k.Tenant, k.Lane); k.Below.Compare(m.marks[at]) > 0 {
-				m.marks[at] = k.Below
+		for _, k := range c.Watermarks {
+			if at := fmt.Sprint(k.Tenant, k.Class); k.Position.Compare(m.marks[at]) > 0 {
+				m.marks[at] = k.Position
 			}
 		}
 	}
@@ -230,14 +230,14 @@
 		require.NoError(t, err)
 		return c, needed
 	}
-	_ = do(SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{For: 150, Count: 9}, Failed: Limits{For: 400, Count: 5}}}})
+	_ = do(SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxAge: 150, MaxCount: 9}, Failed: Limits{MaxAge: 400, MaxCount: 5}}}})
 	ship := func(t *rapid.T) {
 		clock += rapid.Int64Range(0, 60).Draw(t, "time")
 		for range rapid.IntRange(1, 3).Draw(t, "ships") {
 			name := rapid.SampledFrom([]string{"n1", "n2"}).Draw(t, "process")
 			first := model.through[fmt.Sprint(name, epochs[name])] + 1
 			back := rapid.Uint64Range(0, first-1).Draw(t, "sent again") % 4
-			c := Ship{Process: name, Epoch: epochs[name], First: first - back}
+			c := Ship{Process: name, Epoch: epochs[name], FirstSeq: first - back}
 			for range rapid.IntRange(int(back), int(back)+6).Draw(t, "records") {
 				r := Record{ID: fmt.Sprintf("%s-%d", name, rapid.IntRange(0, 20).Draw(t, "id")), Tenant: tenant(), Class: "hold", Outcome: "served"}
 				if rapid.IntRange(0, 2).Draw(t, "failed") == 0 {
@@ -277,7 +277,7 @@
 		"pass":    func(t *rapid.T) { clock += rapid.Int64Range(1, 200).Draw(t, "time") },
 		"rules": func(t *rapid.T) {
 			limit := func() Limits {
-				return Limits{For: rapid.SampledFrom([]int64{0, 100, 400}).Draw(t, "for"), Count: rapid.SampledFrom([]int64{0, 3, 9}).Draw(t, "count"), Bytes: rapid.SampledFrom([]int64{0, 500}).Draw(t, "bytes")}
+				return Limits{MaxAge: rapid.SampledFrom([]int64{0, 100, 400}).Draw(t, "for"), MaxCount: rapid.SampledFrom([]int64{0, 3, 9}).Draw(t, "count"), MaxBytes: rapid.SampledFrom([]int64{0, 500}).Draw(t, "bytes")}
 			}
 			require.NoError(t, do(SetRules{At: clock, Rules: []Rule{{Tenant: tenant(), Keep: limit(), Failed: limit()}, {Tenant: DefaultRuleTenant, Keep: limit()}}}))
 		},
@@ -290,7 +290,7 @@
 		"old cut": func(t *rapid.T) { // which may have been planned long ago, or have been done already
 			if len(planned) > 0 {
 				c := rapid.SampledFrom(planned).Draw(t, "cut")
-				if err := do(c); c.Rules != lead.rulesEdition {
+				if err := do(c); c.RulesEdition != lead.rulesEdition {
 					require.ErrorIs(t, err, ErrStale)
 				}
 			}
@@ -316,7 +316,7 @@
 		},
 		"read on": func(t *rapid.T) {
 			if there == nil {
-				query, read, there = Query{Tenant: tenant(), Most: rapid.IntRange(1, 4).Draw(t, "most"), Last: rapid.Bool().Draw(t, "last")}, nil, map[Position]Record{}
+				query, read, there = Query{Tenant: tenant(), Limit: rapid.IntRange(1, 4).Draw(t, "most"), Descending: rapid.Bool().Draw(t, "last")}, nil, map[Position]Record{}
 				for _, r := range model.of(query.Tenant) {
 					there[r.Position()] = r
 				}
@@ -324,7 +324,7 @@
 			p, err := all[rapid.IntRange(0, 1).Draw(t, "replica")].View().Page(all[1].shelf, query)
 			require.NoError(t, err)
 			read = append(read, p.Records...)
-			if query.After = p.Next; p.Next != "" {
+			if query.Cursor = p.Next; p.Next != "" {
 				return
 			}
 			seen := map[Position]bool{}
@@ -342,8 +342,8 @@
 		"": func(t *rapid.T) {
 			for _, r := range all {
 				for _, name := range names {
-					served := r.pages(t, Query{Tenant: name, Most: 5})
-					back := r.pages(t, Query{Tenant: name, Most: 3, Last: true})
+					served := r.pages(t, Query{Tenant: name, Limit: 5})
+					back := r.pages(t, Query{Tenant: name, Limit: 3, Descending: true})
 					slices.Reverse(back)
 					require.Equal(t, served, back)
 					for _, x := range served {
@@ -385,8 +385,8 @@
 		rule := lead.rule(name)
 		live, below := lead.Usage(name)
 		for l, limits := range []Limits{rule.Keep, rule.Failed} {
-			require.True(t, limits.Count == 0 || live[l].Count-below[l].Count <= limits.Count)
-			require.True(t, limits.Bytes == 0 || live[l].Bytes-below[l].Bytes <= limits.Bytes)
+			require.True(t, limits.MaxCount == 0 || live[l].Count-below[l].Count <= limits.MaxCount)
+			require.True(t, limits.MaxBytes == 0 || live[l].Bytes-below[l].Bytes <= limits.MaxBytes)
 		}
 		require.Len(t, lead.shelf[lead.shelf.find(name, Position{}):lead.shelf.find(name, lastOrder)], len(model.of(name)), "ended holds are swept")
 	}
@@ -401,13 +401,13 @@
 		for i := range 6 {
 			all = append(all, Record{ID: fmt.Sprint("j", i), Tenant: "hrad", Ended: int64(100 + i)})
 		}
-		require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{Count: 2}}}}))
-		require.NoError(t, r.take(t, Ship{Process: "n1", Epoch: 1, First: 1, Records: all}))
+		require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 2}}}}))
+		require.NoError(t, r.take(t, Ship{Process: "n1", Epoch: 1, FirstSeq: 1, Records: all}))
 		return r
 	}
 	ids := func(r *replica) string {
 		var ids []string
-		for _, x := range r.pages(t, Query{Tenant: "hrad", Most: 2}) {
+		for _, x := range r.pages(t, Query{Tenant: "hrad", Limit: 2}) {
 			ids = append(ids, x.ID)
 		}
 		return strings.Join(ids, " ")
@@ -424,7 +424,7 @@
 		for _, c := range strings.Fields(order) {
 			switch c {
 			case "rule":
-				require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{Count: 3}}}}))
+				require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 3}}}}))
 			case "hold":
 				require.NoError(t, r.take(t, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", ID: "j0", Owner: "o", Reason: "r"}}))
 			case "lift":
@@ -435,7 +435,7 @@
 					require.NoError(t, err)
 				}
 				err = r.take(t, stale)
-				require.True(t, err == nil || stale.Rules != r.rulesEdition, "%s: %v", order, err)
+				require.True(t, err == nil || stale.RulesEdition != r.rulesEdition, "%s: %v", order, err)
 			}
 		}
 		require.Equal(t, want, ids(r), order)
@@ -460,7 +460,7 @@
 	good := Hold{Name: "h", Tenant: "hrad", Owner: "o", Reason: "r"}
 	require.NoError(t, r.take(t, SetHold{At: 10, Hold: good}))
 	require.NoError(t, r.take(t, SetHold{At: 10, Hold: good}), "set again")
-	require.NoError(t, r.take(t, Ship{Process: "n1", Incarnation: 2, Epoch: 7, First: 1, Records: []Record{{ID: "a", Tenant: "hrad"}}}))
+	require.NoError(t, r.take(t, Ship{Process: "n1", Incarnation: 2, Epoch: 7, FirstSeq: 1, Records: []Record{{ID: "a", Tenant: "hrad"}}}))
 	with := func(change func(*Hold)) SetHold {
 		h := good
 		change(&h)
@@ -477,29 +477,29 @@
 		{with(func(h *Hold) { h.Name, h.Key = "g", "\xff" }), ErrInvalid},
 		{ReleaseHold{Name: "g"}, ErrNoHold},
 		{SetRules{Rules: []Rule{{Tenant: "a"}, {Tenant: "a"}}}, ErrInvalid},
-		{SetRules{Rules: []Rule{{Tenant: "a", Failed: Limits{Bytes: -1}}}}, ErrInvalid},
-		{Prune{Rules: 9}, ErrStale},
-		{Prune{Marks: []Watermark{{Tenant: "nobody"}}}, ErrInvalid},
-		{Ship{Process: "n1", Incarnation: 1, Epoch: 7, First: 2}, ErrIncarnation},
-		{Ship{Process: "n1", Incarnation: 2, Epoch: 7, First: 3}, ErrGap},
-		{Ship{Process: "n1", Incarnation: 2, Epoch: 8, First: 2}, ErrGap},
-		{Ship{Process: "n\x001", Epoch: 8, First: 1}, ErrInvalid},
+		{SetRules{Rules: []Rule{{Tenant: "a", Failed: Limits{MaxBytes: -1}}}}, ErrInvalid},
+		{Prune{RulesEdition: 9}, ErrStale},
+		{Prune{Watermarks: []Watermark{{Tenant: "nobody"}}}, ErrInvalid},
+		{Ship{Process: "n1", Incarnation: 1, Epoch: 7, FirstSeq: 2}, ErrIncarnation},
+		{Ship{Process: "n1", Incarnation: 2, Epoch: 7, FirstSeq: 3}, ErrGap},
+		{Ship{Process: "n1", Incarnation: 2, Epoch: 8, FirstSeq: 2}, ErrGap},
+		{Ship{Process: "n\x001", Epoch: 8, FirstSeq: 1}, ErrInvalid},
 		{Ship{Process: "n1", Incarnation: 2, Epoch: 8}, ErrInvalid},
-		{Ship{Process: "n1", Incarnation: 2, Epoch: 8, First: 1<<64 - 1, Records: make([]Record, 2)}, ErrInvalid},
+		{Ship{Process: "n1", Incarnation: 2, Epoch: 8, FirstSeq: 1<<64 - 1, Records: make([]Record, 2)}, ErrInvalid},
 	} {
 		require.ErrorIs(t, r.take(t, c.command), c.err, "%+v", c.command)
 	}
-	done, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 3, Epoch: 7, First: 4, Lost: true, Records: []Record{{ID: "\xff", Body: make([]byte, maxRecord)}, {ID: "\xff", Body: []byte{}}}})
+	done, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 3, Epoch: 7, FirstSeq: 4, GapLost: true, Records: []Record{{ID: "\xff", Body: make([]byte, maxRecord)}, {ID: "\xff", Body: []byte{}}}})
 	require.NoError(t, err)
-	require.Equal(t, Shipped{Through: 5, Taken: 1, Missing: 2, TooLarge: 1}, done)
+	require.Equal(t, Shipped{Through: 5, Stored: 1, Missing: 2, TooLarge: 1}, done)
 	for epoch := range uint64(40) { // of a process that starts again and again, the last are remembered
-		_, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 4, Epoch: 100 + epoch, First: 1, Records: []Record{{ID: "b"}}})
+		_, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 4, Epoch: 100 + epoch, FirstSeq: 1, Records: []Record{{ID: "b"}}})
 		require.NoError(t, err)
 	}
-	done, err = r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 4, Epoch: 7, First: 6, Records: []Record{{ID: "c"}}})
+	done, err = r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 4, Epoch: 7, FirstSeq: 6, Records: []Record{{ID: "c"}}})
 	require.NoError(t, err)
-	require.Equal(t, Shipped{Through: 6, Again: 1}, done)
-	_, err = r.View().Page(r.shelf, Query{Tenant: "hrad", After: "AAAA"})
+	require.Equal(t, Shipped{Through: 6, Duplicates: 1}, done)
+	_, err = r.View().Page(r.shelf, Query{Tenant: "hrad", Cursor: "AAAA"})
 	require.ErrorIs(t, err, ErrCursor)
 	x := Trim(Record{Key: strings.Repeat("k", 2000), Members: make([]string, 20), Body: []byte("four")}, 3)
 	require.Equal(t, Record{Key: strings.Repeat("k", maxText), Members: make([]string, maxMembers)}, x)
@@ -510,8 +510,8 @@
 func FuzzDecode(f *testing.F) {
 	r := &replica{State: New()}
 	for _, c := range []any{
-		SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{Count: 2}}}}, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", Owner: "o", Reason: "r"}},
-		Ship{Process: "n1", Epoch: 1, First: 1, Records: []Record{{ID: "a", Tenant: "hrad"}, {ID: "b", Outcome: "failed"}}},
+		SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 2}}}}, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", Owner: "o", Reason: "r"}},
+		Ship{Process: "n1", Epoch: 1, FirstSeq: 1, Records: []Record{{ID: "a", Tenant: "hrad"}, {ID: "b", Outcome: "failed"}}},
 	} {
 		require.NoError(f, r.take(f, c))
 	}
--- a/internal/dispatcher/fleet/records/state.go
+++ b/internal/dispatcher/fleet/records/state.go
@@ -33,26 +33,26 @@
 }
 
 type classState struct {
-	Mark  Position // what is below it is cut, unless held; it never goes back
-	All   Usage
-	Below Usage // of All: below the mark
+	Watermark      Position `cbor:"Mark"` // what is below it is cut, unless held; it never goes back
+	All            Usage
+	BelowWatermark Usage `cbor:"Below"` // of All: below the mark
 }
 
 type tenantState struct {
-	Name     string
-	Lanes    [RetentionClasses]classState
-	Sweeping bool     // a hold has ended: what it alone kept must go
-	Swept    Position // it is gone below this place
+	Name         string
+	Classes      [RetentionClasses]classState `cbor:"Lanes"`
+	Sweeping     bool                         // a hold has ended: what it alone kept must go
+	SweptThrough Position                     `cbor:"Swept"` // it is gone below this place
 }
 
 func (t *tenantState) isPruned(r *Record) bool {
-	return r.Position().Compare(t.Lanes[r.RetentionClass()].Mark) < 0
+	return r.Position().Compare(t.Classes[r.RetentionClass()].Watermark) < 0
 }
 
 // sweepEnd is the place above all that may have to be swept.
 func (t *tenantState) sweepEnd() Position {
-	top := t.Lanes[Ordinary].Mark
-	if m := t.Lanes[Failures].Mark; m.Compare(top) > 0 {
+	top := t.Classes[Ordinary].Watermark
+	if m := t.Classes[Failures].Watermark; m.Compare(top) > 0 {
 		top = m
 	}
 	return top
@@ -143,8 +143,8 @@
 	switch {
 	case c.Process == "" || len(c.Process) > 255 || !isValidText(c.Process) || strings.ContainsRune(c.Process, 0):
 		return done, fmt.Errorf("a process's name %.40q: %w", c.Process, ErrInvalid)
-	case c.First == 0 || c.First+uint64(len(c.Records)) < c.First:
-		return done, fmt.Errorf("records from number %d on: %w", c.First, ErrInvalid)
+	case c.FirstSeq == 0 || c.FirstSeq+uint64(len(c.Records)) < c.FirstSeq:
+		return done, fmt.Errorf("records from number %d on: %w", c.FirstSeq, ErrInvalid)
 	}
 	p := &processState{Name: c.Process}
 	if known := s.processes[c.Process]; known != nil {
@@ -153,24 +153,24 @@
 	if c.Incarnation < p.Incarnation {
 		return done, fmt.Errorf("records of process %s, incarnation %d: %w", c.Process, c.Incarnation, ErrIncarnation)
 	}
-	last := c.First + uint64(len(c.Records)) - 1
+	last := c.FirstSeq + uint64(len(c.Records)) - 1
 	i, known := slices.BinarySearchFunc(p.Epochs, c.Epoch, func(e epochProgress, of uint64) int { return cmp.Compare(e.Epoch, of) })
 	switch {
 	case !known && len(p.Epochs) >= maxEpochs && i == 0, !known && c.Epoch <= p.Forgotten && p.Forgotten > 0:
 		// So many epochs after it were taken in that it is over.
 		p.Incarnation = c.Incarnation
 		s.counts.Again += int64(len(c.Records))
-		return Shipped{Through: last, Again: len(c.Records)}, nil
+		return Shipped{Through: last, Duplicates: len(c.Records)}, nil
 	case known:
 		done.Through = p.Epochs[i].Through
 	}
-	if c.First > done.Through+1 && !c.Lost {
-		return done, fmt.Errorf("process %s, epoch %d: records from %d on, and taken in up to %d: %w", c.Process, c.Epoch, c.First, done.Through, ErrGap)
+	if c.FirstSeq > done.Through+1 && !c.GapLost {
+		return done, fmt.Errorf("process %s, epoch %d: records from %d on, and taken in up to %d: %w", c.Process, c.Epoch, c.FirstSeq, done.Through, ErrGap)
 	}
 	for n := range c.Records {
-		seq := c.First + uint64(n)
+		seq := c.FirstSeq + uint64(n)
 		if seq <= done.Through {
-			done.Again++
+			done.Duplicates++
 			continue
 		}
 		r := Trim(c.Records[n], len(c.Records[n].Body))
@@ -184,21 +184,21 @@
 		t := s.tenant(r.Tenant)
 		below := t.isPruned(&r)
 		if below && !s.isHeld(&r) && !faultResurrectPruned {
-			done.Below++
+			done.AlreadyPruned++
 			continue
 		}
 		if err := st.Put(&r, text); err != nil {
 			return done, errors.Join(ErrStore, err)
 		}
-		done.Taken++
-		l := &t.Lanes[r.RetentionClass()]
+		done.Stored++
+		l := &t.Classes[r.RetentionClass()]
 		l.All.add(text)
 		if below {
-			l.Below.add(text)
+			l.BelowWatermark.add(text)
 		}
 	}
-	if c.First > done.Through+1 {
-		done.Missing = c.First - done.Through - 1
+	if c.FirstSeq > done.Through+1 {
+		done.Missing = c.FirstSeq - done.Through - 1
 	}
 	done.Through = max(done.Through, last)
 	s.processes[p.Name] = p
@@ -212,9 +212,9 @@
 		p.Epochs = slices.Delete(p.Epochs, 0, 1)
 	}
 	p.Incarnation = c.Incarnation
-	s.counts.Taken += int64(done.Taken)
-	s.counts.Again += int64(done.Again)
-	s.counts.Below += int64(done.Below)
+	s.counts.Taken += int64(done.Stored)
+	s.counts.Again += int64(done.Duplicates)
+	s.counts.Below += int64(done.AlreadyPruned)
 	s.counts.TooLarge += int64(done.TooLarge)
 	s.counts.Missing += done.Missing
 	return done, nil
@@ -241,7 +241,7 @@
 // scheduleSweep has what a hold kept looked through.
 func (s *State) scheduleSweep(h *Hold) {
 	if t := s.tenants[h.Tenant]; t != nil {
-		t.Sweeping, t.Swept = true, Position{}
+		t.Sweeping, t.SweptThrough = true, Position{}
 	}
 }
 
@@ -313,31 +313,31 @@
 // Prune removes what is below its marks and not held, and goes on with what ended
 // holds have kept. ErrStale means that the rules were changed since it was planned.
 func (s *State) Prune(at time.Duration, st Store, c Prune) (done Pruned, err error) {
-	if c.Rules != s.rulesEdition {
+	if c.RulesEdition != s.rulesEdition {
 		return done, fmt.Errorf("a cut: %w", ErrStale)
 	}
-	for _, m := range c.Marks {
-		if m.Lane >= RetentionClasses || s.tenants[m.Tenant] == nil {
+	for _, m := range c.Watermarks {
+		if m.Class >= RetentionClasses || s.tenants[m.Tenant] == nil {
 			return done, fmt.Errorf("a mark of tenant %.40q: %w", m.Tenant, ErrInvalid)
 		}
 	}
 	s.beginEdition(c.At)
-	s.prunedAt, s.nextTenant = max(s.prunedAt, at), c.Turn
+	s.prunedAt, s.nextTenant = max(s.prunedAt, at), c.NextTenant
 	s.expireHolds()
-	for _, m := range c.Marks {
+	for _, m := range c.Watermarks {
 		t := s.tenants[m.Tenant]
-		l := &t.Lanes[m.Lane]
-		if m.Below.Compare(l.Mark) <= 0 {
+		l := &t.Classes[m.Class]
+		if m.Position.Compare(l.Watermark) <= 0 {
 			continue // a mark never goes back
 		}
 		var gone []Record
-		err := st.Ascend(t.Name, l.Mark, func(r *Record, text []byte) bool {
+		err := st.Ascend(t.Name, l.Watermark, func(r *Record, text []byte) bool {
 			switch {
-			case r.Position().Compare(m.Below) >= 0:
+			case r.Position().Compare(m.Position) >= 0:
 				return false
-			case r.RetentionClass() != m.Lane:
+			case r.RetentionClass() != m.Class:
 			case s.isHeld(r):
-				l.Below.add(text)
+				l.BelowWatermark.add(text)
 				done.Held++
 			default:
 				l.All.remove(text)
@@ -352,10 +352,10 @@
 			return done, errors.Join(ErrStore, err)
 		}
 		done.Removed += len(gone)
-		l.Mark = m.Below
+		l.Watermark = m.Position
 	}
 	s.counts.Cut += int64(done.Removed)
-	rest := max(c.Sweep, 0)
+	rest := max(c.MaxSwept, 0)
 	for _, name := range s.tenantNames {
 		t := s.tenants[name]
 		if !t.Sweeping || rest == 0 {
@@ -387,7 +387,7 @@
 func (s *State) sweep(st Store, t *tenantState, most int) (seen int, err error) {
 	var gone []Record
 	top, done := t.sweepEnd(), true
-	err = st.Ascend(t.Name, t.Swept, func(r *Record, text []byte) bool {
+	err = st.Ascend(t.Name, t.SweptThrough, func(r *Record, text []byte) bool {
 		if r.Position().Compare(top) >= 0 {
 			return false
 		}
@@ -396,11 +396,11 @@
 			return false
 		}
 		seen++
-		t.Swept = r.Position().next()
+		t.SweptThrough = r.Position().next()
 		if t.isPruned(r) && !s.isHeld(r) {
-			l := &t.Lanes[r.RetentionClass()]
+			l := &t.Classes[r.RetentionClass()]
 			l.All.remove(text)
-			l.Below.remove(text)
+			l.BelowWatermark.remove(text)
 			gone = append(gone, *r)
 		}
 		return true
@@ -413,7 +413,7 @@
 	}
 	s.counts.Swept += int64(len(gone))
 	if done {
-		t.Sweeping, t.Swept = false, Position{}
+		t.Sweeping, t.SweptThrough = false, Position{}
 	}
 	return seen, nil
 }
--- a/internal/dispatcher/fleet/records/view.go
+++ b/internal/dispatcher/fleet/records/view.go
@@ -13,8 +13,8 @@
 // has been given since: it is kept apart from that. A replica whose state is older
 // serves nothing that is below the fence's marks.
 type Fence struct {
-	Edition uint64      // commands other than Ship
-	Marks   []Watermark // sorted; all that there are
+	Edition    uint64      // commands other than Ship
+	Watermarks []Watermark `cbor:"Marks"` // sorted; all that there are
 }
 
 // View is an immutable picture of what decides which records are served. A read of
@@ -32,8 +32,8 @@
 	f := Fence{Edition: s.edition}
 	for _, name := range s.tenantNames {
 		for l := range RetentionClasses {
-			if m := s.tenants[name].Lanes[l].Mark; m != (Position{}) {
-				f.Marks = append(f.Marks, Watermark{name, l, m})
+			if m := s.tenants[name].Classes[l].Watermark; m != (Position{}) {
+				f.Watermarks = append(f.Watermarks, Watermark{name, l, m})
 			}
 		}
 	}
@@ -53,9 +53,9 @@
 	if s.view != nil {
 		return s.view
 	}
-	v := &View{edition: s.edition, watermarks: watermarksByTenant(s.Fence().Marks), holds: slices.Clone(s.holds)}
+	v := &View{edition: s.edition, watermarks: watermarksByTenant(s.Fence().Watermarks), holds: slices.Clone(s.holds)}
 	if s.fence.Edition > s.edition {
-		v.fence, v.missing = watermarksByTenant(s.fence.Marks), s.fence.Edition-s.edition
+		v.fence, v.missing = watermarksByTenant(s.fence.Watermarks), s.fence.Edition-s.edition
 	}
 	s.view = v
 	return v
@@ -64,9 +64,9 @@
 func watermarksByTenant(marks []Watermark) map[string][RetentionClasses]Position {
 	m := make(map[string][RetentionClasses]Position)
 	for _, k := range marks {
-		if k.Lane < RetentionClasses {
+		if k.Class < RetentionClasses {
 			lanes := m[k.Tenant]
-			lanes[k.Lane] = k.Below
+			lanes[k.Class] = k.Position
 			m[k.Tenant] = lanes
 		}
 	}
@@ -100,11 +100,11 @@
 
 // Query asks for a tenant's records by the time of their end.
 type Query struct {
-	Tenant   string
-	From, To int64  // nanoseconds since 1970: From or later, and before To; To 0: no bound
-	Last     bool   // the last first
-	After    string // what the page before gave as Next; empty: from the beginning
-	Most     int    // records, and at least 1
+	Tenant     string
+	From, To   int64  // nanoseconds since 1970: From or later, and before To; To 0: no bound
+	Descending bool   `cbor:"Last"`  // the last first
+	Cursor     string `cbor:"After"` // what the page before gave as Next; empty: from the beginning
+	Limit      int    `cbor:"Most"`  // records, and at least 1
 }
 
 // Page is a part of an answer.
@@ -134,15 +134,15 @@
 func (v *View) Page(st Reader, q Query) (p Page, err error) {
 	p.Missing = v.missing
 	first, end := Position{Ended: q.From}, Position{Ended: q.To}
-	if q.After != "" {
+	if q.Cursor != "" {
 		c, err := q.place()
 		if err != nil {
 			return p, err
 		}
 		switch {
-		case !q.Last && c.Compare(first) > 0:
+		case !q.Descending && c.Compare(first) > 0:
 			first = c
-		case q.Last && (q.To == 0 || c.Compare(end) < 0):
+		case q.Descending && (q.To == 0 || c.Compare(end) < 0):
 			end = c
 		}
 	}
@@ -151,14 +151,14 @@
 	yield := func(r *Record, _ []byte) bool {
 		o := r.Position()
 		switch {
-		case !q.Last && q.To != 0 && o.Compare(end) >= 0, q.Last && o.Compare(first) < 0:
+		case !q.Descending && q.To != 0 && o.Compare(end) >= 0, q.Descending && o.Compare(first) < 0:
 			return false
-		case len(p.Records) >= max(q.Most, 1) || seen == maxScanned:
+		case len(p.Records) >= max(q.Limit, 1) || seen == maxScanned:
 			more = true
 			return false
 		}
 		seen++
-		if next = o; !q.Last {
+		if next = o; !q.Descending {
 			next = o.next()
 		}
 		if v.isServed(r) {
@@ -167,9 +167,9 @@
 		return true
 	}
 	switch {
-	case !q.Last:
+	case !q.Descending:
 		err = st.Ascend(q.Tenant, first, yield)
-	case q.To == 0 && q.After == "":
+	case q.To == 0 && q.Cursor == "":
 		err = st.Descend(q.Tenant, lastOrder, yield)
 	default:
 		err = st.Descend(q.Tenant, end, yield)
@@ -177,7 +177,7 @@
 	if err != nil || !more {
 		return p, err
 	}
-	text, err := codec.Encode(cursor{Tenant: q.Tenant, Last: q.Last, At: next})
+	text, err := codec.Encode(cursor{Tenant: q.Tenant, Last: q.Descending, At: next})
 	p.Next = base64.RawURLEncoding.EncodeToString(text)
 	return p, err
 }
@@ -186,13 +186,13 @@
 var lastOrder = Position{1<<63 - 1, "\xff", 1<<64 - 1, 1<<64 - 1}
 
 func (q *Query) place() (Position, error) {
-	text, err := base64.RawURLEncoding.DecodeString(q.After)
+	text, err := base64.RawURLEncoding.DecodeString(q.Cursor)
 	if err != nil {
 		return Position{}, ErrCursor
 	}
 	var c cursor
-	if err := codec.Decode(text, &c); err != nil || c.Tenant != q.Tenant || c.Last != q.Last {
-		return Position{}, fmt.Errorf("%.80q: %w", q.After, ErrCursor)
+	if err := codec.Decode(text, &c); err != nil || c.Tenant != q.Tenant || c.Last != q.Descending {
+		return Position{}, fmt.Errorf("%.80q: %w", q.Cursor, ErrCursor)
 	}
 	return c.At, nil
 }
--- a/internal/dispatcher/fleet/recordstore/golden_test.go
+++ b/internal/dispatcher/fleet/recordstore/golden_test.go
@@ -15,9 +15,9 @@
 // to the same bytes. It must never be rewritten by later code.
 func TestGoldenFence(t *testing.T) {
 	golden := filepath.Join("testdata", "golden", "fence")
-	known := records.Fence{Edition: 17, Marks: []records.Watermark{
-		{Tenant: "hrad-kamenec", Lane: records.Failures, Below: records.Position{Ended: 1_780_000_000_000_000_000, Process: "n1", Epoch: 70, Seq: 9}},
-		{Tenant: "zelena-hora", Lane: records.Ordinary, Below: records.Position{Ended: 1_780_000_000_000_000_001, Process: "n2", Epoch: 71, Seq: 1}},
+	known := records.Fence{Edition: 17, Watermarks: []records.Watermark{
+		{Tenant: "hrad-kamenec", Class: records.Failures, Position: records.Position{Ended: 1_780_000_000_000_000_000, Process: "n1", Epoch: 70, Seq: 9}},
+		{Tenant: "zelena-hora", Class: records.Ordinary, Position: records.Position{Ended: 1_780_000_000_000_000_001, Process: "n2", Epoch: 71, Seq: 1}},
 	}}
 	folder := t.TempDir()
 	require.NoError(t, SaveFence(folder, "fleet", known))
--- a/internal/dispatcher/fleet/recordstore/store_test.go
+++ b/internal/dispatcher/fleet/recordstore/store_test.go
@@ -23,7 +23,7 @@
 // fill ships n records of three tenants, with equal times, ids that come again and
 // names of tenants that begin alike.
 func fill(t testing.TB, s *Store, st *records.State, n int) {
-	c := records.Ship{Process: "n1", Epoch: 1, First: 1}
+	c := records.Ship{Process: "n1", Epoch: 1, FirstSeq: 1}
 	for i := range n {
 		c.Records = append(c.Records, records.Record{
 			ID: fmt.Sprint("j", i%50), Tenant: []string{"h", "hr", "hrad"}[i%3], Outcome: []string{"served", "failed"}[i%2], Ended: int64(1000 - i/4),
@@ -40,11 +40,11 @@
 	require.NoError(t, s.View(func(in records.Reader) error {
 		for _, name := range st.Tenants() {
 			for _, last := range []bool{false, true} {
-				for q := (records.Query{Tenant: name, Most: 7, Last: last}); ; {
+				for q := (records.Query{Tenant: name, Limit: 7, Descending: last}); ; {
 					p, err := st.View().Page(in, q)
 					require.NoError(t, err)
 					all = append(all, p.Records...)
-					if q.After = p.Next; q.After == "" {
+					if q.Cursor = p.Next; q.Cursor == "" {
 						break
 					}
 				}
@@ -70,7 +70,7 @@
 	snap, err := s.Snapshot(small)
 	require.NoError(t, err)
 	// The store goes on, and the snapshot does not see it.
-	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{Count: 1}}}}))
+	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: 1}}}}))
 	require.NoError(t, s.Update(9, func(in records.Store) error {
 		c, needed, err := st.PlanPrune(in, 0, 1000)
 		require.True(t, needed)
@@ -149,7 +149,7 @@
 	require.NoError(t, err)
 	require.Zero(t, index)
 
-	f := records.Fence{Edition: 3, Marks: []records.Watermark{{Tenant: "h", Lane: 1, Below: records.Position{Ended: 5, Process: "n1"}}}}
+	f := records.Fence{Edition: 3, Watermarks: []records.Watermark{{Tenant: "h", Class: 1, Position: records.Position{Ended: 5, Process: "n1"}}}}
 	got, err := LoadFence(folder, "f1")
 	require.NoError(t, err)
 	require.Zero(t, got)
--- a/internal/dispatcher/fleet/recordstore/study_test.go
+++ b/internal/dispatcher/fleet/recordstore/study_test.go
@@ -32,7 +32,7 @@
 	const batch = 1000
 	before, begun := memory(), time.Now()
 	for first := 0; first < n; first += batch {
-		c := records.Ship{Process: fmt.Sprint("n", first/batch%5), Epoch: 1, First: uint64(first/batch/5*batch) + 1}
+		c := records.Ship{Process: fmt.Sprint("n", first/batch%5), Epoch: 1, FirstSeq: uint64(first/batch/5*batch) + 1}
 		for i := first; i < first+batch; i++ {
 			outcome, reason := "served", "answered"
 			if i%20 == 0 {
@@ -72,7 +72,7 @@
 	require.NoError(t, err)
 	t.Logf("an empty replica: snapshot of %.0f MB and %d bytes written in %v, restored in %v", float64(size)/1e6, len(small), written.Round(time.Millisecond), time.Since(begun).Round(time.Millisecond))
 
-	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{Count: int64(n / 200)}}}}))
+	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: int64(n / 200)}}}}))
 	for _, most := range []int{1000, 10000} {
 		var planned, cut []time.Duration
 		removed := 0
--- a/internal/dispatcher/fleet/rpc/call.go
+++ b/internal/dispatcher/fleet/rpc/call.go
@@ -60,14 +60,14 @@
 
 // NodeStatus is what a keeper says of itself.
 type NodeStatus struct {
-	Name    string
-	Empty   bool              // it has no state, and has founded none
-	Founded bool              // the fleet has applied a command, as far as this one knows
-	Leads   bool              // it leads
-	Boots   map[string]uint64 // how often each keeper is known to have started
-	Differs []string          // parts in which its state is not the others'; it serves nothing then
-	Index   uint64
-	At      time.Duration
+	Name                string
+	Empty               bool              // it has no state, and has founded none
+	Bootstrapped        bool              `cbor:"Founded"` // the fleet has applied a command, as far as this one knows
+	IsLeader            bool              `cbor:"Leads"`   // it leads
+	BootCounts          map[string]uint64 `cbor:"Boots"`   // how often each keeper is known to have started
+	DivergentPartitions []string          `cbor:"Differs"` // parts in which its state is not the others'; it serves nothing then
+	Index               uint64
+	At                  time.Duration
 }
 
 // ErrUnavailable says that no keeper answered in time. The command may have been carried
@@ -103,7 +103,7 @@
 
 // Do has a command carried out. Its error is ErrNobody, the context's, or the reply's.
 func (c *Client) Do(ctx context.Context, cmd state.Command) (state.Reply, error) {
-	cmd.V = state.Version
+	cmd.Version = state.Version
 	text, err := codec.Encode(cmd)
 	if err != nil {
 		return state.Reply{}, err
--- a/internal/dispatcher/fleet/spool/golden_test.go
+++ b/internal/dispatcher/fleet/spool/golden_test.go
@@ -62,7 +62,7 @@
 	ship := func(_ context.Context, s records.Ship) (uint64, error) {
 		require.Equal(t, "n1", s.Process)
 		require.EqualValues(t, 70, s.Epoch)
-		require.EqualValues(t, len(shipped)+1, s.First)
+		require.EqualValues(t, len(shipped)+1, s.FirstSeq)
 		shipped = append(shipped, s.Records...)
 		return uint64(len(shipped)), nil
 	}
--- a/internal/dispatcher/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -93,9 +93,9 @@
 		if err != nil {
 			return ship, 0, fmt.Errorf("reading the spool: %w", err)
 		}
-		ship = records.Ship{Process: p.settings.Process, Epoch: g.epoch, First: g.shippedThrough + 1, Lost: s.gapBefore}
+		ship = records.Ship{Process: p.settings.Process, Epoch: g.epoch, FirstSeq: g.shippedThrough + 1, GapLost: s.gapBefore}
 		found, err := scanSegment(text[:min(int64(len(text)), g.size)], func(first uint64, texts [][]byte) error {
-			if skip := ship.First - first; first < ship.First {
+			if skip := ship.FirstSeq - first; first < ship.FirstSeq {
 				texts = texts[min(skip, uint64(len(texts))):]
 			}
 			all, err := decodeRecords(texts)
@@ -111,13 +111,13 @@
 			return ship, 0, fmt.Errorf("reading the spool: %w", err)
 		}
 		if len(ship.Records) == 0 { // it was sound when it was written or found
-			p.log.WithError(found.Err).Errorf("%s of the spool of records can't be read any more: %d records are lost", g.name, g.next-ship.First)
-			p.lost.Add(int64(g.next - ship.First))
+			p.log.WithError(found.Err).Errorf("%s of the spool of records can't be read any more: %d records are lost", g.name, g.next-ship.FirstSeq)
+			p.lost.Add(int64(g.next - ship.FirstSeq))
 			s.gapBefore = true
 			s.shippedThrough[g.epoch] = max(s.shippedThrough[g.epoch], g.next-1)
 			continue
 		}
-		return ship, ship.First + uint64(len(ship.Records)) - 1, nil
+		return ship, ship.FirstSeq + uint64(len(ship.Records)) - 1, nil
 	}
 }
 
@@ -129,11 +129,11 @@
 	case errors.Is(err, records.ErrGap):
 		p.mu.Lock()
 		first := p.segments[0].first
-		if through+1 >= first && through+1 < ship.First { // it is still here
+		if through+1 >= first && through+1 < ship.FirstSeq { // it is still here
 			p.segments[0].shippedThrough, s.shippedThrough[ship.Epoch] = through, through
 		} else {
 			s.gapBefore = true
-			p.lost.Add(int64(ship.First - 1 - min(through, ship.First-1)))
+			p.lost.Add(int64(ship.FirstSeq - 1 - min(through, ship.FirstSeq-1)))
 		}
 		p.mu.Unlock()
 		return err
@@ -146,7 +146,7 @@
 		p.log.Info("records are shipped to the fleet again")
 	}
 	s.gapBefore, s.failureLogged = false, false
-	p.shipped.Add(int64(last + 1 - ship.First))
+	p.shipped.Add(int64(last + 1 - ship.FirstSeq))
 	s.shippedThrough[ship.Epoch] = through
 	return nil
 }
--- a/internal/dispatcher/fleet/state/members.go
+++ b/internal/dispatcher/fleet/state/members.go
@@ -45,7 +45,7 @@
 		}
 		m.endIncarnation(m.members[i], Replaced)
 	}
-	who := &Member{Process: b.Process, Nonce: b.Nonce, Version: b.Version, Incarnation: index, Since: m.now, Until: m.now + m.settings.Lease}
+	who := &Member{Process: b.Process, Nonce: b.Nonce, Version: b.Version, Incarnation: index, JoinedAt: m.now, LeaseEnd: m.now + m.settings.Lease}
 	i, _ := m.findMember(b.Process)
 	m.members = slices.Insert(m.members, i, who)
 	return encodedReply(JoinReply{index, m.settings.Lease})
@@ -56,7 +56,7 @@
 	if err := codec.Decode(c.Body, &b); err != nil {
 		return Reply{Code: Bad, Text: err.Error()}
 	}
-	who.Until = m.now + m.settings.Lease
+	who.LeaseEnd = m.now + m.settings.Lease
 	r := RenewReply{Lease: m.settings.Lease, Members: len(m.members), Parts: map[string][]byte{}, Refused: map[string]string{}}
 	for _, p := range m.partitions {
 		body, told := b.Parts[p.Name()]
@@ -170,8 +170,8 @@
 
 // digestReports is what replicas told of one index.
 type digestReports struct {
-	Index uint64
-	Told  []replicaDigests // by replica
+	Index    uint64
+	Replicas []replicaDigests `cbor:"Told"` // by replica
 }
 
 type replicaDigests struct {
@@ -191,11 +191,11 @@
 	case b.Index > m.digests.Index:
 		m.digests = digestReports{Index: b.Index}
 	}
-	i, ok := slices.BinarySearchFunc(m.digests.Told, b.Replica, func(t replicaDigests, name string) int { return strings.Compare(t.Replica, name) })
+	i, ok := slices.BinarySearchFunc(m.digests.Replicas, b.Replica, func(t replicaDigests, name string) int { return strings.Compare(t.Replica, name) })
 	if !ok {
-		m.digests.Told = slices.Insert(m.digests.Told, i, replicaDigests{Replica: b.Replica})
+		m.digests.Replicas = slices.Insert(m.digests.Replicas, i, replicaDigests{Replica: b.Replica})
 	}
-	m.digests.Told[i].Parts = b.Parts
+	m.digests.Replicas[i].Parts = b.Parts
 	return Reply{}
 }
 
@@ -203,7 +203,7 @@
 // voters found for the same index; empty: in none that is known.
 func (m *Machine) DivergentPartitions(replica string, voters int) []string {
 	var own map[string]uint64
-	for _, t := range m.digests.Told {
+	for _, t := range m.digests.Replicas {
 		if t.Replica == replica {
 			own = t.Parts
 		}
@@ -211,7 +211,7 @@
 	var differs []string
 	for name, sum := range own {
 		alike := map[uint64]int{}
-		for _, t := range m.digests.Told {
+		for _, t := range m.digests.Replicas {
 			alike[t.Parts[name]]++
 		}
 		for other, n := range alike {
--- a/internal/dispatcher/fleet/state/snapshot.go
+++ b/internal/dispatcher/fleet/state/snapshot.go
@@ -21,19 +21,19 @@
 
 // storedMachine is what the machine itself has in a snapshot.
 type storedMachine struct {
-	V       uint8
-	Set     settingsInForce
-	At      time.Duration
-	Index   uint64
-	Members []*Member
-	Sums    digestReports
-	Boots   []bootCount
-	Parts   []string // which follow, in this order
+	Version  uint8           `cbor:"V"`
+	Settings settingsInForce `cbor:"Set"`
+	Now      time.Duration   `cbor:"At"`
+	Index    uint64
+	Members  []*Member
+	Digests  digestReports `cbor:"Sums"`
+	Boots    []bootCount
+	Parts    []string // which follow, in this order
 }
 
 // encodeMembership encodes what the machine itself keeps.
 func (m *Machine) encodeMembership() ([]byte, error) {
-	k := storedMachine{V: Version, Set: m.settings, At: m.now, Index: m.index, Members: m.members, Sums: m.digests, Boots: m.boots}
+	k := storedMachine{Version: Version, Settings: m.settings, Now: m.now, Index: m.index, Members: m.members, Digests: m.digests, Boots: m.boots}
 	for _, p := range m.partitions {
 		k.Parts = append(k.Parts, p.Name())
 	}
@@ -112,8 +112,8 @@
 	if err := codec.Decode(text, &k); err != nil {
 		return fmt.Errorf("%w: %w", ErrForeign, err)
 	}
-	if k.V != Version || len(k.Parts) != len(m.partitions) {
-		return fmt.Errorf("%w: version %d with %d parts", ErrForeign, k.V, len(k.Parts))
+	if k.Version != Version || len(k.Parts) != len(m.partitions) {
+		return fmt.Errorf("%w: version %d with %d parts", ErrForeign, k.Version, len(k.Parts))
 	}
 	for i, p := range m.partitions {
 		if p.Name() != k.Parts[i] {
@@ -129,7 +129,7 @@
 			return fmt.Errorf("thawing %s: %w", p.Name(), err)
 		}
 	}
-	m.settings, m.now, m.index, m.members, m.digests, m.boots = k.Set, k.At, k.Index, k.Members, k.Sums, k.Boots
+	m.settings, m.now, m.index, m.members, m.digests, m.boots = k.Settings, k.Now, k.Index, k.Members, k.Digests, k.Boots
 	return nil
 }
 
--- a/internal/dispatcher/fleet/state/state.go
+++ b/internal/dispatcher/fleet/state/state.go
@@ -22,7 +22,7 @@
 
 // Command is one entry of the log.
 type Command struct {
-	V           uint8
+	Version     uint8         `cbor:"V"`
 	At          time.Duration // fleet time at which it counts; the leader sets it
 	Process     string        // who asks; empty: the keepers themselves
 	Incarnation uint64        // the fencing number that its join gave it
@@ -136,14 +136,14 @@
 
 // Member is a process of the fleet.
 type Member struct {
-	Process     string
-	Incarnation uint64
-	Nonce       string            // of the start that joined
-	Since       time.Duration     // fleet time of the join
-	Until       time.Duration     // its lease ends then
-	Version     string            // of the program
-	Floor       uint64            // commands up to this one are answered, and forgotten
-	Answers     []rememberedReply // above it, in order
+	Process         string
+	Incarnation     uint64
+	Nonce           string            // of the start that joined
+	JoinedAt        time.Duration     `cbor:"Since"` // fleet time of the join
+	LeaseEnd        time.Duration     `cbor:"Until"` // its lease ends then
+	Version         string            // of the program
+	AnsweredThrough uint64            `cbor:"Floor"`   // commands up to this one are answered, and forgotten
+	Replies         []rememberedReply `cbor:"Answers"` // above it, in order
 }
 
 type rememberedReply struct {
@@ -189,8 +189,8 @@
 	if err := codec.Decode(text, &c); err != nil {
 		return c, fmt.Errorf("%w: %w", ErrBad, err)
 	}
-	if c.V != Version {
-		return c, fmt.Errorf("%w: version %d, this program reads %d", ErrBad, c.V, Version)
+	if c.Version != Version {
+		return c, fmt.Errorf("%w: version %d, this program reads %d", ErrBad, c.Version, Version)
 	}
 	return c, nil
 }
@@ -273,7 +273,7 @@
 // parts do what falls due.
 func (m *Machine) advance() {
 	for i := 0; i < len(m.members); {
-		if who := m.members[i]; who.Until <= m.now {
+		if who := m.members[i]; who.LeaseEnd <= m.now {
 			m.endIncarnation(who, Expired)
 			continue
 		}
@@ -307,26 +307,26 @@
 }
 
 func (x *Member) rememberedReply(seq uint64) (Reply, bool) {
-	i, ok := slices.BinarySearchFunc(x.Answers, seq, func(a rememberedReply, s uint64) int { return int(int64(a.Seq - s)) })
+	i, ok := slices.BinarySearchFunc(x.Replies, seq, func(a rememberedReply, s uint64) int { return int(int64(a.Seq - s)) })
 	switch {
 	case ok:
-		return x.Answers[i].Reply, true
-	case seq <= x.Floor: // a late copy that nobody waits for
+		return x.Replies[i].Reply, true
+	case seq <= x.AnsweredThrough: // a late copy that nobody waits for
 		return Reply{Code: Refused, Text: "answered before"}, true
 	}
 	return Reply{}, false
 }
 
 func (x *Member) rememberReply(c Command, r Reply) {
-	i, _ := slices.BinarySearchFunc(x.Answers, c.Seq, func(a rememberedReply, s uint64) int { return int(int64(a.Seq - s)) })
-	x.Answers = slices.Insert(x.Answers, i, rememberedReply{c.Seq, r})
-	x.Floor = max(x.Floor, c.Acked)
+	i, _ := slices.BinarySearchFunc(x.Replies, c.Seq, func(a rememberedReply, s uint64) int { return int(int64(a.Seq - s)) })
+	x.Replies = slices.Insert(x.Replies, i, rememberedReply{c.Seq, r})
+	x.AnsweredThrough = max(x.AnsweredThrough, c.Acked)
 	from := 0
-	for from < len(x.Answers) && (x.Answers[from].Seq <= x.Floor || len(x.Answers)-from > maxRememberedReplies) {
-		x.Floor = max(x.Floor, x.Answers[from].Seq)
+	for from < len(x.Replies) && (x.Replies[from].Seq <= x.AnsweredThrough || len(x.Replies)-from > maxRememberedReplies) {
+		x.AnsweredThrough = max(x.AnsweredThrough, x.Replies[from].Seq)
 		from++
 	}
-	x.Answers = slices.Delete(x.Answers, 0, from)
+	x.Replies = slices.Delete(x.Replies, 0, from)
 }
 
 // Queryable is a part that answers queries, of kinds that begin with its name and a
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -84,7 +84,7 @@
 }
 
 func (l *log) apply(c Command, body any) Reply {
-	c.V = Version
+	c.Version = Version
 	if body != nil {
 		text, err := codec.Encode(body)
 		require.NoError(l.t, err)
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -212,7 +212,7 @@
 	budgets := budget.Config{Lease: f.Lease}
 	for _, b := range f.Budgets {
 		one := budget.Budget{
-			Name: b.Key(), Kind: budget.Rate, Whole: b.Whole, Burst: b.Burst, Floor: b.Floor, Floors: b.Floors, FloorFor: b.FloorFor, Linger: b.Linger, Weights: b.Weights,
+			Name: b.Key(), Kind: budget.Rate, Total: b.Whole, Burst: b.Burst, Floor: b.Floor, FloorSlots: b.Floors, FloorDuration: b.FloorFor, SettleTime: b.Linger, Weights: b.Weights,
 		}
 		switch b.Of {
 		case settings.BudgetUnderWay:
--- a/internal/dispatcher/server/golden_test.go
+++ b/internal/dispatcher/server/golden_test.go
@@ -45,7 +45,7 @@
 		Run: "a", Plan: "b", Attempts: 2, Results: []planrun.Results{{Stage: "c", Items: [][]byte{[]byte(`{"d":1}`), nil, []byte("no json")}}},
 	})))
 	require.Equal(t, `{"run":"a","plan":"b","outcome":"may have run","attempts":2,"stage":"c","end":"late","reason":"d","left":["e"],"results_cut":true}`, string(answerText(&planrun.Answer{
-		Run: "a", Plan: "b", Attempts: 2, Outcome: planrun.Unknown, Stage: "c", End: plan.Late, Reason: "d", Left: []string{"e"}, Cut: true,
+		Run: "a", Plan: "b", Attempts: 2, Outcome: planrun.Unknown, Stage: "c", End: plan.Late, Reason: "d", StagesWithEffects: []string{"e"}, ResultsOmitted: true,
 	})))
 	for outcome, word := range map[planrun.Outcome]string{planrun.Served: "served", planrun.Refused: "refused", planrun.Failed: "failed", planrun.Unknown: "may have run"} {
 		require.Equal(t, word, outcome.String())
--- a/internal/dispatcher/server/plans.go
+++ b/internal/dispatcher/server/plans.go
@@ -181,9 +181,9 @@
 			o.Set(f[0], arena.NewString(f[1]))
 		}
 	}
-	if len(a.Left) > 0 {
+	if len(a.StagesWithEffects) > 0 {
 		left := arena.NewArray()
-		for i, name := range a.Left {
+		for i, name := range a.StagesWithEffects {
 			left.SetArrayItem(i, arena.NewString(name))
 		}
 		o.Set("left", left)
@@ -204,7 +204,7 @@
 		}
 		results.Set(r.Stage, items)
 	}
-	if a.Cut {
+	if a.ResultsOmitted {
 		o.Set("results_cut", arena.NewTrue())
 	} else {
 		o.Set("results", results)
--- a/internal/dispatcher/server/plans_test.go
+++ b/internal/dispatcher/server/plans_test.go
@@ -10,7 +10,7 @@
 
 // TestAnswerText: a final answer is the same text whoever is asked, and how often.
 func TestAnswerText(t *testing.T) {
-	a := &planrun.Answer{Run: "r", Plan: "booking", Stage: "ticket", End: "may_have_run", Reason: "its coordinator died", Left: []string{"ticket"}}
+	a := &planrun.Answer{Run: "r", Plan: "booking", Stage: "ticket", End: "may_have_run", Reason: "its coordinator died", StagesWithEffects: []string{"ticket"}}
 	for range 100 {
 		require.Equal(t, string(answerText(a)), string(answerText(a)))
 	}
--- a/internal/dispatcher/server/records.go
+++ b/internal/dispatcher/server/records.go
@@ -147,7 +147,7 @@
 		return false, err
 	}
 	var done records.Pruned
-	err = s.Execute(ctx, partition.RecordsPrune, p.Cut, &done)
+	err = s.Execute(ctx, partition.RecordsPrune, p.Prune, &done)
 	return err == nil && done.Removed > 0, err
 }
 
@@ -183,7 +183,7 @@
 // Records implements door.Fleet.
 func (r *recorder) Records(ctx context.Context, q adminapi.RecordsQuery) ([]byte, error) {
 	var p records.Page
-	ask := records.Query{Tenant: q.Tenant, From: q.From, To: q.To, Last: q.NewestFirst, After: q.After, Most: min(q.Limit, pageMost)}
+	ask := records.Query{Tenant: q.Tenant, From: q.From, To: q.To, Descending: q.NewestFirst, Cursor: q.After, Limit: min(q.Limit, pageMost)}
 	if err := r.ask(ctx, r.fleet.agent.Session(), partition.RecordsPage, ask, &p); err != nil {
 		return nil, inDoorsWords(err)
 	}
@@ -315,10 +315,10 @@
 	const day = float64(24 * time.Hour)
 	var set records.SetRules
 	for name, r := range f.Tenants {
-		keep := records.Limits{For: int64(r.Days * day), Count: int64(r.Count), Bytes: int64(r.Megabytes) << 20}
+		keep := records.Limits{MaxAge: int64(r.Days * day), MaxCount: int64(r.Count), MaxBytes: int64(r.Megabytes) << 20}
 		failed := keep
-		if longer := int64(r.FailureDays * day); keep.For > 0 && longer > keep.For {
-			failed.For = longer
+		if longer := int64(r.FailureDays * day); keep.MaxAge > 0 && longer > keep.MaxAge {
+			failed.MaxAge = longer
 		}
 		set.Rules = append(set.Rules, records.Rule{Tenant: name, Keep: keep, Failed: failed})
 	}
