--- a/internal/dispatcher/fleet/partition/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -16,26 +16,26 @@
 
 // Kinds of commands and queries of plans.
 const (
-	PlansDo      state.Kind = "plans/do"      // a planrun.Command, answered with a PlanReply
-	PlansOrphans state.Kind = "plans/orphans" // a query: how many runs nobody drives
-	PlansLook    state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
+	PlansCommand      state.Kind = "plans/do"      // a planrun.Command, answered with a PlanReply
+	PlansCountOrphans state.Kind = "plans/orphans" // a query: how many runs nobody drives
+	PlansRun          state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
 )
 
 // PlanReply answers a command or a query of plans.
 type PlanReply struct {
 	planrun.Reply
-	Index uint64        // of the state that it tells; a lower one is older
-	At    time.Duration // fleet time
-	Run   *planrun.Run  // as it is now, unless it has ended; its shape is known to who drives it
-	Makes uint64        // see planrun.View
-	Ended *planrun.Answer
+	Index       uint64          // of the state that it tells; a lower one is older
+	At          time.Duration   // fleet time
+	Run         *planrun.Run    // as it is now, unless it has ended; its shape is known to who drives it
+	Producing   uint64          `cbor:"Makes"` // see planrun.View
+	FinalAnswer *planrun.Answer `cbor:"Ended"`
 }
 
 // Plans is the part of plans under way.
-type Plans struct{ book *planrun.Book }
+type Plans struct{ tracker *planrun.Tracker }
 
 // NewPlans returns a part without plans.
-func NewPlans() *Plans { return &Plans{planrun.NewBook(planrun.DefaultLimits())} }
+func NewPlans() *Plans { return &Plans{planrun.NewTracker(planrun.DefaultLimits())} }
 
 // Name implements state.Part.
 func (*Plans) Name() string { return PlansName }
@@ -51,7 +51,7 @@
 // by its session, which the state has checked.
 func (p *Plans) Apply(c state.Command, index uint64) ([]byte, error) {
 	var do planrun.Command
-	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansDo || do.Gone != nil {
+	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansCommand || do.LeaseExpired != nil {
 		return nil, fmt.Errorf("%w: no plan command %q", state.ErrBad, c.Kind)
 	}
 	run := ""
@@ -62,66 +62,66 @@
 		do.Claim.Process, do.Claim.Incarnation = c.Process, c.Incarnation
 	case do.Open != nil:
 		run = do.Open.Run
-	case do.Sending != nil:
-		run = do.Sending.Run
-	case do.Ended != nil:
-		run = do.Ended.Run
+	case do.SendAttempt != nil:
+		run = do.SendAttempt.Run
+	case do.ReportEnd != nil:
+		run = do.ReportEnd.Run
 	case do.Abandon != nil:
 		run = do.Abandon.Run
 	case do.Finish != nil:
 		run = do.Finish.Run
 	}
-	r := PlanReply{Reply: p.book.Apply(c.At, do), Index: index, At: c.At}
-	p.tell(run, &r)
+	r := PlanReply{Reply: p.tracker.Apply(c.At, do), Index: index, At: c.At}
+	p.describeRun(run, &r)
 	return codec.Encode(r)
 }
 
-// tell puts a run, or its answer, into a reply.
-func (p *Plans) tell(run string, r *PlanReply) {
+// describeRun puts a run, or its answer, into a reply.
+func (p *Plans) describeRun(run string, r *PlanReply) {
 	if run == "" {
 		return
 	}
-	if v, err := p.book.View(run); err == nil {
-		r.Run, r.Makes = v.Run, v.Makes
+	if v, err := p.tracker.View(run); err == nil {
+		r.Run, r.Producing = v.Run, v.Producing
 	}
-	r.Ended = p.book.Answer(run)
+	r.FinalAnswer = p.tracker.Answer(run)
 }
 
-// Renewed implements state.Part: a renewal says nothing to this part.
-func (*Plans) Renewed(state.Command, []byte) ([]byte, error) {
+// Renew implements state.Part: a renewal says nothing to this part.
+func (*Plans) Renew(state.Command, []byte) ([]byte, error) {
 	return nil, errors.New("plans are not renewed")
 }
 
-// Gone implements state.Part: the runs that an incarnation drove wait for another.
-func (p *Plans) Gone(at time.Duration, process string, incarnation uint64, _ state.Going) {
-	p.book.Lost(at, process, incarnation)
+// IncarnationEnded implements state.Part: the runs that an incarnation drove wait for another.
+func (p *Plans) IncarnationEnded(at time.Duration, process string, incarnation uint64, _ state.EndCause) {
+	p.tracker.LeaseExpired(at, process, incarnation)
 }
 
 // Advance implements state.Part.
-func (p *Plans) Advance(at time.Duration) { p.book.Advance(at) }
+func (p *Plans) Advance(at time.Duration) { p.tracker.Advance(at) }
 
-// Ask implements state.Asked.
-func (p *Plans) Ask(kind state.Kind, body []byte) ([]byte, error) {
+// Query implements state.Asked.
+func (p *Plans) Query(kind state.Kind, body []byte) ([]byte, error) {
 	switch kind {
-	case PlansOrphans:
-		return codec.Encode(p.book.Orphans())
-	case PlansLook:
+	case PlansCountOrphans:
+		return codec.Encode(p.tracker.Orphans())
+	case PlansRun:
 		var run string
 		if err := codec.Decode(body, &run); err != nil {
 			return nil, err
 		}
 		var r PlanReply
-		p.tell(run, &r)
+		p.describeRun(run, &r)
 		return codec.Encode(r)
 	}
 	return nil, fmt.Errorf("no plan query %q", kind)
 }
 
-// Freeze implements state.Part.
-func (p *Plans) Freeze() (state.Frozen, error) { return encoded(p.book.Encode()) }
+// Snapshot implements state.Part.
+func (p *Plans) Snapshot() (state.Snapshot, error) { return snapshotOf(p.tracker.Encode()) }
 
-// Thaw implements state.Part.
-func (p *Plans) Thaw(r io.Reader) error { return decoded(r, p.book.Decode) }
+// Restore implements state.Part.
+func (p *Plans) Restore(r io.Reader) error { return restoreWith(r, p.tracker.Decode) }
 
 // Digest implements state.Part.
-func (p *Plans) Digest() (uint64, error) { return p.book.Digest() }
+func (p *Plans) Digest() (uint64, error) { return p.tracker.Digest() }
