--- a/internal/dispatcher/metrics/audit.go
+++ b/internal/dispatcher/metrics/audit.go
@@ -10,108 +10,120 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Engine is what the auditor needs of the core.
+// Engine is what the auditor needs of the dispatcher engine.
 type Engine interface {
+	// Do runs a function on the engine's goroutine and returns after it.
 	Do(func())
+	// OpenCounts counts the open jobs and flows in the engine's own table. It may be
+	// called only within Do.
 	OpenCounts() (open accounting.OpenCounts, flows int64)
 }
 
-// Auditor holds the account against itself, the core's table, the fronts' own
-// books and the journal, and complains of every difference. It stops nothing.
+// Auditor compares the ledger with itself, with the engine's table, with the counters of
+// the fronts and with the journal, and logs every difference. It stops nothing. Its
+// methods may be called concurrently.
 type Auditor struct {
-	keeper *Recorder
-	hub    Engine
-	desks  []*accounting.FrontCounters
-	log    logrus.FieldLogger
+	recorder *Recorder
+	engine   Engine
+	fronts   []*accounting.FrontCounters
+	log      logrus.FieldLogger
 
-	mu    sync.Mutex
-	last  []accounting.Difference // of the last audit, and of the journal since
-	at    time.Time
-	runs  int64
-	found map[string]int64 // differences so far, by audit
+	mu          sync.Mutex
+	differences []accounting.Difference // of the last audit, and of the journal since
+	auditedAt   time.Time
+	audits      int64
+	found       map[string]int64 // differences since the start, by audit
 }
 
-// NewAuditor returns an auditor. Desks are those of all fronts.
-func NewAuditor(k *Recorder, hub Engine, desks []*accounting.FrontCounters, log logrus.FieldLogger) *Auditor {
-	return &Auditor{keeper: k, hub: hub, desks: desks, log: log, found: make(map[string]int64)}
+// NewAuditor returns an auditor. fronts are the counters of all fronts.
+func NewAuditor(r *Recorder, engine Engine, fronts []*accounting.FrontCounters, log logrus.FieldLogger) *Auditor {
+	return &Auditor{recorder: r, engine: engine, fronts: fronts, log: log, found: make(map[string]int64)}
 }
 
 // Run audits at intervals until the context ends.
-func (a *Auditor) Run(ctx context.Context, every time.Duration) error {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+func (a *Auditor) Run(ctx context.Context, interval time.Duration) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 			a.Audit()
 		}
 	}
 }
 
-// Audit audits now and returns what differs. What the journal finds at the
-// mark that is set here comes later, by Differ.
+// Audit audits now and returns the differences. The journal compares at the checkpoint
+// that is added here, and reports its differences later by ReportDifferences.
 func (a *Auditor) Audit() []accounting.Difference {
-	before := make([]accounting.FrontCountersSnapshot, len(a.desks))
-	for i, d := range a.desks {
-		before[i] = d.Snapshot()
+	before := make([]accounting.FrontCountersSnapshot, len(a.fronts))
+	for i, front := range a.fronts {
+		before[i] = front.Snapshot()
 	}
-	var d []accounting.Difference
-	a.hub.Do(func() {
-		b := a.keeper.Ledger
-		d = append(d, b.CheckBalance()...)
-		open, flows := a.hub.OpenCounts()
-		d = append(d, b.CompareEngine(open, flows)...)
-		for i, desk := range a.desks {
-			d = append(d, b.CompareFront(desk.Front, before[i], desk.Snapshot())...)
-		}
-		if a.keeper.second != nil {
-			a.keeper.second.Checkpoint(b.Totals(), time.Now())
-		}
-	})
+	var differences []accounting.Difference
+	a.engine.Do(func() { differences = a.compare(before) })
 	a.mu.Lock()
-	a.last, a.at = nil, time.Now()
-	a.runs++
+	a.differences, a.auditedAt = nil, time.Now()
+	a.audits++
 	a.mu.Unlock()
-	a.ReportDifferences(d)
-	return d
+	a.ReportDifferences(differences)
+	return differences
 }
 
-// ReportDifferences takes in differences, and complains of them.
-func (a *Auditor) ReportDifferences(d []accounting.Difference) {
+// compare compares on the engine's goroutine, where the ledger stands still. before are
+// the counters of the fronts as they were when the audit began: a front counts on its own
+// goroutines, so the ledger must lie between them and the counters of now.
+func (a *Auditor) compare(before []accounting.FrontCountersSnapshot) (differences []accounting.Difference) {
+	ledger := a.recorder.Ledger
+	differences = append(differences, ledger.CheckBalance()...)
+	open, flows := a.engine.OpenCounts()
+	differences = append(differences, ledger.CompareEngine(open, flows)...)
+	for i, front := range a.fronts {
+		differences = append(differences, ledger.CompareFront(front.Front, before[i], front.Snapshot())...)
+	}
+	if a.recorder.journal != nil {
+		a.recorder.journal.Checkpoint(ledger.Totals(), time.Now())
+	}
+	return differences
+}
+
+// ReportDifferences counts and logs differences.
+func (a *Auditor) ReportDifferences(differences []accounting.Difference) {
 	a.mu.Lock()
-	a.last = append(a.last, d...)
-	for _, one := range d {
-		a.found[one.Audit]++
+	a.differences = append(a.differences, differences...)
+	for _, d := range differences {
+		a.found[d.Audit]++
 	}
 	a.mu.Unlock()
-	for _, one := range d {
-		a.log.WithFields(logrus.Fields{"audit": one.Audit, "what": one.What, "account": one.Ledger, "other": one.Other}).
-			Error("the account does not add up")
+	for _, d := range differences {
+		a.log.WithFields(logrus.Fields{"audit": d.Audit, "what": d.What, "ledger": d.Ledger, "other": d.Other}).
+			Error("audit found a difference")
 	}
 }
 
-// AuditState is what the audits have found.
+// AuditState is what the audits have found. It is sent as JSON.
 type AuditState struct {
-	At          time.Time               `json:"at"`
+	At          time.Time               `json:"at"` // of the last audit
 	Audits      int64                   `json:"audits"`
 	Differences []accounting.Difference `json:"differences"` // of the last audit
-	Found       map[string]int64        `json:"found"`       // so far, by audit
+	Found       map[string]int64        `json:"found"`       // differences since the start, by audit
 }
 
 // State returns what the audits have found.
 func (a *Auditor) State() AuditState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := AuditState{At: a.at, Audits: a.runs, Differences: append([]accounting.Difference{}, a.last...), Found: make(map[string]int64)}
-	for _, name := range []string{accounting.AuditBalance, accounting.AuditEngine, accounting.AuditFronts, accounting.AuditJournal} {
-		s.Found[name] = a.found[name]
+	state := AuditState{
+		At: a.auditedAt, Audits: a.audits, Differences: append([]accounting.Difference{}, a.differences...), Found: make(map[string]int64),
+	}
+	for _, audit := range []string{accounting.AuditBalance, accounting.AuditEngine, accounting.AuditFronts, accounting.AuditJournal} {
+		state.Found[audit] = a.found[audit]
 	}
-	return s
+	return state
 }
 
-// Balanced tells whether no audit has found a difference since the start.
+// Balanced reports whether no audit has found a difference since the start.
 func (a *Auditor) Balanced() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/dispatcher/metrics/golden_test.go
+++ b/internal/dispatcher/metrics/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"io"
 	"maps"
 	"net"
 	"net/http"
@@ -44,7 +43,7 @@
 // never be rewritten by later code. The keys of /figures are Go field names of types that
 // are encoded without tags.
 func TestGoldenFigures(t *testing.T) {
-	r := newRig(t, t.TempDir())
+	r := newFixture(t, t.TempDir())
 	defer r.end()
 	statuses := []policy.Status{policy.OK, policy.OK, policy.InvalidRequest}
 	for n, status := range statuses {
@@ -56,28 +55,20 @@
 			}
 			return flow != nil
 		}, 10*time.Second, time.Millisecond)
-		r.hub.EndFlow(flow, status, nil)
+		r.engine.EndFlow(flow, status, nil)
 	}
 	r.submit(0, "open", "hold", "k")
-	r.hub.Do(func() {})
+	r.engine.Do(func() {})
 	r.auditor.Audit()
 
-	x := &Exporter{Name: "n0", Started: time.Now(), Recorder: r.keeper, Engine: r.hub, Auditor: r.auditor, Journal: r.journal}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	x := &Exporter{Name: "n0", Started: time.Now(), Recorder: r.recorder, Engine: r.engine, Auditor: r.auditor, Journal: r.journal}
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- x.Serve(ctx, l) }()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	get := func(path string) (string, string) {
-		resp, err := client.Get("http://" + l.Addr().String() + path)
-		require.NoError(t, err)
-		defer resp.Body.Close()
-		require.Equal(t, http.StatusOK, resp.StatusCode)
-		text, err := io.ReadAll(resp.Body)
-		require.NoError(t, err)
-		return string(text), resp.Header.Get("Content-Type")
-	}
+	get := func(path string) (string, string) { return httpGet(t, client, "http://"+l.Addr().String()+path) }
 	metrics, _ := get("/metrics")
 	goldentest.Equal(t, filepath.Join("testdata", "golden", "metrics.txt"), []byte(metricNames(metrics)))
 	for _, path := range []string{"/figures", "/audit"} {
--- a/internal/dispatcher/metrics/figures_test.go
+++ b/internal/dispatcher/metrics/metrics_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -29,31 +30,31 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a core with the real stages and keeper; the test is the fronts, the
+// fixture is an engine with the real pipeline and recorder; the test is the fronts, the
 // members and the list.
-type rig struct {
-	hub     *engine.Engine
-	keeper  *Recorder
-	auditor *Auditor
-	journal *journal.Journal
-	folder  string
-	books   *faulty
-	desks   []*accounting.FrontCounters
-	log     *test.Hook
-	end     func()
+type fixture struct {
+	engine   *engine.Engine
+	recorder *Recorder
+	auditor  *Auditor
+	journal  *journal.Journal
+	dir      string
+	ledger   *faulty
+	fronts   []*accounting.FrontCounters
+	log      *test.Hook
+	end      func()
 
 	mu    sync.Mutex
 	flows []*engine.Flow
 }
 
-// faulty passes on to the keeper, but for what it is told to lose.
+// faulty passes on to the recorder, but for what it is told to lose.
 type faulty struct {
 	*Recorder
-	losesEnter, losesSent, losesEnd bool
+	losesAccepted, losesSent, losesEnded bool
 }
 
 func (f *faulty) JobAccepted(t *engine.Transaction, now time.Time) {
-	if !f.losesEnter {
+	if !f.losesAccepted {
 		f.Recorder.JobAccepted(t, now)
 	}
 }
@@ -65,12 +66,12 @@
 }
 
 func (f *faulty) JobEnded(t *engine.Transaction, a engine.Answer, now time.Time) {
-	if !f.losesEnd {
+	if !f.losesEnded {
 		f.Recorder.JobEnded(t, a, now)
 	}
 }
 
-// lossy is a second count that loses what it is told to.
+// lossy is a job journal that loses what it is told to.
 type lossy struct {
 	JobJournal
 	loses bool
@@ -88,20 +89,20 @@
 	}
 }
 
-func (r *rig) Start(f *engine.Flow) {
+func (r *fixture) Start(f *engine.Flow) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.flows = append(r.flows, f)
 }
-func (r *rig) Abandon(*engine.Flow)        {}
-func (r *rig) Recall(*engine.Flow)         {}
-func (r *rig) EndedOutOfBand(*engine.Flow) {}
-func (r *rig) Probe(*engine.Member)        {}
-func (r *rig) Watch(bool)                  {}
-func (r *rig) Fetch()                      {}
+func (r *fixture) Abandon(*engine.Flow)        {}
+func (r *fixture) Recall(*engine.Flow)         {}
+func (r *fixture) EndedOutOfBand(*engine.Flow) {}
+func (r *fixture) Probe(*engine.Member)        {}
+func (r *fixture) Watch(bool)                  {}
+func (r *fixture) Fetch()                      {}
 
 // take takes a flow out that was started.
-func (r *rig) take(n int) *engine.Flow {
+func (r *fixture) take(n int) *engine.Flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.flows) == 0 {
@@ -113,7 +114,7 @@
 	return f
 }
 
-func newRig(t require.TestingT, dir string) *rig {
+func newFixture(t require.TestingT, dir string) *fixture {
 	settings := policy.Settings{
 		Instances: 1, ReportsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
 		Classes: []policy.Class{
@@ -122,69 +123,69 @@
 		},
 	}
 	log, hook := test.NewNullLogger()
-	r := &rig{keeper: NewRecorder(accounting.DefaultLimits()), log: hook}
-	r.books = &faulty{Recorder: r.keeper}
-	chain := pipeline.New(settings, pipeline.Limits{MaxOpen: 20, MaxBodyBytes: 1 << 20}, r.books, log)
+	r := &fixture{recorder: NewRecorder(accounting.DefaultLimits()), log: hook}
+	r.ledger = &faulty{Recorder: r.recorder}
+	chain := pipeline.New(settings, pipeline.Limits{MaxOpen: 20, MaxBodyBytes: 1 << 20}, r.ledger, log)
 	var err error
-	r.hub, err = engine.New(settings, chain, nil, log)
+	r.engine, err = engine.New(settings, chain, nil, log)
 	require.NoError(t, err)
-	r.hub.SetLister(r)
+	r.engine.SetLister(r)
 	for _, front := range []string{"http", "faktory"} {
-		r.desks = append(r.desks, &accounting.FrontCounters{Front: front})
+		r.fronts = append(r.fronts, &accounting.FrontCounters{Front: front})
 	}
-	r.auditor = NewAuditor(r.keeper, r.hub, r.desks, log)
+	r.auditor = NewAuditor(r.recorder, r.engine, r.fronts, log)
 	if dir != "" {
-		r.folder = dir
+		r.dir = dir
 		f, err := journal.OpenDirectory(dir)
 		require.NoError(t, err)
 		r.journal, err = journal.Open(f, journal.Settings{SegmentBytes: 4096, MaxBytes: 1 << 30, MaxAge: time.Hour}, time.Now(), log, r.auditor.ReportDifferences)
 		require.NoError(t, err)
-		r.keeper.SetJobJournal(r.journal)
+		r.recorder.SetJobJournal(r.journal)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); r.hub.Run(ctx) }()
+	go func() { defer close(done); r.engine.Run(ctx) }()
 	r.end = func() {
 		cancel()
 		<-done
 		if r.journal != nil {
-			r.journal.Close()
+			_ = r.journal.Close() // some tests stop it by a fault
 		}
 	}
 	var members []*engine.Member
 	for i := range 4 {
 		members = append(members, &engine.Member{ID: fmt.Sprint("m", i), Cell: i / 2, Group: fmt.Sprint("cell ", i/2), Transport: r})
 	}
-	r.hub.UpdateMembers("test", policy.ListRestored, members)
+	r.engine.UpdateMembers("test", policy.ListRestored, members)
 	return r
 }
 
 // client is told its answer.
-type client struct{ desk *accounting.FrontCounters }
+type client struct{ counters *accounting.FrontCounters }
 
-func (c client) Answer(a engine.Answer) { c.desk.JobAnswered(a.Verdict.Outcome()) }
+func (c client) Answer(a engine.Answer) { c.counters.JobAnswered(a.Verdict.Outcome()) }
 
-func (r *rig) submit(desk int, id, class, key string) *engine.Transaction {
-	d := r.desks[desk]
+func (r *fixture) submit(front int, id, class, key string) *engine.Transaction {
+	counters := r.fronts[front]
 	now := time.Now()
 	t := &engine.Transaction{
-		ID: id, Front: d.Front, Class: class, Tenant: "a", Key: key, Arrived: now, Deadline: now.Add(10 * time.Second),
-		Hint: 50 * time.Millisecond, Slots: 1, Client: client{d},
+		ID: id, Front: counters.Front, Class: class, Tenant: "a", Key: key, Arrived: now, Deadline: now.Add(10 * time.Second),
+		Hint: 50 * time.Millisecond, Slots: 1, Client: client{counters},
 	}
-	d.JobStarted()
-	r.hub.Submit(t)
-	d.JobSubmitted()
+	counters.JobStarted()
+	r.engine.Submit(t)
+	counters.JobSubmitted()
 	return t
 }
 
-// TestCoreAndAccount drives the core with random events of clients and
+// TestEngineMatchesLedger drives the core with random events of clients and
 // members; after each one every audit agrees, and in the end the journal does.
-func TestCoreAndAccount(t *testing.T) {
+func TestEngineMatchesLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "figures")
 		require.NoError(t, err)
-		defer os.RemoveAll(dir)
-		r := newRig(t, dir)
+		defer func() { require.NoError(t, os.RemoveAll(dir)) }()
+		r := newFixture(t, dir)
 		ended := false
 		defer func() {
 			if !ended {
@@ -209,83 +210,88 @@
 					t.Skip()
 				}
 				tx := rapid.SampledFrom(all).Draw(t, "transaction")
-				for _, d := range r.desks {
+				for _, d := range r.fronts {
 					if d.Front == tx.Front {
 						d.ClientLeft()
 					}
 				}
-				r.hub.ClientLeft(tx)
+				r.engine.ClientLeft(tx)
 			},
 			"flow ends": func(t *rapid.T) {
 				f := r.take(rapid.IntRange(0, 100).Draw(t, "flow"))
 				if f == nil {
 					t.Skip()
 				}
-				r.hub.EndFlow(f, policy.Status(rapid.IntRange(0, int(policy.InvalidRequest)).Draw(t, "status")), nil)
+				r.engine.EndFlow(f, policy.Status(rapid.IntRange(0, int(policy.InvalidRequest)).Draw(t, "status")), nil)
 				over = append(over, f)
 			},
 			"an ended flow ends again": func(t *rapid.T) {
 				if len(over) == 0 {
 					t.Skip()
 				}
-				r.hub.EndFlow(rapid.SampledFrom(over).Draw(t, "flow"), policy.OK, nil)
+				r.engine.EndFlow(rapid.SampledFrom(over).Draw(t, "flow"), policy.OK, nil)
 			},
 			"": func(t *rapid.T) { require.Empty(t, r.auditor.Audit()) },
 		})
 		var totals accounting.Totals
-		r.hub.Do(func() { totals = r.keeper.Ledger.Totals() })
+		r.engine.Do(func() { totals = r.recorder.Ledger.Totals() })
 		r.end()
 		ended = true
 		require.True(t, r.auditor.Balanced(), "%v", r.auditor.State())
-		f, err := journal.ReadDirectory(dir)
-		require.NoError(t, err)
-		v, err := journal.Verify(f)
-		require.NoError(t, err)
-		require.Empty(t, v.Inconsistencies)
-		require.Empty(t, totals.Compare(accounting.AuditJournal, v.Totals))
+		requireJournal(t, dir, totals)
 	})
 }
 
+// requireJournal checks that a journal is consistent and has these totals.
+func requireJournal(t require.TestingT, dir string, totals accounting.Totals) {
+	f, err := journal.ReadDirectory(dir)
+	require.NoError(t, err)
+	v, err := journal.Verify(f)
+	require.NoError(t, err)
+	require.Empty(t, v.Inconsistencies)
+	require.Empty(t, totals.Compare(accounting.AuditJournal, v.Totals))
+}
+
 // TestEachAudit breaks one count at a time in a running dispatcher: the audit
 // that is meant to find it does, all by itself, and complains aloud.
 func TestEachAudit(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault func(r *rig)
+		fault func(r *fixture)
 		want  string
 	}{
-		"the account loses an entry": {func(r *rig) {
-			r.books.losesEnter = true
+		"the account loses an entry": {func(r *fixture) {
+			r.ledger.losesAccepted = true
 			r.submit(0, "x", "hold", "")
 		}, accounting.AuditEngine},
-		"the account loses an end": {func(r *rig) {
-			r.books.losesEnd = true
-			r.hub.Do(func() {})
+		"the account loses an end": {func(r *fixture) {
+			r.ledger.losesEnded = true
+			r.engine.Do(func() {})
 			f := r.take(0)
-			r.hub.EndFlow(f, policy.OK, nil)
+			r.engine.EndFlow(f, policy.OK, nil)
 		}, accounting.AuditEngine},
-		"the account loses a flow": {func(r *rig) {
-			r.books.losesSent = true
+		"the account loses a flow": {func(r *fixture) {
+			r.ledger.losesSent = true
 			r.submit(0, "x", "hold", "")
 		}, accounting.AuditEngine},
-		"a front loses an answer": {func(r *rig) { r.desks[0].JobAnswered(accounting.Served) }, accounting.AuditFronts},
-		"a front hands over what never comes": {func(r *rig) {
-			r.desks[1].JobStarted()
-			r.desks[1].JobSubmitted()
+		"a front loses an answer": {func(r *fixture) { r.fronts[0].JobAnswered(accounting.Served) }, accounting.AuditFronts},
+		"a front hands over what never comes": {func(r *fixture) {
+			r.fronts[1].JobStarted()
+			r.fronts[1].JobSubmitted()
 		}, accounting.AuditFronts},
-		"the journal loses a job": {func(r *rig) {
-			r.hub.Do(func() { r.keeper.second = &lossy{r.journal, true} })
+		"the journal loses a job": {func(r *fixture) {
+			r.engine.Do(func() { r.recorder.journal = &lossy{r.journal, true} })
 			r.submit(0, "x", "hold", "")
 		}, accounting.AuditJournal},
-		"a row counts what never was": {func(r *rig) {
-			r.hub.Do(func() {
-				e := r.keeper.Ledger.JobAccepted(accounting.Job{Front: "nowhere", Class: "hold"}, time.Now())
-				r.keeper.Ledger.JobEnded(e, accounting.Answered, time.Now())
-				r.keeper.Ledger.JobEnded(e, accounting.Answered, time.Now())
+		"a row counts what never was": {func(r *fixture) {
+			r.engine.Do(func() {
+				e := r.recorder.Ledger.JobAccepted(accounting.Job{Front: "nowhere", Class: "hold"}, time.Now())
+				r.recorder.Ledger.JobEnded(e, accounting.Answered, time.Now())
+				r.recorder.Ledger.JobEnded(e, accounting.Answered, time.Now())
 			})
 		}, accounting.AuditBalance},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, filepath.Join(t.TempDir(), "figures"))
+			r := newFixture(t, filepath.Join(t.TempDir(), "figures"))
 			for n := range 4 {
 				r.submit(n%2, fmt.Sprint("t", n), "hold", "")
 			}
@@ -302,19 +308,32 @@
 	}
 }
 
+// httpGet returns the body of an answer, which must be a 200, and its content type.
+func httpGet(t *testing.T, client *http.Client, url string) (text, contentType string) {
+	t.Helper()
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+	require.NoError(t, err)
+	resp, err := client.Do(req)
+	require.NoError(t, err)
+	body, err := io.ReadAll(resp.Body)
+	require.NoError(t, errors.Join(err, resp.Body.Close()))
+	require.Equal(t, http.StatusOK, resp.StatusCode)
+	return string(body), resp.Header.Get("Content-Type")
+}
+
 // TestExport: what is told to Prometheus is in balance, and so is the table.
 func TestExport(t *testing.T) {
-	r := newRig(t, filepath.Join(t.TempDir(), "figures"))
+	r := newFixture(t, filepath.Join(t.TempDir(), "figures"))
 	defer r.end()
 	r.submit(0, "t1", "hold", "k")
 	r.submit(1, "t2", "hold", "k")
-	r.hub.Do(func() {})
-	r.hub.EndFlow(r.take(0), policy.OK, nil)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	r.engine.Do(func() {})
+	r.engine.EndFlow(r.take(0), policy.OK, nil)
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
-	x := &Exporter{Name: "n0", Recorder: r.keeper, Engine: r.hub, Auditor: r.auditor, Journal: r.journal}
+	x := &Exporter{Name: "n0", Recorder: r.recorder, Engine: r.engine, Auditor: r.auditor, Journal: r.journal}
 	go func() { done <- x.Serve(ctx, l) }()
 	defer func() {
 		http.DefaultClient.CloseIdleConnections()
@@ -322,12 +341,8 @@
 		require.NoError(t, <-done)
 	}()
 	get := func(path string) string {
-		resp, err := http.Get("http://" + l.Addr().String() + path)
-		require.NoError(t, err)
-		defer resp.Body.Close()
-		text, err := io.ReadAll(resp.Body)
-		require.NoError(t, err)
-		return string(text)
+		text, _ := httpGet(t, http.DefaultClient, "http://"+l.Addr().String()+path)
+		return text
 	}
 	metrics := get("/metrics")
 	for _, line := range []string{
@@ -341,6 +356,12 @@
 	require.Contains(t, get("/audit"), `"differences":[]`)
 	var report Report
 	require.NoError(t, json.Unmarshal([]byte(get("/figures")), &report))
+	requireTables(t, report)
+}
+
+// requireTables checks the totals and the tables of the report of TestExport.
+func requireTables(t *testing.T, report Report) {
+	t.Helper()
 	require.EqualValues(t, 2, report.Account.Totals.Taken)
 	require.EqualValues(t, 1, report.Account.Totals.Open)
 	var table strings.Builder
--- a/internal/dispatcher/metrics/table.go
+++ b/internal/dispatcher/metrics/table.go
@@ -1,7 +1,6 @@
 package metrics
 
 import (
-	"fmt"
 	"io"
 	"slices"
 	"strings"
@@ -9,129 +8,205 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/textout"
 )
 
-// Dimensions are what a table can be by.
+// Dimensions are what a table can be grouped by.
 var Dimensions = []string{"front", "class", "tenant", "group"}
 
-func dimension(p *accounting.RowKey, by string) string {
-	return map[string]string{"front": p.Front, "class": p.Class, "tenant": p.Tenant, "group": p.Group}[by]
+// DimensionOf is the value of a row's key in one of the Dimensions.
+func DimensionOf(key *accounting.RowKey, dimension string) string {
+	switch dimension {
+	case "front":
+		return key.Front
+	case "class":
+		return key.Class
+	case "tenant":
+		return key.Tenant
+	case "group":
+		return key.Group
+	}
+	return ""
 }
 
-// Table writes an account for people to read, by some of the dimensions. Jobs
-// that come and go are shown where groups are.
+// Table writes a report for people to read, with the jobs grouped by some of the
+// Dimensions. Jobs that move between groups of pool members are shown where "group" is one
+// of them. The error is the writer's.
 func Table(out io.Writer, r Report, by []string) error {
-	moves := slices.Contains(by, "group")
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	head := append(slices.Clone(by), "taken")
-	if moves {
-		head = append(head, "came", "went")
+	sums, keys, all := sumRows(r.Account.Rows, by)
+	if err := jobTable(out, by, sums, keys, all); err != nil {
+		return err
 	}
-	fmt.Fprintln(w, strings.Join(append(head, "served", "refused", "failed", "open"), "\t")+"\t")
-	sums := make(map[string]*accounting.Row)
-	var order []string
-	var all accounting.Row
-	for i := range r.Account.Rows {
-		row := &r.Account.Rows[i]
-		var cells []string
-		for _, d := range by {
-			cells = append(cells, dimension(&row.RowKey, d))
+	p := textout.New(out)
+	p.Println()
+	for number, n := range all.Ends {
+		if reason := accounting.Reason(number); n > 0 {
+			p.Printf("%8d  %s (%s)\n", n, reason, reason.Outcome())
+		}
+	}
+	writeLogicalRequests(p, &r.Account.Asks)
+	writeLatencies(p, r.Account.Times)
+	if r.Journal != nil {
+		writeJournal(p, r.Journal)
+	}
+	writeBalance(p, &r)
+	return p.Err()
+}
+
+// sumRows adds up rows by some of the dimensions. keys are those of the sums, in order,
+// with tabs between their cells; all is the sum of all rows.
+func sumRows(rows []accounting.Row, by []string) (sums map[string]*accounting.Row, keys []string, all *accounting.Row) {
+	sums, all = make(map[string]*accounting.Row), new(accounting.Row)
+	for i := range rows {
+		row := &rows[i]
+		cells := make([]string, len(by))
+		for k, dimension := range by {
+			cells[k] = DimensionOf(&row.RowKey, dimension)
 		}
 		key := strings.Join(cells, "\t")
 		if sums[key] == nil {
 			sums[key] = new(accounting.Row)
-			order = append(order, key)
+			keys = append(keys, key)
 		}
-		for _, sum := range []*accounting.Row{sums[key], &all} {
-			sum.Entered += row.Entered
-			sum.Came += row.Came
-			sum.Went += row.Went
-			sum.Open += row.Open
-			for k, n := range row.Ends {
-				sum.Ends[k] += n
-			}
+		for _, sum := range []*accounting.Row{sums[key], all} {
+			addRow(sum, row)
 		}
 	}
+	slices.Sort(keys)
+	return sums, keys, all
+}
+
+func addRow(sum, row *accounting.Row) {
+	sum.Entered += row.Entered
+	sum.Came += row.Came
+	sum.Went += row.Went
+	sum.Open += row.Open
+	for reason, n := range row.Ends {
+		sum.Ends[reason] += n
+	}
+}
+
+// jobTable writes a line for each sum and, if there are dimensions, one for all.
+func jobTable(out io.Writer, by []string, sums map[string]*accounting.Row, keys []string, all *accounting.Row) error {
+	withMoves := slices.Contains(by, "group")
+	tabs := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	p := textout.New(tabs)
+	head := append(slices.Clone(by), "taken")
+	if withMoves {
+		head = append(head, "came", "went")
+	}
+	p.Println(strings.Join(append(head, "served", "refused", "failed", "open"), "\t") + "\t")
 	line := func(key string, row *accounting.Row) {
-		var ends [accounting.Outcomes]int64
-		for i, n := range row.Ends {
-			ends[accounting.Reason(i).Outcome()] += n
+		var ended [accounting.Outcomes]int64
+		for reason, n := range row.Ends {
+			ended[accounting.Reason(reason).Outcome()] += n
 		}
 		if key != "" {
 			key += "\t"
 		}
-		fmt.Fprintf(w, "%s%d\t", key, row.Entered)
-		if moves {
-			fmt.Fprintf(w, "%d\t%d\t", row.Came, row.Went)
+		p.Printf("%s%d\t", key, row.Entered)
+		if withMoves {
+			p.Printf("%d\t%d\t", row.Came, row.Went)
 		}
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t\n", ends[accounting.Served], ends[accounting.Refused], ends[accounting.Failed], row.Open)
+		p.Printf("%d\t%d\t%d\t%d\t\n", ended[accounting.Served], ended[accounting.Refused], ended[accounting.Failed], row.Open)
 	}
-	slices.Sort(order)
-	for _, key := range order {
+	for _, key := range keys {
 		line(key, sums[key])
 	}
 	if len(by) > 0 {
-		line("all"+strings.Repeat("\t", len(by)-1), &all)
+		line("all"+strings.Repeat("\t", len(by)-1), all)
 	}
-	if err := w.Flush(); err != nil {
+	if err := p.Err(); err != nil {
 		return err
 	}
-	fmt.Fprintln(out)
-	for reason, n := range all.Ends {
-		if n > 0 {
-			fmt.Fprintf(out, "%8d  %s (%s)\n", n, accounting.Reason(reason), accounting.Reason(reason).Outcome())
-		}
+	return tabs.Flush()
+}
+
+func writeLogicalRequests(p *textout.Printer, r *accounting.LogicalRequests) {
+	p.Printf("\nasks: %d, with %d retries (%d after they were served) and %d strays; served %d, refused %d, failed %d, open %d\n",
+		r.Asked, r.Retries, r.Echoes, r.Strays, r.Final(accounting.Served), r.Final(accounting.Refused), r.Final(accounting.Failed), r.Open)
+}
+
+func writeLatencies(p *textout.Printer, byClass map[string]accounting.LatencySnapshots) {
+	milliseconds := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+	for class, t := range byClass {
+		p.Printf("%s: whole p50 %.1f ms, p95 %.1f ms, p99 %.1f ms; wait p50 %.1f ms; run p50 %.1f ms\n", class,
+			milliseconds(t.Whole.P50), milliseconds(t.Whole.P95), milliseconds(t.Whole.P99), milliseconds(t.Wait.P50), milliseconds(t.Run.P50))
 	}
-	a := &r.Account.Asks
-	fmt.Fprintf(out, "\nasks: %d, with %d retries (%d after they were served) and %d strays; served %d, refused %d, failed %d, open %d\n",
-		a.Asked, a.Retries, a.Echoes, a.Strays, a.Final(accounting.Served), a.Final(accounting.Refused), a.Final(accounting.Failed), a.Open)
-	for class, t := range r.Account.Times {
-		ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-		fmt.Fprintf(out, "%s: whole p50 %.1f ms, p95 %.1f ms, p99 %.1f ms; wait p50 %.1f ms; run p50 %.1f ms\n",
-			class, ms(t.Whole.P50), ms(t.Whole.P95), ms(t.Whole.P99), ms(t.Wait.P50), ms(t.Run.P50))
-	}
-	if j := r.Journal; j != nil {
-		state := "writing"
-		if j.Stopped {
-			state = "STOPPED: " + j.Why
-		}
-		fmt.Fprintf(out, "journal: epoch %d, %d records, %s\n", j.Epoch, j.Written, state)
+}
+
+func writeJournal(p *textout.Printer, j *JournalState) {
+	state := "writing"
+	if j.Stopped {
+		state = "STOPPED: " + j.Why
 	}
-	if t := &r.Account.Totals; t.Taken == t.EndedAs(accounting.Served)+t.EndedAs(accounting.Refused)+t.EndedAs(accounting.Failed)+t.Open && len(r.Audit.Differences) == 0 {
-		fmt.Fprintf(out, "%d taken = %d served + %d refused + %d failed + %d open; %d audits found nothing\n", t.Taken,
-			t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open, r.Audit.Audits)
-		return nil
+	p.Printf("journal: epoch %d, %d records, %s\n", j.Epoch, j.Written, state)
+}
+
+// writeBalance says whether the jobs that were taken are those that ended and those that
+// are open, and names the differences of the last audit.
+func writeBalance(p *textout.Printer, r *Report) {
+	t := &r.Account.Totals
+	served, refused, failed := t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed)
+	if t.Taken == served+refused+failed+t.Open && len(r.Audit.Differences) == 0 {
+		p.Printf("%d taken = %d served + %d refused + %d failed + %d open; %d audits found nothing\n",
+			t.Taken, served, refused, failed, t.Open, r.Audit.Audits)
+		return
 	}
-	fmt.Fprintln(out, "THE ACCOUNT DOES NOT ADD UP:")
+	p.Println("THE ACCOUNT DOES NOT ADD UP:")
 	for _, d := range r.Audit.Differences {
-		fmt.Fprintln(out, " ", d)
+		p.Println(" ", d)
 	}
-	return nil
 }
 
-// Windows are what a table of windows can be of.
+// Windows are the stretches of time that a WindowTable can be of: the running minute,
+// hour and day, and the last 60 minutes and 24 hours.
 var Windows = []string{"minute", "hour", "day", "last60m", "last24h"}
 
-// WindowTable writes what was counted in a stretch of time, by front, class and
-// tenant. Opened is what was open at its begin: opened + taken = ended + open.
+// windowOf is what a series counted in one of the Windows.
+func windowOf(s *accounting.SeriesSnapshot, window string) accounting.WindowCounts {
+	switch window {
+	case "minute":
+		return s.Minute
+	case "hour":
+		return s.Hour
+	case "day":
+		return s.Day
+	case "last60m":
+		return s.Hour60
+	case "last24h":
+		return s.Day24
+	}
+	return accounting.WindowCounts{}
+}
+
+// WindowTable writes what was counted in one of the Windows, by front, class and tenant.
+// Its column "opened" has the jobs that were open when the window began: opened + taken =
+// ended + open. The error is the writer's.
 func WindowTable(out io.Writer, r Report, window string) error {
-	open := make(map[[3]string]int64)
+	type series struct{ front, class, tenant string }
+	open := make(map[series]int64)
 	for i := range r.Account.Rows {
 		row := &r.Account.Rows[i]
-		open[[3]string{row.Front, row.Class, row.Tenant}] += row.Open
+		open[series{row.Front, row.Class, row.Tenant}] += row.Open
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "front\tclass\ttenant\topened\ttaken\tserved\trefused\tfailed\topen\t")
+	tabs := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	p := textout.New(tabs)
+	p.Println("front\tclass\ttenant\topened\ttaken\tserved\trefused\tfailed\topen\t")
 	for i := range r.Account.Lines {
-		l := &r.Account.Lines[i]
-		s := map[string]accounting.WindowCounts{"minute": l.Minute, "hour": l.Hour, "day": l.Day, "last60m": l.Hour60, "last24h": l.Day24}[window]
-		now := open[[3]string{l.Front, l.Class, l.Tenant}]
+		line := &r.Account.Lines[i]
+		counts := windowOf(line, window)
+		openNow := open[series{line.Front, line.Class, line.Tenant}]
 		var ended int64
-		for _, n := range s.Ends {
+		for _, n := range counts.Ends {
 			ended += int64(n)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", l.Front, l.Class, l.Tenant, now+ended-int64(s.Accepted), s.Accepted,
-			s.Ends[accounting.Served], s.Ends[accounting.Refused], s.Ends[accounting.Failed], now)
+		openBefore := openNow + ended - int64(counts.Accepted)
+		p.Printf("%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", line.Front, line.Class, line.Tenant, openBefore, counts.Accepted,
+			counts.Ends[accounting.Served], counts.Ends[accounting.Refused], counts.Ends[accounting.Failed], openNow)
+	}
+	if err := p.Err(); err != nil {
+		return err
 	}
-	return w.Flush()
+	return tabs.Flush()
 }
