--- a/internal/dispatcher/journal/balance.go
+++ b/internal/dispatcher/journal/balance.go
@@ -7,25 +7,26 @@
 	"basaltloft/internal/dispatcher/accounting"
 )
 
-// balance is the journal's own count of what it has written: by line, over all
-// epochs, and the jobs that are open.
+// balance is the journal's own count of what it has written: by series over all epochs,
+// and the open jobs.
 type balance struct {
-	lines map[Series]*accounting.Totals
-	open  map[uint64]Record // by number, as they were entered
-	epoch accounting.Totals // of this epoch alone
+	bySeries    map[Series]*accounting.Totals
+	open        map[uint64]Record // by number, as they were accepted
+	epochTotals accounting.Totals // of this epoch alone
 }
 
 func newBalance() *balance {
-	return &balance{lines: make(map[Series]*accounting.Totals), open: make(map[uint64]Record)}
+	return &balance{bySeries: make(map[Series]*accounting.Totals), open: make(map[uint64]Record)}
 }
 
-func (b *balance) line(l Series) *accounting.Totals {
-	t := b.lines[l]
-	if t == nil {
-		t = new(accounting.Totals)
-		b.lines[l] = t
+// totalsOf are the totals of a series, zero for a new one.
+func (b *balance) totalsOf(s Series) *accounting.Totals {
+	totals := b.bySeries[s]
+	if totals == nil {
+		totals = new(accounting.Totals)
+		b.bySeries[s] = totals
 	}
-	return t
+	return totals
 }
 
 // apply counts a record. It reports whether the record fits: an end must be of
@@ -33,14 +34,14 @@
 func (b *balance) apply(r *Record) bool {
 	switch r.Kind {
 	case KindBalance:
-		t := b.line(r.Series)
-		t.Taken, t.Ends = r.Accepted, r.Ends
-		t.Open = r.Accepted
+		totals := b.totalsOf(r.Series)
+		totals.Taken, totals.Ends = r.Accepted, r.Ends
+		totals.Open = r.Accepted
 		for _, n := range r.Ends {
-			t.Open -= n
+			totals.Open -= n
 		}
 	case KindSegmentStart:
-		b.epoch = accounting.Totals{Taken: r.Accepted, Open: r.Open, Ends: r.Ends}
+		b.epochTotals = accounting.Totals{Taken: r.Accepted, Open: r.Open, Ends: r.Ends}
 	case KindCarriedOver:
 		b.open[r.Number] = *r
 	case KindAccepted:
@@ -48,32 +49,33 @@
 			return false
 		}
 		b.open[r.Number] = *r
-		t := b.line(r.Series)
-		t.Taken++
-		t.Open++
-		b.epoch.Taken++
-		b.epoch.Open++
+		totals := b.totalsOf(r.Series)
+		totals.Taken++
+		totals.Open++
+		b.epochTotals.Taken++
+		b.epochTotals.Open++
 	case KindEnded:
 		job, ok := b.open[r.Number]
 		if !ok {
 			return false
 		}
 		delete(b.open, r.Number)
-		t := b.line(job.Series)
-		t.Open--
-		t.Ends[r.Reason]++
+		totals := b.totalsOf(job.Series)
+		totals.Open--
+		totals.Ends[r.Reason]++
 		if r.Reason == accounting.Crashed { // of an epoch that is over
 			break
 		}
-		b.epoch.Open--
-		b.epoch.Ends[r.Reason]++
+		b.epochTotals.Open--
+		b.epochTotals.Ends[r.Reason]++
 	}
 	return true
 }
 
-// opening is what a segment begins with.
-func (b *balance) opening() (records []Record) {
-	for l, t := range b.lines {
+// segmentStart is what a segment repeats of those before it: the balances, in the order
+// of their series, and the open jobs, in that of their numbers.
+func (b *balance) segmentStart() (records []Record) {
+	for l, t := range b.bySeries {
 		records = append(records, Record{Kind: KindBalance, Series: l, Accepted: t.Taken, Ends: t.Ends})
 	}
 	slices.SortFunc(records, func(x, y Record) int {
@@ -88,14 +90,12 @@
 	return records
 }
 
-// total sums the lines.
-func (b *balance) total() (sum accounting.Totals) {
-	for _, t := range b.lines {
-		sum.Taken += t.Taken
-		sum.Open += t.Open
-		for i, n := range t.Ends {
-			sum.Ends[i] += n
+// crashedJobs are the ends of the jobs that the last epoch left open.
+func (b *balance) crashedJobs(at int64) (ends []Record) {
+	for _, r := range b.segmentStart() {
+		if r.Kind == KindCarriedOver {
+			ends = append(ends, Record{Kind: KindEnded, Number: r.Number, At: max(at, r.At), Reason: accounting.Crashed, Group: accounting.NoGroup})
 		}
 	}
-	return sum
+	return ends
 }
--- a/internal/dispatcher/journal/golden_test.go
+++ b/internal/dispatcher/journal/golden_test.go
@@ -24,13 +24,13 @@
 
 // writeGoldenJournal writes jobs that end for each reason, and some that stay open.
 func writeGoldenJournal(t *testing.T, path string) {
-	small := tight
+	small := testSettings
 	small.SegmentBytes, small.MaxAge = 700, 1000*time.Hour
 	for epoch := range 3 {
 		folder, err := OpenDirectory(path)
 		require.NoError(t, err)
 		at := start.Add(time.Duration(epoch) * time.Hour)
-		j, err := Open(folder, small, at, quiet, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
+		j, err := Open(folder, small, at, discardLog, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
 		require.NoError(t, err)
 		var totals accounting.Totals
 		var records int64
@@ -47,7 +47,7 @@
 				totals.Ends[reason]++
 				records++
 			}
-			written(t, j, records)
+			waitWritten(t, j, records)
 		}
 		j.Checkpoint(totals, at.Add(time.Second))
 		require.NoError(t, j.Close())
@@ -110,7 +110,7 @@
 	}
 	goldentest.Equal(t, goldenReport, b.Bytes())
 
-	j := begin(t, folder, Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: 1000 * time.Hour})
+	j := openJournal(t, folder, Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: 1000 * time.Hour})
 	require.Equal(t, 2, j.Recovery().CrashedJobs)
 	require.EqualValues(t, 4, j.Recovery().Epoch)
 	require.NoError(t, j.Close())
--- a/internal/dispatcher/journal/journal_test.go
+++ b/internal/dispatcher/journal/journal_test.go
@@ -21,20 +21,20 @@
 	"pgregory.net/rapid"
 )
 
-// memory is a folder that can run full, and that can be taken as a crash would
+// memoryDir is a directory that can run full, and that can be taken as a crash would
 // leave it: after any of its steps, with any part of a write done.
-type memory struct {
-	mu    sync.Mutex
-	files map[string][]byte
-	room  int // bytes that may still be written; below 0: no bound
-	steps []map[string][]byte
-	keep  bool // the state after each step
+type memoryDir struct {
+	mu          sync.Mutex
+	files       map[string][]byte
+	freeBytes   int // bytes that may still be written; below 0: no bound
+	steps       []map[string][]byte
+	recordSteps bool // the state after each step
 }
 
-func newMemory() *memory { return &memory{files: make(map[string][]byte), room: -1} }
+func newMemoryDir() *memoryDir { return &memoryDir{files: make(map[string][]byte), freeBytes: -1} }
 
-func (m *memory) step() {
-	if !m.keep {
+func (m *memoryDir) recordStep() {
+	if !m.recordSteps {
 		return
 	}
 	state := make(map[string][]byte)
@@ -44,22 +44,22 @@
 	m.steps = append(m.steps, state)
 }
 
-// of is a folder with what another had at a step.
-func of(files map[string][]byte) *memory {
-	m := newMemory()
+// copyOf is a folder with what another had at a step.
+func copyOf(files map[string][]byte) *memoryDir {
+	m := newMemoryDir()
 	for name, text := range files {
 		m.files[name] = bytes.Clone(text)
 	}
 	return m
 }
 
-func (m *memory) Names() ([]string, error) {
+func (m *memoryDir) Names() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-func (m *memory) Read(name string) ([]byte, error) {
+func (m *memoryDir) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	text, ok := m.files[name]
@@ -69,37 +69,37 @@
 	return bytes.Clone(text), nil
 }
 
-func (m *memory) Create(name string) (File, error) {
+func (m *memoryDir) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, ok := m.files[name]; ok {
 		return nil, fs.ErrExist
 	}
 	m.files[name] = nil
-	m.step()
+	m.recordStep()
 	return memoryFile{m, name}, nil
 }
 
-func (m *memory) Truncate(name string, size int64) error {
+func (m *memoryDir) Truncate(name string, size int64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[name] = m.files[name][:size]
 	return nil
 }
 
-func (m *memory) Remove(name string) error {
+func (m *memoryDir) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.files, name)
-	m.step()
+	m.recordStep()
 	return nil
 }
 
-func (m *memory) Sync() error  { return nil }
-func (m *memory) Close() error { return nil }
+func (m *memoryDir) Sync() error  { return nil }
+func (m *memoryDir) Close() error { return nil }
 
 type memoryFile struct {
-	m    *memory
+	m    *memoryDir
 	name string
 }
 
@@ -107,14 +107,14 @@
 	f.m.mu.Lock()
 	defer f.m.mu.Unlock()
 	n := len(b)
-	if f.m.room >= 0 && n > f.m.room {
-		n = f.m.room
+	if f.m.freeBytes >= 0 && n > f.m.freeBytes {
+		n = f.m.freeBytes
 	}
 	f.m.files[f.name] = append(f.m.files[f.name], b[:n]...)
-	if f.m.room >= 0 {
-		f.m.room -= n
+	if f.m.freeBytes >= 0 {
+		f.m.freeBytes -= n
 	}
-	f.m.step()
+	f.m.recordStep()
 	if n < len(b) {
 		return n, syscall.ENOSPC
 	}
@@ -124,14 +124,14 @@
 func (f memoryFile) Close() error { return nil }
 
 var (
-	start = time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
-	quiet = func() *logrus.Logger { l := logrus.New(); l.SetLevel(logrus.PanicLevel); return l }()
-	tight = Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: time.Hour, WriteDelay: 0, SyncInterval: 0}
-	hold  = accounting.Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: "k"}
+	start        = time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
+	discardLog   = func() *logrus.Logger { l := logrus.New(); l.SetLevel(logrus.PanicLevel); return l }()
+	testSettings = Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: time.Hour, WriteDelay: 0, SyncInterval: 0}
+	holdJob      = accounting.Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: "k"}
 )
 
-func begin(t require.TestingT, f Directory, s Settings) *Journal {
-	j, err := Open(f, s, start, quiet, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
+func openJournal(t require.TestingT, f Directory, s Settings) *Journal {
+	j, err := Open(f, s, start, discardLog, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
 	require.NoError(t, err)
 	return j
 }
@@ -142,8 +142,8 @@
 	return v
 }
 
-// written waits until the journal has written so many records.
-func written(t require.TestingT, j *Journal, n int64) {
+// waitWritten waits until the journal has written so many records.
+func waitWritten(t require.TestingT, j *Journal, n int64) {
 	for until := time.Now().Add(10 * time.Second); j.Written() < n; {
 		if stopped, why := j.Stopped(); stopped || time.Now().After(until) {
 			require.Fail(t, "not written", why)
@@ -152,19 +152,19 @@
 	}
 }
 
-// fill writes jobs into a folder, of which one in three stays open.
-func fill(t require.TestingT, f Directory, s Settings, jobs int) (ended int64) {
-	j := begin(t, f, s)
+// writeJobs writes jobs into a folder, of which one in three stays open.
+func writeJobs(t require.TestingT, f Directory, s Settings, jobs int) (ended int64) {
+	j := openJournal(t, f, s)
 	for n := range jobs {
 		at := start.Add(time.Duration(n) * time.Second)
-		job := hold
+		job := holdJob
 		job.Tenant, job.Key = fmt.Sprint("t", n%3), fmt.Sprint("k", n)
 		j.JobAccepted(uint64(n+1), job, at)
 		if n%3 != 0 {
 			j.JobEnded(uint64(n+1), "cell 0", accounting.Reason(n%int(accounting.Crashed)), at.Add(time.Second))
 			ended++
 		}
-		written(t, j, int64(n+1)+ended) // so that each is a batch or two of its own
+		waitWritten(t, j, int64(n+1)+ended) // so that each is a batch or two of its own
 	}
 	require.NoError(t, j.Close())
 	return ended
@@ -173,9 +173,9 @@
 // TestRestart: what the last epoch left open is closed as cut off, once, and
 // the next epochs count on.
 func TestRestart(t *testing.T) {
-	m := newMemory()
+	m := newMemoryDir()
 	for epoch := int64(1); epoch <= 4; epoch++ {
-		ended := fill(t, m, tight, 30)
+		ended := writeJobs(t, m, testSettings, 30)
 		v := verify(t, m)
 		require.Empty(t, v.Inconsistencies)
 		require.EqualValues(t, epoch, v.Epochs)
@@ -184,11 +184,11 @@
 		require.EqualValues(t, (30-ended)*(epoch-1), v.Totals.Ends[accounting.Crashed])
 		require.False(t, v.LastShutdownClean, "jobs were open at its end")
 	}
-	j := begin(t, m, tight)
+	j := openJournal(t, m, testSettings)
 	require.False(t, j.Recovery().CleanShutdown)
 	require.Equal(t, 10, j.Recovery().CrashedJobs)
 	require.NoError(t, j.Close())
-	j = begin(t, m, tight)
+	j = openJournal(t, m, testSettings)
 	require.True(t, j.Recovery().CleanShutdown)
 	require.NoError(t, j.Close())
 	v := verify(t, m)
@@ -197,19 +197,19 @@
 	require.Zero(t, v.Totals.Open)
 }
 
-// TestCut cuts a journal at every byte of what follows its first batch: a
+// TestTruncatedAtAnyByte cuts a journal at every byte of what follows its first batch: a
 // start cuts what is torn and counts on from there.
-func TestCut(t *testing.T) {
-	whole := newMemory()
-	fill(t, whole, tight, 6)
+func TestTruncatedAtAnyByte(t *testing.T) {
+	whole := newMemoryDir()
+	writeJobs(t, whole, testSettings, 6)
 	name := "00000001-00000001.seg"
 	text := whole.files[name]
 	last := -1
 	for size := len(text); size >= 0; size-- {
-		m := of(map[string][]byte{name: text[:size]})
+		m := copyOf(map[string][]byte{name: text[:size]})
 		v := verify(t, m)
 		require.Empty(t, v.Inconsistencies, "cut at %d", size)
-		j := begin(t, m, tight)
+		j := openJournal(t, m, testSettings)
 		if v.Records == 0 { // it never began: all of it goes
 			require.Equal(t, size, j.Recovery().TruncatedBytes, "cut at %d", size)
 		} else {
@@ -232,18 +232,18 @@
 // TestFlippedBits flips each bit of a journal: the recount names every one, and
 // a start says so and goes on with what is sound.
 func TestFlippedBits(t *testing.T) {
-	whole := newMemory()
-	fill(t, whole, tight, 4)
+	whole := newMemoryDir()
+	writeJobs(t, whole, testSettings, 4)
 	name := "00000001-00000001.seg"
 	text := whole.files[name]
 	for i := range text {
 		for bit := range 8 {
-			m := of(whole.files)
+			m := copyOf(whole.files)
 			m.files[name][i] ^= 1 << bit
 			v := verify(t, m)
 			require.NotEmpty(t, v.Inconsistencies, "bit %d of byte %d", bit, i)
 			if bit == i%8 { // a start for each would take long
-				j, err := Open(m, tight, start, quiet, func([]accounting.Difference) {})
+				j, err := Open(m, testSettings, start, discardLog, func([]accounting.Difference) {})
 				if errors.Is(err, ErrNewerVersion) { // can't be: the header's checksum goes before its version
 					require.Fail(t, "newer")
 				}
@@ -259,11 +259,11 @@
 // many segments, some of them gone already, and after every part of a write: a
 // start finds jobs that were whole, and nothing ever fails to add up.
 func TestCrash(t *testing.T) {
-	m := newMemory()
-	m.keep = true
-	s := tight
+	m := newMemoryDir()
+	m.recordSteps = true
+	s := testSettings
 	s.SegmentBytes, s.MaxBytes = 600, 2500
-	fill(t, m, s, 60)
+	writeJobs(t, m, s, 60)
 	require.Greater(t, len(m.files), 2)
 	require.NotContains(t, m.files, "00000001-00000001.seg", "the oldest has gone")
 	before := map[string][]byte{}
@@ -274,9 +274,9 @@
 				if part <= 0 || part > grown {
 					continue
 				}
-				f := of(state)
+				f := copyOf(state)
 				f.files[name] = f.files[name][:len(before[name])+part]
-				j := begin(t, f, s)
+				j := openJournal(t, f, s)
 				require.Empty(t, j.Recovery().Warnings)
 				require.NoError(t, j.Close())
 				v := verify(t, f)
@@ -288,24 +288,24 @@
 	}
 }
 
-// TestFull: a disk that is full at any byte stops the journal, loudly, and what
+// TestDiskFull: a disk that is full at any byte stops the journal, loudly, and what
 // was written before still adds up.
-func TestFull(t *testing.T) {
-	whole := newMemory()
-	fill(t, whole, tight, 4)
+func TestDiskFull(t *testing.T) {
+	whole := newMemoryDir()
+	writeJobs(t, whole, testSettings, 4)
 	size := len(whole.files["00000001-00000001.seg"])
 	for room := 0; room < size; room += 3 {
-		m := newMemory()
-		m.room = room
+		m := newMemoryDir()
+		m.freeBytes = room
 		var said bytes.Buffer
 		log := logrus.New()
 		log.SetOutput(&said)
-		j, err := Open(m, tight, start, log, func([]accounting.Difference) {})
+		j, err := Open(m, testSettings, start, log, func([]accounting.Difference) {})
 		if err != nil {
 			require.ErrorIs(t, err, syscall.ENOSPC)
 		} else {
 			for n := uint64(1); n <= 100; n++ { // adding never fails and never waits
-				j.JobAccepted(n, hold, start)
+				j.JobAccepted(n, holdJob, start)
 				j.JobEnded(n, "cell 0", accounting.Answered, start)
 			}
 			require.Error(t, j.Close())
@@ -314,21 +314,21 @@
 			require.Contains(t, why, "no space left")
 			require.Contains(t, said.String(), "level=error")
 		}
-		m.room = -1
+		m.freeBytes = -1
 		require.Empty(t, verify(t, m).Inconsistencies)
-		j = begin(t, m, tight)
+		j = openJournal(t, m, testSettings)
 		require.NoError(t, j.Close())
 		require.Empty(t, verify(t, m).Inconsistencies)
 	}
 }
 
-// TestSlow: a disk that does not keep up stops the journal and not the jobs.
-func TestSlow(t *testing.T) {
-	m := newMemory()
-	j := begin(t, m, tight)
+// TestDiskTooSlow: a disk that does not keep up stops the journal and not the jobs.
+func TestDiskTooSlow(t *testing.T) {
+	m := newMemoryDir()
+	j := openJournal(t, m, testSettings)
 	m.mu.Lock() // every write waits
-	for n := uint64(1); n <= 2*mostWaiting; n++ {
-		j.JobAccepted(n, hold, start)
+	for n := uint64(1); n <= 2*maxQueued; n++ {
+		j.JobAccepted(n, holdJob, start)
 	}
 	stopped, why := j.Stopped()
 	m.mu.Unlock()
@@ -337,16 +337,16 @@
 	require.Error(t, j.Close())
 }
 
-// TestMarks: a count that is off is found at the next mark, by the running
+// TestCheckpoints: a count that is off is found at the next mark, by the running
 // journal and by the recount, each on its own.
-func TestMarks(t *testing.T) {
-	m := newMemory()
+func TestCheckpoints(t *testing.T) {
+	m := newMemoryDir()
 	found := make(chan []accounting.Difference, 10)
-	j, err := Open(m, tight, start, quiet, func(d []accounting.Difference) { found <- d })
+	j, err := Open(m, testSettings, start, discardLog, func(d []accounting.Difference) { found <- d })
 	require.NoError(t, err)
 	book := accounting.New(accounting.DefaultLimits())
 	one := func(journalled bool) {
-		e := book.JobAccepted(hold, start)
+		e := book.JobAccepted(holdJob, start)
 		if journalled {
 			j.JobAccepted(e.Number, e.Job, start)
 		}
@@ -358,7 +358,7 @@
 	}
 	one(true)
 	j.Checkpoint(book.Totals(), start)
-	written(t, j, 3)
+	waitWritten(t, j, 3)
 	require.Empty(t, found)
 	require.Empty(t, verify(t, m).Inconsistencies)
 	one(false) // the fault
@@ -370,12 +370,12 @@
 
 // TestClockSetBack: times that run backward are written and read as they were.
 func TestClockSetBack(t *testing.T) {
-	m := newMemory()
-	j := begin(t, m, tight)
-	j.JobAccepted(1, hold, start.Add(time.Hour))
+	m := newMemoryDir()
+	j := openJournal(t, m, testSettings)
+	j.JobAccepted(1, holdJob, start.Add(time.Hour))
 	j.JobEnded(1, "cell 0", accounting.Answered, start.Add(-24*time.Hour))
 	require.NoError(t, j.Close())
-	require.NoError(t, begin(t, m, tight).Close()) // an hour before the last record
+	require.NoError(t, openJournal(t, m, testSettings).Close()) // an hour before the last record
 	v := verify(t, m)
 	require.Empty(t, v.Inconsistencies)
 	require.True(t, v.Latest.Equal(start.Add(time.Hour)))
@@ -385,14 +385,14 @@
 	require.EqualValues(t, 1, rows[0].Outcome(accounting.Served))
 }
 
-// TestOlder reads a journal that version 1 wrote, and counts on from it.
-func TestOlder(t *testing.T) {
+// TestReadsVersion1 reads a journal that version 1 wrote, and counts on from it.
+func TestReadsVersion1(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "version1.seg"))
 	require.NoError(t, err)
-	m := of(map[string][]byte{"00000001-00000001.seg": text})
-	j := begin(t, m, tight)
+	m := copyOf(map[string][]byte{"00000001-00000001.seg": text})
+	j := openJournal(t, m, testSettings)
 	require.Equal(t, 1, j.Recovery().CrashedJobs)
-	j.JobAccepted(1, hold, start)
+	j.JobAccepted(1, holdJob, start)
 	require.NoError(t, j.Close())
 	v := verify(t, m)
 	require.Empty(t, v.Inconsistencies)
@@ -402,7 +402,7 @@
 	// One of a version to come is left as it is.
 	h := Header{Version: Version + 1, Epoch: 9, Index: 1}
 	m.files["00000009-00000001.seg"] = append(h.encode(), "whatever"...)
-	_, err = Open(m, tight, start, quiet, nil)
+	_, err = Open(m, testSettings, start, discardLog, nil)
 	require.ErrorIs(t, err, ErrNewerVersion)
 	require.Contains(t, m.files, "00000009-00000001.seg")
 }
@@ -410,11 +410,11 @@
 // TestReport: each row of a report is in balance, whatever it is by, and the
 // rows together have every job of its time once.
 func TestReport(t *testing.T) {
-	m := newMemory()
-	s := tight
+	m := newMemoryDir()
+	s := testSettings
 	s.SegmentBytes = 700
-	fill(t, m, s, 40)
-	fill(t, m, s, 40)
+	writeJobs(t, m, s, 40)
+	writeJobs(t, m, s, 40)
 	for _, by := range [][]string{nil, {"tenant"}, {"front", "class", "tenant", "group"}, {"minute", "tenant"}, {"hour"}, {"day"}} {
 		for _, span := range [][2]time.Time{{}, {start.Add(5 * time.Second)}, {start.Add(5 * time.Second), start.Add(20 * time.Second)}} {
 			rows, complaints, err := Report(m, Query{From: span[0], To: span[1], By: by})
@@ -437,43 +437,43 @@
 	require.Error(t, Query{From: start, To: start}.Validate())
 }
 
-// TestFolder is the real folder: one writer at a time, readers beside it.
-func TestFolder(t *testing.T) {
+// TestDirectory is the real folder: one writer at a time, readers beside it.
+func TestDirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
 	f, err := OpenDirectory(path)
 	require.NoError(t, err)
 	_, err = OpenDirectory(path)
 	require.ErrorIs(t, err, ErrInUse)
-	j := begin(t, f, tight)
-	j.JobAccepted(1, hold, start)
-	written(t, j, 1)
+	j := openJournal(t, f, testSettings)
+	j.JobAccepted(1, holdJob, start)
+	waitWritten(t, j, 1)
 	r, err := ReadDirectory(path)
 	require.NoError(t, err)
 	require.Empty(t, verify(t, r).Inconsistencies)
 	require.NoError(t, j.Close())
 	f, err = OpenDirectory(path)
 	require.NoError(t, err)
-	require.NoError(t, begin(t, f, tight).Close())
+	require.NoError(t, openJournal(t, f, testSettings).Close())
 	require.Empty(t, verify(t, r).Inconsistencies)
 }
 
-// TestRandom drives a journal with random jobs, marks, crashes and restarts.
-func TestRandom(t *testing.T) {
+// TestRandomJobsAndCrashes drives a journal with random jobs, marks, crashes and restarts.
+func TestRandomJobsAndCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMemory()
-		s := tight
+		m := newMemoryDir()
+		s := testSettings
 		s.SegmentBytes = int64(rapid.IntRange(200, 3000).Draw(t, "segment"))
-		j, now, total := begin(t, m, s), start, int64(0)
+		j, now, total := openJournal(t, m, s), start, int64(0)
 		var open []uint64
 		var sum accounting.Totals
 		var last uint64
 		var added int64
 		t.Repeat(map[string]func(*rapid.T){
-			"enter": func(t *rapid.T) {
+			"accept": func(*rapid.T) {
 				last++
 				added++
 				total++
-				j.JobAccepted(last, hold, now)
+				j.JobAccepted(last, holdJob, now)
 				open = append(open, last)
 				sum.Taken++
 				sum.Open++
@@ -490,18 +490,18 @@
 				sum.Ends[r]++
 				added++
 			},
-			"mark": func(t *rapid.T) { j.Checkpoint(sum, now); added++ },
+			"checkpoint": func(*rapid.T) { j.Checkpoint(sum, now); added++ },
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"crash": func(t *rapid.T) {
-				written(t, j, added)
+				waitWritten(t, j, added)
 				m.mu.Lock()
-				left := of(m.files)
+				left := copyOf(m.files)
 				m.mu.Unlock()
-				j.Close()
+				_ = j.Close() // what it writes now the crash has lost
 				m = left
-				j = begin(t, m, s)
+				j = openJournal(t, m, s)
 				require.Equal(t, len(open), j.Recovery().CrashedJobs)
 				open, sum, last, added = nil, accounting.Totals{}, 0, 0
 			},
@@ -516,8 +516,8 @@
 
 // FuzzScan: no bytes, however wrong, make the reader fail or go on for ever.
 func FuzzScan(f *testing.F) {
-	m := newMemory()
-	fill(f, m, tight, 3)
+	m := newMemoryDir()
+	writeJobs(f, m, testSettings, 3)
 	f.Add(m.files["00000001-00000001.seg"])
 	f.Fuzz(func(t *testing.T, text []byte) {
 		n := 0
@@ -525,7 +525,7 @@
 		require.NoError(t, err)
 		require.LessOrEqual(t, s.ValidBytes, len(text))
 		d := &decoder{version: Version}
-		d.records(text, func(*Record) error { return nil }) // as if its checksum were right
+		_ = d.records(text, func(*Record) error { return nil }) // as if its checksum were right
 	})
 }
 
@@ -533,18 +533,18 @@
 func BenchmarkAdd(b *testing.B) {
 	f, err := OpenDirectory(b.TempDir())
 	require.NoError(b, err)
-	s := tight
+	s := testSettings
 	s.SegmentBytes, s.WriteDelay, s.SyncInterval = 8<<20, 10*time.Millisecond, time.Second
-	j := begin(b, f, s)
+	j := openJournal(b, f, s)
 	b.ReportAllocs()
 	n := uint64(0)
 	for b.Loop() {
 		n++
-		j.JobAccepted(n, hold, start)
+		j.JobAccepted(n, holdJob, start)
 		j.JobEnded(n, "cell 0", accounting.Answered, start)
 		if n%8192 == 0 { // never more than a disk takes
 			b.StopTimer()
-			written(b, j, int64(2*n))
+			waitWritten(b, j, int64(2*n))
 			b.StartTimer()
 		}
 	}
--- a/internal/dispatcher/journal/report.go
+++ b/internal/dispatcher/journal/report.go
@@ -13,9 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Query says what a report is to cover: from and to bound when a job was taken
-// or ended; zero times bound nothing. By names what to count by: front, class,
-// tenant, group, hour, day, minute.
+// Query is what a report covers: From (inclusive) and To (exclusive) bound when a job was
+// accepted or ended; a zero time is no bound. By are the Dimensions to count by.
 type Query struct {
 	From, To time.Time
 	By       []string
@@ -31,10 +30,10 @@
 	return time.Time{}, fmt.Errorf("%q is neither a date nor a time in RFC 3339", text)
 }
 
-// Dimensions are what a report can be by.
+// Dimensions are what a report can count by.
 var Dimensions = []string{"front", "class", "tenant", "group", "minute", "hour", "day"}
 
-// Validate says what is wrong with a query.
+// Validate returns what is wrong with a query.
 func (q Query) Validate() error {
 	for _, by := range q.By {
 		if !slices.Contains(Dimensions, by) {
@@ -47,112 +46,135 @@
 	return nil
 }
 
-// ReportRow are one row of a report. Opened + Taken = sum of Ends + Open, where
-// opened and open are the jobs in hand at its begin and end.
+// ReportRow is one row of a report. OpenBefore + Accepted = sum of Ends + Open, where
+// OpenBefore and Open are the jobs that were open at the report's begin and end.
 type ReportRow struct {
 	By              []string // one for each of the query's dimensions
 	OpenBefore      int64
 	Accepted        int64
 	Ends            [accounting.Reasons]int64
 	Open            int64
-	LogicalRequests int64 // of the jobs taken, those that are no repeats
+	LogicalRequests int64 // of the accepted jobs, those that are no retries
 	P50, P95        time.Duration
-	P99, Longest    time.Duration // from taking in to the end, of served jobs
-	times           *hdrhistogram.Histogram
+	P99, Longest    time.Duration // from acceptance to the end, of served jobs
+	latencies       *hdrhistogram.Histogram
 }
 
 // Outcome sums the ends of one outcome.
-func (f *ReportRow) Outcome(o accounting.Outcome) (n int64) {
-	for r, e := range f.Ends {
-		if accounting.Reason(r).Outcome() == o {
-			n += e
+func (r *ReportRow) Outcome(outcome accounting.Outcome) (sum int64) {
+	for reason, n := range r.Ends {
+		if accounting.Reason(reason).Outcome() == outcome {
+			sum += n
 		}
 	}
-	return n
+	return sum
 }
 
-// Report counts what a folder has to say to a query. A job counts under the
-// group and the stretch of time that it ended in where it has ended, so that
-// each row is in balance. Complaints are of what could not be read.
-func Report(f Directory, q Query) (rows []*ReportRow, complaints []string, err error) {
-	if err := q.Validate(); err != nil {
+// maxLatency bounds what a latency counts as.
+const maxLatency = 10 * time.Minute
+
+// setQuantiles sets what the row tells of the latencies.
+func (r *ReportRow) setQuantiles() {
+	if r.latencies == nil {
+		return
+	}
+	quantile := func(percent float64) time.Duration {
+		return time.Duration(r.latencies.ValueAtQuantile(percent)) * time.Microsecond
+	}
+	r.P50, r.P95, r.P99 = quantile(50), quantile(95), quantile(99)
+	r.Longest = time.Duration(r.latencies.Max()) * time.Microsecond
+}
+
+// addLatency adds the latency of a served job, in microseconds.
+func (r *ReportRow) addLatency(latency int64) {
+	longest := maxLatency.Microseconds()
+	if r.latencies == nil {
+		r.latencies = hdrhistogram.New(1, longest, 2)
+	}
+	_ = r.latencies.RecordValue(min(max(latency, 0), longest)) // always in the range
+}
+
+// Report answers a query from a journal. A job that has ended counts under the group and
+// the stretch of time in which it ended, so that each row balances. Warnings name what
+// could not be read.
+func Report(dir Directory, query Query) (rows []*ReportRow, warnings []string, err error) {
+	if err := query.Validate(); err != nil {
 		return nil, nil, err
 	}
-	names, err := f.Names()
+	names, err := dir.Names()
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &reporter{query: q, rows: make(map[string]*ReportRow), open: make(map[uint64]Record), asks: make(map[uint64]struct{})}
+	p := &reporter{query: query, rows: make(map[string]*ReportRow), open: make(map[uint64]Record), requests: make(map[uint64]struct{})}
 	for _, name := range names {
-		text, err := f.Read(name)
+		text, err := dir.Read(name)
 		if err != nil {
 			return nil, nil, err
 		}
-		s, err := Scan(text, c.record)
+		s, err := Scan(text, p.add)
 		if err != nil {
 			return nil, nil, err
 		}
 		if s.Err != nil {
-			complaints = append(complaints, fmt.Sprintf("%s: %v", name, s.Err))
+			warnings = append(warnings, fmt.Sprintf("%s: %v", name, s.Err))
 		}
 	}
-	c.finish()
-	for _, r := range c.rows {
-		if r.times != nil {
-			at := func(p float64) time.Duration { return time.Duration(r.times.ValueAtQuantile(p)) * time.Microsecond }
-			r.P50, r.P95, r.P99, r.Longest = at(50), at(95), at(99), time.Duration(r.times.Max())*time.Microsecond
-		}
+	p.countOpenJobs()
+	for _, r := range p.rows {
+		r.setQuantiles()
 		rows = append(rows, r)
 	}
 	slices.SortFunc(rows, func(x, y *ReportRow) int { return slices.Compare(x.By, y.By) })
-	return rows, complaints, nil
+	return rows, warnings, nil
 }
 
+// reporter counts the records of a journal for a query.
 type reporter struct {
-	query Query
-	rows  map[string]*ReportRow
-	open  map[uint64]Record
-	asks  map[uint64]struct{}
+	query    Query
+	rows     map[string]*ReportRow // by the texts of ReportRow.By
+	open     map[uint64]Record     // jobs, by number
+	requests map[uint64]struct{}   // logical requests so far
 }
 
-func (c *reporter) record(r *Record) error {
+func (p *reporter) add(r *Record) error {
 	switch r.Kind {
-	case KindCarriedOver: // only the oldest segment's are news
-		if _, known := c.open[r.Number]; !known {
-			c.open[r.Number] = *r
-			c.noteAsk(r)
+	case KindCarriedOver: // known already, but for those of the oldest segment
+		if _, known := p.open[r.Number]; !known {
+			p.open[r.Number] = *r
+			p.isNewRequest(r)
 		}
 	case KindAccepted:
-		again := *r
-		again.Retry = !c.noteAsk(r)
-		c.open[r.Number] = again
+		job := *r
+		job.Retry = !p.isNewRequest(r)
+		p.open[r.Number] = job
 	case KindEnded:
-		job, ok := c.open[r.Number]
+		job, ok := p.open[r.Number]
 		if !ok {
 			return nil
 		}
-		delete(c.open, r.Number)
-		c.job(job, r)
+		delete(p.open, r.Number)
+		p.countJob(job, r)
 	}
 	return nil
 }
 
-// noteAsk reports whether a job is an ask that was not seen before.
-func (c *reporter) noteAsk(r *Record) bool {
+// isNewRequest reports whether a job is of a logical request that was not seen before, and
+// remembers the request.
+func (p *reporter) isNewRequest(r *Record) bool {
 	if r.LogicalRequest == 0 {
 		return !r.Retry
 	}
-	if _, known := c.asks[r.LogicalRequest]; known {
+	if _, known := p.requests[r.LogicalRequest]; known {
 		return false
 	}
-	c.asks[r.LogicalRequest] = struct{}{}
+	p.requests[r.LogicalRequest] = struct{}{}
 	return true
 }
 
-// job counts a job that has ended, or, without an end, one that is open.
-func (c *reporter) job(job Record, end *Record) {
-	before := func(at int64) bool { return !c.query.From.IsZero() && at < c.query.From.UnixMicro() }
-	after := func(at int64) bool { return !c.query.To.IsZero() && at >= c.query.To.UnixMicro() }
+// countJob counts a job that has ended, or, without an end, one that is open.
+func (p *reporter) countJob(job Record, end *Record) {
+	before := func(at int64) bool { return !p.query.From.IsZero() && at < p.query.From.UnixMicro() }
+	after := func(at int64) bool { return !p.query.To.IsZero() && at >= p.query.To.UnixMicro() }
 	if end != nil && before(end.At) || after(job.At) {
 		return
 	}
@@ -163,7 +185,7 @@
 	if end != nil {
 		group, at = end.Group, end.At
 	}
-	row := c.row(c.key(job, group, at))
+	row := p.row(p.key(job, group, at))
 	if before(job.At) {
 		row.OpenBefore++
 	} else {
@@ -178,17 +200,14 @@
 	}
 	row.Ends[end.Reason]++
 	if end.Reason == accounting.Answered {
-		if row.times == nil {
-			row.times = hdrhistogram.New(1, (10 * time.Minute).Microseconds(), 2)
-		}
-		row.times.RecordValue(min(max(end.At-job.At, 0), (10 * time.Minute).Microseconds()))
+		row.addLatency(end.At - job.At)
 	}
 }
 
-func (c *reporter) key(job Record, group string, at int64) []string {
-	by := make([]string, len(c.query.By))
+func (p *reporter) key(job Record, group string, at int64) []string {
+	by := make([]string, len(p.query.By))
 	t := time.UnixMicro(at).UTC()
-	for i, d := range c.query.By {
+	for i, d := range p.query.By {
 		switch d {
 		case "front":
 			by[i] = job.Series.Front
@@ -209,18 +228,18 @@
 	return by
 }
 
-func (c *reporter) row(by []string) *ReportRow {
+func (p *reporter) row(by []string) *ReportRow {
 	key := strings.Join(by, "\x00")
-	r := c.rows[key]
+	r := p.rows[key]
 	if r == nil {
 		r = &ReportRow{By: by}
-		c.rows[key] = r
+		p.rows[key] = r
 	}
 	return r
 }
 
-func (c *reporter) finish() {
-	for _, job := range c.open {
-		c.job(job, nil)
+func (p *reporter) countOpenJobs() {
+	for _, job := range p.open {
+		p.countJob(job, nil)
 	}
 }
--- a/internal/dispatcher/journal/verify.go
+++ b/internal/dispatcher/journal/verify.go
@@ -7,227 +7,286 @@
 	"basaltloft/internal/dispatcher/accounting"
 )
 
-// Verification is what a recount of a whole folder says.
+// Verification is the result of a recount of a whole journal.
 type Verification struct {
 	Segments, Epochs    int
 	Records, Jobs       int64
-	Checkpoints         int64 // places where the account's totals were held against the recount
+	Checkpoints         int64 // places where the ledger's totals were compared with the recount
 	Totals              accounting.Totals
 	Inconsistencies     []string // each thing that does not add up, with where it stands
-	TornBytes           int      // bytes at the very end that were never written whole: a start will cut them
-	LastShutdownClean   bool
+	TornBytes           int      // at the very end, never written whole: the next start truncates them
+	LastShutdownClean   bool     // the last epoch ended with no job open, or there is none
 	Oldest, Latest      time.Time
-	BeforeOldestSegment accounting.Totals // what was counted in segments that are gone
-}
-
-const mostWrong = 1000 // more than this are only counted
-
-// recount is the verifier's own count. It shares no code with the writer's.
-type recount struct {
-	v        *Verification
-	at       string
-	lines    map[Series][accounting.Reasons + 1]int64 // ends, and at the end taken
-	open     map[uint64]Series
-	since    [accounting.Reasons + 1]int64 // of this epoch
-	epoch    uint32
-	index    uint32
-	first    bool
-	expected map[Series][accounting.Reasons + 1]int64 // balances still to come in an opening
-	carried  map[uint64]Series                        // jobs still to be carried in an opening
-	opening  bool
-	closed   bool
-	more     int
-}
-
-func (c *recount) wrong(format string, args ...any) {
-	if len(c.v.Inconsistencies) < mostWrong {
-		c.v.Inconsistencies = append(c.v.Inconsistencies, c.at+": "+fmt.Sprintf(format, args...))
-	} else {
-		c.more++
+	BeforeOldestSegment accounting.Totals // what was counted in segments that have been removed
+}
+
+// maxInconsistencies bounds those that are named; more are only counted.
+const maxInconsistencies = 1000
+
+// counts is how many jobs ended for each reason and, in its last element, how many were
+// accepted.
+type counts [accounting.Reasons + 1]int64
+
+// acceptedAt is the element of counts that has the accepted jobs.
+const acceptedAt = int(accounting.Reasons)
+
+func newCounts(accepted int64, ends [accounting.Reasons]int64) (c counts) {
+	copy(c[:], ends[:])
+	c[acceptedAt] = accepted
+	return c
+}
+
+func (c *counts) accepted() int64 { return c[acceptedAt] }
+
+func (c *counts) ended() (sum int64) {
+	for _, n := range c[:acceptedAt] {
+		sum += n
 	}
+	return sum
 }
 
-// Verify recounts all segments of a folder and names everything in them that
-// does not add up. It fails only if the folder can't be read.
-func Verify(f Directory) (*Verification, error) {
-	names, err := f.Names()
+// verifier recounts a journal, record by record. It shares no code with the writer's own
+// count, so that a fault of one does not hide in both.
+type verifier struct {
+	result   *Verification
+	location string // of what is read, for inconsistencies
+	bySeries map[Series]counts
+	open     map[uint64]Series // jobs, by number
+	ofEpoch  counts            // of the epoch that is read
+	epoch    uint32            // of the segment that is read
+	index    uint32            // of the segment that is read, within its epoch
+	oldest   bool              // the oldest segment is read: what was before it is not known
+	clean    bool              // the last record says that the epoch ended in order
+	omitted  int               // inconsistencies beyond those that are named
+
+	// While the start of a segment is read: what it must repeat of the segments before.
+	inStart         bool
+	expectedCounts  map[Series]counts
+	expectedCarried map[uint64]Series
+}
+
+// Verify recounts all segments of a journal and names everything in them that does not
+// add up. It fails only if the directory can't be read.
+func Verify(dir Directory) (*Verification, error) {
+	names, err := dir.Names()
 	if err != nil {
 		return nil, err
 	}
-	v := &Verification{LastShutdownClean: true}
-	c := &recount{v: v, lines: make(map[Series][accounting.Reasons + 1]int64), open: make(map[uint64]Series), first: true}
+	v := &verifier{
+		result: &Verification{LastShutdownClean: true}, oldest: true,
+		bySeries: make(map[Series]counts), open: make(map[uint64]Series),
+	}
 	for i, name := range names {
-		text, err := f.Read(name)
+		text, err := dir.Read(name)
 		if err != nil {
 			return nil, err
 		}
-		c.at = name
-		last := i == len(names)-1
-		if h, err := decodeHeader(text); err == nil {
-			c.segment(h)
-		}
-		s, err := Scan(text, c.record)
-		if err != nil {
+		if err := v.segment(name, text, i == len(names)-1); err != nil {
 			return nil, err
 		}
-		c.endOpening()
-		v.Segments++
-		switch {
-		case s.Err != nil:
-			c.wrong("%v: %d bytes can't be counted", s.Err, len(text)-s.ValidBytes)
-		case s.Torn && !last:
-			c.wrong("%d torn bytes at the end, though another segment follows", len(text)-s.ValidBytes)
-		case s.Torn:
-			v.TornBytes = len(text) - s.ValidBytes
-		}
 	}
-	v.LastShutdownClean = c.closed || v.Segments == 0
-	for line, n := range c.lines {
-		var ended int64
-		for _, e := range n[:accounting.Reasons] {
-			ended += e
-		}
-		var open int64
-		for _, l := range c.open {
-			if l == line {
-				open++
-			}
-		}
-		if taken := n[accounting.Reasons]; taken != ended+open {
-			c.at = "at the end"
-			c.wrong("%v: %d taken, but %d ended and %d open", line, taken, ended, open)
-		}
-		v.Totals.Taken += n[accounting.Reasons]
-		for r := range v.Totals.Ends {
-			v.Totals.Ends[r] += n[r]
-		}
+	v.finish()
+	return v.result, nil
+}
+
+func (v *verifier) inconsistent(format string, args ...any) {
+	if len(v.result.Inconsistencies) < maxInconsistencies {
+		v.result.Inconsistencies = append(v.result.Inconsistencies, v.location+": "+fmt.Sprintf(format, args...))
+	} else {
+		v.omitted++
+	}
+}
+
+// segment recounts one segment, of which the last one may have a torn end.
+func (v *verifier) segment(name string, text []byte, last bool) error {
+	v.location = name
+	if h, err := decodeHeader(text); err == nil {
+		v.header(h)
 	}
-	v.Totals.Open = int64(len(c.open))
-	if c.more > 0 {
-		v.Inconsistencies = append(v.Inconsistencies, fmt.Sprintf("and %d more", c.more))
+	scan, err := Scan(text, v.record)
+	if err != nil {
+		return err
+	}
+	v.endStart()
+	v.result.Segments++
+	unread := len(text) - scan.ValidBytes
+	switch {
+	case scan.Err != nil:
+		v.inconsistent("%v: %d bytes can't be counted", scan.Err, unread)
+	case scan.Torn && !last:
+		v.inconsistent("%d torn bytes at the end, though another segment follows", unread)
+	case scan.Torn:
+		v.result.TornBytes = unread
 	}
-	return v, nil
+	return nil
 }
 
-// segment takes in where a segment stands among the others.
-func (c *recount) segment(h Header) {
+// header checks the place of a segment among the others.
+func (v *verifier) header(h Header) {
 	switch {
-	case c.first:
-	case h.Epoch == c.epoch && h.Index == c.index+1:
-	case h.Epoch > c.epoch && h.Index == 1:
-		c.since = [accounting.Reasons + 1]int64{}
+	case v.oldest:
+	case h.Epoch == v.epoch && h.Index == v.index+1:
+	case h.Epoch > v.epoch && h.Index == 1:
+		v.ofEpoch = counts{}
 	default:
-		c.wrong("segment %d of epoch %d follows segment %d of epoch %d", h.Index, h.Epoch, c.index, c.epoch)
+		v.inconsistent("segment %d of epoch %d follows segment %d of epoch %d", h.Index, h.Epoch, v.index, v.epoch)
 	}
-	if c.first || h.Epoch != c.epoch {
-		c.v.Epochs++
+	if v.oldest || h.Epoch != v.epoch {
+		v.result.Epochs++
 	}
-	if c.v.Oldest.IsZero() {
-		c.v.Oldest = time.UnixMicro(h.Created)
+	if v.result.Oldest.IsZero() {
+		v.result.Oldest = time.UnixMicro(h.Created)
 	}
-	c.epoch, c.index = h.Epoch, h.Index
+	v.epoch, v.index = h.Epoch, h.Index
 }
 
-func (c *recount) record(r *Record) error {
-	c.v.Records++
-	if at := time.UnixMicro(r.At); r.At != 0 && at.After(c.v.Latest) {
-		c.v.Latest = at
+func (v *verifier) record(r *Record) error {
+	v.result.Records++
+	if at := time.UnixMicro(r.At); r.At != 0 && at.After(v.result.Latest) {
+		v.result.Latest = at
 	}
-	c.closed = false
-	if c.opening && r.Kind != KindBalance && r.Kind != KindCarriedOver {
-		c.endOpening()
+	v.clean = false
+	if v.inStart && r.Kind != KindBalance && r.Kind != KindCarriedOver {
+		v.endStart()
 	}
 	switch r.Kind {
 	case KindSegmentStart:
-		c.opening = true
-		if c.first {
-			c.since = ends(r.Accepted, r.Ends)
-		} else if c.since != ends(r.Accepted, r.Ends) {
-			c.wrong("the opening has %d taken and %v ended in this epoch, the recount %d and %v", r.Accepted, r.Ends, c.since[accounting.Reasons], c.since[:accounting.Reasons])
-		}
-		c.expected, c.carried = c.lines, c.open
-		c.lines, c.open = make(map[Series][accounting.Reasons + 1]int64), make(map[uint64]Series)
+		v.startSegment(r)
 	case KindBalance:
-		mine, known := c.expected[r.Series]
-		if stated := ends(r.Accepted, r.Ends); !c.first && (!known || mine != stated) {
-			c.wrong("the balance of %v is %v, the recount has %v", r.Series, stated, mine)
-		} else if c.first {
-			c.v.BeforeOldestSegment.Taken += r.Accepted
-			for i, n := range r.Ends {
-				c.v.BeforeOldestSegment.Ends[i] += n
-			}
-		}
-		c.lines[r.Series] = ends(r.Accepted, r.Ends)
-		delete(c.expected, r.Series)
+		v.balance(r)
 	case KindCarriedOver:
-		if line, known := c.carried[r.Number]; !c.first && (!known || line != r.Series) {
-			c.wrong("job %d of %v is carried on, but was not open", r.Number, r.Series)
-		} else if c.first {
-			c.v.BeforeOldestSegment.Open++
-		}
-		c.open[r.Number] = r.Series
-		delete(c.carried, r.Number)
+		v.carriedOver(r)
 	case KindAccepted:
-		c.v.Jobs++
-		if _, twice := c.open[r.Number]; twice {
-			c.wrong("job %d of %v is entered while it is open", r.Number, r.Series)
-		}
-		c.open[r.Number] = r.Series
-		c.count(r.Series, int(accounting.Reasons))
-		c.since[accounting.Reasons]++
+		v.accepted(r)
 	case KindEnded:
-		line, open := c.open[r.Number]
-		if !open {
-			c.wrong("job %d ends (%s), but is not open", r.Number, r.Reason)
-			return nil
-		}
-		delete(c.open, r.Number)
-		c.count(line, int(r.Reason))
-		if r.Reason != accounting.Crashed {
-			c.since[r.Reason]++
-		}
+		v.ended(r)
 	case KindCheckpoint:
-		c.v.Checkpoints++
-		open := c.since[accounting.Reasons]
-		for _, n := range c.since[:accounting.Reasons] {
-			open -= n
-		}
-		if c.since != ends(r.Accepted, r.Ends) || open != r.Open {
-			c.wrong("the account had %d taken, %d open and %v ended; the recount %d, %d and %v", r.Accepted, r.Open, r.Ends, c.since[accounting.Reasons], open, c.since[:accounting.Reasons])
-		}
+		v.checkpoint(r)
 	case KindCleanShutdown:
-		c.closed = true
-		if len(c.open) > 0 {
-			c.wrong("the epoch is said to have ended in order with %d jobs open", len(c.open))
+		v.clean = true
+		if len(v.open) > 0 {
+			v.inconsistent("the epoch is said to have ended in order with %d jobs open", len(v.open))
 		}
 	}
 	return nil
 }
 
-// endOpening complains of what an opening should have had.
-func (c *recount) endOpening() {
-	if !c.opening {
+// startSegment begins to read what a segment repeats of those before it.
+func (v *verifier) startSegment(r *Record) {
+	v.inStart = true
+	stated := newCounts(r.Accepted, r.Ends)
+	if v.oldest {
+		v.ofEpoch = stated
+	} else if v.ofEpoch != stated {
+		v.inconsistent("the opening has %d taken and %v ended in this epoch, the recount %d and %v",
+			r.Accepted, r.Ends, v.ofEpoch.accepted(), v.ofEpoch[:acceptedAt])
+	}
+	v.expectedCounts, v.expectedCarried = v.bySeries, v.open
+	v.bySeries, v.open = make(map[Series]counts), make(map[uint64]Series)
+}
+
+func (v *verifier) balance(r *Record) {
+	stated := newCounts(r.Accepted, r.Ends)
+	recounted, known := v.expectedCounts[r.Series]
+	if !v.oldest && (!known || recounted != stated) {
+		v.inconsistent("the balance of %v is %v, the recount has %v", r.Series, stated, recounted)
+	} else if v.oldest {
+		v.result.BeforeOldestSegment.Taken += r.Accepted
+		for reason, n := range r.Ends {
+			v.result.BeforeOldestSegment.Ends[reason] += n
+		}
+	}
+	v.bySeries[r.Series] = stated
+	delete(v.expectedCounts, r.Series)
+}
+
+func (v *verifier) carriedOver(r *Record) {
+	if series, known := v.expectedCarried[r.Number]; !v.oldest && (!known || series != r.Series) {
+		v.inconsistent("job %d of %v is carried on, but was not open", r.Number, r.Series)
+	} else if v.oldest {
+		v.result.BeforeOldestSegment.Open++
+	}
+	v.open[r.Number] = r.Series
+	delete(v.expectedCarried, r.Number)
+}
+
+func (v *verifier) accepted(r *Record) {
+	v.result.Jobs++
+	if _, twice := v.open[r.Number]; twice {
+		v.inconsistent("job %d of %v is entered while it is open", r.Number, r.Series)
+	}
+	v.open[r.Number] = r.Series
+	v.count(r.Series, acceptedAt)
+	v.ofEpoch[acceptedAt]++
+}
+
+func (v *verifier) ended(r *Record) {
+	series, open := v.open[r.Number]
+	if !open {
+		v.inconsistent("job %d ends (%s), but is not open", r.Number, r.Reason)
+		return
+	}
+	delete(v.open, r.Number)
+	v.count(series, int(r.Reason))
+	if r.Reason != accounting.Crashed { // such an end is of the epoch before
+		v.ofEpoch[r.Reason]++
+	}
+}
+
+func (v *verifier) checkpoint(r *Record) {
+	v.result.Checkpoints++
+	open := v.ofEpoch.accepted() - v.ofEpoch.ended()
+	if v.ofEpoch != newCounts(r.Accepted, r.Ends) || open != r.Open {
+		v.inconsistent("the account had %d taken, %d open and %v ended; the recount %d, %d and %v",
+			r.Accepted, r.Open, r.Ends, v.ofEpoch.accepted(), open, v.ofEpoch[:acceptedAt])
+	}
+}
+
+// endStart names what the start of a segment should have repeated and did not.
+func (v *verifier) endStart() {
+	if !v.inStart {
 		return
 	}
-	if !c.first {
-		for line, n := range c.expected {
-			c.wrong("the opening has no balance of %v, the recount %v", line, n)
+	if !v.oldest {
+		for series, n := range v.expectedCounts {
+			v.inconsistent("the opening has no balance of %v, the recount %v", series, n)
 		}
-		for number, line := range c.carried {
-			c.wrong("job %d of %v was open and is not carried on", number, line)
+		for number, series := range v.expectedCarried {
+			v.inconsistent("job %d of %v was open and is not carried on", number, series)
 		}
 	}
-	c.opening, c.first, c.expected, c.carried = false, false, nil, nil
+	v.inStart, v.oldest, v.expectedCounts, v.expectedCarried = false, false, nil, nil
 }
 
-func (c *recount) count(l Series, i int) {
-	n := c.lines[l]
-	n[i]++
-	c.lines[l] = n
+// count adds one job of a series, to an element of its counts.
+func (v *verifier) count(s Series, element int) {
+	n := v.bySeries[s]
+	n[element]++
+	v.bySeries[s] = n
 }
 
-func ends(taken int64, by [accounting.Reasons]int64) (n [accounting.Reasons + 1]int64) {
-	copy(n[:], by[:])
-	n[accounting.Reasons] = taken
-	return n
+// finish sums the series up and checks that each one's jobs have ended or are open.
+func (v *verifier) finish() {
+	result := v.result
+	result.LastShutdownClean = v.clean || result.Segments == 0
+	for series, n := range v.bySeries {
+		var open int64
+		for _, of := range v.open {
+			if of == series {
+				open++
+			}
+		}
+		if n.accepted() != n.ended()+open {
+			v.location = "at the end"
+			v.inconsistent("%v: %d taken, but %d ended and %d open", series, n.accepted(), n.ended(), open)
+		}
+		result.Totals.Taken += n.accepted()
+		for reason := range result.Totals.Ends {
+			result.Totals.Ends[reason] += n[reason]
+		}
+	}
+	result.Totals.Open = int64(len(v.open))
+	if v.omitted > 0 {
+		result.Inconsistencies = append(result.Inconsistencies, fmt.Sprintf("and %d more", v.omitted))
+	}
 }
--- a/internal/dispatcher/journal/writer.go
+++ b/internal/dispatcher/journal/writer.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -12,46 +11,47 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Settings bound a journal.
+// Settings bound what a journal keeps and what a crash can take from it.
 type Settings struct {
-	SegmentBytes int64
-	MaxBytes     int64
-	MaxAge       time.Duration
-	WriteDelay   time.Duration // records wait this long for others to be written with
-	SyncInterval time.Duration // and this long to be safe from a power loss
+	SegmentBytes int64         // a segment is ended once it is as long
+	MaxBytes     int64         // of all segments; the oldest are removed
+	MaxAge       time.Duration // of a segment
+	WriteDelay   time.Duration // a record waits so long for others to be written with it
+	SyncInterval time.Duration // and so long until it is safe from a power loss
 }
 
-// mostWaiting is how many records may wait for a disk that does not keep up.
-const mostWaiting = 1 << 16
+// maxQueued is how many records may wait for a disk that does not keep up. With more the
+// journal stops.
+const maxQueued = 1 << 16
 
-// Journal writes records as the core's goroutine adds them, from a goroutine
-// of its own. Adding never waits. When anything fails the journal stops, says
-// so, and drops what is added: no job depends on it.
+// Journal writes the records that the engine's goroutine adds, on a goroutine of its own.
+// Adding never blocks. When anything fails, the journal stops, logs that, and drops what
+// is added: no job depends on it. Close must be called.
 type Journal struct {
-	folder   Directory
-	settings Settings
-	log      logrus.FieldLogger
-	found    Recovery
-	differ   func([]accounting.Difference)
+	dir               Directory
+	settings          Settings
+	log               logrus.FieldLogger
+	recovery          Recovery
+	reportDifferences func([]accounting.Difference)
 
-	mu      sync.Mutex
-	waiting []Record
-	closing bool
-	wake    chan struct{}
-	done    chan struct{}
-	stopped atomic.Bool
-	why     atomic.Value // string
-	written atomic.Int64 // records
+	mu         sync.Mutex
+	queue      []Record // not yet written
+	closing    bool
+	wake       chan struct{} // of the writer
+	done       chan struct{} // closed when the writer has ended
+	stopped    atomic.Bool
+	stopReason atomic.Value // string
+	written    atomic.Int64 // records
 
 	// Owned by the writer's goroutine.
-	balance  *balance
-	segment  File
-	header   Header
-	names    []segmentInfo // all segments, the oldest first, the one that is written last
-	size     int64
-	encoder  *encoder
-	unsynced bool
-	spare    []Record
+	balance      *balance
+	file         File
+	header       Header
+	segments     []segmentInfo // all segments, the oldest first, the one that is written last
+	segmentBytes int64         // written to the file
+	encoder      *encoder
+	unsynced     bool     // something was written since the last sync
+	spare        []Record // of the last batch, for the next queue
 }
 
 type segmentInfo struct {
@@ -60,33 +60,35 @@
 	created int64
 }
 
-// Open takes a folder over, closes what the last epoch left open, and begins a
-// new one. When it returns, all of that is safe from a power loss. differ is
-// told where a mark and the journal's own count differ.
-func Open(f Directory, s Settings, now time.Time, log logrus.FieldLogger, differ func([]accounting.Difference)) (*Journal, error) {
+// Open takes a directory over, ends the jobs that the last epoch left open, and begins a
+// new epoch. When it returns, all of that is safe from a power loss. The journal closes
+// the directory. reportDifferences is called, on the writer's goroutine, where a
+// checkpoint and the journal's own count differ. The error wraps ErrNewerVersion or one of
+// the directory.
+func Open(dir Directory, settings Settings, now time.Time, log logrus.FieldLogger, reportDifferences func([]accounting.Difference)) (*Journal, error) {
 	j := &Journal{
-		folder: f, settings: s, log: log, differ: differ,
+		dir: dir, settings: settings, log: log, reportDifferences: reportDifferences,
 		wake: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	var err error
-	if j.balance, j.found, err = recovered(f); err != nil {
+	if j.balance, j.recovery, err = recoverLastEpoch(dir); err != nil {
 		return nil, err
 	}
-	names, err := f.Names()
+	names, err := dir.Names()
 	if err != nil {
 		return nil, fmt.Errorf("listing segments: %w", err)
 	}
 	for _, name := range names {
-		text, err := f.Read(name)
+		text, err := dir.Read(name)
 		if err != nil {
 			return nil, fmt.Errorf("reading %s: %w", name, err)
 		}
-		h, _ := decodeHeader(text) // one that is damaged goes first
-		j.names = append(j.names, segmentInfo{name, int64(len(text)), h.Created})
+		h, _ := decodeHeader(text) // a damaged one counts as the oldest
+		j.segments = append(j.segments, segmentInfo{name, int64(len(text)), h.Created})
 	}
 	at := now.UnixMicro()
-	j.balance.epoch = accounting.Totals{}
-	if err := j.begin(Header{Version: Version, Epoch: j.found.Epoch, Index: 1, Created: at}, j.balance.closeEpoch(at)); err != nil {
+	j.balance.epochTotals = accounting.Totals{}
+	if err := j.startSegment(Header{Version: Version, Epoch: j.recovery.Epoch, Index: 1, Created: at}, j.balance.crashedJobs(at)); err != nil {
 		return nil, err
 	}
 	go j.run()
@@ -94,18 +96,18 @@
 }
 
 // Recovery is what Open found.
-func (j *Journal) Recovery() Recovery { return j.found }
+func (j *Journal) Recovery() Recovery { return j.recovery }
 
-// Stopped tells whether and why the journal has stopped writing.
+// Stopped reports whether and why the journal has stopped writing.
 func (j *Journal) Stopped() (bool, string) {
-	why, _ := j.why.Load().(string)
+	why, _ := j.stopReason.Load().(string)
 	return j.stopped.Load(), why
 }
 
 // Written is how many records have been written.
 func (j *Journal) Written() int64 { return j.written.Load() }
 
-// JobAccepted adds an entry.
+// JobAccepted adds that a job was accepted. number is its number within this process.
 func (j *Journal) JobAccepted(number uint64, job accounting.Job, at time.Time) {
 	j.add(Record{
 		Kind: KindAccepted, Number: number, At: at.UnixMicro(), Series: Series{job.Front, job.Class, job.Tenant},
@@ -113,13 +115,13 @@
 	})
 }
 
-// JobEnded adds an end.
+// JobEnded adds that a job ended, with the group of the pool member that answered last.
 func (j *Journal) JobEnded(number uint64, group string, r accounting.Reason, at time.Time) {
 	j.add(Record{Kind: KindEnded, Number: number, At: at.UnixMicro(), Group: group, Reason: r})
 }
 
-// Checkpoint adds the account's totals, to be held against the journal's count at
-// the same place.
+// Checkpoint adds the ledger's totals, to be compared with the journal's count at the
+// same place.
 func (j *Journal) Checkpoint(t accounting.Totals, at time.Time) {
 	j.add(Record{Kind: KindCheckpoint, At: at.UnixMicro(), Accepted: t.Taken, Open: t.Open, Ends: t.Ends})
 }
@@ -129,42 +131,42 @@
 		return
 	}
 	j.mu.Lock()
-	behind := len(j.waiting) >= mostWaiting
-	if !behind {
-		j.waiting = append(j.waiting, r)
+	full := len(j.queue) >= maxQueued
+	if !full {
+		j.queue = append(j.queue, r)
 	}
-	first := len(j.waiting) == 1
+	first := len(j.queue) == 1
 	j.mu.Unlock()
-	if behind {
-		j.stop(fmt.Errorf("the folder does not keep up: %d records wait", mostWaiting))
+	if full {
+		j.fail(fmt.Errorf("the disk does not keep up: %d records wait", maxQueued))
 	}
-	if first || behind {
-		j.poke()
+	if first || full {
+		j.wakeWriter()
 	}
 }
 
-func (j *Journal) poke() {
+func (j *Journal) wakeWriter() {
 	select {
 	case j.wake <- struct{}{}:
 	default:
 	}
 }
 
-// stop stops the journal, once, and says why.
-func (j *Journal) stop(err error) {
+// fail stops the journal, once, and logs why.
+func (j *Journal) fail(err error) {
 	if !j.stopped.Swap(true) {
-		j.why.Store(err.Error())
-		j.log.WithError(err).Error("the journal of figures has stopped: from here on nothing is written to it")
+		j.stopReason.Store(err.Error())
+		j.log.WithError(err).Error("journal stopped: nothing more is written to it")
 	}
 }
 
-// Close writes what waits, and that the epoch ended in order if nothing is
-// open. It waits for that.
+// Close writes what is queued, and that the epoch ended in order if no job is open. It
+// returns when that is safe, with the reason if the journal had stopped.
 func (j *Journal) Close() error {
 	j.mu.Lock()
 	j.closing = true
 	j.mu.Unlock()
-	j.poke()
+	j.wakeWriter()
 	<-j.done
 	if stopped, why := j.Stopped(); stopped {
 		return fmt.Errorf("the journal had stopped: %s", why)
@@ -172,67 +174,82 @@
 	return nil
 }
 
-// run writes what is added, in batches. A batch is begun by the first record
-// that waits, and written WriteWithin later.
+// longWait is a wait that the next record or the end cuts short.
+const longWait = time.Hour
+
+// run writes what is added, in batches, until the journal is closed. A batch is begun by
+// the first record that is queued, and written WriteDelay later.
 func (j *Journal) run() {
 	defer close(j.done)
-	defer j.folder.Close()
-	pause := time.NewTimer(time.Hour)
-	defer pause.Stop()
+	defer func() { _ = j.dir.Close() }() // what was written has been synced
+	timer := time.NewTimer(longWait)
+	defer timer.Stop()
 	synced := time.Now()
 	for {
-		wait := time.Hour
-		if j.unsynced {
-			wait = max(0, time.Until(synced.Add(j.settings.SyncInterval)))
-		}
-		pause.Reset(wait)
-		select {
-		case <-j.wake:
-			if !j.ending() {
-				pause.Reset(j.settings.WriteDelay)
-				select {
-				case <-pause.C:
-				case <-j.wake: // the end, or too much
-				}
-			}
-		case <-pause.C:
-		}
-		closing := j.ending()
+		j.waitForBatch(timer, synced)
+		closing := j.isClosing()
 		if err := j.write(closing); err != nil {
-			j.stop(err)
+			j.fail(err)
 		}
 		if !j.stopped.Load() && j.unsynced && (closing || time.Since(synced) >= j.settings.SyncInterval) {
-			if err := j.segment.Sync(); err != nil {
-				j.stop(fmt.Errorf("syncing %s: %w", j.header.name(), err))
+			if err := j.file.Sync(); err != nil {
+				j.fail(fmt.Errorf("syncing %s: %w", j.header.name(), err))
 			}
 			j.unsynced, synced = false, time.Now()
 		}
 		if closing || j.stopped.Load() {
-			if err := j.segment.Close(); err != nil && !j.stopped.Load() {
-				j.stop(err)
-			}
-			if closing {
-				return
-			}
-			for !j.ending() { // stopped: only the end is waited for
-				<-j.wake
-			}
+			j.finish(closing)
 			return
 		}
 	}
 }
 
-func (j *Journal) ending() bool {
+// waitForBatch waits until a batch is to be written or synced.
+func (j *Journal) waitForBatch(timer *time.Timer, synced time.Time) {
+	wait := longWait
+	if j.unsynced {
+		wait = max(0, time.Until(synced.Add(j.settings.SyncInterval)))
+	}
+	timer.Reset(wait)
+	select {
+	case <-timer.C:
+		return
+	case <-j.wake:
+	}
+	if j.isClosing() {
+		return
+	}
+	timer.Reset(j.settings.WriteDelay)
+	select {
+	case <-timer.C:
+	case <-j.wake: // closed, or the queue is full
+	}
+}
+
+// finish closes the file. A journal that has stopped by itself then waits to be closed.
+func (j *Journal) finish(closing bool) {
+	if err := j.file.Close(); err != nil && !j.stopped.Load() {
+		j.fail(err)
+	}
+	if closing {
+		return
+	}
+	for !j.isClosing() {
+		<-j.wake
+	}
+}
+
+func (j *Journal) isClosing() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.closing
 }
 
-// write takes what waits and writes it as one batch.
+// write writes what is queued as one batch.
 func (j *Journal) write(closing bool) error {
 	j.mu.Lock()
-	records := j.waiting
-	j.waiting = j.spare[:0]
+	records := j.queue
+	j.queue = j.spare[:0]
 	j.mu.Unlock()
 	defer func() {
 		clear(records) // texts of the past must not be held
@@ -246,13 +263,12 @@
 		r := &records[i]
 		latest = r.At
 		if r.Kind == KindCheckpoint {
-			there := j.balance.epoch
-			here := accounting.Totals{Taken: r.Accepted, Open: r.Open, Ends: r.Ends}
-			if d := here.Compare(accounting.AuditJournal, there); len(d) > 0 {
-				j.differ(d)
+			ledger := accounting.Totals{Taken: r.Accepted, Open: r.Open, Ends: r.Ends}
+			if d := ledger.Compare(accounting.AuditJournal, j.balance.epochTotals); len(d) > 0 {
+				j.reportDifferences(d)
 			}
 		} else if !j.balance.apply(r) {
-			j.differ([]accounting.Difference{{Audit: accounting.AuditJournal, What: fmt.Sprintf("job %d ends or enters twice", r.Number), Ledger: 1}})
+			j.reportDifferences([]accounting.Difference{{Audit: accounting.AuditJournal, What: fmt.Sprintf("job %d ends or enters twice", r.Number), Ledger: 1}})
 		}
 		j.encoder.add(r)
 	}
@@ -262,8 +278,8 @@
 	if err := j.flush(len(records)); err != nil {
 		return err
 	}
-	if j.size >= j.settings.SegmentBytes && !closing {
-		return j.change()
+	if j.segmentBytes >= j.settings.SegmentBytes && !closing {
+		return j.rotate()
 	}
 	return nil
 }
@@ -272,100 +288,89 @@
 	if j.encoder.empty() {
 		return nil
 	}
-	b := j.encoder.batch()
-	n, err := j.segment.Write(b)
-	j.size += int64(n)
+	b := j.encoder.endBatch()
+	n, err := j.file.Write(b)
+	j.segmentBytes += int64(n)
 	if err != nil {
 		return fmt.Errorf("writing %s: %w", j.header.name(), err)
 	}
-	j.encoder.begin()
+	j.encoder.startBatch()
 	j.unsynced = true
 	j.written.Add(int64(records))
 	return nil
 }
 
-// change closes the segment and begins the next.
-func (j *Journal) change() error {
-	if err := j.segment.Sync(); err != nil {
+// rotate ends the segment and begins the next.
+func (j *Journal) rotate() error {
+	if err := j.file.Sync(); err != nil {
 		return fmt.Errorf("syncing %s: %w", j.header.name(), err)
 	}
-	if err := j.segment.Close(); err != nil {
+	if err := j.file.Close(); err != nil {
 		return fmt.Errorf("closing %s: %w", j.header.name(), err)
 	}
-	j.names[len(j.names)-1].size = j.size
+	j.segments[len(j.segments)-1].size = j.segmentBytes
 	h := j.header
 	h.Index++
 	h.Created = j.encoder.at
-	if err := j.begin(h, nil); err != nil {
+	if err := j.startSegment(h, nil); err != nil {
 		return err
 	}
-	j.retain()
+	j.removeOldSegments()
 	return nil
 }
 
-// begin writes the beginning of a segment: the balance so far, the jobs that
-// are open, and what follows from that, all in one batch. It returns when that
-// is safe.
-func (j *Journal) begin(h Header, after []Record) error {
+// startSegment writes the start of a segment: the balance so far, the open jobs, and the
+// ends of those that crashed, all in one batch. It returns when that is safe.
+func (j *Journal) startSegment(h Header, closing []Record) error {
 	var err error
-	if j.segment, err = j.folder.Create(h.name()); err != nil {
+	if j.file, err = j.dir.Create(h.name()); err != nil {
 		return fmt.Errorf("beginning a segment: %w", err)
 	}
-	if _, err := j.segment.Write(h.encode()); err != nil {
+	if _, err := j.file.Write(h.encode()); err != nil {
 		return fmt.Errorf("beginning %s: %w", h.name(), err)
 	}
-	j.header, j.encoder, j.size = h, newEncoder(h), headerSize
-	sums := j.balance.epoch
-	j.encoder.add(&Record{Kind: KindSegmentStart, At: h.Created, Accepted: sums.Taken, Open: sums.Open, Ends: sums.Ends})
-	opening := j.balance.opening()
-	for i := range opening {
-		j.encoder.add(&opening[i])
+	j.header, j.encoder, j.segmentBytes = h, newEncoder(h), headerSize
+	epochTotals := j.balance.epochTotals
+	j.encoder.add(&Record{Kind: KindSegmentStart, At: h.Created, Accepted: epochTotals.Taken, Open: epochTotals.Open, Ends: epochTotals.Ends})
+	startRecords := j.balance.segmentStart()
+	for i := range startRecords {
+		j.encoder.add(&startRecords[i])
 	}
-	for i := range after {
-		j.balance.apply(&after[i])
-		j.encoder.add(&after[i])
+	for i := range closing {
+		j.balance.apply(&closing[i])
+		j.encoder.add(&closing[i])
 	}
 	if err := j.flush(0); err != nil {
 		return err
 	}
-	if err := j.segment.Sync(); err != nil {
+	if err := j.file.Sync(); err != nil {
 		return fmt.Errorf("syncing %s: %w", h.name(), err)
 	}
-	if err := j.folder.Sync(); err != nil {
-		return fmt.Errorf("syncing the folder: %w", err)
+	if err := j.dir.Sync(); err != nil {
+		return fmt.Errorf("syncing the directory: %w", err)
 	}
 	j.unsynced = false
-	j.names = append(j.names, segmentInfo{h.name(), j.size, h.Created})
+	j.segments = append(j.segments, segmentInfo{h.name(), j.segmentBytes, h.Created})
 	return nil
 }
 
-// retain removes what is too old or too much, the oldest first. A segment is as
-// old as the beginning of the next one.
-func (j *Journal) retain() {
+// removeOldSegments removes the oldest segments while there is too much or they are too
+// old. A segment is as old as the start of the next one. Two are always kept.
+func (j *Journal) removeOldSegments() {
 	var total int64
-	for _, s := range j.names {
+	for _, s := range j.segments {
 		total += s.size
 	}
-	for len(j.names) > 2 {
-		old := j.header.Created - j.names[1].created
+	for len(j.segments) > 2 {
+		old := j.header.Created - j.segments[1].created
 		if total <= j.settings.MaxBytes && old <= j.settings.MaxAge.Microseconds() {
 			return
 		}
-		if err := j.folder.Remove(j.names[0].name); err != nil {
-			j.log.WithError(err).Warn("an old segment can't be removed")
+		if err := j.dir.Remove(j.segments[0].name); err != nil {
+			j.log.WithError(err).Warn("old journal segment not removed")
 			return
 		}
-		total -= j.names[0].size
-		j.names = j.names[1:]
+		total -= j.segments[0].size
+		j.segments = j.segments[1:]
 	}
 }
-
-// String says what a start found, for the log.
-func (f Recovery) String() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "epoch %d", f.Epoch)
-	if !f.CleanShutdown {
-		fmt.Fprintf(&b, ", the last one did not end in order: %d jobs closed as cut off, %d torn bytes cut", f.CrashedJobs, f.TruncatedBytes)
-	}
-	return b.String()
-}
