--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -7,117 +7,117 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Batches are the log's entries. They are encoded by hand: gob would describe its types in
-// each of them, which is many times the size of a command and of the work to read it.
+// Batches are encoded by hand: gob would describe its types in each of them, which is many times
+// the size of a command and of the work of decoding it.
 
-// batchFormat is the first byte of a batch. Readers take the format before it too, in which
-// commands had no queue and no version, and turn others down.
+// The first byte of a batch is its format. Batches of previousFormat, whose commands have no
+// queue and no version, may still be in a log on disk and are read; other formats are rejected.
 const (
-	batchFormat  = 2
-	formatBefore = 1
+	batchFormat    = 2
+	previousFormat = 1
 )
 
-// ErrFormat is a batch that can't be read.
+// ErrFormat is returned for a batch that can't be decoded.
 var ErrFormat = errors.New("a batch of commands can't be read: run the same version on all core machines")
 
 // Encode returns the batch as bytes.
 func (b Batch) Encode() []byte {
-	to := []byte{batchFormat}
-	to = binary.AppendUvarint(to, uint64(len(b.Commands)))
+	buffer := []byte{batchFormat}
+	buffer = binary.AppendUvarint(buffer, uint64(len(b.Commands)))
 	for at := range b.Commands {
-		to = appendCommand(to, &b.Commands[at])
+		buffer = appendCommand(buffer, &b.Commands[at])
 	}
-	return to
+	return buffer
 }
 
-func appendCommand(to []byte, c *Command) []byte {
-	to = append(to, byte(c.Kind), byte(c.EndReason))
-	to = appendText(to, c.Task.Job)
+func appendCommand(buffer []byte, c *Command) []byte {
+	buffer = append(buffer, byte(c.Kind), byte(c.EndReason))
+	buffer = appendString(buffer, c.Task.Job)
 	for _, number := range []int{c.Task.Occurrence, c.Task.Step, c.Task.Index, c.Attempt} {
-		to = binary.AppendUvarint(to, uint64(number))
+		buffer = binary.AppendUvarint(buffer, uint64(number))
 	}
-	to = appendText(to, c.Runner)
-	to = appendText(to, c.Address)
-	to = appendText(to, c.Checkpoint)
-	to = binary.AppendVarint(to, c.ProposedAtMs)
-	to = appendText(to, c.Queue)
-	to = binary.AppendVarint(to, c.ConfigVersion)
+	buffer = appendString(buffer, c.Runner)
+	buffer = appendString(buffer, c.Address)
+	buffer = appendString(buffer, c.Checkpoint)
+	buffer = binary.AppendVarint(buffer, c.ProposedAtMs)
+	buffer = appendString(buffer, c.Queue)
+	buffer = binary.AppendVarint(buffer, c.ConfigVersion)
 	if c.Kind != AcceptJob {
-		return to
+		return buffer
 	}
-	body, err := json.Marshal(c.Submission)
-	if err != nil { // no field of New can fail
-		body = nil
+	submission, err := json.Marshal(c.Submission)
+	if err != nil { // no field of Submission can fail
+		submission = nil
 	}
-	return appendText(to, string(body))
+	return appendString(buffer, string(submission))
 }
 
-func appendText(to []byte, text string) []byte {
-	to = binary.AppendUvarint(to, uint64(len(text)))
-	return append(to, text...)
+func appendString(buffer []byte, text string) []byte {
+	buffer = binary.AppendUvarint(buffer, uint64(len(text)))
+	return append(buffer, text...)
 }
 
-// reader reads the parts of a batch; after a fault all it reads is zero.
-type reader struct {
-	rest []byte
-	bad  bool
+// decoder reads the fields of a batch in their order. After a fault it returns zero values only.
+type decoder struct {
+	rest   []byte
+	failed bool
 }
 
-func (r *reader) number() uint64 {
-	number, n := binary.Uvarint(r.rest)
+func (d *decoder) uvarint() uint64 {
+	number, n := binary.Uvarint(d.rest)
 	if n <= 0 {
-		r.bad = true
+		d.failed = true
 		return 0
 	}
-	r.rest = r.rest[n:]
+	d.rest = d.rest[n:]
 	return number
 }
 
-func (r *reader) signed() int64 {
-	number, n := binary.Varint(r.rest)
+func (d *decoder) varint() int64 {
+	number, n := binary.Varint(d.rest)
 	if n <= 0 {
-		r.bad = true
+		d.failed = true
 		return 0
 	}
-	r.rest = r.rest[n:]
+	d.rest = d.rest[n:]
 	return number
 }
 
-func (r *reader) byte() byte {
-	if len(r.rest) == 0 {
-		r.bad = true
+func (d *decoder) byte() byte {
+	if len(d.rest) == 0 {
+		d.failed = true
 		return 0
 	}
-	first := r.rest[0]
-	r.rest = r.rest[1:]
+	first := d.rest[0]
+	d.rest = d.rest[1:]
 	return first
 }
 
-func (r *reader) text() string {
-	length := r.number()
-	if length > uint64(len(r.rest)) {
-		r.bad = true
+func (d *decoder) string() string {
+	length := d.uvarint()
+	if length > uint64(len(d.rest)) {
+		d.failed = true
 		return ""
 	}
-	text := string(r.rest[:length])
-	r.rest = r.rest[length:]
+	text := string(d.rest[:length])
+	d.rest = d.rest[length:]
 	return text
 }
 
-// DecodeBatch reads a batch.
+// DecodeBatch reads a batch. It returns ErrFormat where that is not possible.
 func DecodeBatch(content []byte) (Batch, error) {
-	r := &reader{rest: content}
-	format := r.byte()
-	if format != batchFormat && format != formatBefore {
+	d := &decoder{rest: content}
+	format := d.byte()
+	if format != batchFormat && format != previousFormat {
 		return Batch{}, ErrFormat
 	}
-	count := r.number()
+	count := d.uvarint()
 	if count > uint64(len(content)) {
 		return Batch{}, ErrFormat
 	}
 	b := Batch{Commands: make([]Command, 0, count)}
 	for range count {
-		c, err := r.command(format)
+		c, err := d.command(format)
 		if err != nil {
 			return Batch{}, err
 		}
@@ -126,25 +126,27 @@
 	return b, nil
 }
 
-func (r *reader) command(format byte) (Command, error) {
-	c := Command{Kind: CommandKind(r.byte()), EndReason: EndReason(r.byte())}
-	c.Task.Job = r.text()
-	for _, to := range []*int{&c.Task.Occurrence, &c.Task.Step, &c.Task.Index, &c.Attempt} {
-		*to = int(r.number())
+func (d *decoder) command(format byte) (Command, error) {
+	c := Command{Kind: CommandKind(d.byte()), EndReason: EndReason(d.byte())}
+	c.Task.Job = d.string()
+	for _, field := range []*int{&c.Task.Occurrence, &c.Task.Step, &c.Task.Index, &c.Attempt} {
+		*field = int(d.uvarint())
 	}
-	c.Runner, c.Address, c.Checkpoint = r.text(), r.text(), r.text()
-	c.ProposedAtMs = r.signed()
-	if format != formatBefore {
-		c.Queue = r.text()
-		c.ConfigVersion = r.signed()
+	c.Runner = d.string()
+	c.Address = d.string()
+	c.Checkpoint = d.string()
+	c.ProposedAtMs = d.varint()
+	if format != previousFormat {
+		c.Queue = d.string()
+		c.ConfigVersion = d.varint()
 	}
 	if c.Kind == AcceptJob {
-		c.Submission = &New{}
-		if body := r.text(); !r.bad && json.Unmarshal([]byte(body), c.Submission) != nil {
+		c.Submission = &Submission{}
+		if submission := d.string(); !d.failed && json.Unmarshal([]byte(submission), c.Submission) != nil {
 			return c, ErrFormat
 		}
 	}
-	if r.bad {
+	if d.failed {
 		return c, ErrFormat
 	}
 	return c, nil
--- /dev/null
+++ b/internal/cluster/job/job.go
@@ -0,0 +1,207 @@
+// Package job has the replicated state of a shard's jobs: what was accepted, which runs of its
+// tasks were ordered and how they ended. It does no I/O and reads no clock: the same commands in
+// the same order change each replica's Store in the same way. What to start, and where, is decided
+// by package scheduler.
+//
+// Types are not safe for concurrent use. Snapshots and the log are read by other builds: see
+// storedjob.go and codec.go before a field or a number changes.
+package job
+
+// State is a job's state as clients see it. Its numbers are stored and sent.
+type State uint8
+
+// States of jobs.
+const (
+	StatePending   State = iota // accepted, nothing was started yet
+	StateRunning                // a run was started
+	StateCompleted              // all tasks are done
+	StateFailed                 // a task, or a gang, has failed as often as it may
+	StateCanceled               // cancelled by the client
+)
+
+// String returns the state's name in the clients' protocol.
+func (s State) String() string {
+	return [...]string{"pending", "running", "completed", "failed", "canceled"}[s]
+}
+
+// Terminal tells whether the job is over: it starts no more runs and keeps this state.
+func (s State) Terminal() bool { return s >= StateCompleted }
+
+// Run is one run of a task that was ordered and is not known to be over. Snapshots store it under
+// these names.
+type Run struct {
+	Attempt int
+	Runner  string // ID of the runner's incarnation
+	Address string // of the runner
+}
+
+// Task is the state of one task. Snapshots store it under these names.
+type Task struct {
+	Attempt int    // the highest number that was used
+	Failed  int    // runs that ended as EndFailed
+	Listed  uint64 // bit N: the end of attempt N was reported and counted
+	Done    bool
+	Saved   string // the newest checkpoint, where the task is not of a gang
+	Runs    []Run  // more than one only in a speculative step
+}
+
+// trackedAttempts is how many attempts, from 0, the bit sets Listed and FailedAttempts tell
+// apart.
+const trackedAttempts = 64
+
+// removeRun removes a run of that attempt. It returns whether there was one.
+func (t *Task) removeRun(attempt int) bool {
+	for at, run := range t.Runs {
+		if run.Attempt == attempt {
+			t.Runs = append(t.Runs[:at:at], t.Runs[at+1:]...)
+			return true
+		}
+	}
+	return false
+}
+
+func (t *Task) endCounted(attempt int) bool {
+	return attempt < trackedAttempts && t.Listed>>attempt&1 == 1
+}
+
+func (t *Task) countEnd(attempt int) {
+	if attempt < trackedAttempts {
+		t.Listed |= 1 << attempt
+	}
+}
+
+// StepState is the state of one step in one occurrence.
+type StepState struct {
+	Tasks          []Task
+	DoneTasks      int
+	Checkpoint     string // of a gang: the newest that any member saved
+	FailedAttempts uint64 // of a gang, bit N: attempt N ended as EndFailed; the last bit stands for all later ones
+}
+
+// Complete tells whether all its tasks are done.
+func (s *StepState) Complete() bool { return s.DoneTasks == len(s.Tasks) }
+
+func (s *StepState) markDone(task *Task) {
+	if !task.Done {
+		task.Done = true
+		s.DoneTasks++
+	}
+}
+
+func (s *StepState) markAllDone() {
+	for at := range s.Tasks {
+		s.markDone(&s.Tasks[at])
+	}
+}
+
+// saveCheckpoint keeps a checkpoint, if it is not empty: a gang's for the whole gang.
+func (s *StepState) saveCheckpoint(spec *Step, task *Task, checkpoint string) {
+	switch {
+	case checkpoint == "":
+	case spec.Gang:
+		s.Checkpoint = checkpoint
+	default:
+		task.Saved = checkpoint
+	}
+}
+
+// Occurrence is the state of one of the times that a job's steps run.
+type Occurrence struct {
+	Steps     []StepState // nil once it is over and nothing of it runs
+	OpenSteps int         // steps that are not complete
+}
+
+// Job is one job.
+type Job struct {
+	Submission
+	State           State
+	Occurrences     []*Occurrence // those that have fallen due
+	OpenOccurrences int           // that are not complete, also those to come
+	ActiveRuns      int           // runs that are not known to be over, of all tasks
+	AcceptedMs      int64         // Unix time in milliseconds, as EndedMs
+	EndedMs         int64
+	// CancelledBeforeAcceptance: only the ID and the queue are known. A late attempt to submit
+	// the job is rejected for good.
+	CancelledBeforeAcceptance bool
+}
+
+// DependenciesComplete tells whether a step's tasks may start: the steps that it depends on are
+// complete.
+func (j *Job) DependenciesComplete(occurrence *Occurrence, step int) bool {
+	for _, dependency := range j.Spec.Steps[step].DependsOn {
+		if !occurrence.Steps[dependency].Complete() {
+			return false
+		}
+	}
+	return true
+}
+
+// Resubmitted returns the outcome of another attempt to submit a job under the ID of this one.
+func (j *Job) Resubmitted(queue string, bodyHash uint64) Outcome {
+	switch {
+	case j.CancelledBeforeAcceptance && j.Queue == queue:
+		return CancelledBeforeAcceptance
+	case j.Queue != queue || j.BodyHash != bodyHash:
+		return Rejected
+	}
+	return AlreadyApplied
+}
+
+// Task returns a task's state and that of its step; nil where there is none, or none any more.
+func (j *Job) Task(ref TaskRef) (*Task, *StepState) {
+	if ref.Occurrence >= len(j.Occurrences) || j.Occurrences[ref.Occurrence] == nil {
+		return nil, nil
+	}
+	occurrence := j.Occurrences[ref.Occurrence]
+	if ref.Step >= len(occurrence.Steps) {
+		return nil, nil
+	}
+	step := &occurrence.Steps[ref.Step]
+	if ref.Index >= len(step.Tasks) {
+		return nil, nil
+	}
+	return &step.Tasks[ref.Index], step
+}
+
+// openOccurrence makes the tasks of the occurrence with that number.
+func (j *Job) openOccurrence(number int) {
+	steps := make([]StepState, len(j.Spec.Steps))
+	for at, step := range j.Spec.Steps {
+		steps[at].Tasks = make([]Task, step.Count)
+	}
+	for len(j.Occurrences) <= number {
+		j.Occurrences = append(j.Occurrences, nil)
+	}
+	j.Occurrences[number] = &Occurrence{Steps: steps, OpenSteps: len(steps)}
+}
+
+// mayStart tells whether the state allows a run.
+func (j *Job) mayStart(task *Task, ref TaskRef, attempt int) bool {
+	step := &j.Spec.Steps[ref.Step]
+	switch {
+	case j.State.Terminal(), task.Done, attempt <= task.Attempt:
+		return false
+	case len(task.Runs) > 0 && !step.Speculative:
+		return false
+	case task.Failed >= j.Retries && !step.LongRunning:
+		return false
+	}
+	return j.DependenciesComplete(j.Occurrences[ref.Occurrence], ref.Step)
+}
+
+// releaseFinished drops the state of tasks that nothing needs any more: of complete occurrences,
+// and of the whole job once it is over. It does nothing while runs may be active.
+func (j *Job) releaseFinished() {
+	if j.ActiveRuns > 0 {
+		return
+	}
+	for at, occurrence := range j.Occurrences {
+		if occurrence != nil && (occurrence.OpenSteps == 0 || j.State.Terminal()) {
+			j.Occurrences[at] = &Occurrence{}
+		}
+	}
+	if j.State.Terminal() {
+		j.Occurrences = nil
+		j.Spec = Spec{Repeats: j.Spec.Repeats}
+	}
+}
--- /dev/null
+++ b/internal/cluster/job/resources.go
@@ -0,0 +1,37 @@
+package job
+
+import "math"
+
+// Resources are what a task requests, or what a runner has.
+type Resources struct {
+	CPU   int64 `json:"cpu"` // thousandths of a core
+	MemMB int64 `json:"mem_mb"`
+	GPU   int64 `json:"gpu"` // whole devices
+}
+
+// Add returns the sum of both.
+func (r Resources) Add(other Resources) Resources {
+	return Resources{CPU: r.CPU + other.CPU, MemMB: r.MemMB + other.MemMB, GPU: r.GPU + other.GPU}
+}
+
+// Subtract returns the difference, which may be negative.
+func (r Resources) Subtract(other Resources) Resources {
+	return Resources{CPU: r.CPU - other.CPU, MemMB: r.MemMB - other.MemMB, GPU: r.GPU - other.GPU}
+}
+
+// FitsIn tells whether free has enough of each resource.
+func (r Resources) FitsIn(free Resources) bool {
+	return r.CPU <= free.CPU && r.MemMB <= free.MemMB && r.GPU <= free.GPU
+}
+
+// CountFittingIn returns how many tasks that need r each fit into free together. A resource that
+// r does not need sets no limit; where r needs nothing the result is math.MaxInt32.
+func (r Resources) CountFittingIn(free Resources) int {
+	count := int64(math.MaxInt32)
+	for _, pair := range [][2]int64{{r.CPU, free.CPU}, {r.MemMB, free.MemMB}, {r.GPU, free.GPU}} {
+		if need, have := pair[0], pair[1]; need > 0 {
+			count = min(count, max(0, have)/need)
+		}
+	}
+	return int(count)
+}
--- a/internal/cluster/jobtrace/jobtrace.go
+++ b/internal/cluster/jobtrace/jobtrace.go
@@ -27,10 +27,10 @@
 	}
 }
 
-func newJob(t *digesttest.Trace, n *job.New) {
-	t.String(n.ID, n.Queue, n.Service).Uint(n.Hash)
+func newJob(t *digesttest.Trace, n *job.Submission) {
+	t.String(n.ID, n.Queue, n.Service).Uint(n.BodyHash)
 	Spec(t, &n.Spec)
-	t.Int(int64(n.Priority), int64(n.Retries), n.TargetMs).Float(n.Stretch).Int(n.Version)
+	t.Int(int64(n.Priority), int64(n.Retries), n.TargetMs).Float(n.Extension).Int(n.ConfigVersion)
 }
 
 // Spec appends what a client handed in.
--- a/internal/cluster/leader/shard.go
+++ b/internal/cluster/leader/shard.go
@@ -286,7 +286,7 @@
 		return
 	}
 	s.propose(job.Command{Kind: job.AcceptJob, Submission: &wanted}, func(outcome job.Outcome, err error) {
-		reply(s.submitted(outcome, err, wanted.Version))
+		reply(s.submitted(outcome, err, wanted.ConfigVersion))
 	})
 }
 
@@ -298,7 +298,7 @@
 }
 
 // judge returns the job to be accepted, or the answer where that is clear already.
-func (s *Shard) judge(request *protocol.SubmitRequest) (wanted job.New, answer protocol.JobResponse, clear bool) {
+func (s *Shard) judge(request *protocol.SubmitRequest) (wanted job.Submission, answer protocol.JobResponse, clear bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	hash := BodyHash(request.Body)
@@ -316,8 +316,8 @@
 	if err != nil {
 		return wanted, protocol.JobResponse{Status: http.StatusBadRequest, Reason: err.Error()}, true
 	}
-	wanted = job.New{ID: request.ID, Queue: request.Queue, Service: route.Backend, Hash: hash, Spec: spec, Version: request.Version,
-		Priority: route.Priority, Retries: route.Retries, TargetMs: int64(route.TargetMs), Stretch: route.Extension}
+	wanted = job.Submission{ID: request.ID, Queue: request.Queue, Service: route.Backend, BodyHash: hash, Spec: spec, ConfigVersion: request.Version,
+		Priority: route.Priority, Retries: route.Retries, TargetMs: int64(route.TargetMs), Extension: route.Extension}
 	return wanted, protocol.JobResponse{}, false
 }
 
--- a/internal/cluster/scheduler/ask.go
+++ b/internal/cluster/scheduler/ask.go
@@ -31,9 +31,9 @@
 	if b.step.LongRunning {
 		return placement.UrgencyLoose
 	}
-	allowed := b.job.Stretch + float64(b.job.TargetMs)/1000/max(b.expects, 0.001)/float64(len(b.job.Spec.Steps))
+	allowed := b.job.Extension + float64(b.job.TargetMs)/1000/max(b.expects, 0.001)/float64(len(b.job.Spec.Steps))
 	switch {
-	case b.job.Stretch <= 0:
+	case b.job.Extension <= 0:
 		return placement.UrgencyNormal
 	case allowed < tightBelow:
 		return placement.UrgencyTight
--- a/internal/cluster/scheduler/bundle.go
+++ b/internal/cluster/scheduler/bundle.go
@@ -66,10 +66,10 @@
 
 // openTime makes bundles of the steps of a time that are ready and not complete.
 func (o *Scheduler) openTime(j *job.Job, time int) {
-	if time >= len(j.Times) || j.Times[time] == nil {
+	if time >= len(j.Occurrences) || j.Occurrences[time] == nil {
 		return
 	}
-	state := j.Times[time]
+	state := j.Occurrences[time]
 	for step := range state.Steps {
 		key := bundleKey{job: j.ID, time: time, step: step}
 		if o.bundles[key] != nil || state.Steps[step].Complete() || !j.DependenciesComplete(state, step) {
@@ -99,7 +99,7 @@
 func (o *Scheduler) fill(b *bundle, j *job.Job) {
 	o.dirty = true
 	b.pending = b.pending[:0]
-	step := &j.Times[b.key.time].Steps[b.key.step]
+	step := &j.Occurrences[b.key.time].Steps[b.key.step]
 	var copies []int
 	for index := range step.Tasks {
 		task := &step.Tasks[index]
@@ -119,11 +119,11 @@
 
 // taskOf returns the state of one task of a bundle.
 func (o *Scheduler) taskOf(b *bundle, index int) *job.Task {
-	return &b.job.Times[b.key.time].Steps[b.key.step].Tasks[index]
+	return &b.job.Occurrences[b.key.time].Steps[b.key.step].Tasks[index]
 }
 
 func (o *Scheduler) nextAttempt(b *bundle, index int) int {
-	step := &b.job.Times[b.key.time].Steps[b.key.step]
+	step := &b.job.Occurrences[b.key.time].Steps[b.key.step]
 	if !b.step.Gang {
 		return step.Tasks[index].Attempt + 1
 	}
--- a/internal/cluster/scheduler/hold.go
+++ b/internal/cluster/scheduler/hold.go
@@ -320,10 +320,10 @@
 func (o *Scheduler) tickRepeats() {
 	for _, id := range sortedKeys(o.repeats) {
 		j := o.repeats[id]
-		for time := len(j.Times); time < j.Spec.Occurrences() && j.Spec.DueMs(time) <= o.wallMs; time++ {
+		for time := len(j.Occurrences); time < j.Spec.Occurrences() && j.Spec.DueMs(time) <= o.wallMs; time++ {
 			o.propose(job.Command{Kind: job.OpenOccurrence, Task: job.TaskRef{Job: id, Occurrence: time}})
 		}
-		if len(j.Times) >= j.Spec.Occurrences() {
+		if len(j.Occurrences) >= j.Spec.Occurrences() {
 			delete(o.repeats, id)
 		}
 	}
--- a/internal/cluster/scheduler/late.go
+++ b/internal/cluster/scheduler/late.go
@@ -104,7 +104,7 @@
 		return
 	}
 	o.accountStep(b, ref.Index)
-	if step == nil || j.Times[ref.Occurrence].Open == 0 {
+	if step == nil || j.Occurrences[ref.Occurrence].OpenSteps == 0 {
 		o.reportIfLate(b)
 	}
 }
@@ -127,12 +127,12 @@
 // reportIfLate logs where the time of a job went whose last step ended later than is owed.
 func (o *Scheduler) reportIfLate(b *bundle) {
 	account := o.accounts[b.key.job]
-	if account == nil || b.step.LongRunning || b.job.Stretch <= 0 {
+	if account == nil || b.step.LongRunning || b.job.Extension <= 0 {
 		return
 	}
 	path := account.paths[b.key]
 	took := time.Duration(o.wallMs-b.cameMs) * time.Millisecond
-	owed := lateness.Objective(path.Spent[lateness.Work], b.job.Stretch, time.Duration(b.job.TargetMs)*time.Millisecond)
+	owed := lateness.Objective(path.Spent[lateness.Work], b.job.Extension, time.Duration(b.job.TargetMs)*time.Millisecond)
 	if took <= owed {
 		return
 	}
--- a/internal/cluster/scheduler/owner.go
+++ b/internal/cluster/scheduler/owner.go
@@ -129,7 +129,7 @@
 
 // inherit takes over what an earlier owner left of a job.
 func (o *Scheduler) inherit(j *job.Job) {
-	for time, state := range j.Times {
+	for time, state := range j.Occurrences {
 		if state == nil {
 			continue
 		}
@@ -146,7 +146,7 @@
 		return
 	}
 	o.watchRepeats(j)
-	for time := range j.Times {
+	for time := range j.Occurrences {
 		o.openTime(j, time)
 	}
 }
@@ -327,7 +327,7 @@
 	case job.EndRun:
 		o.endApplied(j, c, outcome)
 	case job.CancelJob:
-		if outcome == job.Applied || outcome == job.AlreadyApplied || j.Withdrawn {
+		if outcome == job.Applied || outcome == job.AlreadyApplied || j.CancelledBeforeAcceptance {
 			o.jobOver(j)
 		}
 	}
@@ -339,7 +339,7 @@
 }
 
 func (o *Scheduler) watchRepeats(j *job.Job) {
-	if len(j.Times) < j.Spec.Occurrences() && j.Spec.Repeats > 0 {
+	if len(j.Occurrences) < j.Spec.Occurrences() && j.Spec.Repeats > 0 {
 		o.repeats[j.ID] = j
 	}
 }
@@ -357,7 +357,7 @@
 		delete(o.bundles, key)
 	}
 	delete(o.byJob, j.ID)
-	for time, state := range j.Times {
+	for time, state := range j.Occurrences {
 		for step := range state.Steps {
 			for index := range state.Steps[step].Tasks {
 				o.stopRunsOf(job.TaskRef{Job: j.ID, Occurrence: time, Step: step}, index, &state.Steps[step].Tasks[index])
--- a/internal/cluster/scheduler/runs.go
+++ b/internal/cluster/scheduler/runs.go
@@ -39,7 +39,7 @@
 	task := &step.Tasks[r.task.Index]
 	saved := task.Saved
 	if j.Spec.Steps[r.task.Step].Gang {
-		saved = step.Saved
+		saved = step.Checkpoint
 	}
 	r.resumed = saved != ""
 	r.saved = saved
