--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -1,5 +1,5 @@
-// Package opconfig is the operator's configuration: its form, its checks, the routes that it
-// names, and the replicated register that holds the newest one.
+// Package opconfig has the operator's configuration: its form, its validation, the routes that it
+// names, and the replicated register that holds the newest one. It does no I/O.
 package opconfig
 
 import (
@@ -12,29 +12,31 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Route is a queue: where clients hand jobs in, and which service's runners run them.
+// Route is a queue: where clients submit jobs, and the service whose runners run them. The JSON
+// names are the operator's; the Go names are sent between processes (protocol.SubmitRequest).
 type Route struct {
 	Name       string  `json:"name"`
 	Host       string  `json:"host"`
 	PathPrefix string  `json:"path_prefix"`
-	TimeoutMs  int64   `json:"timeout_ms"`
-	TargetMs   float64 `json:"target_ms"`
-	Priority   int     `json:"priority"`
-	Backend    string  `json:"backend"`
-	Retries    int     `json:"retries"`
-	Extension  float64 `json:"extension"`
+	TimeoutMs  int64   `json:"timeout_ms"` // of a client's request, at the dispatcher
+	TargetMs   float64 `json:"target_ms"`  // latency target of a job, beside Extension
+	Priority   int     `json:"priority"`   // lower numbers are started first
+	Backend    string  `json:"backend"`    // the service
+	Retries    int     `json:"retries"`    // a job fails once one of its tasks has failed so often
+	Extension  float64 `json:"extension"`  // latency target of a job, as a multiple of its work
 }
 
-// Queue names the route by what clients see of it.
+// Queue returns the name by which clients know the queue: host and path prefix.
 func (r *Route) Queue() string { return r.Host + r.PathPrefix }
 
 // Service is a set of runners.
 type Service struct {
 	Name   string `json:"name"`
-	Guards bool   `json:"guards"` // its runners reject what does not fit
+	Guards bool   `json:"guards"` // its runners reject a task that does not fit; informative only
 }
 
-// Limits are bounds on clients' requests.
+// Limits are bounds on clients' requests. Only MaxBodyBytes has an effect; 0: the dispatcher's own
+// limit.
 type Limits struct {
 	MaxHeaderBytes  int   `json:"max_header_bytes"`
 	MaxBodyBytes    int64 `json:"max_body_bytes"`
@@ -42,7 +44,8 @@
 	IdleTimeoutMs   int64 `json:"idle_timeout_ms"`
 }
 
-// Config is one configuration. It is not changed once it is parsed.
+// Config is one configuration. It does not change after it was decoded, and may be read
+// concurrently.
 type Config struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -55,9 +58,9 @@
 //go:embed schema.json
 var schemaText []byte
 
-var schema = mustCompile()
+var schema = mustCompileSchema()
 
-func mustCompile() *jsonschema.Schema {
+func mustCompileSchema() *jsonschema.Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
 		panic(err)
@@ -69,10 +72,10 @@
 	return compiler.MustCompile("config.json")
 }
 
-// ErrInvalid marks every error of Parse.
+// ErrInvalid marks every error of Parse and Decode.
 var ErrInvalid = errors.New("the configuration is invalid: correct it and send it again")
 
-// Parse reads a configuration and checks it.
+// Parse validates a configuration and decodes it.
 func Parse(content []byte) (*Config, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(content))
 	if err != nil {
@@ -84,19 +87,20 @@
 	return Decode(content)
 }
 
-// Decode reads a configuration that was checked before.
+// Decode decodes a configuration that Parse has validated before. It checks references, not the form.
 func Decode(content []byte) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(content, c); err != nil {
 		return nil, errors.Wrapf(ErrInvalid, "not whole JSON: %v", err)
 	}
-	if err := c.index(); err != nil {
+	if err := c.indexRoutes(); err != nil {
 		return nil, errors.Wrap(ErrInvalid, err.Error())
 	}
 	return c, nil
 }
 
-func (c *Config) index() error {
+// indexRoutes checks that names are unique and known, and fills byQueue.
+func (c *Config) indexRoutes() error {
 	services := map[string]bool{}
 	for _, service := range c.Services {
 		if services[service.Name] {
@@ -118,13 +122,14 @@
 	return nil
 }
 
-// Route returns the route of a queue.
+// Route returns the route of a queue, by Route.Queue.
 func (c *Config) Route(queue string) (*Route, bool) {
 	route, ok := c.byQueue[queue]
 	return route, ok
 }
 
-// Match finds the route of that host with the longest prefix of the path.
+// Match returns the route of that host with the longest prefix of the path. A prefix that ends with
+// a slash is preferred to one that does not.
 func (c *Config) Match(host, path string) (*Route, bool) {
 	for end := len(path); end > 0; {
 		if route, ok := c.byQueue[host+path[:end]]; ok {
@@ -132,11 +137,11 @@
 		}
 		end = strings.LastIndexByte(path[:end-1], '/') + 1
 	}
-	return c.matchAny(host, path)
+	return c.matchAnyPrefix(host, path)
 }
 
-// matchAny looks at prefixes that do not end with a slash.
-func (c *Config) matchAny(host, path string) (best *Route, ok bool) {
+// matchAnyPrefix finds the longest of all prefixes, also of those that do not end with a slash.
+func (c *Config) matchAnyPrefix(host, path string) (best *Route, ok bool) {
 	for at := range c.Routes {
 		route := &c.Routes[at]
 		if route.Host == host && strings.HasPrefix(path, route.PathPrefix) && (best == nil || len(route.PathPrefix) > len(best.PathPrefix)) {
--- a/internal/cluster/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -66,7 +66,7 @@
 		require.NoError(t, err)
 		require.Equal(t, opconfig.Accepted, verdict)
 	}
-	register.Forgotten = goldenForgotten // only after thousands of changes would it be set
+	register.HighestForgotten = goldenForgotten // only after thousands of changes would it be set
 	return register
 }
 
@@ -163,21 +163,21 @@
 	register := restored(t)
 	require.Equal(t, int64(goldenVersions), register.Version)
 	require.Equal(t, string(goldenContent(goldenVersions)), string(register.Content))
-	require.Len(t, register.Taken, goldenVersions)
-	require.Len(t, register.Order, goldenVersions)
-	for at, version := range register.Order {
+	require.Len(t, register.AcceptedDigests, goldenVersions)
+	require.Len(t, register.AcceptedVersions, goldenVersions)
+	for at, version := range register.AcceptedVersions {
 		require.Equal(t, int64(at+1), version)
-		require.Equal(t, opconfig.DigestOf(goldenContent(at+1)), register.Taken[version])
+		require.Equal(t, opconfig.DigestOf(goldenContent(at+1)), register.AcceptedDigests[version])
 	}
-	require.Equal(t, int64(goldenForgotten), register.Forgotten)
-	require.Equal(t, uint64(goldenVersions), register.Changes)
+	require.Equal(t, int64(goldenForgotten), register.HighestForgotten)
+	require.Equal(t, uint64(goldenVersions), register.ChangeCount)
 	require.Equal(t, map[string][]string{
 		"h.example/stays/": {"desk-0"},
 		"h.example/moves/": {"desk-0", "desk-1", "desk-2", "desk-3", "desk-4"},
 		"h.example/gone/":  {"desk-1"},
-	}, register.Backends)
-	require.Equal(t, map[string]int64{"h.example/moves/": 40}, register.Since)
-	require.Equal(t, map[string]uint64{"h.example/gone/": 30}, register.Removed)
+	}, register.ServicesByQueue)
+	require.Equal(t, map[string]int64{"h.example/moves/": 40}, register.MovedAtVersion)
+	require.Equal(t, map[string]uint64{"h.example/gone/": 30}, register.RemovedAtChange)
 	require.Equal(t, map[string]opconfig.ServiceHistory{
 		"h.example/moves/": {Services: []string{"desk-0", "desk-1", "desk-2", "desk-3", "desk-4"}, Since: 40},
 	}, register.MovedQueues())
@@ -211,7 +211,7 @@
 	require.Equal(t, opconfig.Accepted, verdict)
 	require.Equal(t, int64(goldenVersions+1), register.Version)
 	require.Equal(t, int64(goldenVersions+1), register.Current().Version)
-	require.Equal(t, uint64(goldenVersions+1), register.Changes)
+	require.Equal(t, uint64(goldenVersions+1), register.ChangeCount)
 }
 
 // TestGoldenChangeIsWrittenAsBefore: a process of 352ebf2 reads a command of this build whole.
--- a/internal/cluster/opconfig/opconfig_test.go
+++ b/internal/cluster/opconfig/opconfig_test.go
@@ -10,8 +10,8 @@
 	"basaltloft/internal/cluster/opconfig"
 )
 
-// text is a configuration with one service and routes of the given prefixes.
-func text(version int, prefixes ...string) []byte {
+// configText is a configuration with one service and routes of the given prefixes.
+func configText(version int, prefixes ...string) []byte {
 	var routes []string
 	for at, prefix := range prefixes {
 		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h.example","path_prefix":%q,"type":"mutating","timeout_ms":3000,"target_ms":250,"priority":0,"backend":"desk","retries":3,"extension":1.5}`, at, prefix))
@@ -19,28 +19,30 @@
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"desk","health_path":"/healthz","max_conns":64,"protocol":"h1","tls":false,"guards":true}],"limits":{"max_body_bytes":262144}}`, version, strings.Join(routes, ",")))
 }
 
-func TestParseTellsWhatIsWrong(t *testing.T) {
-	whole := string(text(3, "/a/", "/b/"))
-	_, err := opconfig.Parse([]byte(whole))
+func TestParseRejectsInvalidConfigurations(t *testing.T) {
+	valid := string(configText(3, "/a/", "/b/"))
+	_, err := opconfig.Parse([]byte(valid))
 	require.NoError(t, err)
 	for name, body := range map[string]string{
-		"cut short":          whole[:len(whole)/2],
-		"unknown service":    strings.Replace(whole, `"backend":"desk"`, `"backend":"nobody"`, 1),
-		"same place":         strings.Replace(whole, `"/b/"`, `"/a/"`, 1),
-		"no time":            strings.Replace(whole, `"timeout_ms":3000`, `"timeout_ms":0`, 1),
-		"no version":         strings.Replace(whole, `"version":3,`, ``, 1),
-		"a second document":  whole + whole,
-		"a service twice":    strings.Replace(whole, `"services":[`, `"services":[{"name":"desk"},`, 1),
-		"a prefix no path":   strings.Replace(whole, `"/a/"`, `"a"`, 1),
-		"a number as a text": strings.Replace(whole, `"retries":3`, `"retries":"3"`, 1),
+		"cut short":          valid[:len(valid)/2],
+		"unknown service":    strings.Replace(valid, `"backend":"desk"`, `"backend":"nobody"`, 1),
+		"same queue":         strings.Replace(valid, `"/b/"`, `"/a/"`, 1),
+		"no time-out":        strings.Replace(valid, `"timeout_ms":3000`, `"timeout_ms":0`, 1),
+		"no version":         strings.Replace(valid, `"version":3,`, ``, 1),
+		"a second document":  valid + valid,
+		"a service twice":    strings.Replace(valid, `"services":[`, `"services":[{"name":"desk"},`, 1),
+		"a prefix no path":   strings.Replace(valid, `"/a/"`, `"a"`, 1),
+		"a number as a text": strings.Replace(valid, `"retries":3`, `"retries":"3"`, 1),
 	} {
-		_, err := opconfig.Parse([]byte(body))
-		require.ErrorIs(t, err, opconfig.ErrInvalid, name)
+		t.Run(name, func(t *testing.T) {
+			_, err := opconfig.Parse([]byte(body))
+			require.ErrorIs(t, err, opconfig.ErrInvalid)
+		})
 	}
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	c, err := opconfig.Parse(text(1, "/a/", "/a/b/", "/ab"))
+	c, err := opconfig.Parse(configText(1, "/a/", "/a/b/", "/ab"))
 	require.NoError(t, err)
 	for path, want := range map[string]string{"/a/1234": "/a/", "/a/b/1234": "/a/b/", "/a/": "/a/", "/abc": "/ab", "/x": ""} {
 		route, ok := c.Match("h.example", path)
@@ -54,7 +56,7 @@
 }
 
 func change(base int64, version int, prefixes ...string) opconfig.Change {
-	return opconfig.Change{Base: base, Version: int64(version), Content: text(version, prefixes...)}
+	return opconfig.Change{Base: base, Version: int64(version), Content: configText(version, prefixes...)}
 }
 
 func requireVerdict(t *testing.T, want opconfig.Verdict, r *opconfig.Register, c opconfig.Change, why ...any) {
@@ -72,21 +74,21 @@
 	requireVerdict(t, opconfig.Conflict, r, change(3, 7, "/b/"))
 	requireVerdict(t, opconfig.Stale, r, change(5, 5, "/b/"))
 	requireVerdict(t, opconfig.Accepted, r, change(5, 7, "/b/"))
-	requireVerdict(t, opconfig.AlreadyAccepted, r, change(0, 5, "/a/"), "a resend of what was taken is never refused")
+	requireVerdict(t, opconfig.AlreadyAccepted, r, change(0, 5, "/a/"), "what was accepted is never rejected when it is sent again")
 	require.Equal(t, int64(7), r.Current().Version)
 }
 
 func TestRegisterSurvivesASnapshot(t *testing.T) {
 	r := opconfig.NewRegister()
 	requireVerdict(t, opconfig.Accepted, r, change(0, 5, "/a/"))
-	moved := opconfig.Change{Base: 5, Version: 6, Content: []byte(strings.Replace(strings.Replace(string(text(6, "/a/")), `"backend":"desk"`, `"backend":"studio"`, 1), `"services":[`, `"services":[{"name":"studio"},`, 1))}
+	moved := opconfig.Change{Base: 5, Version: 6, Content: []byte(strings.Replace(strings.Replace(string(configText(6, "/a/")), `"backend":"desk"`, `"backend":"studio"`, 1), `"services":[`, `"services":[{"name":"studio"},`, 1))}
 	requireVerdict(t, opconfig.Accepted, r, moved)
 	content, err := r.Snapshot()
 	require.NoError(t, err)
 	other := opconfig.NewRegister()
 	require.NoError(t, other.Restore(content))
 	require.Equal(t, r.Content, other.Content)
-	require.Equal(t, []string{"desk", "studio"}, other.Backends["h.example/a/"])
+	require.Equal(t, []string{"desk", "studio"}, other.ServicesByQueue["h.example/a/"])
 	requireVerdict(t, opconfig.AlreadyAccepted, other, change(0, 5, "/a/"))
 	encoded, err := change(6, 9, "/a/").Encode()
 	require.NoError(t, err)
@@ -94,11 +96,11 @@
 	require.NoError(t, err)
 	require.Equal(t, opconfig.Accepted, verdict)
 	_, err = other.ApplyEncoded([]byte("no change"))
-	require.Error(t, err, "a replica that can't read a command must not go on as if it had been refused")
+	require.Error(t, err, "a replica that can't read a command must not go on as if it had been rejected")
 }
 
-// TestResendsAfterThousandsOfChanges holds that a change that was taken is never refused when
-// it is sent again, and that the register does not grow with the number of changes.
+// TestResendsAfterThousandsOfChanges holds that a change that was accepted is never rejected
+// when it is sent again, and that the register does not grow with the number of changes.
 func TestResendsAfterThousandsOfChanges(t *testing.T) {
 	r := opconfig.NewRegister()
 	size := 0
@@ -120,16 +122,16 @@
 	}
 	oldest := changes - opconfig.RememberedChanges + 1
 	requireVerdict(t, opconfig.AlreadyAccepted, r, change(int64(oldest-1)*3, oldest*3, "/a/", fmt.Sprintf("/queue-%d/", oldest)))
-	requireVerdict(t, opconfig.Indeterminate, r, change(0, 3, "/a/", "/queue-1/"), "too old to tell: neither confirmed nor refused")
+	requireVerdict(t, opconfig.Indeterminate, r, change(0, 3, "/a/", "/queue-1/"), "too old to tell: neither confirmed nor rejected")
 	requireVerdict(t, opconfig.Conflict, r, change(int64(oldest-1)*3, oldest*3, "/other/"), "another content under a number that is remembered")
-	require.LessOrEqual(t, len(r.Backends), opconfig.RememberedChanges+3)
+	require.LessOrEqual(t, len(r.ServicesByQueue), opconfig.RememberedChanges+3)
 }
 
-// TestMovesOfAQueue holds what dispatchers go by to find jobs that were handed in earlier.
-func TestMovesOfAQueue(t *testing.T) {
+// TestMovedQueuesNameTheirServices holds what dispatchers need to find jobs that were submitted before a move.
+func TestMovedQueuesNameTheirServices(t *testing.T) {
 	r := opconfig.NewRegister()
 	config := func(version int, backend string) opconfig.Change {
-		content := strings.Replace(string(text(version, "/a/")), `"backend":"desk"`, `"backend":"`+backend+`"`, 1)
+		content := strings.Replace(string(configText(version, "/a/")), `"backend":"desk"`, `"backend":"`+backend+`"`, 1)
 		content = strings.Replace(content, `"services":[`, `"services":[{"name":"studio"},`, 1)
 		return opconfig.Change{Base: r.Version, Version: int64(version), Content: []byte(content)}
 	}
--- a/internal/cluster/opconfig/register.go
+++ b/internal/cluster/opconfig/register.go
@@ -1,86 +1,67 @@
 package opconfig
 
 import (
-	"bytes"
-	"crypto/sha256"
-	"encoding/gob"
 	"fmt"
 	"hash/fnv"
-	"maps"
-	"slices"
-
-	"github.com/cockroachdb/errors"
 )
 
-// Digest stands for a configuration's bytes.
-type Digest [sha256.Size]byte
-
-// DigestOf returns the digest of a configuration as it was sent.
-func DigestOf(content []byte) Digest { return sha256.Sum256(content) }
-
-// Change is the command of the register: a configuration on top of a version.
-type Change struct {
-	Base    int64
-	Version int64
-	Content []byte
-}
-
-// Encode returns the change as bytes.
-func (c Change) Encode() ([]byte, error) {
-	var body bytes.Buffer
-	err := gob.NewEncoder(&body).Encode(c)
-	return body.Bytes(), errors.Wrap(err, "encode a change of the configuration")
-}
-
-// Verdict is what became of a change.
+// Verdict is what became of a change. Only Accepted changes the register.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Accepted        Verdict = iota + 1
-	AlreadyAccepted         // that very configuration had been taken before
-	Conflict                // another version is current
+	AlreadyAccepted         // this very configuration was accepted before
+	Conflict                // the change builds on a version that is not the current one
 	Stale                   // its version is not above the current one
-	Indeterminate           // so old that it can't be told from one that was taken: neither confirm nor refuse it
+	Indeterminate           // its version is too old to know whether it was accepted: it is neither confirmed nor rejected
 )
 
-// RememberedChanges is how many of the newest changes are told from others when they are sent again,
-// and for how many changes it is known where the jobs of a removed queue are. It bounds the
-// register, whatever number of changes was ever made.
+// RememberedChanges is for how many of the newest changes the register knows that they were
+// accepted when they are sent again, and for how many changes it remembers where the jobs of a
+// removed queue are. It bounds the register's size.
 const RememberedChanges = 4096
 
-// Register holds the newest configuration and remembers the last changes that were taken.
+// Register is the replicated state: the newest configuration, a memory of the changes that were
+// accepted last, and which services have jobs of each queue. Its methods are not safe for
+// concurrent use. Snapshots store it in the form of storedRegister.
 type Register struct {
-	Version int64
-	Content []byte
-	Taken   map[int64]Digest
-	Order   []int64 // the versions in Taken, in the order in which they were taken
-	// Forgotten is the highest version that was taken and is not remembered any more.
-	Forgotten int64
-	Changes   uint64 // taken so far
-	// Backends lists, by queue, each service that the queue was sent to, newest last: a job
-	// handed in before a change is found where it was accepted.
-	Backends map[string][]string
-	// Since is, by queue that was sent to several services, the version that chose the newest.
-	Since map[string]int64
-	// Removed is, by queue that no route names any more, the number of the change since which.
-	Removed map[string]uint64
-
-	parsed *Config
+	Version          int64 // of Content; 0: there is none yet
+	Content          []byte
+	AcceptedDigests  map[int64]Digest // by version
+	AcceptedVersions []int64          // the keys of AcceptedDigests, in the order of their acceptance
+	HighestForgotten int64            // highest version that was accepted and is not in AcceptedDigests any more
+	ChangeCount      uint64           // changes accepted so far
+
+	// ServicesByQueue has each service that a queue was sent to, newest last: a job that was
+	// submitted before a change is found where it was accepted.
+	ServicesByQueue map[string][]string
+	MovedAtVersion  map[string]int64  // by queue with several services: the version that chose the newest
+	RemovedAtChange map[string]uint64 // by queue that no route names any more: ChangeCount when it was removed
+
+	parsed *Config // of Content
 }
 
 // NewRegister returns an empty register.
 func NewRegister() *Register {
-	return &Register{Taken: map[int64]Digest{}, Backends: map[string][]string{}, Since: map[string]int64{}, Removed: map[string]uint64{}}
+	return &Register{
+		AcceptedDigests: map[int64]Digest{},
+		ServicesByQueue: map[string][]string{},
+		MovedAtVersion:  map[string]int64{},
+		RemovedAtChange: map[string]uint64{},
+	}
 }
 
-// Evaluate says what Apply would make of a change now.
+// Current returns the newest configuration; nil: there is none yet.
+func (r *Register) Current() *Config { return r.parsed }
+
+// Evaluate returns the verdict that Apply would give now. It changes nothing.
 func (r *Register) Evaluate(c Change) Verdict {
-	digest, known := r.Taken[c.Version]
+	digest, remembered := r.AcceptedDigests[c.Version]
 	switch {
-	case known && digest == DigestOf(c.Content):
+	case remembered && digest == DigestOf(c.Content):
 		return AlreadyAccepted
-	case !known && c.Version <= r.Forgotten:
+	case !remembered && c.Version <= r.HighestForgotten:
 		return Indeterminate
 	case c.Base != r.Version:
 		return Conflict
@@ -90,8 +71,8 @@
 	return Accepted
 }
 
-// Apply carries a change out. An error is a configuration that this program can't read,
-// though it was checked before it was proposed.
+// Apply carries a change out. An error means that this build can't read the configuration, though
+// it was validated before it was proposed: the register is unchanged, and the replica must stop.
 func (r *Register) Apply(c Change) (Verdict, error) {
 	verdict := r.Evaluate(c)
 	if verdict != Accepted {
@@ -101,52 +82,67 @@
 	if err != nil {
 		return 0, err
 	}
-	r.Version, r.Content, r.parsed = c.Version, c.Content, config
-	r.Changes++
+	r.Version = c.Version
+	r.Content = c.Content
+	r.parsed = config
+	r.ChangeCount++
 	r.remember(c)
-	r.noteQueues(config)
+	r.updateQueues(config)
 	return Accepted, nil
 }
 
+// ApplyEncoded decodes a change and carries it out, with the errors of Apply.
+func (r *Register) ApplyEncoded(command []byte) (Verdict, error) {
+	c, err := decodeChange(command)
+	if err != nil {
+		return 0, err
+	}
+	return r.Apply(c)
+}
+
 func (r *Register) remember(c Change) {
-	r.Taken[c.Version] = DigestOf(c.Content)
-	r.Order = append(r.Order, c.Version)
-	for len(r.Order) > RememberedChanges {
-		r.Forgotten = max(r.Forgotten, r.Order[0])
-		delete(r.Taken, r.Order[0])
-		r.Order = r.Order[1:]
+	r.AcceptedDigests[c.Version] = DigestOf(c.Content)
+	r.AcceptedVersions = append(r.AcceptedVersions, c.Version)
+	for len(r.AcceptedVersions) > RememberedChanges {
+		oldest := r.AcceptedVersions[0]
+		r.HighestForgotten = max(r.HighestForgotten, oldest)
+		delete(r.AcceptedDigests, oldest)
+		r.AcceptedVersions = r.AcceptedVersions[1:]
 	}
 }
 
-// noteQueues keeps where the queues' jobs are, and forgets queues that were removed long ago.
-func (r *Register) noteQueues(config *Config) {
+// updateQueues records which service each queue is sent to, and forgets queues that were removed
+// RememberedChanges ago.
+func (r *Register) updateQueues(config *Config) {
 	for at := range config.Routes {
-		r.noteBackend(&config.Routes[at])
+		r.updateServices(&config.Routes[at])
 	}
-	for queue := range r.Backends {
+	for queue := range r.ServicesByQueue {
 		if _, current := config.Route(queue); current {
-			delete(r.Removed, queue)
+			delete(r.RemovedAtChange, queue)
 			continue
 		}
-		since, known := r.Removed[queue]
+		removedAt, known := r.RemovedAtChange[queue]
 		switch {
 		case !known:
-			r.Removed[queue] = r.Changes
-		case r.Changes-since > RememberedChanges:
-			delete(r.Removed, queue)
-			delete(r.Backends, queue)
-			delete(r.Since, queue)
+			r.RemovedAtChange[queue] = r.ChangeCount
+		case r.ChangeCount-removedAt > RememberedChanges:
+			delete(r.RemovedAtChange, queue)
+			delete(r.ServicesByQueue, queue)
+			delete(r.MovedAtVersion, queue)
 		}
 	}
 }
 
-func (r *Register) noteBackend(route *Route) {
-	known := r.Backends[route.Queue()]
+// updateServices makes a route's service the newest of its queue.
+func (r *Register) updateServices(route *Route) {
+	queue := route.Queue()
+	known := r.ServicesByQueue[queue]
 	if len(known) > 0 && known[len(known)-1] == route.Backend {
 		return
 	}
 	if len(known) > 0 {
-		r.Since[route.Queue()] = r.Version
+		r.MovedAtVersion[queue] = r.Version
 	}
 	services := make([]string, 0, len(known)+1)
 	for _, service := range known {
@@ -154,74 +150,35 @@
 			services = append(services, service)
 		}
 	}
-	r.Backends[route.Queue()] = append(services, route.Backend)
+	r.ServicesByQueue[queue] = append(services, route.Backend)
+}
+
+// ServiceHistory is what services a queue was sent to. The names of its fields are sent.
+type ServiceHistory struct {
+	Services []string // oldest first
+	Since    int64    // the version since which the last of Services has the queue
 }
 
-// MovedQueues returns the queues that were sent to several services: their services, oldest first,
-// and the version since which the last of them has the queue.
+// MovedQueues returns the queues that were sent to more than one service.
 func (r *Register) MovedQueues() map[string]ServiceHistory {
 	moved := map[string]ServiceHistory{}
-	for queue, services := range r.Backends {
+	for queue, services := range r.ServicesByQueue {
 		if len(services) > 1 {
-			moved[queue] = ServiceHistory{Services: services, Since: r.Since[queue]}
+			moved[queue] = ServiceHistory{Services: services, Since: r.MovedAtVersion[queue]}
 		}
 	}
 	return moved
 }
 
-// ServiceHistory are the services that a queue was sent to, oldest first, and the version since which
-// the last of them has it.
-type ServiceHistory struct {
-	Services []string
-	Since    int64
-}
-
-// Current returns the newest configuration; nil: there is none yet.
-func (r *Register) Current() *Config { return r.parsed }
-
-// ApplyEncoded carries out an encoded change.
-func (r *Register) ApplyEncoded(command []byte) (Verdict, error) {
-	var c Change
-	if err := gob.NewDecoder(bytes.NewReader(command)).Decode(&c); err != nil {
-		return 0, errors.Wrap(err, "decode a change of the configuration")
-	}
-	return r.Apply(c)
-}
-
-// StateDigest stands for the whole state: equal where the states are.
+// StateDigest returns a hash of the whole state: equal on replicas whose states are equal. Builds
+// that run beside each other compare it, so that each must hash the same values in this order. A hash never returns
+// an error.
 func (r *Register) StateDigest() uint64 {
 	hash := fnv.New64a()
-	fmt.Fprintln(hash, r.Version, DigestOf(r.Content), r.Order, r.Forgotten, r.Changes)
-	for _, version := range r.Order {
-		fmt.Fprintln(hash, r.Taken[version])
+	_, _ = fmt.Fprintln(hash, r.Version, DigestOf(r.Content), r.AcceptedVersions, r.HighestForgotten, r.ChangeCount)
+	for _, version := range r.AcceptedVersions {
+		_, _ = fmt.Fprintln(hash, r.AcceptedDigests[version])
 	}
-	fmt.Fprintln(hash, r.Backends, r.Since, r.Removed) // fmt sorts maps by their keys
+	_, _ = fmt.Fprintln(hash, r.ServicesByQueue, r.MovedAtVersion, r.RemovedAtChange) // fmt sorts maps by their keys
 	return hash.Sum64()
 }
-
-// Snapshot returns the whole state.
-func (r *Register) Snapshot() ([]byte, error) {
-	var body bytes.Buffer
-	err := gob.NewEncoder(&body).Encode(r)
-	return body.Bytes(), errors.Wrap(err, "encode the configuration")
-}
-
-// Restore replaces the whole state.
-func (r *Register) Restore(content []byte) error {
-	next := NewRegister()
-	if err := gob.NewDecoder(bytes.NewReader(content)).Decode(next); err != nil {
-		return errors.Wrap(err, "decode the configuration")
-	}
-	if len(next.Content) > 0 {
-		config, err := Decode(next.Content)
-		if err != nil {
-			return err
-		}
-		next.parsed = config
-	}
-	if next.Order == nil { // written before the order was kept
-		next.Order = slices.Sorted(maps.Keys(next.Taken))
-	}
-	*r = *next
-	return nil
-}
--- /dev/null
+++ b/internal/cluster/opconfig/storedregister.go
@@ -0,0 +1,74 @@
+package opconfig
+
+import (
+	"bytes"
+	"encoding/gob"
+	"maps"
+	"slices"
+
+	"github.com/cockroachdb/errors"
+)
+
+// storedRegister is the form of a snapshot, encoded by gob, which stores the names of fields.
+// Snapshots on disk and from processes of other builds have these names: never rename a field here.
+// The comments name the field of Register.
+type storedRegister struct {
+	Version   int64
+	Content   []byte
+	Taken     map[int64]Digest    // AcceptedDigests
+	Order     []int64             // AcceptedVersions
+	Forgotten int64               // HighestForgotten
+	Changes   uint64              // ChangeCount
+	Backends  map[string][]string // ServicesByQueue
+	Since     map[string]int64    // MovedAtVersion
+	Removed   map[string]uint64   // RemovedAtChange
+}
+
+// Snapshot returns the whole state, encoded.
+func (r *Register) Snapshot() ([]byte, error) {
+	stored := storedRegister{
+		Version:   r.Version,
+		Content:   r.Content,
+		Taken:     r.AcceptedDigests,
+		Order:     r.AcceptedVersions,
+		Forgotten: r.HighestForgotten,
+		Changes:   r.ChangeCount,
+		Backends:  r.ServicesByQueue,
+		Since:     r.MovedAtVersion,
+		Removed:   r.RemovedAtChange,
+	}
+	var body bytes.Buffer
+	err := gob.NewEncoder(&body).Encode(&stored)
+	return body.Bytes(), errors.Wrap(err, "encode the configuration")
+}
+
+// Restore replaces the whole state by that of a snapshot. After an error it is as it was.
+func (r *Register) Restore(content []byte) error {
+	stored := storedRegister{Taken: map[int64]Digest{}, Backends: map[string][]string{}, Since: map[string]int64{}, Removed: map[string]uint64{}}
+	if err := gob.NewDecoder(bytes.NewReader(content)).Decode(&stored); err != nil {
+		return errors.Wrap(err, "decode the configuration")
+	}
+	next := Register{
+		Version:          stored.Version,
+		Content:          stored.Content,
+		AcceptedDigests:  stored.Taken,
+		AcceptedVersions: stored.Order,
+		HighestForgotten: stored.Forgotten,
+		ChangeCount:      stored.Changes,
+		ServicesByQueue:  stored.Backends,
+		MovedAtVersion:   stored.Since,
+		RemovedAtChange:  stored.Removed,
+	}
+	if len(next.Content) > 0 {
+		config, err := Decode(next.Content)
+		if err != nil {
+			return err
+		}
+		next.parsed = config
+	}
+	if next.AcceptedVersions == nil { // written by a build that did not store the order
+		next.AcceptedVersions = slices.Sorted(maps.Keys(next.AcceptedDigests))
+	}
+	*r = next
+	return nil
+}
--- a/internal/cluster/simworld/mistakes_test.go
+++ b/internal/cluster/simworld/mistakes_test.go
@@ -89,7 +89,7 @@
 		if err := gob.NewDecoder(bytes.NewReader(content)).Decode(register); err != nil {
 			return err
 		}
-		register.Taken, register.Order = nil, []int64{}
+		register.AcceptedDigests, register.AcceptedVersions = nil, []int64{}
 		without, err := register.Snapshot()
 		if err != nil {
 			return err
