--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -35,7 +35,7 @@
 	return content
 }
 
-// accept hands in a job with all fields of New filled.
+// acceptCommand submits a job with all fields of Submission filled.
 func acceptCommand(id, queue string, spec job.Spec) job.Command {
 	spec.Text = "text of " + id
 	return job.Command{Kind: job.AcceptJob, ProposedAtMs: 1000, Submission: &job.Submission{
@@ -103,7 +103,7 @@
 	return job.Command{Kind: job.SaveCheckpoint, Task: ref, Attempt: attempt, Checkpoint: saved, ProposedAtMs: 2500}
 }
 
-func cancelCommand(id, queue string) job.Command {
+func cancelCommand(id string) job.Command {
 	return job.Command{Kind: job.CancelJob, Task: job.TaskRef{Job: id}, Queue: queue, ConfigVersion: 6, ProposedAtMs: 4000}
 }
 
@@ -118,7 +118,7 @@
 )
 
 // goldenCommands bring about jobs of all states. Each kind of command and each end of a run occurs.
-func goldenCommands() []job.Command {
+func goldenCommands() []job.Command { //nolint:funlen // one list, in the order of the log
 	return []job.Command{
 		acceptCommand("pending", queue, full()),
 		acceptCommand("pending-too", queue, plain(2)),
@@ -183,14 +183,14 @@
 		endCommand(task("failed", 0, 0, 0), 2, job.EndFailed, ""),
 
 		acceptCommand("canceled", queue, plain(1)),
-		cancelCommand("canceled", queue),
+		cancelCommand("canceled"),
 		acceptCommand("canceled-live", queue, plain(1)),
 		startCommand(task("canceled-live", 0, 0, 0), 1, "runner-1"),
-		cancelCommand("canceled-live", queue),
-		cancelCommand("withdrawn", queue),
+		cancelCommand("canceled-live"),
+		cancelCommand("withdrawn"),
 
 		acceptCommand("forgotten", queue, plain(1)),
-		cancelCommand("forgotten", queue),
+		cancelCommand("forgotten"),
 		{Kind: job.ForgetJob, Task: job.TaskRef{Job: "forgotten"}, ProposedAtMs: 6000},
 
 		{Kind: job.SealQueue, Queue: movedQueue, ConfigVersion: 9, ProposedAtMs: 7000},
--- a/internal/cluster/protocol/golden_stream_test.go
+++ b/internal/cluster/protocol/golden_stream_test.go
@@ -113,9 +113,9 @@
 	handler := &recordingHandler{}
 	server := rpc.NewServer(handler)
 	_, address := startServer(t, server)
-	conn, err := net.Dial("tcp", address)
+	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
 	require.NoError(t, err)
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // all that matters was read
 	_, err = io.WriteString(conn, upgradeRequest+string(request))
 	require.NoError(t, err)
 	reader := bufio.NewReader(conn)
@@ -136,9 +136,9 @@
 		if err != nil {
 			return
 		}
-		defer conn.Close()
+		defer func() { _ = conn.Close() }() // the client has read all that matters
 		_, _ = io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: basaltloft-gob/1\r\n\r\n")
-		_, _ = buffered.Reader.ReadByte() // the call
+		_, _ = buffered.ReadByte() // the call
 		_, _ = conn.Write(response)
 		_, _ = io.Copy(io.Discard, buffered)
 	}))
