--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -104,8 +104,8 @@
 		{"start", func() { client.start(whole) }},
 		{"start, what may be left out is", func() { client.start(bare) }},
 		{"stop", func() { client.stop(whole) }},
-		{"hold", func() { client.hold(whole) }},
-		{"hold, what may be left out is", func() { client.hold(bare) }},
+		{"hold", func() { client.renewLease(whole) }},
+		{"hold, what may be left out is", func() { client.renewLease(bare) }},
 	} {
 		call.send()
 		fmt.Fprintf(&text, "== %s\n%s", call.name, requests.taken(address))
@@ -147,7 +147,7 @@
 		name := fmt.Sprint(c.status, " ", c.body)
 		start, _ := client.start(order)
 		require.Equal(t, c.start, start, name)
-		hold, _ := client.hold(order)
+		hold, _ := client.renewLease(order)
 		require.Equal(t, c.hold, hold, name)
 		taken, otherLife, _ := client.stop(order)
 		require.Equal(t, c.stops, [2]bool{taken, otherLife}, name)
@@ -156,7 +156,7 @@
 	require.Equal(t, int64(123), clock)
 	_, _, clock = client.stop(answering(t, http.StatusOK, `{"clock_ms":124}`))
 	require.Equal(t, int64(124), clock)
-	_, look := client.hold(answering(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
+	_, look := client.renewLease(answering(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
 		"running":[["a.1.2.3",4,"saved",56.7],["b.0.0.0",1,""]],
 		"finished":[[7,"c.0.0.1",2,"done","s"],[8,"c.0.0.2",1,"failed",""],[9,"c.0.0.3",1,"stopped",""],[10,"c.0.0.4",1,"lapsed",""],
 			[11,"c.0.0.5",1,"broken",""],[12,"c.0.0.6",1,"alone",""],[13,"c.0.0.7",1,"something new",""]]}`))
@@ -187,7 +187,7 @@
 		_, _ = w.Write([]byte(`{"instances":[{"id":"i-2","backend":"gpu","address":"10.3.0.2:9000","state":"draining","remaining_ms":1234}],"next_token":null}`))
 	})
 	core := &Node{settings: settings.Settings{CloudAPI: settings.CloudAPI{Address: address}}}
-	list, err := newReader(core).readAll()
+	list, err := newRunnerListReader(core).readAll()
 	require.NoError(t, err)
 	compareGolden(t, "calls-to-platform.txt", requests.taken(address))
 	require.Equal(t, []protocol.Runner{
@@ -224,7 +224,7 @@
 		require.NoError(t, err)
 	}
 	core := &Node{self: replica.Member{Address: "here"}, peers: newPeers("here"), stop: make(chan struct{})}
-	core.operator = &operators{core: core, config: config}
+	core.operators = &operatorAPI{node: core, config: config}
 	_, public := core.servers()
 	server := httptest.NewServer(public.Handler)
 	t.Cleanup(server.Close)
@@ -292,7 +292,7 @@
 		{"replace, invalid", http.MethodPost, "/-/config/replace", "0", `{"version":1,"routes":[{}]}`, "", leads(0, errors.New("not asked"))},
 		{"replace, not JSON", http.MethodPost, "/-/config/replace", "0", `{`, "", leads(0, nil)},
 		{"replace, no base", http.MethodPost, "/-/config/replace", "", configuration, "", leads(0, nil)},
-		{"replace, too large", http.MethodPost, "/-/config/replace", "0", strings.Repeat(" ", mostConfigBytes+1), "", leads(0, nil)},
+		{"replace, too large", http.MethodPost, "/-/config/replace", "0", strings.Repeat(" ", maxConfigBytes+1), "", leads(0, nil)},
 		{"replace elsewhere, refused", http.MethodPost, "/-/config/replace", "0", configuration, "", elsewhere(protocol.OperatorResponse{Status: 412, Reason: "reason"})},
 		{"replace elsewhere, odd answer", http.MethodPost, "/-/config/replace", "0", configuration, "", elsewhere(protocol.JobResponse{})},
 		{"replace elsewhere, no answer", http.MethodPost, "/-/config/replace", "0", configuration, "", &standInGroup{leader: "127.0.0.1:1"}},
--- /dev/null
+++ b/internal/cluster/controlplane/handler.go
@@ -0,0 +1,66 @@
+package controlplane
+
+import (
+	"maps"
+	"net/http"
+	"slices"
+
+	"basaltloft/coord/replica"
+	"basaltloft/internal/cluster/protocol"
+)
+
+// HandleOneWay implements rpc.Handler.
+func (n *Node) HandleOneWay(body any) {
+	switch message := body.(type) {
+	case replica.Message:
+		n.receive(message)
+	case protocol.JoinRequest:
+		n.handleJoin(message)
+	case protocol.LeaveNotice:
+		n.handleLeave(message)
+	case protocol.RunnerList:
+		n.runnerListReader.update(message)
+	}
+}
+
+// HandleCall implements rpc.Handler.
+func (n *Node) HandleCall(body any) any {
+	if !n.replicasRunning.Load() {
+		return protocol.JobResponse{}
+	}
+	switch request := body.(type) {
+	case protocol.SubmitRequest:
+		return n.callShard(request.Shard, func(s *shardLoop, reply func(protocol.JobResponse)) { s.Submit(request, reply) })
+	case protocol.JobRequest:
+		return n.callShard(request.Shard, func(s *shardLoop, reply func(protocol.JobResponse)) { s.HandleJobRequest(request, reply) })
+	case protocol.WatchRequest:
+		return n.operators.watch(request)
+	case protocol.OperatorRequest:
+		return n.operators.handle(request)
+	case protocol.StatusRequest:
+		return n.status()
+	}
+	return protocol.JobResponse{Status: http.StatusBadRequest, Reason: "this message is not known here: run the same version everywhere"}
+}
+
+// callShard calls a shard and waits for its response.
+func (n *Node) callShard(number int, call func(*shardLoop, func(protocol.JobResponse))) protocol.JobResponse {
+	if number < 0 || number >= len(n.shards) {
+		return protocol.JobResponse{}
+	}
+	loop := n.shards[number]
+	return loop.await(func(reply func(protocol.JobResponse)) { call(loop, reply) })
+}
+
+// status returns the state of this node's replicas, sorted by the groups' names.
+func (n *Node) status() protocol.StatusResponse {
+	response := protocol.StatusResponse{Node: n.settings.NodeName, Member: n.self}
+	if config := n.config.Current(); config != nil {
+		response.Version = config.Version
+	}
+	for _, name := range slices.Sorted(maps.Keys(n.groups)) {
+		g := n.groups[name]
+		response.Groups = append(response.Groups, protocol.GroupStatus{Name: name, Leader: g.Leader().Address, Status: g.Status()})
+	}
+	return response
+}
--- a/internal/cluster/controlplane/join.go
+++ b/internal/cluster/controlplane/join.go
@@ -8,98 +8,88 @@
 )
 
 const (
-	joinEvery  = 400 * time.Millisecond
-	joinSlowly = 2 * time.Second
+	joinInterval            = 400 * time.Millisecond // between requests to join
+	membershipCheckInterval = 2 * time.Second        // once the node is a voter of all groups
 )
 
-// join makes this process part of its groups: by forming those of a founding that it is part
-// of, or by asking their leaders.
-func (c *Node) join() {
-	c.formLeft()
-	c.start()
-	for c.wait(c.askToJoin()) {
-	}
-}
-
-func (c *Node) wait(pause time.Duration) bool {
-	select {
-	case <-c.stop:
-		return false
-	case <-time.After(pause):
-		return true
+// joinGroups makes this node a member of its groups: it bootstraps those of which it is a founder, and
+// asks the leaders of the others to be taken in, again whenever it has lost its vote. It returns when
+// the node stops.
+func (n *Node) joinGroups() {
+	n.bootstrapGroups()
+	n.startReplicas()
+	for {
+		pause := n.sendJoinRequests()
+		select {
+		case <-n.stop:
+			return
+		case <-time.After(pause):
+		}
 	}
 }
 
-// formLeft forms the groups that a founding of which this process is part has not formed yet.
-func (c *Node) formLeft() {
-	founding := c.identity.Founding
+// bootstrapGroups bootstraps the groups of which this node is a founder and that were not yet.
+func (n *Node) bootstrapGroups() {
+	founding := n.identity.Founding
 	if founding == nil {
 		return
 	}
-	if _, part := founding.Find(c.self.ID); !part {
+	if _, isFounder := founding.Find(n.self.ID); !isFounder {
 		return
 	}
-	for name, g := range c.groups {
+	for name, g := range n.groups {
 		if g.IsBootstrapped() {
 			continue
 		}
 		if err := g.Bootstrap(*founding); err != nil {
-			c.log.Error("a group can't be formed: check the disk", "group", name, "error", err)
+			n.log.Error("group bootstrap failed, check the disk", "group", name, "error", err)
 		}
 	}
 }
 
-// seeds lists the seeds as they are now.
-func (c *Node) seeds() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.settings.SeedAddresses()
-}
-
-// askToJoin asks for a place in each group in which this process has no vote, and returns
-// when to ask again.
-func (c *Node) askToJoin() time.Duration {
-	asked := false
-	for name, g := range c.groups {
-		for _, address := range leader.JoinTargets(g.Membership(), g.Leader(), c.self.ID, c.seeds()) {
-			asked = true
-			c.peers.cast(address, protocol.JoinRequest{Group: name, Member: c.self})
+// sendJoinRequests asks to join each group in which this node has no vote, and returns when to do so
+// again.
+func (n *Node) sendJoinRequests() time.Duration {
+	sent := false
+	for name, g := range n.groups {
+		for _, address := range leader.JoinTargets(g.Membership(), g.Leader(), n.self.ID, n.seeds()) {
+			sent = true
+			n.peers.sendOneWay(address, protocol.JoinRequest{Group: name, Member: n.self})
 		}
 	}
-	if asked {
-		return joinEvery
+	if sent {
+		return joinInterval
 	}
-	return joinSlowly
+	return membershipCheckInterval
 }
 
-// takeJoin notes that a process wants to join, and passes it on to the leader once.
-func (c *Node) takeJoin(ask protocol.JoinRequest) {
-	g := c.groups[ask.Group]
-	if g == nil || !c.running.Load() {
+// handleJoin passes a request to join to this node's replica, and forwards it to the leader once.
+func (n *Node) handleJoin(request protocol.JoinRequest) {
+	g := n.groups[request.Group]
+	if g == nil || !n.replicasRunning.Load() {
 		return
 	}
-	g.RequestJoin(ask.Member)
-	address := leader.JoinRelayAddress(ask, g.Leader(), c.self.ID)
-	ask.Relayed = true
-	c.peers.cast(address, ask)
+	g.RequestJoin(request.Member)
+	address := leader.JoinRelayAddress(request, g.Leader(), n.self.ID)
+	request.Relayed = true
+	n.peers.sendOneWay(address, request)
 }
 
-// takeLeave notes that a member ends for now.
-func (c *Node) takeLeave(notice protocol.LeaveNotice) {
-	if g := c.groups[notice.Group]; g != nil && c.running.Load() {
+// handleLeave passes on that a member shuts down.
+func (n *Node) handleLeave(notice protocol.LeaveNotice) {
+	if g := n.groups[notice.Group]; g != nil && n.replicasRunning.Load() {
 		g.RequestLeave(notice.ID)
 	}
 }
 
-// tellLeave tells the leaders of its groups that this process ends, so that a learner that
-// waits takes its place at once. It returns whether one waits in some group where this
-// process still votes.
-func (c *Node) tellLeave() (waits bool) {
-	for name, g := range c.groups {
-		for _, address := range leader.LeaveTargets(g.Membership(), c.self.ID, c.seeds()) {
-			waits = true
-			c.peers.cast(address, protocol.LeaveNotice{Group: name, ID: c.self.ID})
+// sendLeaveNotices tells the leaders of its groups that this node shuts down, so that a learner takes
+// its vote at once. It returns whether a learner can do so in some group where this node still votes.
+func (n *Node) sendLeaveNotices() (learnerWaits bool) {
+	for name, g := range n.groups {
+		for _, address := range leader.LeaveTargets(g.Membership(), n.self.ID, n.seeds()) {
+			learnerWaits = true
+			n.peers.sendOneWay(address, protocol.LeaveNotice{Group: name, ID: n.self.ID})
 		}
 	}
-	return waits
+	return learnerWaits
 }
--- /dev/null
+++ b/internal/cluster/controlplane/node.go
@@ -0,0 +1,217 @@
+// Package controlplane assembles a control-plane node, the process that deploy files call a core: its
+// replicas of the configuration's group and of the shards' groups, the schedulers of the shards that
+// it leads, the reader of the platform's runner list, and the operators' API.
+//
+// Files are named by role: node.go (assembly and life cycle), groups.go (replica groups), handler.go
+// (messages of other processes), shardloop.go and runnerclient.go (scheduling and orders),
+// runnerlist.go (the platform's list), operatorapi.go, join.go (membership), recovery.go (a disk
+// that can't be read), identity.go, peers.go (connections to other nodes).
+package controlplane
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"basaltloft/coord/group"
+	"basaltloft/coord/replica"
+	"basaltloft/coord/ringlog"
+	"basaltloft/coord/rpc"
+	"basaltloft/internal/cluster/leader"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/settings"
+)
+
+// commandsByRPC is the one supported value of the setting that says how runners get their orders.
+const commandsByRPC = "rpc"
+
+// Node is one process of the control plane.
+type Node struct {
+	settings settings.Settings
+	log      *slog.Logger
+	started  time.Time
+	identity identity
+	self     replica.Member
+	peers    *peers
+	rpc      *rpc.Server
+
+	groups           map[string]*group.Group // by name
+	configGroup      *group.Group
+	config           *leader.Configuration
+	shards           []*shardLoop // by number
+	runnerListReader *runnerListReader
+	operators        *operatorAPI
+	damaged          error // why the state on disk can't be used; nil: it can
+
+	replicasRunning atomic.Bool
+	stop            chan struct{}   // closed when the node stops
+	lifetime        context.Context // ends when the node stops; bounds calls to runners and platform
+	endLifetime     context.CancelFunc
+	tasks           sync.WaitGroup // the goroutines that Run started, directly or not
+
+	mu sync.Mutex // guards settings.Seeds
+}
+
+// New opens a node's state on disk. It does not serve yet. Where the state can't be read New succeeds
+// all the same, and Run tries to recover.
+func New(settings settings.Settings, log *slog.Logger) (*Node, error) {
+	if settings.DataDir == "" {
+		return nil, errors.New("data_dir is empty: run the core on machines with a disk")
+	}
+	n := &Node{settings: settings, log: log, started: time.Now(), groups: map[string]*group.Group{}, stop: make(chan struct{})}
+	n.lifetime, n.endLifetime = context.WithCancel(context.Background())
+	n.self.Address = settings.InternalAddress(settings.IP)
+	if settings.Commands != "" && settings.Commands != commandsByRPC {
+		log.Warn("unknown value of setting commands, runners are called by rpc", "commands", settings.Commands)
+	}
+	n.peers = newPeers(n.self.Address)
+	n.peers.deliverLocal = n.receive
+	err := n.open()
+	if errors.Is(err, ringlog.ErrDamaged) || errors.Is(err, errIdentityUnreadable) {
+		n.damaged = err
+		return n, nil
+	}
+	return n, err
+}
+
+// clockOrigin keeps the node's clock above zero from its start, whatever is subtracted from it.
+const clockOrigin = time.Hour
+
+// now is the node's monotonic clock.
+func (n *Node) now() time.Duration { return time.Since(n.started) + clockOrigin }
+
+// open reads the identity and opens all replicas.
+func (n *Node) open() error {
+	found, err := loadIdentity(n.settings.DataDir, n.newIdentity)
+	if err != nil {
+		return err
+	}
+	n.identity = found
+	n.self.ID = found.ID
+	n.rpc = rpc.NewServer(n)
+	n.runnerListReader = newRunnerListReader(n)
+	n.runnerListReader.lifetime = n.lifetime
+	n.config = leader.NewConfiguration(n.updateShardConfigs, n.runnerListReader.setEpoch, n.log)
+	n.operators = &operatorAPI{node: n, config: n.config}
+	runners := newRunnerClient()
+	runners.lifetime = n.lifetime
+	states := map[string]group.StateMachine{protocol.ConfigGroup: n.config}
+	var shards []*shardLoop
+	for number := range protocol.ShardCount {
+		loop := n.newShardLoop(number, runners)
+		states[protocol.ShardGroup(number)] = loop
+		shards = append(shards, loop)
+	}
+	if err := n.openGroups(states); err != nil {
+		return err
+	}
+	n.configGroup = n.groups[protocol.ConfigGroup]
+	n.config.SetGroup(n.configGroup)
+	for number, loop := range shards {
+		loop.SetGroup(n.groups[protocol.ShardGroup(number)])
+		loop.UpdateConfig(n.config.Current())
+	}
+	n.shards = shards
+	return nil
+}
+
+// updateShardConfigs passes a configuration that was applied to the shards.
+func (n *Node) updateShardConfigs(config *opconfig.Config) {
+	for _, loop := range n.shards {
+		loop.UpdateConfig(config)
+	}
+}
+
+// Run serves until the context ends, and then transfers what this node leads to others. It returns
+// once the goroutines that it started have ended, or after closeTimeout.
+func (n *Node) Run(ctx context.Context) error {
+	if err := n.recoverDataDir(ctx); err != nil {
+		return err
+	}
+	if n.damaged != nil {
+		return nil // the context ended before the disk could be used
+	}
+	internal, operators := n.servers()
+	failed := make(chan error, 2)
+	for _, server := range []*http.Server{internal, operators} {
+		n.tasks.Go(func() { failed <- server.ListenAndServe() })
+	}
+	n.tasks.Go(n.joinGroups)
+	var failure error
+	select {
+	case err := <-failed:
+		failure = errors.Wrap(err, "serve")
+	case <-ctx.Done():
+		n.transferLeadership()
+	}
+	n.shutDown(internal, operators)
+	return failure
+}
+
+// headerTimeout bounds how long a server waits for a request's header.
+const headerTimeout = 5 * time.Second
+
+func (n *Node) servers() (internal, operators *http.Server) {
+	private := http.NewServeMux()
+	private.Handle(rpc.Path, n.rpc)
+	public := http.NewServeMux()
+	public.HandleFunc("POST /-/config/replace", n.operators.serveReplace)
+	public.HandleFunc("GET /-/config/get", n.operators.serveGet)
+	internal = &http.Server{Addr: n.self.Address, Handler: private, ReadHeaderTimeout: headerTimeout}
+	operators = &http.Server{Addr: n.settings.Listen.Control, Handler: public, ReadHeaderTimeout: headerTimeout}
+	return internal, operators
+}
+
+// shutDown stops everything that Run and joinGroups have started.
+func (n *Node) shutDown(internal, operators *http.Server) {
+	close(n.stop)
+	n.endLifetime()
+	_ = operators.Close() // an error of a listener's close: the process ends anyway
+	_ = internal.Close()  // likewise
+	n.rpc.Close()
+	n.peers.close()
+	n.closeGroups()
+}
+
+// closeTimeout bounds how long a stopping node waits for its goroutines and its disk.
+const closeTimeout = 300 * time.Millisecond
+
+// closeGroups waits for the node's goroutines and closes its replicas. What a replica has promised to
+// others is on disk already, so that a disk that hangs is not waited for.
+func (n *Node) closeGroups() {
+	closed := make(chan struct{})
+	go func() { // may outlast Run, by a disk that hangs
+		defer close(closed)
+		n.tasks.Wait()
+		if !n.replicasRunning.Load() {
+			return
+		}
+		for _, g := range n.groups {
+			g.Close()
+		}
+	}()
+	select {
+	case <-closed:
+	case <-time.After(closeTimeout):
+	}
+}
+
+// Reload takes in settings that have changed. Only the seeds can change while the node runs.
+func (n *Node) Reload(settings settings.Settings) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.settings.Seeds = settings.Seeds
+}
+
+// seeds returns the addresses of the seeds as they are now.
+func (n *Node) seeds() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.settings.SeedAddresses()
+}
--- /dev/null
+++ b/internal/cluster/controlplane/recovery.go
@@ -0,0 +1,135 @@
+package controlplane
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"basaltloft/coord/group"
+	"basaltloft/coord/ringlog"
+	"basaltloft/internal/cluster/protocol"
+)
+
+const (
+	leaderCheckInterval = 500 * time.Millisecond
+	leaderCheckTimeout  = 800 * time.Millisecond // of each call
+	damageLogInterval   = 10 * time.Second
+)
+
+// recoverDataDir makes a data folder usable whose state can't be read. That state may be the last copy
+// of something that was acknowledged, so it is set aside only once each group is seen to have a leader
+// elsewhere: a lease shows that a majority has what this disk had. Until then the node serves nothing
+// and logs why. It stays damaged where the context ends first.
+func (n *Node) recoverDataDir(ctx context.Context) error {
+	if n.damaged == nil {
+		return nil
+	}
+	loggedAt := time.Time{}
+	for !n.ledElsewhere() {
+		if time.Since(loggedAt) > damageLogInterval {
+			loggedAt = time.Now()
+			n.log.Error("state on disk unusable and not all groups have a leader elsewhere, nothing is changed: start the other core machines or restore this disk", "error", n.damaged.Error())
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(leaderCheckInterval):
+		}
+	}
+	n.log.Error("state on disk unusable and set aside, joining as a new member", "error", n.damaged.Error())
+	for _, g := range n.groups { // those that could be opened; none runs
+		g.Close()
+	}
+	if err := setAside(n.settings.DataDir); err != nil {
+		return errors.Wrap(err, "check the disk")
+	}
+	n.groups = map[string]*group.Group{}
+	n.settings.Bootstrap = false // the system was started long since
+	if err := n.open(); err != nil {
+		return errors.Wrap(err, "check the disk")
+	}
+	n.damaged = nil
+	return nil
+}
+
+// ledElsewhere tells whether each group has a leader with a lease among the seeds and the members that
+// they name.
+func (n *Node) ledElsewhere() bool {
+	led := map[string]bool{} // by group
+	visited := map[string]bool{n.self.Address: true}
+	addresses := n.seeds()
+	for len(addresses) > 0 {
+		address := addresses[0]
+		addresses = addresses[1:]
+		if visited[address] {
+			continue
+		}
+		visited[address] = true
+		response, err := n.peers.call(address, leaderCheckTimeout, protocol.StatusRequest{})
+		status, ok := response.(protocol.StatusResponse)
+		if err != nil || !ok {
+			continue
+		}
+		for _, g := range status.Groups {
+			led[g.Name] = led[g.Name] || g.Leads
+			for _, member := range g.Members.AllMembers() {
+				addresses = append(addresses, member.Address)
+			}
+		}
+	}
+	if !led[protocol.ConfigGroup] {
+		return false
+	}
+	for number := range protocol.ShardCount {
+		if !led[protocol.ShardGroup(number)] {
+			return false
+		}
+	}
+	return true
+}
+
+// setAsidePrefix begins the names of folders with state that is not used any more.
+const setAsidePrefix = "set-aside-"
+
+// setAside moves the content of the data folder into one of its own, in place of what was set aside
+// before, and syncs that: the node then starts as on an empty disk.
+func setAside(folder string) error {
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		return errors.Wrap(err, "list the data folder")
+	}
+	aside := filepath.Join(folder, setAsidePrefix+"state")
+	if err := os.RemoveAll(aside); err != nil {
+		return errors.Wrap(err, "remove what was set aside before")
+	}
+	if err := os.MkdirAll(aside, 0o755); err != nil {
+		return errors.Wrap(err, "make a folder for the damaged state")
+	}
+	// The identity goes last: until then the node keeps its identity.
+	slices.SortFunc(entries, func(a, b os.DirEntry) int { return identityLast(a) - identityLast(b) })
+	for _, entry := range entries {
+		if strings.HasPrefix(entry.Name(), setAsidePrefix) {
+			continue
+		}
+		if err := os.Rename(filepath.Join(folder, entry.Name()), filepath.Join(aside, entry.Name())); err != nil {
+			return errors.Wrap(err, "set the damaged state aside")
+		}
+	}
+	if err := (ringlog.OSFileSystem{}).SyncDir(aside); err != nil {
+		return errors.Wrap(err, "sync the damaged state's folder")
+	}
+	return errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
+}
+
+// identityLast is the order in which entries are set aside.
+func identityLast(entry os.DirEntry) int {
+	if entry.Name() == identityFile {
+		return 1
+	}
+	return 0
+}
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -15,32 +15,43 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// runnerClient speaks to runners.
-type runnerClient struct{ http *http.Client }
+// runnerClient sends orders to runners, each once.
+type runnerClient struct {
+	http     *http.Client
+	lifetime context.Context // bounds all calls
+}
 
 const (
-	connsPerRunner = 6
-	idleConns      = 3
-	idleFor        = 60 * time.Second
-	startWithin    = 300 * time.Millisecond // an order to start is not carried out later
-	answerWithin   = time.Second            // for a stop's answer
-	mostAnswer     = 4 << 20                // bytes of an answer
-	holdGrace      = 900 * time.Millisecond
+	maxConnsPerRunner     = 6
+	maxIdleConnsPerRunner = 3
+	idleConnTimeout       = 60 * time.Second
+	startTimeout          = 300 * time.Millisecond // a runner carries out no order to start that is older
+	stopTimeout           = time.Second
+	leaseReplyGrace       = 900 * time.Millisecond // beyond the time that the runner may wait
+	maxReplyBytes         = 4 << 20
+	connBufferBytes       = 2 << 10
 )
 
+// newRunnerClient returns a client without a bound on its lifetime.
 func newRunnerClient() *runnerClient {
-	return &runnerClient{http: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
-		DialContext: rpc.Dialer().DialContext, MaxConnsPerHost: connsPerRunner, MaxIdleConnsPerHost: idleConns,
-		IdleConnTimeout: idleFor, DisableCompression: true, ReadBufferSize: 2 << 10, WriteBufferSize: 2 << 10,
-	}}}
+	transport := &http.Transport{
+		DialContext:         rpc.Dialer().DialContext,
+		MaxConnsPerHost:     maxConnsPerRunner,
+		MaxIdleConnsPerHost: maxIdleConnsPerRunner,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true,
+		ReadBufferSize:      connBufferBytes,
+		WriteBufferSize:     connBufferBytes,
+	}
+	return &runnerClient{http: &http.Client{CheckRedirect: noRedirect, Transport: transport}, lifetime: context.Background()}
 }
 
-// noRedirect keeps a call from being sent again elsewhere. The transport sends a POST again by
-// itself only where nothing of it was written.
+// noRedirect keeps a call from being sent again elsewhere. The transport sends a POST again by itself
+// only where nothing of it was written.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// startBody, stopBody and holdBody are the orders as runners take them.
-type startBody struct {
+// startRequest, stopRequest and leaseRequest are the bodies of the orders in the runners' protocol.
+type startRequest struct {
 	Task         string `json:"task"`
 	Attempt      int    `json:"attempt"`
 	Spec         string `json:"spec"`
@@ -49,21 +60,21 @@
 	Checkpointed string `json:"checkpointed,omitempty"`
 }
 
-type stopBody struct {
+type stopRequest struct {
 	Task       string `json:"task"`
 	Attempt    int    `json:"attempt"`
 	FenceToken uint64 `json:"fence_token"`
 }
 
-type holdBody struct {
+type leaseRequest struct {
 	DeadlineMs int64  `json:"deadline_ms,omitempty"`
 	FenceToken uint64 `json:"fence_token"`
 	LastSeen   uint64 `json:"last_seen"`
 	WaitMs     int64  `json:"wait_ms,omitempty"`
 }
 
-// reply is what runners answer.
-type reply struct {
+// runnerReply is the body of a runner's reply to any order.
+type runnerReply struct {
 	ClockMs     int64             `json:"clock_ms"`
 	Reason      string            `json:"reason"`
 	Running     []json.RawMessage `json:"running"`
@@ -71,67 +82,80 @@
 	RemainingMs int64             `json:"remaining_ms"`
 }
 
-func (c *runnerClient) post(within time.Duration, order scheduler.Order, path string, body any) (int, reply, error) {
+// reasonNoCapacity is the reason of a reply that rejects a start for lack of capacity.
+const reasonNoCapacity = "room"
+
+// post sends an order. An error means that there was no reply, or none that can be read.
+func (c *runnerClient) post(timeout time.Duration, order scheduler.Order, path string, body any) (status int, reply runnerReply, err error) {
 	content, err := json.Marshal(body)
 	if err != nil {
-		return 0, reply{}, errors.Wrap(err, "encode an order")
+		return 0, runnerReply{}, errors.Wrap(err, "encode an order")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(c.lifetime, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+order.Address+path, bytes.NewReader(content))
 	if err != nil {
-		return 0, reply{}, errors.Wrap(err, "build an order")
+		return 0, runnerReply{}, errors.Wrap(err, "build an order")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Expect-Instance", order.Runner)
 	response, err := c.http.Do(request)
 	if err != nil {
-		return 0, reply{}, errors.Wrap(err, "send an order")
+		return 0, runnerReply{}, errors.Wrap(err, "send an order")
 	}
-	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	defer func() { _ = response.Body.Close() }() // it was read to its end, or is of no use
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return 0, reply{}, errors.Wrap(err, "read a runner's answer")
+		return 0, runnerReply{}, errors.Wrap(err, "read a runner's answer")
 	}
-	got := reply{}
-	if len(answer) > 0 && json.Unmarshal(answer, &got) != nil && response.StatusCode == http.StatusOK {
-		return 0, reply{}, errors.New("a runner's answer is not whole JSON")
+	if len(answer) > 0 && json.Unmarshal(answer, &reply) != nil && response.StatusCode == http.StatusOK {
+		return 0, runnerReply{}, errors.New("a runner's answer is not whole JSON")
 	}
-	return response.StatusCode, got, nil
+	return response.StatusCode, reply, nil
 }
 
-// start sends an order to start.
-func (c *runnerClient) start(order scheduler.Order) (scheduler.StartReply, int64) {
-	status, got, err := c.post(startWithin, order, "/-/run-start", startBody{
-		Task: order.Task.String(), Attempt: order.Attempt, Spec: order.Spec,
-		DeadlineMs: order.DeadlineMs, FenceToken: order.Token, Checkpointed: order.Checkpoint,
+// start sends an order to start a run. It returns the runner's clock in milliseconds, where it told it.
+func (c *runnerClient) start(order scheduler.Order) (result scheduler.StartReply, clockMs int64) {
+	status, reply, err := c.post(startTimeout, order, "/-/run-start", startRequest{
+		Task:         order.Task.String(),
+		Attempt:      order.Attempt,
+		Spec:         order.Spec,
+		DeadlineMs:   order.DeadlineMs,
+		FenceToken:   order.Token,
+		Checkpointed: order.Checkpoint,
 	})
 	switch {
 	case err != nil, status >= 500 && status != http.StatusServiceUnavailable:
 		return scheduler.StartNoReply, 0
 	case status == http.StatusOK:
-		return scheduler.StartAccepted, got.ClockMs
+		return scheduler.StartAccepted, reply.ClockMs
 	case status == http.StatusMisdirectedRequest:
 		return scheduler.StartOtherIncarnation, 0
-	case got.Reason == "room":
-		return scheduler.StartNoCapacity, got.ClockMs
+	case reply.Reason == reasonNoCapacity:
+		return scheduler.StartNoCapacity, reply.ClockMs
 	}
-	return scheduler.StartRefused, got.ClockMs
+	return scheduler.StartRefused, reply.ClockMs
 }
 
-// stop sends a stop; ok: the runner took it.
-func (c *runnerClient) stop(order scheduler.Order) (ok, otherLife bool, clock int64) {
-	status, got, err := c.post(answerWithin, order, "/-/run-stop", stopBody{Task: order.Task.String(), Attempt: order.Attempt, FenceToken: order.Token})
+// stop sends an order to stop a run. ok: the runner has accepted it; otherIncarnation: another
+// incarnation of the runner has its address.
+func (c *runnerClient) stop(order scheduler.Order) (ok, otherIncarnation bool, clockMs int64) {
+	status, reply, err := c.post(stopTimeout, order, "/-/run-stop", stopRequest{Task: order.Task.String(), Attempt: order.Attempt, FenceToken: order.Token})
 	if err != nil {
 		return false, false, 0
 	}
-	return status == http.StatusOK, status == http.StatusMisdirectedRequest, got.ClockMs
+	return status == http.StatusOK, status == http.StatusMisdirectedRequest, reply.ClockMs
 }
 
-// hold renews a runner's holds and looks at what it runs.
-func (c *runnerClient) hold(order scheduler.Order) (scheduler.LeaseReply, scheduler.RunnerReport) {
-	within := time.Duration(order.WaitMs)*time.Millisecond + holdGrace
-	status, got, err := c.post(within, order, "/-/hold", holdBody{DeadlineMs: order.DeadlineMs, FenceToken: order.Token, LastSeen: order.AckedThrough, WaitMs: order.WaitMs})
+// renewLease renews the lease of a runner's tasks and returns its report of them.
+func (c *runnerClient) renewLease(order scheduler.Order) (scheduler.LeaseReply, scheduler.RunnerReport) {
+	timeout := time.Duration(order.WaitMs)*time.Millisecond + leaseReplyGrace
+	status, reply, err := c.post(timeout, order, "/-/hold", leaseRequest{
+		DeadlineMs: order.DeadlineMs,
+		FenceToken: order.Token,
+		LastSeen:   order.AckedThrough,
+		WaitMs:     order.WaitMs,
+	})
 	switch {
 	case err != nil:
 		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
@@ -142,70 +166,71 @@
 	case status != http.StatusOK:
 		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
 	}
-	look, err := readLook(got)
+	report, err := parseReport(reply)
 	if err != nil {
 		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
 	}
-	return scheduler.LeaseRenewed, look
+	return scheduler.LeaseRenewed, report
 }
 
-func readLook(got reply) (scheduler.RunnerReport, error) {
-	look := scheduler.RunnerReport{ClockMs: got.ClockMs, RemainingMs: got.RemainingMs}
-	for _, row := range got.Running {
-		running, err := readRunning(row)
+func parseReport(reply runnerReply) (scheduler.RunnerReport, error) {
+	report := scheduler.RunnerReport{ClockMs: reply.ClockMs, RemainingMs: reply.RemainingMs}
+	for _, row := range reply.Running {
+		run, err := parseReportedRun(row)
 		if err != nil {
-			return look, err
+			return report, err
 		}
-		look.Running = append(look.Running, running)
+		report.Running = append(report.Running, run)
 	}
-	for _, row := range got.Finished {
-		end, err := readEnd(row)
+	for _, row := range reply.Finished {
+		end, err := parseReportedEnd(row)
 		if err != nil {
-			return look, err
+			return report, err
 		}
-		look.Finished = append(look.Finished, end)
+		report.Finished = append(report.Finished, end)
 	}
-	return look, nil
+	return report, nil
 }
 
-// readRunning reads [task, run, saved, percent].
-func readRunning(row json.RawMessage) (scheduler.ReportedRun, error) {
+// parseReportedRun reads [task, attempt, checkpoint, percent].
+func parseReportedRun(row json.RawMessage) (scheduler.ReportedRun, error) {
 	var name string
 	var percent float64
-	running := scheduler.ReportedRun{}
-	if err := readRow(row, &name, &running.Attempt, &running.Checkpoint, &percent); err != nil {
-		return running, err
+	run := scheduler.ReportedRun{}
+	if err := parseRow(row, &name, &run.Attempt, &run.Checkpoint, &percent); err != nil {
+		return run, err
 	}
-	running.Percent = int(percent)
+	run.Percent = int(percent)
 	var err error
-	running.Task, err = job.ParseTaskRef(name)
-	return running, err
+	run.Task, err = job.ParseTaskRef(name)
+	return run, err
 }
 
-// readEnd reads [N, task, run, how, saved].
-func readEnd(row json.RawMessage) (scheduler.ReportedEnd, error) {
-	var name, how string
+// parseReportedEnd reads [number, task, attempt, reason, checkpoint].
+func parseReportedEnd(row json.RawMessage) (scheduler.ReportedEnd, error) {
+	var name, reason string
 	end := scheduler.ReportedEnd{}
-	if err := readRow(row, &end.Number, &name, &end.Attempt, &how, &end.Checkpoint); err != nil {
+	if err := parseRow(row, &end.Number, &name, &end.Attempt, &reason, &end.Checkpoint); err != nil {
 		return end, err
 	}
-	end.Reason = job.ParseEndReason(how)
+	end.Reason = job.ParseEndReason(reason)
 	var err error
 	end.Task, err = job.ParseTaskRef(name)
 	return end, err
 }
 
-// readRow reads the fields of a list; fields that are missing at its end stay as they are.
-func readRow(row json.RawMessage, fields ...any) error {
-	var parts []json.RawMessage
-	if err := json.Unmarshal(row, &parts); err != nil {
+// parseRow reads the elements of a list into fields. Fields that are missing at its end stay as they
+// are; further elements are ignored.
+func parseRow(row json.RawMessage, fields ...any) error {
+	var elements []json.RawMessage
+	if err := json.Unmarshal(row, &elements); err != nil {
 		return errors.Wrap(err, "read a runner's list")
 	}
-	for at, part := range parts {
+	for at, element := range elements {
 		if at >= len(fields) {
 			return nil
 		}
-		if err := json.Unmarshal(part, fields[at]); err != nil {
+		if err := json.Unmarshal(element, fields[at]); err != nil {
 			return errors.Wrap(err, "read a runner's list")
 		}
 	}
--- /dev/null
+++ b/internal/cluster/controlplane/runnerclient_test.go
@@ -0,0 +1,61 @@
+package controlplane
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/scheduler"
+)
+
+// What a runner does with a call.
+const (
+	replies = iota
+	closesConnection
+	redirects
+)
+
+// TestOrderIsSentOnce: neither a connection that is closed after the call was read, on a new or a reused
+// one, nor a redirect makes the client send it again by itself.
+func TestOrderIsSentOnce(t *testing.T) {
+	var calls, behaviour atomic.Int32
+	elsewhere := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(100) }))
+	defer elsewhere.Close()
+	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls.Add(1)
+		switch behaviour.Load() {
+		case closesConnection:
+			conn, _, err := http.NewResponseController(w).Hijack()
+			if err == nil {
+				_ = conn.Close()
+			}
+		case redirects:
+			http.Redirect(w, r, elsewhere.URL, http.StatusTemporaryRedirect)
+		default:
+			_, _ = w.Write([]byte(`{"clock_ms":5}`))
+		}
+	}))
+	defer runner.Close()
+	client := newRunnerClient()
+	order := scheduler.Order{Kind: scheduler.OrderStart, Address: strings.TrimPrefix(runner.URL, "http://"), Runner: "r"}
+	for _, step := range []struct { // in this order, on one client
+		behaviour int32
+		want      scheduler.StartReply
+	}{
+		{closesConnection, scheduler.StartNoReply},
+		{replies, scheduler.StartAccepted},
+		{closesConnection, scheduler.StartNoReply},
+		{replies, scheduler.StartAccepted},
+		{redirects, scheduler.StartRefused},
+	} {
+		behaviour.Store(step.behaviour)
+		calls.Store(0)
+		reply, _ := client.start(order)
+		require.Equal(t, step.want, reply)
+		require.Equal(t, int32(1), calls.Load(), "behaviour %d", step.behaviour)
+	}
+}
--- /dev/null
+++ b/internal/cluster/controlplane/runnerlist.go
@@ -0,0 +1,209 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/url"
+	"reflect"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"basaltloft/coord/rpc"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/protocol"
+)
+
+// runnerListReader reads the platform's list of runners, in the one node that leads the configuration's
+// group, and sends it to the other nodes.
+type runnerListReader struct {
+	node     *Node
+	http     *http.Client
+	lifetime context.Context // bounds all calls
+	wake     chan struct{}   // buffered: the epoch has changed
+
+	mu       sync.Mutex
+	epoch    uint64 // of this node's leadership; 0: another node reads the list
+	sequence uint64 // of the last list that this node has read
+	newest   protocol.RunnerList
+	lastSent time.Time
+}
+
+const (
+	readInterval   = 900 * time.Millisecond
+	retryInterval  = 250 * time.Millisecond // after a failure
+	readTimeout    = 900 * time.Millisecond // of a page
+	resendInterval = 3 * time.Second        // of a list that has not changed
+	maxPages       = 200
+	maxPageBytes   = 8 << 20
+)
+
+// newRunnerListReader returns a reader without a bound on its lifetime.
+func newRunnerListReader(n *Node) *runnerListReader {
+	transport := &http.Transport{DialContext: rpc.Dialer().DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1}
+	return &runnerListReader{
+		node:     n,
+		http:     &http.Client{CheckRedirect: noRedirect, Transport: transport},
+		lifetime: context.Background(),
+		wake:     make(chan struct{}, 1),
+	}
+}
+
+// setEpoch says that this node reads the list from now on, or, by 0, that it does not.
+func (r *runnerListReader) setEpoch(epoch uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.epoch = epoch
+	r.lastSent = time.Time{}
+	select {
+	case r.wake <- struct{}{}:
+	default: // it is woken already
+	}
+}
+
+// run reads the list at intervals until the node stops.
+func (r *runnerListReader) run() {
+	pause := readInterval
+	for {
+		select {
+		case <-r.node.stop:
+			return
+		case <-r.wake:
+		case <-time.After(pause):
+		}
+		pause = r.readIfLeader()
+	}
+}
+
+// readIfLeader returns when it is to be called again.
+func (r *runnerListReader) readIfLeader() (pause time.Duration) {
+	r.mu.Lock()
+	epoch := r.epoch
+	r.mu.Unlock()
+	if epoch == 0 || !r.node.configGroup.IsLeader() {
+		return readInterval
+	}
+	list, err := r.readAll()
+	if err != nil {
+		r.node.log.Warn("reading the platform's runner list failed", "error", err)
+		return retryInterval
+	}
+	r.distribute(epoch, list)
+	return readInterval
+}
+
+// instancePage is a page of the platform's list.
+type instancePage struct {
+	Instances []instance `json:"instances"`
+	NextToken *string    `json:"next_token"` // nil or empty: this is the last page
+}
+
+// instance is an entry of the platform's list.
+type instance struct {
+	ID          string        `json:"id"`
+	Backend     string        `json:"backend"`
+	Address     string        `json:"address"`
+	State       string        `json:"state"`
+	Capacity    job.Resources `json:"capacity"`
+	Labels      []string      `json:"labels"`
+	RemainingMs int64         `json:"remaining_ms"`
+}
+
+// stateDraining is the state of an instance that gets no more tasks.
+const stateDraining = "draining"
+
+func (i *instance) runner() protocol.Runner {
+	return protocol.Runner{
+		ID:          i.ID,
+		Service:     i.Backend,
+		Address:     i.Address,
+		Labels:      i.Labels,
+		Capacity:    i.Capacity,
+		Draining:    i.State == stateDraining,
+		RemainingMs: i.RemainingMs,
+	}
+}
+
+// readAll reads all pages.
+func (r *runnerListReader) readAll() ([]protocol.Runner, error) {
+	var list []protocol.Runner
+	token := ""
+	for range maxPages {
+		page, err := r.readPage(token)
+		if err != nil {
+			return nil, err
+		}
+		for at := range page.Instances {
+			list = append(list, page.Instances[at].runner())
+		}
+		if page.NextToken == nil || *page.NextToken == "" {
+			return list, nil
+		}
+		token = *page.NextToken
+	}
+	return nil, errors.Newf("the list has over %d pages", maxPages)
+}
+
+func (r *runnerListReader) readPage(token string) (instancePage, error) {
+	address := url.URL{Scheme: "http", Host: r.node.settings.CloudAPI.Address, Path: "/instances"}
+	if token != "" {
+		address.RawQuery = url.Values{"page_token": {token}}.Encode()
+	}
+	ctx, cancel := context.WithTimeout(r.lifetime, readTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
+	if err != nil {
+		return instancePage{}, errors.Wrap(err, "build the call")
+	}
+	response, err := r.http.Do(request)
+	if err != nil {
+		return instancePage{}, errors.Wrap(err, "call the platform")
+	}
+	defer func() { _ = response.Body.Close() }() // it was read to its end, or is of no use
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
+	if err != nil || response.StatusCode != http.StatusOK {
+		return instancePage{}, errors.Newf("the platform answered %d", response.StatusCode)
+	}
+	page := instancePage{}
+	return page, errors.Wrap(json.Unmarshal(content, &page), "read the platform's answer")
+}
+
+// distribute passes a list to the shards of this node and, if it has changed or a while after the last
+// time, to the other nodes.
+func (r *runnerListReader) distribute(epoch uint64, list []protocol.Runner) {
+	r.mu.Lock()
+	r.sequence++
+	message := protocol.RunnerList{Epoch: epoch, Sequence: r.sequence, List: list}
+	changed := !reflect.DeepEqual(list, r.newest.List)
+	due := changed || time.Since(r.lastSent) > resendInterval
+	if due {
+		r.lastSent = time.Now()
+	}
+	r.mu.Unlock()
+	r.update(message)
+	if !due {
+		return
+	}
+	for _, address := range r.node.nodeAddresses() {
+		r.node.peers.sendOneWay(address, message)
+	}
+}
+
+// update passes a list to the shards of this node, unless a newer one came before.
+func (r *runnerListReader) update(message protocol.RunnerList) {
+	r.mu.Lock()
+	older := message.Epoch < r.newest.Epoch || message.Epoch == r.newest.Epoch && message.Sequence <= r.newest.Sequence
+	if !older {
+		r.newest = message
+	}
+	r.mu.Unlock()
+	if older {
+		return
+	}
+	for _, loop := range r.node.shards {
+		loop.UpdateRunners(message.List)
+	}
+}
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -1,6 +1,8 @@
 package controlplane
 
 import (
+	"net/http"
+	"sync"
 	"time"
 
 	"basaltloft/internal/cluster/leader"
@@ -8,22 +10,47 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// shardLoop drives a shard: it lets the scheduler look at the time, and sends its orders.
+// shardLoop drives a shard: it runs the scheduler's cycles and sends the scheduler's orders.
 type shardLoop struct {
 	*leader.Shard
-	runner *runnerClient
-	wake   chan struct{}
-	stop   chan struct{}
+	runners *runnerClient
+	wake    chan struct{} // buffered: the shard has something to do
+	stop    <-chan struct{}
+	tasks   *sync.WaitGroup // of the node: the goroutines that send orders
 }
 
 const (
-	// idleTick is how often the scheduler looks at the time while nothing happens.
+	// idleTick is the pause between cycles while nothing happens.
 	idleTick = 50 * time.Millisecond
-	// soonTick is the pause where the scheduler has more to look at.
-	soonTick = 3 * time.Millisecond
+	// pendingCycleTick is the pause where the scheduler has more to do.
+	pendingCycleTick = 3 * time.Millisecond
 )
 
-// run drives the shard until the process ends.
+func (n *Node) newShardLoop(number int, runners *runnerClient) *shardLoop {
+	loop := &shardLoop{runners: runners, wake: make(chan struct{}, 1), stop: n.stop, tasks: &n.tasks}
+	wake := func() {
+		select {
+		case loop.wake <- struct{}{}:
+		default: // it is woken already
+		}
+	}
+	clocks := leader.Clocks{Monotonic: n.now, UnixMs: func() int64 { return time.Now().UnixMilli() }}
+	loop.Shard = leader.NewShard(number, n.schedulerConfig(), clocks, wake, n.log)
+	return loop
+}
+
+func (n *Node) schedulerConfig() scheduler.Config {
+	bounds := n.settings.Bounds
+	return scheduler.Config{
+		MaxLease:        bounds.MaxLease(),
+		StopMs:          bounds.StopMs,
+		RemoteSlowdown:  bounds.RemoteSlowdown,
+		RestoreTime:     time.Duration(bounds.RestoreMs) * time.Millisecond,
+		StatusRetention: time.Duration(bounds.StatusRetentionS * float64(time.Second)),
+	}
+}
+
+// run drives the shard until the node stops.
 func (s *shardLoop) run() {
 	timer := time.NewTimer(idleTick)
 	defer timer.Stop()
@@ -36,50 +63,50 @@
 		}
 		orders := s.RunCycle()
 		for _, order := range orders.List {
-			go s.send(orders.Scheduler, order)
+			s.tasks.Go(func() { s.send(orders.Scheduler, order) })
 		}
 		if orders.CyclePending {
-			timer.Reset(soonTick)
+			timer.Reset(pendingCycleTick)
 			continue
 		}
 		timer.Reset(idleTick)
 	}
 }
 
-// send carries an order out while the lease lasts. An order is sent once; whether one without
-// an answer is sent again is the scheduler's to say.
+// send sends an order, if the lease under which it was given is still held, and passes the reply on.
+// An order is sent once; whether one without a reply is sent again is the scheduler's decision.
 func (s *shardLoop) send(sender *scheduler.Scheduler, order scheduler.Order) {
-	leads := s.MaySend(order)
+	maySend := s.MaySend(order)
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
-		reply, look := scheduler.LeaseNoReply, scheduler.RunnerReport{}
-		if leads {
-			reply, look = s.runner.hold(order)
+		reply, report := scheduler.LeaseNoReply, scheduler.RunnerReport{}
+		if maySend {
+			reply, report = s.runners.renewLease(order)
 		}
-		s.OrderReplied(sender, func(now time.Duration) { sender.LeaseReplied(now, order, reply, look) })
+		s.OrderReplied(sender, func(now time.Duration) { sender.LeaseReplied(now, order, reply, report) })
 	case scheduler.OrderStart:
-		reply, clock := scheduler.StartNoReply, int64(0)
-		if leads {
-			reply, clock = s.runner.start(order)
+		reply, clockMs := scheduler.StartNoReply, int64(0)
+		if maySend {
+			reply, clockMs = s.runners.start(order)
 		}
-		s.OrderReplied(sender, func(now time.Duration) { sender.StartReplied(now, order, reply, clock) })
+		s.OrderReplied(sender, func(now time.Duration) { sender.StartReplied(now, order, reply, clockMs) })
 	case scheduler.OrderStop:
-		ok, otherLife, clock := false, false, int64(0)
-		if leads {
-			ok, otherLife, clock = s.runner.stop(order)
+		ok, otherIncarnation, clockMs := false, false, int64(0)
+		if maySend {
+			ok, otherIncarnation, clockMs = s.runners.stop(order)
 		}
-		s.OrderReplied(sender, func(now time.Duration) { sender.StopReplied(now, order, ok, otherLife, clock) })
+		s.OrderReplied(sender, func(now time.Duration) { sender.StopReplied(now, order, ok, otherIncarnation, clockMs) })
 	}
 }
 
-// wait runs a request whose answer comes by a callback, and waits for it.
-func (s *shardLoop) wait(do func(reply func(protocol.JobResponse))) protocol.JobResponse {
-	answer := make(chan protocol.JobResponse, 1)
-	do(func(got protocol.JobResponse) { answer <- got })
+// await makes a call whose response comes by a callback, and waits for it.
+func (s *shardLoop) await(call func(reply func(protocol.JobResponse))) protocol.JobResponse {
+	responses := make(chan protocol.JobResponse, 1)
+	call(func(response protocol.JobResponse) { responses <- response })
 	select {
-	case got := <-answer:
-		return got
+	case response := <-responses:
+		return response
 	case <-s.stop:
-		return protocol.JobResponse{Status: badGateway, Unknown: true}
+		return protocol.JobResponse{Status: http.StatusBadGateway, Unknown: true}
 	}
 }
