--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -91,7 +91,7 @@
 func TestCallsToRunnersAsBefore(t *testing.T) {
 	requests, address := recordRequests(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"clock_ms":1}`)) })
 	client := newRunnerClient()
-	whole := scheduler.Order{
+	full := scheduler.Order{
 		Runner: "instance-1", Address: address, Token: 11, Task: job.TaskRef{Job: "0123456789abcdef", Occurrence: 1, Step: 2, Index: 3}, Attempt: 4,
 		Spec: `text with "quotes" & <signs>`, Checkpoint: "progress-5", DeadlineMs: 600, AckedThrough: 77, WaitMs: 800, Sequence: 9,
 	}
@@ -101,10 +101,10 @@
 		name string
 		send func()
 	}{
-		{"start", func() { client.start(whole) }},
+		{"start", func() { client.start(full) }},
 		{"start, what may be left out is", func() { client.start(bare) }},
-		{"stop", func() { client.stop(whole) }},
-		{"hold", func() { client.renewLease(whole) }},
+		{"stop", func() { client.stop(full) }},
+		{"hold", func() { client.renewLease(full) }},
 		{"hold, what may be left out is", func() { client.renewLease(bare) }},
 	} {
 		call.send()
@@ -132,7 +132,7 @@
 		body   string
 		start  scheduler.StartReply
 		hold   scheduler.LeaseReply
-		stops  [2]bool // taken; another life
+		stops  [2]bool // accepted; another incarnation
 	}{
 		{http.StatusOK, `{"clock_ms":5}`, scheduler.StartAccepted, scheduler.LeaseRenewed, [2]bool{true, false}},
 		{http.StatusOK, `{"clock_`, scheduler.StartNoReply, scheduler.LeaseNoReply, [2]bool{false, false}},
@@ -149,14 +149,14 @@
 		require.Equal(t, c.start, start, name)
 		hold, _ := client.renewLease(order)
 		require.Equal(t, c.hold, hold, name)
-		taken, otherLife, _ := client.stop(order)
-		require.Equal(t, c.stops, [2]bool{taken, otherLife}, name)
+		taken, otherIncarnation, _ := client.stop(order)
+		require.Equal(t, c.stops, [2]bool{taken, otherIncarnation}, name)
 	}
 	_, clock := client.start(answering(t, http.StatusOK, `{"clock_ms":123}`))
 	require.Equal(t, int64(123), clock)
 	_, _, clock = client.stop(answering(t, http.StatusOK, `{"clock_ms":124}`))
 	require.Equal(t, int64(124), clock)
-	_, look := client.renewLease(answering(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
+	_, report := client.renewLease(answering(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
 		"running":[["a.1.2.3",4,"saved",56.7],["b.0.0.0",1,""]],
 		"finished":[[7,"c.0.0.1",2,"done","s"],[8,"c.0.0.2",1,"failed",""],[9,"c.0.0.3",1,"stopped",""],[10,"c.0.0.4",1,"lapsed",""],
 			[11,"c.0.0.5",1,"broken",""],[12,"c.0.0.6",1,"alone",""],[13,"c.0.0.7",1,"something new",""]]}`))
@@ -173,7 +173,7 @@
 			ended(7, 1, 2, job.EndDone, "s"), ended(8, 2, 1, job.EndFailed, ""), ended(9, 3, 1, job.EndStopped, ""), ended(10, 4, 1, job.EndLeaseExpired, ""),
 			ended(11, 5, 1, job.EndGangBroken, ""), ended(12, 6, 1, job.EndGangIncomplete, ""), ended(13, 7, 1, job.EndLeaseExpired, ""),
 		},
-	}, look)
+	}, report)
 }
 
 // TestCallsToThePlatformAsBefore: the calls for the list of runners, and each field of its pages.
@@ -186,8 +186,8 @@
 		}
 		_, _ = w.Write([]byte(`{"instances":[{"id":"i-2","backend":"gpu","address":"10.3.0.2:9000","state":"draining","remaining_ms":1234}],"next_token":null}`))
 	})
-	core := &Node{settings: settings.Settings{CloudAPI: settings.CloudAPI{Address: address}}}
-	list, err := newRunnerListReader(core).readAll()
+	node := &Node{settings: settings.Settings{CloudAPI: settings.CloudAPI{Address: address}}}
+	list, err := newRunnerListReader(node).readAll()
 	require.NoError(t, err)
 	compareGolden(t, "calls-to-platform.txt", requests.taken(address))
 	require.Equal(t, []protocol.Runner{
@@ -196,24 +196,24 @@
 	}, list)
 }
 
-// standInGroup is the configuration's group, which gives each proposal the same end.
-type standInGroup struct {
+// fakeGroup is the configuration's group, which gives each proposal the same end.
+type fakeGroup struct {
 	leads   bool
 	leader  string
 	verdict opconfig.Verdict
 	err     error
 }
 
-func (g *standInGroup) Lease() (uint64, time.Duration, bool) { return 1, time.Hour, g.leads }
+func (g *fakeGroup) Lease() (uint64, time.Duration, bool) { return 1, time.Hour, g.leads }
 
-func (g *standInGroup) IsLeader() bool { return g.leads }
+func (g *fakeGroup) IsLeader() bool { return g.leads }
 
-func (g *standInGroup) Leader() replica.Member { return replica.Member{Address: g.leader} }
+func (g *fakeGroup) Leader() replica.Member { return replica.Member{Address: g.leader} }
 
-func (g *standInGroup) Propose(_ []byte, done func(any, error)) { done(g.verdict, g.err) }
+func (g *fakeGroup) Propose(_ []byte, done func(any, error)) { done(g.verdict, g.err) }
 
-// operatorsOf returns a core's operator interface over a group.
-func operatorsOf(t *testing.T, own *standInGroup, current string) string {
+// serveOperators serves the operator API of a node over a group, and returns its URL.
+func serveOperators(t *testing.T, own *fakeGroup, current string) string {
 	t.Helper()
 	config := leader.NewConfiguration(func(*opconfig.Config) {}, func(uint64) {}, slog.New(slog.DiscardHandler))
 	config.SetGroup(own)
@@ -223,9 +223,9 @@
 		_, err = config.Apply(1, command)
 		require.NoError(t, err)
 	}
-	core := &Node{self: replica.Member{Address: "here"}, peers: newPeers("here"), stop: make(chan struct{})}
-	core.operators = &operatorAPI{node: core, config: config}
-	_, public := core.servers()
+	node := &Node{self: replica.Member{Address: "here"}, peers: newPeers("here"), stop: make(chan struct{})}
+	node.operators = &operatorAPI{node: node, config: config}
+	_, public := node.servers()
 	server := httptest.NewServer(public.Handler)
 	t.Cleanup(server.Close)
 	return server.URL
@@ -250,17 +250,17 @@
 	return strings.ReplaceAll(string(text), "\r\n", "\\r\\n\n") + "\n"
 }
 
-// otherOwner is a core process that leads the configuration's group.
-type otherOwner struct{ answer any }
+// otherLeader is a node that leads the configuration's group.
+type otherLeader struct{ answer any }
 
-func (o otherOwner) HandleOneWay(any) {}
+func (o otherLeader) HandleOneWay(any) {}
 
-func (o otherOwner) HandleCall(any) any { return o.answer }
+func (o otherLeader) HandleCall(any) any { return o.answer }
 
-func serveOtherOwner(t *testing.T, answer any) string {
+func serveOtherLeader(t *testing.T, answer any) string {
 	t.Helper()
 	mux := http.NewServeMux()
-	mux.Handle(rpc.Path, rpc.NewServer(otherOwner{answer: answer}))
+	mux.Handle(rpc.Path, rpc.NewServer(otherLeader{answer: answer}))
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -269,18 +269,18 @@
 // TestAnswersToOperatorsAsBefore: status, headers and body of each answer to an operator.
 func TestAnswersToOperatorsAsBefore(t *testing.T) {
 	const configuration = `{"version":1,"routes":[],"services":[]}`
-	leads := func(verdict opconfig.Verdict, err error) *standInGroup {
-		return &standInGroup{leads: true, leader: "here", verdict: verdict, err: err}
+	leads := func(verdict opconfig.Verdict, err error) *fakeGroup {
+		return &fakeGroup{leads: true, leader: "here", verdict: verdict, err: err}
 	}
-	elsewhere := func(answer any) *standInGroup { return &standInGroup{leader: serveOtherOwner(t, answer)} }
+	elsewhere := func(answer any) *fakeGroup { return &fakeGroup{leader: serveOtherLeader(t, answer)} }
 	var text strings.Builder
 	for _, c := range []struct {
 		name, method, path, base, body, current string
-		group                                   *standInGroup
+		group                                   *fakeGroup
 	}{
 		{"read", http.MethodGet, "/-/config/get", "", "", configuration, leads(0, nil)},
 		{"read, none yet", http.MethodGet, "/-/config/get", "", "", "", leads(0, nil)},
-		{"read, no owner", http.MethodGet, "/-/config/get", "", "", "", &standInGroup{}},
+		{"read, no owner", http.MethodGet, "/-/config/get", "", "", "", &fakeGroup{}},
 		{"read elsewhere", http.MethodGet, "/-/config/get", "", "", "", elsewhere(protocol.OperatorResponse{Status: 200, Content: []byte(configuration)})},
 		{"replace", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(opconfig.Accepted, nil)},
 		{"replace, taken before", http.MethodPost, "/-/config/replace", "0", configuration, "", leads(opconfig.AlreadyAccepted, nil)},
@@ -295,12 +295,12 @@
 		{"replace, too large", http.MethodPost, "/-/config/replace", "0", strings.Repeat(" ", maxConfigBytes+1), "", leads(0, nil)},
 		{"replace elsewhere, refused", http.MethodPost, "/-/config/replace", "0", configuration, "", elsewhere(protocol.OperatorResponse{Status: 412, Reason: "reason"})},
 		{"replace elsewhere, odd answer", http.MethodPost, "/-/config/replace", "0", configuration, "", elsewhere(protocol.JobResponse{})},
-		{"replace elsewhere, no answer", http.MethodPost, "/-/config/replace", "0", configuration, "", &standInGroup{leader: "127.0.0.1:1"}},
+		{"replace elsewhere, no answer", http.MethodPost, "/-/config/replace", "0", configuration, "", &fakeGroup{leader: "127.0.0.1:1"}},
 		{"wrong method", http.MethodGet, "/-/config/replace", "", "", "", leads(0, nil)},
 		{"wrong method", http.MethodPost, "/-/config/get", "", "", "", leads(0, nil)},
 		{"unknown path", http.MethodGet, "/-/config", "", "", "", leads(0, nil)},
 	} {
-		request, err := http.NewRequestWithContext(t.Context(), c.method, operatorsOf(t, c.group, c.current)+c.path, strings.NewReader(c.body))
+		request, err := http.NewRequestWithContext(t.Context(), c.method, serveOperators(t, c.group, c.current)+c.path, strings.NewReader(c.body))
 		require.NoError(t, err)
 		if c.base != "" {
 			request.Header.Set("Base-Version", c.base)
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -114,7 +114,7 @@
 	return response.StatusCode, reply, nil
 }
 
-// start sends an order to start a run. It returns the runner's clock in milliseconds, where it told it.
+// start sends an order to start a run. It returns the runner's clock in milliseconds, where the reply has it.
 func (c *runnerClient) start(order scheduler.Order) (result scheduler.StartReply, clockMs int64) {
 	status, reply, err := c.post(startTimeout, order, "/-/run-start", startRequest{
 		Task:         order.Task.String(),
--- a/internal/cluster/controlplane/runnerclient_test.go
+++ b/internal/cluster/controlplane/runnerclient_test.go
@@ -23,8 +23,8 @@
 // one, nor a redirect makes the client send it again by itself.
 func TestOrderIsSentOnce(t *testing.T) {
 	var calls, behaviour atomic.Int32
-	elsewhere := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(100) }))
-	defer elsewhere.Close()
+	redirectTarget := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(100) }))
+	defer redirectTarget.Close()
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		switch behaviour.Load() {
@@ -34,7 +34,7 @@
 				_ = conn.Close()
 			}
 		case redirects:
-			http.Redirect(w, r, elsewhere.URL, http.StatusTemporaryRedirect)
+			http.Redirect(w, r, redirectTarget.URL, http.StatusTemporaryRedirect)
 		default:
 			_, _ = w.Write([]byte(`{"clock_ms":5}`))
 		}
--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -415,7 +415,7 @@
 // TestGoldenSnapshotGoesOn: commands apply to a state that was read as they did before.
 func TestGoldenSnapshotGoesOn(t *testing.T) {
 	store := restored(t, golden(t, snapshotFile))
-	require.Equal(t, job.AlreadyApplied, store.Apply(acceptCommand("pending", queue, full())), "handed in again")
+	require.Equal(t, job.AlreadyApplied, store.Apply(acceptCommand("pending", queue, full())), "submitted again")
 	require.Equal(t, job.QueueMoved, store.Apply(acceptCommand("late", movedQueue, plain(1))), "the queue was sealed at version 9")
 	require.Equal(t, job.CancelledBeforeAcceptance, store.Apply(acceptCommand("withdrawn", queue, plain(1))))
 	require.Equal(t, job.Applied, store.Apply(startCommand(task("pending-other", 0, 0, 0), 1, "runner-9")))
