--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -35,11 +35,11 @@
 	return content
 }
 
-// accept hands in a job with all fields of New filled.
+// acceptCommand submits a job with all fields of Submission filled.
 func acceptCommand(id, queue string, spec job.Spec) job.Command {
 	spec.Text = "text of " + id
-	return job.Command{Kind: job.AcceptJob, ProposedAtMs: 1000, Submission: &job.New{
-		ID: id, Queue: queue, Service: "service", Hash: 77, Spec: spec, Priority: 3, Retries: 2, TargetMs: 1500, Stretch: 1.25, Version: 5,
+	return job.Command{Kind: job.AcceptJob, ProposedAtMs: 1000, Submission: &job.Submission{
+		ID: id, Queue: queue, Service: "service", BodyHash: 77, Spec: spec, Priority: 3, Retries: 2, TargetMs: 1500, Extension: 1.25, ConfigVersion: 5,
 	}}
 }
 
@@ -103,7 +103,7 @@
 	return job.Command{Kind: job.SaveCheckpoint, Task: ref, Attempt: attempt, Checkpoint: saved, ProposedAtMs: 2500}
 }
 
-func cancelCommand(id, queue string) job.Command {
+func cancelCommand(id string) job.Command {
 	return job.Command{Kind: job.CancelJob, Task: job.TaskRef{Job: id}, Queue: queue, ConfigVersion: 6, ProposedAtMs: 4000}
 }
 
@@ -118,7 +118,7 @@
 )
 
 // goldenCommands bring about jobs of all states. Each kind of command and each end of a run occurs.
-func goldenCommands() []job.Command {
+func goldenCommands() []job.Command { //nolint:funlen // one list, in the order of the log
 	return []job.Command{
 		acceptCommand("pending", queue, full()),
 		acceptCommand("pending-too", queue, plain(2)),
@@ -183,14 +183,14 @@
 		endCommand(task("failed", 0, 0, 0), 2, job.EndFailed, ""),
 
 		acceptCommand("canceled", queue, plain(1)),
-		cancelCommand("canceled", queue),
+		cancelCommand("canceled"),
 		acceptCommand("canceled-live", queue, plain(1)),
 		startCommand(task("canceled-live", 0, 0, 0), 1, "runner-1"),
-		cancelCommand("canceled-live", queue),
-		cancelCommand("withdrawn", queue),
+		cancelCommand("canceled-live"),
+		cancelCommand("withdrawn"),
 
 		acceptCommand("forgotten", queue, plain(1)),
-		cancelCommand("forgotten", queue),
+		cancelCommand("forgotten"),
 		{Kind: job.ForgetJob, Task: job.TaskRef{Job: "forgotten"}, ProposedAtMs: 6000},
 
 		{Kind: job.SealQueue, Queue: movedQueue, ConfigVersion: 9, ProposedAtMs: 7000},
@@ -383,39 +383,39 @@
 	running := full()
 	running.Text = "text of running"
 	require.Equal(t, &job.Job{
-		New: job.New{ID: "running", Queue: queue, Service: "service", Hash: 77, Spec: running, Priority: 3, Retries: 2, TargetMs: 1500, Stretch: 1.25, Version: 5},
-		Times: []*job.Occurrence{{Open: 1, Steps: []job.StepState{
-			{Done: 1, Tasks: []job.Task{{Attempt: 1, Listed: 2, Done: true}}},
+		Submission: job.Submission{ID: "running", Queue: queue, Service: "service", BodyHash: 77, Spec: running, Priority: 3, Retries: 2, TargetMs: 1500, Extension: 1.25, ConfigVersion: 5},
+		Occurrences: []*job.Occurrence{{OpenSteps: 1, Steps: []job.StepState{
+			{DoneTasks: 1, Tasks: []job.Task{{Attempt: 1, Listed: 2, Done: true}}},
 			{Tasks: []job.Task{
 				{Attempt: 1, Runs: []job.Run{{Attempt: 1, Runner: "runner-2", Address: "10.3.0.1:9000"}}},
 				{Attempt: 1, Runs: []job.Run{{Attempt: 1, Runner: "runner-3", Address: "10.3.0.1:9000"}}},
 			}},
 		}}},
-		State: job.StateRunning, OpenTimes: 1, Live: 2, AcceptedMs: 1000,
+		State: job.StateRunning, OpenOccurrences: 1, ActiveRuns: 2, AcceptedMs: 1000,
 	}, store.Jobs["running"])
 
-	gang := store.Jobs["gang"].Times[0].Steps[0]
-	require.Equal(t, "gang-progress-2", gang.Saved)
-	require.Equal(t, uint64(2), gang.Fails)
+	gang := store.Jobs["gang"].Occurrences[0].Steps[0]
+	require.Equal(t, "gang-progress-2", gang.Checkpoint)
+	require.Equal(t, uint64(2), gang.FailedAttempts)
 	require.Equal(t, 1, gang.Tasks[0].Failed)
 
-	speculative := store.Jobs["speculative"].Times[0].Steps[0].Tasks[0]
+	speculative := store.Jobs["speculative"].Occurrences[0].Steps[0].Tasks[0]
 	require.Equal(t, "progress-1", speculative.Saved)
 	require.Len(t, speculative.Runs, 2)
 
 	timed := store.Jobs["timed"]
-	require.Equal(t, 2, timed.OpenTimes)
-	require.Equal(t, &job.Occurrence{}, timed.Times[0], "the first time is complete")
-	require.Equal(t, job.Task{Attempt: 1, Failed: 1, Listed: 2, Saved: "half"}, timed.Times[1].Steps[0].Tasks[0])
+	require.Equal(t, 2, timed.OpenOccurrences)
+	require.Equal(t, &job.Occurrence{}, timed.Occurrences[0], "the first time is complete")
+	require.Equal(t, job.Task{Attempt: 1, Failed: 1, Listed: 2, Saved: "half"}, timed.Occurrences[1].Steps[0].Tasks[0])
 	require.Equal(t, []int64{3, 5000, 250}, []int64{int64(timed.Spec.Repeats), timed.Spec.StartAtMs, timed.Spec.IntervalMs})
 
-	require.Equal(t, &job.Job{New: job.New{ID: "withdrawn", Queue: queue}, State: job.StateCanceled, EndedMs: 4000, Withdrawn: true}, store.Jobs["withdrawn"])
+	require.Equal(t, &job.Job{Submission: job.Submission{ID: "withdrawn", Queue: queue}, State: job.StateCanceled, EndedMs: 4000, CancelledBeforeAcceptance: true}, store.Jobs["withdrawn"])
 }
 
 // TestGoldenSnapshotGoesOn: commands apply to a state that was read as they did before.
 func TestGoldenSnapshotGoesOn(t *testing.T) {
 	store := restored(t, golden(t, snapshotFile))
-	require.Equal(t, job.AlreadyApplied, store.Apply(acceptCommand("pending", queue, full())), "handed in again")
+	require.Equal(t, job.AlreadyApplied, store.Apply(acceptCommand("pending", queue, full())), "submitted again")
 	require.Equal(t, job.QueueMoved, store.Apply(acceptCommand("late", movedQueue, plain(1))), "the queue was sealed at version 9")
 	require.Equal(t, job.CancelledBeforeAcceptance, store.Apply(acceptCommand("withdrawn", queue, plain(1))))
 	require.Equal(t, job.Applied, store.Apply(startCommand(task("pending-other", 0, 0, 0), 1, "runner-9")))
--- a/internal/cluster/scheduler/ends.go
+++ b/internal/cluster/scheduler/ends.go
@@ -67,7 +67,7 @@
 		return
 	}
 	s.lateness.stepComplete(s.now, group, ref.Index)
-	if step == nil || j.Times[ref.Occurrence].Open == 0 {
+	if step == nil || j.Occurrences[ref.Occurrence].OpenSteps == 0 {
 		s.lateness.reportIfLate(s.wallMs, group)
 	}
 }
--- a/internal/cluster/scheduler/fixtures_test.go
+++ b/internal/cluster/scheduler/fixtures_test.go
@@ -16,7 +16,7 @@
 // groupExpecting returns a group of a job of one step that is ready since testNow and whose tasks
 // are expected to run for so many seconds.
 func groupExpecting(seconds float64) *taskGroup {
-	j := &job.Job{New: job.New{ID: "a", Queue: "q", Spec: job.Spec{Steps: []job.Step{{Count: 1}}}}}
+	j := &job.Job{Submission: job.Submission{ID: "a", Queue: "q", Spec: job.Spec{Steps: []job.Step{{Count: 1}}}}}
 	return &taskGroup{key: groupKey{job: "a"}, job: j, step: &j.Spec.Steps[0], readyAt: testNow, expected: seconds}
 }
 
@@ -42,7 +42,7 @@
 func (w *stragglerWorld) addRun(id string, index, runner int) *run {
 	j := w.store.Jobs[id]
 	if j == nil {
-		w.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.New{ID: id, Spec: job.Spec{Steps: []job.Step{{Count: 2}}}}})
+		w.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.Submission{ID: id, Spec: job.Spec{Steps: []job.Step{{Count: 2}}}}})
 		j = w.store.Jobs[id]
 	}
 	at := w.runners.inOrder[runner]
--- a/internal/cluster/scheduler/gang_test.go
+++ b/internal/cluster/scheduler/gang_test.go
@@ -21,7 +21,7 @@
 		s.runners.add(runner)
 	}
 	step := job.Step{Count: tasks, Gang: true, SameRack: true, Resources: job.Resources{CPU: 3000}}
-	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.New{ID: "g", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
+	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.Submission{ID: "g", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
 	s.openOccurrence(s.store.Jobs["g"], 0)
 	group := s.groups.byKey[groupKey{job: "g"}]
 	group.expected = 10
--- a/internal/cluster/scheduler/group.go
+++ b/internal/cluster/scheduler/group.go
@@ -44,7 +44,9 @@
 }
 
 // state returns the replicated state of the group's step.
-func (g *taskGroup) state() *job.StepState { return &g.job.Times[g.key.occurrence].Steps[g.key.step] }
+func (g *taskGroup) state() *job.StepState {
+	return &g.job.Occurrences[g.key.occurrence].Steps[g.key.step]
+}
 
 // task returns the replicated state of one of its tasks.
 func (g *taskGroup) task(index int) *job.Task { return &g.state().Tasks[index] }
@@ -152,10 +154,10 @@
 
 // openOccurrence makes groups of the steps of an occurrence that are ready and not complete.
 func (s *Scheduler) openOccurrence(j *job.Job, occurrence int) {
-	if occurrence >= len(j.Times) || j.Times[occurrence] == nil {
+	if occurrence >= len(j.Occurrences) || j.Occurrences[occurrence] == nil {
 		return
 	}
-	state := j.Times[occurrence]
+	state := j.Occurrences[occurrence]
 	for step := range state.Steps {
 		key := groupKey{job: j.ID, occurrence: occurrence, step: step}
 		if s.groups.byKey[key] != nil || state.Steps[step].Complete() || !j.DependenciesComplete(state, step) {
@@ -186,5 +188,5 @@
 // refill finds anew which tasks of a group are to be started.
 func (s *Scheduler) refill(group *taskGroup, j *job.Job) {
 	s.cycle.needed = true
-	group.findPending(j.Times[group.key.occurrence].Steps[group.key.step].Tasks, s.speculation)
+	group.findPending(j.Occurrences[group.key.occurrence].Steps[group.key.step].Tasks, s.speculation)
 }
--- a/internal/cluster/scheduler/lateness.go
+++ b/internal/cluster/scheduler/lateness.go
@@ -123,12 +123,12 @@
 // being that of the group.
 func (t *latenessTracker) reportIfLate(wallMs int64, group *taskGroup) {
 	account := t.jobs[group.key.job]
-	if account == nil || group.step.LongRunning || group.job.Stretch <= 0 {
+	if account == nil || group.step.LongRunning || group.job.Extension <= 0 {
 		return
 	}
 	path := account.paths[group.key]
 	took := time.Duration(wallMs-group.arrivedMs) * time.Millisecond
-	objective := lateness.Objective(path.Spent[lateness.Work], group.job.Stretch, time.Duration(group.job.TargetMs)*time.Millisecond)
+	objective := lateness.Objective(path.Spent[lateness.Work], group.job.Extension, time.Duration(group.job.TargetMs)*time.Millisecond)
 	if took <= objective {
 		return
 	}
--- a/internal/cluster/scheduler/repeats.go
+++ b/internal/cluster/scheduler/repeats.go
@@ -11,7 +11,7 @@
 
 // watch adds a job, if it has occurrences to come.
 func (s *repeatSchedule) watch(j *job.Job) {
-	if len(j.Times) < j.Spec.Occurrences() && j.Spec.Repeats > 0 {
+	if len(j.Occurrences) < j.Spec.Occurrences() && j.Spec.Repeats > 0 {
 		s.jobs[j.ID] = j
 	}
 }
@@ -25,10 +25,10 @@
 	var due []job.TaskRef
 	for _, id := range sortedKeys(s.jobs) {
 		j := s.jobs[id]
-		for occurrence := len(j.Times); occurrence < j.Spec.Occurrences() && j.Spec.DueMs(occurrence) <= wallMs; occurrence++ {
+		for occurrence := len(j.Occurrences); occurrence < j.Spec.Occurrences() && j.Spec.DueMs(occurrence) <= wallMs; occurrence++ {
 			due = append(due, job.TaskRef{Job: id, Occurrence: occurrence})
 		}
-		if len(j.Times) >= j.Spec.Occurrences() {
+		if len(j.Occurrences) >= j.Spec.Occurrences() {
 			delete(s.jobs, id)
 		}
 	}
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -106,7 +106,7 @@
 
 // inheritJob takes over what an earlier leader left of a job.
 func (s *Scheduler) inheritJob(j *job.Job) {
-	for occurrence, state := range j.Times {
+	for occurrence, state := range j.Occurrences {
 		if state == nil {
 			continue
 		}
@@ -123,7 +123,7 @@
 		return
 	}
 	s.repeats.watch(j)
-	for occurrence := range j.Times {
+	for occurrence := range j.Occurrences {
 		s.openOccurrence(j, occurrence)
 	}
 }
@@ -308,7 +308,7 @@
 	case job.EndRun:
 		s.endCommitted(j, c, outcome)
 	case job.CancelJob:
-		if outcome == job.Applied || outcome == job.AlreadyApplied || j.Withdrawn {
+		if outcome == job.Applied || outcome == job.AlreadyApplied || j.CancelledBeforeAcceptance {
 			s.jobEnded(j)
 		}
 	}
@@ -327,7 +327,7 @@
 	s.repeats.remove(j.ID)
 	s.lateness.forget(j.ID)
 	s.groups.removeJob(j.ID)
-	for occurrence, state := range j.Times {
+	for occurrence, state := range j.Occurrences {
 		for step := range state.Steps {
 			for index := range state.Steps[step].Tasks {
 				s.stopRunsOf(job.TaskRef{Job: j.ID, Occurrence: occurrence, Step: step, Index: index}, &state.Steps[step].Tasks[index])
--- a/internal/cluster/scheduler/starts.go
+++ b/internal/cluster/scheduler/starts.go
@@ -41,7 +41,7 @@
 	_, step := j.Task(r.task)
 	checkpoint := step.Tasks[r.task.Index].Saved
 	if j.Spec.Steps[r.task.Step].Gang {
-		checkpoint = step.Saved
+		checkpoint = step.Checkpoint
 	}
 	r.checkpoint, r.resumed = checkpoint, checkpoint != ""
 	if r.resumed {
--- a/internal/cluster/scheduler/urgency_digest_test.go
+++ b/internal/cluster/scheduler/urgency_digest_test.go
@@ -27,8 +27,8 @@
 
 // drawWithObjective makes a job of any kind with an objective. More of them than of the jobs of
 // draw have their data in a rack, since only these may wait for a runner near it.
-func (w *world) drawWithObjective() *job.New {
-	spec := w.draw()
+func (w *world) drawWithObjective() *job.Submission {
+	spec := w.randomSpec()
 	if step := &spec.Steps[0]; !step.Gang && w.random.IntN(4) == 0 {
 		step.Affinity = fmt.Sprintf("r-%d", w.random.IntN(3))
 	}
@@ -36,8 +36,8 @@
 		spec.Steps = spec.Steps[:1]
 		spec.Steps[0] = job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 500}, EstimateMs: 300}
 	}
-	submission := &job.New{Queue: "q/", Service: "desk", Spec: spec, Retries: 2 + w.random.IntN(3),
-		Priority: w.random.IntN(w.priorities), Stretch: stretches[w.random.IntN(len(stretches))]}
+	submission := &job.Submission{Queue: "q/", Service: "desk", Spec: spec, Retries: 2 + w.random.IntN(3),
+		Priority: w.random.IntN(w.priorities), Extension: stretches[w.random.IntN(len(stretches))]}
 	if w.random.IntN(2) == 0 {
 		submission.TargetMs = int64(w.random.IntN(1500))
 	}
@@ -50,7 +50,7 @@
 	w.serial++
 	submission.ID = fmt.Sprintf("%016x", w.serial)
 	w.jobs[submission.ID] = &submitted{id: submission.ID, spec: submission.Spec, service: submission.Service, retries: submission.Retries,
-		ended: map[job.TaskRef]bool{}, noted: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, saves: map[string]bool{}}
+		ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
 	w.order = append(w.order, submission.ID)
 	w.apply([]job.Command{{Kind: job.AcceptJob, ProposedAtMs: w.wallMs(), Submission: submission}})
 }
@@ -73,19 +73,19 @@
 			w.sicken(round / newSickEvery)
 		}
 		if trouble && w.random.IntN(6) == 0 {
-			w.disturb()
+			w.injectFault()
 		}
 		w.run(w.between(50*time.Millisecond, 400*time.Millisecond))
-		w.list()
+		w.listRunners()
 	}
-	w.settle()
+	w.healAndFinish()
 }
 
 // sicken lets one runner fail all that it starts, another hang, and heals the others.
 func (w *world) sicken(turn int) {
-	for at, l := range w.lives {
-		l.fails = at == (2*turn)%len(w.lives)
-		l.hangs = at == (2*turn+1)%len(w.lives)
+	for at, l := range w.incarnations {
+		l.failsRuns = at == (2*turn)%len(w.incarnations)
+		l.stallsRuns = at == (2*turn+1)%len(w.incarnations)
 	}
 }
 
--- a/internal/cluster/scheduler/urgency_test.go
+++ b/internal/cluster/scheduler/urgency_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			group := groupExpecting(1)
-			group.job.Stretch, group.job.TargetMs, group.step.LongRunning = test.stretch, test.targetMs, test.longRunning
+			group.job.Extension, group.job.TargetMs, group.step.LongRunning = test.stretch, test.targetMs, test.longRunning
 			require.Equal(t, test.want, group.urgency())
 		})
 	}
