--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -42,13 +42,13 @@
 		case simprotocol.Configure:
 			d, err := policy.New(ev.Settings, enc.Host(ev.Instance))
 			if err != nil {
-				return fmt.Errorf("%s: %w", dec.At(), err)
+				return fmt.Errorf("%s: %w", dec.Position(), err)
 			}
 			instances[ev.Instance] = d
 		default:
 			d := instances[ev.Instance]
 			if d == nil {
-				return fmt.Errorf("%s: event for %s, which was never configured", dec.At(), ev.Instance)
+				return fmt.Errorf("%s: event for %s, which was never configured", dec.Position(), ev.Instance)
 			}
 			if ev.Kind == simprotocol.Teardown {
 				delete(instances, ev.Instance)
@@ -63,21 +63,21 @@
 // delivered: dispatchers share nothing.
 func deliver(d *policy.Dispatcher, ev *simprotocol.Event) {
 	switch ev.Kind {
-	case simprotocol.Members:
-		d.HandleMembers(ev.Now, ev.List, ev.Entries)
-	case simprotocol.Ingress:
+	case simprotocol.MembershipChanged:
+		d.HandleMembers(ev.Now, ev.ListKind, ev.Members)
+	case simprotocol.RequestArrived:
 		d.HandleRequest(ev.Now, ev.Request)
-	case simprotocol.Completed:
-		d.HandleAttemptResult(ev.Now, ev.Outcome)
-	case simprotocol.StatusBack:
-		d.HandleProbeResult(ev.Now, ev.Probed)
-	case simprotocol.StatusNote:
-		d.HandleAttemptUpdate(ev.Now, ev.Note)
-	case simprotocol.Opened:
-		d.HandleStreamStart(ev.Now, ev.First)
-	case simprotocol.Lapsed:
-		d.HandleClientGone(ev.Now, ev.ID)
-	case simprotocol.Elapsed:
-		d.HandleTimer(ev.Now, ev.Token)
+	case simprotocol.AttemptEnded:
+		d.HandleAttemptResult(ev.Now, ev.AttemptResult)
+	case simprotocol.ProbeAnswered:
+		d.HandleProbeResult(ev.Now, ev.ProbeResult)
+	case simprotocol.AttemptUpdated:
+		d.HandleAttemptUpdate(ev.Now, ev.AttemptUpdate)
+	case simprotocol.StreamStarted:
+		d.HandleStreamStart(ev.Now, ev.StreamStart)
+	case simprotocol.ClientGone:
+		d.HandleClientGone(ev.Now, ev.RequestID)
+	case simprotocol.TimerFired:
+		d.HandleTimer(ev.Now, ev.TimerToken)
 	}
 }
--- a/internal/dispatcher/adminapi/door.go
+++ b/internal/dispatcher/adminapi/door.go
@@ -37,40 +37,40 @@
 const (
 	// A call has this long to be whole, so that callers that send nothing or
 	// half a call make room soon; an operator's call is a few bytes.
-	callFor = 400 * time.Millisecond
+	requestTimeout = 400 * time.Millisecond
 	// and its answer this long to be taken.
-	answerFor = 400 * time.Millisecond
+	responseTimeout = 400 * time.Millisecond
 	// MaxConnections connections held at a time; more wait to be accepted, for callFor at most.
 	MaxConnections = 32
-	mostCall       = 4 << 10
-	// mostNews leaves room for a result of the greatest size, escaped in JSON,
+	maxHeaderBytes       = 4 << 10
+	// maxUpdateBytes leaves room for a result of the greatest size, escaped in JSON,
 	// as the clients' address does.
-	mostNews = 2*pipeline.MaxBody + 1024
+	maxUpdateBytes = 2*pipeline.MaxBody + 1024
 )
 
 // Server is the listener's server.
 type Server struct {
-	op     Operations
+	operations     Operations
 	log    logrus.FieldLogger
 	server *http.Server
 	fleet  Fleet // nil: this process is alone
 }
 
 // New returns a door that is not serving yet.
-func New(op Operations, log *logrus.Logger) *Server {
-	d := &Server{op: op, log: log}
-	quiet := stdlog.New(debug{log}, "", 0)
-	d.server = &http.Server{
-		Handler: d, ReadHeaderTimeout: callFor, ReadTimeout: callFor, WriteTimeout: callFor + answerFor,
-		IdleTimeout: callFor, MaxHeaderBytes: mostCall, ErrorLog: quiet, DisableGeneralOptionsHandler: true,
+func New(operations Operations, log *logrus.Logger) *Server {
+	s := &Server{operations: operations, log: log}
+	quiet := stdlog.New(debugWriter{log}, "", 0)
+	s.server = &http.Server{
+		Handler: s, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout + responseTimeout,
+		IdleTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: quiet, DisableGeneralOptionsHandler: true,
 	}
-	d.server.SetKeepAlivesEnabled(false)
-	return d
+	s.server.SetKeepAlivesEnabled(false)
+	return s
 }
 
-type debug struct{ log logrus.FieldLogger }
+type debugWriter struct{ log logrus.FieldLogger }
 
-func (d debug) Write(text []byte) (int, error) {
+func (d debugWriter) Write(text []byte) (int, error) {
 	d.log.Debug(strings.TrimSpace(string(text)))
 	return len(text), nil
 }
@@ -79,7 +79,7 @@
 func (d *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { d.server.Close() })
 	defer stop()
-	if err := d.server.Serve(newBounded(l, MaxConnections)); err != http.ErrServerClosed && ctx.Err() == nil {
+	if err := d.server.Serve(newLimitedListener(l, MaxConnections)); err != http.ErrServerClosed && ctx.Err() == nil {
 		return fmt.Errorf("the operators' door at %s: %w", l.Addr(), err)
 	}
 	return nil
@@ -92,123 +92,123 @@
 	switch {
 	case path == "/healthcheck":
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
-			d.refuse(w, r, http.StatusMethodNotAllowed, "read with GET")
+			d.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
 			return
 		}
-		if !d.op.Serving() {
+		if !d.operations.Serving() {
 			http.Error(w, "not serving", http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ok")
 	case path == "/healthcheck/fail", path == "/healthcheck/ok":
 		if r.Method != http.MethodPost {
-			d.refuse(w, r, http.StatusMethodNotAllowed, "drains are told with POST")
+			d.reject(w, r, http.StatusMethodNotAllowed, "drains are told with POST")
 			return
 		}
 		if path == "/healthcheck/fail" {
-			d.op.Drain()
+			d.operations.Drain()
 			d.log.Info("the operators drain this dispatcher")
 			fmt.Fprintln(w, "draining")
 		} else {
-			d.op.Undrain()
+			d.operations.Undrain()
 			d.log.Info("the operators end the drain")
 			fmt.Fprintln(w, "serving")
 		}
 	case strings.HasPrefix(path, "/runners/"):
-		d.runner(w, r, strings.TrimPrefix(path, "/runners/"))
+		d.setRunner(w, r, strings.TrimPrefix(path, "/runners/"))
 	case path == "/_jobs/news":
-		d.news(w, r)
-	case d.askFleet(w, r):
+		d.forwardedUpdate(w, r)
+	case d.serveFleet(w, r):
 	default:
-		d.refuse(w, r, http.StatusNotFound, "no such call")
+		d.reject(w, r, http.StatusNotFound, "no such call")
 	}
 }
 
-// runner takes a runner out or puts it back.
-func (d *Server) runner(w http.ResponseWriter, r *http.Request, rest string) {
-	id, what, ok := strings.Cut(rest, "/")
-	if !ok || id == "" || (what != "maint" && what != "ready") {
-		d.refuse(w, r, http.StatusNotFound, "no such call")
+// setRunner takes a runner out or puts it back.
+func (d *Server) setRunner(w http.ResponseWriter, r *http.Request, path string) {
+	id, state, ok := strings.Cut(path, "/")
+	if !ok || id == "" || (state != "maint" && state != "ready") {
+		d.reject(w, r, http.StatusNotFound, "no such call")
 		return
 	}
 	if r.Method != http.MethodPost {
-		d.refuse(w, r, http.StatusMethodNotAllowed, "runners are taken out and put back with POST")
+		d.reject(w, r, http.StatusMethodNotAllowed, "runners are taken out and put back with POST")
 		return
 	}
-	set, word := d.op.TakeOut, "out"
-	if what == "ready" {
-		set, word = d.op.PutBack, "back"
+	set, reply := d.operations.TakeOut, "out"
+	if state == "ready" {
+		set, reply = d.operations.PutBack, "back"
 	}
 	switch err := set(id); {
 	case errors.Is(err, ErrUnknownRunner):
-		d.refuse(w, r, http.StatusNotFound, err.Error())
+		d.reject(w, r, http.StatusNotFound, err.Error())
 	case err != nil:
 		d.log.WithError(err).WithField("runner", id).Error("the operators' call failed")
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	default:
-		d.log.WithField("runner", id).Info("the operators put a runner " + word)
-		fmt.Fprintln(w, word)
+		d.log.WithField("runner", id).Info("the operators put a runner " + reply)
+		fmt.Fprintln(w, reply)
 	}
 }
 
-// news takes a call-back that the other process of this dispatcher got for a
+// forwardedUpdate takes a call-back that the other process of this dispatcher got for a
 // job of this one.
-func (d *Server) news(w http.ResponseWriter, r *http.Request) {
+func (d *Server) forwardedUpdate(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
-		d.refuse(w, r, http.StatusMethodNotAllowed, "news is told with POST")
+		d.reject(w, r, http.StatusMethodNotAllowed, "news is told with POST")
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostNews+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxUpdateBytes+1))
 	switch {
 	case err != nil:
-		d.refuse(w, r, http.StatusBadRequest, "the news could not be read")
+		d.reject(w, r, http.StatusBadRequest, "the news could not be read")
 		return
-	case len(body) > mostNews:
-		d.refuse(w, r, http.StatusRequestEntityTooLarge, "news too large")
+	case len(body) > maxUpdateBytes:
+		d.reject(w, r, http.StatusRequestEntityTooLarge, "news too large")
 		return
 	}
-	if err := d.op.HandleForwardedUpdate(body); err != nil {
-		d.refuse(w, r, http.StatusBadRequest, err.Error())
+	if err := d.operations.HandleForwardedUpdate(body); err != nil {
+		d.reject(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (d *Server) refuse(w http.ResponseWriter, r *http.Request, status int, text string) {
+func (d *Server) reject(w http.ResponseWriter, r *http.Request, status int, text string) {
 	d.log.WithFields(logrus.Fields{"method": r.Method, "path": r.URL.Path, "status": status}).Debug("the operators' door said no")
 	http.Error(w, text, status)
 }
 
-// bounded holds so many connections at a time; a further one waits to be
+// limitedListener holds so many connections at a time; a further one waits to be
 // accepted until one of them ends, which each does within callFor and
 // answerFor.
-type bounded struct {
+type limitedListener struct {
 	net.Listener
 	slots chan struct{}
 }
 
-func newBounded(l net.Listener, most int) *bounded {
-	return &bounded{Listener: l, slots: make(chan struct{}, most)}
+func newLimitedListener(l net.Listener, limit int) *limitedListener {
+	return &limitedListener{Listener: l, slots: make(chan struct{}, limit)}
 }
 
 // Accept implements net.Listener.
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *limitedListener) Accept() (net.Conn, error) {
 	b.slots <- struct{}{}
 	c, err := b.Listener.Accept()
 	if err != nil {
 		<-b.slots
 		return nil, err
 	}
-	return &slot{Conn: c, free: func() { <-b.slots }}, nil
+	return &limitedConn{Conn: c, release: func() { <-b.slots }}, nil
 }
 
-type slot struct {
+type limitedConn struct {
 	net.Conn
 	once sync.Once
-	free func()
+	release func()
 }
 
-func (s *slot) Close() error {
-	s.once.Do(s.free)
+func (s *limitedConn) Close() error {
+	s.once.Do(s.release)
 	return s.Conn.Close()
 }
--- a/internal/dispatcher/adminapi/fleet.go
+++ b/internal/dispatcher/adminapi/fleet.go
@@ -61,48 +61,48 @@
 	ErrFleetUnavailable = errors.New("the fleet is away") // 503, with when to come back
 )
 
-// fleetFor bounds a call that asks the fleet, which may be choosing a new leader.
-const fleetFor = 4 * time.Second
+// fleetTimeout bounds a call that asks the fleet, which may be choosing a new leader.
+const fleetTimeout = 4 * time.Second
 
 // SetFleet lets the door ask the fleet layer. It must be called before Serve.
 func (d *Server) SetFleet(f Fleet) { d.fleet = f }
 
-// askFleet serves the fleet's calls: GET /fleet, POST /plans/NAME?run=ID, GET /runs/ID,
+// serveFleet serves the fleet's calls: GET /fleet, POST /plans/NAME?run=ID, GET /runs/ID,
 // GET /records/ID, GET /records?tenant=T, POST and DELETE /holds/NAME.
 // It reports false for other paths.
-func (d *Server) askFleet(w http.ResponseWriter, r *http.Request) bool {
+func (d *Server) serveFleet(w http.ResponseWriter, r *http.Request) bool {
 	if d.fleet == nil {
 		return false
 	}
-	until := time.Now().Add(fleetFor)
-	ctx, cancel := context.WithDeadline(r.Context(), until)
+	deadline := time.Now().Add(fleetTimeout)
+	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	http.NewResponseController(w).SetWriteDeadline(until.Add(answerFor))
-	path, read := r.URL.Path, r.Method == http.MethodGet
+	http.NewResponseController(w).SetWriteDeadline(deadline.Add(responseTimeout))
+	path, isGet := r.URL.Path, r.Method == http.MethodGet
 	switch {
 	case path == "/fleet":
-		if !read {
-			d.refuse(w, r, http.StatusMethodNotAllowed, "read with GET")
+		if !isGet {
+			d.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
 			return true
 		}
 		text, err := d.fleet.Status(ctx)
-		d.tell(w, r, text, err)
+		d.respond(w, r, text, err)
 	case strings.HasPrefix(path, "/runs/"):
-		if !read {
-			d.refuse(w, r, http.StatusMethodNotAllowed, "read with GET")
+		if !isGet {
+			d.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
 			return true
 		}
 		text, err := d.fleet.RunStatus(ctx, strings.TrimPrefix(path, "/runs/"))
-		d.tell(w, r, text, err)
+		d.respond(w, r, text, err)
 	case strings.HasPrefix(path, "/plans/"):
 		if r.Method != http.MethodPost {
-			d.refuse(w, r, http.StatusMethodNotAllowed, "plans are begun with POST")
+			d.reject(w, r, http.StatusMethodNotAllowed, "plans are begun with POST")
 			return true
 		}
 		d.startPlan(ctx, w, r, strings.TrimPrefix(path, "/plans/"))
 	case path == "/records" || strings.HasPrefix(path, "/records/"):
-		if !read {
-			d.refuse(w, r, http.StatusMethodNotAllowed, "read with GET")
+		if !isGet {
+			d.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
 			return true
 		}
 		d.readRecords(ctx, w, r, strings.TrimPrefix(strings.TrimPrefix(path, "/records"), "/"))
@@ -114,8 +114,8 @@
 	return true
 }
 
-// moment reads a time of a query in RFC 3339, as nanoseconds since 1970; absent: 0.
-func moment(r *http.Request, name string) (int64, error) {
+// timeParam reads a time of a query in RFC 3339, as nanoseconds since 1970; absent: 0.
+func timeParam(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
@@ -127,20 +127,20 @@
 	return at.UnixNano(), nil
 }
 
-// pageUsual is how many records a page has that does not say.
-const pageUsual = 100
+// defaultPageSize is how many records a page has that does not say.
+const defaultPageSize = 100
 
 func (d *Server) readRecords(ctx context.Context, w http.ResponseWriter, r *http.Request, id string) {
 	if id != "" {
 		text, err := d.fleet.Record(ctx, id)
-		d.tell(w, r, text, err)
+		d.respond(w, r, text, err)
 		return
 	}
 	v := r.URL.Query()
-	q := RecordsQuery{Tenant: v.Get("tenant"), NewestFirst: v.Get("last") == "1", After: v.Get("after"), Limit: pageUsual}
+	q := RecordsQuery{Tenant: v.Get("tenant"), NewestFirst: v.Get("last") == "1", After: v.Get("after"), Limit: defaultPageSize}
 	var errs [3]error
-	q.From, errs[0] = moment(r, "from")
-	q.To, errs[1] = moment(r, "to")
+	q.From, errs[0] = timeParam(r, "from")
+	q.To, errs[1] = timeParam(r, "to")
 	if text := v.Get("most"); text != "" {
 		n, err := strconv.Atoi(text)
 		if q.Limit = n; err != nil || n <= 0 {
@@ -155,7 +155,7 @@
 	if err == nil {
 		text, err = d.fleet.Records(ctx, q)
 	}
-	d.tell(w, r, text, err)
+	d.respond(w, r, text, err)
 }
 
 func (d *Server) hold(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) {
@@ -166,18 +166,18 @@
 	case http.MethodDelete:
 		h.Lift = true
 	case http.MethodPost:
-		h.From, errs[0] = moment(r, "from")
-		h.To, errs[1] = moment(r, "to")
-		h.Until, errs[2] = moment(r, "until")
+		h.From, errs[0] = timeParam(r, "from")
+		h.To, errs[1] = timeParam(r, "to")
+		h.Until, errs[2] = timeParam(r, "until")
 	default:
-		d.refuse(w, r, http.StatusMethodNotAllowed, "holds are set with POST and lifted with DELETE")
+		d.reject(w, r, http.StatusMethodNotAllowed, "holds are set with POST and lifted with DELETE")
 		return
 	}
 	err := errors.Join(errs[:]...)
 	if err == nil {
 		err = d.fleet.SetHold(ctx, h)
 	}
-	d.tell(w, r, []byte(`{"done":true}`), err)
+	d.respond(w, r, []byte(`{"done":true}`), err)
 }
 
 func (d *Server) startPlan(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) {
@@ -186,43 +186,43 @@
 	if text := q.Get("within_ms"); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 32)
 		if err != nil || ms <= 0 {
-			d.refuse(w, r, http.StatusBadRequest, "within_ms must be a number of milliseconds above 0")
+			d.reject(w, r, http.StatusBadRequest, "within_ms must be a number of milliseconds above 0")
 			return
 		}
 		a.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	if a.Run == "" {
-		d.refuse(w, r, http.StatusBadRequest, "a run has an id of the caller's: ?run=ID, the same when it asks again")
+		d.reject(w, r, http.StatusBadRequest, "a run has an id of the caller's: ?run=ID, the same when it asks again")
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, pipeline.MaxBody+1))
 	switch {
 	case err != nil:
-		d.refuse(w, r, http.StatusBadRequest, "the input could not be read")
+		d.reject(w, r, http.StatusBadRequest, "the input could not be read")
 		return
 	case len(body) > pipeline.MaxBody:
-		d.refuse(w, r, http.StatusRequestEntityTooLarge, "the input is too large")
+		d.reject(w, r, http.StatusRequestEntityTooLarge, "the input is too large")
 		return
 	}
 	a.Input = body
 	text, err := d.fleet.StartPlan(ctx, a)
-	d.tell(w, r, text, err)
+	d.respond(w, r, text, err)
 }
 
-// tell answers with JSON, 202 where there is nothing to tell yet, or the error.
-func (d *Server) tell(w http.ResponseWriter, r *http.Request, text []byte, err error) {
+// respond answers with JSON, 202 where there is nothing to tell yet, or the error.
+func (d *Server) respond(w http.ResponseWriter, r *http.Request, text []byte, err error) {
 	switch {
 	case errors.Is(err, ErrNotFound):
-		d.refuse(w, r, http.StatusNotFound, err.Error())
+		d.reject(w, r, http.StatusNotFound, err.Error())
 	case errors.Is(err, ErrBadRequest):
-		d.refuse(w, r, http.StatusBadRequest, err.Error())
+		d.reject(w, r, http.StatusBadRequest, err.Error())
 	case errors.Is(err, ErrConflict):
-		d.refuse(w, r, http.StatusConflict, err.Error())
+		d.reject(w, r, http.StatusConflict, err.Error())
 	case errors.Is(err, ErrFleetUnavailable):
 		w.Header().Set("Retry-After", "1")
-		d.refuse(w, r, http.StatusServiceUnavailable, err.Error())
+		d.reject(w, r, http.StatusServiceUnavailable, err.Error())
 	case err != nil:
-		d.refuse(w, r, http.StatusInternalServerError, err.Error())
+		d.reject(w, r, http.StatusInternalServerError, err.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		if text == nil {
--- a/internal/dispatcher/agentcheck/agentcheck.go
+++ b/internal/dispatcher/agentcheck/agentcheck.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-const writeFor = time.Second
+const writeTimeout = time.Second
 
 // State is what a balancer is told.
 type State struct {
 	Ready, Draining bool
-	Open, Most      int    // transactions in hand, and how many there may be
+	InFlight, MaxInFlight      int    // transactions in hand, and how many there may be
 	Note            string // for the operators: balancers show it and do nothing about it
 }
 
@@ -23,17 +23,17 @@
 // that a balancer remembers from before a restart. The weight falls with the
 // room that is left, and never to 0: that would mean drain.
 func (s State) Line() string {
-	word := fmt.Sprintf("ready up %d%%", max(1, 100-100*min(s.Open, s.Most)/max(1, s.Most)))
+	answer := fmt.Sprintf("ready up %d%%", max(1, 100-100*min(s.InFlight, s.MaxInFlight)/max(1, s.MaxInFlight)))
 	switch {
 	case s.Draining:
-		word = "drain"
+		answer = "drain"
 	case !s.Ready:
-		word = "down"
+		answer = "down"
 	}
 	if s.Note != "" {
-		word += " #" + s.Note
+		answer += " #" + s.Note
 	}
-	return word + "\n"
+	return answer + "\n"
 }
 
 // Serve answers checks until the context ends or the listener fails.
@@ -49,7 +49,7 @@
 			return fmt.Errorf("serving agent checks: %w", err)
 		}
 		// One at a time: the line fits any socket's buffer.
-		c.SetWriteDeadline(time.Now().Add(writeFor))
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		fmt.Fprint(c, state().Line())
 		c.Close()
 	}
--- a/internal/dispatcher/faktory/backlog.go
+++ b/internal/dispatcher/faktory/backlog.go
@@ -46,8 +46,8 @@
 
 	mu      sync.Mutex
 	workers *workers
-	book    *sets.Book
-	batches *batch.Book
+	book    *sets.Store
+	batches *batch.Store
 	tasks   map[string]*task // all jobs that are known, the final ones among them
 	done    []*task          // final ones, the oldest first
 	bytes   int              // of their results
@@ -102,10 +102,10 @@
 func newBacklog(hub Hub, intake Intake, set *settings.Faktory, desk *accounting.FrontCounters, log logrus.FieldLogger) *backlog {
 	b := &backlog{
 		hub: hub, intake: intake, set: set, log: log, desk: desk,
-		book: sets.NewBook(sets.Limits{
+		book: sets.NewStore(sets.Limits{
 			Jobs: set.Waiting.Jobs, Bytes: set.Waiting.Bytes, QueueJobs: set.Waiting.QueueJobs, QueueBytes: set.Waiting.QueueBytes,
-			OwnerJobs: set.Waiting.OwnerJobs, OwnerBytes: set.Waiting.OwnerBytes, Queues: mostQueues, Dead: set.Waiting.Dead, DeadBytes: set.Waiting.DeadBytes, DeadFor: set.Waiting.DeadFor, Unit: set.BackoffUnit,
-		}, uint64(time.Now().UnixNano())), batches: batch.NewBook(mostBatches),
+			ClientJobs: set.Waiting.OwnerJobs, ClientBytes: set.Waiting.OwnerBytes, Queues: mostQueues, Dead: set.Waiting.Dead, DeadBytes: set.Waiting.DeadBytes, DeadRetention: set.Waiting.DeadFor, BackoffUnit: set.BackoffUnit,
+		}, uint64(time.Now().UnixNano())), batches: batch.NewStore(mostBatches),
 		tasks: make(map[string]*task), waiting: make(map[string]int),
 	}
 	b.workers = newWorkers(hub, set, b)
@@ -141,7 +141,7 @@
 	defer b.mu.Unlock()
 	for {
 		now := time.Now()
-		queues, again := b.book.Due(now, dueAtOnce)
+		queues, again := b.book.PromoteDue(now, dueAtOnce)
 		for _, q := range queues {
 			b.feed(q)
 		}
@@ -170,8 +170,8 @@
 func (b *backlog) wake() {
 	var at time.Time
 	for _, s := range []*sets.Set{b.book.Scheduled, b.book.Retries} {
-		if j := s.First(); j != nil && (at.IsZero() || j.When().Before(at)) {
-			at = j.When()
+		if j := s.Earliest(); j != nil && (at.IsZero() || j.OrderTime().Before(at)) {
+			at = j.OrderTime()
 		}
 	}
 	b.wakeAt(at)
@@ -234,9 +234,9 @@
 		return nil, nil
 	}
 	waiting := j.waiting()
-	waiting.Owner = owner
+	waiting.Client = owner
 	if j.batch != "" {
-		if err := b.batches.MayAdd(j.batch); err != nil {
+		if err := b.batches.CheckAdd(j.batch); err != nil {
 			return nil, broken(fmt.Errorf("batch %s: %w", j.batch, err))
 		}
 	}
@@ -250,13 +250,13 @@
 		return nil, broken(err)
 	}
 	t := &task{of: b, job: waiting, id: j.id, batch: j.batch, effect: effect, at: now, plan: newPlanned(j.plan, known)}
-	waiting.Data = t
+	waiting.Attachment = t
 	b.tasks[j.id] = t
 	b.pushed++
 	if j.batch != "" {
 		b.batches.Add(j.batch, j.id)
 	}
-	if waiting.Where() == sets.Queued {
+	if waiting.Location() == sets.InQueue {
 		t.pushing = t.plan == nil
 		b.feed(j.queue)
 		if t.state == isOut && t.pushing {
@@ -285,12 +285,12 @@
 func (b *backlog) feedOne(queue string) string {
 	now := time.Now()
 	for {
-		w, expired := b.book.Take(now, queue)
+		w, expired := b.book.Dequeue(now, queue)
 		b.expire(expired)
 		if w == nil {
 			return ""
 		}
-		t := w.Data.(*task)
+		t := w.Attachment.(*task)
 		if t.plan != nil {
 			b.begin(t, now)
 			continue
@@ -299,7 +299,7 @@
 		if err == nil {
 			var j job
 			if j, err = readJob(v, b.set, now); err == nil {
-				j.arrival.Retry = w.Again
+				j.arrival.Retry = w.IsRetry
 				var tx *engine.Transaction
 				if tx, err = b.intake.NewTransaction(j.arrival, now, t); err == nil {
 					t.state, t.failed, t.fetched, t.counted = isOut, nil, false, false
@@ -321,7 +321,7 @@
 // expire concludes jobs that waited too long.
 func (b *backlog) expire(gone []*sets.Job) {
 	for _, j := range gone {
-		b.conclude(j.Data.(*task), engine.Answer{Verdict: engine.Refused, Body: []byte("the job has expired\n")})
+		b.conclude(j.Attachment.(*task), engine.Answer{Verdict: engine.Refused, Body: []byte("the job has expired\n")})
 	}
 }
 
@@ -356,7 +356,7 @@
 	if !t.counted && (a.Verdict == engine.Failed || a.Ran) {
 		b.failures++
 	}
-	fate := sets.Gone
+	fate := sets.Discarded
 	switch f := t.failed; {
 	case a.Verdict == engine.Served:
 	case t.pushing:
@@ -369,12 +369,12 @@
 		t.job.MayHaveRun = !mayRepeat
 		fate = b.book.Failed(now, t.job, mayRepeat, f.kind, f.message, f.backtrace)
 	case a.Verdict == engine.Refused:
-		fate = b.book.Refused(now, t.job, a.RetryAt)
+		fate = b.book.Rejected(now, t.job, a.RetryAt)
 	default:
 		t.job.MayHaveRun = a.Verdict == engine.Failed
 		fate = b.book.Failed(now, t.job, false, a.Verdict.String(), a.Reason.String(), nil)
 	}
-	if fate == sets.Retried {
+	if fate == sets.WillRetry {
 		t.state = waits
 		b.ran(t, false)
 		b.wake()
@@ -387,7 +387,7 @@
 // ran tells a task's batch how a try went.
 func (b *backlog) ran(t *task, well bool) {
 	if t.batch != "" && (well || t.failed != nil || t.state == final) {
-		b.owe(b.batches.Ran(t.batch, t.id, well))
+		b.owe(b.batches.JobRan(t.batch, t.id, well))
 	}
 }
 
@@ -396,19 +396,19 @@
 	j := t.job
 	t.state, t.answer, t.at = final, &a, time.Now()
 	if j != nil {
-		if a.Verdict == engine.Served || j.Where() == "" {
+		if a.Verdict == engine.Served || j.Location() == "" {
 			b.book.Unlock(j)
 		}
 		switch {
 		case t.pushing && t.batch != "":
-			b.batches.Withdraw(t.batch, t.id)
-		case j.Rare != nil && j.CallbackOf != "" && a.Verdict == engine.Served:
-			b.owe(b.batches.CallbackRan(j.CallbackOf, batch.Kind(j.Callback)))
+			b.batches.Remove(t.batch, t.id)
+		case j.Options != nil && j.CallbackOf != "" && a.Verdict == engine.Served:
+			b.owe(b.batches.CallbackSucceeded(j.CallbackOf, batch.Kind(j.CallbackKind)))
 		}
 		if !t.pushing {
 			b.ran(t, a.Verdict == engine.Served)
 		}
-		if j.Where() == "" {
+		if j.Location() == "" {
 			t.job = nil
 		}
 	}
@@ -455,18 +455,18 @@
 	}
 	effect, _ := b.intake.Effect(j.arrival.Class)
 	w := j.waiting()
-	if w.Rare == nil {
-		w.Rare = new(sets.Rare)
+	if w.Options == nil {
+		w.Options = new(sets.Options)
 	}
-	w.CallbackOf, w.Callback = c.Batch, string(c.Kind)
+	w.CallbackOf, w.CallbackKind = c.Batch, string(c.Kind)
 	if err := b.book.Push(now, w); err != nil {
 		return err
 	}
 	t := &task{of: b, job: w, id: j.id, batch: j.batch, effect: effect, at: now, plan: newPlanned(j.plan, nil)}
-	w.Data = t
+	w.Attachment = t
 	b.tasks[j.id] = t
 	b.pushed++
-	if w.Where() == sets.Queued {
+	if w.Location() == sets.InQueue {
 		b.feed(w.Queue)
 	} else {
 		b.wake()
@@ -481,7 +481,7 @@
 	picked, err := b.book.Mutate(time.Now(), c, target, f, voucher != "")
 	queues := make(map[string]bool)
 	for _, j := range picked {
-		t := j.Data.(*task)
+		t := j.Attachment.(*task)
 		switch c {
 		case sets.Requeue:
 			if t.state == final { // it was dead, and lives again
@@ -512,7 +512,7 @@
 // revive makes a task whose job was dead one that waits again.
 func (b *backlog) revive(dead *task, j *sets.Job) {
 	t := &task{of: b, job: j, id: dead.id, batch: dead.batch, effect: dead.effect, at: time.Now(), plan: dead.plan}
-	j.Data = t
+	j.Attachment = t
 	b.tasks[t.id] = t
 	if t.batch != "" {
 		b.batches.Add(t.batch, t.id)
@@ -522,7 +522,7 @@
 // drop forgets jobs that were thrown away where they waited.
 func (b *backlog) drop(gone []*sets.Job, why string) {
 	for _, j := range gone {
-		if t := j.Data.(*task); t.state != final {
+		if t := j.Attachment.(*task); t.state != final {
 			b.conclude(t, engine.Answer{Verdict: engine.Failed, Body: []byte(why)})
 		}
 	}
--- a/internal/dispatcher/faktory/batch/batch.go
+++ b/internal/dispatcher/faktory/batch/batch.go
@@ -24,17 +24,17 @@
 
 // States of call-backs.
 const (
-	NotYet   State = ""
+	NotDue   State = ""
 	Enqueued State = "1"
 	Done     State = "2"
 )
 
 // Errors of commands.
 var (
-	ErrUnknown   = errors.New("no such batch")
+	ErrUnknownBatch   = errors.New("no such batch")
 	ErrCommitted = errors.New("the batch has been committed")
-	ErrOver      = errors.New("the batch is over")
-	ErrEmpty     = errors.New("a batch has a success or a complete call-back")
+	ErrFinished      = errors.New("the batch is over")
+	ErrNoCallback     = errors.New("a batch has a success or a complete call-back")
 	ErrFull      = errors.New("there are too many batches")
 )
 
@@ -55,58 +55,58 @@
 // have failed at least once and not succeeded since are failed as well.
 type Batch struct {
 	ID        string
-	Def       Definition
+	Definition       Definition
 	Created   time.Time
 	Committed bool
 	Total     int
 	Pending   int
-	failed    map[string]bool // pending ones that have run
-	jobs      map[string]bool // all that are pending
+	failedJobs    map[string]bool // pending ones that have run
+	pendingJobs      map[string]bool // all that are pending
 	children  map[string]bool // batches in it that have not succeeded; true: complete
 	States    map[Kind]State
 }
 
 // Failed is how many pending jobs have failed.
-func (b *Batch) Failed() int { return len(b.failed) }
+func (b *Batch) Failed() int { return len(b.failedJobs) }
 
-// Book is all batches that are not over.
-type Book struct {
-	most    int
+// Store is all batches that are not over.
+type Store struct {
+	limit    int
 	batches map[string]*Batch
 }
 
-// NewBook returns an empty one that holds so many batches.
-func NewBook(most int) *Book { return &Book{most: most, batches: make(map[string]*Batch)} }
+// NewStore returns an empty one that holds so many batches.
+func NewStore(limit int) *Store { return &Store{limit: limit, batches: make(map[string]*Batch)} }
 
 // Find returns a batch, or nil.
-func (b *Book) Find(id string) *Batch { return b.batches[id] }
+func (b *Store) Find(id string) *Batch { return b.batches[id] }
 
 // Len is how many batches are not over.
-func (b *Book) Len() int { return len(b.batches) }
+func (b *Store) Len() int { return len(b.batches) }
 
 // New begins a batch.
-func (b *Book) New(now time.Time, id string, d Definition) error {
+func (b *Store) New(now time.Time, id string, d Definition) error {
 	if len(d.Callbacks[Complete]) == 0 && len(d.Callbacks[Success]) == 0 {
-		return ErrEmpty
+		return ErrNoCallback
 	}
-	if len(b.batches) >= b.most {
+	if len(b.batches) >= b.limit {
 		return ErrFull
 	}
 	if b.batches[id] != nil {
 		return fmt.Errorf("batch %s is there already", id)
 	}
 	if d.Parent != "" {
-		p := b.batches[d.Parent]
-		if p == nil {
-			return fmt.Errorf("parent %s: %w", d.Parent, ErrUnknown)
+		parent := b.batches[d.Parent]
+		if parent == nil {
+			return fmt.Errorf("parent %s: %w", d.Parent, ErrUnknownBatch)
 		}
-		if p.States[Success] != NotYet || p.States[Complete] != NotYet {
-			return fmt.Errorf("parent %s: %w", d.Parent, ErrOver)
+		if parent.States[Success] != NotDue || parent.States[Complete] != NotDue {
+			return fmt.Errorf("parent %s: %w", d.Parent, ErrFinished)
 		}
-		p.children[id] = false
+		parent.children[id] = false
 	}
 	b.batches[id] = &Batch{
-		ID: id, Def: d, Created: now, failed: make(map[string]bool), jobs: make(map[string]bool), children: make(map[string]bool),
+		ID: id, Definition: d, Created: now, failedJobs: make(map[string]bool), pendingJobs: make(map[string]bool), children: make(map[string]bool),
 		States: make(map[Kind]State),
 	}
 	return nil
@@ -114,97 +114,97 @@
 
 // Open lets jobs be added to a batch that was committed, which its own jobs do
 // while they run.
-func (b *Book) Open(id string) error {
-	at := b.batches[id]
+func (b *Store) Open(id string) error {
+	batch := b.batches[id]
 	switch {
-	case at == nil:
-		return ErrUnknown
-	case at.States[Success] != NotYet || at.States[Complete] != NotYet:
-		return ErrOver
+	case batch == nil:
+		return ErrUnknownBatch
+	case batch.States[Success] != NotDue || batch.States[Complete] != NotDue:
+		return ErrFinished
 	}
-	at.Committed = false
+	batch.Committed = false
 	return nil
 }
 
-// MayAdd tells whether a job may be pushed into a batch.
-func (b *Book) MayAdd(id string) error {
-	switch at := b.batches[id]; {
-	case at == nil:
-		return ErrUnknown
-	case at.Committed:
+// CheckAdd tells whether a job may be pushed into a batch.
+func (b *Store) CheckAdd(id string) error {
+	switch batch := b.batches[id]; {
+	case batch == nil:
+		return ErrUnknownBatch
+	case batch.Committed:
 		return ErrCommitted
 	}
 	return nil
 }
 
 // Add takes in a job that was pushed. Pushed again, it counts once.
-func (b *Book) Add(id, job string) {
-	if at := b.batches[id]; at != nil && !at.jobs[job] {
-		at.jobs[job] = true
-		at.Total++
-		at.Pending++
+func (b *Store) Add(id, job string) {
+	if batch := b.batches[id]; batch != nil && !batch.pendingJobs[job] {
+		batch.pendingJobs[job] = true
+		batch.Total++
+		batch.Pending++
 	}
 }
 
-// Withdraw takes back a job whose push was not taken.
-func (b *Book) Withdraw(id, job string) {
-	if at := b.batches[id]; at != nil && at.jobs[job] {
-		delete(at.jobs, job)
-		at.Total--
-		at.Pending--
+// Remove takes back a job whose push was not taken.
+func (b *Store) Remove(id, job string) {
+	if batch := b.batches[id]; batch != nil && batch.pendingJobs[job] {
+		delete(batch.pendingJobs, job)
+		batch.Total--
+		batch.Pending--
 	}
 }
 
 // Commit closes a batch to further jobs and returns the call-backs that are due
 // then: of one without jobs, or whose last job ended in the meantime.
-func (b *Book) Commit(id string) ([]Callback, error) {
-	at := b.batches[id]
+func (b *Store) Commit(id string) ([]Callback, error) {
+	batch := b.batches[id]
 	switch {
-	case at == nil:
-		return nil, ErrUnknown
-	case at.Committed:
+	case batch == nil:
+		return nil, ErrUnknownBatch
+	case batch.Committed:
 		return nil, ErrCommitted
 	}
-	at.Committed = true
-	return b.owed(at), nil
+	batch.Committed = true
+	return b.dueCallbacks(batch), nil
 }
 
-// Ran takes in that a job of a batch has run, well or not, and returns the
+// JobRan takes in that a job of a batch has run, well or not, and returns the
 // call-backs that are due then. A job that succeeds counts once.
-func (b *Book) Ran(id, job string, well bool) []Callback {
-	at := b.batches[id]
-	if at == nil || !at.jobs[job] {
+func (b *Store) JobRan(id, job string, succeeded bool) []Callback {
+	batch := b.batches[id]
+	if batch == nil || !batch.pendingJobs[job] {
 		return nil
 	}
-	if well {
-		delete(at.failed, job)
-		delete(at.jobs, job)
-		at.Pending--
+	if succeeded {
+		delete(batch.failedJobs, job)
+		delete(batch.pendingJobs, job)
+		batch.Pending--
 	} else {
-		at.failed[job] = true
+		batch.failedJobs[job] = true
 	}
-	return b.owed(at)
+	return b.dueCallbacks(batch)
 }
 
-// CallbackRan takes in that a call-back has succeeded. A batch with all of its
+// CallbackSucceeded takes in that a call-back has succeeded. A batch with all of its
 // call-backs done is over.
-func (b *Book) CallbackRan(id string, kind Kind) []Callback {
-	at := b.batches[id]
-	if at == nil || at.States[kind] != Enqueued {
+func (b *Store) CallbackSucceeded(id string, kind Kind) []Callback {
+	batch := b.batches[id]
+	if batch == nil || batch.States[kind] != Enqueued {
 		return nil
 	}
-	at.States[kind] = Done
-	return b.settle(at)
+	batch.States[kind] = Done
+	return b.removeIfFinished(batch)
 }
 
-// owed returns the call-backs of a batch, and of those it is in, that are due
+// dueCallbacks returns the call-backs of a batch, and of those it is in, that are due
 // now and were not before.
-func (b *Book) owed(at *Batch) (due []Callback) {
-	if !at.Committed {
+func (b *Store) dueCallbacks(batch *Batch) (due []Callback) {
+	if !batch.Committed {
 		return nil
 	}
-	complete, success := at.Pending == len(at.failed), at.Pending == 0
-	for child, done := range at.children {
+	complete, success := batch.Pending == len(batch.failedJobs), batch.Pending == 0
+	for child, done := range batch.children {
 		complete = complete && done
 		success = success && b.batches[child] == nil
 	}
@@ -212,32 +212,32 @@
 		kind Kind
 		due  bool
 	}{{Complete, complete}, {Success, success}} {
-		if !c.due || at.States[c.kind] != NotYet {
+		if !c.due || batch.States[c.kind] != NotDue {
 			continue
 		}
-		if at.States[c.kind] = Enqueued; len(at.Def.Callbacks[c.kind]) == 0 {
-			at.States[c.kind] = Done
+		if batch.States[c.kind] = Enqueued; len(batch.Definition.Callbacks[c.kind]) == 0 {
+			batch.States[c.kind] = Done
 			continue
 		}
-		due = append(due, Callback{at.ID, c.kind, at.Def.Callbacks[c.kind]})
+		due = append(due, Callback{batch.ID, c.kind, batch.Definition.Callbacks[c.kind]})
 	}
-	if at.States[Complete] != NotYet {
-		if p := b.batches[at.Def.Parent]; p != nil && !p.children[at.ID] {
-			p.children[at.ID] = true
-			due = append(due, b.owed(p)...)
+	if batch.States[Complete] != NotDue {
+		if parent := b.batches[batch.Definition.Parent]; parent != nil && !parent.children[batch.ID] {
+			parent.children[batch.ID] = true
+			due = append(due, b.dueCallbacks(parent)...)
 		}
 	}
-	return append(due, b.settle(at)...)
+	return append(due, b.removeIfFinished(batch)...)
 }
 
-// settle drops a batch that is over, and looks at its parent.
-func (b *Book) settle(at *Batch) []Callback {
-	if b.batches[at.ID] != at || at.States[Success] != Done || at.States[Complete] != Done {
+// removeIfFinished drops a batch that is over, and looks at its parent.
+func (b *Store) removeIfFinished(batch *Batch) []Callback {
+	if b.batches[batch.ID] != batch || batch.States[Success] != Done || batch.States[Complete] != Done {
 		return nil
 	}
-	delete(b.batches, at.ID)
-	if p := b.batches[at.Def.Parent]; p != nil {
-		return b.owed(p)
+	delete(b.batches, batch.ID)
+	if parent := b.batches[batch.Definition.Parent]; parent != nil {
+		return b.dueCallbacks(parent)
 	}
 	return nil
 }
--- a/internal/dispatcher/faktory/batch/batch_test.go
+++ b/internal/dispatcher/faktory/batch/batch_test.go
@@ -23,61 +23,61 @@
 // TestCallbacks: complete once each job has run, success once each has
 // succeeded, each once, and none before the batch is committed.
 func TestCallbacks(t *testing.T) {
-	b := NewBook(10)
+	b := NewStore(10)
 	require.NoError(t, b.New(start, "b", Definition{Callbacks: both()}))
 	b.Add("b", "1")
 	b.Add("b", "2")
 	b.Add("b", "2")
-	require.Empty(t, b.Ran("b", "1", true), "the last job may end while the batch is being committed")
-	require.Empty(t, b.Ran("b", "2", false))
+	require.Empty(t, b.JobRan("b", "1", true), "the last job may end while the batch is being committed")
+	require.Empty(t, b.JobRan("b", "2", false))
 	due, err := b.Commit("b")
 	require.NoError(t, err)
 	require.Equal(t, []string{"b complete"}, kinds(due))
-	require.Empty(t, b.Ran("b", "2", false), "failed again")
+	require.Empty(t, b.JobRan("b", "2", false), "failed again")
 	at := b.Find("b")
 	require.Equal(t, []int{2, 1, 1}, []int{at.Total, at.Pending, at.Failed()})
-	require.Equal(t, []string{"b success"}, kinds(b.Ran("b", "2", true)))
-	require.Empty(t, b.Ran("b", "2", true), "a job succeeds once")
-	b.CallbackRan("b", Complete)
-	b.CallbackRan("b", Complete)
+	require.Equal(t, []string{"b success"}, kinds(b.JobRan("b", "2", true)))
+	require.Empty(t, b.JobRan("b", "2", true), "a job succeeds once")
+	b.CallbackSucceeded("b", Complete)
+	b.CallbackSucceeded("b", Complete)
 	require.NotNil(t, b.Find("b"))
-	b.CallbackRan("b", Success)
+	b.CallbackSucceeded("b", Success)
 	require.Nil(t, b.Find("b"))
 }
 
 func TestCommands(t *testing.T) {
-	b := NewBook(2)
-	require.ErrorIs(t, b.New(start, "b", Definition{}), ErrEmpty)
-	require.ErrorIs(t, b.New(start, "b", Definition{Parent: "p", Callbacks: both()}), ErrUnknown)
+	b := NewStore(2)
+	require.ErrorIs(t, b.New(start, "b", Definition{}), ErrNoCallback)
+	require.ErrorIs(t, b.New(start, "b", Definition{Parent: "p", Callbacks: both()}), ErrUnknownBatch)
 	require.NoError(t, b.New(start, "b", Definition{Callbacks: map[Kind][]byte{Success: []byte("s")}}))
 	require.Error(t, b.New(start, "b", Definition{Callbacks: both()}))
-	require.NoError(t, b.MayAdd("b"))
-	require.ErrorIs(t, b.MayAdd("x"), ErrUnknown)
-	require.ErrorIs(t, b.Open("x"), ErrUnknown)
+	require.NoError(t, b.CheckAdd("b"))
+	require.ErrorIs(t, b.CheckAdd("x"), ErrUnknownBatch)
+	require.ErrorIs(t, b.Open("x"), ErrUnknownBatch)
 	b.Add("b", "1")
-	b.Withdraw("b", "1")
+	b.Remove("b", "1")
 	due, err := b.Commit("b")
 	require.NoError(t, err)
 	require.Equal(t, []string{"b success"}, kinds(due), "an empty one is done at once")
 	_, err = b.Commit("b")
 	require.ErrorIs(t, err, ErrCommitted)
-	require.ErrorIs(t, b.MayAdd("b"), ErrCommitted)
-	require.ErrorIs(t, b.Open("b"), ErrOver)
+	require.ErrorIs(t, b.CheckAdd("b"), ErrCommitted)
+	require.ErrorIs(t, b.Open("b"), ErrFinished)
 	require.NoError(t, b.New(start, "c", Definition{Callbacks: both()}))
 	require.ErrorIs(t, b.New(start, "d", Definition{Callbacks: both()}), ErrFull)
 	_, err = b.Commit("x")
-	require.ErrorIs(t, err, ErrUnknown)
+	require.ErrorIs(t, err, ErrUnknownBatch)
 	b.Add("c", "1")
 	_, err = b.Commit("c")
 	require.NoError(t, err)
 	require.NoError(t, b.Open("c"), "a job of it may add to it")
-	require.NoError(t, b.MayAdd("c"))
-	require.Empty(t, b.Ran("c", "1", true), "it has to be committed again")
+	require.NoError(t, b.CheckAdd("c"))
+	require.Empty(t, b.JobRan("c", "1", true), "it has to be committed again")
 }
 
 // TestNested: a parent waits for its children, and they do not wait for it.
 func TestNested(t *testing.T) {
-	b := NewBook(10)
+	b := NewStore(10)
 	require.NoError(t, b.New(start, "p", Definition{Callbacks: both()}))
 	require.NoError(t, b.New(start, "c", Definition{Parent: "p", Callbacks: both()}))
 	b.Add("p", "1")
@@ -87,13 +87,13 @@
 		require.NoError(t, err)
 		require.Empty(t, due)
 	}
-	require.Empty(t, b.Ran("p", "1", true))
-	require.Equal(t, []string{"c complete", "p complete"}, kinds(b.Ran("c", "2", false)))
-	require.Equal(t, []string{"c success"}, kinds(b.Ran("c", "2", true)))
-	require.Empty(t, b.CallbackRan("c", Complete))
-	require.Equal(t, []string{"p success"}, kinds(b.CallbackRan("c", Success)), "a child is over with its call-backs")
-	b.CallbackRan("p", Complete)
-	b.CallbackRan("p", Success)
+	require.Empty(t, b.JobRan("p", "1", true))
+	require.Equal(t, []string{"c complete", "p complete"}, kinds(b.JobRan("c", "2", false)))
+	require.Equal(t, []string{"c success"}, kinds(b.JobRan("c", "2", true)))
+	require.Empty(t, b.CallbackSucceeded("c", Complete))
+	require.Equal(t, []string{"p success"}, kinds(b.CallbackSucceeded("c", Success)), "a child is over with its call-backs")
+	b.CallbackSucceeded("p", Complete)
+	b.CallbackSucceeded("p", Success)
 	require.Zero(t, b.Len())
 }
 
@@ -101,7 +101,7 @@
 // before success, and in the end each batch has had both.
 func TestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, n := NewBook(100), 0
+		b, n := NewStore(100), 0
 		type running struct{ batch, job string }
 		var open []string
 		var jobs []running
@@ -155,7 +155,7 @@
 				if well {
 					jobs = append(jobs[:i], jobs[i+1:]...)
 				}
-				take(b.Ran(j.batch, j.job, well))
+				take(b.JobRan(j.batch, j.job, well))
 			},
 			"call-back": func(t *rapid.T) {
 				if len(owed) == 0 {
@@ -163,7 +163,7 @@
 				}
 				c := owed[0]
 				owed = owed[1:]
-				take(b.CallbackRan(c.Batch, c.Kind))
+				take(b.CallbackSucceeded(c.Batch, c.Kind))
 			},
 		})
 		for _, id := range open {
@@ -172,12 +172,12 @@
 			take(due)
 		}
 		for _, j := range jobs {
-			take(b.Ran(j.batch, j.job, true))
+			take(b.JobRan(j.batch, j.job, true))
 		}
 		for len(owed) > 0 {
 			c := owed[0]
 			owed = owed[1:]
-			take(b.CallbackRan(c.Batch, c.Kind))
+			take(b.CallbackSucceeded(c.Batch, c.Kind))
 		}
 		require.Zero(t, b.Len(), "all are over")
 		for _, id := range all {
--- a/internal/dispatcher/faktory/client/client.go
+++ b/internal/dispatcher/faktory/client/client.go
@@ -17,38 +17,38 @@
 	"time"
 )
 
-const mostReply = 64 << 20
+const maxReplyBytes = 64 << 20
 
 // Conn is a connection. It is not safe for concurrent use.
 type Conn struct {
 	conn net.Conn
-	in   *bufio.Reader
+	reader   *bufio.Reader
 }
 
-// Error is what a server answered to a command that it did not take.
-type Error string
+// ServerError is what a server answered to a command that it did not take.
+type ServerError string
 
-func (e Error) Error() string { return string(e) }
+func (e ServerError) Error() string { return string(e) }
 
 // Dial connects, and says HELLO with what the password proves. All of it is
 // done by the deadline.
 func Dial(addr, password string, deadline time.Time) (*Conn, error) {
 	d := net.Dialer{Deadline: deadline}
-	c, err := d.Dial("tcp", addr)
+	tcp, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("no Faktory server there: %w", err)
 	}
-	f := &Conn{c, bufio.NewReader(c)}
-	if err := f.hello(password, deadline); err != nil {
-		c.Close()
+	conn := &Conn{tcp, bufio.NewReader(tcp)}
+	if err := conn.sayHello(password, deadline); err != nil {
+		tcp.Close()
 		return nil, err
 	}
-	return f, nil
+	return conn, nil
 }
 
-func (c *Conn) hello(password string, deadline time.Time) error {
+func (c *Conn) sayHello(password string, deadline time.Time) error {
 	c.conn.SetDeadline(deadline)
-	greeting, err := c.reply()
+	greeting, err := c.readReply()
 	if err != nil {
 		return err
 	}
@@ -70,11 +70,11 @@
 		}
 		hello["pwdhash"] = hex.EncodeToString(sum[:])
 	}
-	said, err := json.Marshal(hello)
+	request, err := json.Marshal(hello)
 	if err != nil {
 		return err
 	}
-	_, err = c.Do("HELLO "+string(said), deadline)
+	_, err = c.Do("HELLO "+string(request), deadline)
 	return err
 }
 
@@ -84,7 +84,7 @@
 	if _, err := io.WriteString(c.conn, command+"\r\n"); err != nil {
 		return nil, err
 	}
-	return c.reply()
+	return c.readReply()
 }
 
 // Query sends a command and decodes its reply.
@@ -99,8 +99,8 @@
 	return nil
 }
 
-func (c *Conn) reply() ([]byte, error) {
-	line, err := c.in.ReadString('\n')
+func (c *Conn) readReply() ([]byte, error) {
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		return nil, fmt.Errorf("reading a reply: %w", err)
 	}
@@ -112,17 +112,17 @@
 	case '+':
 		return []byte(rest), nil
 	case '-':
-		return nil, Error(strings.TrimPrefix(rest, "ERR "))
+		return nil, ServerError(strings.TrimPrefix(rest, "ERR "))
 	case '$':
 		n, err := strconv.Atoi(rest)
-		if err != nil || n > mostReply {
+		if err != nil || n > maxReplyBytes {
 			return nil, fmt.Errorf("a reply of %q bytes", rest)
 		}
 		if n < 0 {
 			return nil, nil
 		}
 		text := make([]byte, n+2)
-		if _, err := io.ReadFull(c.in, text); err != nil {
+		if _, err := io.ReadFull(c.reader, text); err != nil {
 			return nil, fmt.Errorf("reading a reply: %w", err)
 		}
 		return text[:n], nil
--- a/internal/dispatcher/faktory/commands.go
+++ b/internal/dispatcher/faktory/commands.go
@@ -256,7 +256,7 @@
 	if err != nil || v.Type() != fastjson.TypeObject {
 		return fault("MUTATE takes a JSON object")
 	}
-	f := sets.Filter{Type: string(v.GetStringBytes("filter", "jobtype")), Pattern: string(v.GetStringBytes("filter", "regexp"))}
+	f := sets.Filter{JobType: string(v.GetStringBytes("filter", "jobtype")), Pattern: string(v.GetStringBytes("filter", "regexp"))}
 	for _, id := range v.GetArray("filter", "jids") {
 		f.IDs = append(f.IDs, string(id.GetStringBytes()))
 	}
@@ -333,8 +333,8 @@
 	switch {
 	case t.state == isOut && (t.plan != nil || t.of.workers.held[t.id] != nil):
 		state = "working"
-	case t.state == waits && t.job != nil && t.job.Where() != sets.Queued:
-		when("retry_at", t.job.When())
+	case t.state == waits && t.job != nil && t.job.Location() != sets.InQueue:
+		when("retry_at", t.job.OrderTime())
 	case t.state == final:
 		switch t.answer.Verdict {
 		case engine.Served:
@@ -386,7 +386,7 @@
 		if at := b.batches.Find(text); at != nil {
 			return bulk(status(at))
 		}
-		err = batch.ErrUnknown
+		err = batch.ErrUnknownBatch
 	default:
 		return fault("BATCH takes NEW, OPEN, COMMIT or STATUS")
 	}
@@ -427,8 +427,8 @@
 	var a fastjson.Arena
 	v := a.NewObject()
 	v.Set("bid", a.NewString(at.ID))
-	v.Set("parent_bid", a.NewString(at.Def.Parent))
-	v.Set("description", a.NewString(at.Def.Description))
+	v.Set("parent_bid", a.NewString(at.Definition.Parent))
+	v.Set("description", a.NewString(at.Definition.Description))
 	v.Set("created_at", a.NewString(at.Created.UTC().Format(time.RFC3339Nano)))
 	v.Set("total", a.NewNumberInt(at.Total))
 	v.Set("pending", a.NewNumberInt(at.Pending))
@@ -460,7 +460,7 @@
 		name string
 		of   *sets.Set
 		gone int
-	}{{"Scheduled", b.book.Scheduled, b.book.Enqueued[0]}, {"Retries", b.book.Retries, b.book.Enqueued[1]}, {"Dead", b.book.Dead, b.book.DeadGone}} {
+	}{{"Scheduled", b.book.Scheduled, b.book.Promoted[0]}, {"Retries", b.book.Retries, b.book.Promoted[1]}, {"Dead", b.book.Dead, b.book.DeadDropped}} {
 		o := a.NewObject()
 		o.Set("size", number(set.of.Len()))
 		o.Set("enqueued", number(set.gone))
--- a/internal/dispatcher/faktory/job.go
+++ b/internal/dispatcher/faktory/job.go
@@ -38,7 +38,7 @@
 	batch           string
 	unique          uint64
 	uniqueFor       time.Duration
-	uniqueUntil     sets.Until
+	uniqueUntil     sets.LockRelease
 	plan            string // it is run as; empty: it is fetched
 	arrival         pipeline.Submission
 }
@@ -112,7 +112,7 @@
 func (j job) waiting() *sets.Job {
 	w := &sets.Job{ID: j.id, Type: unique.Make(j.kind).Value(), Queue: unique.Make(j.queue).Value(), Body: j.arrival.Body, Retries: int32(j.retries)}
 	if !j.at.IsZero() || !j.expires.IsZero() || j.unique != 0 || j.batch != "" {
-		w.Rare = &sets.Rare{At: j.at, ExpiresAt: j.expires, Unique: j.unique, UniqueFor: j.uniqueFor, UniqueUntil: j.uniqueUntil, Batch: j.batch}
+		w.Options = &sets.Options{NotBefore: j.at, ExpiresAt: j.expires, UniqueKey: j.unique, UniqueTTL: j.uniqueFor, ReleaseOn: j.uniqueUntil, Batch: j.batch}
 	}
 	return w
 }
@@ -171,7 +171,7 @@
 	switch until := string(v.GetStringBytes("unique_until")); until {
 	case "", "success":
 	case "start":
-		j.uniqueUntil = sets.UntilStart
+		j.uniqueUntil = sets.ReleaseOnStart
 	default:
 		return errors.New("custom.unique_until is start or success")
 	}
@@ -221,14 +221,14 @@
 
 func failureJSON(a *fastjson.Arena, f *sets.Failure) *fastjson.Value {
 	v, trace := a.NewObject(), a.NewArray()
-	v.Set("retry_count", a.NewNumberInt(f.Count))
+	v.Set("retry_count", a.NewNumberInt(f.RetryCount))
 	v.Set("remaining", a.NewNumberInt(f.Remaining))
-	v.Set("failed_at", a.NewString(f.At.UTC().Format(time.RFC3339Nano)))
-	if !f.Next.IsZero() {
-		v.Set("next_at", a.NewString(f.Next.UTC().Format(time.RFC3339Nano)))
+	v.Set("failed_at", a.NewString(f.FailedAt.UTC().Format(time.RFC3339Nano)))
+	if !f.NextAt.IsZero() {
+		v.Set("next_at", a.NewString(f.NextAt.UTC().Format(time.RFC3339Nano)))
 	}
 	v.Set("message", a.NewString(f.Message))
-	v.Set("errtype", a.NewString(f.Type))
+	v.Set("errtype", a.NewString(f.ErrorType))
 	for i, line := range f.Backtrace {
 		trace.SetArrayItem(i, a.NewString(line))
 	}
--- a/internal/dispatcher/faktory/model_test.go
+++ b/internal/dispatcher/faktory/model_test.go
@@ -174,7 +174,7 @@
 				case known != nil:
 					require.Equal(t, ok, text)
 				case strings.HasPrefix(text, "-ERR refused"):
-					full := b.book.Len() >= 30 || len(in("queue")) > 0 && b.book.Known(j.queue).Len() >= 20
+					full := b.book.Len() >= 30 || len(in("queue")) > 0 && b.book.FindQueue(j.queue).Len() >= 20
 					require.True(t, full, text)
 				default:
 					require.Equal(t, ok, text)
@@ -234,7 +234,7 @@
 				switch {
 				case j.retries < 0:
 					j.where = "gone"
-				case j.ticket || j.fails >= j.retries || b.book.Len() >= 30 && b.book.Find(j.id).Where() == "dead":
+				case j.ticket || j.fails >= j.retries || b.book.Len() >= 30 && b.book.Find(j.id).Location() == "dead":
 					j.where = "dead"
 				default:
 					j.where = "retries"
@@ -292,7 +292,7 @@
 					case b.workers.held[id] != nil:
 						where = b.workers.held[id].worker.id
 					case at != nil:
-						where = at.Where()
+						where = at.Location()
 					case b.tasks[id].answer.Verdict != engine.Served:
 						where = "gone"
 					}
--- a/internal/dispatcher/faktory/plans.go
+++ b/internal/dispatcher/faktory/plans.go
@@ -93,12 +93,12 @@
 // feedPlans begins the plans that come first in a queue: nobody fetches them.
 func (b *backlog) feedPlans(queue string) {
 	for now := time.Now(); ; {
-		w, expired := b.book.TakeIf(now, queue, func(j *sets.Job) bool { return j.Data.(*task).plan != nil })
+		w, expired := b.book.DequeueIf(now, queue, func(j *sets.Job) bool { return j.Attachment.(*task).plan != nil })
 		b.expire(expired)
 		if w == nil {
 			return
 		}
-		b.begin(w.Data.(*task), now)
+		b.begin(w.Attachment.(*task), now)
 	}
 }
 
@@ -133,12 +133,12 @@
 func (b *backlog) planEnded(t *task, run string, a engine.Answer) {
 	now := time.Now()
 	t.at = now
-	fate := sets.Gone
+	fate := sets.Discarded
 	switch a.Verdict {
 	case engine.Served:
 		b.processed++
 	case engine.Refused:
-		fate = b.book.Refused(now, t.job, a.RetryAt)
+		fate = b.book.Rejected(now, t.job, a.RetryAt)
 	default:
 		b.processed++
 		b.failures++
@@ -149,7 +149,7 @@
 		t.failed = &failure{kind: "Plan", message: cut(fmt.Sprintf("run %s of plan %s %s: %s", run, t.plan.name, why, strings.TrimSpace(string(a.Body))))}
 		fate = b.book.Failed(now, t.job, false, t.failed.kind, t.failed.message, nil)
 	}
-	if fate == sets.Retried {
+	if fate == sets.WillRetry {
 		t.state = waits
 		b.wake()
 		return
--- a/internal/dispatcher/faktory/sets/job.go
+++ b/internal/dispatcher/faktory/sets/job.go
@@ -14,92 +14,92 @@
 // them may wait: what few jobs have is in Rare.
 type Job struct {
 	ID, Type, Queue string // the latter two should be shared by the jobs of one name
-	Owner           string // the client that pushed it, shared likewise
+	Client           string // the client that pushed it, shared likewise
 	Body            []byte // as it was pushed
-	*Rare                  // nil: nothing of it
+	*Options                  // nil: nothing of it
 	Failure         *Failure
-	Data            any    // the front's own
+	Attachment            any    // the front's own
 	Retries         int32  // how often it may be tried again; 0: then it is dead; below 0: then it is gone
-	Refusals        uint16 // in a row, by the decisions
+	ConsecutiveRejections        uint16 // in a row, by the decisions
 	MayHaveRun      bool   // an attempt of it may have had its effect
-	Again           bool   // it was tried before: its next try is one of the same ask
+	IsRetry           bool   // it was tried before: its next try is one of the same ask
 
-	queued stamp // since when it waits in its queue
-	when   stamp // what its set is ordered by
-	in     *Set  // nil: in no set
-	index  int   // in the heap of its set
+	enqueuedAt unixNanos // since when it waits in its queue
+	orderedBy   unixNanos // what its set is ordered by
+	set     *Set  // nil: in no set
+	heapIndex  int   // in the heap of its set
 	prev   *Job  // in its queue
 	next   *Job
-	at     *Queue
+	queue     *Queue
 }
 
-// Rare is what few jobs have.
-type Rare struct {
-	At          time.Time // not before this
+// Options is what few jobs have.
+type Options struct {
+	NotBefore          time.Time // not before this
 	ExpiresAt   time.Time // not run after this; zero: never too late
-	Unique      uint64    // the lock it holds; 0: none
-	UniqueUntil Until
-	UniqueFor   time.Duration
+	UniqueKey      uint64    // the lock it holds; 0: none
+	ReleaseOn LockRelease
+	UniqueTTL   time.Duration
 	Batch       string // it belongs to
 	CallbackOf  string // it is a call-back of this batch
-	Callback    string // which one
+	CallbackKind    string // which one
 }
 
-// rare is the job's, or one with nothing in it.
-func (j *Job) rare() *Rare {
-	if j.Rare == nil {
-		return &nothing
+// options is the job's, or one with nothing in it.
+func (j *Job) options() *Options {
+	if j.Options == nil {
+		return &noOptions
 	}
-	return j.Rare
+	return j.Options
 }
 
-var nothing Rare
+var noOptions Options
 
-// stamp is a time in nanoseconds since 1970: a third of the size of one.
-type stamp int64
+// unixNanos is a time in nanoseconds since 1970: a third of the size of one.
+type unixNanos int64
 
-func stampOf(t time.Time) stamp    { return stamp(t.UnixNano()) }
-func (s stamp) time() time.Time    { return time.Unix(0, int64(s)) }
-func (s stamp) after(o stamp) bool { return s > o }
+func unixNanosOf(t time.Time) unixNanos    { return unixNanos(t.UnixNano()) }
+func (s unixNanos) time() time.Time    { return time.Unix(0, int64(s)) }
+func (s unixNanos) after(o unixNanos) bool { return s > o }
 
 // Failure is how a job failed last.
 type Failure struct {
-	Count     int // how often it has been tried again
+	RetryCount     int // how often it has been tried again
 	Remaining int
-	At        time.Time
-	Next      time.Time
-	Type      string
+	FailedAt        time.Time
+	NextAt      time.Time
+	ErrorType      string
 	Message   string
 	Backtrace []string
 }
 
-// Until is what ends a unique job's lock beside its time.
-type Until uint8
+// LockRelease is what ends a unique job's lock beside its time.
+type LockRelease uint8
 
 // Ends of a lock.
 const (
-	UntilSuccess Until = iota
-	UntilStart
+	ReleaseOnSuccess LockRelease = iota
+	ReleaseOnStart
 )
 
-// overhead is roughly what a job takes beside its body.
-const overhead = 450
+// jobOverheadBytes is roughly what a job takes beside its body.
+const jobOverheadBytes = 450
 
-func (j *Job) size() int { return len(j.Body) + len(j.ID) + len(j.Type) + len(j.Queue) + overhead }
+func (j *Job) size() int { return len(j.Body) + len(j.ID) + len(j.Type) + len(j.Queue) + jobOverheadBytes }
 
-// Where tells where a job is: the name of a set, Queued, or "" for none.
-func (j *Job) Where() string {
+// Location tells where a job is: the name of a set, Queued, or "" for none.
+func (j *Job) Location() string {
 	switch {
-	case j.in != nil:
-		return j.in.Name
-	case j.at != nil:
-		return Queued
+	case j.set != nil:
+		return j.set.Name
+	case j.queue != nil:
+		return InQueue
 	}
 	return ""
 }
 
-// Queued is where a job is that waits in its queue.
-const Queued = "queue"
+// InQueue is where a job is that waits in its queue.
+const InQueue = "queue"
 
-// When is the time that its set orders it by.
-func (j *Job) When() time.Time { return j.when.time() }
+// OrderTime is the time that its set orders it by.
+func (j *Job) OrderTime() time.Time { return j.orderedBy.time() }
--- a/internal/dispatcher/faktory/sets/mutate.go
+++ b/internal/dispatcher/faktory/sets/mutate.go
@@ -11,13 +11,13 @@
 
 // Filter picks jobs. What is empty picks all; a job must meet each part.
 type Filter struct {
-	Type    string
+	JobType    string
 	IDs     []string
 	Pattern string // of the job's JSON: * is any text, ? any character
 }
 
-// match compiles a filter.
-func (f Filter) match() (func(*Job) bool, error) {
+// matcher compiles a filter.
+func (f Filter) matcher() (func(*Job) bool, error) {
 	ids := make(map[string]bool, len(f.IDs))
 	for _, id := range f.IDs {
 		ids[id] = true
@@ -31,7 +31,7 @@
 		}
 	}
 	return func(j *Job) bool {
-		return (f.Type == "" || j.Type == f.Type) && (len(ids) == 0 || ids[j.ID]) && (pattern == nil || pattern.Match(j.Body))
+		return (f.JobType == "" || j.Type == f.JobType) && (len(ids) == 0 || ids[j.ID]) && (pattern == nil || pattern.Match(j.Body))
 	}, nil
 }
 
@@ -52,14 +52,14 @@
 // Mutate does something to the jobs of a set that a filter picks, all or none.
 // A job that may have run is queued again only where the caller vouches that it
 // has not. It returns the jobs.
-func (b *Book) Mutate(now time.Time, c Command, target string, f Filter, vouched bool) ([]*Job, error) {
-	now = b.moment(now)
+func (b *Store) Mutate(now time.Time, c Command, target string, f Filter, vouched bool) ([]*Job, error) {
+	now = b.monotonic(now)
 	at := slices.IndexFunc([]*Set{b.Scheduled, b.Retries, b.Dead}, func(s *Set) bool { return s.Name == target })
 	if at < 0 {
 		return nil, fmt.Errorf("no set is called %q", target)
 	}
 	set := []*Set{b.Scheduled, b.Retries, b.Dead}[at]
-	matches, err := f.match()
+	matches, err := f.matcher()
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 				return nil, fmt.Errorf("job %s %w", j.ID, ErrMayHaveRun)
 			}
 			if set == b.Dead {
-				if err := b.room(j); err != nil {
+				if err := b.checkCapacity(j); err != nil {
 					return nil, err
 				}
 			}
@@ -90,26 +90,26 @@
 		return nil, fmt.Errorf("no mutation is called %q", c)
 	}
 	for i, j := range picked {
-		b.forget(j)
+		b.remove(j)
 		switch c {
 		case Clear, Discard:
 			b.Unlock(j)
 		case Kill:
-			b.Bury(now, j)
+			b.MoveToDead(now, j)
 		case Requeue:
-			if set == b.Dead && b.room(j) != nil { // those before it have taken what there was
-				b.Bury(now, j)
-				return picked[:i], Full{fmt.Sprintf("%d of %d jobs were queued", i, len(picked))}
+			if set == b.Dead && b.checkCapacity(j) != nil { // those before it have taken what there was
+				b.MoveToDead(now, j)
+				return picked[:i], FullError{fmt.Sprintf("%d of %d jobs were queued", i, len(picked))}
 			}
-			j.MayHaveRun, j.Again = false, true
+			j.MayHaveRun, j.IsRetry = false, true
 			b.enqueue(now, j, false)
 		}
 	}
 	return picked, nil
 }
 
-// names resolves * to all queues.
-func (b *Book) names(names []string) []string {
+// resolveNames resolves * to all queues.
+func (b *Store) resolveNames(names []string) []string {
 	if !slices.Contains(names, "*") {
 		return names
 	}
@@ -123,8 +123,8 @@
 
 // Pause lets queues hand out nothing, also those that are not there yet. It
 // returns their names.
-func (b *Book) Pause(names []string, paused bool) []string {
-	names = b.names(names)
+func (b *Store) Pause(names []string, paused bool) []string {
+	names = b.resolveNames(names)
 	for _, name := range names {
 		if q := b.queues[name]; q != nil || paused && len(b.queues) < b.limits.Queues {
 			b.Queue(name).Paused = paused
@@ -134,15 +134,15 @@
 }
 
 // Remove drops queues with all that waits in them.
-func (b *Book) Remove(names []string) (dropped []*Job) {
-	for _, name := range b.names(names) {
+func (b *Store) Remove(names []string) (dropped []*Job) {
+	for _, name := range b.resolveNames(names) {
 		q := b.queues[name]
 		if q == nil {
 			continue
 		}
 		for q.first != nil {
 			j := q.first
-			b.forget(j)
+			b.remove(j)
 			b.Unlock(j)
 			dropped = append(dropped, j)
 		}
@@ -161,12 +161,12 @@
 }
 
 // Info tells of queues, in the order of their names; no names are all.
-func (b *Book) Info(now time.Time, names ...string) (infos []QueueInfo) {
+func (b *Store) Info(now time.Time, names ...string) (infos []QueueInfo) {
 	if len(names) == 0 {
 		names = []string{"*"}
 	}
-	now = b.moment(now)
-	for _, name := range b.names(names) {
+	now = b.monotonic(now)
+	for _, name := range b.resolveNames(names) {
 		i := QueueInfo{Name: name}
 		if q := b.queues[name]; q != nil {
 			i = QueueInfo{name, q.count, q.bytes, q.Paused, q.latency(now)}
--- a/internal/dispatcher/faktory/sets/set.go
+++ b/internal/dispatcher/faktory/sets/set.go
@@ -16,46 +16,46 @@
 // the Book uses nothing but its methods.
 type Set struct {
 	Name  string
-	jobs  indexedheap.Heap[*Job]
+	heap  indexedheap.Heap[*Job]
 	bytes int
 }
 
 // Len is how many jobs it holds.
-func (s *Set) Len() int { return s.jobs.Len() }
+func (s *Set) Len() int { return s.heap.Len() }
 
 // Add takes a job in.
-func (s *Set) Add(j *Job, when time.Time) {
-	j.in, j.when = s, stampOf(when)
+func (s *Set) Add(j *Job, at time.Time) {
+	j.set, j.orderedBy = s, unixNanosOf(at)
 	s.bytes += j.size()
-	s.jobs.Push(j)
+	s.heap.Push(j)
 }
 
 // Remove takes a job out that it holds.
 func (s *Set) Remove(j *Job) {
-	s.jobs.Remove(j.index)
+	s.heap.Remove(j.heapIndex)
 	s.bytes -= j.size()
-	j.in = nil
+	j.set = nil
 }
 
-// First is the job with the earliest time, or nil.
-func (s *Set) First() *Job {
-	if s.jobs.Len() == 0 {
+// Earliest is the job with the earliest time, or nil.
+func (s *Set) Earliest() *Job {
+	if s.heap.Len() == 0 {
 		return nil
 	}
-	return s.jobs.All()[0]
+	return s.heap.All()[0]
 }
 
 // Sorted lists the jobs by time.
 func (s *Set) Sorted() []*Job {
-	all := slices.Clone(s.jobs.All())
-	slices.SortFunc(all, byTime)
+	all := slices.Clone(s.heap.All())
+	slices.SortFunc(all, compareByTime)
 	return all
 }
 
-func byTime(a, b *Job) int { return cmp.Or(cmp.Compare(a.when, b.when), cmp.Compare(a.ID, b.ID)) }
+func compareByTime(a, b *Job) int { return cmp.Or(cmp.Compare(a.orderedBy, b.orderedBy), cmp.Compare(a.ID, b.ID)) }
 
 func newSet(name string) *Set {
-	return &Set{Name: name, jobs: indexedheap.New(func(a, b *Job) bool { return byTime(a, b) < 0 }, func(j *Job, at int) { j.index = at })}
+	return &Set{Name: name, heap: indexedheap.New(func(a, b *Job) bool { return compareByTime(a, b) < 0 }, func(j *Job, at int) { j.heapIndex = at })}
 }
 
 // Queue holds the jobs of one name in the order of their coming.
@@ -70,12 +70,12 @@
 // Len is how many jobs wait.
 func (q *Queue) Len() int { return q.count }
 
-// First is the job that has waited longest, or nil.
-func (q *Queue) First() *Job { return q.first }
+// Oldest is the job that has waited longest, or nil.
+func (q *Queue) Oldest() *Job { return q.first }
 
 // push puts a job at the end, or the front.
 func (q *Queue) push(j *Job, front bool) {
-	j.at, j.prev, j.next = q, nil, nil
+	j.queue, j.prev, j.next = q, nil, nil
 	switch {
 	case q.first == nil:
 		q.first, q.last = j, j
@@ -101,7 +101,7 @@
 	} else {
 		q.last = j.prev
 	}
-	j.prev, j.next, j.at = nil, nil, nil
+	j.prev, j.next, j.queue = nil, nil, nil
 	q.count--
 	q.bytes -= j.size()
 }
@@ -111,5 +111,5 @@
 	if q.first == nil {
 		return 0
 	}
-	return max(0, now.Sub(q.first.queued.time()))
+	return max(0, now.Sub(q.first.enqueuedAt.time()))
 }
--- a/internal/dispatcher/faktory/sets/sets_test.go
+++ b/internal/dispatcher/faktory/sets/sets_test.go
@@ -14,7 +14,7 @@
 
 var (
 	start = time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
-	roomy = Limits{Jobs: 1000, Bytes: 1 << 20, QueueJobs: 500, QueueBytes: 1 << 19, Queues: 10, Dead: 100, DeadBytes: 1 << 19, DeadFor: 24 * time.Hour}
+	roomy = Limits{Jobs: 1000, Bytes: 1 << 20, QueueJobs: 500, QueueBytes: 1 << 19, Queues: 10, Dead: 100, DeadBytes: 1 << 19, DeadRetention: 24 * time.Hour}
 )
 
 func job(id, queue string) *Job {
@@ -30,8 +30,8 @@
 		seq   int
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Jobs: 12, Bytes: 9000, QueueJobs: 8, QueueBytes: 6000, Queues: 3, Dead: 4, DeadBytes: 4000, DeadFor: time.Hour}
-		b, now, seq := NewBook(limits, 1), start, 0
+		limits := Limits{Jobs: 12, Bytes: 9000, QueueJobs: 8, QueueBytes: 6000, Queues: 3, Dead: 4, DeadBytes: 4000, DeadRetention: time.Hour}
+		b, now, seq := NewStore(limits, 1), start, 0
 		model := map[string]*entry{}
 		var out []*Job
 		count := func(where string) (n int) {
@@ -48,7 +48,7 @@
 				j := job(ids.Draw(t, "id"), rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "queue"))
 				j.Retries = rapid.Int32Range(-1, 2).Draw(t, "retries")
 				if rapid.Bool().Draw(t, "later") {
-					j.Rare = &Rare{At: now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "in")) * time.Second)}
+					j.Options = &Options{NotBefore: now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "in")) * time.Second)}
 				}
 				if slices.ContainsFunc(out, func(o *Job) bool { return o.ID == j.ID }) {
 					t.Skip() // the front never does that
@@ -56,7 +56,7 @@
 				known := model[j.ID]
 				err := b.Push(now, j)
 				if known != nil && known.where != "dead" {
-					require.ErrorIs(t, err, ErrKnown)
+					require.ErrorIs(t, err, ErrDuplicateID)
 					return
 				}
 				if err != nil {
@@ -65,7 +65,7 @@
 				}
 				seq++
 				model[j.ID] = &entry{j, "queue", now, seq}
-				if at := j.rare().At; at.After(b.moment(now)) {
+				if at := j.options().NotBefore; at.After(b.monotonic(now)) {
 					model[j.ID] = &entry{j, "scheduled", at, seq}
 				}
 			},
@@ -77,8 +77,8 @@
 						want = e
 					}
 				}
-				got, _ := b.Take(now, q)
-				if k := b.Known(q); want == nil || k.Paused {
+				got, _ := b.Dequeue(now, q)
+				if k := b.FindQueue(q); want == nil || k.Paused {
 					require.Nil(t, got)
 					return
 				}
@@ -95,28 +95,28 @@
 				may := rapid.Bool().Draw(t, "may repeat")
 				roomLeft := b.Len() < limits.Jobs && b.Bytes()+j.size() <= limits.Bytes
 				switch b.Failed(now, j, may, "E", "m", nil) {
-				case Gone:
+				case Discarded:
 					require.Negative(t, j.Retries)
-				case Died:
-					require.True(t, !may || j.Failure.Count >= int(j.Retries) || !roomLeft)
+				case MovedToDead:
+					require.True(t, !may || j.Failure.RetryCount >= int(j.Retries) || !roomLeft)
 					model[j.ID] = &entry{j, "dead", now, seq}
-				case Retried:
-					require.True(t, may && j.Failure.Count < int(j.Retries))
-					model[j.ID] = &entry{j, "retries", j.Failure.Next, seq}
+				case WillRetry:
+					require.True(t, may && j.Failure.RetryCount < int(j.Retries))
+					model[j.ID] = &entry{j, "retries", j.Failure.NextAt, seq}
 				}
 			},
 			"time": func(t *rapid.T) { // also backward
 				now = now.Add(time.Duration(rapid.IntRange(-30, 90).Draw(t, "seconds")) * time.Second)
 			},
 			"due": func(t *rapid.T) {
-				b.Due(now, 1000)
-				moment := b.moment(now)
+				b.PromoteDue(now, 1000)
+				moment := b.monotonic(now)
 				var due []*entry
 				for _, e := range model {
 					if (e.where == "scheduled" || e.where == "retries") && !e.when.After(moment) {
 						due = append(due, e)
 					}
-					if e.where == "dead" && moment.Sub(e.when) > limits.DeadFor {
+					if e.where == "dead" && moment.Sub(e.when) > limits.DeadRetention {
 						delete(model, e.job.ID)
 					}
 				}
@@ -152,7 +152,7 @@
 					require.Equal(t, set, model[j.ID].where)
 					switch c {
 					case Kill:
-						model[j.ID] = &entry{j, "dead", b.moment(now), seq}
+						model[j.ID] = &entry{j, "dead", b.monotonic(now), seq}
 					case Requeue:
 						seq++
 						model[j.ID] = &entry{j, "queue", now, seq}
@@ -177,7 +177,7 @@
 				}
 				require.Equal(t, count("queue"), queued)
 				for id, e := range model {
-					require.Equal(t, e.where, b.Find(id).Where())
+					require.Equal(t, e.where, b.Find(id).Location())
 					if e.where != "dead" {
 						bytes += e.job.size()
 					}
@@ -207,16 +207,16 @@
 
 // TestRetries: n tries more, then the dead; 0 is dead at once, -1 is gone.
 func TestRetries(t *testing.T) {
-	for retries, want := range map[int32][]Fate{0: {Died}, -1: {Gone}, 1: {Retried, Died}, 3: {Retried, Retried, Retried, Died}} {
-		b, j := NewBook(roomy, 1), job("job", "a")
+	for retries, want := range map[int32][]Disposition{0: {MovedToDead}, -1: {Discarded}, 1: {WillRetry, MovedToDead}, 3: {WillRetry, WillRetry, WillRetry, MovedToDead}} {
+		b, j := NewStore(roomy, 1), job("job", "a")
 		j.Retries = retries
-		var got []Fate
+		var got []Disposition
 		for now := start; len(got) < len(want); now = now.Add(time.Hour) {
 			got = append(got, b.Failed(now, j, true, "E", "m", []string{"line"}))
-			if b.Due(now.Add(time.Hour), 10); got[len(got)-1] == Retried {
-				taken, _ := b.Take(now.Add(time.Hour), "a")
+			if b.PromoteDue(now.Add(time.Hour), 10); got[len(got)-1] == WillRetry {
+				taken, _ := b.Dequeue(now.Add(time.Hour), "a")
 				require.Same(t, j, taken)
-				require.True(t, j.Again)
+				require.True(t, j.IsRetry)
 			}
 		}
 		require.Equal(t, want, got, retries)
@@ -226,74 +226,74 @@
 // TestRefusals: what the decisions turn away has not run and waits longer each
 // time; it uses up no tries until it is refused over and over.
 func TestRefusals(t *testing.T) {
-	b, j := NewBook(roomy, 1), job("job", "a")
+	b, j := NewStore(roomy, 1), job("job", "a")
 	now, last := start, time.Duration(0)
-	for n := range mostRefusals {
-		require.Equal(t, Retried, b.Refused(now, j, now.Add(time.Second)))
-		wait := j.When().Sub(now)
+	for n := range maxConsecutiveRejections {
+		require.Equal(t, WillRetry, b.Rejected(now, j, now.Add(time.Second)))
+		wait := j.OrderTime().Sub(now)
 		require.GreaterOrEqual(t, wait, last, n)
 		require.LessOrEqual(t, wait, 64*time.Second)
 		require.Nil(t, j.Failure)
-		now, last = j.When(), wait
-		b.Due(now, 10)
-		b.Take(now, "a")
+		now, last = j.OrderTime(), wait
+		b.PromoteDue(now, 10)
+		b.Dequeue(now, "a")
 	}
-	require.Equal(t, Retried, b.Refused(now, j, time.Time{}))
+	require.Equal(t, WillRetry, b.Rejected(now, j, time.Time{}))
 	require.NotNil(t, j.Failure)
 }
 
 // TestUnique: a lock is held until success, or start, or its time is over, and
 // by one job.
 func TestUnique(t *testing.T) {
-	unique := func(id string, until Until) *Job {
+	unique := func(id string, until LockRelease) *Job {
 		j := job(id, "a")
-		j.Rare = &Rare{Unique: 7, UniqueFor: time.Minute, UniqueUntil: until}
+		j.Options = &Options{UniqueKey: 7, UniqueTTL: time.Minute, ReleaseOn: until}
 		return j
 	}
 	for name, c := range map[string]struct {
-		do   func(b *Book, j *Job) (now time.Time)
+		do   func(b *Store, j *Job) (now time.Time)
 		free bool
 	}{
-		"while it waits":     {func(b *Book, j *Job) time.Time { return start }, false},
-		"while it runs":      {func(b *Book, j *Job) time.Time { b.Take(start, "a"); b.Started(j); return start }, false},
-		"when its time ends": {func(b *Book, j *Job) time.Time { return start.Add(time.Minute) }, true},
-		"on success":         {func(b *Book, j *Job) time.Time { b.Take(start, "a"); b.Unlock(j); return start }, true},
-		"when it is dead":    {func(b *Book, j *Job) time.Time { b.Take(start, "a"); b.Bury(start, j); return start }, true},
-		"on a retry": {func(b *Book, j *Job) time.Time {
-			b.Take(start, "a")
+		"while it waits":     {func(b *Store, j *Job) time.Time { return start }, false},
+		"while it runs":      {func(b *Store, j *Job) time.Time { b.Dequeue(start, "a"); b.Started(j); return start }, false},
+		"when its time ends": {func(b *Store, j *Job) time.Time { return start.Add(time.Minute) }, true},
+		"on success":         {func(b *Store, j *Job) time.Time { b.Dequeue(start, "a"); b.Unlock(j); return start }, true},
+		"when it is dead":    {func(b *Store, j *Job) time.Time { b.Dequeue(start, "a"); b.MoveToDead(start, j); return start }, true},
+		"on a retry": {func(b *Store, j *Job) time.Time {
+			b.Dequeue(start, "a")
 			b.Failed(start, j, true, "", "", nil)
 			return start
 		}, false},
-		"when its queue is removed": {func(b *Book, j *Job) time.Time { b.Remove([]string{"*"}); return start }, true},
-		"when all is flushed":       {func(b *Book, j *Job) time.Time { b.Flush(); return start }, true},
+		"when its queue is removed": {func(b *Store, j *Job) time.Time { b.Remove([]string{"*"}); return start }, true},
+		"when all is flushed":       {func(b *Store, j *Job) time.Time { b.Flush(); return start }, true},
 	} {
-		b, first := NewBook(roomy, 1), unique("first", UntilSuccess)
+		b, first := NewStore(roomy, 1), unique("first", ReleaseOnSuccess)
 		require.NoError(t, b.Push(start, first))
 		now := c.do(b, first)
-		if err := b.Push(now, unique("second", UntilSuccess)); c.free {
+		if err := b.Push(now, unique("second", ReleaseOnSuccess)); c.free {
 			require.NoError(t, err, name)
 		} else {
 			require.ErrorIs(t, err, ErrNotUnique, name)
 		}
 	}
-	b, first := NewBook(roomy, 1), unique("first", UntilStart)
+	b, first := NewStore(roomy, 1), unique("first", ReleaseOnStart)
 	require.NoError(t, b.Push(start, first))
-	require.ErrorIs(t, b.Push(start, unique("second", UntilStart)), ErrNotUnique)
-	b.Take(start, "a")
+	require.ErrorIs(t, b.Push(start, unique("second", ReleaseOnStart)), ErrNotUnique)
+	b.Dequeue(start, "a")
 	b.Started(first)
-	require.NoError(t, b.Push(start, unique("second", UntilStart)))
+	require.NoError(t, b.Push(start, unique("second", ReleaseOnStart)))
 	b.Unlock(first) // its success later does not take the other's lock
-	require.ErrorIs(t, b.Push(start, unique("third", UntilStart)), ErrNotUnique)
+	require.ErrorIs(t, b.Push(start, unique("third", ReleaseOnStart)), ErrNotUnique)
 }
 
 // TestMayHaveRun: what may have run is queued again by nobody who does not vouch
 // for it, and then all or none.
 func TestMayHaveRun(t *testing.T) {
-	b := NewBook(roomy, 1)
+	b := NewStore(roomy, 1)
 	for _, id := range []string{"safe", "paid"} {
 		j := job(id, "a")
 		j.MayHaveRun = id == "paid"
-		b.Bury(start, j)
+		b.MoveToDead(start, j)
 	}
 	_, err := b.Mutate(start, Requeue, "dead", Filter{}, false)
 	require.ErrorIs(t, err, ErrMayHaveRun)
@@ -313,20 +313,20 @@
 		want   []string
 	}{
 		"all":               {Filter{}, []string{"j1", "j2", "j3"}},
-		"type":              {Filter{Type: "U"}, []string{"j3"}},
+		"type":              {Filter{JobType: "U"}, []string{"j3"}},
 		"ids":               {Filter{IDs: []string{"j1", "j3", "j9"}}, []string{"j1", "j3"}},
 		"pattern":           {Filter{Pattern: `*"jid":"j?"*`}, []string{"j1", "j2", "j3"}},
 		"pattern with dots": {Filter{Pattern: "*j.*"}, nil},
 		"no part of it":     {Filter{Pattern: "j1"}, nil},
-		"type and pattern":  {Filter{Type: "T", Pattern: "*j2*"}, []string{"j2"}},
+		"type and pattern":  {Filter{JobType: "T", Pattern: "*j2*"}, []string{"j2"}},
 	} {
-		b := NewBook(roomy, 1)
+		b := NewStore(roomy, 1)
 		for n, id := range []string{"j1", "j2", "j3"} {
 			j := job(id, "a")
 			if n == 2 {
 				j.Type = "U"
 			}
-			j.Rare = &Rare{At: start.Add(time.Duration(n+1) * time.Minute)}
+			j.Options = &Options{NotBefore: start.Add(time.Duration(n+1) * time.Minute)}
 			require.NoError(t, b.Push(start, j))
 		}
 		picked, err := b.Mutate(start, Kill, "scheduled", c.filter, false)
@@ -338,7 +338,7 @@
 		require.Equal(t, c.want, got, name)
 		require.Equal(t, len(c.want), b.Dead.Len(), name)
 	}
-	b := NewBook(roomy, 1)
+	b := NewStore(roomy, 1)
 	_, err := b.Mutate(start, Kill, "nowhere", Filter{}, false)
 	require.Error(t, err)
 	_, err = b.Mutate(start, "dance", "dead", Filter{}, false)
@@ -348,11 +348,11 @@
 // TestOwners: one client's jobs do not take another's room.
 func TestOwners(t *testing.T) {
 	l := roomy
-	l.OwnerJobs, l.OwnerBytes = 2, 2000
-	b := NewBook(l, 1)
+	l.ClientJobs, l.ClientBytes = 2, 2000
+	b := NewStore(l, 1)
 	push := func(id, owner string, size int) error {
 		j := job(id, "a")
-		j.Owner, j.Body = owner, make([]byte, size)
+		j.Client, j.Body = owner, make([]byte, size)
 		return b.Push(start, j)
 	}
 	require.NoError(t, push("1", "x", 10))
@@ -360,21 +360,21 @@
 	require.ErrorIs(t, push("3", "x", 10), ErrFull)
 	require.ErrorIs(t, push("4", "y", 2000), ErrFull)
 	require.NoError(t, push("5", "y", 10))
-	b.Take(start, "a")
+	b.Dequeue(start, "a")
 	require.NoError(t, push("3", "x", 10))
 	b.Flush()
-	require.Empty(t, b.owners)
+	require.Empty(t, b.clients)
 }
 
 // TestExpiry: what has expired is not taken in, and not taken out.
 func TestExpiry(t *testing.T) {
-	b := NewBook(roomy, 1)
+	b := NewStore(roomy, 1)
 	late, soon := job("late", "a"), job("soon", "a")
-	late.Rare, soon.Rare = &Rare{ExpiresAt: start}, &Rare{ExpiresAt: start.Add(time.Second)}
+	late.Options, soon.Options = &Options{ExpiresAt: start}, &Options{ExpiresAt: start.Add(time.Second)}
 	require.ErrorIs(t, b.Push(start, late), ErrExpired)
 	require.NoError(t, b.Push(start, soon))
 	require.NoError(t, b.Push(start, job("good", "a")))
-	got, expired := b.Take(start.Add(2*time.Second), "a")
+	got, expired := b.Dequeue(start.Add(2*time.Second), "a")
 	require.Equal(t, "good", got.ID)
 	require.Equal(t, []*Job{soon}, expired)
 }
@@ -384,10 +384,10 @@
 func BenchmarkJob(b *testing.B) {
 	for _, waiting := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			l := Limits{Jobs: 1 << 20, Bytes: 1 << 30, QueueJobs: 1 << 20, QueueBytes: 1 << 30, Queues: 10, Dead: 10, DeadBytes: 1 << 20, DeadFor: time.Hour}
-			book, body := NewBook(l, 1), make([]byte, 200)
+			l := Limits{Jobs: 1 << 20, Bytes: 1 << 30, QueueJobs: 1 << 20, QueueBytes: 1 << 30, Queues: 10, Dead: 10, DeadBytes: 1 << 20, DeadRetention: time.Hour}
+			book, body := NewStore(l, 1), make([]byte, 200)
 			push := func(n int, at time.Time) {
-				if err := book.Push(start, &Job{ID: fmt.Sprint("job-", n), Type: "T", Queue: "a", Body: body, Rare: &Rare{At: at}}); err != nil {
+				if err := book.Push(start, &Job{ID: fmt.Sprint("job-", n), Type: "T", Queue: "a", Body: body, Options: &Options{NotBefore: at}}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -399,7 +399,7 @@
 			for b.Loop() {
 				push(n, time.Time{})
 				n++
-				book.Take(start, "a")
+				book.Dequeue(start, "a")
 			}
 		})
 	}
--- a/internal/dispatcher/faktory/show.go
+++ b/internal/dispatcher/faktory/show.go
@@ -49,7 +49,7 @@
 			v.Set("jid", a.NewString(j.ID))
 			v.Set("jobtype", a.NewString(j.Type))
 			v.Set("queue", a.NewString(j.Queue))
-			v.Set("when", a.NewString(j.When().UTC().Format(time.RFC3339Nano)))
+			v.Set("when", a.NewString(j.OrderTime().UTC().Format(time.RFC3339Nano)))
 			if j.MayHaveRun {
 				v.Set("may_have_run", a.NewTrue())
 			}
--- a/internal/dispatcher/faktory/workers.go
+++ b/internal/dispatcher/faktory/workers.go
@@ -172,7 +172,7 @@
 }
 
 func (ws *workers) paused(queue string) bool {
-	q := ws.back.book.Known(queue)
+	q := ws.back.book.FindQueue(queue)
 	return q != nil && q.Paused
 }
 
--- a/internal/dispatcher/override/golden_test.go
+++ b/internal/dispatcher/override/golden_test.go
@@ -19,14 +19,14 @@
 	back := time.UnixMilli(1_780_000_000_123)
 	s := New()
 	for _, id := range []string{"r-2", "r-1", "r \"3\"", "r-4"} {
-		require.True(t, s.Out(id))
+		require.True(t, s.TakeOut(id))
 	}
-	require.True(t, s.Back("r-4", back))
+	require.True(t, s.PutBack("r-4", back))
 	goldentest.Equal(t, goldenOverrides, s.Encode("n0"))
 
 	read, err := Decode(goldentest.Read(t, goldenOverrides), "n0")
 	require.NoError(t, err)
-	require.Equal(t, []string{"r \"3\"", "r-1", "r-2"}, read.Outs())
-	require.Equal(t, []string{"r-4"}, read.Backs())
-	require.Equal(t, back, read.BackAt("r-4"))
+	require.Equal(t, []string{"r \"3\"", "r-1", "r-2"}, read.OutRunners())
+	require.Equal(t, []string{"r-4"}, read.RestoredRunners())
+	require.Equal(t, back, read.RestoredAt("r-4"))
 }
--- a/internal/dispatcher/override/hand.go
+++ b/internal/dispatcher/override/hand.go
@@ -13,56 +13,56 @@
 	"github.com/valyala/fastjson"
 )
 
-// Version is the form of the state that this program writes and reads.
-const Version = 1
+// FormatVersion is the form of the state that this program writes and reads.
+const FormatVersion = 1
 
 // State is what operators have set.
 type State struct {
-	out  map[string]bool      // runner ids taken out
-	back map[string]time.Time // when each runner was last put back
+	outRunners  map[string]bool      // runner ids taken out
+	restoredAt map[string]time.Time // when each runner was last put back
 }
 
 // New returns a state in which nothing is set.
 func New() *State {
-	return &State{out: map[string]bool{}, back: map[string]time.Time{}}
+	return &State{outRunners: map[string]bool{}, restoredAt: map[string]time.Time{}}
 }
 
-// Out takes a runner out. A second call changes nothing; it tells whether this
+// TakeOut takes a runner out. A second call changes nothing; it tells whether this
 // one did.
-func (s *State) Out(id string) bool {
-	if s.out[id] {
+func (s *State) TakeOut(id string) bool {
+	if s.outRunners[id] {
 		return false
 	}
-	s.out[id] = true
+	s.outRunners[id] = true
 	return true
 }
 
-// Back puts a runner back at now, however often it was taken out. It tells
+// PutBack puts a runner back at now, however often it was taken out. It tells
 // whether it was out.
-func (s *State) Back(id string, now time.Time) bool {
-	if !s.out[id] {
+func (s *State) PutBack(id string, now time.Time) bool {
+	if !s.outRunners[id] {
 		return false
 	}
-	delete(s.out, id)
-	s.back[id] = now
+	delete(s.outRunners, id)
+	s.restoredAt[id] = now
 	return true
 }
 
 // IsOut tells whether a runner is out.
-func (s *State) IsOut(id string) bool { return s.out[id] }
+func (s *State) IsOut(id string) bool { return s.outRunners[id] }
 
-// Outs are the runners taken out, in order.
-func (s *State) Outs() []string { return slices.Sorted(maps.Keys(s.out)) }
+// OutRunners are the runners taken out, in order.
+func (s *State) OutRunners() []string { return slices.Sorted(maps.Keys(s.outRunners)) }
 
-// BackAt is when a runner was last put back; zero: never.
-func (s *State) BackAt(id string) time.Time { return s.back[id] }
+// RestoredAt is when a runner was last put back; zero: never.
+func (s *State) RestoredAt(id string) time.Time { return s.restoredAt[id] }
 
-// Forget drops what is kept of runners put back before a time: they are warm
+// ForgetRestoredBefore drops what is kept of runners put back before a time: they are warm
 // by then or were listed as started again.
-func (s *State) Forget(before time.Time) {
-	for id, at := range s.back {
+func (s *State) ForgetRestoredBefore(before time.Time) {
+	for id, at := range s.restoredAt {
 		if at.Before(before) {
-			delete(s.back, id)
+			delete(s.restoredAt, id)
 		}
 	}
 }
@@ -71,16 +71,16 @@
 func (s *State) Encode(name string) []byte {
 	a := fastjson.Arena{}
 	o := a.NewObject()
-	o.Set("version", a.NewNumberInt(Version))
+	o.Set("version", a.NewNumberInt(FormatVersion))
 	o.Set("name", a.NewString(name))
 	outs := a.NewArray()
-	for i, id := range s.Outs() {
+	for i, id := range s.OutRunners() {
 		outs.SetArrayItem(i, a.NewString(id))
 	}
 	o.Set("out", outs)
 	back := a.NewObject()
-	for _, id := range s.Backs() {
-		back.Set(id, a.NewNumberInt(int(s.back[id].UnixMilli())))
+	for _, id := range s.RestoredRunners() {
+		back.Set(id, a.NewNumberInt(int(s.restoredAt[id].UnixMilli())))
 	}
 	o.Set("back", back)
 	return o.MarshalTo(nil)
@@ -94,8 +94,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("state of the operators' settings: %w", err)
 	}
-	if n := v.GetInt("version"); n != Version {
-		return nil, fmt.Errorf("state of the operators' settings: version %d, not %d", n, Version)
+	if n := v.GetInt("version"); n != FormatVersion {
+		return nil, fmt.Errorf("state of the operators' settings: version %d, not %d", n, FormatVersion)
 	}
 	if got := string(v.GetStringBytes("name")); got != name {
 		return nil, fmt.Errorf("state of the operators' settings: of dispatcher %q, not %q", got, name)
@@ -113,7 +113,7 @@
 		if err != nil || len(b) == 0 {
 			return nil, fmt.Errorf("state of the operators' settings: out: no runner id")
 		}
-		s.out[string(b)] = true
+		s.outRunners[string(b)] = true
 	}
 	back, err := v.Get("back").Object()
 	if err != nil {
@@ -125,7 +125,7 @@
 			err = fmt.Errorf("state of the operators' settings: back: %s: no time", id)
 			return
 		}
-		s.back[string(id)] = time.UnixMilli(ms)
+		s.restoredAt[string(id)] = time.UnixMilli(ms)
 	})
 	if err != nil {
 		return nil, err
@@ -133,5 +133,5 @@
 	return s, nil
 }
 
-// Backs are the runners put back whose time is kept, in order.
-func (s *State) Backs() []string { return slices.Sorted(maps.Keys(s.back)) }
+// RestoredRunners are the runners put back whose time is kept, in order.
+func (s *State) RestoredRunners() []string { return slices.Sorted(maps.Keys(s.restoredAt)) }
--- a/internal/dispatcher/override/hand_test.go
+++ b/internal/dispatcher/override/hand_test.go
@@ -10,34 +10,34 @@
 // TestOutTwiceBackOnce: two calls out, one call back undoes both.
 func TestOutTwiceBackOnce(t *testing.T) {
 	s, at := New(), time.UnixMilli(1_700_000_000_000)
-	require.True(t, s.Out("r1"))
-	require.False(t, s.Out("r1"))
+	require.True(t, s.TakeOut("r1"))
+	require.False(t, s.TakeOut("r1"))
 	require.True(t, s.IsOut("r1"))
-	require.True(t, s.Back("r1", at))
+	require.True(t, s.PutBack("r1", at))
 	require.False(t, s.IsOut("r1"))
-	require.False(t, s.Back("r1", at))
-	require.Equal(t, at, s.BackAt("r1"))
-	s.Forget(at.Add(time.Millisecond))
-	require.True(t, s.BackAt("r1").IsZero())
+	require.False(t, s.PutBack("r1", at))
+	require.Equal(t, at, s.RestoredAt("r1"))
+	s.ForgetRestoredBefore(at.Add(time.Millisecond))
+	require.True(t, s.RestoredAt("r1").IsZero())
 }
 
 // TestRoundTrip: what is written is read back whole.
 func TestRoundTrip(t *testing.T) {
 	s, at := New(), time.UnixMilli(1_700_000_000_000)
-	s.Out("b")
-	s.Out("a")
-	s.Out("c")
-	s.Back("c", at)
+	s.TakeOut("b")
+	s.TakeOut("a")
+	s.TakeOut("c")
+	s.PutBack("c", at)
 	got, err := Decode(s.Encode("n0"), "n0")
 	require.NoError(t, err)
-	require.Equal(t, []string{"a", "b"}, got.Outs())
-	require.Equal(t, at, got.BackAt("c"))
+	require.Equal(t, []string{"a", "b"}, got.OutRunners())
+	require.Equal(t, at, got.RestoredAt("c"))
 }
 
 // TestBadState: a missing, cut, foreign or older state is turned down whole.
 func TestBadState(t *testing.T) {
 	s := New()
-	s.Out("a")
+	s.TakeOut("a")
 	good := s.Encode("n0")
 	for name, text := range map[string]string{
 		"empty":         "",
--- a/internal/dispatcher/server/assembly.go
+++ b/internal/dispatcher/server/assembly.go
@@ -197,7 +197,7 @@
 
 // state is what balancers are told.
 func (s *Service) state() agentcheck.State {
-	st := agentcheck.State{Ready: s.hub.Ready(), Draining: s.isDraining(), Open: s.hub.Unanswered(), Most: s.limits.MaxOpen}
+	st := agentcheck.State{Ready: s.hub.Ready(), Draining: s.isDraining(), InFlight: s.hub.Unanswered(), MaxInFlight: s.limits.MaxOpen}
 	stopped := false
 	if s.journal != nil {
 		stopped, _ = s.journal.Stopped()
--- a/internal/dispatcher/server/operators.go
+++ b/internal/dispatcher/server/operators.go
@@ -53,7 +53,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.hand.Out(id)
+	o.hand.TakeOut(id)
 	return o.save()
 }
 
@@ -66,8 +66,8 @@
 		return adminapi.ErrUnknownRunner
 	}
 	now := time.Now()
-	o.hand.Back(id, now)
-	o.hand.Forget(now.Add(-handFor))
+	o.hand.PutBack(id, now)
+	o.hand.ForgetRestoredBefore(now.Add(-handFor))
 	return o.save()
 }
 
@@ -154,14 +154,14 @@
 	defer o.mu.Unlock()
 	o.hand = h
 	now := time.Now()
-	h.Forget(now.Add(-handFor))
-	for _, id := range h.Outs() {
+	h.ForgetRestoredBefore(now.Add(-handFor))
+	for _, id := range h.OutRunners() {
 		o.s.hub.SetMemberOut(id, true, true)
 	}
-	for _, id := range h.Backs() {
-		o.s.hub.MarkRestored(id, h.BackAt(id))
+	for _, id := range h.RestoredRunners() {
+		o.s.hub.MarkRestored(id, h.RestoredAt(id))
 	}
-	log.WithField("out", len(h.Outs())).Info("the operators' settings of an older process are taken over")
+	log.WithField("out", len(h.OutRunners())).Info("the operators' settings of an older process are taken over")
 }
 
 // peersDir holds a file for each process of this dispatcher that has a door:
--- a/internal/dispatcher/simprotocol/decode.go
+++ b/internal/dispatcher/simprotocol/decode.go
@@ -25,15 +25,15 @@
 	BatchEnd
 	Configure
 	Teardown
-	Members
-	Ingress
-	Completed
-	StatusBack
-	StatusNote
-	Opened
-	Lapsed
-	Elapsed
-	Memo
+	MembershipChanged
+	RequestArrived
+	AttemptEnded
+	ProbeAnswered
+	AttemptUpdated
+	StreamStarted
+	ClientGone
+	TimerFired
+	PeerMessage
 )
 
 // Event is one event of a batch. Only the fields of its kind are set; it is
@@ -44,19 +44,19 @@
 	Now      time.Duration
 
 	Settings policy.Settings
-	List     policy.ListKind
-	Entries  []policy.Member
+	ListKind     policy.ListKind
+	Members  []policy.Member
 	Request  policy.Request
-	Outcome  policy.AttemptResult
-	Probed   policy.ProbeResult
-	Note     policy.AttemptUpdate
-	First    policy.StreamStart
-	ID       string // Lapsed: the request
-	Token    string // Elapsed
+	AttemptResult  policy.AttemptResult
+	ProbeResult   policy.ProbeResult
+	AttemptUpdate     policy.AttemptUpdate
+	StreamStart    policy.StreamStart
+	RequestID       string // Lapsed: the request
+	TimerToken    string // Elapsed
 }
 
 const (
-	maxLine  = 64 << 20
+	maxLineBytes  = 64 << 20
 	maxLists = 16
 )
 
@@ -65,10 +65,10 @@
 	in      *bufio.Scanner
 	line    int
 	inBatch bool
-	ev      Event
-	words   map[string]string // names seen, so that each is allocated once
-	lists   [maxLists][]policy.Member
-	listSet [maxLists]bool
+	event      Event
+	interned   map[string]string // names seen, so that each is allocated once
+	memberLists   [maxLists][]policy.Member
+	listDefined [maxLists]bool
 	fields  []field
 }
 
@@ -77,8 +77,8 @@
 // NewDecoder returns a decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, 1<<20), maxLine)
-	return &Decoder{in: in, words: make(map[string]string)}
+	in.Buffer(make([]byte, 0, 1<<20), maxLineBytes)
+	return &Decoder{in: in, interned: make(map[string]string)}
 }
 
 // Next returns the next event. It returns io.EOF at the end of input between
@@ -88,12 +88,12 @@
 		if !d.scan() {
 			return nil, d.endOfInput()
 		}
-		done, err := d.decode(d.in.Bytes())
+		done, err := d.decodeLine(d.in.Bytes())
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", d.line, err)
 		}
 		if done {
-			return &d.ev, nil
+			return &d.event, nil
 		}
 	}
 }
@@ -116,8 +116,8 @@
 	return io.EOF
 }
 
-// decode reads one line. It reports whether the line made an event.
-func (d *Decoder) decode(line []byte) (bool, error) {
+// decodeLine reads one line. It reports whether the line made an event.
+func (d *Decoder) decodeLine(line []byte) (bool, error) {
 	name, err := d.split(line)
 	if err != nil {
 		return false, err
@@ -130,11 +130,11 @@
 		if err != nil {
 			return false, err
 		}
-		if now < int64(d.ev.Now) {
+		if now < int64(d.event.Now) {
 			return false, errors.New("at_time: the clock runs backward")
 		}
 		d.inBatch = true
-		d.ev = Event{Kind: BatchStart, Now: time.Duration(now)}
+		d.event = Event{Kind: BatchStart, Now: time.Duration(now)}
 		return true, nil
 	}
 	switch string(name) {
@@ -142,26 +142,26 @@
 		return false, errors.New("BEGIN_BATCH inside a batch")
 	case "EOB":
 		d.inBatch = false
-		d.ev.Kind = BatchEnd
+		d.event.Kind = BatchEnd
 		return true, nil
 	case "INSTANCE":
-		d.ev.Instance, err = d.text("i")
+		d.event.Instance, err = d.text("i")
 		return false, err
 	case "ROSTER":
 		return false, d.roster()
 	}
-	if err := d.event(string(name)); err != nil {
+	if err := d.decodeMessage(string(name)); err != nil {
 		return false, fmt.Errorf("%s: %w", name, err)
 	}
-	if d.ev.Instance == "" {
+	if d.event.Instance == "" {
 		return false, fmt.Errorf("%s before any INSTANCE", name)
 	}
 	return true, nil
 }
 
-// event reads the line of a message that belongs to an instance.
-func (d *Decoder) event(name string) error {
-	ev := &d.ev
+// decodeMessage reads the line of a message that belongs to an instance.
+func (d *Decoder) decodeMessage(name string) error {
+	ev := &d.event
 	var err error
 	switch name {
 	case "CONFIGURE":
@@ -170,31 +170,31 @@
 	case "TEARDOWN":
 		ev.Kind = Teardown
 	case "DISCOVERY":
-		ev.Kind = Members
+		ev.Kind = MembershipChanged
 		err = d.members()
 	case "INGRESS":
-		ev.Kind = Ingress
+		ev.Kind = RequestArrived
 		err = d.request()
 	case "COMPLETED":
-		ev.Kind = Completed
-		err = d.outcome()
+		ev.Kind = AttemptEnded
+		err = d.attemptResult()
 	case "STATUS_BACK":
-		ev.Kind = StatusBack
-		err = d.probed()
+		ev.Kind = ProbeAnswered
+		err = d.probeResult()
 	case "STATUS_NOTE":
-		ev.Kind = StatusNote
-		err = d.note()
+		ev.Kind = AttemptUpdated
+		err = d.attemptUpdate()
 	case "OPENED":
-		ev.Kind = Opened
-		ev.First.Request, ev.First.Attempt, ev.First.Worker, err = d.attempt()
+		ev.Kind = StreamStarted
+		ev.StreamStart.Request, ev.StreamStart.Attempt, ev.StreamStart.Worker, err = d.attempt()
 	case "LAPSED":
-		ev.Kind = Lapsed
-		ev.ID, err = d.text("txn")
+		ev.Kind = ClientGone
+		ev.RequestID, err = d.text("txn")
 	case "ELAPSED":
-		ev.Kind = Elapsed
-		ev.Token, err = d.word("ctx")
+		ev.Kind = TimerFired
+		ev.TimerToken, err = d.internedField("ctx")
 	case "MEMO":
-		ev.Kind = Memo
+		ev.Kind = PeerMessage
 		_, err = d.integer("by")
 	default:
 		err = errors.New("unknown message")
@@ -205,11 +205,11 @@
 // split cuts a line into the message name and its fields.
 func (d *Decoder) split(line []byte) ([]byte, error) {
 	d.fields = d.fields[:0]
-	name, rest, more := cut(line, '\t')
+	name, rest, more := cutByte(line, '\t')
 	for more {
 		var part []byte
-		part, rest, more = cut(rest, '\t')
-		key, value, ok := cut(part, '=')
+		part, rest, more = cutByte(rest, '\t')
+		key, value, ok := cutByte(part, '=')
 		if !ok || len(key) == 0 {
 			return nil, fmt.Errorf("%s: %q is not name=value", name, part)
 		}
@@ -217,7 +217,7 @@
 			value = line[len(line)-len(rest)-1-len(value):]
 			more = false
 		}
-		if _, twice := d.get(string(key)); twice {
+		if _, twice := d.field(string(key)); twice {
 			return nil, fmt.Errorf("%s: %s given twice", name, key)
 		}
 		d.fields = append(d.fields, field{key, value})
@@ -225,7 +225,7 @@
 	return name, nil
 }
 
-func cut(b []byte, sep byte) (before, after []byte, found bool) {
+func cutByte(b []byte, sep byte) (before, after []byte, found bool) {
 	for i, c := range b {
 		if c == sep {
 			return b[:i], b[i+1:], true
@@ -234,7 +234,7 @@
 	return b, nil, false
 }
 
-func (d *Decoder) get(name string) ([]byte, bool) {
+func (d *Decoder) field(name string) ([]byte, bool) {
 	for i := range d.fields {
 		if string(d.fields[i].name) == name {
 			return d.fields[i].value, true
@@ -244,7 +244,7 @@
 }
 
 func (d *Decoder) required(name string) ([]byte, error) {
-	v, ok := d.get(name)
+	v, ok := d.field(name)
 	if !ok {
 		return nil, fmt.Errorf("%s is missing", name)
 	}
@@ -260,8 +260,8 @@
 	return string(v), err
 }
 
-// word returns a field whose values repeat; each is allocated once.
-func (d *Decoder) word(name string) (string, error) {
+// internedField returns a field whose values repeat; each is allocated once.
+func (d *Decoder) internedField(name string) (string, error) {
 	v, err := d.required(name)
 	if err != nil {
 		return "", err
@@ -269,17 +269,17 @@
 	return d.intern(v), nil
 }
 
-func (d *Decoder) optionalWord(name string) string {
-	v, _ := d.get(name)
+func (d *Decoder) optionalInterned(name string) string {
+	v, _ := d.field(name)
 	return d.intern(v)
 }
 
 func (d *Decoder) intern(v []byte) string {
-	if w, ok := d.words[string(v)]; ok {
+	if w, ok := d.interned[string(v)]; ok {
 		return w
 	}
 	w := string(v)
-	d.words[w] = w
+	d.interned[w] = w
 	return w
 }
 
@@ -292,7 +292,7 @@
 }
 
 func (d *Decoder) optionalInt(name string) (int64, error) {
-	v, ok := d.get(name)
+	v, ok := d.field(name)
 	if !ok {
 		return 0, nil
 	}
@@ -326,7 +326,7 @@
 }
 
 func (d *Decoder) optionalFloat(name string) (float64, error) {
-	v, ok := d.get(name)
+	v, ok := d.field(name)
 	if !ok {
 		return 0, nil
 	}
@@ -342,7 +342,7 @@
 }
 
 func (d *Decoder) flag(name string) (bool, error) {
-	v, ok := d.get(name)
+	v, ok := d.field(name)
 	switch {
 	case !ok || string(v) == "0":
 		return false, nil
@@ -403,7 +403,7 @@
 }
 
 func (d *Decoder) request() error {
-	r := &d.ev.Request
+	r := &d.event.Request
 	var err error
 	keep := func(e error) {
 		if err == nil {
@@ -414,9 +414,9 @@
 	var n int64
 	r.ID, e = d.text("txn")
 	keep(e)
-	r.Class, e = d.word("class")
+	r.Class, e = d.internedField("class")
 	keep(e)
-	subject, _ := d.get("entity")
+	subject, _ := d.field("entity")
 	r.AffinityKey = string(subject)
 	n, e = d.optionalInt("cost_guess")
 	r.Hint = time.Duration(n)
@@ -440,8 +440,8 @@
 	return err
 }
 
-func (d *Decoder) outcome() error {
-	o := &d.ev.Outcome
+func (d *Decoder) attemptResult() error {
+	o := &d.event.AttemptResult
 	var err error
 	if o.Request, o.Attempt, o.Worker, err = d.attempt(); err != nil {
 		return err
@@ -456,8 +456,8 @@
 	return err
 }
 
-func (d *Decoder) probed() error {
-	p := &d.ev.Probed
+func (d *Decoder) probeResult() error {
+	p := &d.event.ProbeResult
 	var err error
 	if p.Worker, err = d.worker(); err != nil {
 		return err
@@ -474,12 +474,12 @@
 	if err != nil {
 		return 0, policy.Report{}, err
 	}
-	r, err := d.report()
+	r, err := d.loadReport()
 	return time.Duration(n), r, err
 }
 
-func (d *Decoder) note() error {
-	n := &d.ev.Note
+func (d *Decoder) attemptUpdate() error {
+	n := &d.event.AttemptUpdate
 	var err error
 	if n.Request, n.Attempt, n.Worker, err = d.attempt(); err != nil {
 		return err
@@ -496,15 +496,15 @@
 	return err
 }
 
-// report reads the pairs of a load report; pairs that are not known are skipped.
-func (d *Decoder) report() (policy.Report, error) {
+// loadReport reads the pairs of a load report; pairs that are not known are skipped.
+func (d *Decoder) loadReport() (policy.Report, error) {
 	var r policy.Report
-	rest, ok := d.get("server_stats")
+	rest, ok := d.field("server_stats")
 	more := ok && len(rest) > 0
 	for more {
 		var part []byte
-		part, rest, more = cut(rest, ',')
-		name, value, ok := cut(part, ':')
+		part, rest, more = cutByte(rest, ',')
+		name, value, ok := cutByte(part, ':')
 		if !ok {
 			return r, fmt.Errorf("server_stats: %q is not name:value", part)
 		}
@@ -542,7 +542,7 @@
 	}
 	count, err := d.integer("records")
 	if err != nil || count < 0 {
-		return fmt.Errorf("ROSTER: bad records: %w", orRange(err))
+		return fmt.Errorf("ROSTER: bad records: %w", orOutOfRange(err))
 	}
 	var entries []policy.Member
 	for range count {
@@ -555,11 +555,11 @@
 		}
 		entries = append(entries, m)
 	}
-	d.lists[id], d.listSet[id] = entries, true
+	d.memberLists[id], d.listDefined[id] = entries, true
 	return nil
 }
 
-func orRange(err error) error {
+func orOutOfRange(err error) error {
 	if err == nil {
 		return errors.New("out of range")
 	}
@@ -589,7 +589,7 @@
 	if m.Worker, err = d.worker(); err != nil {
 		return m, fmt.Errorf("ROW: %w", err)
 	}
-	m.Kind, m.Zone = d.optionalWord("type"), d.optionalWord("dc")
+	m.Kind, m.Zone = d.optionalInterned("type"), d.optionalInterned("dc")
 	cell, err := d.optionalInt("cluster")
 	if err != nil {
 		return m, fmt.Errorf("ROW: %w", err)
@@ -603,7 +603,7 @@
 	if m.Weight, err = d.optionalFloat("scale"); err != nil {
 		return m, fmt.Errorf("ROW: %w", err)
 	}
-	switch state, _ := d.get("stage_state"); string(state) {
+	switch state, _ := d.field("stage_state"); string(state) {
 	case "healthy":
 		m.State = policy.Ready
 	case "cordoned":
@@ -623,13 +623,13 @@
 	}
 	switch string(kind) {
 	case "update":
-		d.ev.List = policy.ListDelta
+		d.event.ListKind = policy.ListDelta
 	case "replace":
-		d.ev.List = policy.ListSnapshot
+		d.event.ListKind = policy.ListSnapshot
 	case "restored":
-		d.ev.List = policy.ListRestored
+		d.event.ListKind = policy.ListRestored
 	case "unavailable":
-		d.ev.List, d.ev.Entries = policy.ListFailed, nil
+		d.event.ListKind, d.event.Members = policy.ListFailed, nil
 		return nil
 	default:
 		return fmt.Errorf("kind: unknown kind %q", kind)
@@ -638,15 +638,15 @@
 	if err != nil {
 		return err
 	}
-	if !d.listSet[id] {
+	if !d.listDefined[id] {
 		return fmt.Errorf("set_id: no list %d yet", id)
 	}
-	d.ev.Entries = d.lists[id]
+	d.event.Members = d.memberLists[id]
 	return nil
 }
 
-// At names the line of input last read, for errors about its event.
-func (d *Decoder) At() string { return "line " + strconv.Itoa(d.line) }
+// Position names the line of input last read, for errors about its event.
+func (d *Decoder) Position() string { return "line " + strconv.Itoa(d.line) }
 
 func (d *Decoder) configure() error {
 	seed, err := d.required("nonce64")
@@ -664,7 +664,7 @@
 	if s.Seed, err = parseSeed(string(seed)); err != nil {
 		return err
 	}
-	d.ev.Settings = s
+	d.event.Settings = s
 	return nil
 }
 
--- a/internal/dispatcher/simprotocol/encode.go
+++ b/internal/dispatcher/simprotocol/encode.go
@@ -13,8 +13,8 @@
 // Encoder writes the replies to batches.
 type Encoder struct {
 	out *bufio.Writer
-	at  string // instance that the last SOURCE line named
-	num []byte
+	currentInstance  string // instance that the last SOURCE line named
+	numberBuffer []byte
 }
 
 // NewEncoder returns an encoder that writes to w.
@@ -24,7 +24,7 @@
 
 // Finish ends the reply to a batch and flushes it.
 func (e *Encoder) Finish() error {
-	e.at = ""
+	e.currentInstance = ""
 	e.out.WriteString("FINISHED\n")
 	return e.out.Flush()
 }
@@ -41,8 +41,8 @@
 
 // begin starts an action, after a SOURCE line where the instance changes.
 func (h *host) begin(action string) {
-	if h.e.at != h.instance {
-		h.e.at = h.instance
+	if h.e.currentInstance != h.instance {
+		h.e.currentInstance = h.instance
 		h.e.out.WriteString("SOURCE\ti=")
 		h.e.out.WriteString(h.instance)
 		h.e.out.WriteByte('\n')
@@ -59,8 +59,8 @@
 
 func (h *host) number(name string, value int64) {
 	h.text(name, "")
-	h.e.num = strconv.AppendInt(h.e.num[:0], value, 10)
-	h.e.out.Write(h.e.num)
+	h.e.numberBuffer = strconv.AppendInt(h.e.numberBuffer[:0], value, 10)
+	h.e.out.Write(h.e.numberBuffer)
 }
 
 func (h *host) end() { h.e.out.WriteByte('\n') }
@@ -133,11 +133,11 @@
 	h.end()
 }
 
-var oneLine = strings.NewReplacer("\n", " ", "\r", " ")
+var newlinesToSpaces = strings.NewReplacer("\n", " ", "\r", " ")
 
 // Log implements basaltloft.Host.
 func (h *host) Log(text string) {
 	h.begin("SAY_LOG")
-	h.text("body_text", oneLine.Replace(text))
+	h.text("body_text", newlinesToSpaces.Replace(text))
 	h.end()
 }
--- a/internal/dispatcher/simprotocol/golden_test.go
+++ b/internal/dispatcher/simprotocol/golden_test.go
@@ -90,10 +90,10 @@
 		t.Helper()
 		e, err := d.Next()
 		require.NoError(t, err)
-		require.Equal(t, kind, e.Kind, d.At())
+		require.Equal(t, kind, e.Kind, d.Position())
 		require.Equal(t, time.Second, e.Now)
 		copied := *e
-		copied.Entries = slices.Clone(e.Entries)
+		copied.Members = slices.Clone(e.Members)
 		return copied
 	}
 	next(BatchStart)
@@ -109,36 +109,36 @@
 		{Worker: 7, State: policy.Removed},
 	}
 	for _, list := range []policy.ListKind{policy.ListDelta, policy.ListSnapshot, policy.ListRestored} {
-		told := next(Members)
-		require.Equal(t, list, told.List)
-		require.Equal(t, members, told.Entries)
+		told := next(MembershipChanged)
+		require.Equal(t, list, told.ListKind)
+		require.Equal(t, members, told.Members)
 	}
-	failed := next(Members)
-	require.Equal(t, policy.ListFailed, failed.List)
-	require.Empty(t, failed.Entries)
+	failed := next(MembershipChanged)
+	require.Equal(t, policy.ListFailed, failed.ListKind)
+	require.Empty(t, failed.Members)
 	require.Equal(t, policy.Request{
 		ID: "r-1", Class: "c", AffinityKey: "91f0 3b", Hint: 100 * time.Millisecond, Deadline: 6 * time.Second, Slots: 2, Memory: 0.5, Retry: true,
-	}, next(Ingress).Request)
+	}, next(RequestArrived).Request)
 	all := policy.HasInFlight | policy.HasQueue | policy.HasUtil | policy.HasLatency | policy.HasQPS | policy.HasErrors | policy.HasX0 | policy.HasX1
 	require.Equal(t, policy.AttemptResult{
 		Request: "r-1", Attempt: 2, Worker: 6, Status: policy.Rejected, Final: true, Latency: 5,
 		Report: policy.Report{Has: all, InFlight: 1, Queue: 2, Util: 0.3, LatencyMS: 4, QPS: 5, ErrorsPerS: 6, X0: 7, X1: 8},
-	}, next(Completed).Outcome)
+	}, next(AttemptEnded).AttemptResult)
 	for _, status := range []policy.Status{
 		policy.OK, policy.Error, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent,
 	} {
-		require.Equal(t, policy.AttemptResult{Request: "r-1", Worker: 6, Status: status}, next(Completed).Outcome)
+		require.Equal(t, policy.AttemptResult{Request: "r-1", Worker: 6, Status: status}, next(AttemptEnded).AttemptResult)
 	}
 	require.Equal(t, policy.ProbeResult{
 		Worker: 5, Status: policy.TimedOut, Latency: 1400 * time.Microsecond, Report: policy.Report{Has: policy.HasX0, X0: 0.4},
-	}, next(StatusBack).Probed)
-	require.Equal(t, policy.AttemptUpdate{Request: "r-1", Attempt: 1, Worker: 5, Kind: policy.UpdateProgress, Value: 0.5}, next(StatusNote).Note)
-	require.Equal(t, policy.AttemptUpdate{Request: "r-1", Attempt: 1, Worker: 5, Kind: policy.UpdateStarted}, next(StatusNote).Note)
-	require.Equal(t, policy.AttemptUpdate{Request: "r-1", Attempt: 1, Worker: 5}, next(StatusNote).Note)
-	require.Equal(t, policy.StreamStart{Request: "r-1", Attempt: 3, Worker: 5}, next(Opened).First)
-	require.Equal(t, "r-9", next(Lapsed).ID)
-	require.Equal(t, "sweep", next(Elapsed).Token)
-	next(Memo)
+	}, next(ProbeAnswered).ProbeResult)
+	require.Equal(t, policy.AttemptUpdate{Request: "r-1", Attempt: 1, Worker: 5, Kind: policy.UpdateProgress, Value: 0.5}, next(AttemptUpdated).AttemptUpdate)
+	require.Equal(t, policy.AttemptUpdate{Request: "r-1", Attempt: 1, Worker: 5, Kind: policy.UpdateStarted}, next(AttemptUpdated).AttemptUpdate)
+	require.Equal(t, policy.AttemptUpdate{Request: "r-1", Attempt: 1, Worker: 5}, next(AttemptUpdated).AttemptUpdate)
+	require.Equal(t, policy.StreamStart{Request: "r-1", Attempt: 3, Worker: 5}, next(StreamStarted).StreamStart)
+	require.Equal(t, "r-9", next(ClientGone).RequestID)
+	require.Equal(t, "sweep", next(TimerFired).TimerToken)
+	next(PeerMessage)
 	next(Teardown)
 	next(BatchEnd)
 	_, err := d.Next()
