--- a/internal/dispatcher/adminapi/door.go
+++ b/internal/dispatcher/adminapi/door.go
@@ -42,7 +42,7 @@
 	responseTimeout = 400 * time.Millisecond
 	// MaxConnections connections held at a time; more wait to be accepted, for callFor at most.
 	MaxConnections = 32
-	maxHeaderBytes       = 4 << 10
+	maxHeaderBytes = 4 << 10
 	// maxUpdateBytes leaves room for a result of the greatest size, escaped in JSON,
 	// as the clients' address does.
 	maxUpdateBytes = 2*pipeline.MaxBody + 1024
@@ -50,10 +50,10 @@
 
 // Server is the listener's server.
 type Server struct {
-	operations     Operations
-	log    logrus.FieldLogger
-	server *http.Server
-	fleet  Fleet // nil: this process is alone
+	operations Operations
+	log        logrus.FieldLogger
+	server     *http.Server
+	fleet      Fleet // nil: this process is alone
 }
 
 // New returns a door that is not serving yet.
@@ -204,7 +204,7 @@
 
 type limitedConn struct {
 	net.Conn
-	once sync.Once
+	once    sync.Once
 	release func()
 }
 
--- a/internal/dispatcher/agentcheck/agentcheck.go
+++ b/internal/dispatcher/agentcheck/agentcheck.go
@@ -14,9 +14,9 @@
 
 // State is what a balancer is told.
 type State struct {
-	Ready, Draining bool
-	InFlight, MaxInFlight      int    // transactions in hand, and how many there may be
-	Note            string // for the operators: balancers show it and do nothing about it
+	Ready, Draining       bool
+	InFlight, MaxInFlight int    // transactions in hand, and how many there may be
+	Note                  string // for the operators: balancers show it and do nothing about it
 }
 
 // Line is the state in the words of the protocol. `ready` takes back the drain
--- a/internal/dispatcher/cli/faktory.go
+++ b/internal/dispatcher/cli/faktory.go
@@ -16,22 +16,22 @@
 	"github.com/spf13/cobra"
 )
 
-// answerWithin is how long an operator waits for a server.
-const answerWithin = 5 * time.Second
+// replyTimeout is how long an operator waits for a server.
+const replyTimeout = 5 * time.Second
 
-// faktoryCall is how a running server is reached.
-type faktoryCall struct{ at, passwordFile, format string }
+// faktoryFlags is how a running server is reached.
+type faktoryFlags struct{ address, passwordFile, format string }
 
-func faktoryCommand(sh *shared) *cobra.Command {
-	call := &faktoryCall{}
-	c := &cobra.Command{Use: "faktory", Short: "look after a running Faktory front", Args: none, RunE: help}
-	c.PersistentFlags().StringVar(&call.at, "at", "127.0.0.1:7419", "`address` that faktory.listen names")
+func faktoryCommand(sh *globalFlags) *cobra.Command {
+	call := &faktoryFlags{}
+	c := &cobra.Command{Use: "faktory", Short: "look after a running Faktory front", Args: noArgs, RunE: showHelp}
+	c.PersistentFlags().StringVar(&call.address, "at", "127.0.0.1:7419", "`address` that faktory.listen names")
 	c.PersistentFlags().StringVar(&call.passwordFile, "password-file", "", "`file` with the password")
 	c.PersistentFlags().StringVar(&call.format, "format", "table", "table or json")
 	with := func(do func(*client.Conn, []string) error) func(*cobra.Command, []string) error {
 		return func(_ *cobra.Command, args []string) error {
 			if call.format != "table" && call.format != "json" {
-				return misuse{fmt.Errorf("--format is table or json, not %q", call.format)}
+				return usageError{fmt.Errorf("--format is table or json, not %q", call.format)}
 			}
 			password := ""
 			if call.passwordFile != "" {
@@ -41,7 +41,7 @@
 				}
 				password = strings.TrimSpace(string(text))
 			}
-			conn, err := client.Dial(call.at, password, time.Now().Add(answerWithin))
+			conn, err := client.Dial(call.address, password, time.Now().Add(replyTimeout))
 			if err != nil {
 				return err
 			}
@@ -51,7 +51,7 @@
 	}
 	names := func(_ *cobra.Command, args []string) error {
 		if len(args) == 0 {
-			return misuse{errors.New("name queues, or * for all")}
+			return usageError{errors.New("name queues, or * for all")}
 		}
 		return nil
 	}
@@ -59,20 +59,20 @@
 		return &cobra.Command{
 			Use: strings.ToLower(verb) + " QUEUE ...", Short: short, Args: names,
 			RunE: with(func(conn *client.Conn, queues []string) error {
-				if _, err := conn.Do("QUEUE "+verb+" "+strings.Join(queues, " "), time.Now().Add(answerWithin)); err != nil {
+				if _, err := conn.Do("QUEUE "+verb+" "+strings.Join(queues, " "), time.Now().Add(replyTimeout)); err != nil {
 					return err
 				}
-				return call.queues(sh.out, conn, queues)
+				return call.queues(sh.stdout, conn, queues)
 			}),
 		}
 	}
 	c.AddCommand(
-		&cobra.Command{Use: "info", Short: "show counts of the whole front", Args: none,
-			RunE: with(func(conn *client.Conn, _ []string) error { return call.info(sh.out, conn) })},
-		&cobra.Command{Use: "queues", Short: "show queues and how long their first job has waited", Args: none,
-			RunE: with(func(conn *client.Conn, _ []string) error { return call.queues(sh.out, conn, nil) })},
-		&cobra.Command{Use: "workers", Short: "show workers", Args: none,
-			RunE: with(func(conn *client.Conn, _ []string) error { return call.workers(sh.out, conn) })},
+		&cobra.Command{Use: "info", Short: "show counts of the whole front", Args: noArgs,
+			RunE: with(func(conn *client.Conn, _ []string) error { return call.info(sh.stdout, conn) })},
+		&cobra.Command{Use: "queues", Short: "show queues and how long their first job has waited", Args: noArgs,
+			RunE: with(func(conn *client.Conn, _ []string) error { return call.queues(sh.stdout, conn, nil) })},
+		&cobra.Command{Use: "workers", Short: "show workers", Args: noArgs,
+			RunE: with(func(conn *client.Conn, _ []string) error { return call.workers(sh.stdout, conn) })},
 		queueVerb("PAUSE", "let queues hand out nothing"), queueVerb("RESUME", "let queues hand out again"),
 		queueVerb("REMOVE", "drop queues with all that waits in them"),
 	)
@@ -83,15 +83,15 @@
 }
 
 // setCommand shows a set, or changes what is in it.
-func setCommand(sh *shared, call *faktoryCall, set string, with func(func(*client.Conn, []string) error) func(*cobra.Command, []string) error) *cobra.Command {
+func setCommand(sh *globalFlags, call *faktoryFlags, set string, with func(func(*client.Conn, []string) error) func(*cobra.Command, []string) error) *cobra.Command {
 	var ids []string
 	var kind, pattern, vouch string
 	filter := map[string]any{}
-	c := &cobra.Command{Use: set, Short: "show the " + set + " jobs, or change them", Args: none}
-	c.RunE = with(func(conn *client.Conn, _ []string) error { return call.jobs(sh.out, conn, set) })
+	c := &cobra.Command{Use: set, Short: "show the " + set + " jobs, or change them", Args: noArgs}
+	c.RunE = with(func(conn *client.Conn, _ []string) error { return call.jobs(sh.stdout, conn, set) })
 	for _, verb := range []string{"requeue", "kill", "discard", "clear"} {
 		v := &cobra.Command{
-			Use: verb, Short: verb + " jobs of this set", Args: none,
+			Use: verb, Short: verb + " jobs of this set", Args: noArgs,
 			RunE: with(func(conn *client.Conn, _ []string) error {
 				if len(ids) > 0 {
 					filter["jids"] = ids
@@ -103,7 +103,7 @@
 					filter["regexp"] = pattern
 				}
 				if len(filter) == 0 && verb != "clear" {
-					return misuse{errors.New("say which jobs: --jid, --jobtype or --pattern")}
+					return usageError{errors.New("say which jobs: --jid, --jobtype or --pattern")}
 				}
 				m := map[string]any{"cmd": verb, "target": set, "filter": filter}
 				if vouch != "" {
@@ -113,10 +113,10 @@
 				if err != nil {
 					return err
 				}
-				if _, err := conn.Do("MUTATE "+string(text), time.Now().Add(answerWithin)); err != nil {
+				if _, err := conn.Do("MUTATE "+string(text), time.Now().Add(replyTimeout)); err != nil {
 					return err
 				}
-				return call.jobs(sh.out, conn, set)
+				return call.jobs(sh.stdout, conn, set)
 			}),
 		}
 		v.Flags().StringSliceVar(&ids, "jid", nil, "`jids` of the jobs")
@@ -130,9 +130,9 @@
 	return c
 }
 
-func (f *faktoryCall) info(out io.Writer, conn *client.Conn) error {
+func (f *faktoryFlags) info(out io.Writer, conn *client.Conn) error {
 	var raw json.RawMessage
-	if err := conn.Query("INFO", &raw, time.Now().Add(answerWithin)); err != nil {
+	if err := conn.Query("INFO", &raw, time.Now().Add(replyTimeout)); err != nil {
 		return err
 	}
 	if f.format == "json" {
@@ -158,13 +158,13 @@
 	return w.Flush()
 }
 
-func (f *faktoryCall) queues(out io.Writer, conn *client.Conn, only []string) error {
+func (f *faktoryFlags) queues(out io.Writer, conn *client.Conn, only []string) error {
 	var i client.Info
-	if err := conn.Query("INFO", &i, time.Now().Add(answerWithin)); err != nil {
+	if err := conn.Query("INFO", &i, time.Now().Add(replyTimeout)); err != nil {
 		return err
 	}
 	latency := map[string]float64{}
-	if err := conn.Query("QUEUE LATENCY *", &latency, time.Now().Add(answerWithin)); err != nil {
+	if err := conn.Query("QUEUE LATENCY *", &latency, time.Now().Add(replyTimeout)); err != nil {
 		return err
 	}
 	type queue struct {
@@ -191,12 +191,12 @@
 	return w.Flush()
 }
 
-// pages asks for all entries of a SHOW.
-func pages[T any](conn *client.Conn, what string) ([]T, error) {
+// allPages asks for all entries of a SHOW.
+func allPages[T any](conn *client.Conn, what string) ([]T, error) {
 	all := []T{}
 	for {
 		var page []T
-		if err := conn.Query(fmt.Sprintf("SHOW %s %d", what, len(all)), &page, time.Now().Add(answerWithin)); err != nil {
+		if err := conn.Query(fmt.Sprintf("SHOW %s %d", what, len(all)), &page, time.Now().Add(replyTimeout)); err != nil {
 			return nil, err
 		}
 		if len(page) == 0 {
@@ -206,8 +206,8 @@
 	}
 }
 
-func (f *faktoryCall) jobs(out io.Writer, conn *client.Conn, set string) error {
-	all, err := pages[client.JobEntry](conn, set)
+func (f *faktoryFlags) jobs(out io.Writer, conn *client.Conn, set string) error {
+	all, err := allPages[client.JobEntry](conn, set)
 	if err != nil {
 		return err
 	}
@@ -226,8 +226,8 @@
 	return w.Flush()
 }
 
-func (f *faktoryCall) workers(out io.Writer, conn *client.Conn) error {
-	all, err := pages[client.Worker](conn, "workers")
+func (f *faktoryFlags) workers(out io.Writer, conn *client.Conn) error {
+	all, err := allPages[client.Worker](conn, "workers")
 	if err != nil {
 		return err
 	}
--- a/internal/dispatcher/cli/figures.go
+++ b/internal/dispatcher/cli/figures.go
@@ -20,20 +20,20 @@
 	"github.com/spf13/cobra"
 )
 
-func figuresCommand(sh *shared) *cobra.Command {
-	c := &cobra.Command{Use: "figures", Short: "read the account, now and of the past", Args: none, RunE: help}
+func metricsCommand(sh *globalFlags) *cobra.Command {
+	c := &cobra.Command{Use: "figures", Short: "read the account, now and of the past", Args: noArgs, RunE: showHelp}
 	c.AddCommand(showCommand(sh), reportCommand(sh), verifyCommand(sh), plotCommand(sh), soakCommand(sh))
 	return c
 }
 
-func showCommand(sh *shared) *cobra.Command {
+func showCommand(sh *globalFlags) *cobra.Command {
 	var at, by, window, format string
 	var audit bool
 	c := &cobra.Command{
-		Use: "show", Short: "show the account of a running dispatcher", Args: none,
+		Use: "show", Short: "show the account of a running dispatcher", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if format != "table" && format != "json" {
-				return misuse{fmt.Errorf("--format is table or json, not %q", format)}
+				return usageError{fmt.Errorf("--format is table or json, not %q", format)}
 			}
 			var dims []string
 			if by != "" {
@@ -41,29 +41,29 @@
 			}
 			for _, d := range dims {
 				if !slices.Contains(metrics.Dimensions, d) {
-					return misuse{fmt.Errorf("--by takes any of %s, not %q", strings.Join(metrics.Dimensions, ", "), d)}
+					return usageError{fmt.Errorf("--by takes any of %s, not %q", strings.Join(metrics.Dimensions, ", "), d)}
 				}
 			}
 			if window != "" && !slices.Contains(metrics.Windows, window) {
-				return misuse{fmt.Errorf("--window takes one of %s, not %q", strings.Join(metrics.Windows, ", "), window)}
+				return usageError{fmt.Errorf("--window takes one of %s, not %q", strings.Join(metrics.Windows, ", "), window)}
 			}
 			if audit {
 				var ignored json.RawMessage
-				if err := fetch(c, at, "/audit", &ignored); err != nil {
+				if err := getJSON(c, at, "/audit", &ignored); err != nil {
 					return err
 				}
 			}
 			var r metrics.Report
-			if err := fetch(c, at, "/figures", &r); err != nil {
+			if err := getJSON(c, at, "/figures", &r); err != nil {
 				return err
 			}
 			if format == "json" {
-				return writeJSON(sh.out, r)
+				return writeJSON(sh.stdout, r)
 			}
 			if window != "" {
-				return metrics.WindowTable(sh.out, r, window)
+				return metrics.WindowTable(sh.stdout, r, window)
 			}
-			return metrics.Table(sh.out, r, dims)
+			return metrics.Table(sh.stdout, r, dims)
 		},
 	}
 	c.Flags().StringVar(&at, "at", "127.0.0.1:7421", "`address` that figures.listen names")
@@ -74,10 +74,10 @@
 	return c
 }
 
-func fetch(c *cobra.Command, at, path string, into any) error {
+func getJSON(c *cobra.Command, at, path string, into any) error {
 	req, err := http.NewRequestWithContext(c.Context(), http.MethodGet, "http://"+at+path, nil)
 	if err != nil {
-		return misuse{fmt.Errorf("--at: %w", err)}
+		return usageError{fmt.Errorf("--at: %w", err)}
 	}
 	client := http.Client{Timeout: 5 * time.Second}
 	resp, err := client.Do(req)
@@ -100,24 +100,24 @@
 	return e.Encode(v)
 }
 
-// asked is what a report or a plot is of.
-type asked struct {
+// journalFlags is what a report or a plot is of.
+type journalFlags struct {
 	folder   string
 	from, to string
 	by       string
 }
 
-func (a *asked) flags(c *cobra.Command, by string) {
+func (a *journalFlags) flags(c *cobra.Command, by string) {
 	c.Flags().StringVar(&a.folder, "folder", "", "the journal's `folder`")
 	c.Flags().StringVar(&a.from, "from", "", "`time` (RFC 3339, or a date) from which jobs count")
 	c.Flags().StringVar(&a.to, "to", "", "`time` before which jobs count")
 	c.Flags().StringVar(&a.by, "by", by, "what to count by: any of "+strings.Join(journal.Dimensions, ", "))
 }
 
-func (a *asked) query() (journal.Directory, journal.Query, error) {
+func (a *journalFlags) query() (journal.Directory, journal.Query, error) {
 	var q journal.Query
 	if a.folder == "" {
-		return nil, q, misuse{fmt.Errorf("--folder is needed")}
+		return nil, q, usageError{fmt.Errorf("--folder is needed")}
 	}
 	for name, at := range map[string]struct {
 		text string
@@ -128,7 +128,7 @@
 		}
 		t, err := journal.ParseTime(at.text)
 		if err != nil {
-			return nil, q, misuse{fmt.Errorf("%s: %w", name, err)}
+			return nil, q, usageError{fmt.Errorf("%s: %w", name, err)}
 		}
 		*at.into = t
 	}
@@ -136,21 +136,21 @@
 		q.By = strings.Split(a.by, ",")
 	}
 	if err := q.Validate(); err != nil {
-		return nil, q, misuse{err}
+		return nil, q, usageError{err}
 	}
 	f, err := journal.ReadDirectory(a.folder)
 	return f, q, err
 }
 
-func reportCommand(sh *shared) *cobra.Command {
-	var a asked
+func reportCommand(sh *globalFlags) *cobra.Command {
+	var a journalFlags
 	var format string
 	c := &cobra.Command{
-		Use: "report", Short: "report what a journal has counted", Args: none,
+		Use: "report", Short: "report what a journal has counted", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			write := map[string]func(io.Writer, journal.Query, []*journal.ReportRow) error{"table": reportTable, "csv": reportCSV, "json": reportJSON}[format]
 			if write == nil {
-				return misuse{fmt.Errorf("--format is table, csv or json, not %q", format)}
+				return usageError{fmt.Errorf("--format is table, csv or json, not %q", format)}
 			}
 			folder, q, err := a.query()
 			if err != nil {
@@ -161,9 +161,9 @@
 				return err
 			}
 			for _, text := range complaints {
-				fmt.Fprintln(sh.err, "basaltloft: not all could be counted:", text)
+				fmt.Fprintln(sh.stderr, "basaltloft: not all could be counted:", text)
 			}
-			return write(sh.out, q, rows)
+			return write(sh.stdout, q, rows)
 		},
 	}
 	a.flags(c, "tenant,class")
@@ -231,9 +231,9 @@
 	return writeJSON(out, all)
 }
 
-func verifyCommand(sh *shared) *cobra.Command {
+func verifyCommand(sh *globalFlags) *cobra.Command {
 	return &cobra.Command{
-		Use: "verify FOLDER", Short: "recount a journal and name every entry that does not add up", Args: exactly("FOLDER"),
+		Use: "verify FOLDER", Short: "recount a journal and name every entry that does not add up", Args: exactlyOneArg("FOLDER"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := journal.ReadDirectory(args[0])
 			if err != nil {
@@ -244,19 +244,19 @@
 				return err
 			}
 			t := &v.Totals
-			fmt.Fprintf(sh.out, "%d segments, %d epochs, %d records, %d jobs, %d marks of the account\n", v.Segments, v.Epochs, v.Records, v.Jobs, v.Checkpoints)
-			fmt.Fprintf(sh.out, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open)
+			fmt.Fprintf(sh.stdout, "%d segments, %d epochs, %d records, %d jobs, %d marks of the account\n", v.Segments, v.Epochs, v.Records, v.Jobs, v.Checkpoints)
+			fmt.Fprintf(sh.stdout, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open)
 			if v.TornBytes > 0 {
-				fmt.Fprintf(sh.out, "%d torn bytes at the very end: the next start cuts them\n", v.TornBytes)
+				fmt.Fprintf(sh.stdout, "%d torn bytes at the very end: the next start cuts them\n", v.TornBytes)
 			}
 			if !v.LastShutdownClean {
-				fmt.Fprintln(sh.out, "the last epoch has not ended in order: it runs, or was cut off")
+				fmt.Fprintln(sh.stdout, "the last epoch has not ended in order: it runs, or was cut off")
 			}
 			for _, wrong := range v.Inconsistencies {
-				fmt.Fprintln(sh.out, "WRONG:", wrong)
+				fmt.Fprintln(sh.stdout, "WRONG:", wrong)
 			}
 			if len(v.Inconsistencies) > 0 {
-				return silent
+				return errReported
 			}
 			return nil
 		},
@@ -265,19 +265,19 @@
 
 // plotCommand starts the program that plots: its library weighs more than a
 // dispatcher should carry.
-func plotCommand(sh *shared) *cobra.Command {
-	var a asked
+func plotCommand(sh *globalFlags) *cobra.Command {
+	var a journalFlags
 	var out string
 	c := &cobra.Command{
-		Use: "plot", Short: "plot what a journal has counted, as SVG or PNG", Args: none,
+		Use: "plot", Short: "plot what a journal has counted, as SVG or PNG", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if ext := filepath.Ext(out); ext != ".svg" && ext != ".png" {
-				return misuse{fmt.Errorf("--out must end in .svg or .png")}
+				return usageError{fmt.Errorf("--out must end in .svg or .png")}
 			}
 			if _, _, err := a.query(); err != nil {
 				return err
 			}
-			return beside(c, sh, "basaltloft-plot", "-folder", a.folder, "-from", a.from, "-to", a.to, "-out", out)
+			return runSibling(c, sh, "basaltloft-plot", "-folder", a.folder, "-from", a.from, "-to", a.to, "-out", out)
 		},
 	}
 	a.flags(c, "")
--- a/internal/dispatcher/cli/golden_test.go
+++ b/internal/dispatcher/cli/golden_test.go
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	walk(commands(&bytes.Buffer{}, &bytes.Buffer{}), "")
+	walk(rootCommand(&bytes.Buffer{}, &bytes.Buffer{}), "")
 	goldentest.Equal(t, filepath.Join("testdata", "golden", "commands.txt"), []byte(strings.Join(paths, "\n")+"\n"))
 	for _, path := range paths {
 		status, out, errs := call(append(strings.Fields(path), "--help")...)
--- a/internal/dispatcher/cli/serve.go
+++ b/internal/dispatcher/cli/serve.go
@@ -20,58 +20,58 @@
 	"github.com/spf13/cobra"
 )
 
-func serveCommand(sh *shared) *cobra.Command {
+func serveCommand(sh *globalFlags) *cobra.Command {
 	var operator string
 	c := &cobra.Command{
-		Use: "serve", Short: "serve jobs, as without a sub-command", Args: none,
+		Use: "serve", Short: "serve jobs, as without a sub-command", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return serve(c.Context(), sh, operator) },
 	}
 	c.Flags().StringVar(&operator, "operator", "", "the operator's `file`, which sets up what the platform does not ask for")
 	return c
 }
 
-func serve(ctx context.Context, sh *shared, operator string) error {
+func serve(ctx context.Context, sh *globalFlags, operator string) error {
 	// First of all: until then a signal kills the process.
-	told, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, syscall.SIGINT)
+	stop, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
-	over := map[string]string{}
+	overrides := map[string]string{}
 	for _, name := range []string{"ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_ADMIN"} {
-		over[name] = os.Getenv(name)
+		overrides[name] = os.Getenv(name)
 	}
-	c, err := configure(over)
+	c, err := readConfig(overrides)
 	if err != nil {
 		return err
 	}
-	extra, err := settings.DecodeOperator([]byte(`{}`)) // its usual values
+	operatorConfig, err := settings.DecodeOperator([]byte(`{}`)) // its usual values
 	if operator != "" {
 		var text []byte
 		if text, err = os.ReadFile(operator); err != nil {
 			return fmt.Errorf("operator's file: %w", err)
 		}
-		extra, err = settings.DecodeOperator(text)
+		operatorConfig, err = settings.DecodeOperator(text)
 	}
 	if err != nil {
 		return err
 	}
-	if extra.Fleet != nil && os.Getenv("ROUTER_NAME") != "" && os.Getenv("ROUTER_LISTEN") != "" {
+	if operatorConfig.Fleet != nil && os.Getenv("ROUTER_NAME") != "" && os.Getenv("ROUTER_LISTEN") != "" {
 		return errors.New("operator's file: fleet: the platform that sets ROUTER_NAME and ROUTER_LISTEN has no lasting folder and no talk among dispatchers: take the section out")
 	}
 	server.ApplyResourceLimits(c)
 	return server.Run(ctx, server.Options{
-		Config: c, Operator: extra, OperatorDir: filepath.Dir(operator), Log: sh.logger(),
-		ReadConfig: func() (settings.Config, error) { return configure(nil) },
-	}, told, reloads)
+		Config: c, Operator: operatorConfig, OperatorDir: filepath.Dir(operator), Log: sh.newLogger(),
+		ReadConfig: func() (settings.Config, error) { return readConfig(nil) },
+	}, stop, reloads)
 }
 
-// configure reads the configuration file, over which what is named goes.
-func configure(over map[string]string) (settings.Config, error) {
+// readConfig reads the configuration file, over which what is named goes.
+func readConfig(overrides map[string]string) (settings.Config, error) {
 	path := os.Getenv("ROUTER_CONFIG")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return settings.Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if over == nil { // read again while serving: what can't be used whole is not used
+	if overrides == nil { // read again while serving: what can't be used whole is not used
 		if err := settings.CheckReload(text); err != nil {
 			return settings.Config{}, fmt.Errorf("%s: %w", path, err)
 		}
@@ -83,7 +83,7 @@
 	for name, into := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_ADMIN": &c.Admin,
 	} {
-		if v := over[name]; v != "" {
+		if v := overrides[name]; v != "" {
 			*into = v
 		}
 	}
@@ -92,7 +92,7 @@
 			return c, fmt.Errorf("%s: %s: %w", path, name, err)
 		}
 	}
-	if over != nil {
+	if overrides != nil {
 		fd, err := acceptFD(os.Getenv("ROUTER_ACCEPT_FD"))
 		if err != nil {
 			return c, err
@@ -115,9 +115,9 @@
 	return fd, nil
 }
 
-func versionCommand(sh *shared) *cobra.Command {
+func versionCommand(sh *globalFlags) *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "say which version this is", Args: none,
+		Use: "version", Short: "say which version this is", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			info, ok := debug.ReadBuildInfo()
 			if !ok {
@@ -132,18 +132,18 @@
 					changed = " with changes"
 				}
 			}
-			fmt.Fprintf(sh.out, "basaltloft %s, %s%s, %s\n", info.Main.Version, revision, changed, info.GoVersion)
+			fmt.Fprintf(sh.stdout, "basaltloft %s, %s%s, %s\n", info.Main.Version, revision, changed, info.GoVersion)
 			return nil
 		},
 	}
 }
 
-func checkCommand(sh *shared) *cobra.Command {
-	config := &cobra.Command{Use: "config", Short: "look after configuration files", Args: none, RunE: help}
+func checkCommand(sh *globalFlags) *cobra.Command {
+	config := &cobra.Command{Use: "config", Short: "look after configuration files", Args: noArgs, RunE: showHelp}
 	var classes string
 	check := &cobra.Command{
 		Use: "check FILE", Short: "name everything that is wrong in a configuration, an operator's file or a plan file (.hcl)",
-		Args: exactly("FILE"),
+		Args: exactlyOneArg("FILE"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -154,15 +154,15 @@
 			}
 			r := settings.Check(text)
 			for _, p := range r.Problems {
-				fmt.Fprintf(sh.out, "%s: error: %s\n", args[0], p)
+				fmt.Fprintf(sh.stdout, "%s: error: %s\n", args[0], p)
 			}
 			for _, key := range r.Unknown {
-				fmt.Fprintf(sh.out, "%s: warning: %s: nothing reads this key\n", args[0], key)
+				fmt.Fprintf(sh.stdout, "%s: warning: %s: nothing reads this key\n", args[0], key)
 			}
 			if len(r.Problems) > 0 {
-				return silent
+				return errReported
 			}
-			fmt.Fprintf(sh.out, "%s: ok (%s)\n", args[0], r.Kind)
+			fmt.Fprintf(sh.stdout, "%s: ok (%s)\n", args[0], r.Kind)
 			return nil
 		},
 	}
@@ -172,7 +172,7 @@
 }
 
 // checkPlans checks a plan file against the classes of a configuration.
-func checkPlans(sh *shared, name, text, config string) error {
+func checkPlans(sh *globalFlags, name, text, config string) error {
 	var c settings.Config
 	if config != "" {
 		from, err := os.ReadFile(config)
@@ -185,13 +185,13 @@
 	}
 	lines, ok := plan.CheckFile(name, text, c.Settings.Classes)
 	for _, line := range lines {
-		fmt.Fprintln(sh.out, line)
+		fmt.Fprintln(sh.stdout, line)
 	}
 	if !ok {
-		return silent
+		return errReported
 	}
-	fmt.Fprintf(sh.out, "%s: ok (plans)\n", name)
+	fmt.Fprintf(sh.stdout, "%s: ok (plans)\n", name)
 	return nil
 }
 
-func help(c *cobra.Command, _ []string) error { return c.Help() }
+func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
--- a/internal/dispatcher/cli/tools.go
+++ b/internal/dispatcher/cli/tools.go
@@ -16,23 +16,23 @@
 	"github.com/spf13/cobra"
 )
 
-// mostProcesses bounds the processes of a demo.
-const mostProcesses = 30
+// maxDemoProcesses bounds the processes of a demo.
+const maxDemoProcesses = 30
 
-func demoCommand(sh *shared) *cobra.Command {
-	var span time.Duration
+func demoCommand(sh *globalFlags) *cobra.Command {
+	var duration time.Duration
 	var processes int
 	c := &cobra.Command{
-		Use: "demo", Short: "serve stand-in clients and members in one process, and show the account", Args: none,
+		Use: "demo", Short: "serve stand-in clients and members in one process, and show the account", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if span <= 0 {
-				return misuse{errors.New("--for must be more than nothing")}
+			if duration <= 0 {
+				return usageError{errors.New("--for must be more than nothing")}
 			}
-			if processes < 0 || processes > mostProcesses {
-				return misuse{fmt.Errorf("--processes must be 1 to %d", mostProcesses)}
+			if processes < 0 || processes > maxDemoProcesses {
+				return usageError{fmt.Errorf("--processes must be 1 to %d", maxDemoProcesses)}
 			}
-			if !c.Flags().Changed("log-level") && sh.level == "info" {
-				sh.level = "warn" // the progress is shown in its place
+			if !c.Flags().Changed("log-level") && sh.logLevel == "info" {
+				sh.logLevel = "warn" // the progress is shown in its place
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -41,24 +41,24 @@
 				if err != nil {
 					return err
 				}
-				return demo.RunFleet(ctx, demo.FleetSettings{Program: program, Processes: processes, Until: time.Now().Add(span)}, sh.out, sh.err)
+				return demo.RunFleet(ctx, demo.FleetSettings{Program: program, Processes: processes, Until: time.Now().Add(duration)}, sh.stdout, sh.stderr)
 			}
-			return demo.Run(ctx, time.Now().Add(span), sh.logger(), sh.out, sh.err)
+			return demo.Run(ctx, time.Now().Add(duration), sh.newLogger(), sh.stdout, sh.stderr)
 		},
 	}
-	c.Flags().DurationVar(&span, "for", 10*time.Second, "how `long` to serve")
+	c.Flags().DurationVar(&duration, "for", 10*time.Second, "how `long` to serve")
 	c.Flags().IntVar(&processes, "processes", 0, "serve by so `many` processes, joined as one fleet, in place of one")
 	return c
 }
 
-func soakCommand(sh *shared) *cobra.Command {
-	var span time.Duration
+func soakCommand(sh *globalFlags) *cobra.Command {
+	var duration time.Duration
 	s := soak.Settings{}
 	c := &cobra.Command{
-		Use: "soak", Short: "load a dispatcher, kill it at random, and check every sum", Args: none,
+		Use: "soak", Short: "load a dispatcher, kill it at random, and check every sum", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if span <= 0 || s.Kills < 0 || s.WorkerKills < 0 || s.Rate <= 0 {
-				return misuse{errors.New("--for, --kills and --rate must be more than nothing")}
+			if duration <= 0 || s.Kills < 0 || s.WorkerKills < 0 || s.Rate <= 0 {
+				return usageError{errors.New("--for, --kills and --rate must be more than nothing")}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -72,15 +72,15 @@
 				}
 				defer os.RemoveAll(s.JournalDir)
 			}
-			s.Until = time.Now().Add(span)
-			r, err := soak.Run(ctx, s, sh.err)
+			s.Until = time.Now().Add(duration)
+			r, err := soak.Run(ctx, s, sh.stderr)
 			if err != nil {
 				return fmt.Errorf("soaking: %w", err)
 			}
-			return r.Write(sh.out)
+			return r.Write(sh.stdout)
 		},
 	}
-	c.Flags().DurationVar(&span, "for", time.Minute, "how `long`")
+	c.Flags().DurationVar(&duration, "for", time.Minute, "how `long`")
 	c.Flags().IntVar(&s.Kills, "kills", 10, "how often the dispatcher is killed")
 	c.Flags().IntVar(&s.WorkerKills, "worker-kills", 0, "how often a Faktory worker is killed")
 	c.Flags().Float64Var(&s.Rate, "rate", 60, "asks a second by each front")
@@ -91,21 +91,21 @@
 
 // topCommand starts the live view, a program of its own: its libraries are for a
 // tool alone.
-func topCommand(sh *shared) *cobra.Command {
+func topCommand(sh *globalFlags) *cobra.Command {
 	var figures, faktory, password string
 	var every time.Duration
 	var once bool
 	c := &cobra.Command{
-		Use: "top", Short: "a live view of a running dispatcher", Args: none,
+		Use: "top", Short: "a live view of a running dispatcher", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if every < 100*time.Millisecond {
-				return misuse{errors.New("--every must be 100ms or more")}
+				return usageError{errors.New("--every must be 100ms or more")}
 			}
 			args := []string{"-figures", figures, "-faktory", faktory, "-password-file", password, "-every", every.String()}
 			if once {
 				args = append(args, "-once")
 			}
-			return beside(c, sh, "basaltloft-top", args...)
+			return runSibling(c, sh, "basaltloft-top", args...)
 		},
 	}
 	c.Flags().StringVar(&figures, "at", "127.0.0.1:7421", "`address` that figures.listen names; empty: not read")
@@ -116,14 +116,14 @@
 	return c
 }
 
-// beside runs a program that is installed beside this one.
-func beside(c *cobra.Command, sh *shared, name string, args ...string) error {
+// runSibling runs a program that is installed beside this one.
+func runSibling(c *cobra.Command, sh *globalFlags, name string, args ...string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	cmd := exec.CommandContext(c.Context(), filepath.Join(filepath.Dir(self), name), args...)
-	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, sh.out, sh.err
+	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, sh.stdout, sh.stderr
 	if err := cmd.Run(); err != nil {
 		return fmt.Errorf("%s, which is installed beside this program: %w", name, err)
 	}
@@ -132,7 +132,7 @@
 
 // labCommand starts the model of the fleet, a program of its own: its statistics
 // are for a tool alone. What it takes is its own to check.
-func labCommand(sh *shared) *cobra.Command {
+func labCommand(sh *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:                "lab run|sweep|compare|plot FILE [-set PATH=VALUE,...] [-loads X,Y] [-seeds N] [-policies A,B] [-base POLICY] [-format table|csv|json] [-out NAME.svg]",
 		Short:              "play experiments in a model of the fleet",
@@ -141,14 +141,14 @@
 			if len(args) == 0 || args[0] == "--help" || args[0] == "-h" {
 				return c.Help()
 			}
-			return beside(c, sh, "basaltloft-lab", args...)
+			return runSibling(c, sh, "basaltloft-lab", args...)
 		},
 	}
 }
 
 // loadCommand starts the load generator, a program of its own: its histograms and
 // plots are for a tool alone. What it takes is its own to check.
-func loadCommand(sh *shared) *cobra.Command {
+func loadCommand(sh *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "load -at ADDRESS -class CLASS [-front http|faktory] [-rate N] [-to N] [-for 10s] [-trace FILE] [-format table|json] [-plot FILE.svg]",
 		Short: "send an open-loop load to a dispatcher, and tell what became of it", DisableFlagParsing: true,
@@ -156,25 +156,25 @@
 			if len(args) == 0 || args[0] == "--help" || args[0] == "-h" {
 				return c.Help()
 			}
-			return beside(c, sh, "basaltloft-load", args...)
+			return runSibling(c, sh, "basaltloft-load", args...)
 		},
 	}
 }
 
-// standinCommand serves members and discovery, and leaves the files with which a
+// fakesCommand serves members and discovery, and leaves the files with which a
 // dispatcher finds them.
-func standinCommand(sh *shared) *cobra.Command {
+func fakesCommand(sh *globalFlags) *cobra.Command {
 	var folder string
-	l := demo.Load{}
+	load := demo.Load{}
 	c := &cobra.Command{
-		Use: "standin --folder DIR", Short: "serve stand-in members and discovery for a dispatcher", Args: none,
+		Use: "standin --folder DIR", Short: "serve stand-in members and discovery for a dispatcher", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if folder == "" || l.Members < 1 || l.Slots < 1 || l.RunTime < 0 {
-				return misuse{errors.New("--folder must be named, --members and --slots be 1 or more, --run not below 0")}
+			if folder == "" || load.Members < 1 || load.Slots < 1 || load.RunTime < 0 {
+				return usageError{errors.New("--folder must be named, --members and --slots be 1 or more, --run not below 0")}
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			w, err := demo.NewWorld(l)
+			w, err := demo.NewWorld(load)
 			if err != nil {
 				return err
 			}
@@ -185,15 +185,15 @@
 					return fmt.Errorf("standing in: %w", err)
 				}
 			}
-			fmt.Fprintf(sh.out, "%d members, discovery at %s; a dispatcher for them, which listens at %s (Faktory: %s):\n", l.Members, w.Discovery.Addr(), w.HTTPAddr, w.FaktoryAddr)
-			fmt.Fprintf(sh.out, "ROUTER_CONFIG=%s basaltloft serve --operator %s\n", config, operator)
+			fmt.Fprintf(sh.stdout, "%d members, discovery at %s; a dispatcher for them, which listens at %s (Faktory: %s):\n", load.Members, w.Discovery.Addr(), w.HTTPAddr, w.FaktoryAddr)
+			fmt.Fprintf(sh.stdout, "ROUTER_CONFIG=%s basaltloft serve --operator %s\n", config, operator)
 			<-ctx.Done()
 			return nil
 		},
 	}
 	c.Flags().StringVar(&folder, "folder", "", "`folder` for the files with which a dispatcher finds them")
-	c.Flags().IntVar(&l.Members, "members", 8, "how many members")
-	c.Flags().IntVar(&l.Slots, "slots", 4, "jobs that a member runs at a time")
-	c.Flags().DurationVar(&l.RunTime, "run", 20*time.Millisecond, "how `long` a job runs; 0: 10 to 30 ms, tickets three times as long")
+	c.Flags().IntVar(&load.Members, "members", 8, "how many members")
+	c.Flags().IntVar(&load.Slots, "slots", 4, "jobs that a member runs at a time")
+	c.Flags().DurationVar(&load.RunTime, "run", 20*time.Millisecond, "how `long` a job runs; 0: 10 to 30 ms, tickets three times as long")
 	return c
 }
--- a/internal/dispatcher/faktory/account_test.go
+++ b/internal/dispatcher/faktory/accounting_test.go
@@ -6,8 +6,8 @@
 	"basaltloft/internal/dispatcher/scenario"
 )
 
-// TestAccount: both fronts share one account, whatever happens between them.
-func TestAccount(t *testing.T) {
+// TestAccounting: both fronts share one account, whatever happens between them.
+func TestAccounting(t *testing.T) {
 	client := login("faktory.c", "")
 	const metrics = `
 			figures.NAME send GET /audit HTTP/1.1\r\nHost: a\r\n\r\nGET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n
--- a/internal/dispatcher/faktory/batch/batch.go
+++ b/internal/dispatcher/faktory/batch/batch.go
@@ -31,11 +31,11 @@
 
 // Errors of commands.
 var (
-	ErrUnknownBatch   = errors.New("no such batch")
-	ErrCommitted = errors.New("the batch has been committed")
-	ErrFinished      = errors.New("the batch is over")
-	ErrNoCallback     = errors.New("a batch has a success or a complete call-back")
-	ErrFull      = errors.New("there are too many batches")
+	ErrUnknownBatch = errors.New("no such batch")
+	ErrCommitted    = errors.New("the batch has been committed")
+	ErrFinished     = errors.New("the batch is over")
+	ErrNoCallback   = errors.New("a batch has a success or a complete call-back")
+	ErrFull         = errors.New("there are too many batches")
 )
 
 // Definition is what BATCH NEW says.
@@ -54,16 +54,16 @@
 // Batch is one batch. Its jobs are pending until they have succeeded; those that
 // have failed at least once and not succeeded since are failed as well.
 type Batch struct {
-	ID        string
-	Definition       Definition
-	Created   time.Time
-	Committed bool
-	Total     int
-	Pending   int
-	failedJobs    map[string]bool // pending ones that have run
-	pendingJobs      map[string]bool // all that are pending
-	children  map[string]bool // batches in it that have not succeeded; true: complete
-	States    map[Kind]State
+	ID          string
+	Definition  Definition
+	Created     time.Time
+	Committed   bool
+	Total       int
+	Pending     int
+	failedJobs  map[string]bool // pending ones that have run
+	pendingJobs map[string]bool // all that are pending
+	children    map[string]bool // batches in it that have not succeeded; true: complete
+	States      map[Kind]State
 }
 
 // Failed is how many pending jobs have failed.
@@ -71,7 +71,7 @@
 
 // Store is all batches that are not over.
 type Store struct {
-	limit    int
+	limit   int
 	batches map[string]*Batch
 }
 
--- a/internal/dispatcher/faktory/client/client.go
+++ b/internal/dispatcher/faktory/client/client.go
@@ -21,8 +21,8 @@
 
 // Conn is a connection. It is not safe for concurrent use.
 type Conn struct {
-	conn net.Conn
-	reader   *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // ServerError is what a server answered to a command that it did not take.
--- a/internal/dispatcher/faktory/guard_test.go
+++ b/internal/dispatcher/faktory/connection_limits_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSilentConnections: those that say nothing, or not all of it, are closed
+// TestEvictUnauthenticated: connections that say nothing, or not all of it, are closed
 // in time, and before that the oldest of them makes room for another.
-func TestSilentConnections(t *testing.T) {
+func TestEvictUnauthenticated(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := New(nil, nil, &settings.Faktory{Connections: 3}, logrus.New())
 	go s.Serve(t.Context(), l)
 	began := time.Now()
 	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String()), "room": func() (scenario.Conn, error) {
-		require.False(t, s.makeRoom(began), "they have just come")
-		require.True(t, s.makeRoom(began.Add(time.Minute)))
+		require.False(t, s.evictUnauthenticated(began), "they have just come")
+		require.True(t, s.evictUnauthenticated(began.Add(time.Minute)))
 		near, far := net.Pipe()
 		far.Close()
 		return near, nil
--- /dev/null
+++ b/internal/dispatcher/faktory/fields.go
@@ -0,0 +1,46 @@
+package faktory
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"github.com/valyala/fastjson"
+)
+
+// timeField reads an optional time in RFC 3339; one that is absent, null or empty is zero.
+func timeField(v *fastjson.Value, key string) (time.Time, error) {
+	at := v.Get(key)
+	if at == nil || at.Type() == fastjson.TypeNull || len(at.GetStringBytes()) == 0 && at.Type() == fastjson.TypeString {
+		return time.Time{}, nil
+	}
+	t, err := time.Parse(time.RFC3339Nano, string(at.GetStringBytes()))
+	if err != nil {
+		return t, fmt.Errorf("%s is no time in RFC 3339", key)
+	}
+	return t, nil
+}
+
+// secondsToDuration converts a number of seconds, held to 0 up to a century.
+func secondsToDuration(n float64) time.Duration {
+	return time.Duration(min(max(n, 0), 100*365*86400) * float64(time.Second))
+}
+
+// isInvalidQueueName tells whether a command must not name this queue.
+func isInvalidQueueName(name string) bool { return len(name) > maxNameLength || !isQueueName(name) }
+
+// truncateToInt drops the fraction of a number and holds it to -1 up to the largest int32.
+func truncateToInt(f float64) int { return int(min(max(math.Trunc(f), -1), math.MaxInt32)) }
+
+// isQueueName tells whether a name can stand in a command: it is not empty and has only
+// ASCII letters, digits, dots, underscores and hyphens.
+func isQueueName(name string) bool {
+	for _, c := range []byte(name) {
+		switch {
+		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '.', c == '_', c == '-':
+		default:
+			return false
+		}
+	}
+	return name != ""
+}
--- a/internal/dispatcher/faktory/golden_test.go
+++ b/internal/dispatcher/faktory/golden_test.go
@@ -20,7 +20,7 @@
 func TestGoldenInfo(t *testing.T) {
 	s, h := newFront()
 	client := &session{Server: s}
-	s.workers.connect(hello{worker: "w1", host: "host", pid: 7})
+	s.workers.connect(hello{workerID: "w1", host: "host", pid: 7})
 	var text string
 	add := func(command, answer string) {
 		answer = moment.ReplaceAllString(number.ReplaceAllString(answer, `"$1":0`), `"$1":"TIME"`)
@@ -33,15 +33,15 @@
 		`{"jid":"job-00002","jobtype":"Ticket","queue":"tickets","args":[]}`,
 		`{"jid":"job-00003","jobtype":"Sell","queue":"default","args":[],"at":"` + later + `"}`,
 	} {
-		add("PUSH", client.push(job))
+		add("PUSH", client.handlePush(job))
 	}
-	add("QUEUE PAUSE", client.queue("PAUSE tickets"))
-	add("INFO", client.info(""))
+	add("QUEUE PAUSE", client.handleQueue("PAUSE tickets"))
+	add("INFO", client.handleInfo(""))
 	for _, what := range []string{"scheduled", "retries", "dead", "workers", "other"} {
-		add("SHOW "+what, client.show(what))
+		add("SHOW "+what, client.handleShow(what))
 	}
-	add("TRACK GET", client.track("GET job-00001"))
-	add("TRACK GET", client.track("GET nothing"))
-	add("unknown", fault("unknown command %q", "DANCE"))
+	add("TRACK GET", client.handleTrack("GET job-00001"))
+	add("TRACK GET", client.handleTrack("GET nothing"))
+	add("unknown", errorReply("unknown command %q", "DANCE"))
 	goldentest.Equal(t, filepath.Join("testdata", "golden", "info.txt"), []byte(text))
 }
--- a/internal/dispatcher/faktory/job.go
+++ b/internal/dispatcher/faktory/job.go
@@ -8,7 +8,6 @@
 	"time"
 	"unique"
 
-	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/faktory/sets"
 	"basaltloft/internal/dispatcher/jsontext"
 	"basaltloft/internal/dispatcher/pipeline"
@@ -18,245 +17,190 @@
 	"github.com/valyala/fastjson"
 )
 
-// form marks a transaction whose body is a whole Faktory job.
-const form = "faktory job"
+// jobBodyFormat marks a transaction whose body is a complete Faktory job.
+const jobBodyFormat = "faktory job"
 
+// Limits and defaults of jobs.
 const (
-	leastID   = 8 // the protocol asks for ids that are likely to be unique
-	maxName   = 128
-	mostBulk  = 100 // jobs of one PUSHB
-	soonest   = time.Minute
-	workQueue = "default"
+	minIDLength    = 8 // the protocol asks for ids that are likely to be unique
+	maxNameLength  = 128
+	maxBulkJobs    = 100 // of one PUSHB
+	minReservation = time.Minute
+	defaultQueue   = "default"
+	defaultRetries = 25 // where a job does not say
+	maxRetries     = 1000
 )
 
 // job is the part of a Faktory job that the front reads.
 type job struct {
-	id, kind, queue string
-	at, expires     time.Time
-	retries         int
-	reserveFor      time.Duration // 0: not told
-	batch           string
-	unique          uint64
-	uniqueFor       time.Duration
-	uniqueUntil     sets.LockRelease
-	plan            string // it is run as; empty: it is fetched
-	arrival         pipeline.Submission
+	id, jobType, queue   string
+	notBefore, expiresAt time.Time // zero: no bound
+	retries              int       // as sets.Job.Retries
+	batch                string    // bid; empty: none
+	uniqueKey            uint64    // 0: not unique
+	uniqueTTL            time.Duration
+	releaseOn            sets.LockRelease
+	plan                 string // that it is run as; empty: workers fetch it
+	submission           pipeline.Submission
 }
 
-const (
-	usualRetries = 25 // where a job does not say
-	mostRetries  = 1000
-)
-
-// readJob reads a pushed job into an arrival.
-func readJob(v *fastjson.Value, set *settings.Faktory, now time.Time) (job, error) {
+// parseJob reads a job as a client pushes it. The settings name the class of its jobtype or
+// its queue.
+func parseJob(v *fastjson.Value, config *settings.Faktory, now time.Time) (job, error) {
 	if v.Type() != fastjson.TypeObject {
 		return job{}, errors.New("a job is a JSON object")
 	}
-	j := job{id: string(v.GetStringBytes("jid")), kind: string(v.GetStringBytes("jobtype")), queue: string(v.GetStringBytes("queue")), retries: usualRetries}
-	if j.queue == "" {
-		j.queue = workQueue
+	j := job{
+		id: string(v.GetStringBytes("jid")), jobType: string(v.GetStringBytes("jobtype")),
+		queue: cmp.Or(string(v.GetStringBytes("queue")), defaultQueue),
 	}
-	switch {
-	case len(j.id) < leastID:
-		return j, fmt.Errorf("a jid has at least %d characters", leastID)
-	case strings.ContainsFunc(j.id, func(r rune) bool { return r <= ' ' || r > '~' }):
-		return j, errors.New("a jid has plain printable characters without spaces")
-	case j.kind == "":
-		return j, errors.New("a job has a jobtype")
-	case len(j.kind) > maxName || len(j.queue) > maxName || len(j.id) > maxName:
-		return j, errors.New("a name is too long")
-	case !nameable(j.queue):
-		return j, errors.New("a queue's name has letters, digits, and . _ - only")
-	case v.Get("args") == nil || v.Get("args").Type() != fastjson.TypeArray:
+	if err := j.checkNames(); err != nil {
+		return j, err
+	}
+	if args := v.Get("args"); args == nil || args.Type() != fastjson.TypeArray {
 		return j, errors.New("a job has a list of args")
 	}
 	var err error
-	if j.at, err = timeOf(v, "at"); err != nil {
+	if j.notBefore, err = timeField(v, "at"); err != nil {
 		return j, err
 	}
-	switch r := v.Get("retry"); {
-	case r == nil || r.Type() == fastjson.TypeNull:
-	case r.Type() != fastjson.TypeNumber:
-		return j, errors.New("retry is a number")
-	default:
-		j.retries = min(wholeNumber(r.GetFloat64()), mostRetries)
-	}
-	j.reserveFor = seconds(v.GetFloat64("reserve_for"))
-	as, ok := set.JobTypes[j.kind]
-	if !ok {
-		if as, ok = set.Queues[j.queue]; !ok {
-			as = set.Default
-		}
+	if j.retries, err = retriesField(v); err != nil {
+		return j, err
 	}
-	if j.plan, err = planOf(v, j.id); err != nil {
+	if j.plan, err = planField(v, j.id); err != nil {
 		return j, err
 	}
-	if as.Class == "" && j.plan == "" {
-		return j, fmt.Errorf("neither jobtype %q nor queue %q is set up here", j.kind, j.queue)
+	target := j.target(config)
+	if target.Class == "" && j.plan == "" {
+		return j, fmt.Errorf("neither jobtype %q nor queue %q is set up here", j.jobType, j.queue)
 	}
-	j.arrival = pipeline.Submission{
-		ID: j.id, Class: as.Class, Tenant: as.Tenant, Front: Front, Key: j.id, BodyFormat: form, Body: jsontext.Append(nil, v), Hint: as.Cost, Slots: 1,
+	j.submission = pipeline.Submission{
+		ID: j.id, Class: target.Class, Tenant: target.Tenant, Front: FrontName, Key: j.id,
+		BodyFormat: jobBodyFormat, Body: jsontext.Append(nil, v), Hint: target.Cost, Slots: 1,
 		Capability: j.queue, NoRetryOnError: true,
 	}
-	if len(j.arrival.Body) > pipeline.MaxBody {
+	if len(j.submission.Body) > pipeline.MaxBody {
 		return j, pipeline.ErrTooLarge
 	}
-	if as.Deadline > 0 {
-		j.arrival.ClientDeadline = now.Add(as.Deadline)
+	if target.Deadline > 0 {
+		j.submission.ClientDeadline = now.Add(target.Deadline)
 	}
-	return j, j.custom(v)
+	return j, j.parseCustom(v)
 }
 
-// waiting is the job as the sets keep it.
-func (j job) waiting() *sets.Job {
-	w := &sets.Job{ID: j.id, Type: unique.Make(j.kind).Value(), Queue: unique.Make(j.queue).Value(), Body: j.arrival.Body, Retries: int32(j.retries)}
-	if !j.at.IsZero() || !j.expires.IsZero() || j.unique != 0 || j.batch != "" {
-		w.Options = &sets.Options{NotBefore: j.at, ExpiresAt: j.expires, UniqueKey: j.unique, UniqueTTL: j.uniqueFor, ReleaseOn: j.uniqueUntil, Batch: j.batch}
+// checkNames checks the jid, the jobtype and the queue.
+func (j *job) checkNames() error {
+	switch {
+	case len(j.id) < minIDLength:
+		return fmt.Errorf("a jid has at least %d characters", minIDLength)
+	case strings.ContainsFunc(j.id, func(r rune) bool { return r <= ' ' || r > '~' }):
+		return errors.New("a jid has plain printable characters without spaces")
+	case j.jobType == "":
+		return errors.New("a job has a jobtype")
+	case len(j.jobType) > maxNameLength || len(j.queue) > maxNameLength || len(j.id) > maxNameLength:
+		return errors.New("a name is too long")
+	case !isQueueName(j.queue):
+		return errors.New("a queue's name has letters, digits, and . _ - only")
 	}
-	return w
+	return nil
 }
 
-// nameable tells whether a queue can be named in a command.
-func nameable(name string) bool {
-	for _, c := range []byte(name) {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '.' || c == '_' || c == '-') {
-			return false
-		}
+// target is what the settings say of the job: for its jobtype, else for its queue, else for
+// all others.
+func (j *job) target(config *settings.Faktory) settings.FaktoryJob {
+	if target, ok := config.JobTypes[j.jobType]; ok {
+		return target
 	}
-	return name != ""
+	if target, ok := config.Queues[j.queue]; ok {
+		return target
+	}
+	return config.Default
 }
 
-func timeOf(v *fastjson.Value, key string) (time.Time, error) {
-	at := v.Get(key)
-	if at == nil || at.Type() == fastjson.TypeNull || len(at.GetStringBytes()) == 0 && at.Type() == fastjson.TypeString {
-		return time.Time{}, nil
-	}
-	t, err := time.Parse(time.RFC3339Nano, string(at.GetStringBytes()))
-	if err != nil {
-		return t, fmt.Errorf("%s is no time in RFC 3339", key)
+// retriesField reads how often a job may be tried again.
+func retriesField(v *fastjson.Value) (int, error) {
+	retry := v.Get("retry")
+	switch {
+	case retry == nil || retry.Type() == fastjson.TypeNull:
+		return defaultRetries, nil
+	case retry.Type() != fastjson.TypeNumber:
+		return 0, errors.New("retry is a number")
 	}
-	return t, nil
+	return min(truncateToInt(retry.GetFloat64()), maxRetries), nil
 }
 
-// custom reads what a client says of one job beyond the operator's defaults.
-func (j *job) custom(whole *fastjson.Value) error {
-	v := whole.Get("custom")
-	if v == nil || v.Type() == fastjson.TypeNull {
+// parseCustom reads the object custom, with which a client overrides the operator's settings
+// for one job.
+func (j *job) parseCustom(v *fastjson.Value) error {
+	custom := v.Get("custom")
+	if custom == nil || custom.Type() == fastjson.TypeNull {
 		return nil
 	}
-	if v.Type() != fastjson.TypeObject {
+	if custom.Type() != fastjson.TypeObject {
 		return errors.New("custom is an object")
 	}
-	if n := v.GetInt64("cost_us"); n > 0 {
-		j.arrival.Hint = time.Duration(n) * time.Microsecond
+	if n := custom.GetInt64("cost_us"); n > 0 {
+		j.submission.Hint = time.Duration(n) * time.Microsecond
 	}
-	if f := v.GetFloat64("slots"); f > 0 {
-		j.arrival.Slots = f
+	if f := custom.GetFloat64("slots"); f > 0 {
+		j.submission.Slots = f
 	}
-	if tenant := string(v.GetStringBytes("tenant")); tenant != "" {
-		j.arrival.Tenant = tenant
+	if tenant := string(custom.GetStringBytes("tenant")); tenant != "" {
+		j.submission.Tenant = tenant
 	}
 	var err error
-	if j.expires, err = timeOf(v, "expires_at"); err != nil {
+	if j.expiresAt, err = timeField(custom, "expires_at"); err != nil {
 		return err
 	}
-	if !j.expires.IsZero() && (j.arrival.ClientDeadline.IsZero() || j.expires.Before(j.arrival.ClientDeadline)) {
-		j.arrival.ClientDeadline = j.expires
+	if !j.expiresAt.IsZero() && (j.submission.ClientDeadline.IsZero() || j.expiresAt.Before(j.submission.ClientDeadline)) {
+		j.submission.ClientDeadline = j.expiresAt
 	}
-	j.batch = string(v.GetStringBytes("bid"))
-	if j.uniqueFor = seconds(v.GetFloat64("unique_for")); j.uniqueFor <= 0 {
+	j.batch = string(custom.GetStringBytes("bid"))
+	return j.parseUnique(custom, v.Get("args"))
+}
+
+// parseUnique reads for how long the job is unique, and when its lock is released sooner.
+func (j *job) parseUnique(custom, args *fastjson.Value) error {
+	if j.uniqueTTL = secondsToDuration(custom.GetFloat64("unique_for")); j.uniqueTTL <= 0 {
 		return nil
 	}
-	switch until := string(v.GetStringBytes("unique_until")); until {
+	switch until := string(custom.GetStringBytes("unique_until")); until {
 	case "", "success":
 	case "start":
-		j.uniqueUntil = sets.ReleaseOnStart
+		j.releaseOn = sets.ReleaseOnStart
 	default:
 		return errors.New("custom.unique_until is start or success")
 	}
-	// What makes two jobs the same: type, queue and arguments.
+	// Two jobs are the same if their types, queues and arguments are.
 	var d xxhash.Digest
 	d.Reset()
-	d.WriteString(j.kind + "\x00" + j.queue + "\x00")
-	d.Write(jsontext.Append(nil, whole.Get("args")))
-	j.unique = max(1, d.Sum64())
+	_, _ = d.WriteString(j.jobType + "\x00" + j.queue + "\x00") // a hash never fails
+	_, _ = d.Write(jsontext.Append(nil, args))
+	j.uniqueKey = max(1, d.Sum64())
 	return nil
 }
 
-// forWorker is the job that a worker fetches: a pushed one as it came, one of
-// another front in Faktory's form, with its body as the only argument.
-func forWorker(t *engine.Transaction, queue string) []byte {
-	if t.BodyFormat == form {
-		return withFailure(t)
-	}
-	var a fastjson.Arena
-	custom, args, v := a.NewObject(), a.NewArray(), a.NewObject()
-	custom.Set("target", a.NewString(t.Target))
-	custom.Set("tenant", a.NewString(t.Tenant))
-	custom.Set("key", a.NewString(t.Key))
-	args.SetArrayItem(0, a.NewString(strings.ToValidUTF8(string(t.Body), "\uFFFD")))
-	v.Set("jid", a.NewString(t.ID))
-	v.Set("queue", a.NewString(queue))
-	v.Set("jobtype", a.NewString(t.Class))
-	v.Set("args", args)
-	v.Set("custom", custom)
-	return jsontext.Append(nil, v)
-}
-
-// withFailure is a pushed job with what is known of how it failed last.
-func withFailure(t *engine.Transaction) []byte {
-	tried, ok := t.Client.(*task)
-	if !ok || tried.job == nil || tried.job.Failure == nil {
-		return t.Body
-	}
-	v, err := fastjson.ParseBytes(t.Body)
-	if err != nil {
-		return t.Body
-	}
-	var a fastjson.Arena
-	v.Set("failure", failureJSON(&a, tried.job.Failure))
-	return jsontext.Append(nil, v)
-}
-
-func failureJSON(a *fastjson.Arena, f *sets.Failure) *fastjson.Value {
-	v, trace := a.NewObject(), a.NewArray()
-	v.Set("retry_count", a.NewNumberInt(f.RetryCount))
-	v.Set("remaining", a.NewNumberInt(f.Remaining))
-	v.Set("failed_at", a.NewString(f.FailedAt.UTC().Format(time.RFC3339Nano)))
-	if !f.NextAt.IsZero() {
-		v.Set("next_at", a.NewString(f.NextAt.UTC().Format(time.RFC3339Nano)))
+// stored is the job as the sets keep it. Names are interned: many jobs share them.
+func (j *job) stored() *sets.Job {
+	stored := &sets.Job{
+		ID: j.id, Type: unique.Make(j.jobType).Value(), Queue: unique.Make(j.queue).Value(), Body: j.submission.Body, Retries: int32(j.retries),
 	}
-	v.Set("message", a.NewString(f.Message))
-	v.Set("errtype", a.NewString(f.ErrorType))
-	for i, line := range f.Backtrace {
-		trace.SetArrayItem(i, a.NewString(line))
+	if !j.notBefore.IsZero() || !j.expiresAt.IsZero() || j.uniqueKey != 0 || j.batch != "" {
+		stored.Options = &sets.Options{
+			NotBefore: j.notBefore, ExpiresAt: j.expiresAt, UniqueKey: j.uniqueKey, UniqueTTL: j.uniqueTTL, ReleaseOn: j.releaseOn, Batch: j.batch,
+		}
 	}
-	v.Set("backtrace", trace)
-	return v
+	return stored
 }
 
-// QueueOf names the queue that jobs of other fronts wait in at workers: the one
-// that the operator set up for their class, or one by the name of the class.
-func QueueOf(class string, set *settings.Faktory) string {
+// QueueForClass names the queue that workers fetch jobs of other fronts from: the first by
+// name that the settings map to their class, else the one named like the class.
+func QueueForClass(class string, config *settings.Faktory) string {
 	first := ""
-	for name, as := range set.Queues {
-		if as.Class == class && (first == "" || name < first) {
+	for name, target := range config.Queues {
+		if target.Class == class && (first == "" || name < first) {
 			first = name
 		}
 	}
 	return cmp.Or(first, class)
 }
-
-// reservation is how long a worker may keep a job. What a job asks for counts
-// from one minute on, as the protocol has it.
-func reservation(t *engine.Transaction, set *settings.Faktory) time.Duration {
-	if t.BodyFormat == form {
-		if v, err := fastjson.ParseBytes(t.Body); err == nil {
-			if s := v.GetFloat64("reserve_for"); s > 0 {
-				return max(seconds(s), min(soonest, set.ReserveFor))
-			}
-		}
-	}
-	return set.ReserveFor
-}
--- a/internal/dispatcher/faktory/model_test.go
+++ b/internal/dispatcher/faktory/model_test.go
@@ -75,7 +75,7 @@
 		var to *engine.Member
 		for _, m := range h.members {
 			ws := m.Transport.(*workers)
-			w := ws.byID[strings.TrimPrefix(m.ID, prefix)]
+			w := ws.byID[strings.TrimPrefix(m.ID, memberIDPrefix)]
 			if slices.Contains(m.Capabilities, t.Capability) && len(w.fetches) > 0 && (to == nil || m.ID < to.ID) {
 				to = m
 			}
@@ -123,14 +123,14 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		s, h := newFront()
-		b := s.back
+		b := s.backlog
 		jobs := map[string]*job{}
 		sessions := map[string]*session{}
 		paused := map[string]bool{}
 		seq := 0
 		client := &session{Server: s}
 		for _, id := range []string{"w1", "w2", "w3"} {
-			sessions[id] = &session{Server: s, worker: b.workers.connect(hello{worker: id})}
+			sessions[id] = &session{Server: s, worker: b.workers.connect(hello{workerID: id})}
 		}
 		queues := []string{"high", "low"}
 		in := func(where string) (found []*job) {
@@ -153,8 +153,8 @@
 				t.Skip()
 			}
 			j := held[rapid.IntRange(0, len(held)-1).Draw(t, "job")]
-			text := commands[verb](sessions[wid], `{"jid":"`+j.id+`","errtype":"E","message":"m"}`)
-			require.Equal(t, ok, text)
+			text := commandHandlers[verb](sessions[wid], `{"jid":"`+j.id+`","errtype":"E","message":"m"}`)
+			require.Equal(t, okReply, text)
 			h.pump()
 			return j, j.where == wid
 		}
@@ -168,16 +168,16 @@
 				if known != nil && !known.ticket && (known.where == "dead" || known.where == "gone") {
 					known = nil // it may run as often as need be, and its client asks again
 				}
-				text := commands["PUSH"](client, fmt.Sprintf(`{"jid":%q,"jobtype":%q,"queue":%q,"args":[],"retry":%d}`, id, kind, j.queue, j.retries))
+				text := commandHandlers["PUSH"](client, fmt.Sprintf(`{"jid":%q,"jobtype":%q,"queue":%q,"args":[],"retry":%d}`, id, kind, j.queue, j.retries))
 				h.pump()
 				switch {
 				case known != nil:
-					require.Equal(t, ok, text)
+					require.Equal(t, okReply, text)
 				case strings.HasPrefix(text, "-ERR refused"):
-					full := b.book.Len() >= 30 || len(in("queue")) > 0 && b.book.FindQueue(j.queue).Len() >= 20
+					full := b.store.Len() >= 30 || len(in("queue")) > 0 && b.store.FindQueue(j.queue).Len() >= 20
 					require.True(t, full, text)
 				default:
-					require.Equal(t, ok, text)
+					require.Equal(t, okReply, text)
 					seq++
 					j.seq = seq
 					jobs[id] = j
@@ -199,7 +199,7 @@
 				}
 				f := b.workers.fetch(sessions[wid].worker, order)
 				h.pump()
-				e := b.workers.unfetch(sessions[wid].worker, f)
+				e := b.workers.cancelFetch(f)
 				h.pump()
 				if want == nil {
 					require.Nil(t, e)
@@ -213,10 +213,10 @@
 				wid := anyone(t)
 				f := b.workers.fetch(sessions[wid].worker, queues)
 				h.pump()
-				if e := b.workers.unfetch(sessions[wid].worker, f); e != nil {
+				if e := b.workers.cancelFetch(f); e != nil {
 					j := jobs[e.flow.Transaction.ID]
 					require.Equal(t, "queue", j.where)
-					b.workers.undelivered(e)
+					b.workers.returnUndelivered(e)
 					h.pump()
 					j.where = "retries" // refused, and due again by and by
 				}
@@ -234,7 +234,7 @@
 				switch {
 				case j.retries < 0:
 					j.where = "gone"
-				case j.ticket || j.fails >= j.retries || b.book.Len() >= 30 && b.book.Find(j.id).Location() == "dead":
+				case j.ticket || j.fails >= j.retries || b.store.Len() >= 30 && b.store.Find(j.id).Location() == "dead":
 					j.where = "dead"
 				default:
 					j.where = "retries"
@@ -248,11 +248,11 @@
 				// The unit of the backoff is a nanosecond: all are due, in the order of
 				// their times, which the front knows.
 				var order []string
-				for _, j := range b.book.Retries.Sorted() {
+				for _, j := range b.store.Retries.Sorted() {
 					order = append(order, j.ID)
 				}
 				time.Sleep(time.Microsecond)
-				b.due()
+				b.promoteDue()
 				h.pump()
 				for _, id := range order {
 					seq++
@@ -262,7 +262,7 @@
 			"pause": func(t *rapid.T) {
 				q, on := rapid.SampledFrom(queues).Draw(t, "queue"), rapid.Bool().Draw(t, "on")
 				verb := map[bool]string{true: "PAUSE ", false: "RESUME "}[on]
-				require.Equal(t, ok, commands["QUEUE"](client, verb+q))
+				require.Equal(t, okReply, commandHandlers["QUEUE"](client, verb+q))
 				h.pump()
 				paused[q] = on
 			},
@@ -272,11 +272,11 @@
 					t.Skip()
 				}
 				j := dead[rapid.IntRange(0, len(dead)-1).Draw(t, "job")]
-				text := commands["MUTATE"](client, `{"cmd":"requeue","target":"dead","filter":{"jids":["`+j.id+`"]}}`)
+				text := commandHandlers["MUTATE"](client, `{"cmd":"requeue","target":"dead","filter":{"jids":["`+j.id+`"]}}`)
 				h.pump()
 				if j.ticket {
 					require.Contains(t, text, "must not run twice")
-				} else if text == ok {
+				} else if text == okReply {
 					seq++
 					j.where, j.seq = "queue", seq
 				} else {
@@ -288,9 +288,9 @@
 				defer b.mu.Unlock()
 				for id, j := range jobs {
 					where := "success"
-					switch at := b.book.Find(id); {
-					case b.workers.held[id] != nil:
-						where = b.workers.held[id].worker.id
+					switch at := b.store.Find(id); {
+					case b.workers.reserved[id] != nil:
+						where = b.workers.reserved[id].worker.id
 					case at != nil:
 						where = at.Location()
 					case b.tasks[id].answer.Verdict != engine.Served:
@@ -298,12 +298,12 @@
 					}
 					require.Equal(t, j.where, where, id)
 				}
-				require.Len(t, b.workers.held, len(in("w1"))+len(in("w2"))+len(in("w3")))
-				require.Zero(t, b.out-len(b.workers.held), "nothing is with the decisions but what is held")
-				require.Empty(t, b.waiting)
-				require.Empty(t, b.workers.wants)
-				require.Empty(t, b.workers.promised)
-				for _, q := range b.book.Info(time.Now()) {
+				require.Len(t, b.workers.reserved, len(in("w1"))+len(in("w2"))+len(in("w3")))
+				require.Zero(t, b.submitted-len(b.workers.reserved), "nothing is with the decisions but what is held")
+				require.Empty(t, b.unfetched)
+				require.Empty(t, b.workers.waitingFetches)
+				require.Empty(t, b.workers.submittedFor)
+				for _, q := range b.store.Info(time.Now()) {
 					require.Equal(t, paused[q.Name], q.Paused)
 				}
 			},
@@ -344,10 +344,10 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, h := newFront()
-		w := &session{Server: s, worker: s.workers.connect(hello{worker: "w1"})}
+		w := &session{Server: s, worker: s.workers.connect(hello{workerID: "w1"})}
 		for _, line := range strings.Split(text, "\n") {
 			name, rest, _ := strings.Cut(line, " ")
-			if handler := commands[name]; handler != nil {
+			if handler := commandHandlers[name]; handler != nil {
 				for _, who := range []*session{{Server: s}, w} {
 					reply := handler(who, strings.TrimSpace(rest))
 					h.pump()
@@ -357,9 +357,9 @@
 		}
 		fetched := s.workers.fetch(w.worker, []string{"q", "default"})
 		h.pump()
-		if e := s.workers.unfetch(w.worker, fetched); e != nil {
-			require.NoError(t, fastjson.ValidateBytes(e.job))
-			require.NotContains(t, string(e.job), "\n")
+		if e := s.workers.cancelFetch(fetched); e != nil {
+			require.NoError(t, fastjson.ValidateBytes(e.payload))
+			require.NotContains(t, string(e.payload), "\n")
 		}
 	})
 }
@@ -373,11 +373,11 @@
 		in := bufio.NewReaderSize(strings.NewReader(text), max(16, size%8192))
 		var got []string
 		for {
-			line, err := readLine(in)
+			line, err := readCommand(in)
 			if err != nil {
 				break
 			}
-			require.LessOrEqual(t, len(line), mostLine)
+			require.LessOrEqual(t, len(line), maxCommandBytes)
 			require.NotContains(t, line, "\n")
 			got = append(got, line)
 		}
@@ -392,10 +392,10 @@
 func FuzzHello(f *testing.F) {
 	f.Add(`{"v":2,"wid":"w","hostname":"h","pid":1,"labels":["a",1]}`, "secret")
 	f.Fuzz(func(t *testing.T, text, password string) {
-		h, err := readHello(text, password, "salt")
+		h, err := parseHello(text, password, "salt")
 		if err == nil {
-			require.LessOrEqual(t, len(h.worker), maxName)
-			require.NotEmpty(t, h.who())
+			require.LessOrEqual(t, len(h.workerID), maxNameLength)
+			require.NotEmpty(t, h.describe())
 		}
 	})
 }
--- a/internal/dispatcher/faktory/plans.go
+++ b/internal/dispatcher/faktory/plans.go
@@ -13,53 +13,55 @@
 	"github.com/valyala/fastjson"
 )
 
-// Plans runs plans for jobs that name one.
-type Plans interface {
-	// InUse is nil for a plan that can be begun here, and else says why not.
-	InUse(plan string) error
-	// Begin begins a run, or finds it, wherever in the fleet it is. A zero time is the
-	// plan's own deadline, and none is beyond that. Done is called once, by another
-	// goroutine, unless this process ends first: Served with the answer's JSON, Refused
-	// where nothing has run, else Failed. It does not wait; after an error nothing has
-	// run, and done is not called.
-	Begin(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error
+// PlanStarter starts the runs of plans, for jobs that name one.
+type PlanStarter interface {
+	// CheckInUse returns nil for a plan that can be started here, else an error that says
+	// why not.
+	CheckInUse(plan string) error
+	// Start starts a run, or joins it wherever in the fleet it is, and does not wait. A zero
+	// deadline is the plan's own, which a later one does not extend. Another goroutine calls
+	// done once, unless this process stops first: with Served and the answer's JSON, Refused
+	// if nothing has run, else Failed. After an error nothing has run, and done is not called.
+	Start(run, plan, tenant string, input []byte, deadline time.Time, done func(engine.Answer)) error
 }
 
-// planned is a job that is run as a plan. Its runs have its jid, and each after one
-// in which nothing had run a number behind that: an id is one run in the whole fleet.
-type planned struct {
-	name string
-	ends int // runs that have ended
+// planRuns numbers the runs of a job that is run as a plan. A run's id is one run in the
+// whole fleet: the first has the jid, and each that follows one in which nothing has run has
+// a number appended.
+type planRuns struct {
+	plan  string
+	ended int // how many runs have ended
 }
 
-// newPlanned goes on from the runs of a push before, if there was one.
-func newPlanned(name string, known *task) *planned {
+// newPlanRuns continues the numbers of the jid's earlier task, if it had the same plan. It
+// returns nil for a job without a plan.
+func newPlanRuns(name string, known *task) *planRuns {
 	switch {
 	case name == "":
 		return nil
-	case known != nil && known.plan != nil && known.plan.name == name:
+	case known != nil && known.plan != nil && known.plan.plan == name:
 		return known.plan
 	}
-	return &planned{name: name}
+	return &planRuns{plan: name}
 }
 
-// run is the id of the next run of a job, or of that under way.
-func (p *planned) run(jid string) string {
-	if p.ends == 0 {
+// runID is the id of the job's current run, or of its next one if none is under way.
+func (p *planRuns) runID(jid string) string {
+	if p.ended == 0 {
 		return jid
 	}
-	return fmt.Sprintf("%s#%d", jid, p.ends)
+	return fmt.Sprintf("%s#%d", jid, p.ended)
 }
 
-// planOf reads the plan that a job names.
-func planOf(v *fastjson.Value, jid string) (string, error) {
-	at := v.Get("custom", "plan")
-	if at == nil || at.Type() == fastjson.TypeNull {
+// planField reads the name of a job's plan; empty if it has none.
+func planField(v *fastjson.Value, jid string) (string, error) {
+	field := v.Get("custom", "plan")
+	if field == nil || field.Type() == fastjson.TypeNull {
 		return "", nil
 	}
-	name := string(at.GetStringBytes())
+	name := string(field.GetStringBytes())
 	switch {
-	case name == "" || len(name) > maxName:
+	case name == "" || len(name) > maxNameLength:
 		return "", errors.New("custom.plan is the name of a plan")
 	case strings.Contains(jid, "#"):
 		return "", errors.New("the jid of a job with a plan has no #") // it numbers runs
@@ -67,20 +69,20 @@
 	return name, nil
 }
 
-// read is readJob for jobs that come in: a plan that they name must be in use.
-func (b *backlog) read(v *fastjson.Value, now time.Time) (job, error) {
-	j, err := readJob(v, b.set, now)
+// parseIncoming parses a job that is pushed: its plan must be in use.
+func (b *backlog) parseIncoming(v *fastjson.Value, now time.Time) (job, error) {
+	j, err := parseJob(v, b.config, now)
 	switch {
 	case err != nil || j.plan == "":
 		return j, err
 	case b.plans == nil:
 		return j, fmt.Errorf("plan %q can't be run: this process is in no fleet", j.plan)
 	}
-	return j, b.plans.InUse(j.plan)
+	return j, b.plans.CheckInUse(j.plan)
 }
 
-// planInput is what a plan is started with: the job's args, and what else its custom
-// object has.
+// planInput is the input of a plan's run: the job's args, and its custom object without the
+// plan's name.
 func planInput(v *fastjson.Value) []byte {
 	var a fastjson.Arena
 	input, custom := a.NewObject(), v.Get("custom")
@@ -90,68 +92,67 @@
 	return jsontext.Append(nil, input)
 }
 
-// feedPlans begins the plans that come first in a queue: nobody fetches them.
-func (b *backlog) feedPlans(queue string) {
+// startPlans starts the jobs with a plan that are first in a queue: no FETCH is needed. The
+// lock is held.
+func (b *backlog) startPlans(queue string) {
 	for now := time.Now(); ; {
-		w, expired := b.book.DequeueIf(now, queue, func(j *sets.Job) bool { return j.Attachment.(*task).plan != nil })
-		b.expire(expired)
-		if w == nil {
+		next, expired := b.store.DequeueIf(now, queue, func(j *sets.Job) bool { return j.Attachment.(*task).plan != nil })
+		b.concludeExpired(expired)
+		if next == nil {
 			return
 		}
-		b.begin(w.Attachment.(*task), now)
+		b.startPlan(next.Attachment.(*task), now)
 	}
 }
 
-// begin begins the run of a job that was taken from its queue.
-func (b *backlog) begin(t *task, now time.Time) {
-	var j job
-	v, err := fastjson.ParseBytes(t.job.Body)
-	if err == nil {
-		j, err = readJob(v, b.set, now)
-	}
+// startPlan starts the run of a job that was taken from its queue. The lock is held.
+func (b *backlog) startPlan(t *task, now time.Time) {
+	v, j, err := b.parseStored(t, now)
 	if err != nil {
 		b.conclude(t, engine.Answer{Verdict: engine.Denied, Body: []byte(err.Error() + "\n")})
 		return
 	}
-	t.state, t.failed, t.at = isOut, nil, now
-	b.book.Started(t.job)
-	run, queue := t.plan.run(t.id), t.job.Queue
-	err = b.plans.Begin(run, t.plan.name, j.arrival.Tenant, planInput(v), j.arrival.ClientDeadline, func(a engine.Answer) {
+	t.state, t.failure, t.updatedAt = taskSubmitted, nil, now
+	b.store.Started(t.job)
+	runID, queue := t.plan.runID(t.id), t.job.Queue
+	err = b.plans.Start(runID, t.plan.plan, j.submission.Tenant, planInput(v), j.submission.ClientDeadline, func(a engine.Answer) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		t.plan.ends++
-		b.planEnded(t, run, a)
-		b.feed(queue)
+		t.plan.ended++
+		b.planEnded(t, runID, a)
+		b.submitWanted(queue)
 	})
-	if err != nil { // the id is still to be used
-		b.planEnded(t, run, engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n")})
+	if err != nil { // the run's id has not been used
+		b.planEnded(t, runID, engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n")})
 	}
 }
 
-// planEnded takes in the final answer of a run. Only one in which nothing has run is
-// followed by another.
-func (b *backlog) planEnded(t *task, run string, a engine.Answer) {
+// planEnded takes in the final answer of a run. Another run may follow only if nothing of
+// this one has run. The lock is held.
+func (b *backlog) planEnded(t *task, runID string, a engine.Answer) {
 	now := time.Now()
-	t.at = now
-	fate := sets.Discarded
+	t.updatedAt = now
+	disposition := sets.Discarded
 	switch a.Verdict {
 	case engine.Served:
 		b.processed++
 	case engine.Refused:
-		fate = b.book.Rejected(now, t.job, a.RetryAt)
+		disposition = b.store.Rejected(now, t.job, a.RetryAt)
 	default:
 		b.processed++
 		b.failures++
-		why := "failed before anything ran"
-		if t.job.MayHaveRun = a.Verdict == engine.Failed; t.job.MayHaveRun {
-			why = "may have run, and is not begun again"
+		detail := "failed before anything ran"
+		t.job.MayHaveRun = a.Verdict == engine.Failed
+		if t.job.MayHaveRun {
+			detail = "may have run, and is not begun again"
 		}
-		t.failed = &failure{kind: "Plan", message: cut(fmt.Sprintf("run %s of plan %s %s: %s", run, t.plan.name, why, strings.TrimSpace(string(a.Body))))}
-		fate = b.book.Failed(now, t.job, false, t.failed.kind, t.failed.message, nil)
+		message := fmt.Sprintf("run %s of plan %s %s: %s", runID, t.plan.plan, detail, strings.TrimSpace(string(a.Body)))
+		t.failure = &failure{errorType: "Plan", message: truncate(message)}
+		disposition = b.store.Failed(now, t.job, false, t.failure.errorType, t.failure.message, nil)
 	}
-	if fate == sets.WillRetry {
-		t.state = waits
-		b.wake()
+	if disposition == sets.WillRetry {
+		t.state = taskWaiting
+		b.resetPromotionTimer()
 		return
 	}
 	b.conclude(t, a)
--- a/internal/dispatcher/faktory/plans_test.go
+++ b/internal/dispatcher/faktory/plans_test.go
@@ -20,14 +20,14 @@
 	away  error
 }
 
-func (p *planner) InUse(plan string) error {
+func (p *planner) CheckInUse(plan string) error {
 	if plan != "coach" {
 		return fmt.Errorf("no plan %q", plan)
 	}
 	return nil
 }
 
-func (p *planner) Begin(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error {
+func (p *planner) Start(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error {
 	p.begun, p.until, p.done = append(p.begun, fmt.Sprintf("%s %s %s %s", run, plan, tenant, input)), append(p.until, until), append(p.done, done)
 	return p.away
 }
@@ -60,11 +60,11 @@
 			do("PUSH", coachJob("job-0001", "", ""), `^\+OK`)
 			for n := range 2 {
 				p.done[n](refused)
-				b.due() // a second of the backoff is a nanosecond here
+				b.promoteDue() // a second of the backoff is a nanosecond here
 			}
 			require.Equal(t, []string{"job-0001 coach  " + input, "job-0001#1 coach  " + input, "job-0001#2 coach  " + input}, p.begun)
 			p.done[2](failed)
-			b.due()
+			b.promoteDue()
 			do("TRACK", "GET job-0001", `"message":"run job-0001#2 of plan coach may have run, and is not begun again: {\\"left\\".*"state":"failed"`)
 			do("PUSH", coachJob("job-0001", "", ""), `^\+OK`)
 			do("MUTATE", `{"cmd":"requeue","target":"dead","filter":{"jids":["job-0001"]}}`, "may have run already")
@@ -76,7 +76,7 @@
 			p.away = errors.New("away")
 			do("PUSH", coachJob("job-0001", "", ""), `^\+OK`)
 			p.away = nil
-			b.due()
+			b.promoteDue()
 			require.Equal(t, []string{"job-0001 coach  " + input, "job-0001 coach  " + input}, p.begun, "an id that nobody has used is used")
 		},
 		"its turn": func(do func(c, r, w string) string, p *planner, b *backlog) {
@@ -90,11 +90,11 @@
 			do("QUEUE", "RESUME q", "OK")
 			require.Len(t, p.begun, 1)
 			require.Equal(t, soon, p.until[0].UTC().Format(time.RFC3339Nano))
-			f := b.workers.fetch(b.workers.connect(hello{worker: "w1"}), []string{"q"})
+			f := b.workers.fetch(b.workers.connect(hello{workerID: "w1"}), []string{"q"})
 			require.Equal(t, "job-0004 coach  "+input, p.begun[1], "once the job before it is handed out")
-			b.hub.(*hub).pump()
-			require.Contains(t, string((<-f.got).job), "job-0003")
-			require.Zero(t, b.waiting["q"])
+			b.engine.(*hub).pump()
+			require.Contains(t, string((<-f.delivered).payload), "job-0003")
+			require.Zero(t, b.unfetched["q"])
 		},
 		"what it takes beyond that": func(do func(c, r, w string) string, p *planner, b *backlog) {
 			unique := `,"unique_for":60,"unique_until":"start"`
@@ -119,16 +119,16 @@
 		t.Run(name, func(t *testing.T) {
 			s, h := newFront()
 			p := &planner{}
-			s.With(p)
+			s.SetPlans(p)
 			client := &session{Server: s}
 			step(func(command, rest, want string) string {
 				t.Helper()
-				text := commands[command](client, rest)
+				text := commandHandlers[command](client, rest)
 				h.pump()
 				require.Regexp(t, want, text, "%s %s", command, rest)
 				return text
-			}, p, s.back)
-			require.Zero(t, s.Desk.Snapshot().Answers, "a plan is no transaction of this front")
+			}, p, s.backlog)
+			require.Zero(t, s.Counters.Snapshot().Answers, "a plan is no transaction of this front")
 		})
 	}
 }
--- a/internal/dispatcher/faktory/server.go
+++ b/internal/dispatcher/faktory/server.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -20,205 +18,176 @@
 )
 
 const (
-	fetchFor = 2 * time.Second        // a FETCH waits so long for a job
-	patience = 250 * time.Millisecond // a connection is left to say HELLO at least
-	comeBack = time.Second            // advice with a refusal that has none
+	// helloGrace is how long a connection may take to say HELLO before another one may
+	// evict it.
+	helloGrace = 250 * time.Millisecond
+	// defaultRetryAfter is the advice with a refusal that brings none of its own.
+	defaultRetryAfter = time.Second
 )
 
-// Front is what this front's jobs are counted under.
-const Front = "faktory"
+// FrontName is what this front's jobs are counted under in accounting.
+const FrontName = "faktory"
 
-// Intake makes transactions of arrivals.
-type Intake interface {
+// TransactionFactory makes the engine's transactions of submissions; the pipeline is one.
+type TransactionFactory interface {
+	// NewTransaction fails for a submission that can't be served, such as one of an
+	// unknown class or one whose deadline has passed.
 	NewTransaction(a pipeline.Submission, now time.Time, client engine.Client) (*engine.Transaction, error)
+	// Effect returns what running a job of the class twice would do, and false for a
+	// class that is not configured.
 	Effect(class string) (policy.Effect, bool)
 }
 
 // Server is the Faktory front.
 type Server struct {
-	Desk    accounting.FrontCounters // its own book
-	hub     Hub
-	intake  Intake
-	set     *settings.Faktory
-	log     logrus.FieldLogger
-	back    *backlog
-	workers *workers
-	started time.Time
-	slots   chan struct{}
-
-	draining atomic.Bool
-	commands atomic.Int64
-
-	mu    sync.Mutex
-	conns map[net.Conn]time.Time // until HELLO since when, then zero
-	by    map[string]int         // connections by client address
-	all   sync.WaitGroup
+	Counters accounting.FrontCounters // the jobs that this front has started and answered
+
+	engine       Engine
+	transactions TransactionFactory
+	config       *settings.Faktory
+	log          logrus.FieldLogger
+	backlog      *backlog
+	workers      *workers // the backlog's
+	startedAt    time.Time
+
+	connectionSlots chan struct{} // holds one item for each open connection
+	draining        atomic.Bool
+	commandCount    atomic.Int64
+	goroutines      sync.WaitGroup // of Serve, which waits for them
+
+	mu                   sync.Mutex
+	openConnections      map[net.Conn]time.Time // when it was accepted, while HELLO is awaited; else zero
+	connectionsByAddress map[string]int         // open ones, by the peer's address without its port
 }
 
 // New returns a front that is not serving yet.
-func New(hub Hub, intake Intake, set *settings.Faktory, log logrus.FieldLogger) *Server {
+func New(eng Engine, transactions TransactionFactory, config *settings.Faktory, log logrus.FieldLogger) *Server {
 	s := &Server{
-		Desk: accounting.FrontCounters{Front: Front}, hub: hub, intake: intake, set: set, log: log,
-		started: time.Now(), slots: make(chan struct{}, set.Connections), conns: make(map[net.Conn]time.Time), by: make(map[string]int),
+		Counters: accounting.FrontCounters{Front: FrontName}, engine: eng, transactions: transactions, config: config, log: log,
+		startedAt: time.Now(), connectionSlots: make(chan struct{}, config.Connections),
+		openConnections: make(map[net.Conn]time.Time), connectionsByAddress: make(map[string]int),
 	}
-	s.back = newBacklog(hub, intake, set, &s.Desk, log)
-	s.workers = s.back.workers
+	s.backlog = newBacklog(eng, transactions, config, &s.Counters, log)
+	s.workers = s.backlog.workers
 	return s
 }
 
-// With lets jobs name a plan that they are run as. It is called before Serve.
-func (s *Server) With(p Plans) { s.back.plans = p }
+// SetPlans lets jobs name a plan that they are run as. It must be called before Serve.
+func (s *Server) SetPlans(p PlanStarter) { s.backlog.plans = p }
 
-// Serve serves connections until the context ends or the listener fails.
+// Serve serves connections until the context ends, when it returns nil, or the listener
+// fails. It returns after all of its goroutines.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	stop := context.AfterFunc(ctx, func() {
-		l.Close()
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		for c := range s.conns {
-			c.Close()
-		}
-	})
+	stop := context.AfterFunc(ctx, func() { s.closeAll(l) })
 	defer stop()
-	defer s.all.Wait()
-	s.all.Go(func() { s.back.run(ctx) })
+	defer s.goroutines.Wait()
+	s.goroutines.Go(func() { s.backlog.runPromotions(ctx) })
 	for {
-		c, err := l.Accept()
+		conn, err := l.Accept()
 		switch {
 		case ctx.Err() != nil:
 			return nil
 		case err != nil:
 			return fmt.Errorf("serving %s: %w", l.Addr(), err)
 		}
-		select {
-		case s.slots <- struct{}{}:
-		default:
-			if s.makeRoom(time.Now()) {
-				s.slots <- struct{}{}
-				break
-			}
-			c.SetWriteDeadline(time.Now().Add(writeFor))
-			fmt.Fprint(c, fault("too many connections, come back in %v", comeBack))
-			c.Close()
+		if !s.takeSlot() {
+			rejectConnection(conn, "too many connections")
 			continue
 		}
-		at, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-		s.mu.Lock()
-		tooMany := s.set.PerAddress > 0 && s.by[at] >= s.set.PerAddress
-		if !tooMany {
-			s.conns[c] = time.Now()
-			s.by[at]++
-		}
-		s.mu.Unlock()
-		if tooMany {
-			<-s.slots
-			c.SetWriteDeadline(time.Now().Add(writeFor))
-			fmt.Fprint(c, fault("too many connections from one address, come back in %v", comeBack))
-			c.Close()
+		address, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
+		if !s.register(conn, address) {
+			<-s.connectionSlots
+			rejectConnection(conn, "too many connections from one address")
 			continue
 		}
-		s.all.Go(func() {
-			defer func() {
-				s.mu.Lock()
-				delete(s.conns, c)
-				if s.by[at]--; s.by[at] == 0 {
-					delete(s.by, at)
-				}
-				s.mu.Unlock()
-				<-s.slots
-			}()
-			s.serve(ctx, c)
+		s.goroutines.Go(func() {
+			defer s.unregister(conn, address)
+			s.serve(ctx, conn)
 		})
 	}
 }
 
-// makeRoom closes the connection that has been longest without saying who it
-// is, if a usual client would have by now: those that only connect must not
-// shut out the others. It reports whether there was one.
-func (s *Server) makeRoom(now time.Time) bool {
+// closeAll closes the listener and all connections, so that Serve's goroutines return.
+func (s *Server) closeAll(l net.Listener) {
+	_ = l.Close() // Serve returns in any case
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var silent net.Conn
-	for c, since := range s.conns {
-		if !since.IsZero() && now.Sub(since) >= patience && (silent == nil || since.Before(s.conns[silent])) {
-			silent = c
-		}
+	for conn := range s.openConnections {
+		_ = conn.Close() // its goroutine closes it again
 	}
-	if silent == nil {
+}
+
+// takeSlot takes a connection slot. Where none is free it evicts a connection that has not
+// said HELLO, and waits for its slot. It reports false if there is none to evict.
+func (s *Server) takeSlot() bool {
+	select {
+	case s.connectionSlots <- struct{}{}:
+		return true
+	default:
+	}
+	if !s.evictUnauthenticated(time.Now()) {
 		return false
 	}
-	s.conns[silent] = time.Time{} // it makes room once
-	silent.Close()
+	s.connectionSlots <- struct{}{}
 	return true
 }
 
-// Drain takes no more pushes. Workers go on fetching what was taken.
-func (s *Server) Drain() {
-	s.draining.Store(true)
-	s.back.drain()
+// register counts a connection in, unless its address has as many as the settings allow.
+func (s *Server) register(conn net.Conn, address string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.config.PerAddress > 0 && s.connectionsByAddress[address] >= s.config.PerAddress {
+		return false
+	}
+	s.openConnections[conn] = time.Now()
+	s.connectionsByAddress[address]++
+	return true
 }
 
-// session is one connection after its HELLO.
-type session struct {
-	*Server
-	wire   *wire
-	worker *worker // nil: a client that only pushes
-	hello  hello
-	from   string // the client's address, without its port
+// unregister counts a connection out and frees its slot.
+func (s *Server) unregister(conn net.Conn, address string) {
+	s.mu.Lock()
+	delete(s.openConnections, conn)
+	if s.connectionsByAddress[address]--; s.connectionsByAddress[address] == 0 {
+		delete(s.connectionsByAddress, address)
+	}
+	s.mu.Unlock()
+	<-s.connectionSlots
 }
 
-func (s *Server) serve(ctx context.Context, c net.Conn) {
-	w := newWire(c)
-	defer w.close()
-	salt := nonce()
-	if w.reply(greeting(s.set.Password, salt)) != nil {
-		return
-	}
-	var first string
-	select {
-	case first = <-w.lines:
-	case <-w.gone:
-		return
-	}
-	name, rest, _ := strings.Cut(first, " ")
-	h, err := hello{}, errors.New("say HELLO first")
-	if name == "HELLO" {
-		h, err = readHello(rest, s.set.Password, salt)
-	}
-	if err != nil {
-		w.reply(fault("%v", err))
-		return
-	}
+// rejectConnection tells a peer why it is not served, and closes its connection.
+func rejectConnection(conn net.Conn, reason string) {
+	// The peer is not served whether it reads this or not, so the errors change nothing.
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, _ = fmt.Fprint(conn, errorReply("%s, come back in %v", reason, defaultRetryAfter))
+	_ = conn.Close()
+}
+
+// evictUnauthenticated closes the connection that has gone longest without its HELLO, if it
+// is older than helloGrace: peers that only connect must not shut out the others. It
+// reports whether there was one.
+func (s *Server) evictUnauthenticated(now time.Time) bool {
 	s.mu.Lock()
-	s.conns[c] = time.Time{}
-	s.mu.Unlock()
-	at := &session{Server: s, wire: w, hello: h}
-	at.from, _, _ = net.SplitHostPort(c.RemoteAddr().String())
-	if h.worker != "" {
-		at.worker = s.workers.connect(h)
-		defer s.workers.disconnect(at.worker)
+	defer s.mu.Unlock()
+	var oldest net.Conn
+	for conn, acceptedAt := range s.openConnections {
+		if acceptedAt.IsZero() || now.Sub(acceptedAt) < helloGrace {
+			continue
+		}
+		if oldest == nil || acceptedAt.Before(s.openConnections[oldest]) {
+			oldest = conn
+		}
 	}
-	if w.reply(ok) == nil {
-		at.loop(ctx)
+	if oldest == nil {
+		return false
 	}
+	s.openConnections[oldest] = time.Time{} // it is evicted once
+	_ = oldest.Close()                      // its goroutine closes it again
+	return true
 }
 
-// loop serves one command after the other until the connection ends.
-func (s *session) loop(ctx context.Context) {
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-s.wire.gone:
-			if errors.Is(s.wire.err, errTooLong) {
-				s.wire.reply(fault("%v", errTooLong))
-			}
-			return
-		case line := <-s.wire.lines:
-			s.commands.Add(1)
-			if !s.command(line) {
-				return
-			}
-		}
-	}
+// Drain accepts no more pushes. Workers go on fetching the jobs that were accepted.
+func (s *Server) Drain() {
+	s.draining.Store(true)
+	s.backlog.drain()
 }
--- a/internal/dispatcher/faktory/sets/book.go
+++ b/internal/dispatcher/faktory/sets/book.go
@@ -11,20 +11,20 @@
 
 // Limits bound a Book.
 type Limits struct {
-	Jobs, Bytes           int // over all queues and sets, the dead apart
-	QueueJobs, QueueBytes int // of one queue
+	Jobs, Bytes             int // over all queues and sets, the dead apart
+	QueueJobs, QueueBytes   int // of one queue
 	ClientJobs, ClientBytes int // of one client; 0: no bound of its own
-	Queues                int
-	Dead, DeadBytes       int           // beyond these the oldest go
-	DeadRetention               time.Duration // and after this
-	BackoffUnit                  time.Duration // what a second of the backoff lasts; 0: a second
+	Queues                  int
+	Dead, DeadBytes         int           // beyond these the oldest go
+	DeadRetention           time.Duration // and after this
+	BackoffUnit             time.Duration // what a second of the backoff lasts; 0: a second
 }
 
 // Errors of a push.
 var (
-	ErrNotUnique = errors.New("NOTUNIQUE")
-	ErrDuplicateID     = errors.New("this jid is waiting already")
-	ErrExpired   = errors.New("the job has expired")
+	ErrNotUnique   = errors.New("NOTUNIQUE")
+	ErrDuplicateID = errors.New("this jid is waiting already")
+	ErrExpired     = errors.New("the job has expired")
 )
 
 // FullError says which bound a job would break. It is an ErrFull.
@@ -35,28 +35,28 @@
 
 // uniqueLock is held by a unique job.
 type uniqueLock struct {
-	jobID   string
+	jobID     string
 	expiresAt time.Time
 }
 
 // Store is all that waits.
 type Store struct {
-	limits     Limits
-	jitter     *rand.Rand
-	queues     map[string]*Queue
-	jobs       map[string]*Job // all that wait, the dead included
-	locks      map[uint64]uniqueLock
-	nextLockSweep      time.Time
-	Scheduled  *Set
-	Retries    *Set
-	Dead       *Set
-	clients     map[string]*usage
-	pendingBytes      int // of what waits, the dead apart
-	pendingJobs      int
+	limits        Limits
+	jitter        *rand.Rand
+	queues        map[string]*Queue
+	jobs          map[string]*Job // all that wait, the dead included
+	locks         map[uint64]uniqueLock
+	nextLockSweep time.Time
+	Scheduled     *Set
+	Retries       *Set
+	Dead          *Set
+	clients       map[string]*usage
+	pendingBytes  int // of what waits, the dead apart
+	pendingJobs   int
 	DeadDropped   int    // of the dead, those that went for want of room or time
-	Expired    int    // jobs that waited too long
-	Promoted   [2]int // scheduled and retried jobs that came due
-	lastNow time.Time
+	Expired       int    // jobs that waited too long
+	Promoted      [2]int // scheduled and retried jobs that came due
+	lastNow       time.Time
 }
 
 // usage is what waits of one client.
@@ -313,9 +313,9 @@
 
 // Fates.
 const (
-	WillRetry Disposition = iota // it waits for another try
-	MovedToDead                // it is among the dead, where an operator may look at it
-	Discarded                // it asked for no more
+	WillRetry   Disposition = iota // it waits for another try
+	MovedToDead                    // it is among the dead, where an operator may look at it
+	Discarded                      // it asked for no more
 )
 
 const maxConsecutiveRejections = 25 // in a row; then a refusal counts as a failure
--- a/internal/dispatcher/faktory/sets/mutate.go
+++ b/internal/dispatcher/faktory/sets/mutate.go
@@ -11,7 +11,7 @@
 
 // Filter picks jobs. What is empty picks all; a job must meet each part.
 type Filter struct {
-	JobType    string
+	JobType string
 	IDs     []string
 	Pattern string // of the job's JSON: * is any text, ? any character
 }
--- a/internal/dispatcher/faktory/sets/set.go
+++ b/internal/dispatcher/faktory/sets/set.go
@@ -52,7 +52,9 @@
 	return all
 }
 
-func compareByTime(a, b *Job) int { return cmp.Or(cmp.Compare(a.orderedBy, b.orderedBy), cmp.Compare(a.ID, b.ID)) }
+func compareByTime(a, b *Job) int {
+	return cmp.Or(cmp.Compare(a.orderedBy, b.orderedBy), cmp.Compare(a.ID, b.ID))
+}
 
 func newSet(name string) *Set {
 	return &Set{Name: name, heap: indexedheap.New(func(a, b *Job) bool { return compareByTime(a, b) < 0 }, func(j *Job, at int) { j.heapIndex = at })}
--- a/internal/dispatcher/faktory/workers.go
+++ b/internal/dispatcher/faktory/workers.go
@@ -3,7 +3,6 @@
 import (
 	"hash/fnv"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -13,114 +12,97 @@
 )
 
 const (
-	// Source is the name of Faktory's workers in the core.
-	Source = "faktory"
-	// prefix keeps a wid apart from the ids of other pool members.
-	prefix = "faktory/"
+	// SourceName is the engine's name for the pool members that are Faktory workers.
+	SourceName = "faktory"
+	// memberIDPrefix is put before a wid, so that it differs from other pool members' ids.
+	memberIDPrefix = "faktory/"
 )
 
-// Hub is what the front needs of the core.
-type Hub interface {
+// Engine is what the front needs of the dispatcher's engine (engine.Engine, which documents
+// the methods). Do waits for the engine's goroutine; the others don't.
+type Engine interface {
 	Submit(*engine.Transaction)
 	Do(func())
 	HasOtherSources(source string) bool
 	EndFlow(f *engine.Flow, s policy.Status, result []byte)
-	UpdateFlow(f *engine.Flow, topic policy.UpdateKind, share float64)
+	UpdateFlow(f *engine.Flow, kind policy.UpdateKind, progress float64)
 	EndProbe(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
 	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
-// workers are the Faktory workers as pool members. It implements core.Carrier.
+// workers are the Faktory workers as pool members. It implements engine.Transport.
 type workers struct {
-	hub  Hub
-	set  *settings.Faktory
-	back *backlog
-	mu   *sync.Mutex // the backlog's
+	engine  Engine
+	config  *settings.Faktory
+	backlog *backlog
+	mu      *sync.Mutex // the backlog's
 
-	byID     map[string]*worker
-	held     map[string]*errand // fetched and not ended, by jid
-	wants    map[string]int     // FETCHes that wait, by queue
-	promised map[string]*fetch  // that a job was handed to the core for, by jid
+	byID           map[string]*worker
+	reserved       map[string]*delivery     // by jid: fetched and not ended
+	waitingFetches map[string]int           // by queue: how many FETCHes wait; never 0
+	submittedFor   map[string]*pendingFetch // by jid: the FETCH that a job was submitted for
 }
 
 // worker is one wid, over all of its connections.
 type worker struct {
-	id          string
-	connections int
-	queues      map[string]bool // that it has fetched from
-	listed      bool
-	quiet       bool // it takes nothing new
-	mailbox     []*errand
-	fetches     []*fetch // that wait
-	holding     int      // jobs that it has fetched
-	since       time.Time
-	beat        time.Time
-	rssKB       int64
-	hello       hello
-}
-
-// errand is a flow at a worker.
-type errand struct {
-	flow    *engine.Flow
-	worker  *worker
-	queue   string
-	job     []byte // as it is written to the worker
-	fetched bool
-	over    bool
-	timer   *time.Timer // hands it back unfetched, or ends its reservation
-}
-
-// fetch is a FETCH that waits for a job.
-type fetch struct {
-	worker *worker
-	queues []string
-	got    chan *errand // room for one
-}
-
-func newWorkers(hub Hub, set *settings.Faktory, back *backlog) *workers {
+	id            string
+	connections   int             // open ones
+	queues        map[string]bool // that it has ever fetched from
+	inPool        bool            // the engine lists it as a member
+	quiet         bool            // it has said that it fetches no more
+	mailbox       []*delivery     // routed to it and not fetched yet
+	fetches       []*pendingFetch // that wait
+	reservedJobs  int             // how many jobs it has fetched and not ended
+	lastHeartbeat time.Time
+	rssKB         int64
+	hello         hello
+}
+
+// newWorkers returns the workers of a backlog, whose lock they share.
+func newWorkers(eng Engine, config *settings.Faktory, b *backlog) *workers {
 	return &workers{
-		hub: hub, set: set, back: back, mu: &back.mu, byID: make(map[string]*worker), held: make(map[string]*errand),
-		wants: make(map[string]int), promised: make(map[string]*fetch),
+		engine: eng, config: config, backlog: b, mu: &b.mu, byID: make(map[string]*worker), reserved: make(map[string]*delivery),
+		waitingFetches: make(map[string]int), submittedFor: make(map[string]*pendingFetch),
 	}
 }
 
-// connect counts a connection of a worker. What the worker held before it
-// lost its last one is still its own.
+// connect counts a connection of a worker in. Reservations from before it lost its last
+// connection are still its own.
 func (ws *workers) connect(h hello) *worker {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	w := ws.byID[h.worker]
+	w := ws.byID[h.workerID]
 	if w == nil {
-		w = &worker{id: h.worker, queues: make(map[string]bool), since: time.Now(), hello: h}
-		ws.byID[h.worker] = w
+		w = &worker{id: h.workerID, queues: make(map[string]bool), hello: h}
+		ws.byID[h.workerID] = w
 	}
-	w.beat = time.Now()
+	w.lastHeartbeat = time.Now()
 	if w.connections++; w.connections == 1 && !w.quiet {
-		w.listed = false // it is listed again by its next fetch
+		w.inPool = false // its next FETCH lists it again
 	}
 	return w
 }
 
-// disconnect counts a connection out. With the last one, what waits unfetched
-// goes back: it can't have run. What was fetched stays until it is
-// acknowledged or its reservation ends.
+// disconnect counts a connection out. With the last one, jobs that were not fetched return to
+// the engine: they can't have run. Those that were fetched stay reserved until they are
+// acknowledged or their reservation ends.
 func (ws *workers) disconnect(w *worker) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	if w.connections--; w.connections > 0 {
 		return
 	}
-	ws.handBack(w)
-	if w.listed {
-		ws.list(w, policy.Removed)
-		w.listed = false
+	ws.returnUnfetched(w)
+	if w.inPool {
+		ws.updateMember(w, policy.Removed)
+		w.inPool = false
 	}
-	ws.forget(w)
+	ws.removeIfIdle(w)
 }
 
-// forget drops a worker that is not connected and holds nothing.
-func (ws *workers) forget(w *worker) {
-	if w.connections > 0 || w.holding > 0 {
+// removeIfIdle forgets a worker that has neither a connection nor a reservation.
+func (ws *workers) removeIfIdle(w *worker) {
+	if w.connections > 0 || w.reservedJobs > 0 {
 		return
 	}
 	if ws.byID[w.id] == w {
@@ -128,364 +110,103 @@
 	}
 }
 
-// calm takes in that a worker fetches no more. Within the drain window nothing
-// new may reach it, so what waits unfetched goes back at once.
-func (ws *workers) calm(w *worker) {
+// stopFetching takes in that a worker fetches no more. Nothing new may reach it while it
+// drains, so the jobs that it has not fetched return to the engine at once.
+func (ws *workers) stopFetching(w *worker) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	if w.quiet {
 		return
 	}
 	w.quiet = true
-	if w.listed {
-		ws.list(w, policy.Draining)
+	if w.inPool {
+		ws.updateMember(w, policy.Draining)
 	}
-	ws.handBack(w)
+	ws.returnUnfetched(w)
 }
 
-func (ws *workers) handBack(w *worker) {
-	for _, e := range w.mailbox {
-		ws.over(e)
-		ws.hub.EndFlow(e.flow, policy.Rejected, nil)
+// returnUnfetched empties a worker's mailbox. The lock is held.
+func (ws *workers) returnUnfetched(w *worker) {
+	for _, d := range w.mailbox {
+		ws.endDelivery(d)
+		ws.engine.EndFlow(d.flow, policy.Rejected, nil)
 	}
 	w.mailbox = nil
 }
 
-func (ws *workers) list(w *worker, state policy.MemberState) {
-	ws.hub.UpdateMembers(Source, policy.ListDelta, []*engine.Member{{
-		ID: prefix + w.id, Kind: ws.set.Kind, Zone: ws.set.Zone, Cell: ws.cell(w), State: state, Weight: 1, Transport: ws,
-		Capabilities: ws.offers(w),
+// updateMember updates a worker's entry in the engine's pool. The lock is held.
+func (ws *workers) updateMember(w *worker, state policy.MemberState) {
+	ws.engine.UpdateMembers(SourceName, policy.ListDelta, []*engine.Member{{
+		ID: memberIDPrefix + w.id, Kind: ws.config.Kind, Zone: ws.config.Zone, Cell: ws.dedupCell(w), State: state, Weight: 1, Transport: ws,
+		Capabilities: ws.capabilities(w),
 	}})
 }
 
-// offers are the queues that a worker may have jobs of: those that it fetches
-// from and that are not paused.
-func (ws *workers) offers(w *worker) []string {
-	offers := []string{}
+// capabilities are the queues whose jobs a worker may get: those that it fetches from and
+// that are not paused.
+func (ws *workers) capabilities(w *worker) []string {
+	queues := []string{}
 	for q := range w.queues {
-		if !ws.paused(q) {
-			offers = append(offers, q)
+		if !ws.isPaused(q) {
+			queues = append(queues, q)
 		}
 	}
-	slices.Sort(offers)
-	return offers
+	slices.Sort(queues)
+	return queues
 }
 
-func (ws *workers) paused(queue string) bool {
-	q := ws.back.book.FindQueue(queue)
+// isPaused tells whether an operator has paused a queue.
+func (ws *workers) isPaused(queue string) bool {
+	q := ws.backlog.store.FindQueue(queue)
 	return q != nil && q.Paused
 }
 
-// offer tells the decisions anew what all workers may have, after a pause.
-func (ws *workers) offer() {
+// updateCapabilities updates all workers' entries in the pool after a pause or its end.
+func (ws *workers) updateCapabilities() {
 	for _, w := range ws.byID {
-		if w.listed && !w.quiet {
-			ws.list(w, policy.Ready)
+		if w.inPool && !w.quiet {
+			ws.updateMember(w, policy.Ready)
 		}
 	}
 }
 
-// wanting counts the FETCHes that wait for a queue.
-func (ws *workers) wanting(queue string) int { return ws.wants[queue] }
-
-// cell is the group that drops repeats of a keyed job. Unless the operator
-// names one that the workers really share, each is a group of its own: a job
-// that may have run must not be sent to another, which would run it again.
-func (ws *workers) cell(w *worker) int {
-	if ws.set.Cell != 0 {
-		return ws.set.Cell
+// dedupCell is the group of pool members that drops repeats of a keyed job. Unless the
+// operator names one whose deduplication the workers really share, each worker is a group of
+// its own: a job that may have run must not go to another worker, which would run it again.
+func (ws *workers) dedupCell(w *worker) int {
+	if ws.config.Cell != 0 {
+		return ws.config.Cell
 	}
 	h := fnv.New32a()
-	h.Write([]byte(w.id))
+	_, _ = h.Write([]byte(w.id)) // a hash never fails
 	return -1 - int(h.Sum32())
 }
 
-// over ends an errand's part here. It reports whether it was not over before.
-func (ws *workers) over(e *errand) bool {
-	if e.over {
-		return false
-	}
-	e.over = true
-	if e.timer != nil {
-		e.timer.Stop()
-	}
-	id := e.flow.Transaction.ID
-	if ws.held[id] == e {
-		delete(ws.held, id)
-		e.worker.holding--
-		ws.forget(e.worker)
-	}
-	return true
-}
-
-// ended tells that a job that was handed to the core has its answer. It reports
-// whether it was fetched; if not, who waited for it is served otherwise.
-func (ws *workers) ended(t *task) {
-	if f := ws.promised[t.id]; f != nil {
-		delete(ws.promised, t.id)
-		ws.serve(f)
-	}
-}
-
-// Start implements core.Carrier: the flow waits to be fetched.
-func (ws *workers) Start(f *engine.Flow) {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	e := &errand{flow: f, queue: f.Transaction.Capability}
-	f.TransportState = e
-	w := ws.byID[strings.TrimPrefix(f.Member.ID, prefix)]
-	if e.worker = w; w == nil || w.quiet || w.connections == 0 || !w.queues[e.queue] || ws.paused(e.queue) {
-		e.over = true
-		ws.hub.EndFlow(f, policy.Rejected, nil) // it never reached the worker
-		return
-	}
-	for _, waiting := range w.fetches {
-		if slices.Contains(waiting.queues, e.queue) {
-			ws.give(waiting, e)
-			return
-		}
-	}
-	w.mailbox = append(w.mailbox, e)
-	// A worker that is busy or stuck does not fetch. What it has not fetched
-	// has not run and may go elsewhere; one that it fetches too late might run again.
-	until, ends := time.Now().Add(ws.set.FetchIn), policy.Rejected
-	if f.TooLate(until) {
-		until, ends = f.LatestSend, policy.NotSent
-	}
-	e.timer = time.AfterFunc(time.Until(until), func() { ws.drop(e, false, ends) })
-}
-
-// give gives a job to a FETCH that waits. Whoever else waited for this job is
-// served otherwise.
-func (ws *workers) give(f *fetch, e *errand) {
-	ws.unwait(f)
-	ws.hand(e)
-	f.got <- e
-	id := e.flow.Transaction.ID
-	other := ws.promised[id]
-	delete(ws.promised, id)
-	if other != nil && other != f {
-		ws.serve(other)
-	}
-}
-
-// unwait takes a FETCH out of those that wait.
-func (ws *workers) unwait(f *fetch) {
-	i := slices.Index(f.worker.fetches, f)
-	if i < 0 {
-		return
-	}
-	f.worker.fetches = slices.Delete(f.worker.fetches, i, i+1)
-	for _, q := range f.queues {
-		if ws.wants[q]--; ws.wants[q] <= 0 {
-			delete(ws.wants, q)
-		}
-	}
-}
-
-// serve looks for a job for a FETCH that waits, by the order of its queues: what
-// the worker has in its mailbox, or what waits in the backlog, which goes to the
-// core and may come from there to this worker.
-func (ws *workers) serve(f *fetch) {
-	w := f.worker
-	if !slices.Contains(w.fetches, f) {
-		return
-	}
-	for _, q := range f.queues {
-		if ws.paused(q) {
-			continue
-		}
-		for i, e := range w.mailbox {
-			if e.queue == q && !e.flow.TooLate(time.Now()) {
-				w.mailbox = slices.Delete(w.mailbox, i, i+1)
-				ws.give(f, e)
-				return
-			}
-		}
-		if ws.back.waiting[q] < ws.wants[q] {
-			if id := ws.back.feedOne(q); id != "" {
-				ws.promised[id] = f
-				return
-			}
-		}
-	}
-}
-
-// hand marks an errand as fetched: its reservation runs from here.
-func (ws *workers) hand(e *errand) {
-	if e.timer != nil {
-		e.timer.Stop()
-	}
-	e.fetched = true
-	e.job = forWorker(e.flow.Transaction, e.queue)
-	ws.held[e.flow.Transaction.ID] = e
-	e.worker.holding++
-	if t, ok := e.flow.Transaction.Client.(*task); ok {
-		if !t.fetched {
-			t.fetched = true
-			ws.back.fetched(e.queue)
-		}
-		ws.back.book.Started(t.job)
-	}
-	e.timer = time.AfterFunc(reservation(e.flow.Transaction, ws.set), func() { ws.drop(e, true, policy.TimedOut) })
-}
-
-// drop ends an errand with a status, if it is still in that state.
-func (ws *workers) drop(e *errand, fetched bool, s policy.Status) {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	if e.fetched != fetched || !ws.over(e) {
-		return
-	}
-	e.worker.mailbox = without(e.worker.mailbox, e)
-	ws.hub.EndFlow(e.flow, s, nil)
-}
-
-func without(all []*errand, e *errand) []*errand {
-	return slices.DeleteFunc(all, func(o *errand) bool { return o == e })
-}
-
-// Abandon implements core.Carrier. A worker can't be told: one that has
-// fetched the job goes on, and its ACK counts nothing.
-func (ws *workers) Abandon(f *engine.Flow) {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	if e, ok := f.TransportState.(*errand); ok && ws.over(e) && e.worker != nil {
-		e.worker.mailbox = without(e.worker.mailbox, e)
-	}
-}
-
-// EndedOutOfBand implements core.Carrier.
-func (ws *workers) EndedOutOfBand(f *engine.Flow) { ws.Abandon(f) }
-
-// Recall implements core.Carrier. What was not fetched has not run and comes
-// back at once; a worker can't be told to stop, and its ACK counts.
-func (ws *workers) Recall(f *engine.Flow) {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	if e, ok := f.TransportState.(*errand); ok && !e.fetched && ws.over(e) && e.worker != nil {
-		e.worker.mailbox = without(e.worker.mailbox, e)
-		ws.hub.EndFlow(f, policy.NotSent, nil)
-	}
-}
-
-// Probe implements core.Carrier: a worker with a connection is there.
-func (ws *workers) Probe(m *engine.Member) {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	s := policy.ConnectFailed
-	if w := ws.byID[strings.TrimPrefix(m.ID, prefix)]; w != nil && w.connections > 0 {
-		s = policy.OK
-	}
-	ws.hub.EndProbe(m, s, policy.Report{}, time.Now())
-}
-
-// fetch takes a job for a worker, or waits for one. A worker joins the pool by
-// its first fetch, which says what it works on.
-func (ws *workers) fetch(w *worker, queues []string) *fetch {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	f := &fetch{worker: w, queues: queues, got: make(chan *errand, 1)}
-	if w.quiet {
-		return f
-	}
-	news := !w.listed
-	for _, q := range queues {
-		if !w.queues[q] {
-			w.queues[q], news = true, true
-		}
-	}
-	if news {
-		w.listed = true
-		ws.list(w, policy.Ready)
-	}
-	w.fetches = append(w.fetches, f)
-	for _, q := range queues {
-		ws.wants[q]++
-	}
-	ws.serve(f)
-	return f
-}
-
-// unfetch ends a wait. It returns the job that came in the meantime, if any.
-func (ws *workers) unfetch(w *worker, f *fetch) *errand {
-	ws.mu.Lock()
-	defer ws.mu.Unlock()
-	ws.unwait(f)
-	select {
-	case e := <-f.got:
-		return e
-	default:
-		return nil
-	}
-}
-
-// started tells that a fetched job is on its way to its worker.
-func (ws *workers) started(e *errand) { ws.hub.UpdateFlow(e.flow, policy.UpdateStarted, 0) }
-
-// undelivered takes back a job that did not reach its worker whole.
-func (ws *workers) undelivered(e *errand) { ws.drop(e, true, policy.ConnectFailed) }
-
-// finish ends the errand of a worker that holds a jid. The first ACK or FAIL
-// counts; it may come by any of the worker's connections, since one that lost
-// its connection in the middle of a job acknowledges on another. Another
-// worker, whose reservation has ended, can't end it. The lock is held.
-func (ws *workers) finish(w *worker, jid string, s policy.Status, result []byte) bool {
-	e := ws.held[jid]
-	if e == nil || e.worker != w || !ws.over(e) {
-		return false
-	}
-	ws.hub.EndFlow(e.flow, s, result)
-	return true
-}
-
-// extend makes the reservation of a job that a worker holds last until a time.
-func (ws *workers) extend(w *worker, jid string, until time.Time) bool {
-	e := ws.held[jid]
-	if e == nil || e.worker != w || e.over {
-		return false
-	}
-	e.timer.Stop()
-	e.timer = time.AfterFunc(max(0, time.Until(until)), func() { ws.drop(e, true, policy.TimedOut) })
-	return true
-}
-
-// serveAll looks for jobs for all FETCHes that wait for a queue.
-func (ws *workers) serveAll(queue string) {
-	for _, w := range ws.byID {
-		for _, f := range slices.Clone(w.fetches) {
-			if slices.Contains(f.queues, queue) {
-				ws.serve(f)
-			}
-		}
-	}
-}
-
-// beat takes in a worker's heartbeat.
-func (ws *workers) beat(w *worker, calm bool, rssKB int64) {
+// heartbeat takes in a worker's BEAT. quiet: the worker says that it fetches no more.
+func (ws *workers) heartbeat(w *worker, quiet bool, rssKB int64) {
 	ws.mu.Lock()
-	w.beat, w.rssKB = time.Now(), rssKB
+	w.lastHeartbeat, w.rssKB = time.Now(), rssKB
 	ws.mu.Unlock()
-	if calm {
-		ws.calm(w)
+	if quiet {
+		ws.stopFetching(w)
 	}
 }
 
-// left tells what is still to be done for a worker that is to end: jobs that it
-// may yet fetch, and those that it holds.
-func (ws *workers) left(w *worker) (waiting, held int) {
+// remainingWork tells what a worker may still have to do while the dispatcher drains: the
+// jobs in all mailboxes, and those that it has reserved.
+func (ws *workers) remainingWork(w *worker) (inMailboxes, reserved int) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	for _, o := range ws.byID {
-		waiting += len(o.mailbox)
+	for _, other := range ws.byID {
+		inMailboxes += len(other.mailbox)
 	}
-	return waiting, w.holding
+	return inMailboxes, w.reservedJobs
 }
 
-// tally counts workers, waiting and held jobs. The lock is held.
-func (ws *workers) tally() (there, waiting, held int) {
+// counts counts the workers, and the jobs in mailboxes and reserved. The lock is held.
+func (ws *workers) counts() (workers, inMailboxes, reserved int) {
 	for _, w := range ws.byID {
-		waiting += len(w.mailbox)
+		inMailboxes += len(w.mailbox)
 	}
-	return len(ws.byID), waiting, len(ws.held)
+	return len(ws.byID), inMailboxes, len(ws.reserved)
 }
--- a/internal/dispatcher/override/hand.go
+++ b/internal/dispatcher/override/hand.go
@@ -18,7 +18,7 @@
 
 // State is what operators have set.
 type State struct {
-	outRunners  map[string]bool      // runner ids taken out
+	outRunners map[string]bool      // runner ids taken out
 	restoredAt map[string]time.Time // when each runner was last put back
 }
 
--- a/internal/dispatcher/server/assembly.go
+++ b/internal/dispatcher/server/assembly.go
@@ -20,35 +20,35 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// settle is a little more than what a member takes to break a connection on
+// lastByteDelay is a little more than what a member takes to break a connection on
 // which a request comes, and nothing beside the run time of a job. It counts once
 // from all but the last byte; two waits of 3 ms, after the header and after the body,
 // came to the same.
-const settle = 6 * time.Millisecond
+const lastByteDelay = 6 * time.Millisecond
 
 // assemble makes the parts and joins them. Nothing is served yet.
 func assemble(ctx context.Context, o Options) (*Service, error) {
-	s := &Service{options: o, log: o.Log, draining: make(chan struct{}), began: time.Now()}
+	s := &Service{options: o, log: o.Log, draining: make(chan struct{}), startedAt: time.Now()}
 	c := o.Config
-	s.sockets = sockets(c)
+	s.socketLimit = socketLimit(c)
 	if c.Admin != "" { // its callers have descriptors of their own
-		s.sockets = max(s.sockets/2, s.sockets-adminapi.MaxConnections)
+		s.socketLimit = max(s.socketLimit/2, s.socketLimit-adminapi.MaxConnections)
 	}
 	if o.Operator.Faktory != nil { // its connections are held beside the others
-		s.sockets = max(s.sockets/2, s.sockets-o.Operator.Faktory.Connections)
+		s.socketLimit = max(s.socketLimit/2, s.socketLimit-o.Operator.Faktory.Connections)
 	}
 	// Fewer jobs than connections: those that wait for an answer must leave some for
 	// the call-backs that bring answers, and for refusals. Were all taken by clients,
 	// no job would be told to have started or ended, and all members would look full.
-	s.limits = pipeline.Limits{MaxOpen: s.sockets/2 - max(8, s.sockets/16), MaxBodyBytes: 16 << 20}
+	s.limits = pipeline.Limits{MaxOpen: s.socketLimit/2 - max(8, s.socketLimit/16), MaxBodyBytes: 16 << 20}
 	if c.MemoryMB > 0 { // a body is held twice for a moment, and connections have buffers
 		s.limits.MaxBodyBytes = min(s.limits.MaxBodyBytes, c.MemoryMB<<20/8)
 	}
 	counted := accounting.DefaultLimits()
 	counted.Tenants, counted.MaxLogicalRequests = c.Tenants, o.Operator.Metrics.LogicalRequests
-	s.keeper = metrics.NewRecorder(counted)
+	s.metrics = metrics.NewRecorder(counted)
 	var err error
-	var books pipeline.Ledger = s.keeper
+	var books pipeline.Ledger = s.metrics
 	var spending engine.SharedBudget
 	if f := o.Operator.Fleet; f != nil {
 		if s.fleet, err = s.newFleet(f); err != nil {
@@ -56,36 +56,36 @@
 		}
 		books, spending = s.fleet.recorder, s.fleet.agent
 	}
-	s.chain = pipeline.New(c.Settings, s.limits, books, s.log)
+	s.pipeline = pipeline.New(c.Settings, s.limits, books, s.log)
 	if s.fleet != nil {
-		s.chain.SetTenantLimiter(s.fleet.agent)
+		s.pipeline.SetTenantLimiter(s.fleet.agent)
 	}
-	if s.hub, err = engine.New(c.Settings, s.chain, spending, s.log); err != nil {
+	if s.engine, err = engine.New(c.Settings, s.pipeline, spending, s.log); err != nil {
 		return nil, err
 	}
-	s.hub.SetDelayBounds(o.Operator.Overload)
+	s.engine.SetDelayBounds(o.Operator.Overload)
 	if s.fleet != nil && s.fleet.recorder.spool != nil {
-		s.hub.RecordMembersTried()
+		s.engine.RecordMembersTried()
 	}
-	carrier := poolmember.New(s.hub, poolmember.Options{ConnectTimeout: c.ConnectTimeout, LastByteDelay: settle, MaxSubmissions: s.sockets / 4, ProbeStats: c.ReportsLoad})
+	carrier := poolmember.New(s.engine, poolmember.Options{ConnectTimeout: c.ConnectTimeout, LastByteDelay: lastByteDelay, MaxSubmissions: s.socketLimit / 4, ProbeStats: c.ReportsLoad})
 	pace := discovery.LocalAgentSchedule() // to an agent here: nobody else reads it
 	if c.Settings.PullsMembership {
 		pace = discovery.SharedServiceSchedule(c.Settings.Instances, c.Settings.Rules.MembershipMaxAge)
 	}
-	s.follower = discovery.New(ctx, c.Discovery, pace, s.hub, carrier, s.log)
-	s.hub.SetLister(s.follower)
+	s.membership = discovery.New(ctx, c.Discovery, pace, s.engine, carrier, s.log)
+	s.engine.SetLister(s.membership)
 
-	http := httpfront.New(s.hub, s.chain, s.log)
+	http := httpfront.New(s.engine, s.pipeline, s.log)
 	http.SetBodyMemory(s.limits.MaxBodyBytes)
 	desks := []*accounting.FrontCounters{&http.Counters}
 	if s.fleet != nil {
-		desks = append(desks, &s.fleet.plans.desk)
+		desks = append(desks, &s.fleet.planService.counters)
 	}
-	s.operators = newOperators(s, http)
+	s.operations = newAdminOperations(s, http)
 	front := &component{
-		name: "virtual server", listen: c.Listen, inherit: c.AcceptFD,
-		serve: func(_ context.Context, l net.Listener) error { return http.Serve(l, s.sockets/2) },
-		drain: func(ShutdownSchedule) { http.Drain() }, part: http.CloseIdleConnections, inHand: http.InFlight, stop: http.Shutdown,
+		name: "virtual server", listen: c.Listen, inheritedFD: c.AcceptFD,
+		serve: func(_ context.Context, l net.Listener) error { return http.Serve(l, s.socketLimit/2) },
+		drain: func(ShutdownSchedule) { http.Drain() }, closeIdle: http.CloseIdleConnections, inFlight: http.InFlight, stop: http.Shutdown,
 	}
 	if c.AcceptFD > 0 { // the socket lives on in the new process, with what waits in its queue
 		front.drain = func(ShutdownSchedule) {
@@ -95,8 +95,8 @@
 	}
 	s.components = append(s.components, front)
 	if c.Admin != "" {
-		http.ForwardUpdate = s.operators.elsewhere
-		d := adminapi.New(s.operators, s.log)
+		http.ForwardUpdate = s.operations.forwardUpdate
+		d := adminapi.New(s.operations, s.log)
 		if s.fleet != nil {
 			d.SetFleet(s.fleet)
 		}
@@ -106,17 +106,17 @@
 		if f.Zone == "" {
 			f.Zone = c.Settings.Zone
 		}
-		s.chain.SetDefaultCapability(func(class string) string { return faktory.QueueOf(class, f) })
-		second := faktory.New(s.hub, s.chain, f, s.log)
-		desks = append(desks, &second.Desk)
+		s.pipeline.SetDefaultCapability(func(class string) string { return faktory.QueueForClass(class, f) })
+		second := faktory.New(s.engine, s.pipeline, f, s.log)
+		desks = append(desks, &second.Counters)
 		if s.fleet != nil {
-			second.With(s.fleet.plans)
+			second.SetPlans(s.fleet.planService)
 		}
 		s.components = append(s.components, &component{
 			name: "faktory", listen: f.Listen, serve: second.Serve, drain: func(ShutdownSchedule) { second.Drain() },
 		})
 	}
-	s.auditor = metrics.NewAuditor(s.keeper, s.hub, desks, s.log)
+	s.auditor = metrics.NewAuditor(s.metrics, s.engine, desks, s.log)
 	s.components = append(s.components, &component{
 		name: "audit",
 		serve: func(ctx context.Context, _ net.Listener) error {
@@ -134,7 +134,7 @@
 		defer func() { s.components = append(s.components, s.fleet.components...) }()
 	}
 	if at := o.Operator.Metrics.Listen; at != "" {
-		x := &metrics.Exporter{Name: c.Name, Started: s.began, Recorder: s.keeper, Engine: s.hub, Auditor: s.auditor, Journal: s.journal}
+		x := &metrics.Exporter{Name: c.Name, Started: s.startedAt, Recorder: s.metrics, Engine: s.engine, Auditor: s.auditor, Journal: s.journal}
 		s.components = append(s.components, &component{name: "figures", listen: at, serve: x.Serve})
 	}
 	return s, nil
@@ -144,12 +144,12 @@
 // header has come costs 33 KB, and half of the sockets are clients'.
 const socketsPerMB = 8
 
-// sockets is how many descriptors this process may hold: what it is told, but no more
+// socketLimit is how many descriptors this process may hold: what it is told, but no more
 // than the system lets it, and no more than its memory bears. Of each 16, clients
 // get 8, flows to members 4, probes and ends of flows 2; the rest is for the
 // program's own: a connection that waits for a place, discovery's old call and its new one, listeners, the
 // log and what the run time needs.
-func sockets(c settings.Config) int {
+func socketLimit(c settings.Config) int {
 	n := c.Sockets
 	if n <= 0 {
 		n = 1024
@@ -192,12 +192,12 @@
 	}
 	log.Info("journal of figures: " + found.String())
 	s.journal = j
-	s.keeper.SetJobJournal(j)
+	s.metrics.SetJobJournal(j)
 }
 
 // state is what balancers are told.
 func (s *Service) state() agentcheck.State {
-	st := agentcheck.State{Ready: s.hub.Ready(), Draining: s.isDraining(), InFlight: s.hub.Unanswered(), MaxInFlight: s.limits.MaxOpen}
+	st := agentcheck.State{Ready: s.engine.Ready(), Draining: s.isDraining(), InFlight: s.engine.Unanswered(), MaxInFlight: s.limits.MaxOpen}
 	stopped := false
 	if s.journal != nil {
 		stopped, _ = s.journal.Stopped()
--- a/internal/dispatcher/server/component.go
+++ b/internal/dispatcher/server/component.go
@@ -27,13 +27,13 @@
 // sooner after the signal than the longest deadline, taken as 3 s where it is
 // longer, and 0.7 s, and finds nothing unanswered that came later than 0.7 s
 // after the signal.
-func PlanShutdown(began time.Time, longest time.Duration) ShutdownSchedule {
-	force := began.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
+func PlanShutdown(began time.Time, longestTimeout time.Duration) ShutdownSchedule {
+	forcedEnd := began.Add(min(longestTimeout, 3*time.Second) + 700*time.Millisecond)
 	// New connections come for 0.4 s: no end, however near, closes before that.
-	parts := latest(force.Add(-1200*time.Millisecond), began.Add(500*time.Millisecond))
+	listenUntil := latest(forcedEnd.Add(-1200*time.Millisecond), began.Add(500*time.Millisecond))
 	return ShutdownSchedule{
-		Began: began, RefuseFrom: began.Add(600 * time.Millisecond), CloseIdleAt: parts.Add(-100 * time.Millisecond), ListenUntil: parts,
-		DismissAt: force.Add(-400 * time.Millisecond),
+		Began: began, RefuseFrom: began.Add(600 * time.Millisecond), CloseIdleAt: listenUntil.Add(-100 * time.Millisecond), ListenUntil: listenUntil,
+		DismissAt: forcedEnd.Add(-400 * time.Millisecond),
 	}
 }
 
@@ -47,27 +47,27 @@
 // component is one part of the program that is started, drained and stopped.
 // What it does not have is nil. A new front is one entry in the assembly.
 type component struct {
-	name    string
-	listen  string                                          // an address; empty: none
-	inherit int                                             // a listening descriptor to serve on instead of listen; 0: none
-	serve   func(ctx context.Context, l net.Listener) error // until the context ends; l is nil without an address
-	drain   func(ShutdownSchedule)                          // a planned end has begun
-	part    func()                                          // at its Stays
-	inHand  func() int                                      // what the end still waits for
-	stop    func(ctx context.Context) error                 // once nothing is in hand
+	name        string
+	listen      string                                          // an address; empty: none
+	inheritedFD int                                             // a listening descriptor to serve on instead of listen; 0: none
+	serve       func(ctx context.Context, l net.Listener) error // until the context ends; l is nil without an address
+	drain       func(ShutdownSchedule)                          // a planned end has begun
+	closeIdle   func()                                          // at its Stays
+	inFlight    func() int                                      // what the end still waits for
+	stop        func(ctx context.Context) error                 // once nothing is in hand
 
 	listener net.Listener
 }
 
-// openFor is how long a start tries for an address that another process still has, such
+// listenTimeout is how long a start tries for an address that another process still has, such
 // as the one whose place it takes.
-const openFor = 5 * time.Second
+const listenTimeout = 5 * time.Second
 
-// open takes the component's socket. Where another process has the address it tries
+// listenOn takes the component's socket. Where another process has the address it tries
 // until then, and says so.
-func (c *component) open(ctx context.Context, until time.Time, log logrus.FieldLogger) error {
-	if c.inherit > 0 {
-		l, err := inherited(c.inherit)
+func (c *component) listenOn(ctx context.Context, deadline time.Time, log logrus.FieldLogger) error {
+	if c.inheritedFD > 0 {
+		l, err := inheritedListener(c.inheritedFD)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
@@ -85,7 +85,7 @@
 		case err == nil:
 			c.listener = l
 			return nil
-		case !errors.Is(err, syscall.EADDRINUSE) || !time.Now().Before(until):
+		case !errors.Is(err, syscall.EADDRINUSE) || !time.Now().Before(deadline):
 			return fmt.Errorf("%s: listening: %w", c.name, err)
 		case first:
 			log.WithFields(logrus.Fields{"component": c.name, "listen": c.listen}).Warn("the address is taken: waiting for it")
@@ -98,9 +98,9 @@
 	}
 }
 
-// inherited makes a listener of a descriptor that this process was handed. It
+// inheritedListener makes a listener of a descriptor that this process was handed. It
 // fails unless the descriptor is a listening TCP socket.
-func inherited(fd int) (net.Listener, error) {
+func inheritedListener(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), fmt.Sprintf("descriptor %d", fd))
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d is not open", fd)
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -31,21 +31,21 @@
 // fleet is this process's part in a fleet: always an agent, and a keeper where the
 // operator's file says so.
 type fleet struct {
-	agent    *agent.Agent
-	plans    *plans
-	recorder *recorder
-	store    *recordstore.Store // of its keeper; nil: none is open
-	log      *logrus.Entry
+	agent       *agent.Agent
+	planService *planService
+	recorder    *recorder
+	store       *recordstore.Store // of its keeper; nil: none is open
+	log         *logrus.Entry
 
 	components []*component                  // they stop after all others, in this order
-	keeper     atomic.Pointer[raftnode.Node] // nil: this process keeps nothing for others, or not yet
+	raftNode   atomic.Pointer[raftnode.Node] // nil: this process keeps nothing for others, or not yet
 }
 
-// leaveWithin is how long a planned end waits to say that this process leaves.
-const leaveWithin = time.Second
+// leaveTimeout is how long a planned end waits to say that this process leaves.
+const leaveTimeout = time.Second
 
-// wantEvery is how often a dispatcher's traffic is told to the budget of cold members.
-const wantEvery = 500 * time.Millisecond
+// arrivalRateInterval is how often a dispatcher's traffic is told to the budget of cold members.
+const arrivalRateInterval = 500 * time.Millisecond
 
 // newFleet makes the parts of the fleet layer and their components.
 func (s *Service) newFleet(f *settings.Fleet) (*fleet, error) {
@@ -71,17 +71,17 @@
 	if out.recorder, err = s.newRecorder(f, out); err != nil {
 		return nil, err
 	}
-	if out.plans, err = s.newPlans(f, out); err != nil {
+	if out.planService, err = s.newPlans(f, out); err != nil {
 		return nil, err
 	}
 	out.components = append(out.components, &component{
 		name: "fleet agent",
 		serve: func(ctx context.Context, _ net.Listener) error {
-			go s.tellTraffic(ctx, out.agent)
+			go s.reportArrivalRate(ctx, out.agent)
 			return out.agent.Run(ctx)
 		},
 		stop: func(ctx context.Context) error {
-			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(leaveWithin))
+			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(leaveTimeout))
 			defer cancel()
 			if err := out.agent.Leave(ctx); err != nil {
 				s.log.WithError(err).Warn("the fleet finds out by the lease that this process has ended")
@@ -90,19 +90,19 @@
 		},
 	})
 	if keeps {
-		s.keep(f, out)
+		s.addRaftNode(f, out)
 	}
 	return out, nil
 }
 
 // StartPlan implements door.Fleet.
 func (f *fleet) StartPlan(ctx context.Context, a adminapi.PlanRequest) ([]byte, error) {
-	return f.plans.StartPlan(ctx, a)
+	return f.planService.StartPlan(ctx, a)
 }
 
 // RunStatus implements door.Fleet.
 func (f *fleet) RunStatus(ctx context.Context, id string) ([]byte, error) {
-	return f.plans.RunStatus(ctx, id)
+	return f.planService.RunStatus(ctx, id)
 }
 
 // Record, Records and Hold implement door.Fleet.
@@ -140,14 +140,14 @@
 		}
 		o.Set("spool", spooled)
 	}
-	if k := f.keeper.Load(); k != nil {
+	if k := f.raftNode.Load(); k != nil {
 		o.Set("keeper", k.Status(&arena))
 	}
 	return o.MarshalTo(nil), nil
 }
 
-// keep adds the components of a keeper.
-func (s *Service) keep(f *settings.Fleet, out *fleet) {
+// addRaftNode adds the components of a keeper.
+func (s *Service) addRaftNode(f *settings.Fleet, out *fleet) {
 	votes := &component{name: "fleet votes", listen: f.RaftAddress}
 	peers := map[string]raftnode.Peer{}
 	for name, k := range f.RaftNodes {
@@ -172,8 +172,8 @@
 		defer l.Close()
 		var all sync.WaitGroup
 		defer all.Wait()
-		all.Go(func() { out.recorder.cut(ctx) })
-		all.Go(func() { out.keepFence(ctx, f.DataDir) })
+		all.Go(func() { out.recorder.enforceRetention(ctx) })
+		all.Go(func() { out.persistFence(ctx, f.DataDir) })
 		err = k.Run(ctx)
 		if out.store != nil {
 			err = errors.Join(err, out.store.Close())
@@ -181,7 +181,7 @@
 		return err
 	}
 	votes.stop = func(context.Context) error {
-		if k := out.keeper.Load(); k != nil {
+		if k := out.raftNode.Load(); k != nil {
 			k.TransferLeadership()
 		}
 		return nil
@@ -194,9 +194,9 @@
 				l.Close()
 				return nil
 			case k := <-ready:
-				out.keeper.Store(k)
+				out.raftNode.Store(k)
 			}
-			server := &http.Server{Handler: out.keeper.Load(), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: time.Minute}
+			server := &http.Server{Handler: out.raftNode.Load(), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: time.Minute}
 			defer context.AfterFunc(ctx, func() { server.Close() })()
 			if err := server.Serve(l); err != http.ErrServerClosed {
 				return fmt.Errorf("the fleet's calls at %s: %w", l.Addr(), err)
@@ -232,7 +232,7 @@
 	}
 	set = state.FleetSettings{Revision: f.Revision, Lease: f.Lease, Parts: map[string][]byte{partition.BudgetsName: text}}
 	if f.Records != nil {
-		rules := recordRules(f.Records)
+		rules := retentionRules(f.Records)
 		slices.SortFunc(rules.Rules, func(a, b records.Rule) int { return strings.Compare(a.Tenant, b.Tenant) })
 		if set.Parts[partition.RecordsName], err = codec.Encode(rules); err != nil {
 			return set, nil, err
@@ -241,9 +241,9 @@
 	return set, expect, nil
 }
 
-// tellTraffic tells how many jobs a second come here, by the account.
-func (s *Service) tellTraffic(ctx context.Context, a *agent.Agent) {
-	tick := time.NewTicker(wantEvery)
+// reportArrivalRate tells how many jobs a second come here, by the account.
+func (s *Service) reportArrivalRate(ctx context.Context, a *agent.Agent) {
+	tick := time.NewTicker(arrivalRateInterval)
 	defer tick.Stop()
 	last, at := int64(0), time.Now()
 	for {
@@ -252,7 +252,7 @@
 			return
 		case now := <-tick.C:
 			var taken int64
-			s.hub.Do(func() { taken = s.keeper.Ledger.Totals().Taken })
+			s.engine.Do(func() { taken = s.metrics.Ledger.Totals().Taken })
 			a.SetArrivalRate(float64(taken-last) / now.Sub(at).Seconds())
 			last, at = taken, now
 		}
--- a/internal/dispatcher/server/golden_test.go
+++ b/internal/dispatcher/server/golden_test.go
@@ -29,22 +29,22 @@
 	s := &Service{log: logrus.New()}
 	s.options.Config.Name = "n0"
 	t.Setenv("TMPDIR", goldentest.CopyFolder(t, golden))
-	o := newOperators(s, httpfront.New(nil, nil, logrus.New()))
+	o := newAdminOperations(s, httpfront.New(nil, nil, logrus.New()))
 	require.Equal(t, "basaltloft-n0.hand.json", filepath.Base(o.statePath()))
 	read, err := override.Decode(goldentest.Read(t, o.statePath()), "n0")
 	require.NoError(t, err)
 	require.Len(t, read.OutRunners(), 3)
-	o.hand = read
+	o.overrides = read
 	require.NoError(t, o.save())
 	require.Equal(t, goldentest.Read(t, filepath.Join(golden, "basaltloft-n0.hand.json")), goldentest.Read(t, o.statePath()))
 }
 
 // TestGoldenPlanAnswer: a run's final answer as the door tells it, in the JSON of 352ebf2.
 func TestGoldenPlanAnswer(t *testing.T) {
-	require.Equal(t, `{"run":"a","plan":"b","outcome":"served","attempts":2,"results":{"c":[{"d":1},null,"no json"]}}`, string(answerText(&planrun.Answer{
+	require.Equal(t, `{"run":"a","plan":"b","outcome":"served","attempts":2,"results":{"c":[{"d":1},null,"no json"]}}`, string(answerJSON(&planrun.Answer{
 		Run: "a", Plan: "b", Attempts: 2, Results: []planrun.Results{{Stage: "c", Items: [][]byte{[]byte(`{"d":1}`), nil, []byte("no json")}}},
 	})))
-	require.Equal(t, `{"run":"a","plan":"b","outcome":"may have run","attempts":2,"stage":"c","end":"late","reason":"d","left":["e"],"results_cut":true}`, string(answerText(&planrun.Answer{
+	require.Equal(t, `{"run":"a","plan":"b","outcome":"may have run","attempts":2,"stage":"c","end":"late","reason":"d","left":["e"],"results_cut":true}`, string(answerJSON(&planrun.Answer{
 		Run: "a", Plan: "b", Attempts: 2, Outcome: planrun.Unknown, Stage: "c", End: plan.Late, Reason: "d", Left: []string{"e"}, Cut: true,
 	})))
 	for outcome, word := range map[planrun.Outcome]string{planrun.Served: "served", planrun.Refused: "refused", planrun.Failed: "failed", planrun.Unknown: "may have run"} {
--- a/internal/dispatcher/server/operators_test.go
+++ b/internal/dispatcher/server/operators_test.go
@@ -19,16 +19,16 @@
 	defer l.Close()
 	http := httpfront.New(nil, nil, logrus.New())
 	go http.Serve(l, 8)
-	o := &operators{s: &Service{draining: make(chan struct{})}, http: http}
+	o := &adminOperations{s: &Service{draining: make(chan struct{})}, http: http}
 	scenario.RunScript(t, scenario.Peers{"client": scenario.Dial(l.Addr().String())}, scenario.Functions{
 		"crossing": func(...string) string {
 			o.Drain()
 			o.mu.Lock()
-			due := o.parting
+			due := o.closeIdleTimer
 			o.mu.Unlock()
 			require.True(t, due.Stop(), "its time comes by hand")
 			o.Undrain()
-			o.part(due)
+			o.closeIdle(due)
 			return ""
 		},
 		"live": func(...string) string { return `GET /health/live HTTP/1.1\r\nHost: app\r\n\r\n` },
--- a/internal/dispatcher/server/plans.go
+++ b/internal/dispatcher/server/plans.go
@@ -27,43 +27,43 @@
 // planFront is what stages of plans are counted under in the account.
 const planFront = "plans"
 
-// plans hands stages of plans to the dispatcher as jobs, and plans to the coordinator
+// planService hands stages of plans to the dispatcher as jobs, and plans to the coordinator
 // from the door.
-type plans struct {
-	s     *Service
-	desk  accounting.FrontCounters
-	files []string
-	coord *coordinator.Coordinator
+type planService struct {
+	s           *Service
+	counters    accounting.FrontCounters
+	files       []string
+	coordinator *coordinator.Coordinator
 }
 
 // newPlans reads the plan files. A file with a mistake ends the start: its plans
 // would not be there.
-func (s *Service) newPlans(f *settings.Fleet, fl *fleet) (*plans, error) {
-	p := &plans{s: s, desk: accounting.FrontCounters{Front: planFront}, files: f.Plans}
+func (s *Service) newPlans(f *settings.Fleet, fl *fleet) (*planService, error) {
+	p := &planService{s: s, counters: accounting.FrontCounters{Front: planFront}, files: f.Plans}
 	for i, name := range p.files {
 		if !filepath.IsAbs(name) {
 			p.files[i] = filepath.Join(s.options.OperatorDir, name)
 		}
 	}
-	p.coord = coordinator.New(fl.agent, p, s.log.WithField("part", "plans"))
-	if err := p.read(s.options.Config); err != nil {
+	p.coordinator = coordinator.New(fl.agent, p, s.log.WithField("part", "plans"))
+	if err := p.loadPlans(s.options.Config); err != nil {
 		return nil, err
 	}
 	fl.components = append(fl.components, &component{
 		name: "plans",
 		serve: func(ctx context.Context, _ net.Listener) error {
-			return p.coord.Run(ctx)
+			return p.coordinator.Run(ctx)
 		},
-		drain: func(ShutdownSchedule) { p.coord.Drain() },
+		drain: func(ShutdownSchedule) { p.coordinator.Drain() },
 	})
 	return p, nil
 }
 
-// read takes the plan files in use, or, where any of them has a mistake, none.
-func (p *plans) read(c settings.Config) error {
+// loadPlans takes the plan files in use, or, where any of them has a mistake, none.
+func (p *planService) loadPlans(c settings.Config) error {
 	classes := plan.ClassesByName(c.Settings.Classes)
 	var all []*plan.Plan
-	var wrong []string
+	var mistakes []string
 	for _, name := range p.files {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -71,90 +71,90 @@
 		}
 		some, problems := plan.Parse(filepath.Base(name), text, classes)
 		for _, one := range problems {
-			wrong = append(wrong, one.String())
+			mistakes = append(mistakes, one.String())
 		}
 		all = append(all, some...)
 	}
-	if len(wrong) > 0 {
-		return fmt.Errorf("plans: %s", strings.Join(wrong, "; "))
+	if len(mistakes) > 0 {
+		return fmt.Errorf("plans: %s", strings.Join(mistakes, "; "))
 	}
-	p.coord.SetPlans(all)
+	p.coordinator.SetPlans(all)
 	return nil
 }
 
 // Submit implements coordinator.Dispatcher.
-func (p *plans) Submit(j coordinator.Job, done func(engine.Answer)) error {
-	tx, err := p.s.chain.NewTransaction(pipeline.Submission{
+func (p *planService) Submit(j coordinator.Job, done func(engine.Answer)) error {
+	tx, err := p.s.pipeline.NewTransaction(pipeline.Submission{
 		ID: j.ID, Class: j.Class, Tenant: j.Tenant, Target: j.Path, Key: j.Key, Body: j.Body, Front: planFront, ClientDeadline: j.Deadline, Hint: j.CostHint,
 		KnownFirst: true, Plan: j.Plan, Stage: j.Stage, ExcludedMember: j.ExcludedMember, ExcludeItsZone: j.ExcludeItsZone,
 	}, time.Now(), planClient{p, done})
 	if err != nil {
 		return fmt.Errorf("stage %s of plan %s: %w", j.Stage, j.Plan, err)
 	}
-	p.desk.JobStarted()
-	p.s.hub.Submit(tx)
-	p.desk.JobSubmitted()
+	p.counters.JobStarted()
+	p.s.engine.Submit(tx)
+	p.counters.JobSubmitted()
 	return nil
 }
 
 // planClient hears the one final answer of a stage's job.
 type planClient struct {
-	p    *plans
+	p    *planService
 	done func(engine.Answer)
 }
 
 // Answer implements core.Client.
 func (c planClient) Answer(a engine.Answer) {
-	c.p.desk.JobAnswered(a.Verdict.Outcome())
+	c.p.counters.JobAnswered(a.Verdict.Outcome())
 	c.done(a)
 }
 
-// InUse implements faktory.Plans.
-func (p *plans) InUse(plan string) error { return p.coord.InUse(plan) }
+// CheckInUse implements faktory.Plans.
+func (p *planService) CheckInUse(plan string) error { return p.coordinator.InUse(plan) }
 
-// comeBack is advice with a run of which nothing has run.
-const comeBack = time.Second
+// planRetryAfter is advice with a run of which nothing has run.
+const planRetryAfter = time.Second
 
-// Begin implements faktory.Plans.
-func (p *plans) Begin(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error {
-	return p.coord.StartAsync(coordinator.StartRequest{Run: run, Plan: plan, Tenant: tenant, Input: input}, until, func(a *planrun.Answer, err error) {
-		done(asJob(plan, a, err))
+// Start implements faktory.Plans.
+func (p *planService) Start(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error {
+	return p.coordinator.StartAsync(coordinator.StartRequest{Run: run, Plan: plan, Tenant: tenant, Input: input}, until, func(a *planrun.Answer, err error) {
+		done(jobAnswer(plan, a, err))
 	})
 }
 
-// asJob is the end of a run as that of a job that named the plan.
-func asJob(plan string, a *planrun.Answer, err error) engine.Answer {
+// jobAnswer is the end of a run as that of a job that named the plan.
+func jobAnswer(plan string, a *planrun.Answer, err error) engine.Answer {
 	switch {
 	case errors.Is(err, coordinator.ErrOutcomeUnknown):
 		return engine.Answer{Verdict: engine.Failed, Body: []byte(err.Error() + "\n"), MayHaveRun: true}
 	case err != nil:
-		return engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n"), RetryAt: time.Now().Add(comeBack)}
+		return engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n"), RetryAt: time.Now().Add(planRetryAfter)}
 	case a.Plan != plan:
 		return engine.Answer{Verdict: engine.Denied, Body: fmt.Appendf(nil, "the id %s is that of a run of plan %q\n", a.Run, a.Plan)}
 	case a.Outcome == planrun.Served:
-		return engine.Answer{Verdict: engine.Served, Body: answerText(a)}
+		return engine.Answer{Verdict: engine.Served, Body: answerJSON(a)}
 	case a.Outcome == planrun.Refused:
-		return engine.Answer{Verdict: engine.Refused, Body: answerText(a), RetryAt: time.Now().Add(comeBack)}
+		return engine.Answer{Verdict: engine.Refused, Body: answerJSON(a), RetryAt: time.Now().Add(planRetryAfter)}
 	}
-	return engine.Answer{Verdict: engine.Failed, Body: answerText(a), MayHaveRun: true}
+	return engine.Answer{Verdict: engine.Failed, Body: answerJSON(a), MayHaveRun: true}
 }
 
 // StartPlan implements door.Fleet.
-func (p *plans) StartPlan(ctx context.Context, a adminapi.PlanRequest) ([]byte, error) {
+func (p *planService) StartPlan(ctx context.Context, a adminapi.PlanRequest) ([]byte, error) {
 	if err := fastjson.ValidateBytes(a.Input); err != nil {
 		return nil, fmt.Errorf("%w: the input of a plan is JSON: %w", adminapi.ErrBadRequest, err)
 	}
-	answer, err := p.coord.Start(ctx, coordinator.StartRequest{Run: a.Run, Plan: a.Plan, Tenant: a.Tenant, Input: a.Input, Timeout: a.Timeout})
-	return told(answer, err)
+	answer, err := p.coordinator.Start(ctx, coordinator.StartRequest{Run: a.Run, Plan: a.Plan, Tenant: a.Tenant, Input: a.Input, Timeout: a.Timeout})
+	return adminResponse(answer, err)
 }
 
 // RunStatus implements door.Fleet.
-func (p *plans) RunStatus(ctx context.Context, id string) ([]byte, error) {
-	return told(p.coord.Lookup(ctx, id))
+func (p *planService) RunStatus(ctx context.Context, id string) ([]byte, error) {
+	return adminResponse(p.coordinator.Lookup(ctx, id))
 }
 
-// told puts a final answer, if there is one, and an error in the door's words.
-func told(a *planrun.Answer, err error) ([]byte, error) {
+// adminResponse puts a final answer, if there is one, and an error in the door's words.
+func adminResponse(a *planrun.Answer, err error) ([]byte, error) {
 	switch {
 	case errors.Is(err, coordinator.ErrUnknownPlan), errors.Is(err, coordinator.ErrUnknownRun):
 		return nil, fmt.Errorf("%w: %w", adminapi.ErrNotFound, err)
@@ -165,11 +165,11 @@
 	case err != nil || a == nil:
 		return nil, err
 	}
-	return answerText(a), nil
+	return answerJSON(a), nil
 }
 
-// answerText is a final answer as JSON. Results that are JSON go in as they are.
-func answerText(a *planrun.Answer) []byte {
+// answerJSON is a final answer as JSON. Results that are JSON go in as they are.
+func answerJSON(a *planrun.Answer) []byte {
 	var arena fastjson.Arena
 	o := arena.NewObject()
 	o.Set("run", arena.NewString(a.Run))
--- a/internal/dispatcher/server/plans_test.go
+++ b/internal/dispatcher/server/plans_test.go
@@ -12,6 +12,6 @@
 func TestAnswerText(t *testing.T) {
 	a := &planrun.Answer{Run: "r", Plan: "booking", Stage: "ticket", End: "may_have_run", Reason: "its coordinator died", Left: []string{"ticket"}}
 	for range 100 {
-		require.Equal(t, string(answerText(a)), string(answerText(a)))
+		require.Equal(t, string(answerJSON(a)), string(answerJSON(a)))
 	}
 }
--- a/internal/dispatcher/server/records.go
+++ b/internal/dispatcher/server/records.go
@@ -30,33 +30,33 @@
 // answers the door's questions about those that the fleet has.
 type recorder struct {
 	pipeline.Ledger
-	s     *Service
-	fleet *fleet
-	body  int
-	spool *spool.Spool // nil: no records are kept by this process
+	s            *Service
+	fleet        *fleet
+	maxBodyBytes int
+	spool        *spool.Spool // nil: no records are kept by this process
 }
 
 const (
-	cutEvery  = time.Second
-	keepFence = 2 * time.Second
-	cutFor    = 3 * time.Second // how long a cut, or a batch of records, is asked for
-	closeFor  = time.Second     // what a planned end waits for the last records to be shipped
-	pageMost  = 1000
+	retentionInterval = time.Second
+	fenceInterval     = 2 * time.Second
+	recordsTimeout    = 3 * time.Second // how long a cut, or a batch of records, is asked for
+	spoolCloseTimeout = time.Second     // what a planned end waits for the last records to be shipped
+	maxPageRecords    = 1000
 )
 
 // newRecorder opens the spool where records are kept.
 func (s *Service) newRecorder(f *settings.Fleet, fl *fleet) (*recorder, error) {
-	r := &recorder{Ledger: s.keeper, s: s, fleet: fl}
+	r := &recorder{Ledger: s.metrics, s: s, fleet: fl}
 	if f.Records == nil {
 		return r, nil
 	}
-	r.body = f.Records.Body
+	r.maxBodyBytes = f.Records.Body
 	folder, err := segment.OpenDirectory(filepath.Join(f.DataDir, "spool"))
 	if err != nil {
 		return nil, fmt.Errorf("the spool of records: %w", err)
 	}
 	r.spool, err = spool.Open(folder, spool.Settings{
-		Process: f.Name, QueueLength: 8192, BatchSize: 256, MaxBodyBytes: r.body, SegmentBytes: 4 << 20, MaxBytes: 1 << 30,
+		Process: f.Name, QueueLength: 8192, BatchSize: 256, MaxBodyBytes: r.maxBodyBytes, SegmentBytes: 4 << 20, MaxBytes: 1 << 30,
 		WriteDelay: 10 * time.Millisecond, SyncInterval: time.Second, RetryInterval: 250 * time.Millisecond,
 	}, time.Now(), s.log.WithField("part", "spool"), r.ship)
 	if err != nil {
@@ -70,7 +70,7 @@
 			return r.spool.Close(ctx)
 		},
 		stop: func(ctx context.Context) error {
-			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(closeFor))
+			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(spoolCloseTimeout))
 			defer cancel()
 			if err := r.spool.Close(ctx); err != nil {
 				s.log.WithError(err).Error("closing the spool of records")
@@ -87,7 +87,7 @@
 	if s == nil {
 		return 0, coordinator.ErrNoSession
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(cutFor))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(recordsTimeout))
 	defer cancel()
 	var done partition.RecordsShipped
 	if err := s.Execute(ctx, partition.RecordsShip, batch, &done); err != nil {
@@ -110,15 +110,15 @@
 		ID: t.ID, Key: t.Key, Tenant: t.Tenant, Class: t.Class, Plan: t.Plan, Stage: t.Stage, Outcome: a.Verdict.Outcome().String(), Reason: a.Reason.String(),
 		Arrived: t.Arrived.UnixNano(), Ended: now.UnixNano(), Attempts: a.Attempts, Members: a.MembersTried,
 	}
-	if len(a.Body) <= r.body {
+	if len(a.Body) <= r.maxBodyBytes {
 		rec.Body = a.Body
 	}
 	r.spool.Add(rec)
 }
 
-// cut has what the rules no longer keep removed, while this process's keeper leads.
-func (r *recorder) cut(ctx context.Context) {
-	tick := time.NewTicker(cutEvery)
+// enforceRetention has what the rules no longer keep removed, while this process's keeper leads.
+func (r *recorder) enforceRetention(ctx context.Context) {
+	tick := time.NewTicker(retentionInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -126,24 +126,24 @@
 			return
 		case <-tick.C:
 		}
-		k, s := r.fleet.keeper.Load(), r.fleet.agent.Session()
+		k, s := r.fleet.raftNode.Load(), r.fleet.agent.Session()
 		if k == nil || s == nil || !k.IsLeader() {
 			continue
 		}
 		for more := true; more; {
 			var err error
-			if more, err = r.cutOnce(ctx, s); err != nil && ctx.Err() == nil {
+			if more, err = r.enforceRetentionOnce(ctx, s); err != nil && ctx.Err() == nil {
 				r.s.log.WithError(err).Debug("records could not be cut")
 			}
 		}
 	}
 }
 
-func (r *recorder) cutOnce(ctx context.Context, s *rpc.Session) (more bool, err error) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(cutFor))
+func (r *recorder) enforceRetentionOnce(ctx context.Context, s *rpc.Session) (more bool, err error) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(recordsTimeout))
 	defer cancel()
 	var p partition.RecordsPrunePlan
-	if err := r.ask(ctx, s, partition.RecordsPlanPrune, time.Now().UnixNano(), &p); err != nil || !p.Needed {
+	if err := r.query(ctx, s, partition.RecordsPlanPrune, time.Now().UnixNano(), &p); err != nil || !p.Needed {
 		return false, err
 	}
 	var done records.Pruned
@@ -151,8 +151,8 @@
 	return err == nil && done.Removed > 0, err
 }
 
-// ask asks the leader.
-func (r *recorder) ask(ctx context.Context, s *rpc.Session, kind state.Kind, body, into any) error {
+// query asks the leader.
+func (r *recorder) query(ctx context.Context, s *rpc.Session, kind state.Kind, body, into any) error {
 	if s == nil {
 		return coordinator.ErrNoSession
 	}
@@ -170,8 +170,8 @@
 // Record implements door.Fleet.
 func (r *recorder) Record(ctx context.Context, id string) ([]byte, error) {
 	var found []records.Record
-	if err := r.ask(ctx, r.fleet.agent.Session(), partition.RecordsByID, id, &found); err != nil {
-		return nil, inDoorsWords(err)
+	if err := r.query(ctx, r.fleet.agent.Session(), partition.RecordsByID, id, &found); err != nil {
+		return nil, adminError(err)
 	}
 	if len(found) == 0 {
 		return nil, fmt.Errorf("%w: no record of %q is kept", adminapi.ErrNotFound, id)
@@ -183,9 +183,9 @@
 // Records implements door.Fleet.
 func (r *recorder) Records(ctx context.Context, q adminapi.RecordsQuery) ([]byte, error) {
 	var p records.Page
-	ask := records.Query{Tenant: q.Tenant, From: q.From, To: q.To, Last: q.NewestFirst, After: q.After, Most: min(q.Limit, pageMost)}
-	if err := r.ask(ctx, r.fleet.agent.Session(), partition.RecordsPage, ask, &p); err != nil {
-		return nil, inDoorsWords(err)
+	ask := records.Query{Tenant: q.Tenant, From: q.From, To: q.To, Last: q.NewestFirst, After: q.After, Most: min(q.Limit, maxPageRecords)}
+	if err := r.query(ctx, r.fleet.agent.Session(), partition.RecordsPage, ask, &p); err != nil {
+		return nil, adminError(err)
 	}
 	var a fastjson.Arena
 	o := a.NewObject()
@@ -203,19 +203,19 @@
 func (r *recorder) SetHold(ctx context.Context, h adminapi.HoldRequest) error {
 	s := r.fleet.agent.Session()
 	if s == nil {
-		return inDoorsWords(coordinator.ErrNoSession)
+		return adminError(coordinator.ErrNoSession)
 	}
 	at := time.Now().UnixNano()
 	if h.Lift {
-		return inDoorsWords(s.Execute(ctx, partition.RecordsReleaseHold, records.ReleaseHold{At: at, Name: h.Name}, nil))
+		return adminError(s.Execute(ctx, partition.RecordsReleaseHold, records.ReleaseHold{At: at, Name: h.Name}, nil))
 	}
-	return inDoorsWords(s.Execute(ctx, partition.RecordsSetHold, records.SetHold{At: at, Hold: records.Hold{
+	return adminError(s.Execute(ctx, partition.RecordsSetHold, records.SetHold{At: at, Hold: records.Hold{
 		Name: h.Name, Tenant: h.Tenant, ID: h.ID, Key: h.Key, Class: h.Class, From: h.From, To: h.To, Owner: h.Owner, Reason: h.Reason, Until: h.Until,
 	}}, nil))
 }
 
-// inDoorsWords tells errors of the fleet apart for the door.
-func inDoorsWords(err error) error {
+// adminError tells errors of the fleet apart for the door.
+func adminError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -268,19 +268,19 @@
 	if f.store, err = recordstore.Open(filepath.Join(folder, "records")); err != nil {
 		return nil, err
 	}
-	known, err := recordstore.LoadFence(folder, fleetName)
+	known, err := recordstore.LoadFence(folder, fenceOwner)
 	if err != nil {
 		f.log.WithError(err).Error("what is known of cut records can't be read and is left out")
 	}
 	return partition.NewRecords(f.store, known), nil
 }
 
-// fleetName is what a fence is marked with: a folder belongs to one fleet.
-const fleetName = "fleet"
+// fenceOwner is what a fence is marked with: a folder belongs to one fleet.
+const fenceOwner = "fleet"
 
-// keepFence writes down how far this keeper knows that records were cut.
-func (f *fleet) keepFence(ctx context.Context, folder string) {
-	tick := time.NewTicker(keepFence)
+// persistFence writes down how far this keeper knows that records were cut.
+func (f *fleet) persistFence(ctx context.Context, folder string) {
+	tick := time.NewTicker(fenceInterval)
 	defer tick.Stop()
 	var last uint64
 	for {
@@ -289,7 +289,7 @@
 			return
 		case <-tick.C:
 		}
-		k := f.keeper.Load()
+		k := f.raftNode.Load()
 		if k == nil {
 			continue
 		}
@@ -302,7 +302,7 @@
 		if fence.Edition <= last {
 			continue
 		}
-		if err := recordstore.SaveFence(folder, fleetName, fence); err != nil {
+		if err := recordstore.SaveFence(folder, fenceOwner, fence); err != nil {
 			f.log.WithError(err).Error("what is known of cut records can't be kept")
 			continue
 		}
@@ -310,8 +310,8 @@
 	}
 }
 
-// recordRules are the fleet's rules of what the operator's file says.
-func recordRules(f *settings.FleetRecords) records.SetRules {
+// retentionRules are the fleet's rules of what the operator's file says.
+func retentionRules(f *settings.FleetRecords) records.SetRules {
 	const day = float64(24 * time.Hour)
 	var set records.SetRules
 	for name, r := range f.Tenants {
--- a/internal/dispatcher/server/service.go
+++ b/internal/dispatcher/server/service.go
@@ -33,31 +33,31 @@
 	Log         *logrus.Logger
 }
 
-// agentFor is how long a start waits for the list of the agent on this machine, which
+// agentListTimeout is how long a start waits for the list of the agent on this machine, which
 // answers at once or, while discovery is down, not at all.
-const agentFor = 500 * time.Millisecond
+const agentListTimeout = 500 * time.Millisecond
 
 // Service is one dispatcher.
 type Service struct {
-	options    Options
-	log        *logrus.Logger
-	limits     pipeline.Limits
-	sockets    int
-	keeper     *metrics.Recorder
-	auditor    *metrics.Auditor
-	journal    *journal.Journal // nil: off
-	hub        *engine.Engine
-	chain      *pipeline.Pipeline
-	follower   *discovery.Follower
-	components []*component
-	operators  *operators
-	fleet      *fleet        // nil: this process is alone
-	draining   chan struct{} // closed when a planned end begins
-	began      time.Time
+	options     Options
+	log         *logrus.Logger
+	limits      pipeline.Limits
+	socketLimit int
+	metrics     *metrics.Recorder
+	auditor     *metrics.Auditor
+	journal     *journal.Journal // nil: off
+	engine      *engine.Engine
+	pipeline    *pipeline.Pipeline
+	membership  *discovery.Follower
+	components  []*component
+	operations  *adminOperations
+	fleet       *fleet        // nil: this process is alone
+	draining    chan struct{} // closed when a planned end begins
+	startedAt   time.Time
 }
 
-// text is what the program itself takes of the memory beside what the run time counts.
-const text = 16 << 20
+// programTextBytes is what the program itself takes of the memory beside what the run time counts.
+const programTextBytes = 16 << 20
 
 // ApplyResourceLimits holds the run time of this process to the machine that it is told of.
 func ApplyResourceLimits(c settings.Config) {
@@ -66,33 +66,33 @@
 	}
 	if c.MemoryMB > 0 {
 		all := int64(c.MemoryMB) << 20
-		debug.SetMemoryLimit(max(all/2, min(all*3/4, all-text)))
+		debug.SetMemoryLimit(max(all/2, min(all*3/4, all-programTextBytes)))
 		debug.SetGCPercent(400)
 	}
 }
 
 // Run serves until told to end, then until everything taken is answered. It
 // returns an error if it can't start or a part of it fails.
-func Run(ctx context.Context, o Options, told, reloads <-chan os.Signal) error {
+func Run(ctx context.Context, o Options, stop, reloads <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer cancel()
 	s, err := assemble(ctx, o)
 	if err != nil {
 		return err
 	}
 	defer s.closeJournal()
-	all.Go(func() { s.hub.Run(ctx) })
-	s.follower.Restore(o.Config.LastMembership)
+	goroutines.Go(func() { s.engine.Run(ctx) })
+	s.membership.Restore(o.Config.LastMembership)
 	if !o.Config.Settings.PullsMembership { // pushed to an agent here: nobody else reads it
-		s.follower.KeepWatching()
-		s.follower.WaitFirstAnswer(time.Now().Add(agentFor))
+		s.membership.KeepWatching()
+		s.membership.WaitFirstAnswer(time.Now().Add(agentListTimeout))
 	}
-	s.operators.restore()
-	s.hub.Do(func() {}) // the pool is known before anybody asks
+	s.operations.restore()
+	s.engine.Do(func() {}) // the pool is known before anybody asks
 	select {
-	case <-told: // nobody could connect yet: nothing is owed
+	case <-stop: // nobody could connect yet: nothing is owed
 		s.log.Info("told to end before serving")
 		return nil
 	default:
@@ -101,7 +101,7 @@
 	// All sockets are taken before anything is served: an address that can't
 	// be had ends the program with one line.
 	for i, c := range s.components {
-		if err := c.open(ctx, s.began.Add(openFor), s.log); err != nil {
+		if err := c.listenOn(ctx, s.startedAt.Add(listenTimeout), s.log); err != nil {
 			for _, opened := range s.components[:i] {
 				if opened.listener != nil {
 					opened.listener.Close()
@@ -111,12 +111,12 @@
 		}
 	}
 	if a := o.Config.Admin; a != "" {
-		defer s.operators.announce(a)()
+		defer s.operations.announce(a)()
 	}
 	failed := make(chan error, len(s.components))
 	for _, c := range s.components {
 		if c.serve != nil {
-			all.Go(func() {
+			goroutines.Go(func() {
 				if err := c.serve(ctx, c.listener); err != nil && ctx.Err() == nil {
 					failed <- err
 				}
@@ -124,7 +124,7 @@
 		}
 	}
 	s.log.WithFields(logrus.Fields{"name": o.Config.Name, "listen": o.Config.Listen, "members": len(o.Config.LastMembership.Entries)}).Info("serving")
-	all.Go(func() { // also while it drains: jobs in hand may still need the list
+	goroutines.Go(func() { // also while it drains: jobs in hand may still need the list
 		for {
 			select {
 			case <-ctx.Done():
@@ -144,9 +144,9 @@
 		return err
 	case <-ctx.Done():
 		return nil
-	case <-told:
+	case <-stop:
 	}
-	return s.end(ctx)
+	return s.shutdown(ctx)
 }
 
 // reload follows the discovery service that the file names now, and takes its
@@ -157,27 +157,27 @@
 func (s *Service) reload() {
 	c, err := s.options.ReadConfig()
 	if err == nil {
-		err = s.hub.Reconfigure(c.Settings)
+		err = s.engine.Reconfigure(c.Settings)
 	}
 	if err != nil {
 		s.log.WithError(err).Error("the configuration can't be reloaded and stays as it was")
 		return
 	}
-	s.chain.Reconfigure(c.Settings)
+	s.pipeline.Reconfigure(c.Settings)
 	if s.fleet != nil {
-		if err := s.fleet.plans.read(c); err != nil {
+		if err := s.fleet.planService.loadPlans(c); err != nil {
 			s.log.WithError(err).Error("the plan files can't be reloaded: those in use stay")
 		}
 	}
-	s.follower.SwitchTo(c.Discovery)
+	s.membership.SwitchTo(c.Discovery)
 	s.log.WithFields(logrus.Fields{"discovery": c.Discovery, "classes": len(c.Settings.Classes), "most_tries": c.Settings.Limits.MaxAttempts}).Info("reloaded")
 }
 
-// end is the planned end.
-func (s *Service) end(ctx context.Context) error {
-	e := PlanShutdown(time.Now(), s.longest())
+// shutdown is the planned end.
+func (s *Service) shutdown(ctx context.Context) error {
+	e := PlanShutdown(time.Now(), s.longestClientTimeout())
 	close(s.draining)
-	s.hub.BeginShutdown(e.RefuseFrom, e.DismissAt)
+	s.engine.BeginShutdown(e.RefuseFrom, e.DismissAt)
 	for _, c := range s.components {
 		if c.drain != nil {
 			c.drain(e)
@@ -186,11 +186,11 @@
 	s.log.Info("draining") // a socket handed over is the new process's alone from here on
 	time.Sleep(time.Until(e.CloseIdleAt))
 	for _, c := range s.components {
-		if c.part != nil {
-			c.part()
+		if c.closeIdle != nil {
+			c.closeIdle()
 		}
 	}
-	s.drained(e.ListenUntil)
+	s.waitDrained(e.ListenUntil)
 	s.log.Info("closing")
 	for _, c := range s.components {
 		if c.stop != nil {
@@ -204,26 +204,26 @@
 	return nil
 }
 
-// longest is the longest deadline of any class.
-func (s *Service) longest() (d time.Duration) {
-	s.hub.Do(func() { d = s.hub.LongestClientTimeout() })
+// longestClientTimeout is the longest deadline of any class.
+func (s *Service) longestClientTimeout() (d time.Duration) {
+	s.engine.Do(func() { d = s.engine.LongestClientTimeout() })
 	return d
 }
 
-// drained waits until the time given and then until nothing is in hand. A socket that
+// waitDrained waits until the time given and then until nothing is in hand. A socket that
 // closes shuts call-backs out: what comes from here on, on a connection that is still
 // open, is refused, since no result could come for it.
-func (s *Service) drained(from time.Time) {
+func (s *Service) waitDrained(earliest time.Time) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for now := range tick.C {
 		inHand := 0
 		for _, c := range s.components {
-			if c.inHand != nil {
-				inHand += c.inHand()
+			if c.inFlight != nil {
+				inHand += c.inFlight()
 			}
 		}
-		if now.After(from) && inHand == 0 && s.hub.CloseIfIdle() {
+		if now.After(earliest) && inHand == 0 && s.engine.CloseIfIdle() {
 			return
 		}
 	}
@@ -232,8 +232,8 @@
 // totals is a line on what has been booked, for the log at the end.
 func (s *Service) totals() logrus.Fields {
 	f := logrus.Fields{}
-	s.hub.Do(func() {
-		t := s.keeper.Ledger.Totals()
+	s.engine.Do(func() {
+		t := s.metrics.Ledger.Totals()
 		f["taken"], f["open"] = t.Taken, t.Open
 		for o := range accounting.Outcomes {
 			f[o.String()] = t.EndedAs(o)
--- a/internal/dispatcher/server/sockets_test.go
+++ b/internal/dispatcher/server/sockets_test.go
@@ -15,18 +15,18 @@
 func TestSockets(t *testing.T) {
 	const own = 3 + 2 + 5 + 1 + 3 + 1 // standard ones, the run time's, listeners, one that waits for a place, calls to discovery, a file
 	for _, n := range []int{256, 300, 512, 1024, 4096} {
-		got := sockets(settings.Config{Sockets: n})
+		got := socketLimit(settings.Config{Sockets: n})
 		require.Equal(t, n, got)
 		require.LessOrEqual(t, got/2+got/4+got/8+own, n, "clients, flows, probes and ends, own")
 		got = max(got/2, got-adminapi.MaxConnections) // as for a process with a door
 		require.LessOrEqual(t, got/2+got/4+got/8+adminapi.MaxConnections+own, n, "with a door")
 	}
-	require.Equal(t, 1024, sockets(settings.Config{}))
-	require.Equal(t, 1024, sockets(settings.Config{Sockets: 1024, MemoryMB: 192}))
-	require.Equal(t, 256, sockets(settings.Config{Sockets: 1024, MemoryMB: 32}))
+	require.Equal(t, 1024, socketLimit(settings.Config{}))
+	require.Equal(t, 1024, socketLimit(settings.Config{Sockets: 1024, MemoryMB: 192}))
+	require.Equal(t, 256, socketLimit(settings.Config{Sockets: 1024, MemoryMB: 32}))
 	var was syscall.Rlimit
 	require.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was))
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 200, Max: was.Max}))
 	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
-	require.Equal(t, 200, sockets(settings.Config{Sockets: 1024}))
+	require.Equal(t, 200, socketLimit(settings.Config{Sockets: 1024}))
 }
--- a/internal/dispatcher/simprotocol/decode.go
+++ b/internal/dispatcher/simprotocol/decode.go
@@ -43,33 +43,33 @@
 	Instance string
 	Now      time.Duration
 
-	Settings policy.Settings
-	ListKind     policy.ListKind
-	Members  []policy.Member
-	Request  policy.Request
-	AttemptResult  policy.AttemptResult
+	Settings      policy.Settings
+	ListKind      policy.ListKind
+	Members       []policy.Member
+	Request       policy.Request
+	AttemptResult policy.AttemptResult
 	ProbeResult   policy.ProbeResult
-	AttemptUpdate     policy.AttemptUpdate
-	StreamStart    policy.StreamStart
-	RequestID       string // Lapsed: the request
+	AttemptUpdate policy.AttemptUpdate
+	StreamStart   policy.StreamStart
+	RequestID     string // Lapsed: the request
 	TimerToken    string // Elapsed
 }
 
 const (
-	maxLineBytes  = 64 << 20
-	maxLists = 16
+	maxLineBytes = 64 << 20
+	maxLists     = 16
 )
 
 // Decoder reads events from a stream.
 type Decoder struct {
-	in      *bufio.Scanner
-	line    int
-	inBatch bool
-	event      Event
-	interned   map[string]string // names seen, so that each is allocated once
-	memberLists   [maxLists][]policy.Member
+	in          *bufio.Scanner
+	line        int
+	inBatch     bool
+	event       Event
+	interned    map[string]string // names seen, so that each is allocated once
+	memberLists [maxLists][]policy.Member
 	listDefined [maxLists]bool
-	fields  []field
+	fields      []field
 }
 
 type field struct{ name, value []byte }
--- a/internal/dispatcher/simprotocol/encode.go
+++ b/internal/dispatcher/simprotocol/encode.go
@@ -12,9 +12,9 @@
 
 // Encoder writes the replies to batches.
 type Encoder struct {
-	out *bufio.Writer
-	currentInstance  string // instance that the last SOURCE line named
-	numberBuffer []byte
+	out             *bufio.Writer
+	currentInstance string // instance that the last SOURCE line named
+	numberBuffer    []byte
 }
 
 // NewEncoder returns an encoder that writes to w.
