--- a/internal/dispatcher/faktory/batch/batch.go
+++ b/internal/dispatcher/faktory/batch/batch.go
@@ -1,7 +1,9 @@
-// Package batch keeps the Faktory front's batches: jobs that are pushed
-// together, with a call-back once all of them have run and one once all have
-// succeeded, each exactly once. Batches nest: a parent waits for its children.
-// It does no I/O and keeps no clock; a Book must not be used concurrently.
+// Package batch keeps the Faktory front's batches: jobs that are pushed together, with a
+// call-back job once all of them have run and one once all have succeeded, each pushed exactly
+// once. Batches nest: a parent waits for its children.
+//
+// It does no I/O and reads no clock. The caller pushes the call-backs that the methods return, and
+// must not use a Store concurrently.
 package batch
 
 import (
@@ -10,7 +12,7 @@
 	"time"
 )
 
-// Kind is the kind of a call-back.
+// Kind is the kind of a call-back, by the protocol's name.
 type Kind string
 
 // Call-backs.
@@ -19,17 +21,17 @@
 	Success  Kind = "success"  // each job has succeeded
 )
 
-// State is how far a call-back is, in the protocol's words.
+// State is how far a call-back has come, by the protocol's value.
 type State string
 
 // States of call-backs.
 const (
 	NotDue   State = ""
-	Enqueued State = "1"
-	Done     State = "2"
+	Enqueued State = "1" // it is returned to the caller, which pushes it
+	Done     State = "2" // it has succeeded, or there is none
 )
 
-// Errors of commands.
+// Errors of the methods.
 var (
 	ErrUnknownBatch = errors.New("no such batch")
 	ErrCommitted    = errors.New("the batch has been committed")
@@ -38,26 +40,26 @@
 	ErrFull         = errors.New("there are too many batches")
 )
 
-// Definition is what BATCH NEW says.
+// Definition is what BATCH NEW defines.
 type Definition struct {
-	Parent, Description string
-	Callbacks           map[Kind][]byte // jobs, as JSON
+	Parent, Description string          // Parent: its bid; empty: none
+	Callbacks           map[Kind][]byte // jobs as JSON; at least one
 }
 
-// Callback is a job that a batch owes now.
+// Callback is a call-back job that is due now.
 type Callback struct {
-	Batch string
+	Batch string // its bid
 	Kind  Kind
-	Job   []byte
+	Job   []byte // JSON
 }
 
-// Batch is one batch. Its jobs are pending until they have succeeded; those that
-// have failed at least once and not succeeded since are failed as well.
+// Batch is one batch; callers only read it. A job is pending until it has succeeded; one that has
+// failed at least once and not succeeded since counts as failed as well.
 type Batch struct {
 	ID          string
 	Definition  Definition
 	Created     time.Time
-	Committed   bool
+	Committed   bool // no job is added any more, unless it is opened again
 	Total       int
 	Pending     int
 	failedJobs  map[string]bool // pending ones that have run
@@ -66,37 +68,38 @@
 	States      map[Kind]State
 }
 
-// Failed is how many pending jobs have failed.
+// Failed returns how many pending jobs have failed.
 func (b *Batch) Failed() int { return len(b.failedJobs) }
 
-// Store is all batches that are not over.
+// Store holds all batches that are not finished.
 type Store struct {
 	limit   int
 	batches map[string]*Batch
 }
 
-// NewStore returns an empty one that holds so many batches.
+// NewStore returns an empty store for at most limit batches.
 func NewStore(limit int) *Store { return &Store{limit: limit, batches: make(map[string]*Batch)} }
 
-// Find returns a batch, or nil.
-func (b *Store) Find(id string) *Batch { return b.batches[id] }
+// Find returns a batch by its bid, or nil.
+func (s *Store) Find(id string) *Batch { return s.batches[id] }
 
-// Len is how many batches are not over.
-func (b *Store) Len() int { return len(b.batches) }
+// Len returns how many batches are not finished.
+func (s *Store) Len() int { return len(s.batches) }
 
-// New begins a batch.
-func (b *Store) New(now time.Time, id string, d Definition) error {
+// New adds a batch with a new bid. It returns ErrNoCallback, ErrFull, or, for its parent,
+// ErrUnknownBatch or ErrFinished.
+func (s *Store) New(now time.Time, id string, d Definition) error {
 	if len(d.Callbacks[Complete]) == 0 && len(d.Callbacks[Success]) == 0 {
 		return ErrNoCallback
 	}
-	if len(b.batches) >= b.limit {
+	if len(s.batches) >= s.limit {
 		return ErrFull
 	}
-	if b.batches[id] != nil {
+	if s.batches[id] != nil {
 		return fmt.Errorf("batch %s is there already", id)
 	}
 	if d.Parent != "" {
-		parent := b.batches[d.Parent]
+		parent := s.batches[d.Parent]
 		if parent == nil {
 			return fmt.Errorf("parent %s: %w", d.Parent, ErrUnknownBatch)
 		}
@@ -105,17 +108,17 @@
 		}
 		parent.children[id] = false
 	}
-	b.batches[id] = &Batch{
+	s.batches[id] = &Batch{
 		ID: id, Definition: d, Created: now, failedJobs: make(map[string]bool), pendingJobs: make(map[string]bool), children: make(map[string]bool),
 		States: make(map[Kind]State),
 	}
 	return nil
 }
 
-// Open lets jobs be added to a batch that was committed, which its own jobs do
-// while they run.
-func (b *Store) Open(id string) error {
-	batch := b.batches[id]
+// Open lets jobs be added to a committed batch again, as its own jobs do while they run. It
+// returns ErrUnknownBatch, or ErrFinished once a call-back is due.
+func (s *Store) Open(id string) error {
+	batch := s.batches[id]
 	switch {
 	case batch == nil:
 		return ErrUnknownBatch
@@ -126,9 +129,9 @@
 	return nil
 }
 
-// CheckAdd tells whether a job may be pushed into a batch.
-func (b *Store) CheckAdd(id string) error {
-	switch batch := b.batches[id]; {
+// CheckAdd returns nil if a job may be pushed into a batch, else ErrUnknownBatch or ErrCommitted.
+func (s *Store) CheckAdd(id string) error {
+	switch batch := s.batches[id]; {
 	case batch == nil:
 		return ErrUnknownBatch
 	case batch.Committed:
@@ -137,28 +140,28 @@
 	return nil
 }
 
-// Add takes in a job that was pushed. Pushed again, it counts once.
-func (b *Store) Add(id, job string) {
-	if batch := b.batches[id]; batch != nil && !batch.pendingJobs[job] {
+// Add counts a job in that was pushed. One that is pushed again counts once.
+func (s *Store) Add(id, job string) {
+	if batch := s.batches[id]; batch != nil && !batch.pendingJobs[job] {
 		batch.pendingJobs[job] = true
 		batch.Total++
 		batch.Pending++
 	}
 }
 
-// Remove takes back a job whose push was not taken.
-func (b *Store) Remove(id, job string) {
-	if batch := b.batches[id]; batch != nil && batch.pendingJobs[job] {
+// Remove counts a job out whose push was not accepted in the end.
+func (s *Store) Remove(id, job string) {
+	if batch := s.batches[id]; batch != nil && batch.pendingJobs[job] {
 		delete(batch.pendingJobs, job)
 		batch.Total--
 		batch.Pending--
 	}
 }
 
-// Commit closes a batch to further jobs and returns the call-backs that are due
-// then: of one without jobs, or whose last job ended in the meantime.
-func (b *Store) Commit(id string) ([]Callback, error) {
-	batch := b.batches[id]
+// Commit closes a batch to further jobs. It returns the call-backs that are due then, if the batch
+// has no job or the last one has ended meanwhile; or ErrUnknownBatch or ErrCommitted.
+func (s *Store) Commit(id string) ([]Callback, error) {
+	batch := s.batches[id]
 	switch {
 	case batch == nil:
 		return nil, ErrUnknownBatch
@@ -166,13 +169,13 @@
 		return nil, ErrCommitted
 	}
 	batch.Committed = true
-	return b.dueCallbacks(batch), nil
+	return s.dueCallbacks(batch), nil
 }
 
-// JobRan takes in that a job of a batch has run, well or not, and returns the
-// call-backs that are due then. A job that succeeds counts once.
-func (b *Store) JobRan(id, job string, succeeded bool) []Callback {
-	batch := b.batches[id]
+// JobRan takes in that a job of a batch has run, and returns the call-backs that are due then. A
+// job that has succeeded counts once.
+func (s *Store) JobRan(id, job string, succeeded bool) []Callback {
+	batch := s.batches[id]
 	if batch == nil || !batch.pendingJobs[job] {
 		return nil
 	}
@@ -183,30 +186,30 @@
 	} else {
 		batch.failedJobs[job] = true
 	}
-	return b.dueCallbacks(batch)
+	return s.dueCallbacks(batch)
 }
 
-// CallbackSucceeded takes in that a call-back has succeeded. A batch with all of its
-// call-backs done is over.
-func (b *Store) CallbackSucceeded(id string, kind Kind) []Callback {
-	batch := b.batches[id]
+// CallbackSucceeded takes in that a call-back has succeeded, and returns the call-backs of parents
+// that are due then. A batch whose call-backs have all succeeded is finished, and forgotten.
+func (s *Store) CallbackSucceeded(id string, kind Kind) []Callback {
+	batch := s.batches[id]
 	if batch == nil || batch.States[kind] != Enqueued {
 		return nil
 	}
 	batch.States[kind] = Done
-	return b.removeIfFinished(batch)
+	return s.removeIfFinished(batch)
 }
 
-// dueCallbacks returns the call-backs of a batch, and of those it is in, that are due
-// now and were not before.
-func (b *Store) dueCallbacks(batch *Batch) (due []Callback) {
+// dueCallbacks returns the call-backs of a batch, and of its parents, that are due now and were
+// not before.
+func (s *Store) dueCallbacks(batch *Batch) (due []Callback) {
 	if !batch.Committed {
 		return nil
 	}
 	complete, success := batch.Pending == len(batch.failedJobs), batch.Pending == 0
 	for child, done := range batch.children {
 		complete = complete && done
-		success = success && b.batches[child] == nil
+		success = success && s.batches[child] == nil
 	}
 	for _, c := range []struct {
 		kind Kind
@@ -222,22 +225,22 @@
 		due = append(due, Callback{batch.ID, c.kind, batch.Definition.Callbacks[c.kind]})
 	}
 	if batch.States[Complete] != NotDue {
-		if parent := b.batches[batch.Definition.Parent]; parent != nil && !parent.children[batch.ID] {
+		if parent := s.batches[batch.Definition.Parent]; parent != nil && !parent.children[batch.ID] {
 			parent.children[batch.ID] = true
-			due = append(due, b.dueCallbacks(parent)...)
+			due = append(due, s.dueCallbacks(parent)...)
 		}
 	}
-	return append(due, b.removeIfFinished(batch)...)
+	return append(due, s.removeIfFinished(batch)...)
 }
 
-// removeIfFinished drops a batch that is over, and looks at its parent.
-func (b *Store) removeIfFinished(batch *Batch) []Callback {
-	if b.batches[batch.ID] != batch || batch.States[Success] != Done || batch.States[Complete] != Done {
+// removeIfFinished forgets a batch that is finished, and returns what is due of its parent then.
+func (s *Store) removeIfFinished(batch *Batch) []Callback {
+	if s.batches[batch.ID] != batch || batch.States[Success] != Done || batch.States[Complete] != Done {
 		return nil
 	}
-	delete(b.batches, batch.ID)
-	if parent := b.batches[batch.Definition.Parent]; parent != nil {
-		return b.dueCallbacks(parent)
+	delete(s.batches, batch.ID)
+	if parent := s.batches[batch.Definition.Parent]; parent != nil {
+		return s.dueCallbacks(parent)
 	}
 	return nil
 }
--- a/internal/dispatcher/faktory/client/client.go
+++ b/internal/dispatcher/faktory/client/client.go
@@ -17,21 +17,23 @@
 	"time"
 )
 
+// maxReplyBytes bounds a reply.
 const maxReplyBytes = 64 << 20
 
-// Conn is a connection. It is not safe for concurrent use.
+// Conn is a connection. It must not be used concurrently. The caller closes it.
 type Conn struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// ServerError is what a server answered to a command that it did not take.
+// ServerError is a server's error reply.
 type ServerError string
 
+// Error implements error.
 func (e ServerError) Error() string { return string(e) }
 
-// Dial connects, and says HELLO with what the password proves. All of it is
-// done by the deadline.
+// Dial connects and says HELLO, with the password's hash if the server asks for one. It fails if
+// that is not done by the deadline.
 func Dial(addr, password string, deadline time.Time) (*Conn, error) {
 	d := net.Dialer{Deadline: deadline}
 	tcp, err := d.Dial("tcp", addr)
@@ -40,32 +42,35 @@
 	}
 	conn := &Conn{tcp, bufio.NewReader(tcp)}
 	if err := conn.sayHello(password, deadline); err != nil {
-		tcp.Close()
+		_ = tcp.Close() // the error that matters is returned
 		return nil, err
 	}
 	return conn, nil
 }
 
+// sayHello reads the greeting and says HELLO.
 func (c *Conn) sayHello(password string, deadline time.Time) error {
-	c.conn.SetDeadline(deadline)
+	if err := c.conn.SetDeadline(deadline); err != nil {
+		return err
+	}
 	greeting, err := c.readReply()
 	if err != nil {
 		return err
 	}
 	text, ok := strings.CutPrefix(string(greeting), "HI ")
 	var hi struct {
-		V int    `json:"v"`
-		I int    `json:"i"`
-		S string `json:"s"`
+		Version    int    `json:"v"`
+		Iterations int    `json:"i"`
+		Salt       string `json:"s"` // empty: no password is needed
 	}
 	if !ok || json.Unmarshal([]byte(text), &hi) != nil {
 		return fmt.Errorf("this is no Faktory server: it greets with %q", greeting)
 	}
 	host, _ := os.Hostname()
 	hello := map[string]any{"v": 2, "hostname": host, "pid": os.Getpid(), "labels": []string{"basaltloft"}}
-	if hi.S != "" {
-		sum := sha256.Sum256([]byte(password + hi.S))
-		for range hi.I - 1 {
+	if hi.Salt != "" {
+		sum := sha256.Sum256([]byte(password + hi.Salt))
+		for range hi.Iterations - 1 {
 			sum = sha256.Sum256(sum[:])
 		}
 		hello["pwdhash"] = hex.EncodeToString(sum[:])
@@ -78,16 +83,18 @@
 	return err
 }
 
-// Do sends a command and returns its reply, nil for none.
+// Do sends a command and returns its reply, nil for null. A refusal is a ServerError.
 func (c *Conn) Do(command string, deadline time.Time) ([]byte, error) {
-	c.conn.SetDeadline(deadline)
+	if err := c.conn.SetDeadline(deadline); err != nil {
+		return nil, err
+	}
 	if _, err := io.WriteString(c.conn, command+"\r\n"); err != nil {
 		return nil, err
 	}
 	return c.readReply()
 }
 
-// Query sends a command and decodes its reply.
+// Query sends a command and decodes its reply, which is JSON.
 func (c *Conn) Query(command string, into any, deadline time.Time) error {
 	text, err := c.Do(command, deadline)
 	if err != nil {
@@ -99,6 +106,7 @@
 	return nil
 }
 
+// readReply reads one reply of the protocol: a line, an error, bytes or null.
 func (c *Conn) readReply() ([]byte, error) {
 	line, err := c.reader.ReadString('\n')
 	if err != nil {
@@ -132,12 +140,13 @@
 
 // Close says END and closes the connection.
 func (c *Conn) Close() error {
-	c.conn.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c.conn, "END\r\n")
+	// END is a courtesy: the server sees the end of the connection as well.
+	_ = c.conn.SetDeadline(time.Now().Add(time.Second))
+	_, _ = io.WriteString(c.conn, "END\r\n")
 	return c.conn.Close()
 }
 
-// Info is what INFO tells, as far as it is used here.
+// Info is the part of INFO's reply that operators' tools use.
 type Info struct {
 	Faktory struct {
 		Queues map[string]int `json:"queues"`
@@ -162,7 +171,7 @@
 	} `json:"server"`
 }
 
-// JobEntry is one job of a set, as SHOW tells it.
+// JobEntry is one job of a set in SHOW's reply.
 type JobEntry struct {
 	ID         string          `json:"jid"`
 	Type       string          `json:"jobtype"`
@@ -172,7 +181,7 @@
 	Failure    json.RawMessage `json:"failure,omitempty"`
 }
 
-// Worker is one worker, as SHOW tells it.
+// Worker is one worker in SHOW's reply.
 type Worker struct {
 	ID            string    `json:"wid"`
 	Host          string    `json:"hostname"`
--- a/internal/dispatcher/faktory/sets/job.go
+++ b/internal/dispatcher/faktory/sets/job.go
@@ -1,51 +1,43 @@
-// Package sets keeps the jobs of the Faktory front that wait: in queues, or in
-// the sets of scheduled, retried and dead jobs, with the locks of unique ones.
-// It decides when a job is due, whether a failed one is tried again and what no
-// longer fits. It does no I/O, keeps no clock and starts no goroutine; a Book
-// must not be used concurrently.
 package sets
 
-import (
-	"time"
-)
+import "time"
 
-// Job is a job as the front keeps it. What is exported is the front's to set
-// before it is pushed; later only this package changes it. A hundred thousand of
-// them may wait: what few jobs have is in Rare.
+// Job is a job as the front keeps it. The front sets the exported fields before it pushes the
+// job; afterwards only this package changes them, MayHaveRun apart. A hundred thousand jobs
+// may wait, so the fields that few of them need are in Options.
 type Job struct {
-	ID, Type, Queue       string // the latter two should be shared by the jobs of one name
-	Client                string // the client that pushed it, shared likewise
-	Body                  []byte // as it was pushed
-	*Options                     // nil: nothing of it
+	ID, Type, Queue       string // jobs of the same type or queue should share these strings
+	Client                string // who pushed it, for the limits on one client; shared likewise
+	Body                  []byte // the JSON as it was pushed
+	*Options                     // nil: none is set
 	Failure               *Failure
-	Attachment            any    // the front's own
-	Retries               int32  // how often it may be tried again; 0: then it is dead; below 0: then it is gone
-	ConsecutiveRejections uint16 // in a row, by the decisions
-	MayHaveRun            bool   // an attempt of it may have had its effect
-	IsRetry               bool   // it was tried before: its next try is one of the same ask
-
-	enqueuedAt unixNanos // since when it waits in its queue
-	orderedBy  unixNanos // what its set is ordered by
-	set        *Set      // nil: in no set
+	Attachment            any    // belongs to the front
+	Retries               int32  // after so many retries a failed job is dead; below 0 it is discarded
+	ConsecutiveRejections uint16 // by the engine, since it last ran
+	MayHaveRun            bool   // an attempt may have taken effect, and its class must not run twice
+	IsRetry               bool   // it was submitted before
+
+	enqueuedAt unixNanos // when it entered its queue
+	orderedBy  unixNanos // the key of its set
+	set        *Set      // nil: it is in none
 	heapIndex  int       // in the heap of its set
-	prev       *Job      // in its queue
-	next       *Job
-	queue      *Queue
+	queue      *Queue    // nil: it is in none
+	prev, next *Job      // in its queue
 }
 
-// Options is what few jobs have.
+// Options are the fields that few jobs need.
 type Options struct {
-	NotBefore    time.Time // not before this
-	ExpiresAt    time.Time // not run after this; zero: never too late
-	UniqueKey    uint64    // the lock it holds; 0: none
-	ReleaseOn    LockRelease
+	NotBefore    time.Time   // zero: it is due at once
+	ExpiresAt    time.Time   // it must not be dequeued later; zero: never too late
+	UniqueKey    uint64      // of the lock that it holds; 0: none
+	ReleaseOn    LockRelease // when the lock is released
 	UniqueTTL    time.Duration
-	Batch        string // it belongs to
-	CallbackOf   string // it is a call-back of this batch
-	CallbackKind string // which one
+	Batch        string // that it belongs to; empty: none
+	CallbackOf   string // the batch that it is a call-back of; empty: it is none
+	CallbackKind string // which call-back of that batch
 }
 
-// options is the job's, or one with nothing in it.
+// options are the job's, or empty ones.
 func (j *Job) options() *Options {
 	if j.Options == nil {
 		return &noOptions
@@ -53,43 +45,38 @@
 	return j.Options
 }
 
+// noOptions stands for the options of a job that has none.
 var noOptions Options
 
-// unixNanos is a time in nanoseconds since 1970: a third of the size of one.
+// unixNanos is a time in nanoseconds since 1970, at a third of the size of a time.Time.
 type unixNanos int64
 
-func unixNanosOf(t time.Time) unixNanos    { return unixNanos(t.UnixNano()) }
-func (s unixNanos) time() time.Time        { return time.Unix(0, int64(s)) }
+func unixNanosOf(t time.Time) unixNanos { return unixNanos(t.UnixNano()) }
+
+func (s unixNanos) time() time.Time { return time.Unix(0, int64(s)) }
+
 func (s unixNanos) after(o unixNanos) bool { return s > o }
 
-// Failure is how a job failed last.
+// Failure is the account of a job's last failure.
 type Failure struct {
-	RetryCount int // how often it has been tried again
-	Remaining  int
+	RetryCount int // how often it has failed, less one
+	Remaining  int // how many retries are left
 	FailedAt   time.Time
-	NextAt     time.Time
+	NextAt     time.Time // of the next attempt; zero: none
 	ErrorType  string
 	Message    string
 	Backtrace  []string
 }
 
-// LockRelease is what ends a unique job's lock beside its time.
-type LockRelease uint8
-
-// Ends of a lock.
-const (
-	ReleaseOnSuccess LockRelease = iota
-	ReleaseOnStart
-)
-
-// jobOverheadBytes is roughly what a job takes beside its body.
+// jobOverheadBytes is about what a job takes in memory beside its body and names.
 const jobOverheadBytes = 450
 
+// size is about what the job takes in memory, in bytes.
 func (j *Job) size() int {
 	return len(j.Body) + len(j.ID) + len(j.Type) + len(j.Queue) + jobOverheadBytes
 }
 
-// Location tells where a job is: the name of a set, Queued, or "" for none.
+// Location tells where a job is: the name of a set, InQueue, or "" for nowhere.
 func (j *Job) Location() string {
 	switch {
 	case j.set != nil:
@@ -100,8 +87,8 @@
 	return ""
 }
 
-// InQueue is where a job is that waits in its queue.
+// InQueue is the Location of a job that waits in its queue.
 const InQueue = "queue"
 
-// OrderTime is the time that its set orders it by.
+// OrderTime is the time that the job's set orders it by: when it is due, or when it died.
 func (j *Job) OrderTime() time.Time { return j.orderedBy.time() }
--- a/internal/dispatcher/faktory/sets/mutate.go
+++ b/internal/dispatcher/faktory/sets/mutate.go
@@ -4,19 +4,18 @@
 	"errors"
 	"fmt"
 	"regexp"
-	"slices"
 	"strings"
 	"time"
 )
 
-// Filter picks jobs. What is empty picks all; a job must meet each part.
+// Filter selects jobs: those that match each of its parts. An empty part matches all.
 type Filter struct {
 	JobType string
 	IDs     []string
-	Pattern string // of the job's JSON: * is any text, ? any character
+	Pattern string // matches the job's JSON; * is any text, ? any character
 }
 
-// matcher compiles a filter.
+// matcher compiles a filter. It fails for a pattern that is no expression.
 func (f Filter) matcher() (func(*Job) bool, error) {
 	ids := make(map[string]bool, len(f.IDs))
 	for _, id := range f.IDs {
@@ -35,143 +34,91 @@
 	}, nil
 }
 
-// Command is what a mutation does.
+// Command is what a mutation does to the jobs that it selects.
 type Command string
 
 // Commands.
 const (
-	Kill    Command = "kill"
-	Requeue Command = "requeue"
-	Discard Command = "discard"
-	Clear   Command = "clear"
+	Kill    Command = "kill"    // move them to the dead set
+	Requeue Command = "requeue" // put them into their queues
+	Discard Command = "discard" // drop them
+	Clear   Command = "clear"   // drop all of the set, whatever the filter
 )
 
-// ErrMayHaveRun says that a job must not be run again.
+// ErrMayHaveRun is the error of a job that must not be requeued.
 var ErrMayHaveRun = errors.New("may have run already, and its class must not run twice")
 
-// Mutate does something to the jobs of a set that a filter picks, all or none.
-// A job that may have run is queued again only where the caller vouches that it
-// has not. It returns the jobs.
-func (b *Store) Mutate(now time.Time, c Command, target string, f Filter, vouched bool) ([]*Job, error) {
-	now = b.monotonic(now)
-	at := slices.IndexFunc([]*Set{b.Scheduled, b.Retries, b.Dead}, func(s *Set) bool { return s.Name == target })
-	if at < 0 {
+// Mutate applies a command to the jobs of a set that a filter selects, to all of them or, on an
+// error, to none. A job that may have run is requeued only if the caller vouches that it has
+// not. It returns the jobs. The one exception: where the dead jobs to requeue exceed a limit,
+// a FullError is returned with those that were requeued before.
+func (s *Store) Mutate(now time.Time, c Command, target string, f Filter, vouched bool) ([]*Job, error) {
+	now = s.monotonic(now)
+	set := s.findSet(target)
+	if set == nil {
 		return nil, fmt.Errorf("no set is called %q", target)
 	}
-	set := []*Set{b.Scheduled, b.Retries, b.Dead}[at]
 	matches, err := f.matcher()
 	if err != nil {
 		return nil, err
 	}
-	if c == Clear {
-		matches = func(*Job) bool { return true }
-	}
-	var picked []*Job
+	var selected []*Job
 	for _, j := range set.Sorted() {
-		if matches(j) {
-			picked = append(picked, j)
+		if c == Clear || matches(j) {
+			selected = append(selected, j)
 		}
 	}
 	switch c {
 	case Clear, Discard:
+		for _, j := range selected {
+			s.remove(j)
+			s.Unlock(j)
+		}
 	case Kill:
-	case Requeue:
-		for _, j := range picked {
-			if j.MayHaveRun && !vouched {
-				return nil, fmt.Errorf("job %s %w", j.ID, ErrMayHaveRun)
-			}
-			if set == b.Dead {
-				if err := b.checkCapacity(j); err != nil {
-					return nil, err
-				}
-			}
+		for _, j := range selected {
+			s.remove(j)
+			s.MoveToDead(now, j)
 		}
+	case Requeue:
+		return s.requeue(now, set, selected, vouched)
 	default:
 		return nil, fmt.Errorf("no mutation is called %q", c)
 	}
-	for i, j := range picked {
-		b.remove(j)
-		switch c {
-		case Clear, Discard:
-			b.Unlock(j)
-		case Kill:
-			b.MoveToDead(now, j)
-		case Requeue:
-			if set == b.Dead && b.checkCapacity(j) != nil { // those before it have taken what there was
-				b.MoveToDead(now, j)
-				return picked[:i], FullError{fmt.Sprintf("%d of %d jobs were queued", i, len(picked))}
-			}
-			j.MayHaveRun, j.IsRetry = false, true
-			b.enqueue(now, j, false)
-		}
-	}
-	return picked, nil
-}
-
-// resolveNames resolves * to all queues.
-func (b *Store) resolveNames(names []string) []string {
-	if !slices.Contains(names, "*") {
-		return names
-	}
-	var all []string
-	for name := range b.queues {
-		all = append(all, name)
-	}
-	slices.Sort(all)
-	return all
+	return selected, nil
 }
 
-// Pause lets queues hand out nothing, also those that are not there yet. It
-// returns their names.
-func (b *Store) Pause(names []string, paused bool) []string {
-	names = b.resolveNames(names)
-	for _, name := range names {
-		if q := b.queues[name]; q != nil || paused && len(b.queues) < b.limits.Queues {
-			b.Queue(name).Paused = paused
+// findSet returns a set by name, or nil.
+func (s *Store) findSet(name string) *Set {
+	for _, set := range []*Set{s.Scheduled, s.Retries, s.Dead} {
+		if set.Name == name {
+			return set
 		}
 	}
-	return names
+	return nil
 }
 
-// Remove drops queues with all that waits in them.
-func (b *Store) Remove(names []string) (dropped []*Job) {
-	for _, name := range b.resolveNames(names) {
-		q := b.queues[name]
-		if q == nil {
+// requeue moves jobs of a set into their queues, if each of them may run again and fits the
+// limits. Only dead jobs can exceed them: the others are counted already.
+func (s *Store) requeue(now time.Time, set *Set, selected []*Job, vouched bool) ([]*Job, error) {
+	for _, j := range selected {
+		if j.MayHaveRun && !vouched {
+			return nil, fmt.Errorf("job %s %w", j.ID, ErrMayHaveRun)
+		}
+		if set != s.Dead {
 			continue
 		}
-		for q.first != nil {
-			j := q.first
-			b.remove(j)
-			b.Unlock(j)
-			dropped = append(dropped, j)
+		if err := s.checkCapacity(j); err != nil {
+			return nil, err
 		}
-		delete(b.queues, name)
-	}
-	return dropped
-}
-
-// QueueInfo is what is told of a queue.
-type QueueInfo struct {
-	Name    string
-	Len     int
-	Bytes   int
-	Paused  bool
-	Latency time.Duration // how long its first job has waited
-}
-
-// Info tells of queues, in the order of their names; no names are all.
-func (b *Store) Info(now time.Time, names ...string) (infos []QueueInfo) {
-	if len(names) == 0 {
-		names = []string{"*"}
 	}
-	now = b.monotonic(now)
-	for _, name := range b.resolveNames(names) {
-		i := QueueInfo{Name: name}
-		if q := b.queues[name]; q != nil {
-			i = QueueInfo{name, q.count, q.bytes, q.Paused, q.latency(now)}
+	for i, j := range selected {
+		s.remove(j)
+		if set == s.Dead && s.checkCapacity(j) != nil { // the jobs before it have used up the limit
+			s.MoveToDead(now, j)
+			return selected[:i], FullError{fmt.Sprintf("%d of %d jobs were queued", i, len(selected))}
 		}
-		infos = append(infos, i)
+		j.MayHaveRun, j.IsRetry = false, true
+		s.enqueue(now, j)
 	}
-	return infos
+	return selected, nil
 }
--- a/internal/dispatcher/override/hand.go
+++ b/internal/dispatcher/override/override.go
@@ -1,7 +1,6 @@
-// Package override keeps what operators set by hand: the runners they took out and
-// when they put them back, and whether they drain this dispatcher. It decides
-// without I/O; its state is written to a file by the service, so that a new
-// version of the program started beside this one goes on with it.
+// Package override keeps what operators have set by hand: the runners that they took out of
+// service, and when they put runners back. It does no I/O; package server writes the state to a
+// file, from which a new version of the program that is started beside this one continues.
 package override
 
 import (
@@ -13,13 +12,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// FormatVersion is the form of the state that this program writes and reads.
+// FormatVersion is the version of the saved state that this program writes and reads.
 const FormatVersion = 1
 
-// State is what operators have set.
+// State is what operators have set. It must not be used concurrently.
 type State struct {
-	outRunners map[string]bool      // runner ids taken out
-	restoredAt map[string]time.Time // when each runner was last put back
+	outRunners map[string]bool      // by id: runners that are out of service
+	restoredAt map[string]time.Time // by id: when a runner was last put back
 }
 
 // New returns a state in which nothing is set.
@@ -27,8 +26,7 @@
 	return &State{outRunners: map[string]bool{}, restoredAt: map[string]time.Time{}}
 }
 
-// TakeOut takes a runner out. A second call changes nothing; it tells whether this
-// one did.
+// TakeOut takes a runner out of service. It reports false if it was out already.
 func (s *State) TakeOut(id string) bool {
 	if s.outRunners[id] {
 		return false
@@ -37,8 +35,8 @@
 	return true
 }
 
-// PutBack puts a runner back at now, however often it was taken out. It tells
-// whether it was out.
+// PutBack puts a runner back into service, however often it was taken out. It reports false if it
+// was not out.
 func (s *State) PutBack(id string, now time.Time) bool {
 	if !s.outRunners[id] {
 		return false
@@ -51,14 +49,14 @@
 // IsOut tells whether a runner is out.
 func (s *State) IsOut(id string) bool { return s.outRunners[id] }
 
-// OutRunners are the runners taken out, in order.
+// OutRunners returns the ids of the runners that are out, in order.
 func (s *State) OutRunners() []string { return slices.Sorted(maps.Keys(s.outRunners)) }
 
-// RestoredAt is when a runner was last put back; zero: never.
+// RestoredAt returns when a runner was last put back; zero: never, or forgotten.
 func (s *State) RestoredAt(id string) time.Time { return s.restoredAt[id] }
 
-// ForgetRestoredBefore drops what is kept of runners put back before a time: they are warm
-// by then or were listed as started again.
+// ForgetRestoredBefore forgets when runners were put back before a time: they are no longer warming
+// up.
 func (s *State) ForgetRestoredBefore(before time.Time) {
 	for id, at := range s.restoredAt {
 		if at.Before(before) {
@@ -67,7 +65,7 @@
 	}
 }
 
-// Encode writes the state as JSON, with the name of the dispatcher it is of.
+// Encode returns the state as JSON, marked with the dispatcher's name.
 func (s *State) Encode(name string) []byte {
 	a := fastjson.Arena{}
 	o := a.NewObject()
@@ -86,9 +84,8 @@
 	return o.MarshalTo(nil)
 }
 
-// Decode reads a state that Encode wrote for the dispatcher of this name. A
-// text that is cut short, of another form or version, or of another
-// dispatcher is an error, and nothing of it is taken.
+// Decode reads a state that Encode wrote for the dispatcher of this name. It fails, and returns no
+// state, for a text that is cut short, of another version, or of another dispatcher.
 func Decode(text []byte, name string) (*State, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
--- a/internal/dispatcher/simprotocol/encode.go
+++ b/internal/dispatcher/simprotocol/encode.go
@@ -10,10 +10,10 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Encoder writes the replies to batches.
+// Encoder writes the replies to batches. Errors of writing come back from Finish.
 type Encoder struct {
 	out             *bufio.Writer
-	currentInstance string // instance that the last SOURCE line named
+	currentInstance string // that the last SOURCE line of this reply named
 	numberBuffer    []byte
 }
 
@@ -25,47 +25,54 @@
 // Finish ends the reply to a batch and flushes it.
 func (e *Encoder) Finish() error {
 	e.currentInstance = ""
-	e.out.WriteString("FINISHED\n")
+	e.write("FINISHED\n")
 	return e.out.Flush()
 }
 
-// Host returns a host that writes an instance's actions.
+// write buffers text. A bufio.Writer keeps its first error, which Finish returns.
+func (e *Encoder) write(text string) { _, _ = e.out.WriteString(text) }
+
+// Host returns a policy.Host that writes an instance's actions into the current reply.
 func (e *Encoder) Host(instance string) policy.Host {
-	return &host{e, instance}
+	return &host{encoder: e, instance: instance}
 }
 
+// host implements policy.Host by writing each action as a line.
 type host struct {
-	e        *Encoder
+	encoder  *Encoder
 	instance string
 }
 
-// begin starts an action, after a SOURCE line where the instance changes.
+// begin starts an action's line, after a SOURCE line if the reply's instance changes.
 func (h *host) begin(action string) {
-	if h.e.currentInstance != h.instance {
-		h.e.currentInstance = h.instance
-		h.e.out.WriteString("SOURCE\ti=")
-		h.e.out.WriteString(h.instance)
-		h.e.out.WriteByte('\n')
+	if h.encoder.currentInstance != h.instance {
+		h.encoder.currentInstance = h.instance
+		h.encoder.write("SOURCE\ti=")
+		h.encoder.write(h.instance)
+		h.encoder.write("\n")
 	}
-	h.e.out.WriteString(action)
+	h.encoder.write(action)
 }
 
+// text adds a field to the line.
 func (h *host) text(name, value string) {
-	h.e.out.WriteByte('\t')
-	h.e.out.WriteString(name)
-	h.e.out.WriteByte('=')
-	h.e.out.WriteString(value)
+	h.encoder.write("\t")
+	h.encoder.write(name)
+	h.encoder.write("=")
+	h.encoder.write(value)
 }
 
+// number adds a field with an integer to the line.
 func (h *host) number(name string, value int64) {
 	h.text(name, "")
-	h.e.numberBuffer = strconv.AppendInt(h.e.numberBuffer[:0], value, 10)
-	h.e.out.Write(h.e.numberBuffer)
+	h.encoder.numberBuffer = strconv.AppendInt(h.encoder.numberBuffer[:0], value, 10)
+	_, _ = h.encoder.out.Write(h.encoder.numberBuffer) // as write
 }
 
-func (h *host) end() { h.e.out.WriteByte('\n') }
+// end ends the line.
+func (h *host) end() { h.encoder.write("\n") }
 
-// Send implements basaltloft.Host.
+// Send implements policy.Host.
 func (h *host) Send(request string, worker uint32, timeout time.Duration) {
 	h.begin("ROUTE")
 	h.text("txn", request)
@@ -76,7 +83,7 @@
 	h.end()
 }
 
-// Refuse implements basaltloft.Host.
+// Refuse implements policy.Host.
 func (h *host) Refuse(request string, retryAfter time.Duration) {
 	h.begin("DECLINE")
 	h.text("txn", request)
@@ -86,14 +93,14 @@
 	h.end()
 }
 
-// Fail implements basaltloft.Host.
+// Fail implements policy.Host.
 func (h *host) Fail(request string) {
 	h.begin("RESPOND_ERROR")
 	h.text("txn", request)
 	h.end()
 }
 
-// Cancel implements basaltloft.Host.
+// Cancel implements policy.Host.
 func (h *host) Cancel(request string, attempt int) {
 	h.begin("CANCEL")
 	h.text("txn", request)
@@ -101,14 +108,14 @@
 	h.end()
 }
 
-// Probe implements basaltloft.Host.
+// Probe implements policy.Host.
 func (h *host) Probe(worker uint32) {
 	h.begin("PING")
 	h.number("worker", int64(worker))
 	h.end()
 }
 
-// Timer implements basaltloft.Host.
+// Timer implements policy.Host.
 func (h *host) Timer(in time.Duration, token string) {
 	h.begin("SCHEDULE")
 	h.number("in", int64(in))
@@ -116,7 +123,7 @@
 	h.end()
 }
 
-// Watch implements basaltloft.Host.
+// Watch implements policy.Host.
 func (h *host) Watch(on bool) {
 	h.begin("OBSERVE")
 	if on {
@@ -127,15 +134,16 @@
 	h.end()
 }
 
-// Fetch implements basaltloft.Host.
+// Fetch implements policy.Host.
 func (h *host) Fetch() {
 	h.begin("GET_LIST")
 	h.end()
 }
 
+// newlinesToSpaces keeps a text on one line.
 var newlinesToSpaces = strings.NewReplacer("\n", " ", "\r", " ")
 
-// Log implements basaltloft.Host.
+// Log implements policy.Host.
 func (h *host) Log(text string) {
 	h.begin("SAY_LOG")
 	h.text("body_text", newlinesToSpaces.Replace(text))
