--- a/internal/dispatcher/adminapi/fleet.go
+++ b/internal/dispatcher/adminapi/fleet.go
@@ -13,32 +13,35 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// Fleet is what the door sets and asks of the fleet layer.
+// Fleet is what the API asks of the fleet layer. Its methods return JSON texts, and one of the
+// errors below where the caller can do something about it.
 type Fleet interface {
-	// Status tells as JSON how this process and the fleet stand.
+	// Status describes how this process and the fleet stand.
 	Status(ctx context.Context) ([]byte, error)
-	// StartPlan begins a run, or finds it; the JSON of its final answer, or nil
-	// while it is under way.
+	// StartPlan starts a run of a plan, or joins it if its id is known. It returns the run's
+	// final answer, or nil while the run is under way.
 	StartPlan(ctx context.Context, a PlanRequest) ([]byte, error)
-	// RunStatus tells how a run stands, like StartPlan.
+	// RunStatus returns a run's final answer, or nil while it is under way.
 	RunStatus(ctx context.Context, id string) ([]byte, error)
-	// Record tells as JSON the records of an id, Records a page of a tenant's.
+	// Record returns the records of a job's id.
 	Record(ctx context.Context, id string) ([]byte, error)
+	// Records returns a page of a tenant's records.
 	Records(ctx context.Context, q RecordsQuery) ([]byte, error)
-	// SetHold sets a hold on records, or lifts one.
+	// SetHold sets or lifts a hold, which keeps records from being removed.
 	SetHold(ctx context.Context, h HoldRequest) error
 }
 
-// RecordsQuery asks for a page of a tenant's records, by the time of their ends.
+// RecordsQuery selects a page of a tenant's records, in the order of when the jobs ended.
 type RecordsQuery struct {
 	Tenant      string
-	From, To    int64 // nanoseconds since 1970; To 0: no bound
-	NewestFirst bool  // the last first
-	After       string
-	Limit       int
+	From, To    int64 // nanoseconds since 1970, of the jobs' ends; To 0: no bound
+	NewestFirst bool
+	After       string // where the page before ended (its key next); empty: the first page
+	Limit       int    // of records on the page
 }
 
-// HoldRequest is a hold on records.
+// HoldRequest sets a hold on the records that match all of its parts, or lifts the hold of this
+// name.
 type HoldRequest struct {
 	Name, Tenant, ID, Key, Class string
 	From, To, Until              int64 // nanoseconds since 1970; 0: no bound
@@ -46,75 +49,75 @@
 	Lift                         bool
 }
 
-// PlanRequest is a plan that somebody wants run.
+// PlanRequest asks for a run of a plan.
 type PlanRequest struct {
-	Run, Plan, Tenant string
-	Input             []byte
-	Timeout           time.Duration // 0: as the plan says
+	Run, Plan, Tenant string        // Run: the caller's id of the run
+	Input             []byte        // JSON
+	Timeout           time.Duration // 0: the plan's own
 }
 
-// Errors of Fleet, each with the status that the door answers with.
+// Errors of Fleet, each with the HTTP status of the response.
 var (
 	ErrNotFound         = errors.New("not there")         // 404
 	ErrBadRequest       = errors.New("bad call")          // 400
 	ErrConflict         = errors.New("refused")           // 409
-	ErrFleetUnavailable = errors.New("the fleet is away") // 503, with when to come back
+	ErrFleetUnavailable = errors.New("the fleet is away") // 503, with Retry-After
 )
 
-// fleetTimeout bounds a call that asks the fleet, which may be choosing a new leader.
+// fleetTimeout bounds a request that the fleet answers, which may be electing a leader.
 const fleetTimeout = 4 * time.Second
 
-// SetFleet lets the door ask the fleet layer. It must be called before Serve.
-func (d *Server) SetFleet(f Fleet) { d.fleet = f }
+// SetFleet makes the API answer for the fleet. It must be called before Serve.
+func (s *Server) SetFleet(f Fleet) { s.fleet = f }
 
-// serveFleet serves the fleet's calls: GET /fleet, POST /plans/NAME?run=ID, GET /runs/ID,
-// GET /records/ID, GET /records?tenant=T, POST and DELETE /holds/NAME.
-// It reports false for other paths.
-func (d *Server) serveFleet(w http.ResponseWriter, r *http.Request) bool {
-	if d.fleet == nil {
+// serveFleet serves GET /fleet, POST /plans/NAME?run=ID, GET /runs/ID, GET /records/ID,
+// GET /records?tenant=T, and POST and DELETE /holds/NAME. It reports false for other paths.
+func (s *Server) serveFleet(w http.ResponseWriter, r *http.Request) bool {
+	if s.fleet == nil {
 		return false
 	}
 	deadline := time.Now().Add(fleetTimeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	http.NewResponseController(w).SetWriteDeadline(deadline.Add(responseTimeout))
+	// Where the deadline can't be set, the server's shorter one holds.
+	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(responseTimeout))
 	path, isGet := r.URL.Path, r.Method == http.MethodGet
 	switch {
 	case path == "/fleet":
 		if !isGet {
-			d.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
+			s.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
 			return true
 		}
-		text, err := d.fleet.Status(ctx)
-		d.respond(w, r, text, err)
+		text, err := s.fleet.Status(ctx)
+		s.respond(w, r, text, err)
 	case strings.HasPrefix(path, "/runs/"):
 		if !isGet {
-			d.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
+			s.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
 			return true
 		}
-		text, err := d.fleet.RunStatus(ctx, strings.TrimPrefix(path, "/runs/"))
-		d.respond(w, r, text, err)
+		text, err := s.fleet.RunStatus(ctx, strings.TrimPrefix(path, "/runs/"))
+		s.respond(w, r, text, err)
 	case strings.HasPrefix(path, "/plans/"):
 		if r.Method != http.MethodPost {
-			d.reject(w, r, http.StatusMethodNotAllowed, "plans are begun with POST")
+			s.reject(w, r, http.StatusMethodNotAllowed, "plans are begun with POST")
 			return true
 		}
-		d.startPlan(ctx, w, r, strings.TrimPrefix(path, "/plans/"))
+		s.startPlan(ctx, w, r, strings.TrimPrefix(path, "/plans/"))
 	case path == "/records" || strings.HasPrefix(path, "/records/"):
 		if !isGet {
-			d.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
+			s.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
 			return true
 		}
-		d.readRecords(ctx, w, r, strings.TrimPrefix(strings.TrimPrefix(path, "/records"), "/"))
+		s.readRecords(ctx, w, r, strings.TrimPrefix(strings.TrimPrefix(path, "/records"), "/"))
 	case strings.HasPrefix(path, "/holds/"):
-		d.hold(ctx, w, r, strings.TrimPrefix(path, "/holds/"))
+		s.hold(ctx, w, r, strings.TrimPrefix(path, "/holds/"))
 	default:
 		return false
 	}
 	return true
 }
 
-// timeParam reads a time of a query in RFC 3339, as nanoseconds since 1970; absent: 0.
+// timeParam reads a parameter in RFC 3339 as nanoseconds since 1970; 0 if it is absent.
 func timeParam(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -127,13 +130,14 @@
 	return at.UnixNano(), nil
 }
 
-// defaultPageSize is how many records a page has that does not say.
+// defaultPageSize is how many records a page has at most if the request does not say.
 const defaultPageSize = 100
 
-func (d *Server) readRecords(ctx context.Context, w http.ResponseWriter, r *http.Request, id string) {
+// readRecords serves the records of an id or, if that is empty, a page of a tenant's records.
+func (s *Server) readRecords(ctx context.Context, w http.ResponseWriter, r *http.Request, id string) {
 	if id != "" {
-		text, err := d.fleet.Record(ctx, id)
-		d.respond(w, r, text, err)
+		text, err := s.fleet.Record(ctx, id)
+		s.respond(w, r, text, err)
 		return
 	}
 	v := r.URL.Query()
@@ -153,12 +157,13 @@
 	}
 	var text []byte
 	if err == nil {
-		text, err = d.fleet.Records(ctx, q)
+		text, err = s.fleet.Records(ctx, q)
 	}
-	d.respond(w, r, text, err)
+	s.respond(w, r, text, err)
 }
 
-func (d *Server) hold(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) {
+// hold sets or lifts a hold.
+func (s *Server) hold(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) {
 	v := r.URL.Query()
 	h := HoldRequest{Name: name, Tenant: v.Get("tenant"), ID: v.Get("id"), Key: v.Get("key"), Class: v.Get("class"), Owner: v.Get("owner"), Reason: v.Get("reason")}
 	var errs [3]error
@@ -170,65 +175,66 @@
 		h.To, errs[1] = timeParam(r, "to")
 		h.Until, errs[2] = timeParam(r, "until")
 	default:
-		d.reject(w, r, http.StatusMethodNotAllowed, "holds are set with POST and lifted with DELETE")
+		s.reject(w, r, http.StatusMethodNotAllowed, "holds are set with POST and lifted with DELETE")
 		return
 	}
 	err := errors.Join(errs[:]...)
 	if err == nil {
-		err = d.fleet.SetHold(ctx, h)
+		err = s.fleet.SetHold(ctx, h)
 	}
-	d.respond(w, r, []byte(`{"done":true}`), err)
+	s.respond(w, r, []byte(`{"done":true}`), err)
 }
 
-func (d *Server) startPlan(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) {
+// startPlan starts a run of a plan, or asks again how it stands.
+func (s *Server) startPlan(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) {
 	q := r.URL.Query()
 	a := PlanRequest{Run: q.Get("run"), Plan: name, Tenant: q.Get("tenant")}
 	if text := q.Get("within_ms"); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 32)
 		if err != nil || ms <= 0 {
-			d.reject(w, r, http.StatusBadRequest, "within_ms must be a number of milliseconds above 0")
+			s.reject(w, r, http.StatusBadRequest, "within_ms must be a number of milliseconds above 0")
 			return
 		}
 		a.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	if a.Run == "" {
-		d.reject(w, r, http.StatusBadRequest, "a run has an id of the caller's: ?run=ID, the same when it asks again")
+		s.reject(w, r, http.StatusBadRequest, "a run has an id of the caller's: ?run=ID, the same when it asks again")
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, pipeline.MaxBody+1))
 	switch {
 	case err != nil:
-		d.reject(w, r, http.StatusBadRequest, "the input could not be read")
+		s.reject(w, r, http.StatusBadRequest, "the input could not be read")
 		return
 	case len(body) > pipeline.MaxBody:
-		d.reject(w, r, http.StatusRequestEntityTooLarge, "the input is too large")
+		s.reject(w, r, http.StatusRequestEntityTooLarge, "the input is too large")
 		return
 	}
 	a.Input = body
-	text, err := d.fleet.StartPlan(ctx, a)
-	d.respond(w, r, text, err)
+	text, err := s.fleet.StartPlan(ctx, a)
+	s.respond(w, r, text, err)
 }
 
-// respond answers with JSON, 202 where there is nothing to tell yet, or the error.
-func (d *Server) respond(w http.ResponseWriter, r *http.Request, text []byte, err error) {
+// respond responds with a JSON text, with 202 if there is none yet, or with the error.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, text []byte, err error) {
 	switch {
 	case errors.Is(err, ErrNotFound):
-		d.reject(w, r, http.StatusNotFound, err.Error())
+		s.reject(w, r, http.StatusNotFound, err.Error())
 	case errors.Is(err, ErrBadRequest):
-		d.reject(w, r, http.StatusBadRequest, err.Error())
+		s.reject(w, r, http.StatusBadRequest, err.Error())
 	case errors.Is(err, ErrConflict):
-		d.reject(w, r, http.StatusConflict, err.Error())
+		s.reject(w, r, http.StatusConflict, err.Error())
 	case errors.Is(err, ErrFleetUnavailable):
 		w.Header().Set("Retry-After", "1")
-		d.reject(w, r, http.StatusServiceUnavailable, err.Error())
+		s.reject(w, r, http.StatusServiceUnavailable, err.Error())
 	case err != nil:
-		d.reject(w, r, http.StatusInternalServerError, err.Error())
+		s.reject(w, r, http.StatusInternalServerError, err.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		if text == nil {
 			w.WriteHeader(http.StatusAccepted)
 			text = []byte(`{"outcome":"under way"}`)
 		}
-		fmt.Fprintf(w, "%s\n", text)
+		respondLine(w, string(text))
 	}
 }
--- a/internal/dispatcher/adminapi/door_test.go
+++ b/internal/dispatcher/adminapi/server_test.go
@@ -18,10 +18,10 @@
 	client expect ^HTTP/1.1 200 OK`, "RUNNER", runner)
 }
 
-// TestDoor: every call of the door and wrong ones; callers that send nothing
+// TestAdminAPI: every call of the API and wrong ones; callers that send nothing
 // or half a call hold nobody up; a runner taken out twice gets no job and one
 // call puts it back.
-func TestDoor(t *testing.T) {
+func TestAdminAPI(t *testing.T) {
 	scenario.RunScript(t, scenario.StartWithAdmin(t, 2), nil, `
 	program expect serving
 	door.silent send
