--- a/coord/group/group_test.go
+++ b/coord/group/group_test.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"sync"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/stretchr/testify/require"
@@ -89,7 +90,8 @@
 	n.groups[address] = g
 }
 
-// replicaGroup is a group of three replicas in one process.
+// replicaGroup is a group of three replicas in one process. Tests run it in a synctest bubble, in
+// virtual time.
 type replicaGroup struct {
 	t             *testing.T
 	net           *memoryNetwork
@@ -173,74 +175,83 @@
 }
 
 func TestCommitsSurviveLeaderLossAndRestarts(t *testing.T) {
-	r := newReplicaGroup(t)
-	defer r.close()
-	for i := range 300 { // enough for snapshots
-		r.commit(fmt.Sprintf("word-%d-%0100d", i, i))
-	}
-	lost := r.leader()
-	r.stop(lost)
-	r.disks[lost].LosePower()
-	r.commit("after")
-	r.open(replica.Member{ID: "id" + lost[1:], Address: lost})
-	r.start(lost)
-	r.commit("again")
-	other := r.leader()
-	r.stop(other)
-	r.commit("and again")
-	require.GreaterOrEqual(t, r.stateMachines[r.leader()].len(), 303)
+	synctest.Test(t, func(t *testing.T) {
+		r := newReplicaGroup(t)
+		defer r.close()
+		for i := range 300 { // enough for snapshots
+			r.commit(fmt.Sprintf("word-%d-%0100d", i, i))
+		}
+		lost := r.leader()
+		r.stop(lost)
+		r.disks[lost].LosePower()
+		r.commit("after")
+		r.open(replica.Member{ID: "id" + lost[1:], Address: lost})
+		r.start(lost)
+		r.commit("again")
+		other := r.leader()
+		r.stop(other)
+		r.commit("and again")
+		require.GreaterOrEqual(t, r.stateMachines[r.leader()].len(), 303)
+	})
 }
 
 func TestWipedReplicaJoinsUnderNewID(t *testing.T) {
-	r := newReplicaGroup(t)
-	defer r.close()
-	r.commit("before")
-	wiped := "a0"
-	r.stop(wiped)
-	r.disks[wiped].Wipe()
-	fresh := replica.Member{ID: "new", Address: wiped}
-	r.open(fresh)
-	require.False(t, r.groups[wiped].IsBootstrapped())
-	r.start(wiped)
-	for !r.groups[wiped].Membership().IsVoter("new") {
-		for _, g := range r.groups {
-			g.RequestJoin(fresh)
+	synctest.Test(t, func(t *testing.T) {
+		r := newReplicaGroup(t)
+		defer r.close()
+		r.commit("before")
+		wiped := "a0"
+		r.stop(wiped)
+		r.disks[wiped].Wipe()
+		fresh := replica.Member{ID: "new", Address: wiped}
+		r.open(fresh)
+		require.False(t, r.groups[wiped].IsBootstrapped())
+		r.start(wiped)
+		for !r.groups[wiped].Membership().IsVoter("new") {
+			for _, g := range r.groups {
+				g.RequestJoin(fresh)
+			}
+			r.commit("meanwhile")
+			<-time.After(timing.HeartbeatInterval) // virtual time passes only while everything waits
 		}
-		r.commit("meanwhile")
-	}
-	r.commit("after")
-	for address := range r.groups { // a majority needs it now
-		if address != wiped && address != r.leader() {
-			r.stop(address)
-			break
+		r.commit("after")
+		for address := range r.groups { // a majority needs it now
+			if address != wiped && address != r.leader() {
+				r.stop(address)
+				break
+			}
 		}
-	}
-	r.commit("with the new one")
+		r.commit("with the new one")
+	})
 }
 
 func TestLeadershipTransfer(t *testing.T) {
-	r := newReplicaGroup(t)
-	defer r.close()
-	r.commit("x")
-	old := r.leader()
-	r.groups[old].TransferLeadership()
-	r.commit("y")
-	done := make(chan error, 1)
-	r.groups[old].Propose([]byte("z"), func(_ any, err error) { done <- err })
-	if err := <-done; err != nil {
-		require.ErrorIs(t, err, group.ErrNotLeader)
-	}
+	synctest.Test(t, func(t *testing.T) {
+		r := newReplicaGroup(t)
+		defer r.close()
+		r.commit("x")
+		old := r.leader()
+		r.groups[old].TransferLeadership()
+		r.commit("y")
+		done := make(chan error, 1)
+		r.groups[old].Propose([]byte("z"), func(_ any, err error) { done <- err })
+		if err := <-done; err != nil {
+			require.ErrorIs(t, err, group.ErrNotLeader)
+		}
+	})
 }
 
 func TestFullDiskAtAFollowerDelaysNothing(t *testing.T) {
-	r := newReplicaGroup(t)
-	defer r.close()
-	r.commit("x")
-	for address := range r.groups {
-		if address != r.leader() {
-			r.disks[address].SetFull(true)
-			break
+	synctest.Test(t, func(t *testing.T) {
+		r := newReplicaGroup(t)
+		defer r.close()
+		r.commit("x")
+		for address := range r.groups {
+			if address != r.leader() {
+				r.disks[address].SetFull(true)
+				break
+			}
 		}
-	}
-	r.commit("y")
+		r.commit("y")
+	})
 }
