--- a/internal/dispatcher/engine/host.go
+++ b/internal/dispatcher/engine/host.go
@@ -7,90 +7,76 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// host is the module's side of the core. The module calls it while it handles
-// an event; nothing here calls back into it before that is done.
+// host implements policy.Host. The policy calls it while it handles an event; nothing here calls the
+// policy back before that is done: what follows is deferred.
 type host struct{ engine *Engine }
 
-// Send implements basaltloft.Host. The module's spans become points in time here, and
-// nowhere else.
+// Send implements policy.Host.
 func (h host) Send(id string, worker uint32, timeout time.Duration) {
-	c := h.engine
-	t, m := c.open[id], c.membersByNumber[worker]
+	e := h.engine
+	t, m := e.open[id], e.membersByNumber[worker]
 	if t == nil || m == nil || t.answered || t.liveFlow != nil {
-		// The ledger's guard on "never two at once": what may not go out is
-		// told as never sent, which is what the simulator does.
-		c.log.WithField("transaction", id).Error("a send that the ledger does not allow")
+		// A transaction has one live flow: what may not go out is told as never sent, which is what
+		// the simulator does.
+		e.log.WithField("transaction", id).Error("a send that the ledger does not allow")
 		h.reportNotSent(t, worker)
 		return
 	}
-	if t.Gone() { // and Leave is still under way
-		c.deferred = append(c.deferred, func() { c.clientLeft(t) })
+	if t.Gone() { // and its ClientLeft event is yet to come
+		e.deferred = append(e.deferred, func() { e.clientLeft(t) })
 		h.reportNotSent(t, worker)
 		return
 	}
 	latest := t.latestSend()
-	if !latest.IsZero() && !c.now.Before(latest) { // its key may be forgotten by the time that it is there
+	if !latest.IsZero() && !e.now.Before(latest) { // its key may be forgotten when it arrives
 		h.reportNotSent(t, worker)
 		return
 	}
 	until := t.Deadline
 	if timeout != 0 {
-		until = c.now.Add(timeout)
+		until = e.now.Add(timeout)
 	}
-	var place Reservation
-	if c.sharedBudget != nil {
+	var reservation Reservation
+	if e.sharedBudget != nil {
 		var ok bool
-		if place, ok = c.sharedBudget.Reserve(m.Kind, until); !ok { // its share went since the decisions looked
+		if reservation, ok = e.sharedBudget.Reserve(m.Kind, until); !ok { // spent since the policy looked
 			h.reportNotSent(t, worker)
 			return
 		}
 	}
-	f := c.stages.NewFlow(t, m, t.attempts, c.now, until)
+	f := e.stages.NewFlow(t, m, t.attempts, e.now, until)
 	f.LatestSend = latest
 	t.attempts++
-	t.liveFlow, t.lastMember, f.reservation = f, m.ID, place
-	if c.recordMembers {
+	t.liveFlow, t.lastMember, f.reservation = f, m.ID, reservation
+	if e.recordMembers {
 		t.membersTried = append(t.membersTried, m.ID)
 	}
-	c.flowsOut++
-	f.deadlineTimer = c.timers.schedule(f.Deadline, func() {
+	e.flowsOut++
+	f.deadlineTimer = e.timers.schedule(f.Deadline, func() {
 		if !f.ended {
 			m.Transport.Abandon(f)
-			c.endFlow(f, policy.TimedOut, nil)
+			e.endFlow(f, policy.TimedOut, nil)
 		}
 	})
-	c.trace("sent", f.fields)
+	e.trace("sent", f.fields)
 	m.Transport.Start(f)
 }
 
-// reportNotSent tells the decisions that a send did not go out.
+// reportNotSent tells the policy that a send did not go out.
 func (h host) reportNotSent(t *Transaction, worker uint32) {
 	if t == nil {
 		return
 	}
-	c, n := h.engine, t.attempts
+	e, n := h.engine, t.attempts
 	t.attempts++
-	c.deferred = append(c.deferred, func() {
-		c.decisions.HandleAttemptResult(c.clock(c.now), policy.AttemptResult{Request: t.ID, Attempt: n, Worker: worker, Status: policy.NotSent, Final: t.answered})
+	e.deferred = append(e.deferred, func() {
+		e.decisions.HandleAttemptResult(e.clock(e.now), policy.AttemptResult{
+			Request: t.ID, Attempt: n, Worker: worker, Status: policy.NotSent, Final: t.answered,
+		})
 	})
 }
 
-// budgetRecorder notes on a transaction that another attempt was not to be had.
-type budgetRecorder struct {
-	engine *Engine
-	SharedBudget
-}
-
-// TakeRetry implements basaltloft.Purse.
-func (p budgetRecorder) TakeRetry(id, class string) bool {
-	ok := p.SharedBudget.TakeRetry(id, class)
-	if t := p.engine.open[id]; t != nil {
-		t.budgetSpent = !ok
-	}
-	return ok
-}
-
-// Refuse implements basaltloft.Host.
+// Refuse implements policy.Host.
 func (h host) Refuse(id string, retryAfter time.Duration) {
 	if t := h.engine.open[id]; t != nil {
 		a := Answer{Verdict: Refused, Reason: accounting.Declined, Ran: t.attempts > 0 && t.lastStatus == policy.Error}
@@ -104,7 +90,7 @@
 	}
 }
 
-// Fail implements basaltloft.Host.
+// Fail implements policy.Host.
 func (h host) Fail(id string) {
 	if t := h.engine.open[id]; t != nil {
 		a := Answer{Verdict: Failed, Reason: accounting.GivenUp}
@@ -118,10 +104,10 @@
 	}
 }
 
-// Cancel implements basaltloft.Host.
+// Cancel implements policy.Host.
 func (h host) Cancel(id string, number int) {
-	c := h.engine
-	t := c.open[id]
+	e := h.engine
+	t := e.open[id]
 	if t == nil || t.liveFlow == nil || t.liveFlow.Number != number {
 		return
 	}
@@ -131,10 +117,10 @@
 		return
 	}
 	f.Member.Transport.Abandon(f)
-	c.deferred = append(c.deferred, func() { c.endFlow(f, policy.Cancelled, nil) })
+	e.deferred = append(e.deferred, func() { e.endFlow(f, policy.Cancelled, nil) })
 }
 
-// Probe implements basaltloft.Host.
+// Probe implements policy.Host.
 func (h host) Probe(worker uint32) {
 	if m := h.engine.membersByNumber[worker]; m != nil {
 		h.engine.trace("probed", m.fields)
@@ -142,45 +128,41 @@
 	}
 }
 
-// coalesceFrom is how many flows are out when the module's timers begin to be told
-// together.
+// coalesceFrom is the number of flows from which the policy's timers are coalesced.
 const coalesceFrom = 64
 
-// Timer implements basaltloft.Host. Where many flows are out, timers of one token
-// that are due within the same millisecond are told once: each makes the module
-// look at all that is out, and there are several for each send, so that told one
-// by one they took all the time there was with some hundred members (without this,
-// with the module's sampled search, 512 members still had 2% served). With few out
-// each is told at its own time.
+// Timer implements policy.Host. With many flows out, timers of one token that are due within the same
+// millisecond fire as one: each makes the policy look at all flows, and there are several for each
+// send, so that one by one they took all the processor's time with some hundred members (without this,
+// 512 members had 2% of the jobs served). With few flows each fires at its own time.
 func (h host) Timer(in time.Duration, token string) {
-	c := h.engine
-	if c.flowsOut < coalesceFrom {
-		c.timers.schedule(time.Now().Add(in), func() { c.decisions.HandleTimer(c.clock(c.now), token) })
+	e := h.engine
+	if e.flowsOut < coalesceFrom {
+		e.timers.schedule(time.Now().Add(in), func() { e.decisions.HandleTimer(e.clock(e.now), token) })
 		return
 	}
-	due := timerKey{time.Now().Add(in+time.Millisecond-1).Sub(c.base) / time.Millisecond, token}
-	if c.pendingTimers[due] {
+	key := timerKey{time.Now().Add(in+time.Millisecond-1).Sub(e.base) / time.Millisecond, token}
+	if e.pendingTimers[key] {
 		return
 	}
-	c.pendingTimers[due] = true
-	c.timers.schedule(c.base.Add(due.dueMS*time.Millisecond), func() {
-		delete(c.pendingTimers, due)
-		c.decisions.HandleTimer(c.clock(c.now), token)
+	e.pendingTimers[key] = true
+	e.timers.schedule(e.base.Add(key.due*time.Millisecond), func() {
+		delete(e.pendingTimers, key)
+		e.decisions.HandleTimer(e.clock(e.now), token)
 	})
 }
 
-// timerKey is a timer of the module's: milliseconds since the core's start, and
-// its token.
+// timerKey names the policy's timers that fire as one.
 type timerKey struct {
-	dueMS time.Duration
+	due   time.Duration // since the engine's start, in milliseconds
 	token string
 }
 
-// Watch implements basaltloft.Host.
+// Watch implements policy.Host.
 func (h host) Watch(on bool) { h.engine.lister.Watch(on) }
 
-// Fetch implements basaltloft.Host.
+// Fetch implements policy.Host.
 func (h host) Fetch() { h.engine.lister.Fetch() }
 
-// Log implements basaltloft.Host.
+// Log implements policy.Host.
 func (h host) Log(text string) { h.engine.log.Info(text) }
--- a/internal/dispatcher/engine/ledger_test.go
+++ b/internal/dispatcher/engine/ledger_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tape stands in for everything round the core and writes down what it is
+// tape stands in for everything round the engine and writes down what it is
 // asked; each entry is a word and an id.
 type tape struct {
 	t     *testing.T
@@ -32,7 +32,7 @@
 	return nil
 }
 func (p *tape) RecordAccepted(*Transaction, time.Time)          {}
-func (p *tape) RecordEnd(t *Transaction, a Answer, _ time.Time) { p.say("book", t.ID) }
+func (p *tape) RecordEnd(t *Transaction, _ Answer, _ time.Time) { p.say("book", t.ID) }
 func (p *tape) Start(f *Flow)                                   { p.flows = append(p.flows, f); p.say("start", f.Transaction.ID) }
 func (p *tape) Abandon(f *Flow)                                 { p.say("abandon", f.Transaction.ID) }
 func (p *tape) EndedOutOfBand(f *Flow)                          { p.say("release", f.Transaction.ID) }
@@ -60,7 +60,7 @@
 
 func (c told) Answer(a Answer) { c.p.say(a.Verdict.String(), c.id) }
 
-// leaver is a client that has gone before the core is told of it.
+// leaver is a client that has gone before the engine is told of it.
 type leaver struct {
 	told
 	gone bool
@@ -68,7 +68,7 @@
 
 func (c *leaver) Gone() bool { return c.gone }
 
-// TestLedger drives the core by hand, without its goroutine: what may happen
+// TestLedger drives the engine by hand, without its goroutine: what may happen
 // at most once does, whoever tries to make it happen again.
 func TestLedger(t *testing.T) {
 	begin := func() (*Engine, *tape, *Transaction) {
@@ -108,7 +108,7 @@
 			c.EndFlowWithLoad(p.flows[0], policy.Error, policy.Report{Has: policy.HasX0, X0: 1})
 			c.post(func() { require.Zero(p.t, p.flows[0].Load) })
 		}, `["start t","book t","failed t"]`},
-		// What it has in hand goes on all the while.
+		// What it has in progress goes on all the while.
 		"what comes while events are late is turned away, until one is in time": {func(c *Engine, p *tape, tx *Transaction) {
 			c.SetDelayBounds(schedulingdelay.Bounds{Target: time.Millisecond, Interval: time.Second})
 			come := func(id string) {
@@ -124,10 +124,10 @@
 		"an id names one transaction": {func(c *Engine, p *tape, tx *Transaction) {
 			c.Submit(&Transaction{ID: "t", Class: "ticket", Deadline: tx.Deadline, Client: told{p, "second"}})
 		}, `["start t","book t","denied second"]`},
-		"never two at once": {func(c *Engine, p *tape, tx *Transaction) {
+		"never two at once": {func(c *Engine, p *tape, _ *Transaction) {
 			c.post(func() { host{c}.Send("t", p.flows[0].Member.number, 0) })
 		}, `["start t"]`},
-		"nothing is sent after the answer": {func(c *Engine, p *tape, tx *Transaction) {
+		"nothing is sent after the answer": {func(c *Engine, p *tape, _ *Transaction) {
 			c.post(func() { host{c}.Fail("t"); host{c}.Send("t", p.flows[0].Member.number, 0); host{c}.Refuse("t", 0) })
 		}, `["start t","book t","failed t"]`},
 		"a client that left is owed nothing, and its flow is abandoned": {func(c *Engine, p *tape, tx *Transaction) {
@@ -225,7 +225,7 @@
 			c.EndFlow(p.flows[0], policy.Cancelled, nil)
 			c.post(func() { require.Nil(p.t, tx.liveFlow) })
 		}, `["start t","recall t","book t","failed t"]`},
-		"news counts for the live flow at that member": {func(c *Engine, p *tape, tx *Transaction) {
+		"news counts for the live flow at that member": {func(c *Engine, _ *tape, _ *Transaction) {
 			for _, from := range []string{"b", "a", "a", "b"} {
 				c.post(func() { c.handleJobUpdate(JobUpdate{ID: "t", Member: from, Ended: true}) })
 			}
@@ -293,7 +293,7 @@
 			c.post(func() { c.handleJobUpdate(JobUpdate{ID: "t", Member: "a", Ended: true}) })
 			c.post(func() { p.flows[0].deadlineTimer.run(); c.expire(tx) })
 		}, `["start t","abandon t","book t","failed t"]`},
-		"what the module still owes after the deadline is answered": {func(c *Engine, p *tape, tx *Transaction) {
+		"what the module still owes after the deadline is answered": {func(c *Engine, _ *tape, tx *Transaction) {
 			c.post(func() { c.expire(tx); c.expire(tx) })
 		}, `["start t","book t","failed t","abandon t"]`},
 	} {
--- a/internal/dispatcher/engine/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -14,19 +14,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// UpdateMembers takes in what a source tells of its members. A source's whole list
-// leaves the members of other sources as they are.
-func (c *Engine) UpdateMembers(source string, kind policy.ListKind, entries []*Member) {
-	c.post(func() {
-		c.trace("list", func() logrus.Fields {
-			states := make([]string, 0, len(entries))
-			for _, m := range entries {
-				states = append(states, m.ID+"="+strconv.Itoa(int(m.State)))
-			}
-			return logrus.Fields{"source": source, "kind": int(kind), "entries": strings.Join(states, " ")}
-		})
+// UpdateMembers takes in what a source tells of its members: changes, its whole list, or that it could
+// not be asked. The members of other sources stay as they are.
+func (e *Engine) UpdateMembers(source string, kind policy.ListKind, entries []*Member) {
+	e.post(func() {
+		e.trace("list", func() logrus.Fields { return listFields(source, kind, entries) })
 		if kind == policy.ListFailed {
-			c.decisions.HandleMembers(c.clock(c.now), kind, nil)
+			e.decisions.HandleMembers(e.clock(e.now), kind, nil)
 			return
 		}
 		entries = slices.Clone(entries)
@@ -37,93 +31,100 @@
 		for _, m := range entries {
 			m.source = source
 			m.Group = cmp.Or(m.Group, source)
-			listed = append(listed, c.placeMember(m))
+			listed = append(listed, e.placeMember(m))
 		}
 		if kind != policy.ListDelta {
-			listed = c.completeList(source, entries, listed)
+			listed = e.completeList(source, entries, listed)
 		}
-		c.decisions.HandleMembers(c.clock(c.now), kind, listed)
-		c.membersKnown.Store(true)
+		e.decisions.HandleMembers(e.clock(e.now), kind, listed)
+		e.membersKnown.Store(true)
 	})
 }
 
+// listFields are the fields of a list in the log.
+func listFields(source string, kind policy.ListKind, entries []*Member) logrus.Fields {
+	states := make([]string, 0, len(entries))
+	for _, m := range entries {
+		states = append(states, m.ID+"="+strconv.Itoa(int(m.State)))
+	}
+	return logrus.Fields{"source": source, "kind": int(kind), "entries": strings.Join(states, " ")}
+}
+
 // completeList makes a source's whole list the whole list of all sources, since
-// the module takes for gone whatever a whole list leaves out.
-func (c *Engine) completeList(source string, entries []*Member, listed []policy.Member) []policy.Member {
+// the policy takes whatever a whole list leaves out as removed.
+func (e *Engine) completeList(source string, entries []*Member, listed []policy.Member) []policy.Member {
 	in := make(map[string]bool, len(entries))
 	for _, m := range entries {
 		in[m.ID] = true
 	}
-	for _, id := range sortedIDs(c.members) {
-		switch m := c.members[id]; {
+	for _, id := range sortedIDs(e.members) {
+		switch m := e.members[id]; {
 		case in[id]:
 		case m.source == source:
-			c.dropMember(m)
+			e.dropMember(m)
 		default:
-			listed = append(listed, c.policyMember(m))
+			listed = append(listed, e.policyMember(m))
 		}
 	}
 	return listed
 }
 
-func (c *Engine) countMember(source, id string, by int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.sources[source] += by
-	if c.listedIDs == nil {
-		c.listedIDs = make(map[string]bool)
-	}
+// countMember keeps the tables that other goroutines read: by is 1 for a member that is new and -1 for
+// one that is removed.
+func (e *Engine) countMember(source, id string, by int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.sources[source] += by
 	if by > 0 {
-		c.listedIDs[id] = true
+		e.listedIDs[id] = true
 	} else {
-		delete(c.listedIDs, id)
+		delete(e.listedIDs, id)
 	}
 }
 
-// SetMemberOut takes a member out by hand, whatever its lists say, or puts it back; it
-// counts as draining meanwhile, and as just started once back. It tells, without
-// waiting for the core, whether the member is listed; one that is not is held
-// only where anyway is set, as when a new process takes over what an older one
-// held.
-func (c *Engine) SetMemberOut(id string, out, anyway bool) bool {
-	c.mu.Lock()
-	listed := c.listedIDs[id]
-	c.mu.Unlock()
+// SetMemberOut takes a member out of service for an operator, whatever its lists say, or puts it back;
+// it counts as draining meanwhile, and as just started once back. It reports, without waiting for the
+// event loop, whether the member is listed; one that is not is taken out only where anyway is set, as
+// when a new process takes over the overrides of an older one.
+func (e *Engine) SetMemberOut(id string, out, anyway bool) bool {
+	e.mu.Lock()
+	listed := e.listedIDs[id]
+	e.mu.Unlock()
 	if !listed && !anyway {
 		return false
 	}
-	c.post(func() { c.setMemberOut(id, out, c.now) })
+	e.post(func() { e.setMemberOut(id, out, e.now) })
 	return listed
 }
 
-// MarkRestored says that a member put back by hand at a time started then, unless its
-// list says it started later.
-func (c *Engine) MarkRestored(id string, back time.Time) {
-	c.post(func() { c.restoredAt[id] = back })
+// MarkRestored says that a member which an operator put back at a time started then, unless its list
+// says that it started later.
+func (e *Engine) MarkRestored(id string, back time.Time) {
+	e.post(func() { e.restoredAt[id] = back })
 }
 
-func (c *Engine) setMemberOut(id string, out bool, now time.Time) {
+func (e *Engine) setMemberOut(id string, out bool, now time.Time) {
 	if out {
-		c.heldOut[id] = true
-	} else if c.heldOut[id] {
-		delete(c.heldOut, id)
-		c.restoredAt[id] = now
+		e.heldOut[id] = true
+	} else if e.heldOut[id] {
+		delete(e.heldOut, id)
+		e.restoredAt[id] = now
 	}
-	m := c.members[id]
+	m := e.members[id]
 	if m == nil {
 		return
 	}
-	if at := c.restoredAt[id]; at.After(m.Started) {
+	if at := e.restoredAt[id]; at.After(m.Started) {
 		m.Started = at
 	}
-	c.decisions.HandleMembers(c.clock(c.now), policy.ListDelta, []policy.Member{c.policyMember(m)})
+	e.decisions.HandleMembers(e.clock(e.now), policy.ListDelta, []policy.Member{e.policyMember(m)})
 }
 
-// HasOtherSources tells whether members of other sources than this one are known.
-func (c *Engine) HasOtherSources(source string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for name, n := range c.sources {
+// HasOtherSources reports whether members of other sources than this one are known.
+func (e *Engine) HasOtherSources(source string) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for name, n := range e.sources {
 		if name != source && n > 0 {
 			return true
 		}
@@ -131,6 +132,7 @@
 	return false
 }
 
+// sortedIDs returns the ids of members in order.
 func sortedIDs(members map[string]*Member) []string {
 	ids := make([]string, 0, len(members))
 	for id := range members {
@@ -142,54 +144,86 @@
 
 // placeMember puts a member into the tables. Flows keep the entry they were sent
 // with; new ones use the latest.
-func (c *Engine) placeMember(m *Member) policy.Member {
-	if old := c.members[m.ID]; old != nil {
+func (e *Engine) placeMember(m *Member) policy.Member {
+	if old := e.members[m.ID]; old != nil {
 		m.number = old.number
 	} else {
-		m.number = c.numberOf(m.ID)
-		c.countMember(m.source, m.ID, 1)
+		m.number = e.numberOf(m.ID)
+		e.countMember(m.source, m.ID, 1)
 	}
-	if at := c.restoredAt[m.ID]; at.After(m.Started) {
+	if at := e.restoredAt[m.ID]; at.After(m.Started) {
 		m.Started = at
 	}
-	c.members[m.ID], c.membersByNumber[m.number] = m, m
-	listing := c.policyMember(m)
+	e.members[m.ID], e.membersByNumber[m.number] = m, m
+	listing := e.policyMember(m)
 	if m.State == policy.Removed {
-		c.dropMember(m)
+		e.dropMember(m)
 	}
 	return listing
 }
 
-// dropMember forgets a member that is gone, unless it may still be sent to.
-func (c *Engine) dropMember(m *Member) {
-	if !c.settings.Rules.OnlyDrainBinds && c.members[m.ID] != nil {
-		c.countMember(m.source, m.ID, -1)
-		delete(c.members, m.ID)
-		delete(c.membersByNumber, m.number)
+// dropMember forgets a member that is removed, unless it may still be sent to.
+func (e *Engine) dropMember(m *Member) {
+	if !e.settings.Rules.OnlyDrainBinds && e.members[m.ID] != nil {
+		e.countMember(m.source, m.ID, -1)
+		delete(e.members, m.ID)
+		delete(e.membersByNumber, m.number)
 	}
 }
 
-func (c *Engine) policyMember(m *Member) policy.Member {
-	l := policy.Member{Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone, State: m.State, Weight: m.Weight, Capabilities: m.Capabilities}
-	if c.heldOut[m.ID] && l.State == policy.Ready {
+// policyMember is what the policy is told of a member, on its clock.
+func (e *Engine) policyMember(m *Member) policy.Member {
+	l := policy.Member{
+		Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone,
+		State: m.State, Weight: m.Weight, Capabilities: m.Capabilities,
+	}
+	if e.heldOut[m.ID] && l.State == policy.Ready {
 		l.State = policy.Draining
 	}
 	if !m.Started.IsZero() {
-		l.StartedAt = c.clock(m.Started)
+		l.StartedAt = e.clock(m.Started)
 	}
 	return l
 }
 
-// numberOf derives a member's number from its id alone: the module spreads cold
-// starts over the dispatchers by it, which a counter, different at each of
-// them, would upset. An id that hashes like another is hashed again.
-func (c *Engine) numberOf(id string) uint32 {
+// numberOf derives a member's number from its id alone: the policy spreads slow starts over the
+// dispatchers by it, so that it must be the same at each of them, which a counter is not. An id that
+// hashes like another is hashed again.
+func (e *Engine) numberOf(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	n := h.Sum32()
-	for c.membersByNumber[n] != nil {
+	for e.membersByNumber[n] != nil {
 		h.Write(binary.LittleEndian.AppendUint32(nil, n))
 		n = h.Sum32()
 	}
 	return n
 }
+
+// Member is a pool member, which runs jobs. It is set before UpdateMembers and owned by Run's goroutine
+// from there on.
+type Member struct {
+	ID, Addr, Kind, Zone string
+	Group                string // what its jobs are counted under; empty: its source
+	Cell                 int    // within its zone
+	State                policy.MemberState
+	Weight               float64
+	Capabilities         []string  // that it offers; nil: all
+	Started              time.Time // its latest start; zero: long ago
+	Transport            Transport
+
+	source string
+	number uint32
+}
+
+// Number is the policy's id of the member, which is the same at every dispatcher.
+func (m *Member) Number() uint32 { return m.number }
+
+// Lister follows the list of members for the policy. Its methods must not block; what they lead to is
+// told by UpdateMembers.
+type Lister interface {
+	// Watch subscribes to changes, or ends that.
+	Watch(on bool)
+	// Fetch asks for the whole list once.
+	Fetch()
+}
--- a/internal/dispatcher/engine/members_test.go
+++ b/internal/dispatcher/engine/members_test.go
@@ -31,7 +31,7 @@
 func TestNumbers(t *testing.T) {
 	first, second := alike()
 	for _, before := range []int{0, 5} {
-		c := &Engine{sources: make(map[string]int), members: make(map[string]*Member), membersByNumber: make(map[uint32]*Member)}
+		c := &Engine{sources: make(map[string]int), listedIDs: make(map[string]bool), members: make(map[string]*Member), membersByNumber: make(map[uint32]*Member)}
 		for n := range before {
 			c.placeMember(&Member{ID: fmt.Sprint("other-", n)})
 		}
--- a/internal/dispatcher/engine/starve_test.go
+++ b/internal/dispatcher/engine/starve_test.go
@@ -13,7 +13,7 @@
 
 // TestTimersLeaveEventsTheirTurn: a timer that is due again as soon as it has come,
 // as of work that takes longer than the time to its next, keeps no event waiting.
-// The module's own times count from when it asks for them, not from the event.
+// The policy's own times count from when it asks for them, not from the event.
 func TestTimersLeaveEventsTheirTurn(t *testing.T) {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
--- a/internal/dispatcher/engine/timers.go
+++ b/internal/dispatcher/engine/timers.go
@@ -6,19 +6,22 @@
 	"basaltloft/internal/shared/indexedheap"
 )
 
-// timers holds what is due at a time, in the order of time and of being set.
+// timers is a queue of functions by the time at which they are due, and by the order in which they
+// were scheduled.
 type timers struct {
 	queue indexedheap.Heap[*timer]
 	seq   uint64
 }
 
+// timer is a function that runs at a time.
 type timer struct {
 	at    time.Time
 	seq   uint64
 	run   func()
-	index int // in the queue; below 0: not in it
+	index int // in the queue; below 0: it is not in it
 }
 
+// newTimers returns an empty queue.
 func newTimers() timers {
 	return timers{queue: indexedheap.New(func(a, b *timer) bool {
 		if !a.at.Equal(b.at) {
@@ -28,11 +31,12 @@
 	}, func(t *timer, at int) { t.index = at })}
 }
 
-func (t *timers) schedule(at time.Time, do func()) *timer {
+// schedule adds a function that runs at a time.
+func (t *timers) schedule(at time.Time, run func()) *timer {
 	t.seq++
-	one := &timer{at: at, seq: t.seq, run: do}
-	t.queue.Push(one)
-	return one
+	added := &timer{at: at, seq: t.seq, run: run}
+	t.queue.Push(added)
+	return added
 }
 
 // cancel takes a timer out that is not wanted any more, with all that it holds on
--- a/internal/dispatcher/engine/window_test.go
+++ b/internal/dispatcher/engine/window_test.go
@@ -21,7 +21,7 @@
 		ago    time.Duration // when the first attempt went out
 		sent   int           // attempts in all
 		bound  bool          // the last one has a latest moment
-		want   Verdict       // once the module gives up
+		want   Verdict       // once the policy gives up
 	}{
 		"inside the window":           {policy.Deduplicated, "k", policy.Reset, 0, 2, true, Refused},
 		"just inside":                 {policy.Deduplicated, "k", policy.Reset, 9 * time.Second, 2, true, Failed},
@@ -50,7 +50,7 @@
 			}
 			turn()
 			p.flows[0].SentAt = time.Now().Add(-c.ago)
-			hub.EndFlow(p.flows[0], c.ends, nil) // by the module's own clock it was sent just now
+			hub.EndFlow(p.flows[0], c.ends, nil) // by the policy's own clock it was sent just now
 			turn()
 			require.Len(t, p.flows, c.sent)
 			last := p.flows[c.sent-1]
