--- a/internal/dispatcher/accounting/account_test.go
+++ b/internal/dispatcher/accounting/accounting_test.go
@@ -17,8 +17,8 @@
 	return Limits{MaxNames: 3, MaxRows: 12, MaxLogicalRequests: 8, LogicalRequestRetention: time.Minute}
 }
 
-// TestSums drives a book with random events: after each of them every sum
-// holds, and the book agrees with a table of open jobs that the test keeps.
+// TestSums drives a ledger with random events: after each of them every sum
+// holds, and the ledger agrees with a table of open jobs that the test keeps.
 func TestSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(small()), start
@@ -86,7 +86,7 @@
 	})
 }
 
-// TestAsks: the tries of one ask are told from asks by their key, on either
+// TestAsks: the tries of one logical request are told from logical requests by their key, on either
 // front and also after the first was answered.
 func TestAsks(t *testing.T) {
 	try := func(b *Ledger, front, key string, retry bool, r Reason) {
@@ -173,26 +173,26 @@
 		fault func(b *Ledger, e *Entry)
 		audit func(b *Ledger, e *Entry) []Difference
 	}{
-		"a row's open":      {func(b *Ledger, e *Entry) { e.row.Open++ }, sums},
-		"a row's end":       {func(b *Ledger, e *Entry) { e.row.Ends[GivenUp]++ }, sums},
-		"a row's way in":    {func(b *Ledger, e *Entry) { e.row.Came--; e.row.Open-- }, sums},
-		"the total":         {func(b *Ledger, e *Entry) { b.totals.Taken++ }, sums},
-		"a whole job twice": {func(b *Ledger, e *Entry) { e.row.Entered++; e.row.Ends[Answered]++ }, sums},
+		"a row's open":      {func(_ *Ledger, e *Entry) { e.row.Open++ }, sums},
+		"a row's end":       {func(_ *Ledger, e *Entry) { e.row.Ends[GivenUp]++ }, sums},
+		"a row's way in":    {func(_ *Ledger, e *Entry) { e.row.Came--; e.row.Open-- }, sums},
+		"the total":         {func(b *Ledger, _ *Entry) { b.totals.Taken++ }, sums},
+		"a whole job twice": {func(_ *Ledger, e *Entry) { e.row.Entered++; e.row.Ends[Answered]++ }, sums},
 		"a job ended twice": {func(b *Ledger, e *Entry) { b.JobEnded(e, GivenUp, start); b.JobEnded(e, GivenUp, start) }, sums},
-		"a flow":            {func(b *Ledger, e *Entry) { b.flowCounts("hold", "cell 0").Ends[policy.Rejected]++ }, sums},
-		"a flow, whole":     {func(b *Ledger, e *Entry) { f := b.flowCounts("hold", "cell 0"); f.Sent++; f.Out++ }, sums},
-		"an ask":            {func(b *Ledger, e *Entry) { b.requests.Ends[Served]++ }, sums},
-		"a job the core lost": {func(b *Ledger, e *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
+		"a flow":            {func(b *Ledger, _ *Entry) { b.flowCounts("hold", "cell 0").Ends[policy.Rejected]++ }, sums},
+		"a flow, whole":     {func(b *Ledger, _ *Entry) { f := b.flowCounts("hold", "cell 0"); f.Sent++; f.Out++ }, sums},
+		"an ask":            {func(b *Ledger, _ *Entry) { b.requests.Ends[Served]++ }, sums},
+		"a job the core lost": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			return b.CompareEngine(OpenCounts{}, 1)
 		}},
-		"a flow the core lost": {func(b *Ledger, e *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
+		"a flow the core lost": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			return b.CompareEngine(OpenCounts{{"http", "hold"}: 1}, 0)
 		}},
-		"a job of a front": {func(b *Ledger, e *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
+		"a job of a front": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			r := FrontCountersSnapshot{Started: 3, Submitted: 3, Answers: [Outcomes]int64{Served: 1}}
 			return b.CompareFront("http", r, r)
 		}},
-		"an answer of a front": {func(b *Ledger, e *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
+		"an answer of a front": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			r := FrontCountersSnapshot{Started: 2, Submitted: 2, Answers: [Outcomes]int64{Served: 2}}
 			return b.CompareFront("http", r, r)
 		}},
@@ -200,7 +200,7 @@
 			r := FrontCountersSnapshot{Started: 2, Submitted: 2, Answers: [Outcomes]int64{Served: 1}}
 			return b.CompareFront("http", r, r)
 		}},
-		"the journal": {func(b *Ledger, e *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
+		"the journal": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			return b.Totals().Compare(AuditJournal, Totals{Taken: 2, Open: 2})
 		}},
 	} {
@@ -219,7 +219,7 @@
 	}
 }
 
-// TestBounds: names that clients choose do not make the book grow.
+// TestBounds: names that clients choose do not make the ledger grow.
 func TestBounds(t *testing.T) {
 	b := New(Limits{Tenants: []string{"known"}, MaxRows: 64, MaxLogicalRequests: 16, LogicalRequestRetention: time.Hour})
 	for n := range 10000 {
@@ -236,7 +236,7 @@
 	require.LessOrEqual(t, len(b.requests.tracked), 16)
 }
 
-// BenchmarkJob is what the account costs a job: entry, one flow, and end.
+// BenchmarkJob is what the ledger costs a job: entry, one flow, and end.
 func BenchmarkJob(b *testing.B) {
 	book := New(DefaultLimits())
 	keys := make([]string, 4096)
--- a/internal/dispatcher/accounting/audit.go
+++ b/internal/dispatcher/accounting/audit.go
@@ -10,38 +10,51 @@
 type Difference struct {
 	Audit  string `json:"audit"` // which audit found it
 	What   string `json:"what"`
-	Ledger int64  `json:"here"`  // by the account
-	Other  int64  `json:"there"` // by the other side
+	Ledger int64  `json:"here"`  // the ledger's count
+	Other  int64  `json:"there"` // the other side's count
 }
 
+// String returns the difference as a line for the log.
 func (d Difference) String() string {
 	return fmt.Sprintf("%s: %s: %d in the account, %d on the other side", d.Audit, d.What, d.Ledger, d.Other)
 }
 
-// Names of the audits.
+// Names of the audits in metrics and logs.
 const (
-	AuditBalance = "sums"    // the account against itself
-	AuditEngine  = "core"    // against the core's table of open jobs
-	AuditFronts  = "fronts"  // against the fronts' own books
+	AuditBalance = "sums"    // the ledger against itself
+	AuditEngine  = "core"    // against the engine's table of open jobs
+	AuditFronts  = "fronts"  // against the fronts' own counters
 	AuditJournal = "journal" // against the journal's recount
 )
 
+// differences collects what two counts do not agree on.
 type differences []Difference
 
+// compare adds a difference if there is one.
 func (d *differences) compare(audit, what string, here, there int64) {
 	if here != there {
 		*d = append(*d, Difference{audit, what, here, there})
 	}
 }
 
-// CheckBalance holds the account against itself: each row in balance, the rows
-// together against the totals that are kept apart from them, flows and asks
-// likewise, and every way a job moved into a row out of another one.
-func (b *Ledger) CheckBalance() []Difference {
+// CheckBalance compares the ledger with itself: each row, the flows and the logical requests must be in
+// balance, the rows must sum to the totals that are counted apart from them, and jobs that came into a
+// row must have gone out of another.
+func (l *Ledger) CheckBalance() []Difference {
 	var d differences
+	l.checkRows(&d)
+	l.checkFlows(&d)
+	l.checkLogicalRequests(&d)
+	d.compare(AuditBalance, "jobs that ended without being open", l.unmatchedEnds, 0)
+	slices.SortFunc(d, func(x, y Difference) int { return cmp.Compare(x.What, y.What) })
+	return d
+}
+
+func (l *Ledger) checkRows(d *differences) {
 	var all Row
-	for _, r := range b.rows {
-		d.compare(AuditBalance, fmt.Sprintf("row %v in balance", r.RowKey), r.Entered+r.Came, r.Ended()+r.Went+r.Open)
+	for _, r := range l.rows {
+		balance := fmt.Sprintf("row %v in balance", r.RowKey)
+		d.compare(AuditBalance, balance, r.Entered+r.Came, r.Ended()+r.Went+r.Open)
 		if r.Open < 0 {
 			d.compare(AuditBalance, fmt.Sprintf("row %v below nothing", r.RowKey), r.Open, 0)
 		}
@@ -54,16 +67,19 @@
 		}
 	}
 	d.compare(AuditBalance, "jobs that came into rows and went out of rows", all.Came, all.Went)
-	d.compare(AuditBalance, "taken, by rows and in total", all.Entered, b.totals.Taken)
-	d.compare(AuditBalance, "open, by rows and in total", all.Open, b.totals.Open)
+	d.compare(AuditBalance, "taken, by rows and in total", all.Entered, l.totals.Taken)
+	d.compare(AuditBalance, "open, by rows and in total", all.Open, l.totals.Open)
 	var ended int64
 	for i, n := range all.Ends {
-		d.compare(AuditBalance, fmt.Sprintf("%s, by rows and in total", Reason(i)), n, b.totals.Ends[i])
-		ended += b.totals.Ends[i]
+		d.compare(AuditBalance, fmt.Sprintf("%s, by rows and in total", Reason(i)), n, l.totals.Ends[i])
+		ended += l.totals.Ends[i]
 	}
-	d.compare(AuditBalance, "taken, and ended with open", b.totals.Taken, ended+b.totals.Open)
+	d.compare(AuditBalance, "taken, and ended with open", l.totals.Taken, ended+l.totals.Open)
+}
+
+func (l *Ledger) checkFlows(d *differences) {
 	var sent, out int64
-	for _, f := range b.flows {
+	for _, f := range l.flows {
 		var ends int64
 		for _, n := range f.Ends {
 			ends += n
@@ -72,29 +88,29 @@
 		sent += f.Sent
 		out += f.Out
 	}
-	d.compare(AuditBalance, "flows sent, by rows and in total", sent, b.flowTotals.sent)
-	d.compare(AuditBalance, "flows out, by rows and in total", out, b.flowTotals.out)
-	a := &b.requests.LogicalRequests
-	var asked, settled int64 = a.Asked, a.Open
-	for o := range a.Ends {
-		asked += a.Reopened[o]
-		settled += a.Ends[o]
+	d.compare(AuditBalance, "flows sent, by rows and in total", sent, l.flowTotals.sent)
+	d.compare(AuditBalance, "flows out, by rows and in total", out, l.flowTotals.out)
+}
+
+func (l *Ledger) checkLogicalRequests(d *differences) {
+	requests := &l.requests.LogicalRequests
+	asked, settled := requests.Asked, requests.Open
+	for o := range requests.Ends {
+		asked += requests.Reopened[o]
+		settled += requests.Ends[o]
 	}
 	d.compare(AuditBalance, "asks in balance", asked, settled)
-	d.compare(AuditBalance, "jobs that ended without being open", b.unmatchedEnds, 0)
-	slices.SortFunc(d, func(x, y Difference) int { return cmp.Compare(x.What, y.What) })
-	return d
 }
 
-// OpenCounts is what the core itself has open, by front and class.
+// OpenCounts is the number of jobs that the engine has open, by front and class.
 type OpenCounts map[[2]string]int64
 
-// CompareEngine holds the account against the core's table. FlowsOut is how many live
-// flows the core counts.
-func (b *Ledger) CompareEngine(open OpenCounts, flowsOut int64) []Difference {
+// CompareEngine compares the ledger with the engine's table of open jobs and its number of flows that
+// have not ended.
+func (l *Ledger) CompareEngine(open OpenCounts, flowsOut int64) []Difference {
 	var d differences
 	mine := make(OpenCounts)
-	for _, r := range b.rows {
+	for _, r := range l.rows {
 		mine[[2]string{r.Front, r.Class}] += r.Open
 	}
 	for at := range open {
@@ -103,18 +119,18 @@
 	for at, n := range mine {
 		d.compare(AuditEngine, fmt.Sprintf("%s by %s open", at[1], at[0]), n, open[at])
 	}
-	d.compare(AuditEngine, "flows out", b.flowTotals.out, flowsOut)
+	d.compare(AuditEngine, "flows out", l.flowTotals.out, flowsOut)
 	return d
 }
 
-// CompareFront holds the account against a front's own book. Before was read before
-// the moment that the account is read at, now is read at it: what the front is
-// just handing over may or may not have been counted yet.
-func (b *Ledger) CompareFront(front string, before, now FrontCountersSnapshot) []Difference {
+// CompareFront compares the ledger with a front's own counters: before was read before the moment at
+// which the ledger is read, now at that moment. What the front is just submitting may or may not have
+// been counted yet.
+func (l *Ledger) CompareFront(front string, before, now FrontCountersSnapshot) []Difference {
 	var d differences
 	var taken, left int64
 	var ends [Outcomes]int64
-	for _, r := range b.rows {
+	for _, r := range l.rows {
 		if r.Front != front {
 			continue
 		}
@@ -141,7 +157,7 @@
 	return d
 }
 
-// Compare holds totals of one moment against another count's.
+// Compare compares totals with those of another count of the same moment.
 func (t Totals) Compare(audit string, there Totals) []Difference {
 	var d differences
 	d.compare(audit, "taken", t.Taken, there.Taken)
--- a/internal/dispatcher/accounting/windows.go
+++ b/internal/dispatcher/accounting/windows.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// WindowCounts counts one stretch of time.
+// WindowCounts counts the jobs of one window of time.
 type WindowCounts struct {
 	Accepted uint32           `json:"taken"`
 	Ends     [Outcomes]uint32 `json:"ends"` // served, refused, failed
 }
 
-func (s *WindowCounts) add(o WindowCounts) {
-	s.Accepted += o.Accepted
-	for i := range s.Ends {
-		s.Ends[i] += o.Ends[i]
+// add adds the counts of another window.
+func (c *WindowCounts) add(o WindowCounts) {
+	c.Accepted += o.Accepted
+	for i := range c.Ends {
+		c.Ends[i] += o.Ends[i]
 	}
 }
 
+// Windows of each length that are kept.
 const (
 	minutes = 60
 	hours   = 24
 	days    = 8
 )
 
-// Windows are a line's counts by the minute, the hour and the day (UTC), the
-// latest of each. Time that runs backward counts into the latest stretch.
+// Windows are the counts of a series by the minute, the hour and the day (UTC), the latest of each.
+// Time that runs backward counts into the latest window.
 type Windows struct {
 	minutes [minutes]WindowCounts
 	hours   [hours]WindowCounts
@@ -30,8 +32,10 @@
 	latest  [3]int64 // the latest minute, hour and day since 1970
 }
 
+// units are the lengths of the windows in seconds.
 var units = [3]int64{60, 3600, 86400}
 
+// ring returns the windows of one length, by their number modulo its size.
 func (w *Windows) ring(i int) []WindowCounts {
 	switch i {
 	case 0:
@@ -42,7 +46,7 @@
 	return w.days[:]
 }
 
-// roll clears what a ring holds of a time that is over.
+// roll clears the windows that begin up to now.
 func (w *Windows) roll(now time.Time) {
 	s := now.Unix()
 	if s < (w.latest[0]+1)*units[0] { // the usual case: still the same minute
@@ -57,6 +61,7 @@
 	}
 }
 
+// addAccepted counts a job that is taken.
 func (w *Windows) addAccepted(now time.Time) {
 	w.roll(now)
 	for i := range units {
@@ -65,6 +70,7 @@
 	}
 }
 
+// addEnded counts a job that has ended.
 func (w *Windows) addEnded(now time.Time, o Outcome) {
 	w.roll(now)
 	for i := range units {
@@ -73,25 +79,24 @@
 	}
 }
 
-// Window names a length of time.
+// Window is a length of the windows that are counted.
 type Window uint8
 
-// Windows of an account: the minute, hour and day that run, each with those
-// before it that are kept.
+// The lengths: minutes, hours and days.
 const (
 	Minute Window = iota
 	Hour
 	Day
 )
 
-// Latest is the stretch that runs at a time.
+// Latest returns the counts of the current window.
 func (w *Windows) Latest(of Window, now time.Time) WindowCounts {
 	w.roll(now)
 	ring := w.ring(int(of))
 	return ring[w.latest[of]%int64(len(ring))]
 }
 
-// Kept sums all stretches that are kept: 60 minutes, 24 hours or 8 days.
+// Kept returns the sum of all windows of a length: 60 minutes, 24 hours or 8 days.
 func (w *Windows) Kept(of Window, now time.Time) (sum WindowCounts) {
 	w.roll(now)
 	for _, s := range w.ring(int(of)) {
