--- a/internal/dispatcher/discovery/pool.go
+++ b/internal/dispatcher/discovery/follower.go
@@ -20,7 +20,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Source is the name of discovery's members in the core.
+// Source is the name of discovery's members in the engine.
 const Source = "discovery"
 
 const (
@@ -33,7 +33,7 @@
 	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
-// Follower asks discovery. It implements core.Lister.
+// Follower asks discovery. It implements engine.Lister.
 type Follower struct {
 	ctx       context.Context
 	schedule  CallSchedule
@@ -137,7 +137,7 @@
 	}
 }
 
-// Watch implements core.Lister. Where a watch is kept, be it that its next call is yet
+// Watch implements engine.Lister. Where a watch is kept, be it that its next call is yet
 // to come, another is not begun.
 func (f *Follower) Watch(on bool) {
 	f.mu.Lock()
@@ -158,7 +158,7 @@
 	go f.watch(ctx, s)
 }
 
-// Fetch implements core.Lister.
+// Fetch implements engine.Lister.
 func (f *Follower) Fetch() {
 	f.mu.Lock()
 	s := f.current
@@ -175,7 +175,7 @@
 }
 
 // watch calls again as soon as it is answered: a gap of over 200 ms would end the
-// watch, and changes in it would count as told. A call that fails is told to the module
+// watch, and changes in it would count as told. A call that fails is told to the policy
 // and made anew from here, at the follower's pace, until the watch is stopped. A service
 // of which no version is known is asked for its whole list first.
 func (f *Follower) watch(ctx context.Context, s *service) {
@@ -214,7 +214,7 @@
 	}
 }
 
-// recordFailure tells the module of a failed call, and returns how many have failed in a row.
+// recordFailure tells the policy of a failed call, and returns how many have failed in a row.
 // The log has it once for a run of failures. A call that was ended, with its watch or
 // with its service, has not failed.
 func (f *Follower) recordFailure(ctx context.Context, s *service, err error) int {
@@ -232,7 +232,7 @@
 
 // deliver passes on what a service answered, unless the call was ended meanwhile: a list
 // of a service that was left, under way then, must not undo what the new one has told.
-// The module hears of one without news only where it may have heard of a failure.
+// The policy hears of one without news only where it may have heard of a failure.
 func (f *Follower) deliver(ctx context.Context, s *service, l settings.List, kind policy.ListKind, news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dispatcher/discovery/pool_test.go
+++ b/internal/dispatcher/discovery/follower_test.go
@@ -55,7 +55,7 @@
 }
 
 // TestPushedListsAreWatched: where lists are pushed to an agent on this machine,
-// the module never asks for them, so the follower keeps a watch by itself. What the
+// the policy never asks for them, so the follower keeps a watch by itself. What the
 // agent has counts from the first moment, so the whole list is asked for first,
 // which a start can wait for. A change is passed on; a watch that the agent leaves silent, one answered 503
 // and one reset before its answer are each begun anew on a new connection,
@@ -92,8 +92,8 @@
 const few, every = 4, 10 * time.Second // callers of an asked service, and how often the settings want it asked
 
 // TestAskedListsWaitForTheModule: where discovery is a shared service that is asked,
-// the first call comes when the module says so. From then on the follower has the
-// watch: what the module asks while a failed call is yet to be made anew changes nothing.
+// the first call comes when the policy says so. From then on the follower has the
+// watch: what the policy asks while a failed call is yet to be made anew changes nothing.
 func TestAskedListsWaitForTheModule(t *testing.T) {
 	pace := SharedServiceSchedule(few, every)
 	pace.MinBackoff, pace.MaxBackoff, pace.MaxCallInterval = 10*time.Hour, 10*time.Hour, 10*time.Hour
@@ -261,7 +261,7 @@
 
 // TestSilentWatchIsRenewed: a watch that goes on and falls silent is given up and begun
 // anew on a new connection, from the last version told and without a wait, so that an
-// answer is in hand before what was missed counts as told. After a move the whole list
+// answer is in progress before what was missed counts as told. After a move the whole list
 // is owed, and a silent call for it too is made anew.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	t.Parallel()
--- a/internal/dispatcher/discovery/pace.go
+++ b/internal/dispatcher/discovery/schedule.go
@@ -10,7 +10,7 @@
 // What discovery has counts as told a fixed time after it could be reached, whatever
 // became of the calls before: so what bounds a pace is the time from one call's begin to
 // the next one's, By, however the first ends. From the moment that discovery can be
-// reached a good answer is in hand within By and the time that an answer takes.
+// reached a good answer is in progress within By and the time that an answer takes.
 type CallSchedule struct {
 	WatchWait    time.Duration // discovery holds a watch so long when nothing changes
 	WatchGrace   time.Duration // the answer to a watch that goes on may come so long after that
@@ -65,26 +65,26 @@
 // Timeouts is how long a call has discovery wait for news, and when it is given up, given
 // whether the version is known that news are to follow, and whether the call goes on
 // with a watch. Without a version the whole list is asked for, which is no watch.
-func (p CallSchedule) Timeouts(began time.Time, known, goesOn bool) (wait time.Duration, until time.Time) {
+func (c CallSchedule) Timeouts(began time.Time, known, goesOn bool) (wait time.Duration, until time.Time) {
 	switch {
 	case !known:
-		return 0, began.Add(p.ReplyTimeout)
-	case p.PollFirst && !goesOn:
-		return pollWait, began.Add(p.ReplyTimeout)
+		return 0, began.Add(c.ReplyTimeout)
+	case c.PollFirst && !goesOn:
+		return pollWait, began.Add(c.ReplyTimeout)
 	}
-	return p.WatchWait, began.Add(p.WatchWait + p.WatchGrace)
+	return c.WatchWait, began.Add(c.WatchWait + c.WatchGrace)
 }
 
 // NextCall is when the call after a failed one begins, given how many have failed in a row
 // (one or more) and a draw (0 to 1): by chance after a least pause, up to a span that
 // doubles with each failure, and in any case By after the failed one began.
-func (p CallSchedule) NextCall(began, failed time.Time, failures int, draw float64) time.Time {
-	span := p.MaxBackoff
+func (c CallSchedule) NextCall(began, failed time.Time, failures int, draw float64) time.Time {
+	span := c.MaxBackoff
 	if n := failures - 1; n < 16 { // more would be over any Most, and over the type's range
-		span = min(span, p.MinBackoff<<max(0, n))
+		span = min(span, c.MinBackoff<<max(0, n))
 	}
 	from, by := failed.Add(minPause), failed.Add(span)
-	if at := began.Add(p.MaxCallInterval); at.Before(by) {
+	if at := began.Add(c.MaxCallInterval); at.Before(by) {
 		by = at
 	}
 	return from.Add(time.Duration(draw * float64(max(0, by.Sub(from)))))
--- a/internal/dispatcher/discovery/pace_test.go
+++ b/internal/dispatcher/discovery/schedule_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestHeardInTime: whatever the calls before met with, for however long, a good answer is
-// in hand a margin before what discovery has counts as told, counted from when it could
+// in progress a margin before what discovery has counts as told, counted from when it could
 // be reached; the call that was under way then is of no use. It holds whatever the
 // settings say of callers and intervals.
 func TestHeardInTime(t *testing.T) {
--- a/internal/dispatcher/httpfront/bodies_test.go
+++ b/internal/dispatcher/httpfront/bodymemory_test.go
@@ -61,7 +61,7 @@
 func (f failing) Read([]byte) (int, error) { return 0, f.error }
 
 // TestNoRoom: a job with no room for its body is refused at once, with when to come
-// back, and its connection serves on. A call-back is not answered, so that its member
+// back, and its connection serves on. A callback is not answered, so that its member
 // repeats it, and is let in once there is room.
 func TestNoRoom(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,7 +92,7 @@
 	require.Eventually(t, func() bool { return s.updateBodies.used.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// hears is a hub to which call-backs are told.
+// hears is a hub to which callbacks are told.
 type hears struct{ Engine }
 
 func (hears) HandleJobUpdate(engine.JobUpdate) bool { return true }
--- a/internal/dispatcher/httpfront/golden_test.go
+++ b/internal/dispatcher/httpfront/golden_test.go
@@ -70,7 +70,7 @@
 }
 func (h *answering) Ready() bool { return h.ready }
 
-// clientsCalls are requests of clients, health checks and members' call-backs: method and
+// clientsCalls are requests of clients, health checks and members' callbacks: method and
 // path, headers, body, with | between them.
 var clientsCalls = []string{
 	"POST /hold/a%2Fb?sid=7f&x;y=%zz&& | X-Call-Id: served | body",
--- a/internal/dispatcher/httpfront/jobs.go
+++ b/internal/dispatcher/httpfront/jobs.go
@@ -17,7 +17,7 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// serveJob passes a client's job to the reverse proxy, whose transport is the core.
+// serveJob passes a client's job to the reverse proxy, whose transport is the engine.
 func (s *Server) serveJob(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		rejectInput(w, http.StatusMethodNotAllowed, "jobs are submitted with POST")
@@ -28,7 +28,7 @@
 }
 
 // engineRoundTripper is the reverse proxy's transport: a round trip is a
-// transaction in the core, from taking it in to its one final answer.
+// transaction in the engine, from taking it in to its one final answer.
 type engineRoundTripper struct{ s *Server }
 
 // waitingClient waits for the answer of one transaction.
@@ -36,10 +36,10 @@
 	counters *accounting.FrontCounters
 	answer   chan engine.Answer // has room for the one answer
 	ctx      context.Context    // of its request, which ends as the client leaves
-	counted  atomic.Bool        // the desk was told
+	counted  atomic.Bool        // the counters was told
 }
 
-// Gone implements core.Leaver.
+// Gone implements engine.GoneReporter.
 func (c *waitingClient) Gone() bool {
 	if c.ctx.Err() == nil {
 		return false
@@ -50,7 +50,7 @@
 	return true
 }
 
-// Answer implements core.Client.
+// Answer implements engine.Client.
 func (c *waitingClient) Answer(a engine.Answer) {
 	c.counters.JobAnswered(a.Verdict.Outcome())
 	c.answer <- a
--- a/internal/dispatcher/httpfront/news.go
+++ b/internal/dispatcher/httpfront/jobupdate.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// serveJobUpdate takes a pool member's call-back. It is answered alike whether it
+// serveJobUpdate takes a pool member's callback. It is answered alike whether it
 // counts, was told before or concerns an ended flow: the member has done its
 // part, and would repeat what is not answered.
 func (s *Server) serveJobUpdate(w http.ResponseWriter, r *http.Request) {
--- a/internal/dispatcher/httpfront/news_test.go
+++ b/internal/dispatcher/httpfront/jobupdate_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestCallInfoCarriesNeeds: slots and memory that a job needs come in
-// X-Call-Info and reach the arrival, so that the module fits both; other
+// X-Call-Info and reach the arrival, so that the policy fits both; other
 // names are skipped and a figure that is no number is a clear error.
 func TestCallInfoCarriesNeeds(t *testing.T) {
 	for text, want := range map[string][2]float64{
--- a/internal/dispatcher/httpfront/limited.go
+++ b/internal/dispatcher/httpfront/limited.go
@@ -27,7 +27,7 @@
 // limitedListener is a listener that holds so many connections at a time, to stay
 // within the descriptors. When all are taken it closes one that can best be
 // spared, so that clients that only connect, or only stay, shut out neither
-// those with jobs nor the call-backs that end jobs. It never closes one whose
+// those with jobs nor the callbacks that end jobs. It never closes one whose
 // request is being served.
 type limitedListener struct {
 	net.Listener
@@ -45,7 +45,7 @@
 	// Each connection is in one of these, the longest there first, or in none
 	// while it is served.
 	fresh      list.List // its request is not whole: silent, trickling or just come
-	idleUnused list.List // idle, and it never carried a job or a call-back
+	idleUnused list.List // idle, and it never carried a job or a callback
 	idleUsed   list.List // idle after one
 }
 
@@ -56,7 +56,7 @@
 	element     *list.Element
 	since       time.Time // it is fresh
 	sentBytes   bool      // since then
-	carriedWork bool      // it carried a job or a call-back
+	carriedWork bool      // it carried a job or a callback
 	closed      bool
 	// nextStarted: a byte of the next request came while one was served. net/http reads it
 	// then, to notice a client that leaves, and would wait for the rest as long as
--- a/internal/dispatcher/httpfront/limited_test.go
+++ b/internal/dispatcher/httpfront/limited_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestLimited: clients that only keep their connections, or say nothing or not
-// all, must not shut others out, of which call-backs are some. There is room
+// all, must not shut others out, of which callbacks are some. There is room
 // for two.
 func TestLimited(t *testing.T) {
 	for name, script := range map[string]string{
--- a/internal/dispatcher/httpfront/program_test.go
+++ b/internal/dispatcher/httpfront/program_test.go
@@ -44,7 +44,7 @@
 			client.back expect 204 No Content
 			client expect ^HTTP/1.1 200 OK\r\n.*\r\n\r\nearly$
 			r1 send @answer(202)`},
-		// A call-back may be repeated, or concern another member or an ended flow.
+		// A callback may be repeated, or concern another member or an ended flow.
 		"counts a call-back once": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -186,7 +186,7 @@
 			r1 send @answer(202)
 			client.back send @news(h-1,s-r1,done,one)
 			client expect ^HTTP/1.1 200 OK.*one$`},
-		// Shutdown alone would shut out the call-back that the last job waits for.
+		// Shutdown alone would shut out the callback that the last job waits for.
 		"drains": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -226,7 +226,7 @@
 			client.back send @news(t-1,s-r1,done,one)
 			client expect 200 OK.*one$
 			program wait`},
-		// The socket closes with the end of what is in hand, and call-backs are shut out
+		// The socket closes with the end of what is in progress, and callbacks are shut out
 		// with it: what a client sends on a connection that is still open is refused, not
 		// sent on for a result that can't come.
 		"refuses what comes once the socket is closed": {1, `
@@ -248,7 +248,7 @@
 			client.late expect ^HTTP/1.1 503
 			program wait`},
 		// Nothing that comes in a drain cuts it short: a second signal, a reload, half a
-		// call-back, half an answer of the member.
+		// callback, half an answer of the member.
 		"drains to its end whatever comes": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -309,7 +309,7 @@
 			client expect ^HTTP/1.1 503`},
 		// A reload asks the service that the file names for its whole list, since
 		// versions differ, and drops the old watch and its late answer. Members and
-		// the job in hand stay. A broken file changes nothing.
+		// the job in progress stay. A broken file changes nothing.
 		"reloads": {1, `
 			discovery expect GET /registry/instances\?index=41&wait=1 HTTP
 			client send @job(group-ticket,t-1,20)
@@ -343,7 +343,7 @@
 
 // TestShortDeadlines: where all deadlines are short the end is near, and the socket
 // closes before any request counts as late. What comes then is refused all the same: no
-// call-back could bring its result.
+// callback could bring its result.
 func TestShortDeadlines(t *testing.T) {
 	settings := regexp.MustCompile(`"give_up":\d+`).ReplaceAllString(scenario.Settings, `"give_up":900000000`)
 	scenario.RunScript(t, scenario.StartWithSettings(t, 1, settings), words, `
@@ -361,7 +361,7 @@
 }
 
 // TestCallBacksGetIn: clients that wait for answers on as many connections as there
-// may be leave room for the call-back that ends a job. Without it no job would be
+// may be leave room for the callback that ends a job. Without it no job would be
 // told to have started or ended, and all members would look full for good. The
 // crowd waits for longer than the ticket may.
 func TestCallBacksGetIn(t *testing.T) {
--- a/internal/dispatcher/httpfront/virtualserver.go
+++ b/internal/dispatcher/httpfront/server.go
@@ -1,6 +1,6 @@
 // Package httpfront is the client side of the platform's HTTP protocol:
 // it takes jobs in, gives the one answer to each, takes the pool members'
-// call-backs and answers health checks.
+// callbacks and answers health checks.
 package httpfront
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Engine is what the virtual server needs of the core.
+// Engine is what the virtual server needs of the engine.
 type Engine interface {
 	Submit(*engine.Transaction)
 	ClientLeft(*engine.Transaction)
@@ -56,13 +56,13 @@
 	proxy        *httputil.ReverseProxy
 	server       *http.Server
 	draining     atomic.Bool
-	closingIdle  atomic.Bool // see Part
+	closingIdle  atomic.Bool // see CloseIdleConnections
 	inFlight     atomic.Int64
 	listener     atomic.Pointer[limitedListener] // what is served; nil: nothing yet
 	jobBodies    bodyMemory                      // bodies of jobs
-	updateBodies bodyMemory                      // and of call-backs, which jobs must not shut out
-	// ForwardUpdate hands on news of a job that is not in hand here: with a socket
-	// shared by two processes of one dispatcher, a member's call-back may reach
+	updateBodies bodyMemory                      // and of callbacks, which jobs must not shut out
+	// ForwardUpdate hands on news of a job that is not in progress here: with a socket
+	// shared by two processes of one dispatcher, a member's callback may reach
 	// the other one. Nil: none.
 	ForwardUpdate func(text []byte)
 }
@@ -100,7 +100,7 @@
 }
 
 // SetBodyMemory bounds the memory that bodies of jobs take at a time, in bytes, and those of
-// call-backs to half as much beside them. It is called before Serve.
+// callbacks to half as much beside them. It is called before Serve.
 func (s *Server) SetBodyMemory(bytes int) {
 	s.jobBodies.max, s.updateBodies.max = int64(bytes), int64(bytes/2)
 }
@@ -129,7 +129,7 @@
 }
 
 // CloseIdleConnections closes connections between requests from here on. The listener stays
-// open for the call-backs that still bring results. net/http's own way to do so,
+// open for the callbacks that still bring results. net/http's own way to do so,
 // SetKeepAlivesEnabled, also closes one whose next request has just been read.
 func (s *Server) CloseIdleConnections() {
 	s.closingIdle.Store(true)
@@ -142,7 +142,7 @@
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
 // Shutdown closes the listener and waits for connections in use. It shuts
-// call-backs out first, so it may be called only once nothing is in hand. What
+// callbacks out first, so it may be called only once nothing is in progress. What
 // still comes on open connections is answered: net/http's own Shutdown closes a
 // connection without a word on which it reads a request from then on, so it is
 // never called. Connections end by themselves, each when nothing is owed on it.
@@ -309,7 +309,7 @@
 }
 
 // logClientLeft handles a job without an answer: its client has gone.
-func (s *Server) logClientLeft(w http.ResponseWriter, r *http.Request, err error) {
+func (s *Server) logClientLeft(w http.ResponseWriter, _ *http.Request, err error) {
 	s.log.WithError(err).Debug("a client left before its answer")
 	w.WriteHeader(http.StatusBadGateway)
 }
--- a/internal/dispatcher/httpfront/small_test.go
+++ b/internal/dispatcher/httpfront/small_test.go
@@ -70,7 +70,7 @@
 
 // TestCrowdedWhileDiscoveryIsDown: idle clients of each kind, twice as many as there
 // are places, fill the descriptors while discovery is down. The ready check, a
-// job, its member and its call-back get theirs without waiting for the crowd; discovery,
+// job, its member and its callback get theirs without waiting for the crowd; discovery,
 // once it is back, is called and heard. The system holds the program to the
 // descriptors that it is told of. In lists both pushed and asked for.
 func TestCrowdedWhileDiscoveryIsDown(t *testing.T) {
@@ -100,7 +100,7 @@
 					began = time.Now()
 					close(back)
 					<-heard
-					if c.pushed { // where it is asked the module sets the pace
+					if c.pushed { // where it is asked the policy sets the pace
 						require.Less(t, time.Since(began), 5*time.Second)
 					}
 					return ""
@@ -135,7 +135,7 @@
 }
 
 // TestBodiesAreBounded: clients that send all but a body's last byte hold no more memory
-// than there is. Each is answered, and call-backs and the ready check get in meanwhile.
+// than there is. Each is answered, and callbacks and the ready check get in meanwhile.
 func TestBodiesAreBounded(t *testing.T) {
 	const clients, sockets, memory = 120, 256, 32
 	head := `POST /send-notice HTTP/1.1\r\nHost: a\r\nX-Call-Id: b-%d\r\nX-Budget: 0.5\r\nX-Call-Cost: 1000\r\nContent-Length: 65536\r\n\r\n@most()`
--- a/internal/dispatcher/pipeline/admit.go
+++ b/internal/dispatcher/pipeline/admit.go
@@ -7,29 +7,33 @@
 	"basaltloft/internal/dispatcher/engine"
 )
 
-// Limits bound what is held at a time, to stay within memory and sockets.
+// Limits bound what is open at a time, to stay within memory and sockets.
 type Limits struct {
 	MaxOpen      int // transactions
 	MaxBodyBytes int // of their bodies
 }
 
-// retryDelay is when a client may try again that found no room, or came before
-// the pool was known.
+// retryDelay is the delay after which a client may retry that found no room.
 const retryDelay = time.Second
 
-// Admit implements core.Stages. What it turns away has not run and was never
-// seen by the decisions, so that trying again is harmless.
-func (c *Pipeline) Admit(t *engine.Transaction, load engine.Load, now time.Time) *engine.Answer {
-	if load.Open > c.limits.MaxOpen || load.Bytes > c.limits.MaxBodyBytes || !t.Deadline.After(now) {
-		return &engine.Answer{Verdict: engine.Refused, Reason: accounting.NoRoom, RetryAt: now.Add(retryDelay)}
+// Admit implements engine.Stages. What it rejects has not run and the policy never saw it, so that a
+// retry is harmless.
+func (p *Pipeline) Admit(t *engine.Transaction, load engine.Load, now time.Time) *engine.Answer {
+	if load.Open > p.limits.MaxOpen || load.Bytes > p.limits.MaxBodyBytes || !t.Deadline.After(now) {
+		return refused(accounting.NoRoom, now.Add(retryDelay))
 	}
 	if load.RetryDelay > 0 {
-		return &engine.Answer{Verdict: engine.Refused, Reason: accounting.Overloaded, RetryAt: now.Add(load.RetryDelay)}
+		return refused(accounting.Overloaded, now.Add(load.RetryDelay))
 	}
-	if c.tenants != nil {
-		if until, ok := c.tenants.Admit(t.Tenant, now); !ok {
-			return &engine.Answer{Verdict: engine.Refused, Reason: accounting.BudgetSpent, RetryAt: until}
+	if p.tenants != nil {
+		if until, ok := p.tenants.Admit(t.Tenant, now); !ok {
+			return refused(accounting.BudgetSpent, until)
 		}
 	}
 	return nil
 }
+
+// refused is the answer to a transaction that is not admitted.
+func refused(reason accounting.Reason, retryAt time.Time) *engine.Answer {
+	return &engine.Answer{Verdict: engine.Refused, Reason: reason, RetryAt: retryAt}
+}
--- /dev/null
+++ b/internal/dispatcher/pipeline/ledger.go
@@ -0,0 +1,33 @@
+package pipeline
+
+import (
+	"time"
+
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
+
+	"github.com/sirupsen/logrus"
+)
+
+// Ledger counts what becomes of transactions. It is called by the engine's goroutine.
+type Ledger interface {
+	// JobAccepted may set t.LedgerEntry, which nobody else uses.
+	JobAccepted(t *engine.Transaction, now time.Time)
+	FlowSent(f *engine.Flow, now time.Time)
+	FlowEnded(f *engine.Flow, s policy.Status, now time.Time)
+	JobEnded(t *engine.Transaction, a engine.Answer, now time.Time)
+}
+
+// RecordAccepted implements engine.Stages.
+func (p *Pipeline) RecordAccepted(t *engine.Transaction, now time.Time) { p.ledger.JobAccepted(t, now) }
+
+// RecordEnd implements engine.Stages.
+func (p *Pipeline) RecordEnd(t *engine.Transaction, a engine.Answer, now time.Time) {
+	p.ledger.JobEnded(t, a, now)
+	if a.Verdict != engine.Served && p.log.IsLevelEnabled(logrus.DebugLevel) {
+		p.log.WithFields(logrus.Fields{
+			"transaction": t.ID, "class": t.Class, "tenant": t.Tenant,
+			"left": t.Deadline.Sub(now).String(), "reason": a.Reason.String(),
+		}).Debug(a.Verdict.String())
+	}
+}
--- a/internal/dispatcher/pipeline/relay.go
+++ b/internal/dispatcher/pipeline/relay.go
@@ -10,23 +10,24 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Relay implements core.Stages. A result goes to the client at once, and so
-// does a member's word that the request is bad; whether anything else ends the
-// transaction is for the decisions to say.
-func (c *Pipeline) Relay(f *engine.Flow, s policy.Status, result []byte, now time.Time) *engine.Answer {
-	c.ledger.FlowEnded(f, s, now)
+// Relay implements engine.Stages. A result goes to the client at once, and so does a member's answer
+// that the request is invalid; whether anything else ends the transaction is for the policy to say.
+func (p *Pipeline) Relay(f *engine.Flow, s policy.Status, result []byte, now time.Time) *engine.Answer {
+	p.ledger.FlowEnded(f, s, now)
 	switch s {
 	case policy.OK:
 		return &engine.Answer{Verdict: engine.Served, Body: result}
 	case policy.InvalidRequest:
-		return &engine.Answer{Verdict: engine.Denied, Reason: accounting.BadRequest, Body: []byte("the pool member can't use this request\n")}
+		const text = "the pool member can't use this request\n"
+		return &engine.Answer{Verdict: engine.Denied, Reason: accounting.BadRequest, Body: []byte(text)}
 	}
-	if c.log.IsLevelEnabled(logrus.DebugLevel) {
-		c.log.WithFields(flowFields(f)).WithField("status", accounting.StatusName(s)).Debug("flow ended")
+	if p.log.IsLevelEnabled(logrus.DebugLevel) {
+		p.log.WithFields(flowFields(f)).WithField("status", accounting.StatusName(s)).Debug("flow ended")
 	}
 	return nil
 }
 
+// flowFields are the fields of a flow in the log.
 func flowFields(f *engine.Flow) map[string]any {
 	return map[string]any{"transaction": f.Transaction.ID, "flow": f.Number, "member": f.Member.ID}
 }
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -165,7 +165,7 @@
 
 // whole plays jobs to a dispatcher with a list of 10,000 for a while and returns
 // how many were sent to each worker.
-func whole(t *testing.T, d *Dispatcher, h *searched, now *time.Duration, jobs int, name string) map[uint32]int {
+func whole(_ *testing.T, d *Dispatcher, h *searched, now *time.Duration, jobs int, name string) map[uint32]int {
 	sent := make(map[uint32]int)
 	for n := range jobs {
 		*now += 100 * time.Microsecond
--- a/internal/dispatcher/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// leaver is a client that goes, of which nobody has told the carrier.
+// leaver is a client that goes, of which nobody has told the transport.
 type leaver struct{ gone atomic.Bool }
 
 func (*leaver) Answer(engine.Answer) {}
--- a/internal/dispatcher/poolmember/poolmember.go
+++ b/internal/dispatcher/poolmember/poolmember.go
@@ -68,12 +68,12 @@
 	ProbeStats bool
 }
 
-// New returns a carrier.
+// New returns a transport.
 func New(ends ResultSink, f Options) *Transport {
 	return &Transport{sink: ends, roundTripper: newRoundTripper(f), submissionSlots: make(chan struct{}, f.MaxSubmissions), controlSlots: make(chan struct{}, max(1, f.MaxSubmissions/2)), options: f, drainTime: drainTime}
 }
 
-// submission is the carrier's part of a flow. A flow is abandoned by closing its
+// submission is the transport's part of a flow. A flow is abandoned by closing its
 // connection while the member has not answered, and by DELETE afterwards.
 type submission struct {
 	mu                            sync.Mutex
@@ -82,22 +82,22 @@
 	cancel                        context.CancelFunc
 }
 
-// Start implements core.Carrier.
-func (c *Transport) Start(f *engine.Flow) {
+// Start implements engine.Transport.
+func (t *Transport) Start(f *engine.Flow) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
 	k := &submission{cancel: cancel}
 	f.TransportState = k
 	select {
-	case c.submissionSlots <- struct{}{}:
+	case t.submissionSlots <- struct{}{}:
 	default: // no descriptor to spare: it was never sent, and no member is to blame
 		cancel()
-		c.sink.EndFlow(f, policy.NotSent, nil)
+		t.sink.EndFlow(f, policy.NotSent, nil)
 		return
 	}
 	go func() {
 		defer cancel()
-		defer func() { <-c.submissionSlots }()
-		status, taken, load, rest := c.send(ctx, f, k)
+		defer func() { <-t.submissionSlots }()
+		status, taken, load, rest := t.send(ctx, f, k)
 		k.mu.Lock()
 		k.accepted = taken
 		abandoned, recalled := k.abandoned, k.recalled
@@ -107,29 +107,29 @@
 			// No 202 has come, so that by the protocol the close has abandoned it. The
 			// member is told by DELETE as well, before the job may go elsewhere: it may
 			// not have noticed the close.
-			c.delete(f, time.Now().Add(crossedDeleteTimeout))
-			c.sink.EndFlow(f, policy.Cancelled, nil)
+			t.delete(f, time.Now().Add(crossedDeleteTimeout))
+			t.sink.EndFlow(f, policy.Cancelled, nil)
 		case !taken:
-			c.sink.EndFlowWithLoad(f, status, load)
+			t.sink.EndFlowWithLoad(f, status, load)
 		case abandoned: // while the answer was under way: closing the connection told nobody
-			c.deleteAndEnd(f, recalled)
+			t.deleteAndEnd(f, recalled)
 		}
 		if rest != nil { // it decides nothing; a close over unread bytes would reset the connection
-			defer time.AfterFunc(c.drainTime, func() { k.conn.Close() }).Stop()
+			defer time.AfterFunc(t.drainTime, func() { k.conn.Close() }).Stop()
 			io.Copy(io.Discard, io.LimitReader(rest, maxReplyBytes))
 			rest.Close()
 		}
 	}()
 }
 
-// Abandon implements core.Carrier.
-func (c *Transport) Abandon(f *engine.Flow) { c.abandon(f, false) }
+// Abandon implements engine.Transport.
+func (t *Transport) Abandon(f *engine.Flow) { t.abandon(f, false) }
 
-// Recall implements core.Carrier. A member that can't be reached keeps the
+// Recall implements engine.Transport. A member that can't be reached keeps the
 // flow: it may run, or report, yet.
-func (c *Transport) Recall(f *engine.Flow) { c.abandon(f, true) }
+func (t *Transport) Recall(f *engine.Flow) { t.abandon(f, true) }
 
-func (c *Transport) abandon(f *engine.Flow, recall bool) {
+func (t *Transport) abandon(f *engine.Flow, recall bool) {
 	k, ok := f.TransportState.(*submission)
 	if !ok {
 		return
@@ -142,18 +142,18 @@
 	k.abandoned, k.recalled = true, recall
 	switch {
 	case k.accepted:
-		go c.deleteAndEnd(f, recall)
+		go t.deleteAndEnd(f, recall)
 	case recall && k.mayBeWhole() && k.conn.endWrites() == nil: // a 202 may be on its way, which then binds
-		time.AfterFunc(c.drainTime, k.cancel)
+		time.AfterFunc(t.drainTime, k.cancel)
 	default:
 		k.close()
 	}
 }
 
-// EndedOutOfBand implements core.Carrier. The member has told the end of the flow by
-// call-back: its 202, if it is yet to come, is waited for only so long. A request that
+// EndedOutOfBand implements engine.Transport. The member has told the end of the flow by
+// callback: its 202, if it is yet to come, is waited for only so long. A request that
 // isn't whole stays so: what was told is of an earlier attempt at that member.
-func (c *Transport) EndedOutOfBand(f *engine.Flow) {
+func (t *Transport) EndedOutOfBand(f *engine.Flow) {
 	k, ok := f.TransportState.(*submission)
 	if !ok {
 		return
@@ -163,7 +163,7 @@
 	switch {
 	case k.accepted:
 	case k.mayBeWhole():
-		time.AfterFunc(c.drainTime, k.cancel)
+		time.AfterFunc(t.drainTime, k.cancel)
 	default:
 		k.abandoned = true
 		k.close()
@@ -184,10 +184,10 @@
 }
 
 // send submits the job. It returns taken if the member answered 202: then the
-// outcome comes by call-back. What an answer means its header says; the rest of it, if
+// outcome comes by callback. What an answer means its header says; the rest of it, if
 // there was one, is left to the caller to read and close. The load report is that of
 // an answer which ends the flow.
-func (c *Transport) send(ctx context.Context, f *engine.Flow, k *submission) (status policy.Status, taken bool, load policy.Report, rest io.ReadCloser) {
+func (t *Transport) send(ctx context.Context, f *engine.Flow, k *submission) (status policy.Status, taken bool, load policy.Report, rest io.ReadCloser) {
 	var at *conn
 	begin, latest := f.SentAt.Add(firstByteWithin), f.Deadline
 	if f.TooLate(latest) {
@@ -212,7 +212,7 @@
 	if err != nil {
 		return policy.NotSent, false, load, nil
 	}
-	resp, err := c.roundTripper.RoundTrip(req)
+	resp, err := t.roundTripper.RoundTrip(req)
 	switch {
 	case err != nil && at == nil:
 		return policy.ConnectFailed, false, load, nil
@@ -285,23 +285,23 @@
 }
 
 // deleteAndEnd tells a member to forget a flow, and ends one that was asked back.
-func (c *Transport) deleteAndEnd(f *engine.Flow, recalled bool) {
-	if c.delete(f, time.Now().Add(deleteTimeout)) && recalled {
-		c.sink.EndFlow(f, policy.Cancelled, nil)
+func (t *Transport) deleteAndEnd(f *engine.Flow, recalled bool) {
+	if t.delete(f, time.Now().Add(deleteTimeout)) && recalled {
+		t.sink.EndFlow(f, policy.Cancelled, nil)
 	}
 }
 
 // delete reports whether the member has heard by then.
-func (c *Transport) delete(f *engine.Flow, until time.Time) bool {
+func (t *Transport) delete(f *engine.Flow, until time.Time) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	if !c.acquireControlSlot(ctx) {
+	if !t.acquireControlSlot(ctx) {
 		return false
 	}
-	defer func() { <-c.controlSlots }()
+	defer func() { <-t.controlSlots }()
 	u := &url.URL{Scheme: "http", Host: f.Member.Addr, Path: "/jobs/" + f.Transaction.ID}
 	req := (&http.Request{Method: http.MethodDelete, URL: u, Host: u.Host, Header: make(http.Header)}).WithContext(dialUntil(ctx, until))
-	resp, err := c.roundTripper.RoundTrip(req)
+	resp, err := t.roundTripper.RoundTrip(req)
 	if err != nil {
 		return false
 	}
@@ -310,38 +310,38 @@
 }
 
 // acquireControlSlot waits for a descriptor that may be used beside the flows'.
-func (c *Transport) acquireControlSlot(ctx context.Context) bool {
+func (t *Transport) acquireControlSlot(ctx context.Context) bool {
 	select {
-	case c.controlSlots <- struct{}{}:
+	case t.controlSlots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Probe implements core.Carrier.
-func (c *Transport) Probe(m *engine.Member) {
+// Probe implements engine.Transport.
+func (t *Transport) Probe(m *engine.Member) {
 	go func() {
 		sentAt := time.Now()
-		s, r := c.probe(m, sentAt.Add(probeTimeout))
-		c.sink.EndProbe(m, s, r, sentAt)
+		s, r := t.probe(m, sentAt.Add(probeTimeout))
+		t.sink.EndProbe(m, s, r, sentAt)
 	}()
 }
 
 // probe asks a member for a sign of life, at /stats where the deployment's
 // members report their load (its body is the report), else at /health/live.
 // A report that can't be read is left out: the sign of life stands.
-func (c *Transport) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
+func (t *Transport) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	if !c.acquireControlSlot(ctx) {
+	if !t.acquireControlSlot(ctx) {
 		return policy.TimedOut, policy.Report{}
 	}
-	defer func() { <-c.controlSlots }()
+	defer func() { <-t.controlSlots }()
 	var connected bool
 	ctx = httptrace.WithClientTrace(dialUntil(ctx, until), &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
 	u := &url.URL{Scheme: "http", Host: m.Addr, Path: "/health/live"}
-	if c.options.ProbeStats {
+	if t.options.ProbeStats {
 		u.Path = "/stats"
 	}
 	// Without a body the transport would send a probe again by itself when a
@@ -349,7 +349,7 @@
 	req := (&http.Request{
 		Method: http.MethodGet, URL: u, Host: u.Host, Header: make(http.Header), Body: &unrepeatableBody{},
 	}).WithContext(ctx)
-	resp, err := c.roundTripper.RoundTrip(req)
+	resp, err := t.roundTripper.RoundTrip(req)
 	switch {
 	case err != nil && !connected:
 		return policy.ConnectFailed, policy.Report{}
@@ -361,7 +361,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	resp.Body.Close()
 	var r policy.Report
-	if err == nil && c.options.ProbeStats {
+	if err == nil && t.options.ProbeStats {
 		r, _ = loadreport.ParseBody(body)
 	}
 	if resp.StatusCode != http.StatusOK {
--- a/internal/dispatcher/poolmember/poolmember_test.go
+++ b/internal/dispatcher/poolmember/poolmember_test.go
@@ -329,7 +329,7 @@
 
 // TestReportsAreRead: where members report their load, the answer that ends a
 // flow carries it in X-Load-Report and a probe asks /stats, whose body is the
-// report; either reaches the core. A report that can't be read is left out and
+// report; either reaches the engine. A report that can't be read is left out and
 // the outcome stands. Elsewhere a probe asks /health/live and reads no body.
 func TestReportsAreRead(t *testing.T) {
 	addr, open := scenario.Listen(t)
@@ -480,7 +480,7 @@
 			r.next expect ^DELETE /jobs/t-1 HTTP
 			r.next close
 			flow expect ^t-1 6\n`,
-		// The call-back was of an earlier attempt there: this one stays unwritten.
+		// The callback was of an earlier attempt there: this one stays unwritten.
 		"a call-back and a request that is not whole": `
 			slow send t-1 4\n
 			r expect bbb$
@@ -590,7 +590,7 @@
 	require.False(t, c.mayHaveSent())
 }
 
-// ends is a core that hears the end of one flow.
+// ends is an engine that hears the end of one flow.
 type ends chan policy.Report
 
 func (e ends) EndFlow(*engine.Flow, policy.Status, []byte)                         { e <- policy.Report{} }
@@ -598,8 +598,8 @@
 func (e ends) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time)    {}
 
 // TestFlowIsTheCores: an answer's report goes with the end, and not into the flow, which
-// the core may be ending at its deadline just then. The core is a reader here that
-// nothing orders with the carrier; the race detector sees a write beside it.
+// the engine may be ending at its deadline just then. The engine is a reader here that
+// nothing orders with the transport; the race detector sees a write beside it.
 func TestFlowIsTheCores(t *testing.T) {
 	member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Load-Report", "TEXT x0=3")
--- a/internal/dispatcher/settings/config.go
+++ b/internal/dispatcher/settings/config.go
@@ -76,7 +76,7 @@
 	if c.Settings, err = Decode(r.find("settings")); err != nil {
 		r.take("settings", err)
 	}
-	c.Settings.Limits.ConnectTimeout = 0         // the carriers hold attempts to a key's window to the last byte
+	c.Settings.Limits.ConnectTimeout = 0         // the transports hold attempts to a key's window to the last byte
 	c.Settings.Limits.ConcurrentAttempts = false // the ledger keeps one flow of a transaction: another copy would be told as never sent
 	if known := r.find("known"); known != nil {
 		if c.LastMembership, err = decodeList(known); err != nil {
--- a/internal/dispatcher/settings/experiment.go
+++ b/internal/dispatcher/settings/experiment.go
@@ -61,7 +61,7 @@
 	Arrivals  Arrivals
 }
 
-// Arrivals are how the asks of a class come.
+// Arrivals are how the requests of a class arrive.
 type Arrivals struct {
 	Kind      string        // poisson, ramp, bursts or trace
 	From, To  float64       // ramp: the rate's multiple at the begin and at the end
@@ -70,7 +70,7 @@
 	Trace     []Arrival     // trace: these alone; a load multiplies how fast they come
 }
 
-// Arrival is one ask of a trace.
+// Arrival is one request of a trace.
 type Arrival struct {
 	At, Work time.Duration
 }
@@ -227,7 +227,7 @@
 	return x, r
 }
 
-// arrivals reads how the asks of a class come.
+// arrivals reads how the requests of a class arrive.
 func (r *reader) arrivals() Arrivals {
 	span := func(key string) time.Duration { return time.Duration(r.number(key) * float64(time.Millisecond)) }
 	a := Arrivals{Kind: r.text("arrivals.kind")}
--- a/internal/dispatcher/settings/operator.go
+++ b/internal/dispatcher/settings/operator.go
@@ -17,7 +17,7 @@
 	Metrics    Metrics
 	AgentCheck string                 // where the agent check listens; empty: off
 	Fleet      *Fleet                 // nil: this process is alone
-	Overload   schedulingdelay.Bounds // when new work is turned away since own work is late; a Target of 0: never
+	Overload   schedulingdelay.Bounds // when new work is rejected since own work is late; a Target of 0: never
 }
 
 // Faktory sets up the front for the Faktory work protocol.
@@ -51,7 +51,7 @@
 	Cost          time.Duration // 0: not told
 }
 
-// Metrics sets up what is told of the account, and the journal beside it.
+// Metrics sets up what is told of the ledger, and the journal beside it.
 type Metrics struct {
 	Listen          string // metrics and figures; empty: off
 	JournalDir      string // the journal's; empty: off
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the settings object that an instance is given, and
 // the configuration of the program around it. The simulator's adapter and the
-// program share it, so that both drive the module with the same figures.
+// program share it, so that both drive the policy with the same figures.
 package settings
 
 import (
--- a/internal/shared/indexedheap/heap.go
+++ b/internal/shared/indexedheap/heap.go
@@ -1,14 +1,14 @@
-// Package indexedheap is container/heap for one type of things, which are told where
-// they stand, so that any of them can be taken out.
+// Package indexedheap is a generic heap whose items are told their index, so that any of them can be
+// removed.
 package indexedheap
 
 import "container/heap"
 
-// Heap holds things, the least of them first. Use New.
+// Heap holds items, the least first. Use New. It is not safe for concurrent use.
 type Heap[T any] struct{ q queue[T] }
 
-// New returns an empty heap. moved is told each thing's place whenever it changes,
-// and -1 once it is out; nil where nobody needs to know.
+// New returns an empty heap. moved is told the index of an item whenever it changes, and -1 once the
+// item is removed; it may be nil.
 func New[T any](less func(a, b T) bool, moved func(x T, at int)) Heap[T] {
 	if moved == nil {
 		moved = func(T, int) {}
@@ -16,20 +16,20 @@
 	return Heap[T]{queue[T]{less: less, moved: moved}}
 }
 
-// Len is how many things it holds.
+// Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.q.all) }
 
-// All are the things in no order but that the least is the first. The slice is
-// the heap's own: it is good until the next change, and not to be changed.
+// All returns the items, the least first and the others in no order. The slice is the heap's own: it is
+// valid until the next change and must not be changed.
 func (h *Heap[T]) All() []T { return h.q.all }
 
-// Push takes a thing in.
+// Push adds an item.
 func (h *Heap[T]) Push(x T) { heap.Push(&h.q, x) }
 
-// Pop takes the least thing out. There must be one.
+// Pop removes and returns the least item. It panics if the heap is empty.
 func (h *Heap[T]) Pop() T { return heap.Pop(&h.q).(T) }
 
-// Remove takes out the thing at a place.
+// Remove removes the item at an index.
 func (h *Heap[T]) Remove(at int) { heap.Remove(&h.q, at) }
 
 // queue implements heap.Interface.
@@ -54,7 +54,7 @@
 	last := len(q.all) - 1
 	x := q.all[last]
 	var none T
-	q.all[last] = none // what it holds on to must not outlive it
+	q.all[last] = none // so that it can be collected
 	q.all = q.all[:last]
 	q.moved(x, -1)
 	return x
