--- a/internal/dispatcher/discovery/follower.go
+++ b/internal/dispatcher/discovery/follower.go
@@ -1,4 +1,5 @@
-// Package discovery follows discovery's list of pool members.
+// Package discovery follows the list of pool members of the platform's discovery service, by long polls
+// (watches) and calls for the whole list. schedule.go decides when, follower.go calls.
 package discovery
 
 import (
@@ -24,16 +25,19 @@
 const Source = "discovery"
 
 const (
-	maxListBytes    = 8 << 20               // bytes of a list
-	minCallInterval = 50 * time.Millisecond // calls of a watch begin so long apart; a gap of 200 ms would end it
+	// maxListBytes is the largest answer that is read.
+	maxListBytes = 8 << 20
+	// minCallInterval is the least time between the starts of two calls of a watch. A gap of 200 ms
+	// would end the watch.
+	minCallInterval = 50 * time.Millisecond
 )
 
-// MembershipSink is told what discovery tells.
+// MembershipSink is told what discovery tells; engine.Engine implements it.
 type MembershipSink interface {
 	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
-// Follower asks discovery. It implements engine.Lister.
+// Follower calls discovery. It implements engine.Lister. Its goroutines end with the context of New.
 type Follower struct {
 	ctx       context.Context
 	schedule  CallSchedule
@@ -48,8 +52,8 @@
 	current *service
 }
 
-// service is one discovery service while it is followed. Its versions mean
-// nothing to the next one. What is not constant is under the follower's lock.
+// service is one discovery service while it is followed. Its versions (generations) mean nothing to the
+// next service. What is not constant is under the follower's lock.
 type service struct {
 	ctx       context.Context // ends with the follower, or when another is followed
 	cancel    context.CancelFunc
@@ -57,22 +61,29 @@
 	transport *http.Transport
 
 	generation    int64
-	hasGeneration bool               // generation is this service's own
-	stopWatch     context.CancelFunc // of the watch, from its begin through all failures on; nil: none is wanted
-	failures      int                // calls failed in a row
+	hasGeneration bool               // generation was told by this service
+	stopWatch     context.CancelFunc // ends the watch; nil: none is wanted
+	failures      int                // calls that failed in a row
 }
 
-// New returns a follower of the discovery service at addr, which is called at a pace.
-// Calls end with ctx.
-func New(ctx context.Context, addr string, pace CallSchedule, lists MembershipSink, carrier engine.Transport, log logrus.FieldLogger) *Follower {
-	f := &Follower{ctx: ctx, schedule: pace, sink: lists, transport: carrier, log: log, answered: make(chan struct{})}
+// New returns a follower of the discovery service at addr. Its members are reached by the transport. All
+// calls end with ctx.
+func New(
+	ctx context.Context, addr string, schedule CallSchedule, sink MembershipSink, transport engine.Transport,
+	log logrus.FieldLogger,
+) *Follower {
+	f := &Follower{
+		ctx: ctx, schedule: schedule, sink: sink, transport: transport, log: log,
+		answered: make(chan struct{}),
+	}
 	f.current = f.newService(addr)
 	return f
 }
 
+// newService returns a service at an address that is not called yet.
 func (f *Follower) newService(addr string) *service {
-	// The transport lets a dial go on whose call was given up, since the next call
-	// may use what comes up late. Those that never come up must not heap up.
+	// http.Transport continues a dial whose call was given up, since the next call may use the
+	// connection. Those that never come up must not accumulate.
 	dialer := &net.Dialer{Timeout: f.schedule.MaxCallInterval}
 	s := &service{
 		base:      url.URL{Scheme: "http", Host: addr, Path: "/registry/instances"},
@@ -82,7 +93,7 @@
 	return s
 }
 
-// Restore starts from the list that the dispatcher last had.
+// Restore starts from the list that the dispatcher had last.
 func (f *Follower) Restore(l settings.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,10 +101,9 @@
 	f.sink.UpdateMembers(Source, policy.ListRestored, f.members(l))
 }
 
-// SwitchTo follows the service at another address from here on and asks it for its
-// whole list. The old one's watch, connections and late answers are dropped:
-// its versions are not the new one's, and it may be about to end. The members
-// stay until the new list says otherwise.
+// SwitchTo follows the service at another address from now on and asks it for its whole list. The old
+// one's watch, connections and late answers are dropped: its versions are not the new one's, and it may
+// be about to stop. The members stay until the new list says otherwise.
 func (f *Follower) SwitchTo(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,13 +117,12 @@
 	f.startWatch(f.current)
 }
 
-// KeepWatching follows a list that is pushed to an agent on this machine rather than
-// asked of a shared service: nobody else asks for it, so a watch is kept from
-// now on until the follower ends, and one that fails or falls silent is begun
-// anew after a short pause. Service goes on meanwhile with the members known.
-// What the agent has counts as told from a process's first moment, however old
-// the list that it was started with: so the whole list is asked for first, which
-// comes at once, where a watch from that list's version would wait for news.
+// KeepWatching follows a list that is pushed to an agent on this machine rather than polled at a shared
+// service: nobody else asks for it, so the watch is kept until the follower ends, and one that fails or
+// is not answered is repeated after a short pause. Meanwhile the known members stay in service. By the
+// platform's rules, what the agent has counts as told from a process's first moment, however old the list
+// that the process was started with: so the whole list is asked for first, which comes at once, where a
+// watch from that list's version would wait for changes.
 func (f *Follower) KeepWatching() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,9 +132,9 @@
 	}
 }
 
-// WaitFirstAnswer waits until a service has answered, but no longer than until the time
-// given, and tells whether one has. A process that sends nothing before goes by no
-// list older than its agent's, as long as that speaks.
+// WaitFirstAnswer waits until a service has answered, but no longer than until the given time, and
+// reports whether one has. A process that sends nothing before uses no list older than that of its agent,
+// if the agent answers.
 func (f *Follower) WaitFirstAnswer(until time.Time) bool {
 	ctx, cancel := context.WithDeadline(f.ctx, until)
 	defer cancel()
@@ -137,8 +146,7 @@
 	}
 }
 
-// Watch implements engine.Lister. Where a watch is kept, be it that its next call is yet
-// to come, another is not begun.
+// Watch implements engine.Lister. There is one watch at a time, also while it waits to repeat a call.
 func (f *Follower) Watch(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,15 +182,14 @@
 	}()
 }
 
-// watch calls again as soon as it is answered: a gap of over 200 ms would end the
-// watch, and changes in it would count as told. A call that fails is told to the policy
-// and made anew from here, at the follower's pace, until the watch is stopped. A service
-// of which no version is known is asked for its whole list first.
+// watch calls again as soon as it is answered: a gap of over 200 ms would end the watch, and changes in it
+// would count as told. A call that fails is told to the policy and repeated here, by the schedule, until
+// the watch is stopped. A service of which no version is known is asked for its whole list first.
 func (f *Follower) watch(ctx context.Context, s *service) {
-	for goesOn := false; ctx.Err() == nil; {
+	for continues := false; ctx.Err() == nil; {
 		began, query := time.Now(), url.Values(nil)
 		generation, known := f.generation(s)
-		wait, until := f.schedule.Timeouts(began, known, goesOn)
+		wait, until := f.schedule.Timeouts(began, known, continues)
 		kind := policy.ListSnapshot
 		if known {
 			kind = policy.ListDelta
@@ -198,13 +205,13 @@
 			if l.Whole {
 				kind = policy.ListSnapshot
 			}
-			quiet := goesOn && kind == policy.ListDelta && len(l.Entries) == 0
+			quiet := continues && kind == policy.ListDelta && len(l.Entries) == 0
 			f.deliver(ctx, s, l, kind, !quiet)
-			if !goesOn { // a watch ends the sooner the later it goes on
+			if !continues { // a watch ends the sooner the later it goes on
 				next = began
 			}
 		}
-		goesOn = err == nil
+		continues = err == nil
 		if pause := time.Until(next); pause > 0 {
 			select {
 			case <-ctx.Done():
@@ -214,9 +221,8 @@
 	}
 }
 
-// recordFailure tells the policy of a failed call, and returns how many have failed in a row.
-// The log has it once for a run of failures. A call that was ended, with its watch or
-// with its service, has not failed.
+// recordFailure tells the policy of a failed call, and returns how many have failed in a row. The log has
+// a run of failures once. A call that was ended, with its watch or its service, has not failed.
 func (f *Follower) recordFailure(ctx context.Context, s *service, err error) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -230,9 +236,9 @@
 	return s.failures
 }
 
-// deliver passes on what a service answered, unless the call was ended meanwhile: a list
-// of a service that was left, under way then, must not undo what the new one has told.
-// The policy hears of one without news only where it may have heard of a failure.
+// deliver passes on what a service answered, unless the call was ended meanwhile: a late list of a
+// service that is no longer followed must not undo what the new one has told. An answer without news is
+// passed on only where a failure may have been.
 func (f *Follower) deliver(ctx context.Context, s *service, l settings.List, kind policy.ListKind, news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,8 +248,8 @@
 	if s.failures > 0 {
 		f.log.WithField("failed", s.failures).Info("discovery answers again")
 	}
-	// News up to a version older than the one that they follow are of another life of
-	// the service: what came before them is not known.
+	// Changes up to a version older than the one that they follow are of another incarnation of the
+	// service: what came before them is not known.
 	s.hasGeneration = kind == policy.ListSnapshot || l.Generation >= s.generation
 	s.generation, s.failures = l.Generation, 0
 	if news {
@@ -252,13 +258,14 @@
 	f.answerOnce.Do(func() { close(f.answered) })
 }
 
+// generation returns the version of a service's list that is known, if one is.
 func (f *Follower) generation(s *service) (int64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.generation, s.hasGeneration
 }
 
-// call asks discovery. A malformed answer is a failed call: it changes nothing.
+// call calls discovery and returns its list. A malformed answer is an error.
 func (s *service) call(ctx context.Context, query url.Values, until time.Time) (settings.List, error) {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -272,7 +279,7 @@
 	if err != nil {
 		return settings.List{}, fmt.Errorf("asking discovery: %w", err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // what is needed of it has been read
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return settings.List{}, fmt.Errorf("reading discovery's answer: %w", err)
@@ -283,6 +290,7 @@
 	return settings.DecodeList(text)
 }
 
+// members are the engine's members of a list. Each cell is a group of its own in the ledger.
 func (f *Follower) members(l settings.List) []*engine.Member {
 	members := make([]*engine.Member, 0, len(l.Entries))
 	for _, e := range l.Entries {
--- a/internal/dispatcher/discovery/schedule.go
+++ b/internal/dispatcher/discovery/schedule.go
@@ -4,57 +4,58 @@
 	"time"
 )
 
-// CallSchedule is when discovery is called, how long a call may take, and when one that failed
-// is made anew. It only decides; the Follower calls.
+// CallSchedule says when discovery is called, how long a call may take, and when one that failed is
+// repeated. It only decides; the Follower calls.
 //
-// What discovery has counts as told a fixed time after it could be reached, whatever
-// became of the calls before: so what bounds a pace is the time from one call's begin to
-// the next one's, By, however the first ends. From the moment that discovery can be
-// reached a good answer is in progress within By and the time that an answer takes.
+// By the platform's rules, what discovery has counts as told a fixed time after it could be reached,
+// whatever became of the calls before: so what matters is MaxCallInterval, the time from one call's start
+// to the next one's, however the first ends. From the moment at which discovery can be reached, an answer
+// arrives within MaxCallInterval and the time that an answer takes.
 type CallSchedule struct {
-	WatchWait    time.Duration // discovery holds a watch so long when nothing changes
-	WatchGrace   time.Duration // the answer to a watch that goes on may come so long after that
-	ReplyTimeout time.Duration // the answer to a call that waits for nothing may take so long
-	// PollFirst: a watch begins with a call that waits for nothing, since it may have to queue
-	// at the service: how long it takes then says nothing of when a watch would end.
+	WatchWait    time.Duration // how long discovery holds a watch when nothing changes
+	WatchGrace   time.Duration // how much longer the answer to a watch may take
+	ReplyTimeout time.Duration // how long the answer to any other call may take
+	// PollFirst starts a watch with a call that waits for nothing: it may have to queue at the service,
+	// and how long that takes says nothing of when a watch would end.
 	PollFirst bool
 
-	MinBackoff      time.Duration // the pause after a first failure, at most; it doubles with each further one
-	MaxBackoff      time.Duration // up to this
-	MaxCallInterval time.Duration // the next call begins at the latest so long after the failed one began
+	MinBackoff      time.Duration // the longest pause after a first failure; it doubles with each further one
+	MaxBackoff      time.Duration // up to this one
+	MaxCallInterval time.Duration // from the start of a failed call to that of the next, at most
 }
 
 const (
-	// serviceCallTime is what a service that all dispatchers ask may take for a call. It sets
-	// the first pause only: one that takes longer fails calls, and the pause grows.
+	// serviceCallTime is what a shared service is taken to need for a call. It sets the first pause
+	// only: a service that takes longer fails calls, and the pause grows.
 	serviceCallTime = 25 * time.Millisecond
-	// minPause parts a failed call and the next.
+	// minPause is the least time between a failed call and the next.
 	minPause = 25 * time.Millisecond
-	// pollWait is how long a call waits that is to wait for nothing.
+	// pollWait is how long discovery holds a call that is to wait for nothing.
 	pollWait = time.Millisecond
 )
 
-// SharedServiceSchedule is the pace at a service that so many callers share and that the settings
-// want asked at intervals (0: they don't say). A failed call must not be made anew by all at once,
-// since a service that is asked by more than it can answer in time fails them all: the next call
-// comes by chance in a span that grows up to By. What it has counts as told 6 s after it could be
-// reached: the answer has the time that is left of them.
+// SharedServiceSchedule is the schedule for a service that so many callers share and that the settings
+// want polled at an interval (0: they don't say). A failed call must not be repeated by all at once,
+// since a service that has more calls than it can answer in time fails them all: the next call comes at
+// random within a span that grows up to MaxBackoff. What the service has counts as told 6 s after it
+// could be reached; ReplyTimeout is what is left of them.
 func SharedServiceSchedule(callers int, every time.Duration) CallSchedule {
-	p := CallSchedule{
-		WatchWait: 2 * time.Second, WatchGrace: 750 * time.Millisecond, ReplyTimeout: 2250 * time.Millisecond, PollFirst: true,
+	c := CallSchedule{
+		WatchWait: 2 * time.Second, WatchGrace: 750 * time.Millisecond,
+		ReplyTimeout: 2250 * time.Millisecond, PollFirst: true,
 		MaxBackoff: 4250 * time.Millisecond, MaxCallInterval: 4250 * time.Millisecond,
 	}
-	if every > 0 { // a failed call leaves four times as long, all in all
-		p.MaxBackoff = max(minPause, min(p.MaxBackoff, 2*every))
+	if every > 0 { // failed calls may take four times as long in all
+		c.MaxBackoff = max(minPause, min(c.MaxBackoff, 2*every))
 	}
-	p.MinBackoff = min(p.MaxBackoff, max(minPause, time.Duration(callers)*serviceCallTime))
-	return p
+	c.MinBackoff = min(c.MaxBackoff, max(minPause, time.Duration(callers)*serviceCallTime))
+	return c
 }
 
-// LocalAgentSchedule is the pace at an agent on this machine, which answers at once and at no cost
-// and is silent while discovery is down. Its watch is short, so that a silent call is
-// given up and the agent asked anew well within the 2 s in which a drain must bind, and
-// a failed call is made anew after a pause that is never none and never long.
+// LocalAgentSchedule is the schedule for an agent on this machine, which answers at once and at no cost
+// and does not answer while discovery is down. Its watch is short, so that a call without an answer is
+// given up and repeated well within the 2 s in which a drain must bind, and a failed call is repeated
+// after a short pause.
 func LocalAgentSchedule() CallSchedule {
 	return CallSchedule{
 		WatchWait: time.Second, WatchGrace: 250 * time.Millisecond, ReplyTimeout: 250 * time.Millisecond,
@@ -62,25 +63,25 @@
 	}
 }
 
-// Timeouts is how long a call has discovery wait for news, and when it is given up, given
-// whether the version is known that news are to follow, and whether the call goes on
-// with a watch. Without a version the whole list is asked for, which is no watch.
-func (c CallSchedule) Timeouts(began time.Time, known, goesOn bool) (wait time.Duration, until time.Time) {
+// Timeouts returns how long a call has discovery wait for changes, and when it is given up, given
+// whether a version is known and whether the call continues a watch. Without a version the whole list is
+// asked for, which is no watch.
+func (c CallSchedule) Timeouts(began time.Time, known, continues bool) (wait time.Duration, until time.Time) {
 	switch {
 	case !known:
 		return 0, began.Add(c.ReplyTimeout)
-	case c.PollFirst && !goesOn:
+	case c.PollFirst && !continues:
 		return pollWait, began.Add(c.ReplyTimeout)
 	}
 	return c.WatchWait, began.Add(c.WatchWait + c.WatchGrace)
 }
 
-// NextCall is when the call after a failed one begins, given how many have failed in a row
-// (one or more) and a draw (0 to 1): by chance after a least pause, up to a span that
-// doubles with each failure, and in any case By after the failed one began.
+// NextCall returns when the call after a failed one starts, given how many have failed in a row (one or
+// more) and a random number (0 to 1): after minPause, within a span that doubles with each failure, and
+// at most MaxCallInterval after the failed one began.
 func (c CallSchedule) NextCall(began, failed time.Time, failures int, draw float64) time.Time {
 	span := c.MaxBackoff
-	if n := failures - 1; n < 16 { // more would be over any Most, and over the type's range
+	if n := failures - 1; n < 16 { // more would exceed any MaxBackoff, and the type
 		span = min(span, c.MinBackoff<<max(0, n))
 	}
 	from, by := failed.Add(minPause), failed.Add(span)
--- a/internal/dispatcher/poolmember/transport.go
+++ b/internal/dispatcher/poolmember/transport.go
@@ -1,266 +1,174 @@
+// Package poolmember is the transport of flows and probes to pool members that speak the platform's HTTP
+// protocol: a job is submitted with POST and accepted with 202, its end comes by callback to the HTTP
+// front, and a DELETE abandons it.
+//
+// What a flow's end is called decides whether its job may run again. So the transport knows of each
+// request whether it may have reached its member whole: conn keeps the last byte back for a moment.
 package poolmember
 
 import (
 	"context"
-	"crypto/tls"
-	"errors"
 	"io"
-	"net"
 	"net/http"
-	"sync"
-	"sync/atomic"
 	"time"
-)
 
-// newRoundTripper returns a transport that does nothing of its own accord: no
-// proxy from the environment, no HTTP/2, no compression, no redirects (they
-// are http.Client's, which is not used).
-func newRoundTripper(f Options) *http.Transport {
-	// No keep-alive of the system's: a connection lives for one request, and what
-	// is waited for has a deadline. It would cost four calls a connection.
-	dialer := &net.Dialer{KeepAlive: -1}
-	return &http.Transport{
-		Proxy: nil,
-		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithCancel(ctx)
-			defer cancel()
-			due := time.Now().Add(f.ConnectTimeout)
-			last := due
-			if of, ok := ctx.Value(dialContextKey{}).(dialContextKey); ok {
-				defer context.AfterFunc(of.request, cancel)()
-				last = of.latest
-			}
-			stop := extendLateDial(due, last, time.Now, cancel)
-			defer stop()
-			c, err := dialer.DialContext(ctx, network, addr)
-			if err != nil {
-				return nil, err
-			}
-			return &conn{Conn: c, lastByteDelay: f.LastByteDelay, closed: make(chan struct{})}, nil
-		},
-		TLSNextProto:       map[string]func(string, *tls.Conn) http.RoundTripper{},
-		DisableCompression: true,
-		// Each request has a connection of its own. A kept one may have been
-		// dropped on the way, or lead to a machine that has vanished, which shows
-		// only after the request was written to it: then it may have run. A new
-		// one that does not come up proves that it never ran.
-		DisableKeepAlives: true,
-		// What precedes an answer, 1xx included, is bounded, as its body is.
-		MaxResponseHeaderBytes: maxReplyBytes,
-	}
-}
-
-// dialContextKey is what a dial is for, and the latest moment to which it may be given its
-// time again. http.Transport keeps a dial whose request was called off, for requests
-// to come; here none can use it, and its descriptor is counted with its request.
-type dialContextKey struct {
-	request context.Context
-	latest  time.Time
-}
-
-// dialUntil makes the dial for a request end with its context.
-func dialUntil(ctx context.Context, last time.Time) context.Context {
-	return context.WithValue(ctx, dialContextKey{}, dialContextKey{ctx, last})
-}
-
-// lateShare is the share of its time by which a dial's end may be noticed late.
-const lateShare = 8
+	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/policy"
+)
 
-// extendLateDial ends a dial once its time is up, unless this process is what was late:
-// an end that is noticed late by more than a part of the dial's time says that
-// what has come up meanwhile was not noticed either. The dial then has its time
-// again, in the same attempt, up to the last moment, and the member is not blamed.
-// The function that it returns must be called once the dial has ended.
-func extendLateDial(due, last time.Time, now func() time.Time, cancel func()) (stop func()) {
-	var mu sync.Mutex
-	var t *time.Timer
-	ended := false
-	within := due.Sub(now())
-	mu.Lock()
-	defer mu.Unlock()
-	t = time.AfterFunc(within, func() {
-		mu.Lock()
-		defer mu.Unlock()
-		switch at := now(); {
-		case ended:
-		case at.Sub(due) > within/lateShare && at.Before(last):
-			if due = at.Add(within); due.After(last) {
-				due = last
-			}
-			t.Reset(due.Sub(at))
-		default:
-			cancel()
-		}
-	})
-	return func() {
-		mu.Lock()
-		defer mu.Unlock()
-		ended = true
-		t.Stop()
-	}
+// ResultSink is told what becomes of flows and probes; engine.Engine implements it.
+type ResultSink interface {
+	EndFlow(f *engine.Flow, s policy.Status, result []byte)
+	EndFlowWithLoad(f *engine.Flow, s policy.Status, load policy.Report)
+	EndProbe(m *engine.Member, s policy.Status, r policy.Report, sentAt time.Time)
 }
 
-// conn knows whether the request on it may have reached the other side whole.
-// A connection carries one request at a time. It reads along what is written, to
-// know which byte is the request's last: that one alone is kept back.
-type conn struct {
-	net.Conn
-	lastByteDelay time.Duration
-	closed        chan struct{}
-	once          sync.Once
+const (
+	// probeTimeout is the time within which a probe must be answered.
+	probeTimeout = 500 * time.Millisecond
+	// deleteTimeout is the time within which a member must answer the DELETE of a flow.
+	deleteTimeout = 2 * time.Second
+	// crossedDeleteTimeout is that time where a 202 may have crossed the closing of the connection:
+	// the job waits for the answer.
+	crossedDeleteTimeout = 300 * time.Millisecond
+	// drainTime is how long the rest of an answer is read that decides nothing any more, and how
+	// long a 202 is waited for that may have crossed a flow's end.
+	drainTime = 100 * time.Millisecond
+	// maxReplyBytes bounds the header and the body of an answer.
+	maxReplyBytes = 64 << 10
+	// firstByteWithin is the time from a flow's decision to its first byte. A member may have been
+	// told to drain meanwhile, and nothing may be sent to it 2 s after that; half of it is left to
+	// the list's own way.
+	firstByteWithin = time.Second
+)
 
-	sending atomic.Bool // the last byte is being written, or was
+// Transport implements engine.Transport for HTTP pool members.
+type Transport struct {
+	sink            ResultSink
+	roundTripper    http.RoundTripper
+	submissionSlots chan struct{} // one for each connection that a flow may use
+	controlSlots    chan struct{} // and that a probe or a DELETE may use, which flows must not shut out
 
-	mu                      sync.Mutex
-	clientGone              func() bool // whether the client has left: then nothing goes out, nor the last byte; nil: it stays
-	firstByteBy, lastByteBy time.Time   // the first and the last byte go out before then or not at all; zero: whenever
-	started                 bool
-	bodyLeft                int // bytes of the request's body that are still to come
-	headerEnd               int // how much of the end of its header has come: 4 is all
-	whole, failed           bool
+	options   Options
+	drainTime time.Duration
 }
 
-// setLimits says when the request's first and its last byte must have gone out; zero: no
-// matter.
-func (c *conn) setLimits(first, latest time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.firstByteBy, c.lastByteBy = first, latest
+// Options are what the deployment says of members and connections.
+type Options struct {
+	ConnectTimeout time.Duration
+	// LastByteDelay is how long the last byte of a request is kept back. A member starts a request
+	// once it is whole; one that breaks the connection while a request arrives does so in that time,
+	// and the request has then never run. Sent in one piece it may have run.
+	LastByteDelay  time.Duration
+	MaxSubmissions int // flows that are submitted at a time; half as many probes and DELETEs beside them
+	// ProbeStats says that members report their load: a probe gets /stats, whose body is the report,
+	// and else /health/live.
+	ProbeStats bool
 }
 
-// setClientGone says how to learn that nobody waits for the request.
-func (c *conn) setClientGone(gone func() bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.clientGone = gone
-}
-
-// setBodySize tells the size of the request's body. Without it the request has none.
-func (c *conn) setBodySize(body int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.bodyLeft = body
-}
-
-// endsRequest counts what is about to be written, and tells whether it holds the request's
-// last byte.
-func (c *conn) endsRequest(b []byte) bool {
-	const end = "\r\n\r\n"
-	for len(b) > 0 && c.headerEnd < len(end) {
-		switch {
-		case b[0] == end[c.headerEnd]:
-			c.headerEnd++
-		case b[0] == '\r':
-			c.headerEnd = 1
-		default:
-			c.headerEnd = 0
-		}
-		b = b[1:]
+// New returns a transport that tells the sink what becomes of its flows and probes.
+func New(sink ResultSink, o Options) *Transport {
+	return &Transport{
+		sink:            sink,
+		roundTripper:    newRoundTripper(o),
+		submissionSlots: make(chan struct{}, o.MaxSubmissions),
+		controlSlots:    make(chan struct{}, max(1, o.MaxSubmissions/2)),
+		options:         o,
+		drainTime:       drainTime,
 	}
-	c.bodyLeft -= len(b)
-	return c.headerEnd == len(end) && c.bodyLeft <= 0
 }
 
-func (c *conn) Write(b []byte) (int, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.clientGone != nil && c.clientGone() {
-		c.failed = true
-		return 0, errGone
-	}
-	if !c.started {
-		if past(c.firstByteBy) {
-			return 0, errStale
-		}
-		c.started = true
-	}
-	if !c.endsRequest(b) {
-		n, err := c.Conn.Write(b)
-		c.failed = c.failed || err != nil
-		return n, err
-	}
-	last := max(0, len(b)-1)
-	n, err := c.Conn.Write(b[:last])
-	if err == nil {
-		if err = c.awaitLastByte(); err == nil {
-			c.Conn.SetWriteDeadline(c.lastByteBy) // the other side may not read: what is held up here mustn't go out later
-			c.sending.Store(true)
-			var more int
-			more, err = c.Conn.Write(b[last:])
-			n += more
-		}
+// Start implements engine.Transport. The goroutine of a flow ends by the flow's deadline, a DELETE and
+// the drain time.
+func (t *Transport) Start(f *engine.Flow) {
+	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
+	sub := &submission{cancel: cancel}
+	f.TransportState = sub
+	select {
+	case t.submissionSlots <- struct{}{}:
+	default: // no descriptor to spare: it was never sent, and no member is to blame
+		cancel()
+		t.sink.EndFlow(f, policy.NotSent, nil)
+		return
 	}
-	c.whole, c.failed = true, c.failed || err != nil
-	return n, err
+	go func() {
+		defer cancel()
+		defer func() { <-t.submissionSlots }()
+		t.submit(ctx, f, sub)
+	}()
 }
 
-// awaitLastByte waits for the last byte's time. It fails if that is past the latest, for a
-// connection that came up late or a process that was, and if the connection is closed
-// before: by the transport, whose read has found it broken, or since the flow was
-// called off. The byte then stays here, though the system might still take it,
-// and the attempt is known never to have run.
-func (c *conn) awaitLastByte() error {
-	t := time.NewTimer(c.lastByteDelay)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-c.closed:
-	}
-	select {
-	case <-c.closed:
-		return net.ErrClosed
-	default:
+// submit sends a flow, ends it unless its member has accepted it, and reads the rest of the answer.
+func (t *Transport) submit(ctx context.Context, f *engine.Flow, sub *submission) {
+	sent := t.send(ctx, f, sub)
+	sub.mu.Lock()
+	sub.accepted = sent.accepted
+	abandoned, recalled := sub.abandoned, sub.recalled
+	sub.mu.Unlock()
+	switch {
+	case !sent.accepted && recalled && sent.status == policy.Reset:
+		// Reset by closing the connection, which says nothing of the member. No 202 has come, so that by
+		// the protocol the close has abandoned the flow. The member is told by DELETE as well, before the
+		// job may go elsewhere: it may not have noticed the close.
+		t.delete(f, time.Now().Add(crossedDeleteTimeout))
+		t.sink.EndFlow(f, policy.Cancelled, nil)
+	case !sent.accepted:
+		t.sink.EndFlowWithLoad(f, sent.status, sent.load)
+	case abandoned: // while the answer was on its way: closing the connection told nobody
+		t.deleteAndEnd(f, recalled)
 	}
-	if past(c.lastByteBy) {
-		return errStale
+	if sent.rest != nil { // it decides nothing; a close over unread bytes would reset the connection
+		defer time.AfterFunc(t.drainTime, func() { _ = sub.conn.Close() }).Stop()
+		_, _ = io.Copy(io.Discard, io.LimitReader(sent.rest, maxReplyBytes))
+		_ = sent.rest.Close()
 	}
-	if c.clientGone != nil && c.clientGone() {
-		return errGone
-	}
-	return nil
 }
 
-// errGone says that nobody waits for a request any more.
-var errGone = errors.New("the client has left")
-
-// past tells whether a moment has come; zero: never.
-func past(at time.Time) bool { return !at.IsZero() && !time.Now().Before(at) }
+// Abandon implements engine.Transport.
+func (t *Transport) Abandon(f *engine.Flow) { t.abandon(f, false) }
 
-// errStale says that a request came too late to be sent: its member may drain by now
-// or may have forgotten its key, or nobody waits any more.
-var errStale = errors.New("it is too late to send the request")
+// Recall implements engine.Transport. A member that can't be reached keeps the flow: it may still run or
+// report it.
+func (t *Transport) Recall(f *engine.Flow) { t.abandon(f, true) }
 
-// endWrites tells the other side that nothing more comes, and leaves what it answers to
-// be read. It fails where a connection can't do that.
-func (c *conn) endWrites() error {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
+// abandon ends a flow for its member, and with recall for the engine once the member has confirmed it.
+func (t *Transport) abandon(f *engine.Flow, recall bool) {
+	sub, ok := f.TransportState.(*submission)
 	if !ok {
-		return errors.ErrUnsupported
+		return
+	}
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	if sub.abandoned {
+		return
+	}
+	sub.abandoned, sub.recalled = true, recall
+	switch {
+	case sub.accepted:
+		go t.deleteAndEnd(f, recall)
+	case recall && sub.mayBeWhole() && sub.conn.endWrites() == nil: // a 202 may be on its way, which then binds
+		time.AfterFunc(t.drainTime, sub.cancel)
+	default:
+		sub.close()
 	}
-	return half.CloseWrite()
-}
-
-// Close implements net.Conn.
-func (c *conn) Close() error {
-	c.once.Do(func() { close(c.closed) })
-	return c.Conn.Close()
 }
 
-// mayHaveSent tells whether the whole request was taken by the system. It closes
-// the connection first: a write that is under way would otherwise still go out
-// after the attempt was told never to have run.
-func (c *conn) mayHaveSent() bool {
-	c.Close()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.whole && !c.failed
+// EndedOutOfBand implements engine.Transport. The member has reported the end of the flow by callback:
+// its 202, if it is yet to come, is waited for only for the drain time. A request that isn't whole stays
+// so: the report is of an earlier attempt at that member.
+func (t *Transport) EndedOutOfBand(f *engine.Flow) {
+	sub, ok := f.TransportState.(*submission)
+	if !ok {
+		return
+	}
+	sub.mu.Lock()
+	defer sub.mu.Unlock()
+	switch {
+	case sub.accepted:
+	case sub.mayBeWhole():
+		time.AfterFunc(t.drainTime, sub.cancel)
+	default:
+		sub.abandoned = true
+		sub.close()
+	}
 }
-
-// unrepeatableBody is an empty body that cannot be had a second time. http.Transport sends a
-// request without a body again by itself when an idle connection turns out to be
-// broken; without GetBody, and with a body that is never http.NoBody, it must not.
-// A resent probe would count as a second one.
-type unrepeatableBody struct{}
-
-func (*unrepeatableBody) Read([]byte) (int, error) { return 0, io.EOF }
-func (*unrepeatableBody) Close() error             { return nil }
