--- a/internal/dispatcher/faultproxy/conn.go
+++ b/internal/dispatcher/faultproxy/conn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// conn is one connection through a link: two, end to end.
+// conn is one proxied connection: a client's and its counterpart at the target.
 type conn struct {
 	proxy  *Proxy
 	client *net.TCPConn
@@ -18,12 +18,12 @@
 	mu            sync.Mutex
 	target        *net.TCPConn // nil: not dialled yet
 	closed        bool
-	lostBytes     [2]bool
-	recording     []byte // by A, so that it can be replayed
-	recordingFull bool   // it can't
+	lostBytes     [2]bool // by direction
+	recording     []byte  // what the client sent, for replays
+	recordingFull bool    // it can't
 }
 
-// piece is bytes on their way, or the end of them.
+// piece is a read of bytes on their way, or the end of them.
 type piece struct {
 	text []byte
 	due  time.Time
@@ -44,7 +44,7 @@
 	l.workers.Go(func() { c.run(uint64(number)) })
 }
 
-// run carries both ways until both have ended.
+// run forwards both directions until both have ended.
 func (c *conn) run(number uint64) {
 	defer c.finish()
 	if _, _, ok := c.awaitOpen(Forward, time.Time{}); !ok {
@@ -79,7 +79,7 @@
 	}
 }
 
-// read takes in one way's bytes, and decides when each piece is due.
+// read reads one direction's bytes, and decides when each piece is due.
 func (c *conn) read(w Direction, from *net.TCPConn, queue chan<- piece, random *rand.Rand) {
 	defer close(queue)
 	for {
@@ -107,7 +107,7 @@
 	}
 }
 
-// deliver passes a piece on, and tells whether the way goes on.
+// deliver forwards a piece, and reports whether the direction continues.
 func (c *conn) deliver(w Direction, to *net.TCPConn, p piece) bool {
 	for {
 		f, changed, ok := c.awaitOpen(w, p.due)
@@ -142,8 +142,8 @@
 	}
 }
 
-// awaitOpen waits until a way is open and bytes are due, and tells whether the
-// connection is still there. A way that has lost bytes goes on losing them.
+// awaitOpen waits until a direction is open and bytes are due, and reports whether the
+// connection is still there. A direction that has lost bytes goes on losing them.
 func (c *conn) awaitOpen(w Direction, due time.Time) (f fault, changed <-chan struct{}, ok bool) {
 	for {
 		f, changed = c.proxy.faultOf(w)
@@ -175,7 +175,7 @@
 	return true
 }
 
-// dropPiece makes a hole in a way: of bytes, or of the end of them.
+// dropPiece drops bytes, or the end of them, and marks the direction.
 func (c *conn) dropPiece(w Direction, n int) {
 	c.mu.Lock()
 	c.lostBytes[w] = true
@@ -189,7 +189,7 @@
 	return c.lostBytes[Forward] || c.lostBytes[Backward]
 }
 
-// count moves bytes from those that wait.
+// count moves bytes from those held.
 func (c *conn) count(w Direction, n int, to *[2]int) {
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
@@ -208,7 +208,7 @@
 	}
 }
 
-// reset ends the connection with a RST at both ends.
+// reset closes the connection with a RST at both ends.
 func (c *conn) reset() { c.close(true) }
 
 func (c *conn) close(abort bool) {
@@ -230,7 +230,7 @@
 	}
 }
 
-// finish takes a connection off the list, and keeps it for replays.
+// finish removes a connection, and keeps its recording for replays.
 func (c *conn) finish() {
 	c.close(false)
 	c.mu.Lock()
--- a/internal/dispatcher/faultproxy/faultlink.go
+++ b/internal/dispatcher/faultproxy/faultlink.go
@@ -1,7 +1,7 @@
-// Package faultproxy is a loopback TCP link with faults, for tests of several
-// processes: whoever dials its address talks to another address, until the link
-// is told to misbehave. A link is one way's dials: of A to B, with bytes forth
-// (from A) and back (to A).
+// Package faultproxy is a loopback TCP proxy that injects faults, for tests of several
+// processes: connections to its address are forwarded to another address until the proxy is
+// told to misbehave. A proxy serves one direction of dialling, from a client to a target;
+// its bytes flow forward (from the client) and backward (to it).
 package faultproxy
 
 import (
@@ -15,47 +15,48 @@
 	"time"
 )
 
-// Direction is a direction of a link's bytes.
+// Direction is a direction of a proxy's bytes.
 type Direction int
 
-// The ways of a link: from who dials, and to who dials.
+// Directions.
 const (
-	Forward Direction = iota
-	Backward
+	Forward  Direction = iota // from the client to the target
+	Backward                  // from the target to the client
 )
 
+// Bounds of a proxy.
 const (
-	maxQueuedPieces = 64       // of a way's bytes that wait in the link; then its sender waits
-	pieceSize       = 16 << 10 // bytes
+	maxQueuedPieces = 64       // in one direction of a connection; beyond it the sender is not read
+	pieceSize       = 16 << 10 // bytes read at a time
 	maxRecording    = 64 << 10 // bytes of a connection that can be replayed
-	maxRecordings   = 8        // connections that can be
+	maxRecordings   = 8        // connections that can be replayed
 )
 
-// fault is what one way does to bytes.
+// fault is what one direction does to bytes.
 type fault struct {
 	held, lost    bool
 	delay, jitter time.Duration
 	rate          int // bytes a second; 0: as they come
 }
 
-// Counts tell what a link has done. By way: bytes that it passed, that wait in
-// it, and that it lost.
+// Counts are the statistics of a proxy. Passed, Held and Lost are bytes by direction:
+// forwarded, waiting in the proxy, and dropped.
 type Counts struct {
 	Open, Made         int // connections
 	Passed, Held, Lost [2]int
 }
 
-// Proxy is one link. Its methods may be called concurrently.
+// Proxy forwards connections and injects faults. It is safe for concurrent use.
 type Proxy struct {
 	target, addr   string
 	seed           uint64
-	reservedSocket int // a socket that is bound and never listens: it keeps the port while the link refuses
+	reservedSocket int // bound and never listening: it keeps the port while the proxy refuses connections
 	ctx            context.Context
 	cancel         context.CancelFunc
 	workers        sync.WaitGroup
 
 	mu         sync.Mutex
-	listener   net.Listener // nil: refuses
+	listener   net.Listener // nil: connections are refused
 	faults     [2]fault
 	changed    chan struct{}
 	conns      map[*conn]struct{}
@@ -64,8 +65,8 @@
 	random     *rand.Rand
 }
 
-// New starts a link to an address, which need not be there yet. The seed decides
-// its jitter, and what it replays.
+// New starts a proxy to an address, which need not be served yet. The seed determines its
+// jitter and which connection it replays. The caller must Close it.
 func New(to string, seed uint64) (*Proxy, error) {
 	l := &Proxy{target: to, seed: seed, changed: make(chan struct{}), conns: make(map[*conn]struct{}), random: rand.New(rand.NewPCG(seed, 5))}
 	var err error
@@ -95,10 +96,10 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), nil
 }
 
-// Addr is where the link is dialled.
+// Addr returns the address to dial.
 func (l *Proxy) Addr() string { return l.addr }
 
-// Counts tells what the link has done so far.
+// Counts returns the statistics so far.
 func (l *Proxy) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,9 +108,9 @@
 	return c
 }
 
-// Cut silences both ways: connections stay open, and what is sent waits, to
-// arrive after Heal as a network's own repeats would. New connections are
-// refused, or come up and are as silent.
+// Cut stops both directions: connections stay open, and what is sent arrives after Heal, as
+// a network's retransmissions would. New connections are refused, or accepted and stopped
+// too.
 func (l *Proxy) Cut(refuse bool) error {
 	l.updateFaults(func(f *fault) { f.held = true }, Forward, Backward)
 	if refuse {
@@ -118,28 +119,28 @@
 	return nil
 }
 
-// DropOneWay swallows one way's bytes. A connection that has lost any never carries
-// more that way, and Heal resets it.
+// DropOneWay drops the bytes of one direction. A connection that has lost bytes forwards no
+// more in that direction, and Heal resets it.
 func (l *Proxy) DropOneWay(w Direction) { l.updateFaults(func(f *fault) { f.lost = true }, w) }
 
-// Delay lets bytes come late, in their order, by so much and up to jitter more.
+// Delay delays bytes, in their order, by a time and up to jitter more.
 func (l *Proxy) Delay(by, jitter time.Duration) {
 	l.updateFaults(func(f *fault) { f.delay, f.jitter = by, jitter }, Forward, Backward)
 }
 
-// LimitRate lets so many bytes a second through, each way.
+// LimitRate limits each direction to a rate in bytes a second.
 func (l *Proxy) LimitRate(rate int) {
 	l.updateFaults(func(f *fault) { f.rate = rate }, Forward, Backward)
 }
 
-// Reset resets all connections that are open, at both ends.
+// Reset resets all open connections, at both ends.
 func (l *Proxy) Reset() {
 	for _, c := range l.openConns() {
 		c.reset()
 	}
 }
 
-// Refuse refuses new connections. Those that are open stay.
+// Refuse refuses new connections. Open connections stay.
 func (l *Proxy) Refuse() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,9 +163,9 @@
 	return l.listen()
 }
 
-// Replay plays what a connection that has ended was sent, from its first byte
-// on, on a new one: a call is delivered twice. It returns how many bytes it
-// wrote, 0 if no connection has ended yet. What is answered is read and dropped.
+// Replay sends what the client of an ended connection sent, from its first byte on, on a
+// new connection: the target receives a call twice. It returns the number of bytes written,
+// 0 if no connection has ended yet. The response is dropped.
 func (l *Proxy) Replay() (int, error) {
 	l.mu.Lock()
 	if len(l.recordings) == 0 {
@@ -189,7 +190,7 @@
 	return n, nil
 }
 
-// Close ends the link and all that runs for it.
+// Close closes the proxy and waits for its goroutines.
 func (l *Proxy) Close() {
 	l.cancel()
 	l.Refuse()
--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is a process's side of the fleet: it joins, keeps the process's lease
-// and its shares of the budgets, and says at a planned end what it leaves. What a
-// job's path asks of it is in spend.go; nothing there waits.
+// Package agent is a process's membership in the fleet: it joins, renews the process's
+// lease and its shares of the budgets, and reports at a planned shutdown what is still in
+// flight. The methods on a job's path are in budget_use.go; none of them blocks.
 package agent
 
 import (
@@ -26,36 +26,36 @@
 	commandTimeout = 3 * time.Second // how long a command is asked for before it counts as lost
 )
 
-// Settings are what an agent is made of.
+// Settings configure an agent.
 type Settings struct {
 	Process, Version string
-	RaftNodes        map[string]string   // where their calls arrive, as reached from here
-	FleetSettings    state.FleetSettings // what the operator's file says for the whole fleet
-	ExpectedBudgets  []string            // the budgets that it names
+	RaftNodes        map[string]string   // address of each node's RPC endpoint, by name
+	FleetSettings    state.FleetSettings // the operator's settings for the whole fleet
+	ExpectedBudgets  []string            // the budgets that the settings name
 	Log              logrus.FieldLogger
 }
 
-// Agent is a process's side. Its methods may be used by several goroutines, but for
-// those of spend.go that say otherwise.
+// Agent keeps one process in the fleet. It is safe for concurrent use, except where a
+// method says otherwise.
 type Agent struct {
 	settings      Settings
 	client        *rpc.Client
-	clockZero     time.Time // the own clock's zero
+	clockZero     time.Time // zero of the process's own monotonic clock
 	nonce         string
 	allowance     *budget.Allowance
 	buckets       atomic.Pointer[bucketSet]
-	lastRejection map[string]time.Duration // see Room
+	lastRejection map[string]time.Duration // by budget; see HasHeadroom
 
 	session   atomic.Pointer[rpc.Session] // nil: not joined
-	leaving   chan struct{}
-	joins     atomic.Int64 // how often
-	renewedAt atomic.Int64 // the own clock when the last renewal that was granted was sent
-	members   atomic.Int64
-	leaseEnd  atomic.Int64 // the own clock when the lease ends here
+	leaving   chan struct{}               // closed at a planned shutdown
+	joins     atomic.Int64                // number of joins
+	renewedAt atomic.Int64                // own clock at the sending of the last successful renewal, in nanoseconds; 0: none
+	members   atomic.Int64                // as of the last renewal
+	leaseEnd  atomic.Int64                // own clock, in nanoseconds
 }
 
-// New returns an agent that has not joined. Until its first grant it admits nothing
-// of the budgets that it expects.
+// New returns an agent that has not joined. It admits nothing of the expected budgets
+// before its first grant.
 func New(s Settings) *Agent {
 	a := &Agent{settings: s, client: rpc.New(s.RaftNodes), clockZero: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), allowance: budget.NewAllowance(),
 		leaving: make(chan struct{}), lastRejection: make(map[string]time.Duration)}
@@ -64,10 +64,11 @@
 	return a
 }
 
-// now is the own clock, which never jumps and goes on while the process is stopped.
+// now returns the process's own clock, which never jumps and runs on while the process is
+// stopped.
 func (a *Agent) now() time.Duration { return time.Since(a.clockZero) }
 
-// Session is the incarnation in force, as far as is known here; nil: none.
+// Session returns the incarnation in force, as far as this process knows, or nil.
 func (a *Agent) Session() *rpc.Session { return a.session.Load() }
 
 // Run keeps the process in the fleet until the context ends.
@@ -81,11 +82,11 @@
 		switch {
 		case ctx.Err() != nil:
 		case errors.Is(err, state.ErrFenced):
-			a.settings.Log.WithError(err).Warn("this process went out of force in the fleet and joins anew")
+			a.settings.Log.WithError(err).Warn("incarnation is fenced; joining the fleet again")
 			pause = minJoinBackoff
 			continue
 		default:
-			a.settings.Log.WithError(err).Warn("the fleet's keepers can't be reached; asking again")
+			a.settings.Log.WithError(err).Warn("no raft node answers; joining the fleet again")
 			n-- // the same start: its join may have counted
 		}
 		select {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// joinAndRenew joins and renews until it is out of force or the context ends.
+// joinAndRenew joins, and renews until the incarnation is fenced or the context ends.
 func (a *Agent) joinAndRenew(ctx context.Context, nonce string) error {
 	join, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
@@ -110,7 +111,7 @@
 		if errors.Is(err, state.ErrFenced) {
 			return err
 		}
-		a.settings.Log.WithError(err).Error("the fleet goes by other settings than this operator's file")
+		a.settings.Log.WithError(err).Error("fleet settings in force differ from this operator file")
 	}
 	a.session.Store(s)
 	a.joins.Add(1)
@@ -124,10 +125,10 @@
 			return err
 		case err != nil && !silent:
 			silent = true
-			a.settings.Log.WithError(err).Warn("the lease could not be renewed: shares are spent to its end, then floors")
+			a.settings.Log.WithError(err).Warn("lease renewal failed; shares are used until the lease expires, then floors")
 		case err == nil && silent:
 			silent = false
-			a.settings.Log.Info("the lease is renewed again")
+			a.settings.Log.Info("lease renewal recovered")
 		}
 		select {
 		case <-ctx.Done():
@@ -140,7 +141,7 @@
 	}
 }
 
-// renew renews the lease and takes in what it grants.
+// renew renews the lease and applies the grant.
 func (a *Agent) renew(ctx context.Context, s *rpc.Session, sent time.Duration) error {
 	body, err := codec.Encode(a.allowance.Renewal(sent))
 	if err != nil {
@@ -153,7 +154,7 @@
 		return err
 	}
 	for part, why := range told.Refused {
-		a.settings.Log.WithField("part", part).Warn("the fleet refuses what a renewal says: " + why)
+		a.settings.Log.WithFields(logrus.Fields{"partition": part, "reason": why}).Warn("partition refused its renewal message")
 	}
 	a.renewedAt.Store(int64(sent))
 	a.leaseEnd.Store(int64(sent + time.Duration(budget.LeaseMargin*float64(told.Lease))))
@@ -173,13 +174,14 @@
 	return nil
 }
 
-// HoldsLease tells whether this process's lease holds, by its own clock.
+// HoldsLease reports whether this process's lease is valid, by its own clock.
 func (a *Agent) HoldsLease() bool {
 	return int64(a.now()) < a.leaseEnd.Load() && a.session.Load() != nil
 }
 
-// Leave says that this process ends as planned, and what it leaves under way. What
-// it can't say by the deadline the fleet finds out by the lease.
+// Leave announces a planned shutdown and reports what is in flight. Whatever it can't
+// report by the deadline, the fleet concludes from the lease's expiry. It must be called
+// once at most.
 func (a *Agent) Leave(ctx context.Context) error {
 	close(a.leaving)
 	left := a.allowance.Close(a.now())
@@ -196,16 +198,16 @@
 	return nil
 }
 
-// Status is what an agent can tell of itself.
+// Status describes an agent.
 type Status struct {
 	Process        string
 	Incarnation    uint64 // 0: not in the fleet
-	Joins          int64  // how often
-	Members        int64  // in force, as of the last renewal
-	SinceRenewalMS int64  // since the last renewal that was granted was sent; -1: none was
+	Joins          int64  // number of joins
+	Members        int64  // members in force as of the last renewal
+	SinceRenewalMS int64  // milliseconds since the last successful renewal was sent; -1: there was none
 }
 
-// Status tells how this process stands.
+// Status returns the agent's status.
 func (a *Agent) Status() Status {
 	s := Status{Process: a.settings.Process, Joins: a.joins.Load(), Members: a.members.Load(), SinceRenewalMS: -1}
 	if at := a.renewedAt.Load(); at != 0 {
--- a/internal/dispatcher/fleet/agent/spend.go
+++ b/internal/dispatcher/fleet/agent/spend.go
@@ -9,15 +9,15 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// bucketSet are looked up on a job's path: an immutable snapshot, replaced when a grant
-// names a budget that was not known.
+// bucketSet is an immutable snapshot of the token buckets by use, which is read on a job's
+// path and replaced when a grant names a new budget.
 type bucketSet struct {
 	names                        map[string]bool
 	admission, retries, inFlight map[string]*budget.TokenBucket
 	cold, probes                 *budget.TokenBucket
 }
 
-// addBuckets makes the taps of these budgets known.
+// addBuckets adds the buckets of these budgets.
 func (a *Agent) addBuckets(names []string) {
 	old := a.buckets.Load()
 	unknown := old == nil
@@ -52,10 +52,10 @@
 	a.buckets.Store(t)
 }
 
-// The methods below are on a job's path: atomics and a snapshot. Those of
-// core.Spending are called by the core's goroutine alone.
+// The methods below are on a job's path: they use atomics and a snapshot, and never
+// block.
 
-// Admit implements stage.Shares.
+// Admit implements pipeline.TenantLimiter.
 func (a *Agent) Admit(tenant string, now time.Time) (time.Time, bool) {
 	t := a.buckets.Load().admission[tenant]
 	if t == nil {
@@ -68,13 +68,13 @@
 	return now.Add(t.RetryAfter(own)), false
 }
 
-// TakeRetry implements basaltloft.Purse.
+// TakeRetry implements policy.SharedBudget and coordinator.Fleet.
 func (a *Agent) TakeRetry(_, class string) bool {
 	t := a.buckets.Load().retries[class]
 	return t == nil || t.Take(a.now())
 }
 
-// RetryTime implements core.Spending.
+// RetryTime implements engine.SharedBudget and coordinator.Fleet.
 func (a *Agent) RetryTime(class string, now time.Time) time.Time {
 	if t := a.buckets.Load().retries[class]; t != nil {
 		return now.Add(t.RetryAfter(a.now()))
@@ -82,11 +82,11 @@
 	return now
 }
 
-// rejectionInterval: jobs that wait for room ask at each look of the decisions; what they
-// want is counted this often.
+// rejectionInterval limits how often a rejection of one budget is counted as demand:
+// waiting jobs ask again at each scheduling decision.
 const rejectionInterval = 20 * time.Millisecond
 
-// HasHeadroom implements basaltloft.Purse.
+// HasHeadroom implements policy.SharedBudget. It belongs to the engine's goroutine.
 func (a *Agent) HasHeadroom(kind string) bool {
 	t := a.buckets.Load().inFlight[kind]
 	if t == nil {
@@ -101,7 +101,7 @@
 	return free
 }
 
-// Reserve implements core.Spending.
+// Reserve implements engine.SharedBudget. It belongs to the engine's goroutine.
 func (a *Agent) Reserve(kind string, until time.Time) (engine.Reservation, bool) {
 	t := a.buckets.Load().inFlight[kind]
 	if t == nil {
@@ -110,13 +110,13 @@
 	return t, t.Begin(a.now(), until.Sub(a.clockZero))
 }
 
-// TakeProbe implements basaltloft.Purse.
+// TakeProbe implements policy.SharedBudget.
 func (a *Agent) TakeProbe() bool {
 	t := a.buckets.Load().probes
 	return t == nil || t.Take(a.now())
 }
 
-// ColdShare implements basaltloft.Purse.
+// ColdShare implements policy.SharedBudget.
 func (a *Agent) ColdShare() (float64, bool) {
 	t := a.buckets.Load().cold
 	if t == nil {
@@ -125,8 +125,8 @@
 	return t.Amount(a.now())
 }
 
-// SetArrivalRate tells how many jobs a second this dispatcher has, by which a cold member's
-// parts are divided.
+// SetArrivalRate reports how many jobs a second arrive at this dispatcher. The capacity of
+// members that are warming up is divided by it.
 func (a *Agent) SetArrivalRate(rate float64) {
 	if t := a.buckets.Load().cold; t != nil {
 		t.SetDemand(rate)
--- a/internal/dispatcher/fleet/budget/book.go
+++ b/internal/dispatcher/fleet/budget/book.go
@@ -9,59 +9,61 @@
 	"time"
 )
 
-// DivisionInterval is how often, in fleet time, a budget is divided anew at most.
+// DivisionInterval is how often a budget is divided at most, in fleet time.
 const DivisionInterval = 100 * time.Millisecond
 
-// demandTolerance is the change of a demand, as a part of the greater one, that changes no share.
+// demandTolerance is the change of a demand, as a fraction of the greater one, that changes
+// no share.
 const demandTolerance = 0.1
 
-// AllocationTable is the replicated side of the budgets. It is no goroutine's own: who
-// applies the commands calls it, one call at a time, with a fleet time that does
-// not run backward (an earlier one counts as the last).
+// AllocationTable is the replicated side of the budgets. It is not safe for concurrent use.
+// Its methods take the fleet time, which must not run backward; an earlier one counts as
+// the last.
 type AllocationTable struct {
 	storedState
 	activeHolders map[string]*holder // the incarnation in force, by process
-	nextDue       time.Duration      // no lease, rest or turn ends before
+	nextDue       time.Duration      // no lease, quarantine or seat turn ends before
 	policy        DivisionPolicy
-	grantTwice    bool // the planted bug
+	grantTwice    bool // the injected fault
 
-	claims     []Claim // kept for the next division
+	claims     []Claim // scratch space of a division, with shares and candidates
 	shares     []float64
 	candidates []int
 }
 
-// storedState is what is encoded. The sums that Book keeps beside it follow from it.
+// storedState is what is encoded, by the field names in its tags. The totals that
+// AllocationTable keeps besides are derived from it.
 type storedState struct {
 	Version   uint64
 	Now       time.Duration `cbor:"At"`
 	Lease     time.Duration
-	LastGrant uint64 `cbor:"Number"` // the last grant number given
+	LastGrant uint64 `cbor:"Number"` // number of the last grant
 	Budgets   []*budgetState
-	Holders   []*holder // by process, then incarnation
+	Holders   []*holder // sorted by process, then incarnation
 }
 
-// budgetState is a budget with what it has given.
+// budgetState is a budget with what has been granted of it.
 type budgetState struct {
 	Budget
 	Quarantines   []quarantine  `cbor:"Rests"`
-	DividedAt     time.Duration `cbor:"Divided"` // when last
+	DividedAt     time.Duration `cbor:"Divided"` // fleet time of the last division
 	SeatTurnAt    time.Duration `cbor:"Turn"`    // when those without a seat get theirs; 0: all have one
-	NeedsDivision bool          `cbor:"Dirty"`   // something changed since
+	NeedsDivision bool          `cbor:"Dirty"`   // something has changed since
 
 	held, quarantined totals
 }
 
-// totals are exact, so they are kept along and do not drift.
+// totals are exact sums, which are updated with each change and do not drift.
 type totals struct {
 	amount, burst int64
 	floors        int
 }
 
-// quarantine is what nobody holds and nobody may have yet.
+// quarantine is what nobody holds and nobody may get yet.
 type quarantine struct {
 	_             struct{} `cbor:",toarray"`
 	Amount, Burst int64
-	Floor         bool // a floor's slot
+	Floor         bool // of a floor's slot
 	Until         time.Duration
 }
 
@@ -71,31 +73,32 @@
 	Process           string
 	Incarnation       uint64
 	LeaseEnd          time.Duration // of its lease
-	AcknowledgedGrant uint64        // the number it has acknowledged
-	OfferedGrant      uint64        // the number offered to it; nothing new is offered before it is acknowledged
-	Superseded        bool          // a newer incarnation is there
-	Allocations       []allocation  // one a budget, in their order
+	AcknowledgedGrant uint64        // number of the grant that it has applied
+	OfferedGrant      uint64        // number of the grant offered to it; nothing new is offered before it is acknowledged
+	Superseded        bool          // a newer incarnation has joined
+	Allocations       []allocation  // one for each budget, in their order
 }
 
 // allocation is what one holder has of one budget.
 type allocation struct {
 	_                     struct{} `cbor:",toarray"`
-	Demand                float64  // what the division counts with
-	InFlight              int64    // UnderWay: what it said is under way
+	Demand                float64  // that the division uses
+	InFlight              int64    // InFlight budgets: as reported
 	Latest                time.Duration
 	Acknowledged, Offered allotment
-	Due, DueBurst         int64 // what the division says, without the floor
-	Seated                bool  // has a seat, where there are fewer than holders
-	Since                 time.Duration
+	Due, DueBurst         int64         // what the division assigned, without the floor; with DueBurst
+	Seated                bool          // has a seat, where there are fewer seats than holders
+	Since                 time.Duration // of Seated, or of its lack
 }
 
-// allotment is what is offered or bound, in millionths.
+// allotment is what is offered or acknowledged, in millionths.
 type allotment struct {
 	_                         struct{} `cbor:",toarray"`
 	Amount, Burst, Floor      int64
 	FloorDuration, SettleTime time.Duration
 }
 
+// componentMax returns the componentwise maximum.
 func (p allotment) componentMax(q allotment) allotment {
 	return allotment{
 		Amount: max(p.Amount, q.Amount), Burst: max(p.Burst, q.Burst), Floor: max(p.Floor, q.Floor),
@@ -103,31 +106,31 @@
 	}
 }
 
-// upperBound is the upper bound of what the holder may be using.
+// upperBound returns the most that the holder may be using.
 func (l *allocation) upperBound() allotment {
 	p := l.Acknowledged.componentMax(l.Offered)
 	p.Amount = max(p.Amount, l.InFlight)
 	return p
 }
 
-// hasFloor tells whether it has a floor's slot, or may think so.
+// hasFloor reports whether the holder has a floor's slot, or may believe so.
 func (l *allocation) hasFloor() bool { return l.upperBound().Floor > 0 }
 
-// NewAllocationTable returns a book without budgets, at fleet time 0. Until it is
-// configured, renewals are granted for no time at all.
+// NewAllocationTable returns a table without budgets, at fleet time 0. Until it is
+// configured, renewals are granted with a lease of 0.
 func NewAllocationTable() *AllocationTable { return NewAllocationTableWith(MaxMin) }
 
-// NewAllocationTableWith returns a book that divides another way, for studies. All replicas divide alike.
+// NewAllocationTableWith returns a table with another division policy, for studies. All
+// replicas must have the same.
 func NewAllocationTableWith(way DivisionPolicy) *AllocationTable {
 	return &AllocationTable{storedState: storedState{Version: stateVersion}, activeHolders: map[string]*holder{}, nextDue: math.MaxInt64, policy: way, grantTwice: faultGrantTwice}
 }
 
-// Configure sets the lease's length and the budgets. A budget that is there
-// already keeps its shares: a lowered whole binds once those that hold more have
-// acknowledged less, or are gone, and nothing grows before. Of a new
-// one that counts what lasts (UnderWay, Part) each process there counts as holding the whole
-// until it has acknowledged: it may have anything under way. With a bad
-// figure nothing changes.
+// Configure sets the lease duration and the budgets. A budget that exists keeps its shares:
+// a lowered total binds once the holders above it have acknowledged less, or are gone, and
+// nothing grows before. Of a new InFlight or Divided budget each holder counts as holding
+// the total until it has acknowledged, since it may have anything in flight. If the
+// configuration is invalid, nothing changes.
 func (b *AllocationTable) Configure(at time.Duration, c Config) error {
 	if err := c.Check(); err != nil {
 		return fmt.Errorf("configuring the fleet's budgets: %w", err)
@@ -165,6 +168,7 @@
 	return nil
 }
 
+// budgetIndex returns a budget's index, or -1.
 func (b *AllocationTable) budgetIndex(name string) int {
 	i, ok := slices.BinarySearchFunc(b.Budgets, name, func(s *budgetState, name string) int { return strings.Compare(s.Name, name) })
 	if !ok {
@@ -173,27 +177,28 @@
 	return i
 }
 
+// holderIndex returns where a holder is, or belongs.
 func (b *AllocationTable) holderIndex(process string, incarnation uint64) (int, bool) {
 	return slices.BinarySearchFunc(b.Holders, process, func(h *holder, _ string) int {
 		return cmp.Or(strings.Compare(h.Process, process), cmp.Compare(h.Incarnation, incarnation))
 	})
 }
 
-// Renew extends a process's lease, takes in what it acknowledges and asks for,
-// and answers with its shares. A renewal may come late, twice, or after a newer
-// one. A new incarnation begins with nothing; what the older one holds stays
-// taken until its lease's end.
+// Renew extends a process's lease, takes in its acknowledgement and its demands, and
+// returns its shares. A renewal may arrive late, twice, or after a newer one. A new
+// incarnation begins with nothing; what the older one holds stays taken until its lease
+// expires.
 //
-// A change is offered only once the last one is acknowledged, so that a holder uses
-// one of two pieces at most: a share that shrinks is free with the renewal
-// after the one that told it. The answer is the same for renewals between.
+// A change is offered only once the last one is acknowledged, so that a holder uses one of
+// two allotments at most: what a share has lost is available with the renewal after the one
+// that announced it. Renewals in between get the same answer.
 //
-// So a process with demand has a share within three renewals of others and its own:
-// it asks (and the budget is divided within Interval), the others are told to
-// shrink by their next renewal and acknowledge at once (Purse.Due), and it gets what
-// is free by its next. That is two thirds of a lease and the calls' trips, where
-// there are as many seats (Burst; whole jobs under way) as processes with demand;
-// where there are fewer they take turns of two leases.
+// So a process with demand has a share within three renewals, of the others and its own: it
+// asks, and the budget is divided within DivisionInterval; the others are told to shrink by
+// their next renewal and acknowledge at once (Allowance.NextRenewal); and it gets what is
+// available by its next. That is two thirds of a lease plus the network delays, where there
+// are as many seats (of a Rate's burst, or whole jobs in flight) as processes with demand;
+// where there are fewer, processes take turns of two leases.
 func (b *AllocationTable) Renew(at time.Duration, r Renewal) (Grant, error) {
 	if r.Process == "" || r.Incarnation == 0 {
 		return Grant{}, fmt.Errorf("renewing %q, %d: %w", r.Process, r.Incarnation, ErrNoName)
@@ -219,8 +224,8 @@
 	return b.grant(h), nil
 }
 
-// isFenced tells whether a newer incarnation is there, or was while this one's
-// lease went on.
+// isFenced reports whether a newer incarnation exists, or has existed during this one's
+// lease.
 func (b *AllocationTable) isFenced(process string, incarnation uint64) bool {
 	if h := b.activeHolders[process]; h != nil && h.Incarnation > incarnation {
 		return true
@@ -247,9 +252,9 @@
 	return h
 }
 
-// acknowledge takes in what a renewal says. One that is older than what was
-// acknowledged says nothing new. What is under way above the amount can only fall, as
-// nothing is begun above it: so the least that was said since counts.
+// acknowledge takes in what a renewal reports. One that is older than what was acknowledged
+// has no news. What is in flight above the amount can only fall, since nothing is begun
+// above it, so that the least reported since counts.
 func (b *AllocationTable) acknowledge(h *holder, r Renewal) {
 	if r.AppliedGrant < h.AcknowledgedGrant {
 		return
@@ -282,7 +287,7 @@
 	}
 }
 
-// updateAllocation keeps the sums along with what do does to a line.
+// updateAllocation changes an allocation and keeps the totals up to date.
 func (b *AllocationTable) updateAllocation(s *budgetState, l *allocation, do func()) {
 	s.held.add(l, -1)
 	do()
@@ -313,7 +318,7 @@
 	}
 }
 
-// reservedFloors is what is set aside for the slots that nobody has.
+// reservedFloors returns what is reserved for the floor slots that nobody has.
 func (s *budgetState) reservedFloors() (amount, burst int64, slots int) {
 	slots = max(s.FloorSlots-s.held.floors-s.quarantined.floors, 0)
 	if s.Floor == 0 {
@@ -322,14 +327,16 @@
 	return int64(slots) * toMicros(s.Floor), int64(slots) * s.burstPerFloor(), slots
 }
 
-// available is what may be given now; below 0 while a lowered whole does not bind yet.
+// available returns what may be granted now; it is below 0 while a lowered total does not
+// bind yet.
 func (s *budgetState) available() (amount, burst int64) {
 	amount, burst, _ = s.reservedFloors()
 	return toMicros(s.Total) - amount - s.held.amount - s.quarantined.amount,
 		toMicros(s.Burst) - burst - s.held.burst - s.quarantined.burst
 }
 
-// grant offers a holder what is due to it, as far as it is free, and answers.
+// grant offers a holder what is due to it, as far as it is available, and returns the
+// answer to its renewal.
 func (b *AllocationTable) grant(h *holder) Grant {
 	g := Grant{Process: h.Process, Incarnation: h.Incarnation, Lease: b.Lease, Shares: make([]Share, len(b.Budgets))}
 	if h.OfferedGrant == h.AcknowledgedGrant {
@@ -359,8 +366,8 @@
 	return g
 }
 
-// offer sets what is offered to a holder that has acknowledged everything; it
-// tells whether that is a change. Its line is out of the sums meanwhile.
+// offer sets what is offered to a holder that has acknowledged everything, and reports
+// whether that is a change. The allocation must not be in the totals meanwhile.
 func (s *budgetState) offer(l *allocation) bool {
 	held, next, slot := l.upperBound(), allotment{SettleTime: s.SettleTime}, 0
 	free, burst := s.available()
@@ -390,10 +397,11 @@
 	return changed
 }
 
-// Leave ends a process as planned. It has closed its Purse before: what it held
-// of a Rate is free at once, what it left under way rests until its latest deadline, and
-// its parts rest for Linger. A budget that left does not name rests as if the process had
-// died now. A process that is not there is no error: the call may come twice.
+// Leave processes a planned shutdown. The process has closed its Allowance before: what it
+// held of a Rate is available at once, what it left in flight is quarantined until its
+// latest deadline, and its parts of Divided budgets for SettleTime. A budget that left does
+// not name is treated as if the process had failed now. An unknown process is no error,
+// since the call may arrive twice.
 func (b *AllocationTable) Leave(at time.Duration, process string, incarnation uint64, left map[string]Departure) error {
 	if process == "" || incarnation == 0 {
 		return fmt.Errorf("leaving of %q, %d: %w", process, incarnation, ErrNoName)
@@ -423,9 +431,9 @@
 	return nil
 }
 
-// expireHolder ends a holder whose lease is over. It may go on with its floor for
-// FloorFor; jobs that it began by then last for Linger more at most, and what it
-// used of a part counts for as long.
+// expireHolder removes a holder whose lease has expired. It may go on with its floor for
+// FloorDuration; jobs that it has begun by then last for SettleTime more at most, and what
+// it used of a Divided budget counts for as long.
 func (b *AllocationTable) expireHolder(h *holder, lasting bool) {
 	for i, s := range b.Budgets {
 		l := &h.Allocations[i]
@@ -462,15 +470,15 @@
 	b.nextDue = min(b.nextDue, b.Now) // rests may be due
 }
 
-// Advance takes in that fleet time is at: leases end, what rests is free, and
-// what changed is divided anew. Without a change, and before anything is due, it
-// does nothing.
+// Advance moves the fleet time: leases expire, quarantines end, and changed budgets are
+// divided. Without a change, and before NextDue, it does nothing.
 func (b *AllocationTable) Advance(at time.Duration) {
 	b.expireDue(at)
 	b.divideChanged()
 }
 
-// expireDue ends what is due. A rest may be of before: one that is over is dropped in the same call.
+// expireDue ends the leases, quarantines and seat turns that are due. A quarantine may
+// already be over when it is added; it is then dropped in the same call.
 func (b *AllocationTable) expireDue(at time.Duration) {
 	b.Now = max(b.Now, at)
 	if b.nextDue > b.Now {
@@ -506,15 +514,15 @@
 	}
 }
 
-// BudgetStatus is how a budget stands, for figures and checks.
+// BudgetStatus describes a budget, for metrics and checks.
 type BudgetStatus struct {
 	Name                           string
 	Whole, Held, Resting, SetAside float64
-	Burst, HeldBurst               float64 // with what rests and is set aside
-	Bound                          bool    // the whole binds: no more is held than it
+	Burst, HeldBurst               float64 // HeldBurst includes what is quarantined and reserved
+	Bound                          bool    // the total binds: no more than it is held
 }
 
-// Status tells how each budget stands, by name.
+// Status describes the budgets, sorted by name.
 func (b *AllocationTable) Status() []BudgetStatus {
 	out := make([]BudgetStatus, len(b.Budgets))
 	for i, s := range b.Budgets {
--- a/internal/dispatcher/fleet/budget/book_code.go
+++ b/internal/dispatcher/fleet/budget/book_code.go
@@ -8,10 +8,10 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// stateVersion is the form of the state that this program writes and reads.
+// stateVersion is the version of the encoded state.
 const stateVersion = 1
 
-// Encode writes the state: the same state gives the same bytes.
+// Encode encodes the state. Equal states have equal bytes.
 func (b *AllocationTable) Encode() ([]byte, error) {
 	text, err := codec.Encode(&b.storedState)
 	if err != nil {
@@ -20,9 +20,8 @@
 	return text, nil
 }
 
-// Decode takes the state that Encode wrote in the place of its own. A text that
-// is cut short, of another version, or does not hold together is an error, and
-// nothing changes.
+// Decode replaces the state by an encoded one. If that is truncated, of another version, or
+// inconsistent, nothing changes.
 func (b *AllocationTable) Decode(text []byte) error {
 	var im storedState
 	if err := codec.Decode(text, &im); err != nil {
@@ -73,7 +72,7 @@
 	return nil
 }
 
-// checkAmounts looks whether what is given of a budget are figures that can be summed.
+// checkAmounts validates the amounts of a budget, which must be summable.
 func (im *storedState) checkAmounts(i int, s *budgetState) error {
 	sum := 0.0
 	add := func(xs ...int64) bool {
@@ -100,7 +99,7 @@
 	return nil
 }
 
-// Digest is the sum of the encoded state, compared between replicas.
+// Digest returns the digest of the encoded state, which is compared between replicas.
 func (b *AllocationTable) Digest() (uint64, error) {
 	text, err := b.Encode()
 	if err != nil {
@@ -109,7 +108,7 @@
 	return codec.Digest(text), nil
 }
 
-// rebuildTotals makes anew what follows from the state.
+// rebuildTotals rebuilds what is derived from the stored state.
 func (b *AllocationTable) rebuildTotals() {
 	b.activeHolders = make(map[string]*holder, len(b.Holders))
 	for _, s := range b.Budgets {
--- a/internal/dispatcher/fleet/budget/book_divide.go
+++ b/internal/dispatcher/fleet/budget/book_divide.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// divideChanged divides the budgets anew that changed, each once an Interval at most.
+// divideChanged divides the budgets that have changed, each once in a DivisionInterval at
+// most.
 func (b *AllocationTable) divideChanged() {
 	for i, s := range b.Budgets {
 		if s.NeedsDivision && b.Now-s.DividedAt >= DivisionInterval {
@@ -16,9 +17,9 @@
 	}
 }
 
-// divideBudget says what is due to each holder. What older incarnations hold, what
-// rests and what is set aside is not divided; parts that rest are, as they come
-// back to those that they are due to.
+// divideBudget sets what is due to each holder. What older incarnations hold, what is
+// quarantined and what is reserved is not divided; parts of a Divided budget in quarantine
+// are, since they return to those that they are due to.
 func (b *AllocationTable) divideBudget(i int, s *budgetState) {
 	amount, burst, _ := s.reservedFloors()
 	whole, bursts := toMicros(s.Total)-amount, toMicros(s.Burst)-burst
@@ -86,7 +87,7 @@
 	}
 }
 
-// demandBeyondFloor is what a holder asks for beyond its floor.
+// demandBeyondFloor returns a holder's demand beyond its floor.
 func (b *AllocationTable) demandBeyondFloor(i int, s *budgetState, h *holder) float64 {
 	l := &h.Allocations[i]
 	d := l.Demand
@@ -99,13 +100,13 @@
 	return min(max(d, 0), s.Total)
 }
 
-// seatTurnLeases is how many leases a seat is kept where others wait for one.
+// seatTurnLeases is how many leases a seat is kept while others wait for one.
 const seatTurnLeases = 2
 
-// assignSeats leaves in who those that get a share where one cannot be cut small enough
-// for all: a token bucket needs 1 of the burst, and a job is whole. Who wants
-// something and has had a seat for less than a turn keeps it, then come those
-// that wait, the longest first, then who has had one for longest.
+// assignSeats reduces candidates to those that get a share, where the budget can't be cut
+// small enough for all: a token bucket needs 1 of the burst, and a job is indivisible.
+// First come holders with demand that have had a seat for less than a turn, then those that
+// wait, the longest first, then those that have had one longest.
 func (b *AllocationTable) assignSeats(i int, s *budgetState, seats, wanting int) {
 	class := func(k int) int {
 		h := b.Holders[k]
@@ -143,7 +144,7 @@
 	slices.Sort(b.candidates)
 }
 
-// divideBurst gives each that has a seat 1 and the rest by amount.
+// divideBurst gives each seated holder 1 of the burst, and the rest by amount.
 func (b *AllocationTable) divideBurst(i int, bursts int64) {
 	all := 0.0
 	for _, k := range b.candidates {
@@ -159,8 +160,8 @@
 	}
 }
 
-// divideWholeJobs divides whole jobs: one for each that wants any, the rest by the
-// way, and what is left of cutting to those that have it already.
+// divideWholeJobs divides whole jobs: one for each holder with demand, the rest by the
+// policy, and what rounding leaves to those that hold it already.
 func (b *AllocationTable) divideWholeJobs(i int, jobs int64) {
 	left := jobs
 	for n, k := range b.candidates {
--- a/internal/dispatcher/fleet/budget/budgetcheck/sharecheck.go
+++ b/internal/dispatcher/fleet/budget/budgetcheck/sharecheck.go
@@ -1,6 +1,6 @@
-// Package budgetcheck tells from outside whether a budget was overspent: from a log
-// in true time of what was admitted by all processes together. It knows nothing of
-// shares. It is for simulations, and for tests of started processes.
+// Package budgetcheck checks from outside whether a budget was exceeded: from a log in real
+// time of what all processes together have admitted. It knows nothing of shares. It is for
+// simulations and for tests of started processes.
 package budgetcheck
 
 import (
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// Rate checks that in every interval of length t at most whole x t + burst are
-// admitted. That is so exactly if the level of a bucket that rises by 1 with each
-// and drains by the whole a second never is above the burst, so one pass
-// does for all pairs of times.
+// Rate checks that in every interval of length t at most limit times t plus burst are
+// admitted. That holds exactly if the level of a bucket that rises by 1 with each and
+// drains at the limit never exceeds the burst, so that one pass covers all intervals.
 type Rate struct {
 	limit, burst, level float64
 	last                time.Duration
 }
 
-// Set changes the whole and the burst from a time on, when the change binds. Spans
-// before and after a lowered burst are looked at apart.
+// Set changes the limit, a second, and the burst from a time on, when the change binds.
+// Intervals before and after a lowered burst are checked separately.
 func (r *Rate) Set(at time.Duration, whole, burst float64) {
 	r.drain(at)
 	if burst < r.burst {
@@ -32,8 +31,8 @@
 	r.last = at
 }
 
-// Admit takes in one, admitted at a time no earlier than the last; an error: there is
-// an interval that ends now with too many.
+// Admit records one admission, at a time no earlier than the last. An error says that there
+// is an interval, ending now, with too many.
 func (r *Rate) Admit(at time.Duration) error {
 	r.drain(at)
 	if r.level++; r.level > r.burst+1e-6 {
@@ -42,15 +41,15 @@
 	return nil
 }
 
-// InFlight checks that at most the whole is under way.
+// InFlight checks that at most the limit is in flight.
 type InFlight struct {
 	Limit        float64 // as it binds now
-	PeakFraction float64 // the most that was under way, as a part of the whole
+	PeakFraction float64 // the most that was in flight, as a fraction of the limit
 
 	inFlight int
 }
 
-// Add takes in that n began, or ended (below 0).
+// Add records that n jobs have begun, or ended (below 0).
 func (u *InFlight) Add(at time.Duration, n int) error {
 	u.inFlight += n
 	u.PeakFraction = max(u.PeakFraction, float64(u.inFlight)/u.Limit)
@@ -60,12 +59,12 @@
 	return nil
 }
 
-// Divided checks that what different ones used within any window sums to at most the
-// whole, where each counts with the most that it used.
+// Divided checks that what the holders used within any window sums to at most the limit,
+// where each counts with the most that it used.
 type Divided struct {
 	Window       time.Duration
 	Limit        float64 // as it binds now
-	PeakFraction float64 // the most that was used, as a part of the whole
+	PeakFraction float64 // the most that was used, as a fraction of the limit
 
 	recent []usage
 }
@@ -76,7 +75,7 @@
 	at     time.Duration
 }
 
-// Use takes in that one used so much at a time no earlier than the last.
+// Use records that a holder uses an amount from a time on, no earlier than the last.
 func (p *Divided) Use(at time.Duration, who uint64, amount float64) error {
 	p.recent = append(p.recent, usage{who, amount, at})
 	for p.recent[0].at <= at-p.Window {
--- a/internal/dispatcher/fleet/budget/budgetlab/sharelab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/sharelab.go
@@ -1,7 +1,7 @@
-// Package budgetlab is a model of a fleet that shares one Rate, in virtual time: how
-// well the whole is used when demand is skewed and moves, what the calls
-// cost, and how long it takes to divide anew. It is for choosing a way to divide
-// and for figures in the documents; nothing that serves uses it.
+// Package budgetlab models, in virtual time, a fleet that shares one Rate: how well the
+// total is used when demand is skewed and moves, what the renewals cost, and how fast a
+// change is divided anew. It serves the choice of a division policy and the figures in the
+// documents; production code doesn't use it.
 package budgetlab
 
 import (
@@ -13,26 +13,26 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// Fleet is what is modelled. All times are true ones; clocks run alike.
+// Fleet is the fleet that is modelled. All times are real ones; clocks are exact.
 type Fleet struct {
-	Holders int
-	Way     budget.DivisionPolicy
-	Rate    float64       // of the whole a second and holder
-	Burst   time.Duration // of the whole, at its rate
-	Offered float64       // all traffic, as a part of the whole
-	Heavy   float64       // the part of the traffic that one holder has
-	Every   time.Duration // how often another holder becomes that one; 0: never
-	Lease   time.Duration
-	Trip    time.Duration // of a call, one way
-	Seed    uint64
+	Holders      int
+	Policy       budget.DivisionPolicy
+	Rate         float64       // of the total, a second and holder
+	Burst        time.Duration // of the total, as a time at its rate
+	Offered      float64       // all traffic, as a fraction of the total
+	HeavyShare   float64       // fraction of the traffic that one holder has
+	MoveInterval time.Duration // how often another holder becomes that one; 0: never
+	Lease        time.Duration
+	NetworkDelay time.Duration // of a call, one way
+	Seed         uint64
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	Use      float64 // admitted, as a part of the whole
-	Others   float64 // of what came to the others than the heavy one, the part admitted
-	Renewals float64 // a second and holder
-	Bytes    float64 // of renewals and grants, encoded, a second and holder
+	Utilization   float64 // admitted, as a fraction of the total
+	LightAdmitted float64 // of what came to the other holders than the heavy one, the fraction admitted
+	Renewals      float64 // a second and holder
+	Bytes         float64 // of encoded renewals and grants, a second and holder
 }
 
 // step is how far the model goes at a time. Jobs come at any instant within it.
@@ -63,7 +63,7 @@
 }
 
 func newModel(f Fleet) (*model, error) {
-	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: budget.NewAllocationTableWith(f.Way), later: map[time.Duration][]func(){}}
+	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: budget.NewAllocationTableWith(f.Policy), later: map[time.Duration][]func(){}}
 	rate := budget.Budget{Name: "x", Kind: budget.Rate, Total: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
 	if err := m.book.Configure(0, budget.Config{Lease: f.Lease, Budgets: []budget.Budget{rate}}); err != nil {
 		return nil, fmt.Errorf("modelling a fleet: %w", err)
@@ -90,9 +90,9 @@
 func (m *model) rate(i int) float64 {
 	all := m.whole() * m.Offered
 	if i == m.heavy {
-		return all * m.Heavy
+		return all * m.HeavyShare
 	}
-	return all * (1 - m.Heavy) / float64(m.Fleet.Holders-1)
+	return all * (1 - m.HeavyShare) / float64(m.Fleet.Holders-1)
 }
 
 // run goes on for a while, or until done tells so; it tells how long that was.
@@ -104,8 +104,8 @@
 		}
 		delete(m.later, m.now)
 		m.book.Advance(m.now)
-		if m.Every > 0 {
-			m.heavy = int(m.now/m.Every) * 7 % m.Fleet.Holders
+		if m.MoveInterval > 0 {
+			m.heavy = int(m.now/m.MoveInterval) * 7 % m.Fleet.Holders
 		}
 		for i, h := range m.holders {
 			if h.down {
@@ -150,7 +150,7 @@
 	if err := m.count(r); err != nil {
 		return err
 	}
-	there, back := sent+m.Trip.Round(step), sent+2*m.Trip.Round(step)
+	there, back := sent+m.NetworkDelay.Round(step), sent+2*m.NetworkDelay.Round(step)
 	m.later[there] = append(m.later[there], func() {
 		g, err := m.book.Renew(there, r)
 		if err != nil {
@@ -178,7 +178,7 @@
 	return err
 }
 
-// Run models a fleet for a while, after it has settled for warm.
+// Run models a fleet for a time, after a warm-up.
 func Run(f Fleet, warm, length time.Duration) (Result, error) {
 	m, err := newModel(f)
 	if err != nil {
@@ -193,20 +193,20 @@
 	}
 	each := length.Seconds() * float64(f.Holders)
 	return Result{
-		Use:    float64(m.admitted) / (m.whole() * length.Seconds()),
-		Others: float64(m.othersIn) / float64(max(m.came, 1)), Renewals: float64(m.asks) / each, Bytes: float64(m.bytes) / each,
+		Utilization:   float64(m.admitted) / (m.whole() * length.Seconds()),
+		LightAdmitted: float64(m.othersIn) / float64(max(m.came, 1)), Renewals: float64(m.asks) / each, Bytes: float64(m.bytes) / each,
 	}, nil
 }
 
-// Times are how long it takes until what changed is divided anew.
+// Times are how long it takes until a change is divided anew.
 type Times struct {
 	Join  time.Duration // from a process's start to its first job
-	Leave time.Duration // from the heavy holder's planned end until the others hold 0.95 of the whole
-	Kill  time.Duration // the same from its death
+	Leave time.Duration // from the heavy holder's planned shutdown until the others hold 0.95 of the total
+	Kill  time.Duration // the same from its failure
 }
 
-// Change models a fleet that wants more than the whole (Offered above 1), and one
-// change of each kind after it has settled for warm.
+// Change models a fleet that wants more than the total (Offered above 1), and one change of
+// each kind after a warm-up.
 func Change(f Fleet, warm time.Duration) (Times, error) {
 	var out Times
 	for _, kind := range []string{"join", "leave", "kill"} {
@@ -235,7 +235,7 @@
 		case "leave":
 			heavy.down = true
 			left := heavy.purse.Close(m.now)
-			if err = m.book.Leave(m.now+m.Trip, heavy.name, 1, left); err == nil {
+			if err = m.book.Leave(m.now+m.NetworkDelay, heavy.name, 1, left); err == nil {
 				out.Leave, err = m.run(time.Minute, divided)
 			}
 		case "kill":
--- a/internal/dispatcher/fleet/budget/budgetlab/sharelab_test.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/sharelab_test.go
@@ -20,19 +20,19 @@
 		fleets = []int{30, 300, 3000}
 	}
 	for _, n := range fleets {
-		f := Fleet{Holders: n, Rate: 100, Burst: time.Second / 2, Heavy: 0.5, Lease: 3 * time.Second, Trip: 20 * time.Millisecond, Seed: 1}
+		f := Fleet{Holders: n, Rate: 100, Burst: time.Second / 2, HeavyShare: 0.5, Lease: 3 * time.Second, NetworkDelay: 20 * time.Millisecond, Seed: 1}
 		for k, way := range []budget.DivisionPolicy{budget.Equal, budget.Proportional, budget.Loan, budget.MaxMin} {
 			for _, f.Offered = range []float64{1, 1.5} {
-				f.Way, f.Every = way, 10*time.Second
+				f.Policy, f.MoveInterval = way, 10*time.Second
 				r, err := Run(f, 10*time.Second, 60*time.Second)
 				require.NoError(t, err)
 				t.Logf("%4d holders, offered %.1f, %-12s: %.3f used; %.3f of the others' let in; a second and holder %.2f renewals, %.0f bytes",
-					n, f.Offered, ways[k], r.Use, r.Others, r.Renewals, r.Bytes)
-				require.True(t, k < 3 || r.Use >= 0.9, "max-min uses %v", r.Use)
-				require.True(t, k > 0 || r.Use < 0.8, "an equal split uses %v", r.Use)
+					n, f.Offered, ways[k], r.Utilization, r.LightAdmitted, r.Renewals, r.Bytes)
+				require.True(t, k < 3 || r.Utilization >= 0.9, "max-min uses %v", r.Utilization)
+				require.True(t, k > 0 || r.Utilization < 0.8, "an equal split uses %v", r.Utilization)
 			}
 		}
-		f.Every = 0
+		f.MoveInterval = 0
 		times, err := Change(f, 10*time.Second)
 		require.NoError(t, err)
 		t.Logf("%4d holders, max-min: %+v", n, times)
--- a/internal/dispatcher/fleet/budget/divide.go
+++ b/internal/dispatcher/fleet/budget/divide.go
@@ -1,18 +1,18 @@
 package budget
 
-// Claim is what one holder wants of a total.
+// Claim is what one holder asks for.
 type Claim struct {
 	Demand float64
 	Weight float64 // above 0
 }
 
-// A Way divides a total among asks: out has as many entries as asks and is
-// written whole; its sum is at most total. It is a pure function, and products are
-// rounded before they are added (no fused operations), so that each replica
-// divides alike.
+// A DivisionPolicy divides a total among claims: shares has as many entries as claims, all
+// of which are written, and their sum is at most total. It must be a pure function, and
+// round products before it adds them (no fused operations), so that each replica computes
+// the same shares.
 type DivisionPolicy func(total float64, asks []Claim, out []float64)
 
-// Equal gives each its weight's part, whatever it asks for.
+// Equal gives each claim a share by its weight, whatever its demand.
 func Equal(total float64, asks []Claim, out []float64) {
 	weights := 0.0
 	for _, a := range asks {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Proportional gives each its part of all demand. A holder that asks for ten
-// times as much gets ten times as much, also where that starves the others.
+// Proportional gives each claim a share in proportion to its demand, even where that
+// starves the others.
 func Proportional(total float64, asks []Claim, out []float64) {
 	all := 0.0
 	for _, a := range asks {
@@ -39,10 +39,10 @@
 	}
 }
 
-// MaxMin gives each the least of its demand and a level, the same for all by
-// weight, that uses the total up: no holder can get more but by taking from one
-// that has less. What nobody asks for is spread, half by weight, so that a new
-// demand finds something, and half by demand, for demand that wavers.
+// MaxMin is weighted max-min fair: each claim gets the lesser of its demand and a level,
+// the same for all by weight, that uses up the total. What nobody asks for is spread, half
+// by weight, so that a new demand finds something, and half by demand, for demand that
+// varies.
 func MaxMin(total float64, asks []Claim, out []float64) {
 	all, weights := 0.0, 0.0
 	for _, a := range asks {
@@ -63,9 +63,9 @@
 	waterFill(total, asks, out)
 }
 
-// waterFill is the level's search where there is less than is asked for: who asks for
-// less than the level gets that and leaves the rest to the others, until nobody
-// new does. The level only rises, so each is settled once; a few rounds do.
+// waterFill searches the level of MaxMin where the demand exceeds the total: claims below
+// the level get their demand and leave the rest to the others, until there is no new one.
+// The level only rises, so that each claim is settled once.
 func waterFill(total float64, asks []Claim, out []float64) {
 	for i := range out {
 		out[i] = -1 // not settled
@@ -100,8 +100,8 @@
 	}
 }
 
-// Loan gives each its weight's part and lets those that need less lend half of
-// what they do not use; what is lent goes to the others, max-min.
+// Loan gives each claim a share by its weight and lets those that need less lend half of
+// what they don't use; what is lent is divided by MaxMin.
 func Loan(total float64, asks []Claim, out []float64) {
 	Equal(total, asks, out)
 	lent := 0.0
--- a/internal/dispatcher/fleet/budget/figures.go
+++ b/internal/dispatcher/fleet/budget/figures.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// RejectionReason is why a tap turned something away, for the account and the logs.
+// RejectionReason tells why a bucket rejected a job, for statistics and logs.
 type RejectionReason uint8
 
-// The reasons.
+// Reasons.
 const (
-	ReasonNone         RejectionReason = iota // it would let one through now
-	ReasonNoShare                             // there is none: no grant told of one yet, or its amount is 0
+	ReasonNone         RejectionReason = iota // it would be admitted now
+	ReasonNoShare                             // no grant has named the budget yet, or the share is 0
 	ReasonExhausted                           // the share, or the floor, is used up
-	ReasonLeaseExpired                        // the lease is over, and the floor too
-	ReasonTooLong                             // the job may last longer than the budget's Linger
-	ReasonWrongKind                           // asked as another kind of budget than it is
+	ReasonLeaseExpired                        // the lease has expired, and the floor too
+	ReasonTooLong                             // the job may last longer than the budget's SettleTime
+	ReasonWrongKind                           // the budget is of another kind
 )
 
 var reasonNames = [...]string{"admits", "no share", "share spent", "cut off from the fleet", "longer than the budget lingers", "a budget of another kind"}
@@ -29,9 +29,9 @@
 	return fmt.Sprintf("reason %d", uint8(r))
 }
 
-// RejectionReason is why one more would be turned away at now, of a kind, lasting so long
-// (UnderWay). It is asked after a refusal and changes nothing; by then one more may
-// be admitted.
+// RejectionReason returns why another job of this duration (InFlight) would be rejected at
+// now. It is called after a rejection and changes nothing; by then the job might be
+// admitted.
 func (t *TokenBucket) RejectionReason(now time.Duration, kind Kind, lasts time.Duration) RejectionReason {
 	s := t.terms.Load()
 	switch {
@@ -55,10 +55,10 @@
 	return ReasonNone
 }
 
-// Mode is what a process spends at the moment.
+// Mode tells what a process uses at the moment.
 type Mode uint8
 
-// The modes.
+// Modes.
 const (
 	Unbounded Mode = iota // the budget does not exist, as far as is known
 	OnShare
@@ -76,20 +76,20 @@
 	return fmt.Sprintf("mode %d", uint8(m))
 }
 
-// BucketStatus is how one budget stands at this process.
+// BucketStatus describes one budget at this process.
 type BucketStatus struct {
 	Name     string
 	Kind     Kind
 	Mode     Mode
-	Amount   float64       // that may be used now; 0 where unbounded
-	ValidFor time.Duration // until that ends, without another grant; 0: it has, or never will
+	Amount   float64       // usable now; 0 where unbounded
+	ValidFor time.Duration // until Amount ends without another grant; 0: it has, or never will
 	Admitted int64         // since the start
-	Rejected int64         // turned away since the start
+	Rejected int64         // since the start
 	InFlight int64
-	Demand   float64 // as last told
+	Demand   float64 // as last reported
 }
 
-// Status tells how the budgets stand here at now, by name.
+// Status describes the budgets at this process, sorted by name.
 func (p *Allowance) Status(now time.Duration) []BucketStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,16 +121,16 @@
 	Process      string
 	Incarnation  uint64
 	Ends         time.Duration // of its lease, in fleet time
-	Fenced       bool          // a newer incarnation is there: it gets nothing more
+	Fenced       bool          // a newer incarnation exists: it gets nothing more
 	Acknowledged bool          // it has applied the last grant
 	Held         float64       // the most that it may be using
-	Offered, Due float64       // what the last grant says, and what the division says
+	Offered, Due float64       // by the last grant; Due: by the division
 	Floor        bool
 	Demand       float64
 }
 
-// HolderStatuses tells who holds what of a budget, by process and incarnation; none for a name
-// that there is not.
+// HolderStatuses returns who holds what of a budget, by process and incarnation; none for
+// an unknown budget.
 func (b *AllocationTable) HolderStatuses(name string) []HolderStatus {
 	i := b.budgetIndex(name)
 	if i < 0 {
@@ -148,8 +148,8 @@
 	return out
 }
 
-// NextDue is the fleet time from which Advance has something to do, at the earliest. A leader
-// need not put an Advance into the log before; it may well have nothing to do then.
+// NextDue returns the earliest fleet time at which Advance may have something to do. A
+// leader need not propose an Advance before.
 func (b *AllocationTable) NextDue() time.Duration {
 	due := b.nextDue
 	for _, s := range b.Budgets {
--- a/internal/dispatcher/fleet/budget/purse.go
+++ b/internal/dispatcher/fleet/budget/purse.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// Allowance is one process's side of the budgets. Its times are the process's own
-// monotonic clock. Apply, Renewal and Tap may wait for one another; what a job's path
-// calls is on Tap and waits for nothing.
+// Allowance is one process's side of the budgets. Its times are those of the process's own
+// monotonic clock. Its methods, which lock, are safe for concurrent use; a job's path uses
+// TokenBucket only.
 type Allowance struct {
 	mu           sync.Mutex
 	process      string
 	incarnation  uint64
-	appliedGrant uint64        // of the grant applied
+	appliedGrant uint64        // number of the grant applied; 0: none
 	grantedAt    time.Duration // when the last renewal that was granted was sent
 	lease        time.Duration
 	buckets      map[string]*TokenBucket
-	names        []string        // of the taps, as they came
+	names        []string        // of the buckets, in order of creation
 	expected     map[string]bool // nil: none
 	renewalAt    time.Duration   // when the last renewal was made
 	renewSoon    bool
 	closed       bool
-	fullBuckets  bool // the planted bug
+	fullBuckets  bool // the injected fault
 }
 
-// NewAllowance returns a purse without a grant.
+// NewAllowance returns an allowance without a grant.
 func NewAllowance() *Allowance {
 	return &Allowance{buckets: map[string]*TokenBucket{}, renewalAt: math.MinInt64 / 4, fullBuckets: faultFullBucket}
 }
 
-// ExpectBudgets names budgets that there are as far as this process knows, from its own
-// operator's file. Until a grant tells, their taps are shut and not open: a process that
-// has just begun admits nothing of a budget that it has no share of.
+// ExpectBudgets names the budgets that exist as far as this process knows, from its
+// operator's file. Until a grant says otherwise their buckets are empty instead of
+// unlimited: a process that has just started admits nothing of a budget of which it has no
+// share.
 func (p *Allowance) ExpectBudgets(names ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,8 +49,8 @@
 	}
 }
 
-// SetIncarnation names the process and the incarnation that renewals are made for. A new
-// incarnation has no share until its first grant; what is under way goes on.
+// SetIncarnation sets the process and incarnation that renewals are made for. A new
+// incarnation has no share until its first grant; what is in flight goes on.
 func (p *Allowance) SetIncarnation(process string, incarnation uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,15 +65,15 @@
 	p.process, p.incarnation, p.appliedGrant, p.grantedAt = process, incarnation, 0, 0
 }
 
-// Apply takes in a grant: sent is when the renewal that it answers was sent, now
-// the time of the own clock. It tells whether the process should renew at once
-// (a share shrank, and others wait for the acknowledgement). A grant of another
-// incarnation, older than the one applied, or that Check turns down, changes nothing.
+// Apply applies a grant: sent is when the renewal that it answers was sent, now the time of
+// the own clock. It reports whether the process should renew at once, because a share has
+// shrunk and others wait for the acknowledgement. A grant of another incarnation, one that
+// is older than the one applied, or one that Check refuses changes nothing.
 //
-// The lease is counted from sent, and Margin of its length: by the fleet's clock it
-// began later and lasts longer. A grown share begins with what its bucket holds, a
-// new one with none; a bucket that shrinks is clipped at once, before the
-// grant's number is in any renewal.
+// The lease is counted from sent, for LeaseMargin of its duration: by the fleet's clock it
+// has begun later and lasts longer. A share that has grown begins with what its bucket
+// holds, a new one with nothing; a bucket that shrinks is clipped at once, before any
+// renewal acknowledges the grant.
 func (p *Allowance) Apply(sent, now time.Duration, g Grant) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,8 +115,8 @@
 	return shrank
 }
 
-// Bucket is the process's tap of a budget, looked up once and kept. Of a budget that
-// does not exist (yet) it lets all through and counts.
+// Bucket returns the process's bucket of a budget, to be looked up once and kept. The
+// bucket of a budget that does not exist (yet) admits everything and counts.
 func (p *Allowance) Bucket(name string) *TokenBucket {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +134,7 @@
 	return t
 }
 
-// termsWithoutGrant are the terms of a budget that no grant has told of.
+// termsWithoutGrant returns the terms of a budget that no grant has named.
 func (p *Allowance) termsWithoutGrant(name string) *terms {
 	if p.closed || p.appliedGrant == 0 && p.expected[name] {
 		return &blocked
@@ -141,9 +142,10 @@
 	return &unlimited
 }
 
-// NextRenewal is when, by the own clock, the next renewal is to be sent: a third of a
-// lease after the last one, or a twelfth where a share shrank, where more is due than
-// could be given, or where demand is not what was told, by half and by more than chance.
+// NextRenewal returns when, by the own clock, the next renewal is to be sent: a third of a
+// lease after the last one, or a twelfth where a share has shrunk, where more is due than
+// could be given, or where demand differs from what was reported, by half and by more than
+// chance.
 func (p *Allowance) NextRenewal(now time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,8 +162,9 @@
 	return p.renewalAt + p.lease/3
 }
 
-// Renewal is what to send now. It reads the number before what is under way: what is
-// begun after under an older grant is not possible, as the tap is asked after it counts.
+// Renewal returns the renewal to be sent now. It reads the grant's number before what is in
+// flight: nothing can begin afterwards under an older grant, since a bucket checks its
+// terms after it counts.
 func (p *Allowance) Renewal(now time.Duration) Renewal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,8 +176,8 @@
 	return r
 }
 
-// Close shuts all taps for good and tells what is left under way, for the planned
-// end. Nothing is admitted after it.
+// Close closes all buckets for good and returns what is in flight, for a planned shutdown.
+// Nothing is admitted after it.
 func (p *Allowance) Close(now time.Duration) map[string]Departure {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +192,7 @@
 	return left
 }
 
-// terms are what a tap goes by, never changed once published.
+// terms are the limits of a bucket. They are immutable once published.
 type terms struct {
 	kind                              Kind
 	amount, burst, floor, floorBurst  float64
@@ -200,11 +203,12 @@
 
 // unlimited lets all through; shut lets nothing.
 var (
-	unlimited = terms{amount: math.MaxInt64 / 4, burst: math.MaxInt64 / 4, linger: noEnd, leaseEnd: noEnd, floorEnd: noEnd}
+	unlimited = terms{amount: math.MaxInt64 / 4, burst: math.MaxInt64 / 4, linger: noEnd, leaseEnd: noEnd, floorEnd: noEnd} // unlimited admits everything; blocked admits nothing.
 	blocked   = terms{}
 )
 
-// amountAt is what may be used at a time of the own clock: the share, then the floor, then nothing.
+// amountAt returns what may be used at a time of the own clock: the share, then the floor,
+// then nothing.
 func (s *terms) amountAt(now time.Duration) float64 {
 	switch {
 	case now < s.leaseEnd:
@@ -215,7 +219,8 @@
 	return 0
 }
 
-// paddedCounter keeps what all threads write off the line that they read.
+// paddedCounter keeps a counter that all threads write off the cache line of the fields
+// that they read.
 type paddedCounter struct {
 	_ [64]byte
 	atomic.Int64
--- a/internal/dispatcher/fleet/budget/shares.go
+++ b/internal/dispatcher/fleet/budget/shares.go
@@ -1,15 +1,16 @@
-// Package budget divides fleet-wide budgets: a whole that all processes together
-// may spend, held by each in a share that is a lease. Book is the replicated side,
-// changed by commands alone; Purse is one process's side, which a job's path
-// asks without a lock. Neither does I/O, reads a clock or starts a goroutine.
+// Package budget divides fleet-wide budgets: a total that all processes together may use,
+// of which each holds a share that is a lease. AllocationTable is the replicated side,
+// changed by commands only; Allowance is one process's side, whose TokenBuckets a job's
+// path uses without a lock. Neither does I/O, reads a clock or starts a goroutine.
 //
-// The argument is the same for each kind. Book keeps, for each holder, an upper
-// bound of what it may be using: the most of the share it has acknowledged, the one
-// offered to it, and what it said is still under way. The bounds of all, what rests
-// and what is set aside for floors never sum to more than the whole by anything
-// that Book gives, because growth is given from the rest only; a bound falls
-// only with an acknowledgement, a planned end, or the lease's end in fleet time,
-// which comes after the end that the holder counts (Margin).
+// Why a total is never exceeded: the AllocationTable keeps, for each holder, an upper bound
+// of what it may be using, which is the greatest of the share it has acknowledged, the
+// share offered to it, and what it reported in flight. The bounds of all holders, what is
+// quarantined and what is reserved for floors never sum to more than the total through
+// anything that the AllocationTable grants, because a share grows only from what is
+// available; a bound falls only with an acknowledgement, a planned shutdown, or the lease's
+// expiry in fleet time, which comes after the expiry that the holder observes
+// (LeaseMargin).
 package budget
 
 import (
@@ -19,26 +20,27 @@
 	"time"
 )
 
-// LeaseMargin is the part of a span of fleet time that a process uses, by its own clock
-// and counted from when it asked: with clocks up to 5% apart 0.95/1.05 = 0.904 is
-// safe. What rests in fleet time rests for its span divided by it.
+// LeaseMargin is the fraction of a span of fleet time that a process uses, by its own clock
+// and counted from when it sent its renewal: it is safe with clocks that are up to 5%
+// apart, as 0.95/1.05 = 0.904. A quarantine in fleet time lasts for its span divided by
+// LeaseMargin.
 const LeaseMargin = 0.9
 
-// RefillPace is how fast a share of a Rate fills by the holder's own clock: a clock
-// that runs 2.5% faster than true fills it no faster than the share says.
+// RefillPace is how fast a share of a Rate refills by the holder's own clock: a clock that
+// runs 2.5% fast refills it no faster than the share says.
 const RefillPace = 0.975
 
-// Kind says how a budget is spent.
+// Kind tells how a budget is used. It is stored as a number.
 type Kind uint8
 
-// The kinds.
+// Kinds.
 const (
-	Rate     Kind = iota // Whole a second with Burst, all processes together
-	InFlight             // Whole at a time
-	Divided              // a whole that is divided; who holds a part may use it; a part that is freed rests for Linger
+	Rate     Kind = iota // Total a second with Burst, over all processes
+	InFlight             // Total at a time
+	Divided              // a total of which each holder may use its part; a part that is freed is quarantined for SettleTime
 )
 
-// String is the name of a kind, for people.
+// String returns the kind's name, for people.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -48,47 +50,49 @@
 
 var kindNames = [...]string{"rate", "under way", "part"}
 
-// Budget is what all processes together may spend.
+// Budget is what all processes together may use. It is sent and stored by the field names
+// in its tags.
 type Budget struct {
 	Name  string
 	Kind  Kind
 	Total float64 `cbor:"Whole"` // a second (Rate), or at a time
-	Burst float64 // Rate: how many may come at once, of all processes. Each holder needs 1, so Burst is at least 1 and should be the number of processes or more
+	Burst float64 // Rate only: how many may come at once, over all processes. Each holder needs 1, so that it is at least 1 and should be at least the number of processes
 
-	// Floors slots of Floor each are set aside. A process that has one counts on it
-	// with its share and, cut off, after its share for FloorFor.
+	// FloorSlots slots of Floor each are reserved. A process that has a slot holds Floor as
+	// part of its share and, without contact to the fleet, for FloorDuration after its share
+	// has expired.
 	Floor         float64
 	FloorSlots    int           `cbor:"Floors"`
 	FloorDuration time.Duration `cbor:"FloorFor"`
 
-	// SettleTime is, for UnderWay, the longest life of a job: one that may last
-	// longer is not begun. For Part it is how long a freed part rests.
+	// SettleTime is, for InFlight, the longest duration of a job: one that may last longer is
+	// not begun. For Divided it is how long a freed part is quarantined.
 	SettleTime time.Duration      `cbor:"Linger"`
-	Weights    map[string]float64 // by process; absent: 1
+	Weights    map[string]float64 // by process; 1 if absent; above 0
 }
 
-// Config is what the operators set for the fleet.
+// Config is the operators' setting for the fleet.
 type Config struct {
-	Lease   time.Duration // from a renewal to the end of what it gave, in fleet time
+	Lease   time.Duration // from a renewal to the expiry of its grant, in fleet time
 	Budgets []Budget
 }
 
-// Renewal is how a process asks for its shares, and acknowledges.
+// Renewal asks for a process's shares, and acknowledges its last grant.
 type Renewal struct {
 	Process      string
 	Incarnation  uint64
-	AppliedGrant uint64           `cbor:"Bound"` // the number of the grant that it has applied; 0: none
+	AppliedGrant uint64           `cbor:"Bound"` // number of the grant that it has applied; 0: none
 	Usage        map[string]Usage `cbor:"Uses"`
 }
 
-// Usage is what a process says of one budget.
+// Usage is a process's report on one budget.
 type Usage struct {
 	Demand       float64       // what it would use if it could, a second or at a time
-	InFlight     float64       `cbor:"UnderWay"` // how many are under way
+	InFlight     float64       `cbor:"UnderWay"` // number of jobs in flight
 	MaxRemaining time.Duration `cbor:"Latest"`   // the longest that one of those may still last
 }
 
-// Departure is what a process that ends as planned leaves under way.
+// Departure is what a process leaves in flight at its planned shutdown.
 type Departure struct {
 	InFlight     float64       `cbor:"UnderWay"`
 	MaxRemaining time.Duration `cbor:"Latest"` // the longest that one of those may still last
@@ -98,46 +102,46 @@
 type Grant struct {
 	Process     string
 	Incarnation uint64
-	Number      uint64 // grows; a grant of a lower number is an older one
+	Number      uint64 // grows; a grant with a lower number is older
 	Lease       time.Duration
-	RenewSoon   bool `cbor:"Soon"` // more is due to it than could be given yet: asking again soon is worth while
+	RenewSoon   bool `cbor:"Soon"` // more is due to the process than could be given yet: it should renew soon
 	Shares      []Share
 }
 
-// Share is a holder's part of a budget for the lease's length.
+// Share is a holder's part of a budget for the duration of the lease.
 type Share struct {
 	Name          string
 	Kind          Kind
-	Amount        float64       // with the floor
-	Burst         float64       // Rate: with the floor's
-	Floor         float64       // after the lease's end, for FloorFor more; 0: nothing
+	Amount        float64       // including the floor
+	Burst         float64       // Rate only; including the floor's
+	Floor         float64       // usable for FloorDuration after the lease's expiry; 0: nothing
 	FloorDuration time.Duration `cbor:"FloorFor"`
 	SettleTime    time.Duration `cbor:"Linger"`
 }
 
-// The errors that commands are refused with.
+// Errors with which commands are refused.
 var (
 	ErrFenced = errors.New("an older incarnation than the one in force")
 	ErrNoName = errors.New("a process without a name or an incarnation")
 )
 
-// microsPerUnit is one whole of an amount: amounts are kept in millionths, so that sums are
-// exact whatever their order.
+// microsPerUnit is the number of millionths in a unit: amounts are kept in millionths, so
+// that sums are exact whatever their order.
 const microsPerUnit = 1_000_000
 
-// maxTotal keeps the sums of ten thousand holders that each may hold it within 63 bits.
+// maxTotal keeps the sums of ten thousand holders that may each hold it within 63 bits.
 const maxTotal = 1e8
 
 func toMicros(x float64) int64   { return int64(math.Floor(float64(x*microsPerUnit) + 1e-3)) }
 func fromMicros(n int64) float64 { return float64(n) / microsPerUnit }
 
-// quarantineSpan is how long something rests in fleet time so that a span of a
-// process's clock is surely over.
+// quarantineSpan returns how long something is quarantined in fleet time so that a span of
+// a process's own clock is surely over.
 func quarantineSpan(span time.Duration) time.Duration {
 	return time.Duration(float64(span) / LeaseMargin)
 }
 
-// Check names what is wrong with a grant that came from outside.
+// Check validates a grant that came from outside.
 func (g Grant) Check() error {
 	if g.Lease <= 0 {
 		return fmt.Errorf("grant %d: a lease of %v", g.Number, g.Lease)
@@ -154,7 +158,7 @@
 	return nil
 }
 
-// Check names what is wrong with a configuration.
+// Check validates a configuration.
 func (c Config) Check() error {
 	if c.Lease < 100*time.Millisecond || c.Lease > time.Hour {
 		return fmt.Errorf("lease %v: not from 100ms to 1h", c.Lease)
@@ -212,7 +216,7 @@
 	return 1
 }
 
-// burstPerFloor is what a floor needs of the burst.
+// burstPerFloor is the part of the burst that one floor needs.
 func (b *Budget) burstPerFloor() int64 {
 	if b.Kind == Rate && b.Floor > 0 {
 		return microsPerUnit
--- a/internal/dispatcher/fleet/budget/tap.go
+++ b/internal/dispatcher/fleet/budget/tap.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// refillInterval is how often a bucket is filled at most, by the own clock.
+// refillInterval is how often a bucket is refilled at most, by the own clock.
 const refillInterval = 50 * time.Microsecond
 
-// TokenBucket is where a process takes from its share of one budget: Take of a Rate,
-// Begin and End of what is UnderWay, Amount of a Part. All may be called by any
-// thread at once; none waits.
+// TokenBucket admits a process's jobs against its share of one budget: Take for a Rate,
+// Begin and End for InFlight, Amount for Divided. It is safe for concurrent use, and no
+// method on a job's path blocks.
 //
-// A bucket is two counts, of those taken and the ceiling that they may reach, so
-// that taking is one atomic addition. Who comes a quantum after the last filling
-// fills the bucket, if nobody else is at it. In any interval that begins with a
-// level l, no more is taken than l and what the share fills in; the level never
-// rises but by filling, never above the burst, and is clipped to the floor's burst, which is set
-// aside with the floor, at the lease's end and to 0 at the floor's. So all holders
-// together take no more than the sum of their levels, at most Burst, and of their rates times
-// t, at most Whole x t.
+// The bucket of a Rate is two counters, the tokens taken and the ceiling that they may
+// reach, so that taking one is one atomic addition. A caller that arrives a refillInterval
+// after the last refill refills the bucket, unless another one does. In an interval that
+// begins with a level l, no more is taken than l and what the share refills: the level
+// rises by refills only and never above the burst, it is clipped to the floor's burst,
+// which is reserved with the floor, at the lease's expiry, and to 0 at the floor's. So all
+// holders together take in a time t no more than the sum of their levels, which is at most
+// Burst, plus their rates times t, which is at most Total times t.
 type TokenBucket struct {
-	refillAt          atomic.Int64 // a filling is worth while from then on
+	refillAt          atomic.Int64 // a refill is worthwhile from then on
 	ceilingValidUntil atomic.Int64 // the ceiling holds until then
-	ceiling           atomic.Int64
+	ceiling           atomic.Int64 // that taken may reach
 	terms             atomic.Pointer[terms]
 	taken             paddedCounter
 	rejected          paddedCounter
 	inFlight          paddedCounter
 
 	peakInFlight, begun, latestDeadline atomic.Int64
-	wantedAmount                        atomic.Uint64 // a float64's bits
+	wantedAmount                        atomic.Uint64 // bits of a float64
 
 	mu         sync.Mutex // of what follows; Take only tries it
-	level      float64    // at filled, before what was taken after base
+	level      float64    // at refilledAt, without what was taken beyond base
 	refilledAt time.Duration
 	base       int64
 
-	arrivalsAtRenewal                 atomic.Int64 // who came, at the last renewal
-	reportedDemand                    float64      // with the last renewal; under the Purse's lock, as the next
+	arrivalsAtRenewal                 atomic.Int64 // arrivals by the last renewal
+	reportedDemand                    float64      // with the last renewal; under the Allowance's lock, like the next two
 	rejectedAtRenewal, begunAtRenewal int64
 }
 
-// Take takes one of a Rate at now; false: turned away. It asks whether the lease
-// holds before anything else, so that a process that was frozen takes nothing
-// of a share that is over. now is to be read just before.
+// Take takes one token of a Rate at now, and reports whether there was one. It checks the
+// lease first, so that a process that was stopped takes nothing of an expired share; now
+// must be read just before the call.
 func (t *TokenBucket) Take(now time.Duration) bool {
 	if int64(now) >= t.refillAt.Load() && t.mu.TryLock() {
 		t.refill(now)
@@ -62,9 +62,10 @@
 	return false
 }
 
-// refill brings the bucket to now: first what the share fills in until the lease's
-// end, then the floor until its own, clipped to the floor's burst. What was taken since the last filling is
-// subtracted after the clip to the burst, as if it had been taken last: never too much is left.
+// refill brings the bucket to now: what the share refills until the lease's expiry, then
+// the floor until its own, clipped to the floor's burst. What was taken since the last
+// refill is subtracted after the clip to the burst, as if it had been taken last, so that
+// never too much is left.
 func (t *TokenBucket) refill(now time.Duration) {
 	s := t.terms.Load()
 	if s == &unlimited || s.kind != Rate {
@@ -101,7 +102,7 @@
 	t.base = taken
 }
 
-// reset puts terms without an end in the place of what there is.
+// reset sets terms that have no end.
 func (t *TokenBucket) reset(s *terms) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -112,7 +113,7 @@
 	t.refillAt.Store(math.MaxInt64)
 }
 
-// applyTerms puts new terms in the place of the old, which are spent to now first.
+// applyTerms replaces the terms; the old ones are used up to now first.
 func (t *TokenBucket) applyTerms(now time.Duration, s *terms, full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,11 +135,11 @@
 	t.refill(now)
 }
 
-// Begin begins one job of an UnderWay budget that lasts until its latest deadline
-// at most; false: turned away. Each that it let begin is ended by End. It counts
-// first and then asks what is allowed, so that a share's new amount holds for
-// all that are not in the count told with its acknowledgement. A job that may last longer
-// than the budget's Linger is turned away: it could outlast what the fleet waits for.
+// Begin begins one job of an InFlight budget that ends by its deadline until, and reports
+// whether it may. Each job that may must be ended by End. Begin counts the job first and
+// checks the limit then, so that a share's new amount holds for all jobs that are not in
+// the count reported with its acknowledgement. A job that may last longer than the budget's
+// SettleTime is rejected: it could outlast the quarantine.
 func (t *TokenBucket) Begin(now, until time.Duration) bool {
 	if until-now > t.terms.Load().linger {
 		t.rejected.Add(1)
@@ -156,7 +157,7 @@
 	return true
 }
 
-// End ends one that Begin let begin.
+// End ends a job that Begin has begun.
 func (t *TokenBucket) End() { t.inFlight.Add(-1) }
 
 func storeMax(x *atomic.Int64, n int64) {
@@ -167,19 +168,19 @@
 	}
 }
 
-// Amount is the part that this process may use at now; false: the budget is not
-// divided (yet), and nothing is said.
+// Amount returns the part of a Divided budget that this process may use at now; false: the
+// budget does not exist (yet).
 func (t *TokenBucket) Amount(now time.Duration) (float64, bool) {
 	s := t.terms.Load()
 	return s.amountAt(now), s != &unlimited
 }
 
-// SetDemand says how much of a Part this process would use if it could.
+// SetDemand sets how much of a Divided budget this process would use if it could.
 func (t *TokenBucket) SetDemand(x float64) { t.wantedAmount.Store(math.Float64bits(x)) }
 
-// RetryAfter is when trying again is worth while, from now: when a Rate has worked
-// off what it turned away since the last renewal, a lease at most; else when the next
-// renewal may have brought something.
+// RetryAfter returns after what time another attempt is worthwhile: for a Rate when it has
+// worked off what it has rejected since the last renewal, a lease at most; else when the
+// next renewal may have brought something.
 func (t *TokenBucket) RetryAfter(now time.Duration) time.Duration {
 	s := t.terms.Load()
 	rate := s.amountAt(now) * RefillPace
@@ -193,11 +194,11 @@
 	return max(one, min(time.Duration(float64(t.arrivals()-t.arrivalsAtRenewal.Load())*float64(one)), s.lease))
 }
 
-// arrivals is how many asked so far.
+// arrivals returns the number of attempts so far.
 func (t *TokenBucket) arrivals() int64 { return t.taken.Load() + t.rejected.Load() + t.begun.Load() }
 
-// usage is what to tell of the time since the last renewal. What is under way is read
-// before its latest deadline, which is noted before it counts.
+// usage returns what to report for the time since the last renewal. What is in flight is
+// read before its latest deadline, which is set before the job counts.
 func (t *TokenBucket) usage(now, since time.Duration) Usage {
 	under, latest := t.unfinished(now)
 	came, turned, begun := t.arrivals(), t.rejected.Load(), t.begun.Load()
@@ -228,10 +229,12 @@
 	return Usage{Demand: min(t.reportedDemand, maxTotal), InFlight: under, MaxRemaining: latest}
 }
 
-// samplingError is by how much a count of n may be off by chance: three times its root.
+// samplingError is the chance deviation of a count of n: three standard deviations of a
+// Poisson distribution.
 func samplingError(n float64) float64 { return 3 * math.Sqrt(max(n, 1)) }
 
-// demandChanged tells whether what came in a time is not what was told, by half.
+// demandChanged reports whether the demand differs from the reported one, by half and by
+// more than chance.
 func (t *TokenBucket) demandChanged(since time.Duration) bool {
 	s := t.terms.Load()
 	if s.kind == Divided {
@@ -245,7 +248,7 @@
 	return math.Abs(n-had) > max(n, had)/2+samplingError(had)
 }
 
-// unfinished is how many are under way, and for how long the longest may last.
+// unfinished returns the number of jobs in flight, and how long the longest may still last.
 func (t *TokenBucket) unfinished(now time.Duration) (float64, time.Duration) {
 	under := t.inFlight.Load()
 	if under <= 0 {
--- a/internal/dispatcher/fleet/codec/codec.go
+++ b/internal/dispatcher/fleet/codec/codec.go
@@ -1,6 +1,7 @@
-// Package codec is the form in which the fleet layer writes what its processes
-// exchange and keep: CBOR in its deterministic encoding (RFC 8949, 4.2), so that
-// the same value gives the same bytes at every replica, and a digest of those.
+// Package codec encodes what the fleet's processes exchange and store: CBOR in its
+// deterministic encoding (RFC 8949, section 4.2), so that equal values have equal bytes at
+// every replica, and a digest of those bytes. Structs are encoded as maps by field name, or
+// by the name in a `cbor` tag; that name is part of the format.
 package codec
 
 import (
@@ -10,17 +11,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The bounds hold for what comes from outside: a peer, a file.
+// Bounds on decoded input, which may come from a peer or a file.
 const (
-	mostNested   = 16
-	mostElements = 4 << 20
+	maxNested   = 16
+	maxElements = 4 << 20
 )
 
 var (
 	encoding = must(cbor.CoreDetEncOptions().EncMode())
 	decoding = must(cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		MaxNestedLevels: mostNested, MaxArrayElements: mostElements, MaxMapPairs: mostElements,
+		MaxNestedLevels: maxNested, MaxArrayElements: maxElements, MaxMapPairs: maxElements,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode())
 )
@@ -32,7 +33,8 @@
 	return m
 }
 
-// Encode writes a value. It fails for what has no form: functions, channels.
+// Encode encodes a value. It fails for values that have no encoding, such as functions and
+// channels.
 func Encode(v any) ([]byte, error) {
 	text, err := encoding.Marshal(v)
 	if err != nil {
@@ -41,8 +43,8 @@
 	return text, nil
 }
 
-// Decode reads a value whole. Keys given twice, fields that the type does not
-// have, and bytes left over are errors.
+// Decode decodes exactly one value. Duplicate keys, unknown fields and trailing bytes are
+// errors.
 func Decode(text []byte, into any) error {
 	if err := decoding.Unmarshal(text, into); err != nil {
 		return fmt.Errorf("decoding %T: %w", into, err)
@@ -50,6 +52,5 @@
 	return nil
 }
 
-// Digest is a short sum of an encoded value, compared between replicas. It guards
-// against mistakes, not against malice.
+// Digest returns the xxHash64 of an encoded value. It detects mistakes, not malice.
 func Digest(text []byte) uint64 { return xxhash.Sum64(text) }
--- a/internal/dispatcher/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -1,7 +1,8 @@
-// Package coordinator drives plans for a process of the fleet: it asks the replicated
-// state what comes next, evaluates what the plan file says, and hands each stage to the
-// dispatcher as a job like any other. What may be sent at all is for the state to say,
-// before it is sent; a coordinator that died or was cut off is replaced by another.
+// Package coordinator drives plan runs at a process of the fleet: it asks the replicated
+// state what is to be done next (planrun.Next), evaluates the expressions of the plan file,
+// and submits each stage to the dispatcher as a job. The replicated state approves every
+// attempt before it is sent. The runs of a coordinator that has failed are claimed by
+// another one.
 package coordinator
 
 import (
@@ -26,31 +27,32 @@
 type Job struct {
 	ID, Class, Tenant, Path, Key string
 	Body                         []byte
-	Deadline                     time.Time // its end counts no more after this
+	Deadline                     time.Time // its result is ignored after this
 	CostHint                     time.Duration
-	ExcludedMember               string // "": any
-	ExcludeItsZone               bool   // nor any other member in that one's zone
+	ExcludedMember               string // empty: none
+	ExcludeItsZone               bool   // excludes all members in the excluded one's zone
 	Plan, Stage                  string
 }
 
-// Dispatcher runs jobs: each passes the same stages, decisions, account and rules as
-// a client's. Done is called once, unless Submit returns an error.
+// Dispatcher runs jobs with the same admission, decisions and accounting as those of a
+// client. It calls done exactly once, unless Submit returns an error.
 type Dispatcher interface {
 	Submit(j Job, done func(engine.Answer)) error
 }
 
-// Fleet is this process's place in it.
+// Fleet is this process's membership in the fleet.
 type Fleet interface {
-	Session() *rpc.Session // nil: it has none just now
-	// TakeRetry takes an attempt beyond the first of the fleet's budget of a class.
+	Session() *rpc.Session // nil: not joined
+	// TakeRetry takes one attempt beyond a job's first from the fleet's retry budget of a
+	// class.
 	TakeRetry(request, class string) bool
-	// HoldsLease tells whether this process's lease holds, by its own clock.
+	// HoldsLease reports whether this process's lease is valid, by its own clock.
 	HoldsLease() bool
-	// RetryTime is when another is worth asking for.
+	// RetryTime returns when TakeRetry is worth calling again.
 	RetryTime(class string, now time.Time) time.Time
 }
 
-// Errors of Start and Look.
+// Errors of Start and Lookup.
 var (
 	ErrUnknownPlan = errors.New("no plan of this name is in use here")
 	ErrNoSession   = errors.New("this process is not in the fleet just now")
@@ -58,16 +60,17 @@
 	ErrUnknownRun  = errors.New("no such run, or it ended too long ago")
 )
 
+// Bounds and intervals of a coordinator.
 const (
-	maxRuns        = 4096                   // that one process drives
-	maxClaims      = 64                     // runs taken over at a time
-	claimInterval  = 250 * time.Millisecond // between looks for runs that nobody drives
-	pollInterval   = 100 * time.Millisecond // at a run that waits for another one's output
-	retryInterval  = 50 * time.Millisecond  // a command for which no keeper answered
-	commandTimeout = 3 * time.Second
+	maxRuns        = 4096                   // driven by one process
+	maxClaims      = 64                     // runs claimed by one command
+	claimInterval  = 250 * time.Millisecond // between two searches for runs without a coordinator
+	pollInterval   = 100 * time.Millisecond // for a run that waits for another run's output
+	retryInterval  = 50 * time.Millisecond  // after a command that no raft node answered
+	commandTimeout = 3 * time.Second        // for one attempt at a command or query
 )
 
-// Coordinator drives the runs of one process.
+// Coordinator drives the runs of one process. It is safe for concurrent use.
 type Coordinator struct {
 	fleet Fleet
 	jobs  Dispatcher
@@ -76,12 +79,12 @@
 
 	mu            sync.Mutex
 	plansByName   map[string]*plan.Plan // in use
-	plansByDigest map[uint64]*plan.Plan // those, and older ones that runs may have
+	plansByDigest map[uint64]*plan.Plan // those in use, and older ones that runs may still follow
 	runs          map[string]*driver
-	attempts      *planrun.AttemptRegistry // of what was done about each attempt
+	attempts      *planrun.AttemptRegistry // what this process did about each attempt
 	lifetime      context.Context          // nil: not running
-	draining      chan struct{}            // closed: nothing more is begun here
-	running       sync.WaitGroup
+	draining      chan struct{}            // closed: nothing more is started here
+	running       sync.WaitGroup           // all goroutines
 	waiting       answerWaiters
 }
 
@@ -91,8 +94,8 @@
 		plansByName: map[string]*plan.Plan{}, plansByDigest: map[uint64]*plan.Plan{}, runs: map[string]*driver{}}
 }
 
-// SetPlans takes plans in use in place of those before. Runs under way go on by the plan
-// that they began with.
+// SetPlans replaces the plans in use. Runs in progress follow the plan that they were
+// started with.
 func (c *Coordinator) SetPlans(plans []*plan.Plan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +105,8 @@
 	}
 }
 
-// Run takes over runs that nobody drives, until the context ends; then the runs of
-// this process are left to the others.
+// Run claims runs without a coordinator until the context ends. It returns when all of this
+// process's goroutines have ended; their runs are left to other processes.
 func (c *Coordinator) Run(ctx context.Context) error {
 	defer c.running.Wait()
 	c.mu.Lock()
@@ -117,14 +120,15 @@
 			return nil
 		case <-tick.C:
 			if err := c.claim(ctx); err != nil && ctx.Err() == nil {
-				c.log.WithError(err).Debug("runs of plans could not be claimed")
+				c.log.WithError(err).Debug("claiming plan runs failed")
 			}
 		}
 	}
 }
 
-// Drain begins nothing more, at a planned end: what is under way ends here and is told,
-// and the runs go on at other processes once this one has left.
+// Drain starts nothing more, for a planned shutdown: attempts in flight end here and are
+// reported, and the runs continue at other processes once this one has left. It must be
+// called once at most.
 func (c *Coordinator) Drain() { close(c.draining) }
 
 func (c *Coordinator) isDraining() bool {
@@ -136,7 +140,7 @@
 	}
 }
 
-// claim takes over runs of plans that this process knows.
+// claim takes over runs without a coordinator whose plans this process knows.
 func (c *Coordinator) claim(ctx context.Context) error {
 	s := c.fleet.Session()
 	c.mu.Lock()
@@ -172,11 +176,12 @@
 		}
 	}
 	if len(r.Claimed) > 0 {
-		c.log.WithField("runs", len(r.Claimed)).Info("took over runs of plans")
+		c.log.WithField("runs", len(r.Claimed)).Info("claimed plan runs")
 	}
 	return nil
 }
 
+// queryRun reads a run from the leader.
 func (c *Coordinator) queryRun(ctx context.Context, s *rpc.Session, id string) (r partition.PlanReply, err error) {
 	body, err := codec.Encode(id)
 	if err != nil {
@@ -191,23 +196,23 @@
 	return r, err
 }
 
-// StartRequest is a plan that somebody wants run.
+// StartRequest asks for a run of a plan.
 type StartRequest struct {
 	Run, Plan, Tenant string
 	Input             []byte
-	Timeout           time.Duration // of fleet time; 0: as the plan says
+	Timeout           time.Duration // fleet time; 0: the plan's own
 }
 
-// Start begins a run, or finds it under way, or ended with its final answer. An error
-// that wraps call.ErrNobody leaves open whether it has begun: the same ask may be
-// made again, here or at another process.
+// Start starts a run, or finds it in progress (a nil answer) or ended. An error that wraps
+// rpc.ErrUnavailable leaves open whether the run has started: the same request may be
+// repeated, here or at another process.
 func (c *Coordinator) Start(ctx context.Context, a StartRequest) (*planrun.Answer, error) {
 	answer, _, err := c.start(ctx, a)
 	return answer, err
 }
 
-// start is Start. Where a command went out, it also tells the fleet time up to which
-// that may begin the run.
+// start is Start. If a command was sent, it also returns the fleet time up to which that
+// may still start the run.
 func (c *Coordinator) start(ctx context.Context, a StartRequest) (answer *planrun.Answer, before time.Duration, err error) {
 	c.mu.Lock()
 	p := c.plansByName[a.Plan]
@@ -247,7 +252,7 @@
 	return r.FinalAnswer, start.Before, nil
 }
 
-// Lookup tells how a run stands: its final answer, or nil while it is under way.
+// Lookup returns a run's final answer, or nil while the run is in progress.
 func (c *Coordinator) Lookup(ctx context.Context, id string) (*planrun.Answer, error) {
 	s := c.fleet.Session()
 	if s == nil {
@@ -260,7 +265,7 @@
 	return r.FinalAnswer, err
 }
 
-// drive goes on with a run under a fence of this process's.
+// drive starts driving a run under one of this process's fencing numbers.
 func (c *Coordinator) drive(ctx context.Context, fence uint64, r partition.PlanReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -284,14 +289,14 @@
 	})
 }
 
-// withAttempts lets a function use what is remembered of attempts.
+// withAttempts calls a function with the attempt registry, under the lock.
 func (c *Coordinator) withAttempts(what func(*planrun.AttemptRegistry)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	what(c.attempts)
 }
 
-// isOutOfForce tells whether an error means that this process no longer drives a run.
+// isOutOfForce reports whether an error means that this process no longer drives its runs.
 func isOutOfForce(err error) bool {
 	return errors.Is(err, state.ErrFenced) || errors.Is(err, ErrNoSession)
 }
--- a/internal/dispatcher/fleet/coordinator/finish.go
+++ b/internal/dispatcher/fleet/coordinator/finish.go
@@ -11,15 +11,17 @@
 	"basaltloft/internal/dispatcher/fleet/planrun"
 )
 
-// ErrOutcomeUnknown says that nobody could tell in time how a run ended: it may have run.
+// ErrOutcomeUnknown says that it could not be found out in time how a run ended: it may
+// have run.
 var ErrOutcomeUnknown = errors.New("how the run ended is not known")
 
+// Waiting for a run's answer.
 const (
-	maxPollInterval = 2 * time.Second  // between looks at a run that another process drives
-	answerTimeout   = 30 * time.Second // after its deadline and grace nobody waits longer for a run's answer
+	maxPollInterval = 2 * time.Second  // between two reads of a run that another process drives
+	answerTimeout   = 30 * time.Second // how long an answer is waited for after the run's deadline and grace
 )
 
-// answerWaiters are told the answers of runs that this process drives.
+// answerWaiters receive the final answers of runs that this process drives.
 type answerWaiters struct {
 	mu    sync.Mutex
 	byRun map[string][]chan *planrun.Answer
@@ -53,7 +55,7 @@
 	}
 }
 
-// InUse tells whether a plan is in use here: nil, or an ErrNoPlan.
+// InUse returns nil if a plan is in use here, and else an error that wraps ErrUnknownPlan.
 func (c *Coordinator) InUse(plan string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,10 +65,10 @@
 	return nil
 }
 
-// StartAsync begins a run, or finds it, and tells its final answer once, by a goroutine of
-// its own; not at all if this process ends first. Until is its deadline, zero for the
-// plan's own, and never beyond that. An error that wraps ErrLost says that the run may
-// have run; any other, that nothing has.
+// StartAsync starts a run, or finds it, and calls done once with its final answer, on a
+// goroutine of its own; not at all if this process ends first. The deadline is the plan's
+// own if it is zero, and never later than that. An error that wraps ErrOutcomeUnknown means
+// that the run may have run; any other, that nothing has.
 func (c *Coordinator) StartAsync(a StartRequest, until time.Time, done func(*planrun.Answer, error)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +90,8 @@
 	return nil
 }
 
-// startAndWait asks for the start until it is known to be in the state, and then waits.
+// startAndWait retries the start until the replicated state has it, and then waits for the
+// answer.
 func (c *Coordinator) startAndWait(ctx context.Context, a StartRequest, until time.Time) (*planrun.Answer, error) {
 	heard, forget := c.waiting.subscribe(a.Run)
 	defer forget()
--- a/internal/dispatcher/fleet/coordinator/run.go
+++ b/internal/dispatcher/fleet/coordinator/run.go
@@ -19,27 +19,27 @@
 	"github.com/sirupsen/logrus"
 )
 
-// driver is one that this process drives, under one fence.
+// driver drives one run under one fencing number.
 type driver struct {
 	coordinator *Coordinator
 	id          string
 	fence       uint64
 	plan        *plan.Plan
 	shape       *planrun.Shape
-	wake        chan struct{}   // the view is newer, or something has ended
-	lifetime    context.Context // of the coordinator: ends are told also when the run is another's
+	wake        chan struct{}   // the view is newer, or an attempt has ended
+	lifetime    context.Context // the coordinator's: ends are reported even if another process drives the run
 
-	tasks sync.WaitGroup // that are being done
+	tasks sync.WaitGroup // in progress
 
 	mu         sync.Mutex
 	view       planrun.View
 	index      uint64
 	viewTime   time.Duration // fleet time of the view
-	receivedAt time.Time     // when it came
-	finished   bool          // it has its answer, or another fence
+	receivedAt time.Time     // when the view was received
+	finished   bool          // the run has its final answer, or another fencing number
 }
 
-// update takes in what a reply tells of the run.
+// update takes in what a reply says of the run.
 func (r *driver) update(p partition.PlanReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,15 +64,16 @@
 	}
 }
 
-// current is the view, and the fleet time by what has passed since it came. The state
-// has the last word on whether a time has come.
+// current returns the view, and the fleet time estimated by what has passed since it was
+// received. The replicated state decides whether a time has come.
 func (r *driver) current() (v planrun.View, at time.Duration, over bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view, r.viewTime + time.Since(r.receivedAt), r.finished
 }
 
-// drive does what comes next until the run has ended or is another's.
+// drive does what is to be done next, until the run has ended or belongs to another
+// process.
 func (r *driver) drive(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -120,7 +121,7 @@
 	}
 }
 
-// refresh asks how the run stands.
+// refresh reads the run.
 func (r *driver) refresh(ctx context.Context) {
 	s := r.coordinator.fleet.Session()
 	if s == nil {
@@ -133,9 +134,9 @@
 	}
 }
 
-// execute has a command carried out, however often it must be asked. The book takes
-// each of these commands once. An error that is not the book's says that this process
-// has given up waiting, since the run or the process is out of force, or ends.
+// execute has a command carried out, with retries: the tracker counts each of these
+// commands once. An error that is not the tracker's means that this process has given up on
+// it, since the run or the process is no longer in force, or the context has ended.
 func (r *driver) execute(ctx context.Context, do planrun.Command) error {
 	for {
 		var p partition.PlanReply
@@ -153,7 +154,7 @@
 		if ctx.Err() != nil || do.SendAttempt != nil && isOutOfForce(err) { // under another incarnation it is not this run's any more
 			return err
 		}
-		r.coordinator.log.WithError(err).WithField("run", r.id).Debug("a command for a plan was not answered")
+		r.coordinator.log.WithError(err).WithField("run", r.id).Debug("plan command got no answer; retrying")
 		select {
 		case <-ctx.Done():
 		case <-time.After(retryInterval):
@@ -175,7 +176,7 @@
 	}
 }
 
-// values are what expressions of a stage are evaluated over.
+// values returns what the expressions of a stage are evaluated over.
 func (r *driver) values(v planrun.View, stage int, item []byte) plan.Values {
 	all := plan.Values{Input: v.Run.Input, Item: item, Results: map[string][]byte{}}
 	for _, u := range r.shape.Upstream(stage) {
@@ -220,9 +221,9 @@
 	r.abandon(ctx, o.Stage, err)
 }
 
-// abandon gives the run up: what it says can't be evaluated.
+// abandon gives the run up, because an expression can't be evaluated.
 func (r *driver) abandon(ctx context.Context, stage int, why error) {
-	r.coordinator.log.WithError(why).WithField("run", r.id).Error("a plan can't go on")
+	r.coordinator.log.WithError(why).WithField("run", r.id).Error("plan run abandoned: expression can't be evaluated")
 	r.execute(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: r.id, Fence: r.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
 }
 
@@ -241,7 +242,7 @@
 	return j, err
 }
 
-// send sends an attempt, once the state has it written down, and tells its end.
+// send submits an attempt once the replicated state has approved it, and reports its end.
 func (r *driver) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
 	j, err := r.job(t.Action, v, at)
 	if err != nil {
@@ -260,13 +261,13 @@
 	}
 	done, sent := make(chan engine.Answer, 1), time.Now()
 	if err := r.coordinator.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
-		r.coordinator.log.WithError(err).WithField("run", r.id).Error("a stage of a plan is no job that can be taken")
+		r.coordinator.log.WithError(err).WithField("run", r.id).Error("plan stage rejected as a job")
 		r.reportEnd(t.Sending.EndReport(plan.Unsent, nil, "", nil))
 		return
 	}
 	answer := <-done
 	end, result, said := endOf(answer), []byte(nil), answer.MemberError
-	r.coordinator.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "flows": answer.Attempts}).Debug("a stage's job ended")
+	r.coordinator.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "sends": answer.Attempts}).Debug("plan stage's job ended")
 	if end == plan.Done {
 		r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Estimator.Observe(t.Class, time.Since(sent)) })
 		result, said = answer.Body, answer.Body
@@ -280,7 +281,8 @@
 	r.reportEnd(t.Sending.EndReport(end, result, answer.LastMember, lost))
 }
 
-// reportEnd tells an end, also when another drives the run by then: it may still count.
+// reportEnd reports an attempt's end, also when another process drives the run by then: it
+// may still count.
 func (r *driver) reportEnd(e planrun.ReportEnd) {
 	if err := r.execute(r.lifetime, planrun.Command{ReportEnd: &e}); errors.Is(err, planrun.ErrTooLarge) {
 		e.End, e.Result = plan.Failed, nil
@@ -288,13 +290,14 @@
 	}
 }
 
-// lostInput holds an end against the rules for what was lost upstream.
+// lostInput evaluates the rerun conditions of a stage: an input that the attempt reports as
+// lost, or nil.
 func (r *driver) lostInput(end plan.End, t planrun.Task, said []byte) *planrun.LostInput {
 	st, upstream := r.plan.Stages[t.Stage], r.shape.Upstream(t.Stage)
 	for i := range st.Reruns {
 		holds, err := st.Reruns[i].Holds(end, said)
 		if err != nil {
-			r.coordinator.log.WithError(err).WithField("run", r.id).Warn("a rerun's condition can't be evaluated and does not hold")
+			r.coordinator.log.WithError(err).WithField("run", r.id).Warn("rerun condition can't be evaluated and counts as false")
 			continue
 		}
 		at := slices.IndexFunc(upstream, func(u int) bool { return r.shape.Stages[u].Name == st.Reruns[i].Of })
@@ -305,8 +308,8 @@
 	return nil
 }
 
-// takeRetryBudget takes an attempt beyond the first of the fleet's budget, and waits for one while
-// the attempt can still begin.
+// takeRetryBudget takes an attempt beyond the first from the fleet's retry budget, and
+// waits for one while the attempt can still be sent.
 func (r *driver) takeRetryBudget(ctx context.Context, class string, until time.Time) bool {
 	for !r.coordinator.fleet.TakeRetry(r.id, class) {
 		at := r.coordinator.fleet.RetryTime(class, time.Now())
@@ -325,7 +328,8 @@
 	return true
 }
 
-// jobID names an attempt: the same at whoever drives the run, and no other's.
+// jobID names an attempt: the same at every coordinator, and different from any other
+// attempt.
 func jobID(run string, a planrun.Action) string {
 	sum := sha256.Sum256([]byte(run))
 	what := "j"
@@ -335,7 +339,7 @@
 	return fmt.Sprintf("plan-%x-%d-%d-%s%d", sum[:12], a.Stage, a.Item, what, a.Attempt)
 }
 
-// endOf says in the words of plans how a job ended.
+// endOf classifies how a job ended.
 func endOf(a engine.Answer) plan.End {
 	switch {
 	case a.Verdict == engine.Served:
--- a/internal/dispatcher/fleet/doc.go
+++ b/internal/dispatcher/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet has the tests of the fleet layer over several processes of the
-// program, and the soak. The layer itself is in the packages below it.
+// Package fleet holds the tests of the fleet layer that start several processes of the
+// program, and the soak test. The layer itself is in the packages below it.
 package fleet
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -173,7 +173,7 @@
 	}
 	spans := r.AdmissionSpans(demo.Tenants[0])
 	over, window := harness.Overspent(spans, rate, burst)
-	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.To.Sub(window.From), window.From)
+	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.End.Sub(window.Start), window.Start)
 	require.Greater(t, len(spans), 100, "the tenant with a budget is served")
 	require.Empty(t, r.Till.RunTwice())
 	alike(t, r)
@@ -434,9 +434,9 @@
 	require.Equal(t, http.StatusOK, code, text)
 	r.StartClients()
 	served(t, r, 150)
-	kill := harness.Span{From: time.Now().Add(-500 * time.Millisecond)} // records have 10 ms to be written, on a crowded machine more
+	kill := harness.Span{Start: time.Now().Add(-500 * time.Millisecond)} // records have 10 ms to be written, on a crowded machine more
 	require.NoError(t, r.Processes[3].Kill())
-	kill.To = time.Now()
+	kill.End = time.Now()
 	served(t, r, 100)
 	require.NoError(t, r.Processes[3].Start())
 	joined(t, r.Processes[3])
@@ -462,7 +462,7 @@
 			if c.Tenant != tenant || c.Status == 0 {
 				continue
 			}
-			if c.Addr == r.Processes[3].Addr("listen") && c.Ended.After(kill.From) && c.Ended.Before(kill.To) {
+			if c.Addr == r.Processes[3].Addr("listen") && c.Ended.After(kill.Start) && c.Ended.Before(kill.End) {
 				spared = append(spared, c.ID)
 				continue
 			}
--- a/internal/dispatcher/fleet/harness/check.go
+++ b/internal/dispatcher/fleet/harness/check.go
@@ -8,12 +8,12 @@
 	"basaltloft/internal/dispatcher/fakes"
 )
 
-// Span is when something was: an event that surely fell into it, or what lasted
-// so long. A zero To is one that still lasts.
-type Span struct{ From, To time.Time }
+// Span is a time within which an event took place, or through which something lasted. A
+// zero End means that it still lasts.
+type Span struct{ Start, End time.Time }
 
-// Spans are of the arrivals that keep picks, each from its arrival to its end at
-// the member. Those that were turned away are of no length.
+// Spans returns the spans of the selected arrivals, each from its arrival to its end at the
+// member. A rejected one has no length.
 func Spans(log []fakes.Arrival, keep func(fakes.Arrival) bool) (all []Span) {
 	for _, a := range log {
 		if a.Rejected {
@@ -26,25 +26,25 @@
 	return all
 }
 
-// StartPoints are the spans' beginnings alone.
+// StartPoints returns the spans' starts alone.
 func StartPoints(spans []Span) (all []Span) {
 	for _, s := range spans {
-		all = append(all, Span{s.From, s.From})
+		all = append(all, Span{s.Start, s.Start})
 	}
 	return all
 }
 
-// Overspent is by how much the most spendthrift window goes over rate a second
-// times its length, and burst: of all windows, the most events that surely fell
-// into it, less what it may have. It is above 0 only if the whole was overspent,
-// whatever the moment within its span at which each event was admitted.
+// Overspent returns by how much the worst window exceeds rate a second times its length
+// plus burst: of all windows, the most events that surely took place within it, less what
+// is allowed. It is above 0 only if the budget was exceeded, whatever the moment within its
+// span at which each event took place.
 func Overspent(events []Span, rate, burst float64) (by float64, window Span) {
-	events = slices.DeleteFunc(slices.Clone(events), func(e Span) bool { return e.To.IsZero() })
-	slices.SortFunc(events, func(a, b Span) int { return a.To.Compare(b.To) })
+	events = slices.DeleteFunc(slices.Clone(events), func(e Span) bool { return e.End.IsZero() })
+	slices.SortFunc(events, func(a, b Span) int { return a.End.Compare(b.End) })
 	type span struct{ from, to int64 } // from the first end on: this is done for each pair of events
 	var all []span
 	for _, e := range events {
-		all = append(all, span{int64(e.From.Sub(events[0].To)), int64(e.To.Sub(events[0].To))})
+		all = append(all, span{int64(e.Start.Sub(events[0].End)), int64(e.End.Sub(events[0].End))})
 	}
 	by = -burst
 	for i, first := range all { // a window begins with one, and ends with one
@@ -55,15 +55,15 @@
 			}
 			n++
 			if over := float64(n) - rate*time.Duration(e.to-first.from).Seconds() - burst; over > by {
-				by, window = over, Span{events[i].From, events[j].To}
+				by, window = over, Span{events[i].Start, events[j].End}
 			}
 		}
 	}
 	return by, window
 }
 
-// MaxConcurrent is how many spans there were at a time, at the most. One that ends
-// as another begins was not there with it.
+// MaxConcurrent returns the largest number of spans at one time. A span that ends as
+// another starts does not overlap it.
 func MaxConcurrent(spans []Span) (most int) {
 	type edge struct {
 		at time.Time
@@ -71,9 +71,9 @@
 	}
 	var edges []edge
 	for _, s := range spans {
-		edges = append(edges, edge{s.From, 1})
-		if !s.To.IsZero() {
-			edges = append(edges, edge{s.To, -1})
+		edges = append(edges, edge{s.Start, 1})
+		if !s.End.IsZero() {
+			edges = append(edges, edge{s.End, -1})
 		}
 	}
 	slices.SortFunc(edges, func(a, b edge) int {
@@ -93,14 +93,15 @@
 // FinalAnswer is a final answer that somebody was given.
 type FinalAnswer struct{ ID, Text string }
 
-// Outcomes is what became of what was asked.
+// Outcomes tells what became of requests, by id.
 type Outcomes struct {
-	Once                                        []string // asked, and ended with one text
-	Never, Repeated, Contradictory, Unrequested []string // no end; more than one, as the same; as others, with their texts; nobody asked
+	Once                                        []string // requested, and ended with one answer
+	Never, Repeated, Contradictory, Unrequested []string // no answer; Repeated: several equal ones; Contradictory: different ones, with their texts; Unrequested: nobody asked
 }
 
-// CompareOutcomes holds final answers against what was asked. Again is wrong of a call,
-// which has one answer; of a plan, which may be asked about again, only Differ.
+// CompareOutcomes compares final answers with requests. Repeated answers are wrong for a
+// call, which has one answer; for a plan run, which may be asked about again, only
+// Contradictory ones are.
 func CompareOutcomes(asked []string, ends []FinalAnswer) (e Outcomes) {
 	texts := make(map[string][]string)
 	for _, id := range asked {
@@ -130,8 +131,8 @@
 	return e
 }
 
-// RunTwice are the asks of classes that must not run twice which did, over all
-// tries and dispatchers.
+// RunTwice returns the requests of at-most-once classes that ran twice, over all attempts
+// and dispatchers.
 func RunTwice(log []fakes.Arrival, once func(class string) bool) (asks []string) {
 	runs := make(map[string]int)
 	for _, a := range log {
@@ -148,9 +149,8 @@
 	return asks
 }
 
-// UnfoundedAnswers are the calls whose answer says what was not so: served without a
-// run that had begun, or refused though it ran, of a class that must not run
-// twice.
+// UnfoundedAnswers returns the calls whose answer is wrong: served without a run that had
+// begun, or refused though it ran, of an at-most-once class.
 func UnfoundedAnswers(calls []fakes.Call, log []fakes.Arrival, once func(class string) bool) (ids []string) {
 	ran := make(map[string]time.Time)
 	for _, a := range log {
@@ -167,9 +167,9 @@
 	return ids
 }
 
-// CompareRecords holds what a replica has against what must be there and what was
-// pruned: those that are missing, those that came back, and those that nobody
-// made or that are there twice.
+// CompareRecords compares a replica's records with those that must exist and those that
+// were pruned: records that are missing, unknown or duplicate ones, and pruned ones that
+// are back.
 func CompareRecords(want, pruned, got []string) (missing, extra, back []string) {
 	const wanted, gone = 1, 2
 	state := make(map[string]int)
--- a/internal/dispatcher/fleet/harness/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -32,12 +32,12 @@
 			for _, b := range events {
 				n := 0.0
 				for _, e := range events {
-					if !e.From.Before(a.From) && !e.To.After(b.To) {
+					if !e.Start.Before(a.Start) && !e.End.After(b.End) {
 						n++
 					}
 				}
-				if !a.From.After(b.To) {
-					want = max(want, n-rate*b.To.Sub(a.From).Seconds()-burst)
+				if !a.Start.After(b.End) {
+					want = max(want, n-rate*b.End.Sub(a.Start).Seconds()-burst)
 				}
 			}
 		}
@@ -52,15 +52,15 @@
 	require.InDelta(t, 0, by, 1e-9)
 	by, window := Overspent(append(even, Span{ms(500), ms(500)}), 100, 5)
 	require.InDelta(t, 1, by, 1e-9)
-	require.False(t, window.From.After(ms(500)) || window.To.Before(ms(500)), window)
-	by, _ = Overspent(append(even, Span{From: ms(500)}, Span{ms(400), ms(5000)}), 100, 5) // may be of another time
+	require.False(t, window.Start.After(ms(500)) || window.End.Before(ms(500)), window)
+	by, _ = Overspent(append(even, Span{Start: ms(500)}, Span{ms(400), ms(5000)}), 100, 5) // may be of another time
 	require.InDelta(t, 0, by, 1e-9)
 }
 
 // TestChecks plants what each check is to find, beside what is right.
 func TestChecks(t *testing.T) {
 	require.Equal(t, 2, MaxConcurrent([]Span{{ms(0), ms(10)}, {ms(10), ms(20)}, {ms(5), ms(15)}, {ms(15), ms(15)}}))
-	require.Equal(t, 3, MaxConcurrent([]Span{{ms(0), ms(10)}, {ms(9), ms(20)}, {From: ms(1)}}))
+	require.Equal(t, 3, MaxConcurrent([]Span{{ms(0), ms(10)}, {ms(9), ms(20)}, {Start: ms(1)}}))
 
 	e := CompareOutcomes([]string{"a", "b", "c", "d"}, []FinalAnswer{{"a", "sold"}, {"b", "sold"}, {"b", "sold"}, {"c", "sold"}, {"c", "gave up"}, {"x", "sold"}})
 	require.Equal(t, Outcomes{Once: []string{"a", "b"}, Never: []string{"d"}, Repeated: []string{"b"}, Contradictory: []string{"c: gave up | sold"}, Unrequested: []string{"x"}}, e)
@@ -86,7 +86,7 @@
 
 	r := &Cluster{calls: []fakes.Call{{ID: "1", Addr: "a", Sent: ms(0), Ended: ms(10)}, {ID: "2", Addr: "a", Sent: ms(0), Ended: ms(30)},
 		{ID: "3", Addr: "b", Sent: ms(0), Ended: ms(30)}, {ID: "4", Addr: "a", Sent: ms(41), Ended: ms(50)}, {ID: "5", Addr: "b", Sent: ms(50), Ended: ms(60), Status: 502},
-		{ID: "6", Addr: "a", Sent: ms(70), Ended: ms(90)}}, outages: []outage{{"a", Span{ms(20), ms(40)}}, {"a", Span{From: ms(80)}}}}
+		{ID: "6", Addr: "a", Sent: ms(70), Ended: ms(90)}}, outages: []outage{{"a", Span{ms(20), ms(40)}}, {"a", Span{Start: ms(80)}}}}
 	require.Equal(t, []string{"1", "3", "4"}, r.LostCalls())
 
 	missing, extra, back := CompareRecords([]string{"a", "b", "c"}, []string{"p", "q"}, []string{"a", "c", "q", "x", "c"})
--- a/internal/dispatcher/fleet/harness/history.go
+++ b/internal/dispatcher/fleet/harness/history.go
@@ -9,19 +9,20 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// History records calls and their answers, of any number of clients.
+// History records operations and their results, for a check of linearizability by
+// porcupine.
 type History struct {
 	start time.Time
 	mu    sync.Mutex
 	calls []porcupine.Operation
 }
 
-// NewHistory is an empty history, which begins now.
+// NewHistory returns an empty history, which begins now.
 func NewHistory() *History { return &History{start: time.Now()} }
 
-// Call notes that a call begins. What it returns notes the answer; it is not
-// called for a call of which nobody knows whether it took effect: it may have at
-// any time from its begin on, and after all others it makes no difference.
+// Call records the start of an operation. The function that it returns records its result,
+// and is not called if nobody knows whether the operation took effect: it may have at any
+// time since its start.
 func (h *History) Call(client int, input any) (answered func(output any)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,8 +36,8 @@
 	}
 }
 
-// Check tells whether the history is one that the model could have had, each
-// call at one moment between its begin and its answer. It gives up at a time.
+// Check checks whether the history is linearizable with respect to a model. It gives up at
+// a time.
 func (h *History) Check(m porcupine.Model, until time.Time) error {
 	h.mu.Lock()
 	calls := append([]porcupine.Operation(nil), h.calls...)
@@ -49,20 +50,20 @@
 	return nil
 }
 
-// LeaseCall asks for a lease by name, or to renew the one with a fencing number.
+// LeaseCall asks for a lease by name, or renews the one with a fencing number.
 type LeaseCall struct {
 	Name, Holder string
 	Fence        uint64 // 0: a grant is asked for
 }
 
-// LeaseAnswer is what the keepers said, at a fleet time.
+// LeaseAnswer is the raft nodes' answer, with its fleet time.
 type LeaseAnswer struct {
 	Granted   bool
 	Fence     uint64 // of a grant
 	At, Until time.Duration
 }
 
-// leaseState is one lease as it is held. Loose: a call without an answer may have
+// leaseState is a lease. If it is uncertain, an operation without an answer may have
 // changed its end, and raised its fencing number.
 type leaseState struct {
 	holder    string
@@ -71,10 +72,10 @@
 	uncertain bool
 }
 
-// LeaseModel are the rules of leases by name. Fleet time never runs backward; while
-// a lease lasts no other holder is granted it; each grant has a greater fencing
-// number; only who holds it renews it, with its number, before its end; and it is
-// refused only while it is held, its renewal only while it is not.
+// LeaseModel is the model of leases by name. Fleet time never runs backward; no other
+// holder is granted a lease while it lasts; each grant has a greater fencing number; only
+// its holder renews it, with its number, before its end; a grant is refused only while the
+// lease is held, and a renewal only while it is not.
 func LeaseModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: partitionBy(func(in any) string { return in.(LeaseCall).Name }),
@@ -111,12 +112,12 @@
 	}
 }
 
-// RunCall ends a plan's run with an outcome, or asks for it with none. The answer
-// is a string: the outcome that counts, or none.
+// RunCall ends a plan run with an outcome, or asks for it with none. The result is a
+// string: the outcome that counts, or none.
 type RunCall struct{ Run, Outcome string }
 
-// RunModel are the rules of runs that end once: the first outcome counts, and each
-// who comes later is told that one.
+// RunModel is the model of runs that end once: the first outcome counts, and everybody
+// later is told that one.
 func RunModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: partitionBy(func(in any) string { return in.(RunCall).Run }),
@@ -132,7 +133,7 @@
 	}
 }
 
-// partitionBy parts a history by a key of its calls.
+// partitionBy partitions a history by a key of its operations.
 func partitionBy(key func(input any) string) func([]porcupine.Operation) [][]porcupine.Operation {
 	return func(all []porcupine.Operation) (parts [][]porcupine.Operation) {
 		place := make(map[string]int)
--- a/internal/dispatcher/fleet/harness/plan.go
+++ b/internal/dispatcher/fleet/harness/plan.go
@@ -16,19 +16,19 @@
 	"basaltloft/internal/dispatcher/faultproxy"
 )
 
-// Fault is something that goes wrong for a time.
+// Fault is a fault that lasts for a time.
 type Fault struct {
-	At, Duration  time.Duration // from the play's begin; how long
-	Kind          string
-	Process, Peer int // places of processes; Whom only where there are two
-	Rate          int // of a trickle, in bytes a second
+	Start, Duration time.Duration // since the begin of Inject
+	Kind            string
+	Process, Peer   int // index of a process
+	Rate            int // of a rate limit, in bytes a second
 }
 
-// FaultPlan are a plan, in their order.
+// FaultPlan is a list of faults, in the order of their starts.
 type FaultPlan []Fault
 
 func (f Fault) String() string {
-	text := fmt.Sprintf("%8.3fs for %5.3fs n%d %s", f.At.Seconds(), f.Duration.Seconds(), f.Process+1, f.Kind)
+	text := fmt.Sprintf("%8.3fs for %5.3fs n%d %s", f.Start.Seconds(), f.Duration.Seconds(), f.Process+1, f.Kind)
 	if faultKinds[f.Kind].pairwise {
 		text += fmt.Sprintf(" n%d", f.Peer+1)
 	}
@@ -46,7 +46,7 @@
 // faultKind is how a kind of fault begins and ends.
 type faultKind struct {
 	pairwise      bool // it is between two processes; else it takes one out of service
-	affectsFolder bool // it costs a folder: nobody else may be out, nor was of late
+	affectsFolder bool // a directory is lost: no other process may be out of service, now or recently
 	begin, end    func(*Cluster, Fault) error
 }
 
@@ -87,7 +87,7 @@
 	"has its calls twice at": linkFault(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { l.Replay(); return nil }),
 }
 
-// FaultKinds are the names of all kinds of faults.
+// FaultKinds returns the names of all kinds of faults, sorted.
 func FaultKinds() (names []string) {
 	for name := range faultKinds {
 		names = append(names, name)
@@ -100,7 +100,7 @@
 
 func restart(r *Cluster, f Fault) error { return r.target(f).Start() }
 
-// savedFolder is where a process's folder is kept while another is in its place.
+// savedFolder is where a process's directory is kept while another one is in its place.
 func savedFolder(r *Cluster, f Fault) string { return filepath.Join(r.target(f).Home, "aside") }
 
 func onLinksOf(do func(*faultproxy.Proxy) error) func(*Cluster, Fault) error {
@@ -112,8 +112,8 @@
 	}
 }
 
-// linkFault is a fault of the links between two processes, whoever dials: what Who
-// says to Whom goes forth on its own, and back on the other's.
+// linkFault is a fault of the links between two processes, whoever dials: what Process
+// sends to Peer flows forward on its own links, and backward on the other's.
 func linkFault(do func(*faultproxy.Proxy, Fault, faultproxy.Direction) error) faultKind {
 	each := func(r *Cluster, f Fault, do func(*faultproxy.Proxy, Fault, faultproxy.Direction) error) (err error) {
 		for _, l := range r.Links(f.Process, f.Peer) {
@@ -129,16 +129,17 @@
 	}}
 }
 
+// Durations of faults.
 const (
-	quietPeriod = 3 * time.Second // after a fault of a folder, in which none that takes out a process begins
+	quietPeriod = 3 * time.Second // after a fault of a directory, in which no process is taken out of service
 	maxFault    = 4 * time.Second // of a fault
 )
 
-// RandomFaults draws so many faults for so many processes, of the named kinds, or of all
-// if none is named. The same arguments give the same plan. No process has two
-// faults at a time, and a majority is always left: fewer than half are out at a
-// time, and while one loses a folder, and for a while before and after, no other
-// is. There must be two processes at least, and of two one may be out.
+// RandomFaults draws faults of the named kinds, or of all kinds if none is named. The same
+// arguments give the same plan. No process has two faults at a time, and a majority is
+// always left: fewer than half are out of service at a time, and none while another loses
+// its directory, and for a while before and after. There must be at least two processes, of
+// which one may be out of service.
 func RandomFaults(seed uint64, processes, steps int, of ...string) (all FaultPlan) {
 	if len(of) == 0 {
 		of = FaultKinds()
@@ -150,7 +151,7 @@
 	for at := time.Duration(0); len(all) < steps; {
 		at += 100*time.Millisecond + time.Duration(random.Int64N(int64(500*time.Millisecond)))
 		f := Fault{
-			At: at, Duration: 200*time.Millisecond + time.Duration(random.ExpFloat64()*float64(time.Second)), Kind: of[random.IntN(len(of))],
+			Start: at, Duration: 200*time.Millisecond + time.Duration(random.ExpFloat64()*float64(time.Second)), Kind: of[random.IntN(len(of))],
 			Process: random.IntN(processes), Peer: random.IntN(processes), Rate: 50 << random.IntN(8),
 		}
 		f.Duration = min(f.Duration, maxFault)
@@ -182,8 +183,8 @@
 	return all
 }
 
-// Inject plays a plan at its times, each fault's end included, and tells what it
-// could not do. Ended early, it ends the faults that are there.
+// Inject injects faults at their times, and ends each. It returns what it could not do. If
+// the context ends early, it ends the faults that have begun.
 func (r *Cluster) Inject(ctx context.Context, plan FaultPlan) (err error) {
 	type event struct {
 		at  time.Duration
@@ -195,7 +196,7 @@
 		if faultKinds[f.Kind].begin == nil {
 			return fmt.Errorf("%v: no such fault", f)
 		}
-		events = append(events, event{f.At, f, false}, event{f.At + f.Duration, f, true})
+		events = append(events, event{f.Start, f, false}, event{f.Start + f.Duration, f, true})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	back := make(map[Fault]func()) // of those that have begun
--- a/internal/dispatcher/fleet/harness/process.go
+++ b/internal/dispatcher/fleet/harness/process.go
@@ -23,14 +23,13 @@
 	"basaltloft/internal/dispatcher/fakes"
 )
 
-// Process is one process of a rig. It is also what the template of its
-// operator's file is given: {{.Name}}, {{.Folder}}, {{.Addr "calls"}} for an
-// address of its own, {{.PeerAddr "n2" "calls"}} for another's as this one reaches
-// it, {{.Peers 3 "calls" "votes"}} for an object of the first three by name, with
-// both addresses of each.
+// Process is one process of a cluster. It is also the data of its operator's file template:
+// {{.Name}}, {{.Folder}}, {{.Addr "calls"}} for an address of its own, {{.PeerAddr "n2"
+// "calls"}} for another's as this one reaches it, {{.Peers 3 "calls" "votes"}} for an
+// object of the first three by name, with both addresses of each.
 type Process struct {
 	Name, Home, Folder, Log string
-	Operator                string // its template; a change counts from the next start
+	Operator                string // the template; a change takes effect at the next start
 
 	cluster   *Cluster
 	index     int
@@ -46,8 +45,8 @@
 	unexpectedExits []string
 }
 
-// Addr is one of its addresses, which stays its own over restarts: listen,
-// admin, or any that its operator's file names.
+// Addr returns one of its addresses, which it keeps over restarts: listen, admin, or any
+// other name.
 func (p *Process) Addr(name string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,8 +60,8 @@
 	return p.addrs[name]
 }
 
-// PeerAddr is another process's address as this one reaches it, through a link;
-// its own is not.
+// PeerAddr returns another process's address as this one reaches it, through a link. Its
+// own address has no link.
 func (p *Process) PeerAddr(other, name string) (string, error) {
 	i := slices.IndexFunc(p.cluster.Processes, func(q *Process) bool { return q.Name == other })
 	if i < 0 {
@@ -81,8 +80,7 @@
 	return p.linkAddrs[at], err
 }
 
-// Peers are the first so many processes and the named addresses of each, as
-// JSON.
+// Peers returns the first processes with the named addresses of each, as JSON.
 func (p *Process) Peers(first int, names ...string) (string, error) {
 	peers := make(map[string]map[string]string)
 	for _, q := range p.cluster.Processes[:first] {
@@ -147,7 +145,7 @@
 	return nil
 }
 
-// expectExit says that its end is no surprise: it was given a folder that it must refuse.
+// expectExit says that its exit is expected: it was given a directory that it must refuse.
 func (p *Process) expectExit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,7 +161,8 @@
 	return demo.WaitReady(context.Background(), p.Addr("listen"), ended)
 }
 
-// AdminRequest asks its operators' door, and returns the status and text of the answer.
+// AdminRequest sends a request to its admin API, and returns the status and body of the
+// response.
 func (p *Process) AdminRequest(method, path, body string, until time.Time) (status int, text string, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
@@ -181,7 +180,7 @@
 	return resp.StatusCode, string(got), err
 }
 
-// WaitForAdmin asks its door again and again until what is there matches a pattern, and
+// WaitForAdmin requests a path of its admin API until the response matches a pattern, and
 // returns the match and its groups.
 func (p *Process) WaitForAdmin(path, pattern string, until time.Time) ([]string, error) {
 	re, err := regexp.Compile("(?s)" + pattern)
@@ -200,14 +199,14 @@
 	}
 }
 
-// IsRunning tells whether it runs, or is frozen.
+// IsRunning reports whether it runs, or is stopped.
 func (p *Process) IsRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// UnexpectedExits tells of each end that nobody asked for.
+// UnexpectedExits describes each exit that was not expected.
 func (p *Process) UnexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,8 +226,8 @@
 	return nil
 }
 
-// Wait waits for its end, and returns what it ended with. The end of one that
-// was waited for before is nil.
+// Wait waits for its exit, and returns the error of that. A second call after the exit
+// returns nil.
 func (p *Process) Wait(until time.Time) error {
 	p.mu.Lock()
 	ended := p.exited
@@ -246,7 +245,7 @@
 	}
 }
 
-// Kill ends it with SIGKILL, also when it is frozen, and waits for that.
+// Kill kills it with SIGKILL, even when it is stopped, and waits for its exit.
 func (p *Process) Kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -258,7 +257,7 @@
 	return nil
 }
 
-// Freeze stops it with SIGSTOP, and returns once all its threads stand still.
+// Freeze stops it with SIGSTOP, and returns once all its threads have stopped.
 func (p *Process) Freeze() error {
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -271,7 +270,7 @@
 	return nil
 }
 
-// isStopped tells whether no thread of it can run.
+// isStopped reports whether none of its threads can run.
 func (p *Process) isStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -291,15 +290,15 @@
 // Thaw ends Freeze.
 func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
 
-// Terminate asks it to end in order; Wait waits for that.
+// Terminate sends SIGTERM; Wait waits for the exit.
 func (p *Process) Terminate() error { return p.signal(syscall.SIGTERM) }
 
-// WipeFolder empties the folder of a process that does not run.
+// WipeFolder empties the directory of a process that does not run.
 func (p *Process) WipeFolder() error {
 	return errors.Join(os.RemoveAll(p.Folder), os.MkdirAll(p.Folder, 0o700))
 }
 
-// CopyFolder copies its folder as it is at one moment, for which it is frozen.
+// CopyFolder copies its directory as it is at one moment, for which it is stopped.
 func (p *Process) CopyFolder(to string) error {
 	err := p.Freeze()
 	if err == nil {
@@ -308,12 +307,12 @@
 	return errors.Join(err, p.Thaw())
 }
 
-// ReplaceFolder puts a copy of a folder in place of that of a process that does not run.
+// ReplaceFolder replaces the directory of a process that does not run.
 func (p *Process) ReplaceFolder(from string) error {
 	return errors.Join(os.RemoveAll(p.Folder), os.CopyFS(p.Folder, os.DirFS(from)))
 }
 
-// CPU is the processor time that its process has used so far, as /proc tells it.
+// CPU returns the processor time that it has used so far, from /proc.
 func (p *Process) CPU() (time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dispatcher/fleet/harness/rig.go
+++ b/internal/dispatcher/fleet/harness/rig.go
@@ -1,7 +1,7 @@
-// Package harness runs several processes of the program on loopback, joined by links
-// that fail on demand, with members, discovery and clients that all of them
-// share. What they did is judged by what stood outside: members, clients and who
-// asked the doors.
+// Package harness runs several processes of the program on loopback for tests, connected by
+// proxies that inject faults (package faultproxy), with members, discovery and clients that
+// all of them share. What the processes did is judged by observations from outside: those
+// of the members, the clients and the admin API.
 package harness
 
 import (
@@ -23,19 +23,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings are what a rig is to be.
+// Settings configure a Cluster.
 type Settings struct {
 	Processes    int
-	Load         demo.Load                                                   // Members, Slots, Run, Troubles, Rate and Seed
-	Operator     string                                                      // the template of the operators' files, see Process; empty: none
+	Load         demo.Load                                                   // Members, Slots, Run, Troubles, Rate and Seed are used
+	Operator     string                                                      // template of the operator's files, see Process; empty: none
 	Tags         string                                                      // build tags of the program
-	Env          []string                                                    // more of the processes' environment
-	Args         []string                                                    // more of their arguments
-	MemberAnswer func(class, ask string, body []byte) (state, result string) // see standin.MemberSettings
-	PickProcess  func(*Cluster) *Process                                     // whom a client's try goes to; nil: any, by chance
+	Env          []string                                                    // added to the processes' environment
+	Args         []string                                                    // added to their arguments
+	MemberAnswer func(class, ask string, body []byte) (state, result string) // see fakes.MemberSettings
+	PickProcess  func(*Cluster) *Process                                     // where a client's attempt is sent; nil: a random process
 }
 
-// Cluster is processes and what is around them.
+// Cluster is a set of processes with their surroundings.
 type Cluster struct {
 	Settings
 	Processes []*Process // n1, n2 and so on
@@ -57,15 +57,15 @@
 
 // outage is a time in which a process was out of service by a fault.
 type outage struct {
-	addr string // of clients
+	addr string // for clients
 	Span
 }
 
-// linkKey is who dials whom, by their places.
+// linkKey is who dials whom, by index.
 type linkKey struct{ from, to int }
 
-// New makes a rig, of which no process runs yet. The test's end ends it; a test
-// that has failed then shows the end of each process's log.
+// New makes a cluster, of which no process runs yet. It ends with the test; if the test has
+// failed, the end of each process's log is shown.
 func New(t testing.TB, s Settings) *Cluster {
 	t.Helper()
 	binary, err := scenario.BuildTags(s.Tags)
@@ -106,7 +106,7 @@
 	}
 }
 
-// StartClients lets clients ask.
+// StartClients starts the clients' load.
 func (r *Cluster) StartClients() {
 	ctx, stop := context.WithCancel(context.Background())
 	r.stopClients = stop
@@ -125,45 +125,45 @@
 	})
 }
 
-// StopClients asks nothing more, and waits for the answers that are due.
+// StopClients ends the clients' load and waits for the pending answers.
 func (r *Cluster) StopClients() {
 	r.stopClients()
 	r.clients.Wait()
 }
 
-// Calls are the tries of clients that have ended.
+// Calls returns the clients' attempts that have ended.
 func (r *Cluster) Calls() []fakes.Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.calls)
 }
 
-// beginOutage notes that a process is out of service. What it returns notes that it
-// is back once it serves, or has ended again.
+// beginOutage records that a process is out of service. The function that it returns
+// records the end, once the process is ready or has ended again.
 func (r *Cluster) beginOutage(p *Process) (back func()) {
 	addr := p.Addr("listen")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := len(r.outages)
-	r.outages = append(r.outages, outage{addr, Span{From: time.Now()}})
+	r.outages = append(r.outages, outage{addr, Span{Start: time.Now()}})
 	return func() {
 		r.clients.Go(func() {
 			p.WaitReady()
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.outages[n].To = time.Now()
+			r.outages[n].End = time.Now()
 		})
 	}
 }
 
-// LostCalls are the calls that got no answer though the process that they went to was
-// in service all the time.
+// LostCalls returns the calls that got no answer though their process was in service all
+// the time.
 func (r *Cluster) LostCalls() (ids []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.calls {
 		if c.Status == 0 && !slices.ContainsFunc(r.outages, func(o outage) bool {
-			return o.addr == c.Addr && o.From.Before(c.Ended) && (o.To.IsZero() || o.To.After(c.Sent))
+			return o.addr == c.Addr && o.Start.Before(c.Ended) && (o.End.IsZero() || o.End.After(c.Sent))
 		}) {
 			ids = append(ids, c.ID)
 		}
@@ -171,14 +171,14 @@
 	return ids
 }
 
-// Links are the links from one process to another, by their places.
+// Links returns the links from one process to another, by index.
 func (r *Cluster) Links(from, to int) []*faultproxy.Proxy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.links[linkKey{from, to}]
 }
 
-// LinksOf are all links from and to a process.
+// LinksOf returns all links from and to a process.
 func (r *Cluster) LinksOf(place int) (all []*faultproxy.Proxy) {
 	for other := range r.Processes {
 		all = append(append(all, r.Links(place, other)...), r.Links(other, place)...)
@@ -186,7 +186,7 @@
 	return all
 }
 
-// link makes a link for one of a process's addresses.
+// link makes a link to one of a process's addresses.
 func (r *Cluster) link(from, to int, addr string) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +199,7 @@
 	return l.Addr(), nil
 }
 
-// RandomProcess is one of the processes, by chance.
+// RandomProcess returns a random process.
 func (r *Cluster) RandomProcess() *Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,5 +231,5 @@
 
 const maxLogShown = 16000 // bytes of a log
 
-// transitionTimeout is how long an exit or a process's readiness may take.
+// transitionTimeout bounds a process's start and exit.
 const transitionTimeout = 40 * time.Second
--- a/internal/dispatcher/fleet/harness/rig_test.go
+++ b/internal/dispatcher/fleet/harness/rig_test.go
@@ -98,7 +98,7 @@
 
 	var all FaultPlan
 	for n, name := range FaultKinds() {
-		all = append(all, Fault{At: time.Duration(n) * 20 * time.Millisecond, Duration: 15 * time.Millisecond, Kind: name, Process: 0, Peer: 1, Rate: 50})
+		all = append(all, Fault{Start: time.Duration(n) * 20 * time.Millisecond, Duration: 15 * time.Millisecond, Kind: name, Process: 0, Peer: 1, Rate: 50})
 	}
 	require.NoError(t, r.Inject(t.Context(), all))
 	r.clients.Wait()
@@ -119,13 +119,13 @@
 		for i, f := range plan {
 			out := 0
 			for _, g := range plan[:i] {
-				together := g.At+g.Duration > f.At
+				together := g.Start+g.Duration > f.Start
 				require.False(t, together && (g.Process == f.Process || faultKinds[g.Kind].pairwise && g.Peer == f.Process), "%v\n%v", g, f)
 				if together && (!faultKinds[g.Kind].pairwise || faultKinds[g.Kind].affectsFolder) {
 					out++
 				}
 				if faultKinds[f.Kind].affectsFolder && (!faultKinds[g.Kind].pairwise || faultKinds[g.Kind].affectsFolder) || faultKinds[g.Kind].affectsFolder && !faultKinds[f.Kind].pairwise {
-					require.LessOrEqual(t, g.At+g.Duration+quietPeriod, f.At, "%v\n%v", g, f)
+					require.LessOrEqual(t, g.Start+g.Duration+quietPeriod, f.Start, "%v\n%v", g, f)
 				}
 			}
 			if !faultKinds[f.Kind].pairwise {
@@ -175,7 +175,7 @@
 	s.Checks = SoakChecks(map[string]func(*Cluster) ([]string, error){
 		"overspends": func(r *Cluster) (over []string, _ error) {
 			if by, window := Overspent(r.AdmissionSpans(demo.Tenants[0]), rate, burst); by > 0 {
-				over = append(over, fmt.Sprintf("by %.2f in the %v from %v", by, window.To.Sub(window.From), window.From))
+				over = append(over, fmt.Sprintf("by %.2f in the %v from %v", by, window.End.Sub(window.Start), window.Start))
 			}
 			return over, nil
 		},
--- a/internal/dispatcher/fleet/harness/soak.go
+++ b/internal/dispatcher/fleet/harness/soak.go
@@ -16,23 +16,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Soak is faults under load for a time.
+// Soak is load with injected faults, for a time.
 type Soak struct {
 	Settings
-	FaultKinds []string                          // of faults; none: all
-	Background []func(context.Context, *Cluster) // what runs beside the clients, until the context ends
+	FaultKinds []string                          // kinds of faults; none: all
+	Background []func(context.Context, *Cluster) // run beside the clients until their context ends
 	Checks     []SoakCheck
 }
 
-// SoakCheck is what a soak counts when all has ended.
+// SoakCheck is something that a soak counts at its end.
 type SoakCheck struct {
 	Name       string
-	MustBeZero bool                             // there must be none
-	Find       func(*Cluster) ([]string, error) // which; nil: nothing counts them, which is said
+	MustBeZero bool                             // the soak fails if anything is found
+	Find       func(*Cluster) ([]string, error) // nil: it is reported as not counted
 }
 
-// SoakChecks are those of a soak of any processes, and with them those that are told
-// apart by name: what only a part of the fleet has is counted by its test.
+// SoakChecks returns the checks of a soak of any processes. Checks of what only some fleets
+// have are added by name.
 func SoakChecks(more map[string]func(*Cluster) ([]string, error)) []SoakCheck {
 	all := []SoakCheck{
 		{"overspends", true, nil},
@@ -64,8 +64,8 @@
 	return all
 }
 
-// AdmissionSpans are the times within which each try of a tenant was admitted: after
-// its client sent it, and before a member got it.
+// AdmissionSpans returns the times within which each attempt of a tenant was admitted:
+// after its client sent it, and before a member received it.
 func (r *Cluster) AdmissionSpans(tenant string) (all []Span) {
 	first := make(map[string]time.Time)
 	for _, a := range r.Till.Arrivals() {
@@ -81,15 +81,15 @@
 	return all
 }
 
-// DigestMonitor are what keepers said of their state, by how much of the log it had.
+// DigestMonitor compares the digests that raft nodes report of their state, by log index.
 type DigestMonitor struct {
 	mu          sync.Mutex
-	byIndex     map[uint64]map[string]string // by part
+	byIndex     map[uint64]map[string]string // then by partition
 	lastIndex   map[string]uint64            // by process
 	differences []string
 }
 
-// Watch asks all processes until the context ends. It is for Soak.Beside.
+// Watch polls all processes until the context ends. It is for Soak.Background.
 func (d *DigestMonitor) Watch(ctx context.Context, r *Cluster) {
 	for ctx.Err() == nil {
 		for _, p := range r.Processes {
@@ -127,8 +127,8 @@
 	}
 }
 
-// WaitConverged waits until so many keepers have told of the same state, and returns
-// all that were seen to differ.
+// WaitConverged waits until this many raft nodes report the same index, and returns all
+// differences that were seen.
 func (d *DigestMonitor) WaitConverged(r *Cluster, keepers int, until time.Time) ([]string, error) {
 	for time.Now().Before(until) {
 		for _, p := range r.Processes {
@@ -150,12 +150,12 @@
 	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", keepers, d.lastIndex, strings.Join(said, "\n"))
 }
 
-// Run soaks for a time with faults that end within it, and returns the line of
-// its counts. It fails the test for each that there must be none of.
+// Run runs load with faults that end within a time, and returns a summary. It fails the
+// test for each check that must be zero and isn't.
 func (s Soak) Run(t testing.TB, length time.Duration) string {
 	t.Helper()
 	plan := RandomFaults(s.Load.Seed, s.Processes, int(length/(100*time.Millisecond)), s.FaultKinds...)
-	plan = slices.DeleteFunc(plan, func(f Fault) bool { return f.At+f.Duration > length })
+	plan = slices.DeleteFunc(plan, func(f Fault) bool { return f.Start+f.Duration > length })
 	t.Logf("the plan of seed %d:\n%v", s.Load.Seed, plan)
 	r := New(t, s.Settings)
 	r.Start()
@@ -185,15 +185,15 @@
 	return strings.Join(line, ", ")
 }
 
-// PlanLoad begins runs of a plan, and holds what it is told of their ends.
+// PlanLoad starts runs of a plan, and compares what it is told of their outcomes.
 type PlanLoad struct {
-	Plan, Query string        // of the call that begins one
-	Interval    time.Duration // from one to the next
-	started     []string      // by Begin, until its end
+	Plan, Query string        // with Query: of the request that starts a run
+	Interval    time.Duration // from one run to the next
+	started     []string      // by Run, until that returns
 }
 
-// Run begins runs until the context ends, each at any process, and at another
-// as long as nobody has said that it is begun. It is for Soak.Beside.
+// Run starts runs until the context ends, each at a random process, and again at another
+// until one has confirmed it. It is for Soak.Background.
 func (b *PlanLoad) Run(ctx context.Context, r *Cluster) {
 	for n := 0; ctx.Err() == nil; n++ {
 		run := fmt.Sprintf("run-%05d", n)
@@ -210,7 +210,7 @@
 	}
 }
 
-// Outcomes asks two processes for the end of each run, until a time at the latest.
+// Outcomes asks two processes for the outcome of each run, until a time at the latest.
 func (b *PlanLoad) Outcomes(r *Cluster, until time.Time) Outcomes {
 	var ends []FinalAnswer
 	for _, run := range b.started {
@@ -228,11 +228,11 @@
 	return CompareOutcomes(b.started, ends)
 }
 
-// RetentionMonitor watches what records the fleet keeps of a tenant whose rule cuts them, and holds
-// at the end those of others against what clients were told.
+// RetentionMonitor watches which records the fleet keeps of a tenant whose rule prunes
+// them, and compares those of other tenants with the clients' answers at the end.
 type RetentionMonitor struct {
 	PrunedTenant string   // the tenant with a rule
-	KeptTenants  []string // those without
+	KeptTenants  []string // tenants without one
 	Lag          time.Duration
 	removed      map[string]bool
 	present      map[string]bool
@@ -241,7 +241,7 @@
 	extra        []string
 }
 
-// list are the ids of all records of a tenant, by pages of a door.
+// list returns the ids of all records of a tenant, by pages.
 func (k *RetentionMonitor) list(r *Cluster, tenant string, until time.Time) (ids []string, err error) {
 	after := ""
 	for {
@@ -266,7 +266,8 @@
 	}
 }
 
-// Watch looks what comes and goes until the context ends. It is for Soak.Beside.
+// Watch observes which records come and go until the context ends. It is for
+// Soak.Background.
 func (k *RetentionMonitor) Watch(ctx context.Context, r *Cluster) {
 	k.removed, k.present = make(map[string]bool), make(map[string]bool)
 	for ctx.Err() == nil {
@@ -295,8 +296,8 @@
 	k.present = now
 }
 
-// Check waits until every spool is empty, and holds the records against the calls. What
-// a process answered within Lag before it went out of service may have gone with it.
+// Check waits until every spool is empty, and compares the records with the clients' calls.
+// What a process answered within Lag before an outage may be lost with it.
 func (k *RetentionMonitor) Check(r *Cluster) error {
 	for _, p := range r.Processes {
 		if _, err := p.WaitForAdmin("/fleet", `"unsent":0[,}]`, time.Now().Add(2*transitionTimeout)); err != nil {
@@ -327,11 +328,11 @@
 	return nil
 }
 
-// hadOutage tells whether a process went out of service within a time after a moment.
+// hadOutage reports whether a process went out of service within a time after a moment.
 func (r *Cluster) hadOutage(addr string, at time.Time, within time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.ContainsFunc(r.outages, func(o outage) bool {
-		return o.addr == addr && o.From.Before(at.Add(within)) && (o.To.IsZero() || o.To.After(at))
+		return o.addr == addr && o.Start.Before(at.Add(within)) && (o.End.IsZero() || o.End.After(at))
 	})
 }
--- a/internal/dispatcher/fleet/partition/budgets.go
+++ b/internal/dispatcher/fleet/partition/budgets.go
@@ -1,5 +1,7 @@
-// Package partition joins the deciding packages of the fleet layer to the replicated
-// state: it reads their commands, and writes and reads their part of a snapshot.
+// Package partition adapts the decision packages of the fleet layer (budget, planrun,
+// records) to the replicated state: each adapter decodes the commands and queries of its
+// package, and writes and reads its section of a snapshot. The adapters are called by
+// state.Machine only, one call at a time.
 package partition
 
 import (
@@ -12,21 +14,21 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 )
 
-// Names of the parts, which their kinds of commands begin with.
+// Name, command and query of the partition of the budgets.
 const (
-	BudgetsName = "budgets"
+	BudgetsName = "budgets" // the partition's name
 
-	BudgetsLeave  state.Kind = "budgets/leave"     // a BudgetsLeft: a planned end
-	BudgetsStatus state.Kind = "budgets/standings" // asks for []shares.Standing
+	BudgetsLeave  state.Kind = "budgets/leave"     // a BudgetsDeparture: a planned shutdown
+	BudgetsStatus state.Kind = "budgets/standings" // a query, answered with []budget.BudgetStatus
 )
 
-// BudgetsDeparture is what a process leaves under way at its planned end, by budget.
+// BudgetsDeparture is what a process leaves in flight at its planned shutdown, by budget.
 type BudgetsDeparture struct{ Left map[string]budget.Departure }
 
-// Budgets is the part of the budgets. Its settings are a shares.Config.
+// Budgets is the partition of the budgets. Its settings are a budget.Config.
 type Budgets struct{ table *budget.AllocationTable }
 
-// NewBudgets returns a part without budgets.
+// NewBudgets returns a partition without budgets.
 func NewBudgets() *Budgets { return &Budgets{budget.NewAllocationTable()} }
 
 // Name implements state.Part.
@@ -62,7 +64,7 @@
 	return nil, b.table.Leave(c.At, c.Process, c.Incarnation, left.Left)
 }
 
-// Renew implements state.Part: it renews the shares.
+// Renew implements state.Partition: it renews the process's shares.
 func (b *Budgets) Renew(c state.Command, body []byte) ([]byte, error) {
 	var r budget.Renewal
 	if err := codec.Decode(body, &r); err != nil {
@@ -78,8 +80,8 @@
 	return codec.Encode(g)
 }
 
-// IncarnationEnded implements state.Part. A share outlasts its holder: the book takes it back
-// when the lease has ended, whoever has the name by then.
+// IncarnationEnded implements state.Partition. A share outlasts its holder: the allocation
+// table takes it back when the lease has expired.
 func (*Budgets) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
 
 // Advance implements state.Part.
--- a/internal/dispatcher/fleet/partition/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -11,44 +11,45 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 )
 
-// PlansName is the part of plans under way.
+// PlansName is the name of the partition of the plan runs.
 const PlansName = "plans"
 
-// Kinds of commands and queries of plans.
+// Commands and queries of the plan runs.
 const (
 	PlansCommand      state.Kind = "plans/do"      // a planrun.Command, answered with a PlanReply
-	PlansCountOrphans state.Kind = "plans/orphans" // a query: how many runs nobody drives
+	PlansCountOrphans state.Kind = "plans/orphans" // a query, answered with the number of runs without a coordinator
 	PlansRun          state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
 )
 
-// PlanReply answers a command or a query of plans.
+// PlanReply answers a command or a query of plan runs. It is sent by the field names in its
+// tags.
 type PlanReply struct {
 	planrun.Reply
-	Index       uint64          // of the state that it tells; a lower one is older
-	At          time.Duration   // fleet time
-	Run         *planrun.Run    // as it is now, unless it has ended; its shape is known to who drives it
+	Index       uint64          // log index of the state that it describes
+	At          time.Duration   // fleet time of that state
+	Run         *planrun.Run    // the run as of Index, unless it has ended; its coordinator knows the shape
 	Producing   uint64          `cbor:"Makes"` // see planrun.View
-	FinalAnswer *planrun.Answer `cbor:"Ended"`
+	FinalAnswer *planrun.Answer `cbor:"Ended"` // nil: the run has not ended
 }
 
-// Plans is the part of plans under way.
+// Plans is the partition of the plan runs.
 type Plans struct{ tracker *planrun.Tracker }
 
-// NewPlans returns a part without plans.
+// NewPlans returns a partition without runs.
 func NewPlans() *Plans { return &Plans{planrun.NewTracker(planrun.DefaultLimits())} }
 
 // Name implements state.Part.
 func (*Plans) Name() string { return PlansName }
 
-// Check implements state.Part: plans have no settings of the fleet's.
+// Check implements state.Partition: plan runs have no settings.
 func (*Plans) Check([]byte) error { return errors.New("plans are not set for the fleet") }
 
 // Set implements state.Part.
 func (p *Plans) Set(_ time.Duration, settings []byte) error { return p.Check(settings) }
 
-// Apply implements state.Part. What the book refuses is told in the reply, beside the
-// run as it is: a refusal may have made it give up. Who a command comes from is known
-// by its session, which the state has checked.
+// Apply implements state.Partition. A refusal by the tracker is part of the reply, with the
+// run as it is, since a refusal may have made the run give up. The issuing process is that
+// of the session, which the state has checked.
 func (p *Plans) Apply(c state.Command, index uint64) ([]byte, error) {
 	var do planrun.Command
 	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansCommand || do.LeaseExpired != nil {
@@ -76,7 +77,7 @@
 	return codec.Encode(r)
 }
 
-// describeRun puts a run, or its answer, into a reply.
+// describeRun adds a run, or its final answer, to a reply.
 func (p *Plans) describeRun(run string, r *PlanReply) {
 	if run == "" {
 		return
@@ -87,12 +88,13 @@
 	r.FinalAnswer = p.tracker.Answer(run)
 }
 
-// Renew implements state.Part: a renewal says nothing to this part.
+// Renew implements state.Partition: a renewal has no message for this partition.
 func (*Plans) Renew(state.Command, []byte) ([]byte, error) {
 	return nil, errors.New("plans are not renewed")
 }
 
-// IncarnationEnded implements state.Part: the runs that an incarnation drove wait for another.
+// IncarnationEnded implements state.Partition: the runs of an ended incarnation wait for
+// another coordinator.
 func (p *Plans) IncarnationEnded(at time.Duration, process string, incarnation uint64, _ state.EndCause) {
 	p.tracker.LeaseExpired(at, process, incarnation)
 }
--- a/internal/dispatcher/fleet/partition/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -12,59 +12,60 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 )
 
-// RecordsName is the part of the records of finished jobs. Its settings are a
+// RecordsName is the name of the partition of the job records. Its settings are a
 // records.SetRules.
 const RecordsName = "records"
 
-// Kinds of commands and queries of records.
+// Commands and queries of the job records.
 const (
 	RecordsShip        state.Kind = "records/ship" // a records.Ship, answered with a RecordsShipped
-	RecordsPrune       state.Kind = "records/cut"  // a records.Cut, answered with a records.Cuts
+	RecordsPrune       state.Kind = "records/cut"  // a records.Prune, answered with a records.Pruned
 	RecordsSetHold     state.Kind = "records/hold" // a records.SetHold
-	RecordsReleaseHold state.Kind = "records/lift" // a records.Lift
+	RecordsReleaseHold state.Kind = "records/lift" // a records.ReleaseHold
 
-	RecordsPlanPrune state.Kind = "records/plan"  // a query with a time: a RecordsPlanned
-	RecordsByID      state.Kind = "records/find"  // a query with an id: []records.Record
-	RecordsPage      state.Kind = "records/page"  // a records.Query: a records.Page
-	RecordsStatus    state.Kind = "records/stand" // a query: a RecordsStanding
+	RecordsPlanPrune state.Kind = "records/plan"  // a query with a time, answered with a RecordsPrunePlan
+	RecordsByID      state.Kind = "records/find"  // a query with a job id, answered with []records.Record
+	RecordsPage      state.Kind = "records/page"  // a records.Query, answered with a records.Page
+	RecordsStatus    state.Kind = "records/stand" // a query, answered with a RecordsStatusBody
 )
 
-// RecordsShipped answers a Ship. With Gap the number counts too.
+// RecordsShipped answers a Ship. If Gap is set, records before these are missing, and
+// Through is valid all the same.
 type RecordsShipped struct {
 	records.Shipped
 	Gap bool
 }
 
-// RecordsPrunePlan is the next cut, if one is needed.
+// RecordsPrunePlan is the next prune command, if one is needed.
 type RecordsPrunePlan struct {
 	Needed bool
 	Prune  records.Prune `cbor:"Cut"`
 }
 
-// RecordsStatusBody is what is kept.
+// RecordsStatusBody describes the stored records.
 type RecordsStatusBody struct {
 	Counts records.Counts
 	Holds  []records.Hold
-	Usage  map[string]records.Usage // by tenant, over its lanes
-	Bytes  int64                    // on this keeper's disk
+	Usage  map[string]records.Usage // by tenant, over its retention classes
+	Bytes  int64                    // on this node's disk
 }
 
-// maxRecordsByID records of one id are told; mostLooked are looked at for one cut.
+// Bounds of one query or command.
 const (
-	maxRecordsByID     = 64
-	maxScannedPerPrune = 1_000
+	maxRecordsByID     = 64    // records in the answer to a query by id
+	maxScannedPerPrune = 1_000 // records looked at by one prune
 )
 
-// Records is the part of the records. The small part of its state is in memory, the
-// records themselves in a store that the log fills.
+// Records is the partition of the job records. The small part of its state is in memory,
+// the records are in a store that is filled from the log.
 type Records struct {
 	state   *records.State
 	store   *recordstore.Store
-	failure error // of the store in the middle of a command: this replica's state is wrong
+	failure error // of the store in the middle of a command: this replica's state is invalid
 }
 
-// NewRecords returns an empty part over an empty store, of which it takes no more care
-// than to use it.
+// NewRecords returns an empty partition over an empty store. The caller closes the store.
+// The fence is what this process knows of earlier prunes.
 func NewRecords(s *recordstore.Store, known records.Fence) *Records {
 	r := &Records{state: records.New(), store: s}
 	r.state.LearnFence(known)
@@ -152,15 +153,16 @@
 	return v, nil
 }
 
-// Renew implements state.Part: a renewal says nothing to this part.
+// Renew implements state.Partition: a renewal has no message for this partition.
 func (*Records) Renew(state.Command, []byte) ([]byte, error) {
 	return nil, errors.New("records are not renewed")
 }
 
-// IncarnationEnded implements state.Part. What a process left in its spool comes when it is back.
+// IncarnationEnded implements state.Partition. What a process left in its spool arrives
+// when it is back.
 func (*Records) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
 
-// Advance implements state.Part: nothing goes but by a cut.
+// Advance implements state.Partition: records are removed by prunes only.
 func (*Records) Advance(time.Duration) {}
 
 // Query implements state.Asked.
@@ -218,7 +220,7 @@
 	return s, err
 }
 
-// Fence is how far this replica knows that records were cut.
+// Fence returns how far this replica knows that records were pruned.
 func (p *Records) Fence() records.Fence { return p.state.Fence() }
 
 // Snapshot implements state.Part.
@@ -249,8 +251,8 @@
 	return p.state.Decode(small)
 }
 
-// Digest implements state.Part: an error where the store has failed, so that this
-// replica finds no majority with its own.
+// Digest implements state.Partition. It fails where the store has failed, so that this
+// replica never agrees with a majority.
 func (p *Records) Digest() (uint64, error) {
 	if p.failure != nil {
 		return 0, p.failure
--- a/internal/dispatcher/fleet/plan/check.go
+++ b/internal/dispatcher/fleet/plan/check.go
@@ -14,19 +14,20 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
+// Words of plan files.
 var (
-	// allEnds are all that an attempt may come to, and endWords the same as words.
+	// allEnds are all that an attempt may end with, and endWords the same as strings.
 	allEnds  = []End{Done, Refused, Full, Unsent, Late, Failed, Reset, MayRun, Lost}
 	endWords = []string{"done", "refused", "full", "unsent", "late", "failed", "reset", "may_have_run", "lost_input"}
-	// reservedNames are the names that expressions know.
+	// reservedNames are the names that expressions define.
 	reservedNames = []string{"input", "item", "end", "result"}
 )
 
-// checks are made in this order, each on plans whose graph is sound. A test takes
-// one out to see that what it guards against is then found at work.
+// checks are run in this order, each on plans whose stages could be sorted. A test removes
+// one to show that what it prevents is then found at run time.
 var checks = []func(*checker){(*checker).checkReferences, (*checker).checkRules, (*checker).checkAtMostOnce, (*checker).checkKeys, (*checker).checkWorstCase}
 
-// stageSet holds stages of one plan, by their place in Stages.
+// stageSet is a set of stages of one plan, by their index in Stages.
 type stageSet uint64
 
 func (s stageSet) has(i int) bool { return s&(1<<i) != 0 }
@@ -35,14 +36,14 @@
 type checker struct {
 	*fileParser
 	plan       *Plan
-	upstream   []stageSet // by stage: all that it comes after, directly or not
-	downstream []stageSet // by stage: all that come after it
-	rerunnable stageSet   // stages that may be run again, and whose results that may change
+	upstream   []stageSet // by stage: all that it depends on, directly or not
+	downstream []stageSet // by stage: all that depend on it
+	rerunnable stageSet   // stages that may be run again, and whose results may change
 
-	unresolved map[*Stage]bool // it can't be told what these come after
+	unresolved map[*Stage]bool // stages whose dependencies can't be determined
 }
 
-// check names all that is wrong with a plan, and fills in what follows from it.
+// check adds all problems of a plan, and fills in what is computed from it.
 func check(f *fileParser, p *Plan) {
 	c := &checker{fileParser: f, plan: p}
 	if !c.sortStages() {
@@ -53,7 +54,7 @@
 	}
 }
 
-// sortStages puts the stages in an order in which each is after what it comes after.
+// sortStages sorts the stages topologically, and reports whether that was possible.
 func (c *checker) sortStages() bool {
 	p := c.plan
 	c.unresolved = map[*Stage]bool{}
@@ -151,11 +152,10 @@
 	return true
 }
 
-// maxRerunsFor is how often a stage may be run again for the loss of what another made,
-// or of its own: the largest most of the rules that ask for it, since most counts the
-// generations, whichever rule asked. A rule of a stage that this one comes after
-// counts for nothing: that stage has not ended well when it asks, so that this one
-// has not begun.
+// maxRerunsFor returns how often a stage may be run again for the loss of another's output,
+// or of its own: the largest MaxReruns of the rules that ask for it, since MaxReruns counts
+// the generations, whichever rule asked. A rule of a stage upstream counts for nothing:
+// that stage has not succeeded when it asks, so that this one has not begun.
 func (c *checker) maxRerunsFor(i int, of *Stage) (most int) {
 	for j, s := range c.plan.Stages {
 		for k := range s.Reruns {
@@ -167,7 +167,7 @@
 	return most
 }
 
-// rerunSet is what a rerun runs again: a stage, and all that hang on it.
+// rerunSet returns what a rerun runs again: a stage, and all stages downstream.
 func (c *checker) rerunSet(r *Rerun) stageSet {
 	if i := c.stageIndex(r.Of); i >= 0 {
 		return c.downstream[i] | 1<<i
@@ -197,15 +197,15 @@
 	return names
 }
 
-// expression is one of a plan's, and what it may use.
+// expression is one of a plan's, with the names that it may use.
 type expression struct {
 	hclsyntax.Expression
 	attribute string
 	names     []string
-	validate  func(string) error // nil: any value does
+	validate  func(string) error // nil: any value is valid
 }
 
-// expressions are those of a stage that are evaluated over input, item and results.
+// expressions returns those of a stage that are evaluated over input, item and results.
 func (c *checker) expressions(i int) (all []expression) {
 	s, upstream := c.plan.Stages[i], append(c.stageNames(c.upstream[i]), "input")
 	inside := upstream
@@ -278,8 +278,8 @@
 	return fmt.Sprintf("unknown name %q%s", name, suggestion(name, e.names))
 }
 
-// unknownContext is a context in which the named values exist and nothing is known of
-// them, but for those given.
+// unknownContext returns a context in which the named values exist and nothing is known of
+// them, except for those given.
 func unknownContext(names []string, known map[string]cty.Value) *hcl.EvalContext {
 	ctx := &hcl.EvalContext{Variables: map[string]cty.Value{}, Functions: functions}
 	for _, name := range names {
@@ -289,8 +289,8 @@
 	return ctx
 }
 
-// mayHold tells whether a condition may hold, and whether it must, at an end with any
-// result. Where that can't be told it may.
+// mayHold reports whether a condition may hold, and whether it must, at an end with any
+// result. Where that can't be determined it may.
 func (r *Rerun) mayHold(e End) (may, must bool) {
 	v, diags := evaluateRaw(r.When, unknownContext([]string{"result"}, map[string]cty.Value{"end": cty.StringVal(string(e))}))
 	if diags.HasErrors() || v.IsNull() || v.Type() != cty.Bool {
@@ -302,7 +302,7 @@
 	return v.True(), v.True()
 }
 
-// checkRules finds rules that can never count, and conditions on ends that there are not.
+// checkRules finds rules that can never apply, and conditions on ends that don't exist.
 func (c *checker) checkRules() {
 	for _, s := range c.plan.Stages {
 		var taken []End
@@ -374,7 +374,7 @@
 	}
 }
 
-// checkAtMostOnce: no rule may run a never-twice stage again once it may have run.
+// checkAtMostOnce finds rules that run an at-most-once stage again once it may have run.
 func (c *checker) checkAtMostOnce() {
 	for i, s := range c.plan.Stages {
 		if s.Effect == policy.AtMostOnce {
@@ -408,8 +408,8 @@
 	}
 }
 
-// secondRunReason says how never-twice stage j may have run when a rerun of stage i begins;
-// empty: it can't have.
+// secondRunReason tells how at-most-once stage j may have run when a rerun of stage i
+// begins; empty: it can't have.
 func (c *checker) secondRunReason(i int, r *Rerun, j int) string {
 	s := c.plan.Stages[i]
 	switch {
@@ -430,7 +430,7 @@
 	return ""
 }
 
-// checkKeys: what is run again has the same key, and a key stands for one job.
+// checkKeys checks that what is run again has the same key, and that a key names one job.
 func (c *checker) checkKeys() {
 	for i, s := range c.plan.Stages {
 		c.checkKey(i, s.Key, s.Class, s.Effect, s.Range)
@@ -476,7 +476,7 @@
 	}
 }
 
-// checkStable names what a rerun may change in an expression.
+// checkStable reports what a rerun may change in an expression.
 func (c *checker) checkStable(i int, e hcl.Expression, what string) {
 	s := c.plan.Stages[i]
 	for _, t := range e.Variables() {
@@ -493,8 +493,8 @@
 	}
 }
 
-// checkAvailableAtUndo: what an undo uses is there when the plan gives up. The result of a stage that
-// is being run again is not.
+// checkAvailableAtUndo checks that what an undo uses exists when the run gives up. The
+// result of a stage that is being run again doesn't.
 func (c *checker) checkAvailableAtUndo(s *Stage, e hcl.Expression) {
 	if e == nil {
 		return
@@ -514,7 +514,7 @@
 	return slices.ContainsFunc(e.Variables(), func(t hcl.Traversal) bool { return t.RootName() == name })
 }
 
-// checkShared: plans that share a run mean the same job by the same key.
+// checkShared checks that runs which share an output mean the same job by the same key.
 func (c *checker) checkShared(i int) {
 	s := c.plan.Stages[i]
 	c.checkStable(i, s.Shared, "the shared key")
@@ -534,7 +534,7 @@
 	}
 }
 
-// checkWorstCase: every plan ends, within what it says.
+// checkWorstCase checks that every run ends within the plan's bounds.
 func (c *checker) checkWorstCase() {
 	p, items := c.plan, 0
 	for _, s := range p.Stages {
--- a/internal/dispatcher/fleet/plan/eval.go
+++ b/internal/dispatcher/fleet/plan/eval.go
@@ -26,28 +26,28 @@
 // Bounds of values.
 const (
 	maxValueSize  = 1 << 20 // bytes of JSON, in and out
-	maxInputSize  = 8 << 20 // bytes of JSON that one expression may go over
+	maxInputSize  = 8 << 20 // bytes of JSON that one expression may read
 	maxDepth      = 32      // lists and objects within one another
 	maxListLength = 1 << 10 // entries of one list or object, and items of a stage
-	maxEntries    = 1 << 15 // of all of them together
+	maxEntries    = 1 << 15 // of all lists and objects of a value together
 	maxPathLength = 2048
 	maxKeyLength  = 256
 	maxNumber     = 1e300 // of a number
 )
 
-// Values are what expressions are evaluated over, as JSON. Text that is no JSON is
-// taken as a string.
+// Values are what expressions are evaluated over, as JSON. Text that is not JSON is taken
+// as a string.
 type Values struct {
-	Input   []byte            // what the plan was started with
+	Input   []byte            // the run's
 	Item    []byte            // of a stage with a list; nil: none
-	Results map[string][]byte // by stage; of a stage with a list, List of its items' results
+	Results map[string][]byte // by stage; of a stage with a list, the List of its items' results
 }
 
 // Item is an entry of a stage's list, as JSON.
 type Item []byte
 
-// List is the result of a stage with a list: a JSON list of its items' results, in
-// their order. A nil one, of an item that did not end well, is null.
+// List returns the result of a stage with a list: a JSON list of its items' results, in
+// their order. The nil result of an item that failed is null.
 func List(results [][]byte) []byte {
 	var a fastjson.Arena
 	list := a.NewArray()
@@ -64,8 +64,8 @@
 	return list.MarshalTo(nil)
 }
 
-// Render returns what a run of the stage is sent: its path, its body (nil: none)
-// and its key (empty: none).
+// Render returns what a run of the stage is sent: its path, its body (nil: none) and its
+// key (empty: none).
 func (s *Stage) Render(v Values) (path string, body []byte, key string, err error) {
 	if path, body, key, err = render(s.Path, s.Body, s.Key, v); err != nil {
 		err = fmt.Errorf("stage %q: %w", s.Name, err)
@@ -73,8 +73,8 @@
 	return path, body, key, err
 }
 
-// Render returns what a try of the compensation is sent, over the same values as
-// the stage was.
+// Render returns what an attempt at the compensation is sent, over the same values as the
+// stage's.
 func (u *Undo) Render(v Values) (path string, body []byte, key string, err error) {
 	if path, body, key, err = render(u.Path, u.Body, u.Key, v); err != nil {
 		err = fmt.Errorf("undo: %w", err)
@@ -104,9 +104,8 @@
 	return where, sent, same, nil
 }
 
-// Items returns what the stage is run for: the entries of its list, or one nil
-// item if it has none. A list that is too long, or too short for at_least, is an
-// error.
+// Items returns the stage's items: the entries of its list, or one nil item if it has none.
+// A list that is too long, or too short for at_least, is an error.
 func (s *Stage) Items(v Values) ([]Item, error) {
 	if s.Each == nil {
 		return []Item{nil}, nil
@@ -136,9 +135,9 @@
 	return items, nil
 }
 
-// SharedKey returns the key by which plans share a run of the stage; empty: it is
-// not shared. Keys are of the stage of this plan: plans of other names, or of
-// another digest, share nothing.
+// SharedKey returns the key by which runs share the stage's output; empty: it is not
+// shared. Keys belong to the stage of this plan: runs of plans with other names, or another
+// digest, share nothing.
 func (s *Stage) SharedKey(v Values) (string, error) {
 	if s.Shared == nil {
 		return "", nil
@@ -150,9 +149,9 @@
 	return key, nil
 }
 
-// Holds tells whether an attempt that ended so, with this result (nil: none),
-// reports that its input is lost or stale. Where that can't be told it doesn't
-// hold, and the error says why.
+// Holds reports whether an attempt with this end and this result (nil: none) reports that
+// its input is lost or stale. Where that can't be evaluated it doesn't hold, and the error
+// says why.
 func (r *Rerun) Holds(end End, result []byte) (bool, error) {
 	made, err := evaluate(r.When, map[string][]byte{"end": quoteJSON(string(end)), "result": result})
 	if err == nil {
@@ -176,7 +175,7 @@
 	return names
 }
 
-// evaluateString evaluates what must become text of a form.
+// evaluateString evaluates an expression that must give a valid string.
 func evaluateString(e hcl.Expression, names map[string][]byte, fits func(string) error) (string, error) {
 	made, err := evaluate(e, names)
 	if err != nil {
@@ -204,7 +203,7 @@
 	return nil
 }
 
-// evaluate computes an expression over names. It decodes only those in use.
+// evaluate evaluates an expression over names. It decodes only those in use.
 func evaluate(e hcl.Expression, names map[string][]byte) (cty.Value, error) {
 	ctx, weight := &hcl.EvalContext{Variables: map[string]cty.Value{}, Functions: functions}, 0
 	for _, t := range e.Variables() {
@@ -236,8 +235,8 @@
 	return made, nil
 }
 
-// evaluateRaw computes an expression. Where the library panics, over values that it did not
-// foresee, that is an error of the expression.
+// evaluateRaw evaluates an expression. A panic of the library, over values that it did not
+// foresee, is an error of the expression.
 func evaluateRaw(e hcl.Expression, ctx *hcl.EvalContext) (v cty.Value, diags hcl.Diagnostics) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -247,7 +246,7 @@
 	return e.Value(ctx)
 }
 
-// decodeJSON reads JSON.
+// decodeJSON decodes JSON.
 func decodeJSON(text []byte) (cty.Value, error) {
 	if text == nil {
 		return cty.NullVal(cty.DynamicPseudoType), nil
@@ -309,7 +308,7 @@
 	return cty.NullVal(cty.DynamicPseudoType), nil
 }
 
-// encodeJSON writes JSON: the same value, the same bytes.
+// encodeJSON encodes JSON: equal values have equal bytes.
 func encodeJSON(v cty.Value) ([]byte, error) {
 	text, err := appendJSON(nil, v)
 	if err != nil {
@@ -387,8 +386,8 @@
 	return v.Type().FriendlyName()
 }
 
-// functions are all that expressions may call. None is random, reads a clock, or
-// makes much of little.
+// functions are all that expressions may call. None is random, reads a clock, or makes much
+// output of little input.
 var functions = map[string]function.Function{
 	"can":        tryfunc.CanFunc,
 	"coalesce":   stdlib.CoalesceFunc,
@@ -403,7 +402,7 @@
 	"try":        tryfunc.TryFunc,
 }
 
-// withValidation looks at the first argument, which is text, before a function is called.
+// withValidation validates the first argument, a string, before a function is called.
 func withValidation(f function.Function, fits func(string) error) function.Function {
 	return function.New(&function.Spec{
 		Params: f.Params(), VarParam: f.VarParam(), Type: f.ReturnTypeForValues,
@@ -418,7 +417,7 @@
 	})
 }
 
-// validateFormat: a width of many digits would make much of nothing.
+// validateFormat bounds the widths in a format, which would make much output of nothing.
 func validateFormat(spec string) error {
 	digits := 0
 	for _, r := range spec {
@@ -432,8 +431,8 @@
 	return nil
 }
 
-// joinFunc takes lists of any texts and numbers: the library's would first find one
-// type for all entries, in a time that grows with the square of their number.
+// joinFunc joins any strings and numbers: the library's function would first find one type
+// for all entries, in quadratic time.
 var joinFunc = function.New(&function.Spec{
 	Params: []function.Parameter{{Name: "between", Type: cty.String}, {Name: "list", Type: cty.DynamicPseudoType}},
 	Type:   function.StaticReturnType(cty.String),
@@ -461,7 +460,7 @@
 	},
 })
 
-// presentFunc is a list without its nulls.
+// presentFunc returns a list without its nulls.
 var presentFunc = function.New(&function.Spec{
 	Params: []function.Parameter{{Name: "list", Type: cty.DynamicPseudoType}},
 	Type: func(args []cty.Value) (cty.Type, error) {
@@ -485,7 +484,7 @@
 	},
 })
 
-// segmentFunc is text as one segment of a path.
+// segmentFunc escapes a string as one segment of a path.
 var segmentFunc = function.New(&function.Spec{
 	Params: []function.Parameter{{Name: "text", Type: cty.String}},
 	Type:   function.StaticReturnType(cty.String),
@@ -498,8 +497,7 @@
 	},
 })
 
-// checkExpression tells whether an expression is of the allowed kinds, and within bounds; if
-// not, it says why.
+// checkExpression checks that an expression is of the allowed kinds, and within bounds.
 func (f *fileParser) checkExpression(e hcl.Expression) bool {
 	before, nodes, splats := len(f.problems), 0, false
 	_ = hclsyntax.VisitAll(e.(hclsyntax.Expression), func(n hclsyntax.Node) hcl.Diagnostics {
--- a/internal/dispatcher/fleet/plan/model.go
+++ b/internal/dispatcher/fleet/plan/model.go
@@ -1,6 +1,6 @@
-// Package plan is the language in which operators write plans: jobs that need one
-// another, what each comes after, and what to do when one ends badly. It reads and
-// checks them, and evaluates what they say; it runs nothing and does no I/O.
+// Package plan is the language in which operators write plans: jobs that depend on one
+// another, and what to do when one fails. It parses and checks plan files (HCL), and
+// evaluates their expressions; it runs nothing and does no I/O.
 package plan
 
 import (
@@ -11,38 +11,38 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// End is how an attempt at a stage ended, in the words of plan files.
+// End is how an attempt at a stage ended, in the terms of plan files.
 type End string
 
-// Ends of attempts. What a stage does on one is for its rules to say; whether it
-// may run again at all is for its class.
+// Ends of attempts. What a stage does about one is decided by its rules; whether it may run
+// again at all, by its class.
 const (
-	Done    End = "done"         // it ran and gave a result
-	Refused End = "refused"      // the dispatcher turned it away: it never ran
-	Full    End = "full"         // members turned it away: it never ran; where that proves nothing (Rules.FullMayHaveRun) it is Failed
+	Done    End = "done"         // it ran and returned a result
+	Refused End = "refused"      // rejected by the dispatcher: it never ran
+	Full    End = "full"         // rejected by members: it never ran; where that proves nothing (policy.Rules.RejectedMayHaveRun) it is Failed
 	Unsent  End = "unsent"       // no member was reached: it never ran
 	Late    End = "late"         // no answer by the deadline: it may have run
 	Failed  End = "failed"       // a member answered with an error: it may have run
 	Reset   End = "reset"        // the connection broke: it may have run
-	MayRun  End = "may_have_run" // its dispatcher died while it was under way
-	Lost    End = "lost_input"   // it says that an input it was given is lost or stale: its condition held
+	MayRun  End = "may_have_run" // its dispatcher failed while it was in flight
+	Lost    End = "lost_input"   // it reports that an input is lost or stale: its rerun condition held
 )
 
-// MayHaveRun tells whether an attempt with this end may have had its effect.
+// MayHaveRun reports whether an attempt with this end may have had its effect.
 func (e End) MayHaveRun() bool { return e != Refused && e != Full && e != Unsent }
 
-// Plan is a checked plan.
+// Plan is a checked plan. It is immutable.
 type Plan struct {
 	Name        string
-	Digest      uint64        // of its text and of the classes it was checked against
-	Timeout     time.Duration // its absolute deadline is this long after its start, at the latest
-	MaxAttempts int           // attempts in all, reruns and compensations included
-	Stages      []*Stage      // each after all that it comes after
+	Digest      uint64        // of its text and of the classes that it was checked against
+	Timeout     time.Duration // of a run
+	MaxAttempts int           // in all, including reruns and compensations
+	Stages      []*Stage      // each after all those that it depends on
 	ByName      map[string]*Stage
 	Worst       Worst    // computed by the check, within the bounds above
 	Notes       []string // what the check allows and an operator should know
 
-	boundRanges map[string]hcl.Range // of its bounds
+	boundRanges map[string]hcl.Range // source ranges of its attributes
 }
 
 // Worst is the worst case that the check has computed.
@@ -51,63 +51,63 @@
 	Duration time.Duration
 }
 
-// Place says where a stage is tried again.
+// Place tells where a stage is retried.
 type Place string
 
-// Places of a further try.
+// Places of a retry.
 const (
 	Anywhere    Place = "anywhere"
 	OtherMember Place = "other_member"
 	OtherZone   Place = "other_zone"
 )
 
-// Stage is one job of a plan, or as many as its list has items.
+// Stage is one job of a plan, or one for each item of a list.
 type Stage struct {
 	Name           string
 	Class          string
 	Effect         policy.Effect
-	AttemptTimeout time.Duration // of its class: how long an attempt may take
-	Runs           int           // at most, the first included; computed by the check
-	After          []string      // stages that must have ended well; their results may be used
+	AttemptTimeout time.Duration // of its class
+	Runs           int           // at most, including the first; computed by the check
+	After          []string      // stages that must have succeeded; their results may be used
 	Path           hcl.Expression
-	Body           hcl.Expression // what the job is sent, over input, item and stage results
-	Key            hcl.Expression // of a keyed class: the same at each run of the stage
-	Cost           time.Duration  // hint of its run time; 0: learned only
+	Body           hcl.Expression // what the job is sent
+	Key            hcl.Expression // of a deduplicated class: the same at each run of the stage
+	Cost           time.Duration  // hint of its run time; 0: none
 
-	Each         hcl.Expression // a list: the stage is run for each item, those of its first run; nil: once
+	Each         hcl.Expression // a list of items, evaluated at the first run; nil: the stage has one item
 	MaxItems     int            // longest list
-	MinSucceeded int            // so many must end well, once each has ended; 0: all
+	MinSucceeded int            // items that must succeed, once each has ended; 0: all
 
-	Shared    hcl.Expression // a key by which plans share one run of it; nil: its own
-	SharedFor time.Duration  // a shared result is good for so long
+	Shared    hcl.Expression // key by which runs share one output; nil: not shared
+	SharedFor time.Duration  // how long a shared output is fresh
 
-	Retries []Retry // the first that names the end counts
+	Retries []Retry // the first that names the end applies
 	Reruns  []Rerun
-	Undo    *Undo // what compensates it when the plan gives up after it may have run
+	Undo    *Undo // compensation when the run gives up after the stage may have run; nil: none
 	Range   hcl.Range
 
-	afterRanges []hcl.Range // of each of After
+	afterRanges []hcl.Range // source ranges of After
 }
 
-// Retry says that a stage is tried again.
+// Retry is a rule by which a stage is retried.
 type Retry struct {
 	On         []End
-	MaxRetries int           // further tries by this rule, for a run of the stage
-	Wait       time.Duration // before the first, doubled for each further one
+	MaxRetries int           // by this rule, for a run of the stage
+	Wait       time.Duration // before the first retry, doubled for each further one
 	MaxWait    time.Duration
-	Jitter     float64 // the wait varies by this share of itself, in thousandths, either way
+	Jitter     float64 // the wait varies by this fraction of itself either way, in steps of a thousandth
 	Where      Place
 	Range      hcl.Range
 
-	onRanges []hcl.Range // of each of On
+	onRanges []hcl.Range // source ranges of On
 }
 
-// Rerun says that a stage upstream is run again, and with it all that hung on its
-// output, when this stage reports that what it was given is lost or stale.
+// Rerun is a rule by which a stage upstream is run again, with everything downstream of it,
+// when this stage reports that an input is lost or stale.
 type Rerun struct {
-	Of        string         // a stage this one comes after, directly or not
+	Of        string         // a stage that this one depends on, directly or not
 	When      hcl.Expression // over end and result of this stage
-	MaxReruns int            // generations of Of beyond the first, for the plan, whichever rule asked
+	MaxReruns int            // generations of Of beyond the first, in a run, whichever rule asked
 	Range     hcl.Range
 
 	ofRange hcl.Range
@@ -117,9 +117,9 @@
 type Undo struct {
 	Class           string
 	Effect          policy.Effect
-	AttemptTimeout  time.Duration // of its class: how long a try may take
+	AttemptTimeout  time.Duration // of its class
 	Path, Body, Key hcl.Expression
-	MaxTries        int           // tries
-	Wait            time.Duration // between tries, not doubled
+	MaxTries        int           // attempts, including the first
+	Wait            time.Duration // between attempts, not doubled
 	Range           hcl.Range
 }
