--- a/internal/dispatcher/fleet/plan/parse.go
+++ b/internal/dispatcher/fleet/plan/parse.go
@@ -19,12 +19,12 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// Bounds of a plan file. With those on values they bound what any plan may cost
-// to read, to check and to evaluate.
+// Bounds of a plan file. With those on values they bound what any plan may cost to parse,
+// to check and to evaluate.
 const (
 	maxFileSize        = 256 << 10
 	maxTokens          = 32768
-	maxNesting         = 32  // brackets and templates within one another
+	maxNesting         = 32  // of brackets and templates
 	maxExpressionNodes = 512 // of an expression
 	maxPlans           = 64
 	maxStages          = 64 // of a plan; sets of stages are bits of a word
@@ -36,21 +36,21 @@
 	maxNameLength      = 64
 )
 
-// Problem is one thing that is wrong in a plan file, and what would be right.
+// Problem is one error in a plan file, and what would be right.
 type Problem struct {
 	File         string
 	Line, Column int // counted from 1
 	Text         string
 }
 
-// String returns the problem in the form that editors find their way by.
+// String returns the problem in the format that editors parse.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Text)
 }
 
-// Parse reads the plans of a file and checks them against the classes in service.
-// It names all that is wrong, in the order of the file. A plan with a problem is
-// refused whole; the others are returned. A file that can't be read has no plans.
+// Parse parses the plans of a file and checks them against the classes in service. It
+// returns all problems, in the order of the file. A plan with a problem is refused as a
+// whole; the others are returned. A file that can't be parsed has no plans.
 func Parse(name string, text []byte, classes map[string]policy.Class) ([]*Plan, []Problem) {
 	f := &fileParser{name: name, text: text, classes: classes}
 	if !f.checkBounds() {
@@ -71,7 +71,7 @@
 	return plans, slices.Compact(f.problems)
 }
 
-// fileParser is a plan file while it is read.
+// fileParser is the state of parsing a plan file.
 type fileParser struct {
 	name     string
 	text     []byte
@@ -83,7 +83,7 @@
 	f.problems = append(f.problems, Problem{f.name, max(at.Start.Line, 1), max(at.Start.Column, 1), fmt.Sprintf(format, args...)})
 }
 
-// addDiagnostics takes in what the library found.
+// addDiagnostics adds the errors that the HCL library found.
 func (f *fileParser) addDiagnostics(diags hcl.Diagnostics) {
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError {
@@ -97,7 +97,7 @@
 	}
 }
 
-// diagnosticText is a diagnostic as one line.
+// diagnosticText formats a diagnostic as one line.
 func diagnosticText(d *hcl.Diagnostic) string {
 	text := strings.Join(strings.Fields(d.Detail), " ")
 	return lowerFirst(strings.TrimSuffix(d.Summary, ".")) + ": " + strings.TrimSuffix(text, ".")
@@ -110,8 +110,8 @@
 	return strings.ToLower(text[:1]) + text[1:]
 }
 
-// checkBounds looks at the words of a file before the library builds a tree of them:
-// the library descends once for each bracket.
+// checkBounds checks the tokens of a file before the HCL library builds a tree of them,
+// since the library recurses for each bracket.
 func (f *fileParser) checkBounds() bool {
 	if len(f.text) > maxFileSize {
 		f.addProblem(hcl.Range{}, "the file has %d bytes; at most %d are read: split it", len(f.text), maxFileSize)
@@ -219,7 +219,7 @@
 	return p
 }
 
-// namesClass tells whether the plan names a class.
+// namesClass reports whether the plan names a class.
 func (p *Plan) namesClass(class string) bool {
 	return slices.ContainsFunc(p.Stages, func(s *Stage) bool {
 		return s.Class == class || s.Undo != nil && s.Undo.Class == class
@@ -316,7 +316,7 @@
 	return u
 }
 
-// blockLabel is the one name of a block.
+// blockLabel returns the one label of a block.
 func (f *fileParser) blockLabel(block *hclsyntax.Block, what string) string {
 	switch {
 	case len(block.Labels) != 1:
@@ -334,7 +334,7 @@
 	}
 }
 
-// parseClass reads the class that a stage or an undo names.
+// parseClass returns the class that a stage or an undo names.
 func (f *fileParser) parseClass(b *bodyReader) policy.Class {
 	name := b.stringValue("class", true)
 	if name == "" {
@@ -352,7 +352,7 @@
 	return class
 }
 
-// suggestion says what would be right.
+// suggestion formats what would be right.
 func suggestion(word string, right []string) string {
 	for _, r := range right {
 		if levenshtein.Distance(word, r, nil) < 3 {
@@ -365,8 +365,8 @@
 	return "; one of " + strings.Join(right, ", ")
 }
 
-// bodyReader is a block's body while it is read: what was asked for is known, the rest
-// is named.
+// bodyReader reads the body of a block: it remembers what was asked for, and reports the
+// rest.
 type bodyReader struct {
 	*fileParser
 	block          *hclsyntax.Body
@@ -400,7 +400,7 @@
 	return found
 }
 
-// reportUnread names what nothing reads.
+// reportUnread adds a problem for each attribute and block that nothing has read.
 func (b *bodyReader) reportUnread() {
 	for _, name := range slices.Sorted(maps.Keys(b.block.Attributes)) {
 		if !slices.Contains(b.readAttributes, name) {
@@ -422,7 +422,7 @@
 	}
 }
 
-// expression is an expression that is evaluated later.
+// expression returns an expression that is evaluated later.
 func (b *bodyReader) expression(name string, need bool) hcl.Expression {
 	a := b.attribute(name)
 	if a == nil {
@@ -434,7 +434,7 @@
 	return a.Expr
 }
 
-// constant is a value that is known now.
+// constant returns a value that is known now.
 func (b *bodyReader) constant(name string, need bool, as cty.Type, right string) (cty.Value, hcl.Range, bool) {
 	e := b.expression(name, need)
 	if e == nil {
@@ -518,7 +518,7 @@
 	return d
 }
 
-// stringList is a list of texts, and where each is.
+// stringList returns a list of strings, and the source range of each.
 func (b *bodyReader) stringList(name string, need bool) (words []string, at []hcl.Range) {
 	e := b.expression(name, need)
 	if e == nil {
@@ -543,7 +543,7 @@
 	return words, at
 }
 
-// formatDuration is a time without what is 0 at its end.
+// formatDuration formats a duration without trailing zero units.
 func formatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/internal/dispatcher/fleet/plan/worst.go
+++ b/internal/dispatcher/fleet/plan/worst.go
@@ -10,8 +10,8 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// triesPerItem are the attempts of one item in one run: the first, and those that its
-// retries add.
+// triesPerItem returns the attempts at one item in one run of the stage: the first, and its
+// retries.
 func (s *Stage) triesPerItem() int {
 	n := 1
 	for _, r := range s.Retries {
@@ -20,11 +20,11 @@
 	return n
 }
 
-// itemCount is how many items a run has at most.
+// itemCount returns the largest number of items.
 func (s *Stage) itemCount() int { return max(s.MaxItems, 1) }
 
-// runDuration is how long one run takes at most: each attempt until its class gives up,
-// and the waits between. Items run side by side.
+// runDuration returns how long one run takes at most: each attempt until its timeout, and
+// the waits between. Items run in parallel.
 func (s *Stage) runDuration() time.Duration {
 	d := mulSaturating(s.AttemptTimeout, s.triesPerItem())
 	for _, r := range s.Retries {
@@ -35,9 +35,8 @@
 	return d
 }
 
-// Pause returns how long a further try waits by this rule: k counts those before
-// it by the same rule in the same run, and share, from -1 to 1, is its place within
-// the jitter.
+// Pause returns how long a retry waits by this rule: k counts those before it by the same
+// rule in the same run, and share, from -1 to 1, is its place within the jitter.
 func (r *Retry) Pause(k int, share float64) time.Duration {
 	wait := r.Wait
 	for ; k > 0 && wait < r.MaxWait; k-- {
@@ -47,12 +46,12 @@
 	return wait + time.Duration(float64(wait)*r.Jitter*min(max(share, -1), 1))
 }
 
-// totalDuration is how long all tries of a compensation take at most.
+// totalDuration returns how long all attempts at a compensation take at most.
 func (u *Undo) totalDuration() time.Duration {
 	return addSaturating(mulSaturating(u.AttemptTimeout, u.MaxTries), mulSaturating(u.Wait, u.MaxTries-1))
 }
 
-// totalAttempts is how many attempts the stage takes at most, its undos included.
+// totalAttempts returns how many attempts the stage takes at most, including its undos.
 func (s *Stage) totalAttempts() int {
 	n := s.Runs * s.itemCount() * s.triesPerItem()
 	if s.Undo != nil {
@@ -61,14 +60,14 @@
 	return n
 }
 
-// worstCase computes the worst case. Attempts are jobs handed to the dispatcher:
+// worstCase computes the worst case. Attempts are jobs submitted to the dispatcher:
 //
 //	sum over stages of  runs x items x tries + items x tries of the undo
-//	runs  = 1 + repeats for the loss of its own output and of each that it comes after
-//	tries = 1 + most of each retry
+//	runs  = 1 + reruns for the loss of its own output and of each that it depends on
+//	tries = 1 + the most of each retry
 //
-// The time is that of the longest path, once more for each time that a stage is run
-// again the longest path from there on, and the longest path of undos at the end.
+// The duration is that of the longest path, plus for each time that a stage may be run
+// again the longest path from there on, plus the longest path of undos at the end.
 func (p *Plan) worstCase() Worst {
 	var w Worst
 	for _, s := range p.Stages {
@@ -89,8 +88,8 @@
 	return w
 }
 
-// rerunsByStage is by stage how often its own loss may have it run again: the largest most
-// of the reruns that name it, which count its generations.
+// rerunsByStage returns, by stage, how often its own loss may have it run again: the
+// largest MaxReruns of the reruns that name it, which count its generations.
 func (p *Plan) rerunsByStage() []int {
 	most := make([]int, len(p.Stages))
 	for i, of := range p.Stages {
@@ -105,7 +104,7 @@
 	return most
 }
 
-// longestPath is the path that takes longest of those that begin at a stage; empty:
+// longestPath returns the path that takes longest of those that begin at a stage; empty:
 // anywhere.
 func (p *Plan) longestPath(from string, span func(*Stage) time.Duration) (names []string, d time.Duration) {
 	type reach struct {
@@ -141,7 +140,7 @@
 	return fmt.Sprintf("longest path: %s, %s without reruns and undos", strings.Join(names, " > "), d)
 }
 
-// describeCostliest names the stage with most attempts.
+// describeCostliest describes the stage with most attempts.
 func (p *Plan) describeCostliest() string {
 	s := slices.MaxFunc(p.Stages, func(a, b *Stage) int { return a.totalAttempts() - b.totalAttempts() })
 	return fmt.Sprintf("most are of %q: %s", s.Name, s.describeAttempts())
@@ -166,8 +165,8 @@
 	return fmt.Sprintf("%d %s", n, what)
 }
 
-// Describe says what the plan may come to, for who wrote it: a line for the plan,
-// one for each stage in the order that they run in, one for each note.
+// Describe describes the plan for its author: a line for the plan, one for each stage in
+// the order in which they run, and one for each note.
 func (p *Plan) Describe() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "plan %q: at most %d attempts (bound %d) and %s (bound %s)\n", p.Name, p.Worst.Attempts, p.MaxAttempts, p.Worst.Duration, formatDuration(p.Timeout))
@@ -184,7 +183,7 @@
 	return b.String()
 }
 
-// addSaturating and times stop at the largest time.
+// addSaturating adds two durations and stops at the largest.
 func addSaturating(a, b time.Duration) time.Duration {
 	if a > math.MaxInt64-b {
 		return math.MaxInt64
@@ -192,6 +191,7 @@
 	return a + b
 }
 
+// mulSaturating multiplies a duration and stops at the largest.
 func mulSaturating(d time.Duration, n int) time.Duration {
 	if n > 0 && d > math.MaxInt64/time.Duration(n) {
 		return math.MaxInt64
--- a/internal/dispatcher/fleet/planrun/book.go
+++ b/internal/dispatcher/fleet/planrun/book.go
@@ -11,24 +11,24 @@
 	"basaltloft/internal/shared/indexedheap"
 )
 
-// Limits bound a Book. They are part of its state: replicas that differ in them
-// would differ in what they refuse.
+// Limits bound a Tracker. They are part of its state: replicas with different limits would
+// refuse different commands.
 type Limits struct {
-	Runs               int           // under way
-	KnownRuns          int           `cbor:"Known"`   // under way or ended and still known by their id
-	AnswersWithResults int           `cbor:"Answers"` // ended ones that keep their results
-	SharedOutputs      int           `cbor:"Shared"`  // shared outputs
-	RunBytes           int           // of one run: input, items, results
-	ResultBytes        int           `cbor:"Result"`  // bytes of one result
-	AnswerBytes        int           `cbor:"Answer"`  // bytes of the results of an answer
-	MaxTimeout         time.Duration `cbor:"Longest"` // a deadline is at most so far off
-	Grace              time.Duration // a run has its answer this long after its deadline, at the latest
-	AnswerRetention    time.Duration `cbor:"KeepFor"` // an answer is known for so long
+	Runs               int           // in progress
+	KnownRuns          int           `cbor:"Known"`   // in progress, or ended and still known by their id
+	AnswersWithResults int           `cbor:"Answers"` // ended runs that keep their results
+	SharedOutputs      int           `cbor:"Shared"`  // over all runs
+	RunBytes           int           // of one run: input, items and results
+	ResultBytes        int           `cbor:"Result"`  // of one result
+	AnswerBytes        int           `cbor:"Answer"`  // of the results in an answer
+	MaxTimeout         time.Duration `cbor:"Longest"` // of a run
+	Grace              time.Duration // a run has its answer this long after its deadline at the latest
+	AnswerRetention    time.Duration `cbor:"KeepFor"` // how long an answer is known
 	KeyBytes           int           // of a shared key
-	ReasonSize         int           // bytes of a reason; longer ones are cut
+	ReasonSize         int           // bytes of a reason, which is truncated
 }
 
-// DefaultLimits keep a Book within what a keeper can snapshot.
+// DefaultLimits keep a Tracker within what a raft node can snapshot.
 func DefaultLimits() Limits {
 	return Limits{
 		Runs: 20_000, KnownRuns: 500_000, AnswersWithResults: 20_000, SharedOutputs: 10_000, RunBytes: 1 << 20, ResultBytes: 64 << 10, AnswerBytes: 64 << 10,
@@ -36,7 +36,8 @@
 	}
 }
 
-// Errors of commands. None of them has changed more than it says.
+// Errors of commands. A refused command has changed nothing, except where its method says
+// so.
 var (
 	ErrFull              = errors.New("no room for another plan")
 	ErrDeadline          = errors.New("the plan's deadline has passed or is too far off")
@@ -55,32 +56,32 @@
 	ErrTooLarge          = errors.New("too large")
 )
 
-// Start begins a run. One that is known goes on, or is answered.
+// Start starts a run. If the run is known, it continues, or is answered.
 type Start struct {
 	Run, Plan   string
 	Tenant      string
 	Digest      uint64
 	Shape       Shape
 	Input       []byte
-	Seed        uint64        // of its jitter
-	Before      time.Duration // its deadline, if that comes before Shape.Within; a Start later than this does nothing
+	Seed        uint64        // of the retries' jitter
+	Before      time.Duration // deadline, if that is earlier than Shape.Timeout allows; a Start that arrives later has no effect
 	Process     string
 	Incarnation uint64
 }
 
-// StartReply is the reply to Start.
+// StartReply answers a Start.
 type StartReply struct {
-	Known  bool    // it was there before
-	Fence  uint64  // under which the caller coordinates it; 0: another does, or it has ended
-	Answer *Answer // it has ended
+	Known  bool    // the run existed before
+	Fence  uint64  // with which the caller coordinates it; 0: another process does, or it has ended
+	Answer *Answer // nil: it has not ended
 }
 
-// Claim takes over runs whose coordinator is gone.
+// Claim takes over runs that have lost their coordinator.
 type Claim struct {
 	Process     string
 	Incarnation uint64
 	MaxRuns     int      `cbor:"Most"`
-	Plans       []uint64 // digests of the plans that it knows; none: any
+	Plans       []uint64 // digests of the plans that the process knows; none: any
 }
 
 // Claimed is a run that was taken over.
@@ -95,10 +96,10 @@
 	Fence uint64
 	Stage int
 	Key   string
-	Items [][]byte // values of the list as JSON; a stage without a list has one, nil
+	Items [][]byte // values of the list as JSON; a stage without a list has one item, nil
 }
 
-// SendAttempt says that an attempt is about to be sent: from here on it may run.
+// SendAttempt announces that an attempt is about to be sent: it may run from here on.
 type SendAttempt struct {
 	Run           string
 	Fence         uint64
@@ -106,19 +107,19 @@
 	Item          int
 	Undo          bool
 	Generation    uint64   // of the stage
-	Inputs        []uint64 // generations of what it is given, by Shape.Upstream
+	Inputs        []uint64 // generations of the stage's inputs, by Shape.Upstream
 	Attempt       uint32
-	RemainingTime time.Duration `cbor:"Rest"` // the shortest time that the rest of the plan needs, this included
+	RemainingTime time.Duration `cbor:"Rest"` // the shortest time that the rest of the plan needs, including this attempt
 }
 
-// SendAttemptReply is the reply to an accepted Sending. Again says that it had been accepted
-// before: whoever has this reply sends the attempt unless it has sent it.
+// SendAttemptReply answers an accepted SendAttempt. Again says that it was accepted before:
+// whoever gets this reply sends the attempt, unless it has sent it already.
 type SendAttemptReply struct{ Again bool }
 
-// ReportEnd says how an attempt ended.
+// ReportEnd reports how an attempt ended.
 type ReportEnd struct {
 	Run     string
-	Fence   uint64 // under which it was sent
+	Fence   uint64 // with which it was sent
 	Stage   int
 	Item    int
 	Undo    bool
@@ -126,24 +127,23 @@
 	End     plan.End
 	Result  []byte
 	Member  string
-	Lost    *LostInput // End is plan.Lost
+	Lost    *LostInput // if End is plan.Lost
 }
 
-// LostInput is what an attempt says was lost.
+// LostInput is an input that an attempt reports as lost.
 type LostInput struct {
 	Stage      int
 	Generation uint64
 }
 
-// ReportEndReply is the reply to Ended.
+// ReportEndReply answers a ReportEnd.
 type ReportEndReply struct {
-	Accepted bool    `cbor:"Once"`  // this Ended was the one that counted
-	NewLoss  bool    `cbor:"Fresh"` // the loss it reports was news: the output is made again
-	Answer   *Answer // the run has ended
+	Accepted bool    `cbor:"Once"`  // this report was the one that counted
+	NewLoss  bool    `cbor:"Fresh"` // the loss it reports was not known: the output is made again
+	Answer   *Answer // nil: the run has not ended
 }
 
-// Abandon gives a run up: its coordinator can't evaluate what comes next, or can't
-// pay for it.
+// Abandon gives a run up: its coordinator can't evaluate an expression.
 type Abandon struct {
 	Run    string
 	Fence  uint64
@@ -152,26 +152,27 @@
 	Reason string
 }
 
-// Finish asks for the final answer of a run.
+// Finish asks for a run's final answer.
 type Finish struct{ Run string }
 
-// Tracker is the progress of all plans. Times are fleet time.
+// Tracker is the progress of all runs. Its times are fleet time. It is not safe for
+// concurrent use.
 type Tracker struct {
 	limits               Limits
 	now                  time.Duration
-	lastFence            uint64 // last given
-	lastSharedGeneration uint64 // generation that any shared output has had
+	lastFence            uint64 // last fencing number given
+	lastSharedGeneration uint64 // highest generation of any shared output so far
 	shapes               map[uint64]*internedShape
 	runs                 map[string]*Run
 	answers              map[string]*Answer
-	answersByEnd         []*Answer // by time of their end
-	firstWithResults     int       // of order, where those begin that have their results
+	answersByEnd         []*Answer // by time of their runs' end
+	firstWithResults     int       // index in answersByEnd of the first answer that has kept its results
 	outputs              map[string]*Output
-	orphans              []string // sorted
+	orphans              []string // runs without a coordinator, sorted
 	deadlines            indexedheap.Heap[*Run]
 }
 
-// NewTracker returns an empty one.
+// NewTracker returns an empty tracker.
 func NewTracker(l Limits) *Tracker {
 	b := &Tracker{limits: l}
 	b.reset()
@@ -184,16 +185,18 @@
 	b.deadlines = indexedheap.New(func(x, y *Run) bool { return cmp.Or(cmp.Compare(x.dueAt, y.dueAt), cmp.Compare(x.ID, y.ID)) < 0 }, func(r *Run, at int) { r.heapIndex = at })
 }
 
-// advanceClock takes in the time of a command; it never runs backward.
+// advanceClock takes in the time of a command and returns the fleet time, which never runs
+// backward.
 func (b *Tracker) advanceClock(at time.Duration) time.Duration {
 	b.now = max(b.now, at)
 	return b.now
 }
 
-// Counts is how many runs are under way, and how many are known by their answers.
+// Counts returns how many runs are in progress, and how many have ended and are still
+// known.
 func (b *Tracker) Counts() (under, ended int) { return len(b.runs), len(b.answers) }
 
-// View is a copy of a run under way, or an ErrUnknown or ErrEnded.
+// View returns a copy of a run in progress. Its errors wrap ErrUnknownRun or ErrEnded.
 func (b *Tracker) View(id string) (View, error) {
 	r, err := b.findRun(id)
 	if err != nil {
@@ -208,7 +211,7 @@
 	return v, nil
 }
 
-// Answer is the final answer of a run, or nil.
+// Answer returns a run's final answer, or nil.
 func (b *Tracker) Answer(id string) *Answer {
 	if a := b.answers[id]; a != nil {
 		c := *a
@@ -227,7 +230,7 @@
 	return nil, ErrUnknownRun
 }
 
-// ownedRun finds a run for its present coordinator.
+// ownedRun returns a run for its present coordinator.
 func (b *Tracker) ownedRun(id string, fence uint64) (*Run, error) {
 	r, err := b.findRun(id)
 	if err == nil && (r.Orphan || r.Fence != fence) {
@@ -236,10 +239,10 @@
 	return r, err
 }
 
-// Start begins a run. An id is one run: started again, by whomever, it is the run
-// under way or its answer, for as long as that is known (Limits.KeepFor). A Start
-// that is delivered late can't begin it anew after that: then its Before has passed,
-// for which an answer is kept in any case.
+// Start starts a run. An id names one run: started again, by whatever process, it is the
+// run in progress or its answer, for as long as that is known (Limits.AnswerRetention). A
+// Start that is delivered late can't start the run again after that: its Before has passed
+// by then, for which an answer is kept in any case.
 func (b *Tracker) Start(at time.Duration, c Start) (StartReply, error) {
 	at = b.advanceClock(at)
 	if a := b.Answer(c.Run); a != nil {
@@ -282,8 +285,8 @@
 	return StartReply{Fence: r.Fence}, nil
 }
 
-// LeaseExpired says that the lease of a process's incarnation has ended. Its runs wait to be
-// claimed; what they were making for others is handed on.
+// LeaseExpired says that the lease of a process's incarnation has ended. Its runs wait to
+// be claimed; the shared outputs that they were making are reassigned.
 func (b *Tracker) LeaseExpired(at time.Duration, process string, incarnation uint64) {
 	b.advanceClock(at)
 	for _, id := range sortedKeys(b.runs) {
@@ -308,9 +311,10 @@
 	}
 }
 
-// Claim gives orphans to a coordinator, those first whose deadline is next, each
-// under a new fencing number. What was out is decided by its effect: what is safe or
-// keyed may be sent again, what must never run twice has ended with plan.MayRun.
+// Claim assigns runs without a coordinator to a process, those with the earliest deadline
+// first, each with a new fencing number. What was in flight is decided by its effect:
+// idempotent and deduplicated jobs may be sent again, at-most-once jobs have ended with
+// plan.MayRun.
 func (b *Tracker) Claim(at time.Duration, c Claim) []Claimed {
 	at = b.advanceClock(at)
 	var list []*Run
@@ -339,7 +343,7 @@
 	return claimed
 }
 
-// resolveInFlight ends what was out when the coordinator died.
+// resolveInFlight ends the attempts that were in flight when the coordinator failed.
 func (b *Tracker) resolveInFlight(at time.Duration, r *Run, stage, item int) {
 	sh, it := &r.shape.Stages[stage], &r.Stages[stage].Items[item]
 	if u := &it.Undo; u.State == InFlight {
@@ -356,7 +360,7 @@
 	}
 }
 
-// Open fixes the items of a stage. It counts once: further ones are alike, or ignored.
+// Open fixes the items of a stage. Only the first Open of a stage counts.
 func (b *Tracker) Open(at time.Duration, c Open) error {
 	at = b.advanceClock(at)
 	r, err := b.ownedRun(c.Run, c.Fence)
@@ -399,8 +403,8 @@
 	return nil
 }
 
-// SendAttempt lets an attempt be sent, or says why it must not be. What can no longer end
-// in time or within the run's attempts makes the run give up.
+// SendAttempt approves an attempt, or refuses it. A run that can no longer end in time, or
+// within its number of attempts, gives up.
 func (b *Tracker) SendAttempt(at time.Duration, c SendAttempt) (SendAttemptReply, error) {
 	at = b.advanceClock(at)
 	r, err := b.ownedRun(c.Run, c.Fence)
@@ -449,7 +453,7 @@
 	return SendAttemptReply{}, nil
 }
 
-// checkSend holds an attempt of a stage against the run's inputs and bounds.
+// checkSend checks an attempt at a stage against the run's inputs and bounds.
 func (b *Tracker) checkSend(at time.Duration, r *Run, c SendAttempt) error {
 	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
 	switch o := b.outputs[st.SharedKey]; {
@@ -477,9 +481,9 @@
 	return nil
 }
 
-// ReportEnd counts the end of an attempt: that of the one that is out, whoever has the
-// run now, and a plan.Done of the last one even after it was given up for lost, as
-// long as no other was sent. All else counts no more.
+// ReportEnd takes in the end of an attempt: that of the attempt in flight, whichever
+// process has the run now, and a plan.Done of the last one even after that was given up, as
+// long as no other was sent. All other reports are ignored.
 func (b *Tracker) ReportEnd(at time.Duration, c ReportEnd) (ReportEndReply, error) {
 	at = b.advanceClock(at)
 	r, err := b.findRun(c.Run)
@@ -529,7 +533,7 @@
 	return reply, nil
 }
 
-// Abandon gives a run up on its coordinator's word.
+// Abandon gives a run up at its coordinator's request.
 func (b *Tracker) Abandon(at time.Duration, c Abandon) error {
 	at = b.advanceClock(at)
 	r, err := b.ownedRun(c.Run, c.Fence)
@@ -544,8 +548,8 @@
 	return nil
 }
 
-// Finish is the final answer of a run, the same each time. A run ends by itself, with
-// the command after which nothing is left to do; until then this is ErrOut.
+// Finish returns a run's final answer, the same each time. A run ends by itself, with the
+// command after which nothing is left to do; until then the error is ErrInFlight.
 func (b *Tracker) Finish(at time.Duration, c Finish) (*Answer, error) {
 	b.advanceClock(at)
 	if _, err := b.findRun(c.Run); err == nil {
@@ -556,8 +560,8 @@
 	return b.Answer(c.Run), nil
 }
 
-// Advance gives up runs whose deadline has come, ends those whose grace is over, and
-// drops answers and shared outputs that are kept no longer.
+// Advance gives up runs whose deadline has passed, ends those whose grace is over, and
+// drops expired answers and shared outputs.
 func (b *Tracker) Advance(at time.Duration) {
 	at = b.advanceClock(at)
 	for b.deadlines.Len() > 0 && b.deadlines.All()[0].dueAt <= at {
--- a/internal/dispatcher/fleet/planrun/command.go
+++ b/internal/dispatcher/fleet/planrun/command.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Command is one entry of the log: one of its fields is set, or none, which is an
-// Advance alone.
+// Command is one entry of the log: at most one of its fields is set; none is an Advance. It
+// is sent by the field names in its tags.
 type Command struct {
 	Start        *Start        `cbor:",omitempty"`
 	Claim        *Claim        `cbor:",omitempty"`
@@ -18,13 +18,14 @@
 	LeaseExpired *LeaseExpired `cbor:"Gone,omitempty"`
 }
 
-// LeaseExpired says that the lease of a process's incarnation has ended; see Book.Lost.
+// LeaseExpired says that the lease of a process's incarnation has ended; see
+// Tracker.LeaseExpired.
 type LeaseExpired struct {
 	Process     string
 	Incarnation uint64
 }
 
-// Reply is that to a Command: the field of its kind, and why it was refused.
+// Reply answers a Command: the field of its kind, or why it was refused.
 type Reply struct {
 	Started *StartReply       `cbor:",omitempty"`
 	Claimed []Claimed         `cbor:",omitempty"`
@@ -35,13 +36,14 @@
 	Kind    int               `cbor:",omitempty"` // of the refusal: 1 + its place among kinds
 }
 
-// refusalKinds are what callers tell apart by errors.Is, also over the network. The order is
-// part of the form: new ones come last.
+// refusalKinds are the errors that callers distinguish with errors.Is, also over the
+// network. Their order is part of the format: new ones are appended.
 var refusalKinds = []error{
 	ErrFull, ErrDeadline, ErrUnknownRun, ErrEnded, ErrFenced, ErrGivenUp, ErrNotFound, ErrInFlight, ErrSettled, ErrWrongAttempt, ErrAtMostOnce,
 	ErrStale, ErrTooEarly, ErrProducedElsewhere, ErrTooLarge, ErrInvalidShape,
 }
 
+// refusalError is a refusal that was received, with the error that it wraps.
 type refusalError struct {
 	text string
 	kind error
@@ -50,8 +52,7 @@
 func (r refusalError) Error() string { return r.text }
 func (r refusalError) Unwrap() error { return r.kind }
 
-// Err is why the command was refused, or nil: one of the errors of this package, as
-// errors.Is has it.
+// Err returns why the command was refused, or nil. The error wraps one of this package's.
 func (r Reply) Err() error {
 	if r.Refusal == "" {
 		return nil
@@ -63,8 +64,8 @@
 	return e
 }
 
-// Apply carries out an entry of the log, at its fleet time, after what has fallen due
-// by then.
+// Apply carries out an entry of the log at its fleet time, after what has become due by
+// then.
 func (b *Tracker) Apply(at time.Duration, c Command) (r Reply) {
 	b.Advance(at)
 	var err error
--- a/internal/dispatcher/fleet/planrun/coordinator.go
+++ b/internal/dispatcher/fleet/planrun/coordinator.go
@@ -8,17 +8,17 @@
 )
 
 // AttemptRegistry is what one incarnation of a process remembers of the runs that it
-// drives: the part that is not replicated. It sees to it that an attempt is sent at
-// most once for its Sending, whatever replies were lost, and never after its lease.
-// It does no I/O; whoever holds it asks the keepers, evaluates and sends. It must not
-// be used concurrently, and not be kept over a new incarnation.
+// drives: the part that is not replicated. It ensures that an attempt is sent at most once
+// for its SendAttempt, whatever replies were lost, and never after the process's lease has
+// expired. It does no I/O; its user sends commands, evaluates expressions and submits jobs.
+// It is not safe for concurrent use, and must not be kept over a new incarnation.
 type AttemptRegistry struct {
 	Estimator RuntimeEstimator
 	grace     time.Duration
 	runs      map[string]*drivenRun
 }
 
-// drivenRun is a run under a fence of this process.
+// drivenRun is a run under a fencing number of this process.
 type drivenRun struct {
 	fence    uint64
 	attempts map[AttemptID]attemptState
@@ -31,18 +31,18 @@
 	Attempt     uint32
 }
 
-// attemptState says what this process did about an attempt.
+// attemptState is what this process has done about an attempt.
 type attemptState struct {
 	commandPending bool // a command about it is on its way
-	consumed       bool // it was sent, or told to be unsent: it is never sent from here on
+	consumed       bool // it was sent, or reported as unsent: it is never sent from here on
 }
 
-// NewAttemptRegistry returns one that drives nothing. Grace is Limits.Grace.
+// NewAttemptRegistry returns an empty registry. Grace is Limits.Grace.
 func NewAttemptRegistry(grace time.Duration) *AttemptRegistry {
 	return &AttemptRegistry{grace: grace, runs: make(map[string]*drivenRun)}
 }
 
-// Drive takes on a run that a Start or Claim gave to this process, under its fence.
+// Drive adds a run that a Start or Claim assigned to this process, with its fencing number.
 func (c *AttemptRegistry) Drive(run string, fence uint64) {
 	if d := c.runs[run]; d == nil || d.fence != fence {
 		c.runs[run] = &drivenRun{fence, make(map[AttemptID]attemptState)}
@@ -52,21 +52,21 @@
 // Drop forgets a run: it has ended, or another process has it.
 func (c *AttemptRegistry) Drop(run string) { delete(c.runs, run) }
 
-// Drives tells whether it drives a run.
+// Drives reports whether this process drives a run.
 func (c *AttemptRegistry) Drives(run string) bool { return c.runs[run] != nil }
 
 // Task is something to do for a run now.
 type Task struct {
 	Action
 	ID      AttemptID
-	Open    *Open        // to be filled with the key and items that were evaluated, and asked
-	Sending *SendAttempt // to be asked, once a share is there for it if Extra
-	Ended   *ReportEnd   // to be asked until there is a reply: an attempt that is out and that nobody sends any more
+	Open    *Open        // to be completed with the evaluated key and items, and sent
+	Sending *SendAttempt // to be sent, once the retry budget allows if SpendsRetryBudget
+	Ended   *ReportEnd   // to be sent until there is a reply: an attempt in flight that nobody sends any more
 }
 
-// Tasks lists what is to be done for a run now, and when to look again; what is on
-// its way is left out. A view under another fence ends the drive. Each Task is
-// answered by Answered (or, a Sending, by Accepted) once.
+// Tasks returns what is to be done for a run now, and when to call it again; what is
+// already on its way is left out. A view with another fencing number drops the run. Each
+// task must be answered once by Answered or, for a SendAttempt, by Accepted.
 func (c *AttemptRegistry) Tasks(at time.Duration, v View) (list []Task, wake time.Duration) {
 	d := c.runs[v.Run.ID]
 	if d == nil || v.Run.Fence != d.fence || v.Run.Orphan {
@@ -106,7 +106,7 @@
 	return list, wake
 }
 
-// Answered takes in that a task is done with: there was a reply, or none in time.
+// Answered takes in that a task is done: there was a reply, or none in time.
 func (c *AttemptRegistry) Answered(run string, id AttemptID) {
 	if d := c.runs[run]; d != nil {
 		m := d.attempts[id]
@@ -118,10 +118,10 @@
 	}
 }
 
-// Accepted is Answered for a Sending, and tells whether the attempt is to be sent now.
-// Leased says that this process's own lease holds at this moment; the send must
-// follow at once. A caller that gave up waiting for the reply passes an error, and
-// doesn't call again when the reply comes after all.
+// Accepted is Answered for a SendAttempt, and reports whether the attempt is to be sent
+// now. The argument leased says that this process's own lease is valid at this moment; the
+// send must follow at once. A caller that gave up on the reply passes an error, and doesn't
+// call again when the reply arrives after all.
 func (c *AttemptRegistry) Accepted(s SendAttempt, id AttemptID, err error, leased bool) bool {
 	d := c.runs[s.Run]
 	if d == nil || d.fence != s.Fence {
@@ -137,8 +137,8 @@
 	return send
 }
 
-// EndReport makes the command that says how an attempt ended which this process has sent.
-// It is asked until there is a reply, also after the run was dropped: it counts once.
+// EndReport makes the command that reports how this attempt ended. It is sent until there
+// is a reply, even after the run was dropped: it counts once.
 func (s SendAttempt) EndReport(end plan.End, result []byte, member string, lost *LostInput) ReportEnd {
 	return ReportEnd{
 		Run: s.Run, Fence: s.Fence, Stage: s.Stage, Item: s.Item, Undo: s.Undo, Attempt: s.Attempt,
--- a/internal/dispatcher/fleet/planrun/end.go
+++ b/internal/dispatcher/fleet/planrun/end.go
@@ -12,8 +12,8 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// endAttempt takes in how the attempt that is out ended, and says whether a loss that it
-// reports was news, so that the output is made again.
+// endAttempt takes in how the attempt in flight ended, and reports whether a loss that it
+// reports was new, so that the output is made again.
 func (b *Tracker) endAttempt(at time.Duration, r *Run, c ReportEnd) (fresh bool) {
 	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
 	it := &st.Items[c.Item]
@@ -84,8 +84,8 @@
 	b.completeIfDone(at, r, c.Stage)
 }
 
-// lateSuccess takes in that the last attempt of an item did end well after all. It does
-// not count for a stage that has gone on, nor for one that is being undone.
+// lateSuccess takes in that the last attempt at an item has succeeded after all. It is
+// ignored for a stage that has gone on, and for an item that is being undone.
 func (b *Tracker) lateSuccess(at time.Duration, r *Run, c ReportEnd) bool {
 	st := &r.Stages[c.Stage]
 	it := &st.Items[c.Item]
@@ -101,7 +101,7 @@
 	return true
 }
 
-// failItem says that an item ended badly. Its stage may do without.
+// failItem marks an item as permanently failed. Its stage may succeed without it.
 func (b *Tracker) failItem(at time.Duration, r *Run, stage, item int, reason string) {
 	t := &r.Stages[stage].Items[item].Job
 	t.State = PermanentlyFailed
@@ -112,7 +112,7 @@
 	b.completeIfDone(at, r, stage)
 }
 
-// failItemLate is dead for want of time.
+// failItemLate is failItem for want of time.
 func (b *Tracker) failItemLate(at time.Duration, r *Run, stage, item int) {
 	r.Stages[stage].Items[item].Job.State = PermanentlyFailed
 	if !b.canStillSucceed(r, stage) {
@@ -122,7 +122,7 @@
 	b.completeIfDone(at, r, stage)
 }
 
-// canStillSucceed tells whether enough items of a stage may still end well.
+// canStillSucceed reports whether enough items of a stage may still succeed.
 func (b *Tracker) canStillSucceed(r *Run, stage int) bool {
 	st, alive := &r.Stages[stage], 0
 	for i := range st.Items {
@@ -133,8 +133,8 @@
 	return alive >= r.shape.Stages[stage].requiredItems(st)
 }
 
-// completeIfDone looks whether a stage has its output. That is fixed once every item has
-// ended, well or badly: one generation never has two forms.
+// completeIfDone completes a stage once every item has ended, well or badly: a generation
+// never has two contents.
 func (b *Tracker) completeIfDone(at time.Duration, r *Run, stage int) {
 	st := &r.Stages[stage]
 	if st.Complete || r.GaveUp != nil {
@@ -153,7 +153,7 @@
 	b.publishOutput(at, r, stage)
 }
 
-// rerunAllowed tells whether a rule lets a stage be run again on an item's report.
+// rerunAllowed reports whether a rule has a stage run again on an item's report.
 func (b *Tracker) rerunAllowed(r *Run, c ReportEnd) bool {
 	for _, q := range r.shape.Stages[c.Stage].Reruns {
 		if q.Of == c.Lost.Stage {
@@ -164,9 +164,9 @@
 }
 
 // loseOutput takes in that a generation of a stage's output is lost, the first time that
-// this run hears of it. The stage makes the next generation, unless another run has
-// begun to (then it is not fresh), and what hung on the lost one is reset. A
-// never-twice stage among those that may have run ends the run.
+// this run hears of it. The stage makes the next generation, unless another run has begun
+// to (then the loss is not new), and everything downstream is reset. If an at-most-once
+// stage downstream may have run, the run gives up.
 func (b *Tracker) loseOutput(r *Run, stage int, gen uint64) (fresh bool) {
 	st := &r.Stages[stage]
 	st.LostThrough = gen
@@ -193,13 +193,13 @@
 	return fresh
 }
 
-// hasBegun tells whether anything of a stage was sent, or is there.
+// hasBegun reports whether anything of a stage was sent, or exists.
 func (s *Stage) hasBegun() bool {
 	return s.Complete || s.SharedKey != "" || slices.ContainsFunc(s.Items, func(it Item) bool { return it.Job.Attempt > 0 })
 }
 
-// rerunStage has a stage make the generation after its present one, or takes the one that
-// another run has made or is making; then it is not fresh.
+// rerunStage has a stage make the next generation, or takes the one that another run has
+// made or is making; then the loss is not new.
 func (b *Tracker) rerunStage(r *Run, stage int) (fresh bool) {
 	st := &r.Stages[stage]
 	gen := st.Generation
@@ -210,8 +210,7 @@
 	return true
 }
 
-// resetStage sets a stage back: its output is yet to be made. What is out stays out: it
-// ends first.
+// resetStage resets a stage: its output is yet to be made. Attempts in flight end first.
 func (r *Run) resetStage(stage int, gen uint64) {
 	st := &r.Stages[stage]
 	st.Generation, st.Complete, st.SharedResults = gen, false, nil
@@ -225,7 +224,7 @@
 	}
 }
 
-// giveUp ends a run's way forward. From here on nothing is sent but undos.
+// giveUp ends a run's progress. From here on only undos are sent.
 func (b *Tracker) giveUp(r *Run, stage int, end plan.End, reason string) {
 	if r.GaveUp != nil {
 		return
@@ -273,22 +272,22 @@
 	b.finishRun(at, r)
 }
 
-// Outcome is the final answer of a run in one word.
+// Outcome is a run's outcome. It is stored as a number.
 type Outcome uint8
 
 // Outcomes.
 const (
-	Served  Outcome = iota // every stage ended well
+	Served  Outcome = iota // every stage succeeded
 	Refused                // nothing has run
 	Failed                 // it gave up, and what became of each effect is known
-	Unknown                // it gave up, and something may have run of which no end is known
+	Unknown                // it gave up, and the end of something that may have run is not known
 )
 
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "may have run"}[o]
 }
 
-// Answer is the one final answer of a run.
+// Answer is the final answer of a run. It is stored by the field names in its tags.
 type Answer struct {
 	Run, Plan         string
 	Digest            uint64
@@ -297,12 +296,12 @@
 	End               plan.End
 	Reason            string
 	Started           time.Duration
-	At                time.Duration // of its end
-	Until             time.Duration // it is known up to then
+	At                time.Duration // when it ended
+	Until             time.Duration // when the answer is forgotten
 	Attempts          int
-	StagesWithEffects []string  `cbor:"Left"` // stages whose effects stay, though the run was not served
-	Results           []Results // served: of the stages that no other comes after; else of Left
-	ResultsOmitted    bool      `cbor:"Cut"` // results are missing: too large, or too old
+	StagesWithEffects []string  `cbor:"Left"` // stages whose effects remain, though the run was not served
+	Results           []Results // Served: of the stages that no other depends on; else of StagesWithEffects
+	ResultsOmitted    bool      `cbor:"Cut"` // the results are missing: too large, or too old
 }
 
 // Results are one stage's results, by item.
@@ -375,8 +374,8 @@
 	b.trimResults()
 }
 
-// trimResults takes the results of the oldest answers, beyond those that may keep them. The
-// answers themselves stay: an id must not begin a second run.
+// trimResults drops the results of the oldest answers, beyond Limits.AnswersWithResults.
+// The answers themselves stay, since an id must not start a second run.
 func (b *Tracker) trimResults() {
 	for ; len(b.answersByEnd)-b.firstWithResults > b.limits.AnswersWithResults; b.firstWithResults++ {
 		if a := b.answersByEnd[b.firstWithResults]; a.Results != nil {
@@ -387,8 +386,8 @@
 	}
 }
 
-// pruneAnswers drops what is kept no longer. Answers go in the order of their ends; one that
-// is due waits for those before it, for Limits.Longest at the most.
+// pruneAnswers drops what has expired. Answers are dropped in the order of their ends; an
+// expired one waits for those before it, for Limits.MaxTimeout at most.
 func (b *Tracker) pruneAnswers(at time.Duration) {
 	n := 0
 	for n < len(b.answersByEnd) && b.answersByEnd[n].Until < at {
--- a/internal/dispatcher/fleet/planrun/estimate.go
+++ b/internal/dispatcher/fleet/planrun/estimate.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// RuntimeEstimator learns how long jobs of each class run, for one coordinator. It says what
-// the rest of a plan needs at the least: a low figure, so that a plan is given up
-// only when there is hardly a chance. The zero Estimate knows nothing.
+// RuntimeEstimator learns how long jobs of each class run, for one coordinator, and
+// estimates what the rest of a plan needs at the least: a low figure, so that a run gives
+// up only when there is hardly a chance. Its zero value knows nothing.
 type RuntimeEstimator struct{ classes map[string]*runtimeMean }
 
-// runtimeMean is a moving mean of run times and of their distance from it (Jacobson's
-// estimator).
+// runtimeMean is a moving mean of run times and of their deviation (Jacobson's estimator).
 type runtimeMean struct{ mean, deviation time.Duration }
 
+// maxClasses is the number of classes that an operator's file may name.
 const maxClasses = 4096 // what the operator's file may name
 
-// Observe takes in a run time of a job that ended well.
+// Observe takes in the run time of a job that succeeded.
 func (e *RuntimeEstimator) Observe(class string, took time.Duration) {
 	t := e.classes[class]
 	switch {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Minimum is how long a job of a class hardly ever undercuts; hint where nothing is
-// learned.
+// Minimum returns a run time that jobs of a class rarely undercut; hint if nothing is
+// known.
 func (e *RuntimeEstimator) Minimum(class string, hint time.Duration) time.Duration {
 	if t := e.classes[class]; t != nil {
 		return max(0, t.mean-2*t.deviation)
@@ -41,8 +41,8 @@
 	return hint
 }
 
-// RemainingTime is the shortest time that the rest of a run's plan needs from a moment on: its
-// critical path, over what is not there yet. Items of a stage run side by side.
+// RemainingTime returns the shortest time that the rest of a run needs from a moment on:
+// the critical path over what does not exist yet. Items of a stage run in parallel.
 func (e *RuntimeEstimator) RemainingTime(at time.Duration, v View) time.Duration {
 	if v.Run.GaveUp != nil {
 		return 0
--- a/internal/dispatcher/fleet/planrun/next.go
+++ b/internal/dispatcher/fleet/planrun/next.go
@@ -6,19 +6,19 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// ActionKind is what a coordinator does next.
+// ActionKind tells what a coordinator is to do.
 type ActionKind uint8
 
-// Whats.
+// Kinds of actions.
 const (
-	OpenStage ActionKind = iota // evaluate a stage's list and shared key, and Open it
-	SendJob                     // Sending, and once that is accepted, the job
-	SendUndo                    // the same with the undo
-	AwaitEnd                    // an attempt is out: its end is to come, or, if this coordinator never sent it, plan.Unsent is to be told
-	WaitUntil                   // look again then
+	OpenStage ActionKind = iota // evaluate a stage's list and shared key, and send an Open
+	SendJob                     // send a SendAttempt, and once that is accepted, the job
+	SendUndo                    // the same with the stage's compensation
+	AwaitEnd                    // an attempt is in flight: its end is to come or, if this coordinator never sent it, plan.Unsent is to be reported
+	WaitUntil                   // call Next again then
 )
 
-// Action is one thing to do.
+// Action is something that a coordinator is to do.
 type Action struct {
 	Kind              ActionKind
 	Stage             int
@@ -28,15 +28,15 @@
 	Generation        uint64
 	Inputs            []uint64
 	Class             string
-	SpendsRetryBudget bool          // it spends the budget of attempts beyond the first of its class
-	Where             plan.Place    // of a further try: not at Member, or not in its zone
-	Member            string        // that the last attempt was at
+	SpendsRetryBudget bool          // an attempt beyond the first of its class's budget
+	Where             plan.Place    // of a further attempt: not at Member, or not in its zone
+	Member            string        // where the last attempt was
 	At                time.Duration // WaitUntil: when. SendJob, SendUndo: the attempt's deadline
 }
 
-// Next is what a run's coordinator should do: a function of the replicated state and
-// the time alone, so that whoever takes over goes on from it. A run that waits for
-// others to make an output, or for its end, has nothing but a WaitUntil.
+// Next returns what a run's coordinator is to do. It is a function of the replicated state
+// and the time alone, so that whoever takes over continues the run. For a run that waits
+// for another's output, or for its end, it returns only a WaitUntil.
 func Next(at, grace time.Duration, v View) (list []Action) {
 	if v.Shape.upstreamSets == nil && v.Shape.resolve() != nil { // it came over the network
 		return nil
@@ -95,6 +95,7 @@
 	return list
 }
 
+// hasJobsInFlight reports whether a job is in flight.
 func (r *Run) hasJobsInFlight() bool {
 	for i := range r.Stages {
 		for k := range r.Stages[i].Items {
--- a/internal/dispatcher/fleet/planrun/orphans.go
+++ b/internal/dispatcher/fleet/planrun/orphans.go
@@ -1,4 +1,4 @@
 package planrun
 
-// Orphans is how many runs wait for a coordinator.
+// Orphans returns how many runs wait for a coordinator.
 func (b *Tracker) Orphans() int { return len(b.orphans) }
--- a/internal/dispatcher/fleet/planrun/run.go
+++ b/internal/dispatcher/fleet/planrun/run.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ExecutionState is where a job, or its undo, stands.
+// ExecutionState is the state of a job or an undo.
 type ExecutionState uint8
 
-// States of a Try.
+// States of an Execution.
 const (
 	Pending           ExecutionState = iota // to be sent, once it may
 	InFlight                                // sent, or about to be: it may run
@@ -21,39 +21,40 @@
 	PermanentlyFailed                       // ended badly, and not to be sent again
 )
 
-// Execution is one job or undo, over all its attempts.
+// Execution is one job or undo, over all its attempts. It is stored by position: the order
+// of the fields is part of the format.
 type Execution struct {
 	_                struct{} `cbor:",toarray"` // written by position: there are many
 	State            ExecutionState
-	Attempt          uint32 // number of the last one, from 1; it never goes back
-	Fence            uint64 // under which that was sent
+	Attempt          uint32 // number of the last one, from 1; it never decreases
+	Fence            uint64 // with which that was sent
 	SentAt           time.Duration
-	NotBefore        time.Duration // Idle: when it may be sent
+	NotBefore        time.Duration // Pending: when it may be sent
 	End              plan.End      // of the last attempt that ended
 	MayHaveRun       bool          // some attempt may have run
-	MayHaveRunBefore bool          // Out: Ran before this attempt
+	MayHaveRunBefore bool          // InFlight: MayHaveRun before this attempt
 }
 
-// Item is one item of a stage; a stage without a list has one.
+// Item is one item of a stage; a stage without a list has one. It is stored by position.
 type Item struct {
 	_           struct{} `cbor:",toarray"` // written by position: there are many
-	Value       []byte   // of the list, JSON
+	Value       []byte   // entry of the list, as JSON
 	Job         Execution
 	Generation  uint64   // of its stage, when the last attempt was sent
-	Inputs      []uint64 // generations of the stages upstream that it was given
-	RetriesUsed []int    // by retry rule, in this run of the stage
-	Result      []byte   // Ok: JSON
-	Member      string   // that the last attempt which ended was at
+	Inputs      []uint64 // generations of the upstream stages that it was given
+	RetriesUsed []int    // by retry rule, in this generation of the stage
+	Result      []byte   // Succeeded: JSON
+	Member      string   // where the last attempt was that has ended
 	RetryPlace  plan.Place
 	Undo        Execution
 }
 
-// Stage is the progress of a stage.
+// Stage is the progress of a stage. It is stored by position.
 type Stage struct {
 	_             struct{} `cbor:",toarray"` // written by position: there are many
-	Generation    uint64   // of its output, which is there if Joined and else yet to be made; from 1
-	LostThrough   uint64   // its generations up to this one were reported lost in this run
-	RerunsUsed    int      // how often such a report had it run again
+	Generation    uint64   // of its output, which exists if Complete and is yet to be made otherwise; from 1
+	LostThrough   uint64   // generations up to this one were reported lost in this run
+	RerunsUsed    int      // how often such a report had the stage run again
 	Opened        bool
 	Complete      bool
 	SharedKey     string   // of a shared output
@@ -61,7 +62,7 @@
 	Items         []Item
 }
 
-// Results are the results of a joined stage by item; nil for an item that failed.
+// Results returns the results of a complete stage by item; nil for an item that failed.
 func (s *Stage) Results() [][]byte {
 	if s.SharedResults != nil {
 		return s.SharedResults
@@ -82,28 +83,28 @@
 	Reason string
 }
 
-// Run is the progress of a plan under way.
+// Run is the progress of a plan run. It is stored by the field names in its tags.
 type Run struct {
 	ID, Plan     string
 	Tenant       string
-	Digest       uint64 // of the plan's text
-	Shape        uint64 // its key among the Book's shapes
+	Digest       uint64 // of the plan
+	Shape        uint64 // key among the Tracker's shapes
 	Input        []byte
 	Seed         uint64
 	Started      time.Duration
-	StartBy      time.Duration `cbor:"Before"` // a Start of it after this counts no more
+	StartBy      time.Duration `cbor:"Before"` // a Start of it after this is ignored
 	Deadline     time.Duration
-	Process      string // coordinator
+	Process      string // the coordinator's
 	Incarnation  uint64
 	Fence        uint64
 	Orphan       bool // the coordinator's lease has ended and nobody has claimed the run
-	AttemptsUsed int  `cbor:"Used"` // attempts
+	AttemptsUsed int  `cbor:"Used"` // including those of undos
 	Bytes        int  // of input, items and results
 	Stages       []Stage
-	GaveUp       *GiveUp `cbor:"Gave"`
+	GaveUp       *GiveUp `cbor:"Gave"` // nil: it goes on
 
 	shape     *Shape
-	heapIndex int // in the heap of what falls due
+	heapIndex int // in Tracker.deadlines
 	dueAt     time.Duration
 }
 
@@ -114,7 +115,7 @@
 	Producing uint64 // a bit for each shared stage whose output this run is to make
 }
 
-// clone copies all that a command may change; bytes are never changed in place.
+// clone copies all that a command may change; byte slices are never changed in place.
 func (r *Run) clone() *Run {
 	c := *r
 	c.Stages = slices.Clone(r.Stages)
@@ -132,38 +133,39 @@
 	return &c
 }
 
-// inputsReady tells whether all upstream of a stage is there.
+// inputsReady reports whether the outputs of all stages upstream exist.
 func (r *Run) inputsReady(s *Shape, stage int) bool {
 	ok := true
 	s.eachUpstream(stage, func(_, u int) { ok = ok && r.Stages[u].Complete })
 	return ok
 }
 
-// inputGenerations are the generations that an item sent now is given.
+// inputGenerations returns the generations of the inputs that an item sent now is given.
 func (r *Run) inputGenerations(s *Shape, stage int) (list []uint64) {
 	s.eachUpstream(stage, func(_, u int) { list = append(list, r.Stages[u].Generation) })
 	return list
 }
 
-// needsNoOpen tells whether a stage needs no Open: it has one item and is its own.
+// needsNoOpen reports whether a stage has one item that is not shared, so that there is
+// nothing to evaluate.
 func (s *StageShape) needsNoOpen() bool { return !s.Each && !s.Shared }
 
-// needsUndo tells whether an item is still to be undone. What is shared stays: other
-// plans may be using it.
+// needsUndo reports whether an item is still to be undone. Shared outputs stay, since other
+// runs may be using them.
 func (s *StageShape) needsUndo(it *Item) bool {
 	return s.Undo != nil && !s.Shared && it.Job.MayHaveRun &&
 		(it.Undo.State == InFlight || it.Undo.State == Pending && int(it.Undo.Attempt) < s.Undo.MaxTries)
 }
 
-// maySendAgain tells whether what may have run may be sent again.
+// maySendAgain reports whether a job that may have run may be sent again.
 func maySendAgain(e policy.Effect, ran bool) bool {
 	return !ran || e != policy.AtMostOnce || faultRunTwice || testRunTwice
 }
 
-// testRunTwice plants the fault of hooks_faults.go in a test.
+// testRunTwice injects the fault of fault_injection_on.go in a test.
 var testRunTwice bool
 
-// requiredItems is how many items of an opened stage must end well.
+// requiredItems returns how many items of an opened stage must succeed.
 func (s *StageShape) requiredItems(st *Stage) int {
 	if s.MinSucceeded > 0 {
 		return s.MinSucceeded
@@ -171,7 +173,7 @@
 	return len(st.Items)
 }
 
-// hasAnyInFlight tells whether an attempt or undo is out.
+// hasAnyInFlight reports whether a job or an undo is in flight.
 func (r *Run) hasAnyInFlight() bool {
 	for i := range r.Stages {
 		for k := range r.Stages[i].Items {
@@ -183,7 +185,7 @@
 	return false
 }
 
-// nextUndoStage is the last stage with something still to be undone, or -1.
+// nextUndoStage returns the last stage with something left to undo, or -1.
 func (r *Run) nextUndoStage(s *Shape) int {
 	for i := len(r.Stages) - 1; i >= 0; i-- {
 		for k := range r.Stages[i].Items {
@@ -195,7 +197,7 @@
 	return -1
 }
 
-// reservedUndoAttempts is how many attempts the undos of what may have run still need.
+// reservedUndoAttempts returns how many attempts the undos of what may have run still need.
 func (r *Run) reservedUndoAttempts(s *Shape) (n int) {
 	for i := range r.Stages {
 		u := s.Stages[i].Undo
@@ -211,8 +213,8 @@
 	return n
 }
 
-// delay is how long a retry waits: doubled for each try that this rule gave before,
-// up to its cap, and off by up to its jitter. The chance is the seed's.
+// delay returns how long a retry waits: doubled for each retry by this rule before, up to
+// MaxWait, and varied by up to its jitter, which is a hash of the seed and the attempt.
 func (q *RetryShape) delay(seed uint64, stage, item int, attempt uint32, before int) time.Duration {
 	w := q.Wait
 	for range before {
--- a/internal/dispatcher/fleet/planrun/shape.go
+++ b/internal/dispatcher/fleet/planrun/shape.go
@@ -1,9 +1,9 @@
-// Package planrun runs plans: which job of a plan is sent next, what an end of one
-// means for the others, when a plan gives up. A Book is the replicated side: the
-// progress of all plans under way, changed by commands that travel in the log, and
-// alike at every replica. Whoever drives a plan (its coordinator) evaluates what the
-// plan file says and reports ends; the Book holds whatever it sends to the rules.
-// The package does no I/O, reads no clock and starts no goroutine.
+// Package planrun runs plans: which job of a plan is sent next, what the end of one means
+// for the others, and when a run gives up. Tracker is the replicated side: the progress of
+// all runs, changed by commands from the log, and equal at every replica. A run's
+// coordinator evaluates the expressions of the plan file and reports how attempts ended;
+// the Tracker holds whatever it sends to the plan's rules. The package does no I/O, reads
+// no clock and starts no goroutine.
 package planrun
 
 import (
@@ -17,26 +17,26 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Shape is what a Book needs to know of a plan. It travels in Start, so that a
-// replica neither reads plan files nor evaluates expressions.
+// Shape is what a Tracker needs to know of a plan. It travels in Start, so that a replica
+// neither reads plan files nor evaluates expressions. It is stored by the field names in
+// its tags.
 type Shape struct {
 	Stages      []StageShape
-	MaxAttempts int           `cbor:"Most"`   // attempts in all, reruns and undos included
-	Timeout     time.Duration `cbor:"Within"` // its deadline is this long after its start, at the latest
+	MaxAttempts int           `cbor:"Most"`   // in all, including reruns and undos
+	Timeout     time.Duration `cbor:"Within"` // of a run
 
-	upstreamSets []uint64 // for each stage a bit for each stage upstream, however far; see link
+	upstreamSets []uint64 // for each stage the bit set of all stages upstream; see resolve
 }
 
-// StageShape is one stage: indexes of stages count from 0, and a stage comes after
-// lower ones only.
+// StageShape describes a stage. Stages are numbered from 0, and depend on lower ones only.
 type StageShape struct {
 	Name, Class  string
 	Effect       policy.Effect
 	After        []int
-	Cost         time.Duration // hint of its run time; 0: none
-	Each         bool          // a list says how often it is run
+	Cost         time.Duration // hint of the run time; 0: none
+	Each         bool          // a list determines the items
 	MaxItems     int           `cbor:"MostEach"` // longest list
-	MinSucceeded int           `cbor:"AtLeast"`  // so many must end well; 0: all
+	MinSucceeded int           `cbor:"AtLeast"`  // items that must succeed; 0: all
 	Shared       bool
 	SharedFor    time.Duration
 	Retries      []RetryShape
@@ -44,7 +44,7 @@
 	Undo         *UndoShape
 }
 
-// RetryShape is plan.Retry with its jitter in thousandths: replicas add no floats.
+// RetryShape is a plan.Retry with its jitter in thousandths, since replicas add no floats.
 type RetryShape struct {
 	On               []plan.End
 	MaxRetries       int           `cbor:"Most"`
@@ -53,10 +53,10 @@
 	Where            plan.Place
 }
 
-// RerunShape is a rule that a stage upstream is run again.
+// RerunShape is a rule by which a stage upstream (Of) is run again, Most times at most.
 type RerunShape struct{ Of, Most int }
 
-// UndoShape is a stage's compensation.
+// UndoShape describes a stage's compensation.
 type UndoShape struct {
 	Class    string
 	Effect   policy.Effect
@@ -97,13 +97,13 @@
 const (
 	maxStages     = 64
 	maxItems      = 4096 // over all stages of a plan
-	maxNameLength = 256  // bytes of a name
+	maxNameLength = 256  // in bytes
 )
 
 // ErrInvalidShape says that a shape can't be run.
 var ErrInvalidShape = errors.New("unusable shape of a plan")
 
-// resolve checks a shape and works out what is upstream of what.
+// resolve validates a shape and computes what is upstream of each stage.
 func (s *Shape) resolve() error {
 	if n := len(s.Stages); n == 0 || n > maxStages || s.MaxAttempts < 1 || s.Timeout <= 0 {
 		return fmt.Errorf("%w: %d stages, %d attempts, within %v", ErrInvalidShape, n, s.MaxAttempts, s.Timeout)
@@ -139,17 +139,17 @@
 	return nil
 }
 
-// eachUpstream calls f for each stage upstream of one, in order.
+// eachUpstream calls f for each stage upstream of one, in order; i counts the calls.
 func (s *Shape) eachUpstream(of int, f func(i, stage int)) {
 	for i, left := 0, s.upstreamSets[of]; left != 0; i, left = i+1, left&(left-1) {
 		f(i, bits.TrailingZeros64(left))
 	}
 }
 
-// dependsOn tells whether a stage is downstream of another.
+// dependsOn reports whether a stage is downstream of another.
 func (s *Shape) dependsOn(stage, on int) bool { return s.upstreamSets[stage]&(1<<on) != 0 }
 
-// Upstream lists the stages upstream of one, however far, in order: Sending.Inputs
+// Upstream lists the stages upstream of one, direct or not, in order: SendAttempt.Inputs
 // are their generations.
 func (s *Shape) Upstream(of int) (list []int) {
 	s.eachUpstream(of, func(_, u int) { list = append(list, u) })
--- a/internal/dispatcher/fleet/planrun/shared.go
+++ b/internal/dispatcher/fleet/planrun/shared.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Output is an output that plans share by a key: made by one run at a time, for all.
+// Output is an output that runs share by a key: made by one run at a time, for all.
 type Output struct {
 	Key        string
-	Generation uint64 `cbor:"Gen"` // made, or being made
-	Ready      bool
-	FreshUntil time.Duration `cbor:"Until"` // who comes later has it made anew
+	Generation uint64        `cbor:"Gen"` // made, or being made
+	Ready      bool          // it has been made
+	FreshUntil time.Duration `cbor:"Until"` // later users have it made again
 	Results    [][]byte
-	Producer   *OutputUser `cbor:"Owner"` // who makes it; nil: nobody
+	Producer   *OutputUser `cbor:"Owner"` // which makes it; nil: nobody
 	Users      []OutputUser
 }
 
-// OutputUser is a stage of a run under way that uses an output, or waits for it.
+// OutputUser is a stage of a run that uses an output, or waits for it.
 type OutputUser struct {
 	Run   string
 	Stage int
@@ -26,8 +26,8 @@
 	return !o.Ready && o.Producer != nil && *o.Producer == OutputUser{r.ID, stage}
 }
 
-// attachOutput joins a stage that was just opened to its output: it takes what is there
-// and good, waits for what is being made, or makes it.
+// attachOutput connects a stage that was just opened to its output: it takes a fresh one,
+// waits for one that is being made, or makes it.
 func (b *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
 	key, me := r.Stages[stage].SharedKey, OutputUser{r.ID, stage}
 	o := b.outputs[key]
@@ -50,14 +50,14 @@
 	r.Stages[stage].Generation = o.Generation
 }
 
-// takeOutput gives a stage an output that is there.
+// takeOutput gives a stage an output that exists.
 func (r *Run) takeOutput(stage int, o *Output) {
 	st := &r.Stages[stage]
 	st.Generation, st.Complete, st.SharedResults = o.Generation, true, o.Results
 }
 
 // publishOutput gives the output that a stage has made to all that wait for it. It counts
-// whoever the owner is by now: the first to be there is good.
+// whoever is the producer by now.
 func (b *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
 	st := &r.Stages[stage]
 	o := b.outputs[st.SharedKey]
@@ -76,9 +76,9 @@
 	}
 }
 
-// rerunShared has the generation after gen made by a run that has lost it, unless
-// another has begun to. Other runs that still need the output wait for it,
-// and keep what they did with the lost one until a stage of theirs reports it.
+// rerunShared has the generation after a lost one made by a run that reported the loss,
+// unless another has begun to. Other runs that still need the output wait for it, and keep
+// what they made of the lost one until a stage of theirs reports the loss.
 func (b *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
 	if o.Generation > gen {
 		if r.Stages[stage].Generation = o.Generation; o.Ready {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// needsOutput tells whether something is still to be done with a stage's output.
+// needsOutput reports whether a stage's output is still needed.
 func (r *Run) needsOutput(stage int) bool {
 	for i := range r.Stages {
 		if i == stage && !r.Stages[i].Complete || r.shape.dependsOn(i, stage) && !r.Stages[i].Complete {
@@ -109,7 +109,7 @@
 	return false
 }
 
-// detachOutputs takes a run that needs no more output off all that it uses.
+// detachOutputs removes a run from the users of its outputs.
 func (b *Tracker) detachOutputs(r *Run) {
 	for i := range r.Stages {
 		o := b.outputs[r.Stages[i].SharedKey]
@@ -125,8 +125,8 @@
 	}
 }
 
-// reassignOutputs gives what a run was making to others that wait for it, if there are any
-// whose coordinator lives.
+// reassignOutputs assigns the outputs that a run was making to others that wait for them,
+// if there are any with a coordinator.
 func (b *Tracker) reassignOutputs(r *Run) {
 	for i := range r.Stages {
 		if o := b.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
@@ -135,8 +135,8 @@
 	}
 }
 
-// reassignOutput finds a new owner of an output, if from is its owner: the first in line that
-// waits and has a coordinator, else the first that waits.
+// reassignOutput finds a new producer of an output, if from is its producer: the first user
+// that waits and has a coordinator, else the first that waits.
 func (b *Tracker) reassignOutput(o *Output, from OutputUser) {
 	if o.Ready || o.Producer == nil || *o.Producer != from {
 		return
--- a/internal/dispatcher/fleet/planrun/state.go
+++ b/internal/dispatcher/fleet/planrun/state.go
@@ -10,14 +10,14 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// internedShape is a shape that runs under way have.
+// internedShape is a shape with the number of runs that have it.
 type internedShape struct {
 	shape *Shape
 	text  []byte
 	runs  int
 }
 
-// internShape keeps each shape once. Its key is its digest, or the first free number after.
+// internShape stores each shape once. Its key is its digest, or the next free number.
 func (b *Tracker) internShape(s Shape) (uint64, *Shape, error) {
 	text, err := codec.Encode(s)
 	if err != nil {
@@ -45,28 +45,29 @@
 	}
 }
 
-// stateVersion of the encoded form.
+// stateVersion is the version of the encoded state.
 const stateVersion = 1
 
-// envelope is the outer one, which any version can read.
+// envelope is the outer encoding, which any version can read.
 type envelope struct {
 	Version int
 	State   []byte
 }
 
+// storedState is the encoded Tracker, by the field names in its tags.
 type storedState struct {
 	Limits               Limits
 	Now                  time.Duration
 	Fence                uint64
 	LastSharedGeneration uint64           `cbor:"Newest"`
 	Shapes               map[uint64]Shape // encoded in the order of keys
-	Runs                 []*Run           // by id
+	Runs                 []*Run           // sorted by id
 	Answers              []*Answer
 	FirstWithResults     int       `cbor:"Whole"`
 	Outputs              []*Output `cbor:"Shared"` // by key
 }
 
-// Encode writes the whole state: the same commands give the same bytes.
+// Encode encodes the whole state: the same commands give the same bytes.
 func (b *Tracker) Encode() ([]byte, error) {
 	s := storedState{Limits: b.limits, Now: b.now, Fence: b.lastFence, LastSharedGeneration: b.lastSharedGeneration, Shapes: map[uint64]Shape{}, Answers: b.answersByEnd, FirstWithResults: b.firstWithResults}
 	for key, k := range b.shapes {
@@ -85,7 +86,7 @@
 	return codec.Encode(envelope{stateVersion, text})
 }
 
-// Digest is a short sum of the state.
+// Digest returns the digest of the encoded state.
 func (b *Tracker) Digest() (uint64, error) {
 	text, err := b.Encode()
 	if err != nil {
@@ -94,10 +95,10 @@
 	return codec.Digest(text), nil
 }
 
-// ErrInvalidState says that what was to be decoded is no state of a Book.
+// ErrInvalidState says that decoded data is not the state of a Tracker.
 var ErrInvalidState = errors.New("not a state of plans under way")
 
-// Decode takes a state that was encoded. On an error nothing is changed.
+// Decode replaces the state by an encoded one. On an error nothing has changed.
 func (b *Tracker) Decode(text []byte) error {
 	var f envelope
 	if err := codec.Decode(text, &f); err != nil {
@@ -156,8 +157,7 @@
 	return nil
 }
 
-// addDecodedRun takes in a decoded run, if it is one that commands could have made as far as
-// the Book relies on it.
+// addDecodedRun adds a decoded run, if it is consistent as far as the Tracker relies on it.
 func (b *Tracker) addDecodedRun(r *Run) error {
 	if r == nil || b.runs[r.ID] != nil || b.answers[r.ID] != nil || b.shapes[r.Shape] == nil {
 		return ErrInvalidState
@@ -193,6 +193,7 @@
 	return nil
 }
 
+// isUser reports whether a stage of a run uses an output.
 func (b *Tracker) isUser(o *Output, u OutputUser) bool {
 	r := b.runs[u.Run]
 	return r != nil && u.Stage >= 0 && u.Stage < len(r.Stages) && r.Stages[u.Stage].SharedKey == o.Key
--- a/internal/dispatcher/fleet/raftnode/enter.go
+++ b/internal/dispatcher/fleet/raftnode/enter.go
@@ -12,16 +12,18 @@
 	"github.com/hashicorp/raft"
 )
 
-// A keeper with an empty folder has forgotten what it voted for and what it took
-// into its log. Were it to vote again under its name, an entry that a majority had
-// might be lost. So it takes no part until those that do have put it out of the
-// configuration, and taken it in as one that does not vote yet; it may vote again
-// once it has all that was committed by then. Only where every other keeper says
-// that it has nothing either is a fleet founded.
+// joinRetryInterval is the time between two attempts to join with an empty data directory.
+//
+// A node with an empty data directory has forgotten its votes and the log entries that it
+// acknowledged. If it voted again under its name, an entry that a majority had might be
+// lost. So it takes no part until the others have removed it from the configuration and
+// added it again without a vote, and it votes again once it has all that was committed by
+// then. Only if every other node says that it has no state either is a new fleet
+// bootstrapped.
 const joinRetryInterval = 200 * time.Millisecond
 
-// joinWithEmptyDir tells whether the fleet is to be founded, once that is known, or returns
-// when the others have taken this keeper in.
+// joinWithEmptyDir returns once the other nodes have added this one, or returns true once
+// it is known that the fleet is to be bootstrapped.
 func (k *Node) joinWithEmptyDir(ctx context.Context, own *dataDir) (found bool, err error) {
 	k.mu.Lock()
 	k.empty = true
@@ -44,15 +46,15 @@
 			}
 		}
 		if taken {
-			k.log.Info("taken in by the fleet with an empty folder")
+			k.log.Info("added to the raft group with an empty data directory")
 			return false, nil
 		}
 		if nothing == len(k.settings.Peers)-1 {
-			k.log.Info("no keeper has a state: the fleet is founded")
+			k.log.Info("no raft node has state; bootstrapping the fleet")
 			return true, nil
 		}
 		if !waited {
-			k.log.Info("waiting for the other keepers, to be taken in or to found the fleet")
+			k.log.Info("waiting for the other raft nodes, to be added or to bootstrap the fleet")
 		}
 		select {
 		case <-ctx.Done():
@@ -62,8 +64,8 @@
 	return false, nil
 }
 
-// queryPeers asks the other keepers what they have, side by side; those that do not
-// answer are left out.
+// queryPeers asks the other nodes for their status, concurrently. Nodes that don't answer
+// are left out.
 func (k *Node) queryPeers(ctx context.Context) (all []rpc.NodeStatus) {
 	answers := make(chan *rpc.NodeStatus)
 	others := 0
@@ -90,8 +92,8 @@
 	return all
 }
 
-// isStaleCopy tells whether another keeper knows of a later start of this one than
-// its folder does. Such a folder has forgotten, like an empty one.
+// isStaleCopy reports whether another node knows of a later start of this one than its data
+// directory does. A stale directory has lost votes and entries, like an empty one.
 func (k *Node) isStaleCopy(ctx context.Context, own *dataDir) bool {
 	for _, a := range k.queryPeers(ctx) {
 		if a.BootCounts[k.settings.Name] > own.identity.Starts {
@@ -101,9 +103,9 @@
 	return false
 }
 
-// superviseReplica does what a keeper does while raft runs: it leads when elected, tells the
-// others of its start, asks for its vote, and compares digests. It returns when the
-// context ends, or with true when the state must be taken anew.
+// superviseReplica does the node's own work while raft runs: it follows the leadership,
+// reports the node's start, asks for its vote, and compares digests. It returns when the
+// context ends, or returns true when the state must be discarded.
 func (k *Node) superviseReplica(ctx context.Context, n *replica, own *dataDir) (anew bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -112,7 +114,7 @@
 	k.fsm.mu.Lock()
 	k.fsm.onDigests = func(index uint64, parts map[string]uint64, err error) {
 		if err != nil { // it is wrong for sure: nobody needs to be asked
-			k.log.WithError(err).Error("the state can't be summed up")
+			k.log.WithError(err).Error("state digest failed")
 			select {
 			case broken <- struct{}{}:
 			default:
@@ -147,7 +149,7 @@
 			k.requestPromotion(ctx, n)
 		case s := <-sums:
 			if err := k.submit(ctx, state.ReportDigests, s); err != nil {
-				k.log.WithError(err).Debug("digests could not be told")
+				k.log.WithError(err).Debug("reporting digests failed")
 			}
 		case <-told:
 			if k.checkDivergence(n) {
@@ -160,7 +162,7 @@
 	}
 }
 
-// updateLeadership notes that this keeper has begun to lead, or leads no more.
+// updateLeadership records that this node has become the leader or has lost the leadership.
 func (k *Node) updateLeadership(ctx context.Context, n *replica) {
 	leads := n.raft.State() == raft.Leader
 	k.mu.Lock()
@@ -180,10 +182,11 @@
 	k.mu.Lock()
 	k.leadership = l
 	k.mu.Unlock()
-	k.log.WithField("at", l.startTime.String()).Info("leads the fleet")
+	k.log.WithField("at", l.startTime.String()).Info("became leader of the fleet")
 }
 
-// advanceTime lets fleet time go on while nobody asks, and has digests taken when due.
+// advanceTime advances the fleet time while there are no commands, and requests digests
+// when they are due.
 func (k *Node) advanceTime(summed *time.Time) {
 	k.mu.Lock()
 	l := k.leadership
@@ -198,11 +201,11 @@
 		return
 	}
 	if _, err := k.propose(c); err != nil {
-		k.log.WithError(err).Debug("a tick was lost")
+		k.log.WithError(err).Debug("tick failed")
 	}
 }
 
-// submit has one of the keepers' own commands carried out by whoever leads.
+// submit has a command of the raft nodes themselves carried out by the leader.
 func (k *Node) submit(ctx context.Context, kind state.Kind, body any) error {
 	text, err := codec.Encode(body)
 	if err != nil {
@@ -221,10 +224,10 @@
 	return err
 }
 
-// requestPromotion asks the leader to let this keeper vote again, once it has caught up. It
-// also asks when no leader has turned to it for long: a late copy of its own call to
-// be taken in, or a leader that failed half-way, may have put it out of the
-// configuration, and who is out hears of nothing.
+// requestPromotion asks the leader for this node's vote once it has caught up. It also asks
+// when there has been no leader for long: a delayed copy of its own rejoin call, or a
+// leader that failed half-way, may have removed it from the configuration, and a removed
+// node hears nothing.
 func (k *Node) requestPromotion(ctx context.Context, n *replica) {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil || n.raft.State() == raft.Leader || len(k.settings.Peers) == 1 {
@@ -245,20 +248,22 @@
 	defer cancel()
 	var ok bool
 	if err := k.peers.PostToLeader(ctx, rpc.PathPromote, self, &ok); err == nil && ok && !votes {
-		k.log.Info("votes again")
+		k.log.Info("got its vote back")
 	}
 }
 
-// leaderlessElections elections without a leader: then a keeper asks whether it was put out.
+// leaderlessElections is the number of election timeouts without a leader after which a
+// node asks whether it was removed.
 const leaderlessElections = 4
 
+// membershipRequest is the body of a rejoin or promotion call.
 type membershipRequest struct {
 	Name  string
-	Index uint64
+	Index uint64 // the node's applied index
 }
 
-// checkDivergence tells whether this replica's state is not the others'. It serves nothing
-// from then on.
+// checkDivergence reports whether this replica's state differs from the majority's. If so
+// it serves nothing from then on.
 func (k *Node) checkDivergence(n *replica) bool {
 	voters := 0
 	if f := n.raft.GetConfiguration(); f.Error() == nil {
@@ -277,15 +282,16 @@
 	return true
 }
 
-// stopServing keeps this replica from serving anything until it has taken the state anew.
+// stopServing keeps this replica from serving anything until its state has been restored
+// from the others.
 func (k *Node) stopServing(n *replica, differs []string) {
 	k.mu.Lock()
 	k.divergent = differs
 	k.mu.Unlock()
-	k.log.WithField("parts", differs).Error("this replica's state is not the others': it serves nothing and takes the state anew")
+	k.log.WithField("partitions", differs).Error("replica diverges from the majority; it serves nothing until its state is restored")
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
-			k.log.WithError(err).Debug("the lead could not be handed over")
+			k.log.WithError(err).Debug("leadership transfer failed")
 		}
 	}
 }
--- a/internal/dispatcher/fleet/raftnode/folder.go
+++ b/internal/dispatcher/fleet/raftnode/folder.go
@@ -15,10 +15,10 @@
 	"go.etcd.io/bbolt"
 )
 
-// boltOptions: a log that another process holds is an error soon, not a wait.
+// boltOptions make opening a log that another process holds fail soon.
 var boltOptions = &bbolt.Options{Timeout: time.Second}
 
-// dataDir is a keeper's own.
+// dataDir is a node's data directory, locked for this process.
 type dataDir struct {
 	path      string
 	lock      *os.File
@@ -26,7 +26,8 @@
 	identity  identity
 }
 
-// identity says whose a folder is and how often it was started with.
+// identity says which node a data directory belongs to and how often that has started with
+// it. It is stored by the field names in its tags.
 type identity struct {
 	Version uint8  `cbor:"V"`
 	Node    string `cbor:"Keeper"`
@@ -38,11 +39,11 @@
 	identityVersion = 1
 )
 
-// ErrDataDir says that a folder can't be this keeper's.
+// ErrDataDir says that a data directory can't be used by this node.
 var ErrDataDir = errors.New("the fleet's folder can't be used")
 
-// openDir takes the folder, and refuses one that is another keeper's, of another
-// version, or in use.
+// openDir locks the data directory. It fails for the directory of another node or version,
+// and for one in use.
 func (k *Node) openDir() (*dataDir, error) {
 	path := k.settings.Folder
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
@@ -79,7 +80,7 @@
 	return nil, err
 }
 
-// countStart writes one more start into the mark, whole or not at all.
+// countStart atomically stores one more start in the identity file.
 func (f *dataDir) countStart() error {
 	f.identity.Starts++
 	text, err := codec.Encode(f.identity)
@@ -113,7 +114,7 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// wipe clears the folder of all but its lock.
+// wipe removes everything but the lock.
 func (f *dataDir) wipe() error {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
--- a/internal/dispatcher/fleet/raftnode/keeper.go
+++ b/internal/dispatcher/fleet/raftnode/keeper.go
@@ -1,6 +1,7 @@
-// Package raftnode is one replica of the fleet's state and its vote: hashicorp/raft
-// with its log in a folder, and the calls by which processes ask. What a command
-// means is for package state; here is when it may be answered.
+// Package raftnode is one replica of the fleet's state: hashicorp/raft with its log in a
+// data directory, and the HTTP endpoints by which processes send commands and queries
+// (package rpc). What a command means is decided by package state; this package decides
+// when it may be answered.
 package raftnode
 
 import (
@@ -25,53 +26,54 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Peer is where another keeper is reached from here.
+// Peer is where another raft node is reached from this one.
 type Peer struct{ RPCAddr, RaftAddr string }
 
-// Settings are what a keeper is made of.
+// Settings configure a raft node.
 type Settings struct {
 	Name            string
-	Folder          string
-	Peers           map[string]Peer // all keepers, this one too
-	RaftListener    net.Listener    // where the others' votes and logs arrive
-	ElectionTimeout time.Duration   // a leader that was silent for so long is replaced
-	DigestInterval  time.Duration   // the replicas' digests are compared so often
-	// NewMachine makes an empty state; the one before it is not used any more.
+	Folder          string          // the data directory, which must be this node's own
+	Peers           map[string]Peer // all raft nodes by name, including this one
+	RaftListener    net.Listener    // where the other nodes' raft messages arrive
+	ElectionTimeout time.Duration   // a leader without contact for this long is replaced
+	DigestInterval  time.Duration   // how often the replicas' digests are compared
+	// NewMachine makes an empty state. The one before it is not used any more.
 	NewMachine func() (*state.Machine, error)
 	Log        *logrus.Logger
 }
 
-// drainElections: the end of a replica waits so many elections for what is under way.
+// drainElections is how many election timeouts a replica's shutdown waits for calls in
+// progress.
 const drainElections = 8
 
-// tickInterval: fleet time goes on at least so often.
+// tickInterval is how often fleet time advances at the least.
 const tickInterval = 200 * time.Millisecond
 
-// Node is one replica.
+// Node is one raft node. It is safe for concurrent use.
 type Node struct {
 	settings Settings
 	log      *logrus.Entry
-	peers    *rpc.Client // the other keepers
+	peers    *rpc.Client // client of the other nodes
 	fsm      *fsm
 
 	mu         sync.Mutex
-	replica    *replica // nil: not started, or being taken in again
-	empty      bool
-	divergent  []string
-	leadership *leadership // nil: another one leads
+	replica    *replica    // nil: raft is not running
+	empty      bool        // the data directory has no state
+	divergent  []string    // partitions whose state differs from the majority's
+	leadership *leadership // nil: this node is not the leader
 }
 
-// replica is what lives between a start of raft and its end.
+// replica is one run of raft on the data directory.
 type replica struct {
 	raft      *raft.Raft
 	store     *raftboltdb.BoltStore
 	transport *raft.NetworkTransport
-	calls     sync.WaitGroup // commands, reads and changes of who votes that are under way
+	calls     sync.WaitGroup // commands, reads and membership changes in progress
 }
 
-// drainCalls waits, for a while at the most, until no command and no change of who votes is
-// under way. The library answers one at its shutdown only if it has not handed it on yet; a
-// leader without a majority gives all of them up within its lease.
+// drainCalls waits until no command and no membership change is in progress, for a limited
+// time. At its shutdown the raft library answers only what it has not passed on yet; a
+// leader without a majority fails the rest within its lease.
 func (n *replica) drainCalls(most time.Duration) {
 	finished := make(chan struct{})
 	go func() {
@@ -84,19 +86,19 @@
 	}
 }
 
-// leadership is what a leader keeps: the fleet time that it goes on from.
+// leadership is the clock of a leader, which continues the fleet time.
 type leadership struct {
-	startTime   time.Duration
-	since       time.Time // by the monotonic clock
-	lastCommand atomic.Int64
+	startTime   time.Duration // fleet time when the leadership began
+	since       time.Time     // the same moment by the monotonic clock
+	lastCommand atomic.Int64  // fleet time of the last proposed command
 }
 
-// now is the fleet time: that of the last command when this one began to lead, and
-// what this process's monotonic clock has gone on since. Between two leaders none
-// goes by, so that it never runs ahead of the time that has passed.
+// now returns the fleet time: that of the last command when this node became the leader,
+// plus what has passed since by the monotonic clock. No fleet time passes between two
+// leaders, so that it never runs ahead of real time.
 func (l *leadership) now() time.Duration { return l.startTime + time.Since(l.since) }
 
-// New returns a keeper that is not running.
+// New returns a node that is not running.
 func New(s Settings) (*Node, error) {
 	if err := os.MkdirAll(s.Folder, 0o750); err != nil {
 		return nil, fmt.Errorf("the fleet's folder: %w", err)
@@ -110,8 +112,8 @@
 	return &Node{settings: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &fsm{state: state.New(), applied: make(chan struct{})}, empty: true}, nil
 }
 
-// Run takes part until the context ends. It returns an error if the folder can't be
-// used; that it must not be guessed at.
+// Run takes part in the raft group until the context ends. It returns an error if the data
+// directory can't be used.
 func (k *Node) Run(ctx context.Context) error {
 	defer k.peers.Close()
 	own, err := k.openDir()
@@ -134,8 +136,8 @@
 	return nil
 }
 
-// runReplica runs raft on what the folder has. It tells whether the state is to be taken
-// anew.
+// runReplica runs raft on the data directory. It reports whether the state must be
+// discarded and restored from the other nodes.
 func (k *Node) runReplica(ctx context.Context, own *dataDir) (anew bool, err error) {
 	m, err := k.settings.NewMachine() // from nothing: raft brings the snapshot and the log
 	if err != nil {
@@ -152,7 +154,7 @@
 		return false, fmt.Errorf("reading the fleet's log: %w", err)
 	}
 	if has && k.isStaleCopy(ctx, own) {
-		k.log.Error("the folder is an older copy of this keeper's own: it is cleared and the state taken anew")
+		k.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
 		n.store.Close()
 		return true, nil
 	}
@@ -188,12 +190,12 @@
 	k.mu.Unlock()
 	n.drainCalls(drainElections * k.settings.ElectionTimeout)
 	if err := n.raft.Shutdown().Error(); err != nil {
-		k.log.WithError(err).Error("ending the fleet's log")
+		k.log.WithError(err).Error("raft shutdown failed")
 	}
 	n.transport.CloseStreams()
 	n.transport.Close()
 	if err := n.store.Close(); err != nil {
-		k.log.WithError(err).Error("closing the fleet's log")
+		k.log.WithError(err).Error("closing the raft log failed")
 	}
 	return anew, nil
 }
@@ -242,23 +244,23 @@
 	return &replica{store: store}, nil
 }
 
-// streamLayer is how keepers reach one another: addresses are names, which each looks up
-// among its own peers.
+// streamLayer connects the raft nodes. Raft addresses are node names, which each node
+// resolves by its own settings.
 type streamLayer struct {
 	net.Listener
 	peers  map[string]Peer
 	closed chan struct{}
 
 	mu       sync.Mutex
-	accepted map[net.Conn]bool // accepted; the library leaves them open
+	accepted map[net.Conn]bool // the library leaves them open
 }
 
 func newStreamLayer(l net.Listener, peers map[string]Peer) *streamLayer {
 	return &streamLayer{Listener: l, peers: peers, closed: make(chan struct{}), accepted: make(map[net.Conn]bool)}
 }
 
-// Accept implements net.Listener. The listener outlives the stream: a keeper whose
-// state is taken anew goes on with it.
+// Accept implements net.Listener. The listener outlives the streamLayer, so that the node's
+// next replica can use it.
 func (s *streamLayer) Accept() (net.Conn, error) {
 	l := s.Listener.(*net.TCPListener)
 	for {
@@ -314,17 +316,17 @@
 	return net.DialTimeout("tcp", p.RaftAddr, within)
 }
 
-// fsm joins the state to raft. Commands are applied by raft's one goroutine,
-// and read by others.
+// fsm adapts the state to raft. Commands are applied by raft's single goroutine; other
+// goroutines read.
 type fsm struct {
 	mu            sync.RWMutex
 	state         *state.Machine
-	applied       chan struct{} // closed and made anew at each command
+	applied       chan struct{} // closed and replaced at each command
 	onDigests     func(index uint64, sums map[string]uint64, err error)
-	onPeerDigests func() // digests of some replica have arrived
+	onPeerDigests func() // some replica's digests have arrived
 }
 
-// digestRequest is the body of a tick at which every replica sums its state up.
+// digestRequest is the body of a tick at which every replica computes its digests.
 var digestRequest = []byte{1}
 
 // Apply implements raft.FSM.
@@ -368,7 +370,7 @@
 	f.state = m
 }
 
-// read lets a function see the state.
+// read calls a function with the state, which it must not change.
 func (f *fsm) read(see func(*state.Machine)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -406,8 +408,8 @@
 // Release implements raft.FSMSnapshot.
 func (s fsmSnapshot) Release() { s.Discard() }
 
-// propose puts a command into the log and waits for what it comes to. An error says
-// that it may have been carried out, or may yet be.
+// propose appends a command to the log and waits for its reply. After an error the command
+// may have been carried out, or may be yet.
 func (k *Node) propose(c state.Command) (state.Reply, error) {
 	k.mu.Lock()
 	n, l := k.replica, k.leadership
--- a/internal/dispatcher/fleet/raftnode/serve.go
+++ b/internal/dispatcher/fleet/raftnode/serve.go
@@ -17,10 +17,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// readTimeout bounds how long a read waits for what was committed before it.
+// readTimeout bounds how long a read waits for earlier commands to be applied.
 const readTimeout = time.Second
 
-// ServeHTTP answers calls of the fleet's processes and of the other keepers.
+// ServeHTTP serves the endpoints of package rpc.
 func (k *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, rpc.MaxBody+1))
 	switch {
@@ -58,7 +58,7 @@
 	w.Write(text)
 }
 
-// redirect says that another keeper leads, and which.
+// redirect answers that another node is the leader, and which.
 func (k *Node) redirect(w http.ResponseWriter, why string) {
 	k.mu.Lock()
 	n := k.replica
@@ -99,8 +99,8 @@
 	k.writeReply(w, r)
 }
 
-// handleQuery answers a query. The leader's answer knows of all that was answered before:
-// it first makes sure that it still leads.
+// handleQuery answers a query. For a read, the leader first makes sure that it is still the
+// leader, so that the answer reflects all that was answered before.
 func (k *Node) handleQuery(w http.ResponseWriter, r *http.Request, body []byte) {
 	var q rpc.Query
 	if err := codec.Decode(body, &q); err != nil {
@@ -133,8 +133,8 @@
 	k.writeReply(w, k.Query(q))
 }
 
-// waitApplied waits until what was committed at an index is applied. Some entries of
-// the log are raft's own, which the state does not see.
+// waitApplied waits until everything up to an index is applied. Some log entries are raft's
+// own, which the state does not see.
 func (k *Node) waitApplied(ctx context.Context, n *replica, index uint64) error {
 	for n.raft.AppliedIndex() < index {
 		select {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// Query answers a query of the state as it is here.
+// Query answers a query from this node's own state.
 func (k *Node) Query(q rpc.Query) (a rpc.Answer) {
 	k.fsm.read(func(m *state.Machine) {
 		a.Index, a.At = m.Index(), m.At()
@@ -160,8 +160,8 @@
 	return a
 }
 
-// beginMembershipChange returns the replica of which a change of who votes begins; nil: it does not
-// lead, or ends.
+// beginMembershipChange returns the replica for a membership change, or nil if this node is
+// not the leader or shuts down.
 func (k *Node) beginMembershipChange() *replica {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -172,7 +172,7 @@
 	return k.replica
 }
 
-// handleMembershipChange carries out a change of who votes.
+// handleMembershipChange handles a rejoin or promotion call.
 func (k *Node) handleMembershipChange(w http.ResponseWriter, body []byte, how func(*replica, membershipRequest) error) {
 	n := k.beginMembershipChange()
 	if n == nil {
@@ -196,20 +196,20 @@
 	k.writeReply(w, true)
 }
 
-// readmit puts a keeper that has nothing out of the configuration, so that nothing
-// counts on what it has forgotten, and takes it in without a vote.
+// readmit removes a node without state from the configuration, so that nothing relies on
+// what it has forgotten, and adds it again without a vote.
 func (k *Node) readmit(n *replica, b membershipRequest) error {
 	id := raft.ServerID(b.Name)
 	if err := n.raft.RemoveServer(id, 0, 0).Error(); err != nil {
 		return err
 	}
 	k.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count begins anew
-	k.log.WithField("keeper", b.Name).Warn("a keeper comes back with nothing: it has no vote until it has caught up")
+	k.log.WithField("keeper", b.Name).Warn("raft node rejoins without state; no vote until it has caught up")
 	return n.raft.AddNonvoter(id, raft.ServerAddress(b.Name), 0, 0).Error()
 }
 
-// promote lets a keeper vote that has all that is committed by now. One that is not
-// in the configuration is taken in first: it has not forgotten anything.
+// promote gives a node its vote once it has all that is committed by now. A node that is
+// not in the configuration is added first: it has forgotten nothing.
 func (k *Node) promote(n *replica, b membershipRequest) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -219,7 +219,7 @@
 	at := slices.IndexFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 	switch {
 	case at < 0:
-		k.log.WithField("keeper", b.Name).Warn("a keeper that was put out comes back: it has no vote until it has caught up")
+		k.log.WithField("keeper", b.Name).Warn("removed raft node rejoins; no vote until it has caught up")
 		if err := n.raft.AddNonvoter(id, addr, 0, 0).Error(); err != nil {
 			return err
 		}
@@ -229,17 +229,17 @@
 	case b.Index+maxPromotionLag < n.raft.CommitIndex():
 		return errors.New("it has not caught up yet")
 	}
-	k.log.WithField("keeper", b.Name).Info("a keeper has caught up and votes again")
+	k.log.WithField("keeper", b.Name).Info("raft node has caught up and gets its vote")
 	return n.raft.AddVoter(id, addr, 0, 0).Error()
 }
 
-// maxPromotionLag entries of the log: a keeper that lacks no more has caught up. It is
-// safe at any number, since it forgot nothing that it took in after it was put out;
-// a large one would leave a majority that is far behind.
+// maxPromotionLag is how many log entries a node may lag behind when it gets its vote. Any
+// number is safe, since the node has forgotten nothing since it was added; with a large one
+// a majority may be far behind.
 const maxPromotionLag = 64
 
-// TransferLeadership hands the lead over, if this keeper has it: a planned end costs the fleet no
-// election.
+// TransferLeadership hands the leadership to another node, if this one has it, so that a
+// planned shutdown costs no election.
 func (k *Node) TransferLeadership() {
 	k.mu.Lock()
 	n, leads := k.replica, k.leadership != nil
@@ -248,22 +248,22 @@
 		return
 	}
 	if err := n.raft.LeadershipTransfer().Error(); err != nil {
-		k.log.WithError(err).Info("the lead could not be handed over")
+		k.log.WithError(err).Info("leadership transfer failed")
 	}
 }
 
-// IsLeader tells whether this keeper leads.
+// IsLeader reports whether this node is the leader.
 func (k *Node) IsLeader() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.leadership != nil
 }
 
-// Inspect lets a function see the state as it is here. It must be short: no command is
-// applied meanwhile.
+// Inspect calls a function with this node's state, which it must not change. No command is
+// applied until it returns.
 func (k *Node) Inspect(see func(*state.Machine)) { k.fsm.read(see) }
 
-// Status tells how this keeper stands, as JSON.
+// Status describes this node as JSON, for the operators' admin API.
 func (k *Node) Status(arena *fastjson.Arena) *fastjson.Value {
 	a := k.status()
 	o := arena.NewObject()
--- a/internal/dispatcher/fleet/records/commands.go
+++ b/internal/dispatcher/fleet/records/commands.go
@@ -9,32 +9,33 @@
 	"unicode/utf8"
 )
 
-// Limits bound the records of one lane. 0 is no bound.
+// Limits bound the records of one retention class; 0 is unlimited. They are sent and stored
+// by the field names in their tags.
 type Limits struct {
-	MaxAge   int64 `cbor:"For"` // nanoseconds since their end
+	MaxAge   int64 `cbor:"For"` // nanoseconds since the job's end
 	MaxCount int64 `cbor:"Count"`
 	MaxBytes int64 `cbor:"Bytes"`
 }
 
-// Rule says how long a tenant's records are kept. What a hold covers is kept
-// beyond it and takes no room from the others.
+// Rule says how long a tenant's records are kept. What a hold covers is kept beyond it and
+// does not count against the limits.
 type Rule struct {
-	Tenant string // Others: all that have no rule of their own
-	Keep   Limits
-	Failed Limits // failures
+	Tenant string // DefaultRuleTenant: all that have no rule of their own
+	Keep   Limits // of Ordinary records
+	Failed Limits // of Failures
 }
 
 // DefaultRuleTenant is the tenant of the rule for all that have none.
 const DefaultRuleTenant = "*"
 
-// Hold keeps records until it is lifted or ends.
+// Hold keeps records until it is released or expires.
 type Hold struct {
 	Name           string
 	Tenant         string
 	ID, Key, Class string // empty: any
-	From, To       int64  // ended at From or later and before To, nanoseconds since 1970; To 0: no bound
-	Owner, Reason  string // who wants it and why
-	Until          int64  // nanoseconds since 1970; 0: until it is lifted
+	From, To       int64  // ended at From or later and before To, in nanoseconds since 1970; To 0: no bound
+	Owner, Reason  string // who wants it, and why
+	Until          int64  // nanoseconds since 1970; 0: until it is released
 }
 
 func (h *Hold) covers(r *Record) bool {
@@ -42,9 +43,8 @@
 		(h.Class == "" || h.Class == r.Class) && r.Ended >= h.From && (h.To == 0 || r.Ended < h.To)
 }
 
-// Ship brings records of one process, in the order of its spool. The first has the
-// number First; those after it count on. Lost says that the process no longer has
-// what is missing before First.
+// Ship stores records of one process, in the order of its spool. The first has the sequence
+// number FirstSeq. GapLost says that the process no longer has what is missing before it.
 type Ship struct {
 	Process     string
 	Incarnation uint64
@@ -56,15 +56,15 @@
 
 // Shipped answers a Ship.
 type Shipped struct {
-	Through       uint64 // all up to this number of the epoch were taken in
+	Through       uint64 // all up to this sequence number of the epoch were processed
 	Stored        int    `cbor:"Taken"` // records that were new
-	Duplicates    int    `cbor:"Again"` // that had been taken in before
-	AlreadyPruned int    `cbor:"Below"` // that were new, and cut already: below the tenant's mark and not held
-	Missing       uint64 // that were lost before First
+	Duplicates    int    `cbor:"Again"` // records that had been processed before
+	AlreadyPruned int    `cbor:"Below"` // new records below the tenant's watermark that no hold covers
+	Missing       uint64 // records lost before FirstSeq
 	TooLarge      int
 }
 
-// SetRules sets all rules anew.
+// SetRules replaces all rules.
 type SetRules struct {
 	At    int64 // nanoseconds since 1970
 	Rules []Rule
@@ -82,28 +82,29 @@
 	Name string
 }
 
-// Watermark cuts a lane of a tenant below a place.
+// Watermark prunes a retention class of a tenant below a position.
 type Watermark struct {
 	Tenant   string
 	Class    RetentionClass `cbor:"Lane"`
 	Position Position       `cbor:"Below"`
 }
 
-// Prune removes records. It is computed by Plan and carries all that it depends on.
+// Prune removes records. It is computed by State.PlanPrune and carries everything that its
+// effect depends on.
 type Prune struct {
-	At           int64       // nanoseconds since 1970: holds that end by then are over
-	RulesEdition uint64      `cbor:"Rules"`
+	At           int64       // nanoseconds since 1970: holds that expire by then are over
+	RulesEdition uint64      `cbor:"Rules"` // that it was planned from
 	Watermarks   []Watermark `cbor:"Marks"`
 	MaxSwept     int         `cbor:"Sweep"` // how many records under ended holds are looked at
-	NextTenant   string      `cbor:"Turn"`  // the tenant that the next plan begins with
+	NextTenant   string      `cbor:"Turn"`  // with which the next plan begins
 }
 
-// Pruned answers a Cut.
+// Pruned answers a Prune.
 type Pruned struct {
-	Removed, Held int // held: below a mark now, and kept
+	Removed, Held int // Held: below a watermark now, and kept
 }
 
-// Errors of commands. Nothing was changed.
+// Errors of commands. Nothing has changed.
 var (
 	ErrGap         = errors.New("records before these are missing")
 	ErrIncarnation = errors.New("of an older incarnation of the process")
@@ -113,14 +114,14 @@
 	ErrNoHold      = errors.New("there is no such hold")
 )
 
-// ErrStore says that the store failed in the middle of a command: this replica's
-// state is no longer what the log says, and must be taken anew.
+// ErrStore says that the store has failed in the middle of a command: this replica's state
+// is no longer what the log says, and must be restored from another replica.
 var ErrStore = errors.New("the store of records failed")
 
 const (
 	maxRules  = 4096
 	maxHolds  = 4096
-	maxEpochs = 16 // of a process whose numbers are remembered
+	maxEpochs = 16 // of a process whose sequence numbers are remembered
 )
 
 func isValidText(text string) bool { return len(text) <= maxText && utf8.ValidString(text) }
--- a/internal/dispatcher/fleet/records/encode.go
+++ b/internal/dispatcher/fleet/records/encode.go
@@ -15,7 +15,7 @@
 
 const stateVersion = 1 // stands before the encoded state
 
-// storedState is the form in which a State is kept.
+// storedState is the encoded State, by the field names in its tags.
 type storedState struct {
 	WallClock    int64         `cbor:"Wall"`
 	PrunedAt     time.Duration `cbor:"CutAt"`
@@ -29,7 +29,7 @@
 	Counts       Counts
 }
 
-// Encode writes the small part of the state. The same commands give the same bytes.
+// Encode encodes the small part of the state. The same commands give the same bytes.
 func (s *State) Encode() ([]byte, error) {
 	v := storedState{
 		WallClock: s.wallClock, PrunedAt: s.prunedAt, Edition: s.edition, RulesEdition: s.rulesEdition, NextTenant: s.nextTenant, Rules: s.rules, Holds: s.holds,
@@ -51,8 +51,8 @@
 	return append([]byte{stateVersion}, text...), err
 }
 
-// Decode reads what Encode wrote. On an error nothing is changed. What the process
-// knows by Know stays.
+// Decode replaces the state by an encoded one. On an error nothing has changed. What the
+// process learned by LearnFence stays.
 func (s *State) Decode(text []byte) error {
 	var v storedState
 	if len(text) == 0 || text[0] != stateVersion {
@@ -111,15 +111,15 @@
 	return true
 }
 
-// Digest sums up the small part of the state, and with it, by the sums of each
-// tenant, all records.
+// Digest returns the digest of the small part of the state and, by the sums of each tenant,
+// of all records.
 func (s *State) Digest() (uint64, error) {
 	text, err := s.Encode()
 	return codec.Digest(text), err
 }
 
-// Usage returns what a tenant's records come to, by lane: all that are stored, and
-// of these what is kept below the mark.
+// Usage returns the amount of a tenant's records by retention class: all that are stored,
+// and of these those below the watermark.
 func (s *State) Usage(name string) (all, below [RetentionClasses]Usage) {
 	if t := s.tenants[name]; t != nil {
 		for l := range RetentionClasses {
@@ -129,22 +129,24 @@
 	return all, below
 }
 
-// Tenants are the names that records are kept under, sorted.
+// Tenants returns the names that records are stored under, sorted.
 func (s *State) Tenants() []string { return slices.Clone(s.tenantNames) }
 
-// Counts are the counts so far.
+// Counts returns the statistics.
 func (s *State) Counts() Counts { return s.counts }
 
-// PrunedAt is the fleet time of the last cut.
+// PrunedAt returns the fleet time of the last prune.
 func (s *State) PrunedAt() time.Duration { return s.prunedAt }
 
-// Rules and Holds are those in force.
+// Rules returns the rules in force.
 func (s *State) Rules() []Rule { return slices.Clone(s.rules) }
+
+// Holds returns the holds in force.
 func (s *State) Holds() []Hold { return slices.Clone(s.holds) }
 
-// Audit reads the whole store and says what is in it that must not be, or that the
-// state counts otherwise. It is the checker of this part: it trusts no count of the
-// state's, only its marks and holds.
+// Audit reads the whole store and returns what must not be in it, or what the state counts
+// otherwise. It is the invariant checker of this package: it relies on no count of the
+// state, only on its watermarks and holds.
 func (s *State) Audit(st Reader) (wrong []string, err error) {
 	for _, name := range s.tenantNames {
 		t := s.tenants[name]
--- a/internal/dispatcher/fleet/records/plan.go
+++ b/internal/dispatcher/fleet/records/plan.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// PlanPrune computes the next cut at a time, in nanoseconds since 1970: what the rules
-// no longer keep, at most as many records looked at as most says, so that no cut
-// holds the store for long. It changes nothing. None is needed if it returns false.
-// While there is more to cut than one cut may, each plan begins with another tenant.
+// PlanPrune computes the next prune at a time, in nanoseconds since 1970: what the rules no
+// longer keep, looking at most records at most, so that no prune blocks the store for long.
+// It changes nothing, and returns false if no prune is needed. While there is more than one
+// prune may remove, each plan begins with another tenant.
 func (s *State) PlanPrune(st Reader, now int64, most int) (c Prune, needed bool, err error) {
 	c = Prune{At: now, RulesEdition: s.rulesEdition, MaxSwept: most, NextTenant: s.nextTenant}
 	for i := range s.holds {
@@ -47,7 +47,8 @@
 	return Rule{}
 }
 
-// planWatermark walks from the lane's mark over what must go, and returns the mark above that.
+// planWatermark walks from the class's watermark over what must go, and returns the
+// watermark above that.
 func (s *State) planWatermark(st Reader, t *tenantState, of RetentionClass, limits Limits, now int64, most int) (mark Position, seen int, err error) {
 	l := &t.Classes[of]
 	mark = l.Watermark
--- a/internal/dispatcher/fleet/records/record.go
+++ b/internal/dispatcher/fleet/records/record.go
@@ -1,7 +1,7 @@
-// Package records decides which finished jobs' records the fleet keeps. It holds
-// what is small of the replicated state: rules by tenant, holds, marks below which
-// a tenant's records are cut, and how far each process's records were taken in. The
-// records themselves are in a Store. It does no I/O and reads no clock; the same
+// Package records decides which records of finished jobs the fleet keeps. It holds the
+// small part of the replicated state: retention rules by tenant, holds, watermarks below
+// which a tenant's records are pruned, and how far each process's records were stored. The
+// records themselves are in a Store. The package does no I/O and reads no clock; the same
 // commands give the same bytes of state and the same records at every replica.
 package records
 
@@ -15,32 +15,33 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// Record is what is left of a job after its final answer. Times are nanoseconds
-// since 1970 by the clock of the process that answered.
+// Record is what is kept of a job after its final answer. Times are nanoseconds since 1970
+// by the clock of the process that answered. It is stored by position: the order of the
+// fields is part of the format.
 type Record struct {
 	_             struct{} `cbor:",toarray"`
 	ID, Key       string
 	Tenant, Class string
-	Plan, Stage   string // empty: the job was no part of a plan
-	Outcome       string // in the words of the account
+	Plan, Stage   string // empty: the job was not part of a plan
+	Outcome       string // see package accounting
 	Reason        string
 	Arrived       int64
 	Ended         int64
 	Attempts      int
-	Members       []string // where it was sent, the first first
+	Members       []string // where it was sent, in order
 	Body          []byte   // nil: none was kept
-	Process       string   // that answered, with the place of the record in its spool
+	Process       string   // that answered; Epoch and Seq are the record's place in its spool
 	Epoch, Seq    uint64
 }
 
 // Bounds of a record, so that one client's job can't fill the state.
 const (
-	maxText    = 1024 // bytes of each text
+	maxText    = 1024 // bytes of each string
 	maxMembers = 16
 	maxRecord  = 1 << 20 // bytes encoded
 )
 
-// Trim makes a record fit to be kept: texts are cut, of the members the last are
+// Trim makes a record fit to be stored: strings are truncated, only the last members are
 // kept, and a body of more bytes than most is left out.
 func Trim(r Record, most int) Record {
 	for _, text := range []*string{&r.ID, &r.Key, &r.Tenant, &r.Class, &r.Plan, &r.Stage, &r.Outcome, &r.Reason} {
@@ -60,7 +61,7 @@
 	return r
 }
 
-// trimText cuts a text and makes it one that has a form.
+// trimText truncates a string and makes it valid UTF-8.
 func trimText(text string) string {
 	text = strings.ToValidUTF8(text, "?")
 	if len(text) > maxText {
@@ -69,19 +70,20 @@
 	return text
 }
 
-// RetentionClass tells failures, which may be kept longer, from the rest.
+// RetentionClass distinguishes failures, which may be kept longer, from the rest. It is
+// stored as a number.
 type RetentionClass uint8
 
-// RetentionClasses of a tenant.
+// Retention classes.
 const (
 	Ordinary RetentionClass = iota // served or refused
 	Failures
-	RetentionClasses
+	RetentionClasses // number of classes
 )
 
 var failedOutcome = accounting.Failed.String()
 
-// RetentionClass is the lane that the record is kept in.
+// RetentionClass returns the class that the record is kept in.
 func (r *Record) RetentionClass() RetentionClass {
 	if r.Outcome == failedOutcome {
 		return Failures
@@ -89,35 +91,35 @@
 	return Ordinary
 }
 
-// Position is a record's place among its tenant's. No two records have the same.
+// Position is a record's position among its tenant's, by the end of its job. No two records
+// have the same.
 type Position struct {
 	Ended      int64
 	Process    string
 	Epoch, Seq uint64
 }
 
-// Position is the record's place.
+// Position returns the record's position.
 func (r *Record) Position() Position { return Position{r.Ended, r.Process, r.Epoch, r.Seq} }
 
-// Compare orders places.
+// Compare orders positions.
 func (o Position) Compare(p Position) int {
 	return cmp.Or(cmp.Compare(o.Ended, p.Ended), strings.Compare(o.Process, p.Process), cmp.Compare(o.Epoch, p.Epoch), cmp.Compare(o.Seq, p.Seq))
 }
 
-// next is the least place after this one. Numbers of records do not reach the end.
+// next returns the least position after this one. Sequence numbers do not reach the end.
 func (o Position) next() Position {
 	o.Seq++
 	return o
 }
 
-// recordVersion stands before each encoded record.
+// recordVersion precedes each encoded record.
 const recordVersion = 1
 
-// ErrVersion says that something was written by a version of the program that this
-// one does not know.
+// ErrVersion says that something was written by an unknown version of the program.
 var ErrVersion = errors.New("of a version that this program does not know")
 
-// Encode writes a record.
+// Encode encodes a record.
 func (r *Record) Encode() ([]byte, error) {
 	text, err := codec.Encode(r)
 	if err != nil {
@@ -129,7 +131,7 @@
 	return append([]byte{recordVersion}, text...), nil
 }
 
-// DecodeRecord reads a record that Encode wrote.
+// DecodeRecord decodes a record.
 func DecodeRecord(text []byte) (r Record, err error) {
 	if len(text) == 0 || text[0] != recordVersion {
 		return r, fmt.Errorf("a record: %w", ErrVersion)
@@ -137,18 +139,18 @@
 	return r, codec.Decode(text[1:], &r)
 }
 
-// Reader reads a consistent state of the records. What it yields holds until yield
-// returns; that returns false to end the reading.
+// Reader reads a consistent state of the records. What it yields is valid until yield
+// returns; yield returns false to end the iteration.
 type Reader interface {
-	// Ascend yields a tenant's records whose place is at least from, in order.
+	// Ascend yields a tenant's records at or above a position, in ascending order.
 	Ascend(tenant string, from Position, yield func(r *Record, text []byte) bool) error
-	// Descend yields those whose place is below before, the last first.
+	// Descend yields a tenant's records below a position, in descending order.
 	Descend(tenant string, before Position, yield func(r *Record, text []byte) bool) error
-	// ByID yields the records of an id, by tenant and order.
+	// ByID yields the records of a job id, by tenant and position.
 	ByID(id string, yield func(r *Record, text []byte) bool) error
 }
 
-// Store holds the records. All that one command changes is kept whole or not at all.
+// Store holds the records. All changes of one command are kept, or none.
 type Store interface {
 	Reader
 	// Put adds a record, with its encoded form.
--- a/internal/dispatcher/fleet/records/state.go
+++ b/internal/dispatcher/fleet/records/state.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Usage is what records come to. Sum adds up a hash of each, in whatever order they
-// came and went: the same records have the same sum.
+// Usage is the amount of some records. Sum adds up a hash of each, so that the same records
+// have the same sum in whatever order they came and went.
 type Usage struct {
 	Count, Bytes int64
 	Sum          uint64
@@ -32,24 +32,26 @@
 	u.Sum -= xxhash.Sum64(text)
 }
 
+// classState is the state of one retention class of a tenant.
 type classState struct {
-	Watermark      Position `cbor:"Mark"` // what is below it is cut, unless held; it never goes back
+	Watermark      Position `cbor:"Mark"` // what is below it is pruned, unless held; it never goes back
 	All            Usage
-	BelowWatermark Usage `cbor:"Below"` // of All: below the mark
+	BelowWatermark Usage `cbor:"Below"` // of All
 }
 
+// tenantState is the state of one tenant, stored by the field names in its tags.
 type tenantState struct {
 	Name         string
 	Classes      [RetentionClasses]classState `cbor:"Lanes"`
-	Sweeping     bool                         // a hold has ended: what it alone kept must go
-	SweptThrough Position                     `cbor:"Swept"` // it is gone below this place
+	Sweeping     bool                         // a hold has ended: what it alone kept must be removed
+	SweptThrough Position                     `cbor:"Swept"` // that is done below this position
 }
 
 func (t *tenantState) isPruned(r *Record) bool {
 	return r.Position().Compare(t.Classes[r.RetentionClass()].Watermark) < 0
 }
 
-// sweepEnd is the place above all that may have to be swept.
+// sweepEnd returns the position above all that may have to be swept.
 func (t *tenantState) sweepEnd() Position {
 	top := t.Classes[Ordinary].Watermark
 	if m := t.Classes[Failures].Watermark; m.Compare(top) > 0 {
@@ -58,9 +60,10 @@
 	return top
 }
 
-// epochProgress tells how far the records of one epoch of a process were taken in.
+// epochProgress tells how far the records of one epoch of a process were processed.
 type epochProgress struct{ Epoch, Through, Missing uint64 }
 
+// processState is what is known of one process's records.
 type processState struct {
 	Name        string
 	Incarnation uint64
@@ -68,31 +71,31 @@
 	Epochs      []epochProgress // sorted
 }
 
-// maxTenants are filed under names of their own. Clients choose the names they
-// send, and the state must not grow with them.
+// maxTenants is the number of tenants stored by their own names. Clients choose the names
+// they send, and the state must not grow with them.
 const maxTenants = 4096
 
-// State is the small part of the records' replicated state. It belongs to one
-// goroutine, but for the View it gives. Each command that needs records is given
-// the store, within one transaction of it; after an error that is ErrStore, or a
-// transaction that could not be kept, the state must be taken anew.
+// State is the small part of the records' replicated state. It is not safe for concurrent
+// use, except for the View it returns. Each command that needs records is given the store,
+// within one transaction of it; after an error that wraps ErrStore, or a transaction that
+// could not be committed, the state must be restored from another replica.
 type State struct {
 	wallClock    int64         // the latest time of a command
-	prunedAt     time.Duration // fleet time of the last cut
-	edition      uint64        // commands other than Ship so far
+	prunedAt     time.Duration // fleet time of the last prune
+	edition      uint64        // number of commands other than Ship so far
 	rulesEdition uint64        // edition of the rules
 	nextTenant   string
 	rules        []Rule // sorted by tenant
 	holds        []Hold // sorted by name
 	tenants      map[string]*tenantState
-	tenantNames  []string // of tenants, sorted
+	tenantNames  []string // sorted
 	processes    map[string]*processState
 	counts       Counts
 	fence        Fence // not replicated
 	view         *View // nil: to be made
 }
 
-// Counts count since the fleet's beginning.
+// Counts are statistics since the fleet was bootstrapped.
 type Counts struct {
 	Taken, Again, Below, TooLarge, Cut, Swept int64
 	Missing                                   uint64
@@ -114,7 +117,7 @@
 	return t
 }
 
-// storedTenant is the name that a tenant's records are kept under.
+// storedTenant returns the name under which a tenant's records are stored.
 func (s *State) storedTenant(name string) string {
 	switch {
 	case name == "":
@@ -136,9 +139,9 @@
 	return false
 }
 
-// Ship takes records in, each once. What is below its tenant's mark is taken in
-// only if a hold covers it. ErrGap and ErrIncarnation change nothing; with ErrGap
-// the reply still says how far the epoch was taken in.
+// Ship stores records, each once. What is below its tenant's watermark is stored only if a
+// hold covers it. ErrGap and ErrIncarnation change nothing; with ErrGap the reply's Through
+// is valid all the same.
 func (s *State) Ship(_ time.Duration, st Store, c Ship) (done Shipped, err error) {
 	switch {
 	case c.Process == "" || len(c.Process) > 255 || !isValidText(c.Process) || strings.ContainsRune(c.Process, 0):
@@ -238,14 +241,14 @@
 	})
 }
 
-// scheduleSweep has what a hold kept looked through.
+// scheduleSweep has the records that a hold kept looked at again.
 func (s *State) scheduleSweep(h *Hold) {
 	if t := s.tenants[h.Tenant]; t != nil {
 		t.Sweeping, t.SweptThrough = true, Position{}
 	}
 }
 
-// SetRules sets all rules anew. Nothing is cut before the next Cut, and a cut that
+// SetRules replaces all rules. Nothing is removed before the next Prune, and a Prune that
 // was planned before is refused.
 func (s *State) SetRules(_ time.Duration, c SetRules) error {
 	rules, err := checkRules(c.Rules)
@@ -257,8 +260,8 @@
 	return nil
 }
 
-// SetHold sets a hold. It keeps what is there now, and what comes; what was cut before,
-// or kept only by a hold that has ended, does not come back. The same hold may be
+// SetHold sets a hold. It keeps what is stored now, and what arrives; what was pruned
+// before, or kept only by a hold that has ended, does not come back. The same hold may be
 // set again.
 func (s *State) SetHold(_ time.Duration, st Store, c SetHold) error {
 	h := c.Hold
@@ -295,7 +298,7 @@
 	return slices.BinarySearchFunc(s.holds, name, func(h Hold, name string) int { return strings.Compare(h.Name, name) })
 }
 
-// ReleaseHold ends a hold. From here on what it alone kept is not served; the next cuts
+// ReleaseHold ends a hold. From here on what it alone kept is not served; the next prunes
 // remove it.
 func (s *State) ReleaseHold(_ time.Duration, c ReleaseHold) error {
 	i, ok := s.findHold(c.Name)
@@ -310,8 +313,8 @@
 	return nil
 }
 
-// Prune removes what is below its marks and not held, and goes on with what ended
-// holds have kept. ErrStale means that the rules were changed since it was planned.
+// Prune removes what is below its watermarks and not held, and continues with what ended
+// holds have kept. ErrStale says that the rules have changed since it was planned.
 func (s *State) Prune(at time.Duration, st Store, c Prune) (done Pruned, err error) {
 	if c.RulesEdition != s.rulesEdition {
 		return done, fmt.Errorf("a cut: %w", ErrStale)
@@ -379,11 +382,11 @@
 	return nil
 }
 
-// sweepStep bounds what is gathered at a time.
+// sweepStep bounds the records that are collected at a time.
 const sweepStep = 4096
 
-// sweep looks at the tenant's next records below its marks, at most so many, and
-// removes what no hold keeps any more.
+// sweep looks at the tenant's next records below its watermarks, most at a time, and
+// removes what no hold covers any more.
 func (s *State) sweep(st Store, t *tenantState, most int) (seen int, err error) {
 	var gone []Record
 	top, done := t.sweepEnd(), true
--- a/internal/dispatcher/fleet/records/view.go
+++ b/internal/dispatcher/fleet/records/view.go
@@ -9,16 +9,17 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// Fence is what a process knows of how far the records were cut, whatever state it
-// has been given since: it is kept apart from that. A replica whose state is older
-// serves nothing that is below the fence's marks.
+// Fence is what a process knows of how far records were pruned, whatever state it is given
+// later: it is stored apart from that. A replica whose state is older serves nothing below
+// the fence's watermarks.
 type Fence struct {
-	Edition    uint64      // commands other than Ship
-	Watermarks []Watermark `cbor:"Marks"` // sorted; all that there are
+	Edition    uint64      // number of commands other than Ship
+	Watermarks []Watermark `cbor:"Marks"` // all that there are, sorted
 }
 
-// View is an immutable picture of what decides which records are served. A read of
-// records that were stored at the same time or later never serves one that was cut.
+// View is an immutable snapshot of what decides which records are served. A read of records
+// that were stored at the same time or later never serves one that was pruned. It is safe
+// for concurrent use.
 type View struct {
 	edition    uint64
 	watermarks map[string][RetentionClasses]Position
@@ -27,7 +28,7 @@
 	missing    uint64
 }
 
-// Fence is the state's own.
+// Fence returns the state's own fence.
 func (s *State) Fence() Fence {
 	f := Fence{Edition: s.edition}
 	for _, name := range s.tenantNames {
@@ -40,7 +41,7 @@
 	return f
 }
 
-// LearnFence takes in a fence, from this process's folder or from a peer. It is no part
+// LearnFence takes in a fence, from this process's directory or from a peer. It is not part
 // of the replicated state; the newest counts.
 func (s *State) LearnFence(f Fence) {
 	if f.Edition > s.fence.Edition {
@@ -48,7 +49,7 @@
 	}
 }
 
-// View returns the present view. Any goroutine may use it.
+// View returns the present view.
 func (s *State) View() *View {
 	if s.view != nil {
 		return s.view
@@ -73,9 +74,9 @@
 	return m
 }
 
-// Edition tells how many commands other than Ship the view has seen, and how many
-// more this process knows of. A reader that has seen an answer of a later edition
-// must ask another replica.
+// Edition returns how many commands other than Ship the view has seen, and how many more
+// this process knows of. A reader that has seen an answer of a later edition must ask
+// another replica.
 func (v *View) Edition() (seen, missing uint64) { return v.edition, v.missing }
 
 func (v *View) isServed(r *Record) bool {
@@ -86,8 +87,7 @@
 	return o.Compare(v.watermarks[r.Tenant][lane]) >= 0 || coveredByHold(v.holds, r)
 }
 
-// ByID returns the records of an id, at most so many: an id may have come to an end
-// more than once.
+// ByID returns the records of a job id, most at most: an id may have ended more than once.
 func (v *View) ByID(st Reader, id string, most int) (found []Record, err error) {
 	err = st.ByID(id, func(r *Record, _ []byte) bool {
 		if v.isServed(r) {
@@ -98,23 +98,23 @@
 	return found, err
 }
 
-// Query asks for a tenant's records by the time of their end.
+// Query asks for a tenant's records by the time of their job's end.
 type Query struct {
 	Tenant     string
 	From, To   int64  // nanoseconds since 1970: From or later, and before To; To 0: no bound
 	Descending bool   `cbor:"Last"`  // the last first
-	Cursor     string `cbor:"After"` // what the page before gave as Next; empty: from the beginning
-	Limit      int    `cbor:"Most"`  // records, and at least 1
+	Cursor     string `cbor:"After"` // Next of the page before; empty: from the beginning
+	Limit      int    `cbor:"Most"`  // number of records, at least 1
 }
 
 // Page is a part of an answer.
 type Page struct {
 	Records []Record
-	Next    string // to be asked for with After; empty: there are no more
+	Next    string // cursor of the next page; empty: there are no more
 	Missing uint64 // this replica knows of so many commands that it has not seen
 }
 
-// ErrCursor says that a cursor was not given by this query.
+// ErrCursor says that a cursor does not belong to the query.
 var ErrCursor = errors.New("not a place that this query gave")
 
 type cursor struct {
@@ -124,13 +124,13 @@
 	At     Position
 }
 
-// maxScanned is how many records are looked at for one page.
+// maxScanned bounds the records looked at for one page.
 const maxScanned = 100_000
 
-// Page returns the next page of an answer. A cursor is a place in the tenant's
-// order, not a count: through cuts and arrivals no record comes twice, and none
-// that is there throughout is left out. A page may be short, even empty, and have a
-// Next: so much was looked at that was not to be served.
+// Page returns the next page of an answer. A cursor is a position in the tenant's order,
+// not a count: whatever is pruned or arrives meanwhile, no record is returned twice, and
+// none that exists throughout is left out. A page may be short, even empty, and have a
+// Next: so many records were looked at that are not served.
 func (v *View) Page(st Reader, q Query) (p Page, err error) {
 	p.Missing = v.missing
 	first, end := Position{Ended: q.From}, Position{Ended: q.To}
--- a/internal/dispatcher/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -16,7 +16,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// A snapshot is a header, the small part of the state, the file of records, and a
+// A snapshot is a header, the encoded small part of the state, the file of records, and a
 // checksum of all that.
 const (
 	snapshotMagic   = "BASALTFR"
@@ -25,13 +25,13 @@
 	maxStateSize    = 1 << 30
 )
 
-// ErrSnapshot says that something is no snapshot, or is not whole.
+// ErrSnapshot says that something is no snapshot, or an incomplete one.
 var ErrSnapshot = errors.New("not a sound snapshot of records")
 
-// ErrNewerVersion says that a snapshot was written by a newer program.
+// ErrNewerVersion says that a snapshot was written by a newer version of the program.
 var ErrNewerVersion = errors.New("written by a newer version of the program")
 
-// Snapshot is one consistent state of a store, which goes on meanwhile.
+// Snapshot is one consistent state of a store, which continues to change.
 type Snapshot struct {
 	store *Store
 	file  *openFile
@@ -39,7 +39,7 @@
 	state []byte
 }
 
-// Snapshot takes the state as it is now, together with the small part that belongs
+// Snapshot takes the state as it is now, together with the encoded small part that belongs
 // to it. It must be released.
 func (s *Store) Snapshot(small []byte) (*Snapshot, error) {
 	f, err := s.acquire()
@@ -54,7 +54,7 @@
 	return &Snapshot{s, f, tx, small}, nil
 }
 
-// Index is the index of the last log entry that is in the snapshot.
+// Index returns the index of the last log entry in the snapshot.
 func (s *Snapshot) Index() uint64 { return appliedIndex(s.tx) }
 
 // WriteTo writes the snapshot.
@@ -91,10 +91,10 @@
 	}
 }
 
-// Restore puts a snapshot in the place of what is stored, and returns the small part
-// of the state and the index of the last log entry in it. On an error the store is
-// as it was; ErrNewer and ErrSnapshot tell what is wrong with the snapshot. Reads
-// that are open go on with what they began with.
+// Restore replaces the store by a snapshot, and returns the encoded small part of the state
+// and the index of the last log entry in it. On an error the store is unchanged;
+// ErrNewerVersion and ErrSnapshot tell what is wrong with the snapshot. Open reads continue
+// with what they began with.
 func (s *Store) Restore(r io.Reader) (small []byte, index uint64, err error) {
 	fail := func(err error) ([]byte, uint64, error) {
 		os.Remove(s.path(incomingFile))
@@ -118,7 +118,7 @@
 	return small, index, nil
 }
 
-// receive writes the file of a snapshot beside the present one.
+// receive writes a snapshot's file beside the present one.
 func (s *Store) receive(r io.Reader) (small []byte, err error) {
 	sum := xxhash.New()
 	in := io.TeeReader(r, sum)
@@ -163,7 +163,7 @@
 	return small, nil
 }
 
-// openReceived opens a received file and sees that it is one of ours.
+// openReceived opens a received file and checks that it is a store's.
 func openReceived(path string) (db *bolt.DB, index uint64, err error) {
 	if db, err = openDB(path); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrSnapshot, err)
@@ -192,18 +192,18 @@
 	return d.Sync()
 }
 
-// storedFence is what is kept of a records.Fence, with the fleet that it is of.
+// storedFence is what is stored of a records.Fence, with the fleet that it belongs to.
 type storedFence struct {
 	Version int
 	Fleet   string
 	Fence   records.Fence
 }
 
-// ErrFleet says that a fence is another fleet's.
+// ErrFleet says that a fence belongs to another fleet.
 var ErrFleet = errors.New("of another fleet")
 
-// SaveFence writes down, safe from a power loss, how far this process knows that the
-// records of a fleet were cut. It outlasts the store.
+// SaveFence durably stores how far this process knows that a fleet's records were pruned.
+// The fence outlasts the store.
 func SaveFence(folder, fleet string, f records.Fence) error {
 	text, err := codec.Encode(storedFence{snapshotVersion, fleet, f})
 	if err != nil {
--- a/internal/dispatcher/fleet/recordstore/store.go
+++ b/internal/dispatcher/fleet/recordstore/store.go
@@ -1,6 +1,6 @@
-// Package recordstore keeps finished-job records in a bbolt file. The file is a
-// cache of the replicated log: it is written without syncing, thrown away at a
-// start, and built anew from the last snapshot and the log, which are what lasts.
+// Package recordstore keeps the records of finished jobs in a bbolt file. The file is a
+// cache of the replicated log: it is written without syncing, discarded at a start, and
+// rebuilt from the last snapshot and the log, which are durable.
 package recordstore
 
 import (
@@ -22,34 +22,35 @@
 const (
 	recordsFile  = "records.db"
 	incomingFile = "records.new"
-	// initialMapSize is the address space that is set aside for the file: a file that outgrows
-	// it makes a write wait for the reads that are open.
+	// initialMapSize is the address space reserved for the file: once the file outgrows it, a
+	// write has to wait for open reads.
 	initialMapSize = 8 << 30
 )
 
+// Buckets, and the key in metaBucket.
 var (
-	recordsBucket   = []byte("records") // tenant, place -> record
-	idsBucket       = []byte("ids")     // hash of the id, tenant, place -> nothing
+	recordsBucket   = []byte("records") // tenant, position -> record
+	idsBucket       = []byte("ids")     // hash of the id, tenant, position -> nothing
 	metaBucket      = []byte("meta")
 	appliedIndexKey = []byte("index")
 )
 
-// ErrInUse says that another process uses the folder.
+// ErrInUse says that another process uses the directory.
 var ErrInUse = errors.New("in use by another process")
 
 // ErrClosed says that the store is closed.
 var ErrClosed = errors.New("the store of records is closed")
 
-// openFile is an open file with those who use it: one that a restore has replaced is
-// closed when the last of them has gone.
+// openFile is an open bbolt file with its users: one that a restore has replaced is closed
+// by its last user.
 type openFile struct {
 	db       *bolt.DB
 	users    int
 	replaced bool
 }
 
-// Store keeps records in a folder of this process. Its methods may be called by any
-// goroutine, but Update, Snapshot and Restore only by one at a time.
+// Store keeps records in a directory of this process. It is safe for concurrent use, except
+// that Update, Snapshot and Restore must be called one at a time.
 type Store struct {
 	folder string
 	lock   *os.File
@@ -58,9 +59,9 @@
 	file *openFile // nil: closed
 }
 
-// Open opens an empty store in a folder, makes that if there is none, and keeps other
-// processes out until it is closed. What another run left there is thrown away,
-// whoever wrote it: no record comes back that way.
+// Open opens an empty store in a directory, creates that if need be, and locks it against
+// other processes until it is closed. What an earlier run left there is removed, so that no
+// pruned record comes back that way.
 func Open(folder string) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, fmt.Errorf("the folder of records: %w", err)
@@ -116,7 +117,7 @@
 
 func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
-// acquire takes the file, which stays open until it is let go.
+// acquire returns the file, which stays open until it is released.
 func (s *Store) acquire() (*openFile, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,14 +153,14 @@
 	}
 }
 
-// Close closes the store. Reads and snapshots that are open go on to their end.
+// Close closes the store. Open reads and snapshots go on to their end.
 func (s *Store) Close() error {
 	s.replace(nil)
 	return s.lock.Close()
 }
 
-// Update runs a change in one transaction, and keeps with it the index of the last
-// log entry that it covers. On an error nothing is changed.
+// Update runs a change in one transaction, together with the index of the last log entry
+// that it covers. If it returns an error, nothing has changed.
 func (s *Store) Update(index uint64, change func(records.Store) error) error {
 	f, err := s.acquire()
 	if err != nil {
@@ -184,7 +185,7 @@
 	return f.db.View(func(tx *bolt.Tx) error { return read(transaction{tx}) })
 }
 
-// Index is the index of the last log entry that is in the store.
+// Index returns the index of the last log entry in the store.
 func (s *Store) Index() (index uint64, err error) {
 	f, err := s.acquire()
 	if err != nil {
@@ -204,8 +205,8 @@
 	return 0
 }
 
-// Size is the size of the file in bytes. Room that cuts have freed is used again,
-// but not given back before the next restore.
+// Size returns the size of the file in bytes. Space that prunes have freed is used again,
+// but not returned before the next restore.
 func (s *Store) Size() (int64, error) {
 	info, err := os.Stat(s.path(recordsFile))
 	if err != nil {
@@ -217,12 +218,13 @@
 // transaction is the store within a transaction.
 type transaction struct{ tx *bolt.Tx }
 
-// tenantPrefix begins all keys of a tenant.
+// tenantPrefix is the prefix of all keys of a tenant.
 func tenantPrefix(tenant string) []byte {
 	return append(binary.BigEndian.AppendUint16(make([]byte, 0, 64+len(tenant)), uint16(len(tenant))), tenant...)
 }
 
-// appendPosition adds a place, so that keys sort as places do. Names of processes have no 0.
+// appendPosition appends a position, so that keys sort as positions do. Names of processes
+// have no zero byte.
 func appendPosition(key []byte, o records.Position) []byte {
 	key = binary.BigEndian.AppendUint64(key, uint64(o.Ended)^1<<63)
 	key = append(append(key, o.Process...), 0)
--- a/internal/dispatcher/fleet/rpc/call.go
+++ b/internal/dispatcher/fleet/rpc/call.go
@@ -1,7 +1,7 @@
-// Package rpc is how a process of a fleet asks the keepers: HTTP/1.1 calls with
-// bodies by codec. A call goes to whichever keeper leads, and again to the next one
-// until its deadline; the state answers a command that came twice as it did the
-// first time.
+// Package rpc is the client of the fleet's raft nodes: HTTP/1.1 POSTs with CBOR bodies
+// (package codec). A command or a read is sent to the leader, and retried at the other
+// nodes until its context ends. The replicated state answers a command that arrives twice
+// as it did the first time, so that a retry is safe.
 package rpc
 
 import (
@@ -21,29 +21,30 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 )
 
-// Paths of the keepers' calls.
+// Paths of the raft nodes' endpoints.
 const (
 	PathCommand   = "/fleet/do"     // a state.Command, answered with a state.Reply
-	PathRead      = "/fleet/read"   // a Query, answered with an Answer: by the leader, of all that was answered before
-	PathLocalRead = "/fleet/nearby" // a Query, answered by any keeper of what it has, with how far that is
-	PathStatus    = "/fleet/about"  // what a keeper is and has: an AboutBody
-	PathRejoin    = "/fleet/rejoin" // a keeper's name: it has nothing, and is to be taken in again
-	PathPromote   = "/fleet/ready"  // a keeper's name: it has caught up, and may vote
+	PathRead      = "/fleet/read"   // a Query, answered by the leader with an Answer that reflects all that was answered before
+	PathLocalRead = "/fleet/nearby" // a Query, answered by any node from its own state; Answer.Index tells how recent that is
+	PathStatus    = "/fleet/about"  // no body, answered with a NodeStatus
+	PathRejoin    = "/fleet/rejoin" // the name of a node without state that asks to be added again without a vote
+	PathPromote   = "/fleet/ready"  // the name and applied index of a node that asks for its vote
 )
 
 const (
-	// LeaderHeader names the keeper that leads, in an answer of one that does not.
+	// LeaderHeader is the response header in which a node that is not the leader names the
+	// leader.
 	LeaderHeader = "Fleet-Leader"
-	// MaxBody bounds the body of a call, in bytes.
+	// MaxBody is the largest request or response body, in bytes.
 	MaxBody = 4 << 20
-	// attemptTimeout is how long one keeper has for an answer before the next is asked: a
-	// cut link or a frozen keeper stays silent.
+	// attemptTimeout bounds one attempt at one node, since a node that is stopped or cut off
+	// doesn't answer.
 	attemptTimeout = 1200 * time.Millisecond
-	// roundPause is between two rounds over all keepers.
+	// roundPause is the pause after all nodes have been tried.
 	roundPause = 20 * time.Millisecond
 )
 
-// Query asks a part of the state.
+// Query is a query of a partition of the state.
 type Query struct {
 	Kind state.Kind
 	Body []byte
@@ -51,39 +52,39 @@
 
 // Answer answers a query.
 type Answer struct {
-	Index uint64        // of the last command that the answer knows of
-	At    time.Duration // its fleet time
+	Index uint64        // log index of the last command that the answer reflects
+	At    time.Duration // fleet time of that command
 	Code  state.Code
 	Text  string
 	Body  []byte
 }
 
-// NodeStatus is what a keeper says of itself.
+// NodeStatus describes a raft node. It is sent by the field names in its tags.
 type NodeStatus struct {
 	Name                string
-	Empty               bool              // it has no state, and has founded none
-	Bootstrapped        bool              `cbor:"Founded"` // the fleet has applied a command, as far as this one knows
-	IsLeader            bool              `cbor:"Leads"`   // it leads
-	BootCounts          map[string]uint64 `cbor:"Boots"`   // how often each keeper is known to have started
-	DivergentPartitions []string          `cbor:"Differs"` // parts in which its state is not the others'; it serves nothing then
+	Empty               bool              // the node has no state, and has not bootstrapped a fleet
+	Bootstrapped        bool              `cbor:"Founded"` // the fleet has applied a command, as far as the node knows
+	IsLeader            bool              `cbor:"Leads"`   // the node is the leader
+	BootCounts          map[string]uint64 `cbor:"Boots"`   // known starts by node
+	DivergentPartitions []string          `cbor:"Differs"` // partitions in which its state differs from the majority's; if there are any it serves nothing
 	Index               uint64
 	At                  time.Duration
 }
 
-// ErrUnavailable says that no keeper answered in time. The command may have been carried
-// out, or may yet be: the same one may be asked again.
+// ErrUnavailable says that no raft node answered in time. The command may have been carried
+// out, or may be yet; it is safe to send the same command again.
 var ErrUnavailable = errors.New("no keeper answered in time")
 
-// Client asks the keepers. It may be used by several goroutines.
+// Client sends commands and queries to the raft nodes. It is safe for concurrent use.
 type Client struct {
 	names     []string
 	addrs     map[string]string
 	http      *http.Client
-	preferred atomic.Int64 // who is asked first
-	bodyBytes atomic.Int64 // bytes of bodies, both ways
+	preferred atomic.Int64 // index of the node that is tried first
+	bodyBytes atomic.Int64 // request and response bodies
 }
 
-// New returns a client of the keepers with these addresses.
+// New returns a client of the raft nodes with these addresses, by name.
 func New(keepers map[string]string) *Client {
 	c := &Client{addrs: keepers, http: &http.Client{Transport: &http.Transport{
 		DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
@@ -95,13 +96,14 @@
 	return c
 }
 
-// Close lets go of the connections that are kept.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// BodyBytes counts the bytes of all bodies, both ways.
+// BodyBytes returns the number of bytes of all request and response bodies.
 func (c *Client) BodyBytes() int64 { return c.bodyBytes.Load() }
 
-// Do has a command carried out. Its error is ErrNobody, the context's, or the reply's.
+// Do has a command carried out. Its error wraps ErrUnavailable, the context's error or that
+// of the reply.
 func (c *Client) Do(ctx context.Context, cmd state.Command) (state.Reply, error) {
 	cmd.Version = state.Version
 	text, err := codec.Encode(cmd)
@@ -115,8 +117,8 @@
 	return r, r.Err()
 }
 
-// Read asks the leader, whose answer knows of all commands that were answered
-// before the question.
+// Read queries the leader. The answer reflects all commands that were answered before the
+// call.
 func (c *Client) Read(ctx context.Context, q Query) (Answer, error) {
 	text, err := codec.Encode(q)
 	if err != nil {
@@ -129,7 +131,7 @@
 	return a, state.Reply{Code: a.Code, Text: a.Text}.Err()
 }
 
-// PostToLeader posts to whoever leads, until the context ends.
+// PostToLeader posts to the leader, trying the nodes in turn until the context ends.
 func (c *Client) PostToLeader(ctx context.Context, path string, text []byte, into any) error {
 	var last error
 	for n := 0; ; n++ {
@@ -155,8 +157,8 @@
 	}
 }
 
-// Post asks one keeper once. Of one that does not lead it returns who does, as far
-// as that one knows.
+// Post sends one request to one node. A node that is not the leader returns the leader's
+// name, as far as it knows.
 func (c *Client) Post(ctx context.Context, name, path string, text []byte, into any) (leader string, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(attemptTimeout))
 	defer cancel()
@@ -183,7 +185,7 @@
 	return "", nil
 }
 
-// Session is one incarnation of a process at the keepers.
+// Session is one incarnation of a process at the raft nodes. It is safe for concurrent use.
 type Session struct {
 	*Client
 	Process     string
@@ -191,11 +193,11 @@
 
 	mu      sync.Mutex
 	lastSeq uint64
-	pending map[uint64]bool // commands without an answer
+	pending map[uint64]bool // commands without an answer, by sequence number
 	acked   uint64
 }
 
-// Join gets an incarnation for this start of a process; the nonce tells the start.
+// Join gets an incarnation for one start of a process, which the nonce identifies.
 func (c *Client) Join(ctx context.Context, process, nonce, version string) (*Session, state.JoinReply, error) {
 	var j state.JoinReply
 	body, err := codec.Encode(state.JoinBody{Process: process, Nonce: nonce, Version: version})
@@ -212,8 +214,9 @@
 	return &Session{Client: c, Process: process, Incarnation: j.Incarnation, pending: make(map[uint64]bool)}, j, nil
 }
 
-// Execute has a command carried out once, however often it has to be asked: an error
-// that wraps ErrNobody leaves open whether it was.
+// Execute has a command carried out exactly once, however often it is retried, and decodes
+// the reply's body into a value unless that is nil. An error that wraps ErrUnavailable
+// leaves open whether the command was carried out.
 func (s *Session) Execute(ctx context.Context, kind state.Kind, body, into any) error {
 	text, err := codec.Encode(body)
 	if err != nil {
@@ -239,7 +242,7 @@
 	return codec.Decode(r.Body, into)
 }
 
-// Renew renews the lease with what each part is to be told.
+// Renew renews the lease, with a message for each partition.
 func (s *Session) Renew(ctx context.Context, parts map[string][]byte) (state.RenewReply, error) {
 	var told state.RenewReply
 	body, err := codec.Encode(state.RenewBody{Parts: parts})
--- a/internal/dispatcher/fleet/spool/segment.go
+++ b/internal/dispatcher/fleet/spool/segment.go
@@ -10,6 +10,7 @@
 	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/cespare/xxhash/v2"
+	"github.com/sirupsen/logrus"
 )
 
 // A segment is a header and batches. The first batch says whose it is; the others
@@ -33,16 +34,16 @@
 	Epoch, First uint64
 }
 
-// segmentFile is a segment that is in the folder.
+// segmentFile is a segment in the directory.
 type segmentFile struct {
 	name           string
 	epoch          uint64
-	first          uint64 // number of its first record
-	next           uint64 // number after its last record
-	shippedThrough uint64 // the fleet has all up to this number
+	first          uint64 // sequence number of its first record
+	next           uint64 // sequence number after its last record
+	shippedThrough uint64 // the fleet has everything up to this sequence number
 	size           int64
 	writing        bool // it is being written
-	damaged        bool // it is damaged, and stays
+	damaged        bool // it stays for inspection
 }
 
 func segmentName(epoch uint64, index int) string { return fmt.Sprintf("%020d-%08d.seg", epoch, index) }
@@ -55,15 +56,15 @@
 // frameBatch frames a payload that has room for the frame before it.
 func frameBatch(b []byte, chain uint64) uint64 { return segment.Frame(b, b[segment.FrameSize:], chain) }
 
-// segmentScan is what a reading of a segment found.
+// segmentScan is the result of scanning a segment.
 type segmentScan struct {
 	segment.ScanResult
 	owner   segmentOwner
 	records uint64
 }
 
-// scanSegment reads a segment from its start, and yields each batch's records with the number
-// of the first. No owner: it was being begun.
+// scanSegment scans a segment from its start, and yields each batch's records with the
+// sequence number of the first. If there is no owner, the segment was only begun.
 func scanSegment(text []byte, yield func(first uint64, texts [][]byte) error) (s segmentScan, err error) {
 	if len(text) < headerSize {
 		s.Torn = true
@@ -108,8 +109,8 @@
 	return texts, true
 }
 
-// recoverSegments finds what is in the folder, cuts torn ends and returns the latest epoch.
-// All is looked at before anything is changed.
+// recoverSegments finds the segments in the directory, truncates torn ends and returns the
+// latest epoch. Everything is read before anything is changed.
 func (p *Spool) recoverSegments() (last uint64, err error) {
 	names, err := p.folder.Names()
 	if err != nil {
@@ -135,7 +136,7 @@
 		}
 		last = max(last, epoch)
 		if s.Err != nil { // kept as a witness
-			p.log.WithError(s.Err).Errorf("%s of the spool of records is damaged: %d bytes can't be shipped; the file stays until it is removed by hand", name, len(text)-s.ValidBytes)
+			p.log.WithError(s.Err).WithFields(logrus.Fields{"segment": name, "bytes": len(text) - s.ValidBytes}).Error("spool segment is damaged; the bytes can't be shipped and the file stays until it is removed by hand")
 		}
 		if s.owner.Process != "" && s.owner.Process != p.settings.Process {
 			return 0, fmt.Errorf("%s is of process %q, this is %q: %w", name, s.owner.Process, p.settings.Process, ErrForeign)
@@ -161,13 +162,13 @@
 	}
 	for _, c := range cut {
 		if kept(c.name) {
-			p.log.Warnf("%s of the spool of records: a torn end of %d bytes is cut", c.name, c.of-c.to)
+			p.log.WithFields(logrus.Fields{"segment": c.name, "bytes": c.of - c.to}).Warn("torn end of a spool segment truncated")
 			if err := p.folder.Truncate(c.name, int64(c.to)); err != nil {
 				return 0, fmt.Errorf("cutting a torn end: %w", err)
 			}
 			continue
 		}
-		p.log.Infof("%s of the spool of records was only begun: it is removed", c.name)
+		p.log.WithField("segment", c.name).Info("incomplete spool segment removed")
 		if err := p.folder.Remove(c.name); err != nil {
 			return 0, fmt.Errorf("removing a segment that was only begun: %w", err)
 		}
@@ -175,7 +176,7 @@
 	return last, nil
 }
 
-// decodeRecords reads the records that are to be shipped.
+// decodeRecords decodes records that are to be shipped.
 func decodeRecords(texts [][]byte) (all []records.Record, err error) {
 	for _, text := range texts {
 		r, err := records.DecodeRecord(text)
--- a/internal/dispatcher/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -7,14 +7,16 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/fleet/records"
+
+	"github.com/sirupsen/logrus"
 )
 
 // sender ships what is written, the oldest first. It belongs to its goroutine.
 type sender struct {
 	spool          *Spool
-	shippedThrough map[uint64]uint64 // how far the fleet has each
-	gapBefore      bool              // what is before the next records is not to be had
-	failureLogged  bool
+	shippedThrough map[uint64]uint64 // by epoch, as acknowledged by the fleet
+	gapBefore      bool              // what precedes the next records is lost
+	failureLogged  bool              // since the last success
 }
 
 func (s *sender) run(ctx context.Context) {
@@ -45,7 +47,7 @@
 				continue
 			}
 			if !s.failureLogged && ctx.Err() == nil {
-				p.log.WithError(err).Warn("records can't be shipped to the fleet: they wait in the spool")
+				p.log.WithError(err).Warn("shipping job records failed; they wait in the spool")
 			}
 			s.failureLogged = true
 		}
@@ -57,8 +59,8 @@
 	}
 }
 
-// nextBatch reads the next records to be shipped; none: there is nothing. Segments that
-// the fleet has whole are removed.
+// nextBatch reads the next records to be shipped; none: there is nothing. It removes
+// segments that the fleet has completely.
 func (s *sender) nextBatch() (ship records.Ship, last uint64, err error) {
 	p := s.spool
 	for {
@@ -111,7 +113,7 @@
 			return ship, 0, fmt.Errorf("reading the spool: %w", err)
 		}
 		if len(ship.Records) == 0 { // it was sound when it was written or found
-			p.log.WithError(found.Err).Errorf("%s of the spool of records can't be read any more: %d records are lost", g.name, g.next-ship.FirstSeq)
+			p.log.WithError(found.Err).WithFields(logrus.Fields{"segment": g.name, "records": g.next - ship.FirstSeq}).Error("spool segment can't be read any more; its records are lost")
 			p.lost.Add(int64(g.next - ship.FirstSeq))
 			s.gapBefore = true
 			s.shippedThrough[g.epoch] = max(s.shippedThrough[g.epoch], g.next-1)
@@ -143,7 +145,7 @@
 		return fmt.Errorf("the fleet has records up to %d after %d were shipped", through, last)
 	}
 	if s.failureLogged {
-		p.log.Info("records are shipped to the fleet again")
+		p.log.Info("shipping job records recovered")
 	}
 	s.gapBefore, s.failureLogged = false, false
 	p.shipped.Add(int64(last + 1 - ship.FirstSeq))
--- a/internal/dispatcher/fleet/spool/spool.go
+++ b/internal/dispatcher/fleet/spool/spool.go
@@ -1,8 +1,8 @@
-// Package spool keeps the records of finished jobs in this process's folder until the
-// fleet has them. A final answer waits for nothing here: a record is put into a
-// bounded queue, one goroutine writes the queue to segments, another ships them in
-// order. After a crash what was written is shipped at the next start; the fleet counts
-// each once by epoch and number.
+// Package spool keeps the records of finished jobs in this process's directory until the
+// fleet has them. No job's answer waits for it: a record is put into a bounded queue, one
+// goroutine writes the queue to segments (package segment), another ships them in order.
+// What was written before a crash is shipped after the next start; the fleet counts each
+// record once, by epoch and sequence number.
 package spool
 
 import (
@@ -19,40 +19,40 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Settings bound a spool.
+// Settings configure a spool.
 type Settings struct {
 	Process       string
 	Epoch         uint64 // of this start, above all before it; 0: taken from the clock
-	QueueLength   int    // records that may wait for the disk; more are dropped and counted
-	BatchSize     int    // records written or shipped together
-	MaxBodyBytes  int    // bytes of a body that are kept; a longer one is left out
+	QueueLength   int    // records that may wait for the disk; further ones are dropped and counted
+	BatchSize     int    // records that are written or shipped together
+	MaxBodyBytes  int    // a longer body is left out
 	SegmentBytes  int64
-	MaxBytes      int64         // of the whole spool; beyond it the queue fills; 0: no bound
-	WriteDelay    time.Duration // records wait this long for others to be written with
-	SyncInterval  time.Duration // and this long to be safe from a power loss
-	RetryInterval time.Duration // between tries, of writing and of shipping
+	MaxBytes      int64         // of the whole spool; beyond it the queue fills; 0: unlimited
+	WriteDelay    time.Duration // how long a record waits for others to be written with
+	SyncInterval  time.Duration // how long a written record may wait to be synced
+	RetryInterval time.Duration // after a failed write or shipment
 }
 
-// ShipFunc brings records to the fleet and returns the number of the epoch up to which it
-// has them all. The incarnation is for it to fill in. With records.ErrGap the number
-// counts too: the spool goes back to it, or says that what is missing is lost.
+// ShipFunc ships records to the fleet and returns the sequence number of the epoch up to
+// which the fleet has them all. It fills in the incarnation. With records.ErrGap the number
+// is valid too: the spool continues from there, or declares the gap lost.
 type ShipFunc func(ctx context.Context, batch records.Ship) (through uint64, err error)
 
-// Stats is what a spool says of itself. Each count is of this run.
+// Stats are the statistics of a spool since it was opened.
 type Stats struct {
-	Added       int64 // records that were given to it
-	Dropped     int64 // of them: the queue was full, the spool closed, or too large
+	Added       int64 // records passed to Add
+	Dropped     int64 // of them: the queue was full, the spool closed, or the record too large
 	Written     int64 // of them: in a segment
-	Shipped     int64 // records that the fleet has said to have
-	Lost        int64 // records of which a damaged or removed file left nothing to ship
-	Failures    int64 // of file calls
+	Shipped     int64 // records that the fleet has acknowledged
+	Lost        int64 // records that a damaged or removed file has left nothing of
+	Failures    int64 // failed file operations
 	Unsent      int64 // records written and not yet shipped
 	Bytes       int64 // of all segments
-	OldestEnded int64 // when the oldest unshipped one ended, nanoseconds since 1970; 0: there is none
+	OldestEnded int64 // when the oldest unshipped record's job ended, in nanoseconds since 1970; 0: there is none
 	LastError   string
 }
 
-// Spool is one process's. Its methods may be called by any goroutine.
+// Spool is one process's spool. It is safe for concurrent use.
 type Spool struct {
 	folder   segment.Directory
 	settings Settings
@@ -61,12 +61,12 @@
 
 	queue     chan records.Record
 	closing   chan struct{} // closed: nothing is added any more
-	written   chan struct{} // poked when there is more to ship
-	freed     chan struct{} // poked when a file was removed
+	written   chan struct{} // signalled when there is more to ship
+	freed     chan struct{} // signalled when a file was removed
 	workers   sync.WaitGroup
 	cancel    context.CancelFunc
 	closeOnce sync.Once
-	adding    sync.RWMutex // closing may not fall into an Add
+	adding    sync.RWMutex // held for reading by Add, so that Close can't overtake it
 	closed    bool
 
 	added, dropped, writtenCount, shipped, lost, failures atomic.Int64
@@ -74,13 +74,13 @@
 	lastError                                             atomic.Value // string
 
 	mu       sync.Mutex
-	segments []*segmentFile // the oldest first; the last may be the one that is written
+	segments []*segmentFile // the oldest first; the last may be the one being written
 
 	writer writer
 	sender sender
 }
 
-// Lag is how old the oldest unshipped record is at a time: what the loss of this
+// Lag returns the age of the oldest unshipped record at a time: what the loss of this
 // machine's disk would cost, in time.
 func (r Stats) Lag(now time.Time) time.Duration {
 	if r.OldestEnded == 0 {
@@ -89,9 +89,9 @@
 	return max(0, time.Duration(now.UnixNano()-r.OldestEnded))
 }
 
-// Open takes a folder over, cuts torn ends with a line in the log, and begins to ship
-// what is there. It refuses what another process's spool or a program of another
-// version wrote, and changes nothing then. The folder is the spool's from then on.
+// Open opens a spool in a directory, truncates torn ends, and begins to ship what is there.
+// It fails, without changing anything, for the spool of another process (ErrForeign) or
+// program version (ErrVersion). The directory belongs to the spool from then on.
 func Open(f segment.Directory, s Settings, now time.Time, log logrus.FieldLogger, ship ShipFunc) (*Spool, error) {
 	if s.Process == "" || s.QueueLength < 1 || s.BatchSize < 1 || s.SegmentBytes < 1 {
 		return nil, fmt.Errorf("the spool of records: settings %+v", s)
@@ -120,8 +120,8 @@
 	return p, nil
 }
 
-// Add gives the spool a record. It never waits; a record for which there is no room
-// is dropped and counted. The record's slices must not be changed afterwards.
+// Add adds a record. It never blocks: a record for which there is no room is dropped and
+// counted. The record's slices must not be changed afterwards.
 func (p *Spool) Add(r records.Record) bool {
 	p.added.Add(1)
 	p.adding.RLock()
@@ -137,8 +137,8 @@
 	return false
 }
 
-// Close writes what waits, ships until all is shipped or ctx ends, and lets the folder
-// go. What was not shipped is shipped at the next start.
+// Close writes what is queued, ships until everything is shipped or ctx ends, and closes
+// the directory. What was not shipped is shipped after the next start.
 func (p *Spool) Close(ctx context.Context) (err error) {
 	p.closeOnce.Do(func() {
 		p.adding.Lock()
@@ -153,7 +153,7 @@
 	return err
 }
 
-// Stats reads the spool's figures.
+// Stats returns the spool's statistics.
 func (p *Spool) Stats() Stats {
 	r := Stats{
 		Added: p.added.Load(), Dropped: p.dropped.Load(), Written: p.writtenCount.Load(), Shipped: p.shipped.Load(),
@@ -172,10 +172,10 @@
 	return r
 }
 
-// recordFailure counts a failed file call, and says so once a run: jobs are served on.
+// recordFailure counts a failed file operation, and logs the first one.
 func (p *Spool) recordFailure(err error) {
 	if p.failures.Add(1) == 1 {
-		p.log.WithError(err).Error("the spool of records can't be written: jobs are served on, records wait in memory and are dropped when there are too many")
+		p.log.WithError(err).Error("spool can't be written; jobs are served, records wait in memory and are dropped beyond the queue's length")
 	}
 	p.lastError.Store(err.Error())
 }
@@ -187,5 +187,5 @@
 	}
 }
 
-// errBatchComplete ends a reading.
+// errBatchComplete ends a scan once there are enough records.
 var errBatchComplete = errors.New("enough")
--- a/internal/dispatcher/fleet/spool/writer.go
+++ b/internal/dispatcher/fleet/spool/writer.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// errSpoolFull says that the operator's bound was reached.
+// errSpoolFull says that the spool has reached Settings.MaxBytes.
 var errSpoolFull = errors.New("the spool has reached its bound")
 
 // writer writes the queue to segments. It belongs to its goroutine.
@@ -22,12 +22,12 @@
 	file     segment.File // nil: the next batch begins a segment
 	segment  *segmentFile
 	index    int
-	next     uint64 // number of the next record
+	next     uint64 // sequence number of the next record
 	chain    uint64
-	batch    []byte // the batch that is to be written, with room for its frame
+	batch    []byte // the batch to be written, with room for its frame
 	count    int
 	unsynced bool
-	torn     bool // a write failed in the middle
+	torn     bool // a write has failed in the middle
 	stopped  chan struct{}
 }
 
@@ -72,7 +72,7 @@
 	return max(0, time.Until(synced.Add(w.spool.settings.SyncInterval)))
 }
 
-// gather takes records until there are enough or they have waited long enough.
+// gather takes records until the batch is full or they have waited long enough.
 func (w *writer) gather(r records.Record, timer *time.Timer) (open bool) {
 	w.add(r)
 	timer.Reset(w.spool.settings.WriteDelay)
@@ -105,7 +105,7 @@
 	w.count++
 }
 
-// writeBatch writes the batch, and tells whether it did.
+// writeBatch writes the batch, and reports whether it did.
 func (w *writer) writeBatch() bool {
 	p := w.spool
 	if err := w.appendBatch(); err != nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// endSegment ends the segment, without its torn end if there is one.
+// endSegment closes the segment, and truncates its torn end if there is one.
 func (w *writer) endSegment() {
 	if w.file == nil {
 		return
@@ -212,7 +212,8 @@
 	signal(p.written)
 }
 
-// drain writes what is still queued, with one try, and ends the segment.
+// drain writes what is still queued, with one attempt for each batch, and closes the
+// segment.
 func (w *writer) drain() {
 	for more := true; more; {
 		select {
--- a/internal/dispatcher/fleet/state/members.go
+++ b/internal/dispatcher/fleet/state/members.go
@@ -9,29 +9,29 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// JoinBody asks for an incarnation. A join repeated with the same nonce, as when its
-// answer was lost, gives the same one.
+// JoinBody asks for an incarnation. A join that is repeated with the same nonce, because
+// its answer was lost, gives the same incarnation.
 type JoinBody struct {
 	Process, Nonce, Version string
 }
 
 // JoinReply answers a join.
 type JoinReply struct {
-	Incarnation uint64        // the fencing number: the log index of the join, so that it only grows
-	Lease       time.Duration // its length
+	Incarnation uint64        // fencing number: the log index of the join, so that it only grows
+	Lease       time.Duration // lease duration
 }
 
-// RenewBody renews a lease. Each part of the state may be told something with it.
+// RenewBody renews a lease, with a message for each partition that has one.
 type RenewBody struct {
-	Parts map[string][]byte // by the part's name
+	Parts map[string][]byte // by partition
 }
 
 // RenewReply answers a renewal.
 type RenewReply struct {
-	Lease   time.Duration // its length, from the renewal on
-	Members int           // processes in force
-	Parts   map[string][]byte
-	Refused map[string]string // parts that said no, and why; the lease is renewed all the same
+	Lease   time.Duration     // lease duration from the renewal on
+	Members int               // number of members in force
+	Parts   map[string][]byte // answers by partition
+	Refused map[string]string // reasons by partition that refused its message; the lease is renewed all the same
 }
 
 func (m *Machine) join(c Command, index uint64) Reply {
@@ -78,21 +78,21 @@
 	return replyOf(body, err)
 }
 
-// FleetSettings is what the operators set for the whole fleet. Of two the one with the
-// higher revision is in force; one revision can't mean two things.
+// FleetSettings are the operators' settings for the whole fleet. Of two the one with the
+// higher revision is in force; a revision can't have two contents.
 type FleetSettings struct {
 	Revision uint64
 	Lease    time.Duration
-	Parts    map[string][]byte // by the part's name; one that is not named keeps what it has
+	Parts    map[string][]byte // by partition; one that is missing keeps its settings
 }
 
-// settingsInForce is what is in force.
+// settingsInForce identifies the FleetSettings in force.
 type settingsInForce struct {
 	Revision, Digest uint64
 	Lease            time.Duration
 }
 
-// Revision is that of the settings in force; 0: none were set.
+// Revision returns the revision of the settings in force; 0: none have been set.
 func (m *Machine) Revision() uint64 { return m.settings.Revision }
 
 func (m *Machine) applySettings(c Command) Reply {
@@ -126,21 +126,21 @@
 	return Reply{}
 }
 
-// bootCount is what is known of a keeper's starts.
+// bootCount is how often a raft node has started with its data directory.
 type bootCount struct {
 	Process string
 	Count   uint64
 }
 
-// BootBody tells that a keeper has started so many times with the same folder. A
-// folder that says fewer than were told before is an old copy.
+// BootBody reports how often a raft node has started with the same data directory. A
+// directory that counts fewer starts than were reported before is an old copy.
 type BootBody struct {
 	Process string
 	Count   uint64
 }
 
-// BootCount is how often a keeper is known to have started with its folder. The count
-// begins anew where a keeper rejoined with an empty one.
+// BootCount returns how often a raft node is known to have started with its data directory.
+// The count restarts when the node rejoins with an empty one.
 func (m *Machine) BootCount(process string) uint64 {
 	if i, ok := slices.BinarySearchFunc(m.boots, process, func(b bootCount, name string) int { return strings.Compare(b.Process, name) }); ok {
 		return m.boots[i].Count
@@ -161,17 +161,17 @@
 	return Reply{}
 }
 
-// DigestsBody is one replica's digests of the state as it was at a log index.
+// DigestsBody reports one replica's digests of the state as of a log index.
 type DigestsBody struct {
 	Replica string
-	Index   uint64 // of the command that asked for them
+	Index   uint64 // of the command that asked for digests
 	Parts   map[string]uint64
 }
 
-// digestReports is what replicas told of one index.
+// digestReports are the digests that replicas reported for one log index.
 type digestReports struct {
 	Index    uint64
-	Replicas []replicaDigests `cbor:"Told"` // by replica
+	Replicas []replicaDigests `cbor:"Told"` // sorted by replica
 }
 
 type replicaDigests struct {
@@ -179,7 +179,7 @@
 	Parts   map[string]uint64
 }
 
-// recordDigests keeps what replicas tell of the newest index that any of them told.
+// recordDigests keeps the reports of the newest index that any replica has reported.
 func (m *Machine) recordDigests(c Command) Reply {
 	var b DigestsBody
 	if err := codec.Decode(c.Body, &b); err != nil {
@@ -199,8 +199,8 @@
 	return Reply{}
 }
 
-// DivergentPartitions tells in which parts a replica differs from what a majority of the
-// voters found for the same index; empty: in none that is known.
+// DivergentPartitions returns the partitions in which a replica's reported digest differs
+// from the one that a majority of the voters reported for the same index.
 func (m *Machine) DivergentPartitions(replica string, voters int) []string {
 	var own map[string]uint64
 	for _, t := range m.digests.Replicas {
--- a/internal/dispatcher/fleet/state/snapshot.go
+++ b/internal/dispatcher/fleet/state/snapshot.go
@@ -13,13 +13,14 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// snapshotMagic begins a snapshot; a file of anything else is foreign.
+// snapshotMagic begins a snapshot.
 var snapshotMagic = []byte("basaltloft fleet\n")
 
-// ErrForeign says that a snapshot is of another program or version, or not whole.
+// ErrForeign says that a snapshot is of another program or version, or incomplete.
 var ErrForeign = errors.New("not a whole snapshot of this program's version")
 
-// storedMachine is what the machine itself has in a snapshot.
+// storedMachine is the machine's own section of a snapshot, stored by the field names in
+// its tags.
 type storedMachine struct {
 	Version  uint8           `cbor:"V"`
 	Settings settingsInForce `cbor:"Set"`
@@ -28,10 +29,10 @@
 	Members  []*Member
 	Digests  digestReports `cbor:"Sums"`
 	Boots    []bootCount
-	Parts    []string // which follow, in this order
+	Parts    []string // the partitions whose sections follow, in this order
 }
 
-// encodeMembership encodes what the machine itself keeps.
+// encodeMembership encodes the machine's own section of a snapshot.
 func (m *Machine) encodeMembership() ([]byte, error) {
 	k := storedMachine{Version: Version, Settings: m.settings, Now: m.now, Index: m.index, Members: m.members, Digests: m.digests, Boots: m.boots}
 	for _, p := range m.partitions {
@@ -40,8 +41,9 @@
 	return codec.Encode(k)
 }
 
-// Digests sums up the machine's own part, as "members", and each of the parts. What
-// replicas told of earlier digests is left out: they compare the state, not that.
+// Digests returns the checksums of the machine's own state, as "members", and of each
+// partition. The reports of earlier digests are left out: replicas compare the state, not
+// those.
 func (m *Machine) Digests() (map[string]uint64, error) {
 	text, err := codec.Encode(struct {
 		At      time.Duration
@@ -60,7 +62,7 @@
 	return all, nil
 }
 
-// Snapshot takes the state as it is, while later commands are applied.
+// Snapshot returns the state as it is now, to be written while later commands are applied.
 func (m *Machine) Snapshot() (Snapshot, error) {
 	own, err := m.encodeMembership()
 	if err != nil {
@@ -96,8 +98,9 @@
 	}}, nil
 }
 
-// Restore replaces the state by a snapshot. On an error the state is as it was, or
-// the parts differ from one another: the replica must take a state anew then.
+// Restore replaces the state by a snapshot. On an error the state is either unchanged or
+// inconsistent between partitions: the replica must then restore another one before it
+// serves anything.
 func (m *Machine) Restore(r io.Reader) error {
 	in := bufio.NewReaderSize(r, 64<<10)
 	mark := make([]byte, len(snapshotMagic))
@@ -133,10 +136,12 @@
 	return nil
 }
 
-// A chunk is its length and its sum, 4 bytes each, and then its bytes; one of no
-// length ends a section. So a section needs no length before it is written.
+// maxChunk is the largest chunk of a section. A section is a sequence of chunks: length and
+// checksum (CRC-32) in 4 bytes each, then the bytes; an empty chunk ends it. So a section's
+// length need not be known before it is written.
 const maxChunk = 256 << 10
 
+// writeSection writes one section.
 func writeSection(w io.Writer, write func(io.Writer) error) error {
 	c := &chunkWriter{dst: w}
 	b := bufio.NewWriterSize(c, maxChunk)
@@ -149,6 +154,7 @@
 	return c.writeChunk(nil)
 }
 
+// chunkWriter splits what is written into chunks.
 type chunkWriter struct{ dst io.Writer }
 
 func (c *chunkWriter) Write(text []byte) (n int, err error) {
@@ -172,7 +178,7 @@
 	return err
 }
 
-// chunkReader reads a section.
+// chunkReader reads one section. Its errors wrap ErrForeign.
 type chunkReader struct {
 	src     io.Reader
 	pending []byte
--- a/internal/dispatcher/fleet/state/state.go
+++ b/internal/dispatcher/fleet/state/state.go
@@ -1,10 +1,12 @@
-// Package state is the replicated state of a fleet: a machine to which every
-// replica applies the same commands in the same order. It does no I/O, reads no
-// clock and draws no random numbers: time and chance travel in the commands, so
-// that the same log gives the same bytes everywhere.
+// Package state is the replicated state machine of a fleet. Every replica applies the same
+// commands in the same order, so it does no I/O, reads no clock and draws no random
+// numbers: time and randomness travel in the commands, and the same log gives the same
+// bytes at every replica.
 //
-// The machine itself keeps who is in the fleet, by leases with fencing numbers,
-// and which commands were answered already. All else is kept by its parts.
+// The machine itself keeps the membership of the fleet, by leases with fencing numbers, and
+// the replies to recent commands, so that a repeated command has its effect once.
+// Everything else is kept by its partitions (package partition). A Machine is not safe for
+// concurrent use; package raftnode serializes access to it.
 package state
 
 import (
@@ -17,62 +19,61 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// Version is that of commands and snapshots. Another one is refused, not guessed at.
+// Version is the version of encoded commands and snapshots. Other versions are refused.
 const Version = 1
 
-// Command is one entry of the log.
+// Command is one entry of the replicated log.
 type Command struct {
-	Version     uint8         `cbor:"V"`
-	At          time.Duration // fleet time at which it counts; the leader sets it
-	Process     string        // who asks; empty: the keepers themselves
-	Incarnation uint64        // the fencing number that its join gave it
-	Seq         uint64        // counts this incarnation's commands; 0: may be applied twice without harm
-	Acked       uint64        // answers to all commands up to this one have arrived
+	Version     uint8         `cbor:"V"` // see Version
+	At          time.Duration // fleet time at which the command takes effect; set by the leader
+	Process     string        // the issuing process; empty: the raft nodes themselves
+	Incarnation uint64        // fencing number from the process's join
+	Seq         uint64        // sequence number within the incarnation, from 1; 0: applying it twice does no harm
+	Acked       uint64        // the replies to all commands up to this one have arrived
 	Kind        Kind
-	Body        []byte // the command of that kind, by codec
+	Body        []byte // the command's body for its kind, encoded by codec
 }
 
-// Kind names what a command asks for.
+// Kind names a command or a query. Kinds of a partition are "<partition>/<name>".
 type Kind string
 
-// Kinds of the machine itself. A part's kinds begin with its name and a slash.
+// Kinds of the machine itself.
 const (
-	Tick          Kind = "tick"  // time goes on
-	Join          Kind = "join"  // JoinBody
-	Renew         Kind = "renew" // RenewBody
-	Leave         Kind = "leave" // no body: a planned end
-	ReportDigests Kind = "sums"  // SumsBody
-	ReportBoot    Kind = "boot"  // BootBody
-	SetSettings   Kind = "set"   // SetBody
+	Tick          Kind = "tick"  // advances the fleet time; a non-empty body asks for digests
+	Join          Kind = "join"  // a JoinBody, answered with a JoinReply
+	Renew         Kind = "renew" // a RenewBody, answered with a RenewReply
+	Leave         Kind = "leave" // no body: a planned shutdown
+	ReportDigests Kind = "sums"  // a DigestsBody
+	ReportBoot    Kind = "boot"  // a BootBody
+	SetSettings   Kind = "set"   // a FleetSettings
 )
 
-// Reply is what a command comes to. The same command gives the same reply at
-// every replica.
+// Reply is the result of a command. The same command gives the same reply at every replica.
 type Reply struct {
 	Code Code
-	Text string // why not
+	Text string // the reason, if Code is not OK
 	Body []byte
 }
 
 // Code tells whether a command was carried out.
 type Code uint8
 
-// Codes of replies. All but OK changed nothing.
+// Codes of replies. All but OK have changed nothing.
 const (
 	OK      Code = iota
-	Fenced       // a newer incarnation is in force, or this one's lease has ended: join again
-	Refused      // the part says no, for the reason in Text
-	Bad          // the command can't be read
+	Fenced       // a newer incarnation is in force, or this one's lease has expired: the process must join again
+	Refused      // refused by the partition, for the reason in Text
+	Bad          // the command can't be decoded
 )
 
-// Errors for the codes.
+// Errors that Reply.Err wraps, one for each code.
 var (
 	ErrFenced  = errors.New("this incarnation is not in force")
 	ErrRefused = errors.New("refused by the state")
 	ErrBad     = errors.New("the state can't read the command")
 )
 
-// Err is the reply as an error; nil where it was carried out.
+// Err returns nil for OK, and else an error that wraps ErrFenced, ErrRefused or ErrBad.
 func (r Reply) Err() error {
 	switch r.Code {
 	case OK:
@@ -86,64 +87,68 @@
 	}
 }
 
-// Partition is a part of the state. Its methods are called in the order of the log.
+// Partition is an independent part of the state, such as the budgets or the plan runs. Its
+// methods are called one at a time, in the order of the log, and must be deterministic.
 type Partition interface {
-	// Name is the part's; the kinds of its commands begin with it and a slash.
+	// Name returns the partition's name, which is the prefix of its kinds.
 	Name() string
-	// Apply carries out a command of a process that is in force. An error refuses
-	// it; nothing may have changed then.
+	// Apply carries out a command of a process whose incarnation is in force. If it returns an
+	// error, nothing has changed.
 	Apply(c Command, index uint64) (body []byte, err error)
-	// Check tells what is wrong with settings; Set takes ones in that were checked.
+	// Check validates settings; SetSettings and Set are called with validated ones only.
 	Check(settings []byte) error
 	Set(at time.Duration, settings []byte) error
-	// Renew takes in what a renewal says to this part, and says what it is told.
+	// Renew processes what a lease renewal says to this partition, and returns the answer.
 	Renew(c Command, body []byte) (reply []byte, err error)
-	// IncarnationEnded tells that an incarnation is out of force: its lease ended, it left, or
-	// a newer one of the same name joined.
+	// IncarnationEnded tells that an incarnation is no longer in force.
 	IncarnationEnded(at time.Duration, process string, incarnation uint64, how EndCause)
-	// Advance carries out what falls due by fleet time.
+	// Advance carries out what has become due by a fleet time.
 	Advance(at time.Duration)
-	// Snapshot takes the part as it is now, while later commands are applied.
+	// Snapshot returns the partition as it is now, to be written while later commands are
+	// applied.
 	Snapshot() (Snapshot, error)
-	// Restore replaces the part by what Freeze wrote. On an error nothing has changed.
+	// Restore replaces the partition by what a Snapshot wrote. On an error nothing has
+	// changed.
 	Restore(io.Reader) error
-	// Digest sums the part up.
+	// Digest returns a checksum of the partition, which is compared between replicas.
 	Digest() (uint64, error)
 }
 
-// Snapshot is a state as it was at one command.
+// Snapshot is a state as of one command. Discard must be called when it is no longer
+// needed.
 type Snapshot struct {
-	Write   func(io.Writer) error
-	Release func() // once it is not needed any more; nil: nothing is held
+	Write   func(io.Writer) error // writes the snapshot
+	Release func()                // frees its resources; nil: there are none
 }
 
-// Discard releases it.
+// Discard frees the snapshot's resources.
 func (f Snapshot) Discard() {
 	if f.Release != nil {
 		f.Release()
 	}
 }
 
-// EndCause says how an incarnation went out of force.
+// EndCause tells why an incarnation is no longer in force.
 type EndCause uint8
 
-// Ways to go.
+// Causes.
 const (
-	Expired  EndCause = iota // its lease ended: it may be cut off or frozen, and what it sent may run
-	Left                     // it said so
-	Replaced                 // a newer incarnation joined
+	Expired  EndCause = iota // its lease expired: the process may be partitioned or stopped, and what it sent may still run
+	Left                     // it announced a planned shutdown
+	Replaced                 // a newer incarnation of the same process joined
 )
 
-// Member is a process of the fleet.
+// Member is a process of the fleet with its lease. It is stored by the field names in its
+// tags.
 type Member struct {
 	Process         string
 	Incarnation     uint64
-	Nonce           string            // of the start that joined
-	JoinedAt        time.Duration     `cbor:"Since"` // fleet time of the join
-	LeaseEnd        time.Duration     `cbor:"Until"` // its lease ends then
+	Nonce           string            // identifies the process start that joined
+	JoinedAt        time.Duration     `cbor:"Since"` // fleet time
+	LeaseEnd        time.Duration     `cbor:"Until"` // fleet time
 	Version         string            // of the program
-	AnsweredThrough uint64            `cbor:"Floor"`   // commands up to this one are answered, and forgotten
-	Replies         []rememberedReply `cbor:"Answers"` // above it, in order
+	AnsweredThrough uint64            `cbor:"Floor"`   // replies to commands up to this sequence number are forgotten
+	Replies         []rememberedReply `cbor:"Answers"` // to later commands, ascending by sequence number
 }
 
 type rememberedReply struct {
@@ -151,8 +156,8 @@
 	Reply Reply
 }
 
-// maxRememberedReplies bounds what is remembered for one process: the commands that it may
-// have under way at once.
+// maxRememberedReplies bounds the replies remembered for one process: the number of
+// commands that it may have pending at once.
 const maxRememberedReplies = 1024
 
 // Machine is one replica's state.
@@ -160,30 +165,30 @@
 	settings   settingsInForce
 	now        time.Duration
 	index      uint64
-	members    []*Member // by name
+	members    []*Member // sorted by name
 	digests    digestReports
 	boots      []bootCount // by process
 	partitions []Partition
 }
 
-// DefaultLease is the length of leases until the operators set one.
+// DefaultLease is the lease duration until the operators set one.
 const DefaultLease = 3 * time.Second
 
-// New returns an empty state of these parts.
+// New returns an empty state with these partitions.
 func New(parts ...Partition) *Machine {
 	return &Machine{settings: settingsInForce{Lease: DefaultLease}, partitions: parts}
 }
 
-// At is the fleet time of the last command.
+// At returns the fleet time of the last command.
 func (m *Machine) At() time.Duration { return m.now }
 
-// Index is the log index of the last command.
+// Index returns the log index of the last command.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Members are those in force, by name. They must not be changed.
+// Members returns the members in force, sorted by name. The caller must not change them.
 func (m *Machine) Members() []*Member { return m.members }
 
-// Decode reads a log entry.
+// Decode decodes a log entry. Its errors wrap ErrBad.
 func Decode(text []byte) (Command, error) {
 	var c Command
 	if err := codec.Decode(text, &c); err != nil {
@@ -231,7 +236,8 @@
 	return r
 }
 
-// member is the member that a command comes from, or why there is none.
+// member returns the member that issued a command, or nil and the reply for a fenced
+// process.
 func (m *Machine) member(c Command) (*Member, Reply) {
 	i, ok := m.findMember(c.Process)
 	if !ok || m.members[i].Incarnation != c.Incarnation {
@@ -269,8 +275,7 @@
 	return Reply{Body: body}
 }
 
-// advance ends the leases that are due, in the order of the names, and lets the
-// parts do what falls due.
+// advance ends expired leases, in the order of names, and advances the partitions.
 func (m *Machine) advance() {
 	for i := 0; i < len(m.members); {
 		if who := m.members[i]; who.LeaseEnd <= m.now {
@@ -296,7 +301,7 @@
 	})
 }
 
-// endIncarnation puts an incarnation out of force.
+// endIncarnation removes a member and tells the partitions.
 func (m *Machine) endIncarnation(who *Member, how EndCause) {
 	if i, ok := m.findMember(who.Process); ok && m.members[i] == who {
 		m.members = slices.Delete(m.members, i, i+1)
@@ -329,14 +334,13 @@
 	x.Replies = slices.Delete(x.Replies, 0, from)
 }
 
-// Queryable is a part that answers queries, of kinds that begin with its name and a
-// slash. A query changes nothing.
+// Queryable is a partition that answers queries. A query changes nothing.
 type Queryable interface {
 	Partition
 	Query(kind Kind, body []byte) ([]byte, error)
 }
 
-// Partition is the part of a name; nil: there is none.
+// Partition returns the partition with a name, or nil.
 func (m *Machine) Partition(name string) Partition {
 	for _, p := range m.partitions {
 		if p.Name() == name {
@@ -346,7 +350,7 @@
 	return nil
 }
 
-// Query answers a query.
+// Query answers a query of a partition.
 func (m *Machine) Query(kind Kind, body []byte) ([]byte, error) {
 	for _, p := range m.partitions {
 		if a, ok := p.(Queryable); ok && kind.belongsTo(p.Name()) {
@@ -356,7 +360,7 @@
 	return nil, fmt.Errorf("no part answers queries of kind %q", kind)
 }
 
-// belongsTo tells whether a kind is one of a part's.
+// belongsTo reports whether a kind belongs to a partition.
 func (k Kind) belongsTo(part string) bool {
 	return len(k) > len(part) && string(k[:len(part)]) == part && k[len(part)] == '/'
 }
--- a/internal/dispatcher/segment/folder.go
+++ b/internal/dispatcher/segment/folder.go
@@ -1,7 +1,7 @@
-// Package segment is what the journal and the spool have in common: a folder of
-// segments that one process writes, and batches in them that are written whole or
-// not at all. A batch's checksum is seeded with that of the one before it, so that
-// none can be missing, moved or torn unseen.
+// Package segment is the storage format that the journal and the spool share: a directory
+// of segment files that one process writes, and batches in them that are written completely
+// or not at all. Each batch's checksum is seeded with that of the batch before, so that a
+// missing, moved or torn batch is detected.
 package segment
 
 import (
@@ -15,14 +15,14 @@
 	"syscall"
 )
 
-// Directory is where segments are kept. Its methods fail as those of os do.
+// Directory is where segments are kept. Its methods fail with the errors of package os.
 type Directory interface {
-	Names() ([]string, error)
+	Names() ([]string, error) // the segments, sorted
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // which must not exist
+	Create(name string) (File, error) // the segment must not exist
 	Truncate(name string, size int64) error
 	Remove(name string) error
-	Sync() error // of the names
+	Sync() error // makes creations and removals durable
 	Close() error
 }
 
@@ -33,7 +33,7 @@
 	Close() error
 }
 
-// ErrInUse says that another process writes to a folder.
+// ErrInUse says that another process writes to a directory.
 var ErrInUse = errors.New("in use by another process")
 
 type osDirectory struct {
@@ -41,8 +41,8 @@
 	lock *os.File // nil: read only
 }
 
-// OpenDirectory opens a folder for writing, makes it if there is none, and keeps
-// other processes out until it is closed.
+// OpenDirectory opens a directory for writing, creates it if need be, and locks it against
+// other processes until it is closed.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	return &osDirectory{path, lock}, nil
 }
 
-// ReadDirectory opens a folder for reading, also while a process writes to it.
+// ReadDirectory opens a directory for reading, also while a process writes to it.
 func ReadDirectory(path string) (Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/dispatcher/segment/frame.go
+++ b/internal/dispatcher/segment/frame.go
@@ -8,20 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FrameSize is the bytes before a batch: its length, a check of that, its checksum.
+// FrameSize is the size in bytes of the frame before a batch: its length, a check of the
+// length, and its checksum.
 const FrameSize = 16
 
-// MaxBatch bounds a batch, in bytes.
+// MaxBatch is the largest batch, in bytes.
 const MaxBatch = 64 << 20
 
-// ErrNewerVersion says that a segment was written by a newer program.
+// ErrNewerVersion says that a segment was written by a newer version of the program.
 var ErrNewerVersion = errors.New("written by a newer version of the program")
 
-// ErrInvalidRecord says that a batch is whole and its content is not.
+// ErrInvalidRecord says that a batch is complete and its content is invalid.
 var ErrInvalidRecord = errors.New("a record makes no sense")
 
-// Frame fills in the FrameSize bytes before a payload, and returns the checksum that
-// the next batch's is seeded with.
+// Frame fills in the FrameSize bytes before a payload, and returns the checksum that seeds
+// that of the next batch.
 func Frame(into, payload []byte, chain uint64) uint64 {
 	binary.LittleEndian.PutUint32(into, uint32(len(payload)))
 	binary.LittleEndian.PutUint32(into[4:], uint32(xxhash.Sum64(into[:4])))
@@ -37,18 +38,18 @@
 	return d.Sum64()
 }
 
-// ScanResult is how the reading of batches ended.
+// ScanResult tells how a scan ended.
 type ScanResult struct {
 	Batches    int
-	ValidBytes int    // bytes, from the start, that are whole and sound
-	Chain      uint64 // the checksum of the last of them
-	Torn       bool   // what follows them is the beginning of a batch that was never written whole
-	Err        error  // what follows them is damaged
+	ValidBytes int    // length of the valid prefix
+	Chain      uint64 // checksum of the last valid batch
+	Torn       bool   // an incomplete batch follows the valid prefix
+	Err        error  // damaged data follows the valid prefix
 }
 
-// Scan reads the batches of a segment from a byte on, where the chain has come to a
-// checksum. It stops at the first that is not whole and sound, or of which yield says
-// ErrNoSense. Any other error of yield ends it and is returned.
+// Scan reads the batches of a segment from an offset at which the checksum chain has a
+// value. It stops at the first batch that is incomplete or invalid, or for which yield
+// returns ErrInvalidRecord. Any other error of yield ends the scan and is returned.
 func Scan(segment []byte, from int, chain uint64, yield func(payload []byte) error) (s ScanResult, err error) {
 	for s.ValidBytes, s.Chain = from, chain; s.ValidBytes < len(segment); s.Batches++ {
 		rest := segment[s.ValidBytes:]
