--- /dev/null
+++ b/internal/dispatcher/fleet/budget/allocation_table.go
@@ -0,0 +1,233 @@
+package budget
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"time"
+)
+
+// DivisionInterval is how often a budget is divided at most, in fleet time.
+const DivisionInterval = 100 * time.Millisecond
+
+// demandTolerance is the change of a demand, as a fraction of the greater one, that changes
+// no share.
+const demandTolerance = 0.1
+
+// AllocationTable is the replicated side of the budgets. It is not safe for concurrent use.
+// Its methods take the fleet time, which must not run backward; an earlier one counts as
+// the last.
+type AllocationTable struct {
+	storedState
+	activeHolders map[string]*holder // the incarnation in force, by process
+	nextDue       time.Duration      // no lease, quarantine or seat turn ends before
+	policy        DivisionPolicy
+	grantTwice    bool // the injected fault
+
+	claims     []Claim // scratch space of a division, with shares and candidates
+	shares     []float64
+	candidates []int
+}
+
+// budgetState is a budget with what has been granted of it.
+type budgetState struct {
+	Budget
+	Quarantines   []quarantine  `cbor:"Rests"`
+	DividedAt     time.Duration `cbor:"Divided"` // fleet time of the last division
+	SeatTurnAt    time.Duration `cbor:"Turn"`    // when those without a seat get theirs; 0: all have one
+	NeedsDivision bool          `cbor:"Dirty"`   // something has changed since
+
+	held, quarantined totals
+}
+
+// NewAllocationTable returns a table without budgets, at fleet time 0. Until it is
+// configured, renewals are granted with a lease of 0.
+func NewAllocationTable() *AllocationTable { return NewAllocationTableWith(MaxMin) }
+
+// NewAllocationTableWith returns a table with another division policy, for studies. All
+// replicas must have the same.
+func NewAllocationTableWith(way DivisionPolicy) *AllocationTable {
+	return &AllocationTable{storedState: storedState{Version: stateVersion}, activeHolders: map[string]*holder{}, nextDue: math.MaxInt64, policy: way, grantTwice: faultGrantTwice}
+}
+
+// Configure sets the lease duration and the budgets. A budget that exists keeps its shares:
+// a lowered total binds once the holders above it have acknowledged less, or are gone, and
+// nothing grows before. Of a new InFlight or Divided budget each holder counts as holding
+// the total until it has acknowledged, since it may have anything in flight. If the
+// configuration is invalid, nothing changes.
+func (b *AllocationTable) Configure(at time.Duration, c Config) error {
+	if err := c.Check(); err != nil {
+		return fmt.Errorf("configuring the fleet's budgets: %w", err)
+	}
+	b.expireDue(at)
+	next := make([]*budgetState, 0, len(c.Budgets))
+	for _, budget := range c.Budgets {
+		s := &budgetState{Budget: budget, NeedsDivision: true, DividedAt: -DivisionInterval}
+		if i := b.budgetIndex(budget.Name); i >= 0 && b.Budgets[i].Kind == budget.Kind {
+			s.Quarantines = b.Budgets[i].Quarantines
+		}
+		next = append(next, s)
+	}
+	slices.SortFunc(next, func(x, y *budgetState) int { return strings.Compare(x.Name, y.Name) })
+	if len(b.Holders) > 0 {
+		b.LastGrant++
+	}
+	for _, h := range b.Holders {
+		lines := make([]allocation, len(next))
+		for i, s := range next {
+			l := &lines[i]
+			if k := b.budgetIndex(s.Name); k >= 0 && b.Budgets[k].Kind == s.Kind {
+				// It may be using what is bound or what was offered: both count on.
+				*l = h.Allocations[k]
+				l.Acknowledged = l.Acknowledged.componentMax(l.Offered)
+				l.Offered = l.Acknowledged
+			} else if s.Kind != Rate {
+				l.Acknowledged = allotment{Amount: toMicros(s.Total), SettleTime: s.SettleTime}
+			}
+		}
+		h.Allocations, h.OfferedGrant = lines, b.LastGrant
+	}
+	b.Lease, b.Budgets = c.Lease, next
+	b.rebuildTotals()
+	return nil
+}
+
+// budgetIndex returns a budget's index, or -1.
+func (b *AllocationTable) budgetIndex(name string) int {
+	i, ok := slices.BinarySearchFunc(b.Budgets, name, func(s *budgetState, name string) int { return strings.Compare(s.Name, name) })
+	if !ok {
+		return -1
+	}
+	return i
+}
+
+// holderIndex returns where a holder is, or belongs.
+func (b *AllocationTable) holderIndex(process string, incarnation uint64) (int, bool) {
+	return slices.BinarySearchFunc(b.Holders, process, func(h *holder, _ string) int {
+		return cmp.Or(strings.Compare(h.Process, process), cmp.Compare(h.Incarnation, incarnation))
+	})
+}
+
+// Renew extends a process's lease, takes in its acknowledgement and its demands, and
+// returns its shares. A renewal may arrive late, twice, or after a newer one. A new
+// incarnation begins with nothing; what the older one holds stays taken until its lease
+// expires.
+//
+// A change is offered only once the last one is acknowledged, so that a holder uses one of
+// two allotments at most: what a share has lost is available with the renewal after the one
+// that announced it. Renewals in between get the same answer.
+//
+// So a process with demand has a share within three renewals, of the others and its own: it
+// asks, and the budget is divided within DivisionInterval; the others are told to shrink by
+// their next renewal and acknowledge at once (Allowance.NextRenewal); and it gets what is
+// available by its next. That is two thirds of a lease plus the network delays, where there
+// are as many seats (of a Rate's burst, or whole jobs in flight) as processes with demand;
+// where there are fewer, processes take turns of two leases.
+func (b *AllocationTable) Renew(at time.Duration, r Renewal) (Grant, error) {
+	if r.Process == "" || r.Incarnation == 0 {
+		return Grant{}, fmt.Errorf("renewing %q, %d: %w", r.Process, r.Incarnation, ErrNoName)
+	}
+	if b.isFenced(r.Process, r.Incarnation) {
+		return Grant{}, fmt.Errorf("renewing %q, %d: %w", r.Process, r.Incarnation, ErrFenced)
+	}
+	for _, s := range b.Budgets {
+		u := r.Usage[s.Name]
+		if !(u.Demand >= 0 && u.Demand <= maxTotal && u.InFlight >= 0 && u.InFlight <= maxTotal && u.MaxRemaining >= 0) {
+			return Grant{}, fmt.Errorf("renewing %q, %d: use of budget %q: below 0, no number or above %v: %+v", r.Process, r.Incarnation, s.Name, maxTotal, u)
+		}
+	}
+	b.expireDue(at)
+	h := b.activeHolders[r.Process]
+	if h == nil || h.Incarnation < r.Incarnation {
+		h = b.addHolder(r)
+	}
+	h.LeaseEnd = max(h.LeaseEnd, b.Now+b.Lease)
+	b.nextDue = min(b.nextDue, h.LeaseEnd)
+	b.acknowledge(h, r)
+	b.divideChanged()
+	return b.grant(h), nil
+}
+
+// isFenced reports whether a newer incarnation exists, or has existed during this one's
+// lease.
+func (b *AllocationTable) isFenced(process string, incarnation uint64) bool {
+	if h := b.activeHolders[process]; h != nil && h.Incarnation > incarnation {
+		return true
+	}
+	i, ok := b.holderIndex(process, incarnation)
+	return ok && b.Holders[i].Superseded
+}
+
+func (b *AllocationTable) addHolder(r Renewal) *holder {
+	if old := b.activeHolders[r.Process]; old != nil {
+		old.Superseded = true
+		if b.grantTwice {
+			b.expireHolder(old, false)
+		}
+	}
+	h := &holder{Process: r.Process, Incarnation: r.Incarnation, Allocations: make([]allocation, len(b.Budgets))}
+	i, _ := b.holderIndex(r.Process, r.Incarnation)
+	b.Holders = slices.Insert(b.Holders, i, h)
+	b.activeHolders[r.Process] = h
+	for i, s := range b.Budgets {
+		h.Allocations[i].Since = b.Now
+		s.NeedsDivision = true
+	}
+	return h
+}
+
+// acknowledge takes in what a renewal reports. One that is older than what was acknowledged
+// has no news. What is in flight above the amount can only fall, since nothing is begun
+// above it, so that the least reported since counts.
+func (b *AllocationTable) acknowledge(h *holder, r Renewal) {
+	if r.AppliedGrant < h.AcknowledgedGrant {
+		return
+	}
+	fresh := r.AppliedGrant == h.OfferedGrant && h.AcknowledgedGrant != h.OfferedGrant
+	for i, s := range b.Budgets {
+		l, u := &h.Allocations[i], r.Usage[s.Name]
+		b.updateAllocation(s, l, func() {
+			under := toMicros(u.InFlight)
+			if s.Kind == InFlight && (fresh || h.OfferedGrant == 0 || under < l.InFlight) {
+				l.InFlight = under
+			}
+			if fresh {
+				before := l.upperBound().Amount
+				l.Acknowledged = l.Offered
+				if freed := before - l.upperBound().Amount; freed > 0 && s.Kind == Divided {
+					until := b.Now + quarantineSpan(max(s.SettleTime, l.Acknowledged.SettleTime))
+					s.addQuarantine(quarantine{Amount: freed, Until: until})
+					b.nextDue = min(b.nextDue, until)
+				}
+			}
+		})
+		l.Latest = max(l.Latest, b.Now+quarantineSpan(u.MaxRemaining))
+		if l.Demand != u.Demand && (math.Abs(l.Demand-u.Demand) > demandTolerance*max(l.Demand, u.Demand)) {
+			l.Demand, s.NeedsDivision = u.Demand, true
+		}
+	}
+	if fresh {
+		h.AcknowledgedGrant = h.OfferedGrant
+	}
+}
+
+// Advance moves the fleet time: leases expire, quarantines end, and changed budgets are
+// divided. Without a change, and before NextDue, it does nothing.
+func (b *AllocationTable) Advance(at time.Duration) {
+	b.expireDue(at)
+	b.divideChanged()
+}
+
+// NextDue returns the earliest fleet time at which Advance may have something to do. A
+// leader need not propose an Advance before.
+func (b *AllocationTable) NextDue() time.Duration {
+	due := b.nextDue
+	for _, s := range b.Budgets {
+		if s.NeedsDivision {
+			due = min(due, s.DividedAt+DivisionInterval)
+		}
+	}
+	return due
+}
--- /dev/null
+++ b/internal/dispatcher/fleet/budget/departure.go
@@ -0,0 +1,118 @@
+package budget
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+)
+
+// Leave processes a planned shutdown. The process has closed its Allowance before: what it
+// held of a Rate is available at once, what it left in flight is quarantined until its
+// latest deadline, and its parts of Divided budgets for SettleTime. A budget that left does
+// not name is treated as if the process had failed now. An unknown process is no error,
+// since the call may arrive twice.
+func (b *AllocationTable) Leave(at time.Duration, process string, incarnation uint64, left map[string]Departure) error {
+	if process == "" || incarnation == 0 {
+		return fmt.Errorf("leaving of %q, %d: %w", process, incarnation, ErrNoName)
+	}
+	for _, s := range b.Budgets {
+		if l := left[s.Name]; !(l.InFlight >= 0 && l.InFlight <= maxTotal && l.MaxRemaining >= 0) {
+			return fmt.Errorf("leaving of %q, %d: budget %q: below 0, no number or above %v: %+v", process, incarnation, s.Name, maxTotal, l)
+		}
+	}
+	b.expireDue(at)
+	i, ok := b.holderIndex(process, incarnation)
+	if !ok {
+		return nil
+	}
+	h := b.Holders[i]
+	for k, s := range b.Budgets {
+		held := h.Allocations[k].upperBound()
+		u, told := left[s.Name]
+		switch {
+		case s.Kind == Divided || s.Kind == InFlight && !told:
+			s.addQuarantine(quarantine{Amount: held.Amount, Until: b.Now + quarantineSpan(max(held.SettleTime, s.SettleTime))})
+		case s.Kind == InFlight:
+			s.addQuarantine(quarantine{Amount: toMicros(u.InFlight), Until: b.Now + quarantineSpan(u.MaxRemaining)})
+		}
+	}
+	b.removeHolder(h)
+	return nil
+}
+
+// expireHolder removes a holder whose lease has expired. It may go on with its floor for
+// FloorDuration; jobs that it has begun by then last for SettleTime more at most, and what
+// it used of a Divided budget counts for as long.
+func (b *AllocationTable) expireHolder(h *holder, lasting bool) {
+	for i, s := range b.Budgets {
+		l := &h.Allocations[i]
+		p := l.upperBound()
+		linger := quarantineSpan(max(p.SettleTime, s.SettleTime))
+		if s.Kind == Rate {
+			linger = 0
+		}
+		floor, cut := quarantine{}, h.LeaseEnd
+		if p.Floor > 0 && p.FloorDuration > 0 {
+			cut += p.FloorDuration
+			floor = quarantine{Amount: min(p.Floor, p.Amount), Burst: min(p.Burst, microsPerUnit), Floor: true, Until: cut + linger}
+		}
+		if lasting {
+			s.addQuarantine(floor)
+			if s.Kind != Rate {
+				s.addQuarantine(quarantine{Amount: p.Amount - floor.Amount, Until: max(h.LeaseEnd+linger, l.Latest)})
+			}
+		}
+	}
+	b.removeHolder(h)
+}
+
+func (b *AllocationTable) removeHolder(h *holder) {
+	for i, s := range b.Budgets {
+		s.held.add(&h.Allocations[i], -1)
+		s.NeedsDivision = true
+	}
+	i, _ := b.holderIndex(h.Process, h.Incarnation)
+	b.Holders = slices.Delete(b.Holders, i, i+1)
+	if b.activeHolders[h.Process] == h {
+		delete(b.activeHolders, h.Process)
+	}
+	b.nextDue = min(b.nextDue, b.Now) // rests may be due
+}
+
+// expireDue ends the leases, quarantines and seat turns that are due. A quarantine may
+// already be over when it is added; it is then dropped in the same call.
+func (b *AllocationTable) expireDue(at time.Duration) {
+	b.Now = max(b.Now, at)
+	if b.nextDue > b.Now {
+		return
+	}
+	for i := 0; i < len(b.Holders); {
+		if h := b.Holders[i]; h.LeaseEnd <= b.Now {
+			b.expireHolder(h, true)
+			continue
+		}
+		i++
+	}
+	b.nextDue = math.MaxInt64
+	for _, h := range b.Holders {
+		b.nextDue = min(b.nextDue, h.LeaseEnd)
+	}
+	for _, s := range b.Budgets {
+		s.Quarantines = slices.DeleteFunc(s.Quarantines, func(r quarantine) bool {
+			if r.Until > b.Now {
+				b.nextDue = min(b.nextDue, r.Until)
+				return false
+			}
+			s.quarantined.addQuarantine(r, -1)
+			s.NeedsDivision = true
+			return true
+		})
+		if s.SeatTurnAt > 0 && s.SeatTurnAt <= b.Now {
+			s.SeatTurnAt, s.NeedsDivision = 0, true
+		}
+		if s.SeatTurnAt > 0 {
+			b.nextDue = min(b.nextDue, s.SeatTurnAt)
+		}
+	}
+}
--- a/internal/dispatcher/fleet/budget/hooks.go
+++ b/internal/dispatcher/fleet/budget/fault_injection_off.go
@@ -2,7 +2,7 @@
 
 package budget
 
-// The planted bugs; a production build has none.
+// The injected faults; a production build has none.
 const (
 	faultFullBucket = false
 	faultGrantTwice = false
--- /dev/null
+++ b/internal/dispatcher/fleet/budget/rejection.go
@@ -0,0 +1,55 @@
+package budget
+
+import (
+	"fmt"
+	"time"
+)
+
+// RejectionReason tells why a bucket rejected a job, for statistics and logs.
+type RejectionReason uint8
+
+// Reasons.
+const (
+	ReasonNone         RejectionReason = iota // it would be admitted now
+	ReasonNoShare                             // no grant has named the budget yet, or the share is 0
+	ReasonExhausted                           // the share, or the floor, is used up
+	ReasonLeaseExpired                        // the lease has expired, and the floor too
+	ReasonTooLong                             // the job may last longer than the budget's SettleTime
+	ReasonWrongKind                           // the budget is of another kind
+)
+
+var reasonNames = [...]string{"admits", "no share", "share spent", "cut off from the fleet", "longer than the budget lingers", "a budget of another kind"}
+
+// String is a reason in words.
+func (r RejectionReason) String() string {
+	if int(r) < len(reasonNames) {
+		return reasonNames[r]
+	}
+	return fmt.Sprintf("reason %d", uint8(r))
+}
+
+// RejectionReason returns why another job of this duration (InFlight) would be rejected at
+// now. It is called after a rejection and changes nothing; by then the job might be
+// admitted.
+func (t *TokenBucket) RejectionReason(now time.Duration, kind Kind, lasts time.Duration) RejectionReason {
+	s := t.terms.Load()
+	switch {
+	case s == &unlimited:
+		return ReasonNone
+	case s == &blocked:
+		return ReasonNoShare
+	case s.kind != kind:
+		return ReasonWrongKind
+	case now >= s.floorEnd:
+		return ReasonLeaseExpired
+	case s.amountAt(now) <= 0:
+		return ReasonNoShare
+	case kind == InFlight && lasts > s.linger:
+		return ReasonTooLong
+	case kind == InFlight && float64(t.inFlight.Load()+1) > s.amountAt(now):
+		return ReasonExhausted
+	case kind == Rate && t.taken.Load() >= t.ceiling.Load():
+		return ReasonExhausted
+	}
+	return ReasonNone
+}
--- a/internal/dispatcher/fleet/budget/book_code.go
+++ b/internal/dispatcher/fleet/budget/stored_state.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"strings"
+	"time"
 
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
@@ -127,3 +128,14 @@
 	}
 	b.nextDue = b.Now // what is due is looked for with the next call
 }
+
+// storedState is what is encoded, by the field names in its tags. The totals that
+// AllocationTable keeps besides are derived from it.
+type storedState struct {
+	Version   uint64
+	Now       time.Duration `cbor:"At"`
+	Lease     time.Duration
+	LastGrant uint64 `cbor:"Number"` // number of the last grant
+	Budgets   []*budgetState
+	Holders   []*holder // sorted by process, then incarnation
+}
--- a/internal/dispatcher/fleet/coordinator/run.go
+++ b/internal/dispatcher/fleet/coordinator/driver.go
@@ -2,21 +2,14 @@
 
 import (
 	"context"
-	"crypto/sha256"
 	"errors"
 	"fmt"
-	"slices"
 	"sync"
 	"time"
 
-	"basaltloft/internal/dispatcher/accounting"
-	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/fleet/partition"
 	"basaltloft/internal/dispatcher/fleet/plan"
 	"basaltloft/internal/dispatcher/fleet/planrun"
-	"basaltloft/internal/dispatcher/policy"
-
-	"github.com/sirupsen/logrus"
 )
 
 // driver drives one run under one fencing number.
@@ -226,134 +219,3 @@
 	r.coordinator.log.WithError(why).WithField("run", r.id).Error("plan run abandoned: expression can't be evaluated")
 	r.execute(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: r.id, Fence: r.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
 }
-
-// job makes the job of an attempt.
-func (r *driver) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
-	st, it := r.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
-	j = Job{ID: jobID(r.id, a), Class: a.Class, Tenant: v.Run.Tenant, CostHint: st.Cost, Plan: r.plan.Name, Stage: st.Name, Deadline: time.Now().Add(a.At - at)}
-	if vals := r.values(v, a.Stage, it.Value); a.Undo {
-		j.Path, j.Body, j.Key, err = st.Undo.Render(vals)
-	} else {
-		j.Path, j.Body, j.Key, err = st.Render(vals)
-	}
-	if a.Where != plan.Anywhere {
-		j.ExcludedMember, j.ExcludeItsZone = a.Member, a.Where == plan.OtherZone
-	}
-	return j, err
-}
-
-// send submits an attempt once the replicated state has approved it, and reports its end.
-func (r *driver) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
-	j, err := r.job(t.Action, v, at)
-	if err != nil {
-		r.abandon(ctx, t.Stage, err)
-	} else if !t.SpendsRetryBudget || r.takeRetryBudget(ctx, t.Class, j.Deadline) {
-		err = r.execute(ctx, planrun.Command{SendAttempt: t.Sending})
-	} else {
-		err = ErrNoSession
-	}
-	may := false
-	r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) {
-		may = m.Accepted(*t.Sending, t.ID, err, r.coordinator.fleet.HoldsLease())
-	})
-	if !may {
-		return
-	}
-	done, sent := make(chan engine.Answer, 1), time.Now()
-	if err := r.coordinator.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
-		r.coordinator.log.WithError(err).WithField("run", r.id).Error("plan stage rejected as a job")
-		r.reportEnd(t.Sending.EndReport(plan.Unsent, nil, "", nil))
-		return
-	}
-	answer := <-done
-	end, result, said := endOf(answer), []byte(nil), answer.MemberError
-	r.coordinator.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "sends": answer.Attempts}).Debug("plan stage's job ended")
-	if end == plan.Done {
-		r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Estimator.Observe(t.Class, time.Since(sent)) })
-		result, said = answer.Body, answer.Body
-	}
-	var lost *planrun.LostInput
-	if !t.Undo {
-		if lost = r.lostInput(end, t, said); lost != nil {
-			end, result = plan.Lost, nil
-		}
-	}
-	r.reportEnd(t.Sending.EndReport(end, result, answer.LastMember, lost))
-}
-
-// reportEnd reports an attempt's end, also when another process drives the run by then: it
-// may still count.
-func (r *driver) reportEnd(e planrun.ReportEnd) {
-	if err := r.execute(r.lifetime, planrun.Command{ReportEnd: &e}); errors.Is(err, planrun.ErrTooLarge) {
-		e.End, e.Result = plan.Failed, nil
-		r.execute(r.lifetime, planrun.Command{ReportEnd: &e})
-	}
-}
-
-// lostInput evaluates the rerun conditions of a stage: an input that the attempt reports as
-// lost, or nil.
-func (r *driver) lostInput(end plan.End, t planrun.Task, said []byte) *planrun.LostInput {
-	st, upstream := r.plan.Stages[t.Stage], r.shape.Upstream(t.Stage)
-	for i := range st.Reruns {
-		holds, err := st.Reruns[i].Holds(end, said)
-		if err != nil {
-			r.coordinator.log.WithError(err).WithField("run", r.id).Warn("rerun condition can't be evaluated and counts as false")
-			continue
-		}
-		at := slices.IndexFunc(upstream, func(u int) bool { return r.shape.Stages[u].Name == st.Reruns[i].Of })
-		if holds && at >= 0 && at < len(t.Inputs) {
-			return &planrun.LostInput{Stage: upstream[at], Generation: t.Inputs[at]}
-		}
-	}
-	return nil
-}
-
-// takeRetryBudget takes an attempt beyond the first from the fleet's retry budget, and
-// waits for one while the attempt can still be sent.
-func (r *driver) takeRetryBudget(ctx context.Context, class string, until time.Time) bool {
-	for !r.coordinator.fleet.TakeRetry(r.id, class) {
-		at := r.coordinator.fleet.RetryTime(class, time.Now())
-		if !at.Before(until) {
-			at = until
-		}
-		select {
-		case <-ctx.Done():
-			return false
-		case <-time.After(max(time.Millisecond, time.Until(at))):
-		}
-		if _, _, over := r.current(); over || r.coordinator.isDraining() || !time.Now().Before(until) {
-			return false
-		}
-	}
-	return true
-}
-
-// jobID names an attempt: the same at every coordinator, and different from any other
-// attempt.
-func jobID(run string, a planrun.Action) string {
-	sum := sha256.Sum256([]byte(run))
-	what := "j"
-	if a.Undo {
-		what = "u"
-	}
-	return fmt.Sprintf("plan-%x-%d-%d-%s%d", sum[:12], a.Stage, a.Item, what, a.Attempt)
-}
-
-// endOf classifies how a job ended.
-func endOf(a engine.Answer) plan.End {
-	switch {
-	case a.Verdict == engine.Served:
-		return plan.Done
-	case !a.MayHaveRun && a.Attempts > 0 && a.LastStatus == policy.Rejected:
-		return plan.Full
-	case !a.MayHaveRun && a.Attempts > 0:
-		return plan.Unsent
-	case !a.MayHaveRun:
-		return plan.Refused
-	case a.Reason == accounting.MemberError || a.Reason == accounting.BadRequest || a.LastStatus == policy.Error:
-		return plan.Failed
-	case a.LastStatus == policy.Reset:
-		return plan.Reset
-	}
-	return plan.Late
-}
--- /dev/null
+++ b/internal/dispatcher/fleet/harness/digest_monitor.go
@@ -0,0 +1,81 @@
+package harness
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+)
+
+// DigestMonitor compares the digests that raft nodes report of their state, by log index.
+type DigestMonitor struct {
+	mu          sync.Mutex
+	byIndex     map[uint64]map[string]string // then by partition
+	lastIndex   map[string]uint64            // by process
+	differences []string
+}
+
+// Watch polls all processes until the context ends. It is for Soak.Background.
+func (d *DigestMonitor) Watch(ctx context.Context, r *Cluster) {
+	for ctx.Err() == nil {
+		for _, p := range r.Processes {
+			d.poll(p)
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(200 * time.Millisecond):
+		}
+	}
+}
+
+func (d *DigestMonitor) poll(p *Process) {
+	var s struct {
+		Keeper *struct {
+			Index   uint64
+			Digests map[string]string
+		}
+	}
+	_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
+	if err != nil || json.Unmarshal([]byte(text), &s) != nil || s.Keeper == nil || s.Keeper.Index == 0 { // it has no state yet
+		return
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.byIndex == nil {
+		d.byIndex, d.lastIndex = make(map[uint64]map[string]string), make(map[string]uint64)
+	}
+	at := s.Keeper.Index
+	d.lastIndex[p.Name] = at
+	if was := d.byIndex[at]; was == nil {
+		d.byIndex[at] = s.Keeper.Digests
+	} else if !maps.Equal(was, s.Keeper.Digests) {
+		d.differences = append(d.differences, fmt.Sprintf("%s at %d: %v, before %v", p.Name, at, s.Keeper.Digests, was))
+	}
+}
+
+// WaitConverged waits until this many raft nodes report the same index, and returns all
+// differences that were seen.
+func (d *DigestMonitor) WaitConverged(r *Cluster, keepers int, until time.Time) ([]string, error) {
+	for time.Now().Before(until) {
+		for _, p := range r.Processes {
+			d.poll(p)
+		}
+		d.mu.Lock()
+		ends := slices.Compact(slices.Sorted(maps.Values(d.lastIndex)))
+		diff, told := slices.Clone(d.differences), len(d.lastIndex)
+		d.mu.Unlock()
+		if told == keepers && len(ends) == 1 {
+			return diff, nil
+		}
+	}
+	var said []string
+	for _, p := range r.Processes {
+		_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
+		said = append(said, fmt.Sprintf("%s: %s (%v)", p.Name, text, err))
+	}
+	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", keepers, d.lastIndex, strings.Join(said, "\n"))
+}
--- /dev/null
+++ b/internal/dispatcher/fleet/harness/plan_load.go
@@ -0,0 +1,50 @@
+package harness
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// PlanLoad starts runs of a plan, and compares what it is told of their outcomes.
+type PlanLoad struct {
+	Plan, Query string        // with Query: of the request that starts a run
+	Interval    time.Duration // from one run to the next
+	started     []string      // by Run, until that returns
+}
+
+// Run starts runs until the context ends, each at a random process, and again at another
+// until one has confirmed it. It is for Soak.Background.
+func (b *PlanLoad) Run(ctx context.Context, r *Cluster) {
+	for n := 0; ctx.Err() == nil; n++ {
+		run := fmt.Sprintf("run-%05d", n)
+		b.started = append(b.started, run)
+		for until := time.Now().Add(transitionTimeout); time.Now().Before(until); { // also past the context's end
+			path := "/plans/" + b.Plan + "?run=" + run + "&" + b.Query
+			status, _, err := r.RandomProcess().AdminRequest("POST", path, fmt.Sprintf(`{"booking":%q}`, run), time.Now().Add(2*time.Second))
+			if err == nil && (status == 200 || status == 202) {
+				break
+			}
+			time.Sleep(b.Interval / 8)
+		}
+		time.Sleep(b.Interval)
+	}
+}
+
+// Outcomes asks two processes for the outcome of each run, until a time at the latest.
+func (b *PlanLoad) Outcomes(r *Cluster, until time.Time) Outcomes {
+	var ends []FinalAnswer
+	for _, run := range b.started {
+		for range 2 {
+			for p := r.RandomProcess(); time.Now().Before(until); p = r.RandomProcess() {
+				status, text, err := p.AdminRequest("GET", "/runs/"+run, "", time.Now().Add(2*time.Second))
+				if err == nil && status == 200 {
+					ends = append(ends, FinalAnswer{run, text})
+					break
+				}
+				time.Sleep(5 * time.Millisecond)
+			}
+		}
+	}
+	return CompareOutcomes(b.started, ends)
+}
--- a/internal/dispatcher/fleet/harness/soak.go
+++ b/internal/dispatcher/fleet/harness/soak.go
@@ -2,12 +2,9 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"maps"
 	"slices"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -81,75 +78,6 @@
 	return all
 }
 
-// DigestMonitor compares the digests that raft nodes report of their state, by log index.
-type DigestMonitor struct {
-	mu          sync.Mutex
-	byIndex     map[uint64]map[string]string // then by partition
-	lastIndex   map[string]uint64            // by process
-	differences []string
-}
-
-// Watch polls all processes until the context ends. It is for Soak.Background.
-func (d *DigestMonitor) Watch(ctx context.Context, r *Cluster) {
-	for ctx.Err() == nil {
-		for _, p := range r.Processes {
-			d.poll(p)
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(200 * time.Millisecond):
-		}
-	}
-}
-
-func (d *DigestMonitor) poll(p *Process) {
-	var s struct {
-		Keeper *struct {
-			Index   uint64
-			Digests map[string]string
-		}
-	}
-	_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
-	if err != nil || json.Unmarshal([]byte(text), &s) != nil || s.Keeper == nil || s.Keeper.Index == 0 { // it has no state yet
-		return
-	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.byIndex == nil {
-		d.byIndex, d.lastIndex = make(map[uint64]map[string]string), make(map[string]uint64)
-	}
-	at := s.Keeper.Index
-	d.lastIndex[p.Name] = at
-	if was := d.byIndex[at]; was == nil {
-		d.byIndex[at] = s.Keeper.Digests
-	} else if !maps.Equal(was, s.Keeper.Digests) {
-		d.differences = append(d.differences, fmt.Sprintf("%s at %d: %v, before %v", p.Name, at, s.Keeper.Digests, was))
-	}
-}
-
-// WaitConverged waits until this many raft nodes report the same index, and returns all
-// differences that were seen.
-func (d *DigestMonitor) WaitConverged(r *Cluster, keepers int, until time.Time) ([]string, error) {
-	for time.Now().Before(until) {
-		for _, p := range r.Processes {
-			d.poll(p)
-		}
-		d.mu.Lock()
-		ends := slices.Compact(slices.Sorted(maps.Values(d.lastIndex)))
-		diff, told := slices.Clone(d.differences), len(d.lastIndex)
-		d.mu.Unlock()
-		if told == keepers && len(ends) == 1 {
-			return diff, nil
-		}
-	}
-	var said []string
-	for _, p := range r.Processes {
-		_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
-		said = append(said, fmt.Sprintf("%s: %s (%v)", p.Name, text, err))
-	}
-	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", keepers, d.lastIndex, strings.Join(said, "\n"))
-}
-
 // Run runs load with faults that end within a time, and returns a summary. It fails the
 // test for each check that must be zero and isn't.
 func (s Soak) Run(t testing.TB, length time.Duration) string {
@@ -185,149 +113,6 @@
 	return strings.Join(line, ", ")
 }
 
-// PlanLoad starts runs of a plan, and compares what it is told of their outcomes.
-type PlanLoad struct {
-	Plan, Query string        // with Query: of the request that starts a run
-	Interval    time.Duration // from one run to the next
-	started     []string      // by Run, until that returns
-}
-
-// Run starts runs until the context ends, each at a random process, and again at another
-// until one has confirmed it. It is for Soak.Background.
-func (b *PlanLoad) Run(ctx context.Context, r *Cluster) {
-	for n := 0; ctx.Err() == nil; n++ {
-		run := fmt.Sprintf("run-%05d", n)
-		b.started = append(b.started, run)
-		for until := time.Now().Add(transitionTimeout); time.Now().Before(until); { // also past the context's end
-			path := "/plans/" + b.Plan + "?run=" + run + "&" + b.Query
-			status, _, err := r.RandomProcess().AdminRequest("POST", path, fmt.Sprintf(`{"booking":%q}`, run), time.Now().Add(2*time.Second))
-			if err == nil && (status == 200 || status == 202) {
-				break
-			}
-			time.Sleep(b.Interval / 8)
-		}
-		time.Sleep(b.Interval)
-	}
-}
-
-// Outcomes asks two processes for the outcome of each run, until a time at the latest.
-func (b *PlanLoad) Outcomes(r *Cluster, until time.Time) Outcomes {
-	var ends []FinalAnswer
-	for _, run := range b.started {
-		for range 2 {
-			for p := r.RandomProcess(); time.Now().Before(until); p = r.RandomProcess() {
-				status, text, err := p.AdminRequest("GET", "/runs/"+run, "", time.Now().Add(2*time.Second))
-				if err == nil && status == 200 {
-					ends = append(ends, FinalAnswer{run, text})
-					break
-				}
-				time.Sleep(5 * time.Millisecond)
-			}
-		}
-	}
-	return CompareOutcomes(b.started, ends)
-}
-
-// RetentionMonitor watches which records the fleet keeps of a tenant whose rule prunes
-// them, and compares those of other tenants with the clients' answers at the end.
-type RetentionMonitor struct {
-	PrunedTenant string   // the tenant with a rule
-	KeptTenants  []string // tenants without one
-	Lag          time.Duration
-	removed      map[string]bool
-	present      map[string]bool
-	resurrected  []string
-	missing      []string
-	extra        []string
-}
-
-// list returns the ids of all records of a tenant, by pages.
-func (k *RetentionMonitor) list(r *Cluster, tenant string, until time.Time) (ids []string, err error) {
-	after := ""
-	for {
-		var page struct {
-			Records []struct{ ID string }
-			Next    string
-		}
-		status, text, err := r.RandomProcess().AdminRequest("GET", "/records?most=1000&tenant="+tenant+"&after="+after, "", time.Now().Add(2*time.Second))
-		if err != nil || status != 200 || json.Unmarshal([]byte(text), &page) != nil {
-			if time.Now().After(until) {
-				return nil, fmt.Errorf("records of %s: %d %s (%v)", tenant, status, text, err)
-			}
-			time.Sleep(20 * time.Millisecond)
-			continue
-		}
-		for _, one := range page.Records {
-			ids = append(ids, one.ID)
-		}
-		if after = page.Next; after == "" {
-			return ids, nil
-		}
-	}
-}
-
-// Watch observes which records come and go until the context ends. It is for
-// Soak.Background.
-func (k *RetentionMonitor) Watch(ctx context.Context, r *Cluster) {
-	k.removed, k.present = make(map[string]bool), make(map[string]bool)
-	for ctx.Err() == nil {
-		if ids, err := k.list(r, k.PrunedTenant, time.Now().Add(transitionTimeout)); err == nil {
-			k.observe(ids)
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(300 * time.Millisecond):
-		}
-	}
-}
-
-func (k *RetentionMonitor) observe(ids []string) {
-	now := make(map[string]bool, len(ids))
-	for _, id := range ids {
-		if now[id] = true; k.removed[id] {
-			k.resurrected = append(k.resurrected, id)
-		}
-	}
-	for id := range k.present {
-		if !now[id] {
-			k.removed[id] = true
-		}
-	}
-	k.present = now
-}
-
-// Check waits until every spool is empty, and compares the records with the clients' calls.
-// What a process answered within Lag before an outage may be lost with it.
-func (k *RetentionMonitor) Check(r *Cluster) error {
-	for _, p := range r.Processes {
-		if _, err := p.WaitForAdmin("/fleet", `"unsent":0[,}]`, time.Now().Add(2*transitionTimeout)); err != nil {
-			return err
-		}
-	}
-	for _, tenant := range k.KeptTenants {
-		ids, err := k.list(r, tenant, time.Now().Add(transitionTimeout))
-		if err != nil {
-			return err
-		}
-		got, asked := make(map[string]int), make(map[string]bool)
-		for _, id := range ids {
-			got[id]++
-		}
-		for _, c := range r.Calls() {
-			asked[c.ID] = true
-			if c.Tenant == tenant && c.Status != 0 && got[c.ID] == 0 && !r.hadOutage(c.Addr, c.Ended, k.Lag) {
-				k.missing = append(k.missing, c.ID)
-			}
-		}
-		for id, n := range got {
-			if n > 1 || !asked[id] && !strings.HasPrefix(id, "plan-") {
-				k.extra = append(k.extra, id)
-			}
-		}
-	}
-	return nil
-}
-
 // hadOutage reports whether a process went out of service within a time after a moment.
 func (r *Cluster) hadOutage(addr string, at time.Time, within time.Duration) bool {
 	r.mu.Lock()
--- /dev/null
+++ b/internal/dispatcher/fleet/plan/digest.go
@@ -0,0 +1,43 @@
+package plan
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"basaltloft/internal/dispatcher/policy"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// digestClass is the form in which a class goes into a plan's digest, which runs under
+// way and other builds know the plan by: with the verb %+v the names and the order of
+// these fields are part of the digest, so they stay whatever policy.Class calls them.
+type digestClass struct {
+	Name    string
+	Effect  policy.Effect
+	Group   policy.DedupScope
+	Window  time.Duration
+	Aim     time.Duration
+	Stretch float64
+	GiveUp  time.Duration
+	Worth   float64
+	Kind    int
+}
+
+// computeDigest returns the digest of the plan's text and of the classes that it names.
+func (p *Plan) computeDigest(text []byte, classes map[string]policy.Class) uint64 {
+	sum := xxhash.New()
+	_, _ = sum.Write(text) // a hash never fails
+	for _, name := range slices.Sorted(maps.Keys(classes)) {
+		if p.namesClass(name) {
+			c := classes[name]
+			fmt.Fprintf(sum, "%+v", digestClass{
+				Name: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window, Aim: c.Aim, Stretch: c.Stretch,
+				GiveUp: c.GiveUp, Worth: c.Worth, Kind: c.Kind,
+			})
+		}
+	}
+	return sum.Sum64()
+}
--- /dev/null
+++ b/internal/dispatcher/fleet/plan/functions.go
@@ -0,0 +1,125 @@
+package plan
+
+import (
+	"fmt"
+	"net/url"
+	"strings"
+	"unicode"
+
+	"github.com/hashicorp/hcl/v2/ext/tryfunc"
+	"github.com/zclconf/go-cty/cty"
+	"github.com/zclconf/go-cty/cty/convert"
+	"github.com/zclconf/go-cty/cty/function"
+	"github.com/zclconf/go-cty/cty/function/stdlib"
+)
+
+// functions are all that expressions may call. None is random, reads a clock, or makes much
+// output of little input.
+var functions = map[string]function.Function{
+	"can":        tryfunc.CanFunc,
+	"coalesce":   stdlib.CoalesceFunc,
+	"contains":   stdlib.ContainsFunc,
+	"format":     withValidation(stdlib.FormatFunc, validateFormat),
+	"join":       joinFunc,
+	"jsonencode": stdlib.JSONEncodeFunc,
+	"length":     stdlib.LengthFunc,
+	"lower":      stdlib.LowerFunc,
+	"present":    presentFunc,
+	"segment":    segmentFunc,
+	"try":        tryfunc.TryFunc,
+}
+
+// withValidation validates the first argument, a string, before a function is called.
+func withValidation(f function.Function, fits func(string) error) function.Function {
+	return function.New(&function.Spec{
+		Params: f.Params(), VarParam: f.VarParam(), Type: f.ReturnTypeForValues,
+		Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
+			if args[0].IsKnown() && !args[0].IsNull() {
+				if err := fits(args[0].AsString()); err != nil {
+					return cty.NilVal, function.NewArgError(0, err)
+				}
+			}
+			return f.Call(args)
+		},
+	})
+}
+
+// validateFormat bounds the widths in a format, which would make much output of nothing.
+func validateFormat(spec string) error {
+	digits := 0
+	for _, r := range spec {
+		if digits++; !unicode.IsDigit(r) {
+			digits = 0
+		}
+		if digits > 2 || len(spec) > maxKeyLength || strings.Count(spec, "%") > 16 {
+			return fmt.Errorf("a format has at most %d letters, 16 verbs, and numbers of 2 digits", maxKeyLength)
+		}
+	}
+	return nil
+}
+
+// joinFunc joins any strings and numbers: the library's function would first find one type
+// for all entries, in quadratic time.
+var joinFunc = function.New(&function.Spec{
+	Params: []function.Parameter{{Name: "between", Type: cty.String}, {Name: "list", Type: cty.DynamicPseudoType}},
+	Type:   function.StaticReturnType(cty.String),
+	Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
+		between := args[0].AsString()
+		if len(between) > maxNameLength {
+			return cty.NilVal, function.NewArgErrorf(0, "what goes between has at most %d letters", maxNameLength)
+		}
+		if t := args[1].Type(); !t.IsTupleType() && !t.IsListType() {
+			return cty.NilVal, function.NewArgErrorf(1, "a list is needed, not %s", typeName(args[1]))
+		}
+		var words []string
+		for it := args[1].ElementIterator(); it.Next(); {
+			_, one := it.Element()
+			if !one.IsKnown() { // in the check
+				return cty.UnknownVal(cty.String), nil
+			}
+			text, err := convert.Convert(one, cty.String)
+			if err != nil || text.IsNull() {
+				return cty.NilVal, function.NewArgErrorf(1, "entry %d is not text but %s", len(words), typeName(one))
+			}
+			words = append(words, text.AsString())
+		}
+		return cty.StringVal(strings.Join(words, between)), nil
+	},
+})
+
+// presentFunc returns a list without its nulls.
+var presentFunc = function.New(&function.Spec{
+	Params: []function.Parameter{{Name: "list", Type: cty.DynamicPseudoType}},
+	Type: func(args []cty.Value) (cty.Type, error) {
+		return cty.DynamicPseudoType, nil
+	},
+	Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
+		if t := args[0].Type(); !t.IsTupleType() && !t.IsListType() {
+			return cty.NilVal, function.NewArgErrorf(0, "a list is needed, not %s", typeName(args[0]))
+		}
+		var kept []cty.Value
+		for it := args[0].ElementIterator(); it.Next(); {
+			_, one := it.Element()
+			if !one.IsKnown() { // in the check
+				return cty.DynamicVal, nil
+			}
+			if !one.IsNull() {
+				kept = append(kept, one)
+			}
+		}
+		return cty.TupleVal(kept), nil
+	},
+})
+
+// segmentFunc escapes a string as one segment of a path.
+var segmentFunc = function.New(&function.Spec{
+	Params: []function.Parameter{{Name: "text", Type: cty.String}},
+	Type:   function.StaticReturnType(cty.String),
+	Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
+		text := url.PathEscape(args[0].AsString())
+		if text == "" || text == "." || text == ".." {
+			return cty.NilVal, function.NewArgErrorf(0, "%q is no segment of a path", text)
+		}
+		return cty.StringVal(text), nil
+	},
+})
--- a/internal/dispatcher/fleet/plan/parse.go
+++ b/internal/dispatcher/fleet/plan/parse.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"maps"
 	"math"
 	"slices"
@@ -11,12 +10,9 @@
 
 	"basaltloft/internal/dispatcher/policy"
 
-	"github.com/agext/levenshtein"
-	"github.com/cespare/xxhash/v2"
 	"github.com/hashicorp/hcl/v2"
 	"github.com/hashicorp/hcl/v2/hclparse"
 	"github.com/hashicorp/hcl/v2/hclsyntax"
-	"github.com/zclconf/go-cty/cty"
 )
 
 // Bounds of a plan file. With those on values they bound what any plan may cost to parse,
@@ -36,18 +32,6 @@
 	maxNameLength      = 64
 )
 
-// Problem is one error in a plan file, and what would be right.
-type Problem struct {
-	File         string
-	Line, Column int // counted from 1
-	Text         string
-}
-
-// String returns the problem in the format that editors parse.
-func (p Problem) String() string {
-	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Text)
-}
-
 // Parse parses the plans of a file and checks them against the classes in service. It
 // returns all problems, in the order of the file. A plan with a problem is refused as a
 // whole; the others are returned. A file that can't be parsed has no plans.
@@ -79,37 +63,6 @@
 	problems []Problem
 }
 
-func (f *fileParser) addProblem(at hcl.Range, format string, args ...any) {
-	f.problems = append(f.problems, Problem{f.name, max(at.Start.Line, 1), max(at.Start.Column, 1), fmt.Sprintf(format, args...)})
-}
-
-// addDiagnostics adds the errors that the HCL library found.
-func (f *fileParser) addDiagnostics(diags hcl.Diagnostics) {
-	for _, d := range diags {
-		if d.Severity != hcl.DiagError {
-			continue
-		}
-		var at hcl.Range
-		if d.Subject != nil {
-			at = *d.Subject
-		}
-		f.addProblem(at, "%s", diagnosticText(d))
-	}
-}
-
-// diagnosticText formats a diagnostic as one line.
-func diagnosticText(d *hcl.Diagnostic) string {
-	text := strings.Join(strings.Fields(d.Detail), " ")
-	return lowerFirst(strings.TrimSuffix(d.Summary, ".")) + ": " + strings.TrimSuffix(text, ".")
-}
-
-func lowerFirst(text string) string {
-	if text == "" {
-		return "error"
-	}
-	return strings.ToLower(text[:1]) + text[1:]
-}
-
 // checkBounds checks the tokens of a file before the HCL library builds a tree of them,
 // since the library recurses for each bracket.
 func (f *fileParser) checkBounds() bool {
@@ -208,14 +161,7 @@
 			p.Stages = append(p.Stages, s)
 		}
 	}
-	sum := xxhash.New()
-	sum.Write(hcl.RangeBetween(block.TypeRange, block.CloseBraceRange).SliceBytes(f.text))
-	for _, name := range slices.Sorted(maps.Keys(f.classes)) {
-		if p.namesClass(name) {
-			fmt.Fprintf(sum, "%+v", f.classes[name])
-		}
-	}
-	p.Digest = sum.Sum64()
+	p.Digest = p.computeDigest(hcl.RangeBetween(block.TypeRange, block.CloseBraceRange).SliceBytes(f.text), f.classes)
 	return p
 }
 
@@ -351,206 +297,3 @@
 	class.Name = name
 	return class
 }
-
-// suggestion formats what would be right.
-func suggestion(word string, right []string) string {
-	for _, r := range right {
-		if levenshtein.Distance(word, r, nil) < 3 {
-			return fmt.Sprintf("; did you mean %q?", r)
-		}
-	}
-	if len(right) == 0 {
-		return "; there is none"
-	}
-	return "; one of " + strings.Join(right, ", ")
-}
-
-// bodyReader reads the body of a block: it remembers what was asked for, and reports the
-// rest.
-type bodyReader struct {
-	*fileParser
-	block          *hclsyntax.Body
-	description    string
-	readAttributes []string
-	readBlocks     []string
-}
-
-func (f *fileParser) newBodyReader(at *hclsyntax.Body, what string) *bodyReader {
-	return &bodyReader{fileParser: f, block: at, description: what}
-}
-
-func (b *bodyReader) hasAttribute(name string) bool { return b.block.Attributes[name] != nil }
-
-func (b *bodyReader) attribute(name string) *hclsyntax.Attribute {
-	b.readAttributes = append(b.readAttributes, name)
-	return b.block.Attributes[name]
-}
-
-func (b *bodyReader) blocks(kind string, most int) (found []*hclsyntax.Block) {
-	b.readBlocks = append(b.readBlocks, kind)
-	for _, block := range b.block.Blocks {
-		if block.Type == kind {
-			found = append(found, block)
-		}
-	}
-	if len(found) > most {
-		b.addProblem(found[most].DefRange(), "%s has at most %d of %s", b.description, most, kind)
-		found = found[:most]
-	}
-	return found
-}
-
-// reportUnread adds a problem for each attribute and block that nothing has read.
-func (b *bodyReader) reportUnread() {
-	for _, name := range slices.Sorted(maps.Keys(b.block.Attributes)) {
-		if !slices.Contains(b.readAttributes, name) {
-			hint := suggestion(name, append(slices.Clone(b.readAttributes), b.readBlocks...))
-			if slices.Contains(b.readBlocks, name) {
-				hint = fmt.Sprintf("; %s is a block: %s { ... }, without =", name, name)
-			}
-			b.addProblem(b.block.Attributes[name].NameRange, "%s has no %q%s", b.description, name, hint)
-		}
-	}
-	for _, block := range b.block.Blocks {
-		if !slices.Contains(b.readBlocks, block.Type) {
-			hint := suggestion(block.Type, append(slices.Clone(b.readBlocks), b.readAttributes...))
-			if slices.Contains(b.readAttributes, block.Type) {
-				hint = fmt.Sprintf("; write %s = ...", block.Type)
-			}
-			b.addProblem(block.TypeRange, "%s has no block %q%s", b.description, block.Type, hint)
-		}
-	}
-}
-
-// expression returns an expression that is evaluated later.
-func (b *bodyReader) expression(name string, need bool) hcl.Expression {
-	a := b.attribute(name)
-	if a == nil {
-		if need {
-			b.addProblem(b.block.MissingItemRange(), "%s needs %s", b.description, name)
-		}
-		return nil
-	}
-	return a.Expr
-}
-
-// constant returns a value that is known now.
-func (b *bodyReader) constant(name string, need bool, as cty.Type, right string) (cty.Value, hcl.Range, bool) {
-	e := b.expression(name, need)
-	if e == nil {
-		return cty.NilVal, hcl.Range{}, false
-	}
-	if !b.checkExpression(e) {
-		return cty.NilVal, hcl.Range{}, false
-	}
-	if len(e.Variables()) > 0 {
-		b.addProblem(e.Range(), "%s must be written out, not computed: %s", name, right)
-		return cty.NilVal, hcl.Range{}, false
-	}
-	v, diags := evaluateRaw(e, nil)
-	if diags.HasErrors() {
-		b.addDiagnostics(diags)
-		return cty.NilVal, hcl.Range{}, false
-	}
-	if v.IsNull() || v.Type() != as {
-		b.addProblem(e.Range(), "%s must be %s", name, right)
-		return cty.NilVal, hcl.Range{}, false
-	}
-	return v, e.Range(), true
-}
-
-func (b *bodyReader) stringValue(name string, need bool) string {
-	v, _, ok := b.constant(name, need, cty.String, `text, as in "abc"`)
-	if !ok {
-		return ""
-	}
-	return v.AsString()
-}
-
-func (b *bodyReader) enumValue(name, usual string, right []string) string {
-	v, at, ok := b.constant(name, false, cty.String, "one of "+strings.Join(right, ", "))
-	if !ok {
-		return usual
-	}
-	if !slices.Contains(right, v.AsString()) {
-		b.addProblem(at, "unknown %s %q%s", name, v.AsString(), suggestion(v.AsString(), right))
-	}
-	return v.AsString()
-}
-
-func (b *bodyReader) number(name string, need bool, least, most, usual float64, right string) float64 {
-	v, at, ok := b.constant(name, need, cty.Number, right)
-	if !ok {
-		return usual
-	}
-	n, _ := v.AsBigFloat().Float64()
-	if n < least || n > most {
-		b.addProblem(at, "%s must be %s", name, right)
-		return usual
-	}
-	return n
-}
-
-func (b *bodyReader) integer(name string, need bool, least, most, usual int) int {
-	right := fmt.Sprintf("a whole number from %d to %d", least, most)
-	n := b.number(name, need, float64(least), float64(most), float64(usual), right)
-	if n != math.Trunc(n) {
-		b.addProblem(b.block.Attributes[name].Expr.Range(), "%s must be %s", name, right)
-	}
-	return int(n)
-}
-
-func (b *bodyReader) fraction(name string) float64 {
-	return b.number(name, false, 0, 1, 0, "a number from 0 to 1")
-}
-
-func (b *bodyReader) duration(name string, need bool, least, most, usual time.Duration) time.Duration {
-	right := fmt.Sprintf(`a time from %s to %s, as in "250ms", "2s" or "1m30s"`, formatDuration(least), formatDuration(most))
-	v, at, ok := b.constant(name, need, cty.String, right)
-	if !ok {
-		return usual
-	}
-	d, err := time.ParseDuration(v.AsString())
-	if err != nil || d < least || d > most {
-		b.addProblem(at, "%s = %q must be %s", name, v.AsString(), right)
-		return usual
-	}
-	return d
-}
-
-// stringList returns a list of strings, and the source range of each.
-func (b *bodyReader) stringList(name string, need bool) (words []string, at []hcl.Range) {
-	e := b.expression(name, need)
-	if e == nil {
-		return nil, nil
-	}
-	list, ok := e.(*hclsyntax.TupleConsExpr)
-	if !ok {
-		b.addProblem(e.Range(), `%s must be a list of texts, as in ["a", "b"]`, name)
-		return nil, nil
-	}
-	if len(list.Exprs) > maxStages {
-		b.addProblem(e.Range(), "%s has at most %d entries", name, maxStages)
-		return nil, nil
-	}
-	for _, one := range list.Exprs {
-		if v, diags := evaluateRaw(one, nil); !diags.HasErrors() && !v.IsNull() && v.Type() == cty.String && v.IsKnown() {
-			words, at = append(words, v.AsString()), append(at, one.Range())
-			continue
-		}
-		b.addProblem(one.Range(), `%s must be a list of texts, as in ["a", "b"]`, name)
-	}
-	return words, at
-}
-
-// formatDuration formats a duration without trailing zero units.
-func formatDuration(d time.Duration) string {
-	text := d.String()
-	if strings.HasSuffix(text, "m0s") {
-		text = strings.TrimSuffix(text, "0s")
-	}
-	if strings.HasSuffix(text, "h0m") {
-		text = strings.TrimSuffix(text, "0m")
-	}
-	return text
-}
--- a/internal/dispatcher/fleet/plan/worst.go
+++ b/internal/dispatcher/fleet/plan/worst_case.go
@@ -198,3 +198,40 @@
 	}
 	return d * time.Duration(max(n, 0))
 }
+
+// checkWorstCase checks that every run ends within the plan's bounds.
+func (c *checker) checkWorstCase() {
+	p, items := c.plan, 0
+	for _, s := range p.Stages {
+		if items += s.itemCount(); items > maxItems {
+			c.addProblem(s.Range, "plan %q has more than %d items over all its stages: lower most", p.Name, maxItems)
+			return
+		}
+	}
+	p.Worst = p.worstCase()
+	if p.Worst.Attempts > p.MaxAttempts {
+		c.addProblem(c.plan.boundRanges["attempts"], "plan %q may take %d attempts, above its bound of %d: raise attempts, or lower most of retries, reruns, lists or undos (%s)", p.Name, p.Worst.Attempts, p.MaxAttempts, p.describeCostliest())
+	}
+	if p.Worst.Duration > p.Timeout {
+		c.addProblem(c.plan.boundRanges["within"], "plan %q may take %s, above its bound of %s: raise within, or lower most and waits (%s)", p.Name, p.Worst.Duration, p.Timeout, p.describeLongestPath())
+	}
+	for _, s := range p.Stages {
+		if s.Effect == policy.Deduplicated {
+			last := s.runDuration() - s.AttemptTimeout // from the first send to the last
+			if s.Runs > 1 {
+				last = p.Worst.Duration - s.AttemptTimeout
+			}
+			p.noteForgottenKey(s.Name, c.classes[s.Class].Window, last)
+		}
+		if u := s.Undo; u != nil && u.Effect == policy.Deduplicated {
+			p.noteForgottenKey("the undo of "+s.Name, c.classes[u.Class].Window, u.totalDuration()-u.AttemptTimeout)
+		}
+	}
+}
+
+// noteForgottenKey notes a key that may be sent again after members have forgotten it.
+func (p *Plan) noteForgottenKey(what string, window, last time.Duration) {
+	if last > window {
+		p.Notes = append(p.Notes, fmt.Sprintf("%s: members remember its key for %s, and its last send may come %s after its first: such a late one counts anew", what, formatDuration(window), formatDuration(last)))
+	}
+}
--- a/internal/dispatcher/fleet/planrun/command.go
+++ b/internal/dispatcher/fleet/planrun/command.go
@@ -1,6 +1,7 @@
 package planrun
 
 import (
+	"basaltloft/internal/dispatcher/fleet/plan"
 	"errors"
 	"time"
 )
@@ -36,22 +37,6 @@
 	Kind    int               `cbor:",omitempty"` // of the refusal: 1 + its place among kinds
 }
 
-// refusalKinds are the errors that callers distinguish with errors.Is, also over the
-// network. Their order is part of the format: new ones are appended.
-var refusalKinds = []error{
-	ErrFull, ErrDeadline, ErrUnknownRun, ErrEnded, ErrFenced, ErrGivenUp, ErrNotFound, ErrInFlight, ErrSettled, ErrWrongAttempt, ErrAtMostOnce,
-	ErrStale, ErrTooEarly, ErrProducedElsewhere, ErrTooLarge, ErrInvalidShape,
-}
-
-// refusalError is a refusal that was received, with the error that it wraps.
-type refusalError struct {
-	text string
-	kind error
-}
-
-func (r refusalError) Error() string { return r.text }
-func (r refusalError) Unwrap() error { return r.kind }
-
 // Err returns why the command was refused, or nil. The error wraps one of this package's.
 func (r Reply) Err() error {
 	if r.Refusal == "" {
@@ -104,3 +89,102 @@
 	}
 	return r
 }
+
+// Start starts a run. If the run is known, it continues, or is answered.
+type Start struct {
+	Run, Plan   string
+	Tenant      string
+	Digest      uint64
+	Shape       Shape
+	Input       []byte
+	Seed        uint64        // of the retries' jitter
+	Before      time.Duration // deadline, if that is earlier than Shape.Timeout allows; a Start that arrives later has no effect
+	Process     string
+	Incarnation uint64
+}
+
+// StartReply answers a Start.
+type StartReply struct {
+	Known  bool    // the run existed before
+	Fence  uint64  // with which the caller coordinates it; 0: another process does, or it has ended
+	Answer *Answer // nil: it has not ended
+}
+
+// Claim takes over runs that have lost their coordinator.
+type Claim struct {
+	Process     string
+	Incarnation uint64
+	MaxRuns     int      `cbor:"Most"`
+	Plans       []uint64 // digests of the plans that the process knows; none: any
+}
+
+// Claimed is a run that was taken over.
+type Claimed struct {
+	Run   string
+	Fence uint64
+}
+
+// Open fixes the items of a stage, once, and the key of a shared one.
+type Open struct {
+	Run   string
+	Fence uint64
+	Stage int
+	Key   string
+	Items [][]byte // values of the list as JSON; a stage without a list has one item, nil
+}
+
+// SendAttempt announces that an attempt is about to be sent: it may run from here on.
+type SendAttempt struct {
+	Run           string
+	Fence         uint64
+	Stage         int
+	Item          int
+	Undo          bool
+	Generation    uint64   // of the stage
+	Inputs        []uint64 // generations of the stage's inputs, by Shape.Upstream
+	Attempt       uint32
+	RemainingTime time.Duration `cbor:"Rest"` // the shortest time that the rest of the plan needs, including this attempt
+}
+
+// SendAttemptReply answers an accepted SendAttempt. Again says that it was accepted before:
+// whoever gets this reply sends the attempt, unless it has sent it already.
+type SendAttemptReply struct{ Again bool }
+
+// ReportEnd reports how an attempt ended.
+type ReportEnd struct {
+	Run     string
+	Fence   uint64 // with which it was sent
+	Stage   int
+	Item    int
+	Undo    bool
+	Attempt uint32
+	End     plan.End
+	Result  []byte
+	Member  string
+	Lost    *LostInput // if End is plan.Lost
+}
+
+// LostInput is an input that an attempt reports as lost.
+type LostInput struct {
+	Stage      int
+	Generation uint64
+}
+
+// ReportEndReply answers a ReportEnd.
+type ReportEndReply struct {
+	Accepted bool    `cbor:"Once"`  // this report was the one that counted
+	NewLoss  bool    `cbor:"Fresh"` // the loss it reports was not known: the output is made again
+	Answer   *Answer // nil: the run has not ended
+}
+
+// Abandon gives a run up: its coordinator can't evaluate an expression.
+type Abandon struct {
+	Run    string
+	Fence  uint64
+	Stage  int // -1: the run as a whole
+	End    plan.End
+	Reason string
+}
+
+// Finish asks for a run's final answer.
+type Finish struct{ Run string }
--- a/internal/dispatcher/fleet/planrun/next.go
+++ b/internal/dispatcher/fleet/planrun/next.go
@@ -94,15 +94,3 @@
 	}
 	return list
 }
-
-// hasJobsInFlight reports whether a job is in flight.
-func (r *Run) hasJobsInFlight() bool {
-	for i := range r.Stages {
-		for k := range r.Stages[i].Items {
-			if r.Stages[i].Items[k].Job.State == InFlight {
-				return true
-			}
-		}
-	}
-	return false
-}
--- a/internal/dispatcher/fleet/planrun/orphans.go
+++ /dev/null
@@ -1,4 +0,0 @@
-package planrun
-
-// Orphans returns how many runs wait for a coordinator.
-func (b *Tracker) Orphans() int { return len(b.orphans) }
--- /dev/null
+++ b/internal/dispatcher/fleet/planrun/ownership.go
@@ -0,0 +1,87 @@
+package planrun
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"basaltloft/internal/dispatcher/fleet/plan"
+)
+
+// LeaseExpired says that the lease of a process's incarnation has ended. Its runs wait to
+// be claimed; the shared outputs that they were making are reassigned.
+func (b *Tracker) LeaseExpired(at time.Duration, process string, incarnation uint64) {
+	b.advanceClock(at)
+	for _, id := range sortedKeys(b.runs) {
+		if r := b.runs[id]; !r.Orphan && r.Process == process && r.Incarnation <= incarnation {
+			b.orphanRun(r)
+		}
+	}
+}
+
+func (b *Tracker) orphanRun(r *Run) {
+	r.Orphan = true
+	if i, found := slices.BinarySearch(b.orphans, r.ID); !found {
+		b.orphans = slices.Insert(b.orphans, i, r.ID)
+	}
+	b.reassignOutputs(r)
+}
+
+func (b *Tracker) unorphanRun(r *Run) {
+	r.Orphan = false
+	if i, found := slices.BinarySearch(b.orphans, r.ID); found {
+		b.orphans = slices.Delete(b.orphans, i, i+1)
+	}
+}
+
+// Claim assigns runs without a coordinator to a process, those with the earliest deadline
+// first, each with a new fencing number. What was in flight is decided by its effect:
+// idempotent and deduplicated jobs may be sent again, at-most-once jobs have ended with
+// plan.MayRun.
+func (b *Tracker) Claim(at time.Duration, c Claim) []Claimed {
+	at = b.advanceClock(at)
+	var list []*Run
+	for _, id := range b.orphans {
+		if r := b.runs[id]; len(c.Plans) == 0 || slices.Contains(c.Plans, r.Digest) {
+			list = append(list, r)
+		}
+	}
+	slices.SortStableFunc(list, func(x, y *Run) int { return cmp.Compare(x.Deadline, y.Deadline) })
+	var claimed []Claimed
+	for _, r := range list[:min(max(c.MaxRuns, 0), len(list))] {
+		if b.runs[r.ID] != r { // an output that another of them made has ended it
+			continue
+		}
+		b.unorphanRun(r)
+		b.lastFence++
+		r.Fence, r.Process, r.Incarnation = b.lastFence, c.Process, c.Incarnation
+		claimed = append(claimed, Claimed{r.ID, r.Fence})
+		for i := range r.Stages {
+			for k := range r.Stages[i].Items {
+				b.resolveInFlight(at, r, i, k)
+			}
+		}
+		b.finishIfDone(at, r)
+	}
+	return claimed
+}
+
+// resolveInFlight ends the attempts that were in flight when the coordinator failed.
+func (b *Tracker) resolveInFlight(at time.Duration, r *Run, stage, item int) {
+	sh, it := &r.shape.Stages[stage], &r.Stages[stage].Items[item]
+	if u := &it.Undo; u.State == InFlight {
+		u.State, u.End, u.NotBefore = Pending, plan.MayRun, at
+		if !maySendAgain(sh.Undo.Effect, true) || int(u.Attempt) >= sh.Undo.MaxTries {
+			u.State = PermanentlyFailed
+		}
+	}
+	if j := &it.Job; j.State == InFlight {
+		j.State, j.End, j.NotBefore = Pending, plan.MayRun, at
+		if !maySendAgain(sh.Effect, true) {
+			b.failItem(at, r, stage, item, "its coordinator died while it was under way")
+		}
+	}
+}
+
+// Orphans returns how many runs wait for a coordinator.
+func (b *Tracker) Orphans() int { return len(b.orphans) }
--- /dev/null
+++ b/internal/dispatcher/fleet/planrun/rerun.go
@@ -0,0 +1,78 @@
+package planrun
+
+import (
+	"slices"
+
+	"basaltloft/internal/dispatcher/fleet/plan"
+)
+
+// rerunAllowed reports whether a rule has a stage run again on an item's report.
+func (b *Tracker) rerunAllowed(r *Run, c ReportEnd) bool {
+	for _, q := range r.shape.Stages[c.Stage].Reruns {
+		if q.Of == c.Lost.Stage {
+			return r.Stages[q.Of].RerunsUsed < q.Most
+		}
+	}
+	return false
+}
+
+// loseOutput takes in that a generation of a stage's output is lost, the first time that
+// this run hears of it. The stage makes the next generation, unless another run has begun
+// to (then the loss is not new), and everything downstream is reset. If an at-most-once
+// stage downstream may have run, the run gives up.
+func (b *Tracker) loseOutput(r *Run, stage int, gen uint64) (fresh bool) {
+	st := &r.Stages[stage]
+	st.LostThrough = gen
+	st.RerunsUsed++
+	for i := range r.Stages {
+		if i == stage || r.shape.dependsOn(i, stage) {
+			for k := range r.Stages[i].Items {
+				if it := &r.Stages[i].Items[k]; !maySendAgain(r.shape.Stages[i].Effect, it.Job.MayHaveRun) {
+					b.giveUp(r, i, plan.Lost, "it may have run with what was lost, and must never run twice")
+					return false
+				}
+			}
+		}
+	}
+	if st.Generation == gen {
+		fresh = b.rerunStage(r, stage)
+	}
+	for i := stage + 1; i < len(r.Stages); i++ {
+		if d := &r.Stages[i]; r.shape.dependsOn(i, stage) && d.hasBegun() {
+			d.LostThrough = d.Generation
+			b.rerunStage(r, i)
+		}
+	}
+	return fresh
+}
+
+// hasBegun reports whether anything of a stage was sent, or exists.
+func (s *Stage) hasBegun() bool {
+	return s.Complete || s.SharedKey != "" || slices.ContainsFunc(s.Items, func(it Item) bool { return it.Job.Attempt > 0 })
+}
+
+// rerunStage has a stage make the next generation, or takes the one that another run has
+// made or is making; then the loss is not new.
+func (b *Tracker) rerunStage(r *Run, stage int) (fresh bool) {
+	st := &r.Stages[stage]
+	gen := st.Generation
+	r.resetStage(stage, gen+1)
+	if o := b.outputs[st.SharedKey]; st.SharedKey != "" && o != nil {
+		return b.rerunShared(o, r, stage, gen)
+	}
+	return true
+}
+
+// resetStage resets a stage: its output is yet to be made. Attempts in flight end first.
+func (r *Run) resetStage(stage int, gen uint64) {
+	st := &r.Stages[stage]
+	st.Generation, st.Complete, st.SharedResults = gen, false, nil
+	for k := range st.Items {
+		it := &st.Items[k]
+		r.Bytes -= len(it.Result)
+		it.Result, it.RetriesUsed = nil, nil
+		if it.Job.State != InFlight {
+			it.Job.State, it.Job.NotBefore = Pending, 0
+		}
+	}
+}
--- a/internal/dispatcher/fleet/planrun/run.go
+++ b/internal/dispatcher/fleet/planrun/run.go
@@ -1,6 +1,7 @@
 package planrun
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -238,3 +239,17 @@
 	}
 	return w
 }
+
+// hasJobsInFlight reports whether a job is in flight.
+func (r *Run) hasJobsInFlight() bool {
+	for i := range r.Stages {
+		for k := range r.Stages[i].Items {
+			if r.Stages[i].Items[k].Job.State == InFlight {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/internal/dispatcher/fleet/planrun/send_attempt.go
@@ -0,0 +1,84 @@
+package planrun
+
+import (
+	"slices"
+	"time"
+)
+
+// SendAttempt approves an attempt, or refuses it. A run that can no longer end in time, or
+// within its number of attempts, gives up.
+func (b *Tracker) SendAttempt(at time.Duration, c SendAttempt) (SendAttemptReply, error) {
+	at = b.advanceClock(at)
+	r, err := b.ownedRun(c.Run, c.Fence)
+	if err != nil {
+		return SendAttemptReply{}, err
+	}
+	if c.Stage < 0 || c.Stage >= len(r.Stages) || c.Item < 0 || c.Item >= len(r.Stages[c.Stage].Items) {
+		return SendAttemptReply{}, ErrNotFound
+	}
+	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
+	it := &st.Items[c.Item]
+	t, effect := &it.Job, sh.Effect
+	if c.Undo {
+		if sh.Undo == nil {
+			return SendAttemptReply{}, ErrNotFound
+		}
+		t, effect = &it.Undo, sh.Undo.Effect
+	}
+	switch {
+	case t.State == InFlight && t.Fence == c.Fence && t.Attempt == c.Attempt:
+		return SendAttemptReply{Again: true}, nil
+	case t.State == InFlight:
+		return SendAttemptReply{}, ErrInFlight
+	case !maySendAgain(effect, t.MayHaveRun):
+		return SendAttemptReply{}, ErrAtMostOnce
+	case t.State != Pending:
+		return SendAttemptReply{}, ErrSettled
+	case c.Attempt != t.Attempt+1:
+		return SendAttemptReply{}, ErrWrongAttempt
+	case at < t.NotBefore:
+		return SendAttemptReply{}, ErrTooEarly
+	}
+	if c.Undo {
+		if r.GaveUp == nil || r.hasJobsInFlight() || r.nextUndoStage(r.shape) != c.Stage || !sh.needsUndo(it) {
+			return SendAttemptReply{}, ErrStale
+		}
+	} else if err := b.checkSend(at, r, c); err != nil {
+		b.finishIfDone(at, r)
+		return SendAttemptReply{}, err
+	}
+	r.AttemptsUsed++
+	*t = Execution{State: InFlight, Attempt: c.Attempt, Fence: c.Fence, SentAt: at, End: t.End, MayHaveRun: true, MayHaveRunBefore: t.MayHaveRun}
+	if !c.Undo {
+		it.Generation, it.Inputs = st.Generation, slices.Clone(c.Inputs)
+	}
+	return SendAttemptReply{}, nil
+}
+
+// checkSend checks an attempt at a stage against the run's inputs and bounds.
+func (b *Tracker) checkSend(at time.Duration, r *Run, c SendAttempt) error {
+	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
+	switch o := b.outputs[st.SharedKey]; {
+	case r.GaveUp != nil:
+		return ErrGivenUp
+	case !st.Opened || !r.inputsReady(r.shape, c.Stage) || c.Generation != st.Generation || !slices.Equal(c.Inputs, r.inputGenerations(r.shape, c.Stage)):
+		return ErrStale
+	case sh.Shared && (o == nil || !o.isOwnedBy(r, c.Stage)):
+		return ErrProducedElsewhere
+	case st.Complete:
+		return ErrSettled
+	}
+	own := 1
+	if sh.Undo != nil && !sh.Shared && !st.Items[c.Item].Job.MayHaveRun {
+		own += sh.Undo.MaxTries
+	}
+	switch {
+	case r.AttemptsUsed+own+r.reservedUndoAttempts(r.shape) > r.shape.MaxAttempts:
+		b.failItem(at, r, c.Stage, c.Item, "no attempts left")
+		return ErrSettled
+	case at+max(c.RemainingTime, 0) >= r.Deadline:
+		b.failItemLate(at, r, c.Stage, c.Item)
+		return ErrSettled
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/dispatcher/fleet/planrun/tracker.go
@@ -0,0 +1,228 @@
+package planrun
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"time"
+
+	"basaltloft/internal/dispatcher/fleet/plan"
+	"basaltloft/internal/shared/indexedheap"
+)
+
+// Tracker is the progress of all runs. Its times are fleet time. It is not safe for
+// concurrent use.
+type Tracker struct {
+	limits               Limits
+	now                  time.Duration
+	lastFence            uint64 // last fencing number given
+	lastSharedGeneration uint64 // highest generation of any shared output so far
+	shapes               map[uint64]*internedShape
+	runs                 map[string]*Run
+	answers              map[string]*Answer
+	answersByEnd         []*Answer // by time of their runs' end
+	firstWithResults     int       // index in answersByEnd of the first answer that has kept its results
+	outputs              map[string]*Output
+	orphans              []string // runs without a coordinator, sorted
+	deadlines            indexedheap.Heap[*Run]
+}
+
+// NewTracker returns an empty tracker.
+func NewTracker(l Limits) *Tracker {
+	b := &Tracker{limits: l}
+	b.reset()
+	return b
+}
+
+func (b *Tracker) reset() {
+	b.shapes, b.runs, b.answers, b.outputs = map[uint64]*internedShape{}, map[string]*Run{}, map[string]*Answer{}, map[string]*Output{}
+	b.answersByEnd, b.firstWithResults, b.orphans = nil, 0, nil
+	b.deadlines = indexedheap.New(func(x, y *Run) bool { return cmp.Or(cmp.Compare(x.dueAt, y.dueAt), cmp.Compare(x.ID, y.ID)) < 0 }, func(r *Run, at int) { r.heapIndex = at })
+}
+
+// advanceClock takes in the time of a command and returns the fleet time, which never runs
+// backward.
+func (b *Tracker) advanceClock(at time.Duration) time.Duration {
+	b.now = max(b.now, at)
+	return b.now
+}
+
+// Counts returns how many runs are in progress, and how many have ended and are still
+// known.
+func (b *Tracker) Counts() (under, ended int) { return len(b.runs), len(b.answers) }
+
+// View returns a copy of a run in progress. Its errors wrap ErrUnknownRun or ErrEnded.
+func (b *Tracker) View(id string) (View, error) {
+	r, err := b.findRun(id)
+	if err != nil {
+		return View{}, err
+	}
+	v := View{Shape: r.shape, Run: r.clone()}
+	for i := range r.Stages {
+		if o := b.outputs[r.Stages[i].SharedKey]; o != nil && r.Stages[i].SharedKey != "" && o.isOwnedBy(r, i) {
+			v.Producing |= 1 << i
+		}
+	}
+	return v, nil
+}
+
+// Answer returns a run's final answer, or nil.
+func (b *Tracker) Answer(id string) *Answer {
+	if a := b.answers[id]; a != nil {
+		c := *a
+		return &c
+	}
+	return nil
+}
+
+func (b *Tracker) findRun(id string) (*Run, error) {
+	if r := b.runs[id]; r != nil {
+		return r, nil
+	}
+	if b.answers[id] != nil {
+		return nil, ErrEnded
+	}
+	return nil, ErrUnknownRun
+}
+
+// ownedRun returns a run for its present coordinator.
+func (b *Tracker) ownedRun(id string, fence uint64) (*Run, error) {
+	r, err := b.findRun(id)
+	if err == nil && (r.Orphan || r.Fence != fence) {
+		return nil, ErrFenced
+	}
+	return r, err
+}
+
+// Start starts a run. An id names one run: started again, by whatever process, it is the
+// run in progress or its answer, for as long as that is known (Limits.AnswerRetention). A
+// Start that is delivered late can't start the run again after that: its Before has passed
+// by then, for which an answer is kept in any case.
+func (b *Tracker) Start(at time.Duration, c Start) (StartReply, error) {
+	at = b.advanceClock(at)
+	if a := b.Answer(c.Run); a != nil {
+		return StartReply{Known: true, Answer: a}, nil
+	}
+	if r := b.runs[c.Run]; r != nil {
+		reply := StartReply{Known: true}
+		if !r.Orphan && r.Process == c.Process && r.Incarnation == c.Incarnation {
+			reply.Fence = r.Fence
+		}
+		return reply, nil
+	}
+	switch {
+	case c.Before <= at || c.Before-at > b.limits.MaxTimeout:
+		return StartReply{}, fmt.Errorf("starting run %s at %v: %w", c.Run, at, ErrDeadline)
+	case len(b.runs) >= b.limits.Runs || len(b.runs)+len(b.answers) >= b.limits.KnownRuns:
+		return StartReply{}, ErrFull
+	case len(c.Input) > b.limits.RunBytes || c.Run == "" || len(c.Run) > maxNameLength || len(c.Plan) > maxNameLength || len(c.Tenant) > maxNameLength || len(c.Process) > maxNameLength:
+		return StartReply{}, fmt.Errorf("starting a run of plan %.32s: %w", c.Plan, ErrTooLarge)
+	}
+	key, shape, err := b.internShape(c.Shape)
+	if err != nil {
+		return StartReply{}, err
+	}
+	b.lastFence++
+	r := &Run{
+		ID: c.Run, Plan: c.Plan, Tenant: c.Tenant, Digest: c.Digest, Shape: key, Input: c.Input, Seed: c.Seed, Started: at, StartBy: c.Before,
+		Deadline: min(c.Before, at+shape.Timeout), Process: c.Process, Incarnation: c.Incarnation, Fence: b.lastFence,
+		Bytes: len(c.Input), Stages: make([]Stage, len(shape.Stages)), shape: shape,
+	}
+	for i := range r.Stages {
+		r.Stages[i].Generation = 1
+		if shape.Stages[i].needsNoOpen() {
+			r.Stages[i].Opened, r.Stages[i].Items = true, make([]Item, 1)
+		}
+	}
+	r.dueAt = r.Deadline
+	b.runs[r.ID] = r
+	b.deadlines.Push(r)
+	return StartReply{Fence: r.Fence}, nil
+}
+
+// Open fixes the items of a stage. Only the first Open of a stage counts.
+func (b *Tracker) Open(at time.Duration, c Open) error {
+	at = b.advanceClock(at)
+	r, err := b.ownedRun(c.Run, c.Fence)
+	switch {
+	case err != nil:
+		return err
+	case r.GaveUp != nil:
+		return ErrGivenUp
+	case c.Stage < 0 || c.Stage >= len(r.Stages):
+		return ErrNotFound
+	}
+	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
+	size := len(c.Key)
+	for _, v := range c.Items {
+		size += len(v)
+	}
+	switch {
+	case st.Opened:
+		return nil
+	case !r.inputsReady(r.shape, c.Stage):
+		return ErrStale
+	case !sh.Each && len(c.Items) != 1 || sh.Shared != (c.Key != ""):
+		return ErrNotFound
+	case sh.Each && len(c.Items) > sh.MaxItems || r.Bytes+size > b.limits.RunBytes || len(c.Key) > b.limits.KeyBytes:
+		return ErrTooLarge
+	case sh.Shared && b.outputs[c.Key] == nil && len(b.outputs) >= b.limits.SharedOutputs:
+		return ErrFull
+	}
+	r.Bytes += size
+	st.Opened, st.Items = true, make([]Item, len(c.Items))
+	for i, v := range c.Items {
+		st.Items[i].Value = v
+	}
+	if sh.Shared {
+		st.SharedKey = c.Key
+		b.attachOutput(at, r, c.Stage)
+	}
+	b.completeIfDone(at, r, c.Stage)
+	b.finishIfDone(at, r)
+	return nil
+}
+
+// Abandon gives a run up at its coordinator's request.
+func (b *Tracker) Abandon(at time.Duration, c Abandon) error {
+	at = b.advanceClock(at)
+	r, err := b.ownedRun(c.Run, c.Fence)
+	switch {
+	case err != nil:
+		return err
+	case c.Stage < -1 || c.Stage >= len(r.Stages) || len(c.End) > maxNameLength:
+		return ErrNotFound
+	}
+	b.giveUp(r, c.Stage, c.End, c.Reason)
+	b.finishIfDone(at, r)
+	return nil
+}
+
+// Finish returns a run's final answer, the same each time. A run ends by itself, with the
+// command after which nothing is left to do; until then the error is ErrInFlight.
+func (b *Tracker) Finish(at time.Duration, c Finish) (*Answer, error) {
+	b.advanceClock(at)
+	if _, err := b.findRun(c.Run); err == nil {
+		return nil, ErrInFlight
+	} else if errors.Is(err, ErrUnknownRun) {
+		return nil, err
+	}
+	return b.Answer(c.Run), nil
+}
+
+// Advance gives up runs whose deadline has passed, ends those whose grace is over, and
+// drops expired answers and shared outputs.
+func (b *Tracker) Advance(at time.Duration) {
+	at = b.advanceClock(at)
+	for b.deadlines.Len() > 0 && b.deadlines.All()[0].dueAt <= at {
+		r := b.deadlines.All()[0]
+		if at >= r.Deadline+b.limits.Grace {
+			b.giveUp(r, -1, plan.Late, "its deadline passed")
+			b.finishRun(at, r)
+			continue
+		}
+		b.giveUp(r, -1, plan.Late, "its deadline passed")
+		b.finishIfDone(at, r)
+	}
+	b.pruneAnswers(at)
+}
--- /dev/null
+++ b/internal/dispatcher/fleet/raftnode/join.go
@@ -0,0 +1,100 @@
+package raftnode
+
+import (
+	"context"
+	"time"
+
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+)
+
+// joinRetryInterval is the time between two attempts to join with an empty data directory.
+//
+// A node with an empty data directory has forgotten its votes and the log entries that it
+// acknowledged. If it voted again under its name, an entry that a majority had might be
+// lost. So it takes no part until the others have removed it from the configuration and
+// added it again without a vote, and it votes again once it has all that was committed by
+// then. Only if every other node says that it has no state either is a new fleet
+// bootstrapped.
+const joinRetryInterval = 200 * time.Millisecond
+
+// joinWithEmptyDir returns once the other nodes have added this one, or returns true once
+// it is known that the fleet is to be bootstrapped.
+func (k *Node) joinWithEmptyDir(ctx context.Context, own *dataDir) (found bool, err error) {
+	k.mu.Lock()
+	k.empty = true
+	k.mu.Unlock()
+	self, err := codec.Encode(k.settings.Name)
+	if err != nil {
+		return false, err
+	}
+	for waited := false; ctx.Err() == nil; waited = true {
+		nothing, taken := 0, false
+		for _, a := range k.queryPeers(ctx) {
+			if !a.Bootstrapped {
+				nothing++
+				continue
+			}
+			var ok bool
+			if _, err := k.peers.Post(ctx, a.Name, rpc.PathRejoin, self, &ok); err == nil && ok {
+				taken = true
+				break
+			}
+		}
+		if taken {
+			k.log.Info("added to the raft group with an empty data directory")
+			return false, nil
+		}
+		if nothing == len(k.settings.Peers)-1 {
+			k.log.Info("no raft node has state; bootstrapping the fleet")
+			return true, nil
+		}
+		if !waited {
+			k.log.Info("waiting for the other raft nodes, to be added or to bootstrap the fleet")
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(joinRetryInterval):
+		}
+	}
+	return false, nil
+}
+
+// queryPeers asks the other nodes for their status, concurrently. Nodes that don't answer
+// are left out.
+func (k *Node) queryPeers(ctx context.Context) (all []rpc.NodeStatus) {
+	answers := make(chan *rpc.NodeStatus)
+	others := 0
+	for _, name := range sortedKeys(k.settings.Peers) {
+		if name == k.settings.Name {
+			continue
+		}
+		others++
+		go func() {
+			var a rpc.NodeStatus
+			if _, err := k.peers.Post(ctx, name, rpc.PathStatus, nil, &a); err != nil {
+				answers <- nil
+				return
+			}
+			a.Name = name
+			answers <- &a
+		}()
+	}
+	for range others {
+		if a := <-answers; a != nil {
+			all = append(all, *a)
+		}
+	}
+	return all
+}
+
+// isStaleCopy reports whether another node knows of a later start of this one than its data
+// directory does. A stale directory has lost votes and entries, like an empty one.
+func (k *Node) isStaleCopy(ctx context.Context, own *dataDir) bool {
+	for _, a := range k.queryPeers(ctx) {
+		if a.BootCounts[k.settings.Name] > own.identity.Starts {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/dispatcher/fleet/raftnode/membership.go
@@ -0,0 +1,131 @@
+package raftnode
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"slices"
+	"time"
+
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/rpc"
+	"basaltloft/internal/dispatcher/fleet/state"
+
+	"github.com/hashicorp/raft"
+)
+
+// beginMembershipChange returns the replica for a membership change, or nil if this node is
+// not the leader or shuts down.
+func (k *Node) beginMembershipChange() *replica {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.replica == nil || k.leadership == nil {
+		return nil
+	}
+	k.replica.calls.Add(1)
+	return k.replica
+}
+
+// handleMembershipChange handles a rejoin or promotion call.
+func (k *Node) handleMembershipChange(w http.ResponseWriter, body []byte, how func(*replica, membershipRequest) error) {
+	n := k.beginMembershipChange()
+	if n == nil {
+		k.redirect(w, "another keeper leads")
+		return
+	}
+	defer n.calls.Done()
+	var b membershipRequest
+	if err := codec.Decode(body, &b); err != nil && codec.Decode(body, &b.Name) != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if _, ok := k.settings.Peers[b.Name]; !ok || b.Name == k.settings.Name {
+		http.Error(w, "no other keeper is called that", http.StatusBadRequest)
+		return
+	}
+	if err := how(n, b); err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	k.writeReply(w, true)
+}
+
+// readmit removes a node without state from the configuration, so that nothing relies on
+// what it has forgotten, and adds it again without a vote.
+func (k *Node) readmit(n *replica, b membershipRequest) error {
+	id := raft.ServerID(b.Name)
+	if err := n.raft.RemoveServer(id, 0, 0).Error(); err != nil {
+		return err
+	}
+	k.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count begins anew
+	k.log.WithField("keeper", b.Name).Warn("raft node rejoins without state; no vote until it has caught up")
+	return n.raft.AddNonvoter(id, raft.ServerAddress(b.Name), 0, 0).Error()
+}
+
+// promote gives a node its vote once it has all that is committed by now. A node that is
+// not in the configuration is added first: it has forgotten nothing.
+func (k *Node) promote(n *replica, b membershipRequest) error {
+	f := n.raft.GetConfiguration()
+	if err := f.Error(); err != nil {
+		return err
+	}
+	id, addr := raft.ServerID(b.Name), raft.ServerAddress(b.Name)
+	at := slices.IndexFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
+	switch {
+	case at < 0:
+		k.log.WithField("keeper", b.Name).Warn("removed raft node rejoins; no vote until it has caught up")
+		if err := n.raft.AddNonvoter(id, addr, 0, 0).Error(); err != nil {
+			return err
+		}
+		return errors.New("it is taken in, and has yet to catch up")
+	case f.Configuration().Servers[at].Suffrage == raft.Voter:
+		return nil
+	case b.Index+maxPromotionLag < n.raft.CommitIndex():
+		return errors.New("it has not caught up yet")
+	}
+	k.log.WithField("keeper", b.Name).Info("raft node has caught up and gets its vote")
+	return n.raft.AddVoter(id, addr, 0, 0).Error()
+}
+
+// maxPromotionLag is how many log entries a node may lag behind when it gets its vote. Any
+// number is safe, since the node has forgotten nothing since it was added; with a large one
+// a majority may be far behind.
+const maxPromotionLag = 64
+
+// requestPromotion asks the leader for this node's vote once it has caught up. It also asks
+// when there has been no leader for long: a delayed copy of its own rejoin call, or a
+// leader that failed half-way, may have removed it from the configuration, and a removed
+// node hears nothing.
+func (k *Node) requestPromotion(ctx context.Context, n *replica) {
+	f := n.raft.GetConfiguration()
+	if f.Error() != nil || n.raft.State() == raft.Leader || len(k.settings.Peers) == 1 {
+		return
+	}
+	votes := false
+	for _, s := range f.Configuration().Servers {
+		votes = votes || string(s.ID) == k.settings.Name && s.Suffrage == raft.Voter
+	}
+	if votes && time.Since(n.raft.LastContact()) < leaderlessElections*k.settings.ElectionTimeout {
+		return
+	}
+	self, err := codec.Encode(membershipRequest{k.settings.Name, n.raft.AppliedIndex()})
+	if err != nil {
+		return
+	}
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.settings.ElectionTimeout))
+	defer cancel()
+	var ok bool
+	if err := k.peers.PostToLeader(ctx, rpc.PathPromote, self, &ok); err == nil && ok && !votes {
+		k.log.Info("got its vote back")
+	}
+}
+
+// leaderlessElections is the number of election timeouts without a leader after which a
+// node asks whether it was removed.
+const leaderlessElections = 4
+
+// membershipRequest is the body of a rejoin or promotion call.
+type membershipRequest struct {
+	Name  string
+	Index uint64 // the node's applied index
+}
--- a/internal/dispatcher/fleet/raftnode/keeper.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -6,17 +6,13 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"path/filepath"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"basaltloft/internal/dispatcher/fleet/codec"
 	"basaltloft/internal/dispatcher/fleet/rpc"
 	"basaltloft/internal/dispatcher/fleet/state"
 
@@ -86,18 +82,6 @@
 	}
 }
 
-// leadership is the clock of a leader, which continues the fleet time.
-type leadership struct {
-	startTime   time.Duration // fleet time when the leadership began
-	since       time.Time     // the same moment by the monotonic clock
-	lastCommand atomic.Int64  // fleet time of the last proposed command
-}
-
-// now returns the fleet time: that of the last command when this node became the leader,
-// plus what has passed since by the monotonic clock. No fleet time passes between two
-// leaders, so that it never runs ahead of real time.
-func (l *leadership) now() time.Duration { return l.startTime + time.Since(l.since) }
-
 // New returns a node that is not running.
 func New(s Settings) (*Node, error) {
 	if err := os.MkdirAll(s.Folder, 0o750); err != nil {
@@ -243,192 +227,3 @@
 	}
 	return &replica{store: store}, nil
 }
-
-// streamLayer connects the raft nodes. Raft addresses are node names, which each node
-// resolves by its own settings.
-type streamLayer struct {
-	net.Listener
-	peers  map[string]Peer
-	closed chan struct{}
-
-	mu       sync.Mutex
-	accepted map[net.Conn]bool // the library leaves them open
-}
-
-func newStreamLayer(l net.Listener, peers map[string]Peer) *streamLayer {
-	return &streamLayer{Listener: l, peers: peers, closed: make(chan struct{}), accepted: make(map[net.Conn]bool)}
-}
-
-// Accept implements net.Listener. The listener outlives the streamLayer, so that the node's
-// next replica can use it.
-func (s *streamLayer) Accept() (net.Conn, error) {
-	l := s.Listener.(*net.TCPListener)
-	for {
-		select {
-		case <-s.closed:
-			return nil, net.ErrClosed
-		default:
-		}
-		l.SetDeadline(time.Now().Add(100 * time.Millisecond))
-		c, err := l.Accept()
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			continue
-		}
-		if err != nil {
-			return nil, err
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.accepted[c] = true
-		return &acceptedConn{c, s}, nil
-	}
-}
-
-type acceptedConn struct {
-	net.Conn
-	layer *streamLayer
-}
-
-func (c *acceptedConn) Close() error {
-	c.layer.mu.Lock()
-	delete(c.layer.accepted, c.Conn)
-	c.layer.mu.Unlock()
-	return c.Conn.Close()
-}
-
-// Close implements net.Listener.
-func (s *streamLayer) Close() error {
-	close(s.closed)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.accepted {
-		c.Close()
-	}
-	return nil
-}
-
-// Dial implements raft.StreamLayer.
-func (s *streamLayer) Dial(address raft.ServerAddress, within time.Duration) (net.Conn, error) {
-	p, ok := s.peers[string(address)]
-	if !ok {
-		return nil, fmt.Errorf("no keeper is called %q", address)
-	}
-	return net.DialTimeout("tcp", p.RaftAddr, within)
-}
-
-// fsm adapts the state to raft. Commands are applied by raft's single goroutine; other
-// goroutines read.
-type fsm struct {
-	mu            sync.RWMutex
-	state         *state.Machine
-	applied       chan struct{} // closed and replaced at each command
-	onDigests     func(index uint64, sums map[string]uint64, err error)
-	onPeerDigests func() // some replica's digests have arrived
-}
-
-// digestRequest is the body of a tick at which every replica computes its digests.
-var digestRequest = []byte{1}
-
-// Apply implements raft.FSM.
-func (f *fsm) Apply(l *raft.Log) any {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	r := f.state.Apply(l.Index, l.Data)
-	if c, err := state.Decode(l.Data); err == nil && f.onDigests != nil {
-		switch {
-		case c.Kind == state.Tick && len(c.Body) > 0:
-			sums, err := f.state.Digests()
-			f.onDigests(l.Index, sums, err)
-		case c.Kind == state.ReportDigests:
-			f.onPeerDigests()
-		}
-	}
-	close(f.applied)
-	f.applied = make(chan struct{})
-	return r
-}
-
-// Snapshot implements raft.FSM.
-func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
-	f.mu.RLock()
-	defer f.mu.RUnlock()
-	now, err := f.state.Snapshot()
-	return fsmSnapshot{now}, err
-}
-
-// Restore implements raft.FSM.
-func (f *fsm) Restore(r io.ReadCloser) error {
-	defer r.Close()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.state.Restore(r)
-}
-
-func (f *fsm) replace(m *state.Machine) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.state = m
-}
-
-// read calls a function with the state, which it must not change.
-func (f *fsm) read(see func(*state.Machine)) {
-	f.mu.RLock()
-	defer f.mu.RUnlock()
-	see(f.state)
-}
-
-// waitIndex waits until the command at an index has been applied.
-func (f *fsm) waitIndex(ctx context.Context, index uint64) error {
-	for {
-		f.mu.RLock()
-		at, more := f.state.Index(), f.applied
-		f.mu.RUnlock()
-		if at >= index {
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-more:
-		}
-	}
-}
-
-type fsmSnapshot struct{ state.Snapshot }
-
-// Persist implements raft.FSMSnapshot.
-func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
-	if err := s.Write(to); err != nil {
-		to.Cancel()
-		return fmt.Errorf("writing a snapshot: %w", err)
-	}
-	return to.Close()
-}
-
-// Release implements raft.FSMSnapshot.
-func (s fsmSnapshot) Release() { s.Discard() }
-
-// propose appends a command to the log and waits for its reply. After an error the command
-// may have been carried out, or may be yet.
-func (k *Node) propose(c state.Command) (state.Reply, error) {
-	k.mu.Lock()
-	n, l := k.replica, k.leadership
-	if n == nil || l == nil || len(k.divergent) > 0 {
-		k.mu.Unlock()
-		return state.Reply{}, raft.ErrNotLeader
-	}
-	n.calls.Add(1)
-	k.mu.Unlock()
-	defer n.calls.Done()
-	c.Version, c.At = state.Version, l.now()
-	text, err := codec.Encode(c)
-	if err != nil {
-		return state.Reply{}, err
-	}
-	l.lastCommand.Store(int64(c.At))
-	f := n.raft.Apply(text, 0)
-	if err := f.Error(); err != nil {
-		return state.Reply{}, err
-	}
-	return f.Response().(state.Reply), nil
-}
--- /dev/null
+++ b/internal/dispatcher/fleet/records/fault_injection_on.go
@@ -0,0 +1,9 @@
+//go:build faults
+
+package records
+
+import "os"
+
+// faultResurrectPruned makes a State store records that were pruned, which the checker
+// must find. BASALTLOFT_PLANT=resurrected sets it for a process.
+var faultResurrectPruned = os.Getenv("BASALTLOFT_PLANT") == "resurrected"
--- /dev/null
+++ b/internal/dispatcher/fleet/records/prune.go
@@ -0,0 +1,115 @@
+package records
+
+import (
+	"errors"
+	"fmt"
+	"time"
+)
+
+// Prune removes what is below its watermarks and not held, and continues with what ended
+// holds have kept. ErrStale says that the rules have changed since it was planned.
+func (s *State) Prune(at time.Duration, st Store, c Prune) (done Pruned, err error) {
+	if c.RulesEdition != s.rulesEdition {
+		return done, fmt.Errorf("a cut: %w", ErrStale)
+	}
+	for _, m := range c.Watermarks {
+		if m.Class >= RetentionClasses || s.tenants[m.Tenant] == nil {
+			return done, fmt.Errorf("a mark of tenant %.40q: %w", m.Tenant, ErrInvalid)
+		}
+	}
+	s.beginEdition(c.At)
+	s.prunedAt, s.nextTenant = max(s.prunedAt, at), c.NextTenant
+	s.expireHolds()
+	for _, m := range c.Watermarks {
+		t := s.tenants[m.Tenant]
+		l := &t.Classes[m.Class]
+		if m.Position.Compare(l.Watermark) <= 0 {
+			continue // a mark never goes back
+		}
+		var gone []Record
+		err := st.Ascend(t.Name, l.Watermark, func(r *Record, text []byte) bool {
+			switch {
+			case r.Position().Compare(m.Position) >= 0:
+				return false
+			case r.RetentionClass() != m.Class:
+			case s.isHeld(r):
+				l.BelowWatermark.add(text)
+				done.Held++
+			default:
+				l.All.remove(text)
+				gone = append(gone, *r)
+			}
+			return true
+		})
+		if err == nil {
+			err = deleteAll(st, gone)
+		}
+		if err != nil {
+			return done, errors.Join(ErrStore, err)
+		}
+		done.Removed += len(gone)
+		l.Watermark = m.Position
+	}
+	s.counts.Cut += int64(done.Removed)
+	rest := max(c.MaxSwept, 0)
+	for _, name := range s.tenantNames {
+		t := s.tenants[name]
+		if !t.Sweeping || rest == 0 {
+			continue
+		}
+		seen, err := s.sweep(st, t, rest)
+		if err != nil {
+			return done, err
+		}
+		rest -= seen
+	}
+	return done, nil
+}
+
+func deleteAll(st Store, gone []Record) error {
+	for i := range gone {
+		if err := st.Delete(&gone[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// sweepStep bounds the records that are collected at a time.
+const sweepStep = 4096
+
+// sweep looks at the tenant's next records below its watermarks, most at a time, and
+// removes what no hold covers any more.
+func (s *State) sweep(st Store, t *tenantState, most int) (seen int, err error) {
+	var gone []Record
+	top, done := t.sweepEnd(), true
+	err = st.Ascend(t.Name, t.SweptThrough, func(r *Record, text []byte) bool {
+		if r.Position().Compare(top) >= 0 {
+			return false
+		}
+		if seen == most {
+			done = false
+			return false
+		}
+		seen++
+		t.SweptThrough = r.Position().next()
+		if t.isPruned(r) && !s.isHeld(r) {
+			l := &t.Classes[r.RetentionClass()]
+			l.All.remove(text)
+			l.BelowWatermark.remove(text)
+			gone = append(gone, *r)
+		}
+		return true
+	})
+	if err == nil {
+		err = deleteAll(st, gone)
+	}
+	if err != nil {
+		return seen, errors.Join(ErrStore, err)
+	}
+	s.counts.Swept += int64(len(gone))
+	if done {
+		t.Sweeping, t.SweptThrough = false, Position{}
+	}
+	return seen, nil
+}
--- a/internal/dispatcher/fleet/rpc/call.go
+++ b/internal/dispatcher/fleet/rpc/client.go
@@ -13,7 +13,6 @@
 	"net"
 	"net/http"
 	"slices"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -21,16 +20,6 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 )
 
-// Paths of the raft nodes' endpoints.
-const (
-	PathCommand   = "/fleet/do"     // a state.Command, answered with a state.Reply
-	PathRead      = "/fleet/read"   // a Query, answered by the leader with an Answer that reflects all that was answered before
-	PathLocalRead = "/fleet/nearby" // a Query, answered by any node from its own state; Answer.Index tells how recent that is
-	PathStatus    = "/fleet/about"  // no body, answered with a NodeStatus
-	PathRejoin    = "/fleet/rejoin" // the name of a node without state that asks to be added again without a vote
-	PathPromote   = "/fleet/ready"  // the name and applied index of a node that asks for its vote
-)
-
 const (
 	// LeaderHeader is the response header in which a node that is not the leader names the
 	// leader.
@@ -44,33 +33,6 @@
 	roundPause = 20 * time.Millisecond
 )
 
-// Query is a query of a partition of the state.
-type Query struct {
-	Kind state.Kind
-	Body []byte
-}
-
-// Answer answers a query.
-type Answer struct {
-	Index uint64        // log index of the last command that the answer reflects
-	At    time.Duration // fleet time of that command
-	Code  state.Code
-	Text  string
-	Body  []byte
-}
-
-// NodeStatus describes a raft node. It is sent by the field names in its tags.
-type NodeStatus struct {
-	Name                string
-	Empty               bool              // the node has no state, and has not bootstrapped a fleet
-	Bootstrapped        bool              `cbor:"Founded"` // the fleet has applied a command, as far as the node knows
-	IsLeader            bool              `cbor:"Leads"`   // the node is the leader
-	BootCounts          map[string]uint64 `cbor:"Boots"`   // known starts by node
-	DivergentPartitions []string          `cbor:"Differs"` // partitions in which its state differs from the majority's; if there are any it serves nothing
-	Index               uint64
-	At                  time.Duration
-}
-
 // ErrUnavailable says that no raft node answered in time. The command may have been carried
 // out, or may be yet; it is safe to send the same command again.
 var ErrUnavailable = errors.New("no keeper answered in time")
@@ -184,74 +146,3 @@
 	}
 	return "", nil
 }
-
-// Session is one incarnation of a process at the raft nodes. It is safe for concurrent use.
-type Session struct {
-	*Client
-	Process     string
-	Incarnation uint64
-
-	mu      sync.Mutex
-	lastSeq uint64
-	pending map[uint64]bool // commands without an answer, by sequence number
-	acked   uint64
-}
-
-// Join gets an incarnation for one start of a process, which the nonce identifies.
-func (c *Client) Join(ctx context.Context, process, nonce, version string) (*Session, state.JoinReply, error) {
-	var j state.JoinReply
-	body, err := codec.Encode(state.JoinBody{Process: process, Nonce: nonce, Version: version})
-	if err != nil {
-		return nil, j, err
-	}
-	r, err := c.Do(ctx, state.Command{Kind: state.Join, Body: body})
-	if err == nil {
-		err = codec.Decode(r.Body, &j)
-	}
-	if err != nil {
-		return nil, j, fmt.Errorf("joining the fleet as %s: %w", process, err)
-	}
-	return &Session{Client: c, Process: process, Incarnation: j.Incarnation, pending: make(map[uint64]bool)}, j, nil
-}
-
-// Execute has a command carried out exactly once, however often it is retried, and decodes
-// the reply's body into a value unless that is nil. An error that wraps ErrUnavailable
-// leaves open whether the command was carried out.
-func (s *Session) Execute(ctx context.Context, kind state.Kind, body, into any) error {
-	text, err := codec.Encode(body)
-	if err != nil {
-		return err
-	}
-	s.mu.Lock()
-	s.lastSeq++
-	seq, acked := s.lastSeq, s.acked
-	s.pending[seq] = true
-	s.mu.Unlock()
-	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Seq: seq, Acked: acked, Kind: kind, Body: text})
-	// One that nobody answered counts as answered too: a late copy of it is refused from
-	// the next command on, and the state need not keep all later answers for its sake.
-	s.mu.Lock()
-	delete(s.pending, seq)
-	for s.acked < s.lastSeq && !s.pending[s.acked+1] {
-		s.acked++
-	}
-	s.mu.Unlock()
-	if err != nil || into == nil {
-		return err
-	}
-	return codec.Decode(r.Body, into)
-}
-
-// Renew renews the lease, with a message for each partition.
-func (s *Session) Renew(ctx context.Context, parts map[string][]byte) (state.RenewReply, error) {
-	var told state.RenewReply
-	body, err := codec.Encode(state.RenewBody{Parts: parts})
-	if err != nil {
-		return told, err
-	}
-	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Kind: state.Renew, Body: body})
-	if err != nil {
-		return told, err
-	}
-	return told, codec.Decode(r.Body, &told)
-}
--- /dev/null
+++ b/internal/dispatcher/fleet/rpc/session.go
@@ -0,0 +1,81 @@
+package rpc
+
+import (
+	"context"
+	"fmt"
+	"sync"
+
+	"basaltloft/internal/dispatcher/fleet/codec"
+	"basaltloft/internal/dispatcher/fleet/state"
+)
+
+// Session is one incarnation of a process at the raft nodes. It is safe for concurrent use.
+type Session struct {
+	*Client
+	Process     string
+	Incarnation uint64
+
+	mu      sync.Mutex
+	lastSeq uint64
+	pending map[uint64]bool // commands without an answer, by sequence number
+	acked   uint64
+}
+
+// Join gets an incarnation for one start of a process, which the nonce identifies.
+func (c *Client) Join(ctx context.Context, process, nonce, version string) (*Session, state.JoinReply, error) {
+	var j state.JoinReply
+	body, err := codec.Encode(state.JoinBody{Process: process, Nonce: nonce, Version: version})
+	if err != nil {
+		return nil, j, err
+	}
+	r, err := c.Do(ctx, state.Command{Kind: state.Join, Body: body})
+	if err == nil {
+		err = codec.Decode(r.Body, &j)
+	}
+	if err != nil {
+		return nil, j, fmt.Errorf("joining the fleet as %s: %w", process, err)
+	}
+	return &Session{Client: c, Process: process, Incarnation: j.Incarnation, pending: make(map[uint64]bool)}, j, nil
+}
+
+// Execute has a command carried out exactly once, however often it is retried, and decodes
+// the reply's body into a value unless that is nil. An error that wraps ErrUnavailable
+// leaves open whether the command was carried out.
+func (s *Session) Execute(ctx context.Context, kind state.Kind, body, into any) error {
+	text, err := codec.Encode(body)
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	s.lastSeq++
+	seq, acked := s.lastSeq, s.acked
+	s.pending[seq] = true
+	s.mu.Unlock()
+	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Seq: seq, Acked: acked, Kind: kind, Body: text})
+	// One that nobody answered counts as answered too: a late copy of it is refused from
+	// the next command on, and the state need not keep all later answers for its sake.
+	s.mu.Lock()
+	delete(s.pending, seq)
+	for s.acked < s.lastSeq && !s.pending[s.acked+1] {
+		s.acked++
+	}
+	s.mu.Unlock()
+	if err != nil || into == nil {
+		return err
+	}
+	return codec.Decode(r.Body, into)
+}
+
+// Renew renews the lease, with a message for each partition.
+func (s *Session) Renew(ctx context.Context, parts map[string][]byte) (state.RenewReply, error) {
+	var told state.RenewReply
+	body, err := codec.Encode(state.RenewBody{Parts: parts})
+	if err != nil {
+		return told, err
+	}
+	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Kind: state.Renew, Body: body})
+	if err != nil {
+		return told, err
+	}
+	return told, codec.Decode(r.Body, &told)
+}
