--- a/internal/dispatcher/lab/more_test.go
+++ b/internal/dispatcher/lab/arrivals_test.go
@@ -40,14 +40,14 @@
 			}
 		})
 	}
-	trace := arrivals(settings.Arrivals{Kind: "trace", Trace: []settings.Arrival{{At: time.Second, Work: 1}, {At: 4 * time.Second, Work: 2}}}, 2)
+	trace := arrivalsOf(settings.Arrivals{Kind: "trace", Trace: []settings.Arrival{{At: time.Second, Work: 1}, {At: 4 * time.Second, Work: 2}}}, 2)
 	var got []time.Duration
 	trace.next(nil, rate, 0, length, func(after, work time.Duration) { got = append(got, after, work) })
 	require.Equal(t, []time.Duration{time.Second / 2, 1, 2 * time.Second, 2}, got)
 }
 
-// shop is a closed loop in front of one member whose jobs slow each other.
-func shop(clients int, capacity time.Duration) *Experiment {
+// closedLoop is a closed loop in front of one member whose jobs slow each other.
+func closedLoop(clients int, capacity time.Duration) *Experiment {
 	light, heavy := class("light", policy.Idempotent, 19, 10*time.Millisecond, "exp"), class("heavy", policy.Idempotent, 1, time.Second, "exp")
 	for _, c := range []*Class{&light, &heavy} {
 		c.Aim, c.GiveUp = time.Minute, 2*time.Minute
@@ -56,7 +56,7 @@
 		Length: 300 * time.Second, Dispatchers: 1, Classes: []Class{light, heavy}, Clients: clients, ThinkTime: 3 * time.Second, Capacity: capacity,
 		Kinds: []MemberKind{{Name: "std", Count: 1, Cores: 1, Slots: 1 << 20, Queue: 1 << 20, Speed: 1, Crowding: 0.02, CrowdFrom: 10}},
 	}
-	x.Settings = bayRules(1, light, heavy)
+	x.Settings = serviceRules(1, light, heavy)
 	x.Settings.Limits.MaxAttempts = 1
 	return x
 }
@@ -67,7 +67,7 @@
 // (response + think time).
 func TestClosedLoop(t *testing.T) {
 	for _, clients := range []int{10, 40, 120} {
-		r := play(t, shop(clients, time.Second), "gate fifo", 1)
+		r := play(t, closedLoop(clients, time.Second), "gate fifo", 1)
 		served, took := 0, time.Duration(0)
 		for _, c := range r.Classes {
 			served, took = served+c.Served, took+c.Took
@@ -89,7 +89,7 @@
 	for _, policy := range policies {
 		all[policy] = &sum{}
 		for seed := range uint64(3) {
-			r := play(t, shop(120, 20*time.Second), policy, seed)
+			r := play(t, closedLoop(120, 20*time.Second), policy, seed)
 			require.Empty(t, r.Violations, policy)
 			all[policy].perS += float64(r.Classes[0].Served+r.Classes[1].Served) / 300
 			all[policy].light += mean(r.Classes[0])
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestCutsAndLosses: the module keeps every rule while members can't be reached and
+// TestPartitionsAndLosses: the module keeps every rule while members can't be reached and
 // messages are lost, and what it is asked for is done again afterwards.
-func TestCutsAndLosses(t *testing.T) {
+func TestPartitionsAndLosses(t *testing.T) {
 	hold, ticket := class("hold", policy.Deduplicated, 30, 100*time.Millisecond, "exp"), class("ticket", policy.AtMostOnce, 5, 200*time.Millisecond, "exp")
 	for _, trouble := range []Fault{
 		{Kind: "cut", At: 5 * time.Second, For: 5 * time.Second, Part: 0.5},
@@ -116,7 +116,7 @@
 			Kinds:  []MemberKind{{Name: "std", Count: 8, Cores: 2, Slots: 2, Queue: 14, Speed: 1, Cells: 2, Connections: 12, Handshake: time.Millisecond}},
 			Faults: []Fault{trouble}, SampleMembers: true,
 		}
-		x.Settings = bayRules(2, hold, ticket)
+		x.Settings = serviceRules(2, hold, ticket)
 		r := play(t, x, "module", 5)
 		require.Empty(t, r.Violations, trouble.Kind)
 		require.Greater(t, r.Goodput(), 0.7, trouble.Kind)
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestConnections: what comes beyond a member's table does not come up.
-func TestConnections(t *testing.T) {
+// TestConnectionLimit: what comes beyond a member's table does not come up.
+func TestConnectionLimit(t *testing.T) {
 	x := queueing(1, "fixed", 3)
 	x.Length, x.Kinds[0].Connections = 5*time.Second, 4
 	x.Classes[0].GiveUp = time.Second
--- a/internal/dispatcher/lab/digest_test.go
+++ b/internal/dispatcher/lab/digest_test.go
@@ -19,7 +19,7 @@
 
 // resultOf plays one run: the policies in the order of their names, seed by seed.
 func resultOf(t testing.TB, number int) (*Result, *digesttest.Trace) {
-	x := bay(Fault{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9},
+	x := serviceExperiment(Fault{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9},
 		Fault{Kind: "crash", At: 20 * time.Second, For: 10 * time.Second, Part: 0.25})
 	x.SampleMembers = true
 	r := play(t, x, PolicyNames()[number/digestSeeds], uint64(number%digestSeeds))
--- /dev/null
+++ b/internal/dispatcher/lab/faults.go
@@ -0,0 +1,113 @@
+package lab
+
+import (
+	"math"
+	"time"
+)
+
+// inject lets a fault happen.
+func (w *World) inject(f Fault) {
+	switch f.Kind {
+	case faultCrash:
+		for _, m := range w.drawMembers(f.Part) {
+			w.restartMember(m, 0, f.For)
+		}
+	case faultPause:
+		for _, m := range w.drawMembers(f.Part) {
+			w.pauseMember(m, f.For)
+		}
+	case faultSlow:
+		for _, m := range w.drawMembers(f.Part) {
+			w.slowMember(m, f.Size, f.For)
+		}
+	case faultPartition:
+		for _, m := range w.drawMembers(f.Part) {
+			m.partitionedUntil = w.now + f.For
+		}
+	case faultLoss:
+		w.lossRate = f.Part
+		w.after(f.For, func() { w.lossRate = 0 })
+	case faultDeploy:
+		chosen := w.drawMembers(f.Part)
+		for n, m := range chosen {
+			w.after(spread(f.For, n, len(chosen)), func() { w.restartMember(m, deployDrain, deployDowntime) })
+		}
+	case faultRestart:
+		chosen := w.draw(len(w.dispatchers), f.Part)
+		for n, i := range chosen {
+			w.after(spread(f.For, n, len(chosen)), func() { w.restartDispatcher(w.dispatchers[i]) })
+		}
+	}
+}
+
+// How long a member drains in a deploy, and how long it is away then.
+const (
+	deployDrain    = 4 * time.Second
+	deployDowntime = time.Second
+)
+
+// spread is the time of the nth of some events that are spread evenly over a span.
+func spread(span time.Duration, n, count int) time.Duration {
+	return span * time.Duration(n) / time.Duration(count)
+}
+
+// draw draws a share of the numbers below count.
+func (w *World) draw(count int, share float64) []int {
+	order := w.random.Perm(count)
+	return order[:int(math.Ceil(share*float64(count)))]
+}
+
+func (w *World) drawMembers(share float64) []*member {
+	numbers := w.draw(len(w.members), share)
+	chosen := make([]*member, len(numbers))
+	for n, i := range numbers {
+		chosen[n] = w.members[i]
+	}
+	return chosen
+}
+
+func (w *World) pauseMember(m *member, span time.Duration) {
+	m.advance()
+	m.paused = true
+	w.after(span, func() {
+		m.advance()
+		m.paused = false
+		m.step()
+	})
+}
+
+func (w *World) slowMember(m *member, factor float64, span time.Duration) {
+	m.advance()
+	m.speedFactor = factor
+	m.scheduleNext()
+	w.after(span, func() {
+		m.advance()
+		m.speedFactor = 1
+		m.scheduleNext()
+	})
+}
+
+func (w *World) restartDispatcher(d *dispatcher) {
+	if err := d.restart(); err != nil {
+		w.checker.violation("a dispatcher does not start again: %v", err)
+	}
+}
+
+// restartMember lets a member drain for a while, if that is not 0, ends its process, and
+// lets it come back cold after the downtime.
+func (w *World) restartMember(m *member, drain, downtime time.Duration) {
+	if !m.up {
+		return
+	}
+	if drain > 0 {
+		m.drain()
+		w.publish(m)
+	}
+	w.after(drain, func() {
+		if m.up {
+			m.crash()
+			w.publish(m)
+			w.after(downtime, func() { m.restart(); w.publish(m) })
+		}
+	})
+}
--- a/internal/dispatcher/lab/gate.go
+++ b/internal/dispatcher/lab/gate.go
@@ -7,155 +7,162 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// gate is the policy of the Gatekeeper paper (Elnikety, Nahum, Tracey and
-// Zwaenepoel, 2004), to hold its results against: a request passes if its type's
-// expected time fits what remains of a capacity, which was measured before; what
-// does not waits in an admission queue. Expected times are moving averages of what
-// a type took from admission to its end.
+// gate is the admission control of Elnikety, Nahum, Tracey and Zwaenepoel, "A Method for
+// Transparent Admission Control and Request Scheduling in E-Commerce Web Sites" (WWW 2004),
+// as a baseline: a request is admitted if the expected time of its class fits what remains
+// of a capacity that was measured before, and waits in an admission queue otherwise.
+// Expected times are moving averages from admission to the end.
 type gate struct {
-	plain
-	wait     float64 // a waiting request is passed until that delays it by so many of its own expected times; 0: in order
-	capacity float64 // nanoseconds of expected time that are admitted at a time
-	load     float64
-	queue    []*gated
-	took     map[string]*average
-	admitted map[string]*gated
+	basicPolicy
+	maxDelay  float64 // a waiting request is overtaken until that delays it by as many of its own expected times; 0: first in, first out
+	capacity  float64 // nanoseconds of expected time that are admitted at a time
+	load      float64 // expected time of the admitted requests
+	queue     []*gateEntry
+	latencies map[string]*movingAverage // by class
+	admitted  map[string]*gateEntry     // by request
 }
 
-// gated is a request that waits, or was admitted.
-type gated struct {
-	job     *plainJob
-	cost    float64
-	delayed float64 // by those that passed it
-	at      time.Duration
+// gateEntry is a request that waits or was admitted. Times are in nanoseconds.
+type gateEntry struct {
+	job        *basicJob
+	expected   float64
+	delayed    float64 // by those that overtook it
+	admittedAt time.Duration
 }
 
-// average is a moving average of the last so many times of a type.
-type average struct {
+// movingAverage is the mean of the last averageWindow values.
+type movingAverage struct {
 	sum  float64
 	last []float64
-	at   int
+	next int
 }
 
-const averaged = 50
+const averageWindow = 50
 
-const queueLook = 50 * time.Millisecond // the queue is looked through this often for what is over time
+// queueInterval is how often the queue is searched for requests past their time.
+const queueInterval = 50 * time.Millisecond
 
-func (a *average) add(x float64) {
-	if len(a.last) < averaged {
-		a.last = append(a.last, x)
+func (a *movingAverage) add(value float64) {
+	if len(a.last) < averageWindow {
+		a.last = append(a.last, value)
 	} else {
-		a.sum -= a.last[a.at]
-		a.last[a.at] = x
-		a.at = (a.at + 1) % averaged
+		a.sum -= a.last[a.next]
+		a.last[a.next] = value
+		a.next = (a.next + 1) % averageWindow
 	}
-	a.sum += x
+	a.sum += value
 }
 
-func (a *average) mean() float64 { return a.sum / float64(max(1, len(a.last))) }
+func (a *movingAverage) mean() float64 { return a.sum / float64(max(1, len(a.last))) }
 
-// gateOf makes a gate with the file's capacity.
-func gateOf(wait float64) PolicyMaker {
+// newGate makes gates with the experiment's capacity.
+func newGate(wait float64) PolicyMaker {
 	return func(w *World, h policy.Host, _ int, seed uint64) (Policy, error) {
-		g := &gate{wait: wait, capacity: float64(w.x.Capacity), took: make(map[string]*average), admitted: make(map[string]*gated)}
-		g.plain = plain{w: w, host: h, random: rand.New(rand.NewPCG(seed, 37)), jobs: make(map[string]*plainJob), pick: func(p *plain, from []*mate, _ float64) *mate {
-			return least(p, from, func(m *mate) float64 { return float64(m.out) })
+		g := &gate{maxDelay: wait, capacity: float64(w.experiment.Capacity), latencies: make(map[string]*movingAverage), admitted: make(map[string]*gateEntry)}
+		g.basicPolicy = basicPolicy{world: w, host: h, random: rand.New(rand.NewPCG(seed, 37)), jobs: make(map[string]*basicJob), pick: func(p *basicPolicy, from []*memberView, _ float64) *memberView {
+			return least(p, from, func(m *memberView) float64 { return float64(m.inFlight) })
 		}}
 		return g, nil
 	}
 }
 
-// expect is what a type's requests take, or its work until one has ended.
-func (g *gate) expect(c *Class) float64 {
-	if a := g.took[c.Name]; a != nil {
+// expectedTime is the average of a class, or its mean work until a request has ended.
+func (g *gate) expectedTime(c *Class) float64 {
+	if a := g.latencies[c.Name]; a != nil {
 		return a.mean()
 	}
-	return float64(c.Work)
+	return float64(c.MeanWork)
 }
 
 // HandleRequest implements Policy.
 func (g *gate) HandleRequest(now time.Duration, r policy.Request) {
-	j := &plainJob{Request: r, class: g.classOf(r.Class)}
+	j := &basicJob{Request: r, class: g.classOf(r.Class)}
 	g.jobs[r.ID] = j
-	x := &gated{job: j, cost: g.expect(j.class)}
+	entry := &gateEntry{job: j, expected: g.expectedTime(j.class)}
 	i := len(g.queue)
-	for i > 0 && g.queue[i-1].cost > x.cost && g.queue[i-1].delayed+x.cost <= g.wait*g.queue[i-1].cost {
+	for i > 0 && g.queue[i-1].expected > entry.expected && g.queue[i-1].delayed+entry.expected <= g.maxDelay*g.queue[i-1].expected {
 		i--
 	}
 	g.queue = append(g.queue, nil)
 	copy(g.queue[i+1:], g.queue[i:])
-	g.queue[i] = x
+	g.queue[i] = entry
 	for _, passed := range g.queue[i+1:] {
-		passed.delayed += x.cost
+		passed.delayed += entry.expected
 	}
-	g.release(now)
+	g.admit(now)
 }
 
-// release admits from the head on what fits. What nothing else holds up is
-// admitted whatever it costs.
-func (g *gate) release(now time.Duration) {
+// tooLate reports whether the time of a waiting request is over before the queue is
+// searched again.
+func (g *gate) tooLate(now time.Duration, entry *gateEntry) bool {
+	return now >= entry.job.Deadline-queueInterval-sendMargin
+}
+
+// admit admits from the head of the queue what fits. If nothing else is admitted, the head
+// is, whatever its expected time.
+func (g *gate) admit(now time.Duration) {
 	for len(g.queue) > 0 {
-		x := g.queue[0]
-		if x.cost = g.expect(x.job.class); g.load > 0 && g.load+x.cost > g.capacity {
+		entry := g.queue[0]
+		if entry.expected = g.expectedTime(entry.job.class); g.load > 0 && g.load+entry.expected > g.capacity {
 			return
 		}
 		g.queue = g.queue[1:]
-		if g.jobs[x.job.ID] != x.job {
-			continue // its client is gone
+		if g.jobs[entry.job.ID] != entry.job {
+			continue // its client has left
 		}
-		if now >= x.job.Deadline-queueLook-5*time.Millisecond {
-			g.end(x.job)
+		if g.tooLate(now, entry) {
+			g.end(entry.job)
 			continue
 		}
-		x.at = now
-		g.load += x.cost
-		g.admitted[x.job.ID] = x
-		g.send(now, x.job)
+		entry.admittedAt = now
+		g.load += entry.expected
+		g.admitted[entry.job.ID] = entry
+		g.send(now, entry.job)
 	}
 }
 
 // HandleAttemptResult implements Policy.
 func (g *gate) HandleAttemptResult(now time.Duration, o policy.AttemptResult) {
-	if x := g.admitted[o.Request]; x != nil {
+	if entry := g.admitted[o.Request]; entry != nil {
 		if o.Status == policy.OK {
-			a := g.took[x.job.Class]
+			a := g.latencies[entry.job.Class]
 			if a == nil {
-				a = &average{}
-				g.took[x.job.Class] = a
+				a = &movingAverage{}
+				g.latencies[entry.job.Class] = a
 			}
-			a.add(float64(now - x.at))
+			a.add(float64(now - entry.admittedAt))
 		}
-		g.plain.HandleAttemptResult(now, o)
-		if g.jobs[o.Request] == nil { // it was not sent anew
+		g.basicPolicy.HandleAttemptResult(now, o)
+		if g.jobs[o.Request] == nil { // it was not sent again
 			delete(g.admitted, o.Request)
-			if g.load -= x.cost; len(g.admitted) == 0 {
+			if g.load -= entry.expected; len(g.admitted) == 0 {
 				g.load = 0
 			}
 		}
 	}
-	g.release(now)
+	g.admit(now)
 }
 
 // HandleTimer implements Policy.
 func (g *gate) HandleTimer(now time.Duration, _ string) {
-	kept := g.queue[:0]
-	for _, x := range g.queue {
-		if now >= x.job.Deadline-queueLook-5*time.Millisecond {
-			g.end(x.job)
+	waiting := g.queue[:0]
+	for _, entry := range g.queue {
+		if g.tooLate(now, entry) {
+			g.end(entry.job)
 			continue
 		}
-		kept = append(kept, x)
+		waiting = append(waiting, entry)
 	}
-	clear(g.queue[len(kept):])
-	g.queue = kept
-	g.host.Timer(queueLook, "queue")
+	clear(g.queue[len(waiting):])
+	g.queue = waiting
+	g.host.Timer(queueInterval, "queue")
 }
 
 // HandleMembers implements Policy.
 func (g *gate) HandleMembers(now time.Duration, kind policy.ListKind, entries []policy.Member) {
 	if g.started == 0 {
 		g.started = now
-		g.host.Timer(queueLook, "queue")
+		g.host.Timer(queueInterval, "queue")
 	}
-	g.plain.HandleMembers(now, kind, entries)
+	g.basicPolicy.HandleMembers(now, kind, entries)
 }
--- a/internal/dispatcher/lab/lab_test.go
+++ b/internal/dispatcher/lab/lab_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -11,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bayRules are those of a bay, for so many dispatchers.
-func bayRules(dispatchers int, classes ...Class) policy.Settings {
+// serviceRules are those of a bay, for so many dispatchers.
+func serviceRules(dispatchers int, classes ...Class) policy.Settings {
 	s := policy.Settings{
 		Instances: dispatchers, ValueByWork: true, ReportsStart: true, Kinds: []string{"std"},
 		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, Probes: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
@@ -30,7 +31,7 @@
 	return Class{
 		Class: policy.Class{Name: name, Effect: effect, Window: 15 * time.Second, Group: policy.DedupCell, Aim: 400 * time.Millisecond,
 			Stretch: 2.5, GiveUp: 10 * time.Second, Worth: 10, Kind: -1},
-		Rate: rate, Work: work, Shape: shape, CV: 2,
+		Rate: rate, MeanWork: work, WorkDistribution: shape, WorkCV: 2,
 	}
 }
 
@@ -51,7 +52,7 @@
 		Length: formulaSpan * time.Second, Dispatchers: 1, Classes: []Class{c},
 		Kinds: []MemberKind{{Name: "std", Count: 1, Cores: cores, Slots: cores, Queue: 1 << 20, Speed: 1}},
 	}
-	x.Settings = bayRules(1, c)
+	x.Settings = serviceRules(1, c)
 	x.Settings.Limits.MaxAttempts = 1
 	return x
 }
@@ -99,8 +100,8 @@
 	}
 }
 
-// bay is a fleet as in service, with all that may go wrong.
-func bay(troubles ...Fault) *Experiment {
+// serviceExperiment is a fleet as in service, with all that may go wrong.
+func serviceExperiment(troubles ...Fault) *Experiment {
 	hold := class("place-hold", policy.Deduplicated, 18, 700*time.Millisecond, "lognormal")
 	ticket := class("group-ticket", policy.AtMostOnce, 3, 3*time.Second, "lognormal")
 	ticket.Aim, ticket.GiveUp, ticket.Worth = time.Second, 25*time.Second, 2
@@ -110,12 +111,12 @@
 		Kinds:          []MemberKind{{Name: "std", Count: 12, Cores: 4, Slots: 4, Queue: 28, Speed: 1, SpeedCV: 0.2, Cells: 2, ColdFrom: 0.15, ColdFor: 20 * time.Second}},
 		DiscoveryDelay: time.Second, Retries: 2, Backoff: 100 * time.Millisecond, Faults: troubles,
 	}
-	x.Settings = bayRules(4, hold, ticket)
+	x.Settings = serviceRules(4, hold, ticket)
 	return x
 }
 
-// TestModuleKeepsRules plays the module through each trouble: it breaks no rule.
-func TestModuleKeepsRules(t *testing.T) {
+// TestDispatcherKeepsRules plays the module through each trouble: it breaks no rule.
+func TestDispatcherKeepsRules(t *testing.T) {
 	for name, troubles := range map[string][]Fault{
 		"calm": nil, "crash": {{Kind: "crash", At: 20 * time.Second, For: 10 * time.Second, Part: 0.25}},
 		"pause":   {{Kind: "pause", At: 20 * time.Second, For: 300 * time.Millisecond, Part: 0.4}},
@@ -128,7 +129,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				r := play(t, bay(troubles...), "module", seed)
+				r := play(t, serviceExperiment(troubles...), "module", seed)
 				require.Empty(t, r.Violations)
 				require.NotZero(t, r.InTime)
 				require.Equal(t, r.Asked, r.InTime+r.Late+r.Refused+r.Failed, "every ask ends once")
@@ -137,9 +138,9 @@
 	}
 }
 
-// TestSeeds: the same seed gives the same run.
-func TestSeeds(t *testing.T) {
-	x := bay(Fault{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9})
+// TestSameSeedSameRun: the same seed gives the same run.
+func TestSameSeedSameRun(t *testing.T) {
+	x := serviceExperiment(Fault{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9})
 	for _, policy := range PolicyNames() {
 		a, b := play(t, x, policy, 3), play(t, x, policy, 3)
 		require.Equal(t, a.Events, b.Events, policy)
@@ -148,12 +149,12 @@
 	}
 }
 
-// TestYardsticks: who sees more does no worse, on a calm day.
-func TestYardsticks(t *testing.T) {
+// TestBaselines: who sees more does no worse, on a calm day.
+func TestBaselines(t *testing.T) {
 	mean := func(policy string) float64 {
 		sum := 0.0
 		for seed := range uint64(4) {
-			x := bay()
+			x := serviceExperiment()
 			for i := range x.Classes {
 				x.Classes[i].Rate *= 1.6
 			}
@@ -170,18 +171,18 @@
 	require.GreaterOrEqual(t, truth, module-0.02)
 }
 
-// breaker is a policy that breaks one rule on purpose.
-type breaker struct {
+// ruleBreaker is a policy that breaks one rule on purpose.
+type ruleBreaker struct {
 	Policy
 	host  policy.Host
-	fault func(b *breaker, r policy.Request)
+	fault func(b *ruleBreaker, r policy.Request)
 	list  []policy.Member
 	gone  uint32
 }
 
-func (b *breaker) HandleRequest(now time.Duration, r policy.Request)       { b.fault(b, r) }
-func (b *breaker) HandleAttemptResult(time.Duration, policy.AttemptResult) {}
-func (b *breaker) HandleMembers(now time.Duration, k policy.ListKind, all []policy.Member) {
+func (b *ruleBreaker) HandleRequest(_ time.Duration, r policy.Request)         { b.fault(b, r) }
+func (b *ruleBreaker) HandleAttemptResult(time.Duration, policy.AttemptResult) {}
+func (b *ruleBreaker) HandleMembers(_ time.Duration, k policy.ListKind, all []policy.Member) {
 	if k != policy.ListDelta {
 		b.list = all
 	}
@@ -194,75 +195,74 @@
 
 // TestChecker: a policy that breaks a rule is caught, each rule by its words.
 func TestChecker(t *testing.T) {
-	any := func(b *breaker) uint32 { return b.list[0].Worker }
+	first := func(b *ruleBreaker) uint32 { return b.list[0].Worker }
 	for want, c := range map[string]struct {
 		x  *Experiment
-		do func(b *breaker, r policy.Request)
+		do func(b *ruleBreaker, r policy.Request)
 	}{
-		"no final answer": {bay(), func(*breaker, policy.Request) {}},
-		"second final answer": {bay(), func(b *breaker, r policy.Request) {
-			b.host.Send(r.ID, any(b), 0)
+		"no final answer": {serviceExperiment(), func(*ruleBreaker, policy.Request) {}},
+		"second final answer": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) {
+			b.host.Send(r.ID, first(b), 0)
 			b.host.Fail(r.ID)
 			b.host.Refuse(r.ID, 0)
 		}},
-		"two attempts at once": {bay(), func(b *breaker, r policy.Request) { b.host.Send(r.ID, any(b), 0); b.host.Send(r.ID, any(b), 0) }},
-		"must not run twice":   {bay(), func(b *breaker, r policy.Request) { b.host.Send(r.ID, any(b), 0); b.host.Send(r.ID, any(b), 0) }},
-		"outside of its group": {bay(), func(b *breaker, r policy.Request) {
+		"two attempts at once": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) { b.host.Send(r.ID, first(b), 0); b.host.Send(r.ID, first(b), 0) }},
+		"must not run twice":   {serviceExperiment(), func(b *ruleBreaker, r policy.Request) { b.host.Send(r.ID, first(b), 0); b.host.Send(r.ID, first(b), 0) }},
+		"outside of its group": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) {
 			for _, m := range b.list[:6] {
 				b.host.Send(r.ID, m.Worker, 0)
 			}
 		}},
-		"for the 4th time": {bay(), func(b *breaker, r policy.Request) {
+		"for the 4th time": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) {
 			for range 4 {
-				b.host.Send(r.ID, any(b), 0)
+				b.host.Send(r.ID, first(b), 0)
 			}
 		}},
-		"sent after its final": {bay(), func(b *breaker, r policy.Request) {
-			b.host.Send(r.ID, any(b), 0)
+		"sent after its final": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) {
+			b.host.Send(r.ID, first(b), 0)
 			b.host.Fail(r.ID)
-			b.host.Send(r.ID, any(b), 0)
+			b.host.Send(r.ID, first(b), 0)
 		}},
-		"though it may have": {bay(), func(b *breaker, r policy.Request) { b.host.Send(r.ID, any(b), 0); b.host.Refuse(r.ID, 0) }},
-		"draining or gone": {bay(Fault{Kind: "crash", At: time.Second, For: 50 * time.Second, Part: 0.3}), func(b *breaker, r policy.Request) {
+		"though it may have": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) { b.host.Send(r.ID, first(b), 0); b.host.Refuse(r.ID, 0) }},
+		"draining or gone": {serviceExperiment(Fault{Kind: "crash", At: time.Second, For: 50 * time.Second, Part: 0.3}), func(b *ruleBreaker, r policy.Request) {
 			if b.gone != 0 {
 				b.host.Send(r.ID, b.gone, 0)
 			}
 		}},
-		"what it can do": {bay(Fault{Kind: "crash", At: time.Second, For: time.Second, Part: 0.01}), func(b *breaker, r policy.Request) {
+		"what it can do": {serviceExperiment(Fault{Kind: "crash", At: time.Second, For: time.Second, Part: 0.01}), func(b *ruleBreaker, r policy.Request) {
 			if b.gone != 0 {
 				b.host.Send(r.ID, b.gone, 0)
 			}
 		}},
-		"after its deadline": {bay(), func(b *breaker, r policy.Request) {
-			b.host.(*dispatcher).w.in(30*time.Second, func() { b.host.Fail(r.ID) })
+		"after its deadline": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) {
+			b.host.(*dispatcher).world.after(30*time.Second, func() { b.host.Fail(r.ID) })
 		}},
 	} {
-		w, err := NewWorld(c.x, func(_ *World, h policy.Host, _ int, _ uint64) (Policy, error) {
-			return &breaker{host: h, Policy: &plain{}, fault: c.do}, nil
-		}, 1)
-		require.NoError(t, err, want)
-		r := w.Run()
-		found := false
-		for _, b := range r.Violations {
-			found = found || strings.Contains(b, want)
-		}
-		require.True(t, found, "%s: %v", want, r.Violations)
+		t.Run(want, func(t *testing.T) {
+			w, err := NewWorld(c.x, func(_ *World, h policy.Host, _ int, _ uint64) (Policy, error) {
+				return &ruleBreaker{host: h, Policy: &basicPolicy{}, fault: c.do}, nil
+			}, 1)
+			require.NoError(t, err)
+			violations := w.Run().Violations
+			found := slices.ContainsFunc(violations, func(v string) bool { return strings.Contains(v, want) })
+			require.True(t, found, "%v", violations)
+		})
 	}
 }
 
-// TestCold: a member that has just started does what its warm-up lets it.
-func TestCold(t *testing.T) {
-	x := bay()
+// TestSlowStart: a member that has just started does what its warm-up lets it.
+func TestSlowStart(t *testing.T) {
+	x := serviceExperiment()
 	w, err := NewWorld(x, Baselines["random"], 1)
 	require.NoError(t, err)
 	m := w.members[0]
-	m.boot()
-	require.InDelta(t, 0.15, m.warm(), 1e-9)
-	w.run(w.now + 10*time.Second)
-	require.InDelta(t, 0.575, m.warm(), 1e-6)
-	w.run(w.now + 10*time.Second)
-	require.Equal(t, 1.0, m.warm())
-	require.False(t, math.IsNaN(m.load()))
+	m.restart()
+	require.InDelta(t, 0.15, m.warmth(), 1e-9)
+	w.runUntil(w.now + 10*time.Second)
+	require.InDelta(t, 0.575, m.warmth(), 1e-6)
+	w.runUntil(w.now + 10*time.Second)
+	require.Equal(t, 1.0, m.warmth())
+	require.False(t, math.IsNaN(m.remainingTime()))
 }
 
 // BenchmarkSize plays a second of a fleet of 10,000 members and 1,000
@@ -274,7 +274,7 @@
 			Length: time.Second, Dispatchers: 1000, Classes: []Class{hold}, NetworkDelay: 200 * time.Microsecond, NetworkJitter: 0.2,
 			Kinds: []MemberKind{{Name: "std", Count: 10000, Cores: 4, Slots: 4, Queue: 28, Speed: 1, SpeedCV: 0.2, Cells: 1000}}, DiscoveryDelay: time.Second,
 		}
-		x.Settings = bayRules(1000, hold)
+		x.Settings = serviceRules(1000, hold)
 		began := time.Now()
 		r := play(b, x, "module", 1)
 		b.ReportMetric(float64(r.Events)/time.Since(began).Seconds(), "events/s")
--- a/internal/dispatcher/lab/member.go
+++ b/internal/dispatcher/lab/member.go
@@ -7,206 +7,206 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// MemberKind is one kind of member.
+// MemberKind is one kind of pool member.
 type MemberKind struct {
 	Name     string
 	Count    int
 	Cores    int
-	Slots    int     // jobs that run at a time count their slots against these
-	Queue    int     // jobs that wait; what comes beyond is turned away
-	Speed    float64 // of a core; 1 runs a job in its own work
-	SpeedCV  float64 // how the members of the kind differ
-	Cells    int     // groups that drop repeats; 0: one
-	ColdFrom float64 // share of its speed that it starts with
-	ColdFor  time.Duration
-	// Crowding is what each job beyond CrowdFrom, or else the cores, costs all of
-	// them, as a share of their speed: locks, memory, caches.
+	Slots    int           // that running jobs may use at a time
+	Queue    int           // jobs that may wait; more are rejected
+	Speed    float64       // of a core; at 1 a job runs as long as its work
+	SpeedCV  float64       // coefficient of variation of the speed between members
+	Cells    int           // deduplication groups; 0: one
+	ColdFrom float64       // share of its speed at its start
+	ColdFor  time.Duration // until it has its full speed
+	// Crowding is the share of their speed that each job beyond CrowdFrom, or beyond the
+	// cores if that is more, costs all of them: locks, memory, caches.
 	Crowding  float64
 	CrowdFrom int
-	// Connections is how many it holds at a time, one for each job that runs or
-	// waits; what comes beyond does not come up. 0: no bound.
+	// Connections is how many it has at a time, one for each job that runs or waits; more
+	// fail to connect. 0: no bound.
 	Connections int
-	Handshake   time.Duration // of its work, for each attempt that it takes
+	Handshake   time.Duration // work for each attempt that it accepts
 }
 
-// member is a server: it runs what fits in order, and holds a bounded queue.
-// Jobs share its cores. Nothing that has begun stops.
+// member is a pool member: it runs in order what fits its slots, and has a bounded queue.
+// Running jobs share its cores. Nothing that has begun is stopped but by a crash.
 type member struct {
-	w       *World
-	number  uint32
-	kind    *MemberKind
-	cell    int
-	speed   float64
-	started time.Duration // its latest start; 0: long ago
-	state   policy.MemberState
-	up      bool
-	paused  bool
-	cutTill time.Duration // nothing gets through to it or from it until then
-	slow    float64       // a trouble's factor on its speed
-	queue   []*attempt
-	running []*attempt
-	busy    float64 // slots in use
-	moved   time.Duration
-	turn    int           // of the next completion, to know those that are out of date
-	ran     time.Duration // work done, in its own time
+	world            *World
+	number           uint32
+	kind             *MemberKind
+	cell             int
+	speed            float64
+	started          time.Duration // its latest start; 0: long ago
+	state            policy.MemberState
+	up               bool
+	paused           bool
+	partitionedUntil time.Duration // no message gets to it or from it until then
+	speedFactor      float64       // a fault's factor on its speed
+	queue            []*attempt
+	running          []*attempt
+	busySlots        float64       // that running jobs use
+	advancedAt       time.Duration // up to which the work of its jobs is accounted
+	planNumber       int           // of the latest scheduled step: older ones are void
+	workDone         time.Duration // time of its cores that was in use
 }
 
-// attempt is one send of a request.
+// attempt is one send of a request to a member.
 type attempt struct {
-	req    *request
-	n      int
-	from   *dispatcher
-	to     *member
-	sentAt time.Duration
-	work   float64 // nanoseconds at speed 1 that are left
-	out    bool    // its outcome has not been told
-	may    bool    // it has begun to run
+	request    *request
+	number     int
+	dispatcher *dispatcher
+	member     *member
+	sentAt     time.Duration
+	workLeft   float64 // nanoseconds at speed 1
+	inFlight   bool    // its dispatcher does not know its result
+	mayHaveRun bool    // it has begun to run
 }
 
-// warm is the share of its speed that it has now.
-func (m *member) warm() float64 {
+// warmth is the share of its speed that it has now, after a start.
+func (m *member) warmth() float64 {
 	k := m.kind
 	if m.started == 0 || k.ColdFor == 0 {
 		return 1
 	}
-	age := float64(m.w.now-m.started) / float64(k.ColdFor)
+	age := float64(m.world.now-m.started) / float64(k.ColdFor)
 	return min(1, k.ColdFrom+(1-k.ColdFrom)*age)
 }
 
-// rate is how fast each running job goes, in work a nanosecond.
+// rate is how fast each running job goes: work in a nanosecond.
 func (m *member) rate() float64 {
 	if m.paused || len(m.running) == 0 {
 		return 0
 	}
-	share := min(1, float64(m.kind.Cores)/m.busy)
-	crowd := 1 / (1 + m.kind.Crowding*max(0, float64(len(m.running)+len(m.queue)-max(m.kind.Cores, m.kind.CrowdFrom))))
-	return m.speed * m.slow * m.warm() * share * crowd
+	coreShare := min(1, float64(m.kind.Cores)/m.busySlots)
+	crowding := 1 / (1 + m.kind.Crowding*max(0, float64(len(m.running)+len(m.queue)-max(m.kind.Cores, m.kind.CrowdFrom))))
+	return m.speed * m.speedFactor * m.warmth() * coreShare * crowding
 }
 
-// advance lets the running jobs go on until now.
+// advance accounts the work of the running jobs up to now.
 func (m *member) advance() {
-	if span := m.w.now - m.moved; span > 0 && len(m.running) > 0 {
+	if span := m.world.now - m.advancedAt; span > 0 && len(m.running) > 0 {
 		if rate := m.rate(); rate > 0 {
 			for _, a := range m.running {
-				a.work -= rate * float64(span)
+				a.workLeft -= rate * float64(span)
 			}
-			m.ran += span * time.Duration(min(float64(m.kind.Cores), m.busy))
+			m.workDone += span * time.Duration(min(float64(m.kind.Cores), m.busySlots))
 		}
 	}
-	m.moved = m.w.now
+	m.advancedAt = m.world.now
 }
 
-const coldStep = 50 * time.Millisecond // how often a warming member's rate is looked at
+// warmupStep is how often the rate of a member that warms up is computed anew.
+const warmupStep = 50 * time.Millisecond
 
-// plan sets the time at which the next job ends, or its rate changes.
-func (m *member) plan() {
-	m.turn++
+// scheduleNext schedules the step at which the next job ends or the rate changes.
+func (m *member) scheduleNext() {
+	m.planNumber++
 	rate := m.rate()
 	if rate == 0 {
 		return
 	}
 	least := math.Inf(1)
 	for _, a := range m.running {
-		least = min(least, a.work)
+		least = min(least, a.workLeft)
 	}
 	next := time.Duration(math.Ceil(max(0, least) / rate))
-	if m.warm() < 1 {
-		next = min(next, coldStep)
+	if m.warmth() < 1 {
+		next = min(next, warmupStep)
 	}
-	turn := m.turn
-	m.w.in(next, func() {
-		if m.turn == turn {
+	turn := m.planNumber
+	m.world.after(next, func() {
+		if m.planNumber == turn {
 			m.step()
 		}
 	})
 }
 
-// step ends what has run, starts what fits, and plans on.
+// step ends the jobs whose work is done, and starts those that fit.
 func (m *member) step() {
 	m.advance()
-	kept := m.running[:0]
+	rest := m.running[:0]
 	for _, a := range m.running {
-		if a.work > 0.5 {
-			kept = append(kept, a)
+		if a.workLeft > 0.5 {
+			rest = append(rest, a)
 			continue
 		}
-		m.busy -= a.req.slots
-		m.w.reply(a, policy.OK)
+		m.busySlots -= a.request.slots
+		m.world.reply(a, policy.OK)
 	}
-	for i := len(kept); i < len(m.running); i++ {
-		m.running[i] = nil
-	}
-	m.running = kept
-	for len(m.queue) > 0 && m.busy+m.queue[0].req.slots <= float64(m.kind.Slots) {
+	clear(m.running[len(rest):])
+	m.running = rest
+	for len(m.queue) > 0 && m.busySlots+m.queue[0].request.slots <= float64(m.kind.Slots) {
 		a := m.queue[0]
 		m.queue = m.queue[1:]
 		m.start(a)
 	}
-	m.plan()
+	m.scheduleNext()
 }
 
+// start runs an attempt.
 func (m *member) start(a *attempt) {
-	a.may = true
-	m.busy += a.req.slots
+	a.mayHaveRun = true
+	m.busySlots += a.request.slots
 	m.running = append(m.running, a)
-	m.w.told(a)
+	m.world.reportStart(a)
 }
 
-// take takes an attempt in, or turns it away.
-func (m *member) take(a *attempt) {
+// receive accepts an attempt, or rejects it.
+func (m *member) receive(a *attempt) {
 	switch {
 	case !m.up || m.kind.Connections > 0 && len(m.running)+len(m.queue) >= m.kind.Connections:
-		m.w.reply(a, policy.ConnectFailed)
+		m.world.reply(a, policy.ConnectFailed)
 		return
-	case m.state == policy.Draining || len(m.queue) >= m.kind.Queue && m.busy+a.req.slots > float64(m.kind.Slots):
-		m.w.reply(a, policy.Rejected)
+	case m.state == policy.Draining || len(m.queue) >= m.kind.Queue && m.busySlots+a.request.slots > float64(m.kind.Slots):
+		m.world.reply(a, policy.Rejected)
 		return
 	}
-	m.w.check.arrives(m, a)
+	m.world.checker.attemptReceived(m, a)
 	m.advance()
-	a.work += float64(m.kind.Handshake)
-	if len(m.queue) == 0 && m.busy+a.req.slots <= float64(m.kind.Slots) {
+	a.workLeft += float64(m.kind.Handshake)
+	if len(m.queue) == 0 && m.busySlots+a.request.slots <= float64(m.kind.Slots) {
 		m.start(a)
 	} else {
 		m.queue = append(m.queue, a)
 	}
-	m.plan()
+	m.scheduleNext()
 }
 
-// crash ends the process with all that it holds.
+// crash ends the process, and all its jobs.
 func (m *member) crash() {
 	m.advance()
 	for _, a := range append(m.running, m.queue...) {
-		m.w.reply(a, policy.Reset)
+		m.world.reply(a, policy.Reset)
 	}
-	m.running, m.queue, m.busy, m.up = nil, nil, 0, false
-	m.turn++
+	m.running, m.queue, m.busySlots, m.up = nil, nil, 0, false
+	m.planNumber++
 }
 
-// boot starts it, cold.
-func (m *member) boot() {
-	m.up, m.state, m.started, m.moved = true, policy.Ready, max(m.w.now, 1), m.w.now
+// restart starts the process, cold.
+func (m *member) restart() {
+	m.up, m.state, m.started, m.advancedAt = true, policy.Ready, max(m.world.now, 1), m.world.now
 }
 
-// drain lets it take nothing more, and hands back what waits.
+// drain lets it accept nothing more, and rejects what waits.
 func (m *member) drain() {
 	m.state = policy.Draining
 	for _, a := range m.queue {
-		m.w.reply(a, policy.Rejected)
+		m.world.reply(a, policy.Rejected)
 	}
 	m.queue = nil
 }
 
-// load is the work that it holds, in its own time with all cores: what a policy
-// that sees the true state goes by.
-func (m *member) load() float64 {
+// remainingTime is how long all its cores need for the jobs that it has, in nanoseconds:
+// the baseline that sees the true state decides by it.
+func (m *member) remainingTime() float64 {
 	m.advance()
 	sum := 0.0
 	for _, a := range m.running {
-		sum += max(0, a.work)
+		sum += max(0, a.workLeft)
 	}
 	for _, a := range m.queue {
-		sum += a.work
+		sum += a.workLeft
 	}
-	return sum / (m.speed * m.slow * m.warm() * float64(m.kind.Cores))
+	return sum / (m.speed * m.speedFactor * m.warmth() * float64(m.kind.Cores))
 }
--- /dev/null
+++ b/internal/dispatcher/lab/network.go
@@ -0,0 +1,76 @@
+package lab
+
+import (
+	"time"
+
+	"basaltloft/internal/dispatcher/policy"
+)
+
+const (
+	connectTimeout     = 250 * time.Millisecond // a connection that is not up by then has failed
+	callbackRetryDelay = 500 * time.Millisecond // after which a member repeats a callback that was lost
+	maxCallbackRetries = 10
+)
+
+// networkDelay draws how long a message takes one way.
+func (w *World) networkDelay() time.Duration {
+	return time.Duration(float64(w.experiment.NetworkDelay) * max(0.2, 1+w.experiment.NetworkJitter*w.random.NormFloat64()))
+}
+
+// losesMessage draws whether a message is lost.
+func (w *World) losesMessage() bool { return w.lossRate > 0 && w.random.Float64() < w.lossRate }
+
+// callbackDelay draws how long a callback takes from a member to its dispatcher. A callback
+// that is lost is repeated.
+func (w *World) callbackDelay(from *member) time.Duration {
+	took := max(0, from.partitionedUntil-w.now) + w.networkDelay()
+	for n := 0; n < maxCallbackRetries && w.losesMessage(); n++ {
+		took += callbackRetryDelay
+	}
+	return took
+}
+
+// reportStart records that an attempt begins to run, and reports it to its dispatcher.
+func (w *World) reportStart(a *attempt) {
+	_ = w.Result.Wait.RecordValue(max(1, int64((w.now-a.sentAt)/time.Microsecond)))
+	if !w.experiment.Settings.ReportsStart {
+		return
+	}
+	epoch := a.dispatcher.epoch
+	w.after(w.callbackDelay(a.member), func() {
+		if a.dispatcher.epoch == epoch && a.inFlight {
+			a.dispatcher.handle(func() {
+				a.dispatcher.policy.HandleAttemptUpdate(w.now, policy.AttemptUpdate{Request: a.request.id, Attempt: a.number, Worker: a.member.number, Kind: policy.UpdateStarted})
+			})
+		}
+	})
+}
+
+// reply reports the end of an attempt to its dispatcher.
+func (w *World) reply(a *attempt, s policy.Status) {
+	w.after(w.callbackDelay(a.member), func() { w.endAttempt(a, s) })
+}
+
+// endAttempt ends an attempt at its dispatcher, with its result.
+func (w *World) endAttempt(a *attempt, s policy.Status) {
+	if !a.inFlight {
+		return
+	}
+	a.inFlight = false
+	d, r := a.dispatcher, a.request
+	w.checker.attemptEnded(a, s)
+	if d.open[r.id] != r { // it restarted, or has answered
+		if !r.answered {
+			return
+		}
+	}
+	if s == policy.OK && !r.answered {
+		w.answer(r, s, false)
+	}
+	d.handle(func() {
+		d.policy.HandleAttemptResult(w.now, policy.AttemptResult{
+			Request: r.id, Attempt: a.number, Worker: a.member.number, Status: s, Final: r.answered, Latency: w.now - a.sentAt,
+		})
+	})
+	d.forget(r)
+}
--- /dev/null
+++ b/internal/dispatcher/lab/policy.go
@@ -0,0 +1,29 @@
+package lab
+
+import (
+	"time"
+
+	"basaltloft/internal/dispatcher/policy"
+)
+
+// Policy decides for one dispatcher. *policy.Dispatcher is one. Times are virtual; the
+// calls are those of policy.Dispatcher, on the run's one goroutine.
+type Policy interface {
+	HandleRequest(now time.Duration, r policy.Request)
+	HandleAttemptResult(now time.Duration, o policy.AttemptResult)
+	HandleProbeResult(now time.Duration, p policy.ProbeResult)
+	HandleTimer(now time.Duration, token string)
+	HandleAttemptUpdate(now time.Duration, n policy.AttemptUpdate)
+	HandleMembers(now time.Duration, kind policy.ListKind, entries []policy.Member)
+	HandleClientGone(now time.Duration, id string)
+}
+
+// PolicyMaker makes the policy of one dispatcher, which acts through the host.
+type PolicyMaker func(w *World, d policy.Host, rank int, seed uint64) (Policy, error)
+
+// NewDispatcherPolicy makes the decisions of the product.
+func NewDispatcherPolicy(w *World, h policy.Host, rank int, seed uint64) (Policy, error) {
+	s := w.experiment.Settings
+	s.Rank, s.Seed = rank, seed
+	return policy.New(s, h)
+}
--- a/internal/dispatcher/lab/study.go
+++ b/internal/dispatcher/lab/study.go
@@ -1,74 +1,65 @@
 package lab
 
 import (
-	"encoding/csv"
-	"encoding/json"
-	"fmt"
-	"io"
-	"math/rand/v2"
 	"runtime"
-	"slices"
-	"strconv"
 	"sync"
-	"text/tabwriter"
 	"time"
-
-	"gonum.org/v1/gonum/stat"
 )
 
-// Study is an experiment played with some policies and seeds, each with each.
+// Study is an experiment that is played with some policies and seeds, each with each.
 type Study struct {
 	Experiment *Experiment
-	Policies   []string
-	Seeds      int
-	FirstSeed  uint64 // seed
-	Load       float64
-	Variant    string
+	Policies   []string // by their names in Baselines
+	Seeds      int      // how many
+	FirstSeed  uint64
+	Load       float64 // factor on the file's rates, for Run.Load
+	Variant    string  // what a sweep changed in the file, for Run.Set
 }
 
-// Run is one run of a study.
+// Run is the result of one run of a study. It is written as JSON, by the names of its
+// fields. Counts are of logical requests, but for Tries and Sends.
 type Run struct {
-	Load      float64 // the multiple of the file's rates
-	Set       string  // what a sweep put in place of the file's own figures
+	Load      float64 // factor on the file's rates
+	Set       string  // what a sweep changed in the file
 	Policy    string
 	Seed      uint64
-	Goodput   float64 // share of the asked work that was done in time
+	Goodput   float64 // share of the requested work that was done in time
 	Asked     int
 	InTime    int
 	Late      int
 	Refused   int
 	Failed    int
-	Tries     int
-	Sends     int
-	Busy      float64
-	P50, P95  float64 // milliseconds, of served asks
-	P99, Wait float64 // the mean wait of a send until it begins to run
-	Events    int
-	Broken    []string
-	Took      float64 // seconds
-
-	PerS    float64 // served a second of the run
-	Mean    float64 // milliseconds that those took
+	Tries     int      // attempts of clients
+	Sends     int      // attempts of dispatchers
+	Busy      float64  // share of the cores' time in use
+	P50, P95  float64  // latency of served logical requests, in milliseconds
+	P99, Wait float64  // in milliseconds; Wait is the mean from a send until it begins to run
+	Events    int      // of the simulation
+	Broken    []string // rules
+	Took      float64  // seconds of the machine
+
+	PerS    float64 // served a second
+	Mean    float64 // latency of these, in milliseconds
 	Classes []ClassRun
-	Latency [][2]float64 // by quantile, in milliseconds
+	Latency [][2]float64 // pairs of percent and milliseconds
 	Seconds []Second
 	Members [][]float64 // see Result
 }
 
-// ClassRun is what a run came to for one class.
+// ClassRun is the result of one run for one class. It is written as JSON.
 type ClassRun struct {
 	Name string
-	PerS float64 // served
-	Mean float64 // milliseconds
+	PerS float64 // served a second
+	Mean float64 // latency, in milliseconds
 }
 
-// Play plays all runs on all cores, and tells of each that is done. The result
-// does not depend on how many cores there are.
+// Play plays all runs, on all cores, and calls done after each one, on any goroutine. The
+// result does not depend on how many cores there are.
 func (s *Study) Play(done func()) ([]Run, error) {
 	type task struct {
 		policy string
 		seed   uint64
-		at     int
+		number int
 	}
 	var tasks []task
 	for _, p := range s.Policies {
@@ -85,7 +76,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for t := range next {
-				runs[t.at], errs[t.at] = s.one(t.policy, t.seed)
+				runs[t.number], errs[t.number] = s.play(t.policy, t.seed)
 				done()
 			}
 		})
@@ -103,36 +94,45 @@
 	return runs, nil
 }
 
-// quantiles are those at which a run keeps its latency.
-var quantiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9}
+// percentiles are those of a run's latency that are kept.
+var percentiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9}
 
-func (s *Study) one(policy string, seed uint64) (Run, error) {
+func (s *Study) play(name string, seed uint64) (Run, error) {
 	began := time.Now()
-	make, _ := PolicyByName(policy)
-	w, err := NewWorld(s.Experiment, make, seed)
+	newPolicy, err := PolicyByName(name)
+	if err != nil {
+		return Run{}, err
+	}
+	w, err := NewWorld(s.Experiment, newPolicy, seed)
 	if err != nil {
 		return Run{}, err
 	}
 	r := w.Run()
-	ms := func(q float64) float64 { return float64(r.Latency.ValueAtQuantile(q)) / 1000 }
+	latency := func(percent float64) float64 { return float64(r.Latency.ValueAtQuantile(percent)) / 1000 }
 	run := Run{
-		Load: s.Load, Set: s.Variant, Policy: policy, Seed: seed, Goodput: r.Goodput(), Asked: r.Asked, InTime: r.InTime, Late: r.Late, Refused: r.Refused, Failed: r.Failed,
-		Tries: r.Tries, Sends: r.Sends, Busy: r.Utilization, P50: ms(50), P95: ms(95), P99: ms(99), Wait: r.Wait.Mean() / 1000, Events: r.Events,
-		Broken: r.Violations, Took: time.Since(began).Seconds(), Seconds: r.Seconds, Members: r.Members,
+		Load: s.Load, Set: s.Variant, Policy: name, Seed: seed, Goodput: r.Goodput(),
+		Asked: r.Asked, InTime: r.InTime, Late: r.Late, Refused: r.Refused, Failed: r.Failed, Tries: r.Tries, Sends: r.Sends,
+		Busy: r.Utilization, P50: latency(50), P95: latency(95), P99: latency(99), Wait: r.Wait.Mean() / 1000,
+		Events: r.Events, Broken: r.Violations, Took: time.Since(began).Seconds(), Seconds: r.Seconds, Members: r.Members,
 	}
+	length := s.Experiment.Length.Seconds()
 	served, took := 0, time.Duration(0)
 	for _, c := range r.Classes {
 		served += c.Served
 		took += c.Took
-		run.Classes = append(run.Classes, ClassRun{Name: c.Name, PerS: float64(c.Served) / s.Experiment.Length.Seconds(), Mean: 1000 * c.Took.Seconds() / float64(max(1, c.Served))})
+		run.Classes = append(run.Classes, ClassRun{Name: c.Name, PerS: float64(c.Served) / length, Mean: meanMilliseconds(c.Took, c.Served)})
 	}
-	run.PerS, run.Mean = float64(served)/s.Experiment.Length.Seconds(), 1000*took.Seconds()/float64(max(1, served))
-	for _, q := range quantiles {
-		run.Latency = append(run.Latency, [2]float64{q, ms(q)})
+	run.PerS, run.Mean = float64(served)/length, meanMilliseconds(took, served)
+	for _, percent := range percentiles {
+		run.Latency = append(run.Latency, [2]float64{percent, latency(percent)})
 	}
 	return run, nil
 }
 
+func meanMilliseconds(sum time.Duration, count int) float64 {
+	return 1000 * sum.Seconds() / float64(max(1, count))
+}
+
 // RunsOf picks the runs of one policy, by seed.
 func RunsOf(runs []Run, policy string) (of []Run) {
 	for _, r := range runs {
@@ -142,101 +142,3 @@
 	}
 	return of
 }
-
-// Compared is how a policy's goodput stands to another's, seed by seed.
-type Compared struct {
-	Policy, Base string
-	Mean         float64 // of the differences
-	Low, High    float64 // between these with 95% confidence, by bootstrap
-}
-
-const resamples = 2000
-
-// Compare holds each policy against the base, paired by seed.
-func Compare(runs []Run, base string) (all []Compared) {
-	from := RunsOf(runs, base)
-	var seen []string
-	for _, r := range runs {
-		if r.Policy == base || slices.Contains(seen, r.Policy) {
-			continue
-		}
-		seen = append(seen, r.Policy)
-		var differences []float64
-		for i, o := range RunsOf(runs, r.Policy) {
-			differences = append(differences, o.Goodput-from[i].Goodput)
-		}
-		random := rand.New(rand.NewPCG(1, 41)) // the same resamples each time
-		means := make([]float64, resamples)
-		for n := range means {
-			sum := 0.0
-			for range differences {
-				sum += differences[random.IntN(len(differences))]
-			}
-			means[n] = sum / float64(len(differences))
-		}
-		slices.Sort(means)
-		all = append(all, Compared{
-			Policy: r.Policy, Base: base, Mean: stat.Mean(differences, nil),
-			Low: stat.Quantile(0.025, stat.Empirical, means, nil), High: stat.Quantile(0.975, stat.Empirical, means, nil),
-		})
-	}
-	return all
-}
-
-// Table writes the means of each policy's runs.
-func Table(out io.Writer, runs []Run) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "policy\truns\tgoodput\t± sd\tin time\tlate\trefused\tfailed\tsends a try\tserved/s\tmean ms\tp50 ms\tp95 ms\tbusy\tbroken\t")
-	var seen []string
-	for _, r := range runs {
-		if slices.Contains(seen, r.Policy) {
-			continue
-		}
-		seen = append(seen, r.Policy)
-		of := RunsOf(runs, r.Policy)
-		column := func(f func(Run) float64) (values []float64) {
-			for _, o := range of {
-				values = append(values, f(o))
-			}
-			return values
-		}
-		mean := func(f func(Run) float64) float64 { return stat.Mean(column(f), nil) }
-		goodput, sd := stat.MeanStdDev(column(func(r Run) float64 { return r.Goodput }), nil)
-		if len(of) == 1 {
-			sd = 0
-		}
-		share := func(n func(Run) int) float64 {
-			return mean(func(r Run) float64 { return float64(n(r)) / float64(max(1, r.Asked)) })
-		}
-		broken := 0
-		for _, o := range of {
-			broken += len(o.Broken)
-		}
-		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%d\t\n", r.Policy, len(of), goodput, sd,
-			share(func(r Run) int { return r.InTime }), share(func(r Run) int { return r.Late }), share(func(r Run) int { return r.Refused }),
-			share(func(r Run) int { return r.Failed }), mean(func(r Run) float64 { return float64(r.Sends) / float64(max(1, r.Tries)) }),
-			mean(func(r Run) float64 { return r.PerS }), mean(func(r Run) float64 { return r.Mean }), mean(func(r Run) float64 { return r.P50 }), mean(func(r Run) float64 { return r.P95 }), mean(func(r Run) float64 { return r.Busy }), broken)
-	}
-	return w.Flush()
-}
-
-// CSV writes each run.
-func CSV(out io.Writer, runs []Run) error {
-	w := csv.NewWriter(out)
-	w.Write([]string{"load", "set", "policy", "seed", "goodput", "asked", "in_time", "late", "refused", "failed", "tries", "sends", "busy", "served_per_s", "mean_ms", "p50_ms", "p95_ms", "p99_ms", "wait_ms", "events", "broken"})
-	f := func(x float64) string { return strconv.FormatFloat(x, 'g', 6, 64) }
-	for _, r := range runs {
-		w.Write([]string{f(r.Load), r.Set, r.Policy, strconv.FormatUint(r.Seed, 10), f(r.Goodput), strconv.Itoa(r.Asked), strconv.Itoa(r.InTime), strconv.Itoa(r.Late),
-			strconv.Itoa(r.Refused), strconv.Itoa(r.Failed), strconv.Itoa(r.Tries), strconv.Itoa(r.Sends), f(r.Busy), f(r.PerS), f(r.Mean), f(r.P50), f(r.P95), f(r.P99), f(r.Wait),
-			strconv.Itoa(r.Events), strconv.Itoa(len(r.Broken))})
-	}
-	w.Flush()
-	return w.Error()
-}
-
-// JSON writes each run.
-func JSON(out io.Writer, runs []Run) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(runs)
-}
