--- a/cmd/basaltloft-lab/main_test.go
+++ b/cmd/basaltloft-lab/main_test.go
@@ -74,7 +74,7 @@
 		t.Run(args, func(t *testing.T) {
 			err := run(strings.Fields(strings.ReplaceAll(args, "FILE", name)), &bytes.Buffer{}, &bytes.Buffer{})
 			require.ErrorContains(t, err, want)
-			require.True(t, errors.As(err, new(misuse)), "%T", err)
+			require.True(t, errors.As(err, new(usageError)), "%T", err)
 		})
 	}
 	require.Error(t, run([]string{"run", filepath.Join(t.TempDir(), "none")}, &bytes.Buffer{}, &bytes.Buffer{}))
