--- /dev/null
+++ b/internal/dispatcher/demo/fleetnode.go
@@ -0,0 +1,125 @@
+package demo
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"basaltloft/internal/dispatcher/fakes"
+)
+
+// node is one process of the fleet.
+type node struct {
+	name, home             string // home is its directory
+	listen, admin, metrics string // addresses
+	rpc, raft              string // addresses; empty: it is no Raft node
+	dataDir                string // of its fleet state
+	cmd                    *exec.Cmd
+	ended                  chan error // has its end, and is closed then
+}
+
+func newNode(name, home string, raftNode bool) (*node, error) {
+	n := &node{name: name, home: filepath.Join(home, name), ended: make(chan error, 1)}
+	n.dataDir = filepath.Join(n.home, "folder")
+	addrs := []*string{&n.listen, &n.admin, &n.metrics}
+	if raftNode {
+		addrs = append(addrs, &n.rpc, &n.raft)
+	}
+	for _, addr := range addrs {
+		var err error
+		if *addr, err = fakes.FreeAddr(); err != nil {
+			return nil, err
+		}
+	}
+	return n, nil
+}
+
+// raftNodes are the addresses of the Raft nodes among some processes, by name, as in an
+// operator's file.
+func raftNodes(nodes []*node) map[string]map[string]string {
+	all := make(map[string]map[string]string)
+	for _, n := range nodes {
+		if n.raft != "" {
+			all[n.name] = map[string]string{"calls": n.rpc, "votes": n.raft}
+		}
+	}
+	return all
+}
+
+// operatorFile is its operator's file, with a budget of jobs for the first tenant.
+func (n *node) operatorFile(raftNodes map[string]map[string]string, planFile string) (string, error) {
+	fleet := map[string]any{
+		"name": n.name, "folder": n.dataDir, "keepers": raftNodes, "plans": []string{planFile},
+		"budgets": []any{map[string]any{"of": "jobs", "name": Tenants[0], "whole": jobBudget, "burst": jobBudget / 2}},
+	}
+	if n.raft != "" {
+		fleet["calls"], fleet["votes"] = n.rpc, n.raft
+	}
+	text, err := json.Marshal(map[string]any{"fleet": fleet, "figures": map[string]any{"listen": n.metrics, "audit_every_ms": 500}})
+	return string(text), err
+}
+
+// start starts the process, with its log in its directory.
+func (n *node) start(d Dispatcher, program, operator string) error {
+	if err := os.MkdirAll(n.dataDir, 0o700); err != nil {
+		return err
+	}
+	cmd, err := d.Command(program, n.home, operator, "serve", "--log-level", "info")
+	if err != nil {
+		return err
+	}
+	log, err := os.Create(filepath.Join(n.home, "log"))
+	if err != nil {
+		return err
+	}
+	cmd.Stdout, cmd.Stderr = log, log
+	if err := errors.Join(cmd.Start(), log.Close()); err != nil { // the process has a descriptor of its own
+		return fmt.Errorf("starting %s: %w", n.name, err)
+	}
+	n.cmd = cmd
+	go func() {
+		n.ended <- cmd.Wait()
+		close(n.ended)
+	}()
+	return nil
+}
+
+// kill ends the process at once, if it was started, and waits for its end.
+func (n *node) kill() {
+	if n.cmd == nil {
+		return
+	}
+	_ = n.cmd.Process.Kill() // it may have ended
+	for range n.ended {
+	}
+}
+
+// lastLogLine is the last line of its log, for errors.
+func (n *node) lastLogLine() string {
+	text, err := os.ReadFile(filepath.Join(n.home, "log"))
+	if err != nil {
+		return err.Error()
+	}
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	return lines[len(lines)-1]
+}
+
+// waitJoined waits until the process has a lease of the fleet.
+func (n *node) waitJoined(ctx context.Context) error {
+	for deadline := time.Now().Add(maxWait); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(pollInterval / 2) {
+		var status struct {
+			Incarnation uint64
+			Renewed     int `json:"renewed_ms"`
+		}
+		if getJSON(n.admin, "/fleet", &status) == nil && status.Incarnation > 0 && status.Renewed >= 0 {
+			return nil
+		}
+	}
+	return errors.Join(ctx.Err(), fmt.Errorf("%s did not join the fleet; its log ends with %s", n.name, n.lastLogLine()))
+}
--- /dev/null
+++ b/internal/dispatcher/demo/fleetplans.go
@@ -0,0 +1,146 @@
+package demo
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+)
+
+const (
+	bookingInterval = 500 * time.Millisecond // between two plans that are begun
+	seatsPerPlan    = 42
+	// planDeadline is the plan's own, its "within" in the file of plans: it has its final
+	// answer by then, whatever happens.
+	planDeadline = 10 * time.Minute
+	// maxBegin bounds the wait for a process that begins a plan: on a machine that is short
+	// of processor time the Raft nodes may need long to elect a leader.
+	maxBegin = 2 * time.Minute
+)
+
+// outcomeUnderWay is a run's outcome before its final answer.
+const outcomeUnderWay = "under way"
+
+// errNotBegun says that a process has not acknowledged a plan. It may have begun all the
+// same: it may be begun again under the same id, here or at another process.
+var errNotBegun = errors.New("not acknowledged")
+
+// booking is one run of the plan.
+type booking struct {
+	run   string // its id
+	node  *node  // at which it was begun first
+	begun bool   // a process has acknowledged it
+}
+
+// bookPlans begins a plan at intervals, at one process after the other, until the context
+// ends.
+func (f *fleet) bookPlans(ctx context.Context) {
+	for i := 0; ; i++ {
+		b := &booking{run: fmt.Sprintf("coach-%d", i), node: f.nodes[i%len(f.nodes)]}
+		b.begun = f.beginPlan(b.node, b.run) == nil
+		f.mu.Lock()
+		f.bookings = append(f.bookings, b)
+		f.mu.Unlock()
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(bookingInterval):
+		}
+	}
+}
+
+// beginPlan begins a run of the plan at a process, or finds that it was begun. The error
+// wraps errNotBegun.
+func (f *fleet) beginPlan(at *node, run string) error {
+	seats := make([]int, seatsPerPlan)
+	for i := range seats {
+		seats[i] = i + 1
+	}
+	input, err := json.Marshal(map[string]any{"booking": run, "tour": "east gate", "seats": seats, "email": "group@tours.example"})
+	if err != nil {
+		return err
+	}
+	url := "http://" + at.admin + "/plans/coach?run=" + run + "&tenant=" + Tenants[1]
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, strings.NewReader(string(input)))
+	if err != nil {
+		return err
+	}
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return fmt.Errorf("%w by %s: %w", errNotBegun, at.name, err)
+	}
+	text, err := io.ReadAll(resp.Body)
+	err = errors.Join(err, resp.Body.Close())
+	if err != nil {
+		return fmt.Errorf("%w by %s: %w", errNotBegun, at.name, err)
+	}
+	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusAccepted {
+		return fmt.Errorf("%w by %s: %s: %s", errNotBegun, at.name, resp.Status, strings.TrimSpace(string(text)))
+	}
+	return nil
+}
+
+// booked are the plans that were begun, or may have been.
+func (f *fleet) booked() []*booking {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.bookings)
+}
+
+// nodesFrom are all processes, from one of them on.
+func (f *fleet) nodesFrom(first *node) []*node {
+	i := slices.Index(f.nodes, first)
+	return slices.Concat(f.nodes[i:], f.nodes[:i])
+}
+
+// waitOutcome waits for the final answer of a plan, in one word. A plan that no process
+// has acknowledged is begun again.
+func (f *fleet) waitOutcome(b *booking) (string, error) {
+	if err := f.ensureBegun(b); err != nil {
+		return "", err
+	}
+	for deadline := time.Now().Add(planDeadline); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		if outcome := f.outcome(b); outcome != "" {
+			return outcome, nil
+		}
+	}
+	return "", fmt.Errorf("plan %s has no answer", b.run)
+}
+
+// ensureBegun begins a plan until a process has acknowledged it.
+func (f *fleet) ensureBegun(b *booking) (err error) {
+	nodes := f.nodesFrom(b.node)
+	deadline := time.Now().Add(maxBegin)
+	for i := 0; !b.begun; i++ {
+		if err = f.beginPlan(nodes[i%len(nodes)], b.run); err == nil {
+			b.begun = true
+			return nil
+		}
+		if time.Now().After(deadline) {
+			return fmt.Errorf("plan %s could not be begun: %w", b.run, err)
+		}
+		time.Sleep(pollInterval)
+	}
+	return nil
+}
+
+// outcome is the final answer of a plan, or "" while it has none. Any process that is in
+// the fleet just then can tell it.
+func (f *fleet) outcome(b *booking) string {
+	for _, n := range f.nodesFrom(b.node) {
+		var answer struct{ Outcome string }
+		if getJSON(n.admin, "/runs/"+b.run, &answer) == nil && answer.Outcome != "" {
+			if answer.Outcome == outcomeUnderWay {
+				return ""
+			}
+			return answer.Outcome
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/dispatcher/demo/load.go
@@ -0,0 +1,82 @@
+package demo
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"basaltloft/internal/dispatcher/fakes"
+)
+
+// Tenants are those of the demo.
+var Tenants = []string{"hrad-kamenec", "jaskyna-dolina", "hrad-vysoka"}
+
+// ticketShare is the share of group tickets among the requests; the rest are holds.
+const ticketShare = 0.28
+
+// Load is how busy the world is.
+type Load struct {
+	Rate    float64 // logical requests a second, by each front
+	Members int
+	Workers int           // of Faktory
+	Slots   int           // of a member; 0: 4
+	RunTime time.Duration // of each job; 0: short and random
+	Faults  fakes.Faults
+	Seed    uint64
+}
+
+// AtMostOnce reports whether a class, or a Faktory job type, must never run twice.
+func AtMostOnce(class string) bool { return class == "group-ticket" || class == "IssueTicket" }
+
+// RunTimes returns a function that draws how long a job of a class runs: holds for 10 to
+// 30 ms, tickets for three times as long. Each n gives other draws. The function may be
+// called concurrently.
+func (l Load) RunTimes(n uint64) func(class string) time.Duration {
+	if l.RunTime > 0 {
+		return func(string) time.Duration { return l.RunTime }
+	}
+	const shortest, spread, ticketFactor = 10 * time.Millisecond, 20 * time.Millisecond, 3
+	random := rand.New(rand.NewPCG(l.Seed+n, 3))
+	var mu sync.Mutex
+	return func(class string) time.Duration {
+		mu.Lock()
+		defer mu.Unlock()
+		d := shortest + time.Duration(random.Int64N(int64(spread)))
+		if AtMostOnce(class) {
+			d *= ticketFactor
+		}
+		return d
+	}
+}
+
+// membersPerCell is how many members share a deduplication cell.
+const membersPerCell = 4
+
+// NewMembers starts the members of a load, each like the template but with an id, a cell
+// and a seed of its own.
+func (l Load) NewMembers(template fakes.MemberSettings) (all []*fakes.Member, err error) {
+	template.Slots, template.Faults, template.AtMostOnce = l.Slots, l.Faults, AtMostOnce
+	for i := range l.Members {
+		s := template
+		s.ID, s.Cell = fmt.Sprintf("s-%d", i+1), i/membersPerCell
+		s.Run, s.Seed = l.RunTimes(uint64(i)), l.Seed+uint64(i)
+		m, err := fakes.NewMember(s)
+		if err != nil {
+			for _, m := range all {
+				m.Close()
+			}
+			return nil, err
+		}
+		all = append(all, m)
+	}
+	return all, nil
+}
+
+// instances are the members' entries on discovery's list.
+func instances(members []*fakes.Member) (list []fakes.Instance) {
+	for _, m := range members {
+		list = append(list, m.Instance())
+	}
+	return list
+}
