--- a/internal/cluster/scheduler/group.go
+++ b/internal/cluster/scheduler/group.go
@@ -97,7 +97,7 @@
 		case task.Done || g.starting[index]:
 		case len(task.Runs) == 0:
 			g.pending = append(g.pending, index)
-		case speculation.wants(g, index, task):
+		case speculation.shouldStart(g, index, task):
 			speculative = append(speculative, index)
 		}
 	}
--- a/internal/cluster/scheduler/repeats_test.go
+++ b/internal/cluster/scheduler/recurring_test.go
@@ -8,8 +8,8 @@
 	"basaltloft/internal/cluster/job"
 )
 
-func TestRepeatsFallDue(t *testing.T) {
-	schedule := newRepeatSchedule()
+func TestOccurrencesFallDue(t *testing.T) {
+	schedule := newRecurringJobs()
 	j := &job.Job{New: job.New{ID: "a", Spec: job.Spec{Repeats: 3, StartAtMs: 1000, IntervalMs: 500}}}
 	schedule.watch(j)
 	schedule.watch(&job.Job{New: job.New{ID: "once"}, Times: []*job.Occurrence{{}}})
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -22,7 +22,7 @@
 //   - straggler.go (with progress.go), drain.go, speculation.go, suspicion.go: what is done about
 //     slow runs, runners that leave, runs that may be lost, and runners that fail.
 //   - learning.go: run times and speeds; lateness.go: where the time of late jobs went;
-//     repeats.go: occurrences that fall due; retention.go: jobs that are over.
+//     recurring.go: occurrences that fall due; retention.go: jobs that are over.
 //   - group.go, run.go, runner.go: the data that all of these share.
 package scheduler
 
@@ -77,7 +77,7 @@
 	stragglers  *stragglerPolicy
 	speculation *speculationPolicy
 	lateness    *latenessTracker
-	repeats     *repeatSchedule
+	recurring   *recurringJobs
 	retention   *retentionQueue
 
 	lastTick time.Duration
@@ -96,7 +96,7 @@
 		stragglers:  &stragglerPolicy{store: store, runners: runners, restoreTime: config.RestoreTime},
 		speculation: &speculationPolicy{runners: runners},
 		lateness:    newLatenessTracker(config.RemoteSlowdown, log),
-		repeats:     newRepeatSchedule(), retention: newRetentionQueue(config.StatusRetention),
+		recurring:   newRecurringJobs(), retention: newRetentionQueue(config.StatusRetention),
 	}
 	for _, id := range sortedKeys(store.Jobs) {
 		s.inheritJob(store.Jobs[id])
@@ -122,7 +122,7 @@
 		s.jobEnded(j)
 		return
 	}
-	s.repeats.watch(j)
+	s.recurring.watch(j)
 	for occurrence := range j.Times {
 		s.openOccurrence(j, occurrence)
 	}
@@ -212,7 +212,7 @@
 	}
 	s.pollAllOnMassTimeout()
 	s.runners.dropTerminated(now)
-	for _, occurrence := range s.repeats.due(wallMs) {
+	for _, occurrence := range s.recurring.due(wallMs) {
 		s.propose(job.Command{Kind: job.OpenOccurrence, Task: occurrence})
 	}
 	for _, id := range s.retention.expired(wallMs) {
@@ -315,7 +315,7 @@
 }
 
 func (s *Scheduler) jobAccepted(j *job.Job) {
-	s.repeats.watch(j)
+	s.recurring.watch(j)
 	s.openOccurrence(j, 0)
 }
 
@@ -324,7 +324,7 @@
 	if !s.retention.add(j.ID, max(j.EndedMs, s.wallMs)) {
 		return
 	}
-	s.repeats.remove(j.ID)
+	s.recurring.remove(j.ID)
 	s.lateness.forget(j.ID)
 	s.groups.removeJob(j.ID)
 	for occurrence, state := range j.Times {
--- a/internal/cluster/scheduler/speculation.go
+++ b/internal/cluster/scheduler/speculation.go
@@ -14,9 +14,9 @@
 	return step.Speculative && !step.Gang && !step.LongRunning
 }
 
-// wants tells whether the only run of a task may be lost, so that a speculative attempt is to
+// shouldStart tells whether the only run of a task may be lost, so that a speculative attempt is to
 // start.
-func (p *speculationPolicy) wants(group *taskGroup, index int, task *job.Task) bool {
+func (p *speculationPolicy) shouldStart(group *taskGroup, index int, task *job.Task) bool {
 	if len(task.Runs) != 1 || !p.allowed(group.step) {
 		return false
 	}
