--- a/internal/dispatcher/fleet/records/commands.go
+++ b/internal/dispatcher/fleet/records/commands.go
@@ -11,9 +11,9 @@
 
 // Limits bound the records of one lane. 0 is no bound.
 type Limits struct {
-	For   int64 // nanoseconds since their end
-	Count int64
-	Bytes int64
+	MaxAge   int64 `cbor:"For"` // nanoseconds since their end
+	MaxCount int64 `cbor:"Count"`
+	MaxBytes int64 `cbor:"Bytes"`
 }
 
 // Rule says how long a tenant's records are kept. What a hold covers is kept
@@ -24,8 +24,8 @@
 	Failed Limits // failures
 }
 
-// Others is the tenant of the rule for all that have none.
-const Others = "*"
+// DefaultRuleTenant is the tenant of the rule for all that have none.
+const DefaultRuleTenant = "*"
 
 // Hold keeps records until it is lifted or ends.
 type Hold struct {
@@ -49,19 +49,19 @@
 	Process     string
 	Incarnation uint64
 	Epoch       uint64
-	First       uint64
-	Lost        bool
+	FirstSeq    uint64 `cbor:"First"`
+	GapLost     bool   `cbor:"Lost"`
 	Records     []Record
 }
 
 // Shipped answers a Ship.
 type Shipped struct {
-	Through  uint64 // all up to this number of the epoch were taken in
-	Taken    int    // records that were new
-	Again    int    // that had been taken in before
-	Below    int    // that were new, and cut already: below the tenant's mark and not held
-	Missing  uint64 // that were lost before First
-	TooLarge int
+	Through       uint64 // all up to this number of the epoch were taken in
+	Stored        int    `cbor:"Taken"` // records that were new
+	Duplicates    int    `cbor:"Again"` // that had been taken in before
+	AlreadyPruned int    `cbor:"Below"` // that were new, and cut already: below the tenant's mark and not held
+	Missing       uint64 // that were lost before First
+	TooLarge      int
 }
 
 // SetRules sets all rules anew.
@@ -82,20 +82,20 @@
 	Name string
 }
 
-// Mark cuts a lane of a tenant below a place.
-type Mark struct {
-	Tenant string
-	Lane   Lane
-	Below  Order
+// Watermark cuts a lane of a tenant below a place.
+type Watermark struct {
+	Tenant   string
+	Class    RetentionClass `cbor:"Lane"`
+	Position Position       `cbor:"Below"`
 }
 
 // Prune removes records. It is computed by Plan and carries all that it depends on.
 type Prune struct {
-	At    int64 // nanoseconds since 1970: holds that end by then are over
-	Rules uint64
-	Marks []Mark
-	Sweep int    // how many records under ended holds are looked at
-	Turn  string // the tenant that the next plan begins with
+	At           int64       // nanoseconds since 1970: holds that end by then are over
+	RulesEdition uint64      `cbor:"Rules"`
+	Watermarks   []Watermark `cbor:"Marks"`
+	MaxSwept     int         `cbor:"Sweep"` // how many records under ended holds are looked at
+	NextTenant   string      `cbor:"Turn"`  // the tenant that the next plan begins with
 }
 
 // Pruned answers a Cut.
@@ -118,28 +118,28 @@
 var ErrStore = errors.New("the store of records failed")
 
 const (
-	mostRules  = 4096
-	mostHolds  = 4096
-	mostEpochs = 16 // of a process whose numbers are remembered
+	maxRules  = 4096
+	maxHolds  = 4096
+	maxEpochs = 16 // of a process whose numbers are remembered
 )
 
-func sound(text string) bool { return len(text) <= mostText && utf8.ValidString(text) }
+func isValidText(text string) bool { return len(text) <= maxText && utf8.ValidString(text) }
 
 func checkRules(rules []Rule) ([]Rule, error) {
 	rules = slices.Clone(rules)
 	slices.SortFunc(rules, func(a, b Rule) int { return strings.Compare(a.Tenant, b.Tenant) })
-	if len(rules) > mostRules {
-		return nil, fmt.Errorf("%d rules, more than %d: %w", len(rules), mostRules, ErrInvalid)
+	if len(rules) > maxRules {
+		return nil, fmt.Errorf("%d rules, more than %d: %w", len(rules), maxRules, ErrInvalid)
 	}
 	for i, r := range rules {
 		switch {
-		case r.Tenant == "" || !sound(r.Tenant):
+		case r.Tenant == "" || !isValidText(r.Tenant):
 			return nil, fmt.Errorf("a rule's tenant %q: %w", r.Tenant, ErrInvalid)
 		case i > 0 && rules[i-1].Tenant == r.Tenant:
 			return nil, fmt.Errorf("two rules for tenant %q: %w", r.Tenant, ErrInvalid)
 		}
 		for _, l := range []Limits{r.Keep, r.Failed} {
-			if min(l.For, l.Count, l.Bytes) < 0 {
+			if min(l.MaxAge, l.MaxCount, l.MaxBytes) < 0 {
 				return nil, fmt.Errorf("a limit below 0 for tenant %q: %w", r.Tenant, ErrInvalid)
 			}
 		}
@@ -149,7 +149,7 @@
 
 func checkHold(h *Hold) error {
 	for _, text := range []string{h.Name, h.Tenant, h.ID, h.Key, h.Class, h.Owner, h.Reason} {
-		if !sound(text) {
+		if !isValidText(text) {
 			return fmt.Errorf("a text of hold %.40q: %w", h.Name, ErrInvalid)
 		}
 	}
@@ -162,6 +162,6 @@
 	return nil
 }
 
-func compareMarks(a, b Mark) int {
-	return cmp.Or(strings.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Lane, b.Lane))
+func compareWatermarks(a, b Watermark) int {
+	return cmp.Or(strings.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Class, b.Class))
 }
