--- /dev/null
+++ b/internal/cluster/systemtest/cluster_test.go
@@ -0,0 +1,280 @@
+package systemtest_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/coord/rpc"
+	"basaltloft/internal/cluster/controlplane"
+	"basaltloft/internal/cluster/dataplane"
+	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/cluster/settings"
+	"basaltloft/internal/cluster/systemtest"
+)
+
+// Loopback addresses of the processes.
+const dispatcherIP = "127.0.0.21"
+
+var nodeIPs = []string{"127.0.0.11", "127.0.0.12", "127.0.0.13"}
+
+// Offsets of a process's ports from the first one.
+const (
+	internalOffset  = 0
+	httpOffset      = 2
+	readinessOffset = 3
+	portsEach       = 4
+)
+
+// Limits of waiting, generous for a machine that is busy.
+const (
+	requestTimeout = 3 * time.Second  // one request
+	answerTimeout  = 20 * time.Second // until a request has a clear answer
+	settleTimeout  = 30 * time.Second // until a job or the groups have the wanted state
+	statusTimeout  = time.Second
+)
+
+// clientHost is the host of the route in configurationText.
+const clientHost = "h.example"
+
+// cluster is three control-plane nodes and a dispatcher, each at a loopback address of its own.
+type cluster struct {
+	t        *testing.T
+	platform *systemtest.Platform
+	runner   *systemtest.Runner
+	port     int               // first port of each process
+	stops    map[string]func() // by address: stops the process and waits for it
+	dataDirs map[string]string // by address
+}
+
+// newCluster starts a cluster with one runner, whose tasks take taskDuration.
+func newCluster(t *testing.T, taskDuration time.Duration) *cluster {
+	t.Helper()
+	c := &cluster{
+		t: t, platform: systemtest.NewPlatform(), runner: systemtest.NewRunner("i-1", taskDuration),
+		stops: map[string]func(){}, dataDirs: map[string]string{},
+	}
+	for _, ip := range nodeIPs {
+		c.dataDirs[ip] = t.TempDir()
+	}
+	t.Cleanup(c.close) // before the directories are removed
+	c.port = systemtest.FreePorts(t, portsEach, append(nodeIPs, dispatcherIP)...)
+	c.platform.AddRunner(c.runner, "desk")
+	for _, ip := range nodeIPs {
+		c.startNode(ip, true)
+	}
+	c.run(dispatcherIP, dataplane.New(c.settings(dispatcherIP, true), slog.New(slog.DiscardHandler)).Run)
+	return c
+}
+
+func (c *cluster) close() {
+	for _, stop := range c.stops {
+		stop()
+	}
+	c.runner.Server.Close()
+	c.platform.Server.Close()
+}
+
+func (c *cluster) address(ip string, offset int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(c.port+offset))
+}
+
+// settings returns the settings of the process at an address.
+func (c *cluster) settings(ip string, bootstrap bool) settings.Settings {
+	processSettings := settings.Settings{
+		NodeName: ip, IP: ip, PortRange: []int{c.port, c.port + 1}, Bootstrap: bootstrap, DataDir: c.dataDirs[ip],
+		Listen:         settings.Listen{HTTP: c.address(ip, httpOffset), Readiness: c.address(ip, readinessOffset), Control: c.address(ip, httpOffset)},
+		FaultTolerance: settings.FaultTolerance{Machines: 1},
+		CloudAPI:       settings.CloudAPI{Address: strings.TrimPrefix(c.platform.Server.URL, "http://")},
+		Bounds:         settings.Bounds{MaxLeaseMs: 6000, ConfigApplyMs: 2000, GraceS: 0.2, StatusRetentionS: 120, RemoteSlowdown: 1},
+	}
+	for _, node := range nodeIPs {
+		processSettings.Seeds = append(processSettings.Seeds, c.address(node, httpOffset))
+	}
+	return processSettings
+}
+
+// startNode starts a control-plane node on its data directory.
+func (c *cluster) startNode(ip string, bootstrap bool) {
+	c.t.Helper()
+	node, err := controlplane.New(c.settings(ip, bootstrap), slog.New(slog.DiscardHandler))
+	require.NoError(c.t, err)
+	c.run(ip, node.Run)
+}
+
+// run runs a process until it is stopped.
+func (c *cluster) run(ip string, run func(context.Context) error) {
+	ctx, cancel := context.WithCancel(context.Background()) // it outlives the test's context, until close
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = run(ctx) // a process that fails shows in what the test asks for
+	}()
+	c.stops[ip] = func() {
+		cancel()
+		<-done
+		delete(c.stops, ip)
+	}
+}
+
+// request is one request of a client or an operator.
+type request struct {
+	method  string
+	address string // with the path
+	host    string
+	body    string
+	base    int // the Base-Version of an operator's request
+}
+
+// answer is its answer; the zero value stands for none.
+type answer struct {
+	status int
+	body   string
+}
+
+// attempt sends a request once.
+func (c *cluster) attempt(r request) (answer, error) {
+	ctx, cancel := context.WithTimeout(c.t.Context(), requestTimeout)
+	defer cancel()
+	sent, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.address, bytes.NewReader([]byte(r.body)))
+	if err != nil {
+		return answer{}, err
+	}
+	sent.Host = r.host
+	sent.Header.Set("Base-Version", strconv.Itoa(r.base))
+	response, err := http.DefaultClient.Do(sent)
+	if err != nil {
+		return answer{}, err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read
+	content, err := io.ReadAll(response.Body)
+	return answer{status: response.StatusCode, body: string(content)}, err
+}
+
+// send sends a request until it has a clear answer, which is none of the server's troubles.
+func (c *cluster) send(r request) answer {
+	c.t.Helper()
+	var last answer
+	var lastErr error
+	for end := time.Now().Add(answerTimeout); time.Now().Before(end); {
+		last, lastErr = c.attempt(r)
+		if lastErr == nil && last.status < http.StatusInternalServerError {
+			return last
+		}
+	}
+	require.Failf(c.t, "no clear answer", "to %s %s: last %d %q, %v; nodes: %+v", r.method, r.address, last.status, last.body, lastErr, c.statuses())
+	return answer{}
+}
+
+const configurationText = `{"version":%d,"routes":[{"name":"r","host":"h.example","path_prefix":"/q/","type":"mutating","timeout_ms":3000,"target_ms":250,"priority":0,"backend":"desk","retries":3,"extension":1.5}],"services":[{"name":"desk","guards":true}],"limits":{"max_body_bytes":262144}}`
+
+const twoStageJob = `{"spec":"x","stages":[{"count":2,"cpu":500,"mem_mb":10,"estimate_ms":50},{"count":1,"cpu":500,"depends_on":[0]}]}`
+
+// operator returns an operator's request to a node.
+func (c *cluster) operator(node int, method, path, body string, base int) request {
+	return request{method: method, address: c.address(nodeIPs[node], httpOffset) + path, body: body, base: base}
+}
+
+// client returns a client's request to the dispatcher.
+func (c *cluster) client(method, path, body string) request {
+	return request{method: method, address: c.address(dispatcherIP, httpOffset) + path, host: clientHost, body: body}
+}
+
+// replaceConfiguration sends version of the configuration, based on another, to a node.
+func (c *cluster) replaceConfiguration(node, base, version int) answer {
+	c.t.Helper()
+	return c.send(c.operator(node, http.MethodPost, "/-/config/replace", fmt.Sprintf(configurationText, version), base))
+}
+
+func (c *cluster) requireConfiguration(node, base, version int) {
+	c.t.Helper()
+	got := c.replaceConfiguration(node, base, version)
+	require.Equal(c.t, http.StatusOK, got.status, got.body)
+}
+
+func (c *cluster) submit(id string) {
+	c.t.Helper()
+	got := c.send(c.client(http.MethodPost, "/q/"+id, twoStageJob))
+	require.Equal(c.t, http.StatusOK, got.status, got.body)
+}
+
+// awaitState asks for a job's state until it is the wanted one.
+func (c *cluster) awaitState(id, want string) {
+	c.t.Helper()
+	var state struct{ State string }
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
+		got := c.send(c.client(http.MethodGet, "/q/"+id, ""))
+		require.Equal(c.t, http.StatusOK, got.status, got.body)
+		require.NoError(c.t, json.Unmarshal([]byte(got.body), &state))
+		if state.State == want {
+			return
+		}
+	}
+	require.Failf(c.t, "a job has another state", "job %s is %s, not %s; nodes: %+v", id, state.State, want, c.statuses())
+}
+
+// awaitAllVoting waits until each node has a vote in each group, as all nodes see it.
+func (c *cluster) awaitAllVoting() {
+	c.t.Helper()
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
+		if allVoting(c.statuses()) {
+			return
+		}
+	}
+	require.Failf(c.t, "a node has no vote", "%+v", c.statuses())
+}
+
+// statuses asks each node for its groups. One that does not answer has none.
+func (c *cluster) statuses() map[string]protocol.StatusResponse {
+	statuses := map[string]protocol.StatusResponse{}
+	for _, ip := range nodeIPs {
+		client := rpc.NewClient(c.address(ip, internalOffset))
+		ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+		got, _ := client.Call(ctx, protocol.StatusRequest{})
+		cancel()
+		client.Close()
+		status, _ := got.(protocol.StatusResponse)
+		statuses[ip] = status
+	}
+	return statuses
+}
+
+func allVoting(statuses map[string]protocol.StatusResponse) bool {
+	for _, status := range statuses {
+		if len(status.Groups) == 0 {
+			return false
+		}
+	}
+	for _, status := range statuses {
+		for _, group := range status.Groups {
+			if group.Leader == "" || len(group.Members.Voters) != len(statuses) {
+				return false
+			}
+			for _, other := range statuses {
+				if !group.Members.IsVoter(other.Member.ID) {
+					return false
+				}
+			}
+		}
+	}
+	return true
+}
+
+// requireStartedOnce checks that each task that was begun was begun once.
+func (c *cluster) requireStartedOnce() {
+	c.t.Helper()
+	for task, count := range c.runner.StartCounts() {
+		require.Equal(c.t, 1, count, task)
+	}
+}
--- a/internal/cluster/systemtest/ports.go
+++ b/internal/cluster/systemtest/ports.go
@@ -1,24 +1,25 @@
 package systemtest
 
 import (
+	"context"
 	"net"
 	"strconv"
 	"testing"
 )
 
-// mostPortTries bounds how many ports FreePorts tries.
-const mostPortTries = 50
+// portAttempts bounds how many ports FreePorts tries.
+const portAttempts = 50
 
 // FreePorts returns the first of count consecutive ports that are free at all the addresses.
 // It fails the test where it finds none.
 func FreePorts(t testing.TB, count int, ips ...string) int {
 	t.Helper()
-	for range mostPortTries {
-		first, err := freePort(ips[0])
+	for range portAttempts {
+		first, err := freePort(t.Context(), ips[0])
 		if err != nil {
 			t.Fatalf("listen at %s: %v", ips[0], err)
 		}
-		if allFree(first, count, ips) {
+		if allFree(t.Context(), first, count, ips) {
 			return first
 		}
 	}
@@ -27,24 +28,32 @@
 }
 
 // freePort returns a port that the system chose at an address.
-func freePort(ip string) (int, error) {
-	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
+func freePort(ctx context.Context, ip string) (int, error) {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return 0, err
 	}
-	defer listener.Close()
-	return listener.Addr().(*net.TCPAddr).Port, nil
+	port := listener.Addr().(*net.TCPAddr).Port
+	return port, listener.Close()
 }
 
-func allFree(first, count int, ips []string) bool {
+// allFree tells whether each address has the ports from first on free.
+func allFree(ctx context.Context, first, count int, ips []string) bool {
 	for _, ip := range ips {
 		for port := first; port < first+count; port++ {
-			listener, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(port)))
-			if err != nil {
+			if tryListen(ctx, net.JoinHostPort(ip, strconv.Itoa(port))) != nil {
 				return false
 			}
-			listener.Close()
 		}
 	}
 	return true
 }
+
+// tryListen listens at an address for a moment.
+func tryListen(ctx context.Context, address string) error {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
+	if err != nil {
+		return err
+	}
+	return listener.Close()
+}
--- a/internal/cluster/systemtest/runner_test.go
+++ b/internal/cluster/systemtest/runner_test.go
@@ -21,7 +21,7 @@
 	request.Header.Set("Expect-Instance", runner.ID)
 	response, err := runner.Server.Client().Do(request)
 	require.NoError(t, err)
-	defer response.Body.Close()
+	defer func() { require.NoError(t, response.Body.Close()) }()
 	content, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	return response.StatusCode, string(content)
--- a/internal/cluster/upgradetest/cluster_test.go
+++ b/internal/cluster/upgradetest/cluster_test.go
@@ -26,10 +26,10 @@
 
 // Limits of waiting, generous for a machine that is busy.
 const (
-	settleWithin = 30 * time.Second
-	answerWithin = 20 * time.Second
-	tryWithin    = 3 * time.Second
-	pollEvery    = 20 * time.Millisecond
+	settleTimeout = 30 * time.Second
+	answerTimeout = 20 * time.Second
+	requestTimeout    = 3 * time.Second
+	pollInterval    = 20 * time.Millisecond
 )
 
 // Offsets of a process's ports from the first one.
@@ -39,28 +39,29 @@
 	portsEach       = 4
 )
 
-const coreCount = 3
+const nodeCount = 3
 
-// slowRunners is how many slow runners there are: a runner of which no task has ended yet is
+// slowRunnerCount is how many slow runners there are: a runner of which no task has ended yet is
 // given few tasks at once, and the workload keeps several jobs running.
-const slowRunners = 4
+const slowRunnerCount = 4
 
-// node is the place of one process: its address, settings file, disk and log.
-type node struct {
+// process is one process of the cluster, whichever build runs it: its address, settings file,
+// disk and log.
+type process struct {
 	ip       string
 	program  string
 	settings string
 	logPath  string
-	process  *exec.Cmd
+	command  *exec.Cmd
 }
 
-// cluster is three core processes and an edge, each a process of the operating system at a
-// loopback address of its own, with the stand-ins of the platform and of runners.
+// cluster is three control-plane nodes and a dispatcher, each a process of the operating system at a
+// loopback address of its own, with the fakes of the platform and of runners.
 type cluster struct {
 	t        *testing.T
 	port     int
-	cores    []*node
-	edge     *node
+	nodes    []*process
+	dispatcher     *process
 	platform *systemtest.Platform
 	quick    *systemtest.Runner   // its tasks end after a moment
 	slow     []*systemtest.Runner // their tasks run until they are ended
@@ -76,28 +77,28 @@
 		vacant: systemtest.NewRunner("i-vacant", quickTakes),
 	}
 	c.platform.AddRunner(c.quick, quickService)
-	for number := range slowRunners {
+	for number := range slowRunnerCount {
 		runner := systemtest.NewRunner(fmt.Sprintf("i-slow-%d", number), time.Hour)
 		c.platform.AddRunner(runner, slowService)
 		c.slow = append(c.slow, runner)
 	}
 	var ips []string
-	for number := range coreCount + 1 {
+	for number := range nodeCount + 1 {
 		ips = append(ips, fmt.Sprintf("127.0.%d.%d", network, number+1))
 	}
 	c.port = systemtest.FreePorts(t, portsEach, ips...)
-	for _, ip := range ips[:coreCount] {
-		c.cores = append(c.cores, c.newNode(ip, coreProgram, ips[:coreCount]))
+	for _, ip := range ips[:nodeCount] {
+		c.nodes = append(c.nodes, c.newProcess(ip, coreProgram, ips[:nodeCount]))
 	}
-	c.edge = c.newNode(ips[coreCount], edgeProgram, ips[:coreCount])
+	c.dispatcher = c.newProcess(ips[nodeCount], edgeProgram, ips[:nodeCount])
 	t.Cleanup(c.close)
-	for _, n := range c.nodes() {
+	for _, n := range c.processes() {
 		c.start(n, from)
 	}
 	return c
 }
 
-func (c *cluster) nodes() []*node { return append(append([]*node{}, c.cores...), c.edge) }
+func (c *cluster) processes() []*process { return append(append([]*process{}, c.nodes...), c.dispatcher) }
 
 func (c *cluster) runners() []*systemtest.Runner {
 	return append([]*systemtest.Runner{c.quick, c.vacant}, c.slow...)
@@ -107,8 +108,8 @@
 	return net.JoinHostPort(ip, strconv.Itoa(c.port+offset))
 }
 
-// newNode writes a process's settings, which stay the same through the upgrade.
-func (c *cluster) newNode(ip, program string, seedIPs []string) *node {
+// newProcess writes a process's settings, which stay the same through the upgrade.
+func (c *cluster) newProcess(ip, program string, seedIPs []string) *process {
 	folder := c.t.TempDir()
 	var text strings.Builder
 	fmt.Fprintf(&text, "node_name: %q\nip: %q\n", ip, ip)
@@ -120,36 +121,37 @@
 	}
 	fmt.Fprintf(&text, "bootstrap: true\ndata_dir: %q\nfault_tolerance:\n  machines: 1\n", filepath.Join(folder, "data"))
 	fmt.Fprintf(&text, "bounds:\n  grace_s: 2\n  hold_max_ms: 6000\ncloud_api:\n  address: %q\n", strings.TrimPrefix(c.platform.Server.URL, "http://"))
-	n := &node{ip: ip, program: program, settings: filepath.Join(folder, "settings.yaml"), logPath: filepath.Join(folder, "log")}
+	n := &process{ip: ip, program: program, settings: filepath.Join(folder, "settings.yaml"), logPath: filepath.Join(folder, "log")}
 	require.NoError(c.t, os.WriteFile(n.settings, []byte(text.String()), 0o600))
 	return n
 }
 
-// start starts a process of a build. Its log goes behind that of its earlier lives.
-func (c *cluster) start(n *node, from build) {
+// start starts a process from a build. Its log is appended to that of its earlier incarnations.
+func (c *cluster) start(n *process, from build) {
 	c.t.Helper()
 	log, err := os.OpenFile(n.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	require.NoError(c.t, err)
-	defer log.Close()
-	n.process = exec.Command(from.program(n.program), "--settings", n.settings)
-	n.process.Stdout, n.process.Stderr = log, log
-	require.NoError(c.t, n.process.Start())
+	defer func() { require.NoError(c.t, log.Close()) }()
+	// Its end is the test's to decide: close kills what is left, after the test's context has ended.
+	n.command = exec.CommandContext(context.WithoutCancel(c.t.Context()), from.program(n.program), "--settings", n.settings)
+	n.command.Stdout, n.command.Stderr = log, log
+	require.NoError(c.t, n.command.Start())
 }
 
-// end sends a signal to a process and waits for its end.
-func (n *node) end(signal syscall.Signal) {
-	if n.process == nil {
+// stop sends a signal to a process and waits for its exit.
+func (n *process) stop(signal syscall.Signal) {
+	if n.command == nil {
 		return
 	}
-	_ = n.process.Process.Signal(signal)
-	_ = n.process.Wait() // a killed process has no status to look at
-	n.process = nil
+	_ = n.command.Process.Signal(signal)
+	_ = n.command.Wait() // a killed process has no status to look at
+	n.command = nil
 }
 
 func (c *cluster) close() {
-	for _, n := range c.nodes() {
-		n.end(syscall.SIGKILL)
-		c.showFaults(n)
+	for _, n := range c.processes() {
+		n.stop(syscall.SIGKILL)
+		c.logFaults(n)
 	}
 	c.platform.Server.Close()
 	for _, runner := range c.runners() {
@@ -158,8 +160,8 @@
 	}
 }
 
-// showFaults prints the newest warnings and errors of a process's log where the test failed.
-func (c *cluster) showFaults(n *node) {
+// logFaults prints the newest warnings and errors of a process's log where the test failed.
+func (c *cluster) logFaults(n *process) {
 	const mostLines = 5
 	content, err := os.ReadFile(n.logPath)
 	if !c.t.Failed() || err != nil {
@@ -184,57 +186,57 @@
 	base    int64 // the Base-Version of an operator's call
 }
 
-// reply is its answer.
-type reply struct {
+// answer is its answer.
+type answer struct {
 	status int
 	body   string
 }
 
-// try sends a request once.
-func (r request) try(parent context.Context) (reply, error) {
-	ctx, cancel := context.WithTimeout(parent, tryWithin)
+// attempt sends a request once.
+func (r request) attempt(parent context.Context) (answer, error) {
+	ctx, cancel := context.WithTimeout(parent, requestTimeout)
 	defer cancel()
 	call, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.address+r.path, bytes.NewReader([]byte(r.body)))
 	if err != nil {
-		return reply{}, err
+		return answer{}, err
 	}
 	call.Host = r.host
 	call.Header.Set("Base-Version", strconv.FormatInt(r.base, 10))
 	response, err := http.DefaultClient.Do(call)
 	if err != nil {
-		return reply{}, err
+		return answer{}, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // it has been read
 	content, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, body: string(content)}, err
+	return answer{status: response.StatusCode, body: string(content)}, err
 }
 
-// send sends a request until it has a clear answer, which is none of the server's troubles.
-func (r request) send(parent context.Context) (reply, error) {
-	ctx, cancel := context.WithTimeout(parent, answerWithin)
+// sendUntilAnswered sends a request until it has a clear answer, which is none of the server's troubles.
+func (r request) sendUntilAnswered(parent context.Context) (answer, error) {
+	ctx, cancel := context.WithTimeout(parent, answerTimeout)
 	defer cancel()
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for ; ; <-ticker.C {
-		got, err := r.try(ctx)
+		got, err := r.attempt(ctx)
 		if err == nil && got.status < http.StatusInternalServerError {
 			return got, nil
 		}
 		if ctx.Err() != nil {
-			return reply{}, fmt.Errorf("no clear answer to %s %s%s: last %d %q, %w", r.method, r.address, r.path, got.status, got.body, ctx.Err())
+			return answer{}, fmt.Errorf("no clear answer to %s %s%s: last %d %q, %w", r.method, r.address, r.path, got.status, got.body, ctx.Err())
 		}
 	}
 }
 
-func (c *cluster) send(r request) reply {
+func (c *cluster) send(r request) answer {
 	c.t.Helper()
-	got, err := r.send(c.t.Context())
+	got, err := r.sendUntilAnswered(c.t.Context())
 	require.NoError(c.t, err)
 	return got
 }
 
 func (c *cluster) client(method, path, body string) request {
-	return request{method: method, address: c.address(c.edge.ip, httpOffset), path: path, host: clientHost, body: body}
+	return request{method: method, address: c.address(c.dispatcher.ip, httpOffset), path: path, host: clientHost, body: body}
 }
 
 func (c *cluster) submit(path, body string) {
@@ -258,24 +260,24 @@
 	require.True(c.t, poll(func() bool { return c.state(path) == want }), "job %s does not become %s", path, want)
 }
 
-// replace sends a configuration to one of the core processes.
-func (c *cluster) replace(core int, base int64, content string) reply {
+// replace sends a configuration to one of the nodes.
+func (c *cluster) replace(core int, base int64, content string) answer {
 	c.t.Helper()
-	return c.send(request{method: http.MethodPost, address: c.address(c.cores[core].ip, httpOffset), path: "/-/config/replace", body: content, base: base})
+	return c.send(request{method: http.MethodPost, address: c.address(c.nodes[core].ip, httpOffset), path: "/-/config/replace", body: content, base: base})
 }
 
-// configuration asks a core process for the newest configuration.
+// configuration asks a control-plane node for the newest configuration.
 func (c *cluster) configuration(core int) string {
 	c.t.Helper()
-	got := c.send(request{method: http.MethodGet, address: c.address(c.cores[core].ip, httpOffset), path: "/-/config/get"})
+	got := c.send(request{method: http.MethodGet, address: c.address(c.nodes[core].ip, httpOffset), path: "/-/config/get"})
 	require.Equal(c.t, http.StatusOK, got.status, got.body)
 	return got.body
 }
 
-// statuses asks each core process what it holds. One that does not answer holds nothing.
+// statuses asks each control-plane node what it holds. One that does not answer holds nothing.
 func (c *cluster) statuses() []protocol.StatusResponse {
 	var answers []protocol.StatusResponse
-	for _, core := range c.cores {
+	for _, core := range c.nodes {
 		client := rpc.NewClient(c.address(core.ip, 0))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		got, _ := client.Call(ctx, protocol.StatusRequest{})
@@ -287,23 +289,23 @@
 	return answers
 }
 
-// awaitWhole waits until each core process votes in each group, follows its leader, and has
+// awaitAllVoting waits until each control-plane node votes in each group, follows its leader, and has
 // applied to the same state at least what any of them has applied by now.
-func (c *cluster) awaitWhole(when string) {
+func (c *cluster) awaitAllVoting(when string) {
 	c.t.Helper()
-	wanted := appliedMost(c.statuses())
+	wanted := highestApplied(c.statuses())
 	fault := ""
-	whole := func() bool {
+	allVoting := func() bool {
 		fault = findFault(c.statuses(), wanted)
 		return fault == ""
 	}
-	if !poll(whole) {
-		require.Fail(c.t, "the groups do not become whole", "%s: %s", when, fault)
+	if !poll(allVoting) {
+		require.Fail(c.t, "not all nodes vote and have applied the same state", "%s: %s", when, fault)
 	}
 }
 
-// appliedMost returns, by group, the highest index that a core process has applied.
-func appliedMost(answers []protocol.StatusResponse) map[string]uint64 {
+// highestApplied returns, by group, the highest index that a control-plane node has applied.
+func highestApplied(answers []protocol.StatusResponse) map[string]uint64 {
 	most := map[string]uint64{}
 	for _, asked := range answers {
 		for _, shown := range asked.Groups {
@@ -315,9 +317,9 @@
 
 // poll calls a condition until it holds; false: it does not within the limit.
 func poll(condition func() bool) bool {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for deadline := time.Now().Add(settleWithin); time.Now().Before(deadline); <-ticker.C {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); <-ticker.C {
 		if condition() {
 			return true
 		}
@@ -325,8 +327,8 @@
 	return false
 }
 
-// findFault tells what a whole system would not show; empty: nothing. Each group is to have
-// applied the wanted index at each core process.
+// findFault returns what shows that not all nodes vote with the same state; empty: nothing. Each group is to have
+// applied the wanted index at each control-plane node.
 func findFault(answers []protocol.StatusResponse, wanted map[string]uint64) string {
 	type point struct {
 		group   string
@@ -335,7 +337,7 @@
 	digests := map[point]uint64{}
 	for _, asked := range answers {
 		if len(asked.Groups) != protocol.ShardCount+1 {
-			return fmt.Sprintf("a core process shows %d groups: %+v", len(asked.Groups), asked)
+			return fmt.Sprintf("a control-plane node shows %d groups: %+v", len(asked.Groups), asked)
 		}
 		for _, shown := range asked.Groups {
 			if fault := findGroupFault(shown, asked.Member.ID); fault != "" {
@@ -361,7 +363,7 @@
 		return "has halted: " + shown.Halted
 	case shown.Leader == "":
 		return "has no leader"
-	case len(shown.Members.Voters) != coreCount || shown.Members.IsJoint():
+	case len(shown.Members.Voters) != nodeCount || shown.Members.IsJoint():
 		return fmt.Sprintf("has the voters %v, before a change %v", shown.Members.Voters, shown.Members.Outgoing)
 	case !shown.Members.IsVoter(member):
 		return "does not let it vote"
--- a/internal/cluster/upgradetest/upgrade_test.go
+++ b/internal/cluster/upgradetest/upgrade_test.go
@@ -30,29 +30,29 @@
 // testAllKilled kills all processes at once and starts the new build on their disks.
 func testAllKilled(t *testing.T, older, newer build) {
 	c := newCluster(t, killedNetwork, older)
-	w := give(c)
-	for _, n := range c.nodes() {
-		n.end(syscall.SIGKILL)
+	w := newWorkload(c)
+	for _, n := range c.processes() {
+		n.stop(syscall.SIGKILL)
 	}
-	for _, n := range c.nodes() {
+	for _, n := range c.processes() {
 		c.start(n, newer)
 	}
 	w.check()
 	c.requireStatusShown(newer)
 }
 
-// testRolling replaces one process after another while jobs run. Before each step all core
-// processes vote; old and new ones are beside each other.
+// testRolling replaces one process after another while jobs run. Before each step all control-plane
+// nodes vote; old and new ones are beside each other.
 func testRolling(t *testing.T, older, newer build) {
 	c := newCluster(t, rollingNetwork, older)
-	w := give(c)
+	w := newWorkload(c)
 	work := c.startTraffic()
-	for _, n := range []*node{c.cores[0], c.edge, c.cores[1], c.cores[2]} {
-		n.end(syscall.SIGTERM)
+	for _, n := range []*process{c.nodes[0], c.dispatcher, c.nodes[1], c.nodes[2]} {
+		n.stop(syscall.SIGTERM)
 		c.start(n, newer)
 		when := "after " + n.ip + " was replaced"
 		work.awaitMore(t, when)
-		c.awaitWhole(when)
+		c.awaitAllVoting(when)
 		w.checkJobs()
 	}
 	work.finish(t)
@@ -63,7 +63,7 @@
 // requireStatusShown tells whether the operators' tool shows all groups.
 func (c *cluster) requireStatusShown(newer build) {
 	arguments := []string{"status"}
-	for _, core := range c.cores {
+	for _, core := range c.nodes {
 		arguments = append(arguments, c.address(core.ip, 0))
 	}
 	output, err := exec.CommandContext(c.t.Context(), newer.program(ctlProgram), arguments...).CombinedOutput()
--- a/internal/cluster/upgradetest/workload_test.go
+++ b/internal/cluster/upgradetest/workload_test.go
@@ -27,7 +27,7 @@
 )
 
 // Sizes of the workload. What goes into a group's log is more than the 2 MiB after which a
-// core process writes a snapshot, so that the new build reads both snapshots and logs.
+// control-plane node writes a snapshot, so that the new build reads both snapshots and logs.
 const (
 	configurations     = 40
 	configurationBytes = 64 << 10
@@ -86,28 +86,28 @@
 type workload struct {
 	*cluster
 	states      map[string]string // of jobs, by path
-	withdrawn   string            // the path of a job that was cancelled before it was handed in
+	cancelledBefore   string            // the path of a job that was cancelled before it was handed in
 	counts      map[string]string // the answers to questions for queues' counts, by path
-	restApplied map[string]uint64 // by group: what was applied when the snapshots were asked for
+	appliedBefore map[string]uint64 // by group: what was applied when the snapshots were asked for
 }
 
-// give hands a cluster its configurations, and jobs in all states.
-func give(c *cluster) *workload {
+// newWorkload brings a cluster its configurations, and jobs in all states.
+func newWorkload(c *cluster) *workload {
 	w := &workload{cluster: c, states: map[string]string{}, counts: map[string]string{}}
 	w.replaceUpTo(1, configurations/2)
-	w.giveJobs("early")
-	w.track("/moved/moved-early", pending, oneTask)
-	w.track("/removed/removed-early", completed, oneTask)
+	w.submitJobs("early")
+	w.submitAndAwait("/moved/moved-early", pending, oneTask)
+	w.submitAndAwait("/removed/removed-early", completed, oneTask)
 	w.replaceUpTo(configurations/2+1, configurations)
 	delete(w.states, "/removed/removed-early") // its queue is gone
 	w.fillLogs()
-	w.giveJobs("late")
-	w.withdrawn = "/quick/withdrawn"
-	require.Equal(c.t, http.StatusGone, w.send(w.client(http.MethodDelete, w.withdrawn, "")).status)
+	w.submitJobs("late")
+	w.cancelledBefore = "/quick/withdrawn"
+	require.Equal(c.t, http.StatusGone, w.send(w.client(http.MethodDelete, w.cancelledBefore, "")).status)
 	for _, path := range []string{"/quick/", "/slow/", "/vacant/", "/moved/"} {
 		w.counts[path] = w.send(w.client(http.MethodGet, path, "")).body
 	}
-	w.awaitWhole("before the upgrade")
+	w.awaitAllVoting("before the upgrade")
 	return w
 }
 
@@ -115,48 +115,48 @@
 func (w *workload) replaceUpTo(first, last int64) {
 	w.t.Helper()
 	for version := first; version <= last; version++ {
-		got := w.replace(int(version)%coreCount, version-1, configurationText(version))
+		got := w.replace(int(version)%nodeCount, version-1, configurationText(version))
 		require.Equal(w.t, http.StatusOK, got.status, "configuration %d: %s", version, got.body)
 	}
 }
 
-// track hands a job in and waits for its state.
-func (w *workload) track(path, state, body string) {
+// submitAndAwait submits a job and waits for its state.
+func (w *workload) submitAndAwait(path, state, body string) {
 	w.t.Helper()
 	w.submit(path, body)
 	w.awaitState(path, state)
 	w.states[path] = state
 }
 
-// giveJobs hands in a job of each kind. Their IDs end with the suffix; an ID
+// submitJobs submits a job of each kind. Their IDs end with the suffix; an ID
 // is one job's in all queues.
-func (w *workload) giveJobs(suffix string) {
+func (w *workload) submitJobs(suffix string) {
 	w.t.Helper()
-	w.track("/quick/ended-"+suffix, completed, plainJob)
-	w.track("/slow/running-"+suffix, running, slowJob)
-	w.track("/vacant/pending-"+suffix, pending, plainJob)
-	w.track("/quick/timed-"+suffix, pending, timedJob(time.Now().Add(time.Hour), 1))
-	w.track("/quick/repeated-"+suffix, running, timedJob(time.Now(), 2))
+	w.submitAndAwait("/quick/ended-"+suffix, completed, plainJob)
+	w.submitAndAwait("/slow/running-"+suffix, running, slowJob)
+	w.submitAndAwait("/vacant/pending-"+suffix, pending, plainJob)
+	w.submitAndAwait("/quick/timed-"+suffix, pending, timedJob(time.Now().Add(time.Hour), 1))
+	w.submitAndAwait("/quick/repeated-"+suffix, running, timedJob(time.Now(), 2))
 	for path, before := range map[string]string{"/slow/stopped-" + suffix: running, "/vacant/cancelled-" + suffix: pending} {
-		w.track(path, before, slowJob)
+		w.submitAndAwait(path, before, slowJob)
 		require.Equal(w.t, http.StatusOK, w.send(w.client(http.MethodDelete, path, "")).status)
 		w.awaitState(path, canceled)
 		w.states[path] = canceled
 	}
 }
 
-// fillLogs hands in so much that each group with jobs, and the configuration's, writes a
-// snapshot of all that came before, at each core process.
+// fillLogs submits so much that each group with jobs, and the configuration's, writes a
+// snapshot of all that came before, at each control-plane node.
 func (w *workload) fillLogs() {
 	w.t.Helper()
-	w.awaitWhole("before the snapshots")
-	w.restApplied = map[string]uint64{}
+	w.awaitAllVoting("before the snapshots")
+	w.appliedBefore = map[string]uint64{}
 	for _, shown := range w.statuses()[0].Groups {
-		w.restApplied[shown.Name] = shown.Applied
+		w.appliedBefore[shown.Name] = shown.Applied
 	}
 	for _, service := range []string{quickService, vacantService} {
 		for number := range largeJobs {
-			w.track(fmt.Sprintf("/%s/large-%s-%d", service, service, number), pending, largeJob())
+			w.submitAndAwait(fmt.Sprintf("/%s/large-%s-%d", service, service, number), pending, largeJob())
 		}
 	}
 	require.True(w.t, poll(w.snapshotsWritten), "a group has written no snapshot")
@@ -166,7 +166,7 @@
 	wanted := map[string]uint64{protocol.ConfigGroup: 2} // any but the first, empty one
 	for _, service := range []string{quickService, vacantService} {
 		group := protocol.ShardGroup(protocol.ShardOf(service))
-		wanted[group] = w.restApplied[group]
+		wanted[group] = w.appliedBefore[group]
 	}
 	for _, answer := range w.statuses() {
 		for _, shown := range answer.Groups {
@@ -181,13 +181,13 @@
 // check tells whether all that was given is still there, and all of it goes on.
 func (w *workload) check() {
 	w.t.Helper()
-	w.awaitWhole("after the upgrade")
+	w.awaitAllVoting("after the upgrade")
 	w.checkJobs()
 	w.checkCounts()
 	w.checkConfiguration()
 	w.finishJobs()
 	w.checkStarts()
-	w.awaitWhole("at the end")
+	w.awaitAllVoting("at the end")
 }
 
 // checkJobs tells whether each job has its state, or one that comes after it.
@@ -199,8 +199,8 @@
 	}
 	// Handing a job in again changes nothing, and one that was cancelled before stays unknown.
 	w.submit("/slow/running-early", slowJob)
-	require.Equal(w.t, http.StatusGone, w.send(w.client(http.MethodGet, w.withdrawn, "")).status)
-	refused, err := w.client(http.MethodPost, w.withdrawn, oneTask).try(w.t.Context())
+	require.Equal(w.t, http.StatusGone, w.send(w.client(http.MethodGet, w.cancelledBefore, "")).status)
+	refused, err := w.client(http.MethodPost, w.cancelledBefore, oneTask).attempt(w.t.Context())
 	require.NoError(w.t, err)
 	require.Equal(w.t, http.StatusServiceUnavailable, refused.status, refused.body)
 }
@@ -217,11 +217,11 @@
 // earlier ones are remembered.
 func (w *workload) checkConfiguration() {
 	w.t.Helper()
-	for core := range w.cores {
+	for core := range w.nodes {
 		require.Equal(w.t, configurationText(configurations), w.configuration(core))
 	}
 	for version := int64(1); version <= configurations; version++ {
-		got := w.replace(int(version)%coreCount, version-1, configurationText(version))
+		got := w.replace(int(version)%nodeCount, version-1, configurationText(version))
 		require.Equal(w.t, http.StatusOK, got.status, "configuration %d is not known any more: %s", version, got.body)
 	}
 	got := w.replace(0, configurations-1, configurationText(configurations+1))
@@ -268,12 +268,12 @@
 
 // traffic is work that goes on through an upgrade: one job after another.
 type traffic struct {
-	ended atomic.Int64 // jobs that were seen completed
+	completed atomic.Int64 // jobs that were seen completed
 	stop  context.CancelFunc
 	done  chan error
 }
 
-// startTraffic begins to hand in jobs.
+// startTraffic begins to submit jobs.
 func (c *cluster) startTraffic() *traffic {
 	ctx, cancel := context.WithCancel(c.t.Context())
 	traffic := &traffic{stop: cancel, done: make(chan error, 1)}
@@ -283,23 +283,23 @@
 
 func (t *traffic) run(ctx context.Context, c *cluster) error {
 	for ctx.Err() == nil {
-		path := fmt.Sprintf("/quick/traffic-%d", t.ended.Load())
+		path := fmt.Sprintf("/quick/traffic-%d", t.completed.Load())
 		if err := runJob(context.WithoutCancel(ctx), c, path); err != nil {
 			return err
 		}
-		t.ended.Add(1)
+		t.completed.Add(1)
 	}
 	return nil
 }
 
-// runJob hands a job in and asks for it until it is completed.
+// runJob submits a job and asks for it until it is completed.
 func runJob(ctx context.Context, c *cluster, path string) error {
-	got, err := c.client(http.MethodPost, path, plainJob).send(ctx)
+	got, err := c.client(http.MethodPost, path, plainJob).sendUntilAnswered(ctx)
 	if err != nil || got.status != http.StatusOK {
 		return fmt.Errorf("submit %s: %d %s: %w", path, got.status, got.body, err)
 	}
-	for deadline := time.Now().Add(settleWithin); time.Now().Before(deadline); {
-		got, err = c.client(http.MethodGet, path, "").send(ctx)
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
+		got, err = c.client(http.MethodGet, path, "").sendUntilAnswered(ctx)
 		if err != nil || got.status != http.StatusOK {
 			return fmt.Errorf("ask for %s: %d %s: %w", path, got.status, got.body, err)
 		}
@@ -315,8 +315,8 @@
 func (t *traffic) awaitMore(test *testing.T, when string) {
 	test.Helper()
 	const more = 3
-	target := t.ended.Load() + more
-	require.True(test, poll(func() bool { return t.ended.Load() >= target || len(t.done) > 0 }), "no job ends %s", when)
+	target := t.completed.Load() + more
+	require.True(test, poll(func() bool { return t.completed.Load() >= target || len(t.done) > 0 }), "no job ends %s", when)
 	t.requireNoError(test, when)
 }
 
