--- a/internal/cluster/upgradetest/cluster_test.go
+++ b/internal/cluster/upgradetest/cluster_test.go
@@ -26,10 +26,10 @@
 
 // Limits of waiting, generous for a machine that is busy.
 const (
-	settleTimeout = 30 * time.Second
-	answerTimeout = 20 * time.Second
-	requestTimeout    = 3 * time.Second
-	pollInterval    = 20 * time.Millisecond
+	settleTimeout  = 30 * time.Second
+	answerTimeout  = 20 * time.Second
+	requestTimeout = 3 * time.Second
+	pollInterval   = 20 * time.Millisecond
 )
 
 // Offsets of a process's ports from the first one.
@@ -58,14 +58,14 @@
 // cluster is three control-plane nodes and a dispatcher, each a process of the operating system at a
 // loopback address of its own, with the fakes of the platform and of runners.
 type cluster struct {
-	t        *testing.T
-	port     int
-	nodes    []*process
-	dispatcher     *process
-	platform *systemtest.Platform
-	quick    *systemtest.Runner   // its tasks end after a moment
-	slow     []*systemtest.Runner // their tasks run until they are ended
-	vacant   *systemtest.Runner   // quick, and not listed at first
+	t          *testing.T
+	port       int
+	nodes      []*process
+	dispatcher *process
+	platform   *systemtest.Platform
+	quick      *systemtest.Runner   // its tasks end after a moment
+	slow       []*systemtest.Runner // their tasks run until they are ended
+	vacant     *systemtest.Runner   // quick, and not listed at first
 }
 
 // newCluster prepares a cluster in a loopback network and starts it from a build.
@@ -98,7 +98,9 @@
 	return c
 }
 
-func (c *cluster) processes() []*process { return append(append([]*process{}, c.nodes...), c.dispatcher) }
+func (c *cluster) processes() []*process {
+	return append(append([]*process{}, c.nodes...), c.dispatcher)
+}
 
 func (c *cluster) runners() []*systemtest.Runner {
 	return append([]*systemtest.Runner{c.quick, c.vacant}, c.slow...)
--- a/internal/cluster/upgradetest/workload_test.go
+++ b/internal/cluster/upgradetest/workload_test.go
@@ -85,10 +85,10 @@
 // workload is what a cluster was given before its upgrade.
 type workload struct {
 	*cluster
-	states      map[string]string // of jobs, by path
-	cancelledBefore   string            // the path of a job that was cancelled before it was handed in
-	counts      map[string]string // the answers to questions for queues' counts, by path
-	appliedBefore map[string]uint64 // by group: what was applied when the snapshots were asked for
+	states          map[string]string // of jobs, by path
+	cancelledBefore string            // the path of a job that was cancelled before it was handed in
+	counts          map[string]string // the answers to questions for queues' counts, by path
+	appliedBefore   map[string]uint64 // by group: what was applied when the snapshots were asked for
 }
 
 // newWorkload brings a cluster its configurations, and jobs in all states.
@@ -269,8 +269,8 @@
 // traffic is work that goes on through an upgrade: one job after another.
 type traffic struct {
 	completed atomic.Int64 // jobs that were seen completed
-	stop  context.CancelFunc
-	done  chan error
+	stop      context.CancelFunc
+	done      chan error
 }
 
 // startTraffic begins to submit jobs.
