--- a/internal/cluster/scheduler/urgency_digest_test.go
+++ b/internal/cluster/scheduler/urgency_digest_test.go
@@ -16,19 +16,19 @@
 // It was written by code whose decisions are those of commit 352ebf2, and is never rewritten.
 const urgencyDigestFile = "testdata/urgency_digests.txt"
 
-// Seeds of the days on which jobs have objectives. Every second day is one of trouble.
+// Seeds of the days on which jobs have objectives. Every second day is one with faults.
 const (
 	firstUrgencySeed = 200_000
 	urgencySeeds     = 60
 )
 
-// stretches are the objectives' multiples of a job's work, from tight to loose; 0: no objective.
+// stretches are the objectives' multiples of a job's work, from high to low urgency; 0: no objective.
 var stretches = []float64{0, 1.1, 1.4, 1.8, 2.2, 2.6, 3.2, 4}
 
-// drawWithObjective makes a job of any kind with an objective. More of them than of the jobs of
+// randomSubmission makes a job of any kind with an objective. More of them than of the jobs of
 // draw have their data in a rack, since only these may wait for a runner near it.
-func (w *world) drawWithObjective() *job.New {
-	spec := w.draw()
+func (w *world) randomSubmission() *job.New {
+	spec := w.randomSpec()
 	if step := &spec.Steps[0]; !step.Gang && w.random.IntN(4) == 0 {
 		step.Affinity = fmt.Sprintf("r-%d", w.random.IntN(3))
 	}
@@ -46,20 +46,20 @@
 
 // submitWithObjective hands a job with an objective in.
 func (w *world) submitWithObjective() {
-	submission := w.drawWithObjective()
+	submission := w.randomSubmission()
 	w.serial++
 	submission.ID = fmt.Sprintf("%016x", w.serial)
 	w.jobs[submission.ID] = &submitted{id: submission.ID, spec: submission.Spec, service: submission.Service, retries: submission.Retries,
-		ended: map[job.TaskRef]bool{}, noted: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, saves: map[string]bool{}}
+		ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
 	w.order = append(w.order, submission.ID)
 	w.apply([]job.Command{{Kind: job.AcceptJob, ProposedAtMs: w.wallMs(), Submission: submission}})
 }
 
 // playObjectives plays a day on which jobs have objectives and more of them come than of play.
-// One runner after another fails or hangs for a while, so that the tight tasks have suspect
+// One runner after another fails or stalls its runs for a while, so that urgent tasks have suspect
 // runners to avoid while the healthy ones are full.
 func playObjectives(w *world, rounds int, trouble bool) {
-	const newSickEvery = 8 // rounds
+	const newFaultyEvery = 8 // rounds
 	w.priorities = 3
 	w.run(100 * time.Millisecond)
 	for round := range rounds {
@@ -69,23 +69,23 @@
 		if w.random.IntN(12) == 0 {
 			w.cancel(w.order[w.random.IntN(len(w.order))])
 		}
-		if round%newSickEvery == 0 {
-			w.sicken(round / newSickEvery)
+		if round%newFaultyEvery == 0 {
+			w.injectRunnerFaults(round / newFaultyEvery)
 		}
 		if trouble && w.random.IntN(6) == 0 {
-			w.disturb()
+			w.injectFault()
 		}
 		w.run(w.between(50*time.Millisecond, 400*time.Millisecond))
-		w.list()
+		w.listRunners()
 	}
-	w.settle()
+	w.healAndFinish()
 }
 
-// sicken lets one runner fail all that it starts, another hang, and heals the others.
-func (w *world) sicken(turn int) {
-	for at, l := range w.lives {
-		l.fails = at == (2*turn)%len(w.lives)
-		l.hangs = at == (2*turn+1)%len(w.lives)
+// injectRunnerFaults lets one runner fail all that it starts, another stall, and heals the others.
+func (w *world) injectRunnerFaults(turn int) {
+	for at, l := range w.incarnations {
+		l.failsRuns = at == (2*turn)%len(w.incarnations)
+		l.stallsRuns = at == (2*turn+1)%len(w.incarnations)
 	}
 }
 
