--- a/internal/dispatcher/discovery/pool_test.go
+++ b/internal/dispatcher/discovery/follower_test.go
@@ -55,7 +55,7 @@
 }
 
 // TestPushedListsAreWatched: where lists are pushed to an agent on this machine,
-// the module never asks for them, so the follower keeps a watch by itself. What the
+// the policy never asks for them, so the follower keeps a watch by itself. What the
 // agent has counts from the first moment, so the whole list is asked for first,
 // which a start can wait for. A change is passed on; a watch that the agent leaves silent, one answered 503
 // and one reset before its answer are each begun anew on a new connection,
@@ -92,11 +92,11 @@
 const few, every = 4, 10 * time.Second // callers of an asked service, and how often the settings want it asked
 
 // TestAskedListsWaitForTheModule: where discovery is a shared service that is asked,
-// the first call comes when the module says so. From then on the follower has the
-// watch: what the module asks while a failed call is yet to be made anew changes nothing.
+// the first call comes when the policy says so. From then on the follower has the
+// watch: what the policy asks while a failed call is yet to be made anew changes nothing.
 func TestAskedListsWaitForTheModule(t *testing.T) {
 	pace := SharedServiceSchedule(few, every)
-	pace.Least, pace.Most, pace.By = 10*time.Hour, 10*time.Hour, 10*time.Hour
+	pace.MinBackoff, pace.MaxBackoff, pace.MaxCallInterval = 10*time.Hour, 10*time.Hour, 10*time.Hour
 	addr, open := scenario.Listen(t)
 	h := &heard{}
 	f := New(t.Context(), addr, pace, h, nil, logrus.New())
@@ -247,7 +247,7 @@
 		defer c.Close()
 	}
 	pace := LocalAgentSchedule()
-	pace.Most = pace.Least
+	pace.MaxBackoff = pace.MinBackoff
 	h := &heard{}
 	f := New(t.Context(), addr, pace, h, nil, logrus.New())
 	f.KeepWatching()
@@ -256,12 +256,12 @@
 	require.NoError(t, err)
 	dials := strings.Count(string(text), fmt.Sprintf(" 0100007F:%04X 02 ", port))
 	require.Positive(t, dials)
-	require.LessOrEqual(t, dials, int(pace.By/pace.Reply)+1)
+	require.LessOrEqual(t, dials, int(pace.MaxCallInterval/pace.ReplyTimeout)+1)
 }
 
 // TestSilentWatchIsRenewed: a watch that goes on and falls silent is given up and begun
 // anew on a new connection, from the last version told and without a wait, so that an
-// answer is in hand before what was missed counts as told. After a move the whole list
+// answer is in progress before what was missed counts as told. After a move the whole list
 // is owed, and a silent call for it too is made anew.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	t.Parallel()
@@ -315,7 +315,7 @@
 		gap := at[n+2].Sub(at[n+1])
 		least = min(least, gap)
 	}
-	require.GreaterOrEqual(t, at[len(at)-1].Sub(began), 4*breather)
+	require.GreaterOrEqual(t, at[len(at)-1].Sub(began), 4*minCallInterval)
 	require.Less(t, least, 200*time.Millisecond) // the least, since any one may meet with a busy machine
 	require.Equal(t, []string{"restored", "change", "whole s-1=ready", "whole"}, h.told())
 }
--- a/internal/dispatcher/engine/starve_test.go
+++ b/internal/dispatcher/engine/starve_test.go
@@ -13,7 +13,7 @@
 
 // TestTimersLeaveEventsTheirTurn: a timer that is due again as soon as it has come,
 // as of work that takes longer than the time to its next, keeps no event waiting.
-// The module's own times count from when it asks for them, not from the event.
+// The policy's own times count from when it asks for them, not from the event.
 func TestTimersLeaveEventsTheirTurn(t *testing.T) {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
@@ -28,10 +28,10 @@
 			c.post(func() { heard = laps })
 		}
 		if laps < 100 {
-			c.timers.add(time.Now(), again)
+			c.timers.schedule(time.Now(), again)
 		}
 	}
-	c.timers.add(time.Now(), again)
+	c.timers.schedule(time.Now(), again)
 	ctx, cancel := context.WithCancel(context.Background())
 	go c.Run(ctx)
 	defer cancel()
@@ -44,6 +44,6 @@
 	c.Do(func() {
 		c.now = time.Now().Add(-time.Minute) // the event has taken a minute so far
 		host{c}.Timer(time.Second, "tick")
-		require.Positive(t, c.timers.wait(time.Now()))
+		require.Positive(t, c.timers.untilNext(time.Now()))
 	})
 }
--- a/internal/dispatcher/fleet/partition/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -11,47 +11,48 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 )
 
-// PlansName is the part of plans under way.
+// PlansName is the name of the partition of the plan runs.
 const PlansName = "plans"
 
-// Kinds of commands and queries of plans.
+// Commands and queries of the plan runs.
 const (
-	PlansDo      state.Kind = "plans/do"      // a planrun.Command, answered with a PlanReply
-	PlansOrphans state.Kind = "plans/orphans" // a query: how many runs nobody drives
-	PlansLook    state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
+	PlansCommand      state.Kind = "plans/do"      // a planrun.Command, answered with a PlanReply
+	PlansCountOrphans state.Kind = "plans/orphans" // a query, answered with the number of runs without a coordinator
+	PlansRun          state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
 )
 
-// PlanReply answers a command or a query of plans.
+// PlanReply answers a command or a query of plan runs. It is sent by the field names in its
+// tags.
 type PlanReply struct {
 	planrun.Reply
-	Index uint64        // of the state that it tells; a lower one is older
-	At    time.Duration // fleet time
-	Run   *planrun.Run  // as it is now, unless it has ended; its shape is known to who drives it
-	Makes uint64        // see planrun.View
-	Ended *planrun.Answer
+	Index       uint64          // log index of the state that it describes
+	At          time.Duration   // fleet time of that state
+	Run         *planrun.Run    // the run as of Index, unless it has ended; its coordinator knows the shape
+	Producing   uint64          `cbor:"Makes"` // see planrun.View
+	FinalAnswer *planrun.Answer `cbor:"Ended"` // nil: the run has not ended
 }
 
-// Plans is the part of plans under way.
-type Plans struct{ book *planrun.Book }
+// Plans is the partition of the plan runs.
+type Plans struct{ tracker *planrun.Tracker }
 
-// NewPlans returns a part without plans.
-func NewPlans() *Plans { return &Plans{planrun.NewBook(planrun.DefaultLimits())} }
+// NewPlans returns a partition without runs.
+func NewPlans() *Plans { return &Plans{planrun.NewTracker(planrun.DefaultLimits())} }
 
 // Name implements state.Part.
 func (*Plans) Name() string { return PlansName }
 
-// Check implements state.Part: plans have no settings of the fleet's.
+// Check implements state.Partition: plan runs have no settings.
 func (*Plans) Check([]byte) error { return errors.New("plans are not set for the fleet") }
 
 // Set implements state.Part.
 func (p *Plans) Set(_ time.Duration, settings []byte) error { return p.Check(settings) }
 
-// Apply implements state.Part. What the book refuses is told in the reply, beside the
-// run as it is: a refusal may have made it give up. Who a command comes from is known
-// by its session, which the state has checked.
+// Apply implements state.Partition. A refusal by the tracker is part of the reply, with the
+// run as it is, since a refusal may have made the run give up. The issuing process is that
+// of the session, which the state has checked.
 func (p *Plans) Apply(c state.Command, index uint64) ([]byte, error) {
 	var do planrun.Command
-	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansDo || do.Gone != nil {
+	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansCommand || do.LeaseExpired != nil {
 		return nil, fmt.Errorf("%w: no plan command %q", state.ErrBad, c.Kind)
 	}
 	run := ""
@@ -62,66 +63,67 @@
 		do.Claim.Process, do.Claim.Incarnation = c.Process, c.Incarnation
 	case do.Open != nil:
 		run = do.Open.Run
-	case do.Sending != nil:
-		run = do.Sending.Run
-	case do.Ended != nil:
-		run = do.Ended.Run
+	case do.SendAttempt != nil:
+		run = do.SendAttempt.Run
+	case do.ReportEnd != nil:
+		run = do.ReportEnd.Run
 	case do.Abandon != nil:
 		run = do.Abandon.Run
 	case do.Finish != nil:
 		run = do.Finish.Run
 	}
-	r := PlanReply{Reply: p.book.Apply(c.At, do), Index: index, At: c.At}
-	p.tell(run, &r)
+	r := PlanReply{Reply: p.tracker.Apply(c.At, do), Index: index, At: c.At}
+	p.describeRun(run, &r)
 	return codec.Encode(r)
 }
 
-// tell puts a run, or its answer, into a reply.
-func (p *Plans) tell(run string, r *PlanReply) {
+// describeRun adds a run, or its final answer, to a reply.
+func (p *Plans) describeRun(run string, r *PlanReply) {
 	if run == "" {
 		return
 	}
-	if v, err := p.book.View(run); err == nil {
-		r.Run, r.Makes = v.Run, v.Makes
+	if v, err := p.tracker.View(run); err == nil {
+		r.Run, r.Producing = v.Run, v.Producing
 	}
-	r.Ended = p.book.Answer(run)
+	r.FinalAnswer = p.tracker.Answer(run)
 }
 
-// Renewed implements state.Part: a renewal says nothing to this part.
-func (*Plans) Renewed(state.Command, []byte) ([]byte, error) {
+// Renew implements state.Partition: a renewal has no message for this partition.
+func (*Plans) Renew(state.Command, []byte) ([]byte, error) {
 	return nil, errors.New("plans are not renewed")
 }
 
-// Gone implements state.Part: the runs that an incarnation drove wait for another.
-func (p *Plans) Gone(at time.Duration, process string, incarnation uint64, _ state.Going) {
-	p.book.Lost(at, process, incarnation)
+// IncarnationEnded implements state.Partition: the runs of an ended incarnation wait for
+// another coordinator.
+func (p *Plans) IncarnationEnded(at time.Duration, process string, incarnation uint64, _ state.EndCause) {
+	p.tracker.LeaseExpired(at, process, incarnation)
 }
 
 // Advance implements state.Part.
-func (p *Plans) Advance(at time.Duration) { p.book.Advance(at) }
+func (p *Plans) Advance(at time.Duration) { p.tracker.Advance(at) }
 
-// Ask implements state.Asked.
-func (p *Plans) Ask(kind state.Kind, body []byte) ([]byte, error) {
+// Query implements state.Asked.
+func (p *Plans) Query(kind state.Kind, body []byte) ([]byte, error) {
 	switch kind {
-	case PlansOrphans:
-		return codec.Encode(p.book.Orphans())
-	case PlansLook:
+	case PlansCountOrphans:
+		return codec.Encode(p.tracker.Orphans())
+	case PlansRun:
 		var run string
 		if err := codec.Decode(body, &run); err != nil {
 			return nil, err
 		}
 		var r PlanReply
-		p.tell(run, &r)
+		p.describeRun(run, &r)
 		return codec.Encode(r)
 	}
 	return nil, fmt.Errorf("no plan query %q", kind)
 }
 
-// Freeze implements state.Part.
-func (p *Plans) Freeze() (state.Frozen, error) { return encoded(p.book.Encode()) }
+// Snapshot implements state.Part.
+func (p *Plans) Snapshot() (state.Snapshot, error) { return snapshotOf(p.tracker.Encode()) }
 
-// Thaw implements state.Part.
-func (p *Plans) Thaw(r io.Reader) error { return decoded(r, p.book.Decode) }
+// Restore implements state.Part.
+func (p *Plans) Restore(r io.Reader) error { return restoreWith(r, p.tracker.Decode) }
 
 // Digest implements state.Part.
-func (p *Plans) Digest() (uint64, error) { return p.book.Digest() }
+func (p *Plans) Digest() (uint64, error) { return p.tracker.Digest() }
--- a/internal/dispatcher/server/records.go
+++ b/internal/dispatcher/server/records.go
@@ -143,6 +143,6 @@
 		return false, err
 	}
 	var done records.Pruned
-	err = s.Execute(ctx, partition.RecordsPrune, p.Cut, &done)
+	err = s.Execute(ctx, partition.RecordsPrune, p.Prune, &done)
 	return err == nil && done.Removed > 0, err
 }
--- a/internal/dispatcher/server/records_admin.go
+++ b/internal/dispatcher/server/records_admin.go
@@ -50,8 +50,8 @@
 // Records implements adminapi.Fleet.
 func (r *recorder) Records(ctx context.Context, q adminapi.RecordsQuery) ([]byte, error) {
 	var p records.Page
-	ask := records.Query{Tenant: q.Tenant, From: q.From, To: q.To, Last: q.NewestFirst, After: q.After, Most: min(q.Limit, maxPageRecords)}
-	if err := r.query(ctx, r.fleet.agent.Session(), partition.RecordsPage, ask, &p); err != nil {
+	query := records.Query{Tenant: q.Tenant, From: q.From, To: q.To, Descending: q.NewestFirst, Cursor: q.After, Limit: min(q.Limit, maxPageRecords)}
+	if err := r.query(ctx, r.fleet.agent.Session(), partition.RecordsPage, query, &p); err != nil {
 		return nil, adminError(err)
 	}
 	var a fastjson.Arena
--- a/internal/dispatcher/server/records_store.go
+++ b/internal/dispatcher/server/records_store.go
@@ -51,8 +51,8 @@
 			continue
 		}
 		var fence records.Fence
-		node.Look(func(m *state.Machine) {
-			if p, ok := m.Part(partition.RecordsName).(*partition.Records); ok {
+		node.Inspect(func(m *state.Machine) {
+			if p, ok := m.Partition(partition.RecordsName).(*partition.Records); ok {
 				fence = p.Fence()
 			}
 		})
@@ -72,10 +72,10 @@
 	const day = float64(24 * time.Hour)
 	var set records.SetRules
 	for name, r := range f.Tenants {
-		keep := records.Limits{For: int64(r.Days * day), Count: int64(r.Count), Bytes: int64(r.Megabytes) << 20}
+		keep := records.Limits{MaxAge: int64(r.Days * day), MaxCount: int64(r.Count), MaxBytes: int64(r.Megabytes) << 20}
 		failed := keep
-		if longer := int64(r.FailureDays * day); keep.For > 0 && longer > keep.For {
-			failed.For = longer
+		if longer := int64(r.FailureDays * day); keep.MaxAge > 0 && longer > keep.MaxAge {
+			failed.MaxAge = longer
 		}
 		set.Rules = append(set.Rules, records.Rule{Tenant: name, Keep: keep, Failed: failed})
 	}
