--- a/coord/group/engine.go
+++ b/coord/group/engine.go
@@ -35,7 +35,7 @@
 	nextMembershipCheck time.Duration
 	joinRequests        map[string]joinRequest    // by address
 	leaveRequests       map[string]time.Duration  // by member ID: when it last announced that it stops
-	introduced          map[string]replica.Member // by ID: members named in messages, to which the log may lead later
+	addressHints        map[string]replica.Member // by ID: members that messages named; this log may not name them yet
 
 	senders  map[string]*snapshotSender // by ID of the receiving member; of a leader
 	receiver *snapshotReceiver          // nil: no snapshot is arriving
@@ -53,7 +53,7 @@
 	return &Engine{
 		settings: settings, stateMachine: stateMachine, logger: logger.With("group", settings.Name),
 		node:      replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, found, settings.Seed, now),
-		proposals: map[uint64]proposal{}, introduced: map[string]replica.Member{},
+		proposals: map[uint64]proposal{}, addressHints: map[string]replica.Member{},
 		joinRequests: map[string]joinRequest{}, leaveRequests: map[string]time.Duration{},
 		senders: map[string]*snapshotSender{},
 	}, nil
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, member := range message.Addresses {
-		e.introduced[member.ID] = member
+		e.addressHints[member.ID] = member
 	}
 	switch message.Kind {
 	case replica.SnapshotChunk:
@@ -191,7 +191,7 @@
 func (e *Engine) enqueue(message replica.Message) {
 	to, ok := e.node.Membership().Find(message.To)
 	if !ok {
-		to, ok = e.introduced[message.To]
+		to, ok = e.addressHints[message.To]
 	}
 	if ok {
 		e.outbox = append(e.outbox, Envelope{Address: to.Address, Message: message})
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -130,7 +130,7 @@
 	}
 	n.send(Message{
 		Kind: AppendRequest, To: id, Index: previous, LogTerm: n.log.term(previous), Commit: n.commit,
-		Entries: entries, SentAt: now, Addresses: n.introduction(peer),
+		Entries: entries, SentAt: now, Addresses: n.memberAddressesFor(peer),
 	})
 }
 
@@ -142,13 +142,13 @@
 	}
 	n.send(Message{
 		Kind: AppendRequest, To: id, Index: n.commit, LogTerm: n.log.term(n.commit),
-		SentAt: now, Addresses: n.introduction(n.progress[id]),
+		SentAt: now, Addresses: n.memberAddressesFor(n.progress[id]),
 	})
 }
 
-// introduction returns the members for one that has acknowledged nothing yet: its log may not name
+// memberAddressesFor returns the members for one that has acknowledged nothing yet: its log may not name
 // them.
-func (n *Node) introduction(peer *progress.Progress) []Member {
+func (n *Node) memberAddressesFor(peer *progress.Progress) []Member {
 	if peer.Match > 0 {
 		return nil
 	}
--- a/coord/replica/world_test.go
+++ b/coord/replica/world_test.go
@@ -34,7 +34,7 @@
 	pausedUntil   time.Duration // until then it does nothing
 	applied       []string      // what it applied
 	pendingWrites []pendingWrite
-	introduced    map[string]replica.Member
+	addressHints  map[string]replica.Member
 }
 
 // pendingWrite is a write that the disk has not carried out yet.
@@ -88,7 +88,7 @@
 	var voters []replica.Member
 	for i := range n {
 		name := fmt.Sprint("host", i)
-		h := &host{name: name, disk: simdisk.New(seed*31 + uint64(i)), introduced: map[string]replica.Member{}}
+		h := &host{name: name, disk: simdisk.New(seed*31 + uint64(i)), addressHints: map[string]replica.Member{}}
 		w.hosts[name], w.names = h, append(w.names, name)
 		h.id = name + "#0"
 		voters = append(voters, replica.Member{ID: h.id, Address: name})
@@ -106,7 +106,7 @@
 
 // addHost adds a host with an empty disk that is a member of nothing yet.
 func (w *world) addHost(name string) {
-	h := &host{name: name, id: name + "#0", disk: simdisk.New(w.seed*31 + uint64(len(w.names))), introduced: map[string]replica.Member{}}
+	h := &host{name: name, id: name + "#0", disk: simdisk.New(w.seed*31 + uint64(len(w.names))), addressHints: map[string]replica.Member{}}
 	w.hosts[name], w.names = h, append(w.names, name)
 	w.start(h)
 }
@@ -189,7 +189,7 @@
 		h := w.hosts[e.host]
 		if h.up && h.id == e.message.To && w.now >= h.pausedUntil {
 			for _, m := range e.message.Addresses {
-				h.introduced[m.ID] = m
+				h.addressHints[m.ID] = m
 			}
 			h.node.Step(w.now, e.message)
 			w.execute(h)
@@ -298,7 +298,7 @@
 func (w *world) send(from *host, m replica.Message) {
 	to, ok := from.node.Membership().Find(m.To)
 	if !ok {
-		to, ok = from.introduced[m.To]
+		to, ok = from.addressHints[m.To]
 	}
 	w.sentCount++
 	if !ok || w.dropMessage != nil && w.dropMessage(m) || w.disconnected[[2]string{from.name, to.Address}] || w.random.Float64() < w.lossRate {
