--- /dev/null
+++ b/internal/dispatcher/fleet/budget/status.go
@@ -0,0 +1,122 @@
+package budget
+
+import (
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Mode tells what a process uses at the moment.
+type Mode uint8
+
+// Modes.
+const (
+	Unbounded Mode = iota // the budget does not exist, as far as is known
+	OnShare
+	OnFloor
+	OnNothing
+)
+
+var modeNames = [...]string{"unbounded", "share", "floor", "nothing"}
+
+// String is a mode in a word.
+func (m Mode) String() string {
+	if int(m) < len(modeNames) {
+		return modeNames[m]
+	}
+	return fmt.Sprintf("mode %d", uint8(m))
+}
+
+// BucketStatus describes one budget at this process.
+type BucketStatus struct {
+	Name     string
+	Kind     Kind
+	Mode     Mode
+	Amount   float64       // usable now; 0 where unbounded
+	ValidFor time.Duration // until Amount ends without another grant; 0: it has, or never will
+	Admitted int64         // since the start
+	Rejected int64         // since the start
+	InFlight int64
+	Demand   float64 // as last reported
+}
+
+// Status describes the budgets at this process, sorted by name.
+func (p *Allowance) Status(now time.Duration) []BucketStatus {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := make([]BucketStatus, 0, len(p.names))
+	for _, n := range slices.Sorted(slices.Values(p.names)) {
+		t := p.buckets[n]
+		s := t.terms.Load()
+		f := BucketStatus{
+			Name: n, Kind: s.kind, Admitted: t.taken.Load() + t.begun.Load(), Rejected: t.rejected.Load(),
+			InFlight: t.inFlight.Load(), Demand: t.reportedDemand, Amount: s.amountAt(now),
+		}
+		switch {
+		case s == &unlimited:
+			f.Amount = 0
+		case now < s.leaseEnd:
+			f.Mode, f.ValidFor = OnShare, s.leaseEnd-now
+		case now < s.floorEnd:
+			f.Mode, f.ValidFor = OnFloor, s.floorEnd-now
+		default:
+			f.Mode = OnNothing
+		}
+		out = append(out, f)
+	}
+	return out
+}
+
+// HolderStatus is what one incarnation of a process holds of a budget.
+type HolderStatus struct {
+	Process      string
+	Incarnation  uint64
+	Ends         time.Duration // of its lease, in fleet time
+	Fenced       bool          // a newer incarnation exists: it gets nothing more
+	Acknowledged bool          // it has applied the last grant
+	Held         float64       // the most that it may be using
+	Offered, Due float64       // by the last grant; Due: by the division
+	Floor        bool
+	Demand       float64
+}
+
+// HolderStatuses returns who holds what of a budget, by process and incarnation; none for
+// an unknown budget.
+func (b *AllocationTable) HolderStatuses(name string) []HolderStatus {
+	i := b.budgetIndex(name)
+	if i < 0 {
+		return nil
+	}
+	out := make([]HolderStatus, len(b.Holders))
+	for k, h := range b.Holders {
+		l := &h.Allocations[i]
+		out[k] = HolderStatus{
+			Process: h.Process, Incarnation: h.Incarnation, Ends: h.LeaseEnd, Fenced: h.Superseded, Acknowledged: h.AcknowledgedGrant == h.OfferedGrant,
+			Held: fromMicros(l.upperBound().Amount), Offered: fromMicros(l.Offered.Amount), Due: fromMicros(l.Due + l.Offered.Floor),
+			Floor: l.hasFloor(), Demand: l.Demand,
+		}
+	}
+	return out
+}
+
+// BudgetStatus describes a budget, for metrics and checks.
+type BudgetStatus struct {
+	Name                           string
+	Whole, Held, Resting, SetAside float64
+	Burst, HeldBurst               float64 // HeldBurst includes what is quarantined and reserved
+	Bound                          bool    // the total binds: no more than it is held
+}
+
+// Status describes the budgets, sorted by name.
+func (b *AllocationTable) Status() []BudgetStatus {
+	out := make([]BudgetStatus, len(b.Budgets))
+	for i, s := range b.Budgets {
+		aside, asideBurst, _ := s.reservedFloors()
+		free, burst := s.available()
+		out[i] = BudgetStatus{
+			Name: s.Name, Whole: s.Total, Held: fromMicros(s.held.amount), Resting: fromMicros(s.quarantined.amount), SetAside: fromMicros(aside),
+			Burst: s.Burst, HeldBurst: fromMicros(s.held.burst + s.quarantined.burst + asideBurst), Bound: free >= 0 && burst >= 0,
+		}
+	}
+	return out
+}
