--- a/coord/group/diskwrite.go
+++ b/coord/group/diskwrite.go
@@ -5,8 +5,8 @@
 	"basaltloft/coord/ringlog"
 )
 
-// DiskWrite is one write of the log or of a snapshot. PersistWrites carries it out and
-// Engine.Persisted hears of it; what it holds is nobody else's.
+// DiskWrite is one write of the log or of a snapshot. A driver passes it to PersistWrites, and then to
+// Engine.Persisted; its content is of no concern to the driver.
 type DiskWrite struct {
 	hardState *replica.HardState
 	entries   []replica.Entry
--- a/coord/group/statemachine.go
+++ b/coord/group/statemachine.go
@@ -20,7 +20,7 @@
 	// serves as a fencing token.
 	BecameLeader(epoch uint64)
 	// LostLeadership tells that this replica is not the leader any more. It is called once after each
-	// BecameLeader, if the replica lives on.
+	// BecameLeader, unless the process stops first.
 	LostLeadership()
 }
 
--- a/coord/replica/coldstart.go
+++ b/coord/replica/coldstart.go
@@ -14,7 +14,7 @@
 // after every voter's first one. Had one of them led before, with a lease that rests on the support
 // of some voter's earlier incarnation, its second response would not have come: it would have led
 // since its start. And a voter grants this vote only in the incarnation that responded, and while
-// it has had no contact to a leader: whoever leads after its second response needs a majority that
+// it has had no contact to a leader: any leader elected after its second response needs a majority that
 // has.
 
 // coldStartInterval is the pause between two rounds.
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -66,8 +66,8 @@
 	leaseExpiry    time.Duration
 	termStartIndex uint64 // of the no-op that began the term
 	leaderSince    time.Duration
-	transferee     string        // who is to lead next; empty: no transfer is under way
-	transferEnd    time.Duration // a transfer that has not happened by then ends with the leadership
+	transferee     string        // ID of the member that takes over; empty: no transfer is under way
+	transferEnd    time.Duration // the leader steps down then, where no other has taken over
 
 	ready Ready
 }
