--- a/coord/ringlog/ringlog_test.go
+++ b/coord/ringlog/ringlog_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -132,29 +133,41 @@
 	}
 }
 
+// open opens the ring of a disk.
+func open(t *testing.T, disk *simdisk.Disk, seed uint64, point int) (*ringlog.Ring, replica.PersistedState) {
+	t.Helper()
+	ring, found, err := ringlog.Open(disk, "log", sizes)
+	require.NoError(t, err, "seed %d point %d", seed, point)
+	return ring, found
+}
+
+// runUntilCrash runs operations on a new disk until the one at a numbered point crashes; false: there
+// are fewer operations than that.
+func runUntilCrash(t *testing.T, seed uint64, point int, stream uint64) (*simdisk.Disk, *operations, bool) {
+	t.Helper()
+	disk := simdisk.New(seed*1000 + uint64(point))
+	s := &operations{random: rand.New(rand.NewPCG(seed, stream)), term: 1}
+	s.ring, _ = open(t, disk, seed, point)
+	disk.CrashAtOperation = disk.OperationCount + point
+	for range 30 {
+		if s.step() != nil {
+			return disk, s, true
+		}
+	}
+	return disk, s, false
+}
+
 // TestCrashAtEachOperation crashes a sequence at each of its writes and syncs in turn. All synced
 // records are recovered; the interrupted operation may be there in part.
 func TestCrashAtEachOperation(t *testing.T) {
 	for seed := range uint64(25) {
 		for point := 1; ; point++ {
-			disk := simdisk.New(seed*1000 + uint64(point))
-			s := &operations{random: rand.New(rand.NewPCG(seed, 4)), term: 1}
-			ring, _, err := ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err)
-			s.ring = ring
-			disk.CrashAtOperation = disk.OperationCount + point
-			failed := false
-			for range 30 {
-				if failed = s.step() != nil; failed {
-					break
-				}
-			}
-			if !failed {
+			disk, s, crashed := runUntilCrash(t, seed, point, 4)
+			if !crashed {
 				break
 			}
 			disk.LosePower()
-			_, found, err := ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err, "seed %d point %d", seed, point)
+			_, found := open(t, disk, seed, point)
 			require.GreaterOrEqual(t, found.HardState.Term, s.beforeLast.hardState.Term, "seed %d point %d", seed, point)
 			requireSyncedEntries(t, s, found, seed, point)
 		}
@@ -166,27 +179,14 @@
 func TestRecoveredRecordsSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(25) {
 		for point := 1; ; point++ {
-			disk := simdisk.New(seed*1000 + uint64(point))
-			s := &operations{random: rand.New(rand.NewPCG(seed, 6)), term: 1}
-			ring, _, err := ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err)
-			s.ring = ring
-			disk.CrashAtOperation = disk.OperationCount + point
-			failed := false
-			for range 30 {
-				if failed = s.step() != nil; failed {
-					break
-				}
-			}
-			if !failed {
+			disk, _, crashed := runUntilCrash(t, seed, point, 6)
+			if !crashed {
 				break
 			}
 			disk.CrashAtOperation = 0
-			_, read, err := ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err, "seed %d point %d", seed, point)
+			_, read := open(t, disk, seed, point)
 			disk.LosePower()
-			_, again, err := ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err, "seed %d point %d", seed, point)
+			_, again := open(t, disk, seed, point)
 			require.Equal(t, read, again, "seed %d point %d", seed, point)
 		}
 	}
@@ -196,22 +196,17 @@
 // that operation may have replaced it.
 func requireSyncedEntries(t *testing.T, s *operations, found replica.PersistedState, seed uint64, point int) {
 	t.Helper()
-	terms := map[uint64]uint64{}
+	foundTerms := map[uint64]uint64{}
 	for _, entry := range found.Entries {
-		terms[entry.Index] = entry.Term
+		foundTerms[entry.Index] = entry.Term
 	}
 	for _, entry := range s.beforeLast.entries {
-		if entry.Index <= found.Snapshot.Index || terms[entry.Index] == entry.Term {
+		if entry.Index <= found.Snapshot.Index || foundTerms[entry.Index] == entry.Term {
 			continue
 		}
-		after := model{}
-		after.entries = s.model.entries
-		replaced := true
-		for _, other := range after.entries {
-			if other.Index == entry.Index && other.Term == entry.Term {
-				replaced = false
-			}
-		}
+		replaced := !slices.ContainsFunc(s.model.entries, func(after replica.Entry) bool {
+			return after.Index == entry.Index && after.Term == entry.Term
+		})
 		require.True(t, replaced, "seed %d point %d: entry %d of term %d is lost", seed, point, entry.Index, entry.Term)
 	}
 }
@@ -223,10 +218,8 @@
 		for point := 1; point < 40; point++ {
 			disk := simdisk.New(seed*1000 + uint64(point))
 			s := &operations{random: rand.New(rand.NewPCG(seed, 5)), term: 1}
-			var err error
 			for range 3 {
-				s.ring, _, err = ringlog.Open(disk, "log", sizes)
-				require.NoError(t, err)
+				s.ring, _ = open(t, disk, seed, point)
 				for range 10 {
 					require.NoError(t, s.step())
 				}
@@ -237,8 +230,7 @@
 				disk.LosePower()
 			}
 			for range 3 {
-				_, found, err := ringlog.Open(disk, "log", sizes)
-				require.NoError(t, err, "seed %d point %d", seed, point)
+				_, found := open(t, disk, seed, point)
 				require.True(t, s.model.equals(found), "seed %d point %d", seed, point)
 			}
 		}
@@ -252,9 +244,7 @@
 		for point := 1; point < 24; point++ {
 			disk := simdisk.New(seed*1000 + uint64(point))
 			s := &operations{random: rand.New(rand.NewPCG(seed, 6)), term: 1}
-			var err error
-			s.ring, _, err = ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err)
+			s.ring, _ = open(t, disk, seed, point)
 			disk.CrashAtOperation = disk.OperationCount + point
 			for range 12 {
 				if s.step() != nil {
@@ -264,12 +254,10 @@
 			disk.CrashAtOperation = disk.OperationCount + 1 + int(seed%9)
 			_, _, _ = ringlog.Open(disk, "log", sizes) // it crashes, or not, at that operation
 			disk.CrashAtOperation = 0
-			_, read, err := ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err, "seed %d point %d", seed, point)
+			_, read := open(t, disk, seed, point)
 			requireSyncedEntries(t, s, read, seed, point)
 			disk.LosePower()
-			_, found, err := ringlog.Open(disk, "log", sizes)
-			require.NoError(t, err, "seed %d point %d", seed, point)
+			_, found := open(t, disk, seed, point)
 			require.Equal(t, read, found, "seed %d point %d", seed, point)
 		}
 	}
