--- a/internal/cluster/scheduler/cycle_test.go
+++ b/internal/cluster/scheduler/cycle_test.go
@@ -21,7 +21,7 @@
 // submit adds a job of one step that runs for a second.
 func submit(s *Scheduler, id string, step job.Step) *taskGroup {
 	step.EstimateMs = 1000
-	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.New{ID: id, Queue: "q", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
+	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.Submission{ID: id, Queue: "q", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
 	s.openOccurrence(s.store.Jobs[id], 0)
 	return s.groups.byKey[groupKey{job: id}]
 }
--- a/internal/cluster/scheduler/unresponsive_test.go
+++ b/internal/cluster/scheduler/unresponsive_test.go
@@ -13,7 +13,7 @@
 func runningTask(t *testing.T, s *Scheduler, runner *runnerSession, speculative bool) (*taskGroup, *run) {
 	t.Helper()
 	step := job.Step{Count: 1, Speculative: speculative}
-	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.New{ID: "a", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
+	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.Submission{ID: "a", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
 	s.openOccurrence(s.store.Jobs["a"], 0)
 	group := s.groups.byKey[groupKey{job: "a"}]
 	group.pending = nil
--- a/internal/cluster/scheduler/urgency.go
+++ b/internal/cluster/scheduler/urgency.go
@@ -26,9 +26,9 @@
 	if g.step.LongRunning {
 		return placement.UrgencyLow
 	}
-	allowed := g.job.Stretch + float64(g.job.TargetMs)/1000/max(g.expected, minExpected)/float64(len(g.job.Spec.Steps))
+	allowed := g.job.Extension + float64(g.job.TargetMs)/1000/max(g.expected, minExpected)/float64(len(g.job.Spec.Steps))
 	switch {
-	case g.job.Stretch <= 0: // the queue has no objective
+	case g.job.Extension <= 0: // the queue has no objective
 		return placement.UrgencyNormal
 	case allowed < highUrgencyBelow:
 		return placement.UrgencyHigh
--- a/internal/dispatcher/faktory/batch/batch.go
+++ b/internal/dispatcher/faktory/batch/batch.go
@@ -1,7 +1,9 @@
-// Package batch keeps the Faktory front's batches: jobs that are pushed
-// together, with a call-back once all of them have run and one once all have
-// succeeded, each exactly once. Batches nest: a parent waits for its children.
-// It does no I/O and keeps no clock; a Book must not be used concurrently.
+// Package batch keeps the Faktory front's batches: jobs that are pushed together, with a
+// call-back job once all of them have run and one once all have succeeded, each pushed exactly
+// once. Batches nest: a parent waits for its children.
+//
+// It does no I/O and reads no clock. The caller pushes the call-backs that the methods return, and
+// must not use a Store concurrently.
 package batch
 
 import (
@@ -10,7 +12,7 @@
 	"time"
 )
 
-// Kind is the kind of a call-back.
+// Kind is the kind of a call-back, by the protocol's name.
 type Kind string
 
 // Call-backs.
@@ -19,225 +21,226 @@
 	Success  Kind = "success"  // each job has succeeded
 )
 
-// State is how far a call-back is, in the protocol's words.
+// State is how far a call-back has come, by the protocol's value.
 type State string
 
 // States of call-backs.
 const (
-	NotYet   State = ""
-	Enqueued State = "1"
-	Done     State = "2"
+	NotDue   State = ""
+	Enqueued State = "1" // it is returned to the caller, which pushes it
+	Done     State = "2" // it has succeeded, or there is none
 )
 
-// Errors of commands.
+// Errors of the methods.
 var (
-	ErrUnknown   = errors.New("no such batch")
-	ErrCommitted = errors.New("the batch has been committed")
-	ErrOver      = errors.New("the batch is over")
-	ErrEmpty     = errors.New("a batch has a success or a complete call-back")
-	ErrFull      = errors.New("there are too many batches")
+	ErrUnknownBatch = errors.New("no such batch")
+	ErrCommitted    = errors.New("the batch has been committed")
+	ErrFinished     = errors.New("the batch is over")
+	ErrNoCallback   = errors.New("a batch has a success or a complete call-back")
+	ErrFull         = errors.New("there are too many batches")
 )
 
-// Definition is what BATCH NEW says.
+// Definition is what BATCH NEW defines.
 type Definition struct {
-	Parent, Description string
-	Callbacks           map[Kind][]byte // jobs, as JSON
+	Parent, Description string          // Parent: its bid; empty: none
+	Callbacks           map[Kind][]byte // jobs as JSON; at least one
 }
 
-// Callback is a job that a batch owes now.
+// Callback is a call-back job that is due now.
 type Callback struct {
-	Batch string
+	Batch string // its bid
 	Kind  Kind
-	Job   []byte
+	Job   []byte // JSON
 }
 
-// Batch is one batch. Its jobs are pending until they have succeeded; those that
-// have failed at least once and not succeeded since are failed as well.
+// Batch is one batch; callers only read it. A job is pending until it has succeeded; one that has
+// failed at least once and not succeeded since counts as failed as well.
 type Batch struct {
-	ID        string
-	Def       Definition
-	Created   time.Time
-	Committed bool
-	Total     int
-	Pending   int
-	failed    map[string]bool // pending ones that have run
-	jobs      map[string]bool // all that are pending
-	children  map[string]bool // batches in it that have not succeeded; true: complete
-	States    map[Kind]State
+	ID          string
+	Definition  Definition
+	Created     time.Time
+	Committed   bool // no job is added any more, unless it is opened again
+	Total       int
+	Pending     int
+	failedJobs  map[string]bool // pending ones that have run
+	pendingJobs map[string]bool // all that are pending
+	children    map[string]bool // batches in it that have not succeeded; true: complete
+	States      map[Kind]State
 }
 
-// Failed is how many pending jobs have failed.
-func (b *Batch) Failed() int { return len(b.failed) }
+// Failed returns how many pending jobs have failed.
+func (b *Batch) Failed() int { return len(b.failedJobs) }
 
-// Book is all batches that are not over.
-type Book struct {
-	most    int
+// Store holds all batches that are not finished.
+type Store struct {
+	limit   int
 	batches map[string]*Batch
 }
 
-// NewBook returns an empty one that holds so many batches.
-func NewBook(most int) *Book { return &Book{most: most, batches: make(map[string]*Batch)} }
+// NewStore returns an empty store for at most limit batches.
+func NewStore(limit int) *Store { return &Store{limit: limit, batches: make(map[string]*Batch)} }
 
-// Find returns a batch, or nil.
-func (b *Book) Find(id string) *Batch { return b.batches[id] }
+// Find returns a batch by its bid, or nil.
+func (s *Store) Find(id string) *Batch { return s.batches[id] }
 
-// Len is how many batches are not over.
-func (b *Book) Len() int { return len(b.batches) }
+// Len returns how many batches are not finished.
+func (s *Store) Len() int { return len(s.batches) }
 
-// New begins a batch.
-func (b *Book) New(now time.Time, id string, d Definition) error {
+// New adds a batch with a new bid. It returns ErrNoCallback, ErrFull, or, for its parent,
+// ErrUnknownBatch or ErrFinished.
+func (s *Store) New(now time.Time, id string, d Definition) error {
 	if len(d.Callbacks[Complete]) == 0 && len(d.Callbacks[Success]) == 0 {
-		return ErrEmpty
+		return ErrNoCallback
 	}
-	if len(b.batches) >= b.most {
+	if len(s.batches) >= s.limit {
 		return ErrFull
 	}
-	if b.batches[id] != nil {
+	if s.batches[id] != nil {
 		return fmt.Errorf("batch %s is there already", id)
 	}
 	if d.Parent != "" {
-		p := b.batches[d.Parent]
-		if p == nil {
-			return fmt.Errorf("parent %s: %w", d.Parent, ErrUnknown)
+		parent := s.batches[d.Parent]
+		if parent == nil {
+			return fmt.Errorf("parent %s: %w", d.Parent, ErrUnknownBatch)
 		}
-		if p.States[Success] != NotYet || p.States[Complete] != NotYet {
-			return fmt.Errorf("parent %s: %w", d.Parent, ErrOver)
+		if parent.States[Success] != NotDue || parent.States[Complete] != NotDue {
+			return fmt.Errorf("parent %s: %w", d.Parent, ErrFinished)
 		}
-		p.children[id] = false
+		parent.children[id] = false
 	}
-	b.batches[id] = &Batch{
-		ID: id, Def: d, Created: now, failed: make(map[string]bool), jobs: make(map[string]bool), children: make(map[string]bool),
+	s.batches[id] = &Batch{
+		ID: id, Definition: d, Created: now, failedJobs: make(map[string]bool), pendingJobs: make(map[string]bool), children: make(map[string]bool),
 		States: make(map[Kind]State),
 	}
 	return nil
 }
 
-// Open lets jobs be added to a batch that was committed, which its own jobs do
-// while they run.
-func (b *Book) Open(id string) error {
-	at := b.batches[id]
+// Open lets jobs be added to a committed batch again, as its own jobs do while they run. It
+// returns ErrUnknownBatch, or ErrFinished once a call-back is due.
+func (s *Store) Open(id string) error {
+	batch := s.batches[id]
 	switch {
-	case at == nil:
-		return ErrUnknown
-	case at.States[Success] != NotYet || at.States[Complete] != NotYet:
-		return ErrOver
+	case batch == nil:
+		return ErrUnknownBatch
+	case batch.States[Success] != NotDue || batch.States[Complete] != NotDue:
+		return ErrFinished
 	}
-	at.Committed = false
+	batch.Committed = false
 	return nil
 }
 
-// MayAdd tells whether a job may be pushed into a batch.
-func (b *Book) MayAdd(id string) error {
-	switch at := b.batches[id]; {
-	case at == nil:
-		return ErrUnknown
-	case at.Committed:
+// CheckAdd returns nil if a job may be pushed into a batch, else ErrUnknownBatch or ErrCommitted.
+func (s *Store) CheckAdd(id string) error {
+	switch batch := s.batches[id]; {
+	case batch == nil:
+		return ErrUnknownBatch
+	case batch.Committed:
 		return ErrCommitted
 	}
 	return nil
 }
 
-// Add takes in a job that was pushed. Pushed again, it counts once.
-func (b *Book) Add(id, job string) {
-	if at := b.batches[id]; at != nil && !at.jobs[job] {
-		at.jobs[job] = true
-		at.Total++
-		at.Pending++
+// Add counts a job in that was pushed. One that is pushed again counts once.
+func (s *Store) Add(id, job string) {
+	if batch := s.batches[id]; batch != nil && !batch.pendingJobs[job] {
+		batch.pendingJobs[job] = true
+		batch.Total++
+		batch.Pending++
 	}
 }
 
-// Withdraw takes back a job whose push was not taken.
-func (b *Book) Withdraw(id, job string) {
-	if at := b.batches[id]; at != nil && at.jobs[job] {
-		delete(at.jobs, job)
-		at.Total--
-		at.Pending--
+// Remove counts a job out whose push was not accepted in the end.
+func (s *Store) Remove(id, job string) {
+	if batch := s.batches[id]; batch != nil && batch.pendingJobs[job] {
+		delete(batch.pendingJobs, job)
+		batch.Total--
+		batch.Pending--
 	}
 }
 
-// Commit closes a batch to further jobs and returns the call-backs that are due
-// then: of one without jobs, or whose last job ended in the meantime.
-func (b *Book) Commit(id string) ([]Callback, error) {
-	at := b.batches[id]
+// Commit closes a batch to further jobs. It returns the call-backs that are due then, if the batch
+// has no job or the last one has ended meanwhile; or ErrUnknownBatch or ErrCommitted.
+func (s *Store) Commit(id string) ([]Callback, error) {
+	batch := s.batches[id]
 	switch {
-	case at == nil:
-		return nil, ErrUnknown
-	case at.Committed:
+	case batch == nil:
+		return nil, ErrUnknownBatch
+	case batch.Committed:
 		return nil, ErrCommitted
 	}
-	at.Committed = true
-	return b.owed(at), nil
+	batch.Committed = true
+	return s.dueCallbacks(batch), nil
 }
 
-// Ran takes in that a job of a batch has run, well or not, and returns the
-// call-backs that are due then. A job that succeeds counts once.
-func (b *Book) Ran(id, job string, well bool) []Callback {
-	at := b.batches[id]
-	if at == nil || !at.jobs[job] {
+// JobRan takes in that a job of a batch has run, and returns the call-backs that are due then. A
+// job that has succeeded counts once.
+func (s *Store) JobRan(id, job string, succeeded bool) []Callback {
+	batch := s.batches[id]
+	if batch == nil || !batch.pendingJobs[job] {
 		return nil
 	}
-	if well {
-		delete(at.failed, job)
-		delete(at.jobs, job)
-		at.Pending--
+	if succeeded {
+		delete(batch.failedJobs, job)
+		delete(batch.pendingJobs, job)
+		batch.Pending--
 	} else {
-		at.failed[job] = true
+		batch.failedJobs[job] = true
 	}
-	return b.owed(at)
+	return s.dueCallbacks(batch)
 }
 
-// CallbackRan takes in that a call-back has succeeded. A batch with all of its
-// call-backs done is over.
-func (b *Book) CallbackRan(id string, kind Kind) []Callback {
-	at := b.batches[id]
-	if at == nil || at.States[kind] != Enqueued {
+// CallbackSucceeded takes in that a call-back has succeeded, and returns the call-backs of parents
+// that are due then. A batch whose call-backs have all succeeded is finished, and forgotten.
+func (s *Store) CallbackSucceeded(id string, kind Kind) []Callback {
+	batch := s.batches[id]
+	if batch == nil || batch.States[kind] != Enqueued {
 		return nil
 	}
-	at.States[kind] = Done
-	return b.settle(at)
+	batch.States[kind] = Done
+	return s.removeIfFinished(batch)
 }
 
-// owed returns the call-backs of a batch, and of those it is in, that are due
-// now and were not before.
-func (b *Book) owed(at *Batch) (due []Callback) {
-	if !at.Committed {
+// dueCallbacks returns the call-backs of a batch, and of its parents, that are due now and were
+// not before.
+func (s *Store) dueCallbacks(batch *Batch) (due []Callback) {
+	if !batch.Committed {
 		return nil
 	}
-	complete, success := at.Pending == len(at.failed), at.Pending == 0
-	for child, done := range at.children {
+	complete, success := batch.Pending == len(batch.failedJobs), batch.Pending == 0
+	for child, done := range batch.children {
 		complete = complete && done
-		success = success && b.batches[child] == nil
+		success = success && s.batches[child] == nil
 	}
 	for _, c := range []struct {
 		kind Kind
 		due  bool
 	}{{Complete, complete}, {Success, success}} {
-		if !c.due || at.States[c.kind] != NotYet {
+		if !c.due || batch.States[c.kind] != NotDue {
 			continue
 		}
-		if at.States[c.kind] = Enqueued; len(at.Def.Callbacks[c.kind]) == 0 {
-			at.States[c.kind] = Done
+		if batch.States[c.kind] = Enqueued; len(batch.Definition.Callbacks[c.kind]) == 0 {
+			batch.States[c.kind] = Done
 			continue
 		}
-		due = append(due, Callback{at.ID, c.kind, at.Def.Callbacks[c.kind]})
+		due = append(due, Callback{batch.ID, c.kind, batch.Definition.Callbacks[c.kind]})
 	}
-	if at.States[Complete] != NotYet {
-		if p := b.batches[at.Def.Parent]; p != nil && !p.children[at.ID] {
-			p.children[at.ID] = true
-			due = append(due, b.owed(p)...)
+	if batch.States[Complete] != NotDue {
+		if parent := s.batches[batch.Definition.Parent]; parent != nil && !parent.children[batch.ID] {
+			parent.children[batch.ID] = true
+			due = append(due, s.dueCallbacks(parent)...)
 		}
 	}
-	return append(due, b.settle(at)...)
+	return append(due, s.removeIfFinished(batch)...)
 }
 
-// settle drops a batch that is over, and looks at its parent.
-func (b *Book) settle(at *Batch) []Callback {
-	if b.batches[at.ID] != at || at.States[Success] != Done || at.States[Complete] != Done {
+// removeIfFinished forgets a batch that is finished, and returns what is due of its parent then.
+func (s *Store) removeIfFinished(batch *Batch) []Callback {
+	if s.batches[batch.ID] != batch || batch.States[Success] != Done || batch.States[Complete] != Done {
 		return nil
 	}
-	delete(b.batches, at.ID)
-	if p := b.batches[at.Def.Parent]; p != nil {
-		return b.owed(p)
+	delete(s.batches, batch.ID)
+	if parent := s.batches[batch.Definition.Parent]; parent != nil {
+		return s.dueCallbacks(parent)
 	}
 	return nil
 }
