--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -132,16 +132,16 @@
 		body   string
 		start  scheduler.StartReply
 		hold   scheduler.LeaseReply
-		stops  [2]bool // accepted; another incarnation
+		stop   scheduler.StopReply
 	}{
-		{http.StatusOK, `{"clock_ms":5}`, scheduler.StartAccepted, scheduler.LeaseRenewed, [2]bool{true, false}},
-		{http.StatusOK, `{"clock_`, scheduler.StartNoReply, scheduler.LeaseNoReply, [2]bool{false, false}},
-		{http.StatusMisdirectedRequest, `{"clock_ms":5}`, scheduler.StartOtherIncarnation, scheduler.LeaseOtherIncarnation, [2]bool{false, true}},
-		{http.StatusConflict, `{"clock_ms":5,"reason":"room"}`, scheduler.StartNoCapacity, scheduler.LeaseFenced, [2]bool{false, false}},
-		{http.StatusConflict, `{"clock_ms":5,"reason":"other"}`, scheduler.StartRefused, scheduler.LeaseFenced, [2]bool{false, false}},
-		{http.StatusServiceUnavailable, `{"clock_ms":5,"reason":"room"}`, scheduler.StartNoCapacity, scheduler.LeaseNoReply, [2]bool{false, false}},
-		{http.StatusServiceUnavailable, `{"clock_ms":5}`, scheduler.StartRefused, scheduler.LeaseNoReply, [2]bool{false, false}},
-		{http.StatusInternalServerError, `{}`, scheduler.StartNoReply, scheduler.LeaseNoReply, [2]bool{false, false}},
+		{http.StatusOK, `{"clock_ms":5}`, scheduler.StartAccepted, scheduler.LeaseRenewed, scheduler.StopConfirmed},
+		{http.StatusOK, `{"clock_`, scheduler.StartNoReply, scheduler.LeaseNoReply, scheduler.StopNotConfirmed},
+		{http.StatusMisdirectedRequest, `{"clock_ms":5}`, scheduler.StartOtherIncarnation, scheduler.LeaseOtherIncarnation, scheduler.StopOtherIncarnation},
+		{http.StatusConflict, `{"clock_ms":5,"reason":"room"}`, scheduler.StartNoCapacity, scheduler.LeaseFenced, scheduler.StopNotConfirmed},
+		{http.StatusConflict, `{"clock_ms":5,"reason":"other"}`, scheduler.StartRefused, scheduler.LeaseFenced, scheduler.StopNotConfirmed},
+		{http.StatusServiceUnavailable, `{"clock_ms":5,"reason":"room"}`, scheduler.StartNoCapacity, scheduler.LeaseNoReply, scheduler.StopNotConfirmed},
+		{http.StatusServiceUnavailable, `{"clock_ms":5}`, scheduler.StartRefused, scheduler.LeaseNoReply, scheduler.StopNotConfirmed},
+		{http.StatusInternalServerError, `{}`, scheduler.StartNoReply, scheduler.LeaseNoReply, scheduler.StopNotConfirmed},
 	} {
 		order := answering(t, c.status, c.body)
 		name := fmt.Sprint(c.status, " ", c.body)
@@ -149,12 +149,12 @@
 		require.Equal(t, c.start, start, name)
 		hold, _ := client.renewLease(order)
 		require.Equal(t, c.hold, hold, name)
-		taken, otherIncarnation, _ := client.stop(order)
-		require.Equal(t, c.stops, [2]bool{taken, otherIncarnation}, name)
+		stop, _ := client.stop(order)
+		require.Equal(t, c.stop, stop, name)
 	}
 	_, clock := client.start(answering(t, http.StatusOK, `{"clock_ms":123}`))
 	require.Equal(t, int64(123), clock)
-	_, _, clock = client.stop(answering(t, http.StatusOK, `{"clock_ms":124}`))
+	_, clock = client.stop(answering(t, http.StatusOK, `{"clock_ms":124}`))
 	require.Equal(t, int64(124), clock)
 	_, report := client.renewLease(answering(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
 		"running":[["a.1.2.3",4,"saved",56.7],["b.0.0.0",1,""]],
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -137,14 +137,19 @@
 	return scheduler.StartRefused, reply.ClockMs
 }
 
-// stop sends an order to stop a run. ok: the runner has accepted it; otherIncarnation: another
-// incarnation of the runner has its address.
-func (c *runnerClient) stop(order scheduler.Order) (ok, otherIncarnation bool, clockMs int64) {
+// stop sends an order to stop a run. It returns the runner's clock where the reply has it.
+func (c *runnerClient) stop(order scheduler.Order) (stopped scheduler.StopReply, clockMs int64) {
 	status, reply, err := c.post(stopTimeout, order, "/-/run-stop", stopRequest{Task: order.Task.String(), Attempt: order.Attempt, FenceToken: order.Token})
 	if err != nil {
-		return false, false, 0
+		return scheduler.StopNotConfirmed, 0
 	}
-	return status == http.StatusOK, status == http.StatusMisdirectedRequest, reply.ClockMs
+	switch status {
+	case http.StatusOK:
+		return scheduler.StopConfirmed, reply.ClockMs
+	case http.StatusMisdirectedRequest:
+		return scheduler.StopOtherIncarnation, reply.ClockMs
+	}
+	return scheduler.StopNotConfirmed, reply.ClockMs
 }
 
 // renewLease renews the lease of a runner's tasks and returns its report of them.
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -90,11 +90,11 @@
 		}
 		s.OrderReplied(sender, func(now time.Duration) { sender.StartReplied(now, order, reply, clockMs) })
 	case scheduler.OrderStop:
-		ok, otherIncarnation, clockMs := false, false, int64(0)
+		reply, clockMs := scheduler.StopNotConfirmed, int64(0)
 		if maySend {
-			ok, otherIncarnation, clockMs = s.runners.stop(order)
+			reply, clockMs = s.runners.stop(order)
 		}
-		s.OrderReplied(sender, func(now time.Duration) { sender.StopReplied(now, order, ok, otherIncarnation, clockMs) })
+		s.OrderReplied(sender, func(now time.Duration) { sender.StopReplied(now, order, reply, clockMs) })
 	}
 }
 
--- a/internal/cluster/scheduler/order.go
+++ b/internal/cluster/scheduler/order.go
@@ -88,6 +88,16 @@
 	StartNoReply                     // no reply
 )
 
+// StopReply is how a runner answered an order to stop.
+type StopReply uint8
+
+// Replies to stops.
+const (
+	StopConfirmed        StopReply = iota + 1 // the run is over, or never began
+	StopOtherIncarnation                      // 421: another incarnation runs at the address
+	StopNotConfirmed                          // no reply, or none that says that the run is over
+)
+
 // String returns the reply's name in logs.
 func (r StartReply) String() string {
 	names := [...]string{"", "accepted", "no capacity", "refused", "other incarnation", "no reply"}
--- a/internal/cluster/scheduler/runner_test.go
+++ b/internal/cluster/scheduler/runner_test.go
@@ -148,16 +148,16 @@
 	return false
 }
 
-func (l *incarnation) stop(order scheduler.Order) bool {
+func (l *incarnation) stop(order scheduler.Order) scheduler.StopReply {
 	if l.fencesOff(order.Token) {
-		return false
+		return scheduler.StopNotConfirmed
 	}
 	l.highestAttempt[order.Task] = max(l.highestAttempt[order.Task], order.Attempt)
 	if r := l.runs[order.Task]; r != nil && r.attempt <= order.Attempt {
 		r.checkpoint = l.checkpoint(r)
 		l.end(r, job.EndStopped)
 	}
-	return true
+	return scheduler.StopConfirmed
 }
 
 // checkpoint returns the text of a run's progress, where its step saves any.
--- a/internal/cluster/scheduler/stops.go
+++ b/internal/cluster/scheduler/stops.go
@@ -32,15 +32,14 @@
 	s.outbox.send(Order{Kind: OrderStop, Runner: runner.id, Address: runner.address, Task: r.task, Attempt: r.attempt})
 }
 
-// StopReplied takes in the reply to a stop. ok says that the runner confirmed it, at clockMs of its
-// clock; otherIncarnation that another incarnation runs at the address.
-func (s *Scheduler) StopReplied(now time.Duration, order Order, ok, otherIncarnation bool, clockMs int64) {
+// StopReplied takes in the reply to a stop. clockMs is the runner's clock where it confirmed it.
+func (s *Scheduler) StopReplied(now time.Duration, order Order, reply StopReply, clockMs int64) {
 	s.now = now
 	runner := s.runners.byID[order.Runner]
 	if runner == nil {
 		return
 	}
-	if otherIncarnation {
+	if reply == StopOtherIncarnation {
 		s.endIncarnation(runner)
 		return
 	}
@@ -49,7 +48,7 @@
 		return
 	}
 	r.stop.pending = false
-	if ok {
+	if reply == StopConfirmed {
 		runner.contact.replied(now, clockMs)
 		r.stop.confirmedMs = clockMs
 	}
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -363,7 +363,7 @@
 	case scheduler.OrderStart:
 		current.StartReplied(w.now, order, scheduler.StartNoReply, 0)
 	case scheduler.OrderStop:
-		current.StopReplied(w.now, order, false, false, 0)
+		current.StopReplied(w.now, order, scheduler.StopNotConfirmed, 0)
 	}
 }
 
@@ -381,7 +381,7 @@
 			case scheduler.OrderStart:
 				o.StartReplied(w.now, order, scheduler.StartOtherIncarnation, 0)
 			case scheduler.OrderStop:
-				o.StopReplied(w.now, order, false, true, 0)
+				o.StopReplied(w.now, order, scheduler.StopOtherIncarnation, 0)
 			}
 		})
 		return
@@ -394,8 +394,8 @@
 		clock := l.clockMs()
 		answer(func(o *scheduler.Scheduler) { o.StartReplied(w.now, order, reply, clock) })
 	case scheduler.OrderStop:
-		ok := l.stop(order)
+		reply := l.stop(order)
 		clock := l.clockMs()
-		answer(func(o *scheduler.Scheduler) { o.StopReplied(w.now, order, ok, false, clock) })
+		answer(func(o *scheduler.Scheduler) { o.StopReplied(w.now, order, reply, clock) })
 	}
 }
--- a/internal/cluster/simworld/runner_test.go
+++ b/internal/cluster/simworld/runner_test.go
@@ -124,7 +124,7 @@
 	case scheduler.OrderStart:
 		sender.StartReplied(now, order, scheduler.StartNoReply, 0)
 	case scheduler.OrderStop:
-		sender.StopReplied(now, order, false, false, 0)
+		sender.StopReplied(now, order, scheduler.StopNotConfirmed, 0)
 	}
 }
 
@@ -150,9 +150,9 @@
 		r.w.record.started(r, answer, clock)
 		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StartReplied(now, order, answer, clock) })
 	case scheduler.OrderStop:
-		ok, clock := r.stop(order), r.clockMs()
-		r.w.record.stopped(r, ok, clock)
-		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StopReplied(now, order, ok, false, clock) })
+		answer, clock := r.stop(order), r.clockMs()
+		r.w.record.stopped(r, answer == scheduler.StopConfirmed, clock)
+		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StopReplied(now, order, answer, clock) })
 	}
 }
 
@@ -219,15 +219,15 @@
 	return scheduler.StartAccepted
 }
 
-func (r *runner) stop(order scheduler.Order) bool {
+func (r *runner) stop(order scheduler.Order) scheduler.StopReply {
 	if r.fenced(order.Token) {
-		return false
+		return scheduler.StopNotConfirmed
 	}
 	r.highest[order.Task] = max(r.highest[order.Task], order.Attempt)
 	if run := r.runs[order.Task]; run != nil && run.attempt <= order.Attempt {
 		r.finish(order.Task, job.EndStopped)
 	}
-	return true
+	return scheduler.StopConfirmed
 }
 
 // checkToken checks that an owner's token is its own: no other process, and no other life of
