--- a/internal/dispatcher/httpfront/bodymemory.go
+++ b/internal/dispatcher/httpfront/bodymemory.go
@@ -1,19 +1,19 @@
 package httpfront
 
 import (
+	"errors"
 	"io"
 	"sync/atomic"
 )
 
-// bodyMemory is the memory that bodies may take at a time, in bytes, from the first
-// that is read to the answer: a client that sends most of a body holds what it
-// sent, long before its job can be admitted or refused.
+// bodyMemory bounds the memory that bodies take at a time, from the first byte that is read to the answer:
+// a client that sends most of a body holds what it sent, long before its job can be admitted or refused.
 type bodyMemory struct {
-	max  int64 // 0: no bound
+	max  int64 // in bytes; 0: no bound
 	used atomic.Int64
 }
 
-// reserve takes n bytes more, or none where they aren't free.
+// reserve takes n bytes, or none where they aren't free.
 func (r *bodyMemory) reserve(n int) bool {
 	if r.used.Add(int64(n)) <= r.max || r.max == 0 {
 		return true
@@ -22,15 +22,15 @@
 	return false
 }
 
+// release gives n bytes back.
 func (r *bodyMemory) release(n int) { r.used.Add(-int64(n)) }
 
-// initialBodyBuffer is what is made ready for a body before any of it has come: most are smaller.
+// initialBodyBuffer is allocated for a body before any of it has come: most are smaller.
 const initialBodyBuffer = 4 << 10
 
-// read reads all of a body whose size is said to be size (below 0: unknown), up to
-// most bytes and one more. Room is taken as bytes come, not for what was announced,
-// and is the caller's to give back: cap of what is returned. It reports whether there
-// was room; what there was none for has not been read.
+// read reads all of a body whose size is said to be size (below 0: unknown), up to most bytes and one more.
+// Memory is reserved as bytes come, not for what was announced; the caller releases it: cap of the result.
+// ok is false where there was no memory, and the rest has not been read.
 func (r *bodyMemory) read(from io.Reader, size, most int64) (body []byte, ok bool, err error) {
 	limit := int(most) + 1
 	if size >= 0 {
@@ -48,11 +48,11 @@
 			body = append(make([]byte, 0, grown), body...)
 		}
 		n, err := from.Read(body[len(body):cap(body)])
-		switch body = body[:len(body)+n]; err {
-		case nil:
-		case io.EOF:
+		body = body[:len(body)+n]
+		switch {
+		case errors.Is(err, io.EOF):
 			return body, true, nil
-		default:
+		case err != nil:
 			return body, true, err
 		}
 	}
--- a/internal/dispatcher/httpfront/jobs.go
+++ b/internal/dispatcher/httpfront/job.go
@@ -23,20 +23,22 @@
 		rejectInput(w, http.StatusMethodNotAllowed, "jobs are submitted with POST")
 		return
 	}
-	http.NewResponseController(w).SetWriteDeadline(time.Time{}) // set anew once there is an answer
+	// It is set again once there is an answer; it fails on a connection that is closed.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	s.proxy.ServeHTTP(w, r)
 }
 
-// engineRoundTripper is the reverse proxy's transport: a round trip is a
-// transaction in the engine, from taking it in to its one final answer.
+// engineRoundTripper is the reverse proxy's transport: a round trip is a transaction of the engine, from
+// its submission to its one final answer.
 type engineRoundTripper struct{ s *Server }
 
-// waitingClient waits for the answer of one transaction.
+// waitingClient waits for the answer of one transaction. It implements engine.Client and
+// engine.GoneReporter.
 type waitingClient struct {
 	counters *accounting.FrontCounters
-	answer   chan engine.Answer // has room for the one answer
-	ctx      context.Context    // of its request, which ends as the client leaves
-	counted  atomic.Bool        // the counters was told
+	answer   chan engine.Answer // holds the one answer
+	ctx      context.Context    // of its request, which ends when the client leaves
+	counted  atomic.Bool        // counters were told that the client has left
 }
 
 // Gone implements engine.GoneReporter.
@@ -77,7 +79,7 @@
 	t.s.Counters.JobSubmitted()
 	select {
 	case a := <-mine.answer:
-		return writeAnswer(r, a), nil
+		return answerResponse(r, a), nil
 	case <-r.Context().Done():
 		mine.Gone()
 		t.s.engine.ClientLeft(tx)
@@ -85,13 +87,14 @@
 	}
 }
 
-// readSubmission takes the platform's headers apart. A budget runs from the sending of
-// the request, of which its arrival is the nearest that is known.
+// readSubmission reads the platform's headers. A budget counts from the sending of the request, of which
+// its arrival is the nearest that is known.
 func readSubmission(r *http.Request, arrived time.Time, body []byte) (pipeline.Submission, error) {
 	h := r.Header
 	a := pipeline.Submission{
-		ID: h.Get("X-Call-Id"), Class: h.Get("X-Call-Class"), Tenant: h.Get("X-Caller"), Target: r.URL.RequestURI(), Front: Front,
-		Key: h.Get("Idempotency-Key"), Body: body, Retry: h.Get("X-Again") == "1", AffinityKey: r.URL.Query().Get("sid"),
+		ID: h.Get("X-Call-Id"), Class: h.Get("X-Call-Class"), Tenant: h.Get("X-Caller"),
+		Target: r.URL.RequestURI(), Front: Front, Key: h.Get("Idempotency-Key"), Body: body,
+		Retry: h.Get("X-Again") == "1", AffinityKey: r.URL.Query().Get("sid"),
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if a.Class == "" {
@@ -116,7 +119,7 @@
 	return a, readCallInfo(&a, h.Get("X-Call-Info"))
 }
 
-// readCallInfo reads X-Call-Info, name=value,name=value; names not known are skipped.
+// readCallInfo reads X-Call-Info: name=value,name=value. Unknown names are skipped.
 func readCallInfo(a *pipeline.Submission, text string) error {
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -133,8 +136,8 @@
 	return nil
 }
 
-// writeAnswer writes a final answer in the platform's form.
-func writeAnswer(r *http.Request, a engine.Answer) *http.Response {
+// answerResponse returns a final answer in the platform's form.
+func answerResponse(r *http.Request, a engine.Answer) *http.Response {
 	switch a.Verdict {
 	case engine.Served:
 		return newResponse(r, http.StatusOK, a.Body)
@@ -151,6 +154,7 @@
 	return newResponse(r, http.StatusBadGateway, nil)
 }
 
+// newResponse returns a response to a request.
 func newResponse(r *http.Request, status int, body []byte) *http.Response {
 	return &http.Response{
 		StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Request: r, Header: make(http.Header),
--- a/internal/dispatcher/httpfront/jobupdate.go
+++ b/internal/dispatcher/httpfront/jobupdate.go
@@ -1,7 +1,7 @@
 package httpfront
 
 import (
-	"fmt"
+	"errors"
 	"net/http"
 
 	"basaltloft/internal/dispatcher/engine"
@@ -13,9 +13,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// serveJobUpdate takes a pool member's callback. It is answered alike whether it
-// counts, was told before or concerns an ended flow: the member has done its
-// part, and would repeat what is not answered.
+// serveJobUpdate takes a pool member's callback. It is answered alike whether it counts, was told before or
+// is of an ended flow: the member repeats what is not answered.
 func (s *Server) serveJobUpdate(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		rejectInput(w, http.StatusMethodNotAllowed, "news is told with POST")
@@ -23,21 +22,22 @@
 	}
 	whole, _ := r.Context().Value(requestKey{}).(wholeRequest)
 	text := whole.body
-	n, ok := readJobUpdate(text)
+	update, ok := readJobUpdate(text)
 	if !ok {
 		rejectInput(w, http.StatusBadRequest, "this is no news of a job")
 		return
 	}
-	if !s.engine.HandleJobUpdate(n) && s.ForwardUpdate != nil {
+	if !s.engine.HandleJobUpdate(update) && s.ForwardUpdate != nil {
 		s.ForwardUpdate(text)
 	}
 	s.announceClose(w.Header())
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// maxUpdateBytes leaves room for a result of the greatest size, escaped in JSON.
+// maxUpdateBytes is the largest callback: a result of the largest size, escaped in JSON.
 const maxUpdateBytes = 2*pipeline.MaxBody + 1024
 
+// readJobUpdate reads a callback; false: it is none.
 func readJobUpdate(text []byte) (engine.JobUpdate, bool) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -60,13 +60,13 @@
 	default:
 		return n, false
 	}
-	if n.Ended { // a report that can't be read is left out; the news stands
+	if n.Ended { // a report that can't be read is left out
 		n.Load, _ = loadreport.ParseObject(v.Get("load"))
 	}
 	return n, n.ID != "" && n.Member != ""
 }
 
-// result is the text of a result, or the JSON of one that is no text; nil: none.
+// result returns a result's text, or the JSON of one that is no text; nil: there is none.
 func result(v *fastjson.Value) []byte {
 	switch result := v.Get("result"); {
 	case result == nil:
@@ -78,13 +78,13 @@
 	}
 }
 
-// HandleForwardedUpdate takes news that the other process of this dispatcher got for a job
-// of this one. It is not handed on again. It fails for what is no news.
+// HandleForwardedUpdate takes a callback that the other process of this dispatcher got for a job of this
+// one. It is not forwarded again. It fails for what is no callback.
 func (s *Server) HandleForwardedUpdate(text []byte) error {
-	n, ok := readJobUpdate(text)
+	update, ok := readJobUpdate(text)
 	if !ok {
-		return fmt.Errorf("this is no news of a job")
+		return errors.New("this is no news of a job")
 	}
-	s.engine.HandleJobUpdate(n)
+	s.engine.HandleJobUpdate(update)
 	return nil
 }
--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/joined_test.go
@@ -22,7 +22,7 @@
 	_, err = c.Read(b)
 	require.NoError(t, err)
 	c.watchClient(nil)
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	require.True(t, waits(c)(), "somebody reads ahead")
 	_, err = far.Write([]byte("bcd"))
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	l.mu.Lock()
-	c.move(&l.idleUsed)
+	c.moveTo(&l.idleUsed)
 	l.mu.Unlock()
 	ended := make(chan error, 1)
 	go func() {
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 	require.Eventually(t, waits(c), 10*time.Second, time.Millisecond)
 	l.mu.Lock()
-	c.move(&l.idleUsed)
+	c.moveTo(&l.idleUsed)
 	l.mu.Unlock()
 	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http sets it for the next request")
 	var got []byte
@@ -92,7 +92,7 @@
 	require.NoError(t, err)
 	_, err = c.Read(make([]byte, 1))
 	require.NoError(t, err)
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	l.closePartial()
 	c.stopReadAhead()
 	_, err = c.Conn.Read(make([]byte, 1))
@@ -107,7 +107,7 @@
 	_, err := c.Write([]byte("answer"))
 	require.NoError(t, err)
 	require.True(t, c.answeredEarly)
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	require.False(t, c.answeredEarly)
 }
 
--- a/internal/dispatcher/httpfront/limited_test.go
+++ b/internal/dispatcher/httpfront/listener_test.go
@@ -76,14 +76,14 @@
 // then one that trickles, then one that is of use; one that has just come, or
 // is served, stays.
 func TestVictim(t *testing.T) {
-	l, now := newLimited(nil, 6), time.Now()
+	l, now := newLimitedListener(nil, 6), time.Now()
 	enter := func(age time.Duration, heard, used bool, to *list.List) *limitedConn {
 		near, far := net.Pipe()
 		t.Cleanup(func() { far.Close() })
 		c := &limitedConn{Conn: near, listener: l, since: now.Add(-age)}
-		l.enter(c)
+		l.tryAdd(c)
 		c.sentBytes, c.carriedWork = heard, used
-		c.move(to)
+		c.moveTo(to)
 		return c
 	}
 	trickling := enter(2*partialRequestGrace, true, false, &l.fresh)
@@ -108,14 +108,14 @@
 func TestClosedMeanwhile(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	l := newLimited(nil, 1)
+	l := newLimitedListener(nil, 1)
 	c := &limitedConn{Conn: near, listener: l, since: time.Now().Add(-partialRequestGrace)}
-	require.True(t, l.enter(c).IsZero())
+	require.True(t, l.tryAdd(c).IsZero())
 	require.True(t, c.serve(true))
 	next := &limitedConn{Conn: far, listener: l}
-	require.False(t, l.enter(next).IsZero(), "one that is served stays")
-	c.move(&l.idleUsed)
-	require.True(t, l.enter(next).IsZero())
+	require.False(t, l.tryAdd(next).IsZero(), "one that is served stays")
+	c.moveTo(&l.idleUsed)
+	require.True(t, l.tryAdd(next).IsZero())
 	require.False(t, c.serve(true))
 	require.Equal(t, 1, l.open)
 	c.Close()
@@ -127,22 +127,22 @@
 func TestEarlyByte(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
-	l := newLimited(nil, 2)
+	l := newLimitedListener(nil, 2)
 	c := &limitedConn{Conn: far, listener: l, since: time.Now()}
-	l.enter(c)
+	l.tryAdd(c)
 	require.True(t, c.serve(false))
 	go near.Write([]byte("G"))
 	n, err := c.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
 	before := time.Now()
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	require.Same(t, &l.fresh, c.class, "it is no idle one")
 	require.False(t, c.since.Before(before))
 	c.since = c.since.Add(-headerTimeout) // its time is over
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(time.Hour)))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	l.state(c, http.StateActive)
+	l.connState(c, http.StateActive)
 	require.False(t, c.nextStarted)
 }
--- a/internal/dispatcher/httpfront/readahead.go
+++ b/internal/dispatcher/httpfront/readahead.go
@@ -8,41 +8,41 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// maxReadAhead is how much may lie unread behind a request that is served: one whole
-// request, for a client that sends its next at the last byte of its answer. Who
-// sends more sends several at a time, which the protocol does not have.
-// And so much may lie unread of all connections, to stay within the memory.
 const (
-	maxReadAhead      = maxHeaderBytes + pipeline.MaxBody
+	// maxReadAhead is how many bytes may be read behind a request that is served: one whole request, for
+	// a client that sends its next at the last byte of its answer. A client that sends more sends
+	// several at a time, which the protocol does not allow.
+	maxReadAhead = maxHeaderBytes + pipeline.MaxBody
+	// maxTotalReadAhead is how many bytes may be read ahead on all connections, to stay within the
+	// memory.
 	maxTotalReadAhead = 4 << 20
 )
 
-// readAhead is what is read of a connection while a request on it is served. net/http
-// reads one byte then, to notice a client that leaves; with that byte it stops, and
-// a close behind it goes unseen until all requests before it have been begun. From
-// that byte on the connection is read on here.
+// readAhead is what is read of a connection while a request on it is served. net/http reads one byte
+// then, to notice a client that leaves; with that byte it stops, and a close behind it goes unnoticed until
+// all requests before it have been begun. From that byte on the connection is read here.
 type readAhead struct {
 	unread        []byte
-	done          chan struct{}      // closed once nobody reads ahead; nil: nobody does
-	readErr       error              // how reading ended: the client has gone, or sent too much
-	clientLeft    bool               // the client has gone
+	done          chan struct{} // closed once reading has ended; nil: nobody reads ahead
+	readErr       error         // why reading ended: the client has left, or sent too much
+	clientLeft    bool
 	cancelRequest context.CancelFunc // ends the request that is served; nil: none is
 }
 
-// errTooMuchAhead ends a connection on which more came than one request ahead.
+// errTooMuchAhead ends a connection on which more than one request came ahead.
 var errTooMuchAhead = errors.New("requests sent without waiting for an answer")
 
-// watchClient begins to serve a request, whose context leave ends, or with nil ends to.
-// It reports whether the client is still there.
-func (c *limitedConn) watchClient(leave context.CancelFunc) bool {
+// watchClient sets how the context of the request that is served is cancelled if the client leaves; nil:
+// none is served any more. It reports whether the client is still there.
+func (c *limitedConn) watchClient(cancel context.CancelFunc) bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.cancelRequest = leave
+	c.cancelRequest = cancel
 	return !c.clientLeft
 }
 
-// startReadAhead reads on from a byte that came early until stop, or until the client
-// goes. The lock is held.
+// startReadAhead reads on from a byte that came early until stopReadAhead, or until the client leaves. The
+// lock is held.
 func (c *limitedConn) startReadAhead() {
 	if c.done == nil && c.readErr == nil && !c.closed {
 		c.done = make(chan struct{})
@@ -50,22 +50,23 @@
 	}
 }
 
+// readAheadLoop reads until the read deadline is set to the past, or the connection ends.
 func (c *limitedConn) readAheadLoop(done chan struct{}) {
 	defer close(done)
-	for part := make([]byte, 4<<10); ; {
-		n, err := c.Conn.Read(part)
+	for buffer := make([]byte, 4<<10); ; {
+		n, err := c.Conn.Read(buffer)
 		stopped := errors.Is(err, os.ErrDeadlineExceeded)
 		if stopped {
 			err = nil
 		}
-		if more := c.addReadAhead(part[:n], err); !more || stopped {
+		if more := c.addReadAhead(buffer[:n], err); !more || stopped {
 			return
 		}
 	}
 }
 
-// addReadAhead takes in what was read ahead, and reports whether more may come. Of what is
-// too much nothing is kept, but the end behind it is still looked for.
+// addReadAhead keeps what was read ahead, and reports whether more may come. Once it is too much nothing
+// is kept, but the end of the connection is still waited for.
 func (c *limitedConn) addReadAhead(b []byte, err error) bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -89,12 +90,12 @@
 	return false
 }
 
-// stopReadAhead ends reading ahead: net/http reads again.
+// stopReadAhead ends reading ahead, and waits for its goroutine: net/http reads again.
 func (c *limitedConn) stopReadAhead() {
 	c.listener.mu.Lock()
 	done := c.done
 	if done != nil {
-		c.Conn.SetReadDeadline(pastDeadline)
+		_ = c.Conn.SetReadDeadline(pastDeadline) // it fails on one that is closed, whose reads have ended
 	}
 	c.listener.mu.Unlock()
 	if done == nil {
@@ -104,21 +105,21 @@
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.done = nil
-	c.until(c.readDeadline)
+	_ = c.setReadDeadline(c.readDeadline) // it fails on one that is closed, as the next read then does
 }
 
-// takeReadAhead gives out what was read ahead, and then how reading ended. It reports
-// whether there was either. The lock is held.
-func (c *limitedConn) takeReadAhead(b []byte) (n int, err error, any bool) {
+// takeReadAhead returns what was read ahead, and then how reading ended; available is whether there was
+// either. The lock is held.
+func (c *limitedConn) takeReadAhead(b []byte) (n int, available bool, err error) {
 	if len(c.unread) == 0 {
-		return 0, c.readErr, c.readErr != nil
+		return 0, c.readErr != nil, c.readErr
 	}
 	n = copy(b, c.unread)
 	c.dropReadAhead(n)
-	return n, nil, true
+	return n, true, nil
 }
 
-// dropReadAhead takes off what was read ahead. The lock is held.
+// dropReadAhead removes the first n bytes that were read ahead. The lock is held.
 func (c *limitedConn) dropReadAhead(n int) {
 	c.listener.readAheadBytes -= n
 	if c.unread = c.unread[n:]; len(c.unread) == 0 {
--- a/internal/dispatcher/httpfront/readahead_test.go
+++ b/internal/dispatcher/httpfront/readahead_test.go
@@ -14,9 +14,9 @@
 func served(t *testing.T) (c *limitedConn, far net.Conn, left chan bool) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { near.Close(); far.Close() })
-	l := newLimited(nil, 2)
+	l := newLimitedListener(nil, 2)
 	c, left = &limitedConn{Conn: near, listener: l, since: time.Now()}, make(chan bool, 9)
-	l.enter(c)
+	l.tryAdd(c)
 	require.True(t, c.serve(true))
 	require.True(t, c.watchClient(func() { left <- true }))
 	return c, far, left
@@ -113,7 +113,7 @@
 	require.ErrorIs(t, err, errTooMuchAhead)
 
 	other := &limitedConn{Conn: far, listener: c.listener, since: time.Now()}
-	c.listener.enter(other)
+	c.listener.tryAdd(other)
 	require.True(t, other.addReadAhead([]byte("12345678"), nil))
 	require.Equal(t, maxTotalReadAhead, c.listener.readAheadBytes)
 	other.Close()
@@ -131,9 +131,9 @@
 	require.NoError(t, err)
 	require.Equal(t, "answer", string(b))
 	c.watchClient(nil)
-	require.Equal(t, 1, c.listener.holds())
+	require.Equal(t, 1, c.listener.openConns())
 	require.NoError(t, c.Close())
-	require.Equal(t, 0, c.listener.holds())
+	require.Equal(t, 0, c.listener.openConns())
 	_, err = far.Read(b)
 	require.ErrorIs(t, err, io.EOF)
 }
--- a/internal/dispatcher/httpfront/server.go
+++ b/internal/dispatcher/httpfront/server.go
@@ -1,11 +1,15 @@
-// Package httpfront is the client side of the platform's HTTP protocol:
-// it takes jobs in, gives the one answer to each, takes the pool members'
-// callbacks and answers health checks.
+// Package httpfront is the client side of the platform's HTTP protocol: it takes jobs, gives each its one
+// answer, takes the callbacks of pool members and answers health checks.
+//
+// Server embeds a reverse proxy whose transport is the engine (job.go). Its listener bounds the number of
+// connections (listener.go, eviction.go, conn.go) and reads ahead of a request that is served to notice a
+// client that leaves (readahead.go).
 package httpfront
 
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	stdlog "log"
@@ -23,7 +27,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Engine is what the virtual server needs of the engine.
+// Engine is what the front needs of engine.Engine.
 type Engine interface {
 	Submit(*engine.Transaction)
 	ClientLeft(*engine.Transaction)
@@ -31,25 +35,25 @@
 	Ready() bool
 }
 
-// TransactionFactory makes transactions of arrivals.
+// TransactionFactory makes transactions of submissions; pipeline.Pipeline implements it.
 type TransactionFactory interface {
 	NewTransaction(a pipeline.Submission, now time.Time, client engine.Client) (*engine.Transaction, error)
 }
 
 const (
-	headerTimeout  = 20 * time.Second // a client may take so long to write a header, where its place is not needed
+	headerTimeout  = 20 * time.Second // for a client to send a header, unless its place is needed
 	requestTimeout = 25 * time.Second // and a whole request
-	answerTimeout  = 5 * time.Second  // and to take its answer
-	idleTimeout    = 5 * time.Minute  // and keep an idle connection so long
+	answerTimeout  = 5 * time.Second  // and to read its answer
+	idleTimeout    = 5 * time.Minute  // for which an idle connection is kept
 	maxHeaderBytes = 16 << 10
 )
 
-// Front is what this front's jobs are counted under.
+// Front is the name that this front's jobs are counted by.
 const Front = "http"
 
-// Server is the HTTP front.
+// Server is the HTTP front. Its exported methods may be called by any goroutine.
 type Server struct {
-	Counters     accounting.FrontCounters // its own book
+	Counters     accounting.FrontCounters // the front's own, for audits
 	engine       Engine
 	factory      TransactionFactory
 	log          logrus.FieldLogger
@@ -58,22 +62,22 @@
 	draining     atomic.Bool
 	closingIdle  atomic.Bool // see CloseIdleConnections
 	inFlight     atomic.Int64
-	listener     atomic.Pointer[limitedListener] // what is served; nil: nothing yet
-	jobBodies    bodyMemory                      // bodies of jobs
-	updateBodies bodyMemory                      // and of callbacks, which jobs must not shut out
-	// ForwardUpdate hands on news of a job that is not in progress here: with a socket
-	// shared by two processes of one dispatcher, a member's callback may reach
-	// the other one. Nil: none.
+	listener     atomic.Pointer[limitedListener] // nil: it does not serve yet
+	jobBodies    bodyMemory                      // of jobs
+	updateBodies bodyMemory                      // of callbacks, which jobs must not shut out
+	// ForwardUpdate hands on an update of a job that is not open here: with a socket shared by two
+	// processes of one dispatcher, a member's callback may reach the other one. Nil: there is none. It
+	// must be set before Serve.
 	ForwardUpdate func(text []byte)
 }
 
-// New returns a front that is not serving yet.
-func New(hub Engine, intake TransactionFactory, log *logrus.Logger) *Server {
-	s := &Server{Counters: accounting.FrontCounters{Front: Front}, engine: hub, factory: intake, log: log}
-	quiet := stdlog.New(debugWriter{log}, "", 0) // what clients do wrong is theirs
+// New returns a front that does not serve yet.
+func New(e Engine, factory TransactionFactory, log *logrus.Logger) *Server {
+	s := &Server{Counters: accounting.FrontCounters{Front: Front}, engine: e, factory: factory, log: log}
+	quiet := stdlog.New(debugWriter{log}, "", 0) // clients' errors are not this program's
 	s.proxy = &httputil.ReverseProxy{
-		// The query goes on as it came: ReverseProxy drops from it what it
-		// cannot parse, and the members are owed every byte.
+		// The query is passed on as it came: ReverseProxy drops from it what it cannot parse, and the
+		// members must get every byte.
 		Rewrite: func(p *httputil.ProxyRequest) {
 			p.Out.URL.Scheme, p.Out.URL.Host = "http", "pool"
 			p.Out.URL.RawQuery = p.In.URL.RawQuery
@@ -84,16 +88,24 @@
 		ErrorLog:       quiet,
 	}
 	s.server = &http.Server{
-		Handler: s, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: quiet, DisableGeneralOptionsHandler: true, // it would tell OPTIONS * that all is well
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
+		Handler:                      s,
+		ReadHeaderTimeout:            headerTimeout,
+		ReadTimeout:                  requestTimeout,
+		IdleTimeout:                  idleTimeout,
+		MaxHeaderBytes:               maxHeaderBytes,
+		ErrorLog:                     quiet,
+		DisableGeneralOptionsHandler: true, // it would answer OPTIONS * with 200
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
 	}
 	return s
 }
 
-// debugWriter is a writer to the log: logrus's own has a goroutine that never ends.
+// debugWriter writes to the log at the debug level: logrus's own writer has a goroutine that never ends.
 type debugWriter struct{ log logrus.FieldLogger }
 
+// Write implements io.Writer.
 func (d debugWriter) Write(text []byte) (int, error) {
 	d.log.Debug(strings.TrimSpace(string(text)))
 	return len(text), nil
@@ -105,32 +117,31 @@
 	s.jobBodies.max, s.updateBodies.max = int64(bytes), int64(bytes/2)
 }
 
-// Serve serves up to so many connections at a time until Shutdown.
-func (s *Server) Serve(l net.Listener, most int) error {
-	limited := newLimited(l, most)
+// Serve serves up to maxConns connections at a time until Shutdown.
+func (s *Server) Serve(l net.Listener, maxConns int) error {
+	limited := newLimitedListener(l, maxConns)
 	limited.closingIdle = &s.closingIdle
-	s.server.ConnState = limited.state
+	s.server.ConnState = limited.connState
 	s.listener.Store(limited)
-	if err := s.server.Serve(limited); err != http.ErrServerClosed && !limited.isClosed() {
+	if err := s.server.Serve(limited); !errors.Is(err, http.ErrServerClosed) && !limited.isClosed() {
 		return fmt.Errorf("serving %s: %w", l.Addr(), err)
 	}
 	return nil
 }
 
-// Drain turns the ready check off. Clients that have not heard yet, or hold a
-// connection, are served on.
+// Drain turns the ready check off. Clients that have not noticed yet, or hold a connection, are still served.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Undrain ends a drain that was not the end of the program: the ready check is
-// on and connections are kept again.
+// Undrain ends a drain after which the process goes on: the ready check is on and connections are kept
+// again.
 func (s *Server) Undrain() {
 	s.draining.Store(false)
 	s.closingIdle.Store(false)
 }
 
-// CloseIdleConnections closes connections between requests from here on. The listener stays
-// open for the callbacks that still bring results. net/http's own way to do so,
-// SetKeepAlivesEnabled, also closes one whose next request has just been read.
+// CloseIdleConnections closes connections between requests from now on. The listener stays open for the
+// callbacks that still bring results. net/http's own way, SetKeepAlivesEnabled, also closes a connection
+// whose next request has just been read.
 func (s *Server) CloseIdleConnections() {
 	s.closingIdle.Store(true)
 	if l := s.listener.Load(); l != nil {
@@ -138,22 +149,21 @@
 	}
 }
 
-// InFlight is how many jobs are being taken in or wait for their answer.
+// InFlight returns how many jobs are being read or wait for their answer.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// Shutdown closes the listener and waits for connections in use. It shuts
-// callbacks out first, so it may be called only once nothing is in progress. What
-// still comes on open connections is answered: net/http's own Shutdown closes a
-// connection without a word on which it reads a request from then on, so it is
-// never called. Connections end by themselves, each when nothing is owed on it.
+// Shutdown closes the listener and waits for the connections. Callbacks are shut out, so that it may be
+// called only once no job is open. What still comes on open connections is answered: net/http's own
+// Shutdown closes a connection without an answer on which it reads a request from then on, so that it is
+// never called. Each connection ends when nothing is owed on it.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if l := s.listener.Load(); l != nil {
-		l.Close()
+		_ = l.Close() // it was closed before, or is now
 		s.CloseIdleConnections()
 		defer time.AfterFunc(partialRequestWait, l.closePartial).Stop()
 		tick := time.NewTicker(5 * time.Millisecond)
 		defer tick.Stop()
-		for last := time.Now().Add(partialRequestWait + 2*answerTimeout); l.holds() > 0 && time.Now().Before(last); {
+		for last := time.Now().Add(partialRequestWait + 2*answerTimeout); l.openConns() > 0 && time.Now().Before(last); {
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("shutting the virtual server down: %w", ctx.Err())
@@ -161,26 +171,18 @@
 			}
 		}
 	}
-	s.server.Close() // what is left does not take its answer
+	_ = s.server.Close() // clients that are left do not read their answer
 	return nil
 }
 
-// partialRequestWait is how long an end waits for requests that come in pieces.
+// partialRequestWait is how long Shutdown waits for requests that come in pieces.
 const partialRequestWait = 5 * time.Second
 
-// connKey is a request's way to its connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// wholeRequest is what was read of one that is whole.
-type wholeRequest struct {
-	arrived time.Time
-	body    []byte
-}
-
-type requestKey struct{}
-
-// ServeHTTP implements http.Handler. What is asked is served only once it is
-// whole, and in the time a client has for that.
+// ServeHTTP implements http.Handler. A request is served once it is whole, which it must be in
+// requestTimeout.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	most, serve, room, ctx := int64(0), s.serveReady, &s.updateBodies, r.Context()
@@ -195,8 +197,10 @@
 		defer s.inFlight.Add(-1)
 		most, serve, room = pipeline.MaxBody, s.serveJob, &s.jobBodies
 	}
-	// Whoever does not take what is said on the way to the answer is not waited for.
-	http.NewResponseController(w).SetWriteDeadline(arrived.Add(requestTimeout + answerTimeout))
+	// A client that does not read what is written before the answer is not waited for. Deadlines can't be
+	// set on a connection that is closed, on which what follows fails too.
+	controller := http.NewResponseController(w)
+	_ = controller.SetWriteDeadline(arrived.Add(requestTimeout + answerTimeout))
 	body, ok := readWhole(w, r, most, room)
 	defer room.release(cap(body))
 	if !ok {
@@ -204,7 +208,7 @@
 	}
 	if c, ok := ctx.Value(connKey{}).(*limitedConn); ok {
 		if !c.serve(most > 0) {
-			panic(http.ErrAbortHandler) // closed for another's sake: nobody is there
+			panic(http.ErrAbortHandler) // it was evicted: nobody is there
 		}
 		var leave context.CancelFunc
 		ctx, leave = context.WithCancel(ctx)
@@ -214,97 +218,43 @@
 			leave()
 		}
 	}
-	// The server goes on reading to learn whether the client leaves: with the
-	// deadline still set it would take a patient one for gone.
-	http.NewResponseController(w).SetReadDeadline(time.Time{})
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerTimeout))
+	// The server goes on reading to notice a client that leaves: with the deadline still set it would
+	// take one that waits for gone.
+	_ = controller.SetReadDeadline(time.Time{})
+	_ = controller.SetWriteDeadline(time.Now().Add(answerTimeout))
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	serve(w, r.WithContext(context.WithValue(ctx, requestKey{}, wholeRequest{arrived, body})))
 }
 
-// readWhole reads a request's body, or answers what is wrong with it; what it returns
-// holds room either way. A body in
-// chunks is read whole, up to most, and goes on to members with a length of its
-// own. Where a Content-Length came beside the chunks, net/http has deleted it
-// and reads the chunks, as RFC 9112 asks; the connection is closed after the
-// answer, so that no request that one reader would find and another not can
-// follow on it.
-func readWhole(w http.ResponseWriter, r *http.Request, most int64, room *bodyMemory) ([]byte, bool) {
-	if len(r.TransferEncoding) > 0 {
-		w.Header().Set("Connection", "close")
-	}
-	if r.ContentLength > most {
-		rejectInput(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
-		return nil, false
-	}
-	if r.ContentLength == 0 {
-		return nil, true
-	}
-	body, fits, err := room.read(r.Body, r.ContentLength, most)
-	switch {
-	case !fits && most == maxUpdateBytes: // a member repeats what is not answered
-		room.release(cap(body))
-		panic(http.ErrAbortHandler)
-	case !fits: // the rest is read by net/http, piece by piece, and dropped
-		room.release(cap(body))
-		w.Header().Set("Retry-After", "1")
-		http.Error(w, "no room for the body now", http.StatusServiceUnavailable)
-		return nil, false
-	case err != nil:
-		rejectInput(w, http.StatusBadRequest, "the body could not be read")
-		return body, false
-	case int64(len(body)) > most:
-		rejectInput(w, http.StatusRequestEntityTooLarge, pipeline.ErrTooLarge.Error())
-		return body, false
-	}
-	return body, true
-}
-
-// prepareAnswer is told of a job's answer before it is written. Bad input ends its
-// connection, and whoever does not take its answer is not waited for.
+// prepareAnswer is the proxy's hook before an answer is written. Bad input ends its connection, and a
+// client that does not read its answer is not waited for.
 func (s *Server) prepareAnswer(resp *http.Response) error {
 	if s.announceClose(resp.Header); isClientError(resp.StatusCode) {
 		resp.Header.Set("Connection", "close")
 	}
 	if c, ok := resp.Request.Context().Value(connKey{}).(net.Conn); ok {
-		c.SetWriteDeadline(time.Now().Add(answerTimeout))
+		_ = c.SetWriteDeadline(time.Now().Add(answerTimeout)) // it fails on one that is closed, as the write does
 	}
 	return nil
 }
 
-// announceClose tells the client, with an answer, if its connection ends with that.
+// announceClose tells the client with an answer that its connection ends, if it does.
 func (s *Server) announceClose(h http.Header) {
 	if s.closingIdle.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
+// isClientError reports whether a status blames the request.
 func isClientError(status int) bool { return status >= 400 && status < 500 }
 
-func (s *Server) serveReady(w http.ResponseWriter, r *http.Request) {
-	s.serveHealth(w, r, s.engine.Ready() && !s.draining.Load())
-}
-
-func (s *Server) serveLive(w http.ResponseWriter, r *http.Request) { s.serveHealth(w, r, true) }
-
-func (s *Server) serveHealth(w http.ResponseWriter, r *http.Request, well bool) {
-	s.announceClose(w.Header())
-	switch {
-	case r.Method != http.MethodGet && r.Method != http.MethodHead:
-		w.Header().Set("Allow", "GET, HEAD")
-		rejectInput(w, http.StatusMethodNotAllowed, "health checks are read with GET")
-	case well:
-		fmt.Fprintln(w, "ok")
-	default:
-		http.Error(w, "not ready", http.StatusServiceUnavailable)
-	}
-}
-
+// rejectInput answers input that is wrong. Its connection ends with that: what comes next on it can't be
+// trusted, and it holds a place.
 func rejectInput(w http.ResponseWriter, status int, text string) {
 	if status == http.StatusMethodNotAllowed && w.Header().Get("Allow") == "" {
 		w.Header().Set("Allow", http.MethodPost)
 	}
-	w.Header().Set("Connection", "close") // what comes next on it can't be trusted, and it holds a place
+	w.Header().Set("Connection", "close")
 	http.Error(w, text, status)
 }
 
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -29,7 +29,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	return newLimited(l, most)
+	return newLimitedListener(l, most)
 }
 
 // look is a look for a victim as Accept does it, so much later.
@@ -46,7 +46,7 @@
 	return func() bool {
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
-		return c.waiting()
+		return c.hasUnread()
 	}
 }
 
@@ -63,7 +63,7 @@
 			l := listening(t, 2)
 			asks, far := arrive(t, l)
 			l.mu.Lock()
-			asks.move(to(l))
+			asks.moveTo(to(l))
 			l.mu.Unlock()
 			_, err := far.Write([]byte("POST"))
 			require.NoError(t, err)
@@ -95,7 +95,7 @@
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	l.mu.Lock()
-	c.move(&l.idleUsed)
+	c.moveTo(&l.idleUsed)
 	l.mu.Unlock()
 	got, begun := make(chan string, 1), make(chan struct{})
 	go func() {
@@ -110,7 +110,7 @@
 	far.Write([]byte("POST"))
 	time.Sleep(20 * time.Millisecond) // a Read that goes by no lock has the byte by then
 	require.Same(t, &l.idleUsed, c.class)
-	require.Eventually(t, c.waiting, 10*time.Second, time.Millisecond)
+	require.Eventually(t, c.hasUnread, 10*time.Second, time.Millisecond)
 	require.Same(t, &l.fresh, c.class, "its request has begun")
 	l.mu.Unlock()
 	require.Regexp(t, "^P", <-got)
@@ -184,7 +184,7 @@
 		_, err = c.Write(asks)
 	}
 	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it still has its place")
-	require.Eventually(t, func() bool { return s.listener.Load().holds() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.listener.Load().openConns() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 // TestWaitsAsItCloses: a connection that was accepted and waits for a place as the
@@ -213,9 +213,9 @@
 	n, err := c.Read(b)
 	require.NoError(t, err)
 	require.Equal(t, "POST", string(b[:n]))
-	require.Equal(t, 2, l.holds())
+	require.Equal(t, 2, l.openConns())
 	c.Close()
-	require.Equal(t, 1, l.holds())
+	require.Equal(t, 1, l.openConns())
 }
 
 // accepts tells that a connection was accepted.
