--- a/internal/dispatcher/settings/check.go
+++ b/internal/dispatcher/settings/check.go
@@ -4,11 +4,11 @@
 	"github.com/valyala/fastjson"
 )
 
-// Report is what is to be said of a file before it is used.
+// Report is what Check found in a file.
 type Report struct {
 	Kind     string // "configuration", "operator's file" or "experiment"
 	Problems Problems
-	Unknown  []string // keys that nothing here reads
+	Unknown  []string // keys that are not read
 }
 
 // Check reads a file of any kind and names all that is wrong with it. A file
--- a/internal/dispatcher/settings/config.go
+++ b/internal/dispatcher/settings/config.go
@@ -13,30 +13,30 @@
 	"github.com/valyala/fastjson"
 )
 
-// Config is what the program is told at its start.
+// Config is the program's configuration.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // the operators' door; empty: none
-	AcceptFD                int    // a listening socket handed over for the clients, from $ROUTER_ACCEPT_FD; 0: bind Listen
+	Admin                   string // where the admin API listens; empty: nowhere
+	AcceptFD                int    // an open listening socket for the clients, from $ROUTER_ACCEPT_FD; 0: bind Listen
 	Cores                   float64
 	MemoryMB, Sockets       int
-	LastMembership          List
+	LastMembership          List // as the platform knew it at the start
 	Settings                policy.Settings
 	Tenants                 []string // those that the settings know
-	// ReportsLoad: members report their load (reporting.via is not silent and names
-	// columns), in answers and news where via is piggyback, and to probes.
+	// ReportsLoad says that members report their load (reporting.via is not silent and reporting.columns
+	// is not empty): to probes, and in answers and callbacks where via is piggyback.
 	ReportsLoad    bool
-	ConnectTimeout time.Duration // how long a connection to a runner takes to come up
+	ConnectTimeout time.Duration // of connections to members
 }
 
-// List is discovery's list, or the changes to one.
+// List is discovery's list of members, or the changes to one.
 type List struct {
-	Generation int64
-	Whole      bool
+	Generation int64 // its version
+	Whole      bool  // it has all members, not only those that changed
 	Entries    []Entry
 }
 
-// Entry is one runner of a list.
+// Entry is one member of a list.
 type Entry struct {
 	ID, Addr, Kind, Zone string
 	Cell                 int // below 0: not told, and no other member's
@@ -58,11 +58,13 @@
 	return c, nil
 }
 
+// decodeConfig returns the configuration, and the reader with what is wrong with it.
 func decodeConfig(v *fastjson.Value) (Config, *reader) {
-	r := newReader(v, "")
+	r := newReader(v)
 	c := Config{
 		Name: r.text("name"), Listen: r.text("listen"), Discovery: r.text("discovery"), Admin: r.text("admin"),
-		Cores: r.number("limits.cores"), MemoryMB: int(r.number("limits.memory_mb")), Sockets: int(r.number("limits.sockets")),
+		Cores: r.number("limits.cores"), MemoryMB: int(r.number("limits.memory_mb")),
+		Sockets:        int(r.number("limits.sockets")),
 		ConnectTimeout: cmp.Or(r.span("settings.limits.dial_timeout"), time.Second),
 	}
 	c.ReportsLoad = string(v.GetStringBytes("settings", "reporting", "via")) != "silent" &&
@@ -76,8 +78,9 @@
 	if c.Settings, err = Decode(r.find("settings")); err != nil {
 		r.take("settings", err)
 	}
-	c.Settings.Limits.ConnectTimeout = 0         // the transports hold attempts to a key's window to the last byte
-	c.Settings.Limits.ConcurrentAttempts = false // the ledger keeps one flow of a transaction: another copy would be told as never sent
+	// The transports keep to the window of a key up to the last byte, and the engine has one flow of a
+	// transaction: another attempt would be told as never sent.
+	c.Settings.Limits.ConnectTimeout, c.Settings.Limits.ConcurrentAttempts = 0, false
 	if known := r.find("known"); known != nil {
 		if c.LastMembership, err = decodeList(known); err != nil {
 			r.take("known", err)
@@ -89,7 +92,7 @@
 	return c, r
 }
 
-// seed accepts hexadecimal text or a number; absent is 0.
+// seed reads a seed as hexadecimal text or a number; absent is 0.
 func seed(v *fastjson.Value) (uint64, error) {
 	switch {
 	case v == nil:
@@ -100,8 +103,8 @@
 	return strconv.ParseUint(string(v.GetStringBytes()), 16, 64)
 }
 
-// DecodeList reads discovery's answer. A list that is malformed anywhere is
-// an error as a whole, so that half of it never takes effect.
+// DecodeList reads discovery's answer. A list that is malformed anywhere is an error as a whole, so that a
+// part of it never takes effect.
 func DecodeList(text []byte) (List, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -110,8 +113,9 @@
 	return decodeList(v)
 }
 
+// decodeList reads a list.
 func decodeList(v *fastjson.Value) (List, error) {
-	r := newReader(v, "")
+	r := newReader(v)
 	l := List{Generation: r.whole("generation"), Whole: r.flag("reset")}
 	if len(r.problems) == 0 && v.Get("instances") == nil {
 		r.fail("instances", fmt.Errorf("missing"))
@@ -129,8 +133,10 @@
 	return l, nil
 }
 
+// entry reads one member of a list.
 func entry(v *fastjson.Value, i int) (Entry, error) {
-	r := &reader{at: v, in: fmt.Sprintf("instances[%d].", i)} // a list is read often: what it asks for is not kept
+	// Lists are read often: the keys that are read are not kept.
+	r := &reader{at: v, in: fmt.Sprintf("instances[%d].", i)}
 	e := Entry{
 		ID: r.text("instanceId"), Addr: r.text("hostPort"), Kind: r.text("machineType"), Zone: r.text("zone"),
 		Cell: int(r.whole("cell")), Weight: r.number("weight"),
@@ -138,7 +144,7 @@
 	if ms := r.number("startedAtMs"); ms > 0 {
 		e.Started = time.UnixMicro(int64(ms * 1000))
 	}
-	if r.find("cell") == nil { // a keyed job that may have run there has no other member to go to
+	if r.find("cell") == nil { // a deduplicated job that may have run there has no other member to go to
 		h := fnv.New32a()
 		h.Write([]byte(e.ID))
 		e.Cell = -1 - int(h.Sum32())
--- a/internal/dispatcher/settings/fleet.go
+++ b/internal/dispatcher/settings/fleet.go
@@ -10,40 +10,40 @@
 	"github.com/valyala/fastjson"
 )
 
-// Fleet joins this process with others to a fleet.
+// Fleet joins this process to a fleet of dispatchers. The files call a raft node a keeper.
 type Fleet struct {
-	Name            string // of this process among them; empty: the configuration's
-	DataDir         string // what it keeps; it must last
-	RPCAddress      string // a keeper: where processes' calls arrive
-	RaftAddress     string // a keeper: where the other keepers' votes and logs arrive
+	Name            string // of this process in the fleet; empty: the configuration's
+	DataDir         string // of its state, which must persist
+	RPCAddress      string // a raft node: where it listens for processes' calls
+	RaftAddress     string // a raft node: where it listens for the other raft nodes
 	RaftNodes       map[string]FleetRaftNode
-	Revision        uint64        // of what follows, which is one for the whole fleet
-	Lease           time.Duration // a process that was not heard of for so long is out of force
+	Revision        uint64        // of what follows, which is the same for the whole fleet
+	Lease           time.Duration // of a process; it ends without contact for so long
 	Budgets         []FleetBudget
-	Plans           []string      // files of plans, from the operator's file's folder or absolute
+	Plans           []string      // files of plans, absolute or from the folder of the operator's file
 	Records         *FleetRecords // nil: none are kept
-	ElectionTimeout time.Duration // a silent leader of the keepers is replaced after this long
-	DigestInterval  time.Duration // the replicas' digests are compared so often
+	ElectionTimeout time.Duration // after which a raft leader without contact is replaced
+	DigestInterval  time.Duration // between comparisons of the replicas' digests
 }
 
-// FleetRaftNode is where a keeper is reached from this process.
+// FleetRaftNode is where a raft node is reached from this process.
 type FleetRaftNode struct{ RPCAddress, RaftAddress string }
 
-// FleetBudget is what all processes together may spend.
+// FleetBudget is a budget that all processes of the fleet share.
 type FleetBudget struct {
-	Of    string // what it bounds, one of BudgetKinds
-	Name  string // the tenant, class or kind of member that it is for; "" where there is one for all
-	Whole float64
-	Burst float64
+	Of    string  // what it bounds, one of BudgetKinds
+	Name  string  // of the tenant, class or kind of member; "" where there is one for all
+	Whole float64 // a second, or at a time
+	Burst float64 // what may be spent at once, of one that counts by the second
 
 	Floor    float64 // set aside for each of Floors processes that are cut off
 	Floors   int
-	FloorFor time.Duration
-	Linger   time.Duration
-	Weights  map[string]float64
+	FloorFor time.Duration      // how long a process that is cut off may use its floor
+	Linger   time.Duration      // the longest life of a job (under_way), how long a freed part rests (cold)
+	Weights  map[string]float64 // of processes, by name; absent: 1
 }
 
-// Key is the budget's name in the fleet.
+// Key returns the budget's name in the fleet.
 func (b FleetBudget) Key() string {
 	if b.Name == "" {
 		return b.Of
@@ -51,7 +51,7 @@
 	return b.Of + "/" + b.Name
 }
 
-// What a budget may bound.
+// Kinds of budgets.
 const (
 	BudgetJobs     = "jobs"      // jobs a second, of a tenant
 	BudgetRetries  = "retries"   // attempts beyond the first a second, of a class
@@ -60,10 +60,10 @@
 	BudgetProbes   = "probes"    // probes a second
 )
 
-// BudgetKinds are all of those.
+// BudgetKinds are all kinds of budgets.
 var BudgetKinds = []string{BudgetJobs, BudgetRetries, BudgetUnderWay, BudgetCold, BudgetProbes}
 
-// FleetRecords says how long records of finished jobs are kept.
+// FleetRecords says which records of finished jobs are kept.
 type FleetRecords struct {
 	Body    int // bytes of a result that are kept with its record, at most
 	Tenants map[string]RecordRule
@@ -77,11 +77,14 @@
 	Megabytes   int
 }
 
+// mostKeepers is the largest number of raft nodes.
 const mostKeepers = 5
 
+// fleet reads the set-up of the fleet.
 func (r *reader) fleet() *Fleet {
 	f := &Fleet{
-		Name: r.text("fleet.name"), DataDir: r.text("fleet.folder"), RPCAddress: r.text("fleet.calls"), RaftAddress: r.text("fleet.votes"),
+		Name: r.text("fleet.name"), DataDir: r.text("fleet.folder"),
+		RPCAddress: r.text("fleet.calls"), RaftAddress: r.text("fleet.votes"),
 		RaftNodes: map[string]FleetRaftNode{}, Revision: uint64(r.count("fleet.revision", 1)),
 		Lease:           time.Duration(r.count("fleet.lease_ms", 3000)) * time.Millisecond,
 		ElectionTimeout: time.Duration(r.count("fleet.election_ms", 1000)) * time.Millisecond,
@@ -94,7 +97,7 @@
 		k.address("votes", at.RaftAddress)
 		f.RaftNodes[name] = at
 	})
-	if n := len(f.RaftNodes); n != 1 && n != 3 && n != 5 {
+	if n := len(f.RaftNodes); n != 1 && n != 3 && n != mostKeepers {
 		r.fail("fleet.keepers", fmt.Errorf("there must be 1, 3 or %d keepers, not %d", mostKeepers, n))
 	}
 	if f.DataDir == "" {
@@ -123,18 +126,19 @@
 	return f
 }
 
+// budget reads a budget.
 func (r *reader) budget() FleetBudget {
 	b := FleetBudget{
 		Of: r.text("of"), Name: r.text("name"), Whole: r.positive("whole"), Burst: r.positive("burst"),
 		Floor: r.positive("floor"), Floors: int(r.count("floors", 0)), FloorFor: time.Duration(r.count("floor_for_s", 600)) * time.Second,
 		Linger: time.Duration(r.count("linger_ms", 0)) * time.Millisecond, Weights: map[string]float64{},
 	}
-	switch one := b.Of == BudgetCold || b.Of == BudgetProbes; {
+	switch single := b.Of == BudgetCold || b.Of == BudgetProbes; {
 	case !slices.Contains(BudgetKinds, b.Of):
 		r.fail("of", fmt.Errorf("%q: must be one of %s", b.Of, strings.Join(BudgetKinds, ", ")))
-	case one && b.Name != "":
+	case single && b.Name != "":
 		r.fail("name", fmt.Errorf("there is one budget of %s, for all", b.Of))
-	case !one && b.Name == "":
+	case !single && b.Name == "":
 		r.fail("name", errors.New("must say what it is for: a tenant, a class or a kind of member"))
 	}
 	if v := r.get("weights", fastjson.TypeObject); v != nil {
--- a/internal/dispatcher/settings/operator.go
+++ b/internal/dispatcher/settings/operator.go
@@ -11,63 +11,64 @@
 	"github.com/valyala/fastjson"
 )
 
-// Operator is the operator's file: what the platform does not ask for.
+// Operator is the operator's file: what the platform's configuration does not have.
 type Operator struct {
 	Faktory    *Faktory // nil: off
 	Metrics    Metrics
 	AgentCheck string                 // where the agent check listens; empty: off
 	Fleet      *Fleet                 // nil: this process is alone
-	Overload   schedulingdelay.Bounds // when new work is rejected since own work is late; a Target of 0: never
+	Overload   schedulingdelay.Bounds // when new work is rejected since own events are late
 }
 
 // Faktory sets up the front for the Faktory work protocol.
 type Faktory struct {
-	Listen, Password    string
-	Default             FaktoryJob            // what neither a jobtype nor a queue names
-	JobTypes, Queues    map[string]FaktoryJob // a jobtype goes before a queue
-	Zone, Kind          string                // of the workers
-	Cell                int
-	Connections         int // at a time
-	Jobs                int // outcomes that are remembered
-	ReserveFor, FetchIn time.Duration
-	Waiting             FaktoryWaiting
-	BackoffUnit         time.Duration // what the protocol's second of a backoff lasts
-	PerAddress          int           // connections of one client address; 0: no bound of their own
+	Listen, Password string
+	Default          FaktoryJob            // of jobs whose jobtype and queue are not named
+	JobTypes, Queues map[string]FaktoryJob // a jobtype precedes a queue
+	Zone, Kind       string                // of the workers
+	Cell             int
+	Connections      int           // at a time
+	Jobs             int           // outcomes that are remembered
+	ReserveFor       time.Duration // the default reservation of a job
+	FetchIn          time.Duration // how long a FETCH waits for a job
+	Waiting          FaktoryWaiting
+	BackoffUnit      time.Duration // what a second of the protocol's backoff lasts
+	PerAddress       int           // connections of one client address; 0: no bound
 }
 
 // FaktoryWaiting bounds what waits in the Faktory front.
 type FaktoryWaiting struct {
-	Jobs, Bytes           int // over all queues and sets, the dead apart
-	QueueJobs, QueueBytes int // of one queue
-	OwnerJobs, OwnerBytes int // of one client address; 0: no bound of its own
-	Dead, DeadBytes       int
-	DeadFor               time.Duration
+	Jobs, Bytes           int           // in all queues and sets but the dead set
+	QueueJobs, QueueBytes int           // of one queue
+	OwnerJobs, OwnerBytes int           // of one client address; 0: no bound
+	Dead, DeadBytes       int           // in the dead set
+	DeadFor               time.Duration // that they stay there
 }
 
-// FaktoryJob is what a Faktory job counts as in the settings' words.
+// FaktoryJob is what a Faktory job is to the dispatcher.
 type FaktoryJob struct {
 	Class, Tenant string
 	Deadline      time.Duration // 0: as the class says
 	Cost          time.Duration // 0: not told
 }
 
-// Metrics sets up what is told of the ledger, and the journal beside it.
+// Metrics sets up the metrics, and the journal of figures.
 type Metrics struct {
-	Listen          string // metrics and figures; empty: off
-	JournalDir      string // the journal's; empty: off
-	SegmentMB       int    // a segment is closed at about this size
-	KeepMB          int    // segments beyond this go, the oldest first
-	KeepDays        int
-	WriteWithin     time.Duration // what a kill of the process may cost
-	SyncWithin      time.Duration // what a power loss may cost, and a write beside it
+	Listen          string        // where they are read; empty: off
+	JournalDir      string        // empty: off
+	SegmentMB       int           // a segment is closed at about this size
+	KeepMB          int           // older segments are removed beyond this
+	KeepDays        int           // and after this
+	WriteWithin     time.Duration // what is lost at most when the process is killed
+	SyncWithin      time.Duration // and on a power loss, beside that
 	AuditEvery      time.Duration
-	LogicalRequests int // that are remembered
+	LogicalRequests int // that are tracked
 }
 
+// auditEvery is the default interval of audits.
 const auditEvery = 10 * time.Second
 
-// DecodeOperator reads the operator's file. Each front listens on loopback or
-// wherever the operator says; a front that is not named stays off.
+// DecodeOperator reads the operator's file and checks it. A front that is not named stays off.
 func DecodeOperator(text []byte) (Operator, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -80,8 +81,9 @@
 	return o, nil
 }
 
+// decodeOperator returns the operator's file, and the reader with what is wrong with it.
 func decodeOperator(v *fastjson.Value) (Operator, *reader) {
-	r := newReader(v, "")
+	r := newReader(v)
 	o := Operator{AgentCheck: r.text("agent_check.listen"), Metrics: r.figures()}
 	if r.get("admission", fastjson.TypeObject) != nil {
 		o.Overload = schedulingdelay.Bounds{
@@ -101,12 +103,14 @@
 	return o, r
 }
 
+// faktory reads the set-up of the Faktory front.
 func (r *reader) faktory() *Faktory {
 	f := &Faktory{
 		Listen: r.text("faktory.listen"), Password: r.text("faktory.password"),
 		Default:  r.job("faktory.default."),
 		JobTypes: r.jobs("faktory.jobtypes"), Queues: r.jobs("faktory.queues"),
-		Zone: r.text("faktory.workers.zone"), Kind: r.text("faktory.workers.kind"), Cell: int(r.whole("faktory.workers.cell")),
+		Zone: r.text("faktory.workers.zone"), Kind: r.text("faktory.workers.kind"),
+		Cell:        int(r.whole("faktory.workers.cell")),
 		Connections: int(r.count("faktory.connections", 64)), Jobs: int(r.count("faktory.outcomes", 10000)),
 		ReserveFor: time.Duration(r.count("faktory.reserve_for_s", 1800)) * time.Second,
 		FetchIn:    time.Duration(r.count("faktory.fetch_within_ms", 5000)) * time.Millisecond,
@@ -127,6 +131,7 @@
 	return f
 }
 
+// figures reads the set-up of the metrics.
 func (r *reader) figures() Metrics {
 	f := Metrics{
 		Listen: r.text("figures.listen"), JournalDir: r.text("figures.journal.folder"),
@@ -146,12 +151,14 @@
 	return f
 }
 
+// address checks an address.
 func (r *reader) address(path, addr string) {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		r.fail(path, err)
 	}
 }
 
+// job reads what a Faktory job is.
 func (r *reader) job(in string) FaktoryJob {
 	return FaktoryJob{
 		Class: r.text(in + "class"), Tenant: r.text(in + "tenant"),
--- a/internal/dispatcher/settings/path.go
+++ b/internal/dispatcher/settings/path.go
@@ -9,9 +9,10 @@
 	"github.com/valyala/fastjson"
 )
 
+// step is a key of a path, with the indexes behind it.
 var step = regexp.MustCompile(`^([^\[\]]+)((?:\[\d+\])*)$`)
 
-// steps takes a path such as experiment.members[0].queue apart.
+// steps returns the keys and indexes of a path such as experiment.members[0].queue; false: it is malformed.
 func steps(path string) (keys []string, ok bool) {
 	for part := range strings.SplitSeq(path, ".") {
 		m := step.FindStringSubmatch(part)
@@ -28,7 +29,7 @@
 	return keys, true
 }
 
-// find is the value at a path, or nil.
+// find returns the value at a path, or nil.
 func find(v *fastjson.Value, path string) *fastjson.Value {
 	if keys, ok := steps(path); ok {
 		return v.Get(keys...)
--- a/internal/dispatcher/settings/read.go
+++ b/internal/dispatcher/settings/read.go
@@ -13,6 +13,7 @@
 // Problem is one mistake in a file: the key it is at, and what is wrong.
 type Problem struct{ Key, Reason string }
 
+// String returns the problem as a line.
 func (p Problem) String() string {
 	if p.Key == "" {
 		return p.Reason
@@ -23,6 +24,7 @@
 // Problems are all mistakes of a file.
 type Problems []Problem
 
+// Error implements error: it lists all problems.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, one := range p {
@@ -41,8 +43,9 @@
 	asked    map[string]bool
 }
 
-func newReader(at *fastjson.Value, in string) *reader {
-	return &reader{at: at, in: in, asked: make(map[string]bool)}
+// newReader returns a reader of a whole file.
+func newReader(at *fastjson.Value) *reader {
+	return &reader{at: at, asked: make(map[string]bool)}
 }
 
 // inner reads another value whose problems and keys belong to this reader's.
@@ -50,9 +53,10 @@
 	return &reader{at: at, in: r.in + in, asked: r.asked}
 }
 
-// join takes over what an inner reader found.
+// join records what an inner reader found.
 func (r *reader) join(o *reader) { r.problems = append(r.problems, o.problems...) }
 
+// err is what was found wrong; nil: nothing.
 func (r *reader) err() error {
 	if len(r.problems) == 0 {
 		return nil
@@ -60,6 +64,7 @@
 	return r.problems
 }
 
+// get returns the value at a path if it has a type; nil: it has none, or another.
 func (r *reader) get(path string, want fastjson.Type) *fastjson.Value {
 	v := r.find(path)
 	if v == nil {
@@ -89,11 +94,12 @@
 	return v
 }
 
+// fail records a problem.
 func (r *reader) fail(path string, err error) {
 	r.problems = append(r.problems, Problem{r.in + path, err.Error()})
 }
 
-// take keeps an error of a part that was read on its own.
+// take records an error of a part that was read on its own.
 func (r *reader) take(path string, err error) {
 	var inner Problems
 	if !errors.As(err, &inner) {
@@ -104,6 +110,7 @@
 	}
 }
 
+// text reads a string.
 func (r *reader) text(path string) string {
 	if v := r.get(path, fastjson.TypeString); v != nil {
 		return string(v.GetStringBytes())
@@ -111,6 +118,7 @@
 	return ""
 }
 
+// number reads a number.
 func (r *reader) number(path string) float64 {
 	if v := r.get(path, fastjson.TypeNumber); v != nil {
 		return v.GetFloat64()
@@ -131,20 +139,37 @@
 	return n
 }
 
-// count reads an integer that is not negative; absent or 0 is the usual one.
-func (r *reader) count(path string, usual int64) int64 {
+// count reads an integer that is not negative; absent or 0 gives the default.
+func (r *reader) count(path string, byDefault int64) int64 {
 	n := r.whole(path)
 	if n < 0 {
 		r.fail(path, errors.New("must not be negative"))
 	}
 	if n <= 0 {
-		return usual
+		return byDefault
 	}
 	return n
 }
 
+// span reads a duration in nanoseconds.
 func (r *reader) span(path string) time.Duration { return time.Duration(r.whole(path)) }
 
+// seconds reads a duration in seconds, which may have a fraction.
+func (r *reader) seconds(path string) time.Duration {
+	return time.Duration(r.number(path) * float64(time.Second))
+}
+
+// milliseconds reads a duration in milliseconds, which may have a fraction.
+func (r *reader) milliseconds(path string) time.Duration {
+	return time.Duration(r.number(path) * float64(time.Millisecond))
+}
+
+// microseconds reads a duration in microseconds, which may have a fraction.
+func (r *reader) microseconds(path string) time.Duration {
+	return time.Duration(r.number(path) * float64(time.Microsecond))
+}
+
+// flag reads a boolean.
 func (r *reader) flag(path string) bool {
 	v := r.find(path)
 	if v == nil || v.Type() == fastjson.TypeFalse {
@@ -164,6 +189,16 @@
 	return names
 }
 
+// each reads the entries of an array, with readers of their own.
+func (r *reader) each(path string, read func(r *reader)) {
+	for i, at := range r.list(path) {
+		inner := r.inner(at, fmt.Sprintf("%s[%d].", path, i))
+		read(inner)
+		r.join(inner)
+	}
+}
+
+// list reads an array.
 func (r *reader) list(path string) []*fastjson.Value {
 	if v := r.get(path, fastjson.TypeArray); v != nil {
 		return v.GetArray()
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -1,6 +1,8 @@
-// Package settings reads the settings object that an instance is given, and
-// the configuration of the program around it. The simulator's adapter and the
-// program share it, so that both drive the policy with the same figures.
+// Package settings reads files, whose words are those of the platform and the operators, and maps them
+// to the terms of the code: the settings object of an instance (settings.go), which the simulator's
+// adapter and the program share, the program's configuration (config.go) and a reload of it (reload.go),
+// the operator's file (operator.go, fleet.go) and the lab's experiments (experiment.go). Check names all
+// that is wrong with a file.
 package settings
 
 import (
@@ -13,7 +15,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// Parse reads the text of a settings object.
+// Parse reads a settings object from its JSON; see Decode.
 func Parse(text []byte) (policy.Settings, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -22,12 +24,13 @@
 	return Decode(v)
 }
 
-// Decode reads a settings object. Keys that are not known are skipped.
+// Decode reads a settings object. Unknown keys are skipped. Its error is of type Problems unless the value
+// is no object.
 func Decode(v *fastjson.Value) (policy.Settings, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return policy.Settings{}, errors.New("not an object")
 	}
-	r := newReader(v, "")
+	r := newReader(v)
 	s := policy.Settings{
 		Instances:          int(r.whole("balancers")),
 		Rank:               int(r.whole("rank")),
@@ -37,37 +40,11 @@
 		ReportX0:           r.text("family_info.report_x0"),
 		ReportX1:           r.text("family_info.report_x1"),
 		CrossZonePrice:     r.number("prices.cross_zone"),
-		Limits: policy.Limits{
-			MaxAttempts:        int(r.whole("limits.most_tries")),
-			Cancel:             r.flag("limits.cancel"),
-			Probes:             r.flag("limits.probes"),
-			ConcurrentAttempts: r.flag("limits.second_copies"),
-			RetryAfter:         r.flag("limits.retry_after"),
-			MaxRetryAfter:      r.span("limits.max_retry_after"),
-			ConnectTimeout:     r.span("limits.dial_timeout"),
-		},
-		Rules: policy.Rules{
-			AnswerGrace:          r.span("guarantees.grace_to_answer"),
-			MembershipMaxAge:     r.span("guarantees.ask_every"),
-			ColdCapacity:         r.number("guarantees.start_capacity"),
-			WarmupTime:           r.span("guarantees.warm_after"),
-			ColdOverloadMultiple: r.number("guarantees.fall_multiple"),
-			ColdOverloadWindow:   r.span("guarantees.tip_after"),
-			RejectedMayHaveRun:   r.flag("guarantees.late_shedding"),
-			OnlyDrainBinds:       r.flag("guarantees.dropped_stay_open"),
-		},
+		Limits:             limits(r),
+		Rules:              rules(r),
 	}
 	s.Kinds = r.names("shapes")
-	// family_info says what a report's values would mean; which of them are
-	// told, and whether any report comes at all, is said elsewhere. A dispatcher
-	// that waits for reports nobody sends heeds no told start in their place.
-	told := r.names("reporting.columns")
-	if r.text("reporting.via") == "silent" || !slices.Contains(told, "x0") {
-		s.ReportX0 = ""
-	}
-	if s.ReportX0 == "" || !slices.Contains(told, "x1") {
-		s.ReportX1 = ""
-	}
+	dropUntoldFields(r, &s)
 	switch mode := r.text("registry_mode"); mode {
 	case "push":
 	case "ask":
@@ -82,14 +59,60 @@
 	default:
 		r.fail("worth_by", fmt.Errorf("unknown word %q", by))
 	}
+	s.Classes = classes(r)
+	return s, r.err()
+}
+
+// limits reads what a dispatcher may do.
+func limits(r *reader) policy.Limits {
+	return policy.Limits{
+		MaxAttempts:        int(r.whole("limits.most_tries")),
+		Cancel:             r.flag("limits.cancel"),
+		Probes:             r.flag("limits.probes"),
+		ConcurrentAttempts: r.flag("limits.second_copies"),
+		RetryAfter:         r.flag("limits.retry_after"),
+		MaxRetryAfter:      r.span("limits.max_retry_after"),
+		ConnectTimeout:     r.span("limits.dial_timeout"),
+	}
+}
+
+// rules reads the figures of the platform's rules.
+func rules(r *reader) policy.Rules {
+	return policy.Rules{
+		AnswerGrace:          r.span("guarantees.grace_to_answer"),
+		MembershipMaxAge:     r.span("guarantees.ask_every"),
+		ColdCapacity:         r.number("guarantees.start_capacity"),
+		WarmupTime:           r.span("guarantees.warm_after"),
+		ColdOverloadMultiple: r.number("guarantees.fall_multiple"),
+		ColdOverloadWindow:   r.span("guarantees.tip_after"),
+		RejectedMayHaveRun:   r.flag("guarantees.late_shedding"),
+		OnlyDrainBinds:       r.flag("guarantees.dropped_stay_open"),
+	}
+}
+
+// dropUntoldFields clears the meanings of report fields that members don't tell. family_info says what a
+// value would mean; which values are told, and whether any report comes at all, is said elsewhere. A
+// dispatcher that waits for reports that nobody sends would ignore told starts.
+func dropUntoldFields(r *reader, s *policy.Settings) {
+	told := r.names("reporting.columns")
+	if r.text("reporting.via") == "silent" || !slices.Contains(told, "x0") {
+		s.ReportX0 = ""
+	}
+	if s.ReportX0 == "" || !slices.Contains(told, "x1") {
+		s.ReportX1 = ""
+	}
+}
+
+// classes reads the classes of requests, the lanes.
+func classes(r *reader) (classes []policy.Class) {
 	kinds, stretches := r.list("family_info.class_kind"), r.list("family_info.class_stretch")
 	for i, lane := range r.list("lanes") {
-		c, err := class(lane, i)
-		if err != nil {
-			r.problems = append(r.problems, err...)
+		c, problems := class(lane, i)
+		if problems != nil {
+			r.problems = append(r.problems, problems...)
 			continue
 		}
-		if slices.ContainsFunc(s.Classes, func(o policy.Class) bool { return o.Name == c.Name }) {
+		if slices.ContainsFunc(classes, func(o policy.Class) bool { return o.Name == c.Name }) {
 			r.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Errorf("%q is a class already", c.Name))
 			continue
 		}
@@ -99,12 +122,12 @@
 		if !lane.Exists("aim_stretch") && i < len(stretches) {
 			c.Stretch = stretches[i].GetFloat64()
 		}
-		s.Classes = append(s.Classes, c)
+		classes = append(classes, c)
 	}
-	return s, r.err()
+	return classes
 }
 
-// class reads one entry of lanes; its kind is any unless told elsewhere.
+// class reads one entry of lanes; its kind is any unless family_info says otherwise.
 func class(lane *fastjson.Value, i int) (policy.Class, Problems) {
 	r := &reader{at: lane, in: fmt.Sprintf("lanes[%d].", i)}
 	c := policy.Class{
@@ -129,7 +152,7 @@
 		c.Group = policy.DedupAll
 	case "zone":
 		c.Group = policy.DedupZone
-	case "cell", "": // a key that nobody says how far it is known is taken to be known nowhere else
+	case "cell", "": // without a scope a key is taken to be known nowhere else
 		c.Group = policy.DedupCell
 	default:
 		r.fail("key_scope", fmt.Errorf("unknown scope %q", scope))
