--- /dev/null
+++ b/internal/dispatcher/fleet/budget/fault_injection_off.go
@@ -0,0 +1,9 @@
+//go:build !faults
+
+package budget
+
+// The injected faults; a production build has none.
+const (
+	faultFullBucket = false
+	faultGrantTwice = false
+)
--- a/internal/dispatcher/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -1,7 +1,8 @@
-// Package coordinator drives plans for a process of the fleet: it asks the replicated
-// state what comes next, evaluates what the plan file says, and hands each stage to the
-// dispatcher as a job like any other. What may be sent at all is for the state to say,
-// before it is sent; a coordinator that died or was cut off is replaced by another.
+// Package coordinator drives plan runs at a process of the fleet: it asks the replicated
+// state what is to be done next (planrun.Next), evaluates the expressions of the plan file,
+// and submits each stage to the dispatcher as a job. The replicated state approves every
+// attempt before it is sent. The runs of a coordinator that has failed are claimed by
+// another one.
 package coordinator
 
 import (
@@ -26,31 +27,32 @@
 type Job struct {
 	ID, Class, Tenant, Path, Key string
 	Body                         []byte
-	Deadline                     time.Time // its end counts no more after this
+	Deadline                     time.Time // its result is ignored after this
 	CostHint                     time.Duration
-	ExcludedMember               string // "": any
-	ExcludeItsZone               bool   // nor any other member in that one's zone
+	ExcludedMember               string // empty: none
+	ExcludeItsZone               bool   // excludes all members in the excluded one's zone
 	Plan, Stage                  string
 }
 
-// Dispatcher runs jobs: each passes the same stages, decisions, account and rules as
-// a client's. Done is called once, unless Submit returns an error.
+// Dispatcher runs jobs with the same admission, decisions and accounting as those of a
+// client. It calls done exactly once, unless Submit returns an error.
 type Dispatcher interface {
 	Submit(j Job, done func(engine.Answer)) error
 }
 
-// Fleet is this process's place in it.
+// Fleet is this process's membership in the fleet.
 type Fleet interface {
-	Session() *rpc.Session // nil: it has none just now
-	// TakeRetry takes an attempt beyond the first of the fleet's budget of a class.
+	Session() *rpc.Session // nil: not joined
+	// TakeRetry takes one attempt beyond a job's first from the fleet's retry budget of a
+	// class.
 	TakeRetry(request, class string) bool
-	// Leased tells whether this process's lease holds, by its own clock.
-	Leased() bool
-	// RetryTime is when another is worth asking for.
+	// HoldsLease reports whether this process's lease is valid, by its own clock.
+	HoldsLease() bool
+	// RetryTime returns when TakeRetry is worth calling again.
 	RetryTime(class string, now time.Time) time.Time
 }
 
-// Errors of Start and Look.
+// Errors of Start and Lookup.
 var (
 	ErrUnknownPlan = errors.New("no plan of this name is in use here")
 	ErrNoSession   = errors.New("this process is not in the fleet just now")
@@ -58,58 +60,59 @@
 	ErrUnknownRun  = errors.New("no such run, or it ended too long ago")
 )
 
+// Bounds and intervals of a coordinator.
 const (
-	mostRuns  = 4096                   // that one process drives
-	claimMost = 64                     // runs taken over at a time
-	claimFor  = 250 * time.Millisecond // between looks for runs that nobody drives
-	lookEvery = 100 * time.Millisecond // at a run that waits for another one's output
-	tryEvery  = 50 * time.Millisecond  // a command for which no keeper answered
-	orderFor  = 3 * time.Second
+	maxRuns        = 4096                   // driven by one process
+	maxClaims      = 64                     // runs claimed by one command
+	claimInterval  = 250 * time.Millisecond // between two searches for runs without a coordinator
+	pollInterval   = 100 * time.Millisecond // for a run that waits for another run's output
+	retryInterval  = 50 * time.Millisecond  // after a command that no raft node answered
+	commandTimeout = 3 * time.Second        // for one attempt at a command or query
 )
 
-// Coordinator drives the runs of one process.
+// Coordinator drives the runs of one process. It is safe for concurrent use.
 type Coordinator struct {
 	fleet Fleet
 	jobs  Dispatcher
 	log   logrus.FieldLogger
 	now   func() time.Time // the clock of the deadlines of Finish
 
-	mu      sync.Mutex
-	named   map[string]*plan.Plan // in use
-	digests map[uint64]*plan.Plan // those, and older ones that runs may have
-	runs    map[string]*run
-	memory  *planrun.Coordinator // of what was done about each attempt
-	life    context.Context      // nil: not running
-	leaving chan struct{}        // closed: nothing more is begun here
-	all     sync.WaitGroup
-	ends    waiters
+	mu            sync.Mutex
+	plansByName   map[string]*plan.Plan // in use
+	plansByDigest map[uint64]*plan.Plan // those in use, and older ones that runs may still follow
+	runs          map[string]*driver
+	attempts      *planrun.AttemptRegistry // what this process did about each attempt
+	lifetime      context.Context          // nil: not running
+	draining      chan struct{}            // closed: nothing more is started here
+	running       sync.WaitGroup           // all goroutines
+	waiting       answerWaiters
 }
 
 // New returns a coordinator without plans.
 func New(f Fleet, d Dispatcher, log logrus.FieldLogger) *Coordinator {
-	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, memory: planrun.NewCoordinator(planrun.DefaultLimits().Grace), leaving: make(chan struct{}),
-		named: map[string]*plan.Plan{}, digests: map[uint64]*plan.Plan{}, runs: map[string]*run{}}
+	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, attempts: planrun.NewAttemptRegistry(planrun.DefaultLimits().Grace), draining: make(chan struct{}),
+		plansByName: map[string]*plan.Plan{}, plansByDigest: map[uint64]*plan.Plan{}, runs: map[string]*driver{}}
 }
 
-// SetPlans takes plans in use in place of those before. Runs under way go on by the plan
-// that they began with.
+// SetPlans replaces the plans in use. Runs in progress follow the plan that they were
+// started with.
 func (c *Coordinator) SetPlans(plans []*plan.Plan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.named = make(map[string]*plan.Plan, len(plans))
+	c.plansByName = make(map[string]*plan.Plan, len(plans))
 	for _, p := range plans {
-		c.named[p.Name], c.digests[p.Digest] = p, p
+		c.plansByName[p.Name], c.plansByDigest[p.Digest] = p, p
 	}
 }
 
-// Run takes over runs that nobody drives, until the context ends; then the runs of
-// this process are left to the others.
+// Run claims runs without a coordinator until the context ends. It returns when all of this
+// process's goroutines have ended; their runs are left to other processes.
 func (c *Coordinator) Run(ctx context.Context) error {
-	defer c.all.Wait()
+	defer c.running.Wait()
 	c.mu.Lock()
-	c.life = ctx
+	c.lifetime = ctx
 	c.mu.Unlock()
-	tick := time.NewTicker(claimFor)
+	tick := time.NewTicker(claimInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -117,40 +120,41 @@
 			return nil
 		case <-tick.C:
 			if err := c.claim(ctx); err != nil && ctx.Err() == nil {
-				c.log.WithError(err).Debug("runs of plans could not be claimed")
+				c.log.WithError(err).Debug("claiming plan runs failed")
 			}
 		}
 	}
 }
 
-// Drain begins nothing more, at a planned end: what is under way ends here and is told,
-// and the runs go on at other processes once this one has left.
-func (c *Coordinator) Drain() { close(c.leaving) }
+// Drain starts nothing more, for a planned shutdown: attempts in flight end here and are
+// reported, and the runs continue at other processes once this one has left. It must be
+// called once at most.
+func (c *Coordinator) Drain() { close(c.draining) }
 
-func (c *Coordinator) left() bool {
+func (c *Coordinator) isDraining() bool {
 	select {
-	case <-c.leaving:
+	case <-c.draining:
 		return true
 	default:
 		return false
 	}
 }
 
-// claim takes over runs of plans that this process knows.
+// claim takes over runs without a coordinator whose plans this process knows.
 func (c *Coordinator) claim(ctx context.Context) error {
 	s := c.fleet.Session()
 	c.mu.Lock()
-	claim := planrun.Claim{Most: min(claimMost, mostRuns-len(c.runs))}
-	for digest := range c.digests {
+	claim := planrun.Claim{MaxRuns: min(maxClaims, maxRuns-len(c.runs))}
+	for digest := range c.plansByDigest {
 		claim.Plans = append(claim.Plans, digest)
 	}
 	c.mu.Unlock()
-	if s == nil || c.left() || len(claim.Plans) == 0 || claim.Most <= 0 {
+	if s == nil || c.isDraining() || len(claim.Plans) == 0 || claim.MaxRuns <= 0 {
 		return nil
 	}
-	ctx2, cancel := context.WithDeadline(ctx, time.Now().Add(orderFor))
+	ctx2, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
-	a, err := s.Read(ctx2, rpc.Query{Kind: partition.PlansOrphans})
+	a, err := s.Read(ctx2, rpc.Query{Kind: partition.PlansCountOrphans})
 	if err != nil {
 		return err
 	}
@@ -159,11 +163,11 @@
 		return err
 	}
 	var r partition.PlanReply
-	if err := s.Execute(ctx2, partition.PlansDo, planrun.Command{Claim: &claim}, &r); err != nil {
+	if err := s.Execute(ctx2, partition.PlansCommand, planrun.Command{Claim: &claim}, &r); err != nil {
 		return err
 	}
 	for _, one := range r.Claimed {
-		look, err := c.look(ctx2, s, one.Run)
+		look, err := c.queryRun(ctx2, s, one.Run)
 		if err != nil {
 			return fmt.Errorf("run %s: %w", one.Run, err) // its fence is this process's: no other takes it, until its lease ends
 		}
@@ -172,17 +176,18 @@
 		}
 	}
 	if len(r.Claimed) > 0 {
-		c.log.WithField("runs", len(r.Claimed)).Info("took over runs of plans")
+		c.log.WithField("runs", len(r.Claimed)).Info("claimed plan runs")
 	}
 	return nil
 }
 
-func (c *Coordinator) look(ctx context.Context, s *rpc.Session, id string) (r partition.PlanReply, err error) {
+// queryRun reads a run from the leader.
+func (c *Coordinator) queryRun(ctx context.Context, s *rpc.Session, id string) (r partition.PlanReply, err error) {
 	body, err := codec.Encode(id)
 	if err != nil {
 		return r, err
 	}
-	a, err := s.Read(ctx, rpc.Query{Kind: partition.PlansLook, Body: body})
+	a, err := s.Read(ctx, rpc.Query{Kind: partition.PlansRun, Body: body})
 	if err != nil {
 		return r, err
 	}
@@ -191,51 +196,51 @@
 	return r, err
 }
 
-// StartRequest is a plan that somebody wants run.
+// StartRequest asks for a run of a plan.
 type StartRequest struct {
 	Run, Plan, Tenant string
 	Input             []byte
-	Timeout           time.Duration // of fleet time; 0: as the plan says
+	Timeout           time.Duration // fleet time; 0: the plan's own
 }
 
-// Start begins a run, or finds it under way, or ended with its final answer. An error
-// that wraps call.ErrNobody leaves open whether it has begun: the same ask may be
-// made again, here or at another process.
+// Start starts a run, or finds it in progress (a nil answer) or ended. An error that wraps
+// rpc.ErrUnavailable leaves open whether the run has started: the same request may be
+// repeated, here or at another process.
 func (c *Coordinator) Start(ctx context.Context, a StartRequest) (*planrun.Answer, error) {
 	answer, _, err := c.start(ctx, a)
 	return answer, err
 }
 
-// start is Start. Where a command went out, it also tells the fleet time up to which
-// that may begin the run.
+// start is Start. If a command was sent, it also returns the fleet time up to which that
+// may still start the run.
 func (c *Coordinator) start(ctx context.Context, a StartRequest) (answer *planrun.Answer, before time.Duration, err error) {
 	c.mu.Lock()
-	p := c.named[a.Plan]
-	full, life := len(c.runs) >= mostRuns, c.life
+	p := c.plansByName[a.Plan]
+	full, life := len(c.runs) >= maxRuns, c.lifetime
 	c.mu.Unlock()
 	s := c.fleet.Session()
 	switch {
 	case p == nil:
 		return nil, 0, fmt.Errorf("%w: %q", ErrUnknownPlan, a.Plan)
-	case s == nil || life == nil || c.left():
+	case s == nil || life == nil || c.isDraining():
 		return nil, 0, ErrNoSession
 	case full:
-		return nil, 0, fmt.Errorf("%w: this process drives %d runs", ErrRefused, mostRuns)
+		return nil, 0, fmt.Errorf("%w: this process drives %d runs", ErrRefused, maxRuns)
 	}
-	look, err := c.look(ctx, s, a.Run)
+	look, err := c.queryRun(ctx, s, a.Run)
 	if err != nil {
 		return nil, 0, err
 	}
-	if look.Ended != nil || look.Run != nil {
-		return look.Ended, 0, nil
+	if look.FinalAnswer != nil || look.Run != nil {
+		return look.FinalAnswer, 0, nil
 	}
-	if a.Timeout <= 0 || a.Timeout > p.Within {
-		a.Timeout = p.Within
+	if a.Timeout <= 0 || a.Timeout > p.Timeout {
+		a.Timeout = p.Timeout
 	}
 	var r partition.PlanReply
 	start := planrun.Start{Run: a.Run, Plan: p.Name, Tenant: a.Tenant, Digest: p.Digest, Shape: planrun.ShapeOf(p), Input: a.Input,
 		Seed: codec.Digest([]byte(a.Run)), Before: look.At + a.Timeout}
-	if err := s.Execute(ctx, partition.PlansDo, planrun.Command{Start: &start}, &r); err != nil {
+	if err := s.Execute(ctx, partition.PlansCommand, planrun.Command{Start: &start}, &r); err != nil {
 		return nil, start.Before, err
 	}
 	if err := r.Err(); err != nil {
@@ -244,52 +249,54 @@
 	if r.Run != nil && r.Started.Fence != 0 {
 		c.drive(life, r.Started.Fence, r)
 	}
-	return r.Ended, start.Before, nil
+	return r.FinalAnswer, start.Before, nil
 }
 
-// Lookup tells how a run stands: its final answer, or nil while it is under way.
+// Lookup returns a run's final answer, or nil while the run is in progress.
 func (c *Coordinator) Lookup(ctx context.Context, id string) (*planrun.Answer, error) {
 	s := c.fleet.Session()
 	if s == nil {
 		return nil, ErrNoSession
 	}
-	r, err := c.look(ctx, s, id)
-	if err == nil && r.Run == nil && r.Ended == nil {
+	r, err := c.queryRun(ctx, s, id)
+	if err == nil && r.Run == nil && r.FinalAnswer == nil {
 		err = ErrUnknownRun
 	}
-	return r.Ended, err
+	return r.FinalAnswer, err
 }
 
-// drive goes on with a run under a fence of this process's.
+// drive starts driving a run under one of this process's fencing numbers.
 func (c *Coordinator) drive(ctx context.Context, fence uint64, r partition.PlanReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.digests[r.Run.Digest]
+	p := c.plansByDigest[r.Run.Digest]
 	if old := c.runs[r.Run.ID]; p == nil || ctx.Err() != nil || old != nil && old.fence >= fence {
 		return
 	}
 	shape := planrun.ShapeOf(p)
-	d := &run{c: c, id: r.Run.ID, fence: fence, plan: p, shape: &shape, wake: make(chan struct{}, 1), life: ctx}
-	d.see(r)
+	d := &driver{coordinator: c, id: r.Run.ID, fence: fence, plan: p, shape: &shape, wake: make(chan struct{}, 1), lifetime: ctx}
+	d.update(r)
 	c.runs[d.id] = d
-	c.memory.Drive(d.id, fence)
-	c.all.Go(func() {
+	c.attempts.Drive(d.id, fence)
+	c.running.Go(func() {
 		d.drive(ctx)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.runs[d.id] == d {
 			delete(c.runs, d.id)
-			c.memory.Drop(d.id)
+			c.attempts.Drop(d.id)
 		}
 	})
 }
 
-// remember lets a function use what is remembered of attempts.
-func (c *Coordinator) remember(what func(*planrun.Coordinator)) {
+// withAttempts calls a function with the attempt registry, under the lock.
+func (c *Coordinator) withAttempts(what func(*planrun.AttemptRegistry)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	what(c.memory)
+	what(c.attempts)
 }
 
-// gone tells whether an error means that this process no longer drives a run.
-func gone(err error) bool { return errors.Is(err, state.ErrFenced) || errors.Is(err, ErrNoSession) }
+// isOutOfForce reports whether an error means that this process no longer drives its runs.
+func isOutOfForce(err error) bool {
+	return errors.Is(err, state.ErrFenced) || errors.Is(err, ErrNoSession)
+}
--- /dev/null
+++ b/internal/dispatcher/fleet/harness/cluster.go
@@ -0,0 +1,235 @@
+// Package harness runs several processes of the program on loopback for tests, connected by
+// proxies that inject faults (package faultproxy), with members, discovery and clients that
+// all of them share. What the processes did is judged by observations from outside: those
+// of the members, the clients and the admin API.
+package harness
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/faultproxy"
+	"basaltloft/internal/dispatcher/scenario"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Settings configure a Cluster.
+type Settings struct {
+	Processes    int
+	Load         demo.Load                                                   // Members, Slots, Run, Troubles, Rate and Seed are used
+	Operator     string                                                      // template of the operator's files, see Process; empty: none
+	Tags         string                                                      // build tags of the program
+	Env          []string                                                    // added to the processes' environment
+	Args         []string                                                    // added to their arguments
+	MemberAnswer func(class, ask string, body []byte) (state, result string) // see fakes.MemberSettings
+	PickProcess  func(*Cluster) *Process                                     // where a client's attempt is sent; nil: a random process
+}
+
+// Cluster is a set of processes with their surroundings.
+type Cluster struct {
+	Settings
+	Processes []*Process // n1, n2 and so on
+	Till      *fakes.RunLog
+	Answers   fakes.Answers
+
+	t           testing.TB
+	binary      string
+	members     []*fakes.Member
+	clients     sync.WaitGroup
+	stopClients context.CancelFunc
+
+	mu      sync.Mutex
+	random  *rand.Rand
+	links   map[linkKey][]*faultproxy.Proxy
+	calls   []fakes.Call
+	outages []outage
+}
+
+// outage is a time in which a process was out of service by a fault.
+type outage struct {
+	addr string // for clients
+	Span
+}
+
+// linkKey is who dials whom, by index.
+type linkKey struct{ from, to int }
+
+// New makes a cluster, of which no process runs yet. It ends with the test; if the test has
+// failed, the end of each process's log is shown.
+func New(t testing.TB, s Settings) *Cluster {
+	t.Helper()
+	binary, err := scenario.BuildTags(s.Tags)
+	require.NoError(t, err)
+	r := &Cluster{
+		Settings: s, Till: fakes.NewRunLog(), t: t, binary: binary, links: make(map[linkKey][]*faultproxy.Proxy),
+		random: rand.New(rand.NewPCG(s.Load.Seed, 31)), stopClients: func() {},
+	}
+	r.Till.KeepArrivals()
+	dir := t.TempDir()
+	t.Cleanup(r.close) // before the folders go
+	load := s.Load
+	load.Slots = max(1, load.Slots)
+	r.members, err = load.NewMembers(fakes.MemberSettings{RunLog: r.Till, Outcome: s.MemberAnswer})
+	require.NoError(t, err)
+	for i := range s.Processes {
+		name := fmt.Sprintf("n%d", i+1)
+		p := &Process{
+			Name: name, Home: filepath.Join(dir, name), Operator: s.Operator, cluster: r, index: i, addrs: make(map[string]string), linkAddrs: make(map[string]string),
+		}
+		p.Folder, p.Log = filepath.Join(p.Home, "folder"), filepath.Join(p.Home, "log")
+		require.NoError(t, os.MkdirAll(p.Folder, 0o700))
+		p.members, p.discovery, err = demo.OpenMembersFor(r.members, name, func() string { return p.Addr("listen") })
+		require.NoError(t, err)
+		r.Processes = append(r.Processes, p)
+	}
+	return r
+}
+
+// Start starts all processes and waits until they are ready.
+func (r *Cluster) Start() {
+	r.t.Helper()
+	for _, p := range r.Processes {
+		require.NoError(r.t, p.Start(), p.Name)
+	}
+	for _, p := range r.Processes {
+		require.NoError(r.t, p.WaitReady(), p.Name)
+	}
+}
+
+// StartClients starts the clients' load.
+func (r *Cluster) StartClients() {
+	ctx, stop := context.WithCancel(context.Background())
+	r.stopClients = stop
+	mix := fakes.ClientSettings{Rate: r.Load.Rate, TicketShare: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: r.Load.Seed, OnCall: func(c fakes.Call) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.calls = append(r.calls, c)
+	}}
+	r.clients.Go(func() {
+		fakes.HTTPClients(ctx, func() string {
+			if r.PickProcess != nil {
+				return r.PickProcess(r).Addr("listen")
+			}
+			return r.RandomProcess().Addr("listen")
+		}, "h", mix, &r.Answers)
+	})
+}
+
+// StopClients ends the clients' load and waits for the pending answers.
+func (r *Cluster) StopClients() {
+	r.stopClients()
+	r.clients.Wait()
+}
+
+// Calls returns the clients' attempts that have ended.
+func (r *Cluster) Calls() []fakes.Call {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.calls)
+}
+
+// beginOutage records that a process is out of service. The function that it returns
+// records the end, once the process is ready or has ended again.
+func (r *Cluster) beginOutage(p *Process) (back func()) {
+	addr := p.Addr("listen")
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	n := len(r.outages)
+	r.outages = append(r.outages, outage{addr, Span{Start: time.Now()}})
+	return func() {
+		r.clients.Go(func() {
+			p.WaitReady()
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.outages[n].End = time.Now()
+		})
+	}
+}
+
+// LostCalls returns the calls that got no answer though their process was in service all
+// the time.
+func (r *Cluster) LostCalls() (ids []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, c := range r.calls {
+		if c.Status == 0 && !slices.ContainsFunc(r.outages, func(o outage) bool {
+			return o.addr == c.Addr && o.Start.Before(c.Ended) && (o.End.IsZero() || o.End.After(c.Sent))
+		}) {
+			ids = append(ids, c.ID)
+		}
+	}
+	return ids
+}
+
+// Links returns the links from one process to another, by index.
+func (r *Cluster) Links(from, to int) []*faultproxy.Proxy {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.links[linkKey{from, to}]
+}
+
+// LinksOf returns all links from and to a process.
+func (r *Cluster) LinksOf(place int) (all []*faultproxy.Proxy) {
+	for other := range r.Processes {
+		all = append(append(all, r.Links(place, other)...), r.Links(other, place)...)
+	}
+	return all
+}
+
+// link makes a link to one of a process's addresses.
+func (r *Cluster) link(from, to int, addr string) (string, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	at := linkKey{from, to}
+	l, err := faultproxy.New(addr, r.Load.Seed<<16+uint64(from)<<8+uint64(to))
+	if err != nil {
+		return "", err
+	}
+	r.links[at] = append(r.links[at], l)
+	return l.Addr(), nil
+}
+
+// RandomProcess returns a random process.
+func (r *Cluster) RandomProcess() *Process {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.Processes[r.random.IntN(len(r.Processes))]
+}
+
+func (r *Cluster) close() {
+	r.stopClients()
+	for _, p := range r.Processes {
+		p.Kill()
+	}
+	r.clients.Wait()
+	for _, m := range r.members {
+		m.Close()
+	}
+	for _, links := range r.links {
+		for _, l := range links {
+			l.Close()
+		}
+	}
+	for _, p := range r.Processes {
+		p.discovery.Close()
+		if r.t.Failed() {
+			text, _ := os.ReadFile(p.Log)
+			r.t.Logf("the log of %s ends:\n%s", p.Name, text[max(0, len(text)-maxLogShown):])
+		}
+	}
+}
+
+const maxLogShown = 16000 // bytes of a log
+
+// transitionTimeout bounds a process's start and exit.
+const transitionTimeout = 40 * time.Second
--- a/internal/dispatcher/fleet/planrun/run.go
+++ b/internal/dispatcher/fleet/planrun/run.go
@@ -1,6 +1,7 @@
 package planrun
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -10,65 +11,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TryState is where a job, or its undo, stands.
-type TryState uint8
+// ExecutionState is the state of a job or an undo.
+type ExecutionState uint8
 
-// States of a Try.
+// States of an Execution.
 const (
-	Idle TryState = iota // to be sent, once it may
-	Out                  // sent, or about to be: it may run
-	Ok                   // ended well
-	Dead                 // ended badly, and not to be sent again
+	Pending           ExecutionState = iota // to be sent, once it may
+	InFlight                                // sent, or about to be: it may run
+	Succeeded                               // ended well
+	PermanentlyFailed                       // ended badly, and not to be sent again
 )
 
-// Try is one job or undo, over all its attempts.
-type Try struct {
-	_         struct{} `cbor:",toarray"` // written by position: there are many
-	State     TryState
-	Attempt   uint32 // number of the last one, from 1; it never goes back
-	Fence     uint64 // under which that was sent
-	Sent      time.Duration
-	NotBefore time.Duration // Idle: when it may be sent
-	End       plan.End      // of the last attempt that ended
-	Ran       bool          // some attempt may have run
-	Before    bool          // Out: Ran before this attempt
-}
-
-// Item is one item of a stage; a stage without a list has one.
+// Execution is one job or undo, over all its attempts. It is stored by position: the order
+// of the fields is part of the format.
+type Execution struct {
+	_                struct{} `cbor:",toarray"` // written by position: there are many
+	State            ExecutionState
+	Attempt          uint32 // number of the last one, from 1; it never decreases
+	Fence            uint64 // with which that was sent
+	SentAt           time.Duration
+	NotBefore        time.Duration // Pending: when it may be sent
+	End              plan.End      // of the last attempt that ended
+	MayHaveRun       bool          // some attempt may have run
+	MayHaveRunBefore bool          // InFlight: MayHaveRun before this attempt
+}
+
+// Item is one item of a stage; a stage without a list has one. It is stored by position.
 type Item struct {
-	_      struct{} `cbor:",toarray"` // written by position: there are many
-	Value  []byte   // of the list, JSON
-	Job    Try
-	Gen    uint64   // of its stage, when the last attempt was sent
-	Inputs []uint64 // generations of the stages upstream that it was given
-	Tries  []int    // by retry rule, in this run of the stage
-	Result []byte   // Ok: JSON
-	Member string   // that the last attempt which ended was at
-	Where  plan.Place
-	Undo   Try
-}
-
-// Stage is the progress of a stage.
+	_           struct{} `cbor:",toarray"` // written by position: there are many
+	Value       []byte   // entry of the list, as JSON
+	Job         Execution
+	Generation  uint64   // of its stage, when the last attempt was sent
+	Inputs      []uint64 // generations of the upstream stages that it was given
+	RetriesUsed []int    // by retry rule, in this generation of the stage
+	Result      []byte   // Succeeded: JSON
+	Member      string   // where the last attempt was that has ended
+	RetryPlace  plan.Place
+	Undo        Execution
+}
+
+// Stage is the progress of a stage. It is stored by position.
 type Stage struct {
-	_      struct{} `cbor:",toarray"` // written by position: there are many
-	Gen    uint64   // of its output, which is there if Joined and else yet to be made; from 1
-	Lost   uint64   // its generations up to this one were reported lost in this run
-	Again  int      // how often such a report had it run again
-	Opened bool
-	Joined bool
-	Key    string   // of a shared output
-	Copied [][]byte // results that another run made
-	Items  []Item
-}
-
-// Results are the results of a joined stage by item; nil for an item that failed.
+	_             struct{} `cbor:",toarray"` // written by position: there are many
+	Generation    uint64   // of its output, which exists if Complete and is yet to be made otherwise; from 1
+	LostThrough   uint64   // generations up to this one were reported lost in this run
+	RerunsUsed    int      // how often such a report had the stage run again
+	Opened        bool
+	Complete      bool
+	SharedKey     string   // of a shared output
+	SharedResults [][]byte // results that another run made
+	Items         []Item
+}
+
+// Results returns the results of a complete stage by item; nil for an item that failed.
 func (s *Stage) Results() [][]byte {
-	if s.Copied != nil {
-		return s.Copied
+	if s.SharedResults != nil {
+		return s.SharedResults
 	}
 	list := make([][]byte, len(s.Items))
 	for i := range s.Items {
-		if s.Items[i].Job.State == Ok {
+		if s.Items[i].Job.State == Succeeded {
 			list[i] = s.Items[i].Result
 		}
 	}
@@ -82,100 +84,101 @@
 	Reason string
 }
 
-// Run is the progress of a plan under way.
+// Run is the progress of a plan run. It is stored by the field names in its tags.
 type Run struct {
-	ID, Plan    string
-	Tenant      string
-	Digest      uint64 // of the plan's text
-	Shape       uint64 // its key among the Book's shapes
-	Input       []byte
-	Seed        uint64
-	Started     time.Duration
-	Before      time.Duration // a Start of it after this counts no more
-	Deadline    time.Duration
-	Process     string // coordinator
-	Incarnation uint64
-	Fence       uint64
-	Orphan      bool // the coordinator's lease has ended and nobody has claimed the run
-	Used        int  // attempts
-	Bytes       int  // of input, items and results
-	Stages      []Stage
-	Gave        *GiveUp
-
-	shape *Shape
-	place int // in the heap of what falls due
-	due   time.Duration
+	ID, Plan     string
+	Tenant       string
+	Digest       uint64 // of the plan
+	Shape        uint64 // key among the Tracker's shapes
+	Input        []byte
+	Seed         uint64
+	Started      time.Duration
+	StartBy      time.Duration `cbor:"Before"` // a Start of it after this is ignored
+	Deadline     time.Duration
+	Process      string // the coordinator's
+	Incarnation  uint64
+	Fence        uint64
+	Orphan       bool // the coordinator's lease has ended and nobody has claimed the run
+	AttemptsUsed int  `cbor:"Used"` // including those of undos
+	Bytes        int  // of input, items and results
+	Stages       []Stage
+	GaveUp       *GiveUp `cbor:"Gave"` // nil: it goes on
+
+	shape     *Shape
+	heapIndex int // in Tracker.deadlines
+	dueAt     time.Duration
 }
 
 // View is a run with its shape, as its coordinator needs it.
 type View struct {
-	Shape *Shape
-	Run   *Run
-	Makes uint64 // a bit for each shared stage whose output this run is to make
+	Shape     *Shape
+	Run       *Run
+	Producing uint64 // a bit for each shared stage whose output this run is to make
 }
 
-// clone copies all that a command may change; bytes are never changed in place.
+// clone copies all that a command may change; byte slices are never changed in place.
 func (r *Run) clone() *Run {
 	c := *r
 	c.Stages = slices.Clone(r.Stages)
 	for i := range c.Stages {
 		items := slices.Clone(c.Stages[i].Items)
 		for k := range items {
-			items[k].Tries, items[k].Inputs = slices.Clone(items[k].Tries), slices.Clone(items[k].Inputs)
+			items[k].RetriesUsed, items[k].Inputs = slices.Clone(items[k].RetriesUsed), slices.Clone(items[k].Inputs)
 		}
 		c.Stages[i].Items = items
 	}
-	if r.Gave != nil {
-		g := *r.Gave
-		c.Gave = &g
+	if r.GaveUp != nil {
+		g := *r.GaveUp
+		c.GaveUp = &g
 	}
 	return &c
 }
 
-// ready tells whether all upstream of a stage is there.
-func (r *Run) ready(s *Shape, stage int) bool {
+// inputsReady reports whether the outputs of all stages upstream exist.
+func (r *Run) inputsReady(s *Shape, stage int) bool {
 	ok := true
-	s.upstream(stage, func(_, u int) { ok = ok && r.Stages[u].Joined })
+	s.eachUpstream(stage, func(_, u int) { ok = ok && r.Stages[u].Complete })
 	return ok
 }
 
-// inputs are the generations that an item sent now is given.
-func (r *Run) inputs(s *Shape, stage int) (list []uint64) {
-	s.upstream(stage, func(_, u int) { list = append(list, r.Stages[u].Gen) })
+// inputGenerations returns the generations of the inputs that an item sent now is given.
+func (r *Run) inputGenerations(s *Shape, stage int) (list []uint64) {
+	s.eachUpstream(stage, func(_, u int) { list = append(list, r.Stages[u].Generation) })
 	return list
 }
 
-// simple tells whether a stage needs no Open: it has one item and is its own.
-func (s *StageShape) simple() bool { return !s.Each && !s.Shared }
+// needsNoOpen reports whether a stage has one item that is not shared, so that there is
+// nothing to evaluate.
+func (s *StageShape) needsNoOpen() bool { return !s.Each && !s.Shared }
 
-// undoes tells whether an item is still to be undone. What is shared stays: other
-// plans may be using it.
-func (s *StageShape) undoes(it *Item) bool {
-	return s.Undo != nil && !s.Shared && it.Job.Ran &&
-		(it.Undo.State == Out || it.Undo.State == Idle && int(it.Undo.Attempt) < s.Undo.Most)
+// needsUndo reports whether an item is still to be undone. Shared outputs stay, since other
+// runs may be using them.
+func (s *StageShape) needsUndo(it *Item) bool {
+	return s.Undo != nil && !s.Shared && it.Job.MayHaveRun &&
+		(it.Undo.State == InFlight || it.Undo.State == Pending && int(it.Undo.Attempt) < s.Undo.MaxTries)
 }
 
-// again tells whether what may have run may be sent again.
-func again(e policy.Effect, ran bool) bool {
-	return !ran || e != policy.AtMostOnce || faultTwice || plantTwice
+// maySendAgain reports whether a job that may have run may be sent again.
+func maySendAgain(e policy.Effect, ran bool) bool {
+	return !ran || e != policy.AtMostOnce || faultRunTwice || testRunTwice
 }
 
-// plantTwice plants the fault of hooks_faults.go in a test.
-var plantTwice bool
+// testRunTwice injects the fault of fault_injection_on.go in a test.
+var testRunTwice bool
 
-// need is how many items of an opened stage must end well.
-func (s *StageShape) need(st *Stage) int {
-	if s.AtLeast > 0 {
-		return s.AtLeast
+// requiredItems returns how many items of an opened stage must succeed.
+func (s *StageShape) requiredItems(st *Stage) int {
+	if s.MinSucceeded > 0 {
+		return s.MinSucceeded
 	}
 	return len(st.Items)
 }
 
-// outs tells whether an attempt or undo is out.
-func (r *Run) outs() bool {
+// hasAnyInFlight reports whether a job or an undo is in flight.
+func (r *Run) hasAnyInFlight() bool {
 	for i := range r.Stages {
 		for k := range r.Stages[i].Items {
-			if it := &r.Stages[i].Items[k]; it.Job.State == Out || it.Undo.State == Out {
+			if it := &r.Stages[i].Items[k]; it.Job.State == InFlight || it.Undo.State == InFlight {
 				return true
 			}
 		}
@@ -183,11 +186,11 @@
 	return false
 }
 
-// undoing is the last stage with something still to be undone, or -1.
-func (r *Run) undoing(s *Shape) int {
+// nextUndoStage returns the last stage with something left to undo, or -1.
+func (r *Run) nextUndoStage(s *Shape) int {
 	for i := len(r.Stages) - 1; i >= 0; i-- {
 		for k := range r.Stages[i].Items {
-			if s.Stages[i].undoes(&r.Stages[i].Items[k]) {
+			if s.Stages[i].needsUndo(&r.Stages[i].Items[k]) {
 				return i
 			}
 		}
@@ -195,25 +198,25 @@
 	return -1
 }
 
-// reserve is how many attempts the undos of what may have run still need.
-func (r *Run) reserve(s *Shape) (n int) {
+// reservedUndoAttempts returns how many attempts the undos of what may have run still need.
+func (r *Run) reservedUndoAttempts(s *Shape) (n int) {
 	for i := range r.Stages {
 		u := s.Stages[i].Undo
 		if u == nil || s.Stages[i].Shared {
 			continue
 		}
 		for k := range r.Stages[i].Items {
-			if r.Stages[i].Items[k].Job.Ran {
-				n += u.Most
+			if r.Stages[i].Items[k].Job.MayHaveRun {
+				n += u.MaxTries
 			}
 		}
 	}
 	return n
 }
 
-// wait is how long a retry waits: doubled for each try that this rule gave before,
-// up to its cap, and off by up to its jitter. The chance is the seed's.
-func (q *RetryShape) wait(seed uint64, stage, item int, attempt uint32, before int) time.Duration {
+// delay returns how long a retry waits: doubled for each retry by this rule before, up to
+// MaxWait, and varied by up to its jitter, which is a hash of the seed and the attempt.
+func (q *RetryShape) delay(seed uint64, stage, item int, attempt uint32, before int) time.Duration {
 	w := q.Wait
 	for range before {
 		if w > time.Hour || q.WaitAtMost > 0 && w >= q.WaitAtMost {
@@ -236,3 +239,17 @@
 	}
 	return w
 }
+
+// hasJobsInFlight reports whether a job is in flight.
+func (r *Run) hasJobsInFlight() bool {
+	for i := range r.Stages {
+		for k := range r.Stages[i].Items {
+			if r.Stages[i].Items[k].Job.State == InFlight {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/internal/dispatcher/fleet/planrun/shared_output.go
@@ -0,0 +1,165 @@
+package planrun
+
+import (
+	"slices"
+	"time"
+)
+
+// Output is an output that runs share by a key: made by one run at a time, for all.
+type Output struct {
+	Key        string
+	Generation uint64        `cbor:"Gen"` // made, or being made
+	Ready      bool          // it has been made
+	FreshUntil time.Duration `cbor:"Until"` // later users have it made again
+	Results    [][]byte
+	Producer   *OutputUser `cbor:"Owner"` // which makes it; nil: nobody
+	Users      []OutputUser
+}
+
+// OutputUser is a stage of a run that uses an output, or waits for it.
+type OutputUser struct {
+	Run   string
+	Stage int
+}
+
+func (o *Output) isOwnedBy(r *Run, stage int) bool {
+	return !o.Ready && o.Producer != nil && *o.Producer == OutputUser{r.ID, stage}
+}
+
+// attachOutput connects a stage that was just opened to its output: it takes a fresh one,
+// waits for one that is being made, or makes it.
+func (b *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
+	key, me := r.Stages[stage].SharedKey, OutputUser{r.ID, stage}
+	o := b.outputs[key]
+	if o == nil {
+		o = &Output{Key: key, Generation: b.lastSharedGeneration + 1} // above all that the key had, should it have been dropped
+		b.outputs[key] = o
+	}
+	o.Users = append(o.Users, me)
+	switch {
+	case o.Ready && at < o.FreshUntil:
+		r.takeOutput(stage, o)
+		return
+	case o.Ready: // those that have it go on with it
+		o.Generation++
+		o.Ready, o.Results, o.Producer = false, nil, &me
+	case o.Producer == nil:
+		o.Producer = &me
+	}
+	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	r.Stages[stage].Generation = o.Generation
+}
+
+// takeOutput gives a stage an output that exists.
+func (r *Run) takeOutput(stage int, o *Output) {
+	st := &r.Stages[stage]
+	st.Generation, st.Complete, st.SharedResults = o.Generation, true, o.Results
+}
+
+// publishOutput gives the output that a stage has made to all that wait for it. It counts
+// whoever is the producer by now.
+func (b *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
+	st := &r.Stages[stage]
+	o := b.outputs[st.SharedKey]
+	if st.SharedKey == "" || o == nil || o.Ready || o.Generation != st.Generation {
+		return
+	}
+	o.Ready, o.Producer, o.Results = true, nil, st.Results()
+	o.FreshUntil = at + r.shape.Stages[stage].SharedFor
+	for _, u := range slices.Clone(o.Users) {
+		if w := b.runs[u.Run]; w != nil && w.GaveUp == nil && !w.Stages[u.Stage].Complete {
+			w.takeOutput(u.Stage, o)
+			if w != r {
+				b.finishIfDone(at, w)
+			}
+		}
+	}
+}
+
+// rerunShared has the generation after a lost one made by a run that reported the loss,
+// unless another has begun to. Other runs that still need the output wait for it, and keep
+// what they made of the lost one until a stage of theirs reports the loss.
+func (b *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
+	if o.Generation > gen {
+		if r.Stages[stage].Generation = o.Generation; o.Ready {
+			r.takeOutput(stage, o)
+		}
+		return false
+	}
+	o.Generation, o.Ready, o.Results, o.Producer = gen+1, false, nil, &OutputUser{r.ID, stage}
+	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	r.Stages[stage].Generation = o.Generation
+	for _, u := range o.Users {
+		w := b.runs[u.Run]
+		if w == r && u.Stage == stage || w.GaveUp != nil || w.Stages[u.Stage].Generation > gen || !w.needsOutput(u.Stage) {
+			continue
+		}
+		w.resetStage(u.Stage, o.Generation)
+	}
+	return true
+}
+
+// needsOutput reports whether a stage's output is still needed.
+func (r *Run) needsOutput(stage int) bool {
+	for i := range r.Stages {
+		if i == stage && !r.Stages[i].Complete || r.shape.dependsOn(i, stage) && !r.Stages[i].Complete {
+			return true
+		}
+	}
+	return false
+}
+
+// detachOutputs removes a run from the users of its outputs.
+func (b *Tracker) detachOutputs(r *Run) {
+	for i := range r.Stages {
+		o := b.outputs[r.Stages[i].SharedKey]
+		if r.Stages[i].SharedKey == "" || o == nil {
+			continue
+		}
+		me := OutputUser{r.ID, i}
+		o.Users = slices.DeleteFunc(o.Users, func(u OutputUser) bool { return u == me })
+		b.reassignOutput(o, me)
+		if len(o.Users) == 0 && !o.Ready {
+			delete(b.outputs, o.Key)
+		}
+	}
+}
+
+// reassignOutputs assigns the outputs that a run was making to others that wait for them,
+// if there are any with a coordinator.
+func (b *Tracker) reassignOutputs(r *Run) {
+	for i := range r.Stages {
+		if o := b.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
+			b.reassignOutput(o, OutputUser{r.ID, i})
+		}
+	}
+}
+
+// reassignOutput finds a new producer of an output, if from is its producer: the first user
+// that waits and has a coordinator, else the first that waits.
+func (b *Tracker) reassignOutput(o *Output, from OutputUser) {
+	if o.Ready || o.Producer == nil || *o.Producer != from {
+		return
+	}
+	o.Producer = nil
+	for _, u := range o.Users {
+		w := b.runs[u.Run]
+		if w == nil || w.GaveUp != nil || w.Stages[u.Stage].Complete {
+			continue
+		}
+		if o.Producer == nil || !w.Orphan {
+			o.Producer = &OutputUser{u.Run, u.Stage}
+		}
+		if !w.Orphan {
+			return
+		}
+	}
+}
+
+func (b *Tracker) pruneOutputs(at time.Duration) {
+	for key, o := range b.outputs { // in any order: each is judged by itself
+		if o.Ready && len(o.Users) == 0 && o.FreshUntil <= at {
+			delete(b.outputs, key)
+		}
+	}
+}
--- a/internal/dispatcher/segment/folder.go
+++ b/internal/dispatcher/segment/folder.go
@@ -1,7 +1,7 @@
-// Package segment is what the journal and the spool have in common: a folder of
-// segments that one process writes, and batches in them that are written whole or
-// not at all. A batch's checksum is seeded with that of the one before it, so that
-// none can be missing, moved or torn unseen.
+// Package segment is the storage format that the journal and the spool share: a directory
+// of segment files that one process writes, and batches in them that are written completely
+// or not at all. Each batch's checksum is seeded with that of the batch before, so that a
+// missing, moved or torn batch is detected.
 package segment
 
 import (
@@ -15,14 +15,14 @@
 	"syscall"
 )
 
-// Directory is where segments are kept. Its methods fail as those of os do.
+// Directory is where segments are kept. Its methods fail with the errors of package os.
 type Directory interface {
-	Names() ([]string, error)
+	Names() ([]string, error) // the segments, sorted
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // which must not exist
+	Create(name string) (File, error) // the segment must not exist
 	Truncate(name string, size int64) error
 	Remove(name string) error
-	Sync() error // of the names
+	Sync() error // makes creations and removals durable
 	Close() error
 }
 
@@ -33,16 +33,16 @@
 	Close() error
 }
 
-// ErrInUse says that another process writes to a folder.
+// ErrInUse says that another process writes to a directory.
 var ErrInUse = errors.New("in use by another process")
 
-type folder struct {
+type osDirectory struct {
 	path string
 	lock *os.File // nil: read only
 }
 
-// OpenDirectory opens a folder for writing, makes it if there is none, and keeps
-// other processes out until it is closed.
+// OpenDirectory opens a directory for writing, creates it if need be, and locks it against
+// other processes until it is closed.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
 		return nil, err
@@ -55,10 +55,10 @@
 		lock.Close()
 		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
-	return &folder{path, lock}, nil
+	return &osDirectory{path, lock}, nil
 }
 
-// ReadDirectory opens a folder for reading, also while a process writes to it.
+// ReadDirectory opens a directory for reading, also while a process writes to it.
 func ReadDirectory(path string) (Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -67,12 +67,12 @@
 	if !info.IsDir() {
 		return nil, fmt.Errorf("%s is no folder", path)
 	}
-	return &folder{path: path}, nil
+	return &osDirectory{path: path}, nil
 }
 
-func (f *folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f *osDirectory) filePath(name string) string { return filepath.Join(f.path, name) }
 
-func (f *folder) Names() ([]string, error) {
+func (f *osDirectory) Names() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, err
@@ -87,16 +87,18 @@
 	return names, nil
 }
 
-func (f *folder) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
+func (f *osDirectory) Read(name string) ([]byte, error) { return os.ReadFile(f.filePath(name)) }
 
-func (f *folder) Create(name string) (File, error) {
-	return os.OpenFile(f.at(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
+func (f *osDirectory) Create(name string) (File, error) {
+	return os.OpenFile(f.filePath(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 }
 
-func (f *folder) Truncate(name string, size int64) error { return os.Truncate(f.at(name), size) }
-func (f *folder) Remove(name string) error               { return os.Remove(f.at(name)) }
+func (f *osDirectory) Truncate(name string, size int64) error {
+	return os.Truncate(f.filePath(name), size)
+}
+func (f *osDirectory) Remove(name string) error { return os.Remove(f.filePath(name)) }
 
-func (f *folder) Sync() error {
+func (f *osDirectory) Sync() error {
 	d, err := os.Open(f.path)
 	if err != nil {
 		return err
@@ -105,7 +107,7 @@
 	return d.Sync()
 }
 
-func (f *folder) Close() error {
+func (f *osDirectory) Close() error {
 	if f.lock == nil {
 		return nil
 	}
