--- a/internal/dispatcher/faultproxy/conn.go
+++ b/internal/dispatcher/faultproxy/conn.go
@@ -60,7 +60,7 @@
 	over := c.closed
 	c.mu.Unlock()
 	if over {
-		b.Close()
+		_ = b.Close()
 		return
 	}
 	var ways sync.WaitGroup
@@ -133,7 +133,7 @@
 		case p.end == nil:
 			return true
 		case errors.Is(p.end, io.EOF):
-			to.CloseWrite()
+			_ = to.CloseWrite()
 			return false
 		default:
 			c.reset()
@@ -224,9 +224,9 @@
 			continue
 		}
 		if abort {
-			end.SetLinger(0)
+			_ = end.SetLinger(0)
 		}
-		end.Close()
+		_ = end.Close()
 	}
 }
 
--- a/internal/dispatcher/faultproxy/proxy.go
+++ b/internal/dispatcher/faultproxy/proxy.go
@@ -75,7 +75,7 @@
 	}
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	if err := l.listen(); err != nil {
-		syscall.Close(l.reservedSocket)
+		_ = syscall.Close(l.reservedSocket)
 		return nil, err
 	}
 	return l, nil
@@ -90,7 +90,7 @@
 		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	at, nameErr := syscall.Getsockname(fd)
 	if err = errors.Join(err, nameErr); err != nil {
-		syscall.Close(fd)
+		_ = syscall.Close(fd)
 		return 0, "", err
 	}
 	return fd, fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), nil
@@ -179,10 +179,10 @@
 		return 0, fmt.Errorf("replaying: %w", err)
 	}
 	n, err := c.Write(text)
-	stop := context.AfterFunc(l.ctx, func() { c.Close() })
+	stop := context.AfterFunc(l.ctx, func() { _ = c.Close() })
 	l.workers.Go(func() {
 		defer stop()
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		for rest := make([]byte, pieceSize); err == nil; {
 			_, err = c.Read(rest)
 		}
@@ -193,10 +193,10 @@
 // Close closes the proxy and waits for its goroutines.
 func (l *Proxy) Close() {
 	l.cancel()
-	l.Refuse()
+	_ = l.Refuse()
 	l.Reset()
 	l.workers.Wait()
-	syscall.Close(l.reservedSocket)
+	_ = syscall.Close(l.reservedSocket)
 }
 
 func (l *Proxy) updateFaults(change func(*fault), ways ...Direction) {
@@ -230,7 +230,7 @@
 	if l.listener != nil || l.ctx.Err() != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp", l.addr)
+	listener, err := new(net.ListenConfig).Listen(l.ctx, "tcp", l.addr)
 	if err != nil {
 		return fmt.Errorf("a link's listener: %w", err)
 	}
--- a/internal/dispatcher/faultproxy/proxy_test.go
+++ b/internal/dispatcher/faultproxy/proxy_test.go
@@ -83,7 +83,7 @@
 	if string(b) != "!" {
 		return f.Conn.Write(b)
 	}
-	f.Conn.(*net.TCPConn).SetLinger(0)
+	_ = f.Conn.(*net.TCPConn).SetLinger(0)
 	return 1, f.Close()
 }
 
@@ -177,7 +177,7 @@
 		require.NoError(t, err)
 		a, err := net.Dial("tcp", l.Addr())
 		require.NoError(t, err)
-		defer a.Close()
+		defer func() { _ = a.Close() }()
 		began := time.Now()
 		for n := range 50 {
 			_, err = a.Write([]byte{byte(n)})
@@ -185,9 +185,9 @@
 		}
 		b, err := open()
 		require.NoError(t, err)
-		defer b.Close()
+		defer func() { _ = b.Close() }()
 		got := make([]byte, 50)
-		b.SetReadDeadline(began.Add(20 * time.Second))
+		_ = b.SetReadDeadline(began.Add(20 * time.Second))
 		_, err = io.ReadFull(b, got)
 		require.NoError(t, err)
 		require.GreaterOrEqual(t, time.Since(began), least, fault)
--- a/internal/dispatcher/fleet/budget/division.go
+++ b/internal/dispatcher/fleet/budget/division.go
@@ -21,7 +21,7 @@
 // quarantined and what is reserved is not divided; parts of a Divided budget in quarantine
 // are, since they return to those that they are due to.
 func (b *AllocationTable) divideBudget(i int, s *budgetState) {
-	amount, burst, _ := s.reservedFloors()
+	amount, burst := s.reservedFloors()
 	whole, bursts := toMicros(s.Total)-amount, toMicros(s.Burst)-burst
 	for _, r := range s.Quarantines {
 		if s.Kind != Divided || r.Floor {
--- a/internal/dispatcher/fleet/budget/grant.go
+++ b/internal/dispatcher/fleet/budget/grant.go
@@ -1,7 +1,5 @@
 package budget
 
-import ()
-
 // updateAllocation changes an allocation and keeps the totals up to date.
 func (b *AllocationTable) updateAllocation(s *budgetState, l *allocation, do func()) {
 	s.held.add(l, -1)
@@ -17,18 +15,18 @@
 }
 
 // reservedFloors returns what is reserved for the floor slots that nobody has.
-func (s *budgetState) reservedFloors() (amount, burst int64, slots int) {
-	slots = max(s.FloorSlots-s.held.floors-s.quarantined.floors, 0)
+func (s *budgetState) reservedFloors() (amount, burst int64) {
+	slots := max(s.FloorSlots-s.held.floors-s.quarantined.floors, 0)
 	if s.Floor == 0 {
 		slots = 0
 	}
-	return int64(slots) * toMicros(s.Floor), int64(slots) * s.burstPerFloor(), slots
+	return int64(slots) * toMicros(s.Floor), int64(slots) * s.burstPerFloor()
 }
 
 // available returns what may be granted now; it is below 0 while a lowered total does not
 // bind yet.
 func (s *budgetState) available() (amount, burst int64) {
-	amount, burst, _ = s.reservedFloors()
+	amount, burst = s.reservedFloors()
 	return toMicros(s.Total) - amount - s.held.amount - s.quarantined.amount,
 		toMicros(s.Burst) - burst - s.held.burst - s.quarantined.burst
 }
--- a/internal/dispatcher/fleet/budget/status.go
+++ b/internal/dispatcher/fleet/budget/status.go
@@ -111,7 +111,7 @@
 func (b *AllocationTable) Status() []BudgetStatus {
 	out := make([]BudgetStatus, len(b.Budgets))
 	for i, s := range b.Budgets {
-		aside, asideBurst, _ := s.reservedFloors()
+		aside, asideBurst := s.reservedFloors()
 		free, burst := s.available()
 		out[i] = BudgetStatus{
 			Name: s.Name, Whole: s.Total, Held: fromMicros(s.held.amount), Resting: fromMicros(s.quarantined.amount), SetAside: fromMicros(aside),
--- a/internal/dispatcher/fleet/coordinator/attempt.go
+++ b/internal/dispatcher/fleet/coordinator/attempt.go
@@ -76,7 +76,7 @@
 func (r *driver) reportEnd(e planrun.ReportEnd) {
 	if err := r.execute(r.lifetime, planrun.Command{ReportEnd: &e}); errors.Is(err, planrun.ErrTooLarge) {
 		e.End, e.Result = plan.Failed, nil
-		r.execute(r.lifetime, planrun.Command{ReportEnd: &e})
+		_ = r.execute(r.lifetime, planrun.Command{ReportEnd: &e})
 	}
 }
 
--- a/internal/dispatcher/fleet/coordinator/driver.go
+++ b/internal/dispatcher/fleet/coordinator/driver.go
@@ -165,7 +165,7 @@
 	if t.Open != nil {
 		r.openStage(ctx, *t.Open, v)
 	} else {
-		r.execute(ctx, planrun.Command{ReportEnd: t.Ended})
+		_ = r.execute(ctx, planrun.Command{ReportEnd: t.Ended})
 	}
 }
 
@@ -217,5 +217,5 @@
 // abandon gives the run up, because an expression can't be evaluated.
 func (r *driver) abandon(ctx context.Context, stage int, why error) {
 	r.coordinator.log.WithError(why).WithField("run", r.id).Error("plan run abandoned: expression can't be evaluated")
-	r.execute(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: r.id, Fence: r.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
+	_ = r.execute(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: r.id, Fence: r.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
 }
--- a/internal/dispatcher/fleet/coordinator/start_async_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -85,7 +85,7 @@
 		tick, _ := codec.Encode(state.Command{Version: state.Version, Kind: state.Tick, At: at})
 		k.machine.Apply(n, tick)
 		var q rpc.Query
-		codec.Decode(body, &q)
+		_ = codec.Decode(body, &q)
 		text, _ := k.machine.Query(q.Kind, q.Body)
 		answer = rpc.Answer{Index: n, At: at, Body: text}
 	}
@@ -93,7 +93,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	text, _ := codec.Encode(answer)
-	w.Write(text)
+	_, _ = w.Write(text)
 }
 
 // process is a place in the fleet, and a dispatcher that serves all.
@@ -145,7 +145,7 @@
 			require.ErrorIs(t, c.StartAsync(StartRequest{Plan: "two"}, time.Time{}, nil), ErrUnknownPlan)
 			require.ErrorIs(t, c.StartAsync(at.ask, time.Time{}, nil), ErrNoSession, "it does not run yet")
 			var running sync.WaitGroup
-			running.Go(func() { c.Run(ctx) })
+			running.Go(func() { _ = c.Run(ctx) })
 			defer running.Wait()
 			defer stop()
 			type end struct {
--- a/internal/dispatcher/fleet/faktory_test.go
+++ b/internal/dispatcher/fleet/faktory_test.go
@@ -32,7 +32,7 @@
 	at := func(p *harness.Process) *client.Conn {
 		c, err := client.Dial(p.Addr("faktory"), "", time.Now().Add(patience))
 		require.NoError(t, err)
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		return c
 	}
 	stays, dies := at(r.Processes[3]), at(r.Processes[4])
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	text, _ := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(text)
 }
@@ -163,7 +163,7 @@
 	}
 	served(t, r, 200)
 	for _, l := range r.LinksOf(3) {
-		l.Heal()
+		_ = l.Heal()
 	}
 	joined(t, r.Processes[lead])
 	served(t, r, 100)
--- a/internal/dispatcher/fleet/harness/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -145,7 +145,7 @@
 	r := new(Cluster)
 	say := make([]string, 2)
 	for i := range say {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, say[i]) }))
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, say[i]) }))
 		defer s.Close()
 		r.Processes = append(r.Processes, &Process{Name: fmt.Sprintf("n%d", i+1), addrs: map[string]string{"admin": s.Listener.Addr().String()}})
 	}
--- a/internal/dispatcher/fleet/harness/cluster.go
+++ b/internal/dispatcher/fleet/harness/cluster.go
@@ -148,7 +148,7 @@
 	r.outages = append(r.outages, outage{addr, Span{Start: time.Now()}})
 	return func() {
 		r.clients.Go(func() {
-			p.WaitReady()
+			_ = p.WaitReady()
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			r.outages[n].End = time.Now()
@@ -209,7 +209,7 @@
 func (r *Cluster) close() {
 	r.stopClients()
 	for _, p := range r.Processes {
-		p.Kill()
+		_ = p.Kill()
 	}
 	r.clients.Wait()
 	for _, m := range r.members {
--- a/internal/dispatcher/fleet/harness/cluster_test.go
+++ b/internal/dispatcher/fleet/harness/cluster_test.go
@@ -35,7 +35,7 @@
 		}
 		resp, err := client.Get("http://" + addr + "/health/ready")
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 		}
 		return err
 	}
--- a/internal/dispatcher/fleet/harness/faults.go
+++ b/internal/dispatcher/fleet/harness/faults.go
@@ -84,7 +84,10 @@
 	}),
 	"is slow at":             linkFault(func(l *faultproxy.Proxy, f Fault, _ faultproxy.Direction) error { l.LimitRate(f.Rate); return nil }),
 	"has its calls reset by": linkFault(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { l.Reset(); return nil }),
-	"has its calls twice at": linkFault(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error { l.Replay(); return nil }),
+	"has its calls twice at": linkFault(func(l *faultproxy.Proxy, _ Fault, _ faultproxy.Direction) error {
+		_, _ = l.Replay() // the target may be down
+		return nil
+	}),
 }
 
 // FaultKinds returns the names of all kinds of faults, sorted.
--- a/internal/dispatcher/fleet/harness/process.go
+++ b/internal/dispatcher/fleet/harness/process.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	cmd.Env = append(cmd.Env, p.cluster.Env...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
@@ -175,7 +175,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	got, err := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(got), err
 }
--- a/internal/dispatcher/fleet/plan/body_reader.go
+++ b/internal/dispatcher/fleet/plan/body_reader.go
@@ -140,9 +140,10 @@
 	return n
 }
 
-func (b *bodyReader) integer(name string, need bool, least, most, usual int) int {
-	right := fmt.Sprintf("a whole number from %d to %d", least, most)
-	n := b.number(name, need, float64(least), float64(most), float64(usual), right)
+// integer returns a whole number from 1 to most.
+func (b *bodyReader) integer(name string, need bool, most, usual int) int {
+	right := fmt.Sprintf("a whole number from 1 to %d", most)
+	n := b.number(name, need, 1, float64(most), float64(usual), right)
 	if n != math.Trunc(n) {
 		b.addProblem(b.block.Attributes[name].Expr.Range(), "%s must be %s", name, right)
 	}
@@ -153,14 +154,15 @@
 	return b.number(name, false, 0, 1, 0, "a number from 0 to 1")
 }
 
-func (b *bodyReader) duration(name string, need bool, least, most, usual time.Duration) time.Duration {
-	right := fmt.Sprintf(`a time from %s to %s, as in "250ms", "2s" or "1m30s"`, formatDuration(least), formatDuration(most))
+// duration returns a duration from least to maxDuration.
+func (b *bodyReader) duration(name string, need bool, least, usual time.Duration) time.Duration {
+	right := fmt.Sprintf(`a time from %s to %s, as in "250ms", "2s" or "1m30s"`, formatDuration(least), formatDuration(maxDuration))
 	v, at, ok := b.constant(name, need, cty.String, right)
 	if !ok {
 		return usual
 	}
 	d, err := time.ParseDuration(v.AsString())
-	if err != nil || d < least || d > most {
+	if err != nil || d < least || d > maxDuration {
 		b.addProblem(at, "%s = %q must be %s", name, v.AsString(), right)
 		return usual
 	}
--- a/internal/dispatcher/fleet/plan/digest.go
+++ b/internal/dispatcher/fleet/plan/digest.go
@@ -33,7 +33,7 @@
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		if p.namesClass(name) {
 			c := classes[name]
-			fmt.Fprintf(sum, "%+v", digestClass{
+			_, _ = fmt.Fprintf(sum, "%+v", digestClass{
 				Name: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window, Aim: c.Aim, Stretch: c.Stretch,
 				GiveUp: c.GiveUp, Worth: c.Worth, Kind: c.Kind,
 			})
--- a/internal/dispatcher/fleet/plan/functions.go
+++ b/internal/dispatcher/fleet/plan/functions.go
@@ -90,7 +90,7 @@
 // presentFunc returns a list without its nulls.
 var presentFunc = function.New(&function.Spec{
 	Params: []function.Parameter{{Name: "list", Type: cty.DynamicPseudoType}},
-	Type: func(args []cty.Value) (cty.Type, error) {
+	Type: func([]cty.Value) (cty.Type, error) {
 		return cty.DynamicPseudoType, nil
 	},
 	Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
--- a/internal/dispatcher/fleet/plan/parse.go
+++ b/internal/dispatcher/fleet/plan/parse.go
@@ -138,8 +138,8 @@
 func (f *fileParser) parsePlan(block *hclsyntax.Block) *Plan {
 	p := &Plan{Name: f.blockLabel(block, "plan"), ByName: map[string]*Stage{}}
 	b := f.newBodyReader(block.Body, "a plan")
-	p.Timeout = b.duration("within", true, time.Millisecond, maxDuration, 0)
-	p.MaxAttempts = b.integer("attempts", true, 1, maxAttempts, 0)
+	p.Timeout = b.duration("within", true, time.Millisecond, 0)
+	p.MaxAttempts = b.integer("attempts", true, maxAttempts, 0)
 	p.boundRanges = map[string]hcl.Range{}
 	for name, a := range block.Body.Attributes {
 		p.boundRanges[name] = a.Expr.Range()
@@ -179,10 +179,10 @@
 	s.Class, s.Effect, s.AttemptTimeout = class.Name, class.Effect, class.GiveUp
 	s.After, s.afterRanges = b.stringList("after", false)
 	s.Path, s.Body, s.Key = b.expression("path", true), b.expression("body", false), b.expression("key", false)
-	s.Cost = b.duration("cost", false, 0, maxDuration, 0)
+	s.Cost = b.duration("cost", false, 0, 0)
 	if s.Each = b.expression("each", false); s.Each != nil {
-		s.MaxItems = b.integer("most", true, 1, maxListLength, 0)
-		s.MinSucceeded = b.integer("at_least", false, 1, max(s.MaxItems, 1), 0)
+		s.MaxItems = b.integer("most", true, maxListLength, 0)
+		s.MinSucceeded = b.integer("at_least", false, max(s.MaxItems, 1), 0)
 	} else {
 		for _, name := range []string{"most", "at_least"} {
 			if a := b.attribute(name); a != nil {
@@ -191,7 +191,7 @@
 		}
 	}
 	if s.Shared = b.expression("shared", false); s.Shared != nil {
-		s.SharedFor = b.duration("shared_for", true, time.Millisecond, maxDuration, 0)
+		s.SharedFor = b.duration("shared_for", true, time.Millisecond, 0)
 	} else if a := b.attribute("shared_for"); a != nil {
 		f.addProblem(a.NameRange, "shared_for is for a stage with shared: add shared, the key that plans share it by, or leave it out")
 	}
@@ -228,9 +228,9 @@
 	if len(words) == 0 && b.hasAttribute("on") {
 		f.addProblem(b.block.Attributes["on"].Range(), "on is empty: name the ends that the stage is tried again on, some of %s", strings.Join(endWords[1:], ", "))
 	}
-	r.MaxRetries = b.integer("most", true, 1, maxTries, 0)
-	r.Wait = b.duration("wait", false, 0, maxDuration, 0)
-	r.MaxWait = b.duration("wait_at_most", false, r.Wait, maxDuration, maxDuration)
+	r.MaxRetries = b.integer("most", true, maxTries, 0)
+	r.Wait = b.duration("wait", false, 0, 0)
+	r.MaxWait = b.duration("wait_at_most", false, r.Wait, maxDuration)
 	r.Jitter = math.Round(b.fraction("jitter")*1000) / 1000
 	r.Where = Place(b.enumValue("where", string(Anywhere), []string{string(Anywhere), string(OtherMember), string(OtherZone)}))
 	b.reportUnread()
@@ -245,7 +245,7 @@
 		r.Of, r.ofRange = block.Labels[0], block.LabelRanges[0]
 	}
 	r.When = b.expression("when", true)
-	r.MaxReruns = b.integer("most", true, 1, maxTries, 0)
+	r.MaxReruns = b.integer("most", true, maxTries, 0)
 	b.reportUnread()
 	return r
 }
@@ -256,8 +256,8 @@
 	class := f.parseClass(b)
 	u.Class, u.Effect, u.AttemptTimeout = class.Name, class.Effect, class.GiveUp
 	u.Path, u.Body, u.Key = b.expression("path", true), b.expression("body", false), b.expression("key", false)
-	u.MaxTries = b.integer("most", false, 1, maxTries, 1)
-	u.Wait = b.duration("wait", false, 0, maxDuration, 0)
+	u.MaxTries = b.integer("most", false, maxTries, 1)
+	u.Wait = b.duration("wait", false, 0, 0)
 	b.reportUnread()
 	return u
 }
--- a/internal/dispatcher/fleet/planrun/answer.go
+++ b/internal/dispatcher/fleet/planrun/answer.go
@@ -68,10 +68,28 @@
 	a := &Answer{
 		Run: r.ID, Plan: r.Plan, Digest: r.Digest, Started: r.Started, At: at, Until: max(at+b.limits.AnswerRetention, r.StartBy), Attempts: r.AttemptsUsed,
 	}
+	a.Outcome, a.StagesWithEffects = r.outcome()
+	if g := r.GaveUp; g != nil {
+		if a.End, a.Reason = g.End, g.Reason; g.Stage >= 0 {
+			a.Stage = r.shape.Stages[g.Stage].Name
+		}
+	}
+	a.Results, a.ResultsOmitted = r.finalResults(a.StagesWithEffects, b.limits.AnswerBytes)
+	b.detachOutputs(r)
+	b.unorphanRun(r)
+	b.deadlines.Remove(r.heapIndex)
+	delete(b.runs, r.ID)
+	b.releaseShape(r.Shape)
+	b.answers[r.ID] = a
+	b.answersByEnd = append(b.answersByEnd, a)
+	b.trimResults()
+}
+
+// outcome returns the outcome of a run that has ended, and the stages whose effects remain
+// though it was not served.
+func (r *Run) outcome() (outcome Outcome, withEffects []string) {
 	var ran, unsure bool
-	last := ^uint64(0)
 	for i := range r.Stages {
-		last &^= r.shape.upstreamSets[i]
 		sh, st, left := &r.shape.Stages[i], &r.Stages[i], false
 		for k := range st.Items {
 			it := &st.Items[k]
@@ -83,48 +101,45 @@
 			unsure = unsure || it.Job.State != Succeeded || it.Undo.MayHaveRun
 		}
 		if left {
-			a.StagesWithEffects = append(a.StagesWithEffects, sh.Name)
+			withEffects = append(withEffects, sh.Name)
 		}
 	}
-	switch g := r.GaveUp; {
-	case g == nil:
-		a.Outcome, a.StagesWithEffects = Served, nil
+	switch {
+	case r.GaveUp == nil:
+		return Served, nil
 	case !ran:
-		a.Outcome = Refused
+		return Refused, withEffects
 	case unsure:
-		a.Outcome = Unknown
+		return Unknown, withEffects
 	default:
-		a.Outcome = Failed
+		return Failed, withEffects
 	}
-	if g := r.GaveUp; g != nil {
-		if a.End, a.Reason = g.End, g.Reason; g.Stage >= 0 {
-			a.Stage = r.shape.Stages[g.Stage].Name
-		}
+}
+
+// finalResults returns the results in a run's answer: of the stages that no other depends
+// on or, if the run gave up, of those with effects. They are omitted if they have more
+// bytes than limit.
+func (r *Run) finalResults(withEffects []string, limit int) (results []Results, omitted bool) {
+	last := ^uint64(0)
+	for i := range r.Stages {
+		last &^= r.shape.upstreamSets[i]
 	}
 	size := 0
 	for i := range r.Stages {
 		st, name := &r.Stages[i], r.shape.Stages[i].Name
-		if r.GaveUp == nil && last&(1<<i) == 0 || r.GaveUp != nil && !slices.Contains(a.StagesWithEffects, name) {
+		if r.GaveUp == nil && last&(1<<i) == 0 || r.GaveUp != nil && !slices.Contains(withEffects, name) {
 			continue
 		}
 		list := st.Results()
 		for _, v := range list {
 			size += len(v)
 		}
-		if size > b.limits.AnswerBytes {
-			a.Results, a.ResultsOmitted = nil, true
-			break
+		if size > limit {
+			return nil, true
 		}
-		a.Results = append(a.Results, Results{name, list})
+		results = append(results, Results{name, list})
 	}
-	b.detachOutputs(r)
-	b.unorphanRun(r)
-	b.deadlines.Remove(r.heapIndex)
-	delete(b.runs, r.ID)
-	b.releaseShape(r.Shape)
-	b.answers[r.ID] = a
-	b.answersByEnd = append(b.answersByEnd, a)
-	b.trimResults()
+	return results, false
 }
 
 // trimResults drops the results of the oldest answers, beyond Limits.AnswersWithResults.
--- a/internal/dispatcher/fleet/planrun/attempt_end.go
+++ b/internal/dispatcher/fleet/planrun/attempt_end.go
@@ -28,17 +28,7 @@
 		return false
 	}
 	if c.End == plan.Lost {
-		if c.Lost.Generation > r.Stages[c.Lost.Stage].LostThrough {
-			if !b.rerunAllowed(r, c) {
-				b.failItem(at, r, c.Stage, c.Item, "no rule covers this end, or no rerun is left")
-				return false
-			}
-			fresh = b.loseOutput(r, c.Lost.Stage, c.Lost.Generation)
-		}
-		if r.GaveUp == nil && !maySendAgain(sh.Effect, t.MayHaveRun) {
-			b.failItem(at, r, c.Stage, c.Item, "it must never run twice")
-		}
-		return fresh
+		return b.endAttemptWithLoss(at, r, c)
 	}
 	if it.Generation != st.Generation || st.Complete { // what it was given has gone since, or another run made the output
 		return false
@@ -51,6 +41,32 @@
 		b.failItem(at, r, c.Stage, c.Item, "it must never run twice")
 		return false
 	}
+	if !b.retryItem(at, r, c) {
+		b.failItem(at, r, c.Stage, c.Item, "no rule covers this end, or no try is left")
+	}
+	return false
+}
+
+// endAttemptWithLoss takes in that an attempt reports a lost input, and reports whether
+// that was new.
+func (b *Tracker) endAttemptWithLoss(at time.Duration, r *Run, c ReportEnd) (fresh bool) {
+	if c.Lost.Generation > r.Stages[c.Lost.Stage].LostThrough {
+		if !b.rerunAllowed(r, c) {
+			b.failItem(at, r, c.Stage, c.Item, "no rule covers this end, or no rerun is left")
+			return false
+		}
+		fresh = b.loseOutput(r, c.Lost.Stage, c.Lost.Generation)
+	}
+	if r.GaveUp == nil && !maySendAgain(r.shape.Stages[c.Stage].Effect, r.Stages[c.Stage].Items[c.Item].Job.MayHaveRun) {
+		b.failItem(at, r, c.Stage, c.Item, "it must never run twice")
+	}
+	return fresh
+}
+
+// retryItem schedules a retry by the first rule that names the end, and reports whether
+// that has a retry left.
+func (b *Tracker) retryItem(at time.Duration, r *Run, c ReportEnd) bool {
+	sh, it := &r.shape.Stages[c.Stage], &r.Stages[c.Stage].Items[c.Item]
 	for i := range sh.Retries {
 		q := &sh.Retries[i]
 		if !slices.Contains(q.On, c.End) {
@@ -60,16 +76,15 @@
 			it.RetriesUsed = make([]int, len(sh.Retries))
 		}
 		if it.RetriesUsed[i] >= q.MaxRetries {
-			break
+			return false
 		}
-		t.NotBefore = at + q.delay(r.Seed, c.Stage, c.Item, t.Attempt, it.RetriesUsed[i])
+		it.Job.NotBefore = at + q.delay(r.Seed, c.Stage, c.Item, it.Job.Attempt, it.RetriesUsed[i])
 		it.RetriesUsed[i]++
-		if it.RetryPlace = q.Where; t.NotBefore >= r.Deadline {
+		if it.RetryPlace = q.Where; it.Job.NotBefore >= r.Deadline {
 			b.failItemLate(at, r, c.Stage, c.Item)
 		}
-		return false
+		return true
 	}
-	b.failItem(at, r, c.Stage, c.Item, "no rule covers this end, or no try is left")
 	return false
 }
 
--- a/internal/dispatcher/fleet/planrun/bench_test.go
+++ b/internal/dispatcher/fleet/planrun/bench_test.go
@@ -36,7 +36,7 @@
 			if _, e := book.SendAttempt(at, SendAttempt{Run: id, Fence: x.Fence, Stage: st, Generation: 1, Inputs: in, Attempt: 1}); e != nil || err != nil {
 				b.Fatal(e, err)
 			}
-			book.ReportEnd(at, ReportEnd{Run: id, Fence: x.Fence, Stage: st, Attempt: 1, End: plan.Done, Result: []byte(`{"ok":true}`)})
+			_, _ = book.ReportEnd(at, ReportEnd{Run: id, Fence: x.Fence, Stage: st, Attempt: 1, End: plan.Done, Result: []byte(`{"ok":true}`)})
 			in = append(in, 1)
 		}
 		if book.Advance(at); book.answers[id] == nil {
@@ -50,7 +50,7 @@
 func BenchmarkSnapshot(b *testing.B) {
 	book, s := NewTracker(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.AtMostOnce)
 	for i := range 5000 {
-		book.Start(0, Start{Run: fmt.Sprint("run", i), Plan: "p", Shape: s, Input: make([]byte, 200), Before: time.Second, Process: "n", Incarnation: 1})
+		_, _ = book.Start(0, Start{Run: fmt.Sprint("run", i), Plan: "p", Shape: s, Input: make([]byte, 200), Before: time.Second, Process: "n", Incarnation: 1})
 	}
 	for range b.N {
 		text, err := book.Encode()
@@ -95,7 +95,7 @@
 	var ids []string
 	for i := range 50 {
 		ids = append(ids, fmt.Sprint(i))
-		book.Start(at, Start{Run: ids[i], Shape: s, Seed: uint64(i), Before: time.Minute, Process: "n"})
+		_, _ = book.Start(at, Start{Run: ids[i], Shape: s, Seed: uint64(i), Before: time.Minute, Process: "n"})
 	}
 	for len(book.runs) > 0 {
 		at += 10 * ms
@@ -107,9 +107,9 @@
 			for _, a := range Next(at, time.Second, v) {
 				switch a.Kind {
 				case OpenStage:
-					book.Open(at, Open{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Key: "tour", Items: [][]byte{nil}})
+					_ = book.Open(at, Open{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Key: "tour", Items: [][]byte{nil}})
 				case SendJob:
-					book.SendAttempt(at, SendAttempt{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Generation: a.Generation, Inputs: a.Inputs, Attempt: a.Attempt})
+					_, _ = book.SendAttempt(at, SendAttempt{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Generation: a.Generation, Inputs: a.Inputs, Attempt: a.Attempt})
 				case AwaitEnd:
 					e := ReportEnd{Run: id, Fence: v.Run.Fence, Stage: a.Stage, Attempt: a.Attempt, End: plan.Done, Result: []byte("1")}
 					if lose && a.Stage == 1 {
@@ -122,7 +122,7 @@
 					} else if a.Stage == 0 {
 						makes++
 					}
-					book.ReportEnd(at, e)
+					_, _ = book.ReportEnd(at, e)
 				}
 			}
 		}
--- a/internal/dispatcher/fleet/planrun/model_test.go
+++ b/internal/dispatcher/fleet/planrun/model_test.go
@@ -106,7 +106,7 @@
 							if a.Stage == 0 {
 								o.Key = "tour"
 							}
-							r.apply(at, o)
+							_, _ = r.apply(at, o)
 						case SendJob, SendUndo:
 							send(t, SendAttempt{Run: id, Fence: fence[id], Stage: a.Stage, Item: a.Item, Undo: a.Undo, Generation: a.Generation, Inputs: a.Inputs, Attempt: a.Attempt}, view(id))
 						case AwaitEnd:
@@ -117,7 +117,7 @@
 							}
 						case WaitUntil:
 							at = min(a.At, at+25*ms)
-							r.apply(at, nil)
+							_, _ = r.apply(at, nil)
 						}
 					}
 				}
@@ -140,7 +140,7 @@
 				if o.Fence = fence[o.Run]; o.Stage == 0 {
 					o.Key, o.Items = "tour", o.Items[:min(1, len(o.Items))]
 				}
-				r.apply(at, o)
+				_, _ = r.apply(at, o)
 			},
 			"send": func(t *rapid.T) {
 				id := run(t)
@@ -176,7 +176,7 @@
 				if draw(t, "rarely", 3) > 0 {
 					t.Skip()
 				}
-				r.apply(at, LeaseExpired{"n1", 1})
+				_, _ = r.apply(at, LeaseExpired{"n1", 1})
 				reply, _ := r.apply(at, Claim{Process: "n1", Incarnation: 1, MaxRuns: draw(t, "most", 3)})
 				for _, c := range reply.Claimed {
 					require.Greater(t, c.Fence, fence[c.Run])
@@ -188,12 +188,12 @@
 			},
 			"abandon": func(t *rapid.T) {
 				if id := run(t); draw(t, "rarely", 9) == 0 {
-					r.apply(at, Abandon{Run: id, Fence: fence[id], Stage: -1, End: plan.Failed, Reason: "told to"})
+					_, _ = r.apply(at, Abandon{Run: id, Fence: fence[id], Stage: -1, End: plan.Failed, Reason: "told to"})
 				}
 			},
 			"time": func(t *rapid.T) {
 				at += time.Duration(draw(t, "ms", 60)*rapid.SampledFrom([]int{1, 1, 20}).Draw(t, "times")) * ms
-				r.apply(at, nil)
+				_, _ = r.apply(at, nil)
 			},
 			"": func(t *rapid.T) {
 				r.alike(t)
@@ -249,8 +249,8 @@
 func FuzzDecode(f *testing.F) {
 	b := NewTracker(DefaultLimits())
 	x, _ := b.Start(0, Start{Run: "r", Shape: booking(2), Before: time.Second, Process: "n"})
-	b.Open(0, Open{Run: "r", Fence: x.Fence, Stage: 0, Key: "tour", Items: [][]byte{nil}})
-	b.SendAttempt(0, SendAttempt{Run: "r", Fence: x.Fence, Generation: 1, Attempt: 1})
+	_ = b.Open(0, Open{Run: "r", Fence: x.Fence, Stage: 0, Key: "tour", Items: [][]byte{nil}})
+	_, _ = b.SendAttempt(0, SendAttempt{Run: "r", Fence: x.Fence, Generation: 1, Attempt: 1})
 	text, _ := b.Encode()
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/dispatcher/fleet/planrun/sim_test.go
+++ b/internal/dispatcher/fleet/planrun/sim_test.go
@@ -408,11 +408,11 @@
 				id := fmt.Sprintf("%s %d", p.name, i)
 				if until, ok := s.leases[id]; ok && until >= 0 && until <= s.fleet() || ok && until >= 0 && i < p.incarnation {
 					s.leases[id] = -1
-					s.commit(LeaseExpired{p.name, i})
+					_, _ = s.commit(LeaseExpired{p.name, i})
 				}
 			}
 		}
-		s.commit(nil)
+		_, _ = s.commit(nil)
 	}
 	s.after(20*ms, s.tick)
 }
--- a/internal/dispatcher/fleet/planrun/tracker_test.go
+++ b/internal/dispatcher/fleet/planrun/tracker_test.go
@@ -130,7 +130,7 @@
 
 // takeOver has another coordinator claim all.
 func (c *script) takeOver() {
-	c.apply(c.at, LeaseExpired{"n1", 1})
+	_, _ = c.apply(c.at, LeaseExpired{"n1", 1})
 	reply, _ := c.apply(c.at, Claim{Process: "n2", Incarnation: 1, MaxRuns: 100})
 	for _, k := range reply.Claimed {
 		if k.Run == c.run {
@@ -164,7 +164,7 @@
 	require.Equal(t, []Results{{"notice", [][]byte{[]byte(`1`)}}}, a.Results)
 	require.Equal(t, a, c.start(booking(2), "r", "n2").Answer)
 	c.at = a.Until + 1
-	c.apply(c.at, nil)
+	_, _ = c.apply(c.at, nil)
 	_, err := c.apply(c.at, Start{Run: "r", Shape: booking(2), Before: a.Until, Process: "n1"})
 	require.ErrorIs(t, err, ErrDeadline, "delivered late, after the answer was dropped")
 }
@@ -274,9 +274,9 @@
 		c.open(0, 1, "tour")
 		require.ErrorIs(t, c.send(0, 0), ErrProducedElsewhere)
 		if dies {
-			c.apply(c.at, LeaseExpired{"n1", 1})
+			_, _ = c.apply(c.at, LeaseExpired{"n1", 1})
 		} else {
-			c.apply(c.at, Abandon{Run: "r1", Fence: first, Stage: -1, End: plan.Failed})
+			_, _ = c.apply(c.at, Abandon{Run: "r1", Fence: first, Stage: -1, End: plan.Failed})
 		}
 		c.runs(0, 0)
 		c.open(1, 1, "")
@@ -311,7 +311,7 @@
 	c.open(1, 1, "")
 	c.runs(1, 0)
 	require.NoError(t, c.send(2, 0))
-	c.apply(c.at, Abandon{Run: "r", Fence: c.fence, Stage: -1, End: plan.Failed})
+	_, _ = c.apply(c.at, Abandon{Run: "r", Fence: c.fence, Stage: -1, End: plan.Failed})
 	undo := func(stage int) error {
 		_, err := c.apply(c.at, SendAttempt{Run: "r", Fence: c.fence, Stage: stage, Undo: true, Attempt: 1})
 		return err
@@ -321,9 +321,9 @@
 	require.ErrorIs(t, undo(1), ErrStale, "the ticket first")
 	require.NoError(t, undo(2))
 	require.ErrorIs(t, undo(1), ErrStale, "the ticket's undo is out")
-	c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 2, Undo: true, Attempt: 1, End: plan.Done})
+	_, _ = c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 2, Undo: true, Attempt: 1, End: plan.Done})
 	require.NoError(t, undo(1))
-	c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
+	_, _ = c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
 	a := c.answer()
 	require.Equal(t, Failed, a.Outcome)
 	require.Empty(t, a.StagesWithEffects)
@@ -379,10 +379,10 @@
 		"a coordinator that does nothing": {two(policy.Idempotent, 1), func(c *script) {
 			require.NoError(c.t, c.send(0, 0))
 			c.at += time.Second
-			c.apply(c.at, nil)
+			_, _ = c.apply(c.at, nil)
 			require.Equal(c.t, "its deadline passed", c.view().Run.GaveUp.Reason)
 			c.at += DefaultLimits().Grace
-			c.apply(c.at, nil)
+			_, _ = c.apply(c.at, nil)
 		}, Failed, "deadline"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatcher/fleet/raftnode/data_dir.go
+++ b/internal/dispatcher/fleet/raftnode/data_dir.go
@@ -51,7 +51,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, fmt.Errorf("%w: another process uses %s", ErrDataDir, path)
 	}
 	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: k.settings.Name}}
@@ -59,7 +59,7 @@
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		if _, err := os.Stat(filepath.Join(path, "log.db")); err == nil {
-			lock.Close()
+			_ = lock.Close()
 			return nil, fmt.Errorf("%w: %s has a log, and no mark of whose it is", ErrDataDir, path)
 		}
 		return f, nil
@@ -76,7 +76,7 @@
 	default:
 		return f, nil
 	}
-	lock.Close()
+	_ = lock.Close()
 	return nil, err
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
-	defer os.Remove(temp.Name())
+	defer func() { _ = os.Remove(temp.Name()) }()
 	_, err = temp.Write(text)
 	err = errors.Join(err, temp.Sync(), temp.Close())
 	if err == nil {
--- a/internal/dispatcher/fleet/raftnode/fsm.go
+++ b/internal/dispatcher/fleet/raftnode/fsm.go
@@ -53,7 +53,7 @@
 
 // Restore implements raft.FSM.
 func (f *fsm) Restore(r io.ReadCloser) error {
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.Restore(r)
@@ -94,7 +94,7 @@
 // Persist implements raft.FSMSnapshot.
 func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
 	if err := s.Write(to); err != nil {
-		to.Cancel()
+		_ = to.Cancel()
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
 	return to.Close()
--- a/internal/dispatcher/fleet/raftnode/http.go
+++ b/internal/dispatcher/fleet/raftnode/http.go
@@ -50,7 +50,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	w.Write(text)
+	_, _ = w.Write(text) // the caller may be gone
 }
 
 // redirect answers that another node is the leader, and which.
--- a/internal/dispatcher/fleet/raftnode/join.go
+++ b/internal/dispatcher/fleet/raftnode/join.go
@@ -20,7 +20,7 @@
 
 // joinWithEmptyDir returns once the other nodes have added this one, or returns true once
 // it is known that the fleet is to be bootstrapped.
-func (k *Node) joinWithEmptyDir(ctx context.Context, own *dataDir) (found bool, err error) {
+func (k *Node) joinWithEmptyDir(ctx context.Context) (found bool, err error) {
 	k.mu.Lock()
 	k.empty = true
 	k.mu.Unlock()
--- a/internal/dispatcher/fleet/raftnode/leadership.go
+++ b/internal/dispatcher/fleet/raftnode/leadership.go
@@ -25,7 +25,7 @@
 func (l *leadership) now() time.Duration { return l.startTime + time.Since(l.since) }
 
 // updateLeadership records that this node has become the leader or has lost the leadership.
-func (k *Node) updateLeadership(ctx context.Context, n *replica) {
+func (k *Node) updateLeadership(n *replica) {
 	leads := n.raft.State() == raft.Leader
 	k.mu.Lock()
 	was := k.leadership
--- a/internal/dispatcher/fleet/raftnode/membership.go
+++ b/internal/dispatcher/fleet/raftnode/membership.go
@@ -57,7 +57,7 @@
 	if err := n.raft.RemoveServer(id, 0, 0).Error(); err != nil {
 		return err
 	}
-	k.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count begins anew
+	_ = k.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count begins anew
 	k.log.WithField("keeper", b.Name).Warn("raft node rejoins without state; no vote until it has caught up")
 	return n.raft.AddNonvoter(id, raft.ServerAddress(b.Name), 0, 0).Error()
 }
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	defer own.lock.Close()
+	defer func() { _ = own.lock.Close() }()
 	for ctx.Err() == nil {
 		anew, err := k.runReplica(ctx, own)
 		if err != nil {
@@ -134,35 +134,35 @@
 	}
 	has, err := raft.HasExistingState(n.store, n.store, own.snapshots)
 	if err != nil {
-		n.store.Close()
+		_ = n.store.Close()
 		return false, fmt.Errorf("reading the fleet's log: %w", err)
 	}
 	if has && k.isStaleCopy(ctx, own) {
 		k.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
-		n.store.Close()
+		_ = n.store.Close()
 		return true, nil
 	}
 	if !has {
-		found, err := k.joinWithEmptyDir(ctx, own)
+		found, err := k.joinWithEmptyDir(ctx)
 		if err != nil || ctx.Err() != nil {
-			n.store.Close()
+			_ = n.store.Close()
 			return false, err
 		}
 		if found {
 			if err := raft.BootstrapCluster(k.raftConfig(), n.store, n.store, own.snapshots, &raft.InmemTransport{}, k.initialConfiguration()); err != nil {
-				n.store.Close()
+				_ = n.store.Close()
 				return false, fmt.Errorf("founding the fleet: %w", err)
 			}
 		}
 	}
 	if err := own.countStart(); err != nil {
-		n.store.Close()
+		_ = n.store.Close()
 		return false, err
 	}
 	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(k.settings.RaftListener, k.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.raftLogger()})
 	if n.raft, err = raft.NewRaft(k.raftConfig(), k.fsm, n.store, n.store, own.snapshots, n.transport); err != nil {
-		n.transport.Close()
-		n.store.Close()
+		_ = n.transport.Close()
+		_ = n.store.Close()
 		return false, fmt.Errorf("starting the fleet's log: %w", err)
 	}
 	k.mu.Lock()
@@ -177,7 +177,7 @@
 		k.log.WithError(err).Error("raft shutdown failed")
 	}
 	n.transport.CloseStreams()
-	n.transport.Close()
+	_ = n.transport.Close()
 	if err := n.store.Close(); err != nil {
 		k.log.WithError(err).Error("closing the raft log failed")
 	}
@@ -222,7 +222,7 @@
 	}
 	own.snapshots, err = raft.NewFileSnapshotStoreWithLogger(own.path, 2, k.raftLogger())
 	if err != nil {
-		store.Close()
+		_ = store.Close()
 		return nil, fmt.Errorf("opening the fleet's snapshots: %w", err)
 	}
 	return &replica{store: store}, nil
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -81,7 +81,7 @@
 		for _, m := range []map[string]net.Listener{f.calls, f.votes} {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			t.Cleanup(func() { l.Close() })
+			t.Cleanup(func() { _ = l.Close() })
 			m[name] = l
 		}
 		f.peers[name] = Peer{f.calls[name].Addr().String(), f.votes[name].Addr().String()}
@@ -94,7 +94,7 @@
 	t.Cleanup(func() {
 		f.client.Close()
 		for _, stop := range f.stops {
-			stop()
+			_ = stop()
 		}
 	})
 	var err error
@@ -135,10 +135,10 @@
 	all.Go(func() { relay(ctx, f.calls[name], l.Addr().String()) })
 	f.up[name], f.stops[name] = k, sync.OnceValue(func() error {
 		cancel()
-		server.Close()
-		f.calls[name].(*net.TCPListener).SetDeadline(time.Now())
+		_ = server.Close()
+		_ = f.calls[name].(*net.TCPListener).SetDeadline(time.Now())
 		all.Wait()
-		f.calls[name].(*net.TCPListener).SetDeadline(time.Time{})
+		_ = f.calls[name].(*net.TCPListener).SetDeadline(time.Time{})
 		delete(f.up, name)
 		return <-ended
 	})
@@ -153,17 +153,17 @@
 		if err != nil {
 			return
 		}
-		stop := context.AfterFunc(ctx, func() { in.Close() })
+		stop := context.AfterFunc(ctx, func() { _ = in.Close() })
 		all.Go(func() {
 			defer stop()
-			defer in.Close()
+			defer func() { _ = in.Close() }()
 			out, err := net.Dial("tcp", to)
 			if err != nil {
 				return
 			}
-			defer out.Close()
-			all.Go(func() { io.Copy(out, in); out.Close() })
-			io.Copy(in, out)
+			defer func() { _ = out.Close() }()
+			all.Go(func() { _, _ = io.Copy(out, in); _ = out.Close() })
+			_, _ = io.Copy(in, out)
 		})
 	}
 }
@@ -375,7 +375,7 @@
 	k := &Node{settings: Settings{Name: "k1", Folder: dir}}
 	first, err := k.openDir()
 	require.NoError(t, err)
-	defer first.lock.Close()
+	defer func() { _ = first.lock.Close() }()
 	_, err = k.openDir()
 	require.True(t, errors.Is(err, ErrDataDir), fmt.Sprint(err))
 }
--- a/internal/dispatcher/fleet/raftnode/stream_layer.go
+++ b/internal/dispatcher/fleet/raftnode/stream_layer.go
@@ -1,6 +1,7 @@
 package raftnode
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -36,7 +37,7 @@
 			return nil, net.ErrClosed
 		default:
 		}
-		l.SetDeadline(time.Now().Add(100 * time.Millisecond))
+		_ = l.SetDeadline(time.Now().Add(100 * time.Millisecond))
 		c, err := l.Accept()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
@@ -69,7 +70,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.accepted {
-		c.Close()
+		_ = c.Close()
 	}
 	return nil
 }
@@ -80,5 +81,6 @@
 	if !ok {
 		return nil, fmt.Errorf("no keeper is called %q", address)
 	}
-	return net.DialTimeout("tcp", p.RaftAddr, within)
+	d := net.Dialer{Timeout: within}
+	return d.DialContext(context.Background(), "tcp", p.RaftAddr) // the library gives no context
 }
--- a/internal/dispatcher/fleet/raftnode/supervise.go
+++ b/internal/dispatcher/fleet/raftnode/supervise.go
@@ -45,7 +45,7 @@
 		case <-ctx.Done():
 			return false
 		case <-tick.C:
-			k.updateLeadership(ctx, n)
+			k.updateLeadership(n)
 			k.advanceTime(&summed)
 			if !booted {
 				booted = k.submit(ctx, state.ReportBoot, state.BootBody{Process: k.settings.Name, Count: own.identity.Starts}) == nil
--- a/internal/dispatcher/fleet/records/ship.go
+++ b/internal/dispatcher/fleet/records/ship.go
@@ -13,11 +13,8 @@
 // hold covers it. ErrGap and ErrIncarnation change nothing; with ErrGap the reply's Through
 // is valid all the same.
 func (s *State) Ship(_ time.Duration, st Store, c Ship) (done Shipped, err error) {
-	switch {
-	case c.Process == "" || len(c.Process) > 255 || !isValidText(c.Process) || strings.ContainsRune(c.Process, 0):
-		return done, fmt.Errorf("a process's name %.40q: %w", c.Process, ErrInvalid)
-	case c.FirstSeq == 0 || c.FirstSeq+uint64(len(c.Records)) < c.FirstSeq:
-		return done, fmt.Errorf("records from number %d on: %w", c.FirstSeq, ErrInvalid)
+	if err := c.check(); err != nil {
+		return done, err
 	}
 	p := &processState{Name: c.Process}
 	if known := s.processes[c.Process]; known != nil {
@@ -47,27 +44,9 @@
 			continue
 		}
 		r := Trim(c.Records[n], len(c.Records[n].Body))
-		r.Process, r.Epoch, r.Seq, r.Tenant = c.Process, c.Epoch, seq, s.storedTenant(r.Tenant)
-		r.Ended = max(r.Ended, 0) // the least mark is at 0
-		text, err := r.Encode()
-		if err != nil {
-			done.TooLarge++
-			continue
-		}
-		t := s.tenant(r.Tenant)
-		below := t.isPruned(&r)
-		if below && !s.isHeld(&r) && !faultResurrectPruned {
-			done.AlreadyPruned++
-			continue
-		}
-		if err := st.Put(&r, text); err != nil {
-			return done, errors.Join(ErrStore, err)
-		}
-		done.Stored++
-		l := &t.Classes[r.RetentionClass()]
-		l.All.add(text)
-		if below {
-			l.BelowWatermark.add(text)
+		r.Process, r.Epoch, r.Seq = c.Process, c.Epoch, seq
+		if err := s.storeRecord(st, &r, &done); err != nil {
+			return done, err
 		}
 	}
 	if c.FirstSeq > done.Through+1 {
@@ -75,15 +54,7 @@
 	}
 	done.Through = max(done.Through, last)
 	s.processes[p.Name] = p
-	if !known {
-		p.Epochs = slices.Insert(p.Epochs, i, epochProgress{Epoch: c.Epoch})
-	}
-	p.Epochs[i].Through = done.Through
-	p.Epochs[i].Missing += done.Missing
-	if len(p.Epochs) > maxEpochs {
-		p.Forgotten = p.Epochs[0].Epoch
-		p.Epochs = slices.Delete(p.Epochs, 0, 1)
-	}
+	p.advanceEpoch(c.Epoch, done.Through, done.Missing)
 	p.Incarnation = c.Incarnation
 	s.counts.Taken += int64(done.Stored)
 	s.counts.Again += int64(done.Duplicates)
@@ -92,3 +63,57 @@
 	s.counts.Missing += done.Missing
 	return done, nil
 }
+
+// check validates the process and the sequence numbers of a Ship.
+func (c *Ship) check() error {
+	switch {
+	case c.Process == "" || len(c.Process) > 255 || !isValidText(c.Process) || strings.ContainsRune(c.Process, 0):
+		return fmt.Errorf("a process's name %.40q: %w", c.Process, ErrInvalid)
+	case c.FirstSeq == 0 || c.FirstSeq+uint64(len(c.Records)) < c.FirstSeq:
+		return fmt.Errorf("records from number %d on: %w", c.FirstSeq, ErrInvalid)
+	}
+	return nil
+}
+
+// storeRecord stores one record that is new, unless it is pruned already or too large,
+// and counts it in the reply.
+func (s *State) storeRecord(st Store, r *Record, done *Shipped) error {
+	r.Tenant = s.storedTenant(r.Tenant)
+	r.Ended = max(r.Ended, 0) // the least watermark is at 0
+	text, err := r.Encode()
+	if err != nil {
+		done.TooLarge++
+		return nil // it is counted, and the others are stored
+	}
+	t := s.tenant(r.Tenant)
+	below := t.isPruned(r)
+	if below && !s.isHeld(r) && !faultResurrectPruned {
+		done.AlreadyPruned++
+		return nil
+	}
+	if err := st.Put(r, text); err != nil {
+		return errors.Join(ErrStore, err)
+	}
+	done.Stored++
+	l := &t.Classes[r.RetentionClass()]
+	l.All.add(text)
+	if below {
+		l.BelowWatermark.add(text)
+	}
+	return nil
+}
+
+// advanceEpoch records how far an epoch was processed, and forgets the oldest epoch if
+// there are too many.
+func (p *processState) advanceEpoch(number, through, missing uint64) {
+	i, known := slices.BinarySearchFunc(p.Epochs, number, func(e epochProgress, of uint64) int { return cmp.Compare(e.Epoch, of) })
+	if !known {
+		p.Epochs = slices.Insert(p.Epochs, i, epochProgress{Epoch: number})
+	}
+	p.Epochs[i].Through = through
+	p.Epochs[i].Missing += missing
+	if len(p.Epochs) > maxEpochs {
+		p.Forgotten = p.Epochs[0].Epoch
+		p.Epochs = slices.Delete(p.Epochs, 0, 1)
+	}
+}
--- a/internal/dispatcher/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -62,7 +62,7 @@
 	header = binary.LittleEndian.AppendUint64(header, uint64(len(s.state)))
 	header = binary.LittleEndian.AppendUint64(header, uint64(s.tx.Size()))
 	header = binary.LittleEndian.AppendUint64(header, xxhash.Sum64(header))
-	both.Write(append(header, s.state...)) // an error is told by Flush
+	_, _ = both.Write(append(header, s.state...)) // an error is told by Flush
 	n, err := s.tx.WriteTo(both)
 	n += int64(len(header) + len(s.state))
 	if err == nil {
@@ -81,7 +81,7 @@
 // Release ends the snapshot.
 func (s *Snapshot) Release() {
 	if s.tx != nil {
-		s.tx.Rollback()
+		_ = s.tx.Rollback()
 		s.tx = nil
 		s.store.release(s.file)
 	}
@@ -93,7 +93,7 @@
 // with what they began with.
 func (s *Store) Restore(r io.Reader) (small []byte, index uint64, err error) {
 	fail := func(err error) ([]byte, uint64, error) {
-		os.Remove(s.path(incomingFile))
+		_ = os.Remove(s.path(incomingFile))
 		return nil, 0, fmt.Errorf("restoring records: %w", err)
 	}
 	if small, err = s.receive(r); err != nil {
@@ -104,7 +104,7 @@
 		return fail(err)
 	}
 	if err := os.Rename(s.path(incomingFile), s.path(recordsFile)); err != nil {
-		db.Close()
+		_ = db.Close()
 		return fail(err)
 	}
 	s.replace(&openFile{db: db})
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	if _, err := io.CopyN(file, in, int64(sizes[1])); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = fmt.Errorf("it is torn: %w", ErrSnapshot)
@@ -174,7 +174,7 @@
 		return nil
 	})
 	if err != nil {
-		db.Close()
+		_ = db.Close()
 	}
 	return db, index, err
 }
@@ -184,6 +184,6 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	return d.Sync()
 }
--- a/internal/dispatcher/fleet/recordstore/store.go
+++ b/internal/dispatcher/fleet/recordstore/store.go
@@ -72,7 +72,7 @@
 	}
 	s := &Store{folder: folder, lock: lock}
 	if err := s.initialize(); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, err
 	}
 	return s, nil
@@ -100,7 +100,7 @@
 		return tx.Bucket(metaBucket).Put(appliedIndexKey, make([]byte, 8))
 	})
 	if err != nil {
-		db.Close()
+		_ = db.Close()
 		return fmt.Errorf("beginning a store of records: %w", err)
 	}
 	s.file = &openFile{db: db}
@@ -134,7 +134,7 @@
 	last := f.replaced && f.users == 0
 	s.mu.Unlock()
 	if last {
-		f.db.Close()
+		_ = f.db.Close()
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	s.mu.Unlock()
 	if last {
-		old.db.Close()
+		_ = old.db.Close()
 	}
 }
 
@@ -270,7 +270,8 @@
 
 func (t transaction) Descend(tenant string, before records.Position, yield func(*records.Record, []byte) bool) error {
 	of, c := tenantPrefix(tenant), t.tx.Bucket(recordsBucket).Cursor()
-	k, v := c.Seek(appendPosition(tenantPrefix(tenant), before))
+	var v []byte
+	k, _ := c.Seek(appendPosition(tenantPrefix(tenant), before))
 	if k == nil {
 		k, v = c.Last()
 	} else {
--- a/internal/dispatcher/fleet/recordstore/store_test.go
+++ b/internal/dispatcher/fleet/recordstore/store_test.go
@@ -144,7 +144,7 @@
 	require.ErrorIs(t, err, ErrClosed)
 	s, err = Open(folder)
 	require.NoError(t, err)
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	index, err := s.Index()
 	require.NoError(t, err)
 	require.Zero(t, index)
--- a/internal/dispatcher/fleet/rpc/client.go
+++ b/internal/dispatcher/fleet/rpc/client.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return "", fmt.Errorf("asking keeper %s: %w", name, err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	c.bodyBytes.Add(int64(len(text) + len(body)))
 	switch {
--- a/internal/dispatcher/segment/folder.go
+++ b/internal/dispatcher/segment/folder.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, fmt.Errorf("%s: %w", path, ErrInUse)
 	}
 	return &osDirectory{path, lock}, nil
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	return d.Sync()
 }
 
--- a/internal/dispatcher/segment/frame.go
+++ b/internal/dispatcher/segment/frame.go
@@ -34,7 +34,7 @@
 func checksum(payload []byte, chain uint64) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(chain)
-	d.Write(payload)
+	_, _ = d.Write(payload) // a hash never fails
 	return d.Sum64()
 }
 
