--- a/internal/dispatcher/engine/window_test.go
+++ b/internal/dispatcher/engine/window_test.go
@@ -21,11 +21,11 @@
 		ago    time.Duration // when the first attempt went out
 		sent   int           // attempts in all
 		bound  bool          // the last one has a latest moment
-		want   Verdict       // once the module gives up
+		want   Verdict       // once the policy gives up
 	}{
 		"inside the window":           {policy.Deduplicated, "k", policy.Reset, 0, 2, true, Refused},
 		"just inside":                 {policy.Deduplicated, "k", policy.Reset, 9 * time.Second, 2, true, Failed},
-		"too near its end":            {policy.Deduplicated, "k", policy.Reset, 10*time.Second - repeatMargin, 1, false, Failed},
+		"too near its end":            {policy.Deduplicated, "k", policy.Reset, 10*time.Second - dedupMargin, 1, false, Failed},
 		"the first never ran":         {policy.Deduplicated, "k", policy.ConnectFailed, 9 * time.Second, 2, false, Refused},
 		"it brought no key":           {policy.Deduplicated, "", policy.Reset, 0, 1, false, Failed},
 		"no key, but it never ran":    {policy.Deduplicated, "", policy.ConnectFailed, 0, 2, false, Failed},
@@ -44,23 +44,23 @@
 			tx := &Transaction{ID: "t", Class: "hold", Key: c.key, Hint: time.Second, Deadline: time.Now().Add(time.Hour), Client: told{p, "t"}}
 			hub.Submit(tx)
 			turn := func() {
-				for _, e := range hub.taken() {
-					hub.handle(posted{do: e.do})
+				for _, e := range hub.takeEvents() {
+					hub.handle(queuedEvent{run: e.run})
 				}
 			}
 			turn()
 			p.flows[0].SentAt = time.Now().Add(-c.ago)
-			hub.EndFlow(p.flows[0], c.ends, nil) // by the module's own clock it was sent just now
+			hub.EndFlow(p.flows[0], c.ends, nil) // by the policy's own clock it was sent just now
 			turn()
 			require.Len(t, p.flows, c.sent)
 			last := p.flows[c.sent-1]
 			if c.bound {
-				require.Equal(t, p.flows[0].SentAt.Add(10*time.Second-repeatMargin), last.LatestSend)
+				require.Equal(t, p.flows[0].SentAt.Add(10*time.Second-dedupMargin), last.LatestSend)
 			} else {
 				require.Zero(t, last.LatestSend)
 			}
 			if c.sent > 1 || c.key == "" {
-				require.Equal(t, c.want == Refused, hub.harmless(tx), "an attempt is out")
+				require.Equal(t, c.want == Refused, hub.mayRunAgain(tx), "an attempt is out")
 			}
 			require.False(t, last.TooLate(time.Now()))
 		})
--- /dev/null
+++ b/internal/dispatcher/override/override.go
@@ -0,0 +1,134 @@
+// Package override keeps what operators have set by hand: the runners that they took out of
+// service, and when they put runners back. It does no I/O; package server writes the state to a
+// file, from which a new version of the program that is started beside this one continues.
+package override
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/valyala/fastjson"
+)
+
+// FormatVersion is the version of the saved state that this program writes and reads.
+const FormatVersion = 1
+
+// State is what operators have set. It must not be used concurrently.
+type State struct {
+	outRunners map[string]bool      // by id: runners that are out of service
+	restoredAt map[string]time.Time // by id: when a runner was last put back
+}
+
+// New returns a state in which nothing is set.
+func New() *State {
+	return &State{outRunners: map[string]bool{}, restoredAt: map[string]time.Time{}}
+}
+
+// TakeOut takes a runner out of service. It reports false if it was out already.
+func (s *State) TakeOut(id string) bool {
+	if s.outRunners[id] {
+		return false
+	}
+	s.outRunners[id] = true
+	return true
+}
+
+// PutBack puts a runner back into service, however often it was taken out. It reports false if it
+// was not out.
+func (s *State) PutBack(id string, now time.Time) bool {
+	if !s.outRunners[id] {
+		return false
+	}
+	delete(s.outRunners, id)
+	s.restoredAt[id] = now
+	return true
+}
+
+// IsOut tells whether a runner is out.
+func (s *State) IsOut(id string) bool { return s.outRunners[id] }
+
+// OutRunners returns the ids of the runners that are out, in order.
+func (s *State) OutRunners() []string { return slices.Sorted(maps.Keys(s.outRunners)) }
+
+// RestoredAt returns when a runner was last put back; zero: never, or forgotten.
+func (s *State) RestoredAt(id string) time.Time { return s.restoredAt[id] }
+
+// ForgetRestoredBefore forgets when runners were put back before a time: they are no longer warming
+// up.
+func (s *State) ForgetRestoredBefore(before time.Time) {
+	for id, at := range s.restoredAt {
+		if at.Before(before) {
+			delete(s.restoredAt, id)
+		}
+	}
+}
+
+// Encode returns the state as JSON, marked with the dispatcher's name.
+func (s *State) Encode(name string) []byte {
+	a := fastjson.Arena{}
+	o := a.NewObject()
+	o.Set("version", a.NewNumberInt(FormatVersion))
+	o.Set("name", a.NewString(name))
+	outs := a.NewArray()
+	for i, id := range s.OutRunners() {
+		outs.SetArrayItem(i, a.NewString(id))
+	}
+	o.Set("out", outs)
+	back := a.NewObject()
+	for _, id := range s.RestoredRunners() {
+		back.Set(id, a.NewNumberInt(int(s.restoredAt[id].UnixMilli())))
+	}
+	o.Set("back", back)
+	return o.MarshalTo(nil)
+}
+
+// Decode reads a state that Encode wrote for the dispatcher of this name. It fails, and returns no
+// state, for a text that is cut short, of another version, or of another dispatcher.
+func Decode(text []byte, name string) (*State, error) {
+	v, err := fastjson.ParseBytes(text)
+	if err != nil {
+		return nil, fmt.Errorf("state of the operators' settings: %w", err)
+	}
+	if n := v.GetInt("version"); n != FormatVersion {
+		return nil, fmt.Errorf("state of the operators' settings: version %d, not %d", n, FormatVersion)
+	}
+	if got := string(v.GetStringBytes("name")); got != name {
+		return nil, fmt.Errorf("state of the operators' settings: of dispatcher %q, not %q", got, name)
+	}
+	s := New()
+	if v.Get("out") == nil || v.Get("back") == nil {
+		return nil, fmt.Errorf("state of the operators' settings: out or back missing")
+	}
+	outs, err := v.Get("out").Array()
+	if err != nil {
+		return nil, fmt.Errorf("state of the operators' settings: out: %w", err)
+	}
+	for _, id := range outs {
+		b, err := id.StringBytes()
+		if err != nil || len(b) == 0 {
+			return nil, fmt.Errorf("state of the operators' settings: out: no runner id")
+		}
+		s.outRunners[string(b)] = true
+	}
+	back, err := v.Get("back").Object()
+	if err != nil {
+		return nil, fmt.Errorf("state of the operators' settings: back: %w", err)
+	}
+	back.Visit(func(id []byte, at *fastjson.Value) {
+		ms, e := at.Int64()
+		if e != nil || ms <= 0 {
+			err = fmt.Errorf("state of the operators' settings: back: %s: no time", id)
+			return
+		}
+		s.restoredAt[string(id)] = time.UnixMilli(ms)
+	})
+	if err != nil {
+		return nil, err
+	}
+	return s, nil
+}
+
+// RestoredRunners are the runners put back whose time is kept, in order.
+func (s *State) RestoredRunners() []string { return slices.Sorted(maps.Keys(s.restoredAt)) }
