--- a/internal/dispatcher/faultproxy/proxy_test.go
+++ b/internal/dispatcher/faultproxy/proxy_test.go
@@ -156,7 +156,7 @@
 				}
 			}
 			dial := func(l *Proxy) func() (scenario.Conn, error) {
-				return tells(func() (scenario.Conn, error) { return net.Dial("tcp", l.Addr()) })
+				return tells(func() (scenario.Conn, error) { return new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr()) })
 			}
 			scenario.RunScript(t, scenario.Peers{"a": dial(l), "b": tells(open), "nowhere": dial(none),
 				"link": func() (scenario.Conn, error) { return &hand{Proxy: l}, nil }}, nil, script)
@@ -175,7 +175,7 @@
 		defer l.Close()
 		_, err = (&hand{Proxy: l}).Write([]byte(fault))
 		require.NoError(t, err)
-		a, err := net.Dial("tcp", l.Addr())
+		a, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr())
 		require.NoError(t, err)
 		defer func() { _ = a.Close() }()
 		began := time.Now()
--- a/internal/dispatcher/fleet/budget/allocation_table_test.go
+++ b/internal/dispatcher/fleet/budget/allocation_table_test.go
@@ -191,7 +191,8 @@
 // ask renews one that wants so much, has so many under way, and acknowledges what it had.
 func (f *fleet) ask(name string, demand float64, under ...float64) Grant {
 	u := Usage{Demand: demand}
-	for _, u.InFlight = range under {
+	if n := len(under); n > 0 {
+		u.InFlight = under[n-1]
 	}
 	g, err := f.Renew(f.at, Renewal{Process: name, Incarnation: 1, AppliedGrant: f.bound[name], Usage: map[string]Usage{"x": u}})
 	must(err)
@@ -376,7 +377,7 @@
 	text, err := book.Encode()
 	must(err)
 	f.Add(text)
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(_ *testing.T, text []byte) {
 		b := NewAllocationTable()
 		if b.Decode(text) == nil {
 			b.Advance(b.Now + time.Second)
--- a/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
@@ -74,7 +74,7 @@
 	return m, nil
 }
 
-func (m *model) whole() float64 { return m.Rate * float64(m.Fleet.Holders) }
+func (m *model) whole() float64 { return m.Rate * float64(m.Holders) }
 
 func (m *model) join() *holder {
 	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), purse: budget.NewAllowance(), begun: m.now}
@@ -92,20 +92,20 @@
 	if i == m.heavy {
 		return all * m.HeavyShare
 	}
-	return all * (1 - m.HeavyShare) / float64(m.Fleet.Holders-1)
+	return all * (1 - m.HeavyShare) / float64(m.Holders-1)
 }
 
 // run goes on for a while, or until done tells so; it tells how long that was.
 func (m *model) run(length time.Duration, done func() bool) (time.Duration, error) {
 	begin := m.now
-	for ; m.now < begin+length && !(done != nil && done()); m.now += step {
+	for ; m.now < begin+length && (done == nil || !done()); m.now += step {
 		for _, do := range m.later[m.now] {
 			do()
 		}
 		delete(m.later, m.now)
 		m.book.Advance(m.now)
 		if m.MoveInterval > 0 {
-			m.heavy = int(m.now/m.MoveInterval) * 7 % m.Fleet.Holders
+			m.heavy = int(m.now/m.MoveInterval) * 7 % m.Holders
 		}
 		for i, h := range m.holders {
 			if h.down {
--- a/internal/dispatcher/fleet/budget/division.go
+++ b/internal/dispatcher/fleet/budget/division.go
@@ -21,36 +21,8 @@
 // quarantined and what is reserved is not divided; parts of a Divided budget in quarantine
 // are, since they return to those that they are due to.
 func (b *AllocationTable) divideBudget(i int, s *budgetState) {
-	amount, burst := s.reservedFloors()
-	whole, bursts := toMicros(s.Total)-amount, toMicros(s.Burst)-burst
-	for _, r := range s.Quarantines {
-		if s.Kind != Divided || r.Floor {
-			whole -= r.Amount
-		}
-		bursts -= r.Burst
-	}
-	floor, live, wanting := toMicros(s.Floor), 0, 0
-	b.claims, b.candidates = b.claims[:0], b.candidates[:0]
-	for k, h := range b.Holders {
-		l := &h.Allocations[i]
-		if h.Superseded {
-			held := l.upperBound()
-			whole -= held.Amount
-			bursts -= held.Burst
-			continue
-		}
-		live++
-		if l.hasFloor() {
-			whole -= floor
-			bursts -= s.burstPerFloor()
-		}
-		if b.demandBeyondFloor(i, s, h) > 0 {
-			wanting++
-		}
-		b.candidates = append(b.candidates, k)
-		l.Due, l.DueBurst = 0, 0
-	}
-	whole, bursts = max(whole, 0), max(bursts, 0)
+	whole, bursts, wanting := b.divisible(i, s)
+	live := len(b.candidates)
 	if live == 0 {
 		return
 	}
@@ -87,6 +59,40 @@
 	}
 }
 
+// divisible returns how much of a budget and of its burst can be divided, and the number
+// of holders with demand. It makes all holders in force candidates with nothing due.
+func (b *AllocationTable) divisible(i int, s *budgetState) (whole, bursts int64, wanting int) {
+	amount, burst := s.reservedFloors()
+	whole, bursts = toMicros(s.Total)-amount, toMicros(s.Burst)-burst
+	for _, r := range s.Quarantines {
+		if s.Kind != Divided || r.Floor {
+			whole -= r.Amount
+		}
+		bursts -= r.Burst
+	}
+	floor := toMicros(s.Floor)
+	b.claims, b.candidates = b.claims[:0], b.candidates[:0]
+	for k, h := range b.Holders {
+		l := &h.Allocations[i]
+		if h.Superseded {
+			held := l.upperBound()
+			whole -= held.Amount
+			bursts -= held.Burst
+			continue
+		}
+		if l.hasFloor() {
+			whole -= floor
+			bursts -= s.burstPerFloor()
+		}
+		if b.demandBeyondFloor(i, s, h) > 0 {
+			wanting++
+		}
+		b.candidates = append(b.candidates, k)
+		l.Due, l.DueBurst = 0, 0
+	}
+	return max(whole, 0), max(bursts, 0), wanting
+}
+
 // demandBeyondFloor returns a holder's demand beyond its floor.
 func (b *AllocationTable) demandBeyondFloor(i int, s *budgetState, h *holder) float64 {
 	l := &h.Allocations[i]
--- a/internal/dispatcher/fleet/budget/status.go
+++ b/internal/dispatcher/fleet/budget/status.go
@@ -99,8 +99,8 @@
 	return out
 }
 
-// BudgetStatus describes a budget, for metrics and checks.
-type BudgetStatus struct {
+// Occupancy describes a budget, for metrics and checks.
+type Occupancy struct {
 	Name                           string
 	Whole, Held, Resting, SetAside float64
 	Burst, HeldBurst               float64 // HeldBurst includes what is quarantined and reserved
@@ -108,12 +108,12 @@
 }
 
 // Status describes the budgets, sorted by name.
-func (b *AllocationTable) Status() []BudgetStatus {
-	out := make([]BudgetStatus, len(b.Budgets))
+func (b *AllocationTable) Status() []Occupancy {
+	out := make([]Occupancy, len(b.Budgets))
 	for i, s := range b.Budgets {
 		aside, asideBurst := s.reservedFloors()
 		free, burst := s.available()
-		out[i] = BudgetStatus{
+		out[i] = Occupancy{
 			Name: s.Name, Whole: s.Total, Held: fromMicros(s.held.amount), Resting: fromMicros(s.quarantined.amount), SetAside: fromMicros(aside),
 			Burst: s.Burst, HeldBurst: fromMicros(s.held.burst + s.quarantined.burst + asideBurst), Bound: free >= 0 && burst >= 0,
 		}
--- a/internal/dispatcher/fleet/coordinator/attempt.go
+++ b/internal/dispatcher/fleet/coordinator/attempt.go
@@ -35,11 +35,12 @@
 // send submits an attempt once the replicated state has approved it, and reports its end.
 func (r *driver) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
 	j, err := r.job(t.Action, v, at)
-	if err != nil {
+	switch {
+	case err != nil:
 		r.abandon(ctx, t.Stage, err)
-	} else if !t.SpendsRetryBudget || r.takeRetryBudget(ctx, t.Class, j.Deadline) {
+	case !t.SpendsRetryBudget || r.takeRetryBudget(ctx, t.Class, j.Deadline):
 		err = r.execute(ctx, planrun.Command{SendAttempt: t.Sending})
-	} else {
+	default:
 		err = ErrNoSession
 	}
 	may := false
--- a/internal/dispatcher/fleet/coordinator/start_async.go
+++ b/internal/dispatcher/fleet/coordinator/start_async.go
@@ -95,39 +95,53 @@
 func (c *Coordinator) startAndWait(ctx context.Context, a StartRequest, until time.Time) (*planrun.Answer, error) {
 	heard, forget := c.waiting.subscribe(a.Run)
 	defer forget()
-	began, keep := c.now(), planrun.DefaultLimits().AnswerRetention
-	stop := began.Add(keep / 2) // a later start could begin it anew, were its answer forgotten
+	began := c.now()
+	answer, before, err := c.startUntil(ctx, a, began, until)
+	if answer != nil {
+		return answer, nil
+	}
+	if err != nil && before == 0 {
+		return nil, err
+	}
+	return c.awaitAnswer(ctx, a.Run, heard, began, until, before)
+}
+
+// startUntil retries a start that began at a time, until it has started the run, was
+// refused, or the deadline has passed. It returns the fleet time up to which a start that
+// was sent may still start the run; 0: none was sent.
+func (c *Coordinator) startUntil(ctx context.Context, a StartRequest, began, until time.Time) (answer *planrun.Answer, before time.Duration, err error) {
+	stop := began.Add(planrun.DefaultLimits().AnswerRetention / 2) // a later start could start the run anew, were its answer forgotten
 	if until.Before(stop) {
 		stop = until
 	}
-	var before time.Duration // a start that was ordered counts up to then; 0: none was
-	err := fmt.Errorf("%w: its deadline has passed", ErrRefused)
+	err = fmt.Errorf("%w: its deadline has passed", ErrRefused)
 	for now := c.now(); now.Before(stop); now = c.now() {
 		once, cancel := context.WithTimeout(ctx, min(commandTimeout, stop.Sub(now)))
 		a.Timeout = until.Sub(now)
-		var answer *planrun.Answer
 		var upTo time.Duration
 		answer, upTo, err = c.start(once, a)
 		cancel()
-		if !errors.Is(err, ErrRefused) { // a refusal is the state's word that this start has begun nothing
+		if !errors.Is(err, ErrRefused) { // a refusal is the state's word that this start has started nothing
 			before = max(before, upTo)
 		}
-		if answer != nil {
-			return answer, nil
-		}
-		if err == nil || errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknownPlan) {
-			break
+		if answer != nil || err == nil || errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknownPlan) {
+			return answer, before, err
 		}
 		select {
 		case <-ctx.Done():
-			return nil, ctx.Err()
+			return nil, before, ctx.Err()
 		case <-time.After(retryInterval):
 		}
 	}
-	if err != nil && before == 0 {
-		return nil, err
-	}
-	lost := until.Add(planrun.DefaultLimits().Grace + answerTimeout)
+	return nil, before, err
+}
+
+// awaitAnswer waits for the answer of a run: it is published if this process drives the
+// run, and polled else.
+func (c *Coordinator) awaitAnswer(ctx context.Context, run string, heard <-chan *planrun.Answer, began, until time.Time, before time.Duration) (*planrun.Answer, error) {
+	limits := planrun.DefaultLimits()
+	keep := limits.AnswerRetention
+	lost := until.Add(limits.Grace + answerTimeout)
 	for wait := pollInterval; c.now().Before(lost); {
 		select {
 		case <-ctx.Done():
@@ -136,9 +150,9 @@
 			return answer, nil
 		case <-time.After(wait):
 		}
-		if s := c.fleet.Session(); s != nil && !c.drives(a.Run) {
+		if s := c.fleet.Session(); s != nil && !c.drives(run) {
 			once, cancel := context.WithTimeout(ctx, commandTimeout)
-			r, bad := c.queryRun(once, s, a.Run)
+			r, bad := c.queryRun(once, s, run)
 			cancel()
 			switch {
 			case bad != nil:
@@ -150,7 +164,7 @@
 		}
 		wait = min(2*wait, maxPollInterval)
 	}
-	return nil, fmt.Errorf("run %s: %w", a.Run, ErrOutcomeUnknown)
+	return nil, fmt.Errorf("run %s: %w", run, ErrOutcomeUnknown)
 }
 
 func (c *Coordinator) drives(run string) bool {
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -48,7 +49,7 @@
 
 // ask calls a process's door.
 func ask(p *harness.Process, method, path, body string) (status int, answer string) {
-	req, err := http.NewRequest(method, "http://"+p.Addr("admin")+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+p.Addr("admin")+path, strings.NewReader(body)) // the client has a timeout
 	if err != nil {
 		return 0, err.Error()
 	}
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -428,7 +428,7 @@
 	require.Equal(t, `{"held":true}`, string(underWay.Stages[1].Items[2].Result))
 	require.Equal(t, &planrun.GiveUp{Stage: 1, End: plan.Failed, Reason: "no seat is left"}, l.view("run-given-up").Run.GaveUp)
 
-	var standings []budget.BudgetStatus
+	var standings []budget.Occupancy
 	l.ask(partition.BudgetsStatus, nil, &standings)
 	goldentest.Equal(t, filepath.Join(goldenState, "budgets"), fmt.Appendf(nil, "%x\n", l.encode(standings)))
 	require.Len(t, standings, 3)
--- a/internal/dispatcher/fleet/harness/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"testing"
 	"time"
 
@@ -76,9 +77,9 @@
 	calls := []fakes.Call{{ID: "1-0", Class: ticket, Status: 503}, {ID: "1-1", Class: ticket, Status: 200, Ended: ms(9)}, {ID: "3-0", Class: hold, Status: 503}, {ID: "2-0", Class: ticket}}
 	require.Empty(t, RunTwice(log, demo.AtMostOnce))
 	require.Empty(t, UnfoundedAnswers(calls, log, demo.AtMostOnce))
-	again := append(log, fakes.Arrival{ID: "2-1", LogicalID: "2", Class: ticket, Dispatcher: "n2", StartedAt: ms(9)})
+	again := append(slices.Clone(log), fakes.Arrival{ID: "2-1", LogicalID: "2", Class: ticket, Dispatcher: "n2", StartedAt: ms(9)})
 	require.Equal(t, []string{"2"}, RunTwice(again, demo.AtMostOnce))
-	wrong := append(calls, fakes.Call{ID: "2-0", Class: ticket, Status: 503}, fakes.Call{ID: "4-0", Status: 200}, fakes.Call{ID: "3-0", Status: 200, Ended: ms(1)})
+	wrong := append(slices.Clone(calls), fakes.Call{ID: "2-0", Class: ticket, Status: 503}, fakes.Call{ID: "4-0", Status: 200}, fakes.Call{ID: "3-0", Status: 200, Ended: ms(1)})
 	require.Equal(t, []string{"2-0", "4-0", "3-0"}, UnfoundedAnswers(wrong, log, demo.AtMostOnce))
 	n1 := func(a fakes.Arrival) bool { return a.Dispatcher == "n1" }
 	require.Equal(t, []Span{{ms(0), ms(0)}, {ms(1), ms(1)}, {ms(1), ms(1)}, {ms(1), ms(1)}}, StartPoints(Spans(log, n1)))
--- a/internal/dispatcher/fleet/harness/cluster_test.go
+++ b/internal/dispatcher/fleet/harness/cluster_test.go
@@ -33,7 +33,9 @@
 		if slices.Contains(quiet, true) {
 			client.Timeout = 250 * time.Millisecond
 		}
-		resp, err := client.Get("http://" + addr + "/health/ready")
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/health/ready", nil)
+		require.NoError(t, err)
+		resp, err := client.Do(req)
 		if err == nil {
 			_ = resp.Body.Close()
 		}
--- a/internal/dispatcher/fleet/harness/history.go
+++ b/internal/dispatcher/fleet/harness/history.go
@@ -104,7 +104,7 @@
 			case in.Fence != 0 && out.Granted && own && lasts && out.Until >= s.until:
 				next.fence = in.Fence
 				return true, next
-			case in.Fence != 0 && !out.Granted && !(own && lasts && !s.uncertain):
+			case in.Fence != 0 && !out.Granted && (!own || !lasts || s.uncertain):
 				return true, s
 			}
 			return false, s
--- a/internal/dispatcher/fleet/harness/retention_monitor.go
+++ b/internal/dispatcher/fleet/harness/retention_monitor.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -32,7 +33,7 @@
 		status, text, err := r.RandomProcess().AdminRequest("GET", "/records?most=1000&tenant="+tenant+"&after="+after, "", time.Now().Add(2*time.Second))
 		if err != nil || status != 200 || json.Unmarshal([]byte(text), &page) != nil {
 			if time.Now().After(until) {
-				return nil, fmt.Errorf("records of %s: %d %s (%v)", tenant, status, text, err)
+				return nil, errors.Join(fmt.Errorf("records of %s: %d %s", tenant, status, text), err)
 			}
 			time.Sleep(20 * time.Millisecond)
 			continue
--- a/internal/dispatcher/fleet/partition/budgets.go
+++ b/internal/dispatcher/fleet/partition/budgets.go
@@ -19,7 +19,7 @@
 	BudgetsName = "budgets" // the partition's name
 
 	BudgetsLeave  state.Kind = "budgets/leave"     // a BudgetsDeparture: a planned shutdown
-	BudgetsStatus state.Kind = "budgets/standings" // a query, answered with []budget.BudgetStatus
+	BudgetsStatus state.Kind = "budgets/standings" // a query, answered with []budget.Occupancy
 )
 
 // BudgetsDeparture is what a process leaves in flight at its planned shutdown, by budget.
--- a/internal/dispatcher/fleet/plan/check.go
+++ b/internal/dispatcher/fleet/plan/check.go
@@ -47,8 +47,27 @@
 	}
 }
 
-// sortStages sorts the stages topologically, and reports whether that was possible.
+// sortStages sorts the stages topologically and computes what depends on what, and reports
+// whether that was possible.
 func (c *checker) sortStages() bool {
+	c.checkAfter()
+	sorted, ok := c.topologicalOrder()
+	if !ok {
+		return false
+	}
+	c.plan.Stages = sorted
+	c.computeReach()
+	before := len(c.problems)
+	c.checkRerunTargets()
+	if len(c.problems) > before {
+		return false
+	}
+	c.countRuns()
+	return true
+}
+
+// checkAfter checks the dependencies of each stage, and drops the invalid ones.
+func (c *checker) checkAfter() {
 	p := c.plan
 	c.unresolved = map[*Stage]bool{}
 	for _, s := range p.Stages {
@@ -70,7 +89,12 @@
 		}
 		s.After, s.afterRanges = names, at
 	}
-	var sorted []*Stage
+}
+
+// topologicalOrder returns the stages, each after those that it depends on, or reports a
+// cycle.
+func (c *checker) topologicalOrder() (sorted []*Stage, ok bool) {
+	p := c.plan
 	var under []*Stage // being visited, each because the one before comes after it
 	var visit func(*Stage) bool
 	visit = func(s *Stage) bool {
@@ -98,10 +122,16 @@
 	}
 	for _, s := range p.Stages {
 		if !visit(s) {
-			return false
+			return nil, false
 		}
 	}
-	p.Stages = sorted
+	return sorted, true
+}
+
+// computeReach computes what is upstream and downstream of each stage. The stages must be
+// sorted.
+func (c *checker) computeReach() {
+	sorted := c.plan.Stages
 	c.upstream, c.downstream = make([]stageSet, len(sorted)), make([]stageSet, len(sorted))
 	for i, s := range sorted {
 		for _, name := range s.After {
@@ -115,8 +145,12 @@
 			}
 		}
 	}
-	before := len(c.problems)
-	for i, s := range sorted {
+}
+
+// checkRerunTargets checks that each rerun names one stage upstream.
+func (c *checker) checkRerunTargets() {
+	p := c.plan
+	for i, s := range p.Stages {
 		for k := range s.Reruns {
 			r := &s.Reruns[k]
 			switch {
@@ -130,9 +164,11 @@
 			}
 		}
 	}
-	if len(c.problems) > before {
-		return false
-	}
+}
+
+// countRuns computes how often each stage may run.
+func (c *checker) countRuns() {
+	sorted := c.plan.Stages
 	for i, s := range sorted {
 		s.Runs = 1
 		for _, x := range sorted {
@@ -142,7 +178,6 @@
 			c.rerunnable |= 1 << i
 		}
 	}
-	return true
 }
 
 // maxRerunsFor returns how often a stage may be run again for the loss of another's output,
--- a/internal/dispatcher/fleet/plan/check_at_most_once.go
+++ b/internal/dispatcher/fleet/plan/check_at_most_once.go
@@ -10,36 +10,46 @@
 func (c *checker) checkAtMostOnce() {
 	for i, s := range c.plan.Stages {
 		if s.Effect == policy.AtMostOnce {
-			if s.Shared != nil {
-				c.addProblem(s.Shared.Range(), "%q must never run twice, so plans can't share it: each would take its run for another's; leave shared out", s.Name)
-			}
-			for _, r := range s.Retries {
-				for k, e := range r.On {
-					if e.MayHaveRun() {
-						c.addProblem(r.onRanges[k], "%q must never run twice, and after %q it may have run: it may be tried again on %s only", s.Name, e, joinEnds([]End{Refused, Full, Unsent}))
-					}
-				}
-			}
+			c.checkAtMostOnceStage(s)
 		}
 		if u := s.Undo; u != nil && u.Effect == policy.AtMostOnce && u.MaxTries > 1 {
 			c.addProblem(u.Range, "the undo of %q is of class %q, which must never run twice: most must be 1, not %d", s.Name, u.Class, u.MaxTries)
 		}
+		if c.unresolved[s] {
+			continue
+		}
 		for k := range s.Reruns {
-			r := &s.Reruns[k]
-			if c.unresolved[s] {
-				break
-			}
-			for j, d := range c.plan.Stages {
-				if d.Effect == policy.AtMostOnce && c.rerunSet(r).has(j) {
-					if why := c.secondRunReason(i, r, j); why != "" {
-						c.addProblem(r.ofRange, "a rerun of %q would run %q again, which must never run twice: %s", r.Of, d.Name, why)
-					}
-				}
+			c.checkRerunAtMostOnce(i, &s.Reruns[k])
+		}
+	}
+}
+
+// checkAtMostOnceStage finds rules of an at-most-once stage that may run it again.
+func (c *checker) checkAtMostOnceStage(s *Stage) {
+	if s.Shared != nil {
+		c.addProblem(s.Shared.Range(), "%q must never run twice, so plans can't share it: each would take its run for another's; leave shared out", s.Name)
+	}
+	for _, r := range s.Retries {
+		for k, e := range r.On {
+			if e.MayHaveRun() {
+				c.addProblem(r.onRanges[k], "%q must never run twice, and after %q it may have run: it may be tried again on %s only", s.Name, e, joinEnds([]End{Refused, Full, Unsent}))
 			}
 		}
 	}
 }
 
+// checkRerunAtMostOnce finds at-most-once stages that a rerun of stage i may run again.
+func (c *checker) checkRerunAtMostOnce(i int, r *Rerun) {
+	for j, d := range c.plan.Stages {
+		if d.Effect != policy.AtMostOnce || !c.rerunSet(r).has(j) {
+			continue
+		}
+		if why := c.secondRunReason(i, r, j); why != "" {
+			c.addProblem(r.ofRange, "a rerun of %q would run %q again, which must never run twice: %s", r.Of, d.Name, why)
+		}
+	}
+}
+
 // secondRunReason tells how at-most-once stage j may have run when a rerun of stage i
 // begins; empty: it can't have.
 func (c *checker) secondRunReason(i int, r *Rerun, j int) string {
--- a/internal/dispatcher/fleet/plan/check_references.go
+++ b/internal/dispatcher/fleet/plan/check_references.go
@@ -56,7 +56,7 @@
 				continue
 			}
 			for _, t := range e.Variables() {
-				if name := t.RootName(); !slices.Contains(e.names, name) && !(c.unresolved[s] && c.plan.ByName[name] != nil) {
+				if name := t.RootName(); !slices.Contains(e.names, name) && (!c.unresolved[s] || c.plan.ByName[name] == nil) {
 					c.addProblem(t.SourceRange(), "%s", c.explainMisuse(s, e, name))
 				}
 			}
--- a/internal/dispatcher/fleet/plan/check_test.go
+++ b/internal/dispatcher/fleet/plan/check_test.go
@@ -86,7 +86,7 @@
 		{strings.Replace(stages("a saef:"), `"saef"`, `~"saef"`, 1), `unknown class "saef"; did you mean "safe"?`},
 		{strings.Replace(stages("hold safe:", "b safe hodl:"), `"hodl"`, `~"hodl"`, 1), `unknown stage "hodl"; did you mean "hold"?`},
 		{stages("a safe: body = ~inptu.x"), `unknown name "inptu"; did you mean "input"?`},
-		{stages("a safe: body = ~lenght(input.x)"), `unknown function "lenght"; did you mean "length"?`},
+		{stages("a safe: body = ~lenght(input.x)"), `unknown function "lenght"; did you mean "length"?`}, //nolint:misspell // the mistake that is found
 		{stages("a safe: body = ~item"), "item is known where a stage is run for each entry of a list: add each"},
 		{stages("a safe: body = ~result.x"), "result is known in the when of a rerun only"},
 		{stages("a safe:", "b safe: body = ~a.x"), `the result of "a" can't be used by "b", which does not come after it: add it to after`},
--- a/internal/dispatcher/fleet/plan/json.go
+++ b/internal/dispatcher/fleet/plan/json.go
@@ -97,14 +97,8 @@
 	case t == cty.Bool:
 		to = fmt.Appendf(to, "%t", v.True())
 	case t == cty.Number:
-		n := v.AsBigFloat()
-		if n.IsInf() || n.MantExp(nil) > 4096 || n.MantExp(nil) < -4096 {
-			return nil, errors.New("a number is too large or too small")
-		}
-		if whole, exact := n.Int64(); exact == big.Exact { // the common case, and the fast one
-			to = strconv.AppendInt(to, whole, 10)
-		} else {
-			to = n.Append(to, 'f', -1)
+		if to, err = appendNumber(to, v.AsBigFloat()); err != nil {
+			return nil, err
 		}
 	case t == cty.String:
 		to = append(to, quoteJSON(v.AsString())...)
@@ -142,6 +136,17 @@
 	return to, nil
 }
 
+// appendNumber appends a number without an exponent.
+func appendNumber(to []byte, n *big.Float) ([]byte, error) {
+	if n.IsInf() || n.MantExp(nil) > 4096 || n.MantExp(nil) < -4096 {
+		return nil, errors.New("a number is too large or too small")
+	}
+	if whole, exact := n.Int64(); exact == big.Exact { // the common case, and the fast one
+		return strconv.AppendInt(to, whole, 10), nil
+	}
+	return n.Append(to, 'f', -1), nil
+}
+
 func quoteJSON(text string) []byte {
 	out, _ := json.Marshal(text) // text has a form always
 	return out
--- a/internal/dispatcher/fleet/planrun/model_test.go
+++ b/internal/dispatcher/fleet/planrun/model_test.go
@@ -240,7 +240,7 @@
 	require.Equal(t, a.Outcome == Refused, !ran && a.Outcome != Served, "refused only where nothing ran")
 	if a.Outcome == Served || a.Outcome == Failed {
 		for _, h := range history {
-			open = open && !(h.Undo && h.Stage == 2 && h.end == plan.Done)
+			open = open && (!h.Undo || h.Stage != 2 || h.end != plan.Done)
 		}
 		require.False(t, open, "a ticket that may have run goes untold")
 	}
--- a/internal/dispatcher/fleet/planrun/next.go
+++ b/internal/dispatcher/fleet/planrun/next.go
@@ -45,15 +45,9 @@
 	if r.GaveUp != nil {
 		wake += grace
 	}
-	end := wake
-	later := func(t time.Duration) {
-		if t > at && (t < wake || wake <= at) {
-			wake = t
-		}
-	}
-	stage := -1
+	n := nextItems{View: v, at: at, end: wake, undoStage: -1}
 	if r.GaveUp != nil && !r.hasJobsInFlight() {
-		stage = r.nextUndoStage(s)
+		n.undoStage = r.nextUndoStage(s)
 	}
 	for i := range r.Stages {
 		sh, st := &s.Stages[i], &r.Stages[i]
@@ -62,31 +56,14 @@
 			list = append(list, Action{Kind: OpenStage, Stage: i, Generation: st.Generation, Class: sh.Class})
 		}
 		for k := range st.Items {
-			it := &st.Items[k]
-			a := Action{Kind: SendJob, Stage: i, Item: k, Attempt: it.Job.Attempt + 1, Generation: st.Generation, Class: sh.Class,
-				SpendsRetryBudget: it.Job.Attempt > 0, Where: it.RetryPlace, Member: it.Member, At: r.Deadline}
-			t := &it.Job
+			a, notBefore, ok := n.item(i, k, ready)
 			switch {
-			case it.Job.State == InFlight:
-				list = append(list, Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: it.Job.Attempt, Generation: it.Generation, Class: sh.Class})
-				continue
-			case it.Undo.State == InFlight:
-				list = append(list, Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: it.Undo.Attempt, Class: sh.Undo.Class, Undo: true})
-				continue
-			case i == stage && it.Undo.State == Pending && sh.needsUndo(it):
-				t = &it.Undo
-				a = Action{Kind: SendUndo, Stage: i, Item: k, Attempt: t.Attempt + 1, Class: sh.Undo.Class, Undo: true, SpendsRetryBudget: t.Attempt > 0, At: end}
-			case !ready || t.State != Pending || !maySendAgain(sh.Effect, t.MayHaveRun) || sh.Shared && v.Producing&(1<<i) == 0:
-				continue
-			}
-			if t.NotBefore > at {
-				later(t.NotBefore)
-				continue
+			case !ok:
+			case notBefore <= at:
+				list = append(list, a)
+			case notBefore < wake || wake <= at:
+				wake = notBefore
 			}
-			if a.Kind == SendJob {
-				a.Inputs = r.inputGenerations(s, i)
-			}
-			list = append(list, a)
 		}
 	}
 	if wake > at {
@@ -94,3 +71,35 @@
 	}
 	return list
 }
+
+// nextItems computes the actions for the items of a run.
+type nextItems struct {
+	View
+	at, end   time.Duration // end of the run, including its grace
+	undoStage int           // whose items are to be undone now; -1: none
+}
+
+// item returns the action for an item and when it is due, if there is one. Ready says that
+// the stage's inputs exist and its output doesn't.
+func (n *nextItems) item(i, k int, ready bool) (a Action, notBefore time.Duration, ok bool) {
+	r, sh, st := n.Run, &n.Shape.Stages[i], &n.Run.Stages[i]
+	it := &st.Items[k]
+	job, undo := &it.Job, &it.Undo
+	switch {
+	case job.State == InFlight:
+		return Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: job.Attempt, Generation: it.Generation, Class: sh.Class}, n.at, true
+	case undo.State == InFlight:
+		return Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: undo.Attempt, Class: sh.Undo.Class, Undo: true}, n.at, true
+	case i == n.undoStage && undo.State == Pending && sh.needsUndo(it):
+		a = Action{Kind: SendUndo, Stage: i, Item: k, Attempt: undo.Attempt + 1, Class: sh.Undo.Class, Undo: true, SpendsRetryBudget: undo.Attempt > 0, At: n.end}
+		return a, undo.NotBefore, true
+	case !ready || job.State != Pending || !maySendAgain(sh.Effect, job.MayHaveRun) || sh.Shared && n.Producing&(1<<i) == 0:
+		return Action{}, 0, false
+	}
+	a = Action{Kind: SendJob, Stage: i, Item: k, Attempt: job.Attempt + 1, Generation: st.Generation, Class: sh.Class,
+		SpendsRetryBudget: job.Attempt > 0, Where: it.RetryPlace, Member: it.Member, At: r.Deadline}
+	if job.NotBefore <= n.at {
+		a.Inputs = r.inputGenerations(n.Shape, i)
+	}
+	return a, job.NotBefore, true
+}
--- a/internal/dispatcher/fleet/planrun/sim_test.go
+++ b/internal/dispatcher/fleet/planrun/sim_test.go
@@ -308,11 +308,12 @@
 					}
 				}
 				end, lost := plan.Done, (*LostInput)(nil)
-				if len(sh.Reruns) > 0 && !a.undo && c.Inputs[0] <= s.lost {
+				switch {
+				case len(sh.Reruns) > 0 && !a.undo && c.Inputs[0] <= s.lost:
 					end, lost = plan.Lost, &LostInput{0, c.Inputs[0]}
-				} else if s.chance(0.04) {
+				case s.chance(0.04):
 					end = plan.Failed
-				} else {
+				default:
 					p.co.Estimator.Observe(sh.Class, took)
 				}
 				switch x := s.rng.Float64(); {
--- a/internal/dispatcher/fleet/raftnode/fsm.go
+++ b/internal/dispatcher/fleet/raftnode/fsm.go
@@ -1,7 +1,6 @@
 package raftnode
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"sync"
@@ -16,7 +15,6 @@
 type fsm struct {
 	mu            sync.RWMutex
 	state         *state.Machine
-	applied       chan struct{} // closed and replaced at each command
 	onDigests     func(index uint64, sums map[string]uint64, err error)
 	onPeerDigests func() // some replica's digests have arrived
 }
@@ -38,8 +36,6 @@
 			f.onPeerDigests()
 		}
 	}
-	close(f.applied)
-	f.applied = make(chan struct{})
 	return r
 }
 
@@ -72,23 +68,6 @@
 	see(f.state)
 }
 
-// waitIndex waits until the command at an index has been applied.
-func (f *fsm) waitIndex(ctx context.Context, index uint64) error {
-	for {
-		f.mu.RLock()
-		at, more := f.state.Index(), f.applied
-		f.mu.RUnlock()
-		if at >= index {
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-more:
-		}
-	}
-}
-
 type fsmSnapshot struct{ state.Snapshot }
 
 // Persist implements raft.FSMSnapshot.
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -35,7 +35,7 @@
 func alone(t *testing.T, folder string) (k *Node, client *rpc.Client, stop func()) {
 	t.Helper()
 	listen := func() net.Listener {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		return l
 	}
@@ -172,7 +172,7 @@
 		want.Process, want.Epoch, want.Seq = "n1", 70, uint64(i+1)
 		require.Equal(t, want, page.Records[i])
 	}
-	var standings []budget.BudgetStatus
+	var standings []budget.Occupancy
 	ask(partition.BudgetsStatus, nil, &standings)
 	require.Len(t, standings, 1)
 	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
@@ -204,7 +204,7 @@
 	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
 	require.NoError(t, err)
 	require.Equal(t, member.Incarnation, joined.Incarnation)
-	require.NoError(t, who.Client.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
+	require.NoError(t, who.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
 		Version: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
 		Body: encoded(t, records.Ship{Epoch: 70, FirstSeq: 4, Records: []records.Record{goldenRecord("job-4")}}),
 	}), &state.Reply{}))
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -93,7 +93,7 @@
 			others[name] = p.RPCAddr
 		}
 	}
-	return &Node{settings: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &fsm{state: state.New(), applied: make(chan struct{})}, empty: true}, nil
+	return &Node{settings: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &fsm{state: state.New()}, empty: true}, nil
 }
 
 // Run takes part in the raft group until the context ends. It returns an error if the data
@@ -132,38 +132,13 @@
 	if err != nil {
 		return false, err
 	}
-	has, err := raft.HasExistingState(n.store, n.store, own.snapshots)
-	if err != nil {
-		_ = n.store.Close()
-		return false, fmt.Errorf("reading the fleet's log: %w", err)
+	ready, stale, err := k.prepareReplica(ctx, n, own)
+	if ready && err == nil {
+		err = k.startRaft(n, own)
 	}
-	if has && k.isStaleCopy(ctx, own) {
-		k.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
-		_ = n.store.Close()
-		return true, nil
-	}
-	if !has {
-		found, err := k.joinWithEmptyDir(ctx)
-		if err != nil || ctx.Err() != nil {
-			_ = n.store.Close()
-			return false, err
-		}
-		if found {
-			if err := raft.BootstrapCluster(k.raftConfig(), n.store, n.store, own.snapshots, &raft.InmemTransport{}, k.initialConfiguration()); err != nil {
-				_ = n.store.Close()
-				return false, fmt.Errorf("founding the fleet: %w", err)
-			}
-		}
-	}
-	if err := own.countStart(); err != nil {
-		_ = n.store.Close()
-		return false, err
-	}
-	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(k.settings.RaftListener, k.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.raftLogger()})
-	if n.raft, err = raft.NewRaft(k.raftConfig(), k.fsm, n.store, n.store, own.snapshots, n.transport); err != nil {
-		_ = n.transport.Close()
-		_ = n.store.Close()
-		return false, fmt.Errorf("starting the fleet's log: %w", err)
+	if !ready || err != nil {
+		_ = n.store.Close() // nothing was written that must last
+		return stale, err
 	}
 	k.mu.Lock()
 	k.replica, k.empty, k.divergent = n, false, nil
@@ -177,13 +152,53 @@
 		k.log.WithError(err).Error("raft shutdown failed")
 	}
 	n.transport.CloseStreams()
-	_ = n.transport.Close()
+	_ = n.transport.Close() // its listener outlives it
 	if err := n.store.Close(); err != nil {
 		k.log.WithError(err).Error("closing the raft log failed")
 	}
 	return anew, nil
 }
 
+// prepareReplica makes the data directory one that raft may be started on: a stale copy is
+// to be discarded first; an empty one waits until the other nodes have added this one, or
+// is bootstrapped. It is not ready if the context has ended.
+func (k *Node) prepareReplica(ctx context.Context, n *replica, own *dataDir) (ready, stale bool, err error) {
+	has, err := raft.HasExistingState(n.store, n.store, own.snapshots)
+	if err != nil {
+		return false, false, fmt.Errorf("reading the fleet's log: %w", err)
+	}
+	if has && k.isStaleCopy(ctx, own) {
+		k.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
+		return false, true, nil
+	}
+	if has {
+		return true, false, nil
+	}
+	found, err := k.joinWithEmptyDir(ctx)
+	if err != nil || ctx.Err() != nil {
+		return false, false, err
+	}
+	if found {
+		if err := raft.BootstrapCluster(k.raftConfig(), n.store, n.store, own.snapshots, &raft.InmemTransport{}, k.initialConfiguration()); err != nil {
+			return false, false, fmt.Errorf("founding the fleet: %w", err)
+		}
+	}
+	return true, false, nil
+}
+
+// startRaft counts the start and starts raft.
+func (k *Node) startRaft(n *replica, own *dataDir) (err error) {
+	if err := own.countStart(); err != nil {
+		return err
+	}
+	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(k.settings.RaftListener, k.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.raftLogger()})
+	if n.raft, err = raft.NewRaft(k.raftConfig(), k.fsm, n.store, n.store, own.snapshots, n.transport); err != nil {
+		_ = n.transport.Close() // its listener outlives it
+		return fmt.Errorf("starting the fleet's log: %w", err)
+	}
+	return nil
+}
+
 func (k *Node) raftConfig() *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID = raft.ServerID(k.settings.Name)
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -79,7 +79,7 @@
 	addrs := map[string]string{}
 	for _, name := range []string{"k1", "k2", "k3"} {
 		for _, m := range []map[string]net.Listener{f.calls, f.votes} {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = l.Close() })
 			m[name] = l
@@ -129,9 +129,9 @@
 	ended := make(chan error, 1)
 	all.Go(func() { ended <- k.Run(ctx) })
 	// The address stays taken while the keeper is down; what arrives then is cut.
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(f.t, err)
-	all.Go(func() { server.Serve(l) })
+	all.Go(func() { _ = server.Serve(l) })
 	all.Go(func() { relay(ctx, f.calls[name], l.Addr().String()) })
 	f.up[name], f.stops[name] = k, sync.OnceValue(func() error {
 		cancel()
@@ -157,7 +157,7 @@
 		all.Go(func() {
 			defer stop()
 			defer func() { _ = in.Close() }()
-			out, err := net.Dial("tcp", to)
+			out, err := new(net.Dialer).DialContext(ctx, "tcp", to)
 			if err != nil {
 				return
 			}
--- a/internal/dispatcher/fleet/records/audit.go
+++ b/internal/dispatcher/fleet/records/audit.go
@@ -21,7 +21,7 @@
 			switch o := r.Position(); {
 			case o.Compare(last) <= 0:
 				wrong = append(wrong, fmt.Sprintf("tenant %s: record %s out of order", name, r.ID))
-			case t.isPruned(r) && !s.isHeld(r) && !(t.Sweeping && o.Compare(t.SweptThrough) >= 0):
+			case t.isPruned(r) && !s.isHeld(r) && (!t.Sweeping || o.Compare(t.SweptThrough) < 0):
 				wrong = append(wrong, fmt.Sprintf("tenant %s: record %s of process %s is back below the mark", name, r.ID, r.Process))
 			}
 			last = r.Position()
--- a/internal/dispatcher/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -62,15 +62,38 @@
 // nextBatch reads the next records to be shipped; none: there is nothing. It removes
 // segments that the fleet has completely.
 func (s *sender) nextBatch() (ship records.Ship, last uint64, err error) {
+	for {
+		g, ok := s.nextSegment()
+		if !ok {
+			return records.Ship{}, 0, nil
+		}
+		ship, found, err := s.readBatch(g)
+		if err != nil {
+			return ship, 0, fmt.Errorf("reading the spool: %w", err)
+		}
+		if len(ship.Records) > 0 {
+			return ship, ship.FirstSeq + uint64(len(ship.Records)) - 1, nil
+		}
+		// It was sound when it was written or found.
+		p := s.spool
+		p.log.WithError(found.Err).WithFields(logrus.Fields{"segment": g.name, "records": g.next - ship.FirstSeq}).Error("spool segment can't be read any more; its records are lost")
+		p.lost.Add(int64(g.next - ship.FirstSeq))
+		s.gapBefore = true
+		s.shippedThrough[g.epoch] = max(s.shippedThrough[g.epoch], g.next-1)
+	}
+}
+
+// nextSegment returns the oldest segment with records to be shipped, and removes those
+// before it.
+func (s *sender) nextSegment() (g segmentFile, ok bool) {
 	p := s.spool
 	for {
-		ship = records.Ship{}
 		p.mu.Lock()
 		if len(p.segments) == 0 {
 			p.mu.Unlock()
-			return ship, 0, nil
+			return segmentFile{}, false
 		}
-		g := *p.segments[0]
+		g = *p.segments[0]
 		g.shippedThrough = max(g.shippedThrough, min(s.shippedThrough[g.epoch], g.next-1))
 		p.segments[0].shippedThrough = g.shippedThrough
 		idle := g.shippedThrough+1 >= g.next
@@ -78,49 +101,46 @@
 			p.segments = p.segments[1:]
 		}
 		p.mu.Unlock()
-		if idle && g.writing {
-			return ship, 0, nil
-		}
-		if idle {
-			if g.damaged {
-				continue
-			}
-			if err := p.folder.Remove(g.name); err != nil {
-				p.recordFailure(fmt.Errorf("removing a shipped segment of the spool: %w", err)) // the fleet counts once
-			}
-			signal(p.freed)
+		switch {
+		case !idle:
+			return g, true
+		case g.writing:
+			return segmentFile{}, false
+		case g.damaged:
 			continue
 		}
-		text, err := p.folder.Read(g.name)
-		if err != nil {
-			return ship, 0, fmt.Errorf("reading the spool: %w", err)
+		if err := p.folder.Remove(g.name); err != nil {
+			p.recordFailure(fmt.Errorf("removing a shipped segment of the spool: %w", err)) // the fleet counts once
 		}
-		ship = records.Ship{Process: p.settings.Process, Epoch: g.epoch, FirstSeq: g.shippedThrough + 1, GapLost: s.gapBefore}
-		found, err := scanSegment(text[:min(int64(len(text)), g.size)], func(first uint64, texts [][]byte) error {
-			if skip := ship.FirstSeq - first; first < ship.FirstSeq {
-				texts = texts[min(skip, uint64(len(texts))):]
-			}
-			all, err := decodeRecords(texts)
-			if err != nil {
-				return err
-			}
-			if ship.Records = append(ship.Records, all...); len(ship.Records) >= p.settings.BatchSize {
-				return errBatchComplete
-			}
-			return nil
-		})
-		if err != nil && !errors.Is(err, errBatchComplete) {
-			return ship, 0, fmt.Errorf("reading the spool: %w", err)
+		signal(p.freed)
+	}
+}
+
+// readBatch reads the unshipped records of a segment, up to the batch size.
+func (s *sender) readBatch(g segmentFile) (ship records.Ship, found segmentScan, err error) {
+	p := s.spool
+	text, err := p.folder.Read(g.name)
+	if err != nil {
+		return ship, found, err
+	}
+	ship = records.Ship{Process: p.settings.Process, Epoch: g.epoch, FirstSeq: g.shippedThrough + 1, GapLost: s.gapBefore}
+	found, err = scanSegment(text[:min(int64(len(text)), g.size)], func(first uint64, texts [][]byte) error {
+		if skip := ship.FirstSeq - first; first < ship.FirstSeq {
+			texts = texts[min(skip, uint64(len(texts))):]
 		}
-		if len(ship.Records) == 0 { // it was sound when it was written or found
-			p.log.WithError(found.Err).WithFields(logrus.Fields{"segment": g.name, "records": g.next - ship.FirstSeq}).Error("spool segment can't be read any more; its records are lost")
-			p.lost.Add(int64(g.next - ship.FirstSeq))
-			s.gapBefore = true
-			s.shippedThrough[g.epoch] = max(s.shippedThrough[g.epoch], g.next-1)
-			continue
+		all, err := decodeRecords(texts)
+		if err != nil {
+			return err
+		}
+		if ship.Records = append(ship.Records, all...); len(ship.Records) >= p.settings.BatchSize {
+			return errBatchComplete
 		}
-		return ship, ship.FirstSeq + uint64(len(ship.Records)) - 1, nil
+		return nil
+	})
+	if errors.Is(err, errBatchComplete) {
+		err = nil
 	}
+	return ship, found, err
 }
 
 // send ships records and takes in how far the fleet has them.
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -38,7 +38,7 @@
 	}
 	return nil
 }
-func (t *tally) Set(at time.Duration, settings []byte) error {
+func (t *tally) Set(_ time.Duration, settings []byte) error {
 	t.Went = append(t.Went, string(settings))
 	return nil
 }
