--- a/internal/dispatcher/faultproxy/conn.go
+++ b/internal/dispatcher/faultproxy/conn.go
@@ -30,18 +30,18 @@
 	end  error // io.EOF, or what broke the connection
 }
 
-func (l *Proxy) serveConn(a *net.TCPConn) {
-	c := &conn{proxy: l, client: a, done: make(chan struct{})}
-	l.mu.Lock()
-	number := l.counts.Made
-	l.counts.Made++
-	l.conns[c] = struct{}{}
-	ended := l.ctx.Err() != nil
-	l.mu.Unlock()
+func (p *Proxy) serveConn(a *net.TCPConn) {
+	c := &conn{proxy: p, client: a, done: make(chan struct{})}
+	p.mu.Lock()
+	number := p.counts.Made
+	p.counts.Made++
+	p.conns[c] = struct{}{}
+	ended := p.ctx.Err() != nil
+	p.mu.Unlock()
 	if ended {
 		c.reset()
 	}
-	l.workers.Go(func() { c.run(uint64(number)) })
+	p.workers.Go(func() { c.run(uint64(number)) })
 }
 
 // run forwards both directions until both have ended.
--- a/internal/dispatcher/faultproxy/proxy.go
+++ b/internal/dispatcher/faultproxy/proxy.go
@@ -97,90 +97,90 @@
 }
 
 // Addr returns the address to dial.
-func (l *Proxy) Addr() string { return l.addr }
+func (p *Proxy) Addr() string { return p.addr }
 
 // Counts returns the statistics so far.
-func (l *Proxy) Counts() Counts {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c := l.counts
-	c.Open = len(l.conns)
+func (p *Proxy) Counts() Counts {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := p.counts
+	c.Open = len(p.conns)
 	return c
 }
 
 // Cut stops both directions: connections stay open, and what is sent arrives after Heal, as
 // a network's retransmissions would. New connections are refused, or accepted and stopped
 // too.
-func (l *Proxy) Cut(refuse bool) error {
-	l.updateFaults(func(f *fault) { f.held = true }, Forward, Backward)
+func (p *Proxy) Cut(refuse bool) error {
+	p.updateFaults(func(f *fault) { f.held = true }, Forward, Backward)
 	if refuse {
-		return l.Refuse()
+		return p.Refuse()
 	}
 	return nil
 }
 
 // DropOneWay drops the bytes of one direction. A connection that has lost bytes forwards no
 // more in that direction, and Heal resets it.
-func (l *Proxy) DropOneWay(w Direction) { l.updateFaults(func(f *fault) { f.lost = true }, w) }
+func (p *Proxy) DropOneWay(w Direction) { p.updateFaults(func(f *fault) { f.lost = true }, w) }
 
 // Delay delays bytes, in their order, by a time and up to jitter more.
-func (l *Proxy) Delay(by, jitter time.Duration) {
-	l.updateFaults(func(f *fault) { f.delay, f.jitter = by, jitter }, Forward, Backward)
+func (p *Proxy) Delay(by, jitter time.Duration) {
+	p.updateFaults(func(f *fault) { f.delay, f.jitter = by, jitter }, Forward, Backward)
 }
 
 // LimitRate limits each direction to a rate in bytes a second.
-func (l *Proxy) LimitRate(rate int) {
-	l.updateFaults(func(f *fault) { f.rate = rate }, Forward, Backward)
+func (p *Proxy) LimitRate(rate int) {
+	p.updateFaults(func(f *fault) { f.rate = rate }, Forward, Backward)
 }
 
 // Reset resets all open connections, at both ends.
-func (l *Proxy) Reset() {
-	for _, c := range l.openConns() {
+func (p *Proxy) Reset() {
+	for _, c := range p.openConns() {
 		c.reset()
 	}
 }
 
 // Refuse refuses new connections. Open connections stay.
-func (l *Proxy) Refuse() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.listener == nil {
+func (p *Proxy) Refuse() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener == nil {
 		return nil
 	}
-	err := l.listener.Close()
-	l.listener = nil
+	err := p.listener.Close()
+	p.listener = nil
 	return err
 }
 
 // Heal ends all faults.
-func (l *Proxy) Heal() error {
-	for _, c := range l.openConns() {
+func (p *Proxy) Heal() error {
+	for _, c := range p.openConns() {
 		if c.hasLostBytes() {
 			c.reset()
 		}
 	}
-	l.updateFaults(func(f *fault) { *f = fault{} }, Forward, Backward)
-	return l.listen()
+	p.updateFaults(func(f *fault) { *f = fault{} }, Forward, Backward)
+	return p.listen()
 }
 
 // Replay sends what the client of an ended connection sent, from its first byte on, on a
 // new connection: the target receives a call twice. It returns the number of bytes written,
 // 0 if no connection has ended yet. The response is dropped.
-func (l *Proxy) Replay() (int, error) {
-	l.mu.Lock()
-	if len(l.recordings) == 0 {
-		l.mu.Unlock()
+func (p *Proxy) Replay() (int, error) {
+	p.mu.Lock()
+	if len(p.recordings) == 0 {
+		p.mu.Unlock()
 		return 0, nil
 	}
-	text := l.recordings[l.random.IntN(len(l.recordings))]
-	l.mu.Unlock()
-	c, err := l.dial()
+	text := p.recordings[p.random.IntN(len(p.recordings))]
+	p.mu.Unlock()
+	c, err := p.dial()
 	if err != nil {
 		return 0, fmt.Errorf("replaying: %w", err)
 	}
 	n, err := c.Write(text)
-	stop := context.AfterFunc(l.ctx, func() { _ = c.Close() })
-	l.workers.Go(func() {
+	stop := context.AfterFunc(p.ctx, func() { _ = c.Close() })
+	p.workers.Go(func() {
 		defer stop()
 		defer func() { _ = c.Close() }()
 		for rest := make([]byte, pieceSize); err == nil; {
@@ -191,64 +191,64 @@
 }
 
 // Close closes the proxy and waits for its goroutines.
-func (l *Proxy) Close() {
-	l.cancel()
-	_ = l.Refuse()
-	l.Reset()
-	l.workers.Wait()
-	_ = syscall.Close(l.reservedSocket)
+func (p *Proxy) Close() {
+	p.cancel()
+	_ = p.Refuse()
+	p.Reset()
+	p.workers.Wait()
+	_ = syscall.Close(p.reservedSocket)
 }
 
-func (l *Proxy) updateFaults(change func(*fault), ways ...Direction) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *Proxy) updateFaults(change func(*fault), ways ...Direction) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, w := range ways {
-		change(&l.faults[w])
+		change(&p.faults[w])
 	}
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (l *Proxy) faultOf(w Direction) (fault, <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.faults[w], l.changed
+func (p *Proxy) faultOf(w Direction) (fault, <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.faults[w], p.changed
 }
 
-func (l *Proxy) openConns() (all []*conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for c := range l.conns {
+func (p *Proxy) openConns() (all []*conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		all = append(all, c)
 	}
 	return all
 }
 
-func (l *Proxy) listen() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.listener != nil || l.ctx.Err() != nil {
+func (p *Proxy) listen() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener != nil || p.ctx.Err() != nil {
 		return nil
 	}
-	listener, err := new(net.ListenConfig).Listen(l.ctx, "tcp", l.addr)
+	listener, err := new(net.ListenConfig).Listen(p.ctx, "tcp", p.addr)
 	if err != nil {
 		return fmt.Errorf("a link's listener: %w", err)
 	}
-	l.listener = listener
-	l.workers.Go(func() {
+	p.listener = listener
+	p.workers.Go(func() {
 		for {
 			a, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			l.serveConn(a.(*net.TCPConn))
+			p.serveConn(a.(*net.TCPConn))
 		}
 	})
 	return nil
 }
 
-func (l *Proxy) dial() (*net.TCPConn, error) {
-	c, err := new(net.Dialer).DialContext(l.ctx, "tcp", l.target)
+func (p *Proxy) dial() (*net.TCPConn, error) {
+	c, err := new(net.Dialer).DialContext(p.ctx, "tcp", p.target)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dispatcher/fleet/budget/allocation_table.go
+++ b/internal/dispatcher/fleet/budget/allocation_table.go
@@ -57,28 +57,28 @@
 // nothing grows before. Of a new InFlight or Divided budget each holder counts as holding
 // the total until it has acknowledged, since it may have anything in flight. If the
 // configuration is invalid, nothing changes.
-func (b *AllocationTable) Configure(at time.Duration, c Config) error {
+func (t *AllocationTable) Configure(at time.Duration, c Config) error {
 	if err := c.Check(); err != nil {
 		return fmt.Errorf("configuring the fleet's budgets: %w", err)
 	}
-	b.expireDue(at)
+	t.expireDue(at)
 	next := make([]*budgetState, 0, len(c.Budgets))
 	for _, budget := range c.Budgets {
 		s := &budgetState{Budget: budget, NeedsDivision: true, DividedAt: -DivisionInterval}
-		if i := b.budgetIndex(budget.Name); i >= 0 && b.Budgets[i].Kind == budget.Kind {
-			s.Quarantines = b.Budgets[i].Quarantines
+		if i := t.budgetIndex(budget.Name); i >= 0 && t.Budgets[i].Kind == budget.Kind {
+			s.Quarantines = t.Budgets[i].Quarantines
 		}
 		next = append(next, s)
 	}
 	slices.SortFunc(next, func(x, y *budgetState) int { return strings.Compare(x.Name, y.Name) })
-	if len(b.Holders) > 0 {
-		b.LastGrant++
+	if len(t.Holders) > 0 {
+		t.LastGrant++
 	}
-	for _, h := range b.Holders {
+	for _, h := range t.Holders {
 		lines := make([]allocation, len(next))
 		for i, s := range next {
 			l := &lines[i]
-			if k := b.budgetIndex(s.Name); k >= 0 && b.Budgets[k].Kind == s.Kind {
+			if k := t.budgetIndex(s.Name); k >= 0 && t.Budgets[k].Kind == s.Kind {
 				// It may be using what is bound or what was offered: both count on.
 				*l = h.Allocations[k]
 				l.Acknowledged = l.Acknowledged.componentMax(l.Offered)
@@ -87,16 +87,16 @@
 				l.Acknowledged = allotment{Amount: toMicros(s.Total), SettleTime: s.SettleTime}
 			}
 		}
-		h.Allocations, h.OfferedGrant = lines, b.LastGrant
+		h.Allocations, h.OfferedGrant = lines, t.LastGrant
 	}
-	b.Lease, b.Budgets = c.Lease, next
-	b.rebuildTotals()
+	t.Lease, t.Budgets = c.Lease, next
+	t.rebuildTotals()
 	return nil
 }
 
 // budgetIndex returns a budget's index, or -1.
-func (b *AllocationTable) budgetIndex(name string) int {
-	i, ok := slices.BinarySearchFunc(b.Budgets, name, func(s *budgetState, name string) int { return strings.Compare(s.Name, name) })
+func (t *AllocationTable) budgetIndex(name string) int {
+	i, ok := slices.BinarySearchFunc(t.Budgets, name, func(s *budgetState, name string) int { return strings.Compare(s.Name, name) })
 	if !ok {
 		return -1
 	}
@@ -104,8 +104,8 @@
 }
 
 // holderIndex returns where a holder is, or belongs.
-func (b *AllocationTable) holderIndex(process string, incarnation uint64) (int, bool) {
-	return slices.BinarySearchFunc(b.Holders, process, func(h *holder, _ string) int {
+func (t *AllocationTable) holderIndex(process string, incarnation uint64) (int, bool) {
+	return slices.BinarySearchFunc(t.Holders, process, func(h *holder, _ string) int {
 		return cmp.Or(strings.Compare(h.Process, process), cmp.Compare(h.Incarnation, incarnation))
 	})
 }
@@ -125,54 +125,54 @@
 // available by its next. That is two thirds of a lease plus the network delays, where there
 // are as many seats (of a Rate's burst, or whole jobs in flight) as processes with demand;
 // where there are fewer, processes take turns of two leases.
-func (b *AllocationTable) Renew(at time.Duration, r Renewal) (Grant, error) {
+func (t *AllocationTable) Renew(at time.Duration, r Renewal) (Grant, error) {
 	if r.Process == "" || r.Incarnation == 0 {
 		return Grant{}, fmt.Errorf("renewing %q, %d: %w", r.Process, r.Incarnation, ErrNoName)
 	}
-	if b.isFenced(r.Process, r.Incarnation) {
+	if t.isFenced(r.Process, r.Incarnation) {
 		return Grant{}, fmt.Errorf("renewing %q, %d: %w", r.Process, r.Incarnation, ErrFenced)
 	}
-	for _, s := range b.Budgets {
+	for _, s := range t.Budgets {
 		u := r.Usage[s.Name]
 		if !(u.Demand >= 0 && u.Demand <= maxTotal && u.InFlight >= 0 && u.InFlight <= maxTotal && u.MaxRemaining >= 0) {
 			return Grant{}, fmt.Errorf("renewing %q, %d: use of budget %q: below 0, no number or above %v: %+v", r.Process, r.Incarnation, s.Name, maxTotal, u)
 		}
 	}
-	b.expireDue(at)
-	h := b.activeHolders[r.Process]
+	t.expireDue(at)
+	h := t.activeHolders[r.Process]
 	if h == nil || h.Incarnation < r.Incarnation {
-		h = b.addHolder(r)
+		h = t.addHolder(r)
 	}
-	h.LeaseEnd = max(h.LeaseEnd, b.Now+b.Lease)
-	b.nextDue = min(b.nextDue, h.LeaseEnd)
-	b.acknowledge(h, r)
-	b.divideChanged()
-	return b.grant(h), nil
+	h.LeaseEnd = max(h.LeaseEnd, t.Now+t.Lease)
+	t.nextDue = min(t.nextDue, h.LeaseEnd)
+	t.acknowledge(h, r)
+	t.divideChanged()
+	return t.grant(h), nil
 }
 
 // isFenced reports whether a newer incarnation exists, or has existed during this one's
 // lease.
-func (b *AllocationTable) isFenced(process string, incarnation uint64) bool {
-	if h := b.activeHolders[process]; h != nil && h.Incarnation > incarnation {
+func (t *AllocationTable) isFenced(process string, incarnation uint64) bool {
+	if h := t.activeHolders[process]; h != nil && h.Incarnation > incarnation {
 		return true
 	}
-	i, ok := b.holderIndex(process, incarnation)
-	return ok && b.Holders[i].Superseded
+	i, ok := t.holderIndex(process, incarnation)
+	return ok && t.Holders[i].Superseded
 }
 
-func (b *AllocationTable) addHolder(r Renewal) *holder {
-	if old := b.activeHolders[r.Process]; old != nil {
+func (t *AllocationTable) addHolder(r Renewal) *holder {
+	if old := t.activeHolders[r.Process]; old != nil {
 		old.Superseded = true
-		if b.grantTwice {
-			b.expireHolder(old, false)
+		if t.grantTwice {
+			t.expireHolder(old, false)
 		}
 	}
-	h := &holder{Process: r.Process, Incarnation: r.Incarnation, Allocations: make([]allocation, len(b.Budgets))}
-	i, _ := b.holderIndex(r.Process, r.Incarnation)
-	b.Holders = slices.Insert(b.Holders, i, h)
-	b.activeHolders[r.Process] = h
-	for i, s := range b.Budgets {
-		h.Allocations[i].Since = b.Now
+	h := &holder{Process: r.Process, Incarnation: r.Incarnation, Allocations: make([]allocation, len(t.Budgets))}
+	i, _ := t.holderIndex(r.Process, r.Incarnation)
+	t.Holders = slices.Insert(t.Holders, i, h)
+	t.activeHolders[r.Process] = h
+	for i, s := range t.Budgets {
+		h.Allocations[i].Since = t.Now
 		s.NeedsDivision = true
 	}
 	return h
@@ -181,14 +181,14 @@
 // acknowledge takes in what a renewal reports. One that is older than what was acknowledged
 // has no news. What is in flight above the amount can only fall, since nothing is begun
 // above it, so that the least reported since counts.
-func (b *AllocationTable) acknowledge(h *holder, r Renewal) {
+func (t *AllocationTable) acknowledge(h *holder, r Renewal) {
 	if r.AppliedGrant < h.AcknowledgedGrant {
 		return
 	}
 	fresh := r.AppliedGrant == h.OfferedGrant && h.AcknowledgedGrant != h.OfferedGrant
-	for i, s := range b.Budgets {
+	for i, s := range t.Budgets {
 		l, u := &h.Allocations[i], r.Usage[s.Name]
-		b.updateAllocation(s, l, func() {
+		t.updateAllocation(s, l, func() {
 			under := toMicros(u.InFlight)
 			if s.Kind == InFlight && (fresh || h.OfferedGrant == 0 || under < l.InFlight) {
 				l.InFlight = under
@@ -197,13 +197,13 @@
 				before := l.upperBound().Amount
 				l.Acknowledged = l.Offered
 				if freed := before - l.upperBound().Amount; freed > 0 && s.Kind == Divided {
-					until := b.Now + quarantineSpan(max(s.SettleTime, l.Acknowledged.SettleTime))
+					until := t.Now + quarantineSpan(max(s.SettleTime, l.Acknowledged.SettleTime))
 					s.addQuarantine(quarantine{Amount: freed, Until: until})
-					b.nextDue = min(b.nextDue, until)
+					t.nextDue = min(t.nextDue, until)
 				}
 			}
 		})
-		l.Latest = max(l.Latest, b.Now+quarantineSpan(u.MaxRemaining))
+		l.Latest = max(l.Latest, t.Now+quarantineSpan(u.MaxRemaining))
 		if l.Demand != u.Demand && (math.Abs(l.Demand-u.Demand) > demandTolerance*max(l.Demand, u.Demand)) {
 			l.Demand, s.NeedsDivision = u.Demand, true
 		}
@@ -215,16 +215,16 @@
 
 // Advance moves the fleet time: leases expire, quarantines end, and changed budgets are
 // divided. Without a change, and before NextDue, it does nothing.
-func (b *AllocationTable) Advance(at time.Duration) {
-	b.expireDue(at)
-	b.divideChanged()
+func (t *AllocationTable) Advance(at time.Duration) {
+	t.expireDue(at)
+	t.divideChanged()
 }
 
 // NextDue returns the earliest fleet time at which Advance may have something to do. A
 // leader need not propose an Advance before.
-func (b *AllocationTable) NextDue() time.Duration {
-	due := b.nextDue
-	for _, s := range b.Budgets {
+func (t *AllocationTable) NextDue() time.Duration {
+	due := t.nextDue
+	for _, s := range t.Budgets {
 		if s.NeedsDivision {
 			due = min(due, s.DividedAt+DivisionInterval)
 		}
--- a/internal/dispatcher/fleet/budget/allocation_table_test.go
+++ b/internal/dispatcher/fleet/budget/allocation_table_test.go
@@ -46,10 +46,10 @@
 	return 0
 }
 
-// TestBookAgainstPlain: whatever renewals come, in whatever order, all that may
+// TestTableAgainstPlainModel: whatever renewals come, in whatever order, all that may
 // be in use, counted plainly, is no more than the whole; and a copy by encoding
 // goes on alike.
-func TestBookAgainstPlain(t *testing.T) {
+func TestTableAgainstPlainModel(t *testing.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	budgets := []Budget{
 		{Name: "p", Kind: Divided, Total: 10, FloorSlots: 1, Floor: 1, FloorDuration: time.Second, SettleTime: 400 * time.Millisecond},
 		{Name: "r", Kind: Rate, Total: 30, Burst: 3, FloorSlots: 1, Floor: 5, FloorDuration: 2 * time.Second},
@@ -200,9 +200,9 @@
 	return g
 }
 
-// TestUnderWayCounts: what is under way above the amount is nobody else's, whoever
+// TestInFlightCounts: what is under way above the amount is nobody else's, whoever
 // says otherwise, and backs nothing twice.
-func TestUnderWayCounts(t *testing.T) {
+func TestInFlightCounts(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	x := Budget{Name: "x", Kind: InFlight, Total: 10, SettleTime: time.Second}
 	got := func(g Grant) float64 { return g.Shares[0].Amount }
 	f := newFleet(t, x)
@@ -268,9 +268,9 @@
 	require.EqualValues(t, 3, got(f.ask("b", 10)))
 }
 
-// TestFloorAside: others hold all, and a newcomer has its floor with its first
+// TestFloorReserved: others hold all, and a newcomer has its floor with its first
 // renewal; a fenced incarnation stays fenced.
-func TestFloorAside(t *testing.T) {
+func TestFloorReserved(t *testing.T) {
 	f := newFleet(t, Budget{Name: "x", Kind: Rate, Total: 100, Burst: 10, FloorSlots: 2, Floor: 5, FloorDuration: lease})
 	for range 4 {
 		f.ask("a", 1000)
--- a/internal/dispatcher/fleet/budget/allowance.go
+++ b/internal/dispatcher/fleet/budget/allowance.go
@@ -34,34 +34,34 @@
 // operator's file. Until a grant says otherwise their buckets are empty instead of
 // unlimited: a process that has just started admits nothing of a budget of which it has no
 // share.
-func (p *Allowance) ExpectBudgets(names ...string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.expected = map[string]bool{}
+func (a *Allowance) ExpectBudgets(names ...string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.expected = map[string]bool{}
 	for _, n := range names {
-		p.expected[n] = true
+		a.expected[n] = true
 	}
-	if p.appliedGrant == 0 {
-		for _, n := range p.names {
-			p.buckets[n].reset(p.termsWithoutGrant(n))
+	if a.appliedGrant == 0 {
+		for _, n := range a.names {
+			a.buckets[n].reset(a.termsWithoutGrant(n))
 		}
 	}
 }
 
 // SetIncarnation sets the process and incarnation that renewals are made for. A new
 // incarnation has no share until its first grant; what is in flight goes on.
-func (p *Allowance) SetIncarnation(process string, incarnation uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.process == process && p.incarnation == incarnation {
+func (a *Allowance) SetIncarnation(process string, incarnation uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.process == process && a.incarnation == incarnation {
 		return
 	}
-	for _, n := range p.names {
-		if t := p.buckets[n]; t.terms.Load() != &unlimited || p.expected[n] {
+	for _, n := range a.names {
+		if t := a.buckets[n]; t.terms.Load() != &unlimited || a.expected[n] {
 			t.reset(&blocked)
 		}
 	}
-	p.process, p.incarnation, p.appliedGrant, p.grantedAt = process, incarnation, 0, 0
+	a.process, a.incarnation, a.appliedGrant, a.grantedAt = process, incarnation, 0, 0
 }
 
 // Apply applies a grant: sent is when the renewal that it answers was sent, now the time of
@@ -73,23 +73,23 @@
 // has begun later and lasts longer. A share that has grown begins with what its bucket
 // holds, a new one with nothing; a bucket that shrinks is clipped at once, before any
 // renewal acknowledges the grant.
-func (p *Allowance) Apply(sent, now time.Duration, g Grant) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if g.Check() != nil || g.Process != p.process || g.Incarnation != p.incarnation || g.Number < p.appliedGrant || p.closed {
+func (a *Allowance) Apply(sent, now time.Duration, g Grant) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if g.Check() != nil || g.Process != a.process || g.Incarnation != a.incarnation || g.Number < a.appliedGrant || a.closed {
 		return false
 	}
-	fresh := g.Number > p.appliedGrant
-	if !fresh && sent <= p.grantedAt {
+	fresh := g.Number > a.appliedGrant
+	if !fresh && sent <= a.grantedAt {
 		return false
 	}
-	p.grantedAt, p.lease, p.renewSoon = max(p.grantedAt, sent), g.Lease, g.RenewSoon
-	ends := p.grantedAt + time.Duration(LeaseMargin*float64(g.Lease))
+	a.grantedAt, a.lease, a.renewSoon = max(a.grantedAt, sent), g.Lease, g.RenewSoon
+	ends := a.grantedAt + time.Duration(LeaseMargin*float64(g.Lease))
 	shrank := false
 	named := make(map[string]bool, len(g.Shares))
 	for _, s := range g.Shares {
 		named[s.Name] = true
-		t := p.bucket(s.Name)
+		t := a.bucket(s.Name)
 		old := t.terms.Load()
 		shrank = shrank || s.Amount < old.amount || s.Burst < old.burst
 		next := &terms{
@@ -97,45 +97,45 @@
 			leaseEnd: ends, floorEnd: ends,
 		}
 		if s.Floor > 0 {
-			next.floorEnd = p.grantedAt + time.Duration(LeaseMargin*float64(g.Lease+s.FloorDuration))
+			next.floorEnd = a.grantedAt + time.Duration(LeaseMargin*float64(g.Lease+s.FloorDuration))
 		}
 		if !fresh {
 			next.leaseEnd, next.floorEnd = max(next.leaseEnd, old.leaseEnd), max(next.floorEnd, old.floorEnd)
 		}
-		t.applyTerms(now, next, fresh && p.fullBuckets)
+		t.applyTerms(now, next, fresh && a.fullBuckets)
 	}
-	for _, n := range p.names {
+	for _, n := range a.names {
 		if !named[n] {
-			p.buckets[n].reset(&unlimited)
+			a.buckets[n].reset(&unlimited)
 		}
 	}
-	p.appliedGrant = g.Number
-	p.renewSoon = p.renewSoon || shrank
+	a.appliedGrant = g.Number
+	a.renewSoon = a.renewSoon || shrank
 	return shrank
 }
 
 // Bucket returns the process's bucket of a budget, to be looked up once and kept. The
 // bucket of a budget that does not exist (yet) admits everything and counts.
-func (p *Allowance) Bucket(name string) *TokenBucket {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.bucket(name)
+func (a *Allowance) Bucket(name string) *TokenBucket {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.bucket(name)
 }
 
-func (p *Allowance) bucket(name string) *TokenBucket {
-	t := p.buckets[name]
+func (a *Allowance) bucket(name string) *TokenBucket {
+	t := a.buckets[name]
 	if t == nil {
 		t = &TokenBucket{}
-		t.reset(p.termsWithoutGrant(name))
-		p.buckets[name] = t
-		p.names = append(p.names, name)
+		t.reset(a.termsWithoutGrant(name))
+		a.buckets[name] = t
+		a.names = append(a.names, name)
 	}
 	return t
 }
 
 // termsWithoutGrant returns the terms of a budget that no grant has named.
-func (p *Allowance) termsWithoutGrant(name string) *terms {
-	if p.closed || p.appliedGrant == 0 && p.expected[name] {
+func (a *Allowance) termsWithoutGrant(name string) *terms {
+	if a.closed || a.appliedGrant == 0 && a.expected[name] {
 		return &blocked
 	}
 	return &unlimited
@@ -145,45 +145,45 @@
 // lease after the last one, or a twelfth where a share has shrunk, where more is due than
 // could be given, or where demand differs from what was reported, by half and by more than
 // chance.
-func (p *Allowance) NextRenewal(now time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.lease == 0 {
-		return p.renewalAt + 100*time.Millisecond
+func (a *Allowance) NextRenewal(now time.Duration) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.lease == 0 {
+		return a.renewalAt + 100*time.Millisecond
 	}
-	soon := p.renewSoon
-	for _, n := range p.names {
-		soon = soon || p.buckets[n].demandChanged(now-p.renewalAt)
+	soon := a.renewSoon
+	for _, n := range a.names {
+		soon = soon || a.buckets[n].demandChanged(now-a.renewalAt)
 	}
 	if soon {
-		return p.renewalAt + p.lease/12
+		return a.renewalAt + a.lease/12
 	}
-	return p.renewalAt + p.lease/3
+	return a.renewalAt + a.lease/3
 }
 
 // Renewal returns the renewal to be sent now. It reads the grant's number before what is in
 // flight: nothing can begin afterwards under an older grant, since a bucket checks its
 // terms after it counts.
-func (p *Allowance) Renewal(now time.Duration) Renewal {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r := Renewal{Process: p.process, Incarnation: p.incarnation, AppliedGrant: p.appliedGrant, Usage: make(map[string]Usage, len(p.names))}
-	for _, n := range p.names {
-		r.Usage[n] = p.buckets[n].usage(now, now-p.renewalAt)
+func (a *Allowance) Renewal(now time.Duration) Renewal {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	r := Renewal{Process: a.process, Incarnation: a.incarnation, AppliedGrant: a.appliedGrant, Usage: make(map[string]Usage, len(a.names))}
+	for _, n := range a.names {
+		r.Usage[n] = a.buckets[n].usage(now, now-a.renewalAt)
 	}
-	p.renewalAt, p.renewSoon = now, false
+	a.renewalAt, a.renewSoon = now, false
 	return r
 }
 
 // Close closes all buckets for good and returns what is in flight, for a planned shutdown.
 // Nothing is admitted after it.
-func (p *Allowance) Close(now time.Duration) map[string]Departure {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	left := make(map[string]Departure, len(p.names))
-	for _, n := range p.names {
-		t := p.buckets[n]
+func (a *Allowance) Close(now time.Duration) map[string]Departure {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.closed = true
+	left := make(map[string]Departure, len(a.names))
+	for _, n := range a.names {
+		t := a.buckets[n]
 		t.reset(&blocked)
 		under, latest := t.unfinished(now)
 		left[n] = Departure{InFlight: under, MaxRemaining: latest}
--- a/internal/dispatcher/fleet/budget/allowance_test.go
+++ b/internal/dispatcher/fleet/budget/allowance_test.go
@@ -34,8 +34,8 @@
 	return n
 }
 
-// TestPurse: what a process may spend, from before its first grant to after its floor.
-func TestPurse(t *testing.T) {
+// TestAllowance: what a process may spend, from before its first grant to after its floor.
+func TestAllowance(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	p := NewAllowance()
 	p.ExpectBudgets("r", "u")
 	p.SetIncarnation("n1", 1)
--- a/internal/dispatcher/fleet/budget/bench_test.go
+++ b/internal/dispatcher/fleet/budget/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkTap takes, or begins and ends, by one thread and, with -cpu 8, by eight, of a share
+// BenchmarkTokenBucket takes, or begins and ends, by one thread and, with -cpu 8, by eight, of a share
 // that is enough and of one that mostly turns away; clock reads the time each time.
-func BenchmarkTap(b *testing.B) {
+func BenchmarkTokenBucket(b *testing.B) {
 	for _, rate := range []float64{1e8, 1e4} {
 		p, begin := NewAllowance(), time.Now()
 		p.SetIncarnation("n1", 1)
@@ -58,8 +58,8 @@
 	return b, renewals
 }
 
-// BenchmarkBook: an Advance that divides anew, one that has nothing to do, and a renewal.
-func BenchmarkBook(b *testing.B) {
+// BenchmarkAllocationTable: an Advance that divides anew, one that has nothing to do, and a renewal.
+func BenchmarkAllocationTable(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		for _, kind := range []Kind{Rate, InFlight} {
 			book, renewals := fleetOf(n, kind)
--- a/internal/dispatcher/fleet/budget/departure.go
+++ b/internal/dispatcher/fleet/budget/departure.go
@@ -12,40 +12,40 @@
 // latest deadline, and its parts of Divided budgets for SettleTime. A budget that left does
 // not name is treated as if the process had failed now. An unknown process is no error,
 // since the call may arrive twice.
-func (b *AllocationTable) Leave(at time.Duration, process string, incarnation uint64, left map[string]Departure) error {
+func (t *AllocationTable) Leave(at time.Duration, process string, incarnation uint64, left map[string]Departure) error {
 	if process == "" || incarnation == 0 {
 		return fmt.Errorf("leaving of %q, %d: %w", process, incarnation, ErrNoName)
 	}
-	for _, s := range b.Budgets {
+	for _, s := range t.Budgets {
 		if l := left[s.Name]; !(l.InFlight >= 0 && l.InFlight <= maxTotal && l.MaxRemaining >= 0) {
 			return fmt.Errorf("leaving of %q, %d: budget %q: below 0, no number or above %v: %+v", process, incarnation, s.Name, maxTotal, l)
 		}
 	}
-	b.expireDue(at)
-	i, ok := b.holderIndex(process, incarnation)
+	t.expireDue(at)
+	i, ok := t.holderIndex(process, incarnation)
 	if !ok {
 		return nil
 	}
-	h := b.Holders[i]
-	for k, s := range b.Budgets {
+	h := t.Holders[i]
+	for k, s := range t.Budgets {
 		held := h.Allocations[k].upperBound()
 		u, told := left[s.Name]
 		switch {
 		case s.Kind == Divided || s.Kind == InFlight && !told:
-			s.addQuarantine(quarantine{Amount: held.Amount, Until: b.Now + quarantineSpan(max(held.SettleTime, s.SettleTime))})
+			s.addQuarantine(quarantine{Amount: held.Amount, Until: t.Now + quarantineSpan(max(held.SettleTime, s.SettleTime))})
 		case s.Kind == InFlight:
-			s.addQuarantine(quarantine{Amount: toMicros(u.InFlight), Until: b.Now + quarantineSpan(u.MaxRemaining)})
+			s.addQuarantine(quarantine{Amount: toMicros(u.InFlight), Until: t.Now + quarantineSpan(u.MaxRemaining)})
 		}
 	}
-	b.removeHolder(h)
+	t.removeHolder(h)
 	return nil
 }
 
 // expireHolder removes a holder whose lease has expired. It may go on with its floor for
 // FloorDuration; jobs that it has begun by then last for SettleTime more at most, and what
 // it used of a Divided budget counts for as long.
-func (b *AllocationTable) expireHolder(h *holder, lasting bool) {
-	for i, s := range b.Budgets {
+func (t *AllocationTable) expireHolder(h *holder, lasting bool) {
+	for i, s := range t.Budgets {
 		l := &h.Allocations[i]
 		p := l.upperBound()
 		linger := quarantineSpan(max(p.SettleTime, s.SettleTime))
@@ -64,55 +64,55 @@
 			}
 		}
 	}
-	b.removeHolder(h)
+	t.removeHolder(h)
 }
 
-func (b *AllocationTable) removeHolder(h *holder) {
-	for i, s := range b.Budgets {
+func (t *AllocationTable) removeHolder(h *holder) {
+	for i, s := range t.Budgets {
 		s.held.add(&h.Allocations[i], -1)
 		s.NeedsDivision = true
 	}
-	i, _ := b.holderIndex(h.Process, h.Incarnation)
-	b.Holders = slices.Delete(b.Holders, i, i+1)
-	if b.activeHolders[h.Process] == h {
-		delete(b.activeHolders, h.Process)
+	i, _ := t.holderIndex(h.Process, h.Incarnation)
+	t.Holders = slices.Delete(t.Holders, i, i+1)
+	if t.activeHolders[h.Process] == h {
+		delete(t.activeHolders, h.Process)
 	}
-	b.nextDue = min(b.nextDue, b.Now) // rests may be due
+	t.nextDue = min(t.nextDue, t.Now) // rests may be due
 }
 
 // expireDue ends the leases, quarantines and seat turns that are due. A quarantine may
 // already be over when it is added; it is then dropped in the same call.
-func (b *AllocationTable) expireDue(at time.Duration) {
-	b.Now = max(b.Now, at)
-	if b.nextDue > b.Now {
+func (t *AllocationTable) expireDue(at time.Duration) {
+	t.Now = max(t.Now, at)
+	if t.nextDue > t.Now {
 		return
 	}
-	for i := 0; i < len(b.Holders); {
-		if h := b.Holders[i]; h.LeaseEnd <= b.Now {
-			b.expireHolder(h, true)
+	for i := 0; i < len(t.Holders); {
+		if h := t.Holders[i]; h.LeaseEnd <= t.Now {
+			t.expireHolder(h, true)
 			continue
 		}
 		i++
 	}
-	b.nextDue = math.MaxInt64
-	for _, h := range b.Holders {
-		b.nextDue = min(b.nextDue, h.LeaseEnd)
+	t.nextDue = math.MaxInt64
+	for _, h := range t.Holders {
+		t.nextDue = min(t.nextDue, h.LeaseEnd)
 	}
-	for _, s := range b.Budgets {
+	for _, s := range t.Budgets {
 		s.Quarantines = slices.DeleteFunc(s.Quarantines, func(r quarantine) bool {
-			if r.Until > b.Now {
-				b.nextDue = min(b.nextDue, r.Until)
+			if r.Until > t.Now {
+				t.nextDue = min(t.nextDue, r.Until)
 				return false
 			}
 			s.quarantined.addQuarantine(r, -1)
 			s.NeedsDivision = true
 			return true
 		})
-		if s.SeatTurnAt > 0 && s.SeatTurnAt <= b.Now {
+		if s.SeatTurnAt > 0 && s.SeatTurnAt <= t.Now {
 			s.SeatTurnAt, s.NeedsDivision = 0, true
 		}
 		if s.SeatTurnAt > 0 {
-			b.nextDue = min(b.nextDue, s.SeatTurnAt)
+			t.nextDue = min(t.nextDue, s.SeatTurnAt)
 		}
 	}
 }
--- a/internal/dispatcher/fleet/budget/division.go
+++ b/internal/dispatcher/fleet/budget/division.go
@@ -8,11 +8,11 @@
 
 // divideChanged divides the budgets that have changed, each once in a DivisionInterval at
 // most.
-func (b *AllocationTable) divideChanged() {
-	for i, s := range b.Budgets {
-		if s.NeedsDivision && b.Now-s.DividedAt >= DivisionInterval {
-			b.divideBudget(i, s)
-			s.NeedsDivision, s.DividedAt = false, b.Now
+func (t *AllocationTable) divideChanged() {
+	for i, s := range t.Budgets {
+		if s.NeedsDivision && t.Now-s.DividedAt >= DivisionInterval {
+			t.divideBudget(i, s)
+			s.NeedsDivision, s.DividedAt = false, t.Now
 		}
 	}
 }
@@ -20,9 +20,9 @@
 // divideBudget sets what is due to each holder. What older incarnations hold, what is
 // quarantined and what is reserved is not divided; parts of a Divided budget in quarantine
 // are, since they return to those that they are due to.
-func (b *AllocationTable) divideBudget(i int, s *budgetState) {
-	whole, bursts, wanting := b.divisible(i, s)
-	live := len(b.candidates)
+func (t *AllocationTable) divideBudget(i int, s *budgetState) {
+	whole, bursts, wanting := t.divisible(i, s)
+	live := len(t.candidates)
 	if live == 0 {
 		return
 	}
@@ -35,33 +35,33 @@
 	}
 	s.SeatTurnAt = 0
 	if seats < most {
-		b.assignSeats(i, s, seats, wanting)
+		t.assignSeats(i, s, seats, wanting)
 	}
 	if seats == 0 {
 		return
 	}
-	for _, k := range b.candidates {
-		h := b.Holders[k]
-		b.claims = append(b.claims, Claim{Demand: b.demandBeyondFloor(i, s, h), Weight: s.weight(h.Process)})
+	for _, k := range t.candidates {
+		h := t.Holders[k]
+		t.claims = append(t.claims, Claim{Demand: t.demandBeyondFloor(i, s, h), Weight: s.weight(h.Process)})
 	}
-	b.shares = slices.Grow(b.shares[:0], len(b.claims))[:len(b.claims)]
+	t.shares = slices.Grow(t.shares[:0], len(t.claims))[:len(t.claims)]
 	switch s.Kind {
 	case InFlight:
-		b.divideWholeJobs(i, whole/microsPerUnit)
+		t.divideWholeJobs(i, whole/microsPerUnit)
 	default:
-		b.policy(fromMicros(whole), b.claims, b.shares)
-		for n, k := range b.candidates {
-			b.Holders[k].Allocations[i].Due = min(toMicros(max(b.shares[n], 0)), whole)
+		t.policy(fromMicros(whole), t.claims, t.shares)
+		for n, k := range t.candidates {
+			t.Holders[k].Allocations[i].Due = min(toMicros(max(t.shares[n], 0)), whole)
 		}
 	}
 	if s.Kind == Rate {
-		b.divideBurst(i, bursts)
+		t.divideBurst(i, bursts)
 	}
 }
 
 // divisible returns how much of a budget and of its burst can be divided, and the number
 // of holders with demand. It makes all holders in force candidates with nothing due.
-func (b *AllocationTable) divisible(i int, s *budgetState) (whole, bursts int64, wanting int) {
+func (t *AllocationTable) divisible(i int, s *budgetState) (whole, bursts int64, wanting int) {
 	amount, burst := s.reservedFloors()
 	whole, bursts = toMicros(s.Total)-amount, toMicros(s.Burst)-burst
 	for _, r := range s.Quarantines {
@@ -71,8 +71,8 @@
 		bursts -= r.Burst
 	}
 	floor := toMicros(s.Floor)
-	b.claims, b.candidates = b.claims[:0], b.candidates[:0]
-	for k, h := range b.Holders {
+	t.claims, t.candidates = t.claims[:0], t.candidates[:0]
+	for k, h := range t.Holders {
 		l := &h.Allocations[i]
 		if h.Superseded {
 			held := l.upperBound()
@@ -84,17 +84,17 @@
 			whole -= floor
 			bursts -= s.burstPerFloor()
 		}
-		if b.demandBeyondFloor(i, s, h) > 0 {
+		if t.demandBeyondFloor(i, s, h) > 0 {
 			wanting++
 		}
-		b.candidates = append(b.candidates, k)
+		t.candidates = append(t.candidates, k)
 		l.Due, l.DueBurst = 0, 0
 	}
 	return max(whole, 0), max(bursts, 0), wanting
 }
 
 // demandBeyondFloor returns a holder's demand beyond its floor.
-func (b *AllocationTable) demandBeyondFloor(i int, s *budgetState, h *holder) float64 {
+func (t *AllocationTable) demandBeyondFloor(i int, s *budgetState, h *holder) float64 {
 	l := &h.Allocations[i]
 	d := l.Demand
 	if l.hasFloor() {
@@ -113,12 +113,12 @@
 // small enough for all: a token bucket needs 1 of the burst, and a job is indivisible.
 // First come holders with demand that have had a seat for less than a turn, then those that
 // wait, the longest first, then those that have had one longest.
-func (b *AllocationTable) assignSeats(i int, s *budgetState, seats, wanting int) {
+func (t *AllocationTable) assignSeats(i int, s *budgetState, seats, wanting int) {
 	class := func(k int) int {
-		h := b.Holders[k]
+		h := t.Holders[k]
 		l := &h.Allocations[i]
-		switch wants := b.demandBeyondFloor(i, s, h) > 0; {
-		case wants && l.Seated && b.Now-l.Since < seatTurnLeases*b.Lease:
+		switch wants := t.demandBeyondFloor(i, s, h) > 0; {
+		case wants && l.Seated && t.Now-l.Since < seatTurnLeases*t.Lease:
 			return 0
 		case wants && !l.Seated:
 			return 1
@@ -129,36 +129,36 @@
 		}
 		return 4
 	}
-	slices.SortFunc(b.candidates, func(x, y int) int {
+	slices.SortFunc(t.candidates, func(x, y int) int {
 		by := cmp.Compare(class(x), class(y))
-		since := cmp.Compare(b.Holders[x].Allocations[i].Since, b.Holders[y].Allocations[i].Since)
+		since := cmp.Compare(t.Holders[x].Allocations[i].Since, t.Holders[y].Allocations[i].Since)
 		if class(x) == 2 {
 			since = -since
 		}
 		return cmp.Or(by, since, cmp.Compare(x, y))
 	})
-	for n, k := range b.candidates {
-		if l := &b.Holders[k].Allocations[i]; l.Seated != (n < seats) {
-			l.Seated, l.Since = n < seats, b.Now
+	for n, k := range t.candidates {
+		if l := &t.Holders[k].Allocations[i]; l.Seated != (n < seats) {
+			l.Seated, l.Since = n < seats, t.Now
 		}
 	}
 	if seats < wanting {
-		s.SeatTurnAt = b.Now + seatTurnLeases*b.Lease
-		b.nextDue = min(b.nextDue, s.SeatTurnAt)
+		s.SeatTurnAt = t.Now + seatTurnLeases*t.Lease
+		t.nextDue = min(t.nextDue, s.SeatTurnAt)
 	}
-	b.candidates = b.candidates[:seats]
-	slices.Sort(b.candidates)
+	t.candidates = t.candidates[:seats]
+	slices.Sort(t.candidates)
 }
 
 // divideBurst gives each seated holder 1 of the burst, and the rest by amount.
-func (b *AllocationTable) divideBurst(i int, bursts int64) {
+func (t *AllocationTable) divideBurst(i int, bursts int64) {
 	all := 0.0
-	for _, k := range b.candidates {
-		all += float64(b.Holders[k].Allocations[i].Due)
+	for _, k := range t.candidates {
+		all += float64(t.Holders[k].Allocations[i].Due)
 	}
-	rest := bursts - int64(len(b.candidates))*microsPerUnit
-	for _, k := range b.candidates {
-		l := &b.Holders[k].Allocations[i]
+	rest := bursts - int64(len(t.candidates))*microsPerUnit
+	for _, k := range t.candidates {
+		l := &t.Holders[k].Allocations[i]
 		l.DueBurst = microsPerUnit
 		if all > 0 && rest > 0 {
 			l.DueBurst += int64(float64(rest) * (float64(l.Due) / all))
@@ -168,24 +168,24 @@
 
 // divideWholeJobs divides whole jobs: one for each holder with demand, the rest by the
 // policy, and what rounding leaves to those that hold it already.
-func (b *AllocationTable) divideWholeJobs(i int, jobs int64) {
+func (t *AllocationTable) divideWholeJobs(i int, jobs int64) {
 	left := jobs
-	for n, k := range b.candidates {
-		if b.claims[n].Demand >= 1 {
-			b.claims[n].Demand--
-			b.Holders[k].Allocations[i].Due = microsPerUnit
+	for n, k := range t.candidates {
+		if t.claims[n].Demand >= 1 {
+			t.claims[n].Demand--
+			t.Holders[k].Allocations[i].Due = microsPerUnit
 			left--
 		}
 	}
-	b.policy(float64(left), b.claims, b.shares)
-	for n, k := range b.candidates {
-		got := min(int64(max(b.shares[n], 0)), left)
+	t.policy(float64(left), t.claims, t.shares)
+	for n, k := range t.candidates {
+		got := min(int64(max(t.shares[n], 0)), left)
 		left -= got
-		b.Holders[k].Allocations[i].Due += got * microsPerUnit
+		t.Holders[k].Allocations[i].Due += got * microsPerUnit
 	}
 	for _, having := range []bool{true, false} {
-		for _, k := range b.candidates {
-			if l := &b.Holders[k].Allocations[i]; left > 0 && (l.Acknowledged.Amount-l.Acknowledged.Floor > l.Due) == having {
+		for _, k := range t.candidates {
+			if l := &t.Holders[k].Allocations[i]; left > 0 && (l.Acknowledged.Amount-l.Acknowledged.Floor > l.Due) == having {
 				l.Due += microsPerUnit
 				left--
 			}
--- a/internal/dispatcher/fleet/budget/grant.go
+++ b/internal/dispatcher/fleet/budget/grant.go
@@ -1,7 +1,7 @@
 package budget
 
 // updateAllocation changes an allocation and keeps the totals up to date.
-func (b *AllocationTable) updateAllocation(s *budgetState, l *allocation, do func()) {
+func (t *AllocationTable) updateAllocation(s *budgetState, l *allocation, do func()) {
 	s.held.add(l, -1)
 	do()
 	s.held.add(l, 1)
@@ -33,21 +33,21 @@
 
 // grant offers a holder what is due to it, as far as it is available, and returns the
 // answer to its renewal.
-func (b *AllocationTable) grant(h *holder) Grant {
-	g := Grant{Process: h.Process, Incarnation: h.Incarnation, Lease: b.Lease, Shares: make([]Share, len(b.Budgets))}
+func (t *AllocationTable) grant(h *holder) Grant {
+	g := Grant{Process: h.Process, Incarnation: h.Incarnation, Lease: t.Lease, Shares: make([]Share, len(t.Budgets))}
 	if h.OfferedGrant == h.AcknowledgedGrant {
 		changed := h.OfferedGrant == 0
-		for i, s := range b.Budgets {
+		for i, s := range t.Budgets {
 			l := &h.Allocations[i]
-			b.updateAllocation(s, l, func() { changed = s.offer(l) || changed })
+			t.updateAllocation(s, l, func() { changed = s.offer(l) || changed })
 		}
 		if changed {
-			b.LastGrant++
-			h.OfferedGrant = b.LastGrant
+			t.LastGrant++
+			h.OfferedGrant = t.LastGrant
 		}
 	}
 	g.Number = h.OfferedGrant
-	for i, s := range b.Budgets {
+	for i, s := range t.Budgets {
 		l := &h.Allocations[i]
 		o := l.Offered
 		g.Shares[i] = Share{
--- a/internal/dispatcher/fleet/budget/rejection.go
+++ b/internal/dispatcher/fleet/budget/rejection.go
@@ -31,8 +31,8 @@
 // RejectionReason returns why another job of this duration (InFlight) would be rejected at
 // now. It is called after a rejection and changes nothing; by then the job might be
 // admitted.
-func (t *TokenBucket) RejectionReason(now time.Duration, kind Kind, lasts time.Duration) RejectionReason {
-	s := t.terms.Load()
+func (b *TokenBucket) RejectionReason(now time.Duration, kind Kind, lasts time.Duration) RejectionReason {
+	s := b.terms.Load()
 	switch {
 	case s == &unlimited:
 		return ReasonNone
@@ -46,9 +46,9 @@
 		return ReasonNoShare
 	case kind == InFlight && lasts > s.linger:
 		return ReasonTooLong
-	case kind == InFlight && float64(t.inFlight.Load()+1) > s.amountAt(now):
+	case kind == InFlight && float64(b.inFlight.Load()+1) > s.amountAt(now):
 		return ReasonExhausted
-	case kind == Rate && t.taken.Load() >= t.ceiling.Load():
+	case kind == Rate && b.taken.Load() >= b.ceiling.Load():
 		return ReasonExhausted
 	}
 	return ReasonNone
--- a/internal/dispatcher/fleet/budget/status.go
+++ b/internal/dispatcher/fleet/budget/status.go
@@ -41,12 +41,12 @@
 }
 
 // Status describes the budgets at this process, sorted by name.
-func (p *Allowance) Status(now time.Duration) []BucketStatus {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	out := make([]BucketStatus, 0, len(p.names))
-	for _, n := range slices.Sorted(slices.Values(p.names)) {
-		t := p.buckets[n]
+func (a *Allowance) Status(now time.Duration) []BucketStatus {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	out := make([]BucketStatus, 0, len(a.names))
+	for _, n := range slices.Sorted(slices.Values(a.names)) {
+		t := a.buckets[n]
 		s := t.terms.Load()
 		f := BucketStatus{
 			Name: n, Kind: s.kind, Admitted: t.taken.Load() + t.begun.Load(), Rejected: t.rejected.Load(),
@@ -82,13 +82,13 @@
 
 // HolderStatuses returns who holds what of a budget, by process and incarnation; none for
 // an unknown budget.
-func (b *AllocationTable) HolderStatuses(name string) []HolderStatus {
-	i := b.budgetIndex(name)
+func (t *AllocationTable) HolderStatuses(name string) []HolderStatus {
+	i := t.budgetIndex(name)
 	if i < 0 {
 		return nil
 	}
-	out := make([]HolderStatus, len(b.Holders))
-	for k, h := range b.Holders {
+	out := make([]HolderStatus, len(t.Holders))
+	for k, h := range t.Holders {
 		l := &h.Allocations[i]
 		out[k] = HolderStatus{
 			Process: h.Process, Incarnation: h.Incarnation, Ends: h.LeaseEnd, Fenced: h.Superseded, Acknowledged: h.AcknowledgedGrant == h.OfferedGrant,
@@ -108,9 +108,9 @@
 }
 
 // Status describes the budgets, sorted by name.
-func (b *AllocationTable) Status() []Occupancy {
-	out := make([]Occupancy, len(b.Budgets))
-	for i, s := range b.Budgets {
+func (t *AllocationTable) Status() []Occupancy {
+	out := make([]Occupancy, len(t.Budgets))
+	for i, s := range t.Budgets {
 		aside, asideBurst := s.reservedFloors()
 		free, burst := s.available()
 		out[i] = Occupancy{
--- a/internal/dispatcher/fleet/budget/stored_state.go
+++ b/internal/dispatcher/fleet/budget/stored_state.go
@@ -13,8 +13,8 @@
 const stateVersion = 1
 
 // Encode encodes the state. Equal states have equal bytes.
-func (b *AllocationTable) Encode() ([]byte, error) {
-	text, err := codec.Encode(&b.storedState)
+func (t *AllocationTable) Encode() ([]byte, error) {
+	text, err := codec.Encode(&t.storedState)
 	if err != nil {
 		return nil, fmt.Errorf("state of the budgets: %w", err)
 	}
@@ -23,7 +23,7 @@
 
 // Decode replaces the state by an encoded one. If that is truncated, of another version, or
 // inconsistent, nothing changes.
-func (b *AllocationTable) Decode(text []byte) error {
+func (t *AllocationTable) Decode(text []byte) error {
 	var im storedState
 	if err := codec.Decode(text, &im); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
@@ -34,8 +34,8 @@
 	if err := im.check(); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
 	}
-	b.storedState = im
-	b.rebuildTotals()
+	t.storedState = im
+	t.rebuildTotals()
 	return nil
 }
 
@@ -101,8 +101,8 @@
 }
 
 // Digest returns the digest of the encoded state, which is compared between replicas.
-func (b *AllocationTable) Digest() (uint64, error) {
-	text, err := b.Encode()
+func (t *AllocationTable) Digest() (uint64, error) {
+	text, err := t.Encode()
 	if err != nil {
 		return 0, err
 	}
@@ -110,23 +110,23 @@
 }
 
 // rebuildTotals rebuilds what is derived from the stored state.
-func (b *AllocationTable) rebuildTotals() {
-	b.activeHolders = make(map[string]*holder, len(b.Holders))
-	for _, s := range b.Budgets {
+func (t *AllocationTable) rebuildTotals() {
+	t.activeHolders = make(map[string]*holder, len(t.Holders))
+	for _, s := range t.Budgets {
 		s.held, s.quarantined = totals{}, totals{}
 		for _, r := range s.Quarantines {
 			s.quarantined.addQuarantine(r, 1)
 		}
 	}
-	for _, h := range b.Holders {
+	for _, h := range t.Holders {
 		if !h.Superseded {
-			b.activeHolders[h.Process] = h
+			t.activeHolders[h.Process] = h
 		}
-		for i, s := range b.Budgets {
+		for i, s := range t.Budgets {
 			s.held.add(&h.Allocations[i], 1)
 		}
 	}
-	b.nextDue = b.Now // what is due is looked for with the next call
+	t.nextDue = t.Now // what is due is looked for with the next call
 }
 
 // storedState is what is encoded, by the field names in its tags. The totals that
--- a/internal/dispatcher/fleet/budget/token_bucket.go
+++ b/internal/dispatcher/fleet/budget/token_bucket.go
@@ -47,18 +47,18 @@
 // Take takes one token of a Rate at now, and reports whether there was one. It checks the
 // lease first, so that a process that was stopped takes nothing of an expired share; now
 // must be read just before the call.
-func (t *TokenBucket) Take(now time.Duration) bool {
-	if int64(now) >= t.refillAt.Load() && t.mu.TryLock() {
-		t.refill(now)
-		t.mu.Unlock()
+func (b *TokenBucket) Take(now time.Duration) bool {
+	if int64(now) >= b.refillAt.Load() && b.mu.TryLock() {
+		b.refill(now)
+		b.mu.Unlock()
 	}
-	if int64(now) < t.ceilingValidUntil.Load() && t.taken.Load() < t.ceiling.Load() {
-		if t.taken.Add(1) <= t.ceiling.Load() {
+	if int64(now) < b.ceilingValidUntil.Load() && b.taken.Load() < b.ceiling.Load() {
+		if b.taken.Add(1) <= b.ceiling.Load() {
 			return true
 		}
-		t.taken.Add(-1)
+		b.taken.Add(-1)
 	}
-	t.rejected.Add(1)
+	b.rejected.Add(1)
 	return false
 }
 
@@ -66,73 +66,73 @@
 // the floor until its own, clipped to the floor's burst. What was taken since the last
 // refill is subtracted after the clip to the burst, as if it had been taken last, so that
 // never too much is left.
-func (t *TokenBucket) refill(now time.Duration) {
-	s := t.terms.Load()
+func (b *TokenBucket) refill(now time.Duration) {
+	s := b.terms.Load()
 	if s == &unlimited || s.kind != Rate {
 		return
 	}
-	t.advance(min(now, s.leaseEnd), s.amount, s.burst)
+	b.advance(min(now, s.leaseEnd), s.amount, s.burst)
 	if now >= s.leaseEnd {
-		t.advance(min(now, s.floorEnd), s.floor, s.floorBurst)
+		b.advance(min(now, s.floorEnd), s.floor, s.floorBurst)
 	}
 	valid := s.leaseEnd
 	if now >= s.leaseEnd {
 		valid = s.floorEnd
 	}
 	if now >= s.floorEnd {
-		t.level, valid = 0, 0
+		b.level, valid = 0, 0
 	}
-	t.refilledAt = max(t.refilledAt, now)
-	t.ceiling.Store(t.base + int64(math.Floor(t.level)))
-	t.ceilingValidUntil.Store(int64(valid))
+	b.refilledAt = max(b.refilledAt, now)
+	b.ceiling.Store(b.base + int64(math.Floor(b.level)))
+	b.ceilingValidUntil.Store(int64(valid))
 	next := now + refillInterval
 	if valid > now {
 		next = min(next, valid)
 	}
-	t.refillAt.Store(int64(next))
+	b.refillAt.Store(int64(next))
 }
 
-func (t *TokenBucket) advance(to time.Duration, rate, burst float64) {
-	if to > t.refilledAt {
-		t.level += rate * RefillPace * (to - t.refilledAt).Seconds()
-		t.refilledAt = to
+func (b *TokenBucket) advance(to time.Duration, rate, burst float64) {
+	if to > b.refilledAt {
+		b.level += rate * RefillPace * (to - b.refilledAt).Seconds()
+		b.refilledAt = to
 	}
-	taken := min(t.taken.Load(), t.ceiling.Load()) // above it: tries that are undone
-	t.level = min(t.level, burst) - float64(taken-t.base)
-	t.base = taken
+	taken := min(b.taken.Load(), b.ceiling.Load()) // above it: tries that are undone
+	b.level = min(b.level, burst) - float64(taken-b.base)
+	b.base = taken
 }
 
 // reset sets terms that have no end.
-func (t *TokenBucket) reset(s *terms) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.terms.Store(s)
-	t.level, t.base = 0, t.taken.Load()
-	t.ceiling.Store(t.base + int64(s.amount))
-	t.ceilingValidUntil.Store(int64(s.leaseEnd))
-	t.refillAt.Store(math.MaxInt64)
+func (b *TokenBucket) reset(s *terms) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.terms.Store(s)
+	b.level, b.base = 0, b.taken.Load()
+	b.ceiling.Store(b.base + int64(s.amount))
+	b.ceilingValidUntil.Store(int64(s.leaseEnd))
+	b.refillAt.Store(math.MaxInt64)
 }
 
 // applyTerms replaces the terms; the old ones are used up to now first.
-func (t *TokenBucket) applyTerms(now time.Duration, s *terms, full bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	old := t.terms.Load()
+func (b *TokenBucket) applyTerms(now time.Duration, s *terms, full bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	old := b.terms.Load()
 	switch {
 	case s.kind != Rate:
-		t.ceiling.Store(0)
+		b.ceiling.Store(0)
 	case old == &unlimited || old == &blocked || old.kind != Rate:
-		t.level, t.refilledAt, t.base = 0, now, t.taken.Load()
-		t.ceiling.Store(t.base)
+		b.level, b.refilledAt, b.base = 0, now, b.taken.Load()
+		b.ceiling.Store(b.base)
 	default:
-		t.refill(now)
-		t.advance(now, 0, s.burst)
+		b.refill(now)
+		b.advance(now, 0, s.burst)
 	}
-	t.terms.Store(s)
+	b.terms.Store(s)
 	if full {
-		t.level = s.burst
+		b.level = s.burst
 	}
-	t.refill(now)
+	b.refill(now)
 }
 
 // Begin begins one job of an InFlight budget that ends by its deadline until, and reports
@@ -140,25 +140,25 @@
 // checks the limit then, so that a share's new amount holds for all jobs that are not in
 // the count reported with its acknowledgement. A job that may last longer than the budget's
 // SettleTime is rejected: it could outlast the quarantine.
-func (t *TokenBucket) Begin(now, until time.Duration) bool {
-	if until-now > t.terms.Load().linger {
-		t.rejected.Add(1)
+func (b *TokenBucket) Begin(now, until time.Duration) bool {
+	if until-now > b.terms.Load().linger {
+		b.rejected.Add(1)
 		return false
 	}
-	storeMax(&t.latestDeadline, int64(until))
-	n := t.inFlight.Add(1)
-	if s := t.terms.Load(); float64(n) > s.amountAt(now) || s.kind != InFlight && s != &unlimited {
-		t.inFlight.Add(-1)
-		t.rejected.Add(1)
+	storeMax(&b.latestDeadline, int64(until))
+	n := b.inFlight.Add(1)
+	if s := b.terms.Load(); float64(n) > s.amountAt(now) || s.kind != InFlight && s != &unlimited {
+		b.inFlight.Add(-1)
+		b.rejected.Add(1)
 		return false
 	}
-	storeMax(&t.peakInFlight, n)
-	t.begun.Add(1)
+	storeMax(&b.peakInFlight, n)
+	b.begun.Add(1)
 	return true
 }
 
 // End ends a job that Begin has begun.
-func (t *TokenBucket) End() { t.inFlight.Add(-1) }
+func (b *TokenBucket) End() { b.inFlight.Add(-1) }
 
 func storeMax(x *atomic.Int64, n int64) {
 	for {
@@ -170,16 +170,16 @@
 
 // Amount returns the part of a Divided budget that this process may use at now; false: the
 // budget does not exist (yet).
-func (t *TokenBucket) Amount(now time.Duration) (float64, bool) {
-	s := t.terms.Load()
+func (b *TokenBucket) Amount(now time.Duration) (float64, bool) {
+	s := b.terms.Load()
 	return s.amountAt(now), s != &unlimited
 }
 
 // RetryAfter returns after what time another attempt is worthwhile: for a Rate when it has
 // worked off what it has rejected since the last renewal, a lease at most; else when the
 // next renewal may have brought something.
-func (t *TokenBucket) RetryAfter(now time.Duration) time.Duration {
-	s := t.terms.Load()
+func (b *TokenBucket) RetryAfter(now time.Duration) time.Duration {
+	s := b.terms.Load()
 	rate := s.amountAt(now) * RefillPace
 	if s == &unlimited {
 		return 0
@@ -188,12 +188,12 @@
 		return max(s.lease/3, refillInterval)
 	}
 	one := time.Duration(float64(time.Second) / max(rate, 1e-3))
-	return max(one, min(time.Duration(float64(t.arrivals()-t.arrivalsAtRenewal.Load())*float64(one)), s.lease))
+	return max(one, min(time.Duration(float64(b.arrivals()-b.arrivalsAtRenewal.Load())*float64(one)), s.lease))
 }
 
 // CanBegin reports whether Begin would admit another job at now, and takes nothing. For the
 // goroutine that calls Begin the answer holds until the next grant.
-func (t *TokenBucket) CanBegin(now time.Duration) bool {
-	s := t.terms.Load()
-	return s == &unlimited || s.kind == InFlight && float64(t.inFlight.Load()+1) <= s.amountAt(now)
+func (b *TokenBucket) CanBegin(now time.Duration) bool {
+	s := b.terms.Load()
+	return s == &unlimited || s.kind == InFlight && float64(b.inFlight.Load()+1) <= s.amountAt(now)
 }
--- a/internal/dispatcher/fleet/coordinator/attempt.go
+++ b/internal/dispatcher/fleet/coordinator/attempt.go
@@ -18,10 +18,10 @@
 )
 
 // job makes the job of an attempt.
-func (r *driver) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
-	st, it := r.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
-	j = Job{ID: jobID(r.id, a), Class: a.Class, Tenant: v.Run.Tenant, CostHint: st.Cost, Plan: r.plan.Name, Stage: st.Name, Deadline: time.Now().Add(a.At - at)}
-	if vals := r.values(v, a.Stage, it.Value); a.Undo {
+func (d *driver) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
+	st, it := d.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
+	j = Job{ID: jobID(d.id, a), Class: a.Class, Tenant: v.Run.Tenant, CostHint: st.Cost, Plan: d.plan.Name, Stage: st.Name, Deadline: time.Now().Add(a.At - at)}
+	if vals := d.values(v, a.Stage, it.Value); a.Undo {
 		j.Path, j.Body, j.Key, err = st.Undo.Render(vals)
 	} else {
 		j.Path, j.Body, j.Key, err = st.Render(vals)
@@ -33,65 +33,65 @@
 }
 
 // send submits an attempt once the replicated state has approved it, and reports its end.
-func (r *driver) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
-	j, err := r.job(t.Action, v, at)
+func (d *driver) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
+	j, err := d.job(t.Action, v, at)
 	switch {
 	case err != nil:
-		r.abandon(ctx, t.Stage, err)
-	case !t.SpendsRetryBudget || r.takeRetryBudget(ctx, t.Class, j.Deadline):
-		err = r.execute(ctx, planrun.Command{SendAttempt: t.Sending})
+		d.abandon(ctx, t.Stage, err)
+	case !t.SpendsRetryBudget || d.takeRetryBudget(ctx, t.Class, j.Deadline):
+		err = d.execute(ctx, planrun.Command{SendAttempt: t.Sending})
 	default:
 		err = ErrNoSession
 	}
 	may := false
-	r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) {
-		may = m.Accepted(*t.Sending, t.ID, err, r.coordinator.fleet.HoldsLease())
+	d.coordinator.withAttempts(func(m *planrun.AttemptRegistry) {
+		may = m.Accepted(*t.Sending, t.ID, err, d.coordinator.fleet.HoldsLease())
 	})
 	if !may {
 		return
 	}
 	done, sent := make(chan engine.Answer, 1), time.Now()
-	if err := r.coordinator.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
-		r.coordinator.log.WithError(err).WithField("run", r.id).Error("plan stage rejected as a job")
-		r.reportEnd(t.Sending.EndReport(plan.Unsent, nil, "", nil))
+	if err := d.coordinator.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
+		d.coordinator.log.WithError(err).WithField("run", d.id).Error("plan stage rejected as a job")
+		d.reportEnd(t.Sending.EndReport(plan.Unsent, nil, "", nil))
 		return
 	}
 	answer := <-done
 	end, result, said := endOf(answer), []byte(nil), answer.MemberError
-	r.coordinator.log.WithFields(logrus.Fields{"run": r.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "sends": answer.Attempts}).Debug("plan stage's job ended")
+	d.coordinator.log.WithFields(logrus.Fields{"run": d.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "sends": answer.Attempts}).Debug("plan stage's job ended")
 	if end == plan.Done {
-		r.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Estimator.Observe(t.Class, time.Since(sent)) })
+		d.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Estimator.Observe(t.Class, time.Since(sent)) })
 		result, said = answer.Body, answer.Body
 	}
 	var lost *planrun.LostInput
 	if !t.Undo {
-		if lost = r.lostInput(end, t, said); lost != nil {
+		if lost = d.lostInput(end, t, said); lost != nil {
 			end, result = plan.Lost, nil
 		}
 	}
-	r.reportEnd(t.Sending.EndReport(end, result, answer.LastMember, lost))
+	d.reportEnd(t.Sending.EndReport(end, result, answer.LastMember, lost))
 }
 
 // reportEnd reports an attempt's end, also when another process drives the run by then: it
 // may still count.
-func (r *driver) reportEnd(e planrun.ReportEnd) {
-	if err := r.execute(r.lifetime, planrun.Command{ReportEnd: &e}); errors.Is(err, planrun.ErrTooLarge) {
+func (d *driver) reportEnd(e planrun.ReportEnd) {
+	if err := d.execute(d.lifetime, planrun.Command{ReportEnd: &e}); errors.Is(err, planrun.ErrTooLarge) {
 		e.End, e.Result = plan.Failed, nil
-		_ = r.execute(r.lifetime, planrun.Command{ReportEnd: &e})
+		_ = d.execute(d.lifetime, planrun.Command{ReportEnd: &e})
 	}
 }
 
 // lostInput evaluates the rerun conditions of a stage: an input that the attempt reports as
 // lost, or nil.
-func (r *driver) lostInput(end plan.End, t planrun.Task, said []byte) *planrun.LostInput {
-	st, upstream := r.plan.Stages[t.Stage], r.shape.Upstream(t.Stage)
+func (d *driver) lostInput(end plan.End, t planrun.Task, said []byte) *planrun.LostInput {
+	st, upstream := d.plan.Stages[t.Stage], d.shape.Upstream(t.Stage)
 	for i := range st.Reruns {
 		holds, err := st.Reruns[i].Holds(end, said)
 		if err != nil {
-			r.coordinator.log.WithError(err).WithField("run", r.id).Warn("rerun condition can't be evaluated and counts as false")
+			d.coordinator.log.WithError(err).WithField("run", d.id).Warn("rerun condition can't be evaluated and counts as false")
 			continue
 		}
-		at := slices.IndexFunc(upstream, func(u int) bool { return r.shape.Stages[u].Name == st.Reruns[i].Of })
+		at := slices.IndexFunc(upstream, func(u int) bool { return d.shape.Stages[u].Name == st.Reruns[i].Of })
 		if holds && at >= 0 && at < len(t.Inputs) {
 			return &planrun.LostInput{Stage: upstream[at], Generation: t.Inputs[at]}
 		}
@@ -101,9 +101,9 @@
 
 // takeRetryBudget takes an attempt beyond the first from the fleet's retry budget, and
 // waits for one while the attempt can still be sent.
-func (r *driver) takeRetryBudget(ctx context.Context, class string, until time.Time) bool {
-	for !r.coordinator.fleet.TakeRetry(r.id, class) {
-		at := r.coordinator.fleet.RetryTime(class, time.Now())
+func (d *driver) takeRetryBudget(ctx context.Context, class string, until time.Time) bool {
+	for !d.coordinator.fleet.TakeRetry(d.id, class) {
+		at := d.coordinator.fleet.RetryTime(class, time.Now())
 		if !at.Before(until) {
 			at = until
 		}
@@ -112,7 +112,7 @@
 			return false
 		case <-time.After(max(time.Millisecond, time.Until(at))):
 		}
-		if _, _, over := r.current(); over || r.coordinator.isDraining() || !time.Now().Before(until) {
+		if _, _, over := d.current(); over || d.coordinator.isDraining() || !time.Now().Before(until) {
 			return false
 		}
 	}
--- a/internal/dispatcher/fleet/coordinator/start_async_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// TestFinish: whoever waits for a run is told its end; that nothing has run only where
+// TestStartAsync: whoever waits for a run is told its end; that nothing has run only where
 // the state can't begin it any more.
-func TestFinish(t *testing.T) {
+func TestStartAsync(t *testing.T) {
 	all, problems := plan.Parse("p.hcl", []byte("plan \"one\" {\n within = \"10m\"\n attempts = 9\n stage \"s\" {\n class = \"safe\"\n path = \"/s\"\n }\n}"),
 		plan.ClassesByName([]policy.Class{{Name: "safe", Effect: policy.Idempotent, GiveUp: time.Second}}))
 	require.Empty(t, problems)
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -266,7 +266,7 @@
 
 // TestPlansThroughFaults: coordinators are killed, frozen and cut off while their plans
 // run. Each plan ends once, with one answer whoever is asked; no ticket runs twice.
-func TestPlansThroughFaults(t *testing.T) {
+func TestPlansThroughFaults(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	file := filepath.Join(t.TempDir(), "plans.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(bookings), 0o600))
 	r := found(t, 5, demo.Load{Members: 6, Slots: 8, RunTime: 60 * time.Millisecond, Seed: 11, Faults: fakes.Faults{Reject: 0.1}},
@@ -427,7 +427,7 @@
 // TestRecordsThroughFaults: each final answer leaves one record, through a killed
 // process that ships its spool when it is back, a killed leader with its folder wiped,
 // and one frozen; what is beyond a tenant's rule is cut, what is held is not.
-func TestRecordsThroughFaults(t *testing.T) {
+func TestRecordsThroughFaults(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	const most = 50
 	rules := fmt.Sprintf(`,"records":{"tenants":{%q:{"count":%d},"*":{"days":30}}}`, demo.Tenants[2], most)
 	r := found(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 21}, rules)
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -34,7 +34,7 @@
 	value any
 }
 
-func messages() []message {
+func messages() []message { //nolint:funlen // one scenario, to be read from top to bottom
 	span := 1234567 * time.Microsecond
 	bytes := func(text string) []byte { return []byte(text) }
 	order := records.Position{Ended: 91, Process: "n1", Epoch: 92, Seq: 93}
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -196,7 +196,7 @@
 	return first, third
 }
 
-func (l *goldenLog) workPlans(at time.Duration, first, third uint64) {
+func (l *goldenLog) workPlans(at time.Duration, first, third uint64) { //nolint:funlen // one scenario, to be read from top to bottom
 	start := func(process string, incarnation uint64, run string) uint64 {
 		reply := l.plan(process, incarnation, at, planrun.Command{Start: &planrun.Start{
 			Run: run, Plan: "booking", Tenant: "hrad-kamenec", Digest: 99, Shape: goldenShape(), Input: []byte(`{"tour":7}`), Seed: 5, Before: at + 25*time.Second,
@@ -375,7 +375,7 @@
 
 // TestGoldenSnapshotIsRestored: the golden snapshot is read field by field, and the state
 // goes on from it.
-func TestGoldenSnapshotIsRestored(t *testing.T) {
+func TestGoldenSnapshotIsRestored(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	m := goldenMachine(t)
 	golden := goldentest.Read(t, filepath.Join(goldenState, "snapshot"))
 	require.NoError(t, m.Restore(bytes.NewReader(golden)))
--- a/internal/dispatcher/fleet/harness/cluster.go
+++ b/internal/dispatcher/fleet/harness/cluster.go
@@ -96,135 +96,135 @@
 }
 
 // Start starts all processes and waits until they are ready.
-func (r *Cluster) Start() {
-	r.t.Helper()
-	for _, p := range r.Processes {
-		require.NoError(r.t, p.Start(), p.Name)
+func (c *Cluster) Start() {
+	c.t.Helper()
+	for _, p := range c.Processes {
+		require.NoError(c.t, p.Start(), p.Name)
 	}
-	for _, p := range r.Processes {
-		require.NoError(r.t, p.WaitReady(), p.Name)
+	for _, p := range c.Processes {
+		require.NoError(c.t, p.WaitReady(), p.Name)
 	}
 }
 
 // StartClients starts the clients' load.
-func (r *Cluster) StartClients() {
+func (c *Cluster) StartClients() {
 	ctx, stop := context.WithCancel(context.Background())
-	r.stopClients = stop
-	mix := fakes.ClientSettings{Rate: r.Load.Rate, TicketShare: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: r.Load.Seed, OnCall: func(c fakes.Call) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.calls = append(r.calls, c)
+	c.stopClients = stop
+	mix := fakes.ClientSettings{Rate: c.Load.Rate, TicketShare: 0.28, Tenants: demo.Tenants, Retries: 4, Seed: c.Load.Seed, OnCall: func(call fakes.Call) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.calls = append(c.calls, call)
 	}}
-	r.clients.Go(func() {
+	c.clients.Go(func() {
 		fakes.HTTPClients(ctx, func() string {
-			if r.PickProcess != nil {
-				return r.PickProcess(r).Addr("listen")
+			if c.PickProcess != nil {
+				return c.PickProcess(c).Addr("listen")
 			}
-			return r.RandomProcess().Addr("listen")
-		}, "h", mix, &r.Answers)
+			return c.RandomProcess().Addr("listen")
+		}, "h", mix, &c.Answers)
 	})
 }
 
 // StopClients ends the clients' load and waits for the pending answers.
-func (r *Cluster) StopClients() {
-	r.stopClients()
-	r.clients.Wait()
+func (c *Cluster) StopClients() {
+	c.stopClients()
+	c.clients.Wait()
 }
 
 // Calls returns the clients' attempts that have ended.
-func (r *Cluster) Calls() []fakes.Call {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.calls)
+func (c *Cluster) Calls() []fakes.Call {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.calls)
 }
 
 // beginOutage records that a process is out of service. The function that it returns
 // records the end, once the process is ready or has ended again.
-func (r *Cluster) beginOutage(p *Process) (back func()) {
+func (c *Cluster) beginOutage(p *Process) (back func()) {
 	addr := p.Addr("listen")
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := len(r.outages)
-	r.outages = append(r.outages, outage{addr, Span{Start: time.Now()}})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := len(c.outages)
+	c.outages = append(c.outages, outage{addr, Span{Start: time.Now()}})
 	return func() {
-		r.clients.Go(func() {
+		c.clients.Go(func() {
 			_ = p.WaitReady()
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.outages[n].End = time.Now()
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.outages[n].End = time.Now()
 		})
 	}
 }
 
 // LostCalls returns the calls that got no answer though their process was in service all
 // the time.
-func (r *Cluster) LostCalls() (ids []string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, c := range r.calls {
-		if c.Status == 0 && !slices.ContainsFunc(r.outages, func(o outage) bool {
-			return o.addr == c.Addr && o.Start.Before(c.Ended) && (o.End.IsZero() || o.End.After(c.Sent))
+func (c *Cluster) LostCalls() (ids []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, call := range c.calls {
+		if call.Status == 0 && !slices.ContainsFunc(c.outages, func(o outage) bool {
+			return o.addr == call.Addr && o.Start.Before(call.Ended) && (o.End.IsZero() || o.End.After(call.Sent))
 		}) {
-			ids = append(ids, c.ID)
+			ids = append(ids, call.ID)
 		}
 	}
 	return ids
 }
 
 // Links returns the links from one process to another, by index.
-func (r *Cluster) Links(from, to int) []*faultproxy.Proxy {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.links[linkKey{from, to}]
+func (c *Cluster) Links(from, to int) []*faultproxy.Proxy {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.links[linkKey{from, to}]
 }
 
 // LinksOf returns all links from and to a process.
-func (r *Cluster) LinksOf(place int) (all []*faultproxy.Proxy) {
-	for other := range r.Processes {
-		all = append(append(all, r.Links(place, other)...), r.Links(other, place)...)
+func (c *Cluster) LinksOf(place int) (all []*faultproxy.Proxy) {
+	for other := range c.Processes {
+		all = append(append(all, c.Links(place, other)...), c.Links(other, place)...)
 	}
 	return all
 }
 
 // link makes a link to one of a process's addresses.
-func (r *Cluster) link(from, to int, addr string) (string, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (c *Cluster) link(from, to int, addr string) (string, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	at := linkKey{from, to}
-	l, err := faultproxy.New(addr, r.Load.Seed<<16+uint64(from)<<8+uint64(to))
+	l, err := faultproxy.New(addr, c.Load.Seed<<16+uint64(from)<<8+uint64(to))
 	if err != nil {
 		return "", err
 	}
-	r.links[at] = append(r.links[at], l)
+	c.links[at] = append(c.links[at], l)
 	return l.Addr(), nil
 }
 
 // RandomProcess returns a random process.
-func (r *Cluster) RandomProcess() *Process {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.Processes[r.random.IntN(len(r.Processes))]
+func (c *Cluster) RandomProcess() *Process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.Processes[c.random.IntN(len(c.Processes))]
 }
 
-func (r *Cluster) close() {
-	r.stopClients()
-	for _, p := range r.Processes {
+func (c *Cluster) close() {
+	c.stopClients()
+	for _, p := range c.Processes {
 		_ = p.Kill()
 	}
-	r.clients.Wait()
-	for _, m := range r.members {
+	c.clients.Wait()
+	for _, m := range c.members {
 		m.Close()
 	}
-	for _, links := range r.links {
+	for _, links := range c.links {
 		for _, l := range links {
 			l.Close()
 		}
 	}
-	for _, p := range r.Processes {
+	for _, p := range c.Processes {
 		p.discovery.Close()
-		if r.t.Failed() {
+		if c.t.Failed() {
 			text, _ := os.ReadFile(p.Log)
-			r.t.Logf("the log of %s ends:\n%s", p.Name, text[max(0, len(text)-maxLogShown):])
+			c.t.Logf("the log of %s ends:\n%s", p.Name, text[max(0, len(text)-maxLogShown):])
 		}
 	}
 }
--- a/internal/dispatcher/fleet/harness/cluster_test.go
+++ b/internal/dispatcher/fleet/harness/cluster_test.go
@@ -21,7 +21,7 @@
 
 // TestProcesses takes processes through all that can be done to one, and to a
 // link between two.
-func TestProcesses(t *testing.T) {
+func TestProcesses(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	r := New(t, Settings{Processes: 2, Load: demo.Load{Members: 2, Seed: 3},
 		Operator: `{"#":{"name":"{{.Name}}","peer":"{{.PeerAddr "n2" "listen"}}","all":{{.Peers 2 "listen"}}},"figures":{"journal":{"folder":"{{.Folder}}"}}}`})
 	r.Start()
--- a/internal/dispatcher/fleet/harness/digest_monitor.go
+++ b/internal/dispatcher/fleet/harness/digest_monitor.go
@@ -20,10 +20,10 @@
 }
 
 // Watch polls all processes until the context ends. It is for Soak.Background.
-func (d *DigestMonitor) Watch(ctx context.Context, r *Cluster) {
+func (m *DigestMonitor) Watch(ctx context.Context, r *Cluster) {
 	for ctx.Err() == nil {
 		for _, p := range r.Processes {
-			d.poll(p)
+			m.poll(p)
 		}
 		select {
 		case <-ctx.Done():
@@ -32,7 +32,7 @@
 	}
 }
 
-func (d *DigestMonitor) poll(p *Process) {
+func (m *DigestMonitor) poll(p *Process) {
 	var s struct {
 		Keeper *struct {
 			Index   uint64
@@ -43,31 +43,31 @@
 	if err != nil || json.Unmarshal([]byte(text), &s) != nil || s.Keeper == nil || s.Keeper.Index == 0 { // it has no state yet
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.byIndex == nil {
-		d.byIndex, d.lastIndex = make(map[uint64]map[string]string), make(map[string]uint64)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.byIndex == nil {
+		m.byIndex, m.lastIndex = make(map[uint64]map[string]string), make(map[string]uint64)
 	}
 	at := s.Keeper.Index
-	d.lastIndex[p.Name] = at
-	if was := d.byIndex[at]; was == nil {
-		d.byIndex[at] = s.Keeper.Digests
+	m.lastIndex[p.Name] = at
+	if was := m.byIndex[at]; was == nil {
+		m.byIndex[at] = s.Keeper.Digests
 	} else if !maps.Equal(was, s.Keeper.Digests) {
-		d.differences = append(d.differences, fmt.Sprintf("%s at %d: %v, before %v", p.Name, at, s.Keeper.Digests, was))
+		m.differences = append(m.differences, fmt.Sprintf("%s at %d: %v, before %v", p.Name, at, s.Keeper.Digests, was))
 	}
 }
 
 // WaitConverged waits until this many raft nodes report the same index, and returns all
 // differences that were seen.
-func (d *DigestMonitor) WaitConverged(r *Cluster, keepers int, until time.Time) ([]string, error) {
+func (m *DigestMonitor) WaitConverged(r *Cluster, keepers int, until time.Time) ([]string, error) {
 	for time.Now().Before(until) {
 		for _, p := range r.Processes {
-			d.poll(p)
+			m.poll(p)
 		}
-		d.mu.Lock()
-		ends := slices.Compact(slices.Sorted(maps.Values(d.lastIndex)))
-		diff, told := slices.Clone(d.differences), len(d.lastIndex)
-		d.mu.Unlock()
+		m.mu.Lock()
+		ends := slices.Compact(slices.Sorted(maps.Values(m.lastIndex)))
+		diff, told := slices.Clone(m.differences), len(m.lastIndex)
+		m.mu.Unlock()
 		if told == keepers && len(ends) == 1 {
 			return diff, nil
 		}
@@ -77,5 +77,5 @@
 		_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
 		said = append(said, fmt.Sprintf("%s: %s (%v)", p.Name, text, err))
 	}
-	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", keepers, d.lastIndex, strings.Join(said, "\n"))
+	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", keepers, m.lastIndex, strings.Join(said, "\n"))
 }
--- a/internal/dispatcher/fleet/harness/faults.go
+++ b/internal/dispatcher/fleet/harness/faults.go
@@ -99,7 +99,7 @@
 	return names
 }
 
-func (r *Cluster) target(f Fault) *Process { return r.Processes[f.Process] }
+func (c *Cluster) target(f Fault) *Process { return c.Processes[f.Process] }
 
 func restart(r *Cluster, f Fault) error { return r.target(f).Start() }
 
@@ -188,7 +188,7 @@
 
 // Inject injects faults at their times, and ends each. It returns what it could not do. If
 // the context ends early, it ends the faults that have begun.
-func (r *Cluster) Inject(ctx context.Context, plan FaultPlan) (err error) {
+func (c *Cluster) Inject(ctx context.Context, plan FaultPlan) (err error) {
 	type event struct {
 		at  time.Duration
 		f   Fault
@@ -216,13 +216,13 @@
 		switch {
 		case !e.end && ctx.Err() == nil:
 			if do, back[e.f] = k.begin, func() {}; !k.pairwise || k.affectsFolder {
-				back[e.f] = r.beginOutage(r.target(e.f))
+				back[e.f] = c.beginOutage(c.target(e.f))
 			}
 			isBack = func() {}
 		case isBack == nil:
 			continue
 		}
-		if failed := do(r, e.f); failed != nil {
+		if failed := do(c, e.f); failed != nil {
 			err = errors.Join(err, fmt.Errorf("%v: %w", e.f, failed))
 		}
 		isBack()
--- a/internal/dispatcher/fleet/harness/plan_load.go
+++ b/internal/dispatcher/fleet/harness/plan_load.go
@@ -15,26 +15,26 @@
 
 // Run starts runs until the context ends, each at a random process, and again at another
 // until one has confirmed it. It is for Soak.Background.
-func (b *PlanLoad) Run(ctx context.Context, r *Cluster) {
+func (l *PlanLoad) Run(ctx context.Context, r *Cluster) {
 	for n := 0; ctx.Err() == nil; n++ {
 		run := fmt.Sprintf("run-%05d", n)
-		b.started = append(b.started, run)
+		l.started = append(l.started, run)
 		for until := time.Now().Add(transitionTimeout); time.Now().Before(until); { // also past the context's end
-			path := "/plans/" + b.Plan + "?run=" + run + "&" + b.Query
+			path := "/plans/" + l.Plan + "?run=" + run + "&" + l.Query
 			status, _, err := r.RandomProcess().AdminRequest("POST", path, fmt.Sprintf(`{"booking":%q}`, run), time.Now().Add(2*time.Second))
 			if err == nil && (status == 200 || status == 202) {
 				break
 			}
-			time.Sleep(b.Interval / 8)
+			time.Sleep(l.Interval / 8)
 		}
-		time.Sleep(b.Interval)
+		time.Sleep(l.Interval)
 	}
 }
 
 // Outcomes asks two processes for the outcome of each run, until a time at the latest.
-func (b *PlanLoad) Outcomes(r *Cluster, until time.Time) Outcomes {
+func (l *PlanLoad) Outcomes(r *Cluster, until time.Time) Outcomes {
 	var ends []FinalAnswer
-	for _, run := range b.started {
+	for _, run := range l.started {
 		for range 2 {
 			for p := r.RandomProcess(); time.Now().Before(until); p = r.RandomProcess() {
 				status, text, err := p.AdminRequest("GET", "/runs/"+run, "", time.Now().Add(2*time.Second))
@@ -46,5 +46,5 @@
 			}
 		}
 	}
-	return CompareOutcomes(b.started, ends)
+	return CompareOutcomes(l.started, ends)
 }
--- a/internal/dispatcher/fleet/harness/retention_monitor.go
+++ b/internal/dispatcher/fleet/harness/retention_monitor.go
@@ -23,7 +23,7 @@
 }
 
 // list returns the ids of all records of a tenant, by pages.
-func (k *RetentionMonitor) list(r *Cluster, tenant string, until time.Time) (ids []string, err error) {
+func (m *RetentionMonitor) list(r *Cluster, tenant string, until time.Time) (ids []string, err error) {
 	after := ""
 	for {
 		var page struct {
@@ -49,11 +49,11 @@
 
 // Watch observes which records come and go until the context ends. It is for
 // Soak.Background.
-func (k *RetentionMonitor) Watch(ctx context.Context, r *Cluster) {
-	k.removed, k.present = make(map[string]bool), make(map[string]bool)
+func (m *RetentionMonitor) Watch(ctx context.Context, r *Cluster) {
+	m.removed, m.present = make(map[string]bool), make(map[string]bool)
 	for ctx.Err() == nil {
-		if ids, err := k.list(r, k.PrunedTenant, time.Now().Add(transitionTimeout)); err == nil {
-			k.observe(ids)
+		if ids, err := m.list(r, m.PrunedTenant, time.Now().Add(transitionTimeout)); err == nil {
+			m.observe(ids)
 		}
 		select {
 		case <-ctx.Done():
@@ -62,31 +62,31 @@
 	}
 }
 
-func (k *RetentionMonitor) observe(ids []string) {
+func (m *RetentionMonitor) observe(ids []string) {
 	now := make(map[string]bool, len(ids))
 	for _, id := range ids {
-		if now[id] = true; k.removed[id] {
-			k.resurrected = append(k.resurrected, id)
+		if now[id] = true; m.removed[id] {
+			m.resurrected = append(m.resurrected, id)
 		}
 	}
-	for id := range k.present {
+	for id := range m.present {
 		if !now[id] {
-			k.removed[id] = true
+			m.removed[id] = true
 		}
 	}
-	k.present = now
+	m.present = now
 }
 
 // Check waits until every spool is empty, and compares the records with the clients' calls.
 // What a process answered within Lag before an outage may be lost with it.
-func (k *RetentionMonitor) Check(r *Cluster) error {
+func (m *RetentionMonitor) Check(r *Cluster) error {
 	for _, p := range r.Processes {
 		if _, err := p.WaitForAdmin("/fleet", `"unsent":0[,}]`, time.Now().Add(2*transitionTimeout)); err != nil {
 			return err
 		}
 	}
-	for _, tenant := range k.KeptTenants {
-		ids, err := k.list(r, tenant, time.Now().Add(transitionTimeout))
+	for _, tenant := range m.KeptTenants {
+		ids, err := m.list(r, tenant, time.Now().Add(transitionTimeout))
 		if err != nil {
 			return err
 		}
@@ -96,13 +96,13 @@
 		}
 		for _, c := range r.Calls() {
 			asked[c.ID] = true
-			if c.Tenant == tenant && c.Status != 0 && got[c.ID] == 0 && !r.hadOutage(c.Addr, c.Ended, k.Lag) {
-				k.missing = append(k.missing, c.ID)
+			if c.Tenant == tenant && c.Status != 0 && got[c.ID] == 0 && !r.hadOutage(c.Addr, c.Ended, m.Lag) {
+				m.missing = append(m.missing, c.ID)
 			}
 		}
 		for id, n := range got {
 			if n > 1 || !asked[id] && !strings.HasPrefix(id, "plan-") {
-				k.extra = append(k.extra, id)
+				m.extra = append(m.extra, id)
 			}
 		}
 	}
--- a/internal/dispatcher/fleet/harness/soak.go
+++ b/internal/dispatcher/fleet/harness/soak.go
@@ -63,16 +63,16 @@
 
 // AdmissionSpans returns the times within which each attempt of a tenant was admitted:
 // after its client sent it, and before a member received it.
-func (r *Cluster) AdmissionSpans(tenant string) (all []Span) {
+func (c *Cluster) AdmissionSpans(tenant string) (all []Span) {
 	first := make(map[string]time.Time)
-	for _, a := range r.Till.Arrivals() {
+	for _, a := range c.Till.Arrivals() {
 		if at, ok := first[a.ID]; !ok || a.ArrivedAt.Before(at) {
 			first[a.ID] = a.ArrivedAt
 		}
 	}
-	for _, c := range r.Calls() {
-		if at, ok := first[c.ID]; ok && c.Tenant == tenant {
-			all = append(all, Span{c.Sent, at})
+	for _, call := range c.Calls() {
+		if at, ok := first[call.ID]; ok && call.Tenant == tenant {
+			all = append(all, Span{call.Sent, at})
 		}
 	}
 	return all
@@ -114,10 +114,10 @@
 }
 
 // hadOutage reports whether a process went out of service within a time after a moment.
-func (r *Cluster) hadOutage(addr string, at time.Time, within time.Duration) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.ContainsFunc(r.outages, func(o outage) bool {
+func (c *Cluster) hadOutage(addr string, at time.Time, within time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.ContainsFunc(c.outages, func(o outage) bool {
 		return o.addr == addr && o.Start.Before(at.Add(within)) && (o.End.IsZero() || o.End.After(at))
 	})
 }
--- a/internal/dispatcher/fleet/measure_test.go
+++ b/internal/dispatcher/fleet/measure_test.go
@@ -22,7 +22,7 @@
 
 // TestMeasure prints what docs/fleet-layer-design.md has under Measured:
 // go test ./internal/dispatcher/fleet -run Measure -v -measure
-func TestMeasure(t *testing.T) {
+func TestMeasure(t *testing.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	if !*measure {
 		t.Skip("it takes minutes: -measure")
 	}
--- a/internal/dispatcher/fleet/plan/adversary_test.go
+++ b/internal/dispatcher/fleet/plan/adversary_test.go
@@ -84,7 +84,7 @@
 // returns what it saw that must not be. It is the language's meaning in short: a
 // stage begins when all that it comes after have their output; that is there once
 // each item has ended and enough ended well.
-func walk(p *Plan, r dice) (wrong []string, reruns int) {
+func walk(p *Plan, r dice) (wrong []string, reruns int) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	jobs, gens, joined := make([][]job, len(p.Stages)), make([]int, len(p.Stages)), make([]bool, len(p.Stages))
 	lost, given, now, sent := make([]int, len(p.Stages)), false, time.Duration(0), 0
 	index := func(name string) int { return slices.Index(p.Stages, p.ByName[name]) }
--- a/internal/dispatcher/fleet/plan/check_test.go
+++ b/internal/dispatcher/fleet/plan/check_test.go
@@ -58,7 +58,7 @@
 
 // TestProblems: each mistake is found where it is, alone, and with what would be
 // right. Those without one say what is right.
-func TestProblems(t *testing.T) {
+func TestProblems(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	for _, c := range []struct{ text, want string }{
 		{stages("a safe:"), ""},
 		// Form.
--- a/internal/dispatcher/fleet/planrun/answer.go
+++ b/internal/dispatcher/fleet/planrun/answer.go
@@ -47,8 +47,8 @@
 }
 
 // finishIfDone ends a run that has nothing left to do.
-func (b *Tracker) finishIfDone(at time.Duration, r *Run) {
-	if b.runs[r.ID] != r {
+func (t *Tracker) finishIfDone(at time.Duration, r *Run) {
+	if t.runs[r.ID] != r {
 		return
 	}
 	if r.GaveUp == nil {
@@ -60,13 +60,13 @@
 	} else if r.hasAnyInFlight() || r.nextUndoStage(r.shape) >= 0 {
 		return
 	}
-	b.finishRun(at, r)
+	t.finishRun(at, r)
 }
 
 // finishRun gives a run its answer.
-func (b *Tracker) finishRun(at time.Duration, r *Run) {
+func (t *Tracker) finishRun(at time.Duration, r *Run) {
 	a := &Answer{
-		Run: r.ID, Plan: r.Plan, Digest: r.Digest, Started: r.Started, At: at, Until: max(at+b.limits.AnswerRetention, r.StartBy), Attempts: r.AttemptsUsed,
+		Run: r.ID, Plan: r.Plan, Digest: r.Digest, Started: r.Started, At: at, Until: max(at+t.limits.AnswerRetention, r.StartBy), Attempts: r.AttemptsUsed,
 	}
 	a.Outcome, a.StagesWithEffects = r.outcome()
 	if g := r.GaveUp; g != nil {
@@ -74,15 +74,15 @@
 			a.Stage = r.shape.Stages[g.Stage].Name
 		}
 	}
-	a.Results, a.ResultsOmitted = r.finalResults(a.StagesWithEffects, b.limits.AnswerBytes)
-	b.detachOutputs(r)
-	b.unorphanRun(r)
-	b.deadlines.Remove(r.heapIndex)
-	delete(b.runs, r.ID)
-	b.releaseShape(r.Shape)
-	b.answers[r.ID] = a
-	b.answersByEnd = append(b.answersByEnd, a)
-	b.trimResults()
+	a.Results, a.ResultsOmitted = r.finalResults(a.StagesWithEffects, t.limits.AnswerBytes)
+	t.detachOutputs(r)
+	t.unorphanRun(r)
+	t.deadlines.Remove(r.heapIndex)
+	delete(t.runs, r.ID)
+	t.releaseShape(r.Shape)
+	t.answers[r.ID] = a
+	t.answersByEnd = append(t.answersByEnd, a)
+	t.trimResults()
 }
 
 // outcome returns the outcome of a run that has ended, and the stages whose effects remain
@@ -144,27 +144,27 @@
 
 // trimResults drops the results of the oldest answers, beyond Limits.AnswersWithResults.
 // The answers themselves stay, since an id must not start a second run.
-func (b *Tracker) trimResults() {
-	for ; len(b.answersByEnd)-b.firstWithResults > b.limits.AnswersWithResults; b.firstWithResults++ {
-		if a := b.answersByEnd[b.firstWithResults]; a.Results != nil {
+func (t *Tracker) trimResults() {
+	for ; len(t.answersByEnd)-t.firstWithResults > t.limits.AnswersWithResults; t.firstWithResults++ {
+		if a := t.answersByEnd[t.firstWithResults]; a.Results != nil {
 			c := *a // answers that were given out stay as they were
 			c.Results, c.ResultsOmitted = nil, true
-			b.answersByEnd[b.firstWithResults], b.answers[a.Run] = &c, &c
+			t.answersByEnd[t.firstWithResults], t.answers[a.Run] = &c, &c
 		}
 	}
 }
 
 // pruneAnswers drops what has expired. Answers are dropped in the order of their ends; an
 // expired one waits for those before it, for Limits.MaxTimeout at most.
-func (b *Tracker) pruneAnswers(at time.Duration) {
+func (t *Tracker) pruneAnswers(at time.Duration) {
 	n := 0
-	for n < len(b.answersByEnd) && b.answersByEnd[n].Until < at {
-		delete(b.answers, b.answersByEnd[n].Run)
+	for n < len(t.answersByEnd) && t.answersByEnd[n].Until < at {
+		delete(t.answers, t.answersByEnd[n].Run)
 		n++
 	}
 	if n > 0 {
-		b.answersByEnd = slices.Delete(b.answersByEnd, 0, n)
-		b.firstWithResults = max(0, b.firstWithResults-n)
+		t.answersByEnd = slices.Delete(t.answersByEnd, 0, n)
+		t.firstWithResults = max(0, t.firstWithResults-n)
 	}
-	b.pruneOutputs(at)
+	t.pruneOutputs(at)
 }
--- a/internal/dispatcher/fleet/planrun/bench_test.go
+++ b/internal/dispatcher/fleet/planrun/bench_test.go
@@ -88,7 +88,7 @@
 }
 
 // byBook steps through time; each attempt takes 10 ms.
-func byBook(rng *rand.Rand, failing float64, lose bool) (served, attempts, makes int) {
+func byBook(rng *rand.Rand, failing float64, lose bool) (served, attempts, makes int) { //nolint:gocognit // one scenario, to be read from top to bottom
 	book, s, at, lost := NewTracker(DefaultLimits()), chain(policy.Idempotent, policy.Deduplicated, policy.Deduplicated, policy.Idempotent), time.Duration(0), uint64(0)
 	s.Stages[0].Shared, s.Stages[0].SharedFor = true, time.Minute
 	s.Stages[1].Reruns = []RerunShape{{Of: 0, Most: 2}}
@@ -137,7 +137,7 @@
 }
 
 // byStage has three tries for each stage, and a list that is made once and kept.
-func byStage(own bool) func(*rand.Rand, float64, bool) (int, int, int) {
+func byStage(own bool) func(*rand.Rand, float64, bool) (int, int, int) { //nolint:gocognit // one scenario, to be read from top to bottom
 	return func(rng *rand.Rand, failing float64, lost bool) (served, attempts, makes int) {
 		try := func(bad bool) bool {
 			for range 3 {
--- a/internal/dispatcher/fleet/planrun/command.go
+++ b/internal/dispatcher/fleet/planrun/command.go
@@ -51,32 +51,32 @@
 
 // Apply carries out an entry of the log at its fleet time, after what has become due by
 // then.
-func (b *Tracker) Apply(at time.Duration, c Command) (r Reply) {
-	b.Advance(at)
+func (t *Tracker) Apply(at time.Duration, c Command) (r Reply) {
+	t.Advance(at)
 	var err error
 	switch {
 	case c.Start != nil:
 		var x StartReply
-		x, err = b.Start(at, *c.Start)
+		x, err = t.Start(at, *c.Start)
 		r.Started = &x
 	case c.Claim != nil:
-		r.Claimed = b.Claim(at, *c.Claim)
+		r.Claimed = t.Claim(at, *c.Claim)
 	case c.Open != nil:
-		err = b.Open(at, *c.Open)
+		err = t.Open(at, *c.Open)
 	case c.SendAttempt != nil:
 		var x SendAttemptReply
-		x, err = b.SendAttempt(at, *c.SendAttempt)
+		x, err = t.SendAttempt(at, *c.SendAttempt)
 		r.Sent = &x
 	case c.ReportEnd != nil:
 		var x ReportEndReply
-		x, err = b.ReportEnd(at, *c.ReportEnd)
+		x, err = t.ReportEnd(at, *c.ReportEnd)
 		r.Counted = &x
 	case c.Abandon != nil:
-		err = b.Abandon(at, *c.Abandon)
+		err = t.Abandon(at, *c.Abandon)
 	case c.Finish != nil:
-		r.Answer, err = b.Finish(at, *c.Finish)
+		r.Answer, err = t.Finish(at, *c.Finish)
 	case c.LeaseExpired != nil:
-		b.LeaseExpired(at, c.LeaseExpired.Process, c.LeaseExpired.Incarnation)
+		t.LeaseExpired(at, c.LeaseExpired.Process, c.LeaseExpired.Incarnation)
 	}
 	if err != nil {
 		r.Refusal = err.Error()
--- a/internal/dispatcher/fleet/planrun/model_test.go
+++ b/internal/dispatcher/fleet/planrun/model_test.go
@@ -24,7 +24,7 @@
 
 // TestModel has adversaries send whatever they like. The model is the history of what
 // was let and what counted; the rules are read off it.
-func TestModel(t *testing.T) {
+func TestModel(t *testing.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	shape := booking(3)
 	shape.MaxAttempts = 30
 	shape.Stages[2].Undo = &UndoShape{Class: "refund", Effect: policy.AtMostOnce, MaxTries: 2}
--- a/internal/dispatcher/fleet/planrun/ownership.go
+++ b/internal/dispatcher/fleet/planrun/ownership.go
@@ -10,27 +10,27 @@
 
 // LeaseExpired says that the lease of a process's incarnation has ended. Its runs wait to
 // be claimed; the shared outputs that they were making are reassigned.
-func (b *Tracker) LeaseExpired(at time.Duration, process string, incarnation uint64) {
-	b.advanceClock(at)
-	for _, id := range sortedKeys(b.runs) {
-		if r := b.runs[id]; !r.Orphan && r.Process == process && r.Incarnation <= incarnation {
-			b.orphanRun(r)
+func (t *Tracker) LeaseExpired(at time.Duration, process string, incarnation uint64) {
+	t.advanceClock(at)
+	for _, id := range sortedKeys(t.runs) {
+		if r := t.runs[id]; !r.Orphan && r.Process == process && r.Incarnation <= incarnation {
+			t.orphanRun(r)
 		}
 	}
 }
 
-func (b *Tracker) orphanRun(r *Run) {
+func (t *Tracker) orphanRun(r *Run) {
 	r.Orphan = true
-	if i, found := slices.BinarySearch(b.orphans, r.ID); !found {
-		b.orphans = slices.Insert(b.orphans, i, r.ID)
+	if i, found := slices.BinarySearch(t.orphans, r.ID); !found {
+		t.orphans = slices.Insert(t.orphans, i, r.ID)
 	}
-	b.reassignOutputs(r)
+	t.reassignOutputs(r)
 }
 
-func (b *Tracker) unorphanRun(r *Run) {
+func (t *Tracker) unorphanRun(r *Run) {
 	r.Orphan = false
-	if i, found := slices.BinarySearch(b.orphans, r.ID); found {
-		b.orphans = slices.Delete(b.orphans, i, i+1)
+	if i, found := slices.BinarySearch(t.orphans, r.ID); found {
+		t.orphans = slices.Delete(t.orphans, i, i+1)
 	}
 }
 
@@ -38,36 +38,36 @@
 // first, each with a new fencing number. What was in flight is decided by its effect:
 // idempotent and deduplicated jobs may be sent again, at-most-once jobs have ended with
 // plan.MayRun.
-func (b *Tracker) Claim(at time.Duration, c Claim) []Claimed {
-	at = b.advanceClock(at)
+func (t *Tracker) Claim(at time.Duration, c Claim) []Claimed {
+	at = t.advanceClock(at)
 	var list []*Run
-	for _, id := range b.orphans {
-		if r := b.runs[id]; len(c.Plans) == 0 || slices.Contains(c.Plans, r.Digest) {
+	for _, id := range t.orphans {
+		if r := t.runs[id]; len(c.Plans) == 0 || slices.Contains(c.Plans, r.Digest) {
 			list = append(list, r)
 		}
 	}
 	slices.SortStableFunc(list, func(x, y *Run) int { return cmp.Compare(x.Deadline, y.Deadline) })
 	var claimed []Claimed
 	for _, r := range list[:min(max(c.MaxRuns, 0), len(list))] {
-		if b.runs[r.ID] != r { // an output that another of them made has ended it
+		if t.runs[r.ID] != r { // an output that another of them made has ended it
 			continue
 		}
-		b.unorphanRun(r)
-		b.lastFence++
-		r.Fence, r.Process, r.Incarnation = b.lastFence, c.Process, c.Incarnation
+		t.unorphanRun(r)
+		t.lastFence++
+		r.Fence, r.Process, r.Incarnation = t.lastFence, c.Process, c.Incarnation
 		claimed = append(claimed, Claimed{r.ID, r.Fence})
 		for i := range r.Stages {
 			for k := range r.Stages[i].Items {
-				b.resolveInFlight(at, r, i, k)
+				t.resolveInFlight(at, r, i, k)
 			}
 		}
-		b.finishIfDone(at, r)
+		t.finishIfDone(at, r)
 	}
 	return claimed
 }
 
 // resolveInFlight ends the attempts that were in flight when the coordinator failed.
-func (b *Tracker) resolveInFlight(at time.Duration, r *Run, stage, item int) {
+func (t *Tracker) resolveInFlight(at time.Duration, r *Run, stage, item int) {
 	sh, it := &r.shape.Stages[stage], &r.Stages[stage].Items[item]
 	if u := &it.Undo; u.State == InFlight {
 		u.State, u.End, u.NotBefore = Pending, plan.MayRun, at
@@ -78,10 +78,10 @@
 	if j := &it.Job; j.State == InFlight {
 		j.State, j.End, j.NotBefore = Pending, plan.MayRun, at
 		if !maySendAgain(sh.Effect, true) {
-			b.failItem(at, r, stage, item, "its coordinator died while it was under way")
+			t.failItem(at, r, stage, item, "its coordinator died while it was under way")
 		}
 	}
 }
 
 // Orphans returns how many runs wait for a coordinator.
-func (b *Tracker) Orphans() int { return len(b.orphans) }
+func (t *Tracker) Orphans() int { return len(t.orphans) }
--- a/internal/dispatcher/fleet/planrun/rerun.go
+++ b/internal/dispatcher/fleet/planrun/rerun.go
@@ -7,7 +7,7 @@
 )
 
 // rerunAllowed reports whether a rule has a stage run again on an item's report.
-func (b *Tracker) rerunAllowed(r *Run, c ReportEnd) bool {
+func (t *Tracker) rerunAllowed(r *Run, c ReportEnd) bool {
 	for _, q := range r.shape.Stages[c.Stage].Reruns {
 		if q.Of == c.Lost.Stage {
 			return r.Stages[q.Of].RerunsUsed < q.Most
@@ -20,7 +20,7 @@
 // this run hears of it. The stage makes the next generation, unless another run has begun
 // to (then the loss is not new), and everything downstream is reset. If an at-most-once
 // stage downstream may have run, the run gives up.
-func (b *Tracker) loseOutput(r *Run, stage int, gen uint64) (fresh bool) {
+func (t *Tracker) loseOutput(r *Run, stage int, gen uint64) (fresh bool) {
 	st := &r.Stages[stage]
 	st.LostThrough = gen
 	st.RerunsUsed++
@@ -28,19 +28,19 @@
 		if i == stage || r.shape.dependsOn(i, stage) {
 			for k := range r.Stages[i].Items {
 				if it := &r.Stages[i].Items[k]; !maySendAgain(r.shape.Stages[i].Effect, it.Job.MayHaveRun) {
-					b.giveUp(r, i, plan.Lost, "it may have run with what was lost, and must never run twice")
+					t.giveUp(r, i, plan.Lost, "it may have run with what was lost, and must never run twice")
 					return false
 				}
 			}
 		}
 	}
 	if st.Generation == gen {
-		fresh = b.rerunStage(r, stage)
+		fresh = t.rerunStage(r, stage)
 	}
 	for i := stage + 1; i < len(r.Stages); i++ {
 		if d := &r.Stages[i]; r.shape.dependsOn(i, stage) && d.hasBegun() {
 			d.LostThrough = d.Generation
-			b.rerunStage(r, i)
+			t.rerunStage(r, i)
 		}
 	}
 	return fresh
@@ -53,12 +53,12 @@
 
 // rerunStage has a stage make the next generation, or takes the one that another run has
 // made or is making; then the loss is not new.
-func (b *Tracker) rerunStage(r *Run, stage int) (fresh bool) {
+func (t *Tracker) rerunStage(r *Run, stage int) (fresh bool) {
 	st := &r.Stages[stage]
 	gen := st.Generation
 	r.resetStage(stage, gen+1)
-	if o := b.outputs[st.SharedKey]; st.SharedKey != "" && o != nil {
-		return b.rerunShared(o, r, stage, gen)
+	if o := t.outputs[st.SharedKey]; st.SharedKey != "" && o != nil {
+		return t.rerunShared(o, r, stage, gen)
 	}
 	return true
 }
--- a/internal/dispatcher/fleet/planrun/send_attempt.go
+++ b/internal/dispatcher/fleet/planrun/send_attempt.go
@@ -7,9 +7,9 @@
 
 // SendAttempt approves an attempt, or refuses it. A run that can no longer end in time, or
 // within its number of attempts, gives up.
-func (b *Tracker) SendAttempt(at time.Duration, c SendAttempt) (SendAttemptReply, error) {
-	at = b.advanceClock(at)
-	r, err := b.ownedRun(c.Run, c.Fence)
+func (t *Tracker) SendAttempt(at time.Duration, c SendAttempt) (SendAttemptReply, error) {
+	at = t.advanceClock(at)
+	r, err := t.ownedRun(c.Run, c.Fence)
 	if err != nil {
 		return SendAttemptReply{}, err
 	}
@@ -18,37 +18,37 @@
 	}
 	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
 	it := &st.Items[c.Item]
-	t, effect := &it.Job, sh.Effect
+	execution, effect := &it.Job, sh.Effect
 	if c.Undo {
 		if sh.Undo == nil {
 			return SendAttemptReply{}, ErrNotFound
 		}
-		t, effect = &it.Undo, sh.Undo.Effect
+		execution, effect = &it.Undo, sh.Undo.Effect
 	}
 	switch {
-	case t.State == InFlight && t.Fence == c.Fence && t.Attempt == c.Attempt:
+	case execution.State == InFlight && execution.Fence == c.Fence && execution.Attempt == c.Attempt:
 		return SendAttemptReply{Again: true}, nil
-	case t.State == InFlight:
+	case execution.State == InFlight:
 		return SendAttemptReply{}, ErrInFlight
-	case !maySendAgain(effect, t.MayHaveRun):
+	case !maySendAgain(effect, execution.MayHaveRun):
 		return SendAttemptReply{}, ErrAtMostOnce
-	case t.State != Pending:
+	case execution.State != Pending:
 		return SendAttemptReply{}, ErrSettled
-	case c.Attempt != t.Attempt+1:
+	case c.Attempt != execution.Attempt+1:
 		return SendAttemptReply{}, ErrWrongAttempt
-	case at < t.NotBefore:
+	case at < execution.NotBefore:
 		return SendAttemptReply{}, ErrTooEarly
 	}
 	if c.Undo {
 		if r.GaveUp == nil || r.hasJobsInFlight() || r.nextUndoStage(r.shape) != c.Stage || !sh.needsUndo(it) {
 			return SendAttemptReply{}, ErrStale
 		}
-	} else if err := b.checkSend(at, r, c); err != nil {
-		b.finishIfDone(at, r)
+	} else if err := t.checkSend(at, r, c); err != nil {
+		t.finishIfDone(at, r)
 		return SendAttemptReply{}, err
 	}
 	r.AttemptsUsed++
-	*t = Execution{State: InFlight, Attempt: c.Attempt, Fence: c.Fence, SentAt: at, End: t.End, MayHaveRun: true, MayHaveRunBefore: t.MayHaveRun}
+	*execution = Execution{State: InFlight, Attempt: c.Attempt, Fence: c.Fence, SentAt: at, End: execution.End, MayHaveRun: true, MayHaveRunBefore: execution.MayHaveRun}
 	if !c.Undo {
 		it.Generation, it.Inputs = st.Generation, slices.Clone(c.Inputs)
 	}
@@ -56,9 +56,9 @@
 }
 
 // checkSend checks an attempt at a stage against the run's inputs and bounds.
-func (b *Tracker) checkSend(at time.Duration, r *Run, c SendAttempt) error {
+func (t *Tracker) checkSend(at time.Duration, r *Run, c SendAttempt) error {
 	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
-	switch o := b.outputs[st.SharedKey]; {
+	switch o := t.outputs[st.SharedKey]; {
 	case r.GaveUp != nil:
 		return ErrGivenUp
 	case !st.Opened || !r.inputsReady(r.shape, c.Stage) || c.Generation != st.Generation || !slices.Equal(c.Inputs, r.inputGenerations(r.shape, c.Stage)):
@@ -74,10 +74,10 @@
 	}
 	switch {
 	case r.AttemptsUsed+own+r.reservedUndoAttempts(r.shape) > r.shape.MaxAttempts:
-		b.failItem(at, r, c.Stage, c.Item, "no attempts left")
+		t.failItem(at, r, c.Stage, c.Item, "no attempts left")
 		return ErrSettled
 	case at+max(c.RemainingTime, 0) >= r.Deadline:
-		b.failItemLate(at, r, c.Stage, c.Item)
+		t.failItemLate(at, r, c.Stage, c.Item)
 		return ErrSettled
 	}
 	return nil
--- a/internal/dispatcher/fleet/planrun/shared_output.go
+++ b/internal/dispatcher/fleet/planrun/shared_output.go
@@ -28,12 +28,12 @@
 
 // attachOutput connects a stage that was just opened to its output: it takes a fresh one,
 // waits for one that is being made, or makes it.
-func (b *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
+func (t *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
 	key, me := r.Stages[stage].SharedKey, OutputUser{r.ID, stage}
-	o := b.outputs[key]
+	o := t.outputs[key]
 	if o == nil {
-		o = &Output{Key: key, Generation: b.lastSharedGeneration + 1} // above all that the key had, should it have been dropped
-		b.outputs[key] = o
+		o = &Output{Key: key, Generation: t.lastSharedGeneration + 1} // above all that the key had, should it have been dropped
+		t.outputs[key] = o
 	}
 	o.Users = append(o.Users, me)
 	switch {
@@ -46,7 +46,7 @@
 	case o.Producer == nil:
 		o.Producer = &me
 	}
-	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	t.lastSharedGeneration = max(t.lastSharedGeneration, o.Generation)
 	r.Stages[stage].Generation = o.Generation
 }
 
@@ -58,19 +58,19 @@
 
 // publishOutput gives the output that a stage has made to all that wait for it. It counts
 // whoever is the producer by now.
-func (b *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
+func (t *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
 	st := &r.Stages[stage]
-	o := b.outputs[st.SharedKey]
+	o := t.outputs[st.SharedKey]
 	if st.SharedKey == "" || o == nil || o.Ready || o.Generation != st.Generation {
 		return
 	}
 	o.Ready, o.Producer, o.Results = true, nil, st.Results()
 	o.FreshUntil = at + r.shape.Stages[stage].SharedFor
 	for _, u := range slices.Clone(o.Users) {
-		if w := b.runs[u.Run]; w != nil && w.GaveUp == nil && !w.Stages[u.Stage].Complete {
+		if w := t.runs[u.Run]; w != nil && w.GaveUp == nil && !w.Stages[u.Stage].Complete {
 			w.takeOutput(u.Stage, o)
 			if w != r {
-				b.finishIfDone(at, w)
+				t.finishIfDone(at, w)
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 // rerunShared has the generation after a lost one made by a run that reported the loss,
 // unless another has begun to. Other runs that still need the output wait for it, and keep
 // what they made of the lost one until a stage of theirs reports the loss.
-func (b *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
+func (t *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
 	if o.Generation > gen {
 		if r.Stages[stage].Generation = o.Generation; o.Ready {
 			r.takeOutput(stage, o)
@@ -87,10 +87,10 @@
 		return false
 	}
 	o.Generation, o.Ready, o.Results, o.Producer = gen+1, false, nil, &OutputUser{r.ID, stage}
-	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	t.lastSharedGeneration = max(t.lastSharedGeneration, o.Generation)
 	r.Stages[stage].Generation = o.Generation
 	for _, u := range o.Users {
-		w := b.runs[u.Run]
+		w := t.runs[u.Run]
 		if w == r && u.Stage == stage || w.GaveUp != nil || w.Stages[u.Stage].Generation > gen || !w.needsOutput(u.Stage) {
 			continue
 		}
@@ -110,40 +110,40 @@
 }
 
 // detachOutputs removes a run from the users of its outputs.
-func (b *Tracker) detachOutputs(r *Run) {
+func (t *Tracker) detachOutputs(r *Run) {
 	for i := range r.Stages {
-		o := b.outputs[r.Stages[i].SharedKey]
+		o := t.outputs[r.Stages[i].SharedKey]
 		if r.Stages[i].SharedKey == "" || o == nil {
 			continue
 		}
 		me := OutputUser{r.ID, i}
 		o.Users = slices.DeleteFunc(o.Users, func(u OutputUser) bool { return u == me })
-		b.reassignOutput(o, me)
+		t.reassignOutput(o, me)
 		if len(o.Users) == 0 && !o.Ready {
-			delete(b.outputs, o.Key)
+			delete(t.outputs, o.Key)
 		}
 	}
 }
 
 // reassignOutputs assigns the outputs that a run was making to others that wait for them,
 // if there are any with a coordinator.
-func (b *Tracker) reassignOutputs(r *Run) {
+func (t *Tracker) reassignOutputs(r *Run) {
 	for i := range r.Stages {
-		if o := b.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
-			b.reassignOutput(o, OutputUser{r.ID, i})
+		if o := t.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
+			t.reassignOutput(o, OutputUser{r.ID, i})
 		}
 	}
 }
 
 // reassignOutput finds a new producer of an output, if from is its producer: the first user
 // that waits and has a coordinator, else the first that waits.
-func (b *Tracker) reassignOutput(o *Output, from OutputUser) {
+func (t *Tracker) reassignOutput(o *Output, from OutputUser) {
 	if o.Ready || o.Producer == nil || *o.Producer != from {
 		return
 	}
 	o.Producer = nil
 	for _, u := range o.Users {
-		w := b.runs[u.Run]
+		w := t.runs[u.Run]
 		if w == nil || w.GaveUp != nil || w.Stages[u.Stage].Complete {
 			continue
 		}
@@ -156,10 +156,10 @@
 	}
 }
 
-func (b *Tracker) pruneOutputs(at time.Duration) {
-	for key, o := range b.outputs { // in any order: each is judged by itself
+func (t *Tracker) pruneOutputs(at time.Duration) {
+	for key, o := range t.outputs { // in any order: each is judged by itself
 		if o.Ready && len(o.Users) == 0 && o.FreshUntil <= at {
-			delete(b.outputs, key)
+			delete(t.outputs, key)
 		}
 	}
 }
--- a/internal/dispatcher/fleet/planrun/sim_test.go
+++ b/internal/dispatcher/fleet/planrun/sim_test.go
@@ -273,7 +273,7 @@
 }
 
 // send has a member run an attempt, perhaps.
-func (p *proc) send(a *seen, c SendAttempt, id AttemptID) {
+func (p *proc) send(a *seen, c SendAttempt, id AttemptID) { //nolint:gocognit // one scenario, to be read from top to bottom
 	s, epoch, told := p.s, p.epoch, false
 	if s.n.sends++; a.end == plan.MayRun && !a.unchecked {
 		s.fault("%v was sent when another had the run", a.try)
--- a/internal/dispatcher/fleet/planrun/stored_state.go
+++ b/internal/dispatcher/fleet/planrun/stored_state.go
@@ -18,14 +18,14 @@
 }
 
 // internShape stores each shape once. Its key is its digest, or the next free number.
-func (b *Tracker) internShape(s Shape) (uint64, *Shape, error) {
+func (t *Tracker) internShape(s Shape) (uint64, *Shape, error) {
 	text, err := codec.Encode(s)
 	if err != nil {
 		return 0, nil, fmt.Errorf("encoding a shape: %w", err)
 	}
 	key := codec.Digest(text)
-	for ; b.shapes[key] != nil; key++ {
-		if k := b.shapes[key]; bytes.Equal(k.text, text) {
+	for ; t.shapes[key] != nil; key++ {
+		if k := t.shapes[key]; bytes.Equal(k.text, text) {
 			k.runs++
 			return key, k.shape, nil
 		}
@@ -33,15 +33,15 @@
 	if err := s.resolve(); err != nil {
 		return 0, nil, err
 	}
-	b.shapes[key] = &internedShape{&s, text, 1}
+	t.shapes[key] = &internedShape{&s, text, 1}
 	return key, &s, nil
 }
 
-func (b *Tracker) releaseShape(key uint64) {
-	if k := b.shapes[key]; k.runs > 1 {
+func (t *Tracker) releaseShape(key uint64) {
+	if k := t.shapes[key]; k.runs > 1 {
 		k.runs--
 	} else {
-		delete(b.shapes, key)
+		delete(t.shapes, key)
 	}
 }
 
@@ -68,16 +68,16 @@
 }
 
 // Encode encodes the whole state: the same commands give the same bytes.
-func (b *Tracker) Encode() ([]byte, error) {
-	s := storedState{Limits: b.limits, Now: b.now, Fence: b.lastFence, LastSharedGeneration: b.lastSharedGeneration, Shapes: map[uint64]Shape{}, Answers: b.answersByEnd, FirstWithResults: b.firstWithResults}
-	for key, k := range b.shapes {
+func (t *Tracker) Encode() ([]byte, error) {
+	s := storedState{Limits: t.limits, Now: t.now, Fence: t.lastFence, LastSharedGeneration: t.lastSharedGeneration, Shapes: map[uint64]Shape{}, Answers: t.answersByEnd, FirstWithResults: t.firstWithResults}
+	for key, k := range t.shapes {
 		s.Shapes[key] = *k.shape
 	}
-	for _, id := range sortedKeys(b.runs) {
-		s.Runs = append(s.Runs, b.runs[id])
+	for _, id := range sortedKeys(t.runs) {
+		s.Runs = append(s.Runs, t.runs[id])
 	}
-	for _, key := range sortedKeys(b.outputs) {
-		s.Outputs = append(s.Outputs, b.outputs[key])
+	for _, key := range sortedKeys(t.outputs) {
+		s.Outputs = append(s.Outputs, t.outputs[key])
 	}
 	text, err := codec.Encode(s)
 	if err != nil {
@@ -87,8 +87,8 @@
 }
 
 // Digest returns the digest of the encoded state.
-func (b *Tracker) Digest() (uint64, error) {
-	text, err := b.Encode()
+func (t *Tracker) Digest() (uint64, error) {
+	text, err := t.Encode()
 	if err != nil {
 		return 0, err
 	}
@@ -99,7 +99,7 @@
 var ErrInvalidState = errors.New("not a state of plans under way")
 
 // Decode replaces the state by an encoded one. On an error nothing has changed.
-func (b *Tracker) Decode(text []byte) error {
+func (t *Tracker) Decode(text []byte) error {
 	var f envelope
 	if err := codec.Decode(text, &f); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidState, err)
@@ -153,16 +153,16 @@
 			return ErrInvalidState
 		}
 	}
-	*b = *n
+	*t = *n
 	return nil
 }
 
 // addDecodedRun adds a decoded run, if it is consistent as far as the Tracker relies on it.
-func (b *Tracker) addDecodedRun(r *Run) error {
-	if r == nil || b.runs[r.ID] != nil || b.answers[r.ID] != nil || b.shapes[r.Shape] == nil {
+func (t *Tracker) addDecodedRun(r *Run) error {
+	if r == nil || t.runs[r.ID] != nil || t.answers[r.ID] != nil || t.shapes[r.Shape] == nil {
 		return ErrInvalidState
 	}
-	k := b.shapes[r.Shape]
+	k := t.shapes[r.Shape]
 	r.shape = k.shape
 	k.runs++
 	if len(r.Stages) != len(r.shape.Stages) {
@@ -182,19 +182,19 @@
 		return ErrInvalidState
 	}
 	if r.dueAt = r.Deadline; r.GaveUp != nil {
-		r.dueAt += b.limits.Grace
+		r.dueAt += t.limits.Grace
 	}
-	b.runs[r.ID] = r
-	b.deadlines.Push(r)
+	t.runs[r.ID] = r
+	t.deadlines.Push(r)
 	if r.Orphan {
-		i, _ := slices.BinarySearch(b.orphans, r.ID)
-		b.orphans = slices.Insert(b.orphans, i, r.ID)
+		i, _ := slices.BinarySearch(t.orphans, r.ID)
+		t.orphans = slices.Insert(t.orphans, i, r.ID)
 	}
 	return nil
 }
 
 // isUser reports whether a stage of a run uses an output.
-func (b *Tracker) isUser(o *Output, u OutputUser) bool {
-	r := b.runs[u.Run]
+func (t *Tracker) isUser(o *Output, u OutputUser) bool {
+	r := t.runs[u.Run]
 	return r != nil && u.Stage >= 0 && u.Stage < len(r.Stages) && r.Stages[u.Stage].SharedKey == o.Key
 }
--- a/internal/dispatcher/fleet/planrun/tracker.go
+++ b/internal/dispatcher/fleet/planrun/tracker.go
@@ -34,32 +34,32 @@
 	return b
 }
 
-func (b *Tracker) reset() {
-	b.shapes, b.runs, b.answers, b.outputs = map[uint64]*internedShape{}, map[string]*Run{}, map[string]*Answer{}, map[string]*Output{}
-	b.answersByEnd, b.firstWithResults, b.orphans = nil, 0, nil
-	b.deadlines = indexedheap.New(func(x, y *Run) bool { return cmp.Or(cmp.Compare(x.dueAt, y.dueAt), cmp.Compare(x.ID, y.ID)) < 0 }, func(r *Run, at int) { r.heapIndex = at })
+func (t *Tracker) reset() {
+	t.shapes, t.runs, t.answers, t.outputs = map[uint64]*internedShape{}, map[string]*Run{}, map[string]*Answer{}, map[string]*Output{}
+	t.answersByEnd, t.firstWithResults, t.orphans = nil, 0, nil
+	t.deadlines = indexedheap.New(func(x, y *Run) bool { return cmp.Or(cmp.Compare(x.dueAt, y.dueAt), cmp.Compare(x.ID, y.ID)) < 0 }, func(r *Run, at int) { r.heapIndex = at })
 }
 
 // advanceClock takes in the time of a command and returns the fleet time, which never runs
 // backward.
-func (b *Tracker) advanceClock(at time.Duration) time.Duration {
-	b.now = max(b.now, at)
-	return b.now
+func (t *Tracker) advanceClock(at time.Duration) time.Duration {
+	t.now = max(t.now, at)
+	return t.now
 }
 
 // Counts returns how many runs are in progress, and how many have ended and are still
 // known.
-func (b *Tracker) Counts() (under, ended int) { return len(b.runs), len(b.answers) }
+func (t *Tracker) Counts() (under, ended int) { return len(t.runs), len(t.answers) }
 
 // View returns a copy of a run in progress. Its errors wrap ErrUnknownRun or ErrEnded.
-func (b *Tracker) View(id string) (View, error) {
-	r, err := b.findRun(id)
+func (t *Tracker) View(id string) (View, error) {
+	r, err := t.findRun(id)
 	if err != nil {
 		return View{}, err
 	}
 	v := View{Shape: r.shape, Run: r.clone()}
 	for i := range r.Stages {
-		if o := b.outputs[r.Stages[i].SharedKey]; o != nil && r.Stages[i].SharedKey != "" && o.isOwnedBy(r, i) {
+		if o := t.outputs[r.Stages[i].SharedKey]; o != nil && r.Stages[i].SharedKey != "" && o.isOwnedBy(r, i) {
 			v.Producing |= 1 << i
 		}
 	}
@@ -67,27 +67,27 @@
 }
 
 // Answer returns a run's final answer, or nil.
-func (b *Tracker) Answer(id string) *Answer {
-	if a := b.answers[id]; a != nil {
+func (t *Tracker) Answer(id string) *Answer {
+	if a := t.answers[id]; a != nil {
 		c := *a
 		return &c
 	}
 	return nil
 }
 
-func (b *Tracker) findRun(id string) (*Run, error) {
-	if r := b.runs[id]; r != nil {
+func (t *Tracker) findRun(id string) (*Run, error) {
+	if r := t.runs[id]; r != nil {
 		return r, nil
 	}
-	if b.answers[id] != nil {
+	if t.answers[id] != nil {
 		return nil, ErrEnded
 	}
 	return nil, ErrUnknownRun
 }
 
 // ownedRun returns a run for its present coordinator.
-func (b *Tracker) ownedRun(id string, fence uint64) (*Run, error) {
-	r, err := b.findRun(id)
+func (t *Tracker) ownedRun(id string, fence uint64) (*Run, error) {
+	r, err := t.findRun(id)
 	if err == nil && (r.Orphan || r.Fence != fence) {
 		return nil, ErrFenced
 	}
@@ -98,12 +98,12 @@
 // run in progress or its answer, for as long as that is known (Limits.AnswerRetention). A
 // Start that is delivered late can't start the run again after that: its Before has passed
 // by then, for which an answer is kept in any case.
-func (b *Tracker) Start(at time.Duration, c Start) (StartReply, error) {
-	at = b.advanceClock(at)
-	if a := b.Answer(c.Run); a != nil {
+func (t *Tracker) Start(at time.Duration, c Start) (StartReply, error) {
+	at = t.advanceClock(at)
+	if a := t.Answer(c.Run); a != nil {
 		return StartReply{Known: true, Answer: a}, nil
 	}
-	if r := b.runs[c.Run]; r != nil {
+	if r := t.runs[c.Run]; r != nil {
 		reply := StartReply{Known: true}
 		if !r.Orphan && r.Process == c.Process && r.Incarnation == c.Incarnation {
 			reply.Fence = r.Fence
@@ -111,21 +111,21 @@
 		return reply, nil
 	}
 	switch {
-	case c.Before <= at || c.Before-at > b.limits.MaxTimeout:
+	case c.Before <= at || c.Before-at > t.limits.MaxTimeout:
 		return StartReply{}, fmt.Errorf("starting run %s at %v: %w", c.Run, at, ErrDeadline)
-	case len(b.runs) >= b.limits.Runs || len(b.runs)+len(b.answers) >= b.limits.KnownRuns:
+	case len(t.runs) >= t.limits.Runs || len(t.runs)+len(t.answers) >= t.limits.KnownRuns:
 		return StartReply{}, ErrFull
-	case len(c.Input) > b.limits.RunBytes || c.Run == "" || len(c.Run) > maxNameLength || len(c.Plan) > maxNameLength || len(c.Tenant) > maxNameLength || len(c.Process) > maxNameLength:
+	case len(c.Input) > t.limits.RunBytes || c.Run == "" || len(c.Run) > maxNameLength || len(c.Plan) > maxNameLength || len(c.Tenant) > maxNameLength || len(c.Process) > maxNameLength:
 		return StartReply{}, fmt.Errorf("starting a run of plan %.32s: %w", c.Plan, ErrTooLarge)
 	}
-	key, shape, err := b.internShape(c.Shape)
+	key, shape, err := t.internShape(c.Shape)
 	if err != nil {
 		return StartReply{}, err
 	}
-	b.lastFence++
+	t.lastFence++
 	r := &Run{
 		ID: c.Run, Plan: c.Plan, Tenant: c.Tenant, Digest: c.Digest, Shape: key, Input: c.Input, Seed: c.Seed, Started: at, StartBy: c.Before,
-		Deadline: min(c.Before, at+shape.Timeout), Process: c.Process, Incarnation: c.Incarnation, Fence: b.lastFence,
+		Deadline: min(c.Before, at+shape.Timeout), Process: c.Process, Incarnation: c.Incarnation, Fence: t.lastFence,
 		Bytes: len(c.Input), Stages: make([]Stage, len(shape.Stages)), shape: shape,
 	}
 	for i := range r.Stages {
@@ -135,15 +135,15 @@
 		}
 	}
 	r.dueAt = r.Deadline
-	b.runs[r.ID] = r
-	b.deadlines.Push(r)
+	t.runs[r.ID] = r
+	t.deadlines.Push(r)
 	return StartReply{Fence: r.Fence}, nil
 }
 
 // Open fixes the items of a stage. Only the first Open of a stage counts.
-func (b *Tracker) Open(at time.Duration, c Open) error {
-	at = b.advanceClock(at)
-	r, err := b.ownedRun(c.Run, c.Fence)
+func (t *Tracker) Open(at time.Duration, c Open) error {
+	at = t.advanceClock(at)
+	r, err := t.ownedRun(c.Run, c.Fence)
 	switch {
 	case err != nil:
 		return err
@@ -164,9 +164,9 @@
 		return ErrStale
 	case !sh.Each && len(c.Items) != 1 || sh.Shared != (c.Key != ""):
 		return ErrNotFound
-	case sh.Each && len(c.Items) > sh.MaxItems || r.Bytes+size > b.limits.RunBytes || len(c.Key) > b.limits.KeyBytes:
+	case sh.Each && len(c.Items) > sh.MaxItems || r.Bytes+size > t.limits.RunBytes || len(c.Key) > t.limits.KeyBytes:
 		return ErrTooLarge
-	case sh.Shared && b.outputs[c.Key] == nil && len(b.outputs) >= b.limits.SharedOutputs:
+	case sh.Shared && t.outputs[c.Key] == nil && len(t.outputs) >= t.limits.SharedOutputs:
 		return ErrFull
 	}
 	r.Bytes += size
@@ -176,53 +176,53 @@
 	}
 	if sh.Shared {
 		st.SharedKey = c.Key
-		b.attachOutput(at, r, c.Stage)
+		t.attachOutput(at, r, c.Stage)
 	}
-	b.completeIfDone(at, r, c.Stage)
-	b.finishIfDone(at, r)
+	t.completeIfDone(at, r, c.Stage)
+	t.finishIfDone(at, r)
 	return nil
 }
 
 // Abandon gives a run up at its coordinator's request.
-func (b *Tracker) Abandon(at time.Duration, c Abandon) error {
-	at = b.advanceClock(at)
-	r, err := b.ownedRun(c.Run, c.Fence)
+func (t *Tracker) Abandon(at time.Duration, c Abandon) error {
+	at = t.advanceClock(at)
+	r, err := t.ownedRun(c.Run, c.Fence)
 	switch {
 	case err != nil:
 		return err
 	case c.Stage < -1 || c.Stage >= len(r.Stages) || len(c.End) > maxNameLength:
 		return ErrNotFound
 	}
-	b.giveUp(r, c.Stage, c.End, c.Reason)
-	b.finishIfDone(at, r)
+	t.giveUp(r, c.Stage, c.End, c.Reason)
+	t.finishIfDone(at, r)
 	return nil
 }
 
 // Finish returns a run's final answer, the same each time. A run ends by itself, with the
 // command after which nothing is left to do; until then the error is ErrInFlight.
-func (b *Tracker) Finish(at time.Duration, c Finish) (*Answer, error) {
-	b.advanceClock(at)
-	if _, err := b.findRun(c.Run); err == nil {
+func (t *Tracker) Finish(at time.Duration, c Finish) (*Answer, error) {
+	t.advanceClock(at)
+	if _, err := t.findRun(c.Run); err == nil {
 		return nil, ErrInFlight
 	} else if errors.Is(err, ErrUnknownRun) {
 		return nil, err
 	}
-	return b.Answer(c.Run), nil
+	return t.Answer(c.Run), nil
 }
 
 // Advance gives up runs whose deadline has passed, ends those whose grace is over, and
 // drops expired answers and shared outputs.
-func (b *Tracker) Advance(at time.Duration) {
-	at = b.advanceClock(at)
-	for b.deadlines.Len() > 0 && b.deadlines.All()[0].dueAt <= at {
-		r := b.deadlines.All()[0]
-		if at >= r.Deadline+b.limits.Grace {
-			b.giveUp(r, -1, plan.Late, "its deadline passed")
-			b.finishRun(at, r)
+func (t *Tracker) Advance(at time.Duration) {
+	at = t.advanceClock(at)
+	for t.deadlines.Len() > 0 && t.deadlines.All()[0].dueAt <= at {
+		r := t.deadlines.All()[0]
+		if at >= r.Deadline+t.limits.Grace {
+			t.giveUp(r, -1, plan.Late, "its deadline passed")
+			t.finishRun(at, r)
 			continue
 		}
-		b.giveUp(r, -1, plan.Late, "its deadline passed")
-		b.finishIfDone(at, r)
+		t.giveUp(r, -1, plan.Late, "its deadline passed")
+		t.finishIfDone(at, r)
 	}
-	b.pruneAnswers(at)
+	t.pruneAnswers(at)
 }
--- a/internal/dispatcher/fleet/planrun/tracker_test.go
+++ b/internal/dispatcher/fleet/planrun/tracker_test.go
@@ -169,7 +169,7 @@
 	require.ErrorIs(t, err, ErrDeadline, "delivered late, after the answer was dropped")
 }
 
-func TestTicketOutAtTakeOver(t *testing.T) {
+func TestTicketInFlightAtTakeOver(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		c := begin(t, booking(1), "r")
 		c.open(0, 1, "tour")
@@ -262,9 +262,9 @@
 	}
 }
 
-// TestSharedHandedOn: an output that is being made is taken on by another when its
+// TestSharedOutputReassigned: an output that is being made is taken on by another when its
 // maker gives up or dies, and one made anew for a newcomer is no loss of the old one.
-func TestSharedHandedOn(t *testing.T) {
+func TestSharedOutputReassigned(t *testing.T) {
 	for _, dies := range []bool{true, false} {
 		c := begin(t, booking(1), "r1")
 		first, second := c.fence, c.start(booking(1), "r2", "n3").Fence
@@ -330,7 +330,7 @@
 }
 
 // TestHardCases: one way each to an end that must not be what it looks like.
-func TestHardCases(t *testing.T) {
+func TestHardCases(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	two := func(first policy.Effect, most int) Shape {
 		return Shape{MaxAttempts: 6, Timeout: time.Second, Stages: []StageShape{
 			{Name: "a", Class: "a", Effect: first, Retries: []RetryShape{{On: []plan.End{plan.Failed}, MaxRetries: 9}}},
@@ -438,9 +438,9 @@
 	require.ErrorContains(t, c.replicas[0].Decode(v2), "version 2")
 }
 
-// TestCoordinatorRemembers: one task at a time for an attempt, and none is sent that
+// TestAttemptRegistryRemembers: one task at a time for an attempt, and none is sent that
 // was told as unsent, though its reply comes after all.
-func TestCoordinatorRemembers(t *testing.T) {
+func TestAttemptRegistryRemembers(t *testing.T) {
 	s := booking(1)
 	s.Stages = s.Stages[3:]
 	s.Stages[0].After = nil
--- a/internal/dispatcher/fleet/raftnode/data_dir.go
+++ b/internal/dispatcher/fleet/raftnode/data_dir.go
@@ -44,8 +44,8 @@
 
 // openDir locks the data directory. It fails for the directory of another node or version,
 // and for one in use.
-func (k *Node) openDir() (*dataDir, error) {
-	path := k.settings.Folder
+func (node *Node) openDir() (*dataDir, error) {
+	path := node.settings.Folder
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDataDir, err)
@@ -54,7 +54,7 @@
 		_ = lock.Close()
 		return nil, fmt.Errorf("%w: another process uses %s", ErrDataDir, path)
 	}
-	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: k.settings.Name}}
+	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: node.settings.Name}}
 	text, err := os.ReadFile(filepath.Join(path, identityFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
@@ -71,8 +71,8 @@
 		err = fmt.Errorf("%w: its mark can't be read: %w", ErrDataDir, err)
 	case f.identity.Version != identityVersion:
 		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, f.identity.Version, identityVersion)
-	case f.identity.Node != k.settings.Name:
-		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Node, k.settings.Name)
+	case f.identity.Node != node.settings.Name:
+		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Node, node.settings.Name)
 	default:
 		return f, nil
 	}
@@ -81,13 +81,13 @@
 }
 
 // countStart atomically stores one more start in the identity file.
-func (f *dataDir) countStart() error {
-	f.identity.Starts++
-	text, err := codec.Encode(f.identity)
+func (d *dataDir) countStart() error {
+	d.identity.Starts++
+	text, err := codec.Encode(d.identity)
 	if err != nil {
 		return err
 	}
-	temp, err := os.CreateTemp(f.path, "new-*")
+	temp, err := os.CreateTemp(d.path, "new-*")
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
@@ -95,10 +95,10 @@
 	_, err = temp.Write(text)
 	err = errors.Join(err, temp.Sync(), temp.Close())
 	if err == nil {
-		err = os.Rename(temp.Name(), filepath.Join(f.path, identityFile))
+		err = os.Rename(temp.Name(), filepath.Join(d.path, identityFile))
 	}
 	if err == nil {
-		err = f.sync()
+		err = d.sync()
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDataDir, err)
@@ -106,27 +106,28 @@
 	return nil
 }
 
-func (f *dataDir) sync() error {
-	d, err := os.Open(f.path)
+// sync makes changes of the names in the directory durable.
+func (d *dataDir) sync() error {
+	file, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(file.Sync(), file.Close())
 }
 
 // wipe removes everything but the lock.
-func (f *dataDir) wipe() error {
-	entries, err := os.ReadDir(f.path)
+func (d *dataDir) wipe() error {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
 		if e.Name() != "lock" {
-			err = errors.Join(err, os.RemoveAll(filepath.Join(f.path, e.Name())))
+			err = errors.Join(err, os.RemoveAll(filepath.Join(d.path, e.Name())))
 		}
 	}
-	f.identity.Starts = 0
-	return errors.Join(err, f.sync())
+	d.identity.Starts = 0
+	return errors.Join(err, d.sync())
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -133,7 +133,7 @@
 
 // TestGoldenFolder: a keeper starts on a copy of the golden folder, has all that was
 // committed before and after the snapshot, and goes on.
-func TestGoldenFolder(t *testing.T) {
+func TestGoldenFolder(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	if goldentest.Missing(goldenFolder) {
 		written := filepath.Join(t.TempDir(), "keeper")
 		writeGoldenFolder(t, written)
@@ -212,8 +212,8 @@
 	require.Len(t, page.Records, 4)
 }
 
-// TestGoldenMark: the mark of a folder has the bytes that 352ebf2 wrote.
-func TestGoldenMark(t *testing.T) {
+// TestGoldenIdentity: the mark of a folder has the bytes that 352ebf2 wrote.
+func TestGoldenIdentity(t *testing.T) {
 	text := goldentest.Read(t, filepath.Join(goldenFolder, identityFile))
 	require.Equal(t, "keeper", identityFile)
 	var m identity
@@ -222,8 +222,8 @@
 	require.Equal(t, text, encoded(t, m))
 }
 
-// TestGoldenReady: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
-func TestGoldenReady(t *testing.T) {
+// TestGoldenMembershipRequest: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
+func TestGoldenMembershipRequest(t *testing.T) {
 	text := []byte("\xa2\x64Name\x62k1\x65Index\x07")
 	require.Equal(t, text, encoded(t, membershipRequest{Name: "k1", Index: 7}))
 	var read membershipRequest
--- a/internal/dispatcher/fleet/raftnode/http.go
+++ b/internal/dispatcher/fleet/raftnode/http.go
@@ -16,7 +16,7 @@
 const readTimeout = time.Second
 
 // ServeHTTP serves the endpoints of package rpc.
-func (k *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (node *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, rpc.MaxBody+1))
 	switch {
 	case err != nil:
@@ -30,21 +30,21 @@
 	}
 	switch r.URL.Path {
 	case rpc.PathStatus:
-		k.writeReply(w, k.status())
+		node.writeReply(w, node.status())
 	case rpc.PathCommand:
-		k.handleCommand(w, body)
+		node.handleCommand(w, body)
 	case rpc.PathRead, rpc.PathLocalRead:
-		k.handleQuery(w, r, body)
+		node.handleQuery(w, r, body)
 	case rpc.PathRejoin:
-		k.handleMembershipChange(w, body, k.readmit)
+		node.handleMembershipChange(w, body, node.readmit)
 	case rpc.PathPromote:
-		k.handleMembershipChange(w, body, k.promote)
+		node.handleMembershipChange(w, body, node.promote)
 	default:
 		http.Error(w, "no such call", http.StatusNotFound)
 	}
 }
 
-func (k *Node) writeReply(w http.ResponseWriter, v any) {
+func (node *Node) writeReply(w http.ResponseWriter, v any) {
 	text, err := codec.Encode(v)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -54,69 +54,69 @@
 }
 
 // redirect answers that another node is the leader, and which.
-func (k *Node) redirect(w http.ResponseWriter, why string) {
-	k.mu.Lock()
-	n := k.replica
-	k.mu.Unlock()
+func (node *Node) redirect(w http.ResponseWriter, why string) {
+	node.mu.Lock()
+	n := node.replica
+	node.mu.Unlock()
 	if n != nil {
-		if _, id := n.raft.LeaderWithID(); id != "" && string(id) != k.settings.Name {
+		if _, id := n.raft.LeaderWithID(); id != "" && string(id) != node.settings.Name {
 			w.Header().Set(rpc.LeaderHeader, string(id))
 		}
 	}
 	http.Error(w, why, http.StatusMisdirectedRequest)
 }
 
-func (k *Node) handleCommand(w http.ResponseWriter, body []byte) {
+func (node *Node) handleCommand(w http.ResponseWriter, body []byte) {
 	c, err := state.Decode(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	r, err := k.propose(c)
+	r, err := node.propose(c)
 	if err != nil {
-		k.redirect(w, err.Error())
+		node.redirect(w, err.Error())
 		return
 	}
-	k.writeReply(w, r)
+	node.writeReply(w, r)
 }
 
 // handleQuery answers a query. For a read, the leader first makes sure that it is still the
 // leader, so that the answer reflects all that was answered before.
-func (k *Node) handleQuery(w http.ResponseWriter, r *http.Request, body []byte) {
+func (node *Node) handleQuery(w http.ResponseWriter, r *http.Request, body []byte) {
 	var q rpc.Query
 	if err := codec.Decode(body, &q); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	k.mu.Lock()
-	n, leads := k.replica, k.leadership != nil
-	if n == nil || len(k.divergent) > 0 {
-		k.mu.Unlock()
-		k.redirect(w, "this keeper has no state to serve")
+	node.mu.Lock()
+	n, leads := node.replica, node.leadership != nil
+	if n == nil || len(node.divergent) > 0 {
+		node.mu.Unlock()
+		node.redirect(w, "this keeper has no state to serve")
 		return
 	}
 	n.calls.Add(1)
-	k.mu.Unlock()
+	node.mu.Unlock()
 	defer n.calls.Done()
 	if r.URL.Path == rpc.PathRead {
 		if !leads {
-			k.redirect(w, "another keeper leads")
+			node.redirect(w, "another keeper leads")
 			return
 		}
 		ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(readTimeout))
 		defer cancel()
 		upTo := n.raft.CommitIndex()
-		if err := errors.Join(n.raft.VerifyLeader().Error(), k.waitApplied(ctx, n, upTo)); err != nil {
-			k.redirect(w, err.Error())
+		if err := errors.Join(n.raft.VerifyLeader().Error(), node.waitApplied(ctx, n, upTo)); err != nil {
+			node.redirect(w, err.Error())
 			return
 		}
 	}
-	k.writeReply(w, k.Query(q))
+	node.writeReply(w, node.Query(q))
 }
 
 // waitApplied waits until everything up to an index is applied. Some log entries are raft's
 // own, which the state does not see.
-func (k *Node) waitApplied(ctx context.Context, n *replica, index uint64) error {
+func (node *Node) waitApplied(ctx context.Context, n *replica, index uint64) error {
 	for n.raft.AppliedIndex() < index {
 		select {
 		case <-ctx.Done():
@@ -128,8 +128,8 @@
 }
 
 // Query answers a query from this node's own state.
-func (k *Node) Query(q rpc.Query) (a rpc.Answer) {
-	k.fsm.read(func(m *state.Machine) {
+func (node *Node) Query(q rpc.Query) (a rpc.Answer) {
+	node.fsm.read(func(m *state.Machine) {
 		a.Index, a.At = m.Index(), m.At()
 		body, err := m.Query(q.Kind, q.Body)
 		if err != nil {
@@ -143,4 +143,4 @@
 
 // Inspect calls a function with this node's state, which it must not change. No command is
 // applied until it returns.
-func (k *Node) Inspect(see func(*state.Machine)) { k.fsm.read(see) }
+func (node *Node) Inspect(see func(*state.Machine)) { node.fsm.read(see) }
--- a/internal/dispatcher/fleet/raftnode/join.go
+++ b/internal/dispatcher/fleet/raftnode/join.go
@@ -20,37 +20,37 @@
 
 // joinWithEmptyDir returns once the other nodes have added this one, or returns true once
 // it is known that the fleet is to be bootstrapped.
-func (k *Node) joinWithEmptyDir(ctx context.Context) (found bool, err error) {
-	k.mu.Lock()
-	k.empty = true
-	k.mu.Unlock()
-	self, err := codec.Encode(k.settings.Name)
+func (node *Node) joinWithEmptyDir(ctx context.Context) (found bool, err error) {
+	node.mu.Lock()
+	node.empty = true
+	node.mu.Unlock()
+	self, err := codec.Encode(node.settings.Name)
 	if err != nil {
 		return false, err
 	}
 	for waited := false; ctx.Err() == nil; waited = true {
 		nothing, taken := 0, false
-		for _, a := range k.queryPeers(ctx) {
+		for _, a := range node.queryPeers(ctx) {
 			if !a.Bootstrapped {
 				nothing++
 				continue
 			}
 			var ok bool
-			if _, err := k.peers.Post(ctx, a.Name, rpc.PathRejoin, self, &ok); err == nil && ok {
+			if _, err := node.peers.Post(ctx, a.Name, rpc.PathRejoin, self, &ok); err == nil && ok {
 				taken = true
 				break
 			}
 		}
 		if taken {
-			k.log.Info("added to the raft group with an empty data directory")
+			node.log.Info("added to the raft group with an empty data directory")
 			return false, nil
 		}
-		if nothing == len(k.settings.Peers)-1 {
-			k.log.Info("no raft node has state; bootstrapping the fleet")
+		if nothing == len(node.settings.Peers)-1 {
+			node.log.Info("no raft node has state; bootstrapping the fleet")
 			return true, nil
 		}
 		if !waited {
-			k.log.Info("waiting for the other raft nodes, to be added or to bootstrap the fleet")
+			node.log.Info("waiting for the other raft nodes, to be added or to bootstrap the fleet")
 		}
 		select {
 		case <-ctx.Done():
@@ -62,17 +62,17 @@
 
 // queryPeers asks the other nodes for their status, concurrently. Nodes that don't answer
 // are left out.
-func (k *Node) queryPeers(ctx context.Context) (all []rpc.NodeStatus) {
+func (node *Node) queryPeers(ctx context.Context) (all []rpc.NodeStatus) {
 	answers := make(chan *rpc.NodeStatus)
 	others := 0
-	for _, name := range sortedKeys(k.settings.Peers) {
-		if name == k.settings.Name {
+	for _, name := range sortedKeys(node.settings.Peers) {
+		if name == node.settings.Name {
 			continue
 		}
 		others++
 		go func() {
 			var a rpc.NodeStatus
-			if _, err := k.peers.Post(ctx, name, rpc.PathStatus, nil, &a); err != nil {
+			if _, err := node.peers.Post(ctx, name, rpc.PathStatus, nil, &a); err != nil {
 				answers <- nil
 				return
 			}
@@ -90,9 +90,9 @@
 
 // isStaleCopy reports whether another node knows of a later start of this one than its data
 // directory does. A stale directory has lost votes and entries, like an empty one.
-func (k *Node) isStaleCopy(ctx context.Context, own *dataDir) bool {
-	for _, a := range k.queryPeers(ctx) {
-		if a.BootCounts[k.settings.Name] > own.identity.Starts {
+func (node *Node) isStaleCopy(ctx context.Context, own *dataDir) bool {
+	for _, a := range node.queryPeers(ctx) {
+		if a.BootCounts[node.settings.Name] > own.identity.Starts {
 			return true
 		}
 	}
--- a/internal/dispatcher/fleet/raftnode/leadership.go
+++ b/internal/dispatcher/fleet/raftnode/leadership.go
@@ -25,14 +25,14 @@
 func (l *leadership) now() time.Duration { return l.startTime + time.Since(l.since) }
 
 // updateLeadership records that this node has become the leader or has lost the leadership.
-func (k *Node) updateLeadership(n *replica) {
+func (node *Node) updateLeadership(n *replica) {
 	leads := n.raft.State() == raft.Leader
-	k.mu.Lock()
-	was := k.leadership
+	node.mu.Lock()
+	was := node.leadership
 	if !leads {
-		k.leadership = nil
+		node.leadership = nil
 	}
-	k.mu.Unlock()
+	node.mu.Unlock()
 	if !leads || was != nil {
 		return
 	}
@@ -40,44 +40,44 @@
 		return
 	}
 	l := &leadership{since: time.Now()}
-	k.fsm.read(func(m *state.Machine) { l.startTime = m.At() })
-	k.mu.Lock()
-	k.leadership = l
-	k.mu.Unlock()
-	k.log.WithField("at", l.startTime.String()).Info("became leader of the fleet")
+	node.fsm.read(func(m *state.Machine) { l.startTime = m.At() })
+	node.mu.Lock()
+	node.leadership = l
+	node.mu.Unlock()
+	node.log.WithField("at", l.startTime.String()).Info("became leader of the fleet")
 }
 
 // advanceTime advances the fleet time while there are no commands, and requests digests
 // when they are due.
-func (k *Node) advanceTime(summed *time.Time) {
-	k.mu.Lock()
-	l := k.leadership
-	k.mu.Unlock()
+func (node *Node) advanceTime(summed *time.Time) {
+	node.mu.Lock()
+	l := node.leadership
+	node.mu.Unlock()
 	if l == nil {
 		return
 	}
 	c := state.Command{Kind: state.Tick}
-	if time.Since(*summed) >= k.settings.DigestInterval {
+	if time.Since(*summed) >= node.settings.DigestInterval {
 		*summed, c.Body = time.Now(), digestRequest
 	} else if l.now()-time.Duration(l.lastCommand.Load()) < tickInterval {
 		return
 	}
-	if _, err := k.propose(c); err != nil {
-		k.log.WithError(err).Debug("tick failed")
+	if _, err := node.propose(c); err != nil {
+		node.log.WithError(err).Debug("tick failed")
 	}
 }
 
 // propose appends a command to the log and waits for its reply. After an error the command
 // may have been carried out, or may be yet.
-func (k *Node) propose(c state.Command) (state.Reply, error) {
-	k.mu.Lock()
-	n, l := k.replica, k.leadership
-	if n == nil || l == nil || len(k.divergent) > 0 {
-		k.mu.Unlock()
+func (node *Node) propose(c state.Command) (state.Reply, error) {
+	node.mu.Lock()
+	n, l := node.replica, node.leadership
+	if n == nil || l == nil || len(node.divergent) > 0 {
+		node.mu.Unlock()
 		return state.Reply{}, raft.ErrNotLeader
 	}
 	n.calls.Add(1)
-	k.mu.Unlock()
+	node.mu.Unlock()
 	defer n.calls.Done()
 	c.Version, c.At = state.Version, l.now()
 	text, err := codec.Encode(c)
@@ -93,41 +93,41 @@
 }
 
 // submit has a command of the raft nodes themselves carried out by the leader.
-func (k *Node) submit(ctx context.Context, kind state.Kind, body any) error {
+func (node *Node) submit(ctx context.Context, kind state.Kind, body any) error {
 	text, err := codec.Encode(body)
 	if err != nil {
 		return err
 	}
 	c := state.Command{Version: state.Version, Kind: kind, Body: text}
-	if r, err := k.propose(c); err == nil || !errors.Is(err, raft.ErrNotLeader) {
+	if r, err := node.propose(c); err == nil || !errors.Is(err, raft.ErrNotLeader) {
 		return errors.Join(err, r.Err())
 	}
-	if len(k.settings.Peers) == 1 {
+	if len(node.settings.Peers) == 1 {
 		return raft.ErrNotLeader
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.settings.ElectionTimeout))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(node.settings.ElectionTimeout))
 	defer cancel()
-	_, err = k.peers.Do(ctx, c)
+	_, err = node.peers.Do(ctx, c)
 	return err
 }
 
 // TransferLeadership hands the leadership to another node, if this one has it, so that a
 // planned shutdown costs no election.
-func (k *Node) TransferLeadership() {
-	k.mu.Lock()
-	n, leads := k.replica, k.leadership != nil
-	k.mu.Unlock()
+func (node *Node) TransferLeadership() {
+	node.mu.Lock()
+	n, leads := node.replica, node.leadership != nil
+	node.mu.Unlock()
 	if n == nil || !leads {
 		return
 	}
 	if err := n.raft.LeadershipTransfer().Error(); err != nil {
-		k.log.WithError(err).Info("leadership transfer failed")
+		node.log.WithError(err).Info("leadership transfer failed")
 	}
 }
 
 // IsLeader reports whether this node is the leader.
-func (k *Node) IsLeader() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.leadership != nil
+func (node *Node) IsLeader() bool {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return node.leadership != nil
 }
--- a/internal/dispatcher/fleet/raftnode/membership.go
+++ b/internal/dispatcher/fleet/raftnode/membership.go
@@ -16,21 +16,21 @@
 
 // beginMembershipChange returns the replica for a membership change, or nil if this node is
 // not the leader or shuts down.
-func (k *Node) beginMembershipChange() *replica {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.replica == nil || k.leadership == nil {
+func (node *Node) beginMembershipChange() *replica {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	if node.replica == nil || node.leadership == nil {
 		return nil
 	}
-	k.replica.calls.Add(1)
-	return k.replica
+	node.replica.calls.Add(1)
+	return node.replica
 }
 
 // handleMembershipChange handles a rejoin or promotion call.
-func (k *Node) handleMembershipChange(w http.ResponseWriter, body []byte, how func(*replica, membershipRequest) error) {
-	n := k.beginMembershipChange()
+func (node *Node) handleMembershipChange(w http.ResponseWriter, body []byte, how func(*replica, membershipRequest) error) {
+	n := node.beginMembershipChange()
 	if n == nil {
-		k.redirect(w, "another keeper leads")
+		node.redirect(w, "another keeper leads")
 		return
 	}
 	defer n.calls.Done()
@@ -39,7 +39,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if _, ok := k.settings.Peers[b.Name]; !ok || b.Name == k.settings.Name {
+	if _, ok := node.settings.Peers[b.Name]; !ok || b.Name == node.settings.Name {
 		http.Error(w, "no other keeper is called that", http.StatusBadRequest)
 		return
 	}
@@ -47,24 +47,24 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	k.writeReply(w, true)
+	node.writeReply(w, true)
 }
 
 // readmit removes a node without state from the configuration, so that nothing relies on
 // what it has forgotten, and adds it again without a vote.
-func (k *Node) readmit(n *replica, b membershipRequest) error {
+func (node *Node) readmit(n *replica, b membershipRequest) error {
 	id := raft.ServerID(b.Name)
 	if err := n.raft.RemoveServer(id, 0, 0).Error(); err != nil {
 		return err
 	}
-	_ = k.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count begins anew
-	k.log.WithField("keeper", b.Name).Warn("raft node rejoins without state; no vote until it has caught up")
+	_ = node.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count begins anew
+	node.log.WithField("keeper", b.Name).Warn("raft node rejoins without state; no vote until it has caught up")
 	return n.raft.AddNonvoter(id, raft.ServerAddress(b.Name), 0, 0).Error()
 }
 
 // promote gives a node its vote once it has all that is committed by now. A node that is
 // not in the configuration is added first: it has forgotten nothing.
-func (k *Node) promote(n *replica, b membershipRequest) error {
+func (node *Node) promote(n *replica, b membershipRequest) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return err
@@ -73,7 +73,7 @@
 	at := slices.IndexFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 	switch {
 	case at < 0:
-		k.log.WithField("keeper", b.Name).Warn("removed raft node rejoins; no vote until it has caught up")
+		node.log.WithField("keeper", b.Name).Warn("removed raft node rejoins; no vote until it has caught up")
 		if err := n.raft.AddNonvoter(id, addr, 0, 0).Error(); err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 	case b.Index+maxPromotionLag < n.raft.CommitIndex():
 		return errors.New("it has not caught up yet")
 	}
-	k.log.WithField("keeper", b.Name).Info("raft node has caught up and gets its vote")
+	node.log.WithField("keeper", b.Name).Info("raft node has caught up and gets its vote")
 	return n.raft.AddVoter(id, addr, 0, 0).Error()
 }
 
@@ -96,27 +96,27 @@
 // when there has been no leader for long: a delayed copy of its own rejoin call, or a
 // leader that failed half-way, may have removed it from the configuration, and a removed
 // node hears nothing.
-func (k *Node) requestPromotion(ctx context.Context, n *replica) {
+func (node *Node) requestPromotion(ctx context.Context, n *replica) {
 	f := n.raft.GetConfiguration()
-	if f.Error() != nil || n.raft.State() == raft.Leader || len(k.settings.Peers) == 1 {
+	if f.Error() != nil || n.raft.State() == raft.Leader || len(node.settings.Peers) == 1 {
 		return
 	}
 	votes := false
 	for _, s := range f.Configuration().Servers {
-		votes = votes || string(s.ID) == k.settings.Name && s.Suffrage == raft.Voter
+		votes = votes || string(s.ID) == node.settings.Name && s.Suffrage == raft.Voter
 	}
-	if votes && time.Since(n.raft.LastContact()) < leaderlessElections*k.settings.ElectionTimeout {
+	if votes && time.Since(n.raft.LastContact()) < leaderlessElections*node.settings.ElectionTimeout {
 		return
 	}
-	self, err := codec.Encode(membershipRequest{k.settings.Name, n.raft.AppliedIndex()})
+	self, err := codec.Encode(membershipRequest{node.settings.Name, n.raft.AppliedIndex()})
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(k.settings.ElectionTimeout))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(node.settings.ElectionTimeout))
 	defer cancel()
 	var ok bool
-	if err := k.peers.PostToLeader(ctx, rpc.PathPromote, self, &ok); err == nil && ok && !votes {
-		k.log.Info("got its vote back")
+	if err := node.peers.PostToLeader(ctx, rpc.PathPromote, self, &ok); err == nil && ok && !votes {
+		node.log.Info("got its vote back")
 	}
 }
 
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -70,10 +70,10 @@
 // drainCalls waits until no command and no membership change is in progress, for a limited
 // time. At its shutdown the raft library answers only what it has not passed on yet; a
 // leader without a majority fails the rest within its lease.
-func (n *replica) drainCalls(most time.Duration) {
+func (r *replica) drainCalls(most time.Duration) {
 	finished := make(chan struct{})
 	go func() {
-		n.calls.Wait()
+		r.calls.Wait()
 		close(finished)
 	}()
 	select {
@@ -98,15 +98,15 @@
 
 // Run takes part in the raft group until the context ends. It returns an error if the data
 // directory can't be used.
-func (k *Node) Run(ctx context.Context) error {
-	defer k.peers.Close()
-	own, err := k.openDir()
+func (node *Node) Run(ctx context.Context) error {
+	defer node.peers.Close()
+	own, err := node.openDir()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = own.lock.Close() }()
 	for ctx.Err() == nil {
-		anew, err := k.runReplica(ctx, own)
+		anew, err := node.runReplica(ctx, own)
 		if err != nil {
 			return err
 		}
@@ -122,39 +122,39 @@
 
 // runReplica runs raft on the data directory. It reports whether the state must be
 // discarded and restored from the other nodes.
-func (k *Node) runReplica(ctx context.Context, own *dataDir) (anew bool, err error) {
-	m, err := k.settings.NewMachine() // from nothing: raft brings the snapshot and the log
+func (node *Node) runReplica(ctx context.Context, own *dataDir) (anew bool, err error) {
+	m, err := node.settings.NewMachine() // from nothing: raft brings the snapshot and the log
 	if err != nil {
 		return false, fmt.Errorf("the fleet's state: %w", err)
 	}
-	k.fsm.replace(m)
-	n, err := k.openReplica(own)
+	node.fsm.replace(m)
+	n, err := node.openReplica(own)
 	if err != nil {
 		return false, err
 	}
-	ready, stale, err := k.prepareReplica(ctx, n, own)
+	ready, stale, err := node.prepareReplica(ctx, n, own)
 	if ready && err == nil {
-		err = k.startRaft(n, own)
+		err = node.startRaft(n, own)
 	}
 	if !ready || err != nil {
 		_ = n.store.Close() // nothing was written that must last
 		return stale, err
 	}
-	k.mu.Lock()
-	k.replica, k.empty, k.divergent = n, false, nil
-	k.mu.Unlock()
-	anew = k.superviseReplica(ctx, n, own)
-	k.mu.Lock()
-	k.replica, k.leadership = nil, nil
-	k.mu.Unlock()
-	n.drainCalls(drainElections * k.settings.ElectionTimeout)
+	node.mu.Lock()
+	node.replica, node.empty, node.divergent = n, false, nil
+	node.mu.Unlock()
+	anew = node.superviseReplica(ctx, n, own)
+	node.mu.Lock()
+	node.replica, node.leadership = nil, nil
+	node.mu.Unlock()
+	n.drainCalls(drainElections * node.settings.ElectionTimeout)
 	if err := n.raft.Shutdown().Error(); err != nil {
-		k.log.WithError(err).Error("raft shutdown failed")
+		node.log.WithError(err).Error("raft shutdown failed")
 	}
 	n.transport.CloseStreams()
 	_ = n.transport.Close() // its listener outlives it
 	if err := n.store.Close(); err != nil {
-		k.log.WithError(err).Error("closing the raft log failed")
+		node.log.WithError(err).Error("closing the raft log failed")
 	}
 	return anew, nil
 }
@@ -162,24 +162,24 @@
 // prepareReplica makes the data directory one that raft may be started on: a stale copy is
 // to be discarded first; an empty one waits until the other nodes have added this one, or
 // is bootstrapped. It is not ready if the context has ended.
-func (k *Node) prepareReplica(ctx context.Context, n *replica, own *dataDir) (ready, stale bool, err error) {
+func (node *Node) prepareReplica(ctx context.Context, n *replica, own *dataDir) (ready, stale bool, err error) {
 	has, err := raft.HasExistingState(n.store, n.store, own.snapshots)
 	if err != nil {
 		return false, false, fmt.Errorf("reading the fleet's log: %w", err)
 	}
-	if has && k.isStaleCopy(ctx, own) {
-		k.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
+	if has && node.isStaleCopy(ctx, own) {
+		node.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
 		return false, true, nil
 	}
 	if has {
 		return true, false, nil
 	}
-	found, err := k.joinWithEmptyDir(ctx)
+	found, err := node.joinWithEmptyDir(ctx)
 	if err != nil || ctx.Err() != nil {
 		return false, false, err
 	}
 	if found {
-		if err := raft.BootstrapCluster(k.raftConfig(), n.store, n.store, own.snapshots, &raft.InmemTransport{}, k.initialConfiguration()); err != nil {
+		if err := raft.BootstrapCluster(node.raftConfig(), n.store, n.store, own.snapshots, &raft.InmemTransport{}, node.initialConfiguration()); err != nil {
 			return false, false, fmt.Errorf("founding the fleet: %w", err)
 		}
 	}
@@ -187,39 +187,39 @@
 }
 
 // startRaft counts the start and starts raft.
-func (k *Node) startRaft(n *replica, own *dataDir) (err error) {
+func (node *Node) startRaft(n *replica, own *dataDir) (err error) {
 	if err := own.countStart(); err != nil {
 		return err
 	}
-	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(k.settings.RaftListener, k.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: k.raftLogger()})
-	if n.raft, err = raft.NewRaft(k.raftConfig(), k.fsm, n.store, n.store, own.snapshots, n.transport); err != nil {
+	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(node.settings.RaftListener, node.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: node.raftLogger()})
+	if n.raft, err = raft.NewRaft(node.raftConfig(), node.fsm, n.store, n.store, own.snapshots, n.transport); err != nil {
 		_ = n.transport.Close() // its listener outlives it
 		return fmt.Errorf("starting the fleet's log: %w", err)
 	}
 	return nil
 }
 
-func (k *Node) raftConfig() *raft.Config {
+func (node *Node) raftConfig() *raft.Config {
 	c := raft.DefaultConfig()
-	c.LocalID = raft.ServerID(k.settings.Name)
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = k.settings.ElectionTimeout, k.settings.ElectionTimeout, k.settings.ElectionTimeout/2
+	c.LocalID = raft.ServerID(node.settings.Name)
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout = node.settings.ElectionTimeout, node.settings.ElectionTimeout, node.settings.ElectionTimeout/2
 	c.MaxAppendEntries, c.BatchApplyCh = 256, true
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 20*time.Second, 8192, 4096
 	c.NoLegacyTelemetry = true
 	c.ShutdownOnRemove = false // one put out by a late copy of its own call asks to come back
-	c.Logger = k.raftLogger()
+	c.Logger = node.raftLogger()
 	return c
 }
 
-func (k *Node) initialConfiguration() (c raft.Configuration) {
-	for _, name := range sortedKeys(k.settings.Peers) {
+func (node *Node) initialConfiguration() (c raft.Configuration) {
+	for _, name := range sortedKeys(node.settings.Peers) {
 		c.Servers = append(c.Servers, raft.Server{ID: raft.ServerID(name), Address: raft.ServerAddress(name)})
 	}
 	return c
 }
 
-func (k *Node) raftLogger() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: debugWriter{k.log}, DisableTime: true})
+func (node *Node) raftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: debugWriter{node.log}, DisableTime: true})
 }
 
 type debugWriter struct{ log *logrus.Entry }
@@ -230,12 +230,12 @@
 }
 
 // openReplica opens the log.
-func (k *Node) openReplica(own *dataDir) (*replica, error) {
+func (node *Node) openReplica(own *dataDir) (*replica, error) {
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(own.path, "log.db"), BoltOptions: boltOptions})
 	if err != nil {
 		return nil, fmt.Errorf("opening the fleet's log: %w", err)
 	}
-	own.snapshots, err = raft.NewFileSnapshotStoreWithLogger(own.path, 2, k.raftLogger())
+	own.snapshots, err = raft.NewFileSnapshotStoreWithLogger(own.path, 2, node.raftLogger())
 	if err != nil {
 		_ = store.Close()
 		return nil, fmt.Errorf("opening the fleet's snapshots: %w", err)
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -230,7 +230,7 @@
 	return ""
 }
 
-func TestKeepers(t *testing.T) {
+func TestRaftNodes(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("the leader ends, with its folder", func(t *testing.T) {
 		f := found(t)
@@ -348,7 +348,7 @@
 	return n
 }
 
-func TestMarkOfAFolder(t *testing.T) {
+func TestIdentityOfADataDir(t *testing.T) {
 	for name, at := range map[string]struct {
 		mark any
 		log  bool
--- a/internal/dispatcher/fleet/raftnode/status.go
+++ b/internal/dispatcher/fleet/raftnode/status.go
@@ -9,13 +9,13 @@
 	"github.com/valyala/fastjson"
 )
 
-func (k *Node) status() rpc.NodeStatus {
-	k.mu.Lock()
-	a := rpc.NodeStatus{Name: k.settings.Name, Empty: k.empty, IsLeader: k.leadership != nil, DivergentPartitions: k.divergent, BootCounts: map[string]uint64{}}
-	k.mu.Unlock()
-	k.fsm.read(func(m *state.Machine) {
+func (node *Node) status() rpc.NodeStatus {
+	node.mu.Lock()
+	a := rpc.NodeStatus{Name: node.settings.Name, Empty: node.empty, IsLeader: node.leadership != nil, DivergentPartitions: node.divergent, BootCounts: map[string]uint64{}}
+	node.mu.Unlock()
+	node.fsm.read(func(m *state.Machine) {
 		a.Index, a.At = m.Index(), m.At()
-		for name := range k.settings.Peers {
+		for name := range node.settings.Peers {
 			a.BootCounts[name] = m.BootCount(name)
 		}
 	})
@@ -24,8 +24,8 @@
 }
 
 // Status describes this node as JSON, for the operators' admin API.
-func (k *Node) Status(arena *fastjson.Arena) *fastjson.Value {
-	a := k.status()
+func (node *Node) Status(arena *fastjson.Arena) *fastjson.Value {
+	a := node.status()
 	o := arena.NewObject()
 	flag := func(name string, on bool) {
 		v := arena.NewFalse()
@@ -42,7 +42,7 @@
 	}
 	o.Set("differs", differs)
 	digests := arena.NewObject()
-	k.fsm.read(func(m *state.Machine) { // at one command: digests are compared by its index
+	node.fsm.read(func(m *state.Machine) { // at one command: digests are compared by its index
 		o.Set("index", arena.NewNumberString(fmt.Sprint(m.Index())))
 		o.Set("at_ms", arena.NewNumberString(fmt.Sprint(m.At().Milliseconds())))
 		for i, who := range m.Members() {
--- a/internal/dispatcher/fleet/records/records_test.go
+++ b/internal/dispatcher/fleet/records/records_test.go
@@ -195,7 +195,7 @@
 // nothing that is dead is ever served.
 func TestReplicas(t *testing.T) { rapid.Check(t, replicas) }
 
-func replicas(t *rapid.T) {
+func replicas(t *rapid.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	var log []any
 	model := &plain{through: map[string]uint64{}, live: map[Position]Record{}, dead: map[Position]bool{}, marks: map[string]Position{}, holds: map[string]Hold{}}
 	all := []*replica{{State: New()}, {State: New()}, {State: New()}}
@@ -394,7 +394,7 @@
 
 // TestOneOrder: a rule that is changed, a hold set and a prune under way, in every
 // order: the held record survives all three, and replicas agree on the rest.
-func TestOneOrder(t *testing.T) {
+func TestOneOrder(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	fresh := func() *replica {
 		r := &replica{State: New()}
 		var all []Record
--- a/internal/dispatcher/fleet/recordstore/store_test.go
+++ b/internal/dispatcher/fleet/recordstore/store_test.go
@@ -60,7 +60,7 @@
 	return all
 }
 
-func TestSnapshots(t *testing.T) {
+func TestSnapshots(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	s, st := open1(t), records.New()
 	fill(t, s, st, 300)
 	want := image(t, s, st)
--- a/internal/dispatcher/fleet/recordstore/study_test.go
+++ b/internal/dispatcher/fleet/recordstore/study_test.go
@@ -17,7 +17,7 @@
 
 // TestStudy measures the store with so many records of 100 tenants as
 // RECORDS_STUDY says; without that it is left out.
-func TestStudy(t *testing.T) {
+func TestStudy(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	n := 0
 	if _, err := fmt.Sscan(os.Getenv("RECORDS_STUDY"), &n); err != nil {
 		t.Skip("RECORDS_STUDY is not set")
--- a/internal/dispatcher/fleet/spool/spool.go
+++ b/internal/dispatcher/fleet/spool/spool.go
@@ -122,50 +122,50 @@
 
 // Add adds a record. It never blocks: a record for which there is no room is dropped and
 // counted. The record's slices must not be changed afterwards.
-func (p *Spool) Add(r records.Record) bool {
-	p.added.Add(1)
-	p.adding.RLock()
-	defer p.adding.RUnlock()
-	if !p.closed {
+func (s *Spool) Add(r records.Record) bool {
+	s.added.Add(1)
+	s.adding.RLock()
+	defer s.adding.RUnlock()
+	if !s.closed {
 		select {
-		case p.queue <- r:
+		case s.queue <- r:
 			return true
 		default:
 		}
 	}
-	p.dropped.Add(1)
+	s.dropped.Add(1)
 	return false
 }
 
 // Close writes what is queued, ships until everything is shipped or ctx ends, and closes
 // the directory. What was not shipped is shipped after the next start.
-func (p *Spool) Close(ctx context.Context) (err error) {
-	p.closeOnce.Do(func() {
-		p.adding.Lock()
-		p.closed = true
-		p.adding.Unlock()
-		close(p.closing)
-		defer context.AfterFunc(ctx, p.cancel)()
-		p.workers.Wait()
-		p.cancel()
-		err = p.folder.Close()
+func (s *Spool) Close(ctx context.Context) (err error) {
+	s.closeOnce.Do(func() {
+		s.adding.Lock()
+		s.closed = true
+		s.adding.Unlock()
+		close(s.closing)
+		defer context.AfterFunc(ctx, s.cancel)()
+		s.workers.Wait()
+		s.cancel()
+		err = s.folder.Close()
 	})
 	return err
 }
 
 // Stats returns the spool's statistics.
-func (p *Spool) Stats() Stats {
+func (s *Spool) Stats() Stats {
 	r := Stats{
-		Added: p.added.Load(), Dropped: p.dropped.Load(), Written: p.writtenCount.Load(), Shipped: p.shipped.Load(),
-		Lost: p.lost.Load(), Failures: p.failures.Load(), OldestEnded: p.shippingSince.Load(),
+		Added: s.added.Load(), Dropped: s.dropped.Load(), Written: s.writtenCount.Load(), Shipped: s.shipped.Load(),
+		Lost: s.lost.Load(), Failures: s.failures.Load(), OldestEnded: s.shippingSince.Load(),
 	}
-	if since := p.pendingSince.Load(); since != 0 && (r.OldestEnded == 0 || since < r.OldestEnded) {
+	if since := s.pendingSince.Load(); since != 0 && (r.OldestEnded == 0 || since < r.OldestEnded) {
 		r.OldestEnded = since
 	}
-	r.LastError, _ = p.lastError.Load().(string)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, s := range p.segments {
+	r.LastError, _ = s.lastError.Load().(string)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, s := range s.segments {
 		r.Bytes += s.size
 		r.Unsent += int64(s.next - max(s.first, min(s.shippedThrough+1, s.next)))
 	}
@@ -173,11 +173,11 @@
 }
 
 // recordFailure counts a failed file operation, and logs the first one.
-func (p *Spool) recordFailure(err error) {
-	if p.failures.Add(1) == 1 {
-		p.log.WithError(err).Error("spool can't be written; jobs are served, records wait in memory and are dropped beyond the queue's length")
+func (s *Spool) recordFailure(err error) {
+	if s.failures.Add(1) == 1 {
+		s.log.WithError(err).Error("spool can't be written; jobs are served, records wait in memory and are dropped beyond the queue's length")
 	}
-	p.lastError.Store(err.Error())
+	s.lastError.Store(err.Error())
 }
 
 func signal(c chan struct{}) {
--- a/internal/dispatcher/fleet/spool/spool_test.go
+++ b/internal/dispatcher/fleet/spool/spool_test.go
@@ -281,9 +281,9 @@
 	})
 }
 
-// TestBoundAndLostKeepers: a fleet out of reach fills the spool to its bound; a fleet
+// TestBoundAndLostFleet: a fleet out of reach fills the spool to its bound; a fleet
 // that has forgotten what it had is told what is lost.
-func TestBoundAndLostKeepers(t *testing.T) {
+func TestBoundAndLostFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, f, s := newDisk(), &fleet{state: records.New()}, tight
 		s.MaxBytes = 600
@@ -358,7 +358,7 @@
 }
 
 // TestRefused: a folder that another process has, or had, and other versions.
-func TestRefused(t *testing.T) {
+func TestRefused(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	path := t.TempDir()
 	dir, err := segment.OpenDirectory(path)
 	require.NoError(t, err)
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -221,7 +221,7 @@
 	require.Empty(t, l.m.DivergentPartitions("k2", 3), "what is out of date counts nothing")
 }
 
-func FuzzThaw(f *testing.F) {
+func FuzzRestore(f *testing.F) {
 	l := newLog(f)
 	l.join(0, "n1", "a")
 	now, err := l.m.Snapshot()
