--- a/internal/dispatcher/faultproxy/conn.go
+++ b/internal/dispatcher/faultproxy/conn.go
@@ -30,18 +30,18 @@
 	end  error // io.EOF, or what broke the connection
 }
 
-func (l *Proxy) serveConn(a *net.TCPConn) {
-	c := &conn{proxy: l, client: a, done: make(chan struct{})}
-	l.mu.Lock()
-	number := l.counts.Made
-	l.counts.Made++
-	l.conns[c] = struct{}{}
-	ended := l.ctx.Err() != nil
-	l.mu.Unlock()
+func (p *Proxy) serveConn(a *net.TCPConn) {
+	c := &conn{proxy: p, client: a, done: make(chan struct{})}
+	p.mu.Lock()
+	number := p.counts.Made
+	p.counts.Made++
+	p.conns[c] = struct{}{}
+	ended := p.ctx.Err() != nil
+	p.mu.Unlock()
 	if ended {
 		c.reset()
 	}
-	l.workers.Go(func() { c.run(uint64(number)) })
+	p.workers.Go(func() { c.run(uint64(number)) })
 }
 
 // run forwards both directions until both have ended.
@@ -60,7 +60,7 @@
 	over := c.closed
 	c.mu.Unlock()
 	if over {
-		b.Close()
+		_ = b.Close()
 		return
 	}
 	var ways sync.WaitGroup
@@ -133,7 +133,7 @@
 		case p.end == nil:
 			return true
 		case errors.Is(p.end, io.EOF):
-			to.CloseWrite()
+			_ = to.CloseWrite()
 			return false
 		default:
 			c.reset()
@@ -224,9 +224,9 @@
 			continue
 		}
 		if abort {
-			end.SetLinger(0)
+			_ = end.SetLinger(0)
 		}
-		end.Close()
+		_ = end.Close()
 	}
 }
 
--- a/internal/dispatcher/fleet/raftnode/fsm.go
+++ b/internal/dispatcher/fleet/raftnode/fsm.go
@@ -1,7 +1,6 @@
 package raftnode
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"sync"
@@ -16,7 +15,6 @@
 type fsm struct {
 	mu            sync.RWMutex
 	state         *state.Machine
-	applied       chan struct{} // closed and replaced at each command
 	onDigests     func(index uint64, sums map[string]uint64, err error)
 	onPeerDigests func() // some replica's digests have arrived
 }
@@ -38,8 +36,6 @@
 			f.onPeerDigests()
 		}
 	}
-	close(f.applied)
-	f.applied = make(chan struct{})
 	return r
 }
 
@@ -53,7 +49,7 @@
 
 // Restore implements raft.FSM.
 func (f *fsm) Restore(r io.ReadCloser) error {
-	defer r.Close()
+	defer func() { _ = r.Close() }()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.Restore(r)
@@ -72,29 +68,12 @@
 	see(f.state)
 }
 
-// waitIndex waits until the command at an index has been applied.
-func (f *fsm) waitIndex(ctx context.Context, index uint64) error {
-	for {
-		f.mu.RLock()
-		at, more := f.state.Index(), f.applied
-		f.mu.RUnlock()
-		if at >= index {
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-more:
-		}
-	}
-}
-
 type fsmSnapshot struct{ state.Snapshot }
 
 // Persist implements raft.FSMSnapshot.
 func (s fsmSnapshot) Persist(to raft.SnapshotSink) error {
 	if err := s.Write(to); err != nil {
-		to.Cancel()
+		_ = to.Cancel()
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
 	return to.Close()
