--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line: it reads flags and files, and starts what
-// was asked for. Nothing is done here that another package could do.
+// Package cli is the command line of the dispatcher program: it reads flags and files, and calls the
+// package that does what was asked for.
 package cli
 
 import (
@@ -22,23 +22,24 @@
 	exitUsage
 )
 
-// usageError is a call whose words are off.
+// usageError is the error of a call with wrong arguments.
 type usageError struct{ error }
 
+// Unwrap returns what is wrong.
 func (m usageError) Unwrap() error { return m.error }
 
-// errReported is a failure that has been told already.
-var errReported = errors.New("told already")
+// errReported is the error of a command that has printed its failure already.
+var errReported = errors.New("reported already")
 
-// globalFlags are the flags that each sub-command has.
+// globalFlags are the flags of every sub-command, with its outputs.
 type globalFlags struct {
 	logFormat, logLevel string
 	stdout, stderr      io.Writer
 }
 
-// Main runs one call and returns its exit status.
-func Main(ctx context.Context, args []string, out, errs io.Writer) int {
-	root := rootCommand(out, errs)
+// Main runs the command that the arguments ask for, and returns the exit status.
+func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
+	root := rootCommand(stdout, stderr)
 	root.SetArgs(normalizeLegacyFlags(args))
 	err := root.ExecuteContext(ctx)
 	var usage usageError
@@ -48,31 +49,33 @@
 	case errors.Is(err, errReported):
 		return exitFailed
 	case errors.As(err, &usage) || strings.HasPrefix(err.Error(), "unknown command"):
-		fmt.Fprintln(errs, "basaltloft:", oneLine(err.Error())+"; see basaltloft --help")
+		printf(stderr, "basaltloft: %s; see basaltloft --help\n", firstLine(err.Error()))
 		return exitUsage
 	}
-	fmt.Fprintln(errs, "basaltloft:", err)
+	printf(stderr, "basaltloft: %v\n", err)
 	return exitFailed
 }
 
-func oneLine(text string) string {
+// firstLine returns the first line of a text.
+func firstLine(text string) string {
 	text, _, _ = strings.Cut(text, "\n")
 	return text
 }
 
-// normalizeLegacyFlags takes -operator, with one dash, which was the only flag once.
+// normalizeLegacyFlags accepts -operator, with one dash: once it was the only flag.
 func normalizeLegacyFlags(args []string) []string {
-	out := append([]string(nil), args...)
-	for i, a := range out {
+	normalized := append([]string(nil), args...)
+	for i, a := range normalized {
 		if a == "-operator" || strings.HasPrefix(a, "-operator=") {
-			out[i] = "-" + a
+			normalized[i] = "-" + a
 		}
 	}
-	return out
+	return normalized
 }
 
-func rootCommand(out, errs io.Writer) *cobra.Command {
-	sh := &globalFlags{stdout: out, stderr: errs}
+// rootCommand has all sub-commands. Without one it serves.
+func rootCommand(stdout, stderr io.Writer) *cobra.Command {
+	global := &globalFlags{stdout: stdout, stderr: stderr}
 	root := &cobra.Command{
 		Use:   "basaltloft",
 		Short: "A dispatcher: it takes jobs, decides which worker gets which and when, and gives each one final answer.",
@@ -80,21 +83,22 @@
 			"Without a sub-command it serves. Its configuration is the file that ROUTER_CONFIG names.",
 		SilenceErrors: true, SilenceUsage: true,
 		Args:              noArgs,
-		PersistentPreRunE: func(*cobra.Command, []string) error { return sh.validate() },
+		PersistentPreRunE: func(*cobra.Command, []string) error { return global.validate() },
 	}
-	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.PersistentFlags().StringVar(&sh.logFormat, "log-format", "text", "text or json")
-	root.PersistentFlags().StringVar(&sh.logLevel, "log-level", "", "error, warn, info or debug (default info, or debug where ROUTER_DEBUG is set)")
+	root.PersistentFlags().StringVar(&global.logFormat, "log-format", "text", "text or json")
+	root.PersistentFlags().StringVar(&global.logLevel, "log-level", "", "error, warn, info or debug (default info, or debug where ROUTER_DEBUG is set)")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	serve := serveCommand(sh)
+	serve := serveCommand(global)
 	root.Flags().AddFlagSet(serve.Flags())
 	root.RunE = serve.RunE
-	root.AddCommand(serve, demoCommand(sh), checkCommand(sh), metricsCommand(sh), faktoryCommand(sh), topCommand(sh), labCommand(sh), loadCommand(sh), fakesCommand(sh), versionCommand(sh))
+	root.AddCommand(serve, demoCommand(global), checkCommand(global), metricsCommand(global), faktoryCommand(global), topCommand(global), labCommand(global), loadCommand(global), fakesCommand(global), versionCommand(global))
 	return root
 }
 
+// noArgs is for commands without arguments.
 func noArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("unknown command %q", args[0])}
@@ -102,6 +106,7 @@
 	return nil
 }
 
+// exactlyOneArg is for commands with one argument.
 func exactlyOneArg(argument string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != 1 {
@@ -111,31 +116,32 @@
 	}
 }
 
-func (sh *globalFlags) validate() error {
-	if sh.logFormat != "text" && sh.logFormat != "json" {
-		return usageError{fmt.Errorf("--log-format is text or json, not %q", sh.logFormat)}
+// validate checks the flags, and sets the default of the log level.
+func (global *globalFlags) validate() error {
+	if global.logFormat != "text" && global.logFormat != "json" {
+		return usageError{fmt.Errorf("--log-format is text or json, not %q", global.logFormat)}
 	}
-	if sh.logLevel == "" {
-		sh.logLevel = "info"
+	if global.logLevel == "" {
+		global.logLevel = "info"
 		if os.Getenv("ROUTER_DEBUG") != "" {
-			sh.logLevel = "debug"
+			global.logLevel = "debug"
 		}
 	}
-	if _, err := logrus.ParseLevel(sh.logLevel); err != nil {
-		return usageError{fmt.Errorf("--log-level: no level is called %q", sh.logLevel)}
+	if _, err := logrus.ParseLevel(global.logLevel); err != nil {
+		return usageError{fmt.Errorf("--log-level: no level is called %q", global.logLevel)}
 	}
 	return nil
 }
 
-// newLogger is made after check.
-func (sh *globalFlags) newLogger() *logrus.Logger {
+// newLogger returns a logger by the flags, which are valid.
+func (global *globalFlags) newLogger() *logrus.Logger {
 	log := logrus.New()
-	log.SetOutput(sh.stderr)
+	log.SetOutput(global.stderr)
 	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
-	if sh.logFormat == "json" {
+	if global.logFormat == "json" {
 		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	}
-	level, _ := logrus.ParseLevel(sh.logLevel)
+	level, _ := logrus.ParseLevel(global.logLevel) // it is valid
 	log.SetLevel(level)
 	return log
 }
--- a/internal/dispatcher/cli/faktory.go
+++ b/internal/dispatcher/cli/faktory.go
@@ -16,120 +16,142 @@
 	"github.com/spf13/cobra"
 )
 
-// replyTimeout is how long an operator waits for a server.
+// replyTimeout is how long a sub-command waits for each reply of a server.
 const replyTimeout = 5 * time.Second
 
-// faktoryFlags is how a running server is reached.
+// faktoryFlags are the flags of all sub-commands of faktory.
 type faktoryFlags struct{ address, passwordFile, format string }
 
-func faktoryCommand(sh *globalFlags) *cobra.Command {
-	call := &faktoryFlags{}
+// faktoryAction is what a sub-command does on a connection.
+type faktoryAction func(conn *client.Conn, args []string) error
+
+// faktoryCommand has the sub-commands with which operators look after a running Faktory front.
+func faktoryCommand(global *globalFlags) *cobra.Command {
+	f := &faktoryFlags{}
 	c := &cobra.Command{Use: "faktory", Short: "look after a running Faktory front", Args: noArgs, RunE: showHelp}
-	c.PersistentFlags().StringVar(&call.address, "at", "127.0.0.1:7419", "`address` that faktory.listen names")
-	c.PersistentFlags().StringVar(&call.passwordFile, "password-file", "", "`file` with the password")
-	c.PersistentFlags().StringVar(&call.format, "format", "table", "table or json")
-	with := func(do func(*client.Conn, []string) error) func(*cobra.Command, []string) error {
-		return func(_ *cobra.Command, args []string) error {
-			if call.format != "table" && call.format != "json" {
-				return usageError{fmt.Errorf("--format is table or json, not %q", call.format)}
-			}
-			password := ""
-			if call.passwordFile != "" {
-				text, err := os.ReadFile(call.passwordFile)
-				if err != nil {
-					return err
-				}
-				password = strings.TrimSpace(string(text))
-			}
-			conn, err := client.Dial(call.address, password, time.Now().Add(replyTimeout))
-			if err != nil {
-				return err
-			}
-			defer conn.Close()
-			return do(conn, args)
-		}
-	}
-	names := func(_ *cobra.Command, args []string) error {
-		if len(args) == 0 {
-			return usageError{errors.New("name queues, or * for all")}
-		}
-		return nil
-	}
-	queueVerb := func(verb, short string) *cobra.Command {
-		return &cobra.Command{
-			Use: strings.ToLower(verb) + " QUEUE ...", Short: short, Args: names,
-			RunE: with(func(conn *client.Conn, queues []string) error {
-				if _, err := conn.Do("QUEUE "+verb+" "+strings.Join(queues, " "), time.Now().Add(replyTimeout)); err != nil {
-					return err
-				}
-				return call.queues(sh.stdout, conn, queues)
-			}),
-		}
-	}
+	c.PersistentFlags().StringVar(&f.address, "at", "127.0.0.1:7419", "`address` that faktory.listen names")
+	c.PersistentFlags().StringVar(&f.passwordFile, "password-file", "", "`file` with the password")
+	c.PersistentFlags().StringVar(&f.format, "format", "table", "table or json")
 	c.AddCommand(
 		&cobra.Command{Use: "info", Short: "show counts of the whole front", Args: noArgs,
-			RunE: with(func(conn *client.Conn, _ []string) error { return call.info(sh.stdout, conn) })},
+			RunE: f.run(func(conn *client.Conn, _ []string) error { return f.info(global.stdout, conn) })},
 		&cobra.Command{Use: "queues", Short: "show queues and how long their first job has waited", Args: noArgs,
-			RunE: with(func(conn *client.Conn, _ []string) error { return call.queues(sh.stdout, conn, nil) })},
+			RunE: f.run(func(conn *client.Conn, _ []string) error { return f.queues(global.stdout, conn, nil) })},
 		&cobra.Command{Use: "workers", Short: "show workers", Args: noArgs,
-			RunE: with(func(conn *client.Conn, _ []string) error { return call.workers(sh.stdout, conn) })},
-		queueVerb("PAUSE", "let queues hand out nothing"), queueVerb("RESUME", "let queues hand out again"),
-		queueVerb("REMOVE", "drop queues with all that waits in them"),
+			RunE: f.run(func(conn *client.Conn, _ []string) error { return f.workers(global.stdout, conn) })},
+		queueCommand(global, f, "PAUSE", "let queues hand out nothing"),
+		queueCommand(global, f, "RESUME", "let queues hand out again"),
+		queueCommand(global, f, "REMOVE", "drop queues with all that waits in them"),
 	)
 	for _, set := range []string{"scheduled", "retries", "dead"} {
-		c.AddCommand(setCommand(sh, call, set, with))
+		c.AddCommand(setCommand(global, f, set))
 	}
 	return c
 }
 
-// setCommand shows a set, or changes what is in it.
-func setCommand(sh *globalFlags, call *faktoryFlags, set string, with func(func(*client.Conn, []string) error) func(*cobra.Command, []string) error) *cobra.Command {
-	var ids []string
-	var kind, pattern, vouch string
+// run connects to the server that the flags name, and does something there.
+func (f *faktoryFlags) run(do faktoryAction) func(*cobra.Command, []string) error {
+	return func(_ *cobra.Command, args []string) error {
+		if f.format != "table" && f.format != "json" {
+			return usageError{fmt.Errorf("--format is table or json, not %q", f.format)}
+		}
+		password := ""
+		if f.passwordFile != "" {
+			text, err := os.ReadFile(f.passwordFile)
+			if err != nil {
+				return err
+			}
+			password = strings.TrimSpace(string(text))
+		}
+		conn, err := client.Dial(f.address, password, time.Now().Add(replyTimeout))
+		if err != nil {
+			return err
+		}
+		defer func() { _ = conn.Close() }() // the replies have been read
+		return do(conn, args)
+	}
+}
+
+// queueCommand changes queues, and shows them afterwards.
+func queueCommand(global *globalFlags, f *faktoryFlags, verb, short string) *cobra.Command {
+	return &cobra.Command{
+		Use: strings.ToLower(verb) + " QUEUE ...", Short: short,
+		Args: func(_ *cobra.Command, args []string) error {
+			if len(args) == 0 {
+				return usageError{errors.New("name queues, or * for all")}
+			}
+			return nil
+		},
+		RunE: f.run(func(conn *client.Conn, queues []string) error {
+			if _, err := conn.Do("QUEUE "+verb+" "+strings.Join(queues, " "), time.Now().Add(replyTimeout)); err != nil {
+				return err
+			}
+			return f.queues(global.stdout, conn, queues)
+		}),
+	}
+}
+
+// mutation is a MUTATE command as its flags give it.
+type mutation struct {
+	ids              []string
+	jobType, pattern string
+	vouchedBy        string // who vouches that the jobs have not run; empty: nobody
+}
+
+// command is the text of the command. A mutation of some jobs needs a filter.
+func (m *mutation) command(verb, set string) (string, error) {
 	filter := map[string]any{}
+	if len(m.ids) > 0 {
+		filter["jids"] = m.ids
+	}
+	if m.jobType != "" {
+		filter["jobtype"] = m.jobType
+	}
+	if m.pattern != "" {
+		filter["regexp"] = m.pattern
+	}
+	if len(filter) == 0 && verb != "clear" {
+		return "", usageError{errors.New("say which jobs: --jid, --jobtype or --pattern")}
+	}
+	body := map[string]any{"cmd": verb, "target": set, "filter": filter}
+	if m.vouchedBy != "" {
+		body["known_not_run"] = m.vouchedBy
+	}
+	text, err := json.Marshal(body)
+	return "MUTATE " + string(text), err
+}
+
+// setCommand shows a set; its sub-commands change the set, and show it afterwards.
+func setCommand(global *globalFlags, f *faktoryFlags, set string) *cobra.Command {
+	var m mutation
 	c := &cobra.Command{Use: set, Short: "show the " + set + " jobs, or change them", Args: noArgs}
-	c.RunE = with(func(conn *client.Conn, _ []string) error { return call.jobs(sh.stdout, conn, set) })
+	c.RunE = f.run(func(conn *client.Conn, _ []string) error { return f.jobs(global.stdout, conn, set) })
 	for _, verb := range []string{"requeue", "kill", "discard", "clear"} {
 		v := &cobra.Command{
 			Use: verb, Short: verb + " jobs of this set", Args: noArgs,
-			RunE: with(func(conn *client.Conn, _ []string) error {
-				if len(ids) > 0 {
-					filter["jids"] = ids
-				}
-				if kind != "" {
-					filter["jobtype"] = kind
-				}
-				if pattern != "" {
-					filter["regexp"] = pattern
-				}
-				if len(filter) == 0 && verb != "clear" {
-					return usageError{errors.New("say which jobs: --jid, --jobtype or --pattern")}
-				}
-				m := map[string]any{"cmd": verb, "target": set, "filter": filter}
-				if vouch != "" {
-					m["known_not_run"] = vouch
-				}
-				text, err := json.Marshal(m)
+			RunE: f.run(func(conn *client.Conn, _ []string) error {
+				command, err := m.command(verb, set)
 				if err != nil {
 					return err
 				}
-				if _, err := conn.Do("MUTATE "+string(text), time.Now().Add(replyTimeout)); err != nil {
+				if _, err := conn.Do(command, time.Now().Add(replyTimeout)); err != nil {
 					return err
 				}
-				return call.jobs(sh.stdout, conn, set)
+				return f.jobs(global.stdout, conn, set)
 			}),
 		}
-		v.Flags().StringSliceVar(&ids, "jid", nil, "`jids` of the jobs")
-		v.Flags().StringVar(&kind, "jobtype", "", "their `jobtype`")
-		v.Flags().StringVar(&pattern, "pattern", "", "a `pattern` that their JSON matches, with * and ?")
+		v.Flags().StringSliceVar(&m.ids, "jid", nil, "`jids` of the jobs")
+		v.Flags().StringVar(&m.jobType, "jobtype", "", "their `jobtype`")
+		v.Flags().StringVar(&m.pattern, "pattern", "", "a `pattern` that their JSON matches, with * and ?")
 		if verb == "requeue" {
-			v.Flags().StringVar(&vouch, "known-not-run", "", "`who` vouches that they have not run, and why; it is logged")
+			v.Flags().StringVar(&m.vouchedBy, "known-not-run", "", "`who` vouches that they have not run, and why; it is logged")
 		}
 		c.AddCommand(v)
 	}
 	return c
 }
 
+// info shows the counts of INFO.
 func (f *faktoryFlags) info(out io.Writer, conn *client.Conn) error {
 	var raw json.RawMessage
 	if err := conn.Query("INFO", &raw, time.Now().Add(replyTimeout)); err != nil {
@@ -142,7 +164,7 @@
 	if err := json.Unmarshal(raw, &i); err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	t := newTable(out, 0)
 	for _, row := range []struct {
 		name  string
 		value int
@@ -153,11 +175,12 @@
 		{"bytes that wait", i.Faktory.WaitingBytes}, {"connections", i.Server.Connections}, {"workers", i.Server.Workers},
 		{"commands", i.Server.Commands}, {"memory, MB", i.Server.MemoryMB}, {"uptime, s", i.Server.Uptime},
 	} {
-		fmt.Fprintf(w, "%s\t%d\n", row.name, row.value)
+		t.line("%s\t%d", row.name, row.value)
 	}
-	return w.Flush()
+	return t.flush()
 }
 
+// queues shows all queues, or only those of some names.
 func (f *faktoryFlags) queues(out io.Writer, conn *client.Conn, only []string) error {
 	var i client.Info
 	if err := conn.Query("INFO", &i, time.Now().Add(replyTimeout)); err != nil {
@@ -167,7 +190,7 @@
 	if err := conn.Query("QUEUE LATENCY *", &latency, time.Now().Add(replyTimeout)); err != nil {
 		return err
 	}
-	type queue struct {
+	type queue struct { // these names are the keys of the JSON
 		Name    string
 		Waiting int
 		Paused  bool
@@ -183,15 +206,15 @@
 	if f.format == "json" {
 		return writeJSON(out, all)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "queue\twaiting\tfirst waits, s\tpaused\t")
+	t := newTable(out, tabwriter.AlignRight)
+	t.line("queue\twaiting\tfirst waits, s\tpaused\t")
 	for _, q := range all {
-		fmt.Fprintf(w, "%s\t%d\t%.1f\t%v\t\n", q.Name, q.Waiting, q.Latency, q.Paused)
+		t.line("%s\t%d\t%.1f\t%v\t", q.Name, q.Waiting, q.Latency, q.Paused)
 	}
-	return w.Flush()
+	return t.flush()
 }
 
-// allPages asks for all entries of a SHOW.
+// allPages reads all entries of a SHOW, a page at a time.
 func allPages[T any](conn *client.Conn, what string) ([]T, error) {
 	all := []T{}
 	for {
@@ -206,6 +229,7 @@
 	}
 }
 
+// jobs shows the jobs of a set.
 func (f *faktoryFlags) jobs(out io.Writer, conn *client.Conn, set string) error {
 	all, err := allPages[client.JobEntry](conn, set)
 	if err != nil {
@@ -214,18 +238,20 @@
 	if f.format == "json" {
 		return writeJSON(out, all)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "jid\tjobtype\tqueue\twhen\tmay have run\tfailure")
+	t := newTable(out, 0)
+	t.line("jid\tjobtype\tqueue\twhen\tmay have run\tfailure")
 	for _, j := range all {
 		var failure struct{ Errtype, Message string }
 		if len(j.Failure) > 0 {
-			json.Unmarshal(j.Failure, &failure) // for people: what can't be read is left out
+			_ = json.Unmarshal(j.Failure, &failure) // for people: what can't be read is left out
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\n", j.ID, j.Type, j.Queue, j.At.Format(time.RFC3339), j.MayHaveRun, strings.TrimPrefix(failure.Errtype+": "+failure.Message, ": "))
+		t.line("%s\t%s\t%s\t%s\t%v\t%s", j.ID, j.Type, j.Queue, j.At.Format(time.RFC3339), j.MayHaveRun,
+			strings.TrimPrefix(failure.Errtype+": "+failure.Message, ": "))
 	}
-	return w.Flush()
+	return t.flush()
 }
 
+// workers shows the workers.
 func (f *faktoryFlags) workers(out io.Writer, conn *client.Conn) error {
 	all, err := allPages[client.Worker](conn, "workers")
 	if err != nil {
@@ -234,11 +260,11 @@
 	if f.format == "json" {
 		return writeJSON(out, all)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "wid\thost\tpid\tconnections\tholding\tquiet\tlast beat\trss, MB\tqueues")
-	for _, x := range all {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%d\t%s\n", x.ID, x.Host, x.PID, x.Connections, x.HeldJobs, x.Quiet,
-			x.LastHeartbeat.Format(time.TimeOnly), x.RSSKB>>10, strings.Join(x.Queues, " "))
+	t := newTable(out, 0)
+	t.line("wid\thost\tpid\tconnections\tholding\tquiet\tlast beat\trss, MB\tqueues")
+	for _, w := range all {
+		t.line("%s\t%s\t%d\t%d\t%d\t%v\t%s\t%d\t%s", w.ID, w.Host, w.PID, w.Connections, w.HeldJobs, w.Quiet,
+			w.LastHeartbeat.Format(time.TimeOnly), w.RSSKB>>10, strings.Join(w.Queues, " "))
 	}
-	return w.Flush()
+	return t.flush()
 }
--- a/internal/dispatcher/cli/figures.go
+++ b/internal/dispatcher/cli/metrics.go
@@ -20,60 +20,77 @@
 	"github.com/spf13/cobra"
 )
 
-func metricsCommand(sh *globalFlags) *cobra.Command {
+// metricsCommand has the sub-commands that read the metrics, now and of the past.
+func metricsCommand(global *globalFlags) *cobra.Command {
 	c := &cobra.Command{Use: "figures", Short: "read the account, now and of the past", Args: noArgs, RunE: showHelp}
-	c.AddCommand(showCommand(sh), reportCommand(sh), verifyCommand(sh), plotCommand(sh), soakCommand(sh))
+	c.AddCommand(showCommand(global), reportCommand(global), verifyCommand(global), plotCommand(global), soakCommand(global))
 	return c
 }
 
-func showCommand(sh *globalFlags) *cobra.Command {
-	var at, by, window, format string
-	var audit bool
+// showFlags are the flags of figures show.
+type showFlags struct {
+	address, by, window, format string
+	audit                       bool
+}
+
+// dimensions checks the flags, and returns what to show by.
+func (f *showFlags) dimensions() ([]string, error) {
+	if f.format != "table" && f.format != "json" {
+		return nil, usageError{fmt.Errorf("--format is table or json, not %q", f.format)}
+	}
+	var dimensions []string
+	if f.by != "" {
+		dimensions = strings.Split(f.by, ",")
+	}
+	for _, d := range dimensions {
+		if !slices.Contains(metrics.Dimensions, d) {
+			return nil, usageError{fmt.Errorf("--by takes any of %s, not %q", strings.Join(metrics.Dimensions, ", "), d)}
+		}
+	}
+	if f.window != "" && !slices.Contains(metrics.Windows, f.window) {
+		return nil, usageError{fmt.Errorf("--window takes one of %s, not %q", strings.Join(metrics.Windows, ", "), f.window)}
+	}
+	return dimensions, nil
+}
+
+// showCommand shows the metrics of a running dispatcher.
+func showCommand(global *globalFlags) *cobra.Command {
+	var f showFlags
 	c := &cobra.Command{
 		Use: "show", Short: "show the account of a running dispatcher", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if format != "table" && format != "json" {
-				return usageError{fmt.Errorf("--format is table or json, not %q", format)}
-			}
-			var dims []string
-			if by != "" {
-				dims = strings.Split(by, ",")
-			}
-			for _, d := range dims {
-				if !slices.Contains(metrics.Dimensions, d) {
-					return usageError{fmt.Errorf("--by takes any of %s, not %q", strings.Join(metrics.Dimensions, ", "), d)}
-				}
-			}
-			if window != "" && !slices.Contains(metrics.Windows, window) {
-				return usageError{fmt.Errorf("--window takes one of %s, not %q", strings.Join(metrics.Windows, ", "), window)}
+			dimensions, err := f.dimensions()
+			if err != nil {
+				return err
 			}
-			if audit {
+			if f.audit {
 				var ignored json.RawMessage
-				if err := getJSON(c, at, "/audit", &ignored); err != nil {
+				if err := getJSON(c, f.address, "/audit", &ignored); err != nil {
 					return err
 				}
 			}
 			var r metrics.Report
-			if err := getJSON(c, at, "/figures", &r); err != nil {
+			if err := getJSON(c, f.address, "/figures", &r); err != nil {
 				return err
 			}
-			if format == "json" {
-				return writeJSON(sh.stdout, r)
+			if f.format == "json" {
+				return writeJSON(global.stdout, r)
 			}
-			if window != "" {
-				return metrics.WindowTable(sh.stdout, r, window)
+			if f.window != "" {
+				return metrics.WindowTable(global.stdout, r, f.window)
 			}
-			return metrics.Table(sh.stdout, r, dims)
+			return metrics.Table(global.stdout, r, dimensions)
 		},
 	}
-	c.Flags().StringVar(&at, "at", "127.0.0.1:7421", "`address` that figures.listen names")
-	c.Flags().StringVar(&format, "format", "table", "table or json")
-	c.Flags().StringVar(&by, "by", "front,class,tenant", "what to show by: any of "+strings.Join(metrics.Dimensions, ", "))
-	c.Flags().StringVar(&window, "window", "", "show a stretch of time in place of all since the start: one of "+strings.Join(metrics.Windows, ", "))
-	c.Flags().BoolVar(&audit, "audit", false, "audit the account first")
+	c.Flags().StringVar(&f.address, "at", "127.0.0.1:7421", "`address` that figures.listen names")
+	c.Flags().StringVar(&f.format, "format", "table", "table or json")
+	c.Flags().StringVar(&f.by, "by", "front,class,tenant", "what to show by: any of "+strings.Join(metrics.Dimensions, ", "))
+	c.Flags().StringVar(&f.window, "window", "", "show a stretch of time in place of all since the start: one of "+strings.Join(metrics.Windows, ", "))
+	c.Flags().BoolVar(&f.audit, "audit", false, "audit the account first")
 	return c
 }
 
+// getJSON reads JSON from the metrics of a running dispatcher.
 func getJSON(c *cobra.Command, at, path string, into any) error {
 	req, err := http.NewRequestWithContext(c.Context(), http.MethodGet, "http://"+at+path, nil)
 	if err != nil {
@@ -84,7 +101,7 @@
 	if err != nil {
 		return fmt.Errorf("no dispatcher tells its figures there: %w", err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it is only read
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s%s: %s", at, path, resp.Status)
 	}
@@ -94,26 +111,22 @@
 	return nil
 }
 
-func writeJSON(w io.Writer, v any) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
-}
-
-// journalFlags is what a report or a plot is of.
+// journalFlags select what a report or a plot is of.
 type journalFlags struct {
 	folder   string
 	from, to string
 	by       string
 }
 
-func (a *journalFlags) flags(c *cobra.Command, by string) {
+// register adds the flags to a command.
+func (a *journalFlags) register(c *cobra.Command, by string) {
 	c.Flags().StringVar(&a.folder, "folder", "", "the journal's `folder`")
 	c.Flags().StringVar(&a.from, "from", "", "`time` (RFC 3339, or a date) from which jobs count")
 	c.Flags().StringVar(&a.to, "to", "", "`time` before which jobs count")
 	c.Flags().StringVar(&a.by, "by", by, "what to count by: any of "+strings.Join(journal.Dimensions, ", "))
 }
 
+// query opens the journal, and translates the flags.
 func (a *journalFlags) query() (journal.Directory, journal.Query, error) {
 	var q journal.Query
 	if a.folder == "" {
@@ -142,7 +155,8 @@
 	return f, q, err
 }
 
-func reportCommand(sh *globalFlags) *cobra.Command {
+// reportCommand reports what a journal has recorded.
+func reportCommand(global *globalFlags) *cobra.Command {
 	var a journalFlags
 	var format string
 	c := &cobra.Command{
@@ -161,18 +175,20 @@
 				return err
 			}
 			for _, text := range complaints {
-				fmt.Fprintln(sh.stderr, "basaltloft: not all could be counted:", text)
+				printf(global.stderr, "basaltloft: not all could be counted: %s\n", text)
 			}
-			return write(sh.stdout, q, rows)
+			return write(global.stdout, q, rows)
 		},
 	}
-	a.flags(c, "tenant,class")
+	a.register(c, "tenant,class")
 	c.Flags().StringVar(&format, "format", "table", "table, csv or json")
 	return c
 }
 
+// reportColumns are the columns of tables and CSV behind those that are counted by.
 var reportColumns = []string{"opened", "taken", "served", "refused", "failed", "open", "asks", "p50_ms", "p95_ms", "p99_ms", "longest_ms"}
 
+// reportRow is one line of a table or CSV.
 func reportRow(f *journal.ReportRow) []string {
 	row := append([]string(nil), f.By...)
 	for _, n := range []int64{f.OpenBefore, f.Accepted, f.Outcome(accounting.Served), f.Outcome(accounting.Refused), f.Outcome(accounting.Failed), f.Open, f.LogicalRequests} {
@@ -184,27 +200,28 @@
 	return row
 }
 
+// reportTable writes a report as a table.
 func reportTable(out io.Writer, q journal.Query, rows []*journal.ReportRow) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, strings.Join(append(append([]string(nil), q.By...), reportColumns...), "\t")+"\t")
+	t := newTable(out, tabwriter.AlignRight)
+	t.line("%s\t", strings.Join(slices.Concat(q.By, reportColumns), "\t"))
 	for _, r := range rows {
-		fmt.Fprintln(w, strings.Join(reportRow(r), "\t")+"\t")
+		t.line("%s\t", strings.Join(reportRow(r), "\t"))
 	}
-	return w.Flush()
+	return t.flush()
 }
 
+// reportCSV writes a report as CSV.
 func reportCSV(out io.Writer, q journal.Query, rows []*journal.ReportRow) error {
-	w := csv.NewWriter(out)
-	w.Write(append(append([]string(nil), q.By...), reportColumns...))
+	lines := [][]string{slices.Concat(q.By, reportColumns)}
 	for _, r := range rows {
-		w.Write(reportRow(r))
+		lines = append(lines, reportRow(r))
 	}
-	w.Flush()
-	return w.Error()
+	return csv.NewWriter(out).WriteAll(lines)
 }
 
+// reportJSON writes a report as JSON.
 func reportJSON(out io.Writer, q journal.Query, rows []*journal.ReportRow) error {
-	type row struct {
+	type row struct { // these names are the keys of the JSON
 		By                      map[string]string
 		Opened, Taken           int64
 		Reasons                 map[string]int64
@@ -231,7 +248,8 @@
 	return writeJSON(out, all)
 }
 
-func verifyCommand(sh *globalFlags) *cobra.Command {
+// verifyCommand recounts a journal.
+func verifyCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use: "verify FOLDER", Short: "recount a journal and name every entry that does not add up", Args: exactlyOneArg("FOLDER"),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -244,16 +262,16 @@
 				return err
 			}
 			t := &v.Totals
-			fmt.Fprintf(sh.stdout, "%d segments, %d epochs, %d records, %d jobs, %d marks of the account\n", v.Segments, v.Epochs, v.Records, v.Jobs, v.Checkpoints)
-			fmt.Fprintf(sh.stdout, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open)
+			printf(global.stdout, "%d segments, %d epochs, %d records, %d jobs, %d marks of the account\n", v.Segments, v.Epochs, v.Records, v.Jobs, v.Checkpoints)
+			printf(global.stdout, "%d taken = %d served + %d refused + %d failed + %d open\n", t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Open)
 			if v.TornBytes > 0 {
-				fmt.Fprintf(sh.stdout, "%d torn bytes at the very end: the next start cuts them\n", v.TornBytes)
+				printf(global.stdout, "%d torn bytes at the very end: the next start cuts them\n", v.TornBytes)
 			}
 			if !v.LastShutdownClean {
-				fmt.Fprintln(sh.stdout, "the last epoch has not ended in order: it runs, or was cut off")
+				printf(global.stdout, "the last epoch has not ended in order: it runs, or was cut off\n")
 			}
 			for _, wrong := range v.Inconsistencies {
-				fmt.Fprintln(sh.stdout, "WRONG:", wrong)
+				printf(global.stdout, "WRONG: %s\n", wrong)
 			}
 			if len(v.Inconsistencies) > 0 {
 				return errReported
@@ -263,9 +281,8 @@
 	}
 }
 
-// plotCommand starts the program that plots: its library weighs more than a
-// dispatcher should carry.
-func plotCommand(sh *globalFlags) *cobra.Command {
+// plotCommand starts the program that plots, so that the dispatcher does not depend on its library.
+func plotCommand(global *globalFlags) *cobra.Command {
 	var a journalFlags
 	var out string
 	c := &cobra.Command{
@@ -277,11 +294,11 @@
 			if _, _, err := a.query(); err != nil {
 				return err
 			}
-			return runSibling(c, sh, "basaltloft-plot", "-folder", a.folder, "-from", a.from, "-to", a.to, "-out", out)
+			return runSibling(c, global, "basaltloft-plot", "-folder", a.folder, "-from", a.from, "-to", a.to, "-out", out)
 		},
 	}
-	a.flags(c, "")
-	c.Flags().MarkHidden("by")
+	a.register(c, "")
+	_ = c.Flags().MarkHidden("by") // fails only for a flag that is not there
 	c.Flags().StringVar(&out, "out", "figures.svg", "`file` to write, .svg or .png; the latency by class goes to one with -latency in its name")
 	return c
 }
--- a/internal/dispatcher/cli/serve.go
+++ b/internal/dispatcher/cli/serve.go
@@ -20,30 +20,32 @@
 	"github.com/spf13/cobra"
 )
 
-func serveCommand(sh *globalFlags) *cobra.Command {
+// serveCommand serves jobs.
+func serveCommand(global *globalFlags) *cobra.Command {
 	var operator string
 	c := &cobra.Command{
 		Use: "serve", Short: "serve jobs, as without a sub-command", Args: noArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return serve(c.Context(), sh, operator) },
+		RunE: func(c *cobra.Command, _ []string) error { return serve(c.Context(), global, operator) },
 	}
 	c.Flags().StringVar(&operator, "operator", "", "the operator's `file`, which sets up what the platform does not ask for")
 	return c
 }
 
-func serve(ctx context.Context, sh *globalFlags, operator string) error {
+// serve runs a dispatcher until SIGTERM or SIGINT; SIGHUP reloads its configuration.
+func serve(ctx context.Context, global *globalFlags, operator string) error {
 	// First of all: until then a signal kills the process.
 	stop, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
-	overrides := map[string]string{}
+	environment := map[string]string{}
 	for _, name := range []string{"ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_ADMIN"} {
-		overrides[name] = os.Getenv(name)
+		environment[name] = os.Getenv(name)
 	}
-	c, err := readConfig(overrides)
+	c, err := readConfig(environment)
 	if err != nil {
 		return err
 	}
-	operatorConfig, err := settings.DecodeOperator([]byte(`{}`)) // its usual values
+	operatorConfig, err := settings.DecodeOperator([]byte(`{}`)) // the defaults
 	if operator != "" {
 		var text []byte
 		if text, err = os.ReadFile(operator); err != nil {
@@ -59,19 +61,20 @@
 	}
 	server.ApplyResourceLimits(c)
 	return server.Run(ctx, server.Options{
-		Config: c, Operator: operatorConfig, OperatorDir: filepath.Dir(operator), Log: sh.newLogger(),
+		Config: c, Operator: operatorConfig, OperatorDir: filepath.Dir(operator), Log: global.newLogger(),
 		ReadConfig: func() (settings.Config, error) { return readConfig(nil) },
 	}, stop, reloads)
 }
 
-// readConfig reads the configuration file, over which what is named goes.
-func readConfig(overrides map[string]string) (settings.Config, error) {
+// readConfig reads the configuration file. At the start the environment overrides it; at a reload
+// environment is nil, and a file that can't be used completely is an error.
+func readConfig(environment map[string]string) (settings.Config, error) {
 	path := os.Getenv("ROUTER_CONFIG")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return settings.Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	if overrides == nil { // read again while serving: what can't be used whole is not used
+	if environment == nil {
 		if err := settings.CheckReload(text); err != nil {
 			return settings.Config{}, fmt.Errorf("%s: %w", path, err)
 		}
@@ -83,7 +86,7 @@
 	for name, into := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_ADMIN": &c.Admin,
 	} {
-		if v := overrides[name]; v != "" {
+		if v := environment[name]; v != "" {
 			*into = v
 		}
 	}
@@ -92,7 +95,7 @@
 			return c, fmt.Errorf("%s: %s: %w", path, name, err)
 		}
 	}
-	if overrides != nil {
+	if environment != nil {
 		fd, err := acceptFD(os.Getenv("ROUTER_ACCEPT_FD"))
 		if err != nil {
 			return c, err
@@ -102,8 +105,8 @@
 	return c, nil
 }
 
-// acceptFD reads the number of a descriptor handed over for the clients'
-// socket; empty is none (0). Anything but a number above 2 is an error.
+// acceptFD parses the number of the descriptor on which the process inherits the clients' socket; an
+// empty text is 0, none. Standard input, output and error are errors.
 func acceptFD(text string) (int, error) {
 	if text == "" {
 		return 0, nil
@@ -115,7 +118,8 @@
 	return fd, nil
 }
 
-func versionCommand(sh *globalFlags) *cobra.Command {
+// versionCommand prints the version.
+func versionCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "say which version this is", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -132,13 +136,14 @@
 					changed = " with changes"
 				}
 			}
-			fmt.Fprintf(sh.stdout, "basaltloft %s, %s%s, %s\n", info.Main.Version, revision, changed, info.GoVersion)
+			printf(global.stdout, "basaltloft %s, %s%s, %s\n", info.Main.Version, revision, changed, info.GoVersion)
 			return nil
 		},
 	}
 }
 
-func checkCommand(sh *globalFlags) *cobra.Command {
+// checkCommand checks configuration files.
+func checkCommand(global *globalFlags) *cobra.Command {
 	config := &cobra.Command{Use: "config", Short: "look after configuration files", Args: noArgs, RunE: showHelp}
 	var classes string
 	check := &cobra.Command{
@@ -150,19 +155,19 @@
 				return err
 			}
 			if strings.HasSuffix(args[0], ".hcl") {
-				return checkPlans(sh, args[0], string(text), classes)
+				return checkPlans(global, args[0], string(text), classes)
 			}
 			r := settings.Check(text)
 			for _, p := range r.Problems {
-				fmt.Fprintf(sh.stdout, "%s: error: %s\n", args[0], p)
+				printf(global.stdout, "%s: error: %s\n", args[0], p)
 			}
 			for _, key := range r.Unknown {
-				fmt.Fprintf(sh.stdout, "%s: warning: %s: nothing reads this key\n", args[0], key)
+				printf(global.stdout, "%s: warning: %s: nothing reads this key\n", args[0], key)
 			}
 			if len(r.Problems) > 0 {
 				return errReported
 			}
-			fmt.Fprintf(sh.stdout, "%s: ok (%s)\n", args[0], r.Kind)
+			printf(global.stdout, "%s: ok (%s)\n", args[0], r.Kind)
 			return nil
 		},
 	}
@@ -172,7 +177,7 @@
 }
 
 // checkPlans checks a plan file against the classes of a configuration.
-func checkPlans(sh *globalFlags, name, text, config string) error {
+func checkPlans(global *globalFlags, name, text, config string) error {
 	var c settings.Config
 	if config != "" {
 		from, err := os.ReadFile(config)
@@ -185,13 +190,14 @@
 	}
 	lines, ok := plan.CheckFile(name, text, c.Settings.Classes)
 	for _, line := range lines {
-		fmt.Fprintln(sh.stdout, line)
+		printf(global.stdout, "%s\n", line)
 	}
 	if !ok {
 		return errReported
 	}
-	fmt.Fprintf(sh.stdout, "%s: ok (plans)\n", name)
+	printf(global.stdout, "%s: ok (plans)\n", name)
 	return nil
 }
 
+// showHelp is for commands that only have sub-commands.
 func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
--- a/internal/dispatcher/cli/tools.go
+++ b/internal/dispatcher/cli/tools.go
@@ -19,7 +19,8 @@
 // maxDemoProcesses bounds the processes of a demo.
 const maxDemoProcesses = 30
 
-func demoCommand(sh *globalFlags) *cobra.Command {
+// demoCommand serves fake clients and members, and shows the metrics.
+func demoCommand(global *globalFlags) *cobra.Command {
 	var duration time.Duration
 	var processes int
 	c := &cobra.Command{
@@ -31,8 +32,8 @@
 			if processes < 0 || processes > maxDemoProcesses {
 				return usageError{fmt.Errorf("--processes must be 1 to %d", maxDemoProcesses)}
 			}
-			if !c.Flags().Changed("log-level") && sh.logLevel == "info" {
-				sh.logLevel = "warn" // the progress is shown in its place
+			if !c.Flags().Changed("log-level") && global.logLevel == "info" {
+				global.logLevel = "warn" // the progress is shown in its place
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -41,9 +42,9 @@
 				if err != nil {
 					return err
 				}
-				return demo.RunFleet(ctx, demo.FleetSettings{Program: program, Processes: processes, Until: time.Now().Add(duration)}, sh.stdout, sh.stderr)
+				return demo.RunFleet(ctx, demo.FleetSettings{Program: program, Processes: processes, Until: time.Now().Add(duration)}, global.stdout, global.stderr)
 			}
-			return demo.Run(ctx, time.Now().Add(duration), sh.newLogger(), sh.stdout, sh.stderr)
+			return demo.Run(ctx, time.Now().Add(duration), global.newLogger(), global.stdout, global.stderr)
 		},
 	}
 	c.Flags().DurationVar(&duration, "for", 10*time.Second, "how `long` to serve")
@@ -51,7 +52,8 @@
 	return c
 }
 
-func soakCommand(sh *globalFlags) *cobra.Command {
+// soakCommand loads a dispatcher, kills it at random, and checks its accounts.
+func soakCommand(global *globalFlags) *cobra.Command {
 	var duration time.Duration
 	s := soak.Settings{}
 	c := &cobra.Command{
@@ -70,14 +72,14 @@
 				if s.JournalDir, err = os.MkdirTemp("", "basaltloft-figures"); err != nil {
 					return err
 				}
-				defer os.RemoveAll(s.JournalDir)
+				defer func() { _ = os.RemoveAll(s.JournalDir) }() // a temporary directory
 			}
 			s.Until = time.Now().Add(duration)
-			r, err := soak.Run(ctx, s, sh.stderr)
+			r, err := soak.Run(ctx, s, global.stderr)
 			if err != nil {
 				return fmt.Errorf("soaking: %w", err)
 			}
-			return r.Write(sh.stdout)
+			return r.Write(global.stdout)
 		},
 	}
 	c.Flags().DurationVar(&duration, "for", time.Minute, "how `long`")
@@ -89,9 +91,9 @@
 	return c
 }
 
-// topCommand starts the live view, a program of its own: its libraries are for a
-// tool alone.
-func topCommand(sh *globalFlags) *cobra.Command {
+// topCommand starts the live view, a program of its own, so that the dispatcher does not depend on
+// its libraries.
+func topCommand(global *globalFlags) *cobra.Command {
 	var figures, faktory, password string
 	var every time.Duration
 	var once bool
@@ -105,7 +107,7 @@
 			if once {
 				args = append(args, "-once")
 			}
-			return runSibling(c, sh, "basaltloft-top", args...)
+			return runSibling(c, global, "basaltloft-top", args...)
 		},
 	}
 	c.Flags().StringVar(&figures, "at", "127.0.0.1:7421", "`address` that figures.listen names; empty: not read")
@@ -117,22 +119,21 @@
 }
 
 // runSibling runs a program that is installed beside this one.
-func runSibling(c *cobra.Command, sh *globalFlags, name string, args ...string) error {
+func runSibling(c *cobra.Command, global *globalFlags, name string, args ...string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	cmd := exec.CommandContext(c.Context(), filepath.Join(filepath.Dir(self), name), args...)
-	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, sh.stdout, sh.stderr
+	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, global.stdout, global.stderr
 	if err := cmd.Run(); err != nil {
 		return fmt.Errorf("%s, which is installed beside this program: %w", name, err)
 	}
 	return nil
 }
 
-// labCommand starts the model of the fleet, a program of its own: its statistics
-// are for a tool alone. What it takes is its own to check.
-func labCommand(sh *globalFlags) *cobra.Command {
+// labCommand starts the model of the fleet, a program of its own, which checks its arguments itself.
+func labCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:                "lab run|sweep|compare|plot FILE [-set PATH=VALUE,...] [-loads X,Y] [-seeds N] [-policies A,B] [-base POLICY] [-format table|csv|json] [-out NAME.svg]",
 		Short:              "play experiments in a model of the fleet",
@@ -141,14 +142,13 @@
 			if len(args) == 0 || args[0] == "--help" || args[0] == "-h" {
 				return c.Help()
 			}
-			return runSibling(c, sh, "basaltloft-lab", args...)
+			return runSibling(c, global, "basaltloft-lab", args...)
 		},
 	}
 }
 
-// loadCommand starts the load generator, a program of its own: its histograms and
-// plots are for a tool alone. What it takes is its own to check.
-func loadCommand(sh *globalFlags) *cobra.Command {
+// loadCommand starts the load generator, a program of its own, which checks its arguments itself.
+func loadCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "load -at ADDRESS -class CLASS [-front http|faktory] [-rate N] [-to N] [-for 10s] [-trace FILE] [-format table|json] [-plot FILE.svg]",
 		Short: "send an open-loop load to a dispatcher, and tell what became of it", DisableFlagParsing: true,
@@ -156,14 +156,14 @@
 			if len(args) == 0 || args[0] == "--help" || args[0] == "-h" {
 				return c.Help()
 			}
-			return runSibling(c, sh, "basaltloft-load", args...)
+			return runSibling(c, global, "basaltloft-load", args...)
 		},
 	}
 }
 
-// fakesCommand serves members and discovery, and leaves the files with which a
-// dispatcher finds them.
-func fakesCommand(sh *globalFlags) *cobra.Command {
+// fakesCommand serves fake members and discovery, and writes the files with which a dispatcher finds
+// them.
+func fakesCommand(global *globalFlags) *cobra.Command {
 	var folder string
 	load := demo.Load{}
 	c := &cobra.Command{
@@ -185,8 +185,8 @@
 					return fmt.Errorf("standing in: %w", err)
 				}
 			}
-			fmt.Fprintf(sh.stdout, "%d members, discovery at %s; a dispatcher for them, which listens at %s (Faktory: %s):\n", load.Members, w.Discovery.Addr(), w.HTTPAddr, w.FaktoryAddr)
-			fmt.Fprintf(sh.stdout, "ROUTER_CONFIG=%s basaltloft serve --operator %s\n", config, operator)
+			printf(global.stdout, "%d members, discovery at %s; a dispatcher for them, which listens at %s (Faktory: %s):\n", load.Members, w.Discovery.Addr(), w.HTTPAddr, w.FaktoryAddr)
+			printf(global.stdout, "ROUTER_CONFIG=%s basaltloft serve --operator %s\n", config, operator)
 			<-ctx.Done()
 			return nil
 		},
