--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,6 @@
-// Command wirehost hosts dispatchers on the wire: events come in on standard
-// input, actions go out on standard output. Instances share nothing.
+// Command wirehost runs the policy dispatchers of a simulation: events arrive on standard input,
+// and actions leave on standard output, in the line protocol of package simprotocol. The instances
+// share nothing.
 package main
 
 import (
@@ -14,55 +15,55 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // the live heap is small; collect seldom
+	debug.SetGCPercent(800) // the live heap is small, so collections can be rare
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-// run answers batches from in on out until the end of input.
+// run answers batches until the end of input. It returns the first error, which names the line.
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := simprotocol.NewDecoder(in), simprotocol.NewEncoder(out)
+	decoder, encoder := simprotocol.NewDecoder(in), simprotocol.NewEncoder(out)
 	instances := make(map[string]*policy.Dispatcher)
 	for {
-		ev, err := dec.Next()
+		event, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch ev.Kind {
+		switch event.Kind {
 		case simprotocol.BatchStart:
 		case simprotocol.BatchEnd:
-			if err := enc.Finish(); err != nil {
+			if err := encoder.Finish(); err != nil {
 				return fmt.Errorf("writing a reply: %w", err)
 			}
 		case simprotocol.Configure:
-			d, err := policy.New(ev.Settings, enc.Host(ev.Instance))
+			dispatcher, err := policy.New(event.Settings, encoder.Host(event.Instance))
 			if err != nil {
-				return fmt.Errorf("%s: %w", dec.Position(), err)
+				return fmt.Errorf("%s: %w", decoder.Position(), err)
 			}
-			instances[ev.Instance] = d
+			instances[event.Instance] = dispatcher
 		default:
-			d := instances[ev.Instance]
-			if d == nil {
-				return fmt.Errorf("%s: event for %s, which was never configured", dec.Position(), ev.Instance)
+			dispatcher := instances[event.Instance]
+			if dispatcher == nil {
+				return fmt.Errorf("%s: event for %s, which was never configured", decoder.Position(), event.Instance)
 			}
-			if ev.Kind == simprotocol.Teardown {
-				delete(instances, ev.Instance)
+			if event.Kind == simprotocol.Teardown {
+				delete(instances, event.Instance)
 				continue
 			}
-			deliver(d, ev)
+			deliver(dispatcher, event)
 		}
 	}
 }
 
-// deliver hands an event to its dispatcher. Peers' messages are read and not
-// delivered: dispatchers share nothing.
+// deliver passes an event to its dispatcher. Messages of peers are dropped: the instances share
+// nothing.
 func deliver(d *policy.Dispatcher, ev *simprotocol.Event) {
-	switch ev.Kind {
+	switch event.Kind {
 	case simprotocol.MembershipChanged:
 		d.HandleMembers(ev.Now, ev.ListKind, ev.Members)
 	case simprotocol.RequestArrived:
--- a/internal/dispatcher/faktory/sets/sets_test.go
+++ b/internal/dispatcher/faktory/sets/sets_test.go
@@ -225,9 +225,9 @@
 	}
 }
 
-// TestRefusals: what the decisions turn away has not run and waits longer each
+// TestRejections: what the decisions turn away has not run and waits longer each
 // time; it uses up no tries until it is refused over and over.
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	b, j := NewStore(roomy, 1), job("job", "a")
 	now, last := start, time.Duration(0)
 	for n := range maxConsecutiveRejections {
@@ -347,8 +347,8 @@
 	require.Error(t, err)
 }
 
-// TestOwners: one client's jobs do not take another's room.
-func TestOwners(t *testing.T) {
+// TestClientLimits: one client's jobs do not take another's room.
+func TestClientLimits(t *testing.T) {
 	l := roomy
 	l.ClientJobs, l.ClientBytes = 2, 2000
 	b := NewStore(l, 1)
--- a/internal/dispatcher/server/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -65,8 +65,8 @@
 // Close leaves the program running for what the test does next.
 func (k *kept) Close() error { return nil }
 
-// TestFleetWhereItMayNotBe: each mistake ends the program with one line that says so.
-func TestFleetWhereItMayNotBe(t *testing.T) {
+// TestInvalidFleetSettings: each mistake ends the program with one line that says so.
+func TestInvalidFleetSettings(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "file"), nil, 0o600))
 	for operator, want := range map[string]string{
--- a/internal/dispatcher/server/journal.go
+++ b/internal/dispatcher/server/journal.go
@@ -25,14 +25,14 @@
 	}, time.Now(), log, s.auditor.ReportDifferences)
 	if err != nil {
 		_ = directory.Close() // the error that matters is logged
-		log.WithError(err).Error("the journal of figures is off: what it has can't be gone on from")
+		log.WithError(err).Error("the journal of figures is off: it can't be continued")
 		return
 	}
 	recovery := j.Recovery()
 	for _, damage := range recovery.Warnings {
-		log.Error("the journal of figures is damaged: " + damage)
+		log.WithField("damage", damage).Error("the journal of figures is damaged")
 	}
-	log.Info("journal of figures: " + recovery.String())
+	log.WithField("recovery", recovery.String()).Info("journal of figures opened")
 	s.journal = j
 	s.metrics.SetJobJournal(j)
 }
@@ -43,6 +43,6 @@
 		return
 	}
 	if err := s.journal.Close(); err != nil {
-		s.log.WithError(err).Error("the journal of figures is not whole")
+		s.log.WithError(err).Error("the journal of figures could not be closed")
 	}
 }
--- a/internal/dispatcher/server/program_test.go
+++ b/internal/dispatcher/server/program_test.go
@@ -94,14 +94,14 @@
 		require.NoError(t, err)
 		require.NoError(t, text.Close())
 		scenario.RunScript(t, scenario.Peers{"program": func() (scenario.Conn, error) { return end, nil }}, nil, `
-			program expect told to end before serving|msg=done
+			program expect stopped before serving|msg=done
 			program wait`)
 	})
 	t.Run("at its agent", func(t *testing.T) {
 		scenario.RunScript(t, scenario.StartWithAgent(t, 1), nil, `
 			discovery expect ^GET /registry/instances HTTP
 			program close
-			program expect told to end before serving
+			program expect stopped before serving
 			program wait`)
 	})
 }
@@ -137,7 +137,7 @@
 	dir := t.TempDir()
 	for _, said := range []string{"epoch 1", "epoch 2", "epoch 3"} {
 		scenario.RunScript(t, scenario.Start(t, 1, operator(dir)), nil, `
-			program expect journal of figures: `+said+`"
+			program expect msg="journal of figures opened" folder=\S+ recovery="`+said+`"
 			program expect serving`+served+`
 			figures send GET /audit HTTP/1.1\r\nHost: a\r\n\r\nGET /figures HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n
 			figures expect "differences":\[\].*"Stopped":false
--- a/internal/dispatcher/server/service.go
+++ b/internal/dispatcher/server/service.go
@@ -73,7 +73,7 @@
 	s.restoreState()
 	select {
 	case <-stop: // nobody could connect yet, so there is nothing to answer
-		s.log.Info("told to end before serving")
+		s.log.Info("stopped before serving")
 		return nil
 	default:
 	}
