--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -62,23 +62,23 @@
 
 // deliver passes an event to its dispatcher. Messages of peers are dropped: the instances share
 // nothing.
-func deliver(d *policy.Dispatcher, ev *simprotocol.Event) {
+func deliver(dispatcher *policy.Dispatcher, event *simprotocol.Event) {
 	switch event.Kind {
 	case simprotocol.MembershipChanged:
-		d.HandleMembers(ev.Now, ev.ListKind, ev.Members)
+		dispatcher.HandleMembers(event.Now, event.ListKind, event.Members)
 	case simprotocol.RequestArrived:
-		d.HandleRequest(ev.Now, ev.Request)
+		dispatcher.HandleRequest(event.Now, event.Request)
 	case simprotocol.AttemptEnded:
-		d.HandleAttemptResult(ev.Now, ev.AttemptResult)
+		dispatcher.HandleAttemptResult(event.Now, event.AttemptResult)
 	case simprotocol.ProbeAnswered:
-		d.HandleProbeResult(ev.Now, ev.ProbeResult)
+		dispatcher.HandleProbeResult(event.Now, event.ProbeResult)
 	case simprotocol.AttemptUpdated:
-		d.HandleAttemptUpdate(ev.Now, ev.AttemptUpdate)
+		dispatcher.HandleAttemptUpdate(event.Now, event.AttemptUpdate)
 	case simprotocol.StreamStarted:
-		d.HandleStreamStart(ev.Now, ev.StreamStart)
+		dispatcher.HandleStreamStart(event.Now, event.StreamStart)
 	case simprotocol.ClientGone:
-		d.HandleClientGone(ev.Now, ev.RequestID)
+		dispatcher.HandleClientGone(event.Now, event.RequestID)
 	case simprotocol.TimerFired:
-		d.HandleTimer(ev.Now, ev.TimerToken)
+		dispatcher.HandleTimer(event.Now, event.TimerToken)
 	}
 }
