--- a/internal/dispatcher/fakes/member.go
+++ b/internal/dispatcher/fakes/member.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Faults are what goes wrong at a member, each with a chance from 0 to 1.
+// Faults are what goes wrong at a member or worker, each with a chance from 0 to 1.
 type Faults struct {
 	Reject       float64 // it answers that it is full
-	Fail         float64 // it runs the job and calls it failed
-	Break        float64 // it breaks the connection after having run the job
-	DuplicateEnd float64 // it tells the end of a job twice
-	HandBack     float64 // it takes the job, and hands it back unstarted
-	ReportLost   float64 // it runs the job and calls it lost
-	Hang         float64 // it takes the job, with or without a word, and is never heard of again
+	Fail         float64 // it runs the job and reports it as failed
+	Break        float64 // it breaks the connection after it has run the job
+	DuplicateEnd float64 // it reports the end of a job twice
+	HandBack     float64 // it accepts the job and hands it back unstarted
+	ReportLost   float64 // it runs the job and reports it as lost
+	Hang         float64 // it accepts the job, or does not answer, and never reports
 }
 
 // MemberSettings are what a member is.
@@ -32,110 +32,135 @@
 	Zone           string // empty: hall
 	Kind           string // empty: std
 	Cell           int
-	Slots          int
+	Slots          int                              // jobs that run at a time; 0: 1
 	Run            func(class string) time.Duration // how long a job runs
 	Faults         Faults
-	ReportTo       func() string // the address of the dispatcher that is told; of others, Door
+	ReportTo       func() string // the address of the dispatcher that jobs are reported to
 	RunLog         *RunLog
-	Outcome        func(class, ask string, body []byte) (state, result string) // how a job ends, before troubles; nil: done
-	AtMostOnce     func(class string) bool                                     // classes that must not run twice
-	NoStartReports bool                                                        // it does not tell when a job starts
+	Outcome        func(class, logicalID string, body []byte) (state, result string) // of a job, before faults; nil: done
+	AtMostOnce     func(class string) bool                                           // classes that must not run twice
+	NoStartReports bool                                                              // starts of jobs are not reported
 	Seed           uint64
 }
 
-// Member is an HTTP pool member: it takes jobs into a queue, runs so many at a
-// time and reports each start and end to its dispatcher.
+// Member is an HTTP pool member: it queues jobs, runs as many at a time as it has slots,
+// and reports each start and end to the dispatcher that the job came from.
 type Member struct {
 	MemberSettings
 	listener net.Listener
 	server   *http.Server
 	queue    chan memberJob
-	ctx      context.Context
-	end      context.CancelFunc
-	all      sync.WaitGroup
+	ctx      context.Context // ends with the member
+	stop     context.CancelFunc
+	running  sync.WaitGroup
 	client   http.Client
 
-	mu     sync.Mutex
-	random *rand.Rand
-	doors  map[string]door // by the address that a job comes to
+	mu        sync.Mutex
+	random    *rand.Rand
+	endpoints map[string]endpoint // by the address that a job comes to
 }
 
-// door is one dispatcher's way to a member.
-type door struct {
+// endpoint is the address of a member for one dispatcher.
+type endpoint struct {
 	dispatcher string
-	reports    func() string
+	reportTo   func() string
 }
 
 type memberJob struct {
-	id, class, ask string
-	body           []byte
-	number         int // in the till's log
-	reports        func() string
+	id, class, logicalID string
+	body                 []byte
+	arrival              int // its number in the run log
+	reportTo             func() string
 }
 
-const mostQueued = 64
+// report is what a member reports of a job.
+type report struct{ state, result string }
 
-// NewMember serves on a loopback address.
+const (
+	maxQueued      = 64
+	reportTimeout  = 2 * time.Second
+	maxReports     = 10 // of one state, until the dispatcher has answered
+	reportInterval = 20 * time.Millisecond
+)
+
+// NewMember starts a member on a loopback address.
 func NewMember(s MemberSettings) (*Member, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := listenLoopback(0)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in member: %w", err)
+		return nil, fmt.Errorf("fake member: %w", err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	m := &Member{
-		MemberSettings: s, listener: l, queue: make(chan memberJob, mostQueued), ctx: ctx, end: end,
-		random: rand.New(rand.NewPCG(s.Seed, 7)), client: http.Client{Timeout: 2 * time.Second},
-		doors: map[string]door{l.Addr().String(): {"", s.ReportTo}},
+		MemberSettings: s, listener: l, queue: make(chan memberJob, maxQueued), ctx: ctx, stop: stop,
+		random: rand.New(rand.NewPCG(s.Seed, 7)), client: http.Client{Timeout: reportTimeout},
+		endpoints: map[string]endpoint{l.Addr().String(): {"", s.ReportTo}},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health/live", func(http.ResponseWriter, *http.Request) {})
-	mux.HandleFunc("DELETE /jobs/{id}", func(_ http.ResponseWriter, r *http.Request) { // nothing stops what has begun
+	mux.HandleFunc("DELETE /jobs/{id}", func(_ http.ResponseWriter, r *http.Request) { // what has begun goes on
 		m.RunLog.abandon(r.PathValue("id"), m.ID)
 	})
 	mux.HandleFunc("POST /", m.submit)
 	m.server = &http.Server{Handler: mux}
-	go m.server.Serve(l)
+	m.serve(l)
 	for range max(1, s.Slots) {
-		m.all.Go(m.work)
+		m.running.Go(m.runQueue)
 	}
 	return m, nil
 }
 
+func (m *Member) serve(l net.Listener) {
+	m.running.Go(func() { _ = m.server.Serve(l) }) // until Close
+}
+
 // Instance is the member's entry on discovery's list.
 func (m *Member) Instance() Instance {
-	return Instance{ID: m.ID, Addr: m.listener.Addr().String(), Zone: cmp.Or(m.Zone, "hall"), Kind: cmp.Or(m.Kind, "std"), Cell: m.Cell, Lifecycle: "active", Weight: 1}
+	return Instance{
+		ID: m.ID, Addr: m.listener.Addr().String(), Zone: cmp.Or(m.Zone, "hall"), Kind: cmp.Or(m.Kind, "std"), Cell: m.Cell,
+		Lifecycle: "active", Weight: 1,
+	}
 }
 
-// OpenFor is another address of the member, for one more dispatcher, which is told
-// of the jobs that come there. It returns the member's entry on its list.
-func (m *Member) OpenFor(dispatcher string, reports func() string) (Instance, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// OpenFor opens another address of the member, for one more dispatcher, to which the jobs
+// that come there are reported. It returns the member's entry on that one's list.
+func (m *Member) OpenFor(dispatcher string, reportTo func() string) (Instance, error) {
+	l, err := listenLoopback(0)
 	if err != nil {
-		return Instance{}, fmt.Errorf("stand-in member's door: %w", err)
+		return Instance{}, fmt.Errorf("fake member's address for %s: %w", dispatcher, err)
 	}
+	addr := l.Addr().String()
 	m.mu.Lock()
-	m.doors[l.Addr().String()] = door{dispatcher, reports}
+	m.endpoints[addr] = endpoint{dispatcher, reportTo}
 	m.mu.Unlock()
-	go m.server.Serve(l)
-	listed := m.Instance()
-	listed.Addr = l.Addr().String()
-	return listed, nil
+	m.serve(l)
+	instance := m.Instance()
+	instance.Addr = addr
+	return instance, nil
 }
 
 // Close ends the member at once, with all that it runs.
 func (m *Member) Close() {
-	m.end()
-	m.server.Close()
-	m.all.Wait()
+	m.stop()
+	_ = m.server.Close() // errors of listeners that are gone anyway
+	m.running.Wait()
 	m.client.CloseIdleConnections()
 }
 
+// chance draws whether something happens.
 func (m *Member) chance(p float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.random.Float64() < p
 }
 
+func (m *Member) endpointOf(r *http.Request) endpoint {
+	addr := r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.endpoints[addr]
+}
+
+// submit accepts a job, or rejects it.
 func (m *Member) submit(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil { // an attempt counts once its last byte has arrived
@@ -147,48 +172,54 @@
 		http.Error(w, "a job has an id", http.StatusNotFound)
 		return
 	}
-	m.mu.Lock()
-	from := m.doors[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()]
-	m.mu.Unlock()
-	number := m.RunLog.arrive(Arrival{
+	from, logicalID := m.endpointOf(r), r.URL.Query().Get("sid")
+	arrival := m.RunLog.addArrival(Arrival{
 		ArrivedAt: time.Now(), ID: id, Class: class, Key: r.Header.Get("Idempotency-Key"), Tenant: r.Header.Get("X-Caller"),
-		LogicalID: r.URL.Query().Get("sid"), Dispatcher: from.dispatcher, Member: m.ID,
+		LogicalID: logicalID, Dispatcher: from.dispatcher, Member: m.ID,
 	})
-	full := func() {
-		m.RunLog.mark(number, func(a *Arrival) { a.Rejected, a.SettledAt = true, time.Now() })
-		w.Header().Set("X-Rejected", "1")
-		w.WriteHeader(http.StatusServiceUnavailable)
-	}
 	if m.chance(m.Faults.Reject) {
-		full()
+		m.reject(w, arrival)
 		return
 	}
 	if m.chance(m.Faults.Break) {
 		m.RunLog.RecordRun(id, m.AtMostOnce(class))
-		m.RunLog.mark(number, func(a *Arrival) { a.StartedAt, a.EndedAt, a.SettledAt = a.ArrivedAt, time.Now(), time.Now() })
+		m.RunLog.updateArrival(arrival, func(a *Arrival) { a.StartedAt, a.EndedAt, a.SettledAt = a.ArrivedAt, time.Now(), time.Now() })
 		panic(http.ErrAbortHandler)
 	}
 	if m.Faults.Hang > 0 && m.chance(m.Faults.Hang) {
-		if m.chance(0.5) {
-			w.WriteHeader(http.StatusAccepted)
-			return
-		}
-		select {
-		case <-r.Context().Done():
-			m.RunLog.mark(number, func(a *Arrival) { a.SettledAt = time.Now() })
-		case <-m.ctx.Done():
-		}
-		panic(http.ErrAbortHandler)
+		m.hang(w, r, arrival)
+		return
 	}
 	select {
-	case m.queue <- memberJob{id, class, r.URL.Query().Get("sid"), body, number, from.reports}:
+	case m.queue <- memberJob{id, class, logicalID, body, arrival, from.reportTo}:
 		w.WriteHeader(http.StatusAccepted)
 	default:
-		full()
+		m.reject(w, arrival)
+	}
+}
+
+// reject answers that the member is full.
+func (m *Member) reject(w http.ResponseWriter, arrival int) {
+	m.RunLog.updateArrival(arrival, func(a *Arrival) { a.Rejected, a.SettledAt = true, time.Now() })
+	w.Header().Set("X-Rejected", "1")
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
+
+// hang accepts the job and forgets it, or does not answer until the client has left.
+func (m *Member) hang(w http.ResponseWriter, r *http.Request, arrival int) {
+	if m.chance(0.5) {
+		w.WriteHeader(http.StatusAccepted)
+		return
+	}
+	select {
+	case <-r.Context().Done():
+		m.RunLog.updateArrival(arrival, func(a *Arrival) { a.SettledAt = time.Now() })
+	case <-m.ctx.Done():
 	}
+	panic(http.ErrAbortHandler)
 }
 
-func (m *Member) work() {
+func (m *Member) runQueue() {
 	for {
 		select {
 		case <-m.ctx.Done():
@@ -199,69 +230,76 @@
 	}
 }
 
-// run runs a job, and reports beside it: a dispatcher that is silent holds up
-// its own news only.
+// run runs a job. Reports are sent beside it: a dispatcher that does not answer holds up
+// those of its own job only.
 func (m *Member) run(j memberJob) {
-	news := make(chan [2]string, 3)
-	defer close(news)
-	m.all.Go(func() {
-		for n := range news {
-			m.tell(j, n[0], n[1])
+	reports := make(chan report, 3) // as many as there are at most
+	defer close(reports)
+	m.running.Go(func() {
+		for r := range reports {
+			m.report(j, r)
 		}
 	})
 	if m.Faults.HandBack > 0 && m.chance(m.Faults.HandBack) {
-		m.RunLog.mark(j.number, func(a *Arrival) { a.Rejected, a.SettledAt = true, time.Now() })
-		news <- [2]string{"returned", ""}
+		m.RunLog.updateArrival(j.arrival, func(a *Arrival) { a.Rejected, a.SettledAt = true, time.Now() })
+		reports <- report{state: "returned"}
 		return
 	}
 	if !m.NoStartReports {
-		news <- [2]string{"started", ""}
+		reports <- report{state: "started"}
 	}
 	m.RunLog.RecordRun(j.id, m.AtMostOnce(j.class))
-	m.RunLog.mark(j.number, func(a *Arrival) { a.StartedAt = time.Now() })
+	m.RunLog.updateArrival(j.arrival, func(a *Arrival) { a.StartedAt = time.Now() })
 	select {
 	case <-m.ctx.Done():
 		return
 	case <-time.After(m.Run(j.class)):
 	}
-	m.RunLog.mark(j.number, func(a *Arrival) { a.EndedAt = time.Now() })
-	state, result := "done", "ok from "+m.ID
+	m.RunLog.updateArrival(j.arrival, func(a *Arrival) { a.EndedAt = time.Now() })
+	end := m.end(j)
+	m.RunLog.updateArrival(j.arrival, func(a *Arrival) { a.SettledAt = time.Now() })
+	reports <- end
+	if m.chance(m.Faults.DuplicateEnd) {
+		reports <- report{end.state, "again"}
+	}
+}
+
+// end is how a job ends.
+func (m *Member) end(j memberJob) report {
+	r := report{"done", "ok from " + m.ID}
 	if m.Outcome != nil {
-		state, result = m.Outcome(j.class, j.ask, j.body)
+		r.state, r.result = m.Outcome(j.class, j.logicalID, j.body)
 	}
 	if m.chance(m.Faults.Fail) {
-		state = "failed"
+		r.state = "failed"
 	}
 	if m.Faults.ReportLost > 0 && m.chance(m.Faults.ReportLost) {
-		state = "lost"
-	}
-	m.RunLog.mark(j.number, func(a *Arrival) { a.SettledAt = time.Now() })
-	news <- [2]string{state, result}
-	if m.chance(m.Faults.DuplicateEnd) {
-		news <- [2]string{state, "again"}
+		r.state = "lost"
 	}
+	return r
 }
 
-// tell reports to the dispatcher until it answers, ten times at the most.
-func (m *Member) tell(j memberJob, state, result string) {
-	text, _ := json.Marshal(map[string]string{"id": j.id, "from": m.ID, "state": state, "result": result})
-	for range 10 {
-		req, err := http.NewRequestWithContext(m.ctx, http.MethodPost, "http://"+j.reports()+"/_jobs/news", bytes.NewReader(text))
+// report reports to the dispatcher until it answers, maxReports times at most.
+func (m *Member) report(j memberJob, r report) {
+	text, err := json.Marshal(map[string]string{"id": j.id, "from": m.ID, "state": r.state, "result": r.result})
+	if err != nil { // a map of strings is always encoded
+		panic(err)
+	}
+	for range maxReports {
+		req, err := http.NewRequestWithContext(m.ctx, http.MethodPost, "http://"+j.reportTo()+"/_jobs/news", bytes.NewReader(text))
 		if err != nil {
 			return
 		}
-		resp, err := m.client.Do(req)
-		if err == nil {
-			io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
-			if resp.StatusCode < 300 {
+		if resp, err := m.client.Do(req); err == nil {
+			discard(resp.Body)
+			if resp.StatusCode < http.StatusMultipleChoices {
 				return
 			}
 		}
 		select {
 		case <-m.ctx.Done():
 			return
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(reportInterval):
 		}
 	}
 }
