--- /dev/null
+++ b/internal/dispatcher/fleet/raftnode/data_dir.go
@@ -0,0 +1,139 @@
+package raftnode
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"syscall"
+	"time"
+
+	"basaltloft/internal/dispatcher/fleet/codec"
+
+	"github.com/hashicorp/raft"
+	"go.etcd.io/bbolt"
+)
+
+// boltOptions make opening a log that another process holds fail soon.
+var boltOptions = &bbolt.Options{Timeout: time.Second}
+
+// dataDir is a node's data directory, locked for this process.
+type dataDir struct {
+	path      string
+	lock      *os.File
+	snapshots *raft.FileSnapshotStore
+	identity  identity
+}
+
+// identity says which node a data directory belongs to and how often that has started with
+// it. It is stored by the field names in its tags.
+type identity struct {
+	Version uint8  `cbor:"V"`
+	Node    string `cbor:"Keeper"`
+	Starts  uint64
+}
+
+const (
+	identityFile    = "keeper"
+	identityVersion = 1
+)
+
+// ErrDataDir says that a data directory can't be used by this node.
+var ErrDataDir = errors.New("the fleet's folder can't be used")
+
+// openDir locks the data directory. It fails for the directory of another node or version,
+// and for one in use.
+func (k *Node) openDir() (*dataDir, error) {
+	path := k.settings.Folder
+	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrDataDir, err)
+	}
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lock.Close()
+		return nil, fmt.Errorf("%w: another process uses %s", ErrDataDir, path)
+	}
+	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: k.settings.Name}}
+	text, err := os.ReadFile(filepath.Join(path, identityFile))
+	switch {
+	case errors.Is(err, os.ErrNotExist):
+		if _, err := os.Stat(filepath.Join(path, "log.db")); err == nil {
+			lock.Close()
+			return nil, fmt.Errorf("%w: %s has a log, and no mark of whose it is", ErrDataDir, path)
+		}
+		return f, nil
+	case err == nil:
+		err = codec.Decode(text, &f.identity)
+	}
+	switch {
+	case err != nil:
+		err = fmt.Errorf("%w: its mark can't be read: %w", ErrDataDir, err)
+	case f.identity.Version != identityVersion:
+		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, f.identity.Version, identityVersion)
+	case f.identity.Node != k.settings.Name:
+		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Node, k.settings.Name)
+	default:
+		return f, nil
+	}
+	lock.Close()
+	return nil, err
+}
+
+// countStart atomically stores one more start in the identity file.
+func (f *dataDir) countStart() error {
+	f.identity.Starts++
+	text, err := codec.Encode(f.identity)
+	if err != nil {
+		return err
+	}
+	temp, err := os.CreateTemp(f.path, "new-*")
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrDataDir, err)
+	}
+	defer os.Remove(temp.Name())
+	_, err = temp.Write(text)
+	err = errors.Join(err, temp.Sync(), temp.Close())
+	if err == nil {
+		err = os.Rename(temp.Name(), filepath.Join(f.path, identityFile))
+	}
+	if err == nil {
+		err = f.sync()
+	}
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrDataDir, err)
+	}
+	return nil
+}
+
+func (f *dataDir) sync() error {
+	d, err := os.Open(f.path)
+	if err != nil {
+		return err
+	}
+	return errors.Join(d.Sync(), d.Close())
+}
+
+// wipe removes everything but the lock.
+func (f *dataDir) wipe() error {
+	entries, err := os.ReadDir(f.path)
+	if err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if e.Name() != "lock" {
+			err = errors.Join(err, os.RemoveAll(filepath.Join(f.path, e.Name())))
+		}
+	}
+	f.identity.Starts = 0
+	return errors.Join(err, f.sync())
+}
+
+func sortedKeys[V any](m map[string]V) []string {
+	var names []string
+	for name := range m {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
