--- a/internal/dispatcher/scenario/scenario.go
+++ b/internal/dispatcher/scenario/scenario.go
@@ -1,18 +1,17 @@
-// Package scenario is the small language that this project's tests are
-// written in. A scenario has a step a line:
+// Package scenario is a small language for tests of protocols, and starts the program for
+// them. A script has a step a line:
 //
-//	actor send TEXT       writes TEXT, in which \r and \n stand for themselves
+//	actor send TEXT       writes TEXT, in which \r and \n are the control characters
 //	actor expect PATTERN  reads until a regular expression matches
-//	actor close           closes the actor's end
+//	actor close           closes the actor's connection
 //	actor wait            reads until the other side has closed its end
 //
-// An actor is opened by its first step: the part of its name before a dot
-// names the peer, what follows tells several of one peer apart. $name stands
-// for what a group (?P<name>...) of an earlier pattern matched, and
-// @name(a,b) for what a function of the test returns. A pattern whose group
-// (?P<again>...) has matched an answer that leaves the matter open: the actor
-// sends its last text again and expects the pattern anew. Steps wait for events,
-// never for time, but for the limit after which a test has failed.
+// The first step of an actor opens its connection: the part of its name before a dot is
+// the peer, the rest tells several connections to one peer apart. $name is what a group
+// (?P<name>...) of an earlier pattern matched, and @name(a,b) is what a function of the
+// test returns. If the group (?P<again>...) of a pattern matches, the answer leaves the
+// matter open: the actor sends its last text again and expects the pattern anew. Steps wait
+// for events, never for time, but for the limit after which a test has failed.
 package scenario
 
 import (
@@ -28,53 +27,59 @@
 	"github.com/stretchr/testify/require"
 )
 
-const limit = 20 * time.Second
+// stepTimeout is the time after which a step has failed.
+const stepTimeout = 20 * time.Second
 
-// Conn is an actor's end of a connection, or the like.
+// Conn is an actor's end of a connection, or of something that is used like one.
 type Conn interface {
 	io.ReadWriteCloser
 	SetReadDeadline(time.Time) error
 }
 
-// Peers is who may act: each peer with the way to open an end at it.
+// waiter is a Conn that is a process: to close it only asks it to end.
+type waiter interface{ Wait() error }
+
+// Peers are the peers of a script by name, each with the function that opens a connection.
 type Peers map[string]func() (Conn, error)
 
-// Functions are the functions that a scenario may call.
+// Functions are the functions that a script may call, by name.
 type Functions map[string]func(args ...string) string
 
+// actor is an open connection of a script.
 type actor struct {
-	end    Conn
-	unread []byte
+	conn   Conn
+	unread []byte // read, and not yet matched
 	sent   []byte // the text of its last send
 }
 
-// again is the group of a pattern by which an answer has the last text sent again.
+// again is the group of a pattern that lets the last text be sent again.
 const again = "again"
 
-type player struct {
-	cast   Peers
-	words  Functions
-	actors map[string]*actor
-	known  map[string]string
+// interpreter runs a script.
+type interpreter struct {
+	peers     Peers
+	functions Functions
+	actors    map[string]*actor
+	variables map[string]string // what groups of patterns matched
 }
 
-// RunScript runs a scenario and fails the test at the first step that fails.
-func RunScript(t testing.TB, cast Peers, words Functions, text string) {
+// RunScript runs a script and fails the test at the first step that fails.
+func RunScript(t testing.TB, peers Peers, functions Functions, script string) {
 	t.Helper()
-	p := &player{cast: cast, words: words, actors: make(map[string]*actor), known: make(map[string]string)}
+	p := &interpreter{peers: peers, functions: functions, actors: make(map[string]*actor), variables: make(map[string]string)}
 	defer func() {
 		for _, a := range p.actors {
-			a.end.Close()
+			_ = a.conn.Close() // the test is over
 		}
 	}()
-	for n, line := range strings.Split(text, "\n") {
+	for n, line := range strings.Split(script, "\n") {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
 			require.NoError(t, p.step(line), "line %d: %s", n+1, line)
 		}
 	}
 }
 
-func (p *player) step(line string) error {
+func (p *interpreter) step(line string) error {
 	name, rest, _ := strings.Cut(line, " ")
 	verb, text, _ := strings.Cut(strings.TrimSpace(rest), " ")
 	a, err := p.actor(name)
@@ -85,12 +90,12 @@
 	switch verb {
 	case "send":
 		a.sent = []byte(strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(p.expand(text, func(s string) string { return s })))
-		_, err = a.end.Write(a.sent)
+		_, err = a.conn.Write(a.sent)
 	case "expect":
 		err = p.expect(a, p.expand(text, regexp.QuoteMeta))
 	case "close":
-		err = a.end.Close()
-		if _, process := a.end.(interface{ Wait() error }); !process {
+		err = a.conn.Close()
+		if _, ok := a.conn.(waiter); !ok {
 			delete(p.actors, name)
 		}
 	case "wait":
@@ -101,46 +106,46 @@
 	return err
 }
 
-func (p *player) actor(name string) (*actor, error) {
+// actor returns an actor, whose connection is opened if it is new.
+func (p *interpreter) actor(name string) (*actor, error) {
 	if a := p.actors[name]; a != nil {
 		return a, nil
 	}
 	peer, _, _ := strings.Cut(name, ".")
-	open := p.cast[peer]
+	open := p.peers[peer]
 	if open == nil {
 		return nil, fmt.Errorf("no peer is called %q", peer)
 	}
-	end, err := open()
+	conn, err := open()
 	if err != nil {
 		return nil, fmt.Errorf("opening %s: %w", name, err)
 	}
-	a := &actor{end: end}
+	a := &actor{conn: conn}
 	p.actors[name] = a
 	return a, nil
 }
 
 var (
-	calls = regexp.MustCompile(`@(\w+)\(([^()]*)\)`)
-	names = regexp.MustCompile(`\$(\w+)`)
+	functionCall = regexp.MustCompile(`@(\w+)\(([^()]*)\)`)
+	variable     = regexp.MustCompile(`\$(\w+)`)
 )
 
-// expand puts in what stands for something else, names first, then calls from
-// the inside out. What is not known stays: in a pattern, a dollar may be an
-// anchor.
-func (p *player) expand(text string, quote func(string) string) string {
-	text = names.ReplaceAllStringFunc(text, func(mark string) string {
-		if v, ok := p.known[mark[1:]]; ok {
-			return quote(v)
+// expand replaces variables, and then function calls from the inside out. Names that are
+// not known stay: in a pattern, a dollar may be an anchor.
+func (p *interpreter) expand(text string, quote func(string) string) string {
+	text = variable.ReplaceAllStringFunc(text, func(match string) string {
+		if value, ok := p.variables[match[1:]]; ok {
+			return quote(value)
 		}
-		return mark
+		return match
 	})
 	for {
-		next := calls.ReplaceAllStringFunc(text, func(mark string) string {
-			m := calls.FindStringSubmatch(mark)
-			if word := p.words[m[1]]; word != nil {
-				return quote(word(strings.Split(m[2], ",")...))
+		next := functionCall.ReplaceAllStringFunc(text, func(match string) string {
+			groups := functionCall.FindStringSubmatch(match)
+			if function := p.functions[groups[1]]; function != nil {
+				return quote(function(strings.Split(groups[2], ",")...))
 			}
-			return mark
+			return match
 		})
 		if next == text {
 			return text
@@ -149,50 +154,63 @@
 	}
 }
 
-func (p *player) expect(a *actor, pattern string) error {
+// expect reads until a pattern matches, and sets the variables of its groups.
+func (p *interpreter) expect(a *actor, pattern string) error {
 	re, err := regexp.Compile("(?s)" + pattern)
 	if err != nil {
 		return err
 	}
-	a.end.SetReadDeadline(time.Now().Add(limit))
-	part := make([]byte, 64<<10)
+	if err := a.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
+		return err
+	}
+	buffer := make([]byte, 64<<10)
 	for {
 		if m := re.FindSubmatchIndex(a.unread); m != nil {
-			open := false
-			for i, name := range re.SubexpNames() {
-				switch {
-				case name == "" || m[2*i] < 0:
-				case name == again:
-					open = true
-				default:
-					p.known[name] = string(a.unread[m[2*i]:m[2*i+1]])
-				}
-			}
+			open := p.capture(re, m, a.unread)
 			a.unread = a.unread[m[1]:]
 			if !open {
 				return nil
 			}
-			if _, err := a.end.Write(a.sent); err != nil {
+			if _, err := a.conn.Write(a.sent); err != nil {
 				return err
 			}
 			continue
 		}
-		n, err := a.end.Read(part)
-		a.unread = append(a.unread, part[:n]...)
+		n, err := a.conn.Read(buffer)
+		a.unread = append(a.unread, buffer[:n]...)
 		if err != nil && n == 0 {
 			return fmt.Errorf("%w after %q", err, a.unread)
 		}
 	}
 }
 
-// wait reads until the other side ends. Of a process it also takes the exit.
+// capture sets the variables of the groups of a match, and reports whether the group
+// "again" is one of them.
+func (p *interpreter) capture(re *regexp.Regexp, match []int, text []byte) (open bool) {
+	for i, name := range re.SubexpNames() {
+		begin, end := match[2*i], match[2*i+1]
+		switch {
+		case name == "" || begin < 0:
+		case name == again:
+			open = true
+		default:
+			p.variables[name] = string(text[begin:end])
+		}
+	}
+	return open
+}
+
+// wait reads until the other side has closed its end. For a process it also waits for its
+// exit, which must be in order.
 func (a *actor) wait() error {
-	a.end.SetReadDeadline(time.Now().Add(limit))
-	rest, err := io.ReadAll(a.end)
+	if err := a.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
+		return err
+	}
+	rest, err := io.ReadAll(a.conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return fmt.Errorf("still open after %q", rest)
 	}
-	if process, ok := a.end.(interface{ Wait() error }); ok {
+	if process, ok := a.conn.(waiter); ok {
 		if err := process.Wait(); err != nil {
 			return fmt.Errorf("%w after %s", err, rest)
 		}
