--- a/internal/dispatcher/accounting/accounting_test.go
+++ b/internal/dispatcher/accounting/accounting_test.go
@@ -19,6 +19,8 @@
 
 // TestSums drives a ledger with random events: after each of them every sum
 // holds, and the ledger agrees with a table of open jobs that the test keeps.
+//
+//nolint:funlen // one property, whose events are each a few lines
 func TestSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(small()), start
--- a/internal/dispatcher/discovery/follower_test.go
+++ b/internal/dispatcher/discovery/follower_test.go
@@ -115,8 +115,8 @@
 		again <- err
 	}()
 	select {
-	case <-again:
-		t.Fatal("the module's word begins a second watch")
+	case err := <-again:
+		t.Fatal("the policy's word begins a second watch", err)
 	case <-time.After(200 * time.Millisecond):
 	}
 	f.Watch(false)
@@ -137,7 +137,7 @@
 
 // resetting is an end whose close resets the connection.
 func resetting(c *net.TCPConn) scenario.Conn {
-	c.SetLinger(0)
+	_ = c.SetLinger(0)
 	return c
 }
 
@@ -205,7 +205,7 @@
 // and then comes back at its address. It is found within the pace's time.
 func TestRefusedUntilItIsBack(t *testing.T) {
 	t.Parallel()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
@@ -214,9 +214,9 @@
 	f.Restore(settings.List{Generation: 7, Whole: true})
 	f.Watch(true)
 	require.Eventually(t, func() bool { return len(h.told()) > 4 }, 20*time.Second, time.Millisecond)
-	l, err = net.Listen("tcp", addr)
+	l, err = new(net.ListenConfig).Listen(t.Context(), "tcp", addr)
 	require.NoError(t, err)
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	back := time.Now()
 	scenario.RunScript(t, scenario.Peers{"discovery": func() (scenario.Conn, error) { return l.Accept() }}, nil, `
 		discovery expect ^GET /registry/instances\?index=7&wait=1 HTTP/1.1\r\n
@@ -232,7 +232,7 @@
 	t.Parallel()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
-	defer syscall.Close(fd)
+	defer func() { _ = syscall.Close(fd) }()
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(t, syscall.Listen(fd, 0))
 	at, err := syscall.Getsockname(fd)
@@ -240,11 +240,11 @@
 	port := at.(*syscall.SockaddrInet4).Port
 	addr := fmt.Sprintf("127.0.0.1:%d", port)
 	for { // until its queue is full: then the system answers no more
-		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
+		c, err := (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext(t.Context(), "tcp", addr)
 		if err != nil {
 			break
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	pace := LocalAgentSchedule()
 	pace.MaxBackoff = pace.MinBackoff
--- a/internal/dispatcher/engine/ledger_test.go
+++ b/internal/dispatcher/engine/ledger_test.go
@@ -70,6 +70,8 @@
 
 // TestLedger drives the engine by hand, without its goroutine: what may happen
 // at most once does, whoever tries to make it happen again.
+//
+//nolint:funlen // a table of cases, each a few lines
 func TestLedger(t *testing.T) {
 	begin := func() (*Engine, *tape, *Transaction) {
 		p := &tape{t: t}
--- a/internal/dispatcher/httpfront/bodymemory_test.go
+++ b/internal/dispatcher/httpfront/bodymemory_test.go
@@ -64,12 +64,12 @@
 // back, and its connection serves on. A callback is not answered, so that its member
 // repeats it, and is let in once there is room.
 func TestNoRoom(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := New(hears{}, nil, logrus.New())
 	s.SetBodyMemory(64 << 10)
-	go s.Serve(l, 10)
-	defer s.server.Close()
+	go func() { _ = s.Serve(l, 10) }()
+	defer func() { _ = s.server.Close() }()
 	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{
 		"fill": func(...string) string {
 			require.True(t, s.jobBodies.reserve(64<<10))
--- a/internal/dispatcher/httpfront/client_test.go
+++ b/internal/dispatcher/httpfront/client_test.go
@@ -11,6 +11,8 @@
 
 // TestClientsEnd: nothing begins for a client that has gone, whatever it sent before,
 // and what is out for it is called off. The marker is the next that the member hears.
+//
+//nolint:funlen // a table of cases, each a few lines
 func TestClientsEnd(t *testing.T) {
 	const marker = `
 			client.marker send @job(group-ticket,marker,20)
@@ -130,7 +132,7 @@
 				if err != nil {
 					return nil, err
 				}
-				t.Cleanup(func() { end.Close() })
+				t.Cleanup(func() { _ = end.Close() })
 				return half{end.(*net.TCPConn)}, nil
 			}
 			scenario.RunScript(t, cast, words, script)
--- a/internal/dispatcher/httpfront/golden_test.go
+++ b/internal/dispatcher/httpfront/golden_test.go
@@ -44,7 +44,7 @@
 	if !a.ClientDeadline.IsZero() {
 		budget = a.ClientDeadline.Sub(arrived)
 	}
-	fmt.Fprintf(h.told, "  taken in: id %q class %q tenant %q target %q front %q key %q body %q retry %t subject %q budget %s cost %s slots %g memory %g\n",
+	_, _ = fmt.Fprintf(h.told, "  taken in: id %q class %q tenant %q target %q front %q key %q body %q retry %t subject %q budget %s cost %s slots %g memory %g\n",
 		a.ID, a.Class, a.Tenant, a.Target, a.Front, a.Key, a.Body, a.Retry, a.AffinityKey, budget, a.Hint, a.Slots, a.Memory)
 	switch a.Class {
 	case "nothing":
@@ -65,7 +65,7 @@
 func (h *answering) ClientLeft(*engine.Transaction) {}
 
 func (h *answering) HandleJobUpdate(n engine.JobUpdate) bool {
-	fmt.Fprintf(h.told, "  news: id %q member %q started %t running %t share %g ended %t status %d result %q\n", n.ID, n.Member, n.Started, n.Running, n.Progress, n.Ended, n.Status, n.Result)
+	_, _ = fmt.Fprintf(h.told, "  news: id %q member %q started %t running %t share %g ended %t status %d result %q\n", n.ID, n.Member, n.Started, n.Running, n.Progress, n.Ended, n.Status, n.Result)
 	return true
 }
 func (h *answering) Ready() bool { return h.ready }
@@ -97,27 +97,27 @@
 	for _, ready := range []bool{true, false} {
 		h := &answering{ready: ready, told: &b}
 		s := New(h, h, log)
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		served := make(chan error, 1)
 		go func() { served <- s.Serve(l, 10) }()
-		fmt.Fprintf(&b, "ready %t\n", ready)
+		_, _ = fmt.Fprintf(&b, "ready %t\n", ready)
 		for _, call := range clientsCalls {
 			parts := strings.SplitN(call, " | ", 3)
-			fmt.Fprintln(&b, call)
-			fmt.Fprintf(&b, "%q\n", ask(t, l.Addr().String(), parts[0], strings.TrimSpace(parts[1]), parts[len(parts)-1]))
+			_, _ = fmt.Fprintln(&b, call)
+			_, _ = fmt.Fprintf(&b, "%q\n", ask(t, l.Addr().String(), parts[0], strings.TrimSpace(parts[1]), parts[len(parts)-1]))
 		}
-		s.server.Close()
-		<-served
+		_ = s.server.Close()
+		require.NoError(t, <-served)
 	}
 	goldentest.Equal(t, filepath.Join("testdata", "golden", "answers.txt"), []byte(b.text.String()))
 }
 
 // ask sends one request on a connection of its own and returns the whole answer.
 func ask(t *testing.T, addr, line, headers, body string) string {
-	conn, err := net.Dial("tcp", addr)
+	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", addr)
 	require.NoError(t, err)
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	require.NoError(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
 	request := line + " HTTP/1.1\r\nHost: app\r\nConnection: close\r\n"
 	for header := range strings.SplitSeq(headers, ", ") {
--- a/internal/dispatcher/httpfront/jobupdate_test.go
+++ b/internal/dispatcher/httpfront/jobupdate_test.go
@@ -35,7 +35,7 @@
 // is none.
 func TestSubject(t *testing.T) {
 	for query, want := range map[string]string{"?sid=7f3a": "7f3a", "?a=1&sid=a%20b": "a b", "": "", "?sid=": "", "?sid=%zz": ""} {
-		r := httptest.NewRequest(http.MethodPost, "/hold"+query, nil)
+		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/hold"+query, nil)
 		r.Header.Set("X-Call-Id", "1")
 		a, err := readSubmission(r, time.Now(), nil)
 		require.NoError(t, err, query)
--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/joined_test.go
@@ -27,7 +27,7 @@
 	_, err = far.Write([]byte("bcd"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		victim, _ := l.look(time.Minute)
+		victim, _ := l.look()
 		require.Nil(t, victim)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 	require.Equal(t, "abcd", got)
 	require.False(t, waits(c)())
-	victim, _ := l.look(time.Minute)
+	victim, _ := l.look()
 	require.Same(t, c, victim)
 	require.NoError(t, c.Close())
 	require.Zero(t, l.readAheadBytes)
--- a/internal/dispatcher/httpfront/listener_test.go
+++ b/internal/dispatcher/httpfront/listener_test.go
@@ -49,11 +49,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			s := New(nil, nil, logrus.New())
-			go s.Serve(l, 2)
-			defer s.server.Close()
+			go func() { _ = s.Serve(l, 2) }()
+			defer func() { _ = s.server.Close() }()
 			began := time.Now()
 			scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{
 				"idle": func(n ...string) string { // an answer comes before its connection is idle
@@ -79,7 +79,7 @@
 	l, now := newLimitedListener(nil, 6), time.Now()
 	enter := func(age time.Duration, heard, used bool, to *list.List) *limitedConn {
 		near, far := net.Pipe()
-		t.Cleanup(func() { far.Close() })
+		t.Cleanup(func() { _ = far.Close() })
 		c := &limitedConn{Conn: near, listener: l, since: now.Add(-age)}
 		l.tryAdd(c)
 		c.sentBytes, c.carriedWork = heard, used
@@ -99,7 +99,7 @@
 			require.Equal(t, now.Add(freshGrace), until)
 			continue
 		}
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -107,7 +107,7 @@
 // is not served, since its client sends it again elsewhere.
 func TestClosedMeanwhile(t *testing.T) {
 	near, far := net.Pipe()
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	l := newLimitedListener(nil, 1)
 	c := &limitedConn{Conn: near, listener: l, since: time.Now().Add(-partialRequestGrace)}
 	require.True(t, l.tryAdd(c).IsZero())
@@ -118,7 +118,7 @@
 	require.True(t, l.tryAdd(next).IsZero())
 	require.False(t, c.serve(true))
 	require.Equal(t, 1, l.open)
-	c.Close()
+	_ = c.Close()
 	require.Equal(t, 1, l.open, "a place is given back once")
 }
 
@@ -126,12 +126,12 @@
 // starts the time for the rest, as any other first byte does.
 func TestEarlyByte(t *testing.T) {
 	near, far := net.Pipe()
-	defer near.Close()
+	defer func() { _ = near.Close() }()
 	l := newLimitedListener(nil, 2)
 	c := &limitedConn{Conn: far, listener: l, since: time.Now()}
 	l.tryAdd(c)
 	require.True(t, c.serve(false))
-	go near.Write([]byte("G"))
+	go func() { _, _ = near.Write([]byte("G")) }()
 	n, err := c.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
--- a/internal/dispatcher/httpfront/program_test.go
+++ b/internal/dispatcher/httpfront/program_test.go
@@ -29,6 +29,7 @@
 	},
 }
 
+//nolint:funlen // a table of cases, each a few lines
 func TestProgram(t *testing.T) {
 	for name, c := range map[string]struct {
 		members int
--- a/internal/dispatcher/httpfront/readahead_test.go
+++ b/internal/dispatcher/httpfront/readahead_test.go
@@ -13,7 +13,7 @@
 // for the client's leaving with a read of one byte.
 func served(t *testing.T) (c *limitedConn, far net.Conn, left chan bool) {
 	near, far := net.Pipe()
-	t.Cleanup(func() { near.Close(); far.Close() })
+	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
 	l := newLimitedListener(nil, 2)
 	c, left = &limitedConn{Conn: near, listener: l, since: time.Now()}, make(chan bool, 9)
 	l.tryAdd(c)
@@ -29,9 +29,9 @@
 	sent := "POST /x HTTP/1.1\r\n"
 	go func() {
 		for _, b := range []byte(sent) {
-			far.Write([]byte{b})
+			_, _ = far.Write([]byte{b})
 		}
-		far.Close()
+		_ = far.Close()
 	}()
 	first := make([]byte, 1)
 	n, err := c.Read(first)
@@ -49,7 +49,7 @@
 // TestReadAheadStops: what comes after net/http reads again is read there.
 func TestReadAheadStops(t *testing.T) {
 	c, far, left := served(t)
-	go far.Write([]byte("abc"))
+	go func() { _, _ = far.Write([]byte("abc")) }()
 	b := make([]byte, 1)
 	_, err := c.Read(b)
 	require.NoError(t, err)
@@ -61,7 +61,7 @@
 		require.NoError(t, err)
 		got += string(part[:n])
 	}
-	go far.Write([]byte("def"))
+	go func() { _, _ = far.Write([]byte("def")) }()
 	for len(got) < 6 {
 		n, err := c.Read(part)
 		require.NoError(t, err)
@@ -76,13 +76,13 @@
 // its leaving is noticed all the same, and its connection ends.
 func TestReadAheadIsBounded(t *testing.T) {
 	c, far, left := served(t)
-	go c.Read(make([]byte, 1))
+	go func() { _, _ = c.Read(make([]byte, 1)) }()
 	_, err := far.Write(make([]byte, maxReadAhead+2))
 	require.NoError(t, err)
 	_, err = far.Write(make([]byte, maxReadAhead))
 	require.NoError(t, err)
 	require.Empty(t, left)
-	far.Close()
+	_ = far.Close()
 	<-left
 	c.watchClient(nil)
 	require.Empty(t, c.unread)
@@ -94,7 +94,7 @@
 // as it is read or its connection ends.
 func TestReadAheadOfAll(t *testing.T) {
 	c, far, _ := served(t)
-	go c.Read(make([]byte, 1))
+	go func() { _, _ = c.Read(make([]byte, 1)) }()
 	_, err := far.Write(make([]byte, 11))
 	require.NoError(t, err)
 	_, err = far.Write([]byte("x")) // taken once what came before is kept
@@ -116,7 +116,7 @@
 	c.listener.tryAdd(other)
 	require.True(t, other.addReadAhead([]byte("12345678"), nil))
 	require.Equal(t, maxTotalReadAhead, c.listener.readAheadBytes)
-	other.Close()
+	_ = other.Close()
 	require.Equal(t, maxTotalReadAhead-8, c.listener.readAheadBytes)
 }
 
@@ -125,7 +125,7 @@
 func TestServedIsNotClosed(t *testing.T) {
 	c, far, _ := served(t)
 	require.NoError(t, c.Close())
-	go c.Write([]byte("answer"))
+	go func() { _, _ = c.Write([]byte("answer")) }()
 	b := make([]byte, 6)
 	_, err := io.ReadFull(far, b)
 	require.NoError(t, err)
--- a/internal/dispatcher/httpfront/shutdown_test.go
+++ b/internal/dispatcher/httpfront/shutdown_test.go
@@ -56,6 +56,8 @@
 // come on it either has not read them, or answers what they make whole. Each script
 // has one moment of its own: with @held() the reader has what came before, or knows
 // that it may read no more, and goes on with @go().
+//
+//nolint:funlen,gocognit // a table of cases, each a few lines
 func TestEndOfConnections(t *testing.T) {
 	const job = `POST /work HTTP/1.1\r\nHost: app\r\nX-Call-Id: j-1\r\nContent-Length: 4\r\n\r\n`
 	for name, c := range map[string]struct{ at, script string }{
@@ -117,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			held, on, reads := make(chan string, 1), make(chan bool), make(chan string, 100)
 			var stopped atomic.Bool
@@ -132,11 +134,11 @@
 					<-on
 				}
 			}
-			go s.Serve(brink{l, hold}, 8)
-			defer s.server.Close()
+			go func() { _ = s.Serve(brink{l, hold}, 8) }()
+			defer func() { _ = s.server.Close() }()
 			var client net.Conn
 			cast := scenario.Peers{"c": func() (scenario.Conn, error) {
-				c, err := net.Dial("tcp", l.Addr().String())
+				c, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 				client = c
 				return c, err
 			}}
--- a/internal/dispatcher/httpfront/small_test.go
+++ b/internal/dispatcher/httpfront/small_test.go
@@ -46,11 +46,11 @@
 		select {
 		case <-back:
 		default:
-			c.Close()
+			_ = c.Close()
 			continue
 		}
 		go func() {
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			in := bufio.NewReader(c)
 			for {
 				r, err := http.ReadRequest(in)
@@ -59,10 +59,10 @@
 				}
 				if r.URL.Query().Get("index") == "50" {
 					once.Do(func() { close(heard) })
-					in.ReadByte() // nothing new: until the call is given up
+					_, _ = in.ReadByte() // nothing new: until the call is given up
 					return
 				}
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list()), list())
+				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list()), list())
 			}
 		}()
 	}
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -15,28 +15,28 @@
 // arrive is a connection that l has let in, and its client's end.
 func arrive(t *testing.T, l *limitedListener) (*limitedConn, net.Conn) {
 	t.Helper()
-	far, err := net.Dial("tcp", l.Addr().String())
+	far, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	require.NoError(t, err)
-	t.Cleanup(func() { far.Close() })
+	t.Cleanup(func() { _ = far.Close() })
 	near, err := l.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { near.Close() })
+	t.Cleanup(func() { _ = near.Close() })
 	return near.(*limitedConn), far
 }
 
 func listening(t *testing.T, most int) *limitedListener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return newLimitedListener(l, most)
 }
 
-// look is a look for a victim as Accept does it, so much later.
-func (l *limitedListener) look(later time.Duration) (c *limitedConn, in time.Duration) {
+// look is a look for a victim as Accept does it, a minute later.
+func (l *limitedListener) look() (c *limitedConn, in time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := time.Now().Add(later)
+	now := time.Now().Add(time.Minute)
 	c, until := l.victim(now)
 	return c, until.Sub(now)
 }
@@ -70,11 +70,11 @@
 			if name != "new" { // where it has not come yet, the connection may be closed
 				require.Eventually(t, waits(asks), 10*time.Second, time.Millisecond)
 			}
-			require.Eventually(t, func() bool { _, in := l.look(time.Minute); return in == evictionRetry }, 10*time.Second, time.Millisecond)
-			victim, _ := l.look(time.Minute)
+			require.Eventually(t, func() bool { _, in := l.look(); return in == evictionRetry }, 10*time.Second, time.Millisecond)
+			victim, _ := l.look()
 			require.Nil(t, victim)
 			silent, _ := arrive(t, l)
-			victim, _ = l.look(time.Minute)
+			victim, _ = l.look()
 			require.Same(t, silent, victim)
 			b := make([]byte, 16)
 			var got []byte
@@ -107,7 +107,7 @@
 	<-begun
 	time.Sleep(20 * time.Millisecond) // the Read waits by then, as a rule; the test holds if not
 	l.mu.Lock()
-	far.Write([]byte("POST"))
+	_, _ = far.Write([]byte("POST"))
 	time.Sleep(20 * time.Millisecond) // a Read that goes by no lock has the byte by then
 	require.Same(t, &l.idleUsed, c.class)
 	require.Eventually(t, c.hasUnread, 10*time.Second, time.Millisecond)
@@ -131,7 +131,7 @@
 	l.mu.Lock()
 	go func() { closed <- c.Close() }()
 	time.Sleep(20 * time.Millisecond)
-	far.Write([]byte("POST"))
+	_, _ = far.Write([]byte("POST"))
 	time.Sleep(20 * time.Millisecond)
 	l.mu.Unlock()
 	select {
@@ -170,14 +170,14 @@
 // with it its place, which nobody else could have had: it passes for served.
 func TestUntaken(t *testing.T) {
 	t.Parallel()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := New(nil, nil, logrus.New())
-	go s.Serve(l, 1)
-	defer s.server.Close()
-	c, err := net.Dial("tcp", l.Addr().String())
+	go func() { _ = s.Serve(l, 1) }()
+	defer func() { _ = s.server.Close() }()
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	require.NoError(t, err)
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	asks := bytes.Repeat([]byte("GET /health/live HTTP/1.1\r\nHost: app\r\n\r\n"), 1000)
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(30*time.Second)))
 	for err == nil {
@@ -193,9 +193,9 @@
 	l := listening(t, 1)
 	served, _ := arrive(t, l)
 	require.True(t, served.serve(true))
-	far, err := net.Dial("tcp", l.Addr().String())
+	far, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	require.NoError(t, err)
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	_, err = far.Write([]byte("POST"))
 	require.NoError(t, err)
 	taken := make(chan struct{})
@@ -206,7 +206,7 @@
 		got <- c
 	}()
 	<-taken
-	l.Close()
+	_ = l.Close()
 	c := <-got
 	require.NotNil(t, c)
 	b := make([]byte, 4)
@@ -214,7 +214,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "POST", string(b[:n]))
 	require.Equal(t, 2, l.openConns())
-	c.Close()
+	_ = c.Close()
 	require.Equal(t, 1, l.openConns())
 }
 
--- a/internal/dispatcher/policy/affinity_test.go
+++ b/internal/dispatcher/policy/affinity_test.go
@@ -93,6 +93,8 @@
 // TestHomesPass: the next in a subject's order takes the place of a home that drains,
 // was started a moment ago, or is silent; where those of another zone are silent in
 // a row, that zone is taken for cut off until one of it is heard of.
+//
+//nolint:funlen // one property, whose steps follow on one another
 func TestHomesPass(t *testing.T) {
 	now := time.Minute
 	begin := func() (*Dispatcher, *ended, []*worker) {
--- a/internal/dispatcher/policy/coldstart_test.go
+++ b/internal/dispatcher/policy/coldstart_test.go
@@ -104,6 +104,8 @@
 }
 
 // play plays the ramp of one cold member and looks at all windows that end with a send to it.
+//
+//nolint:funlen,gocognit // a simulation whose steps share their state
 func (c coldRun) play(t *testing.T) (f coldFigures) {
 	type load struct {
 		at, work float64
--- a/internal/dispatcher/policy/scale_test.go
+++ b/internal/dispatcher/policy/scale_test.go
@@ -15,6 +15,8 @@
 // TestColdWorkerUnderHundredsOfDispatchers plays several hundred dispatchers beside each other against one
 // cold worker, with uneven traffic and lists up to four seconds late, and checks the cold rule's budget of
 // all together over every window.
+//
+//nolint:funlen // a simulation whose steps share their state
 func TestColdWorkerUnderHundredsOfDispatchers(t *testing.T) {
 	const n = 300
 	start := time.Minute
@@ -387,6 +389,8 @@
 // TestColdBudgetOfAllTogether plays 300 dispatchers that are all told of one cold worker, whose jobs have no other
 // place to go, over several mixes of classes. Whatever they send in any window of the rule stays under
 // N + 2 x root of N + 2 requests of mean work, N being what the settings let the worker have then.
+//
+//nolint:funlen,gocognit // a simulation whose steps share their state
 func TestColdBudgetOfAllTogether(t *testing.T) {
 	for name, mix := range map[string]struct {
 		wide   float64 // the share of jobs that are tickets, of 3.2 s and 1, 2 or 4 slots
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -51,6 +51,8 @@
 // TestSampledSearch holds the sampled search to the plain one after every event of
 // random ones: it finds a worker exactly if the plain one does, one that the job
 // fits, and the very best where no more fit than are weighed.
+//
+//nolint:funlen,gocognit // a simulation whose steps share their state
 func TestSampledSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &searched{}
@@ -165,7 +167,7 @@
 
 // whole plays jobs to a dispatcher with a list of 10,000 for a while and returns
 // how many were sent to each worker.
-func whole(_ *testing.T, d *Dispatcher, h *searched, now *time.Duration, jobs int, name string) map[uint32]int {
+func whole(d *Dispatcher, h *searched, now *time.Duration, jobs int, name string) map[uint32]int {
 	sent := make(map[uint32]int)
 	for n := range jobs {
 		*now += 100 * time.Microsecond
@@ -206,23 +208,23 @@
 		return all
 	}
 	d.HandleMembers(now, ListSnapshot, list(1, Ready, 0))
-	require.NotEmpty(t, whole(t, d, h, &now, 2000, "a"))
+	require.NotEmpty(t, whole(d, h, &now, 2000, "a"))
 
 	d.HandleMembers(now, ListSnapshot, list(1+n, Ready, 0)) // all others
 	h.out = nil
-	for w := range whole(t, d, h, &now, 2000, "b") {
+	for w := range whole(d, h, &now, 2000, "b") {
 		require.Greater(t, w, uint32(n))
 	}
 
 	d.HandleMembers(now, ListSnapshot, list(1+n, Draining, 0))
 	h.out = nil
-	require.Empty(t, whole(t, d, h, &now, 500, "c"), "nothing goes to those that drain")
+	require.Empty(t, whole(d, h, &now, 500, "c"), "nothing goes to those that drain")
 
 	now += 6 * time.Second
 	d.HandleTimer(now, tickToken)
 	d.HandleMembers(now, ListSnapshot, list(1+n, Ready, now)) // all come back, all cold
 	h.out = nil
-	for w, jobs := range whole(t, d, h, &now, 2000, "d") {
+	for w, jobs := range whole(d, h, &now, 2000, "d") {
 		require.LessOrEqual(t, jobs, 4, "cold worker %d", w)
 	}
 	require.Less(t, len(d.vacant.All()), n+1)
--- a/internal/dispatcher/policy/settings.go
+++ b/internal/dispatcher/policy/settings.go
@@ -60,8 +60,7 @@
 	return s == DedupAll || a.Zone == b.Zone && (s == DedupZone || a.Cell == b.Cell)
 }
 
-// Class describes one class of requests. Its fields keep the names that the digest of a plan
-// (fleet/plan) is made of.
+// Class describes one class of requests.
 type Class struct {
 	Name    string
 	Effect  Effect
--- a/internal/dispatcher/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -42,9 +42,9 @@
 		"asked back while a dial is under way":      {func(_ *leaver, carrier *Transport, f *engine.Flow) { carrier.Recall(f) }, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			defer l.Close()
+			defer func() { _ = l.Close() }()
 			ends, client := make(tells, 1), &leaver{}
 			carrier := New(ends, Options{ConnectTimeout: time.Minute, MaxSubmissions: 1})
 			wire := carrier.roundTripper.(*http.Transport)
@@ -64,7 +64,7 @@
 			close(up)
 			member, err := l.Accept()
 			require.NoError(t, err)
-			defer member.Close()
+			defer func() { _ = member.Close() }()
 			require.NoError(t, member.SetDeadline(time.Now().Add(20*time.Second)))
 			got, err := io.ReadAll(member)
 			require.NoError(t, err)
--- a/internal/dispatcher/poolmember/poolmember_test.go
+++ b/internal/dispatcher/poolmember/poolmember_test.go
@@ -34,15 +34,15 @@
 }
 
 func (d *driver) EndFlow(f *engine.Flow, s policy.Status, _ []byte) {
-	fmt.Fprintf(d.Conn, "%s %d\n", f.Transaction.ID, s)
+	_, _ = fmt.Fprintf(d.Conn, "%s %d\n", f.Transaction.ID, s)
 }
 
 func (d *driver) EndFlowWithLoad(f *engine.Flow, s policy.Status, load policy.Report) {
-	fmt.Fprintf(d.Conn, "%s %d%s\n", f.Transaction.ID, s, told(load))
+	_, _ = fmt.Fprintf(d.Conn, "%s %d%s\n", f.Transaction.ID, s, told(load))
 }
 
 func (d *driver) EndProbe(_ *engine.Member, s policy.Status, r policy.Report, _ time.Time) {
-	fmt.Fprintf(d.Conn, "probe %d%s\n", s, told(r))
+	_, _ = fmt.Fprintf(d.Conn, "probe %d%s\n", s, told(r))
 }
 
 // told is what a report holds of free slots and memory, for a scenario to read.
@@ -110,6 +110,8 @@
 
 // TestOutcomes: whether a broken attempt may have run decides whether a ticket
 // may be sent again, so each way to break must be told right.
+//
+//nolint:funlen // a table of cases, each a few lines
 func TestOutcomes(t *testing.T) {
 	const empty = `\r\nContent-Length: 0\r\n\r\n`
 	for name, script := range map[string]string{
@@ -293,7 +295,7 @@
 	to := &pieces{}
 	c := &conn{Conn: to, lastByteDelay: time.Hour, closed: make(chan struct{})}
 	c.setBodySize(2)
-	c.Close()
+	_ = c.Close()
 	n, err := c.Write([]byte("POST /x HTTP/1.1\r\n\r\nbb"))
 	require.ErrorIs(t, err, net.ErrClosed)
 	require.Equal(t, len(to.got), n)
@@ -359,6 +361,8 @@
 
 // TestAnswers: an answer counts by its header, whatever becomes of the rest of it, and
 // what is no answer in so many bytes counts as a break of the connection.
+//
+//nolint:funlen // a table of cases, each a few lines
 func TestAnswers(t *testing.T) {
 	words := scenario.Functions{"much": func(a ...string) string { return strings.Repeat(a[0], maxReplyBytes/len(a[0])+8<<10) }}
 	for name, script := range map[string]string{
@@ -516,7 +520,7 @@
 func refusing(t *testing.T) (addr string) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() { _ = syscall.Close(fd) })
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	name, err := syscall.Getsockname(fd)
 	require.NoError(t, err)
@@ -530,13 +534,13 @@
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	require.NoError(t, syscall.Listen(fd, 0))
 	file := os.NewFile(uintptr(fd), "crowded")
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	l, err := net.FileListener(file)
 	require.NoError(t, err)
-	t.Cleanup(func() { l.Close() })
-	first, err := net.Dial("tcp", l.Addr().String())
+	t.Cleanup(func() { _ = l.Close() })
+	first, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	require.NoError(t, err)
-	t.Cleanup(func() { first.Close() })
+	t.Cleanup(func() { _ = first.Close() })
 	return l.Addr().String()
 }
 
@@ -556,7 +560,7 @@
 	figures := Options{ConnectTimeout: time.Minute, MaxSubmissions: 1}
 	flow, err := driveWith(addr, figures)()
 	require.NoError(t, err)
-	fmt.Fprint(flow, "t-1 4\n")
+	_, _ = fmt.Fprint(flow, "t-1 4\n")
 	require.Eventually(t, func() bool { return dials(t, addr) == 1 }, 10*time.Second, time.Millisecond)
 	scenario.RunScript(t, scenario.Peers{"flow": func() (scenario.Conn, error) { return flow, nil }}, nil, `
 		flow send recall t-1\n
@@ -569,7 +573,7 @@
 func TestHeldUpByteIsNotSent(t *testing.T) {
 	const text = "POST /x HTTP/1.1\r\n\r\nbb"
 	near, far := net.Pipe()
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	c := &conn{Conn: near, closed: make(chan struct{})}
 	c.setBodySize(2)
 	c.setLimits(time.Time{}, time.Now().Add(50*time.Millisecond))
--- a/internal/dispatcher/settings/experiment.go
+++ b/internal/dispatcher/settings/experiment.go
@@ -20,8 +20,8 @@
 	Members     []ExperimentMembers
 	Classes     []ExperimentClass // the rest of a class is in the settings
 	Net         time.Duration     // delay of the network, one way
-	NetCV       float64           // its coefficient of variation
-	ListLate    time.Duration     // how late lists arrive
+	NetCV       float64           // its jitter, as a share
+	ListLate    time.Duration     // mean delay of discovery
 	Retries     int               // of a client, after a refusal or where that is harmless
 	Backoff     time.Duration     // of clients before a retry
 	Clients     int               // in a closed loop; 0: requests arrive by the rates
--- a/internal/dispatcher/settings/reload_test.go
+++ b/internal/dispatcher/settings/reload_test.go
@@ -14,7 +14,7 @@
 // good one passes.
 func TestRetunable(t *testing.T) {
 	require.NoError(t, CheckReload([]byte(retuned)))
-	cut := func(old, new string) string { return strings.Replace(retuned, old, new, 1) }
+	cut := func(from, to string) string { return strings.Replace(retuned, from, to, 1) }
 	for name, text := range map[string]string{
 		"empty":                "",
 		"cut short":            retuned[:len(retuned)/2],
