--- a/internal/dispatcher/policy/affinity.go
+++ b/internal/dispatcher/policy/affinity.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Affinity: a worker may keep the data that the jobs of an affinity key need, and any other worker has
-// to fetch it first, which takes as long as a job. So jobs of one key go to the same few workers, its
-// homes, which are the same at all dispatchers without a message between them: rendezvous hashing
-// (Thaler and Ravishankar, 1998).
+// Affinity: a worker may keep the data that the jobs of an affinity key need, and any other worker
+// has to fetch it first, which takes as long as a job. So jobs of one key go to the same few
+// workers, its homes, which are the same at all dispatchers without a message between them:
+// rendezvous hashing (Thaler and Ravishankar, 1998).
 
 const (
 	// affinityWindow is the number of jobs that the shares of the keys are of; it is halved there.
@@ -33,7 +33,8 @@
 	tableVersion uint64    // of the table of workers that the order is of
 }
 
-// affinityOf counts a job for its affinity key, of which it keeps a hash alone; nil: the job has none.
+// affinityOf counts a job for its affinity key, of which it keeps a hash alone; nil: the job has
+// none.
 func (d *Dispatcher) affinityOf(r Request) *affinityStats {
 	if r.AffinityKey == "" {
 		return nil
@@ -57,9 +58,10 @@
 	return s
 }
 
-// homes returns the workers that are to serve a job's affinity key: as many as its share of the jobs
-// asks for, and with more set further ones, for where those have no room. The place of one that can't
-// be used is taken by the next in the key's order. The slice is good until the next call.
+// homes returns the workers that are to serve a job's affinity key: as many as its share of the
+// jobs asks for, and with more set further ones, for where those have no room. The place of one
+// that can't be used is taken by the next in the key's order. The slice is good until the next
+// call.
 func (d *Dispatcher) homes(j *job, more int) []*worker {
 	s := j.affinity
 	if s == nil {
@@ -74,7 +76,7 @@
 	for i := 0; i < len(s.ranked) && len(d.homeBuffer) < n; i++ {
 		w := s.ranked[i]
 		cut := w.Zone != d.Zone && d.unresponsive[w.Zone] >= unresponsiveZone
-		if w.State == Ready && !cut && d.compatible(j, w) && !d.cold(w) && !d.avoided(w, j) {
+		if w.State == Ready && !cut && d.compatible(j, w) && !d.warmingUp(w) && !d.avoided(w, j) {
 			d.homeBuffer = append(d.homeBuffer, w)
 		}
 	}
--- a/internal/dispatcher/policy/budget.go
+++ b/internal/dispatcher/policy/budget.go
@@ -16,8 +16,8 @@
 	budgetGrowth = 0.02
 	// unsharedGrowth is that share where no other dispatcher uses the worker, until the first cut.
 	unsharedGrowth = 0.5
-	// budgetCut is what remains of a budget after a rejection, a time-out or a slow answer.
-	budgetCut = 0.75
+	// budgetDecrease is what remains of a budget after a rejection, a time-out or a slow answer.
+	budgetDecrease = 0.75
 	// slowAnswer: an answer is slow after this many times the run time at the worker's pace.
 	slowAnswer = 2.0
 	// crowdedReportWait is how long a job waits for load reports, at least, where many dispatchers
@@ -48,16 +48,16 @@
 			fits = false
 		}
 	}
-	if d.cold(w) {
-		left := d.coldHeadroom(w, j)
+	if d.warmingUp(w) {
+		left := d.slowStartHeadroom(w, j)
 		inTurn := j.cost <= left && w.outstandingCost+j.cost <= max(w.budget, j.cost)
 		// A draw is better evidence of room than a report that many see.
-		if d.crowded && !d.onlyStartsShowRoom() {
-			return coldPriority + left/w.pace(), inTurn
+		if d.crowded && !d.onlyStartsShowCapacity() {
+			return slowStartPriority + left/w.pace(), inTurn
 		}
-		room, fits = min(room, left)/d.coldSlowdown(w), fits && inTurn
+		room, fits = min(room, left)/d.warmupSlowdown(w), fits && inTurn
 	}
-	if d.onlyStartsShowRoom() {
+	if d.onlyStartsShowCapacity() {
 		room = d.promptWeight(w, j) * (w.budget - w.outstandingCost)
 	}
 	return room / w.budget / w.pace(), fits
@@ -71,23 +71,23 @@
 
 // shrinkBudget shrinks a budget, at most once for all the jobs of one round trip.
 func (d *Dispatcher) shrinkBudget(w *worker, sentAt time.Duration) {
-	if sentAt >= w.budgetCutAt {
-		w.budget = admission.ShrunkBudget(w.budget, budgetCut, minBudget*d.meanCost)
-		w.budgetCutAt = d.now
+	if sentAt >= w.budgetShrunkAt {
+		w.budget = admission.ShrunkBudget(w.budget, budgetDecrease, minBudget*d.meanCost)
+		w.budgetShrunkAt = d.now
 		d.reindex(w)
 	}
 }
 
-// growBudget grows a budget that has held jobs back, by a share of a served job's cost: slowly, also
-// where starts are told, since too large a budget fills the worker's queue.
+// growBudget grows a budget that has held jobs back, by a share of a served job's cost: slowly,
+// also where starts are told, since too large a budget fills the worker's queue.
 func (d *Dispatcher) growBudget(w *worker, cost float64) {
-	if w.budget += budgetGrowth * cost; w.budgetCutAt == 0 && d.Instances == 1 {
+	if w.budget += budgetGrowth * cost; w.budgetShrunkAt == 0 && d.Instances == 1 {
 		w.budget += (unsharedGrowth - budgetGrowth) * cost
 	}
 	w.budgetLimited = false
 	d.reindex(w)
 }
 
-// onlyStartsShowRoom tells whether only the starts of own jobs show which worker has room: many
+// onlyStartsShowCapacity reports whether only the starts of own jobs show which worker has room: many
 // dispatchers share the workers, and no report tells free slots.
-func (d *Dispatcher) onlyStartsShowRoom() bool { return d.thronged() && !d.probesTellSlots }
+func (d *Dispatcher) onlyStartsShowCapacity() bool { return d.thronged() && !d.probesTellSlots }
--- a/internal/dispatcher/policy/deadline.go
+++ b/internal/dispatcher/policy/deadline.go
@@ -35,7 +35,7 @@
 	return lost
 }
 
-// hopeless tells that a job would be late even on the fastest worker and with luck.
+// hopeless reports that a job would be late even on the fastest worker and with luck.
 func (d *Dispatcher) hopeless(j *job) bool { return d.now >= d.latestStart(j) }
 
 // latestStart is when a job becomes hopeless.
--- a/internal/dispatcher/policy/dispatcher.go
+++ b/internal/dispatcher/policy/dispatcher.go
@@ -10,8 +10,8 @@
 	"basaltloft/internal/dispatcher/capacityindex"
 )
 
-// Dispatcher decides for one submitter. Its Handle methods take in events in the order in which they
-// happen; each is given the present time, which never runs backward. They must not be called
+// Dispatcher decides for one submitter. Its Handle methods take in events in the order in which
+// they happen; each is given the present time, which never runs backward. They must not be called
 // concurrently.
 type Dispatcher struct {
 	Settings
@@ -28,9 +28,10 @@
 	meanRunSamples float64 // runs that it is of, up to costWindow
 	meanCost       float64 // mean cost of the jobs that came in
 	slowdown       float64 // recent run times of all workers beside their paces
-	coldPenalty    float64 // see coldSlowdown
+	warmupPenalty  float64 // see warmupSlowdown
 	bestPace       float64 // pace of the fastest kind in use
-	// promptShare is the share of the jobs that start promptly, at warm and at cold workers.
+	// promptShare is the share of the jobs that start promptly, at warm workers and at those
+	// warming up.
 	promptShare [2]float64
 
 	// Jobs without a final answer; see queue.go.
@@ -83,7 +84,7 @@
 		classes:          make(map[string]*classCost),
 		kinds:            make(map[string]*kindStats),
 		slowdown:         1,
-		coldPenalty:      0.25,
+		warmupPenalty:    0.25,
 		bestPace:         1,
 		promptShare:      [2]float64{1, 1},
 		jobs:             make(map[string]*job),
@@ -145,8 +146,8 @@
 	return nil
 }
 
-// HandleRequest takes in a request. One of an unknown class is refused; one whose id is that of a job
-// in hand is ignored.
+// HandleRequest takes in a request. One of an unknown class is refused; one whose id is that of a
+// job in hand is ignored.
 func (d *Dispatcher) HandleRequest(now time.Duration, r Request) {
 	d.beginEvent(now)
 	c := d.classes[r.Class]
--- a/internal/dispatcher/policy/doc.go
+++ b/internal/dispatcher/policy/doc.go
@@ -18,7 +18,7 @@
 //  5. selection.go: of the compatible workers that the job fits the one with the most headroom, in
 //     the own zone where crossing has a price.
 //  6. budget.go: whether a job fits a worker: the worker's learned concurrency budget, its reported
-//     free slots, and in slow start what coldstart.go allows.
+//     free slots, and in slow start what slowstart.go allows.
 //
 // While an attempt is in flight:
 //
--- a/internal/dispatcher/policy/events.go
+++ b/internal/dispatcher/policy/events.go
@@ -134,7 +134,7 @@
 	Value   float64 // UpdateProgress: the share done, 0 to 1
 }
 
-// StreamStart tells that a streamed answer has started; the attempt now belongs to the client.
+// StreamStart reports that a streamed answer has started; the attempt now belongs to the client.
 type StreamStart struct {
 	Request string
 	Attempt int
--- a/internal/dispatcher/policy/health.go
+++ b/internal/dispatcher/policy/health.go
@@ -18,8 +18,8 @@
 	atMostOnceRecheck = 8 * time.Second
 )
 
-// learnFromResult takes in what the end of an attempt says of its worker: of its pace, its budget and
-// its health.
+// learnFromResult takes in what the end of an attempt says of its worker: of its pace, its budget
+// and its health.
 func (d *Dispatcher) learnFromResult(a *attempt, o AttemptResult) {
 	w := a.worker
 	switch o.Status {
@@ -76,13 +76,13 @@
 	}
 }
 
-// failsMoreThanPeers tells whether a worker fails a larger share of its jobs than the others do.
+// failsMoreThanPeers reports whether a worker fails a larger share of its jobs than the others do.
 // Errors as likely at all are the requests' own.
 func (d *Dispatcher) failsMoreThanPeers(w *worker) bool {
 	return w.failedJobs/w.endedJobs > max(minErrorRate, errorRateMultiple*d.errorRateElsewhere(w))
 }
 
-// heldByProbation tells whether a worker that fails many of its jobs is no place for this one: it
+// heldByProbation reports whether a worker that fails many of its jobs is no place for this one: it
 // gets one at a time, of those that may be sent again elsewhere, until its share has fallen.
 func (d *Dispatcher) heldByProbation(w *worker, j *job) bool {
 	if !w.failing {
@@ -129,17 +129,18 @@
 // clearSuspicion takes in a sign that a worker serves jobs.
 func (d *Dispatcher) clearSuspicion(w *worker) {
 	d.recordContact(w)
-	if w.suspect && w.unreachable { // it may have come back as a new, cold process before the list tells
+	if w.suspect && w.unreachable { // it may have come back as a new process before the list tells
 		d.log("worker %d answers again", w.Worker)
-		w.unreachable, w.coldSince = false, d.now
+		w.unreachable, w.warmingSince = false, d.now
 		w.budget = min(w.budget, initialBudget*d.meanCost)
 		d.reindex(w)
 	}
 	w.suspect = false
 }
 
-// recheckSuspects tries the suspect workers of the subset whose delay is over: with a probe, or, where
-// it fails jobs or can't be probed, with jobs, since no probe tells that it serves them again.
+// recheckSuspects tries the suspect workers of the subset whose delay is over: with a probe, or,
+// where it fails jobs or can't be probed, with jobs, since no probe tells that it serves them
+// again.
 func (d *Dispatcher) recheckSuspects() {
 	for _, w := range d.subset {
 		if !w.suspect || d.now < w.recheckAt {
--- a/internal/dispatcher/policy/hedging.go
+++ b/internal/dispatcher/policy/hedging.go
@@ -25,14 +25,14 @@
 	if to == nil || to.suspect || to.failing || len(to.attempts) > 0 {
 		return
 	}
-	left := time.Duration(recallRuns * j.expectedRun * to.pace() * d.slowdown * d.coldSlowdown(to))
+	left := time.Duration(recallRuns * j.expectedRun * to.pace() * d.slowdown * d.warmupSlowdown(to))
 	if d.now+left+tickInterval >= j.answerBy && d.takeRetryBudget(j) {
 		a.worker.saturatedUntil = d.now + d.now - a.sentAt
 		d.cancelAttempt(a)
 	}
 }
 
-// hedgeable tells whether a job may wait at several workers until one starts it: where nobody
+// hedgeable reports whether a job may wait at several workers until one starts it: where nobody
 // reports free slots, a told start is the only evidence of room ("tied requests", Dean and Barroso,
 // The Tail at Scale, 2013).
 func (d *Dispatcher) hedgeable(j *job) bool {
@@ -40,8 +40,8 @@
 		j.class.Effect == Idempotent
 }
 
-// hedge sends a further attempt of a job that does not start promptly. One that waits at workers until it
-// is hopeless is given up like a held one: late work would fill their queues for good.
+// hedge sends a further attempt of a job that does not start promptly. One that waits at workers
+// until it is hopeless is given up like a held one: late work would fill their queues for good.
 func (d *Dispatcher) hedge(j *job) {
 	if d.hedgeable(j) && !j.answered && j.startedAttempt == nil && !d.dropIfHopeless(j) &&
 		d.now >= j.attempts[len(j.attempts)-1].sentAt+promptStart && d.mayRetry(j) {
--- a/internal/dispatcher/policy/host.go
+++ b/internal/dispatcher/policy/host.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Host carries out a dispatcher's actions. Its methods are called while an event is handled and must
-// not call back into the dispatcher.
+// Host carries out a dispatcher's actions. Its methods are called while an event is handled and
+// must not call back into the dispatcher.
 type Host interface {
 	// Send starts the next attempt of a request. Attempts are numbered 0, 1, 2 ... in the order of
 	// their sends. A timeout of 0 means until the client's deadline.
@@ -32,7 +32,7 @@
 	// TakeRetry takes one attempt beyond a request's first from the retry budget of its class;
 	// false: there is none left.
 	TakeRetry(request, class string) bool
-	// HasHeadroom tells whether one more job may be under way at workers of a kind.
+	// HasHeadroom reports whether one more job may be under way at workers of a kind.
 	HasHeadroom(kind string) bool
 	// TakeProbe takes one probe.
 	TakeProbe() bool
--- a/internal/dispatcher/policy/internal_test.go
+++ b/internal/dispatcher/policy/internal_test.go
@@ -59,7 +59,7 @@
 		kept += len(q.jobs)
 	}
 	for _, w := range d.workers {
-		kept += len(w.attempts) + len(w.coldSends)
+		kept += len(w.attempts) + len(w.slowStartSends)
 	}
 	if kept > most {
 		t.Errorf("%d things kept after 5000 jobs on 2500 workers", kept)
@@ -70,11 +70,11 @@
 // warming, and all averages with it, no number.
 func TestChillStaysANumber(t *testing.T) {
 	for _, from := range []float64{0, 1} {
-		d := &Dispatcher{Settings: Settings{Rules: Rules{ColdCapacity: from, WarmupTime: time.Second}}, now: time.Minute, coldPenalty: 0.25}
-		w := &worker{coldSince: time.Minute}
-		d.learnColdPenalty(w, 1, 1)
-		if d.coldPenalty != d.coldPenalty || d.coldSlowdown(w) != d.coldSlowdown(w) {
-			t.Errorf("from %v: chill %v, chilled %v", from, d.coldPenalty, d.coldSlowdown(w))
+		d := &Dispatcher{Settings: Settings{Rules: Rules{ColdCapacity: from, WarmupTime: time.Second}}, now: time.Minute, warmupPenalty: 0.25}
+		w := &worker{warmingSince: time.Minute}
+		d.learnWarmupPenalty(w, 1, 1)
+		if d.warmupPenalty != d.warmupPenalty || d.warmupSlowdown(w) != d.warmupSlowdown(w) {
+			t.Errorf("from %v: chill %v, chilled %v", from, d.warmupPenalty, d.warmupSlowdown(w))
 		}
 	}
 }
@@ -89,10 +89,10 @@
 			for window := 1; window <= windows; window++ {
 				taken := make([]bool, n)
 				for rank := range n {
-					w := &worker{Member: Member{Worker: id}, coldSince: time.Minute}
+					w := &worker{Member: Member{Worker: id}, warmingSince: time.Minute}
 					d := &Dispatcher{Settings: Settings{Instances: n, Rank: rank, Rules: Rules{WarmupTime: time.Hour, ColdOverloadWindow: 3 * time.Second}}}
-					d.now = w.coldSince + time.Duration((float64(window)+0.5-w.hashFraction(uint64(rank)))*float64(d.Rules.ColdOverloadWindow))
-					part := int(d.coldDraw(w) * float64(n))
+					d.now = w.warmingSince + time.Duration((float64(window)+0.5-w.hashFraction(uint64(rank)))*float64(d.Rules.ColdOverloadWindow))
+					part := int(d.slowStartDraw(w) * float64(n))
 					if taken[part] {
 						t.Fatalf("%d instances, worker %d, window %d: two draws in part %d", n, id, window, part)
 					}
--- a/internal/dispatcher/policy/job.go
+++ b/internal/dispatcher/policy/job.go
@@ -53,12 +53,12 @@
 	answered        bool     // it has its final answer, or a stream that is the client's
 }
 
-// inFlightAt tells whether a job has an attempt in flight at a worker.
+// inFlightAt reports whether a job has an attempt in flight at a worker.
 func (j *job) inFlightAt(w *worker) bool {
 	return slices.ContainsFunc(j.attempts, func(a *attempt) bool { return a.inFlight && a.worker == w })
 }
 
-// failedAt tells whether a job ended in error at a worker, or was recalled from it.
+// failedAt reports whether a job ended in error at a worker, or was recalled from it.
 func (j *job) failedAt(w *worker) bool {
 	return slices.ContainsFunc(j.attempts, func(a *attempt) bool {
 		return (a.failed || a.cancelled) && a.worker == w
@@ -113,8 +113,8 @@
 	a := d.newAttempt(j, w)
 	a.foundFreeSlot = len(w.attempts) == 0 || d.reportFresh(w, reportTTL) && w.freeSlots >= a.slots
 	a.overdueAt = d.overdueTime(a)
-	if d.cold(w) {
-		w.coldSends = append(w.coldSends, coldSend{d.now, j.cost})
+	if d.warmingUp(w) {
+		w.slowStartSends = append(w.slowStartSends, slowStartSend{d.now, j.cost})
 	}
 	d.recordSend(a)
 	d.host.Send(j.ID, w.Worker, 0)
--- a/internal/dispatcher/policy/learning.go
+++ b/internal/dispatcher/policy/learning.go
@@ -74,14 +74,14 @@
 // all soon goes.
 func (d *Dispatcher) learn(a *attempt, run float64) {
 	c, w := a.job.class, a.worker
-	ratio := min(max(run/(a.expectedRun*w.pace()*d.slowdown*d.coldSlowdown(w)), 1/maxRunRatio), maxRunRatio)
+	ratio := min(max(run/(a.expectedRun*w.pace()*d.slowdown*d.warmupSlowdown(w)), 1/maxRunRatio), maxRunRatio)
 	weight := min(1, a.expectedRun/max(1, d.meanCost)) // short runs are mostly network
 	d.slowdown *= 1 + (ratio-1)*weight/paceWindow*d.addRunSample(a.job)
 	c.runPerHint *= 1 + (ratio-1)*weight/costWindow
 	c.meanRun += (a.expectedRun*ratio - c.meanRun) / c.samples
 	d.meanRun += (a.expectedRun*ratio - d.meanRun) / d.meanRunSamples
-	if d.cold(w) {
-		d.learnColdPenalty(w, ratio, weight)
+	if d.warmingUp(w) {
+		d.learnWarmupPenalty(w, ratio, weight)
 	} else {
 		w.kind.pace *= 1 + (ratio-1)*weight/costWindow
 		w.relativePace *= 1 + (ratio-1)*weight/w.addPaceSample()
--- a/internal/dispatcher/policy/membership.go
+++ b/internal/dispatcher/policy/membership.go
@@ -57,11 +57,11 @@
 		} else if m.State != Removed {
 			w = &worker{
 				Member: m, kind: d.kindOf(m.Kind), relativePace: 1,
-				coldSince: m.StartedAt, drained: m.State == Draining,
+				warmingSince: m.StartedAt, drained: m.State == Draining,
 			}
 			d.byID[m.Worker], added = w, append(added, w)
 			d.recheckFirst(w)
-			d.joinIfCold(w)
+			d.joinIfWarmingUp(w)
 		}
 	}
 	d.insertWorkers(added)
@@ -97,11 +97,11 @@
 		d.log("worker %d is listed as draining or gone, %d jobs out", m.Worker, len(w.attempts))
 	}
 	switch {
-	case m.StartedAt > since: // the same id, a new process: cold, and nothing known of it holds
-		w.coldSince, w.suspect, w.unreachable, w.drained = m.StartedAt, false, false, m.State == Draining
-		w.budget, w.budgetCutAt, w.reportAt, w.overdueJobs = 0, 0, 0, 0
+	case m.StartedAt > since: // a new process of the same id: nothing that is known of it holds
+		w.warmingSince, w.suspect, w.unreachable, w.drained = m.StartedAt, false, false, m.State == Draining
+		w.budget, w.budgetShrunkAt, w.reportAt, w.overdueJobs = 0, 0, 0, 0
 		d.reindex(w)
-		d.joinIfCold(w)
+		d.joinIfWarmingUp(w)
 	case m.State == Draining:
 		w.drained = true
 	case m.State == Ready && !d.Rules.OnlyDrainBinds:
@@ -113,7 +113,7 @@
 	}
 }
 
-// usable tells whether a worker may get new work. A drain binds until a later start; where it alone
+// usable reports whether a worker may get new work. A drain binds until a later start; where it alone
 // binds, a list that calls a worker gone, or leaves it out, is a claim: own answers and probes
 // decide.
 func (d *Dispatcher) usable(w *worker) bool {
@@ -131,9 +131,9 @@
 	}
 }
 
-// forgotten tells whether to drop a worker that is gone: where lists may be wrong, so that drains
-// and cold times survive an old one and workers called gone serve on, only when it has been silent
-// for long.
+// forgotten reports whether to drop a worker that is gone: where lists may be wrong, so that drains
+// and starts survive an old one and workers listed as removed serve on, only when it has been
+// silent for long.
 func (d *Dispatcher) forgotten(w *worker) bool {
 	kept := d.Rules.OnlyDrainBinds && d.now-max(w.removedAt, w.lastContact) < removedRetention
 	return w.State == Removed && len(w.attempts) == 0 && !kept
--- a/internal/dispatcher/policy/overdue.go
+++ b/internal/dispatcher/policy/overdue.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// lateStartSaturates tells whether a missing start shuts a worker: where own sums and reports say
+// lateStartSaturates reports whether a missing start shuts a worker: where own sums and reports say
 // little of its room.
 func (d *Dispatcher) lateStartSaturates() bool {
 	return d.ReportsStart && (d.crowded || !d.probesTellSlots)
@@ -75,7 +75,7 @@
 		a.waiting = true
 		a.worker.waitingJobs++
 		a.worker.promptStartAt = 0
-		d.promptShare[boolToInt(d.cold(a.worker))] *= 1 - 1/paceWindow
+		d.promptShare[boolToInt(d.warmingUp(a.worker))] *= 1 - 1/paceWindow
 	}
 }
 
@@ -93,6 +93,6 @@
 		return
 	}
 	a.worker.saturatedUntil, a.worker.promptStartAt = 0, d.now
-	p := &d.promptShare[boolToInt(d.cold(a.worker))]
+	p := &d.promptShare[boolToInt(d.warmingUp(a.worker))]
 	*p += (1 - *p) / paceWindow
 }
--- a/internal/dispatcher/policy/queue.go
+++ b/internal/dispatcher/policy/queue.go
@@ -20,8 +20,8 @@
 // Len implements heap.Interface.
 func (q *queue) Len() int { return len(q.jobs) }
 
-// Less implements heap.Interface: aged jobs first, then the shortest; in overload, where some jobs are
-// lost, the most valuable by cost.
+// Less implements heap.Interface: aged jobs first, then the shortest; in overload, where some jobs
+// are lost, the most valuable by cost.
 func (q *queue) Less(i, k int) bool {
 	a, b := q.jobs[i], q.jobs[k]
 	if q.overload && a.valuePerCost != b.valuePerCost {
@@ -67,8 +67,8 @@
 const maxIdleQueues = 32
 
 // enqueue puts a job into the queue of its kind and width: several free slots at once are rare, and
-// jobs of one slot must not wait for them. Nor must other jobs wait for one whose capability no worker
-// offers just now: each capability has queues of its own, while jobs wait there.
+// jobs of one slot must not wait for them. Nor must other jobs wait for one whose capability no
+// worker offers just now: each capability has queues of its own, while jobs wait there.
 func (d *Dispatcher) enqueue(j *job) {
 	at := 2*(j.class.Kind+1) + boolToInt(j.Slots > 1)
 	q := d.queues[at]
--- a/internal/dispatcher/policy/reports.go
+++ b/internal/dispatcher/policy/reports.go
@@ -54,7 +54,7 @@
 	w.freeMemory, w.reportsMemory = r.X1-memory, r.Has&HasX1 != 0 && d.memoryInX1
 }
 
-// reportFresh tells whether a report is believed: in a crowd for a mean cost, the time in which
+// reportFresh reports whether a report is believed: in a crowd for a mean cost, the time in which
 // jobs come and go.
 func (d *Dispatcher) reportFresh(w *worker, life time.Duration) bool {
 	return w.reportAt != 0 && d.now-w.reportAt < min(life, reportTTL)
--- a/internal/dispatcher/policy/retry.go
+++ b/internal/dispatcher/policy/retry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// dedupHolds tells whether workers still drop a repeat of a job that reaches them so much later. The
-// window counts from the first attempt that may have run, at the soonest from its send.
+// dedupHolds reports whether workers still drop a repeat of a job that reaches them so much later.
+// The window counts from the first attempt that may have run, at the soonest from its send.
 func (d *Dispatcher) dedupHolds(j *job, in time.Duration) bool {
 	first := j.firstMayHaveRun
 	for i := 0; first == nil && i < len(j.attempts); i++ {
@@ -14,7 +14,7 @@
 	return j.effect() == Deduplicated && first != nil && d.now+in-first.sentAt < j.class.Window
 }
 
-// mayRetry tells whether a further attempt is allowed at some worker: an effect must not happen
+// mayRetry reports whether a further attempt is allowed at some worker: an effect must not happen
 // twice.
 func (d *Dispatcher) mayRetry(j *job) bool {
 	harmless := j.firstMayHaveRun == nil || j.class.Effect == Idempotent ||
@@ -35,12 +35,12 @@
 	return true
 }
 
-// wouldFailAgain tells whether an attempt's end says that the job would fail anywhere.
+// wouldFailAgain reports whether an attempt's end says that the job would fail anywhere.
 func (d *Dispatcher) wouldFailAgain(a *attempt, s Status) bool {
 	return s == InvalidRequest || s == Error && (a.job.NoRetryOnError || d.requestAtFault(a))
 }
 
-// requestAtFault tells whether an error is the request's: it failed at another worker too, or many
+// requestAtFault reports whether an error is the request's: it failed at another worker too, or many
 // do everywhere.
 func (d *Dispatcher) requestAtFault(a *attempt) bool {
 	fails := 0
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -22,7 +22,7 @@
 		}
 		of := boolToInt(d.avoided(w, j))
 		serving = min(serving, of)
-		late := float64(d.now)+bestCaseRun*j.expectedRun*w.pace()*d.slowdown*d.coldSlowdown(w) > float64(j.answerBy)
+		late := float64(d.now)+bestCaseRun*j.expectedRun*w.pace()*d.slowdown*d.warmupSlowdown(w) > float64(j.answerBy)
 		if late || j.firstMayHaveRun != nil && j.class.Effect == Deduplicated && !j.class.Group.covers(j.firstMayHaveRun.listing, w.Member) {
 			continue
 		}
--- a/internal/dispatcher/policy/selection.go
+++ b/internal/dispatcher/policy/selection.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// localPriority is added to the headroom of a local worker and outweighs coldPriority.
+	// localPriority is added to the headroom of a local worker and outweighs slowStartPriority.
 	localPriority = 1e15
 	// manyMembers is the size of the subset from which searches are sampled and overdue attempts
 	// are looked for by the tick alone.
@@ -57,9 +57,9 @@
 	return chosen[serving]
 }
 
-// bestOf weighs, from a random one on, enough workers that the job fits. It returns the best of those
-// that serve and of those that are avoided, and the index of the first group that has any member,
-// full or not.
+// bestOf weighs, from a random one on, enough workers that the job fits. It returns the best of
+// those that serve and of those that are avoided, and the index of the first group that has any
+// member, full or not.
 func (d *Dispatcher) bestOf(j *job, among []*worker, enough int) (chosen [2]*worker, _ int) {
 	serving, most := 1, [2]float64{}
 	from := d.rng.IntN(len(among) + 1)
@@ -86,20 +86,20 @@
 	return chosen, serving
 }
 
-// tooSlowFor tells whether a job would be late at a worker even with luck.
+// tooSlowFor reports whether a job would be late at a worker even with luck.
 func (d *Dispatcher) tooSlowFor(w *worker, j *job) bool {
-	run := bestCaseRun * j.expectedRun * w.pace() * d.slowdown * d.coldSlowdown(w)
+	run := bestCaseRun * j.expectedRun * w.pace() * d.slowdown * d.warmupSlowdown(w)
 	return float64(d.now)+run > float64(j.answerBy)
 }
 
-// repeatIsDropped tells whether a worker would know a further attempt of a deduplicated job as a
+// repeatIsDropped reports whether a worker would know a further attempt of a deduplicated job as a
 // repeat, where one is needed that does.
 func (j *job) repeatIsDropped(w *worker) bool {
 	first := j.firstMayHaveRun
 	return first == nil || j.class.Effect != Deduplicated || j.class.Group.covers(first.listing, w.Member)
 }
 
-// compatible tells whether a worker may get a job at all.
+// compatible reports whether a worker may get a job at all.
 func (d *Dispatcher) compatible(j *job, w *worker) bool {
 	if j.ExcludedWorker != 0 && j.ExcludedWorker == w.Worker {
 		return false
@@ -116,7 +116,7 @@
 	return w.Capabilities == nil || j.Capability == "" || slices.Contains(w.Capabilities, j.Capability)
 }
 
-// anyServes tells whether any worker of the subset may be sent a job that is no suspect.
+// anyServes reports whether any worker of the subset may be sent a job that is no suspect.
 func (d *Dispatcher) anyServes(j *job) bool {
 	from := d.rng.IntN(len(d.subset) + 1)
 	for i := range d.subset {
@@ -127,26 +127,26 @@
 	return false
 }
 
-// avoided tells whether a worker gets a job only if all compatible ones are avoided.
+// avoided reports whether a worker gets a job only if all compatible ones are avoided.
 func (d *Dispatcher) avoided(w *worker, j *job) bool {
 	return w.suspect || d.heldByProbation(w, j) || j.failedAt(w)
 }
 
-// local tells whether sends to the worker cost nothing extra.
+// local reports whether sends to the worker cost nothing extra.
 func (d *Dispatcher) local(w *worker) bool { return d.CrossZonePrice == 0 || w.Zone == d.Zone }
 
 // promptWeight weighs a worker by how likely a job starts there at once, as own ones did of late
-// there or at all warm or cold ones. Who stays with one until a job waits keeps off the others
-// (Gibbens, Kelly and Key, Dynamic Alternative Routing, 1988); the roomiest by own sums, which say
-// little, is the same one for all.
+// there or at all warm workers, or all that are warming up. Who stays with one until a job waits
+// keeps off the others (Gibbens, Kelly and Key, Dynamic Alternative Routing, 1988); the roomiest by
+// own sums, which say little, is the same one for all.
 func (d *Dispatcher) promptWeight(w *worker, j *job) float64 {
 	tieBreak := math.Pow(d.rng.ExpFloat64(), -tieBreakSpread)
-	weight := d.promptShare[boolToInt(d.cold(w))] * tieBreak / d.coldSlowdown(w)
-	if !d.cold(w) && w.promptStartAt != 0 {
+	weight := d.promptShare[boolToInt(d.warmingUp(w))] * tieBreak / d.warmupSlowdown(w)
+	if !d.warmingUp(w) && w.promptStartAt != 0 {
 		weight *= 1 + promptGain*math.Exp(-float64(d.now-w.promptStartAt)/(promptDecayMeans*d.meanCost))
 	}
 	// A job of several slots that waits holds up others.
-	if !d.cold(w) && (j.Slots > 1) != (w.hashFraction(0) < wideJobsShare) {
+	if !d.warmingUp(w) && (j.Slots > 1) != (w.hashFraction(0) < wideJobsShare) {
 		weight *= otherPartWeight
 	}
 	return weight
--- a/internal/dispatcher/policy/settings.go
+++ b/internal/dispatcher/policy/settings.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Settings are what a dispatcher is told at its start. Points in time are durations since a moment of
-// the host's choice.
+// Settings are what a dispatcher is told at its start. Points in time are durations since a moment
+// of the host's choice.
 type Settings struct {
 	Seed      uint64   // of the random numbers of this instance
 	Instances int      // how many dispatchers there are, this one included; at least 1
@@ -55,7 +55,7 @@
 	DedupCell                   // the workers of one cell of a zone
 )
 
-// covers tells whether one of two workers drops a repeat of what the other got.
+// covers reports whether one of two workers drops a repeat of what the other got.
 func (s DedupScope) covers(a, b Member) bool {
 	return s == DedupAll || a.Zone == b.Zone && (s == DedupZone || a.Cell == b.Cell)
 }
@@ -102,7 +102,7 @@
 	OnlyDrainBinds bool
 }
 
-// ProvesNotRun tells whether a status proves that the attempt did not run.
+// ProvesNotRun reports whether a status proves that the attempt did not run.
 func (r Rules) ProvesNotRun(s Status) bool {
 	return s == ConnectFailed || s == NotSent || s == Rejected && !r.RejectedMayHaveRun
 }
--- a/internal/dispatcher/policy/subset.go
+++ b/internal/dispatcher/policy/subset.go
@@ -19,8 +19,8 @@
 	throngedSharing = 16
 )
 
-// growSubset grows the subset with the jobs in hand. It is no larger than they need: with few workers
-// reports and connections stay fresh.
+// growSubset grows the subset with the jobs in hand. It is no larger than they need: with few
+// workers reports and connections stay fresh.
 func (d *Dispatcher) growSubset() {
 	d.peakJobs = max(float64(len(d.jobs)), d.peakJobs+(float64(len(d.jobs))-d.peakJobs)/costWindow)
 	tooSmall := func() bool { return d.subsetSize() > len(d.subset) && len(d.subset) < len(d.workers) }
@@ -32,12 +32,12 @@
 // subsetSize is the size of the subset: half where each worker is learned by jobs that wait there,
 // not by reports.
 func (d *Dispatcher) subsetSize() int {
-	return int(max(minSubset, subsetPerJob*d.peakJobs)) >> boolToInt(d.onlyStartsShowRoom())
+	return int(max(minSubset, subsetPerJob*d.peakJobs)) >> boolToInt(d.onlyStartsShowCapacity())
 }
 
-// refillSubset fills the subset up: for each required kind, workers of the own zone first; suspect and
-// cold ones do not count. It walks the list only if there are too few: much that is listed must
-// cost little.
+// refillSubset fills the subset up: for each required kind, workers of the own zone first; suspect
+// and warming ones do not count. It walks the list only if there are too few: much that is listed
+// must cost little.
 func (d *Dispatcher) refillSubset() {
 	d.refilledAt = d.now
 	d.sweepTables()
@@ -59,7 +59,7 @@
 func (d *Dispatcher) addToSubset(kind int, near bool, want int) (have int) {
 	fits := func(w *worker) bool { return d.local(w) == near && (kind < 0 || d.Kinds[kind] == w.Kind) }
 	for _, w := range d.subset {
-		have += boolToInt(fits(w) && !w.suspect && !d.cold(w))
+		have += boolToInt(fits(w) && !w.suspect && !d.warmingUp(w))
 	}
 	if have >= want {
 		return have
@@ -74,7 +74,7 @@
 	for i := 0; i < len(ring) && have < want; i++ {
 		if w := ring[(at+i*stride)%len(ring)]; !w.inSubset {
 			d.joinSubset(w)
-			have += boolToInt(!w.suspect && !d.cold(w))
+			have += boolToInt(!w.suspect && !d.warmingUp(w))
 		}
 	}
 	return have
@@ -92,16 +92,16 @@
 	}
 }
 
-// joinIfCold takes a cold worker into the subset.
-func (d *Dispatcher) joinIfCold(w *worker) {
-	if d.cold(w) {
+// joinIfWarmingUp takes a worker that is warming up into the subset.
+func (d *Dispatcher) joinIfWarmingUp(w *worker) {
+	if d.warmingUp(w) {
 		d.joinSubset(w)
 	}
 }
 
-// reindex keeps the index of vacant members: the members of the subset that a job might fit. One that is not
-// among them fits no job, so that a search among them finds what one through the subset would. A
-// search while it was not there would have found its budget too small.
+// reindex keeps the index of vacant members: the members of the subset that a job might fit. One
+// that is not among them fits no job, so that a search among them finds what one through the subset
+// would. A search while it was not there would have found its budget too small.
 func (d *Dispatcher) reindex(w *worker) {
 	vacant := w.inSubset && (len(w.attempts) == 0 || w.budget == 0 || w.outstandingCost <= w.budget)
 	if !d.vacant.Put(w, vacant) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// thronged tells whether so many share the workers that own sums say nothing of them.
+// thronged reports whether so many share the workers that own sums say nothing of them.
 func (d *Dispatcher) thronged() bool { return d.Instances >= throngedSharing }
 
 // ringWalk gives a rank its start and its stride on a ring of n: both are even over the ranks,
--- a/internal/dispatcher/policy/worker.go
+++ b/internal/dispatcher/policy/worker.go
@@ -22,15 +22,15 @@
 	listedBusy      bool // in Dispatcher.busy, for a tick after its last attempt too
 
 	// Its budget; see budget.go.
-	budget        float64 // the cost that may be in flight; 0: not yet set
-	budgetLimited bool    // the budget has held a job back since it last grew
-	budgetCutAt   time.Duration
-	position      capacityindex.Position // in Dispatcher.vacant
-	leftIndexAt   uint64                 // Dispatcher.searches when it left vacant
-
-	// Slow start; see coldstart.go.
-	coldSince time.Duration // its latest start or return, from which it warms up; 0: long ago
-	coldSends []coldSend    // what it got while cold, within the rule's window
+	budget         float64 // the cost that may be in flight; 0: not yet set
+	budgetLimited  bool    // the budget has held a job back since it last grew
+	budgetShrunkAt time.Duration
+	position       capacityindex.Position // in Dispatcher.vacant
+	leftIndexAt    uint64                 // Dispatcher.searches when it left vacant
+
+	// Slow start; see slowstart.go.
+	warmingSince   time.Duration   // its latest start or return, from which it warms up; 0: long ago
+	slowStartSends []slowStartSend // what it got while warming up, within the rule's window
 
 	// Reports and starts; see reports.go and overdue.go.
 	reportAt              time.Duration // of the last report with free slots
