--- a/internal/dispatcher/fleet/harness/cluster_test.go
+++ b/internal/dispatcher/fleet/harness/cluster_test.go
@@ -21,7 +21,7 @@
 
 // TestProcesses takes processes through all that can be done to one, and to a
 // link between two.
-func TestProcesses(t *testing.T) {
+func TestProcesses(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	r := New(t, Settings{Processes: 2, Load: demo.Load{Members: 2, Seed: 3},
 		Operator: `{"#":{"name":"{{.Name}}","peer":"{{.PeerAddr "n2" "listen"}}","all":{{.Peers 2 "listen"}}},"figures":{"journal":{"folder":"{{.Folder}}"}}}`})
 	r.Start()
@@ -33,9 +33,11 @@
 		if slices.Contains(quiet, true) {
 			client.Timeout = 250 * time.Millisecond
 		}
-		resp, err := client.Get("http://" + addr + "/health/ready")
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/health/ready", nil)
+		require.NoError(t, err)
+		resp, err := client.Do(req)
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 		}
 		return err
 	}
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -38,7 +38,7 @@
 	}
 	return nil
 }
-func (t *tally) Set(at time.Duration, settings []byte) error {
+func (t *tally) Set(_ time.Duration, settings []byte) error {
 	t.Went = append(t.Went, string(settings))
 	return nil
 }
@@ -221,7 +221,7 @@
 	require.Empty(t, l.m.DivergentPartitions("k2", 3), "what is out of date counts nothing")
 }
 
-func FuzzThaw(f *testing.F) {
+func FuzzRestore(f *testing.F) {
 	l := newLog(f)
 	l.join(0, "n1", "a")
 	now, err := l.m.Snapshot()
