--- a/internal/dispatcher/engine/host.go
+++ b/internal/dispatcher/engine/host.go
@@ -18,7 +18,7 @@
 	if t == nil || m == nil || t.answered || t.liveFlow != nil {
 		// A transaction has one live flow: what may not go out is told as never sent, which is what
 		// the simulator does.
-		e.log.WithField("transaction", id).Error("a send that the ledger does not allow")
+		e.log.WithField("transaction", id).Error("send refused: the transaction is unknown, answered or has a live flow")
 		h.reportNotSent(t, worker)
 		return
 	}
--- a/internal/dispatcher/engine/shutdown.go
+++ b/internal/dispatcher/engine/shutdown.go
@@ -34,7 +34,7 @@
 		}
 	}
 	if early > 0 {
-		e.log.WithFields(logrus.Fields{"early": early, "held": held}).Info("jobs in hand at the end")
+		e.log.WithFields(logrus.Fields{"early": early, "held": held}).Info("jobs still open at the end of the shutdown")
 	}
 }
 
--- a/internal/dispatcher/jsontext/jsontext.go
+++ b/internal/dispatcher/jsontext/jsontext.go
@@ -1,6 +1,6 @@
-// Package jsontext writes fastjson values as JSON. fastjson's own MarshalTo
-// quotes strings as Go source, so that a control character comes out as \x11 or
-// \a, which is no JSON: a job that has one could not be read by its worker.
+// Package jsontext writes fastjson values as JSON. fastjson's own MarshalTo quotes strings as Go source
+// does, so that a control character becomes \x11 or \a, which is no JSON: a worker could not read a job that
+// has one.
 package jsontext
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// Append appends a value's JSON. Keys keep their order, and numbers their text.
-// What is no UTF-8 becomes U+FFFD.
+// Append appends a value's JSON to a slice and returns it. Keys keep their order, and numbers their text.
+// Invalid UTF-8 becomes U+FFFD.
 func Append(to []byte, v *fastjson.Value) []byte {
 	switch v.Type() {
 	case fastjson.TypeObject:
@@ -41,8 +41,10 @@
 	return v.MarshalTo(to) // numbers, true, false and null
 }
 
+// hex has the digits of \u escapes.
 const hex = "0123456789abcdef"
 
+// appendString appends a string in quotes.
 func appendString(to, s []byte) []byte {
 	to = append(to, '"')
 	begin := 0
--- a/internal/dispatcher/loadreport/loadreport.go
+++ b/internal/dispatcher/loadreport/loadreport.go
@@ -1,11 +1,10 @@
-// Package loadreport reads the load reports that pool members send, on the
-// wire of the protocol: in a header or a probe's body as text,
+// Package loadreport reads the load reports that pool members send: in a header or a probe's body as text,
 //
 //	TEXT inflight=7, queue=2, util=0.61
 //
-// and in the news that ends a job as an object, "load":{"inflight":7,...}.
-// It does no I/O. Only the fields that a report holds are set in Has; names it
-// does not know are skipped, so a deployment may name fields of its own.
+// and in the callback that ends a job as an object, "load":{"inflight":7,...}. It does no I/O. Only the
+// fields that a report holds are set in Has; unknown names are skipped, so that a deployment may have fields
+// of its own.
 package loadreport
 
 import (
@@ -18,8 +17,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// field is where a name's value goes. The protocol's names come first; the
-// simulator's words for them are taken too.
+// field returns the field of a name and its bit; nil: the name is unknown. The protocol's names come first,
+// the simulator's names for the same field behind them.
 func field(r *policy.Report, name string) (*float64, policy.ReportField) {
 	switch name {
 	case "inflight", "outstanding":
@@ -42,18 +41,17 @@
 	return nil, 0
 }
 
-// set puts a value in its field; a name not known changes nothing.
+// set sets the field of a name; an unknown name changes nothing.
 func set(r *policy.Report, name string, value float64) {
 	if at, has := field(r, name); at != nil {
 		*at, r.Has = value, r.Has|has
 	}
 }
 
-// Parse reads a report in text: an optional first word without '=' (the
-// form's name), then name=value pairs set apart by commas or spaces. Empty text
-// is an empty report. A pair that is not name=value, or a value that is not a
-// finite number, makes the whole report an error: a half-read report would be
-// taken for one in which the rest was not told.
+// Parse reads a report in text: an optional first word without '=' (the name of the format), then
+// name=value pairs separated by commas or spaces. Empty text is an empty report. A pair that is not
+// name=value, or a value that is not a finite number, is an error of the whole report: a part of it would be
+// taken for a report without the rest.
 func Parse(text []byte) (policy.Report, error) {
 	var r policy.Report
 	parts := bytes.FieldsFunc(text, func(c rune) bool { return c == ',' || c == ' ' || c == '\t' })
@@ -74,7 +72,7 @@
 	return r, nil
 }
 
-// ParseBody reads a probe's body: an object as the news carries it, or text.
+// ParseBody reads a probe's body: a JSON object as in a callback, or text as Parse does.
 func ParseBody(text []byte) (policy.Report, error) {
 	if t := bytes.TrimSpace(text); len(t) > 0 && t[0] == '{' {
 		v, err := fastjson.ParseBytes(t)
@@ -86,8 +84,8 @@
 	return Parse(text)
 }
 
-// ParseObject reads a report given as a JSON object; nil is an empty report. A
-// value that is not a number makes it an error.
+// ParseObject reads a report given as a JSON object; nil is an empty report. A value that is not a number is
+// an error.
 func ParseObject(v *fastjson.Value) (policy.Report, error) {
 	var r policy.Report
 	if v == nil {
--- a/internal/dispatcher/settings/reload.go
+++ b/internal/dispatcher/settings/reload.go
@@ -1,28 +1,27 @@
 package settings
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 
 	"github.com/valyala/fastjson"
 )
 
-// CheckReload checks a configuration that is read again while the program
-// serves, more closely than one at its start: what is turned down here leaves
-// the running settings as they are, whole. Beyond what DecodeConfig asks, the
-// keys that say where to listen, whom to ask and which classes there are must
-// be there, and each class's deadline and the number of attempts must be
-// numbers above 0. It names the first thing that is wrong.
+// CheckReload checks a configuration that is read again while the program serves, more closely than one at
+// its start: one that is rejected here leaves the running settings as they are. Beyond what DecodeConfig
+// requires, the keys of the name, the addresses and the classes must be there, and each class's deadline and
+// the number of attempts must be numbers above 0. Its error names the first thing that is wrong.
 func CheckReload(text []byte) error {
 	if len(text) == 0 {
-		return fmt.Errorf("configuration: the file is empty")
+		return errors.New("configuration: the file is empty")
 	}
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	if v.Type() != fastjson.TypeObject {
-		return fmt.Errorf("configuration: not an object")
+		return errors.New("configuration: not an object")
 	}
 	for _, key := range []string{"name", "listen", "discovery"} {
 		if v.Get(key) == nil {
@@ -31,14 +30,14 @@
 	}
 	s := v.Get("settings")
 	if s == nil || s.Type() != fastjson.TypeObject {
-		return fmt.Errorf("configuration: settings is missing or no object")
+		return errors.New("configuration: settings is missing or no object")
 	}
 	if err := above0(s, "settings.", "limits", "most_tries"); err != nil {
 		return err
 	}
 	lanes := s.GetArray("lanes")
 	if len(lanes) == 0 {
-		return fmt.Errorf("configuration: settings.lanes is missing or empty")
+		return errors.New("configuration: settings.lanes is missing or empty")
 	}
 	for i, lane := range lanes {
 		in := fmt.Sprintf("settings.lanes[%d].", i)
