--- a/internal/dispatcher/accounting/accounting_test.go
+++ b/internal/dispatcher/accounting/accounting_test.go
@@ -17,11 +17,11 @@
 	return Limits{MaxNames: 3, MaxRows: 12, MaxLogicalRequests: 8, LogicalRequestRetention: time.Minute}
 }
 
-// TestSums drives a ledger with random events: after each of them every sum
+// TestCheckBalance drives a ledger with random events: after each of them every sum
 // holds, and the ledger agrees with a table of open jobs that the test keeps.
 //
 //nolint:funlen // one property, whose events are each a few lines
-func TestSums(t *testing.T) {
+func TestCheckBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(small()), start
 		type job struct {
@@ -88,9 +88,9 @@
 	})
 }
 
-// TestAsks: the tries of one logical request are told from logical requests by their key, on either
+// TestLogicalRequests: the tries of one logical request are told from logical requests by their key, on either
 // front and also after the first was answered.
-func TestAsks(t *testing.T) {
+func TestLogicalRequests(t *testing.T) {
 	try := func(b *Ledger, front, key string, retry bool, r Reason) {
 		b.JobEnded(b.JobAccepted(Job{Front: front, Class: "hold", Key: key, Retry: retry}, start), r, start)
 	}
--- a/internal/dispatcher/discovery/follower_test.go
+++ b/internal/dispatcher/discovery/follower_test.go
@@ -91,10 +91,10 @@
 
 const few, every = 4, 10 * time.Second // callers of an asked service, and how often the settings want it asked
 
-// TestAskedListsWaitForTheModule: where discovery is a shared service that is asked,
+// TestPolledListsWaitForThePolicy: where discovery is a shared service that is asked,
 // the first call comes when the policy says so. From then on the follower has the
 // watch: what the policy asks while a failed call is yet to be made anew changes nothing.
-func TestAskedListsWaitForTheModule(t *testing.T) {
+func TestPolledListsWaitForThePolicy(t *testing.T) {
 	pace := SharedServiceSchedule(few, every)
 	pace.MinBackoff, pace.MaxBackoff, pace.MaxCallInterval = 10*time.Hour, 10*time.Hour, 10*time.Hour
 	addr, open := scenario.Listen(t)
@@ -159,10 +159,10 @@
 	return fmt.Sprintf(`HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s`, len(strings.ReplaceAll(text, `\n`, "\n")), text)
 }
 
-// TestFailedCallsAreMadeAnew: whatever becomes of a call, the next one is there within
+// TestFailedCallsAreRepeated: whatever becomes of a call, the next one is there within
 // the pace's time from the first one's begin, on a new connection and from the last
 // version told; the watch goes on from its answer, and what was known stays meanwhile.
-func TestFailedCallsAreMadeAnew(t *testing.T) {
+func TestFailedCallsAreRepeated(t *testing.T) {
 	t.Parallel()
 	const whole = `"reset":false,"instances":[]}`
 	for name, c := range map[string]struct{ peer, then string }{
--- a/internal/dispatcher/discovery/schedule_test.go
+++ b/internal/dispatcher/discovery/schedule_test.go
@@ -19,8 +19,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// TestPace: how long calls wait, and when they are given up.
-func TestPace(t *testing.T) {
+// TestCallSchedule: how long calls wait, and when they are given up.
+func TestCallSchedule(t *testing.T) {
 	for name, c := range map[string]struct {
 		pace                     CallSchedule
 		known, goesOn            bool
@@ -76,11 +76,11 @@
 	}
 }
 
-// TestHeardInTime: whatever the calls before met with, for however long, a good answer is
+// TestAnswersInTime: whatever the calls before met with, for however long, a good answer is
 // in progress a margin before what discovery has counts as told, counted from when it could
 // be reached; the call that was under way then is of no use. It holds whatever the
 // settings say of callers and intervals.
-func TestHeardInTime(t *testing.T) {
+func TestAnswersInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pace := SharedServiceSchedule(rapid.IntRange(0, 10000).Draw(t, "callers"), time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "every")))
 		reply := answer
--- a/internal/dispatcher/engine/window_test.go
+++ b/internal/dispatcher/engine/window_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestKeyWindow: a repeat must reach its member before a key's window, counted from
+// TestDedupWindow: a repeat must reach its member before a key's window, counted from
 // the sending of the first attempt that may have run, is over. What can't is not
 // sent; and what may come again after the window is not called harmless.
-func TestKeyWindow(t *testing.T) {
+func TestDedupWindow(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect policy.Effect
 		key    string
--- a/internal/dispatcher/httpfront/bodymemory_test.go
+++ b/internal/dispatcher/httpfront/bodymemory_test.go
@@ -18,9 +18,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRoom: bodies are read whole up to their bound, hold room for what has come and
+// TestBodyMemory: bodies are read whole up to their bound, hold room for what has come and
 // not for what was announced, and never more than there is.
-func TestRoom(t *testing.T) {
+func TestBodyMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 64 << 10
 		r := bodyMemory{max: rapid.Int64Range(1, 3*most).Draw(t, "room")}
@@ -60,10 +60,10 @@
 
 func (f failing) Read([]byte) (int, error) { return 0, f.error }
 
-// TestNoRoom: a job with no room for its body is refused at once, with when to come
+// TestNoBodyMemory: a job with no room for its body is refused at once, with when to come
 // back, and its connection serves on. A callback is not answered, so that its member
 // repeats it, and is let in once there is room.
-func TestNoRoom(t *testing.T) {
+func TestNoBodyMemory(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := New(hears{}, nil, logrus.New())
--- a/internal/dispatcher/httpfront/jobupdate_test.go
+++ b/internal/dispatcher/httpfront/jobupdate_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNewsCarriesLoad: the news that ends a job may carry the member's load
+// TestJobUpdateCarriesLoad: the news that ends a job may carry the member's load
 // report as "load"; news of progress carries none that counts, and a report
 // that can't be read is left out while the news stands.
-func TestNewsCarriesLoad(t *testing.T) {
+func TestJobUpdateCarriesLoad(t *testing.T) {
 	for text, want := range map[string]policy.Report{
 		`{"id":"j","from":"s-1","state":"done","result":"r","load":{"qps":40,"inflight":3,"x0":1,"x1":256}}`: {
 			Has: policy.HasQPS | policy.HasInFlight | policy.HasX0 | policy.HasX1, QPS: 40, InFlight: 3, X0: 1, X1: 256,
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestSubject: what a request is about is read from its query, one that does not read
+// TestAffinityKey: what a request is about is read from its query, one that does not read
 // is none.
-func TestSubject(t *testing.T) {
+func TestAffinityKey(t *testing.T) {
 	for query, want := range map[string]string{"?sid=7f3a": "7f3a", "?a=1&sid=a%20b": "a b", "": "", "?sid=": "", "?sid=%zz": ""} {
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/hold"+query, nil)
 		r.Header.Set("X-Call-Id", "1")
--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/joined_test.go
@@ -48,9 +48,9 @@
 	require.Zero(t, l.readAheadBytes)
 }
 
-// TestPartCrossesBytes: resting connections end as a request lies unread in the system:
+// TestCloseIdleCrossesBytes: resting connections end as a request lies unread in the system:
 // it is read. Where nothing has come, the time is over, also for a read that began before.
-func TestPartCrossesBytes(t *testing.T) {
+func TestCloseIdleCrossesBytes(t *testing.T) {
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	l.mu.Lock()
--- a/internal/dispatcher/httpfront/program_test.go
+++ b/internal/dispatcher/httpfront/program_test.go
@@ -361,11 +361,11 @@
 		program wait`)
 }
 
-// TestCallBacksGetIn: clients that wait for answers on as many connections as there
+// TestCallbacksGetIn: clients that wait for answers on as many connections as there
 // may be leave room for the callback that ends a job. Without it no job would be
 // told to have started or ended, and all members would look full for good. The
 // crowd waits for longer than the ticket may.
-func TestCallBacksGetIn(t *testing.T) {
+func TestCallbacksGetIn(t *testing.T) {
 	const connections = 512 // a half of the sockets that scenarios set
 	var crowd strings.Builder
 	for n := range connections - 1 {
--- a/internal/dispatcher/loadreport/loadreport_test.go
+++ b/internal/dispatcher/loadreport/loadreport_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestBody(t *testing.T) {
+func TestParseBody(t *testing.T) {
 	for text, want := range map[string]policy.Report{
 		`{"x0":2,"x1":128,"qps":9}`: {Has: policy.HasX0 | policy.HasX1 | policy.HasQPS, X0: 2, X1: 128, QPS: 9},
 		" {\"inflight\":1}\n":       {Has: policy.HasInFlight, InFlight: 1},
--- a/internal/dispatcher/policy/affinity_test.go
+++ b/internal/dispatcher/policy/affinity_test.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// TestJobsOfOneSubjectMeet: jobs that name a subject go to few workers, the same ones
+// TestJobsOfOneAffinityKeyMeet: jobs that name a subject go to few workers, the same ones
 // at all dispatchers: one where it is rare, and as many as its share of the jobs asks
 // for where it is not. Those that name none go wherever there is room.
-func TestJobsOfOneSubjectMeet(t *testing.T) {
+func TestJobsOfOneAffinityKeyMeet(t *testing.T) {
 	const instances, workers, rounds = 30, 90, 400
 	fleet, hosts := subjectsFleet(t, instances, workers)
 	went := map[string]map[uint32]int{"rare": {}, "half": {}, "": {}}
@@ -90,12 +90,12 @@
 	require.LessOrEqual(t, len(went["half"]), workers*6/10)
 }
 
-// TestHomesPass: the next in a subject's order takes the place of a home that drains,
+// TestHomesAreReplaced: the next in a subject's order takes the place of a home that drains,
 // was started a moment ago, or is silent; where those of another zone are silent in
 // a row, that zone is taken for cut off until one of it is heard of.
 //
 //nolint:funlen // one property, whose steps follow on one another
-func TestHomesPass(t *testing.T) {
+func TestHomesAreReplaced(t *testing.T) {
 	now := time.Minute
 	begin := func() (*Dispatcher, *ended, []*worker) {
 		fleet, hosts := subjectsFleet(t, 1, 30)
@@ -174,9 +174,9 @@
 	})
 }
 
-// TestSilentHomesAreTried: a home outside the subset that falls silent is tried again,
+// TestUnresponsiveHomesAreRetried: a home outside the subset that falls silent is tried again,
 // as those of the subset are, and becomes the home again.
-func TestSilentHomesAreTried(t *testing.T) {
+func TestUnresponsiveHomesAreRetried(t *testing.T) {
 	fleet, hosts := subjectsFleet(t, 1, 300)
 	d, h, now := fleet[0], hosts[0], time.Minute
 	for n := range 300 {
@@ -195,8 +195,8 @@
 	require.False(t, home.suspect, "without probes a job is the trial")
 }
 
-// TestSubjectsAreForgotten: what is kept of subjects is bounded, however many there are.
-func TestSubjectsAreForgotten(t *testing.T) {
+// TestAffinityKeysAreForgotten: what is kept of subjects is bounded, however many there are.
+func TestAffinityKeysAreForgotten(t *testing.T) {
 	fleet, hosts := subjectsFleet(t, 1, 10)
 	for n := range 20000 {
 		ask(fleet[0], hosts[0], time.Minute, fmt.Sprint(n), fmt.Sprint("s", n))
--- a/internal/dispatcher/policy/dispatcher_test.go
+++ b/internal/dispatcher/policy/dispatcher_test.go
@@ -155,7 +155,7 @@
 	return policy.ProbeResult{Worker: w, Report: policy.Report{Has: policy.HasX0, X0: free}}
 }
 
-func TestHoldsUntilCostFits(t *testing.T) {
+func TestQueuesUntilCostFits(t *testing.T) {
 	b := newBench(t, settings(), 1)
 	for i := range 6 {
 		b.request(fmt.Sprint("r", i), "safe", 300*ms)
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestUnsafeIsNeverSentTwice(t *testing.T) {
+func TestAtMostOnceIsNeverSentTwice(t *testing.T) {
 	for _, s := range []policy.Status{policy.Error, policy.TimedOut, policy.Reset, policy.Cancelled} {
 		b := newBench(t, settings(), 3)
 		b.request("r", "unsafe", 100*ms)
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestKeyedStaysInItsGroupAndWindow(t *testing.T) {
+func TestDeduplicatedStaysInItsScopeAndWindow(t *testing.T) {
 	b := newBench(t, settings(), 0)
 	b.HandleMembers(b.now, policy.ListSnapshot, []policy.Member{member(1, "a"), member(2, "b"), member(3, "b"), member(4, "b")})
 	b.request("r", "keyed", 100*ms)
@@ -267,9 +267,9 @@
 	}
 }
 
-// TestGroupIsThatOfTheSend: a key is known where the first attempt went. A worker that is listed in another zone since
+// TestScopeIsThatOfTheSend: a key is known where the first attempt went. A worker that is listed in another zone since
 // then takes no key along: a repeat goes to the zone that the attempt was sent to, or nowhere.
-func TestGroupIsThatOfTheSend(t *testing.T) {
+func TestScopeIsThatOfTheSend(t *testing.T) {
 	for _, stays := range []bool{false, true} {
 		b := newBench(t, settings(), 0)
 		b.HandleMembers(b.now, policy.ListSnapshot, []policy.Member{member(1, "a"), member(2, "b")})
@@ -291,9 +291,9 @@
 	}
 }
 
-// TestKeyedWithoutAKey: a job of a keyed class that brought no key is known nowhere by it. It is sent again only if it
+// TestDeduplicatedWithoutAKey: a job of a keyed class that brought no key is known nowhere by it. It is sent again only if it
 // never ran, and a client is not told that it may come again.
-func TestKeyedWithoutAKey(t *testing.T) {
+func TestDeduplicatedWithoutAKey(t *testing.T) {
 	for _, c := range []struct {
 		unkeyed bool
 		status  policy.Status
@@ -310,9 +310,9 @@
 	}
 }
 
-// TestKeyedWindowCountsTheWay: a repeat that would reach its worker after the key's window is not sent, and a
+// TestDedupWindowCountsTheWay: a repeat that would reach its worker after the key's window is not sent, and a
 // job whose key may be forgotten before its client can come again is failed, not refused.
-func TestKeyedWindowCountsTheWay(t *testing.T) {
+func TestDedupWindowCountsTheWay(t *testing.T) {
 	for name, c := range map[string]struct {
 		after, dial time.Duration
 		sends       int
@@ -339,8 +339,8 @@
 	}
 }
 
-// TestFullMayHaveRun fails where 'full' counts as proof that nothing ran, though it is stated to be none.
-func TestFullMayHaveRun(t *testing.T) {
+// TestRejectedMayHaveRun fails where 'full' counts as proof that nothing ran, though it is stated to be none.
+func TestRejectedMayHaveRun(t *testing.T) {
 	s := settings()
 	s.Rules.RejectedMayHaveRun = true
 	b := newBench(t, s, 3)
@@ -481,7 +481,7 @@
 	}
 }
 
-func TestAllSilentKeepsServing(t *testing.T) {
+func TestAllUnresponsiveKeepsServing(t *testing.T) {
 	b := newBench(t, settings(), 2)
 	b.request("r", "unsafe", 50*ms)
 	for range 3 {
@@ -512,7 +512,7 @@
 	}
 }
 
-func TestColdWorkerIsNotPushedOver(t *testing.T) {
+func TestWarmingWorkerIsNotOverloaded(t *testing.T) {
 	s := settings()
 	b := newBench(t, s, 0)
 	m := member(1, "a")
@@ -535,7 +535,7 @@
 	}
 }
 
-func TestReturnedWorkerCountsAsCold(t *testing.T) {
+func TestReturnedWorkerWarmsUp(t *testing.T) {
 	s := settings()
 	b := newBench(t, s, 1)
 	b.request("down", "unsafe", 100*ms)
--- a/internal/dispatcher/policy/internal_test.go
+++ b/internal/dispatcher/policy/internal_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestChillStaysANumber: a worker that starts with all of its capacity, or with none, must not make the learned
+// TestWarmupPenaltyStaysANumber: a worker that starts with all of its capacity, or with none, must not make the learned
 // warming, and all averages with it, no number.
-func TestChillStaysANumber(t *testing.T) {
+func TestWarmupPenaltyStaysANumber(t *testing.T) {
 	for _, from := range []float64{0, 1} {
 		d := &Dispatcher{Settings: Settings{Rules: Rules{ColdCapacity: from, WarmupTime: time.Second}}, now: time.Minute, warmupPenalty: 0.25}
 		w := &worker{warmingSince: time.Minute}
--- a/internal/dispatcher/policy/membership_test.go
+++ b/internal/dispatcher/policy/membership_test.go
@@ -20,8 +20,8 @@
 	return m
 }
 
-// TestWorkersCalledGoneServeOn fails where a list that shrinks, or is empty, is taken at its word.
-func TestWorkersCalledGoneServeOn(t *testing.T) {
+// TestWorkersListedAsRemovedServeOn fails where a list that shrinks, or is empty, is taken at its word.
+func TestWorkersListedAsRemovedServeOn(t *testing.T) {
 	for name, tell := range map[string]func(b *bench){
 		"shrink": func(b *bench) {
 			b.HandleMembers(b.now, policy.ListDelta, []policy.Member{in(member(1, "a"), policy.Removed), in(member(2, "a"), policy.Removed)})
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestWorkerCalledGoneIsTriedFirst: one that gave no sign of life of late gets a probe before any job, while
+// TestWorkerListedAsRemovedIsRecheckedFirst: one that gave no sign of life of late gets a probe before any job, while
 // another serves; one that has just served is left alone.
-func TestWorkerCalledGoneIsTriedFirst(t *testing.T) {
+func TestWorkerListedAsRemovedIsRecheckedFirst(t *testing.T) {
 	b := newBench(t, claims(), 2)
 	b.request("r", "safe", 50*ms)
 	served := b.sentTo("r")
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestNewlyNamedIsTriedFirst fails where a name on a list is taken for a worker.
-func TestNewlyNamedIsTriedFirst(t *testing.T) {
+// TestNewlyListedIsRecheckedFirst fails where a name on a list is taken for a worker.
+func TestNewlyListedIsRecheckedFirst(t *testing.T) {
 	b := newBench(t, claims(), 1)
 	b.HandleMembers(b.now, policy.ListDelta, []policy.Member{member(7, "a")})
 	for i := range 6 {
@@ -148,8 +148,8 @@
 	return s
 }
 
-// TestFirstCopyToStartGoesOn fails without tied copies.
-func TestFirstCopyToStartGoesOn(t *testing.T) {
+// TestFirstAttemptToStartGoesOn fails without tied copies.
+func TestFirstAttemptToStartGoesOn(t *testing.T) {
 	b := newBench(t, tied(), 3)
 	b.request("r", "safe", 100*ms)
 	b.pass(30 * ms)
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestNoCopies: none of a job that has started, that must not run twice, or where reports show the room.
-func TestNoCopies(t *testing.T) {
+// TestNoConcurrentAttempts: none of a job that has started, that must not run twice, or where reports show the room.
+func TestNoConcurrentAttempts(t *testing.T) {
 	b := newBench(t, tied(), 3)
 	b.request("u", "unsafe", 100*ms)
 	b.request("s", "safe", 100*ms)
--- a/internal/dispatcher/policy/reconfigure_test.go
+++ b/internal/dispatcher/policy/reconfigure_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRetune: a new class is served from the retune on, a removed one is
+// TestReconfigure: a new class is served from the retune on, a removed one is
 // refused, and a job under way keeps the attempts it came with when fewer are
 // allowed; an invalid retune changes nothing.
-func TestRetune(t *testing.T) {
+func TestReconfigure(t *testing.T) {
 	b := newBench(t, settings(), 3)
 	b.request("before", "safe", 10*ms)
 	first := b.sentTo("before")
--- a/internal/dispatcher/policy/requests_test.go
+++ b/internal/dispatcher/policy/requests_test.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestColdWorkerGetsNoJobThatItEndsLate fails where a cold worker is taken to be as fast as a warm one though
+// TestWarmingWorkerGetsNoJobThatItEndsLate fails where a cold worker is taken to be as fast as a warm one though
 // jobs were seen to run longer there, or as slow as the rule allows though they were not.
-func TestColdWorkerGetsNoJobThatItEndsLate(t *testing.T) {
+func TestWarmingWorkerGetsNoJobThatItEndsLate(t *testing.T) {
 	for slow, sent := range map[time.Duration]int{1: 1, 3: 0} {
 		s := settings()
 		s.Instances, s.Rules.ColdOverloadMultiple = 1, 50
@@ -215,9 +215,9 @@
 	}
 }
 
-// TestUnfitRequestsTellNothingOfWorkers fails where a request that a worker can't use is sent round or held
+// TestInvalidRequestsTellNothingOfWorkers fails where a request that a worker can't use is sent round or held
 // against the worker: one client's bad input would shut one after the other.
-func TestUnfitRequestsTellNothingOfWorkers(t *testing.T) {
+func TestInvalidRequestsTellNothingOfWorkers(t *testing.T) {
 	b := newBench(t, settings(), 3)
 	for i := range 60 {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
@@ -235,9 +235,9 @@
 	}
 }
 
-// TestResetAloneMakesNoWorkerCold fails where one broken connection makes a worker that answers at once count
+// TestResetAloneStartsNoWarmup fails where one broken connection makes a worker that answers at once count
 // as a new process, which gets next to nothing while it is cold.
-func TestResetAloneMakesNoWorkerCold(t *testing.T) {
+func TestResetAloneStartsNoWarmup(t *testing.T) {
 	b := newBench(t, settings(), 1)
 	b.request("broken", "unsafe", 100*ms)
 	b.outcome("broken", policy.Reset)
--- a/internal/dispatcher/policy/scale_test.go
+++ b/internal/dispatcher/policy/scale_test.go
@@ -12,12 +12,12 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// TestColdWorkerUnderHundredsOfDispatchers plays several hundred dispatchers beside each other against one
+// TestSlowStartUnderHundredsOfDispatchers plays several hundred dispatchers beside each other against one
 // cold worker, with uneven traffic and lists up to four seconds late, and checks the cold rule's budget of
 // all together over every window.
 //
 //nolint:funlen // a simulation whose steps share their state
-func TestColdWorkerUnderHundredsOfDispatchers(t *testing.T) {
+func TestSlowStartUnderHundredsOfDispatchers(t *testing.T) {
 	const n = 300
 	start := time.Minute
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -278,10 +278,10 @@
 	}
 }
 
-// TestColdWorkersAreNotLeftIdle: half of the fleet is replaced at once, and at the rest jobs wait. What the
+// TestWarmingWorkersAreNotLeftIdle: half of the fleet is replaced at once, and at the rest jobs wait. What the
 // dispatchers send to the new ones together grows as those warm up. By turns alone, which the few jobs of a
 // dispatcher seldom met, they stood idle for all the time in which they were called cold.
-func TestColdWorkersAreNotLeftIdle(t *testing.T) {
+func TestWarmingWorkersAreNotLeftIdle(t *testing.T) {
 	t.Run("starts", func(t *testing.T) { coldHalf(t, "") })
 	t.Run("reports", func(t *testing.T) { coldHalf(t, policy.FreeSlots) })
 }
@@ -386,12 +386,12 @@
 	}
 }
 
-// TestColdBudgetOfAllTogether plays 300 dispatchers that are all told of one cold worker, whose jobs have no other
+// TestSlowStartBudgetOfAllTogether plays 300 dispatchers that are all told of one cold worker, whose jobs have no other
 // place to go, over several mixes of classes. Whatever they send in any window of the rule stays under
 // N + 2 x root of N + 2 requests of mean work, N being what the settings let the worker have then.
 //
 //nolint:funlen,gocognit // a simulation whose steps share their state
-func TestColdBudgetOfAllTogether(t *testing.T) {
+func TestSlowStartBudgetOfAllTogether(t *testing.T) {
 	for name, mix := range map[string]struct {
 		wide   float64 // the share of jobs that are tickets, of 3.2 s and 1, 2 or 4 slots
 		report bool
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -326,10 +326,10 @@
 	require.LessOrEqual(t, most(1, 1), 6, "it was cut once")
 }
 
-// TestLooksAreATickApart: with many members busy all that is due waits for the tick,
+// TestOverdueChecksAreATickApart: with many members busy all that is due waits for the tick,
 // however long ago the last look was: a look that takes longer than a tick would
 // else be due again at once, for each attempt out.
-func TestLooksAreATickApart(t *testing.T) {
+func TestOverdueChecksAreATickApart(t *testing.T) {
 	h := &looked{}
 	d, err := New(Settings{
 		Instances: 1, Kinds: []string{"a"}, ReportsStart: true, Limits: Limits{MaxAttempts: 1},
--- a/internal/dispatcher/policy/shared_budget_test.go
+++ b/internal/dispatcher/policy/shared_budget_test.go
@@ -35,7 +35,7 @@
 	return newBench(t, s, n)
 }
 
-func TestFurtherAttemptsAreOfTheSharedBudget(t *testing.T) {
+func TestRetriesTakeTheSharedBudget(t *testing.T) {
 	p := &purse{again: 1, room: 1, cold: -1}
 	b := pursed(t, p, 4)
 	for i := range 2 {
@@ -47,7 +47,7 @@
 	require.True(t, b.has("refuse j1"), "at once, not at its deadline: %v", b.acts)
 }
 
-func TestJobsWaitForRoomInTheFleet(t *testing.T) {
+func TestJobsWaitForHeadroomInTheFleet(t *testing.T) {
 	p := &purse{cold: -1}
 	b := pursed(t, p, 4)
 	b.request("j", "safe", 100*ms)
@@ -58,7 +58,7 @@
 	require.Equal(t, 1, b.sends["j"], "%v", b.acts)
 }
 
-func TestProbesAreOfTheSharedBudget(t *testing.T) {
+func TestProbesTakeTheSharedBudget(t *testing.T) {
 	for most, want := range map[int]int{0: 0, 1: 1, 100: 3} {
 		p := &purse{probes: most, room: 1, cold: -1}
 		s := settings()
@@ -72,7 +72,7 @@
 }
 
 // What a dispatcher sends to a cold worker goes by its part, where it has one, and not by its draw.
-func TestColdWorkerByParts(t *testing.T) {
+func TestSlowStartByShares(t *testing.T) {
 	sent := func(part float64) int {
 		p := &purse{room: 1, cold: part}
 		s := settings()
--- a/internal/dispatcher/policy/slowstart_test.go
+++ b/internal/dispatcher/policy/slowstart_test.go
@@ -232,10 +232,10 @@
 	zipfRate = func(i, _ int) float64 { return 1 / float64(i+1) }
 )
 
-// TestColdSumAtEachSize: whatever the number of dispatchers, and however their traffic lies, what they send to a
+// TestSlowStartSumAtEachSize: whatever the number of dispatchers, and however their traffic lies, what they send to a
 // cold member together stays under N + 2 x root of N + 2 jobs of mean work in every window of the rule, in true work.
 // Of few, whose draws make no distribution, none sends more than its even part of N, but for what it learned of paces.
-func TestColdSumAtEachSize(t *testing.T) {
+func TestSlowStartSumAtEachSize(t *testing.T) {
 	rules := policy.Rules{AnswerGrace: 20 * ms, ColdCapacity: 0.12, WarmupTime: 24 * time.Second, ColdOverloadMultiple: 4, ColdOverloadWindow: 3 * time.Second}
 	short := policy.Rules{AnswerGrace: 20 * ms, ColdCapacity: 0.3, WarmupTime: 8 * time.Second, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 1500 * ms}
 	base := coldRun{jammed: 9, rate: evenRate, jobs: 30, widest: 2, aim: 3 * time.Second, off: [2]float64{1, 1}, rules: rules}
--- a/internal/dispatcher/poolmember/poolmember_test.go
+++ b/internal/dispatcher/poolmember/poolmember_test.go
@@ -553,9 +553,9 @@
 	return len(regexp.MustCompile(fmt.Sprintf(`:\S+ 0100007F:%04X 02 `, n)).FindAll(text, -1))
 }
 
-// TestDialIsCalledOff: a dial ends with its flow, however long it might take: its
+// TestDialIsCancelled: a dial ends with its flow, however long it might take: its
 // descriptor is counted with the flow. What comes up later would be of no use.
-func TestDialIsCalledOff(t *testing.T) {
+func TestDialIsCancelled(t *testing.T) {
 	addr := crowded(t)
 	figures := Options{ConnectTimeout: time.Minute, MaxSubmissions: 1}
 	flow, err := driveWith(addr, figures)()
@@ -601,10 +601,10 @@
 func (e ends) EndFlowWithLoad(_ *engine.Flow, _ policy.Status, load policy.Report) { e <- load }
 func (e ends) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time)    {}
 
-// TestFlowIsTheCores: an answer's report goes with the end, and not into the flow, which
+// TestFlowIsTheEngines: an answer's report goes with the end, and not into the flow, which
 // the engine may be ending at its deadline just then. The engine is a reader here that
 // nothing orders with the transport; the race detector sees a write beside it.
-func TestFlowIsTheCores(t *testing.T) {
+func TestFlowIsTheEngines(t *testing.T) {
 	member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Load-Report", "TEXT x0=3")
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/dispatcher/schedulingdelay/schedulingdelay_test.go
+++ b/internal/dispatcher/schedulingdelay/schedulingdelay_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-func TestGauge(t *testing.T) {
+func TestDetector(t *testing.T) {
 	type seen struct{ at, waited time.Duration }
 	for name, c := range map[string]struct {
 		events []seen
@@ -41,9 +41,9 @@
 	require.Equal(t, time.Hour, off.RetryDelay(ms))
 }
 
-// TestBehindMeansLateThroughout: whatever is seen, it is behind exactly if all
+// TestOverloadedMeansLateThroughout: whatever is seen, it is behind exactly if all
 // that was seen in a stretch of at least For was late, up to the last.
-func TestBehindMeansLateThroughout(t *testing.T) {
+func TestOverloadedMeansLateThroughout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, now := schedulingdelay.New(schedulingdelay.Bounds{Target: 10, Interval: 50}), time.Unix(1, 0)
 		var late []time.Time
