--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -116,18 +116,18 @@
 	a.session.Store(s)
 	a.joins.Add(1)
 	a.settings.Log.WithField("incarnation", s.Incarnation).Info("joined the fleet")
-	for silent := false; ; {
+	for failing := false; ; {
 		sent := a.now()
 		switch err := a.renew(ctx, s, sent); {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, state.ErrFenced):
 			return err
-		case err != nil && !silent:
-			silent = true
+		case err != nil && !failing:
+			failing = true
 			a.settings.Log.WithError(err).Warn("lease renewal failed; shares are used until the lease expires, then floors")
-		case err == nil && silent:
-			silent = false
+		case err == nil && failing:
+			failing = false
 			a.settings.Log.Info("lease renewal recovered")
 		}
 		select {
@@ -149,18 +149,18 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
-	told, err := s.Renew(ctx, map[string][]byte{partition.BudgetsName: body})
+	reply, err := s.Renew(ctx, map[string][]byte{partition.BudgetsName: body})
 	if err != nil {
 		return err
 	}
-	for part, why := range told.Refused {
+	for part, why := range reply.Refused {
 		a.settings.Log.WithFields(logrus.Fields{"partition": part, "reason": why}).Warn("partition refused its renewal message")
 	}
 	a.renewedAt.Store(int64(sent))
-	a.leaseEnd.Store(int64(sent + time.Duration(budget.LeaseMargin*float64(told.Lease))))
-	a.members.Store(int64(told.Members))
+	a.leaseEnd.Store(int64(sent + time.Duration(budget.LeaseMargin*float64(reply.Lease))))
+	a.members.Store(int64(reply.Members))
 	var g budget.Grant
-	if text := told.Parts[partition.BudgetsName]; text != nil {
+	if text := reply.Partitions[partition.BudgetsName]; text != nil {
 		if err := codec.Decode(text, &g); err != nil {
 			return err
 		}
--- a/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
@@ -42,7 +42,7 @@
 	Fleet
 	*rand.Rand
 	now     time.Duration
-	book    *budget.AllocationTable
+	table   *budget.AllocationTable
 	holders []*holder
 	later   map[time.Duration][]func()
 	heavy   int
@@ -53,19 +53,19 @@
 }
 
 type holder struct {
-	name  string
-	purse *budget.Allowance
-	tap   *budget.TokenBucket
-	at    time.Duration // within a step, when it looks whether to renew
-	down  bool
-	begun time.Duration // when it was started
-	first time.Duration // its first job admitted; 0: none yet
+	name      string
+	allowance *budget.Allowance
+	tap       *budget.TokenBucket
+	at        time.Duration // within a step, when it looks whether to renew
+	down      bool
+	begun     time.Duration // when it was started
+	first     time.Duration // its first job admitted; 0: none yet
 }
 
 func newModel(f Fleet) (*model, error) {
-	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), book: budget.NewAllocationTableWith(f.Policy), later: map[time.Duration][]func(){}}
+	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), table: budget.NewAllocationTableWith(f.Policy), later: map[time.Duration][]func(){}}
 	rate := budget.Budget{Name: "x", Kind: budget.Rate, Total: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
-	if err := m.book.Configure(0, budget.Config{Lease: f.Lease, Budgets: []budget.Budget{rate}}); err != nil {
+	if err := m.table.Configure(0, budget.Config{Lease: f.Lease, Budgets: []budget.Budget{rate}}); err != nil {
 		return nil, fmt.Errorf("modelling a fleet: %w", err)
 	}
 	for range f.Holders {
@@ -77,11 +77,11 @@
 func (m *model) whole() float64 { return m.Rate * float64(m.Holders) }
 
 func (m *model) join() *holder {
-	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), purse: budget.NewAllowance(), begun: m.now}
+	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), allowance: budget.NewAllowance(), begun: m.now}
 	h.at = time.Duration(len(m.holders)%100) * step / 100
-	h.purse.ExpectBudgets("x")
-	h.purse.SetIncarnation(h.name, 1)
-	h.tap = h.purse.Bucket("x")
+	h.allowance.ExpectBudgets("x")
+	h.allowance.SetIncarnation(h.name, 1)
+	h.tap = h.allowance.Bucket("x")
 	m.holders = append(m.holders, h)
 	return h
 }
@@ -103,7 +103,7 @@
 			do()
 		}
 		delete(m.later, m.now)
-		m.book.Advance(m.now)
+		m.table.Advance(m.now)
 		if m.MoveInterval > 0 {
 			m.heavy = int(m.now/m.MoveInterval) * 7 % m.Holders
 		}
@@ -112,7 +112,7 @@
 				continue
 			}
 			m.jobs(i, h)
-			if h.purse.NextRenewal(m.now) <= m.now+h.at {
+			if h.allowance.NextRenewal(m.now) <= m.now+h.at {
 				if err := m.renew(h); err != nil {
 					return 0, err
 				}
@@ -146,20 +146,20 @@
 }
 
 func (m *model) renew(h *holder) error {
-	sent, r := m.now, h.purse.Renewal(m.now)
+	sent, r := m.now, h.allowance.Renewal(m.now)
 	if err := m.count(r); err != nil {
 		return err
 	}
 	there, back := sent+m.NetworkDelay.Round(step), sent+2*m.NetworkDelay.Round(step)
 	m.later[there] = append(m.later[there], func() {
-		g, err := m.book.Renew(there, r)
+		g, err := m.table.Renew(there, r)
 		if err != nil {
 			return // it left meanwhile
 		}
 		_ = m.count(g)
 		m.later[back] = append(m.later[back], func() {
 			if !h.down {
-				h.purse.Apply(sent, back, g)
+				h.allowance.Apply(sent, back, g)
 			}
 		})
 	})
@@ -220,7 +220,7 @@
 		heavy := m.holders[m.heavy]
 		divided := func() bool {
 			held := 0.0
-			for _, h := range m.book.HolderStatuses("x") {
+			for _, h := range m.table.HolderStatuses("x") {
 				if h.Process != heavy.name {
 					held += h.Offered
 				}
@@ -234,8 +234,8 @@
 			out.Join = h.first - h.begun
 		case "leave":
 			heavy.down = true
-			left := heavy.purse.Close(m.now)
-			if err = m.book.Leave(m.now+m.NetworkDelay, heavy.name, 1, left); err == nil {
+			left := heavy.allowance.Close(m.now)
+			if err = m.table.Leave(m.now+m.NetworkDelay, heavy.name, 1, left); err == nil {
 				out.Leave, err = m.run(time.Minute, divided)
 			}
 		case "kill":
--- a/internal/dispatcher/fleet/budget/departure.go
+++ b/internal/dispatcher/fleet/budget/departure.go
@@ -12,12 +12,12 @@
 // latest deadline, and its parts of Divided budgets for SettleTime. A budget that left does
 // not name is treated as if the process had failed now. An unknown process is no error,
 // since the call may arrive twice.
-func (t *AllocationTable) Leave(at time.Duration, process string, incarnation uint64, left map[string]Departure) error {
+func (t *AllocationTable) Leave(at time.Duration, process string, incarnation uint64, departing map[string]Departure) error {
 	if process == "" || incarnation == 0 {
 		return fmt.Errorf("leaving of %q, %d: %w", process, incarnation, ErrNoName)
 	}
 	for _, s := range t.Budgets {
-		if l := left[s.Name]; !(l.InFlight >= 0 && l.InFlight <= maxTotal && l.MaxRemaining >= 0) {
+		if l := departing[s.Name]; !(l.InFlight >= 0 && l.InFlight <= maxTotal && l.MaxRemaining >= 0) {
 			return fmt.Errorf("leaving of %q, %d: budget %q: below 0, no number or above %v: %+v", process, incarnation, s.Name, maxTotal, l)
 		}
 	}
@@ -29,9 +29,9 @@
 	h := t.Holders[i]
 	for k, s := range t.Budgets {
 		held := h.Allocations[k].upperBound()
-		u, told := left[s.Name]
+		u, reported := departing[s.Name]
 		switch {
-		case s.Kind == Divided || s.Kind == InFlight && !told:
+		case s.Kind == Divided || s.Kind == InFlight && !reported:
 			s.addQuarantine(quarantine{Amount: held.Amount, Until: t.Now + quarantineSpan(max(held.SettleTime, s.SettleTime))})
 		case s.Kind == InFlight:
 			s.addQuarantine(quarantine{Amount: toMicros(u.InFlight), Until: t.Now + quarantineSpan(u.MaxRemaining)})
--- a/internal/dispatcher/fleet/budget/division.go
+++ b/internal/dispatcher/fleet/budget/division.go
@@ -21,7 +21,7 @@
 // quarantined and what is reserved is not divided; parts of a Divided budget in quarantine
 // are, since they return to those that they are due to.
 func (t *AllocationTable) divideBudget(i int, s *budgetState) {
-	whole, bursts, wanting := t.divisible(i, s)
+	total, bursts, wanting := t.divisible(i, s)
 	live := len(t.candidates)
 	if live == 0 {
 		return
@@ -31,7 +31,7 @@
 	case Rate:
 		seats = int(min(bursts/microsPerUnit, int64(live)))
 	case InFlight: // who wants nothing needs no seat
-		seats, most = int(min(whole/microsPerUnit, int64(live))), wanting
+		seats, most = int(min(total/microsPerUnit, int64(live))), wanting
 	}
 	s.SeatTurnAt = 0
 	if seats < most {
@@ -47,11 +47,11 @@
 	t.shares = slices.Grow(t.shares[:0], len(t.claims))[:len(t.claims)]
 	switch s.Kind {
 	case InFlight:
-		t.divideWholeJobs(i, whole/microsPerUnit)
+		t.divideWholeJobs(i, total/microsPerUnit)
 	default:
-		t.policy(fromMicros(whole), t.claims, t.shares)
+		t.policy(fromMicros(total), t.claims, t.shares)
 		for n, k := range t.candidates {
-			t.Holders[k].Allocations[i].Due = min(toMicros(max(t.shares[n], 0)), whole)
+			t.Holders[k].Allocations[i].Due = min(toMicros(max(t.shares[n], 0)), total)
 		}
 	}
 	if s.Kind == Rate {
@@ -61,12 +61,12 @@
 
 // divisible returns how much of a budget and of its burst can be divided, and the number
 // of holders with demand. It makes all holders in force candidates with nothing due.
-func (t *AllocationTable) divisible(i int, s *budgetState) (whole, bursts int64, wanting int) {
+func (t *AllocationTable) divisible(i int, s *budgetState) (total, bursts int64, wanting int) {
 	amount, burst := s.reservedFloors()
-	whole, bursts = toMicros(s.Total)-amount, toMicros(s.Burst)-burst
+	total, bursts = toMicros(s.Total)-amount, toMicros(s.Burst)-burst
 	for _, r := range s.Quarantines {
 		if s.Kind != Divided || r.Floor {
-			whole -= r.Amount
+			total -= r.Amount
 		}
 		bursts -= r.Burst
 	}
@@ -76,12 +76,12 @@
 		l := &h.Allocations[i]
 		if h.Superseded {
 			held := l.upperBound()
-			whole -= held.Amount
+			total -= held.Amount
 			bursts -= held.Burst
 			continue
 		}
 		if l.hasFloor() {
-			whole -= floor
+			total -= floor
 			bursts -= s.burstPerFloor()
 		}
 		if t.demandBeyondFloor(i, s, h) > 0 {
@@ -90,7 +90,7 @@
 		t.candidates = append(t.candidates, k)
 		l.Due, l.DueBurst = 0, 0
 	}
-	return max(whole, 0), max(bursts, 0), wanting
+	return max(total, 0), max(bursts, 0), wanting
 }
 
 // demandBeyondFloor returns a holder's demand beyond its floor.
@@ -156,12 +156,12 @@
 	for _, k := range t.candidates {
 		all += float64(t.Holders[k].Allocations[i].Due)
 	}
-	rest := bursts - int64(len(t.candidates))*microsPerUnit
+	remaining := bursts - int64(len(t.candidates))*microsPerUnit
 	for _, k := range t.candidates {
 		l := &t.Holders[k].Allocations[i]
 		l.DueBurst = microsPerUnit
-		if all > 0 && rest > 0 {
-			l.DueBurst += int64(float64(rest) * (float64(l.Due) / all))
+		if all > 0 && remaining > 0 {
+			l.DueBurst += int64(float64(remaining) * (float64(l.Due) / all))
 		}
 	}
 }
--- a/internal/dispatcher/fleet/budget/division_policy.go
+++ b/internal/dispatcher/fleet/budget/division_policy.go
@@ -13,29 +13,29 @@
 type DivisionPolicy func(total float64, asks []Claim, out []float64)
 
 // Equal gives each claim a share by its weight, whatever its demand.
-func Equal(total float64, asks []Claim, out []float64) {
+func Equal(total float64, claims []Claim, shares []float64) {
 	weights := 0.0
-	for _, a := range asks {
+	for _, a := range claims {
 		weights += a.Weight
 	}
-	for i, a := range asks {
-		out[i] = total * a.Weight / weights
+	for i, a := range claims {
+		shares[i] = total * a.Weight / weights
 	}
 }
 
 // Proportional gives each claim a share in proportion to its demand, even where that
 // starves the others.
-func Proportional(total float64, asks []Claim, out []float64) {
+func Proportional(total float64, claims []Claim, shares []float64) {
 	all := 0.0
-	for _, a := range asks {
+	for _, a := range claims {
 		all += float64(a.Demand * a.Weight)
 	}
 	if all == 0 {
-		Equal(total, asks, out)
+		Equal(total, claims, shares)
 		return
 	}
-	for i, a := range asks {
-		out[i] = total * a.Demand * a.Weight / all
+	for i, a := range claims {
+		shares[i] = total * a.Demand * a.Weight / all
 	}
 }
 
@@ -43,9 +43,9 @@
 // the same for all by weight, that uses up the total. What nobody asks for is spread, half
 // by weight, so that a new demand finds something, and half by demand, for demand that
 // varies.
-func MaxMin(total float64, asks []Claim, out []float64) {
+func MaxMin(total float64, claims []Claim, shares []float64) {
 	all, weights := 0.0, 0.0
-	for _, a := range asks {
+	for _, a := range claims {
 		all += a.Demand
 		weights += a.Weight
 	}
@@ -55,26 +55,26 @@
 			byWeight /= 2
 			byDemand = spare / 2 / all
 		}
-		for i, a := range asks {
-			out[i] = a.Demand + float64(byWeight*a.Weight) + float64(byDemand*a.Demand)
+		for i, a := range claims {
+			shares[i] = a.Demand + float64(byWeight*a.Weight) + float64(byDemand*a.Demand)
 		}
 		return
 	}
-	waterFill(total, asks, out)
+	waterFill(total, claims, shares)
 }
 
 // waterFill searches the level of MaxMin where the demand exceeds the total: claims below
 // the level get their demand and leave the rest to the others, until there is no new one.
 // The level only rises, so that each claim is settled once.
-func waterFill(total float64, asks []Claim, out []float64) {
-	for i := range out {
-		out[i] = -1 // not settled
+func waterFill(total float64, claims []Claim, shares []float64) {
+	for i := range shares {
+		shares[i] = -1 // not settled
 	}
 	left := max(total, 0)
 	for {
 		weights := 0.0
-		for i, a := range asks {
-			if out[i] < 0 {
+		for i, a := range claims {
+			if shares[i] < 0 {
 				weights += a.Weight
 			}
 		}
@@ -82,17 +82,17 @@
 			return
 		}
 		level, settled, given := left/weights, false, 0.0
-		for i, a := range asks {
-			if out[i] < 0 && a.Demand <= level*a.Weight {
-				out[i], settled = a.Demand, true
+		for i, a := range claims {
+			if shares[i] < 0 && a.Demand <= level*a.Weight {
+				shares[i], settled = a.Demand, true
 				given += a.Demand
 			}
 		}
 		left = max(left-given, 0)
 		if !settled {
-			for i, a := range asks {
-				if out[i] < 0 {
-					out[i] = level * a.Weight
+			for i, a := range claims {
+				if shares[i] < 0 {
+					shares[i] = level * a.Weight
 				}
 			}
 			return
@@ -102,21 +102,21 @@
 
 // Loan gives each claim a share by its weight and lets those that need less lend half of
 // what they don't use; what is lent is divided by MaxMin.
-func Loan(total float64, asks []Claim, out []float64) {
-	Equal(total, asks, out)
+func Loan(total float64, claims []Claim, shares []float64) {
+	Equal(total, claims, shares)
 	lent := 0.0
-	needs, got := make([]Claim, len(asks)), make([]float64, len(asks))
-	for i, a := range asks {
+	needs, got := make([]Claim, len(claims)), make([]float64, len(claims))
+	for i, a := range claims {
 		needs[i].Weight = a.Weight
-		if idle := out[i] - a.Demand; idle > 0 {
+		if idle := shares[i] - a.Demand; idle > 0 {
 			lent += idle / 2
-			out[i] -= idle / 2
+			shares[i] -= idle / 2
 		} else {
 			needs[i].Demand = -idle
 		}
 	}
 	MaxMin(lent, needs, got)
-	for i := range out {
-		out[i] += got[i]
+	for i := range shares {
+		shares[i] += got[i]
 	}
 }
--- a/internal/dispatcher/fleet/budget/sim_test.go
+++ b/internal/dispatcher/fleet/budget/sim_test.go
@@ -16,7 +16,7 @@
 
 var seeds = flag.Int("seeds", 1500, "seeds of the simulation")
 
-// world is processes, keepers and a bad network in true, virtual time.
+// world is processes, raft nodes and a bad network in true, virtual time.
 type world struct {
 	*rand.Rand
 	now    time.Duration
--- a/internal/dispatcher/fleet/coordinator/attempt.go
+++ b/internal/dispatcher/fleet/coordinator/attempt.go
@@ -57,15 +57,15 @@
 		return
 	}
 	answer := <-done
-	end, result, said := endOf(answer), []byte(nil), answer.MemberError
+	end, result, body := endOf(answer), []byte(nil), answer.MemberError
 	d.coordinator.log.WithFields(logrus.Fields{"run": d.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "sends": answer.Attempts}).Debug("plan stage's job ended")
 	if end == plan.Done {
 		d.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Estimator.Observe(t.Class, time.Since(sent)) })
-		result, said = answer.Body, answer.Body
+		result, body = answer.Body, answer.Body
 	}
 	var lost *planrun.LostInput
 	if !t.Undo {
-		if lost = d.lostInput(end, t, said); lost != nil {
+		if lost = d.lostInput(end, t, body); lost != nil {
 			end, result = plan.Lost, nil
 		}
 	}
@@ -83,10 +83,10 @@
 
 // lostInput evaluates the rerun conditions of a stage: an input that the attempt reports as
 // lost, or nil.
-func (d *driver) lostInput(end plan.End, t planrun.Task, said []byte) *planrun.LostInput {
+func (d *driver) lostInput(end plan.End, t planrun.Task, body []byte) *planrun.LostInput {
 	st, upstream := d.plan.Stages[t.Stage], d.shape.Upstream(t.Stage)
 	for i := range st.Reruns {
-		holds, err := st.Reruns[i].Holds(end, said)
+		holds, err := st.Reruns[i].Holds(end, body)
 		if err != nil {
 			d.coordinator.log.WithError(err).WithField("run", d.id).Warn("rerun condition can't be evaluated and counts as false")
 			continue
--- a/internal/dispatcher/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -167,12 +167,12 @@
 		return err
 	}
 	for _, one := range r.Claimed {
-		look, err := c.queryRun(ctx2, s, one.Run)
+		reply, err := c.queryRun(ctx2, s, one.Run)
 		if err != nil {
 			return fmt.Errorf("run %s: %w", one.Run, err) // its fence is this process's: no other takes it, until its lease ends
 		}
-		if look.Run != nil && look.Run.Fence == one.Fence {
-			c.drive(ctx, one.Fence, look)
+		if reply.Run != nil && reply.Run.Fence == one.Fence {
+			c.drive(ctx, one.Fence, reply)
 		}
 	}
 	if len(r.Claimed) > 0 {
@@ -216,30 +216,30 @@
 func (c *Coordinator) start(ctx context.Context, a StartRequest) (answer *planrun.Answer, before time.Duration, err error) {
 	c.mu.Lock()
 	p := c.plansByName[a.Plan]
-	full, life := len(c.runs) >= maxRuns, c.lifetime
+	full, lifetime := len(c.runs) >= maxRuns, c.lifetime
 	c.mu.Unlock()
 	s := c.fleet.Session()
 	switch {
 	case p == nil:
 		return nil, 0, fmt.Errorf("%w: %q", ErrUnknownPlan, a.Plan)
-	case s == nil || life == nil || c.isDraining():
+	case s == nil || lifetime == nil || c.isDraining():
 		return nil, 0, ErrNoSession
 	case full:
 		return nil, 0, fmt.Errorf("%w: this process drives %d runs", ErrRefused, maxRuns)
 	}
-	look, err := c.queryRun(ctx, s, a.Run)
+	reply, err := c.queryRun(ctx, s, a.Run)
 	if err != nil {
 		return nil, 0, err
 	}
-	if look.FinalAnswer != nil || look.Run != nil {
-		return look.FinalAnswer, 0, nil
+	if reply.FinalAnswer != nil || reply.Run != nil {
+		return reply.FinalAnswer, 0, nil
 	}
 	if a.Timeout <= 0 || a.Timeout > p.Timeout {
 		a.Timeout = p.Timeout
 	}
 	var r partition.PlanReply
 	start := planrun.Start{Run: a.Run, Plan: p.Name, Tenant: a.Tenant, Digest: p.Digest, Shape: planrun.ShapeOf(p), Input: a.Input,
-		Seed: codec.Digest([]byte(a.Run)), Before: look.At + a.Timeout}
+		Seed: codec.Digest([]byte(a.Run)), Before: reply.At + a.Timeout}
 	if err := s.Execute(ctx, partition.PlansCommand, planrun.Command{Start: &start}, &r); err != nil {
 		return nil, start.Before, err
 	}
@@ -247,7 +247,7 @@
 		return nil, start.Before, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	if r.Run != nil && r.Started.Fence != 0 {
-		c.drive(life, r.Started.Fence, r)
+		c.drive(lifetime, r.Started.Fence, r)
 	}
 	return r.FinalAnswer, start.Before, nil
 }
--- a/internal/dispatcher/fleet/coordinator/start_async.go
+++ b/internal/dispatcher/fleet/coordinator/start_async.go
@@ -27,18 +27,18 @@
 	byRun map[string][]chan *planrun.Answer
 }
 
-func (w *answerWaiters) subscribe(run string) (heard chan *planrun.Answer, forget func()) {
-	heard = make(chan *planrun.Answer, 1)
+func (w *answerWaiters) subscribe(run string) (answers chan *planrun.Answer, forget func()) {
+	answers = make(chan *planrun.Answer, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.byRun == nil {
 		w.byRun = map[string][]chan *planrun.Answer{}
 	}
-	w.byRun[run] = append(w.byRun[run], heard)
-	return heard, func() {
+	w.byRun[run] = append(w.byRun[run], answers)
+	return answers, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.byRun[run] = slices.DeleteFunc(w.byRun[run], func(c chan *planrun.Answer) bool { return c == heard }); len(w.byRun[run]) == 0 {
+		if w.byRun[run] = slices.DeleteFunc(w.byRun[run], func(c chan *planrun.Answer) bool { return c == answers }); len(w.byRun[run]) == 0 {
 			delete(w.byRun, run)
 		}
 	}
@@ -47,9 +47,9 @@
 func (w *answerWaiters) publish(a *planrun.Answer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, heard := range w.byRun[a.Run] {
+	for _, answers := range w.byRun[a.Run] {
 		select {
-		case heard <- a:
+		case answers <- a:
 		default: // it was told before
 		}
 	}
@@ -72,18 +72,18 @@
 func (c *Coordinator) StartAsync(a StartRequest, until time.Time, done func(*planrun.Answer, error)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p, life := c.plansByName[a.Plan], c.lifetime
+	p, lifetime := c.plansByName[a.Plan], c.lifetime
 	switch {
 	case p == nil:
 		return fmt.Errorf("%w: %q", ErrUnknownPlan, a.Plan)
-	case life == nil || life.Err() != nil:
+	case lifetime == nil || lifetime.Err() != nil:
 		return ErrNoSession
 	}
 	if most := c.now().Add(p.Timeout); until.IsZero() || until.After(most) {
 		until = most
 	}
 	c.running.Go(func() {
-		if answer, err := c.startAndWait(life, a, until); life.Err() == nil {
+		if answer, err := c.startAndWait(lifetime, a, until); lifetime.Err() == nil {
 			done(answer, err)
 		}
 	})
@@ -93,7 +93,7 @@
 // startAndWait retries the start until the replicated state has it, and then waits for the
 // answer.
 func (c *Coordinator) startAndWait(ctx context.Context, a StartRequest, until time.Time) (*planrun.Answer, error) {
-	heard, forget := c.waiting.subscribe(a.Run)
+	answers, forget := c.waiting.subscribe(a.Run)
 	defer forget()
 	began := c.now()
 	answer, before, err := c.startUntil(ctx, a, began, until)
@@ -103,7 +103,7 @@
 	if err != nil && before == 0 {
 		return nil, err
 	}
-	return c.awaitAnswer(ctx, a.Run, heard, began, until, before)
+	return c.awaitAnswer(ctx, a.Run, answers, began, until, before)
 }
 
 // startUntil retries a start that began at a time, until it has started the run, was
@@ -138,15 +138,15 @@
 
 // awaitAnswer waits for the answer of a run: it is published if this process drives the
 // run, and polled else.
-func (c *Coordinator) awaitAnswer(ctx context.Context, run string, heard <-chan *planrun.Answer, began, until time.Time, before time.Duration) (*planrun.Answer, error) {
+func (c *Coordinator) awaitAnswer(ctx context.Context, run string, answers <-chan *planrun.Answer, began, until time.Time, before time.Duration) (*planrun.Answer, error) {
 	limits := planrun.DefaultLimits()
 	keep := limits.AnswerRetention
-	lost := until.Add(limits.Grace + answerTimeout)
-	for wait := pollInterval; c.now().Before(lost); {
+	giveUpAt := until.Add(limits.Grace + answerTimeout)
+	for wait := pollInterval; c.now().Before(giveUpAt); {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case answer := <-heard:
+		case answer := <-answers:
 			return answer, nil
 		case <-time.After(wait):
 		}
--- a/internal/dispatcher/fleet/coordinator/start_async_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -23,7 +23,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keeper is the state behind calls that may be lost on their way in or out.
+// raft node is the state behind calls that may be lost on their way in or out.
 type keeper struct {
 	mu      sync.Mutex
 	machine *state.Machine
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -22,7 +22,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// section is a fleet of three keepers and any number of others; %s are its budgets
+// section is a fleet of three raft nodes and any number of others; %s are its budgets
 // and what else it has.
 const section = `{"fleet":{"name":"{{.Name}}","folder":"{{.Folder}}",
 {{if le .Name "n3"}}"calls":"{{.Addr "calls"}}","votes":"{{.Addr "votes"}}",{{end}}
@@ -47,7 +47,7 @@
 	return r
 }
 
-// ask calls a process's door.
+// ask calls a process's admin API.
 func ask(p *harness.Process, method, path, body string) (status int, answer string) {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+p.Addr("admin")+path, strings.NewReader(body)) // the client has a timeout
 	if err != nil {
@@ -116,7 +116,7 @@
 	require.Eventually(t, func() bool { return r.Answers.Served.Load() >= from+more }, 40*time.Second, 10*time.Millisecond, "%d more are served", more)
 }
 
-// alike waits until the keepers that run have the same state to the byte.
+// alike waits until the raft nodes that run have the same state to the byte.
 func alike(t *testing.T, r *harness.Cluster) {
 	t.Helper()
 	var last []status
@@ -357,7 +357,7 @@
 `
 
 // TestFiftyLoseOneOutput: fifty jobs on many members report at once that what they were
-// given is stale, while the keepers' leader is killed. It is made anew once, for all.
+// given is stale, while the raft nodes' leader is killed. It is made anew once, for all.
 func TestFiftyLoseOneOutput(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plans.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(coach), 0o600))
@@ -400,7 +400,7 @@
 	t.Logf("%d attempts", a.Attempts)
 }
 
-// kept are all records of a tenant, by pages of a process's door.
+// kept are all records of a tenant, by pages of a process's admin API.
 func kept(t *testing.T, p *harness.Process, tenant string) (ids []string, ordinary int) {
 	t.Helper()
 	after := ""
@@ -521,7 +521,7 @@
 	alike(t, r)
 }
 
-// TestReplicaAwayThroughCuts: a keeper is down while records are cut three times and
+// TestReplicaAwayThroughCuts: a raft node is down while records are cut three times and
 // the rule is changed. Back, it has what the others have, and nothing that was cut.
 func TestReplicaAwayThroughCuts(t *testing.T) {
 	rules := func(revision, count int) string {
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -22,7 +22,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenMessages holds each message between processes and keepers as hexadecimal CBOR,
+// goldenMessages holds each message between processes and raft nodes as hexadecimal CBOR,
 // one a line, written by commit 352ebf2. It must never be rewritten by later code:
 // builds before and after talk to one another during a rolling upgrade. CBOR maps in it
 // carry the Go names of exported fields; the labels of the lines are the test's own.
@@ -70,11 +70,11 @@
 		{"call to a keeper: about", rpc.NodeStatus{Name: "a", Empty: true, Bootstrapped: false, IsLeader: true, BootCounts: map[string]uint64{"k1": 1, "k2": 2}, DivergentPartitions: []string{"b"}, Index: 3, At: span}},
 		{"members: join", state.JoinBody{Process: "a", Nonce: "b", Version: "c"}},
 		{"members: joined", state.JoinReply{Incarnation: 1, Lease: span}},
-		{"members: renew", state.RenewBody{Parts: map[string][]byte{"budgets": bytes("a")}}},
-		{"members: renewed", state.RenewReply{Lease: span, Members: 1, Parts: map[string][]byte{"budgets": bytes("a")}, Refused: map[string]string{"plans": "b"}}},
-		{"settings", state.FleetSettings{Revision: 1, Lease: span, Parts: map[string][]byte{"budgets": bytes("a")}}},
+		{"members: renew", state.RenewBody{Partitions: map[string][]byte{"budgets": bytes("a")}}},
+		{"members: renewed", state.RenewReply{Lease: span, Members: 1, Partitions: map[string][]byte{"budgets": bytes("a")}, Refused: map[string]string{"plans": "b"}}},
+		{"settings", state.FleetSettings{Revision: 1, Lease: span, Partitions: map[string][]byte{"budgets": bytes("a")}}},
 		{"keepers: boot", state.BootBody{Process: "a", Count: 1}},
-		{"keepers: sums", state.DigestsBody{Replica: "a", Index: 1, Parts: map[string]uint64{"plans": 2}}},
+		{"keepers: sums", state.DigestsBody{Replica: "a", Index: 1, Partitions: map[string]uint64{"plans": 2}}},
 		{"budgets: settings", budget.Config{Lease: span, Budgets: []budget.Budget{rate}}},
 		{"budgets: renewal", budget.Renewal{Process: "a", Incarnation: 1, AppliedGrant: 2, Usage: map[string]budget.Usage{"b": {Demand: 1.5, InFlight: 2.5, MaxRemaining: span}}}},
 		{"budgets: grant", budget.Grant{Process: "a", Incarnation: 1, Number: 2, Lease: span, RenewSoon: true, Shares: []budget.Share{
@@ -144,7 +144,7 @@
 	}
 }
 
-// TestGoldenCalls: the paths and the header of the keepers' calls, the parts' names and
+// TestGoldenCalls: the paths and the header of the raft nodes' calls, the parts' names and
 // the kinds of commands and queries.
 func TestGoldenCalls(t *testing.T) {
 	require.Equal(t, []string{"/fleet/do", "/fleet/read", "/fleet/nearby", "/fleet/about", "/fleet/rejoin", "/fleet/ready", "Fleet-Leader"},
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -27,7 +27,7 @@
 
 // The files in goldenState were written by commit 352ebf2 and must never be rewritten
 // by later code: they are the raft log, its replies, the snapshot and the digests that
-// keepers of both builds share during a rolling upgrade.
+// raft nodes of both builds share during a rolling upgrade.
 //
 // CBOR maps in them carry the Go names of exported struct fields, so a renamed field of a
 // stored type needs a cbor tag with its old name.
@@ -38,7 +38,7 @@
 	goldenSecond = int64(time.Second)
 )
 
-// goldenMachine returns an empty state with the parts of a keeper, in their order.
+// goldenMachine returns an empty state with the parts of a raft node, in their order.
 func goldenMachine(t *testing.T) *state.Machine {
 	store, err := recordstore.Open(t.TempDir())
 	require.NoError(t, err)
@@ -130,7 +130,7 @@
 
 // goldenSettings has a budget of each kind, and rules of records.
 func (l *goldenLog) goldenSettings() state.FleetSettings {
-	return state.FleetSettings{Revision: 4, Lease: 20 * time.Second, Parts: map[string][]byte{
+	return state.FleetSettings{Revision: 4, Lease: 20 * time.Second, Partitions: map[string][]byte{
 		partition.BudgetsName: l.encode(budget.Config{Lease: 20 * time.Second, Budgets: []budget.Budget{
 			{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Total: 120, Burst: 40, Floor: 5, FloorSlots: 3, FloorDuration: time.Minute, Weights: map[string]float64{"n1": 2}},
 			{Name: "under-way/hrad-kamenec", Kind: budget.InFlight, Total: 60, Floor: 2, FloorSlots: 3, FloorDuration: time.Minute, SettleTime: 8 * time.Second},
@@ -152,14 +152,14 @@
 	require.NoError(l.t, l.by("n1", first, at, state.SetSettings, l.goldenSettings()).Err())
 	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k1", Count: 1})
 	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k2", Count: 7})
-	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k1", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
-	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k2", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
+	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k1", Index: 4, Partitions: map[string]uint64{"plans": 17, "members": 18}})
+	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k2", Index: 4, Partitions: map[string]uint64{"plans": 17, "members": 18}})
 	third = l.join(at, "n2", "start-3") // replaces the start before it
 	require.ErrorIs(l.t, l.by("n2", second, at, partition.PlansCommand, planrun.Command{}).Err(), state.ErrFenced)
 	fourth := l.join(at, "n3", "start-4")
 
 	renew := func(process string, incarnation uint64, at time.Duration, bound uint64) uint64 {
-		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Parts: map[string][]byte{
+		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Partitions: map[string][]byte{
 			partition.BudgetsName: l.encode(budget.Renewal{Process: process, Incarnation: incarnation, AppliedGrant: bound, Usage: map[string]budget.Usage{
 				"jobs/hrad-kamenec": {Demand: 30.5}, "under-way/hrad-kamenec": {Demand: 12, InFlight: 4, MaxRemaining: 2 * time.Second}, "cold": {Demand: 2},
 			}}),
@@ -169,7 +169,7 @@
 		var renewed state.RenewReply
 		require.NoError(l.t, codec.Decode(reply.Body, &renewed))
 		var grant budget.Grant
-		require.NoError(l.t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
+		require.NoError(l.t, codec.Decode(renewed.Partitions[partition.BudgetsName], &grant))
 		return grant.Number
 	}
 	bound := map[string]uint64{}
--- a/internal/dispatcher/fleet/harness/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestDigests: keepers that differ at one place of the log are found, also when
-// they are alike again later; so are keepers that never come to one place.
+// TestDigests: raft nodes that differ at one place of the log are found, also when
+// they are alike again later; so are raft nodes that never come to one place.
 func TestDigests(t *testing.T) {
 	r := new(Cluster)
 	say := make([]string, 2)
@@ -166,7 +166,7 @@
 	say[1] = keeper(9, "ee")
 	_, err := d.WaitConverged(r, 2, time.Now().Add(50*time.Millisecond))
 	require.Error(t, err)
-	say[1] = `{"Process":"n"}` // no keeper: it tells of nothing
+	say[1] = `{"Process":"n"}` // no raft node: it tells of nothing
 	_, err = new(DigestMonitor).WaitConverged(r, 2, time.Now().Add(50*time.Millisecond))
 	require.Error(t, err)
 }
--- a/internal/dispatcher/fleet/harness/cluster_test.go
+++ b/internal/dispatcher/fleet/harness/cluster_test.go
@@ -149,7 +149,7 @@
 	return Soak{Settings: Settings{Processes: processes, Load: load}, FaultKinds: []string{"is killed", "is frozen", "is asked to end"}, Checks: SoakChecks(nil)}
 }
 
-// joined is a soak of a fleet of three keepers and two more, with a budget for a
+// joined is a soak of a fleet of three raft nodes and two more, with a budget for a
 // tenant who asks for more, under faults of all kinds. Half of the demand is at one
 // process, and moves. Bookings run beside it.
 func joined(seed uint64) Soak {
--- a/internal/dispatcher/fleet/harness/digest_monitor.go
+++ b/internal/dispatcher/fleet/harness/digest_monitor.go
@@ -59,16 +59,16 @@
 
 // WaitConverged waits until this many raft nodes report the same index, and returns all
 // differences that were seen.
-func (m *DigestMonitor) WaitConverged(r *Cluster, keepers int, until time.Time) ([]string, error) {
+func (m *DigestMonitor) WaitConverged(r *Cluster, nodes int, until time.Time) ([]string, error) {
 	for time.Now().Before(until) {
 		for _, p := range r.Processes {
 			m.poll(p)
 		}
 		m.mu.Lock()
 		ends := slices.Compact(slices.Sorted(maps.Values(m.lastIndex)))
-		diff, told := slices.Clone(m.differences), len(m.lastIndex)
+		diff, polled := slices.Clone(m.differences), len(m.lastIndex)
 		m.mu.Unlock()
-		if told == keepers && len(ends) == 1 {
+		if polled == nodes && len(ends) == 1 {
 			return diff, nil
 		}
 	}
@@ -77,5 +77,5 @@
 		_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
 		said = append(said, fmt.Sprintf("%s: %s (%v)", p.Name, text, err))
 	}
-	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", keepers, m.lastIndex, strings.Join(said, "\n"))
+	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", nodes, m.lastIndex, strings.Join(said, "\n"))
 }
--- a/internal/dispatcher/fleet/measure_test.go
+++ b/internal/dispatcher/fleet/measure_test.go
@@ -47,7 +47,7 @@
 					r.Start()
 				case "on":
 					r = found(t, 3, load, full)
-				default: // of five, jobs go to the two that are no keepers
+				default: // of five, jobs go to the two that are no raft nodes
 					s := harness.Settings{Processes: 5, Load: load}
 					s.PickProcess = func(r *harness.Cluster) *harness.Process { return r.Processes[3+rand.IntN(2)] }
 					r = foundWith(t, s, full)
--- a/internal/dispatcher/fleet/partition/budgets.go
+++ b/internal/dispatcher/fleet/partition/budgets.go
@@ -31,10 +31,10 @@
 // NewBudgets returns a partition without budgets.
 func NewBudgets() *Budgets { return &Budgets{budget.NewAllocationTable()} }
 
-// Name implements state.Part.
+// Name implements state.Partition.
 func (*Budgets) Name() string { return BudgetsName }
 
-// Check implements state.Part.
+// Check implements state.Partition.
 func (*Budgets) Check(settings []byte) error {
 	var c budget.Config
 	if err := codec.Decode(settings, &c); err != nil {
@@ -43,7 +43,7 @@
 	return c.Check()
 }
 
-// Set implements state.Part.
+// Set implements state.Partition.
 func (b *Budgets) Set(at time.Duration, settings []byte) error {
 	var c budget.Config
 	if err := codec.Decode(settings, &c); err != nil {
@@ -52,7 +52,7 @@
 	return b.table.Configure(at, c)
 }
 
-// Apply implements state.Part.
+// Apply implements state.Partition.
 func (b *Budgets) Apply(c state.Command, _ uint64) ([]byte, error) {
 	if c.Kind != BudgetsLeave {
 		return nil, fmt.Errorf("%w: no budget command %q", state.ErrBad, c.Kind)
@@ -84,10 +84,10 @@
 // table takes it back when the lease has expired.
 func (*Budgets) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
 
-// Advance implements state.Part.
+// Advance implements state.Partition.
 func (b *Budgets) Advance(at time.Duration) { b.table.Advance(at) }
 
-// Query implements state.Asked.
+// Query implements state.Queryable.
 func (b *Budgets) Query(kind state.Kind, _ []byte) ([]byte, error) {
 	if kind != BudgetsStatus {
 		return nil, fmt.Errorf("no budget query %q", kind)
@@ -95,13 +95,13 @@
 	return codec.Encode(b.table.Status())
 }
 
-// Snapshot implements state.Part.
+// Snapshot implements state.Partition.
 func (b *Budgets) Snapshot() (state.Snapshot, error) { return snapshotOf(b.table.Encode()) }
 
-// Restore implements state.Part.
+// Restore implements state.Partition.
 func (b *Budgets) Restore(r io.Reader) error { return restoreWith(r, b.table.Decode) }
 
-// Digest implements state.Part.
+// Digest implements state.Partition.
 func (b *Budgets) Digest() (uint64, error) { return b.table.Digest() }
 
 func snapshotOf(text []byte, err error) (state.Snapshot, error) {
--- a/internal/dispatcher/fleet/partition/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -38,13 +38,13 @@
 // NewPlans returns a partition without runs.
 func NewPlans() *Plans { return &Plans{planrun.NewTracker(planrun.DefaultLimits())} }
 
-// Name implements state.Part.
+// Name implements state.Partition.
 func (*Plans) Name() string { return PlansName }
 
 // Check implements state.Partition: plan runs have no settings.
 func (*Plans) Check([]byte) error { return errors.New("plans are not set for the fleet") }
 
-// Set implements state.Part.
+// Set implements state.Partition.
 func (p *Plans) Set(_ time.Duration, settings []byte) error { return p.Check(settings) }
 
 // Apply implements state.Partition. A refusal by the tracker is part of the reply, with the
@@ -99,10 +99,10 @@
 	p.tracker.LeaseExpired(at, process, incarnation)
 }
 
-// Advance implements state.Part.
+// Advance implements state.Partition.
 func (p *Plans) Advance(at time.Duration) { p.tracker.Advance(at) }
 
-// Query implements state.Asked.
+// Query implements state.Queryable.
 func (p *Plans) Query(kind state.Kind, body []byte) ([]byte, error) {
 	switch kind {
 	case PlansCountOrphans:
@@ -119,11 +119,11 @@
 	return nil, fmt.Errorf("no plan query %q", kind)
 }
 
-// Snapshot implements state.Part.
+// Snapshot implements state.Partition.
 func (p *Plans) Snapshot() (state.Snapshot, error) { return snapshotOf(p.tracker.Encode()) }
 
-// Restore implements state.Part.
+// Restore implements state.Partition.
 func (p *Plans) Restore(r io.Reader) error { return restoreWith(r, p.tracker.Decode) }
 
-// Digest implements state.Part.
+// Digest implements state.Partition.
 func (p *Plans) Digest() (uint64, error) { return p.tracker.Digest() }
--- a/internal/dispatcher/fleet/partition/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -72,10 +72,10 @@
 	return r
 }
 
-// Name implements state.Part.
+// Name implements state.Partition.
 func (*Records) Name() string { return RecordsName }
 
-// Check implements state.Part.
+// Check implements state.Partition.
 func (*Records) Check(settings []byte) error {
 	var c records.SetRules
 	if err := codec.Decode(settings, &c); err != nil {
@@ -84,7 +84,7 @@
 	return records.New().SetRules(0, c)
 }
 
-// Set implements state.Part.
+// Set implements state.Partition.
 func (p *Records) Set(at time.Duration, settings []byte) error {
 	var c records.SetRules
 	if err := codec.Decode(settings, &c); err != nil {
@@ -93,7 +93,7 @@
 	return p.state.SetRules(at, c)
 }
 
-// Apply implements state.Part.
+// Apply implements state.Partition.
 func (p *Records) Apply(c state.Command, index uint64) (body []byte, err error) {
 	err = p.store.Update(index, func(st records.Store) error {
 		var reply any
@@ -165,7 +165,7 @@
 // Advance implements state.Partition: records are removed by prunes only.
 func (*Records) Advance(time.Duration) {}
 
-// Query implements state.Asked.
+// Query implements state.Queryable.
 func (p *Records) Query(kind state.Kind, body []byte) (text []byte, err error) {
 	if p.failure != nil {
 		return nil, p.failure
@@ -223,16 +223,16 @@
 // Fence returns how far this replica knows that records were pruned.
 func (p *Records) Fence() records.Fence { return p.state.Fence() }
 
-// Snapshot implements state.Part.
+// Snapshot implements state.Partition.
 func (p *Records) Snapshot() (state.Snapshot, error) {
 	if p.failure != nil {
 		return state.Snapshot{}, p.failure
 	}
-	small, err := p.state.Encode()
+	encoded, err := p.state.Encode()
 	if err != nil {
 		return state.Snapshot{}, err
 	}
-	snap, err := p.store.Snapshot(small)
+	snap, err := p.store.Snapshot(encoded)
 	if err != nil {
 		return state.Snapshot{}, err
 	}
@@ -242,13 +242,13 @@
 	}}, nil
 }
 
-// Restore implements state.Part.
+// Restore implements state.Partition.
 func (p *Records) Restore(r io.Reader) error {
-	small, _, err := p.store.Restore(r)
+	encoded, _, err := p.store.Restore(r)
 	if err != nil {
 		return err
 	}
-	return p.state.Decode(small)
+	return p.state.Decode(encoded)
 }
 
 // Digest implements state.Partition. It fails where the store has failed, so that this
--- a/internal/dispatcher/fleet/plan/check_file.go
+++ b/internal/dispatcher/fleet/plan/check_file.go
@@ -27,9 +27,9 @@
 }
 
 // ClassesByName returns classes by their names, as Parse takes them.
-func ClassesByName(list []policy.Class) map[string]policy.Class {
-	by := make(map[string]policy.Class, len(list))
-	for _, c := range list {
+func ClassesByName(classes []policy.Class) map[string]policy.Class {
+	by := make(map[string]policy.Class, len(classes))
+	for _, c := range classes {
 		by[c.Name] = c
 	}
 	return by
--- a/internal/dispatcher/fleet/planrun/attempt_end.go
+++ b/internal/dispatcher/fleet/planrun/attempt_end.go
@@ -11,7 +11,7 @@
 
 // endAttempt takes in how the attempt in flight ended, and reports whether a loss that it
 // reports was new, so that the output is made again.
-func (t *Tracker) endAttempt(at time.Duration, r *Run, c ReportEnd) (fresh bool) {
+func (t *Tracker) endAttempt(at time.Duration, r *Run, c ReportEnd) (newLoss bool) {
 	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
 	it := &st.Items[c.Item]
 	execution := &it.Job
@@ -49,18 +49,18 @@
 
 // endAttemptWithLoss takes in that an attempt reports a lost input, and reports whether
 // that was new.
-func (t *Tracker) endAttemptWithLoss(at time.Duration, r *Run, c ReportEnd) (fresh bool) {
+func (t *Tracker) endAttemptWithLoss(at time.Duration, r *Run, c ReportEnd) (newLoss bool) {
 	if c.Lost.Generation > r.Stages[c.Lost.Stage].LostThrough {
 		if !t.rerunAllowed(r, c) {
 			t.failItem(at, r, c.Stage, c.Item, "no rule covers this end, or no rerun is left")
 			return false
 		}
-		fresh = t.loseOutput(r, c.Lost.Stage, c.Lost.Generation)
+		newLoss = t.loseOutput(r, c.Lost.Stage, c.Lost.Generation)
 	}
 	if r.GaveUp == nil && !maySendAgain(r.shape.Stages[c.Stage].Effect, r.Stages[c.Stage].Items[c.Item].Job.MayHaveRun) {
 		t.failItem(at, r, c.Stage, c.Item, "it must never run twice")
 	}
-	return fresh
+	return newLoss
 }
 
 // retryItem schedules a retry by the first rule that names the end, and reports whether
--- a/internal/dispatcher/fleet/planrun/attempt_registry.go
+++ b/internal/dispatcher/fleet/planrun/attempt_registry.go
@@ -73,7 +73,7 @@
 		c.Drop(v.Run.ID)
 		return nil, 0
 	}
-	var rest time.Duration
+	var remaining time.Duration
 	for _, a := range Next(at, c.grace, v) {
 		if a.Kind == WaitUntil {
 			wake = a.At
@@ -91,12 +91,12 @@
 			m.consumed = true
 			t.Ended = &ReportEnd{Run: v.Run.ID, Fence: d.fence, Stage: a.Stage, Item: a.Item, Undo: a.Undo, Attempt: a.Attempt, End: plan.Unsent}
 		default:
-			if rest == 0 {
-				rest = c.Estimator.RemainingTime(at, v)
+			if remaining == 0 {
+				remaining = c.Estimator.RemainingTime(at, v)
 			}
 			t.Sending = &SendAttempt{
 				Run: v.Run.ID, Fence: d.fence, Stage: a.Stage, Item: a.Item, Undo: a.Undo, Generation: a.Generation,
-				Inputs: a.Inputs, Attempt: a.Attempt, RemainingTime: rest,
+				Inputs: a.Inputs, Attempt: a.Attempt, RemainingTime: remaining,
 			}
 		}
 		m.commandPending = true
--- a/internal/dispatcher/fleet/planrun/bench_test.go
+++ b/internal/dispatcher/fleet/planrun/bench_test.go
@@ -64,7 +64,7 @@
 }
 
 // BenchmarkStudy runs fifty plans of one tour, whose list is lost once all have it,
-// with some of all stage runs failing: by the Book, by retries of each stage alone, and
+// with some of all stage runs failing: by the Tracker, by retries of each stage alone, and
 // with a plan that meets the loss making the list anew for itself.
 func BenchmarkStudy(b *testing.B) {
 	for _, failing := range []float64{0, 0.1, 0.3} {
--- a/internal/dispatcher/fleet/planrun/rerun.go
+++ b/internal/dispatcher/fleet/planrun/rerun.go
@@ -20,7 +20,7 @@
 // this run hears of it. The stage makes the next generation, unless another run has begun
 // to (then the loss is not new), and everything downstream is reset. If an at-most-once
 // stage downstream may have run, the run gives up.
-func (t *Tracker) loseOutput(r *Run, stage int, gen uint64) (fresh bool) {
+func (t *Tracker) loseOutput(r *Run, stage int, gen uint64) (newLoss bool) {
 	st := &r.Stages[stage]
 	st.LostThrough = gen
 	st.RerunsUsed++
@@ -35,7 +35,7 @@
 		}
 	}
 	if st.Generation == gen {
-		fresh = t.rerunStage(r, stage)
+		newLoss = t.rerunStage(r, stage)
 	}
 	for i := stage + 1; i < len(r.Stages); i++ {
 		if d := &r.Stages[i]; r.shape.dependsOn(i, stage) && d.hasBegun() {
@@ -43,7 +43,7 @@
 			t.rerunStage(r, i)
 		}
 	}
-	return fresh
+	return newLoss
 }
 
 // hasBegun reports whether anything of a stage was sent, or exists.
@@ -53,7 +53,7 @@
 
 // rerunStage has a stage make the next generation, or takes the one that another run has
 // made or is making; then the loss is not new.
-func (t *Tracker) rerunStage(r *Run, stage int) (fresh bool) {
+func (t *Tracker) rerunStage(r *Run, stage int) (newLoss bool) {
 	st := &r.Stages[stage]
 	gen := st.Generation
 	r.resetStage(stage, gen+1)
--- a/internal/dispatcher/fleet/planrun/runtime_estimator.go
+++ b/internal/dispatcher/fleet/planrun/runtime_estimator.go
@@ -48,7 +48,7 @@
 		return 0
 	}
 	var ends [maxStages]time.Duration // of stages, from now
-	rest := time.Duration(0)
+	remaining := time.Duration(0)
 	for i := range v.Run.Stages {
 		sh, st := &v.Shape.Stages[i], &v.Run.Stages[i]
 		if st.Complete {
@@ -74,7 +74,7 @@
 		if sh.Shared { // another run may be about to have it ready
 			ends[i] = begin
 		}
-		rest = max(rest, ends[i])
+		remaining = max(remaining, ends[i])
 	}
-	return rest
+	return remaining
 }
--- a/internal/dispatcher/fleet/planrun/shared_output.go
+++ b/internal/dispatcher/fleet/planrun/shared_output.go
@@ -79,7 +79,7 @@
 // rerunShared has the generation after a lost one made by a run that reported the loss,
 // unless another has begun to. Other runs that still need the output wait for it, and keep
 // what they made of the lost one until a stage of theirs reports the loss.
-func (t *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
+func (t *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (newLoss bool) {
 	if o.Generation > gen {
 		if r.Stages[stage].Generation = o.Generation; o.Ready {
 			r.takeOutput(stage, o)
--- a/internal/dispatcher/fleet/planrun/tracker_test.go
+++ b/internal/dispatcher/fleet/planrun/tracker_test.go
@@ -409,7 +409,7 @@
 	c := begin(t, s, "r")
 	text, err := codec.Encode(c.view())
 	require.NoError(t, err)
-	var far View // as a coordinator that is no keeper has it
+	var far View // as a coordinator that is no raft node has it
 	require.NoError(t, codec.Decode(text, &far))
 	require.Equal(t, Next(c.at, 0, c.view()), Next(c.at, 0, far))
 
--- a/internal/dispatcher/fleet/raftnode/fsm.go
+++ b/internal/dispatcher/fleet/raftnode/fsm.go
@@ -30,8 +30,8 @@
 	if c, err := state.Decode(l.Data); err == nil && f.onDigests != nil {
 		switch {
 		case c.Kind == state.Tick && len(c.Body) > 0:
-			sums, err := f.state.Digests()
-			f.onDigests(l.Index, sums, err)
+			digests, err := f.state.Digests()
+			f.onDigests(l.Index, digests, err)
 		case c.Kind == state.ReportDigests:
 			f.onPeerDigests()
 		}
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -25,13 +25,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// goldenFolder is the folder of a keeper, written by commit 352ebf2: its mark, raft's
+// goldenFolder is the folder of a raft node, written by commit 352ebf2: its mark, raft's
 // log and a snapshot in the middle of it. It must never be rewritten by later code.
 //
 // The mark, the snapshot and the log carry Go field names of exported fields.
 var goldenFolder = filepath.Join("testdata", "golden", "keeper")
 
-// alone runs the only keeper of a fleet on a folder until stop is called.
+// alone runs the only raft node of a fleet on a folder until stop is called.
 func alone(t *testing.T, folder string) (k *Node, client *rpc.Client, stop func()) {
 	t.Helper()
 	listen := func() net.Listener {
@@ -87,7 +87,7 @@
 	}
 }
 
-// writeGoldenFolder founds a fleet of one keeper and has it work before and after a snapshot.
+// writeGoldenFolder founds a fleet of one raft node and has it work before and after a snapshot.
 func writeGoldenFolder(t *testing.T, folder string) {
 	k, client, stop := alone(t, folder)
 	defer stop()
@@ -95,7 +95,7 @@
 	defer cancel()
 	who, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
 	require.NoError(t, err)
-	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
+	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Partitions: map[string][]byte{
 		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Total: 120, Burst: 40}}}),
 		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: 100}}}}),
 	}}, nil))
@@ -104,7 +104,7 @@
 			Process: "n1", Incarnation: who.Incarnation, AppliedGrant: grant.Number, Usage: map[string]budget.Usage{"jobs/hrad-kamenec": {Demand: 9}},
 		})})
 		require.NoError(t, err)
-		require.NoError(t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
+		require.NoError(t, codec.Decode(renewed.Partitions[partition.BudgetsName], &grant))
 	}
 	begin := func(run string) {
 		shape := planrun.Shape{MaxAttempts: 9, Timeout: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: policy.Deduplicated}}}
@@ -131,7 +131,7 @@
 	ship(3, "job-3")
 }
 
-// TestGoldenFolder: a keeper starts on a copy of the golden folder, has all that was
+// TestGoldenFolder: a raft node starts on a copy of the golden folder, has all that was
 // committed before and after the snapshot, and goes on.
 func TestGoldenFolder(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	if goldentest.Missing(goldenFolder) {
@@ -222,7 +222,7 @@
 	require.Equal(t, text, encoded(t, m))
 }
 
-// TestGoldenMembershipRequest: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
+// TestGoldenMembershipRequest: what a raft node that has caught up tells the leader, in the bytes of 352ebf2.
 func TestGoldenMembershipRequest(t *testing.T) {
 	text := []byte("\xa2\x64Name\x62k1\x65Index\x07")
 	require.Equal(t, text, encoded(t, membershipRequest{Name: "k1", Index: 7}))
--- a/internal/dispatcher/fleet/raftnode/join.go
+++ b/internal/dispatcher/fleet/raftnode/join.go
@@ -20,7 +20,7 @@
 
 // joinWithEmptyDir returns once the other nodes have added this one, or returns true once
 // it is known that the fleet is to be bootstrapped.
-func (node *Node) joinWithEmptyDir(ctx context.Context) (found bool, err error) {
+func (node *Node) joinWithEmptyDir(ctx context.Context) (bootstrap bool, err error) {
 	node.mu.Lock()
 	node.empty = true
 	node.mu.Unlock()
@@ -90,9 +90,9 @@
 
 // isStaleCopy reports whether another node knows of a later start of this one than its data
 // directory does. A stale directory has lost votes and entries, like an empty one.
-func (node *Node) isStaleCopy(ctx context.Context, own *dataDir) bool {
+func (node *Node) isStaleCopy(ctx context.Context, dir *dataDir) bool {
 	for _, a := range node.queryPeers(ctx) {
-		if a.BootCounts[node.settings.Name] > own.identity.Starts {
+		if a.BootCounts[node.settings.Name] > dir.identity.Starts {
 			return true
 		}
 	}
--- a/internal/dispatcher/fleet/raftnode/leadership.go
+++ b/internal/dispatcher/fleet/raftnode/leadership.go
@@ -49,7 +49,7 @@
 
 // advanceTime advances the fleet time while there are no commands, and requests digests
 // when they are due.
-func (node *Node) advanceTime(summed *time.Time) {
+func (node *Node) advanceTime(lastDigest *time.Time) {
 	node.mu.Lock()
 	l := node.leadership
 	node.mu.Unlock()
@@ -57,8 +57,8 @@
 		return
 	}
 	c := state.Command{Kind: state.Tick}
-	if time.Since(*summed) >= node.settings.DigestInterval {
-		*summed, c.Body = time.Now(), digestRequest
+	if time.Since(*lastDigest) >= node.settings.DigestInterval {
+		*lastDigest, c.Body = time.Now(), digestRequest
 	} else if l.now()-time.Duration(l.lastCommand.Load()) < tickInterval {
 		return
 	}
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -100,20 +100,20 @@
 // directory can't be used.
 func (node *Node) Run(ctx context.Context) error {
 	defer node.peers.Close()
-	own, err := node.openDir()
+	dir, err := node.openDir()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = own.lock.Close() }()
+	defer func() { _ = dir.lock.Close() }()
 	for ctx.Err() == nil {
-		anew, err := node.runReplica(ctx, own)
+		discard, err := node.runReplica(ctx, dir)
 		if err != nil {
 			return err
 		}
-		if !anew {
+		if !discard {
 			return nil
 		}
-		if err := own.wipe(); err != nil {
+		if err := dir.wipe(); err != nil {
 			return fmt.Errorf("making room for the state anew: %w", err)
 		}
 	}
@@ -122,19 +122,19 @@
 
 // runReplica runs raft on the data directory. It reports whether the state must be
 // discarded and restored from the other nodes.
-func (node *Node) runReplica(ctx context.Context, own *dataDir) (anew bool, err error) {
+func (node *Node) runReplica(ctx context.Context, dir *dataDir) (discard bool, err error) {
 	m, err := node.settings.NewMachine() // from nothing: raft brings the snapshot and the log
 	if err != nil {
 		return false, fmt.Errorf("the fleet's state: %w", err)
 	}
 	node.fsm.replace(m)
-	n, err := node.openReplica(own)
+	n, err := node.openReplica(dir)
 	if err != nil {
 		return false, err
 	}
-	ready, stale, err := node.prepareReplica(ctx, n, own)
+	ready, stale, err := node.prepareReplica(ctx, n, dir)
 	if ready && err == nil {
-		err = node.startRaft(n, own)
+		err = node.startRaft(n, dir)
 	}
 	if !ready || err != nil {
 		_ = n.store.Close() // nothing was written that must last
@@ -143,7 +143,7 @@
 	node.mu.Lock()
 	node.replica, node.empty, node.divergent = n, false, nil
 	node.mu.Unlock()
-	anew = node.superviseReplica(ctx, n, own)
+	discard = node.superviseReplica(ctx, n, dir)
 	node.mu.Lock()
 	node.replica, node.leadership = nil, nil
 	node.mu.Unlock()
@@ -156,30 +156,30 @@
 	if err := n.store.Close(); err != nil {
 		node.log.WithError(err).Error("closing the raft log failed")
 	}
-	return anew, nil
+	return discard, nil
 }
 
 // prepareReplica makes the data directory one that raft may be started on: a stale copy is
 // to be discarded first; an empty one waits until the other nodes have added this one, or
 // is bootstrapped. It is not ready if the context has ended.
-func (node *Node) prepareReplica(ctx context.Context, n *replica, own *dataDir) (ready, stale bool, err error) {
-	has, err := raft.HasExistingState(n.store, n.store, own.snapshots)
+func (node *Node) prepareReplica(ctx context.Context, n *replica, dir *dataDir) (ready, stale bool, err error) {
+	has, err := raft.HasExistingState(n.store, n.store, dir.snapshots)
 	if err != nil {
 		return false, false, fmt.Errorf("reading the fleet's log: %w", err)
 	}
-	if has && node.isStaleCopy(ctx, own) {
+	if has && node.isStaleCopy(ctx, dir) {
 		node.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
 		return false, true, nil
 	}
 	if has {
 		return true, false, nil
 	}
-	found, err := node.joinWithEmptyDir(ctx)
+	bootstrap, err := node.joinWithEmptyDir(ctx)
 	if err != nil || ctx.Err() != nil {
 		return false, false, err
 	}
-	if found {
-		if err := raft.BootstrapCluster(node.raftConfig(), n.store, n.store, own.snapshots, &raft.InmemTransport{}, node.initialConfiguration()); err != nil {
+	if bootstrap {
+		if err := raft.BootstrapCluster(node.raftConfig(), n.store, n.store, dir.snapshots, &raft.InmemTransport{}, node.initialConfiguration()); err != nil {
 			return false, false, fmt.Errorf("founding the fleet: %w", err)
 		}
 	}
@@ -187,12 +187,12 @@
 }
 
 // startRaft counts the start and starts raft.
-func (node *Node) startRaft(n *replica, own *dataDir) (err error) {
-	if err := own.countStart(); err != nil {
+func (node *Node) startRaft(n *replica, dir *dataDir) (err error) {
+	if err := dir.countStart(); err != nil {
 		return err
 	}
 	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(node.settings.RaftListener, node.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: node.raftLogger()})
-	if n.raft, err = raft.NewRaft(node.raftConfig(), node.fsm, n.store, n.store, own.snapshots, n.transport); err != nil {
+	if n.raft, err = raft.NewRaft(node.raftConfig(), node.fsm, n.store, n.store, dir.snapshots, n.transport); err != nil {
 		_ = n.transport.Close() // its listener outlives it
 		return fmt.Errorf("starting the fleet's log: %w", err)
 	}
@@ -230,12 +230,12 @@
 }
 
 // openReplica opens the log.
-func (node *Node) openReplica(own *dataDir) (*replica, error) {
-	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(own.path, "log.db"), BoltOptions: boltOptions})
+func (node *Node) openReplica(dir *dataDir) (*replica, error) {
+	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir.path, "log.db"), BoltOptions: boltOptions})
 	if err != nil {
 		return nil, fmt.Errorf("opening the fleet's log: %w", err)
 	}
-	own.snapshots, err = raft.NewFileSnapshotStoreWithLogger(own.path, 2, node.raftLogger())
+	dir.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir.path, 2, node.raftLogger())
 	if err != nil {
 		_ = store.Close()
 		return nil, fmt.Errorf("opening the fleet's snapshots: %w", err)
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -58,7 +58,7 @@
 	return state.Snapshot{Write: func(w io.Writer) error { _, err := w.Write(text); return err }}, err
 }
 
-// fleet is three keepers in this process.
+// fleet is three raft nodes in this process.
 type fleet struct {
 	t      *testing.T
 	dir    string
@@ -114,7 +114,7 @@
 
 func (f *fleet) folder(name string) string { return filepath.Join(f.dir, name) }
 
-// start starts a keeper; what its Run returns is what its stop does.
+// start starts a raft node; what its Run returns is what its stop does.
 func (f *fleet) start(name string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -128,7 +128,7 @@
 	var all sync.WaitGroup
 	ended := make(chan error, 1)
 	all.Go(func() { ended <- k.Run(ctx) })
-	// The address stays taken while the keeper is down; what arrives then is cut.
+	// The address stays taken while the raft node is down; what arrives then is cut.
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(f.t, err)
 	all.Go(func() { _ = server.Serve(l) })
@@ -179,7 +179,7 @@
 	}
 }
 
-// same waits until a keeper has all that was ordered, and votes.
+// same waits until a raft node has all that was ordered, and votes.
 func (f *fleet) same(name string) {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
@@ -380,7 +380,7 @@
 	require.True(t, errors.Is(err, ErrDataDir), fmt.Sprint(err))
 }
 
-// TestAChangeOfVotersEndsBeforeItsReplica holds a change of who votes open while its keeper is
+// TestAChangeOfVotersEndsBeforeItsReplica holds a change of who votes open while its raft node is
 // stopped: the library must not be shut down under it, since it may never answer it then.
 func TestAChangeOfVotersEndsBeforeItsReplica(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
--- a/internal/dispatcher/fleet/raftnode/status.go
+++ b/internal/dispatcher/fleet/raftnode/status.go
@@ -48,8 +48,8 @@
 		for i, who := range m.Members() {
 			names.SetArrayItem(i, arena.NewString(who.Process))
 		}
-		if sums, err := m.Digests(); err == nil {
-			for name, sum := range sums {
+		if byPartition, err := m.Digests(); err == nil {
+			for name, sum := range byPartition {
 				digests.Set(name, arena.NewString(fmt.Sprintf("%016x", sum)))
 			}
 		}
--- a/internal/dispatcher/fleet/raftnode/supervise.go
+++ b/internal/dispatcher/fleet/raftnode/supervise.go
@@ -10,11 +10,11 @@
 // superviseReplica does the node's own work while raft runs: it follows the leadership,
 // reports the node's start, asks for its vote, and compares digests. It returns when the
 // context ends, or returns true when the state must be discarded.
-func (node *Node) superviseReplica(ctx context.Context, n *replica, own *dataDir) (anew bool) {
+func (node *Node) superviseReplica(ctx context.Context, n *replica, dir *dataDir) (discard bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	sums := make(chan state.DigestsBody, 1)
-	told, broken := make(chan struct{}, 1), make(chan struct{}, 1)
+	digests := make(chan state.DigestsBody, 1)
+	peerDigests, broken := make(chan struct{}, 1), make(chan struct{}, 1)
 	node.fsm.mu.Lock()
 	node.fsm.onDigests = func(index uint64, parts map[string]uint64, err error) {
 		if err != nil { // it is wrong for sure: nobody needs to be asked
@@ -26,36 +26,36 @@
 			return
 		}
 		select {
-		case sums <- state.DigestsBody{Replica: node.settings.Name, Index: index, Parts: parts}:
+		case digests <- state.DigestsBody{Replica: node.settings.Name, Index: index, Partitions: parts}:
 		default: // the last ones are still on their way
 		}
 	}
 	node.fsm.onPeerDigests = func() {
 		select {
-		case told <- struct{}{}:
+		case peerDigests <- struct{}{}:
 		default:
 		}
 	}
 	node.fsm.mu.Unlock()
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	booted, summed := false, time.Now()
+	booted, lastDigest := false, time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return false
 		case <-tick.C:
 			node.updateLeadership(n)
-			node.advanceTime(&summed)
+			node.advanceTime(&lastDigest)
 			if !booted {
-				booted = node.submit(ctx, state.ReportBoot, state.BootBody{Process: node.settings.Name, Count: own.identity.Starts}) == nil
+				booted = node.submit(ctx, state.ReportBoot, state.BootBody{Process: node.settings.Name, Count: dir.identity.Starts}) == nil
 			}
 			node.requestPromotion(ctx, n)
-		case s := <-sums:
+		case s := <-digests:
 			if err := node.submit(ctx, state.ReportDigests, s); err != nil {
 				node.log.WithError(err).Debug("reporting digests failed")
 			}
-		case <-told:
+		case <-peerDigests:
 			if node.checkDivergence(n) {
 				return true
 			}
--- a/internal/dispatcher/fleet/records/plan_prune.go
+++ b/internal/dispatcher/fleet/records/plan_prune.go
@@ -9,22 +9,22 @@
 // longer keep, looking at most records at most, so that no prune blocks the store for long.
 // It changes nothing, and returns false if no prune is needed. While there is more than one
 // prune may remove, each plan begins with another tenant.
-func (s *State) PlanPrune(st Reader, now int64, most int) (c Prune, needed bool, err error) {
-	c = Prune{At: now, RulesEdition: s.rulesEdition, MaxSwept: most, NextTenant: s.nextTenant}
+func (s *State) PlanPrune(st Reader, now int64, limit int) (c Prune, needed bool, err error) {
+	c = Prune{At: now, RulesEdition: s.rulesEdition, MaxSwept: limit, NextTenant: s.nextTenant}
 	for i := range s.holds {
 		needed = needed || s.holds[i].Until != 0 && s.holds[i].Until <= now
 	}
 	from, _ := slices.BinarySearch(s.tenantNames, s.nextTenant)
-	rest := max(most, 1)
-	for n := 0; n < len(s.tenantNames) && rest > 0; n++ {
+	remaining := max(limit, 1)
+	for n := 0; n < len(s.tenantNames) && remaining > 0; n++ {
 		t := s.tenants[s.tenantNames[(from+n)%len(s.tenantNames)]]
 		rule := s.rule(t.Name)
 		for l, limits := range []Limits{Ordinary: rule.Keep, Failures: rule.Failed} {
-			m, seen, err := s.planWatermark(st, t, RetentionClass(l), limits, now, rest)
+			m, seen, err := s.planWatermark(st, t, RetentionClass(l), limits, now, remaining)
 			if err != nil {
 				return Prune{}, false, err
 			}
-			rest -= seen
+			remaining -= seen
 			if m.Compare(t.Classes[l].Watermark) > 0 {
 				c.Watermarks = append(c.Watermarks, Watermark{t.Name, RetentionClass(l), m})
 			}
@@ -49,9 +49,9 @@
 
 // planWatermark walks from the class's watermark over what must go, and returns the
 // watermark above that.
-func (s *State) planWatermark(st Reader, t *tenantState, of RetentionClass, limits Limits, now int64, most int) (mark Position, seen int, err error) {
+func (s *State) planWatermark(st Reader, t *tenantState, of RetentionClass, limits Limits, now int64, limit int) (watermark Position, seen int, err error) {
 	l := &t.Classes[of]
-	mark = l.Watermark
+	watermark = l.Watermark
 	var count, bytes int64 // beyond the bounds
 	if limits.MaxCount > 0 {
 		count = l.All.Count - l.BelowWatermark.Count - limits.MaxCount
@@ -60,20 +60,20 @@
 		bytes = l.All.Bytes - l.BelowWatermark.Bytes - limits.MaxBytes
 	}
 	if limits.MaxAge == 0 && count <= 0 && bytes <= 0 || l.All.Count == l.BelowWatermark.Count {
-		return mark, 0, nil
+		return watermark, 0, nil
 	}
 	err = st.Ascend(t.Name, l.Watermark, func(r *Record, text []byte) bool {
 		tooOld := limits.MaxAge > 0 && r.Ended < now-limits.MaxAge
-		if seen == most || !tooOld && count <= 0 && bytes <= 0 {
+		if seen == limit || !tooOld && count <= 0 && bytes <= 0 {
 			return false
 		}
 		seen++
-		mark = r.Position().next()
+		watermark = r.Position().next()
 		if r.RetentionClass() == of {
 			count--
 			bytes -= int64(len(text))
 		}
 		return true
 	})
-	return mark, seen, err
+	return watermark, seen, err
 }
--- a/internal/dispatcher/fleet/records/prune.go
+++ b/internal/dispatcher/fleet/records/prune.go
@@ -26,7 +26,7 @@
 		if m.Position.Compare(l.Watermark) <= 0 {
 			continue // a mark never goes back
 		}
-		var gone []Record
+		var removed []Record
 		err := st.Ascend(t.Name, l.Watermark, func(r *Record, text []byte) bool {
 			switch {
 			case r.Position().Compare(m.Position) >= 0:
@@ -37,38 +37,38 @@
 				done.Held++
 			default:
 				l.All.remove(text)
-				gone = append(gone, *r)
+				removed = append(removed, *r)
 			}
 			return true
 		})
 		if err == nil {
-			err = deleteAll(st, gone)
+			err = deleteAll(st, removed)
 		}
 		if err != nil {
 			return done, errors.Join(ErrStore, err)
 		}
-		done.Removed += len(gone)
+		done.Removed += len(removed)
 		l.Watermark = m.Position
 	}
 	s.counts.Cut += int64(done.Removed)
-	rest := max(c.MaxSwept, 0)
+	remaining := max(c.MaxSwept, 0)
 	for _, name := range s.tenantNames {
 		t := s.tenants[name]
-		if !t.Sweeping || rest == 0 {
+		if !t.Sweeping || remaining == 0 {
 			continue
 		}
-		seen, err := s.sweep(st, t, rest)
+		seen, err := s.sweep(st, t, remaining)
 		if err != nil {
 			return done, err
 		}
-		rest -= seen
+		remaining -= seen
 	}
 	return done, nil
 }
 
-func deleteAll(st Store, gone []Record) error {
-	for i := range gone {
-		if err := st.Delete(&gone[i]); err != nil {
+func deleteAll(st Store, removed []Record) error {
+	for i := range removed {
+		if err := st.Delete(&removed[i]); err != nil {
 			return err
 		}
 	}
@@ -80,14 +80,14 @@
 
 // sweep looks at the tenant's next records below its watermarks, most at a time, and
 // removes what no hold covers any more.
-func (s *State) sweep(st Store, t *tenantState, most int) (seen int, err error) {
-	var gone []Record
+func (s *State) sweep(st Store, t *tenantState, limit int) (seen int, err error) {
+	var removed []Record
 	top, done := t.sweepEnd(), true
 	err = st.Ascend(t.Name, t.SweptThrough, func(r *Record, text []byte) bool {
 		if r.Position().Compare(top) >= 0 {
 			return false
 		}
-		if seen == most {
+		if seen == limit {
 			done = false
 			return false
 		}
@@ -97,17 +97,17 @@
 			l := &t.Classes[r.RetentionClass()]
 			l.All.remove(text)
 			l.BelowWatermark.remove(text)
-			gone = append(gone, *r)
+			removed = append(removed, *r)
 		}
 		return true
 	})
 	if err == nil {
-		err = deleteAll(st, gone)
+		err = deleteAll(st, removed)
 	}
 	if err != nil {
 		return seen, errors.Join(ErrStore, err)
 	}
-	s.counts.Swept += int64(len(gone))
+	s.counts.Swept += int64(len(removed))
 	if done {
 		t.Sweeping, t.SweptThrough = false, Position{}
 	}
--- a/internal/dispatcher/fleet/records/records_test.go
+++ b/internal/dispatcher/fleet/records/records_test.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// replica is a state that has taken in the log up to at.
+// replica is a state that has processed the log up to at.
 type replica struct {
 	*State
 	shelf shelf
--- a/internal/dispatcher/fleet/records/ship.go
+++ b/internal/dispatcher/fleet/records/ship.go
@@ -27,7 +27,7 @@
 	i, known := slices.BinarySearchFunc(p.Epochs, c.Epoch, func(e epochProgress, of uint64) int { return cmp.Compare(e.Epoch, of) })
 	switch {
 	case !known && len(p.Epochs) >= maxEpochs && i == 0, !known && c.Epoch <= p.Forgotten && p.Forgotten > 0:
-		// So many epochs after it were taken in that it is over.
+		// So many epochs after it were processed that it is over.
 		p.Incarnation = c.Incarnation
 		s.counts.Again += int64(len(c.Records))
 		return Shipped{Through: last, Duplicates: len(c.Records)}, nil
--- a/internal/dispatcher/fleet/records/view.go
+++ b/internal/dispatcher/fleet/records/view.go
@@ -83,12 +83,12 @@
 }
 
 // ByID returns the records of a job id, most at most: an id may have ended more than once.
-func (v *View) ByID(st Reader, id string, most int) (found []Record, err error) {
+func (v *View) ByID(st Reader, id string, limit int) (found []Record, err error) {
 	err = st.ByID(id, func(r *Record, _ []byte) bool {
 		if v.isServed(r) {
 			found = append(found, *r)
 		}
-		return len(found) < most
+		return len(found) < limit
 	})
 	return found, err
 }
--- a/internal/dispatcher/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -37,7 +37,7 @@
 
 // Snapshot takes the state as it is now, together with the encoded small part that belongs
 // to it. It must be released.
-func (s *Store) Snapshot(small []byte) (*Snapshot, error) {
+func (s *Store) Snapshot(state []byte) (*Snapshot, error) {
 	f, err := s.acquire()
 	if err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 		s.release(f)
 		return nil, fmt.Errorf("a snapshot of records: %w", err)
 	}
-	return &Snapshot{s, f, tx, small}, nil
+	return &Snapshot{s, f, tx, state}, nil
 }
 
 // Index returns the index of the last log entry in the snapshot.
@@ -91,12 +91,12 @@
 // and the index of the last log entry in it. On an error the store is unchanged;
 // ErrNewerVersion and ErrSnapshot tell what is wrong with the snapshot. Open reads continue
 // with what they began with.
-func (s *Store) Restore(r io.Reader) (small []byte, index uint64, err error) {
+func (s *Store) Restore(r io.Reader) (state []byte, index uint64, err error) {
 	fail := func(err error) ([]byte, uint64, error) {
 		_ = os.Remove(s.path(incomingFile))
 		return nil, 0, fmt.Errorf("restoring records: %w", err)
 	}
-	if small, err = s.receive(r); err != nil {
+	if state, err = s.receive(r); err != nil {
 		return fail(err)
 	}
 	db, index, err := openReceived(s.path(incomingFile))
@@ -111,11 +111,11 @@
 	if err := syncDir(s.folder); err != nil {
 		return nil, 0, fmt.Errorf("restoring records: %w", err)
 	}
-	return small, index, nil
+	return state, index, nil
 }
 
 // receive writes a snapshot's file beside the present one.
-func (s *Store) receive(r io.Reader) (small []byte, err error) {
+func (s *Store) receive(r io.Reader) (state []byte, err error) {
 	sum := xxhash.New()
 	in := io.TeeReader(r, sum)
 	header := make([]byte, headerSize)
@@ -132,7 +132,7 @@
 	if sizes[0] > maxStateSize || sizes[1] > 1<<40 {
 		return nil, fmt.Errorf("its header: %w", ErrSnapshot)
 	}
-	if small, err = io.ReadAll(io.LimitReader(in, int64(sizes[0]))); err != nil || uint64(len(small)) != sizes[0] {
+	if state, err = io.ReadAll(io.LimitReader(in, int64(sizes[0]))); err != nil || uint64(len(state)) != sizes[0] {
 		return nil, fmt.Errorf("it is torn: %w", errors.Join(ErrSnapshot, err))
 	}
 	file, err := os.Create(s.path(incomingFile))
@@ -156,7 +156,7 @@
 	if err := file.Sync(); err != nil {
 		return nil, err
 	}
-	return small, nil
+	return state, nil
 }
 
 // openReceived opens a received file and checks that it is a store's.
--- a/internal/dispatcher/fleet/rpc/client.go
+++ b/internal/dispatcher/fleet/rpc/client.go
@@ -47,11 +47,11 @@
 }
 
 // New returns a client of the raft nodes with these addresses, by name.
-func New(keepers map[string]string) *Client {
-	c := &Client{addrs: keepers, http: &http.Client{Transport: &http.Transport{
+func New(raftNodes map[string]string) *Client {
+	c := &Client{addrs: raftNodes, http: &http.Client{Transport: &http.Transport{
 		DialContext: (&net.Dialer{}).DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}}}
-	for name := range keepers {
+	for name := range raftNodes {
 		c.names = append(c.names, name)
 	}
 	slices.Sort(c.names)
--- a/internal/dispatcher/fleet/rpc/session.go
+++ b/internal/dispatcher/fleet/rpc/session.go
@@ -67,15 +67,15 @@
 }
 
 // Renew renews the lease, with a message for each partition.
-func (s *Session) Renew(ctx context.Context, parts map[string][]byte) (state.RenewReply, error) {
-	var told state.RenewReply
-	body, err := codec.Encode(state.RenewBody{Parts: parts})
+func (s *Session) Renew(ctx context.Context, messages map[string][]byte) (state.RenewReply, error) {
+	var reply state.RenewReply
+	body, err := codec.Encode(state.RenewBody{Partitions: messages})
 	if err != nil {
-		return told, err
+		return reply, err
 	}
 	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Kind: state.Renew, Body: body})
 	if err != nil {
-		return told, err
+		return reply, err
 	}
-	return told, codec.Decode(r.Body, &told)
+	return reply, codec.Decode(r.Body, &reply)
 }
--- a/internal/dispatcher/fleet/state/chunks.go
+++ b/internal/dispatcher/fleet/state/chunks.go
@@ -31,22 +31,22 @@
 
 func (c *chunkWriter) Write(text []byte) (n int, err error) {
 	for n < len(text) {
-		part := text[n:min(len(text), n+maxChunk)]
-		if err := c.writeChunk(part); err != nil {
+		chunk := text[n:min(len(text), n+maxChunk)]
+		if err := c.writeChunk(chunk); err != nil {
 			return n, err
 		}
-		n += len(part)
+		n += len(chunk)
 	}
 	return n, nil
 }
 
-func (c *chunkWriter) writeChunk(part []byte) error {
-	head := binary.BigEndian.AppendUint32(nil, uint32(len(part)))
-	head = binary.BigEndian.AppendUint32(head, crc32.ChecksumIEEE(part))
+func (c *chunkWriter) writeChunk(chunk []byte) error {
+	head := binary.BigEndian.AppendUint32(nil, uint32(len(chunk)))
+	head = binary.BigEndian.AppendUint32(head, crc32.ChecksumIEEE(chunk))
 	if _, err := c.dst.Write(head); err != nil {
 		return err
 	}
-	_, err := c.dst.Write(part)
+	_, err := c.dst.Write(chunk)
 	return err
 }
 
@@ -70,14 +70,14 @@
 		if n > maxChunk {
 			return 0, fmt.Errorf("%w: a chunk of %d bytes", ErrForeign, n)
 		}
-		part := make([]byte, n)
-		if _, err := io.ReadFull(c.src, part); err != nil {
+		chunk := make([]byte, n)
+		if _, err := io.ReadFull(c.src, chunk); err != nil {
 			return 0, fmt.Errorf("%w: cut short", ErrForeign)
 		}
-		if crc32.ChecksumIEEE(part) != binary.BigEndian.Uint32(head[4:]) {
+		if crc32.ChecksumIEEE(chunk) != binary.BigEndian.Uint32(head[4:]) {
 			return 0, fmt.Errorf("%w: a chunk's sum is wrong", ErrForeign)
 		}
-		c.pending, c.eof = part, n == 0
+		c.pending, c.eof = chunk, n == 0
 	}
 	n := copy(into, c.pending)
 	c.pending = c.pending[n:]
--- a/internal/dispatcher/fleet/state/digests.go
+++ b/internal/dispatcher/fleet/state/digests.go
@@ -11,9 +11,9 @@
 
 // DigestsBody reports one replica's digests of the state as of a log index.
 type DigestsBody struct {
-	Replica string
-	Index   uint64 // of the command that asked for digests
-	Parts   map[string]uint64
+	Replica    string
+	Index      uint64            // of the command that asked for digests
+	Partitions map[string]uint64 `cbor:"Parts"`
 }
 
 // digestReports are the digests that replicas reported for one log index.
@@ -23,8 +23,8 @@
 }
 
 type replicaDigests struct {
-	Replica string
-	Parts   map[string]uint64
+	Replica    string
+	Partitions map[string]uint64 `cbor:"Parts"`
 }
 
 // recordDigests keeps the reports of the newest index that any replica has reported.
@@ -43,24 +43,24 @@
 	if !ok {
 		m.digests.Replicas = slices.Insert(m.digests.Replicas, i, replicaDigests{Replica: b.Replica})
 	}
-	m.digests.Replicas[i].Parts = b.Parts
+	m.digests.Replicas[i].Partitions = b.Partitions
 	return Reply{}
 }
 
 // DivergentPartitions returns the partitions in which a replica's reported digest differs
 // from the one that a majority of the voters reported for the same index.
 func (m *Machine) DivergentPartitions(replica string, voters int) []string {
-	var own map[string]uint64
+	var reported map[string]uint64
 	for _, t := range m.digests.Replicas {
 		if t.Replica == replica {
-			own = t.Parts
+			reported = t.Partitions
 		}
 	}
 	var differs []string
-	for name, sum := range own {
+	for name, sum := range reported {
 		alike := map[uint64]int{}
 		for _, t := range m.digests.Replicas {
-			alike[t.Parts[name]]++
+			alike[t.Partitions[name]]++
 		}
 		for other, n := range alike {
 			if other != sum && 2*n > voters {
--- a/internal/dispatcher/fleet/state/membership.go
+++ b/internal/dispatcher/fleet/state/membership.go
@@ -22,15 +22,15 @@
 
 // RenewBody renews a lease, with a message for each partition that has one.
 type RenewBody struct {
-	Parts map[string][]byte // by partition
+	Partitions map[string][]byte `cbor:"Parts"` // by partition
 }
 
 // RenewReply answers a renewal.
 type RenewReply struct {
-	Lease   time.Duration     // lease duration from the renewal on
-	Members int               // number of members in force
-	Parts   map[string][]byte // answers by partition
-	Refused map[string]string // reasons by partition that refused its message; the lease is renewed all the same
+	Lease      time.Duration     // lease duration from the renewal on
+	Members    int               // number of members in force
+	Partitions map[string][]byte `cbor:"Parts"` // answers by partition
+	Refused    map[string]string // reasons by partition that refused its message; the lease is renewed all the same
 }
 
 func (m *Machine) join(c Command, index uint64) Reply {
@@ -44,22 +44,22 @@
 		}
 		m.endIncarnation(m.members[i], Replaced)
 	}
-	who := &Member{Process: b.Process, Nonce: b.Nonce, Version: b.Version, Incarnation: index, JoinedAt: m.now, LeaseEnd: m.now + m.settings.Lease}
+	member := &Member{Process: b.Process, Nonce: b.Nonce, Version: b.Version, Incarnation: index, JoinedAt: m.now, LeaseEnd: m.now + m.settings.Lease}
 	i, _ := m.findMember(b.Process)
-	m.members = slices.Insert(m.members, i, who)
+	m.members = slices.Insert(m.members, i, member)
 	return encodedReply(JoinReply{index, m.settings.Lease})
 }
 
-func (m *Machine) renew(who *Member, c Command) Reply {
+func (m *Machine) renew(member *Member, c Command) Reply {
 	var b RenewBody
 	if err := codec.Decode(c.Body, &b); err != nil {
 		return Reply{Code: Bad, Text: err.Error()}
 	}
-	who.LeaseEnd = m.now + m.settings.Lease
-	r := RenewReply{Lease: m.settings.Lease, Members: len(m.members), Parts: map[string][]byte{}, Refused: map[string]string{}}
+	member.LeaseEnd = m.now + m.settings.Lease
+	r := RenewReply{Lease: m.settings.Lease, Members: len(m.members), Partitions: map[string][]byte{}, Refused: map[string]string{}}
 	for _, p := range m.partitions {
-		body, told := b.Parts[p.Name()]
-		if !told {
+		body, present := b.Partitions[p.Name()]
+		if !present {
 			continue
 		}
 		reply, err := p.Renew(c, body)
@@ -67,7 +67,7 @@
 			r.Refused[p.Name()] = err.Error()
 			continue
 		}
-		r.Parts[p.Name()] = reply
+		r.Partitions[p.Name()] = reply
 	}
 	return encodedReply(r)
 }
@@ -122,12 +122,12 @@
 }
 
 // endIncarnation removes a member and tells the partitions.
-func (m *Machine) endIncarnation(who *Member, how EndCause) {
-	if i, ok := m.findMember(who.Process); ok && m.members[i] == who {
+func (m *Machine) endIncarnation(member *Member, how EndCause) {
+	if i, ok := m.findMember(member.Process); ok && m.members[i] == member {
 		m.members = slices.Delete(m.members, i, i+1)
 	}
 	for _, p := range m.partitions {
-		p.IncarnationEnded(m.now, who.Process, who.Incarnation, how)
+		p.IncarnationEnded(m.now, member.Process, member.Incarnation, how)
 	}
 }
 
--- a/internal/dispatcher/fleet/state/settings.go
+++ b/internal/dispatcher/fleet/state/settings.go
@@ -10,9 +10,9 @@
 // FleetSettings are the operators' settings for the whole fleet. Of two the one with the
 // higher revision is in force; a revision can't have two contents.
 type FleetSettings struct {
-	Revision uint64
-	Lease    time.Duration
-	Parts    map[string][]byte // by partition; one that is missing keeps its settings
+	Revision   uint64
+	Lease      time.Duration
+	Partitions map[string][]byte `cbor:"Parts"` // by partition; one that is missing keeps its settings
 }
 
 // settingsInForce identifies the FleetSettings in force.
@@ -39,15 +39,15 @@
 		return Reply{Code: Refused, Text: fmt.Sprintf("a lease of %s: not from 100ms to 1h", b.Lease)}
 	}
 	for _, p := range m.partitions { // all or none
-		if err := p.Check(b.Parts[p.Name()]); b.Parts[p.Name()] != nil && err != nil {
+		if err := p.Check(b.Partitions[p.Name()]); b.Partitions[p.Name()] != nil && err != nil {
 			return Reply{Code: Refused, Text: fmt.Sprintf("%s: %s", p.Name(), err)}
 		}
 	}
 	for _, p := range m.partitions {
-		if b.Parts[p.Name()] == nil {
+		if b.Partitions[p.Name()] == nil {
 			continue
 		}
-		if err := p.Set(m.now, b.Parts[p.Name()]); err != nil {
+		if err := p.Set(m.now, b.Partitions[p.Name()]); err != nil {
 			return Reply{Code: Refused, Text: fmt.Sprintf("%s: %s", p.Name(), err)}
 		}
 	}
--- a/internal/dispatcher/fleet/state/snapshot.go
+++ b/internal/dispatcher/fleet/state/snapshot.go
@@ -20,21 +20,21 @@
 // storedMachine is the machine's own section of a snapshot, stored by the field names in
 // its tags.
 type storedMachine struct {
-	Version  uint8           `cbor:"V"`
-	Settings settingsInForce `cbor:"Set"`
-	Now      time.Duration   `cbor:"At"`
-	Index    uint64
-	Members  []*Member
-	Digests  digestReports `cbor:"Sums"`
-	Boots    []bootCount
-	Parts    []string // the partitions whose sections follow, in this order
+	Version    uint8           `cbor:"V"`
+	Settings   settingsInForce `cbor:"Set"`
+	Now        time.Duration   `cbor:"At"`
+	Index      uint64
+	Members    []*Member
+	Digests    digestReports `cbor:"Sums"`
+	Boots      []bootCount
+	Partitions []string `cbor:"Parts"` // the partitions whose sections follow, in this order
 }
 
 // encodeMembership encodes the machine's own section of a snapshot.
 func (m *Machine) encodeMembership() ([]byte, error) {
 	k := storedMachine{Version: Version, Settings: m.settings, Now: m.now, Index: m.index, Members: m.members, Digests: m.digests, Boots: m.boots}
 	for _, p := range m.partitions {
-		k.Parts = append(k.Parts, p.Name())
+		k.Partitions = append(k.Partitions, p.Name())
 	}
 	return codec.Encode(k)
 }
@@ -80,8 +80,8 @@
 // serves anything.
 func (m *Machine) Restore(r io.Reader) error {
 	in := bufio.NewReaderSize(r, 64<<10)
-	mark := make([]byte, len(snapshotMagic))
-	if _, err := io.ReadFull(in, mark); err != nil || !bytes.Equal(mark, snapshotMagic) {
+	magic := make([]byte, len(snapshotMagic))
+	if _, err := io.ReadFull(in, magic); err != nil || !bytes.Equal(magic, snapshotMagic) {
 		return fmt.Errorf("%w: it does not begin like one", ErrForeign)
 	}
 	text, err := io.ReadAll(&chunkReader{src: in})
@@ -92,12 +92,12 @@
 	if err := codec.Decode(text, &k); err != nil {
 		return fmt.Errorf("%w: %w", ErrForeign, err)
 	}
-	if k.Version != Version || len(k.Parts) != len(m.partitions) {
-		return fmt.Errorf("%w: version %d with %d parts", ErrForeign, k.Version, len(k.Parts))
+	if k.Version != Version || len(k.Partitions) != len(m.partitions) {
+		return fmt.Errorf("%w: version %d with %d parts", ErrForeign, k.Version, len(k.Partitions))
 	}
 	for i, p := range m.partitions {
-		if p.Name() != k.Parts[i] {
-			return fmt.Errorf("%w: part %s where %s is expected", ErrForeign, k.Parts[i], p.Name())
+		if p.Name() != k.Partitions[i] {
+			return fmt.Errorf("%w: part %s where %s is expected", ErrForeign, k.Partitions[i], p.Name())
 		}
 	}
 	for _, p := range m.partitions {
--- a/internal/dispatcher/fleet/state/state.go
+++ b/internal/dispatcher/fleet/state/state.go
@@ -82,14 +82,14 @@
 	return r
 }
 
-func (m *Machine) execute(who *Member, c Command, index uint64) Reply {
+func (m *Machine) execute(member *Member, c Command, index uint64) Reply {
 	switch c.Kind {
 	case Renew:
-		return m.renew(who, c)
+		return m.renew(member, c)
 	case SetSettings:
 		return m.applySettings(c)
 	case Leave:
-		m.endIncarnation(who, Left)
+		m.endIncarnation(member, Left)
 		return Reply{}
 	}
 	for _, p := range m.partitions {
@@ -114,8 +114,8 @@
 // advance ends expired leases, in the order of names, and advances the partitions.
 func (m *Machine) advance() {
 	for i := 0; i < len(m.members); {
-		if who := m.members[i]; who.LeaseEnd <= m.now {
-			m.endIncarnation(who, Expired)
+		if member := m.members[i]; member.LeaseEnd <= m.now {
+			m.endIncarnation(member, Expired)
 			continue
 		}
 		i++
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -190,13 +190,13 @@
 	set := func(b FleetSettings) string {
 		return l.apply(Command{Process: "n1", Incarnation: inc, Kind: SetSettings}, b).Text
 	}
-	second := FleetSettings{Revision: 2, Lease: time.Second, Parts: map[string][]byte{"tally": []byte("two")}}
+	second := FleetSettings{Revision: 2, Lease: time.Second, Partitions: map[string][]byte{"tally": []byte("two")}}
 	require.Empty(t, set(second))
 	require.Empty(t, set(second), "again is no change")
 	require.Contains(t, set(FleetSettings{Revision: 2, Lease: time.Minute}), "revision 2 of the fleet's settings is in force")
 	require.Contains(t, set(FleetSettings{Revision: 1, Lease: time.Minute}), "needs a higher revision")
 	require.Contains(t, set(FleetSettings{Revision: 3}), "a lease of 0s")
-	require.Contains(t, set(FleetSettings{Revision: 3, Lease: time.Minute, Parts: map[string][]byte{"tally": []byte("bad")}}), "tally: bad settings")
+	require.Contains(t, set(FleetSettings{Revision: 3, Lease: time.Minute, Partitions: map[string][]byte{"tally": []byte("bad")}}), "tally: bad settings")
 	require.Equal(t, uint64(2), l.m.Revision())
 	require.Equal(t, []string{"two"}, l.part.Went)
 	l.join(0, "n2", "b")
@@ -207,7 +207,7 @@
 func TestMajorityOfDigests(t *testing.T) {
 	l := newLog(t)
 	tell := func(replica string, index uint64, sum uint64) {
-		l.apply(Command{Kind: ReportDigests}, DigestsBody{Replica: replica, Index: index, Parts: map[string]uint64{"tally": sum}})
+		l.apply(Command{Kind: ReportDigests}, DigestsBody{Replica: replica, Index: index, Partitions: map[string]uint64{"tally": sum}})
 	}
 	tell("k1", 7, 1)
 	tell("k2", 7, 2)
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -230,11 +230,11 @@
 	if err != nil {
 		return set, nil, err
 	}
-	set = state.FleetSettings{Revision: f.Revision, Lease: f.Lease, Parts: map[string][]byte{partition.BudgetsName: text}}
+	set = state.FleetSettings{Revision: f.Revision, Lease: f.Lease, Partitions: map[string][]byte{partition.BudgetsName: text}}
 	if f.Records != nil {
 		rules := retentionRules(f.Records)
 		slices.SortFunc(rules.Rules, func(a, b records.Rule) int { return strings.Compare(a.Tenant, b.Tenant) })
-		if set.Parts[partition.RecordsName], err = codec.Encode(rules); err != nil {
+		if set.Partitions[partition.RecordsName], err = codec.Encode(rules); err != nil {
 			return set, nil, err
 		}
 	}
