--- a/internal/cluster/simworld/norace_test.go
+++ b/internal/cluster/simworld/norace_test.go
@@ -2,5 +2,5 @@
 
 package simworld_test
 
-// normalSeeds are played where nothing else is said.
-const normalSeeds = 1000
+// defaultSeeds is how many seeds TestManySeeds plays where no variable says.
+const defaultSeeds = 1000
--- a/internal/cluster/simworld/runner_test.go
+++ b/internal/cluster/simworld/runner_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"strings"
 	"time"
 
 	"basaltloft/internal/cluster/job"
@@ -11,102 +12,104 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// runner runs tasks as the protocol says. Its machine is never lost: what becomes of runners
-// that are is for the tests of package scheduler.
+// runner runs tasks as the deployment's protocol demands. Its machine is never lost: the tests of
+// package scheduler have runners that are.
 type runner struct {
 	*process
-	service  string
-	capacity job.Resources
-	fence    uint64
-	until    int64 // the hold, on its clock, in milliseconds
-	runs     map[job.TaskRef]*taskRun
-	highest  map[job.TaskRef]int
-	finished []scheduler.ReportedEnd
-	number   uint64
+	service      string
+	capacity     job.Resources
+	fenceToken   uint64
+	leaseUntilMs int64 // end of the lease on its clock
+	runs         map[job.TaskRef]*taskRun
+	overThrough  map[job.TaskRef]int
+	finished     []scheduler.ReportedEnd
+	endedRuns    uint64
 }
 
+// taskRun is one run of a task.
 type taskRun struct {
 	attempt int
 	endsAt  time.Duration
 }
 
+// Times of runners.
 const (
-	runnerTick  = 30 * time.Millisecond
-	holdMaxMs   = 6000
-	orderWithin = 900 * time.Millisecond
+	runnerInterval = 30 * time.Millisecond
+	maxLeaseMs     = 6000
+	orderTimeout   = 900 * time.Millisecond
 )
 
+// addRunner adds a runner and starts it.
 func (w *world) addRunner(name, service string) {
-	r := &runner{process: w.addProcess(name), service: service, capacity: job.Resources{CPU: 64000, MemMB: 64000}, runs: map[job.TaskRef]*taskRun{}, highest: map[job.TaskRef]int{}}
+	r := &runner{process: w.addProcess(name), service: service, capacity: job.Resources{CPU: 64000, MemMB: 64000}, runs: map[job.TaskRef]*taskRun{}, overThrough: map[job.TaskRef]int{}}
 	r.start = func() {}
 	r.boot()
 	w.runners = append(w.runners, r)
 }
 
+// clockMs returns the runner's clock.
 func (r *runner) clockMs() int64 { return r.clock().Milliseconds() }
 
+// tickRunners ends the runs that are over, at each interval.
 func (w *world) tickRunners() {
 	for _, r := range w.runners {
-		for _, ref := range slices.SortedFunc(maps.Keys(r.runs), func(a, b job.TaskRef) int { return compareText(a.String(), b.String()) }) {
+		for _, ref := range r.tasks() {
 			run := r.runs[ref]
 			switch {
-			case r.clockMs() > r.until:
-				r.finish(ref, job.EndLeaseExpired)
+			case r.clockMs() > r.leaseUntilMs:
+				r.endRun(ref, job.EndLeaseExpired)
 			case w.now >= run.endsAt && w.random.IntN(30) == 0:
-				r.finish(ref, job.EndFailed)
+				r.endRun(ref, job.EndFailed)
 			case w.now >= run.endsAt:
-				r.finish(ref, job.EndDone)
+				r.endRun(ref, job.EndDone)
 			}
 		}
 	}
-	w.later(runnerTick, w.tickRunners)
+	w.schedule(runnerInterval, w.tickRunners)
 }
 
-func compareText(a, b string) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
+// tasks lists the tasks of the runner's runs, sorted by name.
+func (r *runner) tasks() []job.TaskRef {
+	return slices.SortedFunc(maps.Keys(r.runs), func(a, b job.TaskRef) int { return strings.Compare(a.String(), b.String()) })
 }
 
-func (r *runner) finish(ref job.TaskRef, how job.EndReason) {
+// endRun ends a run, which the runner reports until that is acknowledged.
+func (r *runner) endRun(ref job.TaskRef, reason job.EndReason) {
 	run := r.runs[ref]
-	r.w.note("%s: %v attempt %d ends, %d", r.name, ref, run.attempt, how)
+	r.w.tracef("%s: %v attempt %d ends, %d", r.name, ref, run.attempt, reason)
 	delete(r.runs, ref)
-	r.highest[ref] = max(r.highest[ref], run.attempt)
-	r.number++
-	r.finished = append(r.finished, scheduler.ReportedEnd{Number: r.number, Task: ref, Attempt: run.attempt, Reason: how})
-	if how == job.EndDone {
-		r.w.jobs[ref.Job].done[ref] = true
+	r.overThrough[ref] = max(r.overThrough[ref], run.attempt)
+	r.endedRuns++
+	r.finished = append(r.finished, scheduler.ReportedEnd{Number: r.endedRuns, Task: ref, Attempt: run.attempt, Reason: reason})
+	if reason == job.EndDone {
+		r.w.jobs[ref.Job].completedTasks[ref] = true
 	}
 }
 
-func (r *runner) fenced(token uint64) bool {
-	if token < r.fence {
+// fencesOff tells whether an order of that fencing token comes from an earlier leader.
+func (r *runner) fencesOff(token uint64) bool {
+	if token < r.fenceToken {
 		return true
 	}
-	r.fence = token
+	r.fenceToken = token
 	return false
 }
 
-// sendOrder carries an order to its runner while the lease lasts, and the answer back.
-func (c *core) sendOrder(shard *leader.Shard, sender *scheduler.Scheduler, order scheduler.Order) {
+// sendOrder carries an order to its runner, if the shard's lease lasts, and the answer back.
+func (c *controlNode) sendOrder(shard *leader.Shard, sender *scheduler.Scheduler, order scheduler.Order) {
 	c.w.checkToken(c, order)
-	c.w.record.order(c, &order)
+	c.w.recorder.order(c, &order)
 	if !shard.MaySend(order) {
 		shard.OrderReplied(sender, func(now time.Duration) { unanswered(sender, now, order) })
 		return
 	}
 	r := c.w.runnerNamed(order.Address)
-	deliver := func(reply func(any)) { r.carryOut(order, reply) }
-	if c.w.chance(c.w.lostLate) { // no answer, and carried out seconds later
-		c.w.later(c.w.between(2*time.Second, 12*time.Second), func() { r.carryOut(order, func(any) {}) })
+	deliver := func(reply func(any)) { r.execute(order, reply) }
+	if c.w.chance(c.w.lostOrderShare) { // no answer, and executed seconds later
+		c.w.schedule(c.w.randomBetween(2*time.Second, 12*time.Second), func() { r.execute(order, func(any) {}) })
 		deliver = func(func(any)) {}
 	}
-	c.call(order.Address, time.Duration(order.WaitMs)*time.Millisecond+orderWithin, deliver, func(answer any, ok bool) {
+	c.call(order.Address, time.Duration(order.WaitMs)*time.Millisecond+orderTimeout, deliver, func(answer any, ok bool) {
 		shard.OrderReplied(sender, func(now time.Duration) {
 			if tell, said := answer.(func(*scheduler.Scheduler, time.Duration)); ok && said {
 				tell(sender, now)
@@ -117,6 +120,7 @@
 	})
 }
 
+// unanswered tells a scheduler that an order got no answer.
 func unanswered(sender *scheduler.Scheduler, now time.Duration, order scheduler.Order) {
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
@@ -124,10 +128,11 @@
 	case scheduler.OrderStart:
 		sender.StartReplied(now, order, scheduler.StartNoReply, 0)
 	case scheduler.OrderStop:
-		sender.StopReplied(now, order, false, false, 0)
+		sender.StopReplied(now, order, scheduler.StopNotConfirmed, 0)
 	}
 }
 
+// runnerNamed returns a runner; nil: there is none of that name.
 func (w *world) runnerNamed(name string) *runner {
 	for _, r := range w.runners {
 		if r.name == name {
@@ -137,76 +142,79 @@
 	return nil
 }
 
-// carryOut does what an order says.
-func (r *runner) carryOut(order scheduler.Order, reply func(any)) {
+// execute executes an order. reply gets a function that tells the scheduler the answer.
+func (r *runner) execute(order scheduler.Order, reply func(any)) {
 	if order.Kind != scheduler.OrderRenewLease || len(r.finished) > 0 {
-		r.w.note("%s gets order %d, token %d, of %v attempt %d, seen %d", r.name, order.Kind, order.Token, order.Task, order.Attempt, order.AckedThrough)
+		r.w.tracef("%s gets order %d, token %d, of %v attempt %d, seen %d", r.name, order.Kind, order.Token, order.Task, order.Attempt, order.AckedThrough)
 	}
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
-		r.hold(order, reply)
+		r.renewLease(order, reply)
 	case scheduler.OrderStart:
 		answer, clock := r.startRun(order), r.clockMs()
-		r.w.record.started(r, answer, clock)
+		r.w.recorder.started(r, answer, clock)
 		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StartReplied(now, order, answer, clock) })
 	case scheduler.OrderStop:
-		ok, clock := r.stop(order), r.clockMs()
-		r.w.record.stopped(r, ok, clock)
-		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StopReplied(now, order, ok, false, clock) })
+		answer, clock := r.stopRun(order), r.clockMs()
+		r.w.recorder.stopped(r, answer == scheduler.StopConfirmed, clock)
+		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StopReplied(now, order, answer, clock) })
 	}
 }
 
-func (r *runner) extend(deadline int64) {
+// extendLease extends the lease of all runs. 0: the order has no deadline.
+func (r *runner) extendLease(deadline int64) {
 	if deadline > 0 {
-		r.until = max(r.until, min(deadline, r.clockMs()+holdMaxMs))
+		r.leaseUntilMs = max(r.leaseUntilMs, min(deadline, r.clockMs()+maxLeaseMs))
 	}
 }
 
-func (r *runner) hold(order scheduler.Order, reply func(any)) {
-	if r.fenced(order.Token) {
+// renewLease extends the lease and reports after the wait, or at the next end.
+func (r *runner) renewLease(order scheduler.Order, reply func(any)) {
+	if r.fencesOff(order.Token) {
 		reply(func(o *scheduler.Scheduler, now time.Duration) {
 			o.LeaseReplied(now, order, scheduler.LeaseFenced, scheduler.RunnerReport{})
 		})
 		return
 	}
-	r.extend(order.DeadlineMs)
+	r.extendLease(order.DeadlineMs)
 	for len(r.finished) > 0 && r.finished[0].Number <= order.AckedThrough {
-		r.w.jobs[r.finished[0].Task.Job].note(r.finished[0])
+		r.w.jobs[r.finished[0].Task.Job].recordAcknowledgedEnd(r.finished[0])
 		r.finished = r.finished[1:]
 	}
 	end := r.w.now + time.Duration(order.WaitMs)*time.Millisecond
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		if len(r.finished) == 0 && r.w.now < end {
-			r.after(runnerTick, look)
+			r.after(runnerInterval, poll)
 			return
 		}
-		seen := scheduler.RunnerReport{ClockMs: r.clockMs(), Finished: slices.Clone(r.finished)}
-		for _, ref := range slices.SortedFunc(maps.Keys(r.runs), func(a, b job.TaskRef) int { return compareText(a.String(), b.String()) }) {
-			seen.Running = append(seen.Running, scheduler.ReportedRun{Task: ref, Attempt: r.runs[ref].attempt, Percent: 50})
+		report := scheduler.RunnerReport{ClockMs: r.clockMs(), Finished: slices.Clone(r.finished)}
+		for _, ref := range r.tasks() {
+			report.Running = append(report.Running, scheduler.ReportedRun{Task: ref, Attempt: r.runs[ref].attempt, Percent: 50})
 		}
-		r.w.record.looked(r, &seen)
+		r.w.recorder.reported(r, &report)
 		reply(func(o *scheduler.Scheduler, now time.Duration) {
-			o.LeaseReplied(now, order, scheduler.LeaseRenewed, seen)
+			o.LeaseReplied(now, order, scheduler.LeaseRenewed, report)
 		})
 	}
-	look()
+	poll()
 }
 
+// startRun begins a run, unless the protocol refuses it, and checks the rules on starts.
 func (r *runner) startRun(order scheduler.Order) scheduler.StartReply {
 	w := r.w
-	if r.fenced(order.Token) {
+	if r.fencesOff(order.Token) {
 		return scheduler.StartRefused
 	}
 	if run := r.runs[order.Task]; run != nil && run.attempt == order.Attempt {
 		return scheduler.StartAccepted
 	}
-	if r.clockMs() > order.DeadlineMs || order.Attempt <= r.highest[order.Task] {
+	if r.clockMs() > order.DeadlineMs || order.Attempt <= r.overThrough[order.Task] {
 		return scheduler.StartRefused
 	}
 	j := w.jobs[order.Task.Job]
 	if j == nil {
-		w.fail("UNASKED: %v starts, which nobody handed in", order.Task)
+		w.fail("UNASKED: %v starts, which nobody submitted", order.Task)
 	}
 	for _, other := range w.runners {
 		if run := other.runs[order.Task]; run != nil {
@@ -214,34 +222,35 @@
 		}
 	}
 	j.checkStart(w, r, order)
-	r.extend(order.DeadlineMs)
-	r.runs[order.Task] = &taskRun{attempt: order.Attempt, endsAt: w.now + w.between(50*time.Millisecond, 600*time.Millisecond)}
+	r.extendLease(order.DeadlineMs)
+	r.runs[order.Task] = &taskRun{attempt: order.Attempt, endsAt: w.now + w.randomBetween(50*time.Millisecond, 600*time.Millisecond)}
 	return scheduler.StartAccepted
 }
 
-func (r *runner) stop(order scheduler.Order) bool {
-	if r.fenced(order.Token) {
-		return false
+// stopRun stops a run and shuts out its attempt, also where it has not begun.
+func (r *runner) stopRun(order scheduler.Order) scheduler.StopReply {
+	if r.fencesOff(order.Token) {
+		return scheduler.StopNotConfirmed
 	}
-	r.highest[order.Task] = max(r.highest[order.Task], order.Attempt)
+	r.overThrough[order.Task] = max(r.overThrough[order.Task], order.Attempt)
 	if run := r.runs[order.Task]; run != nil && run.attempt <= order.Attempt {
-		r.finish(order.Task, job.EndStopped)
+		r.endRun(order.Task, job.EndStopped)
 	}
-	return true
+	return scheduler.StopConfirmed
 }
 
-// checkToken checks that an owner's token is its own: no other process, and no other life of
-// it, has used it.
-func (w *world) checkToken(c *core, order scheduler.Order) {
+// checkToken checks that a leader's fencing token is its own: no other process, and no other
+// incarnation of it, has used it.
+func (w *world) checkToken(c *controlNode, order scheduler.Order) {
 	for _, r := range w.runners {
 		if r.name != order.Address {
 			continue
 		}
 		key := fmt.Sprint(r.service, "/", order.Token)
-		user := fmt.Sprint(c.name, "/", c.life)
-		if other := w.tokens[key]; other != "" && other != user {
+		user := fmt.Sprint(c.name, "/", c.incarnation)
+		if other := w.tokenUsers[key]; other != "" && other != user {
 			w.fail("the token %s is used by %s and by %s", key, other, user)
 		}
-		w.tokens[key] = user
+		w.tokenUsers[key] = user
 	}
 }
