--- a/internal/dispatcher/adminapi/golden_test.go
+++ b/internal/dispatcher/adminapi/golden_test.go
@@ -15,8 +15,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// recorder is the operators' and the fleet's side of the door: it writes down what it
-// is told.
+// recorder implements Operations and Fleet: it records the calls.
 type recorder struct {
 	told    *strings.Builder
 	serving bool
--- a/internal/dispatcher/agentcheck/agentcheck.go
+++ b/internal/dispatcher/agentcheck/agentcheck.go
@@ -13,7 +13,7 @@
 // writeTimeout bounds the writing of an answer.
 const writeTimeout = time.Second
 
-// State is what a load balancer is told.
+// State is what a load balancer is told about this process.
 type State struct {
 	Ready, Draining       bool
 	InFlight, MaxInFlight int    // unanswered jobs, and how many there may be
--- a/internal/dispatcher/faktory/golden_test.go
+++ b/internal/dispatcher/faktory/golden_test.go
@@ -25,7 +25,7 @@
 	add := func(command, answer string) {
 		answer = moment.ReplaceAllString(number.ReplaceAllString(answer, `"$1":0`), `"$1":"TIME"`)
 		text += command + "\n" + length.ReplaceAllString(answer, "$$LENGTH") + "\n"
-		h.pump()
+		h.runUntilIdle()
 	}
 	const later = "2126-01-01T00:00:00Z"
 	for _, job := range []string{
--- a/internal/dispatcher/faktory/mixed_test.go
+++ b/internal/dispatcher/faktory/mixed_test.go
@@ -29,8 +29,8 @@
 	return len(c.runs)
 }
 
-// serveMember is an HTTP pool member that now and then turns a job away,
-// breaks the connection after having run it, or tells its end twice.
+// serveMember is an HTTP pool member that now and then rejects a job,
+// breaks the connection after having run it, or reports its end twice.
 func serveMember(cast scenario.Peers, name string, c scenario.Conn, paid *till) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
@@ -160,7 +160,7 @@
 	for _, m := range regexp.MustCompile(` (taken|served|refused|failed|denied)=(\d+)`).FindAllStringSubmatch(string(log), -1) {
 		booked[m[1]], _ = strconv.Atoi(m[2])
 	}
-	// A job that the front had taken with +OK and the decisions refused comes back
+	// A job that the front had taken with +OK and the engine refused comes back
 	// by itself, and is booked anew: how many do depends on what was busy just then.
 	ended := booked["served"] + booked["failed"] + booked["denied"]
 	require.Equal(t, booked["taken"], ended+booked["refused"], "%s", log)
--- a/internal/dispatcher/faktory/model_test.go
+++ b/internal/dispatcher/faktory/model_test.go
@@ -20,24 +20,24 @@
 	"pgregory.net/rapid"
 )
 
-// hub stands in for the core. What the front tells it is done by pump, as the
-// core's goroutine would do it.
-type hub struct {
-	submitted []*engine.Transaction
-	events    []func()
-	members   map[string]*engine.Member
-	refuse    bool // the next one
+// fakeEngine stands in for the engine. It queues what the front calls; runUntilIdle processes
+// that, as the engine's goroutine would.
+type fakeEngine struct {
+	submitted  []*engine.Transaction
+	events     []func()
+	members    map[string]*engine.Member
+	refuseNext bool // the next one
 }
 
-func (h *hub) Submit(t *engine.Transaction) { h.submitted = append(h.submitted, t) }
-func (h *hub) Do(func())                    {}
-func (h *hub) HasOtherSources(string) bool  { return false }
-func (h *hub) EndFlow(f *engine.Flow, s policy.Status, result []byte) {
+func (h *fakeEngine) Submit(t *engine.Transaction) { h.submitted = append(h.submitted, t) }
+func (h *fakeEngine) Do(func())                    {}
+func (h *fakeEngine) HasOtherSources(string) bool  { return false }
+func (h *fakeEngine) EndFlow(f *engine.Flow, s policy.Status, result []byte) {
 	h.events = append(h.events, func() { h.answer(f.Transaction, s, result) })
 }
-func (h *hub) UpdateFlow(*engine.Flow, policy.UpdateKind, float64)              {}
-func (h *hub) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time) {}
-func (h *hub) UpdateMembers(_ string, _ policy.ListKind, of []*engine.Member) {
+func (h *fakeEngine) UpdateFlow(*engine.Flow, policy.UpdateKind, float64)              {}
+func (h *fakeEngine) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time) {}
+func (h *fakeEngine) UpdateMembers(_ string, _ policy.ListKind, of []*engine.Member) {
 	for _, m := range of {
 		if h.members[m.ID] = m; m.State != policy.Ready {
 			delete(h.members, m.ID)
@@ -45,9 +45,9 @@
 	}
 }
 
-// answer is what the decisions would say: a job that went back unstarted is
-// refused, one that failed is refused where its class lets it be repeated.
-func (h *hub) answer(t *engine.Transaction, s policy.Status, result []byte) {
+// answer is what the policy would decide: a job that came back unstarted is refused, and so is a
+// failed one whose class is idempotent.
+func (h *fakeEngine) answer(t *engine.Transaction, s policy.Status, result []byte) {
 	a := engine.Answer{Verdict: engine.Served, Body: result}
 	switch {
 	case s == policy.OK:
@@ -61,8 +61,8 @@
 	t.Client.Answer(a)
 }
 
-// pump plays the core until nothing is left to do.
-func (h *hub) pump() {
+// runUntilIdle plays the engine until nothing is left to do.
+func (h *fakeEngine) runUntilIdle() {
 	for len(h.submitted) > 0 || len(h.events) > 0 {
 		if len(h.events) > 0 {
 			next := h.events[0]
@@ -80,8 +80,8 @@
 				to = m
 			}
 		}
-		if to == nil || h.refuse {
-			h.refuse = false
+		if to == nil || h.refuseNext {
+			h.refuseNext = false
 			t.Client.Answer(engine.Answer{Verdict: engine.Refused})
 			continue
 		}
@@ -89,29 +89,29 @@
 	}
 }
 
-// intake knows two classes.
-type intake struct{}
+// fakeTransactions knows two classes.
+type fakeTransactions struct{}
 
-func (intake) NewTransaction(a pipeline.Submission, now time.Time, c engine.Client) (*engine.Transaction, error) {
+func (fakeTransactions) NewTransaction(a pipeline.Submission, now time.Time, c engine.Client) (*engine.Transaction, error) {
 	return &engine.Transaction{ID: a.ID, Class: a.Class, Capability: a.Capability, Body: a.Body, BodyFormat: a.BodyFormat, Arrived: now, Deadline: now.Add(time.Hour), Client: c}, nil
 }
 
-func (intake) Effect(class string) (policy.Effect, bool) {
+func (fakeTransactions) Effect(class string) (policy.Effect, bool) {
 	return map[string]policy.Effect{"safe": policy.Idempotent, "ticket": policy.AtMostOnce}[class], class != ""
 }
 
-func newFront() (*Server, *hub) {
+func newFront() (*Server, *fakeEngine) {
 	log, _ := test.NewNullLogger()
-	h := &hub{members: make(map[string]*engine.Member)}
-	return New(h, intake{}, &settings.Faktory{
+	h := &fakeEngine{members: make(map[string]*engine.Member)}
+	return New(h, fakeTransactions{}, &settings.Faktory{
 		Connections: 8, Jobs: 1000, ReserveFor: time.Hour, FetchIn: time.Hour, BackoffUnit: 1,
 		Default: settings.FaktoryJob{Class: "safe"}, JobTypes: map[string]settings.FaktoryJob{"Ticket": {Class: "ticket"}},
 		Waiting: settings.FaktoryWaiting{Jobs: 30, Bytes: 1 << 20, QueueJobs: 20, QueueBytes: 1 << 20, Dead: 100, DeadBytes: 1 << 20, DeadFor: time.Hour},
 	}, log), h
 }
 
-// TestFrontModel holds the front, with the decisions played, against a plain
-// model of queues, sets and reservations.
+// TestFrontModel compares the front, on a fake engine, with a simple model of queues, sets and
+// reservations.
 //
 //nolint:funlen,gocognit // a state machine: its actions share the model
 func TestFrontModel(t *testing.T) {
@@ -157,7 +157,7 @@
 			j := held[rapid.IntRange(0, len(held)-1).Draw(t, "job")]
 			text := commandHandlers[verb](sessions[wid], `{"jid":"`+j.id+`","errtype":"E","message":"m"}`)
 			require.Equal(t, okReply, text)
-			h.pump()
+			h.runUntilIdle()
 			return j, j.where == wid
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -171,7 +171,7 @@
 					known = nil // it may run as often as need be, and its client asks again
 				}
 				text := commandHandlers["PUSH"](client, fmt.Sprintf(`{"jid":%q,"jobtype":%q,"queue":%q,"args":[],"retry":%d}`, id, kind, j.queue, j.retries))
-				h.pump()
+				h.runUntilIdle()
 				switch {
 				case known != nil:
 					require.Equal(t, okReply, text)
@@ -200,9 +200,9 @@
 					}
 				}
 				f := b.workers.fetch(sessions[wid].worker, order)
-				h.pump()
+				h.runUntilIdle()
 				e := b.workers.cancelFetch(f)
-				h.pump()
+				h.runUntilIdle()
 				if want == nil {
 					require.Nil(t, e)
 					return
@@ -214,12 +214,12 @@
 			"a worker is gone while a job is written to it": func(t *rapid.T) {
 				wid := anyone(t)
 				f := b.workers.fetch(sessions[wid].worker, queues)
-				h.pump()
+				h.runUntilIdle()
 				if e := b.workers.cancelFetch(f); e != nil {
 					j := jobs[e.flow.Transaction.ID]
 					require.Equal(t, "queue", j.where)
 					b.workers.returnUndelivered(e)
-					h.pump()
+					h.runUntilIdle()
 					j.where = "retries" // refused, and due again by and by
 				}
 			},
@@ -255,7 +255,7 @@
 				}
 				time.Sleep(time.Microsecond)
 				b.promoteDue()
-				h.pump()
+				h.runUntilIdle()
 				for _, id := range order {
 					seq++
 					jobs[id].where, jobs[id].seq = "queue", seq
@@ -265,7 +265,7 @@
 				q, on := rapid.SampledFrom(queues).Draw(t, "queue"), rapid.Bool().Draw(t, "on")
 				verb := map[bool]string{true: "PAUSE ", false: "RESUME "}[on]
 				require.Equal(t, okReply, commandHandlers["QUEUE"](client, verb+q))
-				h.pump()
+				h.runUntilIdle()
 				paused[q] = on
 			},
 			"requeue the dead": func(t *rapid.T) {
@@ -275,7 +275,7 @@
 				}
 				j := dead[rapid.IntRange(0, len(dead)-1).Draw(t, "job")]
 				text := commandHandlers["MUTATE"](client, `{"cmd":"requeue","target":"dead","filter":{"jids":["`+j.id+`"]}}`)
-				h.pump()
+				h.runUntilIdle()
 				switch {
 				case j.ticket:
 					require.Contains(t, text, "must not run twice")
@@ -302,7 +302,7 @@
 					require.Equal(t, j.where, where, id)
 				}
 				require.Len(t, b.workers.reserved, len(in("w1"))+len(in("w2"))+len(in("w3")))
-				require.Zero(t, b.submitted-len(b.workers.reserved), "nothing is with the decisions but what is held")
+				require.Zero(t, b.submitted-len(b.workers.reserved), "no job is submitted but the reserved ones")
 				require.Empty(t, b.unfetched)
 				require.Empty(t, b.workers.waitingFetches)
 				require.Empty(t, b.workers.submittedFor)
@@ -314,8 +314,8 @@
 	})
 }
 
-// whole tells whether a text is one reply of the protocol.
-func whole(text string) bool {
+// isCompleteReply tells whether a text is exactly one reply of the protocol.
+func isCompleteReply(text string) bool {
 	switch {
 	case !strings.HasSuffix(text, "\r\n"):
 		return false
@@ -331,8 +331,8 @@
 	return false
 }
 
-// FuzzCommands: whatever a connection says, each command is answered with one
-// whole reply, and nothing is taken that would come back unreadable.
+// FuzzCommands: whatever a connection sends, each command gets exactly one complete reply, and no
+// job is accepted that FETCH would return unreadable.
 func FuzzCommands(f *testing.F) {
 	for _, line := range []string{
 		`PUSH {"jid":"job-000001","jobtype":"Mail","queue":"q","args":[1,{"a":"b"}],"at":"2100-01-01T00:00:00Z","retry":3,"custom":{"unique_for":5,"bid":"b-1"}}`,
@@ -353,13 +353,13 @@
 			if handler := commandHandlers[name]; handler != nil {
 				for _, who := range []*session{{Server: s}, w} {
 					reply := handler(who, strings.TrimSpace(rest))
-					h.pump()
-					require.True(t, whole(reply), "%q", reply)
+					h.runUntilIdle()
+					require.True(t, isCompleteReply(reply), "%q", reply)
 				}
 			}
 		}
 		fetched := s.workers.fetch(w.worker, []string{"q", "default"})
-		h.pump()
+		h.runUntilIdle()
 		if e := s.workers.cancelFetch(fetched); e != nil {
 			require.NoError(t, fastjson.ValidateBytes(e.payload))
 			require.NotContains(t, string(e.payload), "\n")
@@ -367,7 +367,7 @@
 	})
 }
 
-// FuzzReadLine: a line is read whole, or refused for its length, whatever it has.
+// FuzzReadLine: a command is read completely, or rejected for its length, whatever its bytes.
 func FuzzReadLine(f *testing.F) {
 	f.Add("HELLO {}\r\n", 16)
 	f.Add("\n", 16)
@@ -391,7 +391,7 @@
 	})
 }
 
-// FuzzHello: HELLO is read or refused, whatever it has.
+// FuzzHello: HELLO is parsed or rejected, whatever its argument.
 func FuzzHello(f *testing.F) {
 	f.Add(`{"v":2,"wid":"w","hostname":"h","pid":1,"labels":["a",1]}`, "secret")
 	f.Fuzz(func(t *testing.T, text, password string) {
--- a/internal/dispatcher/faktory/sets/sets_test.go
+++ b/internal/dispatcher/faktory/sets/sets_test.go
@@ -21,7 +21,7 @@
 	return &Job{ID: id, Type: "T", Queue: queue, Body: []byte(`{"jid":"` + id + `"}`), Retries: 2}
 }
 
-// TestModel holds the Book against a plain one: a list of what is where.
+// TestModel compares the Store with a simple model: a list of which job is where.
 //
 //nolint:funlen,gocognit // a state machine: its actions share the model
 func TestModel(t *testing.T) {
@@ -207,7 +207,7 @@
 	require.Positive(t, Backoff(1<<40, random), "no count makes it overflow")
 }
 
-// TestRetries: n tries more, then the dead; 0 is dead at once, -1 is gone.
+// TestRetries: n retries, then the dead set; 0 is dead at once, -1 is discarded.
 func TestRetries(t *testing.T) {
 	for retries, want := range map[int32][]Disposition{0: {MovedToDead}, -1: {Discarded}, 1: {WillRetry, MovedToDead}, 3: {WillRetry, WillRetry, WillRetry, MovedToDead}} {
 		b, j := NewStore(roomy, 1), job("job", "a")
@@ -225,7 +225,7 @@
 	}
 }
 
-// TestRejections: what the decisions turn away has not run and waits longer each
+// TestRejections: a job that the engine rejects has not run and waits longer each
 // time; it uses up no tries until it is refused over and over.
 func TestRejections(t *testing.T) {
 	b, j := NewStore(roomy, 1), job("job", "a")
@@ -347,7 +347,7 @@
 	require.Error(t, err)
 }
 
-// TestClientLimits: one client's jobs do not take another's room.
+// TestClientLimits: one client's jobs don't use up another's share of the limits.
 func TestClientLimits(t *testing.T) {
 	l := roomy
 	l.ClientJobs, l.ClientBytes = 2, 2000
--- a/internal/dispatcher/faktory/stress_test.go
+++ b/internal/dispatcher/faktory/stress_test.go
@@ -147,7 +147,7 @@
 					return err
 				}
 				defer w.Close()
-				for range 10 { // a FETCH may be answered null while the decisions hold a job for another
+				for range 10 { // a FETCH may be answered null while the engine has a job for another
 					text, err := w.Do("FETCH q")
 					if err != nil {
 						return err
@@ -192,8 +192,8 @@
 	require.Less(t, time.Since(began), 10*time.Second)
 }
 
-// TestHalfWritten: a worker that is gone while a job is written to it has not
-// run it: another one gets it at once.
+// TestHalfWritten: a worker that disconnects while a job is written to it has not run it: another
+// one gets it at once.
 func TestHalfWritten(t *testing.T) {
 	t.Parallel()
 	p := start(t)
@@ -269,7 +269,7 @@
 	}
 }
 
-// BenchmarkWaiting has 100,000 jobs wait, and tells what they take.
+// BenchmarkWaiting lets up to 100,000 jobs wait, and reports the memory that they take.
 func BenchmarkWaiting(b *testing.B) {
 	for _, jobs := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(jobs), func(b *testing.B) {
--- a/internal/dispatcher/override/override_test.go
+++ b/internal/dispatcher/override/override_test.go
@@ -21,7 +21,7 @@
 	require.True(t, s.RestoredAt("r1").IsZero())
 }
 
-// TestRoundTrip: what is written is read back whole.
+// TestRoundTrip: an encoded state is decoded completely.
 func TestRoundTrip(t *testing.T) {
 	s, at := New(), time.UnixMilli(1_700_000_000_000)
 	s.TakeOut("b")
@@ -34,7 +34,7 @@
 	require.Equal(t, at, got.RestoredAt("c"))
 }
 
-// TestBadState: a missing, cut, foreign or older state is turned down whole.
+// TestBadState: a missing, cut, foreign or older state is rejected completely.
 func TestBadState(t *testing.T) {
 	s := New()
 	s.TakeOut("a")
--- a/internal/dispatcher/server/fleet_test.go
+++ b/internal/dispatcher/server/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// alone is a fleet of one keeper; FAKTORY and AGENT stand for addresses of its own.
+// alone is a fleet of one Raft node; FAKTORY and AGENT stand for addresses of its own.
 func alone(folder, more string) string {
 	return fmt.Sprintf(`{"fleet":{"name":"n1","folder":%q,"calls":"FAKTORY","votes":"AGENT","keepers":{"n1":{"calls":"FAKTORY","votes":"AGENT"}}%s}}`, folder, more)
 }
--- a/internal/dispatcher/server/golden_test.go
+++ b/internal/dispatcher/server/golden_test.go
@@ -39,7 +39,7 @@
 	require.Equal(t, goldentest.Read(t, filepath.Join(golden, "basaltloft-n0.hand.json")), goldentest.Read(t, o.statePath()))
 }
 
-// TestGoldenPlanAnswer: a run's final answer as the door tells it, in the JSON of 352ebf2.
+// TestGoldenPlanAnswer: a run's final answer as the admin API returns it, in the JSON of 352ebf2.
 func TestGoldenPlanAnswer(t *testing.T) {
 	require.Equal(t, `{"run":"a","plan":"b","outcome":"served","attempts":2,"results":{"c":[{"d":1},null,"no json"]}}`, string(answerJSON(&planrun.Answer{
 		Run: "a", Plan: "b", Attempts: 2, Results: []planrun.Results{{Stage: "c", Items: [][]byte{[]byte(`{"d":1}`), nil, []byte("no json")}}},
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestGoldenRecordsAnswer: records as the door tells them, in the keys of 352ebf2.
+// TestGoldenRecordsAnswer: records as the admin API returns them, in the keys of 352ebf2.
 func TestGoldenRecordsAnswer(t *testing.T) {
 	var a fastjson.Arena
 	at := time.Date(2026, 1, 31, 12, 0, 0, 5, time.UTC).UnixNano()
--- a/internal/dispatcher/server/handover_test.go
+++ b/internal/dispatcher/server/handover_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestHandover: a new process started beside the old one serves on the
-// clients' socket that both were handed, takes over a runner out by hand, and
+// clients' socket that both inherit, takes over a runner out by hand, and
 // the old one ends at SIGTERM with exit 0; a job sent meanwhile is served once,
 // and not by the runner that is out. Which process takes it is not asked: in
 // about one run of three under the race detector the old one still did.
--- a/internal/dispatcher/server/sockets_test.go
+++ b/internal/dispatcher/server/sockets_test.go
@@ -18,8 +18,8 @@
 		got := socketLimit(settings.Config{Sockets: n})
 		require.Equal(t, n, got)
 		require.LessOrEqual(t, got/2+got/4+got/8+own, n, "clients, flows, probes and ends, own")
-		got = max(got/2, got-adminapi.MaxConnections) // as for a process with a door
-		require.LessOrEqual(t, got/2+got/4+got/8+adminapi.MaxConnections+own, n, "with a door")
+		got = max(got/2, got-adminapi.MaxConnections) // as for a process with an admin API
+		require.LessOrEqual(t, got/2+got/4+got/8+adminapi.MaxConnections+own, n, "with an admin API")
 	}
 	require.Equal(t, 1024, socketLimit(settings.Config{}))
 	require.Equal(t, 1024, socketLimit(settings.Config{Sockets: 1024, MemoryMB: 192}))
