--- a/internal/cluster/scheduler/urgency_digest_test.go
+++ b/internal/cluster/scheduler/urgency_digest_test.go
@@ -26,7 +26,7 @@
 var stretches = []float64{0, 1.1, 1.4, 1.8, 2.2, 2.6, 3.2, 4}
 
 // randomSubmission makes a job of any kind with an objective. More of them than of the jobs of
-// draw have their data in a rack, since only these may wait for a runner near it.
+// randomSpec have their data in a rack, since only these may wait for a runner near it.
 func (w *world) randomSubmission() *job.Submission {
 	spec := w.randomSpec()
 	if step := &spec.Steps[0]; !step.Gang && w.random.IntN(4) == 0 {
--- a/internal/dispatcher/fleet/planrun/tracker_test.go
+++ b/internal/dispatcher/fleet/planrun/tracker_test.go
@@ -130,7 +130,7 @@
 
 // takeOver has another coordinator claim all.
 func (c *script) takeOver() {
-	c.apply(c.at, LeaseExpired{"n1", 1})
+	_, _ = c.apply(c.at, LeaseExpired{"n1", 1})
 	reply, _ := c.apply(c.at, Claim{Process: "n2", Incarnation: 1, MaxRuns: 100})
 	for _, k := range reply.Claimed {
 		if k.Run == c.run {
@@ -164,12 +164,12 @@
 	require.Equal(t, []Results{{"notice", [][]byte{[]byte(`1`)}}}, a.Results)
 	require.Equal(t, a, c.start(booking(2), "r", "n2").Answer)
 	c.at = a.Until + 1
-	c.apply(c.at, nil)
+	_, _ = c.apply(c.at, nil)
 	_, err := c.apply(c.at, Start{Run: "r", Shape: booking(2), Before: a.Until, Process: "n1"})
 	require.ErrorIs(t, err, ErrDeadline, "delivered late, after the answer was dropped")
 }
 
-func TestTicketOutAtTakeOver(t *testing.T) {
+func TestTicketInFlightAtTakeOver(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		c := begin(t, booking(1), "r")
 		c.open(0, 1, "tour")
@@ -262,9 +262,9 @@
 	}
 }
 
-// TestSharedHandedOn: an output that is being made is taken on by another when its
+// TestSharedOutputReassigned: an output that is being made is taken on by another when its
 // maker gives up or dies, and one made anew for a newcomer is no loss of the old one.
-func TestSharedHandedOn(t *testing.T) {
+func TestSharedOutputReassigned(t *testing.T) {
 	for _, dies := range []bool{true, false} {
 		c := begin(t, booking(1), "r1")
 		first, second := c.fence, c.start(booking(1), "r2", "n3").Fence
@@ -274,9 +274,9 @@
 		c.open(0, 1, "tour")
 		require.ErrorIs(t, c.send(0, 0), ErrProducedElsewhere)
 		if dies {
-			c.apply(c.at, LeaseExpired{"n1", 1})
+			_, _ = c.apply(c.at, LeaseExpired{"n1", 1})
 		} else {
-			c.apply(c.at, Abandon{Run: "r1", Fence: first, Stage: -1, End: plan.Failed})
+			_, _ = c.apply(c.at, Abandon{Run: "r1", Fence: first, Stage: -1, End: plan.Failed})
 		}
 		c.runs(0, 0)
 		c.open(1, 1, "")
@@ -311,7 +311,7 @@
 	c.open(1, 1, "")
 	c.runs(1, 0)
 	require.NoError(t, c.send(2, 0))
-	c.apply(c.at, Abandon{Run: "r", Fence: c.fence, Stage: -1, End: plan.Failed})
+	_, _ = c.apply(c.at, Abandon{Run: "r", Fence: c.fence, Stage: -1, End: plan.Failed})
 	undo := func(stage int) error {
 		_, err := c.apply(c.at, SendAttempt{Run: "r", Fence: c.fence, Stage: stage, Undo: true, Attempt: 1})
 		return err
@@ -321,16 +321,16 @@
 	require.ErrorIs(t, undo(1), ErrStale, "the ticket first")
 	require.NoError(t, undo(2))
 	require.ErrorIs(t, undo(1), ErrStale, "the ticket's undo is out")
-	c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 2, Undo: true, Attempt: 1, End: plan.Done})
+	_, _ = c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 2, Undo: true, Attempt: 1, End: plan.Done})
 	require.NoError(t, undo(1))
-	c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
+	_, _ = c.apply(c.at, ReportEnd{Run: "r", Fence: c.fence, Stage: 1, Undo: true, Attempt: 1, End: plan.Done})
 	a := c.answer()
 	require.Equal(t, Failed, a.Outcome)
 	require.Empty(t, a.StagesWithEffects)
 }
 
 // TestHardCases: one way each to an end that must not be what it looks like.
-func TestHardCases(t *testing.T) {
+func TestHardCases(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	two := func(first policy.Effect, most int) Shape {
 		return Shape{MaxAttempts: 6, Timeout: time.Second, Stages: []StageShape{
 			{Name: "a", Class: "a", Effect: first, Retries: []RetryShape{{On: []plan.End{plan.Failed}, MaxRetries: 9}}},
@@ -379,10 +379,10 @@
 		"a coordinator that does nothing": {two(policy.Idempotent, 1), func(c *script) {
 			require.NoError(c.t, c.send(0, 0))
 			c.at += time.Second
-			c.apply(c.at, nil)
+			_, _ = c.apply(c.at, nil)
 			require.Equal(c.t, "its deadline passed", c.view().Run.GaveUp.Reason)
 			c.at += DefaultLimits().Grace
-			c.apply(c.at, nil)
+			_, _ = c.apply(c.at, nil)
 		}, Failed, "deadline"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -438,9 +438,9 @@
 	require.ErrorContains(t, c.replicas[0].Decode(v2), "version 2")
 }
 
-// TestCoordinatorRemembers: one task at a time for an attempt, and none is sent that
+// TestAttemptRegistryRemembers: one task at a time for an attempt, and none is sent that
 // was told as unsent, though its reply comes after all.
-func TestCoordinatorRemembers(t *testing.T) {
+func TestAttemptRegistryRemembers(t *testing.T) {
 	s := booking(1)
 	s.Stages = s.Stages[3:]
 	s.Stages[0].After = nil
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -35,7 +35,7 @@
 func alone(t *testing.T, folder string) (k *Node, client *rpc.Client, stop func()) {
 	t.Helper()
 	listen := func() net.Listener {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		return l
 	}
@@ -133,7 +133,7 @@
 
 // TestGoldenFolder: a keeper starts on a copy of the golden folder, has all that was
 // committed before and after the snapshot, and goes on.
-func TestGoldenFolder(t *testing.T) {
+func TestGoldenFolder(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	if goldentest.Missing(goldenFolder) {
 		written := filepath.Join(t.TempDir(), "keeper")
 		writeGoldenFolder(t, written)
@@ -172,7 +172,7 @@
 		want.Process, want.Epoch, want.Seq = "n1", 70, uint64(i+1)
 		require.Equal(t, want, page.Records[i])
 	}
-	var standings []budget.BudgetStatus
+	var standings []budget.Occupancy
 	ask(partition.BudgetsStatus, nil, &standings)
 	require.Len(t, standings, 1)
 	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
@@ -204,7 +204,7 @@
 	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
 	require.NoError(t, err)
 	require.Equal(t, member.Incarnation, joined.Incarnation)
-	require.NoError(t, who.Client.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
+	require.NoError(t, who.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
 		Version: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
 		Body: encoded(t, records.Ship{Epoch: 70, FirstSeq: 4, Records: []records.Record{goldenRecord("job-4")}}),
 	}), &state.Reply{}))
@@ -212,8 +212,8 @@
 	require.Len(t, page.Records, 4)
 }
 
-// TestGoldenMark: the mark of a folder has the bytes that 352ebf2 wrote.
-func TestGoldenMark(t *testing.T) {
+// TestGoldenIdentity: the mark of a folder has the bytes that 352ebf2 wrote.
+func TestGoldenIdentity(t *testing.T) {
 	text := goldentest.Read(t, filepath.Join(goldenFolder, identityFile))
 	require.Equal(t, "keeper", identityFile)
 	var m identity
@@ -222,8 +222,8 @@
 	require.Equal(t, text, encoded(t, m))
 }
 
-// TestGoldenReady: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
-func TestGoldenReady(t *testing.T) {
+// TestGoldenMembershipRequest: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
+func TestGoldenMembershipRequest(t *testing.T) {
 	text := []byte("\xa2\x64Name\x62k1\x65Index\x07")
 	require.Equal(t, text, encoded(t, membershipRequest{Name: "k1", Index: 7}))
 	var read membershipRequest
