--- a/internal/dispatcher/scenario/scenario.go
+++ b/internal/dispatcher/scenario/scenario.go
@@ -160,9 +160,7 @@
 	if err != nil {
 		return err
 	}
-	if err := a.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
-		return err
-	}
+	a.startTimeout()
 	buffer := make([]byte, 64<<10)
 	for {
 		if m := re.FindSubmatchIndex(a.unread); m != nil {
@@ -200,12 +198,14 @@
 	return open
 }
 
+// startTimeout bounds the reads of a step. It fails only where the connection is closed,
+// which the next read reports.
+func (a *actor) startTimeout() { _ = a.conn.SetReadDeadline(time.Now().Add(stepTimeout)) }
+
 // wait reads until the other side has closed its end. For a process it also waits for its
 // exit, which must be in order.
 func (a *actor) wait() error {
-	if err := a.conn.SetReadDeadline(time.Now().Add(stepTimeout)); err != nil {
-		return err
-	}
+	a.startTimeout()
 	rest, err := io.ReadAll(a.conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return fmt.Errorf("still open after %q", rest)
