--- a/internal/dispatcher/loadgen/drive.go
+++ b/internal/dispatcher/loadgen/drive.go
@@ -15,24 +15,27 @@
 	"basaltloft/internal/dispatcher/fakes"
 )
 
-// Target is who is asked. Its Ask may be called concurrently.
+// Target is what requests are sent to.
 type Target interface {
+	// Send sends the nth request and returns what became of it, in words: Served, or
+	// another one. It may be called concurrently.
 	Send(ctx context.Context, n int) (outcome string)
+	// Close closes the connections. No request may be in flight.
 	Close()
 }
 
-// Run sends a plan's asks, at most so many at a time, and returns once all have
-// ended. What can't be sent when it is due, since as many are out, goes out late and
-// counts from when it was due. A context that ends sends nothing more.
-func Run(ctx context.Context, p Plan, to Target, most int, record *Record) {
-	slots := make(chan struct{}, most)
-	var all sync.WaitGroup
-	defer all.Wait()
+// Run sends the requests of a plan and returns once all have ended. No more than
+// maxInFlight are sent at a time: a request that can't be sent when it is due is sent later
+// and counts from when it was due. After the end of the context nothing more is sent.
+func Run(ctx context.Context, plan Plan, target Target, maxInFlight int, record *Record) {
+	slots := make(chan struct{}, maxInFlight)
+	var running sync.WaitGroup
+	defer running.Wait()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
 	<-wake.C
 	begin, n := time.Now(), 0
-	for due := range p.DueTimes() {
+	for due := range plan.DueTimes() {
 		if wait := due - time.Since(begin); wait > 0 {
 			wake.Reset(wait)
 			select {
@@ -47,28 +50,39 @@
 			return
 		}
 		n++
-		ask := n
-		all.Go(func() {
+		number := n
+		running.Go(func() {
 			defer func() { <-slots }()
 			sent := time.Since(begin)
-			outcome := to.Send(ctx, ask)
+			outcome := target.Send(ctx, number)
 			record.Add(due, sent, time.Since(begin), outcome)
 		})
 	}
 }
 
-// Job is what is asked for.
+// Outcomes beside Served, as they are reported.
+const (
+	outcomeRefused       = "refused"
+	outcomeRefusedForNow = "refused, come back later"
+	outcomeTimedOut      = "no answer in time"
+	outcomeDisconnected  = "broken off"
+	outcomeNotConnected  = "no connection"
+	outcomeCancelled     = "given up"
+	outcomeBadAddress    = "bad address"
+)
+
+// Job is what each request asks for.
 type Job struct {
-	IDPrefix  string // of ids and keys, so that runs don't meet
+	IDPrefix  string // of ids and keys, so that those of several runs differ
 	Class     string // of an HTTP request, or the jobtype of a Faktory job
-	Queue     string
+	Queue     string // of a Faktory job
 	Tenant    string
-	CostHint  time.Duration // told; 0: not told
+	CostHint  time.Duration // 0: none is sent
 	Timeout   time.Duration
-	BodyBytes int // bytes
+	BodyBytes int // of the body
 }
 
-// HTTP asks by the platform's protocol.
+// HTTP sends requests by the platform's protocol. It implements Target.
 type HTTP struct {
 	addr   string
 	job    Job
@@ -76,9 +90,9 @@
 	body   string
 }
 
-// NewHTTP returns a target with connections for so many asks at a time.
-func NewHTTP(addr string, j Job, most int) *HTTP {
-	return &HTTP{addr: addr, job: j, body: strings.Repeat("b", j.BodyBytes), client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: most}}}
+// NewHTTP returns a target that keeps connections for maxInFlight requests.
+func NewHTTP(addr string, job Job, maxInFlight int) *HTTP {
+	return &HTTP{addr: addr, job: job, body: strings.Repeat("b", job.BodyBytes), client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight}}}
 }
 
 // Send implements Target.
@@ -87,7 +101,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.addr+"/"+h.job.Class, strings.NewReader(h.body))
 	if err != nil {
-		return "bad address"
+		return outcomeBadAddress
 	}
 	name := h.job.IDPrefix + "-" + strconv.Itoa(n)
 	req.Header.Set("X-Call-Id", name)
@@ -102,19 +116,19 @@
 	resp, err := h.client.Do(req)
 	if err != nil {
 		if errors.Is(err, context.DeadlineExceeded) {
-			return "no answer in time"
+			return outcomeTimedOut
 		}
-		return "broken off"
+		return outcomeDisconnected
 	}
-	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return "broken off"
+	_, err = io.Copy(io.Discard, resp.Body)
+	if errors.Join(err, resp.Body.Close()) != nil {
+		return outcomeDisconnected
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return Served
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") != "":
-		return "refused, come back later"
+		return outcomeRefusedForNow
 	}
 	return "status " + strconv.Itoa(resp.StatusCode)
 }
@@ -122,19 +136,19 @@
 // Close implements Target.
 func (h *HTTP) Close() { h.client.CloseIdleConnections() }
 
-// Faktory pushes jobs by the Faktory protocol. An ask is served once its push is
-// taken: what runs it is a worker's matter.
+// Faktory pushes jobs by the Faktory protocol. A request is served once the server has
+// accepted the job; a worker runs it. It implements Target.
 type Faktory struct {
-	addr string
-	job  Job
-	free chan *fakes.FaktoryConn // nil ones are still to be dialled
+	addr  string
+	job   Job
+	conns chan *fakes.FaktoryConn // idle ones; nil ones are to be connected
 }
 
-// NewFaktory returns a target with so many connections at most.
-func NewFaktory(addr string, j Job, most int) *Faktory {
-	f := &Faktory{addr: addr, job: j, free: make(chan *fakes.FaktoryConn, most)}
-	for range most {
-		f.free <- nil
+// NewFaktory returns a target with maxConnections connections at most.
+func NewFaktory(addr string, job Job, maxConnections int) *Faktory {
+	f := &Faktory{addr: addr, job: job, conns: make(chan *fakes.FaktoryConn, maxConnections)}
+	for range maxConnections {
+		f.conns <- nil
 	}
 	return f
 }
@@ -143,16 +157,16 @@
 func (f *Faktory) Send(ctx context.Context, n int) string {
 	var c *fakes.FaktoryConn
 	select {
-	case c = <-f.free:
+	case c = <-f.conns:
 	case <-ctx.Done():
-		return "given up"
+		return outcomeCancelled
 	}
-	defer func() { f.free <- c }()
+	defer func() { f.conns <- c }()
 	var err error
 	if c == nil {
 		if c, err = fakes.DialFaktory(f.addr, ""); err != nil {
 			c = nil
-			return "no connection"
+			return outcomeNotConnected
 		}
 	}
 	_, err = c.Do(fmt.Sprintf(`PUSH {"jid":"%s-%d","jobtype":%q,"queue":%q,"args":[%q]}`, f.job.IDPrefix, n, f.job.Class, f.job.Queue, strings.Repeat("b", f.job.BodyBytes)))
@@ -160,23 +174,23 @@
 	case err == nil:
 		return Served
 	case errors.Is(err, fakes.ErrRefused):
-		return "refused"
+		return outcomeRefused
 	}
 	c.Close()
 	c = nil
-	return "broken off"
+	return outcomeDisconnected
 }
 
-// Close implements Target. No ask may be under way.
+// Close implements Target.
 func (f *Faktory) Close() {
-	for range cap(f.free) {
-		if c := <-f.free; c != nil {
+	for range cap(f.conns) {
+		if c := <-f.conns; c != nil {
 			c.Close()
 		}
 	}
 }
 
-// IsLoopback tells whether an address is this machine's own.
+// IsLoopback reports whether an address is one of this machine only.
 func IsLoopback(addr string) (bool, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/dispatcher/loadgen/load_test.go
+++ b/internal/dispatcher/loadgen/load_test.go
@@ -141,11 +141,13 @@
 	config, operator := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
 	require.NoError(t, os.WriteFile(config, []byte(w.Configuration()), 0o600))
 	require.NoError(t, os.WriteFile(operator, []byte(w.OperatorFile("")), 0o600))
-	cmd := exec.Command(binary, "--log-level", "error", "--operator", operator)
+	cmd := exec.CommandContext(t.Context(), binary, "--log-level", "error", "--operator", operator)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
 	require.NoError(t, cmd.Start())
-	defer cmd.Wait()
-	defer cmd.Process.Kill()
+	defer func() {
+		require.NoError(t, cmd.Process.Kill())
+		require.Error(t, cmd.Wait(), "killed")
+	}()
 	require.NoError(t, demo.WaitReady(context.Background(), w.HTTPAddr, nil))
 	job := loadgen.Job{IDPrefix: "both-fronts", Class: "place-hold", Queue: "holds", Tenant: "hrad-kamenec", CostHint: time.Millisecond, Timeout: 10 * time.Second, BodyBytes: 10}
 	for name, to := range map[string]loadgen.Target{"http": loadgen.NewHTTP(w.HTTPAddr, job, 8), "faktory": loadgen.NewFaktory(w.FaktoryAddr, job, 8)} {
@@ -162,7 +164,8 @@
 	}
 }
 
-func TestLocal(t *testing.T) {
+// TestIsLoopback: only addresses of this machine are loopback.
+func TestIsLoopback(t *testing.T) {
 	for addr, want := range map[string]bool{"127.0.0.1:80": true, "[::1]:80": true, "localhost:1": true, "10.0.0.1:80": false, "example.org:80": false} {
 		got, err := loadgen.IsLoopback(addr)
 		require.NoError(t, err)
--- a/internal/dispatcher/loadgen/plan.go
+++ b/internal/dispatcher/loadgen/plan.go
@@ -1,8 +1,7 @@
-// Package loadgen sends an open-loop load to a dispatcher and records what becomes of
-// it. When each ask is due is planned beforehand and does not depend on answers: a
-// server that stalls gets the asks of its stall all the same, and what they waited
-// counts (which is what correcting for coordinated omission comes to). plan.go and
-// record.go do no I/O.
+// Package loadgen sends an open-loop load to a dispatcher and records the results. The time
+// at which each request is due is planned beforehand and does not depend on answers: a
+// server that stalls gets the requests of its stall all the same, and their wait counts,
+// which corrects for coordinated omission. plan.go and record.go do no I/O.
 package loadgen
 
 import (
@@ -14,16 +13,16 @@
 	"time"
 )
 
-// Plan says when asks are due.
+// Plan is when requests are due.
 type Plan struct {
-	StartRate, EndRate float64 // asks a second at the begin and at the end
+	StartRate, EndRate float64 // requests a second at the begin and at the end
 	Length             time.Duration
-	EvenlySpaced       bool // evenly apart; else a Poisson stream
+	EvenlySpaced       bool // evenly apart; else a Poisson process
 	Seed               uint64
-	Trace              []time.Duration // in place of all these: when each ask is due
+	Trace              []time.Duration // in place of all these: when each request is due, from the begin
 }
 
-// Validate tells what is wrong with a plan.
+// Validate returns what is wrong with a plan.
 func (p *Plan) Validate() error {
 	switch {
 	case p.Trace != nil:
@@ -38,7 +37,7 @@
 	return nil
 }
 
-// ExpectedRequests is how many asks are due, on average.
+// ExpectedRequests is how many requests are due, on average.
 func (p *Plan) ExpectedRequests() int {
 	if p.Trace != nil {
 		return len(p.Trace)
@@ -46,22 +45,22 @@
 	return int((p.StartRate + p.EndRate) / 2 * p.Length.Seconds())
 }
 
-// DueTimes are when the asks are due, from the begin on. They are the points at which
-// the integral of the rate passes whole numbers, or the sums of exponential draws
-// for a Poisson stream: a ramp is exact at each moment, not in steps.
+// DueTimes are the times at which requests are due, from the begin: the points at which the
+// integral of the rate passes whole numbers, or the sums of exponential draws for a Poisson
+// process. A ramp is exact at each moment, not in steps.
 func (p *Plan) DueTimes() iter.Seq[time.Duration] {
 	if p.Trace != nil {
 		return slices.Values(p.Trace)
 	}
 	random := rand.New(rand.NewPCG(p.Seed, 17))
 	return func(yield func(time.Duration) bool) {
-		for due := 0.0; ; {
+		for requests := 0.0; ; {
 			if p.EvenlySpaced {
-				due++
+				requests++
 			} else {
-				due += random.ExpFloat64()
+				requests += random.ExpFloat64()
 			}
-			at, ok := p.when(due)
+			at, ok := p.dueTime(requests)
 			if !ok || !yield(at) {
 				return
 			}
@@ -69,17 +68,17 @@
 	}
 }
 
-// when is the time at which so many asks are due, if that is before the end: with
-// the rate a + (b-a)t/T, the asks until t are at + (b-a)t²/2T.
-func (p *Plan) when(asks float64) (time.Duration, bool) {
+// dueTime is the time up to which a number of requests is due, if that is before the end:
+// with the rate a + (b-a)t/T, the requests until t are at + (b-a)t²/2T.
+func (p *Plan) dueTime(requests float64) (time.Duration, bool) {
 	length := p.Length.Seconds()
 	slope := (p.EndRate - p.StartRate) / length
 	var t float64
 	if math.Abs(slope) < 1e-12 {
-		t = asks / p.StartRate
+		t = requests / p.StartRate
 	} else {
-		root := p.StartRate*p.StartRate + 2*slope*asks
-		if root < 0 { // a falling ramp never gets to so many
+		root := p.StartRate*p.StartRate + 2*slope*requests
+		if root < 0 { // a falling ramp never gets to as many
 			return 0, false
 		}
 		t = (math.Sqrt(root) - p.StartRate) / slope
--- a/internal/dispatcher/loadgen/record.go
+++ b/internal/dispatcher/loadgen/record.go
@@ -2,72 +2,79 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"sync"
 	"text/tabwriter"
 	"time"
 
+	"basaltloft/internal/dispatcher/textout"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Record keeps what became of a load. Its methods may be called concurrently.
+// Record counts the results of a load. Its methods may be called concurrently.
 type Record struct {
 	mu        sync.Mutex
-	asks      int64
+	requests  int64
 	outcomes  map[string]int64
-	corrected *hdrhistogram.Histogram // of served asks, from when they were due, in microseconds
+	corrected *hdrhistogram.Histogram // of served requests, from when they were due, in microseconds
 	service   *hdrhistogram.Histogram // from when they were sent
-	lateness  *hdrhistogram.Histogram // of all, from when they were due until they were sent
-	last      time.Duration
+	lateness  *hdrhistogram.Histogram // of all requests, from when they were due until they were sent
+	last      time.Duration           // end of the last request, from the begin
 }
 
-const longest = int64(time.Hour / time.Microsecond)
+// maxRecorded bounds what a latency counts as, in microseconds.
+const maxRecorded = int64(time.Hour / time.Microsecond)
 
 // NewRecord returns an empty record.
 func NewRecord() *Record {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, 3) }
-	return &Record{outcomes: make(map[string]int64), corrected: h(), service: h(), lateness: h()}
+	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecorded, 3) }
+	return &Record{outcomes: make(map[string]int64), corrected: histogram(), service: histogram(), lateness: histogram()}
 }
 
 // Served is the outcome whose latencies count.
 const Served = "served"
 
-// Add takes in an ask that was due, sent and ended at times since the begin.
+// Add counts a request that was due, sent and ended at times from the begin.
 func (r *Record) Add(due, sent, ended time.Duration, outcome string) {
-	us := func(t time.Duration) int64 { return min(max(1, t.Microseconds()), longest) }
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asks++
+	r.requests++
 	r.outcomes[outcome]++
 	r.last = max(r.last, ended)
-	r.lateness.RecordValue(us(sent - due))
+	recordLatency(r.lateness, sent-due)
 	if outcome == Served {
-		r.corrected.RecordValue(us(ended - due))
-		r.service.RecordValue(us(ended - sent))
+		recordLatency(r.corrected, ended-due)
+		recordLatency(r.service, ended-sent)
 	}
 }
 
-// Summary is what a load came to.
+// recordLatency adds a latency, bounded to the range of the histogram.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecorded)) // always in the range
+}
+
+// Summary is the result of a load. It is written as JSON, by the names of its fields.
 type Summary struct {
 	Asks     int64
-	PerS     float64 // served, until the last answer
+	PerS     float64 // served a second, until the last answer
 	Outcomes map[string]int64
-	// Milliseconds by quantile: of served asks from when they were due, and from when
-	// they were sent; and how late asks were sent, which is this side's own lateness
-	// or its want of connections.
+	// Milliseconds by quantile: of served requests from when they were due, and from when
+	// they were sent; and how late requests were sent, because of the load generator or
+	// for want of connections.
 	Corrected, Service, Lateness []Point
 	Worst                        float64 // milliseconds, from when it was due
 }
 
-// Point is a quantile of a distribution.
+// Point is a quantile of a distribution: a percentage, and milliseconds.
 type Point struct{ Quantile, MS float64 }
 
-// Quantiles are those that are told.
+// Quantiles are those of a Summary, in percent.
 var Quantiles = []float64{50, 75, 90, 95, 99, 99.9, 99.99}
 
-// Summary sums up what has been added.
+// Summary returns the result so far.
 func (r *Record) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,41 +85,42 @@
 		return all
 	}
 	s := Summary{
-		Asks: r.asks, Outcomes: make(map[string]int64), Corrected: points(r.corrected), Service: points(r.service), Lateness: points(r.lateness),
+		Asks: r.requests, Outcomes: make(map[string]int64), Corrected: points(r.corrected), Service: points(r.service), Lateness: points(r.lateness),
 		Worst: float64(r.corrected.Max()) / 1000,
 	}
-	for k, n := range r.outcomes {
-		s.Outcomes[k] = n
-	}
+	maps.Copy(s.Outcomes, r.outcomes)
 	if r.last > 0 {
 		s.PerS = float64(r.outcomes[Served]) / r.last.Seconds()
 	}
 	return s
 }
 
-// Table writes a summary for people.
+// Table writes a summary for people. The error is the writer's.
 func (s Summary) Table(out io.Writer) error {
-	fmt.Fprintf(out, "%d asks, %.1f served a second\n", s.Asks, s.PerS)
-	var names []string
-	for k := range s.Outcomes {
-		names = append(names, k)
+	p := textout.New(out)
+	p.Printf("%d asks, %.1f served a second\n", s.Asks, s.PerS)
+	for _, outcome := range slices.Sorted(maps.Keys(s.Outcomes)) {
+		p.Printf("  %s %d (%.2f%%)\n", outcome, s.Outcomes[outcome], 100*float64(s.Outcomes[outcome])/float64(max(1, s.Asks)))
+	}
+	if err := p.Err(); err != nil {
+		return err
 	}
-	slices.Sort(names)
-	for _, k := range names {
-		fmt.Fprintf(out, "  %s %d (%.2f%%)\n", k, s.Outcomes[k], 100*float64(s.Outcomes[k])/float64(max(1, s.Asks)))
+	tabs := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	p = textout.New(tabs)
+	p.Println("quantile\tfrom due, ms\tfrom sent, ms\tsent late, ms\t")
+	for i, point := range s.Corrected {
+		p.Printf("%g\t%.2f\t%.2f\t%.2f\t\n", point.Quantile, point.MS, s.Service[i].MS, s.Lateness[i].MS)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "quantile\tfrom due, ms\tfrom sent, ms\tsent late, ms\t")
-	for i, p := range s.Corrected {
-		fmt.Fprintf(w, "%g\t%.2f\t%.2f\t%.2f\t\n", p.Quantile, p.MS, s.Service[i].MS, s.Lateness[i].MS)
+	p.Printf("worst\t%.2f\t\t\t\n", s.Worst)
+	if err := p.Err(); err != nil {
+		return err
 	}
-	fmt.Fprintf(w, "worst\t%.2f\t\t\t\n", s.Worst)
-	return w.Flush()
+	return tabs.Flush()
 }
 
-// JSON writes a summary for programs.
+// JSON writes a summary for programs. The error is the writer's.
 func (s Summary) JSON(out io.Writer) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(s)
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(s)
 }
--- a/internal/dispatcher/plots/plots.go
+++ b/internal/dispatcher/plots/plots.go
@@ -1,9 +1,10 @@
-// Package plots draws what a journal has counted. It is kept out of the
-// dispatcher: its libraries weigh more than all the rest of it.
+// Package plots draws what a journal has counted. The dispatcher does not import it: its
+// libraries are larger than the rest of the program.
 package plots
 
 import (
 	"errors"
+	"maps"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -16,91 +17,122 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// stretch is the query's dimension that gives 20 points or more, and how its
-// names are read.
-func stretch(f journal.Directory, q journal.Query) (by, layout string, err error) {
-	for _, s := range [][2]string{{"day", "2006-01-02"}, {"hour", "2006-01-02T15Z"}, {"minute", "2006-01-02T15:04Z"}} {
-		q.By = []string{s[0]}
-		rows, _, err := journal.Report(f, q)
+// ErrNoJobs says that the journal has no jobs to draw.
+var ErrNoJobs = errors.New("the journal has no jobs of that time")
+
+// minPoints is how many points a chart should have: it is drawn by the longest interval
+// that gives as many.
+const minPoints = 20
+
+// interval is a dimension of journal.Report by time.
+type interval struct{ dimension, layout string }
+
+var intervals = []interval{{"day", "2006-01-02"}, {"hour", "2006-01-02T15Z"}, {"minute", "2006-01-02T15:04Z"}}
+
+// chooseInterval is the longest interval that gives minPoints, or the shortest.
+func chooseInterval(dir journal.Directory, q journal.Query) (chosen interval, err error) {
+	for _, chosen = range intervals {
+		q.By = []string{chosen.dimension}
+		rows, _, err := journal.Report(dir, q)
 		if err != nil {
-			return "", "", err
+			return interval{}, err
 		}
-		if by, layout = s[0], s[1]; len(rows) >= 20 {
+		if len(rows) >= minPoints {
 			break
 		}
 	}
-	return by, layout, nil
+	return chosen, nil
 }
 
-// ErrNoJobs says that there is nothing to draw.
-var ErrNoJobs = errors.New("the journal has no jobs of that time")
-
-// Draw writes two plots: jobs by outcome over time to out, and the latency of
-// served jobs by class to the same name with -latency in it. The names' ending
-// says what they are: .svg or .png. It returns the names.
-func Draw(f journal.Directory, q journal.Query, out string) ([]string, error) {
-	by, layout, err := stretch(f, q)
+// Draw writes two charts of a journal: jobs by outcome over time to the file out, and the
+// latency of served jobs by class to a file with -latency in its name. The extension of out
+// is .svg or .png and names the format. It returns the names of the files. The error is
+// ErrNoJobs, or one of the journal or of writing.
+func Draw(dir journal.Directory, q journal.Query, out string) ([]string, error) {
+	by, err := chooseInterval(dir, q)
 	if err != nil {
 		return nil, err
 	}
-	q.By = []string{by, "class"}
-	rows, _, err := journal.Report(f, q)
+	q.By = []string{by.dimension, "class"}
+	rows, _, err := journal.Report(dir, q)
 	if err != nil {
 		return nil, err
 	}
 	if len(rows) == 0 {
 		return nil, ErrNoJobs
 	}
-	outcomes := make(map[float64]*[accounting.Outcomes]float64)
-	latency := make(map[string]map[string]plotter.XYs)
+	s := series{outcomes: make(map[float64]*[accounting.Outcomes]float64), latencies: make(map[string]*percentiles)}
 	for _, r := range rows {
-		t, err := time.Parse(layout, r.By[0])
+		at, err := time.Parse(by.layout, r.By[0])
 		if err != nil {
 			return nil, err
 		}
-		x := float64(t.Unix())
-		if outcomes[x] == nil {
-			outcomes[x] = new([accounting.Outcomes]float64)
-		}
-		for o := range accounting.Outcomes {
-			outcomes[x][o] += float64(r.Outcome(o))
-		}
-		if r.Outcome(accounting.Served) > 0 {
-			of := latency[r.By[1]]
-			if of == nil {
-				of = make(map[string]plotter.XYs)
-				latency[r.By[1]] = of
-			}
-			of["p50"] = append(of["p50"], plotter.XY{X: x, Y: r.P50.Seconds() * 1000})
-			of["p95"] = append(of["p95"], plotter.XY{X: x, Y: r.P95.Seconds() * 1000})
-		}
+		s.add(float64(at.Unix()), r.By[1], r)
 	}
-	counts := textchart.Chart{Title: "Jobs by outcome", X: "time (UTC)", Y: "jobs a " + by, Time: true}
-	for o := range accounting.Outcomes {
-		var points plotter.XYs
-		for x, n := range outcomes {
-			points = append(points, plotter.XY{X: x, Y: n[o]})
-		}
-		slices.SortFunc(points, func(a, b plotter.XY) int { return int(a.X - b.X) })
-		counts.Lines = append(counts.Lines, textchart.Line{Name: o.String(), Points: points, ColourIndex: int(o)})
+	extension := filepath.Ext(out)
+	latencyOut := strings.TrimSuffix(out, extension) + "-latency" + extension
+	if err := errors.Join(s.outcomeChart(by).Save(out), s.latencyChart().Save(latencyOut)); err != nil {
+		return nil, err
 	}
-	times := textchart.Chart{Title: "Latency of served jobs", X: "time (UTC)", Y: "milliseconds", Time: true}
-	var classes []string
-	for class := range latency {
-		classes = append(classes, class)
+	return []string{out, latencyOut}, nil
+}
+
+// series is what the charts show. Times are seconds since 1970.
+type series struct {
+	outcomes  map[float64]*[accounting.Outcomes]float64 // jobs, by time
+	latencies map[string]*percentiles                   // by class
+}
+
+// percentiles are latencies in milliseconds, over time.
+type percentiles struct{ p50, p95 plotter.XYs }
+
+// add adds the row of a time and class. Rows come in the order of their times.
+func (s *series) add(at float64, class string, row *journal.ReportRow) {
+	counts := s.outcomes[at]
+	if counts == nil {
+		counts = new([accounting.Outcomes]float64)
+		s.outcomes[at] = counts
 	}
-	slices.Sort(classes)
-	for n, class := range classes {
-		for _, p := range []string{"p50", "p95"} {
-			times.Lines = append(times.Lines, textchart.Line{Name: class + " " + p, Points: latency[class][p], ColourIndex: n + 3, Dashed: p == "p95"})
-		}
+	for outcome := range accounting.Outcomes {
+		counts[outcome] += float64(row.Outcome(outcome))
 	}
-	ext := filepath.Ext(out)
-	second := strings.TrimSuffix(out, ext) + "-latency" + ext
-	for name, c := range map[string]textchart.Chart{out: counts, second: times} {
-		if err := c.Save(name); err != nil {
-			return nil, err
+	if row.Outcome(accounting.Served) == 0 {
+		return
+	}
+	p := s.latencies[class]
+	if p == nil {
+		p = new(percentiles)
+		s.latencies[class] = p
+	}
+	p.p50 = append(p.p50, plotter.XY{X: at, Y: milliseconds(row.P50)})
+	p.p95 = append(p.p95, plotter.XY{X: at, Y: milliseconds(row.P95)})
+}
+
+func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
+
+// outcomeChart has a line for each outcome.
+func (s *series) outcomeChart(by interval) textchart.Chart {
+	chart := textchart.Chart{Title: "Jobs by outcome", X: "time (UTC)", Y: "jobs a " + by.dimension, Time: true}
+	for outcome := range accounting.Outcomes {
+		var points plotter.XYs
+		for at, counts := range s.outcomes {
+			points = append(points, plotter.XY{X: at, Y: counts[outcome]})
 		}
+		slices.SortFunc(points, func(a, b plotter.XY) int { return int(a.X - b.X) })
+		chart.Lines = append(chart.Lines, textchart.Line{Name: outcome.String(), Points: points, ColourIndex: int(outcome)})
+	}
+	return chart
+}
+
+// latencyChart has two lines for each class.
+func (s *series) latencyChart() textchart.Chart {
+	const firstColour = 3 // after those of the outcomes
+	chart := textchart.Chart{Title: "Latency of served jobs", X: "time (UTC)", Y: "milliseconds", Time: true}
+	for n, class := range slices.Sorted(maps.Keys(s.latencies)) {
+		p := s.latencies[class]
+		chart.Lines = append(chart.Lines,
+			textchart.Line{Name: class + " p50", Points: p.p50, ColourIndex: n + firstColour},
+			textchart.Line{Name: class + " p95", Points: p.p95, ColourIndex: n + firstColour, Dashed: true})
 	}
-	return []string{out, second}, nil
+	return chart
 }
--- a/internal/dispatcher/textchart/chart.go
+++ b/internal/dispatcher/textchart/chart.go
@@ -1,5 +1,5 @@
-// Package textchart draws lines, for every plot of the project's tools. It is kept out
-// of the dispatcher: its library weighs more than all the rest of it.
+// Package textchart draws line charts, for every plot of the project's tools. The
+// dispatcher does not import it: its library is larger than the rest of the program.
 package textchart
 
 import (
@@ -11,12 +11,12 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Chart is a plot of lines from zero up. Its X axis is numbers unless told
-// otherwise.
+// Chart is a chart of lines. Its Y axis begins at zero; its X axis is numbers unless Time
+// or Categories is set.
 type Chart struct {
-	Title, X, Y string
-	Time        bool     // X is seconds since 1970
-	Categories  []string // X is numbers of these
+	Title, X, Y string   // X and Y are the titles of the axes
+	Time        bool     // the X axis is seconds since 1970
+	Categories  []string // the X axis is numbers of these; nil: it is not
 	Lines       []Line
 }
 
@@ -24,17 +24,24 @@
 type Line struct {
 	Name        string
 	Points      plotter.XYs
-	ErrorBars   []float64 // up and down of each point; nil: none
+	ErrorBars   []float64 // half the height of each point's error bar; nil: none
 	Dashed      bool
-	ColourIndex int // of those there are; below 0: by the line's place
+	ColourIndex int // in the palette; below 0: the line's number in the chart
 }
 
-var colours = []color.Color{
+// palette are the colours of lines, used in turn.
+var palette = []color.Color{
 	color.RGBA{0x1b, 0x7a, 0x3d, 0xff}, color.RGBA{0xc8, 0x85, 0x00, 0xff}, color.RGBA{0xb0, 0x1e, 0x2e, 0xff}, color.RGBA{0x1f, 0x4e, 0x9a, 0xff},
 	color.RGBA{0x6a, 0x3d, 0x9a, 0xff}, color.RGBA{0x33, 0x33, 0x33, 0xff}, color.RGBA{0x00, 0x8b, 0x8b, 0xff}, color.RGBA{0x80, 0x60, 0x40, 0xff},
 }
 
-// Save writes a chart to a file, whose ending says what it is: .svg or .png.
+// Size of a chart.
+const (
+	width  = 24 * vg.Centimeter
+	height = 12 * vg.Centimeter
+)
+
+// Save writes a chart to a file, whose extension is .svg or .png and names the format.
 func (c Chart) Save(name string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
@@ -60,18 +67,19 @@
 			return fmt.Errorf("drawing %s: %w", name, err)
 		}
 	}
-	if err := p.Save(24*vg.Centimeter, 12*vg.Centimeter, name); err != nil {
+	if err := p.Save(width, height, name); err != nil {
 		return fmt.Errorf("drawing %s: %w", name, err)
 	}
 	return nil
 }
 
+// add adds a line with its points, legend and error bars to a plot.
 func (l Line) add(p *plot.Plot) error {
 	line, dots, err := plotter.NewLinePoints(l.Points)
 	if err != nil {
 		return err
 	}
-	line.Color = colours[l.ColourIndex%len(colours)]
+	line.Color = palette[l.ColourIndex%len(palette)]
 	dots.Color, dots.Radius = line.Color, vg.Points(1.5)
 	if l.Dashed {
 		line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
