--- a/cmd/basaltloft-plot/main.go
+++ b/cmd/basaltloft-plot/main.go
@@ -1,5 +1,5 @@
 // Command basaltloft-plot draws what a journal has counted. `basaltloft figures
-// plot` starts it; it is a program of its own because of what it weighs.
+// plot` starts it; it is a program of its own because of the size of its libraries.
 package main
 
 import (
--- a/cmd/basaltloft-top/main.go
+++ b/cmd/basaltloft-top/main.go
@@ -1,5 +1,5 @@
 // Command basaltloft-top is a live view of a running dispatcher. `basaltloft
-// top` starts it; it is a program of its own because of what it weighs.
+// top` starts it; it is a program of its own because of the size of its libraries.
 package main
 
 import (
