--- a/internal/dispatcher/soak/soak.go
+++ b/internal/dispatcher/soak/soak.go
@@ -1,15 +1,13 @@
-// Package soak loads a dispatcher on both fronts, kills it at random, and holds
-// its figures against each other and against what the outside saw.
+// Package soak loads a dispatcher on both fronts, kills it at random, and compares its
+// ledger, its journal and what its clients saw.
 package soak
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -17,239 +15,212 @@
 
 	"basaltloft/internal/dispatcher/accounting"
 	"basaltloft/internal/dispatcher/demo"
+	"basaltloft/internal/dispatcher/fakes"
 	"basaltloft/internal/dispatcher/journal"
-	"basaltloft/internal/dispatcher/metrics"
 
 	"github.com/schollz/progressbar/v3"
 )
 
-// Settings are what a soak is to do.
+// Settings are what a soak does.
 type Settings struct {
-	Program     string // the dispatcher
+	Program     string // the dispatcher's executable
 	Until       time.Time
 	Kills       int     // of the dispatcher
-	WorkerKills int     // Faktory workers that are killed
-	Rate        float64 // asks a second by each front
-	JournalDir  string  // where the journal is kept; it must be empty
+	WorkerKills int     // of Faktory workers
+	Rate        float64 // logical requests a second, by each front
+	JournalDir  string  // must be empty
 	Seed        uint64
 }
 
-// Result is what a soak saw.
-type Result struct {
-	Kills, Starts   int
-	WorkerKills     int
-	Audits          int64
-	Differences     int64
-	HTTP, Faktory   string
-	ServedToClients int64 // 200 that HTTP clients read
-	Journal         *journal.Verification
-	ServedByJournal int64 // of the HTTP front
-	Lost            int64 // answers that a kill took from the journal
-	RunTwice        []string
-	RSS             []int64 // of the dispatcher, in kB, before each kill
-	Violations      []string
+// writeDelay is how long a record of the journal may wait to be written, with what a write
+// takes.
+const writeDelay = 50 * time.Millisecond
+
+// startTime is how long a start is waited for beyond its time.
+const startTime = 20 * time.Second
+
+// soak is one that runs.
+type soak struct {
+	Settings
+	world            *demo.World
+	config, operator string // files
+	log              io.Writer
+	random           *rand.Rand // of the times of kills
+	began            time.Time
+	result           *Result
 }
 
-// Run soaks. It returns an error if it could not be done; what it found broken
-// is in the result.
-func Run(ctx context.Context, s Settings, out io.Writer) (*Result, error) {
-	load := demo.Load{Rate: s.Rate, Members: 6, Workers: 4, Seed: s.Seed}
-	load.Faults.Reject, load.Faults.Fail, load.Faults.Break, load.Faults.DuplicateEnd = 0.02, 0.01, 0.005, 0.1
-	w, err := demo.NewWorld(load)
+// Run soaks. It returns an error if the soak could not be done; what was found broken is in
+// the result.
+func Run(ctx context.Context, settings Settings, out io.Writer) (result *Result, err error) {
+	load := demo.Load{
+		Rate: settings.Rate, Members: 6, Workers: 4, Seed: settings.Seed,
+		Faults: fakes.Faults{Reject: 0.02, Fail: 0.01, Break: 0.005, DuplicateEnd: 0.1},
+	}
+	world, err := demo.NewWorld(load)
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer world.Close()
 	dir, err := os.MkdirTemp("", "basaltloft-soak")
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
-	config, operator := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
-	if err := os.WriteFile(config, []byte(w.Configuration()), 0o600); err != nil {
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	s := &soak{
+		Settings: settings, world: world, config: filepath.Join(dir, "config.json"), operator: filepath.Join(dir, "operator.json"),
+		log: out, random: rand.New(rand.NewPCG(settings.Seed, 19)), began: time.Now(), result: new(Result),
+	}
+	if err := errors.Join(os.WriteFile(s.config, []byte(world.Configuration()), 0o600),
+		os.WriteFile(s.operator, []byte(world.OperatorFile(settings.JournalDir)), 0o600)); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(operator, []byte(w.OperatorFile(s.JournalDir)), 0o600); err != nil {
+	world.StartLoad(load)
+	if err := s.play(ctx); err != nil {
 		return nil, err
 	}
-	start := func() (*exec.Cmd, error) {
-		cmd := exec.Command(s.Program, "--log-level", "error", "--operator", operator)
-		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
-		cmd.Stderr = out
-		return cmd, cmd.Start()
-	}
-	r := new(Result)
-	random := rand.New(rand.NewPCG(s.Seed, 19))
-	began := time.Now()
-	every := s.Until.Sub(began) / time.Duration(s.Kills+1)
-	bar := progressbar.NewOptions(s.Kills, progressbar.OptionSetWriter(out), progressbar.OptionSetDescription("kills"), progressbar.OptionShowCount())
-	w.StartLoad(load)
-	stop := make(chan struct{})
-	killed := make(chan int, 1)
-	go func() { killed <- killWorkers(w, s, stop) }()
-	for ctx.Err() == nil {
-		cmd, err := start()
-		if err != nil {
-			return nil, err
-		}
-		r.Starts++
-		last := r.Kills == s.Kills
-		end := s.Until
-		if !last { // somewhere in this kill's share of the time
-			end = began.Add(every*time.Duration(r.Kills) + time.Duration((0.5+0.5*random.Float64())*float64(every)))
-		}
-		if !last {
-			r.watch(w.MetricsAddr, end)
-			r.RSS = append(r.RSS, rss(cmd.Process.Pid))
-			cmd.Process.Kill()
-			cmd.Wait()
-			r.Kills++
-			bar.Add(1)
-			r.recount(s.JournalDir, "after a kill")
-			continue
-		}
-		r.watch(w.MetricsAddr, end)
-		close(stop)
-		r.WorkerKills = <-killed
-		w.StopClients()
-		if err := demo.WaitIdle(w.MetricsAddr); err != nil {
-			r.Violations = append(r.Violations, err.Error())
-		}
-		r.audit(w.MetricsAddr)
-		cmd.Process.Signal(demo.ShutdownSignal)
-		if err := cmd.Wait(); err != nil {
-			r.Violations = append(r.Violations, "the dispatcher did not end in order: "+err.Error())
+	world.Close()
+	return s.result, errors.Join(s.conclude(), ctx.Err())
+}
+
+// play starts the dispatcher and kills it, as often as it is to be, and ends the last one in
+// order.
+func (s *soak) play(ctx context.Context) error {
+	stop, workersKilled := make(chan struct{}), make(chan int, 1)
+	go func() { workersKilled <- s.killWorkers(stop) }()
+	bar := progressbar.NewOptions(s.Kills, progressbar.OptionSetWriter(s.log), progressbar.OptionSetDescription("kills"), progressbar.OptionShowCount())
+	for ctx.Err() == nil && s.result.Kills < s.Kills {
+		if err := s.runAndKill(); err != nil {
+			return s.abort(stop, workersKilled, err)
 		}
-		break
+		_ = bar.Add(1) // progress that can't be shown stops nothing
 	}
-	fmt.Fprintln(out)
-	w.Close()
-	r.recount(s.JournalDir, "at the end")
-	r.HTTP, r.Faktory = w.HTTPAnswers.String(), w.FaktoryAnswers.String()
-	r.ServedToClients = w.HTTPAnswers.Served.Load()
-	if r.RunTwice = w.RunLog.RunTwice(); len(r.RunTwice) > 0 {
-		r.Violations = append(r.Violations, fmt.Sprintf("tickets ran twice: %v", r.RunTwice))
+	if ctx.Err() != nil {
+		return s.abort(stop, workersKilled, nil)
 	}
-	f, err := journal.ReadDirectory(s.JournalDir)
+	cmd, err := s.start()
 	if err != nil {
-		return r, err
+		return s.abort(stop, workersKilled, err)
+	}
+	s.watch(s.Until)
+	close(stop)
+	s.result.WorkerKills = <-workersKilled
+	s.shutdown(cmd)
+	_, err = fmt.Fprintln(s.log)
+	return err
+}
+
+// abort ends the killing of workers, and returns the error.
+func (s *soak) abort(stop chan<- struct{}, workersKilled <-chan int, err error) error {
+	close(stop)
+	s.result.WorkerKills = <-workersKilled
+	return err
+}
+
+// start starts a dispatcher.
+func (s *soak) start() (*exec.Cmd, error) {
+	cmd := exec.CommandContext(context.Background(), s.Program, "--log-level", "error", "--operator", s.operator) // ended by a signal
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+s.config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+	cmd.Stderr = s.log
+	if err := cmd.Start(); err != nil {
+		return nil, err
 	}
-	rows, complaints, err := journal.Report(f, journal.Query{By: []string{"front"}})
+	s.result.Starts++
+	return cmd, nil
+}
+
+// runAndKill starts a dispatcher, kills it in the second half of this kill's share of the
+// time, and recounts the journal.
+func (s *soak) runAndKill() error {
+	cmd, err := s.start()
 	if err != nil {
-		return r, err
-	}
-	r.Violations = append(r.Violations, complaints...)
-	for _, row := range rows {
-		if row.By[0] == "http" {
-			r.ServedByJournal = row.Outcome(accounting.Served)
-		}
+		return err
 	}
-	// An answer may be read by its client within the time that its record waits
-	// to be written: a kill takes such records. Other ways to differ are a
-	// client that left as its answer came, and an answer that broke on its way:
-	// then the journal has more.
-	r.Lost = max(0, r.ServedToClients-r.ServedByJournal)
-	if most := int64(r.Kills) * int64(1+s.Rate*mostLost.Seconds()*4); r.Lost > most {
-		r.Violations = append(r.Violations, fmt.Sprintf("clients read %d answers that the journal does not have, more than the %d that %d kills may take", r.Lost, most, r.Kills))
+	share := s.Until.Sub(s.began) / time.Duration(s.Kills+1)
+	s.watch(s.began.Add(share*time.Duration(s.result.Kills) + time.Duration((0.5+0.5*s.random.Float64())*float64(share))))
+	s.result.RSS = append(s.result.RSS, residentKB(cmd.Process.Pid))
+	if err := cmd.Process.Kill(); err != nil {
+		return fmt.Errorf("killing the dispatcher: %w", err)
 	}
-	return r, ctx.Err()
+	_ = cmd.Wait() // it was killed
+	s.result.Kills++
+	s.result.recount(s.JournalDir, "after a kill")
+	return nil
 }
 
-// mostLost is how long a record may wait to be written, with what a write takes.
-const mostLost = 50 * time.Millisecond
+// shutdown ends the load and then the dispatcher, in order.
+func (s *soak) shutdown(cmd *exec.Cmd) {
+	s.world.StopClients()
+	if err := demo.WaitIdle(s.world.MetricsAddr); err != nil {
+		s.result.violation("%v", err)
+	}
+	s.result.audit(s.world.MetricsAddr)
+	if err := cmd.Process.Signal(demo.ShutdownSignal); err != nil {
+		s.result.violation("the dispatcher had ended: %v", err)
+	}
+	if err := cmd.Wait(); err != nil {
+		s.result.violation("the dispatcher did not end in order: %v", err)
+	}
+}
 
-// killWorkers kills workers at random times until it has killed enough.
-func killWorkers(w *demo.World, s Settings, stop <-chan struct{}) (n int) {
+// killWorkers kills Faktory workers at random times, as many as there are to be, and then
+// waits for the stop.
+func (s *soak) killWorkers(stop <-chan struct{}) (killed int) {
 	random := rand.New(rand.NewPCG(s.Seed, 29))
 	for left := s.WorkerKills; left > 0; left-- {
 		wait := time.Until(s.Until) / time.Duration(left) * time.Duration(random.IntN(2000)) / 1000
 		select {
 		case <-stop:
-			return n
+			return killed
 		case <-time.After(wait):
-			w.KillWorker(random.IntN(1 << 20))
-			n++
+			s.world.KillWorker(random.IntN(1 << 20))
+			killed++
 		}
 	}
 	<-stop
-	return n
-}
-
-// watch audits the running dispatcher until a time, and on from there until it has answered once: on a busy machine
-// it may still be starting then, and a kill would meet nothing.
-func (r *Result) watch(at string, until time.Time) {
-	before, latest := r.Audits, until.Add(startsWithin)
-	for now := time.Now(); now.Before(until) || r.Audits == before && now.Before(latest); now = time.Now() {
-		r.audit(at)
-		time.Sleep(max(10*time.Millisecond, min(200*time.Millisecond, time.Until(until))))
-	}
+	return killed
 }
 
-// startsWithin is how long a start is waited for beyond its time.
-const startsWithin = 20 * time.Second
-
-func (r *Result) audit(at string) {
-	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + at + "/audit")
-	if err != nil {
-		return // it starts
-	}
-	defer resp.Body.Close()
-	var s metrics.AuditState
-	if json.NewDecoder(resp.Body).Decode(&s) != nil {
-		return
-	}
-	r.Audits++
-	r.Differences += int64(len(s.Differences))
-	for _, d := range s.Differences {
-		r.Violations = append(r.Violations, d.String())
+// watch audits the running dispatcher until a time, and on from there until it has answered
+// once: on a busy machine it may still be starting then, and a kill would meet nothing.
+func (s *soak) watch(until time.Time) {
+	const longest, shortest = 200 * time.Millisecond, 10 * time.Millisecond
+	before, latest := s.result.Audits, until.Add(startTime)
+	for now := time.Now(); now.Before(until) || s.result.Audits == before && now.Before(latest); now = time.Now() {
+		s.result.audit(s.world.MetricsAddr)
+		time.Sleep(max(shortest, min(longest, time.Until(until))))
 	}
 }
 
-func (r *Result) recount(folder, when string) {
-	f, err := journal.ReadDirectory(folder)
-	if err == nil {
-		r.Journal, err = journal.Verify(f)
+// conclude compares the journal with what the clients and members saw.
+func (s *soak) conclude() error {
+	r := s.result
+	r.recount(s.JournalDir, "at the end")
+	r.HTTP, r.Faktory = s.world.HTTPAnswers.String(), s.world.FaktoryAnswers.String()
+	r.ServedToClients = s.world.HTTPAnswers.Served.Load()
+	if r.RunTwice = s.world.RunLog.RunTwice(); len(r.RunTwice) > 0 {
+		r.violation("tickets ran twice: %v", r.RunTwice)
 	}
+	dir, err := journal.ReadDirectory(s.JournalDir)
 	if err != nil {
-		r.Violations = append(r.Violations, when+": "+err.Error())
-		return
+		return err
 	}
-	for _, wrong := range r.Journal.Inconsistencies {
-		r.Violations = append(r.Violations, when+": "+wrong)
-	}
-}
-
-// rss is a process's resident memory in kB, 0 where the system does not tell.
-func rss(pid int) (kb int64) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	rows, warnings, err := journal.Report(dir, journal.Query{By: []string{"front"}})
 	if err != nil {
-		return 0
-	}
-	var size, resident int64
-	fmt.Sscan(string(text), &size, &resident)
-	return resident * int64(os.Getpagesize()) / 1024
-}
-
-// Write tells the result, and fails if anything was broken.
-func (r *Result) Write(out io.Writer) error {
-	fmt.Fprintf(out, "%d kills, %d starts, %d workers killed, %d audits with %d differences\n", r.Kills, r.Starts, r.WorkerKills, r.Audits, r.Differences)
-	fmt.Fprintf(out, "HTTP clients: %s\nFaktory clients: %s\n", r.HTTP, r.Faktory)
-	if v := r.Journal; v != nil {
-		t := &v.Totals
-		fmt.Fprintf(out, "journal: %d segments, %d epochs, %d jobs, %d marks; %d taken = %d served + %d refused + %d failed (%d cut off) + %d open\n",
-			v.Segments, v.Epochs, v.Jobs, v.Checkpoints, t.Taken, t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed), t.Ends[accounting.Crashed], t.Open)
+		return err
 	}
-	fmt.Fprintf(out, "served by HTTP: %d answers read, %d in the journal\n", r.ServedToClients, r.ServedByJournal)
-	if n := len(r.RSS); n > 0 {
-		fmt.Fprintf(out, "resident memory before a kill: first %d kB, last %d kB\n", r.RSS[0], r.RSS[n-1])
-	}
-	for _, b := range r.Violations {
-		fmt.Fprintln(out, "BROKEN:", b)
+	r.Violations = append(r.Violations, warnings...)
+	for _, row := range rows {
+		if row.By[0] == "http" {
+			r.ServedByJournal = row.Outcome(accounting.Served)
+		}
 	}
-	if len(r.Violations) > 0 {
-		return errors.New("the soak found something broken")
+	// A client may read its answer before the record of it is written: a kill takes such
+	// records. Where a client left as its answer came, or an answer was lost on its way,
+	// the journal has more.
+	r.Lost = max(0, r.ServedToClients-r.ServedByJournal)
+	if allowed := int64(r.Kills) * int64(1+s.Rate*writeDelay.Seconds()*4); r.Lost > allowed {
+		r.violation("clients read %d answers that the journal does not have, more than the %d that %d kills may take", r.Lost, allowed, r.Kills)
 	}
-	fmt.Fprintln(out, "nothing broken")
 	return nil
 }
--- a/internal/dispatcher/soak/soak_test.go
+++ b/internal/dispatcher/soak/soak_test.go
@@ -54,41 +54,41 @@
 	binary, err := scenario.Build()
 	require.NoError(t, err)
 	dir := t.TempDir()
-	folder := filepath.Join(dir, "figures")
+	journalDir := filepath.Join(dir, "figures")
 	w, err := demo.NewWorld(demo.Load{Members: 2, RunTime: time.Hour})
 	require.NoError(t, err)
 	defer w.Close()
 	config, operator := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
 	require.NoError(t, os.WriteFile(config, []byte(w.Configuration()), 0o600))
-	require.NoError(t, os.WriteFile(operator, []byte(w.OperatorFile(folder)), 0o600))
-	verdict := func() *journal.Verification {
-		f, err := journal.ReadDirectory(folder)
+	require.NoError(t, os.WriteFile(operator, []byte(w.OperatorFile(journalDir)), 0o600))
+	verify := func() *journal.Verification {
+		f, err := journal.ReadDirectory(journalDir)
 		require.NoError(t, err)
 		v, err := journal.Verify(f)
 		require.NoError(t, err)
 		require.Empty(t, v.Inconsistencies)
 		return v
 	}
-	const held = 5
+	const openJobs = 5
 	for epoch := 1; epoch <= 3; epoch++ {
-		cmd := exec.Command(binary, "--operator", operator)
+		cmd := exec.CommandContext(t.Context(), binary, "--operator", operator)
 		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
 		require.NoError(t, cmd.Start())
-		defer cmd.Process.Kill()
+		defer func() { _ = cmd.Process.Kill() }() // it has ended, if the test passes
 		client := scenario.Dial(w.HTTPAddr)
-		for n := range held {
+		for n := range openJobs {
 			c, err := client()
 			require.NoError(t, err)
-			defer c.Close()
+			defer func() { _ = c.Close() }() // the dispatcher has broken it
 			_, err = io.WriteString(c, "POST /group-ticket HTTP/1.1\r\nHost: a\r\nX-Call-Id: t-"+string(rune('a'+n))+"\r\nContent-Length: 0\r\n\r\n")
 			require.NoError(t, err)
 		}
-		require.Eventually(t, func() bool { return verdict().Totals.Open == held }, 20*time.Second, 10*time.Millisecond)
+		require.Eventually(t, func() bool { return verify().Totals.Open == openJobs }, 20*time.Second, 10*time.Millisecond)
 		require.NoError(t, cmd.Process.Kill())
-		cmd.Wait()
-		v := verdict()
-		require.EqualValues(t, held*epoch, v.Totals.Taken)
-		require.EqualValues(t, held*(epoch-1), v.Totals.Ends[accounting.Crashed])
-		require.EqualValues(t, held, v.Totals.Open)
+		require.Error(t, cmd.Wait(), "killed")
+		v := verify()
+		require.EqualValues(t, openJobs*epoch, v.Totals.Taken)
+		require.EqualValues(t, openJobs*(epoch-1), v.Totals.Ends[accounting.Crashed])
+		require.EqualValues(t, openJobs, v.Totals.Open)
 	}
 }
--- a/internal/dispatcher/soak/throughput_test.go
+++ b/internal/dispatcher/soak/throughput_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -57,71 +58,92 @@
 	}
 	require.NoError(b, os.WriteFile(config, []byte(w.Configuration()), 0o600))
 	require.NoError(b, os.WriteFile(operator, []byte(w.OperatorFile(folder)), 0o600))
-	cmd := exec.Command(binary, "--log-level", "error", "--operator", operator)
+	cmd := exec.CommandContext(context.Background(), binary, "--log-level", "error", "--operator", operator)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
 	cmd.Stderr = os.Stderr
 	require.NoError(b, cmd.Start())
-	defer cmd.Wait()
-	defer cmd.Process.Signal(syscall.SIGTERM)
+	defer func() {
+		require.NoError(b, cmd.Process.Signal(syscall.SIGTERM))
+		require.NoError(b, cmd.Wait())
+	}()
 	require.NoError(b, demo.WaitReady(context.Background(), w.HTTPAddr, nil))
-	transport := &http.Transport{MaxIdleConnsPerHost: clients}
-	defer transport.CloseIdleConnections()
-	client := &http.Client{Transport: transport}
-	var mu sync.Mutex
-	var next, served int
-	statuses := make(map[int]int)
-	run := func(jobs int) {
-		var all sync.WaitGroup
-		last := next + jobs
-		for range clients {
-			all.Go(func() {
-				for {
-					mu.Lock()
-					n := next
-					next++
-					mu.Unlock()
-					if n >= last {
-						return
-					}
-					req, err := http.NewRequest(http.MethodPost, "http://"+w.HTTPAddr+"/place-hold", strings.NewReader("body"))
-					require.NoError(b, err)
-					req.Header.Set("X-Call-Id", fmt.Sprint("b-", n))
-					req.Header.Set("X-Budget", "10")
-					req.Header.Set("X-Call-Cost", "1000")
-					req.Header.Set("Idempotency-Key", fmt.Sprint("k-", n))
-					resp, err := client.Do(req)
-					require.NoError(b, err)
-					io.Copy(io.Discard, resp.Body)
-					resp.Body.Close()
-					mu.Lock()
-					statuses[resp.StatusCode]++
-					mu.Unlock()
-					if resp.StatusCode == http.StatusOK {
-						mu.Lock()
-						served++
-						mu.Unlock()
-					}
-				}
-			})
-		}
-		all.Wait()
-		next = last
-	}
-	run(2000) // budgets grow
-	served = 0
-	clear(statuses)
+	c := newClosedLoop(b, w.HTTPAddr, clients)
+	defer c.client.CloseIdleConnections()
+	c.run(2000) // budgets grow
+	c.served = 0
+	clear(c.statuses)
 	before, began := cpu(cmd.Process.Pid), time.Now()
 	b.ResetTimer()
-	run(b.N)
+	c.run(b.N)
 	b.StopTimer()
-	b.ReportMetric(float64(served)/time.Since(began).Seconds(), "served/s")
-	b.ReportMetric(float64(served)/float64(b.N), "served/op")
-	if served < b.N {
-		b.Log("answers by status:", statuses)
+	b.ReportMetric(float64(c.served)/time.Since(began).Seconds(), "served/s")
+	b.ReportMetric(float64(c.served)/float64(b.N), "served/op")
+	if c.served < b.N {
+		b.Log("answers by status:", c.statuses)
 	}
 	b.ReportMetric(float64((cpu(cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-us/job")
 }
 
+// closedLoop is some clients, of which each sends its next request after an answer.
+type closedLoop struct {
+	b       *testing.B
+	addr    string
+	clients int
+	client  *http.Client
+
+	mu       sync.Mutex
+	next     int // number of the next request
+	served   int
+	statuses map[int]int
+}
+
+func newClosedLoop(b *testing.B, addr string, clients int) *closedLoop {
+	return &closedLoop{
+		b: b, addr: addr, clients: clients, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}, statuses: make(map[int]int),
+	}
+}
+
+// run sends some requests and waits for their answers.
+func (c *closedLoop) run(requests int) {
+	last := c.next + requests
+	var running sync.WaitGroup
+	for range c.clients {
+		running.Go(func() {
+			for {
+				c.mu.Lock()
+				n := c.next
+				c.next++
+				c.mu.Unlock()
+				if n >= last {
+					return
+				}
+				c.send(n)
+			}
+		})
+	}
+	running.Wait()
+	c.next = last
+}
+
+func (c *closedLoop) send(n int) {
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+c.addr+"/place-hold", strings.NewReader("body"))
+	require.NoError(c.b, err)
+	req.Header.Set("X-Call-Id", fmt.Sprint("b-", n))
+	req.Header.Set("X-Budget", "10")
+	req.Header.Set("X-Call-Cost", "1000")
+	req.Header.Set("Idempotency-Key", fmt.Sprint("k-", n))
+	resp, err := c.client.Do(req)
+	require.NoError(c.b, err)
+	_, err = io.Copy(io.Discard, resp.Body)
+	require.NoError(c.b, errors.Join(err, resp.Body.Close()))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.statuses[resp.StatusCode]++
+	if resp.StatusCode == http.StatusOK {
+		c.served++
+	}
+}
+
 // cpu is what a process has used, in user and system time.
 func cpu(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -131,7 +153,11 @@
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
 	var user, system int64
-	fmt.Sscan(fields[11], &user)
-	fmt.Sscan(fields[12], &system)
+	if _, err := fmt.Sscan(fields[11], &user); err != nil {
+		return 0
+	}
+	if _, err := fmt.Sscan(fields[12], &system); err != nil {
+		return 0
+	}
 	return time.Duration(user+system) * 10 * time.Millisecond // the kernel's hundredths
 }
