--- a/cmd/basaltloft-lab/command.go
+++ b/cmd/basaltloft-lab/command.go
@@ -26,7 +26,7 @@
 func (f *sweepFlags) Set(text string) error {
 	path, values, found := strings.Cut(text, "=")
 	if !found || path == "" || values == "" {
-		return errors.New("is PATH=VALUE,VALUE...")
+		return errors.New("must be PATH=VALUE, with commas between several values")
 	}
 	*f = append(*f, settings.Sweep{Path: path, Values: strings.Split(values, ",")})
 	return nil
--- a/cmd/basaltloft-load/main_test.go
+++ b/cmd/basaltloft-load/main_test.go
@@ -64,6 +64,6 @@
 	} {
 		err := run(context.Background(), strings.Fields(args), &bytes.Buffer{}, &bytes.Buffer{})
 		require.ErrorContains(t, err, want, args)
-		require.True(t, errors.As(err, new(misuse)), args)
+		require.True(t, errors.As(err, new(usageError)), args)
 	}
 }
