--- a/internal/dispatcher/lab/arrivals_test.go
+++ b/internal/dispatcher/lab/arrivals_test.go
@@ -138,5 +138,5 @@
 	x.Classes[0].GiveUp = time.Second
 	r := play(t, x, "least outstanding", 1)
 	require.Empty(t, r.Violations)
-	require.InDelta(t, 2.0/3, float64(r.Refused)/float64(r.Asked), 0.05)
+	require.InDelta(t, 2.0/3, float64(r.Refused)/float64(r.Requests), 0.05)
 }
--- a/internal/dispatcher/lab/client.go
+++ b/internal/dispatcher/lab/client.go
@@ -79,7 +79,7 @@
 			break
 		}
 	}
-	w.Result.Asked++
+	w.Result.Requests++
 	w.Result.RequestedWork += r.work * r.slots
 	w.secondAt(begin).Asked++
 	w.submit(r)
@@ -88,7 +88,7 @@
 // submit sends a request to a dispatcher that is drawn.
 func (w *World) submit(r *request) {
 	w.submissions++
-	w.Result.Tries++
+	w.Result.ClientAttempts++
 	r.id = fmt.Sprint("r", w.submissions)
 	r.deadline = w.now + r.class.GiveUp
 	r.latencyTarget = min(r.firstSubmitted+r.class.Aim+time.Duration(r.class.Stretch*r.work), r.deadline)
--- a/internal/dispatcher/lab/digest_test.go
+++ b/internal/dispatcher/lab/digest_test.go
@@ -30,7 +30,7 @@
 
 // appendResult appends a result, but for the texts of broken rules.
 func appendResult(t *digesttest.Trace, r *Result) {
-	t.Begin(0, "asks").Int(int64(r.Asked), int64(r.InTime), int64(r.Late), int64(r.Refused), int64(r.Failed), int64(r.Tries), int64(r.Sends)).End()
+	t.Begin(0, "asks").Int(int64(r.Requests), int64(r.InTime), int64(r.Late), int64(r.Refused), int64(r.Failed), int64(r.ClientAttempts), int64(r.Attempts)).End()
 	t.Begin(0, "run").Float(r.RequestedWork, r.TimelyWork, r.Utilization).Int(int64(r.Events), int64(len(r.Violations))).End()
 	for _, bar := range r.Latency.Distribution() {
 		t.Begin(0, "latency").Int(bar.From, bar.To, bar.Count).End()
--- a/internal/dispatcher/lab/dispatcher.go
+++ b/internal/dispatcher/lab/dispatcher.go
@@ -124,7 +124,7 @@
 	a := &attempt{request: r, number: len(r.attempts), dispatcher: d, member: m, sentAt: w.now, workLeft: r.work, inFlight: true}
 	w.checker.attemptSent(d, a)
 	r.attempts = append(r.attempts, a)
-	w.Result.Sends++
+	w.Result.Attempts++
 	if timeout > 0 {
 		w.after(timeout, func() { w.endAttempt(a, policy.TimedOut) })
 	}
--- a/internal/dispatcher/lab/draw/draw.go
+++ b/internal/dispatcher/lab/draw/draw.go
@@ -1,4 +1,4 @@
-// Package draw makes plots of the lab's runs.
+// Package draw draws charts of the runs of package lab.
 package draw
 
 import (
@@ -19,7 +19,7 @@
 // ErrNoRuns says that there are no runs to draw.
 var ErrNoRuns = errors.New("there are no runs to draw")
 
-// distinct are the values of the runs in the order in which they come.
+// distinct are the values of some runs, in the order in which they occur.
 func distinct[T comparable](runs []lab.Run, of func(lab.Run) T) (all []T) {
 	for _, r := range runs {
 		if v := of(r); !slices.Contains(all, v) {
@@ -29,9 +29,10 @@
 	return all
 }
 
-func policy(r lab.Run) string { return r.Policy }
+func policyOf(r lab.Run) string { return r.Policy }
 
-func only(runs []lab.Run, keep func(lab.Run) bool) (some []lab.Run) {
+// selectRuns are the runs to which a condition applies.
+func selectRuns(runs []lab.Run, keep func(lab.Run) bool) (some []lab.Run) {
 	for _, r := range runs {
 		if keep(r) {
 			some = append(some, r)
@@ -40,40 +41,41 @@
 	return some
 }
 
-// Charts draws what the runs have: goodput and median latency over the load, or
-// over what was swept where that is a number, and for the heaviest of them the
-// latency's distribution, goodput by the second, and the members' work by the
-// second. It returns the names of the plots, which begin as out does.
-func Charts(runs []lab.Run, out string) (names []string, err error) {
+// Charts draws what the runs have: goodput, throughput and latency over the load, or over
+// the value that was swept if that is a number; and, for the last load and value, the
+// distribution of the latency, goodput by the second, and the utilization of members by the
+// second. It returns the names of the files, which begin as out does and have its
+// extension, .svg or .png. The error is ErrNoRuns or one of writing.
+func Charts(runs []lab.Run, out string) (files []string, err error) {
 	if len(runs) == 0 {
 		return nil, ErrNoRuns
 	}
-	ext := filepath.Ext(out)
-	draw := func(what, title, x, y string, all []textchart.Line) {
+	extension := filepath.Ext(out)
+	save := func(what, title, x, y string, all []textchart.Line) {
 		if err == nil && len(all) > 0 {
-			name := strings.TrimSuffix(out, ext) + "-" + what + ext
+			name := strings.TrimSuffix(out, extension) + "-" + what + extension
 			err = textchart.Chart{Title: title, X: x, Y: y, Lines: all}.Save(name)
-			names = append(names, name)
+			files = append(files, name)
 		}
 	}
-	axis, at := axisOf(runs)
+	axis, value := axisOf(runs)
 	if axis != "" {
-		draw("goodput", "Work done in time", axis, "share of the work asked for", over(runs, at, func(r lab.Run) float64 { return r.Goodput }))
-		draw("throughput", "Served", axis, "asks a second", over(runs, at, func(r lab.Run) float64 { return r.PerS }))
-		draw("response", "Mean time of served asks", axis, "milliseconds", over(runs, at, func(r lab.Run) float64 { return r.Mean }))
-		draw("latency", "Median latency of served asks", axis, "milliseconds", over(runs, at, func(r lab.Run) float64 { return r.P50 }))
+		save("goodput", "Work done in time", axis, "share of the work asked for", meansOver(runs, value, func(r lab.Run) float64 { return r.Goodput }))
+		save("throughput", "Served", axis, "asks a second", meansOver(runs, value, func(r lab.Run) float64 { return r.PerS }))
+		save("response", "Mean time of served asks", axis, "milliseconds", meansOver(runs, value, func(r lab.Run) float64 { return r.Mean }))
+		save("latency", "Median latency of served asks", axis, "milliseconds", meansOver(runs, value, func(r lab.Run) float64 { return r.P50 }))
 	}
 	last := runs[len(runs)-1]
-	here := only(runs, func(r lab.Run) bool { return r.Load == last.Load && r.Set == last.Set })
-	where := strings.TrimSpace(fmt.Sprintf("load %g %s", last.Load, last.Set))
-	draw("distribution", "Latency of served asks, "+where, "quantile", "milliseconds", distributions(here))
-	draw("seconds", "Work done in time, by the second, "+where, "seconds", "asks in time / asks", recovery(here))
-	draw("members", "What members do, "+where, "seconds", "share of their cores' time", members(here))
-	return names, err
+	atLast := selectRuns(runs, func(r lab.Run) bool { return r.Load == last.Load && r.Set == last.Set })
+	label := strings.TrimSpace(fmt.Sprintf("load %g %s", last.Load, last.Set))
+	save("distribution", "Latency of served asks, "+label, "quantile", "milliseconds", latencyDistributions(atLast))
+	save("seconds", "Work done in time, by the second, "+label, "seconds", "asks in time / asks", goodputBySecond(atLast))
+	save("members", "What members do, "+label, "seconds", "share of their cores' time", memberUtilization(atLast))
+	return files, err
 }
 
-// axisOf is what the runs differ by that can be drawn along: what was swept, if it
-// has numbers, else the load.
+// axisOf is the X axis of the runs, and each run's value on it: the value that was swept if
+// that is a number, else the load. The name is empty if all runs have the same.
 func axisOf(runs []lab.Run) (name string, at func(lab.Run) float64) {
 	swept := func(r lab.Run) (string, float64, bool) {
 		path, value, _ := strings.Cut(r.Set, "=")
@@ -91,11 +93,12 @@
 	return "", nil
 }
 
-// over is a line for each policy, with the means and deviations over the seeds.
-func over(runs []lab.Run, at, of func(lab.Run) float64) (all []textchart.Line) {
-	for _, name := range distinct(runs, policy) {
+// meansOver has a line for each policy: the means of a value over the seeds, with standard
+// deviations.
+func meansOver(runs []lab.Run, at, of func(lab.Run) float64) (all []textchart.Line) {
+	for _, name := range distinct(runs, policyOf) {
 		s := textchart.Line{Name: name, ColourIndex: -1}
-		own := only(runs, func(r lab.Run) bool { return r.Policy == name })
+		own := selectRuns(runs, func(r lab.Run) bool { return r.Policy == name })
 		for _, x := range distinct(own, at) {
 			var values []float64
 			for _, r := range own {
@@ -114,9 +117,11 @@
 	return all
 }
 
-func distributions(runs []lab.Run) (all []textchart.Line) {
-	for _, name := range distinct(runs, policy) {
-		own := only(runs, func(r lab.Run) bool { return r.Policy == name })
+// latencyDistributions has a line for each policy: the means of the percentiles over the
+// seeds.
+func latencyDistributions(runs []lab.Run) (all []textchart.Line) {
+	for _, name := range distinct(runs, policyOf) {
+		own := selectRuns(runs, func(r lab.Run) bool { return r.Policy == name })
 		s := textchart.Line{Name: name, ColourIndex: -1}
 		for i, q := range own[0].Latency {
 			sum := 0.0
@@ -132,11 +137,12 @@
 	return all
 }
 
-// recovery is how a trouble is got over: the asks of all seeds by the second.
-func recovery(runs []lab.Run) (all []textchart.Line) {
-	for _, name := range distinct(runs, policy) {
+// goodputBySecond has a line for each policy, over the requests of all seeds: it shows how
+// long a fault has effects.
+func goodputBySecond(runs []lab.Run) (all []textchart.Line) {
+	for _, name := range distinct(runs, policyOf) {
 		var asked, inTime []float64
-		for _, r := range only(runs, func(r lab.Run) bool { return r.Policy == name }) {
+		for _, r := range selectRuns(runs, func(r lab.Run) bool { return r.Policy == name }) {
 			for n, second := range r.Seconds {
 				if n == len(asked) {
 					asked, inTime = append(asked, 0), append(inTime, 0)
@@ -147,7 +153,7 @@
 		}
 		s := textchart.Line{Name: name, ColourIndex: -1}
 		for n := range asked {
-			if asked[n] > 0 { // answers go on after the last ask
+			if asked[n] > 0 { // answers come after the last request too
 				s.Points = append(s.Points, plotter.XY{X: float64(n), Y: inTime[n] / asked[n]})
 			}
 		}
@@ -158,9 +164,9 @@
 	return all
 }
 
-// members is the least, the median and the most that any member does, for the
-// first policy and seed.
-func members(runs []lab.Run) (all []textchart.Line) {
+// memberUtilization has the least, the median and the highest utilization of the members,
+// for the first policy and seed.
+func memberUtilization(runs []lab.Run) (all []textchart.Line) {
 	rows := runs[0].Members
 	if len(rows) == 0 {
 		return nil
--- a/internal/dispatcher/lab/draw/draw_test.go
+++ b/internal/dispatcher/lab/draw/draw_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAll(t *testing.T) {
+func TestCharts(t *testing.T) {
 	var runs []lab.Run
 	for _, load := range []float64{1, 2} {
 		for _, policy := range []string{"module", "random"} {
--- a/internal/dispatcher/lab/experiment.go
+++ b/internal/dispatcher/lab/experiment.go
@@ -69,7 +69,7 @@
 	for _, k := range f.Members {
 		x.Kinds = append(x.Kinds, MemberKind{
 			Name: k.Kind, Count: k.Count, Cores: k.Cores, Slots: k.Slots, Queue: k.Queue, Speed: k.Speed, SpeedCV: k.SpeedCV, Cells: k.Cells,
-			ColdFrom: k.ColdFrom, ColdFor: k.ColdFor, Crowding: k.Crowding, CrowdFrom: k.CrowdFrom, Connections: k.Connections, Handshake: k.Handshake,
+			InitialSpeed: k.ColdFrom, WarmupTime: k.ColdFor, Crowding: k.Crowding, CrowdFrom: k.CrowdFrom, Connections: k.Connections, Handshake: k.Handshake,
 		})
 	}
 	for _, c := range f.Classes {
--- a/internal/dispatcher/lab/lab_test.go
+++ b/internal/dispatcher/lab/lab_test.go
@@ -108,7 +108,7 @@
 	hold.HintError, ticket.HintError = 0.5, 0.5
 	x := &Experiment{
 		Length: 60 * time.Second, Dispatchers: 4, Classes: []Class{hold, ticket}, NetworkDelay: 200 * time.Microsecond, NetworkJitter: 0.2,
-		Kinds:          []MemberKind{{Name: "std", Count: 12, Cores: 4, Slots: 4, Queue: 28, Speed: 1, SpeedCV: 0.2, Cells: 2, ColdFrom: 0.15, ColdFor: 20 * time.Second}},
+		Kinds:          []MemberKind{{Name: "std", Count: 12, Cores: 4, Slots: 4, Queue: 28, Speed: 1, SpeedCV: 0.2, Cells: 2, InitialSpeed: 0.15, WarmupTime: 20 * time.Second}},
 		DiscoveryDelay: time.Second, Retries: 2, Backoff: 100 * time.Millisecond, Faults: troubles,
 	}
 	x.Settings = serviceRules(4, hold, ticket)
@@ -132,7 +132,7 @@
 				r := play(t, serviceExperiment(troubles...), "module", seed)
 				require.Empty(t, r.Violations)
 				require.NotZero(t, r.InTime)
-				require.Equal(t, r.Asked, r.InTime+r.Late+r.Refused+r.Failed, "every ask ends once")
+				require.Equal(t, r.Requests, r.InTime+r.Late+r.Refused+r.Failed, "every ask ends once")
 			}
 		})
 	}
--- a/internal/dispatcher/lab/member.go
+++ b/internal/dispatcher/lab/member.go
@@ -9,16 +9,16 @@
 
 // MemberKind is one kind of pool member.
 type MemberKind struct {
-	Name     string
-	Count    int
-	Cores    int
-	Slots    int           // that running jobs may use at a time
-	Queue    int           // jobs that may wait; more are rejected
-	Speed    float64       // of a core; at 1 a job runs as long as its work
-	SpeedCV  float64       // coefficient of variation of the speed between members
-	Cells    int           // deduplication groups; 0: one
-	ColdFrom float64       // share of its speed at its start
-	ColdFor  time.Duration // until it has its full speed
+	Name         string
+	Count        int
+	Cores        int
+	Slots        int           // that running jobs may use at a time
+	Queue        int           // jobs that may wait; more are rejected
+	Speed        float64       // of a core; at 1 a job runs as long as its work
+	SpeedCV      float64       // coefficient of variation of the speed between members
+	Cells        int           // deduplication groups; 0: one
+	InitialSpeed float64       // share of its speed at its start
+	WarmupTime   time.Duration // until it has its full speed
 	// Crowding is the share of their speed that each job beyond CrowdFrom, or beyond the
 	// cores if that is more, costs all of them: locks, memory, caches.
 	Crowding  float64
@@ -66,11 +66,11 @@
 // warmth is the share of its speed that it has now, after a start.
 func (m *member) warmth() float64 {
 	k := m.kind
-	if m.started == 0 || k.ColdFor == 0 {
+	if m.started == 0 || k.WarmupTime == 0 {
 		return 1
 	}
-	age := float64(m.world.now-m.started) / float64(k.ColdFor)
-	return min(1, k.ColdFrom+(1-k.ColdFrom)*age)
+	age := float64(m.world.now-m.started) / float64(k.WarmupTime)
+	return min(1, k.InitialSpeed+(1-k.InitialSpeed)*age)
 }
 
 // rate is how fast each running job goes: work in a nanosecond.
--- a/internal/dispatcher/lab/result.go
+++ b/internal/dispatcher/lab/result.go
@@ -9,17 +9,17 @@
 // Result is what a run came to. Asked, InTime, Late, Refused and Failed count logical
 // requests.
 type Result struct {
-	Asked, InTime, Late, Refused, Failed int
-	Tries, Sends                         int                     // attempts of clients, and of dispatchers
-	RequestedWork, TimelyWork            float64                 // nanoseconds at speed 1, by all slots: submitted, and done in time
-	Latency                              *hdrhistogram.Histogram // of served logical requests, in microseconds
-	Wait                                 *hdrhistogram.Histogram // from a send until it begins to run, in microseconds
-	Events                               int
-	Violations                           []string // of rules, found by the checker
-	Utilization                          float64  // share of the cores' time in use
-	Seconds                              []Second
-	Classes                              []ClassResult
-	Members                              [][]float64 // by second, the share of each member's cores in use; see Experiment.SampleMembers
+	Requests, InTime, Late, Refused, Failed int
+	ClientAttempts, Attempts                int                     // attempts of clients, and of dispatchers
+	RequestedWork, TimelyWork               float64                 // nanoseconds at speed 1, by all slots: submitted, and done in time
+	Latency                                 *hdrhistogram.Histogram // of served logical requests, in microseconds
+	Wait                                    *hdrhistogram.Histogram // from a send until it begins to run, in microseconds
+	Events                                  int
+	Violations                              []string // of rules, found by the checker
+	Utilization                             float64  // share of the cores' time in use
+	Seconds                                 []Second
+	Classes                                 []ClassResult
+	Members                                 [][]float64 // by second, the share of each member's cores in use; see Experiment.SampleMembers
 }
 
 // ClassResult is what became of the logical requests of one class while the run went on.
--- a/internal/dispatcher/lab/study.go
+++ b/internal/dispatcher/lab/study.go
@@ -111,7 +111,7 @@
 	latency := func(percent float64) float64 { return float64(r.Latency.ValueAtQuantile(percent)) / 1000 }
 	run := Run{
 		Load: s.Load, Set: s.Variant, Policy: name, Seed: seed, Goodput: r.Goodput(),
-		Asked: r.Asked, InTime: r.InTime, Late: r.Late, Refused: r.Refused, Failed: r.Failed, Tries: r.Tries, Sends: r.Sends,
+		Asked: r.Requests, InTime: r.InTime, Late: r.Late, Refused: r.Refused, Failed: r.Failed, Tries: r.ClientAttempts, Sends: r.Attempts,
 		Busy: r.Utilization, P50: latency(50), P95: latency(95), P99: latency(99), Wait: r.Wait.Mean() / 1000,
 		Events: r.Events, Broken: r.Violations, Took: time.Since(began).Seconds(), Seconds: r.Seconds, Members: r.Members,
 	}
