--- /dev/null
+++ b/internal/cluster/simworld/scenarios_test.go
@@ -0,0 +1,385 @@
+package simworld_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"basaltloft/internal/cluster/protocol"
+)
+
+// The tests of this file inject, one by one, the five failures of docs/control-safety.md. Each
+// plays its script with load on some seeds; what is checked is checked throughout, as in every
+// play.
+
+// script injects a scenario's faults into a world that serves.
+type script func(w *world, f *faultInjector)
+
+// playScenario plays a script on a deployment. The script is called once all nodes serve, and the
+// world runs for the span after it.
+func playScenario(t *testing.T, seed uint64, on deployment, span time.Duration, inject script) {
+	t.Helper()
+	w := newWorld(t, seed, on)
+	_, w.tracing = envNumber("BASALTLOFT_TRACE")
+	f := &faultInjector{w: w, nextDiskLossAt: w.now, tolerableSince: w.now}
+	for _, c := range w.nodes {
+		w.schedule(w.randomBetween(0, 300*time.Millisecond), c.boot)
+	}
+	for _, d := range w.dispatchers {
+		w.schedule(0, d.boot)
+	}
+	for client := range 2 {
+		w.schedule(w.randomBetween(0, 2*time.Second), func() { w.runOperator(client, 1+int(span/time.Second)) })
+	}
+	w.schedule(time.Second, func() { w.runClient(int(3 * span / time.Second)) })
+	w.run(startupTime + time.Duration(on.nodes-on.seeds)*startupTime/2)
+	inject(w, f)
+	w.run(span)
+	f.heal()
+	w.noNewLoad = true
+	w.awaitSettled()
+	w.checkSettled()
+	w.checkHistories()
+}
+
+// startupTime is when three nodes serve after their first start; more nodes take longer.
+const startupTime = 4 * time.Second
+
+// deploymentOf returns one of the first count deployments.
+func deploymentOf(seed uint64, count int) deployment { return deployments[seed%uint64(count)] }
+
+// runCases runs a test for each case, on some seeds of its own.
+func runCases(t *testing.T, seeds uint64, names []string, run func(t *testing.T, at int, seed uint64)) {
+	t.Helper()
+	const firstSeed, seedsApart = 2_000_000, 1000
+	for at, name := range names {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range seeds {
+				run(t, at, firstSeed+uint64(at)*seedsApart+seed)
+			}
+		})
+	}
+}
+
+// leaderOf returns the node that holds a group's lease; the first node, where none does.
+func (w *world) leaderOf(group string) *controlNode {
+	for _, c := range w.nodes {
+		if g := c.groups[group]; c.up && g != nil && g.lease.Until > c.clock() {
+			return c
+		}
+	}
+	return w.nodes[0]
+}
+
+// partition cuts a node off from the other nodes, in the directions that are named; and from the
+// dispatchers too, or not.
+func (w *world) partition(c *controlNode, in, out, dispatchersToo bool) {
+	for name := range w.processes {
+		if name == c.name || !dispatchersToo && w.nodeNamed(name) == nil {
+			continue
+		}
+		w.partitioned[[2]string{c.name, name}] = out
+		w.partitioned[[2]string{name, c.name}] = in
+	}
+}
+
+// TestCutOffForTwentySeconds: failure 1. Operators and clients reach the node that is cut off all
+// the while; it must neither tell an old configuration nor reject or confirm changes.
+func TestCutOffForTwentySeconds(t *testing.T) {
+	t.Parallel()
+	const hearsNothing, heardByNobody, fromDispatchers, frozen = 1, 2, 3, 4 // cases
+	names := []string{"both ways", "it hears nothing", "nobody hears it", "from edges too", "and frozen within"}
+	runCases(t, 6, names, func(t *testing.T, at int, seed uint64) {
+		playScenario(t, seed, deploymentOf(seed, 4), 26*time.Second, func(w *world, _ *faultInjector) {
+			c := w.leaderOf(protocol.ConfigGroup)
+			w.partition(c, at != heardByNobody, at != hearsNothing, at == fromDispatchers)
+			if at == frozen {
+				w.schedule(time.Second, func() { w.freeze(c.process, 9*time.Second) })
+			}
+			w.schedule(20*time.Second, func() { clear(w.partitioned) })
+		})
+	})
+}
+
+// TestFrozenBetweenCheckAndAnswer: failure 1. The leader is frozen in the middle of a function,
+// again and again, for longer than its lease lasts.
+func TestFrozenBetweenCheckAndAnswer(t *testing.T) {
+	t.Parallel()
+	chances := []float64{0.02, 0.002}
+	runCases(t, 12, []string{"often", "now and then"}, func(t *testing.T, at int, seed uint64) {
+		playScenario(t, seed, deploymentOf(seed, 4), 16*time.Second, func(w *world, _ *faultInjector) {
+			w.freezeChance = chances[at]
+		})
+	})
+}
+
+// TestTwoOperatorsOneNumber: failure 2. Four operators choose among the same numbers on the same
+// versions, most acknowledgements are lost, changes are sent again much later, and leaders, disks
+// and snapshots change meanwhile.
+func TestTwoOperatorsOneNumber(t *testing.T) {
+	t.Parallel()
+	disturb := []script{
+		func(*world, *faultInjector) {},
+		func(w *world, f *faultInjector) {
+			f.transferLeadership()
+			w.freeze(w.leaderOf(protocol.ConfigGroup).process, time.Second)
+		},
+		func(_ *world, f *faultInjector) { f.wipeOne() },
+		func(_ *world, f *faultInjector) { f.killAll() },
+	}
+	names := []string{"nothing else", "owners change", "disks are lost", "all restart"}
+	runCases(t, 8, names, func(t *testing.T, at int, seed uint64) {
+		playScenario(t, seed, deploymentOf(seed, 4), 20*time.Second, func(w *world, f *faultInjector) {
+			w.lossShare = 0.05
+			for client := range 2 {
+				w.runOperator(2+client, 30)
+			}
+			for round := range 3 {
+				w.schedule(time.Duration(1+6*round)*time.Second, func() { disturb[at](w, f) })
+			}
+		})
+	})
+}
+
+// repairCase is what happens while a node that lost its disk, or replaced another, is repaired.
+type repairCase int
+
+// The cases of TestLossesAroundARepair, in the order of their names there.
+const (
+	wipedAgain repairCase = iota
+	othersLosePower
+	leaderDies
+	leaderTransfers
+	cutOffAgain
+	replacedInstead
+	allReplaced
+)
+
+// TestLossesAroundARepair: failure 3. A node loses its disk or is replaced; at each step of its
+// repair something else happens: it loses its disk once more, the others lose power, the leader
+// dies or transfers its leaderships, a partition. Then, as soon as the repair has had its time,
+// the next disk is lost while all others lose power.
+func TestLossesAroundARepair(t *testing.T) {
+	t.Parallel()
+	const points = 14 // in time
+	names := []string{"wiped again", "others lose power", "leader dies", "leader hands over", "cut off again", "replaced instead", "all replaced in turn"}
+	runCases(t, points, names, func(t *testing.T, at int, seed uint64) {
+		point := time.Duration(seed%points) * 130 * time.Millisecond
+		playScenario(t, seed, deploymentOf(seed, 3), 20*time.Second, func(w *world, f *faultInjector) {
+			c := w.nodes[w.random.IntN(len(w.nodes))]
+			w.beginRepair(f, c, repairCase(at))
+			w.schedule(600*time.Millisecond+point, func() { w.disturbRepair(f, c, repairCase(at)) })
+			w.schedule(8*time.Second, func() { w.loseNextDisk(f) })
+		})
+	})
+}
+
+// beginRepair wipes a node, or has a random one replaced.
+func (w *world) beginRepair(f *faultInjector, c *controlNode, disturbance repairCase) {
+	switch disturbance {
+	case replacedInstead:
+		f.replaceOne()
+	case allReplaced:
+		f.replaceOne()
+		w.schedule(w.deployment.catchUp+2*time.Second, func() { f.nodeReplaced = false; f.replaceOne() })
+	default:
+		l := &lostNode{node: c}
+		f.lost = append(f.lost, l)
+		f.wipe(l)
+	}
+}
+
+// disturbRepair injects a fault in the middle of a node's repair.
+func (w *world) disturbRepair(f *faultInjector, c *controlNode, disturbance repairCase) {
+	const downTime = 700 * time.Millisecond
+	restart := func(c *controlNode, power bool) {
+		if !c.up {
+			return
+		}
+		c.kill(power)
+		w.schedule(downTime, c.boot)
+	}
+	switch disturbance {
+	case wipedAgain:
+		if c.up {
+			c.wipeDisk()
+			w.schedule(downTime, c.boot)
+		}
+	case othersLosePower:
+		for _, other := range w.nodes {
+			if other != c {
+				restart(other, true)
+			}
+		}
+	case leaderDies:
+		restart(w.leaderOf(protocol.ConfigGroup), false)
+	case leaderTransfers:
+		f.transferLeadership()
+	case cutOffAgain:
+		w.partition(c, true, true, true)
+		w.schedule(downTime, func() { clear(w.partitioned) })
+	case replacedInstead, allReplaced:
+	}
+}
+
+// loseNextDisk lets the next disk be lost as soon as the last repair has had its time, while all
+// other nodes lose power.
+func (w *world) loseNextDisk(f *faultInjector) {
+	if w.now < f.nextDiskLossAt {
+		w.schedule(50*time.Millisecond, func() { w.loseNextDisk(f) })
+		return
+	}
+	struck := w.nodes[w.random.IntN(len(w.nodes))]
+	for _, c := range w.nodes {
+		if c == struck {
+			c.wipeDisk()
+		} else {
+			c.kill(true)
+		}
+		w.schedule(w.randomBetween(300*time.Millisecond, 600*time.Millisecond), c.boot)
+	}
+	for _, d := range w.dispatchers {
+		d.stop()
+		w.schedule(300*time.Millisecond, d.boot)
+	}
+}
+
+// TestFoundersDie: failure 3. One of the first nodes dies at each step of the first start and
+// comes back with the settings of a later start.
+func TestFoundersDie(t *testing.T) {
+	t.Parallel()
+	const points = 20 // in time
+	kill := []func(c *controlNode){
+		func(c *controlNode) { c.kill(false) },
+		func(c *controlNode) { c.kill(true) },
+		(*controlNode).wipeDisk,
+	}
+	runCases(t, points, []string{"killed", "power lost", "wiped"}, func(t *testing.T, at int, seed uint64) {
+		w := newWorld(t, seed, deploymentOf(seed, 4))
+		f := &faultInjector{w: w, nextDiskLossAt: w.now, tolerableSince: w.now}
+		for _, c := range w.nodes {
+			c.boot()
+		}
+		for _, d := range w.dispatchers {
+			d.boot()
+		}
+		c := w.nodes[seed%uint64(w.deployment.seeds)]
+		w.schedule(time.Duration(seed%points)*15*time.Millisecond, func() {
+			kill[at](c)
+			c.bootstrap = false
+			w.schedule(w.randomBetween(0, time.Second), c.boot)
+		})
+		w.runOperator(0, 5)
+		w.run(6 * time.Second)
+		f.heal()
+		w.awaitSettled()
+		w.checkSettled()
+		w.checkHistories()
+	})
+}
+
+// TestCatchingUp: failure 4. A node is away while changes and jobs by the hundred are committed
+// and the log is compacted behind a few entries; then it comes back, and at each step of its
+// catching up something happens.
+func TestCatchingUp(t *testing.T) {
+	t.Parallel()
+	const points = 12 // in time
+	const span = 900 * time.Millisecond
+	disturb := []func(w *world, c *controlNode){
+		func(*world, *controlNode) {},
+		func(w *world, c *controlNode) {
+			c.kill(false)
+			w.schedule(span, c.boot)
+		},
+		func(w *world, c *controlNode) {
+			c.kill(true)
+			w.schedule(span, c.boot)
+		},
+		func(w *world, _ *controlNode) {
+			for _, other := range w.nodes {
+				w.freeze(other.process, time.Duration(w.random.IntN(2))*span)
+			}
+		},
+		func(w *world, _ *controlNode) {
+			w.lossShare = 0.2
+			w.schedule(span, func() { w.lossShare = 0 })
+		},
+		func(w *world, c *controlNode) { c.diskStalledUntil = w.now + 2*span },
+		func(w *world, c *controlNode) {
+			c.disk.Full = true
+			w.schedule(2*span, func() { c.disk.Full = false })
+		},
+	}
+	names := []string{"undisturbed", "killed within", "power lost within", "leader changes within", "parts are lost", "disk hangs within", "disk is full within"}
+	runCases(t, points, names, func(t *testing.T, at int, seed uint64) {
+		point := time.Duration(seed%points) * 40 * time.Millisecond
+		playScenario(t, seed, deploymentOf(seed, 4), 18*time.Second, func(w *world, _ *faultInjector) {
+			for client := range 3 {
+				w.runOperator(2+client, 60)
+			}
+			c := w.nodes[w.random.IntN(len(w.nodes))]
+			c.kill(true)
+			w.schedule(9*time.Second, func() {
+				c.boot()
+				w.schedule(point, func() { disturb[at](w, c) })
+			})
+		})
+	})
+}
+
+// TestRepeatedCalls: failure 5. Answers are lost, late and doubled everywhere, orders to runners
+// are carried out seconds later, dispatchers and leaders change: each job runs once, each
+// cancellation holds, whatever was sent how often.
+func TestRepeatedCalls(t *testing.T) {
+	t.Parallel()
+	atStart := map[string]func(w *world){
+		"lost":        func(w *world) { w.lossShare = 0.1 },
+		"late":        func(w *world) { w.lateShare = 0.15 },
+		"orders late": func(w *world) { w.lostOrderShare = 0.4 },
+		"queues move": func(w *world) {
+			w.lateShare = 0.05
+			for client := range 3 {
+				w.runOperator(2+client, 60)
+			}
+		},
+	}
+	inRound := map[string]func(w *world, f *faultInjector, round int){
+		"dispatchers restart": func(_ *world, f *faultInjector, _ int) { f.freezeDispatcher() },
+		"owners change": func(w *world, f *faultInjector, round int) {
+			f.transferLeadership()
+			w.freeze(w.leaderOf(protocol.ShardGroup(protocol.ShardOf(twoServices[round%2]))).process, 800*time.Millisecond)
+		},
+	}
+	names := []string{"lost", "late", "orders late", "queues move", "dispatchers restart", "owners change"}
+	runCases(t, 8, names, func(t *testing.T, at int, seed uint64) {
+		playScenario(t, seed, deploymentOf(seed, 4), 20*time.Second, func(w *world, f *faultInjector) {
+			w.runClient(60)
+			if disturb := atStart[names[at]]; disturb != nil {
+				disturb(w)
+			}
+			for round := range 12 {
+				if disturb := inRound[names[at]]; disturb != nil {
+					w.schedule(time.Duration(round)*1500*time.Millisecond, func() { disturb(w, f, round) })
+				}
+			}
+		})
+	})
+}
+
+// TestSevenReplicas plays days on seven nodes, of which three may be lost.
+func TestSevenReplicas(t *testing.T) {
+	t.Parallel()
+	seven := deployments[2]
+	seven.nodes, seven.toleratedLosses = 7, 3
+	for seed := range uint64(6) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			playScenario(t, 3_000_000+seed, seven, 20*time.Second, func(w *world, f *faultInjector) {
+				for range 24 {
+					w.schedule(w.randomBetween(0, 18*time.Second), f.injectOne)
+				}
+			})
+		})
+	}
+}
--- a/internal/dispatcher/fleet/budget/grant.go
+++ b/internal/dispatcher/fleet/budget/grant.go
@@ -1,9 +1,7 @@
 package budget
 
-import ()
-
 // updateAllocation changes an allocation and keeps the totals up to date.
-func (b *AllocationTable) updateAllocation(s *budgetState, l *allocation, do func()) {
+func (t *AllocationTable) updateAllocation(s *budgetState, l *allocation, do func()) {
 	s.held.add(l, -1)
 	do()
 	s.held.add(l, 1)
@@ -17,39 +15,39 @@
 }
 
 // reservedFloors returns what is reserved for the floor slots that nobody has.
-func (s *budgetState) reservedFloors() (amount, burst int64, slots int) {
-	slots = max(s.FloorSlots-s.held.floors-s.quarantined.floors, 0)
+func (s *budgetState) reservedFloors() (amount, burst int64) {
+	slots := max(s.FloorSlots-s.held.floors-s.quarantined.floors, 0)
 	if s.Floor == 0 {
 		slots = 0
 	}
-	return int64(slots) * toMicros(s.Floor), int64(slots) * s.burstPerFloor(), slots
+	return int64(slots) * toMicros(s.Floor), int64(slots) * s.burstPerFloor()
 }
 
 // available returns what may be granted now; it is below 0 while a lowered total does not
 // bind yet.
 func (s *budgetState) available() (amount, burst int64) {
-	amount, burst, _ = s.reservedFloors()
+	amount, burst = s.reservedFloors()
 	return toMicros(s.Total) - amount - s.held.amount - s.quarantined.amount,
 		toMicros(s.Burst) - burst - s.held.burst - s.quarantined.burst
 }
 
 // grant offers a holder what is due to it, as far as it is available, and returns the
 // answer to its renewal.
-func (b *AllocationTable) grant(h *holder) Grant {
-	g := Grant{Process: h.Process, Incarnation: h.Incarnation, Lease: b.Lease, Shares: make([]Share, len(b.Budgets))}
+func (t *AllocationTable) grant(h *holder) Grant {
+	g := Grant{Process: h.Process, Incarnation: h.Incarnation, Lease: t.Lease, Shares: make([]Share, len(t.Budgets))}
 	if h.OfferedGrant == h.AcknowledgedGrant {
 		changed := h.OfferedGrant == 0
-		for i, s := range b.Budgets {
+		for i, s := range t.Budgets {
 			l := &h.Allocations[i]
-			b.updateAllocation(s, l, func() { changed = s.offer(l) || changed })
+			t.updateAllocation(s, l, func() { changed = s.offer(l) || changed })
 		}
 		if changed {
-			b.LastGrant++
-			h.OfferedGrant = b.LastGrant
+			t.LastGrant++
+			h.OfferedGrant = t.LastGrant
 		}
 	}
 	g.Number = h.OfferedGrant
-	for i, s := range b.Budgets {
+	for i, s := range t.Budgets {
 		l := &h.Allocations[i]
 		o := l.Offered
 		g.Shares[i] = Share{
