--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -262,11 +262,11 @@
 	if err != nil {
 		return fleetSettings, nil, err
 	}
-	fleetSettings = state.FleetSettings{Revision: f.Revision, Lease: f.Lease, Parts: map[string][]byte{partition.BudgetsName: text}}
+	fleetSettings = state.FleetSettings{Revision: f.Revision, Lease: f.Lease, Partitions: map[string][]byte{partition.BudgetsName: text}}
 	if f.Records != nil {
 		rules := retentionRules(f.Records)
 		slices.SortFunc(rules.Rules, func(a, b records.Rule) int { return strings.Compare(a.Tenant, b.Tenant) })
-		if fleetSettings.Parts[partition.RecordsName], err = codec.Encode(rules); err != nil {
+		if fleetSettings.Partitions[partition.RecordsName], err = codec.Encode(rules); err != nil {
 			return fleetSettings, nil, err
 		}
 	}
