--- a/coord/group/diskwrite.go
+++ b/coord/group/diskwrite.go
@@ -23,8 +23,8 @@
 		return DiskWrite{}, false
 	}
 	write = DiskWrite{hardState: ready.HardState, entries: ready.Entries, install: ready.Snapshot, messagesAfterSync: ready.MessagesAfterSync}
-	for at := range write.entries {
-		write.bytes += len(write.entries[at].Data)
+	for i := range write.entries {
+		write.bytes += len(write.entries[i].Data)
 	}
 	if write.install != nil {
 		write.bytes += len(write.install.Data)
--- a/coord/group/engine_test.go
+++ b/coord/group/engine_test.go
@@ -139,14 +139,14 @@
 
 // TestSnapshotTransferSurvivesRestart of the receiver after each chunk: it begins anew and ends.
 func TestSnapshotTransferSurvivesRestart(t *testing.T) {
-	for at := range 20 {
+	for i := range 20 {
 		p := newPair(t, stateOf(30_000))
-		for p.engines["b"].Status(p.now).Receiving < at*1000+1 {
+		for p.engines["b"].Status(p.now).Receiving < i*1000+1 {
 			p.run(5 * time.Millisecond)
 		}
 		p.open("b", replica.PersistedState{})
 		p.run(15 * time.Second)
-		require.True(t, bytes.Equal(p.stateMachines["a"].content, p.stateMachines["b"].content), "restarted at chunk %d", at)
+		require.True(t, bytes.Equal(p.stateMachines["a"].content, p.stateMachines["b"].content), "restarted at chunk %d", i)
 	}
 }
 
--- a/coord/group/membership.go
+++ b/coord/group/membership.go
@@ -131,10 +131,10 @@
 
 // removeLostLearner removes a learner that is unresponsive for long.
 func (e *Engine) removeLostLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
-	for at, learner := range members.Learners {
+	for i, learner := range members.Learners {
 		if e.node.UnresponsiveFor(learner.ID, now) > removableAfter {
 			next := members
-			next.Learners = slices.Concat(members.Learners[:at], members.Learners[at+1:])
+			next.Learners = slices.Concat(members.Learners[:i], members.Learners[i+1:])
 			return next, true
 		}
 	}
--- a/coord/replica/membership.go
+++ b/coord/replica/membership.go
@@ -33,8 +33,8 @@
 // Find returns the voter, outgoing voter or learner of that ID.
 func (m Membership) Find(id string) (Member, bool) {
 	for _, set := range [][]Member{m.Voters, m.Outgoing, m.Learners} {
-		if at := indexOf(set, id); at >= 0 {
-			return set[at], true
+		if i := indexOf(set, id); i >= 0 {
+			return set[i], true
 		}
 	}
 	return Member{}, false
--- a/coord/ringlog/golden_test.go
+++ b/coord/ringlog/golden_test.go
@@ -125,8 +125,8 @@
 	require.Equal(t, wanted.HardState, found.HardState)
 	require.Equal(t, wanted.Snapshot, found.Snapshot)
 	require.Len(t, found.Entries, len(wanted.Entries))
-	for at, entry := range wanted.Entries {
-		require.Equal(t, entry, found.Entries[at], "entry %d", entry.Index)
+	for i, entry := range wanted.Entries {
+		require.Equal(t, entry, found.Entries[i], "entry %d", entry.Index)
 	}
 
 	wanted.HardState = replica.HardState{Term: 7, Vote: "e"}
--- a/coord/ringlog/ringlog_test.go
+++ b/coord/ringlog/ringlog_test.go
@@ -105,8 +105,8 @@
 	if m.hardState != found.HardState || m.snapshot.Index != found.Snapshot.Index || m.snapshot.Term != found.Snapshot.Term || len(m.entries) != len(found.Entries) {
 		return false
 	}
-	for at, entry := range m.entries {
-		other := found.Entries[at]
+	for i, entry := range m.entries {
+		other := found.Entries[i]
 		if entry.Index != other.Index || entry.Term != other.Term || string(entry.Data) != string(other.Data) {
 			return false
 		}
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -48,14 +48,14 @@
 
 // newestSnapshot returns the newer of the whole snapshots and its slot; false: there is none.
 func (r *Ring) newestSnapshot() (newest replica.Snapshot, slot int, ok bool) {
-	for at := range 2 {
-		content, err := r.files.ReadFile(r.slotPath(at))
+	for i := range 2 {
+		content, err := r.files.ReadFile(r.slotPath(i))
 		if err != nil { // a slot that can't be read is taken for one that was never written
 			continue
 		}
 		snapshot, complete := decodeSnapshot(content)
 		if complete && (!ok || snapshot.Index > newest.Index) {
-			newest, slot, ok = snapshot, at, true
+			newest, slot, ok = snapshot, i, true
 		}
 	}
 	return newest, slot, ok
--- a/internal/cluster/controlplane/groups.go
+++ b/internal/cluster/controlplane/groups.go
@@ -42,17 +42,17 @@
 	names := slices.Sorted(maps.Keys(states))
 	results := make([]result, len(names))
 	var opening sync.WaitGroup
-	for at, name := range names {
-		opening.Go(func() { results[at].group, results[at].err = n.openGroup(name, states[name]) })
+	for i, name := range names {
+		opening.Go(func() { results[i].group, results[i].err = n.openGroup(name, states[name]) })
 	}
 	opening.Wait()
 	var failed error
-	for at, name := range names {
-		if results[at].err != nil {
-			failed = errors.CombineErrors(failed, errors.Wrapf(results[at].err, "open group %s", name))
+	for i, name := range names {
+		if results[i].err != nil {
+			failed = errors.CombineErrors(failed, errors.Wrapf(results[i].err, "open group %s", name))
 			continue
 		}
-		n.groups[name] = results[at].group
+		n.groups[name] = results[i].group
 	}
 	return failed
 }
--- a/internal/cluster/controlplane/recovery_test.go
+++ b/internal/cluster/controlplane/recovery_test.go
@@ -31,8 +31,8 @@
 	for number := range protocol.ShardCount {
 		names = append(names, protocol.ShardGroup(number))
 	}
-	for at, name := range names {
-		response.Groups = append(response.Groups, protocol.GroupStatus{Name: name, Status: group.Status{Leads: at < int(o.ledGroups.Load())}})
+	for i, name := range names {
+		response.Groups = append(response.Groups, protocol.GroupStatus{Name: name, Status: group.Status{Leads: i < int(o.ledGroups.Load())}})
 	}
 	return response
 }
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -231,11 +231,11 @@
 	if err := json.Unmarshal(row, &elements); err != nil {
 		return errors.Wrap(err, "read a runner's list")
 	}
-	for at, element := range elements {
-		if at >= len(fields) {
+	for i, element := range elements {
+		if i >= len(fields) {
 			return nil
 		}
-		if err := json.Unmarshal(element, fields[at]); err != nil {
+		if err := json.Unmarshal(element, fields[i]); err != nil {
 			return errors.Wrap(err, "read a runner's list")
 		}
 	}
--- a/internal/cluster/controlplane/runnerlist.go
+++ b/internal/cluster/controlplane/runnerlist.go
@@ -136,8 +136,8 @@
 		if err != nil {
 			return nil, err
 		}
-		for at := range page.Instances {
-			list = append(list, page.Instances[at].runner())
+		for i := range page.Instances {
+			list = append(list, page.Instances[i].runner())
 		}
 		if page.NextToken == nil || *page.NextToken == "" {
 			return list, nil
--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -24,8 +24,8 @@
 func (b Batch) Encode() []byte {
 	buffer := []byte{batchFormat}
 	buffer = binary.AppendUvarint(buffer, uint64(len(b.Commands)))
-	for at := range b.Commands {
-		buffer = appendCommand(buffer, &b.Commands[at])
+	for i := range b.Commands {
+		buffer = appendCommand(buffer, &b.Commands[i])
 	}
 	return buffer
 }
--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -334,8 +334,8 @@
 	require.NoError(t, err)
 	wanted := goldenCommands()
 	require.Len(t, batch.Commands, len(wanted))
-	for at, command := range wanted {
-		require.Equal(t, command, batch.Commands[at], "command %d", at)
+	for i, command := range wanted {
+		require.Equal(t, command, batch.Commands[i], "command %d", i)
 	}
 	require.Equal(t, golden(t, commandsFile), job.Batch{Commands: wanted}.Encode())
 }
--- a/internal/cluster/job/job.go
+++ b/internal/cluster/job/job.go
@@ -51,9 +51,9 @@
 
 // removeRun removes a run of that attempt. It returns whether there was one.
 func (t *Task) removeRun(attempt int) bool {
-	for at, run := range t.Runs {
+	for i, run := range t.Runs {
 		if run.Attempt == attempt {
-			t.Runs = append(t.Runs[:at:at], t.Runs[at+1:]...)
+			t.Runs = append(t.Runs[:i:i], t.Runs[i+1:]...)
 			return true
 		}
 	}
@@ -89,8 +89,8 @@
 }
 
 func (s *StepState) markAllDone() {
-	for at := range s.Tasks {
-		s.markDone(&s.Tasks[at])
+	for i := range s.Tasks {
+		s.markDone(&s.Tasks[i])
 	}
 }
 
@@ -166,8 +166,8 @@
 // openOccurrence makes the tasks of the occurrence with that number.
 func (j *Job) openOccurrence(number int) {
 	steps := make([]StepState, len(j.Spec.Steps))
-	for at, step := range j.Spec.Steps {
-		steps[at].Tasks = make([]Task, step.Count)
+	for i, step := range j.Spec.Steps {
+		steps[i].Tasks = make([]Task, step.Count)
 	}
 	for len(j.Occurrences) <= number {
 		j.Occurrences = append(j.Occurrences, nil)
@@ -195,9 +195,9 @@
 	if j.ActiveRuns > 0 {
 		return
 	}
-	for at, occurrence := range j.Occurrences {
+	for i, occurrence := range j.Occurrences {
 		if occurrence != nil && (occurrence.OpenSteps == 0 || j.State.Terminal()) {
-			j.Occurrences[at] = &Occurrence{}
+			j.Occurrences[i] = &Occurrence{}
 		}
 	}
 	if j.State.Terminal() {
--- a/internal/cluster/job/spec.go
+++ b/internal/cluster/job/spec.go
@@ -69,9 +69,9 @@
 	if err := json.Unmarshal(body, &spec); err != nil {
 		return Spec{}, errors.Wrap(err, "the job is not JSON as the protocol has it")
 	}
-	for at := range spec.Steps {
-		spec.Steps[at].LongRunning = spec.Steps[at].LongRunning || spec.LongRunning
-		spec.Steps[at].Speculative = spec.Steps[at].Speculative || spec.Speculative
+	for i := range spec.Steps {
+		spec.Steps[i].LongRunning = spec.Steps[i].LongRunning || spec.LongRunning
+		spec.Steps[i].Speculative = spec.Steps[i].Speculative || spec.Speculative
 	}
 	return spec, spec.validate()
 }
--- a/internal/cluster/job/store_test.go
+++ b/internal/cluster/job/store_test.go
@@ -32,8 +32,8 @@
 // apply applies commands in their order.
 func apply(t *testing.T, s *job.Store, expectations ...expectation) {
 	t.Helper()
-	for at, expected := range expectations {
-		require.Equal(t, expected.outcome, s.Apply(expected.command), "command %d: %+v", at, expected.command)
+	for i, expected := range expectations {
+		require.Equal(t, expected.outcome, s.Apply(expected.command), "command %d: %+v", i, expected.command)
 	}
 }
 
@@ -179,8 +179,8 @@
 			decoded, err := job.DecodeBatch(batch.Encode())
 			require.NoError(t, err)
 			require.Equal(t, batch, decoded)
-			for at := range batch.Commands {
-				require.Equal(t, one.Apply(batch.Commands[at]), two.Apply(decoded.Commands[at]), "seed %d", seed)
+			for i := range batch.Commands {
+				require.Equal(t, one.Apply(batch.Commands[i]), two.Apply(decoded.Commands[i]), "seed %d", seed)
 			}
 			snapshot, err := two.Snapshot()
 			require.NoError(t, err)
--- a/internal/cluster/job/storedjob.go
+++ b/internal/cluster/job/storedjob.go
@@ -162,8 +162,8 @@
 		return nil
 	}
 	converted := make([]To, len(list))
-	for at, element := range list {
-		converted[at] = convert(element)
+	for i, element := range list {
+		converted[i] = convert(element)
 	}
 	return converted
 }
--- a/internal/cluster/job/taskref.go
+++ b/internal/cluster/job/taskref.go
@@ -31,8 +31,8 @@
 		return TaskRef{}, errors.Newf("%q is not a task's name", name)
 	}
 	ref := TaskRef{Job: parts[0]}
-	for at, field := range []*int{&ref.Occurrence, &ref.Step, &ref.Index} {
-		number, err := strconv.Atoi(parts[at+1])
+	for i, field := range []*int{&ref.Occurrence, &ref.Step, &ref.Index} {
+		number, err := strconv.Atoi(parts[i+1])
 		if err != nil || number < 0 {
 			return TaskRef{}, errors.Newf("%q is not a task's name", name)
 		}
--- a/internal/cluster/leader/cycle.go
+++ b/internal/cluster/leader/cycle.go
@@ -80,9 +80,9 @@
 // answerClients calls each client's callback with the outcome of its command; first is the position
 // of the first client's in the batch. The outcome is 0 where it is not known.
 func answerClients(clients []clientCommand, outcomes []job.Outcome, first int, err error) {
-	for at, client := range clients {
+	for i, client := range clients {
 		outcome := job.Outcome(0)
-		if position := first + at; err == nil && position < len(outcomes) {
+		if position := first + i; err == nil && position < len(outcomes) {
 			outcome = outcomes[position]
 		}
 		client.done(outcome, err)
--- a/internal/cluster/leader/replica.go
+++ b/internal/cluster/leader/replica.go
@@ -17,10 +17,10 @@
 	outcomes := make([]job.Outcome, len(batch.Commands))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for at, c := range batch.Commands {
-		outcomes[at] = s.store.Apply(c)
+	for i, c := range batch.Commands {
+		outcomes[i] = s.store.Apply(c)
 		if s.scheduler != nil {
-			s.scheduler.Applied(s.clocks.Monotonic(), c, outcomes[at])
+			s.scheduler.Applied(s.clocks.Monotonic(), c, outcomes[i])
 		}
 	}
 	s.wake()
--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -109,8 +109,8 @@
 		services[service.Name] = true
 	}
 	c.byQueue = map[string]*Route{}
-	for at := range c.Routes {
-		route := &c.Routes[at]
+	for i := range c.Routes {
+		route := &c.Routes[i]
 		if !services[route.Backend] {
 			return errors.Newf("route %q names the unknown service %q: add the service, or name another", route.Name, route.Backend)
 		}
@@ -142,8 +142,8 @@
 
 // matchAnyPrefix finds the longest of all prefixes, also of those that do not end with a slash.
 func (c *Config) matchAnyPrefix(host, path string) (best *Route, ok bool) {
-	for at := range c.Routes {
-		route := &c.Routes[at]
+	for i := range c.Routes {
+		route := &c.Routes[i]
 		if route.Host == host && strings.HasPrefix(path, route.PathPrefix) && (best == nil || len(route.PathPrefix) > len(best.PathPrefix)) {
 			best = route
 		}
--- a/internal/cluster/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -47,8 +47,8 @@
 		routes = append(routes, route("/gone/", "desk-1"))
 	}
 	var services []string
-	for at := range 5 {
-		services = append(services, fmt.Sprintf(`{"name":"desk-%d","guards":true}`, at))
+	for i := range 5 {
+		services = append(services, fmt.Sprintf(`{"name":"desk-%d","guards":true}`, i))
 	}
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[%s],"limits":{"max_header_bytes":8192,"max_body_bytes":262144,`+
 		`"header_timeout_ms":5000,"idle_timeout_ms":60000}}`, version, strings.Join(routes, ","), strings.Join(services, ",")))
@@ -165,9 +165,9 @@
 	require.Equal(t, string(goldenContent(goldenVersions)), string(register.Content))
 	require.Len(t, register.AcceptedDigests, goldenVersions)
 	require.Len(t, register.AcceptedVersions, goldenVersions)
-	for at, version := range register.AcceptedVersions {
-		require.Equal(t, int64(at+1), version)
-		require.Equal(t, opconfig.DigestOf(goldenContent(at+1)), register.AcceptedDigests[version])
+	for i, version := range register.AcceptedVersions {
+		require.Equal(t, int64(i+1), version)
+		require.Equal(t, opconfig.DigestOf(goldenContent(i+1)), register.AcceptedDigests[version])
 	}
 	require.Equal(t, int64(goldenForgotten), register.HighestForgotten)
 	require.Equal(t, uint64(goldenVersions), register.ChangeCount)
--- a/internal/cluster/opconfig/opconfig_test.go
+++ b/internal/cluster/opconfig/opconfig_test.go
@@ -13,8 +13,8 @@
 // configText is a configuration with one service and routes of the given prefixes.
 func configText(version int, prefixes ...string) []byte {
 	var routes []string
-	for at, prefix := range prefixes {
-		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h.example","path_prefix":%q,"type":"mutating","timeout_ms":3000,"target_ms":250,"priority":0,"backend":"desk","retries":3,"extension":1.5}`, at, prefix))
+	for i, prefix := range prefixes {
+		routes = append(routes, fmt.Sprintf(`{"name":"r%d","host":"h.example","path_prefix":%q,"type":"mutating","timeout_ms":3000,"target_ms":250,"priority":0,"backend":"desk","retries":3,"extension":1.5}`, i, prefix))
 	}
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"desk","health_path":"/healthz","max_conns":64,"protocol":"h1","tls":false,"guards":true}],"limits":{"max_body_bytes":262144}}`, version, strings.Join(routes, ",")))
 }
--- a/internal/cluster/opconfig/register.go
+++ b/internal/cluster/opconfig/register.go
@@ -114,8 +114,8 @@
 // updateQueues records which service each queue is sent to, and forgets queues that were removed
 // RememberedChanges ago.
 func (r *Register) updateQueues(config *Config) {
-	for at := range config.Routes {
-		r.updateServices(&config.Routes[at])
+	for i := range config.Routes {
+		r.updateServices(&config.Routes[i])
 	}
 	for queue := range r.ServicesByQueue {
 		if _, current := config.Route(queue); current {
--- a/internal/cluster/protocol/golden_gob_test.go
+++ b/internal/cluster/protocol/golden_gob_test.go
@@ -155,8 +155,8 @@
 		return "map[" + typeText(types, defined.key) + "]" + typeText(types, defined.elem)
 	case gobStruct:
 		var fields []string
-		for at, name := range defined.names {
-			fields = append(fields, name+":"+typeText(types, defined.types[at]))
+		for i, name := range defined.names {
+			fields = append(fields, name+":"+typeText(types, defined.types[i]))
 		}
 		return "{" + strings.Join(fields, " ") + "}"
 	}
--- a/internal/cluster/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -133,8 +133,8 @@
 		require.False(t, value.IsNil(), path)
 		requireFilled(t, path, value.Elem())
 	case reflect.Struct:
-		for at := range value.NumField() {
-			requireFilled(t, path+"."+value.Type().Field(at).Name, value.Field(at))
+		for i := range value.NumField() {
+			requireFilled(t, path+"."+value.Type().Field(i).Name, value.Field(i))
 		}
 	case reflect.Slice:
 		require.NotZero(t, value.Len(), path)
@@ -165,8 +165,8 @@
 	received, response := replayToServer(t, golden(t, requestFile))
 	wanted := append(goldenMessages(), goldenAsk()) // the last one is a call
 	require.Len(t, received, len(wanted))
-	for at, message := range wanted {
-		require.Equal(t, message, received[at], "message %d, %T", at, message)
+	for i, message := range wanted {
+		require.Equal(t, message, received[i], "message %d, %T", i, message)
 	}
 	require.Equal(t, frames(t, golden(t, responseFile)), []sentFrame{response}, "the answer")
 }
