--- a/coord/group/engine.go
+++ b/coord/group/engine.go
@@ -23,17 +23,17 @@
 	stateMachine StateMachine
 	logger       *slog.Logger
 
-	isLeader  bool  // between BecameLeader and LostLeadership of the state machine
-	haltCause error // nil: it has not halted
-	proposals map[uint64]proposal
-	outbox    []Envelope
+	isLeader  bool                // between BecameLeader and LostLeadership of the state machine
+	haltCause error               // nil: it has not halted
+	proposals map[uint64]proposal // by index of their entry
+	outbox    []Envelope          // messages since the last TakeEffects
 
 	logNearlyFull    bool // a snapshot is due
 	snapshotInFlight bool // a snapshot is being written
 	unsyncedBytes    int  // of writes that are not synced
 
 	nextMembershipCheck time.Duration
-	joinRequests        map[string]joinRequest    // by address
+	joinRequests        map[string]joinRequest    // by address: the newest of each replica
 	leaveRequests       map[string]time.Duration  // by member ID: when it last announced that it stops
 	addressHints        map[string]replica.Member // by ID: members that messages named; this log may not name them yet
 
@@ -51,11 +51,15 @@
 	}
 	settings.setDefaults()
 	return &Engine{
-		settings: settings, stateMachine: stateMachine, logger: logger.With("group", settings.Name),
-		node:      replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, found, settings.Seed, now),
-		proposals: map[uint64]proposal{}, addressHints: map[string]replica.Member{},
-		joinRequests: map[string]joinRequest{}, leaveRequests: map[string]time.Duration{},
-		senders: map[string]*snapshotSender{},
+		settings:      settings,
+		node:          replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, found, settings.Seed, now),
+		stateMachine:  stateMachine,
+		logger:        logger.With("group", settings.Name),
+		proposals:     map[uint64]proposal{},
+		joinRequests:  map[string]joinRequest{},
+		leaveRequests: map[string]time.Duration{},
+		addressHints:  map[string]replica.Member{},
+		senders:       map[string]*snapshotSender{},
 	}, nil
 }
 
@@ -80,9 +84,10 @@
 // Membership returns the newest membership, committed or not.
 func (e *Engine) Membership() replica.Membership { return e.node.Membership() }
 
-// NextTick returns when Tick has something to do next.
+// NextTick returns when Tick has something to do next, by the driver's clock; of a halted replica a
+// time that is never reached.
 func (e *Engine) NextTick() time.Duration {
-	const never = 1 << 62
+	const never = 1 << 62 // ns; the driver may subtract its clock from it
 	if e.haltCause != nil {
 		return never
 	}
--- a/coord/group/membership.go
+++ b/coord/group/membership.go
@@ -9,35 +9,39 @@
 )
 
 const (
+	// membershipCheckInterval is the pause between two checks by the leader whether the membership
+	// should change.
 	membershipCheckInterval = 250 * time.Millisecond
-	// replaceableAfter: a voter that is unresponsive for so long may be replaced, where a learner
-	// has caught up.
-	replaceableAfter = 1500 * time.Millisecond
-	// removableAfter: a learner that is unresponsive for so long is removed.
-	removableAfter = 10 * replaceableAfter
-	// caughtUpWithin: a learner that lacks no more entries has caught up, as the rest is on its way.
-	caughtUpWithin = 500
-	// requestValidFor: a replica that wants to join or leave repeats its request more often than that.
-	requestValidFor = 3 * time.Second
-	maxLearners     = 2
+	// voterReplacementTimeout is how long a voter must be unresponsive before a learner that has
+	// caught up may replace it. A learner that is unresponsive for so long is not promoted.
+	voterReplacementTimeout = 1500 * time.Millisecond
+	// learnerRemovalTimeout is how long a learner must be unresponsive before it is removed.
+	learnerRemovalTimeout = 10 * voterReplacementTimeout
+	// maxPromotionLag is the most committed entries that a learner may lack and still count as caught
+	// up: under load some entries are always in flight.
+	maxPromotionLag = 500
+	// requestLifetime is how long a request to join or leave counts; its sender repeats it more often.
+	requestLifetime = 3 * time.Second
+	// maxLearners bounds the learners of a group, since each receives the whole log.
+	maxLearners = 2
 )
 
-// joinRequest is the wish of a replica to become a member.
+// joinRequest is the request of a replica to become a member.
 type joinRequest struct {
-	member replica.Member
-	at     time.Duration
+	member     replica.Member
+	receivedAt time.Duration // by the driver's clock
 }
 
 // RequestJoin records that a replica wants to become a member. Only the leader acts on it.
 func (e *Engine) RequestJoin(now time.Duration, member replica.Member) {
-	e.joinRequests[member.Address] = joinRequest{member: member, at: now}
+	e.joinRequests[member.Address] = joinRequest{member: member, receivedAt: now}
 }
 
 // RequestLeave records that a member is about to stop: a learner that has caught up may replace it at
 // once. Only the leader acts on it.
 func (e *Engine) RequestLeave(now time.Duration, id string) { e.leaveRequests[id] = now }
 
-// manageMembership lets the leader change the membership, one step at a time: a replica that wants
+// manageMembership lets the leader change the membership, one step at a time: a replica that asked
 // to join becomes a learner; a learner that has caught up becomes a voter, in place of one that is
 // lost.
 func (e *Engine) manageMembership(now time.Duration) {
@@ -68,7 +72,7 @@
 // promoteLearner makes a learner that has caught up a voter, where there is a place for it.
 func (e *Engine) promoteLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for _, learner := range members.Learners {
-		if !e.node.CaughtUp(learner.ID, caughtUpWithin) || e.node.UnresponsiveFor(learner.ID, now) > replaceableAfter {
+		if !e.node.CaughtUp(learner.ID, maxPromotionLag) || e.node.UnresponsiveFor(learner.ID, now) > voterReplacementTimeout {
 			continue
 		}
 		if leaving, ok := e.voterToReplace(now, members, learner); ok {
@@ -91,7 +95,7 @@
 		return "", true
 	}
 	for _, voter := range members.Voters {
-		if voter.ID != e.settings.Self.ID && (e.node.UnresponsiveFor(voter.ID, now) > replaceableAfter || e.hasLeaveRequest(now, voter.ID)) {
+		if voter.ID != e.settings.Self.ID && (e.node.UnresponsiveFor(voter.ID, now) > voterReplacementTimeout || e.hasLeaveRequest(now, voter.ID)) {
 			return voter.ID, true
 		}
 	}
@@ -100,18 +104,22 @@
 
 // hasLeaveRequest tells whether a member's request to leave is valid, and drops one that is not.
 func (e *Engine) hasLeaveRequest(now time.Duration, id string) bool {
-	at, ok := e.leaveRequests[id]
-	if ok && now-at > requestValidFor {
+	receivedAt, ok := e.leaveRequests[id]
+	if !ok {
+		return false
+	}
+	if now-receivedAt > requestLifetime {
 		delete(e.leaveRequests, id)
+		return false
 	}
-	return ok && now-at <= requestValidFor
+	return true
 }
 
-// admitLearner makes a replica that wants to join a learner.
+// admitLearner makes a replica that asked to join a learner, and drops requests that are too old.
 func (e *Engine) admitLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for _, address := range slices.Sorted(maps.Keys(e.joinRequests)) {
 		request := e.joinRequests[address]
-		if now-request.at > requestValidFor {
+		if now-request.receivedAt > requestLifetime {
 			delete(e.joinRequests, address)
 			continue
 		}
@@ -132,7 +140,7 @@
 // removeLostLearner removes a learner that is unresponsive for long.
 func (e *Engine) removeLostLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for i, learner := range members.Learners {
-		if e.node.UnresponsiveFor(learner.ID, now) > removableAfter {
+		if e.node.UnresponsiveFor(learner.ID, now) > learnerRemovalTimeout {
 			next := members
 			next.Learners = slices.Concat(members.Learners[:i], members.Learners[i+1:])
 			return next, true
--- a/coord/group/snapshot_transfer.go
+++ b/coord/group/snapshot_transfer.go
@@ -14,15 +14,17 @@
 // meanwhile, so that compaction does not overtake the transfer.
 
 const (
-	chunksInFlight = 4
-	// chunkResendAfter is the wait for a response before chunks are sent again.
-	chunkResendAfter = 600 * time.Millisecond
-	// abandonAfter: the transfer to a member that responds to nothing for so long is given up. It
-	// begins anew when the member responds to heartbeats again.
-	abandonAfter = 10 * time.Second
-	// installWithin: a member that has the whole snapshot may take so long to write it before another
-	// one is sent.
-	installWithin = 5 * time.Second
+	// maxChunksInFlight bounds the chunks that are sent and not acknowledged, and those that a
+	// receiver holds behind a gap.
+	maxChunksInFlight = 4
+	// chunkResendTimeout is the wait for a response before chunks are sent again.
+	chunkResendTimeout = 600 * time.Millisecond
+	// transferTimeout is how long a member may respond to nothing before its transfer is given up. A
+	// new one begins when the member responds to heartbeats again.
+	transferTimeout = 10 * time.Second
+	// installTimeout is how long a member that has the whole snapshot may take to write it before
+	// another one is sent.
+	installTimeout = 5 * time.Second
 	// maxSnapshotBytes bounds what a member receives into memory.
 	maxSnapshotBytes = 256 << 20
 )
@@ -44,9 +46,9 @@
 // expired tells whether the transfer is given up.
 func (s *snapshotSender) expired(now time.Duration) bool {
 	if s.complete() {
-		return now > s.lastResponse+installWithin
+		return now > s.lastResponse+installTimeout
 	}
-	return now > s.lastResponse+abandonAfter
+	return now > s.lastResponse+transferTimeout
 }
 
 // beginSnapshotTransfer begins to send the newest state to a member, unless a transfer is under way.
@@ -69,7 +71,7 @@
 func (e *Engine) sendChunks(now time.Duration, to string) {
 	s := e.senders[to]
 	total, chunkBytes := len(s.snapshot.Data), e.settings.SnapshotChunkBytes
-	for first := s.sent == 0; first || s.sent < min(total, s.acked+chunksInFlight*chunkBytes); first = false {
+	for first := s.sent == 0; first || s.sent < min(total, s.acked+maxChunksInFlight*chunkBytes); first = false {
 		end := min(total, s.sent+chunkBytes)
 		chunk := s.snapshot
 		chunk.Data = s.snapshot.Data[s.sent:end]
@@ -89,7 +91,7 @@
 			delete(e.senders, id)
 			continue
 		}
-		if !s.complete() && now > s.lastSend+chunkResendAfter {
+		if !s.complete() && now > s.lastSend+chunkResendTimeout {
 			s.acked = s.lastAcked
 			s.sent = s.acked
 			e.sendChunks(now, id)
@@ -131,7 +133,7 @@
 	// snapshotTerm is the term of the entry at index.
 	snapshotTerm uint64
 	data         []byte         // without a gap
-	early        map[int][]byte // chunks behind a gap, by offset; at most chunksInFlight
+	early        map[int][]byte // chunks behind a gap, by offset; at most maxChunksInFlight
 }
 
 // matches tells whether a chunk belongs to this snapshot.
@@ -141,7 +143,7 @@
 
 // add takes in a chunk and those that follow it without a gap.
 func (r *snapshotReceiver) add(offset int, chunk []byte) {
-	if offset > len(r.data) && len(r.early) < chunksInFlight {
+	if offset > len(r.data) && len(r.early) < maxChunksInFlight {
 		r.early[offset] = chunk
 	}
 	for offset == len(r.data) && len(chunk) > 0 {
--- a/coord/group/status.go
+++ b/coord/group/status.go
@@ -27,8 +27,14 @@
 // Status returns the state of the replica at a time.
 func (e *Engine) Status(now time.Duration) Status {
 	status := Status{
-		Role: e.node.Role(), Term: e.node.Term(), Applied: e.node.Applied(), Last: e.node.LastIndex(),
-		Snapshot: e.node.SnapshotIndex(), Unsynced: e.unsyncedBytes, Digest: e.stateMachine.Digest(), Members: e.node.Membership(),
+		Role:     e.node.Role(),
+		Term:     e.node.Term(),
+		Applied:  e.node.Applied(),
+		Last:     e.node.LastIndex(),
+		Snapshot: e.node.SnapshotIndex(),
+		Unsynced: e.unsyncedBytes,
+		Digest:   e.stateMachine.Digest(),
+		Members:  e.node.Membership(),
 	}
 	if lease := e.lease(); lease.Until > now && e.haltCause == nil {
 		status.Leads, status.LeaseLeft = true, lease.Until-now
