--- a/coord/group/engine.go
+++ b/coord/group/engine.go
@@ -43,16 +43,16 @@
 
 // NewEngine returns a replica as its disk has it. The state machine is restored from the snapshot,
 // if there is one with data.
-func NewEngine(settings Settings, found replica.PersistedState, stateMachine StateMachine, now time.Duration, logger *slog.Logger) (*Engine, error) {
-	if len(found.Snapshot.Data) > 0 {
-		if err := stateMachine.Restore(found.Snapshot.Data); err != nil {
+func NewEngine(settings Settings, persisted replica.PersistedState, stateMachine StateMachine, now time.Duration, logger *slog.Logger) (*Engine, error) {
+	if len(persisted.Snapshot.Data) > 0 {
+		if err := stateMachine.Restore(persisted.Snapshot.Data); err != nil {
 			return nil, errors.Wrapf(err, "restore group %s", settings.Name)
 		}
 	}
 	settings.setDefaults()
 	return &Engine{
 		settings:      settings,
-		node:          replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, found, settings.Seed, now),
+		node:          replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, persisted, settings.Seed, now),
 		stateMachine:  stateMachine,
 		logger:        logger.With("group", settings.Name),
 		proposals:     map[uint64]proposal{},
@@ -73,9 +73,9 @@
 // Bootstrap makes the replica a founding member of a new group, once its initial snapshot is on disk.
 // It waits for no election timeout before it votes: no lease can exist yet.
 func (e *Engine) Bootstrap(initial replica.Snapshot, now time.Duration) {
-	found := replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: initial}
+	persisted := replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: initial}
 	started := now - e.settings.Timing.MinElectionTimeout
-	e.node = replica.NewNode(e.settings.Self.ID, e.settings.Name, e.settings.Timing, found, e.settings.Seed, started)
+	e.node = replica.NewNode(e.settings.Self.ID, e.settings.Name, e.settings.Timing, persisted, e.settings.Seed, started)
 }
 
 // IsBootstrapped tells whether the group exists, as far as this replica knows.
--- a/coord/group/group.go
+++ b/coord/group/group.go
@@ -10,6 +10,23 @@
 	"basaltloft/coord/ringlog"
 )
 
+// Storage is where a replica keeps its log and snapshots.
+type Storage struct {
+	Files  ringlog.FileSystem
+	Folder string // of this replica alone; Open creates it where it does not exist
+	Sizes  ringlog.Sizes
+}
+
+// Environment is what a replica needs of its process.
+type Environment struct {
+	StateMachine StateMachine
+	Transport    Transport
+	// Clock is monotonic and always above zero by more than the durations of Settings.Timing: zero
+	// stands for "never".
+	Clock  func() time.Duration
+	Logger *slog.Logger
+}
+
 // Transport carries messages to other replicas. It must not block, and may lose messages.
 type Transport interface {
 	// Send sends a message to the process at an address, as host:port.
@@ -40,21 +57,29 @@
 	leader atomic.Pointer[replica.Member]
 }
 
-// Open opens a group's replica from its folder, which it creates where it does not exist. The clock
-// is monotonic. The replica does not run yet. ringlog.ErrDamaged means that it must join anew.
-func Open(settings Settings, folder string, sizes ringlog.Sizes, files ringlog.FileSystem, stateMachine StateMachine, transport Transport, clock func() time.Duration, logger *slog.Logger) (*Group, error) {
-	ring, found, err := ringlog.Open(files, folder, sizes)
+// Open opens a group's replica as its storage has it. The replica does not run yet. The error is
+// ringlog.ErrDamaged where the replica must join anew, one of the file system, or one of
+// StateMachine.Restore.
+func Open(settings Settings, storage Storage, environment Environment) (*Group, error) {
+	ring, persisted, err := ringlog.Open(storage.Files, storage.Folder, storage.Sizes)
 	if err != nil {
 		return nil, err
 	}
-	engine, err := NewEngine(settings, found, stateMachine, clock(), logger)
+	engine, err := NewEngine(settings, persisted, environment.StateMachine, environment.Clock(), environment.Logger)
 	if err != nil {
 		return nil, err
 	}
 	g := &Group{
-		engine: engine, stateMachine: stateMachine, transport: transport, ring: ring, clock: clock,
-		logger: logger.With("group", settings.Name), snapshotThreshold: settings.SnapshotThresholdBytes,
-		inputReady: make(chan struct{}, 1), writesReady: make(chan struct{}, 1), stop: make(chan struct{}),
+		engine:            engine,
+		stateMachine:      environment.StateMachine,
+		transport:         environment.Transport,
+		ring:              ring,
+		clock:             environment.Clock,
+		logger:            environment.Logger.With("group", settings.Name),
+		snapshotThreshold: settings.SnapshotThresholdBytes,
+		inputReady:        make(chan struct{}, 1),
+		writesReady:       make(chan struct{}, 1),
+		stop:              make(chan struct{}),
 	}
 	g.lease.Store(&Lease{})
 	g.leader.Store(&replica.Member{})
--- a/coord/group/group_test.go
+++ b/coord/group/group_test.go
@@ -118,8 +118,15 @@
 
 func (r *replicaGroup) open(member replica.Member) {
 	r.stateMachines[member.Address] = &commandList{becameLeader: r.becameLeader}
-	g, err := group.Open(group.Settings{Name: "g", Self: member, Timing: timing, VoterCount: 3, Seed: rand.Uint64(), SnapshotThresholdBytes: 8 << 10},
-		"log", ringlog.Sizes{SegmentBytes: 16 << 10, Segments: 4}, r.disks[member.Address], r.stateMachines[member.Address], r.net, newClock(), slog.New(slog.DiscardHandler))
+	settings := group.Settings{Name: "g", Self: member, Timing: timing, VoterCount: 3, Seed: rand.Uint64(), SnapshotThresholdBytes: 8 << 10}
+	storage := group.Storage{Files: r.disks[member.Address], Folder: "log", Sizes: ringlog.Sizes{SegmentBytes: 16 << 10, Segments: 4}}
+	environment := group.Environment{
+		StateMachine: r.stateMachines[member.Address],
+		Transport:    r.net,
+		Clock:        newClock(),
+		Logger:       slog.New(slog.DiscardHandler),
+	}
+	g, err := group.Open(settings, storage, environment)
 	require.NoError(r.t, err)
 	r.groups[member.Address] = g
 }
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -75,14 +75,14 @@
 // NewNode returns a replica as its disk has it, at a time of the driver's clock. The seed must
 // differ from one start to the next. The node grants no vote for MinElectionTimeout, since its
 // previous incarnation may have had contact to a leader just before.
-func NewNode(id, group string, timing Timing, found PersistedState, seed uint64, now time.Duration) *Node {
+func NewNode(id, group string, timing Timing, persisted PersistedState, seed uint64, now time.Duration) *Node {
 	n := &Node{id: id, group: group, timing: timing, random: rand.New(rand.NewPCG(seed, hashOf(group)))}
 	n.incarnation = n.random.Uint64()
-	n.hardState = found.HardState
-	n.log.reset(found.Snapshot)
-	n.log.append(found.Entries)
+	n.hardState = persisted.HardState
+	n.log.reset(persisted.Snapshot)
+	n.log.append(persisted.Entries)
 	n.log.stable = n.log.last()
-	n.commit, n.applied = found.Snapshot.Index, found.Snapshot.Index
+	n.commit, n.applied = persisted.Snapshot.Index, persisted.Snapshot.Index
 	n.lastLeaderContact = now
 	n.resetElectionTimer(now)
 	return n
--- a/internal/cluster/controlplane/groups.go
+++ b/internal/cluster/controlplane/groups.go
@@ -34,16 +34,16 @@
 
 // openGroups opens the groups' replicas concurrently, as each waits for the disk several times. Those
 // that could be opened are kept also where another one could not.
-func (n *Node) openGroups(states map[string]group.StateMachine) error {
+func (n *Node) openGroups(stateMachines map[string]group.StateMachine) error {
 	type result struct {
 		group *group.Group
 		err   error
 	}
-	names := slices.Sorted(maps.Keys(states))
+	names := slices.Sorted(maps.Keys(stateMachines))
 	results := make([]result, len(names))
 	var opening sync.WaitGroup
 	for i, name := range names {
-		opening.Go(func() { results[i].group, results[i].err = n.openGroup(name, states[name]) })
+		opening.Go(func() { results[i].group, results[i].err = n.openGroup(name, stateMachines[name]) })
 	}
 	opening.Wait()
 	var failed error
@@ -57,8 +57,8 @@
 	return failed
 }
 
-func (n *Node) openGroup(name string, states group.StateMachine) (*group.Group, error) {
-	config := group.Settings{
+func (n *Node) openGroup(name string, stateMachine group.StateMachine) (*group.Group, error) {
+	settings := group.Settings{
 		Name:                   name,
 		Self:                   n.self,
 		Timing:                 timing,
@@ -66,9 +66,13 @@
 		Seed:                   rand.Uint64(),
 		SnapshotThresholdBytes: snapshotThresholdBytes,
 	}
-	sizes := ringlog.Sizes{SegmentBytes: segmentBytes, Segments: segments}
-	folder := filepath.Join(n.settings.DataDir, name)
-	return group.Open(config, folder, sizes, ringlog.OSFileSystem{}, states, n.peers, n.now, n.log)
+	storage := group.Storage{
+		Files:  ringlog.OSFileSystem{},
+		Folder: filepath.Join(n.settings.DataDir, name),
+		Sizes:  ringlog.Sizes{SegmentBytes: segmentBytes, Segments: segments},
+	}
+	environment := group.Environment{StateMachine: stateMachine, Transport: n.peers, Clock: n.now, Logger: n.log}
+	return group.Open(settings, storage, environment)
 }
 
 // startReplicas runs all replicas and what depends on them. Only the first call has an effect.
--- a/internal/cluster/controlplane/node.go
+++ b/internal/cluster/controlplane/node.go
@@ -101,14 +101,14 @@
 	n.operators = &operatorAPI{node: n, config: n.config}
 	runners := newRunnerClient()
 	runners.lifetime = n.lifetime
-	states := map[string]group.StateMachine{protocol.ConfigGroup: n.config}
+	stateMachines := map[string]group.StateMachine{protocol.ConfigGroup: n.config}
 	var shards []*shardLoop
 	for number := range protocol.ShardCount {
 		loop := n.newShardLoop(number, runners)
-		states[protocol.ShardGroup(number)] = loop
+		stateMachines[protocol.ShardGroup(number)] = loop
 		shards = append(shards, loop)
 	}
-	if err := n.openGroups(states); err != nil {
+	if err := n.openGroups(stateMachines); err != nil {
 		return err
 	}
 	n.configGroup = n.groups[protocol.ConfigGroup]
