--- a/coord/ringlog/format.go
+++ b/coord/ringlog/format.go
@@ -22,6 +22,14 @@
 const (
 	// magic begins each segment and snapshot file.
 	magic = 0x62736c31
+	// checksumOffset is where segments, records and snapshots have their checksum, and contentOffset
+	// where what it covers begins; of a snapshot the checksum covers the body alone.
+	checksumOffset = 4
+	contentOffset  = 8
+	// entryTermOffset is where an entry's payload has its term.
+	entryTermOffset = 8
+	// kindOffset is where a record and an entry's payload have their kind.
+	kindOffset = 16
 	// segmentHeaderBytes: magic (4), checksum of the rest (4), number of the first record (8).
 	segmentHeaderBytes = 16
 	// recordHeaderBytes: length of the payload (4), checksum of the rest with the payload (4), number
@@ -53,7 +61,7 @@
 	to = binary.LittleEndian.AppendUint32(to, magic)
 	to = binary.LittleEndian.AppendUint32(to, 0)
 	to = binary.LittleEndian.AppendUint64(to, first)
-	binary.LittleEndian.PutUint32(to[start+4:], checksum(to[start+8:]))
+	binary.LittleEndian.PutUint32(to[start+checksumOffset:], checksum(to[start+contentOffset:]))
 	return to
 }
 
@@ -62,10 +70,10 @@
 	if len(segment) < segmentHeaderBytes || binary.LittleEndian.Uint32(segment) != magic {
 		return 0, false
 	}
-	if binary.LittleEndian.Uint32(segment[4:]) != checksum(segment[8:segmentHeaderBytes]) {
+	if binary.LittleEndian.Uint32(segment[checksumOffset:]) != checksum(segment[contentOffset:segmentHeaderBytes]) {
 		return 0, false
 	}
-	return binary.LittleEndian.Uint64(segment[8:]), true
+	return binary.LittleEndian.Uint64(segment[contentOffset:]), true
 }
 
 func appendRecord(to []byte, r record) []byte {
@@ -75,7 +83,7 @@
 	to = binary.LittleEndian.AppendUint64(to, r.number)
 	to = append(to, byte(r.kind))
 	to = append(to, r.payload...)
-	binary.LittleEndian.PutUint32(to[start+4:], checksum(to[start+8:]))
+	binary.LittleEndian.PutUint32(to[start+checksumOffset:], checksum(to[start+contentOffset:]))
 	return to
 }
 
@@ -90,10 +98,14 @@
 		return record{}, nil, false
 	}
 	end := recordHeaderBytes + length
-	if binary.LittleEndian.Uint32(from[4:]) != checksum(from[8:end]) {
+	if binary.LittleEndian.Uint32(from[checksumOffset:]) != checksum(from[contentOffset:end]) {
 		return record{}, nil, false
 	}
-	r = record{number: binary.LittleEndian.Uint64(from[8:]), kind: recordKind(from[16]), payload: from[recordHeaderBytes:end]}
+	r = record{
+		number:  binary.LittleEndian.Uint64(from[contentOffset:]),
+		kind:    recordKind(from[kindOffset]),
+		payload: from[recordHeaderBytes:end],
+	}
 	return r, from[end:], r.number == number
 }
 
@@ -128,8 +140,8 @@
 	}
 	entry := replica.Entry{
 		Index: binary.LittleEndian.Uint64(payload),
-		Term:  binary.LittleEndian.Uint64(payload[8:]),
-		Kind:  replica.EntryKind(payload[16]),
+		Term:  binary.LittleEndian.Uint64(payload[entryTermOffset:]),
+		Kind:  replica.EntryKind(payload[kindOffset]),
 	}
 	content := payload[entryHeaderBytes:]
 	if entry.Kind != replica.EntryMembership {
--- a/coord/ringlog/ring.go
+++ b/coord/ringlog/ring.go
@@ -29,14 +29,15 @@
 	free       []*segment
 	offset     int    // in the last segment, of the next record
 	nextNumber uint64 // of the next record
-	// startUnsynced: the beginning of the last segment is written and not synced yet.
-	startUnsynced bool
-	buffer        []byte // records that are being written
+	// segmentStartUnsynced says that the header and hard state of the last segment are written and
+	// not synced yet.
+	segmentStartUnsynced bool
+	buffer               []byte // records that are being written
 
 	hardState          replica.HardState // the last one written; each segment begins with it
 	snapshotIndex      uint64            // of the newest snapshot
-	nextSlot           int               // where the next snapshot goes: 0 or 1
-	bytesSinceSnapshot int
+	nextSlot           int               // slot of the next snapshot; the other one has the newest, if there is one
+	bytesSinceSnapshot int               // of records written since the newest snapshot
 }
 
 // Open opens the log in a folder and returns what it holds. The folder is created where it does not
@@ -54,9 +55,9 @@
 		return nil, replica.PersistedState{}, err
 	}
 	// A loss of power may leave whole records behind a torn one. They must never follow a new record:
-	// each start of the process writes to a segment of its own. Its beginning is synced with the first
+	// each start of the process writes to a segment of its own. Its start is synced with the first
 	// records, as nothing rests on it before.
-	if err := r.startSegment(); err != nil {
+	if err := r.startSegmentUnsynced(); err != nil {
 		return nil, replica.PersistedState{}, err
 	}
 	return r, found, nil
@@ -95,7 +96,7 @@
 // appendBatch writes and syncs what goes into one segment.
 func (r *Ring) appendBatch(hardState *replica.HardState, entries []replica.Entry) error {
 	r.buffer = r.buffer[:0]
-	if err := r.makeRoom(entries); err != nil {
+	if err := r.ensureSpace(entries); err != nil {
 		return err
 	}
 	start, number, current := r.offset, r.nextNumber, r.currentSegment()
@@ -132,7 +133,7 @@
 		return errors.Wrap(err, "sync the log")
 	}
 	r.offset = offset + len(r.buffer)
-	r.startUnsynced = false
+	r.segmentStartUnsynced = false
 	return nil
 }
 
@@ -145,7 +146,7 @@
 	for _, s := range r.segments {
 		s.lastIndex = 0 // so that the snapshot stands for all of them
 	}
-	if err := r.beginSegment(); err != nil {
+	if err := r.startSegmentSynced(); err != nil {
 		return err
 	}
 	r.buffer = r.buffer[:0]
--- a/coord/ringlog/segment.go
+++ b/coord/ringlog/segment.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxHardStateBytes is the room that makeRoom takes for a hard state: a term and a member's ID.
-	maxHardStateBytes = 8 + 64
-	// Room for an encoded membership: gob's description of the types, and each member.
+	// maxHardStateBytes is what ensureSpace reserves for a hard state: a term and a member's ID.
+	maxHardStateBytes = termBytes + 64
+	// ensureSpace reserves for an encoded membership gob's description of the types, and each member.
 	membershipBytes       = 1024
 	membershipMemberBytes = 128
 )
@@ -59,48 +59,50 @@
 	return nil
 }
 
-// makeRoom begins the next segment where the current one may not take a hard state and entries.
-func (r *Ring) makeRoom(entries []replica.Entry) error {
-	need := recordHeaderBytes + maxHardStateBytes
+// ensureSpace starts the next segment where a hard state and the entries may not fit in the current
+// one.
+func (r *Ring) ensureSpace(entries []replica.Entry) error {
+	needed := recordHeaderBytes + maxHardStateBytes
 	for _, entry := range entries {
-		need += recordHeaderBytes + entryHeaderBytes + len(entry.Data)
+		needed += recordHeaderBytes + entryHeaderBytes + len(entry.Data)
 		if entry.Membership != nil {
-			need += membershipBytes + membershipMemberBytes*len(entry.Membership.AllMembers())
+			needed += membershipBytes + membershipMemberBytes*len(entry.Membership.AllMembers())
 		}
 	}
-	if len(r.segments) > 0 && r.offset+need <= r.sizes.SegmentBytes {
+	if len(r.segments) > 0 && r.offset+needed <= r.sizes.SegmentBytes {
 		return nil
 	}
-	return r.beginSegment()
+	return r.startSegmentSynced()
 }
 
-// beginSegment begins the next segment and syncs its beginning.
-func (r *Ring) beginSegment() error {
+// startSegmentSynced starts the next segment and syncs its start.
+func (r *Ring) startSegmentSynced() error {
 	if err := r.syncSegmentStart(); err != nil {
 		return err
 	}
-	if err := r.startSegment(); err != nil {
+	if err := r.startSegmentUnsynced(); err != nil {
 		return err
 	}
 	return r.syncSegmentStart()
 }
 
-// syncSegmentStart syncs the beginning of the current segment, where that was not done yet. No
-// segment may follow one whose beginning can still be lost: its records would seem to be missing.
+// syncSegmentStart syncs the start of the current segment, where that was not done yet. No segment
+// may follow one whose start can still be lost: its records would seem to be missing.
 func (r *Ring) syncSegmentStart() error {
-	if !r.startUnsynced {
+	if !r.segmentStartUnsynced {
 		return nil
 	}
 	if err := r.currentSegment().file.Sync(); err != nil {
 		return errors.Wrap(err, "sync a segment")
 	}
-	r.startUnsynced = false
+	r.segmentStartUnsynced = false
 	return nil
 }
 
-// startSegment takes a free segment, or a new one where there is none, and begins it with the hard
-// state, without a sync.
-func (r *Ring) startSegment() error {
+// startSegmentUnsynced makes a free segment, or a new one where none is free, the current one. It
+// writes the segment's header and the hard state without a sync: the caller syncs them, or the first
+// append does.
+func (r *Ring) startSegmentUnsynced() error {
 	r.reclaim()
 	if len(r.free) == 0 {
 		if err := r.addSegment(len(r.segments)); err != nil {
@@ -121,7 +123,7 @@
 	r.segments = append(r.segments, next)
 	r.nextNumber++
 	r.offset = len(content)
-	r.startUnsynced = true
+	r.segmentStartUnsynced = true
 	return nil
 }
 
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -12,6 +12,9 @@
 	"basaltloft/coord/replica"
 )
 
+// snapshotSlots is the number of slots: one holds the newest snapshot while the other is written.
+const snapshotSlots = 2
+
 // SaveSnapshot writes a snapshot into the older of the two slots and syncs it: the newer one stays
 // whole whatever happens. The log goes on. After an error it may be called again.
 func (r *Ring) SaveSnapshot(snapshot replica.Snapshot) error {
@@ -48,7 +51,7 @@
 
 // newestSnapshot returns the newer of the whole snapshots and its slot; false: there is none.
 func (r *Ring) newestSnapshot() (newest replica.Snapshot, slot int, ok bool) {
-	for i := range 2 {
+	for i := range snapshotSlots {
 		content, err := r.files.ReadFile(r.slotPath(i))
 		if err != nil { // a slot that can't be read is taken for one that was never written
 			continue
@@ -78,12 +81,12 @@
 	if len(content) < snapshotHeaderBytes || binary.LittleEndian.Uint32(content) != magic {
 		return snapshot, false
 	}
-	length := binary.LittleEndian.Uint64(content[8:])
+	length := binary.LittleEndian.Uint64(content[contentOffset:])
 	if length > uint64(len(content)-snapshotHeaderBytes) {
 		return snapshot, false
 	}
 	body := content[snapshotHeaderBytes : snapshotHeaderBytes+length]
-	if checksum(body) != binary.LittleEndian.Uint32(content[4:]) {
+	if checksum(body) != binary.LittleEndian.Uint32(content[checksumOffset:]) {
 		return snapshot, false
 	}
 	return snapshot, gob.NewDecoder(bytes.NewReader(body)).Decode(&snapshot) == nil
