--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -90,7 +90,7 @@
 // TestCallsToRunnersAsBefore: request line, headers and body of each call at a runner.
 func TestCallsToRunnersAsBefore(t *testing.T) {
 	requests, address := recordRequests(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"clock_ms":1}`)) })
-	client := newRunnerClient()
+	client := newRunnerClient(t.Context())
 	full := scheduler.Order{
 		Runner: "instance-1", Address: address, Token: 11, Task: job.TaskRef{Job: "0123456789abcdef", Occurrence: 1, Step: 2, Index: 3}, Attempt: 4,
 		Spec: `text with "quotes" & <signs>`, Checkpoint: "progress-5", DeadlineMs: 600, AckedThrough: 77, WaitMs: 800, Sequence: 9,
@@ -126,7 +126,7 @@
 
 // TestAnswersOfRunnersAreReadAsBefore: each status, and each field of an answer.
 func TestAnswersOfRunnersAreReadAsBefore(t *testing.T) {
-	client := newRunnerClient()
+	client := newRunnerClient(t.Context())
 	for _, c := range []struct {
 		status int
 		body   string
@@ -187,7 +187,7 @@
 		_, _ = w.Write([]byte(`{"instances":[{"id":"i-2","backend":"gpu","address":"10.3.0.2:9000","state":"draining","remaining_ms":1234}],"next_token":null}`))
 	})
 	node := &Node{settings: settings.Settings{CloudAPI: settings.CloudAPI{Address: address}}}
-	list, err := newRunnerListReader(node).readAll()
+	list, err := newRunnerListReader(t.Context(), node).readAll()
 	require.NoError(t, err)
 	compareGolden(t, "calls-to-platform.txt", requests.taken(address))
 	require.Equal(t, []protocol.Runner{
--- a/internal/cluster/controlplane/groups.go
+++ b/internal/cluster/controlplane/groups.go
@@ -33,7 +33,7 @@
 )
 
 // openGroups opens the groups' replicas concurrently, as each waits for the disk several times. Those
-// that could be opened are kept also where another one could not.
+// that could be opened are in n.groups also where it returns an error for others.
 func (n *Node) openGroups(stateMachines map[string]group.StateMachine) error {
 	type result struct {
 		group *group.Group
@@ -46,15 +46,15 @@
 		opening.Go(func() { results[i].group, results[i].err = n.openGroup(name, stateMachines[name]) })
 	}
 	opening.Wait()
-	var failed error
+	var openErr error
 	for i, name := range names {
 		if results[i].err != nil {
-			failed = errors.CombineErrors(failed, errors.Wrapf(results[i].err, "open group %s", name))
+			openErr = errors.CombineErrors(openErr, errors.Wrapf(results[i].err, "open group %s", name))
 			continue
 		}
 		n.groups[name] = results[i].group
 	}
-	return failed
+	return openErr
 }
 
 func (n *Node) openGroup(name string, stateMachine group.StateMachine) (*group.Group, error) {
@@ -116,14 +116,15 @@
 }
 
 const (
-	// transferTimeout bounds how long a stopping node waits until others lead its groups.
+	// transferTimeout bounds how long a stopping node waits until other nodes lead its groups.
 	transferTimeout = 1500 * time.Millisecond
 	// transferPollInterval is how often it checks that meanwhile.
 	transferPollInterval = 50 * time.Millisecond
 )
 
-// transferLeadership gives away what this node leads, so that a planned stop costs no election, and
-// its votes where a learner can take them, so that the group bears the next loss at once.
+// transferLeadership transfers the leadership of this node's groups, so that a planned stop costs no
+// election, and its votes where a learner can take them, so that the groups tolerate another loss at
+// once. It returns when that is done, or after transferTimeout.
 func (n *Node) transferLeadership() {
 	if !n.replicasRunning.Load() {
 		return
@@ -132,7 +133,11 @@
 		g.TransferLeadership()
 	}
 	deadline := time.Now().Add(transferTimeout)
-	for time.Now().Before(deadline) && (n.sendLeaveNotices() || n.leadsAnyGroup()) {
+	for time.Now().Before(deadline) {
+		stillVotes := n.sendLeaveNotices() // sent again in each round: a notice may be lost
+		if !stillVotes && !n.leadsAnyGroup() {
+			return
+		}
 		time.Sleep(transferPollInterval)
 	}
 }
--- a/internal/cluster/controlplane/handler.go
+++ b/internal/cluster/controlplane/handler.go
@@ -26,6 +26,8 @@
 // HandleCall implements rpc.Handler.
 func (n *Node) HandleCall(body any) any {
 	if !n.replicasRunning.Load() {
+		// Status 0: not the leader. Senders of other requests take a response of a type that they
+		// don't expect as a failed call.
 		return protocol.JobResponse{}
 	}
 	switch request := body.(type) {
@@ -43,7 +45,8 @@
 	return protocol.JobResponse{Status: http.StatusBadRequest, Reason: "this message is not known here: run the same version everywhere"}
 }
 
-// callShard calls a shard and waits for its response.
+// callShard calls a shard and waits for its response. Of a shard that does not exist the response is that
+// of a node that is not its leader.
 func (n *Node) callShard(number int, call func(*shardLoop, func(protocol.JobResponse))) protocol.JobResponse {
 	if number < 0 || number >= len(n.shards) {
 		return protocol.JobResponse{}
--- a/internal/cluster/controlplane/join.go
+++ b/internal/cluster/controlplane/join.go
@@ -84,12 +84,12 @@
 
 // sendLeaveNotices tells the leaders of its groups that this node shuts down, so that a learner takes
 // its vote at once. It returns whether a learner can do so in some group where this node still votes.
-func (n *Node) sendLeaveNotices() (learnerWaits bool) {
+func (n *Node) sendLeaveNotices() (stillVotes bool) {
 	for name, g := range n.groups {
 		for _, address := range leader.LeaveTargets(g.Membership(), n.self.ID, n.seeds()) {
-			learnerWaits = true
+			stillVotes = true
 			n.peers.sendOneWay(address, protocol.LeaveNotice{Group: name, ID: n.self.ID})
 		}
 	}
-	return learnerWaits
+	return stillVotes
 }
--- a/internal/cluster/controlplane/node.go
+++ b/internal/cluster/controlplane/node.go
@@ -31,7 +31,7 @@
 // commandsByRPC is the one supported value of the setting that says how runners get their orders.
 const commandsByRPC = "rpc"
 
-// Node is one process of the control plane.
+// Node is one process of the control plane. Its exported methods may be called concurrently.
 type Node struct {
 	settings settings.Settings
 	log      *slog.Logger
@@ -47,7 +47,7 @@
 	shards           []*shardLoop // by number
 	runnerListReader *runnerListReader
 	operators        *operatorAPI
-	damaged          error // why the state on disk can't be used; nil: it can
+	damageCause      error // why the state on disk can't be used; nil: it can
 
 	replicasRunning atomic.Bool
 	stop            chan struct{}   // closed when the node stops
@@ -55,11 +55,14 @@
 	endLifetime     context.CancelFunc
 	tasks           sync.WaitGroup // the goroutines that Run started, directly or not
 
-	mu sync.Mutex // guards settings.Seeds
+	// mu guards settings.Seeds, which Reload replaces: read them by seeds. All other settings stay as New
+	// got them, but Bootstrap, which recoverDataDir clears before anything else runs.
+	mu sync.Mutex
 }
 
-// New opens a node's state on disk. It does not serve yet. Where the state can't be read New succeeds
-// all the same, and Run tries to recover.
+// New opens a node's state on disk. It does not serve yet. Where the state is damaged New succeeds all
+// the same, and Run tries to recover. It returns an error where the settings name no data folder, or
+// of the file system.
 func New(settings settings.Settings, log *slog.Logger) (*Node, error) {
 	if settings.DataDir == "" {
 		return nil, errors.New("data_dir is empty: run the core on machines with a disk")
@@ -74,7 +77,7 @@
 	n.peers.deliverLocal = n.receive
 	err := n.open()
 	if errors.Is(err, ringlog.ErrDamaged) || errors.Is(err, errIdentityUnreadable) {
-		n.damaged = err
+		n.damageCause = err
 		return n, nil
 	}
 	return n, err
@@ -95,12 +98,10 @@
 	n.identity = found
 	n.self.ID = found.ID
 	n.rpc = rpc.NewServer(n)
-	n.runnerListReader = newRunnerListReader(n)
-	n.runnerListReader.lifetime = n.lifetime
+	n.runnerListReader = newRunnerListReader(n.lifetime, n)
 	n.config = leader.NewConfiguration(n.updateShardConfigs, n.runnerListReader.setEpoch, n.log)
 	n.operators = &operatorAPI{node: n, config: n.config}
-	runners := newRunnerClient()
-	runners.lifetime = n.lifetime
+	runners := newRunnerClient(n.lifetime)
 	stateMachines := map[string]group.StateMachine{protocol.ConfigGroup: n.config}
 	var shards []*shardLoop
 	for number := range protocol.ShardCount {
@@ -117,7 +118,7 @@
 		loop.SetGroup(n.groups[protocol.ShardGroup(number)])
 		loop.UpdateConfig(n.config.Current())
 	}
-	n.shards = shards
+	n.shards = shards // last: the callbacks of opening groups find no shard that is not set up
 	return nil
 }
 
@@ -128,43 +129,46 @@
 	}
 }
 
-// Run serves until the context ends, and then transfers what this node leads to others. It returns
-// once the goroutines that it started have ended, or after closeTimeout.
+// Run serves until the context ends, and then transfers the leadership of this node's groups to other
+// nodes. It returns once the goroutines that it started have ended, or closeTimeout after the transfer.
+// It returns an error where it can't listen, or where damaged state can't be set aside. It is called
+// once.
 func (n *Node) Run(ctx context.Context) error {
 	if err := n.recoverDataDir(ctx); err != nil {
 		return err
 	}
-	if n.damaged != nil {
+	if n.damageCause != nil {
 		return nil // the context ended before the disk could be used
 	}
 	internal, operators := n.servers()
-	failed := make(chan error, 2)
+	serveErrors := make(chan error, 2) // has room for both, so that neither goroutine waits for a reader
 	for _, server := range []*http.Server{internal, operators} {
-		n.tasks.Go(func() { failed <- server.ListenAndServe() })
+		n.tasks.Go(func() { serveErrors <- server.ListenAndServe() })
 	}
 	n.tasks.Go(n.joinGroups)
-	var failure error
+	var err error
 	select {
-	case err := <-failed:
-		failure = errors.Wrap(err, "serve")
+	case serveErr := <-serveErrors:
+		err = errors.Wrap(serveErr, "serve")
 	case <-ctx.Done():
 		n.transferLeadership()
 	}
 	n.shutDown(internal, operators)
-	return failure
+	return err
 }
 
 // headerTimeout bounds how long a server waits for a request's header.
 const headerTimeout = 5 * time.Second
 
+// servers returns the server of other processes and that of operators; neither serves yet.
 func (n *Node) servers() (internal, operators *http.Server) {
-	private := http.NewServeMux()
-	private.Handle(rpc.Path, n.rpc)
-	public := http.NewServeMux()
-	public.HandleFunc("POST /-/config/replace", n.operators.serveReplace)
-	public.HandleFunc("GET /-/config/get", n.operators.serveGet)
-	internal = &http.Server{Addr: n.self.Address, Handler: private, ReadHeaderTimeout: headerTimeout}
-	operators = &http.Server{Addr: n.settings.Listen.Control, Handler: public, ReadHeaderTimeout: headerTimeout}
+	internalMux := http.NewServeMux()
+	internalMux.Handle(rpc.Path, n.rpc)
+	operatorMux := http.NewServeMux()
+	operatorMux.HandleFunc("POST /-/config/replace", n.operators.serveReplace)
+	operatorMux.HandleFunc("GET /-/config/get", n.operators.serveGet)
+	internal = &http.Server{Addr: n.self.Address, Handler: internalMux, ReadHeaderTimeout: headerTimeout}
+	operators = &http.Server{Addr: n.settings.Listen.Control, Handler: operatorMux, ReadHeaderTimeout: headerTimeout}
 	return internal, operators
 }
 
@@ -182,11 +186,11 @@
 // closeTimeout bounds how long a stopping node waits for its goroutines and its disk.
 const closeTimeout = 300 * time.Millisecond
 
-// closeGroups waits for the node's goroutines and closes its replicas. What a replica has promised to
-// others is on disk already, so that a disk that hangs is not waited for.
+// closeGroups waits for the node's goroutines and closes its replicas, for closeTimeout at most: what a
+// replica has acknowledged is on disk already, so that nothing depends on a disk that hangs.
 func (n *Node) closeGroups() {
 	closed := make(chan struct{})
-	go func() { // may outlast Run, by a disk that hangs
+	go func() { // may outlive Run where a disk hangs
 		defer close(closed)
 		n.tasks.Wait()
 		if !n.replicasRunning.Load() {
@@ -202,7 +206,8 @@
 	}
 }
 
-// Reload takes in settings that have changed. Only the seeds can change while the node runs.
+// Reload applies settings that have changed. Only the seeds can change while the node runs: all other
+// changes are ignored. It may be called concurrently with Run.
 func (n *Node) Reload(settings settings.Settings) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/controlplane/recovery.go
+++ b/internal/cluster/controlplane/recovery.go
@@ -18,7 +18,7 @@
 const (
 	leaderCheckInterval = 500 * time.Millisecond
 	leaderCheckTimeout  = 800 * time.Millisecond // of each call
-	damageLogInterval   = 10 * time.Second
+	damageLogInterval   = 10 * time.Second       // between two log lines while the node waits
 )
 
 // recoverDataDir makes a data folder usable whose state can't be read. That state may be the last copy
@@ -26,14 +26,14 @@
 // elsewhere: a lease shows that a majority has what this disk had. Until then the node serves nothing
 // and logs why. It stays damaged where the context ends first.
 func (n *Node) recoverDataDir(ctx context.Context) error {
-	if n.damaged == nil {
+	if n.damageCause == nil {
 		return nil
 	}
 	loggedAt := time.Time{}
-	for !n.ledElsewhere() {
+	for !n.allGroupsLedElsewhere() {
 		if time.Since(loggedAt) > damageLogInterval {
 			loggedAt = time.Now()
-			n.log.Error("state on disk unusable and not all groups have a leader elsewhere, nothing is changed: start the other core machines or restore this disk", "error", n.damaged.Error())
+			n.log.Error("state on disk unusable and not all groups have a leader elsewhere, nothing is changed: start the other core machines or restore this disk", "error", n.damageCause.Error())
 		}
 		select {
 		case <-ctx.Done():
@@ -41,7 +41,7 @@
 		case <-time.After(leaderCheckInterval):
 		}
 	}
-	n.log.Error("state on disk unusable and set aside, joining as a new member", "error", n.damaged.Error())
+	n.log.Error("state on disk unusable and set aside, joining as a new member", "error", n.damageCause.Error())
 	for _, g := range n.groups { // those that could be opened; none runs
 		g.Close()
 	}
@@ -53,14 +53,28 @@
 	if err := n.open(); err != nil {
 		return errors.Wrap(err, "check the disk")
 	}
-	n.damaged = nil
+	n.damageCause = nil
 	return nil
 }
 
-// ledElsewhere tells whether each group has a leader with a lease among the seeds and the members that
-// they name.
-func (n *Node) ledElsewhere() bool {
-	led := map[string]bool{} // by group
+// allGroupsLedElsewhere tells whether each group has a leader with a lease on another node.
+func (n *Node) allGroupsLedElsewhere() bool {
+	hasLeader := n.findLedGroups()
+	if !hasLeader[protocol.ConfigGroup] {
+		return false
+	}
+	for number := range protocol.ShardCount {
+		if !hasLeader[protocol.ShardGroup(number)] {
+			return false
+		}
+	}
+	return true
+}
+
+// findLedGroups asks the seeds, and the members that they name, which groups they lead with a lease. It
+// returns these groups by name.
+func (n *Node) findLedGroups() map[string]bool {
+	hasLeader := map[string]bool{}
 	visited := map[string]bool{n.self.Address: true}
 	addresses := n.seeds()
 	for len(addresses) > 0 {
@@ -76,21 +90,13 @@
 			continue
 		}
 		for _, g := range status.Groups {
-			led[g.Name] = led[g.Name] || g.Leads
+			hasLeader[g.Name] = hasLeader[g.Name] || g.Leads
 			for _, member := range g.Members.AllMembers() {
 				addresses = append(addresses, member.Address)
 			}
 		}
 	}
-	if !led[protocol.ConfigGroup] {
-		return false
-	}
-	for number := range protocol.ShardCount {
-		if !led[protocol.ShardGroup(number)] {
-			return false
-		}
-	}
-	return true
+	return hasLeader
 }
 
 // setAsidePrefix begins the names of folders with state that is not used any more.
--- a/internal/cluster/controlplane/recovery_test.go
+++ b/internal/cluster/controlplane/recovery_test.go
@@ -56,24 +56,24 @@
 	}
 	node, err := New(config, slog.New(slog.DiscardHandler))
 	require.NoError(t, err)
-	require.ErrorIs(t, node.damaged, errIdentityUnreadable)
+	require.ErrorIs(t, node.damageCause, errIdentityUnreadable)
 
 	groups := int32(1 + protocol.ShardCount)
 	for n := range groups {
 		ledGroups.Store(n)
-		require.False(t, node.ledElsewhere(), "%d of %d groups are led", n, groups)
+		require.False(t, node.allGroupsLedElsewhere(), "%d of %d groups are led", n, groups)
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.NoError(t, node.recoverDataDir(ended))
-	require.Error(t, node.damaged)
+	require.Error(t, node.damageCause)
 	kept, err := os.ReadFile(filepath.Join(folder, identityFile))
 	require.NoError(t, err)
 	require.Equal(t, "torn", string(kept))
 
 	ledGroups.Store(groups)
 	require.NoError(t, node.recoverDataDir(t.Context()))
-	require.NoError(t, node.damaged)
+	require.NoError(t, node.damageCause)
 	require.NotEmpty(t, node.identity.ID)
 	require.Nil(t, node.identity.Founding, "it joins; it is no founder")
 	require.False(t, node.groups[protocol.ConfigGroup].IsBootstrapped())
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -15,12 +15,21 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// runnerClient sends orders to runners, each once.
+// runnerClient sends orders to runners, each once. Its methods may be called concurrently.
 type runnerClient struct {
 	http     *http.Client
 	lifetime context.Context // bounds all calls
 }
 
+// Paths of the orders in the runners' protocol, and the header that names the incarnation for which an
+// order is meant: another one at the same address answers 421.
+const (
+	startPath         = "/-/run-start"
+	stopPath          = "/-/run-stop"
+	leasePath         = "/-/hold"
+	incarnationHeader = "Expect-Instance"
+)
+
 const (
 	maxConnsPerRunner     = 6
 	maxIdleConnsPerRunner = 3
@@ -32,8 +41,8 @@
 	connBufferBytes       = 2 << 10
 )
 
-// newRunnerClient returns a client without a bound on its lifetime.
-func newRunnerClient() *runnerClient {
+// newRunnerClient returns a client whose calls all end with lifetime.
+func newRunnerClient(lifetime context.Context) *runnerClient {
 	transport := &http.Transport{
 		DialContext:         rpc.Dialer().DialContext,
 		MaxConnsPerHost:     maxConnsPerRunner,
@@ -43,14 +52,14 @@
 		ReadBufferSize:      connBufferBytes,
 		WriteBufferSize:     connBufferBytes,
 	}
-	return &runnerClient{http: &http.Client{CheckRedirect: noRedirect, Transport: transport}, lifetime: context.Background()}
+	return &runnerClient{http: &http.Client{CheckRedirect: noRedirect, Transport: transport}, lifetime: lifetime}
 }
 
 // noRedirect keeps a call from being sent again elsewhere. The transport sends a POST again by itself
 // only where nothing of it was written.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// startRequest, stopRequest and leaseRequest are the bodies of the orders in the runners' protocol.
+// startRequest is the body of an order to start a run, in the runners' protocol.
 type startRequest struct {
 	Task         string `json:"task"`
 	Attempt      int    `json:"attempt"`
@@ -60,17 +69,19 @@
 	Checkpointed string `json:"checkpointed,omitempty"`
 }
 
+// stopRequest is the body of an order to stop a run.
 type stopRequest struct {
 	Task       string `json:"task"`
 	Attempt    int    `json:"attempt"`
 	FenceToken uint64 `json:"fence_token"`
 }
 
+// leaseRequest is the body of an order to renew the lease of a runner's tasks and to report them.
 type leaseRequest struct {
-	DeadlineMs int64  `json:"deadline_ms,omitempty"`
+	DeadlineMs int64  `json:"deadline_ms,omitempty"` // on the runner's clock: end of the lease; 0: it is not renewed
 	FenceToken uint64 `json:"fence_token"`
-	LastSeen   uint64 `json:"last_seen"`
-	WaitMs     int64  `json:"wait_ms,omitempty"`
+	LastSeen   uint64 `json:"last_seen"`         // number of the last reported end that is committed
+	WaitMs     int64  `json:"wait_ms,omitempty"` // how long the runner may wait for news before it replies
 }
 
 // runnerReply is the body of a runner's reply to any order.
@@ -98,7 +109,7 @@
 		return 0, runnerReply{}, errors.Wrap(err, "build an order")
 	}
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set("Expect-Instance", order.Runner)
+	request.Header.Set(incarnationHeader, order.Runner)
 	response, err := c.http.Do(request)
 	if err != nil {
 		return 0, runnerReply{}, errors.Wrap(err, "send an order")
@@ -116,7 +127,7 @@
 
 // start sends an order to start a run. It returns the runner's clock in milliseconds, where the reply has it.
 func (c *runnerClient) start(order scheduler.Order) (result scheduler.StartReply, clockMs int64) {
-	status, reply, err := c.post(startTimeout, order, "/-/run-start", startRequest{
+	status, reply, err := c.post(startTimeout, order, startPath, startRequest{
 		Task:         order.Task.String(),
 		Attempt:      order.Attempt,
 		Spec:         order.Spec,
@@ -139,7 +150,11 @@
 
 // stop sends an order to stop a run. It returns the runner's clock where the reply has it.
 func (c *runnerClient) stop(order scheduler.Order) (stopped scheduler.StopReply, clockMs int64) {
-	status, reply, err := c.post(stopTimeout, order, "/-/run-stop", stopRequest{Task: order.Task.String(), Attempt: order.Attempt, FenceToken: order.Token})
+	status, reply, err := c.post(stopTimeout, order, stopPath, stopRequest{
+		Task:       order.Task.String(),
+		Attempt:    order.Attempt,
+		FenceToken: order.Token,
+	})
 	if err != nil {
 		return scheduler.StopNotConfirmed, 0
 	}
@@ -155,7 +170,7 @@
 // renewLease renews the lease of a runner's tasks and returns its report of them.
 func (c *runnerClient) renewLease(order scheduler.Order) (scheduler.LeaseReply, scheduler.RunnerReport) {
 	timeout := time.Duration(order.WaitMs)*time.Millisecond + leaseReplyGrace
-	status, reply, err := c.post(timeout, order, "/-/hold", leaseRequest{
+	status, reply, err := c.post(timeout, order, leasePath, leaseRequest{
 		DeadlineMs: order.DeadlineMs,
 		FenceToken: order.Token,
 		LastSeen:   order.AckedThrough,
--- a/internal/cluster/controlplane/runnerclient_test.go
+++ b/internal/cluster/controlplane/runnerclient_test.go
@@ -40,7 +40,7 @@
 		}
 	}))
 	defer runner.Close()
-	client := newRunnerClient()
+	client := newRunnerClient(t.Context())
 	order := scheduler.Order{Kind: scheduler.OrderStart, Address: strings.TrimPrefix(runner.URL, "http://"), Runner: "r"}
 	for _, step := range []struct { // in this order, on one client
 		behaviour int32
--- a/internal/cluster/controlplane/runnerlist.go
+++ b/internal/cluster/controlplane/runnerlist.go
@@ -26,10 +26,10 @@
 	wake     chan struct{}   // buffered: the epoch has changed
 
 	mu       sync.Mutex
-	epoch    uint64 // of this node's leadership; 0: another node reads the list
-	sequence uint64 // of the last list that this node has read
-	newest   protocol.RunnerList
-	lastSent time.Time
+	epoch    uint64              // of this node's leadership; 0: another node reads the list
+	sequence uint64              // of the last list that this node has read
+	newest   protocol.RunnerList // the list that the shards of this node have
+	lastSent time.Time           // when a list was last sent to other nodes; zero: not in this epoch
 }
 
 const (
@@ -41,13 +41,13 @@
 	maxPageBytes   = 8 << 20
 )
 
-// newRunnerListReader returns a reader without a bound on its lifetime.
-func newRunnerListReader(n *Node) *runnerListReader {
+// newRunnerListReader returns a reader whose calls all end with lifetime.
+func newRunnerListReader(lifetime context.Context, n *Node) *runnerListReader {
 	transport := &http.Transport{DialContext: rpc.Dialer().DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1}
 	return &runnerListReader{
 		node:     n,
 		http:     &http.Client{CheckRedirect: noRedirect, Transport: transport},
-		lifetime: context.Background(),
+		lifetime: lifetime,
 		wake:     make(chan struct{}, 1),
 	}
 }
@@ -58,10 +58,7 @@
 	defer r.mu.Unlock()
 	r.epoch = epoch
 	r.lastSent = time.Time{}
-	select {
-	case r.wake <- struct{}{}:
-	default: // it is woken already
-	}
+	wakeUp(r.wake)
 }
 
 // run reads the list at intervals until the node stops.
@@ -195,12 +192,12 @@
 // update passes a list to the shards of this node, unless a newer one came before.
 func (r *runnerListReader) update(message protocol.RunnerList) {
 	r.mu.Lock()
-	older := message.Epoch < r.newest.Epoch || message.Epoch == r.newest.Epoch && message.Sequence <= r.newest.Sequence
-	if !older {
+	isNewer := message.NewerThan(r.newest)
+	if isNewer {
 		r.newest = message
 	}
 	r.mu.Unlock()
-	if older {
+	if !isNewer {
 		return
 	}
 	for _, loop := range r.node.shards {
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -26,14 +26,17 @@
 	pendingCycleTick = 3 * time.Millisecond
 )
 
+// wakeUp wakes the reader of a channel with room for one signal, unless it is woken already.
+func wakeUp(wake chan<- struct{}) {
+	select {
+	case wake <- struct{}{}:
+	default:
+	}
+}
+
 func (n *Node) newShardLoop(number int, runners *runnerClient) *shardLoop {
 	loop := &shardLoop{runners: runners, wake: make(chan struct{}, 1), stop: n.stop, tasks: &n.tasks}
-	wake := func() {
-		select {
-		case loop.wake <- struct{}{}:
-		default: // it is woken already
-		}
-	}
+	wake := func() { wakeUp(loop.wake) }
 	clocks := leader.Clocks{Monotonic: n.now, UnixMs: func() int64 { return time.Now().UnixMilli() }}
 	loop.Shard = leader.NewShard(number, n.schedulerConfig(), clocks, wake, n.log)
 	return loop
@@ -72,9 +75,10 @@
 	}
 }
 
-// send sends an order, if the lease under which it was given is still held, and passes the reply on.
+// send sends an order, if the lease under which its issuer gave it is still held, and passes the reply
+// to the issuer. An order that may not be sent is reported as one without a reply.
 // An order is sent once; whether one without a reply is sent again is the scheduler's decision.
-func (s *shardLoop) send(sender *scheduler.Scheduler, order scheduler.Order) {
+func (s *shardLoop) send(issuer *scheduler.Scheduler, order scheduler.Order) {
 	maySend := s.MaySend(order)
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
@@ -82,19 +86,19 @@
 		if maySend {
 			reply, report = s.runners.renewLease(order)
 		}
-		s.OrderReplied(sender, func(now time.Duration) { sender.LeaseReplied(now, order, reply, report) })
+		s.OrderReplied(issuer, func(now time.Duration) { issuer.LeaseReplied(now, order, reply, report) })
 	case scheduler.OrderStart:
 		reply, clockMs := scheduler.StartNoReply, int64(0)
 		if maySend {
 			reply, clockMs = s.runners.start(order)
 		}
-		s.OrderReplied(sender, func(now time.Duration) { sender.StartReplied(now, order, reply, clockMs) })
+		s.OrderReplied(issuer, func(now time.Duration) { issuer.StartReplied(now, order, reply, clockMs) })
 	case scheduler.OrderStop:
 		reply, clockMs := scheduler.StopNotConfirmed, int64(0)
 		if maySend {
 			reply, clockMs = s.runners.stop(order)
 		}
-		s.OrderReplied(sender, func(now time.Duration) { sender.StopReplied(now, order, reply, clockMs) })
+		s.OrderReplied(issuer, func(now time.Duration) { issuer.StopReplied(now, order, reply, clockMs) })
 	}
 }
 
--- a/internal/cluster/protocol/runners.go
+++ b/internal/cluster/protocol/runners.go
@@ -11,6 +11,14 @@
 	List     []Runner
 }
 
+// NewerThan tells whether this list replaces another one; the zero value is older than any list.
+func (l RunnerList) NewerThan(other RunnerList) bool {
+	if l.Epoch != other.Epoch {
+		return l.Epoch > other.Epoch
+	}
+	return l.Sequence > other.Sequence
+}
+
 // Runner is one incarnation of a runner, as the platform lists it.
 type Runner struct {
 	ID          string // of the incarnation
