--- a/internal/cluster/leader/configuration.go
+++ b/internal/cluster/leader/configuration.go
@@ -34,7 +34,7 @@
 
 // SetGroup gives the replica its group. It is called once, before any other method but those of
 // group.StateMachine.
-func (c *Configuration) SetGroup(own Group) { c.group = own }
+func (c *Configuration) SetGroup(replicaGroup Group) { c.group = replicaGroup }
 
 // Apply implements group.StateMachine. Its result is an opconfig.Verdict.
 func (c *Configuration) Apply(_ uint64, command []byte) (any, error) {
@@ -130,7 +130,7 @@
 func (c *Configuration) HandleOperatorRequest(request protocol.OperatorRequest, reply func(protocol.OperatorResponse)) {
 	switch {
 	case !c.group.IsLeader():
-		reply(c.notLeader())
+		reply(c.notLeaderResponse())
 	case request.Replace:
 		c.replace(request, reply)
 	default:
@@ -138,7 +138,7 @@
 	}
 }
 
-func (c *Configuration) notLeader() protocol.OperatorResponse {
+func (c *Configuration) notLeaderResponse() protocol.OperatorResponse {
 	return protocol.OperatorResponse{Leader: c.group.Leader().Address}
 }
 
@@ -154,15 +154,15 @@
 		reply(protocol.OperatorResponse{Status: http.StatusServiceUnavailable, Reason: err.Error()})
 		return
 	}
-	c.group.Propose(command, func(result any, err error) { reply(c.replaced(result, err)) })
+	c.group.Propose(command, func(result any, err error) { reply(c.replacedResponse(result, err)) })
 }
 
-// replaced turns the outcome of a proposal into a response: only a committed command confirms or
+// replacedResponse turns the outcome of a proposal into a response: only a committed command confirms or
 // rejects a change.
-func (c *Configuration) replaced(result any, err error) protocol.OperatorResponse {
+func (c *Configuration) replacedResponse(result any, err error) protocol.OperatorResponse {
 	switch {
 	case errors.Is(err, group.ErrNotLeader):
-		return c.notLeader()
+		return c.notLeaderResponse()
 	case err != nil:
 		return protocol.OperatorResponse{Status: http.StatusServiceUnavailable, Reason: err.Error()}
 	}
@@ -183,7 +183,7 @@
 	content := c.register.Content
 	c.mu.Unlock()
 	if !c.group.IsLeader() {
-		return c.notLeader()
+		return c.notLeaderResponse()
 	}
 	if len(content) == 0 {
 		return protocol.OperatorResponse{Status: http.StatusNotFound, Reason: "there is no configuration yet"}
--- a/internal/cluster/leader/cycle.go
+++ b/internal/cluster/leader/cycle.go
@@ -31,40 +31,51 @@
 
 // RunCycle runs the scheduler once and proposes the commands that it and the clients want. It
 // returns the orders to send. Where this process does not lead the group, there are none, and the
-// clients whose commands wait are answered.
+// clients whose commands wait are answered with group.ErrNotLeader.
 func (s *Shard) RunCycle() Orders {
-	s.mu.Lock()
-	current := s.scheduler
+	current, output, clients := s.runScheduler()
 	if current == nil {
-		rejected := s.clientCommands
-		s.clientCommands = nil
-		s.mu.Unlock()
-		for _, client := range rejected {
+		for _, client := range clients {
 			client.done(0, group.ErrNotLeader)
 		}
 		return Orders{}
 	}
+	if len(output.Commands)+len(clients) > 0 {
+		s.proposeBatch(current, output, clients)
+	}
+	return Orders{Scheduler: current, List: output.Orders, CyclePending: output.Again}
+}
+
+// runScheduler runs the scheduler once. It returns its output with the clients' commands that wait, and
+// counts the batch that they make as in flight. While maxBatchesInFlight are, neither has commands.
+// Where this process does not lead the group, the scheduler is nil.
+func (s *Shard) runScheduler() (current *scheduler.Scheduler, output scheduler.Output, clients []clientCommand) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	current = s.scheduler
+	if current == nil {
+		return nil, scheduler.Output{}, s.takeClientCommandsLocked()
+	}
 	current.Tick(s.clocks.Monotonic(), s.clocks.UnixMs())
 	mayPropose := s.batchesInFlight < maxBatchesInFlight
-	output := current.TakeOutput(s.clocks.Monotonic(), mayPropose)
-	var clients []clientCommand
+	output = current.TakeOutput(s.clocks.Monotonic(), mayPropose)
 	if mayPropose {
-		clients = s.clientCommands
-		s.clientCommands = nil
+		clients = s.takeClientCommandsLocked()
 	}
-	hasCommands := len(output.Commands)+len(clients) > 0
-	if hasCommands {
+	if len(output.Commands)+len(clients) > 0 {
 		s.batchesInFlight++
 	}
-	s.mu.Unlock()
-	if hasCommands {
-		s.proposeBatch(current, output, clients)
-	}
-	return Orders{Scheduler: current, List: output.Orders, CyclePending: output.Again}
+	return current, output, clients
+}
+
+func (s *Shard) takeClientCommandsLocked() []clientCommand {
+	clients := s.clientCommands
+	s.clientCommands = nil
+	return clients
 }
 
-// proposeBatch proposes the scheduler's commands and then the clients'. Where the leadership is lost
-// the scheduler is dropped, and with it what it wanted.
+// proposeBatch proposes the scheduler's commands and then the clients', in one batch. Where the
+// leadership is lost the scheduler is dropped with the commands that it proposed.
 func (s *Shard) proposeBatch(proposer *scheduler.Scheduler, output scheduler.Output, clients []clientCommand) {
 	batch := job.Batch{Commands: output.Commands}
 	for _, client := range clients {
@@ -78,7 +89,7 @@
 }
 
 // answerClients calls each client's callback with the outcome of its command; first is the position
-// of the first client's in the batch. The outcome is 0 where it is not known.
+// of the first client's command in the batch. The outcome is 0 where it is not known.
 func answerClients(clients []clientCommand, outcomes []job.Outcome, first int, err error) {
 	for i, client := range clients {
 		outcome := job.Outcome(0)
@@ -89,6 +100,8 @@
 	}
 }
 
+// batchCommitted tells the scheduler that proposed a batch that it is committed, or by an error that this
+// is not known; not one that was dropped meanwhile.
 func (s *Shard) batchCommitted(proposer *scheduler.Scheduler, output scheduler.Output, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +115,8 @@
 	s.wake()
 }
 
-// MaySend tells whether an order may be sent at this moment: the lease under which the scheduler
-// gave it is still held.
+// MaySend tells whether an order may be sent at this moment: this process still holds the lease of the
+// epoch in which the scheduler gave it.
 func (s *Shard) MaySend(order scheduler.Order) bool {
 	epoch, _, held := s.group.Lease()
 	return held && epoch == order.Token
@@ -111,10 +124,10 @@
 
 // OrderReplied passes a reply to an order to the scheduler that gave it: it calls input with the
 // time, unless that scheduler was dropped meanwhile.
-func (s *Shard) OrderReplied(sender *scheduler.Scheduler, input func(now time.Duration)) {
+func (s *Shard) OrderReplied(issuer *scheduler.Scheduler, input func(now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.scheduler != sender {
+	if s.scheduler != issuer {
 		return
 	}
 	input(s.clocks.Monotonic())
@@ -123,12 +136,12 @@
 
 // enqueue puts a client's command into the next batch. It calls done once, with the outcome, or with
 // group.ErrBusy where too many commands wait.
-func (s *Shard) enqueue(c job.Command, done func(job.Outcome, error)) {
-	c.ProposedAtMs = s.clocks.UnixMs()
+func (s *Shard) enqueue(command job.Command, done func(job.Outcome, error)) {
+	command.ProposedAtMs = s.clocks.UnixMs()
 	s.mu.Lock()
 	full := len(s.clientCommands) >= maxClientCommands
 	if !full {
-		s.clientCommands = append(s.clientCommands, clientCommand{command: c, done: done})
+		s.clientCommands = append(s.clientCommands, clientCommand{command: command, done: done})
 	}
 	s.mu.Unlock()
 	if full {
--- a/internal/cluster/leader/membership.go
+++ b/internal/cluster/leader/membership.go
@@ -11,26 +11,26 @@
 const founderPrefix = "founder-"
 
 // FoundingMembership returns the member ID of a process on an empty disk and, where it is a founder,
-// the first membership of all groups; drawn is the ID that it gets if it is none. On the first start
-// of the whole system all processes are given the same seeds, so that each seed computes the first
-// membership by itself. A process that starts later on an empty disk is never a founder: bootstrap is
-// false then.
-func FoundingMembership(bootstrap bool, seeds []string, self string, drawn string) (id string, founding *replica.Membership) {
+// the first membership of all groups; randomID is the ID that it gets if it is none. Addresses are
+// host:port. On the first start of the whole system all processes are given the same seeds, so that
+// each seed computes the first membership by itself. bootstrap must be false for a process that starts
+// later on an empty disk: it is never a founder.
+func FoundingMembership(bootstrap bool, seeds []string, selfAddress, randomID string) (id string, founding *replica.Membership) {
 	seeds = unique(seeds)
-	if !bootstrap || !slices.Contains(seeds, self) {
-		return drawn, nil
+	if !bootstrap || !slices.Contains(seeds, selfAddress) {
+		return randomID, nil
 	}
 	founding = &replica.Membership{}
 	for _, seed := range seeds {
 		founding.Voters = append(founding.Voters, replica.Member{ID: founderPrefix + seed, Address: seed})
 	}
-	return founderPrefix + self, founding
+	return founderPrefix + selfAddress, founding
 }
 
 // JoinTargets returns the addresses to which a replica sends a request to join its group: all that may
 // know the leader; none where it is a voter and knows the leader.
-func JoinTargets(members replica.Membership, leader replica.Member, self string, seeds []string) []string {
-	if members.IsVoter(self) && leader.ID != "" {
+func JoinTargets(members replica.Membership, leader replica.Member, selfID string, seeds []string) []string {
+	if members.IsVoter(selfID) && leader.ID != "" {
 		return nil
 	}
 	return KnownAddresses(members, seeds)
@@ -47,8 +47,8 @@
 
 // LeaveTargets returns the addresses to which a replica that shuts down sends a notice: all that may
 // know the leader, where a learner can take its vote; else none.
-func LeaveTargets(members replica.Membership, self string, seeds []string) []string {
-	if !members.IsVoter(self) || len(members.Learners) == 0 {
+func LeaveTargets(members replica.Membership, selfID string, seeds []string) []string {
+	if !members.IsVoter(selfID) || len(members.Learners) == 0 {
 		return nil
 	}
 	return KnownAddresses(members, seeds)
@@ -56,8 +56,8 @@
 
 // JoinRelayAddress returns the address of the leader, to which a request to join is forwarded once;
 // empty: it is not forwarded.
-func JoinRelayAddress(request protocol.JoinRequest, leader replica.Member, self string) string {
-	if request.Relayed || leader.ID == self {
+func JoinRelayAddress(request protocol.JoinRequest, leader replica.Member, selfID string) string {
+	if request.Relayed || leader.ID == selfID {
 		return ""
 	}
 	return leader.Address
--- a/internal/cluster/leader/request.go
+++ b/internal/cluster/leader/request.go
@@ -12,7 +12,7 @@
 // a late submission of the job can't be accepted any more.
 func (s *Shard) HandleJobRequest(request protocol.JobRequest, reply func(protocol.JobResponse)) {
 	if !s.group.IsLeader() {
-		reply(s.notLeader())
+		reply(s.notLeaderResponse())
 		return
 	}
 	switch request.Verb {
@@ -36,9 +36,9 @@
 		return protocol.JobResponse{Status: http.StatusOK, State: j.State}
 	}
 	if sealed := s.store.Sealed[request.Queue]; request.Version < sealed {
-		return queueMoved(sealed)
+		return queueMovedResponse(sealed)
 	}
-	return unknownJob
+	return unknownJobResponse
 }
 
 func (s *Shard) cancel(request protocol.JobRequest, reply func(protocol.JobResponse)) {
@@ -47,27 +47,27 @@
 	over := known && j.State.Terminal()
 	s.mu.Unlock()
 	if over {
-		reply(s.ifLeader(accepted))
+		reply(s.ifLeader(acceptedResponse))
 		return
 	}
 	command := job.Command{Kind: job.CancelJob, Task: job.TaskRef{Job: request.ID}, Queue: request.Queue, ConfigVersion: request.Version}
-	s.enqueue(command, func(outcome job.Outcome, err error) { reply(s.cancelled(outcome, err, request.Version)) })
+	s.enqueue(command, func(outcome job.Outcome, err error) { reply(s.cancelledResponse(outcome, err, request.Version)) })
 }
 
-// cancelled is the response for the outcome of CancelJob under a version of the configuration.
-func (s *Shard) cancelled(outcome job.Outcome, err error, version int64) protocol.JobResponse {
+// cancelledResponse is the response for the outcome of CancelJob under a version of the configuration.
+func (s *Shard) cancelledResponse(outcome job.Outcome, err error, version int64) protocol.JobResponse {
 	if err != nil {
-		return s.notCommitted(err)
+		return s.notCommittedResponse(err)
 	}
 	switch outcome {
 	case job.Applied, job.AlreadyApplied:
-		return accepted
+		return acceptedResponse
 	case job.UnknownJob:
-		return unknownJob
+		return unknownJobResponse
 	case job.QueueMoved:
-		return queueMoved(version + 1)
+		return queueMovedResponse(version + 1) // the outcome says only that some newer version moved it
 	}
-	return outcomeUnknown
+	return outcomeUnknownResponse
 }
 
 // checkFormerShard tells whether an ID of a queue that was moved to another shard is known here.
@@ -84,7 +84,7 @@
 	command := job.Command{Kind: job.SealQueue, Queue: request.Queue, ConfigVersion: request.Since}
 	s.enqueue(command, func(outcome job.Outcome, err error) {
 		if err != nil || outcome != job.Applied && outcome != job.AlreadyApplied {
-			reply(s.notCommitted(err))
+			reply(s.notCommittedResponse(err))
 			return
 		}
 		reply(s.ifLeader(s.findID(request)))
@@ -95,7 +95,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j := s.store.Jobs[request.ID]; j != nil {
-		return resubmitted(j.Resubmitted(request.Queue, request.Hash))
+		return resubmittedResponse(j.Resubmitted(request.Queue, request.Hash))
 	}
-	return unknownJob
+	return unknownJobResponse
 }
--- a/internal/cluster/leader/response.go
+++ b/internal/cluster/leader/response.go
@@ -15,49 +15,50 @@
 
 // Responses that need no further facts.
 var (
-	accepted       = protocol.JobResponse{Status: http.StatusOK}
-	unknownJob     = protocol.JobResponse{Status: http.StatusGone, Reason: "there is no such job"}
-	unknownQueue   = protocol.JobResponse{Status: http.StatusNotFound, Reason: "there is no such queue any more"}
-	idConflict     = protocol.JobResponse{Status: http.StatusConflict, Reason: "another job has this ID: choose a new one"}
-	cancelledEarly = protocol.JobResponse{Status: http.StatusServiceUnavailable, Never: true, Reason: "the job was cancelled before it was handed in: it never runs"}
-	outcomeUnknown = protocol.JobResponse{Status: http.StatusBadGateway, Unknown: true, Reason: "whether it was done is not known: send the same again"}
+	acceptedResponse       = protocol.JobResponse{Status: http.StatusOK}
+	unknownJobResponse     = protocol.JobResponse{Status: http.StatusGone, Reason: "there is no such job"}
+	unknownQueueResponse   = protocol.JobResponse{Status: http.StatusNotFound, Reason: "there is no such queue any more"}
+	idConflictResponse     = protocol.JobResponse{Status: http.StatusConflict, Reason: "another job has this ID: choose a new one"}
+	cancelledEarlyResponse = protocol.JobResponse{Status: http.StatusServiceUnavailable, Never: true, Reason: "the job was cancelled before it was handed in: it never runs"}
+	outcomeUnknownResponse = protocol.JobResponse{Status: http.StatusBadGateway, Unknown: true, Reason: "whether it was done is not known: send the same again"}
 )
 
-// queueMoved says that a configuration of that version sends the queue to another shard.
-func queueMoved(version int64) protocol.JobResponse {
+// queueMovedResponse says that a configuration of that version, or a newer one, sends the queue to
+// another shard.
+func queueMovedResponse(version int64) protocol.JobResponse {
 	return protocol.JobResponse{Status: http.StatusServiceUnavailable, Moved: version, Reason: "a newer configuration sends the queue elsewhere"}
 }
 
-func (s *Shard) notLeader() protocol.JobResponse {
+func (s *Shard) notLeaderResponse() protocol.JobResponse {
 	return protocol.JobResponse{Owner: s.group.Leader().Address}
 }
 
 // ifLeader returns a response that was read from the state, if the leader's lease is still held.
 func (s *Shard) ifLeader(response protocol.JobResponse) protocol.JobResponse {
 	if !s.group.IsLeader() {
-		return s.notLeader()
+		return s.notLeaderResponse()
 	}
 	return response
 }
 
-// notCommitted is the response for a command that was not seen to be committed.
-func (s *Shard) notCommitted(err error) protocol.JobResponse {
+// notCommittedResponse is the response for a command that was not seen to be committed.
+func (s *Shard) notCommittedResponse(err error) protocol.JobResponse {
 	switch {
 	case errors.Is(err, group.ErrNotLeader):
-		return s.notLeader()
+		return s.notLeaderResponse()
 	case errors.Is(err, group.ErrBusy):
 		return protocol.JobResponse{Status: http.StatusServiceUnavailable, RetryAfterMs: retryAfterMs, Reason: err.Error()}
 	}
-	return outcomeUnknown
+	return outcomeUnknownResponse
 }
 
-// resubmitted is the response to a submission whose ID is known: see job.Job.Resubmitted.
-func resubmitted(outcome job.Outcome) protocol.JobResponse {
+// resubmittedResponse is the response to a submission whose ID is known: see job.Job.Resubmitted.
+func resubmittedResponse(outcome job.Outcome) protocol.JobResponse {
 	switch outcome {
 	case job.AlreadyApplied:
-		return accepted
+		return acceptedResponse
 	case job.CancelledBeforeAcceptance:
-		return cancelledEarly
+		return cancelledEarlyResponse
 	}
-	return idConflict
+	return idConflictResponse
 }
--- a/internal/cluster/leader/shard.go
+++ b/internal/cluster/leader/shard.go
@@ -47,7 +47,7 @@
 
 // SetGroup gives the replica its group. It is called once, before any other method but those of
 // group.StateMachine.
-func (s *Shard) SetGroup(own Group) { s.group = own }
+func (s *Shard) SetGroup(replicaGroup Group) { s.group = replicaGroup }
 
 // UpdateRunners takes in the platform's list, of which it keeps the runners of this shard's services.
 func (s *Shard) UpdateRunners(list []protocol.Runner) {
--- a/internal/cluster/leader/submit.go
+++ b/internal/cluster/leader/submit.go
@@ -20,39 +20,40 @@
 // calls reply once.
 func (s *Shard) Submit(request protocol.SubmitRequest, reply func(protocol.JobResponse)) {
 	if !s.group.IsLeader() {
-		reply(s.notLeader())
+		reply(s.notLeaderResponse())
 		return
 	}
-	submission, response, decided := s.checkSubmission(&request)
-	if decided {
+	submission, response := s.checkSubmission(&request)
+	if submission == nil {
 		reply(s.ifLeader(response))
 		return
 	}
-	s.enqueue(job.Command{Kind: job.AcceptJob, Submission: &submission}, func(outcome job.Outcome, err error) {
-		reply(s.submitted(outcome, err, submission.ConfigVersion))
+	s.enqueue(job.Command{Kind: job.AcceptJob, Submission: submission}, func(outcome job.Outcome, err error) {
+		reply(s.submittedResponse(outcome, err, submission.ConfigVersion))
 	})
 }
 
-// checkSubmission returns the job to be accepted, or the response where the state decides it.
-func (s *Shard) checkSubmission(request *protocol.SubmitRequest) (submission job.Submission, response protocol.JobResponse, decided bool) {
+// checkSubmission returns the submission to be proposed; nil: the request or the state decides the
+// response, which it returns.
+func (s *Shard) checkSubmission(request *protocol.SubmitRequest) (*job.Submission, protocol.JobResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	bodyHash := BodyHash(request.Body)
 	if j := s.store.Jobs[request.ID]; j != nil {
-		return submission, resubmitted(j.Resubmitted(request.Queue, bodyHash)), true
+		return nil, resubmittedResponse(j.Resubmitted(request.Queue, bodyHash))
 	}
 	route, version, ok := s.route(request)
 	if !ok {
-		return submission, unknownQueue, true
+		return nil, unknownQueueResponse
 	}
 	if protocol.ShardOf(route.Backend) != s.number {
-		return submission, queueMoved(version), true
+		return nil, queueMovedResponse(version)
 	}
 	spec, err := job.ParseSpec(request.Body)
 	if err != nil {
-		return submission, protocol.JobResponse{Status: http.StatusBadRequest, Reason: err.Error()}, true
+		return nil, protocol.JobResponse{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
-	submission = job.Submission{
+	return &job.Submission{
 		ID:            request.ID,
 		Queue:         request.Queue,
 		Service:       route.Backend,
@@ -63,38 +64,38 @@
 		TargetMs:      int64(route.TargetMs),
 		Extension:     route.Extension,
 		ConfigVersion: request.Version,
-	}
-	return submission, protocol.JobResponse{}, false
+	}, protocol.JobResponse{}
 }
 
 // route returns the route of a submission and the version of the configuration that it is of: this
-// node's configuration or the sender's, whichever is newer. The job is accepted under the sender's
+// node's configuration or the sender's, whichever is newer; false: the newer one has no such queue. The
+// job is accepted under the sender's
 // version all the same: by it the sender knew which shards had the queue before and asked their
 // leaders, and it may have missed that the queue was elsewhere and came back since.
 func (s *Shard) route(request *protocol.SubmitRequest) (route opconfig.Route, version int64, ok bool) {
-	own := s.operatorConfig
-	if own == nil || own.Version <= request.Version {
+	config := s.operatorConfig
+	if config == nil || config.Version <= request.Version {
 		return request.Route, request.Version, true
 	}
-	newer, ok := own.Route(request.Queue)
+	newer, ok := config.Route(request.Queue)
 	if !ok {
-		return opconfig.Route{}, own.Version, false
+		return opconfig.Route{}, config.Version, false
 	}
-	return *newer, own.Version, true
+	return *newer, config.Version, true
 }
 
-// submitted is the response for the outcome of AcceptJob under a version of the configuration.
-func (s *Shard) submitted(outcome job.Outcome, err error, version int64) protocol.JobResponse {
+// submittedResponse is the response for the outcome of AcceptJob under a version of the configuration.
+func (s *Shard) submittedResponse(outcome job.Outcome, err error, version int64) protocol.JobResponse {
 	if err != nil {
-		return s.notCommitted(err)
+		return s.notCommittedResponse(err)
 	}
 	switch outcome {
 	case job.Applied:
-		return accepted
+		return acceptedResponse
 	case job.QueueMoved:
-		return queueMoved(version + 1)
+		return queueMovedResponse(version + 1) // the outcome says only that some newer version moved it
 	case job.AlreadyApplied, job.CancelledBeforeAcceptance, job.Rejected:
-		return resubmitted(outcome)
+		return resubmittedResponse(outcome)
 	}
-	return outcomeUnknown
+	return outcomeUnknownResponse
 }
