--- a/coord/rpc/client.go
+++ b/coord/rpc/client.go
@@ -25,9 +25,9 @@
 	upgradeTimeout = 2 * dialTimeout
 	// redialInterval is the least time between a failed attempt to connect and the next.
 	redialInterval = 60 * time.Millisecond
-	// unresponsiveAfter: a connection on which nothing was read for so long is closed when a call that
-	// has no response is cancelled.
-	unresponsiveAfter = 300 * time.Millisecond
+	// unresponsiveTimeout is how long nothing must have been read from a connection before it is closed
+	// when a call that has no response is cancelled.
+	unresponsiveTimeout = 300 * time.Millisecond
 )
 
 // Client sends messages to one peer. It connects when it is first used and again after each failure.
@@ -40,9 +40,9 @@
 	current    *stream             // nil: not connected
 	pending    map[uint64]chan any // calls without a response, by ID; closed where the connection is lost
 	lastID     uint64
-	connecting bool
+	connecting bool          // serveConnection runs and current is not set yet
 	lastFailed time.Duration // when an attempt to connect last failed; 0: none has
-	queue      []frame       // until it is connected
+	unsent     []frame       // in order, until it is connected; at most maxQueuedFrames
 }
 
 // NewClient returns a client of the server at an address, as host:port.
@@ -67,7 +67,7 @@
 		c.forget(id)
 		return nil, err
 	}
-	began := monotonicNow()
+	calledAt := monotonicNow()
 	select {
 	case got, ok := <-response:
 		if !ok {
@@ -77,7 +77,7 @@
 	case <-ctx.Done():
 		cancelled.Store(true)
 		c.forget(id)
-		c.closeIfUnresponsive(began)
+		c.closeIfUnresponsive(calledAt)
 		return nil, errors.Wrapf(ErrConnectionLost, "no answer from %s", c.address)
 	}
 }
@@ -108,11 +108,11 @@
 	delete(c.pending, id)
 }
 
-// closeIfUnresponsive closes a connection on which nothing was read since a call began.
-func (c *Client) closeIfUnresponsive(began time.Duration) {
+// closeIfUnresponsive closes a connection on which nothing was read since a call was made.
+func (c *Client) closeIfUnresponsive(calledAt time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current != nil && time.Duration(c.current.lastRead.Load()) < began && monotonicNow()-began > unresponsiveAfter {
+	if c.current != nil && time.Duration(c.current.lastRead.Load()) < calledAt && monotonicNow()-calledAt > unresponsiveTimeout {
 		c.current.close()
 	}
 }
@@ -121,7 +121,7 @@
 	if c.current != nil {
 		return c.current.queueLength()
 	}
-	return len(c.queue)
+	return len(c.unsent)
 }
 
 // enqueueLocked queues a frame on the connection, or until there is one.
@@ -129,10 +129,10 @@
 	if c.current != nil {
 		return c.current.enqueue(f)
 	}
-	if len(c.queue) >= maxQueuedFrames {
+	if len(c.unsent) >= maxQueuedFrames {
 		return ErrBusy
 	}
-	c.queue = append(c.queue, f)
+	c.unsent = append(c.unsent, f)
 	if !c.connecting {
 		c.connecting = true
 		go c.serveConnection()
@@ -145,12 +145,12 @@
 func (c *Client) serveConnection() {
 	c.awaitRedial()
 	conn, err := c.connect()
-	s := c.connected(conn, err)
+	s := c.finishConnecting(conn, err)
 	if s == nil {
 		return
 	}
 	s.read(c.handleResponse)
-	c.disconnected(s)
+	c.finishConnection(s)
 }
 
 // awaitRedial keeps redialInterval after a failed attempt.
@@ -163,14 +163,14 @@
 	}
 }
 
-// connected makes a connection the current one; nil: the attempt has failed, and with it the calls
+// finishConnecting makes a connection the current one; nil: the attempt has failed, and with it the calls
 // that wait.
-func (c *Client) connected(conn io.ReadWriteCloser, err error) *stream {
+func (c *Client) finishConnecting(conn io.ReadWriteCloser, err error) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.connecting = false
-	queue := c.queue
-	c.queue = nil
+	queue := c.unsent
+	c.unsent = nil
 	if err != nil {
 		c.lastFailed = monotonicNow()
 		c.failPendingLocked()
@@ -231,7 +231,8 @@
 	}
 }
 
-func (c *Client) disconnected(s *stream) {
+// finishConnection records that a connection has ended, and with it the calls that wait.
+func (c *Client) finishConnection(s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current == s {
--- a/coord/rpc/stream.go
+++ b/coord/rpc/stream.go
@@ -19,11 +19,11 @@
 // stream is one connection, at either end. Its writer is a goroutine that ends with the connection;
 // its reader is whoever calls read, who waits for the writer.
 type stream struct {
-	conn      io.ReadWriteCloser
-	closeOnce sync.Once
-	closed    chan struct{}
-	written   chan struct{} // closed once the writer has ended
-	lastRead  atomic.Int64  // by monotonicNow
+	conn       io.ReadWriteCloser
+	closeOnce  sync.Once
+	closed     chan struct{}
+	writerDone chan struct{} // closed once the writer has ended
+	lastRead   atomic.Int64  // by monotonicNow
 
 	mu    sync.Mutex
 	queue []frame
@@ -36,7 +36,7 @@
 func monotonicNow() time.Duration { return time.Since(processStart) }
 
 func newStream(conn io.ReadWriteCloser) *stream {
-	s := &stream{conn: conn, wake: make(chan struct{}, 1), closed: make(chan struct{}), written: make(chan struct{})}
+	s := &stream{conn: conn, wake: make(chan struct{}, 1), closed: make(chan struct{}), writerDone: make(chan struct{})}
 	s.lastRead.Store(int64(monotonicNow()))
 	go s.write()
 	return s
@@ -73,7 +73,7 @@
 
 // write writes what is queued, until the connection ends. Frames that wait together share a flush.
 func (s *stream) write() {
-	defer close(s.written)
+	defer close(s.writerDone)
 	buffer := bufio.NewWriterSize(s.conn, writeBufferBytes)
 	encoder := gob.NewEncoder(buffer)
 	for {
@@ -103,7 +103,7 @@
 func (s *stream) read(handle func(frame)) {
 	defer func() {
 		s.close()
-		<-s.written
+		<-s.writerDone
 	}()
 	decoder := gob.NewDecoder(bufio.NewReader(s.conn))
 	for {
