--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -19,7 +19,9 @@
 		n.setHardState(term, n.id)
 		kind = VoteRequest
 	}
-	n.role, n.leaderID, n.progress = role, "", nil
+	n.role = role
+	n.leaderID = ""
+	n.progress = nil
 	n.votes = map[string]bool{n.id: true}
 	n.resetElectionTimer(now)
 	lastIndex := n.log.last()
@@ -62,6 +64,8 @@
 	return request.LogTerm > lastTerm || request.LogTerm == lastTerm && request.Index >= last
 }
 
+// handleVoteRequest answers a request for a vote or pre-vote. One that must not be granted because a
+// leader may hold a lease has no answer.
 func (n *Node) handleVoteRequest(now time.Duration, request Message) {
 	if n.supportsLeader(now, request) {
 		return
@@ -121,6 +125,7 @@
 	n.countVotes(now)
 }
 
+// countVotes goes on with the election where a majority has granted its pre-vote or vote.
 func (n *Node) countVotes(now time.Duration) {
 	granted := majority(n.Membership(), func(id string) int {
 		if n.votes[id] {
@@ -138,9 +143,15 @@
 	n.becomeLeader(now)
 }
 
+// becomeLeader begins a leadership, without a lease yet: the no-op of its term is replicated first.
 func (n *Node) becomeLeader(now time.Duration) {
-	n.role, n.leaderID, n.votes, n.hadLeader = Leader, n.id, nil, true
-	n.leaseExpiry, n.leaderSince, n.transferee = 0, now, ""
+	n.role = Leader
+	n.leaderID = n.id
+	n.votes = nil
+	n.hadLeader = true
+	n.leaseExpiry = 0
+	n.leaderSince = now
+	n.transferee = ""
 	n.progress = nil
 	n.trackMembers(now)
 	n.termStartIndex = n.appendAsLeader(now, Entry{Kind: EntryNoop})
--- a/coord/replica/lease.go
+++ b/coord/replica/lease.go
@@ -43,6 +43,8 @@
 	return now > n.leaseExpiry+n.timing.MinElectionTimeout && now > n.leaderSince+2*n.timing.MinElectionTimeout
 }
 
+// tickLeader renews the lease, gives up a leadership without a majority or whose transfer has taken too
+// long, and sends heartbeats that are due.
 func (n *Node) tickLeader(now time.Duration) {
 	n.renewLease(now)
 	if n.transferee != "" && now > n.transferEnd || n.lostMajority(now) {
@@ -54,6 +56,6 @@
 	}
 	n.heartbeatDue = now + n.timing.HeartbeatInterval
 	for _, id := range n.trackedMembers() {
-		n.replicate(now, id, true)
+		n.replicate(now, id, sendHeartbeat)
 	}
 }
--- a/coord/replica/log.go
+++ b/coord/replica/log.go
@@ -26,8 +26,11 @@
 // reset begins the log anew after a snapshot.
 func (l *raftLog) reset(snapshot Snapshot) {
 	snapshot.Data = nil
-	l.snapshot, l.entries, l.first, l.stable = snapshot, nil, snapshot.Index+1, snapshot.Index
+	l.snapshot = snapshot
+	l.entries = nil
+	l.first = snapshot.Index + 1
 	l.priorTerm = snapshot.Term
+	l.stable = snapshot.Index
 }
 
 func (l *raftLog) last() uint64 { return l.first + uint64(len(l.entries)) - 1 }
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -76,13 +76,19 @@
 // differ from one start to the next. The node grants no vote for MinElectionTimeout, since its
 // previous incarnation may have had contact to a leader just before.
 func NewNode(id, group string, timing Timing, persisted PersistedState, seed uint64, now time.Duration) *Node {
-	n := &Node{id: id, group: group, timing: timing, random: rand.New(rand.NewPCG(seed, hashOf(group)))}
+	n := &Node{
+		id:     id,
+		group:  group,
+		timing: timing,
+		random: rand.New(rand.NewPCG(seed, hashOf(group))),
+	}
 	n.incarnation = n.random.Uint64()
 	n.hardState = persisted.HardState
 	n.log.reset(persisted.Snapshot)
 	n.log.append(persisted.Entries)
 	n.log.stable = n.log.last()
-	n.commit, n.applied = persisted.Snapshot.Index, persisted.Snapshot.Index
+	n.commit = persisted.Snapshot.Index
+	n.applied = persisted.Snapshot.Index
 	n.lastLeaderContact = now
 	n.resetElectionTimer(now)
 	return n
@@ -230,8 +236,14 @@
 	n.becomeFollower(now, "")
 }
 
+// becomeFollower gives up a candidacy or leadership in the current term; an empty ID: its leader is not
+// known.
 func (n *Node) becomeFollower(now time.Duration, leaderID string) {
-	n.role, n.leaderID, n.votes, n.progress, n.transferee = Follower, leaderID, nil, nil, ""
+	n.role = Follower
+	n.leaderID = leaderID
+	n.votes = nil
+	n.progress = nil
+	n.transferee = ""
 	n.resetElectionTimer(now)
 }
 
@@ -240,6 +252,7 @@
 	if n.role != Follower || n.leaderID != leaderID {
 		n.becomeFollower(now, leaderID)
 	}
-	n.lastLeaderContact, n.hadLeader = now, true
+	n.lastLeaderContact = now
+	n.hadLeader = true
 	n.resetElectionTimer(now)
 }
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -88,7 +88,7 @@
 		n.trackMembers(now)
 	}
 	for _, id := range n.trackedMembers() {
-		n.replicate(now, id, false)
+		n.replicate(now, id, sendEntries)
 	}
 	return entry.Index
 }
@@ -107,42 +107,62 @@
 	return append(pending, entries...)
 }
 
+// sendReason says why a leader sends to a member, and with it whether a message without entries is sent.
+type sendReason uint8
+
+const (
+	// sendEntries: there may be entries to replicate; without any, nothing is sent.
+	sendEntries sendReason = iota
+	// sendHeartbeat: a heartbeat is due; a message is sent in any case.
+	sendHeartbeat
+)
+
 // replicate sends a member the entries that it lacks, or asks for a snapshot where the log does not
 // have them any more. Where there is nothing to send, a heartbeat is sent if one is due.
-func (n *Node) replicate(now time.Duration, id string, heartbeat bool) {
+func (n *Node) replicate(now time.Duration, id string, reason sendReason) {
 	peer := n.progress[id]
 	peer.RewindIfLost(n.log.last(), now)
 	if peer.UnresponsiveFor(n.leaderSince, now) > n.timing.MinElectionTimeout {
-		n.probe(now, id, heartbeat) // entries would pile up on the way to it
+		n.probe(now, id, reason) // entries would pile up on the way to it
 		return
 	}
 	previous := peer.Next - 1
 	if previous != 0 && n.log.term(previous) == 0 || peer.Next < n.log.first {
-		n.requestSnapshot(now, id, heartbeat)
+		n.requestSnapshot(now, id, reason)
 		return
 	}
 	entries := n.log.batch(peer.Next)
-	if len(entries) == 0 && !heartbeat {
+	if len(entries) == 0 && reason != sendHeartbeat {
 		return
 	}
 	if len(entries) > 0 {
 		peer.RecordSent(entries[len(entries)-1].Index, now)
 	}
 	n.send(Message{
-		Kind: AppendRequest, To: id, Index: previous, LogTerm: n.log.term(previous), Commit: n.commit,
-		Entries: entries, SentAt: now, Addresses: n.memberAddressesFor(peer),
+		Kind:      AppendRequest,
+		To:        id,
+		Index:     previous,
+		LogTerm:   n.log.term(previous),
+		Commit:    n.commit,
+		Entries:   entries,
+		SentAt:    now,
+		Addresses: n.memberAddressesFor(peer),
 	})
 }
 
 // probe sends a heartbeat without entries, if one is due. It commits nothing at the receiver, whose
 // log may end before it.
-func (n *Node) probe(now time.Duration, id string, heartbeat bool) {
-	if !heartbeat {
+func (n *Node) probe(now time.Duration, id string, reason sendReason) {
+	if reason != sendHeartbeat {
 		return
 	}
 	n.send(Message{
-		Kind: AppendRequest, To: id, Index: n.commit, LogTerm: n.log.term(n.commit),
-		SentAt: now, Addresses: n.memberAddressesFor(n.progress[id]),
+		Kind:      AppendRequest,
+		To:        id,
+		Index:     n.commit,
+		LogTerm:   n.log.term(n.commit),
+		SentAt:    now,
+		Addresses: n.memberAddressesFor(n.progress[id]),
 	})
 }
 
@@ -156,10 +176,10 @@
 }
 
 // requestSnapshot asks the driver, by an empty snapshot, to send the newest one.
-func (n *Node) requestSnapshot(now time.Duration, id string, heartbeat bool) {
+func (n *Node) requestSnapshot(now time.Duration, id string, reason sendReason) {
 	peer := n.progress[id]
 	if peer.SnapshotPending(now) {
-		n.probe(now, id, heartbeat)
+		n.probe(now, id, reason)
 		return
 	}
 	peer.RecordSnapshotRequest(now)
@@ -193,6 +213,8 @@
 	}
 }
 
+// handleAppendResponse is the leader's part of replication: it counts the response for the lease, the
+// commit index and the member's progress.
 func (n *Node) handleAppendResponse(now time.Duration, response Message) {
 	peer := n.progress[response.From]
 	if n.role != Leader || peer == nil {
@@ -202,7 +224,7 @@
 	n.renewLease(now)
 	if response.Reject {
 		peer.Reject(response.Index, n.log.last())
-		n.replicate(now, response.From, false)
+		n.replicate(now, response.From, sendEntries)
 		return
 	}
 	peer.Acknowledge(response.Index)
@@ -211,7 +233,7 @@
 		return // the change of membership that this response committed has removed it
 	}
 	if peer.Next <= n.log.last() {
-		n.replicate(now, response.From, false)
+		n.replicate(now, response.From, sendEntries)
 	}
 	n.sendTimeoutNowIfReady()
 }
--- a/coord/replica/snapshot.go
+++ b/coord/replica/snapshot.go
@@ -25,8 +25,10 @@
 	}
 	n.log.reset(*snapshot)
 	n.log.stable = 0 // until the snapshot is synced
-	n.commit, n.applied = snapshot.Index, snapshot.Index
-	n.ready.Entries, n.ready.CommittedEntries = nil, nil
+	n.commit = snapshot.Index
+	n.applied = snapshot.Index
+	n.ready.Entries = nil
+	n.ready.CommittedEntries = nil
 	n.ready.MessagesAfterSync = withoutAppendResponses(n.ready.MessagesAfterSync)
 	n.ready.Snapshot = snapshot
 	response.Index = snapshot.Index
