--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -81,8 +81,11 @@
 	return l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Seq: seq, Acked: max(seq, 3) - 3, Kind: kind}, body)
 }
 
-func (l *goldenLog) join(at time.Duration, process, nonce string) uint64 {
-	reply := l.command(state.Command{At: at, Kind: state.Join}, state.JoinBody{Process: process, Nonce: nonce, Version: "352ebf2"})
+// joinedAt is when each process joins, in fleet time.
+const joinedAt = time.Second
+
+func (l *goldenLog) join(process, nonce string) uint64 {
+	reply := l.command(state.Command{At: joinedAt, Kind: state.Join}, state.JoinBody{Process: process, Nonce: nonce, Version: "352ebf2"})
 	require.NoError(l.t, reply.Err())
 	var joined state.JoinReply
 	require.NoError(l.t, codec.Decode(reply.Body, &joined))
@@ -98,8 +101,9 @@
 	return answer
 }
 
-// served has an attempt of one item sent and ended well.
-func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply {
+// served has process n1 send an attempt of one item that ends well.
+func (l *goldenLog) served(incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply {
+	const process = "n1"
 	require.NoError(l.t, l.plan(process, incarnation, at, planrun.Command{SendAttempt: &do}).Err())
 	reply := l.plan(process, incarnation, at+time.Millisecond, planrun.Command{ReportEnd: &planrun.ReportEnd{
 		Run: do.Run, Fence: do.Fence, Stage: do.Stage, Item: do.Item, Undo: do.Undo, Attempt: do.Attempt, End: plan.Done, Result: []byte(result), Member: "cell-2",
@@ -146,17 +150,17 @@
 // work applies commands of every kind: members that stay, are replaced and leave,
 // budgets that are divided, plans in all states, records that are kept, held and cut.
 func (l *goldenLog) work() (first, third uint64) {
-	at := time.Second
-	first = l.join(at, "n1", "start-1")
-	second := l.join(at, "n2", "start-2")
+	at := joinedAt
+	first = l.join("n1", "start-1")
+	second := l.join("n2", "start-2")
 	require.NoError(l.t, l.by("n1", first, at, state.SetSettings, l.goldenSettings()).Err())
 	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k1", Count: 1})
 	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k2", Count: 7})
 	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k1", Index: 4, Partitions: map[string]uint64{"plans": 17, "members": 18}})
 	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k2", Index: 4, Partitions: map[string]uint64{"plans": 17, "members": 18}})
-	third = l.join(at, "n2", "start-3") // replaces the start before it
+	third = l.join("n2", "start-3") // replaces the start before it
 	require.ErrorIs(l.t, l.by("n2", second, at, partition.PlansCommand, planrun.Command{}).Err(), state.ErrFenced)
-	fourth := l.join(at, "n3", "start-4")
+	fourth := l.join("n3", "start-4")
 
 	renew := func(process string, incarnation uint64, at time.Duration, bound uint64) uint64 {
 		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Partitions: map[string][]byte{
@@ -210,15 +214,15 @@
 	// One run is served.
 	fence := start("n1", first, "run-served")
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 0, Key: "prices/7", Items: [][]byte{nil}})
-	reply := l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Generation: 1, Attempt: 1, RemainingTime: 50 * time.Millisecond}, `{"price":12}`)
+	reply := l.served(first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Generation: 1, Attempt: 1, RemainingTime: 50 * time.Millisecond}, `{"price":12}`)
 	prices := reply.Run.Stages[0].Generation
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"A1"`), []byte(`"A2"`)}})
 	for item := range 2 {
-		reply = l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 1, Item: item, Generation: reply.Run.Stages[1].Generation, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
+		reply = l.served(first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 1, Item: item, Generation: reply.Run.Stages[1].Generation, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
 	}
 	holds := reply.Run.Stages[1].Generation
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 2, Items: [][]byte{nil}})
-	reply = l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 2, Generation: 1, Inputs: []uint64{prices, holds}, Attempt: 1}, `{"ticket":1}`)
+	reply = l.served(first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 2, Generation: 1, Inputs: []uint64{prices, holds}, Attempt: 1}, `{"ticket":1}`)
 	require.NotNil(l.t, reply.FinalAnswer)
 
 	// One is under way: a shared output taken, an item out, one that ended badly.
@@ -231,7 +235,7 @@
 	failing.Item = 1
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &failing}).Err())
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{ReportEnd: &planrun.ReportEnd{Run: "run-under-way", Fence: fence, Stage: 1, Item: 1, Attempt: 1, End: plan.Late, Member: "cell-3"}}).Err())
-	l.served("n1", first, at, planrun.SendAttempt{Run: "run-under-way", Fence: fence, Stage: 1, Item: 2, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
+	l.served(first, at, planrun.SendAttempt{Run: "run-under-way", Fence: fence, Stage: 1, Item: 2, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
 	skipped := sending
 	skipped.Attempt = 7
 	require.ErrorIs(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &skipped}).Err(), planrun.ErrInFlight)
@@ -254,7 +258,7 @@
 	fence = start("n1", first, "run-lost-input")
 	open("n1", first, planrun.Open{Run: "run-lost-input", Fence: fence, Stage: 0, Key: "prices/9", Items: [][]byte{nil}})
 	gen := l.view("run-lost-input").Run.Stages[0].Generation
-	l.served("n1", first, at, planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Generation: gen, Attempt: 1}, `{"price":13}`)
+	l.served(first, at, planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Generation: gen, Attempt: 1}, `{"price":13}`)
 	open("n1", first, planrun.Open{Run: "run-lost-input", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"D1"`)}})
 	sending = planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{gen}, Attempt: 1}
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &sending}).Err())
@@ -350,7 +354,7 @@
 
 // last is the command that is applied after the snapshot.
 func (l *goldenLog) last(first uint64) {
-	l.served("n1", first, 5*time.Second, planrun.SendAttempt{Run: "run-under-way", Fence: 2, Stage: 1, Item: 1, Generation: 1, Inputs: []uint64{1}, Attempt: 2}, `{"held":true}`)
+	l.served(first, 5*time.Second, planrun.SendAttempt{Run: "run-under-way", Fence: 2, Stage: 1, Item: 1, Generation: 1, Inputs: []uint64{1}, Attempt: 2}, `{"held":true}`)
 }
 
 // TestGoldenLogIsReplayed: a replica that starts with the golden log alone ends at the
