--- a/internal/dispatcher/policy/dispatcher.go
+++ b/internal/dispatcher/policy/dispatcher.go
@@ -81,7 +81,6 @@
 		Settings:         s,
 		host:             h,
 		rng:              rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
-		classes:          make(map[string]*classCost),
 		kinds:            make(map[string]*kindStats),
 		slowdown:         1,
 		warmupPenalty:    0.25,
@@ -97,17 +96,8 @@
 		affinities:       make(map[uint32]*affinityStats),
 	}
 	d.meanRun = float64(s.Classes[0].Aim) / 2
-	for _, c := range s.Classes {
-		t := &classCost{Class: c, runPerHint: 1}
-		d.classes[c.Name] = t
-		if !slices.Contains(d.requiredKinds, c.Kind) {
-			d.requiredKinds = append(d.requiredKinds, c.Kind)
-		}
-	}
+	d.setClassesAndLimits(s)
 	d.probesTellSlots = d.slotsInX0 && s.Limits.Probes
-	if !s.Limits.RetryAfter {
-		d.Limits.MaxRetryAfter = 0
-	}
 	for range 2 * (len(s.Kinds) + 1) {
 		d.queues = append(d.queues, &queue{})
 	}
@@ -127,23 +117,29 @@
 		return err
 	}
 	d.beginEvent(now)
+	d.setClassesAndLimits(s)
+	return nil
+}
+
+// setClassesAndLimits takes the classes and limits of valid settings. A class that was there before keeps
+// what was learned of its costs.
+func (d *Dispatcher) setClassesAndLimits(s Settings) {
 	classes := make(map[string]*classCost, len(s.Classes))
 	for _, c := range s.Classes {
-		t := &classCost{Class: c, runPerHint: 1}
+		cost := &classCost{Class: c, runPerHint: 1}
 		if old := d.classes[c.Name]; old != nil {
-			t.runPerHint, t.meanRun, t.samples = old.runPerHint, old.meanRun, old.samples
-			t.longestPatience = old.longestPatience
+			cost.runPerHint, cost.meanRun, cost.samples = old.runPerHint, old.meanRun, old.samples
+			cost.longestPatience = old.longestPatience
 		}
-		classes[c.Name] = t
+		classes[c.Name] = cost
 		if !slices.Contains(d.requiredKinds, c.Kind) {
 			d.requiredKinds = append(d.requiredKinds, c.Kind)
 		}
 	}
-	d.Settings, d.classes = next, classes
+	d.classes, d.Classes, d.Limits = classes, s.Classes, s.Limits
 	if !s.Limits.RetryAfter {
 		d.Limits.MaxRetryAfter = 0
 	}
-	return nil
 }
 
 // HandleRequest takes in a request. One of an unknown class is refused; one whose id is that of a
