--- a/internal/dispatcher/faktory/connection_limits_test.go
+++ b/internal/dispatcher/faktory/connection_limits_test.go
@@ -27,19 +27,18 @@
 		require.NoError(t, <-served)
 	}()
 	began := time.Now()
-	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String()), "room": func() (scenario.Conn, error) {
-		require.False(t, s.evictUnauthenticated(began), "they have just come")
+	evict := func(...string) string {
+		require.False(t, s.evictUnauthenticated(began), "they have just connected")
 		require.True(t, s.evictUnauthenticated(began.Add(time.Minute)))
-		near, far := net.Pipe()
-		require.NoError(t, far.Close())
-		return near, nil
-	}}, nil, `
+		return ""
+	}
+	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{"evict": evict}, `
 		c.member expect HI
 		c.member send HELLO {"v":2}\r\n
 		c.member expect OK
 		c.first expect HI
 		c.second expect HI
-		room wait
+		c.second send @evict()
 		c.first wait
 		c.second send HELLO
 		c.second wait
