--- a/coord/group/engine.go
+++ b/coord/group/engine.go
@@ -23,17 +23,17 @@
 	stateMachine StateMachine
 	logger       *slog.Logger
 
-	isLeader  bool  // between BecameLeader and LostLeadership of the state machine
-	haltCause error // nil: it has not halted
-	proposals map[uint64]proposal
-	outbox    []Envelope
+	isLeader  bool                // between BecameLeader and LostLeadership of the state machine
+	haltCause error               // nil: it has not halted
+	proposals map[uint64]proposal // by index of their entry
+	outbox    []Envelope          // messages since the last TakeEffects
 
 	logNearlyFull    bool // a snapshot is due
 	snapshotInFlight bool // a snapshot is being written
 	unsyncedBytes    int  // of writes that are not synced
 
 	nextMembershipCheck time.Duration
-	joinRequests        map[string]joinRequest    // by address
+	joinRequests        map[string]joinRequest    // by address: the newest of each replica
 	leaveRequests       map[string]time.Duration  // by member ID: when it last announced that it stops
 	addressHints        map[string]replica.Member // by ID: members that messages named; this log may not name them yet
 
@@ -43,19 +43,23 @@
 
 // NewEngine returns a replica as its disk has it. The state machine is restored from the snapshot,
 // if there is one with data.
-func NewEngine(settings Settings, found replica.PersistedState, stateMachine StateMachine, now time.Duration, logger *slog.Logger) (*Engine, error) {
-	if len(found.Snapshot.Data) > 0 {
-		if err := stateMachine.Restore(found.Snapshot.Data); err != nil {
+func NewEngine(settings Settings, persisted replica.PersistedState, stateMachine StateMachine, now time.Duration, logger *slog.Logger) (*Engine, error) {
+	if len(persisted.Snapshot.Data) > 0 {
+		if err := stateMachine.Restore(persisted.Snapshot.Data); err != nil {
 			return nil, errors.Wrapf(err, "restore group %s", settings.Name)
 		}
 	}
 	settings.setDefaults()
 	return &Engine{
-		settings: settings, stateMachine: stateMachine, logger: logger.With("group", settings.Name),
-		node:      replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, found, settings.Seed, now),
-		proposals: map[uint64]proposal{}, addressHints: map[string]replica.Member{},
-		joinRequests: map[string]joinRequest{}, leaveRequests: map[string]time.Duration{},
-		senders: map[string]*snapshotSender{},
+		settings:      settings,
+		node:          replica.NewNode(settings.Self.ID, settings.Name, settings.Timing, persisted, settings.Seed, now),
+		stateMachine:  stateMachine,
+		logger:        logger.With("group", settings.Name),
+		proposals:     map[uint64]proposal{},
+		joinRequests:  map[string]joinRequest{},
+		leaveRequests: map[string]time.Duration{},
+		addressHints:  map[string]replica.Member{},
+		senders:       map[string]*snapshotSender{},
 	}, nil
 }
 
@@ -69,9 +73,9 @@
 // Bootstrap makes the replica a founding member of a new group, once its initial snapshot is on disk.
 // It waits for no election timeout before it votes: no lease can exist yet.
 func (e *Engine) Bootstrap(initial replica.Snapshot, now time.Duration) {
-	found := replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: initial}
+	persisted := replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: initial}
 	started := now - e.settings.Timing.MinElectionTimeout
-	e.node = replica.NewNode(e.settings.Self.ID, e.settings.Name, e.settings.Timing, found, e.settings.Seed, started)
+	e.node = replica.NewNode(e.settings.Self.ID, e.settings.Name, e.settings.Timing, persisted, e.settings.Seed, started)
 }
 
 // IsBootstrapped tells whether the group exists, as far as this replica knows.
@@ -80,9 +84,10 @@
 // Membership returns the newest membership, committed or not.
 func (e *Engine) Membership() replica.Membership { return e.node.Membership() }
 
-// NextTick returns when Tick has something to do next.
+// NextTick returns when Tick has something to do next, by the driver's clock; of a halted replica a
+// time that is never reached.
 func (e *Engine) NextTick() time.Duration {
-	const never = 1 << 62
+	const never = 1 << 62 // ns; the driver may subtract its clock from it
 	if e.haltCause != nil {
 		return never
 	}
