--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -30,22 +30,22 @@
 	return buffer
 }
 
-func appendCommand(buffer []byte, c *Command) []byte {
-	buffer = append(buffer, byte(c.Kind), byte(c.EndReason))
-	buffer = appendString(buffer, c.Task.Job)
-	for _, number := range []int{c.Task.Occurrence, c.Task.Step, c.Task.Index, c.Attempt} {
+func appendCommand(buffer []byte, command *Command) []byte {
+	buffer = append(buffer, byte(command.Kind), byte(command.EndReason))
+	buffer = appendString(buffer, command.Task.Job)
+	for _, number := range []int{command.Task.Occurrence, command.Task.Step, command.Task.Index, command.Attempt} {
 		buffer = binary.AppendUvarint(buffer, uint64(number))
 	}
-	buffer = appendString(buffer, c.Runner)
-	buffer = appendString(buffer, c.Address)
-	buffer = appendString(buffer, c.Checkpoint)
-	buffer = binary.AppendVarint(buffer, c.ProposedAtMs)
-	buffer = appendString(buffer, c.Queue)
-	buffer = binary.AppendVarint(buffer, c.ConfigVersion)
-	if c.Kind != AcceptJob {
+	buffer = appendString(buffer, command.Runner)
+	buffer = appendString(buffer, command.Address)
+	buffer = appendString(buffer, command.Checkpoint)
+	buffer = binary.AppendVarint(buffer, command.ProposedAtMs)
+	buffer = appendString(buffer, command.Queue)
+	buffer = binary.AppendVarint(buffer, command.ConfigVersion)
+	if command.Kind != AcceptJob {
 		return buffer
 	}
-	submission, err := json.Marshal(c.Submission)
+	submission, err := json.Marshal(command.Submission)
 	if err != nil { // no field of Submission can fail
 		submission = nil
 	}
@@ -115,39 +115,39 @@
 	if count > uint64(len(content)) {
 		return Batch{}, ErrFormat
 	}
-	b := Batch{Commands: make([]Command, 0, count)}
+	batch := Batch{Commands: make([]Command, 0, count)}
 	for range count {
-		c, err := d.command(format)
+		command, err := d.command(format)
 		if err != nil {
 			return Batch{}, err
 		}
-		b.Commands = append(b.Commands, c)
+		batch.Commands = append(batch.Commands, command)
 	}
-	return b, nil
+	return batch, nil
 }
 
 func (d *decoder) command(format byte) (Command, error) {
-	c := Command{Kind: CommandKind(d.byte()), EndReason: EndReason(d.byte())}
-	c.Task.Job = d.string()
-	for _, field := range []*int{&c.Task.Occurrence, &c.Task.Step, &c.Task.Index, &c.Attempt} {
+	command := Command{Kind: CommandKind(d.byte()), EndReason: EndReason(d.byte())}
+	command.Task.Job = d.string()
+	for _, field := range []*int{&command.Task.Occurrence, &command.Task.Step, &command.Task.Index, &command.Attempt} {
 		*field = int(d.uvarint())
 	}
-	c.Runner = d.string()
-	c.Address = d.string()
-	c.Checkpoint = d.string()
-	c.ProposedAtMs = d.varint()
+	command.Runner = d.string()
+	command.Address = d.string()
+	command.Checkpoint = d.string()
+	command.ProposedAtMs = d.varint()
 	if format != previousFormat {
-		c.Queue = d.string()
-		c.ConfigVersion = d.varint()
+		command.Queue = d.string()
+		command.ConfigVersion = d.varint()
 	}
-	if c.Kind == AcceptJob {
-		c.Submission = &Submission{}
-		if submission := d.string(); !d.failed && json.Unmarshal([]byte(submission), c.Submission) != nil {
-			return c, ErrFormat
+	if command.Kind == AcceptJob {
+		command.Submission = &Submission{}
+		if submission := d.string(); !d.failed && json.Unmarshal([]byte(submission), command.Submission) != nil {
+			return command, ErrFormat
 		}
 	}
 	if d.failed {
-		return c, ErrFormat
+		return command, ErrFormat
 	}
-	return c, nil
+	return command, nil
 }
--- a/internal/cluster/job/digest.go
+++ b/internal/cluster/job/digest.go
@@ -7,8 +7,7 @@
 
 // Digest returns a hash of the whole state: equal on replicas whose states are equal, however they
 // came about. Builds that run beside each other compare it, so that it must cover the same values
-// in the same order in each: the order of the structs' fields is part of it, their names are not. A hash
-// never returns an error.
+// in the same order in each: the order of the structs' fields is part of it, their names are not.
 func (s *Store) Digest() uint64 {
 	digest := digestOf(s.Pending, s.Sealed)
 	for _, j := range s.Jobs {
@@ -18,7 +17,7 @@
 }
 
 func (j *Job) digest() uint64 {
-	hash := fnv.New64a()
+	hash := fnv.New64a() // which never returns an error
 	_, _ = fmt.Fprintln(hash, j.Submission, j.State, j.OpenOccurrences, j.ActiveRuns, j.AcceptedMs, j.EndedMs, j.CancelledBeforeAcceptance, len(j.Occurrences))
 	for _, occurrence := range j.Occurrences {
 		_, _ = fmt.Fprintln(hash, *occurrence)
--- a/internal/cluster/job/job.go
+++ b/internal/cluster/job/job.go
@@ -60,10 +60,13 @@
 	return false
 }
 
-func (t *Task) endCounted(attempt int) bool {
+// isEndCounted tells whether the end of an attempt was reported and counted before; false for an attempt
+// above those that are tracked.
+func (t *Task) isEndCounted(attempt int) bool {
 	return attempt < trackedAttempts && t.Listed>>attempt&1 == 1
 }
 
+// countEnd records that the end of an attempt was reported.
 func (t *Task) countEnd(attempt int) {
 	if attempt < trackedAttempts {
 		t.Listed |= 1 << attempt
@@ -105,7 +108,7 @@
 	}
 }
 
-// Occurrence is the state of one of the times that a job's steps run.
+// Occurrence is the state of one run through all steps of a job. A job that is not repeated has one.
 type Occurrence struct {
 	Steps     []StepState // nil once it is over and nothing of it runs
 	OpenSteps int         // steps that are not complete
@@ -115,8 +118,8 @@
 type Job struct {
 	Submission
 	State           State
-	Occurrences     []*Occurrence // those that have fallen due
-	OpenOccurrences int           // that are not complete, also those to come
+	Occurrences     []*Occurrence // those that have fallen due, by number; nil once the job is over and nothing of it runs
+	OpenOccurrences int           // occurrences that are not complete, also those to come
 	ActiveRuns      int           // runs that are not known to be over, of all tasks
 	AcceptedMs      int64         // Unix time in milliseconds, as EndedMs
 	EndedMs         int64
--- a/internal/cluster/leader/replica.go
+++ b/internal/cluster/leader/replica.go
@@ -7,20 +7,20 @@
 
 // The methods of this file implement group.StateMachine.
 
-// Apply implements group.StateMachine: the command is an encoded job.Batch, the result has a
-// job.Outcome for each of its commands.
-func (s *Shard) Apply(_ uint64, command []byte) (any, error) {
-	batch, err := job.DecodeBatch(command)
+// Apply implements group.StateMachine: an entry is an encoded job.Batch, the result a []job.Outcome with
+// one for each of its commands.
+func (s *Shard) Apply(_ uint64, entry []byte) (any, error) {
+	batch, err := job.DecodeBatch(entry)
 	if err != nil {
 		return nil, err
 	}
 	outcomes := make([]job.Outcome, len(batch.Commands))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range batch.Commands {
-		outcomes[i] = s.store.Apply(c)
+	for i, command := range batch.Commands {
+		outcomes[i] = s.store.Apply(command)
 		if s.scheduler != nil {
-			s.scheduler.Applied(s.clocks.Monotonic(), c, outcomes[i])
+			s.scheduler.Applied(s.clocks.Monotonic(), command, outcomes[i])
 		}
 	}
 	s.wake()
--- a/internal/cluster/opconfig/change.go
+++ b/internal/cluster/opconfig/change.go
@@ -30,7 +30,7 @@
 }
 
 func decodeChange(command []byte) (Change, error) {
-	var c Change
-	err := gob.NewDecoder(bytes.NewReader(command)).Decode(&c)
-	return c, errors.Wrap(err, "decode a change of the configuration")
+	var change Change
+	err := gob.NewDecoder(bytes.NewReader(command)).Decode(&change)
+	return change, errors.Wrap(err, "decode a change of the configuration")
 }
--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -89,14 +89,14 @@
 
 // Decode decodes a configuration that Parse has validated before. It checks references, not the form.
 func Decode(content []byte) (*Config, error) {
-	c := &Config{}
-	if err := json.Unmarshal(content, c); err != nil {
+	config := &Config{}
+	if err := json.Unmarshal(content, config); err != nil {
 		return nil, errors.Wrapf(ErrInvalid, "not whole JSON: %v", err)
 	}
-	if err := c.indexRoutes(); err != nil {
+	if err := config.indexRoutes(); err != nil {
 		return nil, errors.Wrap(ErrInvalid, err.Error())
 	}
-	return c, nil
+	return config, nil
 }
 
 // indexRoutes checks that names are unique and known, and fills byQueue.
--- a/internal/cluster/opconfig/register.go
+++ b/internal/cluster/opconfig/register.go
@@ -56,16 +56,16 @@
 func (r *Register) Current() *Config { return r.parsed }
 
 // Evaluate returns the verdict that Apply would give now. It changes nothing.
-func (r *Register) Evaluate(c Change) Verdict {
-	digest, remembered := r.AcceptedDigests[c.Version]
+func (r *Register) Evaluate(change Change) Verdict {
+	digest, remembered := r.AcceptedDigests[change.Version]
 	switch {
-	case remembered && digest == DigestOf(c.Content):
+	case remembered && digest == DigestOf(change.Content):
 		return AlreadyAccepted
-	case !remembered && c.Version <= r.HighestForgotten:
+	case !remembered && change.Version <= r.HighestForgotten:
 		return Indeterminate
-	case c.Base != r.Version:
+	case change.Base != r.Version:
 		return Conflict
-	case c.Version <= r.Version:
+	case change.Version <= r.Version:
 		return Stale
 	}
 	return Accepted
@@ -73,36 +73,37 @@
 
 // Apply carries a change out. An error means that this build can't read the configuration, though
 // it was validated before it was proposed: the register is unchanged, and the replica must stop.
-func (r *Register) Apply(c Change) (Verdict, error) {
-	verdict := r.Evaluate(c)
+func (r *Register) Apply(change Change) (Verdict, error) {
+	verdict := r.Evaluate(change)
 	if verdict != Accepted {
 		return verdict, nil
 	}
-	config, err := Decode(c.Content)
+	config, err := Decode(change.Content)
 	if err != nil {
 		return 0, err
 	}
-	r.Version = c.Version
-	r.Content = c.Content
+	r.Version = change.Version
+	r.Content = change.Content
 	r.parsed = config
 	r.ChangeCount++
-	r.remember(c)
+	r.remember(change)
 	r.updateQueues(config)
 	return Accepted, nil
 }
 
 // ApplyEncoded decodes a change and carries it out, with the errors of Apply.
 func (r *Register) ApplyEncoded(command []byte) (Verdict, error) {
-	c, err := decodeChange(command)
+	change, err := decodeChange(command)
 	if err != nil {
 		return 0, err
 	}
-	return r.Apply(c)
+	return r.Apply(change)
 }
 
-func (r *Register) remember(c Change) {
-	r.AcceptedDigests[c.Version] = DigestOf(c.Content)
-	r.AcceptedVersions = append(r.AcceptedVersions, c.Version)
+// remember records that a change was accepted, and forgets the oldest above RememberedChanges.
+func (r *Register) remember(change Change) {
+	r.AcceptedDigests[change.Version] = DigestOf(change.Content)
+	r.AcceptedVersions = append(r.AcceptedVersions, change.Version)
 	for len(r.AcceptedVersions) > RememberedChanges {
 		oldest := r.AcceptedVersions[0]
 		r.HighestForgotten = max(r.HighestForgotten, oldest)
@@ -171,10 +172,10 @@
 }
 
 // StateDigest returns a hash of the whole state: equal on replicas whose states are equal. Builds
-// that run beside each other compare it, so that each must hash the same values in this order. A hash never returns
-// an error.
+// that run beside each other compare it, so that each must hash the same values in this order.
 func (r *Register) StateDigest() uint64 {
 	hash := fnv.New64a()
+	// A hash never returns an error.
 	_, _ = fmt.Fprintln(hash, r.Version, DigestOf(r.Content), r.AcceptedVersions, r.HighestForgotten, r.ChangeCount)
 	for _, version := range r.AcceptedVersions {
 		_, _ = fmt.Fprintln(hash, r.AcceptedDigests[version])
--- a/internal/cluster/protocol/shard.go
+++ b/internal/cluster/protocol/shard.go
@@ -20,5 +20,5 @@
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(service)) // it never fails
 	sum := hash.Sum64()
-	return int((sum ^ sum>>32) % ShardCount)
+	return int((sum ^ sum>>32) % ShardCount) // the upper half too: FNV mixes the lowest bits least
 }
