--- a/coord/group/apply.go
+++ b/coord/group/apply.go
@@ -62,7 +62,7 @@
 }
 
 // restore replaces the state by that of an installed snapshot, before it goes to disk; false: the
-// replica has halted. It must not go on with its older state: it could become the leader with it,
+// replica has halted. It must not continue with its older state: it could become the leader with it,
 // at the snapshot's index.
 func (e *Engine) restore(snapshot replica.Snapshot) bool {
 	if err := e.stateMachine.Restore(snapshot.Data); err != nil {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// halt stops this replica for good: its state would differ from the others', or does already. What
+// halt stops this replica until its process restarts: its state would differ from the others', or does already. What
 // is on its disk stays as it is.
 func (e *Engine) halt(cause error) {
 	e.haltCause = errors.Wrap(ErrHalted, cause.Error())
--- a/coord/group/disk.go
+++ b/coord/group/disk.go
@@ -44,7 +44,7 @@
 }
 
 // persist repeats a batch of writes until it succeeds; false: the group is closed. Meanwhile this
-// replica acknowledges nothing, and the group goes on without it.
+// replica acknowledges nothing, and the other replicas work without it.
 func (g *Group) persist(batch []DiskWrite) bool {
 	for {
 		err := PersistWrites(g.ring, batch)
--- a/coord/group/diskwrite.go
+++ b/coord/group/diskwrite.go
@@ -10,8 +10,8 @@
 type DiskWrite struct {
 	hardState *replica.HardState
 	entries   []replica.Entry
-	install   *replica.Snapshot // of the leader: the log begins anew after it
-	snapshot  *replica.Snapshot // of this replica: the log goes on
+	install   *replica.Snapshot // from the leader: it replaces the log
+	snapshot  *replica.Snapshot // of this replica's own state: the log stays
 
 	messagesAfterSync []replica.Message
 	bytes             int // of data, as counted in Engine.unsyncedBytes
@@ -33,7 +33,7 @@
 	return write, true
 }
 
-// onlyAppends tells whether a write can share a sync with other appends.
+// onlyAppends reports whether a write can share a sync with other appends.
 func (w *DiskWrite) onlyAppends() bool { return w.install == nil && w.snapshot == nil }
 
 // SyncBatchSize returns how many of the first writes can share one sync; there must be at least one.
--- a/coord/group/engine.go
+++ b/coord/group/engine.go
@@ -78,7 +78,7 @@
 	e.node = replica.NewNode(e.settings.Self.ID, e.settings.Name, e.settings.Timing, persisted, e.settings.Seed, started)
 }
 
-// IsBootstrapped tells whether the group exists, as far as this replica knows.
+// IsBootstrapped reports whether the group exists, as far as this replica knows.
 func (e *Engine) IsBootstrapped() bool { return len(e.node.Membership().Voters) > 0 }
 
 // Membership returns the newest membership, committed or not.
@@ -94,7 +94,7 @@
 	return e.node.NextTick()
 }
 
-// Receive takes in a message of another replica.
+// Receive handles a message of another replica. One for another member is ignored.
 func (e *Engine) Receive(now time.Duration, message replica.Message) {
 	if e.haltCause != nil || message.To != e.settings.Self.ID {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// Tick does what is due at a time.
+// Tick does what is due by now. It may be called earlier than NextTick.
 func (e *Engine) Tick(now time.Duration) {
 	if e.haltCause != nil {
 		return
--- a/coord/group/group.go
+++ b/coord/group/group.go
@@ -86,7 +86,7 @@
 	return g, nil
 }
 
-// IsBootstrapped tells whether the group exists, as far as this replica knows. It must be called
+// IsBootstrapped reports whether the group exists, as far as this replica knows. It must be called
 // before Run.
 func (g *Group) IsBootstrapped() bool { return g.engine.IsBootstrapped() }
 
@@ -126,7 +126,7 @@
 	return lease.Epoch, lease.Until, g.clock() < lease.Until
 }
 
-// IsLeader tells whether this replica holds the lease at this moment.
+// IsLeader reports whether this replica holds the lease at this moment.
 func (g *Group) IsLeader() bool {
 	_, _, ok := g.Lease()
 	return ok
@@ -142,7 +142,7 @@
 	g.post(func(now time.Duration) { g.engine.Propose(now, command, done) })
 }
 
-// Receive takes in a message of another replica.
+// Receive queues a message of another replica for the engine.
 func (g *Group) Receive(message replica.Message) {
 	g.post(func(now time.Duration) { g.engine.Receive(now, message) })
 }
--- a/coord/group/membership.go
+++ b/coord/group/membership.go
@@ -102,7 +102,7 @@
 	return "", false
 }
 
-// hasLeaveRequest tells whether a member's request to leave is valid, and drops one that is not.
+// hasLeaveRequest reports whether a member's request to leave is valid, and drops one that is not.
 func (e *Engine) hasLeaveRequest(now time.Duration, id string) bool {
 	receivedAt, ok := e.leaveRequests[id]
 	if !ok {
@@ -132,7 +132,7 @@
 	return members, false
 }
 
-// replacesLearner tells whether a member has the address of a learner: that one's disk is lost.
+// replacesLearner reports whether a member has the address of a learner: that one's disk is lost.
 func replacesLearner(members replica.Membership, member replica.Member) bool {
 	return slices.ContainsFunc(members.Learners, func(l replica.Member) bool { return l.Address == member.Address })
 }
--- a/coord/group/settings.go
+++ b/coord/group/settings.go
@@ -15,7 +15,7 @@
 	Name   string         // of the group, the same at each member
 	Self   replica.Member // an ID that belongs to this disk
 	Timing replica.Timing
-	// VoterCount is how many voters are wanted: learners become voters until there are so many.
+	// VoterCount is the number of voters that the group should have: learners are promoted up to it.
 	VoterCount int
 	// Seed of the random election timeouts; it must differ from one start to the next.
 	Seed uint64
--- a/coord/group/snapshot.go
+++ b/coord/group/snapshot.go
@@ -14,7 +14,8 @@
 	return snapshot, nil
 }
 
-// snapshotIfDue takes a snapshot to be written where the log has grown enough; one at a time.
+// snapshotIfDue takes a snapshot where the log has grown enough and none is being written; false: none
+// is due, or the state machine returned an error.
 func (e *Engine) snapshotIfDue() (snapshot replica.Snapshot, due bool) {
 	if e.snapshotInFlight || !e.logNearlyFull || e.node.Applied() <= e.node.SnapshotIndex() {
 		return snapshot, false
@@ -24,8 +25,8 @@
 	return snapshot, err == nil
 }
 
-// compact drops entries that a written snapshot stands for. Those after a snapshot that is being
-// sent stay: the receiver goes on from there.
+// compact drops entries that a written snapshot covers. Those after a snapshot that is being sent stay:
+// the receiver continues from there.
 func (e *Engine) compact(snapshot replica.Snapshot) {
 	retention := e.settings.LogRetention
 	retention.AfterIndex = e.lowestSentSnapshotIndex()
--- a/coord/group/snapshot_transfer.go
+++ b/coord/group/snapshot_transfer.go
@@ -9,7 +9,7 @@
 )
 
 // A snapshot goes to a member in chunks, a few of them in flight at a time. The member responds to
-// each with how many bytes it has without a gap: a lost chunk is sent again, and a transfer goes on
+// each with how many bytes it has without a gap: a lost chunk is sent again, and a transfer continues
 // where it was, however long it takes. The log after the snapshot's index stays in memory
 // meanwhile, so that compaction does not overtake the transfer.
 
@@ -40,10 +40,10 @@
 	lastSend     time.Duration
 }
 
-// complete tells whether the member has the whole snapshot; it may not be on its disk yet.
+// complete reports whether the member has the whole snapshot; it may not be on its disk yet.
 func (s *snapshotSender) complete() bool { return s.acked >= len(s.snapshot.Data) }
 
-// expired tells whether the transfer is given up.
+// expired reports whether the transfer is given up.
 func (s *snapshotSender) expired(now time.Duration) bool {
 	if s.complete() {
 		return now > s.lastResponse+installTimeout
@@ -76,8 +76,15 @@
 		chunk := s.snapshot
 		chunk.Data = s.snapshot.Data[s.sent:end]
 		e.enqueue(replica.Message{
-			Kind: replica.SnapshotChunk, Group: e.settings.Name, From: e.settings.Self.ID, To: to, Term: s.term,
-			Snapshot: &chunk, Offset: s.sent, Total: total, Addresses: e.node.Membership().AllMembers(),
+			Kind:      replica.SnapshotChunk,
+			Group:     e.settings.Name,
+			From:      e.settings.Self.ID,
+			To:        to,
+			Term:      s.term,
+			Snapshot:  &chunk,
+			Offset:    s.sent,
+			Total:     total,
+			Addresses: e.node.Membership().AllMembers(),
 		})
 		s.sent, s.lastSend = end, now
 	}
@@ -99,7 +106,7 @@
 	}
 }
 
-// handleSnapshotChunkResponse goes on with a transfer.
+// handleSnapshotChunkResponse continues a transfer.
 func (e *Engine) handleSnapshotChunkResponse(now time.Duration, response replica.Message) {
 	s := e.senders[response.From]
 	if s == nil || response.Term != s.term || response.Index != s.snapshot.Index {
@@ -136,12 +143,12 @@
 	early        map[int][]byte // chunks behind a gap, by offset; at most maxChunksInFlight
 }
 
-// matches tells whether a chunk belongs to this snapshot.
+// matches reports whether a chunk belongs to this snapshot.
 func (r *snapshotReceiver) matches(message replica.Message) bool {
 	return r != nil && r.from == message.From && r.term == message.Term && r.index == message.Snapshot.Index && r.snapshotTerm == message.Snapshot.Term
 }
 
-// add takes in a chunk and those that follow it without a gap.
+// add appends a chunk and those that follow it without a gap; one behind a gap is kept for later.
 func (r *snapshotReceiver) add(offset int, chunk []byte) {
 	if offset > len(r.data) && len(r.early) < maxChunksInFlight {
 		r.early[offset] = chunk
@@ -153,7 +160,7 @@
 	}
 }
 
-// handleSnapshotChunk takes in a chunk. The complete snapshot goes to the node as one message.
+// handleSnapshotChunk handles a chunk at its receiver. The complete snapshot goes to the node as one message.
 func (e *Engine) handleSnapshotChunk(now time.Duration, message replica.Message) {
 	chunk := message.Snapshot
 	if message.Term < e.node.Term() || chunk == nil || message.Total > maxSnapshotBytes {
@@ -165,8 +172,13 @@
 	r := e.receiver
 	r.add(message.Offset, chunk.Data)
 	e.enqueue(replica.Message{
-		Kind: replica.SnapshotChunkResponse, Group: e.settings.Name, From: e.settings.Self.ID, To: message.From,
-		Term: message.Term, Index: chunk.Index, Offset: len(r.data),
+		Kind:   replica.SnapshotChunkResponse,
+		Group:  e.settings.Name,
+		From:   e.settings.Self.ID,
+		To:     message.From,
+		Term:   message.Term,
+		Index:  chunk.Index,
+		Offset: len(r.data),
 	})
 	if len(r.data) < message.Total || chunk.Index <= e.node.Commit() {
 		return
--- a/coord/group/status.go
+++ b/coord/group/status.go
@@ -24,7 +24,7 @@
 	Halted    string            // why it has halted; empty: it has not
 }
 
-// Status returns the state of the replica at a time.
+// Status returns the state of the replica; now is by the driver's clock.
 func (e *Engine) Status(now time.Duration) Status {
 	status := Status{
 		Role:     e.node.Role(),
--- a/coord/replica/coldstart.go
+++ b/coord/replica/coldstart.go
@@ -6,7 +6,7 @@
 //
 // A replica that starts grants no vote for MinElectionTimeout, since its previous incarnation may
 // support a leader that still holds its lease. Where all processes of a group were killed at once,
-// that wait protects nobody: a lease ends with the incarnation that held it. So a replica asks, at
+// that wait protects no lease: a lease ends with the incarnation that held it. So a replica asks, at
 // its start, whether all voters have restarted and have had no contact to a leader since; the one
 // with the most complete log then begins an election at once, and its voters disregard the wait.
 //
@@ -35,8 +35,8 @@
 	n.beginColdStartRound(now)
 }
 
-// awaitsElection tells whether the replica is no candidate. One that asks for pre-votes, in vain
-// while the others support an earlier leader, may learn meanwhile that all have restarted.
+// awaitsElection reports whether the replica is no candidate. One that asks for pre-votes, which
+// others that support an earlier leader withhold, may learn meanwhile that all have restarted.
 func (n *Node) awaitsElection() bool { return n.role == Follower || n.role == PreCandidate }
 
 func (n *Node) beginColdStartRound(now time.Duration) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// allVotersResponded tells whether all other voters have responded in this round.
+// allVotersResponded reports whether all other voters have responded in this round.
 func (n *Node) allVotersResponded() bool {
 	for _, id := range n.otherVoters() {
 		if _, ok := n.coldStart.responses[id]; !ok {
@@ -84,7 +84,7 @@
 	}
 }
 
-// isFirstCandidate tells whether the same incarnations responded in both rounds and this replica
+// isFirstCandidate reports whether the same incarnations responded in both rounds and this replica
 // goes first among them: by its log, and by its ID where logs are equal.
 func (n *Node) isFirstCandidate() bool {
 	for _, id := range n.otherVoters() {
@@ -96,7 +96,7 @@
 	return true
 }
 
-// precedes tells whether this replica goes before the one that responded.
+// precedes reports whether this replica goes before the one that responded.
 func (n *Node) precedes(response Message) bool {
 	last := n.log.last()
 	term := n.log.term(last)
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -27,8 +27,14 @@
 	lastIndex := n.log.last()
 	for _, voter := range n.otherVoters() {
 		n.sendAfterSync(Message{
-			Kind: kind, To: voter, Term: term, Index: lastIndex, LogTerm: n.log.term(lastIndex),
-			Handover: reason.leaseGivenUp, Fresh: reason.coldStart, Life: n.coldStart.responses[voter].Life,
+			Kind:     kind,
+			To:       voter,
+			Term:     term,
+			Index:    lastIndex,
+			LogTerm:  n.log.term(lastIndex),
+			Handover: reason.leaseGivenUp,
+			Fresh:    reason.coldStart,
+			Life:     n.coldStart.responses[voter].Life,
 		})
 	}
 	n.countVotes(now)
@@ -46,7 +52,7 @@
 	return ids
 }
 
-// supportsLeader tells whether this node's contact to a leader is so recent that it must not help
+// supportsLeader reports whether this node's contact to a leader is so recent that it must not help
 // another candidate: the leader's lease rests on it (dissertation 4.2.3 and 6.4.1).
 func (n *Node) supportsLeader(now time.Duration, request Message) bool {
 	if request.Handover || request.Fresh && !n.hadLeader && request.Life == n.incarnation {
@@ -56,7 +62,7 @@
 	return n.role == Leader && now < ownSupportEnd || now < n.lastLeaderContact+n.timing.MinElectionTimeout
 }
 
-// isUpToDate tells whether a candidate's log is at least as complete as this node's (paper, section
+// isUpToDate reports whether a candidate's log is at least as complete as this node's (paper, section
 // 5.4.1).
 func (n *Node) isUpToDate(request Message) bool {
 	last := n.log.last()
@@ -125,7 +131,7 @@
 	n.countVotes(now)
 }
 
-// countVotes goes on with the election where a majority has granted its pre-vote or vote.
+// countVotes takes the next step of the election once a majority has granted its pre-vote or vote.
 func (n *Node) countVotes(now time.Duration) {
 	granted := majority(n.Membership(), func(id string) int {
 		if n.votes[id] {
--- a/coord/replica/lease.go
+++ b/coord/replica/lease.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// lostMajority tells whether this leader has had no contact to a majority for so long that others
+// lostMajority reports whether this leader has had no contact to a majority for so long that others
 // may have elected another one; it steps down then (dissertation 6.2).
 func (n *Node) lostMajority(now time.Duration) bool {
 	return now > n.leaseExpiry+n.timing.MinElectionTimeout && now > n.leaderSince+2*n.timing.MinElectionTimeout
--- a/coord/replica/log.go
+++ b/coord/replica/log.go
@@ -5,8 +5,8 @@
 // maxAppendBytes bounds the data of the entries of one message, except for its first entry.
 const maxAppendBytes = 256 << 10
 
-// LogRetention bounds what stays in memory of the entries that a snapshot stands for. Entries and
-// Bytes hold both.
+// LogRetention bounds what stays in memory of the entries that a snapshot covers. Entries and
+// Bytes both apply.
 type LogRetention struct {
 	Entries uint64
 	Bytes   int // of the entries' data
@@ -48,7 +48,7 @@
 	return 0
 }
 
-// has tells whether the log holds that entry, or a snapshot that stands for it.
+// has reports whether the log holds that entry, or a snapshot that covers it.
 func (l *raftLog) has(index, term uint64) bool {
 	return index == 0 || index < l.snapshot.Index || l.term(index) == term
 }
@@ -111,7 +111,7 @@
 	return index - 1
 }
 
-// compact moves to a newer snapshot and drops entries that it stands for.
+// compact moves to a newer snapshot and drops entries that it covers.
 func (l *raftLog) compact(snapshot Snapshot, retention LogRetention) {
 	if snapshot.Index <= l.snapshot.Index {
 		return
--- a/coord/replica/membership.go
+++ b/coord/replica/membership.go
@@ -27,7 +27,7 @@
 	Learners []Member
 }
 
-// IsJoint tells whether a change of the voters is under way.
+// IsJoint reports whether a change of the voters is under way.
 func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
 // Find returns the voter, outgoing voter or learner of that ID.
@@ -40,7 +40,7 @@
 	return Member{}, false
 }
 
-// IsVoter tells whether the member of that ID has a vote, in either set.
+// IsVoter reports whether the member of that ID has a vote, in either set.
 func (m Membership) IsVoter(id string) bool {
 	return indexOf(m.Voters, id) >= 0 || indexOf(m.Outgoing, id) >= 0
 }
@@ -130,7 +130,7 @@
 	return true
 }
 
-// finishMembershipChange goes on with a change once its membership is committed: a joint one is
+// finishMembershipChange takes the next step of a change once its membership is committed: a joint one is
 // left, and a leader that is no voter any more steps down (dissertation 4.2.2).
 func (n *Node) finishMembershipChange(now time.Duration) {
 	if n.log.membershipIndex() > n.commit {
--- a/coord/replica/message.go
+++ b/coord/replica/message.go
@@ -90,7 +90,7 @@
 	CommittedEntries []Entry
 }
 
-// Empty tells whether nothing is asked for.
+// Empty reports whether nothing is asked for.
 func (r *Ready) Empty() bool {
 	return r.HardState == nil && len(r.Entries) == 0 && r.Snapshot == nil && len(r.Messages) == 0 && len(r.MessagesAfterSync) == 0 && len(r.CommittedEntries) == 0
 }
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -146,13 +146,13 @@
 	}
 }
 
-// Compact drops entries that a snapshot on disk stands for, except the last ones within the bounds:
+// Compact drops entries that a snapshot on disk covers, except the last ones within the bounds:
 // a replica that was away for a moment catches up from them.
 func (n *Node) Compact(snapshot Snapshot, retention LogRetention) {
 	n.log.compact(snapshot, retention)
 }
 
-// Step takes in a message that was sent to this node.
+// Step handles a message that was sent to this node.
 func (n *Node) Step(now time.Duration, message Message) {
 	switch message.Kind { // these change the term by rules of their own
 	case PreVoteRequest, VoteRequest:
@@ -196,7 +196,7 @@
 	}
 }
 
-// Tick does what is due at a time.
+// Tick does what is due by now. It may be called earlier than NextTick.
 func (n *Node) Tick(now time.Duration) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -210,7 +210,7 @@
 		n.campaign(now, PreCandidate, campaignReason{})
 		return
 	}
-	n.leaderID = "" // a learner begins no election, and would name a lost leader for good
+	n.leaderID = "" // a learner begins no election, and would name a lost leader for ever
 	n.resetElectionTimer(now)
 }
 
--- a/coord/replica/progress/progress.go
+++ b/coord/replica/progress/progress.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// SnapshotPending tells whether a snapshot was asked for so lately that none is due.
+// SnapshotPending reports whether a snapshot was asked for within ResendAfter, so that none is due.
 func (p *Progress) SnapshotPending(now time.Duration) bool {
 	return p.snapshotRequestedAt != 0 && now < p.snapshotRequestedAt+ResendAfter
 }
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -33,11 +33,11 @@
 	return n.log.last() - min(onDisk, n.log.last())
 }
 
-// CaughtUp tells whether a member lacks at most so many of the committed entries, as far as this
+// CaughtUp reports whether a member lacks no more than maxLag committed entries, as far as this
 // leader knows; false at a node that is not the leader.
-func (n *Node) CaughtUp(id string, within uint64) bool {
+func (n *Node) CaughtUp(id string, maxLag uint64) bool {
 	peer := n.progress[id]
-	return n.role == Leader && peer != nil && peer.Match > 0 && peer.Match+within >= n.commit
+	return n.role == Leader && peer != nil && peer.Match > 0 && peer.Match+maxLag >= n.commit
 }
 
 // UnresponsiveFor returns how long a member has not responded to this leader; 0 for one that is not
@@ -50,7 +50,7 @@
 	return peer.UnresponsiveFor(n.leaderSince, now)
 }
 
-// trackMembers keeps a progress for each other member, and for nobody else.
+// trackMembers keeps a progress for each other member, and for no one who is not a member.
 func (n *Node) trackMembers(now time.Duration) {
 	if n.progress == nil {
 		n.progress = map[string]*progress.Progress{}
@@ -123,7 +123,7 @@
 	peer := n.progress[id]
 	peer.RewindIfLost(n.log.last(), now)
 	if peer.UnresponsiveFor(n.leaderSince, now) > n.timing.MinElectionTimeout {
-		n.probe(now, id, reason) // entries would pile up on the way to it
+		n.probe(now, id, reason) // entries would only queue up in the network
 		return
 	}
 	previous := peer.Next - 1
--- a/coord/replica/storage.go
+++ b/coord/replica/storage.go
@@ -32,7 +32,7 @@
 	Vote string // ID of the member that got this replica's vote in Term; empty: none
 }
 
-// Snapshot stands for all entries up to and including Index. It is stored and sent by encoding/gob,
+// Snapshot covers all entries up to and including Index. It is stored and sent by encoding/gob,
 // so that its field names stay.
 type Snapshot struct {
 	Index      uint64
--- a/coord/replica/transfer.go
+++ b/coord/replica/transfer.go
@@ -7,7 +7,7 @@
 //
 // Unlike there, the lease ends at once and is not taken up again in this term: the transferee's
 // election disregards it, and a late TimeoutNow must not meet a renewed one. Where the transferee
-// does not take over in time, this node steps down all the same, so that any voter can be elected.
+// does not take over in time, this node steps down nevertheless, so that any voter can be elected.
 // No command is accepted meanwhile.
 func (n *Node) TransferLeadership(now time.Duration) bool {
 	if n.role != Leader {
--- a/coord/ringlog/format.go
+++ b/coord/ringlog/format.go
@@ -15,7 +15,7 @@
 const (
 	recordHardState recordKind = iota + 1
 	recordEntry
-	// recordReset has the index of a snapshot: the log begins anew after it.
+	// recordReset has the index of a snapshot that replaces all entries before the record.
 	recordReset
 )
 
--- a/coord/ringlog/recover.go
+++ b/coord/ringlog/recover.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// replayRecord takes in a record; false: it can't be read, or leaves a gap.
+// replayRecord applies a record to what was found so far; false: it can't be read, or leaves a gap.
 func (r *Ring) replayRecord(s *segment, next record, found *replica.PersistedState) bool {
 	switch next.kind {
 	case recordHardState:
@@ -146,7 +146,7 @@
 	return false
 }
 
-// replayEntry takes in an entry, which cuts off those of its index and after; false: it leaves a gap.
+// replayEntry appends an entry, in place of those of its index and after; false: it leaves a gap.
 func replayEntry(found *replica.PersistedState, entry replica.Entry) bool {
 	if entry.Index <= found.Snapshot.Index {
 		found.Entries = nil
--- a/coord/ringlog/ring.go
+++ b/coord/ringlog/ring.go
@@ -144,7 +144,7 @@
 		return err
 	}
 	for _, s := range r.segments {
-		s.lastIndex = 0 // so that the snapshot stands for all of them
+		s.lastIndex = 0 // so that the snapshot covers all of them
 	}
 	if err := r.startSegmentSynced(); err != nil {
 		return err
@@ -157,7 +157,7 @@
 // BytesSinceSnapshot returns the bytes of records written since the newest snapshot.
 func (r *Ring) BytesSinceSnapshot() int { return r.bytesSinceSnapshot }
 
-// NearlyFull tells whether more than half of the ring is in use, so that a snapshot is due.
+// NearlyFull reports whether more than half of the ring is in use, so that a snapshot is due.
 func (r *Ring) NearlyFull() bool {
 	r.reclaim()
 	return len(r.segments) > r.sizes.Segments/2
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -16,7 +16,7 @@
 const snapshotSlots = 2
 
 // SaveSnapshot writes a snapshot into the older of the two slots and syncs it: the newer one stays
-// whole whatever happens. The log goes on. After an error it may be called again.
+// whole whatever happens. The log is unchanged. After an error it may be called again.
 func (r *Ring) SaveSnapshot(snapshot replica.Snapshot) error {
 	content, err := encodeSnapshot(snapshot)
 	if err != nil {
--- a/coord/rpc/dial.go
+++ b/coord/rpc/dial.go
@@ -10,12 +10,14 @@
 )
 
 const (
+	// dialTimeout bounds one attempt to connect, and all attempts of dialRepeatedly together.
 	dialTimeout = 900 * time.Millisecond
 	// dialInterval is the pause before another attempt to connect begins beside those under way. A
 	// machine that was off the network when an attempt began never sees its SYN packet, which the
 	// kernel repeats only after a second.
 	dialInterval = 120 * time.Millisecond
-	// unacknowledgedTimeout: a connection ends where sent data is not acknowledged by TCP for so long.
+	// unacknowledgedTimeout is how long sent data may stay unacknowledged by TCP before the connection
+	// ends.
 	unacknowledgedTimeout = 1500 * time.Millisecond
 	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does not name.
 	tcpUserTimeout = 18
--- a/internal/cluster/controlplane/recovery.go
+++ b/internal/cluster/controlplane/recovery.go
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// allGroupsLedElsewhere tells whether each group has a leader with a lease on another node.
+// allGroupsLedElsewhere reports whether each group has a leader with a lease on another node.
 func (n *Node) allGroupsLedElsewhere() bool {
 	hasLeader := n.findLedGroups()
 	if !hasLeader[protocol.ConfigGroup] {
--- a/internal/cluster/job/command.go
+++ b/internal/cluster/job/command.go
@@ -39,7 +39,7 @@
 	BodyHash      uint64  `json:"Hash"` // of the body that the client sent
 	Spec          Spec    `json:"Spec"`
 	Priority      int     `json:"Priority"` // lower numbers are started first
-	Retries       int     `json:"Retries"`  // the job fails once a task, or a gang, has failed so often
+	Retries       int     `json:"Retries"`  // the job fails once a task, or a gang, has this many failed runs
 	TargetMs      int64   `json:"TargetMs"` // latency target, beside Extension
 	Extension     float64 `json:"Stretch"`  // latency target, as a multiple of the job's work
 	ConfigVersion int64   `json:"Version"`  // of the configuration under which it is accepted
--- a/internal/cluster/job/endreason.go
+++ b/internal/cluster/job/endreason.go
@@ -34,5 +34,5 @@
 	return EndLeaseExpired
 }
 
-// reported tells whether runners report ends with this reason.
+// reported reports whether runners report ends with this reason.
 func (r EndReason) reported() bool { return r != EndRejected && r != EndLost }
--- a/internal/cluster/job/job.go
+++ b/internal/cluster/job/job.go
@@ -24,7 +24,7 @@
 	return [...]string{"pending", "running", "completed", "failed", "canceled"}[s]
 }
 
-// Terminal tells whether the job is over: it starts no more runs and keeps this state.
+// Terminal reports whether the job is over: it starts no more runs and keeps this state.
 func (s State) Terminal() bool { return s >= StateCompleted }
 
 // Run is one run of a task that was ordered and is not known to be over. Snapshots store it under
@@ -60,7 +60,7 @@
 	return false
 }
 
-// isEndCounted tells whether the end of an attempt was reported and counted before; false for an attempt
+// isEndCounted reports whether the end of an attempt was reported and counted before; false for an attempt
 // above those that are tracked.
 func (t *Task) isEndCounted(attempt int) bool {
 	return attempt < trackedAttempts && t.Listed>>attempt&1 == 1
@@ -78,10 +78,10 @@
 	Tasks          []Task
 	DoneTasks      int
 	Checkpoint     string // of a gang: the newest that any member saved
-	FailedAttempts uint64 // of a gang, bit N: attempt N ended as EndFailed; the last bit stands for all later ones
+	FailedAttempts uint64 // of a gang, bit N: attempt N ended as EndFailed; the last bit counts for all later ones
 }
 
-// Complete tells whether all its tasks are done.
+// Complete reports whether all its tasks are done.
 func (s *StepState) Complete() bool { return s.DoneTasks == len(s.Tasks) }
 
 func (s *StepState) markDone(task *Task) {
@@ -124,11 +124,11 @@
 	AcceptedMs      int64         // Unix time in milliseconds, as EndedMs
 	EndedMs         int64
 	// CancelledBeforeAcceptance: only the ID and the queue are known. A late attempt to submit
-	// the job is rejected for good.
+	// the job is always rejected.
 	CancelledBeforeAcceptance bool
 }
 
-// DependenciesComplete tells whether a step's tasks may start: the steps that it depends on are
+// DependenciesComplete reports whether a step's tasks may start: the steps that it depends on are
 // complete.
 func (j *Job) DependenciesComplete(occurrence *Occurrence, step int) bool {
 	for _, dependency := range j.Spec.Steps[step].DependsOn {
@@ -178,7 +178,7 @@
 	j.Occurrences[number] = &Occurrence{Steps: steps, OpenSteps: len(steps)}
 }
 
-// mayStart tells whether the state allows a run.
+// mayStart reports whether the state allows a run.
 func (j *Job) mayStart(task *Task, ref TaskRef, attempt int) bool {
 	step := &j.Spec.Steps[ref.Step]
 	switch {
--- a/internal/cluster/job/resources.go
+++ b/internal/cluster/job/resources.go
@@ -19,7 +19,7 @@
 	return Resources{CPU: r.CPU - other.CPU, MemMB: r.MemMB - other.MemMB, GPU: r.GPU - other.GPU}
 }
 
-// FitsIn tells whether free has enough of each resource.
+// FitsIn reports whether free has enough of each resource.
 func (r Resources) FitsIn(free Resources) bool {
 	return r.CPU <= free.CPU && r.MemMB <= free.MemMB && r.GPU <= free.GPU
 }
--- a/internal/cluster/job/runs.go
+++ b/internal/cluster/job/runs.go
@@ -25,7 +25,7 @@
 	return Applied
 }
 
-// endRun takes in the end of a run. A reported end counts once, also after the run was taken for
+// endRun applies the end of a run. A reported end counts once, also after the run was taken for
 // lost.
 func (s *Store) endRun(j *Job, command Command) Outcome {
 	task, step := j.Task(command.Task)
@@ -65,7 +65,7 @@
 		return
 	}
 	if spec.Gang {
-		step.markAllDone() // a gang's members end together: one report stands for all
+		step.markAllDone() // a gang's members end together: one report counts for all
 	} else {
 		step.markDone(task)
 	}
--- a/internal/cluster/job/spec.go
+++ b/internal/cluster/job/spec.go
@@ -31,7 +31,7 @@
 	SameRack     bool   `json:"same_rack"`     // of a gang: its tasks should run on one rack
 	Constraints  Labels `json:"constraints"`   // a runner must have all of them
 	Affinity     string `json:"affinity"`      // the rack that its data is on; empty: any
-	AntiAffinity int    `json:"anti_affinity"` // at most so many of its tasks at one runner; 0: no limit
+	AntiAffinity int    `json:"anti_affinity"` // most of its tasks at one runner; 0: no limit
 	Speculative  bool   `json:"speculative"`   // a task may have two runs at the same time
 	LongRunning  bool   `json:"long_running"`  // its tasks run until the job is cancelled
 }
--- a/internal/cluster/leader/cycle.go
+++ b/internal/cluster/leader/cycle.go
@@ -115,7 +115,7 @@
 	s.wake()
 }
 
-// MaySend tells whether an order may be sent at this moment: this process still holds the lease of the
+// MaySend reports whether an order may be sent at this moment: this process still holds the lease of the
 // epoch in which the scheduler gave it.
 func (s *Shard) MaySend(order scheduler.Order) bool {
 	epoch, _, held := s.group.Lease()
--- a/internal/cluster/leader/leader.go
+++ b/internal/cluster/leader/leader.go
@@ -4,7 +4,7 @@
 // goroutines: answers are given through callbacks, which may be called before the method returns,
 // and the time comes from the caller's clocks.
 //
-// Two rules hold throughout. What confirms or rejects a request for good is either the result of a
+// Two rules hold throughout. What confirms or rejects a request finally is either the result of a
 // committed command, or was read from the state before the leader's lease was checked and found
 // valid (a lease read; Ongaro's dissertation on Raft, section 6.4.1). And a process without a lease
 // says nothing but who the leader may be.
@@ -21,7 +21,7 @@
 	// Lease returns the epoch of this replica's leadership and when its lease ends, by the group's
 	// clock; false: it holds no lease at this moment.
 	Lease() (epoch uint64, until time.Duration, ok bool)
-	// IsLeader tells whether this replica holds the leader's lease at this moment.
+	// IsLeader reports whether this replica holds the leader's lease at this moment.
 	IsLeader() bool
 	// Leader returns the leader as far as is known; the zero value: it is not known.
 	Leader() replica.Member
--- a/internal/cluster/leader/request.go
+++ b/internal/cluster/leader/request.go
@@ -70,7 +70,7 @@
 	return outcomeUnknownResponse
 }
 
-// checkFormerShard tells whether an ID of a queue that was moved to another shard is known here.
+// checkFormerShard reports whether an ID of a queue that was moved to another shard is known here.
 // Before it says that it is not, it seals the queue: no dispatcher with an older configuration can
 // submit the job here afterwards.
 func (s *Shard) checkFormerShard(request protocol.JobRequest, reply func(protocol.JobResponse)) {
--- a/internal/cluster/leader/shard.go
+++ b/internal/cluster/leader/shard.go
@@ -49,7 +49,7 @@
 // group.StateMachine.
 func (s *Shard) SetGroup(replicaGroup Group) { s.group = replicaGroup }
 
-// UpdateRunners takes in the platform's list, of which it keeps the runners of this shard's services.
+// UpdateRunners replaces the runners by those of the platform's list that are of this shard's services.
 func (s *Shard) UpdateRunners(list []protocol.Runner) {
 	var runners []scheduler.Runner
 	for _, r := range list {
@@ -75,7 +75,7 @@
 	}
 }
 
-// UpdateConfig takes in a newer configuration of the operator's.
+// UpdateConfig replaces the operator's configuration by a newer one; nil: there is none.
 func (s *Shard) UpdateConfig(config *opconfig.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cluster/leader/submit.go
+++ b/internal/cluster/leader/submit.go
@@ -69,9 +69,9 @@
 
 // route returns the route of a submission and the version of the configuration that it is of: this
 // node's configuration or the sender's, whichever is newer; false: the newer one has no such queue. The
-// job is accepted under the sender's
-// version all the same: by it the sender knew which shards had the queue before and asked their
-// leaders, and it may have missed that the queue was elsewhere and came back since.
+// job is accepted under the sender's version nevertheless: by it the sender knew which shards had the
+// queue before and asked their leaders, and it may have missed that the queue was elsewhere and came
+// back since.
 func (s *Shard) route(request *protocol.SubmitRequest) (route opconfig.Route, version int64, ok bool) {
 	config := s.operatorConfig
 	if config == nil || config.Version <= request.Version {
--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -22,7 +22,7 @@
 	TargetMs   float64 `json:"target_ms"`  // latency target of a job, beside Extension
 	Priority   int     `json:"priority"`   // lower numbers are started first
 	Backend    string  `json:"backend"`    // the service
-	Retries    int     `json:"retries"`    // a job fails once one of its tasks has failed so often
+	Retries    int     `json:"retries"`    // a job fails once one of its tasks has this many failed runs
 	Extension  float64 `json:"extension"`  // latency target of a job, as a multiple of its work
 }
 
--- a/internal/cluster/protocol/runners.go
+++ b/internal/cluster/protocol/runners.go
@@ -11,7 +11,7 @@
 	List     []Runner
 }
 
-// NewerThan tells whether this list replaces another one; the zero value is older than any list.
+// NewerThan reports whether this list replaces another one; the zero value is older than any list.
 func (l RunnerList) NewerThan(other RunnerList) bool {
 	if l.Epoch != other.Epoch {
 		return l.Epoch > other.Epoch
