--- a/coord/ringlog/golden_test.go
+++ b/coord/ringlog/golden_test.go
@@ -141,8 +141,8 @@
 	require.Equal(t, wanted, found)
 }
 
-// TestLogIsWrittenAsBefore: the same work leaves the same files, records and snapshots.
-func TestLogIsWrittenAsBefore(t *testing.T) {
+// TestLogMatchesGolden: the same work leaves the same files, records and snapshots.
+func TestLogMatchesGolden(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "ring")
 	writeLog(t, folder)
 	require.Equal(t, filesOf(t, goldenFolder), filesOf(t, folder))
--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -87,8 +87,8 @@
 	return requests, strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestCallsToRunnersAsBefore: request line, headers and body of each call at a runner.
-func TestCallsToRunnersAsBefore(t *testing.T) {
+// TestCallsToRunnersMatchGolden: request line, headers and body of each call at a runner.
+func TestCallsToRunnersMatchGolden(t *testing.T) {
 	requests, address := recordRequests(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"clock_ms":1}`)) })
 	client := newRunnerClient(t.Context())
 	full := scheduler.Order{
@@ -124,8 +124,8 @@
 	return scheduler.Order{Address: strings.TrimPrefix(runner.URL, "http://"), Runner: "instance"}
 }
 
-// TestAnswersOfRunnersAreReadAsBefore: each status, and each field of an answer.
-func TestAnswersOfRunnersAreReadAsBefore(t *testing.T) {
+// TestRunnerRepliesAreParsed: each status, and each field of an answer.
+func TestRunnerRepliesAreParsed(t *testing.T) {
 	client := newRunnerClient(t.Context())
 	for _, c := range []struct {
 		status int
@@ -176,8 +176,8 @@
 	}, report)
 }
 
-// TestCallsToThePlatformAsBefore: the calls for the list of runners, and each field of its pages.
-func TestCallsToThePlatformAsBefore(t *testing.T) {
+// TestCallsToPlatformMatchGolden: the calls for the list of runners, and each field of its pages.
+func TestCallsToPlatformMatchGolden(t *testing.T) {
 	requests, address := recordRequests(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("page_token") == "" {
 			_, _ = w.Write([]byte(`{"instances":[{"id":"i-1","backend":"desk","address":"10.3.0.1:9000","state":"ready",
@@ -266,8 +266,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestAnswersToOperatorsAsBefore: status, headers and body of each answer to an operator.
-func TestAnswersToOperatorsAsBefore(t *testing.T) {
+// TestResponsesToOperatorsMatchGolden: status, headers and body of each answer to an operator.
+func TestResponsesToOperatorsMatchGolden(t *testing.T) {
 	const configuration = `{"version":1,"routes":[],"services":[]}`
 	leads := func(verdict opconfig.Verdict, err error) *fakeGroup {
 		return &fakeGroup{leads: true, leader: "here", verdict: verdict, err: err}
--- a/internal/cluster/controlplane/handler.go
+++ b/internal/cluster/controlplane/handler.go
@@ -26,9 +26,8 @@
 // HandleCall implements rpc.Handler.
 func (n *Node) HandleCall(body any) any {
 	if !n.replicasRunning.Load() {
-		// Status 0: not the leader. Senders of other requests take a response of a type that they
-		// don't expect as a failed call.
-		return protocol.JobResponse{}
+		// Senders of other requests take a response of a type that they don't expect as a failed call.
+		return protocol.JobResponse{Status: protocol.StatusNotLeader}
 	}
 	switch request := body.(type) {
 	case protocol.SubmitRequest:
@@ -49,7 +48,7 @@
 // of a node that is not its leader.
 func (n *Node) callShard(number int, call func(*shardLoop, func(protocol.JobResponse))) protocol.JobResponse {
 	if number < 0 || number >= len(n.shards) {
-		return protocol.JobResponse{}
+		return protocol.JobResponse{Status: protocol.StatusNotLeader}
 	}
 	loop := n.shards[number]
 	return loop.await(func(reply func(protocol.JobResponse)) { call(loop, reply) })
--- a/internal/cluster/controlplane/operatorapi.go
+++ b/internal/cluster/controlplane/operatorapi.go
@@ -20,10 +20,10 @@
 }
 
 const (
-	maxConfigBytes = 4 << 20
-	commitTimeout  = 2500 * time.Millisecond
+	maxConfigBytes = 4 << 20                 // of an operator's POST
+	commitTimeout  = 2500 * time.Millisecond // of a change of the configuration
 	forwardTimeout = 2800 * time.Millisecond // longer than commitTimeout: the leader's response comes first
-	maxWatchWaitMs = 2000
+	maxWatchWaitMs = 2000                    // how long a dispatcher's watch is kept open at most
 )
 
 // watch answers a dispatcher. It waits up to the requested time for a configuration that is newer than
@@ -40,7 +40,7 @@
 	}
 	nodes := o.node.nodeAddresses()
 	shardLeaders := o.node.shardLeaders()
-	held := time.Since(receivedAt)
+	held := time.Since(receivedAt) // before Version is read: see WatchResponse.HeldMs
 	response := o.config.Watch(request.Have)
 	response.Cores = nodes
 	response.Owners = shardLeaders
@@ -48,7 +48,8 @@
 	return response
 }
 
-// handle carries out an operator's call, if this node leads the configuration's group.
+// handle carries out an operator's call, if this node leads the configuration's group. It waits for the
+// commit, for commitTimeout at most: the response then says that the outcome is not known.
 func (o *operatorAPI) handle(request protocol.OperatorRequest) protocol.OperatorResponse {
 	responses := make(chan protocol.OperatorResponse, 1)
 	o.config.HandleOperatorRequest(request, func(response protocol.OperatorResponse) { responses <- response })
@@ -87,9 +88,10 @@
 	o.respond(w, protocol.OperatorRequest{})
 }
 
+// respond forwards a call and writes its response.
 func (o *operatorAPI) respond(w http.ResponseWriter, request protocol.OperatorRequest) {
 	response := o.forward(request)
-	if response.Status == 0 {
+	if response.Status == protocol.StatusNotLeader {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "the configuration has no owner at this moment: try again", http.StatusServiceUnavailable)
 		return
@@ -102,13 +104,13 @@
 	_, _ = w.Write(response.Content) // an error means that the operator has gone
 }
 
-// forward has a call carried out by the leader, whether it is this node or another one.
+// forward handles a call where this node is the leader, and else sends it to the leader, once.
 func (o *operatorAPI) forward(request protocol.OperatorRequest) protocol.OperatorResponse {
-	own := o.handle(request)
-	if own.Status != 0 || own.Leader == "" || own.Leader == o.node.self.Address {
-		return own
+	local := o.handle(request)
+	if local.Status != protocol.StatusNotLeader || local.Leader == "" || local.Leader == o.node.self.Address {
+		return local
 	}
-	answer, err := o.node.peers.call(own.Leader, forwardTimeout, request)
+	answer, err := o.node.peers.call(local.Leader, forwardTimeout, request)
 	if err != nil {
 		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "the owner did not answer: send the same again"}
 	}
--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -412,8 +412,8 @@
 	require.Equal(t, &job.Job{Submission: job.Submission{ID: "withdrawn", Queue: queue}, State: job.StateCanceled, EndedMs: 4000, CancelledBeforeAcceptance: true}, store.Jobs["withdrawn"])
 }
 
-// TestGoldenSnapshotGoesOn: commands apply to a state that was read as they did before.
-func TestGoldenSnapshotGoesOn(t *testing.T) {
+// TestRestoredGoldenSnapshotAppliesCommands: commands apply to a state that was read as they did before.
+func TestRestoredGoldenSnapshotAppliesCommands(t *testing.T) {
 	store := restored(t, golden(t, snapshotFile))
 	require.Equal(t, job.AlreadyApplied, store.Apply(acceptCommand("pending", queue, full())), "submitted again")
 	require.Equal(t, job.QueueMoved, store.Apply(acceptCommand("late", movedQueue, plain(1))), "the queue was sealed at version 9")
--- a/internal/cluster/leader/configuration.go
+++ b/internal/cluster/leader/configuration.go
@@ -42,13 +42,13 @@
 	defer c.mu.Unlock()
 	verdict, err := c.register.ApplyEncoded(command)
 	if err == nil && verdict == opconfig.Accepted {
-		c.notifyChanged()
+		c.notifyChangedLocked()
 	}
 	return verdict, err
 }
 
-// notifyChanged wakes who waits for a change and passes the configuration on.
-func (c *Configuration) notifyChanged() {
+// notifyChangedLocked wakes the watchers of Changed and calls onApplied.
+func (c *Configuration) notifyChangedLocked() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 	c.onApplied(c.register.Current())
@@ -69,7 +69,7 @@
 	if err := c.register.Restore(snapshot); err != nil {
 		return err
 	}
-	c.notifyChanged()
+	c.notifyChangedLocked()
 	return nil
 }
 
@@ -113,6 +113,7 @@
 	return response
 }
 
+// readNewerThan fills in the newest configuration, with its content where it is newer than the sender's.
 func (c *Configuration) readNewerThan(have int64, response *protocol.WatchResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,8 +126,7 @@
 }
 
 // HandleOperatorRequest carries out an operator's call, if this process leads the configuration's
-// group. It calls reply once. A status of 0 says that this process is not the leader, and nothing
-// was done.
+// group. It calls reply once, with StatusNotLeader where this process is not the leader.
 func (c *Configuration) HandleOperatorRequest(request protocol.OperatorRequest, reply func(protocol.OperatorResponse)) {
 	switch {
 	case !c.group.IsLeader():
@@ -138,10 +138,12 @@
 	}
 }
 
+// notLeaderResponse names the leader, as far as it is known here.
 func (c *Configuration) notLeaderResponse() protocol.OperatorResponse {
-	return protocol.OperatorResponse{Leader: c.group.Leader().Address}
+	return protocol.OperatorResponse{Status: protocol.StatusNotLeader, Leader: c.group.Leader().Address}
 }
 
+// replace validates a new configuration and proposes it.
 func (c *Configuration) replace(request protocol.OperatorRequest, reply func(protocol.OperatorResponse)) {
 	config, err := opconfig.Parse(request.Content)
 	if err != nil {
--- a/internal/cluster/leader/golden_test.go
+++ b/internal/cluster/leader/golden_test.go
@@ -14,8 +14,8 @@
 
 // The answers of this file are those of commit 352ebf2, with the texts that clients are given.
 
-// TestAnswersOfAShardAsBefore: each answer that does not depend on the state of a job.
-func TestAnswersOfAShardAsBefore(t *testing.T) {
+// TestShardResponses: each answer that does not depend on the state of a job.
+func TestShardResponses(t *testing.T) {
 	s, f := newShard()
 	post := func(r protocol.SubmitRequest) protocol.JobResponse {
 		return respond(s, f, func(reply func(protocol.JobResponse)) { s.Submit(r, reply) })
@@ -53,7 +53,7 @@
 	require.Equal(t, protocol.JobResponse{Owner: "leader"}, post(submitRequest("e", body, 10)))
 }
 
-func TestAnswerForARemovedQueueAsBefore(t *testing.T) {
+func TestResponseForRemovedQueue(t *testing.T) {
 	s, f := newShard()
 	config, err := opconfig.Decode([]byte(`{"version":12,"routes":[],"services":[]}`))
 	require.NoError(t, err)
@@ -73,9 +73,9 @@
 	g.fakeGroup.Propose(command, done)
 }
 
-// TestCommandOfASubmissionAsBefore: each field of the stored job comes from the same field of
+// TestCommandOfSubmission: each field of the stored job comes from the same field of
 // the message and of the route.
-func TestCommandOfASubmissionAsBefore(t *testing.T) {
+func TestCommandOfSubmission(t *testing.T) {
 	s, _ := newShard()
 	g := &recordingGroup{fakeGroup: fakeGroup{states: s, leads: true}}
 	s.SetGroup(g)
--- a/internal/cluster/leader/response.go
+++ b/internal/cluster/leader/response.go
@@ -29,8 +29,9 @@
 	return protocol.JobResponse{Status: http.StatusServiceUnavailable, Moved: version, Reason: "a newer configuration sends the queue elsewhere"}
 }
 
+// notLeaderResponse names the leader, as far as it is known here.
 func (s *Shard) notLeaderResponse() protocol.JobResponse {
-	return protocol.JobResponse{Owner: s.group.Leader().Address}
+	return protocol.JobResponse{Status: protocol.StatusNotLeader, Owner: s.group.Leader().Address}
 }
 
 // ifLeader returns a response that was read from the state, if the leader's lease is still held.
--- a/internal/cluster/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -199,8 +199,8 @@
 	require.NoError(t, err, "it is of the form that the schema gives")
 }
 
-// TestGoldenRegisterGoesOn: changes are judged and applied on a register that was read.
-func TestGoldenRegisterGoesOn(t *testing.T) {
+// TestRestoredGoldenRegisterAppliesChanges: changes are judged and applied on a register that was read.
+func TestRestoredGoldenRegisterAppliesChanges(t *testing.T) {
 	register := restored(t)
 	require.Equal(t, opconfig.AlreadyAccepted, register.Evaluate(goldenChange(20)))
 	require.Equal(t, opconfig.Conflict, register.Evaluate(opconfig.Change{Base: 12, Version: 60, Content: goldenContent(60)}))
@@ -214,8 +214,8 @@
 	require.Equal(t, uint64(goldenVersions+1), register.ChangeCount)
 }
 
-// TestGoldenChangeIsWrittenAsBefore: a process of 352ebf2 reads a command of this build whole.
-func TestGoldenChangeIsWrittenAsBefore(t *testing.T) {
+// TestGoldenChangeIsWritten: a process of 352ebf2 reads a command of this build whole.
+func TestGoldenChangeIsWritten(t *testing.T) {
 	wanted := storedChange{Base: goldenVersions, Version: goldenVersions + 1, Content: goldenContent(goldenVersions + 1)}
 	for name, command := range map[string][]byte{"golden": golden(t, changeFile), "this build's": encoded(t, goldenChange(goldenVersions+1))} {
 		var stored storedChange
--- a/internal/cluster/protocol/configuration.go
+++ b/internal/cluster/protocol/configuration.go
@@ -32,8 +32,8 @@
 
 // OperatorResponse is the answer to an OperatorRequest.
 type OperatorResponse struct {
-	Status  Status // 0: this process does not lead the configuration's group, and nothing was done
-	Leader  string // where Status is 0: address of the leader; empty: not known
+	Status  Status
+	Leader  string // with StatusNotLeader: address of the leader of the configuration's group; empty: not known
 	Content []byte // where it was read: the newest configuration
 	Reason  string // why it was not done
 }
--- a/internal/cluster/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -176,9 +176,9 @@
 	require.Equal(t, goldenAnswer(), callAnsweredWith(t, golden(t, responseFile)))
 }
 
-// TestMessagesAreSentAsBefore: what this build sends has the names, the fields and the types that
+// TestMessagesMatchGolden: what this build sends has the names, the fields and the types that
 // a process of 352ebf2 knows. The bytes may differ: gob numbers types in the order of their use.
-func TestMessagesAreSentAsBefore(t *testing.T) {
+func TestMessagesMatchGolden(t *testing.T) {
 	recorded := exchange(t)
 	require.Equal(t, string(golden(t, schemaFile)), describe(t, recorded))
 	old := capture{request: golden(t, requestFile), response: golden(t, responseFile)}
--- a/internal/cluster/protocol/jobs.go
+++ b/internal/cluster/protocol/jobs.go
@@ -5,10 +5,14 @@
 	"basaltloft/internal/cluster/opconfig"
 )
 
-// Status is the result of a request in the numbers of HTTP. 0: the process that answers does not
-// lead the group, and did nothing.
+// Status is the result of a request: a status code of HTTP, or StatusNotLeader.
 type Status int
 
+// StatusNotLeader says that the process that answers does not lead the group, and did nothing: the
+// request may be sent to another one. It is the zero value, so that a response without a status says
+// the same.
+const StatusNotLeader Status = 0
+
 // SubmitRequest submits a job to the leader of a shard. The answer is a JobResponse.
 type SubmitRequest struct {
 	Shard   int
@@ -45,11 +49,11 @@
 
 // JobResponse is the answer to a SubmitRequest or a JobRequest.
 type JobResponse struct {
-	Status       Status // 0: this process does not lead the shard, and nothing was done
+	Status       Status
 	State        job.State
 	Pending      int    // CountPending: jobs
 	RetryAfterMs int64  // where Status is 503: when to send it again; 0: not said
-	Owner        string // where Status is 0: address of the shard's leader; empty: not known
+	Owner        string // with StatusNotLeader: address of the shard's leader; empty: not known
 	Reason       string
 	Unknown      bool // whether it was done is not known: send the same request again
 	Never        bool // the job was not accepted and never will be, however often it is sent
