--- a/internal/dispatcher/demo/demo_test.go
+++ b/internal/dispatcher/demo/demo_test.go
@@ -28,7 +28,7 @@
 	require.Contains(t, out.String(), " 0 tickets of them twice")
 }
 
-// TestFleetDemo: three processes of the program serve as one fleet, and end when told to.
+// TestFleetDemo: three processes of the program serve as one fleet, and end on the signal.
 func TestFleetDemo(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	defer http.DefaultClient.CloseIdleConnections()
--- a/internal/dispatcher/demo/wait.go
+++ b/internal/dispatcher/demo/wait.go
@@ -14,7 +14,7 @@
 // maxWait bounds each wait for a dispatcher. It is more than any job's deadline.
 const maxWait = 40 * time.Second
 
-// pollInterval is how often a dispatcher is asked while it is waited for.
+// pollInterval is how often a dispatcher is polled while it is waited for.
 const pollInterval = 20 * time.Millisecond
 
 // WaitIdle waits until no job is open at a dispatcher, by its metrics listener.
--- a/internal/dispatcher/journal/journal_test.go
+++ b/internal/dispatcher/journal/journal_test.go
@@ -44,7 +44,7 @@
 	m.steps = append(m.steps, state)
 }
 
-// copyOf is a folder with what another had at a step.
+// copyOf is a directory with the files of another at a step.
 func copyOf(files map[string][]byte) *memoryDir {
 	m := newMemoryDir()
 	for name, text := range files {
@@ -152,7 +152,7 @@
 	}
 }
 
-// writeJobs writes jobs into a folder, of which one in three stays open.
+// writeJobs writes jobs into a directory, of which one in three stays open.
 func writeJobs(t require.TestingT, f Directory, s Settings, jobs int) (ended int64) {
 	j := openJournal(t, f, s)
 	for n := range jobs {
@@ -230,7 +230,7 @@
 }
 
 // TestFlippedBits flips each bit of a journal: the recount names every one, and
-// a start says so and goes on with what is sound.
+// a start says so and goes on with what is undamaged.
 func TestFlippedBits(t *testing.T) {
 	whole := newMemoryDir()
 	writeJobs(t, whole, testSettings, 4)
@@ -255,7 +255,7 @@
 	}
 }
 
-// TestCrash takes the folder as it is after every single step of a run with
+// TestCrash takes the directory as it is after every single step of a run with
 // many segments, some of them gone already, and after every part of a write: a
 // start finds jobs that were whole, and nothing ever fails to add up.
 func TestCrash(t *testing.T) {
@@ -437,7 +437,7 @@
 	require.Error(t, Query{From: start, To: start}.Validate())
 }
 
-// TestDirectory is the real folder: one writer at a time, readers beside it.
+// TestDirectory is the real directory: one writer at a time, readers beside it.
 func TestDirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
 	f, err := OpenDirectory(path)
--- a/internal/dispatcher/journal/report.go
+++ b/internal/dispatcher/journal/report.go
@@ -73,7 +73,7 @@
 // maxLatency bounds what a latency counts as.
 const maxLatency = 10 * time.Minute
 
-// setQuantiles sets what the row tells of the latencies.
+// setQuantiles sets the percentiles of the row.
 func (r *ReportRow) setQuantiles() {
 	if r.latencies == nil {
 		return
--- a/internal/dispatcher/lab/arrivals_test.go
+++ b/internal/dispatcher/lab/arrivals_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestArrivals: the asks of each kind of stream, counted by tenths of a long run,
+// TestArrivals: the requests of each kind of arrivals, counted by tenths of a long run,
 // come as its rate says.
 func TestArrivals(t *testing.T) {
 	const length, rate = 1000 * time.Second, 50.0
@@ -104,7 +104,7 @@
 }
 
 // TestPartitionsAndLosses: the module keeps every rule while members can't be reached and
-// messages are lost, and what it is asked for is done again afterwards.
+// messages are lost, and serves its requests again afterwards.
 func TestPartitionsAndLosses(t *testing.T) {
 	hold, ticket := class("hold", policy.Deduplicated, 30, 100*time.Millisecond, "exp"), class("ticket", policy.AtMostOnce, 5, 200*time.Millisecond, "exp")
 	for _, trouble := range []Fault{
--- a/internal/dispatcher/lab/dispatcher.go
+++ b/internal/dispatcher/lab/dispatcher.go
@@ -14,7 +14,7 @@
 	policy     Policy
 	epoch      int // of its process: a restart begins a new one, and what was under way is void
 	open       map[string]*request
-	membership map[uint32]policy.Member // by number, as discovery told it
+	membership map[uint32]policy.Member // by number, as of the last notification
 	pending    []func()                 // events that the one being handled left
 	handling   bool
 }
@@ -98,7 +98,7 @@
 	return policy.Member{Worker: m.number, Kind: m.kind.Name, Cell: m.cell, State: state, StartedAt: m.started, Weight: 1}
 }
 
-// publish tells all dispatchers of a change of a member, each after a delay of its own.
+// publish notifies all dispatchers of a change of a member, each after a delay of its own.
 func (w *World) publish(m *member) {
 	l := w.membershipOf(m)
 	for _, d := range w.dispatchers {
--- a/internal/dispatcher/lab/lab_test.go
+++ b/internal/dispatcher/lab/lab_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serviceRules are those of a bay, for so many dispatchers.
+// serviceRules are the rules of a fleet in service, with some dispatchers.
 func serviceRules(dispatchers int, classes ...Class) policy.Settings {
 	s := policy.Settings{
 		Instances: dispatchers, ValueByWork: true, ReportsStart: true, Kinds: []string{"std"},
@@ -44,7 +44,7 @@
 }
 
 // queueing is one dispatcher in front of one member, with nothing between them:
-// the classic queues. Its waits are told by formula.
+// the classic queues. Its waits are known by formula.
 func queueing(cores int, shape string, load float64) *Experiment {
 	c := class("job", policy.Idempotent, load*float64(cores)*100, 10*time.Millisecond, shape)
 	c.GiveUp, c.Aim = time.Hour, time.Hour
@@ -115,7 +115,7 @@
 	return x
 }
 
-// TestDispatcherKeepsRules plays the module through each trouble: it breaks no rule.
+// TestDispatcherKeepsRules plays the product's decisions through each fault: they break no rule.
 func TestDispatcherKeepsRules(t *testing.T) {
 	for name, troubles := range map[string][]Fault{
 		"calm": nil, "crash": {{Kind: "crash", At: 20 * time.Second, For: 10 * time.Second, Part: 0.25}},
--- a/internal/dispatcher/lab/result.go
+++ b/internal/dispatcher/lab/result.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run came to. Asked, InTime, Late, Refused and Failed count logical
+// Result is what a run came to. Requests, InTime, Late, Refused and Failed count logical
 // requests.
 type Result struct {
 	Requests, InTime, Late, Refused, Failed int
--- a/internal/dispatcher/loadgen/load_test.go
+++ b/internal/dispatcher/loadgen/load_test.go
@@ -21,7 +21,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimes: in any stretch of an even plan there are as many asks as the integral
+// TestTimes: in any stretch of an even plan there are as many requests as the integral
 // of the rate over it, give or take one; a Poisson plan's are as many within five
 // deviations. They come in order and within the length.
 func TestTimes(t *testing.T) {
@@ -69,9 +69,9 @@
 	require.Equal(t, 3, p.ExpectedRequests())
 }
 
-// TestStallCounts: a server that answers each ask in a millisecond but stalls for a
+// TestStallCounts: a server that answers each request in a millisecond but stalls for a
 // second makes what is due meanwhile late, though each was answered at once when it
-// was sent: a hundred of two hundred asks have half a second of latency on average.
+// was sent: a hundred of two hundred requests have half a second of latency on average.
 func TestStallCounts(t *testing.T) {
 	const ms = time.Millisecond
 	r := loadgen.NewRecord()
@@ -97,7 +97,7 @@
 	require.Contains(t, table.String(), "served 200 (99.50%)")
 }
 
-// counting is a target that is asked so many at a time at most, if it can help it.
+// counting is a target that counts its requests, and how many it has at a time.
 type counting struct {
 	mu                sync.Mutex
 	seen, now, atOnce int
@@ -117,7 +117,7 @@
 }
 func (c *counting) Close() {}
 
-// TestRunSendsAll: all asks go out, also those long overdue, no more at a time than
+// TestRunSendsAll: all requests are sent, also those long overdue, no more at a time than
 // there are connections; once the context has ended nothing does.
 func TestRunSendsAll(t *testing.T) {
 	c, r := &counting{}, loadgen.NewRecord()
--- a/internal/dispatcher/metrics/golden_test.go
+++ b/internal/dispatcher/metrics/golden_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestGoldenFigures: the names of the metrics with those of their labels and their
-// types, and the keys of /figures and /audit, as commit 352ebf2 told them. The files must
+// types, and the keys of /figures and /audit, as commit 352ebf2 exported them. The files must
 // never be rewritten by later code. The keys of /figures are Go field names of types that
 // are encoded without tags.
 func TestGoldenFigures(t *testing.T) {
--- a/internal/dispatcher/metrics/metrics_test.go
+++ b/internal/dispatcher/metrics/metrics_test.go
@@ -47,7 +47,7 @@
 	flows []*engine.Flow
 }
 
-// faulty passes on to the recorder, but for what it is told to lose.
+// faulty passes on to the recorder, but for what it is set to lose.
 type faulty struct {
 	*Recorder
 	losesAccepted, losesSent, losesEnded bool
@@ -71,7 +71,7 @@
 	}
 }
 
-// lossy is a job journal that loses what it is told to.
+// lossy is a job journal that loses what it is set to lose.
 type lossy struct {
 	JobJournal
 	loses bool
@@ -160,7 +160,7 @@
 	return r
 }
 
-// client is told its answer.
+// client receives its answer.
 type client struct{ counters *accounting.FrontCounters }
 
 func (c client) Answer(a engine.Answer) { c.counters.JobAnswered(a.Verdict.Outcome()) }
@@ -321,7 +321,7 @@
 	return string(body), resp.Header.Get("Content-Type")
 }
 
-// TestExport: what is told to Prometheus is in balance, and so is the table.
+// TestExport: what is exported to Prometheus balances, and so is the table.
 func TestExport(t *testing.T) {
 	r := newFixture(t, filepath.Join(t.TempDir(), "figures"))
 	defer r.end()
--- a/internal/dispatcher/scenario/race_off.go
+++ b/internal/dispatcher/scenario/race_off.go
@@ -4,5 +4,5 @@
 
 var buildFlags []string
 
-// RaceEnabled tells whether the program is built under the race detector.
+// RaceEnabled reports whether the program is built under the race detector.
 const RaceEnabled = false
--- a/internal/dispatcher/soak/soak_test.go
+++ b/internal/dispatcher/soak/soak_test.go
@@ -48,7 +48,7 @@
 	require.Equal(t, 4, r.Journal.Epochs)
 }
 
-// TestKill kills the program with jobs in hand: the next start closes exactly
+// TestKill kills the program with open jobs: the next start closes exactly
 // those, before it takes anything.
 func TestKill(t *testing.T) {
 	binary, err := scenario.Build()
--- a/internal/dispatcher/top/source.go
+++ b/internal/dispatcher/top/source.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	defer func() { _ = conn.Close() }() // all that was asked has been read
+	defer func() { _ = conn.Close() }() // all replies have been read
 	info = new(client.Info)
 	if err := conn.Query("INFO", info, deadline); err != nil {
 		return nil, nil, err
