--- a/internal/dispatcher/fleet/agent/budget_use.go
+++ b/internal/dispatcher/fleet/agent/budget_use.go
@@ -61,7 +61,7 @@
 	if t == nil {
 		return time.Time{}, true
 	}
-	own := a.now() // read anew: a process that was stopped must see its lease's end
+	own := a.now() // read again: a process that was stopped must notice its lease's expiry
 	if t.Take(own) {
 		return time.Time{}, true
 	}
--- a/internal/dispatcher/fleet/budget/allocation_table_test.go
+++ b/internal/dispatcher/fleet/budget/allocation_table_test.go
@@ -284,7 +284,7 @@
 
 	f.at += 2*lease - DivisionInterval // b's lease is over, its floor is not
 	f.Advance(f.at)
-	require.EqualValues(t, 15, f.Status()[0].Resting+f.Status()[0].SetAside+5)
+	require.EqualValues(t, 15, f.Status()[0].Quarantined+f.Status()[0].Reserved+5)
 	_, err := f.Renew(f.at, Renewal{Process: "a", Incarnation: 2})
 	require.NoError(t, err)
 	_, err = f.Renew(f.at, Renewal{Process: "a", Incarnation: 3})
--- a/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
@@ -95,7 +95,7 @@
 	return all * (1 - m.HeavyShare) / float64(m.Holders-1)
 }
 
-// run goes on for a while, or until done tells so; it tells how long that was.
+// run runs the model for a time, or until done returns true, and returns how long that was.
 func (m *model) run(length time.Duration, done func() bool) (time.Duration, error) {
 	begin := m.now
 	for ; m.now < begin+length && (done == nil || !done()); m.now += step {
--- a/internal/dispatcher/fleet/budget/demand.go
+++ b/internal/dispatcher/fleet/budget/demand.go
@@ -27,7 +27,7 @@
 			d += refused
 		}
 		b.reportedDemand = max(d, (b.reportedDemand+d)/2)
-	default: // what is more than chance is told as it is, the rest smoothed
+	default: // a significant change is reported as it is, the rest is smoothed
 		if off := n - b.reportedDemand*since.Seconds(); math.Abs(off) > samplingError(n) {
 			b.reportedDemand = n / since.Seconds()
 		} else {
--- a/internal/dispatcher/fleet/budget/grant.go
+++ b/internal/dispatcher/fleet/budget/grant.go
@@ -7,6 +7,7 @@
 	s.held.add(l, 1)
 }
 
+// addQuarantine quarantines what a holder has given up, unless that is nothing.
 func (s *budgetState) addQuarantine(r quarantine) {
 	if r.Amount > 0 || r.Burst > 0 || r.Floor {
 		s.Quarantines = append(s.Quarantines, r)
--- a/internal/dispatcher/fleet/budget/sim_test.go
+++ b/internal/dispatcher/fleet/budget/sim_test.go
@@ -333,10 +333,10 @@
 
 func (c *checker) bind(w *world) {
 	for i, s := range w.book.Status() {
-		if s.Bound || s.Whole > c.whole[i] {
-			c.whole[i] = s.Whole
+		if s.Binding || s.Total > c.whole[i] {
+			c.whole[i] = s.Total
 		}
-		if i == 1 && (s.Bound || s.Burst > c.burst) {
+		if i == 1 && (s.Binding || s.Burst > c.burst) {
 			c.burst = s.Burst
 		}
 	}
--- a/internal/dispatcher/fleet/budget/status.go
+++ b/internal/dispatcher/fleet/budget/status.go
@@ -101,10 +101,14 @@
 
 // Occupancy describes a budget, for metrics and checks.
 type Occupancy struct {
-	Name                           string
-	Whole, Held, Resting, SetAside float64
-	Burst, HeldBurst               float64 // HeldBurst includes what is quarantined and reserved
-	Bound                          bool    // the total binds: no more than it is held
+	Name        string
+	Total       float64 `cbor:"Whole"` // see Budget.Total
+	Held        float64 // the upper bound of what all holders may be using
+	Quarantined float64 `cbor:"Resting"`  // of failed and departed holders, not available yet
+	Reserved    float64 `cbor:"SetAside"` // for floor slots that nobody has
+	Burst       float64 // see Budget.Burst
+	HeldBurst   float64 // including what is quarantined and reserved
+	Binding     bool    `cbor:"Bound"` // the total binds: no more than it is held
 }
 
 // Status describes the budgets, sorted by name.
@@ -114,8 +118,8 @@
 		aside, asideBurst := s.reservedFloors()
 		free, burst := s.available()
 		out[i] = Occupancy{
-			Name: s.Name, Whole: s.Total, Held: fromMicros(s.held.amount), Resting: fromMicros(s.quarantined.amount), SetAside: fromMicros(aside),
-			Burst: s.Burst, HeldBurst: fromMicros(s.held.burst + s.quarantined.burst + asideBurst), Bound: free >= 0 && burst >= 0,
+			Name: s.Name, Total: s.Total, Held: fromMicros(s.held.amount), Quarantined: fromMicros(s.quarantined.amount), Reserved: fromMicros(aside),
+			Burst: s.Burst, HeldBurst: fromMicros(s.held.burst + s.quarantined.burst + asideBurst), Binding: free >= 0 && burst >= 0,
 		}
 	}
 	return out
--- a/internal/dispatcher/fleet/coordinator/driver.go
+++ b/internal/dispatcher/fleet/coordinator/driver.go
@@ -84,7 +84,7 @@
 		if over || ctx.Err() != nil {
 			return
 		}
-		if d.coordinator.isDraining() { // what was let is sent, and its end told
+		if d.coordinator.isDraining() { // approved attempts are sent, and their ends reported
 			d.tasks.Wait()
 			return
 		}
@@ -97,7 +97,7 @@
 			})
 		}
 		wait := max(wake-at, time.Millisecond)
-		for i := range v.Run.Stages { // an output that another run makes comes unasked
+		for i := range v.Run.Stages { // an output that another run makes arrives without a command of this one's
 			if st := &v.Run.Stages[i]; st.SharedKey != "" && !st.Complete && v.Producing&(1<<i) == 0 {
 				wait = min(wait, pollInterval)
 			}
--- a/internal/dispatcher/fleet/coordinator/start_async.go
+++ b/internal/dispatcher/fleet/coordinator/start_async.go
@@ -50,7 +50,7 @@
 	for _, answers := range w.byRun[a.Run] {
 		select {
 		case answers <- a:
-		default: // it was told before
+		default: // it has been sent before
 		}
 	}
 }
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -81,7 +81,7 @@
 			{Name: "b", Kind: budget.InFlight, Amount: 1.5, Burst: 2.5, Floor: 3.5, FloorDuration: span + 1, SettleTime: span + 2},
 		}}},
 		{"budgets: leave", partition.BudgetsDeparture{Left: map[string]budget.Departure{"a": {InFlight: 1.5, MaxRemaining: span}}}},
-		{"budgets: standings", []budget.Occupancy{{Name: "a", Whole: 1.5, Held: 2.5, Resting: 3.5, SetAside: 4.5, Burst: 5.5, HeldBurst: 6.5, Bound: true}}},
+		{"budgets: standings", []budget.Occupancy{{Name: "a", Total: 1.5, Held: 2.5, Quarantined: 3.5, Reserved: 4.5, Burst: 5.5, HeldBurst: 6.5, Binding: true}}},
 		{"plans: start", planrun.Command{Start: &planrun.Start{
 			Run: "a", Plan: "b", Tenant: "c", Digest: 1, Shape: goldenShape(), Input: bytes("d"), Seed: 2, Before: span, Process: "e", Incarnation: 3,
 		}}},
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -81,7 +81,7 @@
 	return l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Seq: seq, Acked: max(seq, 3) - 3, Kind: kind}, body)
 }
 
-func (l *goldenLog) join(at time.Duration, process, nonce string) uint64 {
+func (l *goldenLog) join(at time.Duration, process, nonce string) uint64 { //nolint:unparam // the time is part of the golden log
 	reply := l.command(state.Command{At: at, Kind: state.Join}, state.JoinBody{Process: process, Nonce: nonce, Version: "352ebf2"})
 	require.NoError(l.t, reply.Err())
 	var joined state.JoinReply
@@ -99,7 +99,7 @@
 }
 
 // served has an attempt of one item sent and ended well.
-func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply {
+func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply { //nolint:unparam // the process is part of the golden log
 	require.NoError(l.t, l.plan(process, incarnation, at, planrun.Command{SendAttempt: &do}).Err())
 	reply := l.plan(process, incarnation, at+time.Millisecond, planrun.Command{ReportEnd: &planrun.ReportEnd{
 		Run: do.Run, Fence: do.Fence, Stage: do.Stage, Item: do.Item, Undo: do.Undo, Attempt: do.Attempt, End: plan.Done, Result: []byte(result), Member: "cell-2",
@@ -433,7 +433,7 @@
 	goldentest.Equal(t, filepath.Join(goldenState, "budgets"), fmt.Appendf(nil, "%x\n", l.encode(standings)))
 	require.Len(t, standings, 3)
 	require.Equal(t, "jobs/hrad-kamenec", standings[1].Name)
-	require.InDelta(t, 120, standings[1].Whole, 0)
+	require.InDelta(t, 120, standings[1].Total, 0)
 
 	var page records.Page
 	l.ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Limit: 20}, &page)
--- a/internal/dispatcher/fleet/plan/check_references.go
+++ b/internal/dispatcher/fleet/plan/check_references.go
@@ -114,7 +114,7 @@
 		if nodes++; nodes == maxExpressionNodes {
 			f.addProblem(e.Range(), "an expression of more than %d parts: make it smaller", maxExpressionNodes)
 		}
-		if nodes >= maxExpressionNodes { // nothing of it is looked at again
+		if nodes >= maxExpressionNodes { // the rest is not checked
 			return nil
 		}
 		switch n := n.(type) {
@@ -125,7 +125,7 @@
 				f.addProblem(n.NameRange, "unknown function %q%s", n.Name, suggestion(n.Name, slices.Sorted(maps.Keys(functions))))
 			}
 		case *hclsyntax.SplatExpr:
-			if splats { // told already
+			if splats { // already reported
 				return nil
 			}
 			_ = hclsyntax.VisitAll(n.Each, func(in hclsyntax.Node) hcl.Diagnostics {
--- a/internal/dispatcher/fleet/raftnode/membership.go
+++ b/internal/dispatcher/fleet/raftnode/membership.go
@@ -57,7 +57,7 @@
 	if err := n.raft.RemoveServer(id, 0, 0).Error(); err != nil {
 		return err
 	}
-	_ = node.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count begins anew
+	_ = node.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count restarts; the node reports its starts again if this fails
 	node.log.WithField("keeper", b.Name).Warn("raft node rejoins without state; no vote until it has caught up")
 	return n.raft.AddNonvoter(id, raft.ServerAddress(b.Name), 0, 0).Error()
 }
--- a/internal/dispatcher/fleet/raftnode/supervise.go
+++ b/internal/dispatcher/fleet/raftnode/supervise.go
@@ -17,7 +17,7 @@
 	peerDigests, broken := make(chan struct{}, 1), make(chan struct{}, 1)
 	node.fsm.mu.Lock()
 	node.fsm.onDigests = func(index uint64, parts map[string]uint64, err error) {
-		if err != nil { // it is wrong for sure: nobody needs to be asked
+		if err != nil { // it is certainly invalid: no comparison is needed
 			node.log.WithError(err).Error("state digest failed")
 			select {
 			case broken <- struct{}{}:
--- a/internal/dispatcher/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -62,7 +62,7 @@
 	header = binary.LittleEndian.AppendUint64(header, uint64(len(s.state)))
 	header = binary.LittleEndian.AppendUint64(header, uint64(s.tx.Size()))
 	header = binary.LittleEndian.AppendUint64(header, xxhash.Sum64(header))
-	_, _ = both.Write(append(header, s.state...)) // an error is told by Flush
+	_, _ = both.Write(append(header, s.state...)) // Flush returns its error
 	n, err := s.tx.WriteTo(both)
 	n += int64(len(header) + len(s.state))
 	if err == nil {
--- a/internal/dispatcher/fleet/rpc/session.go
+++ b/internal/dispatcher/fleet/rpc/session.go
@@ -52,7 +52,7 @@
 	s.pending[seq] = true
 	s.mu.Unlock()
 	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Seq: seq, Acked: acked, Kind: kind, Body: text})
-	// One that nobody answered counts as answered too: a late copy of it is refused from
+	// A command without an answer counts as answered too: a late copy of it is refused from
 	// the next command on, and the state need not keep all later answers for its sake.
 	s.mu.Lock()
 	delete(s.pending, seq)
--- a/internal/dispatcher/fleet/state/membership.go
+++ b/internal/dispatcher/fleet/state/membership.go
@@ -136,7 +136,7 @@
 	switch {
 	case ok:
 		return x.Replies[i].Reply, true
-	case seq <= x.AnsweredThrough: // a late copy that nobody waits for
+	case seq <= x.AnsweredThrough: // a late copy, whose sender no longer waits
 		return Reply{Code: Refused, Text: "answered before"}, true
 	}
 	return Reply{}, false
