--- a/internal/dispatcher/fleet/planrun/errors.go
+++ b/internal/dispatcher/fleet/planrun/errors.go
@@ -1,8 +1,6 @@
 package planrun
 
-import (
-	"errors"
-)
+import "errors"
 
 // Errors of commands. A refused command has changed nothing, except where its method says
 // so.
--- a/internal/dispatcher/fleet/raftnode/supervise.go
+++ b/internal/dispatcher/fleet/raftnode/supervise.go
@@ -16,7 +16,7 @@
 	digests := make(chan state.DigestsBody, 1)
 	peerDigests, broken := make(chan struct{}, 1), make(chan struct{}, 1)
 	node.fsm.mu.Lock()
-	node.fsm.onDigests = func(index uint64, parts map[string]uint64, err error) {
+	node.fsm.onDigests = func(index uint64, byPartition map[string]uint64, err error) {
 		if err != nil { // it is certainly invalid: no comparison is needed
 			node.log.WithError(err).Error("state digest failed")
 			select {
@@ -26,7 +26,7 @@
 			return
 		}
 		select {
-		case digests <- state.DigestsBody{Replica: node.settings.Name, Index: index, Partitions: parts}:
+		case digests <- state.DigestsBody{Replica: node.settings.Name, Index: index, Partitions: byPartition}:
 		default: // the last ones are still on their way
 		}
 	}
