--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/joined_test.go
@@ -27,7 +27,7 @@
 	_, err = far.Write([]byte("bcd"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		victim, _ := l.look(time.Minute)
+		victim, _ := l.look()
 		require.Nil(t, victim)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -42,15 +42,15 @@
 	}
 	require.Equal(t, "abcd", got)
 	require.False(t, waits(c)())
-	victim, _ := l.look(time.Minute)
+	victim, _ := l.look()
 	require.Same(t, c, victim)
 	require.NoError(t, c.Close())
 	require.Zero(t, l.readAheadBytes)
 }
 
-// TestPartCrossesBytes: resting connections end as a request lies unread in the system:
+// TestCloseIdleCrossesBytes: resting connections end as a request lies unread in the system:
 // it is read. Where nothing has come, the time is over, also for a read that began before.
-func TestPartCrossesBytes(t *testing.T) {
+func TestCloseIdleCrossesBytes(t *testing.T) {
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	l.mu.Lock()
