--- a/internal/cluster/job/job.go
+++ b/internal/cluster/job/job.go
@@ -24,7 +24,7 @@
 	return [...]string{"pending", "running", "completed", "failed", "canceled"}[s]
 }
 
-// Terminal tells whether the job is over: it starts no more runs and keeps this state.
+// Terminal reports whether the job is over: it starts no more runs and keeps this state.
 func (s State) Terminal() bool { return s >= StateCompleted }
 
 // Run is one run of a task that was ordered and is not known to be over. Snapshots store it under
@@ -60,10 +60,13 @@
 	return false
 }
 
-func (t *Task) endCounted(attempt int) bool {
+// isEndCounted reports whether the end of an attempt was reported and counted before; false for an attempt
+// above those that are tracked.
+func (t *Task) isEndCounted(attempt int) bool {
 	return attempt < trackedAttempts && t.Listed>>attempt&1 == 1
 }
 
+// countEnd records that the end of an attempt was reported.
 func (t *Task) countEnd(attempt int) {
 	if attempt < trackedAttempts {
 		t.Listed |= 1 << attempt
@@ -75,10 +78,10 @@
 	Tasks          []Task
 	DoneTasks      int
 	Checkpoint     string // of a gang: the newest that any member saved
-	FailedAttempts uint64 // of a gang, bit N: attempt N ended as EndFailed; the last bit stands for all later ones
+	FailedAttempts uint64 // of a gang, bit N: attempt N ended as EndFailed; the last bit counts for all later ones
 }
 
-// Complete tells whether all its tasks are done.
+// Complete reports whether all its tasks are done.
 func (s *StepState) Complete() bool { return s.DoneTasks == len(s.Tasks) }
 
 func (s *StepState) markDone(task *Task) {
@@ -105,7 +108,7 @@
 	}
 }
 
-// Occurrence is the state of one of the times that a job's steps run.
+// Occurrence is the state of one run through all steps of a job. A job that is not repeated has one.
 type Occurrence struct {
 	Steps     []StepState // nil once it is over and nothing of it runs
 	OpenSteps int         // steps that are not complete
@@ -115,17 +118,17 @@
 type Job struct {
 	Submission
 	State           State
-	Occurrences     []*Occurrence // those that have fallen due
-	OpenOccurrences int           // that are not complete, also those to come
+	Occurrences     []*Occurrence // those that have fallen due, by number; nil once the job is over and nothing of it runs
+	OpenOccurrences int           // occurrences that are not complete, also those to come
 	ActiveRuns      int           // runs that are not known to be over, of all tasks
 	AcceptedMs      int64         // Unix time in milliseconds, as EndedMs
 	EndedMs         int64
 	// CancelledBeforeAcceptance: only the ID and the queue are known. A late attempt to submit
-	// the job is rejected for good.
+	// the job is always rejected.
 	CancelledBeforeAcceptance bool
 }
 
-// DependenciesComplete tells whether a step's tasks may start: the steps that it depends on are
+// DependenciesComplete reports whether a step's tasks may start: the steps that it depends on are
 // complete.
 func (j *Job) DependenciesComplete(occurrence *Occurrence, step int) bool {
 	for _, dependency := range j.Spec.Steps[step].DependsOn {
@@ -175,7 +178,7 @@
 	j.Occurrences[number] = &Occurrence{Steps: steps, OpenSteps: len(steps)}
 }
 
-// mayStart tells whether the state allows a run.
+// mayStart reports whether the state allows a run.
 func (j *Job) mayStart(task *Task, ref TaskRef, attempt int) bool {
 	step := &j.Spec.Steps[ref.Step]
 	switch {
--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -22,7 +22,7 @@
 	TargetMs   float64 `json:"target_ms"`  // latency target of a job, beside Extension
 	Priority   int     `json:"priority"`   // lower numbers are started first
 	Backend    string  `json:"backend"`    // the service
-	Retries    int     `json:"retries"`    // a job fails once one of its tasks has failed so often
+	Retries    int     `json:"retries"`    // a job fails once one of its tasks has this many failed runs
 	Extension  float64 `json:"extension"`  // latency target of a job, as a multiple of its work
 }
 
@@ -89,14 +89,14 @@
 
 // Decode decodes a configuration that Parse has validated before. It checks references, not the form.
 func Decode(content []byte) (*Config, error) {
-	c := &Config{}
-	if err := json.Unmarshal(content, c); err != nil {
+	config := &Config{}
+	if err := json.Unmarshal(content, config); err != nil {
 		return nil, errors.Wrapf(ErrInvalid, "not whole JSON: %v", err)
 	}
-	if err := c.indexRoutes(); err != nil {
+	if err := config.indexRoutes(); err != nil {
 		return nil, errors.Wrap(ErrInvalid, err.Error())
 	}
-	return c, nil
+	return config, nil
 }
 
 // indexRoutes checks that names are unique and known, and fills byQueue.
