--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -437,7 +437,7 @@
 	goldentest.Equal(t, filepath.Join(goldenState, "budgets"), fmt.Appendf(nil, "%x\n", l.encode(standings)))
 	require.Len(t, standings, 3)
 	require.Equal(t, "jobs/hrad-kamenec", standings[1].Name)
-	require.InDelta(t, 120, standings[1].Whole, 0)
+	require.InDelta(t, 120, standings[1].Total, 0)
 
 	var page records.Page
 	l.ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Limit: 20}, &page)
