--- a/internal/dispatcher/faktory/conformance_test.go
+++ b/internal/dispatcher/faktory/conformance_test.go
@@ -151,7 +151,7 @@
 			faktory.w send @ack(job-000001,done)FETCH q\r\n
 			faktory.w expect ^\+OK\r\n\$-1\r\n`,
 		"2.9 what has expired is not run": c + w + `
-			faktory.c send @push(job-000001,Mail,q,"custom":{"expires_at":"@in(-1s)"})@push(job-000002,Mail,q,"custom":{"expires_at":"@in(50ms)"})@push(job-000003,Mail,q,"custom":{"expires_at":"never"})
+			faktory.c send @push(job-000001,Mail,q,"custom":{"expires_at":"@in(-1s)"})@push(job-000002,Mail,q,"custom":{"expires_at":"@in(1s)"})@push(job-000003,Mail,q,"custom":{"expires_at":"never"})
 			faktory.c expect ^-ERR the job has expired\r\n\+OK\r\n-ERR expires_at is no time in RFC 3339\r\n
 			faktory.w send FETCH other\r\n
 			faktory.w expect ^\$-1\r\n
