--- a/coord/group/diskwrite.go
+++ b/coord/group/diskwrite.go
@@ -5,13 +5,13 @@
 	"basaltloft/coord/ringlog"
 )
 
-// DiskWrite is one write of the log or of a snapshot. PersistWrites carries it out and
-// Engine.Persisted hears of it; what it holds is nobody else's.
+// DiskWrite is one write of the log or of a snapshot. A driver passes it to PersistWrites, and then to
+// Engine.Persisted; its content is of no concern to the driver.
 type DiskWrite struct {
 	hardState *replica.HardState
 	entries   []replica.Entry
-	install   *replica.Snapshot // of the leader: the log begins anew after it
-	snapshot  *replica.Snapshot // of this replica: the log goes on
+	install   *replica.Snapshot // from the leader: it replaces the log
+	snapshot  *replica.Snapshot // of this replica's own state: the log stays
 
 	messagesAfterSync []replica.Message
 	bytes             int // of data, as counted in Engine.unsyncedBytes
@@ -23,8 +23,8 @@
 		return DiskWrite{}, false
 	}
 	write = DiskWrite{hardState: ready.HardState, entries: ready.Entries, install: ready.Snapshot, messagesAfterSync: ready.MessagesAfterSync}
-	for at := range write.entries {
-		write.bytes += len(write.entries[at].Data)
+	for i := range write.entries {
+		write.bytes += len(write.entries[i].Data)
 	}
 	if write.install != nil {
 		write.bytes += len(write.install.Data)
@@ -33,7 +33,7 @@
 	return write, true
 }
 
-// onlyAppends tells whether a write can share a sync with other appends.
+// onlyAppends reports whether a write can share a sync with other appends.
 func (w *DiskWrite) onlyAppends() bool { return w.install == nil && w.snapshot == nil }
 
 // SyncBatchSize returns how many of the first writes can share one sync; there must be at least one.
--- a/coord/group/snapshot_transfer.go
+++ b/coord/group/snapshot_transfer.go
@@ -9,20 +9,22 @@
 )
 
 // A snapshot goes to a member in chunks, a few of them in flight at a time. The member responds to
-// each with how many bytes it has without a gap: a lost chunk is sent again, and a transfer goes on
+// each with how many bytes it has without a gap: a lost chunk is sent again, and a transfer continues
 // where it was, however long it takes. The log after the snapshot's index stays in memory
 // meanwhile, so that compaction does not overtake the transfer.
 
 const (
-	chunksInFlight = 4
-	// chunkResendAfter is the wait for a response before chunks are sent again.
-	chunkResendAfter = 600 * time.Millisecond
-	// abandonAfter: the transfer to a member that responds to nothing for so long is given up. It
-	// begins anew when the member responds to heartbeats again.
-	abandonAfter = 10 * time.Second
-	// installWithin: a member that has the whole snapshot may take so long to write it before another
-	// one is sent.
-	installWithin = 5 * time.Second
+	// maxChunksInFlight bounds the chunks that are sent and not acknowledged, and those that a
+	// receiver holds behind a gap.
+	maxChunksInFlight = 4
+	// chunkResendTimeout is the wait for a response before chunks are sent again.
+	chunkResendTimeout = 600 * time.Millisecond
+	// transferTimeout is how long a member may respond to nothing before its transfer is given up. A
+	// new one begins when the member responds to heartbeats again.
+	transferTimeout = 10 * time.Second
+	// installTimeout is how long a member that has the whole snapshot may take to write it before
+	// another one is sent.
+	installTimeout = 5 * time.Second
 	// maxSnapshotBytes bounds what a member receives into memory.
 	maxSnapshotBytes = 256 << 20
 )
@@ -38,15 +40,15 @@
 	lastSend     time.Duration
 }
 
-// complete tells whether the member has the whole snapshot; it may not be on its disk yet.
+// complete reports whether the member has the whole snapshot; it may not be on its disk yet.
 func (s *snapshotSender) complete() bool { return s.acked >= len(s.snapshot.Data) }
 
-// expired tells whether the transfer is given up.
+// expired reports whether the transfer is given up.
 func (s *snapshotSender) expired(now time.Duration) bool {
 	if s.complete() {
-		return now > s.lastResponse+installWithin
+		return now > s.lastResponse+installTimeout
 	}
-	return now > s.lastResponse+abandonAfter
+	return now > s.lastResponse+transferTimeout
 }
 
 // beginSnapshotTransfer begins to send the newest state to a member, unless a transfer is under way.
@@ -69,13 +71,20 @@
 func (e *Engine) sendChunks(now time.Duration, to string) {
 	s := e.senders[to]
 	total, chunkBytes := len(s.snapshot.Data), e.settings.SnapshotChunkBytes
-	for first := s.sent == 0; first || s.sent < min(total, s.acked+chunksInFlight*chunkBytes); first = false {
+	for first := s.sent == 0; first || s.sent < min(total, s.acked+maxChunksInFlight*chunkBytes); first = false {
 		end := min(total, s.sent+chunkBytes)
 		chunk := s.snapshot
 		chunk.Data = s.snapshot.Data[s.sent:end]
 		e.enqueue(replica.Message{
-			Kind: replica.SnapshotChunk, Group: e.settings.Name, From: e.settings.Self.ID, To: to, Term: s.term,
-			Snapshot: &chunk, Offset: s.sent, Total: total, Addresses: e.node.Membership().AllMembers(),
+			Kind:      replica.SnapshotChunk,
+			Group:     e.settings.Name,
+			From:      e.settings.Self.ID,
+			To:        to,
+			Term:      s.term,
+			Snapshot:  &chunk,
+			Offset:    s.sent,
+			Total:     total,
+			Addresses: e.node.Membership().AllMembers(),
 		})
 		s.sent, s.lastSend = end, now
 	}
@@ -89,7 +98,7 @@
 			delete(e.senders, id)
 			continue
 		}
-		if !s.complete() && now > s.lastSend+chunkResendAfter {
+		if !s.complete() && now > s.lastSend+chunkResendTimeout {
 			s.acked = s.lastAcked
 			s.sent = s.acked
 			e.sendChunks(now, id)
@@ -97,7 +106,7 @@
 	}
 }
 
-// handleSnapshotChunkResponse goes on with a transfer.
+// handleSnapshotChunkResponse continues a transfer.
 func (e *Engine) handleSnapshotChunkResponse(now time.Duration, response replica.Message) {
 	s := e.senders[response.From]
 	if s == nil || response.Term != s.term || response.Index != s.snapshot.Index {
@@ -131,17 +140,17 @@
 	// snapshotTerm is the term of the entry at index.
 	snapshotTerm uint64
 	data         []byte         // without a gap
-	early        map[int][]byte // chunks behind a gap, by offset; at most chunksInFlight
+	early        map[int][]byte // chunks behind a gap, by offset; at most maxChunksInFlight
 }
 
-// matches tells whether a chunk belongs to this snapshot.
+// matches reports whether a chunk belongs to this snapshot.
 func (r *snapshotReceiver) matches(message replica.Message) bool {
 	return r != nil && r.from == message.From && r.term == message.Term && r.index == message.Snapshot.Index && r.snapshotTerm == message.Snapshot.Term
 }
 
-// add takes in a chunk and those that follow it without a gap.
+// add appends a chunk and those that follow it without a gap; one behind a gap is kept for later.
 func (r *snapshotReceiver) add(offset int, chunk []byte) {
-	if offset > len(r.data) && len(r.early) < chunksInFlight {
+	if offset > len(r.data) && len(r.early) < maxChunksInFlight {
 		r.early[offset] = chunk
 	}
 	for offset == len(r.data) && len(chunk) > 0 {
@@ -151,7 +160,7 @@
 	}
 }
 
-// handleSnapshotChunk takes in a chunk. The complete snapshot goes to the node as one message.
+// handleSnapshotChunk handles a chunk at its receiver. The complete snapshot goes to the node as one message.
 func (e *Engine) handleSnapshotChunk(now time.Duration, message replica.Message) {
 	chunk := message.Snapshot
 	if message.Term < e.node.Term() || chunk == nil || message.Total > maxSnapshotBytes {
@@ -163,8 +172,13 @@
 	r := e.receiver
 	r.add(message.Offset, chunk.Data)
 	e.enqueue(replica.Message{
-		Kind: replica.SnapshotChunkResponse, Group: e.settings.Name, From: e.settings.Self.ID, To: message.From,
-		Term: message.Term, Index: chunk.Index, Offset: len(r.data),
+		Kind:   replica.SnapshotChunkResponse,
+		Group:  e.settings.Name,
+		From:   e.settings.Self.ID,
+		To:     message.From,
+		Term:   message.Term,
+		Index:  chunk.Index,
+		Offset: len(r.data),
 	})
 	if len(r.data) < message.Total || chunk.Index <= e.node.Commit() {
 		return
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -19,14 +19,22 @@
 		n.setHardState(term, n.id)
 		kind = VoteRequest
 	}
-	n.role, n.leaderID, n.progress = role, "", nil
+	n.role = role
+	n.leaderID = ""
+	n.progress = nil
 	n.votes = map[string]bool{n.id: true}
 	n.resetElectionTimer(now)
 	lastIndex := n.log.last()
 	for _, voter := range n.otherVoters() {
 		n.sendAfterSync(Message{
-			Kind: kind, To: voter, Term: term, Index: lastIndex, LogTerm: n.log.term(lastIndex),
-			Handover: reason.leaseGivenUp, Fresh: reason.coldStart, Life: n.coldStart.responses[voter].Life,
+			Kind:     kind,
+			To:       voter,
+			Term:     term,
+			Index:    lastIndex,
+			LogTerm:  n.log.term(lastIndex),
+			Handover: reason.leaseGivenUp,
+			Fresh:    reason.coldStart,
+			Life:     n.coldStart.responses[voter].Life,
 		})
 	}
 	n.countVotes(now)
@@ -44,7 +52,7 @@
 	return ids
 }
 
-// supportsLeader tells whether this node's contact to a leader is so recent that it must not help
+// supportsLeader reports whether this node's contact to a leader is so recent that it must not help
 // another candidate: the leader's lease rests on it (dissertation 4.2.3 and 6.4.1).
 func (n *Node) supportsLeader(now time.Duration, request Message) bool {
 	if request.Handover || request.Fresh && !n.hadLeader && request.Life == n.incarnation {
@@ -54,7 +62,7 @@
 	return n.role == Leader && now < ownSupportEnd || now < n.lastLeaderContact+n.timing.MinElectionTimeout
 }
 
-// isUpToDate tells whether a candidate's log is at least as complete as this node's (paper, section
+// isUpToDate reports whether a candidate's log is at least as complete as this node's (paper, section
 // 5.4.1).
 func (n *Node) isUpToDate(request Message) bool {
 	last := n.log.last()
@@ -62,6 +70,8 @@
 	return request.LogTerm > lastTerm || request.LogTerm == lastTerm && request.Index >= last
 }
 
+// handleVoteRequest answers a request for a vote or pre-vote. One that must not be granted because a
+// leader may hold a lease has no answer.
 func (n *Node) handleVoteRequest(now time.Duration, request Message) {
 	if n.supportsLeader(now, request) {
 		return
@@ -121,6 +131,7 @@
 	n.countVotes(now)
 }
 
+// countVotes takes the next step of the election once a majority has granted its pre-vote or vote.
 func (n *Node) countVotes(now time.Duration) {
 	granted := majority(n.Membership(), func(id string) int {
 		if n.votes[id] {
@@ -138,9 +149,15 @@
 	n.becomeLeader(now)
 }
 
+// becomeLeader begins a leadership, without a lease yet: the no-op of its term is replicated first.
 func (n *Node) becomeLeader(now time.Duration) {
-	n.role, n.leaderID, n.votes, n.hadLeader = Leader, n.id, nil, true
-	n.leaseExpiry, n.leaderSince, n.transferee = 0, now, ""
+	n.role = Leader
+	n.leaderID = n.id
+	n.votes = nil
+	n.hadLeader = true
+	n.leaseExpiry = 0
+	n.leaderSince = now
+	n.transferee = ""
 	n.progress = nil
 	n.trackMembers(now)
 	n.termStartIndex = n.appendAsLeader(now, Entry{Kind: EntryNoop})
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -66,8 +66,8 @@
 	leaseExpiry    time.Duration
 	termStartIndex uint64 // of the no-op that began the term
 	leaderSince    time.Duration
-	transferee     string        // who is to lead next; empty: no transfer is under way
-	transferEnd    time.Duration // a transfer that has not happened by then ends with the leadership
+	transferee     string        // ID of the member that takes over; empty: no transfer is under way
+	transferEnd    time.Duration // the leader steps down then, where no other has taken over
 
 	ready Ready
 }
@@ -75,14 +75,20 @@
 // NewNode returns a replica as its disk has it, at a time of the driver's clock. The seed must
 // differ from one start to the next. The node grants no vote for MinElectionTimeout, since its
 // previous incarnation may have had contact to a leader just before.
-func NewNode(id, group string, timing Timing, found PersistedState, seed uint64, now time.Duration) *Node {
-	n := &Node{id: id, group: group, timing: timing, random: rand.New(rand.NewPCG(seed, hashOf(group)))}
+func NewNode(id, group string, timing Timing, persisted PersistedState, seed uint64, now time.Duration) *Node {
+	n := &Node{
+		id:     id,
+		group:  group,
+		timing: timing,
+		random: rand.New(rand.NewPCG(seed, hashOf(group))),
+	}
 	n.incarnation = n.random.Uint64()
-	n.hardState = found.HardState
-	n.log.reset(found.Snapshot)
-	n.log.append(found.Entries)
+	n.hardState = persisted.HardState
+	n.log.reset(persisted.Snapshot)
+	n.log.append(persisted.Entries)
 	n.log.stable = n.log.last()
-	n.commit, n.applied = found.Snapshot.Index, found.Snapshot.Index
+	n.commit = persisted.Snapshot.Index
+	n.applied = persisted.Snapshot.Index
 	n.lastLeaderContact = now
 	n.resetElectionTimer(now)
 	return n
@@ -140,13 +146,13 @@
 	}
 }
 
-// Compact drops entries that a snapshot on disk stands for, except the last ones within the bounds:
+// Compact drops entries that a snapshot on disk covers, except the last ones within the bounds:
 // a replica that was away for a moment catches up from them.
 func (n *Node) Compact(snapshot Snapshot, retention LogRetention) {
 	n.log.compact(snapshot, retention)
 }
 
-// Step takes in a message that was sent to this node.
+// Step handles a message that was sent to this node.
 func (n *Node) Step(now time.Duration, message Message) {
 	switch message.Kind { // these change the term by rules of their own
 	case PreVoteRequest, VoteRequest:
@@ -190,7 +196,7 @@
 	}
 }
 
-// Tick does what is due at a time.
+// Tick does what is due by now. It may be called earlier than NextTick.
 func (n *Node) Tick(now time.Duration) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -204,7 +210,7 @@
 		n.campaign(now, PreCandidate, campaignReason{})
 		return
 	}
-	n.leaderID = "" // a learner begins no election, and would name a lost leader for good
+	n.leaderID = "" // a learner begins no election, and would name a lost leader for ever
 	n.resetElectionTimer(now)
 }
 
@@ -230,8 +236,14 @@
 	n.becomeFollower(now, "")
 }
 
+// becomeFollower gives up a candidacy or leadership in the current term; an empty ID: its leader is not
+// known.
 func (n *Node) becomeFollower(now time.Duration, leaderID string) {
-	n.role, n.leaderID, n.votes, n.progress, n.transferee = Follower, leaderID, nil, nil, ""
+	n.role = Follower
+	n.leaderID = leaderID
+	n.votes = nil
+	n.progress = nil
+	n.transferee = ""
 	n.resetElectionTimer(now)
 }
 
@@ -240,6 +252,7 @@
 	if n.role != Follower || n.leaderID != leaderID {
 		n.becomeFollower(now, leaderID)
 	}
-	n.lastLeaderContact, n.hadLeader = now, true
+	n.lastLeaderContact = now
+	n.hadLeader = true
 	n.resetElectionTimer(now)
 }
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -33,11 +33,11 @@
 	return n.log.last() - min(onDisk, n.log.last())
 }
 
-// CaughtUp tells whether a member lacks at most so many of the committed entries, as far as this
+// CaughtUp reports whether a member lacks no more than maxLag committed entries, as far as this
 // leader knows; false at a node that is not the leader.
-func (n *Node) CaughtUp(id string, within uint64) bool {
+func (n *Node) CaughtUp(id string, maxLag uint64) bool {
 	peer := n.progress[id]
-	return n.role == Leader && peer != nil && peer.Match > 0 && peer.Match+within >= n.commit
+	return n.role == Leader && peer != nil && peer.Match > 0 && peer.Match+maxLag >= n.commit
 }
 
 // UnresponsiveFor returns how long a member has not responded to this leader; 0 for one that is not
@@ -50,7 +50,7 @@
 	return peer.UnresponsiveFor(n.leaderSince, now)
 }
 
-// trackMembers keeps a progress for each other member, and for nobody else.
+// trackMembers keeps a progress for each other member, and for no one who is not a member.
 func (n *Node) trackMembers(now time.Duration) {
 	if n.progress == nil {
 		n.progress = map[string]*progress.Progress{}
@@ -88,7 +88,7 @@
 		n.trackMembers(now)
 	}
 	for _, id := range n.trackedMembers() {
-		n.replicate(now, id, false)
+		n.replicate(now, id, sendEntries)
 	}
 	return entry.Index
 }
@@ -107,48 +107,68 @@
 	return append(pending, entries...)
 }
 
+// sendReason says why a leader sends to a member, and with it whether a message without entries is sent.
+type sendReason uint8
+
+const (
+	// sendEntries: there may be entries to replicate; without any, nothing is sent.
+	sendEntries sendReason = iota
+	// sendHeartbeat: a heartbeat is due; a message is sent in any case.
+	sendHeartbeat
+)
+
 // replicate sends a member the entries that it lacks, or asks for a snapshot where the log does not
 // have them any more. Where there is nothing to send, a heartbeat is sent if one is due.
-func (n *Node) replicate(now time.Duration, id string, heartbeat bool) {
+func (n *Node) replicate(now time.Duration, id string, reason sendReason) {
 	peer := n.progress[id]
 	peer.RewindIfLost(n.log.last(), now)
 	if peer.UnresponsiveFor(n.leaderSince, now) > n.timing.MinElectionTimeout {
-		n.probe(now, id, heartbeat) // entries would pile up on the way to it
+		n.probe(now, id, reason) // entries would only queue up in the network
 		return
 	}
 	previous := peer.Next - 1
 	if previous != 0 && n.log.term(previous) == 0 || peer.Next < n.log.first {
-		n.requestSnapshot(now, id, heartbeat)
+		n.requestSnapshot(now, id, reason)
 		return
 	}
 	entries := n.log.batch(peer.Next)
-	if len(entries) == 0 && !heartbeat {
+	if len(entries) == 0 && reason != sendHeartbeat {
 		return
 	}
 	if len(entries) > 0 {
 		peer.RecordSent(entries[len(entries)-1].Index, now)
 	}
 	n.send(Message{
-		Kind: AppendRequest, To: id, Index: previous, LogTerm: n.log.term(previous), Commit: n.commit,
-		Entries: entries, SentAt: now, Addresses: n.introduction(peer),
+		Kind:      AppendRequest,
+		To:        id,
+		Index:     previous,
+		LogTerm:   n.log.term(previous),
+		Commit:    n.commit,
+		Entries:   entries,
+		SentAt:    now,
+		Addresses: n.memberAddressesFor(peer),
 	})
 }
 
 // probe sends a heartbeat without entries, if one is due. It commits nothing at the receiver, whose
 // log may end before it.
-func (n *Node) probe(now time.Duration, id string, heartbeat bool) {
-	if !heartbeat {
+func (n *Node) probe(now time.Duration, id string, reason sendReason) {
+	if reason != sendHeartbeat {
 		return
 	}
 	n.send(Message{
-		Kind: AppendRequest, To: id, Index: n.commit, LogTerm: n.log.term(n.commit),
-		SentAt: now, Addresses: n.introduction(n.progress[id]),
+		Kind:      AppendRequest,
+		To:        id,
+		Index:     n.commit,
+		LogTerm:   n.log.term(n.commit),
+		SentAt:    now,
+		Addresses: n.memberAddressesFor(n.progress[id]),
 	})
 }
 
-// introduction returns the members for one that has acknowledged nothing yet: its log may not name
+// memberAddressesFor returns the members for one that has acknowledged nothing yet: its log may not name
 // them.
-func (n *Node) introduction(peer *progress.Progress) []Member {
+func (n *Node) memberAddressesFor(peer *progress.Progress) []Member {
 	if peer.Match > 0 {
 		return nil
 	}
@@ -156,10 +176,10 @@
 }
 
 // requestSnapshot asks the driver, by an empty snapshot, to send the newest one.
-func (n *Node) requestSnapshot(now time.Duration, id string, heartbeat bool) {
+func (n *Node) requestSnapshot(now time.Duration, id string, reason sendReason) {
 	peer := n.progress[id]
 	if peer.SnapshotPending(now) {
-		n.probe(now, id, heartbeat)
+		n.probe(now, id, reason)
 		return
 	}
 	peer.RecordSnapshotRequest(now)
@@ -193,6 +213,8 @@
 	}
 }
 
+// handleAppendResponse is the leader's part of replication: it counts the response for the lease, the
+// commit index and the member's progress.
 func (n *Node) handleAppendResponse(now time.Duration, response Message) {
 	peer := n.progress[response.From]
 	if n.role != Leader || peer == nil {
@@ -202,7 +224,7 @@
 	n.renewLease(now)
 	if response.Reject {
 		peer.Reject(response.Index, n.log.last())
-		n.replicate(now, response.From, false)
+		n.replicate(now, response.From, sendEntries)
 		return
 	}
 	peer.Acknowledge(response.Index)
@@ -211,7 +233,7 @@
 		return // the change of membership that this response committed has removed it
 	}
 	if peer.Next <= n.log.last() {
-		n.replicate(now, response.From, false)
+		n.replicate(now, response.From, sendEntries)
 	}
 	n.sendTimeoutNowIfReady()
 }
--- a/coord/ringlog/golden_test.go
+++ b/coord/ringlog/golden_test.go
@@ -125,8 +125,8 @@
 	require.Equal(t, wanted.HardState, found.HardState)
 	require.Equal(t, wanted.Snapshot, found.Snapshot)
 	require.Len(t, found.Entries, len(wanted.Entries))
-	for at, entry := range wanted.Entries {
-		require.Equal(t, entry, found.Entries[at], "entry %d", entry.Index)
+	for i, entry := range wanted.Entries {
+		require.Equal(t, entry, found.Entries[i], "entry %d", entry.Index)
 	}
 
 	wanted.HardState = replica.HardState{Term: 7, Vote: "e"}
@@ -141,8 +141,8 @@
 	require.Equal(t, wanted, found)
 }
 
-// TestLogIsWrittenAsBefore: the same work leaves the same files, records and snapshots.
-func TestLogIsWrittenAsBefore(t *testing.T) {
+// TestLogMatchesGolden: the same work leaves the same files, records and snapshots.
+func TestLogMatchesGolden(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "ring")
 	writeLog(t, folder)
 	require.Equal(t, filesOf(t, goldenFolder), filesOf(t, folder))
--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -7,145 +7,147 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Batches are the log's entries. They are encoded by hand: gob would describe its types in
-// each of them, which is many times the size of a command and of the work to read it.
+// Batches are encoded by hand: gob would describe its types in each of them, which is many times
+// the size of a command and of the work of decoding it.
 
-// batchFormat is the first byte of a batch. Readers take the format before it too, in which
-// commands had no queue and no version, and turn others down.
+// The first byte of a batch is its format. Batches of previousFormat, whose commands have no
+// queue and no version, may still be in a log on disk and are read; other formats are rejected.
 const (
-	batchFormat  = 2
-	formatBefore = 1
+	batchFormat    = 2
+	previousFormat = 1
 )
 
-// ErrFormat is a batch that can't be read.
+// ErrFormat is returned for a batch that can't be decoded.
 var ErrFormat = errors.New("a batch of commands can't be read: run the same version on all core machines")
 
 // Encode returns the batch as bytes.
 func (b Batch) Encode() []byte {
-	to := []byte{batchFormat}
-	to = binary.AppendUvarint(to, uint64(len(b.Commands)))
-	for at := range b.Commands {
-		to = appendCommand(to, &b.Commands[at])
+	buffer := []byte{batchFormat}
+	buffer = binary.AppendUvarint(buffer, uint64(len(b.Commands)))
+	for i := range b.Commands {
+		buffer = appendCommand(buffer, &b.Commands[i])
 	}
-	return to
+	return buffer
 }
 
-func appendCommand(to []byte, c *Command) []byte {
-	to = append(to, byte(c.Kind), byte(c.EndReason))
-	to = appendText(to, c.Task.Job)
-	for _, number := range []int{c.Task.Occurrence, c.Task.Step, c.Task.Index, c.Attempt} {
-		to = binary.AppendUvarint(to, uint64(number))
+func appendCommand(buffer []byte, command *Command) []byte {
+	buffer = append(buffer, byte(command.Kind), byte(command.EndReason))
+	buffer = appendString(buffer, command.Task.Job)
+	for _, number := range []int{command.Task.Occurrence, command.Task.Step, command.Task.Index, command.Attempt} {
+		buffer = binary.AppendUvarint(buffer, uint64(number))
 	}
-	to = appendText(to, c.Runner)
-	to = appendText(to, c.Address)
-	to = appendText(to, c.Checkpoint)
-	to = binary.AppendVarint(to, c.ProposedAtMs)
-	to = appendText(to, c.Queue)
-	to = binary.AppendVarint(to, c.ConfigVersion)
-	if c.Kind != AcceptJob {
-		return to
+	buffer = appendString(buffer, command.Runner)
+	buffer = appendString(buffer, command.Address)
+	buffer = appendString(buffer, command.Checkpoint)
+	buffer = binary.AppendVarint(buffer, command.ProposedAtMs)
+	buffer = appendString(buffer, command.Queue)
+	buffer = binary.AppendVarint(buffer, command.ConfigVersion)
+	if command.Kind != AcceptJob {
+		return buffer
 	}
-	body, err := json.Marshal(c.Submission)
-	if err != nil { // no field of New can fail
-		body = nil
+	submission, err := json.Marshal(command.Submission)
+	if err != nil { // no field of Submission can fail
+		submission = nil
 	}
-	return appendText(to, string(body))
+	return appendString(buffer, string(submission))
 }
 
-func appendText(to []byte, text string) []byte {
-	to = binary.AppendUvarint(to, uint64(len(text)))
-	return append(to, text...)
+func appendString(buffer []byte, text string) []byte {
+	buffer = binary.AppendUvarint(buffer, uint64(len(text)))
+	return append(buffer, text...)
 }
 
-// reader reads the parts of a batch; after a fault all it reads is zero.
-type reader struct {
-	rest []byte
-	bad  bool
+// decoder reads the fields of a batch in their order. After a fault it returns zero values only.
+type decoder struct {
+	rest   []byte
+	failed bool
 }
 
-func (r *reader) number() uint64 {
-	number, n := binary.Uvarint(r.rest)
+func (d *decoder) uvarint() uint64 {
+	number, n := binary.Uvarint(d.rest)
 	if n <= 0 {
-		r.bad = true
+		d.failed = true
 		return 0
 	}
-	r.rest = r.rest[n:]
+	d.rest = d.rest[n:]
 	return number
 }
 
-func (r *reader) signed() int64 {
-	number, n := binary.Varint(r.rest)
+func (d *decoder) varint() int64 {
+	number, n := binary.Varint(d.rest)
 	if n <= 0 {
-		r.bad = true
+		d.failed = true
 		return 0
 	}
-	r.rest = r.rest[n:]
+	d.rest = d.rest[n:]
 	return number
 }
 
-func (r *reader) byte() byte {
-	if len(r.rest) == 0 {
-		r.bad = true
+func (d *decoder) byte() byte {
+	if len(d.rest) == 0 {
+		d.failed = true
 		return 0
 	}
-	first := r.rest[0]
-	r.rest = r.rest[1:]
+	first := d.rest[0]
+	d.rest = d.rest[1:]
 	return first
 }
 
-func (r *reader) text() string {
-	length := r.number()
-	if length > uint64(len(r.rest)) {
-		r.bad = true
+func (d *decoder) string() string {
+	length := d.uvarint()
+	if length > uint64(len(d.rest)) {
+		d.failed = true
 		return ""
 	}
-	text := string(r.rest[:length])
-	r.rest = r.rest[length:]
+	text := string(d.rest[:length])
+	d.rest = d.rest[length:]
 	return text
 }
 
-// DecodeBatch reads a batch.
+// DecodeBatch reads a batch. It returns ErrFormat where that is not possible.
 func DecodeBatch(content []byte) (Batch, error) {
-	r := &reader{rest: content}
-	format := r.byte()
-	if format != batchFormat && format != formatBefore {
+	d := &decoder{rest: content}
+	format := d.byte()
+	if format != batchFormat && format != previousFormat {
 		return Batch{}, ErrFormat
 	}
-	count := r.number()
+	count := d.uvarint()
 	if count > uint64(len(content)) {
 		return Batch{}, ErrFormat
 	}
-	b := Batch{Commands: make([]Command, 0, count)}
+	batch := Batch{Commands: make([]Command, 0, count)}
 	for range count {
-		c, err := r.command(format)
+		command, err := d.command(format)
 		if err != nil {
 			return Batch{}, err
 		}
-		b.Commands = append(b.Commands, c)
+		batch.Commands = append(batch.Commands, command)
 	}
-	return b, nil
+	return batch, nil
 }
 
-func (r *reader) command(format byte) (Command, error) {
-	c := Command{Kind: CommandKind(r.byte()), EndReason: EndReason(r.byte())}
-	c.Task.Job = r.text()
-	for _, to := range []*int{&c.Task.Occurrence, &c.Task.Step, &c.Task.Index, &c.Attempt} {
-		*to = int(r.number())
+func (d *decoder) command(format byte) (Command, error) {
+	command := Command{Kind: CommandKind(d.byte()), EndReason: EndReason(d.byte())}
+	command.Task.Job = d.string()
+	for _, field := range []*int{&command.Task.Occurrence, &command.Task.Step, &command.Task.Index, &command.Attempt} {
+		*field = int(d.uvarint())
 	}
-	c.Runner, c.Address, c.Checkpoint = r.text(), r.text(), r.text()
-	c.ProposedAtMs = r.signed()
-	if format != formatBefore {
-		c.Queue = r.text()
-		c.ConfigVersion = r.signed()
+	command.Runner = d.string()
+	command.Address = d.string()
+	command.Checkpoint = d.string()
+	command.ProposedAtMs = d.varint()
+	if format != previousFormat {
+		command.Queue = d.string()
+		command.ConfigVersion = d.varint()
 	}
-	if c.Kind == AcceptJob {
-		c.Submission = &New{}
-		if body := r.text(); !r.bad && json.Unmarshal([]byte(body), c.Submission) != nil {
-			return c, ErrFormat
+	if command.Kind == AcceptJob {
+		command.Submission = &Submission{}
+		if submission := d.string(); !d.failed && json.Unmarshal([]byte(submission), command.Submission) != nil {
+			return command, ErrFormat
 		}
 	}
-	if r.bad {
-		return c, ErrFormat
+	if d.failed {
+		return command, ErrFormat
 	}
-	return c, nil
+	return command, nil
 }
--- /dev/null
+++ b/internal/cluster/leader/response.go
@@ -0,0 +1,65 @@
+package leader
+
+import (
+	"net/http"
+
+	"github.com/cockroachdb/errors"
+
+	"basaltloft/coord/group"
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/protocol"
+)
+
+// retryAfterMs is when a client whose command found the queue full may send it again.
+const retryAfterMs = 500
+
+// Responses that need no further facts.
+var (
+	acceptedResponse       = protocol.JobResponse{Status: http.StatusOK}
+	unknownJobResponse     = protocol.JobResponse{Status: http.StatusGone, Reason: "there is no such job"}
+	unknownQueueResponse   = protocol.JobResponse{Status: http.StatusNotFound, Reason: "there is no such queue any more"}
+	idConflictResponse     = protocol.JobResponse{Status: http.StatusConflict, Reason: "another job has this ID: choose a new one"}
+	cancelledEarlyResponse = protocol.JobResponse{Status: http.StatusServiceUnavailable, Never: true, Reason: "the job was cancelled before it was handed in: it never runs"}
+	outcomeUnknownResponse = protocol.JobResponse{Status: http.StatusBadGateway, Unknown: true, Reason: "whether it was done is not known: send the same again"}
+)
+
+// queueMovedResponse says that a configuration of that version, or a newer one, sends the queue to
+// another shard.
+func queueMovedResponse(version int64) protocol.JobResponse {
+	return protocol.JobResponse{Status: http.StatusServiceUnavailable, Moved: version, Reason: "a newer configuration sends the queue elsewhere"}
+}
+
+// notLeaderResponse names the leader, as far as it is known here.
+func (s *Shard) notLeaderResponse() protocol.JobResponse {
+	return protocol.JobResponse{Status: protocol.StatusNotLeader, Owner: s.group.Leader().Address}
+}
+
+// ifLeader returns a response that was read from the state, if the leader's lease is still held.
+func (s *Shard) ifLeader(response protocol.JobResponse) protocol.JobResponse {
+	if !s.group.IsLeader() {
+		return s.notLeaderResponse()
+	}
+	return response
+}
+
+// notCommittedResponse is the response for a command that was not seen to be committed.
+func (s *Shard) notCommittedResponse(err error) protocol.JobResponse {
+	switch {
+	case errors.Is(err, group.ErrNotLeader):
+		return s.notLeaderResponse()
+	case errors.Is(err, group.ErrBusy):
+		return protocol.JobResponse{Status: http.StatusServiceUnavailable, RetryAfterMs: retryAfterMs, Reason: err.Error()}
+	}
+	return outcomeUnknownResponse
+}
+
+// resubmittedResponse is the response to a submission whose ID is known: see job.Job.Resubmitted.
+func resubmittedResponse(outcome job.Outcome) protocol.JobResponse {
+	switch outcome {
+	case job.AlreadyApplied:
+		return acceptedResponse
+	case job.CancelledBeforeAcceptance:
+		return cancelledEarlyResponse
+	}
+	return idConflictResponse
+}
--- /dev/null
+++ b/internal/cluster/leader/submit.go
@@ -0,0 +1,101 @@
+package leader
+
+import (
+	"hash/fnv"
+	"net/http"
+
+	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/cluster/protocol"
+)
+
+// BodyHash returns the hash by which the body of a submitted job is told from others.
+func BodyHash(body []byte) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write(body) // it never fails
+	return hash.Sum64()
+}
+
+// Submit accepts a job: the response confirms it once a majority of the replicas has it on disk. It
+// calls reply once.
+func (s *Shard) Submit(request protocol.SubmitRequest, reply func(protocol.JobResponse)) {
+	if !s.group.IsLeader() {
+		reply(s.notLeaderResponse())
+		return
+	}
+	submission, response := s.checkSubmission(&request)
+	if submission == nil {
+		reply(s.ifLeader(response))
+		return
+	}
+	s.enqueue(job.Command{Kind: job.AcceptJob, Submission: submission}, func(outcome job.Outcome, err error) {
+		reply(s.submittedResponse(outcome, err, submission.ConfigVersion))
+	})
+}
+
+// checkSubmission returns the submission to be proposed; nil: the request or the state decides the
+// response, which it returns.
+func (s *Shard) checkSubmission(request *protocol.SubmitRequest) (*job.Submission, protocol.JobResponse) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	bodyHash := BodyHash(request.Body)
+	if j := s.store.Jobs[request.ID]; j != nil {
+		return nil, resubmittedResponse(j.Resubmitted(request.Queue, bodyHash))
+	}
+	route, version, ok := s.route(request)
+	if !ok {
+		return nil, unknownQueueResponse
+	}
+	if protocol.ShardOf(route.Backend) != s.number {
+		return nil, queueMovedResponse(version)
+	}
+	spec, err := job.ParseSpec(request.Body)
+	if err != nil {
+		return nil, protocol.JobResponse{Status: http.StatusBadRequest, Reason: err.Error()}
+	}
+	return &job.Submission{
+		ID:            request.ID,
+		Queue:         request.Queue,
+		Service:       route.Backend,
+		BodyHash:      bodyHash,
+		Spec:          spec,
+		Priority:      route.Priority,
+		Retries:       route.Retries,
+		TargetMs:      int64(route.TargetMs),
+		Extension:     route.Extension,
+		ConfigVersion: request.Version,
+	}, protocol.JobResponse{}
+}
+
+// route returns the route of a submission and the version of the configuration that it is of: this
+// node's configuration or the sender's, whichever is newer; false: the newer one has no such queue. The
+// job is accepted under the sender's version nevertheless: by it the sender knew which shards had the
+// queue before and asked their leaders, and it may have missed that the queue was elsewhere and came
+// back since.
+func (s *Shard) route(request *protocol.SubmitRequest) (route opconfig.Route, version int64, ok bool) {
+	config := s.operatorConfig
+	if config == nil || config.Version <= request.Version {
+		return request.Route, request.Version, true
+	}
+	newer, ok := config.Route(request.Queue)
+	if !ok {
+		return opconfig.Route{}, config.Version, false
+	}
+	return *newer, config.Version, true
+}
+
+// submittedResponse is the response for the outcome of AcceptJob under a version of the configuration.
+func (s *Shard) submittedResponse(outcome job.Outcome, err error, version int64) protocol.JobResponse {
+	if err != nil {
+		return s.notCommittedResponse(err)
+	}
+	switch outcome {
+	case job.Applied:
+		return acceptedResponse
+	case job.QueueMoved:
+		return queueMovedResponse(version + 1) // the outcome says only that some newer version moved it
+	case job.AlreadyApplied, job.CancelledBeforeAcceptance, job.Rejected:
+		return resubmittedResponse(outcome)
+	}
+	return outcomeUnknownResponse
+}
--- a/internal/cluster/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -47,8 +47,8 @@
 		routes = append(routes, route("/gone/", "desk-1"))
 	}
 	var services []string
-	for at := range 5 {
-		services = append(services, fmt.Sprintf(`{"name":"desk-%d","guards":true}`, at))
+	for i := range 5 {
+		services = append(services, fmt.Sprintf(`{"name":"desk-%d","guards":true}`, i))
 	}
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[%s],"limits":{"max_header_bytes":8192,"max_body_bytes":262144,`+
 		`"header_timeout_ms":5000,"idle_timeout_ms":60000}}`, version, strings.Join(routes, ","), strings.Join(services, ",")))
@@ -66,7 +66,7 @@
 		require.NoError(t, err)
 		require.Equal(t, opconfig.Accepted, verdict)
 	}
-	register.Forgotten = goldenForgotten // only after thousands of changes would it be set
+	register.HighestForgotten = goldenForgotten // only after thousands of changes would it be set
 	return register
 }
 
@@ -163,21 +163,21 @@
 	register := restored(t)
 	require.Equal(t, int64(goldenVersions), register.Version)
 	require.Equal(t, string(goldenContent(goldenVersions)), string(register.Content))
-	require.Len(t, register.Taken, goldenVersions)
-	require.Len(t, register.Order, goldenVersions)
-	for at, version := range register.Order {
-		require.Equal(t, int64(at+1), version)
-		require.Equal(t, opconfig.DigestOf(goldenContent(at+1)), register.Taken[version])
+	require.Len(t, register.AcceptedDigests, goldenVersions)
+	require.Len(t, register.AcceptedVersions, goldenVersions)
+	for i, version := range register.AcceptedVersions {
+		require.Equal(t, int64(i+1), version)
+		require.Equal(t, opconfig.DigestOf(goldenContent(i+1)), register.AcceptedDigests[version])
 	}
-	require.Equal(t, int64(goldenForgotten), register.Forgotten)
-	require.Equal(t, uint64(goldenVersions), register.Changes)
+	require.Equal(t, int64(goldenForgotten), register.HighestForgotten)
+	require.Equal(t, uint64(goldenVersions), register.ChangeCount)
 	require.Equal(t, map[string][]string{
 		"h.example/stays/": {"desk-0"},
 		"h.example/moves/": {"desk-0", "desk-1", "desk-2", "desk-3", "desk-4"},
 		"h.example/gone/":  {"desk-1"},
-	}, register.Backends)
-	require.Equal(t, map[string]int64{"h.example/moves/": 40}, register.Since)
-	require.Equal(t, map[string]uint64{"h.example/gone/": 30}, register.Removed)
+	}, register.ServicesByQueue)
+	require.Equal(t, map[string]int64{"h.example/moves/": 40}, register.MovedAtVersion)
+	require.Equal(t, map[string]uint64{"h.example/gone/": 30}, register.RemovedAtChange)
 	require.Equal(t, map[string]opconfig.ServiceHistory{
 		"h.example/moves/": {Services: []string{"desk-0", "desk-1", "desk-2", "desk-3", "desk-4"}, Since: 40},
 	}, register.MovedQueues())
@@ -199,8 +199,8 @@
 	require.NoError(t, err, "it is of the form that the schema gives")
 }
 
-// TestGoldenRegisterGoesOn: changes are judged and applied on a register that was read.
-func TestGoldenRegisterGoesOn(t *testing.T) {
+// TestRestoredGoldenRegisterAppliesChanges: changes are judged and applied on a register that was read.
+func TestRestoredGoldenRegisterAppliesChanges(t *testing.T) {
 	register := restored(t)
 	require.Equal(t, opconfig.AlreadyAccepted, register.Evaluate(goldenChange(20)))
 	require.Equal(t, opconfig.Conflict, register.Evaluate(opconfig.Change{Base: 12, Version: 60, Content: goldenContent(60)}))
@@ -211,11 +211,11 @@
 	require.Equal(t, opconfig.Accepted, verdict)
 	require.Equal(t, int64(goldenVersions+1), register.Version)
 	require.Equal(t, int64(goldenVersions+1), register.Current().Version)
-	require.Equal(t, uint64(goldenVersions+1), register.Changes)
+	require.Equal(t, uint64(goldenVersions+1), register.ChangeCount)
 }
 
-// TestGoldenChangeIsWrittenAsBefore: a process of 352ebf2 reads a command of this build whole.
-func TestGoldenChangeIsWrittenAsBefore(t *testing.T) {
+// TestGoldenChangeIsWritten: a process of 352ebf2 reads a command of this build whole.
+func TestGoldenChangeIsWritten(t *testing.T) {
 	wanted := storedChange{Base: goldenVersions, Version: goldenVersions + 1, Content: goldenContent(goldenVersions + 1)}
 	for name, command := range map[string][]byte{"golden": golden(t, changeFile), "this build's": encoded(t, goldenChange(goldenVersions+1))} {
 		var stored storedChange
--- a/internal/cluster/scheduler/lateness_test.go
+++ b/internal/cluster/scheduler/lateness_test.go
@@ -18,7 +18,7 @@
 	tracker := newLatenessTracker(1.5, slog.New(slog.NewTextHandler(&text, nil)))
 	group := groupExpecting(1)
 	group.queue, group.accounts, group.arrivedMs = lateness.NewQueueAccount(testNow), map[int]*lateness.TaskAccount{}, 5000
-	group.job.Stretch, group.job.TargetMs = 1.5, 250
+	group.job.Extension, group.job.TargetMs = 1.5, 250
 	tracker.open(group.job, newRunTimeLearner(1.5))
 	group.queue.Wait(testNow, lateness.Budget)
 	group.account(0).Started(group.queue.Waited(testNow + 700*time.Millisecond))
--- a/internal/cluster/scheduler/urgency_digest_test.go
+++ b/internal/cluster/scheduler/urgency_digest_test.go
@@ -26,8 +26,8 @@
 var stretches = []float64{0, 1.1, 1.4, 1.8, 2.2, 2.6, 3.2, 4}
 
 // randomSubmission makes a job of any kind with an objective. More of them than of the jobs of
-// draw have their data in a rack, since only these may wait for a runner near it.
-func (w *world) randomSubmission() *job.New {
+// randomSpec have their data in a rack, since only these may wait for a runner near it.
+func (w *world) randomSubmission() *job.Submission {
 	spec := w.randomSpec()
 	if step := &spec.Steps[0]; !step.Gang && w.random.IntN(4) == 0 {
 		step.Affinity = fmt.Sprintf("r-%d", w.random.IntN(3))
@@ -36,8 +36,8 @@
 		spec.Steps = spec.Steps[:1]
 		spec.Steps[0] = job.Step{Count: 1, Resources: job.Resources{CPU: 1000, MemMB: 500}, EstimateMs: 300}
 	}
-	submission := &job.New{Queue: "q/", Service: "desk", Spec: spec, Retries: 2 + w.random.IntN(3),
-		Priority: w.random.IntN(w.priorities), Stretch: stretches[w.random.IntN(len(stretches))]}
+	submission := &job.Submission{Queue: "q/", Service: "desk", Spec: spec, Retries: 2 + w.random.IntN(3),
+		Priority: w.random.IntN(w.priorities), Extension: stretches[w.random.IntN(len(stretches))]}
 	if w.random.IntN(2) == 0 {
 		submission.TargetMs = int64(w.random.IntN(1500))
 	}
--- a/internal/cluster/simworld/plantedfaults_test.go
+++ b/internal/cluster/simworld/plantedfaults_test.go
@@ -89,10 +89,10 @@
 		}
 	case digestsLost:
 		register := opconfig.NewRegister()
-		if err := gob.NewDecoder(bytes.NewReader(content)).Decode(register); err != nil {
+		if err := register.Restore(content); err != nil {
 			return err
 		}
-		register.Taken, register.Order = nil, []int64{}
+		register.AcceptedDigests, register.AcceptedVersions = nil, []int64{}
 		without, err := register.Snapshot()
 		if err != nil {
 			return err
--- a/internal/cluster/simworld/runner_test.go
+++ b/internal/cluster/simworld/runner_test.go
@@ -128,7 +128,7 @@
 	case scheduler.OrderStart:
 		sender.StartReplied(now, order, scheduler.StartNoReply, 0)
 	case scheduler.OrderStop:
-		sender.StopReplied(now, order, false, false, 0)
+		sender.StopReplied(now, order, scheduler.StopNotConfirmed, 0)
 	}
 }
 
@@ -155,9 +155,9 @@
 		r.w.recorder.started(r, answer, clock)
 		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StartReplied(now, order, answer, clock) })
 	case scheduler.OrderStop:
-		ok, clock := r.stopRun(order), r.clockMs()
-		r.w.recorder.stopped(r, ok, clock)
-		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StopReplied(now, order, ok, false, clock) })
+		answer, clock := r.stopRun(order), r.clockMs()
+		r.w.recorder.stopped(r, answer == scheduler.StopConfirmed, clock)
+		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StopReplied(now, order, answer, clock) })
 	}
 }
 
@@ -228,15 +228,15 @@
 }
 
 // stopRun stops a run and shuts out its attempt, also where it has not begun.
-func (r *runner) stopRun(order scheduler.Order) bool {
+func (r *runner) stopRun(order scheduler.Order) scheduler.StopReply {
 	if r.fencesOff(order.Token) {
-		return false
+		return scheduler.StopNotConfirmed
 	}
 	r.overThrough[order.Task] = max(r.overThrough[order.Task], order.Attempt)
 	if run := r.runs[order.Task]; run != nil && run.attempt <= order.Attempt {
 		r.endRun(order.Task, job.EndStopped)
 	}
-	return true
+	return scheduler.StopConfirmed
 }
 
 // checkToken checks that a leader's fencing token is its own: no other process, and no other
--- a/internal/dispatcher/faktory/client/client.go
+++ b/internal/dispatcher/faktory/client/client.go
@@ -17,77 +17,84 @@
 	"time"
 )
 
-const mostReply = 64 << 20
+// maxReplyBytes bounds a reply.
+const maxReplyBytes = 64 << 20
 
-// Conn is a connection. It is not safe for concurrent use.
+// Conn is a connection. It must not be used concurrently. The caller closes it.
 type Conn struct {
-	conn net.Conn
-	in   *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-// Error is what a server answered to a command that it did not take.
-type Error string
+// ServerError is a server's error reply.
+type ServerError string
 
-func (e Error) Error() string { return string(e) }
+// Error implements error.
+func (e ServerError) Error() string { return string(e) }
 
-// Dial connects, and says HELLO with what the password proves. All of it is
-// done by the deadline.
+// Dial connects and says HELLO, with the password's hash if the server asks for one. It fails if
+// that is not done by the deadline.
 func Dial(addr, password string, deadline time.Time) (*Conn, error) {
 	d := net.Dialer{Deadline: deadline}
-	c, err := d.Dial("tcp", addr)
+	tcp, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("no Faktory server there: %w", err)
 	}
-	f := &Conn{c, bufio.NewReader(c)}
-	if err := f.hello(password, deadline); err != nil {
-		c.Close()
+	conn := &Conn{tcp, bufio.NewReader(tcp)}
+	if err := conn.sayHello(password, deadline); err != nil {
+		_ = tcp.Close() // the error that matters is returned
 		return nil, err
 	}
-	return f, nil
+	return conn, nil
 }
 
-func (c *Conn) hello(password string, deadline time.Time) error {
-	c.conn.SetDeadline(deadline)
-	greeting, err := c.reply()
+// sayHello reads the greeting and says HELLO.
+func (c *Conn) sayHello(password string, deadline time.Time) error {
+	if err := c.conn.SetDeadline(deadline); err != nil {
+		return err
+	}
+	greeting, err := c.readReply()
 	if err != nil {
 		return err
 	}
 	text, ok := strings.CutPrefix(string(greeting), "HI ")
 	var hi struct {
-		V int    `json:"v"`
-		I int    `json:"i"`
-		S string `json:"s"`
+		Version    int    `json:"v"`
+		Iterations int    `json:"i"`
+		Salt       string `json:"s"` // empty: no password is needed
 	}
 	if !ok || json.Unmarshal([]byte(text), &hi) != nil {
 		return fmt.Errorf("this is no Faktory server: it greets with %q", greeting)
 	}
 	host, _ := os.Hostname()
 	hello := map[string]any{"v": 2, "hostname": host, "pid": os.Getpid(), "labels": []string{"basaltloft"}}
-	if hi.S != "" {
-		sum := sha256.Sum256([]byte(password + hi.S))
-		for range hi.I - 1 {
+	if hi.Salt != "" {
+		sum := sha256.Sum256([]byte(password + hi.Salt))
+		for range hi.Iterations - 1 {
 			sum = sha256.Sum256(sum[:])
 		}
 		hello["pwdhash"] = hex.EncodeToString(sum[:])
 	}
-	said, err := json.Marshal(hello)
+	request, err := json.Marshal(hello)
 	if err != nil {
 		return err
 	}
-	_, err = c.Do("HELLO "+string(said), deadline)
+	_, err = c.Do("HELLO "+string(request), deadline)
 	return err
 }
 
-// Do sends a command and returns its reply, nil for none.
+// Do sends a command and returns its reply, nil for null. A refusal is a ServerError.
 func (c *Conn) Do(command string, deadline time.Time) ([]byte, error) {
-	c.conn.SetDeadline(deadline)
+	if err := c.conn.SetDeadline(deadline); err != nil {
+		return nil, err
+	}
 	if _, err := io.WriteString(c.conn, command+"\r\n"); err != nil {
 		return nil, err
 	}
-	return c.reply()
+	return c.readReply()
 }
 
-// Query sends a command and decodes its reply.
+// Query sends a command and decodes its reply, which is JSON.
 func (c *Conn) Query(command string, into any, deadline time.Time) error {
 	text, err := c.Do(command, deadline)
 	if err != nil {
@@ -99,8 +106,9 @@
 	return nil
 }
 
-func (c *Conn) reply() ([]byte, error) {
-	line, err := c.in.ReadString('\n')
+// readReply reads one reply of the protocol: a line, an error, bytes or null.
+func (c *Conn) readReply() ([]byte, error) {
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		return nil, fmt.Errorf("reading a reply: %w", err)
 	}
@@ -112,17 +120,17 @@
 	case '+':
 		return []byte(rest), nil
 	case '-':
-		return nil, Error(strings.TrimPrefix(rest, "ERR "))
+		return nil, ServerError(strings.TrimPrefix(rest, "ERR "))
 	case '$':
 		n, err := strconv.Atoi(rest)
-		if err != nil || n > mostReply {
+		if err != nil || n > maxReplyBytes {
 			return nil, fmt.Errorf("a reply of %q bytes", rest)
 		}
 		if n < 0 {
 			return nil, nil
 		}
 		text := make([]byte, n+2)
-		if _, err := io.ReadFull(c.in, text); err != nil {
+		if _, err := io.ReadFull(c.reader, text); err != nil {
 			return nil, fmt.Errorf("reading a reply: %w", err)
 		}
 		return text[:n], nil
@@ -132,12 +140,13 @@
 
 // Close says END and closes the connection.
 func (c *Conn) Close() error {
-	c.conn.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c.conn, "END\r\n")
+	// END is a courtesy: the server sees the end of the connection as well.
+	_ = c.conn.SetDeadline(time.Now().Add(time.Second))
+	_, _ = io.WriteString(c.conn, "END\r\n")
 	return c.conn.Close()
 }
 
-// Info is what INFO tells, as far as it is used here.
+// Info is the part of INFO's reply that operators' tools use.
 type Info struct {
 	Faktory struct {
 		Queues map[string]int `json:"queues"`
@@ -162,7 +171,7 @@
 	} `json:"server"`
 }
 
-// JobEntry is one job of a set, as SHOW tells it.
+// JobEntry is one job of a set in SHOW's reply.
 type JobEntry struct {
 	ID         string          `json:"jid"`
 	Type       string          `json:"jobtype"`
@@ -172,7 +181,7 @@
 	Failure    json.RawMessage `json:"failure,omitempty"`
 }
 
-// Worker is one worker, as SHOW tells it.
+// Worker is one worker in SHOW's reply.
 type Worker struct {
 	ID            string    `json:"wid"`
 	Host          string    `json:"hostname"`
--- a/internal/dispatcher/faktory/guard_test.go
+++ b/internal/dispatcher/faktory/connection_limits_test.go
@@ -1,6 +1,7 @@
 package faktory
 
 import (
+	"context"
 	"net"
 	"testing"
 	"time"
@@ -12,27 +13,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSilentConnections: those that say nothing, or not all of it, are closed
+// TestEvictUnauthenticated: connections that say nothing, or not all of it, are closed
 // in time, and before that the oldest of them makes room for another.
-func TestSilentConnections(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestEvictUnauthenticated(t *testing.T) {
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := New(nil, nil, &settings.Faktory{Connections: 3}, logrus.New())
-	go s.Serve(t.Context(), l)
+	ctx, stop := context.WithCancel(t.Context())
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(ctx, l) }()
+	defer func() {
+		stop()
+		require.NoError(t, <-served)
+	}()
 	began := time.Now()
-	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String()), "room": func() (scenario.Conn, error) {
-		require.False(t, s.makeRoom(began), "they have just come")
-		require.True(t, s.makeRoom(began.Add(time.Minute)))
-		near, far := net.Pipe()
-		far.Close()
-		return near, nil
-	}}, nil, `
+	evict := func(...string) string {
+		require.False(t, s.evictUnauthenticated(began), "they have just connected")
+		require.True(t, s.evictUnauthenticated(began.Add(time.Minute)))
+		return ""
+	}
+	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{"evict": evict}, `
 		c.member expect HI
 		c.member send HELLO {"v":2}\r\n
 		c.member expect OK
 		c.first expect HI
 		c.second expect HI
-		room wait
+		c.second send @evict()
 		c.first wait
 		c.second send HELLO
 		c.second wait
--- /dev/null
+++ b/internal/dispatcher/fleet/budget/allowance.go
@@ -0,0 +1,192 @@
+package budget
+
+import (
+	"math"
+	"sync"
+	"time"
+)
+
+// Allowance is one process's side of the budgets. Its times are those of the process's own
+// monotonic clock. Its methods, which lock, are safe for concurrent use; a job's path uses
+// TokenBucket only.
+type Allowance struct {
+	mu           sync.Mutex
+	process      string
+	incarnation  uint64
+	appliedGrant uint64        // number of the grant applied; 0: none
+	grantedAt    time.Duration // when the last renewal that was granted was sent
+	lease        time.Duration
+	buckets      map[string]*TokenBucket
+	names        []string        // of the buckets, in order of creation
+	expected     map[string]bool // nil: none
+	renewalAt    time.Duration   // when the last renewal was made
+	renewSoon    bool
+	closed       bool
+	fullBuckets  bool // the injected fault
+}
+
+// NewAllowance returns an allowance without a grant.
+func NewAllowance() *Allowance {
+	return &Allowance{buckets: map[string]*TokenBucket{}, renewalAt: math.MinInt64 / 4, fullBuckets: faultFullBucket}
+}
+
+// ExpectBudgets names the budgets that exist as far as this process knows, from its
+// operator's file. Until a grant says otherwise their buckets are empty instead of
+// unlimited: a process that has just started admits nothing of a budget of which it has no
+// share.
+func (a *Allowance) ExpectBudgets(names ...string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.expected = map[string]bool{}
+	for _, n := range names {
+		a.expected[n] = true
+	}
+	if a.appliedGrant == 0 {
+		for _, n := range a.names {
+			a.buckets[n].reset(a.termsWithoutGrant(n))
+		}
+	}
+}
+
+// SetIncarnation sets the process and incarnation that renewals are made for. A new
+// incarnation has no share until its first grant; what is in flight goes on.
+func (a *Allowance) SetIncarnation(process string, incarnation uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.process == process && a.incarnation == incarnation {
+		return
+	}
+	for _, n := range a.names {
+		if t := a.buckets[n]; t.terms.Load() != &unlimited || a.expected[n] {
+			t.reset(&blocked)
+		}
+	}
+	a.process, a.incarnation, a.appliedGrant, a.grantedAt = process, incarnation, 0, 0
+}
+
+// Apply applies a grant: sent is when the renewal that it answers was sent, now the time of
+// the own clock. It reports whether the process should renew at once, because a share has
+// shrunk and others wait for the acknowledgement. A grant of another incarnation, one that
+// is older than the one applied, or one that Check refuses changes nothing.
+//
+// The lease is counted from sent, for LeaseMargin of its duration: by the fleet's clock it
+// has begun later and lasts longer. A share that has grown begins with what its bucket
+// holds, a new one with nothing; a bucket that shrinks is clipped at once, before any
+// renewal acknowledges the grant.
+func (a *Allowance) Apply(sent, now time.Duration, g Grant) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if g.Check() != nil || g.Process != a.process || g.Incarnation != a.incarnation || g.Number < a.appliedGrant || a.closed {
+		return false
+	}
+	fresh := g.Number > a.appliedGrant
+	if !fresh && sent <= a.grantedAt {
+		return false
+	}
+	a.grantedAt, a.lease, a.renewSoon = max(a.grantedAt, sent), g.Lease, g.RenewSoon
+	ends := a.grantedAt + time.Duration(LeaseMargin*float64(g.Lease))
+	shrank := false
+	named := make(map[string]bool, len(g.Shares))
+	for _, s := range g.Shares {
+		named[s.Name] = true
+		t := a.bucket(s.Name)
+		old := t.terms.Load()
+		shrank = shrank || s.Amount < old.amount || s.Burst < old.burst
+		next := &terms{
+			kind: s.Kind, amount: s.Amount, burst: s.Burst, floor: s.Floor, floorBurst: min(s.Burst, 1), linger: s.SettleTime, lease: g.Lease,
+			leaseEnd: ends, floorEnd: ends,
+		}
+		if s.Floor > 0 {
+			next.floorEnd = a.grantedAt + time.Duration(LeaseMargin*float64(g.Lease+s.FloorDuration))
+		}
+		if !fresh {
+			next.leaseEnd, next.floorEnd = max(next.leaseEnd, old.leaseEnd), max(next.floorEnd, old.floorEnd)
+		}
+		t.applyTerms(now, next, fresh && a.fullBuckets)
+	}
+	for _, n := range a.names {
+		if !named[n] {
+			a.buckets[n].reset(&unlimited)
+		}
+	}
+	a.appliedGrant = g.Number
+	a.renewSoon = a.renewSoon || shrank
+	return shrank
+}
+
+// Bucket returns the process's bucket of a budget, to be looked up once and kept. The
+// bucket of a budget that does not exist (yet) admits everything and counts.
+func (a *Allowance) Bucket(name string) *TokenBucket {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.bucket(name)
+}
+
+func (a *Allowance) bucket(name string) *TokenBucket {
+	t := a.buckets[name]
+	if t == nil {
+		t = &TokenBucket{}
+		t.reset(a.termsWithoutGrant(name))
+		a.buckets[name] = t
+		a.names = append(a.names, name)
+	}
+	return t
+}
+
+// termsWithoutGrant returns the terms of a budget that no grant has named.
+func (a *Allowance) termsWithoutGrant(name string) *terms {
+	if a.closed || a.appliedGrant == 0 && a.expected[name] {
+		return &blocked
+	}
+	return &unlimited
+}
+
+// NextRenewal returns when, by the own clock, the next renewal is to be sent: a third of a
+// lease after the last one, or a twelfth where a share has shrunk, where more is due than
+// could be given, or where demand differs from what was reported, by half and by more than
+// chance.
+func (a *Allowance) NextRenewal(now time.Duration) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.lease == 0 {
+		return a.renewalAt + 100*time.Millisecond
+	}
+	soon := a.renewSoon
+	for _, n := range a.names {
+		soon = soon || a.buckets[n].demandChanged(now-a.renewalAt)
+	}
+	if soon {
+		return a.renewalAt + a.lease/12
+	}
+	return a.renewalAt + a.lease/3
+}
+
+// Renewal returns the renewal to be sent now. It reads the grant's number before what is in
+// flight: nothing can begin afterwards under an older grant, since a bucket checks its
+// terms after it counts.
+func (a *Allowance) Renewal(now time.Duration) Renewal {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	r := Renewal{Process: a.process, Incarnation: a.incarnation, AppliedGrant: a.appliedGrant, Usage: make(map[string]Usage, len(a.names))}
+	for _, n := range a.names {
+		r.Usage[n] = a.buckets[n].usage(now, now-a.renewalAt)
+	}
+	a.renewalAt, a.renewSoon = now, false
+	return r
+}
+
+// Close closes all buckets for good and returns what is in flight, for a planned shutdown.
+// Nothing is admitted after it.
+func (a *Allowance) Close(now time.Duration) map[string]Departure {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.closed = true
+	left := make(map[string]Departure, len(a.names))
+	for _, n := range a.names {
+		t := a.buckets[n]
+		t.reset(&blocked)
+		under, latest := t.unfinished(now)
+		left[n] = Departure{InFlight: under, MaxRemaining: latest}
+	}
+	return left
+}
--- a/internal/dispatcher/fleet/budget/book_code.go
+++ b/internal/dispatcher/fleet/budget/stored_state.go
@@ -4,26 +4,26 @@
 	"cmp"
 	"fmt"
 	"strings"
+	"time"
 
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// stateVersion is the form of the state that this program writes and reads.
+// stateVersion is the version of the encoded state.
 const stateVersion = 1
 
-// Encode writes the state: the same state gives the same bytes.
-func (b *AllocationTable) Encode() ([]byte, error) {
-	text, err := codec.Encode(&b.storedState)
+// Encode encodes the state. Equal states have equal bytes.
+func (t *AllocationTable) Encode() ([]byte, error) {
+	text, err := codec.Encode(&t.storedState)
 	if err != nil {
 		return nil, fmt.Errorf("state of the budgets: %w", err)
 	}
 	return text, nil
 }
 
-// Decode takes the state that Encode wrote in the place of its own. A text that
-// is cut short, of another version, or does not hold together is an error, and
-// nothing changes.
-func (b *AllocationTable) Decode(text []byte) error {
+// Decode replaces the state by an encoded one. If that is truncated, of another version, or
+// inconsistent, nothing changes.
+func (t *AllocationTable) Decode(text []byte) error {
 	var im storedState
 	if err := codec.Decode(text, &im); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
@@ -34,8 +34,8 @@
 	if err := im.check(); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
 	}
-	b.storedState = im
-	b.rebuildTotals()
+	t.storedState = im
+	t.rebuildTotals()
 	return nil
 }
 
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// checkAmounts looks whether what is given of a budget are figures that can be summed.
+// checkAmounts validates the amounts of a budget, which must be summable.
 func (im *storedState) checkAmounts(i int, s *budgetState) error {
 	sum := 0.0
 	add := func(xs ...int64) bool {
@@ -100,31 +100,42 @@
 	return nil
 }
 
-// Digest is the sum of the encoded state, compared between replicas.
-func (b *AllocationTable) Digest() (uint64, error) {
-	text, err := b.Encode()
+// Digest returns the digest of the encoded state, which is compared between replicas.
+func (t *AllocationTable) Digest() (uint64, error) {
+	text, err := t.Encode()
 	if err != nil {
 		return 0, err
 	}
 	return codec.Digest(text), nil
 }
 
-// rebuildTotals makes anew what follows from the state.
-func (b *AllocationTable) rebuildTotals() {
-	b.activeHolders = make(map[string]*holder, len(b.Holders))
-	for _, s := range b.Budgets {
+// rebuildTotals rebuilds what is derived from the stored state.
+func (t *AllocationTable) rebuildTotals() {
+	t.activeHolders = make(map[string]*holder, len(t.Holders))
+	for _, s := range t.Budgets {
 		s.held, s.quarantined = totals{}, totals{}
 		for _, r := range s.Quarantines {
 			s.quarantined.addQuarantine(r, 1)
 		}
 	}
-	for _, h := range b.Holders {
+	for _, h := range t.Holders {
 		if !h.Superseded {
-			b.activeHolders[h.Process] = h
+			t.activeHolders[h.Process] = h
 		}
-		for i, s := range b.Budgets {
+		for i, s := range t.Budgets {
 			s.held.add(&h.Allocations[i], 1)
 		}
 	}
-	b.nextDue = b.Now // what is due is looked for with the next call
+	t.nextDue = t.Now // what is due is looked for with the next call
+}
+
+// storedState is what is encoded, by the field names in its tags. The totals that
+// AllocationTable keeps besides are derived from it.
+type storedState struct {
+	Version   uint64
+	Now       time.Duration `cbor:"At"`
+	Lease     time.Duration
+	LastGrant uint64 `cbor:"Number"` // number of the last grant
+	Budgets   []*budgetState
+	Holders   []*holder // sorted by process, then incarnation
 }
--- a/internal/dispatcher/fleet/coordinator/finish_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -23,7 +23,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keeper is the state behind calls that may be lost on their way in or out.
+// raft node is the state behind calls that may be lost on their way in or out.
 type keeper struct {
 	mu      sync.Mutex
 	machine *state.Machine
@@ -85,7 +85,7 @@
 		tick, _ := codec.Encode(state.Command{Version: state.Version, Kind: state.Tick, At: at})
 		k.machine.Apply(n, tick)
 		var q rpc.Query
-		codec.Decode(body, &q)
+		_ = codec.Decode(body, &q)
 		text, _ := k.machine.Query(q.Kind, q.Body)
 		answer = rpc.Answer{Index: n, At: at, Body: text}
 	}
@@ -93,7 +93,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	text, _ := codec.Encode(answer)
-	w.Write(text)
+	_, _ = w.Write(text)
 }
 
 // process is a place in the fleet, and a dispatcher that serves all.
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// TestFinish: whoever waits for a run is told its end; that nothing has run only where
+// TestStartAsync: whoever waits for a run is told its end; that nothing has run only where
 // the state can't begin it any more.
-func TestFinish(t *testing.T) {
+func TestStartAsync(t *testing.T) {
 	all, problems := plan.Parse("p.hcl", []byte("plan \"one\" {\n within = \"10m\"\n attempts = 9\n stage \"s\" {\n class = \"safe\"\n path = \"/s\"\n }\n}"),
 		plan.ClassesByName([]policy.Class{{Name: "safe", Effect: policy.Idempotent, GiveUp: time.Second}}))
 	require.Empty(t, problems)
@@ -145,7 +145,7 @@
 			require.ErrorIs(t, c.StartAsync(StartRequest{Plan: "two"}, time.Time{}, nil), ErrUnknownPlan)
 			require.ErrorIs(t, c.StartAsync(at.ask, time.Time{}, nil), ErrNoSession, "it does not run yet")
 			var running sync.WaitGroup
-			running.Go(func() { c.Run(ctx) })
+			running.Go(func() { _ = c.Run(ctx) })
 			defer running.Wait()
 			defer stop()
 			type end struct {
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -21,7 +22,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// section is a fleet of three keepers and any number of others; %s are its budgets
+// section is a fleet of three raft nodes and any number of others; %s are its budgets
 // and what else it has.
 const section = `{"fleet":{"name":"{{.Name}}","folder":"{{.Folder}}",
 {{if le .Name "n3"}}"calls":"{{.Addr "calls"}}","votes":"{{.Addr "votes"}}",{{end}}
@@ -46,9 +47,9 @@
 	return r
 }
 
-// ask calls a process's door.
+// ask calls a process's admin API.
 func ask(p *harness.Process, method, path, body string) (status int, answer string) {
-	req, err := http.NewRequest(method, "http://"+p.Addr("admin")+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+p.Addr("admin")+path, strings.NewReader(body)) // the client has a timeout
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -56,7 +57,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	text, _ := io.ReadAll(resp.Body)
 	return resp.StatusCode, string(text)
 }
@@ -115,7 +116,7 @@
 	require.Eventually(t, func() bool { return r.Answers.Served.Load() >= from+more }, 40*time.Second, 10*time.Millisecond, "%d more are served", more)
 }
 
-// alike waits until the keepers that run have the same state to the byte.
+// alike waits until the raft nodes that run have the same state to the byte.
 func alike(t *testing.T, r *harness.Cluster) {
 	t.Helper()
 	var last []status
@@ -163,7 +164,7 @@
 	}
 	served(t, r, 200)
 	for _, l := range r.LinksOf(3) {
-		l.Heal()
+		_ = l.Heal()
 	}
 	joined(t, r.Processes[lead])
 	served(t, r, 100)
@@ -173,7 +174,7 @@
 	}
 	spans := r.AdmissionSpans(demo.Tenants[0])
 	over, window := harness.Overspent(spans, rate, burst)
-	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.To.Sub(window.From), window.From)
+	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.End.Sub(window.Start), window.Start)
 	require.Greater(t, len(spans), 100, "the tenant with a budget is served")
 	require.Empty(t, r.Till.RunTwice())
 	alike(t, r)
@@ -265,7 +266,7 @@
 
 // TestPlansThroughFaults: coordinators are killed, frozen and cut off while their plans
 // run. Each plan ends once, with one answer whoever is asked; no ticket runs twice.
-func TestPlansThroughFaults(t *testing.T) {
+func TestPlansThroughFaults(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	file := filepath.Join(t.TempDir(), "plans.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(bookings), 0o600))
 	r := found(t, 5, demo.Load{Members: 6, Slots: 8, RunTime: 60 * time.Millisecond, Seed: 11, Faults: fakes.Faults{Reject: 0.1}},
@@ -356,7 +357,7 @@
 `
 
 // TestFiftyLoseOneOutput: fifty jobs on many members report at once that what they were
-// given is stale, while the keepers' leader is killed. It is made anew once, for all.
+// given is stale, while the raft nodes' leader is killed. It is made anew once, for all.
 func TestFiftyLoseOneOutput(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plans.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(coach), 0o600))
@@ -399,7 +400,7 @@
 	t.Logf("%d attempts", a.Attempts)
 }
 
-// kept are all records of a tenant, by pages of a process's door.
+// kept are all records of a tenant, by pages of a process's admin API.
 func kept(t *testing.T, p *harness.Process, tenant string) (ids []string, ordinary int) {
 	t.Helper()
 	after := ""
@@ -426,7 +427,7 @@
 // TestRecordsThroughFaults: each final answer leaves one record, through a killed
 // process that ships its spool when it is back, a killed leader with its folder wiped,
 // and one frozen; what is beyond a tenant's rule is cut, what is held is not.
-func TestRecordsThroughFaults(t *testing.T) {
+func TestRecordsThroughFaults(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	const most = 50
 	rules := fmt.Sprintf(`,"records":{"tenants":{%q:{"count":%d},"*":{"days":30}}}`, demo.Tenants[2], most)
 	r := found(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 21}, rules)
@@ -434,9 +435,9 @@
 	require.Equal(t, http.StatusOK, code, text)
 	r.StartClients()
 	served(t, r, 150)
-	kill := harness.Span{From: time.Now().Add(-500 * time.Millisecond)} // records have 10 ms to be written, on a crowded machine more
+	kill := harness.Span{Start: time.Now().Add(-500 * time.Millisecond)} // records have 10 ms to be written, on a crowded machine more
 	require.NoError(t, r.Processes[3].Kill())
-	kill.To = time.Now()
+	kill.End = time.Now()
 	served(t, r, 100)
 	require.NoError(t, r.Processes[3].Start())
 	joined(t, r.Processes[3])
@@ -462,7 +463,7 @@
 			if c.Tenant != tenant || c.Status == 0 {
 				continue
 			}
-			if c.Addr == r.Processes[3].Addr("listen") && c.Ended.After(kill.From) && c.Ended.Before(kill.To) {
+			if c.Addr == r.Processes[3].Addr("listen") && c.Ended.After(kill.Start) && c.Ended.Before(kill.End) {
 				spared = append(spared, c.ID)
 				continue
 			}
@@ -520,7 +521,7 @@
 	alike(t, r)
 }
 
-// TestReplicaAwayThroughCuts: a keeper is down while records are cut three times and
+// TestReplicaAwayThroughCuts: a raft node is down while records are cut three times and
 // the rule is changed. Back, it has what the others have, and nothing that was cut.
 func TestReplicaAwayThroughCuts(t *testing.T) {
 	rules := func(revision, count int) string {
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -27,7 +27,7 @@
 
 // The files in goldenState were written by commit 352ebf2 and must never be rewritten
 // by later code: they are the raft log, its replies, the snapshot and the digests that
-// keepers of both builds share during a rolling upgrade.
+// raft nodes of both builds share during a rolling upgrade.
 //
 // CBOR maps in them carry the Go names of exported struct fields, so a renamed field of a
 // stored type needs a cbor tag with its old name.
@@ -38,7 +38,7 @@
 	goldenSecond = int64(time.Second)
 )
 
-// goldenMachine returns an empty state with the parts of a keeper, in their order.
+// goldenMachine returns an empty state with the parts of a raft node, in their order.
 func goldenMachine(t *testing.T) *state.Machine {
 	store, err := recordstore.Open(t.TempDir())
 	require.NoError(t, err)
@@ -81,8 +81,11 @@
 	return l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Seq: seq, Acked: max(seq, 3) - 3, Kind: kind}, body)
 }
 
-func (l *goldenLog) join(at time.Duration, process, nonce string) uint64 {
-	reply := l.command(state.Command{At: at, Kind: state.Join}, state.JoinBody{Process: process, Nonce: nonce, Version: "352ebf2"})
+// joinedAt is when each process joins, in fleet time.
+const joinedAt = time.Second
+
+func (l *goldenLog) join(process, nonce string) uint64 {
+	reply := l.command(state.Command{At: joinedAt, Kind: state.Join}, state.JoinBody{Process: process, Nonce: nonce, Version: "352ebf2"})
 	require.NoError(l.t, reply.Err())
 	var joined state.JoinReply
 	require.NoError(l.t, codec.Decode(reply.Body, &joined))
@@ -98,8 +101,9 @@
 	return answer
 }
 
-// served has an attempt of one item sent and ended well.
-func (l *goldenLog) served(process string, incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply {
+// served has process n1 send an attempt of one item that ends well.
+func (l *goldenLog) served(incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply {
+	const process = "n1"
 	require.NoError(l.t, l.plan(process, incarnation, at, planrun.Command{SendAttempt: &do}).Err())
 	reply := l.plan(process, incarnation, at+time.Millisecond, planrun.Command{ReportEnd: &planrun.ReportEnd{
 		Run: do.Run, Fence: do.Fence, Stage: do.Stage, Item: do.Item, Undo: do.Undo, Attempt: do.Attempt, End: plan.Done, Result: []byte(result), Member: "cell-2",
@@ -130,7 +134,7 @@
 
 // goldenSettings has a budget of each kind, and rules of records.
 func (l *goldenLog) goldenSettings() state.FleetSettings {
-	return state.FleetSettings{Revision: 4, Lease: 20 * time.Second, Parts: map[string][]byte{
+	return state.FleetSettings{Revision: 4, Lease: 20 * time.Second, Partitions: map[string][]byte{
 		partition.BudgetsName: l.encode(budget.Config{Lease: 20 * time.Second, Budgets: []budget.Budget{
 			{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Total: 120, Burst: 40, Floor: 5, FloorSlots: 3, FloorDuration: time.Minute, Weights: map[string]float64{"n1": 2}},
 			{Name: "under-way/hrad-kamenec", Kind: budget.InFlight, Total: 60, Floor: 2, FloorSlots: 3, FloorDuration: time.Minute, SettleTime: 8 * time.Second},
@@ -146,20 +150,20 @@
 // work applies commands of every kind: members that stay, are replaced and leave,
 // budgets that are divided, plans in all states, records that are kept, held and cut.
 func (l *goldenLog) work() (first, third uint64) {
-	at := time.Second
-	first = l.join(at, "n1", "start-1")
-	second := l.join(at, "n2", "start-2")
+	at := joinedAt
+	first = l.join("n1", "start-1")
+	second := l.join("n2", "start-2")
 	require.NoError(l.t, l.by("n1", first, at, state.SetSettings, l.goldenSettings()).Err())
 	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k1", Count: 1})
 	l.command(state.Command{At: at, Kind: state.ReportBoot}, state.BootBody{Process: "k2", Count: 7})
-	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k1", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
-	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k2", Index: 4, Parts: map[string]uint64{"plans": 17, "members": 18}})
-	third = l.join(at, "n2", "start-3") // replaces the start before it
+	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k1", Index: 4, Partitions: map[string]uint64{"plans": 17, "members": 18}})
+	l.command(state.Command{At: at, Kind: state.ReportDigests}, state.DigestsBody{Replica: "k2", Index: 4, Partitions: map[string]uint64{"plans": 17, "members": 18}})
+	third = l.join("n2", "start-3") // replaces the start before it
 	require.ErrorIs(l.t, l.by("n2", second, at, partition.PlansCommand, planrun.Command{}).Err(), state.ErrFenced)
-	fourth := l.join(at, "n3", "start-4")
+	fourth := l.join("n3", "start-4")
 
 	renew := func(process string, incarnation uint64, at time.Duration, bound uint64) uint64 {
-		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Parts: map[string][]byte{
+		reply := l.command(state.Command{At: at, Process: process, Incarnation: incarnation, Kind: state.Renew}, state.RenewBody{Partitions: map[string][]byte{
 			partition.BudgetsName: l.encode(budget.Renewal{Process: process, Incarnation: incarnation, AppliedGrant: bound, Usage: map[string]budget.Usage{
 				"jobs/hrad-kamenec": {Demand: 30.5}, "under-way/hrad-kamenec": {Demand: 12, InFlight: 4, MaxRemaining: 2 * time.Second}, "cold": {Demand: 2},
 			}}),
@@ -169,7 +173,7 @@
 		var renewed state.RenewReply
 		require.NoError(l.t, codec.Decode(reply.Body, &renewed))
 		var grant budget.Grant
-		require.NoError(l.t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
+		require.NoError(l.t, codec.Decode(renewed.Partitions[partition.BudgetsName], &grant))
 		return grant.Number
 	}
 	bound := map[string]uint64{}
@@ -196,7 +200,7 @@
 	return first, third
 }
 
-func (l *goldenLog) workPlans(at time.Duration, first, third uint64) {
+func (l *goldenLog) workPlans(at time.Duration, first, third uint64) { //nolint:funlen // one scenario, to be read from top to bottom
 	start := func(process string, incarnation uint64, run string) uint64 {
 		reply := l.plan(process, incarnation, at, planrun.Command{Start: &planrun.Start{
 			Run: run, Plan: "booking", Tenant: "hrad-kamenec", Digest: 99, Shape: goldenShape(), Input: []byte(`{"tour":7}`), Seed: 5, Before: at + 25*time.Second,
@@ -210,15 +214,15 @@
 	// One run is served.
 	fence := start("n1", first, "run-served")
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 0, Key: "prices/7", Items: [][]byte{nil}})
-	reply := l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Generation: 1, Attempt: 1, RemainingTime: 50 * time.Millisecond}, `{"price":12}`)
+	reply := l.served(first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Generation: 1, Attempt: 1, RemainingTime: 50 * time.Millisecond}, `{"price":12}`)
 	prices := reply.Run.Stages[0].Generation
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"A1"`), []byte(`"A2"`)}})
 	for item := range 2 {
-		reply = l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 1, Item: item, Generation: reply.Run.Stages[1].Generation, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
+		reply = l.served(first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 1, Item: item, Generation: reply.Run.Stages[1].Generation, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
 	}
 	holds := reply.Run.Stages[1].Generation
 	open("n1", first, planrun.Open{Run: "run-served", Fence: fence, Stage: 2, Items: [][]byte{nil}})
-	reply = l.served("n1", first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 2, Generation: 1, Inputs: []uint64{prices, holds}, Attempt: 1}, `{"ticket":1}`)
+	reply = l.served(first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 2, Generation: 1, Inputs: []uint64{prices, holds}, Attempt: 1}, `{"ticket":1}`)
 	require.NotNil(l.t, reply.FinalAnswer)
 
 	// One is under way: a shared output taken, an item out, one that ended badly.
@@ -231,7 +235,7 @@
 	failing.Item = 1
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &failing}).Err())
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{ReportEnd: &planrun.ReportEnd{Run: "run-under-way", Fence: fence, Stage: 1, Item: 1, Attempt: 1, End: plan.Late, Member: "cell-3"}}).Err())
-	l.served("n1", first, at, planrun.SendAttempt{Run: "run-under-way", Fence: fence, Stage: 1, Item: 2, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
+	l.served(first, at, planrun.SendAttempt{Run: "run-under-way", Fence: fence, Stage: 1, Item: 2, Generation: 1, Inputs: []uint64{prices}, Attempt: 1}, `{"held":true}`)
 	skipped := sending
 	skipped.Attempt = 7
 	require.ErrorIs(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &skipped}).Err(), planrun.ErrInFlight)
@@ -254,7 +258,7 @@
 	fence = start("n1", first, "run-lost-input")
 	open("n1", first, planrun.Open{Run: "run-lost-input", Fence: fence, Stage: 0, Key: "prices/9", Items: [][]byte{nil}})
 	gen := l.view("run-lost-input").Run.Stages[0].Generation
-	l.served("n1", first, at, planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Generation: gen, Attempt: 1}, `{"price":13}`)
+	l.served(first, at, planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Generation: gen, Attempt: 1}, `{"price":13}`)
 	open("n1", first, planrun.Open{Run: "run-lost-input", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"D1"`)}})
 	sending = planrun.SendAttempt{Run: "run-lost-input", Fence: fence, Stage: 1, Generation: 1, Inputs: []uint64{gen}, Attempt: 1}
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &sending}).Err())
@@ -350,7 +354,7 @@
 
 // last is the command that is applied after the snapshot.
 func (l *goldenLog) last(first uint64) {
-	l.served("n1", first, 5*time.Second, planrun.SendAttempt{Run: "run-under-way", Fence: 2, Stage: 1, Item: 1, Generation: 1, Inputs: []uint64{1}, Attempt: 2}, `{"held":true}`)
+	l.served(first, 5*time.Second, planrun.SendAttempt{Run: "run-under-way", Fence: 2, Stage: 1, Item: 1, Generation: 1, Inputs: []uint64{1}, Attempt: 2}, `{"held":true}`)
 }
 
 // TestGoldenLogIsReplayed: a replica that starts with the golden log alone ends at the
@@ -375,7 +379,7 @@
 
 // TestGoldenSnapshotIsRestored: the golden snapshot is read field by field, and the state
 // goes on from it.
-func TestGoldenSnapshotIsRestored(t *testing.T) {
+func TestGoldenSnapshotIsRestored(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	m := goldenMachine(t)
 	golden := goldentest.Read(t, filepath.Join(goldenState, "snapshot"))
 	require.NoError(t, m.Restore(bytes.NewReader(golden)))
@@ -428,12 +432,12 @@
 	require.Equal(t, `{"held":true}`, string(underWay.Stages[1].Items[2].Result))
 	require.Equal(t, &planrun.GiveUp{Stage: 1, End: plan.Failed, Reason: "no seat is left"}, l.view("run-given-up").Run.GaveUp)
 
-	var standings []budget.BudgetStatus
+	var standings []budget.Occupancy
 	l.ask(partition.BudgetsStatus, nil, &standings)
 	goldentest.Equal(t, filepath.Join(goldenState, "budgets"), fmt.Appendf(nil, "%x\n", l.encode(standings)))
 	require.Len(t, standings, 3)
 	require.Equal(t, "jobs/hrad-kamenec", standings[1].Name)
-	require.InDelta(t, 120, standings[1].Whole, 0)
+	require.InDelta(t, 120, standings[1].Total, 0)
 
 	var page records.Page
 	l.ask(partition.RecordsPage, records.Query{Tenant: "hrad-kamenec", Limit: 20}, &page)
--- a/internal/dispatcher/fleet/harness/rig_test.go
+++ b/internal/dispatcher/fleet/harness/cluster_test.go
@@ -21,7 +21,7 @@
 
 // TestProcesses takes processes through all that can be done to one, and to a
 // link between two.
-func TestProcesses(t *testing.T) {
+func TestProcesses(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	r := New(t, Settings{Processes: 2, Load: demo.Load{Members: 2, Seed: 3},
 		Operator: `{"#":{"name":"{{.Name}}","peer":"{{.PeerAddr "n2" "listen"}}","all":{{.Peers 2 "listen"}}},"figures":{"journal":{"folder":"{{.Folder}}"}}}`})
 	r.Start()
@@ -33,9 +33,11 @@
 		if slices.Contains(quiet, true) {
 			client.Timeout = 250 * time.Millisecond
 		}
-		resp, err := client.Get("http://" + addr + "/health/ready")
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/health/ready", nil)
+		require.NoError(t, err)
+		resp, err := client.Do(req)
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close()
 		}
 		return err
 	}
@@ -98,7 +100,7 @@
 
 	var all FaultPlan
 	for n, name := range FaultKinds() {
-		all = append(all, Fault{At: time.Duration(n) * 20 * time.Millisecond, Duration: 15 * time.Millisecond, Kind: name, Process: 0, Peer: 1, Rate: 50})
+		all = append(all, Fault{Start: time.Duration(n) * 20 * time.Millisecond, Duration: 15 * time.Millisecond, Kind: name, Process: 0, Peer: 1, Rate: 50})
 	}
 	require.NoError(t, r.Inject(t.Context(), all))
 	r.clients.Wait()
@@ -119,13 +121,13 @@
 		for i, f := range plan {
 			out := 0
 			for _, g := range plan[:i] {
-				together := g.At+g.Duration > f.At
+				together := g.Start+g.Duration > f.Start
 				require.False(t, together && (g.Process == f.Process || faultKinds[g.Kind].pairwise && g.Peer == f.Process), "%v\n%v", g, f)
 				if together && (!faultKinds[g.Kind].pairwise || faultKinds[g.Kind].affectsFolder) {
 					out++
 				}
 				if faultKinds[f.Kind].affectsFolder && (!faultKinds[g.Kind].pairwise || faultKinds[g.Kind].affectsFolder) || faultKinds[g.Kind].affectsFolder && !faultKinds[f.Kind].pairwise {
-					require.LessOrEqual(t, g.At+g.Duration+quietPeriod, f.At, "%v\n%v", g, f)
+					require.LessOrEqual(t, g.Start+g.Duration+quietPeriod, f.Start, "%v\n%v", g, f)
 				}
 			}
 			if !faultKinds[f.Kind].pairwise {
@@ -147,7 +149,7 @@
 	return Soak{Settings: Settings{Processes: processes, Load: load}, FaultKinds: []string{"is killed", "is frozen", "is asked to end"}, Checks: SoakChecks(nil)}
 }
 
-// joined is a soak of a fleet of three keepers and two more, with a budget for a
+// joined is a soak of a fleet of three raft nodes and two more, with a budget for a
 // tenant who asks for more, under faults of all kinds. Half of the demand is at one
 // process, and moves. Bookings run beside it.
 func joined(seed uint64) Soak {
@@ -175,7 +177,7 @@
 	s.Checks = SoakChecks(map[string]func(*Cluster) ([]string, error){
 		"overspends": func(r *Cluster) (over []string, _ error) {
 			if by, window := Overspent(r.AdmissionSpans(demo.Tenants[0]), rate, burst); by > 0 {
-				over = append(over, fmt.Sprintf("by %.2f in the %v from %v", by, window.To.Sub(window.From), window.From))
+				over = append(over, fmt.Sprintf("by %.2f in the %v from %v", by, window.End.Sub(window.Start), window.Start))
 			}
 			return over, nil
 		},
--- a/internal/dispatcher/fleet/measure_test.go
+++ b/internal/dispatcher/fleet/measure_test.go
@@ -22,7 +22,7 @@
 
 // TestMeasure prints what docs/fleet-layer-design.md has under Measured:
 // go test ./internal/dispatcher/fleet -run Measure -v -measure
-func TestMeasure(t *testing.T) {
+func TestMeasure(t *testing.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	if !*measure {
 		t.Skip("it takes minutes: -measure")
 	}
@@ -47,7 +47,7 @@
 					r.Start()
 				case "on":
 					r = found(t, 3, load, full)
-				default: // of five, jobs go to the two that are no keepers
+				default: // of five, jobs go to the two that are no raft nodes
 					s := harness.Settings{Processes: 5, Load: load}
 					s.PickProcess = func(r *harness.Cluster) *harness.Process { return r.Processes[3+rand.IntN(2)] }
 					r = foundWith(t, s, full)
--- a/internal/dispatcher/fleet/planrun/next.go
+++ b/internal/dispatcher/fleet/planrun/next.go
@@ -6,19 +6,19 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// ActionKind is what a coordinator does next.
+// ActionKind tells what a coordinator is to do.
 type ActionKind uint8
 
-// Whats.
+// Kinds of actions.
 const (
-	OpenStage ActionKind = iota // evaluate a stage's list and shared key, and Open it
-	SendJob                     // Sending, and once that is accepted, the job
-	SendUndo                    // the same with the undo
-	AwaitEnd                    // an attempt is out: its end is to come, or, if this coordinator never sent it, plan.Unsent is to be told
-	WaitUntil                   // look again then
+	OpenStage ActionKind = iota // evaluate a stage's list and shared key, and send an Open
+	SendJob                     // send a SendAttempt, and once that is accepted, the job
+	SendUndo                    // the same with the stage's compensation
+	AwaitEnd                    // an attempt is in flight: its end is to come or, if this coordinator never sent it, plan.Unsent is to be reported
+	WaitUntil                   // call Next again then
 )
 
-// Action is one thing to do.
+// Action is something that a coordinator is to do.
 type Action struct {
 	Kind              ActionKind
 	Stage             int
@@ -28,15 +28,15 @@
 	Generation        uint64
 	Inputs            []uint64
 	Class             string
-	SpendsRetryBudget bool          // it spends the budget of attempts beyond the first of its class
-	Where             plan.Place    // of a further try: not at Member, or not in its zone
-	Member            string        // that the last attempt was at
+	SpendsRetryBudget bool          // an attempt beyond the first of its class's budget
+	Where             plan.Place    // of a further attempt: not at Member, or not in its zone
+	Member            string        // where the last attempt was
 	At                time.Duration // WaitUntil: when. SendJob, SendUndo: the attempt's deadline
 }
 
-// Next is what a run's coordinator should do: a function of the replicated state and
-// the time alone, so that whoever takes over goes on from it. A run that waits for
-// others to make an output, or for its end, has nothing but a WaitUntil.
+// Next returns what a run's coordinator is to do. It is a function of the replicated state
+// and the time alone, so that whoever takes over continues the run. For a run that waits
+// for another's output, or for its end, it returns only a WaitUntil.
 func Next(at, grace time.Duration, v View) (list []Action) {
 	if v.Shape.upstreamSets == nil && v.Shape.resolve() != nil { // it came over the network
 		return nil
@@ -45,15 +45,9 @@
 	if r.GaveUp != nil {
 		wake += grace
 	}
-	end := wake
-	later := func(t time.Duration) {
-		if t > at && (t < wake || wake <= at) {
-			wake = t
-		}
-	}
-	stage := -1
+	n := nextItems{View: v, at: at, end: wake, undoStage: -1}
 	if r.GaveUp != nil && !r.hasJobsInFlight() {
-		stage = r.nextUndoStage(s)
+		n.undoStage = r.nextUndoStage(s)
 	}
 	for i := range r.Stages {
 		sh, st := &s.Stages[i], &r.Stages[i]
@@ -62,31 +56,14 @@
 			list = append(list, Action{Kind: OpenStage, Stage: i, Generation: st.Generation, Class: sh.Class})
 		}
 		for k := range st.Items {
-			it := &st.Items[k]
-			a := Action{Kind: SendJob, Stage: i, Item: k, Attempt: it.Job.Attempt + 1, Generation: st.Generation, Class: sh.Class,
-				SpendsRetryBudget: it.Job.Attempt > 0, Where: it.RetryPlace, Member: it.Member, At: r.Deadline}
-			t := &it.Job
+			a, notBefore, ok := n.item(i, k, ready)
 			switch {
-			case it.Job.State == InFlight:
-				list = append(list, Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: it.Job.Attempt, Generation: it.Generation, Class: sh.Class})
-				continue
-			case it.Undo.State == InFlight:
-				list = append(list, Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: it.Undo.Attempt, Class: sh.Undo.Class, Undo: true})
-				continue
-			case i == stage && it.Undo.State == Pending && sh.needsUndo(it):
-				t = &it.Undo
-				a = Action{Kind: SendUndo, Stage: i, Item: k, Attempt: t.Attempt + 1, Class: sh.Undo.Class, Undo: true, SpendsRetryBudget: t.Attempt > 0, At: end}
-			case !ready || t.State != Pending || !maySendAgain(sh.Effect, t.MayHaveRun) || sh.Shared && v.Producing&(1<<i) == 0:
-				continue
-			}
-			if t.NotBefore > at {
-				later(t.NotBefore)
-				continue
+			case !ok:
+			case notBefore <= at:
+				list = append(list, a)
+			case notBefore < wake || wake <= at:
+				wake = notBefore
 			}
-			if a.Kind == SendJob {
-				a.Inputs = r.inputGenerations(s, i)
-			}
-			list = append(list, a)
 		}
 	}
 	if wake > at {
@@ -95,13 +72,34 @@
 	return list
 }
 
-func (r *Run) hasJobsInFlight() bool {
-	for i := range r.Stages {
-		for k := range r.Stages[i].Items {
-			if r.Stages[i].Items[k].Job.State == InFlight {
-				return true
-			}
-		}
+// nextItems computes the actions for the items of a run.
+type nextItems struct {
+	View
+	at, end   time.Duration // end of the run, including its grace
+	undoStage int           // whose items are to be undone now; -1: none
+}
+
+// item returns the action for an item and when it is due, if there is one. Ready says that
+// the stage's inputs exist and its output doesn't.
+func (n *nextItems) item(i, k int, ready bool) (a Action, notBefore time.Duration, ok bool) {
+	r, sh, st := n.Run, &n.Shape.Stages[i], &n.Run.Stages[i]
+	it := &st.Items[k]
+	job, undo := &it.Job, &it.Undo
+	switch {
+	case job.State == InFlight:
+		return Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: job.Attempt, Generation: it.Generation, Class: sh.Class}, n.at, true
+	case undo.State == InFlight:
+		return Action{Kind: AwaitEnd, Stage: i, Item: k, Attempt: undo.Attempt, Class: sh.Undo.Class, Undo: true}, n.at, true
+	case i == n.undoStage && undo.State == Pending && sh.needsUndo(it):
+		a = Action{Kind: SendUndo, Stage: i, Item: k, Attempt: undo.Attempt + 1, Class: sh.Undo.Class, Undo: true, SpendsRetryBudget: undo.Attempt > 0, At: n.end}
+		return a, undo.NotBefore, true
+	case !ready || job.State != Pending || !maySendAgain(sh.Effect, job.MayHaveRun) || sh.Shared && n.Producing&(1<<i) == 0:
+		return Action{}, 0, false
+	}
+	a = Action{Kind: SendJob, Stage: i, Item: k, Attempt: job.Attempt + 1, Generation: st.Generation, Class: sh.Class,
+		SpendsRetryBudget: job.Attempt > 0, Where: it.RetryPlace, Member: it.Member, At: r.Deadline}
+	if job.NotBefore <= n.at {
+		a.Inputs = r.inputGenerations(n.Shape, i)
 	}
-	return false
+	return a, job.NotBefore, true
 }
--- a/internal/dispatcher/fleet/planrun/shared.go
+++ b/internal/dispatcher/fleet/planrun/shared_output.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Output is an output that plans share by a key: made by one run at a time, for all.
+// Output is an output that runs share by a key: made by one run at a time, for all.
 type Output struct {
 	Key        string
-	Generation uint64 `cbor:"Gen"` // made, or being made
-	Ready      bool
-	FreshUntil time.Duration `cbor:"Until"` // who comes later has it made anew
+	Generation uint64        `cbor:"Gen"` // made, or being made
+	Ready      bool          // it has been made
+	FreshUntil time.Duration `cbor:"Until"` // later users have it made again
 	Results    [][]byte
-	Producer   *OutputUser `cbor:"Owner"` // who makes it; nil: nobody
+	Producer   *OutputUser `cbor:"Owner"` // which makes it; nil: nobody
 	Users      []OutputUser
 }
 
-// OutputUser is a stage of a run under way that uses an output, or waits for it.
+// OutputUser is a stage of a run that uses an output, or waits for it.
 type OutputUser struct {
 	Run   string
 	Stage int
@@ -26,14 +26,14 @@
 	return !o.Ready && o.Producer != nil && *o.Producer == OutputUser{r.ID, stage}
 }
 
-// attachOutput joins a stage that was just opened to its output: it takes what is there
-// and good, waits for what is being made, or makes it.
-func (b *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
+// attachOutput connects a stage that was just opened to its output: it takes a fresh one,
+// waits for one that is being made, or makes it.
+func (t *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
 	key, me := r.Stages[stage].SharedKey, OutputUser{r.ID, stage}
-	o := b.outputs[key]
+	o := t.outputs[key]
 	if o == nil {
-		o = &Output{Key: key, Generation: b.lastSharedGeneration + 1} // above all that the key had, should it have been dropped
-		b.outputs[key] = o
+		o = &Output{Key: key, Generation: t.lastSharedGeneration + 1} // above all that the key had, should it have been dropped
+		t.outputs[key] = o
 	}
 	o.Users = append(o.Users, me)
 	switch {
@@ -46,40 +46,40 @@
 	case o.Producer == nil:
 		o.Producer = &me
 	}
-	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	t.lastSharedGeneration = max(t.lastSharedGeneration, o.Generation)
 	r.Stages[stage].Generation = o.Generation
 }
 
-// takeOutput gives a stage an output that is there.
+// takeOutput gives a stage an output that exists.
 func (r *Run) takeOutput(stage int, o *Output) {
 	st := &r.Stages[stage]
 	st.Generation, st.Complete, st.SharedResults = o.Generation, true, o.Results
 }
 
 // publishOutput gives the output that a stage has made to all that wait for it. It counts
-// whoever the owner is by now: the first to be there is good.
-func (b *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
+// whoever is the producer by now.
+func (t *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
 	st := &r.Stages[stage]
-	o := b.outputs[st.SharedKey]
+	o := t.outputs[st.SharedKey]
 	if st.SharedKey == "" || o == nil || o.Ready || o.Generation != st.Generation {
 		return
 	}
 	o.Ready, o.Producer, o.Results = true, nil, st.Results()
 	o.FreshUntil = at + r.shape.Stages[stage].SharedFor
 	for _, u := range slices.Clone(o.Users) {
-		if w := b.runs[u.Run]; w != nil && w.GaveUp == nil && !w.Stages[u.Stage].Complete {
+		if w := t.runs[u.Run]; w != nil && w.GaveUp == nil && !w.Stages[u.Stage].Complete {
 			w.takeOutput(u.Stage, o)
 			if w != r {
-				b.finishIfDone(at, w)
+				t.finishIfDone(at, w)
 			}
 		}
 	}
 }
 
-// rerunShared has the generation after gen made by a run that has lost it, unless
-// another has begun to. Other runs that still need the output wait for it,
-// and keep what they did with the lost one until a stage of theirs reports it.
-func (b *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (fresh bool) {
+// rerunShared has the generation after a lost one made by a run that reported the loss,
+// unless another has begun to. Other runs that still need the output wait for it, and keep
+// what they made of the lost one until a stage of theirs reports the loss.
+func (t *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (newLoss bool) {
 	if o.Generation > gen {
 		if r.Stages[stage].Generation = o.Generation; o.Ready {
 			r.takeOutput(stage, o)
@@ -87,10 +87,10 @@
 		return false
 	}
 	o.Generation, o.Ready, o.Results, o.Producer = gen+1, false, nil, &OutputUser{r.ID, stage}
-	b.lastSharedGeneration = max(b.lastSharedGeneration, o.Generation)
+	t.lastSharedGeneration = max(t.lastSharedGeneration, o.Generation)
 	r.Stages[stage].Generation = o.Generation
 	for _, u := range o.Users {
-		w := b.runs[u.Run]
+		w := t.runs[u.Run]
 		if w == r && u.Stage == stage || w.GaveUp != nil || w.Stages[u.Stage].Generation > gen || !w.needsOutput(u.Stage) {
 			continue
 		}
@@ -99,7 +99,7 @@
 	return true
 }
 
-// needsOutput tells whether something is still to be done with a stage's output.
+// needsOutput reports whether a stage's output is still needed.
 func (r *Run) needsOutput(stage int) bool {
 	for i := range r.Stages {
 		if i == stage && !r.Stages[i].Complete || r.shape.dependsOn(i, stage) && !r.Stages[i].Complete {
@@ -109,41 +109,41 @@
 	return false
 }
 
-// detachOutputs takes a run that needs no more output off all that it uses.
-func (b *Tracker) detachOutputs(r *Run) {
+// detachOutputs removes a run from the users of its outputs.
+func (t *Tracker) detachOutputs(r *Run) {
 	for i := range r.Stages {
-		o := b.outputs[r.Stages[i].SharedKey]
+		o := t.outputs[r.Stages[i].SharedKey]
 		if r.Stages[i].SharedKey == "" || o == nil {
 			continue
 		}
 		me := OutputUser{r.ID, i}
 		o.Users = slices.DeleteFunc(o.Users, func(u OutputUser) bool { return u == me })
-		b.reassignOutput(o, me)
+		t.reassignOutput(o, me)
 		if len(o.Users) == 0 && !o.Ready {
-			delete(b.outputs, o.Key)
+			delete(t.outputs, o.Key)
 		}
 	}
 }
 
-// reassignOutputs gives what a run was making to others that wait for it, if there are any
-// whose coordinator lives.
-func (b *Tracker) reassignOutputs(r *Run) {
+// reassignOutputs assigns the outputs that a run was making to others that wait for them,
+// if there are any with a coordinator.
+func (t *Tracker) reassignOutputs(r *Run) {
 	for i := range r.Stages {
-		if o := b.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
-			b.reassignOutput(o, OutputUser{r.ID, i})
+		if o := t.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
+			t.reassignOutput(o, OutputUser{r.ID, i})
 		}
 	}
 }
 
-// reassignOutput finds a new owner of an output, if from is its owner: the first in line that
-// waits and has a coordinator, else the first that waits.
-func (b *Tracker) reassignOutput(o *Output, from OutputUser) {
+// reassignOutput finds a new producer of an output, if from is its producer: the first user
+// that waits and has a coordinator, else the first that waits.
+func (t *Tracker) reassignOutput(o *Output, from OutputUser) {
 	if o.Ready || o.Producer == nil || *o.Producer != from {
 		return
 	}
 	o.Producer = nil
 	for _, u := range o.Users {
-		w := b.runs[u.Run]
+		w := t.runs[u.Run]
 		if w == nil || w.GaveUp != nil || w.Stages[u.Stage].Complete {
 			continue
 		}
@@ -156,10 +156,10 @@
 	}
 }
 
-func (b *Tracker) pruneOutputs(at time.Duration) {
-	for key, o := range b.outputs { // in any order: each is judged by itself
+func (t *Tracker) pruneOutputs(at time.Duration) {
+	for key, o := range t.outputs { // in any order: each is judged by itself
 		if o.Ready && len(o.Users) == 0 && o.FreshUntil <= at {
-			delete(b.outputs, key)
+			delete(t.outputs, key)
 		}
 	}
 }
--- a/internal/dispatcher/fleet/planrun/sim_test.go
+++ b/internal/dispatcher/fleet/planrun/sim_test.go
@@ -273,7 +273,7 @@
 }
 
 // send has a member run an attempt, perhaps.
-func (p *proc) send(a *seen, c SendAttempt, id AttemptID) {
+func (p *proc) send(a *seen, c SendAttempt, id AttemptID) { //nolint:gocognit // one scenario, to be read from top to bottom
 	s, epoch, told := p.s, p.epoch, false
 	if s.n.sends++; a.end == plan.MayRun && !a.unchecked {
 		s.fault("%v was sent when another had the run", a.try)
@@ -308,11 +308,12 @@
 					}
 				}
 				end, lost := plan.Done, (*LostInput)(nil)
-				if len(sh.Reruns) > 0 && !a.undo && c.Inputs[0] <= s.lost {
+				switch {
+				case len(sh.Reruns) > 0 && !a.undo && c.Inputs[0] <= s.lost:
 					end, lost = plan.Lost, &LostInput{0, c.Inputs[0]}
-				} else if s.chance(0.04) {
+				case s.chance(0.04):
 					end = plan.Failed
-				} else {
+				default:
 					p.co.Estimator.Observe(sh.Class, took)
 				}
 				switch x := s.rng.Float64(); {
@@ -408,11 +409,11 @@
 				id := fmt.Sprintf("%s %d", p.name, i)
 				if until, ok := s.leases[id]; ok && until >= 0 && until <= s.fleet() || ok && until >= 0 && i < p.incarnation {
 					s.leases[id] = -1
-					s.commit(LeaseExpired{p.name, i})
+					_, _ = s.commit(LeaseExpired{p.name, i})
 				}
 			}
 		}
-		s.commit(nil)
+		_, _ = s.commit(nil)
 	}
 	s.after(20*ms, s.tick)
 }
--- a/internal/dispatcher/fleet/raftnode/folder.go
+++ b/internal/dispatcher/fleet/raftnode/data_dir.go
@@ -15,10 +15,10 @@
 	"go.etcd.io/bbolt"
 )
 
-// boltOptions: a log that another process holds is an error soon, not a wait.
+// boltOptions make opening a log that another process holds fail soon.
 var boltOptions = &bbolt.Options{Timeout: time.Second}
 
-// dataDir is a keeper's own.
+// dataDir is a node's data directory, locked for this process.
 type dataDir struct {
 	path      string
 	lock      *os.File
@@ -26,7 +26,8 @@
 	identity  identity
 }
 
-// identity says whose a folder is and how often it was started with.
+// identity says which node a data directory belongs to and how often that has started with
+// it. It is stored by the field names in its tags.
 type identity struct {
 	Version uint8  `cbor:"V"`
 	Node    string `cbor:"Keeper"`
@@ -38,27 +39,27 @@
 	identityVersion = 1
 )
 
-// ErrDataDir says that a folder can't be this keeper's.
+// ErrDataDir says that a data directory can't be used by this node.
 var ErrDataDir = errors.New("the fleet's folder can't be used")
 
-// openDir takes the folder, and refuses one that is another keeper's, of another
-// version, or in use.
-func (k *Node) openDir() (*dataDir, error) {
-	path := k.settings.Folder
+// openDir locks the data directory. It fails for the directory of another node or version,
+// and for one in use.
+func (node *Node) openDir() (*dataDir, error) {
+	path := node.settings.Folder
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, fmt.Errorf("%w: another process uses %s", ErrDataDir, path)
 	}
-	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: k.settings.Name}}
+	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: node.settings.Name}}
 	text, err := os.ReadFile(filepath.Join(path, identityFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		if _, err := os.Stat(filepath.Join(path, "log.db")); err == nil {
-			lock.Close()
+			_ = lock.Close()
 			return nil, fmt.Errorf("%w: %s has a log, and no mark of whose it is", ErrDataDir, path)
 		}
 		return f, nil
@@ -70,34 +71,34 @@
 		err = fmt.Errorf("%w: its mark can't be read: %w", ErrDataDir, err)
 	case f.identity.Version != identityVersion:
 		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, f.identity.Version, identityVersion)
-	case f.identity.Node != k.settings.Name:
-		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Node, k.settings.Name)
+	case f.identity.Node != node.settings.Name:
+		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Node, node.settings.Name)
 	default:
 		return f, nil
 	}
-	lock.Close()
+	_ = lock.Close()
 	return nil, err
 }
 
-// countStart writes one more start into the mark, whole or not at all.
-func (f *dataDir) countStart() error {
-	f.identity.Starts++
-	text, err := codec.Encode(f.identity)
+// countStart atomically stores one more start in the identity file.
+func (d *dataDir) countStart() error {
+	d.identity.Starts++
+	text, err := codec.Encode(d.identity)
 	if err != nil {
 		return err
 	}
-	temp, err := os.CreateTemp(f.path, "new-*")
+	temp, err := os.CreateTemp(d.path, "new-*")
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDataDir, err)
 	}
-	defer os.Remove(temp.Name())
+	defer func() { _ = os.Remove(temp.Name()) }()
 	_, err = temp.Write(text)
 	err = errors.Join(err, temp.Sync(), temp.Close())
 	if err == nil {
-		err = os.Rename(temp.Name(), filepath.Join(f.path, identityFile))
+		err = os.Rename(temp.Name(), filepath.Join(d.path, identityFile))
 	}
 	if err == nil {
-		err = f.sync()
+		err = d.sync()
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrDataDir, err)
@@ -105,27 +106,28 @@
 	return nil
 }
 
-func (f *dataDir) sync() error {
-	d, err := os.Open(f.path)
+// sync makes changes of the names in the directory durable.
+func (d *dataDir) sync() error {
+	file, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(file.Sync(), file.Close())
 }
 
-// wipe clears the folder of all but its lock.
-func (f *dataDir) wipe() error {
-	entries, err := os.ReadDir(f.path)
+// wipe removes everything but the lock.
+func (d *dataDir) wipe() error {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
 		if e.Name() != "lock" {
-			err = errors.Join(err, os.RemoveAll(filepath.Join(f.path, e.Name())))
+			err = errors.Join(err, os.RemoveAll(filepath.Join(d.path, e.Name())))
 		}
 	}
-	f.identity.Starts = 0
-	return errors.Join(err, f.sync())
+	d.identity.Starts = 0
+	return errors.Join(err, d.sync())
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- /dev/null
+++ b/internal/dispatcher/fleet/raftnode/divergence.go
@@ -0,0 +1,41 @@
+package raftnode
+
+import (
+	"basaltloft/internal/dispatcher/fleet/state"
+
+	"github.com/hashicorp/raft"
+)
+
+// checkDivergence reports whether this replica's state differs from the majority's. If so
+// it serves nothing from then on.
+func (node *Node) checkDivergence(n *replica) bool {
+	voters := 0
+	if f := n.raft.GetConfiguration(); f.Error() == nil {
+		for _, s := range f.Configuration().Servers {
+			if s.Suffrage == raft.Voter {
+				voters++
+			}
+		}
+	}
+	var differs []string
+	node.fsm.read(func(m *state.Machine) { differs = m.DivergentPartitions(node.settings.Name, voters) })
+	if len(differs) == 0 {
+		return false
+	}
+	node.stopServing(n, differs)
+	return true
+}
+
+// stopServing keeps this replica from serving anything until its state has been restored
+// from the others.
+func (node *Node) stopServing(n *replica, differs []string) {
+	node.mu.Lock()
+	node.divergent = differs
+	node.mu.Unlock()
+	node.log.WithField("partitions", differs).Error("replica diverges from the majority; it serves nothing until its state is restored")
+	if n.raft.State() == raft.Leader {
+		if err := n.raft.LeadershipTransfer().Error(); err != nil {
+			node.log.WithError(err).Debug("leadership transfer failed")
+		}
+	}
+}
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -25,17 +25,17 @@
 	"github.com/valyala/fastjson"
 )
 
-// goldenFolder is the folder of a keeper, written by commit 352ebf2: its mark, raft's
+// goldenFolder is the folder of a raft node, written by commit 352ebf2: its mark, raft's
 // log and a snapshot in the middle of it. It must never be rewritten by later code.
 //
 // The mark, the snapshot and the log carry Go field names of exported fields.
 var goldenFolder = filepath.Join("testdata", "golden", "keeper")
 
-// alone runs the only keeper of a fleet on a folder until stop is called.
+// alone runs the only raft node of a fleet on a folder until stop is called.
 func alone(t *testing.T, folder string) (k *Node, client *rpc.Client, stop func()) {
 	t.Helper()
 	listen := func() net.Listener {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		return l
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// writeGoldenFolder founds a fleet of one keeper and has it work before and after a snapshot.
+// writeGoldenFolder founds a fleet of one raft node and has it work before and after a snapshot.
 func writeGoldenFolder(t *testing.T, folder string) {
 	k, client, stop := alone(t, folder)
 	defer stop()
@@ -95,7 +95,7 @@
 	defer cancel()
 	who, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
 	require.NoError(t, err)
-	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Parts: map[string][]byte{
+	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Partitions: map[string][]byte{
 		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Total: 120, Burst: 40}}}),
 		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: 100}}}}),
 	}}, nil))
@@ -104,7 +104,7 @@
 			Process: "n1", Incarnation: who.Incarnation, AppliedGrant: grant.Number, Usage: map[string]budget.Usage{"jobs/hrad-kamenec": {Demand: 9}},
 		})})
 		require.NoError(t, err)
-		require.NoError(t, codec.Decode(renewed.Parts[partition.BudgetsName], &grant))
+		require.NoError(t, codec.Decode(renewed.Partitions[partition.BudgetsName], &grant))
 	}
 	begin := func(run string) {
 		shape := planrun.Shape{MaxAttempts: 9, Timeout: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: policy.Deduplicated}}}
@@ -131,9 +131,9 @@
 	ship(3, "job-3")
 }
 
-// TestGoldenFolder: a keeper starts on a copy of the golden folder, has all that was
+// TestGoldenFolder: a raft node starts on a copy of the golden folder, has all that was
 // committed before and after the snapshot, and goes on.
-func TestGoldenFolder(t *testing.T) {
+func TestGoldenFolder(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	if goldentest.Missing(goldenFolder) {
 		written := filepath.Join(t.TempDir(), "keeper")
 		writeGoldenFolder(t, written)
@@ -172,7 +172,7 @@
 		want.Process, want.Epoch, want.Seq = "n1", 70, uint64(i+1)
 		require.Equal(t, want, page.Records[i])
 	}
-	var standings []budget.BudgetStatus
+	var standings []budget.Occupancy
 	ask(partition.BudgetsStatus, nil, &standings)
 	require.Len(t, standings, 1)
 	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
@@ -204,7 +204,7 @@
 	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
 	require.NoError(t, err)
 	require.Equal(t, member.Incarnation, joined.Incarnation)
-	require.NoError(t, who.Client.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
+	require.NoError(t, who.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
 		Version: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
 		Body: encoded(t, records.Ship{Epoch: 70, FirstSeq: 4, Records: []records.Record{goldenRecord("job-4")}}),
 	}), &state.Reply{}))
@@ -212,8 +212,8 @@
 	require.Len(t, page.Records, 4)
 }
 
-// TestGoldenMark: the mark of a folder has the bytes that 352ebf2 wrote.
-func TestGoldenMark(t *testing.T) {
+// TestGoldenIdentity: the mark of a folder has the bytes that 352ebf2 wrote.
+func TestGoldenIdentity(t *testing.T) {
 	text := goldentest.Read(t, filepath.Join(goldenFolder, identityFile))
 	require.Equal(t, "keeper", identityFile)
 	var m identity
@@ -222,8 +222,8 @@
 	require.Equal(t, text, encoded(t, m))
 }
 
-// TestGoldenReady: what a keeper that has caught up tells the leader, in the bytes of 352ebf2.
-func TestGoldenReady(t *testing.T) {
+// TestGoldenMembershipRequest: what a raft node that has caught up tells the leader, in the bytes of 352ebf2.
+func TestGoldenMembershipRequest(t *testing.T) {
 	text := []byte("\xa2\x64Name\x62k1\x65Index\x07")
 	require.Equal(t, text, encoded(t, membershipRequest{Name: "k1", Index: 7}))
 	var read membershipRequest
--- a/internal/dispatcher/fleet/recordstore/snapshot.go
+++ b/internal/dispatcher/fleet/recordstore/snapshot.go
@@ -7,16 +7,12 @@
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
-
-	"basaltloft/internal/dispatcher/fleet/codec"
-	"basaltloft/internal/dispatcher/fleet/records"
 
 	"github.com/cespare/xxhash/v2"
 	bolt "go.etcd.io/bbolt"
 )
 
-// A snapshot is a header, the small part of the state, the file of records, and a
+// A snapshot is a header, the encoded small part of the state, the file of records, and a
 // checksum of all that.
 const (
 	snapshotMagic   = "BASALTFR"
@@ -25,13 +21,13 @@
 	maxStateSize    = 1 << 30
 )
 
-// ErrSnapshot says that something is no snapshot, or is not whole.
+// ErrSnapshot says that something is no snapshot, or an incomplete one.
 var ErrSnapshot = errors.New("not a sound snapshot of records")
 
-// ErrNewerVersion says that a snapshot was written by a newer program.
+// ErrNewerVersion says that a snapshot was written by a newer version of the program.
 var ErrNewerVersion = errors.New("written by a newer version of the program")
 
-// Snapshot is one consistent state of a store, which goes on meanwhile.
+// Snapshot is one consistent state of a store, which continues to change.
 type Snapshot struct {
 	store *Store
 	file  *openFile
@@ -39,9 +35,9 @@
 	state []byte
 }
 
-// Snapshot takes the state as it is now, together with the small part that belongs
+// Snapshot takes the state as it is now, together with the encoded small part that belongs
 // to it. It must be released.
-func (s *Store) Snapshot(small []byte) (*Snapshot, error) {
+func (s *Store) Snapshot(state []byte) (*Snapshot, error) {
 	f, err := s.acquire()
 	if err != nil {
 		return nil, err
@@ -51,10 +47,10 @@
 		s.release(f)
 		return nil, fmt.Errorf("a snapshot of records: %w", err)
 	}
-	return &Snapshot{s, f, tx, small}, nil
+	return &Snapshot{s, f, tx, state}, nil
 }
 
-// Index is the index of the last log entry that is in the snapshot.
+// Index returns the index of the last log entry in the snapshot.
 func (s *Snapshot) Index() uint64 { return appliedIndex(s.tx) }
 
 // WriteTo writes the snapshot.
@@ -66,7 +62,7 @@
 	header = binary.LittleEndian.AppendUint64(header, uint64(len(s.state)))
 	header = binary.LittleEndian.AppendUint64(header, uint64(s.tx.Size()))
 	header = binary.LittleEndian.AppendUint64(header, xxhash.Sum64(header))
-	both.Write(append(header, s.state...)) // an error is told by Flush
+	_, _ = both.Write(append(header, s.state...)) // Flush returns its error
 	n, err := s.tx.WriteTo(both)
 	n += int64(len(header) + len(s.state))
 	if err == nil {
@@ -85,22 +81,22 @@
 // Release ends the snapshot.
 func (s *Snapshot) Release() {
 	if s.tx != nil {
-		s.tx.Rollback()
+		_ = s.tx.Rollback()
 		s.tx = nil
 		s.store.release(s.file)
 	}
 }
 
-// Restore puts a snapshot in the place of what is stored, and returns the small part
-// of the state and the index of the last log entry in it. On an error the store is
-// as it was; ErrNewer and ErrSnapshot tell what is wrong with the snapshot. Reads
-// that are open go on with what they began with.
-func (s *Store) Restore(r io.Reader) (small []byte, index uint64, err error) {
+// Restore replaces the store by a snapshot, and returns the encoded small part of the state
+// and the index of the last log entry in it. On an error the store is unchanged;
+// ErrNewerVersion and ErrSnapshot tell what is wrong with the snapshot. Open reads continue
+// with what they began with.
+func (s *Store) Restore(r io.Reader) (state []byte, index uint64, err error) {
 	fail := func(err error) ([]byte, uint64, error) {
-		os.Remove(s.path(incomingFile))
+		_ = os.Remove(s.path(incomingFile))
 		return nil, 0, fmt.Errorf("restoring records: %w", err)
 	}
-	if small, err = s.receive(r); err != nil {
+	if state, err = s.receive(r); err != nil {
 		return fail(err)
 	}
 	db, index, err := openReceived(s.path(incomingFile))
@@ -108,18 +104,18 @@
 		return fail(err)
 	}
 	if err := os.Rename(s.path(incomingFile), s.path(recordsFile)); err != nil {
-		db.Close()
+		_ = db.Close()
 		return fail(err)
 	}
 	s.replace(&openFile{db: db})
 	if err := syncDir(s.folder); err != nil {
 		return nil, 0, fmt.Errorf("restoring records: %w", err)
 	}
-	return small, index, nil
+	return state, index, nil
 }
 
-// receive writes the file of a snapshot beside the present one.
-func (s *Store) receive(r io.Reader) (small []byte, err error) {
+// receive writes a snapshot's file beside the present one.
+func (s *Store) receive(r io.Reader) (state []byte, err error) {
 	sum := xxhash.New()
 	in := io.TeeReader(r, sum)
 	header := make([]byte, headerSize)
@@ -136,14 +132,14 @@
 	if sizes[0] > maxStateSize || sizes[1] > 1<<40 {
 		return nil, fmt.Errorf("its header: %w", ErrSnapshot)
 	}
-	if small, err = io.ReadAll(io.LimitReader(in, int64(sizes[0]))); err != nil || uint64(len(small)) != sizes[0] {
+	if state, err = io.ReadAll(io.LimitReader(in, int64(sizes[0]))); err != nil || uint64(len(state)) != sizes[0] {
 		return nil, fmt.Errorf("it is torn: %w", errors.Join(ErrSnapshot, err))
 	}
 	file, err := os.Create(s.path(incomingFile))
 	if err != nil {
 		return nil, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	if _, err := io.CopyN(file, in, int64(sizes[1])); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = fmt.Errorf("it is torn: %w", ErrSnapshot)
@@ -160,10 +156,10 @@
 	if err := file.Sync(); err != nil {
 		return nil, err
 	}
-	return small, nil
+	return state, nil
 }
 
-// openReceived opens a received file and sees that it is one of ours.
+// openReceived opens a received file and checks that it is a store's.
 func openReceived(path string) (db *bolt.DB, index uint64, err error) {
 	if db, err = openDB(path); err != nil {
 		return nil, 0, fmt.Errorf("%w: %w", ErrSnapshot, err)
@@ -178,7 +174,7 @@
 		return nil
 	})
 	if err != nil {
-		db.Close()
+		_ = db.Close()
 	}
 	return db, index, err
 }
@@ -188,66 +184,6 @@
 	if err != nil {
 		return err
 	}
-	defer d.Close()
+	defer func() { _ = d.Close() }()
 	return d.Sync()
 }
-
-// storedFence is what is kept of a records.Fence, with the fleet that it is of.
-type storedFence struct {
-	Version int
-	Fleet   string
-	Fence   records.Fence
-}
-
-// ErrFleet says that a fence is another fleet's.
-var ErrFleet = errors.New("of another fleet")
-
-// SaveFence writes down, safe from a power loss, how far this process knows that the
-// records of a fleet were cut. It outlasts the store.
-func SaveFence(folder, fleet string, f records.Fence) error {
-	text, err := codec.Encode(storedFence{snapshotVersion, fleet, f})
-	if err != nil {
-		return err
-	}
-	text = binary.LittleEndian.AppendUint64(text, xxhash.Sum64(text))
-	path := filepath.Join(folder, "fence")
-	file, err := os.Create(path + ".new")
-	if err != nil {
-		return fmt.Errorf("the fence of records: %w", err)
-	}
-	_, err = file.Write(text)
-	err = errors.Join(err, file.Sync(), file.Close())
-	if err == nil {
-		err = os.Rename(path+".new", path)
-	}
-	if err == nil {
-		err = syncDir(folder)
-	}
-	if err != nil {
-		return fmt.Errorf("the fence of records: %w", err)
-	}
-	return nil
-}
-
-// LoadFence reads what KeepFence wrote; there may be none.
-func LoadFence(folder, fleet string) (records.Fence, error) {
-	text, err := os.ReadFile(filepath.Join(folder, "fence"))
-	if errors.Is(err, os.ErrNotExist) {
-		return records.Fence{}, nil
-	}
-	if err != nil {
-		return records.Fence{}, fmt.Errorf("the fence of records: %w", err)
-	}
-	var f storedFence
-	n := len(text) - 8
-	if n < 0 || xxhash.Sum64(text[:n]) != binary.LittleEndian.Uint64(text[n:]) {
-		return records.Fence{}, fmt.Errorf("the fence of records is damaged: %w", ErrSnapshot)
-	}
-	if err := codec.Decode(text[:n], &f); err != nil || f.Version != snapshotVersion {
-		return records.Fence{}, fmt.Errorf("the fence of records, version %d: %w", f.Version, errors.Join(ErrNewerVersion, err))
-	}
-	if f.Fleet != fleet {
-		return records.Fence{}, fmt.Errorf("the fence of records: fleet %q: %w", f.Fleet, ErrFleet)
-	}
-	return f.Fence, nil
-}
--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/joined_test.go
@@ -22,12 +22,12 @@
 	_, err = c.Read(b)
 	require.NoError(t, err)
 	c.watchClient(nil)
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	require.True(t, waits(c)(), "somebody reads ahead")
 	_, err = far.Write([]byte("bcd"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		victim, _ := l.look(time.Minute)
+		victim, _ := l.look()
 		require.Nil(t, victim)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -42,19 +42,19 @@
 	}
 	require.Equal(t, "abcd", got)
 	require.False(t, waits(c)())
-	victim, _ := l.look(time.Minute)
+	victim, _ := l.look()
 	require.Same(t, c, victim)
 	require.NoError(t, c.Close())
 	require.Zero(t, l.readAheadBytes)
 }
 
-// TestPartCrossesBytes: resting connections end as a request lies unread in the system:
+// TestCloseIdleCrossesBytes: resting connections end as a request lies unread in the system:
 // it is read. Where nothing has come, the time is over, also for a read that began before.
-func TestPartCrossesBytes(t *testing.T) {
+func TestCloseIdleCrossesBytes(t *testing.T) {
 	l := listening(t, 1)
 	c, far := arrive(t, l)
 	l.mu.Lock()
-	c.move(&l.idleUsed)
+	c.moveTo(&l.idleUsed)
 	l.mu.Unlock()
 	ended := make(chan error, 1)
 	go func() {
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 	require.Eventually(t, waits(c), 10*time.Second, time.Millisecond)
 	l.mu.Lock()
-	c.move(&l.idleUsed)
+	c.moveTo(&l.idleUsed)
 	l.mu.Unlock()
 	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http sets it for the next request")
 	var got []byte
@@ -92,7 +92,7 @@
 	require.NoError(t, err)
 	_, err = c.Read(make([]byte, 1))
 	require.NoError(t, err)
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	l.closePartial()
 	c.stopReadAhead()
 	_, err = c.Conn.Read(make([]byte, 1))
@@ -107,7 +107,7 @@
 	_, err := c.Write([]byte("answer"))
 	require.NoError(t, err)
 	require.True(t, c.answeredEarly)
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	require.False(t, c.answeredEarly)
 }
 
--- a/internal/dispatcher/httpfront/limited_test.go
+++ b/internal/dispatcher/httpfront/listener_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestLimited: clients that only keep their connections, or say nothing or not
-// all, must not shut others out, of which call-backs are some. There is room
+// all, must not shut others out, of which callbacks are some. There is room
 // for two.
 func TestLimited(t *testing.T) {
 	for name, script := range map[string]string{
@@ -49,11 +49,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			s := New(nil, nil, logrus.New())
-			go s.Serve(l, 2)
-			defer s.server.Close()
+			go func() { _ = s.Serve(l, 2) }()
+			defer func() { _ = s.server.Close() }()
 			began := time.Now()
 			scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{
 				"idle": func(n ...string) string { // an answer comes before its connection is idle
@@ -76,14 +76,14 @@
 // then one that trickles, then one that is of use; one that has just come, or
 // is served, stays.
 func TestVictim(t *testing.T) {
-	l, now := newLimited(nil, 6), time.Now()
+	l, now := newLimitedListener(nil, 6), time.Now()
 	enter := func(age time.Duration, heard, used bool, to *list.List) *limitedConn {
 		near, far := net.Pipe()
-		t.Cleanup(func() { far.Close() })
+		t.Cleanup(func() { _ = far.Close() })
 		c := &limitedConn{Conn: near, listener: l, since: now.Add(-age)}
-		l.enter(c)
+		l.tryAdd(c)
 		c.sentBytes, c.carriedWork = heard, used
-		c.move(to)
+		c.moveTo(to)
 		return c
 	}
 	trickling := enter(2*partialRequestGrace, true, false, &l.fresh)
@@ -99,7 +99,7 @@
 			require.Equal(t, now.Add(freshGrace), until)
 			continue
 		}
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -107,18 +107,18 @@
 // is not served, since its client sends it again elsewhere.
 func TestClosedMeanwhile(t *testing.T) {
 	near, far := net.Pipe()
-	defer far.Close()
-	l := newLimited(nil, 1)
+	defer func() { _ = far.Close() }()
+	l := newLimitedListener(nil, 1)
 	c := &limitedConn{Conn: near, listener: l, since: time.Now().Add(-partialRequestGrace)}
-	require.True(t, l.enter(c).IsZero())
+	require.True(t, l.tryAdd(c).IsZero())
 	require.True(t, c.serve(true))
 	next := &limitedConn{Conn: far, listener: l}
-	require.False(t, l.enter(next).IsZero(), "one that is served stays")
-	c.move(&l.idleUsed)
-	require.True(t, l.enter(next).IsZero())
+	require.False(t, l.tryAdd(next).IsZero(), "one that is served stays")
+	c.moveTo(&l.idleUsed)
+	require.True(t, l.tryAdd(next).IsZero())
 	require.False(t, c.serve(true))
 	require.Equal(t, 1, l.open)
-	c.Close()
+	_ = c.Close()
 	require.Equal(t, 1, l.open, "a place is given back once")
 }
 
@@ -126,23 +126,23 @@
 // starts the time for the rest, as any other first byte does.
 func TestEarlyByte(t *testing.T) {
 	near, far := net.Pipe()
-	defer near.Close()
-	l := newLimited(nil, 2)
+	defer func() { _ = near.Close() }()
+	l := newLimitedListener(nil, 2)
 	c := &limitedConn{Conn: far, listener: l, since: time.Now()}
-	l.enter(c)
+	l.tryAdd(c)
 	require.True(t, c.serve(false))
-	go near.Write([]byte("G"))
+	go func() { _, _ = near.Write([]byte("G")) }()
 	n, err := c.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
 	before := time.Now()
-	l.state(c, http.StateIdle)
+	l.connState(c, http.StateIdle)
 	require.Same(t, &l.fresh, c.class, "it is no idle one")
 	require.False(t, c.since.Before(before))
 	c.since = c.since.Add(-headerTimeout) // its time is over
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(time.Hour)))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	l.state(c, http.StateActive)
+	l.connState(c, http.StateActive)
 	require.False(t, c.nextStarted)
 }
--- a/internal/dispatcher/server/handover_test.go
+++ b/internal/dispatcher/server/handover_test.go
@@ -14,19 +14,19 @@
 )
 
 // TestHandover: a new process started beside the old one serves on the
-// clients' socket that both were handed, takes over a runner out by hand, and
+// clients' socket that both inherit, takes over a runner out by hand, and
 // the old one ends at SIGTERM with exit 0; a job sent meanwhile is served once,
 // and not by the runner that is out. Which process takes it is not asked: in
 // about one run of three under the race detector the old one still did.
 func TestHandover(t *testing.T) {
 	binary, err := scenario.Build()
 	require.NoError(t, err)
-	clients, err := net.Listen("tcp", "127.0.0.1:0")
+	clients, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer clients.Close()
+	defer func() { _ = clients.Close() }()
 	socket, err := clients.(*net.TCPListener).File()
 	require.NoError(t, err)
-	defer socket.Close()
+	defer func() { _ = socket.Close() }()
 
 	cast, members := scenario.Peers{"client": scenario.Dial(clients.Addr().String())}, ""
 	for i := 1; i <= 2; i++ {
--- a/internal/dispatcher/server/plans.go
+++ b/internal/dispatcher/server/plans.go
@@ -24,137 +24,140 @@
 	"github.com/valyala/fastjson"
 )
 
-// planFront is what stages of plans are counted under in the account.
+// planFront is the front that stages of plans are counted under in accounting.
 const planFront = "plans"
 
-// plans hands stages of plans to the dispatcher as jobs, and plans to the coordinator
-// from the door.
-type plans struct {
-	s     *Service
-	desk  accounting.FrontCounters
-	files []string
-	coord *coordinator.Coordinator
+// planService joins the coordinator of plans to the dispatcher: it submits the stages of plans as
+// jobs, and starts runs for the admin API and for Faktory's jobs.
+type planService struct {
+	s           *Service
+	counters    accounting.FrontCounters
+	files       []string // absolute paths, or relative to the working directory
+	coordinator *coordinator.Coordinator
 }
 
-// newPlans reads the plan files. A file with a mistake ends the start: its plans
-// would not be there.
-func (s *Service) newPlans(f *settings.Fleet, fl *fleet) (*plans, error) {
-	p := &plans{s: s, desk: accounting.FrontCounters{Front: planFront}, files: f.Plans}
+// newPlans makes the plan service and loads the plan files. An invalid file is an error: the process
+// must not start without its plans.
+func (s *Service) newPlans(f *settings.Fleet, fl *fleet) (*planService, error) {
+	p := &planService{s: s, counters: accounting.FrontCounters{Front: planFront}, files: f.Plans}
 	for i, name := range p.files {
 		if !filepath.IsAbs(name) {
 			p.files[i] = filepath.Join(s.options.OperatorDir, name)
 		}
 	}
-	p.coord = coordinator.New(fl.agent, p, s.log.WithField("part", "plans"))
-	if err := p.read(s.options.Config); err != nil {
+	p.coordinator = coordinator.New(fl.agent, p, s.log.WithField("part", "plans"))
+	if err := p.loadPlans(s.options.Config); err != nil {
 		return nil, err
 	}
 	fl.components = append(fl.components, &component{
 		name: "plans",
 		serve: func(ctx context.Context, _ net.Listener) error {
-			return p.coord.Run(ctx)
+			return p.coordinator.Run(ctx)
 		},
-		drain: func(ShutdownSchedule) { p.coord.Drain() },
+		drain: func(ShutdownSchedule) { p.coordinator.Drain() },
 	})
 	return p, nil
 }
 
-// read takes the plan files in use, or, where any of them has a mistake, none.
-func (p *plans) read(c settings.Config) error {
+// loadPlans reads the plan files and puts their plans into use; if any of them is invalid, it returns
+// an error that names all mistakes, and changes nothing.
+func (p *planService) loadPlans(c settings.Config) error {
 	classes := plan.ClassesByName(c.Settings.Classes)
 	var all []*plan.Plan
-	var wrong []string
+	var mistakes []string
 	for _, name := range p.files {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			return fmt.Errorf("plans: %w", err)
 		}
-		some, problems := plan.Parse(filepath.Base(name), text, classes)
-		for _, one := range problems {
-			wrong = append(wrong, one.String())
+		plans, problems := plan.Parse(filepath.Base(name), text, classes)
+		for _, problem := range problems {
+			mistakes = append(mistakes, problem.String())
 		}
-		all = append(all, some...)
+		all = append(all, plans...)
 	}
-	if len(wrong) > 0 {
-		return fmt.Errorf("plans: %s", strings.Join(wrong, "; "))
+	if len(mistakes) > 0 {
+		return fmt.Errorf("plans: %s", strings.Join(mistakes, "; "))
 	}
-	p.coord.SetPlans(all)
+	p.coordinator.SetPlans(all)
 	return nil
 }
 
 // Submit implements coordinator.Dispatcher.
-func (p *plans) Submit(j coordinator.Job, done func(engine.Answer)) error {
-	tx, err := p.s.chain.NewTransaction(pipeline.Submission{
-		ID: j.ID, Class: j.Class, Tenant: j.Tenant, Target: j.Path, Key: j.Key, Body: j.Body, Front: planFront, ClientDeadline: j.Deadline, Hint: j.CostHint,
+func (p *planService) Submit(j coordinator.Job, done func(engine.Answer)) error {
+	tx, err := p.s.pipeline.NewTransaction(pipeline.Submission{
+		ID: j.ID, Class: j.Class, Tenant: j.Tenant, Target: j.Path, Key: j.Key, Body: j.Body, Front: planFront,
+		ClientDeadline: j.Deadline, Hint: j.CostHint,
 		KnownFirst: true, Plan: j.Plan, Stage: j.Stage, ExcludedMember: j.ExcludedMember, ExcludeItsZone: j.ExcludeItsZone,
 	}, time.Now(), planClient{p, done})
 	if err != nil {
 		return fmt.Errorf("stage %s of plan %s: %w", j.Stage, j.Plan, err)
 	}
-	p.desk.JobStarted()
-	p.s.hub.Submit(tx)
-	p.desk.JobSubmitted()
+	p.counters.JobStarted()
+	p.s.engine.Submit(tx)
+	p.counters.JobSubmitted()
 	return nil
 }
 
-// planClient hears the one final answer of a stage's job.
+// planClient gets the final answer of a stage's job.
 type planClient struct {
-	p    *plans
-	done func(engine.Answer)
+	service *planService
+	done    func(engine.Answer)
 }
 
-// Answer implements core.Client.
+// Answer implements engine.Client.
 func (c planClient) Answer(a engine.Answer) {
-	c.p.desk.JobAnswered(a.Verdict.Outcome())
+	c.service.counters.JobAnswered(a.Verdict.Outcome())
 	c.done(a)
 }
 
-// InUse implements faktory.Plans.
-func (p *plans) InUse(plan string) error { return p.coord.InUse(plan) }
+// CheckInUse implements faktory.PlanStarter.
+func (p *planService) CheckInUse(plan string) error { return p.coordinator.InUse(plan) }
 
-// comeBack is advice with a run of which nothing has run.
-const comeBack = time.Second
+// planRetryAfter is the advice with a run of which nothing has run.
+const planRetryAfter = time.Second
 
-// Begin implements faktory.Plans.
-func (p *plans) Begin(run, plan, tenant string, input []byte, until time.Time, done func(engine.Answer)) error {
-	return p.coord.StartAsync(coordinator.StartRequest{Run: run, Plan: plan, Tenant: tenant, Input: input}, until, func(a *planrun.Answer, err error) {
-		done(asJob(plan, a, err))
+// Start implements faktory.PlanStarter.
+func (p *planService) Start(run, plan, tenant string, input []byte, deadline time.Time, done func(engine.Answer)) error {
+	request := coordinator.StartRequest{Run: run, Plan: plan, Tenant: tenant, Input: input}
+	return p.coordinator.StartAsync(request, deadline, func(a *planrun.Answer, err error) {
+		done(jobAnswer(plan, a, err))
 	})
 }
 
-// asJob is the end of a run as that of a job that named the plan.
-func asJob(plan string, a *planrun.Answer, err error) engine.Answer {
+// jobAnswer translates the end of a run into the answer of the job that named the plan.
+func jobAnswer(plan string, a *planrun.Answer, err error) engine.Answer {
 	switch {
 	case errors.Is(err, coordinator.ErrOutcomeUnknown):
 		return engine.Answer{Verdict: engine.Failed, Body: []byte(err.Error() + "\n"), MayHaveRun: true}
 	case err != nil:
-		return engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n"), RetryAt: time.Now().Add(comeBack)}
+		return engine.Answer{Verdict: engine.Refused, Body: []byte(err.Error() + "\n"), RetryAt: time.Now().Add(planRetryAfter)}
 	case a.Plan != plan:
 		return engine.Answer{Verdict: engine.Denied, Body: fmt.Appendf(nil, "the id %s is that of a run of plan %q\n", a.Run, a.Plan)}
 	case a.Outcome == planrun.Served:
-		return engine.Answer{Verdict: engine.Served, Body: answerText(a)}
+		return engine.Answer{Verdict: engine.Served, Body: answerJSON(a)}
 	case a.Outcome == planrun.Refused:
-		return engine.Answer{Verdict: engine.Refused, Body: answerText(a), RetryAt: time.Now().Add(comeBack)}
+		return engine.Answer{Verdict: engine.Refused, Body: answerJSON(a), RetryAt: time.Now().Add(planRetryAfter)}
 	}
-	return engine.Answer{Verdict: engine.Failed, Body: answerText(a), MayHaveRun: true}
+	return engine.Answer{Verdict: engine.Failed, Body: answerJSON(a), MayHaveRun: true}
 }
 
-// StartPlan implements door.Fleet.
-func (p *plans) StartPlan(ctx context.Context, a adminapi.PlanRequest) ([]byte, error) {
+// StartPlan implements adminapi.Fleet.
+func (p *planService) StartPlan(ctx context.Context, a adminapi.PlanRequest) ([]byte, error) {
 	if err := fastjson.ValidateBytes(a.Input); err != nil {
 		return nil, fmt.Errorf("%w: the input of a plan is JSON: %w", adminapi.ErrBadRequest, err)
 	}
-	answer, err := p.coord.Start(ctx, coordinator.StartRequest{Run: a.Run, Plan: a.Plan, Tenant: a.Tenant, Input: a.Input, Timeout: a.Timeout})
-	return told(answer, err)
+	answer, err := p.coordinator.Start(ctx, coordinator.StartRequest{Run: a.Run, Plan: a.Plan, Tenant: a.Tenant, Input: a.Input, Timeout: a.Timeout})
+	return adminResponse(answer, err)
 }
 
-// RunStatus implements door.Fleet.
-func (p *plans) RunStatus(ctx context.Context, id string) ([]byte, error) {
-	return told(p.coord.Lookup(ctx, id))
+// RunStatus implements adminapi.Fleet.
+func (p *planService) RunStatus(ctx context.Context, id string) ([]byte, error) {
+	return adminResponse(p.coordinator.Lookup(ctx, id))
 }
 
-// told puts a final answer, if there is one, and an error in the door's words.
-func told(a *planrun.Answer, err error) ([]byte, error) {
+// adminResponse translates a run's final answer, if there is one, or an error for the admin API.
+func adminResponse(a *planrun.Answer, err error) ([]byte, error) {
 	switch {
 	case errors.Is(err, coordinator.ErrUnknownPlan), errors.Is(err, coordinator.ErrUnknownRun):
 		return nil, fmt.Errorf("%w: %w", adminapi.ErrNotFound, err)
@@ -165,11 +168,11 @@
 	case err != nil || a == nil:
 		return nil, err
 	}
-	return answerText(a), nil
+	return answerJSON(a), nil
 }
 
-// answerText is a final answer as JSON. Results that are JSON go in as they are.
-func answerText(a *planrun.Answer) []byte {
+// answerJSON is a run's final answer as JSON. Results that are JSON are embedded, others are strings.
+func answerJSON(a *planrun.Answer) []byte {
 	var arena fastjson.Arena
 	o := arena.NewObject()
 	o.Set("run", arena.NewString(a.Run))
