--- a/internal/cluster/controlplane/handler.go
+++ b/internal/cluster/controlplane/handler.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"basaltloft/coord/replica"
+	"basaltloft/internal/cluster/leader"
 	"basaltloft/internal/cluster/protocol"
 )
 
@@ -31,9 +32,9 @@
 	}
 	switch request := body.(type) {
 	case protocol.SubmitRequest:
-		return n.callShard(request.Shard, func(s *shardLoop, reply func(protocol.JobResponse)) { s.Submit(request, reply) })
+		return n.callShard(request.Shard, func(shard *leader.Shard, reply replyFunc) { shard.Submit(request, reply) })
 	case protocol.JobRequest:
-		return n.callShard(request.Shard, func(s *shardLoop, reply func(protocol.JobResponse)) { s.HandleJobRequest(request, reply) })
+		return n.callShard(request.Shard, func(shard *leader.Shard, reply replyFunc) { shard.HandleJobRequest(request, reply) })
 	case protocol.WatchRequest:
 		return n.operators.watch(request)
 	case protocol.OperatorRequest:
@@ -46,12 +47,11 @@
 
 // callShard calls a shard and waits for its response. Of a shard that does not exist the response is that
 // of a node that is not its leader.
-func (n *Node) callShard(number int, call func(*shardLoop, func(protocol.JobResponse))) protocol.JobResponse {
+func (n *Node) callShard(number int, request func(shard *leader.Shard, reply replyFunc)) protocol.JobResponse {
 	if number < 0 || number >= len(n.shards) {
 		return protocol.JobResponse{Status: protocol.StatusNotLeader}
 	}
-	loop := n.shards[number]
-	return loop.await(func(reply func(protocol.JobResponse)) { call(loop, reply) })
+	return n.shards[number].call(request)
 }
 
 // status returns the state of this node's replicas, sorted by the groups' names.
--- a/internal/cluster/controlplane/node.go
+++ b/internal/cluster/controlplane/node.go
@@ -106,7 +106,7 @@
 	var shards []*shardLoop
 	for number := range protocol.ShardCount {
 		loop := n.newShardLoop(number, runners)
-		stateMachines[protocol.ShardGroup(number)] = loop
+		stateMachines[protocol.ShardGroup(number)] = loop.shard
 		shards = append(shards, loop)
 	}
 	if err := n.openGroups(stateMachines); err != nil {
@@ -115,8 +115,8 @@
 	n.configGroup = n.groups[protocol.ConfigGroup]
 	n.config.SetGroup(n.configGroup)
 	for number, loop := range shards {
-		loop.SetGroup(n.groups[protocol.ShardGroup(number)])
-		loop.UpdateConfig(n.config.Current())
+		loop.shard.SetGroup(n.groups[protocol.ShardGroup(number)])
+		loop.shard.UpdateConfig(n.config.Current())
 	}
 	n.shards = shards // last: the callbacks of opening groups find no shard that is not set up
 	return nil
@@ -125,7 +125,7 @@
 // updateShardConfigs passes a configuration that was applied to the shards.
 func (n *Node) updateShardConfigs(config *opconfig.Config) {
 	for _, loop := range n.shards {
-		loop.UpdateConfig(config)
+		loop.shard.UpdateConfig(config)
 	}
 }
 
--- a/internal/cluster/controlplane/recovery.go
+++ b/internal/cluster/controlplane/recovery.go
@@ -23,24 +23,12 @@
 
 // recoverDataDir makes a data folder usable whose state can't be read. That state may be the last copy
 // of something that was acknowledged, so it is set aside only once each group is seen to have a leader
-// elsewhere: a lease shows that a majority has what this disk had. Until then the node serves nothing
-// and logs why. It stays damaged where the context ends first.
+// elsewhere: a lease shows that a majority has what this disk had. Until then the node serves nothing.
+// It returns nil with damageCause still set where the context ends first.
 func (n *Node) recoverDataDir(ctx context.Context) error {
-	if n.damageCause == nil {
+	if n.damageCause == nil || !n.awaitLeadersElsewhere(ctx) {
 		return nil
 	}
-	loggedAt := time.Time{}
-	for !n.allGroupsLedElsewhere() {
-		if time.Since(loggedAt) > damageLogInterval {
-			loggedAt = time.Now()
-			n.log.Error("state on disk unusable and not all groups have a leader elsewhere, nothing is changed: start the other core machines or restore this disk", "error", n.damageCause.Error())
-		}
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-time.After(leaderCheckInterval):
-		}
-	}
 	n.log.Error("state on disk unusable and set aside, joining as a new member", "error", n.damageCause.Error())
 	for _, g := range n.groups { // those that could be opened; none runs
 		g.Close()
@@ -57,6 +45,24 @@
 	return nil
 }
 
+// awaitLeadersElsewhere waits until each group has a leader on another node, and logs meanwhile why the
+// node does not serve; false: the context ended first.
+func (n *Node) awaitLeadersElsewhere(ctx context.Context) bool {
+	loggedAt := time.Time{}
+	for !n.allGroupsLedElsewhere() {
+		if time.Since(loggedAt) > damageLogInterval {
+			loggedAt = time.Now()
+			n.log.Error("state on disk unusable and not all groups have a leader elsewhere, nothing is changed: start the other core machines or restore this disk", "error", n.damageCause.Error())
+		}
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(leaderCheckInterval):
+		}
+	}
+	return true
+}
+
 // allGroupsLedElsewhere reports whether each group has a leader with a lease on another node.
 func (n *Node) allGroupsLedElsewhere() bool {
 	hasLeader := n.findLedGroups()
--- a/internal/cluster/controlplane/runnerlist.go
+++ b/internal/cluster/controlplane/runnerlist.go
@@ -201,6 +201,6 @@
 		return
 	}
 	for _, loop := range r.node.shards {
-		loop.UpdateRunners(message.List)
+		loop.shard.UpdateRunners(message.List)
 	}
 }
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -12,7 +12,7 @@
 
 // shardLoop drives a shard: it runs the scheduler's cycles and sends the scheduler's orders.
 type shardLoop struct {
-	*leader.Shard
+	shard   *leader.Shard
 	runners *runnerClient
 	wake    chan struct{} // buffered: the shard has something to do
 	stop    <-chan struct{}
@@ -38,7 +38,7 @@
 	loop := &shardLoop{runners: runners, wake: make(chan struct{}, 1), stop: n.stop, tasks: &n.tasks}
 	wake := func() { wakeUp(loop.wake) }
 	clocks := leader.Clocks{Monotonic: n.now, UnixMs: func() int64 { return time.Now().UnixMilli() }}
-	loop.Shard = leader.NewShard(number, n.schedulerConfig(), clocks, wake, n.log)
+	loop.shard = leader.NewShard(number, n.schedulerConfig(), clocks, wake, n.log)
 	return loop
 }
 
@@ -63,7 +63,7 @@
 		case <-s.wake:
 		case <-timer.C:
 		}
-		orders := s.RunCycle()
+		orders := s.shard.RunCycle()
 		for _, order := range orders.List {
 			s.tasks.Go(func() { s.send(orders.Scheduler, order) })
 		}
@@ -79,33 +79,37 @@
 // to the issuer. An order that may not be sent is reported as one without a reply.
 // An order is sent once; whether one without a reply is sent again is the scheduler's decision.
 func (s *shardLoop) send(issuer *scheduler.Scheduler, order scheduler.Order) {
-	maySend := s.MaySend(order)
+	maySend := s.shard.MaySend(order)
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
 		reply, report := scheduler.LeaseNoReply, scheduler.RunnerReport{}
 		if maySend {
 			reply, report = s.runners.renewLease(order)
 		}
-		s.OrderReplied(issuer, func(now time.Duration) { issuer.LeaseReplied(now, order, reply, report) })
+		s.shard.OrderReplied(issuer, func(now time.Duration) { issuer.LeaseReplied(now, order, reply, report) })
 	case scheduler.OrderStart:
 		reply, clockMs := scheduler.StartNoReply, int64(0)
 		if maySend {
 			reply, clockMs = s.runners.start(order)
 		}
-		s.OrderReplied(issuer, func(now time.Duration) { issuer.StartReplied(now, order, reply, clockMs) })
+		s.shard.OrderReplied(issuer, func(now time.Duration) { issuer.StartReplied(now, order, reply, clockMs) })
 	case scheduler.OrderStop:
 		reply, clockMs := scheduler.StopNotConfirmed, int64(0)
 		if maySend {
 			reply, clockMs = s.runners.stop(order)
 		}
-		s.OrderReplied(issuer, func(now time.Duration) { issuer.StopReplied(now, order, reply, clockMs) })
+		s.shard.OrderReplied(issuer, func(now time.Duration) { issuer.StopReplied(now, order, reply, clockMs) })
 	}
 }
 
-// await makes a call whose response comes by a callback, and waits for it.
-func (s *shardLoop) await(call func(reply func(protocol.JobResponse))) protocol.JobResponse {
+// replyFunc takes the response to a request. It is called once and must not block.
+type replyFunc = func(protocol.JobResponse)
+
+// call makes a call of the shard whose response comes by a callback, and waits for it. Where the node
+// stops first, the outcome is not known.
+func (s *shardLoop) call(request func(shard *leader.Shard, reply replyFunc)) protocol.JobResponse {
 	responses := make(chan protocol.JobResponse, 1)
-	call(func(response protocol.JobResponse) { responses <- response })
+	request(s.shard, func(response protocol.JobResponse) { responses <- response })
 	select {
 	case response := <-responses:
 		return response
