--- a/coord/group/diskwrite.go
+++ b/coord/group/diskwrite.go
@@ -38,11 +38,11 @@
 
 // SyncBatchSize returns how many of the first writes can share one sync; there must be at least one.
 func SyncBatchSize(writes []DiskWrite) int {
-	n := 1
-	for n < len(writes) && writes[n].onlyAppends() && writes[0].onlyAppends() {
-		n++
+	size := 1
+	for size < len(writes) && writes[size].onlyAppends() && writes[0].onlyAppends() {
+		size++
 	}
-	return n
+	return size
 }
 
 // PersistWrites writes and syncs a batch of SyncBatchSize. After an error it may be called again
--- a/coord/group/snapshot_transfer.go
+++ b/coord/group/snapshot_transfer.go
@@ -69,38 +69,38 @@
 // sendChunks sends the chunks that may be in flight. The first one goes also where the state is
 // empty: the member responds to it.
 func (e *Engine) sendChunks(now time.Duration, to string) {
-	s := e.senders[to]
-	total, chunkBytes := len(s.snapshot.Data), e.settings.SnapshotChunkBytes
-	for first := s.sent == 0; first || s.sent < min(total, s.acked+maxChunksInFlight*chunkBytes); first = false {
-		end := min(total, s.sent+chunkBytes)
-		chunk := s.snapshot
-		chunk.Data = s.snapshot.Data[s.sent:end]
+	sender := e.senders[to]
+	total, chunkBytes := len(sender.snapshot.Data), e.settings.SnapshotChunkBytes
+	for first := sender.sent == 0; first || sender.sent < min(total, sender.acked+maxChunksInFlight*chunkBytes); first = false {
+		end := min(total, sender.sent+chunkBytes)
+		chunk := sender.snapshot
+		chunk.Data = sender.snapshot.Data[sender.sent:end]
 		e.enqueue(replica.Message{
 			Kind:      replica.SnapshotChunk,
 			Group:     e.settings.Name,
 			From:      e.settings.Self.ID,
 			To:        to,
-			Term:      s.term,
+			Term:      sender.term,
 			Snapshot:  &chunk,
-			Offset:    s.sent,
+			Offset:    sender.sent,
 			Total:     total,
 			Addresses: e.node.Membership().AllMembers(),
 		})
-		s.sent, s.lastSend = end, now
+		sender.sent, sender.lastSend = end, now
 	}
 }
 
 // tickSnapshotSenders sends chunks again that got no response, and ends transfers that expired.
 func (e *Engine) tickSnapshotSenders(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(e.senders)) {
-		s := e.senders[id]
-		if _, isMember := e.node.Membership().Find(id); !isMember || s.expired(now) || e.node.Role() != replica.Leader {
+		sender := e.senders[id]
+		if _, isMember := e.node.Membership().Find(id); !isMember || sender.expired(now) || e.node.Role() != replica.Leader {
 			delete(e.senders, id)
 			continue
 		}
-		if !s.complete() && now > s.lastSend+chunkResendTimeout {
-			s.acked = s.lastAcked
-			s.sent = s.acked
+		if !sender.complete() && now > sender.lastSend+chunkResendTimeout {
+			sender.acked = sender.lastAcked
+			sender.sent = sender.acked
 			e.sendChunks(now, id)
 		}
 	}
@@ -108,15 +108,15 @@
 
 // handleSnapshotChunkResponse continues a transfer.
 func (e *Engine) handleSnapshotChunkResponse(now time.Duration, response replica.Message) {
-	s := e.senders[response.From]
-	if s == nil || response.Term != s.term || response.Index != s.snapshot.Index {
+	sender := e.senders[response.From]
+	if sender == nil || response.Term != sender.term || response.Index != sender.snapshot.Index {
 		return
 	}
-	s.lastResponse, s.lastAcked = now, response.Offset
-	advanced := response.Offset > s.acked
-	s.acked = max(s.acked, response.Offset)
-	s.sent = max(s.sent, s.acked)
-	if advanced && !s.complete() {
+	sender.lastResponse, sender.lastAcked = now, response.Offset
+	advanced := response.Offset > sender.acked
+	sender.acked = max(sender.acked, response.Offset)
+	sender.sent = max(sender.sent, sender.acked)
+	if advanced && !sender.complete() {
 		e.sendChunks(now, response.From)
 	}
 }
@@ -124,9 +124,9 @@
 // lowestSentSnapshotIndex returns the lowest index of the snapshots that are being sent; 0: none is.
 func (e *Engine) lowestSentSnapshotIndex() uint64 {
 	lowest := uint64(0)
-	for _, s := range e.senders {
-		if lowest == 0 || s.snapshot.Index < lowest {
-			lowest = s.snapshot.Index
+	for _, sender := range e.senders {
+		if lowest == 0 || sender.snapshot.Index < lowest {
+			lowest = sender.snapshot.Index
 		}
 	}
 	return lowest
@@ -169,8 +169,8 @@
 	if !e.receiver.matches(message) {
 		e.receiver = &snapshotReceiver{from: message.From, term: message.Term, index: chunk.Index, snapshotTerm: chunk.Term, early: map[int][]byte{}}
 	}
-	r := e.receiver
-	r.add(message.Offset, chunk.Data)
+	receiver := e.receiver
+	receiver.add(message.Offset, chunk.Data)
 	e.enqueue(replica.Message{
 		Kind:   replica.SnapshotChunkResponse,
 		Group:  e.settings.Name,
@@ -178,13 +178,13 @@
 		To:     message.From,
 		Term:   message.Term,
 		Index:  chunk.Index,
-		Offset: len(r.data),
+		Offset: len(receiver.data),
 	})
-	if len(r.data) < message.Total || chunk.Index <= e.node.Commit() {
+	if len(receiver.data) < message.Total || chunk.Index <= e.node.Commit() {
 		return
 	}
 	complete := *chunk
-	complete.Data = r.data
+	complete.Data = receiver.data
 	e.receiver = nil
 	message.Kind, message.Snapshot, message.Offset, message.Total = replica.InstallSnapshot, &complete, 0, 0
 	message.SentAt = 0 // it renews no lease: its first chunk may be old
--- a/coord/ringlog/recover.go
+++ b/coord/ringlog/recover.go
@@ -59,8 +59,8 @@
 
 // findSegments reads the segment files and finds those in use, in the order of their records.
 func (r *Ring) findSegments() error {
-	for n := 0; ; n++ {
-		path := r.segmentPath(n)
+	for fileNumber := 0; ; fileNumber++ {
+		path := r.segmentPath(fileNumber)
 		content, err := r.files.ReadFile(path)
 		if errors.Is(err, os.ErrNotExist) {
 			break
--- a/coord/ringlog/segment.go
+++ b/coord/ringlog/segment.go
@@ -28,23 +28,23 @@
 
 func (r *Ring) currentSegment() *segment { return r.segments[len(r.segments)-1] }
 
-func (r *Ring) segmentPath(n int) string {
-	return filepath.Join(r.folder, fmt.Sprintf("segment-%02d", n))
+func (r *Ring) segmentPath(fileNumber int) string {
+	return filepath.Join(r.folder, fmt.Sprintf("segment-%02d", fileNumber))
 }
 
 // preallocate makes the segment files that do not exist yet, filled with zeros, so that
 // appends change no file's size.
 func (r *Ring) preallocate() error {
-	for n := len(r.segments) + len(r.free); n < r.sizes.Segments; n++ {
-		if err := r.addSegment(n); err != nil {
+	for fileNumber := len(r.segments) + len(r.free); fileNumber < r.sizes.Segments; fileNumber++ {
+		if err := r.addSegment(fileNumber); err != nil {
 			return err
 		}
 	}
 	return errors.Wrap(r.files.SyncDir(r.folder), "sync the log's folder")
 }
 
-func (r *Ring) addSegment(n int) error {
-	path := r.segmentPath(n)
+func (r *Ring) addSegment(fileNumber int) error {
+	path := r.segmentPath(fileNumber)
 	file, err := r.files.Open(path)
 	if err != nil {
 		return errors.Wrap(err, "open a segment")
--- a/internal/cluster/controlplane/node.go
+++ b/internal/cluster/controlplane/node.go
@@ -6,6 +6,10 @@
 // (messages of other processes), shardloop.go and runnerclient.go (scheduling and orders),
 // runnerlist.go (the platform's list), operatorapi.go, join.go (membership), recovery.go (a disk
 // that can't be read), identity.go, peers.go (connections to other nodes).
+//
+// A process makes one Node by New and calls Run once; package daemon does both. The decisions are made
+// by packages leader and scheduler, which do no I/O: this package has the sockets, disks, clocks and
+// goroutines around them.
 package controlplane
 
 import (
@@ -67,7 +71,13 @@
 	if settings.DataDir == "" {
 		return nil, errors.New("data_dir is empty: run the core on machines with a disk")
 	}
-	n := &Node{settings: settings, log: log, started: time.Now(), groups: map[string]*group.Group{}, stop: make(chan struct{})}
+	n := &Node{
+		settings: settings,
+		log:      log,
+		started:  time.Now(),
+		groups:   map[string]*group.Group{},
+		stop:     make(chan struct{}),
+	}
 	n.lifetime, n.endLifetime = context.WithCancel(context.Background())
 	n.self.Address = settings.InternalAddress(settings.IP)
 	if settings.Commands != "" && settings.Commands != commandsByRPC {
--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -1,5 +1,10 @@
 // Package opconfig has the operator's configuration: its form, its validation, the routes that it
 // names, and the replicated register that holds the newest one. It does no I/O.
+//
+// A caller validates a new configuration by Parse before it proposes it as a Change, and applies
+// committed changes to a Register in the order of the log: replicas that apply the same changes have
+// the same state. Clients find a queue by Config.Match, and jobs of a queue that was moved by
+// Register.MovedQueues.
 package opconfig
 
 import (
@@ -87,7 +92,8 @@
 	return Decode(content)
 }
 
-// Decode decodes a configuration that Parse has validated before. It checks references, not the form.
+// Decode decodes a configuration that Parse has validated before. It checks references, not the form, so
+// that a later schema can't make a committed configuration unreadable.
 func Decode(content []byte) (*Config, error) {
 	config := &Config{}
 	if err := json.Unmarshal(content, config); err != nil {
