--- a/coord/group/snapshot_transfer.go
+++ b/coord/group/snapshot_transfer.go
@@ -70,26 +70,33 @@
 // empty: the member responds to it.
 func (e *Engine) sendChunks(now time.Duration, to string) {
 	sender := e.senders[to]
-	total, chunkBytes := len(sender.snapshot.Data), e.settings.SnapshotChunkBytes
-	for first := sender.sent == 0; first || sender.sent < min(total, sender.acked+maxChunksInFlight*chunkBytes); first = false {
-		end := min(total, sender.sent+chunkBytes)
-		chunk := sender.snapshot
-		chunk.Data = sender.snapshot.Data[sender.sent:end]
-		e.enqueue(replica.Message{
-			Kind:      replica.SnapshotChunk,
-			Group:     e.settings.Name,
-			From:      e.settings.Self.ID,
-			To:        to,
-			Term:      sender.term,
-			Snapshot:  &chunk,
-			Offset:    sender.sent,
-			Total:     total,
-			Addresses: e.node.Membership().AllMembers(),
-		})
-		sender.sent, sender.lastSend = end, now
+	end := min(len(sender.snapshot.Data), sender.acked+maxChunksInFlight*e.settings.SnapshotChunkBytes)
+	for isFirst := sender.sent == 0; isFirst || sender.sent < end; isFirst = false {
+		e.sendChunk(now, to, sender)
 	}
 }
 
+// sendChunk sends the chunk after those that were sent.
+func (e *Engine) sendChunk(now time.Duration, to string, sender *snapshotSender) {
+	total := len(sender.snapshot.Data)
+	end := min(total, sender.sent+e.settings.SnapshotChunkBytes)
+	chunk := sender.snapshot
+	chunk.Data = sender.snapshot.Data[sender.sent:end]
+	e.enqueue(replica.Message{
+		Kind:      replica.SnapshotChunk,
+		Group:     e.settings.Name,
+		From:      e.settings.Self.ID,
+		To:        to,
+		Term:      sender.term,
+		Snapshot:  &chunk,
+		Offset:    sender.sent,
+		Total:     total,
+		Addresses: e.node.Membership().AllMembers(),
+	})
+	sender.sent = end
+	sender.lastSend = now
+}
+
 // tickSnapshotSenders sends chunks again that got no response, and ends transfers that expired.
 func (e *Engine) tickSnapshotSenders(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(e.senders)) {
@@ -112,7 +119,8 @@
 	if sender == nil || response.Term != sender.term || response.Index != sender.snapshot.Index {
 		return
 	}
-	sender.lastResponse, sender.lastAcked = now, response.Offset
+	sender.lastResponse = now
+	sender.lastAcked = response.Offset
 	advanced := response.Offset > sender.acked
 	sender.acked = max(sender.acked, response.Offset)
 	sender.sent = max(sender.sent, sender.acked)
@@ -160,7 +168,8 @@
 	}
 }
 
-// handleSnapshotChunk handles a chunk at its receiver. The complete snapshot goes to the node as one message.
+// handleSnapshotChunk handles a chunk at its receiver. The complete snapshot goes to the node as one
+// message.
 func (e *Engine) handleSnapshotChunk(now time.Duration, message replica.Message) {
 	chunk := message.Snapshot
 	if message.Term < e.node.Term() || chunk == nil || message.Total > maxSnapshotBytes {
@@ -183,10 +192,19 @@
 	if len(receiver.data) < message.Total || chunk.Index <= e.node.Commit() {
 		return
 	}
-	complete := *chunk
-	complete.Data = receiver.data
 	e.receiver = nil
-	message.Kind, message.Snapshot, message.Offset, message.Total = replica.InstallSnapshot, &complete, 0, 0
-	message.SentAt = 0 // it renews no lease: its first chunk may be old
-	e.node.Step(now, message)
+	e.node.Step(now, installMessage(message, receiver.data))
+}
+
+// installMessage returns the message that installs a complete snapshot, from its last chunk.
+func installMessage(lastChunk replica.Message, data []byte) replica.Message {
+	complete := *lastChunk.Snapshot
+	complete.Data = data
+	install := lastChunk
+	install.Kind = replica.InstallSnapshot
+	install.Snapshot = &complete
+	install.Offset = 0
+	install.Total = 0
+	install.SentAt = 0 // it renews no lease: its first chunk may be old
+	return install
 }
