--- a/internal/cluster/job/runs.go
+++ b/internal/cluster/job/runs.go
@@ -5,7 +5,7 @@
 // openNextOccurrence opens the next occurrence of a repeated job.
 func (j *Job) openNextOccurrence(command Command) Outcome {
 	number := command.Task.Occurrence
-	if j.State.Terminal() || number != len(j.Occurrences) || number >= j.Spec.Occurrences() {
+	if j.State.Terminal() || number != len(j.Occurrences) || number >= j.Spec.OccurrenceCount() {
 		return Rejected
 	}
 	j.openOccurrence(number)
--- a/internal/cluster/job/spec.go
+++ b/internal/cluster/job/spec.go
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// Occurrences returns how often the job's steps run, at least once.
-func (s *Spec) Occurrences() int { return max(1, s.Repeats) }
+// OccurrenceCount returns how often the job's steps run, at least once.
+func (s *Spec) OccurrenceCount() int { return max(1, s.Repeats) }
 
 // DueMs returns when an occurrence, counted from 0, falls due, as Unix time in milliseconds;
 // 0: at once.
--- a/internal/cluster/job/store.go
+++ b/internal/cluster/job/store.go
@@ -63,7 +63,7 @@
 		return QueueMoved
 	}
 	j := &Job{Submission: *command.Submission, AcceptedMs: command.ProposedAtMs}
-	j.OpenOccurrences = j.Spec.Occurrences()
+	j.OpenOccurrences = j.Spec.OccurrenceCount()
 	s.Jobs[j.ID] = j
 	s.Pending[j.Queue]++
 	if j.Spec.Repeats == 0 {
--- a/internal/cluster/leader/configuration.go
+++ b/internal/cluster/leader/configuration.go
@@ -101,24 +101,25 @@
 	return c.changed, c.register.Version
 }
 
-// Watch answers a dispatcher that has a version: with the newest configuration, or that there is no
-// newer one. The lease is checked after the state was read.
-func (c *Configuration) Watch(have int64) protocol.WatchResponse {
+// Watch answers a dispatcher that has the version haveVersion (0: none): with the newest configuration,
+// or that there is no newer one. It does not wait; see Changed. The lease is checked after the state was
+// read.
+func (c *Configuration) Watch(haveVersion int64) protocol.WatchResponse {
 	response := protocol.WatchResponse{Leader: c.group.Leader().Address}
 	if !c.group.IsLeader() {
 		return response
 	}
-	c.readNewerThan(have, &response)
+	c.readNewerThan(haveVersion, &response)
 	response.Leads = c.group.IsLeader()
 	return response
 }
 
 // readNewerThan fills in the newest configuration, with its content where it is newer than the sender's.
-func (c *Configuration) readNewerThan(have int64, response *protocol.WatchResponse) {
+func (c *Configuration) readNewerThan(haveVersion int64, response *protocol.WatchResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	response.Version = c.register.Version
-	if response.Version <= have {
+	if response.Version <= haveVersion {
 		return
 	}
 	response.Content = c.register.Content
@@ -179,7 +180,8 @@
 	return protocol.OperatorResponse{Status: http.StatusConflict, Reason: "the version is not above the current one: choose a higher one"}
 }
 
-// read returns the newest configuration. The lease is checked after it was read.
+// read returns the newest configuration, if this process leads the group: the lease is checked after the
+// configuration was read.
 func (c *Configuration) read() protocol.OperatorResponse {
 	c.mu.Lock()
 	content := c.register.Content
--- a/internal/cluster/scheduler/recurring.go
+++ b/internal/cluster/scheduler/recurring.go
@@ -11,7 +11,7 @@
 
 // watch adds a job, if it has occurrences to come.
 func (r *recurringJobs) watch(j *job.Job) {
-	if len(j.Occurrences) < j.Spec.Occurrences() && j.Spec.Repeats > 0 {
+	if len(j.Occurrences) < j.Spec.OccurrenceCount() && j.Spec.Repeats > 0 {
 		r.jobs[j.ID] = j
 	}
 }
@@ -25,10 +25,10 @@
 	var due []job.TaskRef
 	for _, id := range sortedKeys(r.jobs) {
 		j := r.jobs[id]
-		for occurrence := len(j.Occurrences); occurrence < j.Spec.Occurrences() && j.Spec.DueMs(occurrence) <= wallMs; occurrence++ {
+		for occurrence := len(j.Occurrences); occurrence < j.Spec.OccurrenceCount() && j.Spec.DueMs(occurrence) <= wallMs; occurrence++ {
 			due = append(due, job.TaskRef{Job: id, Occurrence: occurrence})
 		}
-		if len(j.Occurrences) >= j.Spec.Occurrences() {
+		if len(j.Occurrences) >= j.Spec.OccurrenceCount() {
 			delete(r.jobs, id)
 		}
 	}
--- a/internal/cluster/scheduler/scheduler_test.go
+++ b/internal/cluster/scheduler/scheduler_test.go
@@ -133,7 +133,7 @@
 }
 
 func (w *world) checkComplete(j *submitted) {
-	for time := range j.spec.Occurrences() {
+	for time := range j.spec.OccurrenceCount() {
 		for s, spec := range j.spec.Steps {
 			for index := range spec.Count {
 				w.check(j.ended[job.TaskRef{Job: j.id, Occurrence: time, Step: s, Index: index}], "MIXED", "job %s is completed without task %d.%d.%d", j.id, time, s, index)
