--- a/coord/group/disk.go
+++ b/coord/group/disk.go
@@ -5,6 +5,7 @@
 // writeRetryInterval is the pause before a failed write is tried again.
 const writeRetryInterval = 300 * time.Millisecond
 
+// queueWrites queues writes for runDisk, in order.
 func (g *Group) queueWrites(writes []DiskWrite) {
 	g.mu.Lock()
 	g.writes = append(g.writes, writes...)
@@ -12,6 +13,7 @@
 	wake(g.writesReady)
 }
 
+// takeWrites returns the queued writes and empties the queue.
 func (g *Group) takeWrites() []DiskWrite {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coord/group/group.go
+++ b/coord/group/group.go
@@ -203,6 +203,7 @@
 	}
 }
 
+// takeInputs returns the queued inputs and empties the queue.
 func (g *Group) takeInputs() []func(time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coord/group/leadership.go
+++ b/coord/group/leadership.go
@@ -31,6 +31,7 @@
 	}
 }
 
+// lease returns the lease to publish. The state machine knows of the leadership before it is published.
 func (e *Engine) lease() Lease {
 	if !e.isLeader {
 		return Lease{Epoch: e.node.Term()}
--- a/coord/replica/coldstart.go
+++ b/coord/replica/coldstart.go
@@ -28,6 +28,7 @@
 	previous     map[string]Message // of the round before; nil: not all voters responded to it
 }
 
+// tickColdStart begins a round that is due.
 func (n *Node) tickColdStart(now time.Duration) {
 	if n.hadLeader || !n.awaitsElection() || now < n.coldStart.nextRoundDue || !n.Membership().IsVoter(n.id) {
 		return
@@ -39,6 +40,7 @@
 // others that support an earlier leader withhold, may learn meanwhile that all have restarted.
 func (n *Node) awaitsElection() bool { return n.role == Follower || n.role == PreCandidate }
 
+// beginColdStartRound asks all other voters. The round before counts only where all of them responded to it.
 func (n *Node) beginColdStartRound(now time.Duration) {
 	n.coldStart.previous = nil
 	if n.allVotersResponded() {
@@ -62,6 +64,7 @@
 	return len(n.coldStart.responses) > 0
 }
 
+// handleColdStartRequest responds, unless this replica has had contact to a leader.
 func (n *Node) handleColdStartRequest(request Message) {
 	if n.hadLeader {
 		return
@@ -70,6 +73,8 @@
 	n.send(Message{Kind: ColdStartResponse, To: request.From, Index: last, LogTerm: n.log.term(last), Round: request.Round, Life: n.incarnation})
 }
 
+// handleColdStartResponse begins the second round after the first is complete, and an election after the
+// second, where this replica goes first.
 func (n *Node) handleColdStartResponse(now time.Duration, response Message) {
 	if n.hadLeader || !n.awaitsElection() || response.Round != n.coldStart.round {
 		return
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -109,6 +109,7 @@
 	}
 }
 
+// handlePreVoteResponse counts a granted pre-vote, or enters the newer term that a rejection names.
 func (n *Node) handlePreVoteResponse(now time.Duration, response Message) {
 	if response.Reject {
 		if response.Term > n.hardState.Term {
@@ -123,6 +124,7 @@
 	n.countVotes(now)
 }
 
+// handleVoteResponse counts a granted vote. Step has compared its term with the current one.
 func (n *Node) handleVoteResponse(now time.Duration, response Message) {
 	if n.role != Candidate {
 		return
--- a/coord/replica/membership.go
+++ b/coord/replica/membership.go
@@ -112,6 +112,7 @@
 	return values
 }
 
+// indexOf returns the index of the member of that ID; negative: there is none.
 func indexOf(members []Member, id string) int {
 	return slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 }
--- a/coord/replica/message.go
+++ b/coord/replica/message.go
@@ -104,6 +104,7 @@
 	return ready
 }
 
+// collectCommitted adds to the Ready the entries that were committed since the last one.
 func (n *Node) collectCommitted() {
 	if n.applied >= n.commit {
 		return
@@ -112,16 +113,20 @@
 	n.applied = n.commit
 }
 
+// setHardState changes the term and vote and asks for their write. Messages that rest on them must be sent
+// by sendAfterSync.
 func (n *Node) setHardState(term uint64, vote string) {
 	n.hardState = HardState{Term: term, Vote: vote}
 	state := n.hardState
 	n.ready.HardState = &state
 }
 
+// send sends a message that promises nothing that is not on disk yet.
 func (n *Node) send(message Message) {
 	n.ready.Messages = append(n.ready.Messages, n.withSender(message))
 }
 
+// sendAfterSync sends a message once all that this Ready asks to write is synced.
 func (n *Node) sendAfterSync(message Message) {
 	n.ready.MessagesAfterSync = append(n.ready.MessagesAfterSync, n.withSender(message))
 }
--- a/coord/ringlog/format.go
+++ b/coord/ringlog/format.go
@@ -56,6 +56,7 @@
 	payload []byte
 }
 
+// appendSegmentHeader appends the header of a segment whose first record has that number.
 func appendSegmentHeader(to []byte, first uint64) []byte {
 	start := len(to)
 	to = binary.LittleEndian.AppendUint32(to, magic)
@@ -76,6 +77,7 @@
 	return binary.LittleEndian.Uint64(segment[contentOffset:]), true
 }
 
+// appendRecord appends an encoded record to a buffer.
 func appendRecord(to []byte, r record) []byte {
 	start := len(to)
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(r.payload)))
@@ -113,6 +115,7 @@
 	return append(binary.LittleEndian.AppendUint64(nil, state.Term), state.Vote...)
 }
 
+// decodeHardState is the inverse of encodeHardState; false: the payload is too short.
 func decodeHardState(payload []byte) (replica.HardState, bool) {
 	if len(payload) < termBytes {
 		return replica.HardState{}, false
@@ -120,6 +123,7 @@
 	return replica.HardState{Term: binary.LittleEndian.Uint64(payload), Vote: string(payload[termBytes:])}, true
 }
 
+// encodeEntry returns an entry as a record's payload.
 func encodeEntry(entry replica.Entry) ([]byte, error) {
 	to := binary.LittleEndian.AppendUint64(nil, entry.Index)
 	to = binary.LittleEndian.AppendUint64(to, entry.Term)
@@ -134,6 +138,7 @@
 	return append(to, body.Bytes()...), nil
 }
 
+// decodeEntry is the inverse of encodeEntry; false: the payload can't be read. The entry's data are a copy.
 func decodeEntry(payload []byte) (replica.Entry, bool) {
 	if len(payload) < entryHeaderBytes {
 		return replica.Entry{}, false
--- a/coord/ringlog/ring.go
+++ b/coord/ringlog/ring.go
@@ -119,6 +119,7 @@
 	return nil
 }
 
+// bufferRecord adds the next record to the buffer, to be written by flush.
 func (r *Ring) bufferRecord(kind recordKind, payload []byte) {
 	r.buffer = appendRecord(r.buffer, record{number: r.nextNumber, kind: kind, payload: payload})
 	r.nextNumber++
--- a/coord/ringlog/segment.go
+++ b/coord/ringlog/segment.go
@@ -43,6 +43,7 @@
 	return errors.Wrap(r.files.SyncDir(r.folder), "sync the log's folder")
 }
 
+// addSegment makes a segment file, filled with zeros and synced, and adds it to the free ones.
 func (r *Ring) addSegment(fileNumber int) error {
 	path := r.segmentPath(fileNumber)
 	file, err := r.files.Open(path)
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -34,6 +34,8 @@
 	return filepath.Join(r.folder, fmt.Sprintf("snapshot-%d", slot))
 }
 
+// writeSlot writes and syncs a snapshot's content into nextSlot. What an older and longer one has behind it
+// stays.
 func (r *Ring) writeSlot(content []byte) error {
 	file, err := r.files.Open(r.slotPath(r.nextSlot))
 	if err != nil {
--- a/coord/rpc/client.go
+++ b/coord/rpc/client.go
@@ -102,6 +102,7 @@
 	}
 }
 
+// forget drops a call whose response is not waited for any more.
 func (c *Client) forget(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,6 +118,7 @@
 	}
 }
 
+// queueLengthLocked returns how many frames wait to be written.
 func (c *Client) queueLengthLocked() int {
 	if c.current != nil {
 		return c.current.queueLength()
@@ -221,6 +223,7 @@
 	return response, err
 }
 
+// handleResponse passes a response to its call; one to a call that was given up is dropped.
 func (c *Client) handleResponse(f frame) {
 	c.mu.Lock()
 	response := c.pending[f.ID]
--- a/coord/rpc/stream.go
+++ b/coord/rpc/stream.go
@@ -35,6 +35,7 @@
 // monotonicNow is the time since the start of the process.
 func monotonicNow() time.Duration { return time.Since(processStart) }
 
+// newStream starts the writer of a connection. The caller must call read or close.
 func newStream(conn io.ReadWriteCloser) *stream {
 	s := &stream{conn: conn, wake: make(chan struct{}, 1), closed: make(chan struct{}), writerDone: make(chan struct{})}
 	s.lastRead.Store(int64(monotonicNow()))
--- a/internal/cluster/controlplane/groups.go
+++ b/internal/cluster/controlplane/groups.go
@@ -57,6 +57,7 @@
 	return openErr
 }
 
+// openGroup opens the replica of one group, in a folder of its own in the data folder.
 func (n *Node) openGroup(name string, stateMachine group.StateMachine) (*group.Group, error) {
 	settings := group.Settings{
 		Name:                   name,
@@ -142,6 +143,7 @@
 	}
 }
 
+// leadsAnyGroup reports whether this node is known as the leader of a group, with a lease or without.
 func (n *Node) leadsAnyGroup() bool {
 	for _, g := range n.groups {
 		if g.Leader().ID == n.self.ID {
--- a/internal/cluster/controlplane/identity.go
+++ b/internal/cluster/controlplane/identity.go
@@ -83,6 +83,7 @@
 	return errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 }
 
+// writeSynced writes a file and syncs its content; its name is not synced yet.
 func writeSynced(path string, content []byte) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -193,6 +193,8 @@
 	return scheduler.LeaseRenewed, report
 }
 
+// parseReport reads a runner's lists of its runs and ends. An error means that one of their rows can't be
+// read: the report must not be used, as a missing run would be taken for one that is over.
 func parseReport(reply runnerReply) (scheduler.RunnerReport, error) {
 	report := scheduler.RunnerReport{ClockMs: reply.ClockMs, RemainingMs: reply.RemainingMs}
 	for _, row := range reply.Running {
--- a/internal/cluster/controlplane/runnerlist.go
+++ b/internal/cluster/controlplane/runnerlist.go
@@ -144,6 +144,7 @@
 	return nil, errors.Newf("the list has over %d pages", maxPages)
 }
 
+// readPage reads the page of a token; empty: the first one.
 func (r *runnerListReader) readPage(token string) (instancePage, error) {
 	address := url.URL{Scheme: "http", Host: r.node.settings.CloudAPI.Address, Path: "/instances"}
 	if token != "" {
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// newShardLoop returns the driver of a shard, which does not run yet.
 func (n *Node) newShardLoop(number int, runners *runnerClient) *shardLoop {
 	loop := &shardLoop{runners: runners, wake: make(chan struct{}, 1), stop: n.stop, tasks: &n.tasks}
 	wake := func() { wakeUp(loop.wake) }
@@ -42,6 +43,7 @@
 	return loop
 }
 
+// schedulerConfig returns the bounds of the settings that scheduling depends on.
 func (n *Node) schedulerConfig() scheduler.Config {
 	bounds := n.settings.Bounds
 	return scheduler.Config{
--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -30,6 +30,7 @@
 	return buffer
 }
 
+// appendCommand appends an encoded command. decoder.command is its inverse.
 func appendCommand(buffer []byte, command *Command) []byte {
 	buffer = append(buffer, byte(command.Kind), byte(command.EndReason))
 	buffer = appendString(buffer, command.Task.Job)
@@ -126,6 +127,7 @@
 	return batch, nil
 }
 
+// command reads a command of a batch in that format.
 func (d *decoder) command(format byte) (Command, error) {
 	command := Command{Kind: CommandKind(d.byte()), EndReason: EndReason(d.byte())}
 	command.Task.Job = d.string()
--- a/internal/cluster/job/digest.go
+++ b/internal/cluster/job/digest.go
@@ -25,6 +25,7 @@
 	return hash.Sum64()
 }
 
+// digestOf returns a hash of values as fmt prints them.
 func digestOf(parts ...any) uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintln(hash, parts...) // fmt sorts maps by their keys
--- a/internal/cluster/leader/membership.go
+++ b/internal/cluster/leader/membership.go
@@ -63,6 +63,7 @@
 	return leader.Address
 }
 
+// unique returns the addresses sorted, each once.
 func unique(addresses []string) []string {
 	addresses = slices.Clone(addresses)
 	slices.Sort(addresses)
--- a/internal/cluster/leader/request.go
+++ b/internal/cluster/leader/request.go
@@ -41,6 +41,7 @@
 	return unknownJobResponse
 }
 
+// cancel cancels a job by a committed command, unless it is over already.
 func (s *Shard) cancel(request protocol.JobRequest, reply func(protocol.JobResponse)) {
 	s.mu.Lock()
 	j, known := s.store.Lookup(request.Queue, request.ID)
@@ -91,6 +92,7 @@
 	})
 }
 
+// findID returns the response to a submission under an ID that the shard may have.
 func (s *Shard) findID(request protocol.JobRequest) protocol.JobResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
