--- a/internal/cluster/controlplane/node.go
+++ b/internal/cluster/controlplane/node.go
@@ -6,6 +6,10 @@
 // (messages of other processes), shardloop.go and runnerclient.go (scheduling and orders),
 // runnerlist.go (the platform's list), operatorapi.go, join.go (membership), recovery.go (a disk
 // that can't be read), identity.go, peers.go (connections to other nodes).
+//
+// A process makes one Node by New and calls Run once; package daemon does both. The decisions are made
+// by packages leader and scheduler, which do no I/O: this package has the sockets, disks, clocks and
+// goroutines around them.
 package controlplane
 
 import (
@@ -67,7 +71,13 @@
 	if settings.DataDir == "" {
 		return nil, errors.New("data_dir is empty: run the core on machines with a disk")
 	}
-	n := &Node{settings: settings, log: log, started: time.Now(), groups: map[string]*group.Group{}, stop: make(chan struct{})}
+	n := &Node{
+		settings: settings,
+		log:      log,
+		started:  time.Now(),
+		groups:   map[string]*group.Group{},
+		stop:     make(chan struct{}),
+	}
 	n.lifetime, n.endLifetime = context.WithCancel(context.Background())
 	n.self.Address = settings.InternalAddress(settings.IP)
 	if settings.Commands != "" && settings.Commands != commandsByRPC {
@@ -106,7 +116,7 @@
 	var shards []*shardLoop
 	for number := range protocol.ShardCount {
 		loop := n.newShardLoop(number, runners)
-		stateMachines[protocol.ShardGroup(number)] = loop
+		stateMachines[protocol.ShardGroup(number)] = loop.shard
 		shards = append(shards, loop)
 	}
 	if err := n.openGroups(stateMachines); err != nil {
@@ -115,8 +125,8 @@
 	n.configGroup = n.groups[protocol.ConfigGroup]
 	n.config.SetGroup(n.configGroup)
 	for number, loop := range shards {
-		loop.SetGroup(n.groups[protocol.ShardGroup(number)])
-		loop.UpdateConfig(n.config.Current())
+		loop.shard.SetGroup(n.groups[protocol.ShardGroup(number)])
+		loop.shard.UpdateConfig(n.config.Current())
 	}
 	n.shards = shards // last: the callbacks of opening groups find no shard that is not set up
 	return nil
@@ -125,7 +135,7 @@
 // updateShardConfigs passes a configuration that was applied to the shards.
 func (n *Node) updateShardConfigs(config *opconfig.Config) {
 	for _, loop := range n.shards {
-		loop.UpdateConfig(config)
+		loop.shard.UpdateConfig(config)
 	}
 }
 
