--- a/internal/dispatcher/engine/ledger.go
+++ b/internal/dispatcher/engine/ledger.go
@@ -35,9 +35,9 @@
 	switch {
 	case since.IsZero(), t.class.Effect == policy.Idempotent:
 		return true
-	case t.class.Effect == policy.Deduplicated && t.class.Group == policy.DedupAll:
+	case t.class.Effect == policy.Deduplicated && t.class.DedupScope == policy.DedupAll:
 		// If the key is still known when it comes again.
-		return e.now.Add(e.settings.Limits.MaxRetryAfter).Before(since.Add(t.class.Window))
+		return e.now.Add(e.settings.Limits.MaxRetryAfter).Before(since.Add(t.class.DedupWindow))
 	}
 	return false
 }
@@ -146,5 +146,5 @@
 	if t.class.Effect != policy.Deduplicated || t.mayHaveRunSince.IsZero() {
 		return time.Time{}
 	}
-	return t.mayHaveRunSince.Add(t.class.Window - dedupMargin)
+	return t.mayHaveRunSince.Add(t.class.DedupWindow - dedupMargin)
 }
--- a/internal/dispatcher/engine/ledger_test.go
+++ b/internal/dispatcher/engine/ledger_test.go
@@ -79,9 +79,9 @@
 		log.SetLevel(logrus.PanicLevel)
 		c, err := New(policy.Settings{
 			Instances: 1, ReportsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true},
-			Classes: []policy.Class{{Name: "ticket", Effect: policy.AtMostOnce, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
-				{Name: "notice", Effect: policy.Idempotent, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
-				{Name: "hold", Effect: policy.Deduplicated, Group: policy.DedupCell, Window: 10 * time.Second, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1}},
+			Classes: []policy.Class{{Name: "ticket", Effect: policy.AtMostOnce, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1},
+				{Name: "notice", Effect: policy.Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1},
+				{Name: "hold", Effect: policy.Deduplicated, DedupScope: policy.DedupCell, DedupWindow: 10 * time.Second, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1}},
 		}, p, nil, log)
 		require.NoError(t, err)
 		c.SetLister(p)
--- a/internal/dispatcher/engine/shutdown.go
+++ b/internal/dispatcher/engine/shutdown.go
@@ -70,7 +70,7 @@
 // goroutine only, such as in Do.
 func (e *Engine) LongestClientTimeout() (longest time.Duration) {
 	for _, class := range e.settings.Classes {
-		longest = max(longest, class.GiveUp)
+		longest = max(longest, class.ClientTimeout)
 	}
 	return longest
 }
--- a/internal/dispatcher/engine/starve_test.go
+++ b/internal/dispatcher/engine/starve_test.go
@@ -18,7 +18,7 @@
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
 	c, err := New(policy.Settings{Instances: 1, Limits: policy.Limits{MaxAttempts: 1}, Classes: []policy.Class{
-		{Name: "notice", Effect: policy.Idempotent, Aim: time.Second, Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1},
+		{Name: "notice", Effect: policy.Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1},
 	}}, &tape{t: t}, nil, log)
 	require.NoError(t, err)
 	laps, heard := 0, 0
--- a/internal/dispatcher/engine/window_test.go
+++ b/internal/dispatcher/engine/window_test.go
@@ -36,7 +36,7 @@
 			log.SetLevel(logrus.PanicLevel)
 			hub, err := New(policy.Settings{
 				Instances: 1, ReportsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
-				Classes: []policy.Class{{Name: "hold", Effect: c.effect, Window: 10 * time.Second, Aim: time.Minute, GiveUp: time.Hour, Worth: 1, Kind: -1}},
+				Classes: []policy.Class{{Name: "hold", Effect: c.effect, DedupWindow: 10 * time.Second, LatencyTarget: time.Minute, ClientTimeout: time.Hour, Value: 1, Kind: -1}},
 			}, p, nil, log)
 			require.NoError(t, err)
 			hub.SetLister(p)
--- a/internal/dispatcher/fleet/coordinator/start_async_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -112,7 +112,7 @@
 // the state can't begin it any more.
 func TestStartAsync(t *testing.T) {
 	all, problems := plan.Parse("p.hcl", []byte("plan \"one\" {\n within = \"10m\"\n attempts = 9\n stage \"s\" {\n class = \"safe\"\n path = \"/s\"\n }\n}"),
-		plan.ClassesByName([]policy.Class{{Name: "safe", Effect: policy.Idempotent, GiveUp: time.Second}}))
+		plan.ClassesByName([]policy.Class{{Name: "safe", Effect: policy.Idempotent, ClientTimeout: time.Second}}))
 	require.Empty(t, problems)
 	for name, at := range map[string]struct {
 		in, out bool // what is lost
--- a/internal/dispatcher/fleet/golden_plan_test.go
+++ b/internal/dispatcher/fleet/golden_plan_test.go
@@ -27,9 +27,9 @@
 // that they do not know.
 func TestGoldenPlan(t *testing.T) {
 	classes := plan.ClassesByName([]policy.Class{
-		{Name: "notice", Effect: policy.Idempotent, Group: policy.DedupAll, Aim: time.Second, Stretch: 2, GiveUp: 5 * time.Second, Worth: 1, Kind: -1},
-		{Name: "hold", Effect: policy.Deduplicated, Group: policy.DedupZone, Window: 15 * time.Second, Aim: 2 * time.Second, GiveUp: 10 * time.Second, Worth: 2, Kind: 1},
-		{Name: "ticket", Effect: policy.AtMostOnce, Aim: 3 * time.Second, GiveUp: 25 * time.Second, Worth: 3, Kind: -1},
+		{Name: "notice", Effect: policy.Idempotent, DedupScope: policy.DedupAll, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1},
+		{Name: "hold", Effect: policy.Deduplicated, DedupScope: policy.DedupZone, DedupWindow: 15 * time.Second, LatencyTarget: 2 * time.Second, ClientTimeout: 10 * time.Second, Value: 2, Kind: 1},
+		{Name: "ticket", Effect: policy.AtMostOnce, LatencyTarget: 3 * time.Second, ClientTimeout: 25 * time.Second, Value: 3, Kind: -1},
 	})
 	all, problems := plan.Parse("coach.hcl", goldentest.Read(t, filepath.Join(goldenPlans, "coach.hcl")), classes)
 	require.Empty(t, problems)
--- a/internal/dispatcher/fleet/plan/check_keys.go
+++ b/internal/dispatcher/fleet/plan/check_keys.go
@@ -22,7 +22,7 @@
 			c.checkShared(i)
 		}
 		for _, r := range s.Retries {
-			group := c.classes[s.Class].Group
+			group := c.classes[s.Class].DedupScope
 			if s.Effect != policy.Deduplicated || r.Where != OtherZone || group == policy.DedupAll {
 				continue
 			}
--- a/internal/dispatcher/fleet/plan/check_test.go
+++ b/internal/dispatcher/fleet/plan/check_test.go
@@ -17,9 +17,9 @@
 
 // classes are one of each effect, and a keyed one whose keys hold in a zone.
 var classes = ClassesByName([]policy.Class{
-	{Name: "safe", GiveUp: 2 * s}, {Name: "once", Effect: policy.AtMostOnce, GiveUp: 3 * s}, {Name: "endless"},
-	{Name: "keyed", Effect: policy.Deduplicated, Window: 9 * s, GiveUp: 5 * s},
-	{Name: "zoned", Effect: policy.Deduplicated, Group: policy.DedupZone, Window: 9 * s, GiveUp: s},
+	{Name: "safe", ClientTimeout: 2 * s}, {Name: "once", Effect: policy.AtMostOnce, ClientTimeout: 3 * s}, {Name: "endless"},
+	{Name: "keyed", Effect: policy.Deduplicated, DedupWindow: 9 * s, ClientTimeout: 5 * s},
+	{Name: "zoned", Effect: policy.Deduplicated, DedupScope: policy.DedupZone, DedupWindow: 9 * s, ClientTimeout: s},
 })
 
 // stages are a plan of some stages: lines of "name class after: rest".
--- a/internal/dispatcher/fleet/plan/digest.go
+++ b/internal/dispatcher/fleet/plan/digest.go
@@ -34,8 +34,8 @@
 		if p.namesClass(name) {
 			c := classes[name]
 			_, _ = fmt.Fprintf(sum, "%+v", digestClass{
-				Name: c.Name, Effect: c.Effect, Group: c.Group, Window: c.Window, Aim: c.Aim, Stretch: c.Stretch,
-				GiveUp: c.GiveUp, Worth: c.Worth, Kind: c.Kind,
+				Name: c.Name, Effect: c.Effect, Group: c.DedupScope, Window: c.DedupWindow, Aim: c.LatencyTarget, Stretch: c.TargetPerWork,
+				GiveUp: c.ClientTimeout, Worth: c.Value, Kind: c.Kind,
 			})
 		}
 	}
--- a/internal/dispatcher/fleet/plan/eval_test.go
+++ b/internal/dispatcher/fleet/plan/eval_test.go
@@ -40,7 +40,7 @@
 	was := classes["safe"]
 	defer func() { classes["safe"] = was }()
 	other := was
-	other.Worth++
+	other.Value++
 	classes["safe"] = other
 	require.NotEqual(t, one, digest(stages("a safe:")))
 }
--- a/internal/dispatcher/fleet/plan/parse.go
+++ b/internal/dispatcher/fleet/plan/parse.go
@@ -176,7 +176,7 @@
 	s := &Stage{Name: f.blockLabel(block, "stage"), Range: block.DefRange()}
 	b := f.newBodyReader(block.Body, "a stage")
 	class := f.parseClass(b)
-	s.Class, s.Effect, s.AttemptTimeout = class.Name, class.Effect, class.GiveUp
+	s.Class, s.Effect, s.AttemptTimeout = class.Name, class.Effect, class.ClientTimeout
 	s.After, s.afterRanges = b.stringList("after", false)
 	s.Path, s.Body, s.Key = b.expression("path", true), b.expression("body", false), b.expression("key", false)
 	s.Cost = b.duration("cost", false, 0, 0)
@@ -254,7 +254,7 @@
 	b, u := f.newBodyReader(block.Body, "an undo"), &Undo{Range: block.DefRange()}
 	f.rejectLabels(block)
 	class := f.parseClass(b)
-	u.Class, u.Effect, u.AttemptTimeout = class.Name, class.Effect, class.GiveUp
+	u.Class, u.Effect, u.AttemptTimeout = class.Name, class.Effect, class.ClientTimeout
 	u.Path, u.Body, u.Key = b.expression("path", true), b.expression("body", false), b.expression("key", false)
 	u.MaxTries = b.integer("most", false, maxTries, 1)
 	u.Wait = b.duration("wait", false, 0, 0)
@@ -291,8 +291,8 @@
 	switch {
 	case !known:
 		f.addProblem(at, "unknown class %q%s", name, suggestion(name, slices.Sorted(maps.Keys(f.classes))))
-	case class.GiveUp <= 0 || class.GiveUp > maxDuration:
-		f.addProblem(at, "class %q gives up after %s: a plan needs a class whose give-up time is above 0 and at most %s", name, class.GiveUp, maxDuration)
+	case class.ClientTimeout <= 0 || class.ClientTimeout > maxDuration:
+		f.addProblem(at, "class %q gives up after %s: a plan needs a class whose give-up time is above 0 and at most %s", name, class.ClientTimeout, maxDuration)
 	}
 	class.Name = name
 	return class
--- a/internal/dispatcher/fleet/plan/worst_case.go
+++ b/internal/dispatcher/fleet/plan/worst_case.go
@@ -221,10 +221,10 @@
 			if s.Runs > 1 {
 				last = p.Worst.Duration - s.AttemptTimeout
 			}
-			p.noteForgottenKey(s.Name, c.classes[s.Class].Window, last)
+			p.noteForgottenKey(s.Name, c.classes[s.Class].DedupWindow, last)
 		}
 		if u := s.Undo; u != nil && u.Effect == policy.Deduplicated {
-			p.noteForgottenKey("the undo of "+s.Name, c.classes[u.Class].Window, u.totalDuration()-u.AttemptTimeout)
+			p.noteForgottenKey("the undo of "+s.Name, c.classes[u.Class].DedupWindow, u.totalDuration()-u.AttemptTimeout)
 		}
 	}
 }
--- a/internal/dispatcher/lab/arrivals_test.go
+++ b/internal/dispatcher/lab/arrivals_test.go
@@ -50,7 +50,7 @@
 func closedLoop(clients int, capacity time.Duration) *Experiment {
 	light, heavy := class("light", policy.Idempotent, 19, 10*time.Millisecond, "exp"), class("heavy", policy.Idempotent, 1, time.Second, "exp")
 	for _, c := range []*Class{&light, &heavy} {
-		c.Aim, c.GiveUp = time.Minute, 2*time.Minute
+		c.LatencyTarget, c.ClientTimeout = time.Minute, 2*time.Minute
 	}
 	x := &Experiment{
 		Length: 300 * time.Second, Dispatchers: 1, Classes: []Class{light, heavy}, Clients: clients, ThinkTime: 3 * time.Second, Capacity: capacity,
@@ -135,7 +135,7 @@
 func TestConnectionLimit(t *testing.T) {
 	x := queueing(1, "fixed", 3)
 	x.Length, x.Kinds[0].Connections = 5*time.Second, 4
-	x.Classes[0].GiveUp = time.Second
+	x.Classes[0].ClientTimeout = time.Second
 	r := play(t, x, "least outstanding", 1)
 	require.Empty(t, r.Violations)
 	require.InDelta(t, 2.0/3, float64(r.Refused)/float64(r.Requests), 0.05)
--- a/internal/dispatcher/lab/baselines.go
+++ b/internal/dispatcher/lab/baselines.go
@@ -149,7 +149,7 @@
 		if m.State != policy.Ready || j.member == m && len(p.members) > 1 {
 			continue
 		}
-		if j.firstMember != nil && j.class.Effect == policy.Deduplicated && j.class.Group != policy.DedupAll && j.firstMember.Cell != m.Cell {
+		if j.firstMember != nil && j.class.Effect == policy.Deduplicated && j.class.DedupScope != policy.DedupAll && j.firstMember.Cell != m.Cell {
 			continue
 		}
 		if p.exceedsColdBudget(now, m, j) {
@@ -165,7 +165,7 @@
 	from := p.candidates(now, j)
 	allowed := j.attempts < p.world.experiment.Settings.Limits.MaxAttempts && now < j.Deadline-sendMargin
 	if j.mayHaveRun {
-		allowed = allowed && (j.class.Effect == policy.Idempotent || j.class.Effect == policy.Deduplicated && now-j.sentAt < j.class.Window)
+		allowed = allowed && (j.class.Effect == policy.Idempotent || j.class.Effect == policy.Deduplicated && now-j.sentAt < j.class.DedupWindow)
 	}
 	if !allowed || len(from) == 0 {
 		p.end(j)
@@ -214,7 +214,7 @@
 func (p *basicPolicy) end(j *basicJob) {
 	delete(p.jobs, j.ID)
 	c := j.class
-	if !j.mayHaveRun || c.Effect == policy.Idempotent || c.Effect == policy.Deduplicated && c.Group == policy.DedupAll {
+	if !j.mayHaveRun || c.Effect == policy.Idempotent || c.Effect == policy.Deduplicated && c.DedupScope == policy.DedupAll {
 		p.host.Refuse(j.ID, 0)
 	} else {
 		p.host.Fail(j.ID)
--- a/internal/dispatcher/lab/checker.go
+++ b/internal/dispatcher/lab/checker.go
@@ -81,8 +81,8 @@
 		case policy.AtMostOnce:
 			c.violation("%s, which must not run twice, is sent again", a.request.id)
 		case policy.Deduplicated:
-			same := a.request.class.Group == policy.DedupAll || a.request.class.Group == policy.DedupZone || before.member.cell == a.member.cell
-			if !same || c.world.now-before.sentAt > a.request.class.Window {
+			same := a.request.class.DedupScope == policy.DedupAll || a.request.class.DedupScope == policy.DedupZone || before.member.cell == a.member.cell
+			if !same || c.world.now-before.sentAt > a.request.class.DedupWindow {
 				c.violation("%s is sent again outside of its group or window", a.request.id)
 			}
 		}
@@ -152,7 +152,7 @@
 	if late := c.world.now - r.deadline - c.world.experiment.Settings.Rules.AnswerGrace; late > 0 {
 		c.violation("%s has its answer %v after its deadline", r.id, late)
 	}
-	if !refused || r.class.Effect == policy.Idempotent || r.class.Effect == policy.Deduplicated && r.class.Group == policy.DedupAll {
+	if !refused || r.class.Effect == policy.Idempotent || r.class.Effect == policy.Deduplicated && r.class.DedupScope == policy.DedupAll {
 		return
 	}
 	for _, a := range state.attempts {
--- a/internal/dispatcher/lab/client.go
+++ b/internal/dispatcher/lab/client.go
@@ -90,8 +90,8 @@
 	w.submissions++
 	w.Result.ClientAttempts++
 	r.id = fmt.Sprint("r", w.submissions)
-	r.deadline = w.now + r.class.GiveUp
-	r.latencyTarget = min(r.firstSubmitted+r.class.Aim+time.Duration(r.class.Stretch*r.work), r.deadline)
+	r.deadline = w.now + r.class.ClientTimeout
+	r.latencyTarget = min(r.firstSubmitted+r.class.LatencyTarget+time.Duration(r.class.TargetPerWork*r.work), r.deadline)
 	r.dispatcher = w.dispatchers[w.random.IntN(len(w.dispatchers))]
 	w.after(w.networkDelay(), func() {
 		d := r.dispatcher
--- a/internal/dispatcher/lab/lab_test.go
+++ b/internal/dispatcher/lab/lab_test.go
@@ -29,8 +29,8 @@
 
 func class(name string, effect policy.Effect, rate float64, work time.Duration, shape string) Class {
 	return Class{
-		Class: policy.Class{Name: name, Effect: effect, Window: 15 * time.Second, Group: policy.DedupCell, Aim: 400 * time.Millisecond,
-			Stretch: 2.5, GiveUp: 10 * time.Second, Worth: 10, Kind: -1},
+		Class: policy.Class{Name: name, Effect: effect, DedupWindow: 15 * time.Second, DedupScope: policy.DedupCell, LatencyTarget: 400 * time.Millisecond,
+			TargetPerWork: 2.5, ClientTimeout: 10 * time.Second, Value: 10, Kind: -1},
 		Rate: rate, MeanWork: work, WorkDistribution: shape, WorkCV: 2,
 	}
 }
@@ -47,7 +47,7 @@
 // the classic queues. Its waits are known by formula.
 func queueing(cores int, shape string, load float64) *Experiment {
 	c := class("job", policy.Idempotent, load*float64(cores)*100, 10*time.Millisecond, shape)
-	c.GiveUp, c.Aim = time.Hour, time.Hour
+	c.ClientTimeout, c.LatencyTarget = time.Hour, time.Hour
 	x := &Experiment{
 		Length: formulaSpan * time.Second, Dispatchers: 1, Classes: []Class{c},
 		Kinds: []MemberKind{{Name: "std", Count: 1, Cores: cores, Slots: cores, Queue: 1 << 20, Speed: 1}},
@@ -104,7 +104,7 @@
 func serviceExperiment(troubles ...Fault) *Experiment {
 	hold := class("place-hold", policy.Deduplicated, 18, 700*time.Millisecond, "lognormal")
 	ticket := class("group-ticket", policy.AtMostOnce, 3, 3*time.Second, "lognormal")
-	ticket.Aim, ticket.GiveUp, ticket.Worth = time.Second, 25*time.Second, 2
+	ticket.LatencyTarget, ticket.ClientTimeout, ticket.Value = time.Second, 25*time.Second, 2
 	hold.HintError, ticket.HintError = 0.5, 0.5
 	x := &Experiment{
 		Length: 60 * time.Second, Dispatchers: 4, Classes: []Class{hold, ticket}, NetworkDelay: 200 * time.Microsecond, NetworkJitter: 0.2,
--- a/internal/dispatcher/metrics/metrics_test.go
+++ b/internal/dispatcher/metrics/metrics_test.go
@@ -118,8 +118,8 @@
 	settings := policy.Settings{
 		Instances: 1, ReportsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
 		Classes: []policy.Class{
-			{Name: "hold", Effect: policy.Deduplicated, Group: policy.DedupCell, Window: 15 * time.Second, Aim: time.Second, Stretch: 2, GiveUp: 10 * time.Second, Worth: 10, Kind: -1},
-			{Name: "ticket", Effect: policy.AtMostOnce, Aim: time.Second, Stretch: 2, GiveUp: 25 * time.Second, Worth: 2, Kind: -1},
+			{Name: "hold", Effect: policy.Deduplicated, DedupScope: policy.DedupCell, DedupWindow: 15 * time.Second, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 10 * time.Second, Value: 10, Kind: -1},
+			{Name: "ticket", Effect: policy.AtMostOnce, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 25 * time.Second, Value: 2, Kind: -1},
 		},
 	}
 	log, hook := test.NewNullLogger()
--- a/internal/dispatcher/pipeline/submission.go
+++ b/internal/dispatcher/pipeline/submission.go
@@ -64,7 +64,7 @@
 	if s.Capability == "" && p.defaultCapability != nil {
 		s.Capability = p.defaultCapability(s.Class)
 	}
-	if latest := now.Add(class.GiveUp); s.ClientDeadline.IsZero() || s.ClientDeadline.After(latest) {
+	if latest := now.Add(class.ClientTimeout); s.ClientDeadline.IsZero() || s.ClientDeadline.After(latest) {
 		s.ClientDeadline = latest
 	}
 	return &engine.Transaction{
--- a/internal/dispatcher/policy/affinity_test.go
+++ b/internal/dispatcher/policy/affinity_test.go
@@ -35,7 +35,7 @@
 		d, err := New(Settings{
 			Seed: uint64(rank), Instances: instances, Rank: rank, Zone: string(rune('a' + rank%3)), CrossZonePrice: 0.03, ReportsStart: true, Kinds: []string{"a"},
 			Limits:  Limits{MaxAttempts: 3, Cancel: true},
-			Classes: []Class{{Name: "safe", Effect: Idempotent, Aim: time.Second, Stretch: 2, GiveUp: 5 * time.Second, Worth: 1, Kind: -1}},
+			Classes: []Class{{Name: "safe", Effect: Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
 			Rules:   Rules{ColdCapacity: 0.3, WarmupTime: 8 * time.Second, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 2 * time.Second},
 		}, h)
 		require.NoError(t, err)
--- a/internal/dispatcher/policy/deadline.go
+++ b/internal/dispatcher/policy/deadline.go
@@ -17,12 +17,12 @@
 // haste are impatient.
 func (d *Dispatcher) answerTime(j *job) time.Duration {
 	left, born := j.Deadline-d.now, d.now
-	j.class.longestPatience = max(j.class.longestPatience, min(left, j.class.GiveUp))
+	j.class.longestPatience = max(j.class.longestPatience, min(left, j.class.ClientTimeout))
 	if j.Retry || !d.ClientsMarkRetries && !j.KnownFirst {
 		born -= max(0, j.class.longestPatience-left)
 	}
 	work := cmp.Or(float64(j.Hint), j.expectedRun)
-	return min(born+j.class.Aim+time.Duration(j.class.Stretch*work), j.Deadline)
+	return min(born+j.class.LatencyTarget+time.Duration(j.class.TargetPerWork*work), j.Deadline)
 }
 
 // dropIfHopeless gives up a held job that is hopeless: a loss for want of room shows overload.
@@ -48,7 +48,7 @@
 // harm, else failed.
 func (d *Dispatcher) answerUnserved(j *job) {
 	c := j.class
-	known := c.Group == DedupAll && d.dedupHolds(j, d.Limits.MaxRetryAfter) // yet, when it comes again
+	known := c.DedupScope == DedupAll && d.dedupHolds(j, d.Limits.MaxRetryAfter) // yet, when it comes again
 	if j.firstMayHaveRun == nil && j.inFlight == 0 || c.Effect == Idempotent || known {
 		d.host.Refuse(j.ID, d.Limits.MaxRetryAfter)
 	} else {
--- a/internal/dispatcher/policy/decision_bench_test.go
+++ b/internal/dispatcher/policy/decision_bench_test.go
@@ -71,7 +71,7 @@
 	f := &farm{rng: rand.New(rand.NewPCG(1, 2)), now: time.Second, due: indexedheap.New(func(a, b moment) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil), open: make(map[string]*struct{ n int })}
 	s := policy.Settings{
 		Seed: 7, Instances: 1, Zone: "hall", Kinds: []string{"std"}, ReportsStart: true,
-		Classes: []policy.Class{{Name: "place-hold", Effect: policy.Idempotent, GiveUp: 10 * time.Second, Aim: 400 * time.Millisecond, Stretch: 2.5, Worth: 10, Kind: -1}},
+		Classes: []policy.Class{{Name: "place-hold", Effect: policy.Idempotent, ClientTimeout: 10 * time.Second, LatencyTarget: 400 * time.Millisecond, TargetPerWork: 2.5, Value: 10, Kind: -1}},
 		Limits:  policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
 		Rules:   policy.Rules{ColdCapacity: 0.12, WarmupTime: 24 * time.Second, ColdOverloadMultiple: 4, ColdOverloadWindow: 3 * time.Second},
 	}
--- a/internal/dispatcher/policy/dispatcher.go
+++ b/internal/dispatcher/policy/dispatcher.go
@@ -95,7 +95,7 @@
 		memoryInX1:       s.ReportX1 == FreeMemory,
 		affinities:       make(map[uint32]*affinityStats),
 	}
-	d.meanRun = float64(s.Classes[0].Aim) / 2
+	d.meanRun = float64(s.Classes[0].LatencyTarget) / 2
 	d.setClassesAndLimits(s)
 	d.probesTellSlots = d.slotsInX0 && s.Limits.Probes
 	for range 2 * (len(s.Kinds) + 1) {
@@ -155,7 +155,7 @@
 	}
 	j := d.newJob(c, r)
 	d.probeCredit = min(d.probeCredit+probesPerRequest, float64(2*len(d.subset)+2))
-	j.answerBy, j.valuePerCost = d.answerTime(j), c.Worth
+	j.answerBy, j.valuePerCost = d.answerTime(j), c.Value
 	if !d.ValueByWork {
 		j.valuePerCost /= max(j.cost, 1)
 	}
--- a/internal/dispatcher/policy/dispatcher_test.go
+++ b/internal/dispatcher/policy/dispatcher_test.go
@@ -75,10 +75,10 @@
 		Seed: 1, Instances: 2, Zone: "a", Kinds: []string{"k"}, ValueByWork: true,
 		ReportX0: policy.FreeSlots, ReportX1: policy.FreeMemory,
 		Classes: []policy.Class{
-			{Name: "safe", Effect: policy.Idempotent, Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Worth: 1, Kind: -1},
-			{Name: "keyed", Effect: policy.Deduplicated, Group: policy.DedupZone, Window: 3 * time.Second, Aim: 400 * ms,
-				Stretch: 2, GiveUp: 5 * time.Second, Worth: 8, Kind: -1},
-			{Name: "unsafe", Effect: policy.AtMostOnce, Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Worth: 10, Kind: -1},
+			{Name: "safe", Effect: policy.Idempotent, LatencyTarget: 400 * ms, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1},
+			{Name: "keyed", Effect: policy.Deduplicated, DedupScope: policy.DedupZone, DedupWindow: 3 * time.Second, LatencyTarget: 400 * ms,
+				TargetPerWork: 2, ClientTimeout: 5 * time.Second, Value: 8, Kind: -1},
+			{Name: "unsafe", Effect: policy.AtMostOnce, LatencyTarget: 400 * ms, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Value: 10, Kind: -1},
 		},
 		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, Probes: true, ConcurrentAttempts: true},
 		Rules: policy.Rules{AnswerGrace: 20 * ms, ColdCapacity: 0.3, WarmupTime: 8 * time.Second, ColdOverloadMultiple: 2.5,
@@ -257,7 +257,7 @@
 	}
 
 	s := settings()
-	s.Classes[1].Aim = 4 * time.Second
+	s.Classes[1].LatencyTarget = 4 * time.Second
 	b = newBench(t, s, 3)
 	b.request("late", "keyed", 100*ms)
 	b.now += 3100 * ms // past the window, inside the aim
@@ -300,7 +300,7 @@
 		sends   int
 	}{{true, policy.Reset, 1}, {true, policy.Error, 1}, {true, policy.ConnectFailed, 2}, {false, policy.Reset, 2}} {
 		s := settings()
-		s.Classes[1].Group = policy.DedupAll
+		s.Classes[1].DedupScope = policy.DedupAll
 		b := newBench(t, s, 3)
 		b.HandleRequest(b.now, policy.Request{ID: "r", Class: "keyed", NoDedupKey: c.unkeyed, Hint: 100 * ms, Deadline: b.now + 5*time.Second})
 		b.outcome("r", c.status)
@@ -326,7 +326,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings()
-			s.Classes[1].Aim, s.Classes[1].Group = 4*time.Second, policy.DedupAll
+			s.Classes[1].LatencyTarget, s.Classes[1].DedupScope = 4*time.Second, policy.DedupAll
 			s.Limits.ConnectTimeout, s.Limits.RetryAfter, s.Limits.MaxRetryAfter = c.dial, true, 2*time.Second
 			b := newBench(t, s, 3)
 			b.request("r", "keyed", 100*ms)
@@ -367,7 +367,7 @@
 
 func TestHungWorkerGetsNoMore(t *testing.T) {
 	s := settings()
-	s.Classes[0].Aim = 4 * time.Second
+	s.Classes[0].LatencyTarget = 4 * time.Second
 	b := newBench(t, s, 2)
 	b.request("r", "safe", 50*ms)
 	hung := b.sentTo("r")
@@ -674,7 +674,7 @@
 		"Instances":          func(s *policy.Settings) { s.Instances = 0 },
 		"Rank":               func(s *policy.Settings) { s.Rank = 2 },
 		"Classes":            func(s *policy.Settings) { s.Classes = nil },
-		"Classes[1]":         func(s *policy.Settings) { s.Classes[1].GiveUp = 0 },
+		"Classes[1]":         func(s *policy.Settings) { s.Classes[1].ClientTimeout = 0 },
 		"Limits.MaxAttempts": func(s *policy.Settings) { s.Limits.MaxAttempts = 0 },
 		"Rules.ColdFrom":     func(s *policy.Settings) { s.Rules.ColdCapacity = 2 },
 	} {
--- a/internal/dispatcher/policy/example_test.go
+++ b/internal/dispatcher/policy/example_test.go
@@ -23,8 +23,8 @@
 func Example() {
 	d, err := policy.New(policy.Settings{
 		Instances: 1,
-		Classes: []policy.Class{{Name: "report", Effect: policy.Idempotent, Aim: time.Second,
-			Stretch: 2, GiveUp: 10 * time.Second, Worth: 1, Kind: -1}},
+		Classes: []policy.Class{{Name: "report", Effect: policy.Idempotent, LatencyTarget: time.Second,
+			TargetPerWork: 2, ClientTimeout: 10 * time.Second, Value: 1, Kind: -1}},
 		Limits: policy.Limits{MaxAttempts: 3},
 	}, printer{})
 	if err != nil {
--- a/internal/dispatcher/policy/learning_test.go
+++ b/internal/dispatcher/policy/learning_test.go
@@ -44,7 +44,7 @@
 // been seen during it would be taken on, and served late.
 func TestSlowdownOfAllIsKnownForEveryType(t *testing.T) {
 	s := settings()
-	s.Classes[2].Stretch = 1.5
+	s.Classes[2].TargetPerWork = 1.5
 	b := newBench(t, s, 4)
 	b.request("before", "unsafe", 2*time.Second)
 	if b.sends["before"] != 1 {
@@ -75,7 +75,7 @@
 			s.Kinds, s.ReportX0, s.ReportsStart, s.Limits.ConcurrentAttempts = kinds, "", true, false
 			runs := []time.Duration{700 * ms, 900 * ms, 1100 * ms} // far over half an aim, which is the first guess
 			for i := range s.Classes {
-				s.Classes[i].Aim, s.Classes[i].Stretch, s.Classes[i].GiveUp = 300*ms, 1, 12*time.Second
+				s.Classes[i].LatencyTarget, s.Classes[i].TargetPerWork, s.Classes[i].ClientTimeout = 300*ms, 1, 12*time.Second
 			}
 			b := newBench(t, s, 0)
 			var list []policy.Member
@@ -115,7 +115,7 @@
 func keepFull(t *testing.T, n int) (b *bench, most int) {
 	s := settings()
 	s.ReportX0, s.ReportsStart = "", true
-	s.Classes[0].Aim, s.Classes[0].GiveUp = time.Hour, time.Hour // none is given up
+	s.Classes[0].LatencyTarget, s.Classes[0].ClientTimeout = time.Hour, time.Hour // none is given up
 	b = newBench(t, s, 2)
 	b.HandleMembers(b.now, policy.ListDelta, []policy.Member{{Worker: 2, Kind: "k", Zone: "a", State: policy.Draining}})
 	for i := range n {
--- a/internal/dispatcher/policy/random_test.go
+++ b/internal/dispatcher/policy/random_test.go
@@ -90,9 +90,9 @@
 		case policy.AtMostOnce:
 			w.errorf("unsafe %s sent again", id)
 		case policy.Deduplicated:
-			outside := r.class.Group == policy.DedupZone && a.worker.Zone != m.Zone ||
-				r.class.Group == policy.DedupCell && a.worker.Cell != m.Cell
-			if outside || w.now-a.at > r.class.Window {
+			outside := r.class.DedupScope == policy.DedupZone && a.worker.Zone != m.Zone ||
+				r.class.DedupScope == policy.DedupCell && a.worker.Cell != m.Cell
+			if outside || w.now-a.at > r.class.DedupWindow {
 				w.errorf("keyed %s sent outside its group or window", id)
 			}
 		}
@@ -183,7 +183,7 @@
 func (w *world) Refuse(id string, retryAfter time.Duration) {
 	w.actions.refuse(w.now, id, retryAfter)
 	r := w.answer(id, "refuse")
-	if r == nil || r.class.Effect == policy.Idempotent || r.class.Effect == policy.Deduplicated && r.class.Group == policy.DedupAll {
+	if r == nil || r.class.Effect == policy.Idempotent || r.class.Effect == policy.Deduplicated && r.class.DedupScope == policy.DedupAll {
 		return
 	}
 	for _, a := range r.attempts {
@@ -287,7 +287,7 @@
 	c := w.s.Classes[w.rng.IntN(len(w.s.Classes))]
 	r := &req{class: c, at: w.now, Request: policy.Request{ID: fmt.Sprint("r", w.seq), Class: c.Name,
 		Hint:     time.Duration(w.rng.ExpFloat64() * float64(200*ms)),
-		Deadline: w.now + time.Duration(w.rng.Int64N(int64(c.GiveUp))), Slots: float64(1 + w.rng.IntN(2))}}
+		Deadline: w.now + time.Duration(w.rng.Int64N(int64(c.ClientTimeout))), Slots: float64(1 + w.rng.IntN(2))}}
 	if w.rng.IntN(5) == 0 {
 		r.Hint *= 20
 	}
@@ -389,20 +389,20 @@
 	"push":          func(*policy.Settings) {},
 	"ask":           func(s *policy.Settings) { s.PullsMembership = true },
 	"no copies":     func(s *policy.Settings) { s.Limits.ConcurrentAttempts, s.ReportsStart = false, true },
-	"cell":          func(s *policy.Settings) { s.Classes[1].Group = policy.DedupCell },
-	"long aims":     func(s *policy.Settings) { s.Classes[1].Window, s.Classes[1].Aim = 500*ms, 4*time.Second },
+	"cell":          func(s *policy.Settings) { s.Classes[1].DedupScope = policy.DedupCell },
+	"long aims":     func(s *policy.Settings) { s.Classes[1].DedupWindow, s.Classes[1].LatencyTarget = 500*ms, 4*time.Second },
 	"short grace":   func(s *policy.Settings) { s.Rules.AnswerGrace = 5 * ms },
 	"full no proof": func(s *policy.Settings) { s.Rules.RejectedMayHaveRun = true },
 	"wrong lists":   func(s *policy.Settings) { s.Rules.OnlyDrainBinds = true },
 	"both": func(s *policy.Settings) {
-		s.Rules.OnlyDrainBinds, s.Rules.RejectedMayHaveRun, s.Classes[1].Group = true, true, policy.DedupCell
+		s.Rules.OnlyDrainBinds, s.Rules.RejectedMayHaveRun, s.Classes[1].DedupScope = true, true, policy.DedupCell
 	},
 	"tied": func(s *policy.Settings) {
 		s.Limits.Probes, s.ReportsStart, s.Rules.OnlyDrainBinds = false, true, true
 	},
-	"all, no probes": func(s *policy.Settings) { s.Classes[1].Group, s.Limits.Probes = policy.DedupAll, false },
+	"all, no probes": func(s *policy.Settings) { s.Classes[1].DedupScope, s.Limits.Probes = policy.DedupAll, false },
 	"subjects, push": func(*policy.Settings) {},
-	"subjects, cell": func(s *policy.Settings) { s.Classes[1].Group, s.ReportsStart = policy.DedupCell, true },
+	"subjects, cell": func(s *policy.Settings) { s.Classes[1].DedupScope, s.ReportsStart = policy.DedupCell, true },
 	"subjects, wrong lists, no probes": func(s *policy.Settings) {
 		s.Limits.Probes, s.ReportsStart, s.Rules.OnlyDrainBinds, s.ReportX0 = false, true, true, ""
 	},
--- a/internal/dispatcher/policy/reconfigure_test.go
+++ b/internal/dispatcher/policy/reconfigure_test.go
@@ -17,7 +17,7 @@
 	first := b.sentTo("before")
 
 	s := settings()
-	s.Classes = append(s.Classes[1:], policy.Class{Name: "fresh", Effect: policy.Idempotent, Aim: 400 * ms, GiveUp: 5e9, Worth: 1, Kind: -1})
+	s.Classes = append(s.Classes[1:], policy.Class{Name: "fresh", Effect: policy.Idempotent, LatencyTarget: 400 * ms, ClientTimeout: 5e9, Value: 1, Kind: -1})
 	s.Limits.MaxAttempts = 1
 	bad := s
 	bad.Limits.MaxAttempts = 0
--- a/internal/dispatcher/policy/requests_test.go
+++ b/internal/dispatcher/policy/requests_test.go
@@ -145,7 +145,7 @@
 	for slow, sent := range map[time.Duration]int{1: 1, 3: 0} {
 		s := settings()
 		s.Instances, s.Rules.ColdOverloadMultiple = 1, 50
-		s.Classes[0].Aim, s.Classes[0].Stretch = 100*ms, 1.2
+		s.Classes[0].LatencyTarget, s.Classes[0].TargetPerWork = 100*ms, 1.2
 		b := newBench(t, s, 0)
 		m := member(1, "a")
 		m.StartedAt = b.now
--- a/internal/dispatcher/policy/retry.go
+++ b/internal/dispatcher/policy/retry.go
@@ -11,7 +11,7 @@
 			first = a
 		}
 	}
-	return j.effect() == Deduplicated && first != nil && d.now+in-first.sentAt < j.class.Window
+	return j.effect() == Deduplicated && first != nil && d.now+in-first.sentAt < j.class.DedupWindow
 }
 
 // mayRetry reports whether a further attempt is allowed at some worker: an effect must not happen
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -23,7 +23,7 @@
 		of := boolToInt(d.avoided(w, j))
 		serving = min(serving, of)
 		late := float64(d.now)+bestCaseRun*j.expectedRun*w.pace()*d.slowdown*d.warmupSlowdown(w) > float64(j.answerBy)
-		if late || j.firstMayHaveRun != nil && j.class.Effect == Deduplicated && !j.class.Group.covers(j.firstMayHaveRun.listing, w.Member) {
+		if late || j.firstMayHaveRun != nil && j.class.Effect == Deduplicated && !j.class.DedupScope.covers(j.firstMayHaveRun.listing, w.Member) {
 			continue
 		}
 		room, fits := d.headroom(w, j)
@@ -60,9 +60,9 @@
 			Instances: 1, Kinds: []string{"a", "b"}, Zone: "x", ReportsStart: true, CrossZonePrice: float64(rapid.IntRange(0, 1).Draw(t, "price")),
 			Limits: Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true},
 			Classes: []Class{
-				{Name: "safe", Effect: Idempotent, Aim: time.Second, Stretch: 2, GiveUp: 5 * time.Second, Kind: -1},
-				{Name: "keyed", Effect: Deduplicated, Group: DedupCell, Window: 5 * time.Second, Aim: time.Second, Stretch: 2, GiveUp: 5 * time.Second, Kind: -1},
-				{Name: "unsafe", Effect: AtMostOnce, Aim: time.Second, Stretch: 2, GiveUp: 5 * time.Second, Kind: 1},
+				{Name: "safe", Effect: Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Kind: -1},
+				{Name: "keyed", Effect: Deduplicated, DedupScope: DedupCell, DedupWindow: 5 * time.Second, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Kind: -1},
+				{Name: "unsafe", Effect: AtMostOnce, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Kind: 1},
 			},
 			Rules: Rules{ColdCapacity: 0.2, WarmupTime: 10 * time.Second, ColdOverloadMultiple: 4, ColdOverloadWindow: time.Second},
 		}
@@ -146,7 +146,7 @@
 		h := &searched{}
 		d, err := New(Settings{
 			Seed: uint64(rank), Instances: 1, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2},
-			Classes: []Class{{Name: "c", Aim: time.Second, GiveUp: 5 * time.Second, Worth: 1, Kind: -1}},
+			Classes: []Class{{Name: "c", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
 		}, h)
 		require.NoError(t, err)
 		var list []Member
@@ -196,7 +196,7 @@
 	h := &searched{}
 	d, err := New(Settings{
 		Instances: 1, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2}, ReportsStart: true,
-		Classes: []Class{{Name: "c", Aim: time.Second, GiveUp: 5 * time.Second, Worth: 1, Kind: -1}},
+		Classes: []Class{{Name: "c", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
 		Rules:   Rules{ColdCapacity: 0.2, WarmupTime: 10 * time.Second, ColdOverloadMultiple: 4, ColdOverloadWindow: time.Second},
 	}, h)
 	require.NoError(t, err)
@@ -239,7 +239,7 @@
 	h := &searched{}
 	d, err := New(Settings{
 		Instances: 1, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2},
-		Classes: []Class{{Name: "c", Aim: 10 * time.Second, GiveUp: 20 * time.Second, Worth: 1, Kind: -1}},
+		Classes: []Class{{Name: "c", LatencyTarget: 10 * time.Second, ClientTimeout: 20 * time.Second, Value: 1, Kind: -1}},
 	}, h)
 	require.NoError(t, err)
 	now := time.Hour
@@ -294,7 +294,7 @@
 		h := &searched{}
 		d, err := New(Settings{
 			Instances: instances, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2}, ReportsStart: true,
-			Classes: []Class{{Name: "c", Aim: time.Minute, GiveUp: 2 * time.Minute, Worth: 1, Kind: -1}},
+			Classes: []Class{{Name: "c", LatencyTarget: time.Minute, ClientTimeout: 2 * time.Minute, Value: 1, Kind: -1}},
 		}, h)
 		require.NoError(t, err)
 		now := time.Hour
@@ -333,7 +333,7 @@
 	h := &looked{}
 	d, err := New(Settings{
 		Instances: 1, Kinds: []string{"a"}, ReportsStart: true, Limits: Limits{MaxAttempts: 1},
-		Classes: []Class{{Name: "safe", Effect: Idempotent, Aim: time.Second, Stretch: 2, GiveUp: 5 * time.Second, Kind: -1}},
+		Classes: []Class{{Name: "safe", Effect: Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Kind: -1}},
 	}, h)
 	require.NoError(t, err)
 	var list []Member
--- a/internal/dispatcher/policy/selection.go
+++ b/internal/dispatcher/policy/selection.go
@@ -96,7 +96,8 @@
 // repeat, where one is needed that does.
 func (j *job) repeatIsDropped(w *worker) bool {
 	first := j.firstMayHaveRun
-	return first == nil || j.class.Effect != Deduplicated || j.class.Group.covers(first.listing, w.Member)
+	return first == nil || j.class.Effect != Deduplicated ||
+		j.class.DedupScope.covers(first.listing, w.Member)
 }
 
 // compatible reports whether a worker may get a job at all.
--- a/internal/dispatcher/policy/settings.go
+++ b/internal/dispatcher/policy/settings.go
@@ -62,15 +62,15 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name    string
-	Effect  Effect
-	Group   DedupScope    // Deduplicated only
-	Window  time.Duration // Deduplicated only: how long workers remember a key
-	Aim     time.Duration // the latency target: an answer within this time is in time
-	Stretch float64       // the target grows by this multiple of the request's own work
-	GiveUp  time.Duration // the client's timeout, above 0
-	Worth   float64       // the value of an answer in time, at least 0; see Settings.ValueByWork
-	Kind    int           // index into Settings.Kinds of the required kind, -1 for any
+	Name          string
+	Effect        Effect
+	DedupScope    DedupScope    // Deduplicated only
+	DedupWindow   time.Duration // Deduplicated only: how long workers remember a key
+	LatencyTarget time.Duration // the latency target: an answer within this time is in time
+	TargetPerWork float64       // the target grows by this multiple of the request's own work
+	ClientTimeout time.Duration // the client's timeout, above 0
+	Value         float64       // the value of an answer in time, at least 0; see Settings.ValueByWork
+	Kind          int           // index into Settings.Kinds of the required kind, -1 for any
 }
 
 // Limits are what a dispatcher may do.
@@ -124,7 +124,7 @@
 	}
 	for i, c := range s.Classes {
 		if c.Kind < -1 || c.Kind >= len(s.Kinds) ||
-			c.GiveUp <= 0 || c.Aim < 0 || c.Stretch < 0 || c.Worth < 0 {
+			c.ClientTimeout <= 0 || c.LatencyTarget < 0 || c.TargetPerWork < 0 || c.Value < 0 {
 			return bad(fmt.Sprintf("Classes[%d]", i))
 		}
 	}
--- a/internal/dispatcher/policy/slowstart_test.go
+++ b/internal/dispatcher/policy/slowstart_test.go
@@ -69,8 +69,8 @@
 	s.Limits.ConcurrentAttempts, s.Limits.Probes, s.Rules = false, c.report, c.rules
 	s.Classes = nil
 	for _, name := range []string{"hold", "ticket", "jam"} {
-		s.Classes = append(s.Classes, policy.Class{Name: name, Effect: policy.Idempotent, Aim: c.aim,
-			Stretch: 2, GiveUp: time.Minute, Worth: 1, Kind: -1})
+		s.Classes = append(s.Classes, policy.Class{Name: name, Effect: policy.Idempotent, LatencyTarget: c.aim,
+			TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1})
 	}
 	return s
 }
--- a/internal/dispatcher/settings/golden_test.go
+++ b/internal/dispatcher/settings/golden_test.go
@@ -70,9 +70,9 @@
 			AnswerGrace: 21, MembershipMaxAge: 22, ColdCapacity: 0.3, WarmupTime: 23, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 24, RejectedMayHaveRun: true, OnlyDrainBinds: true,
 		},
 		Classes: []policy.Class{
-			{Name: "read", Effect: policy.Idempotent, Group: policy.DedupAll, Aim: 31, GiveUp: 32, Worth: 1.5, Stretch: 5, Kind: 1},
-			{Name: "hold", Effect: policy.Deduplicated, Group: policy.DedupZone, Window: 33, Aim: 34, GiveUp: 35, Worth: 2, Stretch: 3, Kind: -1},
-			{Name: "ticket", Effect: policy.AtMostOnce, Group: policy.DedupCell, Aim: 36, GiveUp: 37, Worth: 3, Stretch: 4, Kind: 0},
+			{Name: "read", Effect: policy.Idempotent, DedupScope: policy.DedupAll, LatencyTarget: 31, ClientTimeout: 32, Value: 1.5, TargetPerWork: 5, Kind: 1},
+			{Name: "hold", Effect: policy.Deduplicated, DedupScope: policy.DedupZone, DedupWindow: 33, LatencyTarget: 34, ClientTimeout: 35, Value: 2, TargetPerWork: 3, Kind: -1},
+			{Name: "ticket", Effect: policy.AtMostOnce, DedupScope: policy.DedupCell, LatencyTarget: 36, ClientTimeout: 37, Value: 3, TargetPerWork: 4, Kind: 0},
 		},
 	}
 }
@@ -172,7 +172,7 @@
 			{Name: "c", Rate: 1, Work: ms, Shape: "exp", Arrivals: Arrivals{Kind: "poisson"}},
 		},
 		Faults:   []ExperimentFault{{Kind: "slow", At: 34 * time.Second, For: 35 * ms, Part: 0.7, Size: 0.8}},
-		Settings: policy.Settings{Instances: 2, Classes: []policy.Class{{Name: "c", Effect: policy.Idempotent, Group: policy.DedupCell, Kind: -1}}},
+		Settings: policy.Settings{Instances: 2, Classes: []policy.Class{{Name: "c", Effect: policy.Idempotent, DedupScope: policy.DedupCell, Kind: -1}}},
 	}, x)
 	require.Equal(t, Report{Kind: "experiment"}, Check(text))
 	require.Equal(t, []string{"fixed", "exp", "pareto", "lognormal"}, Shapes)
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -120,7 +120,7 @@
 			c.Kind = kinds[i].GetInt()
 		}
 		if !lane.Exists("aim_stretch") && i < len(stretches) {
-			c.Stretch = stretches[i].GetFloat64()
+			c.TargetPerWork = stretches[i].GetFloat64()
 		}
 		classes = append(classes, c)
 	}
@@ -131,8 +131,8 @@
 func class(lane *fastjson.Value, i int) (policy.Class, Problems) {
 	r := &reader{at: lane, in: fmt.Sprintf("lanes[%d].", i)}
 	c := policy.Class{
-		Name: r.text("name"), Window: r.span("repeat_window"), Aim: r.span("promise"),
-		Stretch: r.number("aim_stretch"), GiveUp: r.span("give_up"), Worth: r.number("worth"), Kind: -1,
+		Name: r.text("name"), DedupWindow: r.span("repeat_window"), LatencyTarget: r.span("promise"),
+		TargetPerWork: r.number("aim_stretch"), ClientTimeout: r.span("give_up"), Value: r.number("worth"), Kind: -1,
 	}
 	if c.Name == "" {
 		r.fail("name", errors.New("missing"))
@@ -149,11 +149,11 @@
 	}
 	switch scope := r.text("key_scope"); scope {
 	case "all":
-		c.Group = policy.DedupAll
+		c.DedupScope = policy.DedupAll
 	case "zone":
-		c.Group = policy.DedupZone
+		c.DedupScope = policy.DedupZone
 	case "cell", "": // without a scope a key is taken to be known nowhere else
-		c.Group = policy.DedupCell
+		c.DedupScope = policy.DedupCell
 	default:
 		r.fail("key_scope", fmt.Errorf("unknown scope %q", scope))
 	}
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -103,8 +103,8 @@
 	}
 	s, err := Parse([]byte(lane(`,"effect":"deduplicated"`)))
 	require.NoError(t, err)
-	require.Equal(t, policy.DedupCell, s.Classes[0].Group)
-	require.Zero(t, s.Classes[0].Window)
+	require.Equal(t, policy.DedupCell, s.Classes[0].DedupScope)
+	require.Zero(t, s.Classes[0].DedupWindow)
 	require.False(t, s.Limits.ConcurrentAttempts)
 
 	// A member whose cell nobody tells shares it with no other.
--- a/internal/dispatcher/simprotocol/golden_test.go
+++ b/internal/dispatcher/simprotocol/golden_test.go
@@ -101,7 +101,7 @@
 	require.Equal(t, "s/0", configured.Instance)
 	require.Equal(t, policy.Settings{
 		Seed: 18446744073709551609, Instances: 3, Rank: 1, Zone: "a", Kinds: []string{"k"}, PullsMembership: true,
-		Classes: []policy.Class{{Name: "c", Effect: policy.Idempotent, Group: policy.DedupCell, Aim: 400 * time.Millisecond, GiveUp: 5 * time.Second, Worth: 1, Kind: -1}},
+		Classes: []policy.Class{{Name: "c", Effect: policy.Idempotent, DedupScope: policy.DedupCell, LatencyTarget: 400 * time.Millisecond, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
 	}, configured.Settings)
 	members := []policy.Member{
 		{Worker: 5, Kind: "k", Cell: 4, Zone: "a", State: policy.Ready, StartedAt: 77, Weight: 1.5},
