--- a/internal/cluster/simworld/faults_test.go
+++ b/internal/cluster/simworld/faults_test.go
@@ -146,9 +146,9 @@
 		}
 		return
 	}
-	life := l.node.incarnation
+	incarnation := l.node.incarnation
 	f.w.schedule(6*time.Second, func() { // the platform's kill
-		if l.node.up && l.node.incarnation == life {
+		if l.node.up && l.node.incarnation == incarnation {
 			l.node.kill(false)
 			l.node.boot()
 			f.restored(l)
@@ -156,7 +156,7 @@
 	})
 	l.node.terminate(func() {
 		f.w.schedule(f.w.randomBetween(50*time.Millisecond, time.Second), func() {
-			if l.node.incarnation == life {
+			if l.node.incarnation == incarnation {
 				l.node.boot()
 				f.restored(l)
 			}
