--- a/internal/dispatcher/demo/fleetplans.go
+++ b/internal/dispatcher/demo/fleetplans.go
@@ -15,12 +15,9 @@
 const (
 	bookingInterval = 500 * time.Millisecond // between two plans that are begun
 	seatsPerPlan    = 42
-	// planDeadline is the plan's own, its "within" in the file of plans: it has its final
-	// answer by then, whatever happens.
-	planDeadline = 10 * time.Minute
-	// maxBegin bounds the wait for a process that begins a plan: on a machine that is short
-	// of processor time the Raft nodes may need long to elect a leader.
-	maxBegin = 2 * time.Minute
+	// maxStandstill bounds a wait on the fleet's clock by this machine's: the fleet's stands
+	// still while its Raft nodes have no leader.
+	maxStandstill = 10 * time.Minute
 )
 
 // outcomeUnderWay is a run's outcome before its final answer.
@@ -99,30 +96,63 @@
 	return slices.Concat(f.nodes[i:], f.nodes[:i])
 }
 
+// fleetTimer measures a wait by the fleet's clock, by which the fleet itself keeps its
+// deadlines. On a machine that is short of processor time the Raft nodes may have no leader
+// for minutes: nothing of the fleet moves then, and its clock stands still.
+type fleetTimer struct {
+	fleet *fleet
+	start time.Duration // on the fleet's clock
+	began time.Time
+}
+
+func (f *fleet) startTimer() fleetTimer { return fleetTimer{f, f.time(), time.Now()} }
+
+// expired reports whether the wait has taken maxWait.
+func (t fleetTimer) expired() bool {
+	return t.fleet.time()-t.start > maxWait || time.Since(t.began) > maxStandstill
+}
+
+// time is the fleet's clock, as the process that has the latest state knows it.
+func (f *fleet) time() (latest time.Duration) {
+	for _, n := range f.nodes {
+		var status struct {
+			Raft struct {
+				AtMS int64 `json:"at_ms"`
+			} `json:"keeper"`
+		}
+		if getJSON(n.admin, "/fleet", &status) == nil {
+			latest = max(latest, time.Duration(status.Raft.AtMS)*time.Millisecond)
+		}
+	}
+	return latest
+}
+
 // waitOutcome waits for the final answer of a plan, in one word. A plan that no process
 // has acknowledged is begun again.
 func (f *fleet) waitOutcome(b *booking) (string, error) {
 	if err := f.ensureBegun(b); err != nil {
 		return "", err
 	}
-	for deadline := time.Now().Add(planDeadline); time.Now().Before(deadline); time.Sleep(pollInterval) {
+	for timer := f.startTimer(); ; time.Sleep(pollInterval) {
 		if outcome := f.outcome(b); outcome != "" {
 			return outcome, nil
 		}
+		if timer.expired() {
+			return "", fmt.Errorf("plan %s has no answer", b.run)
+		}
 	}
-	return "", fmt.Errorf("plan %s has no answer", b.run)
 }
 
 // ensureBegun begins a plan until a process has acknowledged it.
 func (f *fleet) ensureBegun(b *booking) (err error) {
 	nodes := f.nodesFrom(b.node)
-	deadline := time.Now().Add(maxBegin)
+	timer := f.startTimer()
 	for i := 0; !b.begun; i++ {
 		if err = f.beginPlan(nodes[i%len(nodes)], b.run); err == nil {
 			b.begun = true
 			return nil
 		}
-		if time.Now().After(deadline) {
+		if timer.expired() {
 			return fmt.Errorf("plan %s could not be begun: %w", b.run, err)
 		}
 		time.Sleep(pollInterval)
