--- a/internal/cluster/dataplane/clients.go
+++ b/internal/cluster/dataplane/clients.go
@@ -15,11 +15,11 @@
 
 // clientHandler serves the requests of clients.
 type clientHandler struct {
-	watcher *configWatcher
-	clock   func() time.Duration
-	leaving func() bool
-	pause   func(time.Duration)
-	waiting atomic.Int32 // requests that wait for a configuration
+	watcher  *configWatcher
+	clock    func() time.Duration
+	draining func() bool
+	pause    func(time.Duration)
+	waiting  atomic.Int32 // requests that wait for a configuration
 }
 
 const (
@@ -42,7 +42,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *clientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if h.leaving() {
+	if h.draining() {
 		w.Header().Set("Connection", "close")
 	}
 	arrived := h.clock()
@@ -72,7 +72,7 @@
 // client that was rejected stays away. Only maxWaiting requests wait, and none of a client that
 // has gone.
 func (h *clientHandler) awaitView(r *http.Request, deadline time.Duration) (*router.View, bool) {
-	if view, valid := h.watcher.current(); valid || h.leaving() {
+	if view, valid := h.watcher.current(); valid || h.draining() {
 		return view, valid
 	}
 	defer h.waiting.Add(-1)
@@ -206,7 +206,7 @@
 		call.NoResponse()
 		h.watcher.LeaderUnresponsive(shard, address, sentAt, h.clock())
 		return response, router.Retry
-	case response.Status == 0: // not the shard's leader
+	case response.Status == protocol.StatusNotLeader:
 		h.watcher.UpdateLeader(shard, address, response.Owner)
 		return response, router.Retry
 	}
--- a/internal/cluster/dataplane/clients_test.go
+++ b/internal/cluster/dataplane/clients_test.go
@@ -25,7 +25,7 @@
 	f := &fixture{now: time.Hour, onPause: func() {}}
 	clock := func() time.Duration { return f.now }
 	watcher := &configWatcher{Watcher: router.NewWatcher("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler)), clock: clock}
-	f.clientHandler = &clientHandler{watcher: watcher, clock: clock, leaving: func() bool { return false }, pause: func(span time.Duration) {
+	f.clientHandler = &clientHandler{watcher: watcher, clock: clock, draining: func() bool { return false }, pause: func(span time.Duration) {
 		f.now += span
 		f.onPause()
 	}}
@@ -88,7 +88,7 @@
 	require.Equal(t, arrived, f.now, "answered at once")
 	require.EqualValues(t, maxWaiting, f.waiting.Load())
 	f.waiting.Store(0)
-	f.leaving = func() bool { return true }
+	f.draining = func() bool { return true }
 	require.Equal(t, http.StatusServiceUnavailable, f.status(stateRequest(t.Context())))
 	require.Equal(t, arrived, f.now, "in a process that stops no request waits")
 }
--- a/internal/cluster/dataplane/dispatcher.go
+++ b/internal/cluster/dataplane/dispatcher.go
@@ -19,7 +19,7 @@
 	log      *slog.Logger
 	started  time.Time
 	watcher  *configWatcher
-	leaving  atomic.Bool // it has been told to stop
+	draining atomic.Bool // it has been told to stop
 }
 
 // New returns a dispatcher that does not serve yet.
@@ -50,8 +50,8 @@
 	exitMargin = 400 * time.Millisecond
 	// platformDelay is how long the platform may go on sending new connections.
 	platformDelay = time.Second
-	// minLeaving is how long new connections are served at least, on a grace of twice that.
-	minLeaving = 2500 * time.Millisecond
+	// minDrainTime is how long new connections are served at least, on a grace of twice that.
+	minDrainTime = 2500 * time.Millisecond
 )
 
 // Run serves until the context ends. Then it goes on serving until the platform sends no new
@@ -59,7 +59,7 @@
 // it can't listen or where requests are left when the grace is over.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	front := &http.Server{
-		Addr: d.settings.Listen.HTTP, Handler: &clientHandler{watcher: d.watcher, clock: d.now, leaving: d.leaving.Load, pause: time.Sleep},
+		Addr: d.settings.Listen.HTTP, Handler: &clientHandler{watcher: d.watcher, clock: d.now, draining: d.draining.Load, pause: time.Sleep},
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	ready := &http.Server{Addr: d.settings.Listen.Readiness, Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -77,16 +77,16 @@
 	case err := <-failed:
 		return errors.Wrap(err, "serve: check the addresses under listen")
 	case <-ctx.Done():
-		return d.leave(front)
+		return d.drain(front)
 	}
 }
 
-// leave stops the server of clients in order, within the grace that the platform gives.
-func (d *Dispatcher) leave(front *http.Server) error {
+// drain stops the server of clients in order, within the grace that the platform gives.
+func (d *Dispatcher) drain(front *http.Server) error {
 	grace := d.settings.Bounds.Grace()
-	d.leaving.Store(true)
+	d.draining.Store(true)
 	d.log.Info("stopping", "grace", grace)
-	time.Sleep(max(grace-drainMargin-platformDelay, min(minLeaving, grace/2)))
+	time.Sleep(max(grace-drainMargin-platformDelay, min(minDrainTime, grace/2)))
 	ctx, cancel := context.WithTimeout(context.Background(), max(drainMargin-exitMargin, exitMargin))
 	defer cancel()
 	return errors.Wrap(front.Shutdown(ctx), "finish what was under way")
@@ -95,7 +95,7 @@
 // serveReady tells the platform whether this process can serve: it has a configuration that it
 // may act on, and has not been told to stop.
 func (d *Dispatcher) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if _, valid := d.watcher.current(); !valid || d.leaving.Load() {
+	if _, valid := d.watcher.current(); !valid || d.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/cluster/dataplane/golden_test.go
+++ b/internal/cluster/dataplane/golden_test.go
@@ -128,7 +128,7 @@
 		fmt.Fprintf(&text, "== %s: %s %s\n%s", e.name, e.method, e.path, answerText(t, recorded))
 	}
 	f, _ := newGoldenFixture(t, protocol.JobResponse{Status: 200})
-	f.leaving = func() bool { return true }
+	f.draining = func() bool { return true }
 	recorded := httptest.NewRecorder()
 	f.ServeHTTP(recorded, clientRequest(t.Context(), http.MethodPost, id, "{}"))
 	fmt.Fprintf(&text, "== a process that leaves\n%s", answerText(t, recorded))
@@ -190,7 +190,7 @@
 	code, body := ask()
 	require.Equal(t, http.StatusOK, code)
 	require.Empty(t, body)
-	dispatcher.leaving.Store(true)
+	dispatcher.draining.Store(true)
 	code, body = ask()
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	require.Empty(t, body)
--- a/internal/cluster/leader/cycle.go
+++ b/internal/cluster/leader/cycle.go
@@ -43,7 +43,7 @@
 	if len(output.Commands)+len(clients) > 0 {
 		s.proposeBatch(current, output, clients)
 	}
-	return Orders{Scheduler: current, List: output.Orders, CyclePending: output.Again}
+	return Orders{Scheduler: current, List: output.Orders, CyclePending: output.CyclePending}
 }
 
 // runScheduler runs the scheduler once. It returns its output with the clients' commands that wait, and
--- a/internal/cluster/router/call.go
+++ b/internal/cluster/router/call.go
@@ -115,7 +115,7 @@
 // client's where the progress is Finished.
 func (c *Call) HandleResponse(response protocol.JobResponse) (protocol.JobResponse, Progress) {
 	switch {
-	case response.Status == 0: // not the shard's leader
+	case response.Status == protocol.StatusNotLeader:
 		return response, Retry
 	case response.Unknown:
 		c.NoResponse()
--- a/internal/cluster/router/unresponsive.go
+++ b/internal/cluster/router/unresponsive.go
@@ -8,16 +8,16 @@
 type unresponsiveNodes map[string]time.Duration
 
 const (
-	// unresponsiveAfter is how long a request must have waited for its failure to count. One that
+	// minUnresponsiveWait is how long a request must have waited for its failure to count. One that
 	// fails sooner has met a closed port, and another request there costs nothing.
-	unresponsiveAfter = 150 * time.Millisecond
-	// avoidFor is how long an unresponsive node is avoided: an election takes less.
-	avoidFor = 700 * time.Millisecond
+	minUnresponsiveWait = 150 * time.Millisecond
+	// avoidanceDuration is how long an unresponsive node is avoided: an election takes less.
+	avoidanceDuration = 700 * time.Millisecond
 )
 
 // recordFailure records that a request, sent at the given time, has failed.
 func (u unresponsiveNodes) recordFailure(address string, sentAt, now time.Duration) {
-	if now-sentAt >= unresponsiveAfter {
+	if now-sentAt >= minUnresponsiveWait {
 		u[address] = now
 	}
 }
@@ -28,7 +28,7 @@
 // avoided tells whether a node was unresponsive a short while ago.
 func (u unresponsiveNodes) avoided(address string, now time.Duration) bool {
 	last, recorded := u[address]
-	return recorded && now-last < avoidFor
+	return recorded && now-last < avoidanceDuration
 }
 
 // next returns the next address in turn, skipping those to be avoided unless all are. It
--- a/internal/cluster/scheduler/aging.go
+++ b/internal/cluster/scheduler/aging.go
@@ -43,12 +43,12 @@
 	return ready
 }
 
-// reservableFraction: in one cycle at most one runner in so many is reserved for aged work, so that
+// candidatesPerReservation: in one cycle at most one runner in so many is reserved for aged work, so that
 // work that needs much does not empty the fleet.
-const reservableFraction = 8
+const candidatesPerReservation = 8
 
 // maxReservations returns how many runners may be reserved in this cycle.
-func (c *cycle) maxReservations() int { return len(c.candidates) / reservableFraction }
+func (c *cycle) maxReservations() int { return len(c.candidates) / candidatesPerReservation }
 
 // reserveForAged reserves, for the rest of the cycle, the suitable runner with the most free
 // capacity, which is too little as yet, for work that has aged.
--- a/internal/cluster/scheduler/aging_test.go
+++ b/internal/cluster/scheduler/aging_test.go
@@ -41,5 +41,5 @@
 	reserveForAged(request, candidates)
 	require.True(t, candidates[1].Reserved, "and the next one")
 	require.False(t, candidates[3].Reserved)
-	require.Equal(t, 2, (&cycle{candidates: make([]placement.Candidate, 2*reservableFraction+1)}).maxReservations())
+	require.Equal(t, 2, (&cycle{candidates: make([]placement.Candidate, 2*candidatesPerReservation+1)}).maxReservations())
 }
--- a/internal/cluster/scheduler/learning.go
+++ b/internal/cluster/scheduler/learning.go
@@ -12,9 +12,9 @@
 	// maxSlowdown the most that one run counts in it.
 	slowdownWindow = 8
 	maxSlowdown    = 8.0
-	// overloadRatio: a run so many times longer than expected, at a runner that is slower than
+	// overloadedRunRatio: a run so many times longer than expected, at a runner that is slower than
 	// normalSlowdown, shows that the runner has too much to do.
-	overloadRatio = 2.0
+	overloadedRunRatio = 2.0
 	// normalSlowdown: runs at a slower runner say nothing of their step's run time.
 	normalSlowdown = 1.6
 )
@@ -77,7 +77,7 @@
 		runner.suspicion.runInTime(now)
 	}
 	slowdown := runner.speed.recentSlowdown()
-	if ratio > overloadRatio && slowdown > normalSlowdown {
+	if ratio > overloadedRunRatio && slowdown > normalSlowdown {
 		runner.load.budget.Shrink(r.orderedAt, now, l.meanCost(runner.service))
 	} else {
 		runner.load.budget.Grow(r.cost, runner.maxBudget())
--- a/internal/cluster/scheduler/lease.go
+++ b/internal/cluster/scheduler/lease.go
@@ -22,8 +22,8 @@
 	// minPollWaitMs where many renewals get no reply.
 	maxPollWaitMs = 700
 	minPollWaitMs = 150
-	// lossWeight: the wait is halved where one renewal in so many gets no reply.
-	lossWeight = 100
+	// lossRateWeight: the wait is halved where one renewal in so many gets no reply.
+	lossRateWeight = 100
 	// lossWindow is the window, in renewals, of the average of those that get no reply.
 	lossWindow = 150
 	// startDeadlineMarginMs: so much after the deadline of an order that has no reply the runner
@@ -84,7 +84,7 @@
 // less where replies get lost, and no longer than until the deadline of an order to start that has
 // no reply is past.
 func (m *leaseManager) pollWaitMs(now time.Duration, runner *runnerSession) int64 {
-	wait := max(minPollWaitMs, int64(maxPollWaitMs/(1+lossWeight*m.lossRate.Value)))
+	wait := max(minPollWaitMs, int64(maxPollWaitMs/(1+lossRateWeight*m.lossRate.Value)))
 	for _, r := range runner.load.runs {
 		if r.startOverdue(now) {
 			wait = min(wait, max(0, r.orderDeadlineMs+startDeadlineMarginMs-runner.contact.clockAt(now)))
--- a/internal/cluster/scheduler/lease_test.go
+++ b/internal/cluster/scheduler/lease_test.go
@@ -81,14 +81,14 @@
 // TestOverdueStartIsPolledFor: the runner reports once its order can't be carried out any more.
 func TestOverdueStartIsPolledFor(t *testing.T) {
 	manager, runner := newLeaseManager(), contactedRunner()
-	r := &run{phase: phaseOrdered, orderedAt: testNow, orderDeadlineMs: runnerClockMs + startWithinMs}
+	r := &run{phase: phaseOrdered, orderedAt: testNow, orderDeadlineMs: runnerClockMs + startDeadlineMs}
 	runner.load.add(r)
 	_, due := manager.renewIfDue(testNow, runner)
 	require.True(t, due)
-	manager.pollForOverdueStarts(testNow+startWithinMs*time.Millisecond, runner)
+	manager.pollForOverdueStarts(testNow+startDeadlineMs*time.Millisecond, runner)
 	require.True(t, runner.lease.pending, "it may still arrive")
 
-	now := testNow + (startWithinMs+1)*time.Millisecond
+	now := testNow + (startDeadlineMs+1)*time.Millisecond
 	manager.pollForOverdueStarts(now, runner)
 	require.False(t, runner.lease.pending)
 	order, due := manager.renewIfDue(now, runner)
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -48,10 +48,10 @@
 
 // Output is what the scheduler wants done.
 type Output struct {
-	Commands []job.Command // to be committed together, in order; then Committed(Batch)
-	Batch    uint64        // number of the batch; without commands it has no meaning
-	Orders   []Order       // to be sent at once, each one once
-	Again    bool          // a scheduling cycle is pending: call again within a few milliseconds
+	Commands     []job.Command // to be committed together, in order; then Committed(Batch)
+	Batch        uint64        // number of the batch; without commands it has no meaning
+	Orders       []Order       // to be sent at once, each one once
+	CyclePending bool          // a scheduling cycle is pending: call again within a few milliseconds
 }
 
 // Scheduler schedules the jobs of one shard in one epoch of its leadership. Its methods must not
@@ -267,7 +267,7 @@
 		s.runCycle()
 	}
 	out := s.outbox.take(includeCommands)
-	out.Again = s.cycle.needed
+	out.CyclePending = s.cycle.needed
 	return out
 }
 
--- a/internal/cluster/scheduler/starts.go
+++ b/internal/cluster/scheduler/starts.go
@@ -7,9 +7,9 @@
 	"basaltloft/internal/cluster/lateness"
 )
 
-// startWithinMs is how long an order to start may take to arrive, in milliseconds of the runner's
+// startDeadlineMs is how long an order to start may take to arrive, in milliseconds of the runner's
 // clock; later it is not carried out.
-const startWithinMs = 250
+const startDeadlineMs = 250
 
 // startCommitted sends the order whose command was committed, or gives its reservation back.
 func (s *Scheduler) startCommitted(c job.Command, outcome job.Outcome) {
@@ -48,7 +48,7 @@
 		r.restoreTime = s.config.RestoreTime
 	}
 	r.orderedAt, runner.nextRunCheck = s.now, s.now
-	r.orderDeadlineMs = runner.contact.clockAt(s.now) + startWithinMs
+	r.orderDeadlineMs = runner.contact.clockAt(s.now) + startDeadlineMs
 	runner.granted(r.orderDeadlineMs)
 	s.outbox.send(Order{
 		Kind: OrderStart, Runner: runner.id, Address: runner.address, Task: r.task, Attempt: r.attempt,
--- a/internal/cluster/simworld/dispatcher_test.go
+++ b/internal/cluster/simworld/dispatcher_test.go
@@ -117,7 +117,7 @@
 				call.NoResponse()
 			}
 			d.watcher.LeaderUnresponsive(shard, target, now, d.readClock())
-		case got.Status == 0:
+		case got.Status == protocol.StatusNotLeader:
 			d.watcher.UpdateLeader(shard, target, got.Owner)
 		default:
 			got, progress = call.HandleResponse(got)
--- a/internal/cluster/simworld/noderequests_test.go
+++ b/internal/cluster/simworld/noderequests_test.go
@@ -88,7 +88,7 @@
 	}
 	c.handleOperator(request, func(got protocol.OperatorResponse) {
 		if got.Status != 0 || got.Leader == "" || got.Leader == c.name {
-			if got.Status == 0 {
+			if got.Status == protocol.StatusNotLeader {
 				got.Status = http.StatusServiceUnavailable
 			}
 			reply(got)
@@ -99,7 +99,7 @@
 			switch {
 			case !ok:
 				forwarded.Status = http.StatusGatewayTimeout
-			case forwarded.Status == 0:
+			case forwarded.Status == protocol.StatusNotLeader:
 				forwarded.Status = http.StatusServiceUnavailable
 			}
 			reply(forwarded)
