--- a/internal/dispatcher/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"net/http"
+	"net/http/httptrace"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -29,47 +30,122 @@
 func (tells) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time) {
 }
 
-// TestGoneIsNotSent: the client goes at one moment on the way to the first byte, or
-// the flow is called off then; a connection that comes up all the same hears nothing,
-// and the attempt is known never to have run.
+// testTimeout is how long a test waits for what must come.
+const testTimeout = 20 * time.Second
+
+// gatedFlow is a flow to a member whose connection comes up when the test says so, whoever has given up
+// the dial meanwhile.
+type gatedFlow struct {
+	*engine.Flow
+	listener  net.Listener // the member's
+	client    *leaver
+	transport *Transport
+	ends      tells
+	dialing   chan bool // receives once the dial is under way
+	connect   chan bool // closed: the connection comes up
+}
+
+func newGatedFlow(t *testing.T) *gatedFlow {
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = l.Close() })
+	g := &gatedFlow{
+		listener: l, client: &leaver{}, ends: make(tells, 1), dialing: make(chan bool, 1), connect: make(chan bool),
+	}
+	g.Flow = &engine.Flow{
+		Transaction: &engine.Transaction{ID: "t-1", Class: "group-ticket", Body: []byte("body"), Client: g.client},
+		Member:      &engine.Member{Addr: l.Addr().String()}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
+	}
+	g.transport = New(g.ends, Options{ConnectTimeout: time.Minute, MaxSubmissions: 1})
+	wire := g.transport.roundTripper.(*http.Transport)
+	dial := wire.DialContext
+	wire.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
+		g.dialing <- true
+		<-g.connect
+		return dial(context.Background(), network, addr)
+	}
+	return g
+}
+
+// onConnected runs a function as the request gets its connection, just before the transport learns of it.
+func (g *gatedFlow) onConnected(run func()) {
+	g.transport.roundTripper = &tracedRoundTripper{
+		RoundTripper: g.transport.roundTripper,
+		trace:        &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { run() }},
+	}
+}
+
+// requireEnd waits for the flow's end.
+func (g *gatedFlow) requireEnd(t *testing.T, want policy.Status) {
+	t.Helper()
+	select {
+	case got := <-g.ends:
+		require.Equal(t, want, got)
+	case <-time.After(testTimeout):
+		require.Fail(t, "the flow does not end")
+	}
+}
+
+// requireNothingWritten accepts the connection, and reads it to its end.
+func (g *gatedFlow) requireNothingWritten(t *testing.T) {
+	t.Helper()
+	member, err := g.listener.Accept()
+	require.NoError(t, err)
+	defer func() { _ = member.Close() }()
+	require.NoError(t, member.SetDeadline(time.Now().Add(testTimeout)))
+	got, err := io.ReadAll(member)
+	require.NoError(t, err)
+	require.Empty(t, string(got))
+}
+
+// tracedRoundTripper calls a trace's hooks before those of each request.
+type tracedRoundTripper struct {
+	http.RoundTripper
+	trace *httptrace.ClientTrace
+}
+
+func (r *tracedRoundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
+	return r.RoundTripper.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), r.trace)))
+}
+
+// TestGoneIsNotSent: the client goes on the way to the first byte, or the flow is called off then; a
+// connection that comes up all the same hears nothing, and the attempt is known never to have run. How
+// that is told hangs on which comes first: a flow that is called off before it has its connection ends as
+// ConnectFailed, one that has it as NotSent. Each case forces one order.
 func TestGoneIsNotSent(t *testing.T) {
-	for name, c := range map[string]struct {
-		goes func(client *leaver, carrier *Transport, f *engine.Flow)
-		want policy.Status
-	}{
-		"the client goes while a dial is under way": {func(client *leaver, _ *Transport, _ *engine.Flow) { client.gone.Store(true) }, policy.NotSent},
-		"called off while a dial is under way":      {func(_ *leaver, carrier *Transport, f *engine.Flow) { carrier.Abandon(f) }, policy.ConnectFailed},
-		"asked back while a dial is under way":      {func(_ *leaver, carrier *Transport, f *engine.Flow) { carrier.Recall(f) }, policy.ConnectFailed},
+	t.Run("the client goes while a dial is under way", func(t *testing.T) {
+		g := newGatedFlow(t)
+		g.transport.Start(g.Flow)
+		<-g.dialing
+		g.client.gone.Store(true)
+		close(g.connect)
+		g.requireNothingWritten(t)
+		g.requireEnd(t, policy.NotSent)
+	})
+	for name, callOff := range map[string]func(*Transport, *engine.Flow){
+		"called off": (*Transport).Abandon,
+		"asked back": (*Transport).Recall,
 	} {
-		t.Run(name, func(t *testing.T) {
-			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-			require.NoError(t, err)
-			defer func() { _ = l.Close() }()
-			ends, client := make(tells, 1), &leaver{}
-			carrier := New(ends, Options{ConnectTimeout: time.Minute, MaxSubmissions: 1})
-			wire := carrier.roundTripper.(*http.Transport)
-			dial, dials, up := wire.DialContext, make(chan bool), make(chan bool)
-			wire.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
-				dials <- true
-				<-up // whoever has given it up meanwhile
-				return dial(context.Background(), network, addr)
-			}
-			f := &engine.Flow{
-				Transaction: &engine.Transaction{ID: "t-1", Class: "group-ticket", Body: []byte("body"), Client: client},
-				Member:      &engine.Member{Addr: l.Addr().String()}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
-			}
-			carrier.Start(f)
-			<-dials
-			c.goes(client, carrier, f)
-			close(up)
-			member, err := l.Accept()
-			require.NoError(t, err)
-			defer func() { _ = member.Close() }()
-			require.NoError(t, member.SetDeadline(time.Now().Add(20*time.Second)))
-			got, err := io.ReadAll(member)
-			require.NoError(t, err)
-			require.Empty(t, string(got))
-			require.Equal(t, c.want, <-ends)
+		t.Run(name+" while a dial is under way", func(t *testing.T) {
+			g := newGatedFlow(t)
+			g.transport.Start(g.Flow)
+			<-g.dialing
+			callOff(g.transport, g.Flow)
+			g.requireEnd(t, policy.ConnectFailed) // though the dial goes on
+			close(g.connect)
+			g.requireNothingWritten(t)
+		})
+		t.Run(name+" as the connection comes up", func(t *testing.T) {
+			g := newGatedFlow(t)
+			g.onConnected(func() {
+				// http.Transport may notice the end of the context late: closing the connection must do.
+				g.TransportState.(*submission).cancel = func() {}
+				callOff(g.transport, g.Flow)
+			})
+			g.transport.Start(g.Flow)
+			close(g.connect)
+			g.requireNothingWritten(t)
+			g.requireEnd(t, policy.NotSent)
 		})
 	}
 }
