--- a/coord/group/leadership.go
+++ b/coord/group/leadership.go
@@ -20,7 +20,7 @@
 	}
 	if e.isLeader && !isLeader {
 		e.isLeader = false
-		e.logger.Info("lost leadership", "term", e.node.Term())
+		e.logger.Info("lost leadership", "epoch", e.node.Term())
 		e.stateMachine.LostLeadership()
 	}
 	if !isLeader {
