--- a/internal/tools/doccheck/doccheck_test.go
+++ b/internal/tools/doccheck/doccheck_test.go
@@ -74,27 +74,40 @@
 	return false
 }
 
+// source is what the pages are checked against.
+type source struct {
+	packages map[string]string // text by the package's name
+	all      string            // text of all packages
+}
+
+// missing says what of a quoted name is not there; empty: nothing, or it is no name of the source.
+func (s *source) missing(name string) string {
+	if path := sourcePath.FindStringSubmatch(name); path != nil && !exists(path[1]) {
+		return "no such file or folder: " + name
+	}
+	if test := testName.FindStringSubmatch(name); test != nil && !strings.Contains(s.all, "func "+test[1]+"(") && !former[test[1]] {
+		return "no such test: " + name
+	}
+	parts := identifier.FindStringSubmatch(name)
+	if parts == nil || s.packages[parts[1]] == "" {
+		return ""
+	}
+	if !regexp.MustCompile(`\b` + parts[2] + `\b`).MatchString(s.packages[parts[1]]) {
+		return "no such identifier: " + name
+	}
+	return ""
+}
+
 func TestPagesNameWhatExists(t *testing.T) {
-	packages := sources(t)
-	tests := strings.Join(slices.Collect(maps.Values(packages)), "\n")
+	checked := source{packages: sources(t)}
+	checked.all = strings.Join(slices.Collect(maps.Values(checked.packages)), "\n")
 	for _, page := range pages(t) {
 		t.Run(filepath.Base(page), func(t *testing.T) {
 			content, err := os.ReadFile(page)
 			require.NoError(t, err)
 			for _, match := range quoted.FindAllStringSubmatch(string(content), -1) {
-				name := match[1]
-				if path := sourcePath.FindStringSubmatch(name); path != nil && !exists(path[1]) {
-					t.Errorf("no such file or folder: %s", name)
-				}
-				if test := testName.FindStringSubmatch(name); test != nil && !strings.Contains(tests, "func "+test[1]+"(") && !former[test[1]] {
-					t.Errorf("no such test: %s", name)
-				}
-				parts := identifier.FindStringSubmatch(name)
-				if parts == nil || packages[parts[1]] == "" || strings.HasSuffix(name, ".go") {
-					continue
-				}
-				if !regexp.MustCompile(`\b` + parts[2] + `\b`).MatchString(packages[parts[1]]) {
-					t.Errorf("no such identifier: %s", name)
+				if missing := checked.missing(match[1]); missing != "" {
+					t.Error(missing)
 				}
 			}
 			for _, match := range link.FindAllStringSubmatch(string(content), -1) {
