--- a/internal/dispatcher/fakes/discovery.go
+++ b/internal/dispatcher/fakes/discovery.go
@@ -50,7 +50,7 @@
 
 // NewDiscovery serves a list on a loopback address.
 func NewDiscovery(members ...Instance) (*Discovery, error) {
-	l, err := listenLoopback(0)
+	l, err := listenLoopback()
 	if err != nil {
 		return nil, fmt.Errorf("fake discovery: %w", err)
 	}
--- a/internal/dispatcher/fakes/freeaddr.go
+++ b/internal/dispatcher/fakes/freeaddr.go
@@ -1,34 +1,14 @@
 package fakes
 
-import (
-	"context"
-	"fmt"
-	"net"
-	"os"
-	"sync/atomic"
-)
+import "basaltloft/internal/shared/portreservation"
 
-// listenLoopback listens on a loopback port, 0 for any.
-func listenLoopback(port uint32) (net.Listener, error) {
-	return new(net.ListenConfig).Listen(context.Background(), "tcp", fmt.Sprintf("127.0.0.1:%d", port))
-}
-
-var portsTried atomic.Uint32
-
-// FreeAddr returns a loopback address that nothing listens on. Its port is below those
-// that the system assigns by itself: one of these may be taken by any connection before
-// the program that gets the address listens there.
+// FreeAddr returns a loopback address for a program to listen on. No other call returns it
+// while this process lives, in this process or in another, and nothing accepts connections
+// there before the program does.
 func FreeAddr() (string, error) {
-	const firstPort, count = 20000, 12000
-	const spread = 131 // so that processes that start together try other ports
-	for range count {
-		port := firstPort + (uint32(os.Getpid())*spread+portsTried.Add(1))%count
-		l, err := listenLoopback(port)
-		if err != nil {
-			continue // in use
-		}
-		addr := l.Addr().String()
-		return addr, l.Close()
+	reservation, err := portreservation.Reserve()
+	if err != nil {
+		return "", err
 	}
-	return "", fmt.Errorf("no free port from %d on", firstPort)
+	return reservation.Addr(), nil // kept until the process ends: the program may be restarted at its address
 }
--- a/internal/dispatcher/fakes/member.go
+++ b/internal/dispatcher/fakes/member.go
@@ -85,7 +85,7 @@
 
 // NewMember starts a member on a loopback address.
 func NewMember(s MemberSettings) (*Member, error) {
-	l, err := listenLoopback(0)
+	l, err := listenLoopback()
 	if err != nil {
 		return nil, fmt.Errorf("fake member: %w", err)
 	}
@@ -124,7 +124,7 @@
 // OpenFor opens another address of the member, for one more dispatcher, to which the jobs
 // that come there are reported. It returns the member's entry on that one's list.
 func (m *Member) OpenFor(dispatcher string, reportTo func() string) (Instance, error) {
-	l, err := listenLoopback(0)
+	l, err := listenLoopback()
 	if err != nil {
 		return Instance{}, fmt.Errorf("fake member's address for %s: %w", dispatcher, err)
 	}
--- a/internal/dispatcher/faultproxy/proxy.go
+++ b/internal/dispatcher/faultproxy/proxy.go
@@ -6,13 +6,13 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"sync"
-	"syscall"
 	"time"
+
+	"basaltloft/internal/shared/portreservation"
 )
 
 // Direction is a direction of a proxy's bytes.
@@ -48,12 +48,12 @@
 
 // Proxy forwards connections and injects faults. It is safe for concurrent use.
 type Proxy struct {
-	target, addr   string
-	seed           uint64
-	reservedSocket int // bound and never listening: it keeps the port while the proxy refuses connections
-	ctx            context.Context
-	cancel         context.CancelFunc
-	workers        sync.WaitGroup
+	target, addr string
+	seed         uint64
+	reservation  *portreservation.Reservation // of addr: it keeps the port while the proxy refuses connections
+	ctx          context.Context
+	cancel       context.CancelFunc
+	workers      sync.WaitGroup
 
 	mu         sync.Mutex
 	listener   net.Listener // nil: connections are refused
@@ -70,32 +70,18 @@
 func New(to string, seed uint64) (*Proxy, error) {
 	l := &Proxy{target: to, seed: seed, changed: make(chan struct{}), conns: make(map[*conn]struct{}), random: rand.New(rand.NewPCG(seed, 5))}
 	var err error
-	if l.reservedSocket, l.addr, err = reservePort(); err != nil {
-		return nil, fmt.Errorf("reserving a link's port: %w", err)
+	if l.reservation, err = portreservation.Reserve(); err != nil {
+		return nil, fmt.Errorf("reserving a proxy's port: %w", err)
 	}
+	l.addr = l.reservation.Addr()
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	if err := l.listen(); err != nil {
-		_ = syscall.Close(l.reservedSocket)
+		_ = l.reservation.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-// reservePort binds a loopback port without listening at it.
-func reservePort() (fd int, addr string, err error) {
-	if fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0); err != nil {
-		return 0, "", err
-	}
-	err = errors.Join(syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1),
-		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	at, nameErr := syscall.Getsockname(fd)
-	if err = errors.Join(err, nameErr); err != nil {
-		_ = syscall.Close(fd)
-		return 0, "", err
-	}
-	return fd, fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port), nil
-}
-
 // Addr returns the address to dial.
 func (p *Proxy) Addr() string { return p.addr }
 
@@ -196,7 +182,7 @@
 	_ = p.Refuse()
 	p.Reset()
 	p.workers.Wait()
-	_ = syscall.Close(p.reservedSocket)
+	_ = p.reservation.Close()
 }
 
 func (p *Proxy) updateFaults(change func(*fault), ways ...Direction) {
