--- a/coord/replica/doc.go
+++ b/coord/replica/doc.go
@@ -10,8 +10,8 @@
 // replica, Tick when time has passed (at the latest at NextTick), Propose and ChangeMembers at the
 // leader, Persisted after a sync of the disk. Each brings the current time of the driver's monotonic
 // clock, which must not run backwards and must always be above zero by more than the timing's
-// durations: zero stands for "never". After one or several inputs the driver calls Node.Ready and owes,
-// for each Ready that it takes:
+// durations: zero stands for "never". After one or several inputs the driver calls Node.Ready. For each
+// Ready that it takes it must see to the following:
 //
 //  1. Where Ready.Snapshot is set, the application's state is replaced by the snapshot's.
 //  2. Ready.CommittedEntries are applied in their order.
--- a/internal/cluster/simworld/doc.go
+++ b/internal/cluster/simworld/doc.go
@@ -1,5 +1,5 @@
-// Package simworld has tests only: it runs the control side of the cluster scheduler in
-// virtual time, in one goroutine, from one seed. What runs is what runs in service: the
+// Package simworld has tests only: it runs the control plane of the cluster scheduler in
+// virtual time, in one goroutine, from one seed. What runs is the code of production: the
 // replica groups with their logs on simulated disks, the leaders of the configuration and of the
 // shards, the dispatchers' watchers and calls, bootstrap and joining. What drives them, the
 // network, disks, clocks, operators, clients and runners are simulated.
@@ -10,6 +10,6 @@
 //
 // The same seed gives the same run; TestSeedDigests compares 200 of them with those on file.
 //
-// BASALTLOFT_SEEDS sets how many seeds TestManySeeds plays; BASALTLOFT_SEED plays one, with
-// its trace.
+// BASALTLOFT_SEEDS sets how many seeds TestManySeeds runs, BASALTLOFT_FIRST the first one;
+// BASALTLOFT_SEED runs one, with its trace. docs/control-safety.md says what is checked.
 package simworld
--- a/internal/cluster/upgradetest/doc.go
+++ b/internal/cluster/upgradetest/doc.go
@@ -1,5 +1,5 @@
 // Package upgradetest checks that a new build takes over from an old one: it starts control-plane
-// nodes and an edge of the old build on loopback and temporary disks, submits jobs and
+// nodes and a dispatcher of the old build on loopback and temporary disks, submits jobs and
 // configurations, and replaces the processes by those of the new build on the same disks.
 //
 // BASALTLOFT_OLD_BUILD and BASALTLOFT_NEW_BUILD name the folders of the two builds, each with
--- a/internal/dispatcher/faktory/doc.go
+++ b/internal/dispatcher/faktory/doc.go
@@ -6,10 +6,10 @@
 // to it.
 //
 //   - Server accepts connections; a session is one connection after its HELLO, and each
-//     command_*.go file has the handlers of one family of commands.
-//   - backlog holds the jobs that wait (package sets), the batches (package batch) and what
-//     is known of each job (task). It submits a job to the engine when a FETCH waits for its
-//     queue, and takes the engine's answer.
+//     commands_*.go file has the handlers of one family of commands.
+//   - backlog holds the jobs that wait (package sets), the batches (package batch) and the
+//     state of each job (task). It submits a job to the engine when a FETCH waits for its
+//     queue, and is told the engine's answer.
 //   - workers implements engine.Transport: it keeps a mailbox for each worker, and the
 //     reservations of the jobs that were fetched.
 //
--- a/internal/tools/doccheck/doc.go
+++ b/internal/tools/doccheck/doc.go
@@ -1,3 +1,3 @@
-// Package doccheck has tests only: the pages name files, folders, tests and identifiers of the source
-// that exist, and their links lead somewhere.
+// Package doccheck has tests only. They check that the files, folders, tests and identifiers which the
+// pages name exist in the source, and that the targets of their links exist.
 package doccheck
