--- /dev/null
+++ b/internal/dispatcher/cli/logformat_test.go
@@ -0,0 +1,149 @@
+package cli
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"basaltloft/internal/shared/goldentest"
+
+	cockroach "github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+)
+
+// levelsOfLog are the levels of log lines, from the most to the least severe.
+var levelsOfLog = []logrus.Level{
+	logrus.PanicLevel, logrus.FatalLevel, logrus.ErrorLevel, logrus.WarnLevel, logrus.InfoLevel, logrus.DebugLevel, logrus.TraceLevel,
+}
+
+// logAt writes one line at a time that the test sets: keys of the logger first, then those of the line.
+func logAt(log *logrus.Logger, at time.Time, level logrus.Level, message string, loggerKeys, keys map[string]any) {
+	log.WithTime(at).WithFields(loggerKeys).WithFields(keys).Log(level, message)
+}
+
+// count is a named number without a text of its own, and named one with a text.
+type (
+	count int
+	named int
+)
+
+func (named) String() string { return "a name" }
+
+// logLine is one line of the golden files.
+type logLine struct {
+	level            logrus.Level
+	message          string
+	loggerKeys, keys map[string]any
+}
+
+// logLines are lines of every kind that the dispatcher writes: all types of values, texts that are
+// quoted and that are not, keys that clash.
+func logLines() []logLine {
+	lines := []logLine{
+		{logrus.InfoLevel, "done", nil, map[string]any{"taken": int64(2), "served": int64(1), "refused": int64(1), "failed": int64(0), "open": int64(0)}},
+		{logrus.InfoLevel, "serving", nil, map[string]any{"name": "d1", "listen": "127.0.0.1:8080", "members": 3}},
+		{logrus.WarnLevel, "the address is taken: waiting for it", nil, map[string]any{"component": "HTTP front", "listen": "[::1]:8080"}},
+		{logrus.ErrorLevel, "the journal of figures is off: its folder can't be used", map[string]any{"folder": "/var/lib/figures"}, map[string]any{"error": errors.New("open /var/lib/figures: permission denied")}},
+		{logrus.DebugLevel, "flow ended", nil, map[string]any{"transaction": "7f00-12", "flow": uint32(2), "member": "s-0badcafe", "status": "timed out"}},
+		{logrus.TraceLevel, "sent", nil, map[string]any{"slots": 1, "kind": "small", "hint": "", "class": "place-hold"}},
+		{logrus.InfoLevel, "no keys", nil, nil},
+		{logrus.InfoLevel, "", nil, map[string]any{"message": "empty"}},
+		{logrus.InfoLevel, "one\nline \"quoted\" \\ and\ttab, é and 日本, \x00 and \xff\u2028<&>", nil, map[string]any{"text": "one\nline \"quoted\" \\ and\ttab, é and 日本, \x00 and \xff\u2028<&>"}},
+		{logrus.InfoLevel, "values", nil, map[string]any{
+			"bool": true, "bytes": []byte("ab"), "count": count(7), "duration": 1500 * time.Millisecond, "float": 0.25,
+			"float_large": 1e21, "int": -5, "list": []string{"a b", "c"}, "map": map[string]int{"b": 2, "a": 1}, "named": named(7),
+			"nil": nil, "pointer_nil": (*time.Location)(nil), "struct": struct{ A, B int }{1, 2}, "time": "clashes", "uint8": uint8(200), "uint64": uint64(1) << 63,
+			"utc": time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC), "zero": time.Duration(0),
+		}},
+		{logrus.InfoLevel, "errors", nil, map[string]any{
+			"error": fmt.Errorf("outer: %w", os.ErrNotExist), "joined": errors.Join(errors.New("a"), errors.New("b")),
+			"nil_error": error(nil), "stack": cockroach.Wrap(errors.New("inner"), "outer"),
+		}},
+		{logrus.InfoLevel, "the line's value wins", map[string]any{"part": "spool", "fleet": "n1"}, map[string]any{"part": "plans"}},
+		{logrus.InfoLevel, "clashes", map[string]any{"msg": "m"}, map[string]any{"level": "l", "time": "t", "logrus_error": "e"}},
+		{logrus.InfoLevel, "unusual keys", nil, map[string]any{"Upper": 1, "a b": 2, "ünicode": 3, "a=b": 4, "a.b": 5, "_": 6, "0": 7}},
+	}
+	for _, plain := range []string{"plain", "a-b_c.d/e@f^g+h0", "a=b", "a:b", "a,b", "50%", "é", "null", "nil", "true", "12", "-", " ", "'", "(a)", "[a]", "~"} {
+		lines = append(lines, logLine{logrus.InfoLevel, plain, nil, map[string]any{"text": plain}})
+	}
+	return lines
+}
+
+// logTimes are the times of lines: whole seconds, parts of one with and without zeros at the end, zones.
+func logTimes() []time.Time {
+	east, west := time.FixedZone("", 2*3600), time.FixedZone("west", -(9*3600+30*60))
+	return []time.Time{
+		time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC),
+		time.Date(2026, 7, 4, 12, 0, 0, 123456789, time.UTC),
+		time.Date(2026, 7, 4, 12, 0, 0, 120000000, east),
+		time.Date(2026, 7, 4, 12, 0, 0, 1, west),
+	}
+}
+
+// TestGoldenLogLines: lines of the log in both formats, as the dispatcher wrote them by logrus. People
+// and scripts read them; the files are never rewritten.
+func TestGoldenLogLines(t *testing.T) {
+	for _, format := range []string{"text", "json"} {
+		var out bytes.Buffer
+		global := &globalFlags{logFormat: format, logLevel: "trace", stderr: &out}
+		require.NoError(t, global.validate())
+		log := global.newLogger()
+		for _, line := range logLines() {
+			logAt(log, logTimes()[0], line.level, line.message, line.loggerKeys, line.keys)
+		}
+		for _, at := range logTimes() {
+			logAt(log, at, logrus.InfoLevel, "time", nil, nil)
+		}
+		for _, level := range levelsOfLog {
+			if level > logrus.FatalLevel { // the two levels above error are names for --log-level, no lines have them
+				logAt(log, logTimes()[0], level, "level", nil, nil)
+			}
+		}
+		goldentest.Equal(t, filepath.Join("testdata", "golden", "log-"+format+".txt"), out.Bytes())
+	}
+}
+
+// TestGoldenLogLevels: the names that --log-level takes, and the levels of the lines that are written
+// then, as with logrus. The file is never rewritten.
+func TestGoldenLogLevels(t *testing.T) {
+	var table strings.Builder
+	for _, name := range []string{
+		"panic", "fatal", "error", "warn", "warning", "info", "debug", "trace", "WARN", "Info", "tRACE", "ERROR+1", "INFO-4", "warn ", " warn", "err", "verbose", "0", "4", "off", "none", "notice", "critical", "",
+	} {
+		t.Setenv("ROUTER_DEBUG", "")
+		fmt.Fprintf(&table, "%q: %s\n", name, writtenLevels(name))
+	}
+	t.Setenv("ROUTER_DEBUG", "1")
+	fmt.Fprintf(&table, "\"\", with ROUTER_DEBUG: %s\n", writtenLevels(""))
+	fmt.Fprintf(&table, "\"info\", with ROUTER_DEBUG: %s\n", writtenLevels("info"))
+	goldentest.Equal(t, filepath.Join("testdata", "golden", "log-levels.txt"), []byte(table.String()))
+}
+
+// writtenLevels returns the levels whose lines are written under a name of a level, or why it is refused.
+func writtenLevels(name string) string {
+	var out bytes.Buffer
+	global := &globalFlags{logFormat: "text", logLevel: name, stderr: &out}
+	if err := global.validate(); err != nil {
+		return err.Error()
+	}
+	log := global.newLogger()
+	for _, level := range levelsOfLog {
+		if level > logrus.FatalLevel {
+			logAt(log, logTimes()[0], level, "level", nil, nil)
+		}
+	}
+	var written []string
+	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
+		if _, rest, found := strings.Cut(line, "level="); found {
+			level, _, _ := strings.Cut(rest, " ")
+			written = append(written, level)
+		}
+	}
+	return "writes [" + strings.Join(written, " ") + "]"
+}
