--- /dev/null
+++ b/internal/dispatcher/logging/logtest/logtest.go
@@ -0,0 +1,56 @@
+// Package logtest has a logger for tests that look at what is logged.
+package logtest
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"sync"
+)
+
+// Recorder keeps the records of a logger, and of those derived from it.
+type Recorder struct {
+	mu      sync.Mutex
+	records []slog.Record
+}
+
+// New returns a logger that writes nothing, and the recorder of its records of level info and above.
+func New() (*slog.Logger, *Recorder) {
+	r := &Recorder{}
+	return slog.New(&handler{recorder: r}), r
+}
+
+// Records returns the records so far, each with the attributes of its logger. Names of groups are left
+// out.
+func (r *Recorder) Records() []slog.Record {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.records)
+}
+
+// handler implements slog.Handler.
+type handler struct {
+	recorder *Recorder
+	attrs    []slog.Attr // of the logger
+}
+
+// Enabled implements slog.Handler.
+func (h *handler) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
+
+// Handle implements slog.Handler.
+func (h *handler) Handle(_ context.Context, record slog.Record) error {
+	record = record.Clone()
+	record.AddAttrs(h.attrs...)
+	h.recorder.mu.Lock()
+	defer h.recorder.mu.Unlock()
+	h.recorder.records = append(h.recorder.records, record)
+	return nil
+}
+
+// WithAttrs implements slog.Handler.
+func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &handler{recorder: h.recorder, attrs: slices.Concat(h.attrs, attrs)}
+}
+
+// WithGroup implements slog.Handler.
+func (h *handler) WithGroup(string) slog.Handler { return h }
