--- a/internal/dispatcher/adminapi/golden_test.go
+++ b/internal/dispatcher/adminapi/golden_test.go
@@ -4,15 +4,13 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net/http/httptest"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/shared/goldentest"
-
-	"github.com/sirupsen/logrus"
 )
 
 // recorder implements Operations and Fleet: it records the calls.
@@ -97,8 +95,7 @@
 // operators' address, as commit 352ebf2 answered. The file must never be rewritten by
 // later code.
 func TestGoldenDoor(t *testing.T) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	var b strings.Builder
 	for _, state := range []struct {
 		serving, fleet bool
--- a/internal/dispatcher/adminapi/server.go
+++ b/internal/dispatcher/adminapi/server.go
@@ -11,15 +11,13 @@
 	"errors"
 	"fmt"
 	"io"
-	stdlog "log"
+	"log/slog"
 	"net"
 	"net/http"
 	"strings"
 	"time"
 
 	"basaltloft/internal/dispatcher/pipeline"
-
-	"github.com/sirupsen/logrus"
 )
 
 // ErrUnknownRunner is the error of TakeOut and PutBack for a runner that no list has named.
@@ -59,32 +57,23 @@
 // Server serves the admin API.
 type Server struct {
 	operations Operations
-	log        logrus.FieldLogger
+	log        *slog.Logger
 	server     *http.Server
 	fleet      Fleet // nil: this process is in no fleet
 }
 
 // New returns a server that is not serving yet.
-func New(operations Operations, log *logrus.Logger) *Server {
+func New(operations Operations, log *slog.Logger) *Server {
 	s := &Server{operations: operations, log: log}
 	s.server = &http.Server{
 		Handler: s, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout + responseTimeout,
-		IdleTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(debugWriter{log}, "", 0),
+		IdleTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		DisableGeneralOptionsHandler: true,
 	}
 	s.server.SetKeepAlivesEnabled(false)
 	return s
 }
 
-// debugWriter logs the HTTP server's complaints about its peers at the debug level.
-type debugWriter struct{ log logrus.FieldLogger }
-
-// Write implements io.Writer.
-func (d debugWriter) Write(text []byte) (int, error) {
-	d.log.Debug(strings.TrimSpace(string(text)))
-	return len(text), nil
-}
-
 // Serve serves on l until the context ends, when it returns nil, or the listener fails.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.server.Close() /* Serve returns in any case */ })
@@ -165,10 +154,10 @@
 	case errors.Is(err, ErrUnknownRunner):
 		s.reject(w, r, http.StatusNotFound, err.Error())
 	case err != nil:
-		s.log.WithError(err).WithField("runner", id).Error("the operators' call failed")
+		s.log.Error("the operators' call failed", "error", err, "runner", id)
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	default:
-		s.log.WithField("runner", id).Info(message)
+		s.log.Info(message, "runner", id)
 		respondLine(w, reply)
 	}
 }
@@ -202,6 +191,6 @@
 
 // reject responds with an error.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, text string) {
-	s.log.WithFields(logrus.Fields{"method": r.Method, "path": r.URL.Path, "status": status}).Debug("admin API request rejected")
+	s.log.Debug("admin API request rejected", "method", r.Method, "path", r.URL.Path, "status", status)
 	http.Error(w, text, status)
 }
--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -7,11 +7,12 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"os"
 	"strings"
-	"time"
 
-	"github.com/sirupsen/logrus"
+	"basaltloft/internal/dispatcher/logging"
+
 	"github.com/spf13/cobra"
 )
 
@@ -118,7 +119,7 @@
 
 // validate checks the flags, and sets the default of the log level.
 func (global *globalFlags) validate() error {
-	if global.logFormat != "text" && global.logFormat != "json" {
+	if format := logging.Format(global.logFormat); format != logging.Text && format != logging.JSON {
 		return usageError{fmt.Errorf("--log-format is text or json, not %q", global.logFormat)}
 	}
 	if global.logLevel == "" {
@@ -127,21 +128,14 @@
 			global.logLevel = "debug"
 		}
 	}
-	if _, err := logrus.ParseLevel(global.logLevel); err != nil {
-		return usageError{fmt.Errorf("--log-level: no level is called %q", global.logLevel)}
+	if _, err := logging.ParseLevel(global.logLevel); err != nil {
+		return usageError{fmt.Errorf("--log-level: %w", err)}
 	}
 	return nil
 }
 
 // newLogger returns a logger by the flags, which are valid.
-func (global *globalFlags) newLogger() *logrus.Logger {
-	log := logrus.New()
-	log.SetOutput(global.stderr)
-	log.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
-	if global.logFormat == "json" {
-		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
-	}
-	level, _ := logrus.ParseLevel(global.logLevel) // it is valid
-	log.SetLevel(level)
-	return log
+func (global *globalFlags) newLogger() *slog.Logger {
+	level, _ := logging.ParseLevel(global.logLevel) // it is valid
+	return logging.New(global.stderr, logging.Format(global.logFormat), level)
 }
--- a/internal/dispatcher/cli/cli_test.go
+++ b/internal/dispatcher/cli/cli_test.go
@@ -11,8 +11,8 @@
 
 	"basaltloft/internal/dispatcher/accounting"
 	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/logging/logtest"
 
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
@@ -134,7 +134,7 @@
 	dir := t.TempDir()
 	f, err := journal.OpenDirectory(dir)
 	require.NoError(t, err)
-	log, _ := test.NewNullLogger()
+	log := logtest.Discard()
 	start := time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
 	j, err := journal.Open(f, journal.Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: time.Hour}, start, log, nil)
 	require.NoError(t, err)
--- a/internal/dispatcher/cli/logformat_test.go
+++ b/internal/dispatcher/cli/logformat_test.go
@@ -4,27 +4,37 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
+	"basaltloft/internal/dispatcher/logging"
 	"basaltloft/internal/shared/goldentest"
 
 	cockroach "github.com/cockroachdb/errors"
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
 // levelsOfLog are the levels of log lines, from the most to the least severe.
-var levelsOfLog = []logrus.Level{
-	logrus.PanicLevel, logrus.FatalLevel, logrus.ErrorLevel, logrus.WarnLevel, logrus.InfoLevel, logrus.DebugLevel, logrus.TraceLevel,
-}
+var levelsOfLog = []slog.Level{slog.LevelError, slog.LevelWarn, slog.LevelInfo, slog.LevelDebug, logging.LevelTrace}
 
 // logAt writes one line at a time that the test sets: keys of the logger first, then those of the line.
-func logAt(log *logrus.Logger, at time.Time, level logrus.Level, message string, loggerKeys, keys map[string]any) {
-	log.WithTime(at).WithFields(loggerKeys).WithFields(keys).Log(level, message)
+func logAt(t *testing.T, log *slog.Logger, at time.Time, level slog.Level, message string, loggerKeys, keys map[string]any) {
+	t.Helper()
+	for key, value := range loggerKeys {
+		log = log.With(key, value)
+	}
+	if !log.Enabled(t.Context(), level) {
+		return
+	}
+	record := slog.NewRecord(at, level, message, 0)
+	for key, value := range keys {
+		record.Add(key, value)
+	}
+	require.NoError(t, log.Handler().Handle(t.Context(), record))
 }
 
 // count is a named number without a text of its own, and named one with a text.
@@ -37,7 +47,7 @@
 
 // logLine is one line of the golden files.
 type logLine struct {
-	level            logrus.Level
+	level            slog.Level
 	message          string
 	loggerKeys, keys map[string]any
 }
@@ -46,31 +56,31 @@
 // quoted and that are not, keys that clash.
 func logLines() []logLine {
 	lines := []logLine{
-		{logrus.InfoLevel, "done", nil, map[string]any{"taken": int64(2), "served": int64(1), "refused": int64(1), "failed": int64(0), "open": int64(0)}},
-		{logrus.InfoLevel, "serving", nil, map[string]any{"name": "d1", "listen": "127.0.0.1:8080", "members": 3}},
-		{logrus.WarnLevel, "the address is taken: waiting for it", nil, map[string]any{"component": "HTTP front", "listen": "[::1]:8080"}},
-		{logrus.ErrorLevel, "the journal of figures is off: its folder can't be used", map[string]any{"folder": "/var/lib/figures"}, map[string]any{"error": errors.New("open /var/lib/figures: permission denied")}},
-		{logrus.DebugLevel, "flow ended", nil, map[string]any{"transaction": "7f00-12", "flow": uint32(2), "member": "s-0badcafe", "status": "timed out"}},
-		{logrus.TraceLevel, "sent", nil, map[string]any{"slots": 1, "kind": "small", "hint": "", "class": "place-hold"}},
-		{logrus.InfoLevel, "no keys", nil, nil},
-		{logrus.InfoLevel, "", nil, map[string]any{"message": "empty"}},
-		{logrus.InfoLevel, "one\nline \"quoted\" \\ and\ttab, é and 日本, \x00 and \xff\u2028<&>", nil, map[string]any{"text": "one\nline \"quoted\" \\ and\ttab, é and 日本, \x00 and \xff\u2028<&>"}},
-		{logrus.InfoLevel, "values", nil, map[string]any{
+		{slog.LevelInfo, "done", nil, map[string]any{"taken": int64(2), "served": int64(1), "refused": int64(1), "failed": int64(0), "open": int64(0)}},
+		{slog.LevelInfo, "serving", nil, map[string]any{"name": "d1", "listen": "127.0.0.1:8080", "members": 3}},
+		{slog.LevelWarn, "the address is taken: waiting for it", nil, map[string]any{"component": "HTTP front", "listen": "[::1]:8080"}},
+		{slog.LevelError, "the journal of figures is off: its folder can't be used", map[string]any{"folder": "/var/lib/figures"}, map[string]any{"error": errors.New("open /var/lib/figures: permission denied")}},
+		{slog.LevelDebug, "flow ended", nil, map[string]any{"transaction": "7f00-12", "flow": uint32(2), "member": "s-0badcafe", "status": "timed out"}},
+		{logging.LevelTrace, "sent", nil, map[string]any{"slots": 1, "kind": "small", "hint": "", "class": "place-hold"}},
+		{slog.LevelInfo, "no keys", nil, nil},
+		{slog.LevelInfo, "", nil, map[string]any{"message": "empty"}},
+		{slog.LevelInfo, "one\nline \"quoted\" \\ and\ttab, é and 日本, \x00 and \xff\u2028<&>", nil, map[string]any{"text": "one\nline \"quoted\" \\ and\ttab, é and 日本, \x00 and \xff\u2028<&>"}},
+		{slog.LevelInfo, "values", nil, map[string]any{
 			"bool": true, "bytes": []byte("ab"), "count": count(7), "duration": 1500 * time.Millisecond, "float": 0.25,
 			"float_large": 1e21, "int": -5, "list": []string{"a b", "c"}, "map": map[string]int{"b": 2, "a": 1}, "named": named(7),
 			"nil": nil, "pointer_nil": (*time.Location)(nil), "struct": struct{ A, B int }{1, 2}, "time": "clashes", "uint8": uint8(200), "uint64": uint64(1) << 63,
 			"utc": time.Date(2026, 3, 4, 5, 6, 7, 8000, time.UTC), "zero": time.Duration(0),
 		}},
-		{logrus.InfoLevel, "errors", nil, map[string]any{
+		{slog.LevelInfo, "errors", nil, map[string]any{
 			"error": fmt.Errorf("outer: %w", os.ErrNotExist), "joined": errors.Join(errors.New("a"), errors.New("b")),
 			"nil_error": error(nil), "stack": cockroach.Wrap(errors.New("inner"), "outer"),
 		}},
-		{logrus.InfoLevel, "the line's value wins", map[string]any{"part": "spool", "fleet": "n1"}, map[string]any{"part": "plans"}},
-		{logrus.InfoLevel, "clashes", map[string]any{"msg": "m"}, map[string]any{"level": "l", "time": "t", "logrus_error": "e"}},
-		{logrus.InfoLevel, "unusual keys", nil, map[string]any{"Upper": 1, "a b": 2, "ünicode": 3, "a=b": 4, "a.b": 5, "_": 6, "0": 7}},
+		{slog.LevelInfo, "the line's value wins", map[string]any{"part": "spool", "fleet": "n1"}, map[string]any{"part": "plans"}},
+		{slog.LevelInfo, "clashes", map[string]any{"msg": "m"}, map[string]any{"level": "l", "time": "t", "logrus_error": "e"}},
+		{slog.LevelInfo, "unusual keys", nil, map[string]any{"Upper": 1, "a b": 2, "ünicode": 3, "a=b": 4, "a.b": 5, "_": 6, "0": 7}},
 	}
 	for _, plain := range []string{"plain", "a-b_c.d/e@f^g+h0", "a=b", "a:b", "a,b", "50%", "é", "null", "nil", "true", "12", "-", " ", "'", "(a)", "[a]", "~"} {
-		lines = append(lines, logLine{logrus.InfoLevel, plain, nil, map[string]any{"text": plain}})
+		lines = append(lines, logLine{slog.LevelInfo, plain, nil, map[string]any{"text": plain}})
 	}
 	return lines
 }
@@ -86,8 +96,8 @@
 	}
 }
 
-// TestGoldenLogLines: lines of the log in both formats, as the dispatcher wrote them by logrus. People
-// and scripts read them; the files are never rewritten.
+// TestGoldenLogLines: lines of the log in both formats, as the dispatcher wrote them by logrus
+// v1.9.3 in commit 32a2de6. People and scripts read them; the files are never rewritten.
 func TestGoldenLogLines(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		var out bytes.Buffer
@@ -95,15 +105,13 @@
 		require.NoError(t, global.validate())
 		log := global.newLogger()
 		for _, line := range logLines() {
-			logAt(log, logTimes()[0], line.level, line.message, line.loggerKeys, line.keys)
+			logAt(t, log, logTimes()[0], line.level, line.message, line.loggerKeys, line.keys)
 		}
 		for _, at := range logTimes() {
-			logAt(log, at, logrus.InfoLevel, "time", nil, nil)
+			logAt(t, log, at, slog.LevelInfo, "time", nil, nil)
 		}
 		for _, level := range levelsOfLog {
-			if level > logrus.FatalLevel { // the two levels above error are names for --log-level, no lines have them
-				logAt(log, logTimes()[0], level, "level", nil, nil)
-			}
+			logAt(t, log, logTimes()[0], level, "level", nil, nil)
 		}
 		goldentest.Equal(t, filepath.Join("testdata", "golden", "log-"+format+".txt"), out.Bytes())
 	}
@@ -117,16 +125,17 @@
 		"panic", "fatal", "error", "warn", "warning", "info", "debug", "trace", "WARN", "Info", "tRACE", "ERROR+1", "INFO-4", "warn ", " warn", "err", "verbose", "0", "4", "off", "none", "notice", "critical", "",
 	} {
 		t.Setenv("ROUTER_DEBUG", "")
-		fmt.Fprintf(&table, "%q: %s\n", name, writtenLevels(name))
+		fmt.Fprintf(&table, "%q: %s\n", name, writtenLevels(t, name))
 	}
 	t.Setenv("ROUTER_DEBUG", "1")
-	fmt.Fprintf(&table, "\"\", with ROUTER_DEBUG: %s\n", writtenLevels(""))
-	fmt.Fprintf(&table, "\"info\", with ROUTER_DEBUG: %s\n", writtenLevels("info"))
+	fmt.Fprintf(&table, "\"\", with ROUTER_DEBUG: %s\n", writtenLevels(t, ""))
+	fmt.Fprintf(&table, "\"info\", with ROUTER_DEBUG: %s\n", writtenLevels(t, "info"))
 	goldentest.Equal(t, filepath.Join("testdata", "golden", "log-levels.txt"), []byte(table.String()))
 }
 
 // writtenLevels returns the levels whose lines are written under a name of a level, or why it is refused.
-func writtenLevels(name string) string {
+func writtenLevels(t *testing.T, name string) string {
+	t.Helper()
 	var out bytes.Buffer
 	global := &globalFlags{logFormat: "text", logLevel: name, stderr: &out}
 	if err := global.validate(); err != nil {
@@ -134,9 +143,7 @@
 	}
 	log := global.newLogger()
 	for _, level := range levelsOfLog {
-		if level > logrus.FatalLevel {
-			logAt(log, logTimes()[0], level, "level", nil, nil)
-		}
+		logAt(t, log, logTimes()[0], level, "level", nil, nil)
 	}
 	var written []string
 	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
--- a/internal/dispatcher/demo/demo_test.go
+++ b/internal/dispatcher/demo/demo_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/scenario"
 
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 )
@@ -20,7 +20,7 @@
 func TestDemo(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	defer http.DefaultClient.CloseIdleConnections()
-	log, _ := test.NewNullLogger()
+	log := logtest.Discard()
 	var out bytes.Buffer
 	require.NoError(t, Run(context.Background(), time.Now().Add(2*time.Second), log, &out, io.Discard))
 	require.Contains(t, out.String(), "audits found nothing")
--- a/internal/dispatcher/demo/run.go
+++ b/internal/dispatcher/demo/run.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"os"
 	"time"
 
@@ -16,7 +17,6 @@
 	"basaltloft/internal/dispatcher/textout"
 
 	"github.com/schollz/progressbar/v3"
-	"github.com/sirupsen/logrus"
 )
 
 // progressInterval is how often progress is shown.
@@ -25,7 +25,7 @@
 // Run plays the demo until a time, with the dispatcher in this process. It shows progress
 // on errs and ends with the ledger on out. It fails if anything does not add up, a ticket
 // ran twice, or nothing was served.
-func Run(ctx context.Context, until time.Time, log *logrus.Logger, out, errs io.Writer) (err error) {
+func Run(ctx context.Context, until time.Time, log *slog.Logger, out, errs io.Writer) (err error) {
 	load := Load{Rate: 40, Members: 6, Workers: 3, Seed: 3, Faults: fakes.Faults{Reject: 0.01, Fail: 0.005, DuplicateEnd: 0.05}}
 	w, err := NewWorld(load)
 	if err != nil {
--- a/internal/dispatcher/discovery/follower.go
+++ b/internal/dispatcher/discovery/follower.go
@@ -6,6 +6,7 @@
 	"context"
 	"fmt"
 	"io"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -17,8 +18,6 @@
 	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/dispatcher/settings"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Source is the name of discovery's members in the engine.
@@ -43,7 +42,7 @@
 	schedule  CallSchedule
 	sink      MembershipSink
 	transport engine.Transport
-	log       logrus.FieldLogger
+	log       *slog.Logger
 
 	answered   chan struct{} // closed once a service has answered
 	answerOnce sync.Once
@@ -70,7 +69,7 @@
 // calls end with ctx.
 func New(
 	ctx context.Context, addr string, schedule CallSchedule, sink MembershipSink, transport engine.Transport,
-	log logrus.FieldLogger,
+	log *slog.Logger,
 ) *Follower {
 	f := &Follower{
 		ctx: ctx, schedule: schedule, sink: sink, transport: transport, log: log,
@@ -230,7 +229,7 @@
 		return 1
 	}
 	if s.failures++; s.failures == 1 {
-		f.log.WithError(err).Warn("a call to discovery failed")
+		f.log.Warn("a call to discovery failed", "error", err)
 	}
 	f.sink.UpdateMembers(Source, policy.ListFailed, nil)
 	return s.failures
@@ -246,7 +245,7 @@
 		return
 	}
 	if s.failures > 0 {
-		f.log.WithField("failed", s.failures).Info("discovery answers again")
+		f.log.Info("discovery answers again", "failed", s.failures)
 	}
 	// Changes up to a version older than the one that they follow are of another incarnation of the
 	// service: what came before them is not known.
--- a/internal/dispatcher/discovery/follower_test.go
+++ b/internal/dispatcher/discovery/follower_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/dispatcher/scenario"
 	"basaltloft/internal/dispatcher/settings"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	h := &heard{}
-	f := New(ctx, addr, pace, h, nil, logrus.New())
+	f := New(ctx, addr, pace, h, nil, logtest.Discard())
 	f.Restore(restored)
 	return f, h, open
 }
@@ -99,7 +99,7 @@
 	pace.MinBackoff, pace.MaxBackoff, pace.MaxCallInterval = 10*time.Hour, 10*time.Hour, 10*time.Hour
 	addr, open := scenario.Listen(t)
 	h := &heard{}
-	f := New(t.Context(), addr, pace, h, nil, logrus.New())
+	f := New(t.Context(), addr, pace, h, nil, logtest.Discard())
 	f.Restore(settings.List{Generation: 7, Whole: true})
 	again := make(chan error, 1)
 	f.Watch(true)
@@ -210,7 +210,7 @@
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
 	pace, h := SharedServiceSchedule(few, every), &heard{}
-	f := New(t.Context(), addr, pace, h, nil, logrus.New())
+	f := New(t.Context(), addr, pace, h, nil, logtest.Discard())
 	f.Restore(settings.List{Generation: 7, Whole: true})
 	f.Watch(true)
 	require.Eventually(t, func() bool { return len(h.told()) > 4 }, 20*time.Second, time.Millisecond)
@@ -249,7 +249,7 @@
 	pace := LocalAgentSchedule()
 	pace.MaxBackoff = pace.MinBackoff
 	h := &heard{}
-	f := New(t.Context(), addr, pace, h, nil, logrus.New())
+	f := New(t.Context(), addr, pace, h, nil, logtest.Discard())
 	f.KeepWatching()
 	require.Eventually(t, func() bool { return len(h.told()) >= 16 }, 20*time.Second, time.Millisecond)
 	text, err := os.ReadFile("/proc/net/tcp")
--- a/internal/dispatcher/engine/engine.go
+++ b/internal/dispatcher/engine/engine.go
@@ -13,14 +13,13 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/dispatcher/schedulingdelay"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Engine connects fronts, decisions and transports. Its exported methods may be called by any
@@ -29,7 +28,7 @@
 	settings policy.Settings
 	stages   Stages
 	lister   Lister
-	log      logrus.FieldLogger
+	log      *slog.Logger
 	stopped  chan struct{}
 
 	mu        sync.Mutex
@@ -66,7 +65,7 @@
 
 // New returns an engine that is not running yet; budget may be nil: nothing is shared with other
 // dispatchers. It fails if the policy does not accept the settings.
-func New(s policy.Settings, stages Stages, budget SharedBudget, log logrus.FieldLogger) (*Engine, error) {
+func New(s policy.Settings, stages Stages, budget SharedBudget, log *slog.Logger) (*Engine, error) {
 	e := &Engine{
 		settings: s, stages: stages, log: log, base: time.Now(), sharedBudget: budget,
 		wake:            make(chan struct{}, 1),
--- a/internal/dispatcher/engine/flow.go
+++ b/internal/dispatcher/engine/flow.go
@@ -1,12 +1,11 @@
 package engine
 
 import (
+	"log/slog"
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
 	"basaltloft/internal/dispatcher/policy"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Flow is a server-side flow: one attempt of a transaction at a pool member.
@@ -75,10 +74,8 @@
 		return
 	}
 	f.ended = true
-	e.trace("ended", func() logrus.Fields {
-		fields := f.fields()
-		fields["status"], fields["after"] = accounting.StatusName(s), e.now.Sub(f.SentAt).String()
-		return fields
+	e.trace("ended", func() []slog.Attr {
+		return append(f.attrs(), slog.String("status", accounting.StatusName(s)), slog.String("after", e.now.Sub(f.SentAt).String()))
 	})
 	e.timers.cancel(f.deadlineTimer)
 	e.releaseReservation(f, s)
@@ -112,7 +109,7 @@
 		return
 	}
 	if kind == policy.UpdateStarted {
-		e.trace("started", f.fields)
+		e.trace("started", f.attrs)
 	}
 	e.decisions.HandleAttemptUpdate(e.clock(e.now), policy.AttemptUpdate{
 		Request: f.Transaction.ID, Attempt: f.Number, Worker: f.Member.number, Kind: kind, Value: share,
@@ -167,10 +164,8 @@
 // one).
 func (e *Engine) EndProbe(m *Member, s policy.Status, r policy.Report, sentAt time.Time) {
 	e.post(func() {
-		e.trace("probe ended", func() logrus.Fields {
-			fields := m.fields()
-			fields["status"], fields["after"] = accounting.StatusName(s), e.now.Sub(sentAt).String()
-			return fields
+		e.trace("probe ended", func() []slog.Attr {
+			return append(m.attrs(), slog.String("status", accounting.StatusName(s)), slog.String("after", e.now.Sub(sentAt).String()))
 		})
 		e.decisions.HandleProbeResult(e.clock(e.now), policy.ProbeResult{
 			Worker: m.number, Status: s, Latency: e.now.Sub(sentAt), Report: r,
--- a/internal/dispatcher/engine/host.go
+++ b/internal/dispatcher/engine/host.go
@@ -18,7 +18,7 @@
 	if t == nil || m == nil || t.answered || t.liveFlow != nil {
 		// A transaction has one live flow: what may not go out is told as never sent, which is what
 		// the simulator does.
-		e.log.WithField("transaction", id).Error("send refused: the transaction is unknown, answered or has a live flow")
+		e.log.Error("send refused: the transaction is unknown, answered or has a live flow", "transaction", id)
 		h.reportNotSent(t, worker)
 		return
 	}
@@ -58,7 +58,7 @@
 			e.endFlow(f, policy.TimedOut, nil)
 		}
 	})
-	e.trace("sent", f.fields)
+	e.trace("sent", f.attrs)
 	m.Transport.Start(f)
 }
 
@@ -123,7 +123,7 @@
 // Probe implements policy.Host.
 func (h host) Probe(worker uint32) {
 	if m := h.engine.membersByNumber[worker]; m != nil {
-		h.engine.trace("probed", m.fields)
+		h.engine.trace("probed", m.attrs)
 		m.Transport.Probe(m)
 	}
 }
--- a/internal/dispatcher/engine/ledger.go
+++ b/internal/dispatcher/engine/ledger.go
@@ -63,7 +63,7 @@
 	if t.answered {
 		return
 	}
-	e.log.WithField("transaction", t.ID).Error("no final answer by the deadline")
+	e.log.Error("no final answer by the deadline", "transaction", t.ID)
 	a := Answer{Verdict: Failed, Reason: accounting.DeadlinePassed}
 	if e.mayRunAgain(t) {
 		a = Answer{Verdict: Refused, Reason: accounting.Declined, RetryAt: e.now}
--- a/internal/dispatcher/engine/ledger_test.go
+++ b/internal/dispatcher/engine/ledger_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"slices"
 	"strings"
 	"testing"
@@ -11,7 +12,6 @@
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/dispatcher/schedulingdelay"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -75,8 +75,7 @@
 func TestLedger(t *testing.T) {
 	begin := func() (*Engine, *tape, *Transaction) {
 		p := &tape{t: t}
-		log := logrus.New()
-		log.SetLevel(logrus.PanicLevel)
+		log := slog.New(slog.DiscardHandler)
 		c, err := New(policy.Settings{
 			Instances: 1, ReportsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true},
 			Classes: []policy.Class{{Name: "ticket", Effect: policy.AtMostOnce, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1},
--- a/internal/dispatcher/engine/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -4,21 +4,20 @@
 	"cmp"
 	"encoding/binary"
 	"hash/fnv"
+	"log/slog"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"basaltloft/internal/dispatcher/policy"
-
-	"github.com/sirupsen/logrus"
 )
 
 // UpdateMembers takes in what a source tells of its members: changes, its whole list, or that it could
 // not be asked. The members of other sources stay as they are.
 func (e *Engine) UpdateMembers(source string, kind policy.ListKind, entries []*Member) {
 	e.post(func() {
-		e.trace("list", func() logrus.Fields { return listFields(source, kind, entries) })
+		e.trace("list", func() []slog.Attr { return listAttrs(source, kind, entries) })
 		if kind == policy.ListFailed {
 			e.decisions.HandleMembers(e.clock(e.now), kind, nil)
 			return
@@ -41,13 +40,13 @@
 	})
 }
 
-// listFields are the fields of a list in the log.
-func listFields(source string, kind policy.ListKind, entries []*Member) logrus.Fields {
+// listAttrs are the attributes of a list in the log.
+func listAttrs(source string, kind policy.ListKind, entries []*Member) []slog.Attr {
 	states := make([]string, 0, len(entries))
 	for _, m := range entries {
 		states = append(states, m.ID+"="+strconv.Itoa(int(m.State)))
 	}
-	return logrus.Fields{"source": source, "kind": int(kind), "entries": strings.Join(states, " ")}
+	return []slog.Attr{slog.String("source", source), slog.Int("kind", int(kind)), slog.String("entries", strings.Join(states, " "))}
 }
 
 // completeList makes a source's whole list the whole list of all sources, since
--- a/internal/dispatcher/engine/shutdown.go
+++ b/internal/dispatcher/engine/shutdown.go
@@ -4,8 +4,6 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
-
-	"github.com/sirupsen/logrus"
 )
 
 // BeginShutdown tells that the process stops. Transactions that arrived after late are answered by the
@@ -34,7 +32,7 @@
 		}
 	}
 	if early > 0 {
-		e.log.WithFields(logrus.Fields{"early": early, "held": held}).Info("jobs still open at the end of the shutdown")
+		e.log.Info("jobs still open at the end of the shutdown", "early", early, "held", held)
 	}
 }
 
--- a/internal/dispatcher/engine/starve_test.go
+++ b/internal/dispatcher/engine/starve_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"context"
+	"log/slog"
 	"testing"
 	"time"
 
 	"basaltloft/internal/dispatcher/policy"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -15,8 +15,7 @@
 // as of work that takes longer than the time to its next, keeps no event waiting.
 // The policy's own times count from when it asks for them, not from the event.
 func TestTimersLeaveEventsTheirTurn(t *testing.T) {
-	log := logrus.New()
-	log.SetLevel(logrus.PanicLevel)
+	log := slog.New(slog.DiscardHandler)
 	c, err := New(policy.Settings{Instances: 1, Limits: policy.Limits{MaxAttempts: 1}, Classes: []policy.Class{
 		{Name: "notice", Effect: policy.Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1},
 	}}, &tape{t: t}, nil, log)
--- a/internal/dispatcher/engine/trace.go
+++ b/internal/dispatcher/engine/trace.go
@@ -1,21 +1,28 @@
 package engine
 
-import "github.com/sirupsen/logrus"
+import (
+	"context"
+	"log/slog"
+
+	"basaltloft/internal/dispatcher/logging"
+)
 
 // trace logs what happens at one member, at the trace level. Load tests count the behaviour of the
 // whole fleet over these lines, so that their messages and keys must not change.
-func (e *Engine) trace(what string, fields func() logrus.Fields) {
-	if l, ok := e.log.(*logrus.Logger); ok && l.IsLevelEnabled(logrus.TraceLevel) {
-		l.WithFields(fields()).Trace(what)
+func (e *Engine) trace(what string, attrs func() []slog.Attr) {
+	if ctx := context.Background(); e.log.Enabled(ctx, logging.LevelTrace) {
+		e.log.LogAttrs(ctx, logging.LevelTrace, what, attrs()...)
 	}
 }
 
-func (f *Flow) fields() logrus.Fields {
+func (f *Flow) attrs() []slog.Attr {
 	t := f.Transaction
-	return logrus.Fields{
-		"transaction": t.ID, "class": t.Class, "hint": t.Hint.String(), "slots": t.Slots,
-		"flow": f.Number, "member": f.Member.ID, "kind": f.Member.Kind,
+	return []slog.Attr{
+		slog.String("transaction", t.ID), slog.String("class", t.Class), slog.String("hint", t.Hint.String()), slog.Float64("slots", t.Slots),
+		slog.Int("flow", f.Number), slog.String("member", f.Member.ID), slog.String("kind", f.Member.Kind),
 	}
 }
 
-func (m *Member) fields() logrus.Fields { return logrus.Fields{"member": m.ID, "kind": m.Kind} }
+func (m *Member) attrs() []slog.Attr {
+	return []slog.Attr{slog.String("member", m.ID), slog.String("kind", m.Kind)}
+}
--- a/internal/dispatcher/engine/window_test.go
+++ b/internal/dispatcher/engine/window_test.go
@@ -1,12 +1,12 @@
 package engine
 
 import (
+	"log/slog"
 	"testing"
 	"time"
 
 	"basaltloft/internal/dispatcher/policy"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -32,8 +32,7 @@
 		"may be repeated at any time": {policy.Idempotent, "", policy.Reset, 9 * time.Second, 2, false, Refused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, log := &tape{t: t}, logrus.New()
-			log.SetLevel(logrus.PanicLevel)
+			p, log := &tape{t: t}, slog.New(slog.DiscardHandler)
 			hub, err := New(policy.Settings{
 				Instances: 1, ReportsStart: true, Limits: policy.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second},
 				Classes: []policy.Class{{Name: "hold", Effect: c.effect, DedupWindow: 10 * time.Second, LatencyTarget: time.Minute, ClientTimeout: time.Hour, Value: 1, Kind: -1}},
--- a/internal/dispatcher/faktory/backlog.go
+++ b/internal/dispatcher/faktory/backlog.go
@@ -1,6 +1,7 @@
 package faktory
 
 import (
+	"log/slog"
 	"sync"
 	"time"
 
@@ -8,8 +9,6 @@
 	"basaltloft/internal/dispatcher/faktory/batch"
 	"basaltloft/internal/dispatcher/faktory/sets"
 	"basaltloft/internal/dispatcher/settings"
-
-	"github.com/sirupsen/logrus"
 )
 
 const (
@@ -31,7 +30,7 @@
 	engine       Engine
 	transactions TransactionFactory
 	config       *settings.Faktory
-	log          logrus.FieldLogger
+	log          *slog.Logger
 	counters     *accounting.FrontCounters
 	plans        PlanStarter // nil: no job may name a plan
 
@@ -52,7 +51,7 @@
 }
 
 // newBacklog returns an empty backlog with its workers.
-func newBacklog(eng Engine, transactions TransactionFactory, config *settings.Faktory, counters *accounting.FrontCounters, log logrus.FieldLogger) *backlog {
+func newBacklog(eng Engine, transactions TransactionFactory, config *settings.Faktory, counters *accounting.FrontCounters, log *slog.Logger) *backlog {
 	b := &backlog{
 		engine: eng, transactions: transactions, config: config, log: log, counters: counters,
 		store:   sets.NewStore(storeLimits(config), uint64(time.Now().UnixNano())),
@@ -79,8 +78,7 @@
 	defer b.mu.Unlock()
 	b.draining = true
 	if n := b.store.Len(); n > 0 {
-		b.log.WithFields(logrus.Fields{
-			"queued": n - b.store.Scheduled.Len() - b.store.Retries.Len(), "scheduled": b.store.Scheduled.Len(), "retries": b.store.Retries.Len(),
-		}).Warn("Faktory jobs that wait end with this process")
+		b.log.Warn("Faktory jobs that wait end with this process",
+			"queued", n-b.store.Scheduled.Len()-b.store.Retries.Len(), "scheduled", b.store.Scheduled.Len(), "retries", b.store.Retries.Len())
 	}
 }
--- a/internal/dispatcher/faktory/callbacks.go
+++ b/internal/dispatcher/faktory/callbacks.go
@@ -6,7 +6,6 @@
 	"basaltloft/internal/dispatcher/faktory/batch"
 	"basaltloft/internal/dispatcher/faktory/sets"
 
-	"github.com/sirupsen/logrus"
 	"github.com/valyala/fastjson"
 )
 
@@ -18,7 +17,7 @@
 		c := b.pendingCallbacks[0]
 		b.pendingCallbacks = b.pendingCallbacks[1:]
 		if err := b.pushCallback(c); err != nil {
-			b.log.WithError(err).WithFields(logrus.Fields{"batch": c.Batch, "callback": c.Kind}).Error("a batch's call-back can't be queued")
+			b.log.Error("a batch's call-back can't be queued", "error", err, "batch", c.Batch, "callback", c.Kind)
 		}
 	}
 }
--- a/internal/dispatcher/faktory/commands_queues.go
+++ b/internal/dispatcher/faktory/commands_queues.go
@@ -15,7 +15,7 @@
 func (s *session) handleFlush(string) string {
 	s.backlog.mu.Lock()
 	defer s.backlog.mu.Unlock()
-	s.log.WithField("by", s.hello.describe()).Warn("FLUSH: all Faktory jobs that wait are dropped")
+	s.log.Warn("FLUSH: all Faktory jobs that wait are dropped", "by", s.hello.describe())
 	s.backlog.concludeDropped(s.backlog.store.Flush(), "flushed\n")
 	return okReply
 }
@@ -46,7 +46,7 @@
 			b.workers.satisfyAll(q)
 		}
 	case "REMOVE":
-		s.log.WithField("by", s.hello.describe()).WithField("queues", names).Warn("queues are removed")
+		s.log.Warn("queues are removed", "by", s.hello.describe(), "queues", names)
 		b.concludeDropped(b.store.Remove(names), "its queue was removed\n")
 	case "LATENCY":
 		var a fastjson.Arena
--- a/internal/dispatcher/faktory/connection_limits_test.go
+++ b/internal/dispatcher/faktory/connection_limits_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/scenario"
 	"basaltloft/internal/dispatcher/settings"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -18,7 +18,7 @@
 func TestEvictUnauthenticated(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := New(nil, nil, &settings.Faktory{Connections: 3}, logrus.New())
+	s := New(nil, nil, &settings.Faktory{Connections: 3}, logtest.Discard())
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ctx, l) }()
--- a/internal/dispatcher/faktory/model_test.go
+++ b/internal/dispatcher/faktory/model_test.go
@@ -10,11 +10,11 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/pipeline"
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/dispatcher/settings"
 
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
 	"pgregory.net/rapid"
@@ -101,7 +101,7 @@
 }
 
 func newFront() (*Server, *fakeEngine) {
-	log, _ := test.NewNullLogger()
+	log := logtest.Discard()
 	h := &fakeEngine{members: make(map[string]*engine.Member)}
 	return New(h, fakeTransactions{}, &settings.Faktory{
 		Connections: 8, Jobs: 1000, ReserveFor: time.Hour, FetchIn: time.Hour, BackoffUnit: 1,
--- a/internal/dispatcher/faktory/mutate.go
+++ b/internal/dispatcher/faktory/mutate.go
@@ -5,8 +5,6 @@
 
 	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/faktory/sets"
-
-	"github.com/sirupsen/logrus"
 )
 
 // mutate applies a command to the jobs of a set that a filter selects, and to their tasks.
@@ -25,7 +23,7 @@
 			}
 			queues[j.Queue] = true
 			if vouchedBy != "" {
-				b.log.WithFields(logrus.Fields{"job": j.ID, "by": vouchedBy}).Warn("a job that may have run is requeued: an operator vouches that it has not")
+				b.log.Warn("a job that may have run is requeued: an operator vouches that it has not", "job", j.ID, "by", vouchedBy)
 			}
 		case sets.Kill:
 			if t.state != taskFinal {
--- a/internal/dispatcher/faktory/push.go
+++ b/internal/dispatcher/faktory/push.go
@@ -107,7 +107,7 @@
 	case errors.Is(err, sets.ErrNotUnique):
 		return pushError("NOTUNIQUE Job not unique")
 	case errors.Is(err, sets.ErrFull):
-		b.log.WithError(err).Debug("a push exceeds the backlog's limits")
+		b.log.Debug("a push exceeds the backlog's limits", "error", err)
 		return refusedPush(engine.Answer{})
 	}
 	return invalidPush(err)
--- a/internal/dispatcher/faktory/server.go
+++ b/internal/dispatcher/faktory/server.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -13,8 +14,6 @@
 	"basaltloft/internal/dispatcher/pipeline"
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/dispatcher/settings"
-
-	"github.com/sirupsen/logrus"
 )
 
 const (
@@ -45,7 +44,7 @@
 	engine       Engine
 	transactions TransactionFactory
 	config       *settings.Faktory
-	log          logrus.FieldLogger
+	log          *slog.Logger
 	backlog      *backlog
 	workers      *workers // the backlog's
 	startedAt    time.Time
@@ -61,7 +60,7 @@
 }
 
 // New returns a front that is not serving yet.
-func New(eng Engine, transactions TransactionFactory, config *settings.Faktory, log logrus.FieldLogger) *Server {
+func New(eng Engine, transactions TransactionFactory, config *settings.Faktory, log *slog.Logger) *Server {
 	s := &Server{
 		Counters: accounting.FrontCounters{Front: FrontName}, engine: eng, transactions: transactions, config: config, log: log,
 		startedAt: time.Now(), connectionSlots: make(chan struct{}, config.Connections),
--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -7,6 +7,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"sync/atomic"
 	"time"
@@ -16,8 +17,6 @@
 	"basaltloft/internal/dispatcher/fleet/partition"
 	"basaltloft/internal/dispatcher/fleet/rpc"
 	"basaltloft/internal/dispatcher/fleet/state"
-
-	"github.com/sirupsen/logrus"
 )
 
 const (
@@ -32,7 +31,7 @@
 	RaftNodes        map[string]string   // address of each node's RPC endpoint, by name
 	FleetSettings    state.FleetSettings // the operator's settings for the whole fleet
 	ExpectedBudgets  []string            // the budgets that the settings name
-	Log              logrus.FieldLogger
+	Log              *slog.Logger
 }
 
 // Agent keeps one process in the fleet. It is safe for concurrent use, except where a
@@ -82,11 +81,11 @@
 		switch {
 		case ctx.Err() != nil:
 		case errors.Is(err, state.ErrFenced):
-			a.settings.Log.WithError(err).Warn("incarnation is fenced; joining the fleet again")
+			a.settings.Log.Warn("incarnation is fenced; joining the fleet again", "error", err)
 			pause = minJoinBackoff
 			continue
 		default:
-			a.settings.Log.WithError(err).Warn("no raft node answers; joining the fleet again")
+			a.settings.Log.Warn("no raft node answers; joining the fleet again", "error", err)
 			n-- // the same start: its join may have counted
 		}
 		select {
@@ -111,11 +110,11 @@
 		if errors.Is(err, state.ErrFenced) {
 			return err
 		}
-		a.settings.Log.WithError(err).Error("fleet settings in force differ from this operator file")
+		a.settings.Log.Error("fleet settings in force differ from this operator file", "error", err)
 	}
 	a.session.Store(s)
 	a.joins.Add(1)
-	a.settings.Log.WithField("incarnation", s.Incarnation).Info("joined the fleet")
+	a.settings.Log.Info("joined the fleet", "incarnation", s.Incarnation)
 	for failing := false; ; {
 		sent := a.now()
 		switch err := a.renew(ctx, s, sent); {
@@ -125,7 +124,7 @@
 			return err
 		case err != nil && !failing:
 			failing = true
-			a.settings.Log.WithError(err).Warn("lease renewal failed; shares are used until the lease expires, then floors")
+			a.settings.Log.Warn("lease renewal failed; shares are used until the lease expires, then floors", "error", err)
 		case err == nil && failing:
 			failing = false
 			a.settings.Log.Info("lease renewal recovered")
@@ -154,7 +153,7 @@
 		return err
 	}
 	for part, why := range reply.Refused {
-		a.settings.Log.WithFields(logrus.Fields{"partition": part, "reason": why}).Warn("partition refused its renewal message")
+		a.settings.Log.Warn("partition refused its renewal message", "partition", part, "reason", why)
 	}
 	a.renewedAt.Store(int64(sent))
 	a.leaseEnd.Store(int64(sent + time.Duration(budget.LeaseMargin*float64(reply.Lease))))
--- a/internal/dispatcher/fleet/coordinator/attempt.go
+++ b/internal/dispatcher/fleet/coordinator/attempt.go
@@ -13,8 +13,6 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 	"basaltloft/internal/dispatcher/fleet/planrun"
 	"basaltloft/internal/dispatcher/policy"
-
-	"github.com/sirupsen/logrus"
 )
 
 // job makes the job of an attempt.
@@ -52,13 +50,13 @@
 	}
 	done, sent := make(chan engine.Answer, 1), time.Now()
 	if err := d.coordinator.jobs.Submit(j, func(answer engine.Answer) { done <- answer }); err != nil {
-		d.coordinator.log.WithError(err).WithField("run", d.id).Error("plan stage rejected as a job")
+		d.coordinator.log.Error("plan stage rejected as a job", "error", err, "run", d.id)
 		d.reportEnd(t.Sending.EndReport(plan.Unsent, nil, "", nil))
 		return
 	}
 	answer := <-done
 	end, result, body := endOf(answer), []byte(nil), answer.MemberError
-	d.coordinator.log.WithFields(logrus.Fields{"run": d.id, "job": j.ID, "stage": j.Stage, "end": end, "reason": answer.Reason.String(), "sends": answer.Attempts}).Debug("plan stage's job ended")
+	d.coordinator.log.Debug("plan stage's job ended", "run", d.id, "job", j.ID, "stage", j.Stage, "end", end, "reason", answer.Reason.String(), "sends", answer.Attempts)
 	if end == plan.Done {
 		d.coordinator.withAttempts(func(m *planrun.AttemptRegistry) { m.Estimator.Observe(t.Class, time.Since(sent)) })
 		result, body = answer.Body, answer.Body
@@ -88,7 +86,7 @@
 	for i := range st.Reruns {
 		holds, err := st.Reruns[i].Holds(end, body)
 		if err != nil {
-			d.coordinator.log.WithError(err).WithField("run", d.id).Warn("rerun condition can't be evaluated and counts as false")
+			d.coordinator.log.Warn("rerun condition can't be evaluated and counts as false", "error", err, "run", d.id)
 			continue
 		}
 		at := slices.IndexFunc(upstream, func(u int) bool { return d.shape.Stages[u].Name == st.Reruns[i].Of })
--- a/internal/dispatcher/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -9,6 +9,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"sync"
 	"time"
 
@@ -19,8 +20,6 @@
 	"basaltloft/internal/dispatcher/fleet/planrun"
 	"basaltloft/internal/dispatcher/fleet/rpc"
 	"basaltloft/internal/dispatcher/fleet/state"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Job is one attempt at a stage, for the dispatcher.
@@ -74,7 +73,7 @@
 type Coordinator struct {
 	fleet Fleet
 	jobs  Dispatcher
-	log   logrus.FieldLogger
+	log   *slog.Logger
 	now   func() time.Time // the clock of the deadlines of Finish
 
 	mu            sync.Mutex
@@ -89,7 +88,7 @@
 }
 
 // New returns a coordinator without plans.
-func New(f Fleet, d Dispatcher, log logrus.FieldLogger) *Coordinator {
+func New(f Fleet, d Dispatcher, log *slog.Logger) *Coordinator {
 	return &Coordinator{fleet: f, jobs: d, log: log, now: time.Now, attempts: planrun.NewAttemptRegistry(planrun.DefaultLimits().Grace), draining: make(chan struct{}),
 		plansByName: map[string]*plan.Plan{}, plansByDigest: map[uint64]*plan.Plan{}, runs: map[string]*driver{}}
 }
@@ -120,7 +119,7 @@
 			return nil
 		case <-tick.C:
 			if err := c.claim(ctx); err != nil && ctx.Err() == nil {
-				c.log.WithError(err).Debug("claiming plan runs failed")
+				c.log.Debug("claiming plan runs failed", "error", err)
 			}
 		}
 	}
@@ -176,7 +175,7 @@
 		}
 	}
 	if len(r.Claimed) > 0 {
-		c.log.WithField("runs", len(r.Claimed)).Info("claimed plan runs")
+		c.log.Info("claimed plan runs", "runs", len(r.Claimed))
 	}
 	return nil
 }
--- a/internal/dispatcher/fleet/coordinator/driver.go
+++ b/internal/dispatcher/fleet/coordinator/driver.go
@@ -147,7 +147,7 @@
 		if ctx.Err() != nil || do.SendAttempt != nil && isOutOfForce(err) { // under another incarnation it is not this run's any more
 			return err
 		}
-		d.coordinator.log.WithError(err).WithField("run", d.id).Debug("plan command got no answer; retrying")
+		d.coordinator.log.Debug("plan command got no answer; retrying", "error", err, "run", d.id)
 		select {
 		case <-ctx.Done():
 		case <-time.After(retryInterval):
@@ -216,6 +216,6 @@
 
 // abandon gives the run up, because an expression can't be evaluated.
 func (d *driver) abandon(ctx context.Context, stage int, why error) {
-	d.coordinator.log.WithError(why).WithField("run", d.id).Error("plan run abandoned: expression can't be evaluated")
+	d.coordinator.log.Error("plan run abandoned: expression can't be evaluated", "error", why, "run", d.id)
 	_ = d.execute(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: d.id, Fence: d.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
 }
--- a/internal/dispatcher/fleet/coordinator/start_async_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -17,9 +17,9 @@
 	"basaltloft/internal/dispatcher/fleet/planrun"
 	"basaltloft/internal/dispatcher/fleet/rpc"
 	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/policy"
 
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
@@ -138,7 +138,7 @@
 			ctx, stop := context.WithCancel(context.Background())
 			session, _, err := client.Join(ctx, "p", "1", "1")
 			require.NoError(t, err)
-			log, _ := test.NewNullLogger()
+			log := logtest.Discard()
 			c := New(process{session}, process{}, log)
 			c.now = clock.now
 			c.SetPlans(all)
--- a/internal/dispatcher/fleet/raftnode/divergence.go
+++ b/internal/dispatcher/fleet/raftnode/divergence.go
@@ -32,10 +32,10 @@
 	node.mu.Lock()
 	node.divergent = differs
 	node.mu.Unlock()
-	node.log.WithField("partitions", differs).Error("replica diverges from the majority; it serves nothing until its state is restored")
+	node.log.Error("replica diverges from the majority; it serves nothing until its state is restored", "partitions", differs)
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
-			node.log.WithError(err).Debug("leadership transfer failed")
+			node.log.Debug("leadership transfer failed", "error", err)
 		}
 	}
 }
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"net"
 	"net/http"
 	"path/filepath"
@@ -17,10 +16,10 @@
 	"basaltloft/internal/dispatcher/fleet/recordstore"
 	"basaltloft/internal/dispatcher/fleet/rpc"
 	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/shared/goldentest"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
 )
@@ -42,8 +41,7 @@
 	calls, votes := listen(), listen()
 	store, err := recordstore.Open(t.TempDir())
 	require.NoError(t, err)
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	k, err = New(Settings{
 		Name: "k1", Folder: folder, Peers: map[string]Peer{"k1": {calls.Addr().String(), votes.Addr().String()}}, RaftListener: votes,
 		ElectionTimeout: 100 * time.Millisecond, DigestInterval: time.Hour, Log: log,
--- a/internal/dispatcher/fleet/raftnode/leadership.go
+++ b/internal/dispatcher/fleet/raftnode/leadership.go
@@ -44,7 +44,7 @@
 	node.mu.Lock()
 	node.leadership = l
 	node.mu.Unlock()
-	node.log.WithField("at", l.startTime.String()).Info("became leader of the fleet")
+	node.log.Info("became leader of the fleet", "at", l.startTime.String())
 }
 
 // advanceTime advances the fleet time while there are no commands, and requests digests
@@ -63,7 +63,7 @@
 		return
 	}
 	if _, err := node.propose(c); err != nil {
-		node.log.WithError(err).Debug("tick failed")
+		node.log.Debug("tick failed", "error", err)
 	}
 }
 
@@ -121,7 +121,7 @@
 		return
 	}
 	if err := n.raft.LeadershipTransfer().Error(); err != nil {
-		node.log.WithError(err).Info("leadership transfer failed")
+		node.log.Info("leadership transfer failed", "error", err)
 	}
 }
 
--- a/internal/dispatcher/fleet/raftnode/membership.go
+++ b/internal/dispatcher/fleet/raftnode/membership.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	_ = node.submit(context.Background(), state.ReportBoot, state.BootBody{Process: b.Name}) // its count restarts; the node reports its starts again if this fails
-	node.log.WithField("keeper", b.Name).Warn("raft node rejoins without state; no vote until it has caught up")
+	node.log.Warn("raft node rejoins without state; no vote until it has caught up", "keeper", b.Name)
 	return n.raft.AddNonvoter(id, raft.ServerAddress(b.Name), 0, 0).Error()
 }
 
@@ -73,7 +73,7 @@
 	at := slices.IndexFunc(f.Configuration().Servers, func(s raft.Server) bool { return s.ID == id })
 	switch {
 	case at < 0:
-		node.log.WithField("keeper", b.Name).Warn("removed raft node rejoins; no vote until it has caught up")
+		node.log.Warn("removed raft node rejoins; no vote until it has caught up", "keeper", b.Name)
 		if err := n.raft.AddNonvoter(id, addr, 0, 0).Error(); err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 	case b.Index+maxPromotionLag < n.raft.CommitIndex():
 		return errors.New("it has not caught up yet")
 	}
-	node.log.WithField("keeper", b.Name).Info("raft node has caught up and gets its vote")
+	node.log.Info("raft node has caught up and gets its vote", "keeper", b.Name)
 	return n.raft.AddVoter(id, addr, 0, 0).Error()
 }
 
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -7,6 +7,7 @@
 import (
 	"context"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -19,7 +20,6 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
-	"github.com/sirupsen/logrus"
 )
 
 // Peer is where another raft node is reached from this one.
@@ -35,7 +35,7 @@
 	DigestInterval  time.Duration   // how often the replicas' digests are compared
 	// NewMachine makes an empty state. The one before it is not used any more.
 	NewMachine func() (*state.Machine, error)
-	Log        *logrus.Logger
+	Log        *slog.Logger
 }
 
 // drainElections is how many election timeouts a replica's shutdown waits for calls in
@@ -48,7 +48,7 @@
 // Node is one raft node. It is safe for concurrent use.
 type Node struct {
 	settings Settings
-	log      *logrus.Entry
+	log      *slog.Logger
 	peers    *rpc.Client // client of the other nodes
 	fsm      *fsm
 
@@ -93,7 +93,7 @@
 			others[name] = p.RPCAddr
 		}
 	}
-	return &Node{settings: s, log: s.Log.WithField("keeper", s.Name), peers: rpc.New(others), fsm: &fsm{state: state.New()}, empty: true}, nil
+	return &Node{settings: s, log: s.Log.With("keeper", s.Name), peers: rpc.New(others), fsm: &fsm{state: state.New()}, empty: true}, nil
 }
 
 // Run takes part in the raft group until the context ends. It returns an error if the data
@@ -149,12 +149,12 @@
 	node.mu.Unlock()
 	n.drainCalls(drainElections * node.settings.ElectionTimeout)
 	if err := n.raft.Shutdown().Error(); err != nil {
-		node.log.WithError(err).Error("raft shutdown failed")
+		node.log.Error("raft shutdown failed", "error", err)
 	}
 	n.transport.CloseStreams()
 	_ = n.transport.Close() // its listener outlives it
 	if err := n.store.Close(); err != nil {
-		node.log.WithError(err).Error("closing the raft log failed")
+		node.log.Error("closing the raft log failed", "error", err)
 	}
 	return discard, nil
 }
@@ -219,14 +219,7 @@
 }
 
 func (node *Node) raftLogger() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: debugWriter{node.log}, DisableTime: true})
-}
-
-type debugWriter struct{ log *logrus.Entry }
-
-func (d debugWriter) Write(text []byte) (int, error) {
-	d.log.Debug(string(text[:max(0, len(text)-1)]))
-	return len(text), nil
+	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: slog.NewLogLogger(node.log.Handler(), slog.LevelDebug).Writer(), DisableTime: true})
 }
 
 // openReplica opens the log.
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -19,9 +19,9 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 	"basaltloft/internal/dispatcher/fleet/rpc"
 	"basaltloft/internal/dispatcher/fleet/state"
+	"basaltloft/internal/dispatcher/logging/logtest"
 
 	"github.com/hashicorp/raft"
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 )
@@ -116,8 +116,7 @@
 
 // start starts a raft node; what its Run returns is what its stop does.
 func (f *fleet) start(name string) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	k, err := New(Settings{
 		Name: name, Folder: f.folder(name), Peers: f.peers, RaftListener: f.votes[name], ElectionTimeout: 250 * time.Millisecond, DigestInterval: 400 * time.Millisecond, Log: log,
 		NewMachine: func() (*state.Machine, error) { return state.New(&counter{spoilt: f.spoilt[name]}), nil },
--- a/internal/dispatcher/fleet/raftnode/supervise.go
+++ b/internal/dispatcher/fleet/raftnode/supervise.go
@@ -18,7 +18,7 @@
 	node.fsm.mu.Lock()
 	node.fsm.onDigests = func(index uint64, byPartition map[string]uint64, err error) {
 		if err != nil { // it is certainly invalid: no comparison is needed
-			node.log.WithError(err).Error("state digest failed")
+			node.log.Error("state digest failed", "error", err)
 			select {
 			case broken <- struct{}{}:
 			default:
@@ -53,7 +53,7 @@
 			node.requestPromotion(ctx, n)
 		case s := <-digests:
 			if err := node.submit(ctx, state.ReportDigests, s); err != nil {
-				node.log.WithError(err).Debug("reporting digests failed")
+				node.log.Debug("reporting digests failed", "error", err)
 			}
 		case <-peerDigests:
 			if node.checkDivergence(n) {
--- a/internal/dispatcher/fleet/spool/golden_test.go
+++ b/internal/dispatcher/fleet/spool/golden_test.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/segment"
 	"basaltloft/internal/shared/goldentest"
 
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
@@ -37,7 +37,7 @@
 // TestGoldenFolder: a spool opened on a copy of the golden folder ships what is in it,
 // numbered and whole.
 func TestGoldenFolder(t *testing.T) {
-	log, _ := test.NewNullLogger()
+	log := logtest.Discard()
 	if goldentest.Missing(goldenSpool) {
 		written := filepath.Join(t.TempDir(), "spool")
 		folder, err := segment.OpenDirectory(written)
--- a/internal/dispatcher/fleet/spool/recovery.go
+++ b/internal/dispatcher/fleet/spool/recovery.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"slices"
-
-	"github.com/sirupsen/logrus"
 )
 
 // recoverSegments finds the segments in the directory, truncates torn ends and returns the
@@ -55,7 +53,7 @@
 		return 0, nil, fmt.Errorf("%s of the spool: its name: %w", name, ErrForeign)
 	}
 	if found.Err != nil { // kept for inspection
-		s.log.WithError(found.Err).WithFields(logrus.Fields{"segment": name, "bytes": len(text) - found.ValidBytes}).Error("spool segment is damaged; the bytes can't be shipped and the file stays until it is removed by hand")
+		s.log.Error("spool segment is damaged; the bytes can't be shipped and the file stays until it is removed by hand", "error", found.Err, "segment", name, "bytes", len(text)-found.ValidBytes)
 	}
 	if found.owner.Process != "" && found.owner.Process != s.settings.Process {
 		return 0, nil, fmt.Errorf("%s is of process %q, this is %q: %w", name, found.owner.Process, s.settings.Process, ErrForeign)
@@ -76,13 +74,13 @@
 // repairSegment truncates a torn end, or removes a segment that has nothing else.
 func (s *Spool) repairSegment(end tornEnd) error {
 	if slices.ContainsFunc(s.segments, func(s *segmentFile) bool { return s.name == end.name }) {
-		s.log.WithFields(logrus.Fields{"segment": end.name, "bytes": end.size - end.valid}).Warn("torn end of a spool segment truncated")
+		s.log.Warn("torn end of a spool segment truncated", "segment", end.name, "bytes", end.size-end.valid)
 		if err := s.folder.Truncate(end.name, int64(end.valid)); err != nil {
 			return fmt.Errorf("cutting a torn end: %w", err)
 		}
 		return nil
 	}
-	s.log.WithField("segment", end.name).Info("incomplete spool segment removed")
+	s.log.Info("incomplete spool segment removed", "segment", end.name)
 	if err := s.folder.Remove(end.name); err != nil {
 		return fmt.Errorf("removing a segment that was only begun: %w", err)
 	}
--- a/internal/dispatcher/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -7,8 +7,6 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/fleet/records"
-
-	"github.com/sirupsen/logrus"
 )
 
 // sender ships what is written, the oldest first. It belongs to its goroutine.
@@ -47,7 +45,7 @@
 				continue
 			}
 			if !s.failureLogged && ctx.Err() == nil {
-				p.log.WithError(err).Warn("shipping job records failed; they wait in the spool")
+				p.log.Warn("shipping job records failed; they wait in the spool", "error", err)
 			}
 			s.failureLogged = true
 		}
@@ -76,7 +74,7 @@
 		}
 		// It was sound when it was written or found.
 		p := s.spool
-		p.log.WithError(found.Err).WithFields(logrus.Fields{"segment": g.name, "records": g.next - ship.FirstSeq}).Error("spool segment can't be read any more; its records are lost")
+		p.log.Error("spool segment can't be read any more; its records are lost", "error", found.Err, "segment", g.name, "records", g.next-ship.FirstSeq)
 		p.lost.Add(int64(g.next - ship.FirstSeq))
 		s.gapBefore = true
 		s.shippedThrough[g.epoch] = max(s.shippedThrough[g.epoch], g.next-1)
--- a/internal/dispatcher/fleet/spool/spool.go
+++ b/internal/dispatcher/fleet/spool/spool.go
@@ -9,14 +9,13 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"basaltloft/internal/dispatcher/fleet/records"
 	"basaltloft/internal/dispatcher/segment"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Settings configure a spool.
@@ -56,7 +55,7 @@
 type Spool struct {
 	folder   segment.Directory
 	settings Settings
-	log      logrus.FieldLogger
+	log      *slog.Logger
 	ship     ShipFunc
 
 	queue     chan records.Record
@@ -92,7 +91,7 @@
 // Open opens a spool in a directory, truncates torn ends, and begins to ship what is there.
 // It fails, without changing anything, for the spool of another process (ErrForeign) or
 // program version (ErrVersion). The directory belongs to the spool from then on.
-func Open(f segment.Directory, s Settings, now time.Time, log logrus.FieldLogger, ship ShipFunc) (*Spool, error) {
+func Open(f segment.Directory, s Settings, now time.Time, log *slog.Logger, ship ShipFunc) (*Spool, error) {
 	if s.Process == "" || s.QueueLength < 1 || s.BatchSize < 1 || s.SegmentBytes < 1 {
 		return nil, fmt.Errorf("the spool of records: settings %+v", s)
 	}
@@ -175,7 +174,7 @@
 // recordFailure counts a failed file operation, and logs the first one.
 func (s *Spool) recordFailure(err error) {
 	if s.failures.Add(1) == 1 {
-		s.log.WithError(err).Error("spool can't be written; jobs are served, records wait in memory and are dropped beyond the queue's length")
+		s.log.Error("spool can't be written; jobs are served, records wait in memory and are dropped beyond the queue's length", "error", err)
 	}
 	s.lastError.Store(err.Error())
 }
--- a/internal/dispatcher/fleet/spool/spool_test.go
+++ b/internal/dispatcher/fleet/spool/spool_test.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/fleet/records"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/segment"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 )
 
@@ -147,11 +147,11 @@
 	Process: "n1", QueueLength: 8, BatchSize: 4, MaxBodyBytes: 10, SegmentBytes: 300, WriteDelay: time.Millisecond, SyncInterval: 10 * time.Millisecond, RetryInterval: 20 * time.Millisecond,
 }
 
-func begin(t *testing.T, d segment.Directory, f *fleet, s Settings) (*Spool, *test.Hook) {
-	log, hook := test.NewNullLogger()
+func begin(t *testing.T, d segment.Directory, f *fleet, s Settings) (*Spool, *logtest.Recorder) {
+	log, recorder := logtest.New()
 	p, err := Open(d, s, time.Now(), log, f.ship)
 	require.NoError(t, err)
-	return p, hook
+	return p, recorder
 }
 
 // feed adds records one after the other, a millisecond and more apart.
@@ -186,7 +186,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d, f, s := newDisk(), &fleet{state: records.New()}, tight
 				s.QueueLength = 32
-				p, hook := begin(t, d, f, s)
+				p, recorder := begin(t, d, f, s)
 				d.mu.Lock()
 				d.fail = func(call int) error {
 					if call >= k && call < k+times {
@@ -204,7 +204,7 @@
 				require.EqualValues(t, 15, r.Shipped)
 				reached = d.calls >= k+times+1
 				require.Equal(t, reached || r.Failures > 0, r.Failures > 0, "call %d", k)
-				require.LessOrEqual(t, len(hook.AllEntries()), 1)
+				require.LessOrEqual(t, len(recorder.Records()), 1)
 			})
 		}
 	}
@@ -258,7 +258,7 @@
 func TestNeverWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, f := newDisk(), &fleet{state: records.New()}
-		p, hook := begin(t, d, f, tight)
+		p, recorder := begin(t, d, f, tight)
 		d.mu.Lock()
 		d.fail = func(int) error { return syscall.ENOSPC }
 		d.mu.Unlock()
@@ -274,7 +274,7 @@
 		require.Equal(t, time.Minute, r.Lag(time.Now()))
 		require.Greater(t, r.Failures, int64(1000))
 		require.Contains(t, r.LastError, syscall.ENOSPC.Error())
-		require.Len(t, hook.AllEntries(), 1)
+		require.Len(t, recorder.Records(), 1)
 		end(t, p)
 		require.EqualValues(t, 100, p.Stats().Dropped)
 		require.False(t, p.Add(records.Record{}), "closed")
@@ -398,7 +398,7 @@
 	}{{text, other, ErrForeign}, {versioned(0), tight, ErrVersion}, {versioned(2), tight, ErrVersion}, {text, old, nil}} {
 		d := newDisk()
 		d.files[names[0]] = bytes.Clone(c.text)
-		log, _ := test.NewNullLogger()
+		log := logtest.Discard()
 		_, err := Open(d, c.s, time.Now(), log, f.ship)
 		require.Error(t, err)
 		if c.err != nil {
@@ -415,9 +415,9 @@
 			d.files[names[0]] = text[:at]
 		}
 		f.state, f.ids = records.New(), nil
-		p, hook := begin(t, d, f, tight)
+		p, recorder := begin(t, d, f, tight)
 		end(t, p)
-		require.Len(t, hook.AllEntries(), 1)
+		require.Len(t, recorder.Records(), 1)
 		require.Equal(t, upTo(len(f.ids)), f.ids)
 		require.True(t, len(f.ids) >= 4 && len(f.ids) < 8, "all but the last batch, of 4 at most")
 		require.Equal(t, kept, len(d.files) == 1)
--- a/internal/dispatcher/httpfront/bodymemory_test.go
+++ b/internal/dispatcher/httpfront/bodymemory_test.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/scenario"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 )
@@ -66,7 +66,7 @@
 func TestNoBodyMemory(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := New(hears{}, nil, logrus.New())
+	s := New(hears{}, nil, logtest.Discard())
 	s.SetBodyMemory(64 << 10)
 	go func() { _ = s.Serve(l, 10) }()
 	defer func() { _ = s.server.Close() }()
--- a/internal/dispatcher/httpfront/golden_test.go
+++ b/internal/dispatcher/httpfront/golden_test.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/pipeline"
 	"basaltloft/internal/shared/goldentest"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -92,8 +92,7 @@
 // rewritten by later code.
 func TestGoldenAnswers(t *testing.T) {
 	var b transcript
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	for _, ready := range []bool{true, false} {
 		h := &answering{ready: ready, told: &b}
 		s := New(h, h, log)
--- a/internal/dispatcher/httpfront/listener_test.go
+++ b/internal/dispatcher/httpfront/listener_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/scenario"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -51,7 +51,7 @@
 			t.Parallel()
 			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			s := New(nil, nil, logrus.New())
+			s := New(nil, nil, logtest.Discard())
 			go func() { _ = s.Serve(l, 2) }()
 			defer func() { _ = s.server.Close() }()
 			began := time.Now()
--- a/internal/dispatcher/httpfront/server.go
+++ b/internal/dispatcher/httpfront/server.go
@@ -12,19 +12,16 @@
 	"errors"
 	"fmt"
 	"io"
-	stdlog "log"
+	"log/slog"
 	"net"
 	"net/http"
 	"net/http/httputil"
-	"strings"
 	"sync/atomic"
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
 	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/pipeline"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Engine is what the front needs of engine.Engine.
@@ -56,7 +53,7 @@
 	Counters     accounting.FrontCounters // the front's own, for audits
 	engine       Engine
 	factory      TransactionFactory
-	log          logrus.FieldLogger
+	log          *slog.Logger
 	proxy        *httputil.ReverseProxy
 	server       *http.Server
 	draining     atomic.Bool
@@ -72,9 +69,9 @@
 }
 
 // New returns a front that does not serve yet.
-func New(e Engine, factory TransactionFactory, log *logrus.Logger) *Server {
+func New(e Engine, factory TransactionFactory, log *slog.Logger) *Server {
 	s := &Server{Counters: accounting.FrontCounters{Front: Front}, engine: e, factory: factory, log: log}
-	quiet := stdlog.New(debugWriter{log}, "", 0) // clients' errors are not this program's
+	quiet := slog.NewLogLogger(log.Handler(), slog.LevelDebug) // clients' errors are not this program's
 	s.proxy = &httputil.ReverseProxy{
 		// The query is passed on as it came: ReverseProxy drops from it what it cannot parse, and the
 		// members must get every byte.
@@ -102,15 +99,6 @@
 	return s
 }
 
-// debugWriter writes to the log at the debug level: logrus's own writer has a goroutine that never ends.
-type debugWriter struct{ log logrus.FieldLogger }
-
-// Write implements io.Writer.
-func (d debugWriter) Write(text []byte) (int, error) {
-	d.log.Debug(strings.TrimSpace(string(text)))
-	return len(text), nil
-}
-
 // SetBodyMemory bounds the memory that bodies of jobs take at a time, in bytes, and those of
 // callbacks to half as much beside them. It is called before Serve.
 func (s *Server) SetBodyMemory(bytes int) {
@@ -260,6 +248,6 @@
 
 // logClientLeft handles a job without an answer: its client has gone.
 func (s *Server) logClientLeft(w http.ResponseWriter, _ *http.Request, err error) {
-	s.log.WithError(err).Debug("a client left before its answer")
+	s.log.Debug("a client left before its answer", "error", err)
 	w.WriteHeader(http.StatusBadGateway)
 }
--- a/internal/dispatcher/httpfront/shutdown_test.go
+++ b/internal/dispatcher/httpfront/shutdown_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/engine"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/pipeline"
 	"basaltloft/internal/dispatcher/scenario"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -123,7 +123,7 @@
 			require.NoError(t, err)
 			held, on, reads := make(chan string, 1), make(chan bool), make(chan string, 100)
 			var stopped atomic.Bool
-			s := New(server{}, server{}, logrus.New())
+			s := New(server{}, server{}, logtest.Discard())
 			hold := func(text string, err error) { // one connection, so one Read at a time
 				if err != nil && strings.Contains(err.Error(), "timeout") && s.closingIdle.Load() { // net/http ends some reads too
 					text = "timeout"
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -8,7 +8,8 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"basaltloft/internal/dispatcher/logging/logtest"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -172,7 +173,7 @@
 	t.Parallel()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := New(nil, nil, logrus.New())
+	s := New(nil, nil, logtest.Discard())
 	go func() { _ = s.Serve(l, 1) }()
 	defer func() { _ = s.server.Close() }()
 	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
--- a/internal/dispatcher/journal/journal_test.go
+++ b/internal/dispatcher/journal/journal_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io/fs"
+	"log/slog"
 	"maps"
 	"os"
 	"path/filepath"
@@ -15,8 +16,8 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
+	"basaltloft/internal/dispatcher/logging"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 )
@@ -125,7 +126,7 @@
 
 var (
 	start        = time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
-	discardLog   = func() *logrus.Logger { l := logrus.New(); l.SetLevel(logrus.PanicLevel); return l }()
+	discardLog   = slog.New(slog.DiscardHandler)
 	testSettings = Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: time.Hour, WriteDelay: 0, SyncInterval: 0}
 	holdJob      = accounting.Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: "k"}
 )
@@ -298,8 +299,7 @@
 		m := newMemoryDir()
 		m.freeBytes = room
 		var said bytes.Buffer
-		log := logrus.New()
-		log.SetOutput(&said)
+		log := logging.New(&said, logging.Text, slog.LevelInfo)
 		j, err := Open(m, testSettings, start, log, func([]accounting.Difference) {})
 		if err != nil {
 			require.ErrorIs(t, err, syscall.ENOSPC)
--- a/internal/dispatcher/journal/writer.go
+++ b/internal/dispatcher/journal/writer.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Settings bound what a journal keeps and what a crash can take from it.
@@ -30,7 +29,7 @@
 type Journal struct {
 	dir               Directory
 	settings          Settings
-	log               logrus.FieldLogger
+	log               *slog.Logger
 	recovery          Recovery
 	reportDifferences func([]accounting.Difference)
 
@@ -65,7 +64,7 @@
 // the directory. reportDifferences is called, on the writer's goroutine, where a
 // checkpoint and the journal's own count differ. The error wraps ErrNewerVersion or one of
 // the directory.
-func Open(dir Directory, settings Settings, now time.Time, log logrus.FieldLogger, reportDifferences func([]accounting.Difference)) (*Journal, error) {
+func Open(dir Directory, settings Settings, now time.Time, log *slog.Logger, reportDifferences func([]accounting.Difference)) (*Journal, error) {
 	j := &Journal{
 		dir: dir, settings: settings, log: log, reportDifferences: reportDifferences,
 		wake: make(chan struct{}, 1), done: make(chan struct{}),
@@ -156,7 +155,7 @@
 func (j *Journal) fail(err error) {
 	if !j.stopped.Swap(true) {
 		j.stopReason.Store(err.Error())
-		j.log.WithError(err).Error("journal stopped: nothing more is written to it")
+		j.log.Error("journal stopped: nothing more is written to it", "error", err)
 	}
 }
 
@@ -367,7 +366,7 @@
 			return
 		}
 		if err := j.dir.Remove(j.segments[0].name); err != nil {
-			j.log.WithError(err).Warn("old journal segment not removed")
+			j.log.Warn("old journal segment not removed", "error", err)
 			return
 		}
 		total -= j.segments[0].size
--- a/internal/dispatcher/logging/logtest/logtest.go
+++ b/internal/dispatcher/logging/logtest/logtest.go
@@ -1,22 +1,31 @@
-// Package logtest has a logger for tests that look at what is logged.
+// Package logtest has loggers for tests.
 package logtest
 
 import (
 	"context"
+	"io"
 	"log/slog"
 	"slices"
 	"sync"
+
+	"basaltloft/internal/dispatcher/logging"
 )
 
+// Discard returns a logger for tests that don't look at what is logged: it formats lines of level info
+// and above, as the program does, and drops them.
+func Discard() *slog.Logger { return logging.New(io.Discard, logging.Text, slog.LevelInfo) }
+
 // Recorder keeps the records of a logger, and of those derived from it.
 type Recorder struct {
+	format slog.Handler // formats each record as the program does
+
 	mu      sync.Mutex
 	records []slog.Record
 }
 
 // New returns a logger that writes nothing, and the recorder of its records of level info and above.
 func New() (*slog.Logger, *Recorder) {
-	r := &Recorder{}
+	r := &Recorder{format: Discard().Handler()}
 	return slog.New(&handler{recorder: r}), r
 }
 
@@ -38,13 +47,13 @@
 func (h *handler) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelInfo }
 
 // Handle implements slog.Handler.
-func (h *handler) Handle(_ context.Context, record slog.Record) error {
+func (h *handler) Handle(ctx context.Context, record slog.Record) error {
 	record = record.Clone()
 	record.AddAttrs(h.attrs...)
 	h.recorder.mu.Lock()
 	defer h.recorder.mu.Unlock()
 	h.recorder.records = append(h.recorder.records, record)
-	return nil
+	return h.recorder.format.Handle(ctx, record)
 }
 
 // WithAttrs implements slog.Handler.
--- a/internal/dispatcher/metrics/audit.go
+++ b/internal/dispatcher/metrics/audit.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"log/slog"
 	"sync"
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Engine is what the auditor needs of the dispatcher engine.
@@ -26,7 +25,7 @@
 	recorder *Recorder
 	engine   Engine
 	fronts   []*accounting.FrontCounters
-	log      logrus.FieldLogger
+	log      *slog.Logger
 
 	mu          sync.Mutex
 	differences []accounting.Difference // of the last audit, and of the journal since
@@ -36,7 +35,7 @@
 }
 
 // NewAuditor returns an auditor. fronts are the counters of all fronts.
-func NewAuditor(r *Recorder, engine Engine, fronts []*accounting.FrontCounters, log logrus.FieldLogger) *Auditor {
+func NewAuditor(r *Recorder, engine Engine, fronts []*accounting.FrontCounters, log *slog.Logger) *Auditor {
 	return &Auditor{recorder: r, engine: engine, fronts: fronts, log: log, found: make(map[string]int64)}
 }
 
@@ -97,8 +96,7 @@
 	}
 	a.mu.Unlock()
 	for _, d := range differences {
-		a.log.WithFields(logrus.Fields{"audit": d.Audit, "what": d.What, "ledger": d.Ledger, "other": d.Other}).
-			Error("audit found a difference")
+		a.log.Error("audit found a difference", "audit", d.Audit, "what", d.What, "ledger", d.Ledger, "other", d.Other)
 	}
 }
 
--- a/internal/dispatcher/metrics/metrics_test.go
+++ b/internal/dispatcher/metrics/metrics_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -18,11 +19,10 @@
 	"basaltloft/internal/dispatcher/accounting"
 	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/journal"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/pipeline"
 	"basaltloft/internal/dispatcher/policy"
 
-	"github.com/sirupsen/logrus"
-	"github.com/sirupsen/logrus/hooks/test"
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
@@ -40,7 +40,7 @@
 	dir      string
 	ledger   *faulty
 	fronts   []*accounting.FrontCounters
-	log      *test.Hook
+	log      *logtest.Recorder
 	end      func()
 
 	mu    sync.Mutex
@@ -122,8 +122,8 @@
 			{Name: "ticket", Effect: policy.AtMostOnce, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 25 * time.Second, Value: 2, Kind: -1},
 		},
 	}
-	log, hook := test.NewNullLogger()
-	r := &fixture{recorder: NewRecorder(accounting.DefaultLimits()), log: hook}
+	log, recorder := logtest.New()
+	r := &fixture{recorder: NewRecorder(accounting.DefaultLimits()), log: recorder}
 	r.ledger = &faulty{Recorder: r.recorder}
 	chain := pipeline.New(settings, pipeline.Limits{MaxOpen: 20, MaxBodyBytes: 1 << 20}, r.ledger, log)
 	var err error
@@ -303,7 +303,9 @@
 			s := r.auditor.State()
 			require.NotZero(t, s.Found[c.want], "%v", s)
 			require.False(t, r.auditor.Balanced())
-			require.Equal(t, logrus.ErrorLevel, r.log.LastEntry().Level)
+			records := r.log.Records()
+			require.NotEmpty(t, records)
+			require.Equal(t, slog.LevelError, records[len(records)-1].Level)
 		})
 	}
 }
--- a/internal/dispatcher/pipeline/ledger.go
+++ b/internal/dispatcher/pipeline/ledger.go
@@ -1,12 +1,12 @@
 package pipeline
 
 import (
+	"context"
+	"log/slog"
 	"time"
 
 	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/policy"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Ledger counts what becomes of transactions. It is called by the engine's goroutine.
@@ -24,10 +24,8 @@
 // RecordEnd implements engine.Stages.
 func (p *Pipeline) RecordEnd(t *engine.Transaction, a engine.Answer, now time.Time) {
 	p.ledger.JobEnded(t, a, now)
-	if a.Verdict != engine.Served && p.log.IsLevelEnabled(logrus.DebugLevel) {
-		p.log.WithFields(logrus.Fields{
-			"transaction": t.ID, "class": t.Class, "tenant": t.Tenant,
-			"left": t.Deadline.Sub(now).String(), "reason": a.Reason.String(),
-		}).Debug(a.Verdict.String())
+	if a.Verdict != engine.Served && p.log.Enabled(context.Background(), slog.LevelDebug) {
+		p.log.Debug(a.Verdict.String(), "transaction", t.ID, "class", t.Class, "tenant", t.Tenant,
+			"left", t.Deadline.Sub(now).String(), "reason", a.Reason.String())
 	}
 }
--- a/internal/dispatcher/pipeline/pipeline.go
+++ b/internal/dispatcher/pipeline/pipeline.go
@@ -5,12 +5,11 @@
 package pipeline
 
 import (
+	"log/slog"
 	"sync/atomic"
 	"time"
 
 	"basaltloft/internal/dispatcher/policy"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Pipeline is the stages of one dispatcher. It implements engine.Stages, whose methods belong to the
@@ -21,7 +20,7 @@
 	ledger            Ledger
 	defaultCapability func(class string) string // of jobs that name none; nil: none
 	tenants           TenantLimiter             // nil: tenants are not limited
-	log               *logrus.Logger
+	log               *slog.Logger
 }
 
 // TenantLimiter is this dispatcher's part of the jobs that the whole fleet may take of each tenant.
@@ -38,7 +37,7 @@
 func (p *Pipeline) SetDefaultCapability(of func(class string) string) { p.defaultCapability = of }
 
 // New returns the pipeline for the policy's settings.
-func New(s policy.Settings, limits Limits, ledger Ledger, log *logrus.Logger) *Pipeline {
+func New(s policy.Settings, limits Limits, ledger Ledger, log *slog.Logger) *Pipeline {
 	p := &Pipeline{limits: limits, ledger: ledger, log: log}
 	p.Reconfigure(s)
 	return p
--- a/internal/dispatcher/pipeline/relay.go
+++ b/internal/dispatcher/pipeline/relay.go
@@ -6,8 +6,6 @@
 	"basaltloft/internal/dispatcher/accounting"
 	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/policy"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Relay implements engine.Stages. A result goes to the client at once, and so does a member's answer
@@ -21,13 +19,6 @@
 		const text = "the pool member can't use this request\n"
 		return &engine.Answer{Verdict: engine.Denied, Reason: accounting.BadRequest, Body: []byte(text)}
 	}
-	if p.log.IsLevelEnabled(logrus.DebugLevel) {
-		p.log.WithFields(flowFields(f)).WithField("status", accounting.StatusName(s)).Debug("flow ended")
-	}
+	p.log.Debug("flow ended", "transaction", f.Transaction.ID, "flow", f.Number, "member", f.Member.ID, "status", accounting.StatusName(s))
 	return nil
 }
-
-// flowFields are the fields of a flow in the log.
-func flowFields(f *engine.Flow) map[string]any {
-	return map[string]any{"transaction": f.Transaction.ID, "flow": f.Number, "member": f.Member.ID}
-}
--- a/internal/dispatcher/server/admin_operations_test.go
+++ b/internal/dispatcher/server/admin_operations_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"basaltloft/internal/dispatcher/httpfront"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/scenario"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 )
 
@@ -17,7 +17,7 @@
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	http := httpfront.New(nil, nil, logrus.New())
+	http := httpfront.New(nil, nil, logtest.Discard())
 	go func() { _ = http.Serve(l, 8) }() // until the listener is closed
 	o := &adminOperations{s: &Service{draining: make(chan struct{})}, http: http}
 	scenario.RunScript(t, scenario.Peers{"client": scenario.Dial(l.Addr().String())}, scenario.Functions{
--- a/internal/dispatcher/server/component.go
+++ b/internal/dispatcher/server/component.go
@@ -4,12 +4,11 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"syscall"
 	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
 // component is one part of the process that is started, drained and stopped. A function that it
@@ -42,7 +41,7 @@
 
 // listenOn opens the component's listener. While another process has the address it tries again
 // until the deadline.
-func (c *component) listenOn(ctx context.Context, deadline time.Time, log logrus.FieldLogger) error {
+func (c *component) listenOn(ctx context.Context, deadline time.Time, log *slog.Logger) error {
 	if c.inheritedFD > 0 {
 		l, err := inheritedListener(c.inheritedFD)
 		if err != nil {
@@ -66,7 +65,7 @@
 		case !errors.Is(err, syscall.EADDRINUSE) || !time.Now().Before(deadline):
 			return fmt.Errorf("%s: listening: %w", c.name, err)
 		case first:
-			log.WithFields(logrus.Fields{"component": c.name, "listen": c.listen}).Warn("the address is taken: waiting for it")
+			log.Warn("the address is taken: waiting for it", "component", c.name, "listen", c.listen)
 		}
 		select {
 		case <-ticker.C:
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
 	"path/filepath"
@@ -25,7 +26,6 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 	"basaltloft/internal/dispatcher/settings"
 
-	"github.com/sirupsen/logrus"
 	"github.com/valyala/fastjson"
 )
 
@@ -36,7 +36,7 @@
 	planService *planService
 	recorder    *recorder
 	store       *recordstore.Store // of its Raft node; nil: none is open
-	log         *logrus.Entry
+	log         *slog.Logger
 
 	components []*component                  // they stop after all others of the process, in this order
 	raftNode   atomic.Pointer[raftnode.Node] // nil: this process is no Raft node, or not yet
@@ -69,7 +69,7 @@
 	for name, node := range f.RaftNodes {
 		rpcAddresses[name] = node.RPCAddress
 	}
-	out := &fleet{log: s.log.WithField("fleet", f.Name)}
+	out := &fleet{log: s.log.With("fleet", f.Name)}
 	out.agent = agent.New(agent.Settings{
 		Process: f.Name, Version: "1", RaftNodes: rpcAddresses, FleetSettings: fleetSettings, ExpectedBudgets: expectedBudgets, Log: out.log,
 	})
@@ -93,7 +93,7 @@
 			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(leaveTimeout))
 			defer cancel()
 			if err := out.agent.Leave(ctx); err != nil {
-				s.log.WithError(err).Warn("the fleet finds out by the lease that this process has ended")
+				s.log.Warn("the fleet finds out by the lease that this process has ended", "error", err)
 			}
 			return nil
 		},
--- a/internal/dispatcher/server/forward.go
+++ b/internal/dispatcher/server/forward.go
@@ -23,7 +23,7 @@
 	dir := o.peersDir()
 	self := filepath.Join(dir, strconv.Itoa(os.Getpid()))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		o.s.log.WithError(err).Error("the other process of an upgrade can't find this one's admin API")
+		o.s.log.Error("the other process of an upgrade can't find this one's admin API", "error", err)
 		return func() {}
 	}
 	temp := self + ".new"
@@ -32,7 +32,7 @@
 		err = os.Rename(temp, self)
 	}
 	if err != nil {
-		o.s.log.WithError(err).Error("the other process of an upgrade can't find this one's admin API")
+		o.s.log.Error("the other process of an upgrade can't find this one's admin API", "error", err)
 	}
 	return func() { _ = os.Remove(self) } // a file of a process that has ended is ignored
 }
--- a/internal/dispatcher/server/golden_test.go
+++ b/internal/dispatcher/server/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"path/filepath"
 	"testing"
 	"time"
@@ -13,11 +12,11 @@
 	"basaltloft/internal/dispatcher/fleet/records"
 	"basaltloft/internal/dispatcher/fleet/spool"
 	"basaltloft/internal/dispatcher/httpfront"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/override"
 	"basaltloft/internal/dispatcher/segment"
 	"basaltloft/internal/shared/goldentest"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 	"github.com/valyala/fastjson"
 )
@@ -26,10 +25,10 @@
 // of what operators set by hand, under the same file's name, and saves the same bytes.
 func TestGoldenOverridesFile(t *testing.T) {
 	golden := filepath.Join("..", "override", "testdata", "golden")
-	s := &Service{log: logrus.New()}
+	s := &Service{log: logtest.Discard()}
 	s.options.Config.Name = "n0"
 	t.Setenv("TMPDIR", goldentest.CopyFolder(t, golden))
-	o := newAdminOperations(s, httpfront.New(nil, nil, logrus.New()))
+	o := newAdminOperations(s, httpfront.New(nil, nil, logtest.Discard()))
 	require.Equal(t, "basaltloft-n0.hand.json", filepath.Base(o.statePath()))
 	read, err := override.Decode(goldentest.Read(t, o.statePath()), "n0")
 	require.NoError(t, err)
@@ -68,8 +67,7 @@
 func TestGoldenFleetStatus(t *testing.T) {
 	folder, err := segment.OpenDirectory(t.TempDir())
 	require.NoError(t, err)
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	none := func(context.Context, records.Ship) (uint64, error) { return 0, nil }
 	kept, err := spool.Open(folder, spool.Settings{Process: "n1", QueueLength: 1, BatchSize: 1, SegmentBytes: 1}, time.Now(), log, none)
 	require.NoError(t, err)
--- a/internal/dispatcher/server/journal.go
+++ b/internal/dispatcher/server/journal.go
@@ -13,10 +13,10 @@
 	if config.JournalDir == "" {
 		return
 	}
-	log := s.log.WithField("folder", config.JournalDir)
+	log := s.log.With("folder", config.JournalDir)
 	directory, err := journal.OpenDirectory(config.JournalDir)
 	if err != nil {
-		log.WithError(err).Error("the journal of figures is off: its folder can't be used")
+		log.Error("the journal of figures is off: its folder can't be used", "error", err)
 		return
 	}
 	j, err := journal.Open(directory, journal.Settings{
@@ -25,14 +25,14 @@
 	}, time.Now(), log, s.auditor.ReportDifferences)
 	if err != nil {
 		_ = directory.Close() // the error that matters is logged
-		log.WithError(err).Error("the journal of figures is off: it can't be continued")
+		log.Error("the journal of figures is off: it can't be continued", "error", err)
 		return
 	}
 	recovery := j.Recovery()
 	for _, damage := range recovery.Warnings {
-		log.WithField("damage", damage).Error("the journal of figures is damaged")
+		log.Error("the journal of figures is damaged", "damage", damage)
 	}
-	log.WithField("recovery", recovery.String()).Info("journal of figures opened")
+	log.Info("journal of figures opened", "recovery", recovery.String())
 	s.journal = j
 	s.metrics.SetJobJournal(j)
 }
@@ -43,6 +43,6 @@
 		return
 	}
 	if err := s.journal.Close(); err != nil {
-		s.log.WithError(err).Error("the journal of figures could not be closed")
+		s.log.Error("the journal of figures could not be closed", "error", err)
 	}
 }
--- a/internal/dispatcher/server/overrides_file.go
+++ b/internal/dispatcher/server/overrides_file.go
@@ -38,14 +38,14 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	log := o.s.log.WithField("file", o.statePath())
+	log := o.s.log.With("file", o.statePath())
 	if err != nil {
-		log.WithError(err).Error("the operators' settings of an older process can't be read and are ignored")
+		log.Error("the operators' settings of an older process can't be read and are ignored", "error", err)
 		return
 	}
 	saved, err := override.Decode(text, o.name)
 	if err != nil {
-		log.WithError(err).Error("the operators' settings of an older process are ignored")
+		log.Error("the operators' settings of an older process are ignored", "error", err)
 		return
 	}
 	o.mu.Lock()
@@ -59,5 +59,5 @@
 	for _, id := range saved.RestoredRunners() {
 		o.s.engine.MarkRestored(id, saved.RestoredAt(id))
 	}
-	log.WithField("out", len(saved.OutRunners())).Info("the operators' settings of an older process are taken over")
+	log.Info("the operators' settings of an older process are taken over", "out", len(saved.OutRunners()))
 }
--- a/internal/dispatcher/server/plans.go
+++ b/internal/dispatcher/server/plans.go
@@ -45,7 +45,7 @@
 			p.files[i] = filepath.Join(s.options.OperatorDir, name)
 		}
 	}
-	p.coordinator = coordinator.New(fl.agent, p, s.log.WithField("part", "plans"))
+	p.coordinator = coordinator.New(fl.agent, p, s.log.With("part", "plans"))
 	if err := p.loadPlans(s.options.Config); err != nil {
 		return nil, err
 	}
--- a/internal/dispatcher/server/records.go
+++ b/internal/dispatcher/server/records.go
@@ -51,7 +51,7 @@
 	r.spool, err = spool.Open(folder, spool.Settings{
 		Process: f.Name, QueueLength: 8192, BatchSize: 256, MaxBodyBytes: r.maxBodyBytes, SegmentBytes: 4 << 20, MaxBytes: 1 << 30,
 		WriteDelay: 10 * time.Millisecond, SyncInterval: time.Second, RetryInterval: 250 * time.Millisecond,
-	}, time.Now(), s.log.WithField("part", "spool"), r.ship)
+	}, time.Now(), s.log.With("part", "spool"), r.ship)
 	if err != nil {
 		_ = folder.Close() // the error that matters is returned
 		return nil, err
@@ -66,7 +66,7 @@
 			ctx, cancel := context.WithDeadline(ctx, time.Now().Add(spoolCloseTimeout))
 			defer cancel()
 			if err := r.spool.Close(ctx); err != nil {
-				s.log.WithError(err).Error("closing the spool of records")
+				s.log.Error("closing the spool of records", "error", err)
 			}
 			return nil
 		},
@@ -128,7 +128,7 @@
 		for more := true; more; {
 			var err error
 			if more, err = r.enforceRetentionOnce(ctx, session); err != nil && ctx.Err() == nil {
-				r.s.log.WithError(err).Debug("records could not be pruned")
+				r.s.log.Debug("records could not be pruned", "error", err)
 			}
 		}
 	}
--- a/internal/dispatcher/server/records_store.go
+++ b/internal/dispatcher/server/records_store.go
@@ -26,7 +26,7 @@
 	}
 	known, err := recordstore.LoadFence(folder, fenceOwner)
 	if err != nil {
-		f.log.WithError(err).Error("the fence of pruned records can't be read and is ignored")
+		f.log.Error("the fence of pruned records can't be read and is ignored", "error", err)
 	}
 	return partition.NewRecords(f.store, known), nil
 }
@@ -60,7 +60,7 @@
 			continue
 		}
 		if err := recordstore.SaveFence(folder, fenceOwner, fence); err != nil {
-			f.log.WithError(err).Error("the fence of pruned records can't be saved")
+			f.log.Error("the fence of pruned records can't be saved", "error", err)
 			continue
 		}
 		last = fence.Edition
--- a/internal/dispatcher/server/service.go
+++ b/internal/dispatcher/server/service.go
@@ -7,6 +7,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"os"
 	"sync"
 	"time"
@@ -17,8 +18,6 @@
 	"basaltloft/internal/dispatcher/metrics"
 	"basaltloft/internal/dispatcher/pipeline"
 	"basaltloft/internal/dispatcher/settings"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Options are what a dispatcher is made of.
@@ -30,7 +29,7 @@
 	OperatorDir string
 	// ReadConfig reads the configuration file again, for a reload.
 	ReadConfig func() (settings.Config, error)
-	Log        *logrus.Logger
+	Log        *slog.Logger
 }
 
 // agentListTimeout is how long a start waits for the membership list of the agent on this
@@ -40,7 +39,7 @@
 // Service is one dispatcher process.
 type Service struct {
 	options     Options
-	log         *logrus.Logger
+	log         *slog.Logger
 	limits      pipeline.Limits
 	socketLimit int // descriptors for clients and pool members
 	metrics     *metrics.Recorder
@@ -84,9 +83,7 @@
 		defer s.operations.announce(admin)()
 	}
 	failed := s.startComponents(ctx, &goroutines)
-	s.log.WithFields(logrus.Fields{
-		"name": o.Config.Name, "listen": o.Config.Listen, "members": len(o.Config.LastMembership.Entries),
-	}).Info("serving")
+	s.log.Info("serving", "name", o.Config.Name, "listen", o.Config.Listen, "members", len(o.Config.LastMembership.Entries))
 	goroutines.Go(func() { s.reloadOn(ctx, reloads) }) // also while it drains: jobs may still need the membership
 	select {
 	case err := <-failed:
@@ -172,19 +169,17 @@
 		err = s.engine.Reconfigure(c.Settings)
 	}
 	if err != nil {
-		s.log.WithError(err).Error("the configuration can't be reloaded and stays as it was")
+		s.log.Error("the configuration can't be reloaded and stays as it was", "error", err)
 		return
 	}
 	s.pipeline.Reconfigure(c.Settings)
 	if s.fleet != nil {
 		if err := s.fleet.planService.loadPlans(c); err != nil {
-			s.log.WithError(err).Error("the plan files can't be reloaded: those in use stay")
+			s.log.Error("the plan files can't be reloaded: those in use stay", "error", err)
 		}
 	}
 	s.membership.SwitchTo(c.Discovery)
-	s.log.WithFields(logrus.Fields{
-		"discovery": c.Discovery, "classes": len(c.Settings.Classes), "most_tries": c.Settings.Limits.MaxAttempts,
-	}).Info("reloaded")
+	s.log.Info("reloaded", "discovery", c.Discovery, "classes", len(c.Settings.Classes), "most_tries", c.Settings.Limits.MaxAttempts)
 }
 
 // isDraining tells whether the shutdown has begun.
--- a/internal/dispatcher/server/settings_random_test.go
+++ b/internal/dispatcher/server/settings_random_test.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"basaltloft/internal/dispatcher/fakes"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/server"
 	"basaltloft/internal/dispatcher/settings"
 
-	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 )
@@ -189,8 +189,7 @@
 	if err != nil {
 		return h, err
 	}
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	log := logtest.Discard()
 	told, ended := make(chan os.Signal, 1), make(chan error, 1)
 	go func() {
 		ended <- server.Run(context.Background(), server.Options{Config: c, Operator: o, Log: log}, told, nil)
--- a/internal/dispatcher/server/shutdown.go
+++ b/internal/dispatcher/server/shutdown.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
+	"log/slog"
 	"time"
 
 	"basaltloft/internal/dispatcher/accounting"
-
-	"github.com/sirupsen/logrus"
 )
 
 // The parts of the time between the signal and the forced end.
@@ -79,7 +78,7 @@
 		}
 	}
 	s.auditor.Audit()
-	s.log.WithFields(s.totals()).Info("done")
+	s.log.LogAttrs(ctx, slog.LevelInfo, "done", s.totals()...)
 	return nil
 }
 
@@ -109,14 +108,14 @@
 }
 
 // totals are the ledger's totals, for the last log line.
-func (s *Service) totals() logrus.Fields {
-	fields := logrus.Fields{}
+func (s *Service) totals() []slog.Attr {
+	var attrs []slog.Attr
 	s.engine.Do(func() {
 		totals := s.metrics.Ledger.Totals()
-		fields["taken"], fields["open"] = totals.Taken, totals.Open
+		attrs = append(attrs, slog.Int64("taken", totals.Taken), slog.Int64("open", totals.Open))
 		for outcome := range accounting.Outcomes {
-			fields[outcome.String()] = totals.EndedAs(outcome)
+			attrs = append(attrs, slog.Int64(outcome.String(), totals.EndedAs(outcome)))
 		}
 	})
-	return fields
+	return attrs
 }
