--- a/internal/dispatcher/soak/result.go
+++ b/internal/dispatcher/soak/result.go
@@ -63,7 +63,8 @@
 	if err != nil {
 		return state, err
 	}
-	err = errors.Join(json.NewDecoder(resp.Body).Decode(&state), resp.Body.Close())
+	defer func() { _ = resp.Body.Close() }() // what was read counts all the same
+	err = json.NewDecoder(resp.Body).Decode(&state)
 	return state, err
 }
 
