--- a/internal/dispatcher/discovery/follower.go
+++ b/internal/dispatcher/discovery/follower.go
@@ -37,7 +37,8 @@
 	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
-// Follower calls discovery. It implements engine.Lister. Its goroutines end with the context of New.
+// Follower calls discovery. It implements engine.Lister. Its goroutines end with the context of New, and Wait
+// waits for them.
 type Follower struct {
 	ctx       context.Context
 	schedule  CallSchedule
@@ -48,6 +49,8 @@
 	answered   chan struct{} // closed once a service has answered
 	answerOnce sync.Once
 
+	running sync.WaitGroup // the goroutines of calls and watches
+
 	mu      sync.Mutex
 	current *service
 }
@@ -146,6 +149,10 @@
 	}
 }
 
+// Wait returns once all goroutines have ended. It must be called once the context of New has ended and no
+// other method is called any more.
+func (f *Follower) Wait() { f.running.Wait() }
+
 // Watch implements engine.Lister. There is one watch at a time, also while it waits to repeat a call.
 func (f *Follower) Watch(on bool) {
 	f.mu.Lock()
@@ -163,7 +170,7 @@
 func (f *Follower) startWatch(s *service) {
 	ctx, stop := context.WithCancel(s.ctx)
 	s.stopWatch = stop
-	go f.watch(ctx, s)
+	f.running.Go(func() { f.watch(ctx, s) })
 }
 
 // Fetch implements engine.Lister.
@@ -171,7 +178,7 @@
 	f.mu.Lock()
 	s := f.current
 	f.mu.Unlock()
-	go func() {
+	f.running.Go(func() {
 		_, until := f.schedule.Timeouts(time.Now(), false, false)
 		l, err := s.call(s.ctx, nil, until)
 		if err != nil {
@@ -179,7 +186,7 @@
 			return
 		}
 		f.deliver(s.ctx, s, l, policy.ListSnapshot, true)
-	}()
+	})
 }
 
 // watch calls again as soon as it is answered: a gap of over 200 ms would end the watch, and changes in it
--- a/internal/dispatcher/poolmember/control.go
+++ b/internal/dispatcher/poolmember/control.go
@@ -24,7 +24,7 @@
 // delete tells a member with DELETE that a flow is abandoned, and reports whether it has answered by
 // then.
 func (t *Transport) delete(f *engine.Flow, until time.Time) bool {
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+	ctx, cancel := context.WithDeadline(t.lifetime, until)
 	defer cancel()
 	if !t.acquireControlSlot(ctx) {
 		return false
--- a/internal/dispatcher/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -45,7 +45,7 @@
 	connect   chan bool // closed: the connection comes up
 }
 
-func newGatedFlow(t *testing.T) *gatedFlow {
+func newGatedFlow(t *testing.T, change ...func(*Options)) *gatedFlow {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -56,7 +56,11 @@
 		Transaction: &engine.Transaction{ID: "t-1", Class: "group-ticket", Body: []byte("body"), Client: g.client},
 		Member:      &engine.Member{Addr: l.Addr().String()}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
 	}
-	g.transport = New(g.ends, Options{ConnectTimeout: time.Minute, MaxSubmissions: 1})
+	options := Options{ConnectTimeout: time.Minute, MaxSubmissions: 1}
+	for _, of := range change {
+		of(&options)
+	}
+	g.transport = New(g.ends, options)
 	wire := g.transport.roundTripper.(*http.Transport)
 	dial := wire.DialContext
 	wire.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
@@ -86,13 +90,20 @@
 	}
 }
 
-// requireNothingWritten accepts the connection, and reads it to its end.
-func (g *gatedFlow) requireNothingWritten(t *testing.T) {
+// accept accepts the connection.
+func (g *gatedFlow) accept(t *testing.T) net.Conn {
 	t.Helper()
 	member, err := g.listener.Accept()
 	require.NoError(t, err)
-	defer func() { _ = member.Close() }()
+	t.Cleanup(func() { _ = member.Close() })
 	require.NoError(t, member.SetDeadline(time.Now().Add(testTimeout)))
+	return member
+}
+
+// requireNothingWritten accepts the connection, and reads it to its end.
+func (g *gatedFlow) requireNothingWritten(t *testing.T) {
+	t.Helper()
+	member := g.accept(t)
 	got, err := io.ReadAll(member)
 	require.NoError(t, err)
 	require.Empty(t, string(got))
--- a/internal/dispatcher/poolmember/probe.go
+++ b/internal/dispatcher/poolmember/probe.go
@@ -27,17 +27,17 @@
 
 // Probe implements engine.Transport. Its goroutine ends within probeTimeout.
 func (t *Transport) Probe(m *engine.Member) {
-	go func() {
+	t.running.Go(func() {
 		sentAt := time.Now()
 		s, r := t.probe(m, sentAt.Add(probeTimeout))
 		t.sink.EndProbe(m, s, r, sentAt)
-	}()
+	})
 }
 
 // probe asks a member for a sign of life, at /stats where the deployment's members report their load
 // (its body is the report), else at /health/live. A report that can't be read is left out.
 func (t *Transport) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+	ctx, cancel := context.WithDeadline(t.lifetime, until)
 	defer cancel()
 	if !t.acquireControlSlot(ctx) {
 		return policy.TimedOut, policy.Report{}
--- a/internal/dispatcher/poolmember/transport.go
+++ b/internal/dispatcher/poolmember/transport.go
@@ -4,12 +4,17 @@
 //
 // What a flow's end is called decides whether its job may run again. So the transport knows of each
 // request whether it may have reached its member whole: conn keeps the last byte back for a moment.
+//
+// Each flow, DELETE and probe that is under way has one goroutine, which ends by its deadline. The Transport
+// owns them: Close cuts them short, as the end of the process would, and waits for them. The connections'
+// own goroutines are http.Transport's, and end with their requests.
 package poolmember
 
 import (
 	"context"
 	"io"
 	"net/http"
+	"sync"
 	"time"
 
 	"basaltloft/internal/dispatcher/engine"
@@ -51,6 +56,10 @@
 
 	options   Options
 	drainTime time.Duration
+
+	lifetime context.Context // ends with Close, and with it all that is under way
+	stop     context.CancelFunc
+	running  sync.WaitGroup // the goroutines of flows, DELETEs and probes
 }
 
 // Options are what the deployment says of members and connections.
@@ -68,6 +77,7 @@
 
 // New returns a transport that tells the sink what becomes of its flows and probes.
 func New(sink ResultSink, o Options) *Transport {
+	lifetime, stop := context.WithCancel(context.Background())
 	return &Transport{
 		sink:            sink,
 		roundTripper:    newRoundTripper(o),
@@ -75,13 +85,23 @@
 		controlSlots:    make(chan struct{}, max(1, o.MaxSubmissions/2)),
 		options:         o,
 		drainTime:       drainTime,
+		lifetime:        lifetime,
+		stop:            stop,
 	}
 }
 
+// Close closes the connections of all flows, DELETEs and probes that are under way, and returns once their
+// goroutines have ended: nothing more is sent, and the sink has been told of the flows and probes. Close
+// must be called once no other method is called any more.
+func (t *Transport) Close() {
+	t.stop()
+	t.running.Wait()
+}
+
 // Start implements engine.Transport. The goroutine of a flow ends by the flow's deadline, a DELETE and
 // the drain time.
 func (t *Transport) Start(f *engine.Flow) {
-	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
+	ctx, cancel := context.WithDeadline(t.lifetime, f.Deadline)
 	sub := &submission{cancel: cancel}
 	f.TransportState = sub
 	select {
@@ -91,11 +111,11 @@
 		t.sink.EndFlow(f, policy.NotSent, nil)
 		return
 	}
-	go func() {
+	t.running.Go(func() {
 		defer cancel()
 		defer func() { <-t.submissionSlots }()
 		t.submit(ctx, f, sub)
-	}()
+	})
 }
 
 // submit sends a flow, ends it unless its member has accepted it, and reads the rest of the answer.
@@ -145,7 +165,7 @@
 	sub.abandoned, sub.recalled = true, recall
 	switch {
 	case sub.accepted:
-		go t.deleteAndEnd(f, recall)
+		t.running.Go(func() { t.deleteAndEnd(f, recall) })
 	case recall && sub.mayBeWhole() && sub.conn.endWrites() == nil: // a 202 may be on its way, which then binds
 		time.AfterFunc(t.drainTime, sub.cancel)
 	default:
--- a/internal/dispatcher/server/assembly.go
+++ b/internal/dispatcher/server/assembly.go
@@ -91,14 +91,14 @@
 // assembleMembership makes the transport to pool members, and what follows their membership.
 func (s *Service) assembleMembership(ctx context.Context) {
 	config := s.options.Config
-	transport := poolmember.New(s.engine, poolmember.Options{
+	s.transport = poolmember.New(s.engine, poolmember.Options{
 		ConnectTimeout: config.ConnectTimeout, LastByteDelay: lastByteDelay, MaxSubmissions: s.socketLimit / 4, ProbeStats: config.ReportsLoad,
 	})
 	schedule := discovery.LocalAgentSchedule() // an agent on this machine, which nobody else asks
 	if config.Settings.PullsMembership {
 		schedule = discovery.SharedServiceSchedule(config.Settings.Instances, config.Settings.Rules.MembershipMaxAge)
 	}
-	s.membership = discovery.New(ctx, config.Discovery, schedule, s.engine, transport, s.log)
+	s.membership = discovery.New(ctx, config.Discovery, schedule, s.engine, s.transport, s.log)
 	s.engine.SetLister(s.membership)
 }
 
--- a/internal/dispatcher/server/service.go
+++ b/internal/dispatcher/server/service.go
@@ -16,6 +16,7 @@
 	"basaltloft/internal/dispatcher/journal"
 	"basaltloft/internal/dispatcher/metrics"
 	"basaltloft/internal/dispatcher/pipeline"
+	"basaltloft/internal/dispatcher/poolmember"
 	"basaltloft/internal/dispatcher/settings"
 
 	"github.com/sirupsen/logrus"
@@ -49,6 +50,7 @@
 	engine      *engine.Engine
 	pipeline    *pipeline.Pipeline
 	membership  *discovery.Follower
+	transport   *poolmember.Transport
 	components  []*component // in the order in which they are started, drained and stopped
 	operations  *adminOperations
 	fleet       *fleet        // nil: this process is in no fleet
@@ -61,13 +63,18 @@
 // component fails. All of its goroutines have ended when it returns.
 func Run(ctx context.Context, o Options, stop, reloads <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
-	var goroutines sync.WaitGroup
-	defer goroutines.Wait()
 	defer cancel()
 	s, err := assemble(ctx, o)
 	if err != nil {
 		return err
 	}
+	var goroutines sync.WaitGroup
+	defer func() {
+		cancel()
+		goroutines.Wait() // the engine's is one of them, which starts those of the others
+		s.membership.Wait()
+		s.transport.Close()
+	}()
 	defer s.closeJournal()
 	goroutines.Go(func() { s.engine.Run(ctx) })
 	s.restoreState()
