--- a/internal/dispatcher/simprotocol/decode.go
+++ b/internal/dispatcher/simprotocol/decode.go
@@ -147,7 +147,7 @@
 		err = d.attemptUpdate()
 	case "OPENED":
 		ev.Kind = StreamStarted
-		ev.StreamStart.Request, ev.StreamStart.Attempt, ev.StreamStart.Worker, err = d.attempt()
+		err = d.streamStart()
 	case "LAPSED":
 		ev.Kind = ClientGone
 		ev.RequestID, err = d.text("txn")
--- a/internal/dispatcher/simprotocol/fields.go
+++ b/internal/dispatcher/simprotocol/fields.go
@@ -79,8 +79,7 @@
 	return d.intern(v), nil
 }
 
-// optionalInterned is internedField for a field that may be missing.
-// optionalInt returns a field, or 0 if it is missing.
+// optionalInterned is internedField for a field that may be missing, which is empty then.
 func (d *Decoder) optionalInterned(name string) string {
 	v, _ := d.field(name)
 	return d.intern(v)
--- a/internal/dispatcher/simprotocol/members.go
+++ b/internal/dispatcher/simprotocol/members.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"time"
 
 	"basaltloft/internal/dispatcher/policy"
 )
@@ -64,22 +63,14 @@
 	if string(name) != "ROW" {
 		return m, fmt.Errorf("%q where a ROW belongs", name)
 	}
-	if m.Worker, err = d.worker(); err != nil {
-		return m, fmt.Errorf("ROW: %w", err)
-	}
+	in := fieldReader{d: d}
+	m.Worker = in.worker()
 	m.Kind, m.Zone = d.optionalInterned("type"), d.optionalInterned("dc")
-	cell, err := d.optionalInt("cluster")
-	if err != nil {
-		return m, fmt.Errorf("ROW: %w", err)
-	}
-	m.Cell = int(cell)
-	startedAt, err := d.optionalInt("since")
-	if err != nil {
-		return m, fmt.Errorf("ROW: %w", err)
-	}
-	m.StartedAt = time.Duration(startedAt)
-	if m.Weight, err = d.optionalFloat("scale"); err != nil {
-		return m, fmt.Errorf("ROW: %w", err)
+	m.Cell = int(in.optionalInt("cluster"))
+	m.StartedAt = in.optionalDuration("since")
+	m.Weight = in.optionalFloat("scale")
+	if in.err != nil {
+		return m, fmt.Errorf("ROW: %w", in.err)
 	}
 	switch state, _ := d.field("stage_state"); string(state) {
 	case "healthy":
