--- a/internal/dispatcher/accounting/audit.go
+++ b/internal/dispatcher/accounting/audit.go
@@ -58,13 +58,7 @@
 		if r.Open < 0 {
 			d.compare(AuditBalance, fmt.Sprintf("row %v below nothing", r.RowKey), r.Open, 0)
 		}
-		all.Entered += r.Entered
-		all.Came += r.Came
-		all.Went += r.Went
-		all.Open += r.Open
-		for i, n := range r.Ends {
-			all.Ends[i] += n
-		}
+		all.Add(r)
 	}
 	d.compare(AuditBalance, "jobs that came into rows and went out of rows", all.Came, all.Went)
 	d.compare(AuditBalance, "taken, by rows and in total", all.Entered, l.totals.Taken)
--- a/internal/dispatcher/accounting/rows.go
+++ b/internal/dispatcher/accounting/rows.go
@@ -19,6 +19,17 @@
 	series  *Series
 }
 
+// Add adds the counts of another row.
+func (r *Row) Add(other *Row) {
+	r.Entered += other.Entered
+	r.Came += other.Came
+	r.Went += other.Went
+	r.Open += other.Open
+	for reason, n := range other.Ends {
+		r.Ends[reason] += n
+	}
+}
+
 // Ended returns how many jobs ended in this row.
 func (r *Row) Ended() (n int64) {
 	for _, e := range r.Ends {
--- a/internal/dispatcher/metrics/table.go
+++ b/internal/dispatcher/metrics/table.go
@@ -69,23 +69,13 @@
 			keys = append(keys, key)
 		}
 		for _, sum := range []*accounting.Row{sums[key], all} {
-			addRow(sum, row)
+			sum.Add(row)
 		}
 	}
 	slices.Sort(keys)
 	return sums, keys, all
 }
 
-func addRow(sum, row *accounting.Row) {
-	sum.Entered += row.Entered
-	sum.Came += row.Came
-	sum.Went += row.Went
-	sum.Open += row.Open
-	for reason, n := range row.Ends {
-		sum.Ends[reason] += n
-	}
-}
-
 // jobTable writes a line for each sum and, if there are dimensions, one for all.
 func jobTable(out io.Writer, by []string, sums map[string]*accounting.Row, keys []string, all *accounting.Row) error {
 	withMoves := slices.Contains(by, "group")
