--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/joined_test.go
@@ -53,9 +53,7 @@
 func TestCloseIdleCrossesBytes(t *testing.T) {
 	l := listening(t, 1)
 	c, far := arrive(t, l)
-	l.mu.Lock()
-	c.moveTo(&l.idleUsed)
-	l.mu.Unlock()
+	c.rest()
 	ended := make(chan error, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 4))
@@ -66,9 +64,7 @@
 	_, err := far.Write([]byte("POST"))
 	require.NoError(t, err)
 	require.Eventually(t, waits(c), 10*time.Second, time.Millisecond)
-	l.mu.Lock()
-	c.moveTo(&l.idleUsed)
-	l.mu.Unlock()
+	c.rest()
 	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http sets it for the next request")
 	var got []byte
 	require.Eventually(t, func() bool {
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -24,6 +24,13 @@
 	return near.(*limitedConn), far
 }
 
+// rest moves a connection to those that rest after they were of use.
+func (c *limitedConn) rest() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.moveTo(&c.listener.idleUsed)
+}
+
 func listening(t *testing.T, most int) *limitedListener {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -94,9 +101,7 @@
 func TestReadIsNoted(t *testing.T) {
 	l := listening(t, 1)
 	c, far := arrive(t, l)
-	l.mu.Lock()
-	c.moveTo(&l.idleUsed)
-	l.mu.Unlock()
+	c.rest()
 	got, begun := make(chan string, 1), make(chan struct{})
 	go func() {
 		b := make([]byte, 4)
