--- a/internal/dispatcher/soak/soak.go
+++ b/internal/dispatcher/soak/soak.go
@@ -42,12 +42,31 @@
 // soak is one that runs.
 type soak struct {
 	Settings
-	world            *demo.World
-	config, operator string // files
-	log              io.Writer
-	random           *rand.Rand // of the times of kills
-	began            time.Time
-	result           *Result
+	world  *demo.World
+	files  dispatcherFiles
+	log    io.Writer
+	random *rand.Rand // of the times of kills
+	began  time.Time
+	result *Result
+}
+
+// dispatcherFiles are the files that a dispatcher of a world is started with.
+type dispatcherFiles struct{ config, operator string }
+
+// writeFiles writes the files of a world's dispatcher to a directory; an empty journalDir leaves its journal
+// off.
+func writeFiles(dir string, world *demo.World, journalDir string) (dispatcherFiles, error) {
+	f := dispatcherFiles{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")}
+	return f, errors.Join(os.WriteFile(f.config, []byte(world.Configuration()), 0o600),
+		os.WriteFile(f.operator, []byte(world.OperatorFile(journalDir)), 0o600))
+}
+
+// command returns the command that starts a dispatcher. Variables of this process's environment do not
+// reach its configuration.
+func (f dispatcherFiles) command(ctx context.Context, program string, args ...string) *exec.Cmd {
+	cmd := exec.CommandContext(ctx, program, append(args, "--operator", f.operator)...)
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+f.config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+	return cmd
 }
 
 // Run soaks. It returns an error if the soak could not be done; what was found broken is in
@@ -67,14 +86,14 @@
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	files, err := writeFiles(dir, world, settings.JournalDir)
+	if err != nil {
+		return nil, err
+	}
 	s := &soak{
-		Settings: settings, world: world, config: filepath.Join(dir, "config.json"), operator: filepath.Join(dir, "operator.json"),
+		Settings: settings, world: world, files: files,
 		log: out, random: rand.New(rand.NewPCG(settings.Seed, 19)), began: time.Now(), result: new(Result),
 	}
-	if err := errors.Join(os.WriteFile(s.config, []byte(world.Configuration()), 0o600),
-		os.WriteFile(s.operator, []byte(world.OperatorFile(settings.JournalDir)), 0o600)); err != nil {
-		return nil, err
-	}
 	world.StartLoad(load)
 	if err := s.play(ctx); err != nil {
 		return nil, err
@@ -119,8 +138,7 @@
 
 // start starts a dispatcher.
 func (s *soak) start() (*exec.Cmd, error) {
-	cmd := exec.CommandContext(context.Background(), s.Program, "--log-level", "error", "--operator", s.operator) // ended by a signal
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+s.config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+	cmd := s.files.command(context.Background(), s.Program, "--log-level", "error") // ended by a signal
 	cmd.Stderr = s.log
 	if err := cmd.Start(); err != nil {
 		return nil, err
--- a/internal/dispatcher/soak/soak_test.go
+++ b/internal/dispatcher/soak/soak_test.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"io"
-	"os"
-	"os/exec"
 	"path/filepath"
 	"testing"
 	"time"
@@ -58,9 +56,8 @@
 	w, err := demo.NewWorld(demo.Load{Members: 2, RunTime: time.Hour})
 	require.NoError(t, err)
 	defer w.Close()
-	config, operator := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
-	require.NoError(t, os.WriteFile(config, []byte(w.Configuration()), 0o600))
-	require.NoError(t, os.WriteFile(operator, []byte(w.OperatorFile(journalDir)), 0o600))
+	files, err := writeFiles(dir, w, journalDir)
+	require.NoError(t, err)
 	verify := func() *journal.Verification {
 		f, err := journal.ReadDirectory(journalDir)
 		require.NoError(t, err)
@@ -71,8 +68,7 @@
 	}
 	const openJobs = 5
 	for epoch := 1; epoch <= 3; epoch++ {
-		cmd := exec.CommandContext(t.Context(), binary, "--operator", operator)
-		cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+		cmd := files.command(t.Context(), binary)
 		require.NoError(t, cmd.Start())
 		defer func() { _ = cmd.Process.Kill() }() // it has ended, if the test passes
 		client := scenario.Dial(w.HTTPAddr)
--- a/internal/dispatcher/soak/throughput_test.go
+++ b/internal/dispatcher/soak/throughput_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -52,14 +51,13 @@
 	w, err := demo.NewWorld(load)
 	require.NoError(b, err)
 	defer w.Close()
-	config, operator, folder := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json"), ""
+	journalDir := ""
 	if journal {
-		folder = filepath.Join(dir, "figures")
+		journalDir = filepath.Join(dir, "figures")
 	}
-	require.NoError(b, os.WriteFile(config, []byte(w.Configuration()), 0o600))
-	require.NoError(b, os.WriteFile(operator, []byte(w.OperatorFile(folder)), 0o600))
-	cmd := exec.CommandContext(context.Background(), binary, "--log-level", "error", "--operator", operator)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
+	files, err := writeFiles(dir, w, journalDir)
+	require.NoError(b, err)
+	cmd := files.command(context.Background(), binary, "--log-level", "error")
 	cmd.Stderr = os.Stderr
 	require.NoError(b, cmd.Start())
 	defer func() {
