--- a/internal/dispatcher/httpfront/bodymemory_test.go
+++ b/internal/dispatcher/httpfront/bodymemory_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"io"
-	"net"
 
 	"strings"
 	"testing"
@@ -64,13 +63,9 @@
 // back, and its connection serves on. A callback is not answered, so that its member
 // repeats it, and is let in once there is room.
 func TestNoBodyMemory(t *testing.T) {
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	require.NoError(t, err)
 	s := New(hears{}, nil, logtest.Discard())
 	s.SetBodyMemory(64 << 10)
-	go func() { _ = s.Serve(l, 10) }()
-	defer func() { _ = s.server.Close() }()
-	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{
+	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(serve(t, s, 10))}, scenario.Functions{
 		"fill": func(...string) string {
 			require.True(t, s.jobBodies.reserve(64<<10))
 			require.True(t, s.updateBodies.reserve(32<<10))
--- a/internal/dispatcher/httpfront/listener_test.go
+++ b/internal/dispatcher/httpfront/listener_test.go
@@ -49,13 +49,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-			require.NoError(t, err)
 			s := New(nil, nil, logtest.Discard())
-			go func() { _ = s.Serve(l, 2) }()
-			defer func() { _ = s.server.Close() }()
+			addr := serve(t, s, 2)
 			began := time.Now()
-			scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(l.Addr().String())}, scenario.Functions{
+			scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(addr)}, scenario.Functions{
 				"idle": func(n ...string) string { // an answer comes before its connection is idle
 					require.Eventually(t, func() bool {
 						l := s.listener.Load()
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -40,6 +40,20 @@
 	return newLimitedListener(l, most)
 }
 
+// serve lets a server serve that many connections until the test ends, and returns its address.
+func serve(t *testing.T, s *Server, most int) (addr string) {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l, most) }()
+	t.Cleanup(func() {
+		_ = s.server.Close() // what is wrong with its connections matters to no test
+		require.NoError(t, <-served)
+	})
+	return l.Addr().String()
+}
+
 // look is a look for a victim as Accept does it, a minute later.
 func (l *limitedListener) look() (c *limitedConn, in time.Duration) {
 	l.mu.Lock()
@@ -176,12 +190,8 @@
 // with it its place, which nobody else could have had: it passes for served.
 func TestUntaken(t *testing.T) {
 	t.Parallel()
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	require.NoError(t, err)
 	s := New(nil, nil, logtest.Discard())
-	go func() { _ = s.Serve(l, 1) }()
-	defer func() { _ = s.server.Close() }()
-	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", serve(t, s, 1))
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	asks := bytes.Repeat([]byte("GET /health/live HTTP/1.1\r\nHost: app\r\n\r\n"), 1000)
