--- a/internal/dispatcher/discovery/follower.go
+++ b/internal/dispatcher/discovery/follower.go
@@ -208,7 +208,7 @@
 		if err != nil {
 			next = f.schedule.NextCall(began, time.Now(), f.recordFailure(ctx, s, err), rand.Float64())
 		} else {
-			if l.Whole {
+			if l.Complete {
 				kind = policy.ListSnapshot
 			}
 			quiet := continues && kind == policy.ListDelta && len(l.Entries) == 0
--- a/internal/dispatcher/discovery/follower_test.go
+++ b/internal/dispatcher/discovery/follower_test.go
@@ -61,7 +61,7 @@
 // and one reset before its answer are each begun anew on a new connection,
 // from the last version told, and service goes on.
 func TestPushedListsAreWatched(t *testing.T) {
-	f, h, open := follower(t, LocalAgentSchedule(), settings.List{Generation: 41, Whole: true, Entries: []settings.Entry{{ID: "s-1", Addr: "127.0.0.1:1"}}})
+	f, h, open := follower(t, LocalAgentSchedule(), settings.List{Generation: 41, Complete: true, Entries: []settings.Entry{{ID: "s-1", Addr: "127.0.0.1:1"}}})
 	f.KeepWatching()
 	f.KeepWatching() // a second call begins no second watch
 	require.False(t, f.WaitFirstAnswer(time.Now()), "the list that it was started with is none of the agent's")
@@ -100,7 +100,7 @@
 	addr, open := scenario.Listen(t)
 	h := &heard{}
 	f := New(t.Context(), addr, pace, h, nil, logtest.Discard())
-	f.Restore(settings.List{Generation: 7, Whole: true})
+	f.Restore(settings.List{Generation: 7, Complete: true})
 	again := make(chan error, 1)
 	f.Watch(true)
 	f.Watch(true)
@@ -187,7 +187,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			pace := SharedServiceSchedule(few, every)
-			f, h, open := follower(t, pace, settings.List{Generation: 7, Whole: true})
+			f, h, open := follower(t, pace, settings.List{Generation: 7, Complete: true})
 			cast := scenario.Peers{"discovery": open, "reset": opening(open, resetting), "trickle": opening(open, func(c *net.TCPConn) scenario.Conn { return trickle{c} })}
 			f.Watch(true)
 			began := time.Now()
@@ -211,7 +211,7 @@
 	require.NoError(t, l.Close())
 	pace, h := SharedServiceSchedule(few, every), &heard{}
 	f := New(t.Context(), addr, pace, h, nil, logtest.Discard())
-	f.Restore(settings.List{Generation: 7, Whole: true})
+	f.Restore(settings.List{Generation: 7, Complete: true})
 	f.Watch(true)
 	require.Eventually(t, func() bool { return len(h.told()) > 4 }, 20*time.Second, time.Millisecond)
 	l, err = new(net.ListenConfig).Listen(t.Context(), "tcp", addr)
@@ -266,7 +266,7 @@
 func TestSilentWatchIsRenewed(t *testing.T) {
 	t.Parallel()
 	pace := SharedServiceSchedule(few, every)
-	f, h, open := follower(t, pace, settings.List{Generation: 7, Whole: true})
+	f, h, open := follower(t, pace, settings.List{Generation: 7, Complete: true})
 	f.Watch(true)
 	next, opened := scenario.Listen(t)
 	cast := scenario.Peers{"discovery": open, "next": opened}
@@ -291,7 +291,7 @@
 // asked from belong to another life of the service, which is asked whole.
 func TestWatchGoesOn(t *testing.T) {
 	t.Parallel()
-	f, h, open := follower(t, SharedServiceSchedule(few, every), settings.List{Generation: 7, Whole: true})
+	f, h, open := follower(t, SharedServiceSchedule(few, every), settings.List{Generation: 7, Complete: true})
 	f.Watch(true)
 	var at []time.Time
 	began := time.Now()
--- a/internal/dispatcher/discovery/wait_test.go
+++ b/internal/dispatcher/discovery/wait_test.go
@@ -28,7 +28,7 @@
 // pipedFollower is a follower whose next call comes out of the channel.
 func pipedFollower(t *testing.T) (*Follower, <-chan net.Conn) {
 	t.Helper()
-	f, _, _ := follower(t, LocalAgentSchedule(), settings.List{Generation: 1, Whole: true})
+	f, _, _ := follower(t, LocalAgentSchedule(), settings.List{Generation: 1, Complete: true})
 	calls := make(chan net.Conn, 1)
 	f.current.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
--- a/internal/dispatcher/engine/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -173,7 +173,7 @@
 // policyMember is what the policy is told of a member, on its clock.
 func (e *Engine) policyMember(m *Member) policy.Member {
 	l := policy.Member{
-		Worker: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone,
+		Number: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone,
 		State: m.State, Weight: m.Weight, Capabilities: m.Capabilities,
 	}
 	if e.heldOut[m.ID] && l.State == policy.Ready {
--- a/internal/dispatcher/engine/members_test.go
+++ b/internal/dispatcher/engine/members_test.go
@@ -36,10 +36,10 @@
 			c.placeMember(&Member{ID: fmt.Sprint("other-", n)})
 		}
 		one, two := c.placeMember(&Member{ID: first}), c.placeMember(&Member{ID: second})
-		require.Equal(t, hashed(first), one.Worker)
-		require.NotEqual(t, one.Worker, two.Worker)
+		require.Equal(t, hashed(first), one.Number)
+		require.NotEqual(t, one.Number, two.Number)
 		require.Equal(t, two, c.placeMember(&Member{ID: second}), "listed again")
-		require.Equal(t, first, c.membersByNumber[one.Worker].ID)
-		require.Equal(t, second, c.membersByNumber[two.Worker].ID)
+		require.Equal(t, first, c.membersByNumber[one.Number].ID)
+		require.Equal(t, second, c.membersByNumber[two.Number].ID)
 	}
 }
--- a/internal/dispatcher/faktory/backlog.go
+++ b/internal/dispatcher/faktory/backlog.go
@@ -67,7 +67,7 @@
 	w := config.Waiting
 	return sets.Limits{
 		Jobs: w.Jobs, Bytes: w.Bytes, QueueJobs: w.QueueJobs, QueueBytes: w.QueueBytes,
-		ClientJobs: w.OwnerJobs, ClientBytes: w.OwnerBytes, Queues: maxQueues,
+		ClientJobs: w.ClientJobs, ClientBytes: w.ClientBytes, Queues: maxQueues,
 		Dead: w.Dead, DeadBytes: w.DeadBytes, DeadRetention: w.DeadFor, BackoffUnit: config.BackoffUnit,
 	}
 }
--- a/internal/dispatcher/httpfront/job.go
+++ b/internal/dispatcher/httpfront/job.go
@@ -60,14 +60,14 @@
 
 // RoundTrip implements http.RoundTripper.
 func (t engineRoundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
-	whole, _ := r.Context().Value(requestKey{}).(wholeRequest)
-	arrived, body := whole.arrived, whole.body
-	arrival, err := readSubmission(r, arrived, body)
+	request, _ := r.Context().Value(requestKey{}).(completeRequest)
+	arrived, body := request.arrived, request.body
+	submission, err := readSubmission(r, arrived, body)
 	if err != nil {
 		return newResponse(r, http.StatusBadRequest, []byte(err.Error()+"\n")), nil
 	}
-	mine := &waitingClient{counters: &t.s.Counters, answer: make(chan engine.Answer, 1), ctx: r.Context()}
-	tx, err := t.s.factory.NewTransaction(arrival, arrived, mine)
+	client := &waitingClient{counters: &t.s.Counters, answer: make(chan engine.Answer, 1), ctx: r.Context()}
+	tx, err := t.s.factory.NewTransaction(submission, arrived, client)
 	switch {
 	case errors.Is(err, pipeline.ErrUnknownClass):
 		return newResponse(r, http.StatusNotFound, []byte(err.Error()+"\n")), nil
@@ -78,10 +78,10 @@
 	t.s.engine.Submit(tx)
 	t.s.Counters.JobSubmitted()
 	select {
-	case a := <-mine.answer:
+	case a := <-client.answer:
 		return answerResponse(r, a), nil
 	case <-r.Context().Done():
-		mine.Gone()
+		client.Gone()
 		t.s.engine.ClientLeft(tx)
 		return nil, r.Context().Err()
 	}
--- a/internal/dispatcher/httpfront/jobupdate.go
+++ b/internal/dispatcher/httpfront/jobupdate.go
@@ -20,7 +20,7 @@
 		rejectInput(w, http.StatusMethodNotAllowed, "news is told with POST")
 		return
 	}
-	whole, _ := r.Context().Value(requestKey{}).(wholeRequest)
+	whole, _ := r.Context().Value(requestKey{}).(completeRequest)
 	text := whole.body
 	update, ok := readJobUpdate(text)
 	if !ok {
--- a/internal/dispatcher/httpfront/server.go
+++ b/internal/dispatcher/httpfront/server.go
@@ -173,29 +173,29 @@
 // requestTimeout.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	most, serve, room, ctx := int64(0), s.serveReady, &s.updateBodies, r.Context()
+	maxBytes, serve, bodies, ctx := int64(0), s.serveReady, &s.updateBodies, r.Context()
 	switch r.URL.Path {
 	case "/health/ready":
 	case "/health/live":
 		serve = s.serveLive
 	case "/_jobs/news":
-		most, serve = maxUpdateBytes, s.serveJobUpdate
+		maxBytes, serve = maxUpdateBytes, s.serveJobUpdate
 	default:
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
-		most, serve, room = pipeline.MaxBody, s.serveJob, &s.jobBodies
+		maxBytes, serve, bodies = pipeline.MaxBody, s.serveJob, &s.jobBodies
 	}
 	// A client that does not read what is written before the answer is not waited for. Deadlines can't be
 	// set on a connection that is closed, on which what follows fails too.
 	controller := http.NewResponseController(w)
 	_ = controller.SetWriteDeadline(arrived.Add(requestTimeout + answerTimeout))
-	body, ok := readWhole(w, r, most, room)
-	defer room.release(cap(body))
+	body, ok := readComplete(w, r, maxBytes, bodies)
+	defer bodies.release(cap(body))
 	if !ok {
 		return
 	}
 	if c, ok := ctx.Value(connKey{}).(*limitedConn); ok {
-		if !c.serve(most > 0) {
+		if !c.serve(maxBytes > 0) {
 			panic(http.ErrAbortHandler) // it was evicted: nobody is there
 		}
 		var leave context.CancelFunc
@@ -211,7 +211,7 @@
 	_ = controller.SetReadDeadline(time.Time{})
 	_ = controller.SetWriteDeadline(time.Now().Add(answerTimeout))
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	serve(w, r.WithContext(context.WithValue(ctx, requestKey{}, wholeRequest{arrived, body})))
+	serve(w, r.WithContext(context.WithValue(ctx, requestKey{}, completeRequest{arrived, body})))
 }
 
 // prepareAnswer is the proxy's hook before an answer is written. Bad input ends its connection, and a
--- a/internal/dispatcher/lab/baselines.go
+++ b/internal/dispatcher/lab/baselines.go
@@ -182,7 +182,7 @@
 	if p.warmingUp(now, to) {
 		to.coldWork += work * max(1, j.Slots)
 	}
-	p.host.Send(j.ID, to.Worker, 0)
+	p.host.Send(j.ID, to.Number, 0)
 }
 
 func (p *basicPolicy) warmingUp(now time.Duration, m *memberView) bool {
@@ -243,11 +243,11 @@
 // HandleMembers implements Policy.
 func (p *basicPolicy) HandleMembers(_ time.Duration, _ policy.ListKind, entries []policy.Member) {
 	for _, e := range entries {
-		i, known := slices.BinarySearchFunc(p.members, e.Worker, func(m *memberView, n uint32) int { return int(int64(m.Worker) - int64(n)) })
+		i, known := slices.BinarySearchFunc(p.members, e.Number, func(m *memberView, n uint32) int { return int(int64(m.Number) - int64(n)) })
 		if known {
 			p.members[i].Member = e
 		} else {
-			p.members = slices.Insert(p.members, i, &memberView{Member: e, member: p.world.byNumber[e.Worker]})
+			p.members = slices.Insert(p.members, i, &memberView{Member: e, member: p.world.byNumber[e.Number]})
 		}
 	}
 }
--- a/internal/dispatcher/lab/checker.go
+++ b/internal/dispatcher/lab/checker.go
@@ -106,9 +106,9 @@
 		c.drainingSince[d] = of
 	}
 	if m.State == policy.Ready {
-		delete(of, m.Worker)
-	} else if _, known := of[m.Worker]; !known {
-		of[m.Worker] = c.world.now
+		delete(of, m.Number)
+	} else if _, known := of[m.Number]; !known {
+		of[m.Number] = c.world.now
 	}
 }
 
--- a/internal/dispatcher/lab/dispatcher.go
+++ b/internal/dispatcher/lab/dispatcher.go
@@ -85,7 +85,7 @@
 	for _, m := range d.membership {
 		all = append(all, m)
 	}
-	slices.SortFunc(all, func(a, b policy.Member) int { return int(int64(a.Worker) - int64(b.Worker)) })
+	slices.SortFunc(all, func(a, b policy.Member) int { return int(int64(a.Number) - int64(b.Number)) })
 	return all
 }
 
@@ -95,7 +95,7 @@
 	if !m.up {
 		state = policy.Removed
 	}
-	return policy.Member{Worker: m.number, Kind: m.kind.Name, Cell: m.cell, State: state, StartedAt: m.started, Weight: 1}
+	return policy.Member{Number: m.number, Kind: m.kind.Name, Cell: m.cell, State: state, StartedAt: m.started, Weight: 1}
 }
 
 // publish notifies all dispatchers of a change of a member, each after a delay of its own.
@@ -104,10 +104,10 @@
 	for _, d := range w.dispatchers {
 		late := time.Duration(w.random.ExpFloat64() * float64(w.experiment.DiscoveryDelay))
 		w.after(min(late, 4*w.experiment.DiscoveryDelay), func() {
-			if old := d.membership[l.Worker]; old.StartedAt > l.StartedAt || old.StartedAt == l.StartedAt && old.State != policy.Ready && l.State == policy.Ready {
+			if old := d.membership[l.Number]; old.StartedAt > l.StartedAt || old.StartedAt == l.StartedAt && old.State != policy.Ready && l.State == policy.Ready {
 				return // a newer change came first
 			}
-			d.membership[l.Worker] = l
+			d.membership[l.Number] = l
 			w.checker.membershipChanged(d, l)
 			d.handle(func() { d.policy.HandleMembers(w.now, policy.ListDelta, []policy.Member{l}) })
 		})
--- a/internal/dispatcher/lab/lab_test.go
+++ b/internal/dispatcher/lab/lab_test.go
@@ -188,14 +188,14 @@
 	}
 	for _, m := range all {
 		if m.State != policy.Ready {
-			b.gone = m.Worker
+			b.gone = m.Number
 		}
 	}
 }
 
 // TestChecker: a policy that breaks a rule is caught, each rule by its words.
 func TestChecker(t *testing.T) {
-	first := func(b *ruleBreaker) uint32 { return b.list[0].Worker }
+	first := func(b *ruleBreaker) uint32 { return b.list[0].Number }
 	for want, c := range map[string]struct {
 		x  *Experiment
 		do func(b *ruleBreaker, r policy.Request)
@@ -210,7 +210,7 @@
 		"must not run twice":   {serviceExperiment(), func(b *ruleBreaker, r policy.Request) { b.host.Send(r.ID, first(b), 0); b.host.Send(r.ID, first(b), 0) }},
 		"outside of its group": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) {
 			for _, m := range b.list[:6] {
-				b.host.Send(r.ID, m.Worker, 0)
+				b.host.Send(r.ID, m.Number, 0)
 			}
 		}},
 		"for the 4th time": {serviceExperiment(), func(b *ruleBreaker, r policy.Request) {
--- a/internal/dispatcher/override/golden_test.go
+++ b/internal/dispatcher/override/golden_test.go
@@ -26,7 +26,7 @@
 
 	read, err := Decode(goldentest.Read(t, goldenOverrides), "n0")
 	require.NoError(t, err)
-	require.Equal(t, []string{"r \"3\"", "r-1", "r-2"}, read.OutRunners())
-	require.Equal(t, []string{"r-4"}, read.RestoredRunners())
+	require.Equal(t, []string{"r \"3\"", "r-1", "r-2"}, read.OutMembers())
+	require.Equal(t, []string{"r-4"}, read.RestoredMembers())
 	require.Equal(t, back, read.RestoredAt("r-4"))
 }
--- a/internal/dispatcher/override/override.go
+++ b/internal/dispatcher/override/override.go
@@ -1,5 +1,5 @@
-// Package override keeps what operators have set by hand: the runners that they took out of
-// service, and when they put runners back. It does no I/O; package server writes the state to a
+// Package override keeps what operators have set by hand: the pool members that they took out of
+// service, and when they put pool members back. It does no I/O; package server writes the state to a
 // file, from which a new version of the program that is started beside this one continues.
 package override
 
@@ -17,45 +17,45 @@
 
 // State is what operators have set. It must not be used concurrently.
 type State struct {
-	outRunners map[string]bool      // by id: runners that are out of service
-	restoredAt map[string]time.Time // by id: when a runner was last put back
+	outMembers map[string]bool      // by id: pool members that are out of service
+	restoredAt map[string]time.Time // by id: when a pool member was last put back
 }
 
 // New returns a state in which nothing is set.
 func New() *State {
-	return &State{outRunners: map[string]bool{}, restoredAt: map[string]time.Time{}}
+	return &State{outMembers: map[string]bool{}, restoredAt: map[string]time.Time{}}
 }
 
-// TakeOut takes a runner out of service. It reports false if it was out already.
+// TakeOut takes a pool member out of service. It reports false if it was out already.
 func (s *State) TakeOut(id string) bool {
-	if s.outRunners[id] {
+	if s.outMembers[id] {
 		return false
 	}
-	s.outRunners[id] = true
+	s.outMembers[id] = true
 	return true
 }
 
-// PutBack puts a runner back into service, however often it was taken out. It reports false if it
+// PutBack puts a pool member back into service, however often it was taken out. It reports false if it
 // was not out.
 func (s *State) PutBack(id string, now time.Time) bool {
-	if !s.outRunners[id] {
+	if !s.outMembers[id] {
 		return false
 	}
-	delete(s.outRunners, id)
+	delete(s.outMembers, id)
 	s.restoredAt[id] = now
 	return true
 }
 
-// IsOut tells whether a runner is out.
-func (s *State) IsOut(id string) bool { return s.outRunners[id] }
+// IsOut tells whether a pool member is out.
+func (s *State) IsOut(id string) bool { return s.outMembers[id] }
 
-// OutRunners returns the ids of the runners that are out, in order.
-func (s *State) OutRunners() []string { return slices.Sorted(maps.Keys(s.outRunners)) }
+// OutMembers returns the ids of the pool members that are out, in order.
+func (s *State) OutMembers() []string { return slices.Sorted(maps.Keys(s.outMembers)) }
 
-// RestoredAt returns when a runner was last put back; zero: never, or forgotten.
+// RestoredAt returns when a pool member was last put back; zero: never, or forgotten.
 func (s *State) RestoredAt(id string) time.Time { return s.restoredAt[id] }
 
-// ForgetRestoredBefore forgets when runners were put back before a time: they are no longer warming
+// ForgetRestoredBefore forgets when pool members were put back before a time: they are no longer warming
 // up.
 func (s *State) ForgetRestoredBefore(before time.Time) {
 	for id, at := range s.restoredAt {
@@ -72,12 +72,12 @@
 	o.Set("version", a.NewNumberInt(FormatVersion))
 	o.Set("name", a.NewString(name))
 	outs := a.NewArray()
-	for i, id := range s.OutRunners() {
+	for i, id := range s.OutMembers() {
 		outs.SetArrayItem(i, a.NewString(id))
 	}
 	o.Set("out", outs)
 	back := a.NewObject()
-	for _, id := range s.RestoredRunners() {
+	for _, id := range s.RestoredMembers() {
 		back.Set(id, a.NewNumberInt(int(s.restoredAt[id].UnixMilli())))
 	}
 	o.Set("back", back)
@@ -110,7 +110,7 @@
 		if err != nil || len(b) == 0 {
 			return nil, fmt.Errorf("state of the operators' settings: out: no runner id")
 		}
-		s.outRunners[string(b)] = true
+		s.outMembers[string(b)] = true
 	}
 	back, err := v.Get("back").Object()
 	if err != nil {
@@ -130,5 +130,5 @@
 	return s, nil
 }
 
-// RestoredRunners are the runners put back whose time is kept, in order.
-func (s *State) RestoredRunners() []string { return slices.Sorted(maps.Keys(s.restoredAt)) }
+// RestoredMembers are the pool members put back whose time is kept, in order.
+func (s *State) RestoredMembers() []string { return slices.Sorted(maps.Keys(s.restoredAt)) }
--- a/internal/dispatcher/override/override_test.go
+++ b/internal/dispatcher/override/override_test.go
@@ -30,7 +30,7 @@
 	s.PutBack("c", at)
 	got, err := Decode(s.Encode("n0"), "n0")
 	require.NoError(t, err)
-	require.Equal(t, []string{"a", "b"}, got.OutRunners())
+	require.Equal(t, []string{"a", "b"}, got.OutMembers())
 	require.Equal(t, at, got.RestoredAt("c"))
 }
 
--- a/internal/dispatcher/policy/affinity.go
+++ b/internal/dispatcher/policy/affinity.go
@@ -87,7 +87,7 @@
 func (d *Dispatcher) rankWorkers(s *affinityStats, n int) {
 	all := slices.SortedFunc(slices.Values(d.workers), func(a, b *worker) int {
 		byChance := cmp.Compare(b.hashFraction(uint64(s.hash)), a.hashFraction(uint64(s.hash)))
-		return cmp.Or(byChance, cmp.Compare(a.Worker, b.Worker))
+		return cmp.Or(byChance, cmp.Compare(a.Number, b.Number))
 	})
 	s.ranked, s.tableVersion = slices.Clone(all[:n]), d.tableVersion
 }
--- a/internal/dispatcher/policy/affinity_test.go
+++ b/internal/dispatcher/policy/affinity_test.go
@@ -28,7 +28,7 @@
 func subjectsFleet(t *testing.T, instances, workers int) (fleet []*Dispatcher, hosts []*ended) {
 	var list []Member
 	for i := range workers {
-		list = append(list, Member{Worker: uint32(1 + i*7919), Kind: "a", Zone: string(rune('a' + i%3))})
+		list = append(list, Member{Number: uint32(1 + i*7919), Kind: "a", Zone: string(rune('a' + i%3))})
 	}
 	for rank := range instances {
 		h := &ended{at: make(map[uint32]int), quiet: make(map[uint32]bool)}
@@ -138,11 +138,11 @@
 		d, _, ranks := begin()
 		hash := uint64(d.affinityOf(Request{AffinityKey: "x"}).hash)
 		id := uint32(1 << 20)
-		for (&worker{Member: Member{Worker: id}}).hashFraction(hash) <= ranks[0].hashFraction(hash) {
+		for (&worker{Member: Member{Number: id}}).hashFraction(hash) <= ranks[0].hashFraction(hash) {
 			id++
 		}
-		d.HandleMembers(now, ListDelta, []Member{{Worker: id, Kind: "a", Zone: "a"}})
-		require.Equal(t, id, home(d).Worker)
+		d.HandleMembers(now, ListDelta, []Member{{Number: id, Kind: "a", Zone: "a"}})
+		require.Equal(t, id, home(d).Number)
 	})
 	t.Run("a zone", func(t *testing.T) {
 		d, _, ranks := begin()
--- a/internal/dispatcher/policy/budget.go
+++ b/internal/dispatcher/policy/budget.go
@@ -35,7 +35,7 @@
 // fits, whatever is reported.
 func (d *Dispatcher) headroom(w *worker, j *job) (float64, bool) {
 	w.budget = cmp.Or(w.budget, initialBudget*d.meanCost)
-	room := w.budget - w.outstandingCost
+	headroom := w.budget - w.outstandingCost
 	fits := w.outstandingCost+d.budgetCost(j) <= w.budget || len(w.attempts) == 0
 	w.budgetLimited = w.budgetLimited || !fits
 	fits = fits && w.waitingJobs == 0 && d.now >= w.saturatedUntil
@@ -43,7 +43,7 @@
 		fits = fits && d.now >= j.queuedAt+d.reportWait()
 	}
 	if d.reportFresh(w, reportTTL) {
-		room = min(room, w.freeSlots*d.meanCost)
+		headroom = min(headroom, w.freeSlots*d.meanCost)
 		if w.freeSlots < j.Slots-0.5 || w.reportsMemory && w.freeMemory < j.Memory-0.25 {
 			fits = false
 		}
@@ -55,12 +55,12 @@
 		if d.crowded && !d.onlyStartsShowCapacity() {
 			return slowStartPriority + left/w.pace(), inTurn
 		}
-		room, fits = min(room, left)/d.warmupSlowdown(w), fits && inTurn
+		headroom, fits = min(headroom, left)/d.warmupSlowdown(w), fits && inTurn
 	}
 	if d.onlyStartsShowCapacity() {
-		room = d.promptWeight(w, j) * (w.budget - w.outstandingCost)
+		headroom = d.promptWeight(w, j) * (w.budget - w.outstandingCost)
 	}
-	return room / w.budget / w.pace(), fits
+	return headroom / w.budget / w.pace(), fits
 }
 
 // reportWait is how long a job waits for a report of what a worker holds of other dispatchers: the
--- a/internal/dispatcher/policy/decision_bench_test.go
+++ b/internal/dispatcher/policy/decision_bench_test.go
@@ -82,7 +82,7 @@
 	f.d = d
 	list := make([]policy.Member, members)
 	for i := range list {
-		list[i] = policy.Member{Worker: uint32(i + 1), State: policy.Ready, Kind: "std", Zone: "hall", Cell: i / 100, Weight: 1}
+		list[i] = policy.Member{Number: uint32(i + 1), State: policy.Ready, Kind: "std", Zone: "hall", Cell: i / 100, Weight: 1}
 	}
 	d.HandleMembers(f.now, policy.ListSnapshot, list)
 	every := time.Duration(float64(21*time.Millisecond) / (load * float64(members)))
--- a/internal/dispatcher/policy/dispatcher_test.go
+++ b/internal/dispatcher/policy/dispatcher_test.go
@@ -87,7 +87,7 @@
 }
 
 func member(id uint32, zone string) policy.Member {
-	return policy.Member{Worker: id, Kind: "k", Zone: zone, State: policy.Ready, Weight: 1}
+	return policy.Member{Number: id, Kind: "k", Zone: zone, State: policy.Ready, Weight: 1}
 }
 
 // newBench starts a dispatcher with workers 1 to n in zone a.
--- a/internal/dispatcher/policy/events.go
+++ b/internal/dispatcher/policy/events.go
@@ -25,7 +25,7 @@
 
 // Member is an entry of the worker list.
 type Member struct {
-	Worker       uint32 // its id
+	Number       uint32 // its id
 	Kind         string // one of Settings.Kinds
 	Cell         int    // within its zone
 	Zone         string
--- a/internal/dispatcher/policy/example_test.go
+++ b/internal/dispatcher/policy/example_test.go
@@ -32,7 +32,7 @@
 		return
 	}
 	now := time.Duration(0) // since a clock of the host's choice
-	d.HandleMembers(now, policy.ListSnapshot, []policy.Member{{Worker: 7}})
+	d.HandleMembers(now, policy.ListSnapshot, []policy.Member{{Number: 7}})
 	d.HandleRequest(now, policy.Request{ID: "r1", Class: "report", Deadline: now + 10*time.Second})
 	now += 300 * time.Millisecond
 	d.HandleAttemptResult(now, policy.AttemptResult{Request: "r1", Worker: 7, Status: policy.OK, Final: true})
--- a/internal/dispatcher/policy/health.go
+++ b/internal/dispatcher/policy/health.go
@@ -120,7 +120,7 @@
 	if w.unreachable = w.unreachable || down; !w.suspect {
 		w.suspect = true
 		d.recordUnresponsive(w)
-		d.log("worker %d is silent, down or failing: no new work, %d jobs out", w.Worker, len(w.attempts))
+		d.log("worker %d is silent, down or failing: no new work, %d jobs out", w.Number, len(w.attempts))
 	}
 	w.recheckDelay = min(max(2*w.recheckDelay, minRecheckDelay), maxRecheckDelay)
 	d.scheduleRecheck(w, d.jitter(w.recheckDelay))
@@ -130,7 +130,7 @@
 func (d *Dispatcher) clearSuspicion(w *worker) {
 	d.recordContact(w)
 	if w.suspect && w.unreachable { // it may have come back as a new process before the list tells
-		d.log("worker %d answers again", w.Worker)
+		d.log("worker %d answers again", w.Number)
 		w.unreachable, w.warmingSince = false, d.now
 		w.budget = min(w.budget, initialBudget*d.meanCost)
 		d.reindex(w)
--- a/internal/dispatcher/policy/internal_test.go
+++ b/internal/dispatcher/policy/internal_test.go
@@ -39,7 +39,7 @@
 	for round := range uint32(500) {
 		var list []Member
 		for i := range uint32(5) {
-			list = append(list, Member{Worker: 5*round + i, Kind: "k", StartedAt: now})
+			list = append(list, Member{Number: 5*round + i, Kind: "k", StartedAt: now})
 		}
 		d.HandleMembers(now, ListSnapshot, list)
 		for i := range 10 {
@@ -48,7 +48,7 @@
 			now += 300 * time.Millisecond
 			for _, id := range slices.Sorted(maps.Keys(d.jobs)) { // also one that was held before
 				if j := d.jobs[id]; j.inFlight > 0 {
-					d.HandleAttemptResult(now, AttemptResult{Request: id, Worker: j.attempts[0].worker.Worker, Final: true})
+					d.HandleAttemptResult(now, AttemptResult{Request: id, Worker: j.attempts[0].worker.Number, Final: true})
 				}
 			}
 			d.HandleTimer(now, tickToken)
@@ -89,7 +89,7 @@
 			for window := 1; window <= windows; window++ {
 				taken := make([]bool, n)
 				for rank := range n {
-					w := &worker{Member: Member{Worker: id}, warmingSince: time.Minute}
+					w := &worker{Member: Member{Number: id}, warmingSince: time.Minute}
 					d := &Dispatcher{Settings: Settings{Instances: n, Rank: rank, Rules: Rules{WarmupTime: time.Hour, ColdOverloadWindow: 3 * time.Second}}}
 					d.now = w.warmingSince + time.Duration((float64(window)+0.5-w.hashFraction(uint64(rank)))*float64(d.Rules.ColdOverloadWindow))
 					part := int(d.slowStartDraw(w) * float64(n))
--- a/internal/dispatcher/policy/job.go
+++ b/internal/dispatcher/policy/job.go
@@ -117,7 +117,7 @@
 		w.slowStartSends = append(w.slowStartSends, slowStartSend{d.now, j.cost})
 	}
 	d.recordSend(a)
-	d.host.Send(j.ID, w.Worker, 0)
+	d.host.Send(j.ID, w.Number, 0)
 	d.host.Timer(a.overdueAt-d.now, overdueToken)
 	if d.lateStartSaturates() {
 		d.host.Timer(promptStart, startToken)
--- a/internal/dispatcher/policy/learning_test.go
+++ b/internal/dispatcher/policy/learning_test.go
@@ -23,13 +23,13 @@
 			b.request(fmt.Sprint("r", round, "-", i), "safe", 200*ms)
 		}
 		first, second := fmt.Sprint("r", round, "-0"), fmt.Sprint("r", round, "-1")
-		if round >= 40 && b.sentTo(first) == slow.Worker {
+		if round >= 40 && b.sentTo(first) == slow.Number {
 			wrong++
 		}
 		for _, wait := range []time.Duration{150 * ms, 250 * ms} {
 			b.now += wait
 			for _, id := range []string{first, second} {
-				if b.sends[id] == 1 && (b.sentTo(id) == slow.Worker) == (wait == 250*ms) {
+				if b.sends[id] == 1 && (b.sentTo(id) == slow.Number) == (wait == 250*ms) {
 					b.outcome(id, policy.OK)
 				}
 			}
@@ -117,7 +117,7 @@
 	s.ReportX0, s.ReportsStart = "", true
 	s.Classes[0].LatencyTarget, s.Classes[0].ClientTimeout = time.Hour, time.Hour // none is given up
 	b = newBench(t, s, 2)
-	b.HandleMembers(b.now, policy.ListDelta, []policy.Member{{Worker: 2, Kind: "k", Zone: "a", State: policy.Draining}})
+	b.HandleMembers(b.now, policy.ListDelta, []policy.Member{{Number: 2, Kind: "k", Zone: "a", State: policy.Draining}})
 	for i := range n {
 		b.HandleRequest(b.now, policy.Request{ID: fmt.Sprint("r", i), Class: "safe", Hint: 100 * ms, Deadline: b.now + time.Hour})
 	}
--- a/internal/dispatcher/policy/membership.go
+++ b/internal/dispatcher/policy/membership.go
@@ -40,10 +40,10 @@
 	if kind != ListDelta {
 		listed := make(map[uint32]bool, len(entries))
 		for _, m := range entries {
-			listed[m.Worker] = true
+			listed[m.Number] = true
 		}
 		for _, w := range d.workers {
-			if m := w.Member; !listed[m.Worker] && m.State != Removed {
+			if m := w.Member; !listed[m.Number] && m.State != Removed {
 				m.State, d.hasRemoved = Removed, true
 				d.applyListing(w, m)
 			}
@@ -52,14 +52,14 @@
 	var added []*worker
 	for _, m := range entries {
 		d.hasRemoved = d.hasRemoved || m.State == Removed
-		if w := d.byID[m.Worker]; w != nil {
+		if w := d.byID[m.Number]; w != nil {
 			d.applyListing(w, m)
 		} else if m.State != Removed {
 			w = &worker{
 				Member: m, kind: d.kindOf(m.Kind), relativePace: 1,
 				warmingSince: m.StartedAt, drained: m.State == Draining,
 			}
-			d.byID[m.Worker], added = w, append(added, w)
+			d.byID[m.Number], added = w, append(added, w)
 			d.recheckFirst(w)
 			d.joinIfWarmingUp(w)
 		}
@@ -73,10 +73,10 @@
 	if len(added) == 0 {
 		return
 	}
-	slices.SortFunc(added, func(a, b *worker) int { return cmp.Compare(a.Worker, b.Worker) })
+	slices.SortFunc(added, func(a, b *worker) int { return cmp.Compare(a.Number, b.Number) })
 	all := make([]*worker, 0, len(d.workers)+len(added))
 	for _, w := range d.workers {
-		for len(added) > 0 && added[0].Worker < w.Worker {
+		for len(added) > 0 && added[0].Number < w.Number {
 			all, added = append(all, added[0]), added[1:]
 		}
 		all = append(all, w)
@@ -94,7 +94,7 @@
 	was, since := w.State, w.StartedAt
 	w.Member, w.StartedAt = m, max(m.StartedAt, since)
 	if m.State != Ready && was == Ready {
-		d.log("worker %d is listed as draining or gone, %d jobs out", m.Worker, len(w.attempts))
+		d.log("worker %d is listed as draining or gone, %d jobs out", m.Number, len(w.attempts))
 	}
 	switch {
 	case m.StartedAt > since: // a new process of the same id: nothing that is known of it holds
@@ -146,7 +146,7 @@
 		d.workers = slices.DeleteFunc(d.workers, func(w *worker) bool {
 			forgotten := d.forgotten(w)
 			if forgotten {
-				delete(d.byID, w.Worker)
+				delete(d.byID, w.Number)
 				d.tableVersion++
 				w.drained = true
 			}
--- a/internal/dispatcher/policy/random_test.go
+++ b/internal/dispatcher/policy/random_test.go
@@ -74,7 +74,7 @@
 	case r == nil || r.answered:
 		w.errorf("send for %s, which has its answer", id)
 		return
-	case m.Worker == 0 || m.State == policy.Draining || m.State == policy.Removed && !w.s.Rules.OnlyDrainBinds:
+	case m.Number == 0 || m.State == policy.Draining || m.State == policy.Removed && !w.s.Rules.OnlyDrainBinds:
 		w.errorf("send to worker %d, told to be in state %d", worker, m.State)
 	case len(r.attempts) >= w.s.Limits.MaxAttempts:
 		w.errorf("attempt %d of %s", len(r.attempts), id)
@@ -129,9 +129,9 @@
 	if m.StartedAt == 0 || w.now-m.StartedAt >= w.s.Rules.WarmupTime {
 		return
 	}
-	w.sent[m.Worker] = append(w.sent[m.Worker], load{w.now, r.Hint.Seconds()})
+	w.sent[m.Number] = append(w.sent[m.Number], load{w.now, r.Hint.Seconds()})
 	sum := 0.0
-	for _, l := range w.sent[m.Worker] {
+	for _, l := range w.sent[m.Number] {
 		if l.at > w.now-w.s.Rules.ColdOverloadWindow && l.at >= m.StartedAt {
 			sum += l.cost
 		}
@@ -140,7 +140,7 @@
 	share := w.s.Rules.ColdCapacity + (1-w.s.Rules.ColdCapacity)*age
 	// Four slots are what this world reports at most.
 	if most := 4 * w.s.Rules.ColdOverloadMultiple * share * w.s.Rules.ColdOverloadWindow.Seconds() / float64(w.s.Instances); sum > most {
-		w.errorf("cold worker %d got %.2f s of work in a window, %.2f s allowed", m.Worker, sum, most)
+		w.errorf("cold worker %d got %.2f s of work in a window, %.2f s allowed", m.Number, sum, most)
 	}
 }
 
@@ -155,7 +155,7 @@
 	if status == policy.OK {
 		r.answered = true
 	}
-	w.d.HandleAttemptResult(w.now, policy.AttemptResult{Request: r.ID, Attempt: n, Worker: a.worker.Worker, Status: status, Final: ended,
+	w.d.HandleAttemptResult(w.now, policy.AttemptResult{Request: r.ID, Attempt: n, Worker: a.worker.Number, Status: status, Final: ended,
 		Latency: w.now - a.at, Report: w.report()})
 }
 
@@ -255,11 +255,11 @@
 		clear(w.told)
 	}
 	for _, m := range list {
-		was := w.told[m.Worker]
+		was := w.told[m.Number]
 		if w.s.Rules.OnlyDrainBinds && was.State == policy.Draining && m.StartedAt <= was.StartedAt {
 			m = was // a drain binds until a later start
 		}
-		w.told[m.Worker] = m
+		w.told[m.Number] = m
 	}
 	w.d.HandleMembers(w.now, kind, list)
 }
@@ -305,7 +305,7 @@
 	m := w.workers[id]
 	switch {
 	case m == nil:
-		m = &policy.Member{Worker: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5), StartedAt: w.now}
+		m = &policy.Member{Number: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5), StartedAt: w.now}
 		w.workers[id] = m
 	case w.s.Rules.OnlyDrainBinds && w.rng.IntN(3) == 0: // a list that is wrong, for a while
 		w.tell(policy.ListSnapshot, w.list()[w.rng.IntN(len(w.list())):]...)
@@ -371,7 +371,7 @@
 	w := &world{t: t, actions: record, subjects: subjects, rng: rand.New(rand.NewPCG(seed, 7)), s: s, now: time.Hour, workers: map[uint32]*policy.Member{},
 		told: map[uint32]policy.Member{}, sent: map[uint32][]load{}, reqs: map[string]*req{}}
 	for id := uint32(1); id <= 8; id++ {
-		w.workers[id] = &policy.Member{Worker: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5)}
+		w.workers[id] = &policy.Member{Number: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5)}
 	}
 	w.start()
 	w.arrive()
--- a/internal/dispatcher/policy/reports.go
+++ b/internal/dispatcher/policy/reports.go
@@ -39,7 +39,7 @@
 		return
 	}
 	w.probePending, w.probedAt = true, d.now
-	d.host.Probe(w.Worker)
+	d.host.Probe(w.Number)
 }
 
 // applyReport takes in a load report: free slots, less what waits and what was sent too late to be
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -71,7 +71,7 @@
 		now := time.Minute
 		n := rapid.IntRange(manyMembers, 3*manyMembers).Draw(t, "workers")
 		member := func(i int) Member {
-			m := Member{Worker: uint32(i), Kind: s.Kinds[i%2], Zone: []string{"x", "y"}[i/2%2], Cell: i % 5}
+			m := Member{Number: uint32(i), Kind: s.Kinds[i%2], Zone: []string{"x", "y"}[i/2%2], Cell: i % 5}
 			if rapid.IntRange(0, 9).Draw(t, "cold") == 0 {
 				m.StartedAt = now
 			}
@@ -151,7 +151,7 @@
 		require.NoError(t, err)
 		var list []Member
 		for i := range uint32(workers) {
-			list = append(list, Member{Worker: i + 1, Kind: "k"})
+			list = append(list, Member{Number: i + 1, Kind: "k"})
 		}
 		d.HandleMembers(time.Minute, ListSnapshot, list)
 		d.peakJobs = workers
@@ -203,7 +203,7 @@
 	now := time.Hour
 	list := func(from uint32, state MemberState, since time.Duration) (all []Member) {
 		for i := range uint32(n) {
-			all = append(all, Member{Worker: from + i, Kind: "k", State: state, StartedAt: since})
+			all = append(all, Member{Number: from + i, Kind: "k", State: state, StartedAt: since})
 		}
 		return all
 	}
@@ -245,7 +245,7 @@
 	now := time.Hour
 	var list []Member
 	for i := range uint32(n) {
-		list = append(list, Member{Worker: i, Kind: "k"})
+		list = append(list, Member{Number: i, Kind: "k"})
 	}
 	d.HandleMembers(now, ListSnapshot, list)
 	d.peakJobs = n
@@ -298,7 +298,7 @@
 		}, h)
 		require.NoError(t, err)
 		now := time.Hour
-		d.HandleMembers(now, ListSnapshot, []Member{{Worker: 1, Kind: "k"}})
+		d.HandleMembers(now, ListSnapshot, []Member{{Number: 1, Kind: "k"}})
 		for n := range 200 {
 			d.HandleRequest(now, Request{ID: fmt.Sprint(n), Class: "c", Hint: 20 * time.Millisecond, Deadline: now + 2*time.Minute})
 		}
@@ -338,7 +338,7 @@
 	require.NoError(t, err)
 	var list []Member
 	for i := range 2 * manyMembers {
-		list = append(list, Member{Worker: uint32(i), Kind: "a"})
+		list = append(list, Member{Number: uint32(i), Kind: "a"})
 	}
 	now := time.Minute
 	d.HandleMembers(now, ListSnapshot, list)
--- a/internal/dispatcher/policy/selection.go
+++ b/internal/dispatcher/policy/selection.go
@@ -61,26 +61,26 @@
 // those that serve and of those that are avoided, and the index of the first group that has any
 // member, full or not.
 func (d *Dispatcher) bestOf(j *job, among []*worker, enough int) (chosen [2]*worker, _ int) {
-	serving, most := 1, [2]float64{}
+	serving, best := 1, [2]float64{}
 	from := d.rng.IntN(len(among) + 1)
 	for i := 0; i < len(among) && enough > 0; i++ {
 		w := among[(from+i)%len(among)]
 		if !d.compatible(j, w) || j.inFlightAt(w) {
 			continue
 		}
-		of := boolToInt(d.avoided(w, j))
-		serving = min(serving, of)
+		group := boolToInt(d.avoided(w, j))
+		serving = min(serving, group)
 		if d.tooSlowFor(w, j) || !j.repeatIsDropped(w) {
 			continue
 		}
-		room, fits := d.headroom(w, j)
+		headroom, fits := d.headroom(w, j)
 		// A job that found no room twice looks further.
 		if d.local(w) || d.hedgeable(j) && len(j.attempts) >= 2 {
-			room += localPriority
-			enough -= boolToInt(fits && of == 0)
+			headroom += localPriority
+			enough -= boolToInt(fits && group == 0)
 		}
-		if fits && (chosen[of] == nil || room > most[of]) {
-			chosen[of], most[of] = w, room
+		if fits && (chosen[group] == nil || headroom > best[group]) {
+			chosen[group], best[group] = w, headroom
 		}
 	}
 	return chosen, serving
@@ -102,7 +102,7 @@
 
 // compatible reports whether a worker may get a job at all.
 func (d *Dispatcher) compatible(j *job, w *worker) bool {
-	if j.ExcludedWorker != 0 && j.ExcludedWorker == w.Worker {
+	if j.ExcludedWorker != 0 && j.ExcludedWorker == w.Number {
 		return false
 	}
 	if j.ExcludedZone != "" && j.ExcludedZone == w.Zone {
--- a/internal/dispatcher/policy/settings.go
+++ b/internal/dispatcher/policy/settings.go
@@ -16,7 +16,7 @@
 	Kinds     []string // of workers
 	Classes   []Class  // at least one
 
-	ValueByWork        bool    // Class.Worth is per unit of work, not per request
+	ValueByWork        bool    // Class.Value is per unit of work, not per request
 	PullsMembership    bool    // worker lists arrive only as answers to calls
 	ReportsStart       bool    // workers tell when a job starts
 	ClientsMarkRetries bool    // clients mark their retries
--- a/internal/dispatcher/policy/slowstart.go
+++ b/internal/dispatcher/policy/slowstart.go
@@ -133,7 +133,7 @@
 // hashFraction is a pseudo-random number (0 to 1) of a number and the worker's id, evenly spread
 // over both, and the same at all instances.
 func (w *worker) hashFraction(of uint64) float64 {
-	x := (of<<32 | uint64(w.Worker)) * 0x9e3779b97f4a7c15 // mixed as splitmix64 does
+	x := (of<<32 | uint64(w.Number)) * 0x9e3779b97f4a7c15 // mixed as splitmix64 does
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return float64((x^x>>31)>>11) / (1 << 53)
--- a/internal/dispatcher/poolmember/close_test.go
+++ b/internal/dispatcher/poolmember/close_test.go
@@ -49,7 +49,7 @@
 		},
 		"a DELETE": { // which the member has not confirmed: the flow does not end by it
 			func(transport *Transport, f *engine.Flow) {
-				f.TransportState = &submission{accepted: true}
+				f.TransportState = &exchange{accepted: true}
 				transport.Recall(f)
 			},
 			counts{requests: 1},
@@ -58,7 +58,7 @@
 			func(transport *Transport, f *engine.Flow) {
 				transport.Probe(f.Member) // has the only one
 				synctest.Wait()
-				f.TransportState = &submission{accepted: true}
+				f.TransportState = &exchange{accepted: true}
 				transport.Abandon(f)
 			},
 			counts{requests: 1, probes: 1},
--- a/internal/dispatcher/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -150,7 +150,7 @@
 			g := newGatedFlow(t)
 			g.onConnected(func() {
 				// http.Transport may notice the end of the context late: closing the connection must do.
-				g.TransportState.(*submission).cancel = func() {}
+				g.TransportState.(*exchange).cancel = func() {}
 				callOff(g.transport, g.Flow)
 			})
 			g.transport.Start(g.Flow)
--- a/internal/dispatcher/poolmember/submission.go
+++ b/internal/dispatcher/poolmember/submission.go
@@ -17,9 +17,9 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// submission is the transport's state of a flow. A flow is abandoned by closing its connection while
+// exchange is the transport's state of a flow. A flow is abandoned by closing its connection while
 // the member has not answered, and by DELETE afterwards.
-type submission struct {
+type exchange struct {
 	mu        sync.Mutex
 	accepted  bool  // the member has answered 202
 	abandoned bool  // nobody waits for the flow any more
@@ -37,11 +37,11 @@
 }
 
 // mayBeWhole reports whether the request's last byte was written or is being written. The lock is held.
-func (sub *submission) mayBeWhole() bool { return sub.conn != nil && sub.conn.sending.Load() }
+func (sub *exchange) mayBeWhole() bool { return sub.conn != nil && sub.conn.sending.Load() }
 
 // close ends the flow's connection, or its dial, before it returns: the last byte is not written any
 // more. The lock is held.
-func (sub *submission) close() {
+func (sub *exchange) close() {
 	if sub.conn != nil {
 		_ = sub.conn.Close() // it is abandoned
 	}
@@ -49,7 +49,7 @@
 }
 
 // send submits a flow. What an answer means its header says.
-func (t *Transport) send(ctx context.Context, f *engine.Flow, sub *submission) sendResult {
+func (t *Transport) send(ctx context.Context, f *engine.Flow, sub *exchange) sendResult {
 	var at *conn
 	begin, latest := f.SentAt.Add(firstByteWithin), f.Deadline
 	if f.TooLate(latest) {
--- a/internal/dispatcher/poolmember/transport.go
+++ b/internal/dispatcher/poolmember/transport.go
@@ -102,7 +102,7 @@
 // the drain time.
 func (t *Transport) Start(f *engine.Flow) {
 	ctx, cancel := context.WithDeadline(t.lifetime, f.Deadline)
-	sub := &submission{cancel: cancel}
+	sub := &exchange{cancel: cancel}
 	f.TransportState = sub
 	select {
 	case t.submissionSlots <- struct{}{}:
@@ -119,7 +119,7 @@
 }
 
 // submit sends a flow, ends it unless its member has accepted it, and reads the rest of the answer.
-func (t *Transport) submit(ctx context.Context, f *engine.Flow, sub *submission) {
+func (t *Transport) submit(ctx context.Context, f *engine.Flow, sub *exchange) {
 	sent := t.send(ctx, f, sub)
 	sub.mu.Lock()
 	sub.accepted = sent.accepted
@@ -153,7 +153,7 @@
 
 // abandon ends a flow for its member, and with recall for the engine once the member has confirmed it.
 func (t *Transport) abandon(f *engine.Flow, recall bool) {
-	sub, ok := f.TransportState.(*submission)
+	sub, ok := f.TransportState.(*exchange)
 	if !ok {
 		return
 	}
@@ -177,7 +177,7 @@
 // its 202, if it is yet to come, is waited for only for the drain time. A request that isn't whole stays
 // so: the report is of an earlier attempt at that member.
 func (t *Transport) EndedOutOfBand(f *engine.Flow) {
-	sub, ok := f.TransportState.(*submission)
+	sub, ok := f.TransportState.(*exchange)
 	if !ok {
 		return
 	}
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -243,8 +243,8 @@
 	budgets := budget.Config{Lease: f.Lease}
 	for _, b := range f.Budgets {
 		one := budget.Budget{
-			Name: b.Key(), Kind: budget.Rate, Total: b.Whole, Burst: b.Burst, Floor: b.Floor, FloorSlots: b.Floors,
-			FloorDuration: b.FloorFor, SettleTime: b.Linger, Weights: b.Weights,
+			Name: b.Key(), Kind: budget.Rate, Total: b.Total, Burst: b.Burst, Floor: b.Floor, FloorSlots: b.Floors,
+			FloorDuration: b.FloorFor, SettleTime: b.SettleTime, Weights: b.Weights,
 		}
 		switch b.Of {
 		case settings.BudgetUnderWay:
--- a/internal/dispatcher/server/golden_test.go
+++ b/internal/dispatcher/server/golden_test.go
@@ -32,7 +32,7 @@
 	require.Equal(t, "basaltloft-n0.hand.json", filepath.Base(o.statePath()))
 	read, err := override.Decode(goldentest.Read(t, o.statePath()), "n0")
 	require.NoError(t, err)
-	require.Len(t, read.OutRunners(), 3)
+	require.Len(t, read.OutMembers(), 3)
 	o.overrides = read
 	require.NoError(t, o.save())
 	require.Equal(t, goldentest.Read(t, filepath.Join(golden, "basaltloft-n0.hand.json")), goldentest.Read(t, o.statePath()))
--- a/internal/dispatcher/server/overrides_file.go
+++ b/internal/dispatcher/server/overrides_file.go
@@ -53,11 +53,11 @@
 	o.overrides = saved
 	now := time.Now()
 	saved.ForgetRestoredBefore(now.Add(-restoredRetention))
-	for _, id := range saved.OutRunners() {
+	for _, id := range saved.OutMembers() {
 		o.s.engine.SetMemberOut(id, true, true)
 	}
-	for _, id := range saved.RestoredRunners() {
+	for _, id := range saved.RestoredMembers() {
 		o.s.engine.MarkRestored(id, saved.RestoredAt(id))
 	}
-	log.Info("the operators' settings of an older process are taken over", "out", len(saved.OutRunners()))
+	log.Info("the operators' settings of an older process are taken over", "out", len(saved.OutMembers()))
 }
--- a/internal/dispatcher/settings/config.go
+++ b/internal/dispatcher/settings/config.go
@@ -32,7 +32,7 @@
 // List is discovery's list of members, or the changes to one.
 type List struct {
 	Generation int64 // its version
-	Whole      bool  // it has all members, not only those that changed
+	Complete   bool  // it has all members, not only those that changed
 	Entries    []Entry
 }
 
@@ -116,7 +116,7 @@
 // decodeList reads a list.
 func decodeList(v *fastjson.Value) (List, error) {
 	r := newReader(v)
-	l := List{Generation: r.whole("generation"), Whole: r.flag("reset")}
+	l := List{Generation: r.whole("generation"), Complete: r.flag("reset")}
 	if len(r.problems) == 0 && v.Get("instances") == nil {
 		r.fail("instances", fmt.Errorf("missing"))
 	}
--- a/internal/dispatcher/settings/fleet.go
+++ b/internal/dispatcher/settings/fleet.go
@@ -33,14 +33,14 @@
 type FleetBudget struct {
 	Of    string  // what it bounds, one of BudgetKinds
 	Name  string  // of the tenant, class or kind of member; "" where there is one for all
-	Whole float64 // a second, or at a time
+	Total float64 // a second, or at a time
 	Burst float64 // what may be spent at once, of one that counts by the second
 
-	Floor    float64 // set aside for each of Floors processes that are cut off
-	Floors   int
-	FloorFor time.Duration      // how long a process that is cut off may use its floor
-	Linger   time.Duration      // the longest life of a job (under_way), how long a freed part rests (cold)
-	Weights  map[string]float64 // of processes, by name; absent: 1
+	Floor      float64 // set aside for each of Floors processes that are cut off
+	Floors     int
+	FloorFor   time.Duration      // how long a process that is cut off may use its floor
+	SettleTime time.Duration      // the longest life of a job (under_way), how long a freed part rests (cold)
+	Weights    map[string]float64 // of processes, by name; absent: 1
 }
 
 // Key returns the budget's name in the fleet.
@@ -77,8 +77,8 @@
 	Megabytes   int
 }
 
-// mostKeepers is the largest number of raft nodes.
-const mostKeepers = 5
+// maxRaftNodes is the largest number of raft nodes.
+const maxRaftNodes = 5
 
 // fleet reads the set-up of the fleet.
 func (r *reader) fleet() *Fleet {
@@ -97,8 +97,8 @@
 		k.address("votes", at.RaftAddress)
 		f.RaftNodes[name] = at
 	})
-	if n := len(f.RaftNodes); n != 1 && n != 3 && n != mostKeepers {
-		r.fail("fleet.keepers", fmt.Errorf("there must be 1, 3 or %d keepers, not %d", mostKeepers, n))
+	if n := len(f.RaftNodes); n != 1 && n != 3 && n != maxRaftNodes {
+		r.fail("fleet.keepers", fmt.Errorf("there must be 1, 3 or %d keepers, not %d", maxRaftNodes, n))
 	}
 	if f.DataDir == "" {
 		r.fail("fleet.folder", errors.New("must name a folder that lasts"))
@@ -129,9 +129,9 @@
 // budget reads a budget.
 func (r *reader) budget() FleetBudget {
 	b := FleetBudget{
-		Of: r.text("of"), Name: r.text("name"), Whole: r.positive("whole"), Burst: r.positive("burst"),
+		Of: r.text("of"), Name: r.text("name"), Total: r.positive("whole"), Burst: r.positive("burst"),
 		Floor: r.positive("floor"), Floors: int(r.count("floors", 0)), FloorFor: time.Duration(r.count("floor_for_s", 600)) * time.Second,
-		Linger: time.Duration(r.count("linger_ms", 0)) * time.Millisecond, Weights: map[string]float64{},
+		SettleTime: time.Duration(r.count("linger_ms", 0)) * time.Millisecond, Weights: map[string]float64{},
 	}
 	switch single := b.Of == BudgetCold || b.Of == BudgetProbes; {
 	case !slices.Contains(BudgetKinds, b.Of):
--- a/internal/dispatcher/settings/golden_test.go
+++ b/internal/dispatcher/settings/golden_test.go
@@ -49,7 +49,7 @@
 	require.NoError(t, err)
 	require.Equal(t, Config{
 		Name: "n0", Listen: "127.0.0.1:7400", Discovery: "127.0.0.1:7401", Admin: "127.0.0.1:7402", Cores: 1.5, MemoryMB: 256, Sockets: 900,
-		LastMembership: List{Generation: 7, Whole: true, Entries: []Entry{
+		LastMembership: List{Generation: 7, Complete: true, Entries: []Entry{
 			{ID: "r-1", Addr: "h:1", Kind: "k", Zone: "a", Cell: 3, State: policy.Ready, Weight: 1.5, Started: time.UnixMilli(1500)},
 			{ID: "r-2", Addr: "h:2", Cell: 4, State: policy.Draining}, {ID: "r-3", Cell: 5, State: policy.Removed},
 		}},
@@ -114,7 +114,7 @@
 			JobTypes: map[string]FaktoryJob{"Hold": {Class: "d"}}, Queues: map[string]FaktoryJob{"q": {Tenant: "u"}}, Zone: "a", Kind: "k", Cell: 5,
 			Connections: 6, PerAddress: 7, Jobs: 8, ReserveFor: 9 * time.Second, FetchIn: 10 * ms, BackoffUnit: 11 * ms,
 			Waiting: FaktoryWaiting{
-				Jobs: 12, Bytes: 13 << 20, QueueJobs: 14, QueueBytes: 15 << 20, OwnerJobs: 16, OwnerBytes: 17 << 20, Dead: 18, DeadBytes: 19 << 20, DeadFor: 20 * 24 * time.Hour,
+				Jobs: 12, Bytes: 13 << 20, QueueJobs: 14, QueueBytes: 15 << 20, ClientJobs: 16, ClientBytes: 17 << 20, Dead: 18, DeadBytes: 19 << 20, DeadFor: 20 * 24 * time.Hour,
 			},
 		},
 		Metrics: Metrics{Listen: "h:3", LogicalRequests: 21, AuditEvery: 22 * ms, JournalDir: "f", SegmentMB: 23, KeepMB: 46, KeepDays: 25, WriteWithin: 26 * ms, SyncWithin: 27 * ms},
@@ -122,7 +122,7 @@
 			Name: "n1", DataDir: "g", RPCAddress: "h:4", RaftAddress: "h:5", RaftNodes: map[string]FleetRaftNode{"n1": {RPCAddress: "h:6", RaftAddress: "h:7"}},
 			Revision: 28, Lease: 29 * ms, ElectionTimeout: 30 * ms, DigestInterval: 31 * ms, Plans: []string{"p.hcl"},
 			Budgets: []FleetBudget{
-				{Of: "jobs", Name: "t", Whole: 1.5, Burst: 2.5, Floor: 3.5, Floors: 32, FloorFor: 33 * time.Second, Linger: 34 * ms, Weights: map[string]float64{"n1": 4.5}},
+				{Of: "jobs", Name: "t", Total: 1.5, Burst: 2.5, Floor: 3.5, Floors: 32, FloorFor: 33 * time.Second, SettleTime: 34 * ms, Weights: map[string]float64{"n1": 4.5}},
 				budget("retries", "c"), budget("under_way", "k"), budget("cold", ""), budget("probes", ""),
 			},
 			Records: &FleetRecords{Body: 35, Tenants: map[string]RecordRule{"t": {Days: 36, FailureDays: 37, Count: 38, Megabytes: 39}}},
--- a/internal/dispatcher/settings/operator.go
+++ b/internal/dispatcher/settings/operator.go
@@ -38,11 +38,11 @@
 
 // FaktoryWaiting bounds what waits in the Faktory front.
 type FaktoryWaiting struct {
-	Jobs, Bytes           int           // in all queues and sets but the dead set
-	QueueJobs, QueueBytes int           // of one queue
-	OwnerJobs, OwnerBytes int           // of one client address; 0: no bound
-	Dead, DeadBytes       int           // in the dead set
-	DeadFor               time.Duration // that they stay there
+	Jobs, Bytes             int           // in all queues and sets but the dead set
+	QueueJobs, QueueBytes   int           // of one queue
+	ClientJobs, ClientBytes int           // of one client address; 0: no bound
+	Dead, DeadBytes         int           // in the dead set
+	DeadFor                 time.Duration // that they stay there
 }
 
 // FaktoryJob is what a Faktory job is to the dispatcher.
@@ -123,8 +123,8 @@
 	}
 	f.Waiting.QueueJobs = int(r.count(w+"queue_jobs", int64(f.Waiting.Jobs)*3/4))
 	f.Waiting.QueueBytes = int(r.count(w+"queue_megabytes", int64(f.Waiting.Bytes>>20)*3/4)) << 20
-	f.Waiting.OwnerJobs = int(r.count(w+"client_jobs", 0))
-	f.Waiting.OwnerBytes = int(r.count(w+"client_megabytes", 0)) << 20
+	f.Waiting.ClientJobs = int(r.count(w+"client_jobs", 0))
+	f.Waiting.ClientBytes = int(r.count(w+"client_megabytes", 0)) << 20
 	f.PerAddress = int(r.count("faktory.connections_per_address", 0))
 	f.BackoffUnit = time.Duration(r.count("faktory.backoff_unit_ms", 1000)) * time.Millisecond
 	r.address("faktory.listen", f.Listen)
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -16,7 +16,7 @@
 	l, err := DecodeList([]byte(`{"generation":7,"reset":true,"instances":[` + good + `,{"instanceId":"b","lifecycle":"left"}]}`))
 	require.NoError(t, err)
 	require.Negative(t, l.Entries[1].Cell)
-	require.Equal(t, List{Generation: 7, Whole: true, Entries: []Entry{
+	require.Equal(t, List{Generation: 7, Complete: true, Entries: []Entry{
 		{ID: "a", Addr: "h:1", Cell: 3, Started: time.UnixMilli(1500)}, {ID: "b", Cell: l.Entries[1].Cell, State: policy.Removed},
 	}}, l)
 	// Whitespace changes nothing, in discovery's answer or the configuration.
--- a/internal/dispatcher/simprotocol/golden_test.go
+++ b/internal/dispatcher/simprotocol/golden_test.go
@@ -104,9 +104,9 @@
 		Classes: []policy.Class{{Name: "c", Effect: policy.Idempotent, DedupScope: policy.DedupCell, LatencyTarget: 400 * time.Millisecond, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
 	}, configured.Settings)
 	members := []policy.Member{
-		{Worker: 5, Kind: "k", Cell: 4, Zone: "a", State: policy.Ready, StartedAt: 77, Weight: 1.5},
-		{Worker: 6, Kind: "k", Cell: 4, Zone: "b", State: policy.Draining, Weight: 2},
-		{Worker: 7, State: policy.Removed},
+		{Number: 5, Kind: "k", Cell: 4, Zone: "a", State: policy.Ready, StartedAt: 77, Weight: 1.5},
+		{Number: 6, Kind: "k", Cell: 4, Zone: "b", State: policy.Draining, Weight: 2},
+		{Number: 7, State: policy.Removed},
 	}
 	for _, list := range []policy.ListKind{policy.ListDelta, policy.ListSnapshot, policy.ListRestored} {
 		told := next(MembershipChanged)
--- a/internal/dispatcher/simprotocol/members.go
+++ b/internal/dispatcher/simprotocol/members.go
@@ -64,7 +64,7 @@
 		return m, fmt.Errorf("%q where a ROW belongs", name)
 	}
 	in := fieldReader{d: d}
-	m.Worker = in.worker()
+	m.Number = in.worker()
 	m.Kind, m.Zone = d.optionalInterned("type"), d.optionalInterned("dc")
 	m.Cell = int(in.optionalInt("cluster"))
 	m.StartedAt = in.optionalDuration("since")
