--- a/internal/cluster/jobtrace/jobtrace.go
+++ b/internal/cluster/jobtrace/jobtrace.go
@@ -58,8 +58,9 @@
 	t.Int(int64(o.Attempt)).String(o.Spec, o.Checkpoint).Int(o.DeadlineMs).Uint(o.AckedThrough).Int(o.WaitMs).Uint(o.Sequence)
 }
 
-// SortStops sorts stops that leave together for one runner by their tasks: the scheduler asks
-// for them in the order of a map, which differs from run to run. All else stays where it is.
+// SortStops sorts stops that leave together for one runner by their tasks, as those that the
+// digests on file are of: the build that made the digests sent them in the order of a map. All else
+// stays where it is.
 func SortStops(orders []scheduler.Order) {
 	for begin := 0; begin < len(orders); {
 		end := begin + 1
--- a/internal/cluster/scheduler/digest_test.go
+++ b/internal/cluster/scheduler/digest_test.go
@@ -30,9 +30,8 @@
 	commands int
 }
 
-// record also puts stops that leave together into a fixed order, for the runners too: in the
-// scheduler's own, that of a map, the same seed would give other days. Worlds that are not recorded
-// take them as they come.
+// record also puts stops that leave together into the order in which the digests on file have them,
+// for the runners too. Worlds that are not recorded take them as they come.
 func (d *decisions) record(now time.Duration, out *scheduler.Output) {
 	if d.trace == nil {
 		return
--- a/internal/cluster/scheduler/run.go
+++ b/internal/cluster/scheduler/run.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"slices"
 	"time"
 
 	"basaltloft/internal/cluster/job"
@@ -23,7 +24,12 @@
 	attempt int
 }
 
-// compareRunKeys orders runs by task and attempt, so that the same inputs give the same output.
+// sortRuns sorts runs by task and attempt: where they come from a map, the same inputs then give the
+// same output.
+func sortRuns(runs []*run) {
+	slices.SortFunc(runs, func(a, b *run) int { return compareRunKeys(a.runKey, b.runKey) })
+}
+
 func compareRunKeys(a, b runKey) int {
 	return cmp.Or(cmp.Compare(a.task.Job, b.task.Job), cmp.Compare(a.task.Occurrence, b.task.Occurrence),
 		cmp.Compare(a.task.Step, b.task.Step), cmp.Compare(a.task.Index, b.task.Index), cmp.Compare(a.attempt, b.attempt))
--- a/internal/cluster/scheduler/runner.go
+++ b/internal/cluster/scheduler/runner.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"slices"
 	"time"
 
 	"basaltloft/internal/cluster/job"
@@ -174,7 +173,7 @@
 	for _, r := range l.runs {
 		runs = append(runs, r)
 	}
-	slices.SortFunc(runs, func(a, b *run) int { return compareRunKeys(a.runKey, b.runKey) })
+	sortRuns(runs)
 	return runs
 }
 
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -246,14 +246,19 @@
 func (s *Scheduler) checkRuns(runner *runnerSession) {
 	runner.nextRunCheck = s.now + runCheckInterval
 	s.leases.pollForOverdueStarts(s.now, runner)
+	var unwanted []*run
 	for _, r := range runner.load.runs {
 		if r.stop.requested {
-			s.sendStop(runner, r)
+			unwanted = append(unwanted, r)
 		}
 		if r.stop.requested || r.phase == phaseOrdered {
 			runner.nextRunCheck = s.now
 		}
 	}
+	sortRuns(unwanted)
+	for _, r := range unwanted {
+		s.sendStop(runner, r)
+	}
 	s.checkResponsive(runner)
 	s.migrateStragglers(runner)
 }
--- a/internal/cluster/scheduler/straggler.go
+++ b/internal/cluster/scheduler/straggler.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"slices"
 	"time"
 
 	"basaltloft/internal/cluster/job"
@@ -52,7 +51,7 @@
 			migrating = append(migrating, r)
 		}
 	}
-	slices.SortFunc(migrating, func(a, b *run) int { return compareRunKeys(a.runKey, b.runKey) })
+	sortRuns(migrating)
 	return migrating
 }
 
--- a/internal/cluster/simworld/digest_test.go
+++ b/internal/cluster/simworld/digest_test.go
@@ -90,14 +90,6 @@
 	}
 }
 
-// sortStops puts stops that are sent together into a fixed order: the scheduler asks for them in
-// the order of a map. Worlds that are not recorded take them as they come.
-func (r *recorder) sortStops(orders []scheduler.Order) {
-	if r.trace != nil {
-		jobtrace.SortStops(orders)
-	}
-}
-
 // order records an order that a shard sends to a runner.
 func (r *recorder) order(c *controlNode, order *scheduler.Order) {
 	if r.trace == nil {
--- a/internal/cluster/simworld/node_test.go
+++ b/internal/cluster/simworld/node_test.go
@@ -267,7 +267,6 @@
 func (c *controlNode) runCycle(number int) {
 	shard := c.shards[number]
 	orders := shard.RunCycle()
-	c.w.recorder.sortStops(orders.List)
 	for _, order := range orders.List {
 		c.sendOrder(shard, orders.Scheduler, order)
 	}
