--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -64,23 +64,24 @@
 	failed bool
 }
 
-func (d *decoder) uvarint() uint64 {
-	number, n := binary.Uvarint(d.rest)
+// advance goes past a number of n bytes; n is 0 or less where binary could not read it.
+func (d *decoder) advance(n int) {
 	if n <= 0 {
 		d.failed = true
-		return 0
+		return
 	}
 	d.rest = d.rest[n:]
+}
+
+func (d *decoder) uvarint() uint64 {
+	number, n := binary.Uvarint(d.rest)
+	d.advance(n)
 	return number
 }
 
 func (d *decoder) varint() int64 {
 	number, n := binary.Varint(d.rest)
-	if n <= 0 {
-		d.failed = true
-		return 0
-	}
-	d.rest = d.rest[n:]
+	d.advance(n)
 	return number
 }
 
