--- a/coord/ringlog/golden_test.go
+++ b/coord/ringlog/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/gob"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -14,12 +13,10 @@
 
 	"basaltloft/coord/replica"
 	"basaltloft/coord/ringlog"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// writeGolden rewrites the folder testdata/ring. It was written by commit 352ebf2 and must never
-// be rewritten by later code: disks hold logs and snapshots of that build.
-var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
-
+// goldenFolder was written by commit 352ebf2: disks hold logs and snapshots of that build.
 const goldenFolder = "testdata/ring"
 
 var goldenSizes = ringlog.Sizes{SegmentBytes: 4 << 10, Segments: 3}
@@ -97,28 +94,18 @@
 	}
 }
 
-// goldenCopy copies the golden folder: opening a log writes to it.
-func goldenCopy(t *testing.T) string {
-	t.Helper()
-	folder := filepath.Join(t.TempDir(), "ring")
-	require.NoError(t, os.CopyFS(folder, os.DirFS(goldenFolder)))
-	return folder
-}
-
-// writeGoldenFiles writes the golden files anew, where -write-golden was given.
-func writeGoldenFiles(t *testing.T) {
+// keepMissingFolder writes the golden folder where it does not exist yet and that is asked for.
+func keepMissingFolder(t *testing.T) {
 	t.Helper()
-	if !*writeGolden {
-		return
+	if goldentest.Missing(goldenFolder) {
+		writeLog(t, goldenFolder)
 	}
-	require.NoError(t, os.RemoveAll(goldenFolder))
-	writeLog(t, goldenFolder)
 }
 
 // TestGoldenLogIsRead: a folder that 352ebf2 left behind is opened, and goes on.
 func TestGoldenLogIsRead(t *testing.T) {
-	writeGoldenFiles(t)
-	folder := goldenCopy(t)
+	keepMissingFolder(t)
+	folder := goldentest.CopyFolder(t, goldenFolder)
 	ring, found, err := ringlog.Open(ringlog.OSFileSystem{}, folder, goldenSizes)
 	require.NoError(t, err)
 	wanted := goldenRestored()
@@ -170,9 +157,7 @@
 
 func readFile(t *testing.T, folder, name string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(filepath.Join(folder, name))
-	require.NoError(t, err)
-	return content
+	return goldentest.Read(t, filepath.Join(folder, name))
 }
 
 // The types and functions from here on read files as a process of 352ebf2 does, without the code
--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -28,19 +28,14 @@
 	"basaltloft/internal/cluster/protocol"
 	"basaltloft/internal/cluster/scheduler"
 	"basaltloft/internal/cluster/settings"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// compareGolden compares a text with the golden file of that name, byte for byte.
+// compareGolden compares a text with the golden file of that name, byte for byte. Commit 352ebf2
+// wrote the files: runners, the platform and operators have that build's form.
 func compareGolden(t *testing.T, name, text string) {
 	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *writeGolden {
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o644))
-	}
-	golden, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(golden), text)
+	goldentest.Equal(t, filepath.Join("testdata", name), []byte(text))
 }
 
 // rawRequests records the bytes that a server's connections read.
--- a/internal/cluster/controlplane/golden_identity_test.go
+++ b/internal/cluster/controlplane/golden_identity_test.go
@@ -3,20 +3,15 @@
 import (
 	"bytes"
 	"encoding/gob"
-	"flag"
-	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"basaltloft/coord/replica"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
-// never be rewritten by later code: disks, runners and clients have that build's form.
-var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
-
 // goldenIdentities are the identities of a founder and of a process that joined, by file.
 func goldenIdentities() map[string]identity {
 	return map[string]identity{
@@ -42,10 +37,8 @@
 
 func readIdentity(t *testing.T, path string) storedIdentity {
 	t.Helper()
-	content, err := os.ReadFile(path)
-	require.NoError(t, err)
 	var stored storedIdentity
-	require.NoError(t, gob.NewDecoder(bytes.NewReader(content)).Decode(&stored))
+	require.NoError(t, gob.NewDecoder(bytes.NewReader(goldentest.Read(t, path))).Decode(&stored))
 	return stored
 }
 
@@ -58,13 +51,8 @@
 			written := t.TempDir()
 			require.NoError(t, wanted.save(written))
 			golden := filepath.Join("testdata", name)
-			if *writeGolden {
-				require.NoError(t, os.RemoveAll(golden))
-				require.NoError(t, os.CopyFS(golden, os.DirFS(written)))
-			}
-			folder := filepath.Join(t.TempDir(), "data")
-			require.NoError(t, os.CopyFS(folder, os.DirFS(golden)))
-			found, err := loadIdentity(folder, func() (identity, error) {
+			goldentest.Keep(t, written, golden)
+			found, err := loadIdentity(goldentest.CopyFolder(t, golden), func() (identity, error) {
 				t.Error("the folder has an identity")
 				return identity{}, nil
 			})
--- a/internal/cluster/dataplane/golden_test.go
+++ b/internal/cluster/dataplane/golden_test.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"flag"
 	"fmt"
 	"io"
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"net/http/httputil"
-	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -24,12 +22,10 @@
 	"basaltloft/internal/cluster/protocol"
 	"basaltloft/internal/cluster/router"
 	"basaltloft/internal/cluster/settings"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// writeGolden rewrites testdata/answers-to-clients.txt. It was written by commit 352ebf2 and must
-// never be rewritten by later code: clients know these answers.
-var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
-
+// goldenAnswers was written by commit 352ebf2: clients know these answers.
 const goldenAnswers = "testdata/answers-to-clients.txt"
 
 const goldenConfiguration = `{"version":5,"routes":[{"name":"route","host":"h.example","path_prefix":"/q/","timeout_ms":3000,"target_ms":250.5,` +
@@ -136,13 +132,7 @@
 	newFixture().ServeHTTP(recorded, clientRequest(t.Context(), http.MethodPost, id, "{}"))
 	fmt.Fprintf(&text, "== no configuration\n%s", answerText(t, recorded))
 
-	if *writeGolden {
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(goldenAnswers, []byte(text.String()), 0o644))
-	}
-	golden, err := os.ReadFile(goldenAnswers)
-	require.NoError(t, err)
-	require.Equal(t, string(golden), text.String())
+	goldentest.Equal(t, goldenAnswers, []byte(text.String()))
 }
 
 // TestMessagesToLeadersAsBefore: the messages that clients' requests become, field by field.
--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -4,20 +4,16 @@
 	"bytes"
 	"encoding/gob"
 	"encoding/json"
-	"flag"
-	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
 	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
-// never be rewritten by later code: disks hold logs and snapshots of that build.
-var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
-
+// Files under testdata, which commit 352ebf2 wrote: disks hold logs and snapshots of that build.
 const (
 	commandsFile = "commands.bin" // one batch, as an entry of the log holds it
 	snapshotFile = "store.gob"    // the state after these commands
@@ -30,9 +26,7 @@
 
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(filepath.Join("testdata", name))
-	require.NoError(t, err)
-	return content
+	return goldentest.Read(t, filepath.Join("testdata", name))
 }
 
 // acceptCommand submits a job with all fields of Submission filled.
@@ -312,24 +306,21 @@
 	return store
 }
 
-// writeGoldenFiles writes the golden files anew, where -write-golden was given.
-func writeGoldenFiles(t *testing.T) {
+// keepMissingFiles writes the golden files that do not exist yet, where that is asked for.
+func keepMissingFiles(t *testing.T) {
 	t.Helper()
-	if !*writeGolden {
-		return
-	}
 	for name, content := range map[string][]byte{
 		commandsFile: job.Batch{Commands: goldenCommands()}.Encode(),
 		snapshotFile: snapshotOf(t, goldenStore()),
 		stateFile:    []byte(stateOf(t, snapshotOf(t, goldenStore()))),
 	} {
-		require.NoError(t, os.WriteFile(filepath.Join("testdata", name), content, 0o644))
+		goldentest.KeepFile(t, filepath.Join("testdata", name), content)
 	}
 }
 
 // TestGoldenCommandsAreRead: a batch of 352ebf2 has the same commands, and is written the same.
 func TestGoldenCommandsAreRead(t *testing.T) {
-	writeGoldenFiles(t)
+	keepMissingFiles(t)
 	batch, err := job.DecodeBatch(golden(t, commandsFile))
 	require.NoError(t, err)
 	wanted := goldenCommands()
--- a/internal/cluster/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -4,9 +4,7 @@
 	"bytes"
 	"encoding/gob"
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -14,12 +12,10 @@
 	"github.com/stretchr/testify/require"
 
 	"basaltloft/internal/cluster/opconfig"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
-// never be rewritten by later code: disks hold logs and snapshots of that build.
-var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
-
+// Files under testdata, which commit 352ebf2 wrote: disks hold logs and snapshots of that build.
 const (
 	changeFile   = "change.gob"    // one command, as an entry of the log holds it
 	registerFile = "register.gob"  // a snapshot after goldenVersions changes
@@ -119,9 +115,7 @@
 
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(filepath.Join("testdata", name))
-	require.NoError(t, err)
-	return content
+	return goldentest.Read(t, filepath.Join("testdata", name))
 }
 
 func restored(t *testing.T) *opconfig.Register {
@@ -131,24 +125,21 @@
 	return register
 }
 
-// writeGoldenFiles writes the golden files anew, where -write-golden was given.
-func writeGoldenFiles(t *testing.T) {
+// keepMissingFiles writes the golden files that do not exist yet, where that is asked for.
+func keepMissingFiles(t *testing.T) {
 	t.Helper()
-	if !*writeGolden {
-		return
-	}
 	snapshot := snapshotOf(t, goldenRegister(t))
 	for name, content := range map[string][]byte{
 		changeFile: encoded(t, goldenChange(goldenVersions+1)), registerFile: snapshot, stateFile: []byte(stateOf(t, snapshot)),
 	} {
-		require.NoError(t, os.WriteFile(filepath.Join("testdata", name), content, 0o644))
+		goldentest.KeepFile(t, filepath.Join("testdata", name), content)
 	}
 }
 
 // TestGoldenRegisterIsRead: all fields of a snapshot of 352ebf2 arrive, and a snapshot of this
 // build is read whole by a process of 352ebf2.
 func TestGoldenRegisterIsRead(t *testing.T) {
-	writeGoldenFiles(t)
+	keepMissingFiles(t)
 	require.Equal(t, string(golden(t, stateFile)), stateOf(t, golden(t, registerFile)), "the golden files belong together")
 	register := restored(t)
 	require.Equal(t, goldenSum, register.StateDigest())
--- a/internal/cluster/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -1,8 +1,6 @@
 package protocol_test
 
 import (
-	"flag"
-	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
@@ -16,12 +14,10 @@
 	"basaltloft/internal/cluster/job"
 	"basaltloft/internal/cluster/opconfig"
 	"basaltloft/internal/cluster/protocol"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// writeGolden rewrites the files under testdata. They were written by commit 352ebf2 and must
-// never be rewritten by later code: processes of that build send and expect these bytes.
-var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
-
+// Files under testdata, which commit 352ebf2 wrote: processes of that build send and expect these bytes.
 const (
 	requestFile  = "client-to-server.bin" // what a client sends after the upgrade
 	responseFile = "server-to-client.bin" // what a server sends after the upgrade
@@ -31,14 +27,7 @@
 
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(filepath.Join("testdata", name))
-	require.NoError(t, err)
-	return content
-}
-
-func writeFile(t *testing.T, name string, content []byte) {
-	t.Helper()
-	require.NoError(t, os.WriteFile(filepath.Join("testdata", name), content, 0o644))
+	return goldentest.Read(t, filepath.Join("testdata", name))
 }
 
 func goldenMembership(prefix string) replica.Membership {
@@ -153,15 +142,20 @@
 	}
 }
 
+// keepMissingFiles writes the golden files that do not exist yet, where that is asked for.
+func keepMissingFiles(t *testing.T) {
+	t.Helper()
+	recorded := exchange(t)
+	for name, content := range map[string][]byte{
+		requestFile: recorded.request, responseFile: recorded.response, schemaFile: []byte(describe(t, recorded)), upgradeFile: []byte(recorded.upgrade),
+	} {
+		goldentest.KeepFile(t, filepath.Join("testdata", name), content)
+	}
+}
+
 // TestGoldenMessagesAreRead: a server of this build takes what a client of 352ebf2 sends.
 func TestGoldenMessagesAreRead(t *testing.T) {
-	if *writeGolden {
-		recorded := exchange(t)
-		writeFile(t, requestFile, recorded.request)
-		writeFile(t, responseFile, recorded.response)
-		writeFile(t, schemaFile, []byte(describe(t, recorded)))
-		writeFile(t, upgradeFile, []byte(recorded.upgrade))
-	}
+	keepMissingFiles(t)
 	received, response := replayToServer(t, golden(t, requestFile))
 	wanted := append(goldenMessages(), goldenAsk()) // the last one is a call
 	require.Len(t, received, len(wanted))
--- a/internal/cluster/scheduler/golden_late_test.go
+++ b/internal/cluster/scheduler/golden_late_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"bytes"
-	"flag"
 	"log/slog"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -14,12 +12,10 @@
 	"basaltloft/internal/cluster/job"
 	"basaltloft/internal/cluster/lateness"
 	"basaltloft/internal/cluster/scheduler"
+	"basaltloft/internal/shared/goldentest"
 )
 
-// writeGolden rewrites testdata/late.log. It was written by commit 352ebf2 and must never be
-// rewritten by later code: `basaltloftctl late` reads logs of that build.
-var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files; never do this with code after 352ebf2")
-
+// goldenLog was written by commit 352ebf2: `basaltloftctl late` reads logs of that build.
 const goldenLog = "testdata/late.log"
 
 // lateLog returns the log of a scheduler whose only runner is asked for more than it has, and
@@ -74,12 +70,7 @@
 // tool reads the same of both.
 func TestLateJobsAreLoggedAsBefore(t *testing.T) {
 	log := lateLog(t)
-	if *writeGolden {
-		require.NoError(t, os.MkdirAll("testdata", 0o755))
-		require.NoError(t, os.WriteFile(goldenLog, []byte(log), 0o644))
-	}
-	golden, err := os.ReadFile(goldenLog)
-	require.NoError(t, err)
+	golden := goldentest.Read(t, goldenLog)
 	old, err := lateness.ReadLog(bytes.NewReader(golden))
 	require.NoError(t, err)
 	require.Len(t, old, 5)
--- a/internal/shared/goldentest/goldentest.go
+++ b/internal/shared/goldentest/goldentest.go
@@ -42,10 +42,7 @@
 // Equal requires that got is what the golden file holds.
 func Equal(t testing.TB, path string, got []byte) {
 	t.Helper()
-	if Missing(path) {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o750))
-		require.NoError(t, os.WriteFile(path, got, 0o600))
-	}
+	KeepFile(t, path, got)
 	want := Read(t, path)
 	if utf8.Valid(want) && utf8.Valid(got) {
 		require.Equal(t, string(want), string(got), "%s: what is stored, sent or read has changed", path)
@@ -72,6 +69,15 @@
 	return copied
 }
 
+// KeepFile writes a golden file that does not exist yet.
+func KeepFile(t testing.TB, path string, content []byte) {
+	t.Helper()
+	if Missing(path) {
+		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o750))
+		require.NoError(t, os.WriteFile(path, content, 0o600))
+	}
+}
+
 // Keep copies a folder that a test has written to a golden one that does not exist yet.
 func Keep(t testing.TB, written, path string) {
 	t.Helper()
--- /dev/null
+++ b/internal/shared/goldentest/goldentest_test.go
@@ -0,0 +1,40 @@
+package goldentest_test
+
+import (
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/shared/goldentest"
+)
+
+// TestGoldenFilesAreNeverRewritten: a missing file is written where that is asked for, and only then;
+// one that exists stays as it is.
+func TestGoldenFilesAreNeverRewritten(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "testdata", "golden.txt")
+	t.Setenv(goldentest.WriteVariable, "")
+	goldentest.KeepFile(t, path, []byte("unasked"))
+	require.NoFileExists(t, path)
+
+	t.Setenv(goldentest.WriteVariable, "1")
+	goldentest.KeepFile(t, path, []byte("first"))
+	require.Equal(t, "first", string(goldentest.Read(t, path)))
+	goldentest.KeepFile(t, path, []byte("second"))
+	require.Equal(t, "first", string(goldentest.Read(t, path)))
+}
+
+// TestGoldenFoldersAreNeverRewritten: as files.
+func TestGoldenFoldersAreNeverRewritten(t *testing.T) {
+	golden, written := filepath.Join(t.TempDir(), "golden"), t.TempDir()
+	t.Setenv(goldentest.WriteVariable, "1")
+	goldentest.KeepFile(t, filepath.Join(written, "file"), []byte("first"))
+	goldentest.Keep(t, written, golden)
+	goldentest.KeepFile(t, filepath.Join(written, "other"), []byte("second"))
+	goldentest.Keep(t, written, golden)
+	require.Equal(t, "first", string(goldentest.Read(t, filepath.Join(golden, "file"))))
+	require.NoFileExists(t, filepath.Join(golden, "other"))
+
+	copied := goldentest.CopyFolder(t, golden)
+	require.Equal(t, "first", string(goldentest.Read(t, filepath.Join(copied, "file"))))
+}
