--- a/internal/cluster/controlplane/recovery.go
+++ b/internal/cluster/controlplane/recovery.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"cmp"
 	"context"
 	"os"
 	"path/filepath"
@@ -122,8 +123,7 @@
 	if err := os.MkdirAll(aside, 0o755); err != nil {
 		return errors.Wrap(err, "make a folder for the damaged state")
 	}
-	// The identity goes last: until then the node keeps its identity.
-	slices.SortFunc(entries, func(a, b os.DirEntry) int { return identityLast(a) - identityLast(b) })
+	slices.SortStableFunc(entries, func(a, b os.DirEntry) int { return cmp.Compare(setAsideOrder(a), setAsideOrder(b)) })
 	for _, entry := range entries {
 		if strings.HasPrefix(entry.Name(), setAsidePrefix) {
 			continue
@@ -138,8 +138,9 @@
 	return errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 }
 
-// identityLast is the order in which entries are set aside.
-func identityLast(entry os.DirEntry) int {
+// setAsideOrder is 1 for the identity, which goes last: the node keeps it until all else, which is 0, is
+// set aside.
+func setAsideOrder(entry os.DirEntry) int {
 	if entry.Name() == identityFile {
 		return 1
 	}
--- a/internal/cluster/jobtrace/jobtrace.go
+++ b/internal/cluster/jobtrace/jobtrace.go
@@ -37,8 +37,8 @@
 // Spec appends what a client handed in.
 func Spec(t *digesttest.Trace, s *job.Spec) {
 	t.String(s.Text).Int(int64(s.Repeats), s.StartAtMs, s.IntervalMs).Bool(s.LongRunning, s.Speculative).Int(int64(len(s.Steps)))
-	for at := range s.Steps {
-		step(t, &s.Steps[at])
+	for i := range s.Steps {
+		step(t, &s.Steps[i])
 	}
 }
 
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -113,8 +113,8 @@
 
 func choose(request *Request, candidates []Candidate, healthyOnly bool) (best Assignment, result Result) {
 	best, result = Assignment{Candidate: -1}, Unsuitable
-	for at := range candidates {
-		c := &candidates[at]
+	for i := range candidates {
+		c := &candidates[i]
 		if result <= NoCapacity && !request.Resources.FitsIn(c.Free) {
 			continue // most runners are full: the cheapest check first, once it changes no result
 		}
@@ -133,7 +133,7 @@
 			result = min(result, NoBudget)
 			continue
 		}
-		assignment := Assignment{Candidate: at, Count: min(limit, c.fitting(request))}
+		assignment := Assignment{Candidate: i, Count: min(limit, c.fitting(request))}
 		if best.Candidate < 0 || better(request, c, assignment.Count, &candidates[best.Candidate], best.Count) {
 			best = assignment
 		}
--- a/internal/cluster/scheduler/aging.go
+++ b/internal/cluster/scheduler/aging.go
@@ -54,14 +54,14 @@
 // capacity, which is too little as yet, for work that has aged.
 func reserveForAged(request *placement.Request, candidates []placement.Candidate) {
 	best := -1
-	for at := range candidates {
-		c := &candidates[at]
+	for i := range candidates {
+		c := &candidates[i]
 		if c.Reserved || c.Service != request.Service || request.Resources.FitsIn(c.Free) ||
 			!request.Resources.FitsIn(c.Capacity) || !hasAllLabels(c.Labels, request.Constraints) {
 			continue
 		}
 		if best < 0 || c.Free.CPU > candidates[best].Free.CPU {
-			best = at
+			best = i
 		}
 	}
 	if best >= 0 {
--- a/internal/cluster/scheduler/cycle.go
+++ b/internal/cluster/scheduler/cycle.go
@@ -184,8 +184,8 @@
 // recordBlockedBudgets notes which budgets keep the head of the queue from leaving, so that they
 // grow with the next run that ends well.
 func (s *Scheduler) recordBlockedBudgets(request *placement.Request) {
-	for at := range s.cycle.candidates {
-		c := &s.cycle.candidates[at]
+	for i := range s.cycle.candidates {
+		c := &s.cycle.candidates[i]
 		if c.Service == request.Service && request.Resources.FitsIn(c.Free) && hasAllLabels(c.Labels, request.Constraints) {
 			runner := s.cycle.runners[c.Key]
 			runner.load.budget.RecordBlocked(s.now, request.Cost, max(runner.maxBudget(), runner.load.cost+request.Cost))
--- a/internal/cluster/scheduler/gang.go
+++ b/internal/cluster/scheduler/gang.go
@@ -54,18 +54,18 @@
 // whose budgets have the most headroom. Nil: there is none.
 func (s *Scheduler) gangOnOneRack(group *taskGroup, request *placement.Request) []int {
 	racks := map[string][]int{}
-	for at := range s.cycle.candidates {
-		rack := s.cycle.runners[s.cycle.candidates[at].Key].rack()
-		racks[rack] = append(racks[rack], at)
+	for i := range s.cycle.candidates {
+		rack := s.cycle.runners[s.cycle.candidates[i].Key].rack()
+		racks[rack] = append(racks[rack], i)
 	}
 	var best []int
 	bestHeadroom := 0.0
 	for _, rack := range sortedKeys(racks) {
 		headroom := 0.0
 		candidates := make([]placement.Candidate, 0, len(racks[rack]))
-		for _, at := range racks[rack] {
-			candidates = append(candidates, s.cycle.candidates[at])
-			headroom += s.cycle.candidates[at].Headroom
+		for _, i := range racks[rack] {
+			candidates = append(candidates, s.cycle.candidates[i])
+			headroom += s.cycle.candidates[i].Headroom
 		}
 		chosen, result := s.gangCandidates(group, request, candidates)
 		if result != placement.Found || best != nil && headroom <= bestHeadroom {
@@ -73,8 +73,8 @@
 		}
 		bestHeadroom = headroom
 		best = best[:0]
-		for _, at := range chosen {
-			best = append(best, racks[rack][at])
+		for _, i := range chosen {
+			best = append(best, racks[rack][i])
 		}
 	}
 	return best
--- a/internal/cluster/scheduler/lateness.go
+++ b/internal/cluster/scheduler/lateness.go
@@ -34,9 +34,9 @@
 		return
 	}
 	account := &jobAccount{paths: map[groupKey]lateness.CriticalPath{}}
-	for at := range j.Spec.Steps {
-		step := &j.Spec.Steps[at]
-		account.cost += float64(step.Count) * stepCost(learner.expected(j, at), step)
+	for i := range j.Spec.Steps {
+		step := &j.Spec.Steps[i]
+		account.cost += float64(step.Count) * stepCost(learner.expected(j, i), step)
 	}
 	t.jobs[j.ID] = account
 }
--- a/internal/cluster/scheduler/learning.go
+++ b/internal/cluster/scheduler/learning.go
@@ -47,22 +47,25 @@
 	return mean
 }
 
-// runEnded takes in the end of a run. group is nil where its step is complete. Only a run whose
-// whole time was seen here says something of run times: an inherited one, or one that resumed, ran
-// elsewhere for a part of it.
+// runEnded takes in the end of a run. group is nil where its step is complete.
 func (l *runTimeLearner) runEnded(now time.Duration, j *job.Job, group *taskGroup, runner *runnerSession, r *run, reason job.EndReason) {
 	switch reason {
 	case job.EndDone:
 		runner.suspicion.runDone()
+		if r.observedInFull() {
+			l.learnFromRun(now, j, group, runner, r)
+		}
 	case job.EndFailed:
 		runner.suspicion.runFailed()
-		return
-	default:
-		return
-	}
-	if r.phase != phaseConfirmed || r.resumed || r.expected <= 0 {
-		return
 	}
+}
+
+// observedInFull tells whether all of a run's time was seen by this leader, so that it says something of
+// run times: an inherited run, or one that resumed, ran elsewhere or earlier for a part of it.
+func (r *run) observedInFull() bool { return r.phase == phaseConfirmed && !r.resumed && r.expected > 0 }
+
+// learnFromRun draws from a run that ended well what it says of its runner and of its step.
+func (l *runTimeLearner) learnFromRun(now time.Duration, j *job.Job, group *taskGroup, runner *runnerSession, r *run) {
 	seconds := (now - r.orderedAt).Seconds()
 	localSeconds := seconds
 	if r.remote {
@@ -87,6 +90,7 @@
 	}
 }
 
+// learnRunTime takes in how long a step's task ran, as near its data at a normal runner, in seconds.
 func (l *runTimeLearner) learnRunTime(j *job.Job, step int, seconds float64) {
 	l.estimates.Learn(admission.TaskType{Queue: j.Queue, Step: step}, float64(j.Spec.Steps[step].EstimateMs)/1000, seconds)
 }
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -157,16 +157,16 @@
 // UpdateRunners takes in the runners of this shard's services, as the platform lists them.
 func (s *Scheduler) UpdateRunners(now time.Duration, runners []Runner) {
 	s.now = now
-	current := map[string]bool{}
-	at := map[string]string{}
+	listedIDs := map[string]bool{}
+	idByAddress := map[string]string{}
 	for _, listed := range runners {
-		current[listed.ID] = true
-		at[listed.Address] = listed.ID
+		listedIDs[listed.ID] = true
+		idByAddress[listed.Address] = listed.ID
 		s.updateRunner(listed)
 	}
 	for _, runner := range s.runners.inOrder {
-		runner.listed = current[runner.id]
-		if other, reused := at[runner.address]; reused && other != runner.id && !runner.listed {
+		runner.listed = listedIDs[runner.id]
+		if other, reused := idByAddress[runner.address]; reused && other != runner.id && !runner.listed {
 			s.endIncarnation(runner)
 		}
 	}
