--- a/internal/cluster/scheduler/scheduler_test.go
+++ b/internal/cluster/scheduler/scheduler_test.go
@@ -50,15 +50,15 @@
 
 // injectFault does one random harmful thing.
 func (w *world) injectFault() {
-	l := w.incarnations[w.random.IntN(len(w.incarnations))]
-	if !l.up {
+	inc := w.incarnations[w.random.IntN(len(w.incarnations))]
+	if !inc.up {
 		return
 	}
 	switch w.random.IntN(8) {
 	case 0:
-		w.crash(l, w.random.IntN(3) > 0)
+		w.crash(inc, w.random.IntN(3) > 0)
 	case 1:
-		l.unreachableUntil = w.now + w.between(time.Second, 9*time.Second)
+		inc.unreachableUntil = w.now + w.between(time.Second, 9*time.Second)
 	case 2:
 		w.loseLeader()
 	case 3:
@@ -66,20 +66,20 @@
 	case 4:
 		w.lateShare = 0
 	case 5:
-		l.failsRuns = !l.failsRuns
+		inc.failsRuns = !inc.failsRuns
 	case 6:
-		l.stallsRuns = !l.stallsRuns
+		inc.stallsRuns = !inc.stallsRuns
 	case 7:
 		if w.countHealthy() > 4 {
-			l.draining = true
-			w.later(4*time.Second, func() { w.crash(l, true) })
+			inc.draining = true
+			w.later(4*time.Second, func() { w.crash(inc, true) })
 		}
 	}
 }
 
 func (w *world) countHealthy() (n int) {
-	for _, l := range w.incarnations {
-		if l.up && !l.draining {
+	for _, inc := range w.incarnations {
+		if inc.up && !inc.draining {
 			n++
 		}
 	}
@@ -93,8 +93,8 @@
 		w.addIncarnation(fmt.Sprintf("10.0.9.%d:1", i), i)
 		w.addIncarnation(fmt.Sprintf("10.0.8.%d:1", i), i+3)
 	}
-	for _, l := range w.incarnations {
-		l.unreachableUntil, l.failsRuns, l.stallsRuns = 0, false, false
+	for _, inc := range w.incarnations {
+		inc.unreachableUntil, inc.failsRuns, inc.stallsRuns = 0, false, false
 	}
 	for range 80 {
 		w.run(500 * time.Millisecond)
@@ -204,9 +204,17 @@
 	return job.Spec{Text: "t", Steps: []job.Step{{Count: 1, EstimateMs: ms, Resources: job.Resources{CPU: cpu, MemMB: 100}}}}
 }
 
+// submitSteadily submits so many jobs, one each 100 ms.
+func (w *world) submitSteadily(jobs int, spec job.Spec) {
+	for range jobs {
+		w.submit(spec, false)
+		w.run(100 * time.Millisecond)
+	}
+}
+
 func (w *world) startedAt(id string) time.Duration {
-	for _, l := range w.incarnations {
-		for ref, r := range l.runs {
+	for _, inc := range w.incarnations {
+		for ref, r := range inc.runs {
 			if ref.Job == id {
 				return r.startedAt
 			}
@@ -301,9 +309,8 @@
 	require.Equal(t, job.StateCompleted, w.store.Jobs[other].State)
 }
 
-// TestStalledRunnerGetsProbesOnly: its tasks migrate, so that it always has free capacity; it gets probes
-// only,
-// and all it is given once it works again.
+// TestStalledRunnerGetsProbesOnly: its tasks migrate, so that it always has free capacity; it gets
+// probes only, and its share of the work once it runs tasks in time again.
 func TestStalledRunnerGetsProbesOnly(t *testing.T) {
 	w := newWorld(t, 13, 3)
 	w.run(100 * time.Millisecond)
@@ -342,15 +349,9 @@
 	w.run(200 * time.Millisecond)
 	bad := w.incarnations[0]
 	bad.stallsRuns = true
-	for range 40 {
-		w.submit(oneTask(400, 7000), false)
-		w.run(100 * time.Millisecond)
-	}
+	w.submitSteadily(40, oneTask(400, 7000))
 	bad.stallsRuns = false
-	for range 200 {
-		w.submit(oneTask(400, 7000), false)
-		w.run(100 * time.Millisecond)
-	}
+	w.submitSteadily(200, oneTask(400, 7000))
 	require.GreaterOrEqual(t, len(bad.runs), 2, "it works again, beside its long-running task")
 }
 
@@ -378,17 +379,22 @@
 	w.run(100 * time.Millisecond)
 	id := w.submit(oneTask(4000, 9000), false)
 	w.run(300 * time.Millisecond)
-	for _, l := range w.incarnations {
-		if len(l.runs) > 0 {
-			l.unreachableUntil = w.now + time.Minute
-		}
-	}
+	w.loseBusyRunners()
 	w.run(5 * time.Second)
 	require.Equal(t, job.StateRunning, w.store.Jobs[id].State, "it may still run")
 	w.run(15 * time.Second)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[id].State)
 }
 
+// loseBusyRunners cuts off all runners that run something, for a minute.
+func (w *world) loseBusyRunners() {
+	for _, inc := range w.incarnations {
+		if len(inc.runs) > 0 {
+			inc.unreachableUntil = w.now + time.Minute
+		}
+	}
+}
+
 // TestSpeculativeAttemptCompletesItsTask: a task that may run side by side is done though its first runner has
 // become unresponsive, long before that one's leases have expired; the first run counts for nothing.
 func TestSpeculativeAttemptCompletesItsTask(t *testing.T) {
@@ -398,11 +404,7 @@
 	spec.Steps[0].Speculative = true
 	id := w.submit(spec, false)
 	w.run(300 * time.Millisecond)
-	for _, l := range w.incarnations {
-		if len(l.runs) > 0 {
-			l.unreachableUntil = w.now + time.Minute
-		}
-	}
+	w.loseBusyRunners()
 	w.run(2800 * time.Millisecond)
 	require.Equal(t, job.StateCompleted, w.store.Jobs[id].State)
 	require.Equal(t, 1, w.speculativeStarts)
@@ -435,8 +437,8 @@
 func TestMassTimeoutPollsAllRunners(t *testing.T) {
 	w := newWorld(t, 12, 12)
 	w.run(time.Second)
-	for _, l := range w.incarnations[:8] {
-		l.unreachableUntil = w.now + time.Minute
+	for _, inc := range w.incarnations[:8] {
+		inc.unreachableUntil = w.now + time.Minute
 	}
 	for range 12 {
 		w.submit(oneTask(5000, 9000), false)
--- a/internal/cluster/scheduler/urgency_digest_test.go
+++ b/internal/cluster/scheduler/urgency_digest_test.go
@@ -83,9 +83,9 @@
 
 // injectRunnerFaults lets one runner fail all that it starts, another stall, and heals the others.
 func (w *world) injectRunnerFaults(turn int) {
-	for at, l := range w.incarnations {
-		l.failsRuns = at == (2*turn)%len(w.incarnations)
-		l.stallsRuns = at == (2*turn+1)%len(w.incarnations)
+	for at, inc := range w.incarnations {
+		inc.failsRuns = at == (2*turn)%len(w.incarnations)
+		inc.stallsRuns = at == (2*turn+1)%len(w.incarnations)
 	}
 }
 
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -140,10 +140,10 @@
 func (w *world) addIncarnation(address string, i int) {
 	w.serial++
 	kinds := []string{"a", "b"}
-	l := &incarnation{w: w, id: fmt.Sprintf("i-%d", w.serial), address: address, service: "desk", up: true, enforcesCapacity: i%3 != 0,
+	inc := &incarnation{w: w, id: fmt.Sprintf("i-%d", w.serial), address: address, service: "desk", up: true, enforcesCapacity: i%3 != 0,
 		labels: []string{kinds[i%2], fmt.Sprintf("r-%d", i%3)}, capacity: job.Resources{CPU: 16000, MemMB: 32000, GPU: int64(i%2) * 4},
 		clockRate: 1 - 0.02*w.random.Float64(), clockOffsetMs: int64(w.random.IntN(1_000_000)), runs: map[job.TaskRef]*running{}, highestAttempt: map[job.TaskRef]int{}}
-	w.incarnations = append(w.incarnations, l)
+	w.incarnations = append(w.incarnations, inc)
 }
 
 func (w *world) later(in time.Duration, do func()) {
@@ -168,8 +168,8 @@
 		for _, e := range due {
 			e.do()
 		}
-		for _, l := range w.incarnations {
-			l.tick()
+		for _, inc := range w.incarnations {
+			inc.tick()
 		}
 		w.driveScheduler()
 	}
@@ -272,17 +272,17 @@
 		return
 	}
 	var runners []scheduler.Runner
-	for _, l := range w.incarnations {
-		if l.up || w.random.IntN(2) == 0 && !w.replaced(l) {
-			runners = append(runners, scheduler.Runner{ID: l.id, Service: l.service, Address: l.address, Labels: l.labels, Capacity: l.capacity, Draining: l.draining})
+	for _, inc := range w.incarnations {
+		if inc.up || w.random.IntN(2) == 0 && !w.replaced(inc) {
+			runners = append(runners, scheduler.Runner{ID: inc.id, Service: inc.service, Address: inc.address, Labels: inc.labels, Capacity: inc.capacity, Draining: inc.draining})
 		}
 	}
 	w.scheduler.UpdateRunners(w.now, runners)
 }
 
-func (w *world) replaced(l *incarnation) bool {
+func (w *world) replaced(inc *incarnation) bool {
 	for _, other := range w.incarnations {
-		if other != l && other.address == l.address && other.up {
+		if other != inc && other.address == inc.address && other.up {
 			return true
 		}
 	}
@@ -291,9 +291,9 @@
 
 // incarnationAt returns the incarnation that answers at an address.
 func (w *world) incarnationAt(address string) *incarnation {
-	for _, l := range w.incarnations {
-		if l.up && l.address == address {
-			return l
+	for _, inc := range w.incarnations {
+		if inc.up && inc.address == address {
+			return inc
 		}
 	}
 	return nil
@@ -369,33 +369,33 @@
 
 // carryOut does what an order says at the runner, if one is there, and answers.
 func (w *world) carryOut(order scheduler.Order, answer func(tell func(*scheduler.Scheduler))) {
-	l := w.incarnationAt(order.Address)
-	if l == nil || w.now < l.unreachableUntil {
+	inc := w.incarnationAt(order.Address)
+	if inc == nil || w.now < inc.unreachableUntil {
 		return
 	}
-	if l.id != order.Runner {
-		answer(func(o *scheduler.Scheduler) {
+	if inc.id != order.Runner {
+		answer(func(s *scheduler.Scheduler) {
 			switch order.Kind {
 			case scheduler.OrderRenewLease:
-				o.LeaseReplied(w.now, order, scheduler.LeaseOtherIncarnation, scheduler.RunnerReport{})
+				s.LeaseReplied(w.now, order, scheduler.LeaseOtherIncarnation, scheduler.RunnerReport{})
 			case scheduler.OrderStart:
-				o.StartReplied(w.now, order, scheduler.StartOtherIncarnation, 0)
+				s.StartReplied(w.now, order, scheduler.StartOtherIncarnation, 0)
 			case scheduler.OrderStop:
-				o.StopReplied(w.now, order, scheduler.StopOtherIncarnation, 0)
+				s.StopReplied(w.now, order, scheduler.StopOtherIncarnation, 0)
 			}
 		})
 		return
 	}
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
-		l.renewLease(order, answer)
+		inc.renewLease(order, answer)
 	case scheduler.OrderStart:
-		reply := l.start(order)
-		clock := l.clockMs()
-		answer(func(o *scheduler.Scheduler) { o.StartReplied(w.now, order, reply, clock) })
+		reply := inc.start(order)
+		clock := inc.clockMs()
+		answer(func(s *scheduler.Scheduler) { s.StartReplied(w.now, order, reply, clock) })
 	case scheduler.OrderStop:
-		reply := l.stop(order)
-		clock := l.clockMs()
-		answer(func(o *scheduler.Scheduler) { o.StopReplied(w.now, order, reply, clock) })
+		reply := inc.stop(order)
+		clock := inc.clockMs()
+		answer(func(s *scheduler.Scheduler) { s.StopReplied(w.now, order, reply, clock) })
 	}
 }
--- a/internal/cluster/simworld/runner_test.go
+++ b/internal/cluster/simworld/runner_test.go
@@ -153,11 +153,11 @@
 	case scheduler.OrderStart:
 		answer, clock := r.startRun(order), r.clockMs()
 		r.w.recorder.started(r, answer, clock)
-		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StartReplied(now, order, answer, clock) })
+		reply(func(s *scheduler.Scheduler, now time.Duration) { s.StartReplied(now, order, answer, clock) })
 	case scheduler.OrderStop:
 		answer, clock := r.stopRun(order), r.clockMs()
 		r.w.recorder.stopped(r, answer == scheduler.StopConfirmed, clock)
-		reply(func(o *scheduler.Scheduler, now time.Duration) { o.StopReplied(now, order, answer, clock) })
+		reply(func(s *scheduler.Scheduler, now time.Duration) { s.StopReplied(now, order, answer, clock) })
 	}
 }
 
@@ -171,8 +171,8 @@
 // renewLease extends the lease and reports after the wait, or at the next end.
 func (r *runner) renewLease(order scheduler.Order, reply func(any)) {
 	if r.fencesOff(order.Token) {
-		reply(func(o *scheduler.Scheduler, now time.Duration) {
-			o.LeaseReplied(now, order, scheduler.LeaseFenced, scheduler.RunnerReport{})
+		reply(func(s *scheduler.Scheduler, now time.Duration) {
+			s.LeaseReplied(now, order, scheduler.LeaseFenced, scheduler.RunnerReport{})
 		})
 		return
 	}
@@ -193,8 +193,8 @@
 			report.Running = append(report.Running, scheduler.ReportedRun{Task: ref, Attempt: r.runs[ref].attempt, Percent: 50})
 		}
 		r.w.recorder.reported(r, &report)
-		reply(func(o *scheduler.Scheduler, now time.Duration) {
-			o.LeaseReplied(now, order, scheduler.LeaseRenewed, report)
+		reply(func(s *scheduler.Scheduler, now time.Duration) {
+			s.LeaseReplied(now, order, scheduler.LeaseRenewed, report)
 		})
 	}
 	poll()
