--- /dev/null
+++ b/internal/cluster/daemon/reload_test.go
@@ -0,0 +1,75 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/internal/cluster/settings"
+)
+
+// reloadRecorder is a daemon that keeps the settings that it is given.
+type reloadRecorder struct{ reloaded []settings.Settings }
+
+func (r *reloadRecorder) Run(ctx context.Context) error {
+	<-ctx.Done()
+	return nil
+}
+
+func (r *reloadRecorder) Reload(changed settings.Settings) { r.reloaded = append(r.reloaded, changed) }
+
+// TestChangedSettingsAreReloaded: a file that changes is read within settingsCheckInterval, once; one
+// that can't be used is logged and leaves the daemon's settings as they are.
+func TestChangedSettingsAreReloaded(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "settings.yaml")
+	write := func(seeds string) {
+		t.Helper()
+		require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, "ip: \"10.1.0.15\"\nport_range: [7660, 7675]\nseeds: [%s]\n", seeds), 0o600))
+	}
+	write(`"10.1.0.15:8146"`)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP) // begins the goroutine of package signal outside of the bubble
+	defer signal.Stop(hangup)
+
+	synctest.Test(t, func(t *testing.T) {
+		daemon, logged := &reloadRecorder{}, &strings.Builder{}
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan struct{})
+		go func() {
+			defer close(done)
+			reloadChanges(ctx, path, slog.New(slog.NewTextHandler(logged, nil)), daemon)
+		}()
+		pass := func() {
+			<-time.After(settingsCheckInterval + time.Millisecond)
+			synctest.Wait()
+		}
+		pass()
+		require.Empty(t, daemon.reloaded, "nothing has changed")
+
+		write(`"10.1.0.15:8146", "10.2.0.25:8146"`)
+		pass()
+		require.Len(t, daemon.reloaded, 1)
+		require.Equal(t, []string{"10.1.0.15:8146", "10.2.0.25:8146"}, daemon.reloaded[0].Seeds)
+		pass()
+		require.Len(t, daemon.reloaded, 1, "the same file again")
+		require.Empty(t, logged.String())
+
+		write(`"10.1.0.15:8146"` + "\nbroken: [")
+		pass()
+		require.Len(t, daemon.reloaded, 1)
+		require.Contains(t, logged.String(), "changed settings rejected")
+
+		cancel()
+		<-done
+	})
+}
