--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -81,28 +81,28 @@
 	return spec
 }
 
-func task(id string, time, step, index int) job.TaskRef {
-	return job.TaskRef{Job: id, Occurrence: time, Step: step, Index: index}
+func task(id string, occurrence, step, index int) job.TaskRef {
+	return job.TaskRef{Job: id, Occurrence: occurrence, Step: step, Index: index}
 }
 
 func startCommand(ref job.TaskRef, attempt int, runner string) job.Command {
 	return job.Command{Kind: job.StartRun, Task: ref, Attempt: attempt, Runner: runner, Address: "10.3.0.1:9000", ProposedAtMs: 2000}
 }
 
-func endCommand(ref job.TaskRef, attempt int, how job.EndReason, saved string) job.Command {
-	return job.Command{Kind: job.EndRun, Task: ref, Attempt: attempt, Runner: "runner-1", EndReason: how, Checkpoint: saved, ProposedAtMs: 3000}
+func endCommand(ref job.TaskRef, attempt int, reason job.EndReason, checkpoint string) job.Command {
+	return job.Command{Kind: job.EndRun, Task: ref, Attempt: attempt, Runner: "runner-1", EndReason: reason, Checkpoint: checkpoint, ProposedAtMs: 3000}
 }
 
-func saveCommand(ref job.TaskRef, attempt int, saved string) job.Command {
-	return job.Command{Kind: job.SaveCheckpoint, Task: ref, Attempt: attempt, Checkpoint: saved, ProposedAtMs: 2500}
+func saveCommand(ref job.TaskRef, attempt int, checkpoint string) job.Command {
+	return job.Command{Kind: job.SaveCheckpoint, Task: ref, Attempt: attempt, Checkpoint: checkpoint, ProposedAtMs: 2500}
 }
 
 func cancelCommand(id string) job.Command {
 	return job.Command{Kind: job.CancelJob, Task: job.TaskRef{Job: id}, Queue: queue, ConfigVersion: 6, ProposedAtMs: 4000}
 }
 
-func dueCommand(id string, time int) job.Command {
-	return job.Command{Kind: job.OpenOccurrence, Task: job.TaskRef{Job: id, Occurrence: time}, ProposedAtMs: 5000}
+func dueCommand(id string, occurrence int) job.Command {
+	return job.Command{Kind: job.OpenOccurrence, Task: job.TaskRef{Job: id, Occurrence: occurrence}, ProposedAtMs: 5000}
 }
 
 const (
@@ -432,10 +432,10 @@
 		names = append(names, state.String())
 	}
 	require.Equal(t, []string{"pending", "running", "completed", "failed", "canceled"}, names)
-	for name, how := range map[string]job.EndReason{
+	for name, reason := range map[string]job.EndReason{
 		"done": job.EndDone, "failed": job.EndFailed, "stopped": job.EndStopped, "lapsed": job.EndLeaseExpired, "broken": job.EndGangBroken, "alone": job.EndGangIncomplete, "refused": job.EndLeaseExpired,
 	} {
-		require.Equal(t, how, job.ParseEndReason(name), name)
+		require.Equal(t, reason, job.ParseEndReason(name), name)
 	}
 }
 
--- a/internal/cluster/job/store_test.go
+++ b/internal/cluster/job/store_test.go
@@ -113,8 +113,8 @@
 
 func TestOccurrencesOpenInOrder(t *testing.T) {
 	s := job.NewStore()
-	due := func(time int) job.Command {
-		return job.Command{Kind: job.OpenOccurrence, Task: job.TaskRef{Job: "a", Occurrence: time}}
+	due := func(occurrence int) job.Command {
+		return job.Command{Kind: job.OpenOccurrence, Task: job.TaskRef{Job: "a", Occurrence: occurrence}}
 	}
 	apply(t, s,
 		expectation{accept(job.Spec{Steps: []job.Step{{Count: 1}}, Repeats: 2, IntervalMs: 100}), job.Applied},
--- a/internal/cluster/scheduler/runner_test.go
+++ b/internal/cluster/scheduler/runner_test.go
@@ -170,18 +170,18 @@
 	return text
 }
 
-func (inc *incarnation) end(r *running, how job.EndReason) {
+func (inc *incarnation) end(r *running, reason job.EndReason) {
 	inc.remove(r)
-	if how == job.EndDone {
+	if reason == job.EndDone {
 		for _, ref := range r.job.peers(r.ref) {
 			r.job.ended[ref] = true
 		}
 	}
 	inc.highestAttempt[r.ref] = max(inc.highestAttempt[r.ref], r.attempt)
 	inc.number++
-	inc.finished = append(inc.finished, scheduler.ReportedEnd{Number: inc.number, Task: r.ref, Attempt: r.attempt, Reason: how, Checkpoint: r.checkpoint})
+	inc.finished = append(inc.finished, scheduler.ReportedEnd{Number: inc.number, Task: r.ref, Attempt: r.attempt, Reason: reason, Checkpoint: r.checkpoint})
 	if r.job.spec.Steps[r.ref.Step].Gang {
-		inc.w.gangEnds(r, how)
+		inc.w.gangEnds(r, reason)
 	}
 }
 
@@ -201,22 +201,22 @@
 }
 
 // gangEnds ends the other members with the first one: done together, or broken.
-func (w *world) gangEnds(r *running, how job.EndReason) {
-	if how == job.EndGangBroken {
+func (w *world) gangEnds(r *running, reason job.EndReason) {
+	if reason == job.EndGangBroken {
 		return
 	}
-	if how != job.EndDone {
-		how = job.EndGangBroken
+	if reason != job.EndDone {
+		reason = job.EndGangBroken
 	}
 	members, at := w.gang(r)
 	for i, other := range members {
-		if how == job.EndDone {
+		if reason == job.EndDone {
 			at[i].remove(other)
 			at[i].number++
 			at[i].finished = append(at[i].finished, scheduler.ReportedEnd{Number: at[i].number, Task: other.ref, Attempt: other.attempt, Reason: job.EndDone})
 			continue
 		}
-		at[i].end(other, how)
+		at[i].end(other, reason)
 	}
 }
 
--- a/internal/cluster/scheduler/scheduler_test.go
+++ b/internal/cluster/scheduler/scheduler_test.go
@@ -115,9 +115,9 @@
 
 // describe tells what a job still waits for.
 func describe(j *job.Job) (text string) {
-	for time, state := range j.Occurrences {
-		for at, run := range state.Steps {
-			text += fmt.Sprintf("[%d.%d %d of %d done, spec %+v, tasks %+v]", time, at, run.DoneTasks, len(run.Tasks), j.Spec.Steps[at], run.Tasks)
+	for occurrence, state := range j.Occurrences {
+		for step, run := range state.Steps {
+			text += fmt.Sprintf("[%d.%d %d of %d done, spec %+v, tasks %+v]", occurrence, step, run.DoneTasks, len(run.Tasks), j.Spec.Steps[step], run.Tasks)
 		}
 	}
 	return text
@@ -133,10 +133,10 @@
 }
 
 func (w *world) checkComplete(j *submitted) {
-	for time := range j.spec.OccurrenceCount() {
-		for s, spec := range j.spec.Steps {
+	for occurrence := range j.spec.OccurrenceCount() {
+		for step, spec := range j.spec.Steps {
 			for index := range spec.Count {
-				w.check(j.ended[job.TaskRef{Job: j.id, Occurrence: time, Step: s, Index: index}], "MIXED", "job %s is completed without task %d.%d.%d", j.id, time, s, index)
+				w.check(j.ended[job.TaskRef{Job: j.id, Occurrence: occurrence, Step: step, Index: index}], "MIXED", "job %s is completed without task %d.%d.%d", j.id, occurrence, step, index)
 			}
 		}
 	}
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -299,11 +299,11 @@
 	return nil
 }
 
-func (w *world) submit(spec job.Spec, poison bool) string {
+func (w *world) submit(spec job.Spec, alwaysFails bool) string {
 	w.serial++
 	id := fmt.Sprintf("%016x", w.serial)
 	retries := 2 + w.random.IntN(3)
-	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: retries, alwaysFails: poison, ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
+	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: retries, alwaysFails: alwaysFails, ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
 	w.order = append(w.order, id)
 	if w.fault == speculationNotAllowed {
 		spec.Steps = slices.Clone(spec.Steps)
@@ -325,9 +325,9 @@
 // send carries an order to its runner and the answer back.
 func (w *world) send(order scheduler.Order) {
 	current := w.scheduler
-	way := w.between(time.Millisecond, 4*time.Millisecond)
+	latency := w.between(time.Millisecond, 4*time.Millisecond)
 	if w.now < w.slowUntil { // the leader is about to be lost; these arrive after the next one's first
-		way = w.between(100*time.Millisecond, 240*time.Millisecond) // within an order's time
+		latency = w.between(100*time.Millisecond, 240*time.Millisecond) // within an order's time
 	}
 	if w.random.Float64() < w.lateShare { // no answer; carried out seconds later
 		w.later(w.between(2*time.Second, 12*time.Second), func() { w.carryOut(order, func(func(*scheduler.Scheduler)) {}) })
@@ -335,7 +335,7 @@
 		return
 	}
 	answered := false
-	w.later(way, func() {
+	w.later(latency, func() {
 		w.carryOut(order, func(tell func(*scheduler.Scheduler)) {
 			w.later(w.between(time.Millisecond, 4*time.Millisecond), func() {
 				if !answered && w.scheduler == current {
--- a/internal/cluster/simworld/client_test.go
+++ b/internal/cluster/simworld/client_test.go
@@ -29,11 +29,11 @@
 			done(answer, ok)
 		}
 	}
-	way := w.randomBetween(time.Millisecond, 6*time.Millisecond)
+	latency := w.randomBetween(time.Millisecond, 6*time.Millisecond)
 	if w.chance(w.lateShare) {
-		way += w.randomBetween(0, 3*time.Second)
+		latency += w.randomBetween(0, 3*time.Second)
 	}
-	w.schedule(way, func() {
+	w.schedule(latency, func() {
 		if !to.up {
 			return
 		}
--- a/internal/cluster/simworld/faults_test.go
+++ b/internal/cluster/simworld/faults_test.go
@@ -255,18 +255,18 @@
 		return
 	}
 	w := f.w
-	way := w.random.IntN(3)
+	direction := w.random.IntN(3)
 	dispatchersToo := w.random.IntN(2) == 0
-	w.tracef("%s is cut off, way %d, from dispatchers too: %v", l.node.name, way, dispatchersToo)
+	w.tracef("%s is cut off, way %d, from dispatchers too: %v", l.node.name, direction, dispatchersToo)
 	for name := range w.processes {
 		other := w.processes[name]
 		if name == l.node.name || !dispatchersToo && w.nodeNamed(other.name) == nil {
 			continue
 		}
-		if way != 1 {
+		if direction != 1 {
 			w.partitioned[[2]string{l.node.name, name}] = true
 		}
-		if way != 2 {
+		if direction != 2 {
 			w.partitioned[[2]string{name, l.node.name}] = true
 		}
 	}
