--- a/internal/dispatcher/faktory/callbacks.go
+++ b/internal/dispatcher/faktory/callbacks.go
@@ -30,7 +30,7 @@
 		return err
 	}
 	var a fastjson.Arena
-	if v.Get("custom") == nil {
+	if custom := v.Get("custom"); isAbsent(custom) {
 		v.Set("custom", a.NewObject())
 	}
 	v.Get("custom").Set("_bid", a.NewString(c.Batch))
--- a/internal/dispatcher/faktory/commands_batch.go
+++ b/internal/dispatcher/faktory/commands_batch.go
@@ -55,7 +55,7 @@
 	}
 	for _, kind := range []batch.Kind{batch.Success, batch.Complete} {
 		callback := v.Get(string(kind))
-		if callback == nil || callback.Type() == fastjson.TypeNull {
+		if isAbsent(callback) {
 			continue
 		}
 		if callback.Type() == fastjson.TypeObject && len(callback.GetStringBytes("jid")) == 0 {
--- a/internal/dispatcher/faktory/commands_jobs.go
+++ b/internal/dispatcher/faktory/commands_jobs.go
@@ -59,6 +59,9 @@
 	if len(queues) > maxFetchQueues || slices.ContainsFunc(queues, isInvalidQueueName) {
 		return s.conn.reply(errorReply("FETCH takes the names of %d queues at most", maxFetchQueues)) == nil
 	}
+	if !s.workers.mayFetchFrom(s.worker, queues) {
+		return s.conn.reply(errorReply("a worker fetches from %d queues at most", maxQueues)) == nil
+	}
 	f := s.workers.fetch(s.worker, queues)
 	timeout := time.NewTimer(fetchTimeout)
 	defer timeout.Stop()
--- a/internal/dispatcher/faktory/commands_queues.go
+++ b/internal/dispatcher/faktory/commands_queues.go
@@ -28,6 +28,9 @@
 		return errorReply("QUEUE takes PAUSE, RESUME, REMOVE or LATENCY, and names or *")
 	}
 	verb, names := fields[0], fields[1:]
+	if len(names) > maxQueues {
+		return errorReply("QUEUE takes the names of %d queues at most", maxQueues)
+	}
 	if slices.ContainsFunc(names, func(q string) bool { return q != "*" && isInvalidQueueName(q) }) {
 		return errorReply("this is no name of a queue")
 	}
@@ -69,9 +72,9 @@
 	if err != nil || v.Type() != fastjson.TypeObject {
 		return errorReply("MUTATE takes a JSON object")
 	}
-	filter := sets.Filter{JobType: string(v.GetStringBytes("filter", "jobtype")), Pattern: string(v.GetStringBytes("filter", "regexp"))}
-	for _, id := range v.GetArray("filter", "jids") {
-		filter.IDs = append(filter.IDs, string(id.GetStringBytes()))
+	filter, ok := parseFilter(v.Get("filter"))
+	if !ok {
+		return errorReply("the filter of MUTATE is an object with jobtype and regexp as text, and jids as a list of text")
 	}
 	vouchedBy := string(v.GetStringBytes("known_not_run"))
 	if vouchedBy != "" {
@@ -82,3 +85,24 @@
 	}
 	return okReply
 }
+
+// parseFilter reads which jobs a MUTATE selects. It reports false for a part of the wrong kind,
+// which must not be taken for an absent one: that selects all jobs.
+func parseFilter(v *fastjson.Value) (f sets.Filter, ok bool) {
+	if isAbsent(v) {
+		return f, true
+	}
+	jobType, pattern, ids := v.Get("jobtype"), v.Get("regexp"), v.Get("jids")
+	if v.Type() != fastjson.TypeObject || !isAbsentOr(jobType, fastjson.TypeString) || !isAbsentOr(pattern, fastjson.TypeString) ||
+		!isAbsentOr(ids, fastjson.TypeArray) {
+		return f, false
+	}
+	f.JobType, f.Pattern = string(jobType.GetStringBytes()), string(pattern.GetStringBytes())
+	for _, id := range ids.GetArray() {
+		if id.Type() != fastjson.TypeString {
+			return f, false
+		}
+		f.IDs = append(f.IDs, string(id.GetStringBytes()))
+	}
+	return f, true
+}
--- a/internal/dispatcher/faktory/commands_show.go
+++ b/internal/dispatcher/faktory/commands_show.go
@@ -47,9 +47,11 @@
 	return errorReply("SHOW takes scheduled, retries, dead or workers, not %q", what)
 }
 
-// page returns at most maxShownEntries of a list, from an entry on.
+// page returns at most maxShownEntries of a list, from an entry on; beyond its end there are
+// none.
 func page[T any](all []T, first int) []T {
-	return all[min(first, len(all)):min(first+maxShownEntries, len(all))]
+	rest := all[min(first, len(all)):]
+	return rest[:min(maxShownEntries, len(rest))]
 }
 
 // storedJobJSON is a job of a set as SHOW returns it.
--- a/internal/dispatcher/faktory/fetch.go
+++ b/internal/dispatcher/faktory/fetch.go
@@ -17,17 +17,31 @@
 	delivered chan *delivery // with a buffer of one
 }
 
+// mayFetchFrom tells whether a worker has room for these queues among those that it has ever
+// fetched from.
+func (ws *workers) mayFetchFrom(w *worker, queues []string) bool {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	total := len(w.queues)
+	for _, q := range distinct(queues) {
+		if !w.queues[q] {
+			total++
+		}
+	}
+	return total <= maxQueues
+}
+
 // fetch starts a FETCH, which gets a job at once or later, on the channel delivered. A worker
 // joins the pool with its first FETCH, whose queues are its capabilities.
 func (ws *workers) fetch(w *worker, queues []string) *pendingFetch {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	f := &pendingFetch{worker: w, queues: queues, delivered: make(chan *delivery, 1)}
+	f := &pendingFetch{worker: w, queues: distinct(queues), delivered: make(chan *delivery, 1)}
 	if w.quiet {
 		return f
 	}
 	changed := !w.inPool
-	for _, q := range queues {
+	for _, q := range f.queues {
 		if !w.queues[q] {
 			w.queues[q], changed = true, true
 		}
@@ -37,7 +51,7 @@
 		ws.updateMember(w, policy.Ready)
 	}
 	w.fetches = append(w.fetches, f)
-	for _, q := range queues {
+	for _, q := range f.queues {
 		ws.waitingFetches[q]++
 	}
 	ws.satisfy(f)
--- a/internal/dispatcher/faktory/fields.go
+++ b/internal/dispatcher/faktory/fields.go
@@ -3,15 +3,22 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"time"
 
 	"github.com/valyala/fastjson"
 )
 
+// isAbsent tells whether a field is not there, or is null.
+func isAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
+
+// isAbsentOr tells whether a field is of a type, or absent.
+func isAbsentOr(v *fastjson.Value, of fastjson.Type) bool { return isAbsent(v) || v.Type() == of }
+
 // timeField reads an optional time in RFC 3339; one that is absent, null or empty is zero.
 func timeField(v *fastjson.Value, key string) (time.Time, error) {
 	at := v.Get(key)
-	if at == nil || at.Type() == fastjson.TypeNull || len(at.GetStringBytes()) == 0 && at.Type() == fastjson.TypeString {
+	if isAbsent(at) || len(at.GetStringBytes()) == 0 && at.Type() == fastjson.TypeString {
 		return time.Time{}, nil
 	}
 	t, err := time.Parse(time.RFC3339Nano, string(at.GetStringBytes()))
@@ -21,9 +28,23 @@
 	return t, nil
 }
 
-// secondsToDuration converts a number of seconds, held to 0 up to a century.
+// maxDuration is the longest duration that a client may name: a century.
+const maxDuration = 100 * 365 * 24 * time.Hour
+
+// secondsToDuration converts a number of seconds, held to 0 up to maxDuration.
 func secondsToDuration(n float64) time.Duration {
-	return time.Duration(min(max(n, 0), 100*365*86400) * float64(time.Second))
+	return time.Duration(min(max(n, 0), maxDuration.Seconds()) * float64(time.Second))
+}
+
+// distinct returns names without repeats, each where it stands first.
+func distinct(names []string) []string {
+	var kept []string
+	for _, name := range names {
+		if !slices.Contains(kept, name) {
+			kept = append(kept, name)
+		}
+	}
+	return kept
 }
 
 // isInvalidQueueName tells whether a command must not name this queue.
--- a/internal/dispatcher/faktory/job.go
+++ b/internal/dispatcher/faktory/job.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"math"
 	"strings"
 	"time"
 	"unique"
@@ -121,7 +122,7 @@
 func retriesField(v *fastjson.Value) (int, error) {
 	retry := v.Get("retry")
 	switch {
-	case retry == nil || retry.Type() == fastjson.TypeNull:
+	case isAbsent(retry):
 		return defaultRetries, nil
 	case retry.Type() != fastjson.TypeNumber:
 		return 0, errors.New("retry is a number")
@@ -133,17 +134,14 @@
 // for one job.
 func (j *job) parseCustom(v *fastjson.Value) error {
 	custom := v.Get("custom")
-	if custom == nil || custom.Type() == fastjson.TypeNull {
+	if isAbsent(custom) {
 		return nil
 	}
 	if custom.Type() != fastjson.TypeObject {
 		return errors.New("custom is an object")
 	}
-	if n := custom.GetInt64("cost_us"); n > 0 {
-		j.submission.Hint = time.Duration(n) * time.Microsecond
-	}
-	if f := custom.GetFloat64("slots"); f > 0 {
-		j.submission.Slots = f
+	if err := j.parseFigures(custom); err != nil {
+		return err
 	}
 	if tenant := string(custom.GetStringBytes("tenant")); tenant != "" {
 		j.submission.Tenant = tenant
@@ -159,6 +157,25 @@
 	return j.parseUnique(custom, v.Get("args"))
 }
 
+// parseFigures reads the job's cost and slots. A figure that the transaction of the job could not
+// have is an error at its push: later there is nobody to tell.
+func (j *job) parseFigures(custom *fastjson.Value) error {
+	if custom.GetFloat64("cost_us") > float64(maxDuration/time.Microsecond) {
+		return errors.New("custom.cost_us is out of range")
+	}
+	if n := custom.GetInt64("cost_us"); n > 0 {
+		j.submission.Hint = time.Duration(n) * time.Microsecond
+	}
+	slots := custom.GetFloat64("slots")
+	if slots >= math.MaxInt32 {
+		return errors.New("custom.slots is out of range")
+	}
+	if slots > 0 {
+		j.submission.Slots = slots
+	}
+	return nil
+}
+
 // parseUnique reads for how long the job is unique, and when its lock is released sooner.
 func (j *job) parseUnique(custom, args *fastjson.Value) error {
 	if j.uniqueTTL = secondsToDuration(custom.GetFloat64("unique_for")); j.uniqueTTL <= 0 {
--- a/internal/dispatcher/faktory/model_test.go
+++ b/internal/dispatcher/faktory/model_test.go
@@ -2,7 +2,10 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
+	"math"
+	"net"
 	"slices"
 	"strconv"
 	"strings"
@@ -93,6 +96,9 @@
 type fakeTransactions struct{}
 
 func (fakeTransactions) NewTransaction(a pipeline.Submission, now time.Time, c engine.Client) (*engine.Transaction, error) {
+	if a.Hint < 0 || !(a.Slots >= 0 && a.Slots < math.MaxInt32) { // as the pipeline has it
+		return nil, errors.New("a figure is negative or no number")
+	}
 	return &engine.Transaction{ID: a.ID, Class: a.Class, Capability: a.Capability, Body: a.Body, BodyFormat: a.BodyFormat, Arrived: now, Deadline: now.Add(time.Hour), Client: c}, nil
 }
 
@@ -331,8 +337,82 @@
 	return false
 }
 
-// FuzzCommands: whatever a connection sends, each command gets exactly one complete reply, and no
-// job is accepted that FETCH would return unreadable.
+// replyRecorder is a network connection that keeps what is written to it. Nothing is read from it.
+type replyRecorder struct {
+	net.Conn
+	written strings.Builder
+}
+
+func (r *replyRecorder) Write(text []byte) (int, error)   { return r.written.Write(text) }
+func (r *replyRecorder) SetWriteDeadline(time.Time) error { return nil }
+
+// newRecordedSession returns a session whose replies are recorded; w is nil for a client that
+// only pushes. Its peer has gone, so that a FETCH does not wait.
+func newRecordedSession(s *Server, w *worker) (*session, *replyRecorder) {
+	recorder := new(replyRecorder)
+	conn := &connection{netConn: recorder, closed: make(chan struct{})}
+	close(conn.closed)
+	return &session{Server: s, conn: conn, worker: w}, recorder
+}
+
+// handleRecorded serves one command line and returns what was replied to it.
+func handleRecorded(s *session, recorder *replyRecorder, line string) string {
+	recorder.written.Reset()
+	s.handle(line)
+	return recorder.written.String()
+}
+
+// acceptedIDs are the jids that the reply to a PUSH or a PUSHB accepts.
+func acceptedIDs(line, reply string) (ids []string) {
+	name, text, _ := strings.Cut(line, " ")
+	v, err := fastjson.Parse(strings.TrimSpace(text))
+	if err != nil {
+		return nil
+	}
+	switch {
+	case name == "PUSH" && reply == okReply:
+		return []string{string(v.GetStringBytes("jid"))}
+	case name == "PUSHB" && strings.HasPrefix(reply, "$"):
+		_, problems, _ := strings.Cut(reply, "\r\n")
+		rejected, err := fastjson.Parse(problems)
+		if err != nil {
+			return nil
+		}
+		for _, job := range v.GetArray() {
+			id := string(job.GetStringBytes("jid"))
+			if asReplied := string([]rune(id)); !rejected.Exists(asReplied) { // U+FFFD for what is no UTF-8
+				ids = append(ids, id)
+			}
+		}
+	}
+	return ids
+}
+
+// requireNothingLost: each accepted job is in a queue, in a set, with a worker, or has an answer
+// that does not deny it.
+func requireNothingLost(t require.TestingT, b *backlog, accepted []string) {
+	for _, id := range accepted {
+		known := b.tasks[id]
+		require.NotNil(t, known, "job %s is forgotten", id)
+		switch known.state {
+		case taskWaiting:
+			require.NotNil(t, known.job, "job %s", id)
+			require.NotEmpty(t, known.job.Location(), "job %s is nowhere", id)
+		case taskSubmitted:
+			require.NotNil(t, b.workers.reserved[id], "job %s is with nobody", id)
+		case taskFinal:
+			require.NotEqual(t, engine.Denied, known.answer.Verdict, "job %s was accepted, and denied: %s", id, known.answer.Body)
+		}
+	}
+	require.Zero(t, b.submitted-len(b.workers.reserved), "no job is submitted but the reserved ones")
+	require.Empty(t, b.unfetched)
+	require.Empty(t, b.workers.waitingFetches)
+	require.Empty(t, b.workers.submittedFor)
+}
+
+// FuzzCommands: whatever a connection sends, each command gets exactly one complete reply, no job
+// that was accepted is lost, and none is accepted that FETCH would return unreadable. The lines
+// of a text are commands, which a client and a worker send in turn.
 func FuzzCommands(f *testing.F) {
 	for _, line := range []string{
 		`PUSH {"jid":"job-000001","jobtype":"Mail","queue":"q","args":[1,{"a":"b"}],"at":"2100-01-01T00:00:00Z","retry":3,"custom":{"unique_for":5,"bid":"b-1"}}`,
@@ -342,28 +422,46 @@
 		`TRACK GET job-000001`, `TRACK SET {"jid":"job-000001","percent":5,"reserve_until":"2100-01-01T00:00:00Z"}`,
 		`BATCH NEW {"success":{"jobtype":"Mail","args":[]},"parent_bid":"x"}`, `BATCH COMMIT b-1`, `SHOW dead 5`, `PUSH {"retry":1e99}`,
 		"PUSH {\"jid\":\"job\xff00001\",\"jobtype\":\"\\u0000\",\"args\":[]}",
+		`SHOW dead 9223372036854775807`, `SHOW workers 9223372036854775807`, `SHOW dead 9223372036854775808`, `SHOW dead -1`, `SHOW`, `SHOW  0`,
+		`PUSH {"jid":"job-000001","jobtype":"Mail","queue":"q","args":[],"at":"9999-12-31T23:59:59Z"}` + "\nSHOW scheduled 9223372036854775807\nSHOW scheduled",
+		`PUSH {"jid":"job-000001","jobtype":"Mail","args":[],"custom":{"cost_us":9223372036854775807}}`,
+		`PUSH {"jid":"job-000001","jobtype":"Mail","args":[],"custom":{"slots":1e300,"unique_for":inf},"retry":nan,"reserve_for":-1}`,
+		`PUSH {"jid":"job-000001","jobtype":"Mail","args":[nan,01,1-2]}`, `PUSH {"jid":"","jobtype":"","queue":"","args":[]}`, `PUSH`, `PUSHB`, `ACK`, `FAIL {}`, `BEAT []`,
+		`TRACK SET {"jid":"job-000001","percent":-9223372036854775808,"reserve_until":"0000-01-01T00:00:00Z"}`, `BEAT {"rss_kb":-1}`,
+		`BATCH NEW {"success":{"jobtype":"Mail","args":[],"custom":null}}`, `BATCH`, `BATCH OPEN`, `QUEUE LATENCY`, `QUEUE PAUSE * *`, `FETCH`, `FETCH q q q`, `END`,
+		`MUTATE {"cmd":"discard","target":"scheduled","filter":{"jids":"job-000001"}}`, `MUTATE {"cmd":"clear"}`, "FAIL {\"jid\":\"job-000001\",\"backtrace\":{}}",
 	} {
 		f.Add(line)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, h := newFront()
-		w := &session{Server: s, worker: s.workers.connect(hello{workerID: "w1"})}
-		for _, line := range strings.Split(text, "\n") {
-			name, rest, _ := strings.Cut(line, " ")
-			if handler := commandHandlers[name]; handler != nil {
-				for _, who := range []*session{{Server: s}, w} {
-					reply := handler(who, strings.TrimSpace(rest))
-					h.runUntilIdle()
-					require.True(t, isCompleteReply(reply), "%q", reply)
+		client, clientReplies := newRecordedSession(s, nil)
+		w, workerReplies := newRecordedSession(s, s.workers.connect(hello{workerID: "w1"}))
+		var accepted []string
+		in := bufio.NewReader(strings.NewReader(text + "\n"))
+		for line, err := readCommand(in); err == nil; line, err = readCommand(in) {
+			for _, who := range []struct {
+				session *session
+				replies *replyRecorder
+			}{{client, clientReplies}, {w, workerReplies}} {
+				reply := handleRecorded(who.session, who.replies, line)
+				h.runUntilIdle()
+				name, _, _ := strings.Cut(line, " ")
+				if name == "FETCH" && reply == "" { // its worker has gone
+					continue
 				}
+				require.True(t, isCompleteReply(reply), "%q", reply)
+				accepted = append(accepted, acceptedIDs(line, reply)...)
 			}
 		}
+		requireNothingLost(t, s.backlog, accepted)
 		fetched := s.workers.fetch(w.worker, []string{"q", "default"})
 		h.runUntilIdle()
 		if e := s.workers.cancelFetch(fetched); e != nil {
 			require.NoError(t, fastjson.ValidateBytes(e.payload))
 			require.NotContains(t, string(e.payload), "\n")
 		}
+		requireNothingLost(t, s.backlog, accepted)
 	})
 }
 
--- a/internal/dispatcher/faktory/plans.go
+++ b/internal/dispatcher/faktory/plans.go
@@ -56,7 +56,7 @@
 // planField reads the name of a job's plan; empty if it has none.
 func planField(v *fastjson.Value, jid string) (string, error) {
 	field := v.Get("custom", "plan")
-	if field == nil || field.Type() == fastjson.TypeNull {
+	if isAbsent(field) {
 		return "", nil
 	}
 	name := string(field.GetStringBytes())
@@ -69,12 +69,17 @@
 	return name, nil
 }
 
-// parseIncoming parses a job that is pushed: its plan must be in use.
+// parseIncoming parses a job that is pushed: its plan must be in use, and its workers must be
+// able to read it. The parser takes numbers that are no JSON, such as nan and 1-2.
 func (b *backlog) parseIncoming(v *fastjson.Value, now time.Time) (job, error) {
 	j, err := parseJob(v, b.config, now)
 	switch {
-	case err != nil || j.plan == "":
+	case err != nil:
 		return j, err
+	case fastjson.ValidateBytes(j.submission.Body) != nil:
+		return j, errors.New("the job has a number that is no JSON")
+	case j.plan == "":
+		return j, nil
 	case b.plans == nil:
 		return j, fmt.Errorf("plan %q can't be run: this process is in no fleet", j.plan)
 	}
--- a/internal/dispatcher/faktory/sets/job.go
+++ b/internal/dispatcher/faktory/sets/job.go
@@ -1,6 +1,9 @@
 package sets
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
 // Job is a job as the front keeps it. The front sets the exported fields before it pushes the
 // job; afterwards only this package changes them, MayHaveRun apart. A hundred thousand jobs
@@ -48,10 +51,20 @@
 // noOptions stands for the options of a job that has none.
 var noOptions Options
 
-// unixNanos is a time in nanoseconds since 1970, at a third of the size of a time.Time.
+// unixNanos is a time in nanoseconds since 1970, at a third of the size of a time.Time. It ends in
+// the year 2262.
 type unixNanos int64
 
-func unixNanosOf(t time.Time) unixNanos { return unixNanos(t.UnixNano()) }
+// maxUnixNanos stands for all times from it on.
+const maxUnixNanos = unixNanos(math.MaxInt64)
+
+// unixNanosOf converts a time since 1970.
+func unixNanosOf(t time.Time) unixNanos {
+	if t.After(maxUnixNanos.time()) {
+		return maxUnixNanos
+	}
+	return unixNanos(t.UnixNano())
+}
 
 func (s unixNanos) time() time.Time { return time.Unix(0, int64(s)) }
 
--- a/internal/dispatcher/faktory/sets/mutate.go
+++ b/internal/dispatcher/faktory/sets/mutate.go
@@ -15,6 +15,10 @@
 	Pattern string // matches the job's JSON; * is any text, ? any character
 }
 
+// MaxPatternBytes bounds a Filter's pattern: matching takes time in proportion to its length and
+// to that of the jobs.
+const MaxPatternBytes = 1000
+
 // matcher compiles a filter. It fails for a pattern that is no expression.
 func (f Filter) matcher() (func(*Job) bool, error) {
 	ids := make(map[string]bool, len(f.IDs))
@@ -22,6 +26,9 @@
 		ids[id] = true
 	}
 	var pattern *regexp.Regexp
+	if len(f.Pattern) > MaxPatternBytes {
+		return nil, fmt.Errorf("regexp: the pattern has more than %d bytes", MaxPatternBytes)
+	}
 	if f.Pattern != "" {
 		text := strings.NewReplacer(`\*`, ".*", `\?`, ".").Replace(regexp.QuoteMeta(f.Pattern))
 		var err error
