--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -425,33 +424,16 @@
 	}
 }
 
-// recorded has a process answer one more call, and waits until the fleet has the record of
-// it. A process's records reach the fleet in the order of its answers, so the fleet then has
-// those of all answers that the process gave before this call was sent.
+// recorded has a process answer one more call, and waits until the fleet has the record of it
+// and of all that the process answered before.
 func recorded(t *testing.T, r *harness.Cluster, p *harness.Process, id string) {
 	t.Helper()
-	const timeout = 20 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), 2*timeout)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr("listen")+"/place-hold?sid="+id, strings.NewReader("body"))
-	require.NoError(t, err)
-	req.Header.Set("X-Call-Id", id)
-	req.Header.Set("X-Caller", demo.Tenants[0])
-	req.Header.Set("X-Budget", fmt.Sprint(timeout.Seconds()))
-	req.Header.Set("Idempotency-Key", id)
-	resp, err := http.DefaultClient.Do(req)
-	require.NoError(t, err, "%s answers", p.Name)
-	_, err = io.Copy(io.Discard, resp.Body)
-	require.NoError(t, errors.Join(err, resp.Body.Close()))
-	require.Eventually(t, func() bool {
-		code, _ := ask(r.Processes[1], http.MethodGet, "/records/"+id, "")
-		return code == http.StatusOK
-	}, 40*time.Second, 20*time.Millisecond, "%s has shipped the record of %s", p.Name, id)
+	require.NoError(t, r.WaitRecorded(p, demo.Tenants[0], id, time.Now().Add(60*time.Second)))
 }
 
 // TestRecordsThroughFaults: each final answer leaves one record, through a killed
-// process that ships its spool when it is back, a killed leader with its folder wiped,
-// and one frozen; what is beyond a tenant's rule is cut, what is held is not.
+// process that ships its spool when it is back, and a leader that is frozen for a while;
+// what is beyond a tenant's rule is cut, what is held is not.
 func TestRecordsThroughFaults(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	const most = 50
 	rules := fmt.Sprintf(`,"records":{"tenants":{%q:{"count":%d},"*":{"days":30}}}`, demo.Tenants[2], most)
--- a/internal/dispatcher/fleet/harness/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -1,11 +1,14 @@
 package harness
 
 import (
+	"encoding/json"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net/http"
 	"net/http/httptest"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -170,3 +173,69 @@
 	_, err = new(DigestMonitor).WaitConverged(r, 2, time.Now().Add(50*time.Millisecond))
 	require.Error(t, err)
 }
+
+// recordKeeper is a process that shows records late: while it has been asked fewer than lag
+// times for the record of its last call, that record and the one before it wait to be written,
+// and its spool counts neither as unsent.
+type recordKeeper struct {
+	lag     int
+	last    string // the last call; empty: none yet
+	records []string
+}
+
+func (k *recordKeeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	id, one := strings.CutPrefix(r.URL.Path, "/records/")
+	switch {
+	case r.Method == http.MethodPost:
+		k.last = r.Header.Get("X-Call-Id")
+		k.records = append(k.records, k.last)
+	case r.URL.Path == "/fleet":
+		_, _ = io.WriteString(w, `{"spool":{"unsent":0}}`)
+	case one && id == k.last && k.lag == 0:
+	case one:
+		k.lag--
+		http.NotFound(w, r)
+	default:
+		shown := k.records
+		if k.lag > 0 {
+			shown = shown[:len(shown)-min(len(shown), 2)]
+		}
+		var page struct{ Records []struct{ ID string } }
+		for _, id := range shown {
+			page.Records = append(page.Records, struct{ ID string }{id})
+		}
+		_ = json.NewEncoder(w).Encode(page)
+	}
+}
+
+// TestRetentionMonitorWaits: records that are on their way when the load ends are waited for,
+// though no spool says that it has any; one that never comes, and one that nobody asked for,
+// are found.
+func TestRetentionMonitorWaits(t *testing.T) {
+	const tenant = "hrad"
+	for name, c := range map[string]struct {
+		records        []string
+		missing, extra []string
+	}{
+		"all come":           {records: []string{"1", "2", "3"}},
+		"one is lost":        {records: []string{"1", "3"}, missing: []string{"2"}},
+		"one more":           {records: []string{"1", "2", "4", "3"}, extra: []string{"4"}},
+		"one twice":          {records: []string{"1", "2", "2", "3"}, extra: []string{"2"}},
+		"a plan's stage run": {records: []string{"1", "2", "plan-4", "3"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			keeper := &recordKeeper{lag: 3, records: c.records}
+			server := httptest.NewServer(keeper)
+			defer server.Close()
+			addr := server.Listener.Addr().String()
+			r := &Cluster{random: rand.New(rand.NewPCG(1, 1)), Processes: []*Process{{Name: "n1", addrs: map[string]string{"admin": addr, "listen": addr}}}}
+			for _, id := range []string{"1", "2", "3"} {
+				r.calls = append(r.calls, fakes.Call{ID: id, Tenant: tenant, Addr: addr, Status: 200, Ended: time.Now()})
+			}
+			m := &RetentionMonitor{KeptTenants: []string{tenant}}
+			require.NoError(t, m.Check(r))
+			require.Equal(t, c.missing, m.missing)
+			require.Equal(t, c.extra, m.extra)
+		})
+	}
+}
--- a/internal/dispatcher/fleet/harness/retention_monitor.go
+++ b/internal/dispatcher/fleet/harness/retention_monitor.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"net/http"
 	"strings"
 	"time"
 )
@@ -13,7 +15,7 @@
 // them, and compares those of other tenants with the clients' answers at the end.
 type RetentionMonitor struct {
 	PrunedTenant string   // the tenant with a rule
-	KeptTenants  []string // tenants without one
+	KeptTenants  []string // tenants without one; at least one
 	Lag          time.Duration
 	removed      map[string]bool
 	present      map[string]bool
@@ -77,25 +79,82 @@
 	m.present = now
 }
 
-// Check waits until every spool is empty, and compares the records with the clients' calls.
-// What a process answered within Lag before an outage may be lost with it.
+// WaitRecorded has a process answer one more call, and waits until every process shows the
+// record of it. A process's records reach the fleet in the order of its answers, so the fleet
+// then has those of all answers that the process gave before this call was sent. (That its
+// spool has nothing unsent does not say so: a record that waits to be written is not counted
+// there.)
+func (c *Cluster) WaitRecorded(p *Process, tenant, id string, until time.Time) error {
+	if err := p.sendCall(tenant, id, until); err != nil {
+		return fmt.Errorf("%s does not answer call %s: %w", p.Name, id, err)
+	}
+	for _, asked := range c.Processes {
+		for {
+			status, text, err := asked.AdminRequest(http.MethodGet, "/records/"+id, "", until)
+			if err == nil && status == http.StatusOK {
+				break
+			}
+			if time.Now().After(until) {
+				return errors.Join(fmt.Errorf("%s does not show the record of %s's call %s: %d %s", asked.Name, p.Name, id, status, text), err)
+			}
+			time.Sleep(20 * time.Millisecond)
+		}
+	}
+	return nil
+}
+
+// sendCall sends one call with a key and reads the answer, whatever it is.
+func (p *Process) sendCall(tenant, id string, until time.Time) error {
+	ctx, cancel := context.WithDeadline(context.Background(), until)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Addr("listen")+"/place-hold?sid="+id, strings.NewReader("body"))
+	if err != nil {
+		return err
+	}
+	req.Close = true
+	req.Header.Set("X-Call-Id", id)
+	req.Header.Set("X-Caller", tenant)
+	req.Header.Set("X-Budget", fmt.Sprint(callTimeout.Seconds()))
+	req.Header.Set("Idempotency-Key", id)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return err
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	return errors.Join(err, resp.Body.Close())
+}
+
+// callTimeout is how long a call of WaitRecorded waits for its answer.
+const callTimeout = 20 * time.Second
+
+// Check waits until the fleet has the records of all answers that the processes gave before,
+// and every spool is empty, and compares the records with the clients' calls. What a process
+// answered within Lag before an outage may be lost with it.
 func (m *RetentionMonitor) Check(r *Cluster) error {
+	asked := make(map[string]bool) // further calls than those of the clients
 	for _, p := range r.Processes {
-		if _, err := p.WaitForAdmin("/fleet", `"unsent":0[,}]`, time.Now().Add(2*transitionTimeout)); err != nil {
+		id, until := "last-"+p.Name, time.Now().Add(2*transitionTimeout)
+		asked[id] = true
+		if err := r.WaitRecorded(p, m.KeptTenants[0], id, until); err != nil {
+			return err
+		}
+		if _, err := p.WaitForAdmin("/fleet", `"unsent":0[,}]`, until); err != nil {
 			return err
 		}
 	}
+	for _, c := range r.Calls() {
+		asked[c.ID] = true
+	}
 	for _, tenant := range m.KeptTenants {
 		ids, err := m.list(r, tenant, time.Now().Add(transitionTimeout))
 		if err != nil {
 			return err
 		}
-		got, asked := make(map[string]int), make(map[string]bool)
+		got := make(map[string]int)
 		for _, id := range ids {
 			got[id]++
 		}
 		for _, c := range r.Calls() {
-			asked[c.ID] = true
 			if c.Tenant == tenant && c.Status != 0 && got[c.ID] == 0 && !r.hadOutage(c.Addr, c.Ended, m.Lag) {
 				m.missing = append(m.missing, c.ID)
 			}
