--- a/internal/dispatcher/faktory/stress_test.go
+++ b/internal/dispatcher/faktory/stress_test.go
@@ -84,6 +84,37 @@
 	}
 }
 
+// fetchJob fetches a job of queue q and returns its jid; empty: there was none for it.
+func fetchJob(w *fakes.FaktoryConn) (jid string, err error) {
+	text, err := w.Do("FETCH q")
+	if err != nil || text == nil {
+		return "", err
+	}
+	var job struct{ JID string }
+	if err := json.Unmarshal(text, &job); err != nil {
+		return "", err
+	}
+	if job.JID == "" {
+		return "", fmt.Errorf("a job without a jid: %s", text)
+	}
+	return job.JID, nil
+}
+
+// ackJob acknowledges a job.
+func ackJob(w *fakes.FaktoryConn, jid string) error {
+	_, err := w.Do(`ACK {"jid":"` + jid + `"}`)
+	return err
+}
+
+// runJob fetches a job, which must be there, and acknowledges it.
+func runJob(t testing.TB, w *fakes.FaktoryConn) (jid string) {
+	jid, err := fetchJob(w)
+	require.NoError(t, err)
+	require.NotEmpty(t, jid)
+	require.NoError(t, ackJob(w, jid))
+	return jid
+}
+
 // TestManyDue: 20,000 jobs that come due in one moment all come to their queue,
 // none twice, while others are still served. (100,000 take 10 s under the race
 // detector; the benchmark beside this has them.)
@@ -114,14 +145,9 @@
 	require.NoError(t, err)
 	defer w.Close()
 	for range 100 {
-		text, err := w.Do("FETCH q")
-		require.NoError(t, err)
-		var job struct{ JID string }
-		require.NoError(t, json.Unmarshal(text, &job))
-		require.False(t, seen[job.JID], job.JID)
-		seen[job.JID] = true
-		_, err = w.Do(`ACK {"jid":"` + job.JID + `"}`)
-		require.NoError(t, err)
+		jid := runJob(t, w)
+		require.False(t, seen[jid], jid)
+		seen[jid] = true
 	}
 }
 
@@ -148,20 +174,15 @@
 				}
 				defer w.Close()
 				for range 10 { // a FETCH may be answered null while the engine has a job for another
-					text, err := w.Do("FETCH q")
+					jid, err := fetchJob(w)
 					if err != nil {
 						return err
 					}
-					if text == nil {
+					if jid == "" {
 						continue
 					}
-					var job struct{ JID string }
-					if err := json.Unmarshal(text, &job); err != nil {
-						return err
-					}
-					till.RecordRun(job.JID, true)
-					_, err = w.Do(`ACK {"jid":"` + job.JID + `"}`)
-					return err
+					till.RecordRun(jid, true)
+					return ackJob(w, jid)
 				}
 				return nil
 			}()
@@ -221,17 +242,14 @@
 	require.NoError(t, err)
 	defer w.Close()
 	for len(seen) < 18 {
-		text, err := w.Do("FETCH q")
+		jid, err := fetchJob(w)
 		require.NoError(t, err)
-		if text == nil {
+		if jid == "" {
 			continue
 		}
-		var job struct{ JID string }
-		require.NoError(t, json.Unmarshal(text, &job))
-		seen[job.JID]++
-		require.Equal(t, 1, seen[job.JID])
-		_, err = w.Do(`ACK {"jid":"` + job.JID + `"}`)
-		require.NoError(t, err)
+		seen[jid]++
+		require.Equal(t, 1, seen[jid])
+		require.NoError(t, ackJob(w, jid))
 	}
 }
 
@@ -286,12 +304,7 @@
 			b.ReportMetric(pushed, "push/s")
 			b.ReportMetric(took, "MB")
 			for range min(b.N, jobs) {
-				text, err := w.Do("FETCH q")
-				require.NoError(b, err)
-				var job struct{ JID string }
-				require.NoError(b, json.Unmarshal(text, &job))
-				_, err = w.Do(`ACK {"jid":"` + job.JID + `"}`)
-				require.NoError(b, err)
+				runJob(b, w)
 			}
 		})
 	}
@@ -348,24 +361,18 @@
 			}
 			defer w.Close()
 			for ctx.Err() == nil {
-				text, err := w.Do("FETCH q")
+				jid, err := fetchJob(w)
 				if err != nil {
 					b.Error(err)
 					return
 				}
-				if text == nil {
+				if jid == "" {
 					continue
 				}
-				now := time.Now()
-				var job struct{ JID string }
-				if err := json.Unmarshal(text, &job); err != nil {
-					b.Error(err)
-					return
-				}
-				if at, ok := pushed.Load(job.JID); ok {
-					spans[n] = append(spans[n], now.Sub(at.(time.Time)))
+				if at, ok := pushed.Load(jid); ok {
+					spans[n] = append(spans[n], time.Since(at.(time.Time)))
 				}
-				if _, err := w.Do(`ACK {"jid":"` + job.JID + `"}`); err != nil {
+				if err := ackJob(w, jid); err != nil {
 					b.Error(err)
 					return
 				}
