--- a/internal/dispatcher/faktory/backlog.go
+++ b/internal/dispatcher/faktory/backlog.go
@@ -56,7 +56,7 @@
 	b := &backlog{
 		engine: eng, transactions: transactions, config: config, log: log, counters: counters,
 		store:   sets.NewStore(storeLimits(config), uint64(time.Now().UnixNano())),
-		batches: batch.NewStore(maxBatches),
+		batches: batch.NewStore(batch.Limits{Batches: maxBatches, Bytes: config.Waiting.Bytes}),
 		tasks:   make(map[string]*task), unfetched: make(map[string]int),
 	}
 	b.workers = newWorkers(eng, config, b)
--- a/internal/dispatcher/faktory/batch/batch.go
+++ b/internal/dispatcher/faktory/batch/batch.go
@@ -68,17 +68,39 @@
 	States      map[Kind]State
 }
 
+// overheadBytes is about what a batch takes in memory beside its definition.
+const overheadBytes = 400
+
+// size is about what the batch takes in memory, in bytes, its jobs apart: these are counted where
+// they wait.
+func (b *Batch) size() int {
+	size := overheadBytes + len(b.ID) + len(b.Definition.Parent) + len(b.Definition.Description)
+	for _, job := range b.Definition.Callbacks {
+		size += len(job)
+	}
+	return size
+}
+
 // Failed returns how many pending jobs have failed.
 func (b *Batch) Failed() int { return len(b.failedJobs) }
 
+// Limits bound a Store.
+type Limits struct {
+	Batches int // that are not finished
+	Bytes   int // of these, as Batch.size counts them
+}
+
 // Store holds all batches that are not finished.
 type Store struct {
-	limit   int
+	limits  Limits
 	batches map[string]*Batch
+	bytes   int // the sum of the batches' sizes
 }
 
-// NewStore returns an empty store for at most limit batches.
-func NewStore(limit int) *Store { return &Store{limit: limit, batches: make(map[string]*Batch)} }
+// NewStore returns an empty store.
+func NewStore(limits Limits) *Store {
+	return &Store{limits: limits, batches: make(map[string]*Batch)}
+}
 
 // Find returns a batch by its bid, or nil.
 func (s *Store) Find(id string) *Batch { return s.batches[id] }
@@ -92,7 +114,11 @@
 	if len(d.Callbacks[Complete]) == 0 && len(d.Callbacks[Success]) == 0 {
 		return ErrNoCallback
 	}
-	if len(s.batches) >= s.limit {
+	batch := &Batch{
+		ID: id, Definition: d, Created: now, failedJobs: make(map[string]bool), pendingJobs: make(map[string]bool), children: make(map[string]bool),
+		States: make(map[Kind]State),
+	}
+	if len(s.batches) >= s.limits.Batches || s.bytes+batch.size() > s.limits.Bytes {
 		return ErrFull
 	}
 	if s.batches[id] != nil {
@@ -108,10 +134,8 @@
 		}
 		parent.children[id] = false
 	}
-	s.batches[id] = &Batch{
-		ID: id, Definition: d, Created: now, failedJobs: make(map[string]bool), pendingJobs: make(map[string]bool), children: make(map[string]bool),
-		States: make(map[Kind]State),
-	}
+	s.batches[id] = batch
+	s.bytes += batch.size()
 	return nil
 }
 
@@ -239,6 +263,7 @@
 		return nil
 	}
 	delete(s.batches, batch.ID)
+	s.bytes -= batch.size()
 	if parent := s.batches[batch.Definition.Parent]; parent != nil {
 		return s.dueCallbacks(parent)
 	}
--- a/internal/dispatcher/faktory/batch/batch_test.go
+++ b/internal/dispatcher/faktory/batch/batch_test.go
@@ -23,7 +23,7 @@
 // TestCallbacks: complete once each job has run, success once each has
 // succeeded, each once, and none before the batch is committed.
 func TestCallbacks(t *testing.T) {
-	b := NewStore(10)
+	b := NewStore(Limits{10, 1 << 20})
 	require.NoError(t, b.New(start, "b", Definition{Callbacks: both()}))
 	b.Add("b", "1")
 	b.Add("b", "2")
@@ -46,7 +46,7 @@
 }
 
 func TestCommands(t *testing.T) {
-	b := NewStore(2)
+	b := NewStore(Limits{2, 1 << 20})
 	require.ErrorIs(t, b.New(start, "b", Definition{}), ErrNoCallback)
 	require.ErrorIs(t, b.New(start, "b", Definition{Parent: "p", Callbacks: both()}), ErrUnknownBatch)
 	require.NoError(t, b.New(start, "b", Definition{Callbacks: map[Kind][]byte{Success: []byte("s")}}))
@@ -77,7 +77,7 @@
 
 // TestNested: a parent waits for its children, and they do not wait for it.
 func TestNested(t *testing.T) {
-	b := NewStore(10)
+	b := NewStore(Limits{10, 1 << 20})
 	require.NoError(t, b.New(start, "p", Definition{Callbacks: both()}))
 	require.NoError(t, b.New(start, "c", Definition{Parent: "p", Callbacks: both()}))
 	b.Add("p", "1")
@@ -103,7 +103,7 @@
 //nolint:funlen,gocognit // a state machine: its actions share the model
 func TestOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, n := NewStore(100), 0
+		b, n := NewStore(Limits{100, 1 << 20}), 0
 		type running struct{ batch, job string }
 		var open []string
 		var jobs []running
@@ -187,3 +187,22 @@
 		}
 	})
 }
+
+// TestBytes: batches are bounded by the size of their call-backs too, and one that is finished
+// makes room.
+func TestBytes(t *testing.T) {
+	large := Definition{Callbacks: map[Kind][]byte{Success: make([]byte, 1000)}}
+	size := (&Batch{ID: "b1", Definition: large}).size()
+	b := NewStore(Limits{100, 3*size - 1})
+	require.NoError(t, b.New(start, "b1", large))
+	require.NoError(t, b.New(start, "b2", large))
+	require.ErrorIs(t, b.New(start, "b3", large), ErrFull)
+	require.Nil(t, b.Find("b3"))
+	due, err := b.Commit("b1")
+	require.NoError(t, err)
+	require.Equal(t, []string{"b1 success"}, kinds(due))
+	require.ErrorIs(t, b.New(start, "b3", large), ErrFull, "its call-back has not run")
+	b.CallbackSucceeded("b1", Success)
+	require.NoError(t, b.New(start, "b3", large))
+	require.ErrorIs(t, b.New(start, "b4", large), ErrFull)
+}
--- a/internal/dispatcher/faktory/commands_malformed_test.go
+++ b/internal/dispatcher/faktory/commands_malformed_test.go
@@ -175,3 +175,20 @@
 		require.Contains(t, string(j.Body), `"custom":{"_bid":"b-1","_cb":"success"}`)
 	}
 }
+
+// TestBatchesAreBounded: batches whose call-backs are large are refused like jobs for which there
+// is no room.
+func TestBatchesAreBounded(t *testing.T) {
+	s, _ := newFront()
+	client, replies := newRecordedSession(s, nil)
+	line := `BATCH NEW {"success":{"jid":"call-back","jobtype":"Mail","args":["` + strings.Repeat("x", 60000) + `"]}}`
+	accepted := 0
+	for reply := ""; ; accepted++ {
+		if reply = handleRecorded(client, replies, line); !strings.HasPrefix(reply, "+b-") {
+			require.Equal(t, "-ERR refused, retry-after 1.000\r\n", reply)
+			break
+		}
+		require.Less(t, accepted*60000, s.config.Waiting.Bytes)
+	}
+	require.Equal(t, s.config.Waiting.Bytes/61000, accepted)
+}
