--- a/internal/dispatcher/fleet/raftnode/data_dir.go
+++ b/internal/dispatcher/fleet/raftnode/data_dir.go
@@ -80,9 +80,23 @@
 	return nil, err
 }
 
+// claim stores the identity of a directory that has none yet, before there is a log in it: a
+// node that ends while it waits for the others finds its own directory again.
+func (d *dataDir) claim() error {
+	if _, err := os.Stat(filepath.Join(d.path, identityFile)); !errors.Is(err, os.ErrNotExist) {
+		return err
+	}
+	return d.storeIdentity()
+}
+
 // countStart atomically stores one more start in the identity file.
 func (d *dataDir) countStart() error {
 	d.identity.Starts++
+	return d.storeIdentity()
+}
+
+// storeIdentity atomically replaces the identity file.
+func (d *dataDir) storeIdentity() error {
 	text, err := codec.Encode(d.identity)
 	if err != nil {
 		return err
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -128,6 +128,9 @@
 		return false, fmt.Errorf("the fleet's state: %w", err)
 	}
 	node.fsm.replace(m)
+	if err := dir.claim(); err != nil {
+		return false, err
+	}
 	n, err := node.openReplica(dir)
 	if err != nil {
 		return false, err
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -73,7 +73,8 @@
 	count  uint64
 }
 
-func found(t *testing.T) *fleet {
+// prepare makes the addresses and directories of three raft nodes, none of which runs.
+func prepare(t *testing.T) *fleet {
 	f := &fleet{t: t, dir: t.TempDir(), peers: map[string]Peer{}, calls: map[string]net.Listener{}, votes: map[string]net.Listener{},
 		spoilt: map[string]*atomic.Bool{}, up: map[string]*Node{}, stops: map[string]func() error{}}
 	addrs := map[string]string{}
@@ -87,9 +88,6 @@
 		f.peers[name] = Peer{f.calls[name].Addr().String(), f.votes[name].Addr().String()}
 		addrs[name], f.spoilt[name] = f.peers[name].RPCAddr, new(atomic.Bool)
 	}
-	for name := range f.peers {
-		f.start(name)
-	}
 	f.client = rpc.New(addrs)
 	t.Cleanup(func() {
 		f.client.Close()
@@ -97,13 +95,27 @@
 			_ = stop()
 		}
 	})
+	return f
+}
+
+// found starts a fleet of three raft nodes, with a process that has joined it.
+func found(t *testing.T) *fleet {
+	f := prepare(t)
+	for name := range f.peers {
+		f.start(name)
+	}
+	f.join()
+	return f
+}
+
+// join has a process join the fleet.
+func (f *fleet) join() {
 	var err error
 	f.who, _, err = f.client.Join(f.ctx(), "n1", "first", "test")
-	require.NoError(t, err)
-	require.NoError(t, f.who.Execute(f.ctx(), state.SetSettings, state.FleetSettings{Revision: 1, Lease: time.Minute}, nil))
+	require.NoError(f.t, err)
+	require.NoError(f.t, f.who.Execute(f.ctx(), state.SetSettings, state.FleetSettings{Revision: 1, Lease: time.Minute}, nil))
 	_, err = f.who.Renew(f.ctx(), nil) // for a minute now: the tests renew nothing
-	require.NoError(t, err)
-	return f
+	require.NoError(f.t, err)
 }
 
 func (f *fleet) ctx() context.Context {
@@ -412,3 +424,48 @@
 		require.NoError(t, <-stopped)
 	})
 }
+
+// TestStoppedBeforeItsFirstStart: a node that ends while it waits for the others, or after it
+// has bootstrapped the fleet and before it has counted its start, takes part when it is back.
+func TestStoppedBeforeItsFirstStart(t *testing.T) {
+	hasLog := func(f *fleet) func() bool {
+		return func() bool {
+			_, err := os.Stat(filepath.Join(f.folder("k1"), "log.db"))
+			return err == nil
+		}
+	}
+	for name, stop := range map[string]func(*fleet){
+		"while it waits": func(f *fleet) {
+			f.start("k1")
+			require.Eventually(f.t, hasLog(f), 10*time.Second, time.Millisecond)
+			require.NoError(f.t, f.stops["k1"]())
+		},
+		"after it has bootstrapped": func(f *fleet) {
+			k := &Node{settings: Settings{Name: "k1", Folder: f.folder("k1"), Peers: f.peers, ElectionTimeout: time.Second}, log: logtest.Discard()}
+			require.NoError(f.t, os.MkdirAll(f.folder("k1"), 0o700))
+			dir, err := k.openDir()
+			require.NoError(f.t, err)
+			require.NoError(f.t, dir.claim())
+			n, err := k.openReplica(dir)
+			require.NoError(f.t, err)
+			require.NoError(f.t, raft.BootstrapCluster(k.raftConfig(), n.store, n.store, dir.snapshots, &raft.InmemTransport{}, k.initialConfiguration()))
+			require.NoError(f.t, errors.Join(n.store.Close(), dir.lock.Close()))
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := prepare(t)
+			stop(f)
+			for name := range f.peers {
+				f.start(name)
+			}
+			f.join()
+			f.order(1)
+			require.Eventually(t, func() bool {
+				k := f.up["k1"]
+				k.mu.Lock()
+				defer k.mu.Unlock()
+				return k.replica != nil && k.replica.raft.AppliedIndex() > 1
+			}, 20*time.Second, time.Millisecond)
+		})
+	}
+}
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -218,6 +218,8 @@
 	defer func() { _ = l.Close() }() // the node's transport closes it too
 	var upkeep sync.WaitGroup
 	defer upkeep.Wait()
+	ctx, stopUpkeep := context.WithCancel(ctx)
+	defer stopUpkeep() // before the wait: the node may end with an error of its own
 	upkeep.Go(func() { out.recorder.enforceRetention(ctx) })
 	upkeep.Go(func() { out.persistFence(ctx, f.DataDir) })
 	err = node.Run(ctx)
