--- a/internal/cluster/controlplane/operatorapi.go
+++ b/internal/cluster/controlplane/configapi.go
@@ -12,9 +12,9 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// operatorAPI answers operators over HTTP and dispatchers that watch the configuration. It forwards an
+// configAPI answers operators over HTTP and dispatchers that watch the configuration. It forwards an
 // operator's call to the leader of the configuration's group, once.
-type operatorAPI struct {
+type configAPI struct {
 	node   *Node
 	config *leader.Configuration
 }
@@ -28,7 +28,7 @@
 
 // watch answers a dispatcher. It waits up to the requested time for a configuration that is newer than
 // the dispatcher's.
-func (o *operatorAPI) watch(request protocol.WatchRequest) protocol.WatchResponse {
+func (o *configAPI) watch(request protocol.WatchRequest) protocol.WatchResponse {
 	receivedAt := time.Now()
 	changed, version := o.config.Changed()
 	if version <= request.Have && request.WaitMs > 0 && o.node.configGroup.IsLeader() {
@@ -50,7 +50,7 @@
 
 // handle carries out an operator's call, if this node leads the configuration's group. It waits for the
 // commit, for commitTimeout at most: the response then says that the outcome is not known.
-func (o *operatorAPI) handle(request protocol.OperatorRequest) protocol.OperatorResponse {
+func (o *configAPI) handle(request protocol.OperatorRequest) protocol.OperatorResponse {
 	responses := make(chan protocol.OperatorResponse, 1)
 	o.config.HandleOperatorRequest(request, func(response protocol.OperatorResponse) { responses <- response })
 	select {
@@ -64,7 +64,7 @@
 }
 
 // serveReplace serves an operator's POST of a configuration.
-func (o *operatorAPI) serveReplace(w http.ResponseWriter, r *http.Request) {
+func (o *configAPI) serveReplace(w http.ResponseWriter, r *http.Request) {
 	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	tooLarge := &http.MaxBytesError{}
 	switch {
@@ -84,12 +84,12 @@
 }
 
 // serveGet serves an operator's GET of the newest configuration.
-func (o *operatorAPI) serveGet(w http.ResponseWriter, _ *http.Request) {
+func (o *configAPI) serveGet(w http.ResponseWriter, _ *http.Request) {
 	o.respond(w, protocol.OperatorRequest{})
 }
 
 // respond forwards a call and writes its response.
-func (o *operatorAPI) respond(w http.ResponseWriter, request protocol.OperatorRequest) {
+func (o *configAPI) respond(w http.ResponseWriter, request protocol.OperatorRequest) {
 	response := o.forward(request)
 	if response.Status == protocol.StatusNotLeader {
 		w.Header().Set("Retry-After", "1")
@@ -105,7 +105,7 @@
 }
 
 // forward handles a call where this node is the leader, and else sends it to the leader, once.
-func (o *operatorAPI) forward(request protocol.OperatorRequest) protocol.OperatorResponse {
+func (o *configAPI) forward(request protocol.OperatorRequest) protocol.OperatorResponse {
 	local := o.handle(request)
 	if local.Status != protocol.StatusNotLeader || local.Leader == "" || local.Leader == o.node.self.Address {
 		return local
--- a/internal/cluster/controlplane/operatorapi_test.go
+++ b/internal/cluster/controlplane/configapi_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			api := &operatorAPI{}
+			api := &configAPI{}
 			api.serveReplace(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/-/config/replace", &truncatedBody{bytes: c.bytes}))
 			require.Equal(t, c.want, w.Code)
 		})
--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -219,7 +219,7 @@
 		require.NoError(t, err)
 	}
 	node := &Node{self: replica.Member{Address: "here"}, peers: newPeers("here"), stop: make(chan struct{})}
-	node.operators = &operatorAPI{node: node, config: config}
+	node.configAPI = &configAPI{node: node, config: config}
 	_, public := node.servers()
 	server := httptest.NewServer(public.Handler)
 	t.Cleanup(server.Close)
--- a/internal/cluster/controlplane/handler.go
+++ b/internal/cluster/controlplane/handler.go
@@ -36,9 +36,9 @@
 	case protocol.JobRequest:
 		return n.callShard(request.Shard, func(shard *leader.Shard, reply replyFunc) { shard.HandleJobRequest(request, reply) })
 	case protocol.WatchRequest:
-		return n.operators.watch(request)
+		return n.configAPI.watch(request)
 	case protocol.OperatorRequest:
-		return n.operators.handle(request)
+		return n.configAPI.handle(request)
 	case protocol.StatusRequest:
 		return n.status()
 	}
--- a/internal/cluster/controlplane/node.go
+++ b/internal/cluster/controlplane/node.go
@@ -4,7 +4,7 @@
 //
 // Files are named by role: node.go (assembly and life cycle), groups.go (replica groups), handler.go
 // (messages of other processes), shardloop.go and runnerclient.go (scheduling and orders),
-// runnerlist.go (the platform's list), operatorapi.go, join.go (membership), recovery.go (a disk
+// runnerlist.go (the platform's list), configapi.go, join.go (membership), recovery.go (a disk
 // that can't be read), identity.go, peers.go (connections to other nodes).
 //
 // A process makes one Node by New and calls Run once; package daemon does both. The decisions are made
@@ -50,7 +50,7 @@
 	config           *leader.Configuration
 	shards           []*shardLoop // by number
 	runnerListReader *runnerListReader
-	operators        *operatorAPI
+	configAPI        *configAPI
 	damageCause      error // why the state on disk can't be used; nil: it can
 
 	replicasRunning atomic.Bool
@@ -110,7 +110,7 @@
 	n.rpc = rpc.NewServer(n)
 	n.runnerListReader = newRunnerListReader(n.lifetime, n)
 	n.config = leader.NewConfiguration(n.updateShardConfigs, n.runnerListReader.setEpoch, n.log)
-	n.operators = &operatorAPI{node: n, config: n.config}
+	n.configAPI = &configAPI{node: n, config: n.config}
 	runners := newRunnerClient(n.lifetime)
 	stateMachines := map[string]group.StateMachine{protocol.ConfigGroup: n.config}
 	var shards []*shardLoop
@@ -175,8 +175,8 @@
 	internalMux := http.NewServeMux()
 	internalMux.Handle(rpc.Path, n.rpc)
 	operatorMux := http.NewServeMux()
-	operatorMux.HandleFunc("POST /-/config/replace", n.operators.serveReplace)
-	operatorMux.HandleFunc("GET /-/config/get", n.operators.serveGet)
+	operatorMux.HandleFunc("POST /-/config/replace", n.configAPI.serveReplace)
+	operatorMux.HandleFunc("GET /-/config/get", n.configAPI.serveGet)
 	internal = &http.Server{Addr: n.self.Address, Handler: internalMux, ReadHeaderTimeout: headerTimeout}
 	operators = &http.Server{Addr: n.settings.Listen.Control, Handler: operatorMux, ReadHeaderTimeout: headerTimeout}
 	return internal, operators
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -66,7 +66,7 @@
 		case <-timer.C:
 		}
 		orders := s.shard.RunCycle()
-		for _, order := range orders.List {
+		for _, order := range orders.Orders {
 			s.tasks.Go(func() { s.send(orders.Scheduler, order) })
 		}
 		if orders.CyclePending {
--- a/internal/cluster/dataplane/clients.go
+++ b/internal/cluster/dataplane/clients.go
@@ -138,7 +138,7 @@
 		http.Error(w, "the body is cut short or too large", http.StatusBadRequest)
 		return
 	}
-	writeResponse(w, 0, h.forward(to, func(view *router.View, route *opconfig.Route) *router.Call {
+	writeResponse(w, submission, h.forward(to, func(view *router.View, route *opconfig.Route) *router.Call {
 		return router.NewSubmitCall(view, route, id, body)
 	}))
 }
--- a/internal/cluster/dataplane/response.go
+++ b/internal/cluster/dataplane/response.go
@@ -18,7 +18,11 @@
 	Pending int `json:"pending"`
 }
 
-// writeResponse writes what the client is told. The operation is 0 for a submitted job.
+// submission stands for the operation where a job is submitted, which is a message of its own among
+// the internal ones: its response has no content.
+const submission protocol.JobOperation = 0
+
+// writeResponse writes what the client is told. The operation is submission for a submitted job.
 func writeResponse(w http.ResponseWriter, operation protocol.JobOperation, response protocol.JobResponse) {
 	if response.Status != http.StatusOK {
 		reject(w, int(response.Status), response.Reason, response.RetryAfterMs)
--- a/internal/cluster/leader/cycle.go
+++ b/internal/cluster/leader/cycle.go
@@ -22,28 +22,28 @@
 	done    func(job.Outcome, error)
 }
 
-// Orders are what a scheduler wants to be sent to runners.
-type Orders struct {
+// CycleResult is what a scheduler wants to be sent to runners after it has run.
+type CycleResult struct {
 	Scheduler    *scheduler.Scheduler // whose orders they are; replies go to it by OrderReplied
-	List         []scheduler.Order
+	Orders       []scheduler.Order
 	CyclePending bool // the next RunCycle should follow soon
 }
 
 // RunCycle runs the scheduler once and proposes the commands that it and the clients want. It
 // returns the orders to send. Where this process does not lead the group, there are none, and the
 // clients whose commands wait are answered with group.ErrNotLeader.
-func (s *Shard) RunCycle() Orders {
+func (s *Shard) RunCycle() CycleResult {
 	current, output, clients := s.runScheduler()
 	if current == nil {
 		for _, client := range clients {
 			client.done(0, group.ErrNotLeader)
 		}
-		return Orders{}
+		return CycleResult{}
 	}
 	if len(output.Commands)+len(clients) > 0 {
 		s.proposeBatch(current, output, clients)
 	}
-	return Orders{Scheduler: current, List: output.Orders, CyclePending: output.CyclePending}
+	return CycleResult{Scheduler: current, Orders: output.Orders, CyclePending: output.CyclePending}
 }
 
 // runScheduler runs the scheduler once. It returns its output with the clients' commands that wait, and
--- a/internal/cluster/router/call.go
+++ b/internal/cluster/router/call.go
@@ -16,8 +16,8 @@
 // is not: an earlier attempt without a response may have been accepted, so that the client is
 // told that the outcome is unknown. docs/control-safety.md has the whole table.
 type Call struct {
-	steps   []step
-	current int // index into steps
+	requests []leaderRequest
+	current  int // index into requests
 	// unanswered tells that an attempt had no response, or one that left its outcome open.
 	unanswered bool
 	// mayHaveEffect tells that such an attempt would have changed something.
@@ -25,21 +25,21 @@
 	pending       int // jobs counted by the shards so far
 }
 
-// step is one request to a shard's leader.
-type step struct {
+// leaderRequest is one request to a shard's leader.
+type leaderRequest struct {
 	shard   int
 	message any // a protocol.JobRequest or a protocol.SubmitRequest
-	kind    stepKind
+	kind    requestKind
 }
 
-type stepKind uint8
+type requestKind uint8
 
 const (
-	stepRead   stepKind = iota // state of a job: the first shard that knows it responds for all
-	stepCancel                 // likewise
-	stepCount                  // pending jobs of a queue: the sum over all shards
-	stepCheck                  // a former shard of the queue: goes on unless that knows the ID
-	stepSubmit
+	requestState  requestKind = iota // state of a job: the first shard that knows it responds for all
+	requestCancel                    // likewise
+	requestCount                     // pending jobs of a queue: the sum over all shards
+	requestCheck                     // a former shard of the queue: goes on unless that knows the ID
+	requestSubmit
 )
 
 // Progress is what the caller does after a response.
@@ -63,13 +63,13 @@
 // NewJobCall returns the call for a job's state, its cancellation, or the number of a queue's
 // pending jobs (with an empty ID). Other operations than these three are not for clients.
 func NewJobCall(v *View, route *opconfig.Route, operation protocol.JobOperation, id string) *Call {
-	kinds := map[protocol.JobOperation]stepKind{
-		protocol.GetJobState: stepRead, protocol.CancelJob: stepCancel, protocol.CountPending: stepCount,
+	kinds := map[protocol.JobOperation]requestKind{
+		protocol.GetJobState: requestState, protocol.CancelJob: requestCancel, protocol.CountPending: requestCount,
 	}
 	c := &Call{}
 	for _, shard := range v.shards(route) {
 		request := protocol.JobRequest{Verb: operation, Shard: shard, Queue: route.Queue(), ID: id, Version: v.Config.Version}
-		c.steps = append(c.steps, step{shard: shard, message: request, kind: kinds[operation]})
+		c.requests = append(c.requests, leaderRequest{shard: shard, message: request, kind: kinds[operation]})
 	}
 	return c
 }
@@ -86,10 +86,10 @@
 			Verb: protocol.CheckFormerShard, Shard: shard, Queue: route.Queue(), ID: id, Version: v.Config.Version,
 			Since: v.ServiceHistories[route.Queue()].Since, Hash: leader.BodyHash(body),
 		}
-		c.steps = append(c.steps, step{shard: shard, message: check, kind: stepCheck})
+		c.requests = append(c.requests, leaderRequest{shard: shard, message: check, kind: requestCheck})
 	}
 	submit := protocol.SubmitRequest{Shard: present, Queue: route.Queue(), ID: id, Body: body, Version: v.Config.Version, Route: *route}
-	c.steps = append(c.steps, step{shard: present, message: submit, kind: stepSubmit})
+	c.requests = append(c.requests, leaderRequest{shard: present, message: submit, kind: requestSubmit})
 	return c
 }
 
@@ -101,14 +101,14 @@
 
 // Next returns the shard whose leader is to be asked, and the message for it.
 func (c *Call) Next() (shard int, message any) {
-	return c.steps[c.current].shard, c.steps[c.current].message
+	return c.requests[c.current].shard, c.requests[c.current].message
 }
 
 // NoResponse records that an attempt at the request of Next had no response.
 func (c *Call) NoResponse() {
-	kind := c.steps[c.current].kind
+	kind := c.requests[c.current].kind
 	c.unanswered = true
-	c.mayHaveEffect = c.mayHaveEffect || kind == stepSubmit || kind == stepCancel
+	c.mayHaveEffect = c.mayHaveEffect || kind == requestSubmit || kind == requestCancel
 }
 
 // HandleResponse applies a response to the request of Next. The response that it returns is the
@@ -123,10 +123,10 @@
 	case response.Moved > 0:
 		return response, ConfigOutdated
 	}
-	switch c.steps[c.current].kind {
-	case stepCount:
+	switch c.requests[c.current].kind {
+	case requestCount:
 		return c.addCount(response)
-	case stepRead, stepCancel, stepCheck:
+	case requestState, requestCancel, requestCheck:
 		if response.Status == http.StatusGone {
 			return c.nextStep(response)
 		}
@@ -146,7 +146,7 @@
 
 // nextStep goes on to the next shard. The last shard's response is the client's.
 func (c *Call) nextStep(response protocol.JobResponse) (protocol.JobResponse, Progress) {
-	if c.current == len(c.steps)-1 {
+	if c.current == len(c.requests)-1 {
 		return response, Finished
 	}
 	c.current++
--- a/internal/cluster/scheduler/outbox.go
+++ b/internal/cluster/scheduler/outbox.go
@@ -4,11 +4,11 @@
 
 // outbox collects what is to be committed and sent until the caller takes it.
 type outbox struct {
-	epoch    uint64 // fencing token of all orders
-	commands []job.Command
-	orders   []Order
-	batch    uint64                    // number of the batch that the commands will be in
-	ends     map[uint64][]proposedEnds // by batch
+	epoch       uint64 // fencing token of all orders
+	commands    []job.Command
+	orders      []Order
+	batch       uint64                    // number of the batch that the commands will be in
+	endsByBatch map[uint64][]proposedEnds // by batch
 }
 
 // proposedEnds says that a batch holds a runner's reported ends up to a number.
@@ -18,7 +18,7 @@
 }
 
 func newOutbox(epoch uint64) outbox {
-	return outbox{epoch: epoch, ends: map[uint64][]proposedEnds{}}
+	return outbox{epoch: epoch, endsByBatch: map[uint64][]proposedEnds{}}
 }
 
 func (o *outbox) propose(c job.Command) { o.commands = append(o.commands, c) }
@@ -31,7 +31,7 @@
 // acknowledgeAfterCommit notes that the commands of the batch being collected hold a runner's
 // ends up to a number.
 func (o *outbox) acknowledgeAfterCommit(runner *runnerSession, through uint64) {
-	o.ends[o.batch] = append(o.ends[o.batch], proposedEnds{runner: runner, through: through})
+	o.endsByBatch[o.batch] = append(o.endsByBatch[o.batch], proposedEnds{runner: runner, through: through})
 }
 
 // take returns what was collected; commands only where they are asked for.
@@ -49,8 +49,8 @@
 
 // committed returns the ends that a batch held, once.
 func (o *outbox) committed(batch uint64) []proposedEnds {
-	ends := o.ends[batch]
-	delete(o.ends, batch)
+	ends := o.endsByBatch[batch]
+	delete(o.endsByBatch, batch)
 	return ends
 }
 
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -17,7 +17,8 @@
 //     reservations for aged work), urgency.go, patience.go (waiting for a runner near the data),
 //     gang.go, cost.go.
 //   - lease.go: task leases and polls; reconcile.go: what a runner's report says of its runs;
-//     unresponsive.go: runners that owe a reply; masstimeout.go: several that fall silent at once.
+//     unresponsive.go: runners whose reply is overdue; masstimeout.go: several that become so at
+//     once.
 //   - starts.go, stops.go, ends.go: the way of one run.
 //   - straggler.go (with progress.go), drain.go, speculation.go, suspicion.go: what is done about
 //     slow runs, runners that leave, runs that may be lost, and runners that fail.
@@ -129,7 +130,7 @@
 }
 
 func (s *Scheduler) inheritRun(j *job.Job, ref job.TaskRef, live job.Run) {
-	runner := s.session(live.Runner, live.Address)
+	runner := s.ensureSession(live.Runner, live.Address)
 	step := &j.Spec.Steps[ref.Step]
 	r := &run{runKey: runKey{task: ref, attempt: live.Attempt}, phase: phaseInherited, resources: step.Resources, orderedAt: s.now, resumed: true}
 	r.expected = s.learner.expected(j, ref.Step)
@@ -143,8 +144,8 @@
 // before it: that one read the runner's clock a while before.
 const takeoverSlack = 400 * time.Millisecond
 
-// session returns the session with one incarnation of a runner, made if there was none.
-func (s *Scheduler) session(id, address string) *runnerSession {
+// ensureSession returns the ensureSession with one incarnation of a runner, made if there was none.
+func (s *Scheduler) ensureSession(id, address string) *runnerSession {
 	runner := s.runners.byID[id]
 	if runner == nil {
 		runner = newRunnerSession(id, address, s.now)
@@ -174,7 +175,7 @@
 }
 
 func (s *Scheduler) updateRunner(listed Runner) {
-	runner := s.session(listed.ID, listed.Address)
+	runner := s.ensureSession(listed.ID, listed.Address)
 	runner.service, runner.labels, runner.capacity = listed.Service, listed.Labels, listed.Capacity
 	if listed.Draining && !runner.drain.draining {
 		s.log.Info("runner is draining", "runner", runner.id, "remaining_ms", listed.RemainingMs)
--- a/internal/cluster/simworld/node_test.go
+++ b/internal/cluster/simworld/node_test.go
@@ -267,7 +267,7 @@
 func (c *controlNode) runCycle(number int) {
 	shard := c.shards[number]
 	orders := shard.RunCycle()
-	for _, order := range orders.List {
+	for _, order := range orders.Orders {
 		c.sendOrder(shard, orders.Scheduler, order)
 	}
 	if orders.CyclePending {
