--- a/internal/dispatcher/httpfront/server.go
+++ b/internal/dispatcher/httpfront/server.go
@@ -154,7 +154,7 @@
 		for last := time.Now().Add(partialRequestWait + 2*answerTimeout); l.openConns() > 0 && time.Now().Before(last); {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("shutting the virtual server down: %w", ctx.Err())
+				return fmt.Errorf("shutting the HTTP front down: %w", ctx.Err())
 			case <-tick.C:
 			}
 		}
--- a/internal/dispatcher/server/assembly.go
+++ b/internal/dispatcher/server/assembly.go
@@ -105,7 +105,7 @@
 // addHTTPFront adds the front for HTTP clients.
 func (s *Service) addHTTPFront(front *httpfront.Server) {
 	c := &component{
-		name: "virtual server", listen: s.options.Config.Listen, inheritedFD: s.options.Config.AcceptFD,
+		name: "HTTP front", listen: s.options.Config.Listen, inheritedFD: s.options.Config.AcceptFD,
 		serve: func(_ context.Context, l net.Listener) error { return front.Serve(l, s.socketLimit/2) },
 		drain: func(ShutdownSchedule) { front.Drain() }, closeIdle: front.CloseIdleConnections, inFlight: front.InFlight, stop: front.Shutdown,
 	}
@@ -124,7 +124,7 @@
 	if s.fleet != nil {
 		api.SetFleet(s.fleet)
 	}
-	s.components = append(s.components, &component{name: "operators' door", listen: s.options.Config.Admin, serve: api.Serve})
+	s.components = append(s.components, &component{name: "admin API", listen: s.options.Config.Admin, serve: api.Serve})
 }
 
 // addFaktory adds the front for Faktory's clients and workers, and returns its counters.
--- a/internal/dispatcher/server/start_test.go
+++ b/internal/dispatcher/server/start_test.go
@@ -64,7 +64,7 @@
 			require.NoError(t, err)
 			cast["program"] = func() (scenario.Conn, error) { return end, nil }
 			if !freed {
-				scenario.RunScript(t, cast, nil, `program expect basaltloft: virtual server: listening: .*address already in use\n$`)
+				scenario.RunScript(t, cast, nil, `program expect basaltloft: HTTP front: listening: .*address already in use\n$`)
 				require.Error(t, end.(interface{ Wait() error }).Wait())
 				return
 			}
