--- a/internal/dispatcher/demo/fleetnode.go
+++ b/internal/dispatcher/demo/fleetnode.go
@@ -9,6 +9,7 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
+	"syscall"
 	"time"
 
 	"basaltloft/internal/dispatcher/fakes"
@@ -100,6 +101,26 @@
 	}
 }
 
+// abort ends the process at once and returns the end of its log, which has the stacks of its
+// goroutines.
+func (n *node) abort() string {
+	_ = n.cmd.Process.Signal(syscall.SIGQUIT) // it may have ended
+	defer time.AfterFunc(abortTimeout, func() { _ = n.cmd.Process.Kill() /* as before */ }).Stop()
+	for range n.ended {
+	}
+	text, err := os.ReadFile(filepath.Join(n.home, "log"))
+	if err != nil {
+		return err.Error()
+	}
+	return string(text[max(0, len(text)-maxStackBytes):])
+}
+
+// The stacks of a process that does not end.
+const (
+	abortTimeout  = 10 * time.Second // for the process to write them
+	maxStackBytes = 64 << 10
+)
+
 // lastLogLine is the last line of its log, for errors.
 func (n *node) lastLogLine() string {
 	text, err := os.ReadFile(filepath.Join(n.home, "log"))
@@ -111,8 +132,8 @@
 }
 
 // waitJoined waits until the process has a lease of the fleet.
-func (n *node) waitJoined(ctx context.Context) error {
-	for deadline := time.Now().Add(maxWait); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(pollInterval / 2) {
+func (n *node) waitJoined(ctx context.Context, within time.Duration) error {
+	for deadline := time.Now().Add(within); time.Now().Before(deadline) && ctx.Err() == nil; time.Sleep(pollInterval / 2) {
 		var status struct {
 			Incarnation uint64
 			Renewed     int `json:"renewed_ms"`
