--- a/internal/dispatcher/discovery/follower.go
+++ b/internal/dispatcher/discovery/follower.go
@@ -6,6 +6,7 @@
 	"context"
 	"fmt"
 	"io"
+	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -17,8 +18,6 @@
 	"basaltloft/internal/dispatcher/engine"
 	"basaltloft/internal/dispatcher/policy"
 	"basaltloft/internal/dispatcher/settings"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Source is the name of discovery's members in the engine.
@@ -37,17 +36,20 @@
 	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
-// Follower calls discovery. It implements engine.Lister. Its goroutines end with the context of New.
+// Follower calls discovery. It implements engine.Lister. Its goroutines end with the context of New, and Wait
+// waits for them.
 type Follower struct {
 	ctx       context.Context
 	schedule  CallSchedule
 	sink      MembershipSink
 	transport engine.Transport
-	log       logrus.FieldLogger
+	log       *slog.Logger
 
 	answered   chan struct{} // closed once a service has answered
 	answerOnce sync.Once
 
+	running sync.WaitGroup // the goroutines of calls and watches
+
 	mu      sync.Mutex
 	current *service
 }
@@ -70,7 +72,7 @@
 // calls end with ctx.
 func New(
 	ctx context.Context, addr string, schedule CallSchedule, sink MembershipSink, transport engine.Transport,
-	log logrus.FieldLogger,
+	log *slog.Logger,
 ) *Follower {
 	f := &Follower{
 		ctx: ctx, schedule: schedule, sink: sink, transport: transport, log: log,
@@ -146,6 +148,10 @@
 	}
 }
 
+// Wait returns once all goroutines have ended. It must be called once the context of New has ended and no
+// other method is called any more.
+func (f *Follower) Wait() { f.running.Wait() }
+
 // Watch implements engine.Lister. There is one watch at a time, also while it waits to repeat a call.
 func (f *Follower) Watch(on bool) {
 	f.mu.Lock()
@@ -163,7 +169,7 @@
 func (f *Follower) startWatch(s *service) {
 	ctx, stop := context.WithCancel(s.ctx)
 	s.stopWatch = stop
-	go f.watch(ctx, s)
+	f.running.Go(func() { f.watch(ctx, s) })
 }
 
 // Fetch implements engine.Lister.
@@ -171,7 +177,7 @@
 	f.mu.Lock()
 	s := f.current
 	f.mu.Unlock()
-	go func() {
+	f.running.Go(func() {
 		_, until := f.schedule.Timeouts(time.Now(), false, false)
 		l, err := s.call(s.ctx, nil, until)
 		if err != nil {
@@ -179,7 +185,7 @@
 			return
 		}
 		f.deliver(s.ctx, s, l, policy.ListSnapshot, true)
-	}()
+	})
 }
 
 // watch calls again as soon as it is answered: a gap of over 200 ms would end the watch, and changes in it
@@ -230,7 +236,7 @@
 		return 1
 	}
 	if s.failures++; s.failures == 1 {
-		f.log.WithError(err).Warn("a call to discovery failed")
+		f.log.Warn("a call to discovery failed", "error", err)
 	}
 	f.sink.UpdateMembers(Source, policy.ListFailed, nil)
 	return s.failures
@@ -246,7 +252,7 @@
 		return
 	}
 	if s.failures > 0 {
-		f.log.WithField("failed", s.failures).Info("discovery answers again")
+		f.log.Info("discovery answers again", "failed", s.failures)
 	}
 	// Changes up to a version older than the one that they follow are of another incarnation of the
 	// service: what came before them is not known.
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -8,7 +8,8 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
+	"basaltloft/internal/dispatcher/logging/logtest"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -24,6 +25,13 @@
 	return near.(*limitedConn), far
 }
 
+// rest moves a connection to those that rest after they were of use.
+func (c *limitedConn) rest() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.moveTo(&c.listener.idleUsed)
+}
+
 func listening(t *testing.T, most int) *limitedListener {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -32,6 +40,20 @@
 	return newLimitedListener(l, most)
 }
 
+// serve lets a server serve that many connections until the test ends, and returns its address.
+func serve(t *testing.T, s *Server, most int) (addr string) {
+	t.Helper()
+	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l, most) }()
+	t.Cleanup(func() {
+		_ = s.server.Close() // what is wrong with its connections matters to no test
+		require.NoError(t, <-served)
+	})
+	return l.Addr().String()
+}
+
 // look is a look for a victim as Accept does it, a minute later.
 func (l *limitedListener) look() (c *limitedConn, in time.Duration) {
 	l.mu.Lock()
@@ -94,9 +116,7 @@
 func TestReadIsNoted(t *testing.T) {
 	l := listening(t, 1)
 	c, far := arrive(t, l)
-	l.mu.Lock()
-	c.moveTo(&l.idleUsed)
-	l.mu.Unlock()
+	c.rest()
 	got, begun := make(chan string, 1), make(chan struct{})
 	go func() {
 		b := make([]byte, 4)
@@ -170,12 +190,8 @@
 // with it its place, which nobody else could have had: it passes for served.
 func TestUntaken(t *testing.T) {
 	t.Parallel()
-	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	s := New(nil, nil, logrus.New())
-	go func() { _ = s.Serve(l, 1) }()
-	defer func() { _ = s.server.Close() }()
-	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
+	s := New(nil, nil, logtest.Discard())
+	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", serve(t, s, 1))
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	asks := bytes.Repeat([]byte("GET /health/live HTTP/1.1\r\nHost: app\r\n\r\n"), 1000)
