--- a/internal/dispatcher/adminapi/server.go
+++ b/internal/dispatcher/adminapi/server.go
@@ -46,7 +46,8 @@
 	// requestTimeout bounds the reading of a request, which is a few bytes, so that callers
 	// that send nothing, or half a request, soon free their connection.
 	requestTimeout = 400 * time.Millisecond
-	// responseTimeout bounds the writing of a response.
+	// responseTimeout bounds the writing of a response. The time that an operation takes does not
+	// count: what was done is answered.
 	responseTimeout = 400 * time.Millisecond
 	maxHeaderBytes  = 4 << 10
 	// maxUpdateBytes is as much as the clients' address takes: a result of the greatest size,
@@ -126,11 +127,13 @@
 	}
 	if drain {
 		s.operations.Drain()
+		beginResponse(w)
 		s.log.Info("the operators drain this dispatcher")
 		respondLine(w, "draining")
 		return
 	}
 	s.operations.Undrain()
+	beginResponse(w)
 	s.log.Info("the operators end the drain")
 	respondLine(w, "serving")
 }
@@ -150,7 +153,9 @@
 	if state == "ready" {
 		set, reply, message = s.operations.PutBack, "back", "the operators put a runner back"
 	}
-	switch err := set(id); {
+	err := set(id)
+	beginResponse(w)
+	switch {
 	case errors.Is(err, ErrUnknownRunner):
 		s.reject(w, r, http.StatusNotFound, err.Error())
 	case err != nil:
@@ -178,13 +183,22 @@
 		s.reject(w, r, http.StatusRequestEntityTooLarge, "news too large")
 		return
 	}
-	if err := s.operations.HandleForwardedUpdate(body); err != nil {
+	err = s.operations.HandleForwardedUpdate(body)
+	beginResponse(w)
+	if err != nil {
 		s.reject(w, r, http.StatusBadRequest, err.Error())
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// beginResponse gives the writing of a response its time, however long the operation before it
+// took: the server's own deadline counts from the request.
+func beginResponse(w http.ResponseWriter) {
+	// It fails on a connection that is closed, as the write does.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
+}
+
 // respondLine responds with one line of text. What was asked for has been done, whether or not
 // the caller still reads the response.
 func respondLine(w io.Writer, text string) { _, _ = fmt.Fprintln(w, text) }
--- a/internal/dispatcher/adminapi/server_test.go
+++ b/internal/dispatcher/adminapi/server_test.go
@@ -1,10 +1,20 @@
 package adminapi_test
 
 import (
+	"bufio"
+	"context"
+	"net"
+	"net/http"
 	"strings"
 	"testing"
+	"testing/synctest"
+	"time"
 
+	"basaltloft/internal/dispatcher/adminapi"
+	"basaltloft/internal/dispatcher/logging/logtest"
 	"basaltloft/internal/dispatcher/scenario"
+
+	"github.com/stretchr/testify/require"
 )
 
 // job is served by the runner named.
@@ -74,3 +84,55 @@
 	program close
 	program wait`)
 }
+
+// slowOperations are operations that each take a time.
+type slowOperations time.Duration
+
+func (o slowOperations) wait() { <-time.After(time.Duration(o)) }
+
+func (o slowOperations) Serving() bool                      { return true }
+func (o slowOperations) TakeOut(string) error               { o.wait(); return nil }
+func (o slowOperations) PutBack(string) error               { o.wait(); return adminapi.ErrUnknownRunner }
+func (o slowOperations) Drain()                             { o.wait() }
+func (o slowOperations) Undrain()                           { o.wait() }
+func (o slowOperations) HandleForwardedUpdate([]byte) error { o.wait(); return nil }
+
+// pipeListener accepts the ends of pipes.
+type pipeListener chan net.Conn
+
+func (l pipeListener) Accept() (net.Conn, error) {
+	conn, ok := <-l
+	if !ok {
+		return nil, net.ErrClosed
+	}
+	return conn, nil
+}
+func (l pipeListener) Close() error   { close(l); return nil }
+func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// TestSlowOperation: an operation is answered however long it took.
+func TestSlowOperation(t *testing.T) {
+	for call, status := range map[string]int{
+		"/runners/r1/maint": http.StatusOK, "/runners/r1/ready": http.StatusNotFound, "/healthcheck/fail": http.StatusOK,
+		"/healthcheck/ok": http.StatusOK, "/_jobs/news": http.StatusNoContent,
+	} {
+		t.Run(call, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, stop := context.WithCancel(t.Context())
+				listener, served := make(pipeListener), make(chan error, 1)
+				go func() { served <- adminapi.New(slowOperations(time.Minute), logtest.Discard()).Serve(ctx, listener) }()
+				client, server := net.Pipe()
+				listener <- server
+				_, err := client.Write([]byte("POST " + call + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"))
+				require.NoError(t, err)
+				response, err := http.ReadResponse(bufio.NewReader(client), nil)
+				require.NoError(t, err)
+				require.Equal(t, status, response.StatusCode)
+				require.NoError(t, response.Body.Close())
+				require.NoError(t, client.Close())
+				stop()
+				require.NoError(t, <-served)
+			})
+		})
+	}
+}
