--- a/internal/cluster/scheduler/cycle.go
+++ b/internal/cluster/scheduler/cycle.go
@@ -31,9 +31,13 @@
 // feasible runners whose budget has headroom, reserves the task's resources there, and proposes the
 // start, whose order leaves once that is committed. Work at the head that fits no budget holds up
 // the rest while some runner has the capacity for it; work for which none has the capacity is
-// passed by, and once it has aged a runner is reserved for it.
+// passed by, and once it has aged a runner is reserved for it. Nothing more starts while the start
+// window is full.
 func (s *Scheduler) runCycle() {
 	s.cycle.lastRun = s.now
+	if s.startWindow.full() {
+		return
+	}
 	ready := s.readyInAgedOrder()
 	if len(ready) == 0 {
 		return
@@ -44,9 +48,12 @@
 	}
 	reserved := 0
 	for _, group := range ready {
+		if s.startWindow.full() {
+			return
+		}
 		request := s.requestFor(group)
 		result := s.assign(group, request)
-		if len(group.pending) == 0 {
+		if len(group.pending) == 0 || result == placement.Found {
 			continue
 		}
 		group.queue.Wait(s.now, waitCause(request, group.step.Gang, result))
@@ -98,12 +105,12 @@
 }
 
 // assign starts as much of a group as fits, as many tasks at one runner as fit there. A result
-// other than Found says why the rest waits.
+// other than Found says why the rest waits; with Found it waits for the start window.
 func (s *Scheduler) assign(group *taskGroup, request *placement.Request) placement.Result {
 	if group.step.Gang {
 		return s.assignGang(group, request)
 	}
-	for len(group.pending) > 0 {
+	for len(group.pending) > 0 && !s.startWindow.full() {
 		request.Count = group.interchangeable()
 		chosen, result := s.chooseRunner(group, request)
 		if result != placement.Found {
@@ -175,6 +182,7 @@
 	r.expected *= runner.speed.factor.Value()
 	runner.suspicion.runStarted(s.now)
 	runner.load.add(r)
+	s.startWindow.start(r)
 	group.starting[index] = true
 	group.account(index).Started(group.queue.Waited(s.now))
 	s.learner.meanCost(group.job.Service).Add(request.Cost)
--- a/internal/cluster/scheduler/ends.go
+++ b/internal/cluster/scheduler/ends.go
@@ -50,6 +50,7 @@
 	if r == nil {
 		return
 	}
+	s.releaseStart(r)
 	group := s.groups.of(c.Task)
 	s.learner.runEnded(s.now, j, group, runner, r, c.EndReason)
 	if group != nil {
--- a/internal/cluster/scheduler/run.go
+++ b/internal/cluster/scheduler/run.go
@@ -41,6 +41,7 @@
 	orderDeadlineMs int64         // runner's clock: the order is not carried out after it
 	confirmedMs     int64         // runner's clock at the reply that confirmed it
 	startPolled     bool          // the runner was polled out of turn, since the reply was overdue
+	starting        bool          // it counts in the start window
 
 	remote      bool          // it runs away from its data's rack
 	resumed     bool          // from a checkpoint
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -18,7 +18,8 @@
 //     gang.go, cost.go.
 //   - lease.go: task leases and polls; reconcile.go: what a runner's report says of its runs;
 //     unresponsive.go: runners that owe a reply; masstimeout.go: several that fall silent at once.
-//   - starts.go, stops.go, ends.go: the way of one run.
+//   - starts.go, stops.go, ends.go: the way of one run; startwindow.go: how many starts are under
+//     way at once.
 //   - straggler.go (with progress.go), drain.go, speculation.go, suspicion.go: what is done about
 //     slow runs, runners that leave, runs that may be lost, and runners that fail.
 //   - learning.go: run times and speeds; lateness.go: where the time of late jobs went;
@@ -70,6 +71,7 @@
 	sequence *sequence
 
 	cycle       cycle
+	startWindow startWindow
 	patience    rackPatience
 	learner     *runTimeLearner
 	leases      *leaseManager
--- a/internal/cluster/scheduler/scheduler_test.go
+++ b/internal/cluster/scheduler/scheduler_test.go
@@ -460,3 +460,37 @@
 	require.Zero(t, w.startedAt(id))
 	require.Equal(t, job.StateCanceled, w.store.Jobs[id].State)
 }
+
+// TestBacklogStartsThroughASlowNode: after a loss of the whole control plane the new leader finds
+// more work than its node can order within the deadline of an order. What can't be ordered in time
+// has to wait here: ordered all the same it would start nothing, cost as much as what starts, and
+// keep the node from ever catching up.
+func TestBacklogStartsThroughASlowNode(t *testing.T) {
+	const jobs, tasks = 80, 25
+	w := newWorld(t, 21, 250)
+	spec := oneTask(400, 500)
+	spec.Steps[0].Count = tasks
+	for range jobs {
+		w.submit(spec, false)
+	}
+	w.startScheduler()
+	w.sendTime = time.Second / 1300 // of polls, too
+	began := w.now
+	for w.ended() < jobs && w.now < began+time.Minute {
+		w.run(100 * time.Millisecond)
+	}
+	t.Logf("%d jobs in %v, %d of %d orders to start in vain", w.ended(), w.now-began, w.startsInVain, w.startOrders)
+	require.Less(t, w.now-began, 8*time.Second)
+	require.Less(t, w.startsInVain, w.startOrders/10)
+}
+
+// ended returns how many jobs have.
+func (w *world) ended() int {
+	count := 0
+	for _, j := range w.store.Jobs {
+		if j.State.Terminal() {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/cluster/scheduler/starts.go
+++ b/internal/cluster/scheduler/starts.go
@@ -21,7 +21,7 @@
 	r := runner.load.runs[key]
 	j := s.store.Jobs[c.Task.Job]
 	if outcome != job.Applied {
-		runner.load.remove(key)
+		s.releaseStart(runner.load.remove(key))
 		s.startResolved(j, c.Task)
 		return
 	}
@@ -71,7 +71,14 @@
 		runner.contact.replied(now, clockMs)
 	}
 	r := runner.load.runs[runKey{task: order.Task, attempt: order.Attempt}]
-	if r == nil || r.ending {
+	if r == nil {
+		return
+	}
+	if reply != StartNoReply {
+		s.startWindow.replied(now, now-r.orderedAt)
+	}
+	s.releaseStart(r)
+	if r.ending {
 		return
 	}
 	if reply == StartAccepted {
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -116,7 +116,11 @@
 	speculativeStarts int // starts beside another run of the same task
 	priorities        int
 	slowUntil         time.Duration
-	decisions         decisions // what the schedulers decided
+	sendTime          time.Duration // the leader's node sends its orders one after another, each in so long; 0: at once
+	sentUntil         time.Duration // when it has sent all
+	startOrders       int           // orders to start
+	startsInVain      int           // those of them that started nothing
+	decisions         decisions     // what the schedulers decided
 }
 
 func newWorld(t testing.TB, seed uint64, runners int) *world {
@@ -329,6 +333,10 @@
 	if w.now < w.slowUntil { // the leader is about to be lost; these arrive after the next one's first
 		way = w.between(100*time.Millisecond, 240*time.Millisecond) // within an order's time
 	}
+	if w.sendTime > 0 {
+		w.sentUntil = max(w.now, w.sentUntil) + w.sendTime
+		way += w.sentUntil - w.now
+	}
 	if w.random.Float64() < w.lateShare { // no answer; carried out seconds later
 		w.later(w.between(2*time.Second, 12*time.Second), func() { w.carryOut(order, func(func(*scheduler.Scheduler)) {}) })
 		w.later(time.Second, func() { w.unanswered(current, order) })
@@ -391,6 +399,10 @@
 		l.renewLease(order, answer)
 	case scheduler.OrderStart:
 		reply := l.start(order)
+		w.startOrders++
+		if reply != scheduler.StartAccepted {
+			w.startsInVain++
+		}
 		clock := l.clockMs()
 		answer(func(o *scheduler.Scheduler) { o.StartReplied(w.now, order, reply, clock) })
 	case scheduler.OrderStop:
