--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -19,7 +19,8 @@
 //   - lease.go: task leases and polls; reconcile.go: what a runner's report says of its runs;
 //     unresponsive.go: runners whose reply is overdue; masstimeout.go: several that become so at
 //     once.
-//   - starts.go, stops.go, ends.go: the way of one run.
+//   - starts.go, stops.go, ends.go: the way of one run; startwindow.go: how many starts are in
+//     flight at once.
 //   - straggler.go (with progress.go), drain.go, speculation.go, suspicion.go: what is done about
 //     slow runs, runners that leave, runs that may be lost, and runners that fail.
 //   - learning.go: run times and speeds; lateness.go: where the time of late jobs went;
@@ -71,6 +72,7 @@
 	sequence *sequence
 
 	cycle       cycle
+	startWindow startWindow
 	patience    rackPatience
 	learner     *runTimeLearner
 	leases      *leaseManager
@@ -144,7 +146,7 @@
 // before it: that one read the runner's clock a while before.
 const takeoverSlack = 400 * time.Millisecond
 
-// ensureSession returns the ensureSession with one incarnation of a runner, made if there was none.
+// ensureSession returns the session with one incarnation of a runner, made if there was none.
 func (s *Scheduler) ensureSession(id, address string) *runnerSession {
 	runner := s.runners.byID[id]
 	if runner == nil {
