--- a/internal/cluster/systemtest/cluster_test.go
+++ b/internal/cluster/systemtest/cluster_test.go
@@ -181,6 +181,9 @@
 
 const twoStageJob = `{"spec":"x","stages":[{"count":2,"cpu":500,"mem_mb":10,"estimate_ms":50},{"count":1,"cpu":500,"depends_on":[0]}]}`
 
+// twoStageTasks is how many tasks a twoStageJob has.
+const twoStageTasks = 3
+
 // operator returns an operator's request to a node.
 func (c *cluster) operator(node int, method, path, body string, base int) request {
 	return request{method: method, address: c.address(nodeIPs[node], httpOffset) + path, body: body, base: base}
@@ -271,10 +274,12 @@
 	return true
 }
 
-// requireStartedOnce checks that each task that was begun was begun once.
-func (c *cluster) requireStartedOnce() {
+// requireStartedOnce checks that so many tasks were begun, each of them once.
+func (c *cluster) requireStartedOnce(tasks int) {
 	c.t.Helper()
-	for task, count := range c.runner.StartCounts() {
+	counts := c.runner.StartCounts()
+	require.Len(c.t, counts, tasks)
+	for task, count := range counts {
 		require.Equal(c.t, 1, count, task)
 	}
 }
--- a/internal/cluster/systemtest/system_test.go
+++ b/internal/cluster/systemtest/system_test.go
@@ -32,8 +32,7 @@
 	c.submit("00000000000000a1")
 	c.submit("00000000000000a1")
 	c.awaitState("00000000000000a1", "completed")
-	c.requireStartedOnce()
-	require.Len(t, c.runner.StartCounts(), 3)
+	c.requireStartedOnce(twoStageTasks)
 
 	for _, test := range []struct {
 		name    string
@@ -100,5 +99,5 @@
 		c.requireConfiguration((node+1)%len(nodeIPs), 5+node, 6+node)
 		c.awaitAllVoting()
 	}
-	c.requireStartedOnce()
+	c.requireStartedOnce(2 * len(nodeIPs) * twoStageTasks)
 }
