--- a/internal/cluster/scheduler/cycle.go
+++ b/internal/cluster/scheduler/cycle.go
@@ -181,8 +181,8 @@
 	}
 	r.expected *= runner.speed.factor.Value()
 	runner.suspicion.runStarted(s.now)
+	s.startWindow.start(r, runner.load.runs[r.runKey])
 	runner.load.add(r)
-	s.startWindow.start(r)
 	group.starting[index] = true
 	group.account(index).Started(group.queue.Waited(s.now))
 	s.learner.meanCost(group.job.Service).Add(request.Cost)
--- a/internal/cluster/scheduler/speculation_test.go
+++ b/internal/cluster/scheduler/speculation_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"basaltloft/internal/cluster/job"
+
 	"github.com/stretchr/testify/require"
 )
 
@@ -27,3 +29,34 @@
 	group.step.Gang = true
 	require.False(t, policy.shouldStart(group, 0, task))
 }
+
+// TestEndBesideAProposedStart: the end of a task's uncertain run leaves the speculative start alone that is
+// proposed and not committed yet. Proposed again, under the same attempt number, it would be reserved twice
+// at its runner, and the rejection of the second one would take the first for over.
+func TestEndBesideAProposedStart(t *testing.T) {
+	s := newTestScheduler()
+	addRunner(s, "a")
+	group := submit(s, "j", job.Step{Count: 2, Resources: job.Resources{CPU: 4000}, Speculative: true})
+	group.job.Retries = 3
+	s.runCycle()
+	first := s.outbox.take(true).Commands
+	require.Len(t, first, 1, "no other runner has capacity for the second task")
+	outcome := s.store.Apply(first[0])
+	require.Equal(t, job.Applied, outcome)
+	s.startCommitted(first[0], outcome)
+	_, uncertain := s.runners.find(first[0].Task, group.task(first[0].Task.Index).Runs[0])
+	other := addRunner(s, "b")
+	addRunner(s, "c")
+	uncertain.uncertain = true
+	s.allowSpeculativeAttempt(s.runners.byID["a"], uncertain)
+	s.runCycle()
+	require.Len(t, s.outbox.take(true).Commands, 2, "the speculative attempt and the second task")
+	reserved := other.load.reserved
+
+	end := job.Command{Kind: job.EndRun, Task: first[0].Task, Attempt: first[0].Attempt, Runner: "a", EndReason: job.EndLost}
+	s.endCommitted(s.store.Jobs["j"], end, s.store.Apply(end))
+	require.Empty(t, group.pending, "each task has a start in flight")
+	s.runCycle()
+	require.Empty(t, s.outbox.take(true).Commands)
+	require.Equal(t, reserved, other.load.reserved)
+}
--- a/internal/cluster/scheduler/startwindow.go
+++ b/internal/cluster/scheduler/startwindow.go
@@ -52,10 +52,13 @@
 	return true
 }
 
-// start notes that a run's start was proposed.
-func (w *startWindow) start(r *run) {
+// start notes that a run's start was proposed. replaced is the run of the same task and attempt at the
+// same runner whose place it takes, if there is one: the two count once.
+func (w *startWindow) start(r, replaced *run) {
 	r.starting = true
-	w.inFlight++
+	if replaced == nil || !replaced.starting {
+		w.inFlight++
+	}
 }
 
 // release notes that a run's start has a reply or an end. It tells whether work waits for that.
--- a/internal/cluster/scheduler/world_test.go
+++ b/internal/cluster/scheduler/world_test.go
@@ -187,6 +187,7 @@
 	}
 	w.scheduler.Tick(w.now, w.wallMs())
 	out := w.scheduler.TakeOutput(w.now, true)
+	w.checkStartWindow()
 	w.decisions.record(w.now, &out)
 	if len(out.Commands) > 0 {
 		w.commit(out)
@@ -196,6 +197,15 @@
 	}
 }
 
+// checkStartWindow: each start in flight counts once, and none for much longer than an order without
+// an answer takes here. A start that counted for good would leave less and less room for others.
+func (w *world) checkStartWindow() {
+	const longestStart = 3 * time.Second
+	counted, starting, oldest := w.scheduler.StartsInFlight()
+	w.check(counted == starting, "START WINDOW", "it counts %d starts in flight, there are %d", counted, starting)
+	w.check(starting == 0 || w.now-oldest < longestStart, "START WINDOW", "a start of %v still counts", oldest)
+}
+
 // commit applies a batch after a while, in order.
 func (w *world) commit(out scheduler.Output) {
 	current, epoch := w.scheduler, w.epoch
