--- a/internal/cluster/controlplane/join.go
+++ b/internal/cluster/controlplane/join.go
@@ -69,6 +69,7 @@
 	if g == nil || !n.replicasRunning.Load() {
 		return
 	}
+	n.runnerListReader.joinRequested(request.Member.Address)
 	g.RequestJoin(request.Member)
 	address := leader.JoinRelayAddress(request, g.Leader(), n.self.ID)
 	request.Relayed = true
--- a/internal/cluster/controlplane/runnerlist.go
+++ b/internal/cluster/controlplane/runnerlist.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"net/url"
 	"reflect"
+	"slices"
 	"sync"
 	"time"
 
@@ -14,11 +15,12 @@
 
 	"basaltloft/coord/rpc"
 	"basaltloft/internal/cluster/job"
+	"basaltloft/internal/cluster/leader"
 	"basaltloft/internal/cluster/protocol"
 )
 
 // runnerListReader reads the platform's list of runners, in the one node that leads the configuration's
-// group, and sends it to the other nodes.
+// group, and sends it to the other nodes: the members of that group, and those that ask to join a group.
 type runnerListReader struct {
 	node     *Node
 	http     *http.Client
@@ -30,6 +32,8 @@
 	sequence uint64              // of the last list that this node has read
 	newest   protocol.RunnerList // the list that the shards of this node have
 	lastSent time.Time           // when a list was last sent to other nodes; zero: not in this epoch
+
+	applicants leader.Applicants
 }
 
 const (
@@ -185,11 +189,37 @@
 	if !due {
 		return
 	}
-	for _, address := range r.node.nodeAddresses() {
+	for _, address := range r.recipients() {
 		r.node.peers.sendOneWay(address, message)
 	}
 }
 
+// recipients returns the addresses of the nodes that lists are sent to.
+func (r *runnerListReader) recipients() []string {
+	addresses := r.node.nodeAddresses()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, address := range r.applicants.Addresses(r.node.now()) {
+		if !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses
+}
+
+// joinRequested notes that a node asked to join a group. One that is new has the newest list at once, if
+// this node has read it: the shards that it leads start nothing before.
+func (r *runnerListReader) joinRequested(address string) {
+	r.mu.Lock()
+	isNew := r.applicants.Requested(r.node.now(), address)
+	newest := r.newest
+	hasList := r.epoch != 0 && newest.Epoch == r.epoch
+	r.mu.Unlock()
+	if isNew && hasList {
+		r.node.peers.sendOneWay(address, newest)
+	}
+}
+
 // update passes a list to the shards of this node, unless a newer one came before.
 func (r *runnerListReader) update(message protocol.RunnerList) {
 	r.mu.Lock()
--- /dev/null
+++ b/internal/cluster/controlplane/runnerlist_test.go
@@ -0,0 +1,94 @@
+package controlplane
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"basaltloft/coord/replica"
+	"basaltloft/coord/rpc"
+	"basaltloft/internal/cluster/protocol"
+)
+
+// listRecorder is a control-plane node that takes lists of runners and nothing else.
+type listRecorder struct{ lists chan protocol.RunnerList }
+
+func (r listRecorder) HandleCall(any) any { return protocol.JobResponse{} }
+
+func (r listRecorder) HandleOneWay(body any) {
+	if list, ok := body.(protocol.RunnerList); ok {
+		r.lists <- list
+	}
+}
+
+// serveRecorder serves a listRecorder, and returns its address.
+func serveRecorder(t *testing.T) (listRecorder, string) {
+	t.Helper()
+	recorder := listRecorder{lists: make(chan protocol.RunnerList, 100)}
+	mux := http.NewServeMux()
+	mux.Handle(rpc.Path, rpc.NewServer(recorder))
+	server := httptest.NewServer(mux)
+	t.Cleanup(server.Close)
+	return recorder, strings.TrimPrefix(server.URL, "http://")
+}
+
+// TestRunnerListReachesNodesOutsideTheConfigurationsGroup: a node that is no member of the
+// configuration's group, since that has members enough, may lead a shard. It gets the list of runners as
+// soon as it asks to join a group, and again.
+func TestRunnerListReachesNodesOutsideTheConfigurationsGroup(t *testing.T) {
+	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = w.Write([]byte(`{"instances":[{"id":"i-1","backend":"desk","address":"127.0.0.1:1","state":"running"}]}`))
+	}))
+	defer platform.Close()
+	node := loneNode(t)
+	node.settings.CloudAPI.Address = strings.TrimPrefix(platform.URL, "http://")
+	ctx, stop := context.WithCancel(t.Context())
+	returned := make(chan error, 1)
+	go func() { returned <- node.Run(ctx) }()
+	defer func() {
+		stop()
+		require.NoError(t, <-returned)
+	}()
+	hasList := func() bool {
+		node.runnerListReader.mu.Lock()
+		defer node.runnerListReader.mu.Unlock()
+		return node.replicasRunning.Load() && len(node.runnerListReader.newest.List) == 1
+	}
+	require.Eventually(t, hasList, nodeTestTimeout, 10*time.Millisecond)
+
+	recorder, address := serveRecorder(t)
+	host, _, err := net.SplitHostPort(address)
+	require.NoError(t, err)
+	request := protocol.JoinRequest{Group: "jobs-0", Member: replica.Member{ID: "outside-" + host, Address: address}, Relayed: true}
+	for range 2 {
+		list := receiveList(t, recorder, func() { node.HandleOneWay(request) })
+		require.Len(t, list.List, 1)
+		require.Equal(t, "i-1", list.List[0].ID)
+	}
+	_, isMember := node.configGroup.Membership().Find(request.Member.ID)
+	require.False(t, isMember)
+}
+
+// receiveList returns the next list that comes while a node asks to join, as it does, again and again.
+func receiveList(t *testing.T, recorder listRecorder, askToJoin func()) protocol.RunnerList {
+	t.Helper()
+	ticker := time.NewTicker(joinInterval)
+	defer ticker.Stop()
+	deadline := time.After(nodeTestTimeout)
+	for {
+		askToJoin()
+		select {
+		case list := <-recorder.lists:
+			return list
+		case <-ticker.C:
+		case <-deadline:
+			t.Fatal("no list came")
+		}
+	}
+}
