--- a/internal/cluster/job/codec.go
+++ b/internal/cluster/job/codec.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Batches are encoded by hand: gob would describe its types in each of them, which is many times
-// the size of a command and of the work of decoding it.
+// Batches have a hand-written encoding. gob would add a description of its types to each batch, which is many
+// times the size of a command and takes many times as long to decode.
 
 // The first byte of a batch is its format. Batches of previousFormat, whose commands have no
 // queue and no version, may still be in a log on disk and are read; other formats are rejected.
@@ -17,10 +17,10 @@
 	previousFormat = 1
 )
 
-// ErrFormat is returned for a batch that can't be decoded.
+// ErrFormat is returned by DecodeBatch for a batch that can't be decoded.
 var ErrFormat = errors.New("a batch of commands can't be read: run the same version on all core machines")
 
-// Encode returns the batch as bytes.
+// Encode returns the encoded batch.
 func (b Batch) Encode() []byte {
 	buffer := []byte{batchFormat}
 	buffer = binary.AppendUvarint(buffer, uint64(len(b.Commands)))
@@ -58,13 +58,13 @@
 	return append(buffer, text...)
 }
 
-// decoder reads the fields of a batch in their order. After a fault it returns zero values only.
+// decoder reads the fields of a batch in order. Once failed is set, the values that it returns have no meaning.
 type decoder struct {
 	rest   []byte
 	failed bool
 }
 
-// advance goes past a number of n bytes; n is 0 or less where binary could not read it.
+// advance skips an encoded number of n bytes; n is 0 or less if package binary could not decode it.
 func (d *decoder) advance(n int) {
 	if n <= 0 {
 		d.failed = true
@@ -106,7 +106,7 @@
 	return text
 }
 
-// DecodeBatch reads a batch. It returns ErrFormat where that is not possible.
+// DecodeBatch returns the decoded batch, or ErrFormat if the content is not a valid batch.
 func DecodeBatch(content []byte) (Batch, error) {
 	d := &decoder{rest: content}
 	format := d.byte()
@@ -128,7 +128,7 @@
 	return batch, nil
 }
 
-// command reads a command of a batch in that format.
+// command reads one command of a batch of the given format.
 func (d *decoder) command(format byte) (Command, error) {
 	command := Command{Kind: CommandKind(d.byte()), EndReason: EndReason(d.byte())}
 	command.Task.Job = d.string()
--- a/internal/cluster/job/codec_test.go
+++ b/internal/cluster/job/codec_test.go
@@ -23,7 +23,8 @@
 	})
 }
 
-// TestBatchesOfThePreviousFormatAreRead: a log on disk may have them.
+// TestBatchesOfThePreviousFormatAreRead checks that batches of the previous format, which a log on disk may
+// still contain, are decoded.
 func TestBatchesOfThePreviousFormatAreRead(t *testing.T) {
 	content := []byte{1, 1, byte(job.StartRun), 0, 1, 'a', 0, 0, 3, 2, 1, 'r', 3, 'x', ':', '1', 0, 10}
 	batch, err := job.DecodeBatch(content)
--- a/internal/cluster/job/command.go
+++ b/internal/cluster/job/command.go
@@ -1,25 +1,25 @@
 package job
 
-// CommandKind says what a command does. Its numbers are stored in the log.
+// CommandKind is the kind of a command. Its numbers are stored in the log.
 type CommandKind uint8
 
-// Kinds of commands, with the fields of Command that each uses beside Kind and ProposedAtMs.
+// Kinds of commands, with the fields of Command that each uses in addition to Kind and ProposedAtMs.
 const (
 	AcceptJob      CommandKind = iota + 1 // Submission
-	OpenOccurrence                        // Task.Job, Task.Occurrence: its tasks exist from now on
+	OpenOccurrence                        // Task.Job, Task.Occurrence: creates the occurrence's tasks
 	StartRun                              // Task, Attempt, Runner, Address
 	EndRun                                // Task, Attempt, Runner, EndReason, Checkpoint
 	SaveCheckpoint                        // Task, Attempt, Checkpoint
 	CancelJob                             // Task.Job, Queue, ConfigVersion
 	ForgetJob                             // Task.Job
-	SealQueue                             // Queue, ConfigVersion: older configurations are rejected from now on
+	SealQueue                             // Queue, ConfigVersion: requests under older configurations are rejected from now on
 )
 
 // Command is one change of a shard's jobs.
 type Command struct {
 	Kind          CommandKind
 	Task          TaskRef
-	Attempt       int    // counts from 1, rising with each run of the task
+	Attempt       int    // counts from 1 and increases with each run of the task
 	Runner        string // ID of the runner's incarnation
 	Address       string // of the runner
 	EndReason     EndReason
@@ -30,8 +30,8 @@
 	ConfigVersion int64 // version of the configuration that the sender of the request had
 }
 
-// Submission is a job to be accepted, with the settings of its queue at this moment. The log has
-// it as JSON, under the names of the tags.
+// Submission is a job to be accepted, with the settings of its queue at the time of the submission. The log
+// stores it as JSON, with the names of the tags.
 type Submission struct {
 	ID            string  `json:"ID"`
 	Queue         string  `json:"Queue"` // host and path prefix
@@ -40,8 +40,8 @@
 	Spec          Spec    `json:"Spec"`
 	Priority      int     `json:"Priority"` // lower numbers are started first
 	Retries       int     `json:"Retries"`  // the job fails once a task, or a gang, has this many failed runs
-	TargetMs      int64   `json:"TargetMs"` // latency target, beside Extension
-	Extension     float64 `json:"Stretch"`  // latency target, as a multiple of the job's work
+	TargetMs      int64   `json:"TargetMs"` // fixed part of the latency target, in milliseconds
+	Extension     float64 `json:"Stretch"`  // proportional part of the latency target, as a multiple of the job's work
 	ConfigVersion int64   `json:"Version"`  // of the configuration under which it is accepted
 }
 
--- a/internal/cluster/job/digest.go
+++ b/internal/cluster/job/digest.go
@@ -5,9 +5,9 @@
 	"hash/fnv"
 )
 
-// Digest returns a hash of the whole state: equal on replicas whose states are equal, however they
-// came about. Builds that run beside each other compare it, so that it must cover the same values
-// in the same order in each: the order of the structs' fields is part of it, their names are not.
+// Digest returns a hash of the whole state. Replicas with equal states have equal digests, no matter how they
+// reached these states. Replicas of different builds compare their digests, so that each build must hash the
+// same values in the same order: the order of the structs' fields matters, their names don't.
 func (s *Store) Digest() uint64 {
 	digest := digestOf(s.Pending, s.Sealed)
 	for _, j := range s.Jobs {
@@ -17,7 +17,7 @@
 }
 
 func (j *Job) digest() uint64 {
-	hash := fnv.New64a() // which never returns an error
+	hash := fnv.New64a() // whose Write never returns an error
 	_, _ = fmt.Fprintln(hash, j.Submission, j.State, j.OpenOccurrences, j.ActiveRuns, j.AcceptedMs, j.EndedMs, j.CancelledBeforeAcceptance, len(j.Occurrences))
 	for _, occurrence := range j.Occurrences {
 		_, _ = fmt.Fprintln(hash, *occurrence)
--- a/internal/cluster/job/endreason.go
+++ b/internal/cluster/job/endreason.go
@@ -1,6 +1,6 @@
 package job
 
-// EndReason says how a run ended. Its numbers are stored in the log.
+// EndReason is the reason for the end of a run. Its numbers are stored in the log.
 type EndReason uint8
 
 // Reasons for the end of a run. All but the last two are reported by runners.
@@ -9,13 +9,13 @@
 	EndFailed                              // the task failed; it counts against the job's retries
 	EndStopped                             // stopped by an order
 	EndLeaseExpired                        // the runner stopped it because its task lease was not renewed
-	EndGangBroken                          // another member of its gang ended otherwise than done
+	EndGangBroken                          // another member of its gang ended for a reason other than EndDone
 	EndGangIncomplete                      // the other members of its gang did not start in time
 	EndRejected                            // it never began: the runner rejected the order to start it
 	EndLost                                // it is certainly over, but no runner has reported its end
 )
 
-// endReasonNames has the names of the runners' protocol.
+// endReasonNames maps the names of the runners' protocol to reasons.
 var endReasonNames = map[string]EndReason{
 	"done":    EndDone,
 	"failed":  EndFailed,
@@ -25,7 +25,7 @@
 	"alone":   EndGangIncomplete,
 }
 
-// ParseEndReason reads a reason as runners report it. An unknown one is taken as
+// ParseEndReason returns the reason for a name that a runner reported. For an unknown name it returns
 // EndLeaseExpired, which does not count as a failure.
 func ParseEndReason(name string) EndReason {
 	if reason, ok := endReasonNames[name]; ok {
--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -13,23 +13,23 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// Files under testdata, which commit 352ebf2 wrote: disks hold logs and snapshots of that build.
+// Files under testdata. Commit 352ebf2 wrote them; disks may hold logs and snapshots of that build.
 const (
-	commandsFile = "commands.bin" // one batch, as an entry of the log holds it
+	commandsFile = "commands.bin" // one batch, encoded as in an entry of the log
 	snapshotFile = "store.gob"    // the state after these commands
-	stateFile    = "store.json"   // the same, for readers and for comparison
+	stateFile    = "store.json"   // the same state as JSON, to read and to compare
 )
 
-// goldenSum is the digest of the state after the golden commands. Operators compare the digests
-// of core processes, also of different builds.
-const goldenSum = uint64(0x9ad330e130b2e2a4)
+// goldenDigest is the digest of the state after the golden commands. Operators compare the digests of core
+// processes, including those of different builds.
+const goldenDigest = uint64(0x9ad330e130b2e2a4)
 
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	return goldentest.Read(t, filepath.Join("testdata", name))
 }
 
-// acceptCommand submits a job with all fields of Submission filled.
+// acceptCommand returns a command that submits a job with all fields of Submission set.
 func acceptCommand(id, queue string, spec job.Spec) job.Command {
 	spec.Text = "text of " + id
 	return job.Command{Kind: job.AcceptJob, ProposedAtMs: 1000, Submission: &job.Submission{
@@ -37,12 +37,12 @@
 	}}
 }
 
-// plain is a job of one step of so many tasks.
+// plain returns a job of one step with the given number of tasks.
 func plain(tasks int) job.Spec {
 	return job.Spec{Steps: []job.Step{{Count: tasks, Resources: job.Resources{CPU: 500, MemMB: 64}, EstimateMs: 200}}}
 }
 
-// full is a job with all fields of its steps filled.
+// full returns a job with all fields of its steps set.
 func full() job.Spec {
 	return job.Spec{
 		Steps: []job.Step{
@@ -57,7 +57,7 @@
 	}
 }
 
-func timed() job.Spec {
+func repeated() job.Spec {
 	spec := plain(1)
 	spec.Repeats, spec.StartAtMs, spec.IntervalMs = 3, 5000, 250
 	return spec
@@ -75,7 +75,7 @@
 	return spec
 }
 
-func lasting() job.Spec {
+func longRunning() job.Spec {
 	spec := plain(1)
 	spec.Steps[0].LongRunning = true
 	return spec
@@ -111,7 +111,8 @@
 	movedQueue = "host/moved/"
 )
 
-// goldenCommands bring about jobs of all states. Each kind of command and each end of a run occurs.
+// goldenCommands returns commands that lead to jobs of all states. They include each kind of command and each
+// reason for the end of a run.
 func goldenCommands() []job.Command { //nolint:funlen // one list, in the order of the log
 	return []job.Command{
 		acceptCommand("pending", queue, full()),
@@ -124,7 +125,7 @@
 		startCommand(task("running", 0, 1, 0), 1, "runner-2"),
 		startCommand(task("running", 0, 1, 1), 1, "runner-3"),
 
-		acceptCommand("ends", queue, plain(8)), // each end of a run but done
+		acceptCommand("ends", queue, plain(8)), // each reason for the end of a run except EndDone
 		startCommand(task("ends", 0, 0, 1), 1, "runner-1"),
 		endCommand(task("ends", 0, 0, 1), 1, job.EndFailed, ""),
 		startCommand(task("ends", 0, 0, 2), 1, "runner-1"),
@@ -155,7 +156,7 @@
 		startCommand(task("gang", 0, 0, 0), 2, "runner-1"),
 		startCommand(task("gang", 0, 0, 1), 2, "runner-2"),
 
-		acceptCommand("timed", queue, timed()),
+		acceptCommand("timed", queue, repeated()),
 		dueCommand("timed", 0),
 		startCommand(task("timed", 0, 0, 0), 1, "runner-1"),
 		endCommand(task("timed", 0, 0, 0), 1, job.EndDone, ""),
@@ -163,7 +164,7 @@
 		startCommand(task("timed", 1, 0, 0), 1, "runner-1"),
 		endCommand(task("timed", 1, 0, 0), 1, job.EndFailed, "half"),
 
-		acceptCommand("lasting", queue, lasting()),
+		acceptCommand("lasting", queue, longRunning()),
 		startCommand(task("lasting", 0, 0, 0), 1, "runner-5"),
 
 		acceptCommand("completed", queue, plain(1)),
@@ -188,7 +189,7 @@
 		{Kind: job.ForgetJob, Task: job.TaskRef{Job: "forgotten"}, ProposedAtMs: 6000},
 
 		{Kind: job.SealQueue, Queue: movedQueue, ConfigVersion: 9, ProposedAtMs: 7000},
-		{ // all fields that a command of no kind has together
+		{ // all fields are set, which is the case for no real command
 			Kind: job.SaveCheckpoint, Task: task("nobody", 1, 2, 3), Attempt: 4, Runner: "runner", Address: "10.3.0.2:9000", EndReason: job.EndGangBroken,
 			Checkpoint: "saved", ProposedAtMs: 8000, Queue: otherQueue, ConfigVersion: 10,
 		},
@@ -203,8 +204,8 @@
 	return store
 }
 
-// The types from here on have the form of a snapshot at 352ebf2. Their fields' names are stored
-// and are never to be changed.
+// These types define the format of a snapshot at commit 352ebf2. The names of their fields are stored and must
+// never change.
 type (
 	storedStore struct {
 		Jobs    map[string]*storedJob
@@ -282,7 +283,7 @@
 	}
 )
 
-// stateOf reads a snapshot as a process of 352ebf2 does.
+// stateOf decodes a snapshot as a process of 352ebf2 does and returns it as JSON.
 func stateOf(t *testing.T, snapshot []byte) string {
 	t.Helper()
 	var stored storedStore
@@ -306,8 +307,8 @@
 	return store
 }
 
-// keepMissingFiles writes the golden files that do not exist yet, where that is asked for.
-func keepMissingFiles(t *testing.T) {
+// writeMissingFiles writes the golden files that do not exist yet, if goldentest.WriteVariable is set.
+func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	for name, content := range map[string][]byte{
 		commandsFile: job.Batch{Commands: goldenCommands()}.Encode(),
@@ -318,9 +319,10 @@
 	}
 }
 
-// TestGoldenCommandsAreRead: a batch of 352ebf2 has the same commands, and is written the same.
+// TestGoldenCommandsAreRead checks that a batch of 352ebf2 is decoded to the same commands, and that these are
+// encoded to the same bytes.
 func TestGoldenCommandsAreRead(t *testing.T) {
-	keepMissingFiles(t)
+	writeMissingFiles(t)
 	batch, err := job.DecodeBatch(golden(t, commandsFile))
 	require.NoError(t, err)
 	wanted := goldenCommands()
@@ -331,7 +333,8 @@
 	require.Equal(t, golden(t, commandsFile), job.Batch{Commands: wanted}.Encode())
 }
 
-// TestGoldenCommandsHaveTheSameOutcome: replicas of both builds apply the same log.
+// TestGoldenCommandsHaveTheSameOutcome checks that a log of 352ebf2 leads to the same state, since replicas of
+// both builds apply the same log.
 func TestGoldenCommandsHaveTheSameOutcome(t *testing.T) {
 	batch, err := job.DecodeBatch(golden(t, commandsFile))
 	require.NoError(t, err)
@@ -340,22 +343,22 @@
 		store.Apply(command)
 	}
 	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshotOf(t, store)))
-	require.Equal(t, goldenSum, store.Digest())
+	require.Equal(t, goldenDigest, store.Digest())
 }
 
-// TestGoldenSnapshotIsRead: all fields of a snapshot of 352ebf2 arrive, and a snapshot of this
-// build is read whole by a process of 352ebf2.
+// TestGoldenSnapshotIsRead checks that all fields of a snapshot of 352ebf2 are restored, and that a process of
+// 352ebf2 can restore all fields of a snapshot of this build.
 func TestGoldenSnapshotIsRead(t *testing.T) {
 	snapshot := golden(t, snapshotFile)
-	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshot), "the golden files belong together")
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshot), "the golden files match each other")
 	store := restored(t, snapshot)
 	require.Equal(t, restored(t, snapshotOf(t, goldenStore())), store)
-	require.Equal(t, goldenSum, store.Digest())
+	require.Equal(t, goldenDigest, store.Digest())
 	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshotOf(t, store)))
 }
 
-// TestGoldenSnapshotFieldByField checks one job with all that a job can have, by the names that
-// the code has now.
+// TestGoldenSnapshotFieldByField checks the restored fields under their present Go names, on one whole job and
+// on single fields of others.
 func TestGoldenSnapshotFieldByField(t *testing.T) {
 	store := restored(t, golden(t, snapshotFile))
 	require.Equal(t, map[string]int{queue: 2, otherQueue: 1}, store.Pending)
@@ -396,14 +399,14 @@
 
 	timed := store.Jobs["timed"]
 	require.Equal(t, 2, timed.OpenOccurrences)
-	require.Equal(t, &job.Occurrence{}, timed.Occurrences[0], "the first time is complete")
+	require.Equal(t, &job.Occurrence{}, timed.Occurrences[0], "the first occurrence is complete")
 	require.Equal(t, job.Task{Attempt: 1, Failed: 1, Listed: 2, Saved: "half"}, timed.Occurrences[1].Steps[0].Tasks[0])
 	require.Equal(t, []int64{3, 5000, 250}, []int64{int64(timed.Spec.Repeats), timed.Spec.StartAtMs, timed.Spec.IntervalMs})
 
 	require.Equal(t, &job.Job{Submission: job.Submission{ID: "withdrawn", Queue: queue}, State: job.StateCanceled, EndedMs: 4000, CancelledBeforeAcceptance: true}, store.Jobs["withdrawn"])
 }
 
-// TestRestoredGoldenSnapshotAppliesCommands: commands apply to a state that was read as they did before.
+// TestRestoredGoldenSnapshotAppliesCommands checks that commands have the same outcomes on a restored state.
 func TestRestoredGoldenSnapshotAppliesCommands(t *testing.T) {
 	store := restored(t, golden(t, snapshotFile))
 	require.Equal(t, job.AlreadyApplied, store.Apply(acceptCommand("pending", queue, full())), "submitted again")
@@ -419,7 +422,7 @@
 	require.Equal(t, job.Rejected, store.Apply(startCommand(task("ends", 0, 0, 7), 2, "runner-9")), "attempt 2 was used")
 }
 
-// TestStoredNumbers: constants that are stored keep their numbers, and names their texts.
+// TestStoredNumbers checks that stored constants keep their numbers and names their texts.
 func TestStoredNumbers(t *testing.T) {
 	require.Equal(t, []job.CommandKind{1, 2, 3, 4, 5, 6, 7, 8}, []job.CommandKind{job.AcceptJob, job.OpenOccurrence, job.StartRun, job.EndRun, job.SaveCheckpoint, job.CancelJob, job.ForgetJob, job.SealQueue})
 	require.Equal(t, []job.EndReason{1, 2, 3, 4, 5, 6, 7, 8}, []job.EndReason{
@@ -439,7 +442,7 @@
 	}
 }
 
-// TestClientsJobIsRead: a job as clients send it, with all fields of the protocol.
+// TestClientsJobIsRead checks that a job is parsed as clients send it, with all fields of the protocol.
 func TestClientsJobIsRead(t *testing.T) {
 	spec, err := job.ParseSpec([]byte(`{"spec":"text","repeats":2,"start_at_ms":3,"interval_ms":4,"stages":[
 		{"count":1},
--- a/internal/cluster/job/job.go
+++ b/internal/cluster/job/job.go
@@ -1,21 +1,20 @@
-// Package job has the replicated state of a shard's jobs: what was accepted, which runs of its
-// tasks were ordered and how they ended. It does no I/O and reads no clock: the same commands in
-// the same order change each replica's Store in the same way. What to start, and where, is decided
-// by package scheduler.
+// Package job implements the replicated state of a shard's jobs: the accepted jobs, the runs that were ordered
+// for their tasks, and how these runs ended. It does no I/O and reads no clock: the same commands in the same
+// order change each replica's Store in the same way. Package scheduler decides which tasks to start and where.
 //
-// Types are not safe for concurrent use. Snapshots and the log are read by other builds: see
-// storedjob.go and codec.go before a field or a number changes.
+// Types are not safe for concurrent use. Other builds read the snapshots and the log: see storedjob.go and
+// codec.go before you change a field or a number.
 package job
 
-// State is a job's state as clients see it. Its numbers are stored and sent.
+// State is a job's state as clients see it. Its numbers are stored and sent between processes.
 type State uint8
 
 // States of jobs.
 const (
-	StatePending   State = iota // accepted, nothing was started yet
-	StateRunning                // a run was started
+	StatePending   State = iota // accepted, no run was started yet
+	StateRunning                // at least one run was started
 	StateCompleted              // all tasks are done
-	StateFailed                 // a task, or a gang, has failed as often as it may
+	StateFailed                 // a task or a gang has failed as often as Submission.Retries allows
 	StateCanceled               // cancelled by the client
 )
 
@@ -27,29 +26,29 @@
 // Terminal reports whether the job is over: it starts no more runs and keeps this state.
 func (s State) Terminal() bool { return s >= StateCompleted }
 
-// Run is one run of a task that was ordered and is not known to be over. Snapshots store it under
-// these names.
+// Run is one run of a task that was ordered and is not known to be over. Snapshots store its fields under
+// their Go names.
 type Run struct {
 	Attempt int
 	Runner  string // ID of the runner's incarnation
 	Address string // of the runner
 }
 
-// Task is the state of one task. Snapshots store it under these names.
+// Task is the state of one task. Snapshots store its fields under their Go names.
 type Task struct {
-	Attempt int    // the highest number that was used
+	Attempt int    // the highest attempt number that was used
 	Failed  int    // runs that ended as EndFailed
 	Listed  uint64 // bit N: the end of attempt N was reported and counted
 	Done    bool
-	Saved   string // the newest checkpoint, where the task is not of a gang
+	Saved   string // the newest checkpoint, if the task does not belong to a gang
 	Runs    []Run  // more than one only in a speculative step
 }
 
-// trackedAttempts is how many attempts, from 0, the bit sets Listed and FailedAttempts tell
-// apart.
+// trackedAttempts is the number of attempts, counted from 0, that the bit sets Listed and FailedAttempts
+// distinguish.
 const trackedAttempts = 64
 
-// removeRun removes a run of that attempt. It returns whether there was one.
+// removeRun removes the run with that attempt number. It reports whether there was one.
 func (t *Task) removeRun(attempt int) bool {
 	for i, run := range t.Runs {
 		if run.Attempt == attempt {
@@ -60,13 +59,13 @@
 	return false
 }
 
-// isEndCounted reports whether the end of an attempt was reported and counted before; false for an attempt
-// above those that are tracked.
+// isEndCounted reports whether the end of an attempt was reported and counted before. It returns false for
+// attempts above those that are tracked.
 func (t *Task) isEndCounted(attempt int) bool {
 	return attempt < trackedAttempts && t.Listed>>attempt&1 == 1
 }
 
-// countEnd records that the end of an attempt was reported.
+// countEnd records that the end of an attempt was reported and counted.
 func (t *Task) countEnd(attempt int) {
 	if attempt < trackedAttempts {
 		t.Listed |= 1 << attempt
@@ -97,7 +96,8 @@
 	}
 }
 
-// saveCheckpoint keeps a checkpoint, if it is not empty: a gang's for the whole gang.
+// saveCheckpoint stores a checkpoint, if it is not empty. The checkpoint of a gang's member is stored for the
+// whole gang.
 func (s *StepState) saveCheckpoint(spec *Step, task *Task, checkpoint string) {
 	switch {
 	case checkpoint == "":
@@ -108,9 +108,9 @@
 	}
 }
 
-// Occurrence is the state of one run through all steps of a job. A job that is not repeated has one.
+// Occurrence is the state of one execution of all steps of a job. A job that is not repeated has one.
 type Occurrence struct {
-	Steps     []StepState // nil once it is over and nothing of it runs
+	Steps     []StepState // nil once the occurrence or its job is over and no run is active
 	OpenSteps int         // steps that are not complete
 }
 
@@ -118,18 +118,18 @@
 type Job struct {
 	Submission
 	State           State
-	Occurrences     []*Occurrence // those that have fallen due, by number; nil once the job is over and nothing of it runs
-	OpenOccurrences int           // occurrences that are not complete, also those to come
-	ActiveRuns      int           // runs that are not known to be over, of all tasks
-	AcceptedMs      int64         // Unix time in milliseconds, as EndedMs
-	EndedMs         int64
-	// CancelledBeforeAcceptance: only the ID and the queue are known. A late attempt to submit
-	// the job is always rejected.
+	Occurrences     []*Occurrence // those that have fallen due, by number; nil once the job is over and no run is active
+	OpenOccurrences int           // occurrences that are not complete, including future ones
+	ActiveRuns      int           // runs of all tasks that are not known to be over
+	AcceptedMs      int64         // Unix time in milliseconds
+	EndedMs         int64         // Unix time in milliseconds
+	// CancelledBeforeAcceptance is set if the job was cancelled before it was submitted. Only its ID and its
+	// queue are known, and a late attempt to submit it is always rejected.
 	CancelledBeforeAcceptance bool
 }
 
-// DependenciesComplete reports whether a step's tasks may start: the steps that it depends on are
-// complete.
+// DependenciesComplete reports whether all steps that a step depends on are complete, so that its tasks may
+// start.
 func (j *Job) DependenciesComplete(occurrence *Occurrence, step int) bool {
 	for _, dependency := range j.Spec.Steps[step].DependsOn {
 		if !occurrence.Steps[dependency].Complete() {
@@ -150,7 +150,7 @@
 	return AlreadyApplied
 }
 
-// Task returns a task's state and that of its step; nil where there is none, or none any more.
+// Task returns a task's state and that of its step, or nil if they don't exist or were already released.
 func (j *Job) Task(ref TaskRef) (*Task, *StepState) {
 	if ref.Occurrence >= len(j.Occurrences) || j.Occurrences[ref.Occurrence] == nil {
 		return nil, nil
@@ -166,7 +166,7 @@
 	return &step.Tasks[ref.Index], step
 }
 
-// openOccurrence makes the tasks of the occurrence with that number.
+// openOccurrence creates the tasks of the occurrence with that number.
 func (j *Job) openOccurrence(number int) {
 	steps := make([]StepState, len(j.Spec.Steps))
 	for i, step := range j.Spec.Steps {
@@ -178,7 +178,7 @@
 	j.Occurrences[number] = &Occurrence{Steps: steps, OpenSteps: len(steps)}
 }
 
-// mayStart reports whether the state allows a run.
+// mayStart reports whether the state allows a run of a task with that attempt number.
 func (j *Job) mayStart(task *Task, ref TaskRef, attempt int) bool {
 	step := &j.Spec.Steps[ref.Step]
 	switch {
@@ -192,8 +192,8 @@
 	return j.DependenciesComplete(j.Occurrences[ref.Occurrence], ref.Step)
 }
 
-// releaseFinished drops the state of tasks that nothing needs any more: of complete occurrences,
-// and of the whole job once it is over. It does nothing while runs may be active.
+// releaseFinished releases the state of tasks that is no longer needed: that of complete occurrences, and that
+// of the whole job once it is over. It does nothing while runs may be active.
 func (j *Job) releaseFinished() {
 	if j.ActiveRuns > 0 {
 		return
--- a/internal/cluster/job/resources.go
+++ b/internal/cluster/job/resources.go
@@ -19,7 +19,7 @@
 	return Resources{CPU: r.CPU - other.CPU, MemMB: r.MemMB - other.MemMB, GPU: r.GPU - other.GPU}
 }
 
-// Times returns what n tasks need that need r each.
+// Times returns the resources of n tasks that need r each.
 func (r Resources) Times(n int) Resources {
 	return Resources{CPU: r.CPU * int64(n), MemMB: r.MemMB * int64(n), GPU: r.GPU * int64(n)}
 }
--- a/internal/cluster/job/runs.go
+++ b/internal/cluster/job/runs.go
@@ -12,7 +12,7 @@
 	return Applied
 }
 
-// startRun records a run that is ordered from now on.
+// startRun records a run of a task. The run counts as ordered from now on.
 func (s *Store) startRun(j *Job, command Command) Outcome {
 	task, _ := j.Task(command.Task)
 	if task == nil || !j.mayStart(task, command.Task, command.Attempt) {
@@ -25,8 +25,7 @@
 	return Applied
 }
 
-// endRun applies the end of a run. A reported end counts once, also after the run was taken for
-// lost.
+// endRun applies the end of a run. A reported end counts once, even if the run was considered lost before.
 func (s *Store) endRun(j *Job, command Command) Outcome {
 	task, step := j.Task(command.Task)
 	if task == nil {
@@ -57,8 +56,8 @@
 	return Applied
 }
 
-// completeTask marks a task done, and with it its step, its occurrence and its job where it was
-// the last one.
+// completeTask marks a task as done. If the task was the last one of its step, occurrence or job, it completes
+// these too.
 func (s *Store) completeTask(j *Job, task *Task, step *StepState, command Command) {
 	spec := &j.Spec.Steps[command.Task.Step]
 	if task.Done || spec.LongRunning {
@@ -83,7 +82,7 @@
 	}
 }
 
-// failIfRetriesExhausted fails the job once a task, or a gang, has failed as often as it may.
+// failIfRetriesExhausted fails the job once a task or a gang has failed Retries times.
 func (s *Store) failIfRetriesExhausted(j *Job, task *Task, step *StepState, command Command) {
 	spec := &j.Spec.Steps[command.Task.Step]
 	if spec.LongRunning || task.Done {
@@ -98,7 +97,7 @@
 	}
 }
 
-// saveCheckpoint keeps a checkpoint of an active run.
+// saveCheckpoint stores a checkpoint of an active run.
 func (j *Job) saveCheckpoint(command Command) Outcome {
 	task, step := j.Task(command.Task)
 	if task == nil || task.Done {
--- a/internal/cluster/job/snapshot_bench_test.go
+++ b/internal/cluster/job/snapshot_bench_test.go
@@ -9,7 +9,7 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// storeOf returns a store of so many jobs, each with so many tasks of which one runs.
+// storeOf returns a store with the given number of jobs. Each has the given number of tasks, one of which runs.
 func storeOf(jobs, tasks int) *job.Store {
 	store := job.NewStore()
 	for number := range jobs {
--- a/internal/cluster/job/spec.go
+++ b/internal/cluster/job/spec.go
@@ -10,28 +10,28 @@
 // names are stored in snapshots.
 type Spec struct {
 	Text       string `json:"spec"`   // opaque to the scheduler, passed to the runners
-	Steps      []Step `json:"stages"` // the protocol's stages, each after those that it depends on
+	Steps      []Step `json:"stages"` // the protocol's stages; each comes after those that it depends on
 	Repeats    int    `json:"repeats"`
 	StartAtMs  int64  `json:"start_at_ms"` // Unix time in milliseconds
 	IntervalMs int64  `json:"interval_ms"`
 
-	// LongRunning and Speculative, where they are set for the job, hold for each of its steps.
+	// LongRunning and Speculative apply to each step if they are set for the job.
 	LongRunning bool `json:"long_running"`
 	Speculative bool `json:"speculative"`
 }
 
-// Step is one step of a job: a number of tasks that are alike.
+// Step is one step of a job: a number of equal tasks.
 type Step struct {
 	Count int `json:"count"` // tasks
 	Resources
 	EstimateMs   int64  `json:"estimate_ms"`   // the client's estimate of one task's run time
 	DependsOn    []int  `json:"depends_on"`    // indexes of earlier steps, which complete first
 	Checkpoints  bool   `json:"checkpoints"`   // its runs save checkpoints, from which later attempts resume
-	Gang         bool   `json:"gang"`          // its tasks run only all at the same time
+	Gang         bool   `json:"gang"`          // its tasks run all at the same time or not at all
 	SameRack     bool   `json:"same_rack"`     // of a gang: its tasks should run on one rack
 	Constraints  Labels `json:"constraints"`   // a runner must have all of them
-	Affinity     string `json:"affinity"`      // the rack that its data is on; empty: any
-	AntiAffinity int    `json:"anti_affinity"` // most of its tasks at one runner; 0: no limit
+	Affinity     string `json:"affinity"`      // the rack that has its data; empty: any
+	AntiAffinity int    `json:"anti_affinity"` // maximum number of its tasks on one runner; 0: no limit
 	Speculative  bool   `json:"speculative"`   // a task may have two runs at the same time
 	LongRunning  bool   `json:"long_running"`  // its tasks run until the job is cancelled
 }
@@ -63,7 +63,7 @@
 	maxTasks     = 100_000 // of all steps together
 )
 
-// ParseSpec decodes and validates a submitted job. An error says what the client must change.
+// ParseSpec decodes and validates a submitted job. An error describes what the client must change.
 func ParseSpec(body []byte) (Spec, error) {
 	var spec Spec
 	if err := json.Unmarshal(body, &spec); err != nil {
--- a/internal/cluster/job/store.go
+++ b/internal/cluster/job/store.go
@@ -1,12 +1,13 @@
 package job
 
-// Store holds the jobs of a shard. Only Apply and Restore change it; callers read its fields and what
-// they refer to. It is not safe for concurrent use.
+// Store holds the jobs of a shard. Only Apply and Restore change it; callers only read its fields and the
+// values that these refer to. It is not safe for concurrent use.
 type Store struct {
-	Jobs    map[string]*Job // by ID, also those that were cancelled before their acceptance
+	Jobs    map[string]*Job // by ID, including those that were cancelled before their acceptance
 	Pending map[string]int  // jobs in StatePending, by queue; queues without any are absent
-	// Sealed has, by queue that was moved to another shard, the version of the configuration that
-	// moved it: under an older one nothing is accepted or cancelled before acceptance here.
+	// Sealed holds, for each queue that was moved to another shard, the version of the configuration that
+	// moved it. Requests under an older version can neither submit a job of the queue nor cancel one before
+	// its acceptance.
 	Sealed map[string]int64
 }
 
@@ -24,8 +25,8 @@
 	return j, true
 }
 
-// Apply carries out a command of the replicated log. An unknown kind is Rejected. The changes of runs
-// and occurrences are in runs.go.
+// Apply applies a command of the replicated log. It returns Rejected for an unknown kind. The commands for
+// runs and occurrences are in runs.go.
 func (s *Store) Apply(command Command) Outcome {
 	switch command.Kind {
 	case AcceptJob:
@@ -72,8 +73,8 @@
 	return Applied
 }
 
-// cancel cancels a job. Where there is none of that ID, a submission may still be on its way: the
-// ID is kept, so that it is rejected.
+// cancel cancels a job. If there is no job with that ID, a submission may still be in flight: the ID is
+// recorded so that this submission is rejected.
 func (s *Store) cancel(command Command) Outcome {
 	j := s.Jobs[command.Task.Job]
 	switch {
@@ -89,7 +90,7 @@
 	return Applied
 }
 
-// cancelBeforeAcceptance keeps the ID of a job that is not known, unless its queue was moved.
+// cancelBeforeAcceptance records the ID of an unknown job, unless its queue was moved.
 func (s *Store) cancelBeforeAcceptance(command Command) Outcome {
 	if command.ConfigVersion < s.Sealed[command.Queue] {
 		return QueueMoved
@@ -103,8 +104,8 @@
 	return UnknownJob
 }
 
-// seal rejects from now on what comes under configurations older than the one that moved the queue
-// to another shard.
+// seal records the version of the configuration that moved a queue to another shard. Requests under older
+// configurations are rejected from now on.
 func (s *Store) seal(command Command) Outcome {
 	if s.Sealed[command.Queue] >= command.ConfigVersion {
 		return AlreadyApplied
@@ -113,7 +114,7 @@
 	return Applied
 }
 
-// forget removes a job that is over and of which nothing runs.
+// forget removes a job that is over and has no active runs.
 func (s *Store) forget(j *Job) Outcome {
 	if !j.State.Terminal() || j.ActiveRuns > 0 {
 		return Rejected
--- a/internal/cluster/job/store_test.go
+++ b/internal/cluster/job/store_test.go
@@ -23,13 +23,13 @@
 	return job.Command{Kind: job.EndRun, Task: ref(step, index), Attempt: attempt, EndReason: reason, Runner: "r"}
 }
 
-// expectation is a command and the outcome that it must have.
+// expectation is a command and its expected outcome.
 type expectation struct {
 	command job.Command
 	outcome job.Outcome
 }
 
-// apply applies commands in their order.
+// apply applies commands in order and checks their outcomes.
 func apply(t *testing.T, s *job.Store, expectations ...expectation) {
 	t.Helper()
 	for i, expected := range expectations {
@@ -51,7 +51,7 @@
 	require.Equal(t, job.StateRunning, s.Jobs["a"].State)
 	apply(t, s, expectation{end(1, 0, 1, job.EndDone), job.Applied})
 	require.Equal(t, job.StateCompleted, s.Jobs["a"].State)
-	require.Empty(t, s.Jobs["a"].Occurrences, "what is over is trimmed")
+	require.Empty(t, s.Jobs["a"].Occurrences, "the state of finished tasks is released")
 }
 
 func TestAttemptsRiseAndRunOneAtATime(t *testing.T) {
@@ -94,12 +94,12 @@
 		expectation{start(0, 0, 1), job.Applied}, expectation{start(0, 1, 1), job.Applied},
 		expectation{end(0, 0, 1, job.EndFailed), job.Applied}, expectation{end(0, 1, 1, job.EndFailed), job.Applied},
 	)
-	require.Equal(t, job.StateRunning, s.Jobs["a"].State, "one attempt of the gang has failed, by two members")
+	require.Equal(t, job.StateRunning, s.Jobs["a"].State, "one attempt of the gang has failed, reported by two members")
 	apply(t, s, expectation{start(0, 0, 2), job.Applied}, expectation{start(0, 1, 2), job.Applied}, expectation{end(0, 0, 2, job.EndDone), job.Applied})
-	require.Equal(t, job.StateCompleted, s.Jobs["a"].State, "one end done stands for all")
+	require.Equal(t, job.StateCompleted, s.Jobs["a"].State, "one EndDone counts for all members")
 }
 
-func TestCheckpointOfAGangIsAnyMembers(t *testing.T) {
+func TestCheckpointOfAnyMemberCountsForItsGang(t *testing.T) {
 	s := job.NewStore()
 	stopped := end(0, 1, 1, job.EndStopped)
 	stopped.Checkpoint = "progress"
@@ -149,7 +149,7 @@
 	require.False(t, ok)
 }
 
-// randomCommand draws a command that may or may not fit the state.
+// randomCommand returns a random command, which the state may or may not allow.
 func randomCommand(r *rand.Rand) job.Command {
 	reasons := []job.EndReason{job.EndDone, job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken, job.EndLost, job.EndRejected}
 	id := string(rune('a' + r.IntN(3)))
@@ -168,8 +168,8 @@
 	return c
 }
 
-// TestReplicasAgree applies the same batches to two stores, one of which is restored from
-// snapshots all the while; each batch passes through its encoding.
+// TestReplicasAgree applies the same batches to two stores and compares the outcomes and the final states. The
+// second store gets each batch encoded and decoded, and is restored from a snapshot after each batch.
 func TestReplicasAgree(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -196,16 +196,16 @@
 	}
 }
 
-// TestCancelBeforeAcceptanceRejectsALateSubmission: a submission that was in flight when the job's
-// cancellation was answered is rejected for good.
+// TestCancelBeforeAcceptanceRejectsALateSubmission checks that a submission that was in flight when the job's
+// cancellation was answered is rejected until the ID is forgotten.
 func TestCancelBeforeAcceptanceRejectsALateSubmission(t *testing.T) {
 	s := job.NewStore()
 	submission := accept(job.Spec{Steps: []job.Step{{Count: 1}}})
 	cancel := job.Command{Kind: job.CancelJob, Task: job.TaskRef{Job: "a"}, Queue: submission.Submission.Queue}
 	forget := job.Command{Kind: job.ForgetJob, Task: job.TaskRef{Job: "a"}}
 	apply(t, s, expectation{cancel, job.UnknownJob}, expectation{cancel, job.UnknownJob}, expectation{submission, job.CancelledBeforeAcceptance})
-	_, shown := s.Lookup(submission.Submission.Queue, "a")
-	require.False(t, shown, "nobody submitted it")
+	_, found := s.Lookup(submission.Submission.Queue, "a")
+	require.False(t, found, "the job was not submitted")
 	require.Empty(t, s.Pending)
 	apply(t, s, expectation{start(0, 0, 1), job.Rejected}, expectation{forget, job.Applied}, expectation{submission, job.Applied}, expectation{cancel, job.Applied})
 	elsewhere := cancel
@@ -214,8 +214,8 @@
 	require.Equal(t, job.StateCanceled, s.Jobs["a"].State)
 }
 
-// TestSealedQueueRejectsOlderConfigurations: under a configuration older than the seal, neither a job is
-// accepted nor one cancelled before its acceptance.
+// TestSealedQueueRejectsOlderConfigurations checks that under a configuration older than that of the seal no job
+// is accepted, and none is cancelled before its acceptance.
 func TestSealedQueueRejectsOlderConfigurations(t *testing.T) {
 	s := job.NewStore()
 	before, after, other := accept(job.Spec{Steps: []job.Step{{Count: 1}}}), accept(job.Spec{Steps: []job.Step{{Count: 1}}}), accept(job.Spec{Steps: []job.Step{{Count: 2}}})
--- a/internal/cluster/job/storedjob.go
+++ b/internal/cluster/job/storedjob.go
@@ -7,14 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The types from here on are the first form of a snapshot, encoded by gob, which stores the names of
-// fields. Snapshots on disk and from processes of other builds have these names: never rename a field
-// here. Spec, Step, Resources, Task and Run are stored as they are: a job may have 100,000 tasks, and a
-// conversion of each made a snapshot some 40 % slower.
+// These types define the first format of snapshots. It is encoded by gob, which stores the names of fields.
+// Snapshots on disk and from processes of other builds have these names: never rename a field here. Spec,
+// Step, Resources, Task and Run are stored directly: a job may have 100,000 tasks, and converting each of them
+// made a snapshot about 40 % slower.
 //
-// The types' own names are stored too, though nothing reads them. They are as long together as those of
-// the first build, so that a snapshot has the same size and travels in as many chunks: the simulated
-// world replays its recorded days.
+// gob also stores the names of the types, though nothing reads them. Their total length is the same as in the
+// first build, so that a snapshot has the same size and is sent in the same number of chunks. Otherwise the
+// replayed simulations of package simworld would no longer match their recordings.
 type (
 	form1 struct { // of a Store
 		Jobs    map[string]*job1
@@ -59,7 +59,7 @@
 	}
 )
 
-// Snapshot returns the whole state, encoded.
+// Snapshot returns the encoded state of the store.
 func (s *Store) Snapshot() ([]byte, error) {
 	stored := form1{Jobs: make(map[string]*job1, len(s.Jobs)), Pending: s.Pending, Sealed: s.Sealed}
 	for id, j := range s.Jobs {
@@ -70,7 +70,7 @@
 	return body.Bytes(), errors.Wrap(err, "encode the jobs")
 }
 
-// Restore replaces the whole state by that of a snapshot. After an error it is as it was.
+// Restore replaces the state of the store by that of a snapshot. After an error the state is unchanged.
 func (s *Store) Restore(content []byte) error {
 	stored := form1{Jobs: map[string]*job1{}, Pending: map[string]int{}, Sealed: map[string]int64{}}
 	if err := gob.NewDecoder(bytes.NewReader(content)).Decode(&stored); err != nil {
@@ -156,7 +156,7 @@
 	return StepState{Tasks: s.Tasks, DoneTasks: s.Done, Checkpoint: s.Saved, FailedAttempts: s.Fails}
 }
 
-// convertAll converts each element. The result of nil is nil, as gob stores no empty slices.
+// convertAll returns the converted elements of a list, or nil for a nil list, as gob stores no empty slices.
 func convertAll[From, To any](list []From, convert func(From) To) []To {
 	if list == nil {
 		return nil
--- a/internal/cluster/job/storedjob_test.go
+++ b/internal/cluster/job/storedjob_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSnapshotHasTheSizeOfTheFirstBuild: as many chunks travel as before.
+// TestSnapshotHasTheSizeOfTheFirstBuild checks that a snapshot is as large as that of the first build, so that
+// it is sent in the same number of chunks.
 func TestSnapshotHasTheSizeOfTheFirstBuild(t *testing.T) {
 	require.Len(t, snapshotOf(t, goldenStore()), len(golden(t, snapshotFile)))
 }
--- a/internal/cluster/job/taskref.go
+++ b/internal/cluster/job/taskref.go
@@ -15,7 +15,7 @@
 	Index      int // within the step
 }
 
-// String returns the name by which runners know the task: job.occurrence.step.index.
+// String returns the task's name in the runners' protocol: job.occurrence.step.index.
 func (r TaskRef) String() string {
 	name := make([]byte, 0, len(r.Job)+taskNumbersSize)
 	name = append(name, r.Job...)
@@ -26,7 +26,7 @@
 	return string(name)
 }
 
-// taskNumbersSize has room for the numbers of a usual task's name.
+// taskNumbersSize is the capacity reserved for the numbers in a task's name. It is enough for usual tasks.
 const taskNumbersSize = 24
 
 // ParseTaskRef is the inverse of TaskRef.String.
