--- a/internal/cluster/jobtrace/jobtrace.go
+++ b/internal/cluster/jobtrace/jobtrace.go
@@ -1,6 +1,6 @@
-// Package jobtrace appends the scheduler's commands, orders and reports to traces of package
-// digesttest, each field by its value and in a fixed order. Only tests import it. A field that is
-// added here changes all digests on file.
+// Package jobtrace appends the scheduler's commands, orders and reports to traces of package digesttest. It
+// appends the value of each field in a fixed order. Only tests import it. Adding a field here changes all
+// recorded digests.
 package jobtrace
 
 import (
@@ -12,7 +12,7 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// Task appends a task's place.
+// Task appends a reference to a task.
 func Task(t *digesttest.Trace, task job.TaskRef) {
 	t.String(task.Job).Int(int64(task.Occurrence), int64(task.Step), int64(task.Index))
 }
@@ -24,17 +24,17 @@
 	t.Int(int64(c.Attempt)).String(c.Runner, c.Address).Int(int64(c.EndReason)).String(c.Checkpoint)
 	t.Int(c.ProposedAtMs).String(c.Queue).Int(c.ConfigVersion).Bool(c.Submission != nil)
 	if c.Submission != nil {
-		newJob(t, c.Submission)
+		submission(t, c.Submission)
 	}
 }
 
-func newJob(t *digesttest.Trace, n *job.Submission) {
+func submission(t *digesttest.Trace, n *job.Submission) {
 	t.String(n.ID, n.Queue, n.Service).Uint(n.BodyHash)
 	Spec(t, &n.Spec)
 	t.Int(int64(n.Priority), int64(n.Retries), n.TargetMs).Float(n.Extension).Int(n.ConfigVersion)
 }
 
-// Spec appends what a client handed in.
+// Spec appends a job's specification.
 func Spec(t *digesttest.Trace, s *job.Spec) {
 	t.String(s.Text).Int(int64(s.Repeats), s.StartAtMs, s.IntervalMs).Bool(s.LongRunning, s.Speculative).Int(int64(len(s.Steps)))
 	for i := range s.Steps {
@@ -44,8 +44,8 @@
 
 func step(t *digesttest.Trace, s *job.Step) {
 	t.Int(int64(s.Count), s.CPU, s.MemMB, s.GPU, s.EstimateMs, int64(len(s.DependsOn)))
-	for _, before := range s.DependsOn {
-		t.Int(int64(before))
+	for _, dependency := range s.DependsOn {
+		t.Int(int64(dependency))
 	}
 	t.Bool(s.Checkpoints, s.Gang, s.SameRack).Int(int64(len(s.Constraints))).String(s.Constraints...)
 	t.String(s.Affinity).Int(int64(s.AntiAffinity)).Bool(s.Speculative, s.LongRunning)
@@ -58,9 +58,9 @@
 	t.Int(int64(o.Attempt)).String(o.Spec, o.Checkpoint).Int(o.DeadlineMs).Uint(o.AckedThrough).Int(o.WaitMs).Uint(o.Sequence)
 }
 
-// SortStops sorts stops that leave together for one runner by their tasks, as those that the
-// digests on file are of: the build that made the digests sent them in the order of a map. All else
-// stays where it is.
+// SortStops sorts consecutive stop orders to one runner by their tasks. The build that recorded the digests sent
+// such orders in the random order of a map, so that the recorded digests cover them sorted. All other orders
+// keep their positions.
 func SortStops(orders []scheduler.Order) {
 	for begin := 0; begin < len(orders); {
 		end := begin + 1
