--- a/internal/cluster/scheduler/digest_test.go
+++ b/internal/cluster/scheduler/digest_test.go
@@ -90,7 +90,7 @@
 		return
 	}
 	var lines []string
-	for _, seed := range digesttest.Plays(digestSeeds()) {
+	for _, seed := range digesttest.SampleUnderRace(digestSeeds()) {
 		lines = append(lines, digestLine(t, seed))
 	}
 	digesttest.Compare(t, digestFile, lines)
--- a/internal/cluster/scheduler/urgency_digest_test.go
+++ b/internal/cluster/scheduler/urgency_digest_test.go
@@ -114,7 +114,7 @@
 		seeds = append(seeds, firstUrgencySeed+seed)
 	}
 	var lines []string
-	for _, seed := range digesttest.Plays(seeds) {
+	for _, seed := range digesttest.SampleUnderRace(seeds) {
 		d := urgencyDecisionsOf(t, seed, false)
 		lines = append(lines, fmt.Sprintf("%d %d %d %s", seed, d.orders, d.commands, d.trace.Sum()))
 	}
--- a/internal/cluster/simworld/digest_test.go
+++ b/internal/cluster/simworld/digest_test.go
@@ -66,7 +66,7 @@
 	for seed := range all {
 		all[seed] = uint64(seed)
 	}
-	seeds := digesttest.Plays(all)
+	seeds := digesttest.SampleUnderRace(all)
 	lines := make([]string, len(seeds))
 	var next atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
@@ -85,7 +85,7 @@
 // TestSeedsAreRepeatable: the same seed, played again by the same process, gives the same.
 func TestSeedsAreRepeatable(t *testing.T) {
 	t.Parallel()
-	for _, seed := range digesttest.Plays([]uint64{0, 1, 2, 3}) {
+	for _, seed := range digesttest.SampleUnderRace([]uint64{0, 1, 2, 3}) {
 		require.Equal(t, digestLine(t, seed), digestLine(t, seed))
 	}
 }
--- a/internal/dispatcher/lab/digest_test.go
+++ b/internal/dispatcher/lab/digest_test.go
@@ -63,7 +63,7 @@
 		all[number] = number
 	}
 	var lines []string
-	for _, number := range digesttest.Plays(all) {
+	for _, number := range digesttest.SampleUnderRace(all) {
 		r, trace := resultOf(t, number)
 		lines = append(lines, fmt.Sprintf("%d %d %s", number, r.Events, trace.Sum()))
 	}
--- a/internal/dispatcher/policy/digest_test.go
+++ b/internal/dispatcher/policy/digest_test.go
@@ -94,7 +94,7 @@
 		all[number] = number
 	}
 	var lines []string
-	for _, number := range digesttest.Plays(all) {
+	for _, number := range digesttest.SampleUnderRace(all) {
 		trace := playNumbered(t, number, false)
 		lines = append(lines, fmt.Sprintf("%d %d %s", number, trace.Lines(), trace.Sum()))
 	}
--- a/internal/shared/digesttest/golden.go
+++ b/internal/shared/digesttest/golden.go
@@ -122,8 +122,8 @@
 // thinned is which share of the plays is played under the race detector: one of so many.
 const thinned = 10
 
-// Plays returns those of all plays that are to be played: under the race detector a part only.
-func Plays[P any](all []P) []P {
+// SampleUnderRace returns those of all plays that are to be played: under the race detector a part only.
+func SampleUnderRace[P any](all []P) []P {
 	if !RaceDetector || os.Getenv(UpdateVariable) != "" {
 		return all
 	}
