--- a/internal/cluster/controlplane/golden_identity_test.go
+++ b/internal/cluster/controlplane/golden_identity_test.go
@@ -51,7 +51,7 @@
 			written := t.TempDir()
 			require.NoError(t, wanted.save(written))
 			golden := filepath.Join("testdata", name)
-			goldentest.Keep(t, written, golden)
+			goldentest.WriteMissingFolder(t, written, golden)
 			found, err := loadIdentity(goldentest.CopyFolder(t, golden), func() (identity, error) {
 				t.Error("the folder has an identity")
 				return identity{}, nil
--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -314,7 +314,7 @@
 		snapshotFile: snapshotOf(t, goldenStore()),
 		stateFile:    []byte(stateOf(t, snapshotOf(t, goldenStore()))),
 	} {
-		goldentest.KeepFile(t, filepath.Join("testdata", name), content)
+		goldentest.WriteMissingFile(t, filepath.Join("testdata", name), content)
 	}
 }
 
--- a/internal/cluster/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -132,7 +132,7 @@
 	for name, content := range map[string][]byte{
 		changeFile: encoded(t, goldenChange(goldenVersions+1)), registerFile: snapshot, stateFile: []byte(stateOf(t, snapshot)),
 	} {
-		goldentest.KeepFile(t, filepath.Join("testdata", name), content)
+		goldentest.WriteMissingFile(t, filepath.Join("testdata", name), content)
 	}
 }
 
--- a/internal/cluster/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -149,7 +149,7 @@
 	for name, content := range map[string][]byte{
 		requestFile: recorded.request, responseFile: recorded.response, schemaFile: []byte(describe(t, recorded)), upgradeFile: []byte(recorded.upgrade),
 	} {
-		goldentest.KeepFile(t, filepath.Join("testdata", name), content)
+		goldentest.WriteMissingFile(t, filepath.Join("testdata", name), content)
 	}
 }
 
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -135,7 +135,7 @@
 	if goldentest.Missing(goldenFolder) {
 		written := filepath.Join(t.TempDir(), "keeper")
 		writeGoldenFolder(t, written)
-		goldentest.Keep(t, written, goldenFolder)
+		goldentest.WriteMissingFolder(t, written, goldenFolder)
 	}
 	snapshots, err := filepath.Glob(filepath.Join(goldenFolder, "snapshots", "*", "state.bin"))
 	require.NoError(t, err)
--- a/internal/dispatcher/fleet/spool/golden_test.go
+++ b/internal/dispatcher/fleet/spool/golden_test.go
@@ -51,7 +51,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		require.NoError(t, p.Close(ctx))
-		goldentest.Keep(t, written, goldenSpool)
+		goldentest.WriteMissingFolder(t, written, goldenSpool)
 	}
 	folder, err := segment.OpenDirectory(goldentest.CopyFolder(t, goldenSpool))
 	require.NoError(t, err)
--- a/internal/dispatcher/journal/golden_test.go
+++ b/internal/dispatcher/journal/golden_test.go
@@ -83,7 +83,7 @@
 	if goldentest.Missing(goldenJournal) {
 		written := filepath.Join(t.TempDir(), "journal")
 		writeGoldenJournal(t, written)
-		goldentest.Keep(t, written, goldenJournal)
+		goldentest.WriteMissingFolder(t, written, goldenJournal)
 	}
 	folder, err := OpenDirectory(goldentest.CopyFolder(t, goldenJournal))
 	require.NoError(t, err)
--- a/internal/shared/goldentest/goldentest.go
+++ b/internal/shared/goldentest/goldentest.go
@@ -42,7 +42,7 @@
 // Equal requires that got is what the golden file holds.
 func Equal(t testing.TB, path string, got []byte) {
 	t.Helper()
-	KeepFile(t, path, got)
+	WriteMissingFile(t, path, got)
 	want := Read(t, path)
 	if utf8.Valid(want) && utf8.Valid(got) {
 		require.Equal(t, string(want), string(got), "%s: what is stored, sent or read has changed", path)
@@ -69,8 +69,8 @@
 	return copied
 }
 
-// KeepFile writes a golden file that does not exist yet.
-func KeepFile(t testing.TB, path string, content []byte) {
+// WriteMissingFile writes a golden file that does not exist yet.
+func WriteMissingFile(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if Missing(path) {
 		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o750))
@@ -78,8 +78,8 @@
 	}
 }
 
-// Keep copies a folder that a test has written to a golden one that does not exist yet.
-func Keep(t testing.TB, written, path string) {
+// WriteMissingFolder copies a folder that a test has written to a golden one that does not exist yet.
+func WriteMissingFolder(t testing.TB, written, path string) {
 	t.Helper()
 	if Missing(path) {
 		require.NoError(t, os.CopyFS(path, os.DirFS(written)))
--- a/internal/shared/goldentest/goldentest_test.go
+++ b/internal/shared/goldentest/goldentest_test.go
@@ -14,13 +14,13 @@
 func TestGoldenFilesAreNeverRewritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "testdata", "golden.txt")
 	t.Setenv(goldentest.WriteVariable, "")
-	goldentest.KeepFile(t, path, []byte("unasked"))
+	goldentest.WriteMissingFile(t, path, []byte("unasked"))
 	require.NoFileExists(t, path)
 
 	t.Setenv(goldentest.WriteVariable, "1")
-	goldentest.KeepFile(t, path, []byte("first"))
+	goldentest.WriteMissingFile(t, path, []byte("first"))
 	require.Equal(t, "first", string(goldentest.Read(t, path)))
-	goldentest.KeepFile(t, path, []byte("second"))
+	goldentest.WriteMissingFile(t, path, []byte("second"))
 	require.Equal(t, "first", string(goldentest.Read(t, path)))
 }
 
@@ -28,10 +28,10 @@
 func TestGoldenFoldersAreNeverRewritten(t *testing.T) {
 	golden, written := filepath.Join(t.TempDir(), "golden"), t.TempDir()
 	t.Setenv(goldentest.WriteVariable, "1")
-	goldentest.KeepFile(t, filepath.Join(written, "file"), []byte("first"))
-	goldentest.Keep(t, written, golden)
-	goldentest.KeepFile(t, filepath.Join(written, "other"), []byte("second"))
-	goldentest.Keep(t, written, golden)
+	goldentest.WriteMissingFile(t, filepath.Join(written, "file"), []byte("first"))
+	goldentest.WriteMissingFolder(t, written, golden)
+	goldentest.WriteMissingFile(t, filepath.Join(written, "other"), []byte("second"))
+	goldentest.WriteMissingFolder(t, written, golden)
 	require.Equal(t, "first", string(goldentest.Read(t, filepath.Join(golden, "file"))))
 	require.NoFileExists(t, filepath.Join(golden, "other"))
 
