--- a/internal/cluster/placement/round.go
+++ b/internal/cluster/placement/round.go
@@ -35,8 +35,8 @@
 	return &Round{Candidates: candidates}
 }
 
-// ExaminedInVain returns how many candidates the choices that found none have looked at so far.
-func (r *Round) ExaminedInVain() int { return r.examinedInVain }
+// ExaminedWithoutMatch returns how many candidates the choices that found none have looked at so far.
+func (r *Round) ExaminedWithoutMatch() int { return r.examinedInVain }
 
 // Choose is the package's Choose over the round's candidates.
 func (r *Round) Choose(request *Request) (best Assignment, result Result) {
--- a/internal/cluster/scheduler/cyclepause.go
+++ b/internal/cluster/scheduler/cyclepause.go
@@ -22,5 +22,5 @@
 
 // examinedInVain returns how many looks at runners the current cycle has taken that started nothing.
 func (c *cycle) examinedInVain() int {
-	return len(c.candidates) + c.round.ExaminedInVain() + c.forecast.examined + c.examinedForGangs
+	return len(c.candidates) + c.round.ExaminedWithoutMatch() + c.forecast.examined + c.examinedForGangs
 }
