--- a/internal/cluster/placement/digest_test.go
+++ b/internal/cluster/placement/digest_test.go
@@ -11,11 +11,11 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// digestFile has a line for each part: its number, how many runners were found, and the digest
-// of what was chosen.
+// digestFile has a line for each part: its number, for how many requests a runner was found, and the
+// digest of the choices.
 const digestFile = "testdata/digests.txt"
 
-// The random inputs: parts of so many choices each.
+// The random input consists of digestParts parts of choicesPerPart choices each.
 const (
 	digestParts    = 20
 	choicesPerPart = 500
@@ -52,7 +52,8 @@
 	return request
 }
 
-// choose makes random choices, assigns each, and records what came of it.
+// choose places the random requests of one part, each on candidates of its own, assigns what is found
+// and records the results. It returns for how many requests a runner was found.
 func choose(part uint64, trace *digesttest.Trace) (found int) {
 	random := rand.New(rand.NewPCG(part, 17))
 	for number := range choicesPerPart {
@@ -74,7 +75,7 @@
 	return found
 }
 
-// TestChoiceDigests holds 10,000 choices to those on file.
+// TestChoiceDigests compares 10,000 choices on random input with the recorded digests.
 func TestChoiceDigests(t *testing.T) {
 	var lines []string
 	for part := range uint64(digestParts) {
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -1,13 +1,13 @@
-// Package placement chooses the runner for tasks: of the feasible runners, by labels, capacity and
-// budget, it takes the best ranked, which is one near the tasks' data with the most headroom. Of
-// the tasks of one step as many as fit go to one runner: a job needs all of them, so each further
-// runner is one more whose failure makes the job late. It does no I/O.
+// Package placement chooses runners for tasks. It filters the runners by labels, capacity and budget,
+// and takes the one that ranks best, preferably near the tasks' data and with the most headroom. As
+// many tasks of a step as fit go to the same runner: a job needs all of its tasks, so each further
+// runner is one more whose failure makes the job late. The package does no I/O.
 //
-// Choose is the choice for one request. A Round (round.go) is the choices of one scheduling cycle, which
-// are the same, and remembers what was rejected.
+// Choose places one request. A Round makes the same decisions for the requests of one scheduling cycle,
+// and remembers which of them were rejected, so that it can reject similar ones at little cost.
 //
-// The source is the design's placement, with the deviations that docs/scheduler-design.md names
-// ("The design on the ordinary path").
+// The algorithm is that of the design, with the deviations that docs/scheduler-design.md lists ("The
+// design on the ordinary path").
 package placement
 
 import (
@@ -16,49 +16,50 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// Candidate is a runner that takes work now, as the scheduler sees it at this moment.
+// Candidate is a runner that accepts work, with its state as the scheduler currently knows it.
 type Candidate struct {
-	Key      int // the caller's name for it
+	Key      int // the caller's identifier of the runner
 	Service  string
 	Labels   []string
 	Capacity job.Resources
 	Free     job.Resources
-	Headroom float64 // of its budget, in core-seconds
-	Idle     bool    // nothing runs there: whatever fits may start, whatever the budget says
-	Reserved bool    // for aged work, or until a probe of it has ended: it takes nothing
-	// Slowdown is its recent run times over those that were expected of them; 1 is normal.
+	Headroom float64 // unused part of its budget, in core-seconds
+	Idle     bool    // nothing runs there: a task that fits its capacity may start regardless of the budget
+	Reserved bool    // for aged work, or until a probe task there has ended: it takes no other task
+	// Slowdown is the ratio of its recent run times to the expected ones; 1 is normal.
 	Slowdown float64
-	// RunTimeFactor is its run times over those of the same steps' tasks elsewhere; 1 is normal.
+	// RunTimeFactor is the ratio of its run times to those of the same steps' tasks at other runners;
+	// 1 is normal.
 	RunTimeFactor float64
-	Suspect       bool // it fails more than others do, or what it runs is slow: it takes one task at a time
+	Suspect       bool // it fails more often than others, or its runs are slow: it takes one task at a time
 }
 
-// Urgency says how much time a task's job has to spare.
+// Urgency is how little time a task's job has left until its objective.
 type Urgency uint8
 
 // Urgencies.
 const (
 	UrgencyNormal Urgency = iota
-	UrgencyHigh           // it takes fast runners first
-	UrgencyLow            // it leaves fast runners to others
+	UrgencyHigh           // fast runners are preferred
+	UrgencyLow            // slow runners are preferred, so that fast ones stay free for other tasks
 )
 
-// Request is what a task asks of a runner.
+// Request describes one or more equal tasks and what they require of a runner.
 type Request struct {
 	Service     string
-	Resources   job.Resources
-	Cost        float64  // what a task takes of the budget, in core-seconds
-	Constraints []string // labels that the runner must have
-	DataRack    string   // label of the rack where its data lies; empty: no matter
-	LocalOnly   bool     // it rather waits than run away from its data
+	Resources   job.Resources // of one task
+	Cost        float64       // budget that one task takes, in core-seconds
+	Constraints []string      // labels that the runner must have
+	DataRack    string        // label of the rack that has the tasks' data; empty: any runner is local
+	LocalOnly   bool          // the tasks wait rather than run outside that rack
 	Urgency     Urgency
-	HealthyOnly bool // it rather waits than probe a suspect runner, if any healthy one is feasible
-	Count       int  // tasks that are alike and wait; 0: one
-	// Limit returns how many more of them a runner, by its key, may take; nil: any number.
+	HealthyOnly bool // the tasks wait rather than run at a suspect runner, if any healthy one is feasible
+	Count       int  // number of waiting tasks; 0: one
+	// Limit returns how many more of the tasks the runner with that key may take; nil: any number.
 	Limit func(key int) int
 }
 
-// limit returns how many of the tasks a runner may take by the caller's limit.
+// limit returns how many of the tasks a runner may take by Count and Limit.
 func (r *Request) limit(key int) int {
 	count := max(1, r.Count)
 	if r.Limit == nil {
@@ -67,19 +68,19 @@
 	return min(count, r.Limit(key))
 }
 
-// Result says whether a runner was found, or why none was. Of several reasons the one that comes
-// first counts.
+// Result is whether a runner was found, or why none was. If several reasons apply, the result is the
+// first of them in the order below.
 type Result uint8
 
 // Results.
 const (
 	Found      Result = iota
-	NoBudget          // some runner has the capacity free, but its budget has no headroom
+	NoBudget          // some feasible runner has the capacity free, but not the headroom
 	NoCapacity        // no feasible runner has the capacity free
-	Unsuitable        // no runner is feasible at all, whatever is free
+	Unsuitable        // no runner is feasible, even when idle
 )
 
-// Feasible tells whether a runner could ever take the task.
+// Feasible reports whether the runner could take a task of the request if nothing else ran there.
 func (c *Candidate) Feasible(request *Request) bool {
 	if request.Service != c.Service || !request.Resources.FitsIn(c.Capacity) {
 		return false
@@ -92,19 +93,19 @@
 	return true
 }
 
-// local tells whether a runner is near the task's data.
+// local reports whether the runner is in the rack that has the tasks' data.
 func (c *Candidate) local(request *Request) bool {
 	return request.DataRack == "" || slices.Contains(c.Labels, request.DataRack)
 }
 
-// Assignment is a candidate that was chosen, and how many of the tasks it takes.
+// Assignment is the chosen candidate and the number of tasks that it takes.
 type Assignment struct {
 	Candidate int // its index among the candidates; -1: none was found
 	Count     int // 1 or more, and no more than the request's Count
 }
 
-// Choose returns the best candidate and how many of the tasks fit there. It changes nothing: the
-// caller notes what it assigns by Candidate.Assign.
+// Choose returns the best candidate and how many of the tasks fit there. It doesn't change the
+// candidates: the caller calls Candidate.Assign for each task that it starts.
 func Choose(request *Request, candidates []Candidate) (best Assignment, result Result) {
 	if request.HealthyOnly {
 		if best, result, _ = choose(request, candidates, true); result != Unsuitable {
@@ -115,13 +116,16 @@
 	return best, result
 }
 
-// choose also tells whether a runner that has the capacity was passed by for the request's Limit.
+// choose is Choose for one value of HealthyOnly. limited reports whether a runner that has the capacity
+// was skipped because of the request's Limit.
 func choose(request *Request, candidates []Candidate, healthyOnly bool) (best Assignment, result Result, limited bool) {
 	best, result = Assignment{Candidate: -1}, Unsuitable
 	for i := range candidates {
 		c := &candidates[i]
 		if result <= NoCapacity && !request.Resources.FitsIn(c.Free) {
-			continue // most runners are full: the cheapest check first, once it changes no result
+			// Most runners are full. Once the result is at most NoCapacity, a full runner can't change it,
+			// so that this check, the cheapest, comes first.
+			continue
 		}
 		if healthyOnly && c.Suspect || !c.Feasible(request) {
 			continue
@@ -130,7 +134,7 @@
 			result = min(result, NoCapacity)
 			continue
 		}
-		limit := request.limit(c.Key) // after what costs less to find out
+		limit := request.limit(c.Key) // after the cheaper checks
 		if limit < 1 {
 			limited = true
 			continue
@@ -150,8 +154,9 @@
 	return best, result, limited
 }
 
-// fitting returns how many of the tasks, up to limit, fit a runner's free capacity and budget: one at
-// least, since a task that Choose let in fits, and no more at one that is suspect.
+// fitting returns how many of the tasks, up to limit, fit the runner's free capacity and budget. It
+// returns at least 1, since the caller has checked that one task may start there, and exactly 1 for a
+// suspect runner.
 func (c *Candidate) fitting(request *Request, limit int) int {
 	if c.Suspect {
 		return 1
@@ -166,11 +171,11 @@
 	return max(1, n)
 }
 
-// better tells whether a, which takes countA of the tasks, ranks before b, which takes countB: a
-// healthy runner, near the data, of normal slowdown, whose speed fits the urgency, that takes more
-// of the tasks, and then the one with the most headroom. Tasks that ask for accelerators take the
-// runner that has the fewest left: spread out, small tasks would leave no runner whole for large
-// ones.
+// better reports whether a, which takes countA of the tasks, ranks before b, which takes countB. The
+// criteria, the most important first, are: healthy, near the data, not slow, the speed that fits the
+// urgency, the fewest free accelerators if the tasks need any, the most tasks taken, the most headroom
+// and the most free CPU. Accelerators are packed because small tasks that are spread over the runners
+// would leave no runner with enough of them for a large task.
 func better(request *Request, a *Candidate, countA int, b *Candidate, countB int) bool {
 	switch {
 	case a.Suspect != b.Suspect:
@@ -191,16 +196,17 @@
 	return a.Free.CPU > b.Free.CPU
 }
 
-// slowFrom is the slowdown beyond which a runner is taken last.
-const slowFrom = 1.6
+// slowThreshold is the slowdown above which a runner ranks behind all others that are equally healthy
+// and equally near the data.
+const slowThreshold = 1.6
 
-func (c *Candidate) slow() bool { return c.Slowdown > slowFrom }
+func (c *Candidate) slow() bool { return c.Slowdown > slowThreshold }
 
-// normalSpread is how far a run-time factor may lie from 1 and still count as normal: the scatter
-// of what is known of a runner after a few steps.
+// normalSpread is the largest deviation from 1 at which a run-time factor still counts as normal. It is
+// the spread of the factors that are learned from a few steps.
 const normalSpread = 0.07
 
-// speedClass is negative for fast runners, positive for slow ones.
+// speedClass returns -1 for a fast runner, 0 for a normal one and 1 for a slow one.
 func (c *Candidate) speedClass() int {
 	switch {
 	case c.RunTimeFactor < 1-normalSpread:
@@ -211,7 +217,8 @@
 	return 0
 }
 
-// Assign notes at a candidate that one task goes there; a suspect one takes no other.
+// Assign records that one task of the request goes to the candidate. A suspect candidate becomes
+// reserved, so that it takes no other task.
 func (c *Candidate) Assign(request *Request) {
 	c.Free = c.Free.Subtract(request.Resources)
 	c.Headroom -= request.Cost
--- a/internal/cluster/placement/placement_test.go
+++ b/internal/cluster/placement/placement_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, 1, chosen.Candidate)
 }
 
-func TestResultSaysWhyNoneIsFound(t *testing.T) {
+func TestResultWhenNoneIsFound(t *testing.T) {
 	exhausted, full, other, reserved := candidate(0, 1), candidate(1, 50), candidate(2, 50), candidate(3, 50)
 	full.Free = job.Resources{}
 	other.Service = "t"
@@ -58,15 +58,15 @@
 	request := newRequest()
 	request.DataRack = "r2"
 	chosen, _ := placement.Choose(request, []placement.Candidate{remote, local})
-	require.Equal(t, 1, chosen.Candidate, "near its data")
+	require.Equal(t, 1, chosen.Candidate, "the runner near the data")
 	request.LocalOnly = true
 	_, result := placement.Choose(request, []placement.Candidate{remote})
-	require.Equal(t, placement.NoCapacity, result, "it rather waits")
+	require.Equal(t, placement.NoCapacity, result, "it waits rather than run elsewhere")
 
 	slow, suspect, healthy := candidate(0, 90), candidate(1, 80), candidate(2, 10)
 	slow.Slowdown, suspect.Suspect = 3, true
 	chosen, _ = placement.Choose(newRequest(), []placement.Candidate{slow, suspect, healthy})
-	require.Equal(t, 2, chosen.Candidate, "a healthy one")
+	require.Equal(t, 2, chosen.Candidate, "the healthy runner")
 
 	untouched, partlyUsed := candidate(0, 90), candidate(1, 10)
 	partlyUsed.Free.GPU = 1
@@ -96,7 +96,8 @@
 	require.False(t, c.Idle)
 }
 
-// TestTasksOfAStepGoToOneRunner: the one that takes most of them, then the one with the most headroom.
+// TestTasksOfAStepGoToOneRunner checks that tasks of a step go to the runner that takes most of them,
+// and of several such runners to the one with the most headroom.
 func TestTasksOfAStepGoToOneRunner(t *testing.T) {
 	request := newRequest()
 	request.Count = 3
@@ -104,15 +105,15 @@
 	narrow.Free.CPU = 2500
 	chosen, result := placement.Choose(request, []placement.Candidate{narrow, wide, roomy})
 	require.Equal(t, placement.Found, result)
-	require.Equal(t, placement.Assignment{Candidate: 2, Count: 3}, chosen, "two take all: the one with more headroom")
+	require.Equal(t, placement.Assignment{Candidate: 2, Count: 3}, chosen, "two runners can take all: the one with more headroom")
 	chosen, _ = placement.Choose(request, []placement.Candidate{narrow, wide})
-	require.Equal(t, placement.Assignment{Candidate: 1, Count: 3}, chosen, "by capacity")
+	require.Equal(t, placement.Assignment{Candidate: 1, Count: 3}, chosen, "limited by capacity")
 	request.Cost = 7
 	chosen, _ = placement.Choose(request, []placement.Candidate{wide})
-	require.Equal(t, 2, chosen.Count, "by budget")
+	require.Equal(t, 2, chosen.Count, "limited by budget")
 	request.Limit = func(int) int { return 1 }
 	chosen, _ = placement.Choose(request, []placement.Candidate{wide})
-	require.Equal(t, 1, chosen.Count, "by the limit of what one runner may take")
+	require.Equal(t, 1, chosen.Count, "limited by the request's Limit")
 	idle := candidate(0, 0)
 	idle.Idle = true
 	request.Limit = nil
@@ -122,15 +123,15 @@
 	suspect := candidate(0, 100)
 	suspect.Suspect = true
 	chosen, _ = placement.Choose(request, []placement.Candidate{suspect})
-	require.Equal(t, 1, chosen.Count, "a suspect one takes one at a time")
+	require.Equal(t, 1, chosen.Count, "a suspect runner takes one task at a time")
 	suspect.Assign(request)
 	_, result = placement.Choose(request, []placement.Candidate{suspect})
-	require.Equal(t, placement.NoCapacity, result, "and no other beside it")
+	require.Equal(t, placement.NoCapacity, result, "a suspect runner with a task takes no other")
 }
 
-// TestUrgencyChoosesTheSpeed: tasks without time to spare take fast runners, those with much
-// leave them to others.
-func TestUrgencyChoosesTheSpeed(t *testing.T) {
+// TestUrgencyDeterminesPreferredSpeed checks that urgent tasks go to fast runners, and tasks of low
+// urgency to slow ones.
+func TestUrgencyDeterminesPreferredSpeed(t *testing.T) {
 	fast, normal, slow := candidate(0, 10), candidate(1, 30), candidate(2, 20)
 	fast.RunTimeFactor, slow.RunTimeFactor = 0.8, 1.2
 	all := []placement.Candidate{fast, normal, slow}
@@ -142,8 +143,8 @@
 	}
 }
 
-// TestHealthyRunnersOnly: tasks that ask for them wait rather than try a suspect one, unless no
-// healthy one suits them at all.
+// TestHealthyRunnersOnly checks that tasks of a HealthyOnly request wait rather than run at a suspect
+// runner, unless no healthy runner is feasible.
 func TestHealthyRunnersOnly(t *testing.T) {
 	suspect, full := candidate(0, 100), candidate(1, 100)
 	suspect.Suspect, full.Free = true, job.Resources{}
@@ -156,5 +157,5 @@
 	chosen, _ = placement.Choose(request, []placement.Candidate{suspect})
 	require.Equal(t, 0, chosen.Candidate)
 	chosen, _ = placement.Choose(request, []placement.Candidate{suspect, candidate(1, 10)})
-	require.Equal(t, 1, chosen.Candidate, "but a healthy one that fits goes first")
+	require.Equal(t, 1, chosen.Candidate, "a healthy runner that fits is preferred")
 }
--- a/internal/cluster/placement/round.go
+++ b/internal/cluster/placement/round.go
@@ -6,39 +6,42 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// Round is the choices of one scheduling cycle over the same candidates. It decides as Choose does,
-// and remembers for which requests no runner had the capacity free: where thousands of jobs wait for
-// full runners, almost all requests ask for no less than one that was rejected before.
+// Round places the requests of one scheduling cycle on the same candidates. It decides as Choose does,
+// and remembers for which requests no runner had the capacity free: when thousands of jobs wait for
+// full runners, almost every request needs at least as much as one that was rejected before.
 //
-// During a round the candidates may only lose: Assign, and setting Reserved, are allowed.
+// During a round the free capacity and headroom of the candidates may only decrease: calling Assign and
+// setting Reserved are the only changes allowed.
 type Round struct {
 	Candidates []Candidate
-	// rejected has, by what else was asked of a runner, the resources for which none had the capacity
-	// free. None of a list is contained in another.
-	rejected       map[filter][]job.Resources
-	examinedInVain int
+	// rejected holds, by the other requirements of the request, the resources for which no runner had
+	// the capacity free. No entry of a list fits in another one of that list.
+	rejected             map[filter][]job.Resources
+	examinedWithoutMatch int
 }
 
-// filter is what a request asks of a runner beside resources and budget.
+// filter is what a request requires of a runner apart from resources and budget.
 type filter struct {
 	service     string
 	constraints string
-	localTo     string // rack; empty: any
+	localTo     string // label of the required rack; empty: any
 	healthyOnly bool
 }
 
-// constraintSeparator joins labels, which are printable.
+// constraintSeparator separates labels in filter.constraints. It can't occur in a label, since labels
+// are printable.
 const constraintSeparator = "\x00"
 
-// NewRound begins a round over candidates.
+// NewRound returns a round over candidates.
 func NewRound(candidates []Candidate) *Round {
 	return &Round{Candidates: candidates}
 }
 
-// ExaminedWithoutMatch returns how many candidates the choices that found none have looked at so far.
-func (r *Round) ExaminedWithoutMatch() int { return r.examinedInVain }
+// ExaminedWithoutMatch returns how many candidates Choose has examined so far for requests for which it
+// found none.
+func (r *Round) ExaminedWithoutMatch() int { return r.examinedWithoutMatch }
 
-// Choose is the package's Choose over the round's candidates.
+// Choose returns what the package's Choose returns for the round's candidates.
 func (r *Round) Choose(request *Request) (best Assignment, result Result) {
 	if request.HealthyOnly {
 		if best, result = r.choose(request, true); result != Unsuitable {
@@ -48,8 +51,8 @@
 	return r.choose(request, false)
 }
 
-// Rejects tells whether Choose finds no capacity by what was rejected before, and with which result,
-// whatever the request's Count and Limit. It costs much less than Choose.
+// Rejects reports whether the requests rejected so far show that Choose will find no capacity, and with
+// which result. The request's Count and Limit make no difference. It costs much less than Choose.
 func (r *Round) Rejects(request *Request) (result Result, known bool) {
 	if request.HealthyOnly {
 		if result, known = r.rejects(request, true); !known || result != Unsuitable {
@@ -75,10 +78,10 @@
 	}
 	best, result, limited := choose(request, r.Candidates, healthyOnly)
 	if result != Found {
-		r.examinedInVain += len(r.Candidates)
+		r.examinedWithoutMatch += len(r.Candidates)
 	}
 	if result == NoCapacity && !limited {
-		r.reject(filterOf(request, healthyOnly), request.Resources)
+		r.recordRejected(filterOf(request, healthyOnly), request.Resources)
 	}
 	return best, result
 }
@@ -91,22 +94,27 @@
 	return key
 }
 
-// wasRejected tells whether a request for no more than this was rejected, with the same filter or with
-// the service alone. No runner has the capacity for it either: each lacks it as much as then, or more.
+// wasRejected reports whether a request that needed at most the same resources was rejected before, with
+// the same filter or with the service as the only filter. If so, no runner has the capacity for this
+// request either, since free capacity only decreases during a round.
 func (r *Round) wasRejected(request *Request, healthyOnly bool) bool {
-	return r.holdsLesser(filter{service: request.Service}, request.Resources) || r.holdsLesser(filterOf(request, healthyOnly), request.Resources)
+	return r.hasSmallerRejected(filter{service: request.Service}, request.Resources) ||
+		r.hasSmallerRejected(filterOf(request, healthyOnly), request.Resources)
 }
 
-func (r *Round) holdsLesser(key filter, resources job.Resources) bool {
-	for _, lesser := range r.rejected[key] {
-		if lesser.FitsIn(resources) {
+// hasSmallerRejected reports whether resources that fit in the given ones were rejected with a filter.
+func (r *Round) hasSmallerRejected(key filter, resources job.Resources) bool {
+	for _, smaller := range r.rejected[key] {
+		if smaller.FitsIn(resources) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Round) reject(key filter, resources job.Resources) {
+// recordRejected adds resources to those rejected with a filter, and removes the entries that they make
+// redundant.
+func (r *Round) recordRejected(key filter, resources job.Resources) {
 	kept := r.rejected[key][:0]
 	for _, other := range r.rejected[key] {
 		if !resources.FitsIn(other) {
@@ -119,7 +127,7 @@
 	r.rejected[key] = append(kept, resources)
 }
 
-// anyFeasible tells whether some runner could take the task if nothing else ran there.
+// anyFeasible reports whether some runner could take a task of the request if nothing else ran there.
 func anyFeasible(request *Request, candidates []Candidate, healthyOnly bool) bool {
 	for i := range candidates {
 		c := &candidates[i]
--- a/internal/cluster/placement/round_test.go
+++ b/internal/cluster/placement/round_test.go
@@ -10,8 +10,8 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-// TestRoundDecidesAsChoose: over random rounds in which runners fill up and are reserved, a round's
-// choices are those of Choose.
+// TestRoundDecidesAsChoose checks in random rounds, in which runners fill up and are reserved, that
+// Round.Choose returns the same as Choose.
 func TestRoundDecidesAsChoose(t *testing.T) {
 	const (
 		rounds  = 300
@@ -45,13 +45,13 @@
 		}
 	}
 	for _, result := range []placement.Result{placement.Found, placement.NoBudget, placement.NoCapacity, placement.Unsuitable} {
-		require.Positive(t, byResult[result], "the rounds have results of all kinds")
+		require.Positive(t, byResult[result], "every result occurs")
 	}
-	require.Positive(t, rejected, "some requests are rejected unseen")
+	require.Positive(t, rejected, "some requests are rejected without examining candidates")
 }
 
-// TestRoundRemembersRejections: what asks for no less than a rejected request is rejected unseen, and
-// what asks for less is not.
+// TestRoundRemembersRejections checks that a request that needs at least as much as a rejected one is
+// rejected without examining candidates, and that one that needs less is not.
 func TestRoundRemembersRejections(t *testing.T) {
 	candidates := []placement.Candidate{{Service: "s", Capacity: job.Resources{CPU: 8000}, Free: job.Resources{CPU: 3000}, Headroom: 100}}
 	round := placement.NewRound(candidates)
@@ -60,7 +60,7 @@
 		return result
 	}
 	require.Equal(t, placement.NoCapacity, ask(4000))
-	candidates[0].Free = job.Resources{CPU: 8000} // against the rule that candidates only lose: shows what is looked at
+	candidates[0].Free = job.Resources{CPU: 8000} // not allowed in a round; shows whether the candidates are examined
 	require.Equal(t, placement.NoCapacity, ask(5000))
 	require.Equal(t, placement.Unsuitable, ask(9000))
 	require.Equal(t, placement.Found, ask(3999))
