--- a/internal/shared/admission/admission.go
+++ b/internal/shared/admission/admission.go
@@ -1,42 +1,43 @@
-// Package admission has the parts of the design that decide when work starts: learned run times
-// (RunTimeEstimates, RunTimeFactor), the budgets of runners (Budget), and the aged order (Rank,
-// Compare). The dispatcher's policy and the cluster scheduler both use them, so that a change here
-// is a change of both. It does no I/O and keeps no clock: times are those of the caller's monotonic
-// clock. Its types are not safe for concurrent use.
+// Package admission has the building blocks that decide when work starts: learned run times
+// (RunTimeEstimates, RunTimeFactor), the budgets of runners (Budget), and the order in which ready work
+// starts, with aging (Rank, Compare). The dispatcher's policy and the cluster scheduler both use them, so
+// that a change here changes both. The package does no I/O and reads no clock: times are those of the
+// caller's monotonic clock. Its types are not safe for concurrent use.
 package admission
 
 import "time"
 
-// Average is a moving average over about so many values as its window says. The zero value has
-// seen none.
+// Average is a moving average over about as many values as the window that is passed to Add. The zero
+// value is an average of no values.
 type Average struct {
 	Value float64
-	Count float64 // of values seen, up to the window
+	Count float64 // number of values added, at most the window
 }
 
-// Add takes a value in. The window is 1 or more.
+// Add adds a value to the average. The window must be 1 or more.
 func (a *Average) Add(value, window float64) {
 	a.Count = min(a.Count+1, window)
 	a.Value += (value - a.Value) / a.Count
 }
 
-// Known tells whether any value was seen.
+// Known reports whether any value was added.
 func (a *Average) Known() bool { return a.Count > 0 }
 
-// ShrunkBudget is what remains of a budget after a time-out, a slowing or a refusal: a part of it,
-// between 0 and 1, and no less than least.
-func ShrunkBudget(budget, fraction, least float64) float64 { return max(budget*fraction, least) }
+// ShrunkBudget returns what remains of a budget after a time-out, a slowdown or a rejection: the given
+// fraction of it, which is between 0 and 1, but at least minimum.
+func ShrunkBudget(budget, fraction, minimum float64) float64 { return max(budget*fraction, minimum) }
 
-// Rank is the place of a piece of ready work in the order in which work starts.
+// Rank is the position of ready work in the order in which work starts.
 type Rank struct {
-	Aged   bool          // no shorter work may pass it any more
-	AgedAt time.Duration // since when, or from when on
-	Cost   float64       // what is expected of it, in the caller's unit
-	Seq    uint64        // of its arrival: decides between equals
+	Aged   bool          // the work has waited so long that shorter work may no longer start before it
+	AgedAt time.Duration // when the work became aged, or will
+	Cost   float64       // expected cost, in the caller's unit
+	Seq    uint64        // sequence number of its arrival: decides between equals
 }
 
-// Compare puts aged work first, the longest aged before the others, and then the shortest
-// expected. It is negative where a goes before b.
+// Compare returns a negative number if a starts before b, a positive one if b starts before a, and 0 if
+// they are equal. Aged work starts first, the longest aged before the others, and then the work with the
+// lowest expected cost.
 func Compare(a, b Rank) int {
 	switch {
 	case a.Aged != b.Aged:
@@ -51,7 +52,7 @@
 	return 0
 }
 
-// beforeIf returns Compare's result for a that goes before b, or after it.
+// beforeIf returns Compare's result: -1 if a starts before b, else 1.
 func beforeIf(before bool) int {
 	if before {
 		return -1
--- a/internal/shared/admission/admission_test.go
+++ b/internal/shared/admission/admission_test.go
@@ -10,17 +10,17 @@
 	"basaltloft/internal/shared/admission"
 )
 
-func TestNewTypeStartsAtItsEstimateElseAtTheMeanOfAll(t *testing.T) {
+func TestNewTypeStartsAtItsEstimateOrTheMeanOfAll(t *testing.T) {
 	estimates := admission.NewRunTimeEstimates()
 	known, other := admission.TaskType{Queue: "q", Step: 1}, admission.TaskType{Queue: "q", Step: 2}
 	require.Equal(t, 3.0, estimates.Expect(known, 3))
 	estimates.Learn(known, 0, 2)
 	estimates.Learn(known, 0, 4)
 	require.InDelta(t, 2.5, estimates.Expect(known, 0), 1.2)
-	require.Equal(t, estimates.Expect(known, 0), estimates.Expect(other, 0), "the mean of what is known")
+	require.Equal(t, estimates.Expect(known, 0), estimates.Expect(other, 0), "the mean of all types")
 }
 
-func TestEstimatesAreCorrectedByWhatRunsTook(t *testing.T) {
+func TestEstimatesAreCorrectedByRunTimes(t *testing.T) {
 	estimates := admission.NewRunTimeEstimates()
 	taskType := admission.TaskType{Queue: "q"}
 	for range 60 {
@@ -28,14 +28,14 @@
 	}
 	require.InDelta(t, 6, estimates.Expect(taskType, 3), 0.2, "tasks of this type run twice as long as estimated")
 	estimates.Learn(taskType, 1, 1000)
-	require.Less(t, estimates.Expect(taskType, 3), 7.0, "one outlier counts as three times the expected at the most")
+	require.Less(t, estimates.Expect(taskType, 3), 7.0, "an outlier counts as at most three times the expected run time")
 }
 
 func TestCompare(t *testing.T) {
 	short, long := admission.Rank{Cost: 1, Seq: 2}, admission.Rank{Cost: 5, Seq: 1}
 	require.Negative(t, admission.Compare(short, long))
 	long.Aged, long.AgedAt = true, 7
-	require.Positive(t, admission.Compare(short, long), "what has aged is passed by nothing shorter")
+	require.Positive(t, admission.Compare(short, long), "shorter work doesn't start before aged work")
 	older := admission.Rank{Cost: 9, Aged: true, AgedAt: 3}
 	require.Negative(t, admission.Compare(older, long))
 	require.Negative(t, admission.Compare(admission.Rank{Seq: 1}, admission.Rank{Seq: 2}))
@@ -44,12 +44,12 @@
 
 func TestBudget(t *testing.T) {
 	budget, mean := admission.Budget{}, &admission.MeanCost{}
-	require.Equal(t, math.MaxFloat64, budget.Headroom(0, mean), "it is not set before a cost is known")
+	require.Equal(t, math.MaxFloat64, budget.Headroom(0, mean), "unlimited before a cost is known")
 	mean.Add(10)
 	first := budget.Headroom(0, mean)
 	require.Equal(t, 60.0, first, "a few mean costs")
 	budget.Grow(10, 1000)
-	require.Equal(t, first, budget.Headroom(0, mean), "it does not grow while it blocked nothing")
+	require.Equal(t, first, budget.Headroom(0, mean), "it doesn't grow unless it has blocked work")
 	budget.RecordBlocked(0, 10, 1000)
 	budget.Grow(10, 1000)
 	grown := budget.Headroom(0, mean)
@@ -58,23 +58,23 @@
 	shrunk := budget.Headroom(0, mean)
 	require.Less(t, shrunk, grown)
 	budget.Shrink(time.Second, 2*time.Second, mean)
-	require.Equal(t, shrunk, budget.Headroom(0, mean), "what was sent in one round trip shrinks it once")
+	require.Equal(t, shrunk, budget.Headroom(0, mean), "it shrinks once for all work sent in one round trip")
 	for at := range 50 {
 		budget.Shrink(time.Duration(at+3)*time.Second, time.Duration(at+3)*time.Second, mean)
 	}
-	require.Equal(t, 15.0, budget.Headroom(0, mean), "a floor remains")
+	require.Equal(t, 15.0, budget.Headroom(0, mean), "it doesn't shrink below the minimum")
 }
 
-// TestBudgetBeginsBesideTheCostInFlight: a dispatcher that takes over finds runners at work, and may
-// give them more at once.
-func TestBudgetBeginsBesideTheCostInFlight(t *testing.T) {
+// TestInitialBudgetIsAboveTheCostInFlight checks that a dispatcher that takes over can start work at
+// runners that are already working.
+func TestInitialBudgetIsAboveTheCostInFlight(t *testing.T) {
 	budget, mean := admission.Budget{}, &admission.MeanCost{}
 	mean.Add(10)
 	require.Equal(t, 60.0, budget.Headroom(500, mean))
-	require.Equal(t, 160.0, budget.Headroom(400, mean), "what has ended leaves headroom")
+	require.Equal(t, 160.0, budget.Headroom(400, mean), "work that has ended leaves headroom")
 }
 
-func TestBudgetThatBlocksWorkForLongGrowsByItself(t *testing.T) {
+func TestBudgetThatBlocksWorkForLongGrowsOnItsOwn(t *testing.T) {
 	budget, mean := admission.Budget{}, &admission.MeanCost{}
 	mean.Add(10)
 	first := budget.Headroom(0, mean)
--- a/internal/shared/admission/budget.go
+++ b/internal/shared/admission/budget.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Tunables of a runner's budget. None depends on a deployment.
+// Parameters of a runner's budget. None depends on the deployment.
 const (
 	initialMeans   = 6.0   // a new runner's budget, in mean costs
-	leastMeans     = 1.5   // least budget, in mean costs
-	growthFraction = 0.5   // part of a good run's cost, and of the budget, by which a fully used budget grows
-	shrinkFraction = 0.75  // what remains after a time-out, a slowing or a refusal
+	minMeans       = 1.5   // minimum budget, in mean costs
+	growthFraction = 0.5   // part of a successful run's cost, and of the budget, by which an exhausted budget grows
+	shrinkFraction = 0.75  // part of the budget that remains after a time-out, a slowdown or a rejection
 	meanCostWindow = 200.0 // window of the mean cost, in starts
 )
 
-// growAfter is how long a budget keeps work from starting, without a sign of trouble, before it
-// grows by itself: what runs at its runner may take long, and end no run that would let it grow.
+// growAfter is how long a budget must have blocked work, without shrinking meanwhile, before it grows
+// on its own. Otherwise a budget grows only after a successful run, which may take long where runs are long.
 const growAfter = 400 * time.Millisecond
 
-// MeanCost is the moving mean of the costs of what was started, which budgets are counted in. The
-// zero value has seen no start.
+// MeanCost is the moving average of the costs of started tasks. It is the unit of the initial and the
+// minimum budget. The zero value is an average of no tasks.
 type MeanCost struct{ average Average }
 
-// Add takes in the cost of a task that was started. One without a cost says nothing of the
-// others'.
+// Add adds the cost of a task that was started. A cost of 0 means that the cost is unknown, and is
+// ignored.
 func (m *MeanCost) Add(cost float64) {
 	if cost > 0 {
 		m.average.Add(cost, meanCostWindow)
 	}
 }
 
-// Mean returns the mean cost; 1 while nothing is known.
+// Mean returns the mean cost, or 1 if no cost was added yet.
 func (m *MeanCost) Mean() float64 {
 	if !m.average.Known() {
 		return 1
@@ -38,17 +38,17 @@
 	return m.average.Value
 }
 
-// Budget bounds the sum of the estimated costs that are in flight at one runner. The zero value is
-// that of a new runner.
+// Budget limits the sum of the estimated costs of the tasks in flight at one runner. The zero value is
+// the budget of a new runner.
 type Budget struct {
-	amount     float64       // 0: not yet set
-	exhausted  bool          // it has kept work from starting since it last grew
-	since      time.Duration // from when on it has
-	lastShrunk time.Duration
+	amount         float64       // 0: not yet set
+	exhausted      bool          // it has blocked work since it last grew
+	exhaustedSince time.Duration // when it first did
+	lastShrunk     time.Duration
 }
 
-// Headroom returns what the budget leaves beside the cost in flight; negative: it is exceeded.
-// While no cost is known the budget is not set, and it leaves everything.
+// Headroom returns the part of the budget that the cost in flight leaves unused; it is negative if the
+// budget is exceeded. As long as no cost is known the budget is not set, and its headroom is unlimited.
 func (b *Budget) Headroom(inFlight float64, mean *MeanCost) float64 {
 	if b.amount == 0 && !mean.average.Known() {
 		return math.MaxFloat64
@@ -57,42 +57,43 @@
 	return b.amount - inFlight
 }
 
-// initialize sets a new budget to a few mean costs beside the cost in flight: where that comes from
-// an earlier dispatcher, its budget had allowed it, and the runner carries it.
+// initialize sets a new budget to a few mean costs above the cost in flight. Work that an earlier dispatcher
+// has started there was within that dispatcher's budget, so that the runner can handle it.
 func (b *Budget) initialize(inFlight float64, mean *MeanCost) {
 	if b.amount == 0 {
 		b.amount = inFlight + initialMeans*mean.Mean()
 	}
 }
 
-// RecordBlocked notes that the budget kept work of that cost from starting. Where it has done so for
-// a while it grows, up to most.
-func (b *Budget) RecordBlocked(now time.Duration, cost, most float64) {
+// RecordBlocked records that the budget kept work of that cost from starting. A budget that has blocked
+// work for longer than growAfter grows, up to maximum.
+func (b *Budget) RecordBlocked(now time.Duration, cost, maximum float64) {
 	if !b.exhausted {
-		b.exhausted, b.since = true, now
+		b.exhausted, b.exhaustedSince = true, now
 		return
 	}
-	if now-max(b.since, b.lastShrunk) > growAfter {
-		b.Grow(cost, most)
+	if now-max(b.exhaustedSince, b.lastShrunk) > growAfter {
+		b.Grow(cost, maximum)
 	}
 }
 
-// Grow lets a budget that was fully used grow by a run of that cost that ended well, up to most.
-func (b *Budget) Grow(cost, most float64) {
+// Grow increases the budget, up to maximum, after a successful run of that cost. It does nothing if the
+// budget has not blocked any work since it last grew.
+func (b *Budget) Grow(cost, maximum float64) {
 	if !b.exhausted || b.amount == 0 {
 		return
 	}
 	b.exhausted = false
-	b.amount = min(b.amount+growthFraction*cost+growthFraction*b.amount, max(b.amount, most))
+	b.amount = min(b.amount+growthFraction*cost+growthFraction*b.amount, max(b.amount, maximum))
 }
 
-// Shrink cuts the budget after a time-out, a slowing or a refusal of what was sent at sentAt, once
-// for all that was sent in one round trip.
+// Shrink reduces the budget after a time-out, a slowdown or a rejection of work that was sent at sentAt.
+// It does nothing if the budget has shrunk since then, so that the failures of one round trip count once.
 func (b *Budget) Shrink(sentAt, now time.Duration, mean *MeanCost) {
 	if sentAt < b.lastShrunk {
 		return
 	}
 	b.initialize(0, mean)
-	b.amount = ShrunkBudget(b.amount, shrinkFraction, leastMeans*mean.Mean())
+	b.amount = ShrunkBudget(b.amount, shrinkFraction, minMeans*mean.Mean())
 	b.lastShrunk = now
 }
--- a/internal/shared/admission/digest_test.go
+++ b/internal/shared/admission/digest_test.go
@@ -10,16 +10,18 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// digestFile has a line for each part: its number, its events, and the digest of their results.
+// digestFile has a line for each part: its number, the number of its events, and the digest of their
+// results.
 const digestFile = "testdata/digests.txt"
 
-// The random inputs: parts of so many steps each, on state that grows from step to step.
+// The random input consists of digestParts parts of stepsPerPart steps each. The steps of a part work on
+// the same state.
 const (
 	digestParts  = 20
 	stepsPerPart = 500
 )
 
-// learner is all state of the package, with random input.
+// learner applies random input to the package's types and traces the results.
 type learner struct {
 	random    *rand.Rand
 	trace     *digesttest.Trace
@@ -92,7 +94,7 @@
 	l.trace.Begin(l.now, "order").Int(int64(admission.Compare(l.randomRank(), l.randomRank()))).End()
 }
 
-// TestLearningDigests holds what is learned of 10,000 random inputs to what is on file.
+// TestLearningDigests compares the results of 10,000 random steps with the recorded digests.
 func TestLearningDigests(t *testing.T) {
 	var lines []string
 	for part := range uint64(digestParts) {
--- a/internal/shared/admission/runtimefactor_test.go
+++ b/internal/shared/admission/runtimefactor_test.go
@@ -9,13 +9,13 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// TestFactorsAreLearnedFromPeers: steps of any length on runners of three speeds give these
-// speeds, whatever their tasks were estimated to take.
+// TestFactorsAreLearnedFromPeers checks that steps of various lengths on runners of three speeds result in
+// factors for these speeds, without any estimates.
 func TestFactorsAreLearnedFromPeers(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	truth := []float64{0.8, 1, 1.25, 0.8, 1, 1.25}
 	factors := make([]admission.RunTimeFactor, len(truth))
-	require.Equal(t, 1.0, factors[0].Value(), "nothing is known yet")
+	require.Equal(t, 1.0, factors[0].Value(), "no run was learned yet")
 	for range 60 {
 		work := 0.1 + 20*random.Float64()
 		var peers []admission.PeerRun
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestFewPeersSayNothing(t *testing.T) {
+func TestTooFewPeersAreIgnored(t *testing.T) {
 	var one, other admission.RunTimeFactor
 	for range 9 {
 		admission.LearnRunTimeFactors([]admission.PeerRun{{Factor: &one, Took: 1}, {Factor: &other, Took: 3}})
