--- a/internal/shared/digesttest/golden.go
+++ b/internal/shared/digesttest/golden.go
@@ -1,9 +1,9 @@
-// Package digesttest records what a simulation did as lines of values, and compares the digests of
-// such traces with a file of earlier ones. Only tests import it.
+// Package digesttest records the events of a simulation as lines of values, and compares the digests of
+// such traces with those in a file. Only tests import it.
 //
-// A trace holds values alone: no names of types, fields or packages, so that a renaming in the
-// code under test leaves each digest as it is. Digests of floating-point values hold for one
-// architecture: those on file are of amd64.
+// A trace holds values only, and no names of types, fields or packages, so that a renaming in the code
+// under test doesn't change any digest. Digests of floating-point values depend on the architecture: the
+// recorded ones are of amd64.
 package digesttest
 
 import (
@@ -18,22 +18,22 @@
 
 // Environment variables that change what a test of digests does.
 const (
-	// TraceVariable names a seed, or whatever the first column of the file of digests has: its
-	// trace is printed, so that those of two builds can be compared line by line.
+	// TraceVariable selects a run by the first column of the digest file, such as a seed. The trace of
+	// that run is printed, so that the traces of two builds can be compared line by line.
 	TraceVariable = "BASALTLOFT_DIGEST_TRACE"
-	// UpdateVariable, if not empty, lets Compare write the file anew.
+	// UpdateVariable, if not empty, makes Compare overwrite the digest file.
 	UpdateVariable = "BASALTLOFT_UPDATE_DIGESTS"
 )
 
-// Trace records events in their order. The nil trace records nothing.
+// Trace records events in order.
 type Trace struct {
 	digest *xxhash.Digest
 	line   []byte
 	lines  int
-	text   *strings.Builder // nil: the digest alone is kept
+	text   *strings.Builder // nil: only the digest is kept
 }
 
-// New returns an empty trace; withText keeps its lines too.
+// New returns an empty trace. withText makes it keep its lines in addition to the digest.
 func New(withText bool) *Trace {
 	t := &Trace{digest: xxhash.New()}
 	if withText {
@@ -42,7 +42,7 @@
 	return t
 }
 
-// Begin starts the line of an event. The kind is the test's own word for it.
+// Begin starts the line of an event. The test chooses the name of the event's kind.
 func (t *Trace) Begin(at time.Duration, kind string) *Trace {
 	t.line = strconv.AppendInt(t.line[:0], int64(at), 10)
 	t.line = append(append(t.line, ' '), kind...)
@@ -67,7 +67,7 @@
 	return t
 }
 
-// Uint appends integers.
+// Uint appends unsigned integers.
 func (t *Trace) Uint(values ...uint64) *Trace {
 	for _, value := range values {
 		t.line = strconv.AppendUint(append(t.line, ' '), value, 10)
@@ -75,7 +75,7 @@
 	return t
 }
 
-// Float appends numbers, exactly.
+// Float appends floating-point numbers, exactly.
 func (t *Trace) Float(values ...float64) *Trace {
 	for _, value := range values {
 		t.line = strconv.AppendFloat(append(t.line, ' '), value, 'g', -1, 64)
@@ -83,7 +83,7 @@
 	return t
 }
 
-// Bool appends truth values.
+// Bool appends Boolean values.
 func (t *Trace) Bool(values ...bool) *Trace {
 	for _, value := range values {
 		t.line = strconv.AppendBool(append(t.line, ' '), value)
@@ -91,7 +91,7 @@
 	return t
 }
 
-// String appends texts, quoted.
+// String appends quoted strings.
 func (t *Trace) String(values ...string) *Trace {
 	for _, value := range values {
 		t.line = strconv.AppendQuote(append(t.line, ' '), value)
@@ -105,10 +105,10 @@
 	return strings.Repeat("0", 16-len(sum)) + sum
 }
 
-// Lines returns how many events there were.
+// Lines returns the number of events so far.
 func (t *Trace) Lines() int { return t.lines }
 
-// Text returns the lines so far, if they are kept.
+// Text returns the lines so far, or an empty string if New was called without withText.
 func (t *Trace) Text() string {
 	if t.text == nil {
 		return ""
@@ -116,27 +116,28 @@
 	return t.text.String()
 }
 
-// Traced returns the value of TraceVariable; false: no trace is asked for.
+// Traced returns the value of TraceVariable and whether it is set.
 func Traced() (wanted string, ok bool) { return os.LookupEnv(TraceVariable) }
 
-// thinned is which share of the plays is played under the race detector: one of so many.
-const thinned = 10
+// raceSampleInterval is the distance between the runs that SampleUnderRace selects.
+const raceSampleInterval = 10
 
-// SampleUnderRace returns those of all plays that are to be played: under the race detector a part only.
-func SampleUnderRace[P any](all []P) []P {
+// SampleUnderRace returns the runs that a test is to carry out: all of them, or every tenth under the race
+// detector, unless the digest file is being updated.
+func SampleUnderRace[R any](all []R) []R {
 	if !RaceDetector || os.Getenv(UpdateVariable) != "" {
 		return all
 	}
-	var some []P
-	for at := 0; at < len(all); at += thinned {
-		some = append(some, all[at])
+	var sample []R
+	for at := 0; at < len(all); at += raceSampleInterval {
+		sample = append(sample, all[at])
 	}
-	return some
+	return sample
 }
 
-// Compare compares lines with those on file and fails at the first that differs. The first
-// word of a line names the play, such as its seed. All plays on file must be there, but under
-// the race detector.
+// Compare compares lines with those in the digest file, and fails the test if any differs. The first word
+// of a line identifies the run, such as its seed. Except under the race detector, each run in the file must
+// be among the lines.
 func Compare(t testing.TB, path string, got []string) {
 	t.Helper()
 	if os.Getenv(UpdateVariable) != "" {
@@ -153,7 +154,7 @@
 		want[firstWord(line)] = line
 	}
 	if len(got) == 0 || len(got) != len(lines) && !RaceDetector {
-		t.Fatalf("%s has %d digests, and %d were made", path, len(lines), len(got))
+		t.Fatalf("%s has %d digests, but the test made %d", path, len(lines), len(got))
 	}
 	var differ []string
 	for _, line := range got {
@@ -163,7 +164,7 @@
 	}
 	if len(differ) > 0 {
 		first := firstWord(differ[0])
-		t.Fatalf("%d of %d digests differ; the first:\n got %s\nwant %s\n%s=%s prints its trace",
+		t.Fatalf("%d of %d digests differ; the first:\n got %s\nwant %s\nset %s=%s to print its trace",
 			len(differ), len(got), differ[0], want[first], TraceVariable, first)
 	}
 }
--- a/internal/shared/digesttest/race_on.go
+++ b/internal/shared/digesttest/race_on.go
@@ -2,6 +2,6 @@
 
 package digesttest
 
-// RaceDetector tells whether the race detector is built in. What is traced has one goroutine:
-// the detector has nothing to find in it, and takes ten times as long.
+// RaceDetector reports whether the race detector is enabled in this build. Traced code runs in one
+// goroutine, so that the detector can't find anything in it, and makes it take ten times as long.
 const RaceDetector = true
--- a/internal/shared/failuretest/failuretest.go
+++ b/internal/shared/failuretest/failuretest.go
@@ -1,5 +1,5 @@
-// Package failuretest catches the failure of a check that a test expects to fail: a check of an
-// invariant must fail where a fault was planted. Only tests import it.
+// Package failuretest catches the failure of a check that a test expects to fail. It serves tests of
+// invariant checks, which must fail when a fault was injected. Only tests import it.
 package failuretest
 
 import (
@@ -13,7 +13,7 @@
 	failure string
 }
 
-// stopped is the panic by which Fatalf leaves the function under test.
+// stopped is the panic value by which Fatalf ends the function that CatchFatal runs.
 type stopped struct{}
 
 // Helper implements testing.TB.
@@ -25,9 +25,9 @@
 	panic(stopped{})
 }
 
-// CatchFatal runs a function whose checks call Fatalf, in the calling goroutine, and returns the text
-// of the first failure; empty: nothing failed. Other methods of the function's testing.TB are t's
-// own: what they report fails t itself.
+// CatchFatal runs a function whose checks call Fatalf, in the calling goroutine, and returns the message
+// of the first call, or an empty string if there was none. Other methods of the function's testing.TB are
+// those of t, so that a failure that they report fails t.
 func CatchFatal(t testing.TB, run func(t testing.TB)) (failure string) {
 	rec := &recorder{TB: t}
 	defer func() {
--- a/internal/shared/goldentest/goldentest.go
+++ b/internal/shared/goldentest/goldentest.go
@@ -1,10 +1,10 @@
-// Package goldentest compares what a test made with golden files, which hold the
-// bytes that an earlier build of the program stored or sent.
+// Package goldentest compares the output of a test with golden files, which hold the bytes that an earlier
+// build of the program stored or sent.
 //
-// The golden files of the packages that use it were written by commit 352ebf2, before
-// packages, types and fields were renamed. They must never be rewritten by later code:
-// a difference means that a rolling upgrade, a folder on disk or a client breaks. For
-// that reason no file that exists is ever written here.
+// The golden files of the packages that use it were written by commit 352ebf2, before packages, types and
+// fields were renamed. They must never be rewritten by later code: a difference means that a rolling
+// upgrade, existing data on disk or a client breaks. Therefore this package never overwrites an existing
+// file.
 package goldentest
 
 import (
@@ -17,29 +17,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// WriteVariable names the environment variable that, set to 1, has missing golden
-// files written. It is for new golden files only.
+// WriteVariable names the environment variable that, when set to 1, enables the writing of missing golden
+// files. It is for new golden files only.
 const WriteVariable = "BASALTLOFT_WRITE_MISSING_GOLDEN"
 
-// Writing tells whether missing golden files are to be written.
+// Writing reports whether missing golden files are to be written.
 func Writing() bool { return os.Getenv(WriteVariable) == "1" }
 
-// Missing tells whether a golden file is to be written now: it does not exist and
-// WriteVariable is set.
+// Missing reports whether a golden file is to be written now: it doesn't exist, and WriteVariable is set
+// to 1.
 func Missing(path string) bool {
 	_, err := os.Stat(path)
 	return os.IsNotExist(err) && Writing()
 }
 
-// Read returns a golden file.
+// Read returns the content of a golden file.
 func Read(t testing.TB, path string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	require.NoError(t, err)
-	return text
+	return content
 }
 
-// Equal requires that got is what the golden file holds.
+// Equal requires that got equals the content of the golden file. It first writes a missing file if Writing
+// returns true.
 func Equal(t testing.TB, path string, got []byte) {
 	t.Helper()
 	WriteMissingFile(t, path, got)
@@ -48,11 +49,11 @@
 		require.Equal(t, string(want), string(got), "%s: what is stored, sent or read has changed", path)
 		return
 	}
-	require.True(t, bytes.Equal(want, got), "%s: what is stored, sent or read has changed from byte %d of %d on, now %d bytes", path, same(want, got), len(want), len(got))
+	require.True(t, bytes.Equal(want, got), "%s: what is stored, sent or read has changed from byte %d of %d on, now %d bytes", path, commonPrefixLength(want, got), len(want), len(got))
 }
 
-// same counts the bytes that two texts begin with alike.
-func same(a, b []byte) int {
+// commonPrefixLength returns the length of the longest common prefix of a and b.
+func commonPrefixLength(a, b []byte) int {
 	n := 0
 	for n < min(len(a), len(b)) && a[n] == b[n] {
 		n++
@@ -60,8 +61,8 @@
 	return n
 }
 
-// CopyFolder copies a golden folder into a temporary one and returns its path, so that
-// code under test may change it.
+// CopyFolder copies a golden folder into a temporary one, which the code under test may change, and returns
+// the path of the copy.
 func CopyFolder(t testing.TB, path string) string {
 	t.Helper()
 	copied := filepath.Join(t.TempDir(), filepath.Base(path))
@@ -69,7 +70,7 @@
 	return copied
 }
 
-// WriteMissingFile writes a golden file that does not exist yet.
+// WriteMissingFile writes a golden file if Missing returns true for it.
 func WriteMissingFile(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if Missing(path) {
@@ -78,7 +79,8 @@
 	}
 }
 
-// WriteMissingFolder copies a folder that a test has written to a golden one that does not exist yet.
+// WriteMissingFolder copies a folder that a test has written to the path of a golden one if Missing returns
+// true for that path.
 func WriteMissingFolder(t testing.TB, written, path string) {
 	t.Helper()
 	if Missing(path) {
--- a/internal/shared/goldentest/goldentest_test.go
+++ b/internal/shared/goldentest/goldentest_test.go
@@ -9,8 +9,8 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// TestGoldenFilesAreNeverRewritten: a missing file is written where that is asked for, and only then;
-// one that exists stays as it is.
+// TestGoldenFilesAreNeverRewritten checks that a missing file is written only if WriteVariable is set, and
+// that an existing one isn't changed.
 func TestGoldenFilesAreNeverRewritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "testdata", "golden.txt")
 	t.Setenv(goldentest.WriteVariable, "")
@@ -24,7 +24,7 @@
 	require.Equal(t, "first", string(goldentest.Read(t, path)))
 }
 
-// TestGoldenFoldersAreNeverRewritten: as files.
+// TestGoldenFoldersAreNeverRewritten checks the same for folders.
 func TestGoldenFoldersAreNeverRewritten(t *testing.T) {
 	golden, written := filepath.Join(t.TempDir(), "golden"), t.TempDir()
 	t.Setenv(goldentest.WriteVariable, "1")
--- a/internal/shared/goldentest/help.go
+++ b/internal/shared/goldentest/help.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// EqualHelp builds the command of the test's directory and requires that its flag -h prints what the golden
-// file holds, with the command's name where the program names itself.
+// EqualHelp builds the command in the test's directory and requires that its output for -h equals the golden
+// file. The path of the built program in the output is replaced by the command's name.
 func EqualHelp(t testing.TB, path, command string) {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), command)
--- a/internal/shared/testdeadline/testdeadline.go
+++ b/internal/shared/testdeadline/testdeadline.go
@@ -1,6 +1,6 @@
-// Package testdeadline bounds the waits of tests by the deadline of the test run. A test that waits
-// for an event, and does not check how long that takes, should fail by a hang only: how fast the
-// machine is, and what else it does, is nothing that it tests. Only tests import it.
+// Package testdeadline limits the waits of tests by the deadline of the test run. A test that waits for an
+// event, and doesn't check how long that takes, should fail only if the event never occurs, independently of
+// the machine's speed and load. Only tests import it.
 package testdeadline
 
 import (
@@ -10,16 +10,16 @@
 )
 
 const (
-	// reserve is kept from the deadline, so that a wait that fails can say what it waited for and the
-	// test can stop what it started.
+	// reserve is the time between the end of a wait and the deadline of the run. In it the test reports
+	// what it waited for and stops what it started.
 	reserve = time.Minute
-	// withoutDeadline is how long a wait lasts where the run has no deadline (go test -timeout 0).
+	// withoutDeadline is the limit of a wait if the run has no deadline (go test -timeout 0).
 	withoutDeadline = time.Hour
-	// least is how long a wait lasts however little is left.
-	least = 10 * time.Second
+	// minWait is the minimum limit of a wait, even if the deadline of the run is closer.
+	minWait = 10 * time.Second
 )
 
-// Remaining returns how long a wait that begins now may last.
+// Remaining returns the time limit of a wait that begins now.
 func Remaining(t *testing.T) time.Duration {
 	t.Helper()
 	deadline, ok := t.Deadline()
@@ -30,11 +30,11 @@
 	if !hasDeadline {
 		return withoutDeadline
 	}
-	return max(least, deadline.Sub(now)-reserve)
+	return max(minWait, deadline.Sub(now)-reserve)
 }
 
-// Context returns a context that ends when a wait that begins now has to end, and no later than the
-// test.
+// Context returns a context that is canceled at the time limit of a wait that begins now, and at the end of
+// the test at the latest.
 func Context(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), Remaining(t))
--- a/internal/shared/testdeadline/testdeadline_test.go
+++ b/internal/shared/testdeadline/testdeadline_test.go
@@ -10,7 +10,7 @@
 func TestRemaining(t *testing.T) {
 	now := time.Unix(1000, 0)
 	require.Equal(t, 9*time.Minute, remaining(now, now.Add(10*time.Minute), true))
-	require.Equal(t, least, remaining(now, now.Add(reserve), true), "a run that is almost over")
+	require.Equal(t, minWait, remaining(now, now.Add(reserve), true), "a run that is almost over")
 	require.Equal(t, withoutDeadline, remaining(now, time.Time{}, false))
 	require.Positive(t, Remaining(t))
 }
