--- a/internal/shared/indexedheap/heap.go
+++ b/internal/shared/indexedheap/heap.go
@@ -1,14 +1,14 @@
-// Package indexedheap is a generic heap whose items are told their index, so that any of them can be
-// removed.
+// Package indexedheap has a generic heap that reports the index of each item to the caller, so that any item
+// can be removed.
 package indexedheap
 
 import "container/heap"
 
-// Heap holds items, the least first. Use New. It is not safe for concurrent use.
+// Heap is a min-heap. Create it with New. It is not safe for concurrent use.
 type Heap[T any] struct{ q queue[T] }
 
-// New returns an empty heap. moved is told the index of an item whenever it changes, and -1 once the
-// item is removed; it may be nil.
+// New returns an empty heap. The heap calls moved with an item and its index whenever that index changes, and
+// with -1 when the item is removed. moved may be nil.
 func New[T any](less func(a, b T) bool, moved func(x T, at int)) Heap[T] {
 	if moved == nil {
 		moved = func(T, int) {}
@@ -19,8 +19,8 @@
 // Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.q.all) }
 
-// All returns the items, the least first and the others in no order. The slice is the heap's own: it is
-// valid until the next change and must not be changed.
+// All returns the items, the least first and the others in no particular order. The slice belongs to the
+// heap: it is valid until the next change of the heap, and the caller must not change it.
 func (h *Heap[T]) All() []T { return h.q.all }
 
 // Push adds an item.
@@ -54,7 +54,7 @@
 	last := len(q.all) - 1
 	x := q.all[last]
 	var none T
-	q.all[last] = none // so that it can be collected
+	q.all[last] = none // so that the item can be garbage-collected
 	q.all = q.all[:last]
 	q.moved(x, -1)
 	return x
--- a/internal/shared/indexedheap/heap_test.go
+++ b/internal/shared/indexedheap/heap_test.go
@@ -10,22 +10,22 @@
 	"pgregory.net/rapid"
 )
 
-type thing struct{ key, at int }
+type item struct{ key, at int }
 
-// TestHeap: against a sorted slice, with things taken out of the middle.
+// TestHeap compares the heap with a sorted slice, also after items were removed by their index.
 func TestHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := indexedheap.New(func(a, b *thing) bool { return a.key < b.key }, func(x *thing, at int) { x.at = at })
+		h := indexedheap.New(func(a, b *item) bool { return a.key < b.key }, func(x *item, at int) { x.at = at })
 		var want []int
 		for range rapid.IntRange(0, 100).Draw(t, "steps") {
-			switch what := rapid.IntRange(0, 3).Draw(t, "what"); {
-			case what < 2:
-				x := &thing{key: rapid.IntRange(0, 20).Draw(t, "key")}
+			switch operation := rapid.IntRange(0, 3).Draw(t, "what"); {
+			case operation < 2:
+				x := &item{key: rapid.IntRange(0, 20).Draw(t, "key")}
 				h.Push(x)
 				want = append(want, x.key)
 				slices.Sort(want)
 			case len(want) == 0:
-			case what == 2:
+			case operation == 2:
 				x := h.Pop()
 				require.Equal(t, want[0], x.key)
 				require.Equal(t, -1, x.at)
--- a/internal/shared/portreservation/portreservation.go
+++ b/internal/shared/portreservation/portreservation.go
@@ -1,13 +1,13 @@
-// Package portreservation keeps loopback TCP ports for programs that listen on them later:
-// tests, and demonstrations that start processes, have to name an address before anything
-// listens there.
+// Package portreservation reserves loopback TCP ports for programs that listen on them later. Tests, and
+// demonstrations that start processes, need an address before a program listens there.
 //
-// A reserved port is bound and never listened on. Connections to it are refused, as they
-// are where nothing is; no other reservation gets it, in this process or in another; and a
-// listener that sets SO_REUSEADDR, as each one of package net does, may still take it. To
-// listen for a moment and close again, which is the usual way to find a free port, has
-// neither property: a client that waits for the program may be connected to the one that
-// only looks.
+// A reserved port is bound, but not listened on. Connections to it are refused, as if the port were unused.
+// No other reservation gets the port, in this process or in another. A listener that sets SO_REUSEADDR, as
+// all listeners of package net do, can still use it.
+//
+// The usual way to find a free port is to listen briefly and to close the listener again. That has neither
+// of the first two properties: another process may take the port before the program listens, and a client
+// that waits for the program may connect to the temporary listener instead.
 package portreservation
 
 import (
@@ -18,33 +18,33 @@
 	"syscall"
 )
 
-// loopback is the address that all ports are reserved at.
+// loopback is the address at which all ports are reserved.
 var loopback = [4]byte{127, 0, 0, 1}
 
-// ErrInUse says that something else listens on a port or has reserved it.
+// ErrInUse is returned when another socket listens on a port or reserves it.
 var ErrInUse = errors.New("the port is in use")
 
-// Reservation is a port that is kept for one listener.
+// Reservation is a port that is reserved for one listener.
 type Reservation struct {
 	socket int // bound, never listening
 	port   int
 }
 
-// Ports are taken from a range below the one that the system chooses from for outgoing
-// connections and for listeners that name no port.
+// Ports are taken from a range below the system's ephemeral ports, which are those of outgoing connections
+// and of listeners on port 0.
 const (
 	firstPort = 20000
 	portCount = 12000
-	// processSpread is the distance between the first ports that processes with consecutive
-	// ids try, so that processes that start together seldom try the same ones.
+	// processSpread is the distance between the first ports that processes with consecutive IDs try, so
+	// that processes that start together rarely try the same ports.
 	processSpread = 131
 )
 
+// portsTried counts the ports that this process has tried.
 var portsTried atomic.Uint32
 
-// Reserve reserves a port that nothing listens on. The error wraps ErrInUse if there is
-// none. The caller must Close the reservation, unless it is to last as long as the process;
-// programs that the process starts don't inherit it.
+// Reserve reserves a free port. The error wraps ErrInUse if there is none. The caller must close the
+// reservation, unless it is to last as long as the process. Child processes don't inherit it.
 func Reserve() (*Reservation, error) {
 	first := uint32(os.Getpid()) * processSpread
 	for range portCount {
@@ -57,7 +57,7 @@
 	return nil, fmt.Errorf("no free port from %d to %d: %w", firstPort, firstPort+portCount-1, ErrInUse)
 }
 
-// reservePort reserves one port. The error wraps ErrInUse if it is taken.
+// reservePort reserves a given port. The error wraps ErrInUse if the port isn't free.
 func reservePort(port int) (*Reservation, error) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -70,9 +70,9 @@
 	return &Reservation{socket: socket, port: port}, nil
 }
 
-// bindExclusively binds a socket to a port that no other socket has, and then lets a
-// listener that sets SO_REUSEADDR share it. Set before, the option would let two
-// reservations share the port as well.
+// bindExclusively binds a socket to a port that no other socket is bound to, and then sets SO_REUSEADDR, so
+// that a listener that also sets it can share the port. If the option were set before the bind, two
+// reservations could share the port as well.
 func bindExclusively(socket, port int) error {
 	err := syscall.Bind(socket, &syscall.SockaddrInet4{Addr: loopback, Port: port})
 	if errors.Is(err, syscall.EADDRINUSE) {
@@ -87,14 +87,14 @@
 // Addr returns the reserved address as host:port.
 func (r *Reservation) Addr() string { return fmt.Sprintf("127.0.0.1:%d", r.port) }
 
-// Close gives the port back.
+// Close releases the port.
 func (r *Reservation) Close() error { return syscall.Close(r.socket) }
 
-// Range is consecutive ports that are kept for the listeners of one program.
+// Range is a set of consecutive ports that are reserved for the listeners of one program.
 type Range []*Reservation
 
-// ReserveRange reserves count consecutive ports that nothing listens on. The error wraps ErrInUse if
-// there are none. The caller must Close the range, unless it is to last as long as the process.
+// ReserveRange reserves count consecutive free ports. The error wraps ErrInUse if there are none. The caller
+// must close the range, unless it is to last as long as the process.
 func ReserveRange(count int) (Range, error) {
 	for range portCount / count {
 		first, err := Reserve()
@@ -105,7 +105,7 @@
 		if err == nil {
 			return reserved, nil
 		}
-		_ = reserved.Close() // the sockets are bound to nothing else
+		_ = reserved.Close() // closing a socket that is only bound loses nothing
 		if !errors.Is(err, ErrInUse) {
 			return nil, err
 		}
@@ -113,7 +113,8 @@
 	return nil, fmt.Errorf("no %d consecutive ports: %w", count, ErrInUse)
 }
 
-// extend reserves the ports that follow a range until it has count of them.
+// extend reserves the ports that follow a range until the range has count ports. After an error it returns
+// the ports reserved so far.
 func extend(reserved Range, count int) (Range, error) {
 	for len(reserved) < count {
 		next, err := reservePort(reserved.First() + len(reserved))
@@ -128,11 +129,11 @@
 // First returns the first port.
 func (r Range) First() int { return r[0].port }
 
-// Close gives the ports back.
+// Close releases the ports.
 func (r Range) Close() error {
-	var faults error
+	var err error
 	for _, reservation := range r {
-		faults = errors.Join(faults, reservation.Close())
+		err = errors.Join(err, reservation.Close())
 	}
-	return faults
+	return err
 }
--- a/internal/shared/portreservation/portreservation_test.go
+++ b/internal/shared/portreservation/portreservation_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// portVariable names the environment variable by which TestReserveInOtherProcess hands a
-// port to the process that it starts.
+// portVariable names the environment variable by which TestReserveInOtherProcess passes a port to the
+// process that it starts.
 const portVariable = "BASALTLOFT_TEST_RESERVED_PORT"
 
 func reserve(t *testing.T) *Reservation {
@@ -45,9 +45,9 @@
 	require.ErrorIs(t, dial(t, r.Addr()), syscall.ECONNREFUSED)
 }
 
-// TestReservingNeverAccepts: whoever looks for a free port is not taken for the program
-// that is to listen on it. A client dials one port all the time while the port is reserved
-// and given back, which a listener that is open for a moment would show.
+// TestReservingNeverAccepts guards against a reservation that accepts a client's connection in place of the
+// program that is to listen on the port. A client dials one port continuously while the port is reserved and
+// released many times: it would connect to a listener even if that were open only briefly.
 func TestReservingNeverAccepts(t *testing.T) {
 	const rounds = 2000
 	r := reserve(t)
@@ -81,7 +81,7 @@
 	return r.Close()
 }
 
-// TestReserveGivesEachPortOnce: reservations that are held at one time differ.
+// TestReserveGivesEachPortOnce checks that reservations that exist at the same time have different ports.
 func TestReserveGivesEachPortOnce(t *testing.T) {
 	const held = 200 // more than processSpread
 	addrs := make(map[string]bool)
@@ -101,7 +101,7 @@
 	require.NoError(t, again.Close())
 }
 
-// TestReserveInOtherProcess: a port that this process has reserved is in use for others.
+// TestReserveInOtherProcess checks that another process can't reserve a port that this process has reserved.
 func TestReserveInOtherProcess(t *testing.T) {
 	if port, err := strconv.Atoi(os.Getenv(portVariable)); err == nil {
 		_, err := reservePort(port)
@@ -116,8 +116,8 @@
 	require.Contains(t, string(output), "--- PASS: TestReserveInOtherProcess")
 }
 
-// TestListenOnReservedPort: the program that the port is kept for can listen, accept, end and
-// listen again, and no reservation gets the port meanwhile.
+// TestListenOnReservedPort checks that a program can listen on its reserved port, accept, end and listen
+// again, and that no other reservation gets the port meanwhile.
 func TestListenOnReservedPort(t *testing.T) {
 	r := reserve(t)
 	for range 2 {
@@ -138,7 +138,7 @@
 	require.ErrorIs(t, err, ErrInUse)
 }
 
-// TestOnlyOneListens: the port is shared with one listener, not with two.
+// TestOnlyOneListens checks that only one listener at a time can use a reserved port.
 func TestOnlyOneListens(t *testing.T) {
 	r := reserve(t)
 	listen(t, r.Addr())
@@ -146,7 +146,8 @@
 	require.ErrorIs(t, err, syscall.EADDRINUSE)
 }
 
-// TestReserveRangeKeepsEachPort: the ports follow one another, and no other reservation gets one.
+// TestReserveRangeKeepsEachPort checks that the ports are consecutive, and that no other reservation gets one
+// of them.
 func TestReserveRangeKeepsEachPort(t *testing.T) {
 	const count = 4
 	reserved, err := ReserveRange(count)
