--- a/internal/shared/admission/admission_test.go
+++ b/internal/shared/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"basaltloft/internal/shared/admission"
 )
 
-func TestNewTypeStartsAtItsEstimateOrTheMeanOfAll(t *testing.T) {
+func TestNewTypeStartsAtItsEstimateElseAtTheMeanOfAll(t *testing.T) {
 	estimates := admission.NewRunTimeEstimates()
 	known, other := admission.TaskType{Queue: "q", Step: 1}, admission.TaskType{Queue: "q", Step: 2}
 	require.Equal(t, 3.0, estimates.Expect(known, 3))
@@ -74,7 +74,7 @@
 	require.Equal(t, 160.0, budget.Headroom(400, mean), "work that has ended leaves headroom")
 }
 
-func TestBudgetThatBlocksWorkForLongGrowsOnItsOwn(t *testing.T) {
+func TestBudgetThatBlocksWorkForLongGrowsByItself(t *testing.T) {
 	budget, mean := admission.Budget{}, &admission.MeanCost{}
 	mean.Add(10)
 	first := budget.Headroom(0, mean)
