--- a/internal/cluster/router/call.go
+++ b/internal/cluster/router/call.go
@@ -8,21 +8,21 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// Call is a client's request while the requests to shards' leaders that serve it are under way.
-// It is used by one goroutine.
+// Call is the state of a client's request: the requests to leaders of shards that it needs, and what is
+// known of their outcomes so far. It is used by one goroutine.
 //
-// Each request to a leader may be sent again, since a leader knows a job by its ID. That a job
-// was accepted, cancelled or is unknown is a fact, whatever earlier attempts came to. A rejection
-// is not: an earlier attempt without a response may have been accepted, so that the client is
-// told that the outcome is unknown. docs/control-safety.md has the whole table.
+// Each request to a leader may be retried, since leaders identify a job by its ID. The response that a job
+// was accepted, was cancelled or is unknown to the leader holds whatever the outcome of earlier attempts
+// was. A rejection doesn't: an earlier attempt without a response may have been accepted, so that the
+// client's response is that the outcome is unknown. docs/control-safety.md has the complete table.
 type Call struct {
 	requests []leaderRequest
 	current  int // index into requests
-	// unanswered tells that an attempt had no response, or one that left its outcome open.
+	// unanswered is set once an attempt had no response, or one that left its outcome open.
 	unanswered bool
-	// mayHaveEffect tells that such an attempt would have changed something.
+	// mayHaveEffect is set once such an attempt may have changed something.
 	mayHaveEffect bool
-	pending       int // jobs counted by the shards so far
+	pending       int // sum of the shards' counts of pending jobs so far
 }
 
 // leaderRequest is one request to a shard's leader.
@@ -35,33 +35,34 @@
 type requestKind uint8
 
 const (
-	requestState  requestKind = iota // state of a job: the first shard that knows it responds for all
-	requestCancel                    // likewise
+	requestState  requestKind = iota // state of a job: from the first shard that has the job
+	requestCancel                    // cancellation of a job: by the first shard that has the job
 	requestCount                     // pending jobs of a queue: the sum over all shards
-	requestCheck                     // a former shard of the queue: goes on unless that knows the ID
+	requestCheck                     // sent to a former shard of the queue: ends the call if that has the ID
 	requestSubmit
 )
 
-// Progress is what the caller does after a response.
+// Progress is what the caller has to do after a response.
 type Progress uint8
 
-// What the caller does after a response.
+// Values of Progress.
 const (
-	// Retry: send the request of Next again after a pause.
+	// Retry means: send the request of Next again after a pause.
 	Retry Progress = iota
-	// Continue: send the request of Next, which is another one now.
+	// Continue means: send the request of Next, which is now a different one.
 	Continue
-	// Finished: the response is the client's.
+	// Finished means: send the response to the client.
 	Finished
-	// ConfigOutdated: wait for the version in the response's Moved, and build the call anew.
+	// ConfigOutdated means: wait for the configuration with the version in the response's Moved, and create
+	// a new call.
 	ConfigOutdated
 )
 
-// noLeaderRetryMs is after how long a client is told to come back where a shard has no leader.
+// noLeaderRetryMs is the time after which a client is asked to retry if a shard has no leader.
 const noLeaderRetryMs = 1000
 
-// NewJobCall returns the call for a job's state, its cancellation, or the number of a queue's
-// pending jobs (with an empty ID). Other operations than these three are not for clients.
+// NewJobCall returns the call for a job's state, its cancellation, or the number of a queue's pending jobs
+// (with an empty ID). Clients can't request any other operation.
 func NewJobCall(v *View, route *opconfig.Route, operation protocol.JobOperation, id string) *Call {
 	kinds := map[protocol.JobOperation]requestKind{
 		protocol.GetJobState: requestState, protocol.CancelJob: requestCancel, protocol.CountPending: requestCount,
@@ -74,9 +75,9 @@
 	return c
 }
 
-// NewSubmitCall returns the call that submits a job. Where the queue was in other shards before,
-// their leaders are first asked whether they know the ID, and accept nothing more of the queue
-// from then on.
+// NewSubmitCall returns the call that submits a job. If the queue was in other shards before, the call first
+// asks their leaders whether they have the ID. From that request on those leaders accept no more jobs of the
+// queue.
 func NewSubmitCall(v *View, route *opconfig.Route, id string, body []byte) *Call {
 	c := &Call{}
 	shards := v.shards(route)
@@ -93,13 +94,13 @@
 	return c
 }
 
-// InheritOutcome lets a call replace an earlier one of the same request, which ended with
-// ConfigOutdated: what that one's attempts left open stays open.
+// InheritOutcome prepares a call that replaces an earlier one of the same client's request, which ended with
+// ConfigOutdated: attempts of the earlier call whose outcome is unknown count for the new call too.
 func (c *Call) InheritOutcome(earlier *Call) {
 	c.unanswered, c.mayHaveEffect = earlier.unanswered, earlier.mayHaveEffect
 }
 
-// Next returns the shard whose leader is to be asked, and the message for it.
+// Next returns the shard to whose leader the next request is to be sent, and that request.
 func (c *Call) Next() (shard int, message any) {
 	return c.requests[c.current].shard, c.requests[c.current].message
 }
@@ -111,8 +112,8 @@
 	c.mayHaveEffect = c.mayHaveEffect || kind == requestSubmit || kind == requestCancel
 }
 
-// HandleResponse applies a response to the request of Next. The response that it returns is the
-// client's where the progress is Finished.
+// HandleResponse applies a response to the request of Next. If the progress is Finished, the response that
+// it returns is the one for the client.
 func (c *Call) HandleResponse(response protocol.JobResponse) (protocol.JobResponse, Progress) {
 	switch {
 	case response.Status == protocol.StatusNotLeader:
@@ -128,24 +129,24 @@
 		return c.addCount(response)
 	case requestState, requestCancel, requestCheck:
 		if response.Status == http.StatusGone {
-			return c.nextStep(response)
+			return c.nextRequest(response)
 		}
 	}
 	return c.finalResponse(response), Finished
 }
 
-// addCount adds a shard's pending jobs to those of the others.
+// addCount adds a shard's pending jobs to those of the previous shards.
 func (c *Call) addCount(response protocol.JobResponse) (protocol.JobResponse, Progress) {
 	if response.Status != http.StatusOK {
 		return response, Finished
 	}
 	c.pending += response.Pending
 	response.Pending = c.pending
-	return c.nextStep(response)
+	return c.nextRequest(response)
 }
 
-// nextStep goes on to the next shard. The last shard's response is the client's.
-func (c *Call) nextStep(response protocol.JobResponse) (protocol.JobResponse, Progress) {
+// nextRequest advances to the next request. The response to the last one is the client's.
+func (c *Call) nextRequest(response protocol.JobResponse) (protocol.JobResponse, Progress) {
 	if c.current == len(c.requests)-1 {
 		return response, Finished
 	}
@@ -153,7 +154,8 @@
 	return response, Continue
 }
 
-// finalResponse returns what a leader's last response allows the client to be told.
+// finalResponse returns the client's response after a leader's last response. A rejection by the leader
+// becomes an unknown outcome if an earlier attempt may have had an effect.
 func (c *Call) finalResponse(response protocol.JobResponse) protocol.JobResponse {
 	if c.mayHaveEffect && response.Status != http.StatusOK && !response.Never {
 		return c.TimeoutResponse()
@@ -161,8 +163,8 @@
 	return response
 }
 
-// TimeoutResponse returns what the client is told where no response came in time: 504 where an
-// attempt may have been carried out, else 503.
+// TimeoutResponse returns the client's response if the call isn't finished in time: 504 if the outcome of an
+// attempt is unknown, else 503.
 func (c *Call) TimeoutResponse() protocol.JobResponse {
 	if c.unanswered {
 		return protocol.JobResponse{Status: http.StatusGatewayTimeout, Reason: "an owner did not answer, and what became of it is not known: send the same again"}
--- a/internal/cluster/router/call_test.go
+++ b/internal/cluster/router/call_test.go
@@ -12,7 +12,7 @@
 	"basaltloft/internal/cluster/router"
 )
 
-// servicesOfThreeShards returns three services, each of another shard.
+// servicesOfThreeShards returns three services, each in a different shard.
 func servicesOfThreeShards(t *testing.T) []string {
 	t.Helper()
 	var names []string
@@ -27,8 +27,8 @@
 	return names
 }
 
-// movedQueue returns a view in which a queue was routed to two services and is now at a third,
-// its route, and the shards of the three services.
+// movedQueue returns a view in which a queue was routed to two services before and is now routed to a third,
+// the queue's route, and the shards of the three services.
 func movedQueue(t *testing.T) (*router.View, *opconfig.Route, []int) {
 	t.Helper()
 	names := servicesOfThreeShards(t)
@@ -51,10 +51,10 @@
 	otherJob  = protocol.JobResponse{Status: http.StatusConflict}
 )
 
-// noResponse stands for an attempt without a response.
+// noResponse represents an attempt without a response.
 var noResponse = protocol.JobResponse{Reason: "no response"}
 
-// respond gives a call its responses and returns what the client is told.
+// respond applies responses to a call, and returns the client's response and the call's progress.
 func respond(t *testing.T, call *router.Call, responses ...protocol.JobResponse) (protocol.JobResponse, router.Progress) {
 	t.Helper()
 	got, progress := protocol.JobResponse{}, router.Retry
@@ -72,8 +72,8 @@
 	return got, progress
 }
 
-// TestSubmitOutcome is the table of docs/control-safety.md: what a client is told after the
-// responses of leaders, for a job of a queue that never moved.
+// TestSubmitOutcome checks the table of docs/control-safety.md: the status that a client gets after the
+// given responses of leaders, for a job of a queue that was never moved.
 func TestSubmitOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		responses []protocol.JobResponse
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestReadsAndCancels: a state or a cancellation may be asked for again; what a leader says of
-// either is a fact.
+// TestReadsAndCancels checks requests for a job's state and for its cancellation, which may be retried: the
+// order in which shards are asked, and the client's response after attempts without one.
 func TestReadsAndCancels(t *testing.T) {
 	v, route, shards := movedQueue(t)
 	for _, operation := range []protocol.JobOperation{protocol.GetJobState, protocol.CancelJob} {
@@ -131,7 +131,8 @@
 	require.Equal(t, protocol.Status(503), got.Status)
 }
 
-// TestCountsAreAdded: a count is the sum over the shards that had the queue.
+// TestCountsAreAdded checks that the number of pending jobs is the sum over the shards that have or had the
+// queue.
 func TestCountsAreAdded(t *testing.T) {
 	v, route, _ := movedQueue(t)
 	count := func(n int) protocol.JobResponse { return protocol.JobResponse{Status: 200, Pending: n} }
@@ -140,8 +141,8 @@
 	require.Equal(t, 9, got.Pending)
 }
 
-// TestFormerShardsAreAskedFirst: before a job is submitted they are asked by the version that
-// moved the queue; a job that one knows is not submitted again.
+// TestFormerShardsAreAskedFirst checks that former shards are asked for a job's ID before the job is submitted,
+// with the version that moved the queue, and that a job that one of them has is not submitted again.
 func TestFormerShardsAreAskedFirst(t *testing.T) {
 	v, route, shards := movedQueue(t)
 	call := router.NewSubmitCall(v, route, "id", []byte("body"))
--- a/internal/cluster/router/view.go
+++ b/internal/cluster/router/view.go
@@ -7,8 +7,8 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// View is one version of the configuration, as a dispatcher acts on it. It is replaced as a
-// whole and never changed, so that it may be read without a lock.
+// View is one version of the configuration, with what a dispatcher needs to route requests by it. It is
+// never changed, only replaced as a whole, so that it may be read without a lock.
 type View struct {
 	// Config is the configuration itself.
 	Config *opconfig.Config
@@ -16,8 +16,8 @@
 	ServiceHistories map[string]opconfig.ServiceHistory
 }
 
-// services lists the services that may hold jobs of a queue: the present one first, then the
-// former ones, the latest first.
+// services returns the services that may hold jobs of a queue: the current one, then the former ones, the
+// latest first.
 func (v *View) services(route *opconfig.Route) []string {
 	services := []string{route.Backend}
 	former := v.ServiceHistories[route.Queue()].Services
@@ -29,7 +29,7 @@
 	return services
 }
 
-// shards lists the shards that may hold jobs of a queue, each once, the present one first.
+// shards returns the shards that may hold jobs of a queue, each once and the current one first.
 func (v *View) shards(route *opconfig.Route) []int {
 	var shards []int
 	for _, service := range v.services(route) {
--- a/internal/cluster/router/watcher.go
+++ b/internal/cluster/router/watcher.go
@@ -10,43 +10,44 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// Watcher keeps a dispatcher's View up to date: it watches the configuration's leader, each of
-// whose responses renews the dispatcher's right to act on the view. It also knows the leaders of
-// the shards. Its methods may be called concurrently.
+// Watcher keeps a dispatcher's View up to date. Its watch requests go to the leader of the configuration's
+// group, and each response of that leader extends the time for which the dispatcher may act on the view. The
+// watcher also records the leaders of the shards. Its methods may be called concurrently.
 type Watcher struct {
 	node     string
-	validFor time.Duration // how long a view may be acted on after its confirmation
+	validFor time.Duration // how long a view may be acted on after it was confirmed
 	log      *slog.Logger
 
 	mu           sync.Mutex
 	view         *View         // nil: none yet
-	confirmedAt  time.Duration // when the view was the newest for certain
+	confirmedAt  time.Duration // latest time at which the view was known to be the newest
 	seeds        []string      // addresses from the settings
-	nodes        []string      // addresses of control-plane nodes that are known, with the seeds
+	nodes        []string      // addresses of known control-plane nodes, including the seeds
 	configLeader string        // address; empty: unknown
 	shardLeaders []string      // addresses, by shard; empty: unknown
-	turn         int           // of nodes, for requests whose addressee is unknown
+	turn         int           // round-robin index into nodes, for requests whose leader is unknown
 	unresponsive unresponsiveNodes
 }
 
 const (
-	// longestWatchWait bounds how long a leader holds a watch request until there is a change.
-	longestWatchWait = 500 * time.Millisecond
-	// watchesPerValidity is how many watch requests fit into the time that a view stays valid, so
-	// that one late response does not make it invalid.
+	// maxWatchWait is the longest time for which a leader holds a watch request while nothing changes.
+	maxWatchWait = 500 * time.Millisecond
+	// watchesPerValidity is how many watch requests fit into the time for which a view stays valid, so that
+	// one late response doesn't make the view invalid.
 	watchesPerValidity = 3
-	// applySlack is by how much a view's validity ends before the bound on how late a new
-	// configuration may be applied, and slackDivisor limits it to that part of the bound.
+	// applySlack is how long before the limit on applying a new configuration a view becomes invalid. The
+	// slack is at most the limit divided by slackDivisor.
 	applySlack   = 350 * time.Millisecond
 	slackDivisor = 4
-	// heldShare is the part that counts of the time for which a leader says it held a watch
-	// request: its clock may run fast by 2%.
-	heldShare = 0.98
+	// heldFraction is the part that counts of the time for which a leader reports that it held a watch
+	// request: the leader's clock may run fast by 2%.
+	heldFraction = 0.98
 )
 
-// NewWatcher returns a watcher without a view. applyWithin is the deployment's bound on how late
-// a new configuration is applied: a view may be acted on until nearly that long after the leader
-// read it for the last response, since no newer one has then been in force for longer.
+// NewWatcher returns a watcher without a view. applyWithin is the deployment's limit on how long a
+// dispatcher may act on an old configuration after a new one was committed. A view may be acted on for
+// nearly that long after the leader last read its version for a response, since no newer version can have
+// been committed before that read.
 func NewWatcher(node string, seeds []string, applyWithin time.Duration, log *slog.Logger) *Watcher {
 	return &Watcher{
 		node: node, validFor: applyWithin - min(applySlack, applyWithin/slackDivisor), log: log,
@@ -55,13 +56,13 @@
 	}
 }
 
-// NextRequest returns the next watch request and the address to send it to: the configuration's
-// leader, unless that was unresponsive a short while ago. Other nodes may go on naming it until
-// they have elected another.
+// NextRequest returns the next watch request and the address to send it to: the configuration's leader,
+// unless that is unknown or was unresponsive recently, else another node. Other nodes may continue to name
+// an unresponsive leader until they have elected a new one.
 func (w *Watcher) NextRequest(now time.Duration) (address string, request protocol.WatchRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request = protocol.WatchRequest{Node: w.node, WaitMs: min(longestWatchWait, w.validFor/watchesPerValidity).Milliseconds()}
+	request = protocol.WatchRequest{Node: w.node, WaitMs: min(maxWatchWait, w.validFor/watchesPerValidity).Milliseconds()}
 	if w.view != nil {
 		request.Have = w.view.Config.Version
 	}
@@ -71,7 +72,7 @@
 	return w.unresponsive.next(w.nodes, &w.turn, now), request
 }
 
-// RequestFailed records that a watch request, sent at the given time, had no response.
+// RequestFailed records that a watch request that was sent at sentAt had no response.
 func (w *Watcher) RequestFailed(address string, sentAt, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,9 +86,8 @@
 	}
 }
 
-// HandleResponse applies the response to a watch request that was sent at the given time. It
-// returns whether the configuration's leader responded; if not, the next request is to be sent
-// after a pause.
+// HandleResponse applies the response to a watch request that was sent at sentAt. It reports whether the
+// configuration's leader responded; if not, the caller sends the next request after a pause.
 func (w *Watcher) HandleResponse(address string, sentAt time.Duration, response protocol.WatchResponse) (isLeader bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,7 +103,8 @@
 	return true
 }
 
-// redirect takes over the leader's address that another node named, if it named another one.
+// redirect sets the configuration's leader to the one that a node named. If the node named none, or itself,
+// the leader is unknown, and the next request goes to the next node.
 func (w *Watcher) redirect(leader, namedBy string) {
 	w.configLeader = leader
 	if leader == "" || leader == namedBy {
@@ -112,14 +113,14 @@
 	}
 }
 
-// union returns the addresses of both lists, sorted, each once.
-func union(one, other []string) []string {
-	all := append(slices.Clone(one), other...)
+// union returns the addresses of both lists, sorted and without duplicates.
+func union(a, b []string) []string {
+	all := append(slices.Clone(a), b...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// apply applies the leader's response.
+// apply applies a response of the configuration's leader.
 func (w *Watcher) apply(sentAt time.Duration, response protocol.WatchResponse) {
 	w.configLeader = response.Leader
 	for shard, leader := range response.Owners {
@@ -131,12 +132,13 @@
 		return
 	}
 	if w.view != nil && response.Version >= w.view.Config.Version {
-		held := time.Duration(heldShare * float64(response.HeldMs) * float64(time.Millisecond))
+		held := time.Duration(heldFraction * float64(response.HeldMs) * float64(time.Millisecond))
 		w.confirmedAt = max(w.confirmedAt, sentAt+held)
 	}
 }
 
-// install replaces the view, and returns false where the response has none that could replace it.
+// install replaces the view by the configuration in the response. It returns false and keeps the view if
+// that configuration can't be decoded or is older.
 func (w *Watcher) install(response protocol.WatchResponse) bool {
 	config, err := opconfig.Decode(response.Content)
 	if err != nil {
@@ -151,16 +153,16 @@
 	return true
 }
 
-// Current returns the view, and whether it may be acted on: it was the newest so short a while
-// ago that no newer one has been in force for longer than the deployment allows.
+// Current returns the view, and whether it may be acted on. It may be if it was confirmed as the newest so
+// recently that a newer one is still within the deployment's limit (see NewWatcher).
 func (w *Watcher) Current(now time.Duration) (view *View, valid bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.view, w.view != nil && now-w.confirmedAt < w.validFor
 }
 
-// LeaderOf returns the address to ask for a shard: its leader's, if that is known and was not
-// unresponsive a short while ago, else that of each node in turn.
+// LeaderOf returns the address to which requests for a shard are to be sent: that of the shard's leader if
+// that is known and wasn't unresponsive recently, else those of the nodes in round-robin order.
 func (w *Watcher) LeaderOf(shard int, now time.Duration) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -171,8 +173,8 @@
 	return w.unresponsive.next(w.nodes, &w.turn, now)
 }
 
-// UpdateLeader records the shard's leader that the node at an address named; empty: that node is
-// not the leader and knows none.
+// UpdateLeader records that the node at address named leader as the shard's leader. If leader is empty, the
+// node isn't the leader and knows none.
 func (w *Watcher) UpdateLeader(shard int, address, leader string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,8 +182,7 @@
 	w.updateLeader(shard, address, leader)
 }
 
-// LeaderUnresponsive records that a request to a shard's leader, sent at the given time, had no
-// response.
+// LeaderUnresponsive records that a request to a shard's leader that was sent at sentAt had no response.
 func (w *Watcher) LeaderUnresponsive(shard int, address string, sentAt, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,8 +190,8 @@
 	w.updateLeader(shard, address, "")
 }
 
-// LeaderResponded records that a node has responded to a request as the shard's leader: it is not avoided
-// any more, even where another request to it had no response.
+// LeaderResponded records that a node has responded to a request as the shard's leader. The node is no longer
+// avoided, even if another request to it had no response.
 func (w *Watcher) LeaderResponded(shard int, address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -207,7 +208,7 @@
 	}
 }
 
-// UpdateSeeds applies seeds that have changed in the settings.
+// UpdateSeeds replaces the seeds after they have changed in the settings.
 func (w *Watcher) UpdateSeeds(seeds []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/cluster/router/watcher_test.go
+++ b/internal/cluster/router/watcher_test.go
@@ -17,7 +17,7 @@
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[],"services":[]}`, version))
 }
 
-// leaderResponse returns the response of the leader core-0, with the configuration or without.
+// leaderResponse returns a response of the leader core-0, with the content of the configuration or without.
 func leaderResponse(version int, withContent bool) protocol.WatchResponse {
 	response := protocol.WatchResponse{Leads: true, Leader: "core-0", Version: int64(version)}
 	if withContent {
@@ -26,18 +26,18 @@
 	return response
 }
 
-// TestViewIsValidWhileConfirmed: its age counts from the request, not from the response, and
-// only a node that still held the lease after it had read confirms it.
+// TestViewIsValidWhileConfirmed checks that the age of a view counts from the request, not from the response,
+// and that only a response of the leader confirms the view.
 func TestViewIsValidWhileConfirmed(t *testing.T) {
 	w := router.NewWatcher("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	_, ok := w.Current(0)
-	require.False(t, ok, "there is none yet")
+	require.False(t, ok, "there is no view yet")
 	require.True(t, w.HandleResponse("core-0", 10*time.Second, leaderResponse(5, true)))
 	v, ok := w.Current(10*time.Second + 1649*time.Millisecond)
 	require.True(t, ok)
 	require.Equal(t, int64(5), v.Config.Version)
 	_, ok = w.Current(10*time.Second + 1650*time.Millisecond)
-	require.False(t, ok, "a newer one may have been in force for as long as is allowed")
+	require.False(t, ok, "a newer version may have been in force for as long as is allowed")
 
 	stale := leaderResponse(5, false)
 	stale.Leads = false
@@ -47,18 +47,18 @@
 
 	require.True(t, w.HandleResponse("core-0", 12*time.Second, leaderResponse(4, true)))
 	v, ok = w.Current(12 * time.Second)
-	require.Equal(t, int64(5), v.Config.Version, "it never goes back")
+	require.Equal(t, int64(5), v.Config.Version, "the view never goes back to an older version")
 	require.False(t, ok, "an older version does not confirm a newer one")
 	require.True(t, w.HandleResponse("core-0", 12*time.Second, leaderResponse(5, false)))
 	_, ok = w.Current(12 * time.Second)
 	require.True(t, ok)
-	require.True(t, w.HandleResponse("core-0", 11*time.Second, leaderResponse(5, false)), "a response that was overtaken")
+	require.True(t, w.HandleResponse("core-0", 11*time.Second, leaderResponse(5, false)), "a response to an earlier request that arrives late")
 	_, ok = w.Current(13 * time.Second)
 	require.True(t, ok)
 }
 
-// TestWatchWaitFitsTheBound: on any deployment, the wait of a request is a part of the time for
-// which its response keeps the view valid.
+// TestWatchWaitFitsTheBound checks for various bounds that a watch request waits for only a part of the time
+// for which its response keeps the view valid.
 func TestWatchWaitFitsTheBound(t *testing.T) {
 	for _, applyWithin := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 6 * time.Second} {
 		w := router.NewWatcher("edge", []string{"core-0"}, applyWithin, slog.New(slog.DiscardHandler))
@@ -67,19 +67,19 @@
 		wait := time.Duration(request.WaitMs) * time.Millisecond
 		require.Positive(t, wait)
 		_, ok := w.Current(2 * wait)
-		require.True(t, ok, "with a bound of %v and a wait of %v, one late response leaves the view unconfirmed", applyWithin, wait)
+		require.True(t, ok, "with a bound of %v and a wait of %v, one late response makes the view invalid", applyWithin, wait)
 	}
 }
 
-// TestUnknownLeaders: the nodes are asked in turn where no leader is known; a leader that does
-// not respond is forgotten.
+// TestUnknownLeaders checks that requests go to the nodes in round-robin order if no leader is known, and that
+// a leader that doesn't respond is no longer recorded as leader.
 func TestUnknownLeaders(t *testing.T) {
 	w := router.NewWatcher("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	require.NotEqual(t, w.LeaderOf(0, 0), w.LeaderOf(0, 0))
 	w.UpdateLeader(0, "core-0", "core-1")
 	require.Equal(t, "core-1", w.LeaderOf(0, 0))
 	w.UpdateLeader(0, "core-0", "")
-	require.Equal(t, "core-1", w.LeaderOf(0, 0), "another node's response says nothing")
+	require.Equal(t, "core-1", w.LeaderOf(0, 0), "a node that isn't the recorded leader and knows none changes nothing")
 	w.RequestFailed("core-1", 0, 0)
 	require.NotEqual(t, w.LeaderOf(0, 0), w.LeaderOf(0, 0))
 	w.UpdateSeeds([]string{"core-7"})
@@ -90,8 +90,8 @@
 	require.True(t, seen["core-7"])
 }
 
-// TestUnresponsiveLeaderIsAvoided: the others name a frozen leader until they have another; the
-// dispatcher asks them again and finds it, instead of waiting for the frozen one again.
+// TestUnresponsiveLeaderIsAvoided checks that a dispatcher doesn't wait for a frozen leader again while the
+// other nodes still name it: it asks them until they name the new leader.
 func TestUnresponsiveLeaderIsAvoided(t *testing.T) {
 	cores := []string{"core-0", "core-1", "core-2"}
 	w := router.NewWatcher("edge", cores, 2*time.Second, slog.New(slog.DiscardHandler))
@@ -108,14 +108,15 @@
 	require.Equal(t, "core-2", address, "the new leader")
 
 	w.UpdateLeader(0, "core-1", "core-0")
-	require.NotEqual(t, "core-0", w.LeaderOf(0, now), "nor is a client's request sent to the unresponsive one")
-	require.Equal(t, "core-0", w.LeaderOf(0, now+time.Second), "but it is asked again later")
+	require.NotEqual(t, "core-0", w.LeaderOf(0, now), "no client's request goes to the unresponsive leader either")
+	require.Equal(t, "core-0", w.LeaderOf(0, now+time.Second), "it is used again later")
 	w.LeaderUnresponsive(0, "core-0", now, now+2*time.Millisecond)
 	w.UpdateLeader(0, "core-1", "core-0")
-	require.Equal(t, "core-0", w.LeaderOf(0, now+time.Second), "a closed port costs no time, and its process may be back")
+	require.Equal(t, "core-0", w.LeaderOf(0, now+time.Second), "a closed port costs no time, and the process may be running again")
 }
 
-// TestAllUnresponsive: where every node was unresponsive lately they are asked in turn.
+// TestAllUnresponsive checks that requests go to all nodes in round-robin order if every node was unresponsive
+// recently.
 func TestAllUnresponsive(t *testing.T) {
 	w := router.NewWatcher("edge", []string{"core-0", "core-1"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	w.RequestFailed("core-0", 0, time.Second)
@@ -129,9 +130,10 @@
 	require.Len(t, seen, 2)
 }
 
-// TestHeldRequestConfirmsFromItsReadOn: the leader says how long it held a request before it
-// read the version; a part of that counts, since its clock may run fast.
-func TestHeldRequestConfirmsFromItsReadOn(t *testing.T) {
+// TestHeldRequestConfirmsFromTheRead checks that a view is confirmed as of the time when the leader read the
+// version. The leader reports how long it held the request before that, of which only a part counts, since
+// the leader's clock may run fast.
+func TestHeldRequestConfirmsFromTheRead(t *testing.T) {
 	w := router.NewWatcher("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	response := leaderResponse(5, true)
 	response.HeldMs = 500
@@ -142,21 +144,22 @@
 	require.False(t, ok)
 }
 
-// TestLateLeaderIsAskedAgain: a leader that had left one request without a response was avoided for 0.7 s,
-// though it responded to others meanwhile.
+// TestLateLeaderIsAskedAgain guards against a leader that is avoided for 0.7 s after one request without a
+// response, although it responds to other requests meanwhile.
 func TestLateLeaderIsAskedAgain(t *testing.T) {
 	w := router.NewWatcher("edge", []string{"a", "b", "c"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	w.UpdateLeader(1, "b", "a")
 	require.Equal(t, "a", w.LeaderOf(1, time.Hour))
 	w.LeaderUnresponsive(1, "a", time.Hour-350*time.Millisecond, time.Hour)
 	w.UpdateLeader(1, "b", "a")
-	require.NotEqual(t, "a", w.LeaderOf(1, time.Hour), "it may be frozen")
+	require.NotEqual(t, "a", w.LeaderOf(1, time.Hour), "the leader may be frozen")
 	w.LeaderResponded(1, "a")
 	require.Equal(t, "a", w.LeaderOf(1, time.Hour))
 }
 
-// TestResponseNamesTheLeader: who responds for a shard leads it, also where it was forgotten as unresponsive.
-func TestResponseNamesTheLeader(t *testing.T) {
+// TestResponseSetsTheLeader checks that a node that responds as a shard's leader is recorded as such, even if
+// no leader was recorded before.
+func TestResponseSetsTheLeader(t *testing.T) {
 	w := router.NewWatcher("edge", []string{"a", "b", "c"}, 2*time.Second, slog.New(slog.DiscardHandler))
 	w.LeaderResponded(1, "b")
 	require.Equal(t, "b", w.LeaderOf(1, time.Hour))
