--- a/internal/cluster/opconfig/change.go
+++ b/internal/cluster/opconfig/change.go
@@ -8,21 +8,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Digest identifies a configuration by its bytes.
+// Digest is the SHA-256 digest of an encoded configuration.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest of a configuration as it was sent.
+// DigestOf returns the digest of a configuration, computed from its bytes as they were sent.
 func DigestOf(content []byte) Digest { return sha256.Sum256(content) }
 
-// Change is the register's command: a configuration that replaces the version Base. The log stores
-// it by gob under these names: never rename a field.
+// Change is the command of the replicated register: a configuration that replaces the version Base. The log
+// stores it in gob encoding with these names, so that a field must never be renamed.
 type Change struct {
-	Base    int64 // the version that the change builds on; 0: none
+	Base    int64 // the version that the change replaces; 0: there was none
 	Version int64 // of Content
 	Content []byte
 }
 
-// Encode returns the change as the replicated log stores it.
+// Encode returns the change in the encoding of the replicated log.
 func (c Change) Encode() ([]byte, error) {
 	var body bytes.Buffer
 	err := gob.NewEncoder(&body).Encode(c)
--- a/internal/cluster/opconfig/config.go
+++ b/internal/cluster/opconfig/config.go
@@ -1,10 +1,10 @@
-// Package opconfig has the operator's configuration: its form, its validation, the routes that it
-// names, and the replicated register that holds the newest one. It does no I/O.
+// Package opconfig defines the operators' configuration: its schema, its validation, the lookup of routes,
+// and the replicated register that holds the newest configuration. It does no I/O.
 //
-// A caller validates a new configuration by Parse before it proposes it as a Change, and applies
-// committed changes to a Register in the order of the log: replicas that apply the same changes have
-// the same state. Clients find a queue by Config.Match, and jobs of a queue that was moved by
-// Register.MovedQueues.
+// A caller validates a new configuration with Parse before it proposes it as a Change, and applies committed
+// changes to a Register in the order of the log: replicas that apply the same changes have the same state.
+// Config.Match finds the queue of a client's request, and Register.MovedQueues the services that may still
+// have jobs of a queue that was moved.
 package opconfig
 
 import (
@@ -17,31 +17,32 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Route is a queue: where clients submit jobs, and the service whose runners run them. The JSON
-// names are the operator's; the Go names are sent between processes (protocol.SubmitRequest).
+// Route defines a queue: the host and path at which clients submit jobs, and the service whose runners run
+// them. The JSON names are those of the operators' configuration; the Go names are sent between processes
+// (protocol.SubmitRequest).
 type Route struct {
 	Name       string  `json:"name"`
 	Host       string  `json:"host"`
 	PathPrefix string  `json:"path_prefix"`
-	TimeoutMs  int64   `json:"timeout_ms"` // of a client's request, at the dispatcher
-	TargetMs   float64 `json:"target_ms"`  // latency target of a job, beside Extension
+	TimeoutMs  int64   `json:"timeout_ms"` // time limit of a client's request at the dispatcher
+	TargetMs   float64 `json:"target_ms"`  // fixed part of a job's latency target, in addition to Extension
 	Priority   int     `json:"priority"`   // lower numbers are started first
 	Backend    string  `json:"backend"`    // the service
 	Retries    int     `json:"retries"`    // a job fails once one of its tasks has this many failed runs
-	Extension  float64 `json:"extension"`  // latency target of a job, as a multiple of its work
+	Extension  float64 `json:"extension"`  // variable part of a job's latency target, as a multiple of its work
 }
 
-// Queue returns the name by which clients know the queue: host and path prefix.
+// Queue returns the name of the queue: its host and path prefix.
 func (r *Route) Queue() string { return r.Host + r.PathPrefix }
 
 // Service is a set of runners.
 type Service struct {
 	Name   string `json:"name"`
-	Guards bool   `json:"guards"` // its runners reject a task that does not fit; informative only
+	Guards bool   `json:"guards"` // its runners reject a task that does not fit; for information only
 }
 
-// Limits are bounds on clients' requests. Only MaxBodyBytes has an effect; 0: the dispatcher's own
-// limit.
+// Limits are limits on clients' requests. Only MaxBodyBytes has an effect; if it is 0, the dispatcher's own
+// limit applies.
 type Limits struct {
 	MaxHeaderBytes  int   `json:"max_header_bytes"`
 	MaxBodyBytes    int64 `json:"max_body_bytes"`
@@ -49,8 +50,7 @@
 	IdleTimeoutMs   int64 `json:"idle_timeout_ms"`
 }
 
-// Config is one configuration. It does not change after it was decoded, and may be read
-// concurrently.
+// Config is one version of the configuration. It is immutable, and may be read concurrently.
 type Config struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -77,10 +77,11 @@
 	return compiler.MustCompile("config.json")
 }
 
-// ErrInvalid marks every error of Parse and Decode.
+// ErrInvalid is returned, wrapped, by Parse and Decode if a configuration is not valid. They return no other
+// errors.
 var ErrInvalid = errors.New("the configuration is invalid: correct it and send it again")
 
-// Parse validates a configuration and decodes it.
+// Parse validates a configuration against the schema and decodes it.
 func Parse(content []byte) (*Config, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(content))
 	if err != nil {
@@ -92,8 +93,8 @@
 	return Decode(content)
 }
 
-// Decode decodes a configuration that Parse has validated before. It checks references, not the form, so
-// that a later schema can't make a committed configuration unreadable.
+// Decode decodes a configuration that Parse has validated before. It checks names and references, but not the
+// schema, so that a later schema can't make a committed configuration unreadable.
 func Decode(content []byte) (*Config, error) {
 	config := &Config{}
 	if err := json.Unmarshal(content, config); err != nil {
@@ -105,7 +106,8 @@
 	return config, nil
 }
 
-// indexRoutes checks that names are unique and known, and fills byQueue.
+// indexRoutes checks that services and queues are unique and that each route's service exists, and fills
+// byQueue.
 func (c *Config) indexRoutes() error {
 	services := map[string]bool{}
 	for _, service := range c.Services {
@@ -128,14 +130,14 @@
 	return nil
 }
 
-// Route returns the route of a queue, by Route.Queue.
+// Route returns the route whose Queue is the given one, and whether there is one.
 func (c *Config) Route(queue string) (*Route, bool) {
 	route, ok := c.byQueue[queue]
 	return route, ok
 }
 
-// Match returns the route of that host with the longest prefix of the path. A prefix that ends with
-// a slash is preferred to one that does not.
+// Match returns the route of that host with the longest prefix of the path, and whether there is one. A prefix
+// that ends with a slash is preferred to one that doesn't.
 func (c *Config) Match(host, path string) (*Route, bool) {
 	for end := len(path); end > 0; {
 		if route, ok := c.byQueue[host+path[:end]]; ok {
@@ -146,7 +148,8 @@
 	return c.matchAnyPrefix(host, path)
 }
 
-// matchAnyPrefix finds the longest of all prefixes, also of those that do not end with a slash.
+// matchAnyPrefix returns the route with the longest of all prefixes, including those that don't end with a
+// slash.
 func (c *Config) matchAnyPrefix(host, path string) (best *Route, ok bool) {
 	for i := range c.Routes {
 		route := &c.Routes[i]
--- a/internal/cluster/opconfig/golden_test.go
+++ b/internal/cluster/opconfig/golden_test.go
@@ -15,14 +15,14 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// Files under testdata, which commit 352ebf2 wrote: disks hold logs and snapshots of that build.
+// Golden files in testdata, written by commit 352ebf2. Logs and snapshots of that build exist on disk.
 const (
-	changeFile   = "change.gob"    // one command, as an entry of the log holds it
+	changeFile   = "change.gob"    // one encoded command, as in an entry of the log
 	registerFile = "register.gob"  // a snapshot after goldenVersions changes
-	stateFile    = "register.json" // the same, for readers and for comparison
+	stateFile    = "register.json" // the same snapshot as JSON, for readers and for comparison
 )
 
-// goldenSum is the digest of the register of registerFile. Operators compare the digests of core
+// goldenSum is the state digest of the register in registerFile. Operators compare the digests of core
 // processes, also of different builds.
 const goldenSum = uint64(0x351d809849b67171)
 
@@ -31,7 +31,7 @@
 	goldenForgotten = 3
 )
 
-// goldenContent is one of the configurations: queue /moves/ changes its service with every tenth
+// goldenContent returns the configuration of a version: queue /moves/ changes its service with every tenth
 // version, and queue /gone/ is removed by version 30.
 func goldenContent(version int) []byte {
 	route := func(prefix, service string) string {
@@ -62,12 +62,12 @@
 		require.NoError(t, err)
 		require.Equal(t, opconfig.Accepted, verdict)
 	}
-	register.HighestForgotten = goldenForgotten // only after thousands of changes would it be set
+	register.HighestForgotten = goldenForgotten // Apply sets it only after thousands of changes
 	return register
 }
 
-// storedRegister and storedChange have the form of a snapshot and of a command at 352ebf2. Their
-// fields' names are stored and are never to be changed.
+// storedRegister and storedChange are the types of a snapshot and of a command at 352ebf2. The names of their
+// fields are stored, and must never be changed.
 type (
 	storedRegister struct {
 		Version   int64
@@ -87,7 +87,7 @@
 	}
 )
 
-// stateOf reads a snapshot as a process of 352ebf2 does.
+// stateOf decodes a snapshot as a process of 352ebf2 does, and returns it as JSON.
 func stateOf(t *testing.T, snapshot []byte) string {
 	t.Helper()
 	var stored storedRegister
@@ -125,8 +125,8 @@
 	return register
 }
 
-// keepMissingFiles writes the golden files that do not exist yet, where that is asked for.
-func keepMissingFiles(t *testing.T) {
+// writeMissingFiles writes the golden files that do not exist yet, if goldentest.WriteVariable is set.
+func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	snapshot := snapshotOf(t, goldenRegister(t))
 	for name, content := range map[string][]byte{
@@ -136,11 +136,11 @@
 	}
 }
 
-// TestGoldenRegisterIsRead: all fields of a snapshot of 352ebf2 arrive, and a snapshot of this
-// build is read whole by a process of 352ebf2.
+// TestGoldenRegisterIsRead checks that this build reads all fields of a snapshot of 352ebf2, and that a process
+// of 352ebf2 reads all fields of a snapshot of this build.
 func TestGoldenRegisterIsRead(t *testing.T) {
-	keepMissingFiles(t)
-	require.Equal(t, string(golden(t, stateFile)), stateOf(t, golden(t, registerFile)), "the golden files belong together")
+	writeMissingFiles(t)
+	require.Equal(t, string(golden(t, stateFile)), stateOf(t, golden(t, registerFile)), "the golden files have the same state")
 	register := restored(t)
 	require.Equal(t, goldenSum, register.StateDigest())
 	require.Equal(t, goldenSum, goldenRegister(t).StateDigest())
@@ -149,7 +149,7 @@
 	require.Equal(t, string(golden(t, stateFile)), stateOf(t, snapshotOf(t, goldenRegister(t))))
 }
 
-// TestGoldenRegisterFieldByField checks the fields by the names that the code has now.
+// TestGoldenRegisterFieldByField checks the decoded fields by their current names.
 func TestGoldenRegisterFieldByField(t *testing.T) {
 	register := restored(t)
 	require.Equal(t, int64(goldenVersions), register.Version)
@@ -174,7 +174,7 @@
 	}, register.MovedQueues())
 }
 
-// TestGoldenConfigurationIsRead: a stored configuration has all fields of the operator's form.
+// TestGoldenConfigurationIsRead checks that all fields of a stored configuration are decoded.
 func TestGoldenConfigurationIsRead(t *testing.T) {
 	config := restored(t).Current()
 	require.NotNil(t, config)
@@ -187,10 +187,10 @@
 	require.Equal(t, opconfig.Service{Name: "desk-4", Guards: true}, config.Services[4])
 	require.Equal(t, opconfig.Limits{MaxHeaderBytes: 8192, MaxBodyBytes: 262144, HeaderTimeoutMs: 5000, IdleTimeoutMs: 60000}, config.Limits)
 	_, err := opconfig.Parse(goldenContent(goldenVersions))
-	require.NoError(t, err, "it is of the form that the schema gives")
+	require.NoError(t, err, "the configuration is valid by the schema")
 }
 
-// TestRestoredGoldenRegisterAppliesChanges: changes are judged and applied on a register that was read.
+// TestRestoredGoldenRegisterAppliesChanges checks that a restored register evaluates and applies changes.
 func TestRestoredGoldenRegisterAppliesChanges(t *testing.T) {
 	register := restored(t)
 	require.Equal(t, opconfig.AlreadyAccepted, register.Evaluate(goldenChange(20)))
@@ -205,7 +205,7 @@
 	require.Equal(t, uint64(goldenVersions+1), register.ChangeCount)
 }
 
-// TestGoldenChangeIsWritten: a process of 352ebf2 reads a command of this build whole.
+// TestGoldenChangeIsWritten checks that a process of 352ebf2 reads all fields of a command of this build.
 func TestGoldenChangeIsWritten(t *testing.T) {
 	wanted := storedChange{Base: goldenVersions, Version: goldenVersions + 1, Content: goldenContent(goldenVersions + 1)}
 	for name, command := range map[string][]byte{"golden": golden(t, changeFile), "this build's": encoded(t, goldenChange(goldenVersions+1))} {
--- a/internal/cluster/opconfig/opconfig_test.go
+++ b/internal/cluster/opconfig/opconfig_test.go
@@ -10,7 +10,7 @@
 	"basaltloft/internal/cluster/opconfig"
 )
 
-// configText is a configuration with one service and routes of the given prefixes.
+// configText returns a configuration with one service and routes with the given prefixes.
 func configText(version int, prefixes ...string) []byte {
 	var routes []string
 	for i, prefix := range prefixes {
@@ -69,12 +69,12 @@
 func TestRegisterIsACompareAndSet(t *testing.T) {
 	r := opconfig.NewRegister()
 	requireVerdict(t, opconfig.Accepted, r, change(0, 5, "/a/"))
-	requireVerdict(t, opconfig.AlreadyAccepted, r, change(0, 5, "/a/"), "the very same again")
-	requireVerdict(t, opconfig.Conflict, r, change(0, 5, "/b/"), "another one under the same number")
+	requireVerdict(t, opconfig.AlreadyAccepted, r, change(0, 5, "/a/"), "the same change again")
+	requireVerdict(t, opconfig.Conflict, r, change(0, 5, "/b/"), "another configuration with the same version")
 	requireVerdict(t, opconfig.Conflict, r, change(3, 7, "/b/"))
 	requireVerdict(t, opconfig.Stale, r, change(5, 5, "/b/"))
 	requireVerdict(t, opconfig.Accepted, r, change(5, 7, "/b/"))
-	requireVerdict(t, opconfig.AlreadyAccepted, r, change(0, 5, "/a/"), "what was accepted is never rejected when it is sent again")
+	requireVerdict(t, opconfig.AlreadyAccepted, r, change(0, 5, "/a/"), "a change that was accepted is never rejected when it is sent again")
 	require.Equal(t, int64(7), r.Current().Version)
 }
 
@@ -96,11 +96,11 @@
 	require.NoError(t, err)
 	require.Equal(t, opconfig.Accepted, verdict)
 	_, err = other.ApplyEncoded([]byte("no change"))
-	require.Error(t, err, "a replica that can't read a command must not go on as if it had been rejected")
+	require.Error(t, err, "a replica that can't decode a command must not treat it as rejected")
 }
 
-// TestResendsAfterThousandsOfChanges holds that a change that was accepted is never rejected
-// when it is sent again, and that the register does not grow with the number of changes.
+// TestResendsAfterThousandsOfChanges checks that an accepted change is never rejected when it is sent again, and
+// that the size of the register doesn't grow with the number of changes.
 func TestResendsAfterThousandsOfChanges(t *testing.T) {
 	r := opconfig.NewRegister()
 	size := 0
@@ -122,12 +122,13 @@
 	}
 	oldest := changes - opconfig.RememberedChanges + 1
 	requireVerdict(t, opconfig.AlreadyAccepted, r, change(int64(oldest-1)*3, oldest*3, "/a/", fmt.Sprintf("/queue-%d/", oldest)))
-	requireVerdict(t, opconfig.Indeterminate, r, change(0, 3, "/a/", "/queue-1/"), "too old to tell: neither confirmed nor rejected")
-	requireVerdict(t, opconfig.Conflict, r, change(int64(oldest-1)*3, oldest*3, "/other/"), "another content under a number that is remembered")
+	requireVerdict(t, opconfig.Indeterminate, r, change(0, 3, "/a/", "/queue-1/"), "too old to decide: neither confirmed nor rejected")
+	requireVerdict(t, opconfig.Conflict, r, change(int64(oldest-1)*3, oldest*3, "/other/"), "different content for a remembered version")
 	require.LessOrEqual(t, len(r.ServicesByQueue), opconfig.RememberedChanges+3)
 }
 
-// TestMovedQueuesNameTheirServices holds what dispatchers need to find jobs that were submitted before a move.
+// TestMovedQueuesNameTheirServices checks the services by which dispatchers find jobs that were submitted before
+// their queue was moved.
 func TestMovedQueuesNameTheirServices(t *testing.T) {
 	r := opconfig.NewRegister()
 	config := func(version int, backend string) opconfig.Change {
--- a/internal/cluster/opconfig/register.go
+++ b/internal/cluster/opconfig/register.go
@@ -5,39 +5,39 @@
 	"hash/fnv"
 )
 
-// Verdict is what became of a change. Only Accepted changes the register.
+// Verdict is the result of evaluating a change. Only an Accepted change modifies the register.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Accepted        Verdict = iota + 1
-	AlreadyAccepted         // this very configuration was accepted before
-	Conflict                // the change builds on a version that is not the current one
+	AlreadyAccepted         // the same configuration was accepted before with this version
+	Conflict                // the change's base is not the current version
 	Stale                   // its version is not above the current one
-	Indeterminate           // its version is too old to know whether it was accepted: it is neither confirmed nor rejected
+	Indeterminate           // its version is too old to decide whether it was accepted: neither confirmed nor rejected
 )
 
-// RememberedChanges is for how many of the newest changes the register knows that they were
-// accepted when they are sent again, and for how many changes it remembers where the jobs of a
-// removed queue are. It bounds the register's size.
+// RememberedChanges is the number of newest changes that the register recognizes as accepted when they are
+// sent again. It is also the number of changes after which the register removes the services of a removed
+// queue. It limits the size of the register.
 const RememberedChanges = 4096
 
-// Register is the replicated state: the newest configuration, a memory of the changes that were
-// accepted last, and which services have jobs of each queue. Its methods are not safe for
-// concurrent use. Snapshots store it in the form of type snapshot.
+// Register is the replicated state: the newest configuration, the digests of the last accepted changes, and the
+// services that have jobs of each queue. Its methods are not safe for concurrent use. Snapshots store it as
+// type snapshot.
 type Register struct {
-	Version          int64 // of Content; 0: there is none yet
+	Version          int64 // of Content; 0: there is no configuration yet
 	Content          []byte
 	AcceptedDigests  map[int64]Digest // by version
-	AcceptedVersions []int64          // the keys of AcceptedDigests, in the order of their acceptance
-	HighestForgotten int64            // highest version that was accepted and is not in AcceptedDigests any more
-	ChangeCount      uint64           // changes accepted so far
+	AcceptedVersions []int64          // keys of AcceptedDigests, in the order in which they were accepted
+	HighestForgotten int64            // highest accepted version that is no longer in AcceptedDigests
+	ChangeCount      uint64           // number of changes accepted so far
 
-	// ServicesByQueue has each service that a queue was sent to, newest last: a job that was
-	// submitted before a change is found where it was accepted.
+	// ServicesByQueue holds, by queue, each service to which the queue was routed, the newest last. With it
+	// a job that was submitted before a change is found at the service that accepted it.
 	ServicesByQueue map[string][]string
-	MovedAtVersion  map[string]int64  // by queue with several services: the version that chose the newest
-	RemovedAtChange map[string]uint64 // by queue that no route names any more: ChangeCount when it was removed
+	MovedAtVersion  map[string]int64  // by queue with several services: the version that moved it to the newest
+	RemovedAtChange map[string]uint64 // by queue without a route: ChangeCount when the route was removed
 
 	parsed *Config // of Content
 }
@@ -52,10 +52,10 @@
 	}
 }
 
-// Current returns the newest configuration; nil: there is none yet.
+// Current returns the newest configuration, or nil if there is none yet.
 func (r *Register) Current() *Config { return r.parsed }
 
-// Evaluate returns the verdict that Apply would give now. It changes nothing.
+// Evaluate returns the verdict that Apply would return now. It doesn't modify the register.
 func (r *Register) Evaluate(change Change) Verdict {
 	digest, remembered := r.AcceptedDigests[change.Version]
 	switch {
@@ -71,8 +71,9 @@
 	return Accepted
 }
 
-// Apply carries a change out. An error means that this build can't read the configuration, though
-// it was validated before it was proposed: the register is unchanged, and the replica must stop.
+// Apply evaluates a change, and applies it if it is accepted. It returns an error if this build can't decode
+// the configuration, although that was validated before it was proposed: the register is then unchanged, and
+// the replica must stop.
 func (r *Register) Apply(change Change) (Verdict, error) {
 	verdict := r.Evaluate(change)
 	if verdict != Accepted {
@@ -91,7 +92,8 @@
 	return Accepted, nil
 }
 
-// ApplyEncoded decodes a change and carries it out, with the errors of Apply.
+// ApplyEncoded decodes a change and applies it as Apply does. The replica must also stop if the change can't be
+// decoded.
 func (r *Register) ApplyEncoded(command []byte) (Verdict, error) {
 	change, err := decodeChange(command)
 	if err != nil {
@@ -100,7 +102,7 @@
 	return r.Apply(change)
 }
 
-// remember records that a change was accepted, and forgets the oldest above RememberedChanges.
+// remember records that a change was accepted, and removes the oldest records above RememberedChanges.
 func (r *Register) remember(change Change) {
 	r.AcceptedDigests[change.Version] = DigestOf(change.Content)
 	r.AcceptedVersions = append(r.AcceptedVersions, change.Version)
@@ -112,8 +114,8 @@
 	}
 }
 
-// updateQueues records which service each queue is sent to, and forgets queues that were removed
-// RememberedChanges ago.
+// updateQueues records the service of each queue, and removes the records of queues that were removed more than
+// RememberedChanges changes ago.
 func (r *Register) updateQueues(config *Config) {
 	for i := range config.Routes {
 		r.updateServices(&config.Routes[i])
@@ -135,7 +137,7 @@
 	}
 }
 
-// updateServices makes a route's service the newest of its queue.
+// updateServices records a route's service as the newest of its queue.
 func (r *Register) updateServices(route *Route) {
 	queue := route.Queue()
 	known := r.ServicesByQueue[queue]
@@ -154,13 +156,14 @@
 	r.ServicesByQueue[queue] = append(services, route.Backend)
 }
 
-// ServiceHistory is what services a queue was sent to. The names of its fields are sent.
+// ServiceHistory holds the services to which a queue was routed. The names of its fields are sent between
+// processes.
 type ServiceHistory struct {
 	Services []string // oldest first
-	Since    int64    // the version since which the last of Services has the queue
+	Since    int64    // version that moved the queue to the last of Services
 }
 
-// MovedQueues returns the queues that were sent to more than one service.
+// MovedQueues returns the histories of the queues that were routed to more than one service, by queue.
 func (r *Register) MovedQueues() map[string]ServiceHistory {
 	moved := map[string]ServiceHistory{}
 	for queue, services := range r.ServicesByQueue {
@@ -171,8 +174,8 @@
 	return moved
 }
 
-// StateDigest returns a hash of the whole state: equal on replicas whose states are equal. Builds
-// that run beside each other compare it, so that each must hash the same values in this order.
+// StateDigest returns a hash of the whole state, which is equal on replicas whose states are equal. It is compared
+// between processes of different builds, so that each build must hash the same values in the same order.
 func (r *Register) StateDigest() uint64 {
 	hash := fnv.New64a()
 	// A hash never returns an error.
--- a/internal/cluster/opconfig/storedregister.go
+++ b/internal/cluster/opconfig/storedregister.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// snapshot is the stored form of a Register, encoded by gob, which stores the names of fields. Snapshots
-// on disk and from processes of other builds have these names: never rename a field here. The comments
-// name the field of Register. The type's name is stored too, though nothing reads it; it is as long as
-// in the first build, so that a snapshot has the same size and travels in as many chunks: the simulated
-// world replays its recorded days.
+// snapshot is the stored form of a Register. It is encoded with gob, which stores the names of fields: snapshots
+// on disk and from processes of other builds have these names, so that a field must never be renamed. The comment
+// on a field names the corresponding field of Register. The name of the type is stored too, although nothing
+// reads it. It has the same length as in the first build, so that a snapshot has the same size and is sent in the
+// same number of chunks, which the recorded runs of the simulation depend on.
 type snapshot struct {
 	Version   int64
 	Content   []byte
@@ -26,7 +26,7 @@
 	Removed   map[string]uint64   // RemovedAtChange
 }
 
-// Snapshot returns the whole state, encoded.
+// Snapshot returns the encoded state.
 func (r *Register) Snapshot() ([]byte, error) {
 	stored := snapshot{
 		Version:   r.Version,
@@ -44,7 +44,7 @@
 	return body.Bytes(), errors.Wrap(err, "encode the configuration")
 }
 
-// Restore replaces the whole state by that of a snapshot. After an error it is as it was.
+// Restore replaces the state by that of a snapshot. If it returns an error, the state is unchanged.
 func (r *Register) Restore(content []byte) error {
 	stored := snapshot{Taken: map[int64]Digest{}, Backends: map[string][]string{}, Since: map[string]int64{}, Removed: map[string]uint64{}}
 	if err := gob.NewDecoder(bytes.NewReader(content)).Decode(&stored); err != nil {
@@ -68,7 +68,7 @@
 		}
 		next.parsed = config
 	}
-	if next.AcceptedVersions == nil { // written by a build that did not store the order
+	if next.AcceptedVersions == nil { // the snapshot is of a build that did not store the order
 		next.AcceptedVersions = slices.Sorted(maps.Keys(next.AcceptedDigests))
 	}
 	*r = next
--- a/internal/cluster/opconfig/storedregister_test.go
+++ b/internal/cluster/opconfig/storedregister_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSnapshotHasTheSizeOfTheFirstBuild: as many chunks travel as before.
+// TestSnapshotHasTheSizeOfTheFirstBuild checks the size because the number of chunks in which a snapshot is sent
+// depends on it.
 func TestSnapshotHasTheSizeOfTheFirstBuild(t *testing.T) {
 	require.Len(t, snapshotOf(t, goldenRegister(t)), len(golden(t, registerFile)))
 }
