--- a/internal/cluster/lateness/lateness_test.go
+++ b/internal/cluster/lateness/lateness_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-// TestCriticalPathIsAccountedFor: of two steps, the first with a task that was lost once, each
-// millisecond is found under its cause.
+// TestCriticalPathIsAccountedFor checks that each millisecond of a job of two steps is attributed to its cause. A
+// run of one of the first step's tasks is lost.
 func TestCriticalPathIsAccountedFor(t *testing.T) {
 	queue := lateness.NewQueueAccount(1000 * ms)
 	fast, lost := &lateness.TaskAccount{}, &lateness.TaskAccount{}
@@ -37,7 +37,7 @@
 		lateness.Budget: 30 * ms, lateness.Capacity: 20 * ms, lateness.Unresponsive: 3000 * ms, lateness.Rack: 40 * ms,
 		lateness.Commit: 10 * ms, lateness.Remote: 100 * ms, lateness.SlowRunner: 40 * ms, lateness.Work: 360 * ms,
 	}, path.Spent)
-	require.Equal(t, 3600*ms, path.Spent.Total(), "from the first step's readiness to the end")
+	require.Equal(t, 3600*ms, path.Spent.Total(), "from the time when the first step became ready to the end")
 	require.Equal(t, lateness.Unresponsive, path.Spent.Largest())
 }
 
--- a/internal/cluster/lateness/log.go
+++ b/internal/cluster/lateness/log.go
@@ -12,14 +12,14 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// LateMessage is the message under which the scheduler logs a job that missed its objective.
+// LateMessage is the message of the log line that the scheduler writes for a job that missed its objective.
 const LateMessage = "job missed its objective"
 
-// formerLateMessage is the message of earlier builds.
+// formerLateMessage is the same message in earlier builds.
 const formerLateMessage = "a job is late"
 
-// Keys of the attributes of a late job's line, and those of earlier builds. The time spent stands
-// under the names of its causes, in milliseconds.
+// Keys of the attributes of a late job's log line, in this build and in earlier ones. The keys of the time spent
+// are the names of the causes; the values are in milliseconds.
 const (
 	keyJob          = "job"
 	keyQueue        = "queue"
@@ -31,21 +31,21 @@
 	formerObjective = "owed_ms"
 )
 
-// maxLogLine bounds a line of a log, in bytes.
+// maxLogLine is the maximum length of a line of a log, in bytes.
 const maxLogLine = 1 << 20
 
-// LateJob is one job that missed its objective, as it is logged.
+// LateJob is the logged account of a job that missed its objective.
 type LateJob struct {
 	ID        string
 	Queue     string
-	Arrived   time.Duration // time of day from which on the objective counts, since 1970
-	Took      time.Duration // from then to its end
-	Objective time.Duration // how long it may have taken
-	Cost      float64       // core-seconds, as estimated when it arrived
+	Arrived   time.Duration // time from which the objective counts, since the Unix epoch
+	Took      time.Duration // from Arrived to the job's end
+	Objective time.Duration // maximum for Took
+	Cost      float64       // in core-seconds, as estimated when the job arrived
 	Spent     Breakdown     // along its critical path
 }
 
-// Attributes returns the job as attributes of a log line, which ReadLog reads.
+// Attributes returns the job as attributes of a log line, in the form that ReadLog reads.
 func (j *LateJob) Attributes() []any {
 	attributes := []any{
 		slog.String(keyJob, j.ID), slog.String(keyQueue, j.Queue), slog.Int64(keyArrived, j.Arrived.Milliseconds()),
@@ -59,8 +59,8 @@
 	return attributes
 }
 
-// ReadLog returns the late jobs of a log in logfmt, in the form of this build or of earlier ones;
-// all other lines are passed over.
+// ReadLog returns the late jobs of a log in logfmt, in the form of this build or of earlier ones. It ignores all
+// other lines.
 func ReadLog(from io.Reader) ([]LateJob, error) {
 	var jobs []LateJob
 	lines := bufio.NewScanner(from)
@@ -89,7 +89,7 @@
 	return found, late && decoder.Err() == nil
 }
 
-// setAttribute sets what one attribute of a late job's line says.
+// setAttribute sets the field for one attribute of a late job's log line.
 func (j *LateJob) setAttribute(key, value string) {
 	switch key {
 	case keyJob:
@@ -97,11 +97,11 @@
 	case keyQueue:
 		j.Queue = value
 	case keyCost:
-		j.Cost, _ = strconv.ParseFloat(value, 64) // 0 where it can't be read
+		j.Cost, _ = strconv.ParseFloat(value, 64) // 0 if the value is not a number
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		return // no time
+		return // the value is not a time
 	}
 	span := time.Duration(ms) * time.Millisecond
 	switch key {
--- a/internal/cluster/lateness/table.go
+++ b/internal/cluster/lateness/table.go
@@ -12,21 +12,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Row is one line of a table: late jobs that share something.
+// Row is one line of a table: a group of late jobs.
 type Row struct {
-	Name  string
+	Name  string // of the group
 	Jobs  int
-	Spent Breakdown // of all of them
+	Spent Breakdown // sum over all jobs
 }
 
-// Grouping names what late jobs are grouped by.
+// Grouping is a criterion by which late jobs are grouped.
 type Grouping struct {
 	Title string
-	Name  func(LateJob) string // of the group that a job is in
+	Name  func(LateJob) string // name of a job's group
 }
 
-// Groupings returns what a table shows: by the cause that took most, by queue, by size, and by
-// window of that span from the first job's arrival on. The window must be a second or more.
+// Groupings returns the groupings of the tables: by the cause with the most time, by queue, by size, and by time
+// window, counted from the first job's arrival. The window must be a second or more.
 func Groupings(jobs []LateJob, window time.Duration) []Grouping {
 	first := time.Duration(0)
 	costs := make([]float64, 0, len(jobs))
@@ -47,10 +47,10 @@
 	}
 }
 
-// Quantiles of the late jobs' costs that divide them into classes.
+// Quantiles of the late jobs' costs that separate the size classes.
 const (
-	largestQuantile = 0.9 // the largest tenth
-	largeQuantile   = 0.7 // and the fifth beneath it
+	largestQuantile = 0.9 // lower limit of the largest tenth
+	largeQuantile   = 0.7 // lower limit of the next fifth
 )
 
 func sizeClass(sortedCosts []float64, cost float64) string {
@@ -64,7 +64,7 @@
 	return "others"
 }
 
-// Group returns the rows of one grouping, by name.
+// Group returns the rows of one grouping, sorted by name.
 func Group(jobs []LateJob, by Grouping) []Row {
 	rows := map[string]*Row{}
 	for _, late := range jobs {
@@ -83,20 +83,21 @@
 	return sorted
 }
 
-// Print writes the tables of all groupings: mean milliseconds a job, by cause. The window must be
-// a second or more.
+// Print writes the tables of all groupings, with the mean milliseconds per job by cause. The window must be a
+// second or more.
 func Print(to io.Writer, jobs []LateJob, window time.Duration) error {
 	var text bytes.Buffer
 	table := tabwriter.NewWriter(&text, 2, 8, 2, ' ', 0)
 	for _, by := range Groupings(jobs, window) {
 		printGrouping(table, by.Title, Group(jobs, by))
 	}
-	_ = table.Flush() // a buffer takes everything
+	_ = table.Flush() // writing to a buffer never fails
 	_, err := text.WriteTo(to)
 	return errors.Wrap(err, "write the table")
 }
 
-// printGrouping writes to a buffer, which takes everything: there are no errors to look at.
+// printGrouping writes the table of one grouping. It ignores errors, since the table writes to a buffer, which
+// never fails.
 func printGrouping(table *tabwriter.Writer, title string, rows []Row) {
 	_, _ = fmt.Fprintf(table, "%s\tlate", title)
 	for cause := range CauseCount {
--- a/internal/cluster/lateness/table_test.go
+++ b/internal/cluster/lateness/table_test.go
@@ -12,7 +12,7 @@
 	"basaltloft/internal/cluster/lateness"
 )
 
-// formerLog writes lines as control-plane processes of earlier builds did, late jobs among others.
+// formerLog returns log lines of control-plane processes of earlier builds, including those of late jobs.
 func formerLog(t *testing.T) string {
 	t.Helper()
 	var to bytes.Buffer
@@ -24,7 +24,7 @@
 	return "   3.25 core-a-1 " + to.String() + "no key here = \"\n"
 }
 
-// newLog writes the same as control-plane processes of this build do.
+// newLog returns the same log lines as control-plane processes of this build write them.
 func newLog(t *testing.T) string {
 	t.Helper()
 	var to bytes.Buffer
@@ -42,7 +42,7 @@
 	return "   3.25 core-a-1 " + to.String() + "no key here = \"\n"
 }
 
-// TestLateJobsAreReadFromALog: of this build and of earlier ones.
+// TestLateJobsAreReadFromALog checks that ReadLog reads the lines of this build and of earlier ones.
 func TestLateJobsAreReadFromALog(t *testing.T) {
 	for name, log := range map[string]string{"this build": newLog(t), "earlier builds": formerLog(t)} {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestLogLine: what on-call staff see; docs/operating-the-scheduler.md names these keys.
+// TestLogLine checks the keys of a late job's log line, which docs/operating-the-scheduler.md lists for operators.
 func TestLogLine(t *testing.T) {
 	require.Contains(t, newLog(t), `msg="job missed its objective" job=a queue=h/q/ arrived_ms=1000000 took_ms=4000 objective_ms=1750 cost=12.5 silent=3000 work=1000`)
 }
@@ -73,5 +73,5 @@
 	var to strings.Builder
 	require.NoError(t, lateness.Print(&to, jobs, 2*time.Second))
 	require.Contains(t, to.String(), "from second")
-	require.NoError(t, lateness.Print(&to, nil, 2*time.Second), "a day without late jobs")
+	require.NoError(t, lateness.Print(&to, nil, 2*time.Second), "a log without late jobs")
 }
