--- a/internal/cluster/router/call_test.go
+++ b/internal/cluster/router/call_test.go
@@ -105,7 +105,8 @@
 }
 
 // TestReadsAndCancels checks requests for a job's state and for its cancellation, which may be retried: the
-// order in which shards are asked, and the client's response after attempts without one.
+// order in which shards are asked, and that the response of a leader that has the job, or of the last of
+// those that don't, is final. After an attempt without a response, a rejected cancellation has an unknown outcome.
 func TestReadsAndCancels(t *testing.T) {
 	v, route, shards := movedQueue(t)
 	for _, operation := range []protocol.JobOperation{protocol.GetJobState, protocol.CancelJob} {
