--- a/internal/cluster/job/golden_test.go
+++ b/internal/cluster/job/golden_test.go
@@ -315,7 +315,7 @@
 		snapshotFile: snapshotOf(t, goldenStore()),
 		stateFile:    []byte(stateOf(t, snapshotOf(t, goldenStore()))),
 	} {
-		goldentest.KeepFile(t, filepath.Join("testdata", name), content)
+		goldentest.WriteMissingFile(t, filepath.Join("testdata", name), content)
 	}
 }
 
