--- a/internal/cluster/scheduler/aging.go
+++ b/internal/cluster/scheduler/aging.go
@@ -9,20 +9,21 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// The aged order: by priority, then aged work by its age, then the work that is expected to take
-// the shortest. Work that waited for long is passed by nothing shorter, so that it can't starve.
+// The aged order sorts task groups by priority. Within a priority, aged groups come first, by age,
+// followed by the others in ascending order of their expected run time. A group that has aged is
+// not overtaken by shorter ones, which prevents starvation.
 
-// agingMultiple: work has aged once it has waited so many times its expected run time. The design
-// gives two: long work waits in proportion to what it takes.
+// agingMultiple is the multiple of its expected run time for which a group has to wait until it has
+// aged. The wait is proportional to the run time; the design specifies the factor two.
 const agingMultiple = 2.0
 
-// rankAt returns a group's place in the aged order.
+// rankAt returns a group's rank in the aged order at a given time.
 func (g *taskGroup) rankAt(now time.Duration) admission.Rank {
 	agedAt := g.readyAt + time.Duration(agingMultiple*g.expected*float64(time.Second))
 	return admission.Rank{Aged: now >= agedAt, AgedAt: agedAt, Cost: g.expected, Seq: g.sequence}
 }
 
-// compareAged orders groups by priority and rank.
+// compareAged compares groups by priority and rank.
 func compareAged(a, b *taskGroup) int {
 	if order := cmp.Compare(a.job.Priority, b.job.Priority); order != 0 {
 		return order
@@ -30,8 +31,9 @@
 	return admission.Compare(a.rank, b.rank)
 }
 
-// readyInAgedOrder returns the groups that have tasks to start. Ages and expectations change all
-// the time, so that the order is found anew for each cycle. It is valid until the next call.
+// readyInAgedOrder returns the groups that have tasks to start, in the aged order. The order is
+// computed for each cycle because ages and expected run times change constantly. The slice is valid
+// until the next call.
 func (s *Scheduler) readyInAgedOrder() []*taskGroup {
 	ready := s.groups.takeReady()
 	for _, group := range ready {
@@ -42,29 +44,29 @@
 	return ready
 }
 
-// candidatesPerReservation: in one cycle at most one runner in so many is reserved for aged work, so that
-// work that needs much does not empty the fleet.
+// candidatesPerReservation limits the reservations for aged work: at most one of this number of
+// runners is reserved per cycle, so that large tasks don't drain the whole fleet.
 const candidatesPerReservation = 8
 
-// maxReservations returns how many runners may be reserved in this cycle.
+// maxReservations returns the maximum number of runners to reserve in this cycle.
 func (c *cycle) maxReservations() int { return len(c.candidates) / candidatesPerReservation }
 
-// agedReservations reserves runners for aged work in one scheduling cycle. The zero value is that of a
-// cycle that has reserved none.
+// agedReservations reserves runners for aged work in one scheduling cycle. The zero value has no
+// reservations.
 type agedReservations struct {
 	count  int
-	byFree []int // indexes of candidates by falling free capacity; nil: to be found anew
+	byFree []int // indexes of candidates in descending order of free capacity; nil if it has to be recomputed
 }
 
-// assigned notes that a candidate's free capacity has changed.
+// assigned records that a candidate's free capacity has changed.
 func (a *agedReservations) assigned() { a.byFree = nil }
 
-// reserve reserves, for the rest of the cycle, the suitable runner with the most free capacity, which
-// is too little as yet, for work that has aged.
+// reserve reserves a runner for aged work for the rest of the cycle: of the suitable runners whose
+// free capacity is still too small, the one with the most free CPU.
 func (a *agedReservations) reserve(request *placement.Request, candidates []placement.Candidate) {
 	a.count++
 	if a.byFree == nil {
-		a.byFree = inFallingFreeCPU(candidates)
+		a.byFree = byDescendingFreeCPU(candidates)
 	}
 	for _, index := range a.byFree {
 		c := &candidates[index]
@@ -77,9 +79,9 @@
 	}
 }
 
-// inFallingFreeCPU returns the indexes of the candidates that are not reserved. Of equals the first
-// stays first.
-func inFallingFreeCPU(candidates []placement.Candidate) []int {
+// byDescendingFreeCPU returns the indexes of the candidates that are not reserved, in descending
+// order of free CPU. The sort is stable.
+func byDescendingFreeCPU(candidates []placement.Candidate) []int {
 	indexes := make([]int, 0, len(candidates))
 	for index := range candidates {
 		if !candidates[index].Reserved {
--- a/internal/cluster/scheduler/aging_test.go
+++ b/internal/cluster/scheduler/aging_test.go
@@ -22,10 +22,10 @@
 		slices.SortFunc(groups, compareAged)
 		return groups
 	}
-	require.Equal(t, []*taskGroup{urgentClass, short, long}, order(testNow), "the priority, then the shortest")
+	require.Equal(t, []*taskGroup{urgentClass, short, long}, order(testNow), "by priority, then by expected run time")
 	short.readyAt = testNow + 6*time.Second
 	require.Equal(t, []*taskGroup{urgentClass, short, long}, order(testNow+6*time.Second-1))
-	require.Equal(t, []*taskGroup{urgentClass, long, short}, order(testNow+6*time.Second), "it has waited twice its run time")
+	require.Equal(t, []*taskGroup{urgentClass, long, short}, order(testNow+6*time.Second), "the long group has waited twice its expected run time")
 }
 
 func TestRunnerIsReservedForAgedWork(t *testing.T) {
@@ -34,15 +34,15 @@
 	for at := range candidates {
 		candidates[at] = placement.Candidate{Key: at, Service: "s", Capacity: whole, Free: job.Resources{CPU: int64(1000 * at)}}
 	}
-	candidates[3].Capacity = job.Resources{CPU: 3000} // never large enough
+	candidates[3].Capacity = job.Resources{CPU: 3000} // too small for the request
 	request := &placement.Request{Service: "s", Resources: job.Resources{CPU: 6000}}
 	var reservations agedReservations
 	reservations.reserve(request, candidates)
-	require.True(t, candidates[2].Reserved, "the one with the most free capacity")
+	require.True(t, candidates[2].Reserved, "the runner with the most free capacity")
 	candidates[0].Free = job.Resources{CPU: 1500}
 	reservations.assigned()
 	reservations.reserve(request, candidates)
-	require.True(t, candidates[0].Reserved, "and the next one, as it is now")
+	require.True(t, candidates[0].Reserved, "the free capacities are updated after an assignment")
 	reservations.reserve(request, candidates)
 	require.True(t, candidates[1].Reserved)
 	require.False(t, candidates[3].Reserved)
--- a/internal/cluster/scheduler/bench_test.go
+++ b/internal/cluster/scheduler/bench_test.go
@@ -11,26 +11,31 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// The benchmarks time a scheduler that is at work: runners accept what they are ordered to start, runs
-// end, and new jobs come. Of each turn of benchStep only the scheduler's own calls are timed.
+// The benchmarks measure a scheduler under load: runners accept all orders to start, runs end and
+// new jobs arrive. Each step of benchStep runs all of this, but only the scheduler's own calls are
+// measured.
 //
 //	go test -run '^$' -bench 'Cycle|Tick' ./internal/cluster/scheduler
 
 const (
-	// benchStep is the virtual time of one turn.
+	// benchStep is the virtual time of one step.
 	benchStep = 5 * time.Millisecond
-	// benchSlots is how many quick tasks a runner has capacity for. A long-running task takes half of it.
+	// benchSlots is the number of short tasks that a runner has capacity for. A long-running task
+	// takes half of that capacity.
 	benchSlots = 4
-	// benchRate is how many quick tasks a second come, benchJobTasks a job, and benchTaskTime how long
-	// each takes.
+	// benchRate is the number of short tasks per second, benchJobTasks the number of tasks per job,
+	// and benchTaskTime the run time of each task.
 	benchRate     = 900
 	benchJobTasks = 4
 	benchTaskTime = 600 * time.Millisecond
-	// benchBacklog is how many jobs of a task that needs a whole runner wait, where there is a backlog.
+	// benchBacklog is the number of waiting jobs in benchmarks with a backlog, each with one task
+	// that needs a whole runner.
 	benchBacklog = 2000
-	// benchWarmup is how many turns pass before any is timed.
+	// benchWarmup is the number of steps that run before the measurement, both before and after the
+	// backlog is submitted.
 	benchWarmup = 800
-	// benchInitialClockMs is what the runners' clocks show at first; 0 would mean that they have none.
+	// benchInitialClockMs is the initial time of the runners' clocks. It isn't 0, which would mean
+	// that the clock is not known.
 	benchInitialClockMs = 1000
 )
 
@@ -40,17 +45,17 @@
 	endsAt   time.Duration
 }
 
-// benchRunner accepts all that it is ordered to start, runs it for as long as its job estimated, and
-// holds a renewal until an end comes or its wait is over.
+// benchRunner accepts all orders to start, runs each task for benchTaskTime (long-running tasks
+// until they are stopped) and replies to a renewal when a run ends or the wait is over.
 type benchRunner struct {
 	running  []benchRun
 	finished []scheduler.ReportedEnd
 	number   uint64
-	renewal  *scheduler.Order // nil: none waits
-	replyAt  time.Duration    // when it is replied to without an end
+	renewal  *scheduler.Order // the pending renewal; nil if there is none
+	replyAt  time.Duration    // when to reply to the renewal if no run ends
 }
 
-// neverEnds is the end of a run that goes on until it is stopped.
+// neverEnds is the end of a run that continues until it is stopped.
 const neverEnds = time.Duration(math.MaxInt64)
 
 // benchFleet is a scheduler with its store and runners.
@@ -60,17 +65,17 @@
 	now       time.Duration
 	runners   map[string]*benchRunner
 	inOrder   []string
-	replies   []scheduler.Order // starts and stops of the last turn
-	unapplied scheduler.Output  // commands of the last turn
+	replies   []scheduler.Order // orders to start and to stop of the last step
+	unapplied scheduler.Output  // commands of the last step
 	serial    int
-	rate      float64 // quick tasks a second
-	owed      float64 // tasks that are to be submitted, by the rate
+	rate      float64 // short tasks per second
+	owed      float64 // number of tasks still to be submitted according to the rate
 
-	spent  map[string]time.Duration // in the scheduler, by kind of call
-	starts int                      // starts that were confirmed
-	ends   int                      // ends that were committed
+	spent  map[string]time.Duration // time spent in the scheduler, by kind of call
+	starts int                      // number of confirmed starts
+	ends   int                      // number of committed ends
 
-	renewals int // renewals of leases that were ordered
+	renewals int // number of lease renewals that were ordered
 }
 
 func newBenchFleet(runners int, rate float64) *benchFleet {
@@ -92,15 +97,15 @@
 
 func (f *benchFleet) clockMs() int64 { return benchInitialClockMs + (f.now - time.Hour).Milliseconds() }
 
-// timed runs a call of the scheduler.
+// timed makes a call of the scheduler and adds its duration to spent.
 func (f *benchFleet) timed(kind string, call func()) {
 	began := time.Now()
 	call()
 	f.spent[kind] += time.Since(began)
 }
 
-// turn lets benchStep pass.
-func (f *benchFleet) turn() {
+// step simulates benchStep of virtual time.
+func (f *benchFleet) step() {
 	f.now += benchStep
 	for f.owed += f.rate * benchStep.Seconds(); f.owed >= benchJobTasks; f.owed -= benchJobTasks {
 		f.submit(job.Step{Count: benchJobTasks, EstimateMs: benchTaskTime.Milliseconds(), Resources: benchResources(1)})
@@ -122,12 +127,12 @@
 	}
 }
 
-// benchResources returns the resources of so many slots.
+// benchResources returns the resources of the given number of slots.
 func benchResources(slots int64) job.Resources {
 	return job.Resources{CPU: 1000 * slots, MemMB: 1000 * slots}
 }
 
-// submit accepts a job of one step.
+// submit submits a job of one step.
 func (f *benchFleet) submit(step job.Step) {
 	f.serial++
 	spec := job.Spec{Text: "t", Steps: []job.Step{step}, LongRunning: step.LongRunning}
@@ -135,6 +140,7 @@
 	f.apply(job.Command{Kind: job.AcceptJob, ProposedAtMs: f.now.Milliseconds(), Submission: submission})
 }
 
+// apply commits a command and passes its outcome to the scheduler.
 func (f *benchFleet) apply(command job.Command) {
 	outcome := f.store.Apply(command)
 	if command.Kind == job.EndRun && outcome == job.Applied {
@@ -143,7 +149,7 @@
 	f.timed("applied", func() { f.scheduler.Applied(f.now, command, outcome) })
 }
 
-// applyCommands commits what the last turn proposed.
+// applyCommands commits the commands of the last step.
 func (f *benchFleet) applyCommands() {
 	for _, command := range f.unapplied.Commands {
 		f.apply(command)
@@ -154,7 +160,7 @@
 	f.unapplied.Commands = nil
 }
 
-// replyToOrders lets the runners carry out the starts and stops of the last turn.
+// replyToOrders makes the runners carry out the orders to start and to stop of the last step.
 func (f *benchFleet) replyToOrders() {
 	orders := f.replies
 	f.replies = nil
@@ -173,7 +179,7 @@
 	}
 }
 
-// endRuns ends the runs whose time is over, and replies to the renewals that have waited long enough.
+// endRuns ends the runs whose time is over, and replies to the renewals that are due for a reply.
 func (f *benchFleet) endRuns() {
 	for _, id := range f.inOrder {
 		runner := f.runners[id]
@@ -195,7 +201,8 @@
 	}
 }
 
-// percent returns how much of a run is done. One that never ends goes on all the same.
+// percent returns the progress of a run. The reported progress of a run that never ends also
+// changes.
 func (f *benchFleet) percent(run benchRun) int {
 	if run.endsAt == neverEnds {
 		return int(f.now/benchTaskTime) % 100
@@ -216,12 +223,12 @@
 	runner.running = kept
 }
 
-// benchWork runs the turns of one benchmark, and reports the time of one kind of call a turn as its
-// time; also what the scheduler spends on all calls for a run.
+// benchWork runs one benchmark. It reports the time of one kind of call per step as the benchmark's
+// time, the total time of all calls per run, and the rate of starts.
 func benchWork(b *testing.B, runners int, backlog bool, kind string) {
 	f := warmBenchFleet(runners, benchRate, backlog)
 	for b.Loop() {
-		f.turn()
+		f.step()
 	}
 	total := f.total(b)
 	b.ReportMetric(float64(f.spent[kind].Nanoseconds())/float64(b.N), "ns/op")
@@ -229,12 +236,12 @@
 	b.ReportMetric(float64(f.starts)/(float64(b.N)*benchStep.Seconds()), "starts/s")
 }
 
-// warmBenchFleet returns a fleet at work, with nothing counted yet.
+// warmBenchFleet returns a fleet under load after the warm-up, with all counters at zero.
 func warmBenchFleet(runners int, rate float64, backlog bool) *benchFleet {
 	f := newBenchFleet(runners, rate)
 	f.submit(job.Step{Count: runners, Resources: benchResources(benchSlots / 2), AntiAffinity: 1, LongRunning: true})
 	for range benchWarmup {
-		f.turn()
+		f.step()
 	}
 	if backlog {
 		for range benchBacklog {
@@ -242,18 +249,19 @@
 		}
 	}
 	for range benchWarmup {
-		f.turn()
+		f.step()
 	}
 	clear(f.spent)
 	f.starts, f.ends, f.renewals = 0, 0, 0
 	return f
 }
 
-// total returns the time of all calls of the scheduler.
+// total returns the total time of all calls of the scheduler. It fails the benchmark if no run has
+// started or ended.
 func (f *benchFleet) total(b *testing.B) time.Duration {
 	b.Helper()
 	if f.starts == 0 || f.ends == 0 {
-		b.Fatalf("%d starts and %d ends in %d turns: the scheduler was not at work", f.starts, f.ends, b.N)
+		b.Fatalf("%d starts and %d ends in %d steps: the scheduler was idle", f.starts, f.ends, b.N)
 	}
 	total := time.Duration(0)
 	for _, spent := range f.spent {
@@ -262,9 +270,10 @@
 	return total
 }
 
-// benchSizes are the runners of the grown and large deployments, and those of the target.
+// benchSizes are the numbers of runners of the grown and the large deployments, and of the target.
 var benchSizes = []int{350, 1700, 3000, 6200}
 
+// benchEach runs a benchmark for each size, with and without a backlog.
 func benchEach(b *testing.B, kind string) {
 	for _, runners := range benchSizes {
 		for _, backlog := range []bool{false, true} {
@@ -273,27 +282,29 @@
 	}
 }
 
-// BenchmarkCycle is the output of a turn: its scheduling cycle, and the orders and commands.
+// BenchmarkCycle measures TakeOutput once per step: the scheduling cycle and the collected orders
+// and commands.
 func BenchmarkCycle(b *testing.B) { benchEach(b, "cycle") }
 
-// BenchmarkTick is the check of all runners, one turn in eight, spread over the turns.
+// BenchmarkTick measures Tick: the check of all runners in one of eight steps, averaged over all
+// steps.
 func BenchmarkTick(b *testing.B) { benchEach(b, "tick") }
 
-// Runners and quick tasks a second of the busiest leader of a large deployment.
+// Numbers of runners and of short tasks per second of the busiest leader of a large deployment.
 const (
 	loadRunners = 1224
 	loadRate    = 2000
 )
 
-// BenchmarkLoad is what a run costs the scheduler of a large deployment's busiest leader, by kind of
-// call, and how many renewals of leases it sends a second. A turn is benchStep of virtual time: ns/op over
-// that is the part of a core.
+// BenchmarkLoad measures the scheduler's time per run, by kind of call, and the number of lease
+// renewals per second, for the busiest leader of a large deployment. A step is benchStep of virtual
+// time, so ns/op divided by benchStep is the fraction of a core that is used.
 func BenchmarkLoad(b *testing.B) {
 	for _, backlog := range []bool{false, true} {
 		b.Run(fmt.Sprintf("backlog=%v", backlog), func(b *testing.B) {
 			f := warmBenchFleet(loadRunners, loadRate, backlog)
 			for b.Loop() {
-				f.turn()
+				f.step()
 			}
 			total := f.total(b)
 			b.ReportMetric(float64(total.Nanoseconds())/float64(b.N), "ns/op")
--- a/internal/cluster/scheduler/cycle.go
+++ b/internal/cluster/scheduler/cycle.go
@@ -11,37 +11,40 @@
 )
 
 const (
-	// minCycleInterval is the least time between two cycles: inputs that come together share one.
+	// minCycleInterval is the minimum time between two cycles, so that inputs that arrive together
+	// are handled by one cycle.
 	minCycleInterval = 3 * time.Millisecond
-	// maxCycleInterval is the longest time without a cycle: work ages, patience ends, and probes of
-	// suspect runners fall due though nothing happens.
+	// maxCycleInterval is the maximum time between two cycles. Work ages, waits for a runner near
+	// the data end and probes of suspect runners fall due even if there is no input.
 	maxCycleInterval = 200 * time.Millisecond
 )
 
-// cycle is the state of the scheduling cycle. Candidates and runners are those of the current
-// cycle; their slices are used again by the next one.
+// cycle is the state of the scheduling cycle. The candidates and runners are those of the current
+// cycle; the next cycle reuses their slices.
 type cycle struct {
 	needed  bool          // something changed since the last cycle
 	lastRun time.Duration // when it last ran
-	pause   time.Duration // how long after that the next one may run
+	pause   time.Duration // minimum time from lastRun to the next cycle
 
 	candidates []placement.Candidate
 	runners    []*runnerSession  // by Candidate.Key
-	round      *placement.Round  // the choices among candidates
-	request    placement.Request // of the group whose turn it is
+	round      *placement.Round  // chooses among candidates
+	request    placement.Request // of the group being assigned
 
 	reservations agedReservations
 	forecast     capacityForecast
 
-	examinedForGangs int // candidates looked at for gangs that found no room
+	examinedForGangs int // candidates examined for gangs that could not be placed
 }
 
-// runCycle starts what fits: for each task group, in the aged order, it takes the best of the
-// feasible runners whose budget has headroom, reserves the task's resources there, and proposes the
-// start, whose order leaves once that is committed. Work at the head that fits no budget holds up
-// the rest while some runner has the capacity for it; work for which none has the capacity is
-// passed by, and once it has aged a runner is reserved for it. Nothing more starts while the start
-// window is full.
+// runCycle starts the pending tasks that fit. For each task group, in the aged order, it chooses
+// the best feasible runner whose budget has headroom, reserves the task's resources there and
+// proposes the start. The order to the runner is sent once the start is committed.
+//
+// If some runner has the capacity for a group but no budget has headroom for it, the cycle ends
+// there, so that later groups can't use up the budget. A group for which no runner has the capacity
+// is skipped; once it has aged, a runner is reserved for it. No task starts while the start window
+// is full.
 func (s *Scheduler) runCycle() {
 	s.cycle.lastRun, s.cycle.pause = s.now, minCycleInterval
 	if s.startWindow.full() {
@@ -52,7 +55,7 @@
 		return
 	}
 	s.collectCandidates()
-	defer func() { s.cycle.pause = cyclePause(len(ready), s.cycle.examinedInVain()) }()
+	defer func() { s.cycle.pause = cyclePause(len(ready), s.cycle.examinedWithoutStart()) }()
 	for _, group := range ready {
 		group.queue.Wait(s.now, lateness.Queued)
 	}
@@ -79,11 +82,11 @@
 	}
 }
 
-// collectCandidates finds the runners that take work now.
+// collectCandidates collects the runners that accept new tasks at this time.
 func (s *Scheduler) collectCandidates() {
 	candidates, runners := s.cycle.candidates[:0], s.cycle.runners[:0]
 	var service string
-	var meanCost *admission.MeanCost // of that service
+	var meanCost *admission.MeanCost // of service
 	for _, runner := range s.runners.inOrder {
 		if !runner.takesWork(s.now) {
 			continue
@@ -112,7 +115,7 @@
 	s.cycle.forecast.begin(candidates, runners)
 }
 
-// requestFor returns what a group's tasks ask of a runner. It is valid until the next call.
+// requestFor returns the placement request for a group's tasks. It is valid until the next call.
 func (s *Scheduler) requestFor(group *taskGroup) *placement.Request {
 	urgency := group.urgency()
 	s.cycle.request = placement.Request{
@@ -124,9 +127,10 @@
 	return &s.cycle.request
 }
 
-// assign starts as much of a group as fits, as many tasks at one runner as fit there. Tasks whose data
-// lies in a rack start there; those that fit no runner of it wait, or run remote (rackPatience). A
-// result other than Found says why the rest waits; with Found it waits for the start window.
+// assign starts as many of a group's tasks as fit, several at one runner where they fit there.
+// Tasks with data affinity start in the rack that holds their data; those that fit no runner there
+// wait or run remotely (see localityWaitPolicy). A result other than Found is the reason why the
+// remaining tasks wait; after Found, they wait for the start window.
 func (s *Scheduler) assign(group *taskGroup, request *placement.Request) placement.Result {
 	if group.step.Gang {
 		return s.assignGang(group, request)
@@ -144,13 +148,13 @@
 	return placement.NoCapacity
 }
 
-// assignTasks starts so many of a group's pending tasks, as far as they fit.
-func (s *Scheduler) assignTasks(group *taskGroup, request *placement.Request, most int) placement.Result {
-	for most > 0 && !s.startWindow.full() {
+// assignTasks starts at most the given number of a group's pending tasks, as far as they fit.
+func (s *Scheduler) assignTasks(group *taskGroup, request *placement.Request, limit int) placement.Result {
+	for limit > 0 && !s.startWindow.full() {
 		if result, rejected := s.cycle.round.Rejects(request); rejected {
 			return result
 		}
-		request.Count = min(group.interchangeable(), most)
+		request.Count = min(group.interchangeable(), limit)
 		chosen, result := s.chooseRunner(group, request)
 		if result != placement.Found {
 			return result
@@ -159,28 +163,29 @@
 			index := group.pending[0]
 			s.start(group, index, group.nextAttempt(index), chosen.Candidate, request)
 			group.pending = group.pending[1:]
-			most--
+			limit--
 		}
 	}
 	return placement.Found
 }
 
-// chooseRunner finds a runner for a group's next tasks: one at which none of its step failed where
-// it can, and never one that has a run of the task already.
+// chooseRunner chooses a runner for a group's next tasks. It prefers runners that group.avoid
+// doesn't name, and never chooses one that already has a run of the same task.
 func (s *Scheduler) chooseRunner(group *taskGroup, request *placement.Request) (placement.Assignment, placement.Result) {
 	running := group.task(group.pending[0]).Runs
-	request.Limit = s.limitBeside(group, running, group.avoid)
+	request.Limit = s.perRunnerLimit(group, running, group.avoid)
 	chosen, result := s.cycle.round.Choose(request)
 	if result != placement.Found && len(group.avoid) > 0 {
-		request.Limit = s.limitBeside(group, running, nil)
+		request.Limit = s.perRunnerLimit(group, running, nil)
 		chosen, result = s.cycle.round.Choose(request)
 	}
 	return chosen, result
 }
 
-// limitBeside returns how many of a group's next tasks a runner may take, by its key: none at a runner
-// that has one of the runs, or that is avoided. Nil: any number.
-func (s *Scheduler) limitBeside(group *taskGroup, running []job.Run, avoid map[string]bool) func(key int) int {
+// perRunnerLimit returns a function that returns how many of a group's next tasks a runner, given
+// by its key, may take: none at a runner that has one of the running runs or that is in avoid. It
+// returns nil if there is no limit.
+func (s *Scheduler) perRunnerLimit(group *taskGroup, running []job.Run, avoid map[string]bool) func(key int) int {
 	if group.step.AntiAffinity == 0 && len(running) == 0 && len(avoid) == 0 {
 		return nil
 	}
@@ -194,8 +199,8 @@
 	}
 }
 
-// spreadLimit returns how many more tasks of a step a runner may take beside those it has, by
-// the step's anti-affinity.
+// spreadLimit returns a function that returns how many more tasks of a step a runner may take in
+// addition to those it has, according to the step's anti-affinity.
 func (s *Scheduler) spreadLimit(group *taskGroup) func(key int) int {
 	if group.step.AntiAffinity == 0 {
 		return func(int) int { return group.step.Count }
@@ -211,7 +216,7 @@
 	}
 }
 
-// start reserves a task's resources at a candidate and proposes the start there.
+// start reserves a task's resources at a candidate and proposes the start of the task there.
 func (s *Scheduler) start(group *taskGroup, index, attempt, candidate int, request *placement.Request) {
 	s.cycle.candidates[candidate].Assign(request)
 	s.cycle.reservations.assigned()
@@ -232,8 +237,8 @@
 	s.propose(job.Command{Kind: job.StartRun, Task: ref, Attempt: attempt, Runner: runner.id, Address: runner.address})
 }
 
-// recordBlockedBudgets notes which budgets keep the head of the queue from leaving, so that they
-// grow with the next run that ends well.
+// recordBlockedBudgets records which budgets keep the group at the head of the queue from starting,
+// so that these budgets grow after the next successful run.
 func (s *Scheduler) recordBlockedBudgets(request *placement.Request) {
 	for i := range s.cycle.candidates {
 		c := &s.cycle.candidates[i]
@@ -244,6 +249,7 @@
 	}
 }
 
+// hasAllLabels reports whether labels contains all required labels.
 func hasAllLabels(labels, required []string) bool {
 	for _, label := range required {
 		if !slices.Contains(labels, label) {
--- a/internal/cluster/scheduler/cycle_test.go
+++ b/internal/cluster/scheduler/cycle_test.go
@@ -10,7 +10,7 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-// addRunner adds a runner of four cores that takes work.
+// addRunner adds a runner of four cores that accepts tasks.
 func addRunner(s *Scheduler, id string) *runnerSession {
 	runner := contactedRunner()
 	runner.id, runner.service, runner.capacity = id, "s", job.Resources{CPU: 4000}
@@ -18,7 +18,7 @@
 	return runner
 }
 
-// submit adds a job of one step that runs for a second.
+// submit adds a job of one step whose estimated run time is a second, and returns its group.
 func submit(s *Scheduler, id string, step job.Step) *taskGroup {
 	step.EstimateMs = 1000
 	s.store.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.Submission{ID: id, Queue: "q", Service: "s", Spec: job.Spec{Steps: []job.Step{step}}}})
@@ -26,7 +26,7 @@
 	return s.groups.byKey[groupKey{job: id}]
 }
 
-// startsAt returns the runners of the starts that were proposed, in their order.
+// startsAt returns the runners of the proposed commands, in the order of the proposals.
 func startsAt(s *Scheduler) []string {
 	var runners []string
 	for _, command := range s.outbox.commands {
@@ -37,13 +37,13 @@
 
 func TestRunnersThatTakeNoWork(t *testing.T) {
 	for name, change := range map[string]func(*runnerSession){
-		"not listed":              func(r *runnerSession) { r.listed = false },
-		"incarnation has ended":   func(r *runnerSession) { r.ended = true },
-		"draining":                func(r *runnerSession) { r.drain.draining = true },
-		"has not replied yet":     func(r *runnerSession) { r.contact.fenced = false },
-		"out of contact":          func(r *runnerSession) { r.contact.lastContact = testNow - contactTimeout },
-		"misses its polls":        func(r *runnerSession) { r.contact.missedPolls = 1 },
-		"owes a reply to a start": func(r *runnerSession) { r.contact.replyPending = true },
+		"not listed":                  func(r *runnerSession) { r.listed = false },
+		"incarnation has ended":       func(r *runnerSession) { r.ended = true },
+		"draining":                    func(r *runnerSession) { r.drain.draining = true },
+		"has not replied yet":         func(r *runnerSession) { r.contact.tokenAccepted = false },
+		"out of contact":              func(r *runnerSession) { r.contact.lastContact = testNow - contactTimeout },
+		"misses its polls":            func(r *runnerSession) { r.contact.missedPolls = 1 },
+		"reply to a start is overdue": func(r *runnerSession) { r.contact.startReplyOverdue = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestScheduler()
@@ -67,7 +67,7 @@
 	s.now += time.Minute
 	runner.contact.lastContact = s.now
 	s.runCycle()
-	require.Len(t, startsAt(s), 1, "the probe is under way")
+	require.Len(t, startsAt(s), 1, "the first probe is still active")
 }
 
 func TestRunnerAtWhichATaskFailedIsAvoidedWhereThereIsAnother(t *testing.T) {
@@ -77,7 +77,7 @@
 	group.avoid["a"] = true
 	s.collectCandidates()
 	_, result := s.chooseRunner(group, s.requestFor(group))
-	require.Equal(t, placement.Found, result, "there is no other")
+	require.Equal(t, placement.Found, result, "there is no other runner")
 	addRunner(s, "b")
 	s.runCycle()
 	require.Equal(t, []string{"b"}, startsAt(s))
@@ -92,13 +92,14 @@
 	require.Len(t, group.pending, 1)
 }
 
-// TestHeadThatNoBudgetLetsStartHoldsUpTheRest: budgets grow for it, not for shorter work behind it.
-func TestHeadThatNoBudgetLetsStartHoldsUpTheRest(t *testing.T) {
+// TestHeadOfQueueWithoutBudgetBlocksLaterGroups checks that budgets grow for the head of the queue
+// and are not used up by shorter work behind it.
+func TestHeadOfQueueWithoutBudgetBlocksLaterGroups(t *testing.T) {
 	s := newTestScheduler()
 	runner := addRunner(s, "a")
 	s.learner.meanCost("s").Add(0.01)
 	busy := &run{runKey: runKey{task: job.TaskRef{Job: "other"}}, cost: 0.01}
-	runner.load.add(busy) // an idle runner would take it whatever its budget
+	runner.load.add(busy) // an idle runner would accept it regardless of its budget
 	head := submit(s, "head", job.Step{Count: 1, Resources: job.Resources{CPU: 1000}})
 	small := submit(s, "small", job.Step{Count: 1, Resources: job.Resources{CPU: 10}})
 	small.job.Priority = 1
@@ -107,5 +108,5 @@
 	require.Len(t, head.pending, 1)
 	before := runner.load.budget.Headroom(runner.load.cost, s.learner.meanCost("s"))
 	runner.load.budget.Grow(1, runner.maxBudget())
-	require.Greater(t, runner.load.budget.Headroom(runner.load.cost, s.learner.meanCost("s")), before, "that it blocked work was recorded")
+	require.Greater(t, runner.load.budget.Headroom(runner.load.cost, s.learner.meanCost("s")), before, "the blocked budget was recorded, so it grows")
 }
--- a/internal/cluster/scheduler/cyclepause_test.go
+++ b/internal/cluster/scheduler/cyclepause_test.go
@@ -9,16 +9,16 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// TestBacklogLeavesTimeForOrders guards against a leader that collapses under load: with work that waits a cycle
-// followed each 3 ms on the one before, whatever it took.
+// TestBacklogLeavesTimeForOrders guards against a leader that collapses under load: with a backlog,
+// cycles followed each other at intervals of 3 ms, regardless of how long they took.
 func TestBacklogLeavesTimeForOrders(t *testing.T) {
-	require.InDelta(t, 20, cyclesInTurns(t, 0), 2, "a cycle each turn while little waits")
-	require.Less(t, cyclesInTurns(t, 10*benchBacklog), 8, "fewer cycles while much waits")
+	require.InDelta(t, 20, cyclesInSteps(t, 0), 2, "one cycle per step with a small backlog")
+	require.Less(t, cyclesInSteps(t, 10*benchBacklog), 8, "fewer cycles with a large backlog")
 }
 
-// cyclesInTurns returns in how many of 20 turns work that has just come, and fits, is started, while so
-// many jobs wait that need more than is free.
-func cyclesInTurns(t *testing.T, waiting int) int {
+// cyclesInSteps returns in how many of 20 steps a newly submitted job that fits is started, while
+// the given number of jobs that need more than the free capacity waits.
+func cyclesInSteps(t *testing.T, waiting int) int {
 	t.Helper()
 	f := warmBenchFleet(64, 100, false)
 	for range waiting {
@@ -27,7 +27,7 @@
 	cycles := 0
 	for range 20 {
 		f.submit(job.Step{Count: 1, EstimateMs: 1, Resources: benchResources(1)})
-		f.turn()
+		f.step()
 		for _, command := range f.unapplied.Commands {
 			if command.Kind == job.StartRun {
 				cycles++
--- a/internal/cluster/scheduler/digest_test.go
+++ b/internal/cluster/scheduler/digest_test.go
@@ -13,25 +13,27 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// digestFile has a line for each seed: seed, orders, commands, digest of both in their order.
+// digestFile has one line per seed: the seed, the number of orders, the number of commands, and the
+// digest of both in their order.
 const digestFile = "testdata/digests.txt"
 
-// Seeds of the digests: calm days first, then days of trouble.
+// Seeds of the digests: workloads without faults, then workloads with faults.
 const (
-	calmSeeds        = 100
-	troubleSeeds     = 100
-	firstTroubleSeed = 1000
+	faultFreeSeeds = 100
+	faultSeeds     = 100
+	firstFaultSeed = 1000
 )
 
-// decisions records what the schedulers of a world decide; the zero value records nothing.
+// decisions records the output of the schedulers of a simulation. The zero value records nothing.
 type decisions struct {
 	trace    *digesttest.Trace
 	orders   int
 	commands int
 }
 
-// record also puts stops that leave together into the order in which the digests on file have them,
-// for the runners too. Worlds that are not recorded take them as they come.
+// record records the output of a scheduler. It also sorts stop orders that are sent together into
+// the order that the digests on file are based on, before the runners get them. Simulations that
+// are not recorded leave their order unchanged.
 func (d *decisions) record(now time.Duration, out *scheduler.Output) {
 	if d.trace == nil {
 		return
@@ -51,19 +53,20 @@
 	d.orders += len(out.Orders)
 }
 
-// decisionsOf plays a seed and returns what was decided.
+// decisionsOf runs the workload of a seed and returns the recorded decisions.
 func decisionsOf(t testing.TB, seed uint64, withText bool) decisions {
-	trouble := seed >= firstTroubleSeed
+	faults := seed >= firstFaultSeed
 	runners, rounds := 8, 40
-	if trouble {
+	if faults {
 		runners, rounds = 6+int(seed%5), 50
 	}
-	w := newWorld(t, seed, runners)
-	w.decisions.trace = digesttest.New(withText)
-	play(w, rounds, trouble)
-	return w.decisions
+	sim := newSimulation(t, seed, runners)
+	sim.decisions.trace = digesttest.New(withText)
+	runWorkload(sim, rounds, faults)
+	return sim.decisions
 }
 
+// digestLine returns the line of a seed in digestFile.
 func digestLine(t testing.TB, seed uint64) string {
 	d := decisionsOf(t, seed, false)
 	return fmt.Sprintf("%d %d %d %s", seed, d.orders, d.commands, d.trace.Sum())
@@ -71,16 +74,16 @@
 
 func digestSeeds() []uint64 {
 	var seeds []uint64
-	for seed := range uint64(calmSeeds) {
+	for seed := range uint64(faultFreeSeeds) {
 		seeds = append(seeds, seed)
 	}
-	for seed := range uint64(troubleSeeds) {
-		seeds = append(seeds, firstTroubleSeed+seed)
+	for seed := range uint64(faultSeeds) {
+		seeds = append(seeds, firstFaultSeed+seed)
 	}
 	return seeds
 }
 
-// TestDecisionDigests holds each decision of 200 days to those on file.
+// TestDecisionDigests compares the decisions of 200 workloads with the digests on file.
 func TestDecisionDigests(t *testing.T) {
 	if wanted, ok := digesttest.Traced(); ok {
 		seed, err := strconv.ParseUint(wanted, 10, 64)
@@ -96,9 +99,10 @@
 	digesttest.Compare(t, digestFile, lines)
 }
 
-// TestSeedsAreRepeatable: the same seed, played again by the same process, decides the same.
+// TestSeedsAreRepeatable checks that the same seed leads to the same decisions if it is run again
+// in the same process.
 func TestSeedsAreRepeatable(t *testing.T) {
-	for _, seed := range []uint64{0, 1, firstTroubleSeed + 12, firstTroubleSeed + 13} {
+	for _, seed := range []uint64{0, 1, firstFaultSeed + 12, firstFaultSeed + 13} {
 		require.Equal(t, digestLine(t, seed), digestLine(t, seed))
 	}
 }
--- a/internal/cluster/scheduler/drain.go
+++ b/internal/cluster/scheduler/drain.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// migrationLead is how long before a draining runner leaves its runs are stopped: as long as they
-// need to save their progress and to be stopped.
+// migrationLead is how long before a draining runner's departure its runs are stopped: the time
+// that they need to save a checkpoint and stop.
 const migrationLead = 900 * time.Millisecond
 
-// drainState is what is known of a runner's leaving. One that drains gets no new tasks
-// (runnerSession.takesWork); what would not end before it leaves migrates.
+// drainState is the drain state of a runner. A draining runner gets no new tasks
+// (runnerSession.takesWork), and its runs that would not end before its departure migrate.
 type drainState struct {
 	draining  bool
-	departsAt time.Duration // when it leaves at the soonest; 0: not known
+	departsAt time.Duration // earliest time of its departure; 0 means unknown
 }
 
-// mustMigrate tells whether what is still running has to leave now.
-func (d *drainState) mustMigrate(now time.Duration) bool {
+// departureImminent reports whether the runs that are still active have to be stopped now.
+func (d *drainState) departureImminent(now time.Duration) bool {
 	return d.departsAt > 0 && now+migrationLead > d.departsAt
 }
 
-// interrupts tells whether a run is to migrate since it will not end before its runner leaves: one
-// that saves checkpoints as late as it can, any other one at once.
-func (d *drainState) interrupts(now time.Duration, r *run, checkpoints bool) bool {
+// requiresMigration reports whether a run has to migrate because it will not end before its runner
+// leaves. A run with checkpoints migrates as late as possible, any other run immediately.
+func (d *drainState) requiresMigration(now time.Duration, r *run, checkpoints bool) bool {
 	if d.departsAt == 0 {
 		return false
 	}
@@ -31,5 +31,5 @@
 	if now+remaining+migrationLead/2 < d.departsAt {
 		return false
 	}
-	return !checkpoints || d.mustMigrate(now)
+	return !checkpoints || d.departureImminent(now)
 }
--- a/internal/cluster/scheduler/ends.go
+++ b/internal/cluster/scheduler/ends.go
@@ -2,7 +2,7 @@
 
 import "basaltloft/internal/cluster/job"
 
-// endAllRuns proposes that each run of a runner is over.
+// endAllRuns proposes the end of all runs of a runner whose start is committed.
 func (s *Scheduler) endAllRuns(runner *runnerSession) {
 	for _, r := range runner.load.sorted() {
 		if r.phase != phaseProposed {
@@ -11,7 +11,7 @@
 	}
 }
 
-// endRun proposes, once, that a run is over.
+// endRun proposes the end of a run, unless it was already proposed.
 func (s *Scheduler) endRun(runner *runnerSession, r *run, reason job.EndReason) {
 	if r.ending {
 		return
@@ -20,7 +20,7 @@
 	s.propose(job.Command{Kind: job.EndRun, Task: r.task, Attempt: r.attempt, Runner: runner.id, EndReason: reason})
 }
 
-// endCommitted follows up a run that is over.
+// endCommitted processes the outcome of an EndRun command.
 func (s *Scheduler) endCommitted(j *job.Job, c job.Command, outcome job.Outcome) {
 	s.removeRun(j, c)
 	if outcome != job.Applied {
@@ -40,7 +40,7 @@
 	s.advanceOccurrence(j, c.Task)
 }
 
-// removeRun gives back what a run that is over took of its runner, and learns from it.
+// removeRun removes a run that is over, releases its resources and learns from its result.
 func (s *Scheduler) removeRun(j *job.Job, c job.Command) {
 	runner := s.runners.byID[c.Runner]
 	if runner == nil {
@@ -55,12 +55,13 @@
 	s.learner.runEnded(s.now, j, group, runner, r, c.EndReason)
 	if group != nil {
 		task, _ := j.Task(c.Task)
-		othersRun := task != nil && len(task.Runs) > 0
-		s.lateness.runEnded(s.now, group, r, runner.speed.factor.Value(), c.EndReason, othersRun)
+		otherRunsRemain := task != nil && len(task.Runs) > 0
+		s.lateness.runEnded(s.now, group, r, runner.speed.factor.Value(), c.EndReason, otherRunsRemain)
 	}
 }
 
-// taskDone accounts for a task that is done: with it its step may be complete, and its job.
+// taskDone updates the lateness accounts for a task that is done and that may complete its step and
+// its job.
 func (s *Scheduler) taskDone(j *job.Job, ref job.TaskRef) {
 	group := s.groups.of(ref)
 	_, step := j.Task(ref)
@@ -73,7 +74,8 @@
 	}
 }
 
-// advanceOccurrence makes ready what an end allows: the task again, or the steps that waited.
+// advanceOccurrence makes tasks ready after the end of a run: the task itself if it has to run
+// again, or the steps that depended on a step that is now complete.
 func (s *Scheduler) advanceOccurrence(j *job.Job, ref job.TaskRef) {
 	_, step := j.Task(ref)
 	if step == nil { // the whole occurrence is complete, and its state was dropped
@@ -83,7 +85,7 @@
 	}
 	if !step.Complete() {
 		if group := s.groups.of(ref); group != nil {
-			s.refill(group, j)
+			s.refreshPending(group, j)
 		}
 		return
 	}
--- a/internal/cluster/scheduler/export_test.go
+++ b/internal/cluster/scheduler/export_test.go
@@ -6,8 +6,8 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// StartsInFlight returns how many starts the start window counts, how many runs are marked as counted,
-// and when the oldest of these was proposed or ordered.
+// StartsInFlight returns the number of starts that the start window counts, the number of runs
+// marked as counted, and the time when the oldest of these was proposed or ordered.
 func (s *Scheduler) StartsInFlight() (counted, starting int, oldest time.Duration) {
 	for _, runner := range s.runners.inOrder {
 		for _, r := range runner.load.runs {
@@ -23,8 +23,8 @@
 	return s.startWindow.inFlight, starting, oldest
 }
 
-// StartProposedTwice returns a task with two starts of the same attempt that wait for their
-// commitment, at one runner or at two.
+// StartProposedTwice returns a task for which two starts of the same attempt wait to be committed,
+// at one runner or at two.
 func (s *Scheduler) StartProposedTwice() (ref job.TaskRef, found bool) {
 	proposed := map[runKey]bool{}
 	for _, runner := range s.runners.inOrder {
--- a/internal/cluster/scheduler/fencedoff_test.go
+++ b/internal/cluster/scheduler/fencedoff_test.go
@@ -9,11 +9,12 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// maxOrdersOnceFencedOff is how often an order may still reach a runner that refuses the token.
-const maxOrdersOnceFencedOff = 3
+// maxOrdersAfterFencing is the number of further orders that a runner may get after it has rejected
+// the token.
+const maxOrdersAfterFencing = 3
 
-// TestFencedOffLeaderStopsPolling: guards against a leader that was refused since another one had
-// used a higher token, and polls that runner with the same token for as long as it believes to lead.
+// TestFencedOffLeaderStopsPolling guards against a leader that keeps polling a runner which rejects
+// its token because another leader has used a higher one.
 func TestFencedOffLeaderStopsPolling(t *testing.T) {
 	const observed, step = 20 * time.Second, 10 * time.Millisecond
 	manager, runner := newLeaseManager(), contactedRunner()
@@ -26,11 +27,11 @@
 		refused++
 		require.Equal(t, renewalFailed, manager.replied(now, runner, order.Sequence, LeaseFenced, 0))
 	}
-	require.LessOrEqual(t, refused, 1+maxOrdersOnceFencedOff)
+	require.LessOrEqual(t, refused, 1+maxOrdersAfterFencing)
 }
 
-// TestFencedOffRunnerGetsNoOrders: guards against stops, sent again until they are confirmed, and
-// starts with a token that the runner refuses.
+// TestFencedOffRunnerGetsNoOrders guards against starts, and against stops that are repeated until
+// they are confirmed, with a token that the runner rejects.
 func TestFencedOffRunnerGetsNoOrders(t *testing.T) {
 	s := newTestScheduler()
 	runner := contactedRunner()
--- a/internal/cluster/scheduler/forecast.go
+++ b/internal/cluster/scheduler/forecast.go
@@ -8,12 +8,12 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-// neverEnds is the remaining time of a run whose end is not to be expected.
+// neverEnds is the remaining time of a run that is not expected to end.
 const neverEnds = time.Duration(math.MaxInt64)
 
-// expectedRemaining returns how much longer a run is expected to hold its resources: by the progress
-// that its runner reports, or else by its expected run time. One that is overdue is expected to take
-// as long again as it is overdue.
+// expectedRemaining returns how much longer a run is expected to hold its resources, based on the
+// progress that its runner reports or otherwise on its expected run time. An overdue run is
+// expected to take as much longer as it is overdue.
 func (r *run) expectedRemaining(now time.Duration) time.Duration {
 	switch remaining, known := r.remaining(); {
 	case r.ending || r.stop.requested:
@@ -27,36 +27,38 @@
 	return max(left, -left)
 }
 
-// capacityForecast says how much capacity runners are expected to have after a while, by when what
-// runs there is expected to end. It is valid for one scheduling cycle; begin makes it so.
+// capacityForecast estimates the capacity that runners will have after a given time, from the
+// expected ends of their runs. It is valid for one scheduling cycle and is reset by begin.
 type capacityForecast struct {
 	candidates []placement.Candidate
 	runners    []*runnerSession // by Candidate.Key
-	byLabel    map[string][]int // candidates that have a label; of labels that were asked for
-	byRack     [][]int          // candidates of each rack; nil: not asked for yet
-	claimed    map[string]int   // tasks that wait for a runner in a rack, by its label
-	queued     int              // tasks, before in the aged order, that wait for any runner
-	examined   int              // candidates looked at so far
+	byLabel    map[string][]int // indexes of the candidates with a label; filled on demand
+	byRack     [][]int          // indexes of the candidates of each rack; nil until needed
+	claimed    map[string]int   // number of tasks that wait for a runner in a rack, by the rack's label
+	queued     int              // number of tasks earlier in the aged order that wait for any runner
+	examined   int              // number of candidates examined so far
 }
 
-// begin makes it the forecast of a cycle.
+// begin resets the forecast for a new cycle.
 func (f *capacityForecast) begin(candidates []placement.Candidate, runners []*runnerSession) {
 	f.candidates, f.runners, f.byRack, f.queued, f.examined = candidates, runners, nil, 0, 0
 	clear(f.byLabel)
 	clear(f.claimed)
 }
 
-// enqueue notes that tasks wait for any runner: they come before those that are asked for later.
+// enqueue records tasks that wait for any runner. They take precedence over the tasks of later
+// queries.
 func (f *capacityForecast) enqueue(tasks int) { f.queued += tasks }
 
-// ahead returns how many tasks are expected to take capacity near a label before the next one that waits
-// there: those that wait for the same rack, and of those that wait for any runner the rack's share.
-func (f *capacityForecast) ahead(label string) int {
-	share := float64(len(f.near(label))) / float64(max(1, len(f.candidates)))
+// tasksAhead returns how many tasks are expected to take capacity near a label before the next task
+// that waits there: all tasks that wait for the same rack, and the rack's share of the tasks that
+// wait for any runner.
+func (f *capacityForecast) tasksAhead(label string) int {
+	share := float64(len(f.withLabel(label))) / float64(max(1, len(f.candidates)))
 	return f.claimed[label] + int(math.Ceil(float64(f.queued)*share))
 }
 
-// claim notes that tasks wait for a runner in a rack.
+// claim records tasks that wait for a runner in a rack.
 func (f *capacityForecast) claim(rack string, tasks int) {
 	if f.claimed == nil {
 		f.claimed = map[string]int{}
@@ -64,8 +66,8 @@
 	f.claimed[rack] += tasks
 }
 
-// near returns the candidates that have a label, by their indexes.
-func (f *capacityForecast) near(label string) []int {
+// withLabel returns the indexes of the candidates that have a label.
+func (f *capacityForecast) withLabel(label string) []int {
 	indexes, found := f.byLabel[label]
 	if !found {
 		for index := range f.candidates {
@@ -81,7 +83,7 @@
 	return indexes
 }
 
-// racks returns the candidates of each rack, by their indexes.
+// racks returns the indexes of the candidates of each rack.
 func (f *capacityForecast) racks() [][]int {
 	if f.byRack != nil {
 		return f.byRack
@@ -101,8 +103,8 @@
 	return f.byRack
 }
 
-// slots returns how many tasks of a request are expected to fit some candidates together within a
-// time. limit returns how many of them a runner may take, by its key.
+// slots returns how many tasks of a request are expected to fit a set of candidates within a given
+// time. limit returns how many of them a runner, given by its key, may take.
 func (f *capacityForecast) slots(now, within time.Duration, request *placement.Request, indexes []int, limit func(key int) int) int {
 	total := 0
 	f.examined += len(indexes)
@@ -115,7 +117,8 @@
 	return total
 }
 
-// slotsAt returns how many tasks of a request are expected to fit one candidate within a time.
+// slotsAt returns how many tasks of a request are expected to fit one candidate within a given
+// time.
 func (f *capacityForecast) slotsAt(now, within time.Duration, request *placement.Request, c *placement.Candidate) int {
 	free, headroom, idle := c.Free, c.Headroom, true
 	for _, r := range f.runners[c.Key].load.runs {
@@ -132,7 +135,7 @@
 	}
 	switch {
 	case fitting == 0 && idle && request.Resources.FitsIn(free):
-		return 1 // whatever its budget says
+		return 1 // an idle runner takes one task regardless of its budget
 	case c.Suspect:
 		return min(fitting, 1)
 	}
--- a/internal/cluster/scheduler/forecast_test.go
+++ b/internal/cluster/scheduler/forecast_test.go
@@ -16,13 +16,13 @@
 		run  run
 		want time.Duration
 	}{
-		"by its expected run time": {run{expected: 1, orderedAt: testNow}, 600 * time.Millisecond},
-		"resumed":                  {run{expected: 1, orderedAt: testNow, restoreTime: 100 * time.Millisecond}, 700 * time.Millisecond},
-		"overdue":                  {run{expected: 0.3, orderedAt: testNow}, 100 * time.Millisecond},
-		"its end was proposed":     {run{expected: 1, orderedAt: testNow, ending: true}, 0},
-		"to be stopped":            {run{expected: 1, orderedAt: testNow, stop: stopOrder{requested: true}}, 0},
-		"long-running":             {run{orderedAt: testNow}, neverEnds},
-		"by its progress": {run{expected: 9, orderedAt: testNow, progress: runProgress{
+		"by expected run time": {run{expected: 1, orderedAt: testNow}, 600 * time.Millisecond},
+		"resumed":              {run{expected: 1, orderedAt: testNow, restoreTime: 100 * time.Millisecond}, 700 * time.Millisecond},
+		"overdue":              {run{expected: 0.3, orderedAt: testNow}, 100 * time.Millisecond},
+		"end is proposed":      {run{expected: 1, orderedAt: testNow, ending: true}, 0},
+		"to be stopped":        {run{expected: 1, orderedAt: testNow, stop: stopOrder{requested: true}}, 0},
+		"long-running":         {run{orderedAt: testNow}, neverEnds},
+		"by progress": {run{expected: 9, orderedAt: testNow, progress: runProgress{
 			rateKnown: true, rate: 100, percent: 50, reportedAt: testNow + 300*time.Millisecond, changedAt: testNow + 300*time.Millisecond,
 		}}, 400 * time.Millisecond},
 	} {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestForecastCountsCapacityAndBudgetThatEndsFree(t *testing.T) {
+func TestForecastCountsCapacityAndBudgetOfEndingRuns(t *testing.T) {
 	s := newTestScheduler()
 	runner := addRunner(s, "a")
 	for index, seconds := range []float64{0.1, 0.2} {
@@ -47,10 +47,10 @@
 	}
 	require.Equal(t, 1, slots(0, 9))
 	require.Equal(t, 2, slots(100*time.Millisecond, 9))
-	require.Equal(t, 3, slots(200*time.Millisecond, 9), "four have the capacity; the budget is for three")
+	require.Equal(t, 3, slots(200*time.Millisecond, 9), "the capacity is sufficient for four, the budget for three")
 	require.Equal(t, 2, slots(200*time.Millisecond, 2))
 	s.cycle.candidates[0].Suspect = true
-	require.Equal(t, 1, slots(200*time.Millisecond, 9), "a suspect runner takes one")
+	require.Equal(t, 1, slots(200*time.Millisecond, 9), "a suspect runner gets one task")
 	request.Resources.CPU = 5000
 	require.Zero(t, slots(time.Hour, 9))
 }
--- a/internal/cluster/scheduler/gang.go
+++ b/internal/cluster/scheduler/gang.go
@@ -6,10 +6,11 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-// A gang's tasks run together: all of them start, under one attempt number, or none does.
+// The tasks of a gang run together: either all of them start, with the same attempt number, or none
+// does.
 
-// assignGang starts all tasks of a gang or none. One that is asked for on one rack waits a while
-// for a rack that has capacity for all before it is spread out.
+// assignGang starts all tasks of a gang or none. A gang that should run on one rack waits for some
+// time for a rack with sufficient capacity before its tasks are spread across racks.
 func (s *Scheduler) assignGang(group *taskGroup, request *placement.Request) placement.Result {
 	if result, rejected := s.cycle.round.Rejects(request); rejected {
 		return result
@@ -19,7 +20,7 @@
 			s.startGang(group, chosen, request)
 			return placement.Found
 		}
-		if s.gangWaits(group, request) {
+		if s.gangShouldWait(group, request) {
 			return placement.NoCapacity
 		}
 	}
@@ -31,8 +32,8 @@
 	return placement.Found
 }
 
-// gangCandidates finds a candidate for each task. It notes what it assigns at the candidates it is
-// given: pass copies.
+// gangCandidates chooses a candidate for each task of a gang and returns their indexes. It records
+// its assignments in the given candidates, so the caller must pass copies.
 func (s *Scheduler) gangCandidates(group *taskGroup, request *placement.Request, candidates []placement.Candidate) ([]int, placement.Result) {
 	chosen := make([]int, 0, len(group.pending))
 	assigned := map[int]int{} // by Candidate.Key
@@ -54,8 +55,8 @@
 	return chosen, placement.Found
 }
 
-// gangOnOneRack finds candidates for all tasks on one rack: of those that can take them the one
-// whose budgets have the most headroom. Nil: there is none.
+// gangOnOneRack chooses candidates for all tasks of a gang on one rack. Of several possible racks
+// it chooses the one with the most total headroom. It returns nil if there is none.
 func (s *Scheduler) gangOnOneRack(group *taskGroup, request *placement.Request) []int {
 	racks := map[string][]int{}
 	for i := range s.cycle.candidates {
@@ -84,6 +85,7 @@
 	return best
 }
 
+// startGang starts all tasks of a gang at the chosen candidates.
 func (s *Scheduler) startGang(group *taskGroup, chosen []int, request *placement.Request) {
 	attempt := group.nextAttempt(0)
 	for i, candidate := range chosen {
--- a/internal/cluster/scheduler/golden_late_test.go
+++ b/internal/cluster/scheduler/golden_late_test.go
@@ -15,15 +15,16 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// goldenLog was written by commit 352ebf2: `basaltloftctl late` reads logs of that build.
+// goldenLog was written by the build of commit 352ebf2. `basaltloftctl late` has to read logs of
+// that build.
 const goldenLog = "testdata/late.log"
 
-// lateLog returns the log of a scheduler whose only runner is asked for more than it has, and
-// is unresponsive for a while, so that most jobs end late.
+// lateLog returns the log of a scheduler whose only runner is overloaded and is unresponsive for a
+// while, so that most jobs end late.
 func lateLog(t *testing.T) string {
 	t.Helper()
 	var log bytes.Buffer
-	w := newWorld(t, 3, 1)
+	sim := newSimulation(t, 3, 1)
 	withoutTime := func(_ []string, attribute slog.Attr) slog.Attr {
 		if attribute.Key == slog.TimeKey {
 			return slog.Attr{}
@@ -32,42 +33,42 @@
 	}
 	handler := slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: withoutTime})
 	bounds := scheduler.Config{MaxLease: maxLease, RemoteSlowdown: 1.5, RestoreTime: 250 * time.Millisecond, StatusRetention: 2 * time.Minute}
-	w.scheduler = scheduler.New(w.store, w.epoch, bounds, w.now, w.wallMs(), slog.New(handler))
-	w.listRunners()
-	w.run(100 * time.Millisecond)
+	sim.scheduler = scheduler.New(sim.store, sim.epoch, bounds, sim.now, sim.wallMs(), slog.New(handler))
+	sim.listRunners()
+	sim.run(100 * time.Millisecond)
 	for number, id := range []string{"at-once", "late-2", "late-3", "late-4", "late-5", "late-6", "in-time"} {
-		stretch := 1.25
+		extension := 1.25
 		if id == "in-time" {
-			stretch = 100
+			extension = 100
 		}
-		w.accept(id, oneTask(1000, 9000), stretch, number)
+		sim.accept(id, oneTask(1000, 9000), extension, number)
 	}
-	w.run(2 * time.Second)
-	w.incarnations[0].unreachableUntil = w.now + 12*time.Second
-	w.run(30 * time.Second)
+	sim.run(2 * time.Second)
+	sim.incarnations[0].unreachableUntil = sim.now + 12*time.Second
+	sim.run(30 * time.Second)
 	return log.String()
 }
 
-// accept hands a job with an objective in.
-func (w *world) accept(id string, spec job.Spec, stretch float64, number int) {
+// accept submits a job with an objective.
+func (sim *simulation) accept(id string, spec job.Spec, extension float64, number int) {
 	queue := []string{"h.example/first/", "h.example/second/"}[number%2]
-	w.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: 9, ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
-	w.order = append(w.order, id)
-	w.apply([]job.Command{{Kind: job.AcceptJob, ProposedAtMs: w.wallMs(), Submission: &job.Submission{
-		ID: id, Queue: queue, Service: "desk", Spec: spec, Retries: 9, TargetMs: 100, Extension: stretch,
+	sim.jobs[id] = &submitted{id: id, spec: spec, service: "desk", retries: 9, ended: map[job.TaskRef]bool{}, acknowledged: map[job.TaskRef]time.Duration{}, failures: map[job.TaskRef]int{}, checkpoints: map[string]bool{}}
+	sim.order = append(sim.order, id)
+	sim.apply([]job.Command{{Kind: job.AcceptJob, ProposedAtMs: sim.wallMs(), Submission: &job.Submission{
+		ID: id, Queue: queue, Service: "desk", Spec: spec, Retries: 9, TargetMs: 100, Extension: extension,
 	}}})
 }
 
-// formerNames are the message and the keys that the build of the golden log used where this one has
-// others.
+// formerNames replaces the message and keys of this build by those that the build of the golden log
+// used.
 var formerNames = strings.NewReplacer(
 	`msg="job missed its objective"`, `msg="a job is late"`,
 	" arrived_ms=", " came_ms=", " objective_ms=", " owed_ms=",
 )
 
-// TestLateJobsAreLoggedAsBefore: message, keys and values of the lines that `basaltloftctl late`
-// reads are those of the golden log, but for names that are translated here one by one, and the
-// tool reads the same of both.
+// TestLateJobsAreLoggedAsBefore checks that the log lines that `basaltloftctl late` reads match the
+// golden log, apart from the names that formerNames replaces, and that the tool reads the same jobs
+// from both logs.
 func TestLateJobsAreLoggedAsBefore(t *testing.T) {
 	log := lateLog(t)
 	golden := goldentest.Read(t, goldenLog)
@@ -81,7 +82,7 @@
 	require.Equal(t, linesOf(string(golden)), linesOf(formerNames.Replace(log)))
 }
 
-// linesOf returns the lines on late jobs.
+// linesOf returns the lines about late jobs.
 func linesOf(log string) []string {
 	var lines []string
 	for line := range strings.Lines(log) {
--- a/internal/cluster/scheduler/group.go
+++ b/internal/cluster/scheduler/group.go
@@ -9,39 +9,39 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// groupKey names the tasks of one step of one occurrence of a job.
+// groupKey identifies a task group: the tasks of one step of one occurrence of a job.
 type groupKey struct {
 	job        string
 	occurrence int
 	step       int
 }
 
-// groupOf returns the key of the group that a task is in.
+// groupOf returns the key of a task's group.
 func groupOf(ref job.TaskRef) groupKey {
 	return groupKey{job: ref.Job, occurrence: ref.Occurrence, step: ref.Step}
 }
 
-// taskGroup is the tasks of one step of one occurrence, which are alike, from when they are ready
-// to when all are done.
+// taskGroup is the group of tasks of one step of one occurrence, which all have the same
+// requirements. It exists from when they become ready until all of them are done.
 type taskGroup struct {
 	key      groupKey
 	job      *job.Job
 	step     *job.Step
-	sequence uint64        // in the order of becoming ready
+	sequence uint64        // increases in the order in which groups become ready
 	readyAt  time.Duration // when its tasks became ready
 
-	pending  []int           // tasks to be started, by index; speculative attempts come last
+	pending  []int           // indexes of the tasks to start; speculative attempts come last
 	listed   bool            // it is in groupTable.ready
 	closed   bool            // it is complete, or its job is over
-	starting map[int]bool    // tasks with a start that waits for its commitment, forgotten only with that start
-	avoid    map[string]bool // runners, by instance ID, at which a task of it failed or may be lost
+	starting map[int]bool    // indexes of tasks whose start is proposed and not yet committed
+	avoid    map[string]bool // instance IDs of runners at which a task of the group failed or may be lost
 
-	expected float64        // run time to expect of a task, in seconds, as of the current cycle
-	rank     admission.Rank // its place in the aged order, as of the current cycle
+	expected float64        // expected run time of a task, in seconds, as of the current cycle
+	rank     admission.Rank // position in the aged order, as of the current cycle
 
-	finished []admission.PeerRun // runs that ended well, for the runners' run-time factors
+	finished []admission.PeerRun // successful runs, from which the runners' run-time factors are learned
 
-	arrivedMs int64 // from when on the occurrence's objective counts, Unix milliseconds
+	arrivedMs int64 // start of the occurrence's objective, Unix milliseconds
 	queue     *lateness.QueueAccount
 	accounts  map[int]*lateness.TaskAccount // by task index
 }
@@ -51,15 +51,15 @@
 	return &g.job.Occurrences[g.key.occurrence].Steps[g.key.step]
 }
 
-// task returns the replicated state of one of its tasks.
+// task returns the replicated state of one of the group's tasks.
 func (g *taskGroup) task(index int) *job.Task { return &g.state().Tasks[index] }
 
-// taskRef names one of its tasks.
+// taskRef returns the reference to one of the group's tasks.
 func (g *taskGroup) taskRef(index int) job.TaskRef {
 	return job.TaskRef{Job: g.key.job, Occurrence: g.key.occurrence, Step: g.key.step, Index: index}
 }
 
-// account returns the lateness account of one of its tasks.
+// account returns the lateness account of one of the group's tasks and creates it if necessary.
 func (g *taskGroup) account(index int) *lateness.TaskAccount {
 	account := g.accounts[index]
 	if account == nil {
@@ -69,8 +69,9 @@
 	return account
 }
 
-// interchangeable returns how many of the next pending tasks may go to the same runner: those that
-// have no run, which come first, or else one that is to have a speculative attempt.
+// interchangeable returns how many of the next pending tasks may be assigned to the same runner:
+// all tasks without a run, which come first, or otherwise one task that needs a speculative
+// attempt.
 func (g *taskGroup) interchangeable() int {
 	n := 0
 	for n < len(g.pending) && len(g.task(g.pending[n]).Runs) == 0 {
@@ -79,7 +80,7 @@
 	return max(1, n)
 }
 
-// nextAttempt returns the number of a task's next attempt; all tasks of a gang share one.
+// nextAttempt returns the number of a task's next attempt. All tasks of a gang share one number.
 func (g *taskGroup) nextAttempt(index int) int {
 	if !g.step.Gang {
 		return g.task(index).Attempt + 1
@@ -91,8 +92,8 @@
 	return highest + 1
 }
 
-// findPending finds anew which tasks are to be started: those that have no run, and then those
-// that are to have a speculative attempt. Of a gang it is all tasks or none.
+// findPending determines which tasks have to be started: first the tasks without a run, then those
+// that need a speculative attempt. For a gang, it is either all tasks or none.
 func (g *taskGroup) findPending(tasks []job.Task, speculation *speculationPolicy) {
 	g.pending = g.pending[:0]
 	var speculative []int
@@ -115,10 +116,11 @@
 // groupTable holds the groups that are ready and not complete.
 type groupTable struct {
 	byKey map[groupKey]*taskGroup
-	byJob map[string][]groupKey // of jobs that are not over, complete groups too
+	byJob map[string][]groupKey // of jobs that are not over; includes complete groups
 
-	// ready has at least the groups with tasks to start, in the order of the last cycle and then of
-	// their coming: an order that changes little is sorted again at little cost.
+	// ready contains every group that has tasks to start, and possibly others. Groups keep the
+	// order of the last cycle and new ones are appended: a mostly sorted slice is cheap to sort
+	// again.
 	ready []*taskGroup
 }
 
@@ -126,7 +128,7 @@
 	return &groupTable{byKey: map[groupKey]*taskGroup{}, byJob: map[string][]groupKey{}}
 }
 
-// of returns the group that a task is in; nil: it is not ready, or complete.
+// of returns the group of a task, or nil if the group is not ready or is complete.
 func (t *groupTable) of(ref job.TaskRef) *taskGroup { return t.byKey[groupOf(ref)] }
 
 func (t *groupTable) add(group *taskGroup) {
@@ -134,7 +136,7 @@
 	t.byKey[group.key] = group
 }
 
-// close forgets a group that is complete, and draws from its runs what they say of the runners.
+// close removes a complete group and learns the run-time factors of runners from its runs.
 func (t *groupTable) close(key groupKey) {
 	if group := t.byKey[key]; group != nil {
 		admission.LearnRunTimeFactors(group.finished)
@@ -149,7 +151,7 @@
 	}
 }
 
-// markReady notes that a group has tasks to start.
+// markReady records that a group has tasks to start.
 func (t *groupTable) markReady(group *taskGroup) {
 	if !group.listed {
 		group.listed = true
@@ -157,7 +159,8 @@
 	}
 }
 
-// takeReady returns the groups that have tasks to start, to be put in order by the caller.
+// takeReady returns the groups that have tasks to start. The caller sorts the returned slice in
+// place.
 func (t *groupTable) takeReady() []*taskGroup {
 	t.ready = slices.DeleteFunc(t.ready, func(group *taskGroup) bool {
 		group.listed = !group.closed && len(group.pending) > 0
@@ -166,7 +169,7 @@
 	return t.ready
 }
 
-// closeOccurrence forgets the groups of an occurrence that is complete.
+// closeOccurrence removes the groups of a complete occurrence.
 func (t *groupTable) closeOccurrence(id string, occurrence int) {
 	for _, key := range t.byJob[id] {
 		if key.occurrence == occurrence {
@@ -175,7 +178,7 @@
 	}
 }
 
-// removeJob forgets the groups of a job that is over.
+// removeJob removes the groups of a job that is over.
 func (t *groupTable) removeJob(id string) {
 	for _, key := range t.byJob[id] {
 		t.remove(key)
@@ -183,7 +186,7 @@
 	delete(t.byJob, id)
 }
 
-// openOccurrence makes groups of the steps of an occurrence that are ready and not complete.
+// openOccurrence creates the groups of an occurrence's steps that are ready and not complete.
 func (s *Scheduler) openOccurrence(j *job.Job, occurrence int) {
 	if occurrence >= len(j.Occurrences) || j.Occurrences[occurrence] == nil {
 		return
@@ -201,12 +204,12 @@
 		}
 		s.groups.add(group)
 		s.lateness.open(j, s.learner)
-		s.refill(group, j)
+		s.refreshPending(group, j)
 	}
 }
 
-// refill finds anew which tasks of a group are to be started.
-func (s *Scheduler) refill(group *taskGroup, j *job.Job) {
+// refreshPending updates the pending tasks of a group and requests a scheduling cycle.
+func (s *Scheduler) refreshPending(group *taskGroup, j *job.Job) {
 	s.cycle.needed = true
 	group.findPending(j.Occurrences[group.key.occurrence].Steps[group.key.step].Tasks, s.speculation)
 	if len(group.pending) > 0 {
--- a/internal/cluster/scheduler/lateness.go
+++ b/internal/cluster/scheduler/lateness.go
@@ -10,17 +10,17 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-// latenessTracker accounts, under this leader, for where the time of each job goes, and logs it for
-// jobs that miss their objective. It decides nothing.
+// latenessTracker records how the time of each job is spent under this leader, and logs it for jobs
+// that miss their objective. It doesn't influence any decision.
 type latenessTracker struct {
-	jobs           map[string]*jobAccount // by ID, of jobs that are not over
-	remoteSlowdown float64                // how many times longer a task runs away from its data
+	jobs           map[string]*jobAccount // by job ID; jobs that are not over
+	remoteSlowdown float64                // factor by which a task's run time grows outside its data's rack
 	log            *slog.Logger
 }
 
-// jobAccount is what is known of where a job's time went.
+// jobAccount records how a job's time is spent.
 type jobAccount struct {
-	cost  float64 // core-seconds, as estimated when it was first seen
+	cost  float64 // estimated core-seconds when the job was first seen
 	paths map[groupKey]lateness.CriticalPath
 }
 
@@ -28,7 +28,7 @@
 	return &latenessTracker{jobs: map[string]*jobAccount{}, remoteSlowdown: remoteSlowdown, log: log}
 }
 
-// open begins the account of a job, if there is none.
+// open creates the account of a job if there is none.
 func (t *latenessTracker) open(j *job.Job, learner *runTimeLearner) {
 	if t.jobs[j.ID] != nil {
 		return
@@ -41,18 +41,18 @@
 	t.jobs[j.ID] = account
 }
 
-// forget drops the account of a job that is over.
+// forget removes the account of a job that is over.
 func (t *latenessTracker) forget(id string) { delete(t.jobs, id) }
 
-// closeOccurrence drops what is known of an occurrence that is complete.
+// closeOccurrence removes the paths of a complete occurrence.
 func (t *latenessTracker) closeOccurrence(id string, occurrence int) {
 	if account := t.jobs[id]; account != nil {
 		maps.DeleteFunc(account.paths, func(key groupKey, _ lateness.CriticalPath) bool { return key.occurrence == occurrence })
 	}
 }
 
-// arrivedMs returns the time of day from which on an occurrence's objective counts: when it is
-// due, or when the job was accepted.
+// arrivedMs returns the time of day at which an occurrence's objective starts: when it is due, or
+// otherwise when the job was accepted.
 func arrivedMs(j *job.Job, occurrence int) int64 {
 	if due := j.Spec.DueMs(occurrence); due > 0 {
 		return due
@@ -60,7 +60,7 @@
 	return j.AcceptedMs
 }
 
-// waitCause tells what a group waits for, by why its tasks found no runner.
+// waitCause returns the cause of a group's wait, given the result of its placement.
 func waitCause(request *placement.Request, gang bool, result placement.Result) lateness.Cause {
 	switch {
 	case result == placement.NoBudget:
@@ -73,7 +73,7 @@
 	return lateness.Capacity
 }
 
-// lossCause tells under which cause the time of a run counts that was not done.
+// lossCause returns the lateness cause for the time of an unsuccessful run.
 func lossCause(reason job.EndReason) lateness.Cause {
 	switch reason {
 	case job.EndFailed:
@@ -86,9 +86,9 @@
 	return lateness.Unresponsive
 }
 
-// runEnded accounts for a run. Of runs side by side only the last to end counts: othersRun says
-// that there are others yet.
-func (t *latenessTracker) runEnded(now time.Duration, group *taskGroup, r *run, runTimeFactor float64, reason job.EndReason, othersRun bool) {
+// runEnded records the time of a run that has ended. Of concurrent runs of a task, only the last
+// one to end counts: otherRunsRemain reports whether the task has other active runs.
+func (t *latenessTracker) runEnded(now time.Duration, group *taskGroup, r *run, runTimeFactor float64, reason job.EndReason, otherRunsRemain bool) {
 	took := now - r.orderedAt
 	account := group.account(r.task.Index)
 	switch {
@@ -98,13 +98,14 @@
 			remoteFactor = t.remoteSlowdown
 		}
 		account.Completed(took, remoteFactor, runTimeFactor)
-	case !othersRun:
+	case !otherRunsRemain:
 		account.Add(lossCause(reason), took)
 		account.Ready(group.queue.Waited(now))
 	}
 }
 
-// stepComplete accounts for a step that is complete, whose last task is that one.
+// stepComplete records the critical path of a complete step; last is the index of the task that was
+// done last.
 func (t *latenessTracker) stepComplete(now time.Duration, group *taskGroup, last int) {
 	account := t.jobs[group.key.job]
 	if account == nil {
@@ -119,8 +120,8 @@
 	account.paths[group.key] = lateness.ExtendPath(before, group.account(last), now)
 }
 
-// reportIfLate logs where the time of an occurrence went that missed its objective, its last step
-// being that of the group.
+// reportIfLate logs how the time of an occurrence was spent if it missed its objective. The group
+// is that of the occurrence's last step.
 func (t *latenessTracker) reportIfLate(wallMs int64, group *taskGroup) {
 	account := t.jobs[group.key.job]
 	if account == nil || group.step.LongRunning || group.job.Extension <= 0 {
--- a/internal/cluster/scheduler/lateness_test.go
+++ b/internal/cluster/scheduler/lateness_test.go
@@ -12,7 +12,7 @@
 	"basaltloft/internal/cluster/lateness"
 )
 
-// TestLateJobIsLogged: in the form that lateness.ReadLog reads.
+// TestLateJobIsLogged checks that late jobs are logged in the form that lateness.ReadLog reads.
 func TestLateJobIsLogged(t *testing.T) {
 	var text strings.Builder
 	tracker := newLatenessTracker(1.5, slog.New(slog.NewTextHandler(&text, nil)))
@@ -27,7 +27,7 @@
 	tracker.stepComplete(testNow+1700*time.Millisecond, group, 0)
 
 	tracker.reportIfLate(6750, group)
-	require.Empty(t, text.String(), "1.5 times its work of a second, and 250 ms")
+	require.Empty(t, text.String(), "the objective is 1.5 times its work of one second, plus 250 ms")
 	tracker.reportIfLate(6900, group)
 	late, err := lateness.ReadLog(strings.NewReader(text.String()))
 	require.NoError(t, err)
--- a/internal/cluster/scheduler/learning.go
+++ b/internal/cluster/scheduler/learning.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	// slowdownWindow is the window, in runs, of the average of run times over expected ones, and
-	// maxSlowdown the most that one run counts in it.
+	// slowdownWindow is the window, in runs, of the average ratio of run times to expected ones.
+	// maxSlowdown is the maximum ratio that a single run contributes to it.
 	slowdownWindow = 8
 	maxSlowdown    = 8.0
-	// overloadedRunRatio: a run so many times longer than expected, at a runner that is slower than
-	// normalSlowdown, shows that the runner has too much to do.
+	// overloadedRunRatio is the ratio of the run time to the expected one above which a run shows
+	// that its runner is overloaded, if the runner's slowdown also exceeds normalSlowdown.
 	overloadedRunRatio = 2.0
-	// normalSlowdown: runs at a slower runner say nothing of their step's run time.
+	// normalSlowdown is the slowdown from which on a runner's runs are not used to learn their
+	// steps' run times.
 	normalSlowdown = 1.6
 )
 
-// runTimeLearner learns from runs that end: how long the tasks of a queue's step run, what tasks of
-// a service cost, and of each runner how fast it is and how much work its budget may let out.
+// runTimeLearner learns from the ends of runs: the run times of the tasks of a queue's step, the
+// mean cost of a service's tasks, and for each runner its speed and the size of its budget.
 type runTimeLearner struct {
 	estimates      *admission.RunTimeEstimates
 	meanCosts      map[string]*admission.MeanCost // by service
-	remoteSlowdown float64                        // how many times longer a task runs away from its data
+	remoteSlowdown float64                        // factor by which a task's run time grows outside its data's rack
 }
 
 func newRunTimeLearner(remoteSlowdown float64) *runTimeLearner {
 	return &runTimeLearner{estimates: admission.NewRunTimeEstimates(), meanCosts: map[string]*admission.MeanCost{}, remoteSlowdown: remoteSlowdown}
 }
 
-// expected returns the run time to expect of a step's task near its data at a normal runner, in
-// seconds.
+// expected returns the expected run time, in seconds, of a step's task near its data at a runner of
+// normal speed.
 func (l *runTimeLearner) expected(j *job.Job, step int) float64 {
 	return l.estimates.Expect(admission.TaskType{Queue: j.Queue, Step: step}, float64(j.Spec.Steps[step].EstimateMs)/1000)
 }
@@ -47,7 +48,7 @@
 	return mean
 }
 
-// runEnded takes in the end of a run. group is nil where its step is complete.
+// runEnded processes the end of a run. group is nil if the run's step is complete.
 func (l *runTimeLearner) runEnded(now time.Duration, j *job.Job, group *taskGroup, runner *runnerSession, r *run, reason job.EndReason) {
 	switch reason {
 	case job.EndDone:
@@ -60,11 +61,11 @@
 	}
 }
 
-// observedInFull tells whether all of a run's time was seen by this leader, so that it says something of
-// run times: an inherited run, or one that resumed, ran elsewhere or earlier for a part of it.
+// observedInFull reports whether this leader observed the whole execution of a run, so that run
+// times can be learned from it. Inherited and resumed runs executed partly earlier or elsewhere.
 func (r *run) observedInFull() bool { return r.phase == phaseConfirmed && !r.resumed && r.expected > 0 }
 
-// learnFromRun draws from a run that ended well what it says of its runner and of its step.
+// learnFromRun learns from a successful run about its runner and its step.
 func (l *runTimeLearner) learnFromRun(now time.Duration, j *job.Job, group *taskGroup, runner *runnerSession, r *run) {
 	seconds := (now - r.orderedAt).Seconds()
 	localSeconds := seconds
@@ -90,7 +91,8 @@
 	}
 }
 
-// learnRunTime takes in how long a step's task ran, as near its data at a normal runner, in seconds.
+// learnRunTime updates the estimate for a step's tasks with a run time in seconds, converted to
+// that of a task near its data at a runner of normal speed.
 func (l *runTimeLearner) learnRunTime(j *job.Job, step int, seconds float64) {
 	l.estimates.Learn(admission.TaskType{Queue: j.Queue, Step: step}, float64(j.Spec.Steps[step].EstimateMs)/1000, seconds)
 }
--- a/internal/cluster/scheduler/learning_test.go
+++ b/internal/cluster/scheduler/learning_test.go
@@ -9,7 +9,7 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// TestLearning: what each end of a run says of its step, and of its runner.
+// TestLearning checks what is learned about a run's step and runner from each kind of end.
 func TestLearning(t *testing.T) {
 	newCase := func() (*runTimeLearner, *taskGroup, *runnerSession, *run) {
 		group := groupExpecting(1)
@@ -33,7 +33,7 @@
 		learner, group, runner, r := newCase()
 		r.resumed = true
 		learner.runEnded(testNow+2*time.Second, group.job, group, runner, r, job.EndDone)
-		require.Equal(t, 1.0, learner.expected(group.job, 0), "a part of it ran elsewhere")
+		require.Equal(t, 1.0, learner.expected(group.job, 0), "a part of it may have run elsewhere")
 		require.False(t, runner.speed.slowdown.Known())
 		require.Equal(t, 1.0, runner.suspicion.failureRate.Count)
 	})
@@ -46,7 +46,7 @@
 	t.Run("lost", func(t *testing.T) {
 		learner, group, runner, r := newCase()
 		learner.runEnded(testNow+2*time.Second, group.job, group, runner, r, job.EndLost)
-		require.False(t, runner.suspicion.failureRate.Known(), "it says nothing")
+		require.False(t, runner.suspicion.failureRate.Known(), "a lost run doesn't count as a failure")
 	})
 	t.Run("at a slow runner", func(t *testing.T) {
 		learner, group, runner, r := newCase()
@@ -55,6 +55,6 @@
 		}
 		first := learner.expected(group.job, 0)
 		learner.runEnded(testNow+8*time.Second, group.job, nil, runner, r, job.EndDone)
-		require.Equal(t, first, learner.expected(group.job, 0), "it says nothing of the step")
+		require.Equal(t, first, learner.expected(group.job, 0), "runs of a slow runner don't change the estimate of the step")
 	})
 }
--- a/internal/cluster/scheduler/lease.go
+++ b/internal/cluster/scheduler/lease.go
@@ -6,92 +6,96 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// A task runs at a runner only while its lease lasts there. One renewal, which is also a poll,
-// renews the leases of all of a runner's tasks, and the runner replies with a report of its runs
-// once one of them ends, or when it was told to reply at the latest.
+// A task may run at a runner only as long as its lease there is valid. A lease renewal, which is
+// also a poll, renews the leases of all tasks at a runner. The runner replies with a report of its
+// runs when one of them ends, or after the wait time that the renewal allows.
 
 const (
-	// leaseDuration is how long leases last from each renewal on: longer than a change of the
-	// leader, or a restart of the whole control plane, takes, and no longer, since what ran at a
-	// runner that is unresponsive is known to be over only then.
+	// leaseDuration is the duration of leases, counted from each renewal. It is longer than a
+	// change of the leader or a restart of the whole control plane takes. It is not longer than
+	// that because the runs of an unresponsive runner are only known to be over once their leases
+	// have expired.
 	leaseDuration = 3300 * time.Millisecond
-	// leaseMargin is how much less than the longest lease that a runner grants is asked for.
+	// leaseMargin is how much shorter the requested leases are than the longest lease that runners
+	// grant.
 	leaseMargin = 150 * time.Millisecond
 
-	// maxPollWaitMs is how long a runner may wait for an end before it replies, in milliseconds;
-	// minPollWaitMs where many renewals get no reply.
+	// maxPollWaitMs is how long a runner may wait for the end of a run before it replies, in
+	// milliseconds. The wait is reduced down to minPollWaitMs if many renewals get no reply.
 	maxPollWaitMs = 700
 	minPollWaitMs = 150
-	// lossRateWeight: the wait is halved where one renewal in so many gets no reply.
+	// lossRateWeight determines how much lost replies reduce the wait: it is halved if one of
+	// lossRateWeight renewals gets no reply.
 	lossRateWeight = 100
-	// lossWindow is the window, in renewals, of the average of those that get no reply.
+	// lossWindow is the window, in renewals, of the average rate of renewals without a reply.
 	lossWindow = 150
-	// startDeadlineMarginMs: so much after the deadline of an order that has no reply the runner
-	// is to report, in milliseconds of its clock.
+	// startDeadlineMarginMs is how long after the deadline of an order to start without a reply the
+	// runner has to report, in milliseconds of its clock.
 	startDeadlineMarginMs = 5
 
-	// renewalTimeout: a renewal whose reply is overdue by so much counts as lost, and another one
-	// is sent. Where all replies are late it is up to maxRenewalTimeout.
+	// renewalTimeout is how long a reply to a renewal may be overdue before the renewal counts as
+	// lost and another one is sent. If the replies of all runners are late, the timeout is extended
+	// up to maxRenewalTimeout.
 	renewalTimeout    = 200 * time.Millisecond
 	maxRenewalTimeout = 500 * time.Millisecond
-	// renewalBackoff is the pause before the second renewal after a lost one; it rises by as much
-	// with each further one, up to maxRenewalBackoff.
+	// renewalBackoff is the pause before the second renewal after a lost one. The pause grows by
+	// the same amount for each further renewal, up to maxRenewalBackoff.
 	renewalBackoff    = 150 * time.Millisecond
 	maxRenewalBackoff = 900 * time.Millisecond
-	// commitTimeout: the next renewal waits for the commitment of the ends that were reported, but
-	// no longer than this.
+	// commitTimeout is the maximum time for which the next renewal is delayed until the reported
+	// ends are committed.
 	commitTimeout = time.Second
 
-	// startReplyTimeout is how long the reply to an order to start is waited for before its
-	// runner counts as unresponsive. Where all replies are late it is up to maxStartReplyTimeout: later
-	// the order is not carried out.
+	// startReplyTimeout is how long the reply to an order to start may take before the runner
+	// counts as unresponsive. If the replies of all runners are late, the timeout is extended up to
+	// maxStartReplyTimeout, after which the runner no longer carries out the order.
 	startReplyTimeout    = 120 * time.Millisecond
 	maxStartReplyTimeout = startDeadlineMs * time.Millisecond
 )
 
-// leaseManager renews the task leases at all runners. It decides when the next renewal leaves, for
-// how long it asks, and how long its reply is waited for.
+// leaseManager renews the task leases at all runners. It decides when the next renewal is sent,
+// which lease duration it requests and when its reply is overdue.
 type leaseManager struct {
-	maxLease time.Duration     // what runners grant at the most
-	sequence *sequence         // numbers the renewals
-	lossRate admission.Average // share of renewals that get no reply
+	maxLease time.Duration     // longest lease that runners grant
+	sequence *sequence         // numbers of the renewals
+	lossRate admission.Average // fraction of renewals without a reply
 	delay    replyDelay
 }
 
-// duration returns for how long leases are asked.
+// duration returns the lease duration to request.
 func (m *leaseManager) duration() time.Duration { return min(m.maxLease-leaseMargin, leaseDuration) }
 
-// renewIfDue returns the next renewal where it is due and none is pending. A runner that is not in
-// contact is polled without its leases being renewed: else what it runs could never be known to
-// be over. So is one that has not yet replied to this leader: its first report, which says what it
-// runs, comes at once.
+// renewIfDue returns the next renewal if it is due and none is pending. A runner that is out of
+// contact is polled without a renewal of its leases; otherwise its runs could never be known to be
+// over. A runner that has not yet replied to this leader is also polled without a renewal and
+// without a wait, so that its first report, which lists its runs, arrives immediately.
 func (m *leaseManager) renewIfDue(now time.Duration, runner *runnerSession) (order Order, due bool) {
 	lease, contact := &runner.lease, &runner.contact
-	if lease.pending || lease.fencedOff || runner.ended || now < lease.dueAt || !runner.listed && len(runner.load.runs) == 0 && contact.fenced {
+	if lease.pending || lease.rejectsToken || runner.ended || now < lease.dueAt || !runner.listed && len(runner.load.runs) == 0 && contact.tokenAccepted {
 		return Order{}, false
 	}
 	order = Order{Kind: OrderRenewLease, Runner: runner.id, Address: runner.address, AckedThrough: lease.ackedThrough, Sequence: m.sequence.next()}
-	if contact.fenced && contact.inContact(now) {
+	if contact.tokenAccepted && contact.inContact(now) {
 		order.DeadlineMs = contact.clockAt(now) + m.duration().Milliseconds()
 		if !lease.replyAtOnce {
 			order.WaitMs = m.pollWaitMs(now, runner)
 		}
 		lease.replyAtOnce = false
-		runner.granted(order.DeadlineMs)
+		runner.recordGrant(order.DeadlineMs)
 	}
 	lease.pending, lease.sequence = true, order.Sequence
 	lease.replyDeadline = now + time.Duration(order.WaitMs)*time.Millisecond + m.delay.overdueAfter(renewalTimeout, maxRenewalTimeout)
 	return order, true
 }
 
-// startOverdue tells whether an order to start should have had a reply by now.
+// startOverdue reports whether the reply to an order to start is overdue.
 func (m *leaseManager) startOverdue(now time.Duration, r *run) bool {
 	return r.phase == phaseOrdered && now-r.orderedAt > m.delay.overdueAfter(startReplyTimeout, maxStartReplyTimeout)
 }
 
-// pollWaitMs returns how long a runner may wait for an end before it replies, in milliseconds:
-// less where replies get lost, and no longer than until the deadline of an order to start that has
-// no reply is past.
+// pollWaitMs returns how long a runner may wait for the end of a run before it replies, in
+// milliseconds. The wait is shorter if replies get lost, and it ends shortly after the deadline of
+// the first order to start whose reply is overdue.
 func (m *leaseManager) pollWaitMs(now time.Duration, runner *runnerSession) int64 {
 	wait := max(minPollWaitMs, int64(maxPollWaitMs/(1+lossRateWeight*m.lossRate.Value)))
 	for _, r := range runner.load.runs {
@@ -102,7 +106,7 @@
 	return wait
 }
 
-// checkOverdue gives up a pending renewal whose reply is overdue, and lets the next one fall due.
+// checkOverdue gives up the pending renewal if its reply is overdue, and schedules the next one.
 func (m *leaseManager) checkOverdue(now time.Duration, runner *runnerSession) {
 	lease, contact := &runner.lease, &runner.contact
 	if !lease.pending || now < lease.replyDeadline {
@@ -116,16 +120,17 @@
 	lease.dueAt = now + renewalPause(contact.missedPolls-1)
 }
 
-// renewalPause returns the pause before a renewal that follows so many without a reply.
+// renewalPause returns the pause before a renewal that follows the given number of renewals without
+// a reply.
 func renewalPause(missed int) time.Duration {
 	return min(maxRenewalBackoff, time.Duration(missed)*renewalBackoff)
 }
 
-// pollForOverdueStarts lets a renewal fall due at once where an order to start that has no reply
-// is past its deadline: the report will say whether it was carried out.
+// pollForOverdueStarts makes a renewal due immediately if an order to start has no reply and its
+// deadline has passed: the report then shows whether the runner carried it out.
 func (m *leaseManager) pollForOverdueStarts(now time.Duration, runner *runnerSession) {
 	lease, contact := &runner.lease, &runner.contact
-	if !lease.pending || !contact.fenced || contact.missedPolls > 0 {
+	if !lease.pending || !contact.tokenAccepted || contact.missedPolls > 0 {
 		return
 	}
 	for _, r := range runner.load.runs {
@@ -136,18 +141,18 @@
 	}
 }
 
-// renewalResult says what the reply to a renewal means.
+// renewalResult is the result of a renewal, according to the reply.
 type renewalResult uint8
 
 const (
-	renewalFailed    renewalResult = iota // another one follows after a pause, unless the runner refuses the token
+	renewalFailed    renewalResult = iota // retried after a pause, unless the runner rejects the token
 	incarnationEnded                      // another incarnation runs at the address
-	reportArrived                         // the runner's report is to be reconciled
-	reportOvertaken                       // a later report of the runner arrived first
+	reportArrived                         // the runner's report has to be reconciled
+	reportOvertaken                       // a later report of the runner has already arrived
 )
 
-// replied takes in the reply to a renewal. One that was given up, since it was overdue, counts all
-// the same, but for the pause before the next one.
+// replied processes the reply to a renewal. The reply to a renewal that was given up as overdue is
+// still valid, but it doesn't delay the next renewal.
 func (m *leaseManager) replied(now time.Duration, runner *runnerSession, sequence uint64, reply LeaseReply, reportMs int64) renewalResult {
 	lease, contact := &runner.lease, &runner.contact
 	current := lease.sequence == sequence && lease.pending
@@ -158,7 +163,7 @@
 	case LeaseOtherIncarnation:
 		return incarnationEnded
 	case LeaseFenced:
-		lease.fencedOff = true
+		lease.rejectsToken = true
 		return renewalFailed
 	case LeaseNoReply:
 		if current {
@@ -171,20 +176,21 @@
 	if contact.missedPolls == 0 {
 		m.lossRate.Add(0, lossWindow)
 	}
-	if reportMs < contact.clockMs && contact.fenced {
+	if reportMs < contact.clockMs && contact.tokenAccepted {
 		return reportOvertaken
 	}
 	return reportArrived
 }
 
-// pollIfDue sends a runner its next renewal, if that is due.
+// pollIfDue sends a runner its next renewal if it is due.
 func (s *Scheduler) pollIfDue(runner *runnerSession) {
 	if order, due := s.leases.renewIfDue(s.now, runner); due {
 		s.outbox.send(order)
 	}
 }
 
-// LeaseReplied takes in the reply to a renewal of leases. The report counts with LeaseRenewed only.
+// LeaseReplied processes the reply to a lease renewal. The report is used only if the reply is
+// LeaseRenewed.
 func (s *Scheduler) LeaseReplied(now time.Duration, order Order, reply LeaseReply, report RunnerReport) {
 	s.now = now
 	runner := s.runners.byID[order.Runner]
--- a/internal/cluster/scheduler/lease_test.go
+++ b/internal/cluster/scheduler/lease_test.go
@@ -17,8 +17,8 @@
 	require.True(t, due)
 	require.Equal(t, Order{Kind: OrderRenewLease, Runner: "i-1", Address: "10.0.0.1:1", DeadlineMs: runnerClockMs + leaseDuration.Milliseconds(), WaitMs: maxPollWaitMs, Sequence: 1}, order)
 	_, due = manager.renewIfDue(testNow+time.Minute, runner)
-	require.False(t, due, "one is pending")
-	require.Greater(t, runner.lease.allExpiredAt, testNow+leaseDuration, "even if its clock is slow")
+	require.False(t, due, "a renewal is pending")
+	require.Greater(t, runner.lease.allExpiredAt, testNow+leaseDuration, "the runner's clock may be slow")
 	require.Less(t, runner.lease.allExpiredAt, testNow+leaseDuration+200*time.Millisecond)
 }
 
@@ -27,7 +27,8 @@
 	require.Equal(t, 2*time.Second-leaseMargin, manager.duration())
 }
 
-// TestRunnerOutOfContactIsPolledWithoutALease: else its runs could never be known to be over.
+// TestRunnerOutOfContactIsPolledWithoutALease checks that polls don't renew the leases of a runner
+// that is out of contact: otherwise its runs could never be known to be over.
 func TestRunnerOutOfContactIsPolledWithoutALease(t *testing.T) {
 	manager, runner := newLeaseManager(), contactedRunner()
 	order, due := manager.renewIfDue(testNow+contactTimeout, runner)
@@ -67,10 +68,10 @@
 	require.Equal(t, 2*renewalBackoff, pauses[2])
 	require.Equal(t, maxRenewalBackoff, pauses[7])
 	require.True(t, runner.contact.unresponsive())
-	require.Equal(t, 1.0, manager.lossRate.Count, "a runner that is unresponsive says nothing of lost replies")
+	require.Equal(t, 1.0, manager.lossRate.Count, "further missing replies of an unresponsive runner don't count as lost replies")
 }
 
-func TestRunnerIsToReplySoonerWhereRepliesGetLost(t *testing.T) {
+func TestPollWaitShrinksWithLostReplies(t *testing.T) {
 	manager, runner := newLeaseManager(), contactedRunner()
 	manager.lossRate.Value = 0.01
 	require.Equal(t, int64(maxPollWaitMs/2), manager.pollWaitMs(testNow, runner))
@@ -78,7 +79,8 @@
 	require.Equal(t, int64(minPollWaitMs), manager.pollWaitMs(testNow, runner))
 }
 
-// TestOverdueStartIsPolledFor: the runner reports once its order can't be carried out any more.
+// TestOverdueStartIsPolledFor checks that a runner is polled once it can no longer carry out an
+// order to start that has no reply.
 func TestOverdueStartIsPolledFor(t *testing.T) {
 	manager, runner := newLeaseManager(), contactedRunner()
 	r := &run{phase: phaseOrdered, orderedAt: testNow, orderDeadlineMs: runnerClockMs + startDeadlineMs}
@@ -86,7 +88,7 @@
 	_, due := manager.renewIfDue(testNow, runner)
 	require.True(t, due)
 	manager.pollForOverdueStarts(testNow+startDeadlineMs*time.Millisecond, runner)
-	require.True(t, runner.lease.pending, "it may still arrive")
+	require.True(t, runner.lease.pending, "the order may still arrive")
 
 	now := testNow + (startDeadlineMs+1)*time.Millisecond
 	manager.pollForOverdueStarts(now, runner)
@@ -129,6 +131,6 @@
 	manager.checkOverdue(now, runner)
 	_, due := manager.renewIfDue(now, runner)
 	require.True(t, due)
-	require.Equal(t, reportArrived, manager.replied(now, runner, first.Sequence, LeaseRenewed, runnerClockMs+1), "its report counts all the same")
+	require.Equal(t, reportArrived, manager.replied(now, runner, first.Sequence, LeaseRenewed, runnerClockMs+1), "its report is still used")
 	require.True(t, runner.lease.pending)
 }
--- a/internal/cluster/scheduler/masstimeout.go
+++ b/internal/cluster/scheduler/masstimeout.go
@@ -3,30 +3,33 @@
 import "time"
 
 const (
-	// massTimeoutRunners runners that become unresponsive within massTimeoutWindow are more than
-	// chance: a part of the network may be gone.
+	// massTimeoutRunners is the number of runners that have to become unresponsive within
+	// massTimeoutWindow to count as a mass timeout. This is unlikely to be a coincidence: a part of
+	// the network may be lost.
 	massTimeoutRunners = 3
 	massTimeoutWindow  = 300 * time.Millisecond
-	// massTimeoutPause is the least time between two polls of all runners: each costs a request a
-	// runner.
+	// massTimeoutPause is the minimum time between two polls of all runners, each of which costs
+	// one request per runner.
 	massTimeoutPause = time.Second
-	// recentContact: a runner that replied so lately is not polled again.
+	// recentContact is the time after a runner's last reply during which a mass timeout doesn't
+	// cause another poll of it.
 	recentContact = 150 * time.Millisecond
 )
 
-// massTimeoutDetector tells when several runners have become unresponsive together. All others
-// are then polled at once, so that what is ready is not sent to runners whose next poll would
-// have shown only later that they are gone too. The zero value is ready for use.
+// massTimeoutDetector detects that several runners have become unresponsive at about the same time.
+// All other runners are then polled immediately, so that no new tasks are sent to runners that are
+// also lost but whose next poll would only show it later. The zero value is ready for use.
 type massTimeoutDetector struct {
-	timeouts    []time.Duration // when runners became unresponsive lately, oldest first
+	timeouts    []time.Duration // recent times at which runners became unresponsive, oldest first
 	pausedUntil time.Duration
 }
 
-// record notes that one more runner has become unresponsive.
+// record records that another runner has become unresponsive.
 func (d *massTimeoutDetector) record(now time.Duration) { d.timeouts = append(d.timeouts, now) }
 
-// detect tells whether several runners have become unresponsive lately, and how many. It reports
-// that once in a pause.
+// detect reports whether at least massTimeoutRunners runners became unresponsive within
+// massTimeoutWindow, and how many did. After a detection it reports no further one for
+// massTimeoutPause.
 func (d *massTimeoutDetector) detect(now time.Duration) (count int, detected bool) {
 	recent := d.timeouts[:0]
 	for _, at := range d.timeouts {
@@ -42,7 +45,7 @@
 	return len(recent), true
 }
 
-// pollAllOnMassTimeout polls all runners at once where several have become unresponsive lately.
+// pollAllOnMassTimeout polls all runners immediately if a mass timeout is detected.
 func (s *Scheduler) pollAllOnMassTimeout() {
 	count, detected := s.massTimeout.detect(s.now)
 	if !detected {
@@ -51,7 +54,7 @@
 	s.log.Info("mass time-out detected: polling all runners", "unresponsive", count)
 	for _, runner := range s.runners.inOrder {
 		lease, contact := &runner.lease, &runner.contact
-		if lease.pending && contact.fenced && !runner.ended && contact.missedPolls == 0 && s.now-contact.lastContact > recentContact {
+		if lease.pending && contact.tokenAccepted && !runner.ended && contact.missedPolls == 0 && s.now-contact.lastContact > recentContact {
 			lease.pending, lease.dueAt, lease.replyAtOnce = false, s.now, true
 			s.pollIfDue(runner)
 		}
--- a/internal/cluster/scheduler/masstimeout_test.go
+++ b/internal/cluster/scheduler/masstimeout_test.go
@@ -12,7 +12,7 @@
 	d.record(0)
 	d.record(100 * time.Millisecond)
 	_, detected := d.detect(100 * time.Millisecond)
-	require.False(t, detected, "two are chance")
+	require.False(t, detected, "two timeouts may be a coincidence")
 	d.record(200 * time.Millisecond)
 	count, detected := d.detect(200 * time.Millisecond)
 	require.True(t, detected)
@@ -44,7 +44,7 @@
 	now += massTimeoutPause - 1
 	recordThree()
 	_, detected = d.detect(now)
-	require.False(t, detected, "it was reported just now")
+	require.False(t, detected, "it was reported recently")
 	now++
 	_, detected = d.detect(now)
 	require.True(t, detected, "three are unresponsive, and the pause is over")
--- a/internal/cluster/scheduler/progress.go
+++ b/internal/cluster/scheduler/progress.go
@@ -3,36 +3,37 @@
 import "time"
 
 const (
-	// Progress is measured over spans of at least rateSpan, and of at least rateSpanPart of the
-	// expected run time: what runners report are whole percents.
+	// The rate of progress is measured over spans of at least rateSpan and at least
+	// rateSpanFraction of the expected run time, because runners report progress in whole percents.
 	rateSpan         = 150 * time.Millisecond
 	rateSpanFraction = 0.2
 
-	// A run that is reported at the same percentage for stalledAfter and, beside that, for
-	// stalledPart of its expected run time has stalled.
+	// A run has stalled if it is reported at the same percentage for stalledAfter plus
+	// stalledFraction of its expected run time.
 	stalledAfter    = 400 * time.Millisecond
 	stalledFraction = 0.08
 
-	// slownessTolerance: a run counts as slow only by what it takes beside this.
+	// slownessTolerance is subtracted from a run's total time before it is compared to the expected
+	// run time.
 	slownessTolerance = 300 * time.Millisecond
 )
 
-// runProgress is how far a run has come, as its runner reports it.
+// runProgress is the progress of a run as reported by its runner.
 type runProgress struct {
 	percent     int
-	changedAt   time.Duration // when that percentage was first reported
-	reportedAt  time.Duration // when it was last reported
-	spanPercent int           // the percentage at the beginning of the current span
+	changedAt   time.Duration // time of the first report of this percentage
+	reportedAt  time.Duration // time of the last report
+	spanPercent int           // percentage at the start of the current span
 	spanStart   time.Duration
-	rate        float64 // percent a second over the last span
+	rate        float64 // percent per second over the last span
 	rateKnown   bool
 }
 
-// recordProgress takes in how far a run is, as its runner reports it.
+// recordProgress records the progress of a run that its runner reports.
 func (r *run) recordProgress(now time.Duration, percent int) {
 	p := &r.progress
 	p.reportedAt = now
-	if p.spanStart == 0 && r.resumed { // what it had done before is not this runner's progress
+	if p.spanStart == 0 && r.resumed { // progress before the resume was not made at this runner
 		p.spanStart, p.spanPercent = now, percent
 	}
 	if p.spanStart == 0 {
@@ -48,12 +49,12 @@
 	}
 }
 
-// stalledRemaining stands for the remaining time of a run that has stalled.
+// stalledRemaining is used as the remaining time of a stalled run.
 const stalledRemaining = time.Hour
 
-// remaining returns how much longer a run takes at the rate of its last span; false: that is not
-// known yet. One that was reported again and again at the same percentage has stalled; that its
-// runner did not report says nothing.
+// remaining returns the remaining time of a run at the rate of its last span, and whether it is
+// known. A run has stalled if it was reported repeatedly at the same percentage; missing reports
+// alone don't count.
 func (r *run) remaining() (time.Duration, bool) {
 	p := &r.progress
 	switch {
@@ -67,7 +68,8 @@
 	return time.Duration(float64(100-p.percent) / p.rate * float64(time.Second)), true
 }
 
-// slowness is how many times longer than expected a run takes in all; 0: that is not known yet.
+// slowness returns the ratio of a run's estimated total time to its expected run time, or 0 if it
+// is not known yet.
 func (r *run) slowness(now time.Duration) float64 {
 	remaining, known := r.remaining()
 	if !known || r.expected <= 0 {
--- a/internal/cluster/scheduler/reconcile.go
+++ b/internal/cluster/scheduler/reconcile.go
@@ -6,14 +6,14 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// maxReportedEnds is how many ends one report names at the most; one with so many may leave out
-// others, so that it proves no run absent.
+// maxReportedEnds is the maximum number of ends in one report. A report with this number of ends
+// may be incomplete, so it doesn't prove that any run is absent.
 const maxReportedEnds = 500
 
-// reconcile brings what is known of a runner's runs in line with its report.
+// reconcile updates the state of a runner and its runs from the runner's report.
 func (s *Scheduler) reconcile(runner *runnerSession, report RunnerReport) {
-	first := !runner.contact.fenced
-	runner.contact.fenced = true
+	first := !runner.contact.tokenAccepted
+	runner.contact.tokenAccepted = true
 	runner.contact.replied(s.now, report.ClockMs)
 	if report.RemainingMs > 0 {
 		runner.drain.draining = true
@@ -33,8 +33,8 @@
 	s.pollIfDue(runner)
 }
 
-// proposeEnds proposes the ends that are new. Until they are committed the runner is not told
-// that they were seen, and the next renewal waits for that.
+// proposeEnds proposes the reported ends that are new. They are not acknowledged to the runner
+// until they are committed, and the next renewal is delayed until then, by at most commitTimeout.
 func (s *Scheduler) proposeEnds(runner *runnerSession, report RunnerReport, reported map[runKey]bool) {
 	lease := &runner.lease
 	lease.dueAt = s.now
@@ -56,7 +56,8 @@
 	}
 }
 
-// reconcileRun takes in that a run goes on. One that is not known here is stopped.
+// reconcileRun updates a run that the runner reports as active. If the run is unknown, it is
+// stopped.
 func (s *Scheduler) reconcileRun(runner *runnerSession, listed ReportedRun, reported map[runKey]bool) {
 	key := runKey{task: listed.Task, attempt: listed.Attempt}
 	reported[key] = true
@@ -76,8 +77,8 @@
 	}
 }
 
-// endAbsentRuns ends the runs that a report proves to be over: it does not name them, and they
-// could not begin after it.
+// endAbsentRuns ends the runs that a report proves to be over: those that it doesn't list and that
+// can't have started after it.
 func (s *Scheduler) endAbsentRuns(runner *runnerSession, reportMs int64, reported map[runKey]bool) {
 	for _, r := range runner.load.sorted() {
 		if reported[r.runKey] || r.ending {
--- a/internal/cluster/scheduler/recurring_test.go
+++ b/internal/cluster/scheduler/recurring_test.go
@@ -17,7 +17,7 @@
 	first, second := job.TaskRef{Job: "a"}, job.TaskRef{Job: "a", Occurrence: 1}
 	require.Equal(t, []job.TaskRef{first, second}, schedule.due(1500))
 	j.Occurrences = append(j.Occurrences, &job.Occurrence{})
-	require.Equal(t, []job.TaskRef{second}, schedule.due(1500), "until it is open")
+	require.Equal(t, []job.TaskRef{second}, schedule.due(1500), "returned again until it is open")
 	j.Occurrences = append(j.Occurrences, &job.Occurrence{}, &job.Occurrence{})
 	require.Empty(t, schedule.due(9000))
 	require.Empty(t, schedule.jobs, "all are open")
--- a/internal/cluster/scheduler/replydelay.go
+++ b/internal/cluster/scheduler/replydelay.go
@@ -9,29 +9,30 @@
 const (
 	// replyDelayWindow is the window, in replies, of the mean delay.
 	replyDelayWindow = 64
-	// leastReplies is how many replies must have come before their delay says anything of this node.
-	leastReplies = 16
-	// overdueDelays: a reply is overdue once it takes so many times the mean delay.
+	// minReplies is the number of replies from which on the mean delay is used.
+	minReplies = 16
+	// overdueDelays is the multiple of the mean delay after which a reply is overdue.
 	overdueDelays = 3
 )
 
-// replyDelay is how long the replies to orders to start take of late, in the mean of all runners that
-// reply. Where that is long it is this node that is late, not a runner: time-outs that blame a runner
-// then wait longer. Else a node that has too much to do takes its runners for lost, and adds polls and
-// speculative attempts to what it has to do. The zero value knows of no delay.
+// replyDelay is the recent mean delay of replies to orders to start, over all runners that reply.
+// If it is long, the cause is this node and not a runner, so the timeouts after which a runner
+// counts as unresponsive are extended. Otherwise an overloaded node would consider its runners lost
+// and add polls and speculative attempts to its load. The zero value has no measured delay.
 type replyDelay struct{ seconds admission.Average }
 
-// replied takes in how long a reply took. One spell in which the node stood still counts no more than the
-// longest that a reply is waited for.
+// replied records how long a reply took. The value is capped at the longest timeout, so that a
+// single pause of this node doesn't dominate the mean.
 func (d *replyDelay) replied(took time.Duration) {
 	d.seconds.Add(min(took, maxRenewalTimeout).Seconds(), replyDelayWindow)
 }
 
-// overdueAfter returns how long a reply is waited for: least, or longer where all are late, up to most.
-func (d *replyDelay) overdueAfter(least, most time.Duration) time.Duration {
-	if d.seconds.Count < leastReplies {
-		return least
+// overdueAfter returns the timeout for a reply: minimum, or a longer one, up to maximum, if all
+// replies are late.
+func (d *replyDelay) overdueAfter(minimum, maximum time.Duration) time.Duration {
+	if d.seconds.Count < minReplies {
+		return minimum
 	}
 	delay := time.Duration(overdueDelays * d.seconds.Value * float64(time.Second))
-	return min(max(least, delay), most)
+	return min(max(minimum, delay), maximum)
 }
--- a/internal/cluster/scheduler/retention.go
+++ b/internal/cluster/scheduler/retention.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// retentionMargin is how much longer than promised the state of a job that is over is kept: clocks
-// of clients and leaders differ.
+// retentionMargin is how much longer than promised the state of a job that is over is kept, because
+// the clocks of clients and leaders differ.
 const retentionMargin = 30 * time.Second
 
-// retentionQueue knows the jobs that are over, and when their state is no longer promised.
+// retentionQueue holds the jobs that are over until their state may be forgotten.
 type retentionQueue struct {
 	retention time.Duration
 	jobs      []endedJob // oldest first
@@ -22,7 +22,7 @@
 	return &retentionQueue{retention: retention, known: map[string]bool{}}
 }
 
-// add notes that a job is over; false: that was known.
+// add adds a job that is over. It returns false if the job was already added.
 func (q *retentionQueue) add(id string, endedMs int64) bool {
 	if q.known[id] {
 		return false
@@ -32,7 +32,7 @@
 	return true
 }
 
-// expired returns, once, the jobs that may be forgotten.
+// expired returns and removes the jobs whose state may be forgotten.
 func (q *retentionQueue) expired(wallMs int64) []string {
 	var ids []string
 	for len(q.jobs) > 0 && q.jobs[0].endedMs+(q.retention+retentionMargin).Milliseconds() < wallMs {
--- a/internal/cluster/scheduler/run_test.go
+++ b/internal/cluster/scheduler/run_test.go
@@ -14,12 +14,12 @@
 		want     bool
 	}{
 		{"not ordered yet", run{phase: phaseProposed}, 1000, false},
-		{"ordered, may still arrive", run{phase: phaseOrdered, orderDeadlineMs: 1000}, 1000, false},
-		{"ordered, too late to arrive", run{phase: phaseOrdered, orderDeadlineMs: 1000}, 1001, true},
-		{"ordered, and stopped before the report", run{phase: phaseOrdered, orderDeadlineMs: 1000, stop: stopOrder{confirmedMs: 900}}, 901, true},
+		{"ordered, order may still arrive", run{phase: phaseOrdered, orderDeadlineMs: 1000}, 1000, false},
+		{"ordered, deadline of the order is over", run{phase: phaseOrdered, orderDeadlineMs: 1000}, 1001, true},
+		{"ordered, stop confirmed before the report", run{phase: phaseOrdered, orderDeadlineMs: 1000, stop: stopOrder{confirmedMs: 900}}, 901, true},
 		{"confirmed after the report", run{phase: phaseConfirmed, confirmedMs: 1000}, 1000, false},
 		{"confirmed before the report", run{phase: phaseConfirmed, confirmedMs: 1000}, 1001, true},
-		{"of an earlier leader, which is fenced off", run{phase: phaseInherited}, 0, true},
+		{"inherited from an earlier leader, which is fenced off", run{phase: phaseInherited}, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			require.Equal(t, test.want, test.run.provenAbsent(test.reportMs))
--- a/internal/cluster/scheduler/runner.go
+++ b/internal/cluster/scheduler/runner.go
@@ -7,7 +7,7 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// runnerSession is this leader's dealing with one incarnation of a runner.
+// runnerSession is the state that this leader keeps for one incarnation of a runner.
 type runnerSession struct {
 	id      string // instance ID of the incarnation
 	address string
@@ -15,10 +15,10 @@
 	service  string
 	labels   []string
 	capacity job.Resources
-	listed   bool // in the platform's newest list
+	listed   bool // in the platform's latest list
 	ended    bool // the incarnation has ended
 
-	nextRunCheck time.Duration // when its runs are checked again
+	nextRunCheck time.Duration // time of the next check of its runs
 
 	contact   runnerContact
 	lease     leaseExchange
@@ -28,42 +28,42 @@
 	speed     runnerSpeed
 }
 
-// runnerContact is what is known of the runner's clock and of when it last replied.
+// runnerContact is the state of the contact with a runner: its replies and its clock.
 type runnerContact struct {
-	fenced         bool          // it has replied to this leader's token
-	lastContact    time.Duration // when a reply of it last arrived
-	clockMs        int64         // its clock, in milliseconds, as of the last reading
-	clockReadAt    time.Duration
-	missedPolls    int  // lease renewals in a row without a reply
-	replyPending   bool // an order to start has no reply, and nothing has come since
-	timeoutCounted bool // that it is unresponsive was counted by the mass time-out detector
+	tokenAccepted     bool          // it has accepted this leader's token
+	lastContact       time.Duration // arrival of its last reply
+	clockMs           int64         // its clock's last reading, in milliseconds
+	clockReadAt       time.Duration
+	missedPolls       int  // consecutive lease renewals without a reply
+	startReplyOverdue bool // the reply to an order to start is overdue, and nothing has arrived since
+	timeoutCounted    bool // the mass-timeout detector has counted that it is unresponsive
 }
 
-// leaseExchange is the state of the task leases at the runner and of the polls that renew them.
+// leaseExchange is the state of the task leases at a runner and of the polls that renew them.
 type leaseExchange struct {
-	pending         bool          // a renewal is on its way
-	fencedOff       bool          // the runner refuses this leader's token, for the rest of its incarnation
-	sequence        uint64        // of the newest renewal
-	replyDeadline   time.Duration // the pending renewal counts as lost from then on
+	pending         bool          // a renewal waits for its reply
+	rejectsToken    bool          // the runner rejects this leader's token, until the end of its incarnation
+	sequence        uint64        // of the latest renewal
+	replyDeadline   time.Duration // from then on the pending renewal counts as lost
 	dueAt           time.Duration // when the next renewal is due
-	replyAtOnce     bool          // the runner is not to wait for an end before it replies to the next one
-	allExpiredAt    time.Duration // by then all leases have surely expired, if no more are granted
-	ackedThrough    uint64        // reported ends up to it are committed
-	proposedThrough uint64        // reported ends up to it were proposed
+	replyAtOnce     bool          // the runner has to reply to the next renewal without waiting for a run to end
+	allExpiredAt    time.Duration // when all leases are certain to have expired, if no more are granted
+	ackedThrough    uint64        // reported ends up to this number are committed
+	proposedThrough uint64        // reported ends up to this number have been proposed
 }
 
-// runnerLoad is what runs, or may run, at the runner.
+// runnerLoad is the set of runs that are or may be active at a runner, and the resources they take.
 type runnerLoad struct {
 	runs     map[runKey]*run
-	reserved job.Resources    // of all runs
-	cost     float64          // core-seconds in flight
-	budget   admission.Budget // bounds the cost in flight
+	reserved job.Resources    // resources of all runs
+	cost     float64          // total cost of all runs, in core-seconds
+	budget   admission.Budget // limits the total cost
 }
 
-// runnerSpeed is what is known of how long tasks take at the runner.
+// runnerSpeed holds how fast a runner is, as learned from its runs.
 type runnerSpeed struct {
-	slowdown admission.Average       // run times over the expected ones
-	factor   admission.RunTimeFactor // run times over those of the same steps' tasks elsewhere
+	slowdown admission.Average       // ratio of run times to the expected ones
+	factor   admission.RunTimeFactor // ratio of run times to those of the same steps' tasks on other runners
 }
 
 func newRunnerSession(id, address string, now time.Duration) *runnerSession {
@@ -76,59 +76,61 @@
 }
 
 const (
-	// contactTimeout: a runner whose last reply is older gets no work and no new leases.
+	// contactTimeout is how long after its last reply a runner gets no more new tasks and leases.
 	contactTimeout = 1200 * time.Millisecond
-	// slowestClock is the least rate of a runner's clock, by the deployment's rules.
+	// slowestClock is the lowest rate of a runner's clock that the deployment's rules allow.
 	slowestClock = 0.98
-	// clockReadingError is how much older than its arrival a reading of a runner's clock may be.
+	// clockReadingError is the maximum age of a reading of a runner's clock when it arrives.
 	clockReadingError = 50 * time.Millisecond
 )
 
-// inContact tells whether the runner replied lately.
+// inContact reports whether the runner has replied recently.
 func (c *runnerContact) inContact(now time.Duration) bool { return now-c.lastContact < contactTimeout }
 
-// unresponsive tells whether the runner owes a reply that should have come.
-func (c *runnerContact) unresponsive() bool { return c.missedPolls > 0 || c.replyPending }
+// unresponsive reports whether a reply from the runner is overdue.
+func (c *runnerContact) unresponsive() bool { return c.missedPolls > 0 || c.startReplyOverdue }
 
-// clockAt returns what the runner's clock shows, roughly, in milliseconds.
+// clockAt returns the estimated time of the runner's clock, in milliseconds.
 func (c *runnerContact) clockAt(now time.Duration) int64 {
 	return c.clockMs + (now - c.clockReadAt).Milliseconds()
 }
 
-// surelyPast returns when a time on the runner's clock is past even if that clock is slow.
-func (c *runnerContact) surelyPast(deadlineMs int64) time.Duration {
+// latestLocalTime returns the monotonic time by which the runner's clock is certain to have passed
+// deadlineMs, even if it runs at slowestClock.
+func (c *runnerContact) latestLocalTime(deadlineMs int64) time.Duration {
 	ahead := float64(deadlineMs-c.clockMs) / slowestClock
 	return c.clockReadAt + time.Duration(ahead)*time.Millisecond + clockReadingError
 }
 
-// replied notes a reply, with a reading of the runner's clock; 0: it has none.
+// replied records a reply and its reading of the runner's clock; 0 means that it has no reading.
 func (c *runnerContact) replied(now time.Duration, clockMs int64) {
 	c.lastContact = now
 	c.missedPolls = 0
-	c.replyPending = false
+	c.startReplyOverdue = false
 	if clockMs > 0 {
 		c.clockMs, c.clockReadAt = clockMs, now
 	}
 }
 
-// takesWork tells whether new tasks may be assigned to the runner.
+// takesWork reports whether new tasks may be assigned to the runner.
 func (r *runnerSession) takesWork(now time.Duration) bool {
-	return r.listed && !r.ended && !r.lease.fencedOff && !r.drain.draining && r.contact.fenced && r.contact.inContact(now) && !r.contact.unresponsive()
+	return r.listed && !r.ended && !r.lease.rejectsToken && !r.drain.draining && r.contact.tokenAccepted && r.contact.inContact(now) && !r.contact.unresponsive()
 }
 
-// granted notes that an order left under which a task may run until a deadline on the runner's
-// clock, or begin until then.
-func (r *runnerSession) granted(deadlineMs int64) {
-	r.lease.allExpiredAt = max(r.lease.allExpiredAt, r.contact.surelyPast(deadlineMs))
+// recordGrant records that an order was sent that allows tasks to run, or to start, until a
+// deadline on the runner's clock.
+func (r *runnerSession) recordGrant(deadlineMs int64) {
+	r.lease.allExpiredAt = max(r.lease.allExpiredAt, r.contact.latestLocalTime(deadlineMs))
 }
 
-// leasesExpired tells whether all that the runner was granted has surely expired without its
-// having been in contact.
+// leasesExpired reports whether all leases and start deadlines given to the runner are certain to
+// have passed and the runner is out of contact.
 func (r *runnerSession) leasesExpired(now time.Duration) bool {
 	return now > r.lease.allExpiredAt && now-r.contact.lastContact > contactTimeout
 }
 
-// rack returns the label that names the runner's rack: by the protocol the last.
+// rack returns the label that names the runner's rack: by the protocol, it is the last label. It
+// returns "" if the runner has no labels.
 func (r *runnerSession) rack() string {
 	if len(r.labels) == 0 {
 		return ""
@@ -136,13 +138,14 @@
 	return r.labels[len(r.labels)-1]
 }
 
+// add adds a run and reserves its resources and cost.
 func (l *runnerLoad) add(r *run) {
 	l.runs[r.runKey] = r
 	l.reserved = l.reserved.Add(r.resources)
 	l.cost += r.cost
 }
 
-// remove forgets a run and gives back what it took; nil: there is no such run.
+// remove removes a run and releases its resources and cost. It returns nil if there is no such run.
 func (l *runnerLoad) remove(key runKey) *run {
 	r := l.runs[key]
 	if r == nil {
@@ -152,13 +155,13 @@
 	l.reserved = l.reserved.Subtract(r.resources)
 	l.cost = max(0, l.cost-r.cost)
 	if len(l.runs) == 0 {
-		l.cost = 0 // the sum of floating-point values may be off
+		l.cost = 0 // clears floating-point rounding errors
 	}
 	return r
 }
 
-// hasCost tells whether a run is under way whose end will say something of the runner:
-// long-running ones, which have no cost, end by being cancelled.
+// hasCost reports whether a run with a cost is active. The end of such a run shows whether the
+// runner works; long-running runs, which have no cost, end only when they are cancelled.
 func (l *runnerLoad) hasCost() bool {
 	for _, r := range l.runs {
 		if r.cost > 0 {
@@ -178,21 +181,22 @@
 	return runs
 }
 
-// leastSlowdownRuns is how many runs must have ended before their slowdown counts.
-const leastSlowdownRuns = 2
+// minSlowdownRuns is the number of ended runs from which on their slowdown is used.
+const minSlowdownRuns = 2
 
-// recentSlowdown returns the runner's run times over the expected ones; 1 while that is not known.
+// recentSlowdown returns the average ratio of the runner's run times to the expected ones, or 1 if
+// too few runs have ended.
 func (s *runnerSpeed) recentSlowdown() float64 {
-	if s.slowdown.Count < leastSlowdownRuns {
+	if s.slowdown.Count < minSlowdownRuns {
 		return 1
 	}
 	return s.slowdown.Value
 }
 
-// runnerTable holds the sessions with all incarnations that are listed or may run something.
+// runnerTable holds the sessions with all incarnations that are listed or may have active runs.
 type runnerTable struct {
 	byID    map[string]*runnerSession
-	inOrder []*runnerSession // in the order of their coming
+	inOrder []*runnerSession // in the order in which they were added
 }
 
 func newRunnerTable() *runnerTable { return &runnerTable{byID: map[string]*runnerSession{}} }
@@ -202,7 +206,8 @@
 	t.inOrder = append(t.inOrder, runner)
 }
 
-// find returns a run by its runner, task and attempt, and the runner; nil: it is not known.
+// find returns the session and the run for a task's replicated run. The session is nil if the
+// runner is unknown, the run is nil if the run is unknown.
 func (t *runnerTable) find(ref job.TaskRef, live job.Run) (*runnerSession, *run) {
 	runner := t.byID[live.Runner]
 	if runner == nil {
@@ -211,8 +216,8 @@
 	return runner, runner.load.runs[runKey{task: ref, attempt: live.Attempt}]
 }
 
-// dropTerminated forgets incarnations that have ended, or vanished from the list, and have nothing
-// left.
+// dropTerminated removes the incarnations without runs and without a pending renewal that have
+// ended, or that are no longer listed and have been out of contact for some time.
 func (t *runnerTable) dropTerminated(now time.Duration) {
 	kept := t.inOrder[:0]
 	for _, runner := range t.inOrder {
--- a/internal/cluster/scheduler/runner_test.go
+++ b/internal/cluster/scheduler/runner_test.go
@@ -11,10 +11,11 @@
 
 // clockMs returns the runner's clock, in milliseconds.
 func (inc *incarnation) clockMs() int64 {
-	return inc.clockOffsetMs + int64(float64(inc.w.now.Milliseconds())*inc.clockRate)
+	return inc.clockOffsetMs + int64(float64(inc.sim.now.Milliseconds())*inc.clockRate)
 }
 
-func (inc *incarnation) fencesOff(token uint64) bool {
+// rejectsToken reports whether a token is lower than the highest one seen, which it updates.
+func (inc *incarnation) rejectsToken(token uint64) bool {
 	if token < inc.highestToken {
 		return true
 	}
@@ -22,34 +23,36 @@
 	return false
 }
 
+// extendLease extends the leases up to a deadline on the runner's clock, limited by maxLease.
 func (inc *incarnation) extendLease(deadline int64) {
 	if deadline > 0 {
 		inc.leaseDeadlineMs = max(inc.leaseDeadlineMs, min(deadline, inc.clockMs()+maxLease.Milliseconds()))
 	}
 }
 
+// renewLease carries out a lease renewal. The reply is delayed until a run ends or the wait is over.
 func (inc *incarnation) renewLease(order scheduler.Order, answer func(func(*scheduler.Scheduler))) {
-	if inc.fencesOff(order.Token) {
+	if inc.rejectsToken(order.Token) {
 		answer(func(s *scheduler.Scheduler) {
-			s.LeaseReplied(inc.w.now, order, scheduler.LeaseFenced, scheduler.RunnerReport{})
+			s.LeaseReplied(inc.sim.now, order, scheduler.LeaseFenced, scheduler.RunnerReport{})
 		})
 		return
 	}
 	inc.extendLease(order.DeadlineMs)
 	for len(inc.finished) > 0 && inc.finished[0].Number <= order.AckedThrough {
-		inc.w.recordAcknowledged(inc.finished[0])
+		inc.sim.recordAcknowledged(inc.finished[0])
 		inc.finished = inc.finished[1:]
 	}
-	inc.polls = append(inc.polls, longPoll{deadline: inc.w.now + time.Duration(order.WaitMs)*time.Millisecond, ackedThrough: order.AckedThrough, answer: func() {
+	inc.polls = append(inc.polls, longPoll{deadline: inc.sim.now + time.Duration(order.WaitMs)*time.Millisecond, ackedThrough: order.AckedThrough, answer: func() {
 		report := inc.report()
-		answer(func(s *scheduler.Scheduler) { s.LeaseReplied(inc.w.now, order, scheduler.LeaseRenewed, report) })
+		answer(func(s *scheduler.Scheduler) { s.LeaseReplied(inc.sim.now, order, scheduler.LeaseRenewed, report) })
 	}})
 }
 
 func (inc *incarnation) report() scheduler.RunnerReport {
 	report := scheduler.RunnerReport{ClockMs: inc.clockMs(), Finished: append([]scheduler.ReportedEnd(nil), inc.finished...)}
 	for _, r := range inc.inOrder {
-		percent := int(100 * (r.workBefore + inc.w.now - r.startedAt) / r.work)
+		percent := int(100 * (r.workBefore + inc.sim.now - r.startedAt) / r.work)
 		if inc.stallsRuns {
 			percent = 0
 		}
@@ -58,6 +61,7 @@
 	return report
 }
 
+// used returns the total resources of the active runs.
 func (inc *incarnation) used() job.Resources {
 	used := job.Resources{}
 	for _, r := range inc.runs {
@@ -66,9 +70,10 @@
 	return used
 }
 
+// start carries out an order to start a run, after checking the rules that apply to it.
 func (inc *incarnation) start(order scheduler.Order) scheduler.StartReply {
-	w := inc.w
-	if inc.fencesOff(order.Token) {
+	sim := inc.sim
+	if inc.rejectsToken(order.Token) {
 		return scheduler.StartRefused
 	}
 	if r := inc.runs[order.Task]; r != nil && r.attempt == order.Attempt {
@@ -77,17 +82,17 @@
 	if inc.clockMs() > order.DeadlineMs || order.Attempt <= inc.highestAttempt[order.Task] {
 		return scheduler.StartRefused
 	}
-	j := w.jobs[order.Task.Job]
-	w.check(j != nil && order.Spec == j.spec.Text, "UNASKED", "%v with spec %q", order.Task, order.Spec)
+	j := sim.jobs[order.Task.Job]
+	sim.check(j != nil && order.Spec == j.spec.Text, "UNASKED", "%v with spec %q", order.Task, order.Spec)
 	inc.extendLease(order.DeadlineMs)
 	spec := j.spec.Steps[order.Task.Step]
 	if !inc.used().Add(spec.Resources).FitsIn(inc.capacity) {
-		w.check(inc.enforcesCapacity, "LIMIT", "%v at %s", order.Task, inc.id)
+		sim.check(inc.enforcesCapacity, "LIMIT", "%v at %s", order.Task, inc.id)
 		return scheduler.StartNoCapacity
 	}
-	w.checkStart(inc, j, spec, order)
-	work := time.Duration(float64(spec.EstimateMs)*(0.6+0.8*w.random.Float64())) * time.Millisecond
-	r := &running{ref: order.Task, attempt: order.Attempt, job: j, startedAt: w.now, checkpoint: order.Checkpoint, work: max(work, tickLength)}
+	sim.checkStart(inc, j, spec, order)
+	work := time.Duration(float64(spec.EstimateMs)*(0.6+0.8*sim.random.Float64())) * time.Millisecond
+	r := &running{ref: order.Task, attempt: order.Attempt, job: j, startedAt: sim.now, checkpoint: order.Checkpoint, work: max(work, tickLength)}
 	if order.Checkpoint != "" {
 		r.workBefore = r.work / 3
 	}
@@ -96,37 +101,37 @@
 	return scheduler.StartAccepted
 }
 
-// speculativeStartTolerance is how long after the acknowledged end of a task a speculative attempt that was
-// on its way may start.
+// speculativeStartTolerance is how long after the acknowledged end of a task a speculative attempt
+// that was in flight may start.
 const speculativeStartTolerance = time.Second
 
-// checkStart checks the rules that a start can break.
-func (w *world) checkStart(inc *incarnation, j *submitted, spec job.Step, order scheduler.Order) {
+// checkStart checks the rules that apply to the start of a run.
+func (sim *simulation) checkStart(inc *incarnation, j *submitted, spec job.Step, order scheduler.Order) {
 	ref := order.Task
-	for _, other := range w.incarnations {
+	for _, other := range sim.incarnations {
 		if r := other.runs[ref]; other.up && r != nil {
-			w.speculativeStarts++
-			w.check(spec.Speculative && other != inc, "TWICE", "%v attempt %d at %s, while attempt %d is at %s", ref, order.Attempt, inc.id, r.attempt, other.id)
+			sim.speculativeStarts++
+			sim.check(spec.Speculative && other != inc, "TWICE", "%v attempt %d at %s, while attempt %d is at %s", ref, order.Attempt, inc.id, r.attempt, other.id)
 		}
 	}
 	allowed := time.Duration(0)
 	if spec.Speculative {
 		allowed = speculativeStartTolerance
 	}
-	w.check(j.acknowledged[ref] == 0 || w.now-j.acknowledged[ref] < allowed || spec.LongRunning, "TWICE", "%v starts after its end was taken note of", ref)
-	w.check(j.failures[ref] < j.retries || spec.LongRunning, "BUDGET", "%v after %d failures of %d", ref, j.failures[ref], j.retries)
+	sim.check(j.acknowledged[ref] == 0 || sim.now-j.acknowledged[ref] < allowed || spec.LongRunning, "TWICE", "%v starts after its end was acknowledged", ref)
+	sim.check(j.failures[ref] < j.retries || spec.LongRunning, "BUDGET", "%v after %d failures of %d", ref, j.failures[ref], j.retries)
 	for _, before := range spec.DependsOn {
 		for index := range j.spec.Steps[before].Count {
-			w.check(j.ended[job.TaskRef{Job: j.id, Occurrence: ref.Occurrence, Step: before, Index: index}], "ORDER", "%v before step %d is done", ref, before)
+			sim.check(j.ended[job.TaskRef{Job: j.id, Occurrence: ref.Occurrence, Step: before, Index: index}], "ORDER", "%v before step %d is done", ref, before)
 		}
 	}
 	if due := j.spec.DueMs(ref.Occurrence); due > 0 {
-		w.check(w.wallMs() >= due-250, "ORDER", "%v before its time", ref)
+		sim.check(sim.wallMs() >= due-250, "ORDER", "%v before its time", ref)
 	}
-	w.check(order.Checkpoint == "" || j.checkpoints[order.Checkpoint], "UNASKED", "%v with progress %q that is not its own", ref, order.Checkpoint)
-	w.check(j.cancelled == 0 || w.now-j.cancelled < 3*time.Second, "UNASKED", "%v after its cancelling", ref)
+	sim.check(order.Checkpoint == "" || j.checkpoints[order.Checkpoint], "UNASKED", "%v with checkpoint %q, which its job did not save", ref, order.Checkpoint)
+	sim.check(j.cancelled == 0 || sim.now-j.cancelled < 3*time.Second, "UNASKED", "%v after its cancellation", ref)
 	for _, label := range spec.Constraints {
-		w.check(containsLabel(inc.labels, label), "ROUTE", "%v at %s, which lacks %s", ref, inc.id, label)
+		sim.check(containsLabel(inc.labels, label), "ROUTE", "%v at %s, which lacks %s", ref, inc.id, label)
 	}
 	if spec.AntiAffinity > 0 {
 		n := 1
@@ -135,7 +140,7 @@
 				n++
 			}
 		}
-		w.check(n <= spec.AntiAffinity, "ROUTE", "%d tasks of %v at %s", n, ref, inc.id)
+		sim.check(n <= spec.AntiAffinity, "ROUTE", "%d tasks of %v at %s", n, ref, inc.id)
 	}
 }
 
@@ -148,8 +153,9 @@
 	return false
 }
 
+// stop carries out an order to stop a run.
 func (inc *incarnation) stop(order scheduler.Order) scheduler.StopReply {
-	if inc.fencesOff(order.Token) {
+	if inc.rejectsToken(order.Token) {
 		return scheduler.StopNotConfirmed
 	}
 	inc.highestAttempt[order.Task] = max(inc.highestAttempt[order.Task], order.Attempt)
@@ -160,16 +166,17 @@
 	return scheduler.StopConfirmed
 }
 
-// checkpoint returns the text of a run's progress, where its step saves any.
+// checkpoint returns the current checkpoint of a run, if its step saves checkpoints.
 func (inc *incarnation) checkpoint(r *running) string {
-	if !r.job.spec.Steps[r.ref.Step].Checkpoints || r.workBefore+inc.w.now-r.startedAt < checkpointInterval {
+	if !r.job.spec.Steps[r.ref.Step].Checkpoints || r.workBefore+inc.sim.now-r.startedAt < checkpointInterval {
 		return r.checkpoint
 	}
-	text := fmt.Sprintf("%s-%d-%d", r.ref, r.attempt, (r.workBefore+inc.w.now-r.startedAt)/checkpointInterval)
+	text := fmt.Sprintf("%s-%d-%d", r.ref, r.attempt, (r.workBefore+inc.sim.now-r.startedAt)/checkpointInterval)
 	r.job.checkpoints[text] = true
 	return text
 }
 
+// end ends a run and, if the task belongs to a gang, the other runs of the gang.
 func (inc *incarnation) end(r *running, reason job.EndReason) {
 	inc.remove(r)
 	if reason == job.EndDone {
@@ -181,13 +188,13 @@
 	inc.number++
 	inc.finished = append(inc.finished, scheduler.ReportedEnd{Number: inc.number, Task: r.ref, Attempt: r.attempt, Reason: reason, Checkpoint: r.checkpoint})
 	if r.job.spec.Steps[r.ref.Step].Gang {
-		inc.w.gangEnds(r, reason)
+		inc.sim.gangEnds(r, reason)
 	}
 }
 
-// gang returns the runs of a gang's attempt, wherever they are.
-func (w *world) gang(r *running) (members []*running, at []*incarnation) {
-	for _, inc := range w.incarnations {
+// gang returns the active runs of a gang's attempt and the incarnations they run at.
+func (sim *simulation) gang(r *running) (members []*running, at []*incarnation) {
+	for _, inc := range sim.incarnations {
 		if !inc.up {
 			continue
 		}
@@ -200,15 +207,16 @@
 	return members, at
 }
 
-// gangEnds ends the other members with the first one: done together, or broken.
-func (w *world) gangEnds(r *running, reason job.EndReason) {
+// gangEnds ends the other runs of a gang when the first one ends: as done if it is done, or
+// otherwise as broken.
+func (sim *simulation) gangEnds(r *running, reason job.EndReason) {
 	if reason == job.EndGangBroken {
 		return
 	}
 	if reason != job.EndDone {
 		reason = job.EndGangBroken
 	}
-	members, at := w.gang(r)
+	members, at := sim.gang(r)
 	for i, other := range members {
 		if reason == job.EndDone {
 			at[i].remove(other)
@@ -220,7 +228,7 @@
 	}
 }
 
-// tick lets time pass at a runner.
+// tick processes a tick of virtual time at a runner.
 func (inc *incarnation) tick() {
 	if !inc.up {
 		return
@@ -232,8 +240,8 @@
 	}
 	kept := inc.polls[:0]
 	for _, h := range inc.polls {
-		if inc.number > h.ackedThrough && len(inc.finished) > 0 || inc.w.now >= h.deadline {
-			if inc.w.now >= inc.unreachableUntil {
+		if inc.number > h.ackedThrough && len(inc.finished) > 0 || inc.sim.now >= h.deadline {
+			if inc.sim.now >= inc.unreachableUntil {
 				h.answer()
 			}
 			continue
@@ -243,52 +251,52 @@
 	inc.polls = kept
 }
 
-// remove forgets a run, keeping the others in the order of their starts.
+// remove removes a run and keeps the order of the others.
 func (inc *incarnation) remove(r *running) {
 	delete(inc.runs, r.ref)
 	inc.inOrder = slices.DeleteFunc(slices.Clone(inc.inOrder), func(other *running) bool { return other == r })
 }
 
 func (inc *incarnation) tickRun(r *running) {
-	w := inc.w
+	sim := inc.sim
 	spec := r.job.spec.Steps[r.ref.Step]
 	if inc.clockMs() > inc.leaseDeadlineMs {
 		inc.end(r, job.EndLeaseExpired)
 		return
 	}
 	if spec.Gang {
-		members, _ := w.gang(r)
+		members, _ := sim.gang(r)
 		if len(members) < spec.Count {
-			if w.now-r.startedAt > gangTimeout {
-				w.incompleteGangs++
+			if sim.now-r.startedAt > gangTimeout {
+				sim.incompleteGangs++
 				inc.end(r, job.EndGangIncomplete)
 			}
 			return
 		}
 		for _, other := range members {
 			if other.startedAt > r.startedAt {
-				return // the work begins once all are there; the last one's run counts
+				return // the work begins when all runs of the gang are active; the last one to start determines its end
 			}
 		}
 	}
 	r.checkpoint = inc.checkpoint(r)
-	if inc.stallsRuns || r.workBefore+w.now-r.startedAt < r.work {
+	if inc.stallsRuns || r.workBefore+sim.now-r.startedAt < r.work {
 		return
 	}
 	switch {
-	case r.job.alwaysFails && r.ref.Step == 0, inc.failsRuns, w.random.IntN(25) == 0:
+	case r.job.alwaysFails && r.ref.Step == 0, inc.failsRuns, sim.random.IntN(25) == 0:
 		inc.end(r, job.EndFailed)
 	default:
 		inc.end(r, job.EndDone)
 	}
 }
 
-// crash ends an incarnation. Another one may come at its address.
-func (w *world) crash(inc *incarnation, returns bool) {
+// crash ends an incarnation. If returns is true, another incarnation starts at its address later.
+func (sim *simulation) crash(inc *incarnation, returns bool) {
 	inc.up = false
-	for i, other := range w.incarnations {
+	for i, other := range sim.incarnations {
 		if other == inc && returns {
-			w.later(w.between(500*time.Millisecond, 3*time.Second), func() { w.addIncarnation(inc.address, i) })
+			sim.later(sim.between(500*time.Millisecond, 3*time.Second), func() { sim.addIncarnation(inc.address, i) })
 		}
 	}
 }
--- a/internal/cluster/scheduler/scheduler.go
+++ b/internal/cluster/scheduler/scheduler.go
@@ -1,32 +1,32 @@
-// Package scheduler decides for the leader of a shard which ready task starts at which runner
-// and when, which run is over, and which is stopped. It is a state machine without I/O: inputs
-// carry the time of the caller's monotonic clock, and TakeOutput returns the commands to commit
-// and the orders to send.
+// Package scheduler makes the scheduling decisions for the leader of a shard: which ready task
+// starts on which runner and when, which runs are over, and which runs are stopped. It is a state
+// machine without I/O: each input carries the time of the caller's monotonic clock, and TakeOutput
+// returns the commands to commit and the orders to send.
 //
-// An order to start leaves only after its command was committed, so that each later leader
-// knows where a task may run. A run counts as under way until its end is reported, or its
-// absence is proven: by a report that the runner made after the order's own deadline, by the
-// expiry of all task leases, or by the end of the runner's incarnation
-// (docs/scheduler-design.md, "When a run is over").
+// An order to start a run is sent only after its command is committed, so that every later leader
+// can find out from the replicated state where a task may be running. A run counts as active until
+// the runner reports its end or until it is certain that it no longer runs: because a report made
+// after the order's deadline does not list it, because all task leases have expired, or because
+// the runner's incarnation has ended (docs/scheduler-design.md, "When a run is over").
 //
-// Where to find what:
+// The package is organized as follows:
 //
-//   - scheduler.go: the inputs and how they are passed on; order.go: messages to and from
-//     runners; outbox.go: what is to be committed and sent.
-//   - cycle.go: the scheduling cycle; cyclepause.go: when the next one may run. Its policies:
-//     aging.go (the order of ready work, and reservations for aged work), urgency.go, patience.go
-//     (waiting for a runner near the data, by forecast.go: when capacity will be free), gang.go,
-//     cost.go.
-//   - lease.go: task leases and polls; reconcile.go: what a runner's report says of its runs;
-//     unresponsive.go: runners whose reply is overdue, by replydelay.go; masstimeout.go: several
-//     that become so at once.
-//   - starts.go, stops.go, ends.go: the way of one run; startwindow.go: how many starts are in
-//     flight at once.
-//   - straggler.go (with progress.go), drain.go, speculation.go, suspicion.go: what is done about
-//     slow runs, runners that leave, runs that may be lost, and runners that fail.
-//   - learning.go: run times and speeds; lateness.go: where the time of late jobs went;
+//   - scheduler.go: the inputs and their dispatch; order.go: messages to and from runners;
+//     outbox.go: commands to commit and orders to send.
+//   - cycle.go: the scheduling cycle; cyclepause.go: the time until the next cycle. Policies of the
+//     cycle: aging.go (the order of ready work, and reservations for aged work), urgency.go,
+//     localitywait.go (waiting for a runner near the data) with forecast.go (when capacity will be
+//     free), gang.go, cost.go.
+//   - lease.go: task leases and polls; reconcile.go: processing of a runner's report;
+//     unresponsive.go and replydelay.go: runners whose reply is overdue; masstimeout.go: several
+//     runners that become unresponsive at once.
+//   - starts.go, stops.go, ends.go: the life cycle of a run; startwindow.go: the bound on starts in
+//     flight.
+//   - straggler.go and progress.go: slow runs; drain.go: runners about to leave; speculation.go:
+//     runs that may be lost; suspicion.go: runners that fail.
+//   - learning.go: run times and speeds; lateness.go: the causes of lateness of jobs;
 //     recurring.go: occurrences that fall due; retention.go: jobs that are over.
-//   - group.go, run.go, runner.go: the data that all of these share.
+//   - group.go, run.go, runner.go: the shared data structures.
 package scheduler
 
 import (
@@ -37,34 +37,36 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// Config holds the deployment's parameters that decisions depend on.
+// Config holds the deployment's parameters that scheduling depends on.
 type Config struct {
 	// MaxLease is the longest task lease that a runner grants.
 	MaxLease time.Duration
-	// RemoteSlowdown is how many times longer a task runs away from its data's rack; 1 or more.
+	// RemoteSlowdown is the factor by which a task's run time grows outside its data's rack; at
+	// least 1.
 	RemoteSlowdown float64
-	// RestoreTime is how long a run that resumes from a checkpoint makes no progress at first.
+	// RestoreTime is how long a run that resumes from a checkpoint takes before it makes progress.
 	RestoreTime time.Duration
-	// StatusRetention is how long the state of a job that is over can still be asked for.
+	// StatusRetention is how long the state of a job that is over can still be queried.
 	StatusRetention time.Duration
 }
 
-// Output is what the scheduler wants done.
+// Output is the result of TakeOutput: the actions that the caller has to carry out.
 type Output struct {
-	Commands     []job.Command // to be committed together, in order; then Committed(Batch)
-	Batch        uint64        // number of the batch; without commands it has no meaning
-	Orders       []Order       // to be sent at once, each one once
-	CyclePending bool          // a scheduling cycle is pending: call again within a few milliseconds
+	Commands     []job.Command // to be committed together, in order, and then acknowledged with Committed(Batch)
+	Batch        uint64        // number of the batch; meaningless without commands
+	Orders       []Order       // to be sent immediately, each of them once
+	CyclePending bool          // a scheduling cycle is pending: call TakeOutput again within a few milliseconds
 }
 
-// Scheduler schedules the jobs of one shard in one epoch of its leadership. Its methods must not
-// be called concurrently, nor while the store changes but through Applied.
+// Scheduler schedules the jobs of one shard during one epoch of its leadership. Its methods must
+// not be called concurrently, and the store must not change during a call. The caller reports each
+// change of the store with Applied.
 type Scheduler struct {
 	store  *job.Store
 	config Config
 	log    *slog.Logger
 
-	now    time.Duration // monotonic clock at the current input
+	now    time.Duration // monotonic time of the current input
 	wallMs int64         // time of day at the last tick, Unix milliseconds
 
 	runners  *runnerTable
@@ -72,17 +74,17 @@
 	outbox   outbox
 	sequence *sequence
 
-	cycle       cycle
-	startWindow startWindow
-	patience    rackPatience
-	learner     *runTimeLearner
-	leases      *leaseManager
-	massTimeout massTimeoutDetector
-	stragglers  *stragglerPolicy
-	speculation *speculationPolicy
-	lateness    *latenessTracker
-	recurring   *recurringJobs
-	retention   *retentionQueue
+	cycle        cycle
+	startWindow  startWindow
+	localityWait localityWaitPolicy
+	learner      *runTimeLearner
+	leases       *leaseManager
+	massTimeout  massTimeoutDetector
+	stragglers   *stragglerPolicy
+	speculation  *speculationPolicy
+	lateness     *latenessTracker
+	recurring    *recurringJobs
+	retention    *retentionQueue
 
 	lastTick time.Duration
 }
@@ -94,7 +96,7 @@
 	s := &Scheduler{
 		store: store, config: config, log: log, now: now, wallMs: wallMs,
 		runners: runners, groups: newGroupTable(), outbox: newOutbox(epoch), sequence: counter,
-		cycle: cycle{needed: true}, patience: rackPatience{remoteSlowdown: config.RemoteSlowdown},
+		cycle: cycle{needed: true}, localityWait: localityWaitPolicy{remoteSlowdown: config.RemoteSlowdown},
 		learner:     newRunTimeLearner(config.RemoteSlowdown),
 		leases:      &leaseManager{maxLease: config.MaxLease, sequence: counter},
 		stragglers:  &stragglerPolicy{store: store, runners: runners, restoreTime: config.RestoreTime},
@@ -108,7 +110,7 @@
 	return s
 }
 
-// inheritJob takes over what an earlier leader left of a job.
+// inheritJob takes over a job, with its runs, from an earlier leader.
 func (s *Scheduler) inheritJob(j *job.Job) {
 	for occurrence, state := range j.Occurrences {
 		if state == nil {
@@ -140,14 +142,15 @@
 	r.cost = stepCost(r.expected, step)
 	s.learner.meanCost(j.Service).Add(r.cost)
 	runner.load.add(r)
-	s.stopIfUnwanted(j, runner, r)
+	s.stopIfUnneeded(j, runner, r)
 }
 
-// takeoverSlack is how much longer than its own leases a leader waits for those of the one
-// before it: that one read the runner's clock a while before.
+// takeoverSlack is how much longer than the duration of its own leases a new leader waits for the
+// leases of its predecessor to expire: the predecessor's reading of the runner's clock may be
+// older.
 const takeoverSlack = 400 * time.Millisecond
 
-// ensureSession returns the session with one incarnation of a runner, made if there was none.
+// ensureSession returns the session with one incarnation of a runner and creates it if necessary.
 func (s *Scheduler) ensureSession(id, address string) *runnerSession {
 	runner := s.runners.byID[id]
 	if runner == nil {
@@ -158,7 +161,7 @@
 	return runner
 }
 
-// UpdateRunners takes in the runners of this shard's services, as the platform lists them.
+// UpdateRunners updates the runners of this shard's services from the platform's list.
 func (s *Scheduler) UpdateRunners(now time.Duration, runners []Runner) {
 	s.now = now
 	listedIDs := map[string]bool{}
@@ -189,7 +192,7 @@
 	}
 }
 
-// endIncarnation ends all that an incarnation of a runner ran.
+// endIncarnation marks an incarnation of a runner as ended and ends all its runs.
 func (s *Scheduler) endIncarnation(runner *runnerSession) {
 	if runner.ended {
 		return
@@ -199,12 +202,12 @@
 	s.endAllRuns(runner)
 }
 
-// tickInterval is the least time between two checks of all runners: calls to Tick may come more
-// often, and a check of thousands of runners costs milliseconds.
+// tickInterval is the minimum time between two checks of all runners. Tick may be called more
+// often, but a check of thousands of runners takes milliseconds.
 const tickInterval = 40 * time.Millisecond
 
-// Tick lets time pass; call it at least every 50 ms. wallMs is the time of day, in Unix
-// milliseconds.
+// Tick performs the checks that depend on time. It must be called at least every 50 ms. wallMs is
+// the time of day in Unix milliseconds.
 func (s *Scheduler) Tick(now time.Duration, wallMs int64) {
 	s.now, s.wallMs = now, wallMs
 	if now < s.lastTick+tickInterval {
@@ -229,7 +232,7 @@
 	}
 }
 
-// checkRunner follows up what time has brought about at one runner.
+// checkRunner performs the checks of one runner that depend on time.
 func (s *Scheduler) checkRunner(runner *runnerSession) {
 	if runner.ended {
 		return
@@ -244,33 +247,34 @@
 	s.pollIfDue(runner)
 }
 
-// runCheckInterval is how often the runs of a runner are checked where none waits for a reply to
-// its start or its stop.
+// runCheckInterval is how often the runs of a runner are checked if none of them waits for the
+// reply to an order to start or to stop.
 const runCheckInterval = 160 * time.Millisecond
 
-// checkRuns follows up what is pending for the runs of one runner.
+// checkRuns checks the runs of one runner: overdue starts, pending stops, missing replies and
+// stragglers.
 func (s *Scheduler) checkRuns(runner *runnerSession) {
 	runner.nextRunCheck = s.now + runCheckInterval
 	s.leases.pollForOverdueStarts(s.now, runner)
-	var unwanted []*run
+	var toStop []*run
 	for _, r := range runner.load.runs {
 		if r.stop.requested {
-			unwanted = append(unwanted, r)
+			toStop = append(toStop, r)
 		}
 		if r.stop.requested || r.phase == phaseOrdered {
 			runner.nextRunCheck = s.now
 		}
 	}
-	sortRuns(unwanted)
-	for _, r := range unwanted {
+	sortRuns(toStop)
+	for _, r := range toStop {
 		s.sendStop(runner, r)
 	}
 	s.checkResponsive(runner)
 	s.migrateStragglers(runner)
 }
 
-// TakeOutput returns what is to be done since the last call. Where includeCommands is false,
-// commands stay for a later call.
+// TakeOutput returns the actions that are due since the last call, after running a scheduling cycle
+// if one is due. If includeCommands is false, the commands are kept for a later call.
 func (s *Scheduler) TakeOutput(now time.Duration, includeCommands bool) Output {
 	s.now = now
 	if s.cycle.needed && now >= s.cycle.lastRun+s.cycle.pause {
@@ -282,7 +286,8 @@
 	return out
 }
 
-// Committed says that all commands of a batch were applied.
+// Committed records that all commands of a batch have been applied. It must be called after Applied
+// was called for each of them.
 func (s *Scheduler) Committed(now time.Duration, batch uint64) {
 	s.now = now
 	for _, ends := range s.outbox.committed(batch) {
@@ -293,7 +298,7 @@
 	}
 }
 
-// Applied says what a command did to the store.
+// Applied processes the outcome of a command that was applied to the store.
 func (s *Scheduler) Applied(now time.Duration, c job.Command, outcome job.Outcome) {
 	s.now = now
 	s.cycle.needed = true
@@ -330,7 +335,7 @@
 	s.openOccurrence(j, 0)
 }
 
-// jobEnded stops what runs of a job that is over and forgets what was to start.
+// jobEnded stops the runs of a job that is over and drops its pending tasks.
 func (s *Scheduler) jobEnded(j *job.Job) {
 	if !s.retention.add(j.ID, max(j.EndedMs, s.wallMs)) {
 		return
@@ -352,6 +357,7 @@
 	s.outbox.propose(c)
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
--- a/internal/cluster/scheduler/slownode_test.go
+++ b/internal/cluster/scheduler/slownode_test.go
@@ -7,21 +7,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSlowNodeDoesNotBlameRunners guards against a leader that collapses under load: where the leader's own node is
-// late, replies are late from all runners alike, and speculative attempts only add to its work.
-func TestSlowNodeDoesNotBlameRunners(t *testing.T) {
-	w := newWorld(t, 5, 250)
-	w.run(time.Second)
+// TestSlowNodeDoesNotMakeRunnersUnresponsive guards against a leader that collapses under load. If
+// the leader's own node is slow, the replies of all runners are late, and speculative attempts
+// would only add to its load.
+func TestSlowNodeDoesNotMakeRunnersUnresponsive(t *testing.T) {
+	sim := newSimulation(t, 5, 250)
+	sim.run(time.Second)
 	spec := oneTask(400, 500)
 	spec.Steps[0].Count, spec.Steps[0].Speculative = 10, true
-	w.sendTime = time.Second / 1300
-	began := w.now
+	sim.sendTime = time.Second / 1300
+	began := sim.now
 	submitted := 0
-	for w.now < began+4*time.Second {
-		w.submit(spec, false)
+	for sim.now < began+4*time.Second {
+		sim.submit(spec, false)
 		submitted++
-		w.run(25 * time.Millisecond)
+		sim.run(25 * time.Millisecond)
 	}
-	t.Logf("%d speculative of %d orders to start, %d in vain; %d of %d jobs ended", w.speculativeStarts, w.startOrders, w.startsInVain, w.ended(), submitted)
-	require.Less(t, w.speculativeStarts, w.startOrders/50)
+	t.Logf("%d speculative of %d orders to start, %d started nothing; %d of %d jobs ended", sim.speculativeStarts, sim.startOrders, sim.startsWithoutEffect, sim.ended(), submitted)
+	require.Less(t, sim.speculativeStarts, sim.startOrders/50)
 }
--- a/internal/cluster/scheduler/speculation.go
+++ b/internal/cluster/scheduler/speculation.go
@@ -2,20 +2,20 @@
 
 import "basaltloft/internal/cluster/job"
 
-// speculationPolicy tells where a task may run a second time, elsewhere, while it is not known
-// whether its first run goes on. The first run to end counts. Only steps that ask for it get
-// speculative attempts.
+// speculationPolicy decides which tasks get a speculative attempt at another runner while it is
+// uncertain whether their first run is still active. The first run to end counts. Only steps that
+// request it get speculative attempts.
 type speculationPolicy struct {
 	runners *runnerTable
 }
 
-// allowed tells whether tasks of a step may have speculative attempts.
+// allowed reports whether tasks of a step may have speculative attempts.
 func (p *speculationPolicy) allowed(step *job.Step) bool {
 	return step.Speculative && !step.Gang && !step.LongRunning
 }
 
-// shouldStart tells whether the only run of a task may be lost, so that a speculative attempt is to
-// start.
+// shouldStart reports whether a task has to get a speculative attempt because its only run may be
+// lost.
 func (p *speculationPolicy) shouldStart(group *taskGroup, index int, task *job.Task) bool {
 	if len(task.Runs) != 1 || !p.allowed(group.step) {
 		return false
@@ -24,8 +24,8 @@
 	return r != nil && r.uncertain && !r.ending
 }
 
-// allowSpeculativeAttempt makes a task ready again beside a run that may be lost, where its step
-// allows that.
+// allowSpeculativeAttempt makes a task ready again, in addition to its run that may be lost, if its
+// step allows speculative attempts.
 func (s *Scheduler) allowSpeculativeAttempt(runner *runnerSession, r *run) {
 	j := s.store.Jobs[r.task.Job]
 	group := s.groups.of(r.task)
@@ -33,5 +33,5 @@
 		return
 	}
 	group.avoid[runner.id] = true
-	s.refill(group, j)
+	s.refreshPending(group, j)
 }
--- a/internal/cluster/scheduler/speculation_test.go
+++ b/internal/cluster/scheduler/speculation_test.go
@@ -8,32 +8,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSpeculativeAttemptBesideAnUncertainRun(t *testing.T) {
-	w := newStragglerWorld(1)
-	policy := &speculationPolicy{runners: w.runners}
-	r := w.addRun("a", 0, 0)
-	j := w.store.Jobs["a"]
+func TestSpeculativeAttemptForUncertainRun(t *testing.T) {
+	f := newStragglerFixture(1)
+	policy := &speculationPolicy{runners: f.runners}
+	r := f.addRun("a", 0, 0)
+	j := f.store.Jobs["a"]
 	group := &taskGroup{key: groupKey{job: "a"}, job: j, step: &j.Spec.Steps[0]}
 	task := group.task(0)
-	require.False(t, policy.shouldStart(group, 0, task), "its step does not allow it")
+	require.False(t, policy.shouldStart(group, 0, task), "its step doesn't allow it")
 	group.step.Speculative = true
-	require.False(t, policy.shouldStart(group, 0, task), "its run goes on")
+	require.False(t, policy.shouldStart(group, 0, task), "its run is not uncertain")
 	r.uncertain = true
 	require.True(t, policy.shouldStart(group, 0, task))
 	group.findPending(group.state().Tasks, policy)
 	require.Equal(t, []int{1, 0}, group.pending, "the task without a run comes first")
 	require.Equal(t, 1, group.interchangeable())
 	r.ending = true
-	require.False(t, policy.shouldStart(group, 0, task), "its end is known")
+	require.False(t, policy.shouldStart(group, 0, task), "the end of its run is proposed")
 	r.ending = false
 	group.step.Gang = true
 	require.False(t, policy.shouldStart(group, 0, task))
 }
 
-// TestEndBesideAProposedStart: the end of a task's uncertain run leaves the speculative start alone that is
-// proposed and not committed yet. Proposed again, under the same attempt number, it would be reserved twice
-// at its runner, and the rejection of the second one would take the first for over.
-func TestEndBesideAProposedStart(t *testing.T) {
+// TestRunEndKeepsProposedSpeculativeStart checks that the end of a task's uncertain run has no
+// effect on a speculative start that is proposed and not yet committed. If that start were proposed
+// again with the same attempt number, it would be reserved twice at its runner, and the rejection
+// of the second command would remove the run of the first.
+func TestRunEndKeepsProposedSpeculativeStart(t *testing.T) {
 	s := newTestScheduler()
 	addRunner(s, "a")
 	group := submit(s, "j", job.Step{Count: 2, Resources: job.Resources{CPU: 4000}, Speculative: true})
@@ -60,5 +61,5 @@
 	s.runCycle()
 	require.Empty(t, s.outbox.take(true).Commands)
 	require.Equal(t, reserved, other.load.reserved)
-	require.Equal(t, inFlight-1, s.startWindow.inFlight, "the first start has an end, and no start counts twice")
+	require.Equal(t, inFlight-1, s.startWindow.inFlight, "the first start is released, and no start is counted twice")
 }
--- a/internal/cluster/scheduler/starts.go
+++ b/internal/cluster/scheduler/starts.go
@@ -8,10 +8,11 @@
 )
 
 // startDeadlineMs is how long an order to start may take to arrive, in milliseconds of the runner's
-// clock; later it is not carried out.
+// clock. The runner doesn't carry out an order that arrives later.
 const startDeadlineMs = 250
 
-// startCommitted sends the order whose command was committed, or gives its reservation back.
+// startCommitted processes the outcome of a StartRun command: it sends the order to start if the
+// command was applied, and releases the reservation otherwise.
 func (s *Scheduler) startCommitted(c job.Command, outcome job.Outcome) {
 	key := runKey{task: c.Task, attempt: c.Attempt}
 	runner := s.runners.byID[c.Runner]
@@ -27,7 +28,7 @@
 	if outcome != job.Applied {
 		s.releaseStart(runner.load.remove(key))
 		if group != nil && j != nil {
-			s.refill(group, j)
+			s.refreshPending(group, j)
 		}
 		return
 	}
@@ -36,12 +37,13 @@
 	}
 	r.phase = phaseOrdered
 	if r.stop.requested || runner.ended || j.State.Terminal() {
-		s.endRun(runner, r, job.EndRejected) // its order never left
+		s.endRun(runner, r, job.EndRejected) // the order was never sent
 		return
 	}
 	s.sendStart(j, runner, r)
 }
 
+// sendStart sends the order to start a run, which resumes from the last saved checkpoint if there is one.
 func (s *Scheduler) sendStart(j *job.Job, runner *runnerSession, r *run) {
 	_, step := j.Task(r.task)
 	checkpoint := step.Tasks[r.task.Index].Saved
@@ -54,14 +56,15 @@
 	}
 	r.orderedAt, runner.nextRunCheck = s.now, s.now
 	r.orderDeadlineMs = runner.contact.clockAt(s.now) + startDeadlineMs
-	runner.granted(r.orderDeadlineMs)
+	runner.recordGrant(r.orderDeadlineMs)
 	s.outbox.send(Order{
 		Kind: OrderStart, Runner: runner.id, Address: runner.address, Task: r.task, Attempt: r.attempt,
 		Spec: j.Spec.Text, Checkpoint: checkpoint, DeadlineMs: r.orderDeadlineMs,
 	})
 }
 
-// StartReplied takes in the reply to an order to start. clockMs is the runner's clock; 0: not known.
+// StartReplied processes the reply to an order to start. clockMs is the runner's clock, or 0 if it
+// is not known.
 func (s *Scheduler) StartReplied(now time.Duration, order Order, reply StartReply, clockMs int64) {
 	s.now = now
 	runner := s.runners.byID[order.Runner]
@@ -94,7 +97,7 @@
 	}
 	runner.load.budget.Shrink(r.orderedAt, now, s.learner.meanCost(runner.service))
 	if reply == StartNoReply {
-		return // the next report will say whether it runs
+		return // the next report shows whether it runs
 	}
 	s.log.Info("runner rejected a start", "runner", runner.id, "task", order.Task.String(), "attempt", order.Attempt, "reply", reply.String())
 	s.endRun(runner, r, job.EndRejected)
--- a/internal/cluster/scheduler/startwindow.go
+++ b/internal/cluster/scheduler/startwindow.go
@@ -3,47 +3,50 @@
 import "time"
 
 const (
-	// initialStarts is how many starts may be in flight at first: what a small node orders within
-	// lateStartReply.
-	initialStarts = 128
-	// leastStarts is how many may be in flight however late the replies are.
-	leastStarts = 32
-	// lateStartReply: a reply to an order to start that takes longer is late. An order that takes
-	// twice as long is not carried out (startDeadlineMs).
+	// initialStartWindow is the initial size of the window: the number of starts that a small node
+	// can order within lateStartReply.
+	initialStartWindow = 128
+	// minStartWindow is the minimum size of the window, however late the replies are.
+	minStartWindow = 32
+	// lateStartReply is the time after which the reply to an order to start counts as late. An
+	// order that takes twice as long to arrive is not carried out (startDeadlineMs).
 	lateStartReply = startDeadlineMs / 2 * time.Millisecond
 
-	// startsGrowth is by how much the window grows with each reply that is in time while the window
-	// is in use: by a quarter in the time of an order and its reply.
-	startsGrowth = 0.25
-	// startsShrinkFraction is what a late reply leaves of the window, once in startsShrinkPause.
-	startsShrinkFraction = 0.6
-	startsShrinkPause    = startDeadlineMs * time.Millisecond
+	// startWindowGrowth is how much the window grows with each reply in time while the window is in
+	// use. This makes it grow by a quarter in each round trip of an order and its reply.
+	startWindowGrowth = 0.25
+	// startWindowShrinkFactor is the factor by which a late reply shrinks the window, at most once
+	// in startWindowShrinkInterval.
+	startWindowShrinkFactor   = 0.6
+	startWindowShrinkInterval = startDeadlineMs * time.Millisecond
 )
 
-// startWindow bounds the starts in flight: those that were proposed or ordered and have neither a
-// reply nor an end. More of them than this node and its runners deal with until the orders'
-// deadline cost two commands and an order each and start nothing; where all that waits is ordered
-// at once, as after a loss of the whole control plane, hardly any order arrives in time, the tasks
-// are ordered again, and the node never catches up. So the window follows the replies: it shrinks
-// with late ones and grows while they are in time. Orders without a reply don't count for that: their
-// runners may be gone. The zero value is that of a new leader.
+// startWindow limits the number of starts in flight: those that are proposed or ordered and have
+// neither a reply nor an end. Starts beyond what this node and its runners can process within the
+// orders' deadline cost two commands and one order each and start nothing. If all waiting tasks
+// were ordered at once, for example after a loss of the whole control plane, hardly any order would
+// arrive in time, the tasks would be ordered again, and the node would never catch up.
+//
+// The window therefore follows the replies: it shrinks when they are late and grows while they are
+// in time. Orders without a reply have no effect on the size, because their runners may be lost.
+// The zero value is the window of a new leader.
 type startWindow struct {
-	limit    float64 // 0: initialStarts
+	limit    float64 // 0 means initialStartWindow
 	inFlight int
-	blocked  bool          // it has kept work from starting since the last release
-	shrunkAt time.Duration // 0: never
+	blocked  bool          // it has prevented a start since the last release
+	shrunkAt time.Duration // time of the last shrink; 0 means never
 }
 
-// size returns how many starts may be in flight.
+// size returns the maximum number of starts in flight.
 func (w *startWindow) size() float64 {
 	if w.limit == 0 {
-		return initialStarts
+		return initialStartWindow
 	}
 	return w.limit
 }
 
-// full tells whether nothing more may start now. It notes that work was kept from starting, so
-// that the next release is followed by a cycle.
+// full reports whether no more tasks may start now. If so, it records that work is waiting, so that
+// a cycle follows the next release.
 func (w *startWindow) full() bool {
 	if float64(w.inFlight) < w.size() {
 		return false
@@ -52,13 +55,14 @@
 	return true
 }
 
-// start notes that a run's start was proposed.
+// start records that a run's start was proposed.
 func (w *startWindow) start(r *run) {
 	r.starting = true
 	w.inFlight++
 }
 
-// release notes that a run's start has a reply or an end. It tells whether work waits for that.
+// release records that a run's start has a reply or an end. It reports whether work was waiting for
+// that.
 func (w *startWindow) release(r *run) (waited bool) {
 	if !r.starting {
 		return false
@@ -69,21 +73,22 @@
 	return waited
 }
 
-// replied takes in how long the reply to an order to start took. Call it before release.
+// replied adjusts the window to the time that the reply to an order to start took. It must be
+// called before release.
 func (w *startWindow) replied(now, took time.Duration) {
 	switch {
 	case took <= lateStartReply:
 		if float64(w.inFlight) >= w.size()/2 {
-			w.limit = w.size() + startsGrowth
+			w.limit = w.size() + startWindowGrowth
 		}
-	case w.shrunkAt == 0 || now-w.shrunkAt >= startsShrinkPause:
-		w.limit = max(leastStarts, w.size()*startsShrinkFraction)
+	case w.shrunkAt == 0 || now-w.shrunkAt >= startWindowShrinkInterval:
+		w.limit = max(minStartWindow, w.size()*startWindowShrinkFactor)
 		w.shrunkAt = now
 	}
 }
 
-// releaseStart notes that a run's start has a reply or an end, and lets a cycle follow where work
-// waits for that.
+// releaseStart records that a run's start has a reply or an end, and requests a cycle if work was
+// waiting for that.
 func (s *Scheduler) releaseStart(r *run) {
 	if s.startWindow.release(r) {
 		s.cycle.needed = true
--- a/internal/cluster/scheduler/startwindow_test.go
+++ b/internal/cluster/scheduler/startwindow_test.go
@@ -23,23 +23,23 @@
 func TestStartWindowIsFullUntilAStartIsResolved(t *testing.T) {
 	var w startWindow
 	runs := fillStartWindow(&w)
-	require.Len(t, runs, initialStarts)
-	require.True(t, w.release(runs[0]), "work waited")
+	require.Len(t, runs, initialStartWindow)
+	require.True(t, w.release(runs[0]), "work was waiting")
 	require.False(t, w.full())
-	require.False(t, w.release(runs[0]), "it counts once")
-	require.False(t, w.release(runs[1]), "nothing has waited since")
+	require.False(t, w.release(runs[0]), "a start is released only once")
+	require.False(t, w.release(runs[1]), "nothing has waited since the last release")
 	require.Len(t, fillStartWindow(&w), 2)
 }
 
 func TestStartWindowGrowsWithRepliesInTimeWhileInUse(t *testing.T) {
 	var w startWindow
 	w.replied(testNow, lateStartReply)
-	require.InDelta(t, initialStarts, w.size(), 0, "it is not in use")
+	require.InDelta(t, initialStartWindow, w.size(), 0, "the window is not in use")
 	fillStartWindow(&w)
 	for range 8 {
 		w.replied(testNow, lateStartReply)
 	}
-	require.InDelta(t, initialStarts+8*startsGrowth, w.size(), 0)
+	require.InDelta(t, initialStartWindow+8*startWindowGrowth, w.size(), 0)
 }
 
 func TestStartWindowShrinksWithLateRepliesOnceInAPause(t *testing.T) {
@@ -47,17 +47,17 @@
 	for range 8 {
 		w.replied(testNow, lateStartReply+1)
 	}
-	require.InDelta(t, initialStarts*startsShrinkFraction, w.size(), 0)
-	w.replied(testNow+startsShrinkPause, lateStartReply+1)
-	require.InDelta(t, initialStarts*startsShrinkFraction*startsShrinkFraction, w.size(), 1e-9)
+	require.InDelta(t, initialStartWindow*startWindowShrinkFactor, w.size(), 0)
+	w.replied(testNow+startWindowShrinkInterval, lateStartReply+1)
+	require.InDelta(t, initialStartWindow*startWindowShrinkFactor*startWindowShrinkFactor, w.size(), 1e-9)
 	for at := range time.Duration(8) {
-		w.replied(testNow+at*startsShrinkPause, lateStartReply+1)
+		w.replied(testNow+at*startWindowShrinkInterval, lateStartReply+1)
 	}
-	require.InDelta(t, leastStarts, w.size(), 0)
+	require.InDelta(t, minStartWindow, w.size(), 0)
 }
 
-// TestStartsWaitForTheWindow: what waits starts once a start has a reply, whatever the reply is, or
-// an end without a reply.
+// TestStartsWaitForTheWindow checks that waiting tasks start once a start has a reply, of any kind,
+// or an end without a reply.
 func TestStartsWaitForTheWindow(t *testing.T) {
 	s := newTestScheduler()
 	s.startWindow.limit = 4
@@ -84,5 +84,5 @@
 	for _, order := range orders {
 		s.endCommitted(s.store.Jobs["j"], job.Command{Kind: job.EndRun, Task: order.Task, Attempt: order.Attempt, Runner: "a", EndReason: job.EndLost}, job.Rejected)
 	}
-	require.Zero(t, s.startWindow.inFlight, "they were counted off before")
+	require.Zero(t, s.startWindow.inFlight, "they were already released")
 }
--- a/internal/cluster/scheduler/stops.go
+++ b/internal/cluster/scheduler/stops.go
@@ -6,33 +6,34 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// stopRetryInterval is the pause before a stop that got no reply is sent again.
+// stopRetryInterval is the pause before an order to stop without a reply is sent again.
 const stopRetryInterval = 400 * time.Millisecond
 
-// stopIfUnwanted stops a run that nobody waits for any more.
-func (s *Scheduler) stopIfUnwanted(j *job.Job, runner *runnerSession, r *run) {
+// stopIfUnneeded stops a run whose result is no longer needed.
+func (s *Scheduler) stopIfUnneeded(j *job.Job, runner *runnerSession, r *run) {
 	task, _ := j.Task(r.task)
 	if j.State.Terminal() || task == nil || task.Done {
 		s.requestStop(runner, r)
 	}
 }
 
-// requestStop stops a run: the order is sent again until the run is known to be over.
+// requestStop stops a run. The order is sent again until the runner confirms it or the run is over.
 func (s *Scheduler) requestStop(runner *runnerSession, r *run) {
 	r.stop.requested, runner.nextRunCheck = true, s.now
 	s.sendStop(runner, r)
 }
 
-// sendStop sends the order to stop a run, unless there is no need or the last one was sent lately.
+// sendStop sends the order to stop a run, unless it is unnecessary or was sent recently.
 func (s *Scheduler) sendStop(runner *runnerSession, r *run) {
-	if r.phase == phaseProposed || r.ending || runner.ended || runner.lease.fencedOff || r.stop.pending || r.stop.confirmedMs > 0 || s.now < r.stop.retryAt {
+	if r.phase == phaseProposed || r.ending || runner.ended || runner.lease.rejectsToken || r.stop.pending || r.stop.confirmedMs > 0 || s.now < r.stop.retryAt {
 		return
 	}
 	r.stop.pending, r.stop.retryAt = true, s.now+stopRetryInterval
 	s.outbox.send(Order{Kind: OrderStop, Runner: runner.id, Address: runner.address, Task: r.task, Attempt: r.attempt})
 }
 
-// StopReplied takes in the reply to a stop. clockMs is the runner's clock where it confirmed it.
+// StopReplied processes the reply to an order to stop. clockMs is the runner's clock if the reply
+// is StopConfirmed.
 func (s *Scheduler) StopReplied(now time.Duration, order Order, reply StopReply, clockMs int64) {
 	s.now = now
 	runner := s.runners.byID[order.Runner]
@@ -63,8 +64,8 @@
 	}
 }
 
-// stopRedundantRuns stops the other runs that the end of one makes useless: of the same task, once
-// it is done, and of the same gang, if it is not.
+// stopRedundantRuns stops the runs that are no longer needed after the end of another one: the
+// other runs of a task that is done, or the other runs of a gang of which a run was not done.
 func (s *Scheduler) stopRedundantRuns(j *job.Job, c job.Command) {
 	task, step := j.Task(c.Task)
 	if step == nil {
--- a/internal/cluster/scheduler/stops_test.go
+++ b/internal/cluster/scheduler/stops_test.go
@@ -8,8 +8,8 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// TestStopsAreSentInTheOrderOfTheirTasks: the runs of a runner are in a map, whose order differs from
-// one time to the next.
+// TestStopsAreSentInTheOrderOfTheirTasks checks that orders to stop don't depend on the iteration
+// order of the map that holds a runner's runs.
 func TestStopsAreSentInTheOrderOfTheirTasks(t *testing.T) {
 	const runs = 40
 	s := newTestScheduler()
--- a/internal/cluster/scheduler/straggler.go
+++ b/internal/cluster/scheduler/straggler.go
@@ -7,39 +7,41 @@
 )
 
 const (
-	// slowRatio: a run that takes so many times longer than expected is slow.
+	// slowRatio is the ratio of the run time to the expected run time from which on a run is slow.
 	slowRatio = 2.2
-	// stalledRatio: one that takes so many times longer has stalled, whatever else is known.
+	// stalledRatio is the ratio above which a run has stalled, regardless of its peers.
 	stalledRatio = 50.0
-	// slowJobs: the estimates of so many jobs at one runner are not all wrong.
+	// slowJobs is the number of jobs with slow runs at one runner from which on the runner is
+	// considered slow: it is unlikely that the estimates of all these jobs are wrong.
 	slowJobs = 3
 
-	// A run migrates if what is left of it takes migrationGain times a new run, and the restoring
-	// of a checkpoint and migrationCost beside that.
+	// A run migrates if its remaining time exceeds migrationGain times the run time of a new run,
+	// plus the time to restore a checkpoint, plus migrationCost.
 	migrationGain = 1.3
 	migrationCost = 200 * time.Millisecond
-	// maxMigratedAttempt: a run of this attempt, or a later one, stays where it is.
+	// maxMigratedAttempt is the attempt number from which on a run of a slow runner is no longer
+	// migrated.
 	maxMigratedAttempt = 4
-	// A gang, whose migration costs all its tasks, migrates only after gangPatience of its expected
-	// run times and gangPatienceFloor.
-	gangPatience      = 2.5
-	gangPatienceFloor = time.Second
+	// The migration of a gang restarts all its tasks, so a gang's run migrates only after
+	// gangMinElapsedRatio times its expected run time plus gangMinElapsed.
+	gangMinElapsedRatio = 2.5
+	gangMinElapsed      = time.Second
 )
 
-// stragglerPolicy tells which runs are to migrate: those that have stalled, that are slow by the
-// fault of their runner, or that would end with their runner. They are stopped, and start again
-// elsewhere from what they saved.
+// stragglerPolicy decides which runs have to migrate: those that have stalled, those that are slow
+// because of their runner, and those that would not end before their runner leaves. Migrating runs
+// are stopped and started again elsewhere from their last checkpoint.
 type stragglerPolicy struct {
 	store       *job.Store
 	runners     *runnerTable
-	restoreTime time.Duration              // how long a run that resumes makes no progress at first
-	found       map[groupKey][]runSlowness // runs of the steps looked at in checkAll; nil outside of it
+	restoreTime time.Duration              // time that a resumed run takes before it makes progress
+	found       map[groupKey][]runSlowness // runs of the steps examined during checkAll; nil outside of it
 }
 
-// runsToMigrate returns the runs of a runner that are to migrate, in a fixed order. It notes at the
-// runner that it is slow.
+// runsToMigrate returns the runs of a runner that have to migrate, in a fixed order. If the runner
+// is slow, it records that in the runner's session.
 func (p *stragglerPolicy) runsToMigrate(now time.Duration, runner *runnerSession) []*run {
-	if !runner.contact.fenced || now-runner.contact.lastContact > contactTimeout || len(runner.load.runs) == 0 {
+	if !runner.contact.tokenAccepted || now-runner.contact.lastContact > contactTimeout || len(runner.load.runs) == 0 {
 		return nil
 	}
 	slow := p.isSlow(now, runner)
@@ -56,9 +58,10 @@
 	return migrating
 }
 
-// isSlow tells whether a runner is slow at this moment. That a run takes longer than expected says
-// little: its job's estimate may be wrong. It counts where the same step's runs elsewhere do
-// better, where it has stalled, or where all jobs that run here, several, are slow.
+// isSlow reports whether a runner is slow at this time. A single run that takes longer than
+// expected is not sufficient, because its job's estimate may be wrong. A runner is slow if one of
+// its runs has stalled, if a run is slow compared to runs of the same step on other runners, or if
+// all its runs of known slowness are slow and belong to at least slowJobs jobs.
 func (p *stragglerPolicy) isSlow(now time.Duration, runner *runnerSession) bool {
 	slowJobIDs, normal, certain := map[string]bool{}, 0, false
 	for _, r := range runner.load.runs {
@@ -66,7 +69,7 @@
 		if ratio == 0 {
 			continue
 		}
-		if ratio < slowRatio { // before the peers are looked at, which costs more
+		if ratio < slowRatio { // checked before the runs on other runners, which costs more
 			normal++
 			continue
 		}
@@ -81,15 +84,15 @@
 	return certain || normal == 0 && len(slowJobIDs) >= slowJobs
 }
 
-// recordSlow makes a runner suspect, and lets the slowness weigh in its recent run times.
+// recordSlow makes a runner suspect and includes the slowness in its recent slowdown.
 func (r *runnerSession) recordSlow(now time.Duration) {
 	if r.suspicion.slowObserved(now) {
 		r.speed.slowdown.Add(maxSlowdown, slowdownWindow)
 	}
 }
 
-// slownessElsewhere returns the mean slowness of the same step's runs at other runners; false:
-// none is known.
+// slownessElsewhere returns the mean slowness of the same step's runs on other runners, and whether
+// any is known.
 func (p *stragglerPolicy) slownessElsewhere(now time.Duration, runner *runnerSession, r *run) (mean float64, known bool) {
 	n := 0
 	for _, peer := range p.stepSlowness(now, r.task) {
@@ -101,21 +104,22 @@
 	return mean / max(1, float64(n)), n > 0
 }
 
-// runSlowness is how slow a run is, where that is known, and where it runs.
+// runSlowness is the slowness of a run and the runner it runs on.
 type runSlowness struct {
 	runner   *runnerSession
 	slowness float64
 }
 
-// checkAll checks runners with the runs of each step found once, however many of them are slow: a step
-// may have thousands. The check must change no run's progress.
+// checkAll calls check with a cache of the runs of each step, so that the runs of a step, of which
+// there may be thousands, are searched only once. check must not change the progress of any run.
 func (p *stragglerPolicy) checkAll(check func()) {
 	p.found = map[groupKey][]runSlowness{}
 	check()
 	p.found = nil
 }
 
-// stepSlowness returns the runs of a task's step whose slowness is known at this moment.
+// stepSlowness returns the runs of a task's step whose slowness is known at this time, from the
+// cache if there is one.
 func (p *stragglerPolicy) stepSlowness(now time.Duration, ref job.TaskRef) []runSlowness {
 	if p.found == nil {
 		return p.findStepSlowness(now, ref)
@@ -129,6 +133,7 @@
 	return runs
 }
 
+// findStepSlowness returns the same as stepSlowness, without the cache.
 func (p *stragglerPolicy) findStepSlowness(now time.Duration, ref job.TaskRef) []runSlowness {
 	_, step := p.store.Jobs[ref.Job].Task(ref)
 	if step == nil {
@@ -150,8 +155,8 @@
 	return runs
 }
 
-// shouldMigrate tells whether a run is to migrate from a runner that is slow, or not, at this
-// moment.
+// shouldMigrate reports whether a run has to migrate from its runner; slow is the result of isSlow
+// for the runner.
 func (p *stragglerPolicy) shouldMigrate(now time.Duration, runner *runnerSession, r *run, slow bool) bool {
 	j := p.store.Jobs[r.task.Job]
 	if j == nil || r.task.Step >= len(j.Spec.Steps) {
@@ -159,12 +164,12 @@
 	}
 	step := &j.Spec.Steps[r.task.Step]
 	if step.LongRunning {
-		return runner.drain.mustMigrate(now)
+		return runner.drain.departureImminent(now)
 	}
-	return slow && p.newRunIsSooner(now, runner, r, step) || runner.drain.interrupts(now, r, step.Checkpoints)
+	return slow && p.newRunIsSooner(now, runner, r, step) || runner.drain.requiresMigration(now, r, step.Checkpoints)
 }
 
-// newRunIsSooner tells whether a run takes so long that a new one elsewhere would end sooner.
+// newRunIsSooner reports whether a new run elsewhere is expected to end sooner than this slow run.
 func (p *stragglerPolicy) newRunIsSooner(now time.Duration, runner *runnerSession, r *run, step *job.Step) bool {
 	if r.attempt >= maxMigratedAttempt || r.slowness(now) < slowRatio {
 		return false
@@ -173,14 +178,14 @@
 	if elsewhere, known := p.slownessElsewhere(now, runner, r); known {
 		expected = time.Duration(max(1, elsewhere) * float64(expected))
 	}
-	if step.Gang && now-r.orderedAt < time.Duration(gangPatience*float64(expected))+gangPatienceFloor {
+	if step.Gang && now-r.orderedAt < time.Duration(gangMinElapsedRatio*float64(expected))+gangMinElapsed {
 		return false
 	}
 	remaining, known := r.remaining()
 	return known && remaining > time.Duration(migrationGain*float64(expected))+p.restoreTime+migrationCost
 }
 
-// migrateStragglers stops the runs of a runner that are to migrate.
+// migrateStragglers stops the runs of a runner that have to migrate.
 func (s *Scheduler) migrateStragglers(runner *runnerSession) {
 	for _, r := range s.stragglers.runsToMigrate(s.now, runner) {
 		s.log.Info("run is migrated", "task", r.task.String(), "attempt", r.attempt, "runner", runner.id, "percent", r.progress.percent,
--- a/internal/cluster/scheduler/suspicion_test.go
+++ b/internal/cluster/scheduler/suspicion_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRunnerIsSuspectOnceItFailsMuchOfWhatItRuns(t *testing.T) {
+func TestRunnerIsSuspectAfterFrequentFailures(t *testing.T) {
 	var s suspicion
 	s.runFailed()
 	s.runFailed()
-	require.False(t, s.suspect(), "too few runs to tell")
+	require.False(t, s.suspect(), "too few runs")
 	s.runFailed()
 	require.True(t, s.suspect())
 	for range 2 * failureWindow {
@@ -23,10 +23,10 @@
 func TestProbesOfASuspectRunnerComeWithGrowingPauses(t *testing.T) {
 	var s suspicion
 	s.runStarted(time.Second)
-	require.True(t, s.probeDue(time.Second), "a start at a runner that is not suspect is no probe")
+	require.True(t, s.probeDue(time.Second), "a start at a runner that is not suspect doesn't count as a probe")
 	s.slowObserved(time.Second)
 	require.True(t, s.suspect())
-	require.True(t, s.probeDue(time.Second), "the first probe needs no pause")
+	require.True(t, s.probeDue(time.Second), "the first probe is due immediately")
 
 	now := time.Second
 	var pauses []time.Duration
@@ -40,19 +40,19 @@
 	require.Equal(t, []time.Duration{800 * time.Millisecond, 1600 * time.Millisecond, 3200 * time.Millisecond, maxProbeInterval, maxProbeInterval, maxProbeInterval}, pauses)
 
 	s.runInTime(now - time.Millisecond)
-	require.False(t, s.suspect(), "a run that ends in its time clears it")
+	require.False(t, s.suspect(), "a run that ends in time clears the runner")
 	require.True(t, s.probeDue(now))
 	require.Zero(t, s.probes)
 }
 
-func TestObservationsOfSlownessCountOnceInAWhile(t *testing.T) {
+func TestSlownessObservationsAreRateLimited(t *testing.T) {
 	var s suspicion
 	require.True(t, s.slowObserved(time.Second))
 	require.False(t, s.slowObserved(time.Second+slowObservationInterval-1))
 	require.True(t, s.slowObserved(time.Second+slowObservationInterval))
 }
 
-// TestFailuresAreNotClearedByARunInTime: only slowness is.
+// TestFailuresAreNotClearedByARunInTime checks that a run in time clears a runner only of slowness.
 func TestFailuresAreNotClearedByARunInTime(t *testing.T) {
 	var s suspicion
 	for range suspectRuns {
--- a/internal/cluster/scheduler/unresponsive.go
+++ b/internal/cluster/scheduler/unresponsive.go
@@ -1,15 +1,18 @@
 package scheduler
 
-// A runner that owes a reply is given nothing new (runnerContact.unresponsive). What it runs may
-// be lost, or not: until that is known, steps that allow it get speculative attempts elsewhere.
+// A runner whose reply is overdue gets no new tasks (runnerContact.unresponsive). Its runs may or
+// may not be lost. Until that is known, tasks of steps that allow it get speculative attempts
+// elsewhere.
 
-// checkResponsive finds out whether a runner owes a reply, and what follows for its runs.
+// checkResponsive determines whether a runner's reply is overdue and which of its runs are
+// uncertain. Each time a runner becomes unresponsive, it is recorded once for the mass-timeout
+// detection.
 func (s *Scheduler) checkResponsive(runner *runnerSession) {
 	contact := &runner.contact
-	contact.replyPending = false
+	contact.startReplyOverdue = false
 	for _, r := range runner.load.runs {
 		overdue := s.leases.startOverdue(s.now, r)
-		contact.replyPending = contact.replyPending || overdue && contact.lastContact < r.orderedAt
+		contact.startReplyOverdue = contact.startReplyOverdue || overdue && contact.lastContact < r.orderedAt
 		if (overdue || contact.missedPolls > 0) && !r.uncertain {
 			r.uncertain = true
 			s.allowSpeculativeAttempt(runner, r)
@@ -25,8 +28,8 @@
 	}
 }
 
-// confirmRun notes that a run that may have been lost goes on. A speculative attempt that has not
-// left yet does not leave.
+// confirmRun records that a run that may have been lost is still active. A pending speculative
+// attempt whose start is not yet proposed is cancelled.
 func (s *Scheduler) confirmRun(r *run) {
 	if !r.uncertain {
 		return
@@ -34,6 +37,6 @@
 	r.uncertain = false
 	j := s.store.Jobs[r.task.Job]
 	if group := s.groups.of(r.task); j != nil && group != nil && s.speculation.allowed(group.step) {
-		s.refill(group, j)
+		s.refreshPending(group, j)
 	}
 }
--- a/internal/cluster/scheduler/unresponsive_test.go
+++ b/internal/cluster/scheduler/unresponsive_test.go
@@ -9,7 +9,8 @@
 	"basaltloft/internal/cluster/job"
 )
 
-// runningTask lets the only task of a job run at a runner since testNow; its order has no reply.
+// runningTask adds a job whose only task has been ordered to start at a runner at testNow, without
+// a reply yet.
 func runningTask(t *testing.T, s *Scheduler, runner *runnerSession, speculative bool) (*taskGroup, *run) {
 	t.Helper()
 	step := job.Step{Count: 1, Speculative: speculative}
@@ -23,14 +24,14 @@
 	return group, r
 }
 
-func TestRunnerThatOwesTheReplyToAStartIsUnresponsive(t *testing.T) {
+func TestRunnerWithOverdueStartReplyIsUnresponsive(t *testing.T) {
 	s, runner := newTestScheduler(), contactedRunner()
 	runner.contact.lastContact = testNow - time.Millisecond
 	s.runners.add(runner)
 	_, r := runningTask(t, s, runner, false)
 	s.now = testNow + startReplyTimeout
 	s.checkResponsive(runner)
-	require.False(t, runner.contact.unresponsive(), "its time is not over")
+	require.False(t, runner.contact.unresponsive(), "the reply is not overdue yet")
 
 	s.now++
 	s.checkResponsive(runner)
@@ -38,11 +39,11 @@
 	require.False(t, runner.takesWork(s.now))
 	require.True(t, r.uncertain)
 	s.checkResponsive(runner)
-	require.Len(t, s.massTimeout.timeouts, 1, "it counts once")
+	require.Len(t, s.massTimeout.timeouts, 1, "it is recorded once")
 
 	runner.contact.replied(s.now, 0)
 	s.checkResponsive(runner)
-	require.False(t, runner.contact.unresponsive(), "something came since the order was sent")
+	require.False(t, runner.contact.unresponsive(), "a reply has arrived since the order was sent")
 }
 
 func TestUncertainRunGetsASpeculativeAttempt(t *testing.T) {
@@ -52,7 +53,7 @@
 		want        []int // tasks to start
 	}{
 		{"its step allows it", true, []int{0}},
-		{"its step does not allow it", false, nil},
+		{"its step doesn't allow it", false, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s, runner := newTestScheduler(), contactedRunner()
@@ -61,10 +62,10 @@
 			runner.contact.missedPolls = 1
 			s.checkResponsive(runner)
 			require.Equal(t, test.want, group.pending)
-			require.Equal(t, test.speculative, group.avoid[runner.id], "it starts elsewhere")
+			require.Equal(t, test.speculative, group.avoid[runner.id], "the attempt has to start elsewhere")
 
 			s.confirmRun(r)
-			require.Empty(t, group.pending, "the run goes on, and the attempt has not left")
+			require.Empty(t, group.pending, "the run is active, and the attempt is not yet proposed")
 		})
 	}
 }
--- a/internal/cluster/scheduler/urgency.go
+++ b/internal/cluster/scheduler/urgency.go
@@ -6,22 +6,24 @@
 	"basaltloft/internal/cluster/placement"
 )
 
-// A job's objective allows it so many times its work. With less than highUrgencyBelow a slow runner, or
-// a short wait, makes it late; with lowUrgencyFrom or more neither does.
+// A job's objective allows a multiple of its run time. Below highUrgencyBelow, a slow runner or a
+// short wait makes the job late; from lowUrgencyFrom on, neither does.
 const (
 	highUrgencyBelow = 2.0
 	lowUrgencyFrom   = 3.0
 )
 
-// healthyOnlyWait is how long urgent tasks wait for a healthy runner rather than probe a suspect
-// one. It ends soon: where all healthy runners are full and others are free, work must not wait
-// for seconds.
+// healthyOnlyWait is how long urgent tasks wait for a healthy runner before they may also run as a
+// probe on a suspect one. It is short: if all healthy runners are full and other runners are free,
+// tasks must not wait for seconds.
 const healthyOnlyWait = time.Second
 
-// minExpected bounds expected run times, in seconds, where they divide.
+// minExpected is the lower bound of expected run times, in seconds, when they are used as a
+// divisor.
 const minExpected = 0.001
 
-// urgency says how much time a group's job has to spare.
+// urgency returns the urgency of a group's tasks, from the time that its job's objective leaves
+// beyond its work.
 func (g *taskGroup) urgency() placement.Urgency {
 	if g.step.LongRunning {
 		return placement.UrgencyLow
--- a/internal/cluster/scheduler/urgency_test.go
+++ b/internal/cluster/scheduler/urgency_test.go
@@ -11,7 +11,7 @@
 func TestUrgency(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		stretch     float64
+		extension   float64
 		targetMs    int64
 		longRunning bool
 		want        placement.Urgency
@@ -24,7 +24,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			group := groupExpecting(1)
-			group.job.Extension, group.job.TargetMs, group.step.LongRunning = test.stretch, test.targetMs, test.longRunning
+			group.job.Extension, group.job.TargetMs, group.step.LongRunning = test.extension, test.targetMs, test.longRunning
 			require.Equal(t, test.want, group.urgency())
 		})
 	}
