--- a/internal/cluster/scheduler/order.go
+++ b/internal/cluster/scheduler/order.go
@@ -84,7 +84,7 @@
 const (
 	StartAccepted         StartReply = iota + 1
 	StartNoCapacity                  // 409 room
-	StartRefused                     // other 409, 400, 429, 503: the run was not started and never will be
+	StartRefused                     // other 409, 400, 429, 503: the run is not active and never will be
 	StartOtherIncarnation            // 421: another incarnation runs at the address
 	StartNoReply                     // no reply
 )
--- a/internal/cluster/scheduler/runner.go
+++ b/internal/cluster/scheduler/runner.go
@@ -76,7 +76,8 @@
 }
 
 const (
-	// contactTimeout is how long after its last reply a runner gets no more new tasks and leases.
+	// contactTimeout is the time after a runner's last reply from which on it gets no new tasks and
+	// no new leases.
 	contactTimeout = 1200 * time.Millisecond
 	// slowestClock is the lowest rate of a runner's clock that the deployment's rules allow.
 	slowestClock = 0.98
--- a/internal/cluster/scheduler/simulation_test.go
+++ b/internal/cluster/scheduler/simulation_test.go
@@ -112,7 +112,7 @@
 	jobs                map[string]*submitted
 	order               []string
 	events              []event
-	lateShare           float64 // fraction of orders that get no reply and are carried out late
+	lateShare           float64 // fraction of orders that get no reply and are carried out seconds later
 	fault               plantedFault
 	serial              int
 	incompleteGangs     int
