--- a/coord/group/apply.go
+++ b/coord/group/apply.go
@@ -10,17 +10,17 @@
 	"basaltloft/coord/replica"
 )
 
-// maxProposals bounds the proposals that are not committed yet.
+// maxProposals limits the proposals that are not committed yet.
 const maxProposals = 4096
 
-// proposal is a command that was appended and is not committed yet.
+// proposal is a command that is in the log but not committed yet.
 type proposal struct {
 	term uint64
 	done func(result any, err error)
 }
 
-// Propose proposes a command. done is called once, at once or in a later TakeEffects, with the
-// result of its application or with one of the errors of proposals.
+// Propose proposes a command. done is called once, immediately or during a later TakeEffects, with the
+// result of applying the command or with ErrNotLeader, ErrBusy or ErrOutcomeUnknown.
 func (e *Engine) Propose(now time.Duration, command []byte, done func(result any, err error)) {
 	if e.haltCause != nil {
 		done(nil, ErrNotLeader)
@@ -38,7 +38,7 @@
 	e.proposals[index] = proposal{term: term, done: done}
 }
 
-// apply applies a committed entry and answers its proposal; false: the replica has halted.
+// apply applies a committed entry and completes its proposal. It returns false if the replica has halted.
 func (e *Engine) apply(entry replica.Entry) bool {
 	var result any
 	if entry.Kind == replica.EntryCommand {
@@ -53,7 +53,7 @@
 		return true
 	}
 	delete(e.proposals, entry.Index)
-	if pending.term != entry.Term { // another leader's entry has this index
+	if pending.term != entry.Term { // an entry of another leader was committed at this index
 		pending.done(nil, ErrOutcomeUnknown)
 		return true
 	}
@@ -61,9 +61,10 @@
 	return true
 }
 
-// restore replaces the state by that of an installed snapshot, before it goes to disk; false: the
-// replica has halted. It must not continue with its older state: it could become the leader with it,
-// at the snapshot's index.
+// restore replaces the state with that of an installed snapshot, before the snapshot is written to
+// disk. It returns false if the replica has halted because the snapshot could not be restored. Such a
+// replica must not continue: its node is at the snapshot's index already, and it could become the
+// leader with the older state.
 func (e *Engine) restore(snapshot replica.Snapshot) bool {
 	if err := e.stateMachine.Restore(snapshot.Data); err != nil {
 		e.halt(errors.Wrapf(err, "snapshot at %d", snapshot.Index))
@@ -72,8 +73,8 @@
 	return true
 }
 
-// halt stops this replica until its process restarts: its state would differ from the others', or does already. What
-// is on its disk stays as it is.
+// halt stops this replica until its process restarts, because its state differs or would differ from
+// that of the other replicas. Its data on disk stays unchanged.
 func (e *Engine) halt(cause error) {
 	e.haltCause = errors.Wrap(ErrHalted, cause.Error())
 	e.logger.Error("replica halted", "error", e.haltCause)
@@ -84,7 +85,8 @@
 	e.failProposals(func(proposal) bool { return true })
 }
 
-// failProposals answers those proposals whose outcome this replica won't learn, in their order.
+// failProposals fails the proposals for which isLost returns true with ErrOutcomeUnknown, in the order
+// of their indexes.
 func (e *Engine) failProposals(isLost func(proposal) bool) {
 	for _, index := range slices.Sorted(maps.Keys(e.proposals)) {
 		if pending := e.proposals[index]; isLost(pending) {
--- a/coord/group/disk.go
+++ b/coord/group/disk.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// writeRetryInterval is the pause before a failed write is tried again.
+// writeRetryInterval is the wait before a failed write is retried.
 const writeRetryInterval = 300 * time.Millisecond
 
 // queueWrites queues writes for runDisk, in order.
@@ -22,8 +22,8 @@
 	return writes
 }
 
-// runDisk carries out the queued writes, until the group is closed. All appends that wait together
-// share one sync.
+// runDisk executes the queued writes until the group is closed. Appends that are queued together share
+// one sync.
 func (g *Group) runDisk() {
 	defer g.stopped.Done()
 	for {
@@ -38,15 +38,15 @@
 			if !g.persist(batch) {
 				return
 			}
-			nearlyFull := g.ring.NearlyFull() || g.ring.BytesSinceSnapshot() > g.snapshotThreshold
-			g.post(func(now time.Duration) { g.engine.Persisted(now, batch, nearlyFull) })
+			snapshotDue := g.ring.NearlyFull() || g.ring.BytesSinceSnapshot() > g.snapshotThreshold
+			g.post(func(now time.Duration) { g.engine.Persisted(now, batch, snapshotDue) })
 			writes = writes[size:]
 		}
 	}
 }
 
-// persist repeats a batch of writes until it succeeds; false: the group is closed. Meanwhile this
-// replica acknowledges nothing, and the other replicas work without it.
+// persist retries a batch of writes until it succeeds. It returns false if the group is closed first.
+// Until the batch succeeds, this replica acknowledges nothing, and the other replicas work without it.
 func (g *Group) persist(batch []DiskWrite) bool {
 	for {
 		err := PersistWrites(g.ring, batch)
--- a/coord/group/diskwrite.go
+++ b/coord/group/diskwrite.go
@@ -5,19 +5,19 @@
 	"basaltloft/coord/ringlog"
 )
 
-// DiskWrite is one write of the log or of a snapshot. A driver passes it to PersistWrites, and then to
-// Engine.Persisted; its content is of no concern to the driver.
+// DiskWrite is one write to the log or of a snapshot. A driver passes it to PersistWrites and then to
+// Engine.Persisted; its content is opaque to the driver.
 type DiskWrite struct {
 	hardState *replica.HardState
 	entries   []replica.Entry
-	install   *replica.Snapshot // from the leader: it replaces the log
-	snapshot  *replica.Snapshot // of this replica's own state: the log stays
+	install   *replica.Snapshot // received from the leader; it replaces the log
+	snapshot  *replica.Snapshot // of this replica's own state; the log is kept
 
 	messagesAfterSync []replica.Message
-	bytes             int // of data, as counted in Engine.unsyncedBytes
+	bytes             int // data size that was added to Engine.unsyncedBytes
 }
 
-// newWrite returns the write that a Ready asks for, if any.
+// newWrite returns the write that a Ready requires. needed is false if it requires none.
 func (e *Engine) newWrite(ready *replica.Ready) (write DiskWrite, needed bool) {
 	if ready.HardState == nil && len(ready.Entries) == 0 && ready.Snapshot == nil && len(ready.MessagesAfterSync) == 0 {
 		return DiskWrite{}, false
@@ -33,10 +33,12 @@
 	return write, true
 }
 
-// onlyAppends reports whether a write can share a sync with other appends.
+// onlyAppends reports whether a write only appends to the log, so that it can share a sync with other
+// appends.
 func (w *DiskWrite) onlyAppends() bool { return w.install == nil && w.snapshot == nil }
 
-// SyncBatchSize returns how many of the first writes can share one sync; there must be at least one.
+// SyncBatchSize returns how many writes at the front of the queue can share one sync. writes must not
+// be empty.
 func SyncBatchSize(writes []DiskWrite) int {
 	size := 1
 	for size < len(writes) && writes[size].onlyAppends() && writes[0].onlyAppends() {
@@ -45,8 +47,8 @@
 	return size
 }
 
-// PersistWrites writes and syncs a batch of SyncBatchSize. After an error it may be called again
-// with the same batch.
+// PersistWrites writes and syncs a batch of the size that SyncBatchSize returned. After an error it may
+// be called again with the same batch.
 func PersistWrites(ring *ringlog.Ring, batch []DiskWrite) error {
 	first := batch[0]
 	if first.snapshot != nil {
@@ -64,7 +66,7 @@
 	return ring.Append(hardState, entries)
 }
 
-// merge joins appends into one: the last hard state and all entries.
+// merge combines the appends of a batch: it returns their last hard state and all their entries.
 func merge(batch []DiskWrite) (hardState *replica.HardState, entries []replica.Entry) {
 	if len(batch) == 1 {
 		return batch[0].hardState, batch[0].entries
--- a/coord/group/doc.go
+++ b/coord/group/doc.go
@@ -1,10 +1,10 @@
-// Package group runs one replica of a replicated state machine. Engine decides: it feeds the Raft
-// node of package replica with messages, proposals and time, applies what is committed, manages the
-// membership, takes snapshots and transfers them, all without I/O. Group drives it: one goroutine
-// owns the engine; another writes to the disk through package ringlog, so that a disk that hangs
-// delays neither heartbeats nor elections.
+// Package group runs one replica of a replicated state machine. Engine contains the logic and does no
+// I/O: it passes messages, proposals and the time to the Raft node of package replica, applies
+// committed entries, manages the membership, and takes and transfers snapshots. Group drives an
+// Engine: one goroutine owns it, and another writes to disk through package ringlog, so that a
+// hanging disk delays neither heartbeats nor elections.
 //
-// A caller opens a Group, bootstraps it where its group is new, and runs it. It routes messages of
-// other replicas to Receive, proposes commands, and acts for the group only while Lease says that
-// this replica is the leader.
+// A caller opens a Group, bootstraps it if the group is new, and runs it. It passes messages from other
+// replicas to Receive, proposes commands with Propose, and acts as the leader only while Lease reports
+// that this replica holds the lease.
 package group
--- a/coord/group/effects.go
+++ b/coord/group/effects.go
@@ -6,28 +6,28 @@
 	"basaltloft/coord/replica"
 )
 
-// Lease is a leader's right to act without asking the others.
+// Lease is a leader lease: until it expires, the leader may act without contacting a quorum.
 type Lease struct {
-	Epoch uint64        // the term
-	Until time.Duration // by the replica's clock; 0: it has no lease
+	Epoch uint64        // the Raft term
+	Until time.Duration // expiry by the replica's clock; 0 without a lease
 }
 
-// Envelope is a message with the address, as host:port, that it goes to.
+// Envelope is a message with the address (host:port) of its receiver.
 type Envelope struct {
 	Address string
 	Message replica.Message
 }
 
-// Effects are what an Engine asks of its driver.
+// Effects are the actions that an Engine requests from its driver.
 type Effects struct {
 	Lease    Lease
-	Leader   replica.Member // the zero value: none is known
+	Leader   replica.Member // the zero value if none is known
 	Messages []Envelope
-	Writes   []DiskWrite // in order; Engine.Persisted is called once some are synced
+	Writes   []DiskWrite // in order; the driver calls Engine.Persisted after syncing them
 }
 
-// Execute carries the effects out in the order that is safe: the lease is published before anything
-// is sent, so that no other goroutine relies on one that a message gives up.
+// Execute executes the effects in a safe order: it publishes the lease before it sends messages. A
+// message may give up the lease, and no other goroutine may rely on the lease after that.
 func (e *Effects) Execute(publish func(Lease, replica.Member), write func([]DiskWrite), send func(Envelope)) {
 	publish(e.Lease, e.Leader)
 	if len(e.Writes) > 0 {
--- a/coord/group/engine.go
+++ b/coord/group/engine.go
@@ -9,13 +9,13 @@
 	"basaltloft/coord/replica"
 )
 
-// maxUnsyncedBytes bounds the entries that wait for the disk. Above it a follower drops append
-// requests with entries, as if they had been lost on the way.
+// maxUnsyncedBytes limits the data that is not synced to disk yet. Above this limit a follower drops
+// AppendRequests that contain entries, as if the network had lost them.
 const maxUnsyncedBytes = 16 << 20
 
-// Engine is one replica with its state machine, the management of its membership, and its
-// snapshots with their transfer. It does no I/O, has no clock and starts no goroutines: each input
-// brings the time of the driver's monotonic clock, and TakeEffects returns what the inputs ask for.
+// Engine is one replica with its state machine. It also manages the group's membership, and takes and
+// transfers snapshots. It does no I/O, has no clock and starts no goroutines: each input method takes
+// the time of the driver's monotonic clock, and TakeEffects returns the I/O that the driver must do.
 // Its methods must not be called concurrently.
 type Engine struct {
 	settings     Settings
@@ -23,26 +23,26 @@
 	stateMachine StateMachine
 	logger       *slog.Logger
 
-	isLeader  bool                // between BecameLeader and LostLeadership of the state machine
-	haltCause error               // nil: it has not halted
-	proposals map[uint64]proposal // by index of their entry
+	isLeader  bool                // BecameLeader was called, and LostLeadership has not been called since
+	haltCause error               // nil unless the replica has halted
+	proposals map[uint64]proposal // by index of the entry
 	outbox    []Envelope          // messages since the last TakeEffects
 
-	logNearlyFull    bool // a snapshot is due
+	snapshotDue      bool // the log on disk has grown enough for a new snapshot
 	snapshotInFlight bool // a snapshot is being written
-	unsyncedBytes    int  // of writes that are not synced
+	unsyncedBytes    int  // data of writes that are not synced yet
 
 	nextMembershipCheck time.Duration
-	joinRequests        map[string]joinRequest    // by address: the newest of each replica
-	leaveRequests       map[string]time.Duration  // by member ID: when it last announced that it stops
-	addressHints        map[string]replica.Member // by ID: members that messages named; this log may not name them yet
+	joinRequests        map[string]joinRequest    // the latest request from each address
+	leaveRequests       map[string]time.Duration  // when the latest request was received, by member ID
+	addressHints        map[string]replica.Member // by ID: from messages; the log may not contain them yet
 
-	senders  map[string]*snapshotSender // by ID of the receiving member; of a leader
-	receiver *snapshotReceiver          // nil: no snapshot is arriving
+	senders  map[string]*snapshotSender // on a leader, by ID of the receiving member
+	receiver *snapshotReceiver          // nil unless a snapshot is being received
 }
 
-// NewEngine returns a replica as its disk has it. The state machine is restored from the snapshot,
-// if there is one with data.
+// NewEngine returns a replica with the state that was read from its disk. If the persisted snapshot
+// contains data, it restores the state machine from it.
 func NewEngine(settings Settings, persisted replica.PersistedState, stateMachine StateMachine, now time.Duration, logger *slog.Logger) (*Engine, error) {
 	if len(persisted.Snapshot.Data) > 0 {
 		if err := stateMachine.Restore(persisted.Snapshot.Data); err != nil {
@@ -63,38 +63,40 @@
 	}, nil
 }
 
-// InitialSnapshot returns the snapshot from which a new group of these members begins. It is the
-// same at each of them.
+// InitialSnapshot returns the snapshot with which a new group of these members starts. It is the same
+// on each of them.
 func InitialSnapshot(members replica.Membership, stateMachine StateMachine) (replica.Snapshot, error) {
 	data, err := stateMachine.Snapshot()
-	return replica.Snapshot{Index: 1, Term: 1, Membership: members, Data: data}, errors.Wrap(err, "take the first snapshot")
+	return replica.Snapshot{Index: 1, Term: 1, Membership: members, Data: data}, errors.Wrap(err, "take the initial snapshot")
 }
 
-// Bootstrap makes the replica a founding member of a new group, once its initial snapshot is on disk.
-// It waits for no election timeout before it votes: no lease can exist yet.
+// Bootstrap initializes the replica as an initial member of a new group. The initial snapshot must be
+// on disk already. The replica may vote at once, without waiting for MinElectionTimeout after its
+// start, because no lease can exist yet.
 func (e *Engine) Bootstrap(initial replica.Snapshot, now time.Duration) {
 	persisted := replica.PersistedState{HardState: replica.HardState{Term: 1}, Snapshot: initial}
 	started := now - e.settings.Timing.MinElectionTimeout
 	e.node = replica.NewNode(e.settings.Self.ID, e.settings.Name, e.settings.Timing, persisted, e.settings.Seed, started)
 }
 
-// IsBootstrapped reports whether the group exists, as far as this replica knows.
+// IsBootstrapped reports whether this replica's state contains the group's voters: it was bootstrapped,
+// or has joined the group.
 func (e *Engine) IsBootstrapped() bool { return len(e.node.Membership().Voters) > 0 }
 
 // Membership returns the newest membership, committed or not.
 func (e *Engine) Membership() replica.Membership { return e.node.Membership() }
 
-// NextTick returns when Tick has something to do next, by the driver's clock; of a halted replica a
-// time that is never reached.
+// NextTick returns the time, by the driver's clock, at which Tick must be called next. For a halted
+// replica it is a time that is never reached.
 func (e *Engine) NextTick() time.Duration {
-	const never = 1 << 62 // ns; the driver may subtract its clock from it
+	const never = 1 << 62 // ns; small enough that subtracting the clock does not overflow
 	if e.haltCause != nil {
 		return never
 	}
 	return e.node.NextTick()
 }
 
-// Receive handles a message of another replica. One for another member is ignored.
+// Receive handles a message from another replica. A message to another member is ignored.
 func (e *Engine) Receive(now time.Duration, message replica.Message) {
 	if e.haltCause != nil || message.To != e.settings.Self.ID {
 		return
@@ -116,7 +118,7 @@
 	}
 }
 
-// Tick does what is due by now. It may be called earlier than NextTick.
+// Tick does the work that is due by now. It may be called before NextTick.
 func (e *Engine) Tick(now time.Duration) {
 	if e.haltCause != nil {
 		return
@@ -126,10 +128,10 @@
 	e.manageMembership(now)
 }
 
-// Persisted tells that writes are synced, in their order, and whether the log on disk has grown so
-// much that a snapshot is due.
-func (e *Engine) Persisted(now time.Duration, writes []DiskWrite, logNearlyFull bool) {
-	e.logNearlyFull = logNearlyFull
+// Persisted records that writes have been synced, in the order in which TakeEffects returned them.
+// snapshotDue states whether the log on disk has grown enough for a new snapshot.
+func (e *Engine) Persisted(now time.Duration, writes []DiskWrite, snapshotDue bool) {
+	e.snapshotDue = snapshotDue
 	for _, write := range writes {
 		e.unsyncedBytes -= write.bytes
 		if write.install != nil {
@@ -152,8 +154,8 @@
 	}
 }
 
-// TakeEffects returns what the inputs since the last call ask for. It calls the state machine for
-// committed commands and changes of the leadership, and the callbacks of proposals.
+// TakeEffects returns the effects of the inputs since the last call. It calls the state machine to
+// apply committed commands and to report changes of leadership, and calls the callbacks of proposals.
 func (e *Engine) TakeEffects(now time.Duration) Effects {
 	effects := Effects{}
 	ready := e.node.Ready()
@@ -168,7 +170,7 @@
 			return effects
 		}
 	}
-	for _, message := range ready.Messages { // after the entries: a snapshot is taken of what is applied
+	for _, message := range ready.Messages { // after the entries, so that a snapshot to send includes them
 		e.send(now, message)
 	}
 	if write, needed := e.newWrite(&ready); needed {
@@ -183,7 +185,7 @@
 	return effects
 }
 
-// send queues a message of the node; for a snapshot a transfer begins.
+// send queues a message of the node. For an InstallSnapshot it starts a snapshot transfer instead.
 func (e *Engine) send(now time.Duration, message replica.Message) {
 	if message.Kind == replica.InstallSnapshot {
 		e.beginSnapshotTransfer(now, message)
@@ -192,7 +194,7 @@
 	e.enqueue(message)
 }
 
-// enqueue puts a message into the outbox. One to a member without a known address is dropped.
+// enqueue adds a message to the outbox. It drops the message if the address of its receiver is unknown.
 func (e *Engine) enqueue(message replica.Message) {
 	to, ok := e.node.Membership().Find(message.To)
 	if !ok {
--- a/coord/group/group.go
+++ b/coord/group/group.go
@@ -10,31 +10,31 @@
 	"basaltloft/coord/ringlog"
 )
 
-// Storage is where a replica keeps its log and snapshots.
+// Storage describes where a replica stores its log and snapshots.
 type Storage struct {
 	Files  ringlog.FileSystem
-	Folder string // of this replica alone; Open creates it where it does not exist
+	Folder string // used by this replica only; Open creates it if it does not exist
 	Sizes  ringlog.Sizes
 }
 
-// Environment is what a replica needs of its process.
+// Environment holds what a replica needs from its process.
 type Environment struct {
 	StateMachine StateMachine
 	Transport    Transport
-	// Clock is monotonic and always above zero by more than the durations of Settings.Timing: zero
+	// Clock returns a monotonic time that always exceeds each duration in Settings.Timing, because zero
 	// stands for "never".
 	Clock  func() time.Duration
 	Logger *slog.Logger
 }
 
-// Transport carries messages to other replicas. It must not block, and may lose messages.
+// Transport sends messages to other replicas. It must not block, and may lose messages.
 type Transport interface {
-	// Send sends a message to the process at an address, as host:port.
+	// Send sends a message to the process at the given address (host:port).
 	Send(address string, message replica.Message)
 }
 
-// Group is one replica and its driver. Its methods may be called concurrently, except where their
-// comments say otherwise.
+// Group is one replica and the goroutines that drive it. Its methods may be called concurrently unless
+// their comments state otherwise.
 type Group struct {
 	engine            *Engine // owned by run once the group runs
 	stateMachine      StateMachine
@@ -42,7 +42,7 @@
 	ring              *ringlog.Ring // owned by runDisk once the group runs
 	clock             func() time.Duration
 	logger            *slog.Logger
-	snapshotThreshold int // bytes of log
+	snapshotThreshold int // bytes of log written since the last snapshot
 
 	mu          sync.Mutex
 	inputs      []func(now time.Duration) // for the engine, in order
@@ -57,9 +57,9 @@
 	leader atomic.Pointer[replica.Member]
 }
 
-// Open opens a group's replica as its storage has it. The replica does not run yet. The error is
-// ringlog.ErrDamaged where the replica must join anew, one of the file system, or one of
-// StateMachine.Restore.
+// Open loads a replica from its storage; Run starts it. Open returns ringlog.ErrDamaged if the stored
+// state is damaged, so that the replica must rejoin as a new member. Other errors come from the file
+// system or from StateMachine.Restore.
 func Open(settings Settings, storage Storage, environment Environment) (*Group, error) {
 	ring, persisted, err := ringlog.Open(storage.Files, storage.Folder, storage.Sizes)
 	if err != nil {
@@ -86,12 +86,12 @@
 	return g, nil
 }
 
-// IsBootstrapped reports whether the group exists, as far as this replica knows. It must be called
-// before Run.
+// IsBootstrapped reports whether this replica's stored state contains the group's voters: it was
+// bootstrapped, or has joined the group. It must be called before Run.
 func (g *Group) IsBootstrapped() bool { return g.engine.IsBootstrapped() }
 
-// Bootstrap makes this replica a founding member of a new group. It must be called before Run, once
-// in a group's life at each founding member and with the same members at each.
+// Bootstrap initializes this replica as an initial member of a new group. It must be called before
+// Run, once in the group's lifetime on each initial member, and with the same members on each.
 func (g *Group) Bootstrap(members replica.Membership) error {
 	initial, err := InitialSnapshot(members, g.stateMachine)
 	if err != nil {
@@ -104,50 +104,50 @@
 	return nil
 }
 
-// Run starts the replica's goroutines and returns. It is called once.
+// Run starts the replica's goroutines and returns. It must be called only once.
 func (g *Group) Run() {
 	g.stopped.Add(2)
 	go g.run()
 	go g.runDisk()
 }
 
-// Close stops the replica at once, as a kill of the process would, and waits for its goroutines. It
-// is called once.
+// Close stops the replica immediately, as killing the process would, and waits for its goroutines. It
+// must be called only once.
 func (g *Group) Close() {
 	close(g.stop)
 	g.stopped.Wait()
 	g.ring.Close()
 }
 
-// Lease returns this replica's epoch and when its lease expires by the group's clock; false: it
-// holds no lease now.
+// Lease returns this replica's epoch and the time, by the group's clock, at which its lease expires.
+// ok is false if the replica holds no lease now.
 func (g *Group) Lease() (epoch uint64, until time.Duration, ok bool) {
 	lease := g.lease.Load()
 	return lease.Epoch, lease.Until, g.clock() < lease.Until
 }
 
-// IsLeader reports whether this replica holds the lease at this moment.
+// IsLeader reports whether this replica holds the lease now.
 func (g *Group) IsLeader() bool {
 	_, _, ok := g.Lease()
 	return ok
 }
 
-// Leader returns the leader as far as this replica knows; the zero value: none is known.
+// Leader returns the leader known to this replica, or the zero value if none is known.
 func (g *Group) Leader() replica.Member { return *g.leader.Load() }
 
-// Propose proposes a command. done is called once, by the group's goroutine, with the result of its
-// application or with one of the errors of proposals; it must not block. It is not called where the
-// group is closed first.
+// Propose proposes a command. done is called once, on the group's goroutine, with the result of
+// applying the command or with ErrNotLeader, ErrBusy or ErrOutcomeUnknown; it must not block. It is
+// not called if the group is closed first.
 func (g *Group) Propose(command []byte, done func(result any, err error)) {
 	g.post(func(now time.Duration) { g.engine.Propose(now, command, done) })
 }
 
-// Receive queues a message of another replica for the engine.
+// Receive queues a message from another replica for the engine.
 func (g *Group) Receive(message replica.Message) {
 	g.post(func(now time.Duration) { g.engine.Receive(now, message) })
 }
 
-// TransferLeadership lets another replica take over the leadership, where this one has it.
+// TransferLeadership starts a transfer of the leadership to another replica if this one is the leader.
 func (g *Group) TransferLeadership() {
 	g.post(func(now time.Duration) { g.engine.TransferLeadership(now) })
 }
@@ -162,19 +162,20 @@
 	g.post(func(now time.Duration) { g.engine.RequestLeave(now, id) })
 }
 
-// Membership returns the newest membership; the zero value where the group is closed. It waits for
-// the group's goroutine, which must run.
+// Membership returns the newest membership, committed or not, or the zero value if the group is
+// closed. It waits for the group's goroutine, so Run must have been called.
 func (g *Group) Membership() replica.Membership {
 	return query(g, func(time.Duration) replica.Membership { return g.engine.Membership() })
 }
 
-// Status returns the state of the replica; the zero value where the group is closed. It waits for
-// the group's goroutine, which must run.
+// Status returns the state of the replica, or the zero value if the group is closed. It waits for the
+// group's goroutine, so Run must have been called.
 func (g *Group) Status() Status {
 	return query(g, func(now time.Duration) Status { return g.engine.Status(now) })
 }
 
-// query reads from the engine in the group's goroutine.
+// query calls read on the group's goroutine and returns its result, or the zero value if the group is
+// closed.
 func query[T any](g *Group, read func(now time.Duration) T) T {
 	result := make(chan T, 1)
 	g.post(func(now time.Duration) { result <- read(now) })
@@ -187,7 +188,7 @@
 	}
 }
 
-// post queues an input for the engine.
+// post queues an input for the engine, which run calls with the current time.
 func (g *Group) post(input func(now time.Duration)) {
 	g.mu.Lock()
 	g.inputs = append(g.inputs, input)
@@ -195,7 +196,7 @@
 	wake(g.inputReady)
 }
 
-// wake wakes the reader of a channel with room for one signal.
+// wake wakes the reader of a channel of capacity 1. It does not block if a signal is pending already.
 func wake(ready chan struct{}) {
 	select {
 	case ready <- struct{}{}:
@@ -212,10 +213,11 @@
 	return inputs
 }
 
-// minTickInterval keeps the loop from spinning where the engine wants a tick at once.
+// minTickInterval is the minimum wait of run before the next tick. It prevents a busy loop when a tick
+// is due already.
 const minTickInterval = 2 * time.Millisecond
 
-// run feeds the engine and carries its effects out, until the group is closed.
+// run passes the inputs to the engine and executes its effects until the group is closed.
 func (g *Group) run() {
 	defer g.stopped.Done()
 	timer := time.NewTimer(0)
@@ -238,7 +240,7 @@
 	}
 }
 
-// publish makes the lease and the leader known to other goroutines.
+// publish stores the lease and the leader for other goroutines to read.
 func (g *Group) publish(lease Lease, leader replica.Member) {
 	g.lease.Store(&lease)
 	g.leader.Store(&leader)
--- a/coord/group/group_test.go
+++ b/coord/group/group_test.go
@@ -39,8 +39,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var content []byte
-	for _, word := range w.commands {
-		content = append(append(content, word...), '\n')
+	for _, command := range w.commands {
+		content = append(append(content, command...), '\n')
 	}
 	return append(content, '.'), nil
 }
@@ -49,13 +49,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.commands = nil
-	word := ""
+	command := ""
 	for _, letter := range string(content[:len(content)-1]) {
 		if letter == '\n' {
-			w.commands, word = append(w.commands, word), ""
+			w.commands, command = append(w.commands, command), ""
 			continue
 		}
-		word += string(letter)
+		command += string(letter)
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 	return len(w.commands)
 }
 
-// memoryNetwork is a network in memory. A message to an address where no group runs is lost.
+// memoryNetwork delivers messages in memory. A message to an address without a running group is lost.
 type memoryNetwork struct {
 	mu     sync.Mutex
 	groups map[string]*group.Group
@@ -90,7 +90,7 @@
 	n.groups[address] = g
 }
 
-// replicaGroup is a group of three replicas in one process. Tests run it in a synctest bubble, in
+// replicaGroup is a group of three replicas in one process. Tests run it in a synctest bubble, with
 // virtual time.
 type replicaGroup struct {
 	t             *testing.T
@@ -164,7 +164,8 @@
 	return ""
 }
 
-// commit proposes until a command is committed. An attempt whose outcome is unknown may be committed too.
+// commit proposes a command until it is committed. An attempt whose outcome is unknown may be committed
+// too, so a command can be applied more than once.
 func (r *replicaGroup) commit(command string) {
 	for {
 		done := make(chan error, 1)
@@ -181,6 +182,8 @@
 	}
 }
 
+// TestCommitsSurviveLeaderLossAndRestarts checks that commands stay committed, and further ones are
+// committed, when leaders stop, and one restarts after a power loss of its disk.
 func TestCommitsSurviveLeaderLossAndRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReplicaGroup(t)
@@ -202,6 +205,8 @@
 	})
 }
 
+// TestWipedReplicaJoinsUnderNewID checks that a replica whose disk was wiped joins again under a new ID,
+// becomes a voter, and is counted in a majority.
 func TestWipedReplicaJoinsUnderNewID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReplicaGroup(t)
@@ -210,19 +215,19 @@
 		wiped := "a0"
 		r.stop(wiped)
 		r.disks[wiped].Wipe()
-		fresh := replica.Member{ID: "new", Address: wiped}
-		r.open(fresh)
+		newMember := replica.Member{ID: "new", Address: wiped}
+		r.open(newMember)
 		require.False(t, r.groups[wiped].IsBootstrapped())
 		r.start(wiped)
 		for !r.groups[wiped].Membership().IsVoter("new") {
 			for _, g := range r.groups {
-				g.RequestJoin(fresh)
+				g.RequestJoin(newMember)
 			}
 			r.commit("meanwhile")
-			<-time.After(timing.HeartbeatInterval) // virtual time passes only while everything waits
+			<-time.After(timing.HeartbeatInterval) // virtual time advances only while all goroutines are blocked
 		}
 		r.commit("after")
-		for address := range r.groups { // a majority needs it now
+		for address := range r.groups { // without this voter a majority needs the new member
 			if address != wiped && address != r.leader() {
 				r.stop(address)
 				break
@@ -248,7 +253,8 @@
 	})
 }
 
-func TestFullDiskAtAFollowerDelaysNothing(t *testing.T) {
+// TestFullDiskOnFollowerDoesNotBlockCommits checks that the group commits while a follower's disk is full.
+func TestFullDiskOnFollowerDoesNotBlockCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newReplicaGroup(t)
 		defer r.close()
--- a/coord/group/leadership.go
+++ b/coord/group/leadership.go
@@ -6,11 +6,12 @@
 	"basaltloft/coord/replica"
 )
 
-// TransferLeadership lets another replica take over the leadership, where this one has it. It may
-// fail without notice; the group then elects a leader.
+// TransferLeadership starts a transfer of the leadership to another replica if this one is the leader.
+// The transfer may fail without notice; the group then elects a leader.
 func (e *Engine) TransferLeadership(now time.Duration) { e.node.TransferLeadership(now) }
 
-// updateLeadership tells the state machine of changes of the leadership, and proposers of its loss.
+// updateLeadership notifies the state machine when this replica gains or loses the leadership, and fails
+// the proposals of a lost leadership.
 func (e *Engine) updateLeadership(now time.Duration) {
 	isLeader := e.node.Role() == replica.Leader
 	if isLeader && !e.isLeader && e.node.LeaseUntil() > now {
@@ -26,12 +27,13 @@
 	if !isLeader {
 		clear(e.senders)
 	}
-	if len(e.proposals) > 0 { // also those of a leadership that ended before its first lease
+	if len(e.proposals) > 0 { // also those of a leadership that ended before it had a lease
 		e.failProposals(func(p proposal) bool { return !isLeader || p.term != e.node.Term() })
 	}
 }
 
-// lease returns the lease to publish. The state machine knows of the leadership before it is published.
+// lease returns the lease to publish. It is not valid before BecameLeader was called, so that the state
+// machine is notified of the leadership before other goroutines can see it.
 func (e *Engine) lease() Lease {
 	if !e.isLeader {
 		return Lease{Epoch: e.node.Term()}
@@ -39,7 +41,7 @@
 	return Lease{Epoch: e.node.Term(), Until: e.node.LeaseUntil()}
 }
 
-// leader returns the leader as far as this replica knows; the zero value: none is known.
+// leader returns the leader known to this replica, or the zero value if none is known.
 func (e *Engine) leader() replica.Member {
 	member, _ := e.node.Membership().Find(e.node.LeaderID())
 	return member
--- a/coord/group/membership.go
+++ b/coord/group/membership.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// membershipCheckInterval is the pause between two checks by the leader whether the membership
-	// should change.
+	// membershipCheckInterval is the interval at which the leader checks whether to change the
+	// membership.
 	membershipCheckInterval = 250 * time.Millisecond
 	// voterReplacementTimeout is how long a voter must be unresponsive before a learner that has
-	// caught up may replace it. A learner that is unresponsive for so long is not promoted.
+	// caught up may replace it. A learner that has been unresponsive for longer is not promoted.
 	voterReplacementTimeout = 1500 * time.Millisecond
 	// learnerRemovalTimeout is how long a learner must be unresponsive before it is removed.
 	learnerRemovalTimeout = 10 * voterReplacementTimeout
-	// maxPromotionLag is the most committed entries that a learner may lack and still count as caught
-	// up: under load some entries are always in flight.
+	// maxPromotionLag is the maximum number of committed entries that a learner may lack and still
+	// count as caught up: under load some entries are always in flight.
 	maxPromotionLag = 500
-	// requestLifetime is how long a request to join or leave counts; its sender repeats it more often.
+	// requestLifetime is how long a request to join or leave stays valid. Its sender repeats it at
+	// shorter intervals.
 	requestLifetime = 3 * time.Second
-	// maxLearners bounds the learners of a group, since each receives the whole log.
+	// maxLearners limits the learners of a group, because each receives the whole log.
 	maxLearners = 2
 )
 
-// joinRequest is the request of a replica to become a member.
+// joinRequest is a request from a replica to become a member.
 type joinRequest struct {
 	member     replica.Member
 	receivedAt time.Duration // by the driver's clock
@@ -37,13 +38,13 @@
 	e.joinRequests[member.Address] = joinRequest{member: member, receivedAt: now}
 }
 
-// RequestLeave records that a member is about to stop: a learner that has caught up may replace it at
-// once. Only the leader acts on it.
+// RequestLeave records that a member is about to stop, so that a learner that has caught up may replace
+// it immediately. Only the leader acts on it.
 func (e *Engine) RequestLeave(now time.Duration, id string) { e.leaveRequests[id] = now }
 
-// manageMembership lets the leader change the membership, one step at a time: a replica that asked
-// to join becomes a learner; a learner that has caught up becomes a voter, in place of one that is
-// lost.
+// manageMembership proposes at most one membership change at a time on the leader: it adds a replica
+// that requested to join as a learner, promotes a learner that has caught up to a voter, possibly in
+// place of another one, or removes an unresponsive learner.
 func (e *Engine) manageMembership(now time.Duration) {
 	if !e.isLeader || now < e.nextMembershipCheck {
 		return
@@ -58,7 +59,8 @@
 	}
 }
 
-// nextMembership returns the membership after the most urgent change; false: none is needed.
+// nextMembership returns the membership after the most urgent change. It returns false if no change is
+// needed.
 func (e *Engine) nextMembership(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	if next, ok := e.promoteLearner(now, members); ok {
 		return next, true
@@ -69,7 +71,8 @@
 	return e.removeLostLearner(now, members)
 }
 
-// promoteLearner makes a learner that has caught up a voter, where there is a place for it.
+// promoteLearner returns a membership in which a learner that has caught up becomes a voter. It returns
+// false if no learner can be promoted now.
 func (e *Engine) promoteLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for _, learner := range members.Learners {
 		if !e.node.CaughtUp(learner.ID, maxPromotionLag) || e.node.UnresponsiveFor(learner.ID, now) > voterReplacementTimeout {
@@ -82,9 +85,10 @@
 	return members, false
 }
 
-// voterToReplace returns the ID of the voter that a learner replaces: the one whose address it has,
-// since that one's disk is lost; none where there are too few voters; else one that is
-// unresponsive or stops. False: the learner has to wait.
+// voterToReplace returns the ID of the voter that a learner replaces. This is the voter with the
+// learner's address, because that voter's disk is lost; otherwise none (an empty ID) if there are fewer
+// voters than Settings.VoterCount; otherwise a voter that is unresponsive or has requested to leave. ok
+// is false if the learner can't be promoted now.
 func (e *Engine) voterToReplace(now time.Duration, members replica.Membership, learner replica.Member) (id string, ok bool) {
 	for _, voter := range members.Voters {
 		if voter.Address == learner.Address {
@@ -102,7 +106,7 @@
 	return "", false
 }
 
-// hasLeaveRequest reports whether a member's request to leave is valid, and drops one that is not.
+// hasLeaveRequest reports whether a member has a valid request to leave. It deletes an expired one.
 func (e *Engine) hasLeaveRequest(now time.Duration, id string) bool {
 	receivedAt, ok := e.leaveRequests[id]
 	if !ok {
@@ -115,7 +119,8 @@
 	return true
 }
 
-// admitLearner makes a replica that asked to join a learner, and drops requests that are too old.
+// admitLearner returns a membership in which a replica that requested to join is a learner, and deletes
+// expired requests. It returns false if no replica can be added now.
 func (e *Engine) admitLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for _, address := range slices.Sorted(maps.Keys(e.joinRequests)) {
 		request := e.joinRequests[address]
@@ -132,12 +137,13 @@
 	return members, false
 }
 
-// replacesLearner reports whether a member has the address of a learner: that one's disk is lost.
+// replacesLearner reports whether a member has the address of a learner, whose disk is lost in this case.
 func replacesLearner(members replica.Membership, member replica.Member) bool {
 	return slices.ContainsFunc(members.Learners, func(l replica.Member) bool { return l.Address == member.Address })
 }
 
-// removeLostLearner removes a learner that is unresponsive for long.
+// removeLostLearner returns a membership without a learner that has been unresponsive for longer than
+// learnerRemovalTimeout. It returns false if there is no such learner.
 func (e *Engine) removeLostLearner(now time.Duration, members replica.Membership) (replica.Membership, bool) {
 	for i, learner := range members.Learners {
 		if e.node.UnresponsiveFor(learner.ID, now) > learnerRemovalTimeout {
--- a/coord/group/settings.go
+++ b/coord/group/settings.go
@@ -2,28 +2,29 @@
 
 import "basaltloft/coord/replica"
 
-// DefaultSnapshotChunkBytes is how much of a snapshot goes in one message where Settings say nothing
-// else.
+// DefaultSnapshotChunkBytes is the default of Settings.SnapshotChunkBytes.
 const DefaultSnapshotChunkBytes = 96 << 10
 
-// DefaultLogRetention is what stays in memory of the log before a snapshot where Settings say nothing
-// else: a replica that was away for a moment catches up from it.
+// DefaultLogRetention is the default of Settings.LogRetention. A replica that was unreachable for a
+// short time catches up from the retained entries, without a snapshot.
 var DefaultLogRetention = replica.LogRetention{Entries: 2000, Bytes: 8 << 20}
 
-// Settings of a group's replica.
+// Settings configure a replica of a group.
 type Settings struct {
-	Name   string         // of the group, the same at each member
-	Self   replica.Member // an ID that belongs to this disk
+	Name   string         // of the group; the same on each member
+	Self   replica.Member // its ID belongs to this disk: a replica that lost its disk gets a new one
 	Timing replica.Timing
-	// VoterCount is the number of voters that the group should have: learners are promoted up to it.
+	// VoterCount is the target number of voters: learners are promoted until the group has that many.
 	VoterCount int
-	// Seed of the random election timeouts; it must differ from one start to the next.
+	// Seed seeds the random election timeouts. It must differ between starts of the replica.
 	Seed uint64
-	// SnapshotThresholdBytes of log after which a snapshot is due.
+	// SnapshotThresholdBytes is the number of bytes written to the log after which a snapshot is due.
 	SnapshotThresholdBytes int
-	// SnapshotChunkBytes of a snapshot go in one message; 0: DefaultSnapshotChunkBytes.
+	// SnapshotChunkBytes is how much of a snapshot is sent in one message; 0 means
+	// DefaultSnapshotChunkBytes.
 	SnapshotChunkBytes int
-	// LogRetention is what stays in memory before a snapshot; zero: DefaultLogRetention.
+	// LogRetention limits the entries that stay in memory although a snapshot covers them; the zero
+	// value means DefaultLogRetention.
 	LogRetention replica.LogRetention
 }
 
--- a/coord/group/snapshot.go
+++ b/coord/group/snapshot.go
@@ -2,7 +2,7 @@
 
 import "basaltloft/coord/replica"
 
-// takeSnapshot returns a snapshot of what is applied.
+// takeSnapshot returns a snapshot of the applied state.
 func (e *Engine) takeSnapshot() (replica.Snapshot, error) {
 	data, err := e.stateMachine.Snapshot()
 	if err != nil {
@@ -14,10 +14,10 @@
 	return snapshot, nil
 }
 
-// snapshotIfDue takes a snapshot where the log has grown enough and none is being written; false: none
-// is due, or the state machine returned an error.
+// snapshotIfDue takes a snapshot if the log has grown enough and no snapshot is being written. due is
+// false if none was taken, also if the state machine returned an error.
 func (e *Engine) snapshotIfDue() (snapshot replica.Snapshot, due bool) {
-	if e.snapshotInFlight || !e.logNearlyFull || e.node.Applied() <= e.node.SnapshotIndex() {
+	if e.snapshotInFlight || !e.snapshotDue || e.node.Applied() <= e.node.SnapshotIndex() {
 		return snapshot, false
 	}
 	snapshot, err := e.takeSnapshot()
@@ -25,8 +25,8 @@
 	return snapshot, err == nil
 }
 
-// compact drops entries that a written snapshot covers. Those after a snapshot that is being sent stay:
-// the receiver continues from there.
+// compact discards entries that a written snapshot covers. It keeps the entries after a snapshot that is
+// being sent, because the receiver needs them next.
 func (e *Engine) compact(snapshot replica.Snapshot) {
 	retention := e.settings.LogRetention
 	retention.AfterIndex = e.lowestSentSnapshotIndex()
--- a/coord/group/snapshot_transfer.go
+++ b/coord/group/snapshot_transfer.go
@@ -8,42 +8,44 @@
 	"basaltloft/coord/replica"
 )
 
-// A snapshot goes to a member in chunks, a few of them in flight at a time. The member responds to
-// each with how many bytes it has without a gap: a lost chunk is sent again, and a transfer continues
-// where it was, however long it takes. The log after the snapshot's index stays in memory
-// meanwhile, so that compaction does not overtake the transfer.
+// A snapshot is sent to a member in chunks, of which a few are in flight at a time. The member responds
+// to each chunk with the number of contiguous bytes that it has received. Lost chunks are sent again, and
+// a transfer may take any time as long as the member responds. The log after the snapshot's index stays
+// in memory during the transfer, so that the member can continue from there even if the log is compacted
+// meanwhile.
 
 const (
-	// maxChunksInFlight bounds the chunks that are sent and not acknowledged, and those that a
-	// receiver holds behind a gap.
+	// maxChunksInFlight limits the chunks that are sent and not acknowledged, and the out-of-order
+	// chunks that a receiver buffers.
 	maxChunksInFlight = 4
-	// chunkResendTimeout is the wait for a response before chunks are sent again.
+	// chunkResendTimeout is how long a sender waits for a response before it sends chunks again.
 	chunkResendTimeout = 600 * time.Millisecond
-	// transferTimeout is how long a member may respond to nothing before its transfer is given up. A
-	// new one begins when the member responds to heartbeats again.
+	// transferTimeout is how long a member may be unresponsive before its transfer is aborted. A new
+	// transfer starts when the member responds to heartbeats again.
 	transferTimeout = 10 * time.Second
-	// installTimeout is how long a member that has the whole snapshot may take to write it before
-	// another one is sent.
+	// installTimeout is how long a member that has received the whole snapshot may take to write it
+	// before another one is sent.
 	installTimeout = 5 * time.Second
-	// maxSnapshotBytes bounds what a member receives into memory.
+	// maxSnapshotBytes limits the size of a snapshot that a member receives, since it is held in memory.
 	maxSnapshotBytes = 256 << 20
 )
 
 // snapshotSender is the transfer of a snapshot to one member.
 type snapshotSender struct {
 	snapshot     replica.Snapshot
-	term         uint64        // of the leadership that sends it
-	sent         int           // bytes
-	acked        int           // most bytes that the member has acknowledged
-	lastAcked    int           // bytes that it acknowledged last: fewer than acked after its restart
-	lastResponse time.Duration // or the beginning of the transfer
+	term         uint64        // of the sending leader
+	sent         int           // bytes sent
+	acked        int           // the most bytes that the member has acknowledged
+	lastAcked    int           // bytes in its latest response; fewer than acked if it has restarted
+	lastResponse time.Duration // time of its latest response, or of the start of the transfer
 	lastSend     time.Duration
 }
 
-// complete reports whether the member has the whole snapshot; it may not be on its disk yet.
+// complete reports whether the member has received the whole snapshot. The member may not have written
+// it to disk yet.
 func (s *snapshotSender) complete() bool { return s.acked >= len(s.snapshot.Data) }
 
-// expired reports whether the transfer is given up.
+// expired reports whether the transfer has timed out.
 func (s *snapshotSender) expired(now time.Duration) bool {
 	if s.complete() {
 		return now > s.lastResponse+installTimeout
@@ -51,8 +53,9 @@
 	return now > s.lastResponse+transferTimeout
 }
 
-// beginSnapshotTransfer begins to send the newest state to a member, unless a transfer is under way.
-// One whose snapshot the member has installed is not: the log was compacted further since.
+// beginSnapshotTransfer starts to send the current state to a member, unless a transfer to it is in
+// progress. A transfer whose snapshot the member has installed already does not count: the log was
+// compacted further since then, so the member needs a newer snapshot.
 func (e *Engine) beginSnapshotTransfer(now time.Duration, message replica.Message) {
 	running := e.senders[message.To]
 	if running != nil && running.term == e.node.Term() && !running.expired(now) && e.node.Match(message.To) < running.snapshot.Index {
@@ -66,8 +69,8 @@
 	e.sendChunks(now, message.To)
 }
 
-// sendChunks sends the chunks that may be in flight. The first one goes also where the state is
-// empty: the member responds to it.
+// sendChunks sends further chunks up to the limit of maxChunksInFlight. It sends a first chunk even if
+// the state is empty, so that the member responds.
 func (e *Engine) sendChunks(now time.Duration, to string) {
 	sender := e.senders[to]
 	end := min(len(sender.snapshot.Data), sender.acked+maxChunksInFlight*e.settings.SnapshotChunkBytes)
@@ -76,7 +79,7 @@
 	}
 }
 
-// sendChunk sends the chunk after those that were sent.
+// sendChunk sends the next chunk.
 func (e *Engine) sendChunk(now time.Duration, to string, sender *snapshotSender) {
 	total := len(sender.snapshot.Data)
 	end := min(total, sender.sent+e.settings.SnapshotChunkBytes)
@@ -97,7 +100,8 @@
 	sender.lastSend = now
 }
 
-// tickSnapshotSenders sends chunks again that got no response, and ends transfers that expired.
+// tickSnapshotSenders resends chunks without a response. It drops transfers that have timed out or whose
+// receiver is no longer a member, and all transfers once this replica is not the leader.
 func (e *Engine) tickSnapshotSenders(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(e.senders)) {
 		sender := e.senders[id]
@@ -113,7 +117,7 @@
 	}
 }
 
-// handleSnapshotChunkResponse continues a transfer.
+// handleSnapshotChunkResponse records how much a member has received, and sends further chunks.
 func (e *Engine) handleSnapshotChunkResponse(now time.Duration, response replica.Message) {
 	sender := e.senders[response.From]
 	if sender == nil || response.Term != sender.term || response.Index != sender.snapshot.Index {
@@ -129,7 +133,8 @@
 	}
 }
 
-// lowestSentSnapshotIndex returns the lowest index of the snapshots that are being sent; 0: none is.
+// lowestSentSnapshotIndex returns the lowest index of the snapshots that are being sent, or 0 if there
+// are none.
 func (e *Engine) lowestSentSnapshotIndex() uint64 {
 	lowest := uint64(0)
 	for _, sender := range e.senders {
@@ -140,15 +145,15 @@
 	return lowest
 }
 
-// snapshotReceiver is a snapshot that is arriving.
+// snapshotReceiver is a snapshot that is being received.
 type snapshotReceiver struct {
-	from  string // ID of the leader that sends it
+	from  string // ID of the sending leader
 	term  uint64 // of that leader
-	index uint64 // the snapshot's
+	index uint64 // of the snapshot
 	// snapshotTerm is the term of the entry at index.
 	snapshotTerm uint64
-	data         []byte         // without a gap
-	early        map[int][]byte // chunks behind a gap, by offset; at most maxChunksInFlight
+	data         []byte         // the contiguous bytes received so far
+	outOfOrder   map[int][]byte // chunks after a gap, by offset; at most maxChunksInFlight
 }
 
 // matches reports whether a chunk belongs to this snapshot.
@@ -156,27 +161,28 @@
 	return r != nil && r.from == message.From && r.term == message.Term && r.index == message.Snapshot.Index && r.snapshotTerm == message.Snapshot.Term
 }
 
-// add appends a chunk and those that follow it without a gap; one behind a gap is kept for later.
+// add appends a chunk, and the out-of-order chunks that now follow without a gap. A chunk after a gap is
+// buffered.
 func (r *snapshotReceiver) add(offset int, chunk []byte) {
-	if offset > len(r.data) && len(r.early) < maxChunksInFlight {
-		r.early[offset] = chunk
+	if offset > len(r.data) && len(r.outOfOrder) < maxChunksInFlight {
+		r.outOfOrder[offset] = chunk
 	}
 	for offset == len(r.data) && len(chunk) > 0 {
 		r.data = append(r.data, chunk...)
-		offset, chunk = len(r.data), r.early[len(r.data)]
-		delete(r.early, offset)
+		offset, chunk = len(r.data), r.outOfOrder[len(r.data)]
+		delete(r.outOfOrder, offset)
 	}
 }
 
-// handleSnapshotChunk handles a chunk at its receiver. The complete snapshot goes to the node as one
-// message.
+// handleSnapshotChunk stores a received chunk and responds to it. It passes the complete snapshot to the
+// node as one InstallSnapshot message.
 func (e *Engine) handleSnapshotChunk(now time.Duration, message replica.Message) {
 	chunk := message.Snapshot
 	if message.Term < e.node.Term() || chunk == nil || message.Total > maxSnapshotBytes {
 		return
 	}
 	if !e.receiver.matches(message) {
-		e.receiver = &snapshotReceiver{from: message.From, term: message.Term, index: chunk.Index, snapshotTerm: chunk.Term, early: map[int][]byte{}}
+		e.receiver = &snapshotReceiver{from: message.From, term: message.Term, index: chunk.Index, snapshotTerm: chunk.Term, outOfOrder: map[int][]byte{}}
 	}
 	receiver := e.receiver
 	receiver.add(message.Offset, chunk.Data)
@@ -196,7 +202,8 @@
 	e.node.Step(now, installMessage(message, receiver.data))
 }
 
-// installMessage returns the message that installs a complete snapshot, from its last chunk.
+// installMessage returns the InstallSnapshot message for a complete snapshot, built from the message of
+// its last chunk.
 func installMessage(lastChunk replica.Message, data []byte) replica.Message {
 	complete := *lastChunk.Snapshot
 	complete.Data = data
@@ -205,6 +212,6 @@
 	install.Snapshot = &complete
 	install.Offset = 0
 	install.Total = 0
-	install.SentAt = 0 // it renews no lease: its first chunk may be old
+	install.SentAt = 0 // it must not renew the lease, since its first chunk may be old
 	return install
 }
--- a/coord/group/status.go
+++ b/coord/group/status.go
@@ -6,25 +6,25 @@
 	"basaltloft/coord/replica"
 )
 
-// Status is the state of a replica for operators. It is sent by encoding/gob, so that its field
-// names stay.
+// Status describes the state of a replica to operators. It is encoded by encoding/gob, so its field
+// names must not change.
 type Status struct {
 	Role      replica.Role
 	Term      uint64
-	Leads     bool          // it is the leader and holds the lease
-	LeaseLeft time.Duration // 0: it has none
-	Applied   uint64        // highest index applied
+	Leads     bool          // whether it is the leader and holds the lease
+	LeaseLeft time.Duration // until the lease expires; 0 without a lease
+	Applied   uint64        // index of the last applied entry
 	Last      uint64        // index of the log's last entry
 	Snapshot  uint64        // index of the newest snapshot
-	Unsynced  int           // bytes of writes that are not synced
-	Digest    uint64        // of the applied state: equal at each replica with the same Applied
+	Unsynced  int           // bytes of writes that are not synced yet
+	Digest    uint64        // of the applied state; equal on all replicas with the same Applied
 	Members   replica.Membership
-	Lacks     map[string]uint64 // of a leader, by member ID: the lag in entries
-	Receiving int               // bytes of an arriving snapshot
-	Halted    string            // why it has halted; empty: it has not
+	Lacks     map[string]uint64 // on a leader, by member ID: how many entries are not known to be on its disk
+	Receiving int               // bytes received of an incoming snapshot
+	Halted    string            // why it has halted; empty if it has not
 }
 
-// Status returns the state of the replica; now is by the driver's clock.
+// Status returns the state of the replica at a time by the driver's clock.
 func (e *Engine) Status(now time.Duration) Status {
 	status := Status{
 		Role:     e.node.Role(),
