--- a/coord/rpc/client.go
+++ b/coord/rpc/client.go
@@ -11,49 +11,48 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Path is the URL path of a server's upgrades.
+// Path is the URL path at which a server accepts upgrade requests.
 const Path = "/internal/stream"
 
-// protocolName is what the Upgrade header names.
+// protocolName is the protocol in the Upgrade header.
 const protocolName = "basaltloft-gob/1"
 
 const (
-	// maxQueuedOneWay bounds the frames that wait for a peer while one-way messages are still queued;
-	// above it they are dropped.
+	// maxQueuedOneWay is the length of a peer's queue from which on one-way messages are dropped.
 	maxQueuedOneWay = 256
-	// upgradeTimeout bounds connecting and the wait for the response to the upgrade.
+	// upgradeTimeout limits the time for connecting and for the response to the upgrade request.
 	upgradeTimeout = 2 * dialTimeout
-	// redialInterval is the least time between a failed attempt to connect and the next.
+	// redialInterval is the minimum time between a failed attempt to connect and the next one.
 	redialInterval = 60 * time.Millisecond
-	// unresponsiveTimeout is how long nothing must have been read from a connection before it is closed
-	// when a call that has no response is cancelled.
+	// unresponsiveTimeout applies when a call without a response is cancelled: if the call is older
+	// than this and nothing has been read from the connection since it began, the connection is closed.
 	unresponsiveTimeout = 300 * time.Millisecond
 )
 
-// Client sends messages to one peer. It connects when it is first used and again after each failure.
-// Its methods may be called concurrently.
+// Client sends messages to one peer. It connects on first use, and reconnects on the first use after a
+// failure. Its methods may be called concurrently.
 type Client struct {
 	address   string
 	transport *http.Transport
 
 	mu         sync.Mutex
-	current    *stream             // nil: not connected
-	pending    map[uint64]chan any // calls without a response, by ID; closed where the connection is lost
+	current    *stream             // nil while not connected
+	pending    map[uint64]chan any // calls without a response, by ID; closed when the connection is lost
 	lastID     uint64
-	connecting bool          // serveConnection runs and current is not set yet
-	lastFailed time.Duration // when an attempt to connect last failed; 0: none has
-	unsent     []frame       // in order, until it is connected; at most maxQueuedFrames
+	connecting bool          // serveConnection is running and current is not set yet
+	lastFailed time.Duration // time of the last failed attempt to connect; 0 if none has failed
+	unsent     []frame       // frames queued until the client is connected, in order; at most maxQueuedFrames
 }
 
-// NewClient returns a client of the server at an address, as host:port.
+// NewClient returns a client of the server at the given address (host:port).
 func NewClient(address string) *Client {
 	transport := &http.Transport{DialContext: dialRepeatedly, DisableCompression: true}
 	return &Client{address: address, transport: transport, pending: map[uint64]chan any{}}
 }
 
-// Call sends a message, at most once, and waits for its response. ErrBusy means that it was not sent;
-// any other error is an ErrConnectionLost and says nothing of whether the peer carried it out. A call
-// that is cancelled while it is queued is not sent any more.
+// Call sends a message at most once and waits for its response. If the error is ErrBusy, the message
+// was not sent. Any other error is an ErrConnectionLost: the peer may or may not have executed the call.
+// A call that is cancelled while it is queued is not sent.
 func (c *Client) Call(ctx context.Context, body any) (any, error) {
 	response := make(chan any, 1)
 	cancelled := &atomic.Bool{}
@@ -64,7 +63,7 @@
 	err := c.enqueueLocked(frame{ID: id, Kind: frameCall, Body: body, cancelled: cancelled})
 	c.mu.Unlock()
 	if err != nil {
-		c.forget(id)
+		c.removePending(id)
 		return nil, err
 	}
 	calledAt := monotonicNow()
@@ -76,13 +75,14 @@
 		return got, nil
 	case <-ctx.Done():
 		cancelled.Store(true)
-		c.forget(id)
+		c.removePending(id)
 		c.closeIfUnresponsive(calledAt)
 		return nil, errors.Wrapf(ErrConnectionLost, "no answer from %s", c.address)
 	}
 }
 
-// SendOneWay sends a message without a response; it may be lost. ErrBusy means that it was dropped.
+// SendOneWay sends a message that has no response and may be lost. If the error is ErrBusy, the message
+// was dropped.
 func (c *Client) SendOneWay(body any) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +92,8 @@
 	return c.enqueueLocked(frame{Kind: frameOneWay, Body: body})
 }
 
-// Close closes the connection; calls without a response end with ErrConnectionLost. The client
-// connects again when it is used again.
+// Close closes the connection. Calls without a response end with ErrConnectionLost. The client
+// reconnects on its next use.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,14 +102,15 @@
 	}
 }
 
-// forget drops a call whose response is not waited for any more.
-func (c *Client) forget(id uint64) {
+// removePending removes a call whose caller no longer waits for its response.
+func (c *Client) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
 }
 
-// closeIfUnresponsive closes a connection on which nothing was read since a call was made.
+// closeIfUnresponsive closes the connection if the call is older than unresponsiveTimeout and nothing has
+// been read from the connection since the call was made.
 func (c *Client) closeIfUnresponsive(calledAt time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +119,7 @@
 	}
 }
 
-// queueLengthLocked returns how many frames wait to be written.
+// queueLengthLocked returns the number of frames that are waiting to be written.
 func (c *Client) queueLengthLocked() int {
 	if c.current != nil {
 		return c.current.queueLength()
@@ -126,7 +127,8 @@
 	return len(c.unsent)
 }
 
-// enqueueLocked queues a frame on the connection, or until there is one.
+// enqueueLocked queues a frame on the connection. If there is none, it keeps the frame until the client
+// is connected, and starts to connect.
 func (c *Client) enqueueLocked(f frame) error {
 	if c.current != nil {
 		return c.current.enqueue(f)
@@ -142,8 +144,8 @@
 	return nil
 }
 
-// serveConnection connects, sends what is queued, and reads responses until the connection ends.
-// There is one such goroutine while the client is connecting or connected.
+// serveConnection connects, sends the queued frames, and reads responses until the connection ends.
+// It runs in one goroutine while the client is connecting or connected.
 func (c *Client) serveConnection() {
 	c.awaitRedial()
 	conn, err := c.connect()
@@ -155,7 +157,7 @@
 	c.finishConnection(s)
 }
 
-// awaitRedial keeps redialInterval after a failed attempt.
+// awaitRedial waits until redialInterval has passed since the last failed attempt to connect.
 func (c *Client) awaitRedial() {
 	c.mu.Lock()
 	lastFailed := c.lastFailed
@@ -165,8 +167,8 @@
 	}
 }
 
-// finishConnecting makes a connection the current one; nil: the attempt has failed, and with it the calls
-// that wait.
+// finishConnecting makes a new connection the current one and moves the unsent frames to its queue. If
+// the attempt has failed, it drops the unsent frames, fails the pending calls and returns nil.
 func (c *Client) finishConnecting(conn io.ReadWriteCloser, err error) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,18 +183,18 @@
 	s := newStream(conn)
 	c.current = s
 	for _, f := range queue {
-		_ = s.enqueue(f) // there is room: the queue had the same bound
+		_ = s.enqueue(f) // it can't be full: unsent has the same limit
 	}
 	return s
 }
 
-// connect opens a connection and upgrades it.
+// connect opens a connection and upgrades it to the protocol of this package.
 func (c *Client) connect() (io.ReadWriteCloser, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+Path, nil)
 	if err != nil {
 		cancel()
-		return nil, errors.Wrap(err, "build the upgrade")
+		return nil, errors.Wrap(err, "build the upgrade request")
 	}
 	request.Header.Set("Connection", "Upgrade")
 	request.Header.Set("Upgrade", protocolName)
@@ -203,27 +205,28 @@
 	}
 	conn, ok := response.Body.(io.ReadWriteCloser)
 	if response.StatusCode != http.StatusSwitchingProtocols || !ok {
-		_ = response.Body.Close() // nothing is read from it
+		_ = response.Body.Close() // its content is not needed
 		cancel()
-		return nil, errors.Newf("%s does not speak %s", c.address, protocolName)
+		return nil, errors.Newf("%s does not support protocol %s", c.address, protocolName)
 	}
 	return conn, nil
 }
 
-// roundTrip bounds the wait for the response to an upgrade by upgradeTimeout. A deadline of the
-// request's context would end the connection too, which outlives the response: it ends by its own
-// close, and its context is not cancelled.
+// roundTrip sends an upgrade request and waits for the response for at most upgradeTimeout. It limits the
+// wait with a timer, since a deadline of the request's context would also end the upgraded connection,
+// which stays open after the response. After a success the context is not cancelled; closing the
+// connection ends it.
 func (c *Client) roundTrip(request *http.Request, cancel context.CancelFunc) (*http.Response, error) {
 	timer := time.AfterFunc(upgradeTimeout, cancel)
 	response, err := c.transport.RoundTrip(request)
 	if !timer.Stop() && err == nil {
-		_ = response.Body.Close() // it came too late
+		_ = response.Body.Close() // it arrived after the timeout
 		return nil, context.DeadlineExceeded
 	}
 	return response, err
 }
 
-// handleResponse passes a response to its call; one to a call that was given up is dropped.
+// handleResponse passes a response to its call. A response to a cancelled call is dropped.
 func (c *Client) handleResponse(f frame) {
 	c.mu.Lock()
 	response := c.pending[f.ID]
@@ -234,7 +237,7 @@
 	}
 }
 
-// finishConnection records that a connection has ended, and with it the calls that wait.
+// finishConnection records that a connection has ended, and fails the pending calls.
 func (c *Client) finishConnection(s *stream) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,7 +247,7 @@
 	}
 }
 
-// failPendingLocked ends the calls that have no response.
+// failPendingLocked makes the calls without a response end with ErrConnectionLost.
 func (c *Client) failPendingLocked() {
 	for id, response := range c.pending {
 		delete(c.pending, id)
--- a/coord/rpc/client_pool.go
+++ b/coord/rpc/client_pool.go
@@ -12,8 +12,8 @@
 	clients map[string]*Client
 }
 
-// Client returns the client of the peer at an address, as host:port. It is made when it is first
-// asked for.
+// Client returns the client of the peer at the given address (host:port). It creates the client on the
+// first call for the address.
 func (p *ClientPool) Client(address string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +33,7 @@
 	return p.Client(address).Call(ctx, body)
 }
 
-// Close closes all connections, as Client.Close does.
+// Close closes the connections of all clients, as Client.Close does.
 func (p *ClientPool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/coord/rpc/dial.go
+++ b/coord/rpc/dial.go
@@ -10,50 +10,51 @@
 )
 
 const (
-	// dialTimeout bounds one attempt to connect, and all attempts of dialRepeatedly together.
+	// dialTimeout limits one attempt to connect, and all attempts of dialRepeatedly together.
 	dialTimeout = 900 * time.Millisecond
-	// dialInterval is the pause before another attempt to connect begins beside those under way. A
-	// machine that was off the network when an attempt began never sees its SYN packet, which the
-	// kernel repeats only after a second.
+	// dialInterval is the interval at which further attempts to connect start while earlier ones are in
+	// progress. If the peer's machine was disconnected from the network when an attempt started, its SYN
+	// packet is lost, and the kernel sends another one only after a second.
 	dialInterval = 120 * time.Millisecond
 	// unacknowledgedTimeout is how long sent data may stay unacknowledged by TCP before the connection
-	// ends.
+	// is closed.
 	unacknowledgedTimeout = 1500 * time.Millisecond
-	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does not name.
+	// tcpUserTimeout is Linux's socket option TCP_USER_TIMEOUT, for which package syscall has no constant.
 	tcpUserTimeout = 18
 )
 
-// Dialer returns a dialer with bounds on the wait for an unresponsive peer. It serves HTTP transports
-// of other packages too.
+// Dialer returns a dialer with timeouts for unresponsive peers. Other packages use it for their HTTP
+// transports.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:   dialTimeout,
 		KeepAlive: time.Second,
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				// Without the option a lost peer is found later, by keep-alives.
+				// An error is ignored: without the option, keep-alives detect a lost peer, only later.
 				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedTimeout.Milliseconds()))
 			})
 		},
 	}
 }
 
-// dialRepeatedly connects by several attempts that begin one after another; the first outcome
-// counts. It fails once an attempt was refused, or after dialTimeout.
+// dialRepeatedly starts an attempt to connect at each dialInterval and returns the outcome of the first
+// one that finishes. It fails as soon as an attempt is refused, or after dialTimeout.
 func dialRepeatedly(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return dialEvery(ctx, func() (net.Conn, error) { return Dialer().DialContext(ctx, network, address) }, dialInterval)
 }
 
-// dialResult is the outcome of one attempt.
+// dialResult is the outcome of one attempt to connect.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialEvery begins an attempt at each interval until one has an outcome. A connection that comes
-// later is closed. Attempts that are under way end by the context.
+// dialEvery starts an attempt at each interval until one finishes, and returns its outcome. It closes
+// connections that are established later. The attempts that are still in progress end when the caller
+// cancels their context.
 func dialEvery(ctx context.Context, dial func() (net.Conn, error), interval time.Duration) (net.Conn, error) {
 	results := make(chan dialResult)
 	done := make(chan struct{})
--- a/coord/rpc/dial_test.go
+++ b/coord/rpc/dial_test.go
@@ -10,25 +10,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLaterDialAttemptSucceeds: the first attempt never has an outcome, as to a machine that was off
-// the network; the second one connects.
+// TestLaterDialAttemptSucceeds checks that a second attempt connects while the first one gets no reply,
+// as from a machine that was disconnected from the network when the first attempt started.
 func TestLaterDialAttemptSucceeds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	begun := make(chan int, 2)
-	begun <- 1
-	begun <- 2
-	here, there := net.Pipe()
-	defer func() { require.NoError(t, there.Close()) }()
+	attempts := make(chan int, 2)
+	attempts <- 1
+	attempts <- 2
+	local, remote := net.Pipe()
+	defer func() { require.NoError(t, remote.Close()) }()
 	conn, err := dialEvery(ctx, func() (net.Conn, error) {
-		if <-begun == 1 {
+		if <-attempts == 1 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		return here, nil
+		return local, nil
 	}, time.Millisecond)
 	require.NoError(t, err)
-	require.Equal(t, here, conn)
+	require.Equal(t, local, conn)
 }
 
 func TestRefusedDialFails(t *testing.T) {
@@ -37,16 +37,16 @@
 	require.ErrorIs(t, err, refused)
 }
 
-// TestLateConnectionIsClosed: of two attempts that succeed one connection is kept.
+// TestLateConnectionIsClosed checks that the second connection is closed when two attempts succeed.
 func TestLateConnectionIsClosed(t *testing.T) {
-	late, other := net.Pipe()
-	first, peer := net.Pipe()
-	defer func() { require.NoError(t, peer.Close()) }()
-	release, begun := make(chan struct{}), make(chan int, 2)
-	begun <- 1
-	begun <- 2
+	late, latePeer := net.Pipe()
+	first, firstPeer := net.Pipe()
+	defer func() { require.NoError(t, firstPeer.Close()) }()
+	release, attempts := make(chan struct{}), make(chan int, 2)
+	attempts <- 1
+	attempts <- 2
 	conn, err := dialEvery(t.Context(), func() (net.Conn, error) {
-		if <-begun == 1 {
+		if <-attempts == 1 {
 			<-release
 			return late, nil
 		}
@@ -55,6 +55,6 @@
 	require.NoError(t, err)
 	require.Equal(t, first, conn)
 	close(release)
-	_, err = other.Read(make([]byte, 1))
+	_, err = latePeer.Read(make([]byte, 1))
 	require.Error(t, err, "the late connection was closed")
 }
--- a/coord/rpc/doc.go
+++ b/coord/rpc/doc.go
@@ -1,12 +1,13 @@
-// Package rpc carries messages between the processes of a system: calls with a response, and one-way
-// messages. Messages are Go values, encoded by encoding/gob, over connections that net/http opened
-// and upgraded. A connection carries many calls at once and describes each type of message once.
+// Package rpc sends messages between the processes of a system: calls, which have a response, and
+// one-way messages. Messages are Go values, encoded by encoding/gob. Connections are opened by net/http
+// and upgraded to this package's protocol. A connection carries many concurrent calls, and the
+// description of each message type once.
 //
-// Nothing is promised: a message may be lost with its connection, and a call without a response may
-// have been carried out or not. Each call is sent at most once. One-way messages of one connection
-// arrive in their order.
+// Delivery is not guaranteed: a message may be lost with its connection, and a call without a response
+// may or may not have been executed. Each call is sent at most once. The one-way messages of one
+// connection arrive in order.
 //
 // Both ends must Register the types of their messages before the first one is sent. During a rolling
-// upgrade both ends may be of different versions: the names of types and fields are the wire's
-// format.
+// upgrade the two ends may run different versions, so the names of types and fields are part of the
+// wire format.
 package rpc
--- a/coord/rpc/frame.go
+++ b/coord/rpc/frame.go
@@ -9,13 +9,14 @@
 
 // Errors of calls and one-way messages.
 var (
-	// ErrBusy: the message was not sent.
+	// ErrBusy is returned when the queue to the peer is full. The message was not sent.
 	ErrBusy = errors.New("the connection's queue is full: try again later")
-	// ErrConnectionLost: the call may have been carried out or not.
-	ErrConnectionLost = errors.New("the connection ended: whether the call was carried out is not known")
+	// ErrConnectionLost is returned when a call ends without a response. The peer may or may not have
+	// executed the call.
+	ErrConnectionLost = errors.New("the connection was lost: it is not known whether the call was executed")
 )
 
-// frameKind is the kind of a frame. The numbers are sent.
+// frameKind is the kind of a frame. Its numeric values are part of the wire format.
 type frameKind uint8
 
 const (
@@ -24,24 +25,25 @@
 	frameOneWay
 )
 
-// frame is the unit of a connection. The names of the type and of its exported fields are sent.
+// frame is the unit of transmission on a connection. The names of the type and of its exported fields
+// are part of the wire format.
 type frame struct {
-	ID   uint64 // of the call, the same in its response
+	ID   uint64 // of the call; the same in its response
 	Kind frameKind
-	Body any // of a type that is registered
+	Body any // of a registered type
 
-	cancelled *atomic.Bool // of a call: its caller has given up, so that it is not sent any more; nil: it can't
+	cancelled *atomic.Bool // set when the caller cancels the call, so that it is not sent any more; nil unless a call
 }
 
-// Register makes types of messages known under their Go names. It is called before the first message
-// is sent, usually by an init function, and panics where a name or type is registered otherwise.
+// Register registers types of messages under their Go names. It must be called before the first message
+// is sent, usually by an init function. It panics if a type or name is already registered differently.
 func Register(messages ...any) {
 	for _, message := range messages {
 		gob.Register(message)
 	}
 }
 
-// RegisterName makes a type of message known under a given name. The name travels with each message,
-// so builds that run beside each other must agree on it: it stays as it is when the type or its
-// package is renamed.
+// RegisterName registers a type of message under a given name. The name is sent with each message, so
+// builds that run side by side must agree on it: it must not change when the type or its package is
+// renamed.
 func RegisterName(name string, message any) { gob.RegisterName(name, message) }
--- a/coord/rpc/rpc_test.go
+++ b/coord/rpc/rpc_test.go
@@ -20,7 +20,7 @@
 
 func init() { rpc.Register(question{}, statement{}) }
 
-// echoHandler responds to questions and keeps one-way messages. A question "never" has no response.
+// echoHandler responds to questions, except to the question "never", and records one-way messages.
 type echoHandler struct{ oneWay chan string }
 
 func (e *echoHandler) HandleCall(body any) any {
@@ -47,18 +47,18 @@
 
 func TestManyCallsOverOneConnection(t *testing.T) {
 	_, _, client := newEchoServer(t)
-	answers := make(chan any, 50)
+	responses := make(chan any, 50)
 	for range 50 {
 		go func() {
 			got, err := client.Call(t.Context(), question{Text: "x"})
 			if err != nil {
 				got = err
 			}
-			answers <- got
+			responses <- got
 		}()
 	}
 	for range 50 {
-		require.Equal(t, statement{Text: "re: x"}, <-answers)
+		require.Equal(t, statement{Text: "re: x"}, <-responses)
 	}
 }
 
@@ -79,7 +79,7 @@
 	_, err := client.Call(ctx, question{Text: "never"})
 	require.ErrorIs(t, err, rpc.ErrConnectionLost)
 	got, err := client.Call(t.Context(), question{Text: "y"})
-	require.NoError(t, err, "the connection goes on")
+	require.NoError(t, err, "the connection stays open")
 	require.Equal(t, statement{Text: "re: y"}, got)
 }
 
@@ -88,7 +88,7 @@
 	_, err := client.Call(t.Context(), question{Text: "x"})
 	require.NoError(t, err)
 	client.Close()
-	for { // a call may be sent on the old connection
+	for { // a call may still be sent on the old connection
 		if _, err = client.Call(t.Context(), question{Text: "x"}); err == nil {
 			return
 		}
@@ -111,12 +111,13 @@
 	require.Equal(t, http.StatusUpgradeRequired, response.StatusCode)
 }
 
-// TestResponsesReachTheirCalls also where they come in another order.
+// TestResponsesReachTheirCalls checks that responses reach their calls when they arrive in an order other
+// than that of the calls.
 func TestResponsesReachTheirCalls(t *testing.T) {
 	release := map[string]chan struct{}{"0": make(chan struct{}), "1": make(chan struct{}), "2": make(chan struct{})}
-	asked := make(chan string, 3)
+	received := make(chan string, 3)
 	_, client := newCallbackServer(t, func(text string) {
-		asked <- text
+		received <- text
 		<-release[text]
 	})
 	type result struct {
@@ -132,7 +133,7 @@
 		}()
 	}
 	for range 3 {
-		<-asked
+		<-received
 	}
 	for _, text := range []string{"2", "0", "1"} {
 		close(release[text])
@@ -143,45 +144,46 @@
 	}
 }
 
-// TestCallIsSentOnce: where its connection is lost before the response, the call fails with an unknown
-// outcome, and it is not sent again over the next connection.
+// TestCallIsSentOnce checks that a call whose connection is lost before the response fails with
+// ErrConnectionLost and is not sent again on the next connection.
 func TestCallIsSentOnce(t *testing.T) {
-	asked := make(chan string, 10)
-	hold := make(chan struct{})
+	received := make(chan string, 10)
+	block := make(chan struct{})
 	server, client := newCallbackServer(t, func(text string) {
-		asked <- text
+		received <- text
 		if text == "once" {
-			<-hold
+			<-block
 		}
 	})
-	defer close(hold)
+	defer close(block)
 	failed := make(chan error, 1)
 	go func() {
 		_, err := client.Call(t.Context(), question{Text: "once"})
 		failed <- err
 	}()
-	require.Equal(t, "once", <-asked)
-	server.drop()
+	require.Equal(t, "once", <-received)
+	server.dropConnections()
 	require.ErrorIs(t, <-failed, rpc.ErrConnectionLost)
 	for {
 		if _, err := client.Call(t.Context(), question{Text: "next"}); err == nil {
 			break
 		}
 	}
-	close(asked)
-	for text := range asked {
+	close(received)
+	for text := range received {
 		require.Equal(t, "next", text)
 	}
 }
 
-// TestCancelledCallIsNotSent: a call that is cancelled before there is a connection leaves the queue.
+// TestCancelledCallIsNotSent checks that a call that is cancelled before the client is connected is not
+// sent.
 func TestCancelledCallIsNotSent(t *testing.T) {
-	asked := make(chan string, 10)
-	server, client := newCallbackServer(t, func(text string) { asked <- text })
-	dialing, dial := make(chan struct{}), make(chan struct{})
+	received := make(chan string, 10)
+	server, client := newCallbackServer(t, func(text string) { received <- text })
+	upgradeStarted, continueUpgrade := make(chan struct{}), make(chan struct{})
 	server.beforeUpgrade = func() {
-		close(dialing)
-		<-dial
+		close(upgradeStarted)
+		<-continueUpgrade
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
@@ -189,19 +191,19 @@
 		_, err := client.Call(ctx, question{Text: "given up"})
 		failed <- err
 	}()
-	<-dialing
+	<-upgradeStarted
 	cancel()
 	require.ErrorIs(t, <-failed, rpc.ErrConnectionLost)
-	close(dial)
+	close(continueUpgrade)
 	_, err := client.Call(t.Context(), question{Text: "next"})
 	require.NoError(t, err)
-	require.Equal(t, "next", <-asked)
+	require.Equal(t, "next", <-received)
 }
 
-// restartableServer is a server whose connections can be closed.
+// restartableServer is a server that can close its connections and still accept new ones.
 type restartableServer struct {
 	inner         *rpc.Server
-	beforeUpgrade func()
+	beforeUpgrade func() // called once, before the first upgrade
 }
 
 func (g *restartableServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -212,13 +214,14 @@
 	g.inner.ServeHTTP(w, r)
 }
 
-// drop closes all connections; new ones are served as before.
-func (g *restartableServer) drop() {
+// dropConnections closes all connections. New ones are served as before.
+func (g *restartableServer) dropConnections() {
 	old := g.inner
 	g.inner = rpc.NewServer(old.Handler())
 	old.Close()
 }
 
+// callbackHandler calls a function with the text of each question before it responds.
 type callbackHandler func(text string)
 
 func (a callbackHandler) HandleOneWay(any) {}
@@ -229,9 +232,9 @@
 	return statement{Text: "re: " + text}
 }
 
-func newCallbackServer(t *testing.T, hear func(text string)) (*restartableServer, *rpc.Client) {
+func newCallbackServer(t *testing.T, onQuestion func(text string)) (*restartableServer, *rpc.Client) {
 	t.Helper()
-	g := &restartableServer{inner: rpc.NewServer(callbackHandler(hear))}
+	g := &restartableServer{inner: rpc.NewServer(callbackHandler(onQuestion))}
 	server := httptest.NewServer(g)
 	t.Cleanup(server.Close)
 	client := rpc.NewClient(strings.TrimPrefix(server.URL, "http://"))
--- a/coord/rpc/server.go
+++ b/coord/rpc/server.go
@@ -10,11 +10,11 @@
 
 // Handler handles the messages of peers. Its methods are called concurrently.
 type Handler interface {
-	// HandleCall returns the response to a call, of a registered type. Each call has a goroutine of its
-	// own, which outlives the connection.
+	// HandleCall returns the response to a call; its type must be registered. Each call is handled in
+	// its own goroutine, which continues even if the connection ends.
 	HandleCall(body any) any
-	// HandleOneWay handles a message without a response. It is called in the order of a connection's
-	// messages and must not block: the connection's further messages wait.
+	// HandleOneWay handles a message without a response. It is called for the messages of a connection
+	// in order. It must not block, because it delays the further messages of the connection.
 	HandleOneWay(body any)
 }
 
@@ -27,7 +27,7 @@
 	closed  bool
 }
 
-// NewServer returns a server whose messages go to a handler.
+// NewServer returns a server that passes messages to a handler.
 func NewServer(handler Handler) *Server {
 	return &Server{handler: handler, streams: map[*stream]bool{}}
 }
@@ -35,8 +35,9 @@
 // Handler returns the handler of the messages.
 func (s *Server) Handler() Handler { return s.handler }
 
-// Close closes all connections and refuses new ones. http.Server.Close does not close those that
-// were upgraded. It does not wait for the calls that are being handled: their responses are lost.
+// Close closes all connections and rejects new ones. It is needed because http.Server.Close does not
+// close upgraded connections. It does not wait for the calls that are being handled; their responses
+// are lost.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// add records a connection, so that Close closes it; false: the server is closed.
+// add records a connection, so that Close closes it. It returns false if the server is already closed.
 func (s *Server) add(stream *stream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,7 @@
 	delete(s.streams, stream)
 }
 
-// ServeHTTP upgrades a connection and serves it until it ends.
+// ServeHTTP upgrades a connection and handles its messages until it ends.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") != protocolName {
 		http.Error(w, "only "+protocolName+" is spoken here", http.StatusUpgradeRequired)
@@ -76,13 +77,14 @@
 	}
 	const accepted = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + protocolName + "\r\n\r\n"
 	if _, err := io.WriteString(conn, accepted); err != nil {
-		_ = conn.Close() // it is broken already
+		_ = conn.Close() // the connection has failed already
 		return
 	}
 	s.serve(hijackedConn{Conn: conn, reader: buffered.Reader})
 }
 
-// hijackedConn reads first what net/http had buffered before the upgrade.
+// hijackedConn is an upgraded connection. It first reads the bytes that net/http had buffered before the
+// upgrade.
 type hijackedConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -104,7 +106,8 @@
 			return
 		}
 		go func() {
-			_ = stream.enqueue(frame{ID: f.ID, Kind: frameResponse, Body: s.handler.HandleCall(f.Body)}) // without room it counts as lost
+			// If the queue is full, the response is lost.
+			_ = stream.enqueue(frame{ID: f.ID, Kind: frameResponse, Body: s.handler.HandleCall(f.Body)})
 		}()
 	})
 }
--- a/coord/rpc/stream.go
+++ b/coord/rpc/stream.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// maxQueuedFrames bounds the frames that wait to be written on one connection.
+	// maxQueuedFrames limits the frames that are waiting to be written to one connection.
 	maxQueuedFrames = 4096
 	// writeBufferBytes is the size of a connection's write buffer.
 	writeBufferBytes = 16 << 10
 )
 
-// stream is one connection, at either end. Its writer is a goroutine that ends with the connection;
-// its reader is whoever calls read, who waits for the writer.
+// stream is one connection, on the client or the server. A writer goroutine runs until the connection
+// ends. The caller of read is the reader; read waits for the writer before it returns.
 type stream struct {
 	conn       io.ReadWriteCloser
 	closeOnce  sync.Once
 	closed     chan struct{}
 	writerDone chan struct{} // closed once the writer has ended
-	lastRead   atomic.Int64  // by monotonicNow
+	lastRead   atomic.Int64  // monotonicNow at the last read, in ns
 
 	mu    sync.Mutex
 	queue []frame
@@ -32,7 +32,7 @@
 
 var processStart = time.Now()
 
-// monotonicNow is the time since the start of the process.
+// monotonicNow returns the time since the start of the process.
 func monotonicNow() time.Duration { return time.Since(processStart) }
 
 // newStream starts the writer of a connection. The caller must call read or close.
@@ -43,7 +43,7 @@
 	return s
 }
 
-// enqueue queues a frame to be written.
+// enqueue queues a frame to be written. It returns ErrBusy if the queue is full.
 func (s *stream) enqueue(f frame) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,8 @@
 	return queue
 }
 
-// write writes what is queued, until the connection ends. Frames that wait together share a flush.
+// write writes the queued frames until the connection ends. Frames that are queued together share a
+// flush.
 func (s *stream) write() {
 	defer close(s.writerDone)
 	buffer := bufio.NewWriterSize(s.conn, writeBufferBytes)
@@ -99,8 +100,8 @@
 	}
 }
 
-// read passes each frame to a handler, until the connection ends. It closes the connection and waits
-// for its writer.
+// read passes each received frame to a handler until the connection ends. It then closes the connection
+// and waits for the writer.
 func (s *stream) read(handle func(frame)) {
 	defer func() {
 		s.close()
@@ -117,10 +118,10 @@
 	}
 }
 
-// close ends the connection; it may be called repeatedly.
+// close closes the connection. It may be called more than once.
 func (s *stream) close() {
 	s.closeOnce.Do(func() {
 		close(s.closed)
-		_ = s.conn.Close() // what was not sent counts as lost
+		_ = s.conn.Close() // unsent frames are lost
 	})
 }
