--- a/coord/simdisk/simdisk.go
+++ b/coord/simdisk/simdisk.go
@@ -1,6 +1,6 @@
-// Package simdisk is a disk in memory for tests. A loss of power keeps, loses or tears what was
-// written after the last sync; writes can fail as on a full disk, and a process can be made to crash
-// at any of its operations. Only tests import it.
+// Package simdisk is an in-memory disk with fault injection for tests. A loss of power keeps, loses or
+// tears each write after the last sync. Writes can fail as on a full disk, and a crash can be simulated
+// at any operation. Only tests import this package.
 package simdisk
 
 import (
@@ -17,26 +17,27 @@
 
 // Errors of a disk's operations.
 var (
-	// ErrFull is the error of a full disk: nothing was written.
+	// ErrFull is returned when the disk is full. Nothing was written or synced.
 	ErrFull = errors.New("the simulated disk is full")
-	// ErrCrashed is the error of a disk whose machine has crashed: a write may have been carried out.
+	// ErrCrashed is returned when the machine of the disk has crashed. A write may have been executed.
 	ErrCrashed = errors.New("the simulated machine has crashed")
 )
 
-// Disk holds files by path. It implements ringlog.FileSystem. Its methods may be called concurrently;
-// its fields are for tests with one goroutine.
+// Disk is a simulated disk. It implements ringlog.FileSystem. Its methods may be called concurrently; its
+// exported fields may only be used while no other goroutine uses the disk.
 type Disk struct {
 	mu     sync.Mutex
-	files  map[string]*file
+	files  map[string]*file // by path
 	random *rand.Rand
 
-	// Full makes writes and syncs fail. SetFull sets it beside other goroutines.
+	// Full makes writes and syncs fail with ErrFull. SetFull sets it while other goroutines use the disk.
 	Full bool
-	// IgnoreSync makes syncs succeed without making anything durable: a planted fault.
+	// IgnoreSync makes file syncs succeed without making anything durable, as an injected fault.
 	IgnoreSync bool
-	// LoseUnsynced makes a loss of power take all that was not synced.
+	// LoseUnsynced makes a loss of power discard everything that was not synced.
 	LoseUnsynced bool
-	// CrashAtOperation makes the operation of that number and all after it fail; 0: none.
+	// CrashAtOperation is the number of the first operation that fails with ErrCrashed; all later ones
+	// fail too. 0 means that none fails.
 	CrashAtOperation int
 	// OperationCount is the number of writes and syncs so far.
 	OperationCount int
@@ -45,22 +46,22 @@
 // file is the content of one file.
 type file struct {
 	synced  []byte
-	pending []write // after the last sync, in order
-	durable bool    // its name outlives a loss of power
+	pending []write // writes after the last sync, in order
+	durable bool    // whether its name survives a loss of power
 }
 
-// write is one write after the last sync.
+// write is one write that is not synced yet.
 type write struct {
 	offset  int64
 	content []byte
 }
 
-// New returns an empty disk. The seed decides what a loss of power leaves.
+// New returns an empty disk. The seed determines which unsynced writes survive a loss of power.
 func New(seed uint64) *Disk {
 	return &Disk{files: map[string]*file{}, random: rand.New(rand.NewPCG(seed, 77))}
 }
 
-// countOperation counts a write or sync and returns its planned error.
+// countOperation counts a write or sync, and returns its injected error, if any.
 func (d *Disk) countOperation() error {
 	d.OperationCount++
 	if d.CrashAtOperation > 0 && d.OperationCount >= d.CrashAtOperation {
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// MakeDir implements ringlog.FileSystem; a simulated disk has paths only.
+// MakeDir implements ringlog.FileSystem. It does nothing: a simulated disk has no directories.
 func (d *Disk) MakeDir(string) error { return nil }
 
 // Open implements ringlog.FileSystem.
@@ -85,7 +86,7 @@
 	return &handle{disk: d, file: d.files[path]}, nil
 }
 
-// ReadFile implements ringlog.FileSystem. It reads also what is not synced.
+// ReadFile implements ringlog.FileSystem. The content includes writes that are not synced.
 func (d *Disk) ReadFile(path string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,21 +110,21 @@
 	return nil
 }
 
-// SetFull makes writes and syncs fail, or succeed again.
+// SetFull sets Full: whether writes and syncs fail.
 func (d *Disk) SetFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.Full = full
 }
 
-// LosePower keeps of each file what was synced. Each later write is there, missing or torn, and a
-// file whose name was not synced may be gone; with LoseUnsynced all of these are. The disk works
-// again afterwards.
+// LosePower simulates a loss of power. Synced content stays. Each later write is kept, lost or torn at
+// random, and a file whose name was not synced may be lost. With LoseUnsynced all of these are lost.
+// Afterwards the disk works again, without a crash or a full disk.
 func (d *Disk) LosePower() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.CrashAtOperation, d.Full = 0, false
-	for _, path := range slices.Sorted(maps.Keys(d.files)) { // in a fixed order, so that a run can be repeated
+	for _, path := range slices.Sorted(maps.Keys(d.files)) { // in a fixed order, so that runs are reproducible
 		f := d.files[path]
 		if !f.durable && (d.LoseUnsynced || d.random.IntN(2) == 0) {
 			delete(d.files, path)
@@ -136,7 +137,7 @@
 	}
 }
 
-// persistPartially decides what a loss of power leaves of a write.
+// persistPartially keeps an unsynced write, a part of it, or nothing after a loss of power.
 func (d *Disk) persistPartially(f *file, w write) {
 	if d.LoseUnsynced {
 		return
@@ -157,7 +158,7 @@
 	d.files = map[string]*file{}
 }
 
-// content returns what a process reads: all writes.
+// content returns the content with all writes, synced or not.
 func (f *file) content() []byte {
 	content := slices.Clone(f.synced)
 	for _, w := range f.pending {
@@ -166,10 +167,10 @@
 	return content
 }
 
-// overwrite carries a write out, extending the content where need be.
+// overwrite applies a write to the content, which it extends if necessary.
 func overwrite(content []byte, w write) []byte {
-	if need := int(w.offset) + len(w.content); need > len(content) {
-		content = append(content, make([]byte, need-len(content))...)
+	if size := int(w.offset) + len(w.content); size > len(content) {
+		content = append(content, make([]byte, size-len(content))...)
 	}
 	copy(content[w.offset:], w.content)
 	return content
@@ -181,7 +182,7 @@
 	file *file
 }
 
-// WriteAt implements ringlog.File. A write that a crash interrupts may be carried out in part.
+// WriteAt implements ringlog.File. A write that fails with ErrCrashed may be kept, lost or torn.
 func (h *handle) WriteAt(p []byte, offset int64) (int, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
