--- a/coord/replica/coldstart.go
+++ b/coord/replica/coldstart.go
@@ -5,42 +5,45 @@
 // The cold start check; it is not part of Raft.
 //
 // A replica that starts grants no vote for MinElectionTimeout, since its previous incarnation may
-// support a leader that still holds its lease. Where all processes of a group were killed at once,
-// that wait protects no lease: a lease ends with the incarnation that held it. So a replica asks, at
-// its start, whether all voters have restarted and have had no contact to a leader since; the one
-// with the most complete log then begins an election at once, and its voters disregard the wait.
+// support a leader that still holds its lease. If all processes of a group were killed at once, that
+// wait protects no lease, because a lease ends with the incarnation that held it. Therefore a replica
+// asks at its start whether all voters have restarted and have had no contact to a leader since. If so,
+// the voter with the most complete log begins an election at once, and the other voters grant their
+// votes without the wait.
 //
-// Two rounds of responses by the same incarnations are needed. Each voter's second response came
-// after every voter's first one. Had one of them led before, with a lease that rests on the support
-// of some voter's earlier incarnation, its second response would not have come: it would have led
-// since its start. And a voter grants this vote only in the incarnation that responded, and while
-// it has had no contact to a leader: any leader elected after its second response needs a majority that
-// has.
+// Two rounds of responses by the same incarnations are needed. Each voter's second response is later
+// than every voter's first one. If one of the responding incarnations held a lease that depends on the
+// support of some voter's earlier incarnation, it would have become leader after its own start but before
+// its second response, and a replica that has been a leader sends no response. A voter grants this vote
+// only in the incarnation that responded, and only while it has had no contact to a leader: a leader that
+// is elected after the voter's second response needs a majority of voters that have had contact to it.
 
-// coldStartInterval is the pause between two rounds.
+// coldStartInterval is the time between two rounds.
 const coldStartInterval = 60 * time.Millisecond
 
-// coldStart is what a replica knows of the other voters' restarts.
+// coldStart is the state of a replica's cold start check.
 type coldStart struct {
 	nextRoundDue time.Duration
 	round        uint64
-	responses    map[string]Message // of this round, by ID
-	previous     map[string]Message // of the round before; nil: not all voters responded to it
+	responses    map[string]Message // responses in this round, by ID
+	previous     map[string]Message // responses in the round before; nil if not all voters responded in it
 }
 
-// tickColdStart begins a round that is due.
+// tickColdStart begins the next round if it is due.
 func (n *Node) tickColdStart(now time.Duration) {
-	if n.hadLeader || !n.awaitsElection() || now < n.coldStart.nextRoundDue || !n.Membership().IsVoter(n.id) {
+	if n.hadLeader || !n.isFollowerOrPreCandidate() || now < n.coldStart.nextRoundDue || !n.Membership().IsVoter(n.id) {
 		return
 	}
 	n.beginColdStartRound(now)
 }
 
-// awaitsElection reports whether the replica is no candidate. One that asks for pre-votes, which
-// others that support an earlier leader withhold, may learn meanwhile that all have restarted.
-func (n *Node) awaitsElection() bool { return n.role == Follower || n.role == PreCandidate }
+// isFollowerOrPreCandidate reports whether the cold start check may run in the node's role. It also
+// runs during a pre-vote: while voters that support an earlier leader refuse their pre-votes, the check
+// may find that all voters have restarted.
+func (n *Node) isFollowerOrPreCandidate() bool { return n.role == Follower || n.role == PreCandidate }
 
-// beginColdStartRound asks all other voters. The round before counts only where all of them responded to it.
+// beginColdStartRound sends a request to all other voters. The previous round counts only if all of
+// them responded in it.
 func (n *Node) beginColdStartRound(now time.Duration) {
 	n.coldStart.previous = nil
 	if n.allVotersResponded() {
@@ -54,7 +57,8 @@
 	}
 }
 
-// allVotersResponded reports whether all other voters have responded in this round.
+// allVotersResponded reports whether all other voters have responded in this round. It is false if
+// there are no other voters.
 func (n *Node) allVotersResponded() bool {
 	for _, id := range n.otherVoters() {
 		if _, ok := n.coldStart.responses[id]; !ok {
@@ -73,10 +77,10 @@
 	n.send(Message{Kind: ColdStartResponse, To: request.From, Index: last, LogTerm: n.log.term(last), Round: request.Round, Life: n.incarnation})
 }
 
-// handleColdStartResponse begins the second round after the first is complete, and an election after the
-// second, where this replica goes first.
+// handleColdStartResponse begins the second round once the first is complete. Once the second is
+// complete, it begins an election if this replica is the preferred candidate.
 func (n *Node) handleColdStartResponse(now time.Duration, response Message) {
-	if n.hadLeader || !n.awaitsElection() || response.Round != n.coldStart.round {
+	if n.hadLeader || !n.isFollowerOrPreCandidate() || response.Round != n.coldStart.round {
 		return
 	}
 	n.coldStart.responses[response.From] = response
@@ -84,14 +88,14 @@
 	case !n.allVotersResponded():
 	case n.coldStart.previous == nil:
 		n.beginColdStartRound(now)
-	case n.isFirstCandidate():
+	case n.isPreferredCandidate():
 		n.campaign(now, Candidate, campaignReason{coldStart: true})
 	}
 }
 
-// isFirstCandidate reports whether the same incarnations responded in both rounds and this replica
-// goes first among them: by its log, and by its rank where logs are equal.
-func (n *Node) isFirstCandidate() bool {
+// isPreferredCandidate reports whether the same incarnations responded in both rounds and this replica
+// precedes all of them.
+func (n *Node) isPreferredCandidate() bool {
 	for _, id := range n.otherVoters() {
 		response := n.coldStart.responses[id]
 		if n.coldStart.previous[id].Life != response.Life || !n.precedes(response) {
@@ -101,7 +105,8 @@
 	return true
 }
 
-// precedes reports whether this replica goes before the one that responded.
+// precedes reports whether this replica, rather than the one that responded, is the preferred candidate:
+// the more complete log decides, and the rank if the logs are equal.
 func (n *Node) precedes(response Message) bool {
 	last := n.log.last()
 	term := n.log.term(last)
@@ -112,7 +117,7 @@
 	return own < other || own == other && n.id < response.From
 }
 
-// rankOf orders the voters of a group. Each group has another order, so that where all processes restart
-// at once the leaders of their groups spread over them. By the ID alone one process would lead all groups
-// whose logs are equal.
+// rankOf returns the rank of a voter in this group; the lowest rank is preferred. The order of the voters
+// differs from group to group, so that the leaders of the groups spread over the processes if all restart
+// at once. With the ID alone as the rank, one process would lead all groups whose logs are equal.
 func (n *Node) rankOf(id string) uint64 { return hashOf(n.group + "/" + id) }
--- a/coord/replica/election.go
+++ b/coord/replica/election.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// campaignReason says why a candidate's voters may disregard a leader's lease; the zero value: they
-// may not.
+// campaignReason is the reason for which voters may grant their vote while a leader may hold a lease.
+// With the zero value they may not.
 type campaignReason struct {
-	leaseGivenUp bool // the leader gave its lease up in a transfer of its leadership
-	coldStart    bool // all voters have restarted, so that no lease is left
+	leadershipTransfer bool // the leader gave up its lease to transfer its leadership
+	coldStart          bool // all voters have restarted, so that no lease is valid any more
 }
 
-// campaign begins an election, or as PreCandidate the pre-vote before it.
+// campaign begins an election, or with the role PreCandidate the pre-vote before it.
 func (n *Node) campaign(now time.Duration, role Role, reason campaignReason) {
 	if !n.Membership().IsVoter(n.id) {
 		return
@@ -32,7 +32,7 @@
 			Term:     term,
 			Index:    lastIndex,
 			LogTerm:  n.log.term(lastIndex),
-			Handover: reason.leaseGivenUp,
+			Handover: reason.leadershipTransfer,
 			Fresh:    reason.coldStart,
 			Life:     n.coldStart.responses[voter].Life,
 		})
@@ -40,7 +40,7 @@
 	n.countVotes(now)
 }
 
-// otherVoters lists the IDs of the other members that vote, in a fixed order.
+// otherVoters returns the IDs of the other members that have a vote, in a fixed order.
 func (n *Node) otherVoters() []string {
 	var ids []string
 	members := n.Membership()
@@ -52,8 +52,10 @@
 	return ids
 }
 
-// supportsLeader reports whether this node's contact to a leader is so recent that it must not help
-// another candidate: the leader's lease rests on it (dissertation 4.2.3 and 6.4.1).
+// supportsLeader reports whether this node is a leader with recent contact to a majority, or its contact
+// to a leader is so recent that it must not vote for another candidate, since that leader's lease depends
+// on it (dissertation 4.2.3 and 6.4.1). It returns false for a request that may be granted in spite of a
+// lease: one of a leadership transfer, or of a cold start of which this node is still a part.
 func (n *Node) supportsLeader(now time.Duration, request Message) bool {
 	if request.Handover || request.Fresh && !n.hadLeader && request.Life == n.incarnation {
 		return false
@@ -70,8 +72,8 @@
 	return request.LogTerm > lastTerm || request.LogTerm == lastTerm && request.Index >= last
 }
 
-// handleVoteRequest answers a request for a vote or pre-vote. One that must not be granted because a
-// leader may hold a lease has no answer.
+// handleVoteRequest responds to a request for a vote or pre-vote. It sends no response while a leader
+// that this node supports may hold a lease.
 func (n *Node) handleVoteRequest(now time.Duration, request Message) {
 	if n.supportsLeader(now, request) {
 		return
@@ -97,9 +99,9 @@
 	n.sendAfterSync(Message{Kind: VoteResponse, To: request.From})
 }
 
-// respondToPreVote grants a pre-vote, which changes nothing here, or tells a candidate of an older
-// term the newer one: without it, a candidate with the more complete log could wait for ever on a
-// voter with the newer term.
+// respondToPreVote grants a pre-vote, which changes no state of the voter, or rejects a candidate of an
+// older term with the current term. Without the rejection, a candidate with the more complete log could
+// wait forever for the vote of a voter with a newer term.
 func (n *Node) respondToPreVote(request Message) {
 	switch {
 	case request.Term <= n.hardState.Term:
@@ -109,7 +111,7 @@
 	}
 }
 
-// handlePreVoteResponse counts a granted pre-vote, or enters the newer term that a rejection names.
+// handlePreVoteResponse counts a granted pre-vote, or enters the newer term that a rejection carries.
 func (n *Node) handlePreVoteResponse(now time.Duration, response Message) {
 	if response.Reject {
 		if response.Term > n.hardState.Term {
@@ -133,7 +135,8 @@
 	n.countVotes(now)
 }
 
-// countVotes takes the next step of the election once a majority has granted its pre-vote or vote.
+// countVotes begins the election once a majority has granted the pre-vote, and the leadership once a
+// majority has granted the vote.
 func (n *Node) countVotes(now time.Duration) {
 	granted := majority(n.Membership(), func(id string) int {
 		if n.votes[id] {
@@ -151,7 +154,8 @@
 	n.becomeLeader(now)
 }
 
-// becomeLeader begins a leadership, without a lease yet: the no-op of its term is replicated first.
+// becomeLeader makes this node the leader of the current term. It has no lease until the no-op of the
+// term is applied.
 func (n *Node) becomeLeader(now time.Duration) {
 	n.role = Leader
 	n.leaderID = n.id
--- a/coord/replica/election_test.go
+++ b/coord/replica/election_test.go
@@ -15,16 +15,16 @@
 	lastTerm      = 3
 )
 
-// newVoter returns voter "a" of three in term 3, whose log ends with an entry of index 5 and term 3. It
-// may vote at once.
+// newVoter returns voter "a" of a group of three in term 3, whose log ends with an entry of index 5 and
+// term 3. It may vote at once.
 func newVoter(t *testing.T) *replica.Node {
 	t.Helper()
 	members := replica.Membership{Voters: []replica.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
-	found := replica.PersistedState{
+	persisted := replica.PersistedState{
 		HardState: replica.HardState{Term: lastTerm},
 		Snapshot:  replica.Snapshot{Index: lastIndex, Term: lastTerm, Membership: members},
 	}
-	return replica.NewNode("a", "g", timing, found, 1, electionStart-timing.MinElectionTimeout)
+	return replica.NewNode("a", "g", timing, persisted, 1, electionStart-timing.MinElectionTimeout)
 }
 
 // voteRequest returns the request of a candidate whose log is as complete as the voter's.
@@ -32,7 +32,7 @@
 	return replica.Message{Kind: kind, From: from, To: "a", Term: term, Index: lastIndex, LogTerm: lastTerm}
 }
 
-// heartbeat returns one of the leader of the voter's term, "c".
+// heartbeat returns a heartbeat of "c", the leader of the voter's term.
 func heartbeat() replica.Message {
 	return replica.Message{Kind: replica.AppendRequest, From: "c", To: "a", Term: lastTerm, Index: lastIndex, LogTerm: lastTerm}
 }
@@ -52,7 +52,7 @@
 		{"the same candidate again", []replica.Message{voteRequest(replica.VoteRequest, "b", 4)}, voteRequest(replica.VoteRequest, "b", 4), true},
 		{"another candidate of the same term", []replica.Message{voteRequest(replica.VoteRequest, "c", 4)}, voteRequest(replica.VoteRequest, "b", 4), false},
 		{"in contact with a leader", []replica.Message{heartbeat()}, voteRequest(replica.VoteRequest, "b", 4), false},
-		{"the leader gave its lease up", []replica.Message{heartbeat()}, withHandover(voteRequest(replica.VoteRequest, "b", 4)), true},
+		{"the leader gave up its lease", []replica.Message{heartbeat()}, withHandover(voteRequest(replica.VoteRequest, "b", 4)), true},
 		{"all voters restarted, but this one had contact to a leader", []replica.Message{heartbeat()}, withFresh(voteRequest(replica.VoteRequest, "b", 4)), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -7,19 +7,19 @@
 	"basaltloft/coord/replica"
 )
 
-// A group of one voter: its driver carries out each Ready before the next input.
+// A group of one voter, whose driver processes each Ready before the next input.
 func ExampleNode() {
 	timing := replica.Timing{
 		HeartbeatInterval: 200 * time.Millisecond, LeaseDuration: time.Second,
 		MinElectionTimeout: 1200 * time.Millisecond, ElectionJitter: 600 * time.Millisecond,
 	}
-	now := time.Duration(0) // of the driver's monotonic clock
-	found := replica.PersistedState{Snapshot: replica.Snapshot{
+	now := time.Duration(0) // time of the driver's monotonic clock
+	persisted := replica.PersistedState{Snapshot: replica.Snapshot{
 		Index: 1, Term: 1, Membership: replica.Membership{Voters: []replica.Member{{ID: "a", Address: "10.0.0.1:7000"}}},
 	}}
-	node := replica.NewNode("a", "settings", timing, found, 42, now)
+	node := replica.NewNode("a", "settings", timing, persisted, 42, now)
 
-	carryOut := func() {
+	processReady := func() {
 		for ready := node.Ready(); !ready.Empty(); ready = node.Ready() {
 			for _, entry := range ready.CommittedEntries {
 				fmt.Printf("apply entry %d: %q\n", entry.Index, entry.Data)
@@ -37,10 +37,10 @@
 		now = node.NextTick()
 		node.Tick(now)
 	}
-	carryOut()
+	processReady()
 	index, _, accepted := node.Propose(now, []byte("x=1"))
 	fmt.Printf("proposed entry %d: %v\n", index, accepted)
-	carryOut()
+	processReady()
 	// Output:
 	// apply entry 2: ""
 	// proposed entry 3: true
--- a/coord/replica/log.go
+++ b/coord/replica/log.go
@@ -2,28 +2,31 @@
 
 import "slices"
 
-// maxAppendBytes bounds the data of the entries of one message, except for its first entry.
+// maxAppendBytes limits the size of the entries' data in one message. The first entry is always sent,
+// even if it is larger.
 const maxAppendBytes = 256 << 10
 
-// LogRetention bounds what stays in memory of the entries that a snapshot covers. Entries and
-// Bytes both apply.
+// LogRetention limits which of the entries that a snapshot covers stay in memory. Entries and Bytes
+// both apply.
 type LogRetention struct {
 	Entries uint64
-	Bytes   int // of the entries' data
-	// AfterIndex keeps all entries after this index, whatever the other bounds; 0: none.
+	Bytes   int // size of the entries' data
+	// AfterIndex retains all entries after this index regardless of the other limits; 0 means no such
+	// index.
 	AfterIndex uint64
 }
 
-// raftLog holds in memory the log after a snapshot, and some of the entries before that.
+// raftLog holds in memory the log after the newest snapshot, and some of the entries that the snapshot
+// covers.
 type raftLog struct {
 	snapshot  Snapshot // the newest one, without its Data
-	entries   []Entry  // without a gap; they may begin before the snapshot's index, never later than just after it
-	first     uint64   // index of entries[0], or of the next entry where there are none
+	entries   []Entry  // contiguous; they begin at the latest just after the snapshot's index
+	first     uint64   // index of entries[0], or of the next entry if there are none
 	priorTerm uint64   // term of the entry before first
 	stable    uint64   // highest index on this replica's disk
 }
 
-// reset begins the log anew after a snapshot.
+// reset replaces the log by a snapshot.
 func (l *raftLog) reset(snapshot Snapshot) {
 	snapshot.Data = nil
 	l.snapshot = snapshot
@@ -35,7 +38,7 @@
 
 func (l *raftLog) last() uint64 { return l.first + uint64(len(l.entries)) - 1 }
 
-// term returns the term of the entry at an index; zero: it is not known here.
+// term returns the term of the entry at an index, or zero if it is not known here.
 func (l *raftLog) term(index uint64) uint64 {
 	switch {
 	case index >= l.first && index <= l.last():
@@ -48,29 +51,29 @@
 	return 0
 }
 
-// has reports whether the log holds that entry, or a snapshot that covers it.
-func (l *raftLog) has(index, term uint64) bool {
+// matches reports whether the log has an entry of that index and term, or a snapshot that covers it.
+func (l *raftLog) matches(index, term uint64) bool {
 	return index == 0 || index < l.snapshot.Index || l.term(index) == term
 }
 
 // slice returns the entries from one index to another, both included; the log must hold them.
 func (l *raftLog) slice(from, to uint64) []Entry { return l.entries[from-l.first : to-l.first+1] }
 
-// append adds entries; the first one's index cuts off what was there.
+// append adds entries. They replace all entries from the first one's index on.
 func (l *raftLog) append(entries []Entry) {
 	if len(entries) == 0 {
 		return
 	}
 	keptCount := entries[0].Index - l.first
-	if keptCount < uint64(len(l.entries)) { // slices that were handed out must not change
+	if keptCount < uint64(len(l.entries)) { // slices that were returned to callers must not change
 		l.entries = slices.Clip(l.entries[:keptCount])
 	}
 	l.entries = append(l.entries, entries...)
 	l.stable = min(l.stable, entries[0].Index-1)
 }
 
-// conflict returns the entries from the first on that the log lacks or has otherwise.
-func (l *raftLog) conflict(entries []Entry) []Entry {
+// missing returns the entries from the first one on that the log lacks or has with another term.
+func (l *raftLog) missing(entries []Entry) []Entry {
 	for i, entry := range entries {
 		if entry.Index <= l.snapshot.Index {
 			continue
@@ -82,7 +85,7 @@
 	return nil
 }
 
-// batch returns the entries from an index on that go in one message.
+// batch returns the entries from an index on that fit in one message.
 func (l *raftLog) batch(from uint64) []Entry {
 	if from > l.last() {
 		return nil
@@ -111,7 +114,7 @@
 	return index - 1
 }
 
-// compact moves to a newer snapshot and drops entries that it covers.
+// compact records a newer snapshot and drops entries that it covers, except those to retain.
 func (l *raftLog) compact(snapshot Snapshot, retention LogRetention) {
 	if snapshot.Index <= l.snapshot.Index {
 		return
@@ -127,7 +130,8 @@
 	l.first = first
 }
 
-// firstRetained returns the first index to keep, of those up to a snapshot's.
+// firstRetained returns the index of the first entry to retain when a snapshot covers the log up to
+// snapshotIndex.
 func (l *raftLog) firstRetained(snapshotIndex uint64, retention LogRetention) uint64 {
 	first, size := snapshotIndex+1, 0
 	for first > l.first && snapshotIndex-first+1 < retention.Entries {
--- a/coord/replica/log_test.go
+++ b/coord/replica/log_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// logOf returns a log after a snapshot of index 10 and term 2, with an entry for each term from index
-// 11 on.
+// logOf returns a log that follows a snapshot of index 10 and term 2. It has one entry for each of the
+// terms, from index 11 on.
 func logOf(terms ...uint64) *raftLog {
 	l := &raftLog{}
 	l.reset(Snapshot{Index: 10, Term: 2})
@@ -38,20 +38,20 @@
 	}
 }
 
-func TestLogConflict(t *testing.T) {
+func TestLogMissing(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		entries []Entry
 		want    []uint64
 	}{
-		{"all are there", entriesFrom(11, 3, 3), nil},
+		{"all present", entriesFrom(11, 3, 3), nil},
 		{"covered by the snapshot", entriesFrom(9, 2, 2), nil},
-		{"behind the end", entriesFrom(14, 4, 4), []uint64{14, 15}},
+		{"after the end", entriesFrom(14, 4, 4), []uint64{14, 15}},
 		{"another term", entriesFrom(12, 5, 5), []uint64{12, 13}},
-		{"equal at first", entriesFrom(11, 3, 5), []uint64{12}},
+		{"equal prefix", entriesFrom(11, 3, 5), []uint64{12}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, indexes(logOf(3, 3, 4).conflict(c.entries)))
+			require.Equal(t, c.want, indexes(logOf(3, 3, 4).missing(c.entries)))
 		})
 	}
 }
@@ -59,12 +59,12 @@
 func TestLogAppendReplacesTheTail(t *testing.T) {
 	l := logOf(3, 3, 4)
 	l.stable = 13
-	handedOut := l.slice(11, 13)
+	returned := l.slice(11, 13)
 	l.append(entriesFrom(12, 5, 5, 5))
 	require.Equal(t, uint64(14), l.last())
 	require.Equal(t, uint64(5), l.term(12))
 	require.Equal(t, uint64(11), l.stable, "the new entries are not on disk")
-	require.Equal(t, uint64(3), handedOut[1].Term, "a slice that was handed out does not change")
+	require.Equal(t, uint64(3), returned[1].Term, "a slice that was returned does not change")
 }
 
 func TestLogSkipsATermAtOnce(t *testing.T) {
@@ -84,7 +84,7 @@
 		{"two entries", LogRetention{Entries: 2, Bytes: 1000}, 13},
 		{"as many as the bytes allow", LogRetention{Entries: 100, Bytes: 35}, 12},
 		{"all after an index", LogRetention{AfterIndex: 11}, 12},
-		{"no more than there are", LogRetention{Entries: 100, Bytes: 1000}, 11},
+		{"all entries that the log has", LogRetention{Entries: 100, Bytes: 1000}, 11},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := logOf(3, 3, 4, 4, 4)
--- a/coord/replica/membership.go
+++ b/coord/replica/membership.go
@@ -10,27 +10,29 @@
 
 // Member is one replica of a group.
 type Member struct {
-	// ID is drawn when the replica's disk is first used: a replica that lost its disk comes back as
-	// another member.
+	// ID is generated when the replica's disk is first used: a replica that lost its disk comes back
+	// as another member.
 	ID      string
-	Address string // host:port where it receives messages of its peers
+	Address string // host:port at which it receives messages from its peers
 }
 
 // Membership is the configuration of a group (dissertation, chapter 4). It is stored and sent by
-// encoding/gob, so that its field names stay. A value is immutable once it is in the log.
+// encoding/gob: its field names are part of the format and must not change. A value is immutable once
+// it is in the log.
 type Membership struct {
 	Voters []Member
-	// Outgoing are the voters before a change that is under way; empty: there is none. Until it ends
-	// each decision needs a majority of both sets (joint consensus, dissertation 4.3).
+	// Outgoing is the previous set of voters while a change of the voters is in progress, and empty
+	// otherwise. Until the change ends, each decision needs a majority of both sets (joint consensus,
+	// dissertation 4.3).
 	Outgoing []Member
 	// Learners receive the log and have no vote (dissertation 4.2.1).
 	Learners []Member
 }
 
-// IsJoint reports whether a change of the voters is under way.
+// IsJoint reports whether a change of the voters is in progress.
 func (m Membership) IsJoint() bool { return len(m.Outgoing) > 0 }
 
-// Find returns the voter, outgoing voter or learner of that ID.
+// Find returns the voter, outgoing voter or learner with that ID, and false if there is none.
 func (m Membership) Find(id string) (Member, bool) {
 	for _, set := range [][]Member{m.Voters, m.Outgoing, m.Learners} {
 		if i := indexOf(set, id); i >= 0 {
@@ -40,12 +42,12 @@
 	return Member{}, false
 }
 
-// IsVoter reports whether the member of that ID has a vote, in either set.
+// IsVoter reports whether the member with that ID has a vote, in either set of voters.
 func (m Membership) IsVoter(id string) bool {
 	return indexOf(m.Voters, id) >= 0 || indexOf(m.Outgoing, id) >= 0
 }
 
-// AllMembers lists each member once: voters, outgoing voters, learners.
+// AllMembers returns each member once, in the order voters, outgoing voters, learners.
 func (m Membership) AllMembers() []Member {
 	var all []Member
 	for _, set := range [][]Member{m.Voters, m.Outgoing, m.Learners} {
@@ -58,8 +60,8 @@
 	return all
 }
 
-// WithLearner returns the membership with one more learner. A learner that was at the same address
-// has lost its disk and is removed.
+// WithLearner returns the membership with one more learner. An earlier learner at the same address is
+// removed, since it must have lost its disk.
 func (m Membership) WithLearner(learner Member) Membership {
 	next := m
 	next.Learners = nil
@@ -72,8 +74,8 @@
 	return next
 }
 
-// EnterJoint returns the joint membership in which a learner becomes a voter in place of the voter
-// with the ID leaving; an empty ID only adds the learner.
+// EnterJoint returns the joint membership in which a learner becomes a voter and replaces the voter with
+// the ID leaving. With an empty ID it adds the learner and removes no voter.
 func (m Membership) EnterJoint(leaving string, learner Member) Membership {
 	next := Membership{Outgoing: m.Voters}
 	for _, voter := range m.Voters {
@@ -90,7 +92,7 @@
 	return next
 }
 
-// LeaveJoint returns the membership after a change: the outgoing voters have left.
+// LeaveJoint returns the membership that follows a joint one, without the outgoing voters.
 func (m Membership) LeaveJoint() Membership {
 	return Membership{Voters: m.Voters, Learners: m.Learners}
 }
@@ -112,17 +114,17 @@
 	return values
 }
 
-// indexOf returns the index of the member of that ID; negative: there is none.
+// indexOf returns the index of the member with that ID, or a negative number if there is none.
 func indexOf(members []Member, id string) int {
 	return slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 }
 
-// ChangeMembers proposes a membership at the leader; false: this node is not the leader, transfers
-// its leadership, or another change is not committed yet. A change is also refused before the
-// leader has committed an entry of its own term: an uncommitted change of an earlier term may
-// exist elsewhere (dissertation 4.1, with the correction of July 2015).
+// ChangeMembers proposes a membership at the leader. It returns false if this node is not the leader, is
+// transferring its leadership, or another change is not committed yet. It also returns false before the
+// leader has applied an entry of its own term: an uncommitted change of an earlier term may exist on
+// other replicas (dissertation 4.1, with the correction of July 2015).
 //
-// A joint membership is left by the leader itself, as soon as it is committed.
+// The leader leaves a joint membership on its own as soon as that is committed.
 func (n *Node) ChangeMembers(now time.Duration, next Membership) bool {
 	if n.role != Leader || n.transferee != "" || n.log.membershipIndex() > n.commit || n.applied < n.termStartIndex {
 		return false
@@ -131,8 +133,8 @@
 	return true
 }
 
-// finishMembershipChange takes the next step of a change once its membership is committed: a joint one is
-// left, and a leader that is no voter any more steps down (dissertation 4.2.2).
+// finishMembershipChange completes a change once its membership is committed: the leader leaves a joint
+// membership, and steps down if it is not a voter any more (dissertation 4.2.2).
 func (n *Node) finishMembershipChange(now time.Duration) {
 	if n.log.membershipIndex() > n.commit {
 		return
--- a/coord/replica/membership_test.go
+++ b/coord/replica/membership_test.go
@@ -22,7 +22,7 @@
 		want    bool
 	}{
 		{"both sets", []string{"a", "b"}, true},
-		{"one of each set beside a common one", []string{"a", "c", "d"}, true},
+		{"a common voter and one more of each set", []string{"a", "c", "d"}, true},
 		{"only the incoming set", []string{"a", "d"}, false},
 		{"only the outgoing set", []string{"a", "c"}, false},
 	} {
@@ -51,9 +51,9 @@
 	require.Equal(t, Membership{Voters: membersOf("a", "b", "d"), Learners: membersOf("e")}, joint.LeaveJoint())
 }
 
-func TestALearnerReplacesTheOneAtItsAddress(t *testing.T) {
+func TestLearnerReplacesTheOneAtItsAddress(t *testing.T) {
 	before := Membership{Voters: membersOf("a"), Learners: membersOf("b", "c")}
 	after := before.WithLearner(Member{ID: "b2", Address: "host-b"})
 	require.Equal(t, []Member{{ID: "c", Address: "host-c"}, {ID: "b2", Address: "host-b"}}, after.Learners)
-	require.Equal(t, membersOf("b", "c"), before.Learners, "the membership before does not change")
+	require.Equal(t, membersOf("b", "c"), before.Learners, "the original membership does not change")
 }
--- a/coord/replica/message.go
+++ b/coord/replica/message.go
@@ -2,101 +2,105 @@
 
 import "time"
 
-// MessageKind is the kind of a message. The numbers are sent: new kinds go to the end.
+// MessageKind is the kind of a message. The numeric values are part of the wire format: new kinds go
+// to the end.
 type MessageKind uint8
 
 // Kinds of messages.
 const (
-	// PreVoteRequest asks whether the receiver would vote for the sender in Term, the sender's next
-	// one (dissertation 9.6).
+	// PreVoteRequest asks whether the receiver would vote for the sender in Term, which is one more
+	// than the sender's current term (dissertation 9.6).
 	PreVoteRequest MessageKind = iota
-	// PreVoteResponse grants a pre-vote for Term, or with Reject tells a candidate of a newer Term.
+	// PreVoteResponse grants a pre-vote for Term. With Reject it carries the sender's current term,
+	// which is at least the requested one.
 	PreVoteResponse
 	// VoteRequest asks for a vote in Term.
 	VoteRequest
-	// VoteResponse grants a vote; a vote that is withheld is not answered.
+	// VoteResponse grants a vote. A replica that refuses a vote sends no response.
 	VoteResponse
-	// AppendRequest carries entries of the leader, or none as a heartbeat.
+	// AppendRequest carries entries of the leader's log; without entries it is a heartbeat.
 	AppendRequest
-	// AppendResponse acknowledges entries or an installed snapshot, or with Reject tells that the log
-	// differs at the entry before them.
+	// AppendResponse acknowledges entries or an installed snapshot. With Reject it reports that the
+	// sender's log does not match at the entry before them.
 	AppendResponse
-	// InstallSnapshot carries a whole snapshot. A Node emits it with an empty snapshot, by which it asks
+	// InstallSnapshot carries a complete snapshot. A Node emits it with an empty snapshot, which asks
 	// the driver to send the newest one.
 	InstallSnapshot
-	// TimeoutNow transfers the leadership: the receiver begins an election at once (dissertation 3.10).
+	// TimeoutNow transfers leadership: the receiver begins an election at once (dissertation 3.10).
 	TimeoutNow
 	// ColdStartRequest asks a voter whether it has had contact to a leader since its start.
 	ColdStartRequest
-	// ColdStartResponse tells that the sender has had none; one that has does not answer.
+	// ColdStartResponse states that the sender has had no such contact. A replica that has had contact
+	// to a leader sends no response.
 	ColdStartResponse
-	// SnapshotChunk carries a part of a snapshot. Drivers exchange chunks; a Node never sees them.
+	// SnapshotChunk carries a part of a snapshot. Drivers exchange chunks; a Node never handles them.
 	SnapshotChunk
-	// SnapshotChunkResponse tells how much of a snapshot has arrived.
+	// SnapshotChunkResponse reports how much of a snapshot has arrived.
 	SnapshotChunkResponse
 )
 
-// Message is sent from one replica of a group to another. It is sent by encoding/gob, so that its
-// field names stay. Fields that a kind does not use are zero.
+// Message is a message between two replicas of a group. It is encoded by encoding/gob: its field names
+// are part of the wire format and must not change. Fields that a kind does not use are zero.
 type Message struct {
 	Kind     MessageKind
 	Group    string // name of the group; a process has replicas of several groups
 	From, To string // IDs of members
-	Term     uint64 // the sender's term; of pre-votes the term that is asked for or granted
+	Term     uint64 // the sender's term; in pre-vote messages the requested or granted term
 
-	// Index is, by kind: of an AppendRequest the index before Entries; of the requests for votes and a
-	// ColdStartResponse the sender's last index; of an AppendResponse the highest index that matches
-	// the leader's log and is on disk, or with Reject the highest that may match; of a
-	// SnapshotChunkResponse the snapshot's index.
+	// Index depends on the kind. AppendRequest: the index before Entries. PreVoteRequest, VoteRequest
+	// and ColdStartResponse: the sender's last index. AppendResponse: the highest index that matches
+	// the leader's log and is on disk, or with Reject the highest index that may match.
+	// SnapshotChunkResponse: the snapshot's index.
 	Index   uint64
 	LogTerm uint64 // term of the entry at Index
 	Commit  uint64 // the leader's commit index
 	Entries []Entry
 	Reject  bool
 
-	// SentAt is the leader's clock when it sent an AppendRequest. The response returns it: the lease
-	// counts from the sending, which is before the follower's contact.
+	// SentAt is the time on the leader's clock at which it sent an AppendRequest or InstallSnapshot. The
+	// response returns it. The lease counts from it, because it is before the follower's contact.
 	SentAt time.Duration
 
-	Handover bool   // VoteRequest: the leader gave its lease up for this election
-	Fresh    bool   // VoteRequest: all voters have restarted, so that no lease is left
-	Round    uint64 // of the cold start check
-	Life     uint64 // incarnation: ColdStartResponse: the sender's; VoteRequest with Fresh: the receiver's
+	Handover bool   // VoteRequest: the leader gave up its lease for this election (leadership transfer)
+	Fresh    bool   // VoteRequest: the cold start check found that all voters restarted, so no lease is valid
+	Round    uint64 // number of the round of the cold start check
+	Life     uint64 // incarnation of the sender (ColdStartResponse) or receiver (VoteRequest with Fresh)
 
 	Snapshot *Snapshot
-	Offset   int // SnapshotChunk: offset of Snapshot.Data in bytes; its response: bytes that have arrived without a gap
-	Total    int // SnapshotChunk: size of the whole in bytes
+	// Offset is the offset of Snapshot.Data in bytes (SnapshotChunk), or the number of bytes that have
+	// arrived without a gap (SnapshotChunkResponse).
+	Offset int
+	Total  int // SnapshotChunk: size of the complete snapshot in bytes
 
-	// Addresses are the group's members, for a receiver that may not know them yet: it would find no
-	// address for its response.
+	// Addresses are the group's members, for a receiver whose log may not contain them yet: without
+	// them it would have no address for its response.
 	Addresses []Member
 }
 
-// Ready is what a Node asks of its driver; see the package comment for the order.
+// Ready is the work that a Node requests from its driver; see the package comment for the order.
 type Ready struct {
-	// HardState is to be written; nil: it is unchanged.
+	// HardState is to be written; nil if it is unchanged.
 	HardState *HardState
-	// Entries are to be written. The first one's index cuts off what the log on disk has there and
-	// after.
+	// Entries are to be written. They replace all entries on disk from the first one's index on.
 	Entries []Entry
-	// Snapshot replaces the application's state and the whole log; nil: there is none.
+	// Snapshot replaces the application's state and the whole log; nil if there is none.
 	Snapshot *Snapshot
 	// Messages may be sent at once.
 	Messages []Message
 	// MessagesAfterSync may be sent once everything above is synced.
 	MessagesAfterSync []Message
-	// CommittedEntries are to be applied, in order. They may not be on this replica's disk yet: a
-	// majority has them.
+	// CommittedEntries are to be applied, in order. A majority has them on disk; this replica may not
+	// yet.
 	CommittedEntries []Entry
 }
 
-// Empty reports whether nothing is asked for.
+// Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
 	return r.HardState == nil && len(r.Entries) == 0 && r.Snapshot == nil && len(r.Messages) == 0 && len(r.MessagesAfterSync) == 0 && len(r.CommittedEntries) == 0
 }
 
-// Ready returns what the inputs since the last call ask for, and counts its committed entries as
-// applied.
+// Ready returns the work that results from the inputs since the last call. The node counts the
+// returned committed entries as applied.
 func (n *Node) Ready() Ready {
 	n.collectCommitted()
 	ready := n.ready
@@ -113,25 +117,25 @@
 	n.applied = n.commit
 }
 
-// setHardState changes the term and vote and asks for their write. Messages that rest on them must be sent
-// by sendAfterSync.
+// setHardState changes the term and vote and adds them to the Ready to be written. Messages that depend
+// on them must be sent by sendAfterSync.
 func (n *Node) setHardState(term uint64, vote string) {
 	n.hardState = HardState{Term: term, Vote: vote}
 	state := n.hardState
 	n.ready.HardState = &state
 }
 
-// send sends a message that promises nothing that is not on disk yet.
+// send sends a message that depends on no state that is not on disk yet.
 func (n *Node) send(message Message) {
 	n.ready.Messages = append(n.ready.Messages, n.withSender(message))
 }
 
-// sendAfterSync sends a message once all that this Ready asks to write is synced.
+// sendAfterSync sends a message once all writes of this Ready are synced.
 func (n *Node) sendAfterSync(message Message) {
 	n.ready.MessagesAfterSync = append(n.ready.MessagesAfterSync, n.withSender(message))
 }
 
-// withSender fills in what all messages of this node have in common.
+// withSender returns the message with this node's group, ID and, unless it is set already, term.
 func (n *Node) withSender(message Message) Message {
 	message.Group, message.From = n.group, n.id
 	if message.Term == 0 {
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -8,13 +8,13 @@
 	"basaltloft/coord/replica/progress"
 )
 
-// Role is what a replica is in its group at present (paper, section 5.1).
+// Role is the current role of a replica in its group (paper, section 5.1).
 type Role uint8
 
-// Roles. The numbers are sent in a group's status.
+// Roles. Their numeric values are part of a group's status on the wire.
 const (
 	Follower Role = iota
-	// PreCandidate asks whether an election would have a chance (dissertation 9.6).
+	// PreCandidate requests pre-votes to find out whether it could win an election (dissertation 9.6).
 	PreCandidate
 	Candidate
 	Leader
@@ -22,17 +22,18 @@
 
 // Timing holds the durations of a group; all are positive and equal at each of its members.
 // MinElectionTimeout must exceed LeaseDuration by more than the members' clocks may drift apart
-// within a lease: two leaders could hold a lease at the same time otherwise.
+// within a lease; otherwise two leaders could hold a lease at the same time.
 type Timing struct {
-	// HeartbeatInterval is the pause between two heartbeats of a leader.
+	// HeartbeatInterval is the time between two heartbeats of a leader.
 	HeartbeatInterval time.Duration
-	// LeaseDuration is how long a leader's lease lasts after the sending of the messages that a
-	// majority responded to.
+	// LeaseDuration is the length of a leader's lease, counted from the time at which it sent the
+	// messages that a majority responded to.
 	LeaseDuration time.Duration
-	// MinElectionTimeout is how long a follower grants no vote after its last contact to a leader.
+	// MinElectionTimeout is the time after its last contact to a leader during which a follower
+	// grants no vote.
 	MinElectionTimeout time.Duration
-	// ElectionJitter bounds the random time after MinElectionTimeout before a follower begins an
-	// election.
+	// ElectionJitter is the upper bound of the random time that a follower adds to
+	// MinElectionTimeout before it begins an election.
 	ElectionJitter time.Duration
 }
 
@@ -45,36 +46,36 @@
 
 	hardState HardState
 	role      Role
-	leaderID  string // of the term's leader; empty: not known
+	leaderID  string // leader of the current term; empty if it is not known
 	log       raftLog
-	commit    uint64 // highest index known to be committed; never falls
-	applied   uint64 // highest index handed out by Ready; at most commit
+	commit    uint64 // highest index known to be committed; never decreases
+	applied   uint64 // highest index returned by Ready for application; at most commit
 
 	// Contact to leaders, and elections.
 
-	lastLeaderContact time.Duration // no vote is granted for MinElectionTimeout from here
-	hadLeader         bool          // it had contact to a leader, or was one, since its start
-	incarnation       uint64        // drawn at its start
+	lastLeaderContact time.Duration // no vote is granted for MinElectionTimeout after this time
+	hadLeader         bool          // since its start this node had contact to a leader or was one
+	incarnation       uint64        // random; drawn at each start
 	coldStart         coldStart
 	electionDue       time.Duration
-	votes             map[string]bool // by ID: who granted a pre-vote or vote; of candidates
+	votes             map[string]bool // pre-votes or votes granted to this candidate, by member ID
 
 	// State of a leader.
 
-	progress       map[string]*progress.Progress // by ID: all other members
+	progress       map[string]*progress.Progress // all other members, by ID
 	heartbeatDue   time.Duration
 	leaseExpiry    time.Duration
-	termStartIndex uint64 // of the no-op that began the term
+	termStartIndex uint64 // index of the no-op that began the term
 	leaderSince    time.Duration
-	transferee     string        // ID of the member that takes over; empty: no transfer is under way
-	transferEnd    time.Duration // the leader steps down then, where no other has taken over
+	transferee     string        // ID of the member that is to take over; empty if no transfer is in progress
+	transferEnd    time.Duration // the leader steps down then, if no other has taken over
 
 	ready Ready
 }
 
-// NewNode returns a replica as its disk has it, at a time of the driver's clock. The seed must
-// differ from one start to the next. The node grants no vote for MinElectionTimeout, since its
-// previous incarnation may have had contact to a leader just before.
+// NewNode returns a replica with the state that its disk holds; now is the driver's current time. The
+// seed must differ from one start to the next. The node grants no vote for MinElectionTimeout, since
+// its previous incarnation may have had contact to a leader just before.
 func NewNode(id, group string, timing Timing, persisted PersistedState, seed uint64, now time.Duration) *Node {
 	n := &Node{
 		id:     id,
@@ -94,21 +95,21 @@
 	return n
 }
 
-// hashOf makes the groups of one process draw different election timeouts, so that their leaders
-// spread over the processes.
-func hashOf(group string) uint64 {
+// hashOf returns the FNV-1a hash of a text. In NewNode it makes the groups of one process draw
+// different election timeouts, so that their leaders spread over the processes.
+func hashOf(text string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(group)) // a hash returns no error
+	_, _ = hash.Write([]byte(text)) // a hash returns no error
 	return hash.Sum64()
 }
 
-// Role returns the node's present role.
+// Role returns the node's current role.
 func (n *Node) Role() Role { return n.role }
 
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.hardState.Term }
 
-// LeaderID returns the ID of the leader as far as this node knows; empty: none is known.
+// LeaderID returns the ID of the leader of the current term, or an empty string if it is not known.
 func (n *Node) LeaderID() string { return n.leaderID }
 
 // Membership returns the newest membership of the log, committed or not.
@@ -117,7 +118,7 @@
 // Commit returns the highest index that is known to be committed.
 func (n *Node) Commit() uint64 { return n.commit }
 
-// Applied returns the highest index handed out for application.
+// Applied returns the highest index that Ready has returned for application.
 func (n *Node) Applied() uint64 { return n.applied }
 
 // FirstIndex returns the first index of the log in memory. It may be at or before SnapshotIndex.
@@ -129,13 +130,13 @@
 // SnapshotIndex returns the index of the newest snapshot.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshot.Index }
 
-// AppliedSnapshot returns a snapshot at the last applied index, without the application's state.
+// AppliedSnapshot returns a snapshot at the last applied index, with an empty Data field.
 func (n *Node) AppliedSnapshot() Snapshot {
 	return Snapshot{Index: n.applied, Term: n.log.term(n.applied), Membership: n.log.membershipAt(n.applied)}
 }
 
-// Persisted tells that all entries up to one, or an installed snapshot that ends with it, are on
-// this replica's disk. It has no effect where the log has another entry there by now.
+// Persisted records that all entries up to an index, or an installed snapshot that ends there, are on
+// this replica's disk. It has no effect if the entry at that index is now of another term.
 func (n *Node) Persisted(now time.Duration, index, term uint64) {
 	if n.log.term(index) != term {
 		return
@@ -146,15 +147,15 @@
 	}
 }
 
-// Compact drops entries that a snapshot on disk covers, except the last ones within the bounds:
-// a replica that was away for a moment catches up from them.
+// Compact drops entries that a snapshot on disk covers, except the last ones within the bounds of
+// retention, from which a replica that was unreachable for a short time catches up.
 func (n *Node) Compact(snapshot Snapshot, retention LogRetention) {
 	n.log.compact(snapshot, retention)
 }
 
-// Step handles a message that was sent to this node.
+// Step handles a message from another replica.
 func (n *Node) Step(now time.Duration, message Message) {
-	switch message.Kind { // these change the term by rules of their own
+	switch message.Kind { // these kinds have their own rules for changing the term
 	case PreVoteRequest, VoteRequest:
 		n.handleVoteRequest(now, message)
 		return
@@ -185,18 +186,19 @@
 	case InstallSnapshot:
 		n.handleInstallSnapshot(now, message)
 	case TimeoutNow:
-		n.campaign(now, Candidate, campaignReason{leaseGivenUp: true})
+		n.campaign(now, Candidate, campaignReason{leadershipTransfer: true})
 	}
 }
 
-// rejectOutdated tells a leader of an older term of the newer one.
+// rejectOutdated responds to a leader of an older term with a rejection that carries the current term.
 func (n *Node) rejectOutdated(message Message) {
 	if message.Kind == AppendRequest || message.Kind == InstallSnapshot {
 		n.send(Message{Kind: AppendResponse, To: message.From, Reject: true, Index: n.log.last()})
 	}
 }
 
-// Tick does what is due by now. It may be called earlier than NextTick.
+// Tick begins the election, heartbeat or cold start round that is due. It may be called earlier than
+// NextTick.
 func (n *Node) Tick(now time.Duration) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -210,11 +212,11 @@
 		n.campaign(now, PreCandidate, campaignReason{})
 		return
 	}
-	n.leaderID = "" // a learner begins no election, and would name a lost leader for ever
+	n.leaderID = "" // a learner begins no election, so nothing else would clear an unreachable leader
 	n.resetElectionTimer(now)
 }
 
-// NextTick returns when Tick has something to do next.
+// NextTick returns the latest time at which Tick must be called next.
 func (n *Node) NextTick() time.Duration {
 	if n.role == Leader {
 		return n.heartbeatDue
@@ -225,7 +227,7 @@
 	return n.electionDue
 }
 
-// resetElectionTimer draws a new time for this node's next election.
+// resetElectionTimer sets the time of this node's next election, with a new random jitter.
 func (n *Node) resetElectionTimer(now time.Duration) {
 	n.electionDue = now + n.timing.MinElectionTimeout + time.Duration(n.random.Int64N(int64(n.timing.ElectionJitter)))
 }
@@ -236,8 +238,8 @@
 	n.becomeFollower(now, "")
 }
 
-// becomeFollower gives up a candidacy or leadership in the current term; an empty ID: its leader is not
-// known.
+// becomeFollower ends a candidacy or leadership in the current term. The leader's ID is empty if it is
+// not known.
 func (n *Node) becomeFollower(now time.Duration, leaderID string) {
 	n.role = Follower
 	n.leaderID = leaderID
--- a/coord/replica/progress/progress_test.go
+++ b/coord/replica/progress/progress_test.go
@@ -26,7 +26,7 @@
 		name               string
 		proposed, wantNext uint64
 	}{
-		{"the proposed index is taken", 7, 8},
+		{"the proposed index is accepted", 7, 8},
 		{"an acknowledged entry is not sent again", 2, 6},
 		{"no more than the log has", 99, 21},
 	} {
@@ -46,7 +46,7 @@
 	p.RewindIfLost(20, start+progress.ResendAfter)
 	require.Equal(t, uint64(16), p.Next, "the response may still come")
 	p.RewindIfLost(15, start+2*progress.ResendAfter)
-	require.Equal(t, uint64(16), p.Next, "nothing waits behind: a heartbeat finds the loss")
+	require.Equal(t, uint64(16), p.Next, "no entries are waiting: a heartbeat detects the loss")
 	p.RewindIfLost(20, start+2*progress.ResendAfter)
 	require.Equal(t, uint64(11), p.Next)
 }
@@ -60,7 +60,7 @@
 	require.Equal(t, time.Second, p.UnresponsiveFor(start, start+5*time.Second))
 }
 
-func TestASnapshotIsAskedForAgainAfterAWhile(t *testing.T) {
+func TestSnapshotIsRequestedAgainAfterResendAfter(t *testing.T) {
 	p := progress.New(1, start)
 	require.False(t, p.SnapshotPending(start))
 	p.RecordSnapshotRequest(start)
--- a/coord/replica/quorum/quorum.go
+++ b/coord/replica/quorum/quorum.go
@@ -1,4 +1,4 @@
-// Package quorum is the arithmetic of majorities.
+// Package quorum computes the value that a majority of voters has reached.
 package quorum
 
 import (
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// Majority returns the largest value that more than half of the voters have reached, where each
-// element is one voter's value, for instance the last log index on its disk. It is the zero value
-// where there are no voters. The slice is sorted in place.
+// Majority returns the largest value that more than half of the voters have reached. Each element is one
+// voter's value, for instance the last log index on its disk. Majority returns the zero value if there
+// are no voters. It sorts the slice in place.
 func Majority[V cmp.Ordered](values []V) V {
 	if len(values) == 0 {
 		var zero V
--- a/coord/replica/quorum/quorum_test.go
+++ b/coord/replica/quorum/quorum_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestMajorityIsReachedByMoreThanHalf compares with the definition, for all small sets of values.
+// TestMajorityIsReachedByMoreThanHalf compares Majority with its definition, for all small sets of values.
 func TestMajorityIsReachedByMoreThanHalf(t *testing.T) {
 	const voters, largest = 5, 4
 	reachedBy := func(values []int, value int) int {
--- a/coord/replica/replica_test.go
+++ b/coord/replica/replica_test.go
@@ -9,65 +9,67 @@
 )
 
 // injectFault injects one random fault, or ends one.
-func (w *world) injectFault() {
-	h := w.hosts[w.names[w.random.IntN(len(w.names))]]
-	switch w.random.IntN(9) {
+func (s *simulation) injectFault() {
+	h := s.hosts[s.names[s.random.IntN(len(s.names))]]
+	switch s.random.IntN(9) {
 	case 0:
 		if h.up {
-			w.stop(h, w.random.IntN(2) == 0)
+			s.stop(h, s.random.IntN(2) == 0)
 		}
 	case 1, 2:
 		if !h.up {
-			w.start(h)
+			s.start(h)
 		}
 	case 3:
-		h.pausedUntil = w.now + time.Duration(w.random.IntN(3000))*time.Millisecond
+		h.pausedUntil = s.now + time.Duration(s.random.IntN(3000))*time.Millisecond
 	case 4:
-		other := w.names[w.random.IntN(len(w.names))]
-		w.disconnected[[2]string{h.name, other}] = true
+		other := s.names[s.random.IntN(len(s.names))]
+		s.disconnected[[2]string{h.name, other}] = true
 	case 5:
-		w.disconnected = map[[2]string]bool{}
+		s.disconnected = map[[2]string]bool{}
 	case 6:
-		w.lossRate = float64(w.random.IntN(3)) * 0.1
+		s.lossRate = float64(s.random.IntN(3)) * 0.1
 	case 7:
 		h.disk.Full = !h.disk.Full
 	case 8:
-		for _, name := range w.names { // all lose power at once
-			if w.hosts[name].up && w.random.IntN(4) > 0 {
-				w.stop(w.hosts[name], true)
+		for _, name := range s.names { // several hosts lose power at once
+			if s.hosts[name].up && s.random.IntN(4) > 0 {
+				s.stop(s.hosts[name], true)
 			}
 		}
 	}
 }
 
-// wipeAndRestartOne lets one host lose its disk while all others run, so that no more is lost than the
-// group tolerates.
-func (w *world) wipeAndRestartOne() {
-	h := w.hosts[w.names[w.random.IntN(len(w.names))]]
-	w.wipe(h)
-	w.run(200 * time.Millisecond)
-	w.start(h)
+// wipeAndRestartOne wipes the disk of one host while all others run, so that no more disks are lost than
+// the group tolerates.
+func (s *simulation) wipeAndRestartOne() {
+	h := s.hosts[s.names[s.random.IntN(len(s.names))]]
+	s.wipe(h)
+	s.run(200 * time.Millisecond)
+	s.start(h)
 }
 
-func runFaults(w *world, steps int, wipes bool) {
-	w.run(3 * time.Second)
+// runFaults injects random faults between proposals. Every 25 steps it ends all faults and verifies the
+// group, after which it may wipe a disk.
+func runFaults(s *simulation, steps int, wipes bool) {
+	s.run(3 * time.Second)
 	for step := range steps {
-		if w.random.IntN(3) == 0 {
-			w.injectFault()
+		if s.random.IntN(3) == 0 {
+			s.injectFault()
 		}
-		for range w.random.IntN(4) {
-			w.propose()
+		for range s.random.IntN(4) {
+			s.propose()
 		}
-		w.run(time.Duration(50+w.random.IntN(400)) * time.Millisecond)
+		s.run(time.Duration(50+s.random.IntN(400)) * time.Millisecond)
 		if step%25 == 24 {
-			w.healAndVerify()
+			s.healAndVerify()
 			if wipes {
-				w.wipeAndRestartOne()
-				w.healAndVerify()
+				s.wipeAndRestartOne()
+				s.healAndVerify()
 			}
 		}
 	}
-	w.healAndVerify()
+	s.healAndVerify()
 }
 
 func TestRandomFaults(t *testing.T) {
@@ -76,24 +78,24 @@
 		seeds = 60
 	}
 	for seed := range seeds {
-		runFaults(newWorld(t, seed, 3+2*int(seed%2)), 60, false)
+		runFaults(newSimulation(t, seed, 3+2*int(seed%2)), 60, false)
 	}
 }
 
 func TestWipedDisks(t *testing.T) {
 	for seed := range uint64(120) {
-		runFaults(newWorld(t, 10_000+seed, 3+2*int(seed%2)), 50, true)
+		runFaults(newSimulation(t, 10_000+seed, 3+2*int(seed%2)), 50, true)
 	}
 }
 
-// requireFaultFound runs seeds with a planted fault until a check finds it.
+// requireFaultFound requires that a check finds the planted fault within 300 seeds.
 func requireFaultFound(t *testing.T, planted plantedFault, wipes bool) {
 	t.Helper()
 	for seed := range uint64(300) {
 		found := failuretest.CatchFatal(t, func(t testing.TB) {
-			w := newWorld(t, 50_000+seed, 3)
-			w.fault = planted
-			runFaults(w, 60, wipes)
+			s := newSimulation(t, 50_000+seed, 3)
+			s.fault = planted
+			runFaults(s, 60, wipes)
 		})
 		if found != "" {
 			t.Logf("after %d seeds: %s", seed+1, found)
@@ -113,30 +115,30 @@
 	t.Run("an older state at a newer index", func(t *testing.T) { requireFaultFound(t, olderStateRestored, true) })
 }
 
-// TestColdStartElectsALeaderAtOnce kills all replicas at once: their leases ended with their
-// incarnations, so that no election timeout has to pass, unless messages are late by seconds, as one
-// in fifty is here.
+// TestColdStartElectsALeaderAtOnce kills all replicas at once. Their leases end with their incarnations,
+// so that a leader must be elected before the election timeout, unless messages are late by seconds, as
+// one in fifty is in this simulation.
 func TestColdStartElectsALeaderAtOnce(t *testing.T) {
 	late := 0
 	for seed := range uint64(60) {
-		w := newWorld(t, 90_000+seed, 3+2*int(seed%2))
-		w.run(3 * time.Second)
+		s := newSimulation(t, 90_000+seed, 3+2*int(seed%2))
+		s.run(3 * time.Second)
 		for range 5 {
-			w.propose()
-			w.run(50 * time.Millisecond)
+			s.propose()
+			s.run(50 * time.Millisecond)
 		}
-		for _, name := range w.names {
-			w.stop(w.hosts[name], seed%3 == 0)
+		for _, name := range s.names {
+			s.stop(s.hosts[name], seed%3 == 0)
 		}
-		for _, name := range w.names {
-			w.start(w.hosts[name])
-			w.run(time.Duration(w.random.IntN(4)) * tick)
+		for _, name := range s.names {
+			s.start(s.hosts[name])
+			s.run(time.Duration(s.random.IntN(4)) * tick)
 		}
-		began := w.now
-		for w.leader() == nil && w.now < began+timing.MinElectionTimeout {
-			w.run(tick)
+		began := s.now
+		for s.leader() == nil && s.now < began+timing.MinElectionTimeout {
+			s.run(tick)
 		}
-		if w.leader() == nil {
+		if s.leader() == nil {
 			late++
 		}
 	}
@@ -145,44 +147,44 @@
 	}
 }
 
-// TestRemovedVoterCompletesItsOwnRemoval: the response of a member that is being removed commits the
-// change; the leader must not send to it any more.
+// TestRemovedVoterCompletesItsOwnRemoval covers the case that the response of a member that is being
+// removed commits the change. After that the leader must not send to the member any more.
 func TestRemovedVoterCompletesItsOwnRemoval(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, 70_000+seed, 3)
-		w.run(3 * time.Second)
-		leader := w.leader()
+		s := newSimulation(t, 70_000+seed, 3)
+		s.run(3 * time.Second)
+		leader := s.leader()
 		var leaving string
 		for _, voter := range leader.node.Membership().Voters {
 			if voter.ID != leader.id {
 				leaving = voter.ID
 			}
 		}
-		// A spare host joins and replaces a voter that is alive and responds.
-		w.addHost("host3")
-		w.run(time.Second)
-		leader = w.leader()
-		leader.node.ChangeMembers(w.now, leader.node.Membership().WithLearner(replica.Member{ID: "host3#0", Address: "host3"}))
-		w.execute(leader)
-		w.run(2 * time.Second)
-		leader = w.leader()
+		// A spare host joins and replaces a responsive voter.
+		s.addHost("host3")
+		s.run(time.Second)
+		leader = s.leader()
+		leader.node.ChangeMembers(s.now, leader.node.Membership().WithLearner(replica.Member{ID: "host3#0", Address: "host3"}))
+		s.execute(leader)
+		s.run(2 * time.Second)
+		leader = s.leader()
 		if leader.id == leaving {
 			continue
 		}
 		members := leader.node.Membership()
 		learner, _ := members.Find("host3#0")
-		w.check(leader.node.ChangeMembers(w.now, members.EnterJoint(leaving, learner)), "the change is refused")
-		w.execute(leader)
+		s.check(leader.node.ChangeMembers(s.now, members.EnterJoint(leaving, learner)), "the change is refused")
+		s.execute(leader)
 		for range 20 {
-			w.propose()
-			w.run(30 * time.Millisecond)
+			s.propose()
+			s.run(30 * time.Millisecond)
 		}
-		w.check(!w.leader().node.Membership().IsJoint() && !w.leader().node.Membership().IsVoter(leaving), "the change did not end")
+		s.check(!s.leader().node.Membership().IsJoint() && !s.leader().node.Membership().IsVoter(leaving), "the change did not end")
 	}
 }
 
-// TestFollowerJustBehindTheLogNeedsNoSnapshot: the term of the entry before the first retained one is
-// known, so that a follower that has it catches up from the log.
+// TestFollowerJustBehindTheLogNeedsNoSnapshot checks that a follower that has the entry just before the
+// first retained one catches up from the log: the leader still knows the term of that entry.
 func TestFollowerJustBehindTheLogNeedsNoSnapshot(t *testing.T) {
 	var log replica.PersistedState
 	log.HardState = replica.HardState{Term: 3}
@@ -208,21 +210,21 @@
 	}
 }
 
-// TestFailedLeadershipTransferEnds: the lease is not taken up again in that term, and the leader steps
-// down, so that the group is not without a lease for good.
+// TestFailedLeadershipTransferEnds checks that a leader whose transfer fails does not renew its lease in
+// that term, and steps down. Otherwise the group would have a leader without a lease indefinitely.
 func TestFailedLeadershipTransferEnds(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(t, 80_000+seed, 3)
-		w.run(3 * time.Second)
-		old := w.leader()
+		s := newSimulation(t, 80_000+seed, 3)
+		s.run(3 * time.Second)
+		old := s.leader()
 		term := old.node.Term()
-		w.dropMessage = func(m replica.Message) bool { return m.Kind == replica.TimeoutNow }
-		w.check(old.node.TransferLeadership(w.now), "there is no transferee")
-		w.execute(old)
-		w.check(old.node.LeaseUntil() == 0, "the lease has not ended")
-		w.run(4 * timing.MinElectionTimeout)
-		w.check(old.node.Role() != replica.Leader || old.node.Term() > term, "it is still the leader, without a lease")
-		w.run(3 * time.Second)
-		w.check(w.leader() != nil, "there is no leader")
+		s.dropMessage = func(m replica.Message) bool { return m.Kind == replica.TimeoutNow }
+		s.check(old.node.TransferLeadership(s.now), "there is no transferee")
+		s.execute(old)
+		s.check(old.node.LeaseUntil() == 0, "the lease has not ended")
+		s.run(4 * timing.MinElectionTimeout)
+		s.check(old.node.Role() != replica.Leader || old.node.Term() > term, "it is still the leader, without a lease")
+		s.run(3 * time.Second)
+		s.check(s.leader() != nil, "there is no leader")
 	}
 }
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -6,8 +6,8 @@
 	"basaltloft/coord/replica/progress"
 )
 
-// Propose appends a command at the leader. It returns the index and term that the command will have
-// if it is committed; false: this node is not the leader, or transfers its leadership.
+// Propose appends a command at the leader. It returns the index and term that the command will have if
+// it is committed, and false if this node is not the leader or is transferring its leadership.
 func (n *Node) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
 	if n.role != Leader || n.transferee != "" {
 		return 0, 0, false
@@ -15,8 +15,8 @@
 	return n.appendAsLeader(now, Entry{Kind: EntryCommand, Data: data}), n.hardState.Term, true
 }
 
-// Match returns the highest index that a member is known to have on its disk; 0 at a node that is
-// not the leader.
+// Match returns the highest index that a member is known to have on its disk. It returns 0 if this node
+// is not the leader.
 func (n *Node) Match(id string) uint64 {
 	if peer := n.progress[id]; peer != nil {
 		return peer.Match
@@ -33,15 +33,15 @@
 	return n.log.last() - min(onDisk, n.log.last())
 }
 
-// CaughtUp reports whether a member lacks no more than maxLag committed entries, as far as this
-// leader knows; false at a node that is not the leader.
+// CaughtUp reports whether a member is known to lack at most maxLag committed entries. It returns false if
+// this node is not the leader.
 func (n *Node) CaughtUp(id string, maxLag uint64) bool {
 	peer := n.progress[id]
 	return n.role == Leader && peer != nil && peer.Match > 0 && peer.Match+maxLag >= n.commit
 }
 
-// UnresponsiveFor returns how long a member has not responded to this leader; 0 for one that is not
-// tracked.
+// UnresponsiveFor returns the time since a member last responded to this leader, or since the leader's
+// term began if it has not responded yet. It returns 0 for a member that is not tracked.
 func (n *Node) UnresponsiveFor(id string, now time.Duration) time.Duration {
 	peer := n.progress[id]
 	if peer == nil {
@@ -50,7 +50,7 @@
 	return peer.UnresponsiveFor(n.leaderSince, now)
 }
 
-// trackMembers keeps a progress for each other member, and for no one who is not a member.
+// trackMembers adds a progress for each new member and removes those of former members.
 func (n *Node) trackMembers(now time.Duration) {
 	if n.progress == nil {
 		n.progress = map[string]*progress.Progress{}
@@ -68,7 +68,7 @@
 	}
 }
 
-// trackedMembers lists the IDs of the other members in a fixed order, so that a run can be repeated.
+// trackedMembers returns the IDs of the other members in a fixed order, so that runs are reproducible.
 func (n *Node) trackedMembers() []string {
 	var ids []string
 	for _, member := range n.Membership().AllMembers() {
@@ -79,8 +79,8 @@
 	return ids
 }
 
-// appendAsLeader appends an entry of this leader's term and replicates it. It is sent before it is
-// on the leader's own disk (dissertation 10.2.1).
+// appendAsLeader appends an entry of this leader's term and replicates it. The entry is sent before it
+// is on the leader's own disk (dissertation 10.2.1).
 func (n *Node) appendAsLeader(now time.Duration, entry Entry) (index uint64) {
 	entry.Index, entry.Term = n.log.last()+1, n.hardState.Term
 	n.appendToLog([]Entry{entry})
@@ -93,13 +93,14 @@
 	return entry.Index
 }
 
-// appendToLog appends entries in memory and asks for their write.
+// appendToLog appends entries in memory and adds them to the Ready to be written.
 func (n *Node) appendToLog(entries []Entry) {
 	n.log.append(entries)
 	n.ready.Entries = truncateAndAppend(n.ready.Entries, entries)
 }
 
-// truncateAndAppend adds entries to those that are yet to be written; they may replace their tail.
+// truncateAndAppend appends entries to the pending ones, which are not written yet. Pending entries from
+// the first new one's index on are replaced.
 func truncateAndAppend(pending, entries []Entry) []Entry {
 	for len(pending) > 0 && pending[len(pending)-1].Index >= entries[0].Index {
 		pending = pending[:len(pending)-1]
@@ -107,23 +108,24 @@
 	return append(pending, entries...)
 }
 
-// sendReason says why a leader sends to a member, and with it whether a message without entries is sent.
+// sendReason is the reason for which a leader sends to a member. It decides whether a message is sent
+// even without entries.
 type sendReason uint8
 
 const (
-	// sendEntries: there may be entries to replicate; without any, nothing is sent.
+	// sendEntries means that there may be entries to replicate. If there are none, nothing is sent.
 	sendEntries sendReason = iota
-	// sendHeartbeat: a heartbeat is due; a message is sent in any case.
+	// sendHeartbeat means that a heartbeat is due. A message is sent in any case.
 	sendHeartbeat
 )
 
-// replicate sends a member the entries that it lacks, or asks for a snapshot where the log does not
-// have them any more. Where there is nothing to send, a heartbeat is sent if one is due.
+// replicate sends a member the entries that it lacks, or requests a snapshot if the log does not have
+// them any more. If there is nothing to send, it sends a heartbeat if one is due.
 func (n *Node) replicate(now time.Duration, id string, reason sendReason) {
 	peer := n.progress[id]
 	peer.RewindIfLost(n.log.last(), now)
 	if peer.UnresponsiveFor(n.leaderSince, now) > n.timing.MinElectionTimeout {
-		n.probe(now, id, reason) // entries would only queue up in the network
+		n.probe(now, id, reason) // entries would only accumulate in the network
 		return
 	}
 	previous := peer.Next - 1
@@ -150,8 +152,8 @@
 	})
 }
 
-// probe sends a heartbeat without entries, if one is due. It commits nothing at the receiver, whose
-// log may end before it.
+// probe sends a heartbeat without entries, if one is due. The heartbeat leaves the receiver's commit
+// index unchanged, since the receiver's log may not reach the heartbeat's index.
 func (n *Node) probe(now time.Duration, id string, reason sendReason) {
 	if reason != sendHeartbeat {
 		return
@@ -166,8 +168,8 @@
 	})
 }
 
-// memberAddressesFor returns the members for one that has acknowledged nothing yet: its log may not name
-// them.
+// memberAddressesFor returns all members if the peer has acknowledged nothing yet, since its log may not
+// contain them, and nil otherwise.
 func (n *Node) memberAddressesFor(peer *progress.Progress) []Member {
 	if peer.Match > 0 {
 		return nil
@@ -175,7 +177,8 @@
 	return n.Membership().AllMembers()
 }
 
-// requestSnapshot asks the driver, by an empty snapshot, to send the newest one.
+// requestSnapshot asks the driver to send the newest snapshot, by a message with an empty one. If one was
+// requested recently, it only sends the heartbeat that is due.
 func (n *Node) requestSnapshot(now time.Duration, id string, reason sendReason) {
 	peer := n.progress[id]
 	if peer.SnapshotPending(now) {
@@ -186,17 +189,17 @@
 	n.send(Message{Kind: InstallSnapshot, To: id, SentAt: now, Snapshot: &Snapshot{}})
 }
 
-// handleAppendRequest is the follower's part of replication (paper, figure 2, AppendEntries).
+// handleAppendRequest appends the leader's entries to a follower's log (paper, figure 2, AppendEntries).
 func (n *Node) handleAppendRequest(now time.Duration, request Message) {
 	n.acceptLeader(now, request.From)
 	response := Message{Kind: AppendResponse, To: request.From, SentAt: request.SentAt}
-	if !n.log.has(request.Index, request.LogTerm) {
+	if !n.log.matches(request.Index, request.LogTerm) {
 		response.Reject, response.Index = true, min(n.log.last(), n.log.indexBeforeTermOf(request.Index))
 		n.send(response)
 		return
 	}
 	end := request.Index + uint64(len(request.Entries))
-	if newEntries := n.log.conflict(request.Entries); len(newEntries) > 0 {
+	if newEntries := n.log.missing(request.Entries); len(newEntries) > 0 {
 		n.appendToLog(newEntries)
 	}
 	n.commit = max(n.commit, min(request.Commit, end, n.log.last()))
@@ -204,7 +207,7 @@
 	case end <= n.log.stable:
 		response.Index = end
 		n.send(response)
-	case len(request.Entries) == 0: // a heartbeat's response must not wait for the disk: the lease rests on it
+	case len(request.Entries) == 0: // the lease depends on a heartbeat's response: it must not wait for the disk
 		response.Index = min(end, n.log.stable)
 		n.send(response)
 	default:
@@ -213,8 +216,8 @@
 	}
 }
 
-// handleAppendResponse is the leader's part of replication: it counts the response for the lease, the
-// commit index and the member's progress.
+// handleAppendResponse updates the leader's lease, its commit index and the member's progress, and sends
+// the entries that the member lacks.
 func (n *Node) handleAppendResponse(now time.Duration, response Message) {
 	peer := n.progress[response.From]
 	if n.role != Leader || peer == nil {
@@ -230,7 +233,7 @@
 	peer.Acknowledge(response.Index)
 	n.advanceCommit(now)
 	if n.progress[response.From] != peer {
-		return // the change of membership that this response committed has removed it
+		return // the membership change that this response committed has removed the member
 	}
 	if peer.Next <= n.log.last() {
 		n.replicate(now, response.From, sendEntries)
@@ -238,8 +241,8 @@
 	n.sendTimeoutNowIfReady()
 }
 
-// advanceCommit commits what a majority has on disk. Entries of earlier terms are committed only
-// with one of this term (paper, section 5.4.2).
+// advanceCommit commits the entries that a majority has on disk. Entries of earlier terms are committed
+// only together with one of the current term (paper, section 5.4.2).
 func (n *Node) advanceCommit(now time.Duration) {
 	reached := majority(n.Membership(), func(id string) uint64 {
 		if id == n.id {
--- a/coord/replica/scripted_test.go
+++ b/coord/replica/scripted_test.go
@@ -10,21 +10,21 @@
 	"basaltloft/coord/replica"
 )
 
-// The scripts of this file bring one interleaving about, message by message. Each holds one condition of
-// the agreement that random worlds seldom need.
+// Each test of this file produces one interleaving, message by message. It checks one safety condition
+// that the randomized simulations rarely exercise.
 
-// scripted is one replica, "a", whose peers are the test.
+// scripted is one replica, "a", whose peers are simulated by the test.
 type scripted struct {
 	t    *testing.T
 	node *replica.Node
 	now  time.Duration
 }
 
-// newScripted returns a replica as its disk has it, some time after its start.
-func newScripted(t *testing.T, found replica.PersistedState) *scripted {
+// newScripted returns a replica that has just started with the state that its disk holds.
+func newScripted(t *testing.T, persisted replica.PersistedState) *scripted {
 	t.Helper()
 	s := &scripted{t: t, now: electionStart}
-	s.node = replica.NewNode("a", "g", timing, found, 1, s.now)
+	s.node = replica.NewNode("a", "g", timing, persisted, 1, s.now)
 	return s
 }
 
@@ -36,7 +36,7 @@
 	return all
 }
 
-// deliver steps the same message from each of some peers.
+// deliver passes the same message to the replica from each of the peers.
 func (s *scripted) deliver(message replica.Message, from ...string) {
 	for _, id := range from {
 		message.From, message.To = id, "a"
@@ -44,7 +44,7 @@
 	}
 }
 
-// sync takes the node's Ready, and lets all that it writes be on disk.
+// sync returns the node's Ready and reports its entries to the node as persisted.
 func (s *scripted) sync() replica.Ready {
 	ready := s.node.Ready()
 	if n := len(ready.Entries); n > 0 {
@@ -53,7 +53,7 @@
 	return ready
 }
 
-// campaign lets the election timer run out and the peers grant the pre-vote.
+// campaign lets the election timer expire and the peers grant the pre-vote.
 func (s *scripted) campaign(peers ...string) {
 	s.now += timing.MinElectionTimeout + timing.ElectionJitter
 	s.node.Tick(s.now)
@@ -62,20 +62,20 @@
 	s.sync()
 }
 
-// vote lets peers vote for the replica.
+// vote delivers the peers' votes for the replica.
 func (s *scripted) vote(peers ...string) {
 	s.deliver(replica.Message{Kind: replica.VoteResponse, Term: s.node.Term()}, peers...)
 	s.sync()
 }
 
-// acknowledge tells that peers have the log on disk up to an index.
+// acknowledge delivers the peers' responses that they have the log on disk up to an index.
 func (s *scripted) acknowledge(index uint64, peers ...string) {
 	s.deliver(replica.Message{Kind: replica.AppendResponse, Term: s.node.Term(), Index: index, SentAt: s.now}, peers...)
 }
 
-// TestEntriesOfEarlierTermsAreNotCommittedByCount is figure 8 of the paper: a leader of term 4 finds its
-// entry of term 2 at three of five replicas. It may be overwritten by a leader that has an entry of term 3,
-// until an entry of term 4 is at a majority too.
+// TestEntriesOfEarlierTermsAreNotCommittedByCount is figure 8 of the paper: an entry of term 2 of the leader
+// of term 4 is at three of five replicas. Until an entry of term 4 is at a majority too, a leader that has an
+// entry of term 3 may overwrite it.
 func TestEntriesOfEarlierTermsAreNotCommittedByCount(t *testing.T) {
 	s := newScripted(t, replica.PersistedState{
 		HardState: replica.HardState{Term: 3},
@@ -94,8 +94,8 @@
 	require.EqualValues(t, 3, s.node.Commit(), "the no-op of term 4 commits it")
 }
 
-// jointState is that of a replica in the middle of a change from a, b, c to a, d, e, whose majorities
-// without a are disjoint.
+// jointState returns the state of a replica during a change from the voters a, b, c to a, d, e. The two
+// sets have disjoint majorities without a.
 func jointState() replica.PersistedState {
 	return replica.PersistedState{
 		HardState: replica.HardState{Term: 2},
@@ -105,13 +105,13 @@
 	}
 }
 
-// TestElectionInAJointMembership: the votes of one side elect no leader, whichever it is.
+// TestElectionInAJointMembership checks that the votes of one set of voters alone elect no leader.
 func TestElectionInAJointMembership(t *testing.T) {
 	for side, peers := range map[string]struct{ own, other string }{"new": {"d", "b"}, "old": {"c", "e"}} {
 		t.Run(side, func(t *testing.T) {
 			s := newScripted(t, jointState())
 			s.campaign(peers.own)
-			require.Equal(t, replica.PreCandidate, s.node.Role(), "the pre-vote needs both sides too")
+			require.Equal(t, replica.PreCandidate, s.node.Role(), "the pre-vote needs both sets too")
 			s.deliver(replica.Message{Kind: replica.PreVoteResponse, Term: s.node.Term() + 1}, peers.other)
 			s.sync()
 			require.Equal(t, replica.Candidate, s.node.Role())
@@ -123,7 +123,7 @@
 	}
 }
 
-// TestCommitInAJointMembership: a majority of one side commits nothing.
+// TestCommitInAJointMembership checks that a majority of one set of voters alone commits nothing.
 func TestCommitInAJointMembership(t *testing.T) {
 	for side, peers := range map[string]struct{ own, other []string }{
 		"new": {[]string{"d", "e"}, []string{"b"}}, "old": {[]string{"b", "c"}, []string{"d"}},
@@ -142,14 +142,14 @@
 	}
 }
 
-// TestVoteOutlivesACrashBeforeItIsSent: the vote is written before it is sent, and a replica that crashes
-// between votes for nobody else in that term.
-func TestVoteOutlivesACrashBeforeItIsSent(t *testing.T) {
-	found := replica.PersistedState{
+// TestVoteSurvivesACrashBeforeItIsSent checks that a vote is written before it is sent, and that a replica
+// that crashes between the two votes for no other candidate in that term.
+func TestVoteSurvivesACrashBeforeItIsSent(t *testing.T) {
+	persisted := replica.PersistedState{
 		HardState: replica.HardState{Term: 3},
 		Snapshot:  replica.Snapshot{Index: 5, Term: 3, Membership: replica.Membership{Voters: members("a", "b", "c")}},
 	}
-	s := newScripted(t, found)
+	s := newScripted(t, persisted)
 	s.now += timing.MinElectionTimeout
 	s.deliver(voteRequest(replica.VoteRequest, "b", 4), "b")
 	ready := s.sync()
@@ -157,8 +157,8 @@
 	require.Empty(t, ready.Messages, "nothing is sent before the sync")
 	require.Len(t, ready.MessagesAfterSync, 1)
 
-	found.HardState = *ready.HardState // the crash is here
-	restarted := newScripted(t, found)
+	persisted.HardState = *ready.HardState // the replica crashes after the write
+	restarted := newScripted(t, persisted)
 	restarted.now += timing.MinElectionTimeout
 	restarted.deliver(voteRequest(replica.VoteRequest, "c", 4), "c")
 	require.Empty(t, restarted.sync().MessagesAfterSync)
@@ -166,39 +166,39 @@
 	require.Len(t, restarted.sync().MessagesAfterSync, 1, "the same vote again")
 }
 
-// TestPreVoteBesideALeaderThatIsNotHeard: a replica that the leader's messages don't reach asks for
-// pre-votes in vain, and raises no term, as long as the others hear the leader.
-func TestPreVoteBesideALeaderThatIsNotHeard(t *testing.T) {
+// TestPartitionedReplicaDoesNotRaiseTheTerm checks that a replica that the leader's messages don't reach is
+// granted no pre-vote, and raises no term, as long as the others have contact to the leader.
+func TestPartitionedReplicaDoesNotRaiseTheTerm(t *testing.T) {
 	voters := replica.Membership{Voters: members("a", "b", "c")}
-	found := replica.PersistedState{HardState: replica.HardState{Term: 3}, Snapshot: replica.Snapshot{Index: 5, Term: 3, Membership: voters}}
-	deaf := newScripted(t, found)
-	deaf.now += timing.MinElectionTimeout + timing.ElectionJitter
-	deaf.node.Tick(deaf.now)
-	requests := deaf.sync().MessagesAfterSync
+	persisted := replica.PersistedState{HardState: replica.HardState{Term: 3}, Snapshot: replica.Snapshot{Index: 5, Term: 3, Membership: voters}}
+	partitioned := newScripted(t, persisted)
+	partitioned.now += timing.MinElectionTimeout + timing.ElectionJitter
+	partitioned.node.Tick(partitioned.now)
+	requests := partitioned.sync().MessagesAfterSync
 	require.Len(t, requests, 2)
-	require.EqualValues(t, 3, deaf.node.Term(), "a pre-vote raises no term")
-
-	hearing := newScripted(t, found)
-	hearing.now = deaf.now
-	hearing.deliver(heartbeat(), "c")
-	hearing.sync()
-	hearing.deliver(requests[0], "b")
-	ready := hearing.sync()
+	require.EqualValues(t, 3, partitioned.node.Term(), "a pre-vote raises no term")
+
+	connected := newScripted(t, persisted)
+	connected.now = partitioned.now
+	connected.deliver(heartbeat(), "c")
+	connected.sync()
+	connected.deliver(requests[0], "b")
+	ready := connected.sync()
 	require.Empty(t, slices.Concat(ready.Messages, ready.MessagesAfterSync))
-	require.EqualValues(t, 3, hearing.node.Term())
+	require.EqualValues(t, 3, connected.node.Term())
 
-	hearing.now += timing.MinElectionTimeout // the leader falls silent here too
-	hearing.deliver(requests[0], "b")
-	ready = hearing.sync()
+	connected.now += timing.MinElectionTimeout // the leader's messages stop here too
+	connected.deliver(requests[0], "b")
+	ready = connected.sync()
 	granted := slices.Concat(ready.Messages, ready.MessagesAfterSync)
 	require.Len(t, granted, 1)
 	require.Equal(t, replica.PreVoteResponse, granted[0].Kind)
 	require.Nil(t, ready.HardState, "a pre-vote changes nothing at the voter")
 }
 
-// TestSnapshotAcrossAChangeOfMembership: a follower that missed a change of members, and has an entry of the
-// joint membership that another leader never committed, takes the membership with the snapshot: no voter
-// of before elects it then, and its acknowledgement waits for the sync.
+// TestSnapshotAcrossAChangeOfMembership: a follower missed a membership change, and its log has an entry
+// with a joint membership that was never committed. It adopts the membership of the leader's snapshot. Its
+// acknowledgement waits for the sync, and the votes of members of the earlier memberships do not count.
 func TestSnapshotAcrossAChangeOfMembership(t *testing.T) {
 	joint := replica.Membership{Voters: members("a", "x", "y"), Outgoing: members("a", "b", "c")}
 	s := newScripted(t, replica.PersistedState{
@@ -206,7 +206,7 @@
 		Snapshot:  replica.Snapshot{Index: 5, Term: 3, Membership: replica.Membership{Voters: members("a", "b", "c")}},
 		Entries:   []replica.Entry{{Index: 6, Term: 3, Kind: replica.EntryMembership, Membership: &joint}},
 	})
-	require.True(t, s.node.Membership().IsJoint(), "in force from the moment when it is in the log")
+	require.True(t, s.node.Membership().IsJoint(), "a membership takes effect as soon as it is in the log")
 	newest := replica.Snapshot{Index: 9, Term: 4, Membership: replica.Membership{Voters: members("a", "d", "e")}}
 	s.deliver(replica.Message{Kind: replica.InstallSnapshot, Term: 4, Snapshot: &newest}, "d")
 	ready := s.node.Ready()
@@ -218,7 +218,7 @@
 	s.node.Persisted(s.now, newest.Index, newest.Term)
 
 	s.campaign("b", "c", "x", "y")
-	require.Equal(t, replica.PreCandidate, s.node.Role(), "those of before, and of the change that never was, have no vote")
+	require.Equal(t, replica.PreCandidate, s.node.Role(), "members of the earlier and of the uncommitted membership have no vote")
 	s.deliver(replica.Message{Kind: replica.PreVoteResponse, Term: s.node.Term() + 1}, "d")
 	s.sync()
 	s.vote("b", "c", "x", "y")
--- a/coord/replica/snapshot.go
+++ b/coord/replica/snapshot.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// handleInstallSnapshot replaces the log by a leader's snapshot (paper, section 7).
+// handleInstallSnapshot replaces the log with a leader's snapshot, unless the log has its entries already
+// (paper, section 7).
 func (n *Node) handleInstallSnapshot(now time.Duration, request Message) {
 	n.acceptLeader(now, request.From)
 	snapshot := request.Snapshot
@@ -16,15 +17,15 @@
 		return
 	}
 	if n.log.term(snapshot.Index) == snapshot.Term {
-		// The log holds all its entries: only that they are committed is new. What follows them stays,
-		// since a majority may rest on it.
+		// The log has all entries that the snapshot covers; only the commit index is new. The entries
+		// after them stay, because this replica may count in the majority that has them.
 		n.commit = max(n.commit, snapshot.Index)
 		response.Index = min(snapshot.Index, n.log.stable)
 		n.send(response)
 		return
 	}
 	n.log.reset(*snapshot)
-	n.log.stable = 0 // until the snapshot is synced
+	n.log.stable = 0 // nothing is on disk until the snapshot is synced
 	n.commit = snapshot.Index
 	n.applied = snapshot.Index
 	n.ready.Entries = nil
@@ -35,7 +36,7 @@
 	n.sendAfterSync(response)
 }
 
-// withoutAppendResponses drops acknowledgements of entries that an installed snapshot has replaced.
+// withoutAppendResponses removes the acknowledgements of entries that an installed snapshot has replaced.
 func withoutAppendResponses(messages []Message) []Message {
 	return slices.DeleteFunc(messages, func(m Message) bool { return m.Kind == AppendResponse })
 }
--- a/coord/replica/transfer.go
+++ b/coord/replica/transfer.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// TransferLeadership begins to transfer the leadership to the voter in contact whose log is the
-// most complete (dissertation 3.10); false: this node is not the leader, or there is no such voter.
+// TransferLeadership begins to transfer leadership to the responsive voter whose log is the most complete
+// (dissertation 3.10). It returns false if this node is not the leader or there is no such voter.
 //
-// Unlike there, the lease ends at once and is not taken up again in this term: the transferee's
-// election disregards it, and a late TimeoutNow must not meet a renewed one. Where the transferee
-// does not take over in time, this node steps down nevertheless, so that any voter can be elected.
-// No command is accepted meanwhile.
+// Unlike in the dissertation, the lease ends at once and is not renewed in this term: voters ignore it in
+// the transferee's election, and a renewed lease could still be valid when a late TimeoutNow arrives. If
+// the transferee does not take over in time, this node steps down nevertheless, so that any voter can be
+// elected. No command is accepted during the transfer.
 func (n *Node) TransferLeadership(now time.Duration) bool {
 	if n.role != Leader {
 		return false
@@ -28,8 +28,8 @@
 	return true
 }
 
-// sendTimeoutNowIfReady lets the transferee begin its election once it has the whole log. One that
-// was removed meanwhile is waited for until the transfer ends.
+// sendTimeoutNowIfReady sends TimeoutNow to the transferee once it has the whole log. If the transferee is
+// no longer a member, nothing is sent, and the transfer ends by its timeout.
 func (n *Node) sendTimeoutNowIfReady() {
 	peer := n.progress[n.transferee]
 	if peer == nil || peer.Match < n.log.last() {
