--- a/coord/ringlog/doc.go
+++ b/coord/ringlog/doc.go
@@ -1,11 +1,11 @@
-// Package ringlog keeps one replica's log and snapshots on disk: a ring of preallocated segment
-// files, and two slots for snapshots that are written in turn.
+// Package ringlog stores one replica's log and snapshots on disk, in a ring of preallocated segment
+// files and two slots for snapshots that are written alternately.
 //
 // A segment begins with a header. Records follow, each with its length, a checksum and a number that
-// rises by one from record to record, over all segments. What was written after the last sync may be
-// missing or torn after a loss of power: reading ends at the first record whose checksum or number
-// is wrong. All integers are little-endian; format.go has the layout.
+// increases by one from record to record, across all segments. Records that were written after the last
+// sync may be missing or torn after a power failure: reading ends at the first record whose checksum or
+// number is wrong. All integers are little-endian; format.go defines the layout.
 //
-// A Ring knows nothing of Raft beyond the indexes of entries: an entry replaces those of the same
+// A Ring uses no property of Raft except the indexes of entries: an entry replaces those of the same
 // and higher indexes that were written before it.
 package ringlog
--- a/coord/ringlog/filesystem.go
+++ b/coord/ringlog/filesystem.go
@@ -2,24 +2,24 @@
 
 import "os"
 
-// File is what a ring does with a file. *os.File is one.
+// File is an open file of a ring. *os.File implements it.
 type File interface {
-	// WriteAt writes at an offset; it extends the file where need be.
+	// WriteAt writes at an offset. It extends the file if necessary.
 	WriteAt(p []byte, offset int64) (int, error)
-	// Sync returns once all that was written to the file before is durable.
+	// Sync returns once all earlier writes to the file are durable.
 	Sync() error
 	Close() error
 }
 
-// FileSystem opens and reads the files of a ring. Tests inject faults here.
+// FileSystem opens and reads the files of a ring. Tests implement it to inject faults.
 type FileSystem interface {
-	// MakeDir makes a directory with its parents; it may exist.
+	// MakeDir creates a directory and its parents. It is no error if the directory exists.
 	MakeDir(path string) error
-	// Open opens a file for reading and writing, and creates it where it does not exist.
+	// Open opens a file for reading and writing, and creates it if it does not exist.
 	Open(path string) (File, error)
-	// ReadFile returns a file's content. The error is os.ErrNotExist where there is no such file.
+	// ReadFile returns a file's content. The error is os.ErrNotExist if there is no such file.
 	ReadFile(path string) ([]byte, error)
-	// SyncDir makes the names of the files in a directory durable.
+	// SyncDir makes the directory entries of the files in a directory durable.
 	SyncDir(path string) error
 }
 
@@ -47,5 +47,5 @@
 	return dir.Sync()
 }
 
-// closeFile closes a file whose writes are synced, so that nothing depends on the close.
+// closeFile closes a file whose writes are synced, so that an error of the close can be ignored.
 func closeFile(file File) { _ = file.Close() }
--- a/coord/ringlog/format.go
+++ b/coord/ringlog/format.go
@@ -9,39 +9,41 @@
 	"basaltloft/coord/replica"
 )
 
-// recordKind is the kind of a record. The numbers are stored.
+// recordKind is the kind of a record. The numeric values are stored.
 type recordKind uint8
 
 const (
 	recordHardState recordKind = iota + 1
 	recordEntry
-	// recordReset has the index of a snapshot that replaces all entries before the record.
+	// recordReset contains the index of a snapshot that replaces all entries written before the record.
 	recordReset
 )
 
 const (
 	// magic begins each segment and snapshot file.
 	magic = 0x62736c31
-	// checksumOffset is where segments, records and snapshots have their checksum, and contentOffset
-	// where what it covers begins; of a snapshot the checksum covers the body alone.
+	// checksumOffset is the offset of the checksum in segments, records and snapshots. In segments and
+	// records contentOffset is the offset at which the checksummed content begins; the checksum of a
+	// snapshot covers only its body, and contentOffset is the offset of the body's length.
 	checksumOffset = 4
 	contentOffset  = 8
-	// entryTermOffset is where an entry's payload has its term.
+	// entryTermOffset is the offset of the term in an entry's payload.
 	entryTermOffset = 8
-	// kindOffset is where a record and an entry's payload have their kind.
+	// kindOffset is the offset of the kind in a record and in an entry's payload.
 	kindOffset = 16
-	// segmentHeaderBytes: magic (4), checksum of the rest (4), number of the first record (8).
+	// segmentHeaderBytes is the size of a segment's header: magic (4), checksum of the rest (4), number
+	// of the first record (8).
 	segmentHeaderBytes = 16
-	// recordHeaderBytes: length of the payload (4), checksum of the rest with the payload (4), number
-	// (8), kind (1).
+	// recordHeaderBytes is the size of a record's header: length of the payload (4), checksum of the
+	// rest and the payload (4), number (8), kind (1).
 	recordHeaderBytes = 17
-	// entryHeaderBytes begin an entry's payload: index (8), term (8), kind (1). Its data follow, or the
-	// gob encoding of its membership.
+	// entryHeaderBytes is the size of the header of an entry's payload: index (8), term (8), kind (1).
+	// The entry's data follow, or the gob encoding of its membership.
 	entryHeaderBytes = 17
-	// termBytes begin a hard state's payload. The vote follows.
+	// termBytes is the size of the term at the beginning of a hard state's payload. The vote follows.
 	termBytes = 8
-	// snapshotHeaderBytes: magic (4), checksum of the body (4), its length (8). The body is the gob
-	// encoding of a replica.Snapshot.
+	// snapshotHeaderBytes is the size of a snapshot's header: magic (4), checksum of the body (4),
+	// length of the body (8). The body is the gob encoding of a replica.Snapshot.
 	snapshotHeaderBytes = 16
 )
 
@@ -56,7 +58,7 @@
 	payload []byte
 }
 
-// appendSegmentHeader appends the header of a segment whose first record has that number.
+// appendSegmentHeader appends the header of a segment whose first record has the number first.
 func appendSegmentHeader(to []byte, first uint64) []byte {
 	start := len(to)
 	to = binary.LittleEndian.AppendUint32(to, magic)
@@ -66,7 +68,8 @@
 	return to
 }
 
-// readSegmentHeader returns the number of a segment's first record; false: it was never begun.
+// readSegmentHeader returns the number of a segment's first record, and false if the segment has no
+// valid header.
 func readSegmentHeader(segment []byte) (first uint64, ok bool) {
 	if len(segment) < segmentHeaderBytes || binary.LittleEndian.Uint32(segment) != magic {
 		return 0, false
@@ -89,8 +92,8 @@
 	return to
 }
 
-// readRecord returns the first record and what follows it; false: there is none with a right
-// checksum and the wanted number.
+// readRecord returns the first record of a buffer and the bytes after it. It returns false if there is
+// no record with a valid checksum and the expected number.
 func readRecord(from []byte, number uint64) (r record, remaining []byte, ok bool) {
 	if len(from) < recordHeaderBytes {
 		return record{}, nil, false
@@ -115,7 +118,7 @@
 	return append(binary.LittleEndian.AppendUint64(nil, state.Term), state.Vote...)
 }
 
-// decodeHardState is the inverse of encodeHardState; false: the payload is too short.
+// decodeHardState is the inverse of encodeHardState. It returns false if the payload is too short.
 func decodeHardState(payload []byte) (replica.HardState, bool) {
 	if len(payload) < termBytes {
 		return replica.HardState{}, false
@@ -138,7 +141,8 @@
 	return append(to, body.Bytes()...), nil
 }
 
-// decodeEntry is the inverse of encodeEntry; false: the payload can't be read. The entry's data are a copy.
+// decodeEntry is the inverse of encodeEntry. It returns false if the payload can't be decoded. The entry's
+// data are a copy.
 func decodeEntry(payload []byte) (replica.Entry, bool) {
 	if len(payload) < entryHeaderBytes {
 		return replica.Entry{}, false
--- a/coord/ringlog/golden_test.go
+++ b/coord/ringlog/golden_test.go
@@ -16,7 +16,8 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// goldenFolder was written by commit 352ebf2: disks hold logs and snapshots of that build.
+// goldenFolder was written by commit 352ebf2. Disks of running replicas hold logs and snapshots of that
+// build.
 const goldenFolder = "testdata/ring"
 
 var goldenSizes = ringlog.Sizes{SegmentBytes: 4 << 10, Segments: 3}
@@ -25,7 +26,7 @@
 	return replica.Member{ID: id, Address: fmt.Sprintf("10.1.0.%d:7660", host)}
 }
 
-// Memberships of the golden log: member c has lost its disk and comes back as d.
+// Memberships of the golden log. Member c has lost its disk and comes back as member d.
 var (
 	membersAtFirst = replica.Membership{Voters: []replica.Member{member("a", 1), member("b", 2), member("c", 3)}}
 	membersLearn   = replica.Membership{Voters: membersAtFirst.Voters, Learners: []replica.Member{member("d", 3), member("e", 4)}}
@@ -46,14 +47,14 @@
 	return replica.Entry{Index: index, Term: term, Kind: replica.EntryMembership, Membership: &members}
 }
 
-// Snapshots of the golden log; the newer one stands for entries up to 20.
+// Snapshots of the golden log; the newer one covers the entries up to 20.
 var (
 	olderSnapshot = replica.Snapshot{Index: 10, Term: 2, Membership: membersAtFirst, Data: []byte("state at 10")}
 	newerSnapshot = replica.Snapshot{Index: 20, Term: 4, Membership: membersLearn, Data: bytes.Repeat([]byte("state at 20; "), 40)}
 )
 
-// writeLog does the golden log's work in a folder: two lives of a process, two snapshots, entries
-// that a new leader replaced, and a member that is replaced after the newer snapshot.
+// writeLog writes the golden log to a folder: two runs of a process, two snapshots, entries that a new
+// leader replaced, and a member that is replaced after the newer snapshot.
 func writeLog(t *testing.T, folder string) {
 	t.Helper()
 	ring, _, err := ringlog.Open(ringlog.OSFileSystem{}, folder, goldenSizes)
@@ -82,7 +83,7 @@
 	ring.Close()
 }
 
-// goldenRestored is what the golden log holds.
+// goldenRestored returns the state that the golden log holds.
 func goldenRestored() replica.PersistedState {
 	return replica.PersistedState{
 		HardState: replica.HardState{Term: 6, Vote: "d"},
@@ -94,17 +95,18 @@
 	}
 }
 
-// keepMissingFolder writes the golden folder where it does not exist yet and that is asked for.
-func keepMissingFolder(t *testing.T) {
+// writeMissingFolder writes the golden folder if it does not exist yet and the run is to create missing
+// golden files.
+func writeMissingFolder(t *testing.T) {
 	t.Helper()
 	if goldentest.Missing(goldenFolder) {
 		writeLog(t, goldenFolder)
 	}
 }
 
-// TestGoldenLogIsRead: a folder that 352ebf2 left behind is opened, and goes on.
+// TestGoldenLogIsRead checks that a folder that was written by 352ebf2 can be opened and appended to.
 func TestGoldenLogIsRead(t *testing.T) {
-	keepMissingFolder(t)
+	writeMissingFolder(t)
 	folder := goldentest.CopyFolder(t, goldenFolder)
 	ring, found, err := ringlog.Open(ringlog.OSFileSystem{}, folder, goldenSizes)
 	require.NoError(t, err)
@@ -128,7 +130,7 @@
 	require.Equal(t, wanted, found)
 }
 
-// TestLogMatchesGolden: the same work leaves the same files, records and snapshots.
+// TestLogMatchesGolden checks that the same operations produce the same files, records and snapshots.
 func TestLogMatchesGolden(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "ring")
 	writeLog(t, folder)
@@ -161,7 +163,7 @@
 }
 
 // The types and functions from here on read files as a process of 352ebf2 does, without the code
-// under test. Their fields' names are stored and are never to be changed.
+// under test. Their field names are stored and must never change.
 type (
 	storedMember     struct{ ID, Address string }
 	storedMembership struct{ Voters, Outgoing, Learners []storedMember }
@@ -175,7 +177,7 @@
 		number     uint64
 		kind       byte
 		payload    string
-		membership storedMembership // of an entry that has one; the payload is that before it
+		membership storedMembership // membership of an entry that has one; payload is then only the part before it
 	}
 )
 
@@ -200,7 +202,7 @@
 func storedRecordsOf(t *testing.T, segment []byte) []storedRecord {
 	t.Helper()
 	if binary.LittleEndian.Uint32(segment) == 0 {
-		return nil // never begun
+		return nil // the segment was never used
 	}
 	require.Equal(t, uint32(0x62736c31), binary.LittleEndian.Uint32(segment))
 	var records []storedRecord
@@ -208,7 +210,7 @@
 	for rest := segment[headerBytes:]; len(rest) > framingBytes; {
 		number, end := binary.LittleEndian.Uint64(rest[8:]), framingBytes+int(binary.LittleEndian.Uint32(rest))
 		if number != next || end > len(rest) {
-			break // zeros, or what the segment held before it was used again
+			break // zeros, or content from before the segment was reused
 		}
 		next++
 		record := storedRecord{number: number, kind: rest[16], payload: string(rest[framingBytes:end])}
@@ -254,5 +256,5 @@
 		}
 	}
 	require.Equal(t, 21, records)
-	require.Equal(t, 1, joint, "one record with a change of members under way")
+	require.Equal(t, 1, joint, "number of records with a joint membership")
 }
--- a/coord/ringlog/recover.go
+++ b/coord/ringlog/recover.go
@@ -11,39 +11,40 @@
 	"basaltloft/coord/replica"
 )
 
-// recover reads the newest snapshot and the records after it.
+// recover reads the newest snapshot and the records of all segments in use, and returns the state that
+// they hold.
 func (r *Ring) recover() (replica.PersistedState, error) {
-	found := replica.PersistedState{}
+	recovered := replica.PersistedState{}
 	snapshot, slot, hasSnapshot := r.newestSnapshot()
 	if hasSnapshot {
-		found.Snapshot, r.snapshotIndex, r.nextSlot = snapshot, snapshot.Index, 1-slot
+		recovered.Snapshot, r.snapshotIndex, r.nextSlot = snapshot, snapshot.Index, 1-slot
 	}
 	if err := r.findSegments(); err != nil {
-		return found, err
+		return recovered, err
 	}
 	for i, s := range r.segments {
-		if err := r.replay(s, &found); err != nil {
-			return found, errors.Wrapf(err, "segment %d", i)
+		if err := r.replay(s, &recovered); err != nil {
+			return recovered, errors.Wrapf(err, "segment %d", i)
 		}
 	}
 	if err := r.syncRecovered(hasSnapshot); err != nil {
-		return found, err
+		return recovered, err
 	}
-	found.HardState = r.hardState
-	if len(found.Entries) > 0 && found.Entries[0].Index != found.Snapshot.Index+1 {
-		return found, errors.Wrapf(ErrDamaged, "the first entry is %d after a snapshot of %d", found.Entries[0].Index, found.Snapshot.Index)
+	recovered.HardState = r.hardState
+	if len(recovered.Entries) > 0 && recovered.Entries[0].Index != recovered.Snapshot.Index+1 {
+		return recovered, errors.Wrapf(ErrDamaged, "the first entry is %d after a snapshot of %d", recovered.Entries[0].Index, recovered.Snapshot.Index)
 	}
-	return found, nil
+	return recovered, nil
 }
 
-// syncRecovered makes durable what was read and may not be: the process may have been killed between
-// a write and its sync, and this one acts on what it read. That can be the tail of the last segment
-// and the snapshot, where one was found. Each earlier segment was synced before the next one was
+// syncRecovered syncs recovered data that may not be durable yet: an earlier process may have been killed
+// between a write and its sync, and this process acts on the data. Only the tail of the last segment and
+// the snapshot, if one was found, can be affected. Each earlier segment was synced before the next one was
 // begun, and no record refers to a snapshot before its sync.
 func (r *Ring) syncRecovered(hasSnapshot bool) error {
 	if len(r.segments) > 0 {
 		if err := r.currentSegment().file.Sync(); err != nil {
-			return errors.Wrap(err, "sync the segment that was written last")
+			return errors.Wrap(err, "sync last segment")
 		}
 	}
 	if !hasSnapshot {
@@ -51,10 +52,10 @@
 	}
 	file, err := r.files.Open(r.slotPath(1 - r.nextSlot))
 	if err != nil {
-		return errors.Wrap(err, "open a snapshot's slot")
+		return errors.Wrap(err, "open snapshot slot")
 	}
 	defer closeFile(file)
-	return errors.Wrap(file.Sync(), "sync a snapshot that was read")
+	return errors.Wrap(file.Sync(), "sync recovered snapshot")
 }
 
 // findSegments reads the segment files and finds those in use, in the order of their records.
@@ -66,11 +67,11 @@
 			break
 		}
 		if err != nil {
-			return errors.Wrap(err, "read a segment")
+			return errors.Wrap(err, "read segment")
 		}
 		file, err := r.files.Open(path)
 		if err != nil {
-			return errors.Wrap(err, "open a segment")
+			return errors.Wrap(err, "open segment")
 		}
 		s := &segment{path: path, file: file}
 		var inUse bool
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// firstRecordNumber returns the number of a segment's first record; false: it has no whole record, so
-// that it counts as free.
+// firstRecordNumber returns the number of a segment's first record. It returns false if the segment has
+// no complete record and is therefore free.
 func firstRecordNumber(content []byte) (first uint64, ok bool) {
 	first, ok = readSegmentHeader(content)
 	if !ok {
@@ -99,10 +100,11 @@
 	return first, ok
 }
 
-// replay reads a segment's records, up to the first that is torn or missing.
-func (r *Ring) replay(s *segment, found *replica.PersistedState) error {
+// replay applies a segment's records to the recovered state, up to the first record that is torn or
+// missing.
+func (r *Ring) replay(s *segment, recovered *replica.PersistedState) error {
 	if s.firstNumber != r.nextNumber {
-		return errors.Wrapf(ErrDamaged, "the segment begins with record %d, where %d is next", s.firstNumber, r.nextNumber)
+		return errors.Wrapf(ErrDamaged, "the segment begins with record %d instead of %d", s.firstNumber, r.nextNumber)
 	}
 	remaining := s.content[segmentHeaderBytes:]
 	s.content = nil
@@ -111,16 +113,17 @@
 		if !ok {
 			return nil
 		}
-		if !r.replayRecord(s, next, found) {
-			return errors.Wrapf(ErrDamaged, "record %d does not follow", next.number)
+		if !r.replayRecord(s, next, recovered) {
+			return errors.Wrapf(ErrDamaged, "record %d can't be decoded or leaves a gap in the log", next.number)
 		}
 		r.nextNumber++
 		remaining = after
 	}
 }
 
-// replayRecord applies a record to what was found so far; false: it can't be read, or leaves a gap.
-func (r *Ring) replayRecord(s *segment, next record, found *replica.PersistedState) bool {
+// replayRecord applies a record to the state recovered so far. It returns false if the record can't be
+// decoded or leaves a gap between entries.
+func (r *Ring) replayRecord(s *segment, next record, recovered *replica.PersistedState) bool {
 	switch next.kind {
 	case recordHardState:
 		state, ok := decodeHardState(next.payload)
@@ -130,8 +133,8 @@
 		if len(next.payload) < 8 {
 			return false
 		}
-		if binary.LittleEndian.Uint64(next.payload) <= found.Snapshot.Index {
-			found.Entries = nil
+		if binary.LittleEndian.Uint64(next.payload) <= recovered.Snapshot.Index {
+			recovered.Entries = nil
 		}
 		return true
 	case recordEntry:
@@ -141,27 +144,28 @@
 		}
 		s.lastIndex = max(s.lastIndex, entry.Index)
 		r.bytesSinceSnapshot += len(next.payload)
-		return replayEntry(found, entry)
+		return replayEntry(recovered, entry)
 	}
 	return false
 }
 
-// replayEntry appends an entry, in place of those of its index and after; false: it leaves a gap.
-func replayEntry(found *replica.PersistedState, entry replica.Entry) bool {
-	if entry.Index <= found.Snapshot.Index {
-		found.Entries = nil
+// replayEntry appends an entry, which replaces those of the same and higher indexes. It returns false if
+// the entry leaves a gap.
+func replayEntry(recovered *replica.PersistedState, entry replica.Entry) bool {
+	if entry.Index <= recovered.Snapshot.Index {
+		recovered.Entries = nil
 		return true
 	}
-	if len(found.Entries) == 0 {
-		found.Entries = append(found.Entries, entry)
+	if len(recovered.Entries) == 0 {
+		recovered.Entries = append(recovered.Entries, entry)
 		return true
 	}
-	first := found.Entries[0].Index
+	first := recovered.Entries[0].Index
 	switch {
 	case entry.Index < first:
-		found.Entries = []replica.Entry{entry}
-	case entry.Index <= first+uint64(len(found.Entries)):
-		found.Entries = append(found.Entries[:entry.Index-first], entry)
+		recovered.Entries = []replica.Entry{entry}
+	case entry.Index <= first+uint64(len(recovered.Entries)):
+		recovered.Entries = append(recovered.Entries[:entry.Index-first], entry)
 	default:
 		return false
 	}
--- a/coord/ringlog/ring.go
+++ b/coord/ringlog/ring.go
@@ -8,16 +8,16 @@
 	"basaltloft/coord/replica"
 )
 
-// Sizes of a ring. They may differ from those with which it was made: existing files keep their
-// size.
+// Sizes configures the size of a ring. The values may differ from those with which the ring was created:
+// existing files keep their size.
 type Sizes struct {
 	SegmentBytes int
-	Segments     int // at least; the ring grows by one where none is free
+	Segments     int // minimum number of segments; the ring grows by one if none is free
 }
 
-// ErrDamaged means that synced records are missing from the log. The replica must join its group
-// anew, with an empty folder and another ID.
-var ErrDamaged = errors.New("the log on disk is damaged: empty this replica's folder, so that it joins its group anew")
+// ErrDamaged is returned by Open if synced records are missing from the log or can't be decoded. The
+// replica must rejoin its group with an empty folder and another ID.
+var ErrDamaged = errors.New("the log on disk is damaged: empty this replica's folder, so that it rejoins its group as a new member")
 
 // Ring is an open log. Its methods must not be called concurrently; they block on the disk.
 type Ring struct {
@@ -27,24 +27,24 @@
 
 	segments   []*segment // in use, in the order of their records; the last one is written to
 	free       []*segment
-	offset     int    // in the last segment, of the next record
-	nextNumber uint64 // of the next record
-	// segmentStartUnsynced says that the header and hard state of the last segment are written and
-	// not synced yet.
+	offset     int    // offset of the next record in the last segment
+	nextNumber uint64 // number of the next record
+	// segmentStartUnsynced is true while the header and hard state of the last segment are written but
+	// not synced.
 	segmentStartUnsynced bool
 	buffer               []byte // records that are being written
 
 	hardState          replica.HardState // the last one written; each segment begins with it
-	snapshotIndex      uint64            // of the newest snapshot
-	nextSlot           int               // slot of the next snapshot; the other one has the newest, if there is one
-	bytesSinceSnapshot int               // of records written since the newest snapshot
+	snapshotIndex      uint64            // index of the newest snapshot
+	nextSlot           int               // slot of the next snapshot; the other has the newest, if there is one
+	bytesSinceSnapshot int               // size of the records written since the newest snapshot
 }
 
-// Open opens the log in a folder and returns what it holds. The folder is created where it does not
-// exist. Everything that is returned is synced. An error is ErrDamaged, or one of the file system.
+// Open opens the log in a folder and returns the state that it holds. The folder is created if it does
+// not exist. The returned state is synced. An error is ErrDamaged or an error of the file system.
 func Open(files FileSystem, folder string, sizes Sizes) (*Ring, replica.PersistedState, error) {
 	if err := files.MakeDir(folder); err != nil {
-		return nil, replica.PersistedState{}, errors.Wrap(err, "make the log's folder")
+		return nil, replica.PersistedState{}, errors.Wrap(err, "create log folder")
 	}
 	r := &Ring{files: files, folder: folder, sizes: sizes, nextNumber: 1}
 	found, err := r.recover()
@@ -54,17 +54,17 @@
 	if err := r.preallocate(); err != nil {
 		return nil, replica.PersistedState{}, err
 	}
-	// A loss of power may leave whole records behind a torn one. They must never follow a new record:
-	// each start of the process writes to a segment of its own. Its start is synced with the first
-	// records, as nothing rests on it before.
+	// A power failure may leave complete records after a torn one. Recovery must never read them as the
+	// successors of a new record, so each start of the process begins a new segment. The start of the
+	// segment is synced together with its first records, since nothing depends on it before.
 	if err := r.startSegmentUnsynced(); err != nil {
 		return nil, replica.PersistedState{}, err
 	}
 	return r, found, nil
 }
 
-// Append writes a hard state, if there is one, and entries, and syncs them. After an error it may be
-// called again with the same arguments.
+// Append writes and syncs a hard state, unless it is nil, and entries. After an error it may be called
+// again with the same arguments.
 func (r *Ring) Append(hardState *replica.HardState, entries []replica.Entry) error {
 	if hardState != nil {
 		r.hardState = *hardState
@@ -81,7 +81,8 @@
 	}
 }
 
-// split cuts off as many entries as half a segment takes.
+// split returns as many of the first entries as fit in half a segment, at least one, and the remaining
+// ones.
 func (r *Ring) split(entries []replica.Entry) (batch, remaining []replica.Entry) {
 	size := 0
 	for i, entry := range entries {
@@ -93,7 +94,7 @@
 	return entries, nil
 }
 
-// appendBatch writes and syncs what goes into one segment.
+// appendBatch writes and syncs a hard state, unless it is nil, and entries to one segment.
 func (r *Ring) appendBatch(hardState *replica.HardState, entries []replica.Entry) error {
 	r.buffer = r.buffer[:0]
 	if err := r.ensureSpace(entries); err != nil {
@@ -106,7 +107,7 @@
 	for _, entry := range entries {
 		payload, err := encodeEntry(entry)
 		if err != nil {
-			return errors.Wrap(err, "encode an entry")
+			return errors.Wrap(err, "encode entry")
 		}
 		r.bufferRecord(recordEntry, payload)
 		current.lastIndex = max(current.lastIndex, entry.Index)
@@ -128,18 +129,18 @@
 // flush writes and syncs the buffered records at an offset of the current segment.
 func (r *Ring) flush(current *segment, offset int) error {
 	if _, err := current.file.WriteAt(r.buffer, int64(offset)); err != nil {
-		return errors.Wrap(err, "write to the log")
+		return errors.Wrap(err, "write log records")
 	}
 	if err := current.file.Sync(); err != nil {
-		return errors.Wrap(err, "sync the log")
+		return errors.Wrap(err, "sync log records")
 	}
 	r.offset = offset + len(r.buffer)
 	r.segmentStartUnsynced = false
 	return nil
 }
 
-// Reset begins the log anew after a snapshot that comes from another replica, or from which a new
-// group begins. After an error it may be called again.
+// Reset replaces the log by a snapshot, which comes from another replica or is the initial state of a new
+// group. After an error it may be called again.
 func (r *Ring) Reset(snapshot replica.Snapshot) error {
 	if err := r.SaveSnapshot(snapshot); err != nil {
 		return err
@@ -155,16 +156,16 @@
 	return r.flush(r.currentSegment(), r.offset)
 }
 
-// BytesSinceSnapshot returns the bytes of records written since the newest snapshot.
+// BytesSinceSnapshot returns the size in bytes of the records written since the newest snapshot.
 func (r *Ring) BytesSinceSnapshot() int { return r.bytesSinceSnapshot }
 
-// NearlyFull reports whether more than half of the ring is in use, so that a snapshot is due.
+// NearlyFull reports whether more than half of the segments are in use, so that a snapshot is due.
 func (r *Ring) NearlyFull() bool {
 	r.reclaim()
 	return len(r.segments) > r.sizes.Segments/2
 }
 
-// Close closes the files. Everything that was acknowledged is synced already.
+// Close closes the files. All acknowledged writes are synced already.
 func (r *Ring) Close() {
 	for _, s := range r.segments {
 		closeFile(s.file)
--- a/coord/ringlog/ringlog_test.go
+++ b/coord/ringlog/ringlog_test.go
@@ -15,7 +15,7 @@
 
 var sizes = ringlog.Sizes{SegmentBytes: 2 << 10, Segments: 3}
 
-// model is what a ring must hold.
+// model is the state that a ring must hold.
 type model struct {
 	hardState replica.HardState
 	snapshot  replica.Snapshot
@@ -49,7 +49,7 @@
 	}
 }
 
-// operations is a sequence of operations drawn from a seed, to be ended at the first error.
+// operations generates a random sequence of operations from a seed. The caller stops at the first error.
 type operations struct {
 	random     *rand.Rand
 	term       uint64
@@ -66,6 +66,7 @@
 	return entries
 }
 
+// step applies one random operation to the model and the ring.
 func (s *operations) step() error {
 	s.beforeLast = s.model
 	switch s.random.IntN(8) {
@@ -133,7 +134,7 @@
 	}
 }
 
-// open opens the ring of a disk.
+// open opens the ring of a disk and requires success.
 func open(t *testing.T, disk *simdisk.Disk, seed uint64, point int) (*ringlog.Ring, replica.PersistedState) {
 	t.Helper()
 	ring, found, err := ringlog.Open(disk, "log", sizes)
@@ -141,8 +142,8 @@
 	return ring, found
 }
 
-// runUntilCrash runs operations on a new disk until the one at a numbered point crashes; false: there
-// are fewer operations than that.
+// runUntilCrash runs operations on a new disk until the disk operation with the number point crashes. It
+// returns false if there are fewer disk operations.
 func runUntilCrash(t *testing.T, seed uint64, point int, stream uint64) (*simdisk.Disk, *operations, bool) {
 	t.Helper()
 	disk := simdisk.New(seed*1000 + uint64(point))
@@ -158,7 +159,7 @@
 }
 
 // TestCrashAtEachOperation crashes a sequence at each of its writes and syncs in turn. All synced
-// records are recovered; the interrupted operation may be there in part.
+// records must be recovered; the interrupted operation may be recovered in part.
 func TestCrashAtEachOperation(t *testing.T) {
 	for seed := range uint64(25) {
 		for point := 1; ; point++ {
@@ -175,7 +176,7 @@
 }
 
 // TestRecoveredRecordsSurvivePowerLoss kills the process at each point, which leaves unsynced writes
-// readable. What the next process read and acted on must not vanish later.
+// readable. Records that the next process has read must survive a later power failure.
 func TestRecoveredRecordsSurvivePowerLoss(t *testing.T) {
 	for seed := range uint64(25) {
 		for point := 1; ; point++ {
@@ -211,8 +212,8 @@
 	}
 }
 
-// TestCrashWhileOpening crashes the opening of a ring at each of its writes and syncs in
-// turn, twice in a row: nothing that was synced is lost, and no log counts as damaged.
+// TestCrashWhileOpening crashes the opening of a ring at each of its writes and syncs in turn, twice in
+// a row. No synced record may be lost, and Open must not return ErrDamaged afterwards.
 func TestCrashWhileOpening(t *testing.T) {
 	for seed := range uint64(40) {
 		for point := 1; point < 40; point++ {
@@ -226,7 +227,7 @@
 			}
 			for range 2 {
 				disk.CrashAtOperation = disk.OperationCount + point
-				_, _, _ = ringlog.Open(disk, "log", sizes) // it crashes, or not, at that operation
+				_, _, _ = ringlog.Open(disk, "log", sizes) // may crash at that operation
 				disk.LosePower()
 			}
 			for range 3 {
@@ -237,8 +238,8 @@
 	}
 }
 
-// TestKilledWhileOpening kills a process at a point of its operations, and the next one at a point of
-// its opening. What the process after that read and acted on must not vanish.
+// TestKilledWhileOpening kills a process at a point of its operations, and the next process while it opens
+// the ring. Records that the process after that has read must survive a power failure.
 func TestKilledWhileOpening(t *testing.T) {
 	for seed := range uint64(60) {
 		for point := 1; point < 24; point++ {
@@ -252,7 +253,7 @@
 				}
 			}
 			disk.CrashAtOperation = disk.OperationCount + 1 + int(seed%9)
-			_, _, _ = ringlog.Open(disk, "log", sizes) // it crashes, or not, at that operation
+			_, _, _ = ringlog.Open(disk, "log", sizes) // may crash at that operation
 			disk.CrashAtOperation = 0
 			_, read := open(t, disk, seed, point)
 			requireSyncedEntries(t, s, read, seed, point)
--- a/coord/ringlog/snapshot.go
+++ b/coord/ringlog/snapshot.go
@@ -15,12 +15,12 @@
 // snapshotSlots is the number of slots: one holds the newest snapshot while the other is written.
 const snapshotSlots = 2
 
-// SaveSnapshot writes a snapshot into the older of the two slots and syncs it: the newer one stays
-// whole whatever happens. The log is unchanged. After an error it may be called again.
+// SaveSnapshot writes a snapshot into the older of the two slots and syncs it, so that the newer slot
+// stays intact even if the write fails. The log is unchanged. After an error it may be called again.
 func (r *Ring) SaveSnapshot(snapshot replica.Snapshot) error {
 	content, err := encodeSnapshot(snapshot)
 	if err != nil {
-		return errors.Wrap(err, "encode a snapshot")
+		return errors.Wrap(err, "encode snapshot")
 	}
 	if err := r.writeSlot(content); err != nil {
 		return err
@@ -34,28 +34,28 @@
 	return filepath.Join(r.folder, fmt.Sprintf("snapshot-%d", slot))
 }
 
-// writeSlot writes and syncs a snapshot's content into nextSlot. What an older and longer one has behind it
-// stays.
+// writeSlot writes and syncs a snapshot's content into nextSlot. It does not truncate the file: the rest
+// of an older and longer snapshot remains after the content.
 func (r *Ring) writeSlot(content []byte) error {
 	file, err := r.files.Open(r.slotPath(r.nextSlot))
 	if err != nil {
-		return errors.Wrap(err, "open a snapshot's slot")
+		return errors.Wrap(err, "open snapshot slot")
 	}
 	defer closeFile(file)
 	if _, err := file.WriteAt(content, 0); err != nil {
-		return errors.Wrap(err, "write a snapshot")
+		return errors.Wrap(err, "write snapshot")
 	}
 	if err := file.Sync(); err != nil {
-		return errors.Wrap(err, "sync a snapshot")
+		return errors.Wrap(err, "sync snapshot")
 	}
-	return errors.Wrap(r.files.SyncDir(r.folder), "sync the log's folder")
+	return errors.Wrap(r.files.SyncDir(r.folder), "sync log folder")
 }
 
-// newestSnapshot returns the newer of the whole snapshots and its slot; false: there is none.
+// newestSnapshot returns the newest complete snapshot and its slot, and false if there is none.
 func (r *Ring) newestSnapshot() (newest replica.Snapshot, slot int, ok bool) {
 	for i := range snapshotSlots {
 		content, err := r.files.ReadFile(r.slotPath(i))
-		if err != nil { // a slot that can't be read is taken for one that was never written
+		if err != nil { // a slot that can't be read is treated like one that was never written
 			continue
 		}
 		snapshot, complete := decodeSnapshot(content)
@@ -77,8 +77,8 @@
 	return append(content, body.Bytes()...), nil
 }
 
-// decodeSnapshot returns the snapshot of a slot; false: it is not whole. An older and longer snapshot
-// may stand behind it.
+// decodeSnapshot returns the snapshot of a slot, and false if it is incomplete or damaged. The rest of an
+// older and longer snapshot may follow it.
 func decodeSnapshot(content []byte) (snapshot replica.Snapshot, ok bool) {
 	if len(content) < snapshotHeaderBytes || binary.LittleEndian.Uint32(content) != magic {
 		return snapshot, false
