--- a/internal/cluster/controlplane/configapi.go
+++ b/internal/cluster/controlplane/configapi.go
@@ -12,22 +12,23 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// configAPI answers operators over HTTP and dispatchers that watch the configuration. It forwards an
-// operator's call to the leader of the configuration's group, once.
+// configAPI serves the operators' HTTP API and the dispatchers' watches of the configuration. It forwards
+// an operator's request to the leader of the configuration's group at most once.
 type configAPI struct {
 	node   *Node
 	config *leader.Configuration
 }
 
 const (
-	maxConfigBytes = 4 << 20                 // of an operator's POST
-	commitTimeout  = 2500 * time.Millisecond // of a change of the configuration
-	forwardTimeout = 2800 * time.Millisecond // longer than commitTimeout: the leader's response comes first
-	maxWatchWaitMs = 2000                    // how long a dispatcher's watch is kept open at most
+	maxConfigBytes = 4 << 20                 // maximum size of an operator's POST
+	commitTimeout  = 2500 * time.Millisecond // how long a request waits for its configuration change to commit
+	forwardTimeout = 2800 * time.Millisecond // longer than commitTimeout, so that the leader responds first
+	maxWatchWaitMs = 2000                    // maximum time for which a dispatcher's watch is kept open
 )
 
-// watch answers a dispatcher. It waits up to the requested time for a configuration that is newer than
-// the dispatcher's.
+// watch returns the response to a dispatcher's watch. If this node is the leader and the dispatcher has the
+// newest configuration, watch waits for a newer one, for the requested time or maxWatchWaitMs, whichever is
+// shorter.
 func (o *configAPI) watch(request protocol.WatchRequest) protocol.WatchResponse {
 	receivedAt := time.Now()
 	changed, version := o.config.Changed()
@@ -40,16 +41,16 @@
 	}
 	nodes := o.node.nodeAddresses()
 	shardLeaders := o.node.shardLeaders()
-	held := time.Since(receivedAt) // before Version is read: see WatchResponse.HeldMs
+	waited := time.Since(receivedAt) // measured before Version is read; see WatchResponse.HeldMs
 	response := o.config.Watch(request.Have)
 	response.Cores = nodes
 	response.Owners = shardLeaders
-	response.HeldMs = held.Milliseconds()
+	response.HeldMs = waited.Milliseconds()
 	return response
 }
 
-// handle carries out an operator's call, if this node leads the configuration's group. It waits for the
-// commit, for commitTimeout at most: the response then says that the outcome is not known.
+// handle executes an operator's request if this node leads the configuration's group. It waits for the
+// commit for at most commitTimeout; after that, the response reports that the outcome is unknown.
 func (o *configAPI) handle(request protocol.OperatorRequest) protocol.OperatorResponse {
 	responses := make(chan protocol.OperatorResponse, 1)
 	o.config.HandleOperatorRequest(request, func(response protocol.OperatorResponse) { responses <- response })
@@ -63,7 +64,7 @@
 	}
 }
 
-// serveReplace serves an operator's POST of a configuration.
+// serveReplace handles an operator's POST of a new configuration.
 func (o *configAPI) serveReplace(w http.ResponseWriter, r *http.Request) {
 	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	tooLarge := &http.MaxBytesError{}
@@ -71,7 +72,7 @@
 	case errors.As(err, &tooLarge):
 		http.Error(w, "the configuration is too large: send at most "+strconv.Itoa(maxConfigBytes)+" bytes", http.StatusRequestEntityTooLarge)
 		return
-	case err != nil: // the same may arrive whole when it is sent again: this rejects nothing
+	case err != nil: // temporary: the complete body may arrive on a retry
 		http.Error(w, "the configuration did not come whole: send the same again", http.StatusServiceUnavailable)
 		return
 	}
@@ -83,12 +84,12 @@
 	o.respond(w, protocol.OperatorRequest{Replace: true, Base: base, Content: content})
 }
 
-// serveGet serves an operator's GET of the newest configuration.
+// serveGet handles an operator's GET of the newest configuration.
 func (o *configAPI) serveGet(w http.ResponseWriter, _ *http.Request) {
 	o.respond(w, protocol.OperatorRequest{})
 }
 
-// respond forwards a call and writes its response.
+// respond passes a request to the leader and writes the response.
 func (o *configAPI) respond(w http.ResponseWriter, request protocol.OperatorRequest) {
 	response := o.forward(request)
 	if response.Status == protocol.StatusNotLeader {
@@ -101,10 +102,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(response.Content) // an error means that the operator has gone
+	_, _ = w.Write(response.Content) // an error means that the client has disconnected
 }
 
-// forward handles a call where this node is the leader, and else sends it to the leader, once.
+// forward executes a request on this node if it is the leader. Otherwise it sends the request once to the
+// leader, if known.
 func (o *configAPI) forward(request protocol.OperatorRequest) protocol.OperatorResponse {
 	local := o.handle(request)
 	if local.Status != protocol.StatusNotLeader || local.Leader == "" || local.Leader == o.node.self.Address {
--- a/internal/cluster/controlplane/configapi_test.go
+++ b/internal/cluster/controlplane/configapi_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReplaceOfAnIncompleteBody: a body that is cut short is not rejected for good; one that is too
-// large is.
+// TestReplaceOfAnIncompleteBody checks that a truncated body gets a status that permits a retry, and that a
+// body that is too large gets one that does not.
 func TestReplaceOfAnIncompleteBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes int
@@ -29,7 +29,7 @@
 	}
 }
 
-// truncatedBody has some bytes and then fails.
+// truncatedBody is a request body that yields the given number of bytes and then fails.
 type truncatedBody struct{ bytes, read int }
 
 var errTruncated = errors.New("the connection ended")
@@ -43,19 +43,19 @@
 	return n, nil
 }
 
-// TestStopAnswersOperators: an operator's call that waits while the node stops has its answer. Its connection
-// was closed before that was written.
-func TestStopAnswersOperators(t *testing.T) {
-	node := loneNode(t)
+// TestShutdownRespondsToPendingOperators checks that an operator's request that is pending while the node stops
+// gets its response. It guards against closing the connection before the response is written.
+func TestShutdownRespondsToPendingOperators(t *testing.T) {
+	node := newSingleNode(t)
 	waiting := make(chan struct{})
 	operators := &http.Server{ReadHeaderTimeout: headerTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(waiting)
-		<-node.stop // as configAPI.handle waits for a commit
+		<-node.stop // like configAPI.handle, which waits for a commit
 		w.WriteHeader(http.StatusGatewayTimeout)
 	})}
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	go func() { _ = operators.Serve(listener) }() // ends with the node
+	go func() { _ = operators.Serve(listener) }() // returns when the node shuts down
 	go func() {
 		<-waiting
 		node.shutDown(&http.Server{ReadHeaderTimeout: headerTimeout}, operators)
@@ -63,7 +63,7 @@
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+listener.Addr().String(), nil)
 	require.NoError(t, err)
 	response, err := http.DefaultClient.Do(request)
-	require.NoError(t, err, "the call was cut")
+	require.NoError(t, err, "the connection was closed before the response")
 	require.NoError(t, response.Body.Close())
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
 }
--- a/internal/cluster/controlplane/golden_http_test.go
+++ b/internal/cluster/controlplane/golden_http_test.go
@@ -31,14 +31,14 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// compareGolden compares a text with the golden file of that name, byte for byte. Commit 352ebf2
-// wrote the files: runners, the platform and operators have that build's form.
+// compareGolden compares a text with the golden file of the given name byte by byte. The files were written
+// by commit 352ebf2: runners, the platform and operators rely on the formats of that build.
 func compareGolden(t *testing.T, name, text string) {
 	t.Helper()
 	goldentest.Equal(t, filepath.Join("testdata", name), []byte(text))
 }
 
-// rawRequests records the bytes that a server's connections read.
+// rawRequests is a listener that records the bytes that its connections read.
 type rawRequests struct {
 	net.Listener
 	mu   sync.Mutex
@@ -63,8 +63,9 @@
 	return n, err
 }
 
-// taken returns what was read since the last call, with the ends of lines made visible.
-func (r *rawRequests) taken(address string) string {
+// takeRecorded returns the bytes that were read since the last call, with visible line ends and with the
+// server's address replaced by ADDRESS.
+func (r *rawRequests) takeRecorded(address string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	text := strings.ReplaceAll(r.read.String(), address, "ADDRESS")
@@ -82,7 +83,7 @@
 	return requests, strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestCallsToRunnersMatchGolden: request line, headers and body of each call at a runner.
+// TestCallsToRunnersMatchGolden checks the request line, headers and body of each order to a runner.
 func TestCallsToRunnersMatchGolden(t *testing.T) {
 	requests, address := recordRequests(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"clock_ms":1}`)) })
 	client := newRunnerClient(t.Context())
@@ -90,26 +91,26 @@
 		Runner: "instance-1", Address: address, Token: 11, Task: job.TaskRef{Job: "0123456789abcdef", Occurrence: 1, Step: 2, Index: 3}, Attempt: 4,
 		Spec: `text with "quotes" & <signs>`, Checkpoint: "progress-5", DeadlineMs: 600, AckedThrough: 77, WaitMs: 800, Sequence: 9,
 	}
-	bare := scheduler.Order{Runner: "instance-2", Address: address, Task: job.TaskRef{Job: "fedcba9876543210"}, Attempt: 1}
+	minimal := scheduler.Order{Runner: "instance-2", Address: address, Task: job.TaskRef{Job: "fedcba9876543210"}, Attempt: 1}
 	var text strings.Builder
 	for _, call := range []struct {
 		name string
 		send func()
 	}{
 		{"start", func() { client.start(full) }},
-		{"start, what may be left out is", func() { client.start(bare) }},
+		{"start, what may be left out is", func() { client.start(minimal) }},
 		{"stop", func() { client.stop(full) }},
 		{"hold", func() { client.renewLease(full) }},
-		{"hold, what may be left out is", func() { client.renewLease(bare) }},
+		{"hold, what may be left out is", func() { client.renewLease(minimal) }},
 	} {
 		call.send()
-		fmt.Fprintf(&text, "== %s\n%s", call.name, requests.taken(address))
+		fmt.Fprintf(&text, "== %s\n%s", call.name, requests.takeRecorded(address))
 	}
 	compareGolden(t, "calls-to-runners.txt", text.String())
 }
 
-// answering returns a runner that gives one answer.
-func answering(t *testing.T, status int, body string) scheduler.Order {
+// serveReply starts a runner that sends the same reply to every order. It returns an order for that runner.
+func serveReply(t *testing.T, status int, body string) scheduler.Order {
 	t.Helper()
 	runner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -119,14 +120,14 @@
 	return scheduler.Order{Address: strings.TrimPrefix(runner.URL, "http://"), Runner: "instance"}
 }
 
-// TestRunnerRepliesAreParsed: each status, and each field of an answer.
+// TestRunnerRepliesAreParsed checks the result for each status, and each field of a reply.
 func TestRunnerRepliesAreParsed(t *testing.T) {
 	client := newRunnerClient(t.Context())
 	for _, c := range []struct {
 		status int
 		body   string
 		start  scheduler.StartReply
-		hold   scheduler.LeaseReply
+		lease  scheduler.LeaseReply
 		stop   scheduler.StopReply
 	}{
 		{http.StatusOK, `{"clock_ms":5}`, scheduler.StartAccepted, scheduler.LeaseRenewed, scheduler.StopConfirmed},
@@ -138,20 +139,20 @@
 		{http.StatusServiceUnavailable, `{"clock_ms":5}`, scheduler.StartRefused, scheduler.LeaseNoReply, scheduler.StopNotConfirmed},
 		{http.StatusInternalServerError, `{}`, scheduler.StartNoReply, scheduler.LeaseNoReply, scheduler.StopNotConfirmed},
 	} {
-		order := answering(t, c.status, c.body)
+		order := serveReply(t, c.status, c.body)
 		name := fmt.Sprint(c.status, " ", c.body)
 		start, _ := client.start(order)
 		require.Equal(t, c.start, start, name)
-		hold, _ := client.renewLease(order)
-		require.Equal(t, c.hold, hold, name)
+		lease, _ := client.renewLease(order)
+		require.Equal(t, c.lease, lease, name)
 		stop, _ := client.stop(order)
 		require.Equal(t, c.stop, stop, name)
 	}
-	_, clock := client.start(answering(t, http.StatusOK, `{"clock_ms":123}`))
+	_, clock := client.start(serveReply(t, http.StatusOK, `{"clock_ms":123}`))
 	require.Equal(t, int64(123), clock)
-	_, clock = client.stop(answering(t, http.StatusOK, `{"clock_ms":124}`))
+	_, clock = client.stop(serveReply(t, http.StatusOK, `{"clock_ms":124}`))
 	require.Equal(t, int64(124), clock)
-	_, report := client.renewLease(answering(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
+	_, report := client.renewLease(serveReply(t, http.StatusOK, `{"clock_ms":125,"remaining_ms":126,
 		"running":[["a.1.2.3",4,"saved",56.7],["b.0.0.0",1,""]],
 		"finished":[[7,"c.0.0.1",2,"done","s"],[8,"c.0.0.2",1,"failed",""],[9,"c.0.0.3",1,"stopped",""],[10,"c.0.0.4",1,"lapsed",""],
 			[11,"c.0.0.5",1,"broken",""],[12,"c.0.0.6",1,"alone",""],[13,"c.0.0.7",1,"something new",""]]}`))
@@ -171,7 +172,7 @@
 	}, report)
 }
 
-// TestCallsToPlatformMatchGolden: the calls for the list of runners, and each field of its pages.
+// TestCallsToPlatformMatchGolden checks the requests for the list of runners, and each field of its pages.
 func TestCallsToPlatformMatchGolden(t *testing.T) {
 	requests, address := recordRequests(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("page_token") == "" {
@@ -184,14 +185,14 @@
 	node := &Node{settings: settings.Settings{CloudAPI: settings.CloudAPI{Address: address}}}
 	list, err := newRunnerListReader(t.Context(), node).readAll()
 	require.NoError(t, err)
-	compareGolden(t, "calls-to-platform.txt", requests.taken(address))
+	compareGolden(t, "calls-to-platform.txt", requests.takeRecorded(address))
 	require.Equal(t, []protocol.Runner{
 		{ID: "i-1", Service: "desk", Address: "10.3.0.1:9000", Capacity: job.Resources{CPU: 16000, MemMB: 32000, GPU: 4}, Labels: []string{"ssd", "rack=1"}},
 		{ID: "i-2", Service: "gpu", Address: "10.3.0.2:9000", Draining: true, RemainingMs: 1234},
 	}, list)
 }
 
-// fakeGroup is the configuration's group, which gives each proposal the same end.
+// fakeGroup stands in for the configuration's group. Each proposal has the same result.
 type fakeGroup struct {
 	leads   bool
 	leader  string
@@ -207,11 +208,12 @@
 
 func (g *fakeGroup) Propose(_ []byte, done func(any, error)) { done(g.verdict, g.err) }
 
-// serveOperators serves the operator API of a node over a group, and returns its URL.
-func serveOperators(t *testing.T, own *fakeGroup, current string) string {
+// serveOperators serves the operators' API of a node whose configuration is in the given group. It returns the
+// URL.
+func serveOperators(t *testing.T, configGroup *fakeGroup, current string) string {
 	t.Helper()
 	config := leader.NewConfiguration(func(*opconfig.Config) {}, func(uint64) {}, slog.New(slog.DiscardHandler))
-	config.SetGroup(own)
+	config.SetGroup(configGroup)
 	if current != "" {
 		command, err := opconfig.Change{Version: 1, Content: []byte(current)}.Encode()
 		require.NoError(t, err)
@@ -226,9 +228,9 @@
 	return server.URL
 }
 
-// answerText returns an answer as it came, without its date and without the folder of the test,
-// which the schema's messages name.
-func answerText(t *testing.T, request *http.Request) string {
+// responseText sends a request and returns the response as received, without its Date header. It replaces the
+// folder of the test, which messages of the schema contain.
+func responseText(t *testing.T, request *http.Request) string {
 	t.Helper()
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
@@ -245,7 +247,7 @@
 	return strings.ReplaceAll(string(text), "\r\n", "\\r\\n\n") + "\n"
 }
 
-// otherLeader is a node that leads the configuration's group.
+// otherLeader is another node, which leads the configuration's group.
 type otherLeader struct{ answer any }
 
 func (o otherLeader) HandleOneWay(any) {}
@@ -261,7 +263,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestResponsesToOperatorsMatchGolden: status, headers and body of each answer to an operator.
+// TestResponsesToOperatorsMatchGolden checks the status, headers and body of each response to an operator.
 func TestResponsesToOperatorsMatchGolden(t *testing.T) {
 	const configuration = `{"version":1,"routes":[],"services":[]}`
 	leads := func(verdict opconfig.Verdict, err error) *fakeGroup {
@@ -300,7 +302,7 @@
 		if c.base != "" {
 			request.Header.Set("Base-Version", c.base)
 		}
-		fmt.Fprintf(&text, "== %s: %s %s\n%s", c.name, c.method, c.path, answerText(t, request))
+		fmt.Fprintf(&text, "== %s: %s %s\n%s", c.name, c.method, c.path, responseText(t, request))
 	}
 	compareGolden(t, "answers-to-operators.txt", text.String())
 }
--- a/internal/cluster/controlplane/golden_identity_test.go
+++ b/internal/cluster/controlplane/golden_identity_test.go
@@ -12,7 +12,7 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// goldenIdentities are the identities of a founder and of a process that joined, by file.
+// goldenIdentities returns the identities of an initial member and of a node that joined later, by file.
 func goldenIdentities() map[string]identity {
 	return map[string]identity{
 		"identity-founder": {ID: "10.1.0.15:7660", Founding: &replica.Membership{
@@ -24,8 +24,8 @@
 	}
 }
 
-// The types from here on have the form of the identity file at 352ebf2. Their fields' names are
-// stored and are never to be changed.
+// The following types have the form of the identity file at commit 352ebf2. The file stores the names of their
+// fields, so they must never be renamed.
 type (
 	storedIdentity struct {
 		ID       string
@@ -42,8 +42,8 @@
 	return stored
 }
 
-// TestGoldenIdentityIsRead: a process starts as who it was on a disk of 352ebf2, and what this
-// build writes has the form of that build.
+// TestGoldenIdentityIsRead checks that a node keeps its identity if its disk was written by commit 352ebf2, and
+// that the identity file of this build has the same form as that commit's.
 func TestGoldenIdentityIsRead(t *testing.T) {
 	require.Equal(t, "identity", identityFile)
 	for name, wanted := range goldenIdentities() {
@@ -53,7 +53,7 @@
 			golden := filepath.Join("testdata", name)
 			goldentest.WriteMissingFolder(t, written, golden)
 			found, err := loadIdentity(goldentest.CopyFolder(t, golden), func() (identity, error) {
-				t.Error("the folder has an identity")
+				t.Error("create was called although the folder has an identity")
 				return identity{}, nil
 			})
 			require.NoError(t, err)
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestGoldenIdentityFieldByField checks the golden file itself.
+// TestGoldenIdentityFieldByField checks the content of the golden files themselves.
 func TestGoldenIdentityFieldByField(t *testing.T) {
 	require.Equal(t, storedIdentity{ID: "10.1.0.15:7660", Founding: &storedMembership{
 		Voters:   []storedMember{{"10.1.0.15:7660", "10.1.0.15:7660"}, {"10.2.0.25:7660", "10.2.0.25:7660"}},
--- a/internal/cluster/controlplane/groups.go
+++ b/internal/cluster/controlplane/groups.go
@@ -16,8 +16,8 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// timing of all groups. A follower's minimum election timeout outlasts the leader's lease by more
-// than any drift of the clocks, so that no two leaders hold a lease at the same time.
+// timing is the Raft timing of all groups. A follower's minimum election timeout exceeds the leader's lease
+// by more than any clock drift, so that no two leaders hold a lease at the same time.
 var timing = replica.Timing{
 	HeartbeatInterval:  100 * time.Millisecond,
 	LeaseDuration:      420 * time.Millisecond,
@@ -25,15 +25,15 @@
 	ElectionJitter:     260 * time.Millisecond,
 }
 
-// Sizes of the groups' logs on disk.
+// Sizes of each group's log on disk.
 const (
 	segmentBytes           = 1 << 20
 	segments               = 4
-	snapshotThresholdBytes = 2 << 20 // of log since the last snapshot
+	snapshotThresholdBytes = 2 << 20 // size of the log since the last snapshot that triggers a new one
 )
 
-// openGroups opens the groups' replicas concurrently, as each waits for the disk several times. Those
-// that could be opened are in n.groups also where it returns an error for others.
+// openGroups opens the replicas of all groups concurrently, because opening one waits for the disk several
+// times. If some replicas can't be opened, it returns an error, and n.groups contains the others.
 func (n *Node) openGroups(stateMachines map[string]group.StateMachine) error {
 	type result struct {
 		group *group.Group
@@ -57,7 +57,7 @@
 	return openErr
 }
 
-// openGroup opens the replica of one group, in a folder of its own in the data folder.
+// openGroup opens the replica of one group. Each group has its own folder in the data folder.
 func (n *Node) openGroup(name string, stateMachine group.StateMachine) (*group.Group, error) {
 	settings := group.Settings{
 		Name:                   name,
@@ -76,7 +76,8 @@
 	return group.Open(settings, storage, environment)
 }
 
-// startReplicas runs all replicas and what depends on them. Only the first call has an effect.
+// startReplicas starts all replicas, the loops of the shards, the reader of the runner list and the load
+// reports. Only the first call has an effect.
 func (n *Node) startReplicas() {
 	if n.replicasRunning.Swap(true) {
 		return
@@ -91,14 +92,15 @@
 	n.tasks.Go(n.reportLoad)
 }
 
-// receive passes a replica's message to its group.
+// receive passes a message to this node's replica of the group. It discards messages for unknown groups and
+// those that arrive before the replicas run.
 func (n *Node) receive(message replica.Message) {
 	if g := n.groups[message.Group]; g != nil && n.replicasRunning.Load() {
 		g.Receive(message)
 	}
 }
 
-// shardLeaders returns the address of each shard's leader as far as it is known here, by shard.
+// shardLeaders returns the address of each shard's leader, indexed by shard; empty for an unknown leader.
 func (n *Node) shardLeaders() []string {
 	var addresses []string
 	for number := range n.shards {
@@ -107,7 +109,7 @@
 	return addresses
 }
 
-// nodeAddresses returns the internal addresses of the control-plane nodes: the members of the
+// nodeAddresses returns the internal addresses of the control-plane nodes that are members of the
 // configuration's group.
 func (n *Node) nodeAddresses() []string {
 	var addresses []string
@@ -118,15 +120,17 @@
 }
 
 const (
-	// transferTimeout bounds how long a stopping node waits until other nodes lead its groups.
+	// transferTimeout bounds how long a stopping node waits for other nodes to take over its leaderships
+	// and votes.
 	transferTimeout = 1500 * time.Millisecond
-	// transferPollInterval is how often it checks that meanwhile.
+	// transferPollInterval is the interval at which it checks whether they have done so.
 	transferPollInterval = 50 * time.Millisecond
 )
 
-// transferLeadership transfers the leadership of this node's groups, so that a planned stop costs no
-// election, and its votes where a learner can take them, so that the groups tolerate another loss at
-// once. It returns when that is done, or after transferTimeout.
+// transferLeadership prepares a planned stop. It transfers the leadership of this node's groups, which
+// avoids elections. It also asks the groups to replace this node as a voter by a learner where there is
+// one, so that they tolerate another failure immediately. It returns when both are done, or after
+// transferTimeout.
 func (n *Node) transferLeadership() {
 	if !n.replicasRunning.Load() {
 		return
@@ -136,15 +140,15 @@
 	}
 	deadline := time.Now().Add(transferTimeout)
 	for time.Now().Before(deadline) {
-		stillVotes := n.sendLeaveNotices() // sent again in each round: a notice may be lost
-		if !stillVotes && !n.leadsAnyGroup() {
+		canGiveUpVote := n.sendLeaveNotices() // repeated in each iteration because notices may be lost
+		if !canGiveUpVote && !n.leadsAnyGroup() {
 			return
 		}
 		time.Sleep(transferPollInterval)
 	}
 }
 
-// leadsAnyGroup reports whether this node is known as the leader of a group, with a lease or without.
+// leadsAnyGroup reports whether this node is the leader of any group, with or without a lease.
 func (n *Node) leadsAnyGroup() bool {
 	for _, g := range n.groups {
 		if g.Leader().ID == n.self.ID {
--- a/internal/cluster/controlplane/handler.go
+++ b/internal/cluster/controlplane/handler.go
@@ -27,7 +27,7 @@
 // HandleCall implements rpc.Handler.
 func (n *Node) HandleCall(body any) any {
 	if !n.replicasRunning.Load() {
-		// Senders of other requests take a response of a type that they don't expect as a failed call.
+		// Senders of other requests treat a response of this unexpected type as a failed call.
 		return protocol.JobResponse{Status: protocol.StatusNotLeader}
 	}
 	switch request := body.(type) {
@@ -45,8 +45,8 @@
 	return protocol.JobResponse{Status: http.StatusBadRequest, Reason: "this message is not known here: run the same version everywhere"}
 }
 
-// callShard calls a shard and waits for its response. Of a shard that does not exist the response is that
-// of a node that is not its leader.
+// callShard passes a request to a shard and waits for its response. For a shard that does not exist, it
+// returns StatusNotLeader.
 func (n *Node) callShard(number int, request func(shard *leader.Shard, reply replyFunc)) protocol.JobResponse {
 	if number < 0 || number >= len(n.shards) {
 		return protocol.JobResponse{Status: protocol.StatusNotLeader}
@@ -54,7 +54,7 @@
 	return n.shards[number].call(request)
 }
 
-// status returns the state of this node's replicas, sorted by the groups' names.
+// status returns the state of this node's replicas, sorted by group name.
 func (n *Node) status() protocol.StatusResponse {
 	response := protocol.StatusResponse{Node: n.settings.NodeName, Member: n.self}
 	if config := n.config.Current(); config != nil {
--- a/internal/cluster/controlplane/identity.go
+++ b/internal/cluster/controlplane/identity.go
@@ -15,23 +15,24 @@
 	"basaltloft/internal/cluster/leader"
 )
 
-// identity is what a node's disk says of it. A node whose disk was lost draws a new ID: it is another
-// member, and the votes of the old one are never given again. The identity file stores it by gob under
-// these names: never rename a field.
+// identity is the persistent identity of a node. A node that lost its disk generates a new ID and joins as
+// a new member: it no longer knows the votes that the old member gave, so it must not vote under the old
+// ID. The identity file stores this struct by gob with its field names: never rename a field.
 type identity struct {
-	ID       string              // of the member in all groups
-	Founding *replica.Membership // the first membership of all groups; nil: the node is no founder
+	ID       string              // member ID of the node in all groups
+	Founding *replica.Membership // initial membership of all groups; nil: the node is not an initial member
 }
 
 const identityFile = "identity"
 
-// identityBytes is how many random bytes a drawn ID has; it is written in hexadecimal.
+// identityBytes is the number of random bytes of a generated ID, which is written in hexadecimal.
 const identityBytes = 8
 
-// errIdentityUnreadable is returned for an identity file that exists and can't be decoded.
-var errIdentityUnreadable = errors.New("the identity on disk can't be read: what else is on the disk may be the last copy")
+// errIdentityUnreadable is returned by loadIdentity for an identity file that exists but can't be decoded.
+var errIdentityUnreadable = errors.New("the identity file can't be decoded; other data on the disk is kept because it may be the last copy")
 
-// loadIdentity reads the identity, or writes the one that create returns on an empty disk.
+// loadIdentity reads the identity from the data folder. If there is none, it writes and returns the one
+// that create returns.
 func loadIdentity(folder string, create func() (identity, error)) (identity, error) {
 	content, err := os.ReadFile(filepath.Join(folder, identityFile))
 	if err == nil {
@@ -39,7 +40,7 @@
 		if err := gob.NewDecoder(bytes.NewReader(content)).Decode(&found); err != nil || found.ID == "" {
 			return identity{}, errors.Wrapf(errIdentityUnreadable, "%s", folder)
 		}
-		// The process that wrote it may have been killed before the folder was synced.
+		// The process that wrote the file may have been killed before it synced the folder.
 		return found, errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 	}
 	if !errors.Is(err, os.ErrNotExist) {
@@ -48,8 +49,8 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return identity{}, errors.Wrap(err, "make the data folder")
 	}
-	// Groups are written only after the identity: whatever else is in the folder was left by a process
-	// that never took part, or was set aside.
+	// Groups write to the folder only after the identity exists. Anything else in the folder was left by a
+	// process that never participated in a group, or was set aside.
 	created, err := create()
 	if err != nil {
 		return identity{}, err
@@ -57,17 +58,17 @@
 	return created, created.save(folder)
 }
 
-// newIdentity returns the identity of this node on an empty disk.
+// newIdentity returns a new identity for this node when its disk is empty.
 func (n *Node) newIdentity() (identity, error) {
 	random := make([]byte, identityBytes)
 	if _, err := rand.Read(random); err != nil {
-		return identity{}, errors.Wrap(err, "draw an identity")
+		return identity{}, errors.Wrap(err, "generate an identity")
 	}
 	id, founding := leader.FoundingMembership(n.settings.Bootstrap, n.seeds(), n.self.Address, hex.EncodeToString(random))
 	return identity{ID: id, Founding: founding}, nil
 }
 
-// save writes the identity: after a loss of power the file is either absent or whole.
+// save writes the identity file atomically: after a power failure it is either absent or complete.
 func (i identity) save(folder string) error {
 	var body bytes.Buffer
 	if err := gob.NewEncoder(&body).Encode(i); err != nil {
@@ -78,18 +79,19 @@
 		return err
 	}
 	if err := os.Rename(path+".new", path); err != nil {
-		return errors.Wrap(err, "put the identity in place")
+		return errors.Wrap(err, "rename the new identity file")
 	}
 	return errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 }
 
-// writeSynced writes a file and syncs its content; its name is not synced yet.
+// writeSynced writes a file and syncs its content. It does not sync the folder, so the file's name may still
+// be lost.
 func writeSynced(path string, content []byte) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return errors.Wrap(err, "write the identity")
 	}
-	defer func() { _ = file.Close() }() // Sync has reported what matters
+	defer func() { _ = file.Close() }() // errors that matter were reported by Sync
 	if _, err := file.Write(content); err != nil {
 		return errors.Wrap(err, "write the identity")
 	}
--- a/internal/cluster/controlplane/identity_test.go
+++ b/internal/cluster/controlplane/identity_test.go
@@ -28,7 +28,7 @@
 	_, err = loadIdentity(folder, createIdentity("drawn"))
 	require.ErrorIs(t, err, errIdentityUnreadable)
 	kept, err := os.ReadFile(filepath.Join(folder, "log"))
-	require.NoError(t, err, "what may be the last copy is not changed")
+	require.NoError(t, err, "data that may be the last copy must not change")
 	require.Equal(t, "the last copy", string(kept))
 
 	require.NoError(t, setAside(folder))
@@ -39,21 +39,22 @@
 	kept, err = os.ReadFile(filepath.Join(folder, setAsidePrefix+"state", "log"))
 	require.NoError(t, err)
 	require.Equal(t, "the last copy", string(kept))
-	require.NoError(t, setAside(folder), "and again, in place of what was set aside before")
+	require.NoError(t, setAside(folder), "a second call replaces what was set aside first")
 	kept, err = os.ReadFile(filepath.Join(folder, setAsidePrefix+"state", "log"))
 	require.NoError(t, err)
 	require.Equal(t, "newer", string(kept))
 }
 
-// TestIdentityIsDrawnWhileSettingsAreReloaded: recovery draws an identity while Run runs, and so beside
-// Reload. The race detector fails this test where newIdentity reads the seeds without their lock.
-func TestIdentityIsDrawnWhileSettingsAreReloaded(t *testing.T) {
+// TestIdentityIsGeneratedWhileSettingsAreReloaded guards against a data race: recovery generates an identity in
+// Run, which may be concurrent with Reload. The race detector fails this test if newIdentity reads the seeds
+// without holding their mutex.
+func TestIdentityIsGeneratedWhileSettingsAreReloaded(t *testing.T) {
 	node := &Node{settings: settings.Settings{Bootstrap: true, Seeds: []string{"127.0.0.1:1"}, PortRange: []int{1, 1}}}
 	var reload sync.WaitGroup
 	reload.Go(func() { node.Reload(settings.Settings{Seeds: []string{"127.0.0.2:1"}}) })
-	drawn, err := node.newIdentity()
+	generated, err := node.newIdentity()
 	reload.Wait()
 	require.NoError(t, err)
-	require.Nil(t, drawn.Founding, "its address is no seed")
+	require.Nil(t, generated.Founding, "the node's address is not a seed")
 	require.Equal(t, []string{"127.0.0.2:1"}, node.settings.Seeds)
 }
--- a/internal/cluster/controlplane/join.go
+++ b/internal/cluster/controlplane/join.go
@@ -9,12 +9,12 @@
 
 const (
 	joinInterval            = 400 * time.Millisecond // between requests to join
-	membershipCheckInterval = 2 * time.Second        // once the node is a voter of all groups
+	membershipCheckInterval = 2 * time.Second        // once the node is a voter in all groups
 )
 
-// joinGroups makes this node a member of its groups: it bootstraps those of which it is a founder, and
-// asks the leaders of the others to be taken in, again whenever it has lost its vote. It returns when
-// the node stops.
+// joinGroups makes this node a member of its groups. It bootstraps the groups of which the node is an
+// initial member, starts the replicas, and sends requests to join while the node is not a voter, also
+// after it has lost its vote. It returns when the node stops.
 func (n *Node) joinGroups() {
 	n.bootstrapGroups()
 	n.startReplicas()
@@ -28,7 +28,8 @@
 	}
 }
 
-// bootstrapGroups bootstraps the groups of which this node is a founder and that were not yet.
+// bootstrapGroups bootstraps this node's replicas that are not bootstrapped yet, if the node is an initial
+// member of the groups.
 func (n *Node) bootstrapGroups() {
 	founding := n.identity.Founding
 	if founding == nil {
@@ -47,8 +48,8 @@
 	}
 }
 
-// sendJoinRequests asks to join each group in which this node has no vote, and returns when to do so
-// again.
+// sendJoinRequests sends requests to join each group in which this node is not a voter. It returns the
+// pause before the next call.
 func (n *Node) sendJoinRequests() time.Duration {
 	sent := false
 	for name, g := range n.groups {
@@ -63,7 +64,8 @@
 	return membershipCheckInterval
 }
 
-// handleJoin passes a request to join to this node's replica, and forwards it to the leader once.
+// handleJoin passes a request to join to this node's replica. It also forwards the request to the group's
+// leader, unless the request was forwarded before.
 func (n *Node) handleJoin(request protocol.JoinRequest) {
 	g := n.groups[request.Group]
 	if g == nil || !n.replicasRunning.Load() {
@@ -76,21 +78,22 @@
 	n.peers.sendOneWay(address, request)
 }
 
-// handleLeave passes on that a member shuts down.
+// handleLeave passes the notice that a member is shutting down to this node's replica.
 func (n *Node) handleLeave(notice protocol.LeaveNotice) {
 	if g := n.groups[notice.Group]; g != nil && n.replicasRunning.Load() {
 		g.RequestLeave(notice.ID)
 	}
 }
 
-// sendLeaveNotices tells the leaders of its groups that this node shuts down, so that a learner takes
-// its vote at once. It returns whether a learner can do so in some group where this node still votes.
-func (n *Node) sendLeaveNotices() (stillVotes bool) {
+// sendLeaveNotices notifies the leaders of its groups that this node is shutting down, so that a learner
+// replaces it as a voter immediately. It reports whether this node is still a voter in some group that has
+// a learner to replace it.
+func (n *Node) sendLeaveNotices() (canGiveUpVote bool) {
 	for name, g := range n.groups {
 		for _, address := range leader.LeaveTargets(g.Membership(), n.self.ID, n.seeds()) {
-			stillVotes = true
+			canGiveUpVote = true
 			n.peers.sendOneWay(address, protocol.LeaveNotice{Group: name, ID: n.self.ID})
 		}
 	}
-	return stillVotes
+	return canGiveUpVote
 }
--- a/internal/cluster/controlplane/loadreport.go
+++ b/internal/cluster/controlplane/loadreport.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// loadReportInterval is the interval of the log lines that tell a node's load.
+// loadReportInterval is the interval at which a node logs its load.
 const loadReportInterval = 5 * time.Second
 
-// Names of the Go runtime's metrics that a report has.
+// Names of the Go runtime metrics that are reported.
 const (
 	collectionsMetric   = "/gc/cycles/total:gc-cycles"
 	collectorTimeMetric = "/cpu/classes/gc/total:cpu-seconds"
 	heapMetric          = "/memory/classes/heap/objects:bytes"
 )
 
-// reportLoad samples the process's use of the processor and logs it at intervals with the orders of the
-// shards, until the node stops.
+// reportLoad samples the processor time that the process uses, and logs it at intervals together with the
+// number of orders that each shard sent, until the node stops.
 func (n *Node) reportLoad() {
 	ticker := time.NewTicker(processorInterval)
 	defer ticker.Stop()
@@ -35,11 +35,11 @@
 		if use.intervals < int(loadReportInterval/processorInterval) {
 			continue
 		}
-		n.logLoad(use.take(), collector.take())
+		n.logLoad(use.takeTotals(), collector.takeTotals())
 	}
 }
 
-// logLoad writes a report. A node that sends no orders to runners writes none of orders.
+// logLoad logs one report. Shards that sent no orders to runners are left out.
 func (n *Node) logLoad(use processorUse, collector collectorUse) {
 	n.log.Info("processor load",
 		"used_ms", use.used.Milliseconds(), "intervals", use.intervals, "busy", use.busy,
@@ -54,32 +54,32 @@
 func usedProcessorTime() time.Duration {
 	usage := syscall.Rusage{}
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0 // a report tells no use then
+		return 0 // the reports then show no processor time
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// collectorUse is the work of the Go runtime's garbage collector since the last report.
+// collectorUse is the work that the Go garbage collector did since the last report.
 type collectorUse struct {
 	collections uint64
 	time        time.Duration
-	heapBytes   uint64 // at the time of the report
+	heapBytes   uint64 // heap size at the time of the report
 }
 
-// collectorMeter reads the collector's work from the runtime's metrics.
+// collectorMeter reads the garbage collector's work from the runtime metrics.
 type collectorMeter struct {
 	samples []metrics.Sample
-	last    collectorUse // sums since the start of the process
+	last    collectorUse // totals since the start of the process, at the last call of takeTotals
 }
 
 func newCollectorMeter() *collectorMeter {
 	meter := &collectorMeter{samples: []metrics.Sample{{Name: collectionsMetric}, {Name: collectorTimeMetric}, {Name: heapMetric}}}
-	meter.take()
+	meter.takeTotals()
 	return meter
 }
 
-// take returns the collector's work since the last call.
-func (m *collectorMeter) take() collectorUse {
+// takeTotals returns the collector's work since the last call, and the current heap size.
+func (m *collectorMeter) takeTotals() collectorUse {
 	metrics.Read(m.samples)
 	now := collectorUse{
 		collections: m.samples[0].Value.Uint64(),
--- a/internal/cluster/controlplane/node.go
+++ b/internal/cluster/controlplane/node.go
@@ -1,15 +1,17 @@
-// Package controlplane assembles a control-plane node, the process that deploy files call a core: its
-// replicas of the configuration's group and of the shards' groups, the schedulers of the shards that
-// it leads, the reader of the platform's runner list, and the operators' API.
+// Package controlplane implements a control-plane node, the process that deploy files call a core. A node
+// runs the replicas of the configuration's group and of the shards' groups, the schedulers of the shards
+// that it leads, the reader of the platform's runner list, and the operators' API.
 //
-// Files are named by role: node.go (assembly and life cycle), groups.go (replica groups), handler.go
-// (messages of other processes), shardloop.go and runnerclient.go (scheduling and orders),
-// runnerlist.go (the platform's list), configapi.go, join.go (membership), recovery.go (a disk
-// that can't be read), identity.go, peers.go (connections to other nodes).
+// The files by responsibility: node.go (assembly and life cycle), groups.go (replica groups), handler.go
+// (messages from other processes), shardloop.go and runnerclient.go (scheduling, and orders to runners),
+// runnerpool.go, runnerconn.go and runnerreply.go (connections to runners and their replies), runnerlist.go
+// (the platform's list of runners), configapi.go (the configuration), join.go (membership), recovery.go
+// (recovery from unreadable state on disk), identity.go, peers.go (connections to other nodes),
+// loadreport.go, ordercounts.go and processoruse.go (load reports in the log).
 //
-// A process makes one Node by New and calls Run once; package daemon does both. The decisions are made
-// by packages leader and scheduler, which do no I/O: this package has the sockets, disks, clocks and
-// goroutines around them.
+// A process creates one Node with New and calls Run once; package daemon does both. Packages leader and
+// scheduler make all decisions and do no I/O. This package provides their sockets, disks, clocks and
+// goroutines.
 package controlplane
 
 import (
@@ -32,7 +34,7 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// commandsByRPC is the one supported value of the setting that says how runners get their orders.
+// commandsByRPC is the only supported value of the setting that selects how orders are sent to runners.
 const commandsByRPC = "rpc"
 
 // Node is one process of the control plane. Its exported methods may be called concurrently.
@@ -51,22 +53,22 @@
 	shards           []*shardLoop // by number
 	runnerListReader *runnerListReader
 	configAPI        *configAPI
-	damageCause      error // why the state on disk can't be used; nil: it can
+	damageCause      error // why the state on disk is unusable; nil: it is usable
 
 	replicasRunning atomic.Bool
 	stop            chan struct{}   // closed when the node stops
-	lifetime        context.Context // ends when the node stops; bounds calls to runners and platform
+	lifetime        context.Context // canceled when the node stops; bounds calls to runners and the platform
 	endLifetime     context.CancelFunc
-	tasks           sync.WaitGroup // the goroutines that Run started, directly or not
+	tasks           sync.WaitGroup // all goroutines that Run started, directly or indirectly
 
-	// mu guards settings.Seeds, which Reload replaces: read them by seeds. All other settings stay as New
-	// got them, but Bootstrap, which recoverDataDir clears before anything else runs.
+	// mu guards settings.Seeds, which Reload replaces; use the method seeds to read them. All other settings
+	// stay as passed to New, except Bootstrap, which recoverDataDir clears before anything else runs.
 	mu sync.Mutex
 }
 
-// New opens a node's state on disk. It does not serve yet. Where the state is damaged New succeeds all
-// the same, and Run tries to recover. It returns an error where the settings name no data folder, or
-// of the file system.
+// New opens a node's state on disk and returns the node, which does not serve yet. If the state is damaged,
+// New still succeeds, and Run tries to recover. It returns an error if the settings name no data folder, or
+// if the file system returns one.
 func New(settings settings.Settings, log *slog.Logger) (*Node, error) {
 	if settings.DataDir == "" {
 		return nil, errors.New("data_dir is empty: run the core on machines with a disk")
@@ -93,10 +95,11 @@
 	return n, err
 }
 
-// clockOrigin keeps the node's clock above zero from its start, whatever is subtracted from it.
+// clockOrigin is the value of the node's clock at its start. It is above zero so that times that are computed
+// by subtracting an interval from the clock stay positive.
 const clockOrigin = time.Hour
 
-// now is the node's monotonic clock.
+// now returns the time on the node's monotonic clock.
 func (n *Node) now() time.Duration { return time.Since(n.started) + clockOrigin }
 
 // open reads the identity and opens all replicas.
@@ -112,7 +115,7 @@
 	n.config = leader.NewConfiguration(n.updateShardConfigs, n.runnerListReader.setEpoch, n.log)
 	n.configAPI = &configAPI{node: n, config: n.config}
 	runners := newRunnerClient(n.lifetime)
-	runners.limitDescriptors(n.settings.Limits.MaxFDs)
+	runners.limitFDs(n.settings.Limits.MaxFDs)
 	stateMachines := map[string]group.StateMachine{protocol.ConfigGroup: n.config}
 	var shards []*shardLoop
 	for number := range protocol.ShardCount {
@@ -129,34 +132,33 @@
 		loop.shard.SetGroup(n.groups[protocol.ShardGroup(number)])
 		loop.shard.UpdateConfig(n.config.Current())
 	}
-	n.shards = shards // last: the callbacks of opening groups find no shard that is not set up
+	n.shards = shards // set last, so that callbacks during the opening of groups see no incomplete shard
 	return nil
 }
 
-// updateShardConfigs passes a configuration that was applied to the shards.
+// updateShardConfigs passes a newly applied configuration to all shards.
 func (n *Node) updateShardConfigs(config *opconfig.Config) {
 	for _, loop := range n.shards {
 		loop.shard.UpdateConfig(config)
 	}
 }
 
-// ErrKilled is the cause of a context that ends Run without a transfer of leadership, as if the process
-// were killed: for clusters within one process, which can't kill a part of it.
+// ErrKilled is the cause to cancel Run's context with if Run must end without a transfer of leadership, as
+// if the process were killed. It is for clusters that run several nodes in one process.
 var ErrKilled = errors.New("the node is killed")
 
 // Run serves until the context ends, and then transfers the leadership of this node's groups to other
-// nodes. It returns once the goroutines that it started have ended, or closeTimeout after the transfer.
-// It returns an error where it can't listen, or where damaged state can't be set aside. It is called
-// once.
+// nodes. Before it returns it waits for the goroutines that it started, for at most closeTimeout. It
+// returns an error if it can't listen, or if damaged state can't be set aside. It must be called only once.
 func (n *Node) Run(ctx context.Context) error {
 	if err := n.recoverDataDir(ctx); err != nil {
 		return err
 	}
 	if n.damageCause != nil {
-		return nil // the context ended before the disk could be used
+		return nil // the context ended before the state on disk was usable
 	}
 	internal, operators := n.servers()
-	serveErrors := make(chan error, 2) // has room for both, so that neither goroutine waits for a reader
+	serveErrors := make(chan error, 2) // buffered for both, so that no goroutine blocks
 	for _, server := range []*http.Server{internal, operators} {
 		n.tasks.Go(func() { serveErrors <- server.ListenAndServe() })
 	}
@@ -174,10 +176,10 @@
 	return err
 }
 
-// headerTimeout bounds how long a server waits for a request's header.
+// headerTimeout bounds how long a server waits for the headers of a request.
 const headerTimeout = 5 * time.Second
 
-// servers returns the server of other processes and that of operators; neither serves yet.
+// servers returns the HTTP servers for other processes of the cluster and for operators. Neither is started.
 func (n *Node) servers() (internal, operators *http.Server) {
 	internalMux := http.NewServeMux()
 	internalMux.Handle(rpc.Path, n.rpc)
@@ -189,38 +191,39 @@
 	return internal, operators
 }
 
-// shutDown stops everything that Run and joinGroups have started.
+// shutDown stops everything that Run and joinGroups started.
 func (n *Node) shutDown(internal, operators *http.Server) {
 	close(n.stop)
 	n.endLifetime()
-	n.peers.close() // ends the calls of operators that were passed on
-	answerOperators(operators)
-	_ = internal.Close() // an error of a listener's close: the process ends anyway
+	n.peers.close() // ends operators' requests that were forwarded to the leader
+	finishOperatorCalls(operators)
+	_ = internal.Close() // the process ends anyway
 	n.rpc.Close()
-	n.peers.close() // what was opened since
+	n.peers.close() // connections that were opened since the first call
 	n.closeGroups()
 }
 
-// answerTimeout bounds how long a stopping node takes to answer the operators' calls that wait.
-const answerTimeout = 300 * time.Millisecond
+// operatorCallTimeout bounds how long a stopping node waits for pending requests of operators.
+const operatorCallTimeout = 300 * time.Millisecond
 
-// answerOperators lets the calls that are under way have their answers, and closes the operators' server.
-func answerOperators(operators *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+// finishOperatorCalls waits until the responses to pending requests of operators are sent, for at most
+// operatorCallTimeout, and closes the operators' server.
+func finishOperatorCalls(operators *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), operatorCallTimeout)
 	defer cancel()
 	if operators.Shutdown(ctx) != nil {
-		_ = operators.Close() // what has no answer by now is cut: the process ends anyway
+		_ = operators.Close() // cuts the remaining requests; the process ends anyway
 	}
 }
 
 // closeTimeout bounds how long a stopping node waits for its goroutines and its disk.
 const closeTimeout = 300 * time.Millisecond
 
-// closeGroups waits for the node's goroutines and closes its replicas, for closeTimeout at most: what a
-// replica has acknowledged is on disk already, so that nothing depends on a disk that hangs.
+// closeGroups waits for the node's goroutines and closes its replicas. It returns after at most
+// closeTimeout, even if the disk hangs: everything that a replica has acknowledged is already on disk.
 func (n *Node) closeGroups() {
 	closed := make(chan struct{})
-	go func() { // may outlive Run where a disk hangs
+	go func() { // may outlive Run if a disk hangs
 		defer close(closed)
 		n.tasks.Wait()
 		if !n.replicasRunning.Load() {
@@ -236,15 +239,15 @@
 	}
 }
 
-// Reload applies settings that have changed. Only the seeds can change while the node runs: all other
-// changes are ignored. It may be called concurrently with Run.
+// Reload applies changed settings. Only the seeds can change while the node runs; Reload ignores all other
+// changes. It may be called concurrently with Run.
 func (n *Node) Reload(settings settings.Settings) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.settings.Seeds = settings.Seeds
 }
 
-// seeds returns the addresses of the seeds as they are now.
+// seeds returns the current addresses of the seeds.
 func (n *Node) seeds() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/controlplane/node_test.go
+++ b/internal/cluster/controlplane/node_test.go
@@ -13,7 +13,7 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// freePort returns a port of an address on which nothing listens.
+// freePort returns a port of the given IP address on which nothing listens.
 func freePort(t *testing.T, ip string) int {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", net.JoinHostPort(ip, "0"))
@@ -26,14 +26,14 @@
 
 const nodeTestTimeout = 20 * time.Second
 
-// loneNode returns the only node of a system that has never run before.
-func loneNode(t *testing.T) *Node {
+// newSingleNode returns the only node of a new cluster.
+func newSingleNode(t *testing.T) *Node {
 	t.Helper()
 	const ip = "127.0.0.11"
 	port := freePort(t, ip)
 	config := settings.Settings{
 		IP: ip, DataDir: t.TempDir(), Bootstrap: true, PortRange: []int{port, port},
-		Seeds:    []string{net.JoinHostPort(ip, "1")}, // of a seed only the host counts
+		Seeds:    []string{net.JoinHostPort(ip, "1")}, // only the host of a seed is used
 		CloudAPI: settings.CloudAPI{Address: net.JoinHostPort(ip, "1")},
 		Bounds:   settings.Bounds{MaxLeaseMs: 6000},
 	}
@@ -52,9 +52,9 @@
 	return true
 }
 
-// TestRunWaitsForItsGoroutines: once Run has returned, none of the goroutines that it started is left.
+// TestRunWaitsForItsGoroutines checks that all goroutines that Run started have ended when it returns.
 func TestRunWaitsForItsGoroutines(t *testing.T) {
-	node := loneNode(t)
+	node := newSingleNode(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	returned := make(chan error, 1)
@@ -67,16 +67,17 @@
 	case <-time.After(nodeTestTimeout):
 		t.Fatal("Run did not return")
 	}
-	node.tasks.Wait() // the test's own time-out ends it where a goroutine is left
+	node.tasks.Wait() // if a goroutine is left, the timeout of the test run ends this
 	require.Error(t, node.lifetime.Err())
 }
 
-// TestRunStopsWhereItCannotServe: an address in use ends Run with an error, and what it started.
+// TestRunStopsWhereItCannotServe checks that if the node's address is in use, Run returns an error and its
+// goroutines end.
 func TestRunStopsWhereItCannotServe(t *testing.T) {
-	node := loneNode(t)
+	node := newSingleNode(t)
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", node.self.Address)
 	require.NoError(t, err)
-	defer func() { _ = listener.Close() }() // it has accepted nothing
+	defer func() { _ = listener.Close() }() // it has accepted no connection
 	require.ErrorContains(t, node.Run(t.Context()), "serve")
 	node.tasks.Wait()
 }
--- a/internal/cluster/controlplane/ordercounts.go
+++ b/internal/cluster/controlplane/ordercounts.go
@@ -11,17 +11,17 @@
 	starts    orderCount
 	renewals  orderCount
 	stops     orderCount
-	neverSent atomic.Int64 // the lease of their epoch was lost before
-	cycles    atomic.Int64 // calls of the scheduler
+	neverSent atomic.Int64 // orders that were dropped because the leader's lease was lost before the send
+	cycles    atomic.Int64 // cycles of the scheduler
 }
 
-// orderCount counts orders of one kind.
+// orderCount counts the orders of one kind.
 type orderCount struct {
 	sent       atomic.Int64
 	unanswered atomic.Int64
 }
 
-// add counts an order that was sent.
+// add counts one sent order.
 func (c *orderCount) add(answered bool) {
 	c.sent.Add(1)
 	if !answered {
@@ -29,7 +29,7 @@
 	}
 }
 
-// log writes the counts and begins new ones, unless there are none.
+// log logs the counts and resets them. If no orders were sent, it logs nothing and resets only the cycles.
 func (c *orderCounts) log(log *slog.Logger, shard int) {
 	starts, renewals, stops := c.starts.sent.Swap(0), c.renewals.sent.Swap(0), c.stops.sent.Swap(0)
 	cycles := c.cycles.Swap(0)
--- a/internal/cluster/controlplane/peers.go
+++ b/internal/cluster/controlplane/peers.go
@@ -8,12 +8,13 @@
 	"basaltloft/coord/rpc"
 )
 
-// peers are the other control-plane nodes, by internal address. It implements group.Transport. One-way
-// messages may be lost: their senders repeat them where that matters, so that errors are discarded.
+// peers holds the connections to the other control-plane nodes, by internal address. It implements
+// group.Transport. It discards the errors of one-way messages: these may be lost, and their senders repeat
+// them if necessary.
 type peers struct {
 	self         string // this node's own address
 	clients      rpc.ClientPool
-	deliverLocal func(message replica.Message) // takes what this node sends to itself
+	deliverLocal func(message replica.Message) // receives the messages that this node sends to itself
 }
 
 func newPeers(self string) *peers { return &peers{self: self} }
@@ -34,12 +35,12 @@
 	}
 }
 
-// call sends a request, once, and waits for its response.
+// call sends a request once and waits for the response.
 func (p *peers) call(address string, timeout time.Duration, request any) (any, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return p.clients.Call(ctx, address, request)
 }
 
-// close closes the connections.
+// close closes all connections.
 func (p *peers) close() { p.clients.Close() }
--- a/internal/cluster/controlplane/processoruse.go
+++ b/internal/cluster/controlplane/processoruse.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// processorInterval is the interval at which a process's use of the processor is sampled. A platform
-// that grants a share of a processor as a quota grants it for each such interval.
+// processorInterval is the interval at which the used processor time is sampled. It is also the usual
+// period of a processor quota: a platform that limits a process grants the quota anew for each interval.
 const processorInterval = 100 * time.Millisecond
 
 const (
-	// busyShare and saturatedShare of the quota: an interval that used more counts as busy, or as
-	// saturated.
+	// busyShare and saturatedShare are shares of the quota: an interval in which the process used more
+	// counts as busy or as saturated, respectively.
 	busyShare      = 0.5
 	saturatedShare = 0.9
 )
 
-// processorUse tells how evenly a process used its processor time since the last report: a mean says
-// nothing of a process that stands still for a part of each interval. The zero value has no intervals.
+// processorUse summarizes how a process used processor time since the last report. It counts busy and
+// saturated intervals because a mean hides that a process is throttled for a part of an interval. The zero
+// value has no intervals.
 type processorUse struct {
 	intervals        int
 	busy             int           // intervals above busyShare of the quota
 	saturated        int           // intervals above saturatedShare of the quota
-	longestSaturated int           // most saturated intervals in a row
-	saturatedNow     int           // saturated intervals in a row up to now
+	longestSaturated int           // largest number of consecutive saturated intervals
+	saturatedNow     int           // consecutive saturated intervals up to now
 	used             time.Duration // processor time
-	worstLag         time.Duration // the latest that a sample was taken after it was due
+	worstLag         time.Duration // maximum delay of a sample
 }
 
-// add takes in one sample: the processor time that was used and the time that passed since the one
-// before. quota is the share of a processor that the process may use; 0: it has no limit.
+// add records one sample: the processor time that was used, and the time that passed, since the previous
+// sample. quota is the share of a processor that the process may use; 0 means no limit.
 func (u *processorUse) add(used, passed time.Duration, quota float64) {
 	u.intervals++
 	u.used += used
@@ -44,7 +45,8 @@
 	u.longestSaturated = max(u.longestSaturated, u.saturatedNow)
 }
 
-// processorShare returns the processor time that was used, as a share of what the quota allows.
+// processorShare returns the used processor time as a share of the time that the quota allows. Without a
+// quota, the share is that of one processor.
 func processorShare(used, passed time.Duration, quota float64) float64 {
 	if quota <= 0 {
 		quota = 1
@@ -52,9 +54,9 @@
 	return used.Seconds() / (passed.Seconds() * quota)
 }
 
-// take returns the sums and begins new ones. A row of saturated intervals goes on over it.
-func (u *processorUse) take() processorUse {
-	taken := *u
+// takeTotals returns the totals and resets them. A sequence of saturated intervals continues across calls.
+func (u *processorUse) takeTotals() processorUse {
+	totals := *u
 	*u = processorUse{saturatedNow: u.saturatedNow, longestSaturated: u.saturatedNow}
-	return taken
+	return totals
 }
--- a/internal/cluster/controlplane/processoruse_test.go
+++ b/internal/cluster/controlplane/processoruse_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestProcessorUseTellsBurstsFromTheMean(t *testing.T) {
+func TestProcessorUseCountsBursts(t *testing.T) {
 	const quota = 0.5
 	full := time.Duration(quota * float64(processorInterval))
 	use := processorUse{}
@@ -18,7 +18,7 @@
 	use.add(0, processorInterval, quota)
 	use.add(full, processorInterval, quota)
 
-	got := use.take()
+	got := use.takeTotals()
 	assert.Equal(t, 6, got.intervals)
 	assert.Equal(t, 5, got.busy)
 	assert.Equal(t, 4, got.saturated)
@@ -27,15 +27,15 @@
 	assert.Zero(t, got.worstLag)
 
 	use.add(full, processorInterval, quota)
-	assert.Equal(t, 2, use.take().longestSaturated, "a row that goes on over a report counts whole")
+	assert.Equal(t, 2, use.takeTotals().longestSaturated, "a sequence that continues across a report is counted in full")
 }
 
 func TestProcessorUseOfALateSample(t *testing.T) {
 	use := processorUse{}
 	use.add(processorInterval/2, 3*processorInterval, 1)
-	got := use.take()
+	got := use.takeTotals()
 	assert.Equal(t, 2*processorInterval, got.worstLag)
-	assert.Zero(t, got.busy, "the share counts over the time that passed")
+	assert.Zero(t, got.busy, "the share is relative to the time that passed")
 }
 
 func TestProcessorShareWithoutAQuotaIsOfOneProcessor(t *testing.T) {
--- a/internal/cluster/controlplane/recovery.go
+++ b/internal/cluster/controlplane/recovery.go
@@ -18,27 +18,28 @@
 
 const (
 	leaderCheckInterval = 500 * time.Millisecond
-	leaderCheckTimeout  = 800 * time.Millisecond // of each call
-	damageLogInterval   = 10 * time.Second       // between two log lines while the node waits
+	leaderCheckTimeout  = 800 * time.Millisecond // timeout of each status request
+	damageLogInterval   = 10 * time.Second       // interval of the log line while the node waits
 )
 
-// recoverDataDir makes a data folder usable whose state can't be read. That state may be the last copy
-// of something that was acknowledged, so it is set aside only once each group is seen to have a leader
-// elsewhere: a lease shows that a majority has what this disk had. Until then the node serves nothing.
-// It returns nil with damageCause still set where the context ends first.
+// recoverDataDir makes a data folder with unreadable state usable again. It sets the state aside, and the
+// node rejoins as a new member. The unreadable state may be the last copy of acknowledged data. Therefore
+// recoverDataDir first waits until each group has a leader with a lease on another node, which shows that a
+// majority has the data. Until then the node serves nothing. If the context ends first, it returns nil and
+// leaves damageCause set.
 func (n *Node) recoverDataDir(ctx context.Context) error {
 	if n.damageCause == nil || !n.awaitLeadersElsewhere(ctx) {
 		return nil
 	}
 	n.log.Error("state on disk unusable and set aside, joining as a new member", "error", n.damageCause.Error())
-	for _, g := range n.groups { // those that could be opened; none runs
+	for _, g := range n.groups { // only those that could be opened; none is running
 		g.Close()
 	}
 	if err := setAside(n.settings.DataDir); err != nil {
 		return errors.Wrap(err, "check the disk")
 	}
 	n.groups = map[string]*group.Group{}
-	n.settings.Bootstrap = false // the system was started long since
+	n.settings.Bootstrap = false // the cluster exists already; this node must join it
 	if err := n.open(); err != nil {
 		return errors.Wrap(err, "check the disk")
 	}
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// awaitLeadersElsewhere waits until each group has a leader on another node, and logs meanwhile why the
-// node does not serve; false: the context ended first.
+// awaitLeadersElsewhere waits until each group has a leader on another node. While it waits, it logs why
+// the node does not serve. It returns false if the context ended first.
 func (n *Node) awaitLeadersElsewhere(ctx context.Context) bool {
 	loggedAt := time.Time{}
 	for !n.allGroupsLedElsewhere() {
@@ -78,8 +79,8 @@
 	return true
 }
 
-// findLedGroups asks the seeds, and the members that they name, which groups they lead with a lease. It
-// returns these groups by name.
+// findLedGroups sends status requests to the seeds and to all members that the responses list. It returns
+// the names of the groups that one of these nodes leads with a lease.
 func (n *Node) findLedGroups() map[string]bool {
 	hasLeader := map[string]bool{}
 	visited := map[string]bool{n.self.Address: true}
@@ -106,11 +107,11 @@
 	return hasLeader
 }
 
-// setAsidePrefix begins the names of folders with state that is not used any more.
+// setAsidePrefix is the name prefix of folders that hold state that was set aside and is no longer used.
 const setAsidePrefix = "set-aside-"
 
-// setAside moves the content of the data folder into one of its own, in place of what was set aside
-// before, and syncs that: the node then starts as on an empty disk.
+// setAside moves the content of the data folder into a subfolder, replaces what was set aside earlier, and
+// syncs both folders. Afterwards the node starts as if the disk were empty.
 func setAside(folder string) error {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -118,10 +119,10 @@
 	}
 	aside := filepath.Join(folder, setAsidePrefix+"state")
 	if err := os.RemoveAll(aside); err != nil {
-		return errors.Wrap(err, "remove what was set aside before")
+		return errors.Wrap(err, "remove the state that was set aside earlier")
 	}
 	if err := os.MkdirAll(aside, 0o755); err != nil {
-		return errors.Wrap(err, "make a folder for the damaged state")
+		return errors.Wrap(err, "create the folder for the damaged state")
 	}
 	slices.SortStableFunc(entries, func(a, b os.DirEntry) int { return cmp.Compare(setAsideOrder(a), setAsideOrder(b)) })
 	for _, entry := range entries {
@@ -129,17 +130,17 @@
 			continue
 		}
 		if err := os.Rename(filepath.Join(folder, entry.Name()), filepath.Join(aside, entry.Name())); err != nil {
-			return errors.Wrap(err, "set the damaged state aside")
+			return errors.Wrap(err, "move the damaged state")
 		}
 	}
 	if err := (ringlog.OSFileSystem{}).SyncDir(aside); err != nil {
-		return errors.Wrap(err, "sync the damaged state's folder")
+		return errors.Wrap(err, "sync the folder of the damaged state")
 	}
 	return errors.Wrap(ringlog.OSFileSystem{}.SyncDir(folder), "sync the data folder")
 }
 
-// setAsideOrder is 1 for the identity, which goes last: the node keeps it until all else, which is 0, is
-// set aside.
+// setAsideOrder returns the sort key by which entries are set aside: 1 for the identity, which is moved
+// last so that the node keeps it until everything else has been moved, and 0 for all other entries.
 func setAsideOrder(entry os.DirEntry) int {
 	if entry.Name() == identityFile {
 		return 1
--- a/internal/cluster/controlplane/recovery_test.go
+++ b/internal/cluster/controlplane/recovery_test.go
@@ -20,7 +20,7 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// otherNode is another control-plane node, which leads the first groups, as many as ledGroups says.
+// otherNode is another control-plane node. It leads the first ledGroups groups.
 type otherNode struct{ ledGroups *atomic.Int32 }
 
 func (o otherNode) HandleOneWay(any) {}
@@ -37,8 +37,8 @@
 	return response
 }
 
-// TestDamagedDiskIsSetAsideOnlyIfAllGroupsAreLedElsewhere: as long as one group has no leader
-// elsewhere, nothing on the disk is changed.
+// TestDamagedDiskIsSetAsideOnlyIfAllGroupsAreLedElsewhere checks that nothing on a damaged disk changes while
+// any group has no leader on another node.
 func TestDamagedDiskIsSetAsideOnlyIfAllGroupsAreLedElsewhere(t *testing.T) {
 	ledGroups := &atomic.Int32{}
 	mux := http.NewServeMux()
@@ -75,7 +75,7 @@
 	require.NoError(t, node.recoverDataDir(t.Context()))
 	require.NoError(t, node.damageCause)
 	require.NotEmpty(t, node.identity.ID)
-	require.Nil(t, node.identity.Founding, "it joins; it is no founder")
+	require.Nil(t, node.identity.Founding, "the node joins; it is not an initial member")
 	require.False(t, node.groups[protocol.ConfigGroup].IsBootstrapped())
 	for _, g := range node.groups {
 		g.Close()
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -11,13 +11,13 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// runnerClient sends orders to runners, each once. Its methods may be called concurrently.
+// runnerClient sends orders to runners, each order once. Its methods may be called concurrently.
 type runnerClient struct {
 	conns *runnerPool
 }
 
-// Paths of the orders in the runners' protocol, and the header that names the incarnation for which an
-// order is meant: another one at the same address answers 421.
+// Paths of the orders in the runners' protocol, and the header that names the incarnation to which an order
+// is addressed. Another incarnation at the same address replies with status 421.
 const (
 	startPath         = "/-/run-start"
 	stopPath          = "/-/run-stop"
@@ -26,27 +26,27 @@
 )
 
 const (
-	startTimeout    = 300 * time.Millisecond // a runner carries out no order to start that is older
+	startTimeout    = 300 * time.Millisecond // a runner does not carry out older start orders
 	stopTimeout     = time.Second
-	leaseReplyGrace = 900 * time.Millisecond // beyond the time that the runner may wait
+	leaseReplyGrace = 900 * time.Millisecond // added to the time that the runner may wait
 )
 
-// newRunnerClient returns a client whose calls all end with lifetime.
+// newRunnerClient returns a client. All its calls end when lifetime ends.
 func newRunnerClient(lifetime context.Context) *runnerClient {
 	return &runnerClient{conns: newRunnerPool(lifetime)}
 }
 
-// runnersShare is the part of the process's descriptors that connections to runners may take while some of
-// them are idle. The rest is for dispatchers, other nodes and files.
-const runnersShare = 0.7
+// runnerConnShare is the share of the process's file descriptors above which idle connections to runners are
+// closed. The rest is for dispatchers, other nodes and files.
+const runnerConnShare = 0.7
 
-// limitDescriptors bounds the connections by the descriptors that the platform allows the process. 0: they
-// are not limited.
-func (c *runnerClient) limitDescriptors(maxFDs int) {
-	c.conns.limitOpen(int(runnersShare * float64(maxFDs)))
+// limitFDs bounds the number of open connections by the number of file descriptors that the process may
+// have; 0 means no limit.
+func (c *runnerClient) limitFDs(maxFDs int) {
+	c.conns.limitOpen(int(runnerConnShare * float64(maxFDs)))
 }
 
-// startRequest is the body of an order to start a run, in the runners' protocol.
+// startRequest is the body of an order to start a run.
 type startRequest struct {
 	Task         string `json:"task"`
 	Attempt      int    `json:"attempt"`
@@ -63,18 +63,18 @@
 	FenceToken uint64 `json:"fence_token"`
 }
 
-// leaseRequest is the body of an order to renew the lease of a runner's tasks and to report them.
+// leaseRequest is the body of an order to renew the lease of a runner's tasks and to report their state.
 type leaseRequest struct {
-	DeadlineMs int64  `json:"deadline_ms,omitempty"` // on the runner's clock: end of the lease; 0: it is not renewed
+	DeadlineMs int64  `json:"deadline_ms,omitempty"` // end of the lease on the runner's clock; 0: it is not renewed
 	FenceToken uint64 `json:"fence_token"`
-	LastSeen   uint64 `json:"last_seen"`         // number of the last reported end that is committed
-	WaitMs     int64  `json:"wait_ms,omitempty"` // how long the runner may wait for news before it replies
+	LastSeen   uint64 `json:"last_seen"`         // number of the last reported end of a run that is committed
+	WaitMs     int64  `json:"wait_ms,omitempty"` // how long the runner may wait for a run to end before it replies
 }
 
-// reasonNoCapacity is the reason of a reply that rejects a start for lack of capacity.
+// reasonNoCapacity is the reason in a reply that rejects a start for lack of capacity.
 const reasonNoCapacity = "room"
 
-// post sends an order. An error means that there was no reply, or none that can be read.
+// post sends an order and parses the reply. An error means that there was no readable reply.
 func (c *runnerClient) post(timeout time.Duration, order scheduler.Order, path string, body any) (status int, reply runnerReply, err error) {
 	content, err := json.Marshal(body)
 	if err != nil {
@@ -91,11 +91,11 @@
 	if err != nil && answer.status == http.StatusOK {
 		return 0, runnerReply{}, err
 	}
-	return answer.status, reply, nil // another status says enough by itself
+	return answer.status, reply, nil // with other statuses an unreadable body is not an error
 }
 
-// send sends an order by a connection that is idle or a new one. A redirect is returned like any other
-// reply: the order is sent nowhere else.
+// send sends an order on an idle or a new connection. It does not follow redirects: it returns them like any
+// other reply.
 func (c *runnerClient) send(deadline time.Time, order scheduler.Order, path string, content []byte) (httpReply, error) {
 	for {
 		conn, err := c.conns.acquire(order.Address, deadline)
@@ -108,14 +108,15 @@
 			c.conns.release(conn)
 			return answer, nil
 		case errors.Is(err, errConnClosed):
-			continue // nothing of the order was written, and the connection is out of the pool
+			continue // nothing of the order was written, and the pool has dropped the connection
 		}
 		c.conns.discard(conn)
 		return httpReply{}, err
 	}
 }
 
-// start sends an order to start a run. It returns the runner's clock in milliseconds, where the reply has it.
+// start sends an order to start a run. clockMs is the runner's clock in milliseconds, or 0 if the reply has
+// none.
 func (c *runnerClient) start(order scheduler.Order) (result scheduler.StartReply, clockMs int64) {
 	status, reply, err := c.post(startTimeout, order, startPath, startRequest{
 		Task:         order.Task.String(),
@@ -138,7 +139,8 @@
 	return scheduler.StartRefused, reply.report.ClockMs
 }
 
-// stop sends an order to stop a run. It returns the runner's clock where the reply has it.
+// stop sends an order to stop a run. clockMs is the runner's clock in milliseconds, or 0 if the reply has
+// none.
 func (c *runnerClient) stop(order scheduler.Order) (stopped scheduler.StopReply, clockMs int64) {
 	status, reply, err := c.post(stopTimeout, order, stopPath, stopRequest{
 		Task:       order.Task.String(),
@@ -157,7 +159,8 @@
 	return scheduler.StopNotConfirmed, reply.report.ClockMs
 }
 
-// renewLease renews the lease of a runner's tasks and returns its report of them.
+// renewLease renews the lease of a runner's tasks. It returns the runner's report on them if the result is
+// LeaseRenewed.
 func (c *runnerClient) renewLease(order scheduler.Order) (scheduler.LeaseReply, scheduler.RunnerReport) {
 	timeout := time.Duration(order.WaitMs)*time.Millisecond + leaseReplyGrace
 	status, reply, err := c.post(timeout, order, leasePath, leaseRequest{
@@ -176,7 +179,8 @@
 	case status != http.StatusOK:
 		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
 	}
-	if reply.reportErr != nil || reply.report.ClockMs == 0 { // without a clock it is no report: an empty one would say that nothing runs
+	// A reply without a clock has no report: used as an empty report, it would mean that nothing runs.
+	if reply.reportErr != nil || reply.report.ClockMs == 0 {
 		return scheduler.LeaseNoReply, scheduler.RunnerReport{}
 	}
 	return scheduler.LeaseRenewed, reply.report
--- a/internal/cluster/controlplane/runnerclient_bench_test.go
+++ b/internal/cluster/controlplane/runnerclient_bench_test.go
@@ -23,13 +23,13 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// The stand-ins of the benchmark's runners are a process of their own, so that the processor time of the
-// benchmark's process is the client's alone.
+// The fake runners of the benchmarks run in a separate process, so that the processor time of the benchmark's
+// process is that of the client only.
 const (
-	benchRunnersVariable = "BASALTLOFT_BENCH_RUNNERS" // set: the process serves stand-ins and runs no test
+	benchRunnersVariable = "BASALTLOFT_BENCH_RUNNERS" // set: the process serves fake runners and runs no tests
 	benchRunners         = 64
-	benchHoldTime        = 2 * time.Millisecond
-	benchStep            = 4 // tasks of a step that start at one runner at once
+	benchRenewalTime     = 2 * time.Millisecond
+	benchStep            = 4 // number of tasks that a step starts on one runner at the same time
 	benchConnsPath       = "/connections"
 )
 
@@ -41,13 +41,14 @@
 	os.Exit(m.Run())
 }
 
-// serveBenchRunners writes the addresses of its runners as JSON and serves them until the input ends.
+// serveBenchRunners starts the fake runners, writes their addresses to the standard output as JSON, and serves
+// them until the standard input ends.
 func serveBenchRunners() {
-	hold := `{"clock_ms":482113,"running":[`
+	report := `{"clock_ms":482113,"running":[`
 	for i := range 8 {
-		hold += fmt.Sprintf(`["5c0e7a21d94b36f%d.0.1.17",2,"00000bb87a21d94b",%d],`, i, 40+i)
+		report += fmt.Sprintf(`["5c0e7a21d94b36f%d.0.1.17",2,"00000bb87a21d94b",%d],`, i, 40+i)
 	}
-	hold = strings.TrimSuffix(hold, ",") + `],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],[59,"5c0e7a21d94b36f8.0.1.11",1,"done",""]]}`
+	report = strings.TrimSuffix(report, ",") + `],"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""],[59,"5c0e7a21d94b36f8.0.1.11",1,"done",""]]}`
 	var connections atomic.Int64
 	var addresses []string
 	for range benchRunners {
@@ -63,7 +64,7 @@
 					return
 				}
 				connections.Add(1)
-				go serveBenchConn(conn, hold, &connections)
+				go serveBenchConn(conn, report, &connections)
 			}
 		}()
 	}
@@ -71,7 +72,7 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-func serveBenchConn(conn net.Conn, hold string, connections *atomic.Int64) {
+func serveBenchConn(conn net.Conn, report string, connections *atomic.Int64) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -83,16 +84,16 @@
 		body := `{"clock_ms":482113}`
 		switch request.URL.Path {
 		case leasePath:
-			time.Sleep(benchHoldTime)
-			body = hold
+			time.Sleep(benchRenewalTime)
+			body = report
 		case benchConnsPath:
-			body = fmt.Sprint(connections.Add(-1)) // without the one that asks
+			body = fmt.Sprint(connections.Add(-1)) // without the connection of this request
 		}
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\nDate: Thu, 03 Dec 2026 14:16:02 GMT\r\n\r\n%s", len(body), body)
 	}
 }
 
-// startBenchRunners returns the addresses of the runners.
+// startBenchRunners starts the process of the fake runners and returns their addresses.
 func startBenchRunners(b *testing.B) []string {
 	b.Helper()
 	process := exec.CommandContext(b.Context(), os.Args[0])
@@ -125,16 +126,16 @@
 	return count
 }
 
-// processorTime returns what this process has used, user and system.
+// processorTime returns the user and system time that this process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// benchClient measures the processor time and the connections of one operation, of which each runner is
-// sent some by a goroutine of its own.
-func benchClient(b *testing.B, perTurn int, turn func(client *runnerClient, order scheduler.Order)) {
+// benchClient measures the processor time and the number of new connections per operation. One goroutine per
+// runner calls round repeatedly; each call sends perRound operations.
+func benchClient(b *testing.B, perRound int, round func(client *runnerClient, order scheduler.Order)) {
 	addresses := startBenchRunners(b)
 	client := newRunnerClient(b.Context())
 	drive := func(operations int) {
@@ -145,17 +146,17 @@
 					Runner: fmt.Sprint("i-7f3a91c", i), Address: address, Token: 7, Attempt: 1, Spec: strings.Repeat("specification ", 21),
 					Task: job.TaskRef{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}, DeadlineMs: 486000, AckedThrough: 57, WaitMs: 700,
 				}
-				for range operations / perTurn / len(addresses) {
-					turn(client, order)
+				for range operations / perRound / len(addresses) {
+					round(client, order)
 				}
 			})
 		}
 		runners.Wait()
 	}
-	drive(perTurn * len(addresses))
+	drive(perRound * len(addresses))
 	connections := benchConnections(b, addresses[0])
-	operations := max(b.N, perTurn*len(addresses))
-	operations -= operations % (perTurn * len(addresses))
+	operations := max(b.N, perRound*len(addresses))
+	operations -= operations % (perRound * len(addresses))
 	before := processorTime()
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -165,18 +166,18 @@
 	b.ReportMetric(float64(benchConnections(b, addresses[0])-connections)/float64(operations), "conns/op")
 }
 
-// BenchmarkPoll has one poll at each runner.
+// BenchmarkPoll measures lease renewals, with one at a time for each runner.
 func BenchmarkPoll(b *testing.B) {
 	benchClient(b, 1, func(client *runnerClient, order scheduler.Order) { client.renewLease(order) })
 }
 
-// BenchmarkStart has the tasks of a step start at one runner, one after another.
+// BenchmarkStart measures starts, which are sent to each runner one after another.
 func BenchmarkStart(b *testing.B) {
 	benchClient(b, 1, func(client *runnerClient, order scheduler.Order) { client.start(order) })
 }
 
-// BenchmarkStepBesidePoll has the tasks of a step start at one runner at once, beside a poll. An operation
-// is one start and a quarter of a poll.
+// BenchmarkStepBesidePoll measures the concurrent starts of the tasks of a step on one runner during a lease
+// renewal. An operation is one start and a quarter of a renewal.
 func BenchmarkStepBesidePoll(b *testing.B) {
 	benchClient(b, benchStep, func(client *runnerClient, order scheduler.Order) {
 		var orders sync.WaitGroup
@@ -188,7 +189,7 @@
 	})
 }
 
-// BenchmarkParseReply reads a runner's report of 8 runs and 2 ends.
+// BenchmarkParseReply measures parsing a report of 8 active and 2 ended runs.
 func BenchmarkParseReply(b *testing.B) {
 	content := []byte(`{"clock_ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb87a21d94b",41],["5c0e7a21d94b36f8.0.1.18",2,"",42],` +
 		`["5c0e7a21d94b36f8.0.1.19",2,"",43],["5c0e7a21d94b36f8.0.1.20",2,"",44],["5c0e7a21d94b36f8.0.1.21",2,"",45],["5c0e7a21d94b36f8.0.1.22",2,"",46],` +
--- a/internal/cluster/controlplane/runnerclient_test.go
+++ b/internal/cluster/controlplane/runnerclient_test.go
@@ -12,15 +12,15 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// What a runner does with a call.
+// Behaviours of the runner in TestOrderIsSentOnce when it receives an order.
 const (
 	replies = iota
 	closesConnection
 	redirects
 )
 
-// TestOrderIsSentOnce: neither a connection that is closed after the call was read, on a new or a reused
-// one, nor a redirect makes the client send it again by itself.
+// TestOrderIsSentOnce checks that the client does not resend an order by itself if the runner closes a new or a
+// reused connection after reading the order, or replies with a redirect.
 func TestOrderIsSentOnce(t *testing.T) {
 	var calls, behaviour atomic.Int32
 	redirectTarget := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(100) }))
@@ -42,7 +42,7 @@
 	defer runner.Close()
 	client := newRunnerClient(t.Context())
 	order := scheduler.Order{Kind: scheduler.OrderStart, Address: strings.TrimPrefix(runner.URL, "http://"), Runner: "r"}
-	for _, step := range []struct { // in this order, on one client
+	for _, step := range []struct { // in sequence, with the same client
 		behaviour int32
 		want      scheduler.StartReply
 	}{
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestReplyWithoutAReportEndsNoRuns: guards against runs that are taken for over, and started a second time,
-// since a runner's reply to a renewal is empty.
+// TestReplyWithoutAReportEndsNoRuns guards against treating runs as ended, and starting their tasks a second
+// time, because a runner's reply to a lease renewal is empty.
 func TestReplyWithoutAReportEndsNoRuns(t *testing.T) {
 	for content, want := range map[string]scheduler.LeaseReply{
 		"":               scheduler.LeaseNoReply,
--- a/internal/cluster/controlplane/runnerconn.go
+++ b/internal/cluster/controlplane/runnerconn.go
@@ -18,53 +18,55 @@
 const (
 	maxReplyBytes   = 4 << 20
 	connBufferBytes = 2 << 10
-	// maxInterimReplies bounds how many replies of status 1xx may come before the one that counts.
+	// maxInterimReplies bounds the number of 1xx responses before the final response.
 	maxInterimReplies = 5
 )
 
 var (
-	errNotAsked     = errors.New("a runner sent a reply to no order")
-	errReplyTooLong = errors.New("a runner's reply is too long")
-	// errConnClosed means that a connection had ended before any of an order was written to it.
-	errConnClosed = errors.New("the connection had ended")
+	errUnexpectedReply = errors.New("a runner sent an unexpected reply")
+	errReplyTooLong    = errors.New("a runner's reply is too long")
+	// errConnClosed is returned by send if the connection was closed before any byte of the order was
+	// written.
+	errConnClosed = errors.New("the connection was already closed")
 )
 
-// httpReply is a reply to an order.
+// httpReply is the HTTP response of a runner to an order.
 type httpReply struct {
-	status int
-	body   []byte
-	last   bool // the connection ends with it
+	status     int
+	body       []byte
+	closesConn bool // the runner closes the connection after this reply
 }
 
-// readResult is what a connection's reader passes to the sender.
+// readResult is a reply, or an error, that the reading goroutine of a connection passes to the sender.
 type readResult struct {
 	reply httpReply
 	err   error
 }
 
-// runnerConn is a persistent connection to a runner. It carries one order at a time. A goroutine waits on
-// it for replies and for its end, also while it carries no order.
+// runnerConn is a persistent connection to a runner. It carries one order at a time. A goroutine reads from
+// it all the time, so that the end of the connection is noticed also while it is idle.
 type runnerConn struct {
 	address string
 	conn    net.Conn
-	reader  *bufio.Reader   // of the reader's goroutine
-	results chan readResult // has room for a reply that nobody waits for any more, and the error after it
-	waiting atomic.Bool     // an order may have been written whose reply was not read
+	reader  *bufio.Reader   // used only by the reading goroutine
+	results chan readResult // buffered for a reply whose sender has given up, and the error after it
+	waiting atomic.Bool     // true while a reply is expected
 
-	// request and body are of the sender.
+	// request and body are used only by the sender.
 	request http.Request
 	body    bytes.Reader
 
-	// place and idleSince are of the pool: its place in the list of idle connections, nil while it carries an
-	// order.
-	place     *list.Element
-	idleSince time.Time
+	// idleElement and idleSince are used by the pool. idleElement is the element in the pool's list of idle
+	// connections, or nil while the connection carries an order.
+	idleElement *list.Element
+	idleSince   time.Time
 }
 
-// requestBuffers holds buffers in which requests are put together.
+// requestBuffers holds buffers in which requests are encoded.
 var requestBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// newRunnerConn returns a connection over one that is open. Its caller runs read.
+// newRunnerConn returns a runnerConn that uses an open network connection. The caller must start readReplies
+// in a goroutine.
 func newRunnerConn(address string, conn net.Conn) *runnerConn {
 	c := &runnerConn{
 		address: address, conn: conn, reader: bufio.NewReaderSize(conn, connBufferBytes),
@@ -79,8 +81,8 @@
 	return c
 }
 
-// send writes an order, once, and waits for the reply until the deadline. Where the error is errConnClosed
-// nothing was written. After any error the connection must not be used again.
+// send writes an order once and waits for the reply until the deadline. If the error is errConnClosed, nothing
+// was written. After any error the connection must not be used again.
 func (c *runnerConn) send(deadline time.Time, path, incarnation string, body []byte) (httpReply, error) {
 	c.request.URL.Path = path
 	c.request.Header[incarnationHeader][0] = incarnation
@@ -90,10 +92,10 @@
 	defer requestBuffers.Put(buffer)
 	buffer.Reset()
 	if err := c.request.Write(buffer); err != nil {
-		return httpReply{}, errors.Wrap(err, "put an order together")
+		return httpReply{}, errors.Wrap(err, "encode the request of an order")
 	}
 	c.waiting.Store(true)
-	_ = c.conn.SetDeadline(deadline) // fails only where Write does as well
+	_ = c.conn.SetDeadline(deadline) // if it fails, Write fails too
 	if written, err := c.conn.Write(buffer.Bytes()); err != nil {
 		if written == 0 && errors.Is(err, net.ErrClosed) {
 			return httpReply{}, errConnClosed
@@ -104,28 +106,29 @@
 	return result.reply, result.err
 }
 
-// read passes on replies until the connection ends or must end; then it calls end, and returns.
-func (c *runnerConn) read(end func()) {
+// readReplies passes replies to the sender until the connection ends, a reply can't be read, or a reply closes
+// the connection. It then calls onEnd, passes on the last result, and returns.
+func (c *runnerConn) readReplies(onEnd func()) {
 	for {
 		reply, err := c.readReply()
-		if err != nil || reply.last {
-			end()
+		if err != nil || reply.closesConn {
+			onEnd()
 			c.results <- readResult{reply: reply, err: err}
 			return
 		}
-		_ = c.conn.SetDeadline(time.Time{}) // an error shows at the next reading
+		_ = c.conn.SetDeadline(time.Time{}) // an error shows up in the next read
 		c.waiting.Store(false)
 		c.results <- readResult{reply: reply}
 	}
 }
 
-// readReply waits for a reply and reads it.
+// readReply waits for a reply and reads it. It skips 1xx responses.
 func (c *runnerConn) readReply() (httpReply, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return httpReply{}, errors.Wrap(err, "wait for a runner's reply")
 	}
 	if !c.waiting.Load() {
-		return httpReply{}, errNotAsked
+		return httpReply{}, errUnexpectedReply
 	}
 	for range maxInterimReplies {
 		response, err := http.ReadResponse(c.reader, nil)
@@ -137,13 +140,13 @@
 			return httpReply{}, err
 		}
 		if response.StatusCode >= http.StatusOK {
-			return httpReply{status: response.StatusCode, body: body, last: response.Close}, nil
+			return httpReply{status: response.StatusCode, body: body, closesConn: response.Close}, nil
 		}
 	}
-	return httpReply{}, errNotAsked
+	return httpReply{}, errUnexpectedReply
 }
 
-// readBody reads a response's body to its end.
+// readBody reads the whole body of a response. It returns errReplyTooLong for more than maxReplyBytes.
 func readBody(response *http.Response) ([]byte, error) {
 	var body []byte
 	var err error
--- a/internal/cluster/controlplane/runnerlist.go
+++ b/internal/cluster/controlplane/runnerlist.go
@@ -19,18 +19,19 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// runnerListReader reads the platform's list of runners, in the one node that leads the configuration's
-// group, and sends it to the other nodes: the members of that group, and those that ask to join a group.
+// runnerListReader reads the platform's list of runners while this node leads the configuration's group. It
+// passes the list to the shards of this node, and sends it to the other members of that group and to the
+// nodes that recently requested to join a group.
 type runnerListReader struct {
 	node     *Node
 	http     *http.Client
-	lifetime context.Context // bounds all calls
-	wake     chan struct{}   // buffered: the epoch has changed
+	lifetime context.Context // bounds all calls to the platform
+	wake     chan struct{}   // buffered; signals that the epoch has changed
 
 	mu       sync.Mutex
-	epoch    uint64              // of this node's leadership; 0: another node reads the list
-	sequence uint64              // of the last list that this node has read
-	newest   protocol.RunnerList // the list that the shards of this node have
+	epoch    uint64              // epoch of this node's leadership; 0: this node is not the leader
+	sequence uint64              // sequence number of the last list that this node has read
+	newest   protocol.RunnerList // the list that was last passed to the shards of this node
 	lastSent time.Time           // when a list was last sent to other nodes; zero: not in this epoch
 
 	applicants leader.Applicants
@@ -39,13 +40,13 @@
 const (
 	readInterval   = 900 * time.Millisecond
 	retryInterval  = 250 * time.Millisecond // after a failure
-	readTimeout    = 900 * time.Millisecond // of a page
-	resendInterval = 3 * time.Second        // of a list that has not changed
+	readTimeout    = 900 * time.Millisecond // for each page
+	resendInterval = 3 * time.Second        // for a list that has not changed
 	maxPages       = 200
 	maxPageBytes   = 8 << 20
 )
 
-// newRunnerListReader returns a reader whose calls all end with lifetime.
+// newRunnerListReader returns a reader. All its calls end when lifetime ends.
 func newRunnerListReader(lifetime context.Context, n *Node) *runnerListReader {
 	transport := &http.Transport{DialContext: rpc.Dialer().DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1}
 	return &runnerListReader{
@@ -56,7 +57,8 @@
 	}
 }
 
-// setEpoch says that this node reads the list from now on, or, by 0, that it does not.
+// setEpoch sets the epoch of this node's leadership of the configuration's group. From then on this node
+// reads the list, unless the epoch is 0, which means that it is not the leader.
 func (r *runnerListReader) setEpoch(epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +81,8 @@
 	}
 }
 
-// readIfLeader returns when it is to be called again.
+// readIfLeader reads and distributes the list if this node is the leader. It returns the pause before the
+// next call.
 func (r *runnerListReader) readIfLeader() (pause time.Duration) {
 	r.mu.Lock()
 	epoch := r.epoch
@@ -102,7 +105,7 @@
 	NextToken *string    `json:"next_token"` // nil or empty: this is the last page
 }
 
-// instance is an entry of the platform's list.
+// instance is an entry in the platform's list.
 type instance struct {
 	ID          string        `json:"id"`
 	Backend     string        `json:"backend"`
@@ -113,7 +116,7 @@
 	RemainingMs int64         `json:"remaining_ms"`
 }
 
-// stateDraining is the state of an instance that gets no more tasks.
+// stateDraining is the state of an instance that must not get new tasks.
 const stateDraining = "draining"
 
 func (i *instance) runner() protocol.Runner {
@@ -128,7 +131,7 @@
 	}
 }
 
-// readAll reads all pages.
+// readAll reads all pages of the platform's list.
 func (r *runnerListReader) readAll() ([]protocol.Runner, error) {
 	var list []protocol.Runner
 	token := ""
@@ -148,7 +151,7 @@
 	return nil, errors.Newf("the list has over %d pages", maxPages)
 }
 
-// readPage reads the page of a token; empty: the first one.
+// readPage reads the page that a token names. An empty token names the first page.
 func (r *runnerListReader) readPage(token string) (instancePage, error) {
 	address := url.URL{Scheme: "http", Host: r.node.settings.CloudAPI.Address, Path: "/instances"}
 	if token != "" {
@@ -158,23 +161,23 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
 	if err != nil {
-		return instancePage{}, errors.Wrap(err, "build the call")
+		return instancePage{}, errors.Wrap(err, "build the request")
 	}
 	response, err := r.http.Do(request)
 	if err != nil {
 		return instancePage{}, errors.Wrap(err, "call the platform")
 	}
-	defer func() { _ = response.Body.Close() }() // it was read to its end, or is of no use
+	defer func() { _ = response.Body.Close() }() // the body was read, or is not needed
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil || response.StatusCode != http.StatusOK {
-		return instancePage{}, errors.Newf("the platform answered %d", response.StatusCode)
+		return instancePage{}, errors.Newf("the platform responded with status %d", response.StatusCode)
 	}
 	page := instancePage{}
-	return page, errors.Wrap(json.Unmarshal(content, &page), "read the platform's answer")
+	return page, errors.Wrap(json.Unmarshal(content, &page), "decode the platform's response")
 }
 
-// distribute passes a list to the shards of this node and, if it has changed or a while after the last
-// time, to the other nodes.
+// distribute passes a list to the shards of this node. If the list has changed or resendInterval has passed
+// since the last time, it also sends the list to other nodes.
 func (r *runnerListReader) distribute(epoch uint64, list []protocol.Runner) {
 	r.mu.Lock()
 	r.sequence++
@@ -194,7 +197,7 @@
 	}
 }
 
-// recipients returns the addresses of the nodes that lists are sent to.
+// recipients returns the addresses of the nodes to which lists are sent.
 func (r *runnerListReader) recipients() []string {
 	addresses := r.node.nodeAddresses()
 	r.mu.Lock()
@@ -207,8 +210,9 @@
 	return addresses
 }
 
-// joinRequested notes that a node asked to join a group. One that is new has the newest list at once, if
-// this node has read it: the shards that it leads start nothing before.
+// joinRequested records that a node requested to join a group. If that node has sent no request recently and
+// this node has read a list as the leader, it sends the list immediately: shards that the other node leads
+// start no tasks before they have a list.
 func (r *runnerListReader) joinRequested(address string) {
 	r.mu.Lock()
 	isNew := r.applicants.Requested(r.node.now(), address)
@@ -220,7 +224,7 @@
 	}
 }
 
-// update passes a list to the shards of this node, unless a newer one came before.
+// update passes a list to the shards of this node, unless they already have one that is as new or newer.
 func (r *runnerListReader) update(message protocol.RunnerList) {
 	r.mu.Lock()
 	isNewer := message.NewerThan(r.newest)
@@ -236,5 +240,5 @@
 	}
 }
 
-// noRedirect keeps a call from being sent again elsewhere.
+// noRedirect prevents an HTTP client from following redirects.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
--- a/internal/cluster/controlplane/runnerlist_test.go
+++ b/internal/cluster/controlplane/runnerlist_test.go
@@ -16,7 +16,8 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// listRecorder is a control-plane node that takes lists of runners and nothing else.
+// listRecorder is a control-plane node that records the lists of runners that it receives and ignores
+// everything else.
 type listRecorder struct{ lists chan protocol.RunnerList }
 
 func (r listRecorder) HandleCall(any) any { return protocol.JobResponse{} }
@@ -27,7 +28,7 @@
 	}
 }
 
-// serveRecorder serves a listRecorder, and returns its address.
+// serveRecorder serves a new listRecorder. It returns the recorder and its address.
 func serveRecorder(t *testing.T) (listRecorder, string) {
 	t.Helper()
 	recorder := listRecorder{lists: make(chan protocol.RunnerList, 100)}
@@ -38,15 +39,15 @@
 	return recorder, strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestRunnerListReachesNodesOutsideTheConfigurationsGroup: a node that is no member of the
-// configuration's group, since that has members enough, may lead a shard. It gets the list of runners as
-// soon as it asks to join a group, and again.
+// TestRunnerListReachesNodesOutsideTheConfigurationsGroup checks that a node outside the configuration's group
+// receives the list of runners as soon as it requests to join a group, and repeatedly afterwards. Such a node
+// may lead a shard; it is not a member of the configuration's group because that group is full.
 func TestRunnerListReachesNodesOutsideTheConfigurationsGroup(t *testing.T) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"instances":[{"id":"i-1","backend":"desk","address":"127.0.0.1:1","state":"running"}]}`))
 	}))
 	defer platform.Close()
-	node := loneNode(t)
+	node := newSingleNode(t)
 	node.settings.CloudAPI.Address = strings.TrimPrefix(platform.URL, "http://")
 	ctx, stop := context.WithCancel(t.Context())
 	returned := make(chan error, 1)
@@ -75,20 +76,21 @@
 	require.False(t, isMember)
 }
 
-// receiveList returns the next list that comes while a node asks to join, as it does, again and again.
-func receiveList(t *testing.T, recorder listRecorder, askToJoin func()) protocol.RunnerList {
+// receiveList calls requestJoin at joinInterval, as a node does, until the recorder receives a list. It returns
+// the list.
+func receiveList(t *testing.T, recorder listRecorder, requestJoin func()) protocol.RunnerList {
 	t.Helper()
 	ticker := time.NewTicker(joinInterval)
 	defer ticker.Stop()
 	deadline := time.After(nodeTestTimeout)
 	for {
-		askToJoin()
+		requestJoin()
 		select {
 		case list := <-recorder.lists:
 			return list
 		case <-ticker.C:
 		case <-deadline:
-			t.Fatal("no list came")
+			t.Fatal("no list was received")
 		}
 	}
 }
--- a/internal/cluster/controlplane/runnerpool.go
+++ b/internal/cluster/controlplane/runnerpool.go
@@ -14,65 +14,66 @@
 )
 
 const (
-	// usualConnsPerRunner is one for the poll and the others for orders. Further orders at the same time wait
-	// for these during usualPatience, and then get connections of their own, up to maxConnsPerRunner.
+	// usualConnsPerRunner is the number of connections to a runner in normal operation: one for the lease
+	// renewal, which the runner may keep waiting, and the others for further orders. If all of them are in
+	// use, an order waits for one for usualConnWait; then it opens another one, up to maxConnsPerRunner.
 	usualConnsPerRunner = 3
 	maxConnsPerRunner   = 6
-	usualPatience       = 50 * time.Millisecond // a few round trips
+	usualConnWait       = 50 * time.Millisecond // a few round trips
 	idleConnTimeout     = 60 * time.Second
 )
 
 var (
-	errPoolClosed = errors.New("the node stops")
-	errConnsBusy  = errors.New("all connections to the runner are in use")
+	errPoolClosed    = errors.New("the node stops")
+	errAllConnsInUse = errors.New("all connections to the runner are in use")
 )
 
-// runnerPool holds the connections to all runners. Its methods may be called concurrently.
+// runnerPool manages the connections to all runners. Its methods may be called concurrently.
 type runnerPool struct {
-	lifetime context.Context // bounds the connections
+	lifetime context.Context // the connections end with it
 	dialer   *net.Dialer
-	patience time.Duration // how long an order waits for one of the usual connections
+	connWait time.Duration // how long an order waits for one of the usual connections
 
 	mu      sync.Mutex
 	closed  bool
-	maxOpen int // beyond it idle connections are closed; 0: not limited
+	maxOpen int // above this number idle connections are closed; 0: not limited
 	runners map[string]*runnerConns
 	open    map[*runnerConn]struct{}
-	idle    list.List // of *runnerConn, the least recently used one first
+	idle    list.List // of *runnerConn, least recently used first
 }
 
 // runnerConns are the connections to one address.
 type runnerConns struct {
-	open  int           // with those that are being opened
-	idle  []*runnerConn // the last used one last
-	turns []turn
+	open    int           // number of open connections and of those that are being opened: the slots in use
+	idle    []*runnerConn // most recently used last
+	waiters []connWaiter  // orders that wait for a connection, in order of arrival
 }
 
-// turn is what an order waits on: it gets a connection that another order no longer needs, or nil, by
-// which it may open one.
-type turn chan *runnerConn
+// connWaiter is a channel on which an order waits. It receives a connection that another order has released,
+// or nil, which permits the receiver to open a connection.
+type connWaiter chan *runnerConn
 
-// newRunnerPool returns a pool whose connections end with lifetime.
+// newRunnerPool returns a pool. All its connections are closed when lifetime ends.
 func newRunnerPool(lifetime context.Context) *runnerPool {
 	p := &runnerPool{
-		lifetime: lifetime, dialer: rpc.Dialer(), patience: usualPatience,
+		lifetime: lifetime, dialer: rpc.Dialer(), connWait: usualConnWait,
 		runners: map[string]*runnerConns{}, open: map[*runnerConn]struct{}{},
 	}
 	context.AfterFunc(lifetime, p.close)
 	return p
 }
 
-// limitOpen bounds how many connections stay open while some are idle.
+// limitOpen sets the number of open connections above which idle ones are closed.
 func (p *runnerPool) limitOpen(connections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxOpen = connections
 }
 
-// acquire returns a connection that is idle, becomes so, or is opened, until the deadline. The caller
-// passes it to release, or to discard after an error.
+// acquire returns a connection: an idle one, a new one, or one that another order releases before the
+// deadline. The caller must pass it to release, or to discard after an error.
 func (p *runnerPool) acquire(address string, deadline time.Time) (*runnerConn, error) {
-	until := time.Now().Add(p.patience)
+	until := time.Now().Add(p.connWait)
 	if until.After(deadline) {
 		until = deadline
 	}
@@ -80,10 +81,10 @@
 		maxOpen int
 		until   time.Time
 	}{{usualConnsPerRunner, until}, {maxConnsPerRunner, deadline}} {
-		conn, next := p.take(address, phase.maxOpen)
-		if next != nil {
+		conn, waiter := p.tryAcquire(address, phase.maxOpen)
+		if waiter != nil {
 			var ok bool
-			if conn, ok = p.await(address, next, phase.until); !ok {
+			if conn, ok = p.waitForConn(address, waiter, phase.until); !ok {
 				continue
 			}
 		}
@@ -92,12 +93,13 @@
 		}
 		return p.connect(address, deadline)
 	}
-	return nil, errConnsBusy
+	return nil, errAllConnsInUse
 }
 
-// take returns an idle connection, or no connection and no turn where the caller may open one, or the turn
-// on which the caller has to wait.
-func (p *runnerPool) take(address string, maxOpen int) (*runnerConn, turn) {
+// tryAcquire returns an idle connection if there is one. Otherwise, if fewer than maxOpen connections to the
+// runner are open, it reserves a slot and returns nil for both: the caller opens a connection. Otherwise it
+// returns a connWaiter on which the caller has to wait.
+func (p *runnerPool) tryAcquire(address string, maxOpen int) (*runnerConn, connWaiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	runner := p.runners[address]
@@ -108,40 +110,41 @@
 	if last := len(runner.idle) - 1; last >= 0 {
 		conn := runner.idle[last]
 		runner.idle = runner.idle[:last]
-		p.idle.Remove(conn.place)
-		conn.place = nil
+		p.idle.Remove(conn.idleElement)
+		conn.idleElement = nil
 		return conn, nil
 	}
 	if runner.open < maxOpen {
 		runner.open++
 		return nil, nil
 	}
-	next := make(turn, 1)
-	runner.turns = append(runner.turns, next)
-	return nil, next
+	waiter := make(connWaiter, 1)
+	runner.waiters = append(runner.waiters, waiter)
+	return nil, waiter
 }
 
-// await waits for a turn. It returns false where the turn has not come in time; it won't come any more.
-func (p *runnerPool) await(address string, next turn, until time.Time) (*runnerConn, bool) {
+// waitForConn waits until something is sent to the waiter, and returns it. If nothing is sent in time, it
+// removes the waiter and returns false.
+func (p *runnerPool) waitForConn(address string, waiter connWaiter, until time.Time) (*runnerConn, bool) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
-	case conn := <-next:
+	case conn := <-waiter:
 		return conn, true
 	case <-timer.C:
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if runner := p.runners[address]; runner != nil {
-		if i := slices.Index(runner.turns, next); i >= 0 {
-			runner.turns = slices.Delete(runner.turns, i, i+1)
+		if i := slices.Index(runner.waiters, waiter); i >= 0 {
+			runner.waiters = slices.Delete(runner.waiters, i, i+1)
 			return nil, false
 		}
 	}
-	return <-next, true // it came just now
+	return <-waiter, true // it was sent after the timer expired
 }
 
-// connect opens a connection, for which the caller holds a place.
+// connect opens a connection. The caller must have reserved a slot for it.
 func (p *runnerPool) connect(address string, deadline time.Time) (*runnerConn, error) {
 	ctx, cancel := context.WithDeadline(p.lifetime, deadline)
 	defer cancel()
@@ -153,47 +156,47 @@
 		err = errPoolClosed
 	}
 	if err != nil {
-		p.leavePlace(address)
+		p.releaseSlot(address)
 		return nil, errors.Wrap(err, "connect to a runner")
 	}
 	conn := newRunnerConn(address, tcp)
 	p.open[conn] = struct{}{}
 	p.closeIdle()
-	go conn.read(func() { p.discard(conn) }) // ends with the connection
+	go conn.readReplies(func() { p.discard(conn) }) // ends when the connection does
 	return conn, nil
 }
 
-// release makes a connection available to another order.
+// release makes a connection available to other orders.
 func (p *runnerPool) release(conn *runnerConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, open := p.open[conn]; !open {
-		return // it ended with the reply, or since
+		return // it was closed with the reply or after it
 	}
 	runner := p.runners[conn.address]
-	if len(runner.turns) > 0 {
-		runner.passTurn(conn)
+	if len(runner.waiters) > 0 {
+		runner.serveFirstWaiter(conn)
 		return
 	}
 	conn.idleSince = time.Now()
-	conn.place = p.idle.PushBack(conn)
+	conn.idleElement = p.idle.PushBack(conn)
 	runner.idle = append(runner.idle, conn)
 	p.closeIdle()
 }
 
-// passTurn gives the first turn a connection, or nil for the right to open one.
-func (r *runnerConns) passTurn(conn *runnerConn) {
-	r.turns[0] <- conn
-	r.turns = slices.Delete(r.turns, 0, 1)
+// serveFirstWaiter sends the first waiter a connection, or nil as permission to open one.
+func (r *runnerConns) serveFirstWaiter(conn *runnerConn) {
+	r.waiters[0] <- conn
+	r.waiters = slices.Delete(r.waiters, 0, 1)
 }
 
-// leavePlace gives up the place of a connection that has ended or was not opened. The caller holds the
-// mutex.
-func (p *runnerPool) leavePlace(address string) {
+// releaseSlot releases the slot of a connection that was closed or could not be opened. The first waiter gets
+// the slot, if there is one. The caller must hold the mutex.
+func (p *runnerPool) releaseSlot(address string) {
 	runner := p.runners[address]
 	switch {
-	case len(runner.turns) > 0:
-		runner.passTurn(nil)
+	case len(runner.waiters) > 0:
+		runner.serveFirstWaiter(nil)
 	case runner.open > 1:
 		runner.open--
 	default:
@@ -201,31 +204,32 @@
 	}
 }
 
-// discard closes a connection, if that has not been done yet.
+// discard closes a connection and removes it from the pool. It has no effect on one that was discarded
+// before.
 func (p *runnerPool) discard(conn *runnerConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.discardLocked(conn)
 }
 
-// discardLocked is discard for a caller that holds the mutex.
+// discardLocked is like discard. The caller must hold the mutex.
 func (p *runnerPool) discardLocked(conn *runnerConn) {
 	if _, open := p.open[conn]; !open {
 		return
 	}
 	delete(p.open, conn)
-	_ = conn.conn.Close() // it is of no use any more
-	if conn.place != nil {
-		p.idle.Remove(conn.place)
-		conn.place = nil
+	_ = conn.conn.Close() // the connection is not used again
+	if conn.idleElement != nil {
+		p.idle.Remove(conn.idleElement)
+		conn.idleElement = nil
 		runner := p.runners[conn.address]
 		runner.idle = slices.DeleteFunc(runner.idle, func(other *runnerConn) bool { return other == conn })
 	}
-	p.leavePlace(conn.address)
+	p.releaseSlot(conn.address)
 }
 
-// closeIdle closes connections that have been idle for long, and the least recently used ones beyond the
-// limit. The caller holds the mutex.
+// closeIdle closes connections that have been idle for idleConnTimeout. While more than maxOpen connections
+// are open, it also closes idle ones, least recently used first. The caller must hold the mutex.
 func (p *runnerPool) closeIdle() {
 	for oldest := p.idle.Front(); oldest != nil; oldest = p.idle.Front() {
 		conn := oldest.Value.(*runnerConn)
@@ -236,7 +240,7 @@
 	}
 }
 
-// close ends all connections, and the orders that they carry.
+// close closes all connections, which fails the orders that they carry.
 func (p *runnerPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cluster/controlplane/runnerpool_test.go
+++ b/internal/cluster/controlplane/runnerpool_test.go
@@ -18,20 +18,21 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// countedRunner is a runner that replies to starts at once and to renewals when it is told to.
-type countedRunner struct {
+// countingRunner is a runner that counts its connections. It replies to starts immediately, and to lease
+// renewals once reply is closed.
+type countingRunner struct {
 	order    scheduler.Order
 	server   *httptest.Server
-	accepted atomic.Int32  // connections
-	renewals chan struct{} // one for each renewal that has arrived
-	reply    chan struct{} // closed: renewals are replied to
+	accepted atomic.Int32  // number of accepted connections
+	renewals chan struct{} // one element for each renewal that has arrived
+	reply    chan struct{} // closed when the runner may reply to renewals
 }
 
-func newCountedRunner(t *testing.T) *countedRunner {
+func newCountingRunner(t *testing.T) *countingRunner {
 	t.Helper()
-	r := &countedRunner{renewals: make(chan struct{}, 100), reply: make(chan struct{})}
+	r := &countingRunner{renewals: make(chan struct{}, 100), reply: make(chan struct{})}
 	r.server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		_, _ = io.Copy(io.Discard, request.Body) // the context ends with the connection only after it
+		_, _ = io.Copy(io.Discard, request.Body) // the context is canceled with the connection only after the body was read
 		if request.URL.Path == leasePath {
 			r.renewals <- struct{}{}
 			select {
@@ -52,19 +53,19 @@
 	return r
 }
 
-// openConns returns how many connections a client holds.
+// openConns returns the number of open connections of a client.
 func openConns(client *runnerClient) int {
 	client.conns.mu.Lock()
 	defer client.conns.mu.Unlock()
 	return len(client.conns.open)
 }
 
-// TestStepStartsOnFewConnections: the starts of a step, beside a poll, opened a connection each, and half of
-// these were closed again.
+// TestStepStartsOnFewConnections guards against opening a connection for each start of a step during a lease
+// renewal; half of these connections were closed again after the step.
 func TestStepStartsOnFewConnections(t *testing.T) {
-	runner := newCountedRunner(t)
+	runner := newCountingRunner(t)
 	client := newRunnerClient(t.Context())
-	client.conns.patience = time.Minute // a slow machine must not look like a slow runner
+	client.conns.connWait = time.Minute // on a slow machine, orders must not give up waiting and open more
 	var orders sync.WaitGroup
 	orders.Go(func() { client.renewLease(runner.order) })
 	<-runner.renewals
@@ -86,10 +87,10 @@
 	orders.Wait()
 }
 
-// TestStartDoesNotWaitForPolls: an order that finds all usual connections taken for long misses its deadline,
-// unless it gets another.
+// TestStartDoesNotWaitForPolls checks that an order gets another connection while long lease renewals use all
+// usual connections. Otherwise it would miss its deadline.
 func TestStartDoesNotWaitForPolls(t *testing.T) {
-	runner := newCountedRunner(t)
+	runner := newCountingRunner(t)
 	client := newRunnerClient(t.Context())
 	var orders sync.WaitGroup
 	for range usualConnsPerRunner {
@@ -104,9 +105,9 @@
 	orders.Wait()
 }
 
-// TestConnectionsEndWithLifetime: orders under way keep a node from stopping.
+// TestConnectionsEndWithLifetime guards against orders in progress that prevent a node from stopping.
 func TestConnectionsEndWithLifetime(t *testing.T) {
-	runner := newCountedRunner(t)
+	runner := newCountingRunner(t)
 	lifetime, end := context.WithCancel(t.Context())
 	client := newRunnerClient(lifetime)
 	replies := make(chan scheduler.LeaseReply)
@@ -122,13 +123,14 @@
 	require.Equal(t, scheduler.StartNoReply, reply)
 }
 
-// TestLeastRecentlyUsedConnectionIsClosed: connections to many runners use up the process's descriptors.
+// TestLeastRecentlyUsedConnectionIsClosed guards against connections to many runners that use up the process's
+// file descriptors.
 func TestLeastRecentlyUsedConnectionIsClosed(t *testing.T) {
 	client := newRunnerClient(t.Context())
 	client.conns.limitOpen(2)
-	var runners []*countedRunner
+	var runners []*countingRunner
 	for range 3 {
-		runners = append(runners, newCountedRunner(t))
+		runners = append(runners, newCountingRunner(t))
 	}
 	for _, used := range []int{0, 1, 0, 2, 0, 2} {
 		reply, _ := client.start(runners[used].order)
@@ -140,10 +142,10 @@
 	require.Equal(t, int32(2), runners[1].accepted.Load())
 }
 
-// TestClosedIdleConnectionIsNotUsed: an order on a connection that the runner has closed while it was idle
-// counts as one without a reply.
+// TestClosedIdleConnectionIsNotUsed guards against orders that get no reply because the runner closed their
+// connection while it was idle.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	runner := newCountedRunner(t)
+	runner := newCountingRunner(t)
 	client := newRunnerClient(t.Context())
 	for range 3 {
 		reply, _ := client.start(runner.order)
@@ -151,16 +153,16 @@
 		runner.server.CloseClientConnections()
 		require.Eventually(t, func() bool { return openConns(client) == 0 }, 5*time.Second, time.Millisecond)
 	}
-	require.Empty(t, client.conns.runners, "a runner that is gone stays in memory")
+	require.Empty(t, client.conns.runners, "a runner without connections must not stay in memory")
 }
 
-// TestRepliesOfAnyForm: replies in the forms that HTTP allows, and some that it doesn't.
+// TestRepliesOfAnyForm checks replies in the forms that HTTP allows, and in some invalid forms.
 func TestRepliesOfAnyForm(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
 		name, reply string
 		want        scheduler.StartReply
-		open        int // connections after it
+		open        int // number of open connections afterwards
 	}{
 		{"length", ok + "Content-Length: 14\r\n\r\n{\"clock_ms\":5}", scheduler.StartAccepted, 1},
 		{"chunks", ok + "Transfer-Encoding: chunked\r\n\r\ne\r\n{\"clock_ms\":5}\r\n0\r\n\r\n", scheduler.StartAccepted, 1},
@@ -188,7 +190,7 @@
 				}
 				_, _ = io.Copy(io.Discard, request.Body)
 				_, _ = conn.Write([]byte(c.reply))
-				_, _ = io.Copy(io.Discard, conn) // until the client closes it
+				_, _ = io.Copy(io.Discard, conn) // until the client closes the connection
 			}()
 			client := newRunnerClient(t.Context())
 			reply, _ := client.start(scheduler.Order{Address: listener.Addr().String(), Runner: "r"})
--- a/internal/cluster/controlplane/runnerreply.go
+++ b/internal/cluster/controlplane/runnerreply.go
@@ -13,23 +13,23 @@
 // runnerReply is the body of a runner's reply to any order.
 type runnerReply struct {
 	reason string                 // why the order was rejected
-	report scheduler.RunnerReport // of a reply to another order than a renewal, it has the clock at most
-	// reportErr is set where a row of the report can't be read: the report must not be used, as a missing
-	// run would be taken for one that is over.
+	report scheduler.RunnerReport // only replies to lease renewals have more than the clock
+	// reportErr is set if a row of the report can't be read. The report must not be used then, because a
+	// missing run would be treated as one that has ended.
 	reportErr error
 }
 
-// replyParsers holds parsers for use again: their memory is the larger part of the work.
+// replyParsers holds parsers for reuse, because most of the cost of parsing is the allocation of their memory.
 var replyParsers fastjson.ParserPool
 
-// parseReply reads the body of a reply. Unknown fields are skipped. Beside an error the reply has the
-// fields that could be read.
+// parseReply parses the body of a reply. It skips unknown fields. If it returns an error, the reply has the
+// fields that could be parsed.
 func parseReply(content []byte) (reply runnerReply, err error) {
 	if err := fastjson.ValidateBytes(content); err != nil {
-		return reply, errors.Wrap(err, "read a runner's reply") // the parser alone would let some of it pass
+		return reply, errors.Wrap(err, "read a runner's reply") // the parser alone accepts some invalid JSON
 	}
 	parser := replyParsers.Get()
-	defer replyParsers.Put(parser) // no value of the parser's is used later
+	defer replyParsers.Put(parser) // no parsed value is used after the return
 	value, err := parser.ParseBytes(content)
 	if err != nil {
 		return reply, errors.Wrap(err, "read a runner's reply")
@@ -49,7 +49,7 @@
 	return reply, err
 }
 
-// setField reads one field of a reply.
+// setField parses one field of a reply.
 func (r *runnerReply) setField(name []byte, field *fastjson.Value) error {
 	switch string(name) {
 	case "clock_ms":
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// readRows reads the rows of a list, up to the first that can't be read.
+// readRows parses the rows of a list. It stops at the first row that can't be parsed and adds the error to
+// rowErr.
 func readRows[Row any](rows []*fastjson.Value, read func([]*fastjson.Value) (Row, error), rowErr *error) []Row {
 	result := slices.Grow([]Row(nil), len(rows))
 	for _, value := range rows {
@@ -88,8 +89,8 @@
 	return result
 }
 
-// readRun reads [task, attempt, checkpoint, percent]. Elements that are missing at the end count as
-// empty; further ones are ignored. So it is with readEnd.
+// readRun parses [task, attempt, checkpoint, percent]. Missing elements at the end are treated as empty, and
+// additional elements are ignored.
 func readRun(row []*fastjson.Value) (run scheduler.ReportedRun, err error) {
 	var percent float64
 	if run.Task, err = readTask(element(row, 0)); err != nil {
@@ -106,7 +107,8 @@
 	return run, err
 }
 
-// readEnd reads [number, task, attempt, reason, checkpoint].
+// readEnd parses [number, task, attempt, reason, checkpoint]. It treats missing and additional elements like
+// readRun.
 func readEnd(row []*fastjson.Value) (end scheduler.ReportedEnd, err error) {
 	var reason string
 	if err = readUint64(element(row, 0), &end.Number); err != nil {
@@ -126,7 +128,7 @@
 	return end, err
 }
 
-// element returns an element of a row, or nil where the row is shorter.
+// element returns the element of a row at index, or nil if the row is shorter.
 func element(row []*fastjson.Value, index int) *fastjson.Value {
 	if index < len(row) {
 		return row[index]
@@ -142,10 +144,10 @@
 	return job.ParseTaskRef(name)
 }
 
-// absent reports whether a value is missing or null, which leaves a field as it is.
+// absent reports whether a value is missing or null. Such a value leaves a field unchanged.
 func absent(value *fastjson.Value) bool { return value == nil || value.Type() == fastjson.TypeNull }
 
-// readValue reads a value that is not absent into a field.
+// readValue parses a value into a field, unless the value is absent.
 func readValue[Field any](value *fastjson.Value, field *Field, read func(*fastjson.Value) (Field, error)) error {
 	if absent(value) {
 		return nil
--- a/internal/cluster/controlplane/runnerreply_test.go
+++ b/internal/cluster/controlplane/runnerreply_test.go
@@ -12,7 +12,7 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// referenceReply reads a reply by encoding/json, which is slow and beyond doubt.
+// referenceReply parses a reply with encoding/json, which is slower and serves as the reference.
 func referenceReply(content []byte) (reply runnerReply, err error) {
 	var fields struct {
 		ClockMs     int64             `json:"clock_ms"`
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// requireAsReference demands that a reply is read, or rejected, as encoding/json does.
+// requireAsReference requires that parseReply accepts or rejects a reply as referenceReply does, with the same
+// result.
 func requireAsReference(t require.TestingT, content []byte) {
 	want, wantErr := referenceReply(content)
 	reply, err := parseReply(content)
@@ -73,7 +74,7 @@
 	require.Equal(t, want.reason, reply.reason, "%s", content)
 	require.Equal(t, want.report.ClockMs, reply.report.ClockMs, "%s", content)
 	if wantErr != nil {
-		return // no report of it is used
+		return // the report of an invalid reply is not used
 	}
 	require.Equal(t, want.reportErr == nil, reply.reportErr == nil, "%s: %v, %v", content, want.reportErr, reply.reportErr)
 	if want.reportErr == nil {
@@ -81,7 +82,7 @@
 	}
 }
 
-// replyValues are values of any type for any place of a reply.
+// replyValues generates JSON values of all types, and invalid ones, for any position in a reply.
 func replyValues() *rapid.Generator[string] {
 	text := rapid.Custom(func(t *rapid.T) string {
 		content, err := json.Marshal(rapid.String().Draw(t, "text"))
@@ -95,23 +96,23 @@
 	}))
 }
 
-// usual draws a value of the kind that is meant for a place, and seldom any other.
-func usual(t *rapid.T, meant *rapid.Generator[string]) string {
+// mostly draws a value from the generator that fits a position, or rarely any other value.
+func mostly(t *rapid.T, fitting *rapid.Generator[string]) string {
 	const oneIn = 40
 	if rapid.IntRange(1, oneIn).Draw(t, "unusual") == 1 {
 		return replyValues().Draw(t, "value")
 	}
-	return meant.Draw(t, "meant")
+	return fitting.Draw(t, "meant")
 }
 
-// replyRows draws a list of rows whose elements are of the given kinds.
+// replyRows draws a JSON list of rows whose elements are mostly drawn from the given generators.
 func replyRows(t *rapid.T, kinds ...*rapid.Generator[string]) string {
-	return usual(t, rapid.Custom(func(t *rapid.T) string {
+	return mostly(t, rapid.Custom(func(t *rapid.T) string {
 		rows := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) string {
-			return usual(t, rapid.Custom(func(t *rapid.T) string {
+			return mostly(t, rapid.Custom(func(t *rapid.T) string {
 				var row []string
 				for _, kind := range kinds[:rapid.IntRange(2, len(kinds)).Draw(t, "length")] {
-					row = append(row, usual(t, kind))
+					row = append(row, mostly(t, kind))
 				}
 				return jsonList(row)
 			}))
@@ -131,8 +132,8 @@
 	return list + "]"
 }
 
-// TestRepliesAreReadAsByEncodingJSON: a reply that is read otherwise than the protocol's JSON means starts
-// what runs already or takes for over what runs.
+// TestRepliesAreReadAsByEncodingJSON guards against replies that are parsed differently from the protocol's JSON:
+// tasks that are running would be started again or treated as ended.
 func TestRepliesAreReadAsByEncodingJSON(t *testing.T) {
 	task := rapid.SampledFrom([]string{`"5c0e7a21d94b36f8.0.1.17"`, `"a.1.2.3"`, `"\u0061.0.0.0"`, `"a.b.c.d"`, `"a.1.2"`})
 	number := rapid.SampledFrom([]string{"0", "1", "58", "482113", "9223372036854775807"})
@@ -140,8 +141,8 @@
 	percent := rapid.SampledFrom([]string{"0", "41", "56.7", "1e1"})
 	rapid.Check(t, func(t *rapid.T) {
 		content := fmt.Sprintf(` {"clock_ms":%s,"running":%s,"other":%s,"finished":%s,"remaining_ms":%s,"reason":%s}%s`,
-			usual(t, number), replyRows(t, task, number, text, percent, text), usual(t, text), replyRows(t, number, task, number, text, text, percent),
-			usual(t, number), usual(t, text), usual(t, rapid.Just("\n")))
+			mostly(t, number), replyRows(t, task, number, text, percent, text), mostly(t, text), replyRows(t, number, task, number, text, text, percent),
+			mostly(t, number), mostly(t, text), mostly(t, rapid.Just("\n")))
 		requireAsReference(t, []byte(content))
 		requireAsReference(t, []byte(content[:rapid.IntRange(0, len(content)).Draw(t, "cut")]))
 	})
--- a/internal/cluster/controlplane/shardloop.go
+++ b/internal/cluster/controlplane/shardloop.go
@@ -10,25 +10,25 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// shardLoop drives a shard: it runs the scheduler's cycles and sends the scheduler's orders.
+// shardLoop runs the scheduling cycles of a shard and sends the scheduler's orders to runners.
 type shardLoop struct {
 	shard   *leader.Shard
 	number  int
 	runners *runnerClient
 	counts  orderCounts
-	wake    chan struct{} // buffered: the shard has something to do
+	wake    chan struct{} // buffered; signals that the shard has work
 	stop    <-chan struct{}
-	tasks   *sync.WaitGroup // of the node: the goroutines that send orders
+	tasks   *sync.WaitGroup // the node's WaitGroup; counts the goroutines that send orders
 }
 
 const (
 	// idleTick is the pause between cycles while nothing happens.
 	idleTick = 50 * time.Millisecond
-	// pendingCycleTick is the pause where the scheduler has more to do.
+	// pendingCycleTick is the pause between cycles while the scheduler has more work.
 	pendingCycleTick = 3 * time.Millisecond
 )
 
-// wakeUp wakes the reader of a channel with room for one signal, unless it is woken already.
+// wakeUp sends a signal on a channel with a buffer of one, unless a signal is pending already.
 func wakeUp(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
@@ -36,7 +36,7 @@
 	}
 }
 
-// newShardLoop returns the driver of a shard, which does not run yet.
+// newShardLoop returns the loop of a shard, which does not run yet.
 func (n *Node) newShardLoop(number int, runners *runnerClient) *shardLoop {
 	loop := &shardLoop{number: number, runners: runners, wake: make(chan struct{}, 1), stop: n.stop, tasks: &n.tasks}
 	wake := func() { wakeUp(loop.wake) }
@@ -45,7 +45,7 @@
 	return loop
 }
 
-// schedulerConfig returns the bounds of the settings that scheduling depends on.
+// schedulerConfig returns the scheduler's configuration, which is taken from the bounds in the settings.
 func (n *Node) schedulerConfig() scheduler.Config {
 	bounds := n.settings.Bounds
 	return scheduler.Config{
@@ -56,7 +56,7 @@
 	}
 }
 
-// run drives the shard until the node stops.
+// run runs the scheduling cycles of the shard until the node stops.
 func (s *shardLoop) run() {
 	timer := time.NewTimer(idleTick)
 	defer timer.Stop()
@@ -80,9 +80,9 @@
 	}
 }
 
-// send sends an order, if the lease under which its issuer gave it is still held, and passes the reply
-// to the issuer. An order that may not be sent is reported as one without a reply.
-// An order is sent once; whether one without a reply is sent again is the scheduler's decision.
+// send sends an order if the leader's lease under which the scheduler issued it is still held, and passes
+// the reply to that scheduler. An order that must not be sent is treated as one without a reply.
+// send sends an order only once; the scheduler decides whether to retry an order that got no reply.
 func (s *shardLoop) send(issuer *scheduler.Scheduler, order scheduler.Order) {
 	maySend := s.shard.MaySend(order)
 	if !maySend {
@@ -113,11 +113,11 @@
 	}
 }
 
-// replyFunc takes the response to a request. It is called once and must not block.
+// replyFunc receives the response to a request. It is called once and must not block.
 type replyFunc = func(protocol.JobResponse)
 
-// call makes a call of the shard whose response comes by a callback, and waits for it. Where the node
-// stops first, the outcome is not known.
+// call passes a request to the shard, which responds by a callback, and waits for the response. If the node
+// stops first, the returned response reports an unknown outcome.
 func (s *shardLoop) call(request func(shard *leader.Shard, reply replyFunc)) protocol.JobResponse {
 	responses := make(chan protocol.JobResponse, 1)
 	request(s.shard, func(response protocol.JobResponse) { responses <- response })
