--- a/internal/cluster/protocol/golden_gob_test.go
+++ b/internal/cluster/protocol/golden_gob_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The functions of this file read a gob stream without the program's types, as the documentation
-// of encoding/gob describes it: which types it defines, and which messages follow.
+// The functions of this file decode a gob stream according to the documentation of encoding/gob, without using
+// the program's types: the type definitions in the stream and the messages that follow them.
 
-// gobReader reads the basic values of gob.
+// gobReader decodes the basic values of gob.
 type gobReader struct {
 	t    *testing.T
 	rest []byte
@@ -57,7 +57,7 @@
 	return string(r.bytes(int(r.uint())))
 }
 
-// fields reads a struct: it calls read with the number, from 0, of each field that is there.
+// fields decodes a struct. It calls read with the number, counted from 0, of each field that is present.
 func (r *gobReader) fields(read func(field int)) {
 	r.t.Helper()
 	field := -1
@@ -67,16 +67,16 @@
 	}
 }
 
-// gobType is a type that a stream defines.
+// gobType is a type definition in a stream.
 type gobType struct {
-	kind      int // index of the field of gob's wireType
-	key, elem int // numbers of types
+	kind      int // index of the field of gob's wireType that is set
+	key, elem int // type numbers
 	length    int // of an array
 	names     []string
 	types     []int
 }
 
-// Kinds of types: fields of gob's wireType.
+// Kinds of types: indexes of the fields of gob's wireType.
 const (
 	gobArray  = 0
 	gobSlice  = 1
@@ -107,7 +107,7 @@
 	return defined
 }
 
-// commonType reads a type's Go name and number, which nothing depends on.
+// commonType skips a type's Go name and number, on which nothing depends.
 func (r *gobReader) commonType() {
 	r.t.Helper()
 	r.fields(func(field int) {
@@ -137,7 +137,7 @@
 
 var basicTypes = map[int]string{1: "bool", 2: "int", 3: "uint", 4: "float", 5: "bytes", 6: "string", 7: "complex", 8: "interface"}
 
-// typeText describes a type by its structure, whatever its number and Go name.
+// typeText describes the structure of a type, independent of its number and Go name.
 func typeText(types map[int]gobType, number int) string {
 	if name, ok := basicTypes[number]; ok {
 		return name
@@ -163,16 +163,16 @@
 	return fmt.Sprintf("unexpected kind %d of type", defined.kind)
 }
 
-// sentFrame is a frame of package rpc as it stands in a stream.
+// sentFrame is a frame of package rpc as encoded in a stream.
 type sentFrame struct {
 	frameType string // structure of the frame
 	id, kind  uint64
-	name      string // under which the message's type is registered
+	name      string // registered name of the message's type
 	bodyType  string // structure of the message
-	body      string // encoded; field numbers and values, without numbers of types
+	body      string // encoded field numbers and values, without type numbers
 }
 
-// frameStream reads frames from a connection, or from what was recorded of one.
+// frameStream reads frames from a connection or from a recording of one.
 type frameStream struct {
 	t     *testing.T
 	from  *bufio.Reader
@@ -183,7 +183,7 @@
 	return &frameStream{t: t, from: bufio.NewReader(from), types: map[int]gobType{}}
 }
 
-// frames reads a whole recorded stream.
+// frames returns all frames of a recorded stream.
 func frames(t *testing.T, recorded []byte) []sentFrame {
 	t.Helper()
 	stream := newFrameStream(t, bytes.NewReader(recorded))
@@ -196,7 +196,7 @@
 	}
 }
 
-// message reads one message of gob: its length, and what it holds.
+// message reads one gob message, which begins with its length, and returns a reader of its content.
 func (s *frameStream) message() *gobReader {
 	s.t.Helper()
 	first, err := s.from.ReadByte()
@@ -217,8 +217,8 @@
 	return content
 }
 
-// typeNumber reads the number of the type of what follows, and the types that are defined before
-// it. Each definition ends a message, or is followed by a length.
+// typeNumber reads the type number of the value that follows, and the type definitions before it. Each
+// definition is either the end of a message or followed by a length.
 func (s *frameStream) typeNumber(r *gobReader) int {
 	s.t.Helper()
 	for {
@@ -257,7 +257,7 @@
 	return frame
 }
 
-// describe lists the frames of both directions: their numbers, names and fields.
+// describe returns a text that lists the frames of both directions with their numbers, names and fields.
 func describe(t *testing.T, recorded capture) string {
 	t.Helper()
 	var to strings.Builder
--- a/internal/cluster/protocol/golden_stream_test.go
+++ b/internal/cluster/protocol/golden_stream_test.go
@@ -16,13 +16,13 @@
 	"basaltloft/coord/rpc"
 )
 
-// capture is what went over one connection.
+// capture holds the bytes that were sent over one connection.
 type capture struct {
 	request, response []byte // after the upgrade
-	upgrade           string // both heads, without the server's port
+	upgrade           string // header sections of the upgrade request and its response, without the server's address
 }
 
-// recordingListener records what its connections read and write.
+// recordingListener records the bytes that its connections read and write.
 type recordingListener struct {
 	net.Listener
 	mu            sync.Mutex
@@ -54,7 +54,7 @@
 	return c.Conn.Write(p)
 }
 
-// recordingHandler keeps what it is sent, and answers each call.
+// recordingHandler records all received messages, and responds to each call with goldenAnswer.
 type recordingHandler struct {
 	mu       sync.Mutex
 	received []any
@@ -83,7 +83,8 @@
 	return listener, strings.TrimPrefix(server.URL, "http://")
 }
 
-// exchange sends each message and then a call from a client to a server of this build.
+// exchange sends all golden messages and then a call from a client to a server of this build. It returns what
+// was sent over the connection.
 func exchange(t *testing.T) capture {
 	t.Helper()
 	server := rpc.NewServer(&recordingHandler{})
@@ -106,8 +107,8 @@
 
 const upgradeRequest = "GET /internal/stream HTTP/1.1\r\nHost: core\r\nConnection: Upgrade\r\nUpgrade: basaltloft-gob/1\r\n\r\n"
 
-// replayToServer sends recorded bytes to a server of this build. It returns the messages that
-// arrived, and the answer to the call at the end.
+// replayToServer sends recorded bytes to a server of this build. It returns the received messages, and the
+// response to the call at the end.
 func replayToServer(t *testing.T, request []byte) (received []any, response sentFrame) {
 	t.Helper()
 	handler := &recordingHandler{}
@@ -115,7 +116,7 @@
 	_, address := startServer(t, server)
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", address)
 	require.NoError(t, err)
-	defer func() { _ = conn.Close() }() // all that matters was read
+	defer func() { _ = conn.Close() }() // everything needed was read
 	_, err = io.WriteString(conn, upgradeRequest+string(request))
 	require.NoError(t, err)
 	reader := bufio.NewReader(conn)
@@ -128,15 +129,16 @@
 	return handler.received, response
 }
 
-// callAnsweredWith has a client of this build make a call that is answered with recorded bytes.
-func callAnsweredWith(t *testing.T, response []byte) any {
+// callWithResponse makes a call with a client of this build, and responds to it with recorded bytes. It returns
+// the response as decoded by the client.
+func callWithResponse(t *testing.T, response []byte) any {
 	t.Helper()
 	_, address := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, buffered, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
 		}
-		defer func() { _ = conn.Close() }() // the client has read all that matters
+		defer func() { _ = conn.Close() }() // the client has read everything it needs
 		_, _ = io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: basaltloft-gob/1\r\n\r\n")
 		_, _ = buffered.ReadByte() // the call
 		_, _ = conn.Write(response)
--- a/internal/cluster/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -17,7 +17,8 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// Files under testdata, which commit 352ebf2 wrote: processes of that build send and expect these bytes.
+// Files under testdata, which were written by commit 352ebf2. Processes of that build send and expect these
+// bytes.
 const (
 	requestFile  = "client-to-server.bin" // what a client sends after the upgrade
 	responseFile = "server-to-client.bin" // what a server sends after the upgrade
@@ -95,7 +96,7 @@
 	}
 }
 
-// goldenMessages are one of each registered message, with all fields filled.
+// goldenMessages returns one message of each registered type, with no field zero.
 func goldenMessages() []any {
 	return []any{
 		goldenReplicaMessage(),
@@ -114,7 +115,7 @@
 	}
 }
 
-// requireFilled fails where a field of a value is zero: gob leaves it out.
+// requireFilled requires that no field of a value is zero, because gob omits zero fields.
 func requireFilled(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
@@ -142,8 +143,8 @@
 	}
 }
 
-// keepMissingFiles writes the golden files that do not exist yet, where that is asked for.
-func keepMissingFiles(t *testing.T) {
+// writeMissingFiles writes the golden files that do not exist yet, if goldentest.Writing returns true.
+func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	recorded := exchange(t)
 	for name, content := range map[string][]byte{
@@ -153,9 +154,10 @@
 	}
 }
 
-// TestGoldenMessagesAreRead: a server of this build takes what a client of 352ebf2 sends.
+// TestGoldenMessagesAreRead checks that a server of this build decodes the messages of a client of commit
+// 352ebf2.
 func TestGoldenMessagesAreRead(t *testing.T) {
-	keepMissingFiles(t)
+	writeMissingFiles(t)
 	received, response := replayToServer(t, golden(t, requestFile))
 	wanted := append(goldenMessages(), goldenAsk()) // the last one is a call
 	require.Len(t, received, len(wanted))
@@ -165,13 +167,13 @@
 	require.Equal(t, frames(t, golden(t, responseFile)), []sentFrame{response}, "the answer")
 }
 
-// TestGoldenAnswerIsRead: a client of this build takes the answer of a server of 352ebf2.
+// TestGoldenAnswerIsRead checks that a client of this build decodes the response of a server of commit 352ebf2.
 func TestGoldenAnswerIsRead(t *testing.T) {
-	require.Equal(t, goldenAnswer(), callAnsweredWith(t, golden(t, responseFile)))
+	require.Equal(t, goldenAnswer(), callWithResponse(t, golden(t, responseFile)))
 }
 
-// TestMessagesMatchGolden: what this build sends has the names, the fields and the types that
-// a process of 352ebf2 knows. The bytes may differ: gob numbers types in the order of their use.
+// TestMessagesMatchGolden checks that the messages of this build have the names, fields and types that a process
+// of commit 352ebf2 expects. The bytes may differ because gob numbers types in the order of their use.
 func TestMessagesMatchGolden(t *testing.T) {
 	recorded := exchange(t)
 	require.Equal(t, string(golden(t, schemaFile)), describe(t, recorded))
@@ -182,8 +184,9 @@
 	require.Equal(t, string(golden(t, upgradeFile)), recorded.upgrade)
 }
 
-// TestMessagesHaveTheirOldRegisteredNames: the names contain the path of the package that had
-// the type at 352ebf2. A type that moves is registered under its old name: gob.RegisterName.
+// TestMessagesHaveTheirOldRegisteredNames checks the registered names. They contain the path of the package that
+// had the type at commit 352ebf2. A type that was moved since is registered under its old name by
+// rpc.RegisterName.
 func TestMessagesHaveTheirOldRegisteredNames(t *testing.T) {
 	var names []string
 	for _, frame := range frames(t, exchange(t).request) {
@@ -207,7 +210,7 @@
 	}, names)
 }
 
-// TestNumbersOnTheWire: constants that are sent keep their numbers.
+// TestNumbersOnTheWire checks that constants that are sent keep their numbers.
 func TestNumbersOnTheWire(t *testing.T) {
 	require.Equal(t, []protocol.JobOperation{1, 2, 3, 4}, []protocol.JobOperation{protocol.GetJobState, protocol.CancelJob, protocol.CountPending, protocol.CheckFormerShard})
 	require.Equal(t, []replica.MessageKind{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, []replica.MessageKind{
@@ -219,8 +222,8 @@
 	require.Equal(t, []job.State{0, 1, 2, 3, 4}, []job.State{job.StatePending, job.StateRunning, job.StateCompleted, job.StateFailed, job.StateCanceled})
 }
 
-// TestGroupsAndShardsKeepTheirNames: folders on disk and messages carry the groups' names, and
-// all builds must agree on a service's shard.
+// TestGroupsAndShardsKeepTheirNames checks the groups' names, which folders on disk and messages contain, and the
+// shards of services, which must be the same in all builds.
 func TestGroupsAndShardsKeepTheirNames(t *testing.T) {
 	require.Equal(t, "config", protocol.ConfigGroup)
 	require.Equal(t, 4, protocol.ShardCount)
--- a/internal/cluster/protocol/jobs.go
+++ b/internal/cluster/protocol/jobs.go
@@ -5,59 +5,61 @@
 	"basaltloft/internal/cluster/opconfig"
 )
 
-// Status is the result of a request: a status code of HTTP, or StatusNotLeader.
+// Status is the result of a request: an HTTP status code, or StatusNotLeader.
 type Status int
 
-// StatusNotLeader says that the process that answers does not lead the group, and did nothing: the
-// request may be sent to another one. It is the zero value, so that a response without a status says
-// the same.
+// StatusNotLeader means that the responding process does not lead the group and has done nothing, so that the
+// request may be sent to another process. It is the zero value, so that a response without a status means the
+// same.
 const StatusNotLeader Status = 0
 
-// SubmitRequest submits a job to the leader of a shard. The answer is a JobResponse.
+// SubmitRequest submits a job to the leader of a shard. The response is a JobResponse.
 type SubmitRequest struct {
 	Shard   int
 	Queue   string // opconfig.Route.Queue
-	ID      string // chosen by the client; the same request may be sent again under it
+	ID      string // chosen by the client; a retry of the request has the same ID
 	Body    []byte // as the client sent it
-	Version int64  // of the configuration that Route is of
+	Version int64  // version of the configuration that contains Route
 	Route   opconfig.Route
 }
 
-// JobOperation says what a JobRequest wants.
+// JobOperation is the operation that a JobRequest requests.
 type JobOperation uint8
 
 // Operations of a JobRequest.
 const (
 	GetJobState  JobOperation = iota + 1
-	CancelJob                 // also one that is not known yet: a late submission is then rejected
-	CountPending              // jobs of the queue that were accepted and not started
-	// CheckFormerShard asks the leader of a shard that had the queue before whether it has the ID.
-	// It first seals the queue there: from then on nothing is accepted under older configurations.
+	CancelJob                 // cancels also an unknown job: a submission that arrives later is rejected
+	CountPending              // counts the queue's jobs that are accepted and not started
+	// CheckFormerShard asks the leader of a shard to which the queue was routed before whether it has a job
+	// with the ID. The leader first seals the queue: from then on it accepts no job for the queue under an
+	// older configuration.
 	CheckFormerShard
 )
 
-// JobRequest asks the leader of a shard about a job or a queue. The answer is a JobResponse.
+// JobRequest requests an operation on a job or a queue from the leader of a shard. The response is a
+// JobResponse.
 type JobRequest struct {
 	Verb    JobOperation
 	Shard   int
 	Queue   string
-	ID      string // unless CountPending
-	Version int64  // of the configuration that the sender has
-	Since   int64  // CheckFormerShard: the version that moved the queue
-	Hash    uint64 // CheckFormerShard: of the job's body
+	ID      string // ID of the job; empty for CountPending
+	Version int64  // version of the sender's configuration
+	Since   int64  // CheckFormerShard: configuration version that moved the queue
+	Hash    uint64 // CheckFormerShard: hash of the job's body
 }
 
-// JobResponse is the answer to a SubmitRequest or a JobRequest.
+// JobResponse is the response to a SubmitRequest or a JobRequest.
 type JobResponse struct {
 	Status       Status
 	State        job.State
-	Pending      int    // CountPending: jobs
-	RetryAfterMs int64  // where Status is 503: when to send it again; 0: not said
+	Pending      int    // CountPending: number of jobs
+	RetryAfterMs int64  // with Status 503: time until a retry; 0: not specified
 	Owner        string // with StatusNotLeader: address of the shard's leader; empty: not known
 	Reason       string
-	Unknown      bool // whether it was done is not known: send the same request again
-	Never        bool // the job was not accepted and never will be, however often it is sent
-	// Moved is the version of a configuration, newer than the sender's, that sends the queue to
-	// another shard; nothing was done here. 0: none does.
+	Unknown      bool // the outcome is not known: the sender should retry the same request
+	Never        bool // the job was not accepted and never will be, even if the submission is retried
+	// Moved is the version of a configuration, newer than the sender's, that routes the queue to another
+	// shard; the request was not carried out. 0: there is none.
 	Moved int64
 }
--- a/internal/cluster/protocol/membership.go
+++ b/internal/cluster/protocol/membership.go
@@ -2,16 +2,17 @@
 
 import "basaltloft/coord/replica"
 
-// JoinRequest asks that a process becomes a member of a group. It has no answer and is repeated
-// until the process is a member.
+// JoinRequest requests that a process becomes a member of a group. It has no response; the process repeats it
+// until it is a member.
 type JoinRequest struct {
 	Group   string
 	Member  replica.Member
-	Relayed bool // it was forwarded once and is not forwarded again
+	Relayed bool // the request was forwarded once and must not be forwarded again
 }
 
-// LeaveNotice says that a member shuts down, so that a learner may take its vote. It has no answer.
+// LeaveNotice announces that a member is shutting down, so that a learner may replace it as a voter. It has no
+// response.
 type LeaveNotice struct {
 	Group string
-	ID    string // of the member
+	ID    string // member ID
 }
--- a/internal/cluster/protocol/protocol.go
+++ b/internal/cluster/protocol/protocol.go
@@ -1,9 +1,9 @@
-// Package protocol has the messages between the processes of the cluster scheduler, and the map
-// from services to shards. Messages travel by package rpc, which encodes them by encoding/gob: the
-// names of fields and the registered names of types are sent. Processes of different builds run
-// beside each other during a rolling upgrade: a field may be added, none may be renamed or change its
-// meaning. Some fields have older names than the code that uses them; their comments say what they
-// hold.
+// Package protocol defines the messages between the processes of the cluster scheduler, and the mapping from
+// services to shards. Messages are sent by package rpc, which encodes them with encoding/gob: the encoding
+// contains the names of fields and the registered names of types. During a rolling upgrade, processes of
+// different builds run at the same time. Therefore a field may be added, but none may be renamed or change
+// its meaning. Some field names are older than the terms of the code that uses them; their comments say what
+// they hold.
 package protocol
 
 import (
@@ -11,8 +11,8 @@
 	"basaltloft/coord/rpc"
 )
 
-// Names under which messages travel: the import paths that the types had in the first build.
-// They are part of the protocol between builds and don't follow the types' own names.
+// Prefixes of the names under which message types are registered: the import paths that the types had in the
+// first build. The registered names are part of the protocol between builds, and stay when a type is renamed.
 const (
 	replicaNames  = "basaltloft/coord/replica."
 	protocolNames = "basaltloft/internal/protocol."
--- a/internal/cluster/protocol/runners.go
+++ b/internal/cluster/protocol/runners.go
@@ -2,16 +2,16 @@
 
 import "basaltloft/internal/cluster/job"
 
-// RunnerList is the platform's list of runners. The leader of the configuration's group reads it and
-// sends it to the other control-plane nodes. It has no answer. The newest list is that of the
-// highest Epoch and, within it, the highest Sequence.
+// RunnerList is the platform's list of runners. The leader of the configuration's group reads it and sends it
+// to the other control-plane nodes. It has no response. The newest list is the one with the highest Epoch and,
+// within that epoch, the highest Sequence.
 type RunnerList struct {
-	Epoch    uint64 // of the sender's leadership
-	Sequence uint64 // rising with each list of the sender
+	Epoch    uint64 // epoch of the sender's leadership
+	Sequence uint64 // increases with each list of the sender
 	List     []Runner
 }
 
-// NewerThan reports whether this list replaces another one; the zero value is older than any list.
+// NewerThan reports whether this list is newer than other. The zero value is older than any list.
 func (l RunnerList) NewerThan(other RunnerList) bool {
 	if l.Epoch != other.Epoch {
 		return l.Epoch > other.Epoch
@@ -21,11 +21,11 @@
 
 // Runner is one incarnation of a runner, as the platform lists it.
 type Runner struct {
-	ID          string // of the incarnation
+	ID          string // instance ID of the incarnation
 	Service     string
 	Address     string
 	Labels      []string
 	Capacity    job.Resources
-	Draining    bool  // it gets no more tasks
-	RemainingMs int64 // where it drains: how long it runs at least; 0: not said
+	Draining    bool  // the runner must not get new tasks
+	RemainingMs int64 // minimum time until a draining runner stops; 0: not specified
 }
--- a/internal/cluster/protocol/status.go
+++ b/internal/cluster/protocol/status.go
@@ -5,15 +5,14 @@
 	"basaltloft/coord/replica"
 )
 
-// StatusRequest asks a control-plane node for the state of its replicas. The answer is a
-// StatusResponse.
+// StatusRequest requests the state of a control-plane node's replicas. The response is a StatusResponse.
 type StatusRequest struct{}
 
-// StatusResponse is the answer to a StatusRequest.
+// StatusResponse is the response to a StatusRequest.
 type StatusResponse struct {
 	Node    string // the node's name in its settings
 	Member  replica.Member
-	Version int64         // of the configuration that this process has applied; 0: none
+	Version int64         // version of the configuration that this process has applied; 0: none
 	Groups  []GroupStatus // sorted by name
 }
 
