--- a/internal/cluster/controlplane/processoruse.go
+++ b/internal/cluster/controlplane/processoruse.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// processorInterval is the interval at which the used processor time is sampled. It is also the usual
-// period of a processor quota: a platform that limits a process grants the quota anew for each interval.
+// processorInterval is the interval at which the used processor time is sampled. A platform that limits a
+// process to a share of a processor grants this quota anew for each interval of the same length.
 const processorInterval = 100 * time.Millisecond
 
 const (
--- a/internal/cluster/controlplane/runnerclient.go
+++ b/internal/cluster/controlplane/runnerclient.go
@@ -40,8 +40,8 @@
 // closed. The rest is for dispatchers, other nodes and files.
 const runnerConnShare = 0.7
 
-// limitFDs bounds the number of open connections by the number of file descriptors that the process may
-// have; 0 means no limit.
+// limitFDs sets the number of connections above which idle ones are closed to runnerConnShare of maxFDs, the
+// number of file descriptors that the platform allows the process. 0 means no limit.
 func (c *runnerClient) limitFDs(maxFDs int) {
 	c.conns.limitOpen(int(runnerConnShare * float64(maxFDs)))
 }
