--- a/internal/cluster/controlplane/configapi.go
+++ b/internal/cluster/controlplane/configapi.go
@@ -29,20 +29,20 @@
 // watch returns the response to a dispatcher's watch. If this node is the leader and the dispatcher has the
 // newest configuration, watch waits for a newer one, for the requested time or maxWatchWaitMs, whichever is
 // shorter.
-func (o *configAPI) watch(request protocol.WatchRequest) protocol.WatchResponse {
+func (a *configAPI) watch(request protocol.WatchRequest) protocol.WatchResponse {
 	receivedAt := time.Now()
-	changed, version := o.config.Changed()
-	if version <= request.Have && request.WaitMs > 0 && o.node.configGroup.IsLeader() {
+	changed, version := a.config.Changed()
+	if version <= request.Have && request.WaitMs > 0 && a.node.configGroup.IsLeader() {
 		select {
 		case <-changed:
-		case <-o.node.stop:
+		case <-a.node.stop:
 		case <-time.After(time.Duration(min(request.WaitMs, maxWatchWaitMs)) * time.Millisecond):
 		}
 	}
-	nodes := o.node.nodeAddresses()
-	shardLeaders := o.node.shardLeaders()
+	nodes := a.node.nodeAddresses()
+	shardLeaders := a.node.shardLeaders()
 	waited := time.Since(receivedAt) // measured before Version is read; see WatchResponse.HeldMs
-	response := o.config.Watch(request.Have)
+	response := a.config.Watch(request.Have)
 	response.Cores = nodes
 	response.Owners = shardLeaders
 	response.HeldMs = waited.Milliseconds()
@@ -51,21 +51,21 @@
 
 // handle executes an operator's request if this node leads the configuration's group. It waits for the
 // commit for at most commitTimeout; after that, the response reports that the outcome is unknown.
-func (o *configAPI) handle(request protocol.OperatorRequest) protocol.OperatorResponse {
+func (a *configAPI) handle(request protocol.OperatorRequest) protocol.OperatorResponse {
 	responses := make(chan protocol.OperatorResponse, 1)
-	o.config.HandleOperatorRequest(request, func(response protocol.OperatorResponse) { responses <- response })
+	a.config.HandleOperatorRequest(request, func(response protocol.OperatorResponse) { responses <- response })
 	select {
 	case response := <-responses:
 		return response
 	case <-time.After(commitTimeout):
 		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "the commit was not seen: send the same again"}
-	case <-o.node.stop:
+	case <-a.node.stop:
 		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "this process ends: send the same again"}
 	}
 }
 
 // serveReplace handles an operator's POST of a new configuration.
-func (o *configAPI) serveReplace(w http.ResponseWriter, r *http.Request) {
+func (a *configAPI) serveReplace(w http.ResponseWriter, r *http.Request) {
 	content, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	tooLarge := &http.MaxBytesError{}
 	switch {
@@ -81,17 +81,17 @@
 		http.Error(w, "Base-Version must be the version that the configuration builds on", http.StatusBadRequest)
 		return
 	}
-	o.respond(w, protocol.OperatorRequest{Replace: true, Base: base, Content: content})
+	a.respond(w, protocol.OperatorRequest{Replace: true, Base: base, Content: content})
 }
 
 // serveGet handles an operator's GET of the newest configuration.
-func (o *configAPI) serveGet(w http.ResponseWriter, _ *http.Request) {
-	o.respond(w, protocol.OperatorRequest{})
+func (a *configAPI) serveGet(w http.ResponseWriter, _ *http.Request) {
+	a.respond(w, protocol.OperatorRequest{})
 }
 
 // respond passes a request to the leader and writes the response.
-func (o *configAPI) respond(w http.ResponseWriter, request protocol.OperatorRequest) {
-	response := o.forward(request)
+func (a *configAPI) respond(w http.ResponseWriter, request protocol.OperatorRequest) {
+	response := a.forward(request)
 	if response.Status == protocol.StatusNotLeader {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "the configuration has no owner at this moment: try again", http.StatusServiceUnavailable)
@@ -107,12 +107,12 @@
 
 // forward executes a request on this node if it is the leader. Otherwise it sends the request once to the
 // leader, if known.
-func (o *configAPI) forward(request protocol.OperatorRequest) protocol.OperatorResponse {
-	local := o.handle(request)
-	if local.Status != protocol.StatusNotLeader || local.Leader == "" || local.Leader == o.node.self.Address {
+func (a *configAPI) forward(request protocol.OperatorRequest) protocol.OperatorResponse {
+	local := a.handle(request)
+	if local.Status != protocol.StatusNotLeader || local.Leader == "" || local.Leader == a.node.self.Address {
 		return local
 	}
-	answer, err := o.node.peers.call(local.Leader, forwardTimeout, request)
+	answer, err := a.node.peers.call(local.Leader, forwardTimeout, request)
 	if err != nil {
 		return protocol.OperatorResponse{Status: http.StatusGatewayTimeout, Reason: "the owner did not answer: send the same again"}
 	}
--- a/internal/cluster/controlplane/runnerconn.go
+++ b/internal/cluster/controlplane/runnerconn.go
@@ -46,11 +46,11 @@
 // runnerConn is a persistent connection to a runner. It carries one order at a time. A goroutine reads from
 // it all the time, so that the end of the connection is noticed also while it is idle.
 type runnerConn struct {
-	address string
-	conn    net.Conn
-	reader  *bufio.Reader   // used only by the reading goroutine
-	results chan readResult // buffered for a reply whose sender has given up, and the error after it
-	waiting atomic.Bool     // true while a reply is expected
+	address       string
+	conn          net.Conn
+	reader        *bufio.Reader   // used only by the reading goroutine
+	results       chan readResult // buffered for a reply whose sender has given up, and the error after it
+	replyExpected atomic.Bool     // an order was or is being written, and its reply has not been read
 
 	// request and body are used only by the sender.
 	request http.Request
@@ -94,7 +94,7 @@
 	if err := c.request.Write(buffer); err != nil {
 		return httpReply{}, errors.Wrap(err, "encode the request of an order")
 	}
-	c.waiting.Store(true)
+	c.replyExpected.Store(true)
 	_ = c.conn.SetDeadline(deadline) // if it fails, Write fails too
 	if written, err := c.conn.Write(buffer.Bytes()); err != nil {
 		if written == 0 && errors.Is(err, net.ErrClosed) {
@@ -117,7 +117,7 @@
 			return
 		}
 		_ = c.conn.SetDeadline(time.Time{}) // an error shows up in the next read
-		c.waiting.Store(false)
+		c.replyExpected.Store(false)
 		c.results <- readResult{reply: reply}
 	}
 }
@@ -127,7 +127,7 @@
 	if _, err := c.reader.Peek(1); err != nil {
 		return httpReply{}, errors.Wrap(err, "wait for a runner's reply")
 	}
-	if !c.waiting.Load() {
+	if !c.replyExpected.Load() {
 		return httpReply{}, errUnexpectedReply
 	}
 	for range maxInterimReplies {
--- a/internal/cluster/protocol/golden_stream_test.go
+++ b/internal/cluster/protocol/golden_stream_test.go
@@ -54,7 +54,7 @@
 	return c.Conn.Write(p)
 }
 
-// recordingHandler records all received messages, and responds to each call with goldenAnswer.
+// recordingHandler records all received messages, and responds to each call with goldenJobResponse.
 type recordingHandler struct {
 	mu       sync.Mutex
 	received []any
@@ -68,7 +68,7 @@
 
 func (h *recordingHandler) HandleCall(body any) any {
 	h.HandleOneWay(body)
-	return goldenAnswer()
+	return goldenJobResponse()
 }
 
 func startServer(t *testing.T, handler http.Handler) (*recordingListener, string) {
@@ -93,9 +93,9 @@
 	for _, message := range goldenMessages() {
 		require.NoError(t, client.SendOneWay(message))
 	}
-	answer, err := client.Call(t.Context(), goldenAsk())
+	answer, err := client.Call(t.Context(), goldenJobRequest())
 	require.NoError(t, err)
-	require.Equal(t, goldenAnswer(), answer)
+	require.Equal(t, goldenJobResponse(), answer)
 	server.Close()
 	listener.mu.Lock()
 	defer listener.mu.Unlock()
@@ -146,7 +146,7 @@
 	}))
 	client := rpc.NewClient(address)
 	defer client.Close()
-	answer, err := client.Call(t.Context(), goldenAsk())
+	answer, err := client.Call(t.Context(), goldenJobRequest())
 	require.NoError(t, err)
 	return answer
 }
--- a/internal/cluster/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func goldenSubmit() protocol.SubmitRequest {
+func goldenSubmitRequest() protocol.SubmitRequest {
 	return protocol.SubmitRequest{
 		Shard: 2, Queue: "host/queue/", ID: "job-id", Body: []byte(`{"stages":[]}`), Version: 31,
 		Route: opconfig.Route{
@@ -60,18 +60,18 @@
 	}
 }
 
-func goldenAsk() protocol.JobRequest {
+func goldenJobRequest() protocol.JobRequest {
 	return protocol.JobRequest{Verb: protocol.CheckFormerShard, Shard: 3, Queue: "host/asked/", ID: "asked-id", Version: 41, Since: 42, Hash: 43}
 }
 
-func goldenAnswer() protocol.JobResponse {
+func goldenJobResponse() protocol.JobResponse {
 	return protocol.JobResponse{
 		Status: 409, State: job.StateCanceled, Pending: 51, RetryAfterMs: 52, Owner: "10.1.0.6:7660", Reason: "reason",
 		Unknown: true, Never: true, Moved: 53,
 	}
 }
 
-func goldenFeedAnswer() protocol.WatchResponse {
+func goldenWatchResponse() protocol.WatchResponse {
 	return protocol.WatchResponse{
 		Leads: true, Leader: "10.1.0.7:7660", Version: 61, Content: []byte(`{"version":61}`),
 		Moved: map[string]opconfig.ServiceHistory{"host/moved/": {Services: []string{"old", "new"}, Since: 62}},
@@ -79,14 +79,14 @@
 	}
 }
 
-func goldenRunners() protocol.RunnerList {
+func goldenRunnerList() protocol.RunnerList {
 	return protocol.RunnerList{Epoch: 71, Sequence: 72, List: []protocol.Runner{{
 		ID: "runner", Service: "service", Address: "10.3.0.1:9000", Labels: []string{"rack=1", "ssd"},
 		Capacity: job.Resources{CPU: 73, MemMB: 74, GPU: 75}, Draining: true, RemainingMs: 76,
 	}}}
 }
 
-func goldenStatusAnswer() protocol.StatusResponse {
+func goldenStatusResponse() protocol.StatusResponse {
 	return protocol.StatusResponse{
 		Node: "core-a-1", Member: replica.Member{ID: "member", Address: "10.1.0.10:7660"}, Version: 81,
 		Groups: []protocol.GroupStatus{{Name: "config", Leader: "10.1.0.11:7660", Status: group.Status{
@@ -100,18 +100,18 @@
 func goldenMessages() []any {
 	return []any{
 		goldenReplicaMessage(),
-		goldenSubmit(),
-		goldenAsk(),
-		goldenAnswer(),
+		goldenSubmitRequest(),
+		goldenJobRequest(),
+		goldenJobResponse(),
 		protocol.WatchRequest{Node: "edge-a-1", Have: 91, WaitMs: 92},
-		goldenFeedAnswer(),
+		goldenWatchResponse(),
 		protocol.OperatorRequest{Replace: true, Base: 93, Content: []byte(`{"version":94}`)},
 		protocol.OperatorResponse{Status: 412, Leader: "10.1.0.12:7660", Content: []byte(`{"version":95}`), Reason: "operate reason"},
 		protocol.LeaveNotice{Group: "jobs-1", ID: "leaving"},
 		protocol.JoinRequest{Group: "jobs-2", Member: replica.Member{ID: "joining", Address: "10.1.0.13:7660"}, Relayed: true},
-		goldenRunners(),
+		goldenRunnerList(),
 		protocol.StatusRequest{},
-		goldenStatusAnswer(),
+		goldenStatusResponse(),
 	}
 }
 
@@ -159,7 +159,7 @@
 func TestGoldenMessagesAreRead(t *testing.T) {
 	writeMissingFiles(t)
 	received, response := replayToServer(t, golden(t, requestFile))
-	wanted := append(goldenMessages(), goldenAsk()) // the last one is a call
+	wanted := append(goldenMessages(), goldenJobRequest()) // the last one is a call
 	require.Len(t, received, len(wanted))
 	for i, message := range wanted {
 		require.Equal(t, message, received[i], "message %d, %T", i, message)
@@ -169,7 +169,7 @@
 
 // TestGoldenAnswerIsRead checks that a client of this build decodes the response of a server of commit 352ebf2.
 func TestGoldenAnswerIsRead(t *testing.T) {
-	require.Equal(t, goldenAnswer(), callWithResponse(t, golden(t, responseFile)))
+	require.Equal(t, goldenJobResponse(), callWithResponse(t, golden(t, responseFile)))
 }
 
 // TestMessagesMatchGolden checks that the messages of this build have the names, fields and types that a process
