--- a/internal/cluster/protocol/golden_test.go
+++ b/internal/cluster/protocol/golden_test.go
@@ -17,7 +17,8 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// Files under testdata, which commit 352ebf2 wrote: processes of that build send and expect these bytes.
+// Files under testdata, which were written by commit 352ebf2. Processes of that build send and expect these
+// bytes.
 const (
 	requestFile  = "client-to-server.bin" // what a client sends after the upgrade
 	responseFile = "server-to-client.bin" // what a server sends after the upgrade
@@ -49,7 +50,7 @@
 	}
 }
 
-func goldenSubmit() protocol.SubmitRequest {
+func goldenSubmitRequest() protocol.SubmitRequest {
 	return protocol.SubmitRequest{
 		Shard: 2, Queue: "host/queue/", ID: "job-id", Body: []byte(`{"stages":[]}`), Version: 31,
 		Route: opconfig.Route{
@@ -59,18 +60,18 @@
 	}
 }
 
-func goldenAsk() protocol.JobRequest {
+func goldenJobRequest() protocol.JobRequest {
 	return protocol.JobRequest{Verb: protocol.CheckFormerShard, Shard: 3, Queue: "host/asked/", ID: "asked-id", Version: 41, Since: 42, Hash: 43}
 }
 
-func goldenAnswer() protocol.JobResponse {
+func goldenJobResponse() protocol.JobResponse {
 	return protocol.JobResponse{
 		Status: 409, State: job.StateCanceled, Pending: 51, RetryAfterMs: 52, Owner: "10.1.0.6:7660", Reason: "reason",
 		Unknown: true, Never: true, Moved: 53,
 	}
 }
 
-func goldenFeedAnswer() protocol.WatchResponse {
+func goldenWatchResponse() protocol.WatchResponse {
 	return protocol.WatchResponse{
 		Leads: true, Leader: "10.1.0.7:7660", Version: 61, Content: []byte(`{"version":61}`),
 		Moved: map[string]opconfig.ServiceHistory{"host/moved/": {Services: []string{"old", "new"}, Since: 62}},
@@ -78,14 +79,14 @@
 	}
 }
 
-func goldenRunners() protocol.RunnerList {
+func goldenRunnerList() protocol.RunnerList {
 	return protocol.RunnerList{Epoch: 71, Sequence: 72, List: []protocol.Runner{{
 		ID: "runner", Service: "service", Address: "10.3.0.1:9000", Labels: []string{"rack=1", "ssd"},
 		Capacity: job.Resources{CPU: 73, MemMB: 74, GPU: 75}, Draining: true, RemainingMs: 76,
 	}}}
 }
 
-func goldenStatusAnswer() protocol.StatusResponse {
+func goldenStatusResponse() protocol.StatusResponse {
 	return protocol.StatusResponse{
 		Node: "core-a-1", Member: replica.Member{ID: "member", Address: "10.1.0.10:7660"}, Version: 81,
 		Groups: []protocol.GroupStatus{{Name: "config", Leader: "10.1.0.11:7660", Status: group.Status{
@@ -95,26 +96,26 @@
 	}
 }
 
-// goldenMessages are one of each registered message, with all fields filled.
+// goldenMessages returns one message of each registered type, with no field zero.
 func goldenMessages() []any {
 	return []any{
 		goldenReplicaMessage(),
-		goldenSubmit(),
-		goldenAsk(),
-		goldenAnswer(),
+		goldenSubmitRequest(),
+		goldenJobRequest(),
+		goldenJobResponse(),
 		protocol.WatchRequest{Node: "edge-a-1", Have: 91, WaitMs: 92},
-		goldenFeedAnswer(),
+		goldenWatchResponse(),
 		protocol.OperatorRequest{Replace: true, Base: 93, Content: []byte(`{"version":94}`)},
 		protocol.OperatorResponse{Status: 412, Leader: "10.1.0.12:7660", Content: []byte(`{"version":95}`), Reason: "operate reason"},
 		protocol.LeaveNotice{Group: "jobs-1", ID: "leaving"},
 		protocol.JoinRequest{Group: "jobs-2", Member: replica.Member{ID: "joining", Address: "10.1.0.13:7660"}, Relayed: true},
-		goldenRunners(),
+		goldenRunnerList(),
 		protocol.StatusRequest{},
-		goldenStatusAnswer(),
+		goldenStatusResponse(),
 	}
 }
 
-// requireFilled fails where a field of a value is zero: gob leaves it out.
+// requireFilled requires that no field of a value is zero, because gob omits zero fields.
 func requireFilled(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
@@ -142,8 +143,8 @@
 	}
 }
 
-// keepMissingFiles writes the golden files that do not exist yet, where that is asked for.
-func keepMissingFiles(t *testing.T) {
+// writeMissingFiles writes the golden files that do not exist yet, if goldentest.Writing returns true.
+func writeMissingFiles(t *testing.T) {
 	t.Helper()
 	recorded := exchange(t)
 	for name, content := range map[string][]byte{
@@ -153,11 +154,12 @@
 	}
 }
 
-// TestGoldenMessagesAreRead: a server of this build takes what a client of 352ebf2 sends.
+// TestGoldenMessagesAreRead checks that a server of this build decodes the messages of a client of commit
+// 352ebf2.
 func TestGoldenMessagesAreRead(t *testing.T) {
-	keepMissingFiles(t)
+	writeMissingFiles(t)
 	received, response := replayToServer(t, golden(t, requestFile))
-	wanted := append(goldenMessages(), goldenAsk()) // the last one is a call
+	wanted := append(goldenMessages(), goldenJobRequest()) // the last one is a call
 	require.Len(t, received, len(wanted))
 	for i, message := range wanted {
 		require.Equal(t, message, received[i], "message %d, %T", i, message)
@@ -165,13 +167,13 @@
 	require.Equal(t, frames(t, golden(t, responseFile)), []sentFrame{response}, "the answer")
 }
 
-// TestGoldenAnswerIsRead: a client of this build takes the answer of a server of 352ebf2.
+// TestGoldenAnswerIsRead checks that a client of this build decodes the response of a server of commit 352ebf2.
 func TestGoldenAnswerIsRead(t *testing.T) {
-	require.Equal(t, goldenAnswer(), callAnsweredWith(t, golden(t, responseFile)))
+	require.Equal(t, goldenJobResponse(), callWithResponse(t, golden(t, responseFile)))
 }
 
-// TestMessagesMatchGolden: what this build sends has the names, the fields and the types that
-// a process of 352ebf2 knows. The bytes may differ: gob numbers types in the order of their use.
+// TestMessagesMatchGolden checks that the messages of this build have the names, fields and types that a process
+// of commit 352ebf2 expects. The bytes may differ because gob numbers types in the order of their use.
 func TestMessagesMatchGolden(t *testing.T) {
 	recorded := exchange(t)
 	require.Equal(t, string(golden(t, schemaFile)), describe(t, recorded))
@@ -182,8 +184,9 @@
 	require.Equal(t, string(golden(t, upgradeFile)), recorded.upgrade)
 }
 
-// TestMessagesHaveTheirOldRegisteredNames: the names contain the path of the package that had
-// the type at 352ebf2. A type that moves is registered under its old name: gob.RegisterName.
+// TestMessagesHaveTheirOldRegisteredNames checks the registered names. They contain the path of the package that
+// had the type at commit 352ebf2. A type that was moved since is registered under its old name by
+// rpc.RegisterName.
 func TestMessagesHaveTheirOldRegisteredNames(t *testing.T) {
 	var names []string
 	for _, frame := range frames(t, exchange(t).request) {
@@ -207,7 +210,7 @@
 	}, names)
 }
 
-// TestNumbersOnTheWire: constants that are sent keep their numbers.
+// TestNumbersOnTheWire checks that constants that are sent keep their numbers.
 func TestNumbersOnTheWire(t *testing.T) {
 	require.Equal(t, []protocol.JobOperation{1, 2, 3, 4}, []protocol.JobOperation{protocol.GetJobState, protocol.CancelJob, protocol.CountPending, protocol.CheckFormerShard})
 	require.Equal(t, []replica.MessageKind{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}, []replica.MessageKind{
@@ -219,8 +222,8 @@
 	require.Equal(t, []job.State{0, 1, 2, 3, 4}, []job.State{job.StatePending, job.StateRunning, job.StateCompleted, job.StateFailed, job.StateCanceled})
 }
 
-// TestGroupsAndShardsKeepTheirNames: folders on disk and messages carry the groups' names, and
-// all builds must agree on a service's shard.
+// TestGroupsAndShardsKeepTheirNames checks the groups' names, which folders on disk and messages contain, and the
+// shards of services, which must be the same in all builds.
 func TestGroupsAndShardsKeepTheirNames(t *testing.T) {
 	require.Equal(t, "config", protocol.ConfigGroup)
 	require.Equal(t, 4, protocol.ShardCount)
