--- a/internal/cluster/dataplane/clients.go
+++ b/internal/cluster/dataplane/clients.go
@@ -18,27 +18,27 @@
 	watcher  *configWatcher
 	clock    func() time.Duration
 	draining func() bool
-	answerBy func() time.Duration // when each request has to be answered, since the process ends
+	answerBy func() time.Duration // the time by which all requests must have a response; never until the drain
 	pause    func(time.Duration)
 	waiting  atomic.Int32 // requests that wait for a configuration
 }
 
 const (
-	// defaultTimeout is a client's time-out where neither its route nor the client names one.
+	// defaultTimeout is a request's timeout where neither its route nor the client sets one.
 	defaultTimeout = 3 * time.Second
-	// retryShare is the part of a client's time-out for which its request is retried at most.
+	// retryShare is the share of a request's timeout after which it is no longer retried.
 	retryShare = 0.42
-	// attemptTimeout is how long a leader's response is waited for; later ones may never come.
+	// attemptTimeout bounds the wait for the response to one attempt; a later response may never arrive.
 	attemptTimeout = 350 * time.Millisecond
-	// retryPause is the pause before the second attempt, and between two looks for a configuration. It
-	// doubles with each further attempt, up to maxRetryPause: an election takes several times as long,
-	// and the nodes that are asked have other things to do meanwhile.
+	// retryPause is the pause before the second attempt, and between two checks for a configuration. The
+	// pause between attempts doubles with each of them, up to maxRetryPause: an election takes several
+	// times as long, and frequent requests would keep the nodes from their other work.
 	retryPause    = 25 * time.Millisecond
 	maxRetryPause = 100 * time.Millisecond
-	// notReadyRetryMs is after how long a client is told to come back where this process has no
-	// configuration that it may act on.
+	// notReadyRetryMs is the Retry-After, in milliseconds, of the responses that this process sends
+	// while it has no valid configuration.
 	notReadyRetryMs = 1000
-	// defaultMaxBodyBytes bounds a job's body where the configuration does not.
+	// defaultMaxBodyBytes bounds a job's body where the configuration sets no bound.
 	defaultMaxBodyBytes = 262144
 	// maxWaiting bounds the requests that wait for a configuration.
 	maxWaiting = 512
@@ -63,18 +63,18 @@
 	h.serve(w, r, target{view: view, route: route, deadline: arrived + retryTime(r, route)})
 }
 
-// target is where a client's request goes: the route that it matched, in which version of the
-// configuration, and until when it may be retried.
+// target is the destination of a client's request: the route that it matched, the version of the
+// configuration that the route is from, and the deadline for retries.
 type target struct {
 	view     *router.View
 	route    *opconfig.Route
 	deadline time.Duration
 }
 
-// awaitView returns the view, waiting for one that may be acted on until the deadline: an
-// election of the configuration's leader, or this process's own start, takes less time than a
-// client that was rejected stays away. Only maxWaiting requests wait, and none of a client that
-// has gone.
+// awaitView returns the view and true if it is valid, and else waits until the deadline for a valid
+// one: an election of the configuration group's leader, or the start of this process, takes less time
+// than a rejected client waits before it retries. At most maxWaiting requests wait, none begins to wait
+// during the drain, and the wait ends when the client disconnects.
 func (h *clientHandler) awaitView(r *http.Request, deadline time.Duration) (*router.View, bool) {
 	if view, valid := h.watcher.current(); valid || h.draining() {
 		return view, valid
@@ -92,14 +92,13 @@
 	return nil, false
 }
 
-// bounded returns a request's deadline, or the time by which this process has to answer if that comes
-// first. It is asked anew in each round: a process may be told to stop while a request waits.
+// bounded returns the earlier of a request's deadline and answerBy. Loops call it in each round, since
+// the drain may begin while a request waits.
 func (h *clientHandler) bounded(deadline time.Duration) time.Duration {
 	return min(deadline, h.answerBy())
 }
 
-// serve serves a request that matched a route. What follows the route's prefix in the path is
-// the job's ID.
+// serve serves a request that matched a route. The path after the route's prefix is the job's ID.
 func (h *clientHandler) serve(w http.ResponseWriter, r *http.Request, to target) {
 	id := r.URL.Path[len(to.route.PathPrefix):]
 	switch {
@@ -116,9 +115,10 @@
 	}
 }
 
-// retryTime returns for how long a request is retried before the client is told that it failed:
-// through an election of the shard's leader, which takes about a second, since a rejected client
-// comes back later than that. Without a route (nil) its time-out is not known.
+// retryTime returns for how long a request is retried before the client gets an error. It covers an
+// election of the shard's leader, which takes about a second, since a rejected client waits longer than
+// that before it retries. A nil route stands for a route that isn't known yet; the timeout that the
+// route sets is then left out.
 func retryTime(r *http.Request, route *opconfig.Route) time.Duration {
 	timeout := defaultTimeout
 	if route != nil && route.TimeoutMs > 0 {
@@ -130,14 +130,14 @@
 	return time.Duration(retryShare * float64(timeout))
 }
 
-// serveJobRequest serves a state, a cancellation or a count.
+// serveJobRequest serves a request for a job's state, for its cancellation or for the number of pending jobs.
 func (h *clientHandler) serveJobRequest(w http.ResponseWriter, to target, operation protocol.JobOperation, id string) {
 	writeResponse(w, operation, h.forward(to, func(view *router.View, route *opconfig.Route) *router.Call {
 		return router.NewJobCall(view, route, operation, id)
 	}))
 }
 
-// serveSubmit serves a job that a client hands in.
+// serveSubmit serves the submission of a job.
 func (h *clientHandler) serveSubmit(w http.ResponseWriter, r *http.Request, to target, id string) {
 	maxBytes := to.view.Config.Limits.MaxBodyBytes
 	if maxBytes == 0 {
@@ -153,9 +153,9 @@
 	}))
 }
 
-// forward sends a request to the leaders that can serve it and returns the client's response.
-// Where a leader knows a newer configuration that routes the queue elsewhere, it waits for that
-// one and builds the call anew.
+// forward sends a request to the leaders that can serve it and returns the response for the client.
+// If a leader has a newer configuration that routes the queue elsewhere, forward waits for that
+// configuration and builds the call again from it.
 func (h *clientHandler) forward(to target, newCall func(*router.View, *opconfig.Route) *router.Call) protocol.JobResponse {
 	call := newCall(to.view, to.route)
 	for {
@@ -178,8 +178,8 @@
 	}
 }
 
-// awaitNewerView waits for a configuration that is newer than the present one and at least of
-// the wanted version.
+// awaitNewerView waits until the deadline for a valid configuration that is newer than the version
+// present and at least of the version wanted.
 func (h *clientHandler) awaitNewerView(present, wanted int64, deadline time.Duration) (*router.View, bool) {
 	for h.clock() < h.bounded(deadline) {
 		if view, valid := h.watcher.current(); valid && view.Config.Version > present && view.Config.Version >= wanted {
@@ -190,8 +190,8 @@
 	return nil, false
 }
 
-// run sends a call's requests, again and again, until the call has its response or the deadline
-// is past.
+// run sends a call's requests, with retries, until the call has its response or the deadline has
+// passed.
 func (h *clientHandler) run(call *router.Call, deadline time.Duration) (protocol.JobResponse, router.Progress) {
 	pause := retryPause
 	for h.clock() < h.bounded(deadline) {
@@ -207,7 +207,7 @@
 	return call.TimeoutResponse(), router.Finished
 }
 
-// attempt sends a call's next request once, and records what it shows of the shard's leader.
+// attempt sends a call's next request once, and updates the known leader of the shard from the outcome.
 func (h *clientHandler) attempt(call *router.Call, deadline time.Duration) (protocol.JobResponse, router.Progress) {
 	shard, message := call.Next()
 	sentAt := h.clock()
@@ -222,14 +222,14 @@
 		h.watcher.UpdateLeader(shard, address, response.Owner)
 		return response, router.Retry
 	}
-	if !response.Unknown { // else it may be about to stop
+	if !response.Unknown { // a leader that doesn't know the outcome may be about to stop
 		h.watcher.LeaderResponded(shard, address)
 	}
 	return call.HandleResponse(response)
 }
 
-// send sends a message to a control-plane node. The end of the client's connection does not end
-// it: the node may have received the message already.
+// send sends a message to a control-plane node and returns its response. It isn't canceled when the
+// client disconnects: the node may have received the message already.
 func (h *clientHandler) send(address string, message any, deadline time.Duration) (protocol.JobResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(attemptTimeout, h.bounded(deadline)-h.clock()))
 	defer cancel()
@@ -237,6 +237,6 @@
 	if err != nil {
 		return protocol.JobResponse{}, err
 	}
-	response, _ := got.(protocol.JobResponse) // of another type: as from a node that is not the leader
+	response, _ := got.(protocol.JobResponse) // another type counts as the response of a node that is not the leader
 	return response, nil
 }
--- a/internal/cluster/dataplane/clients_test.go
+++ b/internal/cluster/dataplane/clients_test.go
@@ -14,7 +14,7 @@
 	"basaltloft/internal/cluster/router"
 )
 
-// fixture is a clientHandler in virtual time: each pause advances the clock, and may do more.
+// fixture is a clientHandler in virtual time: each pause advances the clock and calls onPause.
 type fixture struct {
 	*clientHandler
 	now     time.Duration
@@ -32,22 +32,22 @@
 	return f
 }
 
-// status serves a request and returns the answer's status.
+// status serves a request and returns the response's status.
 func (f *fixture) status(r *http.Request) int {
 	recorder := httptest.NewRecorder()
 	f.ServeHTTP(recorder, r)
 	return recorder.Code
 }
 
-// stateRequest asks for a job's state, with a time-out of 3 s.
+// stateRequest returns a request for a job's state, with a timeout of 3 s.
 func stateRequest(ctx context.Context) *http.Request {
 	r := httptest.NewRequestWithContext(ctx, http.MethodGet, "/q/0123456789abcdef", nil)
 	r.Header.Set("Timeout-Ms", "3000")
 	return r
 }
 
-// TestRequestWaitsForConfiguration: one that arrives while this process has no view that it may
-// act on is answered once it has, by the newest version.
+// TestRequestWaitsForConfiguration: a request that arrives while the process has no valid view is served
+// as soon as it has one, by the newest version.
 func TestRequestWaitsForConfiguration(t *testing.T) {
 	f := newFixture()
 	arrived := f.now
@@ -60,7 +60,7 @@
 	require.Less(t, f.now-arrived, 500*time.Millisecond)
 }
 
-// TestWaitingRequestTimesOut: it is rejected well under half of the client's time-out.
+// TestWaitingRequestTimesOut: a waiting request is rejected before half of the client's timeout.
 func TestWaitingRequestTimesOut(t *testing.T) {
 	f := newFixture()
 	arrived := f.now
@@ -69,8 +69,8 @@
 	require.Greater(t, f.now-arrived, time.Second)
 }
 
-// TestGoneClientIsNotWaitedFor: the wait ends with the client's connection.
-func TestGoneClientIsNotWaitedFor(t *testing.T) {
+// TestWaitEndsWhenClientDisconnects: a request of a client that has disconnected doesn't go on waiting.
+func TestWaitEndsWhenClientDisconnects(t *testing.T) {
 	f := newFixture()
 	arrived := f.now
 	ctx, cancel := context.WithCancel(t.Context())
@@ -79,7 +79,7 @@
 	require.LessOrEqual(t, f.now-arrived, 2*retryPause)
 }
 
-// TestWaitingRequestsAreBounded: above the bound, and in a process that stops, none waits.
+// TestWaitingRequestsAreBounded: no request waits above the bound or during the drain.
 func TestWaitingRequestsAreBounded(t *testing.T) {
 	f := newFixture()
 	arrived := f.now
@@ -90,12 +90,13 @@
 	f.waiting.Store(0)
 	f.draining = func() bool { return true }
 	require.Equal(t, http.StatusServiceUnavailable, f.status(stateRequest(t.Context())))
-	require.Equal(t, arrived, f.now, "in a process that stops no request waits")
+	require.Equal(t, arrived, f.now, "no request waits during the drain")
 }
 
-// TestHeldRequestsAreAnsweredBeforeTheEnd: while a shard had no leader that answered, a dispatcher that was
-// told to stop held requests beyond its own end, and cut them off (LOST around a SIGTERM).
-func TestHeldRequestsAreAnsweredBeforeTheEnd(t *testing.T) {
+// TestRetriedRequestsAreAnsweredBeforeExit guards against connections cut at exit (LOST around a SIGTERM):
+// while a shard had no leader that responded, a draining dispatcher retried requests for longer than the
+// process ran.
+func TestRetriedRequestsAreAnsweredBeforeExit(t *testing.T) {
 	f, _ := newGoldenFixture(t, protocol.JobResponse{Status: protocol.StatusNotLeader})
 	arrived := f.now
 	f.draining = func() bool { return true }
@@ -103,29 +104,31 @@
 	r := clientRequest(t.Context(), http.MethodPost, "/q/0123456789abcdef", "{}")
 	require.Equal(t, http.StatusServiceUnavailable, f.status(r))
 	require.Less(t, f.now-arrived, 300*time.Millisecond+retryPause)
-	require.Greater(t, f.now-arrived, 300*time.Millisecond-retryPause, "it is held until then")
+	require.Greater(t, f.now-arrived, 300*time.Millisecond-retryPause, "it is retried until then")
 
-	waiting := newFixture() // for a configuration, since before it was told to stop
+	waiting := newFixture() // its request waits for a configuration from before the drain
 	arrived = waiting.now
 	waiting.onPause = func() { waiting.answerBy = func() time.Duration { return arrived + 300*time.Millisecond } }
 	require.Equal(t, http.StatusServiceUnavailable, waiting.status(stateRequest(t.Context())))
 	require.Less(t, waiting.now-arrived, 300*time.Millisecond+2*retryPause)
 }
 
-// TestDrainFitsInTheGrace: with a grace of 2 s a dispatcher took 2.1 s to stop, and was killed.
-func TestDrainFitsInTheGrace(t *testing.T) {
-	longestHold := retryTime(stateRequest(t.Context()), nil)
+// TestDrainFitsInGracePeriod guards against a drain that outlasts the grace period: with 2 s a dispatcher
+// took 2.1 s to stop, and was killed.
+func TestDrainFitsInGracePeriod(t *testing.T) {
+	longestRetry := retryTime(stateRequest(t.Context()), nil)
 	for grace := 2 * time.Second; grace < 20*time.Second; grace += 100 * time.Millisecond {
 		times := newDrainTimes(grace)
 		require.LessOrEqual(t, times.serve+times.finish+exitMargin, grace, "grace %v", grace)
-		require.GreaterOrEqual(t, times.finish, min(longestHold+answerMargin, grace/4), "grace %v: what is held is answered", grace)
+		require.GreaterOrEqual(t, times.finish, min(longestRetry+answerMargin, grace/4), "grace %v: requests that are retried get a response", grace)
 		require.GreaterOrEqual(t, times.serve, min(minDrainTime, grace/2), "grace %v: new connections are served", grace)
 	}
 }
 
-// TestHeldRequestAsksRarely: while a leader was late and the other nodes went on naming it, each request
-// that was held asked them forty times a second, and kept them from being heard by it.
-func TestHeldRequestAsksRarely(t *testing.T) {
+// TestRetriesAreRare guards against an overload by retries: while a leader was late and the other nodes
+// still named it as the leader, each pending request was sent to them forty times a second, so that their
+// messages did not reach the leader.
+func TestRetriesAreRare(t *testing.T) {
 	const late = "127.0.0.1:1"
 	f, other := newGoldenFixture(t, protocol.JobResponse{Status: protocol.StatusNotLeader, Owner: late})
 	shard := protocol.ShardOf("desk")
@@ -133,18 +136,18 @@
 	f.watcher.LeaderUnresponsive(shard, late, f.now-attemptTimeout, f.now)
 	f.watcher.UpdateLeader(shard, "", late)
 	arrived := f.now
-	asked := func() int {
+	requestCount := func() int {
 		other.mu.Lock()
 		defer other.mu.Unlock()
 		return len(other.requests)
 	}
-	within := 0
+	early := 0 // requests within the first 700 ms
 	f.onPause = func() {
 		if f.now-arrived <= 700*time.Millisecond {
-			within = asked()
+			early = requestCount()
 		}
 	}
 	require.NotEqual(t, http.StatusOK, f.status(clientRequest(t.Context(), http.MethodGet, "/q/0123456789abcdef", "")))
-	require.LessOrEqual(t, within, 10)
-	require.GreaterOrEqual(t, within, 4, "an election's end is not missed")
+	require.LessOrEqual(t, early, 10)
+	require.GreaterOrEqual(t, early, 4, "the end of an election is noticed soon")
 }
--- a/internal/cluster/dataplane/dispatcher.go
+++ b/internal/cluster/dataplane/dispatcher.go
@@ -20,8 +20,8 @@
 	log      *slog.Logger
 	started  time.Time
 	watcher  *configWatcher
-	draining atomic.Bool  // it has been told to stop
-	answerBy atomic.Int64 // on its clock: when each request has to be answered; never until it is to stop
+	draining atomic.Bool  // set when the drain begins
+	answerBy atomic.Int64 // the time, on its clock, by which all requests must have a response; never until the drain
 }
 
 // New returns a dispatcher that does not serve yet.
@@ -35,7 +35,8 @@
 // never is a time that the dispatcher's clock does not reach.
 const never = time.Duration(math.MaxInt64)
 
-// clockStart is what the dispatcher's clock shows at its start; 0 stands for "never" in router.
+// clockStart is the reading of the dispatcher's clock at its start. It isn't 0, which stands for "never"
+// in package router.
 const clockStart = time.Hour
 
 // now returns the time of the dispatcher's monotonic clock.
@@ -48,36 +49,37 @@
 	maxHeaderBytes = 32 << 10
 )
 
-// Times of a stop, within the grace that the platform gives until it kills the process.
+// Durations within the grace period, the time that the platform leaves between SIGTERM and SIGKILL.
 const (
-	// drainMargin is kept free at the end of the grace for the requests under way.
+	// drainMargin is reserved at the end of the grace period for the requests in progress.
 	drainMargin = 1500 * time.Millisecond
-	// exitMargin is kept free for the exit itself.
+	// exitMargin is reserved for the exit of the process.
 	exitMargin = 400 * time.Millisecond
-	// answerMargin is kept free between the last answers and the end of the connections.
+	// answerMargin is reserved between the last responses and the close of the connections.
 	answerMargin = 200 * time.Millisecond
-	// platformDelay is how long the platform may go on sending new connections.
+	// platformDelay is how long the platform may still send new connections after SIGTERM.
 	platformDelay = time.Second
-	// minDrainTime is how long new connections are served at least, on a grace of twice that.
+	// minDrainTime is the least time for which new connections are served, if the grace period is at
+	// least twice as long.
 	minDrainTime = 2500 * time.Millisecond
 )
 
-// Run serves until the context ends. Then it goes on serving until the platform sends no new
-// connections any more, finishes the requests under way, and returns. It returns an error where
-// it can't listen or where requests are left when the grace is over.
+// Run serves until the context ends. It then continues to serve until the platform sends no more new
+// connections, finishes the requests in progress, and returns. It returns an error if it can't listen,
+// or if requests are unfinished at the end of the grace period.
 func (d *Dispatcher) Run(ctx context.Context) error {
-	front := &http.Server{
+	clientServer := &http.Server{
 		Addr: d.settings.Listen.HTTP, Handler: d.newClientHandler(),
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	ready := &http.Server{Addr: d.settings.Listen.Readiness, Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}
-	watchCtx, stopWatching := context.WithCancel(context.WithoutCancel(ctx)) // it goes on while this process leaves
+	readyServer := &http.Server{Addr: d.settings.Listen.Readiness, Handler: http.HandlerFunc(d.serveReady), ReadHeaderTimeout: headerTimeout}
+	watchCtx, stopWatching := context.WithCancel(context.WithoutCancel(ctx)) // the watch continues during the drain
 	failed := make(chan error, 2)
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer stopWatching()
-	for _, server := range []*http.Server{front, ready} {
-		defer func() { _ = server.Close() }() // its listener; after leave there is nothing to close
+	for _, server := range []*http.Server{clientServer, readyServer} {
+		defer func() { _ = server.Close() }() // closes its listener; nothing is left to close after drain
 		background.Go(func() { failed <- server.ListenAndServe() })
 	}
 	background.Go(func() { d.watcher.run(watchCtx) })
@@ -85,7 +87,7 @@
 	case err := <-failed:
 		return errors.Wrap(err, "serve: check the addresses under listen")
 	case <-ctx.Done():
-		return d.drain(front)
+		return d.drain(clientServer)
 	}
 }
 
@@ -96,10 +98,10 @@
 	}
 }
 
-// drainTimes are the spans of a stop.
+// drainTimes are the durations of the two phases of the drain.
 type drainTimes struct {
-	serve  time.Duration // new connections are served
-	finish time.Duration // requests under way are finished
+	serve  time.Duration // in which new connections are served
+	finish time.Duration // in which the requests in progress are finished
 }
 
 func newDrainTimes(grace time.Duration) drainTimes {
@@ -107,8 +109,9 @@
 	return drainTimes{serve: serve, finish: max(0, grace-exitMargin-serve)}
 }
 
-// drain stops the server of clients in order, within the grace that the platform gives.
-func (d *Dispatcher) drain(front *http.Server) error {
+// drain shuts down the server of clients within the grace period: it serves new connections for a time,
+// then finishes the requests in progress.
+func (d *Dispatcher) drain(clientServer *http.Server) error {
 	grace := d.settings.Bounds.Grace()
 	times := newDrainTimes(grace)
 	d.answerBy.Store(int64(d.now() + times.serve + times.finish - answerMargin))
@@ -117,11 +120,11 @@
 	time.Sleep(times.serve)
 	ctx, cancel := context.WithTimeout(context.Background(), times.finish)
 	defer cancel()
-	return errors.Wrap(front.Shutdown(ctx), "finish what was under way")
+	return errors.Wrap(clientServer.Shutdown(ctx), "finish the requests in progress")
 }
 
-// serveReady tells the platform whether this process can serve: it has a configuration that it
-// may act on, and has not been told to stop.
+// serveReady answers the platform's readiness probe: 200 if this process has a valid configuration and
+// is not draining, else 503.
 func (d *Dispatcher) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if _, valid := d.watcher.current(); !valid || d.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -130,7 +133,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Reload applies settings that have changed: the seeds alone may change while it runs.
+// Reload applies changed settings. Only the seeds can change while the dispatcher runs.
 func (d *Dispatcher) Reload(settings settings.Settings) {
 	d.watcher.UpdateSeeds(settings.SeedAddresses())
 }
--- a/internal/cluster/dataplane/drain_test.go
+++ b/internal/cluster/dataplane/drain_test.go
@@ -20,10 +20,10 @@
 	"basaltloft/internal/shared/testdeadline"
 )
 
-// busyNode is a control-plane node that gives dispatchers their configuration and serves no job.
+// busyNode is a control-plane node that sends dispatchers their configuration and serves no job request.
 type busyNode struct {
 	address string
-	asked   chan struct{} // closed at the first request for a job
+	asked   chan struct{} // closed at the first job request
 	once    sync.Once
 }
 
@@ -37,7 +37,7 @@
 		for shard := range owners {
 			owners[shard] = n.address
 		}
-		// The route's time-out is far beyond the time that a stop takes.
+		// The route's timeout is much longer than the drain.
 		content := strings.Replace(goldenConfiguration, `"timeout_ms":3000`, `"timeout_ms":60000`, 1)
 		return protocol.WatchResponse{Leads: true, Leader: n.address, Version: 5, Content: []byte(content), Owners: owners}
 	}
@@ -45,7 +45,7 @@
 	return protocol.JobResponse{Status: protocol.StatusNotLeader, Owner: n.address}
 }
 
-// startBusyNode starts a busyNode at a port of its own.
+// startBusyNode starts a busyNode on a port of its own.
 func startBusyNode(t *testing.T) *busyNode {
 	t.Helper()
 	node := &busyNode{asked: make(chan struct{})}
@@ -57,8 +57,8 @@
 	return node
 }
 
-// TestStopAnswersWaitingRequests: a request that was read before SIGTERM, and whose leader serves nothing, is
-// answered before the process ends. It was cut where its time-out lay beyond the process's end.
+// TestStopAnswersWaitingRequests: a request that was read before SIGTERM, and whose leader serves nothing,
+// gets a response before the process exits. Its connection was cut if its timeout ended after the exit.
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	node := startBusyNode(t)
 	_, nodePort, err := net.SplitHostPort(node.address)
@@ -68,10 +68,10 @@
 	ports, err := portreservation.ReserveRange(2)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, ports.Close()) }()
-	front := ports[0].Addr()
+	httpAddress := ports[0].Addr()
 	dispatcher := New(settings.Settings{
 		NodeName: "edge", IP: "127.0.0.1", PortRange: []int{port, port}, Seeds: []string{node.address},
-		Listen: settings.Listen{HTTP: front, Readiness: ports[1].Addr()}, Bounds: settings.Bounds{ConfigApplyMs: 2000, GraceS: 1},
+		Listen: settings.Listen{HTTP: httpAddress, Readiness: ports[1].Addr()}, Bounds: settings.Bounds{ConfigApplyMs: 2000, GraceS: 1},
 	}, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(testdeadline.Context(t))
 	defer stop()
@@ -81,13 +81,14 @@
 		<-node.asked
 		stop()
 	}()
-	answer := askUntilAccepted(t, front)
-	require.GreaterOrEqual(t, answer, http.StatusServiceUnavailable)
-	require.NoError(t, <-ended, "no request is left")
+	status := sendWhenListening(t, httpAddress)
+	require.GreaterOrEqual(t, status, http.StatusServiceUnavailable)
+	require.NoError(t, <-ended, "no request is unfinished")
 }
 
-// askUntilAccepted asks for a job's state as soon as a process listens at an address, and returns the status.
-func askUntilAccepted(t *testing.T, address string) int {
+// sendWhenListening sends a request for a job's state as soon as a process listens at an address, and
+// returns the status.
+func sendWhenListening(t *testing.T, address string) int {
 	t.Helper()
 	var conn net.Conn
 	for conn == nil {
--- a/internal/cluster/dataplane/golden_test.go
+++ b/internal/cluster/dataplane/golden_test.go
@@ -25,13 +25,13 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// goldenAnswers was written by commit 352ebf2: clients know these answers.
+// goldenAnswers is the file with the responses of commit 352ebf2, on which clients depend.
 const goldenAnswers = "testdata/answers-to-clients.txt"
 
 const goldenConfiguration = `{"version":5,"routes":[{"name":"route","host":"h.example","path_prefix":"/q/","timeout_ms":3000,"target_ms":250.5,` +
 	`"priority":2,"backend":"desk","retries":3,"extension":1.5}],"services":[{"name":"desk","guards":true}],"limits":{"max_body_bytes":64}}`
 
-// fakeLeader leads all shards and gives one response to all requests.
+// fakeLeader is the leader of all shards and returns one response to all requests.
 type fakeLeader struct {
 	response protocol.JobResponse
 
@@ -50,7 +50,7 @@
 	return l.response
 }
 
-// newGoldenFixture returns a clientHandler that acts on the golden configuration.
+// newGoldenFixture returns a clientHandler with the golden configuration and a leader with one response.
 func newGoldenFixture(t *testing.T, response protocol.JobResponse) (*fixture, *fakeLeader) {
 	t.Helper()
 	leader := &fakeLeader{response: response}
@@ -75,7 +75,7 @@
 	return request
 }
 
-// answerText returns an answer as the handler writes it; net/http adds its date and length.
+// answerText returns a response as the handler writes it; net/http adds the date and the length.
 func answerText(t *testing.T, recorded *httptest.ResponseRecorder) string {
 	t.Helper()
 	response := recorded.Result()
@@ -86,7 +86,7 @@
 	return strings.ReplaceAll(string(text), "\r\n", "\\r\\n\n") + "\n"
 }
 
-// TestAnswersToClientsAsBefore: status, headers and body of each answer to a client.
+// TestAnswersToClientsAsBefore: the status, headers and body of each kind of response are the golden ones.
 func TestAnswersToClientsAsBefore(t *testing.T) {
 	const id = "/q/0123456789abcdef"
 	type exchange struct {
@@ -135,7 +135,7 @@
 	goldentest.Equal(t, goldenAnswers, []byte(text.String()))
 }
 
-// TestMessagesToLeadersAsBefore: the messages that clients' requests become, field by field.
+// TestMessagesToLeadersAsBefore: clients' requests reach the leader as messages with these fields.
 func TestMessagesToLeadersAsBefore(t *testing.T) {
 	const id = "0123456789abcdef"
 	shard := protocol.ShardOf("desk")
@@ -161,12 +161,12 @@
 	}
 }
 
-// TestHashOfABodyAsBefore: the hash is stored and sent, and must be the same in all builds.
+// TestHashOfABodyAsBefore: the hash is stored and sent, so it must be the same in all builds.
 func TestHashOfABodyAsBefore(t *testing.T) {
 	require.Equal(t, uint64(0xc8751d5fdc127498), leader.BodyHash([]byte(`{"stages":[{"count":1}]}`)))
 }
 
-// TestReadinessAsBefore: what the platform is told.
+// TestReadinessAsBefore: the platform's readiness probe gets the same responses as before.
 func TestReadinessAsBefore(t *testing.T) {
 	f, _ := newGoldenFixture(t, protocol.JobResponse{})
 	dispatcher := &Dispatcher{settings: settings.Settings{}, watcher: f.watcher}
--- a/internal/cluster/dataplane/response.go
+++ b/internal/cluster/dataplane/response.go
@@ -8,21 +8,21 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// stateBody is the answer to a request for a job's state.
+// stateBody is the response body to a request for a job's state.
 type stateBody struct {
 	State string `json:"state"`
 }
 
-// countBody is the answer to a request for the number of a queue's pending jobs.
+// countBody is the response body to a request for the number of a queue's pending jobs.
 type countBody struct {
 	Pending int `json:"pending"`
 }
 
-// submission stands for the operation where a job is submitted, which is a message of its own among
-// the internal ones: its response has no content.
+// submission stands for the submission of a job, which isn't a protocol.JobOperation: the nodes get it
+// in a message type of its own. The body of its response to the client is an empty object.
 const submission protocol.JobOperation = 0
 
-// writeResponse writes what the client is told. The operation is submission for a submitted job.
+// writeResponse writes the response to the client. The operation is submission for a submitted job.
 func writeResponse(w http.ResponseWriter, operation protocol.JobOperation, response protocol.JobResponse) {
 	if response.Status != http.StatusOK {
 		reject(w, int(response.Status), response.Reason, response.RetryAfterMs)
@@ -41,11 +41,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(content) // a client that has gone asks again
+	_, _ = w.Write(content) // a client that has disconnected sends its request again
 }
 
-// reject writes the answer to a request that was not served, with when the client may come back
-// (0: not told). Status 0, of a node that does not lead, is told as 503.
+// reject writes the response to a request that was not served, with the time after which the client may
+// retry (0: no Retry-After header). Status 0, which a node that isn't the leader returns, is sent as 503.
 func reject(w http.ResponseWriter, status int, reason string, retryAfterMs int64) {
 	const msPerSecond = 1000
 	if status == 0 {
--- a/internal/cluster/dataplane/watch.go
+++ b/internal/cluster/dataplane/watch.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	// watchGrace is how long a response may take beyond the wait that was asked for.
+	// watchGrace is how long a response may take beyond the requested wait.
 	watchGrace = 400 * time.Millisecond
-	// watchRetry is the pause before the next request where the leader did not respond.
+	// watchRetry is the pause after a request that the leader did not answer.
 	watchRetry = 60 * time.Millisecond
 )
 
@@ -63,5 +63,5 @@
 	return 0
 }
 
-// current returns the view, and whether it may be acted on at this moment.
+// current returns the view and whether it is valid now.
 func (w *configWatcher) current() (*router.View, bool) { return w.Current(w.clock()) }
