--- a/internal/cluster/daemon/daemon.go
+++ b/internal/cluster/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon has what the processes of the cluster scheduler share: the command line, the
-// log, the limits of the Go runtime, signals, and the reload of changed settings.
+// Package daemon is the common part of the cluster scheduler's processes: the command line, the log, the
+// limits of the Go runtime, signals, and the reload of changed settings.
 package daemon
 
 import (
@@ -18,22 +18,22 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// Options are the flags of each daemon.
+// Options are the command-line flags of each daemon.
 type Options struct {
 	Settings string `long:"settings" value-name:"FILE" description:"settings file (default: what BASALTLOFT_BOOT names)"`
 	Log      string `long:"log" value-name:"LEVEL" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info" description:"least level of what is logged"`
 	Check    bool   `long:"check" description:"check the settings file and exit"`
 }
 
-// Daemon is a process that serves until it is told to stop.
+// Daemon is a service that runs until its context ends.
 type Daemon interface {
-	// Run serves until the context ends, and returns once the daemon has stopped in order.
+	// Run serves until the context ends, shuts down gracefully and returns.
 	Run(ctx context.Context) error
-	// Reload applies settings that have changed. It is called while Run runs, by one goroutine.
+	// Reload applies changed settings. It is called by one goroutine, concurrently with Run.
 	Reload(settings settings.Settings)
 }
 
-// Builder makes a daemon that does not run yet.
+// Builder returns a daemon that isn't running yet, or an error if the daemon can't be created.
 type Builder func(settings settings.Settings, log *slog.Logger) (Daemon, error)
 
 // Exit statuses besides 0.
@@ -42,8 +42,8 @@
 	exitUsage  = 2 // wrong flags or settings
 )
 
-// Main parses the command line, runs a daemon and returns the process's exit status. The summary
-// is shown by --help.
+// Main parses the command line, runs a daemon and returns the process's exit status. The output of --help
+// includes the summary.
 func Main(name, summary string, args []string, build Builder) int {
 	options := Options{}
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
@@ -75,7 +75,8 @@
 	return run(name, path, log, daemon)
 }
 
-// reportUsage prints the help where it was asked for, else what is wrong with the command line.
+// reportUsage prints the help if --help was given, else the error of the command line, and returns the
+// exit status.
 func reportUsage(err error, rest []string) int {
 	if flags.WroteHelp(err) {
 		fmt.Println(err)
@@ -93,14 +94,15 @@
 	return status
 }
 
-// newLogger returns the process's log, on standard error.
+// newLogger returns a logger that writes to standard error.
 func newLogger(levelName, node string) *slog.Logger {
 	level := slog.LevelInfo
-	_ = level.UnmarshalText([]byte(levelName)) // the flag allows the names of levels only
+	_ = level.UnmarshalText([]byte(levelName)) // the flag allows only names of levels
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})).With("node", node)
 }
 
-// Limits of the runtime: the collector works harder before the platform's limit is reached.
+// Limits of the runtime. The garbage collector runs more often before the process reaches the memory
+// limit of the platform.
 const (
 	memoryShare           = 0.6 // of the process's limit
 	minGCPercent          = 60
@@ -109,13 +111,14 @@
 	bytesPerMega          = 1 << 20
 )
 
-// gcPercent returns by how much the heap may grow between two collections, in percent of what is in use.
-// A process that may have much memory collects seldom. 0 megabytes: the platform sets no limit.
+// gcPercent returns the GC percentage (see debug.SetGCPercent): by how much the heap may grow between two
+// collections, relative to the live heap. A larger memory limit makes collections rarer. 0 megabytes: the
+// platform sets no limit.
 func gcPercent(megabytes int) int {
 	return min(max(megabytes/megabytesPerGCPercent, minGCPercent), maxGCPercent)
 }
 
-// limitMemory sets the collector's limits. 0 megabytes: the platform sets no limit.
+// limitMemory sets the garbage collector's limits. 0 megabytes: the platform sets no limit.
 func limitMemory(megabytes int) {
 	debug.SetGCPercent(gcPercent(megabytes))
 	if megabytes > 0 {
--- a/internal/cluster/daemon/daemon_test.go
+++ b/internal/cluster/daemon/daemon_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// TestCommandLines runs the programs with the flags and settings of testdata/script.
+// TestCommandLines runs the scripts of testdata/script, which test the programs' flags and settings.
 func TestCommandLines(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
--- a/internal/cluster/daemon/reload.go
+++ b/internal/cluster/daemon/reload.go
@@ -15,8 +15,8 @@
 // settingsCheckInterval is how often the settings file is checked for changes.
 const settingsCheckInterval = 2 * time.Second
 
-// reloadChanges reloads the settings at each SIGHUP and when the file has changed, until the
-// context ends.
+// reloadChanges reloads the settings at each SIGHUP and when the file has changed, until the context
+// ends. It logs settings that can't be used and leaves the daemon's settings as they are.
 func reloadChanges(ctx context.Context, path string, log *slog.Logger, daemon Daemon) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -42,7 +42,8 @@
 	}
 }
 
-// fileVersion returns a text that changes with the file; empty: the file can't be read.
+// fileVersion returns a string that changes whenever the file does, from its modification time and size;
+// empty: the file can't be read.
 func fileVersion(path string) string {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/cluster/daemon/reload_test.go
+++ b/internal/cluster/daemon/reload_test.go
@@ -18,7 +18,7 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// reloadRecorder is a daemon that keeps the settings that it is given.
+// reloadRecorder is a daemon that records the settings with which Reload is called.
 type reloadRecorder struct{ reloaded []settings.Settings }
 
 func (r *reloadRecorder) Run(ctx context.Context) error {
@@ -28,8 +28,8 @@
 
 func (r *reloadRecorder) Reload(changed settings.Settings) { r.reloaded = append(r.reloaded, changed) }
 
-// TestChangedSettingsAreReloaded: a file that changes is read within settingsCheckInterval, once; one
-// that can't be used is logged and leaves the daemon's settings as they are.
+// TestChangedSettingsAreReloaded: a changed file is loaded once, within settingsCheckInterval; a file that
+// can't be used is logged and leaves the daemon's settings as they are.
 func TestChangedSettingsAreReloaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(seeds string) {
@@ -38,7 +38,7 @@
 	}
 	write(`"10.1.0.15:8146"`)
 	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP) // begins the goroutine of package signal outside of the bubble
+	signal.Notify(hangup, syscall.SIGHUP) // starts the goroutine of package signal outside of the synctest bubble
 	defer signal.Stop(hangup)
 
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/cluster/settings/golden_test.go
+++ b/internal/cluster/settings/golden_test.go
@@ -12,8 +12,8 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// The files under testdata give the settings as commit 352ebf2 reads them. They must never follow
-// later code: the platform writes these keys.
+// The files under testdata have the keys that commit 352ebf2 reads. They must not be changed to match later
+// code: the platform writes these keys.
 
 func goldenSettings() settings.Settings {
 	return settings.Settings{
@@ -36,13 +36,14 @@
 	require.Equal(t, goldenSettings(), settings)
 }
 
-// TestGoldenKeysAreAllKeys: no key was added or renamed without its place in the golden file.
+// TestGoldenKeysAreAllKeys: the golden file has all keys, so that none is added or renamed unnoticed.
 func TestGoldenKeysAreAllKeys(t *testing.T) {
 	content, err := os.ReadFile("testdata/keys.txt")
 	require.NoError(t, err)
 	require.Equal(t, string(content), strings.Join(keysOf("", reflect.TypeFor[settings.Settings]()), "\n")+"\n")
 }
 
+// keysOf returns the keys of a struct type and of the structs in it, with a prefix.
 func keysOf(prefix string, of reflect.Type) []string {
 	var keys []string
 	for at := range of.NumField() {
@@ -57,7 +58,7 @@
 	return keys
 }
 
-// TestGoldenDefaults: what is left out has its usual value.
+// TestGoldenDefaults: keys that are left out have these defaults.
 func TestGoldenDefaults(t *testing.T) {
 	parsed, err := settings.Parse([]byte("ip: \"10.1.0.15\"\nport_range: [7660, 7675]\nseeds: [\"10.1.0.15:8146\"]\n"))
 	require.NoError(t, err)
@@ -72,8 +73,8 @@
 	require.Equal(t, 6*time.Second, parsed.Bounds.Grace())
 }
 
-// TestUnknownKeysAreSkipped: the platform may give more than this build knows.
-func TestUnknownKeysAreSkipped(t *testing.T) {
+// TestUnknownKeysAreIgnored: the platform may write keys that this build doesn't know.
+func TestUnknownKeysAreIgnored(t *testing.T) {
 	content, err := os.ReadFile("testdata/all-keys.yaml")
 	require.NoError(t, err)
 	parsed, err := settings.Parse(append(content, "not_known: 1\nnot_known_either: {a: [1]}\n"...))
@@ -81,8 +82,8 @@
 	require.Equal(t, goldenSettings(), parsed)
 }
 
-// TestPlaceOfTheSettings: the variable and the path that the platform goes by.
-func TestPlaceOfTheSettings(t *testing.T) {
+// TestSettingsPath: the environment variable and the default path are those that the platform uses.
+func TestSettingsPath(t *testing.T) {
 	t.Setenv("BASALTLOFT_BOOT", "")
 	require.Equal(t, "/etc/basaltloft/settings.yaml", settings.Path())
 	t.Setenv("BASALTLOFT_BOOT", "/elsewhere.yaml")
--- a/internal/cluster/settings/settings_test.go
+++ b/internal/cluster/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"basaltloft/internal/cluster/settings"
 )
 
-// validSettings has a value for each key that is checked, and keys that are unknown.
+// validSettings has a value for each key that Parse checks, and unknown keys.
 const validSettings = `
 node_name: "core-a-1"
 ip: "10.1.0.15"
@@ -45,11 +45,11 @@
 	require.Equal(t, []string{"10.1.0.15:7660", "10.2.0.25:7660"}, s.SeedAddresses())
 	require.Equal(t, 5*time.Second, s.Bounds.MaxLease())
 	require.Equal(t, 6*time.Second, s.Bounds.Grace())
-	require.Equal(t, int64(3000), s.Bounds.DrainMs, "what is left out has its usual value")
+	require.Equal(t, int64(3000), s.Bounds.DrainMs, "a key that is left out has its default")
 	require.True(t, s.Bootstrap)
 }
 
-// TestParseNamesEachFault: an error says which key is wrong, and how it should be.
+// TestParseNamesEachFault: an error names the key at fault and the form that it must have.
 func TestParseNamesEachFault(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, fault string }{
 		"ip":    {`ip: "10.1.0.15"`, `ip: "here"`, "ip is not"},
