--- a/internal/cluster/processes/build.go
+++ b/internal/cluster/processes/build.go
@@ -8,20 +8,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Names of the programs in a build's folder.
+// Names of the programs in a build's directory.
 const (
 	CoreProgram = "basaltloft-core"
 	EdgeProgram = "basaltloft-edge"
 	CtlProgram  = "basaltloftctl"
 )
 
-// Build is a folder with the system's programs.
+// Build is the path of a directory with the programs of the cluster scheduler.
 type Build string
 
 // Program returns the path of a program.
 func (b Build) Program(name string) string { return filepath.Join(string(b), name) }
 
-// Compile builds the programs from the present source into a folder. The error has the compiler's output.
+// Compile builds the programs from the current source into a directory. An error contains the compiler's output.
 func Compile(ctx context.Context, folder string) (Build, error) {
 	arguments := []string{"build", "-o", folder}
 	for _, program := range []string{CoreProgram, EdgeProgram, CtlProgram} {
--- a/internal/cluster/processes/process.go
+++ b/internal/cluster/processes/process.go
@@ -12,29 +12,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Process is a program that runs again and again with one settings file. Its methods may be called
-// concurrently; Start and Stop by one goroutine at a time.
+// Process is a program that may be started several times with the same settings file. Its methods may be
+// called concurrently, except that only one goroutine at a time may call Start and Stop.
 type Process struct {
 	Program  string // CoreProgram or EdgeProgram
 	Settings string // path of its settings file
-	Log      string // path of the file that takes its log, of all its lives
+	Log      string // path of its log file, to which each run appends
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	exited  chan struct{} // closed when the present life has ended; nil before the first one
+	exited  chan struct{} // closed when the current run has ended; nil before the first one
 }
 
-// Start starts the process from a build. It returns an error where the log or the program can't be opened.
+// Start starts the program of a build. It returns an error if the log can't be opened or the program can't
+// be started.
 func (p *Process) Start(from Build) error {
 	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.Wrap(err, "open a process's log")
 	}
 	defer func() { _ = log.Close() }() // the process has its own descriptor
-	// The end of a process is its user's to decide, by Signal: no context ends it.
+	// The caller ends the process with Signal or Stop; no context ends it.
 	command := exec.CommandContext(context.Background(), from.Program(p.Program), "--settings", p.Settings)
 	command.Stdout, command.Stderr = log, log
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left of a test that is killed
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a killed test leaves no process behind
 	if err := command.Start(); err != nil {
 		return errors.Wrap(err, "start a process")
 	}
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// Signal sends a signal to the process. A process that has ended gets none.
+// Signal sends a signal to the process, if it has been started and has not ended.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,14 +59,14 @@
 	}
 }
 
-// Exited is closed when the present life has ended. It is nil before the first start.
+// Exited returns a channel that is closed when the current run has ended; nil before the first start.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// Runs tells whether the process has been started and has not ended.
+// Runs reports whether the process has been started and has not ended.
 func (p *Process) Runs() bool {
 	exited := p.Exited()
 	if exited == nil {
@@ -79,10 +80,11 @@
 	}
 }
 
-// ExitCode returns the status of a life that has ended; -1: a signal ended it.
+// ExitCode returns the exit status of the last run, which must have ended; -1: a signal ended it.
 func (p *Process) ExitCode() int { return p.command.ProcessState.ExitCode() }
 
-// State returns the state of the process as the kernel shows it, as in "T (stopped)"; empty: it has ended.
+// State returns the state of the process as the kernel reports it, such as "T (stopped)"; empty: it has not
+// been started or has ended.
 func (p *Process) State() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +97,7 @@
 	return strings.TrimSpace(state)
 }
 
-// Stop sends a signal and waits for the exit.
+// Stop sends a signal to the process, if it runs, and waits for its exit.
 func (p *Process) Stop(signal syscall.Signal) {
 	if p.Runs() {
 		p.Signal(signal)
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -81,7 +81,7 @@
 	VisibleMs        int64   `yaml:"visible_ms"`
 	EarlyMs          int64   `yaml:"early_ms"`
 	StatusRetentionS float64 `yaml:"status_s"` // for which the state of a job that has ended can be queried
-	RemoteSlowdown   float64 `yaml:"far_x"`    // ratio of the run time away from the data to that beside it, at least 1
+	RemoteSlowdown   float64 `yaml:"far_x"`    // run time away from the data over that beside it, at least 1
 	CheckpointS      float64 `yaml:"save_s"`   // a task's work between two checkpoints
 	RestoreMs        int64   `yaml:"restore_ms"`
 }
