--- a/internal/cluster/standin/platform.go
+++ b/internal/cluster/standin/platform.go
@@ -8,9 +8,9 @@
 	"sync"
 )
 
-// Platform is a stand-in of the platform's instance list. It may be used concurrently.
+// Platform is a stand-in for the platform's instance list. It may be used concurrently.
 type Platform struct {
-	// Server answers GET /instances. The caller closes it.
+	// Server serves GET /instances. The caller closes it.
 	Server *Server
 
 	mu        sync.Mutex
@@ -27,20 +27,20 @@
 	Labels   []string         `json:"labels"`
 }
 
-// instanceCapacity is what an instance has room for.
+// instanceCapacity is the resources of an instance.
 type instanceCapacity struct {
 	CPU   int `json:"cpu"` // thousandths of a core
 	MemMB int `json:"mem_mb"`
 	GPU   int `json:"gpu"`
 }
 
-// instanceList is the answer to GET /instances: always one page.
+// instanceList is the response to GET /instances. It is always a single page.
 type instanceList struct {
 	Instances []instance `json:"instances"`
 	NextToken *string    `json:"next_token"`
 }
 
-// NewPlatform returns a started platform that lists no instance, or an error of NewServer.
+// NewPlatform returns a started platform with an empty list, or an error of NewServer.
 func NewPlatform() (*Platform, error) {
 	p := &Platform{}
 	server, err := NewServer(http.HandlerFunc(p.handleList))
@@ -58,18 +58,18 @@
 	writeJSON(w, instanceList{Instances: p.instances})
 }
 
-// RemoveRunner takes a runner off the list.
+// RemoveRunner removes a runner from the list.
 func (p *Platform) RemoveRunner(r *Runner) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.instances = slices.DeleteFunc(slices.Clone(p.instances), func(listed instance) bool { return listed.ID == r.ID })
 }
 
-// DrainRunner lists a runner as one that is to end.
+// DrainRunner sets the state of a listed runner to draining.
 func (p *Platform) DrainRunner(r *Runner) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.instances = slices.Clone(p.instances) // an answer may be written from the former list
+	p.instances = slices.Clone(p.instances) // a response may still be written from the previous list
 	for at := range p.instances {
 		if p.instances[at].ID == r.ID {
 			p.instances[at].State = "draining"
@@ -77,7 +77,7 @@
 	}
 }
 
-// AddRunner lists a runner as a ready instance of a service.
+// AddRunner adds a runner to the list, as a ready instance of a service.
 func (p *Platform) AddRunner(r *Runner, service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,5 +87,5 @@
 	})
 }
 
-// writeJSON answers with a value. A client that has gone is not an error of the stand-in.
+// writeJSON writes a value as the response. It ignores that a client may have disconnected.
 func writeJSON(w http.ResponseWriter, value any) { _ = json.NewEncoder(w).Encode(value) }
--- a/internal/cluster/standin/runner.go
+++ b/internal/cluster/standin/runner.go
@@ -8,76 +8,77 @@
 	"time"
 )
 
-// Reasons with which a runner ends a run.
+// Reasons for the end of a run.
 const (
 	endDone    = "done"
 	endStopped = "stopped"
 	endLapsed  = "lapsed"  // the lease of the runner's tasks expired
-	endCrashed = "crashed" // the runner is gone; told to the observer alone
+	endCrashed = "crashed" // the runner has crashed; only the observer gets this reason
 )
 
-// Reasons with which a runner refuses a start or, for the first, any order.
+// Reasons for which a runner refuses an order. Those after refusedFence apply to starts only.
 const (
-	refusedFence = "fence" // the order carries a lower fencing token than one before it
-	refusedOld   = "old"   // the attempt is not above one that was stopped or ended here
-	refusedLate  = "late"  // the order's deadline is past on the runner's clock
+	refusedFence = "fence" // the order has a lower fencing token than an earlier one
+	refusedOld   = "old"   // the attempt is not higher than one that was stopped or has ended here
+	refusedLate  = "late"  // the order's deadline has passed on the runner's clock
 )
 
-// clockOffsetMs keeps a runner's clock away from 0, which means "not told" in an order.
+// clockOffsetMs is the reading of a runner's clock at its start. It isn't 0, which means "not set" in an order.
 const clockOffsetMs = 1000
 
-// Runner is a stand-in of a runner, which carries out the orders of a scheduler as the deployment's
-// protocol demands: it refuses orders of a lower fencing token, orders to start that arrive after
-// their deadline, and attempts that were over already. Its methods may be called concurrently.
+// Runner is a stand-in for a runner, which executes a scheduler's orders as the deployment's protocol
+// requires: it refuses orders with a lower fencing token than an earlier one, starts that arrive after their
+// deadline, and starts of attempts that are over already. Its methods may be called concurrently.
 type Runner struct {
 	// ID is the instance's ID in the platform's list.
 	ID string
-	// Server takes the orders. The caller closes it.
+	// Server receives the orders. The caller closes it.
 	Server *Server
 	// TaskDuration is how long a task runs until it ends as done. It is set before the first start.
 	TaskDuration time.Duration
-	// MaxLease is the longest lease of its tasks: they end when it has expired. 0: they never do so. It is
-	// set before the first start.
+	// MaxLease is the longest lease of its tasks, which end when the lease expires. 0: the lease never
+	// expires. It is set before the first start.
 	MaxLease time.Duration
-	// Observer is told of each run. nil: nobody is. It is set before the first start.
+	// Observer is notified of each run; nil: there is no observer. It is set before the first start.
 	Observer Observer
 
-	started time.Time // the zero of the runner's clock, less clockOffsetMs
+	started time.Time // when the runner's clock read clockOffsetMs
 
 	mu           sync.Mutex
 	changed      chan struct{} // closed and replaced at the end of each run
-	fenceToken   uint64        // the highest seen
+	fenceToken   uint64        // the highest received
 	running      map[string]int
-	overThrough  map[string]int // by task: the highest attempt that was stopped or has ended here
+	highestOver  map[string]int // by task: the highest attempt that was stopped or has ended here
 	endedRuns    uint64
-	finished     []finishedRun // that the scheduler has not acknowledged
+	finished     []finishedRun // whose ends the scheduler has not acknowledged
 	startsByTask map[string]int
 	leaseUntilMs int64 // on the runner's clock
 	lease        *time.Timer
 	crashed      bool
 }
 
-// Observer is told what becomes of the tasks of a runner, in order, while the runner is locked: it must not
-// call the runner.
+// Observer is notified of the events of a runner's tasks, in their order, while the runner's mutex is held:
+// it must not call the runner.
 type Observer interface {
+	// RunStarted is called when a run has started.
 	RunStarted(runner, task string, attempt int)
-	// RunEnded gives the reason as the runner reports it, or "crashed".
+	// RunEnded is called when a run has ended, with the reason that the runner reports, or "crashed".
 	RunEnded(runner, task string, attempt int, reason string)
-	// EndAcknowledged tells that the scheduler has taken note of the end of a run.
+	// EndAcknowledged is called when the scheduler has acknowledged the end of a run.
 	EndAcknowledged(runner, task string, attempt int, reason string)
 }
 
-// silent is the observer of a runner that has none.
-type silent struct{}
+// noObserver ignores all events. It is the observer of a runner whose Observer is nil.
+type noObserver struct{}
 
-func (silent) RunStarted(string, string, int)              {}
-func (silent) RunEnded(string, string, int, string)        {}
-func (silent) EndAcknowledged(string, string, int, string) {}
+func (noObserver) RunStarted(string, string, int)              {}
+func (noObserver) RunEnded(string, string, int, string)        {}
+func (noObserver) EndAcknowledged(string, string, int, string) {}
 
-// observer returns whom to tell of runs.
+// observer returns the observer to notify.
 func (r *Runner) observer() Observer {
 	if r.Observer == nil {
-		return silent{}
+		return noObserver{}
 	}
 	return r.Observer
 }
@@ -97,7 +98,7 @@
 // finishedRun is an ended run in a runner's report. On the wire it is
 // [number, task, attempt, reason, checkpoint].
 type finishedRun struct {
-	number  uint64 // rises by one with each end at this runner, from 1
+	number  uint64 // sequence number of the ends at this runner, from 1
 	task    string
 	attempt int
 	reason  string
@@ -118,13 +119,13 @@
 	WaitMs     int64  `json:"wait_ms"`
 }
 
-// orderReply answers an order to start or stop. Reason is empty where the order was carried out.
+// orderReply is the response to a start or stop order. Reason is empty if the order was executed.
 type orderReply struct {
 	ClockMs int64  `json:"clock_ms"`
 	Reason  string `json:"reason,omitempty"`
 }
 
-// report answers a renewal of the leases.
+// report is the response to a renewal of the leases.
 type report struct {
 	ClockMs  int64         `json:"clock_ms"`
 	Running  []runningRun  `json:"running"`
@@ -135,7 +136,7 @@
 func NewRunner(id string, taskDuration time.Duration) (*Runner, error) {
 	r := &Runner{
 		ID: id, TaskDuration: taskDuration, started: time.Now(), changed: make(chan struct{}),
-		running: map[string]int{}, overThrough: map[string]int{}, startsByTask: map[string]int{},
+		running: map[string]int{}, highestOver: map[string]int{}, startsByTask: map[string]int{},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/run-start", r.handleStart)
@@ -162,7 +163,7 @@
 	}
 }
 
-// Crash ends the runner and all that runs on it; nothing is reported. Its server is closed.
+// Crash ends all runs without a report to the scheduler and closes the runner's server.
 func (r *Runner) Crash() {
 	r.mu.Lock()
 	r.crashed = true
@@ -177,9 +178,9 @@
 // clockMs returns the time of the runner's clock.
 func (r *Runner) clockMs() int64 { return time.Since(r.started).Milliseconds() + clockOffsetMs }
 
-// accept decodes an order and raises the fencing token. Where it returns false, the order has
-// been answered: it was meant for another incarnation, or a later leader has sent orders.
-// The caller holds the mutex.
+// accept decodes an order, raises the fencing token and extends the lease. If it returns false, it has sent
+// the response: the order is malformed, is for another incarnation, or has the fencing token of an earlier
+// leader. The caller holds the mutex.
 func (r *Runner) accept(w http.ResponseWriter, request *http.Request) (order, bool) {
 	var received order
 	if json.NewDecoder(request.Body).Decode(&received) != nil {
@@ -199,8 +200,8 @@
 	return received, true
 }
 
-// extendLease lets the runner's tasks run until a time of its clock; it never shortens their lease. The
-// caller holds the mutex.
+// extendLease extends the lease of the runner's tasks to a time on its clock, within MaxLease; it never
+// shortens the lease. The caller holds the mutex.
 func (r *Runner) extendLease(untilMs int64) {
 	if r.MaxLease == 0 || untilMs == 0 {
 		return
@@ -214,12 +215,12 @@
 	r.lease.Reset(left)
 }
 
-// endLapsedRuns ends all runs where their lease has expired.
+// endLapsedRuns ends all runs if their lease has expired.
 func (r *Runner) endLapsedRuns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.clockMs() < r.leaseUntilMs {
-		return // it was extended at this moment
+		return // the lease was extended just before
 	}
 	for task, attempt := range r.running {
 		r.endRun(task, attempt, endLapsed)
@@ -243,15 +244,15 @@
 			r.refuse(w, reason)
 			return
 		}
-		r.beginRun(start.Task, start.Attempt)
+		r.startRun(start.Task, start.Attempt)
 	}
 	writeJSON(w, orderReply{ClockMs: r.clockMs()})
 }
 
-// startRefusal returns why a run that is not there may not begin; empty: it may.
+// startRefusal returns the reason to refuse the start of a run that isn't running; empty: it may start.
 func (r *Runner) startRefusal(start order) string {
 	switch {
-	case start.Attempt <= r.overThrough[start.Task]:
+	case start.Attempt <= r.highestOver[start.Task]:
 		return refusedOld
 	case r.clockMs() > start.DeadlineMs:
 		return refusedLate
@@ -259,7 +260,8 @@
 	return ""
 }
 
-func (r *Runner) beginRun(task string, attempt int) {
+// startRun starts a run, which ends after TaskDuration. The caller holds the mutex.
+func (r *Runner) startRun(task string, attempt int) {
 	r.running[task] = attempt
 	r.startsByTask[task]++
 	r.observer().RunStarted(r.ID, task, attempt)
@@ -270,10 +272,10 @@
 	})
 }
 
-// endRun ends a run, if it is there, and wakes the renewals that wait for an end. No run of the
-// task begins here again but one of a higher attempt. The caller holds the mutex.
+// endRun ends a run, if it is running, and wakes the renewals that wait for the end of a run. Afterwards only
+// a higher attempt of the task can start here. The caller holds the mutex.
 func (r *Runner) endRun(task string, attempt int, reason string) {
-	r.overThrough[task] = max(r.overThrough[task], attempt)
+	r.highestOver[task] = max(r.highestOver[task], attempt)
 	if r.running[task] != attempt {
 		return
 	}
@@ -296,7 +298,8 @@
 	writeJSON(w, orderReply{ClockMs: r.clockMs()})
 }
 
-// handleRenewLease answers with a report, after the wait that was asked for or at the next end.
+// handleRenewLease responds with a report: at once if it has ends that are not acknowledged, else at the next
+// end of a run or after the requested wait.
 func (r *Runner) handleRenewLease(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
 	renewal, ok := r.accept(w, request)
@@ -323,12 +326,12 @@
 	writeJSON(w, r.report())
 }
 
-// report lists what runs and what has ended. The caller holds the mutex.
+// report returns the running runs, and the ended ones that are not acknowledged. The caller holds the mutex.
 func (r *Runner) report() report {
-	const percentShown = 50 // of a run's work; the stand-in measures no progress
+	const reportedPercent = 50 // of a run's work; the stand-in doesn't measure progress
 	reported := report{ClockMs: r.clockMs(), Running: []runningRun{}, Finished: append([]finishedRun{}, r.finished...)}
 	for task, attempt := range r.running {
-		reported.Running = append(reported.Running, runningRun{task: task, attempt: attempt, percent: percentShown})
+		reported.Running = append(reported.Running, runningRun{task: task, attempt: attempt, percent: reportedPercent})
 	}
 	return reported
 }
--- a/internal/cluster/standin/runner_test.go
+++ b/internal/cluster/standin/runner_test.go
@@ -13,7 +13,7 @@
 	"basaltloft/internal/cluster/standin"
 )
 
-// sendOrder sends an order to a runner and returns the answer.
+// sendOrder sends an order to a runner and returns its response.
 func sendOrder(t *testing.T, runner *standin.Runner, path, body string) (status int, answer string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, runner.Server.URL+path, strings.NewReader(body))
@@ -27,8 +27,8 @@
 	return response.StatusCode, string(content)
 }
 
-// TestRunnerRefusesOrders: a start that arrives late, after its attempt was over, or from an
-// earlier leader begins nothing.
+// TestRunnerRefusesOrders: a start that arrives after its deadline, after the end of its attempt, or from an
+// earlier leader is refused.
 func TestRunnerRefusesOrders(t *testing.T) {
 	const start = `{"task":"job.0.0.0","attempt":%d,"fence_token":%d,"deadline_ms":%d}`
 	const farDeadline = 1 << 40
@@ -60,7 +60,7 @@
 	}
 }
 
-// recorder is an observer that keeps what it is told.
+// recorder is an observer that sends a line on the channel for each event.
 type recorder chan string
 
 func (r recorder) RunStarted(_, task string, _ int)              { r <- "start " + task }
@@ -69,36 +69,36 @@
 	r <- "acknowledged " + reason + " " + task
 }
 
-// TestRunnerEndsLapsedRuns: what runs ends when its lease expires, and is reported until the scheduler has
-// taken note of it.
+// TestRunnerEndsLapsedRuns: a run ends when its lease expires, and the end is reported until the scheduler has
+// acknowledged it.
 func TestRunnerEndsLapsedRuns(t *testing.T) {
-	const room = 10
+	const maxEvents = 10
 	runner, err := standin.NewRunner("i-1", time.Hour)
 	require.NoError(t, err)
-	told := make(recorder, room)
-	runner.MaxLease, runner.Observer = 20*time.Millisecond, told
+	events := make(recorder, maxEvents)
+	runner.MaxLease, runner.Observer = 20*time.Millisecond, events
 	defer runner.Server.Close()
 	status, answer := sendOrder(t, runner, "/-/run-start", `{"task":"job.0.0.0","attempt":1,"fence_token":1,"deadline_ms":1000000}`)
 	require.Equal(t, http.StatusOK, status, answer)
-	require.Equal(t, "start job.0.0.0", <-told)
-	require.Equal(t, "lapsed job.0.0.0", <-told)
+	require.Equal(t, "start job.0.0.0", <-events)
+	require.Equal(t, "lapsed job.0.0.0", <-events)
 	_, answer = sendOrder(t, runner, "/-/hold", `{"fence_token":1}`)
 	require.Contains(t, answer, `[1,"job.0.0.0",1,"lapsed",""]`)
 	_, answer = sendOrder(t, runner, "/-/hold", `{"fence_token":1,"last_seen":1}`)
 	require.Contains(t, answer, `"finished":[]`)
-	require.Equal(t, "acknowledged lapsed job.0.0.0", <-told)
+	require.Equal(t, "acknowledged lapsed job.0.0.0", <-events)
 }
 
-// TestRunnerCrash: all that runs ends with the runner, which answers nobody any more.
+// TestRunnerCrash: a crash ends all runs of the runner.
 func TestRunnerCrash(t *testing.T) {
-	const room = 10
+	const maxEvents = 10
 	runner, err := standin.NewRunner("i-1", time.Hour)
 	require.NoError(t, err)
-	told := make(recorder, room)
-	runner.Observer = told
+	events := make(recorder, maxEvents)
+	runner.Observer = events
 	status, answer := sendOrder(t, runner, "/-/run-start", `{"task":"job.0.0.0","attempt":1,"fence_token":1,"deadline_ms":1000000}`)
 	require.Equal(t, http.StatusOK, status, answer)
 	runner.Crash()
-	require.Equal(t, "start job.0.0.0", <-told)
-	require.Equal(t, "crashed job.0.0.0", <-told)
+	require.Equal(t, "start job.0.0.0", <-events)
+	require.Equal(t, "crashed job.0.0.0", <-events)
 }
--- a/internal/cluster/standin/server.go
+++ b/internal/cluster/standin/server.go
@@ -1,6 +1,6 @@
-// Package standin has stand-ins of what surrounds a cluster scheduler: the platform's list of instances,
-// and runners that carry out orders. Tests and the demonstration cluster use them; they talk HTTP on
-// loopback as the deployment's protocol has it.
+// Package standin has stand-ins (fakes) for the environment of a cluster scheduler: the platform's list of
+// instances, and runners that execute orders. Tests and the demonstration cluster use them. They serve the
+// deployment's HTTP protocol on loopback.
 package standin
 
 import (
@@ -12,9 +12,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Server serves HTTP at a port of loopback that the system chose.
+// Server serves HTTP on a loopback port that the operating system chose.
 type Server struct {
-	// URL is where it serves, without a path.
+	// URL is the server's base URL, without a path.
 	URL string
 
 	server *http.Server
@@ -23,7 +23,7 @@
 // headerTimeout bounds how long a client may take to send a request's header.
 const headerTimeout = 5 * time.Second
 
-// NewServer starts a server. It returns an error where no port of loopback can be listened at.
+// NewServer starts a server. It returns an error if it can't listen on loopback.
 func NewServer(handler http.Handler) (*Server, error) {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,4 +35,4 @@
 }
 
 // Close ends the server and its connections.
-func (s *Server) Close() { _ = s.server.Close() } // of a listener on loopback: nothing to be done about an error
+func (s *Server) Close() { _ = s.server.Close() } // an error has no consequence for a loopback listener
