--- a/internal/cluster/demo/demo.go
+++ b/internal/cluster/demo/demo.go
@@ -1,9 +1,9 @@
 // Package demo runs a demonstration cluster on loopback: three control-plane nodes, two dispatchers, and
-// stand-ins of the platform, of runners and of clients, all in one process. It prints a table of what goes
-// on, and may take a part away on the way: the leader of most groups, a dispatcher or a runner.
+// stand-ins for the platform, runners and clients, all in one process. It prints a table of the cluster's
+// progress, and can kill a part of the cluster meanwhile: the leader of most groups, a dispatcher or a runner.
 //
-// Files: demo.go (assembly and course), folder.go (the data folder), load.go (clients), kill.go (what is
-// taken away), table.go (what is printed).
+// Files: demo.go (setup and main loop), folder.go (the data directory), load.go (clients), kill.go (the parts
+// that are killed), table.go (the output).
 package demo
 
 import (
@@ -30,55 +30,55 @@
 
 const (
 	service = "desk"
-	// Host is the host that requests to the demonstration's queues name.
+	// Host is the Host header of requests to the demonstration's queues.
 	Host = "demo"
 	// taskDuration is how long a task runs.
 	taskDuration = 100 * time.Millisecond
-	// readyTimeout bounds how long the cluster takes to accept its configuration. It takes about a second.
+	// readyTimeout bounds the time until the cluster accepts its configuration, which takes about a second.
 	readyTimeout = time.Minute
-	// settleTimeout bounds how long, after the last job came, the jobs take that are under way.
+	// settleTimeout bounds the time until the jobs in progress are over, after the last one was submitted.
 	settleTimeout = 20 * time.Second
 	// tableInterval is the time between two lines of the table.
 	tableInterval = time.Second
 )
 
-// queues are the paths of the queues, each with its place in the configuration.
+// queues are the path prefixes of the queues, as the configuration has them.
 var queues = []string{"/quick/", "/batch/"}
 
-// configuration has the two queues: quick jobs precede those of batch.
+// configuration has the two queues. The jobs of quick have priority over those of batch.
 const configuration = `{"version":1,"routes":[` +
 	`{"name":"quick","host":"` + Host + `","path_prefix":"/quick/","type":"mutating","timeout_ms":3000,"target_ms":250,"priority":0,"backend":"` + service + `","retries":3,"extension":1.5},` +
 	`{"name":"batch","host":"` + Host + `","path_prefix":"/batch/","type":"mutating","timeout_ms":3000,"target_ms":1000,"priority":1,"backend":"` + service + `","retries":3,"extension":3}],` +
 	`"services":[{"name":"` + service + `","guards":true}],"limits":{"max_body_bytes":262144}}`
 
-// Options say what is run.
+// Options configure a demonstration.
 type Options struct {
-	Port    int           // first of the ports that each process has at its own address
-	Dir     string        // where the nodes' data is kept; empty: a folder that is removed at the end
+	Port    int           // first port of each process, at its own address
+	Dir     string        // directory of the nodes' data; empty: a directory that is removed at the end
 	For     time.Duration // how long jobs are submitted; 0: until the context ends
-	Kill    Target        // what is taken away at half of that time, or after killAfter
+	Kill    Target        // what is killed after half of that time, or else after killAfter
 	Rate    float64       // jobs a second
 	Runners int
 	Out     io.Writer
-	Log     *slog.Logger // of the processes
+	Log     *slog.Logger // log of the processes
 }
 
-// ErrNotCompleted says that jobs that were accepted had not completed in time.
+// ErrNotCompleted is returned when jobs that were submitted have not been completed in time.
 var ErrNotCompleted = errors.New("jobs were not completed")
 
-// demonstration is a cluster that runs, with what surrounds it.
+// demonstration is a running cluster with its platform, runners and clients.
 type demonstration struct {
 	options  Options
 	cluster  *localcluster.Cluster
 	platform *standin.Platform
 	runners  []*standin.Runner
-	gone     []*standin.Runner // that were taken away
+	killed   []*standin.Runner // runners that were killed
 	load     *load
 	started  time.Time
 }
 
-// Run runs the demonstration until its time is over or the context ends; both end it in order. It returns
-// an error where something can't be started (localcluster.ErrPortTaken, ErrForeignFolder, errors of the
+// Run runs the demonstration until its time is over or the context ends, and then shuts it down gracefully. It
+// returns an error if a part can't be started (localcluster.ErrPortTaken, ErrForeignFolder, errors of the
 // file system) or jobs were not completed (ErrNotCompleted).
 func Run(ctx context.Context, options Options) error {
 	folder, err := openFolder(options.Dir, options.Port)
@@ -90,14 +90,14 @@
 	defer d.close()
 	if err := d.start(ctx, folder.path); err != nil {
 		if ctx.Err() != nil {
-			return nil // ended before it began
+			return nil // it was stopped before the cluster was ready
 		}
 		return err
 	}
 	return d.run(ctx)
 }
 
-// start starts all parts, and returns once the cluster has its configuration.
+// start starts all parts and returns once the cluster has accepted its configuration.
 func (d *demonstration) start(ctx context.Context, dataDir string) error {
 	platform, err := standin.NewPlatform()
 	if err != nil {
@@ -127,9 +127,9 @@
 	return d.configure(ctx)
 }
 
-// addRunner starts a further runner and lists it.
+// addRunner starts another runner and adds it to the platform's list.
 func (d *demonstration) addRunner() error {
-	runner, err := standin.NewRunner(fmt.Sprintf("runner-%d", len(d.runners)+len(d.gone)+1), taskDuration)
+	runner, err := standin.NewRunner(fmt.Sprintf("runner-%d", len(d.runners)+len(d.killed)+1), taskDuration)
 	if err != nil {
 		return err
 	}
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// configure replaces the configuration, again until the cluster has formed and accepts it. A cluster that
-// runs on a folder of an earlier run may have it already.
+// configure sends the configuration until the cluster has formed and accepts it. A cluster that runs on the
+// data of an earlier demonstration may have it already.
 func (d *demonstration) configure(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -153,14 +153,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "the cluster has not formed: last answer %d, %v", status, err)
+			return errors.Wrapf(ctx.Err(), "the cluster has not formed: last response %d, %v", status, err)
 		case <-time.After(retryPause):
 		}
 	}
 }
 
-// run submits jobs and prints the table, until the time is over or the context ends; then it waits for the
-// jobs under way.
+// run submits jobs and prints the table until the time is over or the context ends. It then waits for the
+// jobs in progress.
 func (d *demonstration) run(ctx context.Context) error {
 	submitCtx, stopSubmitting := ctx, context.CancelFunc(func() {})
 	if d.options.For > 0 {
@@ -192,7 +192,7 @@
 	}
 }
 
-// dispatchers returns where clients send their requests.
+// dispatchers returns the addresses to which clients send their requests.
 func (d *demonstration) dispatchers() []string {
 	var addresses []string
 	for _, ip := range dispatcherIPs {
@@ -201,7 +201,7 @@
 	return addresses
 }
 
-// close ends all parts, as many as were started.
+// close stops all parts that were started.
 func (d *demonstration) close() {
 	if d.load != nil {
 		d.load.close()
--- a/internal/cluster/demo/demo_test.go
+++ b/internal/cluster/demo/demo_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestKilledPartsLoseNoJob: whatever is taken away, each job that was submitted is completed.
+// TestKilledPartsLoseNoJob: each submitted job is completed, whichever part is killed.
 func TestKilledPartsLoseNoJob(t *testing.T) {
 	for _, target := range []Target{KillLeader, KillDispatcher, KillRunner} {
 		t.Run(string(target), func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestJobsThatAreNotCompletedAreAnError: the account of the jobs decides, here with one that is missing.
-func TestJobsThatAreNotCompletedAreAnError(t *testing.T) {
+// TestIncompleteJobsAreAnError: summarize returns an error if fewer jobs were completed than submitted.
+func TestIncompleteJobsAreAnError(t *testing.T) {
 	var out bytes.Buffer
 	d := &demonstration{options: testOptions(t, &out), load: newLoad(nil)}
 	d.load.update(queues[0], func(f *queueFigures) { f.submitted, f.completed = 3, 2 })
@@ -78,14 +78,14 @@
 	require.NoDirExists(t, temporary.path)
 
 	kept := filepath.Join(t.TempDir(), "new")
-	for range 2 { // the second time it is that of an earlier run
+	for range 2 { // the second time it has the data of an earlier run
 		folder, err := openFolder(kept, 7700)
 		require.NoError(t, err)
 		folder.close()
 		require.DirExists(t, kept)
 	}
 	_, err = openFolder(kept, 7800)
-	require.ErrorIs(t, err, ErrForeignFolder, "its nodes know each other by other ports")
+	require.ErrorIs(t, err, ErrForeignFolder, "the addresses of its nodes have other ports")
 
 	foreign := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(foreign, "x"), nil, 0o600))
--- a/internal/cluster/demo/kill.go
+++ b/internal/cluster/demo/kill.go
@@ -6,31 +6,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Target is what the demonstration takes away.
+// Target is the part of the cluster that the demonstration kills.
 type Target string
 
 // Targets.
 const (
 	KillNothing    Target = ""
-	KillLeader     Target = "leader"     // the node that leads most groups, as a kill does
+	KillLeader     Target = "leader"     // the node that leads most groups
 	KillDispatcher Target = "dispatcher" // the first dispatcher
-	KillRunner     Target = "runner"     // the first runner, with all that it runs
+	KillRunner     Target = "runner"     // the first runner, with all its runs
 )
 
 const (
-	// killAfter is when something is taken away where the demonstration has no end, and killEvery how often
-	// then.
+	// killAfter is the time of the first kill in a demonstration without a time limit, and killEvery the time
+	// between later ones.
 	killAfter = 5 * time.Second
 	killEvery = 15 * time.Second
-	// awayFor is how long it stays away. Another runner comes in place of one that was killed.
-	awayFor = 4 * time.Second
+	// downTime is how long the part stays down. A killed runner is replaced by a new one.
+	downTime = 4 * time.Second
 )
 
-// killer takes a part of the cluster away and brings it back.
+// killer kills a part of the cluster and restores it.
 type killer struct {
 	d         *demonstration
 	nextAt    time.Duration // since the start; 0: never
-	restoreAt time.Duration // 0: nothing is away
+	restoreAt time.Duration // 0: nothing is to be restored
 	restore   func() error
 }
 
@@ -46,7 +46,7 @@
 	return k
 }
 
-// step does what is due at a time since the start.
+// step kills or restores the target if that is due. now is the time since the start.
 func (k *killer) step(now time.Duration) error {
 	if k.restoreAt > 0 && now >= k.restoreAt {
 		k.restoreAt = 0
@@ -61,18 +61,18 @@
 	if k.d.options.For == 0 {
 		k.nextAt = now + killEvery
 	}
-	restore, err := k.take()
+	restore, err := k.kill()
 	if restore != nil {
-		k.restore, k.restoreAt = restore, now+awayFor
+		k.restore, k.restoreAt = restore, now+downTime
 	}
 	return err
 }
 
-// take takes the target away, and returns what brings it back; nil: there is nothing to be taken.
-func (k *killer) take() (restore func() error, err error) {
+// kill kills the target and returns the function that restores it; nil: there is nothing to kill now.
+func (k *killer) kill() (restore func() error, err error) {
 	switch k.d.options.Kill {
 	case KillLeader:
-		ip := k.d.mostLeading()
+		ip := k.d.leaderOfMost()
 		if ip == "" {
 			return nil, nil
 		}
@@ -90,14 +90,14 @@
 		}, errors.Wrapf(k.d.cluster.Kill(ip), "dispatcher %s", ip)
 	case KillRunner:
 		runner := k.d.runners[0]
-		k.d.note("%s is killed, with all that it runs", runner.ID)
-		k.d.runners, k.d.gone = k.d.runners[1:], append(k.d.gone, runner)
+		k.d.note("%s is killed, with all its runs", runner.ID)
+		k.d.runners, k.d.killed = k.d.runners[1:], append(k.d.killed, runner)
 		runner.Server.Close()
 		k.d.platform.RemoveRunner(runner)
 		return func() error {
-			k.d.note("another runner comes")
+			k.d.note("another runner starts")
 			return k.d.addRunner()
 		}, nil
 	}
-	return nil, errors.Newf("there is no target %q: take leader, dispatcher or runner", k.d.options.Kill)
+	return nil, errors.Newf("there is no target %q: use leader, dispatcher or runner", k.d.options.Kill)
 }
--- a/internal/cluster/demo/load.go
+++ b/internal/cluster/demo/load.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// requestTimeout bounds one request of a client; another follows at the next dispatcher.
+	// requestTimeout bounds one request of a client, which is then retried at the next dispatcher.
 	requestTimeout = time.Second
-	// retryPause is the pause after a request without a clear answer, and between two looks at a job.
+	// retryPause is the pause after a request without a definite response, and between two requests for a
+	// job's state.
 	retryPause = 40 * time.Millisecond
-	// longestLatency bounds the latencies that are told apart.
+	// longestLatency is the highest value of the latency histograms; longer ones count as this.
 	longestLatency = time.Minute
 )
 
-// jobBodies are the jobs of each queue.
+// jobBodies has the body of each queue's jobs.
 var jobBodies = map[string]string{
 	"/quick/": `{"spec":"quick","stages":[{"count":2,"cpu":500,"mem_mb":10,"estimate_ms":100}]}`,
 	"/batch/": `{"spec":"batch","stages":[{"count":4,"cpu":1000,"mem_mb":100,"estimate_ms":100},{"count":1,"cpu":500,"depends_on":[0],"estimate_ms":100}]}`,
 }
 
-// jobTasks is how many tasks a job of each queue has.
+// jobTasks has the number of tasks of each queue's jobs.
 var jobTasks = map[string]int{"/quick/": 2, "/batch/": 5}
 
-// queueFigures are what became of one queue's jobs.
+// queueFigures are the counts and latencies of one queue's jobs.
 type queueFigures struct {
-	submitted int // that are accepted, or may be
+	submitted int // that may have been accepted
 	completed int
 	failed    int
-	latency   *hdrhistogram.Histogram // from the first request to the answer that the job is completed, in milliseconds
+	latency   *hdrhistogram.Histogram // from the first request to the response that the job is completed, in milliseconds
 }
 
-// load is the clients: each job has one, which submits it and asks for its state until it is over.
+// load is the clients: one for each job, which submits it and polls its state until it is over.
 type load struct {
 	dispatchers []string
 	client      *http.Client
@@ -50,7 +51,7 @@
 
 	mu      sync.Mutex
 	figures map[string]*queueFigures // by queue
-	shown   int                      // jobs completed at the last line of the table
+	shown   int                      // jobs completed at the last line of the table, at shownAt
 	shownAt time.Duration            // since the start
 }
 
@@ -63,7 +64,7 @@
 	return l
 }
 
-// submitSteadily submits so many jobs a second, every fifth to the queue batch, until the context ends.
+// submitSteadily submits rate jobs per second, every fifth to the queue batch, until the context ends.
 func (l *load) submitSteadily(ctx context.Context, rate float64) {
 	const batchEvery = 5
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
@@ -82,7 +83,7 @@
 	}
 }
 
-// runJob submits a job and follows it to its end.
+// runJob submits a job and polls its state until it is over.
 func (l *load) runJob(queue string, number int) {
 	path := fmt.Sprintf("%s%016x", queue, time.Now().UnixNano())
 	began := time.Now()
@@ -96,7 +97,7 @@
 			return
 		}
 		var state struct{ State string }
-		_ = json.Unmarshal([]byte(body), &state) // what can't be read is no end
+		_ = json.Unmarshal([]byte(body), &state) // a body that can't be decoded doesn't end the job
 		switch state.State {
 		case "completed":
 			l.update(queue, func(f *queueFigures) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// until sends a request, to one dispatcher after the other, until it is answered 200. The same ID is the
-// same job, however often it is submitted.
+// until sends a request to the dispatchers in turn until the response is 200. Retries of a submission are
+// idempotent: the same ID stands for the same job.
 func (l *load) until(first int, method, path, body string) (answer string, err error) {
 	for attempt := first; ; attempt++ {
 		status, text, err := exchangeBy(l.ctx, l.client, method, l.dispatchers[attempt%len(l.dispatchers)], path, body)
@@ -128,7 +129,7 @@
 	}
 }
 
-// pause waits a moment. It returns false where the clients are to end.
+// pause waits for retryPause. It returns false if the clients are to stop.
 func (l *load) pause() bool {
 	select {
 	case <-l.ctx.Done():
@@ -138,13 +139,14 @@
 	}
 }
 
+// update changes the figures of a queue.
 func (l *load) update(queue string, change func(*queueFigures)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(l.figures[queue])
 }
 
-// settle waits until all jobs are over, for so long at the most.
+// settle waits until all jobs are over, at most for the timeout.
 func (l *load) settle(timeout time.Duration) {
 	over := make(chan struct{})
 	go func() {
@@ -157,21 +159,22 @@
 	}
 }
 
-// close ends the clients.
+// close stops the clients.
 func (l *load) close() {
 	l.cancel()
 	l.jobs.Wait()
 }
 
-// exchange sends one request.
+// exchange sends one request and returns the response.
 func exchange(ctx context.Context, method, address, path, body string) (status int, answer string, err error) {
 	return exchangeBy(ctx, &http.Client{Timeout: requestTimeout}, method, address, path, body)
 }
 
+// exchangeBy is exchange with the given HTTP client.
 func exchangeBy(ctx context.Context, client *http.Client, method, address, path, body string) (status int, answer string, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
-		return 0, "", errors.Wrap(err, "make a request")
+		return 0, "", errors.Wrap(err, "create a request")
 	}
 	request.Host = Host
 	request.Header.Set("Base-Version", "0")
@@ -179,7 +182,7 @@
 	if err != nil {
 		return 0, "", errors.Wrap(err, "send a request")
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read, or failed
+	defer func() { _ = response.Body.Close() }() // it has been read, or reading has failed
 	content, err := io.ReadAll(response.Body)
-	return response.StatusCode, string(content), errors.Wrap(err, "read an answer")
+	return response.StatusCode, string(content), errors.Wrap(err, "read a response")
 }
--- a/internal/cluster/demo/table.go
+++ b/internal/cluster/demo/table.go
@@ -13,15 +13,15 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// statusTimeout bounds how long a node is asked for its groups, for one line of the table.
+// statusTimeout bounds the request for a node's status, for one line of the table.
 const statusTimeout = 200 * time.Millisecond
 
-// print writes a line. An output that can't be written to ends nothing.
+// print writes a line. A failed write does not stop the demonstration.
 func (d *demonstration) print(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.options.Out, format+"\n", args...)
 }
 
-// note writes what has happened, with the time since the start.
+// note writes an event with the time since the start.
 func (d *demonstration) note(format string, args ...any) {
 	d.print("%6.1fs  -- "+format, append([]any{time.Since(d.started).Seconds()}, args...)...)
 }
@@ -41,7 +41,7 @@
 	d.print("%7s  %7s  %s  %8s  %7s  %s", "time", "done/s", strings.Join([]string{"quick p50  p99 ms", "batch p50  p99 ms"}, "  "), "under way", "runners", "groups led")
 }
 
-// printLine writes a line of the table. Latencies are those of all jobs so far.
+// printLine writes a line of the table. The latencies are of all jobs so far.
 func (d *demonstration) printLine() {
 	elapsed := time.Since(d.started)
 	d.load.mu.Lock()
@@ -60,7 +60,7 @@
 	d.print("%6.1fs  %7.1f  %s  %9d  %7d  %s", elapsed.Seconds(), float64(doneNow)/max(since.Seconds(), 0.001), strings.Join(latencies, "  "), underWay, len(d.runners), d.leadersText())
 }
 
-// groupsLed returns how many groups each node leads, of those that answer.
+// groupsLed returns how many groups each node leads. It leaves out nodes that do not respond.
 func (d *demonstration) groupsLed() map[string]int {
 	led := map[string]int{}
 	for _, ip := range nodeIPs {
@@ -86,6 +86,7 @@
 	return led
 }
 
+// leadersText returns how many groups each node leads, as the table shows it.
 func (d *demonstration) leadersText() string {
 	led := d.groupsLed()
 	var parts []string
@@ -99,8 +100,8 @@
 	return strings.Join(parts, "  ")
 }
 
-// mostLeading returns the node that leads most groups; empty: none answers.
-func (d *demonstration) mostLeading() string {
+// leaderOfMost returns the node that leads most groups; empty: no node responds.
+func (d *demonstration) leaderOfMost() string {
 	led := d.groupsLed()
 	ips := make([]string, 0, len(led))
 	for ip := range led {
@@ -113,7 +114,7 @@
 	return ips[0]
 }
 
-// summarize writes what became of the jobs. It returns ErrNotCompleted where one that was submitted is not
+// summarize writes the totals of the jobs and tasks. It returns ErrNotCompleted if a submitted job is not
 // completed.
 func (d *demonstration) summarize() error {
 	d.load.mu.Lock()
@@ -126,7 +127,7 @@
 		tasks += f.completed * jobTasks[queue]
 	}
 	begun, again := 0, 0
-	for _, runner := range append(d.runners, d.gone...) {
+	for _, runner := range append(d.runners, d.killed...) {
 		for _, starts := range runner.StartCounts() {
 			begun++
 			again += starts - 1
