--- a/internal/cluster/systemtest/cluster_test.go
+++ b/internal/cluster/systemtest/cluster_test.go
@@ -23,13 +23,13 @@
 	"basaltloft/internal/shared/testdeadline"
 )
 
-// Loopback addresses of the processes.
+// dispatcherIP and nodeIPs are the loopback addresses of the processes.
 const dispatcherIP = "127.0.0.21"
 
 var nodeIPs = []string{"127.0.0.11", "127.0.0.12", "127.0.0.13"}
 
-// Limits of one exchange; another follows. How long a request takes to a clear answer, and the groups
-// to the wanted state, depends on the machine and its disks: these waits end with a hang only.
+// Timeouts of one attempt, which is retried. The waits for a definite response and for the wanted state of the
+// groups are bounded by the test's deadline only, since their durations depend on the machine and its disks.
 const (
 	requestTimeout = 3 * time.Second
 	statusTimeout  = time.Second
@@ -64,6 +64,7 @@
 	return c
 }
 
+// close stops the cluster, its runner and its platform.
 func (c *cluster) close() {
 	c.Close()
 	c.runner.Server.Close()
@@ -79,35 +80,35 @@
 	base    int // the Base-Version of an operator's request
 }
 
-// answer is its answer; the zero value stands for none.
-type answer struct {
+// response is the response to a request; the zero value stands for none.
+type response struct {
 	status int
 	body   string
 }
 
 // attempt sends a request once.
-func (c *cluster) attempt(r request) (answer, error) {
+func (c *cluster) attempt(r request) (response, error) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), requestTimeout)
 	defer cancel()
 	sent, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.address, bytes.NewReader([]byte(r.body)))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	sent.Host = r.host
 	sent.Header.Set("Base-Version", strconv.Itoa(r.base))
-	response, err := http.DefaultClient.Do(sent)
+	got, err := http.DefaultClient.Do(sent)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
-	content, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, body: string(content)}, err
+	defer func() { _ = got.Body.Close() }() // it has been read
+	content, err := io.ReadAll(got.Body)
+	return response{status: got.StatusCode, body: string(content)}, err
 }
 
-// send sends a request until it has a clear answer, which is none of the server's troubles.
-func (c *cluster) send(r request) answer {
+// send sends a request until it has a definite response: one whose status is below 500.
+func (c *cluster) send(r request) response {
 	c.t.Helper()
-	var last answer
+	var last response
 	var lastErr error
 	for end := time.Now().Add(testdeadline.Remaining(c.t)); time.Now().Before(end); {
 		last, lastErr = c.attempt(r)
@@ -115,8 +116,8 @@
 			return last
 		}
 	}
-	require.Failf(c.t, "no clear answer", "to %s %s: last %d %q, %v; nodes: %+v", r.method, r.address, last.status, last.body, lastErr, c.statuses())
-	return answer{}
+	require.Failf(c.t, "no definite response", "to %s %s: last %d %q, %v; nodes: %+v", r.method, r.address, last.status, last.body, lastErr, c.statuses())
+	return response{}
 }
 
 const configurationText = `{"version":%d,"routes":[{"name":"r","host":"h.example","path_prefix":"/q/","type":"mutating","timeout_ms":3000,"target_ms":250,"priority":0,"backend":"desk","retries":3,"extension":1.5}],"services":[{"name":"desk","guards":true}],"limits":{"max_body_bytes":262144}}`
@@ -136,25 +137,27 @@
 	return request{method: method, address: c.HTTP(dispatcherIP) + path, host: clientHost, body: body}
 }
 
-// replaceConfiguration sends version of the configuration, based on another, to a node.
-func (c *cluster) replaceConfiguration(node, base, version int) answer {
+// replaceConfiguration sends a version of the configuration to a node, to replace the version base.
+func (c *cluster) replaceConfiguration(node, base, version int) response {
 	c.t.Helper()
 	return c.send(c.operator(node, http.MethodPost, "/-/config/replace", fmt.Sprintf(configurationText, version), base))
 }
 
+// requireConfiguration replaces the configuration and fails the test if it is rejected.
 func (c *cluster) requireConfiguration(node, base, version int) {
 	c.t.Helper()
 	got := c.replaceConfiguration(node, base, version)
 	require.Equal(c.t, http.StatusOK, got.status, got.body)
 }
 
+// submit submits a twoStageJob and fails the test if it is rejected.
 func (c *cluster) submit(id string) {
 	c.t.Helper()
 	got := c.send(c.client(http.MethodPost, "/q/"+id, twoStageJob))
 	require.Equal(c.t, http.StatusOK, got.status, got.body)
 }
 
-// awaitState asks for a job's state until it is the wanted one.
+// awaitState polls a job's state until it is the wanted one.
 func (c *cluster) awaitState(id, want string) {
 	c.t.Helper()
 	var state struct{ State string }
@@ -169,7 +172,7 @@
 	require.Failf(c.t, "a job has another state", "job %s is %s, not %s; nodes: %+v", id, state.State, want, c.statuses())
 }
 
-// awaitAllVoting waits until each node has a vote in each group, as all nodes see it.
+// awaitAllVoting waits until each node is a voter of each group according to the status of every node.
 func (c *cluster) awaitAllVoting() {
 	c.t.Helper()
 	for end := time.Now().Add(testdeadline.Remaining(c.t)); time.Now().Before(end); {
@@ -180,7 +183,8 @@
 	require.Failf(c.t, "a node has no vote", "%+v", c.statuses())
 }
 
-// statuses asks each node for its groups. One that does not answer has none.
+// statuses returns the status of each node by its address. It is the zero value for a node that doesn't
+// respond.
 func (c *cluster) statuses() map[string]protocol.StatusResponse {
 	statuses := map[string]protocol.StatusResponse{}
 	for _, ip := range nodeIPs {
@@ -195,6 +199,7 @@
 	return statuses
 }
 
+// allVoting reports whether all nodes have responded, and each is a voter of each group of every node.
 func allVoting(statuses map[string]protocol.StatusResponse) bool {
 	for _, status := range statuses {
 		if len(status.Groups) == 0 {
@@ -216,7 +221,7 @@
 	return true
 }
 
-// requireStartedOnce checks that so many tasks were begun, each of them once.
+// requireStartedOnce checks that this many tasks were started, each of them once.
 func (c *cluster) requireStartedOnce(tasks int) {
 	c.t.Helper()
 	counts := c.runner.StartCounts()
--- a/internal/cluster/systemtest/doc.go
+++ b/internal/cluster/systemtest/doc.go
@@ -1,6 +1,6 @@
 // Package systemtest runs three control-plane nodes and a dispatcher in one process, on loopback
-// addresses and temporary disks, against stand-ins of the platform's instance list and of runners.
-// Its helpers are also used by package upgradetest; no program imports this package.
+// addresses and temporary directories, against stand-ins for the platform's instance list and for
+// runners. Its helpers are also used by other test packages; no program imports this package.
 package systemtest
 
 import (
@@ -10,7 +10,7 @@
 	"basaltloft/internal/cluster/standin"
 )
 
-// NewPlatform returns a started platform that lists no instance. The caller closes its server.
+// NewPlatform returns a started platform with an empty list. The caller closes its server.
 func NewPlatform(t testing.TB) *standin.Platform {
 	t.Helper()
 	platform, err := standin.NewPlatform()
--- a/internal/cluster/systemtest/ports.go
+++ b/internal/cluster/systemtest/ports.go
@@ -11,7 +11,7 @@
 const portAttempts = 50
 
 // FreePorts returns the first of count consecutive ports that are free at all the addresses.
-// It fails the test where it finds none.
+// It fails the test if it finds none.
 func FreePorts(t testing.TB, count int, ips ...string) int {
 	t.Helper()
 	for range portAttempts {
@@ -27,7 +27,7 @@
 	return 0
 }
 
-// freePort returns a port that the system chose at an address.
+// freePort returns a free port at an address, which the operating system chose.
 func freePort(ctx context.Context, ip string) (int, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -37,7 +37,7 @@
 	return port, listener.Close()
 }
 
-// allFree tells whether each address has the ports from first on free.
+// allFree reports whether count ports from first on are free at each address.
 func allFree(ctx context.Context, first, count int, ips []string) bool {
 	for _, ip := range ips {
 		for port := first; port < first+count; port++ {
@@ -49,7 +49,7 @@
 	return true
 }
 
-// tryListen listens at an address for a moment.
+// tryListen listens at an address, closes the listener and returns the error of either.
 func tryListen(ctx context.Context, address string) error {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
--- a/internal/cluster/systemtest/system_test.go
+++ b/internal/cluster/systemtest/system_test.go
@@ -9,14 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// taskDuration is how long tasks take where a test does not depend on it.
+// taskDuration is how long tasks run in tests that don't depend on it.
 const taskDuration = 30 * time.Millisecond
 
-// TestOperatorRequests: a configuration is accepted once, at whichever node, on its base alone.
+// TestOperatorRequests: any node accepts a configuration, and only if its base version is the current one. The
+// repetition of a request is accepted too.
 func TestOperatorRequests(t *testing.T) {
 	c := newCluster(t, taskDuration)
 	c.requireConfiguration(0, 0, 5)
-	c.requireConfiguration(1, 0, 5) // the same again, at another node
+	c.requireConfiguration(1, 0, 5) // a repetition, at another node
 	require.Equal(t, http.StatusPreconditionFailed, c.replaceConfiguration(2, 3, 9).status)
 	require.Equal(t, http.StatusBadRequest, c.send(c.operator(0, http.MethodPost, "/-/config/replace", "{", 5)).status)
 	got := c.send(c.operator(2, http.MethodGet, "/-/config/get", "", 0))
@@ -24,8 +25,8 @@
 	require.Equal(t, fmt.Sprintf(configurationText, 5), got.body)
 }
 
-// TestClientRequests: a job is run once, however often it is submitted, and each request that
-// can't be served is answered with its own status.
+// TestClientRequests: a job runs once, however often it is submitted, and each kind of request that can't be
+// served has a status of its own.
 func TestClientRequests(t *testing.T) {
 	c := newCluster(t, taskDuration)
 	c.requireConfiguration(0, 0, 5)
@@ -54,7 +55,7 @@
 	require.JSONEq(t, `{"pending":0}`, pending.body)
 }
 
-// TestCancelRunningJob: a job whose tasks run is canceled when its client asks for it.
+// TestCancelRunningJob: a client can cancel a job whose tasks run.
 func TestCancelRunningJob(t *testing.T) {
 	const id = "00000000000000b1"
 	c := newCluster(t, time.Hour)
@@ -65,8 +66,8 @@
 	c.awaitState(id, "canceled")
 }
 
-// TestCancelBeforeSubmit: the cancellation of a job that is not there is answered 410, and the
-// job that comes after it is rejected, at once and for good.
+// TestCancelBeforeSubmit: the response to the cancellation of an unknown job is 410, and the job is rejected
+// at once and permanently if it is submitted later.
 func TestCancelBeforeSubmit(t *testing.T) {
 	const path = "/q/00000000000000c1"
 	c := newCluster(t, taskDuration)
@@ -79,10 +80,10 @@
 	require.Empty(t, c.runner.StartCounts())
 }
 
-// TestEachNodeIsLostInTurn stops each control-plane node, one of them with its disk, while jobs
-// run. No job is lost and no task is begun twice.
+// TestEachNodeIsLostInTurn stops and restarts each control-plane node while jobs run, one of them with an
+// empty disk. No job is lost and no task is started twice.
 func TestEachNodeIsLostInTurn(t *testing.T) {
-	const lostDisk = 1 // the node that comes back on an empty disk
+	const lostDisk = 1 // the node that restarts with an empty disk
 	c := newCluster(t, taskDuration)
 	c.requireConfiguration(0, 0, 5)
 	for node, ip := range nodeIPs {
