--- a/internal/cluster/upgradetest/build_test.go
+++ b/internal/cluster/upgradetest/build_test.go
@@ -9,13 +9,14 @@
 	"basaltloft/internal/cluster/processes"
 )
 
-// Environment variables that name the folders of builds.
+// Environment variables with the paths of the builds' directories.
 const (
 	oldBuildVariable = "BASALTLOFT_OLD_BUILD"
 	newBuildVariable = "BASALTLOFT_NEW_BUILD"
 )
 
-// loadBuilds returns the two builds; those that are not named are the present source's.
+// loadBuilds returns the two builds. A build whose environment variable is not set is made from the current
+// source.
 func loadBuilds(t *testing.T) (older, newer processes.Build) {
 	t.Helper()
 	older, newer = processes.Build(os.Getenv(oldBuildVariable)), processes.Build(os.Getenv(newBuildVariable))
@@ -28,7 +29,7 @@
 	return older, newer
 }
 
-// compile builds the programs from the present source.
+// compile builds the programs from the current source.
 func compile(t *testing.T) processes.Build {
 	t.Helper()
 	built, err := processes.Compile(t.Context(), t.TempDir())
--- a/internal/cluster/upgradetest/cluster_test.go
+++ b/internal/cluster/upgradetest/cluster_test.go
@@ -24,7 +24,7 @@
 	"basaltloft/internal/cluster/systemtest"
 )
 
-// Limits of waiting, generous for a machine that is busy.
+// Timeouts, which are long enough for a busy machine, and the interval of polls.
 const (
 	settleTimeout  = 30 * time.Second
 	answerTimeout  = 20 * time.Second
@@ -41,36 +41,36 @@
 
 const nodeCount = 3
 
-// slowRunnerCount is how many slow runners there are: a runner of which no task has ended yet is
-// given few tasks at once, and the workload keeps several jobs running.
+// slowRunnerCount is the number of slow runners. There are several, since a runner gets few tasks at once
+// until one of its tasks has ended, and the workload keeps several jobs running.
 const slowRunnerCount = 4
 
-// process is one process of the cluster, whichever build runs it, and its address.
+// process is one process of the cluster, of the old or the new build, and its address.
 type process struct {
 	processes.Process
 	ip string
 }
 
 // cluster is three control-plane nodes and a dispatcher, each a process of the operating system at a
-// loopback address of its own, with the stand-ins of the platform and of runners.
+// loopback address of its own, with the stand-ins for the platform and for runners.
 type cluster struct {
 	t          *testing.T
 	port       int
 	nodes      []*process
 	dispatcher *process
 	platform   *standin.Platform
-	quick      *standin.Runner   // its tasks end after a moment
-	slow       []*standin.Runner // their tasks run until they are ended
-	vacant     *standin.Runner   // quick, and not listed at first
+	quick      *standin.Runner   // its tasks run for a few milliseconds
+	slow       []*standin.Runner // their tasks run until EndAll
+	vacant     *standin.Runner   // as quick, but not on the platform's list at first
 }
 
-// newCluster prepares a cluster in a loopback network and starts it from a build.
+// newCluster creates a cluster in the loopback network 127.0.<network>.0 and starts it from a build.
 func newCluster(t *testing.T, network int, from processes.Build) *cluster {
-	const quickTakes = 5 * time.Millisecond
+	const quickDuration = 5 * time.Millisecond
 	c := &cluster{
 		t: t, platform: systemtest.NewPlatform(t),
-		quick:  systemtest.NewRunner(t, "i-quick", quickTakes),
-		vacant: systemtest.NewRunner(t, "i-vacant", quickTakes),
+		quick:  systemtest.NewRunner(t, "i-quick", quickDuration),
+		vacant: systemtest.NewRunner(t, "i-vacant", quickDuration),
 	}
 	c.platform.AddRunner(c.quick, quickService)
 	for number := range slowRunnerCount {
@@ -106,7 +106,8 @@
 	return net.JoinHostPort(ip, strconv.Itoa(c.port+offset))
 }
 
-// newProcess writes a process's settings, which stay the same through the upgrade.
+// newProcess returns a process that isn't running yet and writes its settings, which the upgrade doesn't
+// change.
 func (c *cluster) newProcess(ip, program string, seedIPs []string) *process {
 	folder := c.t.TempDir()
 	var text strings.Builder
@@ -126,12 +127,13 @@
 	return n
 }
 
-// start starts a process from a build. Its log is appended to that of its earlier incarnations.
+// start starts a process from a build. Its log is appended to that of its earlier runs.
 func (c *cluster) start(n *process, from processes.Build) {
 	c.t.Helper()
 	require.NoError(c.t, n.Start(from))
 }
 
+// close kills all processes and stops the stand-ins.
 func (c *cluster) close() {
 	for _, n := range c.processes() {
 		n.Stop(syscall.SIGKILL)
@@ -143,9 +145,9 @@
 	}
 }
 
-// logFaults prints the newest warnings and errors of a process's log where the test failed.
+// logFaults prints the newest warnings and errors of a process's log if the test failed.
 func (c *cluster) logFaults(n *process) {
-	const mostLines = 5
+	const maxLines = 5
 	content, err := os.ReadFile(n.Log)
 	if !c.t.Failed() || err != nil {
 		return
@@ -156,46 +158,46 @@
 			faults = append(faults, line)
 		}
 	}
-	c.t.Logf("%s %s:\n%s", n.Program, n.ip, strings.Join(faults[max(0, len(faults)-mostLines):], ""))
+	c.t.Logf("%s %s:\n%s", n.Program, n.ip, strings.Join(faults[max(0, len(faults)-maxLines):], ""))
 }
 
-// request is one call of a client or an operator.
+// request is one request of a client or an operator.
 type request struct {
 	method  string
 	address string
 	path    string
 	host    string
 	body    string
-	base    int64 // the Base-Version of an operator's call
+	base    int64 // the Base-Version of an operator's request
 }
 
-// answer is its answer.
-type answer struct {
+// response is the response to a request.
+type response struct {
 	status int
 	body   string
 }
 
 // attempt sends a request once.
-func (r request) attempt(parent context.Context) (answer, error) {
+func (r request) attempt(parent context.Context) (response, error) {
 	ctx, cancel := context.WithTimeout(parent, requestTimeout)
 	defer cancel()
-	call, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.address+r.path, bytes.NewReader([]byte(r.body)))
+	sent, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.address+r.path, bytes.NewReader([]byte(r.body)))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	call.Host = r.host
-	call.Header.Set("Base-Version", strconv.FormatInt(r.base, 10))
-	response, err := http.DefaultClient.Do(call)
+	sent.Host = r.host
+	sent.Header.Set("Base-Version", strconv.FormatInt(r.base, 10))
+	got, err := http.DefaultClient.Do(sent)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
-	content, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, body: string(content)}, err
+	defer func() { _ = got.Body.Close() }() // it has been read
+	content, err := io.ReadAll(got.Body)
+	return response{status: got.StatusCode, body: string(content)}, err
 }
 
-// sendUntilAnswered sends a request until it has a clear answer, which is none of the server's troubles.
-func (r request) sendUntilAnswered(parent context.Context) (answer, error) {
+// sendUntilAnswered sends a request until it has a definite response: one whose status is below 500.
+func (r request) sendUntilAnswered(parent context.Context) (response, error) {
 	ctx, cancel := context.WithTimeout(parent, answerTimeout)
 	defer cancel()
 	ticker := time.NewTicker(pollInterval)
@@ -206,68 +208,72 @@
 			return got, nil
 		}
 		if ctx.Err() != nil {
-			return answer{}, fmt.Errorf("no clear answer to %s %s%s: last %d %q, %w", r.method, r.address, r.path, got.status, got.body, ctx.Err())
+			return response{}, fmt.Errorf("no definite response to %s %s%s: last %d %q, %w", r.method, r.address, r.path, got.status, got.body, ctx.Err())
 		}
 	}
 }
 
-func (c *cluster) send(r request) answer {
+// send is sendUntilAnswered; it fails the test if there is no definite response.
+func (c *cluster) send(r request) response {
 	c.t.Helper()
 	got, err := r.sendUntilAnswered(c.t.Context())
 	require.NoError(c.t, err)
 	return got
 }
 
+// client returns a client's request to the dispatcher.
 func (c *cluster) client(method, path, body string) request {
 	return request{method: method, address: c.address(c.dispatcher.ip, httpOffset), path: path, host: clientHost, body: body}
 }
 
+// submit submits a job and fails the test if it is rejected.
 func (c *cluster) submit(path, body string) {
 	c.t.Helper()
 	got := c.send(c.client(http.MethodPost, path, body))
 	require.Equal(c.t, http.StatusOK, got.status, "submit %s: %s", path, got.body)
 }
 
-// state asks for a job's state.
+// state returns a job's state.
 func (c *cluster) state(path string) string {
 	c.t.Helper()
 	got := c.send(c.client(http.MethodGet, path, ""))
 	require.Equal(c.t, http.StatusOK, got.status, "the job %s is not known: %s", path, got.body)
-	var answer struct{ State string }
-	require.NoError(c.t, json.Unmarshal([]byte(got.body), &answer))
-	return answer.State
+	var job struct{ State string }
+	require.NoError(c.t, json.Unmarshal([]byte(got.body), &job))
+	return job.State
 }
 
+// awaitState polls a job's state until it is the wanted one.
 func (c *cluster) awaitState(path, want string) {
 	c.t.Helper()
 	require.True(c.t, poll(func() bool { return c.state(path) == want }), "job %s does not become %s", path, want)
 }
 
-// replace sends a configuration to one of the nodes.
-func (c *cluster) replace(core int, base int64, content string) answer {
+// replace sends a configuration to one of the nodes, to replace the version base.
+func (c *cluster) replace(node int, base int64, content string) response {
 	c.t.Helper()
-	return c.send(request{method: http.MethodPost, address: c.address(c.nodes[core].ip, httpOffset), path: "/-/config/replace", body: content, base: base})
+	return c.send(request{method: http.MethodPost, address: c.address(c.nodes[node].ip, httpOffset), path: "/-/config/replace", body: content, base: base})
 }
 
-// configuration asks a control-plane node for the newest configuration.
-func (c *cluster) configuration(core int) string {
+// configuration returns the newest configuration, which it gets from one of the nodes.
+func (c *cluster) configuration(node int) string {
 	c.t.Helper()
-	got := c.send(request{method: http.MethodGet, address: c.address(c.nodes[core].ip, httpOffset), path: "/-/config/get"})
+	got := c.send(request{method: http.MethodGet, address: c.address(c.nodes[node].ip, httpOffset), path: "/-/config/get"})
 	require.Equal(c.t, http.StatusOK, got.status, got.body)
 	return got.body
 }
 
-// statuses asks each control-plane node what it holds. One that does not answer holds nothing.
+// statuses returns the status of each control-plane node. It is the zero value for a node that doesn't respond.
 func (c *cluster) statuses() []protocol.StatusResponse {
 	var addresses []string
-	for _, core := range c.nodes {
-		addresses = append(addresses, c.address(core.ip, 0))
+	for _, node := range c.nodes {
+		addresses = append(addresses, c.address(node.ip, 0))
 	}
 	return processes.Statuses(addresses)
 }
 
-// awaitAllVoting waits until each control-plane node votes in each group, follows its leader, and has
-// applied to the same state at least what any of them has applied by now.
+// awaitAllVoting waits until each control-plane node is a voter of each group, has a leader in it, and has
+// applied at least the index that any node has applied at the time of the call, with the same state.
 func (c *cluster) awaitAllVoting(when string) {
 	c.t.Helper()
 	wanted := processes.HighestApplied(c.statuses())
@@ -281,7 +287,7 @@
 	}
 }
 
-// poll calls a condition until it holds; false: it does not within the limit.
+// poll calls a condition until it holds. It returns false if it doesn't hold within settleTimeout.
 func poll(condition func() bool) bool {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/cluster/upgradetest/upgrade_test.go
+++ b/internal/cluster/upgradetest/upgrade_test.go
@@ -10,7 +10,7 @@
 	"basaltloft/internal/cluster/processes"
 )
 
-// Loopback networks of the two clusters, which run side by side.
+// Loopback networks of the two clusters, which run in parallel: the third number of their addresses.
 const (
 	killedNetwork  = 61
 	rollingNetwork = 62
@@ -29,7 +29,7 @@
 	})
 }
 
-// testAllKilled kills all processes at once and starts the new build on their disks.
+// testAllKilled kills all processes, one right after the other, and starts the new build on their data.
 func testAllKilled(t *testing.T, older, newer processes.Build) {
 	c := newCluster(t, killedNetwork, older)
 	w := newWorkload(c)
@@ -43,30 +43,30 @@
 	c.requireStatusShown(newer)
 }
 
-// testRolling replaces one process after another while jobs run. Before each step all control-plane
-// nodes vote; old and new ones are beside each other.
+// testRolling replaces one process after another while jobs run, so that old and new processes run together.
+// Before each replacement all control-plane nodes are voters.
 func testRolling(t *testing.T, older, newer processes.Build) {
 	c := newCluster(t, rollingNetwork, older)
 	w := newWorkload(c)
-	work := c.startTraffic()
+	traffic := c.startTraffic()
 	for _, n := range []*process{c.nodes[0], c.dispatcher, c.nodes[1], c.nodes[2]} {
 		n.Stop(syscall.SIGTERM)
 		c.start(n, newer)
 		when := "after " + n.ip + " was replaced"
-		work.awaitMore(t, when)
+		traffic.awaitMore(t, when)
 		c.awaitAllVoting(when)
 		w.checkJobs()
 	}
-	work.finish(t)
+	traffic.finish(t)
 	w.check()
 	c.requireStatusShown(newer)
 }
 
-// requireStatusShown tells whether the operators' tool shows all groups.
+// requireStatusShown checks that basaltloftctl prints the status of all groups, none of them halted.
 func (c *cluster) requireStatusShown(newer processes.Build) {
 	arguments := []string{"status"}
-	for _, core := range c.nodes {
-		arguments = append(arguments, c.address(core.ip, 0))
+	for _, node := range c.nodes {
+		arguments = append(arguments, c.address(node.ip, 0))
 	}
 	output, err := exec.CommandContext(c.t.Context(), newer.Program(processes.CtlProgram), arguments...).CombinedOutput()
 	require.NoError(c.t, err, string(output))
--- a/internal/cluster/upgradetest/workload_test.go
+++ b/internal/cluster/upgradetest/workload_test.go
@@ -18,16 +18,15 @@
 
 const clientHost = "client.example"
 
-// Services: one whose runner is quick, one whose runner is slow, one that has no runner at
-// first.
+// Services: one with a quick runner, one with slow runners, and one without a runner at first.
 const (
 	quickService  = "quick"
 	slowService   = "slow"
 	vacantService = "vacant"
 )
 
-// Sizes of the workload. What goes into a group's log is more than the 2 MiB after which a
-// control-plane node writes a snapshot, so that the new build reads both snapshots and logs.
+// Sizes of the workload. The entries of a group's log exceed the 2 MiB after which a control-plane node writes
+// a snapshot, so that the new build reads both snapshots and logs.
 const (
 	configurations     = 40
 	configurationBytes = 64 << 10
@@ -35,7 +34,7 @@
 	largeJobBytes      = 240 << 10
 )
 
-// States of jobs as clients are told.
+// States of jobs in responses to clients.
 const (
 	pending   = "pending"
 	running   = "running"
@@ -43,11 +42,11 @@
 	canceled  = "canceled"
 )
 
-// ranks orders the states: a job goes only to a higher one.
+// ranks orders the states: a job's state only changes to one of a higher rank.
 var ranks = map[string]int{pending: 0, running: 1, completed: 2, canceled: 2}
 
-// configurationText returns a configuration. The queue /moved/ goes to another service from
-// half of the versions on, and /removed/ is gone then.
+// configurationText returns a version of the configuration. The second half of the versions routes the queue
+// /moved/ to another service, and doesn't have /removed/.
 func configurationText(version int64) string {
 	routes := map[string]string{"/quick/": quickService, "/slow/": slowService, "/vacant/": vacantService}
 	if version <= configurations/2 {
@@ -67,8 +66,8 @@
 
 const (
 	plainJob = `{"spec":"plain","stages":[{"count":2,"cpu":500,"mem_mb":10,"estimate_ms":50},{"count":1,"cpu":500,"depends_on":[0]}]}`
-	// slowJob expects to run for an hour: a run far beyond what was expected is stopped and
-	// begun elsewhere.
+	// slowJob has an estimated run time of an hour, since a run that far exceeds its estimate is stopped and
+	// restarted on another runner.
 	slowJob = `{"spec":"slow","stages":[{"count":2,"cpu":500,"estimate_ms":3600000},{"count":1,"cpu":500,"estimate_ms":3600000,"depends_on":[0]}]}`
 	oneTask = `{"spec":"one","stages":[{"count":1,"cpu":100}]}`
 )
@@ -82,16 +81,16 @@
 		repeats, start.UnixMilli(), time.Hour.Milliseconds())
 }
 
-// workload is what a cluster was given before its upgrade.
+// workload is the jobs and configurations that a cluster has got before its upgrade.
 type workload struct {
 	*cluster
-	states          map[string]string // of jobs, by path
-	cancelledBefore string            // the path of a job that was cancelled before it was handed in
-	counts          map[string]string // the answers to questions for queues' counts, by path
-	appliedBefore   map[string]uint64 // by group: what was applied when the snapshots were asked for
+	states          map[string]string // jobs' states, by path
+	cancelledBefore string            // the path of a job that was cancelled before its submission
+	counts          map[string]string // the response bodies to requests for queues' counts, by path
+	appliedBefore   map[string]uint64 // by group: the index applied before fillLogs
 }
 
-// newWorkload brings a cluster its configurations, and jobs in all states.
+// newWorkload submits the configurations, and jobs that reach all states.
 func newWorkload(c *cluster) *workload {
 	w := &workload{cluster: c, states: map[string]string{}, counts: map[string]string{}}
 	w.replaceUpTo(1, configurations/2)
@@ -99,7 +98,7 @@
 	w.submitAndAwait("/moved/moved-early", pending, oneTask)
 	w.submitAndAwait("/removed/removed-early", completed, oneTask)
 	w.replaceUpTo(configurations/2+1, configurations)
-	delete(w.states, "/removed/removed-early") // its queue is gone
+	delete(w.states, "/removed/removed-early") // the configuration no longer has its queue
 	w.fillLogs()
 	w.submitJobs("late")
 	w.cancelledBefore = "/quick/withdrawn"
@@ -111,7 +110,7 @@
 	return w
 }
 
-// replaceUpTo replaces the configuration by each of those versions.
+// replaceUpTo replaces the configuration by each version from first to last.
 func (w *workload) replaceUpTo(first, last int64) {
 	w.t.Helper()
 	for version := first; version <= last; version++ {
@@ -128,8 +127,7 @@
 	w.states[path] = state
 }
 
-// submitJobs submits a job of each kind. Their IDs end with the suffix; an ID
-// is one job's in all queues.
+// submitJobs submits a job of each kind. Their IDs end with the suffix; an ID must be unique over all queues.
 func (w *workload) submitJobs(suffix string) {
 	w.t.Helper()
 	w.submitAndAwait("/quick/ended-"+suffix, completed, plainJob)
@@ -145,8 +143,8 @@
 	}
 }
 
-// fillLogs submits so much that each group with jobs, and the configuration's, writes a
-// snapshot of all that came before, at each control-plane node.
+// fillLogs submits large jobs until each control-plane node has written a snapshot of the configuration's
+// group and of the groups that get jobs, which contains all earlier entries.
 func (w *workload) fillLogs() {
 	w.t.Helper()
 	w.awaitAllVoting("before the snapshots")
@@ -162,14 +160,15 @@
 	require.True(w.t, poll(w.snapshotsWritten), "a group has written no snapshot")
 }
 
+// snapshotsWritten reports whether each node has the snapshots that fillLogs waits for.
 func (w *workload) snapshotsWritten() bool {
 	wanted := map[string]uint64{protocol.ConfigGroup: 2} // any but the first, empty one
 	for _, service := range []string{quickService, vacantService} {
 		group := protocol.ShardGroup(protocol.ShardOf(service))
 		wanted[group] = w.appliedBefore[group]
 	}
-	for _, answer := range w.statuses() {
-		for _, shown := range answer.Groups {
+	for _, status := range w.statuses() {
+		for _, shown := range status.Groups {
 			if shown.Snapshot < wanted[shown.Name] {
 				return false
 			}
@@ -178,7 +177,7 @@
 	return true
 }
 
-// check tells whether all that was given is still there, and all of it goes on.
+// check checks that the upgrade has preserved the workload, and that its jobs can be completed.
 func (w *workload) check() {
 	w.t.Helper()
 	w.awaitAllVoting("after the upgrade")
@@ -190,22 +189,23 @@
 	w.awaitAllVoting("at the end")
 }
 
-// checkJobs tells whether each job has its state, or one that comes after it.
+// checkJobs checks that each job has the same state as before, or one of a higher rank.
 func (w *workload) checkJobs() {
 	w.t.Helper()
 	for path, before := range w.states {
 		now := w.state(path)
 		require.True(w.t, now == before || ranks[now] > ranks[before], "job %s was %s and is %s", path, before, now)
 	}
-	// Handing a job in again changes nothing, and one that was cancelled before stays unknown.
+	// A repeated submission changes nothing, and a job that was cancelled before its submission stays unknown.
 	w.submit("/slow/running-early", slowJob)
 	require.Equal(w.t, http.StatusGone, w.send(w.client(http.MethodGet, w.cancelledBefore, "")).status)
-	refused, err := w.client(http.MethodPost, w.cancelledBefore, oneTask).attempt(w.t.Context())
+	rejected, err := w.client(http.MethodPost, w.cancelledBefore, oneTask).attempt(w.t.Context())
 	require.NoError(w.t, err)
-	require.Equal(w.t, http.StatusServiceUnavailable, refused.status, refused.body)
+	require.Equal(w.t, http.StatusServiceUnavailable, rejected.status, rejected.body)
 }
 
-// checkCounts tells whether each queue has as many pending jobs. No other jobs may come in.
+// checkCounts checks that each queue has as many pending jobs as before. No other jobs may be submitted
+// meanwhile.
 func (w *workload) checkCounts() {
 	w.t.Helper()
 	for path, before := range w.counts {
@@ -213,12 +213,12 @@
 	}
 }
 
-// checkConfiguration tells whether the newest configuration is the same, and whether the
-// earlier ones are remembered.
+// checkConfiguration checks that the newest configuration is the same, and that a repeated replacement by an
+// earlier one is still recognized.
 func (w *workload) checkConfiguration() {
 	w.t.Helper()
-	for core := range w.nodes {
-		require.Equal(w.t, configurationText(configurations), w.configuration(core))
+	for node := range w.nodes {
+		require.Equal(w.t, configurationText(configurations), w.configuration(node))
 	}
 	for version := int64(1); version <= configurations; version++ {
 		got := w.replace(int(version)%nodeCount, version-1, configurationText(version))
@@ -229,7 +229,7 @@
 	w.replaceUpTo(configurations+1, configurations+1)
 }
 
-// finishJobs lets the jobs that wait or run end.
+// finishJobs ends the pending and running jobs: it adds the missing runner and ends the slow runs.
 func (w *workload) finishJobs() {
 	w.t.Helper()
 	w.platform.AddRunner(w.vacant, vacantService)
@@ -252,7 +252,7 @@
 	w.awaitState(timed, canceled)
 }
 
-// checkStarts tells whether each task began once, also those that ran during the upgrade.
+// checkStarts checks that each task was started once, including those that ran during the upgrade.
 func (w *workload) checkStarts() {
 	w.t.Helper()
 	starts := map[string]int{}
@@ -266,14 +266,14 @@
 	}
 }
 
-// traffic is work that goes on through an upgrade: one job after another.
+// traffic is a client that submits one job after another during an upgrade.
 type traffic struct {
 	completed atomic.Int64 // jobs that were seen completed
 	stop      context.CancelFunc
 	done      chan error
 }
 
-// startTraffic begins to submit jobs.
+// startTraffic starts a client in a goroutine.
 func (c *cluster) startTraffic() *traffic {
 	ctx, cancel := context.WithCancel(c.t.Context())
 	traffic := &traffic{stop: cancel, done: make(chan error, 1)}
@@ -281,6 +281,7 @@
 	return traffic
 }
 
+// run submits jobs until the context ends; the last one is awaited too.
 func (t *traffic) run(ctx context.Context, c *cluster) error {
 	for ctx.Err() == nil {
 		path := fmt.Sprintf("/quick/traffic-%d", t.completed.Load())
@@ -292,7 +293,7 @@
 	return nil
 }
 
-// runJob submits a job and asks for it until it is completed.
+// runJob submits a job and polls its state until it is completed.
 func runJob(ctx context.Context, c *cluster, path string) error {
 	got, err := c.client(http.MethodPost, path, plainJob).sendUntilAnswered(ctx)
 	if err != nil || got.status != http.StatusOK {
@@ -301,17 +302,17 @@
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		got, err = c.client(http.MethodGet, path, "").sendUntilAnswered(ctx)
 		if err != nil || got.status != http.StatusOK {
-			return fmt.Errorf("ask for %s: %d %s: %w", path, got.status, got.body, err)
+			return fmt.Errorf("get the state of %s: %d %s: %w", path, got.status, got.body, err)
 		}
-		var answer struct{ State string }
-		if json.Unmarshal([]byte(got.body), &answer) == nil && answer.State == completed {
+		var job struct{ State string }
+		if json.Unmarshal([]byte(got.body), &job) == nil && job.State == completed {
 			return nil
 		}
 	}
 	return fmt.Errorf("job %s does not become completed", path)
 }
 
-// awaitMore waits until further jobs of the traffic have ended.
+// awaitMore waits until the client has seen more jobs completed, and fails the test if the client has failed.
 func (t *traffic) awaitMore(test *testing.T, when string) {
 	test.Helper()
 	const more = 3
@@ -320,7 +321,7 @@
 	t.requireNoError(test, when)
 }
 
-// requireNoError fails the test where the traffic has ended by an error.
+// requireNoError fails the test if the client has stopped with an error.
 func (t *traffic) requireNoError(test *testing.T, when string) {
 	test.Helper()
 	select {
@@ -330,7 +331,7 @@
 	}
 }
 
-// finish ends the traffic.
+// finish stops the client, and fails the test if it has failed.
 func (t *traffic) finish(test *testing.T) {
 	test.Helper()
 	t.stop()
