--- a/internal/cluster/capacity/capacity_test.go
+++ b/internal/cluster/capacity/capacity_test.go
@@ -1,5 +1,4 @@
-// Package capacity has benchmarks only: they measure the costs a unit from which docs/CAPACITY.md
-// is computed.
+// Package capacity has only benchmarks, which measure the unit costs from which docs/CAPACITY.md is computed.
 //
 //	go test -bench . -benchmem ./internal/cluster/capacity
 package capacity
@@ -23,19 +22,19 @@
 
 var schedulerConfig = scheduler.Config{MaxLease: 6 * time.Second, RemoteSlowdown: 1.5, StatusRetention: 2 * time.Minute}
 
-// cluster is a scheduler with its store, and runners that answer at once.
+// cluster is a scheduler with its store, and simulated runners that respond at once.
 type cluster struct {
 	store     *job.Store
 	scheduler *scheduler.Scheduler
 	now       time.Duration
 	serial    int
 	clockMs   int64
-	waiting   []scheduler.Order
+	waiting   []scheduler.Order // renewals with a wait that have no response yet
 	runs      map[string][]scheduler.ReportedRun
-	started   int // runs
+	started   int // number of runs
 }
 
-// newCluster returns a cluster of so many runners, all of which have answered.
+// newCluster returns a cluster with the given number of runners, all of which have responded.
 func newCluster(runners int) *cluster {
 	c := &cluster{store: job.NewStore(), now: time.Hour, clockMs: 1, runs: map[string][]scheduler.ReportedRun{}}
 	c.scheduler = scheduler.New(c.store, 1, schedulerConfig, c.now, 0, slog.New(slog.DiscardHandler))
@@ -49,8 +48,8 @@
 	return c
 }
 
-// step lets time pass: starts and renewals without a wait are answered at once, and commands are
-// committed.
+// step advances the time by span, commits the scheduler's commands, and responds to its starts and to renewals
+// without a wait.
 func (c *cluster) step(span time.Duration) {
 	c.now += span
 	c.clockMs += span.Milliseconds()
@@ -79,7 +78,7 @@
 	}
 }
 
-// answerRenewals answers each renewal that waits, as runners do when their wait is over.
+// answerRenewals responds to the renewals with a wait, as runners do at the end of the wait.
 func (c *cluster) answerRenewals() {
 	renewals := c.waiting
 	c.waiting = nil
@@ -89,22 +88,22 @@
 	c.waiting = append(c.waiting, c.scheduler.TakeOutput(c.now, false).Orders...)
 }
 
-// apply commits commands.
+// apply applies committed commands.
 func (c *cluster) apply(commands []job.Command) {
 	for _, command := range commands {
 		c.scheduler.Applied(c.now, command, c.store.Apply(command))
 	}
 }
 
-// submit accepts a job of so many tasks.
+// submit accepts a job with the given number of tasks.
 func (c *cluster) submit(tasks int) {
 	c.serial++
 	c.apply([]job.Command{{Kind: job.AcceptJob, Submission: &job.Submission{ID: fmt.Sprintf("%016x", c.serial), Queue: "h/q/", Service: "desk", Retries: 3,
 		Spec: job.Spec{Text: strings.Repeat("x", 200), Steps: []job.Step{{Count: tasks, EstimateMs: 3000, Resources: job.Resources{CPU: 100, MemMB: 100}}}}}}})
 }
 
-// BenchmarkStart is one task from its job's acceptance to the answer to its order, at a scheduler
-// with so many runners: the decision, the command and the accounting.
+// BenchmarkStart measures one task from the acceptance of its job to the response to its start order: the
+// decision, the command and the accounting. Its sub-benchmarks are named by the number of runners.
 func BenchmarkStart(b *testing.B) {
 	for _, runners := range []int{100, 1000, 6200} {
 		b.Run(fmt.Sprint(runners), func(b *testing.B) {
@@ -121,11 +120,11 @@
 	}
 }
 
-// startAll lets time pass until so many tasks run.
+// startAll advances the time until this many tasks have been started.
 func (c *cluster) startAll(b *testing.B, tasks int) {
 	b.Helper()
-	const longest = 10_000 // steps
-	for range longest {
+	const maxSteps = 10_000
+	for range maxSteps {
 		if c.started >= tasks {
 			return
 		}
@@ -134,7 +133,7 @@
 	b.Fatalf("%d of %d tasks were started", c.started, tasks)
 }
 
-// BenchmarkTick is one tick of a scheduler with so many busy runners.
+// BenchmarkTick measures one tick of a scheduler. Its sub-benchmarks are named by the number of busy runners.
 func BenchmarkTick(b *testing.B) {
 	for _, runners := range []int{100, 1000, 6200} {
 		b.Run(fmt.Sprint(runners), func(b *testing.B) {
@@ -159,22 +158,23 @@
 	}
 }
 
-// storeWithRuns returns a store of jobs of which so many tasks run, all of them.
+// storeWithRuns returns a store of jobs with the given number of tasks, all of them running.
 func storeWithRuns(tasks int) *job.Store {
 	s := job.NewStore()
-	const each = 14
-	for at := 0; at < tasks/each; at++ {
+	const tasksEach = 14
+	for at := 0; at < tasks/tasksEach; at++ {
 		id := fmt.Sprintf("%016x", at)
 		s.Apply(job.Command{Kind: job.AcceptJob, Submission: &job.Submission{ID: id, Queue: "h/q/", Service: "desk", Retries: 3,
-			Spec: job.Spec{Text: strings.Repeat("x", 1000), Steps: []job.Step{{Count: each, EstimateMs: 3000, Resources: job.Resources{CPU: 100}}}}}})
-		for index := range each {
+			Spec: job.Spec{Text: strings.Repeat("x", 1000), Steps: []job.Step{{Count: tasksEach, EstimateMs: 3000, Resources: job.Resources{CPU: 100}}}}}})
+		for index := range tasksEach {
 			s.Apply(job.Command{Kind: job.StartRun, Task: job.TaskRef{Job: id, Index: index}, Attempt: 1, Runner: "i-5a55c8aeb7", Address: "10.128.0.9:8080"})
 		}
 	}
 	return s
 }
 
-// BenchmarkSnapshot is a whole snapshot of a store in which so many tasks run.
+// BenchmarkSnapshot measures a whole snapshot of a store. Its sub-benchmarks are named by the number of running
+// tasks.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, tasks := range []int{1000, 10_000, 92_000} {
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// BenchmarkCommand is a start and an end through the log: encoded, decoded and applied.
+// BenchmarkCommand measures the commands of an end and a start: encoding, decoding and applying them.
 func BenchmarkCommand(b *testing.B) {
 	s := storeWithRuns(14)
 	size := 0
@@ -216,7 +216,7 @@
 	b.ReportMetric(float64(size)/2, "bytes/command")
 }
 
-// configLeader answers watch requests as the configuration's leader does where nothing changed.
+// configLeader responds to watch requests as the leader of the configuration group does if nothing has changed.
 type configLeader struct{}
 
 // HandleCall implements rpc.Handler.
@@ -227,7 +227,7 @@
 // HandleOneWay implements rpc.Handler.
 func (configLeader) HandleOneWay(any) {}
 
-// BenchmarkFeed is one watch request of a dispatcher, both ends together.
+// BenchmarkFeed measures one watch request of a dispatcher, client and server together.
 func BenchmarkFeed(b *testing.B) {
 	mux := http.NewServeMux()
 	mux.Handle(rpc.Path, rpc.NewServer(configLeader{}))
@@ -242,8 +242,8 @@
 	}
 }
 
-// BenchmarkReplication is one entry of a batch through a leader and two followers, without
-// disk and network.
+// BenchmarkReplication measures the replication of one log entry with a batch of 2000 bytes by a leader and two
+// followers, without disk and network.
 func BenchmarkReplication(b *testing.B) {
 	timing := replica.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaseDuration: 420 * time.Millisecond, MinElectionTimeout: 520 * time.Millisecond, ElectionJitter: 260 * time.Millisecond}
 	voters := []replica.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
@@ -288,7 +288,7 @@
 	}
 }
 
-// BenchmarkMemory is what a scheduler and its store need in memory for each task that runs.
+// BenchmarkMemory measures the memory of a scheduler and its store per running task.
 func BenchmarkMemory(b *testing.B) {
 	for _, tasks := range []int{10_000, 92_000} {
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) {
