--- a/internal/cluster/upgradetest/upgrade_test.go
+++ b/internal/cluster/upgradetest/upgrade_test.go
@@ -62,7 +62,7 @@
 	c.requireStatusShown(newer)
 }
 
-// requireStatusShown checks that basaltloftctl prints the status of all groups, none of them halted.
+// requireStatusShown checks that basaltloftctl shows a leader for every group, and no group as halted.
 func (c *cluster) requireStatusShown(newer processes.Build) {
 	arguments := []string{"status"}
 	for _, node := range c.nodes {
