--- a/internal/cluster/dataplane/clients.go
+++ b/internal/cluster/dataplane/clients.go
@@ -15,12 +15,12 @@
 
 // clientHandler serves the requests of clients.
 type clientHandler struct {
-	watcher  *configWatcher
-	clock    func() time.Duration
-	draining func() bool
-	answerBy func() time.Duration // the time by which all requests must have a response; never until the drain
-	pause    func(time.Duration)
-	waiting  atomic.Int32 // requests that wait for a configuration
+	watcher          *configWatcher
+	clock            func() time.Duration
+	draining         func() bool
+	responseDeadline func() time.Duration // the time by which all requests must have a response; never until the drain
+	pause            func(time.Duration)
+	waiting          atomic.Int32 // requests that wait for a configuration
 }
 
 const (
@@ -92,10 +92,10 @@
 	return nil, false
 }
 
-// bounded returns the earlier of a request's deadline and answerBy. Loops call it in each round, since
+// bounded returns the earlier of a request's deadline and responseDeadline. Loops call it in each round, since
 // the drain may begin while a request waits.
 func (h *clientHandler) bounded(deadline time.Duration) time.Duration {
-	return min(deadline, h.answerBy())
+	return min(deadline, h.responseDeadline())
 }
 
 // serve serves a request that matched a route. The path after the route's prefix is the job's ID.
--- a/internal/cluster/dataplane/clients_test.go
+++ b/internal/cluster/dataplane/clients_test.go
@@ -25,7 +25,7 @@
 	f := &fixture{now: time.Hour, onPause: func() {}}
 	clock := func() time.Duration { return f.now }
 	watcher := &configWatcher{Watcher: router.NewWatcher("edge", []string{"core-0"}, 2*time.Second, slog.New(slog.DiscardHandler)), clock: clock}
-	f.clientHandler = &clientHandler{watcher: watcher, clock: clock, draining: func() bool { return false }, answerBy: func() time.Duration { return never }, pause: func(span time.Duration) {
+	f.clientHandler = &clientHandler{watcher: watcher, clock: clock, draining: func() bool { return false }, responseDeadline: func() time.Duration { return never }, pause: func(span time.Duration) {
 		f.now += span
 		f.onPause()
 	}}
@@ -100,7 +100,7 @@
 	f, _ := newGoldenFixture(t, protocol.JobResponse{Status: protocol.StatusNotLeader})
 	arrived := f.now
 	f.draining = func() bool { return true }
-	f.answerBy = func() time.Duration { return arrived + 300*time.Millisecond }
+	f.responseDeadline = func() time.Duration { return arrived + 300*time.Millisecond }
 	r := clientRequest(t.Context(), http.MethodPost, "/q/0123456789abcdef", "{}")
 	require.Equal(t, http.StatusServiceUnavailable, f.status(r))
 	require.Less(t, f.now-arrived, 300*time.Millisecond+retryPause)
@@ -108,7 +108,7 @@
 
 	waiting := newFixture() // its request waits for a configuration from before the drain
 	arrived = waiting.now
-	waiting.onPause = func() { waiting.answerBy = func() time.Duration { return arrived + 300*time.Millisecond } }
+	waiting.onPause = func() { waiting.responseDeadline = func() time.Duration { return arrived + 300*time.Millisecond } }
 	require.Equal(t, http.StatusServiceUnavailable, waiting.status(stateRequest(t.Context())))
 	require.Less(t, waiting.now-arrived, 300*time.Millisecond+2*retryPause)
 }
@@ -120,7 +120,7 @@
 	for grace := 2 * time.Second; grace < 20*time.Second; grace += 100 * time.Millisecond {
 		times := newDrainTimes(grace)
 		require.LessOrEqual(t, times.serve+times.finish+exitMargin, grace, "grace %v", grace)
-		require.GreaterOrEqual(t, times.finish, min(longestRetry+answerMargin, grace/4), "grace %v: requests that are retried get a response", grace)
+		require.GreaterOrEqual(t, times.finish, min(longestRetry+responseMargin, grace/4), "grace %v: requests that are retried get a response", grace)
 		require.GreaterOrEqual(t, times.serve, min(minDrainTime, grace/2), "grace %v: new connections are served", grace)
 	}
 }
--- a/internal/cluster/dataplane/dispatcher.go
+++ b/internal/cluster/dataplane/dispatcher.go
@@ -16,18 +16,18 @@
 
 // Dispatcher is one dispatcher process.
 type Dispatcher struct {
-	settings settings.Settings
-	log      *slog.Logger
-	started  time.Time
-	watcher  *configWatcher
-	draining atomic.Bool  // set when the drain begins
-	answerBy atomic.Int64 // the time, on its clock, by which all requests must have a response; never until the drain
+	settings         settings.Settings
+	log              *slog.Logger
+	started          time.Time
+	watcher          *configWatcher
+	draining         atomic.Bool  // set when the drain begins
+	responseDeadline atomic.Int64 // the time, on its clock, by which all requests must have a response; never until the drain
 }
 
 // New returns a dispatcher that does not serve yet.
 func New(settings settings.Settings, log *slog.Logger) *Dispatcher {
 	d := &Dispatcher{settings: settings, log: log, started: time.Now()}
-	d.answerBy.Store(int64(never))
+	d.responseDeadline.Store(int64(never))
 	d.watcher = newConfigWatcher(settings, log, d.now)
 	return d
 }
@@ -55,8 +55,8 @@
 	drainMargin = 1500 * time.Millisecond
 	// exitMargin is reserved for the exit of the process.
 	exitMargin = 400 * time.Millisecond
-	// answerMargin is reserved between the last responses and the close of the connections.
-	answerMargin = 200 * time.Millisecond
+	// responseMargin is reserved between the last responses and the close of the connections.
+	responseMargin = 200 * time.Millisecond
 	// platformDelay is how long the platform may still send new connections after SIGTERM.
 	platformDelay = time.Second
 	// minDrainTime is the least time for which new connections are served, if the grace period is at
@@ -94,7 +94,7 @@
 func (d *Dispatcher) newClientHandler() *clientHandler {
 	return &clientHandler{
 		watcher: d.watcher, clock: d.now, draining: d.draining.Load, pause: time.Sleep,
-		answerBy: func() time.Duration { return time.Duration(d.answerBy.Load()) },
+		responseDeadline: func() time.Duration { return time.Duration(d.responseDeadline.Load()) },
 	}
 }
 
@@ -114,7 +114,7 @@
 func (d *Dispatcher) drain(clientServer *http.Server) error {
 	grace := d.settings.Bounds.Grace()
 	times := newDrainTimes(grace)
-	d.answerBy.Store(int64(d.now() + times.serve + times.finish - answerMargin))
+	d.responseDeadline.Store(int64(d.now() + times.serve + times.finish - responseMargin))
 	d.draining.Store(true)
 	d.log.Info("stopping", "grace", grace)
 	time.Sleep(times.serve)
--- a/internal/cluster/dataplane/drain_test.go
+++ b/internal/cluster/dataplane/drain_test.go
@@ -22,9 +22,9 @@
 
 // busyNode is a control-plane node that sends dispatchers their configuration and serves no job request.
 type busyNode struct {
-	address string
-	asked   chan struct{} // closed at the first job request
-	once    sync.Once
+	address   string
+	requested chan struct{} // closed at the first job request
+	once      sync.Once
 }
 
 // HandleOneWay implements rpc.Handler.
@@ -41,14 +41,14 @@
 		content := strings.Replace(goldenConfiguration, `"timeout_ms":3000`, `"timeout_ms":60000`, 1)
 		return protocol.WatchResponse{Leads: true, Leader: n.address, Version: 5, Content: []byte(content), Owners: owners}
 	}
-	n.once.Do(func() { close(n.asked) })
+	n.once.Do(func() { close(n.requested) })
 	return protocol.JobResponse{Status: protocol.StatusNotLeader, Owner: n.address}
 }
 
 // startBusyNode starts a busyNode on a port of its own.
 func startBusyNode(t *testing.T) *busyNode {
 	t.Helper()
-	node := &busyNode{asked: make(chan struct{})}
+	node := &busyNode{requested: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.Handle(rpc.Path, rpc.NewServer(node))
 	server := httptest.NewServer(mux)
@@ -78,7 +78,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- dispatcher.Run(ctx) }()
 	go func() {
-		<-node.asked
+		<-node.requested
 		stop()
 	}()
 	status := sendWhenListening(t, httpAddress)
--- a/internal/cluster/dataplane/golden_test.go
+++ b/internal/cluster/dataplane/golden_test.go
@@ -170,18 +170,18 @@
 func TestReadinessAsBefore(t *testing.T) {
 	f, _ := newGoldenFixture(t, protocol.JobResponse{})
 	dispatcher := &Dispatcher{settings: settings.Settings{}, watcher: f.watcher}
-	ask := func() (int, string) {
+	probe := func() (int, string) {
 		recorded := httptest.NewRecorder()
 		dispatcher.serveReady(recorded, httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil))
 		body, err := io.ReadAll(recorded.Body)
 		require.NoError(t, err)
 		return recorded.Code, string(body)
 	}
-	code, body := ask()
+	code, body := probe()
 	require.Equal(t, http.StatusOK, code)
 	require.Empty(t, body)
 	dispatcher.draining.Store(true)
-	code, body = ask()
+	code, body = probe()
 	require.Equal(t, http.StatusServiceUnavailable, code)
 	require.Empty(t, body)
 }
