--- a/internal/cluster/daemon/reload.go
+++ b/internal/cluster/daemon/reload.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// fileVersion returns a string that changes whenever the file does, from its modification time and size;
-// empty: the file can't be read.
+// fileVersion returns the file's modification time and size as a string, to detect changes; empty: the file
+// can't be read.
 func fileVersion(path string) string {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/cluster/settings/golden_test.go
+++ b/internal/cluster/settings/golden_test.go
@@ -73,7 +73,7 @@
 	require.Equal(t, 6*time.Second, parsed.Bounds.Grace())
 }
 
-// TestUnknownKeysAreIgnored: the platform may write keys that this build doesn't know.
+// TestUnknownKeysAreIgnored: the platform may write newer keys than this build reads.
 func TestUnknownKeysAreIgnored(t *testing.T) {
 	content, err := os.ReadFile("testdata/all-keys.yaml")
 	require.NoError(t, err)
--- a/internal/cluster/settings/settings.go
+++ b/internal/cluster/settings/settings.go
@@ -111,7 +111,7 @@
 }
 
 // Parse reads settings in YAML, sets the defaults of what is left out, and checks the settings: an error
-// names each fault. Unknown keys are ignored, since the platform may write keys that this build doesn't know.
+// names each fault. Unknown keys are ignored, since the platform may write newer keys than this build reads.
 func Parse(content []byte) (Settings, error) {
 	settings := Settings{}
 	if err := yaml.Unmarshal(content, &settings); err != nil {
--- a/internal/cluster/upgradetest/workload_test.go
+++ b/internal/cluster/upgradetest/workload_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// fillLogs submits large jobs until each control-plane node has written a snapshot of the configuration's
-// group and of the groups that get jobs, which contains all earlier entries.
+// fillLogs submits large jobs, and waits until each control-plane node has a snapshot of each group that gets
+// them, with all entries from before, and any but the first, empty snapshot of the configuration's group.
 func (w *workload) fillLogs() {
 	w.t.Helper()
 	w.awaitAllVoting("before the snapshots")
