--- a/internal/dispatcher/accounting/snapshot.go
+++ b/internal/dispatcher/accounting/snapshot.go
@@ -41,7 +41,7 @@
 		s.Lines = append(s.Lines, SeriesSnapshot{
 			Front: series.Front, Class: series.Class, Tenant: series.Tenant,
 			Minute: w.Latest(Minute, now), Hour: w.Latest(Hour, now), Day: w.Latest(Day, now),
-			Hour60: w.Kept(Minute, now), Day24: w.Kept(Hour, now),
+			Hour60: w.Sum(Minute, now), Day24: w.Sum(Hour, now),
 		})
 	}
 	slices.SortFunc(s.Lines, func(x, y SeriesSnapshot) int {
--- a/internal/dispatcher/accounting/windows.go
+++ b/internal/dispatcher/accounting/windows.go
@@ -96,8 +96,8 @@
 	return ring[w.latest[of]%int64(len(ring))]
 }
 
-// Kept returns the sum of all windows of a length: 60 minutes, 24 hours or 8 days.
-func (w *Windows) Kept(of Window, now time.Time) (sum WindowCounts) {
+// Sum returns the sum of all windows of a length: 60 minutes, 24 hours or 8 days.
+func (w *Windows) Sum(of Window, now time.Time) (sum WindowCounts) {
 	w.roll(now)
 	for _, s := range w.ring(int(of)) {
 		sum.add(s)
