--- a/internal/dispatcher/engine/budget.go
+++ b/internal/dispatcher/engine/budget.go
@@ -6,20 +6,20 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// SharedBudget is this dispatcher's part of the budgets of the fleet. Its methods are called by Run's
-// goroutine and answer at once.
+// SharedBudget is this dispatcher's part of the budgets that the fleet's dispatchers share. Run's
+// goroutine calls its methods, which must not block.
 type SharedBudget interface {
 	policy.SharedBudget
-	// Reserve takes one of the jobs that may be in flight at members of a kind, until then at the
-	// latest; false: there is none left. A nil Reservation needs no End.
+	// Reserve reserves one job in flight at members of a kind, until the given time at the latest. It
+	// returns false if none is left. A nil Reservation needs no End.
 	Reserve(kind string, until time.Time) (Reservation, bool)
-	// RetryTime is when the retry budget of a class is likely to have another attempt.
+	// RetryTime returns when the retry budget of a class is likely to allow another attempt.
 	RetryTime(class string, now time.Time) time.Time
 }
 
-// Reservation is one job in flight of a shared budget.
+// Reservation is one reserved job in flight of a shared budget.
 type Reservation interface {
-	// End gives it back. It is called once, by Run's goroutine.
+	// End releases the reservation. It is called once, by Run's goroutine.
 	End()
 }
 
@@ -38,8 +38,8 @@
 	return ok
 }
 
-// releaseReservation gives back the reservation of a flow that has ended. What may run on at its member
-// though nobody waits keeps it to the deadline.
+// releaseReservation releases the reservation of a flow that has ended. A flow that was cancelled or reset
+// may still run at its member: its reservation is released at the flow's deadline.
 func (e *Engine) releaseReservation(f *Flow, s policy.Status) {
 	reservation := f.reservation
 	if reservation == nil {
--- a/internal/dispatcher/engine/engine.go
+++ b/internal/dispatcher/engine/engine.go
@@ -1,13 +1,13 @@
-// Package engine is the dispatcher's event loop. It drives the decisions of package policy and knows
-// no wire: fronts submit transactions, transports take flows to pool members, a lister follows the
-// list of members, and all of them meet the engine through the interfaces declared here.
+// Package engine is the dispatcher's event loop. It carries out the decisions of package policy and is
+// independent of wire protocols: fronts submit transactions, transports send flows to pool members, and a
+// lister follows the list of members. All of them use the engine through the interfaces declared here.
 //
 // One goroutine, that of Run, owns the policy.Dispatcher, the transactions, the flows and the timers.
-// All other goroutines post events to it (events.go). Run must be called once; the methods that set
-// something up are called before it.
+// All other goroutines post events to it (events.go). Run must be called once, after the methods that
+// configure the engine.
 //
-// The engine is the single ledger of transactions (ledger.go): a transaction gets one final answer and
-// has one live flow at a time, and no end of a flow counts twice.
+// The engine alone keeps the state of transactions (ledger.go): a transaction gets one final answer and
+// has at most one live flow at a time, and the end of a flow counts once.
 package engine
 
 import (
@@ -22,8 +22,8 @@
 	"basaltloft/internal/dispatcher/schedulingdelay"
 )
 
-// Engine connects fronts, decisions and transports. Its exported methods may be called by any
-// goroutine unless they say otherwise.
+// Engine connects fronts, the policy and transports. Its exported methods may be called by any
+// goroutine unless their comments say otherwise.
 type Engine struct {
 	settings policy.Settings
 	stages   Stages
@@ -33,38 +33,38 @@
 
 	mu        sync.Mutex
 	events    []queuedEvent
-	sources   map[string]int  // how many members each has
-	listedIDs map[string]bool // of all members
-	wake      chan struct{}   // there are events; holds one
+	sources   map[string]int  // number of members of each source
+	listedIDs map[string]bool // ids of all members
+	wake      chan struct{}   // signals queued events; capacity 1
 
 	// Owned by Run's goroutine.
 	decisions       *policy.Dispatcher
-	base            time.Time // of the policy's clock
-	now             time.Time // of the event that is handled
-	deferred        []func()  // run once the event is handled, in this order
+	base            time.Time // when the engine was created; see clock
+	now             time.Time // when handling of the current event began
+	deferred        []func()  // run in this order after the current event
 	timers          timers
-	pendingTimers   map[timerKey]bool            // the policy's timers that are set together
+	pendingTimers   map[timerKey]bool            // the policy's coalesced timers that are pending
 	open            map[string]*Transaction      // by id
 	closedEarly     map[string]closedTransaction // by id; see rememberClosed
 	members         map[string]*Member           // by id
 	membersByNumber map[uint32]*Member
-	heldOut         map[string]bool      // by id: members that an operator has taken out
-	restoredAt      map[string]time.Time // by id: when an operator put a member back
+	outOfService    map[string]bool      // by id: members that an operator has taken out of service
+	restoredAt      map[string]time.Time // by id: when an operator put a member back into service
 	load            Load
-	delay           schedulingdelay.Detector // of the time that events wait
+	delay           schedulingdelay.Detector // of the queueing time of events
 	flowsOut        int64                    // flows that have not ended
 	lateFrom        time.Time                // see BeginShutdown
 	stopsAt         time.Time                // see BeginShutdown
 	closed          bool                     // see CloseIfIdle
-	sharedBudget    SharedBudget             // nil: nothing is shared
+	sharedBudget    SharedBudget             // nil: no budget is shared
 	recordMembers   bool                     // see RecordMembersTried
 
 	unanswered   atomic.Int64
 	membersKnown atomic.Bool
 }
 
-// New returns an engine that is not running yet; budget may be nil: nothing is shared with other
-// dispatchers. It fails if the policy does not accept the settings.
+// New returns an engine that is not running yet. A nil budget means that no budget is shared with other
+// dispatchers. New fails if the policy does not accept the settings.
 func New(s policy.Settings, stages Stages, budget SharedBudget, log *slog.Logger) (*Engine, error) {
 	e := &Engine{
 		settings: s, stages: stages, log: log, base: time.Now(), sharedBudget: budget,
@@ -78,7 +78,7 @@
 		closedEarly:     make(map[string]closedTransaction),
 		members:         make(map[string]*Member),
 		membersByNumber: make(map[uint32]*Member),
-		heldOut:         make(map[string]bool),
+		outOfService:    make(map[string]bool),
 		restoredAt:      make(map[string]time.Time),
 	}
 	if budget != nil {
@@ -86,18 +86,18 @@
 	}
 	var err error
 	if e.decisions, err = policy.New(s, host{e}); err != nil {
-		return nil, fmt.Errorf("starting the decisions: %w", err)
+		return nil, fmt.Errorf("creating the dispatcher's policy: %w", err)
 	}
 	return e, nil
 }
 
-// RecordMembersTried fills Answer.MembersTried in. It must be called before Run.
+// RecordMembersTried makes the engine fill in Answer.MembersTried. It must be called before Run.
 func (e *Engine) RecordMembersTried() { e.recordMembers = true }
 
-// SetLister sets who follows the list of members. It must be called before Run.
+// SetLister sets the lister that follows the list of members. It must be called before Run.
 func (e *Engine) SetLister(l Lister) { e.lister = l }
 
-// Run handles events until the context ends.
+// Run handles events and timers until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.stopped)
 	wake := time.NewTimer(time.Hour)
@@ -113,7 +113,7 @@
 		for _, event := range e.takeEvents() {
 			e.handle(event)
 		}
-		// What comes due meanwhile waits for the events that came meanwhile.
+		// Timers that come due while these run wait until the events queued meanwhile are handled.
 		now := time.Now()
 		for due := e.timers.popDue(now); due != nil; due = e.timers.popDue(now) {
 			e.handle(queuedEvent{run: due})
@@ -121,21 +121,22 @@
 	}
 }
 
-// SetDelayBounds sets from which delay of its own events this dispatcher rejects new work. It must be
-// called before Run.
+// SetDelayBounds sets the queueing delay of the engine's events from which this dispatcher rejects new
+// work. It must be called before Run.
 func (e *Engine) SetDelayBounds(b schedulingdelay.Bounds) { e.delay = schedulingdelay.New(b) }
 
-// clock turns a time into the policy's: the duration since 1970, by the monotonic clock from the start
-// on, so that it never runs backward.
+// clock converts a time to the policy's clock: the duration since 1970 at the engine's creation, advanced
+// by the monotonic clock from then on, so that it never runs backward.
 func (e *Engine) clock(t time.Time) time.Duration {
 	return time.Duration(e.base.UnixNano()) + t.Sub(e.base)
 }
 
-// Ready reports whether the engine has a list of members.
+// Ready reports whether the engine has received a list of members.
 func (e *Engine) Ready() bool { return e.membersKnown.Load() }
 
-// Reconfigure takes new settings of classes and limits for what comes from now on; open transactions
-// keep their own. It returns once the policy has them, or with its error, which leaves the old ones.
+// Reconfigure applies new settings of classes and limits to transactions submitted from now on; open
+// transactions keep their old settings. It returns once the policy has applied them. If the policy returns
+// an error, the old settings stay in force.
 func (e *Engine) Reconfigure(s policy.Settings) (err error) {
 	e.Do(func() {
 		if err = e.decisions.Reconfigure(e.clock(e.now), s); err == nil {
--- a/internal/dispatcher/engine/events.go
+++ b/internal/dispatcher/engine/events.go
@@ -2,16 +2,15 @@
 
 import "time"
 
-// queuedEvent is an event and when it was posted; zero for a timer.
+// queuedEvent is an event of Run's goroutine.
 type queuedEvent struct {
-	at  time.Time
+	at  time.Time // when it was posted; zero for a timer
 	run func()
 }
 
-// post hands an event to Run's goroutine. It never waits: a transport posts while
-// it holds a lock that its Start, called by Run's goroutine, needs too. What
-// may be queued is bounded by who posts: each connection, flow and callback
-// waits for its event before it causes another.
+// post queues an event for Run's goroutine. It never blocks: a transport posts while it holds a lock that
+// its Start, called by Run's goroutine, needs too. The queue is bounded by its producers: each connection,
+// flow and callback waits for its event to be handled before it causes another.
 func (e *Engine) post(event func()) {
 	e.mu.Lock()
 	e.events = append(e.events, queuedEvent{time.Now(), event})
@@ -22,7 +21,7 @@
 	}
 }
 
-// takeEvents empties the queue of events.
+// takeEvents removes and returns all queued events.
 func (e *Engine) takeEvents() []queuedEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -31,8 +30,8 @@
 	return events
 }
 
-// handle runs one event and what it deferred. The policy's methods must not be called from within its
-// host's: those append what follows to deferred.
+// handle runs one event and the functions that it deferred. The policy's methods must not be called from
+// within those of its host, which append follow-up calls to deferred instead.
 func (e *Engine) handle(event queuedEvent) {
 	e.now = time.Now()
 	if !event.at.IsZero() {
--- a/internal/dispatcher/engine/flow.go
+++ b/internal/dispatcher/engine/flow.go
@@ -14,51 +14,52 @@
 	Member      *Member
 	Number      int // of the attempt, from 0
 	SentAt      time.Time
-	Deadline    time.Time // it is abandoned then
-	// LatestSend is when a repeat of a deduplicated request must have reached its member whole:
-	// later the members may no longer know it, and would run it again. A transport that is late
-	// does not send it and ends the flow as NotSent. Zero: no matter.
+	Deadline    time.Time // the flow is abandoned then
+	// LatestSend is the time by which a repeat of a deduplicated request must have reached its member
+	// whole: afterwards members may have forgotten its key, and would run it again. A transport that
+	// is too late does not send the request and ends the flow as NotSent. Zero: no limit.
 	LatestSend     time.Time
-	TransportState any // of its transport alone
-	// Load is the load report that came with the answer that ends the flow. It is owned by Run's
-	// goroutine.
+	TransportState any // used by the flow's transport only
+	// Load is the load report in the answer that ended the flow. It is owned by Run's goroutine.
 	Load policy.Report
 
 	ended         bool
-	reservation   Reservation // nil: none is needed
+	reservation   Reservation // nil: none to release
 	deadlineTimer *timer
 }
 
-// TooLate reports whether it is too late to send a flow to its member.
+// TooLate reports whether LatestSend has passed.
 func (f *Flow) TooLate(now time.Time) bool {
 	return !f.LatestSend.IsZero() && !now.Before(f.LatestSend)
 }
 
-// Transport takes flows to the members of one wire. Its methods are called by Run's goroutine and must
-// not block. It ends each flow that is started with Engine.EndFlow; ending one again does no harm.
+// Transport sends flows to the members that use one wire protocol. Run's goroutine calls its methods,
+// which must not block. The transport ends each flow that was started with Engine.EndFlow or
+// Engine.EndFlowWithLoad; ending a flow again has no effect.
 type Transport interface {
 	// Start sends a flow to its member.
 	Start(*Flow)
-	// Abandon drops a flow for which nobody waits any more.
+	// Abandon drops a flow whose result is not needed any more.
 	Abandon(*Flow)
-	// Recall cancels a flow whose transaction is to go elsewhere, and ends it once the member has
-	// confirmed that: until then a second attempt would run beside it. Where the member can't be
-	// reached the flow stays.
+	// Recall cancels a flow whose transaction is to be sent to another member. It ends the flow only
+	// once the member has confirmed the cancellation: a second attempt before that could run at the
+	// same time. If the member can't be reached, the flow stays live.
 	Recall(*Flow)
-	// EndedOutOfBand tells that the member has reported the end of a flow otherwise than on the
-	// flow's own connection: its resources are released.
+	// EndedOutOfBand is called when the member has reported the end of a flow by another way than the
+	// flow's own connection. The transport releases the flow's resources.
 	EndedOutOfBand(*Flow)
-	// Probe asks a member for a sign of life; Engine.EndProbe takes the answer.
+	// Probe checks whether a member is alive, and reports the result with Engine.EndProbe.
 	Probe(*Member)
 }
 
-// EndFlow tells how a flow ended: result is the answer's body. Only the first end of a flow counts.
+// EndFlow ends a flow with a status; result is the body of the member's answer. Only the first end of a
+// flow counts.
 func (e *Engine) EndFlow(f *Flow, s policy.Status, result []byte) {
 	e.post(func() { e.endFlow(f, s, result) })
 }
 
-// EndFlowWithLoad is EndFlow without a result and with the load report of the answer that ended the
-// flow.
+// EndFlowWithLoad ends a flow as EndFlow does, without a result and with the load report of the answer
+// that ended it.
 func (e *Engine) EndFlowWithLoad(f *Flow, s policy.Status, load policy.Report) {
 	e.post(func() {
 		if !f.ended {
@@ -99,7 +100,8 @@
 	e.forgetIfDone(t)
 }
 
-// UpdateFlow tells news of a flow that has not ended; share is the part of the work that is done, 0 to 1.
+// UpdateFlow passes an update of a flow that has not ended to the policy; share is the part of the work
+// that is done, 0 to 1.
 func (e *Engine) UpdateFlow(f *Flow, kind policy.UpdateKind, share float64) {
 	e.post(func() { e.updateFlow(f, kind, share) })
 }
@@ -116,23 +118,24 @@
 	})
 }
 
-// JobUpdate is what a member reports of a job by its id, outside any flow's own connection. One of
-// Started, Running and Ended is set.
+// JobUpdate is a member's report about a job by its id, outside the flow's own connection. One of Started,
+// Running and Ended is set.
 type JobUpdate struct {
 	ID, Member string
 	Started    bool
 	Running    bool
-	Progress   float64 // Running: the share done, 0 to 1
+	Progress   float64 // Running: the part of the work that is done, 0 to 1
 	Ended      bool
-	Status     policy.Status // Ended: how
+	Status     policy.Status // Ended: how the job ended
 	Result     []byte
 	Load       policy.Report // Ended: the member's load report, if it sent one
 }
 
-// HandleJobUpdate takes in an update. It counts for the live flow of that transaction at that member;
-// one of an ended flow or from another member counts nothing. It returns once the update has been
-// handled, so that a flood of updates waits outside, and reports whether a transaction of that id is
-// open here: if not, the update may be owed to another process of this dispatcher.
+// HandleJobUpdate applies an update to the live flow of its transaction if that flow is at the update's
+// member. An update of an ended flow or from another member is ignored. HandleJobUpdate returns once the
+// update has been handled, so that a flood of updates queues at its callers, not in the engine. It reports
+// whether a transaction of that id is open here or was closed early; if not, the update may belong to
+// another process of this dispatcher.
 func (e *Engine) HandleJobUpdate(n JobUpdate) (here bool) {
 	e.Do(func() { here = e.handleJobUpdate(n) })
 	return here
@@ -141,8 +144,8 @@
 func (e *Engine) handleJobUpdate(n JobUpdate) bool {
 	t := e.open[n.ID]
 	if t == nil {
-		_, left := e.closedEarly[n.ID]
-		return left
+		_, closed := e.closedEarly[n.ID]
+		return closed
 	}
 	if t.liveFlow == nil || t.liveFlow.Member.ID != n.Member {
 		return true
@@ -160,8 +163,8 @@
 	return true
 }
 
-// EndProbe tells how a probe of a member ended, with the load report of its answer (none: an empty
-// one).
+// EndProbe passes the result of a probe of a member to the policy, with the load report of the member's
+// answer (empty if there was none).
 func (e *Engine) EndProbe(m *Member, s policy.Status, r policy.Report, sentAt time.Time) {
 	e.post(func() {
 		e.trace("probe ended", func() []slog.Attr {
--- a/internal/dispatcher/engine/host.go
+++ b/internal/dispatcher/engine/host.go
@@ -7,8 +7,8 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// host implements policy.Host. The policy calls it while it handles an event; nothing here calls the
-// policy back before that is done: what follows is deferred.
+// host implements policy.Host. The policy calls it while it handles an event. The methods of host don't
+// call the policy back during that event: they defer such calls to after it.
 type host struct{ engine *Engine }
 
 // Send implements policy.Host.
@@ -16,19 +16,19 @@
 	e := h.engine
 	t, m := e.open[id], e.membersByNumber[worker]
 	if t == nil || m == nil || t.answered || t.liveFlow != nil {
-		// A transaction has one live flow: what may not go out is told as never sent, which is what
-		// the simulator does.
+		// A transaction has one live flow at a time. A send that is not allowed is reported as never
+		// sent, as the simulator does.
 		e.log.Error("send refused: the transaction is unknown, answered or has a live flow", "transaction", id)
 		h.reportNotSent(t, worker)
 		return
 	}
-	if t.Gone() { // and its ClientLeft event is yet to come
+	if t.Gone() { // the client has left, but its ClientLeft event has not arrived yet
 		e.deferred = append(e.deferred, func() { e.clientLeft(t) })
 		h.reportNotSent(t, worker)
 		return
 	}
 	latest := t.latestSend()
-	if !latest.IsZero() && !e.now.Before(latest) { // its key may be forgotten when it arrives
+	if !latest.IsZero() && !e.now.Before(latest) { // the member may have forgotten its key when it arrives
 		h.reportNotSent(t, worker)
 		return
 	}
@@ -39,7 +39,7 @@
 	var reservation Reservation
 	if e.sharedBudget != nil {
 		var ok bool
-		if reservation, ok = e.sharedBudget.Reserve(m.Kind, until); !ok { // spent since the policy looked
+		if reservation, ok = e.sharedBudget.Reserve(m.Kind, until); !ok { // the budget was spent after the policy checked it
 			h.reportNotSent(t, worker)
 			return
 		}
@@ -62,7 +62,7 @@
 	m.Transport.Start(f)
 }
 
-// reportNotSent tells the policy that a send did not go out.
+// reportNotSent reports to the policy that a send did not go out.
 func (h host) reportNotSent(t *Transaction, worker uint32) {
 	if t == nil {
 		return
@@ -128,13 +128,13 @@
 	}
 }
 
-// coalesceFrom is the number of flows from which the policy's timers are coalesced.
+// coalesceFrom is the number of flows in flight from which the policy's timers are coalesced.
 const coalesceFrom = 64
 
-// Timer implements policy.Host. With many flows out, timers of one token that are due within the same
-// millisecond fire as one: each makes the policy look at all flows, and there are several for each
-// send, so that one by one they took all the processor's time with some hundred members (without this,
-// 512 members had 2% of the jobs served). With few flows each fires at its own time.
+// Timer implements policy.Host. With many flows in flight, timers of one token that are due within the same
+// millisecond fire as one. Each timer makes the policy check all flows, and there are several timers for
+// each send: without coalescing they took all the processor's time with some hundred members (with 512
+// members, 2% of the jobs were served). With few flows each timer fires at its own time.
 func (h host) Timer(in time.Duration, token string) {
 	e := h.engine
 	if e.flowsOut < coalesceFrom {
@@ -152,7 +152,7 @@
 	})
 }
 
-// timerKey names the policy's timers that fire as one.
+// timerKey identifies the policy's timers that are coalesced into one.
 type timerKey struct {
 	due   time.Duration // since the engine's start, in milliseconds
 	token string
--- a/internal/dispatcher/engine/ledger.go
+++ b/internal/dispatcher/engine/ledger.go
@@ -7,14 +7,15 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// answerGrace is how long after the deadline the engine answers for the policy.
+// answerGrace is how long after the deadline the engine answers a transaction that the policy has not.
 const answerGrace = 10 * time.Millisecond
 
-// Unanswered returns how many transactions were taken and have no final answer.
+// Unanswered returns how many submitted transactions have no final answer.
 func (e *Engine) Unanswered() int { return int(e.unanswered.Load()) }
 
-// OpenCounts counts the open transactions by front and class, from the table of open transactions
-// alone, and the flows that have not ended. It may be called by Run's goroutine only, such as in Do.
+// OpenCounts returns the number of open transactions by front and class, counted from the table of open
+// transactions, and the number of flows that have not ended. It may be called by Run's goroutine only,
+// such as in Do.
 func (e *Engine) OpenCounts() (open accounting.OpenCounts, flows int64) {
 	open = make(accounting.OpenCounts)
 	for _, t := range e.open {
@@ -25,8 +26,9 @@
 	return open, e.flowsOut
 }
 
-// mayRunAgain reports whether a client may retry a transaction that has no result: no attempt may have
-// run, or its class lets it run twice. Such a one is refused, not failed, as the policy itself does.
+// mayRunAgain reports whether a client may retry a transaction that has no result: either no attempt can
+// have run, or its class allows it to run twice. Such a transaction is refused, not failed, as the policy
+// does itself.
 func (e *Engine) mayRunAgain(t *Transaction) bool {
 	since := t.mayHaveRunSince
 	if since.IsZero() && t.liveFlow != nil {
@@ -36,13 +38,13 @@
 	case since.IsZero(), t.class.Effect == policy.Idempotent:
 		return true
 	case t.class.Effect == policy.Deduplicated && t.class.DedupScope == policy.DedupAll:
-		// If the key is still known when it comes again.
+		// The retry must arrive while members still remember the key.
 		return e.now.Add(e.settings.Limits.MaxRetryAfter).Before(since.Add(t.class.DedupWindow))
 	}
 	return false
 }
 
-// ClientLeft tells that the client of a transaction has gone: it is owed no answer.
+// ClientLeft closes a transaction whose client has disconnected. The transaction gets no answer.
 func (e *Engine) ClientLeft(t *Transaction) {
 	e.post(func() { e.clientLeft(t) })
 }
@@ -57,8 +59,8 @@
 	e.decisions.HandleClientGone(e.clock(e.now), t.ID)
 }
 
-// expire answers for the policy a transaction that has none after the deadline: an answer too late
-// would break the rule, and a lost one would leave the client waiting.
+// expire answers a transaction that the policy has not answered by its deadline. A late answer would break
+// the platform's rule, and without an answer the client would keep waiting.
 func (e *Engine) expire(t *Transaction) {
 	if t.answered {
 		return
@@ -72,7 +74,7 @@
 	e.decisions.HandleClientGone(e.clock(e.now), t.ID)
 }
 
-// answer gives a transaction its one final answer.
+// answer sends a transaction its one final answer.
 func (e *Engine) answer(t *Transaction, a Answer) {
 	if t.answered {
 		return
@@ -88,7 +90,7 @@
 	t.Client.Answer(a)
 }
 
-// closeTransaction marks a transaction as done with its client.
+// closeTransaction marks a transaction as answered, or as needing no answer.
 func (e *Engine) closeTransaction(t *Transaction) {
 	t.answered = true
 	e.timers.cancel(t.deadlineTimer)
@@ -105,11 +107,10 @@
 	}
 }
 
-// rememberClosed keeps the id of a transaction that is closed, by an answer or as its client has left,
-// while a flow is live, or after an attempt that must not be repeated. The flow ends here at once, and
-// its member learns of it later: a client that sends the same id again on another connection
-// meanwhile, as one does whose connection was closed, would have two attempts at once, or one too
-// many.
+// rememberClosed keeps the id of a transaction that is closed, by an answer or because its client has left,
+// while a flow is live or after an attempt that must not be repeated. The flow ends in the engine at once,
+// but its member is informed later. If a client whose connection was closed sent the same id on another
+// connection in that time, two attempts could run at once, or an attempt could be repeated that must not be.
 func (e *Engine) rememberClosed(t *Transaction) {
 	if t.liveFlow == nil && e.mayRunAgain(t) {
 		return
@@ -127,21 +128,22 @@
 	})
 }
 
-// abandonDelay is how long a member may take to learn that a flow is abandoned.
+// abandonDelay is the longest time until a member is informed that a flow is abandoned.
 const abandonDelay = 2 * time.Second
 
-// closedTransaction is what is remembered of a transaction that was closed early.
+// closedTransaction is the record of a transaction that was closed early; see rememberClosed.
 type closedTransaction struct {
-	until           time.Time // it is forgotten then
-	mayHaveRunSince time.Time // the send of its first attempt that may have run
+	until           time.Time // when the record is dropped
+	mayHaveRunSince time.Time // when its first attempt that may have run was sent
 }
 
-// dedupMargin is by how much sooner than the window of its key ends a repeat has to be with its
-// member: the way there may take longer than the first one's did.
+// dedupMargin is how long before the end of its key's window a repeat must have reached its member: it may
+// take longer on the network than the first attempt did.
 const dedupMargin = 50 * time.Millisecond
 
-// latestSend is when the next flow of a transaction must have reached its member; zero: no matter. The
-// window of a key counts from the first flow that may have run, at the soonest from its send.
+// latestSend returns the time by which the next flow of a transaction must have reached its member; zero:
+// no limit. The window of a key begins with the first flow that may have run, at the earliest when that
+// flow was sent.
 func (t *Transaction) latestSend() time.Time {
 	if t.class.Effect != policy.Deduplicated || t.mayHaveRunSince.IsZero() {
 		return time.Time{}
--- a/internal/dispatcher/engine/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -13,8 +13,8 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// UpdateMembers takes in what a source tells of its members: changes, its whole list, or that it could
-// not be asked. The members of other sources stay as they are.
+// UpdateMembers applies an update from a source of members: changes, the source's whole list, or a failure
+// to get the list. The members of other sources stay as they are.
 func (e *Engine) UpdateMembers(source string, kind policy.ListKind, entries []*Member) {
 	e.post(func() {
 		e.trace("list", func() []slog.Attr { return listAttrs(source, kind, entries) })
@@ -23,8 +23,7 @@
 			return
 		}
 		entries = slices.Clone(entries)
-		// In one order everywhere, so that dispatchers agree on who yields
-		// where two ids hash alike.
+		// All dispatchers use one order, so that they number members with colliding hashes alike.
 		slices.SortFunc(entries, func(a, b *Member) int { return strings.Compare(a.ID, b.ID) })
 		listed := make([]policy.Member, 0, len(entries))
 		for _, m := range entries {
@@ -40,7 +39,7 @@
 	})
 }
 
-// listAttrs are the attributes of a list in the log.
+// listAttrs returns the log attributes of a list of members.
 func listAttrs(source string, kind policy.ListKind, entries []*Member) []slog.Attr {
 	states := make([]string, 0, len(entries))
 	for _, m := range entries {
@@ -49,8 +48,9 @@
 	return []slog.Attr{slog.String("source", source), slog.Int("kind", int(kind)), slog.String("entries", strings.Join(states, " "))}
 }
 
-// completeList makes a source's whole list the whole list of all sources, since
-// the policy takes whatever a whole list leaves out as removed.
+// completeList extends the whole list of one source by the members of all other sources, since the policy
+// treats each member that a whole list leaves out as removed. It drops the members of the source that the
+// list leaves out.
 func (e *Engine) completeList(source string, entries []*Member, listed []policy.Member) []policy.Member {
 	in := make(map[string]bool, len(entries))
 	for _, m := range entries {
@@ -68,8 +68,8 @@
 	return listed
 }
 
-// countMember keeps the tables that other goroutines read: by is 1 for a member that is new and -1 for
-// one that is removed.
+// countMember updates the tables of members that other goroutines read: by is 1 for a new member and -1
+// for a removed one.
 func (e *Engine) countMember(source, id string, by int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,10 +81,11 @@
 	}
 }
 
-// SetMemberOut takes a member out of service for an operator, whatever its lists say, or puts it back;
-// it counts as draining meanwhile, and as just started once back. It reports, without waiting for the
-// event loop, whether the member is listed; one that is not is taken out only where anyway is set, as
-// when a new process takes over the overrides of an older one.
+// SetMemberOut takes a member out of service for an operator, whatever state its list gives, or puts it
+// back. A member that is out of service counts as draining, and as just started once it is back.
+// SetMemberOut reports, without waiting for the event loop, whether the member is listed. A member that is
+// not listed is taken out only if anyway is set, as when a new process takes over the overrides of an
+// older one.
 func (e *Engine) SetMemberOut(id string, out, anyway bool) bool {
 	e.mu.Lock()
 	listed := e.listedIDs[id]
@@ -96,17 +97,17 @@
 	return listed
 }
 
-// MarkRestored says that a member which an operator put back at a time started then, unless its list
-// says that it started later.
+// MarkRestored records when an operator put a member back into service. That time counts as the member's
+// start unless its list gives a later one.
 func (e *Engine) MarkRestored(id string, back time.Time) {
 	e.post(func() { e.restoredAt[id] = back })
 }
 
 func (e *Engine) setMemberOut(id string, out bool, now time.Time) {
 	if out {
-		e.heldOut[id] = true
-	} else if e.heldOut[id] {
-		delete(e.heldOut, id)
+		e.outOfService[id] = true
+	} else if e.outOfService[id] {
+		delete(e.outOfService, id)
 		e.restoredAt[id] = now
 	}
 	m := e.members[id]
@@ -119,7 +120,7 @@
 	e.decisions.HandleMembers(e.clock(e.now), policy.ListDelta, []policy.Member{e.policyMember(m)})
 }
 
-// HasOtherSources reports whether members of other sources than this one are known.
+// HasOtherSources reports whether members of sources other than the given one are known.
 func (e *Engine) HasOtherSources(source string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,7 +132,7 @@
 	return false
 }
 
-// sortedIDs returns the ids of members in order.
+// sortedIDs returns the ids of members in ascending order.
 func sortedIDs(members map[string]*Member) []string {
 	ids := make([]string, 0, len(members))
 	for id := range members {
@@ -141,8 +142,8 @@
 	return ids
 }
 
-// placeMember puts a member into the tables. Flows keep the entry they were sent
-// with; new ones use the latest.
+// placeMember puts a member into the tables and returns it in the policy's form. Flows keep the entry that
+// they were sent with; new flows use the latest.
 func (e *Engine) placeMember(m *Member) policy.Member {
 	if old := e.members[m.ID]; old != nil {
 		m.number = old.number
@@ -161,7 +162,7 @@
 	return listing
 }
 
-// dropMember forgets a member that is removed, unless it may still be sent to.
+// dropMember deletes a removed member, unless flows may still be sent to it.
 func (e *Engine) dropMember(m *Member) {
 	if !e.settings.Rules.OnlyDrainBinds && e.members[m.ID] != nil {
 		e.countMember(m.source, m.ID, -1)
@@ -170,13 +171,13 @@
 	}
 }
 
-// policyMember is what the policy is told of a member, on its clock.
+// policyMember returns a member in the policy's form, with times on the policy's clock.
 func (e *Engine) policyMember(m *Member) policy.Member {
 	l := policy.Member{
 		Number: m.number, Kind: m.Kind, Cell: m.Cell, Zone: m.Zone,
 		State: m.State, Weight: m.Weight, Capabilities: m.Capabilities,
 	}
-	if e.heldOut[m.ID] && l.State == policy.Ready {
+	if e.outOfService[m.ID] && l.State == policy.Ready {
 		l.State = policy.Draining
 	}
 	if !m.Started.IsZero() {
@@ -185,9 +186,9 @@
 	return l
 }
 
-// numberOf derives a member's number from its id alone: the policy spreads slow starts over the
-// dispatchers by it, so that it must be the same at each of them, which a counter is not. An id that
-// hashes like another is hashed again.
+// numberOf derives a member's number from its id alone. The policy uses the number to spread slow starts
+// over the dispatchers, so it must be the same at each of them; a counter would differ. An id whose hash
+// collides with that of another member is hashed again.
 func (e *Engine) numberOf(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
@@ -199,15 +200,15 @@
 	return n
 }
 
-// Member is a pool member, which runs jobs. It is set before UpdateMembers and owned by Run's goroutine
-// from there on.
+// Member is a pool member, which runs jobs. Its fields are set before UpdateMembers, and owned by Run's
+// goroutine from then on.
 type Member struct {
 	ID, Addr, Kind, Zone string
-	Group                string // what its jobs are counted under; empty: its source
-	Cell                 int    // within its zone
+	Group                string // the member group that its jobs are counted under; empty: its source
+	Cell                 int    // the cell within its zone
 	State                policy.MemberState
 	Weight               float64
-	Capabilities         []string  // that it offers; nil: all
+	Capabilities         []string  // capabilities that it offers; nil: all
 	Started              time.Time // its latest start; zero: long ago
 	Transport            Transport
 
@@ -215,14 +216,14 @@
 	number uint32
 }
 
-// Number is the policy's id of the member, which is the same at every dispatcher.
+// Number returns the policy's id of the member, which is the same at every dispatcher.
 func (m *Member) Number() uint32 { return m.number }
 
-// Lister follows the list of members for the policy. Its methods must not block; what they lead to is
-// told by UpdateMembers.
+// Lister follows the list of members for the policy. Its methods must not block; it reports lists and
+// changes with Engine.UpdateMembers.
 type Lister interface {
-	// Watch subscribes to changes, or ends that.
+	// Watch subscribes to changes of the list, or ends the subscription.
 	Watch(on bool)
-	// Fetch asks for the whole list once.
+	// Fetch requests the whole list once.
 	Fetch()
 }
--- a/internal/dispatcher/engine/members_test.go
+++ b/internal/dispatcher/engine/members_test.go
@@ -8,14 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
+// hashed returns the hash of an id that its member's number is derived from.
 func hashed(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return h.Sum32()
 }
 
-// alike finds two ids that hash alike; among 300,000 there are some.
-func alike() (string, string) {
+// collidingIDs returns two ids with the same hash; among 300,000 ids there are some.
+func collidingIDs() (string, string) {
 	seen := make(map[uint32]string)
 	for n := 0; ; n++ {
 		id := fmt.Sprintf("s-%08x", n)
@@ -26,10 +27,10 @@
 	}
 }
 
-// TestNumbers: a number comes from the id alone, the same at every dispatcher
-// whatever it has met before, and no two members share one.
-func TestNumbers(t *testing.T) {
-	first, second := alike()
+// TestMemberNumbers checks that a member's number depends on its id alone, so that it is the same at every
+// dispatcher whatever members it has listed before, and that no two members share a number.
+func TestMemberNumbers(t *testing.T) {
+	first, second := collidingIDs()
 	for _, before := range []int{0, 5} {
 		c := &Engine{sources: make(map[string]int), listedIDs: make(map[string]bool), members: make(map[string]*Member), membersByNumber: make(map[uint32]*Member)}
 		for n := range before {
--- a/internal/dispatcher/engine/shutdown.go
+++ b/internal/dispatcher/engine/shutdown.go
@@ -6,9 +6,9 @@
 	"basaltloft/internal/dispatcher/accounting"
 )
 
-// BeginShutdown tells that the process stops. Transactions that arrived after late are answered by the
-// end: what can't be done by then is refused at once, and what is not done then is answered. What
-// arrived before keeps its deadline.
+// BeginShutdown begins the shutdown of the process. Transactions that arrive after late are answered by the
+// end of the shutdown: one whose estimated work does not fit before the end is refused at once, and one
+// that is still open at the end is answered then. Earlier transactions keep their deadlines.
 func (e *Engine) BeginShutdown(late, end time.Time) {
 	e.post(func() {
 		e.lateFrom, e.stopsAt = late, end
@@ -16,7 +16,8 @@
 	})
 }
 
-// answerLateArrivals answers at the end of a shutdown what arrived late, and logs what did not.
+// answerLateArrivals answers, at the end of a shutdown, the open transactions that arrived late, and logs
+// the number of the other open transactions.
 func (e *Engine) answerLateArrivals() {
 	early, held := 0, 0
 	for _, t := range e.open {
@@ -36,7 +37,7 @@
 	}
 }
 
-// answerAtShutdown answers a transaction that will not be served any more.
+// answerAtShutdown refuses or fails a transaction that will not be served any more.
 func (e *Engine) answerAtShutdown(t *Transaction) {
 	a := Answer{Verdict: Failed, Reason: accounting.Stopped}
 	if e.mayRunAgain(t) {
@@ -46,15 +47,16 @@
 	e.decisions.HandleClientGone(e.clock(e.now), t.ID)
 }
 
-// arrivedLate reports whether a transaction arrived after the time that BeginShutdown named.
+// arrivedLate reports whether a transaction arrived after the late time of BeginShutdown.
 func (e *Engine) arrivedLate(t *Transaction) bool {
 	return !e.lateFrom.IsZero() && t.Arrived.After(e.lateFrom)
 }
 
-// CloseIfIdle refuses all transactions from now on if none is open in that moment, and reports whether
-// that is so: no result is owed from then on, and the way on which results come may be shut.
+// CloseIfIdle closes the engine if no transaction is open: the engine then refuses all further
+// transactions. It reports whether the engine is closed. If so, no result is expected any more, and the
+// listener on which members report results may be closed.
 func (e *Engine) CloseIfIdle() (done bool) {
-	done = true // by Run's end, if that came before
+	done = true // the result if Run has already returned
 	e.Do(func() { done = e.closeIfIdle() })
 	return done
 }
--- a/internal/dispatcher/engine/stages.go
+++ b/internal/dispatcher/engine/stages.go
@@ -6,28 +6,28 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Load is the engine's load when a transaction comes.
+// Load is the engine's load when a transaction arrives.
 type Load struct {
 	Open  int // transactions without a final answer
-	Bytes int // of their bodies
-	// RetryDelay is how long the client should wait before a retry, as this dispatcher is late with
-	// its own events; 0: it is not.
+	Bytes int // total size of their bodies
+	// RetryDelay is how long the client should wait before a retry because this dispatcher is late with
+	// its own events; 0: it is not late.
 	RetryDelay time.Duration
 }
 
-// Stages are the steps of a transaction from its acceptance to its end. They are called by Run's
-// goroutine and must not block.
+// Stages are the processing steps of a transaction from its acceptance to its end. Run's goroutine calls
+// them; they must not block.
 type Stages interface {
-	// RecordAccepted counts a transaction that is taken.
+	// RecordAccepted counts a submitted transaction.
 	RecordAccepted(t *Transaction, now time.Time)
-	// Admit returns the final answer of a transaction that is rejected; nil: it is admitted.
+	// Admit returns the final answer of a transaction that is rejected, or nil if it is admitted.
 	Admit(t *Transaction, load Load, now time.Time) *Answer
-	// Route makes the policy's request of a transaction, but for its deadline and exclusions.
+	// Route returns the policy's request for a transaction, without its deadline and exclusions.
 	Route(t *Transaction) policy.Request
-	// NewFlow makes and counts the flow that the policy asked for.
+	// NewFlow creates and counts a flow that the policy decided to send.
 	NewFlow(t *Transaction, m *Member, number int, now, until time.Time) *Flow
-	// Relay returns what a flow's end means for its client: an answer, or nil for nothing yet.
+	// Relay returns the answer that the end of a flow gives its client, or nil if there is none yet.
 	Relay(f *Flow, s policy.Status, result []byte, now time.Time) *Answer
-	// RecordEnd counts a final answer, or that the client has left and is owed none.
+	// RecordEnd counts the end of a transaction: its final answer, or that its client has left.
 	RecordEnd(t *Transaction, a Answer, now time.Time)
 }
--- a/internal/dispatcher/engine/starve_test.go
+++ b/internal/dispatcher/engine/starve_test.go
@@ -11,22 +11,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTimersLeaveEventsTheirTurn: a timer that is due again as soon as it has come,
-// as of work that takes longer than the time to its next, keeps no event waiting.
-// The policy's own times count from when it asks for them, not from the event.
-func TestTimersLeaveEventsTheirTurn(t *testing.T) {
+// TestTimersDoNotStarveEvents checks that a timer that is due again as soon as it has run, as when its work
+// takes longer than its interval, does not starve events. The delay of the policy's timers counts from the
+// call of Timer, not from the beginning of the event.
+func TestTimersDoNotStarveEvents(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	c, err := New(policy.Settings{Instances: 1, Limits: policy.Limits{MaxAttempts: 1}, Classes: []policy.Class{
 		{Name: "notice", Effect: policy.Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: time.Minute, Value: 1, Kind: -1},
-	}}, &tape{t: t}, nil, log)
+	}}, &recorder{t: t}, nil, log)
 	require.NoError(t, err)
-	laps, heard := 0, 0
+	timerRuns, runsAtEvent := 0, 0
 	var again func()
 	again = func() {
-		if laps++; laps == 1 {
-			c.post(func() { heard = laps })
+		if timerRuns++; timerRuns == 1 {
+			c.post(func() { runsAtEvent = timerRuns })
 		}
-		if laps < 100 {
+		if timerRuns < 100 {
 			c.timers.schedule(time.Now(), again)
 		}
 	}
@@ -36,12 +36,12 @@
 	defer cancel()
 	c.Do(func() {})
 	for done := false; !done; {
-		c.Do(func() { done = laps == 100 })
+		c.Do(func() { done = timerRuns == 100 })
 	}
-	require.LessOrEqual(t, heard, 2, "an event waited for so many timers")
+	require.LessOrEqual(t, runsAtEvent, 2, "number of timers that ran before the event")
 
 	c.Do(func() {
-		c.now = time.Now().Add(-time.Minute) // the event has taken a minute so far
+		c.now = time.Now().Add(-time.Minute) // the event began a minute ago
 		host{c}.Timer(time.Second, "tick")
 		require.Positive(t, c.timers.untilNext(time.Now()))
 	})
--- a/internal/dispatcher/engine/submit.go
+++ b/internal/dispatcher/engine/submit.go
@@ -7,10 +7,10 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// minRetryDelay is the least delay that clients are told by a dispatcher that is overloaded itself.
+// minRetryDelay is the shortest retry delay that a dispatcher states while it is overloaded itself.
 const minRetryDelay = time.Second
 
-// Submit takes a transaction. Its client is told exactly one final answer, or leaves first.
+// Submit submits a transaction. Its client gets exactly one final answer, unless it leaves first.
 func (e *Engine) Submit(t *Transaction) {
 	e.unanswered.Add(1)
 	e.post(func() { e.submit(t) })
@@ -20,9 +20,9 @@
 	e.stages.RecordAccepted(t, e.now)
 	t.class = e.classNamed(t.Class)
 	if t.class.Effect == policy.Deduplicated && t.Key == "" {
-		t.class.Effect = policy.AtMostOnce // members know no repeat of it
+		t.class.Effect = policy.AtMostOnce // members can't recognise a repeat without a key
 	}
-	// Its ClientLeft event is yet to come.
+	// The first client has left, but its ClientLeft event has not arrived yet.
 	if first := e.open[t.ID]; first != nil && first.Gone() {
 		e.clientLeft(first)
 	}
@@ -51,16 +51,16 @@
 	e.decisions.HandleRequest(e.clock(e.now), e.policyRequest(t))
 }
 
-// answerDuplicate returns the answer to a transaction whose id is that of another that is open, or
-// was closed early: the policy would ignore it, and its attempt could run beside the other's. It may
-// come again once the other is cancelled, where running twice is harmless; else it is denied. Nil: its
-// id is its own.
+// answerDuplicate returns the answer to a transaction whose id is that of another one that is open or was
+// closed early, or nil if the id is not in use. The policy would ignore such a transaction, and its attempt
+// could run at the same time as the other's. If the other was closed early and running twice is harmless,
+// the answer is a refusal, with a retry once the other is cancelled; otherwise the transaction is denied.
 func (e *Engine) answerDuplicate(t *Transaction) *Answer {
-	first, left := e.closedEarly[t.ID]
-	if left = left && e.now.Before(first.until); e.open[t.ID] == nil && !left {
+	first, closed := e.closedEarly[t.ID]
+	if closed = closed && e.now.Before(first.until); e.open[t.ID] == nil && !closed {
 		return nil
 	}
-	if t.mayHaveRunSince = first.mayHaveRunSince; left && e.mayRunAgain(t) {
+	if t.mayHaveRunSince = first.mayHaveRunSince; closed && e.mayRunAgain(t) {
 		back := e.now.Add(e.settings.Limits.MaxRetryAfter)
 		if back.After(first.until) {
 			back = first.until
@@ -71,18 +71,18 @@
 	return &Answer{Verdict: Denied, Reason: accounting.DuplicateID, Body: []byte(text)}
 }
 
-// classNamed returns a class as the settings have it now.
+// classNamed returns the current settings of a class.
 func (e *Engine) classNamed(name string) policy.Class {
 	for _, class := range e.settings.Classes {
 		if class.Name == name {
 			return class
 		}
 	}
-	// Gone with a reload since the transaction was taken in: nothing is promised of it.
+	// A reload has removed the class since the transaction was accepted: assume the strictest effect.
 	return policy.Class{Effect: policy.AtMostOnce}
 }
 
-// policyRequest is what the policy is told of a transaction, on its clock.
+// policyRequest returns the policy's request for a transaction, with its deadline on the policy's clock.
 func (e *Engine) policyRequest(t *Transaction) policy.Request {
 	r := e.stages.Route(t)
 	r.Deadline, r.NoDedupKey = e.clock(t.Deadline), t.Key == ""
--- a/internal/dispatcher/engine/timers.go
+++ b/internal/dispatcher/engine/timers.go
@@ -6,19 +6,19 @@
 	"basaltloft/internal/shared/indexedheap"
 )
 
-// timers is a queue of functions by the time at which they are due, and by the order in which they
-// were scheduled.
+// timers is a priority queue of functions, ordered by the time at which they are due and then by the order
+// in which they were scheduled.
 type timers struct {
 	queue indexedheap.Heap[*timer]
 	seq   uint64
 }
 
-// timer is a function that runs at a time.
+// timer is a function that is scheduled for a time.
 type timer struct {
 	at    time.Time
 	seq   uint64
 	run   func()
-	index int // in the queue; below 0: it is not in it
+	index int // position in the queue; below 0: not queued
 }
 
 // newTimers returns an empty queue.
@@ -31,7 +31,7 @@
 	}, func(t *timer, at int) { t.index = at })}
 }
 
-// schedule adds a function that runs at a time.
+// schedule adds a function that is to run at the given time.
 func (t *timers) schedule(at time.Time, run func()) *timer {
 	t.seq++
 	added := &timer{at: at, seq: t.seq, run: run}
@@ -39,15 +39,15 @@
 	return added
 }
 
-// cancel takes a timer out that is not wanted any more, with all that it holds on
-// to: at thousands of jobs a second those that wait for far deadlines add up.
+// cancel removes a timer from the queue, so that the memory it refers to can be freed: at thousands of jobs
+// a second, cancelled timers with distant deadlines would add up. A nil timer is ignored.
 func (t *timers) cancel(one *timer) {
 	if one != nil && one.index >= 0 {
 		t.queue.Remove(one.index)
 	}
 }
 
-// popDue takes out the first timer that is due, or returns nil.
+// popDue removes the first timer that is due and returns its function, or nil if none is due.
 func (t *timers) popDue(now time.Time) func() {
 	if t.queue.Len() == 0 || t.queue.All()[0].at.After(now) {
 		return nil
@@ -55,7 +55,7 @@
 	return t.queue.Pop().run
 }
 
-// untilNext is how long nothing is due.
+// untilNext returns the time until the next timer is due, or an hour if there is none.
 func (t *timers) untilNext(now time.Time) time.Duration {
 	if t.queue.Len() == 0 {
 		return time.Hour
--- a/internal/dispatcher/engine/trace.go
+++ b/internal/dispatcher/engine/trace.go
@@ -7,14 +7,15 @@
 	"basaltloft/internal/dispatcher/logging"
 )
 
-// trace logs what happens at one member, at the trace level. Load tests count the behaviour of the
-// whole fleet over these lines, so that their messages and keys must not change.
+// trace logs an event at one member, at the trace level. Load tests compute the behaviour of the whole
+// fleet from these lines, so their messages and keys must not change.
 func (e *Engine) trace(what string, attrs func() []slog.Attr) {
 	if ctx := context.Background(); e.log.Enabled(ctx, logging.LevelTrace) {
 		e.log.LogAttrs(ctx, logging.LevelTrace, what, attrs()...)
 	}
 }
 
+// attrs returns the flow's log attributes.
 func (f *Flow) attrs() []slog.Attr {
 	t := f.Transaction
 	return []slog.Attr{
@@ -23,6 +24,7 @@
 	}
 }
 
+// attrs returns the member's log attributes.
 func (m *Member) attrs() []slog.Attr {
 	return []slog.Attr{slog.String("member", m.ID), slog.String("kind", m.Kind)}
 }
