--- a/internal/dispatcher/accounting/accounting_test.go
+++ b/internal/dispatcher/accounting/accounting_test.go
@@ -13,17 +13,18 @@
 
 var start = time.Date(2026, 7, 4, 11, 59, 30, 0, time.UTC)
 
-func small() Limits {
+// smallLimits returns limits that a few jobs exceed.
+func smallLimits() Limits {
 	return Limits{MaxNames: 3, MaxRows: 12, MaxLogicalRequests: 8, LogicalRequestRetention: time.Minute}
 }
 
-// TestCheckBalance drives a ledger with random events: after each of them every sum
-// holds, and the ledger agrees with a table of open jobs that the test keeps.
+// TestCheckBalance applies random events to a ledger. After each of them every sum must hold, and the ledger
+// must agree with a table of open jobs that the test keeps.
 //
-//nolint:funlen // one property, whose events are each a few lines
+//nolint:funlen // one property with events of a few lines each
 func TestCheckBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now := New(small()), start
+		b, now := New(smallLimits()), start
 		type job struct {
 			entry *Entry
 			front string
@@ -69,27 +70,27 @@
 				open = append(open[:i], open[i+1:]...)
 				ended++
 			},
-			"time": func(t *rapid.T) { // also backward
+			"time": func(t *rapid.T) { // it may also go backward
 				now = now.Add(time.Duration(rapid.IntRange(-90, 4000).Draw(t, "seconds")) * time.Second)
 			},
 			"": func(t *rapid.T) {
 				require.Empty(t, b.CheckBalance())
-				census := OpenCounts{}
+				engineOpen := OpenCounts{}
 				for _, j := range open {
-					census[[2]string{j.front, j.entry.Job.Class}]++
+					engineOpen[[2]string{j.front, j.entry.Job.Class}]++
 				}
-				require.Empty(t, b.CompareEngine(census, flows))
+				require.Empty(t, b.CompareEngine(engineOpen, flows))
 				require.EqualValues(t, len(open), b.Totals().Open)
 				require.EqualValues(t, int64(len(open))+ended, b.Totals().Taken)
-				require.LessOrEqual(t, len(b.rows), 12+2*2*4, "rows are bounded, but for the shared ones")
+				require.LessOrEqual(t, len(b.rows), 12+2*2*4, "rows are bounded, except the shared ones")
 				require.LessOrEqual(t, len(b.requests.tracked), 8+len(open)+1)
 			},
 		})
 	})
 }
 
-// TestLogicalRequests: the tries of one logical request are told from logical requests by their key, on either
-// front and also after the first was answered.
+// TestLogicalRequests checks that tries with the same class and key count as one logical request, on either
+// front and also after the first try was answered.
 func TestLogicalRequests(t *testing.T) {
 	try := func(b *Ledger, front, key string, retry bool, r Reason) {
 		b.JobEnded(b.JobAccepted(Job{Front: front, Class: "hold", Key: key, Retry: retry}, start), r, start)
@@ -112,25 +113,25 @@
 			b.JobEnded(one, Answered, start)
 			b.JobEnded(two, GivenUp, start)
 		}, LogicalRequests{Asked: 1, Retries: 1, Ends: [Outcomes]int64{Served: 1}}},
-		"without a key each is its own": {func(b *Ledger) {
+		"without a key each try is a logical request": {func(b *Ledger) {
 			try(b, "http", "", false, Answered)
 			try(b, "http", "", false, GivenUp)
 		}, LogicalRequests{Asked: 2, Ends: [Outcomes]int64{Served: 1, Failed: 1}}},
-		"a marked retry without a key belongs to an ask that is not known": {func(b *Ledger) {
+		"a marked retry without a key counts as no logical request": {func(b *Ledger) {
 			try(b, "http", "", true, Answered)
 		}, LogicalRequests{Strays: 1}},
-		"other classes have other keys": {func(b *Ledger) {
+		"the same key in another class": {func(b *Ledger) {
 			try(b, "http", "k", false, Answered)
 			b.JobEnded(b.JobAccepted(Job{Class: "ticket", Key: "k"}, start), Answered, start)
 		}, LogicalRequests{Asked: 2, Ends: [Outcomes]int64{Served: 2}}},
-		"an old one is forgotten": {func(b *Ledger) {
+		"a logical request is forgotten after the retention": {func(b *Ledger) {
 			try(b, "http", "k", false, Declined)
 			b.JobEnded(b.JobAccepted(Job{Class: "hold", Key: "other"}, start.Add(2*time.Minute)), Answered, start)
 			try(b, "http", "k", false, Answered)
 		}, LogicalRequests{Asked: 3, Ends: [Outcomes]int64{Served: 2, Refused: 1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := New(small())
+			b := New(smallLimits())
 			c.do(b)
 			require.Equal(t, c.want, b.requests.LogicalRequests)
 			require.Empty(t, b.CheckBalance())
@@ -138,10 +139,10 @@
 	}
 }
 
-// TestWindows: what is counted in a minute, hour or day goes with it, and time
-// that runs backward loses nothing.
+// TestWindows checks that the counts of a minute, hour or day are dropped with its window, and that no job is
+// lost if the clock goes backward.
 func TestWindows(t *testing.T) {
-	b := New(small())
+	b := New(smallLimits())
 	one := func(at time.Time) { b.JobEnded(b.JobAccepted(Job{Front: "http", Class: "hold"}, at), Answered, at) }
 	latest := func(at time.Time) (minute, hour, day uint32) {
 		l := b.Snapshot(at).Lines[0]
@@ -161,10 +162,10 @@
 	require.Empty(t, b.CheckBalance())
 }
 
-// TestBroken breaks one count after the other: the audit whose it is finds it.
-func TestBroken(t *testing.T) {
+// TestAuditsFindFaults falsifies one count in each case, and checks that the audit of that count finds it.
+func TestAuditsFindFaults(t *testing.T) {
 	begin := func() (*Ledger, *Entry, OpenCounts) {
-		b := New(small())
+		b := New(smallLimits())
 		b.JobEnded(b.JobAccepted(Job{Front: "http", Class: "hold", Key: "a"}, start), Answered, start)
 		e := b.JobAccepted(Job{Front: "http", Class: "hold"}, start)
 		b.FlowSent(e, "cell 0", start)
@@ -175,19 +176,19 @@
 		fault func(b *Ledger, e *Entry)
 		audit func(b *Ledger, e *Entry) []Difference
 	}{
-		"a row's open":      {func(_ *Ledger, e *Entry) { e.row.Open++ }, sums},
-		"a row's end":       {func(_ *Ledger, e *Entry) { e.row.Ends[GivenUp]++ }, sums},
-		"a row's way in":    {func(_ *Ledger, e *Entry) { e.row.Came--; e.row.Open-- }, sums},
-		"the total":         {func(b *Ledger, _ *Entry) { b.totals.Taken++ }, sums},
-		"a whole job twice": {func(_ *Ledger, e *Entry) { e.row.Entered++; e.row.Ends[Answered]++ }, sums},
-		"a job ended twice": {func(b *Ledger, e *Entry) { b.JobEnded(e, GivenUp, start); b.JobEnded(e, GivenUp, start) }, sums},
-		"a flow":            {func(b *Ledger, _ *Entry) { b.flowCounts("hold", "cell 0").Ends[policy.Rejected]++ }, sums},
-		"a flow, whole":     {func(b *Ledger, _ *Entry) { f := b.flowCounts("hold", "cell 0"); f.Sent++; f.Out++ }, sums},
-		"an ask":            {func(b *Ledger, _ *Entry) { b.requests.Ends[Served]++ }, sums},
-		"a job the core lost": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
+		"a row's open":                 {func(_ *Ledger, e *Entry) { e.row.Open++ }, sums},
+		"a row's end":                  {func(_ *Ledger, e *Entry) { e.row.Ends[GivenUp]++ }, sums},
+		"a row's jobs from other rows": {func(_ *Ledger, e *Entry) { e.row.Came--; e.row.Open-- }, sums},
+		"the total":                    {func(b *Ledger, _ *Entry) { b.totals.Taken++ }, sums},
+		"a whole job counted twice":    {func(_ *Ledger, e *Entry) { e.row.Entered++; e.row.Ends[Answered]++ }, sums},
+		"a job ended twice":            {func(b *Ledger, e *Entry) { b.JobEnded(e, GivenUp, start); b.JobEnded(e, GivenUp, start) }, sums},
+		"a flow":                       {func(b *Ledger, _ *Entry) { b.flowCounts("hold", "cell 0").Ends[policy.Rejected]++ }, sums},
+		"a flow, sent and out":         {func(b *Ledger, _ *Entry) { f := b.flowCounts("hold", "cell 0"); f.Sent++; f.Out++ }, sums},
+		"a logical request's end":      {func(b *Ledger, _ *Entry) { b.requests.Ends[Served]++ }, sums},
+		"a job the engine lost": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			return b.CompareEngine(OpenCounts{}, 1)
 		}},
-		"a flow the core lost": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
+		"a flow the engine lost": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
 			return b.CompareEngine(OpenCounts{{"http", "hold"}: 1}, 0)
 		}},
 		"a job of a front": {func(_ *Ledger, _ *Entry) {}, func(b *Ledger, _ *Entry) []Difference {
@@ -207,10 +208,10 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, e, census := begin()
+			b, e, engineOpen := begin()
 			good := FrontCountersSnapshot{Started: 2, Submitted: 2, Answers: [Outcomes]int64{Served: 1}}
 			require.Empty(t, b.CheckBalance())
-			require.Empty(t, b.CompareEngine(census, 1))
+			require.Empty(t, b.CompareEngine(engineOpen, 1))
 			require.Empty(t, b.CompareFront("http", good, good))
 			require.Empty(t, b.Totals().Compare(AuditJournal, b.Totals()))
 			c.fault(b, e)
@@ -221,7 +222,7 @@
 	}
 }
 
-// TestBounds: names that clients choose do not make the ledger grow.
+// TestBounds checks that the ledger's size is bounded however many names and keys clients send.
 func TestBounds(t *testing.T) {
 	b := New(Limits{Tenants: []string{"known"}, MaxRows: 64, MaxLogicalRequests: 16, LogicalRequestRetention: time.Hour})
 	for n := range 10000 {
@@ -238,22 +239,22 @@
 	require.LessOrEqual(t, len(b.requests.tracked), 16)
 }
 
-// BenchmarkJob is what the ledger costs a job: entry, one flow, and end.
+// BenchmarkJob measures the ledger's cost of one job with one flow.
 func BenchmarkJob(b *testing.B) {
-	book := New(DefaultLimits())
+	ledger := New(DefaultLimits())
 	keys := make([]string, 4096)
 	for i := range keys {
 		keys[i] = fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5e4f3%04x", i)
 	}
 	now := start
 	one := func(n int) {
-		e := book.JobAccepted(Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: keys[n%len(keys)]}, now)
-		book.FlowSent(e, "cell 0", now)
-		book.FlowEnded("place-hold", "cell 0", policy.OK)
-		book.JobEnded(e, Answered, now.Add(time.Second))
+		e := ledger.JobAccepted(Job{Front: "http", Class: "place-hold", Tenant: "hrad-kamenec", Key: keys[n%len(keys)]}, now)
+		ledger.FlowSent(e, "cell 0", now)
+		ledger.FlowEnded("place-hold", "cell 0", policy.OK)
+		ledger.JobEnded(e, Answered, now.Add(time.Second))
 		now = now.Add(time.Millisecond)
 	}
-	for n := range 20000 { // warm
+	for n := range 20000 { // warm-up
 		one(n)
 	}
 	b.ReportAllocs()
--- a/internal/dispatcher/accounting/audit.go
+++ b/internal/dispatcher/accounting/audit.go
@@ -6,40 +6,40 @@
 	"slices"
 )
 
-// Difference is one thing that two counts do not agree on.
+// Difference is one item for which two counts differ.
 type Difference struct {
-	Audit  string `json:"audit"` // which audit found it
-	What   string `json:"what"`
+	Audit  string `json:"audit"` // the audit that found it
+	What   string `json:"what"`  // the item
 	Ledger int64  `json:"here"`  // the ledger's count
 	Other  int64  `json:"there"` // the other side's count
 }
 
-// String returns the difference as a line for the log.
+// String returns the difference as a log line.
 func (d Difference) String() string {
 	return fmt.Sprintf("%s: %s: %d in the account, %d on the other side", d.Audit, d.What, d.Ledger, d.Other)
 }
 
 // Names of the audits in metrics and logs.
 const (
-	AuditBalance = "sums"    // the ledger against itself
-	AuditEngine  = "core"    // against the engine's table of open jobs
-	AuditFronts  = "fronts"  // against the fronts' own counters
-	AuditJournal = "journal" // against the journal's recount
+	AuditBalance = "sums"    // the ledger's counts against each other
+	AuditEngine  = "core"    // the ledger against the engine's table of open jobs
+	AuditFronts  = "fronts"  // the ledger against the fronts' own counters
+	AuditJournal = "journal" // the ledger against the journal's recount
 )
 
-// differences collects what two counts do not agree on.
+// differences collects the differences that an audit finds.
 type differences []Difference
 
-// compare adds a difference if there is one.
+// compare adds a difference if the two counts are not equal.
 func (d *differences) compare(audit, what string, here, there int64) {
 	if here != there {
 		*d = append(*d, Difference{audit, what, here, there})
 	}
 }
 
-// CheckBalance compares the ledger with itself: each row, the flows and the logical requests must be in
-// balance, the rows must sum to the totals that are counted apart from them, and jobs that came into a
-// row must have gone out of another.
+// CheckBalance checks the ledger's counts against each other: each row, the flows and the logical requests
+// must be in balance, the rows must sum to the totals, which are counted separately, and as many jobs must
+// have moved into rows as out of rows.
 func (l *Ledger) CheckBalance() []Difference {
 	var d differences
 	l.checkRows(&d)
@@ -117,9 +117,9 @@
 	return d
 }
 
-// CompareFront compares the ledger with a front's own counters: before was read before the moment at
-// which the ledger is read, now at that moment. What the front is just submitting may or may not have
-// been counted yet.
+// CompareFront compares the ledger with a front's own counters: before was read before the ledger, now at
+// the same moment as the ledger. Jobs that the front is just submitting may or may not have been counted
+// yet.
 func (l *Ledger) CompareFront(front string, before, now FrontCountersSnapshot) []Difference {
 	var d differences
 	var taken, left int64
@@ -151,7 +151,7 @@
 	return d
 }
 
-// Compare compares totals with those of another count of the same moment.
+// Compare compares the totals with those of another count at the same moment.
 func (t Totals) Compare(audit string, there Totals) []Difference {
 	var d differences
 	d.compare(audit, "taken", t.Taken, there.Taken)
--- a/internal/dispatcher/accounting/latencies.go
+++ b/internal/dispatcher/accounting/latencies.go
@@ -13,10 +13,10 @@
 	Whole *hdrhistogram.Histogram // from acceptance to the answer
 }
 
-// maxLatency is what a longer one counts as.
+// maxLatency is the longest latency that is recorded; a longer one is recorded as this.
 const maxLatency = 10 * time.Minute
 
-// latenciesOf returns the histograms of a class.
+// latenciesOf returns the histograms of a class, and creates them on first use.
 func (l *Ledger) latenciesOf(name string) *Latencies {
 	t := l.latencies[name]
 	if t == nil {
@@ -27,12 +27,12 @@
 	return t
 }
 
-// record puts a duration into a histogram.
+// record adds a duration to a histogram.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(int64(min(max(d, 0), maxLatency) / time.Microsecond)) // within range: it can't fail
+	_ = h.RecordValue(int64(min(max(d, 0), maxLatency) / time.Microsecond)) // can't fail: the value is within the histogram's range
 }
 
-// distribution reads a histogram.
+// distribution returns the summary of a histogram.
 func distribution(h *hdrhistogram.Histogram) Distribution {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	d := Distribution{
@@ -40,23 +40,23 @@
 		Buckets: make(map[time.Duration]int64, len(BucketEdges)),
 	}
 	d.Sum = time.Duration(h.Mean() * float64(d.Count) * float64(time.Microsecond))
-	for _, bar := range h.Distribution() {
+	for _, bin := range h.Distribution() {
 		for _, edge := range BucketEdges {
-			if bar.To <= edge.Microseconds() {
-				d.Buckets[edge] += bar.Count
+			if bin.To <= edge.Microseconds() {
+				d.Buckets[edge] += bin.Count
 			}
 		}
 	}
 	return d
 }
 
-// Distribution is what is told of a histogram.
+// Distribution is the summary of a histogram in a Snapshot.
 type Distribution struct {
 	Count         int64
 	Sum           time.Duration
 	P50, P95, P99 time.Duration
 	Max           time.Duration
-	Buckets       map[time.Duration]int64 // by upper edge: how many took so long at most
+	Buckets       map[time.Duration]int64 // by upper edge: the number of latencies up to it
 }
 
 // LatencySnapshots are the latencies of one class; see Latencies.
--- a/internal/dispatcher/accounting/ledger.go
+++ b/internal/dispatcher/accounting/ledger.go
@@ -6,26 +6,26 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// OtherNames is what further names count under when there are too many.
+// OtherNames is the name that further names are counted under beyond the limits.
 const OtherNames = "(other)"
 
-// NoGroup is the member group of a job that has not been sent.
+// NoGroup is the member group of a job that has not been sent to a member.
 const NoGroup = "-"
 
-// Job is what a job is counted under.
+// Job holds the properties of a job that the ledger counts it by.
 type Job struct {
 	Front, Class, Tenant string
-	Key                  string // the same for the tries of one logical request; empty: not told
+	Key                  string // the same for all tries of one logical request; empty: none given
 	Retry                bool   // marked as a retry by the client
 }
 
-// Limits bound a ledger.
+// Limits bound the size of a ledger.
 type Limits struct {
-	Tenants                 []string      // that are counted by name; none: the first that come
-	MaxNames                int           // how many tenants come first
-	MaxRows                 int           // of jobs, and of flows
-	MaxLogicalRequests      int           // that are tracked
-	LogicalRequestRetention time.Duration // how long they are
+	Tenants                 []string      // tenants counted by name; empty: the first MaxNames that send jobs
+	MaxNames                int           // number of tenants counted by name if Tenants is empty
+	MaxRows                 int           // rows of jobs, and also of flows
+	MaxLogicalRequests      int           // logical requests that are tracked
+	LogicalRequestRetention time.Duration // how long a logical request is tracked
 }
 
 // DefaultLimits returns limits that keep a ledger within about 2 MB.
@@ -33,35 +33,35 @@
 	return Limits{MaxNames: 64, MaxRows: 2048, MaxLogicalRequests: 8192, LogicalRequestRetention: time.Hour}
 }
 
-// Entry is a job that is open. It is the ledger's, which uses it again once the job has ended.
+// Entry is an open job. It belongs to the ledger, which reuses it once the job has ended.
 type Entry struct {
-	Number         uint64 // of the job: 1 for the first of this ledger
-	Job            Job    // as it is counted
+	Number         uint64 // the job's number: 1 for the first job of this ledger
+	Job            Job    // as it is counted: the tenant may be OtherNames
 	row            *Row
-	request        uint64 // the id of its logical request
-	unmatchedRetry bool   // it counts as no logical request
+	request        uint64 // the id of its logical request; 0: it has no key
+	unmatchedRetry bool   // a retry without a key, which counts as no logical request
 	arrived        time.Time
-	sent           time.Time // last; zero: never
+	sent           time.Time // of the last send; zero: never sent
 	open           bool
 }
 
 // Group returns the member group that the job was last sent to.
 func (e *Entry) Group() string { return e.row.Group }
 
-// Ledger counts the jobs of one run of the program. It is not safe for concurrent use.
+// Ledger counts the jobs of one run of the dispatcher. It is not safe for concurrent use.
 type Ledger struct {
 	limits        Limits
 	rows          map[RowKey]*Row
 	series        map[RowKey]*Series        // by row keys without a group
 	flows         map[[2]string]*FlowCounts // by class and group
 	latencies     map[string]*Latencies     // by class
-	tenants       map[string]bool           // that are counted by name
+	tenants       map[string]bool           // tenants that are counted by name
 	requests      requestTracker
 	totals        Totals
 	flowTotals    struct{ sent, out int64 }
 	lastNumber    uint64
-	freeEntries   []*Entry // to be used again
-	unmatchedEnds int64    // ends of jobs that were not open
+	freeEntries   []*Entry // entries of ended jobs, for reuse
+	unmatchedEnds int64    // sends and ends of jobs that were not open
 }
 
 // New returns an empty ledger.
@@ -81,7 +81,7 @@
 	return ledger
 }
 
-// JobAccepted counts a job that is taken. The entry must not be used once the job has ended.
+// JobAccepted counts an accepted job. The returned entry must not be used once the job has ended.
 func (l *Ledger) JobAccepted(j Job, now time.Time) *Entry {
 	var e *Entry
 	if n := len(l.freeEntries); n > 0 {
@@ -102,7 +102,7 @@
 	return e
 }
 
-// FlowSent counts a flow of an open job to a group of members.
+// FlowSent counts a flow of an open job that is sent to a group of members.
 func (l *Ledger) FlowSent(e *Entry, group string, now time.Time) {
 	f := l.flowCounts(e.Job.Class, group)
 	f.Sent++
@@ -126,7 +126,7 @@
 	e.row.Open++
 }
 
-// FlowEnded counts the end of a flow, which may come after its job's.
+// FlowEnded counts the end of a flow, which may come after the end of its job.
 func (l *Ledger) FlowEnded(class, group string, s policy.Status) {
 	f := l.flowCounts(class, group)
 	f.Out--
@@ -134,7 +134,7 @@
 	l.flowTotals.out--
 }
 
-// JobEnded counts the end of a job. A job ends once: a second end is counted apart, and CheckBalance
+// JobEnded counts the end of a job. A job ends once: a second end is counted separately, and CheckBalance
 // reports it.
 func (l *Ledger) JobEnded(e *Entry, r Reason, now time.Time) {
 	if !e.open {
--- a/internal/dispatcher/accounting/logical_requests.go
+++ b/internal/dispatcher/accounting/logical_requests.go
@@ -6,71 +6,72 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// LogicalRequests counts what clients wanted, each once however often it was tried. A logical request
-// is open while one of its tries is. It ends as served if any try was served, else as its last try; a
-// try that comes after an end that did not serve reopens it.
+// LogicalRequests counts the logical requests of clients, each once however often it was tried. A logical
+// request is open while one of its tries is. It ends as served if any try was served, otherwise with the
+// outcome of its last try; a further try after an end that was not served reopens it.
 //
 //	Asked + sum of Reopened = sum of Ends + Open
 type LogicalRequests struct {
 	Asked    int64 // logical requests
-	Retries  int64 // tries of one that was known
-	Echoes   int64 // of the retries, those of one that had been served
-	Strays   int64 // tries without a key that are marked as retries, which count as no logical request
+	Retries  int64 // further tries of a tracked logical request
+	Echoes   int64 // those retries that came after the logical request was served
+	Strays   int64 // tries marked as retries that have no key; they count as no logical request
 	Open     int64
-	Reopened [Outcomes]int64 // by how it had ended before
+	Reopened [Outcomes]int64 // by the outcome of the earlier end
 	Ends     [Outcomes]int64
 }
 
-// Final returns how many logical requests stand at an outcome.
+// Final returns how many logical requests have ended with an outcome and were not reopened.
 func (r *LogicalRequests) Final(o Outcome) int64 { return r.Ends[o] - r.Reopened[o] }
 
-// trackedRequest is what is kept of a logical request.
+// trackedRequest is the state that is kept of a logical request.
 type trackedRequest struct {
 	open    uint32  // tries that are open
-	outcome Outcome // of its last try, or Served once one was
-	served  bool
-	settled bool // it is counted in Ends
+	outcome Outcome // of its last try, or Served once a try was served
+	served  bool    // a try was served
+	settled bool    // it is counted in Ends
 }
 
-// ringEntry is a tracked logical request and when it was put into the ring.
+// ringEntry is the id of a tracked logical request and the time at which it entered the ring.
 type ringEntry struct {
 	id    uint64
 	since time.Time
 }
 
-// requestTracker counts logical requests, which it knows by a hash of class and key: the members that
-// drop a repeat go by these two also, and a retry by the other front has the same. Of a million that
-// are tracked together two share a hash with a chance of 1 in 36 million.
+// requestTracker counts logical requests, which it identifies by a hash of class and key. Members also use
+// class and key to detect repeats, and a retry that arrives at the other front has the same class and key.
+// Among a million logical requests that are tracked together, the probability that two share a hash is 1 in
+// 36 million.
 type requestTracker struct {
 	LogicalRequests
 	tracked   map[uint64]trackedRequest
-	ring      []ringEntry // circular, the oldest at first
+	ring      []ringEntry // circular buffer; the oldest entry is at index first
 	first     int
 	count     int // entries of the ring that are in use
-	capacity  int // logical requests that are tracked, more only while they are open
+	capacity  int // maximum of tracked logical requests, exceeded only by open ones
 	retention time.Duration
 }
 
-// newRequestTracker returns a tracker of at most capacity logical requests, each for the retention.
+// newRequestTracker returns a tracker of at most capacity logical requests, each tracked for the retention.
 func newRequestTracker(capacity int, retention time.Duration) requestTracker {
 	return requestTracker{tracked: make(map[uint64]trackedRequest), capacity: max(1, capacity), retention: retention}
 }
 
-// LogicalRequestID returns the hash that the tries of one logical request share; 0: it has no key.
+// LogicalRequestID returns the hash that all tries of one logical request share, or 0 without a key.
 func LogicalRequestID(class, key string) uint64 {
 	if key == "" {
 		return 0
 	}
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(class) // a hash never fails
+	_, _ = d.WriteString(class) // writing to the hash never fails
 	_, _ = d.WriteString("\x00")
 	_, _ = d.WriteString(key)
 	return max(1, d.Sum64())
 }
 
-// begin counts a try. It returns the id of its logical request, 0 without a key, and whether the try is
-// a stray.
+// begin counts a try. It returns the id of its logical request, or 0 without a key, and whether the try is
+// a retry without a key (see LogicalRequests.Strays).
 func (t *requestTracker) begin(j Job, now time.Time) (id uint64, stray bool) {
 	id = LogicalRequestID(j.Class, j.Key)
 	if id == 0 {
@@ -104,8 +105,8 @@
 	return id, false
 }
 
-// track makes room for a logical request. Open ones are never forgotten: where all are open, the ring
-// grows, by no more than jobs may be open.
+// track adds a logical request to the ring, and evicts an older one that is expired or beyond the capacity.
+// Open ones are never evicted: if all are open, the ring grows, up to the number of jobs that may be open.
 func (t *requestTracker) track(id uint64, now time.Time) {
 	for tries := t.count; tries > 0; tries-- {
 		head := t.ring[t.first]
@@ -116,7 +117,7 @@
 		t.count--
 		if t.tracked[head.id].open == 0 {
 			delete(t.tracked, head.id)
-			break // one is forgotten for each that comes, so that no call takes long
+			break // at most one is evicted for each that is added, so that no call takes long
 		}
 		t.push(ringEntry{head.id, now})
 	}
@@ -136,7 +137,7 @@
 	t.count++
 }
 
-// end counts the end of a try, with what begin returned for it.
+// end counts the end of a try; id and stray are the results of begin for it.
 func (t *requestTracker) end(id uint64, stray bool, o Outcome) {
 	switch {
 	case stray:
--- a/internal/dispatcher/accounting/rows.go
+++ b/internal/dispatcher/accounting/rows.go
@@ -2,8 +2,8 @@
 
 import "basaltloft/internal/dispatcher/policy"
 
-// RowKey names a row of the ledger: the jobs of one front, class and tenant that are, or were last, at
-// one group of members.
+// RowKey identifies a row of the ledger: the jobs of one front, class and tenant that were last sent to one
+// group of members (or to none: NoGroup).
 type RowKey struct{ Front, Class, Tenant, Group string }
 
 // Row counts the jobs of one RowKey. A job moves to another row when it is sent to another group.
@@ -56,7 +56,8 @@
 // flowStatuses is the number of statuses that a flow may end with.
 const flowStatuses = int(policy.InvalidRequest) + 1
 
-// Totals are sums over all jobs. They are counted apart from the rows, so that each checks the other.
+// Totals are sums over all jobs. They are counted separately from the rows, so that each can be checked
+// against the other.
 type Totals struct {
 	Taken int64 // jobs accepted
 	Open  int64
@@ -73,7 +74,8 @@
 	return n
 }
 
-// rowOf returns the row of a key. Beyond the limit, new keys of a front and class share one row.
+// rowOf returns the row of a key, and creates it on first use. Beyond MaxRows, new keys of a front and class
+// share one row.
 func (l *Ledger) rowOf(p RowKey) *Row {
 	if r := l.rows[p]; r != nil {
 		return r
@@ -95,8 +97,8 @@
 	return r
 }
 
-// flowCounts returns the counts of a class at a group. Beyond the limit, new groups of a class share
-// one.
+// flowCounts returns the counts of a class at a group, and creates them on first use. Beyond MaxRows, new
+// groups of a class share one.
 func (l *Ledger) flowCounts(class, group string) *FlowCounts {
 	key := [2]string{class, group}
 	f := l.flows[key]
@@ -113,8 +115,8 @@
 	return f
 }
 
-// tenantName returns the name that a tenant is counted by. Clients choose the names that they send, and
-// the ledger must not grow with them.
+// tenantName returns the name that a tenant is counted by. Clients may send any name, and the ledger must
+// not grow with each.
 func (l *Ledger) tenantName(name string) string {
 	switch {
 	case l.tenants[name]:
--- a/internal/dispatcher/accounting/snapshot.go
+++ b/internal/dispatcher/accounting/snapshot.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Snapshot is a copy of the whole ledger at a moment, to be read by any goroutine.
+// Snapshot is a copy of the whole ledger at one moment, which any goroutine may read.
 type Snapshot struct {
 	At     time.Time
 	Totals Totals
@@ -18,14 +18,14 @@
 	Times  map[string]LatencySnapshots // by class
 }
 
-// SeriesSnapshot is the windows of one series.
+// SeriesSnapshot holds the windows of one series.
 type SeriesSnapshot struct {
 	Front, Class, Tenant string
 	Minute, Hour, Day    WindowCounts // the current ones
 	Hour60, Day24        WindowCounts // the last 60 minutes and 24 hours
 }
 
-// Snapshot copies the ledger, with rows, series and flows in the order of their keys.
+// Snapshot returns a copy of the ledger, with rows, series and flows sorted by their keys.
 func (l *Ledger) Snapshot(now time.Time) Snapshot {
 	s := Snapshot{At: now, Totals: l.totals, Asks: l.requests.LogicalRequests, Times: make(map[string]LatencySnapshots)}
 	for _, r := range l.rows {
--- a/internal/dispatcher/accounting/status.go
+++ b/internal/dispatcher/accounting/status.go
@@ -2,7 +2,7 @@
 
 import "basaltloft/internal/dispatcher/policy"
 
-// statusNames are the names that metrics and logs print.
+// statusNames holds the names of flows' statuses in metrics and logs.
 var statusNames = [flowStatuses]string{
 	policy.OK:             "ok",
 	policy.Error:          "error",
@@ -15,8 +15,8 @@
 	policy.InvalidRequest: "unfit",
 }
 
-// StatusName returns the name of how a flow ended.
+// StatusName returns the name of a flow's status in metrics and logs.
 func StatusName(s policy.Status) string { return statusNames[s] }
 
-// StatusNameAt returns the name of an index of FlowCounts.Ends.
+// StatusNameAt returns the name of the status at an index of FlowCounts.Ends.
 func StatusNameAt(i int) string { return statusNames[i] }
--- a/internal/dispatcher/accounting/windows.go
+++ b/internal/dispatcher/accounting/windows.go
@@ -16,15 +16,15 @@
 	}
 }
 
-// Windows of each length that are kept.
+// Number of windows of each length that are kept.
 const (
 	minutes = 60
 	hours   = 24
 	days    = 8
 )
 
-// Windows are the counts of a series by the minute, the hour and the day (UTC), the latest of each.
-// Time that runs backward counts into the latest window.
+// Windows holds the counts of a series for the latest minutes, hours and days (UTC). If the clock goes
+// backward, jobs are counted in the latest window.
 type Windows struct {
 	minutes [minutes]WindowCounts
 	hours   [hours]WindowCounts
@@ -46,7 +46,7 @@
 	return w.days[:]
 }
 
-// roll clears the windows that begin up to now.
+// roll moves on to the current windows, and clears those that have begun since the last call.
 func (w *Windows) roll(now time.Time) {
 	s := now.Unix()
 	if s < (w.latest[0]+1)*units[0] { // the usual case: still the same minute
@@ -61,7 +61,7 @@
 	}
 }
 
-// addAccepted counts a job that is taken.
+// addAccepted counts an accepted job.
 func (w *Windows) addAccepted(now time.Time) {
 	w.roll(now)
 	for i := range units {
@@ -70,7 +70,7 @@
 	}
 }
 
-// addEnded counts a job that has ended.
+// addEnded counts an ended job.
 func (w *Windows) addEnded(now time.Time, o Outcome) {
 	w.roll(now)
 	for i := range units {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Window is a length of the windows that are counted.
+// Window is the length of a window.
 type Window uint8
 
 // The lengths: minutes, hours and days.
