--- a/internal/dispatcher/poolmember/close_test.go
+++ b/internal/dispatcher/poolmember/close_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// endCounter counts the ends that a transport tells.
+// endCounter is a ResultSink that counts the results that a transport reports.
 type endCounter struct{ flows, probes atomic.Int32 }
 
 func (c *endCounter) EndFlow(*engine.Flow, policy.Status, []byte)                { c.flows.Add(1) }
@@ -25,7 +25,7 @@
 	c.probes.Add(1)
 }
 
-// silentMember never answers: each request ends with its context.
+// silentMember is a round tripper that never answers: each request ends with its context.
 type silentMember struct{ requests atomic.Int32 }
 
 func (m *silentMember) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -34,8 +34,8 @@
 	return nil, req.Context().Err()
 }
 
-// TestClose: what is under way when the transport is closed ends at once, not by its deadline, and is over
-// when Close returns.
+// TestClose checks that flows, probes and DELETEs in progress end at once when the transport is closed, not by
+// their deadlines, and have ended when Close returns.
 func TestClose(t *testing.T) {
 	type counts struct{ requests, flows, probes int32 }
 	for name, c := range map[string]struct {
@@ -47,7 +47,7 @@
 			func(transport *Transport, f *engine.Flow) { transport.Probe(f.Member) },
 			counts{requests: 1, probes: 1},
 		},
-		"a DELETE": { // which the member has not confirmed: the flow does not end by it
+		"a DELETE": { // without the member's confirmation, so the flow does not end
 			func(transport *Transport, f *engine.Flow) {
 				f.TransportState = &exchange{accepted: true}
 				transport.Recall(f)
@@ -56,7 +56,7 @@
 		},
 		"a DELETE that waits for a descriptor": {
 			func(transport *Transport, f *engine.Flow) {
-				transport.Probe(f.Member) // has the only one
+				transport.Probe(f.Member) // uses the only descriptor
 				synctest.Wait()
 				f.TransportState = &exchange{accepted: true}
 				transport.Abandon(f)
@@ -73,7 +73,7 @@
 					Transaction: &engine.Transaction{ID: "t-1", Class: "group-ticket"},
 					Member:      &engine.Member{Addr: "member"}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
 				})
-				synctest.Wait() // it is under way
+				synctest.Wait() // until it is in progress
 				began := time.Now()
 				transport.Close()
 				require.Zero(t, time.Since(began))
@@ -84,14 +84,14 @@
 	}
 }
 
-// requireAllEnded checks that nothing holds a descriptor any more.
+// requireAllEnded checks that no flow, probe or DELETE uses a descriptor any more.
 func requireAllEnded(t *testing.T, transport *Transport) {
 	t.Helper()
 	require.Empty(t, transport.submissionSlots)
 	require.Empty(t, transport.controlSlots)
 }
 
-// requireRead reads a request up to the end of a text of its body.
+// requireRead reads a request's header, and as much of its body as the given text, which it must equal.
 func requireRead(t *testing.T, member net.Conn, body string) {
 	t.Helper()
 	in := bufio.NewReader(member)
@@ -107,9 +107,10 @@
 	require.Zero(t, in.Buffered())
 }
 
-// TestCloseOnTheWay: a flow that is on its way when the transport is closed goes no further.
-func TestCloseOnTheWay(t *testing.T) {
-	t.Run("in its dial", func(t *testing.T) {
+// TestCloseDuringSend checks that a flow goes no further once the transport is closed, whichever step of the
+// send it has reached.
+func TestCloseDuringSend(t *testing.T) {
+	t.Run("during its dial", func(t *testing.T) {
 		g := newGatedFlow(t)
 		g.transport.Start(g.Flow)
 		<-g.dialing
@@ -132,7 +133,7 @@
 		require.NoError(t, err)
 		require.Empty(t, rest)
 	})
-	t.Run("in the rest of its answer", func(t *testing.T) {
+	t.Run("during the rest of its answer", func(t *testing.T) {
 		g := newGatedFlow(t)
 		g.transport.drainTime = time.Minute
 		close(g.connect)
--- a/internal/dispatcher/poolmember/conn.go
+++ b/internal/dispatcher/poolmember/conn.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// conn knows whether the request on it may have reached the other side whole. A connection carries one
-// request. It scans what is written for the request's last byte, which alone is kept back.
+// conn is a connection that carries one request and tracks whether the whole request may have reached the
+// other side. It scans the written bytes for the request's last byte, and delays only that byte.
 type conn struct {
 	net.Conn
 	lastByteDelay time.Duration
 	closed        chan struct{} // closed by Close
-	once          sync.Once     // of closed
+	once          sync.Once     // for closing closed
 
-	sending atomic.Bool // the last byte is being written, or was
+	sending atomic.Bool // the last byte is being written, or was written
 
 	mu          sync.Mutex
-	clientGone  func() bool // whether the client has left: then nothing more is written; nil: it stays
-	firstByteBy time.Time   // the first byte is written before then or not at all; zero: whenever
-	lastByteBy  time.Time   // and the last one
-	started     bool        // the first byte was written
-	bodyLeft    int         // bytes of the request's body that are still to come
-	headerEnd   int         // how many bytes of the end of its header have come, of 4
-	whole       bool        // the last byte was due
-	failed      bool        // a write has failed, or was not made
+	clientGone  func() bool // reports that the client has left: nothing more is written then; nil: never
+	firstByteBy time.Time   // the first byte must be written before this, or none is; zero: no limit
+	lastByteBy  time.Time   // the same for the last byte
+	started     bool        // writing has begun
+	bodyLeft    int         // bytes of the request's body that have not been passed to Write yet
+	headerEnd   int         // how many of the 4 bytes that end the header have been scanned
+	whole       bool        // the last byte was passed to Write
+	failed      bool        // a write has failed, or was not attempted
 }
 
-// setLimits sets when the request's first and its last byte must have been written; zero: no matter.
+// setLimits sets the times by which the request's first and last byte must be written; zero: no limit.
 func (c *conn) setLimits(first, latest time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.firstByteBy, c.lastByteBy = first, latest
 }
 
-// setClientGone sets how to learn that nobody waits for the request.
+// setClientGone sets the function that reports whether the request's client has left.
 func (c *conn) setClientGone(gone func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.clientGone = gone
 }
 
-// setBodySize sets the size of the request's body; it is 0 without.
+// setBodySize sets the size of the request's body, 0 if it has none.
 func (c *conn) setBodySize(body int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bodyLeft = body
 }
 
-// endsRequest scans what is about to be written, and reports whether it holds the request's last byte.
+// endsRequest scans bytes that are about to be written, and reports whether they end the request.
 func (c *conn) endsRequest(b []byte) bool {
 	const end = "\r\n\r\n"
 	for len(b) > 0 && c.headerEnd < len(end) {
@@ -68,7 +68,7 @@
 	return c.headerEnd == len(end) && c.bodyLeft <= 0
 }
 
-// Write implements net.Conn. It keeps the request's last byte back.
+// Write implements net.Conn. It delays the request's last byte; see awaitLastByte.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,8 +91,8 @@
 	n, err := c.Conn.Write(b[:last])
 	if err == nil {
 		if err = c.awaitLastByte(); err == nil {
-			// The other side may not read: what is held up here must not go out later. It fails only on a
-			// connection that is closed, as the write then does.
+			// If the other side does not read, the write blocks: the byte must not go out later.
+			// SetWriteDeadline fails only on a closed connection, on which the write fails too.
 			_ = c.SetWriteDeadline(c.lastByteBy)
 			c.sending.Store(true)
 			var more int
@@ -104,10 +104,10 @@
 	return n, err
 }
 
-// awaitLastByte waits until the last byte may be written. It fails if that is too late, as the connection
-// came up late or this process was late, and if the connection is closed before: by http.Transport, whose
-// read has found it broken, or since the flow was cancelled. The byte is then not written, though the
-// system might still take it, and the attempt is known never to have run.
+// awaitLastByte waits until the last byte may be written. It returns an error if that is too late, because
+// the connection came up late or this process was late, if the client has left, and if the connection is
+// closed meanwhile, either by http.Transport, whose read found it broken, or because the flow was cancelled.
+// The byte is then not written, even if the system would still accept it, so the attempt can't have run.
 func (c *conn) awaitLastByte() error {
 	t := time.NewTimer(c.lastByteDelay)
 	defer t.Stop()
@@ -129,18 +129,18 @@
 	return nil
 }
 
-// errGone says that nobody waits for a request any more.
+// errGone is returned by Write when the request's client has left.
 var errGone = errors.New("the client has left")
 
-// past reports whether a moment has come; zero: never.
+// past reports whether a time has come; a zero time never comes.
 func past(at time.Time) bool { return !at.IsZero() && !time.Now().Before(at) }
 
-// errStale says that it is too late to send a request: its member may drain by now or may have forgotten
-// its key, or nobody waits any more.
+// errStale is returned by Write when it is too late to send the request: the member may be draining or may
+// have forgotten the request's key by now, or the deadline has passed.
 var errStale = errors.New("it is too late to send the request")
 
-// endWrites closes the connection for writing; what the other side answers can still be read. It fails
-// where a connection can't do that.
+// endWrites closes the connection for writing; the other side's answer can still be read. It returns an error
+// if the connection does not support that.
 func (c *conn) endWrites() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -155,10 +155,10 @@
 	return c.Conn.Close()
 }
 
-// mayHaveSent reports whether the system took the whole request. It closes the connection first: a write
-// in progress could otherwise still succeed after the attempt was said never to have run.
+// mayHaveSent reports whether the system accepted the whole request. It closes the connection first: a write
+// in progress could otherwise still succeed after the attempt was reported as never run.
 func (c *conn) mayHaveSent() bool {
-	_ = c.Close() // its error says nothing of what was sent
+	_ = c.Close() // its error doesn't show what was sent
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.whole && !c.failed
--- a/internal/dispatcher/poolmember/control.go
+++ b/internal/dispatcher/poolmember/control.go
@@ -10,8 +10,8 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// acquireControlSlot waits for a descriptor that may be used beside those of flows; false: none was free
-// before the context ended.
+// acquireControlSlot acquires one of the connections that are reserved for probes and DELETEs. It returns
+// false if none became free before the context ended.
 func (t *Transport) acquireControlSlot(ctx context.Context) bool {
 	select {
 	case t.controlSlots <- struct{}{}:
@@ -21,8 +21,8 @@
 	}
 }
 
-// delete tells a member with DELETE that a flow is abandoned, and reports whether it has answered by
-// then.
+// delete sends a member the DELETE of an abandoned flow, and reports whether the member answered before the
+// given time.
 func (t *Transport) delete(f *engine.Flow, until time.Time) bool {
 	ctx, cancel := context.WithDeadline(t.lifetime, until)
 	defer cancel()
@@ -38,12 +38,11 @@
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // nothing of it is read
+	_ = resp.Body.Close() // the body is not needed
 	return true
 }
 
-// deleteAndEnd tells a member that a flow is abandoned, and ends one that was recalled once the member
-// has confirmed it.
+// deleteAndEnd sends a member the DELETE of a flow. A recalled flow then ends if the member has confirmed it.
 func (t *Transport) deleteAndEnd(f *engine.Flow, recalled bool) {
 	if t.delete(f, time.Now().Add(deleteTimeout)) && recalled {
 		t.sink.EndFlow(f, policy.Cancelled, nil)
--- a/internal/dispatcher/poolmember/dial.go
+++ b/internal/dispatcher/poolmember/dial.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// newRoundTripper returns a transport that does nothing of its own accord: no proxy from the environment,
-// no HTTP/2, no compression, no redirects (which are http.Client's).
+// newRoundTripper returns an http.Transport without automatic features: no proxy from the environment, no
+// HTTP/2 and no compression. It follows no redirects either, which only http.Client does.
 func newRoundTripper(o Options) *http.Transport {
-	// No keep-alive of the system's: a connection lives for one request, and what
-	// is waited for has a deadline. It would cost four calls a connection.
+	// TCP keep-alive is off: a connection lives for one request, and all waits have a deadline. Keep-alive
+	// would cost four system calls for each connection.
 	dialer := &net.Dialer{KeepAlive: -1}
 	return &http.Transport{
 		Proxy: nil,
@@ -22,9 +22,9 @@
 			defer cancel()
 			due := time.Now().Add(o.ConnectTimeout)
 			last := due
-			if of, ok := ctx.Value(dialScope{}).(dialScope); ok {
-				defer context.AfterFunc(of.request, cancel)()
-				last = of.latest
+			if scope, ok := ctx.Value(dialScope{}).(dialScope); ok {
+				defer context.AfterFunc(scope.request, cancel)()
+				last = scope.latest
 			}
 			stop := extendLateDial(due, last, time.Now, cancel)
 			defer stop()
@@ -36,50 +36,52 @@
 		},
 		TLSNextProto:       map[string]func(string, *tls.Conn) http.RoundTripper{},
 		DisableCompression: true,
-		// Each request has a connection of its own. A kept one may have been
-		// dropped on the way, or lead to a machine that has vanished, which shows
-		// only after the request was written to it: then it may have run. A new
-		// one that does not come up proves that it never ran.
+		// Each request has its own connection. A connection that is kept for reuse may have been dropped
+		// by the network, or its machine may be gone. That is noticed only after a request was written to
+		// it, and the request may then have run. If a new connection can't be made, the request can't have
+		// run.
 		DisableKeepAlives: true,
-		// What precedes an answer, 1xx included, is bounded, as its body is.
+		// The header of an answer, including 1xx answers before it, is bounded like its body.
 		MaxResponseHeaderBytes: maxReplyBytes,
 	}
 }
 
-// dialScope is the request that a dial is for, and the latest moment to which the dial may be extended.
-// http.Transport keeps a dial whose request was cancelled, for requests to come; here none can use it,
-// and its descriptor is counted with its request. It is its own key in a context.
+// dialScope holds the context of the request that a dial is for, and the latest time to which the dial may be
+// extended. http.Transport continues the dial of a cancelled request so that later requests can use the
+// connection. Here no later request can, and the dial's file descriptor counts as the request's, so the dial
+// is cancelled with the request. The type is also the key of its value in a context.
 type dialScope struct {
 	request context.Context
 	latest  time.Time
 }
 
-// dialUntil makes the dial for a request end with its context, and at the latest then.
+// dialUntil returns a context for a request whose dial ends with ctx, and at the given time at the latest.
 func dialUntil(ctx context.Context, last time.Time) context.Context {
 	return context.WithValue(ctx, dialScope{}, dialScope{ctx, last})
 }
 
-// lateShare: a dial's end is noticed late if that is by more than this fraction (1/lateShare) of its time.
+// lateShare defines when the end of a dial's timeout is noticed late: by more than 1/lateShare of the timeout.
 const lateShare = 8
 
-// extendLateDial cancels a dial once its time is up, unless this process is what was late: if the end is
-// noticed late by more than a part of the dial's time, a connection that has come up meanwhile was not
-// noticed either. The dial then has its time again, in the same attempt, up to the last moment, and the
-// member is not blamed. The returned function must be called once the dial has ended.
+// extendLateDial cancels a dial after its timeout, unless this process itself was late: if the end of the
+// timeout is noticed late by more than 1/lateShare of it, a connection that came up meanwhile may not have
+// been noticed either. The dial then gets its timeout again within the same attempt, at most until last, and
+// this process's lateness does not count against the member. The returned function must be called once the
+// dial has ended.
 func extendLateDial(due, last time.Time, now func() time.Time, cancel func()) (stop func()) {
 	var mu sync.Mutex
 	var t *time.Timer
 	ended := false
-	within := due.Sub(now())
+	timeout := due.Sub(now())
 	mu.Lock()
 	defer mu.Unlock()
-	t = time.AfterFunc(within, func() {
+	t = time.AfterFunc(timeout, func() {
 		mu.Lock()
 		defer mu.Unlock()
 		switch at := now(); {
 		case ended:
-		case at.Sub(due) > within/lateShare && at.Before(last):
-			if due = at.Add(within); due.After(last) {
+		case at.Sub(due) > timeout/lateShare && at.Before(last):
+			if due = at.Add(timeout); due.After(last) {
 				due = last
 			}
 			t.Reset(due.Sub(at))
--- a/internal/dispatcher/poolmember/golden_test.go
+++ b/internal/dispatcher/poolmember/golden_test.go
@@ -18,9 +18,9 @@
 
 var budget = regexp.MustCompile(`X-Budget: \d+\.\d{3}\r\n`)
 
-// TestGoldenRequests: what members are sent for a job, for its end and as a probe, as of
-// commit 352ebf2, but for the address and the budget, which is the time that is left. The
-// file must never be rewritten by later code.
+// TestGoldenRequests checks the requests that members are sent for a job, for its DELETE and as a probe, as of
+// commit 352ebf2, except the address and the budget, which is the remaining time. The file must never be
+// rewritten by later code.
 func TestGoldenRequests(t *testing.T) {
 	var seen strings.Builder
 	requests := make(chan string, 1)
--- a/internal/dispatcher/poolmember/gone_test.go
+++ b/internal/dispatcher/poolmember/gone_test.go
@@ -16,32 +16,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// leaver is a client that goes, of which nobody has told the transport.
-type leaver struct{ gone atomic.Bool }
+// leavingClient is a client whose departure only Gone reports.
+type leavingClient struct{ gone atomic.Bool }
 
-func (*leaver) Answer(engine.Answer) {}
-func (l *leaver) Gone() bool         { return l.gone.Load() }
+func (*leavingClient) Answer(engine.Answer) {}
+func (l *leavingClient) Gone() bool         { return l.gone.Load() }
 
-// tells passes a flow's end on.
-type tells chan policy.Status
+// flowEnds is a ResultSink that passes on the statuses with which flows end.
+type flowEnds chan policy.Status
 
-func (c tells) EndFlow(_ *engine.Flow, s policy.Status, _ []byte)                { c <- s }
-func (c tells) EndFlowWithLoad(_ *engine.Flow, s policy.Status, _ policy.Report) { c <- s }
-func (tells) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time) {
+func (c flowEnds) EndFlow(_ *engine.Flow, s policy.Status, _ []byte)                { c <- s }
+func (c flowEnds) EndFlowWithLoad(_ *engine.Flow, s policy.Status, _ policy.Report) { c <- s }
+func (flowEnds) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time) {
 }
 
-// testTimeout is how long a test waits for what must come.
+// testTimeout is how long a test waits for an expected event.
 const testTimeout = 20 * time.Second
 
-// gatedFlow is a flow to a member whose connection comes up when the test says so, whoever has given up
-// the dial meanwhile.
+// gatedFlow is a flow whose connection to its member comes up only when the test closes connect, even if the
+// dial has been cancelled meanwhile.
 type gatedFlow struct {
 	*engine.Flow
 	listener  net.Listener // the member's
-	client    *leaver
+	client    *leavingClient
 	transport *Transport
-	ends      tells
-	dialing   chan bool // receives once the dial is under way
+	ends      flowEnds
+	dialing   chan bool // receives a value once the dial is in progress
 	connect   chan bool // closed: the connection comes up
 }
 
@@ -50,20 +50,21 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	g := &gatedFlow{
-		listener: l, client: &leaver{}, ends: make(tells, 1), dialing: make(chan bool, 1), connect: make(chan bool),
+		listener: l, client: &leavingClient{}, ends: make(flowEnds, 1),
+		dialing: make(chan bool, 1), connect: make(chan bool),
 	}
 	g.Flow = &engine.Flow{
 		Transaction: &engine.Transaction{ID: "t-1", Class: "group-ticket", Body: []byte("body"), Client: g.client},
 		Member:      &engine.Member{Addr: l.Addr().String()}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
 	}
 	options := Options{ConnectTimeout: time.Minute, MaxSubmissions: 1}
-	for _, of := range change {
-		of(&options)
+	for _, apply := range change {
+		apply(&options)
 	}
 	g.transport = New(g.ends, options)
-	wire := g.transport.roundTripper.(*http.Transport)
-	dial := wire.DialContext
-	wire.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
+	httpTransport := g.transport.roundTripper.(*http.Transport)
+	dial := httpTransport.DialContext
+	httpTransport.DialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 		g.dialing <- true
 		<-g.connect
 		return dial(context.Background(), network, addr)
@@ -71,7 +72,7 @@
 	return g
 }
 
-// onConnected runs a function as the request gets its connection, just before the transport learns of it.
+// onConnected runs a function when the request gets its connection, just before the transport's own hook.
 func (g *gatedFlow) onConnected(run func()) {
 	g.transport.roundTripper = &tracedRoundTripper{
 		RoundTripper: g.transport.roundTripper,
@@ -119,12 +120,12 @@
 	return r.RoundTripper.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), r.trace)))
 }
 
-// TestGoneIsNotSent: the client goes on the way to the first byte, or the flow is called off then; a
-// connection that comes up all the same hears nothing, and the attempt is known never to have run. How
-// that is told hangs on which comes first: a flow that is called off before it has its connection ends as
-// ConnectFailed, one that has it as NotSent. Each case forces one order.
+// TestGoneIsNotSent checks flows whose client leaves, or that are abandoned or recalled, before their first
+// byte is written. If the connection comes up nevertheless, nothing is written to it, and the flow ends with a
+// status that proves that it did not run: ConnectFailed if it is stopped before it has its connection, NotSent
+// if afterwards. Each case forces one order.
 func TestGoneIsNotSent(t *testing.T) {
-	t.Run("the client goes while a dial is under way", func(t *testing.T) {
+	t.Run("the client leaves during the dial", func(t *testing.T) {
 		g := newGatedFlow(t)
 		g.transport.Start(g.Flow)
 		<-g.dialing
@@ -133,25 +134,25 @@
 		g.requireNothingWritten(t)
 		g.requireEnd(t, policy.NotSent)
 	})
-	for name, callOff := range map[string]func(*Transport, *engine.Flow){
-		"called off": (*Transport).Abandon,
-		"asked back": (*Transport).Recall,
+	for name, stop := range map[string]func(*Transport, *engine.Flow){
+		"an abandoned flow": (*Transport).Abandon,
+		"a recalled flow":   (*Transport).Recall,
 	} {
-		t.Run(name+" while a dial is under way", func(t *testing.T) {
+		t.Run(name+" during the dial", func(t *testing.T) {
 			g := newGatedFlow(t)
 			g.transport.Start(g.Flow)
 			<-g.dialing
-			callOff(g.transport, g.Flow)
-			g.requireEnd(t, policy.ConnectFailed) // though the dial goes on
+			stop(g.transport, g.Flow)
+			g.requireEnd(t, policy.ConnectFailed) // although the dial continues
 			close(g.connect)
 			g.requireNothingWritten(t)
 		})
 		t.Run(name+" as the connection comes up", func(t *testing.T) {
 			g := newGatedFlow(t)
 			g.onConnected(func() {
-				// http.Transport may notice the end of the context late: closing the connection must do.
+				// http.Transport may notice the end of the context late: closing the connection must suffice.
 				g.TransportState.(*exchange).cancel = func() {}
-				callOff(g.transport, g.Flow)
+				stop(g.transport, g.Flow)
 			})
 			g.transport.Start(g.Flow)
 			close(g.connect)
@@ -161,13 +162,13 @@
 	}
 }
 
-// TestGoneBeforeTheLastByte: a client that goes while the last byte is kept back is
-// one for which no attempt begins.
+// TestGoneBeforeTheLastByte checks that the last byte is not written, so that the attempt can't run, if the
+// client leaves while the byte is delayed.
 func TestGoneBeforeTheLastByte(t *testing.T) {
 	for name, goes := range map[string]bool{"goes": true, "stays": false} {
 		t.Run(name, func(t *testing.T) {
-			client := &leaver{}
-			to := &tapped{wrote: func() { client.gone.Store(goes) }}
+			client := &leavingClient{}
+			to := &hookedConn{wrote: func() { client.gone.Store(goes) }}
 			c := &conn{Conn: to, closed: make(chan struct{})}
 			c.setBodySize(2)
 			c.setClientGone(client.Gone)
@@ -183,13 +184,13 @@
 	}
 }
 
-// tapped is pieces that tells of each write.
-type tapped struct {
-	pieces
+// hookedConn is a recordingConn that calls a hook after each write.
+type hookedConn struct {
+	recordingConn
 	wrote func()
 }
 
-func (p *tapped) Write(b []byte) (int, error) {
+func (p *hookedConn) Write(b []byte) (int, error) {
 	defer p.wrote()
-	return p.pieces.Write(b)
+	return p.recordingConn.Write(b)
 }
--- a/internal/dispatcher/poolmember/poolmember_test.go
+++ b/internal/dispatcher/poolmember/poolmember_test.go
@@ -25,12 +25,12 @@
 	"pgregory.net/rapid"
 )
 
-// driver is an actor that starts a flow for each line "ID BYTES" that it is
-// sent, or a probe for "probe", asks one back for "recall ID", says for "release ID"
-// that its end was told otherwise, and tells how each ends.
+// driver is an actor of a scenario, and the ResultSink of its transport. For each line that it reads it starts
+// a flow ("ID BYTES") or a probe ("probe"), recalls a flow ("recall ID"), or calls EndedOutOfBand for a flow
+// ("release ID"). It writes the status with which each flow and probe ends.
 type driver struct {
 	net.Conn
-	carrier *Transport
+	transport *Transport
 }
 
 func (d *driver) EndFlow(f *engine.Flow, s policy.Status, _ []byte) {
@@ -38,15 +38,15 @@
 }
 
 func (d *driver) EndFlowWithLoad(f *engine.Flow, s policy.Status, load policy.Report) {
-	_, _ = fmt.Fprintf(d.Conn, "%s %d%s\n", f.Transaction.ID, s, told(load))
+	_, _ = fmt.Fprintf(d.Conn, "%s %d%s\n", f.Transaction.ID, s, formatReport(load))
 }
 
 func (d *driver) EndProbe(_ *engine.Member, s policy.Status, r policy.Report, _ time.Time) {
-	_, _ = fmt.Fprintf(d.Conn, "probe %d%s\n", s, told(r))
+	_, _ = fmt.Fprintf(d.Conn, "probe %d%s\n", s, formatReport(r))
 }
 
-// told is what a report holds of free slots and memory, for a scenario to read.
-func told(r policy.Report) string {
+// formatReport returns a load report's free slots and memory as text for scenarios.
+func formatReport(r policy.Report) string {
 	text := ""
 	if r.Has&policy.HasX0 != 0 {
 		text += fmt.Sprintf(" x0=%g", r.X0)
@@ -57,18 +57,22 @@
 	return text
 }
 
-func drive(addr string, most int, settle ...time.Duration) func() (scenario.Conn, error) {
-	return driveWith(addr, Options{ConnectTimeout: time.Second, MaxSubmissions: most, LastByteDelay: append(settle, 0)[0]})
+// drive returns a peer whose drivers send flows to a member; without lastByteDelay the last byte is not delayed.
+func drive(addr string, maxSubmissions int, lastByteDelay ...time.Duration) func() (scenario.Conn, error) {
+	return driveWith(addr, Options{
+		ConnectTimeout: time.Second, MaxSubmissions: maxSubmissions, LastByteDelay: append(lastByteDelay, 0)[0],
+	})
 }
 
-func driveWith(addr string, figures Options, change ...func(*Transport)) func() (scenario.Conn, error) {
-	most := figures.MaxSubmissions
+// driveWith is drive with the given options and with changes to each driver's transport.
+func driveWith(addr string, options Options, change ...func(*Transport)) func() (scenario.Conn, error) {
+	maxSubmissions := options.MaxSubmissions
 	return func() (scenario.Conn, error) {
 		near, far := net.Pipe()
 		d := &driver{Conn: far}
-		d.carrier = New(d, figures)
-		for _, of := range change {
-			of(d.carrier)
+		d.transport = New(d, options)
+		for _, apply := range change {
+			apply(d.transport)
 		}
 		go func() {
 			flows := make(map[string]*engine.Flow)
@@ -78,13 +82,13 @@
 				m := &engine.Member{Addr: addr}
 				switch id {
 				case "probe":
-					d.carrier.Probe(m)
+					d.transport.Probe(m)
 					continue
 				case "recall":
-					d.carrier.Recall(flows[size])
+					d.transport.Recall(flows[size])
 					continue
 				case "release":
-					d.carrier.EndedOutOfBand(flows[size])
+					d.transport.EndedOutOfBand(flows[size])
 					continue
 				}
 				f := &engine.Flow{
@@ -97,19 +101,19 @@
 				case "late":
 					f.SentAt = f.SentAt.Add(-firstByteWithin)
 				}
-				if flows[id] = f; most == 0 {
-					go d.carrier.Start(f) // ends before it returns
+				if flows[id] = f; maxSubmissions == 0 {
+					go d.transport.Start(f) // ends before it returns
 					continue
 				}
-				d.carrier.Start(f)
+				d.transport.Start(f)
 			}
 		}()
 		return near, nil
 	}
 }
 
-// TestOutcomes: whether a broken attempt may have run decides whether a ticket
-// may be sent again, so each way to break must be told right.
+// TestOutcomes checks the status of each way in which an attempt can end: it decides whether the attempt may
+// have run, and so whether a non-idempotent job may be sent again.
 //
 //nolint:funlen // a table of cases, each a few lines
 func TestOutcomes(t *testing.T) {
@@ -125,8 +129,8 @@
 			r expect POST /group-ticket HTTP
 			r close
 			flow expect ^t-1 7\n`,
-		// The last byte was kept back, so that this one can't have run.
-		"breaks while the request comes": `
+		// The last byte was delayed, so the job can't have run.
+		"breaks while the request arrives": `
 			slow send t-1 4\n
 			r expect ^POST /group-ticket HTTP.*\r\n\r\nbbb$
 			r close
@@ -135,9 +139,9 @@
 			r.next expect ^POST /group-ticket HTTP.*\r\nContent-Length: 0\r\n.*\r\n\r$
 			r.next close
 			slow expect ^t-2 7\n`,
-		// Its 202 may be on the way when the connection is closed: the job goes
-		// elsewhere only once the member has heard the DELETE too.
-		"is asked back before it answers": `
+		// Its 202 may be on the way when the connection is closed: the job may be sent to another member
+		// only once the member has confirmed the DELETE too.
+		"a flow is recalled before the answer": `
 			flow send t-1 4\n
 			r expect bbbb
 			flow send recall t-1\n
@@ -146,7 +150,7 @@
 			r.next expect ^DELETE /jobs/t-1 HTTP
 			r.next send HTTP/1.1 204 x\r\n\r\n
 			flow expect ^t-1 6\n`,
-		"is asked back before it has all": `
+		"a flow is recalled before the last byte": `
 			slow send t-1 4\n
 			r expect bbb$
 			slow send recall t-1\n
@@ -154,10 +158,10 @@
 		"refuses the connection": `
 			nobody send t-1 4\nprobe\n
 			nobody expect ^(t-1 4\nprobe 4\n|probe 4\nt-1 4\n)`,
-		"has no descriptor to spare": `
+		"there is no free descriptor": `
 			none send t-1 4\n
 			none expect ^t-1 7\n`,
-		"turns away": `
+		"rejects the request": `
 			flow send t-1 4\n
 			r expect bbbb
 			r send HTTP/1.1 504 x\r\nX-Rejected: 1` + empty + `
@@ -167,7 +171,7 @@
 			r expect bbbb
 			r send HTTP/1.1 503 x` + empty + `
 			flow expect ^t-1 1\n`,
-		"points elsewhere, where nobody follows": `
+		"redirects, which is not followed": `
 			flow send t-1 4\n
 			r expect bbbb
 			r send HTTP/1.1 307 x\r\nLocation: /other` + empty + `
@@ -181,10 +185,10 @@
 			r.next expect GET /health/live HTTP/1.1
 			r.next close
 			flow expect ^probe 5\n`,
-		// A kept connection may lead nowhere, which shows only once a request was
-		// written to it and may have run. http.Transport would also send such a one
-		// again by itself. The next thing that the member sees is the next job.
-		"has a connection for each": `
+		// A reused connection may be broken, which is noticed only once a request was written to it and may
+		// have run. http.Transport would also resend such a request by itself. So the next request that the
+		// member receives must be the next job.
+		"each request has its own connection": `
 			flow send t-1 4\n
 			r expect ^POST.*Connection: close\r\n.*bbbb
 			r send HTTP/1.1 500 x` + empty + `
@@ -203,14 +207,14 @@
 			t.Parallel()
 			addr, open := scenario.Listen(t)
 			scenario.RunScript(t, scenario.Peers{
-				"r": open, "flow": drive(addr, 4), "none": drive(addr, 0), "slow": drive(addr, 4, time.Second), "nobody": drive(refusing(t), 4),
+				"r": open, "flow": drive(addr, 4), "none": drive(addr, 0), "slow": drive(addr, 4, time.Second), "nobody": drive(refusingAddr(t), 4),
 			}, nil, script)
 		})
 	}
 }
 
-// TestProbesAreBounded: without a descriptor to spare a probe never reaches its
-// member. The first connection that the member sees is the second probe's.
+// TestProbesAreBounded checks that a probe never reaches its member while no descriptor is free. The first
+// connection that the member accepts is that of the second probe.
 func TestProbesAreBounded(t *testing.T) {
 	addr, open := scenario.Listen(t)
 	c := New(nil, Options{ConnectTimeout: time.Second, MaxSubmissions: 2})
@@ -230,21 +234,21 @@
 	require.Equal(t, policy.OK, <-done)
 }
 
-// TestOwnLatenessIsNotTheMembers: a dial whose end is noticed late has its time
-// again; one that is noticed in time has failed.
-func TestOwnLatenessIsNotTheMembers(t *testing.T) {
+// TestExtendLateDial checks that a dial gets its timeout again if the end of the timeout is noticed late, and
+// is cancelled if it is noticed in time: the process's own lateness must not count against the member.
+func TestExtendLateDial(t *testing.T) {
 	begin := time.Now()
 	for name, late := range map[string][]time.Duration{
 		"in time":       {0},
 		"a little late": {time.Millisecond},
 		"late once":     {time.Second, 0},
 		"late twice":    {time.Second, 20 * time.Millisecond, 0},
-		// The last moment, 3 s, comes before the fourth end: that is not put off.
+		// The latest time, 3 s, has passed at the third end, which is not extended.
 		"late for long": {time.Second, time.Second, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			asked, clock := 0, begin
-			now := func() time.Time { // the first call is the dial's begin, each other an end
+			now := func() time.Time { // the first call is for the dial's start, the others for ends of its timeout
 				if asked++; asked > 1 {
 					clock = clock.Add(10*time.Millisecond + late[asked-2])
 				}
@@ -258,23 +262,23 @@
 	}
 }
 
-// pieces takes what is written, and tells of each write but a kept-back byte.
-type pieces struct {
+// recordingConn is a connection that records the written bytes.
+type recordingConn struct {
 	net.Conn
 	got []byte
 }
 
-func (p *pieces) Write(b []byte) (int, error)      { p.got = append(p.got, b...); return len(b), nil }
-func (p *pieces) Close() error                     { return nil }
-func (p *pieces) SetWriteDeadline(time.Time) error { return nil }
+func (p *recordingConn) Write(b []byte) (int, error)      { p.got = append(p.got, b...); return len(b), nil }
+func (p *recordingConn) Close() error                     { return nil }
+func (p *recordingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// TestLastByte: however a request is cut into writes, it may have been sent whole
-// exactly once its last byte was written, and until then it has not.
+// TestLastByte checks, for requests that are split into writes at random, that mayHaveSent becomes true exactly
+// when the last byte is written.
 func TestLastByte(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := strings.Repeat(rapid.SampledFrom([]string{"b", "\r\n\r\n", "\r"}).Draw(t, "of"), rapid.IntRange(0, 50).Draw(t, "times"))
 		text := "POST /x HTTP/1.1\r\nA: \r\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
-		to := &pieces{}
+		to := &recordingConn{}
 		c := &conn{Conn: to, closed: make(chan struct{})}
 		c.setBodySize(len(body))
 		for at := 0; at < len(text); {
@@ -290,9 +294,9 @@
 	})
 }
 
-// TestClosedIsNotSent: what is closed before its last byte's time never sends it.
+// TestClosedIsNotSent checks that a connection that is closed before its last byte is due never sends it.
 func TestClosedIsNotSent(t *testing.T) {
-	to := &pieces{}
+	to := &recordingConn{}
 	c := &conn{Conn: to, lastByteDelay: time.Hour, closed: make(chan struct{})}
 	c.setBodySize(2)
 	_ = c.Close()
@@ -303,13 +307,12 @@
 	require.False(t, c.mayHaveSent())
 }
 
-// TestStaleIsNotSent: the repeat of a key is not completed once the members may have
-// forgotten it, however long its connection or this process took; it is told as
-// never sent.
+// TestStaleIsNotSent checks that the repeat of a key is not completed once the members may have forgotten the
+// key, because its connection or this process took too long. Its flow ends as NotSent.
 func TestStaleIsNotSent(t *testing.T) {
 	for name, left := range map[string]time.Duration{"in time": time.Hour, "too late": 0} {
 		t.Run(name, func(t *testing.T) {
-			to := &pieces{}
+			to := &recordingConn{}
 			c := &conn{Conn: to, closed: make(chan struct{})}
 			c.setBodySize(2)
 			c.setLimits(time.Time{}, time.Now().Add(left))
@@ -329,10 +332,10 @@
 		r.next expect ^POST .*\r\n\r\nbbbb$`)
 }
 
-// TestReportsAreRead: where members report their load, the answer that ends a
-// flow carries it in X-Load-Report and a probe asks /stats, whose body is the
-// report; either reaches the engine. A report that can't be read is left out and
-// the outcome stands. Elsewhere a probe asks /health/live and reads no body.
+// TestReportsAreRead checks that load reports reach the engine where members report their load: from the
+// X-Load-Report header of the answer that ends a flow, and from the body of /stats, which probes then request.
+// A report that can't be parsed is ignored, and the status stays. Elsewhere a probe requests /health/live and
+// its body is ignored.
 func TestReportsAreRead(t *testing.T) {
 	addr, open := scenario.Listen(t)
 	stats := driveWith(addr, Options{ConnectTimeout: time.Second, MaxSubmissions: 4, ProbeStats: true})
@@ -359,15 +362,15 @@
 		plain.1 expect ^probe 0\n$`)
 }
 
-// TestAnswers: an answer counts by its header, whatever becomes of the rest of it, and
-// what is no answer in so many bytes counts as a break of the connection.
+// TestAnswers checks that an answer counts by its status and header, even if its body is cut or never ends, and
+// that a header beyond the size limit or that is not HTTP counts as a broken connection.
 //
 //nolint:funlen // a table of cases, each a few lines
 func TestAnswers(t *testing.T) {
 	words := scenario.Functions{"much": func(a ...string) string { return strings.Repeat(a[0], maxReplyBytes/len(a[0])+8<<10) }}
 	for name, script := range map[string]string{
-		// It is told by DELETE, which shows that its 202 counted.
-		"takes it, in an answer that never ends": `
+		// The recall sends a DELETE, which shows that the 202 counted.
+		"accepts, in an answer that never ends": `
 			flow send t-1 4\n
 			r expect bbbb
 			r send HTTP/1.1 202 x\r\nContent-Length: 100\r\n\r\nabc
@@ -376,7 +379,7 @@
 			r.next expect ^DELETE /jobs/t-1 HTTP
 			r.next send HTTP/1.1 204 x\r\n\r\n
 			flow expect ^t-1 6\n`,
-		"takes it, in chunks that are cut": `
+		"accepts, in a chunked answer that is cut": `
 			flow send t-1 4\n
 			r expect bbbb
 			r send HTTP/1.1 202 x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab
@@ -391,7 +394,7 @@
 			r send HTTP/1.1 500 x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab
 			flow expect ^t-1 1\n
 			r wait`,
-		"turns away, in an answer that never ends": `
+		"rejects, in an answer that never ends": `
 			flow send t-1 4\n
 			r expect bbbb
 			r send HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 9\r\n\r\n
@@ -418,7 +421,7 @@
 			r expect bbbb
 			r send HTTP/1.1 202 x\r\nA: @much(a)
 			flow expect ^t-1 5\n`,
-		"goes on being about to answer": `
+		"sends informational answers without end": `
 			flow send t-1 4\n
 			r expect bbbb
 			r send @much(HTTP/1.1 103 x\r\n\r\n)
@@ -434,8 +437,8 @@
 			r expect bbbb
 			r send 220 ready\r\n
 			flow expect ^t-1 5\n`,
-		// It can't have what it took: the last byte is here, and stays.
-		"takes what it does not have": `
+		// The member can't have the request that it accepts: the last byte has not been sent.
+		"accepts a request that is not whole": `
 			slow send t-1 4\n
 			r expect bbb$
 			r send HTTP/1.1 202 x\r\nContent-Length: 0\r\n\r\n
@@ -450,11 +453,11 @@
 	}
 }
 
-// TestCrossing: what a member and this side tell each other at once. Each line of
-// flow's is the next end of a flow, so that none before it is of one that stays.
+// TestCrossing checks messages of the member and of this side that cross. Each expected line is the next end of
+// a flow, so a flow that must stay live has not ended before it.
 func TestCrossing(t *testing.T) {
 	for name, script := range map[string]string{
-		// It has taken the job, and was asked back, and can't be told: it keeps the job.
+		// The member has accepted the job and can't be reached by the recall's DELETE: it keeps the job.
 		"a 202 and the end of the connection": `
 			flow send t-1 4\n
 			r expect bbbb
@@ -474,7 +477,7 @@
 			r wait
 			r send HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n
 			flow expect ^t-1 2\n`,
-		// It saw the end before it took the job: it is told all the same.
+		// The member saw the end of the connection before it accepted the job: it gets a DELETE nevertheless.
 		"the end of the connection from both sides": `
 			flow send t-1 4\n
 			r expect bbbb
@@ -484,20 +487,20 @@
 			r.next expect ^DELETE /jobs/t-1 HTTP
 			r.next close
 			flow expect ^t-1 6\n`,
-		// The callback was of an earlier attempt there: this one stays unwritten.
-		"a call-back and a request that is not whole": `
+		// The callback belongs to an earlier attempt at that member: this request is not completed.
+		"a callback and a request that is not whole": `
 			slow send t-1 4\n
 			r expect bbb$
 			slow send release t-1\n
 			r wait
 			slow expect ^t-1 7\n`,
-		"a call-back and an answer that does not come": `
+		"a callback and an answer that does not arrive": `
 			brief send t-1 4\n
 			r expect bbbb
 			brief send release t-1\n
 			r wait
 			brief expect ^t-1 5\n`,
-		// Its member may have been told to drain since.
+		// The member may have been told to drain since the decision.
 		"the decision and a dispatcher that is late": `
 			flow send late 4\n
 			flow expect ^late 7\n
@@ -508,16 +511,16 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, open := scenario.Listen(t)
-			figures := Options{ConnectTimeout: time.Second, MaxSubmissions: 4}
-			long := driveWith(addr, figures, func(c *Transport) { c.drainTime = time.Minute })
+			options := Options{ConnectTimeout: time.Second, MaxSubmissions: 4}
+			long := driveWith(addr, options, func(c *Transport) { c.drainTime = time.Minute })
 			scenario.RunScript(t, scenario.Peers{"r": open, "flow": long, "brief": drive(addr, 4), "slow": drive(addr, 4, time.Minute)}, nil, script)
 		})
 	}
 }
 
-// refusing is an address of the test's own that nothing listens on: a fixed one may be
-// listened on by others.
-func refusing(t *testing.T) (addr string) {
+// refusingAddr returns an address that the test has bound and that nothing listens on; another process could
+// listen on a fixed one.
+func refusingAddr(t *testing.T) (addr string) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
@@ -527,8 +530,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// crowded listens, and has no room for a further connection until one is accepted.
-func crowded(t *testing.T) (addr string) {
+// fullListenerAddr returns the address of a listener whose backlog is full until a connection is accepted.
+func fullListenerAddr(t *testing.T) (addr string) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	require.NoError(t, syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
@@ -544,8 +547,8 @@
 	return l.Addr().String()
 }
 
-// dials counts the connections to an address that are not up yet.
-func dials(t *testing.T, addr string) int {
+// pendingDials returns the number of connections to an address that are not established yet.
+func pendingDials(t *testing.T, addr string) int {
 	text, err := os.ReadFile("/proc/self/net/tcp")
 	require.NoError(t, err)
 	_, port, _ := net.SplitHostPort(addr)
@@ -553,24 +556,24 @@
 	return len(regexp.MustCompile(fmt.Sprintf(`:\S+ 0100007F:%04X 02 `, n)).FindAll(text, -1))
 }
 
-// TestDialIsCancelled: a dial ends with its flow, however long it might take: its
-// descriptor is counted with the flow. What comes up later would be of no use.
+// TestDialIsCancelled checks that a dial is cancelled with its flow, since its descriptor counts as the flow's.
+// A connection that came up later would have no use.
 func TestDialIsCancelled(t *testing.T) {
-	addr := crowded(t)
-	figures := Options{ConnectTimeout: time.Minute, MaxSubmissions: 1}
-	flow, err := driveWith(addr, figures)()
+	addr := fullListenerAddr(t)
+	options := Options{ConnectTimeout: time.Minute, MaxSubmissions: 1}
+	flow, err := driveWith(addr, options)()
 	require.NoError(t, err)
 	_, _ = fmt.Fprint(flow, "t-1 4\n")
-	require.Eventually(t, func() bool { return dials(t, addr) == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return pendingDials(t, addr) == 1 }, 10*time.Second, time.Millisecond)
 	scenario.RunScript(t, scenario.Peers{"flow": func() (scenario.Conn, error) { return flow, nil }}, nil, `
 		flow send recall t-1\n
 		flow expect ^t-1 4\n`)
-	require.Eventually(t, func() bool { return dials(t, addr) == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return pendingDials(t, addr) == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// TestHeldUpByteIsNotSent: a last byte that the other side leaves no room for is not
-// left to go out once there is room.
-func TestHeldUpByteIsNotSent(t *testing.T) {
+// TestBlockedLastByteIsNotSent checks that a last byte whose write blocks, because the other side does not read,
+// is not sent after its time.
+func TestBlockedLastByteIsNotSent(t *testing.T) {
 	const text = "POST /x HTTP/1.1\r\n\r\nbb"
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
@@ -589,22 +592,22 @@
 	case err := <-wrote:
 		require.Error(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("still being written")
+		t.Fatal("the write does not end")
 	}
 	require.False(t, c.mayHaveSent())
 }
 
-// ends is an engine that hears the end of one flow.
-type ends chan policy.Report
+// reportSink is a ResultSink that passes on the load report of each flow's end.
+type reportSink chan policy.Report
 
-func (e ends) EndFlow(*engine.Flow, policy.Status, []byte)                         { e <- policy.Report{} }
-func (e ends) EndFlowWithLoad(_ *engine.Flow, _ policy.Status, load policy.Report) { e <- load }
-func (e ends) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time)    {}
+func (e reportSink) EndFlow(*engine.Flow, policy.Status, []byte)                         { e <- policy.Report{} }
+func (e reportSink) EndFlowWithLoad(_ *engine.Flow, _ policy.Status, load policy.Report) { e <- load }
+func (e reportSink) EndProbe(*engine.Member, policy.Status, policy.Report, time.Time)    {}
 
-// TestFlowIsTheEngines: an answer's report goes with the end, and not into the flow, which
-// the engine may be ending at its deadline just then. The engine is a reader here that
-// nothing orders with the transport; the race detector sees a write beside it.
-func TestFlowIsTheEngines(t *testing.T) {
+// TestTransportDoesNotWriteFlowLoad checks that the load report of an answer is passed with the end of the flow,
+// and not written into the flow, which the engine may be ending at its deadline at the same time. In place of
+// the engine, a goroutine reads the flow without synchronisation, so the race detector finds any write.
+func TestTransportDoesNotWriteFlowLoad(t *testing.T) {
 	member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Load-Report", "TEXT x0=3")
 		w.WriteHeader(http.StatusInternalServerError)
@@ -614,7 +617,7 @@
 		Transaction: &engine.Transaction{ID: "j", Class: "c"}, SentAt: time.Now(), Deadline: time.Now().Add(time.Minute),
 		Member: &engine.Member{Addr: member.Listener.Addr().String()},
 	}
-	e, read := make(ends, 1), make(chan policy.Report)
+	e, read := make(reportSink, 1), make(chan policy.Report)
 	var over atomic.Bool
 	go func() {
 		var last policy.Report
--- a/internal/dispatcher/poolmember/probe.go
+++ b/internal/dispatcher/poolmember/probe.go
@@ -14,9 +14,9 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// unrepeatableBody is an empty body that can't be read a second time. http.Transport sends a request
-// without a body again by itself when an idle connection turns out to be broken; without GetBody, and
-// with a body that is not http.NoBody, it must not. A resent probe would count as a second one.
+// unrepeatableBody is an empty body that can't be sent a second time. http.Transport resends a request
+// without a body by itself when an idle connection turns out to be broken. It must not resend a request whose
+// body is not http.NoBody and that has no GetBody. A resent probe would count as a second one.
 type unrepeatableBody struct{}
 
 // Read implements io.Reader.
@@ -34,8 +34,8 @@
 	})
 }
 
-// probe asks a member for a sign of life, at /stats where the deployment's members report their load
-// (its body is the report), else at /health/live. A report that can't be read is left out.
+// probe checks whether a member is alive, with GET /stats if the deployment's members report their load (the
+// answer's body is the report), else with GET /health/live. A report that can't be parsed is ignored.
 func (t *Transport) probe(m *engine.Member, until time.Time) (policy.Status, policy.Report) {
 	ctx, cancel := context.WithDeadline(t.lifetime, until)
 	defer cancel()
@@ -51,8 +51,8 @@
 	if t.options.ProbeStats {
 		u.Path = "/stats"
 	}
-	// Without a body the transport would send a probe again by itself when a
-	// kept connection breaks, and each one costs the member work.
+	// Without a body http.Transport would resend a probe by itself when a reused connection breaks, and
+	// each probe costs the member work.
 	req := (&http.Request{
 		Method: http.MethodGet, URL: u, Host: u.Host, Header: make(http.Header), Body: &unrepeatableBody{},
 	}).WithContext(ctx)
@@ -66,7 +66,7 @@
 		return policy.Reset, policy.Report{}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
-	_ = resp.Body.Close() // what there is has been read
+	_ = resp.Body.Close() // the body has been read
 	var r policy.Report
 	if err == nil && t.options.ProbeStats {
 		r, _ = loadreport.ParseBody(body)
--- a/internal/dispatcher/poolmember/submission.go
+++ b/internal/dispatcher/poolmember/submission.go
@@ -17,40 +17,41 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// exchange is the transport's state of a flow. A flow is abandoned by closing its connection while
-// the member has not answered, and by DELETE afterwards.
+// exchange is the transport's state of a flow. A flow is abandoned by closing its connection until the
+// member has answered, and by DELETE afterwards.
 type exchange struct {
 	mu        sync.Mutex
 	accepted  bool  // the member has answered 202
-	abandoned bool  // nobody waits for the flow any more
-	recalled  bool  // it is abandoned, and its end is to be told once the member has confirmed that
+	abandoned bool  // the flow's result is not needed any more
+	recalled  bool  // the flow is abandoned and ends once the member has confirmed that
 	conn      *conn // nil: not connected yet
 	cancel    context.CancelFunc
 }
 
-// sendResult is how a flow was sent.
+// sendResult is the result of sending a flow.
 type sendResult struct {
 	accepted bool          // the member answered 202: the flow's end comes by callback
 	status   policy.Status // how the flow ended, unless it was accepted
-	load     policy.Report // of the answer that ended it
-	rest     io.ReadCloser // of the answer, to be read and closed; nil: nothing
+	load     policy.Report // load report in the answer that ended the flow
+	rest     io.ReadCloser // rest of the answer, to be read and closed; nil: none
 }
 
-// mayBeWhole reports whether the request's last byte was written or is being written. The lock is held.
+// mayBeWhole reports whether the request's last byte was written or is being written. The caller holds the
+// lock.
 func (sub *exchange) mayBeWhole() bool { return sub.conn != nil && sub.conn.sending.Load() }
 
-// close ends the flow's connection, or its dial, before it returns: the last byte is not written any
-// more. The lock is held.
+// close closes the flow's connection or cancels its dial; after close returns, the last byte is not written
+// any more. The caller holds the lock.
 func (sub *exchange) close() {
 	if sub.conn != nil {
-		_ = sub.conn.Close() // it is abandoned
+		_ = sub.conn.Close() // the connection is abandoned
 	}
 	sub.cancel()
 }
 
-// send submits a flow. What an answer means its header says.
+// send submits a flow. It interprets an answer by its status and header alone.
 func (t *Transport) send(ctx context.Context, f *engine.Flow, sub *exchange) sendResult {
-	var at *conn
+	var c *conn
 	begin, latest := f.SentAt.Add(firstByteWithin), f.Deadline
 	if f.TooLate(latest) {
 		latest = f.LatestSend
@@ -58,14 +59,14 @@
 	ctx = dialUntil(ctx, begin)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			if at, _ = info.Conn.(*conn); at != nil {
-				at.setBodySize(len(f.Transaction.Body))
-				at.setLimits(begin, latest)
-				at.setClientGone(f.Transaction.Gone)
+			if c, _ = info.Conn.(*conn); c != nil {
+				c.setBodySize(len(f.Transaction.Body))
+				c.setLimits(begin, latest)
+				c.setClientGone(f.Transaction.Gone)
 				sub.mu.Lock()
 				defer sub.mu.Unlock()
-				if sub.conn = at; sub.abandoned {
-					_ = at.Close() // it is abandoned
+				if sub.conn = c; sub.abandoned {
+					_ = c.Close() // the flow is abandoned
 				}
 			}
 		},
@@ -77,24 +78,24 @@
 	resp, err := t.roundTripper.RoundTrip(req)
 	accepted := err == nil && resp.StatusCode == http.StatusAccepted
 	switch {
-	case err != nil && at == nil:
+	case err != nil && c == nil:
 		return sendResult{status: policy.ConnectFailed}
-	case err != nil && !at.mayHaveSent(): // it came up, so the member is there
+	case err != nil && !c.mayHaveSent(): // the connection came up, so the member is reachable
 		return sendResult{status: policy.NotSent}
 	case err != nil:
 		return sendResult{status: policy.Reset}
-	case accepted && !at.sending.Load() && !at.mayHaveSent(): // it can't have what it accepted
-		_ = resp.Body.Close() // nothing more is read
+	case accepted && !c.sending.Load() && !c.mayHaveSent(): // the member can't have the whole request
+		_ = resp.Body.Close() // the rest is not read
 		return sendResult{status: policy.NotSent}
 	case accepted:
 		return sendResult{accepted: true, status: policy.OK, rest: resp.Body}
 	}
-	// This answer ends the flow: its report is the member's last one. One that can't be read is left out.
+	// This answer ends the flow; its load report is the flow's last. One that can't be parsed is ignored.
 	load, _ := loadreport.Parse([]byte(resp.Header.Get("X-Load-Report")))
 	return sendResult{status: rejectionStatus(resp), load: load, rest: resp.Body}
 }
 
-// rejectionStatus is what an answer other than 202 means.
+// rejectionStatus returns the status of a flow that its member answered with another status than 202.
 func rejectionStatus(resp *http.Response) policy.Status {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	switch {
@@ -106,19 +107,19 @@
 	return policy.Error
 }
 
-// invalidRequestStatuses are the answers that blame the request alone. Other answers of their hundred
-// may come of a member that is set up wrong: those count as errors.
+// invalidRequestStatuses are the HTTP statuses that only an invalid request can cause. Other 4xx statuses may
+// come from a misconfigured member, and count as errors.
 var invalidRequestStatuses = []int{
 	http.StatusBadRequest, http.StatusLengthRequired, http.StatusRequestEntityTooLarge, http.StatusRequestURITooLong,
 	http.StatusUnsupportedMediaType, http.StatusUnprocessableEntity, http.StatusRequestHeaderFieldsTooLarge,
 }
 
-// newRequest returns a flow's request in the platform's form. Path, query, body, id and key are the
-// client's own, to the letter.
+// newRequest returns the HTTP request for a flow in the platform's protocol. Path, query, body, id and key are
+// exactly the client's.
 func newRequest(ctx context.Context, f *engine.Flow) (*http.Request, error) {
 	t := f.Transaction
 	target := t.Target
-	if target == "" { // it came by a wire without paths
+	if target == "" { // the client's protocol has no paths
 		target = "/" + url.PathEscape(t.Class)
 	}
 	u, err := url.ParseRequestURI(target)
@@ -126,17 +127,16 @@
 		return nil, err
 	}
 	u.Scheme, u.Host = "http", f.Member.Addr
-	// The body is of a kind that the transport knows to be in memory: it then goes
-	// out with the header in one write, not after it. It sends no request again on
-	// a connection that is not kept, and without GetBody couldn't.
+	// http.Transport recognises this type of body as in memory, and sends it in one write with the header.
+	// It never resends a request on a connection that is not reused, and without GetBody it can't.
 	req := (&http.Request{
 		Method: http.MethodPost, URL: u, Host: f.Member.Addr, Header: make(http.Header),
 		Body: io.NopCloser(bytes.NewReader(t.Body)), ContentLength: int64(len(t.Body)),
 	}).WithContext(ctx)
 	if len(t.Body) == 0 {
-		// Any other empty body is sent in chunks: its end follows the header in a
-		// second write, and a member that takes the header for all there is, and
-		// breaks off between the two, would be told never to have had the request.
+		// Any other empty body is sent in chunks, so its end follows the header in a second write. If a
+		// member treated the header as the whole request, and the connection broke between the two
+		// writes, a request that ran would be reported as never sent.
 		req.Body = http.NoBody
 	}
 	req.Header.Set("User-Agent", "")
--- a/internal/dispatcher/poolmember/transport.go
+++ b/internal/dispatcher/poolmember/transport.go
@@ -1,13 +1,13 @@
-// Package poolmember is the transport of flows and probes to pool members that speak the platform's HTTP
-// protocol: a job is submitted with POST and accepted with 202, its end comes by callback to the HTTP
+// Package poolmember is the transport of flows and probes to pool members that use the platform's HTTP
+// protocol: a job is submitted with POST and accepted with 202, its end is reported by a callback to the HTTP
 // front, and a DELETE abandons it.
 //
-// What a flow's end is called decides whether its job may run again. So the transport knows of each
-// request whether it may have reached its member whole: conn keeps the last byte back for a moment.
+// The status with which a flow ends decides whether its job may run again. The transport therefore tracks for
+// each request whether the whole request may have reached its member; conn delays the last byte for that.
 //
-// Each flow, DELETE and probe that is under way has one goroutine, which ends by its deadline. The Transport
-// owns them: Close cuts them short, as the end of the process would, and waits for them. The connections'
-// own goroutines are http.Transport's, and end with their requests.
+// Each flow, DELETE and probe in progress has one goroutine, which ends by its deadline. The Transport owns
+// these goroutines: Close aborts them, as the end of the process would, and waits for them. The goroutines of
+// the connections belong to http.Transport, and end with their requests.
 package poolmember
 
 import (
@@ -21,7 +21,7 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// ResultSink is told what becomes of flows and probes; engine.Engine implements it.
+// ResultSink receives the results of flows and probes; engine.Engine implements it.
 type ResultSink interface {
 	EndFlow(f *engine.Flow, s policy.Status, result []byte)
 	EndFlowWithLoad(f *engine.Flow, s policy.Status, load policy.Report)
@@ -33,17 +33,17 @@
 	probeTimeout = 500 * time.Millisecond
 	// deleteTimeout is the time within which a member must answer the DELETE of a flow.
 	deleteTimeout = 2 * time.Second
-	// crossedDeleteTimeout is that time where a 202 may have crossed the closing of the connection:
-	// the job waits for the answer.
+	// crossedDeleteTimeout replaces deleteTimeout where a 202 may have crossed the closing of the
+	// connection. It is shorter because the job is not sent elsewhere before the DELETE is answered.
 	crossedDeleteTimeout = 300 * time.Millisecond
-	// drainTime is how long the rest of an answer is read that decides nothing any more, and how
-	// long a 202 is waited for that may have crossed a flow's end.
+	// drainTime is how long the rest of an answer is read after the flow's status is known, and how long
+	// the transport waits for a 202 that may have crossed the end of a flow.
 	drainTime = 100 * time.Millisecond
 	// maxReplyBytes bounds the header and the body of an answer.
 	maxReplyBytes = 64 << 10
-	// firstByteWithin is the time from a flow's decision to its first byte. A member may have been
-	// told to drain meanwhile, and nothing may be sent to it 2 s after that; half of it is left to
-	// the list's own way.
+	// firstByteWithin is the longest time from the decision to send a flow to its first byte. Nothing may
+	// be sent to a member 2 s after it was told to drain. Half of that time is left for the list of members
+	// to reach this dispatcher.
 	firstByteWithin = time.Second
 )
 
@@ -51,31 +51,31 @@
 type Transport struct {
 	sink            ResultSink
 	roundTripper    http.RoundTripper
-	submissionSlots chan struct{} // one for each connection that a flow may use
-	controlSlots    chan struct{} // and that a probe or a DELETE may use, which flows must not shut out
+	submissionSlots chan struct{} // holds one item for each connection that a flow uses
+	controlSlots    chan struct{} // the same for probes and DELETEs, which flows must not block
 
 	options   Options
 	drainTime time.Duration
 
-	lifetime context.Context // ends with Close, and with it all that is under way
+	lifetime context.Context // ended by Close, which aborts all flows, DELETEs and probes
 	stop     context.CancelFunc
 	running  sync.WaitGroup // the goroutines of flows, DELETEs and probes
 }
 
-// Options are what the deployment says of members and connections.
+// Options are the deployment's settings for members and connections.
 type Options struct {
 	ConnectTimeout time.Duration
-	// LastByteDelay is how long the last byte of a request is kept back. A member starts a request
-	// once it is whole; one that breaks the connection while a request arrives does so in that time,
-	// and the request has then never run. Sent in one piece it may have run.
+	// LastByteDelay is how long the last byte of a request is delayed. A member starts a request once it
+	// has the whole of it. If a member breaks the connection while the request arrives, it does so during
+	// this delay, and the request can't have run. A request that was sent in one piece may have run.
 	LastByteDelay  time.Duration
-	MaxSubmissions int // flows that are submitted at a time; half as many probes and DELETEs beside them
-	// ProbeStats says that members report their load: a probe gets /stats, whose body is the report,
-	// and else /health/live.
+	MaxSubmissions int // concurrent submissions of flows; probes and DELETEs: half as many, in addition
+	// ProbeStats states that members report their load: a probe then gets /stats, whose body is the load
+	// report, otherwise /health/live.
 	ProbeStats bool
 }
 
-// New returns a transport that tells the sink what becomes of its flows and probes.
+// New returns a transport that reports the results of its flows and probes to the sink.
 func New(sink ResultSink, o Options) *Transport {
 	lifetime, stop := context.WithCancel(context.Background())
 	return &Transport{
@@ -90,9 +90,9 @@
 	}
 }
 
-// Close closes the connections of all flows, DELETEs and probes that are under way, and returns once their
-// goroutines have ended: nothing more is sent, and the sink has been told of the flows and probes. Close
-// must be called once no other method is called any more.
+// Close closes the connections of all flows, DELETEs and probes in progress, and returns once their goroutines
+// have ended. After that nothing more is sent, and the sink has received the results of the flows and probes.
+// No other method may be called during or after Close.
 func (t *Transport) Close() {
 	t.stop()
 	t.running.Wait()
@@ -106,7 +106,7 @@
 	f.TransportState = sub
 	select {
 	case t.submissionSlots <- struct{}{}:
-	default: // no descriptor to spare: it was never sent, and no member is to blame
+	default: // all connections are in use: the flow was never sent, which does not count against the member
 		cancel()
 		t.sink.EndFlow(f, policy.NotSent, nil)
 		return
@@ -127,17 +127,17 @@
 	sub.mu.Unlock()
 	switch {
 	case !sent.accepted && recalled && sent.status == policy.Reset:
-		// Reset by closing the connection, which says nothing of the member. No 202 has come, so that by
-		// the protocol the close has abandoned the flow. The member is told by DELETE as well, before the
-		// job may go elsewhere: it may not have noticed the close.
+		// Reset because this side closed the connection, which indicates no fault of the member. No 202 has
+		// arrived, so by the protocol the close has abandoned the flow. The member may not have noticed the
+		// close, so it also gets a DELETE before the job may be sent elsewhere.
 		t.delete(f, time.Now().Add(crossedDeleteTimeout))
 		t.sink.EndFlow(f, policy.Cancelled, nil)
 	case !sent.accepted:
 		t.sink.EndFlowWithLoad(f, sent.status, sent.load)
-	case abandoned: // while the answer was on its way: closing the connection told nobody
+	case abandoned: // while the answer was on its way: the member did not notice the closed connection
 		t.deleteAndEnd(f, recalled)
 	}
-	if sent.rest != nil { // it decides nothing; a close over unread bytes would reset the connection
+	if sent.rest != nil { // closing the connection with unread bytes would reset it
 		defer time.AfterFunc(t.drainTime, func() { _ = sub.conn.Close() }).Stop()
 		_, _ = io.Copy(io.Discard, io.LimitReader(sent.rest, maxReplyBytes))
 		_ = sent.rest.Close()
@@ -147,11 +147,12 @@
 // Abandon implements engine.Transport.
 func (t *Transport) Abandon(f *engine.Flow) { t.abandon(f, false) }
 
-// Recall implements engine.Transport. A member that can't be reached keeps the flow: it may still run or
-// report it.
+// Recall implements engine.Transport. If the member can't be reached, the flow stays live: the member may
+// still run it or report its end.
 func (t *Transport) Recall(f *engine.Flow) { t.abandon(f, true) }
 
-// abandon ends a flow for its member, and with recall for the engine once the member has confirmed it.
+// abandon abandons a flow at its member. With recall, the flow ends for the engine once the member has
+// confirmed that.
 func (t *Transport) abandon(f *engine.Flow, recall bool) {
 	sub, ok := f.TransportState.(*exchange)
 	if !ok {
@@ -166,16 +167,16 @@
 	switch {
 	case sub.accepted:
 		t.running.Go(func() { t.deleteAndEnd(f, recall) })
-	case recall && sub.mayBeWhole() && sub.conn.endWrites() == nil: // a 202 may be on its way, which then binds
+	case recall && sub.mayBeWhole() && sub.conn.endWrites() == nil: // a 202 may be on its way, and then counts
 		time.AfterFunc(t.drainTime, sub.cancel)
 	default:
 		sub.close()
 	}
 }
 
-// EndedOutOfBand implements engine.Transport. The member has reported the end of the flow by callback:
-// its 202, if it is yet to come, is waited for only for the drain time. A request that isn't whole stays
-// so: the report is of an earlier attempt at that member.
+// EndedOutOfBand implements engine.Transport. The member has reported the end of the flow by callback. If its
+// 202 has not arrived yet, the transport waits for it no longer than the drain time. A request of which not
+// all was sent is not completed: the callback belongs to an earlier attempt at that member.
 func (t *Transport) EndedOutOfBand(f *engine.Flow) {
 	sub, ok := f.TransportState.(*exchange)
 	if !ok {
