--- a/internal/dispatcher/engine/members_test.go
+++ b/internal/dispatcher/engine/members_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestMemberNumbers checks that a member's number depends on its id alone, so that it is the same at every
-// dispatcher whatever members it has listed before, and that no two members share a number.
+// dispatcher, independent of the members listed before, and that no two members share a number.
 func TestMemberNumbers(t *testing.T) {
 	first, second := collidingIDs()
 	for _, before := range []int{0, 5} {
--- a/internal/dispatcher/engine/transaction.go
+++ b/internal/dispatcher/engine/transaction.go
@@ -49,8 +49,8 @@
 	Answer(Answer)
 }
 
-// GoneReporter is a Client that can report whether it has left. The engine asks it where waiting for
-// ClientLeft would be too late; once Gone returns true, ClientLeft follows.
+// GoneReporter is a Client that can report whether it has left. The engine calls Gone where waiting
+// for ClientLeft would be too late; once Gone returns true, ClientLeft follows.
 type GoneReporter interface {
 	// Gone reports whether the client has left. It may be called by any goroutine.
 	Gone() bool
