--- a/internal/cluster/simworld/check_test.go
+++ b/internal/cluster/simworld/check_test.go
@@ -14,7 +14,7 @@
 	return porcupine.Operation{ClientId: client, Input: in, Call: from, Return: to, Output: out}
 }
 
-// checkLease checks that no two processes hold a group's lease at one moment, each by its own
+// checkLease checks that no two processes hold a group's lease at the same time, each by its own
 // clock.
 func (w *world) checkLease(g *replicaGroup) {
 	held := w.leases[g.name]
@@ -36,10 +36,10 @@
 	held[g.node.name] = group.Lease{Epoch: g.lease.Epoch, Until: until}
 }
 
-// checkTimeout bounds the search for an order of a history's operations.
+// checkTimeout bounds the search for a linearization of a history.
 const checkTimeout = 20 * time.Second
 
-// checkHistories checks that what operators and clients saw can have happened in one order.
+// checkHistories checks that the histories of operators and clients are linearizable.
 func (w *world) checkHistories() {
 	if got := porcupine.CheckOperationsTimeout(configModel, w.config.operations, checkTimeout); got != porcupine.Ok {
 		w.fail("CONFIG: the operators' history is %v:\n%s", got, w.config)
@@ -51,7 +51,7 @@
 	}
 }
 
-// String lists the operations, for a check that fails.
+// String lists the operations, for the message of a failed check.
 func (h configHistory) String() string {
 	text := ""
 	for _, o := range h.operations {
@@ -61,7 +61,7 @@
 	return text
 }
 
-// String lists the operations, for a check that fails.
+// String lists the operations, for the message of a failed check.
 func (j *jobHistory) String() string {
 	text := ""
 	for _, o := range j.operations {
@@ -71,7 +71,7 @@
 	return text
 }
 
-// stampTime returns a stamp as a time since the start of the world; -1: there was no answer.
+// stampTime converts a stamp to the time since the start of the simulation; -1: there was no answer.
 func stampTime(stamp int64) time.Duration {
 	if stamp == noReturn {
 		return -1
--- a/internal/cluster/simworld/client_test.go
+++ b/internal/cluster/simworld/client_test.go
@@ -13,14 +13,14 @@
 
 // Times of operators and clients.
 const (
-	operatorTimeout   = time.Second            // without an answer, after which an operator asks another node
-	operatorDeadline  = 25 * time.Second       // after which an operator stops sending a change
-	clientTimeout     = 3 * time.Second        // without an answer, after which a client asks another dispatcher
+	operatorTimeout   = time.Second            // of an attempt; then an operator tries another node
+	operatorDeadline  = 25 * time.Second       // after which an operator gives up a request
+	clientTimeout     = 3 * time.Second        // of an attempt; then a client tries another dispatcher
 	operatorPauseStep = 150 * time.Millisecond // by which an operator's pause grows with each attempt
 )
 
-// callFromOutside sends a call of an operator or a client to a process. No partition stops it; its
-// answer may be lost. done is called once, with false where no answer came in time.
+// callFromOutside sends a call of an operator or a client to a process. Partitions don't affect it, but
+// its answer may be lost. done is called once, with false if no answer arrived in time.
 func (w *world) callFromOutside(to *process, within time.Duration, ask func(reply func(any)), done func(answer any, ok bool)) {
 	over := false
 	finish := func(answer any, ok bool) {
@@ -49,14 +49,14 @@
 	w.schedule(within, func() { finish(nil, false) })
 }
 
-// nextStamp returns the time in nanoseconds, increased so that no two stamps are equal: the
-// operations of one moment have an order.
+// nextStamp returns the time in nanoseconds, increased so that no two stamps are equal: operations
+// at the same time are ordered.
 func (w *world) nextStamp() int64 {
 	w.lastStamp = max(w.lastStamp+1, int64(w.now))
 	return w.lastStamp
 }
 
-// runClient is a client, who submits a number of jobs, asks for their states and may cancel them.
+// runClient runs a client that submits a number of jobs, requests their states and may cancel them.
 func (w *world) runClient(jobs int) {
 	if jobs == 0 || w.noNewLoad {
 		return
@@ -67,7 +67,7 @@
 	w.jobIDs = append(w.jobIDs, j.id)
 	j.queue = queues[w.random.IntN(2)]
 	queue, body := j.queue, fmt.Sprintf(jobBodyFormat, j.id)
-	if w.random.IntN(8) == 0 { // a cancellation that may overtake the job
+	if w.random.IntN(8) == 0 { // a cancellation that may arrive before the job
 		w.schedule(w.randomBetween(0, 400*time.Millisecond), func() { w.sendJobRequest(j, queue, methodDelete, "", 4, func(protocol.JobResponse) {}) })
 	}
 	if w.random.IntN(12) == 0 { // another job with the same ID
@@ -76,7 +76,7 @@
 		})
 	}
 	w.sendJobRequest(j, queue, methodPost, body, 6, func(got protocol.JobResponse) {
-		if got.Status == http.StatusOK && w.random.IntN(6) == 0 { // the same again, though it was accepted
+		if got.Status == http.StatusOK && w.random.IntN(6) == 0 { // the same job again, although it was accepted
 			w.schedule(w.randomBetween(0, 5*time.Second), func() { w.sendJobRequest(j, queue, methodPost, body, 1, func(protocol.JobResponse) {}) })
 		}
 		w.askForState(j, queue, 1+w.random.IntN(3))
@@ -84,7 +84,7 @@
 	w.schedule(w.randomBetween(50*time.Millisecond, 700*time.Millisecond), func() { w.runClient(jobs - 1) })
 }
 
-// askForState asks for a job's state a number of times, and may then cancel it.
+// askForState requests a job's state a number of times, and may then cancel it.
 func (w *world) askForState(j *jobHistory, queue string, times int) {
 	if times == 0 {
 		if w.random.IntN(5) == 0 {
@@ -100,9 +100,9 @@
 	})
 }
 
-// sendJobRequest sends a request to dispatchers, most times at most, until it has a final answer.
-// Each attempt is an operation of its own.
-func (w *world) sendJobRequest(j *jobHistory, queue string, verb jobMethod, body string, most int, then func(protocol.JobResponse)) {
+// sendJobRequest sends a request to random dispatchers until it has a final answer, with a maximum
+// number of attempts. Each attempt is an operation of its own in the history.
+func (w *world) sendJobRequest(j *jobHistory, queue string, verb jobMethod, body string, attempts int, then func(protocol.JobResponse)) {
 	from, sent := w.nextStamp(), w.now
 	d := w.dispatchers[w.random.IntN(len(w.dispatchers))]
 	client := len(j.operations)
@@ -122,22 +122,23 @@
 		}})
 	}, func(answer any, ok bool) {
 		got, _ := answer.(protocol.JobResponse)
-		w.recorder.answered(w, d, j, verb, got, ok)
+		w.recorder.clientAnswered(w, d, j, verb, got, ok)
 		status := got.Status
 		if !ok || status == http.StatusBadGateway || status == http.StatusGatewayTimeout {
 			status = 0
 		}
 		w.tracef("%s %d of %s at %s: %d %v", queue, verb, j.id, d.name, status, got.State)
 		j.recordOperation(w, client, from, jobInput{method: verb, body: body}, jobOutput{status: status, state: got.State.String()})
-		if status == http.StatusOK || status == http.StatusGone || status == http.StatusConflict || most <= 1 {
+		if status == http.StatusOK || status == http.StatusGone || status == http.StatusConflict || attempts <= 1 {
 			then(got)
 			return
 		}
-		w.schedule(w.randomBetween(100*time.Millisecond, 800*time.Millisecond), func() { w.sendJobRequest(j, queue, verb, body, most-1, then) })
+		w.schedule(w.randomBetween(100*time.Millisecond, 800*time.Millisecond), func() { w.sendJobRequest(j, queue, verb, body, attempts-1, then) })
 	})
 }
 
-// recordOperation records an attempt and its outcome, if that says anything of the job.
+// recordOperation records an attempt and its outcome, unless the outcome has no information about
+// the job.
 func (j *jobHistory) recordOperation(w *world, client int, from int64, in jobInput, out jobOutput) {
 	to := w.nextStamp()
 	if out.status == 0 {
@@ -148,7 +149,7 @@
 	}
 	if out.status == http.StatusServiceUnavailable || out.status == http.StatusNotFound || out.status == http.StatusTooManyRequests {
 		if in.method != methodPost {
-			return // it says nothing of the job
+			return // no information about the job
 		}
 	}
 	j.operations = append(j.operations, operation(client, from, to, in, out))
--- a/internal/cluster/simworld/confighistory_test.go
+++ b/internal/cluster/simworld/confighistory_test.go
@@ -12,15 +12,15 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// configHistory records what operators sent and were told.
+// configHistory records the requests of operators and their answers.
 type configHistory struct {
 	operations   []porcupine.Operation
 	acknowledged []acknowledgedVersion
 	newest       int64           // highest version that was acknowledged
-	accepted     []*configChange // to be sent once more
+	accepted     []*configChange // candidates for being sent again
 }
 
-// acknowledgedVersion is a version that an operator was told to be accepted.
+// acknowledgedVersion is a version whose acceptance was acknowledged to an operator.
 type acknowledgedVersion struct {
 	version int64
 	at      time.Duration
@@ -32,7 +32,7 @@
 	content       []byte
 }
 
-// configInput is an operation on the configuration, as porcupine sees it.
+// configInput is the input of an operation on the configuration, for porcupine.
 type configInput struct {
 	read          bool
 	base, version int64
@@ -45,20 +45,20 @@
 	content string
 }
 
-// configState is the register as the rules describe it: the newest version and its content, and
-// all that was accepted so far, as a text with ";version=content;" for each.
+// configState is the state of the configuration's model: the newest version and its content, and
+// all accepted changes, as a text with ";version=content;" for each.
 type configState struct {
 	version  int64
 	content  string
 	accepted string
 }
 
-// hasAccepted tells whether a change was accepted before.
+// hasAccepted reports whether a change was accepted before.
 func (s configState) hasAccepted(in configInput) bool {
 	return strings.Contains(s.accepted, fmt.Sprintf(";%d=%s;", in.version, in.content))
 }
 
-// afterAccepting returns the state after a change was accepted.
+// afterAccepting returns the state after accepting a change.
 func (s configState) afterAccepting(in configInput) configState {
 	return configState{version: in.version, content: in.content, accepted: s.accepted + fmt.Sprintf(";%d=%s;", in.version, in.content)}
 }
@@ -73,7 +73,7 @@
 		}
 		acceptable := in.base == s.version && in.version > s.version
 		switch {
-		case out.status == 0: // it may have had its effect, or none
+		case out.status == 0: // it may have taken effect or not
 			if acceptable && !s.hasAccepted(in) {
 				return true, s.afterAccepting(in)
 			}
@@ -92,13 +92,13 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: from, Return: to, Output: out})
 }
 
-// checkVersionInUse checks rule CONFIG at a dispatcher: it acts on no version older than one that
-// was acknowledged long enough before the request was sent, and on none older than one that this
-// incarnation has acted on.
+// checkVersionInUse checks rule CONFIG at a dispatcher: it uses no version older than one that was
+// acknowledged more than applyWithin before the request was sent, and none older than one that this
+// incarnation has used.
 func (h *configHistory) checkVersionInUse(d *dispatcher, version int64, sent time.Duration) {
 	for _, acked := range h.acknowledged {
 		if sent > acked.at+d.w.deployment.applyWithin && version < acked.version {
-			d.w.fail("CONFIG: %s acts on version %d on a request sent %v after %d was acknowledged", d.name, version, sent-acked.at, acked.version)
+			d.w.fail("CONFIG: %s uses version %d for a request sent %v after %d was acknowledged", d.name, version, sent-acked.at, acked.version)
 		}
 	}
 	if version < d.highestVersion {
--- a/internal/cluster/simworld/digest_test.go
+++ b/internal/cluster/simworld/digest_test.go
@@ -24,14 +24,15 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// digestFile has a line for each seed: seed, orders to runners, commits, messages between
-// processes, answers to clients and operators, and the digest of all in their order.
+// digestFile has a line for each seed: the seed, the numbers of orders to runners, commits, messages
+// between processes, and answers to clients and operators, and the digest of all of them in order.
 const digestFile = "testdata/digests.txt"
 
 // digestSeeds is how many seeds have a digest, from 0 on.
 const digestSeeds = 200
 
-// recorder records what passes in a world; the zero value records nothing.
+// recorder records the orders, commits, messages and answers of a world; the zero value records
+// nothing.
 type recorder struct {
 	trace    *digesttest.Trace
 	orders   int
@@ -40,26 +41,26 @@
 	answers  int
 }
 
-// digestLine plays a seed and returns its line for the file of digests.
+// digestLine runs a seed and returns its line for digestFile.
 func digestLine(t testing.TB, seed uint64) string {
-	r := recordOf(t, seed, false)
+	r := recordSeed(t, seed, false)
 	return fmt.Sprintf("%d %d %d %d %d %s", seed, r.orders, r.commits, r.messages, r.answers, r.trace.Sum())
 }
 
-// recordOf plays a seed and returns what was recorded.
-func recordOf(t testing.TB, seed uint64, withText bool) *recorder {
+// recordSeed runs a seed and returns its recorder.
+func recordSeed(t testing.TB, seed uint64, withText bool) *recorder {
 	w := newWorld(t, seed, deployments[seed%uint64(len(deployments))])
 	w.recorder.trace = digesttest.New(withText)
-	w.playDay()
+	w.runRandomScenario()
 	return &w.recorder
 }
 
-// TestSeedDigests holds what passes between the processes of 200 days to what is on file.
+// TestSeedDigests compares the digests of the first 200 seeds with those in digestFile.
 func TestSeedDigests(t *testing.T) {
 	if wanted, ok := digesttest.Traced(); ok {
 		seed, err := strconv.ParseUint(wanted, 10, 64)
 		require.NoError(t, err)
-		fmt.Print(recordOf(t, seed, true).trace.Text())
+		fmt.Print(recordSeed(t, seed, true).trace.Text())
 		return
 	}
 	all := make([]uint64, digestSeeds)
@@ -82,7 +83,7 @@
 	digesttest.Compare(t, digestFile, lines)
 }
 
-// TestSeedsAreRepeatable: the same seed, played again by the same process, gives the same.
+// TestSeedsAreRepeatable checks that two runs of a seed in one process give the same digest.
 func TestSeedsAreRepeatable(t *testing.T) {
 	t.Parallel()
 	for _, seed := range digesttest.SampleUnderRace([]uint64{0, 1, 2, 3}) {
@@ -125,8 +126,8 @@
 	r.trace.End()
 }
 
-// message records a message between replicas. Data and sizes of snapshots are left out: they
-// are in gob, which holds names of types and the entries of maps in varying order.
+// message records a message between replicas. It leaves out the data and sizes of snapshots: their
+// gob encoding contains type names, and the entries of maps in varying order.
 func (r *recorder) message(w *world, from *replicaGroup, send group.Envelope) {
 	if r.trace == nil {
 		return
@@ -194,12 +195,13 @@
 	}
 }
 
-// content appends a longer text by its digest.
+// content appends the length and the digest of a longer text.
 func (r *recorder) content(content []byte) {
 	r.trace.Int(int64(len(content))).Uint(xxhash.Sum64(content))
 }
 
-// recordCommits returns a replica's state machine, which records what it applies.
+// recordCommits returns a replica's state machine, wrapped so that it records the commands that it
+// applies.
 func (r *recorder) recordCommits(g *replicaGroup) group.StateMachine {
 	if r.trace == nil {
 		return g.stateMachine
@@ -232,7 +234,7 @@
 	r.trace.Begin(from.w.now, "join").String(from.name, to, ask.Group, ask.Member.ID, ask.Member.Address).Bool(ask.Relayed).End()
 }
 
-// leave records the notice of a member that stops.
+// leave records a stopping member's request to leave a group.
 func (r *recorder) leave(from *controlNode, to, groupName string) {
 	if r.trace == nil {
 		return
@@ -259,7 +261,7 @@
 	}
 }
 
-// call appends the values of a call or an answer, after a word for its type.
+// call appends the values of a call or an answer, after a keyword for its type.
 func (r *recorder) call(message any) {
 	t := r.trace
 	switch m := message.(type) {
@@ -289,7 +291,7 @@
 	r.trace.Float(route.TargetMs, route.Extension)
 }
 
-// jobResponse appends a response to a client, without the reason, which is a text for people.
+// jobResponse appends a response to a client, without the human-readable reason.
 func (r *recorder) jobResponse(a *protocol.JobResponse) {
 	r.trace.String("answer", a.Owner).Int(int64(a.Status), int64(a.State), int64(a.Pending), a.RetryAfterMs, a.Moved).Bool(a.Unknown, a.Never)
 }
@@ -313,14 +315,14 @@
 	r.content(o.Content)
 }
 
-// operatorResponse leaves the reason out, which is a text for people.
+// operatorResponse appends a response to an operator, without the human-readable reason.
 func (r *recorder) operatorResponse(a *protocol.OperatorResponse) {
 	r.trace.String("operated", a.Leader).Int(int64(a.Status))
 	r.content(a.Content)
 }
 
-// operated records what an operator was told in the end.
-func (r *recorder) operated(w *world, c *controlNode, request protocol.OperatorRequest, got protocol.OperatorResponse) {
+// operatorAnswered records the final answer to an operator.
+func (r *recorder) operatorAnswered(w *world, c *controlNode, request protocol.OperatorRequest, got protocol.OperatorResponse) {
 	if r.trace == nil {
 		return
 	}
@@ -331,13 +333,13 @@
 	r.trace.End()
 }
 
-// answered records what a client was told, or that it was told nothing.
-func (r *recorder) answered(w *world, e *dispatcher, j *jobHistory, verb jobMethod, got protocol.JobResponse, ok bool) {
+// clientAnswered records the answer to a client, or that there was none.
+func (r *recorder) clientAnswered(w *world, d *dispatcher, j *jobHistory, verb jobMethod, got protocol.JobResponse, ok bool) {
 	if r.trace == nil {
 		return
 	}
 	r.answers++
-	r.trace.Begin(w.now, "client").String(e.name, j.queue, j.id).Int(int64(verb)).Bool(ok)
+	r.trace.Begin(w.now, "client").String(d.name, j.queue, j.id).Int(int64(verb)).Bool(ok)
 	r.jobResponse(&got)
 	r.trace.End()
 }
--- a/internal/cluster/simworld/dispatcher_test.go
+++ b/internal/cluster/simworld/dispatcher_test.go
@@ -23,7 +23,7 @@
 type dispatcher struct {
 	*process
 	watcher        *router.Watcher
-	highestVersion int64 // highest version that this incarnation has acted on
+	highestVersion int64 // highest version that this incarnation has used
 }
 
 // addDispatcher adds a dispatcher, which is not started yet.
@@ -38,7 +38,7 @@
 	return d
 }
 
-// poll sends one watch request after another.
+// poll sends a watch request, and the next one after its response or timeout.
 func (d *dispatcher) poll() {
 	sentAt := d.readClock()
 	target, watchRequest := d.watcher.NextRequest(sentAt)
@@ -55,15 +55,15 @@
 	})
 }
 
-// sendTo serves a message at the node of that address.
+// sendTo delivers a message to the node with that address.
 func (d *dispatcher) sendTo(target string, message any, reply func(any)) {
 	if c := d.w.nodeNamed(target); c != nil {
 		c.serve(message, reply)
 	}
 }
 
-// current returns the view, if it may be acted on, and checks that this is allowed for a request
-// that was sent at the given time.
+// current returns the view if it is valid, and checks that its version may be used for a request that
+// was sent at the given time.
 func (d *dispatcher) current(sent time.Duration) (*router.View, bool) {
 	v, ok := d.watcher.Current(d.readClock())
 	if !ok {
@@ -98,8 +98,8 @@
 	d.attempt(r, r.newCall(v, route), v)
 }
 
-// attempt sends the call's next request, again and again, until the call has its response or the
-// deadline is past.
+// attempt sends the call's next request, and retries until the call has its response or the deadline
+// has passed.
 func (d *dispatcher) attempt(r request, call *router.Call, v *router.View) {
 	now := d.readClock()
 	if now >= r.deadline {
@@ -135,7 +135,7 @@
 	})
 }
 
-// awaitNewerView replaces a call by one of the wanted configuration, once that has come.
+// awaitNewerView waits for a view with the wanted version and replaces the call by one based on it.
 func (d *dispatcher) awaitNewerView(r request, call *router.Call, v *router.View, wanted int64) {
 	if d.readClock() >= r.deadline {
 		r.reply(call.TimeoutResponse())
--- a/internal/cluster/simworld/events_test.go
+++ b/internal/cluster/simworld/events_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is a call at a time. It belongs to an incarnation of a process, or to none.
+// event is a function call at a time. It belongs to an incarnation of a process, or to no process.
 type event struct {
 	at          time.Duration
 	number      uint64 // events of the same time are executed in the order of their creation
@@ -34,7 +34,7 @@
 	return x
 }
 
-// schedule calls a function after a time; it belongs to no process.
+// schedule schedules a function call after a delay; the event belongs to no process.
 func (w *world) schedule(in time.Duration, do func()) {
 	w.number++
 	heap.Push(&w.queue, &event{at: w.now + in, number: w.number, do: do})
@@ -50,7 +50,7 @@
 	w.now = max(w.now, end)
 }
 
-// run executes all events of the next span.
+// run executes all events within a span from now.
 func (w *world) run(span time.Duration) { w.runUntil(w.now + span) }
 
 // execute executes an event, unless its process has been restarted. It is deferred while its
--- a/internal/cluster/simworld/faults_test.go
+++ b/internal/cluster/simworld/faults_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Faults are injected at random or, by the scenarios, one by one. Control-plane nodes are lost
-// within the deployment's tolerance: one counts as lost until the deployment's catch-up time
-// after it is back. Beyond the tolerance, all may be killed or lose power, and the control plane
-// may be split into halves, as long as no more disks are lost.
+// Faults are injected at random or, by the scenarios, one by one. Most faults keep the number of lost
+// control-plane nodes within the deployment's tolerance; a node counts as lost until the deployment's
+// catch-up time after it is back. Faults beyond the tolerance kill any number of nodes, cut their
+// power, or split the control plane into halves, but never lose more disks than tolerated.
 
 // lostNode is a node that counts as lost.
 type lostNode struct {
@@ -17,7 +17,7 @@
 	countsUntil time.Duration // 0: it is not back yet
 }
 
-// faultInjector injects faults and keeps account of what they leave of the tolerance.
+// faultInjector injects faults and records how much of the tolerance they use.
 type faultInjector struct {
 	w    *world
 	lost []*lostNode
@@ -25,9 +25,9 @@
 	// had its catch-up time, counted only while there was no other fault.
 	nextDiskLossAt    time.Duration
 	leadershipMovedAt time.Duration // when leadership was last transferred by injection
-	healed            bool          // all faults have ended: none begins any more
+	healed            bool          // all faults have ended, and no further one begins
 	nodeReplaced      bool          // a node was replaced
-	tolerableSince    time.Duration // when the last fault beyond the tolerance ended; 0: it lasts
+	tolerableSince    time.Duration // when the last fault beyond the tolerance ended; 0: it is active
 }
 
 // countLost returns how many nodes count as lost.
@@ -36,8 +36,8 @@
 	return len(f.lost)
 }
 
-// pickVictim returns a random node that may be lost now, which counts as lost from then on; nil:
-// none may be lost.
+// pickVictim picks a random node and counts it as lost. It returns nil if no node may be lost now, or
+// if the picked node counts as lost already.
 func (f *faultInjector) pickVictim() *lostNode {
 	if f.countLost() >= f.w.deployment.toleratedLosses || f.tolerableSince == 0 || f.w.now < f.tolerableSince+f.w.deployment.catchUp {
 		return nil
@@ -73,21 +73,22 @@
 	w.schedule(w.randomBetween(0, 3*time.Second), func() { w.lossShare = 0 })
 }
 
-// delayMessages delays a share of all messages for a while, by up to seconds.
+// delayMessages delays a share of all messages for a while, by up to several seconds.
 func (f *faultInjector) delayMessages() {
 	w := f.w
 	w.lateShare = w.random.Float64() * 0.1
 	w.schedule(w.randomBetween(0, 4*time.Second), func() { w.lateShare = 0 })
 }
 
-// loseOrders lets a share of the orders to runners go without an answer and arrive seconds late.
+// loseOrders makes a share of the orders to runners arrive seconds late and stay unanswered, for a
+// while.
 func (f *faultInjector) loseOrders() {
 	w := f.w
 	w.lostOrderShare = w.random.Float64() * 0.5
 	w.schedule(w.randomBetween(0, 4*time.Second), func() { w.lostOrderShare = 0 })
 }
 
-// freezeWithin lets processes freeze in the middle of a function, for a while.
+// freezeWithin makes processes freeze at random in the middle of a function, for a while.
 func (f *faultInjector) freezeWithin() {
 	w := f.w
 	w.freezeChance = 0.002 * w.random.Float64()
@@ -97,13 +98,13 @@
 // killAll kills all control-plane nodes, beyond the tolerance.
 func (f *faultInjector) killAll() { f.exceedTolerance(f.killAllNodes) }
 
-// loseQuorum takes the quorum from all groups for a while, one way or another.
+// loseQuorum injects a random fault that may take the quorum from all groups for a while.
 func (f *faultInjector) loseQuorum() {
 	ways := []func(func()){f.split, f.killSeveral, f.wipeBesideLaggingMinority, f.wipeWhilePowerFails}
 	f.exceedTolerance(ways[f.w.random.IntN(len(ways))])
 }
 
-// killOne kills a node, or takes its power, for a while.
+// killOne kills a node, with or without a power failure, for a while.
 func (f *faultInjector) killOne() {
 	l := f.pickVictim()
 	if l == nil {
@@ -116,7 +117,7 @@
 	})
 }
 
-// wipeOne lets a node lose its disk, if the next disk may be lost.
+// wipeOne wipes a node's disk, if the next disk may be lost.
 func (f *faultInjector) wipeOne() {
 	if f.w.now < f.nextDiskLossAt {
 		return
@@ -126,7 +127,7 @@
 	}
 }
 
-// wipe lets a lost node lose its disk and come back.
+// wipe wipes the disk of a lost node and starts the node again.
 func (f *faultInjector) wipe(l *lostNode) {
 	f.nextDiskLossAt = 1 << 62
 	l.node.wipeDisk()
@@ -137,7 +138,7 @@
 	})
 }
 
-// terminateOne stops a node by SIGTERM and starts it again.
+// terminateOne stops a node by SIGTERM, kills it if it takes too long, and starts it again.
 func (f *faultInjector) terminateOne() {
 	l := f.pickVictim()
 	if l == nil || !l.node.up {
@@ -147,7 +148,7 @@
 		return
 	}
 	incarnation := l.node.incarnation
-	f.w.schedule(6*time.Second, func() { // the platform's kill
+	f.w.schedule(6*time.Second, func() { // the platform kills it
 		if l.node.up && l.node.incarnation == incarnation {
 			l.node.kill(false)
 			l.node.boot()
@@ -164,7 +165,7 @@
 	})
 }
 
-// replaceOne removes a node for good; an empty one is added at another address, before or soon
+// replaceOne removes a node permanently and adds an empty one at another address, shortly before or
 // after.
 func (f *faultInjector) replaceOne() {
 	w := f.w
@@ -199,14 +200,14 @@
 	w.schedule(w.randomBetween(500*time.Millisecond, 1500*time.Millisecond), arrived)
 }
 
-// retire stops a node for good by SIGTERM, and by SIGKILL after the platform's grace.
+// retire stops a node permanently, by SIGTERM, and by SIGKILL after the platform's grace period.
 func (w *world) retire(old *controlNode, remove func()) {
 	const grace, pollInterval, polls = 6 * time.Second, 100 * time.Millisecond, 60
 	if !old.up {
 		remove()
 		return
 	}
-	old.removed = true // it is never started again, whatever stops it
+	old.removed = true // it is never started again, for whatever reason it stops
 	old.terminate(remove)
 	for poll := range polls {
 		w.schedule(time.Duration(poll)*pollInterval, func() {
@@ -223,8 +224,8 @@
 	})
 }
 
-// awaitRepair permits the next loss of a disk once these nodes have had their catch-up time without
-// another fault: exactly then, since they are promised no more.
+// awaitRepair permits the next loss of a disk as soon as these nodes have had their catch-up time
+// without another fault. It waits no longer, since the deployment's settings promise no more time.
 func (f *faultInjector) awaitRepair(repaired ...*controlNode) {
 	began := f.w.now
 	disturbed := func() bool {
@@ -248,13 +249,13 @@
 	check()
 }
 
-// anyDiskImpaired tells whether a disk is slow, hangs or refuses writes.
+// anyDiskImpaired reports whether a disk is slow, hangs or refuses writes.
 func (f *faultInjector) anyDiskImpaired() bool {
 	return slices.ContainsFunc(f.w.nodes, func(c *controlNode) bool { return c.diskStalledUntil > f.w.now || c.diskSlowdown > 1 || c.disk.Full })
 }
 
-// partitionOne cuts a node off from the others, in both directions or in one, and from the
-// dispatchers or not.
+// partitionOne partitions a node from the other nodes, in both directions or in one, and at random
+// from the dispatchers too.
 func (f *faultInjector) partitionOne() {
 	l := f.pickVictim()
 	if l == nil {
@@ -308,8 +309,8 @@
 	f.w.freeze(d.process, f.w.randomBetween(50*time.Millisecond, 5*time.Second))
 }
 
-// exceedTolerance injects a fault beyond the tolerance, unless one lasts: nothing need be served
-// until the fault calls its argument.
+// exceedTolerance injects a fault beyond the tolerance, unless one is active. Until the fault calls
+// its argument, the system need not serve anything.
 func (f *faultInjector) exceedTolerance(do func(ended func())) {
 	if f.tolerableSince == 0 || f.w.now < f.tolerableSince {
 		return
@@ -318,7 +319,7 @@
 	do(func() { f.tolerableSince = f.w.now })
 }
 
-// killAllNodes kills all control-plane nodes at one moment, or takes all power.
+// killAllNodes kills all control-plane nodes at the same moment, with or without a power failure.
 func (f *faultInjector) killAllNodes(ended func()) {
 	w := f.w
 	power := w.random.IntN(2) == 0
@@ -342,7 +343,7 @@
 	}
 }
 
-// killSeveral kills nodes that are down at once beyond the tolerance; their disks stay.
+// killSeveral kills a random set of nodes, which may exceed the tolerance; their disks stay.
 func (f *faultInjector) killSeveral(ended func()) {
 	w := f.w
 	waiting := 1
@@ -371,9 +372,9 @@
 	done()
 }
 
-// wipeBesideLaggingMinority cuts off a minority, which misses changes; then one of the others
-// loses its disk while the rest are without power, and the partition ends: only the minority and
-// an empty disk are there for a while.
+// wipeBesideLaggingMinority partitions a node, which misses changes. Then another node loses its disk
+// while the rest lose power, and the partition ends: for a while, only the lagging node and the empty
+// one are up.
 func (f *faultInjector) wipeBesideLaggingMinority(ended func()) {
 	w := f.w
 	if w.now < f.nextDiskLossAt || f.countLost() > 0 || len(w.nodes) > 2*w.deployment.toleratedLosses+1 {
@@ -381,7 +382,7 @@
 		return
 	}
 	order := w.random.Perm(len(w.nodes))
-	minority, wiped, dark := w.nodes[order[0]], w.nodes[order[1]], order[2:]
+	minority, wiped, powerless := w.nodes[order[0]], w.nodes[order[1]], order[2:]
 	w.tracef("%s falls behind, %s will lose its disk", minority.name, wiped.name)
 	for _, c := range w.nodes {
 		if c != minority {
@@ -396,13 +397,13 @@
 			return
 		}
 		wiped.wipeDisk()
-		for _, at := range dark {
+		for _, at := range powerless {
 			w.nodes[at].kill(true)
 		}
 		clear(w.partitioned)
 		w.schedule(w.randomBetween(50*time.Millisecond, 500*time.Millisecond), wiped.boot)
 		w.schedule(w.randomBetween(time.Second, 4*time.Second), func() {
-			for _, at := range dark {
+			for _, at := range powerless {
 				w.nodes[at].boot()
 			}
 			ended()
@@ -411,7 +412,7 @@
 	})
 }
 
-// split partitions the nodes into two halves for some seconds; all others reach both.
+// split partitions the nodes into two halves for some seconds; all other processes reach both.
 func (f *faultInjector) split(ended func()) {
 	w := f.w
 	w.tracef("the control plane is split into halves")
@@ -454,13 +455,13 @@
 	})
 }
 
-// transferLeadership lets a node transfer its leaderships, as one that is told to stop does.
+// transferLeadership makes a node transfer its leaderships, as a node does after SIGTERM.
 func (f *faultInjector) transferLeadership() {
 	c := f.w.nodes[f.w.random.IntN(len(f.w.nodes))]
 	if !c.up {
 		return
 	}
-	f.leadershipMovedAt = f.w.now // a node does so only when it stops
+	f.leadershipMovedAt = f.w.now // it counts as a fault, since in production a node does so only when it stops
 	f.w.tracef("%s transfers its leaderships", c.name)
 	c.after(0, func() {
 		for _, name := range c.names {
@@ -469,7 +470,7 @@
 	})
 }
 
-// stepWallClock lets a node's time of day jump for a while.
+// stepWallClock shifts a node's wall clock for a while.
 func (f *faultInjector) stepWallClock() {
 	c := f.w.nodes[f.w.random.IntN(len(f.w.nodes))]
 	c.wallStep = f.w.randomBetween(-5*time.Second, 5*time.Second)
--- a/internal/cluster/simworld/finalfault_scenarios_test.go
+++ b/internal/cluster/simworld/finalfault_scenarios_test.go
@@ -9,7 +9,7 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// lossMoment is when disks are lost and power fails.
+// lossMoment is the moment at which disks are lost and power fails.
 type lossMoment int
 
 // The cases of TestDisksLostWhilePowerFails, in the order of their names there.
@@ -23,32 +23,32 @@
 	twiceInARow
 )
 
-// TestDisksLostWhilePowerFails: failure 3. As many disks as are tolerated are lost while every
-// other machine loses power, at numbered points in time. Nothing that was acknowledged is lost,
-// and all is in service again within the recovery time.
+// TestDisksLostWhilePowerFails tests failure 3: as many disks as are tolerated are lost while every
+// other machine loses power, at several points in time. Nothing that was acknowledged may be lost,
+// and everything must be in service again within the recovery time.
 func TestDisksLostWhilePowerFails(t *testing.T) {
 	t.Parallel()
 	names := []string{"after a configuration", "after a job", "after a cancellation", "within a membership change", "while a learner catches up", "beside a learner", "twice in a row"}
 	runCases(t, lossPoints, names, func(t *testing.T, at int, seed uint64) {
-		playLoss(t, seed, lossMoment(at).deployment(seed), noFault, lossMoment(at), seed%lossPoints)
+		runDiskLoss(t, seed, lossMoment(at).deployment(seed), noFault, lossMoment(at), seed%lossPoints)
 	})
 }
 
-// playLoss plays a case of TestDisksLostWhilePowerFails at one point in time.
-func playLoss(t testing.TB, seed uint64, on deployment, planted plantedFault, moment lossMoment, point uint64) {
+// runDiskLoss runs a case of TestDisksLostWhilePowerFails at one point in time.
+func runDiskLoss(t testing.TB, seed uint64, on deployment, planted plantedFault, moment lossMoment, point uint64) {
 	t.Helper()
-	playFaultyScenario(t, seed, on, planted, 26*time.Second, func(w *world, f *faultInjector) {
+	runFaultyScenario(t, seed, on, planted, 26*time.Second, func(w *world, f *faultInjector) {
 		w.scheduleLoss(f, moment, point)
 	})
 }
 
-// playTwoDisksLost plays the loss of two of five disks while power fails elsewhere.
-func playTwoDisksLost(t testing.TB, seed uint64, planted plantedFault, _ bool) {
+// runTwoDisksLost runs the loss of two of five disks while the other machines lose power.
+func runTwoDisksLost(t testing.TB, seed uint64, planted plantedFault, _ bool) {
 	t.Helper()
-	playLoss(t, seed, deployments[2], planted, afterJob, seed%2)
+	runDiskLoss(t, seed, deployments[2], planted, afterJob, seed%2)
 }
 
-// deployment returns the one that a case is played on: where there must be a learner, four nodes.
+// deployment returns the deployment for a case: four nodes, where there must be a learner.
 func (m lossMoment) deployment(seed uint64) deployment {
 	switch m {
 	case withinMembershipChange, whileLearnerCatchesUp, besideLearner:
@@ -57,7 +57,7 @@
 	return deploymentOf(seed, 4)
 }
 
-// scheduleLoss schedules the fault of a case for the point of that number.
+// scheduleLoss schedules the fault of a case for the point in time with that number.
 func (w *world) scheduleLoss(f *faultInjector, moment lossMoment, point uint64) {
 	const longestWait = 8 * time.Second
 	pause := time.Duration(point) * 600 * time.Microsecond
@@ -84,9 +84,9 @@
 	}
 }
 
-// loseVotersDisks lets as many voters of the configuration's group as are tolerated lose their
-// disks, the leader among them or not, while all other machines lose power; and again as soon as
-// the repair has had its time.
+// loseVotersDisks wipes the disks of as many voters of the configuration's group as are tolerated,
+// the leader among them or not, while all other machines lose power. With again, it does so once
+// more as soon as the catch-up time for the repair is over.
 func (w *world) loseVotersDisks(f *faultInjector, withLeader, again bool) {
 	wiped := w.drawVoters(withLeader)
 	f.nextDiskLossAt = 1 << 62
@@ -100,7 +100,7 @@
 	})
 }
 
-// loseNextVotersDisks lets the next disks be lost as soon as the last repair has had its time.
+// loseNextVotersDisks wipes the next disks as soon as the catch-up time for the last repair is over.
 func (w *world) loseNextVotersDisks(f *faultInjector, withLeader bool) {
 	if w.now < f.nextDiskLossAt {
 		w.schedule(10*time.Millisecond, func() { w.loseNextVotersDisks(f, withLeader) })
@@ -109,7 +109,7 @@
 	w.loseVotersDisks(f, withLeader, false)
 }
 
-// drawVoters draws as many voters of the configuration's group as may be lost.
+// drawVoters returns as many random voters of the configuration's group as may be lost.
 func (w *world) drawVoters(withLeader bool) []*controlNode {
 	leader := w.leaderOf(protocol.ConfigGroup)
 	var drawn []*controlNode
@@ -125,7 +125,7 @@
 	return drawn
 }
 
-// learnerOf returns a node that is a learner of a group.
+// learnerOf returns a node that is a learner of a group. It fails the test if there is none.
 func (w *world) learnerOf(group string) *controlNode {
 	members := w.leaderOf(group).groups[group].engine.Membership()
 	at := slices.IndexFunc(w.nodes, func(c *controlNode) bool { return !members.IsVoter(c.identity.id) })
@@ -135,8 +135,9 @@
 	return w.nodes[at]
 }
 
-// changeMembershipUntilJoint stops a voter of the configuration's group by SIGTERM, which gives its
-// vote to the learner, and calls a function a pause after a joint membership is in the leader's log.
+// changeMembershipUntilJoint stops a voter of the configuration's group by SIGTERM, so that the
+// learner replaces it as a voter. It calls a function a pause after the leader's log has a joint
+// membership.
 func (w *world) changeMembershipUntilJoint(pause time.Duration, do func()) {
 	leader := w.leaderOf(protocol.ConfigGroup)
 	members := func() replica.Membership { return leader.groups[protocol.ConfigGroup].engine.Membership() }
@@ -157,7 +158,7 @@
 	look()
 }
 
-// checkInService checks that all groups have leaders and all dispatchers a valid view.
+// checkInService checks that all groups have leaders and all dispatchers have a valid view.
 func (w *world) checkInService() {
 	if fault := w.outOfService(); fault != "" {
 		w.fail("RECOVER: %s, %v after all machines are back", fault, w.deployment.recovery)
--- a/internal/cluster/simworld/finalfault_test.go
+++ b/internal/cluster/simworld/finalfault_test.go
@@ -8,10 +8,10 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// The final fault: disks are lost, as many as are tolerated, and at the same moment all other
-// machines lose power, also those that don't count.
+// The final fault: as many disks as are tolerated are lost, and at the same moment all other machines
+// lose power, including the dispatchers.
 
-// acknowledgement is what an operator or a client is told to be kept.
+// acknowledgement is the kind of change whose durability is acknowledged to an operator or a client.
 type acknowledgement int
 
 const (
@@ -21,14 +21,14 @@
 	acknowledgementKinds
 )
 
-// acknowledged is called as an acknowledgement leaves the process that gives it.
+// acknowledged is called when a process sends an acknowledgement.
 func (w *world) acknowledged(kind acknowledgement) {
 	if w.onAcknowledged != nil {
 		w.onAcknowledged(kind)
 	}
 }
 
-// jobAnswered is called as the answer to a client leaves a dispatcher.
+// jobAnswered is called when a dispatcher sends the answer to a client.
 func (w *world) jobAnswered(verb jobMethod, status protocol.Status) {
 	switch {
 	case verb == methodPost && status == http.StatusOK:
@@ -38,8 +38,8 @@
 	}
 }
 
-// afterAcknowledgement calls a function a pause after the next acknowledgement of a kind, or at
-// the latest after a time without one.
+// afterAcknowledgement calls a function a pause after the next acknowledgement of a kind, or after
+// latest if there is none.
 func (w *world) afterAcknowledgement(kind acknowledgement, pause, latest time.Duration, do func()) {
 	called := false
 	once := func() {
@@ -57,7 +57,7 @@
 	w.schedule(latest, once)
 }
 
-// drawNodes returns so many nodes, drawn by lot.
+// drawNodes returns count random nodes.
 func (w *world) drawNodes(count int) []*controlNode {
 	var drawn []*controlNode
 	for _, at := range w.random.Perm(len(w.nodes))[:count] {
@@ -66,12 +66,12 @@
 	return drawn
 }
 
-// loseDisksAndPower lets nodes lose their disks and all other machines lose power at the same
-// moment: the other nodes keep what was synced, dispatchers nothing. All come back within 0.6 s of
-// one another, now and then the empty ones first; restored is called once all are back.
+// loseDisksAndPower wipes the disks of nodes while all other machines lose power: the other nodes keep
+// what was synced, dispatchers keep nothing. All restart within 0.6 s of one another, in one case of
+// three the empty nodes first; restored is called once all are back.
 func (w *world) loseDisksAndPower(wiped []*controlNode, down time.Duration, restored func()) {
 	const startsApart = 300 * time.Millisecond
-	lead := time.Duration(0) // of the empty nodes
+	lead := time.Duration(0) // by which the empty nodes restart earlier
 	if w.random.IntN(3) == 0 {
 		lead = startsApart
 	}
@@ -91,13 +91,13 @@
 	w.schedule(down+lead+startsApart+time.Millisecond, restored)
 }
 
-// mayLoseAllDisks tells whether as many disks as are tolerated may be lost now.
+// mayLoseAllDisks reports whether as many disks as are tolerated may be lost now.
 func (f *faultInjector) mayLoseAllDisks() bool {
 	leaving := slices.ContainsFunc(f.w.nodes, func(c *controlNode) bool { return c.removed })
 	return f.w.now >= f.nextDiskLossAt && f.countLost() == 0 && !leaving
 }
 
-// wipeWhilePowerFails is the final fault in the middle of a day.
+// wipeWhilePowerFails injects the final fault in the middle of a run, possibly with fewer disks.
 func (f *faultInjector) wipeWhilePowerFails(ended func()) {
 	w := f.w
 	if !f.mayLoseAllDisks() {
@@ -112,12 +112,14 @@
 	})
 }
 
-// injectFinalFault may end the day with the final fault, most often right after an acknowledgement.
+// injectFinalFault injects the final fault in about half of all runs, most often right after an
+// acknowledgement.
 func (w *world) injectFinalFault(f *faultInjector) {
 	if w.random.IntN(2) > 0 {
 		return
 	}
-	for w.now < f.nextDiskLossAt && w.now < f.tolerableSince+60*time.Second { // a repair that is under way has its time
+	for w.now < f.nextDiskLossAt && w.now < f.tolerableSince+60*time.Second {
+		// A repair in progress gets its catch-up time.
 		f.heal()
 		w.run(100 * time.Millisecond)
 	}
@@ -139,8 +141,8 @@
 	w.checkBackInService()
 }
 
-// checkBackInService lets the recovery time pass and checks that all groups have leaders and all
-// dispatchers a valid view before its end.
+// checkBackInService checks that all groups have leaders and all dispatchers have a valid view within
+// the recovery time.
 func (w *world) checkBackInService() {
 	const look = 100 * time.Millisecond
 	end := w.now + w.deployment.recovery
@@ -152,7 +154,7 @@
 	}
 }
 
-// outOfService names what is not served; empty: nothing.
+// outOfService returns the first thing that is not in service; empty: everything is.
 func (w *world) outOfService() string {
 	if len(w.nodes[0].names) == 0 {
 		return w.nodes[0].name + " has not opened its log"
--- a/internal/cluster/simworld/jobhistory_test.go
+++ b/internal/cluster/simworld/jobhistory_test.go
@@ -13,10 +13,10 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// noReturn is the return stamp of an operation without an answer: it may take effect at any time.
+// noReturn is the return stamp of an operation without an answer, which may take effect at any time.
 const noReturn = int64(1) << 62
 
-// jobHistory records what clients sent and were told of one job ID, and what runners did.
+// jobHistory records the requests of clients for one job ID with their answers, and what runners did.
 type jobHistory struct {
 	id                string
 	queue             string
@@ -28,7 +28,7 @@
 	failures          map[job.TaskRef]int
 }
 
-// recordAcknowledgedEnd records an end that a runner was told to be acknowledged.
+// recordAcknowledgedEnd records an end that the scheduler acknowledged to a runner.
 func (j *jobHistory) recordAcknowledgedEnd(end scheduler.ReportedEnd) {
 	switch end.Reason {
 	case job.EndDone:
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkStart checks the rules that the start of a task can break.
+// checkStart checks the rules that the start of a task can violate.
 func (j *jobHistory) checkStart(w *world, r *runner, order scheduler.Order) {
 	if j.acknowledgedTasks[order.Task] {
 		w.fail("TWICE: %v starts at %s after its end was acknowledged", order.Task, r.name)
@@ -51,7 +51,7 @@
 	}
 }
 
-// jobMethod is what a client wants of a job.
+// jobMethod is the method of a client's request for a job.
 type jobMethod uint8
 
 const (
@@ -60,7 +60,7 @@
 	methodDelete
 )
 
-// jobInput is an operation on a job, as porcupine sees it.
+// jobInput is the input of an operation on a job, for porcupine.
 type jobInput struct {
 	method jobMethod
 	body   string
@@ -72,18 +72,18 @@
 	state  string
 }
 
-// jobState is a job ID as the rules describe it.
+// jobState is the state of a job ID in jobModel.
 type jobState struct {
 	phase jobPhase
 	body  string
 }
 
-// jobPhase is how far a job has come.
+// jobPhase is the phase of a job's life.
 type jobPhase uint8
 
 const (
-	phaseUnknown jobPhase = iota
-	phaseCancelledBefore
+	phaseUnknown         jobPhase = iota
+	phaseCancelledBefore          // cancelled before it was submitted
 	phaseAccepted
 	phaseCancelled
 	phaseEnded // completed or failed
@@ -105,7 +105,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// post returns the states that a submission with that answer may lead to.
+// post returns the possible states after a submission with that answer; none: the answer is wrong.
 func (s jobState) post(in jobInput, out jobOutput) []any {
 	accepted := jobState{phase: phaseAccepted, body: in.body}
 	switch {
@@ -121,12 +121,13 @@
 	case out.status == http.StatusOK:
 		return nil
 	case out.status == http.StatusConflict && (s.phase < phaseAccepted || s.body == in.body):
-		return nil // it is the same job
+		return nil // there is no conflict: the ID is free or has the same job
 	}
 	return []any{s} // rejected: without effect
 }
 
-// get returns the states that a request for the state with that answer may lead to.
+// get returns the possible states after a request for the state with that answer; none: the answer is
+// wrong.
 func (s jobState) get(out jobOutput) []any {
 	switch {
 	case out.status == http.StatusGone && s.phase < phaseAccepted:
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// delete returns the states that a cancellation with that answer may lead to.
+// delete returns the possible states after a cancellation with that answer; none: the answer is wrong.
 func (s jobState) delete(out jobOutput) []any {
 	after := []any{s}
 	switch s.phase {
@@ -177,20 +178,20 @@
 // retries is how often a task of the queues in configText may fail.
 const retries = 5
 
-// queues are those of configText.
+// queues are the queues in configText.
 var queues = []string{"h/q0/", "h/q1/"}
 
 // jobBodyFormat makes a job of three tasks in two stages.
 const jobBodyFormat = `{"spec":"%s","stages":[{"count":2,"cpu":100,"mem_mb":1,"estimate_ms":200},{"count":1,"cpu":100,"depends_on":[0]}]}`
 
-// newSubmitCall returns how a dispatcher makes a call of a submission.
+// newSubmitCall returns a function that makes a dispatcher's call for a submission.
 func newSubmitCall(id, body string) func(*router.View, *opconfig.Route) *router.Call {
 	return func(v *router.View, route *opconfig.Route) *router.Call {
 		return router.NewSubmitCall(v, route, id, []byte(body))
 	}
 }
 
-// newJobCall returns how a dispatcher makes a call of another request for a job.
+// newJobCall returns a function that makes a dispatcher's call for another request for a job.
 func newJobCall(verb protocol.JobOperation, id string) func(*router.View, *opconfig.Route) *router.Call {
 	return func(v *router.View, route *opconfig.Route) *router.Call {
 		return router.NewJobCall(v, route, verb, id)
--- a/internal/cluster/simworld/network_test.go
+++ b/internal/cluster/simworld/network_test.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// deliver carries a message to another process: it is lost on a partitioned link, by chance, or
-// where the receiver is down, and may be late. do is called in the incarnation of the receiver
-// that is there when it arrives.
+// deliver delivers a message to another process. The message is lost on a partitioned link, by
+// chance, or if the receiver is down, and may be late. do is called in the receiver's incarnation at
+// the time of arrival.
 func (w *world) deliver(from, to string, do func()) {
 	if w.partitioned[[2]string{from, to}] || w.chance(w.lossShare) {
 		return
@@ -24,8 +24,8 @@
 	})
 }
 
-// call carries a request to another process and the answer back. done is called once, in this
-// incarnation of the caller, with false where there was no answer in time.
+// call sends a request to another process and delivers the answer. done is called once, in this
+// incarnation of the caller, with false if there was no answer in time.
 func (p *process) call(to string, within time.Duration, ask func(reply func(any)), done func(answer any, ok bool)) {
 	finished := false
 	finish := func(answer any, ok bool) {
--- a/internal/cluster/simworld/node_test.go
+++ b/internal/cluster/simworld/node_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Sizes and times of control-plane nodes. The sizes are small, so that snapshots in many chunks and
-// logs that wrap around are part of each play.
+// Sizes and times of control-plane nodes. The sizes are small, so that each run has snapshots in many
+// chunks and logs that wrap around.
 const (
 	segmentBytes      = 8 << 10
 	snapshotThreshold = 16 << 10
@@ -44,21 +44,21 @@
 	commitTimeout     = 2500 * time.Millisecond
 	cycleInterval     = 50 * time.Millisecond
 	listInterval      = time.Second
-	watchPoll         = 30 * time.Millisecond // how soon a watch request that waits sees a change
+	watchPoll         = 30 * time.Millisecond // at which a waiting watch request looks for a change
 )
 
 // controlNode is a control-plane node: a machine with a disk, and the process on it.
 type controlNode struct {
 	*process
 	disk             *simdisk.Disk
-	diskSlowdown     float64       // factor on the time of its syncs
+	diskSlowdown     float64       // factor for the time of its syncs
 	diskStalledUntil time.Duration // no sync ends before
-	identity         struct {      // as it is on disk; no ID: nothing is there yet
+	identity         struct {      // as stored on disk; without an ID, nothing is stored yet
 		id       string
 		founding *replica.Membership
 	}
 	bootstrap    bool
-	foundedAlone bool // by the planted fault of that name
+	foundedAlone bool // because the fault foundsAlone is planted
 
 	groups         map[string]*replicaGroup
 	names          []string
@@ -76,8 +76,8 @@
 	return c
 }
 
-// seeds lists the first control-plane nodes that are there: what a process is given as seeds at
-// its start.
+// seeds returns the names of the first present control-plane nodes, which a process gets as seeds when it
+// starts.
 func (w *world) seeds() []string {
 	var seeds []string
 	for _, c := range w.nodes[:w.deployment.seeds] {
@@ -86,8 +86,8 @@
 	return seeds
 }
 
-// terminate stops the process as a SIGTERM does: its leaderships are transferred, and its votes
-// where a learner waits for them. stopped is called once it has stopped.
+// terminate stops the process as a SIGTERM does: it transfers its leaderships, and where there is a
+// learner it has itself replaced as a voter. stopped is called once it has stopped.
 func (c *controlNode) terminate(stopped func()) {
 	c.w.tracef("%s is told to stop", c.name)
 	c.after(0, func() {
@@ -103,7 +103,8 @@
 	handoverPoll    = 50 * time.Millisecond
 )
 
-// awaitHandover stops the process once others have its leaderships and votes, or at the deadline.
+// awaitHandover stops the process once its leaderships are transferred and it need not leave any group, or at
+// the deadline.
 func (c *controlNode) awaitHandover(deadline time.Duration, stopped func()) {
 	waits := false
 	for _, name := range c.names {
@@ -128,8 +129,8 @@
 	c.after(handoverPoll, func() { c.awaitHandover(deadline, stopped) })
 }
 
-// startProcess is the start of the process. Its identity is on disk before anything else. Nothing
-// of its last incarnation is in memory: a message that comes before the groups are open finds none.
+// startProcess starts the process. It stores the identity on disk before anything else. Memory has
+// nothing of the last incarnation, so a message that arrives before the groups are open finds no group.
 func (c *controlNode) startProcess() {
 	c.groups, c.names, c.shards = nil, nil, nil
 	c.disk.IgnoreSync = c.w.planted == acknowledgeUnsynced
@@ -145,7 +146,7 @@
 	})
 }
 
-// mayFound tells whether the node, which is empty, founds the groups with the other seeds.
+// mayFound reports whether the node, which is empty, forms the groups together with the other seeds.
 func (c *controlNode) mayFound() bool {
 	if c.bootstrap || c.w.planted != foundsAlone {
 		return c.bootstrap
@@ -182,18 +183,18 @@
 	c.listRunners()
 }
 
-// distributeConfig gives the shards a new configuration.
+// distributeConfig passes a new configuration to the shards.
 func (c *controlNode) distributeConfig(config *opconfig.Config) {
 	for _, number := range slices.Sorted(maps.Keys(c.shards)) {
 		c.shards[number].UpdateConfig(config)
 	}
 }
 
-// restartDelay is when the platform restarts a process that has exited by itself.
+// restartDelay is how long after its exit the platform restarts a process that has exited by itself.
 const restartDelay = 300 * time.Millisecond
 
-// stopAndRestart stops a process that could not open its log. It fails the test where the log is
-// damaged: nothing here damages one.
+// stopAndRestart stops a process that could not open its log, and restarts it later. It fails the test
+// if the log is damaged, since no fault injected here damages a log.
 func (c *controlNode) stopAndRestart(err error) {
 	if errors.Is(err, ringlog.ErrDamaged) {
 		c.w.fail("%s finds its log damaged: %v", c.name, err)
@@ -209,7 +210,7 @@
 	panic(processKilled{})
 }
 
-// nodeNamed returns a control-plane node; nil: there is none of that name.
+// nodeNamed returns the control-plane node with a name, or nil if there is none.
 func (w *world) nodeNamed(name string) *controlNode {
 	for _, c := range w.nodes {
 		if c.name == name {
@@ -219,13 +220,13 @@
 	return nil
 }
 
-// syncTime draws how long the next sync of the disk takes.
+// syncTime returns a random duration for the next sync of the disk.
 func (c *controlNode) syncTime() time.Duration {
 	span := time.Duration(float64(c.w.deployment.syncTime) * c.diskSlowdown * (0.7 + 0.6*c.w.random.Float64()))
 	return max(span, c.diskStalledUntil-c.w.now)
 }
 
-// joinGroups asks to join the groups of which this node is no member, again and again.
+// joinGroups periodically asks to join the groups of which this node is no member.
 func (c *controlNode) joinGroups() {
 	pause := joinCheck
 	for _, name := range c.names {
@@ -238,7 +239,7 @@
 	c.after(pause, c.joinGroups)
 }
 
-// sendJoin sends a request to join, which the receiver passes on to the leader once.
+// sendJoin sends a join request, which the receiver relays to the leader once.
 func (c *controlNode) sendJoin(address string, ask protocol.JoinRequest) {
 	if address == "" || address == c.name {
 		return
@@ -257,7 +258,8 @@
 	})
 }
 
-// scheduleCycle runs a shard's scheduling cycle soon, once for several calls.
+// scheduleCycle schedules a shard's scheduling cycle for a millisecond later; calls in between have no
+// further effect.
 func (c *controlNode) scheduleCycle(number int) {
 	if c.cycleScheduled[number] {
 		return
@@ -287,7 +289,7 @@
 	}
 }
 
-// listRunners gives the shards the platform's list of runners at each interval.
+// listRunners passes the platform's list of runners to the shards at each interval.
 func (c *controlNode) listRunners() {
 	var list []protocol.Runner
 	for _, r := range c.w.runners {
@@ -299,14 +301,14 @@
 	c.after(listInterval, c.listRunners)
 }
 
-// kill stops the process; power: the machine loses power too, perhaps in the middle of a write.
+// kill stops the process. With power, the machine loses power too, possibly in the middle of a write.
 func (c *controlNode) kill(power bool) {
 	c.w.tracef("%s is killed, power %v", c.name, power)
 	if power {
 		for _, name := range c.names {
 			g := c.groups[name]
 			if g != nil && c.up && g.writing && len(g.pendingWrites) > 0 && c.w.random.IntN(2) == 0 {
-				c.disk.CrashAtOperation = c.disk.OperationCount + 1 + c.w.random.IntN(4) // how far the write that is under way gets
+				c.disk.CrashAtOperation = c.disk.OperationCount + 1 + c.w.random.IntN(4) // how far the present write gets
 				_ = group.PersistWrites(g.ring, g.pendingWrites[:group.SyncBatchSize(g.pendingWrites)])
 			}
 		}
@@ -317,12 +319,12 @@
 	c.diskStalledUntil, c.diskSlowdown = 0, 1
 }
 
-// wipeDisk lets the machine lose its disk and power.
+// wipeDisk kills the process and wipes the machine's disk.
 func (c *controlNode) wipeDisk() {
 	c.kill(true)
 	c.w.tracef("%s has lost its disk", c.name)
 	c.disk.Wipe()
-	if c.w.planted == diskForgets {
+	if c.w.planted == oldIDKept {
 		return
 	}
 	c.identity.id, c.identity.founding, c.bootstrap = "", nil, false
--- a/internal/cluster/simworld/noderequests_test.go
+++ b/internal/cluster/simworld/noderequests_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// watch answers a watch request at the next change, or after the wait, as package controlplane does.
+// watch answers a watch request at the next change, or after the requested wait, as package
+// controlplane does.
 func (c *controlNode) watch(request protocol.WatchRequest, reply func(any)) {
 	arrived := c.clock()
 	answer := func() {
@@ -42,7 +43,7 @@
 		held := c.clock() - arrived
 		got := c.config.Watch(request.Have)
 		got.Owners, got.Cores, got.HeldMs = owners, cores, held.Milliseconds()
-		if c.w.planted == heldTooLong {
+		if c.w.planted == holdTimeOverstated {
 			got.HeldMs += 3 * request.WaitMs
 		}
 		reply(got)
@@ -68,7 +69,7 @@
 	poll()
 }
 
-// handleOperator serves an operator's request here, and answers 504 after commitTimeout.
+// handleOperator handles an operator's request at this node, and answers 504 after commitTimeout.
 func (c *controlNode) handleOperator(request protocol.OperatorRequest, reply func(protocol.OperatorResponse)) {
 	finished := false
 	finish := func(answer protocol.OperatorResponse) {
--- a/internal/cluster/simworld/norace_test.go
+++ b/internal/cluster/simworld/norace_test.go
@@ -2,8 +2,8 @@
 
 package simworld_test
 
-// defaultSeeds is how many seeds TestManySeeds plays where no variable says.
+// defaultSeeds is how many seeds TestManySeeds runs if BASALTLOFT_SEEDS is not set.
 const defaultSeeds = 1000
 
-// lossPoints is at how many points in time TestDisksLostWhilePowerFails plays each of its cases.
+// lossPoints is the number of points in time at which TestDisksLostWhilePowerFails runs each case.
 const lossPoints = 10
--- a/internal/cluster/simworld/operator_test.go
+++ b/internal/cluster/simworld/operator_test.go
@@ -8,13 +8,13 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// isFinalStatus tells whether an operator stops at an answer with that status.
+// isFinalStatus reports whether an operator stops retrying after an answer with that status.
 func isFinalStatus(status protocol.Status) bool {
 	return status == http.StatusOK || status >= 400 && status < 500
 }
 
-// sendOperatorRequest sends an operator's request to one node after another, unchanged, until it
-// has a final answer. done gets false where there is none in time.
+// sendOperatorRequest sends an operator's request to random nodes, unchanged, until it has a final
+// answer. done gets false if there is none in time.
 func (w *world) sendOperatorRequest(request protocol.OperatorRequest, done func(protocol.OperatorResponse, bool)) {
 	began, attempts := w.now, 0
 	var attempt func()
@@ -34,7 +34,7 @@
 		}, func(answer any, ok bool) {
 			got, _ := answer.(protocol.OperatorResponse)
 			if ok && isFinalStatus(got.Status) && (got.Status != http.StatusNotFound || w.random.IntN(2) == 0) {
-				w.recorder.operated(w, c, request, got)
+				w.recorder.operatorAnswered(w, c, request, got)
 				done(got, true)
 				return
 			}
@@ -46,7 +46,7 @@
 }
 
 // replaceConfig sends a change and records its outcome.
-func (w *world) replaceConfig(client int, o *configChange, then func(taken bool)) {
+func (w *world) replaceConfig(client int, o *configChange, then func(accepted bool)) {
 	from := w.nextStamp()
 	in := configInput{base: o.base, version: o.version, content: string(o.content)}
 	w.tracef("operator %d sends %d on %d", client, o.version, o.base)
@@ -65,14 +65,15 @@
 	})
 }
 
-// recordAccepted records a change that an operator was told to be accepted.
+// recordAccepted records a change whose acceptance was acknowledged to an operator.
 func (w *world) recordAccepted(o *configChange) {
 	w.config.acknowledged = append(w.config.acknowledged, acknowledgedVersion{version: o.version, at: w.now})
 	w.config.newest = max(w.config.newest, o.version)
 	w.config.accepted = append(w.config.accepted, o)
 }
 
-// readConfig reads the configuration and records the answer. then gets its version; -1: no answer.
+// readConfig reads the configuration and records the answer. then gets its version, or -1 if there
+// was no answer.
 func (w *world) readConfig(client int, then func(version int64)) {
 	from := w.nextStamp()
 	w.sendOperatorRequest(protocol.OperatorRequest{}, func(got protocol.OperatorResponse, isFinal bool) {
@@ -93,8 +94,8 @@
 	})
 }
 
-// runOperator is an operator, who changes the configuration a number of times, each based on the
-// version that it has read.
+// runOperator runs an operator that changes the configuration a number of times, each change based
+// on a version that it has read before.
 func (w *world) runOperator(client int, changes int) {
 	if changes == 0 || w.noNewLoad {
 		return
@@ -102,7 +103,7 @@
 	again := func(bool) {
 		w.schedule(w.randomBetween(20*time.Millisecond, 900*time.Millisecond), func() { w.runOperator(client, changes-1) })
 	}
-	if len(w.config.accepted) > 0 && w.random.IntN(6) == 0 { // an accepted change is sent once more
+	if len(w.config.accepted) > 0 && w.random.IntN(6) == 0 { // it sends an accepted change again
 		w.replaceConfig(client, w.config.accepted[w.random.IntN(len(w.config.accepted))], again)
 		return
 	}
@@ -111,7 +112,7 @@
 			again(false)
 			return
 		}
-		next := version + 1 + int64(w.random.IntN(2)) // others choose the same number
+		next := version + 1 + int64(w.random.IntN(2)) // the other operators may choose the same number
 		base := version
 		if w.random.IntN(12) == 0 {
 			base = max(0, version-1)
--- a/internal/cluster/simworld/plantedfaults_found_test.go
+++ b/internal/cluster/simworld/plantedfaults_found_test.go
@@ -6,28 +6,28 @@
 	"basaltloft/internal/shared/failuretest"
 )
 
-// plantedFaults names each planted fault, and says within how many seeds a check finds it, and by
-// which play.
+// plantedFaults has, for each planted fault, a name, the number of seeds within which a check finds
+// it, and the function that runs a seed.
 var plantedFaults = map[plantedFault]struct {
-	name  string
-	seeds uint64
-	play  func(t testing.TB, seed uint64, planted plantedFault, tracing bool)
+	name    string
+	seeds   uint64
+	runSeed func(t testing.TB, seed uint64, planted plantedFault, tracing bool)
 }{
-	leaseKept:           {"a lease is gone by after its end", 20, play},
-	sentBeforeLease:     {"a message gives a lease away that is still gone by", 100, play},
-	numberOnly:          {"a change is told by its number alone", 20, play},
-	digestsLost:         {"a snapshot forgets which changes were taken", 100, play},
-	diskForgets:         {"a machine without its disk goes on under its old ID", 150, play},
-	olderState:          {"an older state at a snapshot's newer index", 150, play},
-	acknowledgeUnsynced: {"an acknowledgement without a sync", 20, play},
-	refusedAfterUnknown: {"a refusal after a try without an answer is passed on", 400, play},
-	cancelLeavesNothing: {"the cancelling of a job that is not there leaves nothing behind", 100, play},
-	unsealed:            {"an earlier shard does not close itself to an ID that it lacks", 100, play},
-	heldTooLong:         {"a view is confirmed for longer than its owner held the question", 200, play},
-	foundsAlone:         {"empty machines that find no others found all groups anew", 60, playTwoDisksLost},
+	leaseKept:            {"a lease is relied on after its end", 20, runSeed},
+	sentBeforeWithdrawal: {"a message gives up a lease that is still relied on", 100, runSeed},
+	matchedByNumberOnly:  {"a change is recognized by its number alone", 20, runSeed},
+	digestsLost:          {"a snapshot loses which changes were accepted", 100, runSeed},
+	oldIDKept:            {"a node that lost its disk keeps its old ID", 150, runSeed},
+	olderState:           {"an older state at a snapshot's newer index", 150, runSeed},
+	acknowledgeUnsynced:  {"an acknowledgement without a sync", 20, runSeed},
+	refusedAfterUnknown:  {"a refusal after an attempt without an answer is passed on", 400, runSeed},
+	cancelNotRecorded:    {"the cancellation of an unknown job is not recorded", 100, runSeed},
+	queueNotSealed:       {"a former shard does not seal the queue for an unknown ID", 100, runSeed},
+	holdTimeOverstated:   {"a watch response overstates its hold time", 200, runSeed},
+	foundsAlone:          {"empty nodes that find no others form all groups again", 60, runTwoDisksLost},
 }
 
-// TestPlantedMistakesAreFound plants one fault at a time and requires a check to find it within
+// TestPlantedMistakesAreFound plants one fault at a time and requires that a check finds it within
 // its number of seeds.
 func TestPlantedMistakesAreFound(t *testing.T) {
 	for planted := noFault + 1; planted < plantedFaultCount; planted++ {
@@ -35,7 +35,7 @@
 		t.Run(wanted.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range wanted.seeds {
-				found := failuretest.CatchFatal(t, func(t testing.TB) { wanted.play(t, 1_000_000+seed, planted, false) })
+				found := failuretest.CatchFatal(t, func(t testing.TB) { wanted.runSeed(t, 1_000_000+seed, planted, false) })
 				if found != "" {
 					t.Logf("after %d seeds: %.300s", seed+1, found)
 					return
--- a/internal/cluster/simworld/plantedfaults_test.go
+++ b/internal/cluster/simworld/plantedfaults_test.go
@@ -12,28 +12,28 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// plantedFault is a fault of the code that is planted to show that a check finds it. The numbers
-// are those of the failures in docs/control-safety.md.
+// plantedFault is a fault in the code, planted to show that a check finds it. The numbers are those
+// of the failures in docs/control-safety.md.
 type plantedFault int
 
 const (
-	noFault             plantedFault = iota
-	leaseKept                        // 1: a lease is relied on for a while after its end
-	sentBeforeLease                  // 1: messages that give a lease up are sent before it is withdrawn
-	numberOnly                       // 2: a change is recognized by its number alone
-	digestsLost                      // 2: a restored snapshot has forgotten which changes were accepted
-	diskForgets                      // 3: a node that lost its disk goes on with its old ID
-	olderState                       // 4: a replica goes on with its older state at a snapshot's newer index
-	acknowledgeUnsynced              // 4: what waits for a sync is acknowledged without it
-	refusedAfterUnknown              // 5: a rejection after an attempt without an answer is told to the client
-	cancelLeavesNothing              // 5: the cancellation of an unknown job leaves nothing behind
-	unsealed                         // 5: a former shard says that an ID is unknown without sealing the queue
-	heldTooLong                      // 1: a dispatcher is told that its watch request was held for longer than it was
-	foundsAlone                      // 3: empty nodes that find no others found all groups anew
+	noFault              plantedFault = iota
+	leaseKept                         // 1: a lease is relied on for a while after its end
+	sentBeforeWithdrawal              // 1: messages that give up a lease are sent before the lease is withdrawn
+	matchedByNumberOnly               // 2: a change is recognized by its version number alone
+	digestsLost                       // 2: a restored snapshot lacks the digests of accepted changes
+	oldIDKept                         // 3: a node that lost its disk keeps its old ID
+	olderState                        // 4: a replica keeps its older state at a snapshot's newer index
+	acknowledgeUnsynced               // 4: writes are acknowledged without a sync
+	refusedAfterUnknown               // 5: a refusal after an attempt without an answer is passed on to the client
+	cancelNotRecorded                 // 5: the cancellation of an unknown job is not recorded
+	queueNotSealed                    // 5: a former shard answers that an ID is unknown without sealing the queue
+	holdTimeOverstated                // 1: a watch response reports a longer hold time than the actual one
+	foundsAlone                       // 3: empty nodes that find no others form all groups again
 	plantedFaultCount
 )
 
-// leaseOverrun is how long a lease is relied on after its end where leaseKept is planted.
+// leaseOverrun is how long a lease is relied on after its end if leaseKept is planted.
 const leaseOverrun = 700 * time.Millisecond
 
 // leaseEnd returns until when a process relies on a lease.
@@ -46,7 +46,7 @@
 
 // executeEffects executes an engine's effects.
 func (w *world) executeEffects(g *replicaGroup, effects group.Effects) {
-	if w.planted != sentBeforeLease {
+	if w.planted != sentBeforeWithdrawal {
 		effects.Execute(g.publishLease, g.queueWrites, g.send)
 		return
 	}
@@ -57,7 +57,7 @@
 	g.node.after(w.randomBetween(0, 300*time.Millisecond), func() { g.publishLease(effects.Lease, effects.Leader) })
 }
 
-// withPlantedFault returns the configuration's state machine, with a fault where one is planted.
+// withPlantedFault returns the configuration's state machine, with the planted fault if there is one.
 func (w *world) withPlantedFault(c *leader.Configuration) group.StateMachine {
 	return &faultyConfiguration{Configuration: c, w: w, seen: map[int64]bool{}}
 }
@@ -72,7 +72,7 @@
 // Apply implements group.StateMachine.
 func (m *faultyConfiguration) Apply(index uint64, command []byte) (any, error) {
 	var change opconfig.Change
-	if m.w.planted == numberOnly && gob.NewDecoder(bytes.NewReader(command)).Decode(&change) == nil {
+	if m.w.planted == matchedByNumberOnly && gob.NewDecoder(bytes.NewReader(command)).Decode(&change) == nil {
 		if m.seen[change.Version] {
 			return opconfig.AlreadyAccepted, nil
 		}
@@ -103,7 +103,7 @@
 	return m.Configuration.Restore(content)
 }
 
-// handleJobRequest gives a request to a shard's leader, with a fault where one is planted.
+// handleJobRequest passes a request to a shard's leader, with the planted fault if there is one.
 func (c *controlNode) handleJobRequest(request protocol.JobRequest, reply func(protocol.JobResponse)) {
 	shard := c.shards[request.Shard]
 	if shard == nil {
@@ -112,10 +112,10 @@
 	lookup := request
 	lookup.Verb = protocol.GetJobState
 	switch {
-	case c.w.planted == unsealed && request.Verb == protocol.CheckFormerShard:
+	case c.w.planted == queueNotSealed && request.Verb == protocol.CheckFormerShard:
 		lookup.Version = 1 << 60
 		shard.HandleJobRequest(lookup, reply)
-	case c.w.planted == cancelLeavesNothing && request.Verb == protocol.CancelJob:
+	case c.w.planted == cancelNotRecorded && request.Verb == protocol.CancelJob:
 		shard.HandleJobRequest(lookup, func(got protocol.JobResponse) {
 			if got.Status == http.StatusGone {
 				reply(got)
--- a/internal/cluster/simworld/process_test.go
+++ b/internal/cluster/simworld/process_test.go
@@ -19,7 +19,7 @@
 	frozen      int // freezes that have not ended
 	thawsForced int // how often endFreezes was called
 	deferred    []*event
-	clockRate   float64 // of its monotonic clock, beside the world's time
+	clockRate   float64 // of its monotonic clock, relative to the world's time
 	clockOffset time.Duration
 	wallStep    time.Duration
 	start       func()
@@ -31,8 +31,8 @@
 	return p
 }
 
-// runUnlessKilled calls a function of the process, which ends in the middle if the process is
-// killed while it is frozen there.
+// runUnlessKilled calls a function of the process. If the process is killed while it is frozen in the
+// middle of the function, the function does not continue.
 func (p *process) runUnlessKilled(do func()) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -44,23 +44,23 @@
 	do()
 }
 
-// after calls a function after a time, in this incarnation of the process only.
+// after schedules a function call after a delay, in this incarnation of the process only.
 func (p *process) after(in time.Duration, do func()) {
 	p.w.number++
 	heap.Push(&p.w.queue, &event{at: p.w.now + max(0, in), number: p.w.number, process: p, incarnation: p.incarnation, do: do})
 }
 
-// clock returns the machine's monotonic clock. The process does not freeze there.
+// clock returns the machine's monotonic clock. The process never freezes in this call.
 func (p *process) clock() time.Duration {
 	return p.clockOffset + time.Duration(float64(p.w.now)*p.clockRate)
 }
 
-// delayUntil returns how long it is, in the world's time, until the machine's clock shows a time.
+// delayUntil returns the delay, in the world's time, until the machine's clock reaches a time.
 func (p *process) delayUntil(local time.Duration) time.Duration {
 	return time.Duration(float64(local-p.clock())/p.clockRate) + time.Microsecond
 }
 
-// readClock returns the machine's monotonic clock. The process may freeze there.
+// readClock returns the machine's monotonic clock. The process may freeze in this call.
 func (p *process) readClock() time.Duration {
 	w := p.w
 	if w.freezeDepth < 2 && w.chance(w.freezeChance) {
@@ -69,12 +69,12 @@
 	return p.clock()
 }
 
-// wallMs returns the machine's time of day in milliseconds from 1970.
+// wallMs returns the machine's wall clock in milliseconds since 1970.
 func (p *process) wallMs() int64 {
 	return 1_700_000_000_000 + (p.w.now - time.Hour + p.wallStep).Milliseconds()
 }
 
-// freezeInside freezes the process in the middle of a function, while the world goes on.
+// freezeInside freezes the process in the middle of a function, while all others continue.
 func (w *world) freezeInside(p *process, span time.Duration) {
 	incarnation := p.incarnation
 	w.tracef("%s is frozen for %v in the middle of a function", p.name, span)
@@ -88,7 +88,7 @@
 	p.thaw()
 }
 
-// thaw ends one freeze; the events that were deferred come next.
+// thaw ends one freeze. If it was the last one, the deferred events are executed next.
 func (p *process) thaw() {
 	p.frozen--
 	if p.frozen > 0 {
@@ -116,7 +116,7 @@
 	})
 }
 
-// endFreezes ends all freezes between two events at once.
+// endFreezes ends all freezes of the process at once.
 func (p *process) endFreezes() {
 	p.thawsForced++
 	for p.up && p.frozen > 0 {
--- a/internal/cluster/simworld/quota_scenarios_test.go
+++ b/internal/cluster/simworld/quota_scenarios_test.go
@@ -7,21 +7,21 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// A processor quota that is spent: the process stands still for the rest of each period.
+// Times of an exhausted processor quota: the process does not run for the rest of each period.
 const (
 	quotaPeriod = 100 * time.Millisecond
 	quotaPause  = 90 * time.Millisecond
 )
 
-// TestLeadersOutlastSpentQuota: guards against leases and time-outs that a process can't meet
-// which runs for a tenth of each tenth of a second only, at a leader or at all nodes.
-func TestLeadersOutlastSpentQuota(t *testing.T) {
+// TestLeadersKeepLeasesUnderQuota guards against leases and timeouts that are too short for a leader,
+// or for all nodes, when the processes run for only 10 ms of every 100 ms.
+func TestLeadersKeepLeasesUnderQuota(t *testing.T) {
 	t.Parallel()
 	const span = 6 * time.Second
 	const atLeader, atNodes, inTurn, atOthers, atMachines = 0, 1, 2, 3, 4 // cases
 	names := []string{"at the leader", "at all nodes together", "at all nodes in turn", "at all but the leader", "at all machines"}
 	runCases(t, 4, names, func(t *testing.T, at int, seed uint64) {
-		playScenario(t, seed, deploymentOf(seed, 4), span+8*time.Second, func(w *world, _ *faultInjector) {
+		runScenario(t, seed, deploymentOf(seed, 4), span+8*time.Second, func(w *world, _ *faultInjector) {
 			w.schedule(2*time.Second, func() {
 				w.keepLeaders(span)
 				leader := w.leaderOf(protocol.ConfigGroup)
@@ -42,14 +42,14 @@
 	})
 }
 
-// spendQuota lets a process stand still for the rest of each period, for a while.
+// spendQuota freezes a process for the rest of each quota period, for a while.
 func (w *world) spendQuota(p *process, span time.Duration) {
 	for at := time.Duration(0); at < span; at += quotaPeriod {
 		w.schedule(at, func() { w.freeze(p, quotaPause) })
 	}
 }
 
-// spendQuotaAtDispatchers does so at all dispatchers, whose views must stay valid.
+// spendQuotaAtDispatchers does the same to all dispatchers and checks that their views stay valid.
 func (w *world) spendQuotaAtDispatchers(span time.Duration) {
 	for _, d := range w.dispatchers {
 		w.spendQuota(d.process, span)
@@ -63,7 +63,7 @@
 	}
 }
 
-// keepLeaders checks for a while that each group has the leader that it has now, in the same epoch.
+// keepLeaders checks that each group has the same leader in the same epoch after a span as now.
 func (w *world) keepLeaders(span time.Duration) {
 	for _, name := range w.nodes[0].names {
 		leader := w.leaderOf(name)
--- a/internal/cluster/simworld/race_test.go
+++ b/internal/cluster/simworld/race_test.go
@@ -2,10 +2,10 @@
 
 package simworld_test
 
-// defaultSeeds is how many seeds TestManySeeds plays where no variable says. The race detector has
-// nothing to find in a world of one goroutine and takes ten times as long; .ci/run plays thousands
-// without it.
+// defaultSeeds is how many seeds TestManySeeds runs if BASALTLOFT_SEEDS is not set. The race detector
+// can find nothing in a simulation of one goroutine and makes it ten times slower; .ci/run runs
+// thousands of seeds without it.
 const defaultSeeds = 60
 
-// lossPoints is at how many points in time TestDisksLostWhilePowerFails plays each of its cases.
+// lossPoints is the number of points in time at which TestDisksLostWhilePowerFails runs each case.
 const lossPoints = 2
--- a/internal/cluster/simworld/replicagroup_test.go
+++ b/internal/cluster/simworld/replicagroup_test.go
@@ -42,7 +42,7 @@
 	return g
 }
 
-// bootstrapIfFounder writes the first snapshot, if the node is to form the group.
+// bootstrapIfFounder writes the first snapshot if the node is one of those that form the group.
 func (g *replicaGroup) bootstrapIfFounder() {
 	founding := g.node.identity.founding
 	if founding == nil || g.engine.IsBootstrapped() {
@@ -84,13 +84,13 @@
 	})
 }
 
-// publishLease takes over the lease and the leader that the engine knows, and checks the lease.
+// publishLease stores the lease and the leader from the engine's effects, and checks the lease.
 func (g *replicaGroup) publishLease(lease group.Lease, leader replica.Member) {
 	g.lease, g.leader = lease, leader
 	g.node.w.checkLease(g)
 }
 
-// send sends a message to another replica, now and then twice.
+// send sends a message to another replica, and in some runs duplicates messages at random.
 func (g *replicaGroup) send(message group.Envelope) {
 	w := g.node.w
 	w.recorder.message(w, g, message)
@@ -110,7 +110,7 @@
 	}
 }
 
-// queueWrites lets the disk execute writes, in order.
+// queueWrites queues writes for the disk, which executes them in order.
 func (g *replicaGroup) queueWrites(writes []group.DiskWrite) {
 	g.pendingWrites = append(g.pendingWrites, writes...)
 	g.writeNext()
@@ -119,7 +119,7 @@
 // diskRetryDelay is the pause after a write that failed.
 const diskRetryDelay = 300 * time.Millisecond
 
-// writeNext begins to write what waits, if no write is under way.
+// writeNext begins the next batch of pending writes, unless a write is in progress.
 func (g *replicaGroup) writeNext() {
 	if g.writing || len(g.pendingWrites) == 0 {
 		return
@@ -129,7 +129,7 @@
 	g.node.after(g.node.syncTime(), func() { g.writesDone(n) })
 }
 
-// writesDone ends the write of the first n pending writes.
+// writesDone completes the first n pending writes; if the disk refuses them, it retries later.
 func (g *replicaGroup) writesDone(n int) {
 	done := g.pendingWrites[:n:n]
 	if group.PersistWrites(g.ring, done) != nil {
--- a/internal/cluster/simworld/runner_test.go
+++ b/internal/cluster/simworld/runner_test.go
@@ -12,8 +12,8 @@
 	"basaltloft/internal/cluster/scheduler"
 )
 
-// runner runs tasks as the deployment's protocol demands. Its machine is never lost: the tests of
-// package scheduler have runners that are.
+// runner runs tasks as the runner protocol requires. Its machine is never lost; lost runners are part
+// of the tests of package scheduler.
 type runner struct {
 	*process
 	service      string
@@ -21,12 +21,12 @@
 	fenceToken   uint64
 	leaseUntilMs int64 // end of the lease on its clock
 	runs         map[job.TaskRef]*taskRun
-	overThrough  map[job.TaskRef]int
+	endedThrough map[job.TaskRef]int // highest attempt that has ended or was stopped
 	finished     []scheduler.ReportedEnd
 	endedRuns    uint64
 }
 
-// taskRun is one run of a task.
+// taskRun is a run of a task that has not ended.
 type taskRun struct {
 	attempt int
 	endsAt  time.Duration
@@ -41,16 +41,16 @@
 
 // addRunner adds a runner and starts it.
 func (w *world) addRunner(name, service string) {
-	r := &runner{process: w.addProcess(name), service: service, capacity: job.Resources{CPU: 64000, MemMB: 64000}, runs: map[job.TaskRef]*taskRun{}, overThrough: map[job.TaskRef]int{}}
+	r := &runner{process: w.addProcess(name), service: service, capacity: job.Resources{CPU: 64000, MemMB: 64000}, runs: map[job.TaskRef]*taskRun{}, endedThrough: map[job.TaskRef]int{}}
 	r.start = func() {}
 	r.boot()
 	w.runners = append(w.runners, r)
 }
 
-// clockMs returns the runner's clock.
+// clockMs returns the runner's clock in milliseconds.
 func (r *runner) clockMs() int64 { return r.clock().Milliseconds() }
 
-// tickRunners ends the runs that are over, at each interval.
+// tickRunners ends, at each interval, the runs whose lease has expired or whose duration is over.
 func (w *world) tickRunners() {
 	for _, r := range w.runners {
 		for _, ref := range r.tasks() {
@@ -73,12 +73,12 @@
 	return slices.SortedFunc(maps.Keys(r.runs), func(a, b job.TaskRef) int { return strings.Compare(a.String(), b.String()) })
 }
 
-// endRun ends a run, which the runner reports until that is acknowledged.
+// endRun ends a run. The runner reports the end until it is acknowledged.
 func (r *runner) endRun(ref job.TaskRef, reason job.EndReason) {
 	run := r.runs[ref]
 	r.w.tracef("%s: %v attempt %d ends, %d", r.name, ref, run.attempt, reason)
 	delete(r.runs, ref)
-	r.overThrough[ref] = max(r.overThrough[ref], run.attempt)
+	r.endedThrough[ref] = max(r.endedThrough[ref], run.attempt)
 	r.endedRuns++
 	r.finished = append(r.finished, scheduler.ReportedEnd{Number: r.endedRuns, Task: ref, Attempt: run.attempt, Reason: reason})
 	if reason == job.EndDone {
@@ -86,8 +86,9 @@
 	}
 }
 
-// fencesOff tells whether an order of that fencing token comes from an earlier leader.
-func (r *runner) fencesOff(token uint64) bool {
+// rejectsToken reports whether an order's fencing token is from an earlier leader; if not, it becomes
+// the runner's token.
+func (r *runner) rejectsToken(token uint64) bool {
 	if token < r.fenceToken {
 		return true
 	}
@@ -95,33 +96,33 @@
 	return false
 }
 
-// sendOrder carries an order to its runner, if the shard's lease lasts, and the answer back.
+// sendOrder sends an order to its runner, if the shard's lease is valid, and delivers the answer.
 func (c *controlNode) sendOrder(shard *leader.Shard, sender *scheduler.Scheduler, order scheduler.Order) {
 	c.w.checkToken(c, order)
 	c.w.recorder.order(c, &order)
 	if !shard.MaySend(order) {
-		shard.OrderReplied(sender, func(now time.Duration) { unanswered(sender, now, order) })
+		shard.OrderReplied(sender, func(now time.Duration) { reportNoReply(sender, now, order) })
 		return
 	}
 	r := c.w.runnerNamed(order.Address)
 	deliver := func(reply func(any)) { r.execute(order, reply) }
-	if c.w.chance(c.w.lostOrderShare) { // no answer, and executed seconds later
+	if c.w.chance(c.w.lostOrderShare) { // it gets no answer, and is executed seconds later
 		c.w.schedule(c.w.randomBetween(2*time.Second, 12*time.Second), func() { r.execute(order, func(any) {}) })
 		deliver = func(func(any)) {}
 	}
 	c.call(order.Address, time.Duration(order.WaitMs)*time.Millisecond+orderTimeout, deliver, func(answer any, ok bool) {
 		shard.OrderReplied(sender, func(now time.Duration) {
-			if tell, said := answer.(func(*scheduler.Scheduler, time.Duration)); ok && said {
-				tell(sender, now)
+			if apply, isReply := answer.(func(*scheduler.Scheduler, time.Duration)); ok && isReply {
+				apply(sender, now)
 				return
 			}
-			unanswered(sender, now, order)
+			reportNoReply(sender, now, order)
 		})
 	})
 }
 
-// unanswered tells a scheduler that an order got no answer.
-func unanswered(sender *scheduler.Scheduler, now time.Duration, order scheduler.Order) {
+// reportNoReply reports to a scheduler that an order got no answer.
+func reportNoReply(sender *scheduler.Scheduler, now time.Duration, order scheduler.Order) {
 	switch order.Kind {
 	case scheduler.OrderRenewLease:
 		sender.LeaseReplied(now, order, scheduler.LeaseNoReply, scheduler.RunnerReport{})
@@ -132,7 +133,7 @@
 	}
 }
 
-// runnerNamed returns a runner; nil: there is none of that name.
+// runnerNamed returns the runner with a name, or nil if there is none.
 func (w *world) runnerNamed(name string) *runner {
 	for _, r := range w.runners {
 		if r.name == name {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// execute executes an order. reply gets a function that tells the scheduler the answer.
+// execute executes an order. reply gets a function that passes the answer to the scheduler.
 func (r *runner) execute(order scheduler.Order, reply func(any)) {
 	if order.Kind != scheduler.OrderRenewLease || len(r.finished) > 0 {
 		r.w.tracef("%s gets order %d, token %d, of %v attempt %d, seen %d", r.name, order.Kind, order.Token, order.Task, order.Attempt, order.AckedThrough)
@@ -161,16 +162,16 @@
 	}
 }
 
-// extendLease extends the lease of all runs. 0: the order has no deadline.
+// extendLease extends the lease of all runs, unless the order's deadline is 0, which means none.
 func (r *runner) extendLease(deadline int64) {
 	if deadline > 0 {
 		r.leaseUntilMs = max(r.leaseUntilMs, min(deadline, r.clockMs()+maxLeaseMs))
 	}
 }
 
-// renewLease extends the lease and reports after the wait, or at the next end.
+// renewLease extends the lease and sends a report at the next end of a run, or after the order's wait.
 func (r *runner) renewLease(order scheduler.Order, reply func(any)) {
-	if r.fencesOff(order.Token) {
+	if r.rejectsToken(order.Token) {
 		reply(func(s *scheduler.Scheduler, now time.Duration) {
 			s.LeaseReplied(now, order, scheduler.LeaseFenced, scheduler.RunnerReport{})
 		})
@@ -203,18 +204,18 @@
 // startRun begins a run, unless the protocol refuses it, and checks the rules on starts.
 func (r *runner) startRun(order scheduler.Order) scheduler.StartReply {
 	w := r.w
-	if r.fencesOff(order.Token) {
+	if r.rejectsToken(order.Token) {
 		return scheduler.StartRefused
 	}
 	if run := r.runs[order.Task]; run != nil && run.attempt == order.Attempt {
 		return scheduler.StartAccepted
 	}
-	if r.clockMs() > order.DeadlineMs || order.Attempt <= r.overThrough[order.Task] {
+	if r.clockMs() > order.DeadlineMs || order.Attempt <= r.endedThrough[order.Task] {
 		return scheduler.StartRefused
 	}
 	j := w.jobs[order.Task.Job]
 	if j == nil {
-		w.fail("UNASKED: %v starts, which nobody submitted", order.Task)
+		w.fail("UNASKED: %v starts, whose job no client submitted", order.Task)
 	}
 	for _, other := range w.runners {
 		if run := other.runs[order.Task]; run != nil {
@@ -227,20 +228,20 @@
 	return scheduler.StartAccepted
 }
 
-// stopRun stops a run and shuts out its attempt, also where it has not begun.
+// stopRun stops a run. The attempt, and earlier ones, can't start afterwards even if they have not begun.
 func (r *runner) stopRun(order scheduler.Order) scheduler.StopReply {
-	if r.fencesOff(order.Token) {
+	if r.rejectsToken(order.Token) {
 		return scheduler.StopNotConfirmed
 	}
-	r.overThrough[order.Task] = max(r.overThrough[order.Task], order.Attempt)
+	r.endedThrough[order.Task] = max(r.endedThrough[order.Task], order.Attempt)
 	if run := r.runs[order.Task]; run != nil && run.attempt <= order.Attempt {
 		r.endRun(order.Task, job.EndStopped)
 	}
 	return scheduler.StopConfirmed
 }
 
-// checkToken checks that a leader's fencing token is its own: no other process, and no other
-// incarnation of it, has used it.
+// checkToken checks that no other process, and no other incarnation of this one, has used an order's
+// fencing token.
 func (w *world) checkToken(c *controlNode, order scheduler.Order) {
 	for _, r := range w.runners {
 		if r.name != order.Address {
--- a/internal/cluster/simworld/scenarios_test.go
+++ b/internal/cluster/simworld/scenarios_test.go
@@ -8,22 +8,21 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// The tests of this file inject, one by one, the five failures of docs/control-safety.md. Each
-// plays its script with load on some seeds; what is checked is checked throughout, as in every
-// play.
+// The tests of this file inject, one by one, the five failures of docs/control-safety.md. Each test
+// runs its script under load on some seeds, with the same checks as in every run.
 
 // script injects a scenario's faults into a world that serves.
 type script func(w *world, f *faultInjector)
 
-// playScenario plays a script on a deployment. The script is called once all nodes serve, and the
-// world runs for the span after it.
-func playScenario(t testing.TB, seed uint64, on deployment, span time.Duration, inject script) {
+// runScenario runs a script on a deployment. The script is called once all nodes serve, and the world
+// runs for the span after it.
+func runScenario(t testing.TB, seed uint64, on deployment, span time.Duration, inject script) {
 	t.Helper()
-	playFaultyScenario(t, seed, on, noFault, span, inject)
+	runFaultyScenario(t, seed, on, noFault, span, inject)
 }
 
-// playFaultyScenario plays a script with a planted fault.
-func playFaultyScenario(t testing.TB, seed uint64, on deployment, planted plantedFault, span time.Duration, inject script) {
+// runFaultyScenario runs a script with a planted fault.
+func runFaultyScenario(t testing.TB, seed uint64, on deployment, planted plantedFault, span time.Duration, inject script) {
 	t.Helper()
 	w := newWorld(t, seed, on)
 	w.planted = planted
@@ -49,13 +48,14 @@
 	w.checkHistories()
 }
 
-// startupTime is when three nodes serve after their first start; more nodes take longer.
+// startupTime is how long three nodes take from their first start until they serve; more nodes take
+// longer.
 const startupTime = 4 * time.Second
 
 // deploymentOf returns one of the first count deployments.
 func deploymentOf(seed uint64, count int) deployment { return deployments[seed%uint64(count)] }
 
-// runCases runs a test for each case, on some seeds of its own.
+// runCases runs a subtest for each case, each on its own seeds.
 func runCases(t *testing.T, seeds uint64, names []string, run func(t *testing.T, at int, seed uint64)) {
 	t.Helper()
 	const firstSeed, seedsApart = 2_000_000, 1000
@@ -69,7 +69,7 @@
 	}
 }
 
-// leaderOf returns the node that holds a group's lease; the first node, where none does.
+// leaderOf returns the node that holds a group's lease, or the first node if none does.
 func (w *world) leaderOf(group string) *controlNode {
 	for _, c := range w.nodes {
 		if g := c.groups[group]; c.up && g != nil && g.lease.Until > c.clock() {
@@ -79,8 +79,8 @@
 	return w.nodes[0]
 }
 
-// partition cuts a node off from the other nodes, in the directions that are named; and from the
-// dispatchers too, or not.
+// partition blocks messages between a node and the other nodes, inbound, outbound or both, and between
+// it and the dispatchers if dispatchersToo is set.
 func (w *world) partition(c *controlNode, in, out, dispatchersToo bool) {
 	for name := range w.processes {
 		if name == c.name || !dispatchersToo && w.nodeNamed(name) == nil {
@@ -91,16 +91,16 @@
 	}
 }
 
-// TestCutOffForTwentySeconds: failure 1. Operators and clients reach the node that is cut off all
-// the while; it must neither tell an old configuration nor reject or confirm changes.
+// TestCutOffForTwentySeconds tests failure 1: a node is partitioned from the others while operators and
+// clients still reach it. It must neither return an old configuration nor reject or confirm changes.
 func TestCutOffForTwentySeconds(t *testing.T) {
 	t.Parallel()
-	const hearsNothing, heardByNobody, fromDispatchers, frozen = 1, 2, 3, 4 // cases
-	names := []string{"both ways", "it hears nothing", "nobody hears it", "from edges too", "and frozen within"}
+	const inboundOnly, outboundOnly, fromDispatchers, frozen = 1, 2, 3, 4 // cases
+	names := []string{"both ways", "inbound only", "outbound only", "from dispatchers too", "and frozen within"}
 	runCases(t, 6, names, func(t *testing.T, at int, seed uint64) {
-		playScenario(t, seed, deploymentOf(seed, 4), 26*time.Second, func(w *world, _ *faultInjector) {
+		runScenario(t, seed, deploymentOf(seed, 4), 26*time.Second, func(w *world, _ *faultInjector) {
 			c := w.leaderOf(protocol.ConfigGroup)
-			w.partition(c, at != heardByNobody, at != hearsNothing, at == fromDispatchers)
+			w.partition(c, at != outboundOnly, at != inboundOnly, at == fromDispatchers)
 			if at == frozen {
 				w.schedule(time.Second, func() { w.freeze(c.process, 9*time.Second) })
 			}
@@ -109,21 +109,21 @@
 	})
 }
 
-// TestFrozenBetweenCheckAndAnswer: failure 1. The leader is frozen in the middle of a function,
-// again and again, for longer than its lease lasts.
+// TestFrozenBetweenCheckAndAnswer tests failure 1: processes freeze repeatedly in the middle of a
+// function, for up to several times the duration of a lease.
 func TestFrozenBetweenCheckAndAnswer(t *testing.T) {
 	t.Parallel()
 	chances := []float64{0.02, 0.002}
 	runCases(t, 12, []string{"often", "now and then"}, func(t *testing.T, at int, seed uint64) {
-		playScenario(t, seed, deploymentOf(seed, 4), 16*time.Second, func(w *world, _ *faultInjector) {
+		runScenario(t, seed, deploymentOf(seed, 4), 16*time.Second, func(w *world, _ *faultInjector) {
 			w.freezeChance = chances[at]
 		})
 	})
 }
 
-// TestTwoOperatorsOneNumber: failure 2. Four operators choose among the same numbers on the same
-// versions, most acknowledgements are lost, changes are sent again much later, and leaders, disks
-// and snapshots change meanwhile.
+// TestTwoOperatorsOneNumber tests failure 2: four operators send changes with the same numbers based on
+// the same versions. Acknowledgements are lost, changes are sent again much later, and meanwhile
+// leaders change, disks are lost and snapshots are restored.
 func TestTwoOperatorsOneNumber(t *testing.T) {
 	t.Parallel()
 	disturb := []script{
@@ -135,9 +135,9 @@
 		func(_ *world, f *faultInjector) { f.wipeOne() },
 		func(_ *world, f *faultInjector) { f.killAll() },
 	}
-	names := []string{"nothing else", "owners change", "disks are lost", "all restart"}
+	names := []string{"nothing else", "leaders change", "disks are lost", "all restart"}
 	runCases(t, 8, names, func(t *testing.T, at int, seed uint64) {
-		playScenario(t, seed, deploymentOf(seed, 4), 20*time.Second, func(w *world, f *faultInjector) {
+		runScenario(t, seed, deploymentOf(seed, 4), 20*time.Second, func(w *world, f *faultInjector) {
 			w.lossShare = 0.05
 			for client := range 2 {
 				w.runOperator(2+client, 30)
@@ -163,17 +163,17 @@
 	allReplaced
 )
 
-// TestLossesAroundARepair: failure 3. A node loses its disk or is replaced; at each step of its
-// repair something else happens: it loses its disk once more, the others lose power, the leader
-// dies or transfers its leaderships, a partition. Then, as soon as the repair has had its time,
-// the next disk is lost while all others lose power.
+// TestLossesAroundARepair tests failure 3: a node loses its disk or is replaced, and at each step of its
+// repair another fault occurs: it loses its disk again, the others lose power, the leader dies or
+// transfers its leaderships, or the node is partitioned. Then, as soon as the catch-up time for the
+// repair is over, the next disk is lost while all others lose power.
 func TestLossesAroundARepair(t *testing.T) {
 	t.Parallel()
 	const points = 14 // in time
-	names := []string{"wiped again", "others lose power", "leader dies", "leader hands over", "cut off again", "replaced instead", "all replaced in turn"}
+	names := []string{"wiped again", "others lose power", "leader dies", "leader transfers", "cut off again", "replaced instead", "all replaced in turn"}
 	runCases(t, points, names, func(t *testing.T, at int, seed uint64) {
 		point := time.Duration(seed%points) * 130 * time.Millisecond
-		playScenario(t, seed, deploymentOf(seed, 3), 20*time.Second, func(w *world, f *faultInjector) {
+		runScenario(t, seed, deploymentOf(seed, 3), 20*time.Second, func(w *world, f *faultInjector) {
 			c := w.nodes[w.random.IntN(len(w.nodes))]
 			w.beginRepair(f, c, repairCase(at))
 			w.schedule(600*time.Millisecond+point, func() { w.disturbRepair(f, c, repairCase(at)) })
@@ -182,7 +182,7 @@
 	})
 }
 
-// beginRepair wipes a node, or has a random one replaced.
+// beginRepair wipes a node, or replaces a random one.
 func (w *world) beginRepair(f *faultInjector, c *controlNode, disturbance repairCase) {
 	switch disturbance {
 	case replacedInstead:
@@ -230,7 +230,7 @@
 	}
 }
 
-// loseNextDisk lets the next disk be lost as soon as the last repair has had its time, while all
+// loseNextDisk wipes the next disk as soon as the catch-up time for the last repair is over, while all
 // other nodes lose power.
 func (w *world) loseNextDisk(f *faultInjector) {
 	if w.now < f.nextDiskLossAt {
@@ -240,8 +240,8 @@
 	w.loseDisksAndPower(w.drawNodes(1), 300*time.Millisecond, func() {})
 }
 
-// TestFoundersDie: failure 3. One of the first nodes dies at each step of the first start and
-// comes back with the settings of a later start.
+// TestFoundersDie tests failure 3: one of the first nodes dies at each step of the first start and
+// restarts with the settings of a later start.
 func TestFoundersDie(t *testing.T) {
 	t.Parallel()
 	const points = 20 // in time
@@ -274,9 +274,8 @@
 	})
 }
 
-// TestCatchingUp: failure 4. A node is away while changes and jobs by the hundred are committed
-// and the log is compacted behind a few entries; then it comes back, and at each step of its
-// catching up something happens.
+// TestCatchingUp tests failure 4: a node is down while hundreds of changes and jobs are committed and the
+// log is compacted to a few entries. Then it restarts, and at each step of its catching up a fault occurs.
 func TestCatchingUp(t *testing.T) {
 	t.Parallel()
 	const points = 12 // in time
@@ -309,7 +308,7 @@
 	names := []string{"undisturbed", "killed within", "power lost within", "leader changes within", "parts are lost", "disk hangs within", "disk is full within"}
 	runCases(t, points, names, func(t *testing.T, at int, seed uint64) {
 		point := time.Duration(seed%points) * 40 * time.Millisecond
-		playScenario(t, seed, deploymentOf(seed, 4), 18*time.Second, func(w *world, _ *faultInjector) {
+		runScenario(t, seed, deploymentOf(seed, 4), 18*time.Second, func(w *world, _ *faultInjector) {
 			for client := range 3 {
 				w.runOperator(2+client, 60)
 			}
@@ -323,9 +322,9 @@
 	})
 }
 
-// TestRepeatedCalls: failure 5. Answers are lost, late and doubled everywhere, orders to runners
-// are carried out seconds later, dispatchers and leaders change: each job runs once, each
-// cancellation holds, whatever was sent how often.
+// TestRepeatedCalls tests failure 5: answers are lost, late and duplicated, orders to runners are
+// executed seconds later, dispatchers restart and leaders change. Each job must run once and each
+// cancellation must hold, no matter which requests were sent how often.
 func TestRepeatedCalls(t *testing.T) {
 	t.Parallel()
 	atStart := map[string]func(w *world){
@@ -341,14 +340,14 @@
 	}
 	inRound := map[string]func(w *world, f *faultInjector, round int){
 		"dispatchers restart": func(_ *world, f *faultInjector, _ int) { f.freezeDispatcher() },
-		"owners change": func(w *world, f *faultInjector, round int) {
+		"leaders change": func(w *world, f *faultInjector, round int) {
 			f.transferLeadership()
 			w.freeze(w.leaderOf(protocol.ShardGroup(protocol.ShardOf(twoServices[round%2]))).process, 800*time.Millisecond)
 		},
 	}
-	names := []string{"lost", "late", "orders late", "queues move", "dispatchers restart", "owners change"}
+	names := []string{"lost", "late", "orders late", "queues move", "dispatchers restart", "leaders change"}
 	runCases(t, 8, names, func(t *testing.T, at int, seed uint64) {
-		playScenario(t, seed, deploymentOf(seed, 4), 20*time.Second, func(w *world, f *faultInjector) {
+		runScenario(t, seed, deploymentOf(seed, 4), 20*time.Second, func(w *world, f *faultInjector) {
 			w.runClient(60)
 			if disturb := atStart[names[at]]; disturb != nil {
 				disturb(w)
@@ -362,7 +361,7 @@
 	})
 }
 
-// TestSevenReplicas plays days on seven nodes, of which three may be lost.
+// TestSevenReplicas injects random faults into deployments of seven nodes, of which three may be lost.
 func TestSevenReplicas(t *testing.T) {
 	t.Parallel()
 	seven := deployments[2]
@@ -370,7 +369,7 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playScenario(t, 3_000_000+seed, seven, 20*time.Second, func(w *world, f *faultInjector) {
+			runScenario(t, 3_000_000+seed, seven, 20*time.Second, func(w *world, f *faultInjector) {
 				for range 24 {
 					w.schedule(w.randomBetween(0, 18*time.Second), f.injectOne)
 				}
--- a/internal/cluster/simworld/seeds_test.go
+++ b/internal/cluster/simworld/seeds_test.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Times and numbers of a day.
+// Times and numbers of a random scenario.
 const (
 	faultTime   = 22 * time.Second
 	maxFaults   = 30
 	settleSlack = 3 * time.Second
 )
 
-// play plays the day of a seed.
-func play(t testing.TB, seed uint64, planted plantedFault, tracing bool) {
+// runSeed runs the random scenario of a seed.
+func runSeed(t testing.TB, seed uint64, planted plantedFault, tracing bool) {
 	w := newWorld(t, seed, deployments[seed%uint64(len(deployments))])
 	w.planted, w.tracing = planted, tracing
-	w.playDay()
+	w.runRandomScenario()
 }
 
-// playDay plays the day of a new world: the first start, load and faults, then neither, and all
-// checks.
-func (w *world) playDay() {
+// runRandomScenario runs a new world: first the start, then load with random faults, then neither, and
+// at the end all checks.
+func (w *world) runRandomScenario() {
 	f := &faultInjector{w: w, nextDiskLossAt: w.now + 10*time.Second, tolerableSince: w.now + 4*time.Second}
 	w.firstStart(f)
 	for client := range 2 {
@@ -46,7 +46,8 @@
 	w.checkHistories()
 }
 
-// firstStart starts all processes within 0.3 s of one another; now and then a node dies at once.
+// firstStart starts all processes within 0.3 s of one another; in one case of four a node dies during
+// its start.
 func (w *world) firstStart(f *faultInjector) {
 	for _, c := range w.nodes {
 		w.schedule(w.randomBetween(0, 300*time.Millisecond), c.boot)
@@ -69,11 +70,11 @@
 	})
 }
 
-// TestManySeeds plays defaultSeeds seeds, or as many as BASALTLOFT_SEEDS says, on all processors;
-// BASALTLOFT_FIRST is the first. BASALTLOFT_SEED plays one seed alone, with its trace.
+// TestManySeeds runs defaultSeeds seeds, or as many as BASALTLOFT_SEEDS sets, on all processors;
+// BASALTLOFT_FIRST is the first one. With BASALTLOFT_SEED it runs that seed only, with its trace.
 func TestManySeeds(t *testing.T) {
 	if seed, ok := envNumber("BASALTLOFT_SEED"); ok {
-		play(t, seed, noFault, true)
+		runSeed(t, seed, noFault, true)
 		return
 	}
 	seeds, ok := envNumber("BASALTLOFT_SEEDS")
@@ -90,24 +91,24 @@
 				if seed >= seeds {
 					return
 				}
-				playGuarded(t, first+seed)
+				runSeedGuarded(t, first+seed)
 			}
 		})
 	}
 }
 
-// envNumber returns the number in an environment variable; false: there is none.
+// envNumber returns the number in an environment variable, or false if there is none.
 func envNumber(variable string) (uint64, bool) {
 	value, err := strconv.ParseUint(os.Getenv(variable), 10, 64)
 	return value, err == nil
 }
 
-// playGuarded plays a seed, and names it where the play panics.
-func playGuarded(t *testing.T, seed uint64) {
+// runSeedGuarded runs a seed, and names the seed if the run panics.
+func runSeedGuarded(t *testing.T, seed uint64) {
 	defer func() {
 		if r := recover(); r != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, r, debug.Stack())
 		}
 	}()
-	play(t, seed, noFault, false)
+	runSeed(t, seed, noFault, false)
 }
--- a/internal/cluster/simworld/settle_test.go
+++ b/internal/cluster/simworld/settle_test.go
@@ -8,7 +8,7 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// awaitSettled lets time pass until isSettled, for no longer than the deployment allows.
+// awaitSettled runs the world until isSettled holds, for no longer than the deployment allows.
 func (w *world) awaitSettled() {
 	const least, look = 2500 * time.Millisecond, 500 * time.Millisecond
 	w.run(least)
@@ -20,8 +20,8 @@
 	}
 }
 
-// isSettled tells whether all groups are without fault, all dispatchers have a valid view, and
-// all accepted jobs have ended.
+// isSettled reports whether all groups are without fault, all dispatchers have a valid view, and all
+// accepted jobs have ended.
 func (w *world) isSettled() bool {
 	for _, name := range w.nodes[0].names {
 		if w.groupFault(name) != "" {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// hasEnded tells whether a job has ended, as some shard's leader knows it.
+// hasEnded reports whether a job has ended, according to the leader of one of the shards.
 func (w *world) hasEnded(j *jobHistory) bool {
 	over := false
 	for _, service := range twoServices {
@@ -63,9 +63,9 @@
 }
 
 // checkSettled checks, some time after all faults have ended, that everything is served and the
-// replicas are equal: a system that makes no progress has failed.
+// replicas have equal states; so it also finds a system that makes no progress.
 func (w *world) checkSettled() {
-	const heartbeats = 3 // a change that was sent once more may have been committed just now
+	const heartbeats = 3 // for the replicas to apply a change that was just committed, such as a resent one
 	for _, name := range w.nodes[0].names {
 		wrong := w.groupFault(name)
 		for range heartbeats {
@@ -105,24 +105,24 @@
 	for _, member := range wanted.Members.Voters {
 		c := w.nodeNamed(member.Address)
 		if c == nil {
-			return fmt.Sprintf("%s counts %s as a voter, whose machine is gone", name, member.ID)
+			return fmt.Sprintf("%s has the voter %s, whose machine was removed", name, member.ID)
 		}
 		if c.identity.id != member.ID {
-			return fmt.Sprintf("%s counts %s as a voter, whose disk is gone: it is %s now", name, member.ID, c.identity.id)
+			return fmt.Sprintf("%s has the voter %s, whose disk is lost: its new ID is %s", name, member.ID, c.identity.id)
 		}
 		got := c.groups[name].engine.Status(c.clock())
 		if got.Halted != "" || got.Applied != wanted.Applied {
 			return fmt.Sprintf("%s has applied %d of %d of %s, term %d of %d %s", c.name, got.Applied, wanted.Applied, name, got.Term, wanted.Term, got.Halted)
 		}
 		if got.Digest != wanted.Digest {
-			return fmt.Sprintf("%s and %s have applied the same of %s and differ", c.name, leader.node.name, name)
+			return fmt.Sprintf("%s and %s have applied the same entries of %s but their states differ", c.name, leader.node.name, name)
 		}
 	}
 	return ""
 }
 
-// checkRepaired checks that no group has a voter whose disk is lost, once a machine that lost its
-// disk, or replaced another, has had its catch-up time: from now on the next loss is permitted.
+// checkRepaired checks that no group has a voter whose disk is lost. It is called once a node that lost
+// its disk, or replaced another one, has had its catch-up time: now the next loss is permitted.
 func (w *world) checkRepaired(repaired *controlNode) {
 	for _, name := range w.nodes[0].names {
 		leader := w.leaderOf(name).groups[name]
@@ -132,14 +132,14 @@
 		for _, member := range leader.engine.Membership().Voters {
 			c := w.nodeNamed(member.Address)
 			if c == nil || c.identity.id != member.ID {
-				w.fail("%s counts on %s, which is gone, %v after %s is back: %+v", name, member.ID, w.deployment.catchUp, repaired.name, leader.engine.Status(leader.node.clock()))
+				w.fail("%s still has the lost voter %s %v after %s is back: %+v", name, member.ID, w.deployment.catchUp, repaired.name, leader.engine.Status(leader.node.clock()))
 			}
 		}
 	}
 }
 
-// checkServed checks that the newest configuration is read at every control-plane node, and that
-// every accepted job is known and has ended.
+// checkServed checks that every control-plane node returns the newest configuration, and that every
+// accepted job is known and has ended.
 func (w *world) checkServed() {
 	missing := len(w.nodes)
 	for _, c := range w.nodes {
--- a/internal/cluster/simworld/world_test.go
+++ b/internal/cluster/simworld/world_test.go
@@ -11,11 +11,11 @@
 	"basaltloft/coord/replica"
 )
 
-// deployment is what the control side is told of a deployment.
+// deployment holds the parameters of a deployment that concern the control plane.
 type deployment struct {
-	nodes           int // of the control plane
-	toleratedLosses int // nodes that may be lost at once
-	seeds           int
+	nodes           int           // of the control plane
+	toleratedLosses int           // nodes that may be lost at the same time
+	seeds           int           // in the settings of each process
 	applyWithin     time.Duration // config_apply_ms
 	catchUp         time.Duration // catchup_s
 	recovery        time.Duration // recovery_s
@@ -23,7 +23,7 @@
 	syncTime        time.Duration // of a disk
 }
 
-// deployments are the kinds that are played: seed n plays the one at n modulo their number.
+// deployments are the deployments under test: seed n runs the one at n modulo their number.
 var deployments = []deployment{
 	{nodes: 3, toleratedLosses: 1, seeds: 3, applyWithin: 2 * time.Second, catchUp: 4 * time.Second, recovery: 12 * time.Second, cancel: 3 * time.Second, syncTime: 4 * time.Millisecond},
 	{nodes: 3, toleratedLosses: 1, seeds: 3, applyWithin: 2 * time.Second, catchUp: 4 * time.Second, recovery: 12 * time.Second, cancel: 3 * time.Second, syncTime: 9 * time.Millisecond},
@@ -31,10 +31,10 @@
 	{nodes: 4, toleratedLosses: 1, seeds: 3, applyWithin: 1200 * time.Millisecond, catchUp: 4 * time.Second, recovery: 12 * time.Second, cancel: 3 * time.Second, syncTime: 15 * time.Millisecond},
 }
 
-// timing is that of all replica groups, as in package controlplane.
+// timing is the timing of all replica groups, as in package controlplane.
 var timing = replica.Timing{HeartbeatInterval: 100 * time.Millisecond, LeaseDuration: 420 * time.Millisecond, MinElectionTimeout: 520 * time.Millisecond, ElectionJitter: 260 * time.Millisecond}
 
-// world is the simulated world: processes, network, clients, and what is checked of them.
+// world is the simulation of a cluster: processes, network and clients, and the records for the checks.
 type world struct {
 	t              testing.TB
 	seed           uint64
@@ -50,27 +50,27 @@
 	partitioned    map[[2]string]bool // from, to
 	lossShare      float64            // of messages that are lost
 	lateShare      float64            // of messages that are late by up to seconds
-	freezeChance   float64            // that a process freezes at a reading of its clock
-	lostOrderShare float64            // of orders to runners that get no answer and are carried out late
-	freezeDepth    int                // freezes within freezes that last
+	freezeChance   float64            // that a process freezes when it reads its clock
+	lostOrderShare float64            // of orders to runners that get no answer and are executed late
+	freezeDepth    int                // nesting of freezeInside
 	planted        plantedFault
-	onAcknowledged func(acknowledgement) // called as the answer leaves; nil: nothing
+	onAcknowledged func(acknowledgement) // called when an acknowledgement is sent; may be nil
 	tracing        bool
-	noNewLoad      bool
+	noNewLoad      bool // clients and operators begin nothing new
 	log            *slog.Logger
 
 	config     configHistory
 	jobs       map[string]*jobHistory
 	jobIDs     []string
 	leases     map[string]map[string]group.Lease // by group and process
-	tokenUsers map[string]string                 // node and incarnation that used a fencing token, by service and token
+	tokenUsers map[string]string                 // node and incarnation, by service and fencing token
 	serial     int
-	nodesMade  int // control-plane nodes so far
+	nodesMade  int // control-plane nodes added so far
 	lastStamp  int64
 	recorder   recorder
 }
 
-// newWorld returns a world in which nothing has been started but the runners.
+// newWorld returns a world in which only the runners have been started.
 func newWorld(t testing.TB, seed uint64, b deployment) *world {
 	w := &world{
 		t: t, seed: seed, deployment: b, random: rand.New(rand.NewPCG(seed, 41)), now: time.Hour, processes: map[string]*process{},
@@ -92,23 +92,23 @@
 	return w
 }
 
-// fail fails the test: a check does not hold.
+// fail ends the test with a failure, at a check that does not hold.
 func (w *world) fail(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("seed %d at %v: %s", w.seed, w.now-time.Hour, fmt.Sprintf(format, args...))
 }
 
-// tracef logs a line if the play is traced.
+// tracef logs a line if the run is traced.
 func (w *world) tracef(format string, args ...any) {
 	if w.tracing {
 		w.t.Logf("%v %s", w.now-time.Hour, fmt.Sprintf(format, args...))
 	}
 }
 
-// randomBetween draws a time; both bounds are possible.
+// randomBetween returns a random duration; both bounds are possible.
 func (w *world) randomBetween(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.random.Int64N(int64(high-low)+1))
 }
 
-// chance draws whether something happens that has this probability. It draws nothing for 0.
+// chance returns true with the given probability. For 0 it draws no random number.
 func (w *world) chance(share float64) bool { return share > 0 && w.random.Float64() < share }
--- a/internal/cluster/soak/jobs.go
+++ b/internal/cluster/soak/jobs.go
@@ -106,7 +106,7 @@
 	case e.outcome == answered && e.status == http.StatusGatewayTimeout, e.outcome != answered:
 		j.mayRun = true
 	default:
-		t.findings.add(RuleConfig, "POST %s at %s has the answer %d %s; near: %s", j.path(), e.target, e.status, e.body, t.timeline.near(e.lastByte, e.ended))
+		t.findings.add(RuleConfig, "POST %s at %s is answered %d %s; near: %s", j.path(), e.target, e.status, e.body, t.timeline.near(e.lastByte, e.ended))
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 	var shown struct{ State string }
 	if e.status == http.StatusOK && json.Unmarshal([]byte(e.body), &shown) != nil {
-		t.findings.add(RuleLost, "GET %s at %s has the answer %q", j.path(), e.target, e.body)
+		t.findings.add(RuleLost, "GET %s at %s is answered %q", j.path(), e.target, e.body)
 	}
 	where := fmt.Sprintf("job %s, accepted at %s, requested from %s at %s", j.path(), t.timeline.at(j.accepted), e.target, t.timeline.at(e.lastByte))
 	switch {
--- a/internal/cluster/soak/run.go
+++ b/internal/cluster/soak/run.go
@@ -169,7 +169,7 @@
 			r.findings.add(RuleStop, "%s at %s has ended by itself", m.Program, m.ip)
 		}
 	}
-	r.serveMore(ctx)
+	r.checkNewJobs(ctx)
 	begun := time.Now()
 	r.awaitEnds(ctx)
 	r.slowest = time.Since(begun)
@@ -179,8 +179,8 @@
 	r.checkLogs()
 }
 
-// serveMore submits a job at each dispatcher.
-func (r *run) serveMore(ctx context.Context) {
+// checkNewJobs submits a job at each dispatcher and checks that it is accepted.
+func (r *run) checkNewJobs(ctx context.Context) {
 	const limit = 15 * time.Second
 	for _, m := range r.dispatchers {
 		j := r.jobs.add(r.random.intN(len(queues)), 0)
