--- a/internal/cluster/simworld/quota_scenarios_test.go
+++ b/internal/cluster/simworld/quota_scenarios_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// keepLeaders checks that each group has the same leader in the same epoch after a span as now.
+// keepLeaders checks that, after a span, each group still has its present leader in the same epoch.
 func (w *world) keepLeaders(span time.Duration) {
 	for _, name := range w.nodes[0].names {
 		leader := w.leaderOf(name)
--- a/internal/cluster/simworld/replicagroup_test.go
+++ b/internal/cluster/simworld/replicagroup_test.go
@@ -90,7 +90,7 @@
 	g.node.w.checkLease(g)
 }
 
-// send sends a message to another replica, and in some runs duplicates messages at random.
+// send sends a message to another replica. While messages are delayed, some are also duplicated.
 func (g *replicaGroup) send(message group.Envelope) {
 	w := g.node.w
 	w.recorder.message(w, g, message)
