--- a/internal/dispatcher/engine/members.go
+++ b/internal/dispatcher/engine/members.go
@@ -163,7 +163,7 @@
 
 // dropMember forgets a member that is removed, unless it may still be sent to.
 func (e *Engine) dropMember(m *Member) {
-	if !e.settings.Rules.OnlyDrainBinds && e.members[m.ID] != nil {
+	if !e.settings.Rules.RemovedMayServe && e.members[m.ID] != nil {
 		e.countMember(m.source, m.ID, -1)
 		delete(e.members, m.ID)
 		delete(e.membersByNumber, m.number)
--- a/internal/dispatcher/policy/internal_test.go
+++ b/internal/dispatcher/policy/internal_test.go
@@ -30,7 +30,7 @@
 func longRun(t *testing.T, claims bool, most int) {
 	d, err := New(Settings{Instances: 2, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2},
 		Classes: []Class{{Name: "c", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
-		Rules:   Rules{ColdCapacity: 0.3, WarmupTime: time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, OnlyDrainBinds: claims},
+		Rules:   Rules{ColdCapacity: 0.3, WarmupTime: time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, RemovedMayServe: claims},
 	}, mute{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatcher/policy/membership.go
+++ b/internal/dispatcher/policy/membership.go
@@ -104,7 +104,7 @@
 		d.joinIfWarmingUp(w)
 	case m.State == Draining:
 		w.drained = true
-	case m.State == Ready && !d.Rules.OnlyDrainBinds:
+	case m.State == Ready && !d.Rules.RemovedMayServe:
 		w.drained = false
 	case m.State == Removed && was != Removed:
 		if w.removedAt = d.now; d.now-w.lastContact > contactTTL {
@@ -117,13 +117,13 @@
 // binds, a list that calls a worker gone, or leaves it out, is a claim: own answers and probes
 // decide.
 func (d *Dispatcher) usable(w *worker) bool {
-	return !w.drained && (w.State == Ready || w.State == Removed && d.Rules.OnlyDrainBinds)
+	return !w.drained && (w.State == Ready || w.State == Removed && d.Rules.RemovedMayServe)
 }
 
 // recheckFirst holds work back until a trial, soon, where lists may be wrong: one named later may
 // not exist.
 func (d *Dispatcher) recheckFirst(w *worker) {
-	if d.Rules.OnlyDrainBinds && d.refilledAt != 0 && !w.suspect {
+	if d.Rules.RemovedMayServe && d.refilledAt != 0 && !w.suspect {
 		w.suspect, w.recheckDelay = true, max(w.recheckDelay, minRecheckDelay)
 		if w.inSubset { // else it begins once it joins
 			d.scheduleRecheck(w, d.jitter(minRecheckDelay/2))
@@ -135,7 +135,7 @@
 // and starts survive an old one and workers listed as removed serve on, only when it has been
 // silent for long.
 func (d *Dispatcher) forgotten(w *worker) bool {
-	kept := d.Rules.OnlyDrainBinds && d.now-max(w.removedAt, w.lastContact) < removedRetention
+	kept := d.Rules.RemovedMayServe && d.now-max(w.removedAt, w.lastContact) < removedRetention
 	return w.State == Removed && len(w.attempts) == 0 && !kept
 }
 
--- a/internal/dispatcher/policy/membership_test.go
+++ b/internal/dispatcher/policy/membership_test.go
@@ -11,7 +11,7 @@
 // claims are settings under which lists may be wrong.
 func claims() policy.Settings {
 	s := settings()
-	s.Rules.OnlyDrainBinds = true
+	s.Rules.RemovedMayServe = true
 	return s
 }
 
@@ -30,7 +30,7 @@
 	} {
 		for _, binds := range []bool{false, true} {
 			s := claims()
-			s.Rules.OnlyDrainBinds = !binds
+			s.Rules.RemovedMayServe = !binds
 			b := newBench(t, s, 2)
 			tell(b)
 			b.pass(400 * ms)
--- a/internal/dispatcher/policy/random_test.go
+++ b/internal/dispatcher/policy/random_test.go
@@ -74,7 +74,7 @@
 	case r == nil || r.answered:
 		w.errorf("send for %s, which has its answer", id)
 		return
-	case m.Number == 0 || m.State == policy.Draining || m.State == policy.Removed && !w.s.Rules.OnlyDrainBinds:
+	case m.Number == 0 || m.State == policy.Draining || m.State == policy.Removed && !w.s.Rules.RemovedMayServe:
 		w.errorf("send to worker %d, told to be in state %d", worker, m.State)
 	case len(r.attempts) >= w.s.Limits.MaxAttempts:
 		w.errorf("attempt %d of %s", len(r.attempts), id)
@@ -251,12 +251,12 @@
 }
 
 func (w *world) tell(kind policy.ListKind, list ...policy.Member) {
-	if kind == policy.ListRestored || kind != policy.ListDelta && !w.s.Rules.OnlyDrainBinds {
+	if kind == policy.ListRestored || kind != policy.ListDelta && !w.s.Rules.RemovedMayServe {
 		clear(w.told)
 	}
 	for _, m := range list {
 		was := w.told[m.Number]
-		if w.s.Rules.OnlyDrainBinds && was.State == policy.Draining && m.StartedAt <= was.StartedAt {
+		if w.s.Rules.RemovedMayServe && was.State == policy.Draining && m.StartedAt <= was.StartedAt {
 			m = was // a drain binds until a later start
 		}
 		w.told[m.Number] = m
@@ -307,7 +307,7 @@
 	case m == nil:
 		m = &policy.Member{Number: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5), StartedAt: w.now}
 		w.workers[id] = m
-	case w.s.Rules.OnlyDrainBinds && w.rng.IntN(3) == 0: // a list that is wrong, for a while
+	case w.s.Rules.RemovedMayServe && w.rng.IntN(3) == 0: // a list that is wrong, for a while
 		w.tell(policy.ListSnapshot, w.list()[w.rng.IntN(len(w.list())):]...)
 		w.after(2*time.Second, func() { w.tell(policy.ListSnapshot, w.list()...) })
 		return
@@ -393,18 +393,18 @@
 	"long aims":     func(s *policy.Settings) { s.Classes[1].DedupWindow, s.Classes[1].LatencyTarget = 500*ms, 4*time.Second },
 	"short grace":   func(s *policy.Settings) { s.Rules.AnswerGrace = 5 * ms },
 	"full no proof": func(s *policy.Settings) { s.Rules.RejectedMayHaveRun = true },
-	"wrong lists":   func(s *policy.Settings) { s.Rules.OnlyDrainBinds = true },
+	"wrong lists":   func(s *policy.Settings) { s.Rules.RemovedMayServe = true },
 	"both": func(s *policy.Settings) {
-		s.Rules.OnlyDrainBinds, s.Rules.RejectedMayHaveRun, s.Classes[1].DedupScope = true, true, policy.DedupCell
+		s.Rules.RemovedMayServe, s.Rules.RejectedMayHaveRun, s.Classes[1].DedupScope = true, true, policy.DedupCell
 	},
 	"tied": func(s *policy.Settings) {
-		s.Limits.Probes, s.ReportsStart, s.Rules.OnlyDrainBinds = false, true, true
+		s.Limits.Probes, s.ReportsStart, s.Rules.RemovedMayServe = false, true, true
 	},
 	"all, no probes": func(s *policy.Settings) { s.Classes[1].DedupScope, s.Limits.Probes = policy.DedupAll, false },
 	"subjects, push": func(*policy.Settings) {},
 	"subjects, cell": func(s *policy.Settings) { s.Classes[1].DedupScope, s.ReportsStart = policy.DedupCell, true },
 	"subjects, wrong lists, no probes": func(s *policy.Settings) {
-		s.Limits.Probes, s.ReportsStart, s.Rules.OnlyDrainBinds, s.ReportX0 = false, true, true, ""
+		s.Limits.Probes, s.ReportsStart, s.Rules.RemovedMayServe, s.ReportX0 = false, true, true, ""
 	},
 }
 
--- a/internal/dispatcher/policy/settings.go
+++ b/internal/dispatcher/policy/settings.go
@@ -97,9 +97,9 @@
 
 	// RejectedMayHaveRun says that a worker may also answer Rejected for work that it had begun.
 	RejectedMayHaveRun bool
-	// OnlyDrainBinds says that lists may be wrong: a worker that is listed as Removed, or left out,
+	// RemovedMayServe says that lists may be wrong: a worker that is listed as Removed, or left out,
 	// without having been seen Draining may still be sent to.
-	OnlyDrainBinds bool
+	RemovedMayServe bool
 }
 
 // ProvesNotRun reports whether a status proves that the attempt did not run.
--- a/internal/dispatcher/settings/golden_test.go
+++ b/internal/dispatcher/settings/golden_test.go
@@ -67,7 +67,7 @@
 		ReportX0: "free slots", ReportX1: "free memory", CrossZonePrice: 0.25,
 		Limits: policy.Limits{MaxAttempts: 3, Cancel: true, Probes: true, ConcurrentAttempts: secondCopies, RetryAfter: true, MaxRetryAfter: 11, ConnectTimeout: connectWithin},
 		Rules: policy.Rules{
-			AnswerGrace: 21, MembershipMaxAge: 22, ColdCapacity: 0.3, WarmupTime: 23, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 24, RejectedMayHaveRun: true, OnlyDrainBinds: true,
+			AnswerGrace: 21, MembershipMaxAge: 22, ColdCapacity: 0.3, WarmupTime: 23, ColdOverloadMultiple: 2.5, ColdOverloadWindow: 24, RejectedMayHaveRun: true, RemovedMayServe: true,
 		},
 		Classes: []policy.Class{
 			{Name: "read", Effect: policy.Idempotent, DedupScope: policy.DedupAll, LatencyTarget: 31, ClientTimeout: 32, Value: 1.5, TargetPerWork: 5, Kind: 1},
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -86,7 +86,7 @@
 		ColdOverloadMultiple: r.number("guarantees.fall_multiple"),
 		ColdOverloadWindow:   r.span("guarantees.tip_after"),
 		RejectedMayHaveRun:   r.flag("guarantees.late_shedding"),
-		OnlyDrainBinds:       r.flag("guarantees.dropped_stay_open"),
+		RemovedMayServe:      r.flag("guarantees.dropped_stay_open"),
 	}
 }
 
