--- a/internal/dispatcher/policy/affinity.go
+++ b/internal/dispatcher/policy/affinity.go
@@ -6,35 +6,37 @@
 	"slices"
 )
 
-// Affinity: a worker may keep the data that the jobs of an affinity key need, and any other worker
-// has to fetch it first, which takes as long as a job. So jobs of one key go to the same few
-// workers, its homes, which are the same at all dispatchers without a message between them:
-// rendezvous hashing (Thaler and Ravishankar, 1998).
+// Affinity: a worker may keep the data that the jobs of an affinity key need. Any other worker has
+// to fetch the data first, which takes as long as a job. So the jobs of a key go to the same few
+// workers, the homes of the key. All dispatchers choose the same homes without exchanging messages,
+// by rendezvous hashing (Thaler and Ravishankar, 1998).
 
 const (
-	// affinityWindow is the number of jobs that the shares of the keys are of; it is halved there.
+	// affinityWindow is the number of jobs over which the shares of the keys are counted; at this
+	// number all counts are halved.
 	affinityWindow = 2000.0
-	// homePriorJobs weakens what is seen among few jobs.
+	// homePriorJobs is added to the number of jobs when a key's share is computed, so that a few
+	// jobs do not give a key a large share.
 	homePriorJobs = 20.0
-	// extraHomes is how many more workers, at most, may hold a key whose homes have no room.
+	// extraHomes is the maximum number of additional homes of a key whose homes have no capacity.
 	extraHomes = 3
-	// spareHomes is how many workers are ranked beyond, for homes that can't be used now.
+	// spareHomes is how many further workers are ranked, to replace homes that can't be used now.
 	spareHomes = 4
-	// unresponsiveZone is the number of unresponsive workers in a row of another zone from which
-	// that zone counts as cut off.
-	unresponsiveZone = 3
+	// zoneCutOffCount: after this many unresponsive workers in a row, another zone counts as cut
+	// off from this dispatcher.
+	zoneCutOffCount = 3
 )
 
-// affinityStats is what is known of an affinity key.
+// affinityStats is the state of one affinity key.
 type affinityStats struct {
-	hash         uint32    // of the key, which itself is not kept
-	jobs         float64   // that named it, fading
-	ranked       []*worker // the first ones of its order of workers
-	tableVersion uint64    // of the table of workers that the order is of
+	hash         uint32    // of the key; the key itself is not kept
+	jobs         float64   // decaying count of the jobs with this key
+	ranked       []*worker // the first workers in the key's order
+	tableVersion uint64    // the version of the worker table that was ranked
 }
 
-// affinityOf counts a job for its affinity key, of which it keeps a hash alone; nil: the job has
-// none.
+// affinityOf counts a job for its affinity key and returns the key's state, or nil if the job has no
+// key. Only a hash of the key is kept.
 func (d *Dispatcher) affinityOf(r Request) *affinityStats {
 	if r.AffinityKey == "" {
 		return nil
@@ -58,10 +60,10 @@
 	return s
 }
 
-// homes returns the workers that are to serve a job's affinity key: as many as its share of the
-// jobs asks for, and with more set further ones, for where those have no room. The place of one
-// that can't be used is taken by the next in the key's order. The slice is good until the next
-// call.
+// homes returns the workers that serve a job's affinity key: a number in proportion to the key's
+// share of the jobs, and additional ones with more = 1, to be used if the others have no capacity. A
+// home that can't be used is replaced by the next worker in the key's order. The slice is valid
+// until the next call.
 func (d *Dispatcher) homes(j *job, more int) []*worker {
 	s := j.affinity
 	if s == nil {
@@ -75,19 +77,19 @@
 	d.homeBuffer = d.homeBuffer[:0]
 	for i := 0; i < len(s.ranked) && len(d.homeBuffer) < n; i++ {
 		w := s.ranked[i]
-		cut := w.Zone != d.Zone && d.unresponsive[w.Zone] >= unresponsiveZone
-		if w.State == Ready && !cut && d.compatible(j, w) && !d.warmingUp(w) && !d.avoided(w, j) {
+		cutOff := w.Zone != d.Zone && d.unresponsive[w.Zone] >= zoneCutOffCount
+		if w.State == Ready && !cutOff && d.compatible(j, w) && !d.warmingUp(w) && !d.avoided(w, j) {
 			d.homeBuffer = append(d.homeBuffer, w)
 		}
 	}
 	return d.homeBuffer
 }
 
-// rankWorkers takes the first n workers in a key's order.
+// rankWorkers stores the first n workers in a key's order.
 func (d *Dispatcher) rankWorkers(s *affinityStats, n int) {
 	all := slices.SortedFunc(slices.Values(d.workers), func(a, b *worker) int {
-		byChance := cmp.Compare(b.hashFraction(uint64(s.hash)), a.hashFraction(uint64(s.hash)))
-		return cmp.Or(byChance, cmp.Compare(a.Number, b.Number))
+		byHash := cmp.Compare(b.hashFraction(uint64(s.hash)), a.hashFraction(uint64(s.hash)))
+		return cmp.Or(byHash, cmp.Compare(a.Number, b.Number))
 	})
 	s.ranked, s.tableVersion = slices.Clone(all[:n]), d.tableVersion
 }
--- a/internal/dispatcher/policy/affinity_test.go
+++ b/internal/dispatcher/policy/affinity_test.go
@@ -8,30 +8,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ended is a host at which each job ends as soon as it is sent, at all but the
-// workers that say nothing.
-type ended struct {
-	mute
-	at    map[uint32]int // jobs sent, by worker
-	sent  []AttemptResult
-	quiet map[uint32]bool
+// instantHost is a host at which each job ends as soon as it is sent, except at silent workers, which
+// never answer.
+type instantHost struct {
+	nopHost
+	at     map[uint32]int // jobs sent, by worker
+	sent   []AttemptResult
+	silent map[uint32]bool
 }
 
-func (h *ended) Send(id string, w uint32, _ time.Duration) {
+func (h *instantHost) Send(id string, w uint32, _ time.Duration) {
 	h.at[w]++
-	if !h.quiet[w] {
+	if !h.silent[w] {
 		h.sent = append(h.sent, AttemptResult{Request: id, Worker: w, Status: OK, Final: true})
 	}
 }
 
-// subjectsFleet is dispatchers of one zone each, with their hosts, over workers of three.
-func subjectsFleet(t *testing.T, instances, workers int) (fleet []*Dispatcher, hosts []*ended) {
+// affinityFleet returns dispatchers and their hosts. The dispatchers and the workers are spread over
+// three zones.
+func affinityFleet(t *testing.T, instances, workers int) (fleet []*Dispatcher, hosts []*instantHost) {
 	var list []Member
 	for i := range workers {
 		list = append(list, Member{Number: uint32(1 + i*7919), Kind: "a", Zone: string(rune('a' + i%3))})
 	}
 	for rank := range instances {
-		h := &ended{at: make(map[uint32]int), quiet: make(map[uint32]bool)}
+		h := &instantHost{at: make(map[uint32]int), silent: make(map[uint32]bool)}
 		d, err := New(Settings{
 			Seed: uint64(rank), Instances: instances, Rank: rank, Zone: string(rune('a' + rank%3)), CrossZonePrice: 0.03, ReportsStart: true, Kinds: []string{"a"},
 			Limits:  Limits{MaxAttempts: 3, Cancel: true},
@@ -45,10 +46,10 @@
 	return fleet, hosts
 }
 
-// ask has a dispatcher serve a job and forgets where the one before went.
-func ask(d *Dispatcher, h *ended, now time.Duration, id, subject string) {
+// serve clears the host's counts of sent jobs and has a dispatcher serve one job.
+func serve(d *Dispatcher, h *instantHost, now time.Duration, id, key string) {
 	clear(h.at)
-	d.HandleRequest(now, Request{ID: id, Class: "safe", AffinityKey: subject, Hint: 50 * time.Millisecond, Deadline: now + 5*time.Second})
+	d.HandleRequest(now, Request{ID: id, Class: "safe", AffinityKey: key, Hint: 50 * time.Millisecond, Deadline: now + 5*time.Second})
 	for len(h.sent) > 0 {
 		o := h.sent[0]
 		h.sent = h.sent[1:]
@@ -56,54 +57,54 @@
 	}
 }
 
-// TestJobsOfOneAffinityKeyMeet: jobs that name a subject go to few workers, the same ones
-// at all dispatchers: one where it is rare, and as many as its share of the jobs asks
-// for where it is not. Those that name none go wherever there is room.
-func TestJobsOfOneAffinityKeyMeet(t *testing.T) {
+// TestJobsOfOneAffinityKeyShareWorkers checks that the jobs of a key go to few workers, the same ones
+// at all dispatchers: to one worker for a rare key, and otherwise to a number in proportion to the
+// key's share of the jobs. Jobs without a key go to any worker with capacity.
+func TestJobsOfOneAffinityKeyShareWorkers(t *testing.T) {
 	const instances, workers, rounds = 30, 90, 400
-	fleet, hosts := subjectsFleet(t, instances, workers)
+	fleet, hosts := affinityFleet(t, instances, workers)
 	went := map[string]map[uint32]int{"rare": {}, "half": {}, "": {}}
 	now := time.Minute
 	for n := range rounds {
 		for i, d := range fleet {
 			now += time.Millisecond
-			subject := fmt.Sprint("other ", n%200)
+			key := fmt.Sprint("other ", n%200)
 			switch {
 			case n%2 == 0:
-				subject = "half"
+				key = "half"
 			case n%100 == 51:
-				subject = "rare"
+				key = "rare"
 			case n%100 == 1:
-				subject = ""
+				key = ""
 			}
-			ask(d, hosts[i], now, fmt.Sprint(n, " ", i), subject)
+			serve(d, hosts[i], now, fmt.Sprint(n, " ", i), key)
 			for w, jobs := range hosts[i].at {
-				if went[subject] != nil && n > rounds/2 {
-					went[subject][w] += jobs
+				if went[key] != nil && n > rounds/2 {
+					went[key][w] += jobs
 				}
 			}
 		}
 	}
 	require.LessOrEqual(t, len(went["rare"]), 3, "%v", went["rare"])
 	require.GreaterOrEqual(t, len(went[""]), workers/4)
-	require.GreaterOrEqual(t, len(went["half"]), workers/4) // of its homes those that started the last ones soon come first
+	require.GreaterOrEqual(t, len(went["half"]), workers/4) // among its homes, those that started recent jobs promptly come first
 	require.LessOrEqual(t, len(went["half"]), workers*6/10)
 }
 
-// TestHomesAreReplaced: the next in a subject's order takes the place of a home that drains,
-// was started a moment ago, or is silent; where those of another zone are silent in
-// a row, that zone is taken for cut off until one of it is heard of.
+// TestHomesAreReplaced checks that the next worker in a key's order replaces a home that drains, has
+// just started, is removed or does not respond. After several unresponsive workers in a row another
+// zone counts as cut off, until one of its workers responds.
 //
-//nolint:funlen // one property, whose steps follow on one another
+//nolint:funlen // one property, whose steps depend on one another
 func TestHomesAreReplaced(t *testing.T) {
 	now := time.Minute
-	begin := func() (*Dispatcher, *ended, []*worker) {
-		fleet, hosts := subjectsFleet(t, 1, 30)
+	begin := func() (*Dispatcher, *instantHost, []*worker) {
+		fleet, hosts := affinityFleet(t, 1, 30)
 		d := fleet[0]
 		for n := range 300 {
-			ask(d, hosts[0], now, fmt.Sprint("other ", n), fmt.Sprint("other ", n))
+			serve(d, hosts[0], now, fmt.Sprint("other ", n), fmt.Sprint("other ", n))
 		}
-		ask(d, hosts[0], now, "first", "x")
+		serve(d, hosts[0], now, "first", "x")
 		return d, hosts[0], d.affinities[d.affinityOf(Request{AffinityKey: "x"}).hash].ranked
 	}
 	home := func(d *Dispatcher) *worker {
@@ -150,7 +151,7 @@
 		d.Zone = "elsewhere"
 		n := 0
 		for _, w := range d.workers {
-			if w != first && w.Zone == first.Zone && n < unresponsiveZone {
+			if w != first && w.Zone == first.Zone && n < zoneCutOffCount {
 				require.Same(t, first, home(d))
 				d.suspectWorker(w, false)
 				n++
@@ -170,17 +171,17 @@
 				d.suspectWorker(w, false)
 			}
 		}
-		require.Same(t, first, home(d), "the own zone is never taken for cut off")
+		require.Same(t, first, home(d), "the dispatcher's own zone never counts as cut off")
 	})
 }
 
-// TestUnresponsiveHomesAreRetried: a home outside the subset that falls silent is tried again,
-// as those of the subset are, and becomes the home again.
+// TestUnresponsiveHomesAreRetried checks that a home outside the subset that stops responding is
+// rechecked, as members of the subset are, and becomes a home again.
 func TestUnresponsiveHomesAreRetried(t *testing.T) {
-	fleet, hosts := subjectsFleet(t, 1, 300)
+	fleet, hosts := affinityFleet(t, 1, 300)
 	d, h, now := fleet[0], hosts[0], time.Minute
 	for n := range 300 {
-		ask(d, h, now, fmt.Sprint("other ", n), fmt.Sprint("other ", n))
+		serve(d, h, now, fmt.Sprint("other ", n), fmt.Sprint("other ", n))
 	}
 	var home *worker
 	for n := 0; home == nil || home.inSubset; n++ { // one outside the subset
@@ -192,14 +193,15 @@
 		now += 50 * time.Millisecond
 		d.HandleTimer(now, recheckToken)
 	}
-	require.False(t, home.suspect, "without probes a job is the trial")
+	require.False(t, home.suspect, "without probes a job is the recheck")
 }
 
-// TestAffinityKeysAreForgotten: what is kept of subjects is bounded, however many there are.
+// TestAffinityKeysAreForgotten checks that the state kept for affinity keys is bounded, however many
+// keys there are.
 func TestAffinityKeysAreForgotten(t *testing.T) {
-	fleet, hosts := subjectsFleet(t, 1, 10)
+	fleet, hosts := affinityFleet(t, 1, 10)
 	for n := range 20000 {
-		ask(fleet[0], hosts[0], time.Minute, fmt.Sprint(n), fmt.Sprint("s", n))
+		serve(fleet[0], hosts[0], time.Minute, fmt.Sprint(n), fmt.Sprint("s", n))
 		require.LessOrEqual(t, len(fleet[0].affinities), int(affinityWindow))
 	}
 	require.Less(t, fleet[0].affinityJobs, affinityWindow)
--- a/internal/dispatcher/policy/deadline.go
+++ b/internal/dispatcher/policy/deadline.go
@@ -6,28 +6,32 @@
 )
 
 const (
-	// overloadHold is how long a job given up for want of room counts as overload.
+	// overloadHold is how long the dispatcher counts as overloaded after a job was dropped for lack
+	// of capacity.
 	overloadHold = time.Second
-	// bestCaseRun is the share of the expected run time in which a job ends with luck.
+	// bestCaseRun is the share of the expected run time in which a job ends in the best case.
 	bestCaseRun = 0.8
 )
 
-// answerTime is when the job must be done. A retry is timed from its first try, which its deadline
-// shows beside the client's patience: it is late all the same. Where retries are marked, others in
-// haste are impatient.
+// answerTime returns the time at which the job's answer is due. For a retry the latency target
+// counts from the client's first try, since the answer is no less late for the retry. The time of
+// the first try is estimated from the retry's deadline and the longest time left seen in its class.
+// Where clients mark retries, an unmarked request with little time left is a first try of a client
+// with a short timeout.
 func (d *Dispatcher) answerTime(j *job) time.Duration {
-	left, born := j.Deadline-d.now, d.now
-	j.class.longestPatience = max(j.class.longestPatience, min(left, j.class.ClientTimeout))
+	left, firstTryAt := j.Deadline-d.now, d.now
+	j.class.longestTimeLeft = max(j.class.longestTimeLeft, min(left, j.class.ClientTimeout))
 	if j.Retry || !d.ClientsMarkRetries && !j.KnownFirst {
-		born -= max(0, j.class.longestPatience-left)
+		firstTryAt -= max(0, j.class.longestTimeLeft-left)
 	}
 	work := cmp.Or(float64(j.Hint), j.expectedRun)
-	return min(born+j.class.LatencyTarget+time.Duration(j.class.TargetPerWork*work), j.Deadline)
+	return min(firstTryAt+j.class.LatencyTarget+time.Duration(j.class.TargetPerWork*work), j.Deadline)
 }
 
-// dropIfHopeless gives up a held job that is hopeless: a loss for want of room shows overload.
-func (d *Dispatcher) dropIfHopeless(j *job) bool {
-	lost := d.hopeless(j)
+// dropIfTooLate drops a queued or waiting job that is too late, and reports whether it did so. The
+// loss is recorded as a sign of overload.
+func (d *Dispatcher) dropIfTooLate(j *job) bool {
+	lost := d.tooLate(j)
 	if lost {
 		d.lastLossAt = d.now
 		d.answerUnserved(j)
@@ -35,20 +39,20 @@
 	return lost
 }
 
-// hopeless reports that a job would be late even on the fastest worker and with luck.
-func (d *Dispatcher) hopeless(j *job) bool { return d.now >= d.latestStart(j) }
+// tooLate reports whether a job would be late even on the fastest worker and in the best case.
+func (d *Dispatcher) tooLate(j *job) bool { return d.now >= d.latestStart(j) }
 
-// latestStart is when a job becomes hopeless.
+// latestStart returns the time from which a job is too late.
 func (d *Dispatcher) latestStart(j *job) time.Duration {
 	start := j.answerBy - time.Duration(bestCaseRun*j.expectedRun*d.bestPace*d.slowdown)
-	return min(start, j.Deadline-2*tickInterval) // held jobs are answered by the tick
+	return min(start, j.Deadline-2*tickInterval) // queued jobs are answered by the tick
 }
 
-// answerUnserved answers a job that was not served: refused where the client's retry can do no
-// harm, else failed.
+// answerUnserved answers a job that was not served: as refused if a retry by the client is harmless,
+// otherwise as failed.
 func (d *Dispatcher) answerUnserved(j *job) {
 	c := j.class
-	known := c.DedupScope == DedupAll && d.dedupHolds(j, d.Limits.MaxRetryAfter) // yet, when it comes again
+	known := c.DedupScope == DedupAll && d.dedupHolds(j, d.Limits.MaxRetryAfter) // at the client's retry
 	if j.firstMayHaveRun == nil && j.inFlight == 0 || c.Effect == Idempotent || known {
 		d.host.Refuse(j.ID, d.Limits.MaxRetryAfter)
 	} else {
--- a/internal/dispatcher/policy/decision_bench_test.go
+++ b/internal/dispatcher/policy/decision_bench_test.go
@@ -10,37 +10,37 @@
 	"basaltloft/internal/shared/indexedheap"
 )
 
-// farm is a host whose members take each job at once, run it and answer: it
-// costs next to nothing beside the decisions that it plays to.
-type farm struct {
+// simulatedHost is a host whose workers start each job at once, run it and answer. It costs little
+// compared with the decisions.
+type simulatedHost struct {
 	d       *policy.Dispatcher
 	rng     *rand.Rand
 	now     time.Duration
-	due     indexedheap.Heap[moment]
+	due     indexedheap.Heap[event]
 	seq     int
 	open    map[string]*struct{ n int }
 	decided int
 	lost    int
 }
 
-type moment struct {
+type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-func (f *farm) after(in time.Duration, do func()) {
+func (f *simulatedHost) after(in time.Duration, do func()) {
 	f.seq++
-	f.due.Push(moment{f.now + in, f.seq, do})
+	f.due.Push(event{f.now + in, f.seq, do})
 }
 
-func (f *farm) step() {
+func (f *simulatedHost) step() {
 	m := f.due.Pop()
 	f.now = m.at
 	m.do()
 }
 
-func (f *farm) Send(id string, worker uint32, _ time.Duration) {
+func (f *simulatedHost) Send(id string, worker uint32, _ time.Duration) {
 	o := f.open[id]
 	n := o.n
 	o.n++
@@ -54,21 +54,21 @@
 		f.d.HandleAttemptResult(f.now, policy.AttemptResult{Request: id, Attempt: n, Worker: worker, Status: policy.OK, Latency: run, Final: true})
 	})
 }
-func (f *farm) Refuse(id string, _ time.Duration) { delete(f.open, id); f.lost++; f.decided++ }
-func (f *farm) Fail(id string)                    { delete(f.open, id); f.lost++; f.decided++ }
-func (f *farm) Cancel(string, int)                {}
-func (f *farm) Probe(uint32)                      {}
-func (f *farm) Timer(in time.Duration, token string) {
+func (f *simulatedHost) Refuse(id string, _ time.Duration) { delete(f.open, id); f.lost++; f.decided++ }
+func (f *simulatedHost) Fail(id string)                    { delete(f.open, id); f.lost++; f.decided++ }
+func (f *simulatedHost) Cancel(string, int)                {}
+func (f *simulatedHost) Probe(uint32)                      {}
+func (f *simulatedHost) Timer(in time.Duration, token string) {
 	f.after(in, func() { f.d.HandleTimer(f.now, token) })
 }
-func (f *farm) Watch(bool) {}
-func (f *farm) Fetch()     {}
-func (f *farm) Log(string) {}
+func (f *simulatedHost) Watch(bool) {}
+func (f *simulatedHost) Fetch()     {}
+func (f *simulatedHost) Log(string) {}
 
-// newFarm is one dispatcher with members that hold one job each, so that the
-// load keeps that share of them busy.
-func newFarm(b testing.TB, members int, load float64) *farm {
-	f := &farm{rng: rand.New(rand.NewPCG(1, 2)), now: time.Second, due: indexedheap.New(func(a, b moment) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil), open: make(map[string]*struct{ n int })}
+// newSimulatedHost returns a host with one dispatcher and the given number of workers. The arrival
+// rate keeps the given share of them busy if each runs one job at a time.
+func newSimulatedHost(b testing.TB, members int, load float64) *simulatedHost {
+	f := &simulatedHost{rng: rand.New(rand.NewPCG(1, 2)), now: time.Second, due: indexedheap.New(func(a, b event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil), open: make(map[string]*struct{ n int })}
 	s := policy.Settings{
 		Seed: 7, Instances: 1, Zone: "hall", Kinds: []string{"std"}, ReportsStart: true,
 		Classes: []policy.Class{{Name: "place-hold", Effect: policy.Idempotent, ClientTimeout: 10 * time.Second, LatencyTarget: 400 * time.Millisecond, TargetPerWork: 2.5, Value: 10, Kind: -1}},
@@ -101,12 +101,12 @@
 	return f
 }
 
-// BenchmarkDecision is what the decisions of one job cost, by the size of the
-// fleet: a send, a told start, an outcome, and the timers between.
+// BenchmarkDecision measures the cost of the decisions for one job by the size of the fleet: a send,
+// a reported start, a result, and the timers in between.
 func BenchmarkDecision(b *testing.B) {
 	for _, members := range []int{10, 64, 512, 1000, 5000, 10000} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
-			f := newFarm(b, members, 0.6)
+			f := newSimulatedHost(b, members, 0.6)
 			for until := f.now + time.Second; f.now < until; { // budgets are learned
 				f.step()
 			}
--- a/internal/dispatcher/policy/digest_test.go
+++ b/internal/dispatcher/policy/digest_test.go
@@ -14,10 +14,10 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// digestFile has a line for each play: its number, its actions, and their digest.
+// digestFile has a line for each run: its number, the number of its actions, and their digest.
 const digestFile = "testdata/digests.txt"
 
-// digestSeeds is how many seeds of each world have a digest.
+// digestSeeds is the number of seeds of each random world that have a digest.
 const digestSeeds = 15
 
 // actions records what a dispatcher does; the zero value records nothing.
@@ -53,7 +53,7 @@
 	}
 }
 
-// timer leaves the token out, which means something to the dispatcher alone.
+// timer leaves out the token, which has a meaning only for the dispatcher.
 func (a actions) timer(now, in time.Duration) {
 	if a.trace != nil {
 		a.trace.Begin(now, "timer").Int(int64(in)).End()
@@ -72,21 +72,22 @@
 	}
 }
 
-// playNumbered plays seed by seed the worlds in the order of their names.
-func playNumbered(t *testing.T, number int, withText bool) *digesttest.Trace {
+// runNumbered runs the world and seed with the given number: the worlds are sorted by name, and each
+// has digestSeeds numbers.
+func runNumbered(t *testing.T, number int, withText bool) *digesttest.Trace {
 	names := slices.Sorted(maps.Keys(randomWorlds))
 	name, seed := names[number/digestSeeds], uint64(number%digestSeeds)
 	trace := digesttest.New(withText)
-	playRecorded(t, seed, strings.HasPrefix(name, "subjects"), randomWorlds[name], actions{trace: trace})
+	runRecorded(t, seed, strings.HasPrefix(name, "subjects"), randomWorlds[name], actions{trace: trace})
 	return trace
 }
 
-// TestDecisionDigests holds the actions of a dispatcher under random events to those on file.
+// TestDecisionDigests compares the actions of a dispatcher under random events with the recorded ones.
 func TestDecisionDigests(t *testing.T) {
 	if wanted, ok := digesttest.Traced(); ok {
 		number, err := strconv.Atoi(wanted)
 		require.NoError(t, err)
-		fmt.Print(playNumbered(t, number, true).Text())
+		fmt.Print(runNumbered(t, number, true).Text())
 		return
 	}
 	all := make([]int, digestSeeds*len(randomWorlds))
@@ -95,7 +96,7 @@
 	}
 	var lines []string
 	for _, number := range digesttest.Plays(all) {
-		trace := playNumbered(t, number, false)
+		trace := runNumbered(t, number, false)
 		lines = append(lines, fmt.Sprintf("%d %d %s", number, trace.Lines(), trace.Sum()))
 	}
 	digesttest.Compare(t, digestFile, lines)
--- a/internal/dispatcher/policy/dispatcher.go
+++ b/internal/dispatcher/policy/dispatcher.go
@@ -10,69 +10,69 @@
 	"basaltloft/internal/dispatcher/capacityindex"
 )
 
-// Dispatcher decides for one submitter. Its Handle methods take in events in the order in which
-// they happen; each is given the present time, which never runs backward. They must not be called
-// concurrently.
+// Dispatcher makes the decisions of one dispatcher process. Its Handle methods take events in the
+// order in which they happen; each is given the current time, which never runs backward. They must
+// not be called concurrently.
 type Dispatcher struct {
 	Settings
-	host   Host
-	rng    *rand.Rand
-	now    time.Duration // of the event that is handled
-	bornAt time.Duration // of the first event
+	host         Host
+	rng          *rand.Rand
+	now          time.Duration // of the event being handled
+	firstEventAt time.Duration // of the first event
 
-	// Classes and what was learned; see learning.go.
+	// Classes and learned averages; see learning.go.
 	classes        map[string]*classCost
 	kinds          map[string]*kindStats
 	requiredKinds  []int   // the kinds that classes require, -1 for any
-	meanRun        float64 // mean run time of the classes learned, at the fleet's mean pace
-	meanRunSamples float64 // runs that it is of, up to costWindow
-	meanCost       float64 // mean cost of the jobs that came in
-	slowdown       float64 // recent run times of all workers beside their paces
+	meanRun        float64 // mean run time over all classes, at the fleet's mean pace
+	meanRunSamples float64 // runs in meanRun, up to costWindow
+	meanCost       float64 // mean cost of the jobs that arrived
+	slowdown       float64 // recent run times of all workers, relative to their paces
 	warmupPenalty  float64 // see warmupSlowdown
 	bestPace       float64 // pace of the fastest kind in use
-	// promptShare is the share of the jobs that start promptly, at warm workers and at those
-	// warming up.
+	// promptShare is the share of the jobs that start promptly: at warm workers, and at workers
+	// that are warming up.
 	promptShare [2]float64
 
 	// Jobs without a final answer; see queue.go.
 	jobs map[string]*job
 	seq  uint64 // of the last job
-	// queues has two for each kind, and for jobs of any kind, by width; those of capabilityQueues
-	// follow.
+	// queues has two queues for each kind and two for jobs of any kind: one for jobs of one slot
+	// and one for wider jobs. Those of capabilityQueues follow.
 	queues           []*queue
 	capabilityQueues map[capabilityQueue]*queue
-	lastLossAt       time.Duration // when a job was last given up for want of room; 0: never
+	lastLossAt       time.Duration // when a job was last dropped for lack of capacity; 0: never
 	tickPending      bool
 
 	// Workers; see membership.go and subset.go.
 	workers      []*worker // in the order of their ids
 	byID         map[uint32]*worker
-	tableVersion uint64         // counts changes of who is in the table
-	hasRemoved   bool           // some in the table are listed as removed
-	unresponsive map[string]int // by zone: workers found unresponsive since one gave a sign of life
+	tableVersion uint64         // counts changes of the set of workers
+	hasRemoved   bool           // some workers in the table are listed as removed
+	unresponsive map[string]int // by zone: workers found unresponsive since one last responded
 	watchBackoff time.Duration
-	busy         []*worker // those with attempts in flight
+	busy         []*worker // the workers with attempts in flight
 	subset       []*worker
-	vacant       capacityindex.Set[*worker] // members of the subset that may have room
+	vacant       capacityindex.Set[*worker] // members of the subset that may have capacity
 	searches     uint64                     // searches for a worker so far
-	peakJobs     float64                    // jobs in hand, falling slowly
+	peakJobs     float64                    // number of open jobs; falls slowly
 	refilledAt   time.Duration              // when the subset was last refilled; 0: never
-	crowded      bool                       // see crowdedSharing
+	widelyShared bool                       // each worker is shared by wideSharing dispatchers or more
 
 	// Load reports; see reports.go.
-	probesTellSlots bool // probes are answered with the free slots
-	slotsInX0       bool
-	memoryInX1      bool
-	probeCredit     float64 // probes that may be sent
+	probesReportSlots bool // probe answers report the free slots
+	slotsInX0         bool
+	memoryInX1        bool
+	probeCredit       float64 // probes that may be sent
 
 	// Affinity; see affinity.go.
-	affinities   map[uint32]*affinityStats // by the hash of the key
-	affinityJobs float64                   // jobs with a key, fading
-	homeBuffer   []*worker                 // reused by homes
+	affinities   map[uint32]*affinityStats // by hash of the key
+	affinityJobs float64                   // decaying count of jobs with a key
+	homeBuffer   []*worker                 // reused by each call of homes
 }
 
-// New returns a dispatcher that acts through the host. It fails if a setting is invalid, and the
-// error names the setting.
+// New returns a dispatcher that acts through the host. If a setting is invalid, it returns an error
+// that names the setting.
 func New(s Settings, h Host) (*Dispatcher, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -97,19 +97,18 @@
 	}
 	d.meanRun = float64(s.Classes[0].LatencyTarget) / 2
 	d.setClassesAndLimits(s)
-	d.probesTellSlots = d.slotsInX0 && s.Limits.Probes
+	d.probesReportSlots = d.slotsInX0 && s.Limits.Probes
 	for range 2 * (len(s.Kinds) + 1) {
 		d.queues = append(d.queues, &queue{})
 	}
 	return d, nil
 }
 
-// Reconfigure takes new settings of classes and limits; the rest stays as it was
-// set at New. A class that is new is in use for what comes from now on, one
-// that is gone takes nothing more, one that changed is new from now on but
-// keeps what was learned of its costs. Jobs under way keep the class and the
-// number of attempts that they came with. It fails, and changes nothing, if a
-// setting is invalid.
+// Reconfigure replaces the classes and limits; all other settings stay as they were given to New.
+// The new classes apply to requests that arrive from now on: requests of a removed class are
+// refused, and a changed class keeps its learned costs. Jobs in progress keep the class and the
+// maximum number of attempts that were in force when they arrived. If a setting is invalid,
+// Reconfigure returns an error and changes nothing.
 func (d *Dispatcher) Reconfigure(now time.Duration, s Settings) error {
 	next := d.Settings
 	next.Classes, next.Limits = s.Classes, s.Limits
@@ -121,15 +120,15 @@
 	return nil
 }
 
-// setClassesAndLimits takes the classes and limits of valid settings. A class that was there before keeps
-// what was learned of its costs.
+// setClassesAndLimits sets the classes and limits, which must be valid. A class that existed before
+// keeps its learned costs.
 func (d *Dispatcher) setClassesAndLimits(s Settings) {
 	classes := make(map[string]*classCost, len(s.Classes))
 	for _, c := range s.Classes {
 		cost := &classCost{Class: c, runPerHint: 1}
 		if old := d.classes[c.Name]; old != nil {
 			cost.runPerHint, cost.meanRun, cost.samples = old.runPerHint, old.meanRun, old.samples
-			cost.longestPatience = old.longestPatience
+			cost.longestTimeLeft = old.longestTimeLeft
 		}
 		classes[c.Name] = cost
 		if !slices.Contains(d.requiredKinds, c.Kind) {
@@ -142,8 +141,8 @@
 	}
 }
 
-// HandleRequest takes in a request. One of an unknown class is refused; one whose id is that of a
-// job in hand is ignored.
+// HandleRequest handles a new request. A request of an unknown class is refused; one with the id of
+// an open job is ignored.
 func (d *Dispatcher) HandleRequest(now time.Duration, r Request) {
 	d.beginEvent(now)
 	c := d.classes[r.Class]
@@ -162,18 +161,18 @@
 	slack := float64(j.answerBy-now) - j.expectedRun*d.bestPace*d.slowdown
 	j.agesAt = now + time.Duration(max(0, min(agingMultiple*j.cost, slack/2)))
 	d.growSubset()
-	if d.hopeless(j) {
+	if d.tooLate(j) {
 		d.answerUnserved(j)
 		return
 	}
 	d.enqueue(j)
 	d.dispatchQueued()
-	if d.crowded && j.queue != nil {
+	if d.widelyShared && j.queue != nil {
 		d.probeOldestReports()
 	}
 }
 
-// HandleAttemptResult takes in the end of an attempt. One that is not in flight is ignored.
+// HandleAttemptResult handles the end of an attempt. An attempt that is not in flight is ignored.
 func (d *Dispatcher) HandleAttemptResult(now time.Duration, o AttemptResult) {
 	d.beginEvent(now)
 	a := d.attempt(o.Request, o.Attempt)
@@ -192,7 +191,7 @@
 	case a.job.answered || a.job.inFlight > 0:
 	case d.wouldFailAgain(a, o.Status):
 		d.answerUnserved(a.job)
-	case d.mayRetry(a.job) && !d.hopeless(a.job) && d.takeRetryBudget(a.job):
+	case d.mayRetry(a.job) && !d.tooLate(a.job) && d.takeRetryBudget(a.job):
 		d.enqueue(a.job)
 	default:
 		d.answerUnserved(a.job)
@@ -200,7 +199,7 @@
 	d.dispatchQueued()
 }
 
-// HandleProbeResult takes in the answer to a probe.
+// HandleProbeResult handles the result of a probe.
 func (d *Dispatcher) HandleProbeResult(now time.Duration, p ProbeResult) {
 	d.beginEvent(now)
 	w := d.byID[p.Worker]
@@ -210,7 +209,7 @@
 	w.probePending = false
 	d.applyReport(w, p.Report, 0)
 	switch {
-	case p.Status == OK && w.overdueJobs < 2: // a hung worker may answer probes: then it must end a job
+	case p.Status == OK && w.overdueJobs < 2: // a hung worker may answer probes: it must end a job then
 		d.clearSuspicion(w)
 	case p.Status == ConnectFailed:
 		d.suspectWorker(w, true)
@@ -218,14 +217,14 @@
 	d.dispatchQueued()
 }
 
-// HandleTimer takes in a timer of the host's that has come due.
+// HandleTimer handles a timer of the host that has come due.
 func (d *Dispatcher) HandleTimer(now time.Duration, token string) {
 	d.beginEvent(now)
 	d.tickPending = d.tickPending && token != tickToken
 	if len(d.busy) < manyMembers || token == tickToken {
 		d.checkAllOverdue()
 	} else if d.armTick(); token == overdueToken || token == startToken {
-		return // the tick looks at what is due
+		return // the tick checks for overdue attempts
 	}
 	if token == recheckToken {
 		d.recheckSuspects()
@@ -240,7 +239,7 @@
 	d.probeOldestReports()
 }
 
-// HandleMembers takes in news of the worker list, or that a call for it failed.
+// HandleMembers handles an update of the worker list, or a failed call for it.
 func (d *Dispatcher) HandleMembers(now time.Duration, kind ListKind, entries []Member) {
 	d.beginEvent(now)
 	if d.PullsMembership {
@@ -253,7 +252,7 @@
 	d.dispatchQueued()
 }
 
-// HandleClientGone takes in that a request has ended without an answer of this dispatcher, as its
+// HandleClientGone handles the end of a request without an answer of this dispatcher, because its
 // client has gone.
 func (d *Dispatcher) HandleClientGone(now time.Duration, id string) {
 	d.beginEvent(now)
@@ -263,7 +262,7 @@
 	d.dispatchQueued()
 }
 
-// HandleStreamStart takes in the start of a streamed answer, which is the job's answer.
+// HandleStreamStart handles the start of a streamed answer, which counts as the job's final answer.
 func (d *Dispatcher) HandleStreamStart(now time.Duration, f StreamStart) {
 	d.beginEvent(now)
 	if a := d.attempt(f.Request, f.Attempt); a != nil {
@@ -273,7 +272,7 @@
 	}
 }
 
-// HandleAttemptUpdate takes in news of an attempt in flight.
+// HandleAttemptUpdate handles an update about an attempt in flight.
 func (d *Dispatcher) HandleAttemptUpdate(now time.Duration, n AttemptUpdate) {
 	d.beginEvent(now)
 	a := d.attempt(n.Request, n.Attempt)
@@ -286,21 +285,21 @@
 		a.overdueAt = d.overdueTime(a)
 		d.host.Timer(a.overdueAt-now, overdueToken)
 		d.recordStart(a)
-		a.job.startedAttempt = cmp.Or(a.job.startedAttempt, a) // the first copy that starts is kept
+		a.job.startedAttempt = cmp.Or(a.job.startedAttempt, a) // the first attempt that starts is kept
 		d.cancelOthers(a.job, a.job.startedAttempt)
 	}
 }
 
-// beginEvent sets the time of the event that is handled.
+// beginEvent sets the time of the event being handled.
 func (d *Dispatcher) beginEvent(now time.Duration) {
 	d.pruneQueues()
-	if d.bornAt == 0 {
-		d.bornAt = now
+	if d.firstEventAt == 0 {
+		d.firstEventAt = now
 	}
 	d.now = now
 }
 
-// log writes a line for the staff on call.
+// log writes a line to the operators' log.
 func (d *Dispatcher) log(format string, args ...any) { d.host.Log(fmt.Sprintf(format, args...)) }
 
 // jitter returns a random duration between 0.75 and 1.25 times t.
@@ -308,7 +307,7 @@
 	return time.Duration(float64(t) * (0.75 + 0.5*d.rng.Float64()))
 }
 
-// boolToInt is 1 for true.
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
--- a/internal/dispatcher/policy/events.go
+++ b/internal/dispatcher/policy/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ListKind says what HandleMembers is given.
+// ListKind is the kind of list that HandleMembers is given.
 type ListKind uint8
 
 // Kinds of lists.
@@ -10,7 +10,7 @@
 	ListDelta    ListKind = iota // the entries that changed
 	ListSnapshot                 // the entire list
 	ListRestored                 // the entire list as last seen, possibly old
-	ListFailed                   // a call for the list failed; no entries
+	ListFailed                   // a call for the list failed; there are no entries
 )
 
 // MemberState is the state of a worker in a list.
@@ -19,7 +19,7 @@
 // States of a listed worker.
 const (
 	Ready    MemberState = iota
-	Draining             // it gets no new work until a later start
+	Draining             // it gets no new work until it is restarted
 	Removed
 )
 
@@ -31,46 +31,46 @@
 	Zone         string
 	State        MemberState
 	StartedAt    time.Duration // its latest start; 0: long past
-	Weight       float64       // size beside other workers; 0: not told
-	Capabilities []string      // that it offers; nil: all
+	Weight       float64       // size relative to other workers; 0: unknown
+	Capabilities []string      // the ones it offers; nil: all
 }
 
 // Request is a client's request.
 type Request struct {
-	ID             string        // unique among the requests in hand
+	ID             string        // unique among the open requests
 	Class          string        // the name of one of Settings.Classes
 	AffinityKey    string        // jobs of one key need the same data, which workers may keep; empty: none
-	NoDedupKey     bool          // workers are told no key, so that they know no repeat
-	Hint           time.Duration // estimated work; 0: not told
+	NoDedupKey     bool          // workers get no deduplication key, so they can't detect a repeat
+	Hint           time.Duration // estimated run time; 0: unknown
 	Deadline       time.Duration // when the client gives up
-	Slots          float64       // that it takes; 0 counts as 1
-	Memory         float64       // that it takes, in the unit of the reports
+	Slots          float64       // slots that it takes; 0 counts as 1
+	Memory         float64       // memory that it takes, in the unit of the reports
 	Retry          bool          // a client's retry; see Settings.ClientsMarkRetries
-	KnownFirst     bool          // known to be no retry, however near its deadline
-	NoRetryOnError bool          // an error ends it: its sender retries by rules of its own
+	KnownFirst     bool          // known to be a first try, however near its deadline is
+	NoRetryOnError bool          // an error ends it: its sender has its own rules for retries
 	Capability     string        // only workers that offer it may get the request; empty: any
 
-	ExcludedWorker uint32 // this one may not get it; 0: none
-	ExcludedZone   string // nor may any in this zone; empty: none
+	ExcludedWorker uint32 // this worker must not get it; 0: none
+	ExcludedZone   string // no worker in this zone may get it; empty: none
 }
 
-// Status is how an attempt or probe ended.
+// Status is the way in which an attempt or probe ended.
 type Status uint8
 
 // Ends of attempts and probes.
 const (
 	OK             Status = iota
 	Error                 // the worker answered with an error; it may have run
-	Rejected              // the worker had no room; see Rules.RejectedMayHaveRun
+	Rejected              // the worker had no capacity; see Rules.RejectedMayHaveRun
 	TimedOut              // no answer in time; it may have run, or still run
 	ConnectFailed         // no connection was made
 	Reset                 // the connection broke; it may have run
 	Cancelled             // it may have run
 	NotSent               // never sent
-	InvalidRequest        // the worker can't use the request, and no other could; it may have run
+	InvalidRequest        // the request is invalid at every worker; it may have run
 )
 
-// AttemptResult is how an attempt ended. Each send gets exactly one.
+// AttemptResult is the end of an attempt. Each send gets exactly one.
 type AttemptResult struct {
 	Request string
 	Attempt int
@@ -78,7 +78,7 @@
 	Status  Status
 	Final   bool          // the request has its final answer
 	Latency time.Duration // since the send
-	Report  Report        // that came with it, if any
+	Report  Report        // the load report that came with it, if any
 }
 
 // ProbeResult is the answer to a probe.
@@ -89,10 +89,10 @@
 	Report  Report
 }
 
-// Report is a worker's load report. Only the fields in Has were told.
+// Report is a worker's load report. Only the fields in Has were reported.
 type Report struct {
 	Has        ReportField
-	InFlight   float64 // requests that it holds
+	InFlight   float64 // requests at the worker
 	Queue      float64 // requests waiting
 	Util       float64 // share of its cores in use
 	LatencyMS  float64 // recent service time, in milliseconds
@@ -116,16 +116,16 @@
 	HasX1
 )
 
-// UpdateKind says what an AttemptUpdate tells.
+// UpdateKind is the kind of an AttemptUpdate.
 type UpdateKind uint8
 
 // Kinds of updates. The simulator's line protocol carries the numbers.
 const (
-	UpdateStarted  UpdateKind = 1 // the attempt runs
+	UpdateStarted  UpdateKind = 1 // the attempt has started to run
 	UpdateProgress UpdateKind = 2
 )
 
-// AttemptUpdate is news of an attempt in flight.
+// AttemptUpdate is an update about an attempt in flight.
 type AttemptUpdate struct {
 	Request string
 	Attempt int
@@ -134,7 +134,8 @@
 	Value   float64 // UpdateProgress: the share done, 0 to 1
 }
 
-// StreamStart reports that a streamed answer has started; the attempt now belongs to the client.
+// StreamStart reports that a streamed answer has started. From then on the attempt serves the client
+// directly and is not retried.
 type StreamStart struct {
 	Request string
 	Attempt int
--- a/internal/dispatcher/policy/example_test.go
+++ b/internal/dispatcher/policy/example_test.go
@@ -7,7 +7,7 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// printer is a host that prints its actions; a real one sends jobs and sets timers.
+// printer is a host that prints its actions; a real host sends jobs and sets timers.
 type printer struct{}
 
 func (printer) Send(id string, worker uint32, _ time.Duration) { fmt.Println("send", id, "to", worker) }
@@ -31,7 +31,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Duration(0) // since a clock of the host's choice
+	now := time.Duration(0) // since a moment that the host chooses
 	d.HandleMembers(now, policy.ListSnapshot, []policy.Member{{Number: 7}})
 	d.HandleRequest(now, policy.Request{ID: "r1", Class: "report", Deadline: now + 10*time.Second})
 	now += 300 * time.Millisecond
--- a/internal/dispatcher/policy/health.go
+++ b/internal/dispatcher/policy/health.go
@@ -5,21 +5,20 @@
 const (
 	// errorWindow is the number of jobs in the moving error rate of a worker.
 	errorWindow = 20.0
-	// minErrorRate: a smaller error rate is put down to the jobs.
+	// minErrorRate: an error rate up to this one is attributed to the jobs, not to the worker.
 	minErrorRate = 0.04
-	// errorRateMultiple: and so is one under this multiple of the error rate of the other workers.
+	// errorRateMultiple: so is an error rate up to this multiple of that of the other workers.
 	errorRateMultiple = 3.0
-	// minRecheckDelay is the first delay until a suspect worker is tried again.
+	// minRecheckDelay is the first delay until a suspect worker is rechecked.
 	minRecheckDelay = 250 * time.Millisecond
-	// maxRecheckDelay is the longest.
+	// maxRecheckDelay is the longest delay until a suspect worker is rechecked.
 	maxRecheckDelay = 4 * time.Second
-	// atMostOnceRecheck: a worker on probation that was left alone for so long is tried with any
-	// job.
+	// atMostOnceRecheck: a worker on probation that got no job for so long may get any job, even
+	// an at-most-once one.
 	atMostOnceRecheck = 8 * time.Second
 )
 
-// learnFromResult takes in what the end of an attempt says of its worker: of its pace, its budget
-// and its health.
+// learnFromResult updates the pace, budget and health of a worker from the end of an attempt.
 func (d *Dispatcher) learnFromResult(a *attempt, o AttemptResult) {
 	w := a.worker
 	switch o.Status {
@@ -33,30 +32,31 @@
 		a.failed = true
 		d.recordError(w)
 	case InvalidRequest:
-		// It says nothing of the worker: else one client's bad input would eject them all in turn.
+		// It shows nothing about the worker: otherwise one client's bad input would eject all
+		// workers in turn.
 		d.recordContact(w)
-	case NotSent: // which proves little, but other workers are tried first
+	case NotSent: // it shows little about the worker, but other workers are tried first
 		a.cancelled = true
-	case TimedOut, ConnectFailed, Reset: // whether the process died shows when the next attempt fails
+	case TimedOut, ConnectFailed, Reset: // the next attempt shows whether the process died
 		if d.shrinkBudget(w, a.sentAt); o.Status != TimedOut {
 			d.suspectWorker(w, o.Status == ConnectFailed)
 		}
 	}
 }
 
-// learnFromSuccess takes in an attempt that served its job.
+// learnFromSuccess updates a worker's state from an attempt that served its job.
 func (d *Dispatcher) learnFromSuccess(a *attempt) {
 	w := a.worker
 	w.addEndedJob(0)
-	w.overdueJobs, w.recheckDelay = 0, w.recheckDelay/2 // trust returns step by step
+	w.overdueJobs, w.recheckDelay = 0, w.recheckDelay/2 // the delay shrinks gradually
 	w.failing = w.failing && d.failsMoreThanPeers(w)
 	d.clearSuspicion(w)
-	slow := float64(d.now-a.sentAt) > slowAnswer*a.expectedRun*w.pace()*d.slowdown+float64(tickInterval)
+	slow := float64(d.now-a.sentAt) > slowMultiple*a.expectedRun*w.pace()*d.slowdown+float64(tickInterval)
 	from := a.sentAt
-	if a.startedAt != 0 { // what the run took says nothing of the load then
+	if a.startedAt != 0 { // the run time alone shows nothing about the load
 		from, slow = a.startedAt, false
 	}
-	if !a.overdue && (a.startedAt != 0 || a.foundFreeSlot) { // a hang or a wait is no run time
+	if !a.overdue && (a.startedAt != 0 || a.foundFreeSlot) { // without a hang or a wait
 		d.learn(a, float64(d.now-from))
 	}
 	if slow {
@@ -66,8 +66,9 @@
 	}
 }
 
-// recordError takes in an error. A worker that fails all, or many, looks idle and fast, and would
-// draw all work: it is on probation then, whatever single jobs end well between.
+// recordError records an error of a worker. A worker that fails all or many of its jobs looks idle
+// and fast and would attract all work, so it is put on probation, even if single jobs succeed in
+// between.
 func (d *Dispatcher) recordError(w *worker) {
 	d.recordContact(w)
 	w.addEndedJob(1)
@@ -77,13 +78,14 @@
 }
 
 // failsMoreThanPeers reports whether a worker fails a larger share of its jobs than the others do.
-// Errors as likely at all are the requests' own.
+// Errors that are equally likely at all workers are attributed to the requests.
 func (d *Dispatcher) failsMoreThanPeers(w *worker) bool {
 	return w.failedJobs/w.endedJobs > max(minErrorRate, errorRateMultiple*d.errorRateElsewhere(w))
 }
 
-// heldByProbation reports whether a worker that fails many of its jobs is no place for this one: it
-// gets one at a time, of those that may be sent again elsewhere, until its share has fallen.
+// heldByProbation reports whether probation keeps a job from a worker. Until its error rate has
+// fallen, a worker on probation gets one job at a time, and only jobs that may be retried elsewhere,
+// except after atMostOnceRecheck.
 func (d *Dispatcher) heldByProbation(w *worker, j *job) bool {
 	if !w.failing {
 		return false
@@ -91,8 +93,9 @@
 	return len(w.attempts) > 0 || j.effect() == AtMostOnce && d.now < w.lastSendAt+atMostOnceRecheck
 }
 
-// errorRateElsewhere is the share of jobs that end in error at the other workers in use, of which
-// those on probation say nothing unless they are the most. Few ends say little.
+// errorRateElsewhere returns the share of jobs that end in error at the other workers of the subset.
+// Workers on probation are left out unless they are the majority. The counts start at
+// errorWindow/4 jobs without an error, so that few ended jobs have little weight.
 func (d *Dispatcher) errorRateElsewhere(w *worker) float64 {
 	ends, bad, failing := [2]float64{errorWindow / 4, errorWindow / 4}, [2]float64{}, 0
 	for _, o := range d.subset {
@@ -107,29 +110,29 @@
 	return bad[0] / ends[0]
 }
 
-// addEndedJob takes a job's end into the share of those that end in error; bad is 1 for one that
-// does.
+// addEndedJob adds an ended job to the worker's error rate; bad is 1 for an error and 0 otherwise.
 func (w *worker) addEndedJob(bad float64) {
 	w.endedJobs += 1 - w.endedJobs/errorWindow
 	w.failedJobs += bad - w.failedJobs/errorWindow
 }
 
-// suspectWorker holds new work back from a worker until it is tried again, each time after a longer
-// delay.
+// suspectWorker marks a worker as suspect, so that it gets no new work until it is rechecked. The
+// delay doubles each time.
 func (d *Dispatcher) suspectWorker(w *worker, down bool) {
 	if w.unreachable = w.unreachable || down; !w.suspect {
 		w.suspect = true
 		d.recordUnresponsive(w)
-		d.log("worker %d is silent, down or failing: no new work, %d jobs out", w.Number, len(w.attempts))
+		d.log("worker %d is unresponsive, down or failing: no new jobs, %d attempts in flight",
+			w.Number, len(w.attempts))
 	}
 	w.recheckDelay = min(max(2*w.recheckDelay, minRecheckDelay), maxRecheckDelay)
 	d.scheduleRecheck(w, d.jitter(w.recheckDelay))
 }
 
-// clearSuspicion takes in a sign that a worker serves jobs.
+// clearSuspicion handles evidence that a worker serves jobs: the worker is no longer suspect.
 func (d *Dispatcher) clearSuspicion(w *worker) {
 	d.recordContact(w)
-	if w.suspect && w.unreachable { // it may have come back as a new process before the list tells
+	if w.suspect && w.unreachable { // it may be a new process that the list does not show yet
 		d.log("worker %d answers again", w.Number)
 		w.unreachable, w.warmingSince = false, d.now
 		w.budget = min(w.budget, initialBudget*d.meanCost)
@@ -138,9 +141,9 @@
 	w.suspect = false
 }
 
-// recheckSuspects tries the suspect workers of the subset whose delay is over: with a probe, or,
-// where it fails jobs or can't be probed, with jobs, since no probe tells that it serves them
-// again.
+// recheckSuspects rechecks the suspect workers of the subset whose delay is over: with a probe, or
+// with jobs if the worker is failing or can't be probed. A probe does not show whether a failing
+// worker serves jobs again.
 func (d *Dispatcher) recheckSuspects() {
 	for _, w := range d.subset {
 		if !w.suspect || d.now < w.recheckAt {
@@ -153,19 +156,19 @@
 	}
 }
 
-// scheduleRecheck sets the time at which a suspect worker is tried again.
+// scheduleRecheck sets the time at which a suspect worker is rechecked.
 func (d *Dispatcher) scheduleRecheck(w *worker, in time.Duration) {
 	w.recheckAt = d.now + in
 	d.host.Timer(in, recheckToken)
 }
 
-// recordContact takes in a sign of life.
+// recordContact records that a worker has responded.
 func (d *Dispatcher) recordContact(w *worker) {
 	w.lastContact = d.now
 	delete(d.unresponsive, w.Zone)
 }
 
-// recordUnresponsive takes in that a worker gives no sign of life.
+// recordUnresponsive records that a worker does not respond.
 func (d *Dispatcher) recordUnresponsive(w *worker) {
 	d.unresponsive[w.Zone]++
 	if d.affinityJobs > 0 { // it may be a home outside the subset
--- a/internal/dispatcher/policy/internal_test.go
+++ b/internal/dispatcher/policy/internal_test.go
@@ -8,30 +8,31 @@
 	"time"
 )
 
-type mute struct{}
+// nopHost is a host that does nothing.
+type nopHost struct{}
 
-func (mute) Send(string, uint32, time.Duration) {}
-func (mute) Refuse(string, time.Duration)       {}
-func (mute) Fail(string)                        {}
-func (mute) Cancel(string, int)                 {}
-func (mute) Probe(uint32)                       {}
-func (mute) Timer(time.Duration, string)        {}
-func (mute) Watch(bool)                         {}
-func (mute) Fetch()                             {}
-func (mute) Log(string)                         {}
+func (nopHost) Send(string, uint32, time.Duration) {}
+func (nopHost) Refuse(string, time.Duration)       {}
+func (nopHost) Fail(string)                        {}
+func (nopHost) Cancel(string, int)                 {}
+func (nopHost) Probe(uint32)                       {}
+func (nopHost) Timer(time.Duration, string)        {}
+func (nopHost) Watch(bool)                         {}
+func (nopHost) Fetch()                             {}
+func (nopHost) Log(string)                         {}
 
-// TestStateDoesNotGrow serves jobs for long while every worker is replaced again and again, and counts
-// what is kept.
+// TestStateDoesNotGrow serves jobs for a long time while all workers are replaced again and again, and
+// counts the entries kept.
 func TestStateDoesNotGrow(t *testing.T) {
 	longRun(t, false, 60)
-	longRun(t, true, 600) // workers called gone are kept for a minute: 20 rounds of five, and as many drains
+	longRun(t, true, 600) // workers listed as removed are kept for a minute: 20 rounds of five, and as many drains
 }
 
-func longRun(t *testing.T, claims bool, most int) {
+func longRun(t *testing.T, removedMayServe bool, most int) {
 	d, err := New(Settings{Instances: 2, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2},
 		Classes: []Class{{Name: "c", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
-		Rules:   Rules{ColdCapacity: 0.3, WarmupTime: time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, RemovedMayServe: claims},
-	}, mute{})
+		Rules:   Rules{ColdCapacity: 0.3, WarmupTime: time.Second, ColdOverloadMultiple: 3, ColdOverloadWindow: time.Second, RemovedMayServe: removedMayServe},
+	}, nopHost{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +47,7 @@
 			id := fmt.Sprint(round, "-", i)
 			d.HandleRequest(now, Request{ID: id, Class: "c", Hint: 50 * time.Millisecond, Deadline: now + 5*time.Second})
 			now += 300 * time.Millisecond
-			for _, id := range slices.Sorted(maps.Keys(d.jobs)) { // also one that was held before
+			for _, id := range slices.Sorted(maps.Keys(d.jobs)) { // including those queued in earlier rounds
 				if j := d.jobs[id]; j.inFlight > 0 {
 					d.HandleAttemptResult(now, AttemptResult{Request: id, Worker: j.attempts[0].worker.Number, Final: true})
 				}
@@ -62,30 +63,31 @@
 		kept += len(w.attempts) + len(w.slowStartSends)
 	}
 	if kept > most {
-		t.Errorf("%d things kept after 5000 jobs on 2500 workers", kept)
+		t.Errorf("%d entries kept after 5000 jobs on 2500 workers", kept)
 	}
 }
 
-// TestWarmupPenaltyStaysANumber: a worker that starts with all of its capacity, or with none, must not make the learned
-// warming, and all averages with it, no number.
-func TestWarmupPenaltyStaysANumber(t *testing.T) {
+// TestWarmupPenaltyIsNeverNaN guards against a worker that starts with its full capacity, or with none,
+// making the learned warm-up penalty NaN, and with it all averages.
+func TestWarmupPenaltyIsNeverNaN(t *testing.T) {
 	for _, from := range []float64{0, 1} {
 		d := &Dispatcher{Settings: Settings{Rules: Rules{ColdCapacity: from, WarmupTime: time.Second}}, now: time.Minute, warmupPenalty: 0.25}
 		w := &worker{warmingSince: time.Minute}
 		d.learnWarmupPenalty(w, 1, 1)
 		if d.warmupPenalty != d.warmupPenalty || d.warmupSlowdown(w) != d.warmupSlowdown(w) {
-			t.Errorf("from %v: chill %v, chilled %v", from, d.warmupPenalty, d.warmupSlowdown(w))
+			t.Errorf("from %v: warm-up penalty %v, slowdown %v", from, d.warmupPenalty, d.warmupSlowdown(w))
 		}
 	}
 }
 
-// TestDrawsOfAWindowLieEvenly: the draws of all instances for a cold worker and a window of the rule lie one in each
-// part of as many equal ones, so that a chance of k in n is won by k of n; and who wins changes with the window.
-func TestDrawsOfAWindowLieEvenly(t *testing.T) {
+// TestSlowStartDrawsAreEvenlySpread checks that, of the draws of n instances for a cold worker and a
+// window of the rule, one lies in each of n equal parts, so that a chance of k in n is won by k of the n
+// instances. The winners change from window to window.
+func TestSlowStartDrawsAreEvenlySpread(t *testing.T) {
 	const windows = 40
 	for _, n := range []int{1, 2, 3, 5, 16, 17, 80, 300} {
 		for _, id := range []uint32{1, 2, 77, 1 << 30} {
-			first := make(map[int]bool) // the ranks that draw the least
+			first := make(map[int]bool) // the ranks with the smallest draw
 			for window := 1; window <= windows; window++ {
 				taken := make([]bool, n)
 				for rank := range n {
@@ -102,7 +104,7 @@
 				}
 			}
 			if len(first) < min(n, windows)/2 {
-				t.Errorf("%d instances, worker %d: only %d of them ever draw the least", n, id, len(first))
+				t.Errorf("%d instances, worker %d: only %d of them ever have the smallest draw", n, id, len(first))
 			}
 		}
 	}
--- a/internal/dispatcher/policy/job.go
+++ b/internal/dispatcher/policy/job.go
@@ -9,48 +9,48 @@
 type attempt struct {
 	job           *job
 	worker        *worker
-	listing       Member // the worker as it was listed at the send: the scope of a key goes by that
+	listing       Member // of the worker at the send, for the scope of the deduplication key
 	number        int    // counted from 0
 	sentAt        time.Duration
 	overdueAt     time.Duration
-	startedAt     time.Duration // 0: not told
+	startedAt     time.Duration // 0: not reported
 	expectedRun   float64       // at the fleet's mean pace
 	cost          float64       // what it counts against the worker's budget
 	slots         float64
 	inFlight      bool
 	waiting       bool // it did not start promptly
-	foundFreeSlot bool // the time to its end is run time
-	overdue       bool // found overdue
-	cancelled     bool // or never sent
+	foundFreeSlot bool // the worker was not full at the send, so the time to its end is run time
+	overdue       bool // was found overdue
+	cancelled     bool // cancelled, or never sent
 	failed        bool // ended in error
 }
 
-// job is a request that has no final answer yet, or one whose last attempts are being cancelled.
+// job is a request without a final answer, or one whose last attempts are being cancelled.
 type job struct {
 	Request
 	class        *classCost
-	affinity     *affinityStats // nil: the request has no affinity key
-	seq          uint64         // in the order of arrival
+	affinity     *affinityStats // nil: the job has no affinity key
+	seq          uint64         // arrival number
 	expectedRun  float64        // at the fleet's mean pace
 	cost         float64        // expectedRun times the slots
 	valuePerCost float64
-	answerBy     time.Duration // a later answer is worth nothing
-	maxAttempts  int           // the limit when it came
+	answerBy     time.Duration // a later answer has no value
+	maxAttempts  int           // the limit in force when the job arrived
 
 	// In the queue.
 	queue    *queue // nil: not queued
 	index    int    // in queue.jobs
 	queuedAt time.Duration
-	agesAt   time.Duration // no shorter job passes it from then on
+	agesAt   time.Duration // from then on no shorter job is sent before it
 	aged     bool
 
-	// Sent.
-	attempts        []*attempt // by their numbers
-	inFlight        int
-	firstMayHaveRun *attempt // the first that has ended and may have run; nil: none
-	startedAttempt  *attempt // the first that told its start, while it is in flight; nil: none
-	paidAttempts    int      // the highest number that was taken from the shared budget
-	answered        bool     // it has its final answer, or a stream that is the client's
+	// Once sent.
+	attempts         []*attempt // indexed by attempt number
+	inFlight         int
+	firstMayHaveRun  *attempt // the first one that has ended and may have run; nil: none
+	startedAttempt   *attempt // the first one whose start was reported, while it is in flight; nil: none
+	budgetedAttempts int      // the number of the latest attempt taken from the shared retry budget
+	answered         bool     // it has its final answer, or a streamed answer has started
 }
 
 // inFlightAt reports whether a job has an attempt in flight at a worker.
@@ -65,7 +65,7 @@
 	})
 }
 
-// newJob puts a request into the table of jobs and its cost into the mean.
+// newJob adds a request to the table of jobs and its cost to the mean cost.
 func (d *Dispatcher) newJob(c *classCost, r Request) *job {
 	d.seq++
 	r.Slots = max(1, r.Slots)
@@ -79,7 +79,8 @@
 	return j
 }
 
-// closeJob forgets a job that has its final answer, and cancels what is still in flight.
+// closeJob removes a job that has its final answer from the table. If attempts are still in flight,
+// it cancels them and keeps the job until they have ended.
 func (d *Dispatcher) closeJob(j *job) {
 	d.dequeue(j)
 	if j.inFlight == 0 {
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// newAttempt returns the job's next attempt, which is not in any table yet.
+// newAttempt returns the job's next attempt without adding it to any table.
 func (d *Dispatcher) newAttempt(j *job, w *worker) *attempt {
 	return &attempt{
 		job: j, worker: w, listing: w.Member, number: len(j.attempts), sentAt: d.now,
@@ -123,11 +124,11 @@
 		d.host.Timer(promptStart, startToken)
 	}
 	if d.hedgeable(j) && len(j.attempts) == 1 {
-		d.host.Timer(d.latestStart(j)-d.now, chanceToken)
+		d.host.Timer(d.latestStart(j)-d.now, latestStartToken)
 	}
 }
 
-// recordSend puts an attempt that is sent into the tables and sums.
+// recordSend adds a sent attempt to the tables and sums.
 func (d *Dispatcher) recordSend(a *attempt) {
 	j, w := a.job, a.worker
 	j.attempts = append(j.attempts, a)
@@ -142,7 +143,7 @@
 	d.reindex(w)
 }
 
-// releaseAttempt takes an attempt that has ended out of the tables and sums.
+// releaseAttempt removes an attempt that has ended from the tables and sums.
 func (d *Dispatcher) releaseAttempt(a *attempt) {
 	w := a.worker
 	a.inFlight = false
@@ -167,7 +168,7 @@
 	w.freeMemory += a.job.Memory
 }
 
-// cancelAttempt cancels an attempt, once.
+// cancelAttempt cancels an attempt unless it was cancelled before or cancelling is not allowed.
 func (d *Dispatcher) cancelAttempt(a *attempt) {
 	if d.Limits.Cancel && !a.cancelled {
 		a.cancelled = true
@@ -175,7 +176,7 @@
 	}
 }
 
-// cancelOthers cancels the attempts of a job that are in flight, but for one (nil: all of them).
+// cancelOthers cancels the attempts of a job that are in flight, except the kept one (nil: all).
 func (d *Dispatcher) cancelOthers(j *job, kept *attempt) {
 	for _, a := range j.attempts {
 		if a.inFlight && a != kept {
--- a/internal/dispatcher/policy/learning.go
+++ b/internal/dispatcher/policy/learning.go
@@ -13,25 +13,26 @@
 	// paceWindow is the number of jobs in the moving averages of a worker's pace and of the
 	// slowdown of all.
 	paceWindow = 12.0
-	// maxRunRatio bounds what a single run counts: as at most so many times the expected run time,
-	// and at least its inverse.
+	// maxRunRatio limits the weight of a single run: its ratio to the expected run time counts as at
+	// most maxRunRatio and at least 1/maxRunRatio.
 	maxRunRatio = 3.0
 )
 
-// classCost is the learned run time of a class: per unit of hint, and plainly.
+// classCost is the learned run time of a class: per unit of hint, and as a plain mean.
 type classCost struct {
 	Class
 	runPerHint, meanRun float64 // at the fleet's mean pace
-	longestPatience     time.Duration
-	samples             float64 // how many runs the averages are of, up to costWindow
+	longestTimeLeft     time.Duration
+	samples             float64 // runs in the averages, up to costWindow
 }
 
-// kindStats is what is known of the workers of one kind.
+// kindStats holds what was learned of the workers of one kind.
 type kindStats struct {
-	pace     float64 // their run times beside the fleet's mean
-	maxSlots float64 // most free slots, or slots of own jobs that ran side by side, seen at one
+	pace     float64 // their run times relative to the fleet's mean
+	maxSlots float64 // most free slots, or slots of concurrent own jobs, seen at one worker
 }
 
+// kindOf returns the statistics of a kind, which it creates if needed.
 func (d *Dispatcher) kindOf(name string) *kindStats {
 	k := d.kinds[name]
 	if k == nil {
@@ -41,7 +42,7 @@
 	return k
 }
 
-// fastest is the pace of the fastest kind.
+// fastest returns the pace of the fastest kind.
 func (d *Dispatcher) fastest() float64 {
 	best := math.Inf(1)
 	for _, k := range d.kinds {
@@ -50,18 +51,19 @@
 	return best
 }
 
-// pace is a worker's run times beside the fleet's mean.
+// pace returns a worker's run time relative to the fleet's mean: the lower, the faster.
 func (w *worker) pace() float64 { return w.kind.pace * w.relativePace }
 
-// addPaceSample counts a run, and tells how many its own pace is the mean of: the first ones say
-// much to a dispatcher that sends few jobs there, beside two that were as long as expected.
+// addPaceSample counts a run and returns the number of runs that the worker's pace is averaged over.
+// The average starts as if two runs had taken the expected time. The window is small at first, since
+// a dispatcher that sends few jobs to the worker has to learn from its first runs.
 func (w *worker) addPaceSample() float64 {
 	w.paceSamples = min(w.paceSamples+1, paceWindow)
 	return min(w.paceSamples+2, paceWindow)
 }
 
-// expectedRun is the run time to expect at the mean pace. New types start at the hint, else at the
-// mean of all.
+// expectedRun returns the expected run time at the mean pace. New classes start at the hint, or
+// without a hint at the mean of all classes.
 func (d *Dispatcher) expectedRun(c *classCost, hint time.Duration) float64 {
 	if hint > 0 {
 		return c.runPerHint * float64(hint)
@@ -69,13 +71,13 @@
 	return cmp.Or(c.meanRun, d.meanRun)
 }
 
-// learn takes a run time into the averages of its type, its worker's pace and how slow all are of
-// late. Each is divided out of the others: a slow worker inflates no shared average, a slowdown of
-// all soon goes.
+// learn adds a run time to the averages of its class, to its worker's pace and to the recent slowdown
+// of the fleet. The ratio is relative to the product of all these estimates, so that a slow worker
+// does not inflate a shared average, and a slowdown of the fleet is soon forgotten.
 func (d *Dispatcher) learn(a *attempt, run float64) {
 	c, w := a.job.class, a.worker
 	ratio := min(max(run/(a.expectedRun*w.pace()*d.slowdown*d.warmupSlowdown(w)), 1/maxRunRatio), maxRunRatio)
-	weight := min(1, a.expectedRun/max(1, d.meanCost)) // short runs are mostly network
+	weight := min(1, a.expectedRun/max(1, d.meanCost)) // short runs consist mostly of network delay
 	d.slowdown *= 1 + (ratio-1)*weight/paceWindow*d.addRunSample(a.job)
 	c.runPerHint *= 1 + (ratio-1)*weight/costWindow
 	c.meanRun += (a.expectedRun*ratio - c.meanRun) / c.samples
@@ -88,10 +90,11 @@
 	}
 }
 
-// addRunSample takes in one more run of a type, and tells how much of it is put down to how slow
-// all are. Of a type without hints little is known at first: what its first runs took is its own,
-// else a start at a wrong guess would count as a slowness of all, and stay. Nor do the paces of the
-// kinds, that are set beside each other, drift together.
+// addRunSample counts a run of a class and returns the share of it that is attributed to the slowdown
+// of the fleet. For a class without hints the first runs are attributed to the class: otherwise a
+// wrong first estimate would count as a slowdown of the fleet, and last. For jobs without hints,
+// addRunSample also normalizes the paces of the kinds to a geometric mean of 1, so that they don't
+// drift together.
 func (d *Dispatcher) addRunSample(j *job) float64 {
 	c := j.class
 	c.samples, d.meanRunSamples = min(c.samples+1, costWindow), min(d.meanRunSamples+1, costWindow)
--- a/internal/dispatcher/policy/learning_test.go
+++ b/internal/dispatcher/policy/learning_test.go
@@ -8,12 +8,12 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// TestNewWorkerStartsAtThePaceOfItsKind fails where the pace of a kind is not learned: of two new workers,
-// the one of the slow kind would be taken as often.
+// TestNewWorkerStartsAtThePaceOfItsKind checks that the pace of a kind is learned: otherwise, of two new
+// workers, the one of the slow kind would be chosen as often as the other.
 func TestNewWorkerStartsAtThePaceOfItsKind(t *testing.T) {
 	s := settings()
 	s.Kinds = []string{"k", "slow"}
-	b := newBench(t, s, 0)
+	b := newFixture(t, s, 0)
 	wrong := 0
 	for round := range uint32(60) {
 		slow := member(2*round+2, "a")
@@ -30,7 +30,7 @@
 			b.now += wait
 			for _, id := range []string{first, second} {
 				if b.sends[id] == 1 && (b.sentTo(id) == slow.Number) == (wait == 250*ms) {
-					b.outcome(id, policy.OK)
+					b.endAttempt(id, policy.OK)
 				}
 			}
 		}
@@ -40,44 +40,45 @@
 	}
 }
 
-// TestSlowdownOfAllIsKnownForEveryType fails where the slowdown of all is not learned: a type that has not
-// been seen during it would be taken on, and served late.
-func TestSlowdownOfAllIsKnownForEveryType(t *testing.T) {
+// TestFleetSlowdownAppliesToEveryClass checks that a slowdown of the fleet is learned: otherwise a job of
+// a class that was not seen during the slowdown would be accepted and served late.
+func TestFleetSlowdownAppliesToEveryClass(t *testing.T) {
 	s := settings()
 	s.Classes[2].TargetPerWork = 1.5
-	b := newBench(t, s, 4)
+	b := newFixture(t, s, 4)
 	b.request("before", "unsafe", 2*time.Second)
 	if b.sends["before"] != 1 {
 		t.Fatalf("not sent: %v", b.acts)
 	}
 	b.now += 2 * time.Second
-	b.outcome("before", policy.OK)
+	b.endAttempt("before", policy.OK)
 	for i := range 25 {
 		id := fmt.Sprint("slow", i)
 		b.request(id, "safe", 200*ms)
 		if b.sends[id] == 1 {
 			b.now += 800 * ms
-			b.outcome(id, policy.OK)
+			b.endAttempt(id, policy.OK)
 		}
 	}
 	b.request("n", "unsafe", 2*time.Second)
 	if b.sends["n"] != 0 || !b.has("refuse n") {
-		t.Errorf("taken on though all are four times slower: %v", b.acts[len(b.acts)-1])
+		t.Errorf("accepted although all workers are four times slower: %v", b.acts[len(b.acts)-1])
 	}
 }
 
-// TestWithoutHintsAnIdleFleetServes fails where what jobs without hints take, of which nothing is known at first, is
-// put down to a slowness of all: their aims, which grow with their work, look too near then, and idle workers get none.
-func TestWithoutHintsAnIdleFleetServes(t *testing.T) {
+// TestIdleFleetServesJobsWithoutHints guards against attributing the run times of jobs without hints,
+// which are unknown at first, to a slowdown of the fleet. The jobs' targets, which grow with their work,
+// would then look too short to meet, and idle workers would get no jobs.
+func TestIdleFleetServesJobsWithoutHints(t *testing.T) {
 	for name, kinds := range map[string][]string{"one kind": {"k"}, "two kinds": {"k", "twin"}} {
 		t.Run(name, func(t *testing.T) {
 			s := settings()
 			s.Kinds, s.ReportX0, s.ReportsStart, s.Limits.ConcurrentAttempts = kinds, "", true, false
-			runs := []time.Duration{700 * ms, 900 * ms, 1100 * ms} // far over half an aim, which is the first guess
+			runs := []time.Duration{700 * ms, 900 * ms, 1100 * ms} // far over half a latency target, which is the first estimate
 			for i := range s.Classes {
 				s.Classes[i].LatencyTarget, s.Classes[i].TargetPerWork, s.Classes[i].ClientTimeout = 300*ms, 1, 12*time.Second
 			}
-			b := newBench(t, s, 0)
+			b := newFixture(t, s, 0)
 			var list []policy.Member
 			for i := range uint32(6) {
 				m := member(i+1, "a")
@@ -98,25 +99,26 @@
 					}
 				}
 				before := b.now
-				for at, id := range ids { // they run side by side, now long, now short
-					b.pass(max(0, before+runs[at]*time.Duration(60+(round*37)%81)/100-b.now))
-					b.outcome(id, policy.OK)
+				for at, id := range ids { // they run concurrently, with varying run times
+					b.advance(max(0, before+runs[at]*time.Duration(60+(round*37)%81)/100-b.now))
+					b.endAttempt(id, policy.OK)
 				}
-				b.pass(200 * ms)
+				b.advance(200 * ms)
 			}
 			if sent < 148 {
-				t.Errorf("%d of 150 jobs were sent, each to an idle fleet", sent)
+				t.Errorf("%d of 150 jobs were sent, although the fleet was idle each time", sent)
 			}
 		})
 	}
 }
 
-// keepFull lets worker 1 alone serve n jobs, all told to start at once, and returns the most out at a time.
-func keepFull(t *testing.T, n int) (b *bench, most int) {
+// keepSaturated has worker 1 alone serve n jobs, which are all reported to start at once, and returns the
+// maximum number in flight.
+func keepSaturated(t *testing.T, n int) (b *fixture, most int) {
 	s := settings()
 	s.ReportX0, s.ReportsStart = "", true
-	s.Classes[0].LatencyTarget, s.Classes[0].ClientTimeout = time.Hour, time.Hour // none is given up
-	b = newBench(t, s, 2)
+	s.Classes[0].LatencyTarget, s.Classes[0].ClientTimeout = time.Hour, time.Hour // none is dropped
+	b = newFixture(t, s, 2)
 	b.HandleMembers(b.now, policy.ListDelta, []policy.Member{{Number: 2, Kind: "k", Zone: "a", State: policy.Draining}})
 	for i := range n {
 		b.HandleRequest(b.now, policy.Request{ID: fmt.Sprint("r", i), Class: "safe", Hint: 100 * ms, Deadline: b.now + time.Hour})
@@ -130,18 +132,18 @@
 			t.Fatalf("%d of %d jobs were never sent", n-i, n)
 		}
 		most = max(most, sent-i)
-		b.pass(100 * ms)
+		b.advance(100 * ms)
 		for ; i < sent; i++ {
-			b.outcome(fmt.Sprint("r", i), policy.OK)
+			b.endAttempt(fmt.Sprint("r", i), policy.OK)
 		}
 	}
 	return b, most
 }
 
-// TestGrownBudgetDoesNotDrawAllJobs fails where room is counted in plain cost: a worker that has served more
-// has the larger budget, and would get a job while another is idle.
-func TestGrownBudgetDoesNotDrawAllJobs(t *testing.T) {
-	b, _ := keepFull(t, 60)
+// TestGrownBudgetDoesNotAttractAllJobs guards against headroom being an absolute cost: a worker that has
+// served more jobs has the larger budget, and would get a job while another worker is idle.
+func TestGrownBudgetDoesNotAttractAllJobs(t *testing.T) {
+	b, _ := keepSaturated(t, 60)
 	b.HandleMembers(b.now, policy.ListDelta, []policy.Member{member(2, "a")})
 	b.request("one", "safe", 100*ms)
 	b.request("two", "safe", 100*ms)
@@ -150,10 +152,10 @@
 	}
 }
 
-// TestToldStartsDoNotBlowBudgetsUp fails where budgets grow faster because starts are told: in overload a
-// worker's queue would be filled with jobs that all come late.
-func TestToldStartsDoNotBlowBudgetsUp(t *testing.T) {
-	if _, most := keepFull(t, 200); most > 8 {
-		t.Errorf("%d jobs were out at once at a worker that had served 200", most)
+// TestReportedStartsDoNotInflateBudgets guards against budgets growing faster where starts are reported:
+// in overload a worker's queue would fill with jobs that are all late.
+func TestReportedStartsDoNotInflateBudgets(t *testing.T) {
+	if _, most := keepSaturated(t, 200); most > 8 {
+		t.Errorf("%d jobs were in flight at once at a worker that served 200", most)
 	}
 }
--- a/internal/dispatcher/policy/membership.go
+++ b/internal/dispatcher/policy/membership.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// contactTTL: a sign of life counts against a list for so long.
+	// contactTTL is how long after its last response a worker counts as running, even if a list
+	// leaves it out.
 	contactTTL = 2 * time.Second
-	// removedRetention is how long a worker that is listed as removed is remembered.
+	// removedRetention is how long a worker that is listed as removed stays in the table.
 	removedRetention = time.Minute
-	// watchCallTime is what the list service takes for one dispatcher's call.
+	// watchCallTime is the time that the list service takes for one dispatcher's call.
 	watchCallTime = 25 * time.Millisecond
-	// maxWatchBackoff is the longest wait before a failed watch is renewed.
+	// maxWatchBackoff is the longest back-off before a failed watch is renewed.
 	maxWatchBackoff = 8 * time.Second
 )
 
-// scheduleWatch keeps one watch on the list. Many instances may start together, and the list
-// service can't answer all at once: the first call and repeats of failed ones are spread, by as
-// long as all may take.
+// scheduleWatch keeps one watch on the list. Many instances may start together, and the list service
+// can't answer all of them at once. So the first call and the retries of failed calls are spread
+// over the time that the service takes for the calls of all instances.
 func (d *Dispatcher) scheduleWatch(kind ListKind) {
 	if kind == ListFailed {
 		d.host.Timer(d.jitter(d.watchBackoff), watchToken)
 		d.watchBackoff = min(2*d.watchBackoff, maxWatchBackoff)
-		d.log("no worker list: asking again, %d workers known", len(d.workers))
+		d.log("the call for the worker list failed: retrying, %d workers known", len(d.workers))
 		return
 	}
 	d.watchBackoff = time.Duration(d.Instances) * watchCallTime
@@ -34,8 +35,8 @@
 	}
 }
 
-// applyList brings the table of workers up to date, in the order of their ids. What an entry means
-// for its worker is decided by applyListing and recheckFirst.
+// applyList updates the table of workers, which is in the order of their ids. applyListing and
+// recheckFirst decide what an entry means for its worker.
 func (d *Dispatcher) applyList(kind ListKind, entries []Member) {
 	if kind != ListDelta {
 		listed := make(map[uint32]bool, len(entries))
@@ -67,8 +68,8 @@
 	d.insertWorkers(added)
 }
 
-// insertWorkers merges workers into the table. One after the other, thousands at once would cost
-// too much.
+// insertWorkers merges workers into the table in one pass. Single inserts would be too slow for
+// thousands of workers at once.
 func (d *Dispatcher) insertWorkers(added []*worker) {
 	if len(added) == 0 {
 		return
@@ -86,18 +87,18 @@
 	d.tableVersion++
 }
 
-// applyListing takes in what the list says of a known worker. An old list may come back: the latest
-// start and, where lists may be wrong, a drain hold. One called gone that gave no sign of life of
-// late is tried like a suspect. This meets short, empty and old lists; it costs an attempt on a
-// worker that died.
+// applyListing applies a list entry to a known worker. The entry may come from an old list, so the
+// latest start remains and, where lists may be wrong, so does a drain. A worker that is listed as
+// removed and has not responded recently is rechecked like a suspect one. This handles incomplete,
+// empty and old lists; the price is an attempt at a worker that died.
 func (d *Dispatcher) applyListing(w *worker, m Member) {
 	was, since := w.State, w.StartedAt
 	w.Member, w.StartedAt = m, max(m.StartedAt, since)
 	if m.State != Ready && was == Ready {
-		d.log("worker %d is listed as draining or gone, %d jobs out", m.Number, len(w.attempts))
+		d.log("worker %d is listed as draining or removed, %d attempts in flight", m.Number, len(w.attempts))
 	}
 	switch {
-	case m.StartedAt > since: // a new process of the same id: nothing that is known of it holds
+	case m.StartedAt > since: // a new process with the same id: the state of the old one does not apply
 		w.warmingSince, w.suspect, w.unreachable, w.drained = m.StartedAt, false, false, m.State == Draining
 		w.budget, w.budgetShrunkAt, w.reportAt, w.overdueJobs = 0, 0, 0, 0
 		d.reindex(w)
@@ -113,33 +114,34 @@
 	}
 }
 
-// usable reports whether a worker may get new work. A drain binds until a later start; where it alone
-// binds, a list that calls a worker gone, or leaves it out, is a claim: own answers and probes
-// decide.
+// usable reports whether a worker may get new work. A drain holds until a later start. With
+// Rules.RemovedMayServe, a worker that a list reports as removed, or leaves out, stays usable, and
+// the worker's own responses to jobs and probes decide.
 func (d *Dispatcher) usable(w *worker) bool {
 	return !w.drained && (w.State == Ready || w.State == Removed && d.Rules.RemovedMayServe)
 }
 
-// recheckFirst holds work back until a trial, soon, where lists may be wrong: one named later may
-// not exist.
+// recheckFirst withholds work from a worker until it was rechecked, where lists may be wrong: a newly
+// listed worker may not exist. The recheck is soon.
 func (d *Dispatcher) recheckFirst(w *worker) {
 	if d.Rules.RemovedMayServe && d.refilledAt != 0 && !w.suspect {
 		w.suspect, w.recheckDelay = true, max(w.recheckDelay, minRecheckDelay)
-		if w.inSubset { // else it begins once it joins
+		if w.inSubset { // otherwise joinSubset schedules it
 			d.scheduleRecheck(w, d.jitter(minRecheckDelay/2))
 		}
 	}
 }
 
-// forgotten reports whether to drop a worker that is gone: where lists may be wrong, so that drains
-// and starts survive an old one and workers listed as removed serve on, only when it has been
-// silent for long.
+// forgotten reports whether a removed worker may be deleted from the table. Where lists may be wrong,
+// the worker is kept until it has not responded for removedRetention, so that its drain and its start
+// time outlast an old list and workers listed as removed can go on serving.
 func (d *Dispatcher) forgotten(w *worker) bool {
 	kept := d.Rules.RemovedMayServe && d.now-max(w.removedAt, w.lastContact) < removedRetention
 	return w.State == Removed && len(w.attempts) == 0 && !kept
 }
 
-// sweepTables drops the workers that are forgotten, and members that are not usable any more.
+// sweepTables deletes the workers that are forgotten, and takes workers that are no longer usable
+// out of the subset.
 func (d *Dispatcher) sweepTables() {
 	if d.hasRemoved {
 		d.hasRemoved = false
--- a/internal/dispatcher/policy/overdue.go
+++ b/internal/dispatcher/policy/overdue.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// overdueRuns and overdueFloor: an attempt is overdue after so many expected run times and so
-	// long.
-	overdueRuns  = 5.0
-	overdueFloor = 400 * time.Millisecond
-	// promptStart: a job starts within this time at a worker that has room.
+	// overdueMultiple and minOverdueDelay: an attempt is overdue after minOverdueDelay plus
+	// overdueMultiple times its expected run time.
+	overdueMultiple = 5.0
+	minOverdueDelay = 400 * time.Millisecond
+	// promptStart: a job starts within this time at a worker that has capacity.
 	promptStart = 25 * time.Millisecond
-	// startTimeoutMeans: where starts are told, an attempt that has not started is overdue after so
-	// many mean costs, and overdueFloor.
-	startTimeoutMeans = 3.0
+	// startTimeoutCosts: where workers report starts, an attempt that has not started is overdue
+	// after minOverdueDelay plus this multiple of the mean cost.
+	startTimeoutCosts = 3.0
 )
 
-// overdueTime is when an attempt is overdue: where starts are told, soon for one that has not
-// started.
+// overdueTime returns the time from which an attempt is overdue. Where workers report starts, an
+// attempt that has not started has its own, usually shorter, limit.
 func (d *Dispatcher) overdueTime(a *attempt) time.Duration {
 	if d.ReportsStart && a.startedAt == 0 {
-		return a.sentAt + overdueFloor + time.Duration(startTimeoutMeans*d.meanCost)
+		return a.sentAt + minOverdueDelay + time.Duration(startTimeoutCosts*d.meanCost)
 	}
-	return d.now + overdueFloor + time.Duration(overdueRuns*a.expectedRun*a.worker.pace()*d.slowdown)
+	return d.now + minOverdueDelay + time.Duration(overdueMultiple*a.expectedRun*a.worker.pace()*d.slowdown)
 }
 
-// checkAllOverdue looks at all workers with attempts out, and forgets those that have none any
-// more.
+// checkAllOverdue checks all busy workers for overdue attempts, and removes workers without attempts
+// in flight from the list of busy workers.
 func (d *Dispatcher) checkAllOverdue() {
 	n := 0
-	for _, w := range d.busy { // looking sends jobs, which makes others busy: those come behind
+	for _, w := range d.busy { // a check may send jobs and so append workers, which are not visited
 		d.checkOverdue(w)
 	}
 	for _, w := range d.busy {
@@ -40,11 +40,11 @@
 	d.busy = d.busy[:n]
 }
 
-// checkOverdue checks a worker with attempts out for overdue ones.
+// checkOverdue checks the attempts in flight at a worker for overdue ones.
 func (d *Dispatcher) checkOverdue(w *worker) {
 	for _, a := range w.attempts {
 		if d.lateStartSaturates() && a.startedAt == 0 && d.now >= a.sentAt+promptStart {
-			d.recordLateStart(a) // there is no room, whatever the worker reports
+			d.recordLateStart(a) // the worker has no capacity, whatever it reports
 		}
 		d.hedge(a.job)
 		d.recallWaiting(a)
@@ -63,13 +63,13 @@
 	}
 }
 
-// lateStartSaturates reports whether a missing start shuts a worker: where own sums and reports say
-// little of its room.
+// lateStartSaturates reports whether a job that does not start marks its worker as saturated. It does
+// where this dispatcher's own sums and the reports show little of the worker's load.
 func (d *Dispatcher) lateStartSaturates() bool {
-	return d.ReportsStart && (d.crowded || !d.probesTellSlots)
+	return d.ReportsStart && (d.widelyShared || !d.probesReportSlots)
 }
 
-// recordLateStart takes in that an attempt did not start soon.
+// recordLateStart records that an attempt did not start promptly.
 func (d *Dispatcher) recordLateStart(a *attempt) {
 	if !a.waiting {
 		a.waiting = true
@@ -79,9 +79,9 @@
 	}
 }
 
-// recordStart takes in that an attempt has started.
+// recordStart records that an attempt has started.
 func (d *Dispatcher) recordStart(a *attempt) {
-	runs := 0.0 // side by side, which takes so many slots, whatever is reported
+	runs := 0.0 // slots of the jobs that run there now, whatever is reported
 	for _, b := range a.worker.attempts {
 		runs += b.slots * float64(boolToInt(b.startedAt != 0))
 	}
--- a/internal/dispatcher/policy/queue.go
+++ b/internal/dispatcher/policy/queue.go
@@ -7,13 +7,14 @@
 	"basaltloft/internal/shared/admission"
 )
 
-// agingMultiple: shorter jobs pass a queued one until it has waited this many of its costs.
+// agingMultiple: a queued job ages, and shorter jobs no longer go first, after it has waited this
+// multiple of its cost.
 const agingMultiple = 2.0
 
 // queue holds the waiting jobs of one kind and width as a heap. It implements heap.Interface.
 type queue struct {
 	jobs     []*job
-	overload bool            // the order is that of overload
+	overload bool            // the queue is in the order for overload
 	key      capabilityQueue // zero: for jobs that require no capability
 }
 
@@ -51,24 +52,24 @@
 	return j
 }
 
-// queueRank is a job's place in the queue. In overload most have aged: oldest first would serve
-// each one late.
+// queueRank returns a job's rank in the queue. In overload most jobs have aged, and serving the oldest
+// first would make each one late, so aging does not count then.
 func (j *job) queueRank(overload bool) admission.Rank {
 	return admission.Rank{Aged: j.aged && !overload, AgedAt: j.agesAt, Cost: j.cost, Seq: j.seq}
 }
 
-// capabilityQueue names the queue of jobs that require a capability.
+// capabilityQueue is the key of a queue of jobs that require a capability.
 type capabilityQueue struct {
 	capability string
-	queueIndex int // in Dispatcher.queues, of those of the same kind and width that require none
+	queueIndex int // in Dispatcher.queues, of the queue for this kind and width without a capability
 }
 
-// maxIdleQueues is how many queues of capabilities are kept though no job waits there.
+// maxIdleQueues is the number of capability queues from which idle ones are deleted.
 const maxIdleQueues = 32
 
-// enqueue puts a job into the queue of its kind and width: several free slots at once are rare, and
-// jobs of one slot must not wait for them. Nor must other jobs wait for one whose capability no
-// worker offers just now: each capability has queues of its own, while jobs wait there.
+// enqueue adds a job to the queue of its kind and width. Several free slots at one worker are rare,
+// and jobs of one slot must not wait behind a job that needs them. Nor must other jobs wait behind
+// one whose capability no worker offers at the moment, so each capability has queues of its own.
 func (d *Dispatcher) enqueue(j *job) {
 	at := 2*(j.class.Kind+1) + boolToInt(j.Slots > 1)
 	q := d.queues[at]
@@ -83,14 +84,14 @@
 	heap.Push(q, j)
 }
 
-// dequeue takes a job out of its queue, if it is in one.
+// dequeue removes a job from its queue, if it is in one.
 func (d *Dispatcher) dequeue(j *job) {
 	if j.queue != nil {
 		heap.Remove(j.queue, j.index)
 	}
 }
 
-// pruneQueues drops the queues of capabilities for which no job waits, once there are many.
+// pruneQueues deletes the capability queues without jobs once there are maxIdleQueues or more.
 func (d *Dispatcher) pruneQueues() {
 	if len(d.capabilityQueues) < maxIdleQueues {
 		return
@@ -104,7 +105,7 @@
 	})
 }
 
-// dispatchQueued sends queued jobs as long as the head of a queue fits a worker.
+// dispatchQueued sends queued jobs as long as a worker can take the head of a queue.
 func (d *Dispatcher) dispatchQueued() {
 	overload := d.lastLossAt != 0 && d.now-d.lastLossAt < overloadHold
 	for _, q := range d.queues {
@@ -114,7 +115,7 @@
 		}
 		for len(q.jobs) > 0 {
 			j := q.jobs[0]
-			if d.dropIfHopeless(j) {
+			if d.dropIfTooLate(j) {
 				continue
 			}
 			w := d.selectWorker(j)
@@ -128,12 +129,12 @@
 	d.armTick()
 }
 
-// ageQueue marks jobs that no shorter one may pass any more and gives up those that can't be in
-// time.
+// ageQueue marks the jobs that have aged, so that no shorter one goes first any more, and drops those
+// that are too late.
 func (d *Dispatcher) ageQueue(q *queue) {
 	for i := 0; i < len(q.jobs); i++ {
 		j := q.jobs[i]
-		if d.dropIfHopeless(j) {
+		if d.dropIfTooLate(j) {
 			i = -1
 		} else if !j.aged && d.now >= j.agesAt {
 			j.aged = true
--- a/internal/dispatcher/policy/random_test.go
+++ b/internal/dispatcher/policy/random_test.go
@@ -11,23 +11,24 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// world plays random but legal events to a dispatcher and checks the four rules at every action.
+// world sends random but valid events to a dispatcher and checks the four rules of the platform at every
+// action.
 type world struct {
-	subjects bool // jobs tell theirs
-	t        *testing.T
-	rng      *rand.Rand
-	s        policy.Settings
-	d        *policy.Dispatcher
-	now      time.Duration
-	seq      int
-	workers  map[uint32]*policy.Member
-	told     map[uint32]policy.Member // what the dispatcher was last told
-	sent     map[uint32][]load        // to workers that are cold and told to be
-	reqs     map[string]*req
-	order    []*req
-	due      []due
-	log      []string
-	actions  actions
+	affinityKeys bool // jobs have affinity keys
+	t            *testing.T
+	rng          *rand.Rand
+	s            policy.Settings
+	d            *policy.Dispatcher
+	now          time.Duration
+	seq          int
+	workers      map[uint32]*policy.Member
+	listed       map[uint32]policy.Member // what the dispatcher was last informed of
+	sent         map[uint32][]load        // to workers that are listed as cold
+	reqs         map[string]*req
+	order        []*req
+	due          []due
+	log          []string
+	actions      actions
 }
 
 type load struct {
@@ -38,12 +39,12 @@
 type req struct {
 	policy.Request
 	class    policy.Class
-	attempts []*try
+	attempts []*attempt
 	answered bool
 	at       time.Duration
 }
 
-type try struct {
+type attempt struct {
 	worker policy.Member
 	at     time.Duration
 	out    bool
@@ -69,15 +70,15 @@
 func (w *world) Send(id string, worker uint32, timeout time.Duration) {
 	w.actions.send(w.now, id, worker, timeout)
 	w.record("send %s %d", id, worker)
-	r, m := w.reqs[id], w.told[worker]
+	r, m := w.reqs[id], w.listed[worker]
 	switch {
 	case r == nil || r.answered:
 		w.errorf("send for %s, which has its answer", id)
 		return
 	case m.Number == 0 || m.State == policy.Draining || m.State == policy.Removed && !w.s.Rules.RemovedMayServe:
-		w.errorf("send to worker %d, told to be in state %d", worker, m.State)
+		w.errorf("send to worker %d, which is listed in state %d", worker, m.State)
 	case len(r.attempts) >= w.s.Limits.MaxAttempts:
-		w.errorf("attempt %d of %s", len(r.attempts), id)
+		w.errorf("attempt %d of %s exceeds the limit", len(r.attempts), id)
 	}
 	for _, a := range r.attempts {
 		if a.out && !w.s.Limits.ConcurrentAttempts {
@@ -88,17 +89,17 @@
 		}
 		switch r.class.Effect {
 		case policy.AtMostOnce:
-			w.errorf("unsafe %s sent again", id)
+			w.errorf("at-most-once %s sent again", id)
 		case policy.Deduplicated:
 			outside := r.class.DedupScope == policy.DedupZone && a.worker.Zone != m.Zone ||
 				r.class.DedupScope == policy.DedupCell && a.worker.Cell != m.Cell
 			if outside || w.now-a.at > r.class.DedupWindow {
-				w.errorf("keyed %s sent outside its group or window", id)
+				w.errorf("deduplicated %s sent outside its scope or window", id)
 			}
 		}
 	}
 	w.checkCold(r, m)
-	a := &try{worker: m, at: w.now, out: true, mayRun: true}
+	a := &attempt{worker: m, at: w.now, out: true, mayRun: true}
 	n := len(r.attempts)
 	r.attempts = append(r.attempts, a)
 	status := policy.OK
@@ -124,7 +125,8 @@
 	w.after(took, func() { w.finish(r, n, status) })
 }
 
-// checkCold holds this instance to its share of the rule's budget, with one slot at pace 1 as capacity.
+// checkCold checks that this instance keeps to its share of the rule's limit for a cold worker, whose
+// capacity is four slots at pace 1.
 func (w *world) checkCold(r *req, m policy.Member) {
 	if m.StartedAt == 0 || w.now-m.StartedAt >= w.s.Rules.WarmupTime {
 		return
@@ -138,7 +140,7 @@
 	}
 	age := float64(w.now-m.StartedAt) / float64(w.s.Rules.WarmupTime)
 	share := w.s.Rules.ColdCapacity + (1-w.s.Rules.ColdCapacity)*age
-	// Four slots are what this world reports at most.
+	// Reports in this world have at most four free slots.
 	if most := 4 * w.s.Rules.ColdOverloadMultiple * share * w.s.Rules.ColdOverloadWindow.Seconds() / float64(w.s.Instances); sum > most {
 		w.errorf("cold worker %d got %.2f s of work in a window, %.2f s allowed", m.Number, sum, most)
 	}
@@ -235,7 +237,7 @@
 			w.d.HandleMembers(w.now, policy.ListFailed, nil)
 			return
 		}
-		w.tell(policy.ListSnapshot, w.list()...)
+		w.deliver(policy.ListSnapshot, w.list()...)
 	})
 }
 func (w *world) Fetch()     { w.actions.fetch(w.now) }
@@ -250,21 +252,22 @@
 	return all
 }
 
-func (w *world) tell(kind policy.ListKind, list ...policy.Member) {
+func (w *world) deliver(kind policy.ListKind, list ...policy.Member) {
 	if kind == policy.ListRestored || kind != policy.ListDelta && !w.s.Rules.RemovedMayServe {
-		clear(w.told)
+		clear(w.listed)
 	}
 	for _, m := range list {
-		was := w.told[m.Number]
+		was := w.listed[m.Number]
 		if w.s.Rules.RemovedMayServe && was.State == policy.Draining && m.StartedAt <= was.StartedAt {
-			m = was // a drain binds until a later start
+			m = was // a drain holds until a later start
 		}
-		w.told[m.Number] = m
+		w.listed[m.Number] = m
 	}
 	w.d.HandleMembers(w.now, kind, list)
 }
 
-// start makes a new dispatcher; what the last one held is the clients' to repeat.
+// start replaces the dispatcher with a new one. The open requests of the old one are dropped, as their clients
+// would have to retry them.
 func (w *world) start() {
 	for _, r := range w.order {
 		r.answered = true
@@ -279,7 +282,7 @@
 		w.t.Fatal(err)
 	}
 	w.d = d
-	w.tell(policy.ListRestored, w.list()...)
+	w.deliver(policy.ListRestored, w.list()...)
 }
 
 func (w *world) arrive() {
@@ -291,7 +294,7 @@
 	if w.rng.IntN(5) == 0 {
 		r.Hint *= 20
 	}
-	if w.subjects {
+	if w.affinityKeys {
 		r.AffinityKey = fmt.Sprint(int(w.rng.ExpFloat64() * 3))
 	}
 	w.reqs[r.ID] = r
@@ -299,7 +302,7 @@
 	w.d.HandleRequest(w.now, r.Request)
 }
 
-// change drains, removes, restarts or adds a worker and tells the dispatcher.
+// change drains, removes, restarts or adds a worker and delivers the new list entry.
 func (w *world) change() {
 	id := uint32(1 + w.rng.IntN(12))
 	m := w.workers[id]
@@ -307,9 +310,9 @@
 	case m == nil:
 		m = &policy.Member{Number: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5), StartedAt: w.now}
 		w.workers[id] = m
-	case w.s.Rules.RemovedMayServe && w.rng.IntN(3) == 0: // a list that is wrong, for a while
-		w.tell(policy.ListSnapshot, w.list()[w.rng.IntN(len(w.list())):]...)
-		w.after(2*time.Second, func() { w.tell(policy.ListSnapshot, w.list()...) })
+	case w.s.Rules.RemovedMayServe && w.rng.IntN(3) == 0: // a list that is wrong for a while
+		w.deliver(policy.ListSnapshot, w.list()[w.rng.IntN(len(w.list())):]...)
+		w.after(2*time.Second, func() { w.deliver(policy.ListSnapshot, w.list()...) })
 		return
 	case w.rng.IntN(3) == 0:
 		m.State = policy.Draining
@@ -317,12 +320,12 @@
 		delete(w.workers, id)
 		gone := *m
 		gone.State = policy.Removed
-		w.tell(policy.ListDelta, gone)
+		w.deliver(policy.ListDelta, gone)
 		return
 	default:
 		m.State, m.StartedAt = policy.Ready, w.now
 	}
-	w.tell(policy.ListDelta, *m)
+	w.deliver(policy.ListDelta, *m)
 }
 
 func (w *world) step() {
@@ -360,16 +363,16 @@
 	}
 }
 
-func play(t *testing.T, seed uint64, subjects bool, spoil func(*policy.Settings)) []string {
-	return playRecorded(t, seed, subjects, spoil, actions{}).log
+func runWorld(t *testing.T, seed uint64, affinityKeys bool, configure func(*policy.Settings)) []string {
+	return runRecorded(t, seed, affinityKeys, configure, actions{}).log
 }
 
-func playRecorded(t *testing.T, seed uint64, subjects bool, spoil func(*policy.Settings), record actions) *world {
+func runRecorded(t *testing.T, seed uint64, affinityKeys bool, configure func(*policy.Settings), record actions) *world {
 	s := settings()
 	s.CrossZonePrice = 0.02
-	spoil(&s)
-	w := &world{t: t, actions: record, subjects: subjects, rng: rand.New(rand.NewPCG(seed, 7)), s: s, now: time.Hour, workers: map[uint32]*policy.Member{},
-		told: map[uint32]policy.Member{}, sent: map[uint32][]load{}, reqs: map[string]*req{}}
+	configure(&s)
+	w := &world{t: t, actions: record, affinityKeys: affinityKeys, rng: rand.New(rand.NewPCG(seed, 7)), s: s, now: time.Hour, workers: map[uint32]*policy.Member{},
+		listed: map[uint32]policy.Member{}, sent: map[uint32][]load{}, reqs: map[string]*req{}}
 	for id := uint32(1); id <= 8; id++ {
 		w.workers[id] = &policy.Member{Number: id, Kind: "k", Zone: string(rune('a' + id%3)), Cell: int(id % 5)}
 	}
@@ -384,16 +387,17 @@
 	return w
 }
 
-// randomWorlds are the settings that random events are played under.
+// randomWorlds are the settings under which random events are run. The order of their names numbers the
+// digests on file.
 var randomWorlds = map[string]func(*policy.Settings){
-	"push":          func(*policy.Settings) {},
-	"ask":           func(s *policy.Settings) { s.PullsMembership = true },
-	"no copies":     func(s *policy.Settings) { s.Limits.ConcurrentAttempts, s.ReportsStart = false, true },
-	"cell":          func(s *policy.Settings) { s.Classes[1].DedupScope = policy.DedupCell },
-	"long aims":     func(s *policy.Settings) { s.Classes[1].DedupWindow, s.Classes[1].LatencyTarget = 500*ms, 4*time.Second },
-	"short grace":   func(s *policy.Settings) { s.Rules.AnswerGrace = 5 * ms },
-	"full no proof": func(s *policy.Settings) { s.Rules.RejectedMayHaveRun = true },
-	"wrong lists":   func(s *policy.Settings) { s.Rules.RemovedMayServe = true },
+	"push":                   func(*policy.Settings) {},
+	"ask":                    func(s *policy.Settings) { s.PullsMembership = true },
+	"no concurrent attempts": func(s *policy.Settings) { s.Limits.ConcurrentAttempts, s.ReportsStart = false, true },
+	"cell":                   func(s *policy.Settings) { s.Classes[1].DedupScope = policy.DedupCell },
+	"long latency targets":   func(s *policy.Settings) { s.Classes[1].DedupWindow, s.Classes[1].LatencyTarget = 500*ms, 4*time.Second },
+	"short grace":            func(s *policy.Settings) { s.Rules.AnswerGrace = 5 * ms },
+	"full may have run":      func(s *policy.Settings) { s.Rules.RejectedMayHaveRun = true },
+	"wrong lists":            func(s *policy.Settings) { s.Rules.RemovedMayServe = true },
 	"both": func(s *policy.Settings) {
 		s.Rules.RemovedMayServe, s.Rules.RejectedMayHaveRun, s.Classes[1].DedupScope = true, true, policy.DedupCell
 	},
@@ -409,18 +413,18 @@
 }
 
 func TestRulesUnderRandomEvents(t *testing.T) {
-	for name, spoil := range randomWorlds {
+	for name, configure := range randomWorlds {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				play(t, seed, strings.HasPrefix(name, "subjects"), spoil)
+				runWorld(t, seed, strings.HasPrefix(name, "subjects"), configure)
 			}
 		})
 	}
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	a := play(t, 42, true, func(*policy.Settings) {})
-	b := play(t, 42, true, func(*policy.Settings) {})
+	a := runWorld(t, 42, true, func(*policy.Settings) {})
+	b := runWorld(t, 42, true, func(*policy.Settings) {})
 	if len(a) < 1000 || !slices.Equal(a, b) {
 		t.Errorf("two runs of the same events differ (%d and %d actions)", len(a), len(b))
 	}
--- a/internal/dispatcher/policy/reconfigure_test.go
+++ b/internal/dispatcher/policy/reconfigure_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReconfigure: a new class is served from the retune on, a removed one is
-// refused, and a job under way keeps the attempts it came with when fewer are
-// allowed; an invalid retune changes nothing.
+// TestReconfigure checks that after a reconfiguration a new class is served, a removed one is refused, and
+// a job in progress keeps the number of attempts that was allowed when it arrived. An invalid
+// reconfiguration changes nothing.
 func TestReconfigure(t *testing.T) {
-	b := newBench(t, settings(), 3)
+	b := newFixture(t, settings(), 3)
 	b.request("before", "safe", 10*ms)
 	first := b.sentTo("before")
 
@@ -22,7 +22,7 @@
 	bad := s
 	bad.Limits.MaxAttempts = 0
 	require.Error(t, b.Reconfigure(b.now, bad))
-	b.request("still", "safe", 10*ms) // the bad retune left safe as it was
+	b.request("still", "safe", 10*ms) // the invalid settings left the class unchanged
 	require.False(t, b.has("refuse still"))
 
 	require.NoError(t, b.Reconfigure(b.now, s))
@@ -33,9 +33,9 @@
 	require.True(t, b.has("refuse gone"))
 
 	b.HandleAttemptResult(b.now, policy.AttemptResult{Request: "before", Attempt: 0, Worker: first, Status: policy.ConnectFailed})
-	b.pass(50 * ms)
-	require.Equal(t, 2, b.sends["before"], "came with three attempts, keeps them")
+	b.advance(50 * ms)
+	require.Equal(t, 2, b.sends["before"], "three attempts were allowed when it arrived")
 	b.HandleAttemptResult(b.now, policy.AttemptResult{Request: "new", Attempt: 0, Worker: b.sentTo("new"), Status: policy.ConnectFailed})
-	b.pass(50 * ms)
-	require.Equal(t, 1, b.sends["new"], "came with one attempt")
+	b.advance(50 * ms)
+	require.Equal(t, 1, b.sends["new"], "one attempt was allowed when it arrived")
 }
--- a/internal/dispatcher/policy/scale_test.go
+++ b/internal/dispatcher/policy/scale_test.go
@@ -12,23 +12,23 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// TestSlowStartUnderHundredsOfDispatchers plays several hundred dispatchers beside each other against one
-// cold worker, with uneven traffic and lists up to four seconds late, and checks the cold rule's budget of
-// all together over every window.
+// TestSlowStartUnderHundredsOfDispatchers runs several hundred dispatchers with one cold worker, uneven
+// traffic and lists up to four seconds late. In every window, what all of them send together must stay
+// within the limit of the rule for cold workers.
 //
 //nolint:funlen // a simulation whose steps share their state
 func TestSlowStartUnderHundredsOfDispatchers(t *testing.T) {
 	const n = 300
 	start := time.Minute
 	rng := rand.New(rand.NewPCG(1, 2))
-	benches := make([]*bench, n)
-	told, rate := make([]time.Duration, n), make([]float64, n)
+	fixtures := make([]*fixture, n)
+	listedAt, rate := make([]time.Duration, n), make([]float64, n)
 	s := settings()
 	s.Instances, s.Limits.Probes = n, false
-	for i := range benches {
+	for i := range fixtures {
 		s.Rank, s.Seed = i, uint64(i)
-		benches[i] = newBench(t, s, 0)
-		told[i] = start + time.Duration(rng.IntN(4000))*ms
+		fixtures[i] = newFixture(t, s, 0)
+		listedAt[i] = start + time.Duration(rng.IntN(4000))*ms
 		rate[i] = rng.ExpFloat64() * rng.ExpFloat64() * 4 // jobs a second
 	}
 	cold := member(1, "a")
@@ -41,13 +41,13 @@
 	due := make(map[time.Duration][]func())
 	total := 0.0
 	for now := start; now < start+s.Rules.WarmupTime; now += 20 * ms {
-		for len(due[now]) > 0 { // runs as long as it was said to: else jobs would be learned to be short
+		for len(due[now]) > 0 { // runs as long as its hint: otherwise jobs would be learned to be short
 			due[now][0]()
 			due[now] = due[now][1:]
 		}
-		for i, b := range benches {
+		for i, b := range fixtures {
 			b.now = now
-			if now >= told[i] && now-20*ms < told[i] {
+			if now >= listedAt[i] && now-20*ms < listedAt[i] {
 				b.HandleMembers(now, policy.ListSnapshot, []policy.Member{cold})
 			}
 			b.HandleTimer(now, "tick")
@@ -61,7 +61,7 @@
 				continue
 			}
 			end := now + hint.Round(20*ms)
-			due[end] = append(due[end], func() { b.now = end; b.outcome(id, policy.OK) })
+			due[end] = append(due[end], func() { b.now = end; b.endAttempt(id, policy.OK) })
 			sent = append(sent, load{now, hint.Seconds()})
 			total += hint.Seconds()
 		}
@@ -83,24 +83,25 @@
 	}
 }
 
-// fleet starts one dispatcher of twice as many as the workers and plays two jobs a second to it.
-func fleet(t *testing.T, workers, rank int) *bench {
+// fleet starts one of several dispatchers, twice as many as there are workers, and sends it two jobs a
+// second.
+func fleet(t *testing.T, workers, rank int) *fixture {
 	s := settings()
 	s.Instances, s.Rank = 2*workers, rank
-	b := newBench(t, s, workers)
+	b := newFixture(t, s, workers)
 	for i := range 40 {
 		id := fmt.Sprint("r", i)
 		b.request(id, "safe", 100*ms)
 		for j := len(b.acts) - 1; j >= 0 && b.sends[id] == 0; j-- {
 			var w uint32
 			if n, _ := fmt.Sscanf(b.acts[j], "probe %d", &w); n == 1 {
-				b.HandleProbeResult(b.now, full(w, 2))
+				b.HandleProbeResult(b.now, freeSlotsReport(w, 2))
 			}
 		}
-		if b.pass(100 * ms); b.sends[id] > 0 {
-			b.outcome(id, policy.OK)
+		if b.advance(100 * ms); b.sends[id] > 0 {
+			b.endAttempt(id, policy.OK)
 		}
-		b.pass(400 * ms)
+		b.advance(400 * ms)
 	}
 	return b
 }
@@ -110,12 +111,12 @@
 	if small.count("send") != 40 || large.count("send") != 40 {
 		t.Fatalf("%d and %d of 40 jobs sent", small.count("send"), large.count("send"))
 	}
-	events := func(b *bench) int { return len(b.acts) + b.fired }
+	events := func(b *fixture) int { return len(b.acts) + b.fired }
 	if events(large) > events(small)*3/2 {
-		t.Errorf("a tenfold fleet takes %d actions and timers for 40 jobs, not %d", events(large), events(small))
+		t.Errorf("with ten times the workers, 40 jobs take %d actions and timers instead of %d", events(large), events(small))
 	}
 	fired := large.fired
-	large.pass(time.Minute)
+	large.advance(time.Minute)
 	if large.fired-fired > 3 {
 		t.Errorf("%d timers in an idle minute", large.fired-fired)
 	}
@@ -153,24 +154,24 @@
 	early := 0
 	for rank := range 300 {
 		s.Rank, s.Seed = rank, uint64(rank)
-		b := newBench(t, s, 1)
-		b.pass(500 * ms)
+		b := newFixture(t, s, 1)
+		b.advance(500 * ms)
 		early += b.count("watch true")
-		b.pass(5 * time.Second)
+		b.advance(5 * time.Second)
 		if b.count("watch true") != 1 {
 			t.Fatalf("rank %d: %d calls", rank, b.count("watch true"))
 		}
 	}
 	if early > 60 {
-		t.Errorf("%d of 300 dispatchers ask within half a second of a common start", early)
+		t.Errorf("%d of 300 dispatchers call for the list within half a second of a common start", early)
 	}
 }
 
 func TestWorkerThatFailsAllDrawsNoWork(t *testing.T) {
-	b := newBench(t, settings(), 2)
+	b := newFixture(t, settings(), 2)
 	b.request("r", "unsafe", 50*ms)
 	bad := b.sentTo("r")
-	b.outcome("r", policy.Error)
+	b.endAttempt("r", policy.Error)
 	for i := range 4 {
 		id := fmt.Sprint("n", i)
 		b.request(id, "unsafe", 20*ms)
@@ -180,34 +181,34 @@
 	}
 }
 
-func TestOddFleets(t *testing.T) {
+func TestEmptyAndSmallFleets(t *testing.T) {
 	s := settings()
 	s.Instances, s.Rank, s.CrossZonePrice = 200, 7, 0.05
 	for name, list := range map[string][]policy.Member{
 		"one worker": {member(1, "a")}, "own zone empty": {member(1, "b"), member(2, "c")},
 	} {
-		b := newBench(t, s, 0)
+		b := newFixture(t, s, 0)
 		b.request("none", "safe", 50*ms)
-		b.pass(2 * time.Second)
+		b.advance(2 * time.Second)
 		if !b.has("refuse none") {
-			t.Errorf("%s: no answer from an empty fleet", name)
+			t.Errorf("%s: no answer without workers", name)
 		}
 		b.HandleMembers(b.now, policy.ListSnapshot, list)
 		b.HandleMembers(b.now, policy.ListSnapshot, []policy.Member{member(8, "b")}) // replaces every worker
 		b.request("r", "safe", 50*ms)
-		b.pass(200 * ms)
+		b.advance(200 * ms)
 		if b.sends["r"] != 1 || b.sentTo("r") != 8 {
 			t.Errorf("%s: %v", name, b.acts)
 		}
 	}
 }
 
-// TestGrowingFleetCostsNoTimers fails where each worker that a list adds sets a timer: when a fleet grew
-// fivefold, that was most of the time that decisions took. Those that join the subset are tried.
-func TestGrowingFleetCostsNoTimers(t *testing.T) {
-	s := claims()
+// TestGrowingFleetSetsFewTimers guards against setting a timer for each worker that a list adds: when a fleet
+// grew fivefold, that took most of the decision time. Only new workers that join the subset are rechecked.
+func TestGrowingFleetSetsFewTimers(t *testing.T) {
+	s := unreliableListSettings()
 	s.Instances = 400
-	b := newBench(t, s, 40)
+	b := newFixture(t, s, 40)
 	before := len(b.timers)
 	var more []policy.Member
 	for id := range uint32(2000) {
@@ -215,60 +216,61 @@
 	}
 	b.HandleMembers(b.now, policy.ListDelta, more)
 	if n := len(b.timers) - before; n > 20 {
-		t.Errorf("%d timers for 2000 workers that are new", n)
+		t.Errorf("%d timers for 2000 new workers", n)
 	}
 	for i := range 200 {
 		b.request(fmt.Sprint("r", i), "safe", 100*ms)
 	}
-	b.pass(300 * ms)
+	b.advance(300 * ms)
 	tried := 0
 	for id := uint32(1001); id <= 3000; id++ {
 		tried += b.count(fmt.Sprint("probe ", id))
 	}
 	if tried == 0 {
-		t.Error("no new worker is tried, however many jobs come")
+		t.Error("no new worker is rechecked, however many jobs arrive")
 	}
 }
 
-// blindFleet is a dispatcher of 80 before workers that report nothing but starts.
-func blindFleet(t *testing.T, rank, workers int) *bench {
+// newStartReportFixture returns one of 80 dispatchers, with workers that report nothing but starts.
+func newStartReportFixture(t *testing.T, rank, workers int) *fixture {
 	s := settings()
 	s.Instances, s.Rank, s.Seed, s.ReportsStart, s.ReportX0 = 80, rank, uint64(rank), true, ""
 	s.Limits.ConcurrentAttempts = false
-	return newBench(t, s, workers)
+	return newFixture(t, s, workers)
 }
 
-// play sends a job, tells its start after the wait, and its end.
-func (b *bench) play(id string, wait time.Duration) uint32 {
+// runJob sends a job, reports its start after the wait and its end, and returns its worker.
+func (b *fixture) runJob(id string, wait time.Duration) uint32 {
 	b.request(id, "unsafe", 100*ms)
 	w := b.sentTo(id)
-	b.pass(wait)
+	b.advance(wait)
 	b.HandleAttemptUpdate(b.now, policy.AttemptUpdate{Request: id, Worker: w, Kind: policy.UpdateStarted})
-	b.pass(100 * ms)
-	b.outcome(id, policy.OK)
+	b.advance(100 * ms)
+	b.endAttempt(id, policy.OK)
 	return w
 }
 
-// TestStaysWithAWorkerThatHasRoom: where only starts show room, a dispatcher stays with a worker at which jobs
-// start at once and leaves one at which a job waits. By own sums alone all dispatchers of a fleet agreed on
-// the same workers: a quarter of the jobs waited, with room at 37 of 60 workers.
-func TestStaysWithAWorkerThatHasRoom(t *testing.T) {
+// TestStaysWithAWorkerThatHasCapacity checks that, where only starts show capacity, a dispatcher stays with a
+// worker that starts its jobs at once and leaves one at which a job waits. When dispatchers decided by their
+// own sums alone, all of them chose the same workers: a quarter of the jobs waited while 37 of 60 workers had
+// capacity.
+func TestStaysWithAWorkerThatHasCapacity(t *testing.T) {
 	used := make(map[uint32]int)
 	for rank := range 80 {
-		b := blindFleet(t, rank, 20)
-		first := b.play("r0", 5*ms)
+		b := newStartReportFixture(t, rank, 20)
+		first := b.runJob("r0", 5*ms)
 		used[first]++
 		same := 0
 		for i := range 20 {
-			if b.play(fmt.Sprint("s", i), 5*ms) == first {
+			if b.runJob(fmt.Sprint("s", i), 5*ms) == first {
 				same++
 			}
 		}
 		if same < 15 {
 			t.Errorf("rank %d: %d of 20 jobs at the worker that started the first one at once", rank, same)
 		}
-		if b.play("w", 150*ms) == b.play("l", 5*ms) {
-			t.Errorf("rank %d: a job goes where one has just waited", rank)
+		if b.runJob("w", 150*ms) == b.runJob("l", 5*ms) {
+			t.Errorf("rank %d: a job goes to a worker where one has just waited", rank)
 		}
 	}
 	for w, n := range used {
@@ -278,21 +280,24 @@
 	}
 }
 
-// TestWarmingWorkersAreNotLeftIdle: half of the fleet is replaced at once, and at the rest jobs wait. What the
-// dispatchers send to the new ones together grows as those warm up. By turns alone, which the few jobs of a
-// dispatcher seldom met, they stood idle for all the time in which they were called cold.
+// TestWarmingWorkersAreNotLeftIdle checks the case that half of the fleet is replaced at once while jobs wait
+// at the other half. What the dispatchers together send to the new workers grows as those warm up. When each
+// dispatcher could send only in its turn, its few jobs seldom arrived in that time, and the new workers were
+// idle during their whole warm-up.
 func TestWarmingWorkersAreNotLeftIdle(t *testing.T) {
 	t.Run("starts", func(t *testing.T) { coldHalf(t, "") })
 	t.Run("reports", func(t *testing.T) { coldHalf(t, policy.FreeSlots) })
 }
 
+// coldHalf runs 80 dispatchers with 20 workers, half of them cold, and checks the share of jobs that the cold
+// half gets.
 func coldHalf(t *testing.T, report string) {
 	cold, all := 0, 0
 	for rank := range 80 {
 		s := settings()
 		s.Instances, s.Rank, s.Seed, s.ReportsStart, s.ReportX0 = 80, rank, uint64(rank), report == "", report
 		s.Limits.ConcurrentAttempts = false
-		b := newBench(t, s, 20)
+		b := newFixture(t, s, 20)
 		var list []policy.Member
 		for id := range uint32(20) {
 			m := member(id+1, "a")
@@ -308,23 +313,23 @@
 			for k := len(b.acts) - 1; k < len(b.acts) && b.sends[id] == 0; k++ {
 				var w uint32
 				if n, _ := fmt.Sscanf(b.acts[k], "probe %d", &w); n == 1 {
-					b.HandleProbeResult(b.now, full(w, 2))
+					b.HandleProbeResult(b.now, freeSlotsReport(w, 2))
 				}
 				if k == len(b.acts)-1 {
-					b.pass(20 * ms)
+					b.advance(20 * ms)
 				}
 			}
 			if b.sends[id] == 0 {
-				b.pass(200 * ms)
+				b.advance(200 * ms)
 			}
 			w := b.sentTo(id)
 			if all++; w <= 10 {
 				cold++
 				b.HandleAttemptUpdate(b.now, policy.AttemptUpdate{Request: id, Worker: w, Kind: policy.UpdateStarted})
 			}
-			b.pass(100 * ms) // as its hint says: a longer run would ask for more than the rule allows
-			b.outcome(id, policy.OK)
-			b.pass(400 * ms)
+			b.advance(100 * ms) // as long as its hint: a longer run would exceed what the rule allows
+			b.endAttempt(id, policy.OK)
+			b.advance(400 * ms)
 		}
 	}
 	if cold < all/4 || cold > all*3/4 {
@@ -332,14 +337,15 @@
 	}
 }
 
-// TestFewWorkersWhereOnlyStartsShowRoom: each worker that a dispatcher learns to be jammed costs it a job, so one
-// with little traffic keeps to a few. Its ten of before were as many as it sent jobs to in ten seconds.
-func TestFewWorkersWhereOnlyStartsShowRoom(t *testing.T) {
+// TestFewWorkersWhereOnlyStartsShowCapacity checks that a dispatcher with little traffic uses few workers. For
+// each worker that it learns to be full, one of its jobs has to wait; with the former subset of ten workers it
+// sent each worker one job in ten seconds.
+func TestFewWorkersWhereOnlyStartsShowCapacity(t *testing.T) {
 	all := make(map[uint32]bool)
 	for rank := range 80 {
-		b, used := blindFleet(t, rank, 60), make(map[uint32]bool)
+		b, used := newStartReportFixture(t, rank, 60), make(map[uint32]bool)
 		for i := range 40 {
-			w := b.play(fmt.Sprint("r", i), 150*ms)
+			w := b.runJob(fmt.Sprint("r", i), 150*ms)
 			used[w], all[w] = true, true
 		}
 		if len(used) > 6 {
@@ -351,20 +357,21 @@
 	}
 }
 
-// TestWideJobsKeepToAPart: a member serves its queue in order, so that a job of several slots, which waits until
-// they are all free, holds up whatever comes after it. The dispatchers agree on where such jobs go first.
+// TestWideJobsKeepToAPart checks that all dispatchers prefer the same part of the workers for jobs of several
+// slots. A worker serves its queue in order, so such a job, which waits until all its slots are free, delays
+// the jobs behind it.
 func TestWideJobsKeepToAPart(t *testing.T) {
 	sent := [2]map[uint32]int{{}, {}} // narrow, wide
 	for rank := range 80 {
-		b := blindFleet(t, rank, 60)
+		b := newStartReportFixture(t, rank, 60)
 		for i := range 20 {
 			id := fmt.Sprint("r", i)
 			b.HandleRequest(b.now, policy.Request{ID: id, Class: "unsafe", Hint: 100 * ms, Slots: float64(1 + 3*(i%2)), Deadline: b.now + 5*time.Second})
 			w := b.sentTo(id)
 			sent[i%2][w]++
 			b.HandleAttemptUpdate(b.now, policy.AttemptUpdate{Request: id, Worker: w, Kind: policy.UpdateStarted})
-			b.pass(100 * ms)
-			b.outcome(id, policy.OK)
+			b.advance(100 * ms)
+			b.endAttempt(id, policy.OK)
 		}
 	}
 	mixed := 0
@@ -376,8 +383,8 @@
 	}
 }
 
-// TestProbesStayWithinOneARequest: each probe costs a worker work, and reports come with answers too, so
-// that more than one a request is paid for and not bought.
+// TestProbesStayWithinOneARequest limits the probes to one per request: each probe is work for a worker, and
+// reports come with answers too.
 func TestProbesStayWithinOneARequest(t *testing.T) {
 	for _, workers := range []int{40, 80} {
 		if b := fleet(t, workers, 1); b.count("probe ") > 40 {
@@ -386,26 +393,26 @@
 	}
 }
 
-// TestSlowStartBudgetOfAllTogether plays 300 dispatchers that are all told of one cold worker, whose jobs have no other
-// place to go, over several mixes of classes. Whatever they send in any window of the rule stays under
-// N + 2 x root of N + 2 requests of mean work, N being what the settings let the worker have then.
+// TestSlowStartBudgetOfAllTogether runs 300 dispatchers that all have one cold worker listed, and whose jobs
+// fit no other worker, with several mixes of classes. What they send together in any window of the rule must
+// stay under N + 2 sqrt(N) + 2 requests of mean work, where N is the limit by the settings at that time.
 //
 //nolint:funlen,gocognit // a simulation whose steps share their state
 func TestSlowStartBudgetOfAllTogether(t *testing.T) {
 	for name, mix := range map[string]struct {
-		wide   float64 // the share of jobs that are tickets, of 3.2 s and 1, 2 or 4 slots
+		wide   float64 // the share of jobs that are tickets, which take 3.2 s and 1, 2 or 4 slots
 		report bool
 	}{"holds": {0, false}, "bookings": {0.28, false}, "tickets": {1, false}, "reports": {0.28, true}} {
 		t.Run(name, func(t *testing.T) {
 			rng, s := rand.New(rand.NewPCG(3, 4)), settings()
 			s.Instances, s.ReportsStart, s.Limits.ConcurrentAttempts, s.Limits.Probes = 300, true, false, mix.report
 			s.Rules.ColdCapacity, s.Rules.WarmupTime, s.Rules.ColdOverloadMultiple, s.Rules.ColdOverloadWindow = 0.12, 24*time.Second, 4, 3*time.Second
-			benches, rate, held := make([]*bench, 300), make([]float64, 300), make([][]policy.Request, 300)
+			fixtures, rate, held := make([]*fixture, 300), make([]float64, 300), make([][]policy.Request, 300)
 			cold := member(9, "a")
-			for i := range benches { // each knows the kind: four slots
+			for i := range fixtures { // each has learned that the kind has four slots
 				s.Rank, s.Seed, rate[i] = i, uint64(i), rng.ExpFloat64()*1.3
-				b := newBench(t, s, 1)
-				b.HandleProbeResult(b.now, full(1, 4))
+				b := newFixture(t, s, 1)
+				b.HandleProbeResult(b.now, freeSlotsReport(1, 4))
 				for k := range 12 {
 					id := fmt.Sprint("w", k)
 					if b.request(id, "unsafe", 800*ms); b.sends[id] > 0 {
@@ -415,22 +422,22 @@
 				b.now += time.Second
 				for k := range 12 {
 					if id := fmt.Sprint("w", k); b.sends[id] > 0 {
-						b.outcome(id, policy.OK)
+						b.endAttempt(id, policy.OK)
 					}
 				}
 				cold.StartedAt = b.now
-				benches[i] = b
+				fixtures[i] = b
 				b.HandleMembers(b.now, policy.ListSnapshot, []policy.Member{cold})
 			}
 			type load struct{ at, work float64 }
 			var sent []load
-			ends, asked, jobs := make(map[int][]func()), 0.0, 0.0
+			ends, requested, jobs := make(map[int][]func()), 0.0, 0.0
 			for tick := range int(s.Rules.WarmupTime / (20 * ms)) {
 				for _, end := range ends[tick] {
 					end()
 				}
 				at := float64(tick) * 0.02
-				for i, b := range benches {
+				for i, b := range fixtures {
 					b.now = cold.StartedAt + time.Duration(tick)*20*ms
 					b.HandleTimer(b.now, "tick")
 					if rng.Float64() < rate[i]*0.02 {
@@ -438,7 +445,7 @@
 						if rng.Float64() < mix.wide {
 							r.Hint, r.Slots = 3200*ms, []float64{1, 1, 1, 2, 4}[rng.IntN(5)]
 						}
-						asked, jobs = asked+r.Hint.Seconds()*r.Slots, jobs+1
+						requested, jobs = requested+r.Hint.Seconds()*r.Slots, jobs+1
 						held[i] = append(held[i], r)
 						b.HandleRequest(b.now, r)
 					}
@@ -451,13 +458,13 @@
 						done := tick + int(r.Hint/(20*ms))
 						ends[done] = append(ends[done], func() {
 							b.now = cold.StartedAt + time.Duration(done)*20*ms
-							b.outcome(r.ID, policy.OK)
+							b.endAttempt(r.ID, policy.OK)
 						})
 						return true
 					})
 				}
 			}
-			mean, total := asked/jobs, 0.0
+			mean, total := requested/jobs, 0.0
 			for i, last := range sent {
 				sum, share := 0.0, s.Rules.ColdCapacity+(1-s.Rules.ColdCapacity)*max(0, last.at-3)/24
 				for _, l := range sent[:i+1] {
@@ -470,7 +477,7 @@
 					t.Fatalf("%.1f s after its start: %.1f requests of mean work in a window, %.1f allowed", last.at, sum, n+2*math.Sqrt(n)+2)
 				}
 			}
-			t.Logf("%.0f s of work sent to it, of %.0f asked", total, asked)
+			t.Logf("%.0f s of work sent to it, of %.0f requested", total, requested)
 			if total < 18 {
 				t.Errorf("the cold worker got %.1f s of work while it warmed up: it is left idle", total)
 			}
--- a/internal/dispatcher/policy/search_test.go
+++ b/internal/dispatcher/policy/search_test.go
@@ -10,10 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// plainSearch is the search through the whole subset, which the sampled one is held
-// against: whether any worker of a sort serves, the best room of those that fit, and
-// how many near ones fit.
-func (d *Dispatcher) plainSearch(j *job) (best *worker, most float64, near int) {
+// fullSearch searches the whole subset, as a reference for the sampled search. It returns the best worker,
+// its headroom, and how many local workers that are not avoided fit the job.
+func (d *Dispatcher) fullSearch(j *job) (best *worker, most float64, near int) {
 	chosen, top := [2]*worker{}, [2]float64{}
 	serving := 1
 	for _, w := range d.subset {
@@ -38,24 +37,24 @@
 	return chosen[serving], top[serving], near
 }
 
-// searched is a host that keeps what is out, so that random ends can be told.
-type searched struct {
-	mute
+// sendRecorder is a host that records the sends, so that a test can end them in any order.
+type sendRecorder struct {
+	nopHost
 	out []AttemptResult
 }
 
-func (s *searched) Send(id string, w uint32, _ time.Duration) {
+func (s *sendRecorder) Send(id string, w uint32, _ time.Duration) {
 	s.out = append(s.out, AttemptResult{Request: id, Worker: w})
 }
 
-// TestSampledSearch holds the sampled search to the plain one after every event of
-// random ones: it finds a worker exactly if the plain one does, one that the job
-// fits, and the very best where no more fit than are weighed.
+// TestSampledSearch compares the sampled search with the full one after each of a series of random events.
+// The sampled search finds a worker exactly if the full one does, the job fits that worker, and it is the
+// best one if no more workers fit than are sampled.
 //
 //nolint:funlen,gocognit // a simulation whose steps share their state
 func TestSampledSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &searched{}
+		h := &sendRecorder{}
 		s := Settings{
 			Instances: 1, Kinds: []string{"a", "b"}, Zone: "x", ReportsStart: true, CrossZonePrice: float64(rapid.IntRange(0, 1).Draw(t, "price")),
 			Limits: Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true},
@@ -83,7 +82,7 @@
 			list = append(list, member(i))
 		}
 		d.HandleMembers(now, ListSnapshot, list)
-		d.peakJobs = float64(n) // as with as many jobs in hand: all are in the subset
+		d.peakJobs = float64(n) // as with as many open jobs: all workers are in the subset
 		d.refillSubset()
 		d.HandleRequest(now, Request{ID: "first", Class: "safe", Hint: 50 * time.Millisecond, Slots: 1, Deadline: now + 5*time.Second})
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -118,9 +117,9 @@
 			j := &job{Request: Request{ID: "probe", Slots: 1}, class: class, answerBy: d.now + time.Second}
 			j.expectedRun = float64(rapid.IntRange(1, 800).Draw(t, "run")) * float64(time.Millisecond)
 			j.cost = j.expectedRun
-			want, most, near := d.plainSearch(j)
+			want, most, near := d.fullSearch(j)
 			got := d.selectAny(j)
-			require.Equal(t, want == nil, got == nil, "plain %v, sampled %v", want, got)
+			require.Equal(t, want == nil, got == nil, "full search %v, sampled %v", want, got)
 			if got == nil {
 				continue
 			}
@@ -137,13 +136,13 @@
 	})
 }
 
-// TestEqualRoomIsShared: where all have the same room, jobs of many dispatchers do
-// not meet at one worker.
-func TestEqualRoomIsShared(t *testing.T) {
+// TestEqualHeadroomIsSpread checks that the jobs of many dispatchers do not go to the same workers if all
+// workers have the same headroom.
+func TestEqualHeadroomIsSpread(t *testing.T) {
 	const workers, dispatchers = 500, 200
 	got := make(map[uint32]int)
 	for rank := range dispatchers {
-		h := &searched{}
+		h := &sendRecorder{}
 		d, err := New(Settings{
 			Seed: uint64(rank), Instances: 1, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2},
 			Classes: []Class{{Name: "c", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
@@ -165,9 +164,9 @@
 	require.Greater(t, len(got), dispatchers/2)
 }
 
-// whole plays jobs to a dispatcher with a list of 10,000 for a while and returns
-// how many were sent to each worker.
-func whole(d *Dispatcher, h *searched, now *time.Duration, jobs int, name string) map[uint32]int {
+// serveJobs sends jobs to a dispatcher, ends attempts while more than 200 are in flight, and returns how many
+// attempts are left at each worker.
+func serveJobs(d *Dispatcher, h *sendRecorder, now *time.Duration, jobs int, name string) map[uint32]int {
 	sent := make(map[uint32]int)
 	for n := range jobs {
 		*now += 100 * time.Microsecond
@@ -188,12 +187,11 @@
 	return sent
 }
 
-// TestListsOfTenThousand: a list that changes wholly in one call, one that drains
-// wholly and comes back cold, and one worker a hundred times slower. Each of these
-// is answered at once, and what goes out afterwards goes where the list says.
+// TestListsOfTenThousand replaces all of 10,000 workers in one call, drains them all, and lists them all again
+// as cold. After each call, jobs go only where the list allows.
 func TestListsOfTenThousand(t *testing.T) {
 	const n = 10000
-	h := &searched{}
+	h := &sendRecorder{}
 	d, err := New(Settings{
 		Instances: 1, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2}, ReportsStart: true,
 		Classes: []Class{{Name: "c", LatencyTarget: time.Second, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1}},
@@ -208,23 +206,23 @@
 		return all
 	}
 	d.HandleMembers(now, ListSnapshot, list(1, Ready, 0))
-	require.NotEmpty(t, whole(d, h, &now, 2000, "a"))
+	require.NotEmpty(t, serveJobs(d, h, &now, 2000, "a"))
 
-	d.HandleMembers(now, ListSnapshot, list(1+n, Ready, 0)) // all others
+	d.HandleMembers(now, ListSnapshot, list(1+n, Ready, 0)) // replaces all workers
 	h.out = nil
-	for w := range whole(d, h, &now, 2000, "b") {
+	for w := range serveJobs(d, h, &now, 2000, "b") {
 		require.Greater(t, w, uint32(n))
 	}
 
 	d.HandleMembers(now, ListSnapshot, list(1+n, Draining, 0))
 	h.out = nil
-	require.Empty(t, whole(d, h, &now, 500, "c"), "nothing goes to those that drain")
+	require.Empty(t, serveJobs(d, h, &now, 500, "c"), "nothing is sent to draining workers")
 
 	now += 6 * time.Second
 	d.HandleTimer(now, tickToken)
-	d.HandleMembers(now, ListSnapshot, list(1+n, Ready, now)) // all come back, all cold
+	d.HandleMembers(now, ListSnapshot, list(1+n, Ready, now)) // all workers return, cold
 	h.out = nil
-	for w, jobs := range whole(d, h, &now, 2000, "d") {
+	for w, jobs := range serveJobs(d, h, &now, 2000, "d") {
 		require.LessOrEqual(t, jobs, 4, "cold worker %d", w)
 	}
 	require.Less(t, len(d.vacant.All()), n+1)
@@ -233,10 +231,10 @@
 	}
 }
 
-// TestSlowOneAmongMany: one worker a hundred times slower draws next to no work.
-func TestSlowOneAmongMany(t *testing.T) {
+// TestSlowWorkerAmongMany checks that a worker that is a hundred times slower gets hardly any work.
+func TestSlowWorkerAmongMany(t *testing.T) {
 	const n, slow = 300, 7
-	h := &searched{}
+	h := &sendRecorder{}
 	d, err := New(Settings{
 		Instances: 1, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2},
 		Classes: []Class{{Name: "c", LatencyTarget: 10 * time.Second, ClientTimeout: 20 * time.Second, Value: 1, Kind: -1}},
@@ -286,12 +284,12 @@
 	require.Less(t, there, total/n/4, "of %d", total)
 }
 
-// TestLoneDispatcherLearnsSoon: whom nobody shares its worker with finds out in a few
-// round trips how much the worker takes, until the first sign that it is too much; who
-// shares it goes on slowly.
-func TestLoneDispatcherLearnsSoon(t *testing.T) {
+// TestSoleDispatcherLearnsQuickly checks that a dispatcher that shares its worker with no other one learns in a
+// few round trips how many jobs the worker can take, until its budget is first reduced. A dispatcher that
+// shares the worker grows its budget slowly.
+func TestSoleDispatcherLearnsQuickly(t *testing.T) {
 	most := func(instances int, cutAt int) (out int) {
-		h := &searched{}
+		h := &sendRecorder{}
 		d, err := New(Settings{
 			Instances: instances, Kinds: []string{"k"}, Limits: Limits{MaxAttempts: 2}, ReportsStart: true,
 			Classes: []Class{{Name: "c", LatencyTarget: time.Minute, ClientTimeout: 2 * time.Minute, Value: 1, Kind: -1}},
@@ -323,14 +321,14 @@
 	}
 	require.Greater(t, most(1, -1), 12)
 	require.LessOrEqual(t, most(2, -1), 4)
-	require.LessOrEqual(t, most(1, 1), 6, "it was cut once")
+	require.LessOrEqual(t, most(1, 1), 6, "the budget was reduced once")
 }
 
-// TestOverdueChecksAreATickApart: with many members busy all that is due waits for the tick,
-// however long ago the last look was: a look that takes longer than a tick would
-// else be due again at once, for each attempt out.
+// TestOverdueChecksAreATickApart checks that, with many busy workers, checks for overdue attempts wait for the
+// tick, however long ago the last check was. Otherwise a check that takes longer than a tick would be due
+// again at once, for each attempt in flight.
 func TestOverdueChecksAreATickApart(t *testing.T) {
-	h := &looked{}
+	h := &tickCounter{}
 	d, err := New(Settings{
 		Instances: 1, Kinds: []string{"a"}, ReportsStart: true, Limits: Limits{MaxAttempts: 1},
 		Classes: []Class{{Name: "safe", Effect: Idempotent, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Kind: -1}},
@@ -365,10 +363,10 @@
 	require.Greater(t, overdue(), manyMembers)
 }
 
-// looked is a host that counts the ticks asked for.
-type looked struct {
-	mute
+// tickCounter is a host that counts the tick timers that are set.
+type tickCounter struct {
+	nopHost
 	ticks int
 }
 
-func (l *looked) Timer(_ time.Duration, token string) { l.ticks += boolToInt(token == tickToken) }
+func (l *tickCounter) Timer(_ time.Duration, token string) { l.ticks += boolToInt(token == tickToken) }
--- a/internal/dispatcher/policy/settings.go
+++ b/internal/dispatcher/policy/settings.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Settings are what a dispatcher is told at its start. Points in time are durations since a moment
-// of the host's choice.
+// Settings are the settings of a dispatcher. Points in time are durations since a moment that the
+// host chooses.
 type Settings struct {
 	Seed      uint64   // of the random numbers of this instance
-	Instances int      // how many dispatchers there are, this one included; at least 1
-	Rank      int      // the number of this instance among them, from 0
+	Instances int      // number of dispatchers, this one included; at least 1
+	Rank      int      // index of this instance among them, from 0
 	Zone      string   // of this instance
 	Kinds     []string // of workers
 	Classes   []Class  // at least one
 
 	ValueByWork        bool    // Class.Value is per unit of work, not per request
 	PullsMembership    bool    // worker lists arrive only as answers to calls
-	ReportsStart       bool    // workers tell when a job starts
+	ReportsStart       bool    // workers report when a job starts
 	ClientsMarkRetries bool    // clients mark their retries
 	ReportX0           string  // meaning of Report.X0, such as FreeSlots
 	ReportX1           string  // meaning of Report.X1, such as FreeMemory
-	CrossZonePrice     float64 // of an attempt; 0: zones do not matter
+	CrossZonePrice     float64 // of an attempt in another zone; 0: zones do not matter
 
 	Limits       Limits
 	Rules        Rules
@@ -35,17 +35,17 @@
 	FreeMemory = "free memory"
 )
 
-// Effect says how often a request of a class may run.
+// Effect is how often a request of a class may run.
 type Effect uint8
 
 // Effects of a class of requests.
 const (
 	Idempotent   Effect = iota // may be repeated at will
-	Deduplicated               // workers drop repeats with the same key, for a time
+	Deduplicated               // workers drop repeats with the same key for a limited time
 	AtMostOnce                 // must never run twice
 )
 
-// DedupScope says which workers drop the repeats of a deduplicated request.
+// DedupScope is the set of workers that drop the repeats of a deduplicated request.
 type DedupScope uint8
 
 // Scopes of deduplication.
@@ -55,7 +55,7 @@
 	DedupCell                   // the workers of one cell of a zone
 )
 
-// covers reports whether one of two workers drops a repeat of what the other got.
+// covers reports whether worker b drops a repeat of a request that worker a has received.
 func (s DedupScope) covers(a, b Member) bool {
 	return s == DedupAll || a.Zone == b.Zone && (s == DedupZone || a.Cell == b.Cell)
 }
@@ -66,7 +66,7 @@
 	Effect        Effect
 	DedupScope    DedupScope    // Deduplicated only
 	DedupWindow   time.Duration // Deduplicated only: how long workers remember a key
-	LatencyTarget time.Duration // the latency target: an answer within this time is in time
+	LatencyTarget time.Duration // an answer within this time is in time
 	TargetPerWork float64       // the target grows by this multiple of the request's own work
 	ClientTimeout time.Duration // the client's timeout, above 0
 	Value         float64       // the value of an answer in time, at least 0; see Settings.ValueByWork
@@ -81,24 +81,24 @@
 	ConcurrentAttempts bool // several attempts of one request may be in flight
 	RetryAfter         bool // clients are told how long to wait
 	MaxRetryAfter      time.Duration
-	// ConnectTimeout is how long an attempt may take to reach its worker, which counts against the
-	// window of its key; 0: whoever carries attempts keeps to the window.
+	// ConnectTimeout is how long an attempt may take to reach its worker. That time counts against
+	// the window of the deduplication key; 0: the host itself keeps attempts within the window.
 	ConnectTimeout time.Duration
 }
 
-// Rules are the figures of the platform's rules, which must never be broken.
+// Rules are the parameters of the platform's rules, which must never be broken.
 type Rules struct {
 	AnswerGrace          time.Duration // a final answer may come this long after the client's deadline
-	MembershipMaxAge     time.Duration // with PullsMembership: older news counts as told
+	MembershipMaxAge     time.Duration // with PullsMembership: older changes count as known
 	ColdCapacity         float64       // the share of its capacity that a worker starts with
 	WarmupTime           time.Duration // from its start to its full capacity
-	ColdOverloadMultiple float64       // a cold worker fails at this multiple of its capacity
-	ColdOverloadWindow   time.Duration // sent within this time
+	ColdOverloadMultiple float64       // a cold worker fails if it gets this multiple of its capacity
+	ColdOverloadWindow   time.Duration // within this time
 
-	// RejectedMayHaveRun says that a worker may also answer Rejected for work that it had begun.
+	// RejectedMayHaveRun is set if a worker may also answer Rejected for work that it had begun.
 	RejectedMayHaveRun bool
-	// RemovedMayServe says that lists may be wrong: a worker that is listed as Removed, or left out,
-	// without having been seen Draining may still be sent to.
+	// RemovedMayServe is set if lists may be wrong: a worker that is listed as Removed, or left out,
+	// may still get jobs unless it was seen Draining.
 	RemovedMayServe bool
 }
 
@@ -107,7 +107,7 @@
 	return s == ConnectFailed || s == NotSent || s == Rejected && !r.RejectedMayHaveRun
 }
 
-// validate names the first setting that is invalid.
+// validate returns an error that names the first invalid setting, or nil.
 func (s *Settings) validate() error {
 	bad := func(field string) error { return fmt.Errorf("basaltloft: invalid setting %s", field) }
 	switch {
--- a/internal/dispatcher/policy/slowstart.go
+++ b/internal/dispatcher/policy/slowstart.go
@@ -10,23 +10,24 @@
 	// slowStartPriority is added to the headroom of a worker that is warming up and outweighs any
 	// headroom.
 	slowStartPriority = 1e13
-	// slowStartEvenShare is the share of the bound on a worker that is warming up which even parts
-	// use.
+	// slowStartEvenShare is the share of the limit for a worker that is warming up that the even
+	// parts of all dispatchers add up to.
 	slowStartEvenShare = 0.6
-	// slowStartDrawShare is the share of the bound, with its allowance for chance, that won draws
-	// use.
+	// slowStartDrawShare is the share of the limit, including its allowance for chance, that won
+	// draws may use.
 	slowStartDrawShare = 0.7
-	// slowStartEvenExcess is what one of few dispatchers may take by a draw, in even parts.
+	// slowStartEvenExcess is the maximum that a dispatcher may send by a draw where there are few
+	// dispatchers, as a multiple of its even part.
 	slowStartEvenExcess = 1.3
-	// slowStartJobShare is the share of the bound that a single job may take.
+	// slowStartJobShare is the share of the limit that a single job may take.
 	slowStartJobShare = 0.2
 )
 
-// minCapacity keeps divisors from 0: by the rule's figures a worker may start with no capacity, or
-// with all.
+// minCapacity keeps divisors above 0: the rule's parameters allow a worker to start with no capacity
+// or with its full capacity.
 const minCapacity = 1e-6
 
-// slowStartSend is the cost sent to a worker that is warming up at a time.
+// slowStartSend is a send to a worker that is warming up: its time and cost.
 type slowStartSend struct {
 	at   time.Duration
 	cost float64
@@ -37,7 +38,7 @@
 	return w.warmingSince != 0 && d.now-w.warmingSince < d.Rules.WarmupTime
 }
 
-// warmCapacity is the part of its capacity that a worker has at least, at an age.
+// warmCapacity returns the minimum part of its capacity that a worker has at an age.
 func (d *Dispatcher) warmCapacity(w *worker, age time.Duration) float64 {
 	if !d.warmingUp(w) {
 		return 1
@@ -46,11 +47,12 @@
 	return d.Rules.ColdCapacity + (1-d.Rules.ColdCapacity)*warmed
 }
 
-// slowStartHeadroom is the cost that a worker which is warming up may still get from this instance.
-// The platform's rule bounds what all instances send to it within a window; slots seen at its kind,
-// at its pace, stand for its capacity at the start of the window. Even parts, where they suffice
-// for the job, keep to the bound for sure. Where many instances share they don't suffice: there
-// each draws, once a window, what it may send.
+// slowStartHeadroom returns the cost that a worker that is warming up may still get from this
+// instance. The platform's rule limits what all instances together send to the worker within a
+// window. The worker's capacity at the start of the window is estimated from the slots seen at its
+// kind and from its pace. If each instance keeps to an even part, the limit is never exceeded. With
+// many instances the even part is too small for a job: then a random draw, once a window, decides
+// which instances may send.
 func (d *Dispatcher) slowStartHeadroom(w *worker, j *job) float64 {
 	capacity := max(1, 0.8*w.kind.maxSlots) / w.pace() * float64(d.Rules.ColdOverloadWindow)
 	age := max(0, d.now-w.warmingSince-d.Rules.ColdOverloadWindow)
@@ -60,18 +62,18 @@
 		return slowStartEvenShare*limit - sent
 	}
 	evenPart := slowStartEvenShare * limit / float64(d.Instances)
-	limit += 2*math.Sqrt(limit*d.meanCost) + 2*d.meanCost // what the rule allows for chance
+	limit += 2*math.Sqrt(limit*d.meanCost) + 2*d.meanCost // the rule's allowance for chance
 	largest := max(d.meanCost, slowStartJobShare*limit)
 	ownPart := slowStartDrawShare * limit / 2 / float64(d.Instances)
 	if j.cost <= evenPart || j.cost > largest || sent+d.slowStartDraw(w)*j.cost > ownPart ||
-		d.Instances < crowdedSharing && sent+j.cost > slowStartEvenExcess*evenPart { // too few to even out
+		d.Instances < wideSharing && sent+j.cost > slowStartEvenExcess*evenPart { // too few to average out
 		return evenPart - sent
 	}
 	return largest
 }
 
 // scaleToOwnShare scales a limit on what all instances may send to a worker that is warming up to
-// this instance's share of it, and reports whether it has one.
+// this instance's share, and reports whether the limit is divided into such shares.
 func (d *Dispatcher) scaleToOwnShare(limit *float64) bool {
 	if d.SharedBudget == nil {
 		return false
@@ -83,20 +85,20 @@
 	return divided
 }
 
-// slowStartDraw is this instance's draw (0 to 1) for a worker that is warming up. It is the same
-// within a window of the rule, whatever the job; the windows of the instances begin one after the
-// other. The draws of one window are evenly spread over the instances, so that no more of them win
-// than the mean says. A window that began before this instance was started may have been used: its
-// draw is infinite and never wins.
+// slowStartDraw returns this instance's random draw (0 to 1) for a worker that is warming up. The draw
+// is the same for all jobs within a window of the rule; the windows of the instances start at
+// different times. The draws of one window are evenly spread over the instances, so that no more of
+// them win than the mean. A window that began before this instance started may already have been
+// used: its draw is infinite and never wins.
 func (d *Dispatcher) slowStartDraw(w *worker) float64 {
 	length := max(1, float64(d.Rules.ColdOverloadWindow))
 	phase := w.hashFraction(uint64(d.Rank)) * length
 	window := math.Floor((float64(d.now-w.warmingSince) + phase) / length)
 	began := w.warmingSince + time.Duration(window*length-phase)
-	if began < d.bornAt && w.warmingSince < d.bornAt {
+	if began < d.firstEventAt && w.warmingSince < d.firstEventAt {
 		return math.Inf(1)
 	}
-	seed := 3 * uint64(max(0, window)) // three random numbers a window
+	seed := 3 * uint64(max(0, window)) // three random numbers per window
 	instances, stride := uint64(d.Instances), 1+int(w.hashFraction(1<<32+seed)*float64(d.Instances))
 	for gcd(stride, d.Instances) > 1 {
 		stride++
@@ -106,22 +108,22 @@
 	return (float64(position) + w.hashFraction(1<<32+seed+2)) / float64(instances)
 }
 
-// warmupSlowdown is how much longer a job runs at a worker that may be warming up: at most what the
-// rule's capacities imply, of which warmupPenalty is the part that such workers were found to need.
+// warmupSlowdown returns the factor by which a job runs longer at a worker that may be warming up. The
+// capacities of the rule imply the maximum; warmupPenalty is the learned part of it.
 func (d *Dispatcher) warmupSlowdown(w *worker) float64 {
 	return 1 + d.warmupPenalty*(1/max(minCapacity, d.warmCapacity(w, d.now-w.warmingSince))-1)
 }
 
-// learnWarmupPenalty takes a run at a worker that is warming up into warmupPenalty: the less it
-// lacks of its capacity, the less the run shows.
+// learnWarmupPenalty updates warmupPenalty from a run at a worker that is warming up. The closer the
+// worker is to its full capacity, the less weight the run has.
 func (d *Dispatcher) learnWarmupPenalty(w *worker, ratio, weight float64) {
 	lack := max(minCapacity, 1-d.warmCapacity(w, d.now-w.warmingSince))
 	penalty := min(1, max(0, (ratio*d.warmupSlowdown(w)-1)*(1-lack)/lack))
 	d.warmupPenalty += (penalty - d.warmupPenalty) * lack * weight / paceWindow
 }
 
-// slowStartCostSince is the cost sent to a worker that is warming up since then; what is older is
-// forgotten.
+// slowStartCostSince returns the cost sent to a worker that is warming up after then, and deletes
+// older sends.
 func (w *worker) slowStartCostSince(then time.Duration) (cost float64) {
 	w.slowStartSends = slices.DeleteFunc(w.slowStartSends, func(s slowStartSend) bool { return s.at <= then })
 	for _, s := range w.slowStartSends {
@@ -130,8 +132,8 @@
 	return cost
 }
 
-// hashFraction is a pseudo-random number (0 to 1) of a number and the worker's id, evenly spread
-// over both, and the same at all instances.
+// hashFraction returns a hash (0 to 1) of a number and the worker's id, uniformly distributed and the
+// same at all instances.
 func (w *worker) hashFraction(of uint64) float64 {
 	x := (of<<32 | uint64(w.Number)) * 0x9e3779b97f4a7c15 // mixed as splitmix64 does
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/dispatcher/policy/subset.go
+++ b/internal/dispatcher/policy/subset.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// minSubset and subsetPerJob: the subset has so many workers at least, and so many for each
-	// job in hand.
+	// minSubset is the minimum size of the subset, and subsetPerJob the number of workers for each
+	// open job.
 	minSubset    = 10.0
 	subsetPerJob = 2.0
 	// subsetInterval is the longest time between two refills of the subset.
 	subsetInterval = time.Second
-	// crowdedSharing: where so many dispatchers share a worker, what one has sent there says little
-	// of its load.
-	crowdedSharing = 8
-	// throngedSharing: with so many dispatchers, it says nothing.
-	throngedSharing = 16
+	// wideSharing: where this many dispatchers share a worker, what one of them has sent shows little
+	// of the worker's load.
+	wideSharing = 8
+	// veryWideSharing: with this many dispatchers, what one of them has sent shows nothing.
+	veryWideSharing = 16
 )
 
-// growSubset grows the subset with the jobs in hand. It is no larger than they need: with few
-// workers reports and connections stay fresh.
+// growSubset grows the subset with the number of open jobs. The subset is no larger than they need:
+// with few workers, reports and connections stay fresh.
 func (d *Dispatcher) growSubset() {
 	d.peakJobs = max(float64(len(d.jobs)), d.peakJobs+(float64(len(d.jobs))-d.peakJobs)/costWindow)
 	tooSmall := func() bool { return d.subsetSize() > len(d.subset) && len(d.subset) < len(d.workers) }
@@ -29,35 +29,36 @@
 	}
 }
 
-// subsetSize is the size of the subset: half where each worker is learned by jobs that wait there,
-// not by reports.
+// subsetSize returns the target size of the subset. It is halved where the load of each worker can
+// only be learned from jobs that wait there, not from reports.
 func (d *Dispatcher) subsetSize() int {
 	return int(max(minSubset, subsetPerJob*d.peakJobs)) >> boolToInt(d.onlyStartsShowCapacity())
 }
 
-// refillSubset fills the subset up: for each required kind, workers of the own zone first; suspect
-// and warming ones do not count. It walks the list only if there are too few: much that is listed
-// must cost little.
+// refillSubset fills the subset up: for each required kind, with workers of this dispatcher's zone
+// first. Suspect workers and those that are warming up do not count. The worker table is scanned only
+// if there are too few members, so that a long list costs little.
 func (d *Dispatcher) refillSubset() {
 	d.refilledAt = d.now
 	d.sweepTables()
-	// A little ahead: each walk costs as much as the list is long.
+	// Slightly more than needed, since the cost of a scan grows with the length of the list.
 	want := d.subsetSize() + len(d.subset)/manyMembers
 	for _, kind := range d.requiredKinds {
-		near := d.addToSubset(kind, true, want)
-		// Some of other zones, for what the own one has no room for.
-		d.addToSubset(kind, false, want*5/4-near)
+		localCount := d.addToSubset(kind, true, want)
+		// Some of other zones, for jobs that find no capacity in this one.
+		d.addToSubset(kind, false, want*5/4-localCount)
 	}
 	d.bestPace = d.fastest()
-	d.crowded = d.Instances*len(d.subset) >= crowdedSharing*len(d.workers)
+	d.widelyShared = d.Instances*len(d.subset) >= wideSharing*len(d.workers)
 }
 
-// addToSubset adds workers of a kind, near or not, until so many are usable; it returns how many
-// are. The walk over the list starts at a place even over the ranks, so that all workers have
-// equally many dispatchers, and goes by a stride of the rank's own, so that no two share them all.
-// One listed as removed is not added.
-func (d *Dispatcher) addToSubset(kind int, near bool, want int) (have int) {
-	fits := func(w *worker) bool { return d.local(w) == near && (kind < 0 || d.Kinds[kind] == w.Kind) }
+// addToSubset adds workers of a kind, local ones or others, until the subset has the wanted number of
+// them that are neither suspect nor warming up; it returns their number. The start of the scan is
+// evenly distributed over the ranks, so that all workers have equally many dispatchers. Each rank has
+// its own stride, so that no two ranks share all their workers. Workers that are listed as removed
+// are not added.
+func (d *Dispatcher) addToSubset(kind int, wantLocal bool, want int) (have int) {
+	fits := func(w *worker) bool { return d.local(w) == wantLocal && (kind < 0 || d.Kinds[kind] == w.Kind) }
 	for _, w := range d.subset {
 		have += boolToInt(fits(w) && !w.suspect && !d.warmingUp(w))
 	}
@@ -92,16 +93,17 @@
 	}
 }
 
-// joinIfWarmingUp takes a worker that is warming up into the subset.
+// joinIfWarmingUp adds a worker to the subset if it is warming up.
 func (d *Dispatcher) joinIfWarmingUp(w *worker) {
 	if d.warmingUp(w) {
 		d.joinSubset(w)
 	}
 }
 
-// reindex keeps the index of vacant members: the members of the subset that a job might fit. One
-// that is not among them fits no job, so that a search among them finds what one through the subset
-// would. A search while it was not there would have found its budget too small.
+// reindex updates the index of vacant members, the members of the subset that may fit a job. A member
+// outside the index fits no job, so a search of the index gives the same result as one of the whole
+// subset. If there were searches while the member was outside the index, they would have found its
+// budget exhausted, so budgetLimited is set as they would have done.
 func (d *Dispatcher) reindex(w *worker) {
 	vacant := w.inSubset && (len(w.attempts) == 0 || w.budget == 0 || w.outstandingCost <= w.budget)
 	if !d.vacant.Put(w, vacant) {
@@ -114,11 +116,13 @@
 	}
 }
 
-// thronged reports whether so many share the workers that own sums say nothing of them.
-func (d *Dispatcher) thronged() bool { return d.Instances >= throngedSharing }
+// veryWidelyShared reports whether so many dispatchers share the workers that what this one has sent
+// shows nothing of their load.
+func (d *Dispatcher) veryWidelyShared() bool { return d.Instances >= veryWideSharing }
 
-// ringWalk gives a rank its start and its stride on a ring of n: both are even over the ranks,
-// since multiples of an irrational number are, and the stride meets every place.
+// ringWalk returns the start and the stride of a rank on a ring of n positions. Both are evenly
+// distributed over the ranks, as the fractional parts of the multiples of an irrational number are.
+// The stride is coprime to n, so that it visits every position.
 func ringWalk(rank, n int) (start, stride int) {
 	at := func(by float64) int {
 		_, f := math.Modf(float64(rank+1) * by)
