--- a/internal/dispatcher/capacityindex/capacityindex.go
+++ b/internal/dispatcher/capacityindex/capacityindex.go
@@ -1,15 +1,16 @@
 // Package capacityindex is an index of the members that may have capacity left. It does no I/O and
-// decides nothing: its caller tells it which members may have capacity whenever that changes. A search
-// then looks at those alone rather than at the whole fleet, from a random one on, and stops once it has
-// seen enough.
+// makes no decisions: its caller updates it whenever a member starts or stops having capacity. A
+// search then visits only the members in the index rather than the whole fleet, starts at a random one
+// and stops after a sufficient number.
 //
-// It is a dense list, and each member keeps its position in it: adding, removing and access by number
-// take constant time. docs/routing-design.md compares it with a heap, a tournament tree and buckets.
+// The index is a dense list, and each member keeps its position in it: adding, removing and access by
+// position take constant time. docs/routing-design.md compares it with a heap, a tournament tree and
+// buckets.
 package capacityindex
 
-// Position is where a member is in one set. The zero Position is in none. A member has one for each set
-// that it may be in.
-type Position struct{ index int } // in Set.all, plus one
+// Position is the position of a member in one set. The zero Position means that the member is not in the
+// set. A member has one Position for each set that it may be in.
+type Position struct{ index int } // index in Set.all plus one
 
 // In reports whether the member is in the set.
 func (p *Position) In() bool { return p.index != 0 }
@@ -21,10 +22,11 @@
 	all      []M
 }
 
-// New returns an empty set; position returns where a member keeps its position in it.
+// New returns an empty set; position returns a pointer to the field of a member that keeps its Position.
 func New[M any](position func(M) *Position) Set[M] { return Set[M]{position: position} }
 
-// Put adds a member to the set, or removes it. It reports whether that changed the set.
+// Put adds a member to the set if in is true, and removes it otherwise. It reports whether the set
+// changed.
 func (s *Set[M]) Put(m M, in bool) bool {
 	p := s.position(m)
 	switch {
@@ -44,6 +46,6 @@
 	return true
 }
 
-// All returns the members in no particular order. The slice is the set's own: it is valid until the next
-// Put and must not be changed.
+// All returns the members in no particular order. The slice belongs to the set: it is valid until the
+// next Put and must not be modified.
 func (s *Set[M]) All() []M { return s.all }
