--- a/internal/dispatcher/policy/affinity_test.go
+++ b/internal/dispatcher/policy/affinity_test.go
@@ -87,7 +87,8 @@
 	}
 	require.LessOrEqual(t, len(went["rare"]), 3, "%v", went["rare"])
 	require.GreaterOrEqual(t, len(went[""]), workers/4)
-	require.GreaterOrEqual(t, len(went["half"]), workers/4) // among its homes, those that started recent jobs promptly come first
+	// Among the homes, those that started recent jobs promptly come first.
+	require.GreaterOrEqual(t, len(went["half"]), workers/4)
 	require.LessOrEqual(t, len(went["half"]), workers*6/10)
 }
 
--- a/internal/dispatcher/policy/health.go
+++ b/internal/dispatcher/policy/health.go
@@ -53,7 +53,7 @@
 	d.clearSuspicion(w)
 	slow := float64(d.now-a.sentAt) > slowMultiple*a.expectedRun*w.pace()*d.slowdown+float64(tickInterval)
 	from := a.sentAt
-	if a.startedAt != 0 { // the run time alone shows nothing about the load
+	if a.startedAt != 0 { // the time since the start shows nothing about the load
 		from, slow = a.startedAt, false
 	}
 	if !a.overdue && (a.startedAt != 0 || a.foundFreeSlot) { // without a hang or a wait
--- a/internal/dispatcher/policy/learning_test.go
+++ b/internal/dispatcher/policy/learning_test.go
@@ -74,7 +74,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := settings()
 			s.Kinds, s.ReportX0, s.ReportsStart, s.Limits.ConcurrentAttempts = kinds, "", true, false
-			runs := []time.Duration{700 * ms, 900 * ms, 1100 * ms} // far over half a latency target, which is the first estimate
+			runs := []time.Duration{700 * ms, 900 * ms, 1100 * ms} // the first estimate is half a latency target
 			for i := range s.Classes {
 				s.Classes[i].LatencyTarget, s.Classes[i].TargetPerWork, s.Classes[i].ClientTimeout = 300*ms, 1, 12*time.Second
 			}
--- a/internal/dispatcher/policy/shared_budget_test.go
+++ b/internal/dispatcher/policy/shared_budget_test.go
@@ -63,7 +63,7 @@
 	for most, want := range map[int]int{0: 0, 1: 1, 100: 3} {
 		p := &fakeSharedBudget{probes: most, headroom: 1, coldShare: -1}
 		s := settings()
-		s.SharedBudget, s.Instances, s.Limits.ConcurrentAttempts = p, 100, false // with many dispatchers jobs wait for reports
+		s.SharedBudget, s.Instances, s.Limits.ConcurrentAttempts = p, 100, false // jobs wait for reports
 		b := newFixture(t, s, 10)
 		for i := range 3 {
 			b.request(fmt.Sprint("j", i), "safe", 100*ms)
--- a/internal/dispatcher/policy/slowstart_test.go
+++ b/internal/dispatcher/policy/slowstart_test.go
@@ -20,7 +20,7 @@
 	rate        func(i, n int) float64 // of one dispatcher, relative to the others
 	jobs        float64                // arrivals a second at all dispatchers together
 	wide        float64                // share of jobs that are long and up to 1<<widest slots wide
-	widest      int                    //
+	widest      int                    // log2 of the most slots of such a job
 	target      time.Duration          // the latency target of all classes
 	runPerHint  [2]float64             // run times of narrow and of long jobs, relative to their hints
 	errors      float64                // share of jobs that are rejected and may be sent again
--- a/internal/dispatcher/policy/worker.go
+++ b/internal/dispatcher/policy/worker.go
@@ -54,5 +54,5 @@
 
 	// Membership; see membership.go.
 	drained   bool          // listed as draining, or forgotten: no new work until a later start
-	removedAt time.Duration // when it was first listed as removed, or left out
+	removedAt time.Duration // since when it is listed as removed, or left out
 }
