--- a/internal/dispatcher/fleet/planrun/answer.go
+++ b/internal/dispatcher/fleet/planrun/answer.go
@@ -15,8 +15,8 @@
 const (
 	Served  Outcome = iota // every stage succeeded
 	Refused                // nothing has run
-	Failed                 // it gave up, and what became of each effect is known
-	Unknown                // it gave up, and the end of something that may have run is not known
+	Failed                 // the run gave up, and the outcome of each effect is known
+	Unknown                // the run gave up, and the outcome of a job or undo that may have run is not known
 )
 
 func (o Outcome) String() string {
@@ -28,16 +28,16 @@
 	Run, Plan         string
 	Digest            uint64
 	Outcome           Outcome
-	Stage             string // that made it give up; empty: the run as a whole, or none
+	Stage             string // that made the run give up; empty: no single stage did, or the run was served
 	End               plan.End
 	Reason            string
 	Started           time.Duration
-	At                time.Duration // when it ended
-	Until             time.Duration // when the answer is forgotten
+	At                time.Duration // when the run ended
+	Until             time.Duration // when the answer may be dropped
 	Attempts          int
 	StagesWithEffects []string  `cbor:"Left"` // stages whose effects remain, though the run was not served
 	Results           []Results // Served: of the stages that no other depends on; else of StagesWithEffects
-	ResultsOmitted    bool      `cbor:"Cut"` // the results are missing: too large, or too old
+	ResultsOmitted    bool      `cbor:"Cut"` // the results were dropped: too large, or too old
 }
 
 // Results are one stage's results, by item.
@@ -63,7 +63,7 @@
 	t.finishRun(at, r)
 }
 
-// finishRun gives a run its answer.
+// finishRun ends a run and records its final answer.
 func (t *Tracker) finishRun(at time.Duration, r *Run) {
 	a := &Answer{
 		Run: r.ID, Plan: r.Plan, Digest: r.Digest, Started: r.Started, At: at, Until: max(at+t.limits.AnswerRetention, r.StartBy), Attempts: r.AttemptsUsed,
@@ -85,22 +85,22 @@
 	t.trimResults()
 }
 
-// outcome returns the outcome of a run that has ended, and the stages whose effects remain
-// though it was not served.
+// outcome returns the outcome of a run that has ended and, if it was not served, the stages
+// whose effects remain.
 func (r *Run) outcome() (outcome Outcome, withEffects []string) {
-	var ran, unsure bool
+	var ran, uncertain bool
 	for i := range r.Stages {
-		sh, st, left := &r.shape.Stages[i], &r.Stages[i], false
+		sh, st, effectRemains := &r.shape.Stages[i], &r.Stages[i], false
 		for k := range st.Items {
 			it := &st.Items[k]
 			ran = ran || it.Job.MayHaveRun
 			if !it.Job.MayHaveRun || it.Undo.State == Succeeded || sh.Shared || sh.Effect == policy.Idempotent {
 				continue
 			}
-			left = true
-			unsure = unsure || it.Job.State != Succeeded || it.Undo.MayHaveRun
+			effectRemains = true
+			uncertain = uncertain || it.Job.State != Succeeded || it.Undo.MayHaveRun
 		}
-		if left {
+		if effectRemains {
 			withEffects = append(withEffects, sh.Name)
 		}
 	}
@@ -109,25 +109,25 @@
 		return Served, nil
 	case !ran:
 		return Refused, withEffects
-	case unsure:
+	case uncertain:
 		return Unknown, withEffects
 	default:
 		return Failed, withEffects
 	}
 }
 
-// finalResults returns the results in a run's answer: of the stages that no other depends
-// on or, if the run gave up, of those with effects. They are omitted if they have more
-// bytes than limit.
+// finalResults returns the results for a run's answer: those of the stages that no other
+// stage depends on or, if the run gave up, of the stages whose effects remain. They are
+// omitted if they have more bytes than limit.
 func (r *Run) finalResults(withEffects []string, limit int) (results []Results, omitted bool) {
-	last := ^uint64(0)
+	finalStages := ^uint64(0)
 	for i := range r.Stages {
-		last &^= r.shape.upstreamSets[i]
+		finalStages &^= r.shape.upstreamSets[i]
 	}
 	size := 0
 	for i := range r.Stages {
 		st, name := &r.Stages[i], r.shape.Stages[i].Name
-		if r.GaveUp == nil && last&(1<<i) == 0 || r.GaveUp != nil && !slices.Contains(withEffects, name) {
+		if r.GaveUp == nil && finalStages&(1<<i) == 0 || r.GaveUp != nil && !slices.Contains(withEffects, name) {
 			continue
 		}
 		list := st.Results()
@@ -143,19 +143,20 @@
 }
 
 // trimResults drops the results of the oldest answers, beyond Limits.AnswersWithResults.
-// The answers themselves stay, since an id must not start a second run.
+// The answers themselves are kept, so that a repeated Start doesn't run a plan twice.
 func (t *Tracker) trimResults() {
 	for ; len(t.answersByEnd)-t.firstWithResults > t.limits.AnswersWithResults; t.firstWithResults++ {
 		if a := t.answersByEnd[t.firstWithResults]; a.Results != nil {
-			c := *a // answers that were given out stay as they were
+			c := *a // a copy, since callers may hold the answer
 			c.Results, c.ResultsOmitted = nil, true
 			t.answersByEnd[t.firstWithResults], t.answers[a.Run] = &c, &c
 		}
 	}
 }
 
-// pruneAnswers drops what has expired. Answers are dropped in the order of their ends; an
-// expired one waits for those before it, for Limits.MaxTimeout at most.
+// pruneAnswers drops expired answers and shared outputs. Answers are dropped in the order in
+// which their runs ended: an expired one is kept until those before it have expired, for
+// Limits.MaxTimeout at most.
 func (t *Tracker) pruneAnswers(at time.Duration) {
 	n := 0
 	for n < len(t.answersByEnd) && t.answersByEnd[n].Until < at {
--- a/internal/dispatcher/fleet/planrun/attempt_end.go
+++ b/internal/dispatcher/fleet/planrun/attempt_end.go
@@ -9,8 +9,8 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// endAttempt takes in how the attempt in flight ended, and reports whether a loss that it
-// reports was new, so that the output is made again.
+// endAttempt records the end of the attempt in flight. It reports whether that end reports
+// a loss that was not known before, so that the output is produced again.
 func (t *Tracker) endAttempt(at time.Duration, r *Run, c ReportEnd) (newLoss bool) {
 	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
 	it := &st.Items[c.Item]
@@ -30,7 +30,7 @@
 	if c.End == plan.Lost {
 		return t.endAttemptWithLoss(at, r, c)
 	}
-	if it.Generation != st.Generation || st.Complete { // what it was given has gone since, or another run made the output
+	if it.Generation != st.Generation || st.Complete { // its inputs have been replaced since, or another run has produced the output
 		return false
 	}
 	if c.End == plan.Done {
@@ -47,8 +47,8 @@
 	return false
 }
 
-// endAttemptWithLoss takes in that an attempt reports a lost input, and reports whether
-// that was new.
+// endAttemptWithLoss records the end of an attempt that reports a lost input. It reports
+// whether the loss was not known before.
 func (t *Tracker) endAttemptWithLoss(at time.Duration, r *Run, c ReportEnd) (newLoss bool) {
 	if c.Lost.Generation > r.Stages[c.Lost.Stage].LostThrough {
 		if !t.rerunAllowed(r, c) {
@@ -63,8 +63,8 @@
 	return newLoss
 }
 
-// retryItem schedules a retry by the first rule that names the end, and reports whether
-// that has a retry left.
+// retryItem schedules a retry by the first rule that names the end. It reports whether there
+// is such a rule and it has a retry left.
 func (t *Tracker) retryItem(at time.Duration, r *Run, c ReportEnd) bool {
 	sh, it := &r.shape.Stages[c.Stage], &r.Stages[c.Stage].Items[c.Item]
 	for i := range sh.Retries {
@@ -88,7 +88,7 @@
 	return false
 }
 
-// succeedItem takes in the result of an item.
+// succeedItem records that an item has succeeded, with its result.
 func (t *Tracker) succeedItem(at time.Duration, r *Run, c ReportEnd) {
 	it := &r.Stages[c.Stage].Items[c.Item]
 	it.Job.State, it.Job.End, it.Result = Succeeded, plan.Done, c.Result
@@ -96,15 +96,16 @@
 	t.completeIfDone(at, r, c.Stage)
 }
 
-// lateSuccess takes in that the last attempt at an item has succeeded after all. It is
-// ignored for a stage that has gone on, and for an item that is being undone.
+// lateSuccess records that the last attempt at an item has succeeded, though it was given up
+// before. It does nothing for a stage that is complete or has a newer generation, and for an
+// item whose undo has begun. It reports whether it recorded the success.
 func (t *Tracker) lateSuccess(at time.Duration, r *Run, c ReportEnd) bool {
 	st := &r.Stages[c.Stage]
 	it := &st.Items[c.Item]
 	if it.Generation != st.Generation || st.Complete || it.Undo.Attempt > 0 {
 		return false
 	}
-	if r.GaveUp != nil { // it changes what is known, not what was decided
+	if r.GaveUp != nil { // the result is recorded; the decision to give up stands
 		it.Job.State, it.Job.End, it.Result = Succeeded, plan.Done, c.Result
 		r.Bytes += len(c.Result)
 		return true
@@ -113,7 +114,8 @@
 	return true
 }
 
-// failItem marks an item as permanently failed. Its stage may succeed without it.
+// failItem marks an item as permanently failed. The run gives up unless the stage can still
+// succeed without the item.
 func (t *Tracker) failItem(at time.Duration, r *Run, stage, item int, reason string) {
 	execution := &r.Stages[stage].Items[item].Job
 	execution.State = PermanentlyFailed
@@ -124,7 +126,7 @@
 	t.completeIfDone(at, r, stage)
 }
 
-// failItemLate is failItem for want of time.
+// failItemLate is failItem for an item that can't end before the run's deadline.
 func (t *Tracker) failItemLate(at time.Duration, r *Run, stage, item int) {
 	r.Stages[stage].Items[item].Job.State = PermanentlyFailed
 	if !t.canStillSucceed(r, stage) {
@@ -145,8 +147,8 @@
 	return alive >= r.shape.Stages[stage].requiredItems(st)
 }
 
-// completeIfDone completes a stage once every item has ended, well or badly: a generation
-// never has two contents.
+// completeIfDone completes a stage once every item has succeeded or failed permanently, and
+// not before: the results of a generation never change.
 func (t *Tracker) completeIfDone(at time.Duration, r *Run, stage int) {
 	st := &r.Stages[stage]
 	if st.Complete || r.GaveUp != nil {
@@ -165,7 +167,7 @@
 	t.publishOutput(at, r, stage)
 }
 
-// giveUp ends a run's progress. From here on only undos are sent.
+// giveUp records why a run gives up. From then on only undos are sent.
 func (t *Tracker) giveUp(r *Run, stage int, end plan.End, reason string) {
 	if r.GaveUp != nil {
 		return
@@ -174,13 +176,13 @@
 		reason = reason[:t.limits.ReasonSize]
 	}
 	r.GaveUp = &GiveUp{stage, end, reason}
-	t.deadlines.Remove(r.heapIndex) // at once: what falls due, and in which order, follows from the encoded state
+	t.deadlines.Remove(r.heapIndex) // at once: what is due, and in which order, must follow from the encoded state
 	r.dueAt = r.Deadline + t.limits.Grace
 	t.deadlines.Push(r)
 	t.detachOutputs(r)
 }
 
-// endUndo takes in how an undo ended.
+// endUndo records the end of an undo's attempt.
 func (t *Tracker) endUndo(at time.Duration, r *Run, c ReportEnd) {
 	u := r.shape.Stages[c.Stage].Undo
 	execution := &r.Stages[c.Stage].Items[c.Item].Undo
@@ -196,9 +198,10 @@
 	}
 }
 
-// ReportEnd takes in the end of an attempt: that of the attempt in flight, whichever
-// process has the run now, and a plan.Done of the last one even after that was given up, as
-// long as no other was sent. All other reports are ignored.
+// ReportEnd records the end of an attempt. It accepts the end of the attempt in flight,
+// whichever process coordinates the run now. It also accepts a plan.Done of the last attempt
+// after another end of it was recorded, as long as no further attempt was sent. It ignores
+// all other reports.
 func (t *Tracker) ReportEnd(at time.Duration, c ReportEnd) (ReportEndReply, error) {
 	at = t.advanceClock(at)
 	r, err := t.findRun(c.Run)
@@ -229,7 +232,7 @@
 			})
 		}
 		if at < 0 {
-			return ReportEndReply{}, fmt.Errorf("a loss of what it was not given: %w", ErrNotFound)
+			return ReportEndReply{}, fmt.Errorf("the input reported as lost was not given to this attempt: %w", ErrNotFound)
 		}
 	}
 	var reply ReportEndReply
--- a/internal/dispatcher/fleet/planrun/attempt_registry.go
+++ b/internal/dispatcher/fleet/planrun/attempt_registry.go
@@ -7,34 +7,34 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// AttemptRegistry is what one incarnation of a process remembers of the runs that it
-// drives: the part that is not replicated. It ensures that an attempt is sent at most once
-// for its SendAttempt, whatever replies were lost, and never after the process's lease has
-// expired. It does no I/O; its user sends commands, evaluates expressions and submits jobs.
-// It is not safe for concurrent use, and must not be kept over a new incarnation.
+// AttemptRegistry holds the state, not replicated, that one incarnation of a process keeps
+// for the runs that it drives. It ensures that an attempt is sent at most once for its
+// SendAttempt, whichever replies are lost, and never after the process's lease has expired.
+// It does no I/O: its user sends commands, evaluates expressions and submits jobs. It is not
+// safe for concurrent use, and a new incarnation must begin with an empty one.
 type AttemptRegistry struct {
 	Estimator RuntimeEstimator
 	grace     time.Duration
 	runs      map[string]*drivenRun
 }
 
-// drivenRun is a run under a fencing number of this process.
+// drivenRun is a run that this process drives, with its fencing number.
 type drivenRun struct {
 	fence    uint64
 	attempts map[AttemptID]attemptState
 }
 
-// AttemptID names one attempt of a run.
+// AttemptID identifies one attempt of a run.
 type AttemptID struct {
 	Stage, Item int
 	Undo        bool
 	Attempt     uint32
 }
 
-// attemptState is what this process has done about an attempt.
+// attemptState is the state of an attempt in this process.
 type attemptState struct {
-	commandPending bool // a command about it is on its way
-	consumed       bool // it was sent, or reported as unsent: it is never sent from here on
+	commandPending bool // a command for it was sent and has no reply yet
+	consumed       bool // it was sent, or reported as unsent, and must not be sent any more
 }
 
 // NewAttemptRegistry returns an empty registry. Grace is Limits.Grace.
@@ -42,31 +42,32 @@
 	return &AttemptRegistry{grace: grace, runs: make(map[string]*drivenRun)}
 }
 
-// Drive adds a run that a Start or Claim assigned to this process, with its fencing number.
+// Drive adds a run that a Start or Claim has assigned to this process, with its fencing
+// number.
 func (c *AttemptRegistry) Drive(run string, fence uint64) {
 	if d := c.runs[run]; d == nil || d.fence != fence {
 		c.runs[run] = &drivenRun{fence, make(map[AttemptID]attemptState)}
 	}
 }
 
-// Drop forgets a run: it has ended, or another process has it.
+// Drop removes a run that has ended, or that another process drives.
 func (c *AttemptRegistry) Drop(run string) { delete(c.runs, run) }
 
 // Drives reports whether this process drives a run.
 func (c *AttemptRegistry) Drives(run string) bool { return c.runs[run] != nil }
 
-// Task is something to do for a run now.
+// Task is an action that is due for a run, with the command that it needs.
 type Task struct {
 	Action
 	ID      AttemptID
 	Open    *Open        // to be completed with the evaluated key and items, and sent
 	Sending *SendAttempt // to be sent, once the retry budget allows if SpendsRetryBudget
-	Ended   *ReportEnd   // to be sent until there is a reply: an attempt in flight that nobody sends any more
+	Ended   *ReportEnd   // to be sent until there is a reply: the attempt is in flight for the Tracker, but won't be sent
 }
 
-// Tasks returns what is to be done for a run now, and when to call it again; what is
-// already on its way is left out. A view with another fencing number drops the run. Each
-// task must be answered once by Answered or, for a SendAttempt, by Accepted.
+// Tasks returns the tasks that are due for a run, without those whose command has no reply
+// yet, and when to call it again. If the view has another fencing number, Tasks drops the
+// run. The caller must call Answered once for each task or, for a SendAttempt, Accepted.
 func (c *AttemptRegistry) Tasks(at time.Duration, v View) (list []Task, wake time.Duration) {
 	d := c.runs[v.Run.ID]
 	if d == nil || v.Run.Fence != d.fence || v.Run.Orphan {
@@ -87,7 +88,7 @@
 		switch a.Kind {
 		case OpenStage:
 			t.Open = &Open{Run: v.Run.ID, Fence: d.fence, Stage: a.Stage}
-		case AwaitEnd: // its Sending was let, the reply lost: time has passed, so it is not sent
+		case AwaitEnd: // its SendAttempt was accepted but the reply was lost: it is not sent so late
 			m.consumed = true
 			t.Ended = &ReportEnd{Run: v.Run.ID, Fence: d.fence, Stage: a.Stage, Item: a.Item, Undo: a.Undo, Attempt: a.Attempt, End: plan.Unsent}
 		default:
@@ -106,7 +107,7 @@
 	return list, wake
 }
 
-// Answered takes in that a task is done: there was a reply, or none in time.
+// Answered records that a task's command has its reply, or that none came in time.
 func (c *AttemptRegistry) Answered(run string, id AttemptID) {
 	if d := c.runs[run]; d != nil {
 		m := d.attempts[id]
@@ -118,10 +119,10 @@
 	}
 }
 
-// Accepted is Answered for a SendAttempt, and reports whether the attempt is to be sent
-// now. The argument leased says that this process's own lease is valid at this moment; the
-// send must follow at once. A caller that gave up on the reply passes an error, and doesn't
-// call again when the reply arrives after all.
+// Accepted is Answered for a SendAttempt. It reports whether the attempt is to be sent now;
+// if so, the caller must send it at once. The argument leased is whether this process's own
+// lease is valid at this moment. A caller that stopped waiting for the reply passes an error,
+// and must not call Accepted again when the reply arrives later.
 func (c *AttemptRegistry) Accepted(s SendAttempt, id AttemptID, err error, leased bool) bool {
 	d := c.runs[s.Run]
 	if d == nil || d.fence != s.Fence {
@@ -137,8 +138,8 @@
 	return send
 }
 
-// EndReport makes the command that reports how this attempt ended. It is sent until there
-// is a reply, even after the run was dropped: it counts once.
+// EndReport returns the command that reports the end of this attempt. It is to be sent until
+// there is a reply, even after the run was dropped: it is accepted at most once.
 func (s SendAttempt) EndReport(end plan.End, result []byte, member string, lost *LostInput) ReportEnd {
 	return ReportEnd{
 		Run: s.Run, Fence: s.Fence, Stage: s.Stage, Item: s.Item, Undo: s.Undo, Attempt: s.Attempt,
--- a/internal/dispatcher/fleet/planrun/command.go
+++ b/internal/dispatcher/fleet/planrun/command.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Command is one entry of the log: at most one of its fields is set; none is an Advance. It
-// is sent by the field names in its tags.
+// Command is one entry of the Raft log. At most one of its fields is set; if none is, the
+// command only advances the time. It is encoded by the field names in its tags.
 type Command struct {
 	Start        *Start        `cbor:",omitempty"`
 	Claim        *Claim        `cbor:",omitempty"`
@@ -19,25 +19,25 @@
 	LeaseExpired *LeaseExpired `cbor:"Gone,omitempty"`
 }
 
-// LeaseExpired says that the lease of a process's incarnation has ended; see
+// LeaseExpired records that the lease of a process's incarnation has expired; see
 // Tracker.LeaseExpired.
 type LeaseExpired struct {
 	Process     string
 	Incarnation uint64
 }
 
-// Reply answers a Command: the field of its kind, or why it was refused.
+// Reply is the reply to a Command: the field of its kind, or why it was refused.
 type Reply struct {
 	Started *StartReply       `cbor:",omitempty"`
 	Claimed []Claimed         `cbor:",omitempty"`
 	Sent    *SendAttemptReply `cbor:",omitempty"`
 	Counted *ReportEndReply   `cbor:",omitempty"`
 	Answer  *Answer           `cbor:",omitempty"`
-	Refusal string            `cbor:",omitempty"` // what Err reads
-	Kind    int               `cbor:",omitempty"` // of the refusal: 1 + its place among kinds
+	Refusal string            `cbor:",omitempty"` // the error's text; empty: accepted
+	Kind    int               `cbor:",omitempty"` // of the refusal: 1 + its index in refusalKinds; 0: none of them
 }
 
-// Err returns why the command was refused, or nil. The error wraps one of this package's.
+// Err returns why the command was refused, or nil. The error wraps an error of this package.
 func (r Reply) Err() error {
 	if r.Refusal == "" {
 		return nil
@@ -49,8 +49,7 @@
 	return e
 }
 
-// Apply carries out an entry of the log at its fleet time, after what has become due by
-// then.
+// Apply applies an entry of the log at its fleet time, after Advance to that time.
 func (t *Tracker) Apply(at time.Duration, c Command) (r Reply) {
 	t.Advance(at)
 	var err error
@@ -90,32 +89,32 @@
 	return r
 }
 
-// Start starts a run. If the run is known, it continues, or is answered.
+// Start starts a run. If its id is known, it has no effect, and the reply describes the run.
 type Start struct {
 	Run, Plan   string
 	Tenant      string
 	Digest      uint64
 	Shape       Shape
 	Input       []byte
-	Seed        uint64        // of the retries' jitter
-	Before      time.Duration // deadline, if that is earlier than Shape.Timeout allows; a Start that arrives later has no effect
+	Seed        uint64        // of the jitter of retries
+	Before      time.Duration // the run's deadline, if earlier than that of Shape.Timeout; a Start applied later has no effect
 	Process     string
 	Incarnation uint64
 }
 
-// StartReply answers a Start.
+// StartReply is the reply to a Start.
 type StartReply struct {
 	Known  bool    // the run existed before
-	Fence  uint64  // with which the caller coordinates it; 0: another process does, or it has ended
-	Answer *Answer // nil: it has not ended
+	Fence  uint64  // fencing number with which the caller coordinates the run; 0: another process does, or it has ended
+	Answer *Answer // nil: the run has not ended yet
 }
 
-// Claim takes over runs that have lost their coordinator.
+// Claim assigns runs without a coordinator to a process.
 type Claim struct {
 	Process     string
 	Incarnation uint64
 	MaxRuns     int      `cbor:"Most"`
-	Plans       []uint64 // digests of the plans that the process knows; none: any
+	Plans       []uint64 // digests of the plans that the process has; none: any
 }
 
 // Claimed is a run that was taken over.
@@ -124,7 +123,7 @@
 	Fence uint64
 }
 
-// Open fixes the items of a stage, once, and the key of a shared one.
+// Open sets the items of a stage, once, and the key of a shared one.
 type Open struct {
 	Run   string
 	Fence uint64
@@ -133,7 +132,8 @@
 	Items [][]byte // values of the list as JSON; a stage without a list has one item, nil
 }
 
-// SendAttempt announces that an attempt is about to be sent: it may run from here on.
+// SendAttempt asks for permission to send an attempt. Once it is accepted, the attempt counts
+// as one that may have run.
 type SendAttempt struct {
 	Run           string
 	Fence         uint64
@@ -146,14 +146,14 @@
 	RemainingTime time.Duration `cbor:"Rest"` // the shortest time that the rest of the plan needs, including this attempt
 }
 
-// SendAttemptReply answers an accepted SendAttempt. Again says that it was accepted before:
-// whoever gets this reply sends the attempt, unless it has sent it already.
+// SendAttemptReply is the reply to an accepted SendAttempt. Again is whether it was accepted
+// before. A coordinator that gets the reply sends the attempt, unless it has already done so.
 type SendAttemptReply struct{ Again bool }
 
 // ReportEnd reports how an attempt ended.
 type ReportEnd struct {
 	Run     string
-	Fence   uint64 // with which it was sent
+	Fence   uint64 // with which the attempt was sent
 	Stage   int
 	Item    int
 	Undo    bool
@@ -170,14 +170,14 @@
 	Generation uint64
 }
 
-// ReportEndReply answers a ReportEnd.
+// ReportEndReply is the reply to a ReportEnd.
 type ReportEndReply struct {
-	Accepted bool    `cbor:"Once"`  // this report was the one that counted
-	NewLoss  bool    `cbor:"Fresh"` // the loss it reports was not known: the output is made again
-	Answer   *Answer // nil: the run has not ended
+	Accepted bool    `cbor:"Once"`  // this report was recorded as the attempt's end
+	NewLoss  bool    `cbor:"Fresh"` // the loss that it reports was not known before: the output is produced again
+	Answer   *Answer // nil: the run has not ended yet
 }
 
-// Abandon gives a run up: its coordinator can't evaluate an expression.
+// Abandon gives up a run whose coordinator can't evaluate an expression.
 type Abandon struct {
 	Run    string
 	Fence  uint64
--- a/internal/dispatcher/fleet/planrun/errors.go
+++ b/internal/dispatcher/fleet/planrun/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Errors of commands. A refused command has changed nothing, except where its method says
-// so.
+// Errors with which a Tracker refuses commands. A refused command has no effect, except where
+// its method's comment states one.
 var (
 	ErrFull              = errors.New("no room for another plan")
 	ErrDeadline          = errors.New("the plan's deadline has passed or is too far off")
@@ -12,13 +12,13 @@
 	ErrFenced            = errors.New("another coordinator has the run")
 	ErrGivenUp           = errors.New("the run has given up")
 	ErrNotFound          = errors.New("no such stage, item or rule")
-	ErrInFlight          = errors.New("an attempt of it is out")
+	ErrInFlight          = errors.New("an attempt is still in flight, or the run has not ended yet")
 	ErrSettled           = errors.New("it has ended")
 	ErrWrongAttempt      = errors.New("not the next attempt")
 	ErrAtMostOnce        = errors.New("it may have run, and must never run twice")
-	ErrStale             = errors.New("what it would be given is not there, or no longer the current generation")
-	ErrTooEarly          = errors.New("its time has not come")
-	ErrProducedElsewhere = errors.New("another run makes this output")
+	ErrStale             = errors.New("the inputs don't exist or are of an old generation, or the undo is not next in order")
+	ErrTooEarly          = errors.New("the attempt is not due yet")
+	ErrProducedElsewhere = errors.New("another run produces this output")
 	ErrTooLarge          = errors.New("too large")
 )
 
@@ -29,7 +29,8 @@
 	ErrStale, ErrTooEarly, ErrProducedElsewhere, ErrTooLarge, ErrInvalidShape,
 }
 
-// refusalError is a refusal that was received, with the error that it wraps.
+// refusalError is the error of a Reply: the text that came with it, and the error of this
+// package that it wraps.
 type refusalError struct {
 	text string
 	kind error
--- a/internal/dispatcher/fleet/planrun/model_test.go
+++ b/internal/dispatcher/fleet/planrun/model_test.go
@@ -14,26 +14,26 @@
 
 var allEnds = []plan.End{plan.Done, plan.Done, plan.Done, plan.Refused, plan.Full, plan.Unsent, plan.Late, plan.Failed, plan.Reset, plan.MayRun, plan.Lost}
 
-// sentOnce is what the model keeps of an attempt that was let.
-type sentOnce struct {
+// sentAttempt is what the model stores of an attempt that was accepted.
+type sentAttempt struct {
 	SendAttempt
-	end      plan.End
-	counted  int
-	overtook bool // its coordinator died while it was out
+	end       plan.End
+	counted   int
+	takenOver bool // the run was claimed by another coordinator while it was in flight
 }
 
-// TestModel has adversaries send whatever they like. The model is the history of what
-// was let and what counted; the rules are read off it.
+// TestModel applies random commands, valid and invalid, to a Tracker. The model is the history
+// of the attempts and ends that the Tracker accepted; the test checks the rules against it.
 func TestModel(t *testing.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	shape := booking(3)
 	shape.MaxAttempts = 30
 	shape.Stages[2].Undo = &UndoShape{Class: "refund", Effect: policy.AtMostOnce, MaxTries: 2}
-	met := map[Outcome]int{}
+	outcomes := map[Outcome]int{}
 	check := func(t *rapid.T) {
 		l := DefaultLimits()
 		l.Runs, l.AnswersWithResults, l.Grace = 3, 1, 200*ms
 		r, at := newReplicas(l), time.Duration(0)
-		fence, history, answers := map[string]uint64{}, map[string][]*sentOnce{}, map[string]*Answer{}
+		fence, history, answers := map[string]uint64{}, map[string][]*sentAttempt{}, map[string]*Answer{}
 		run := func(t *rapid.T) string { return rapid.SampledFrom([]string{"r1", "r2", "r3", "r4"}).Draw(t, "run") }
 		draw := func(t *rapid.T, label string, most int) int { return rapid.IntRange(0, most).Draw(t, label) }
 		view := func(id string) *Run {
@@ -46,7 +46,7 @@
 			if err != nil || reply.Sent.Again {
 				return
 			}
-			require.Equal(t, fence[id], c.Fence, "an older fence")
+			require.Equal(t, fence[id], c.Fence, "an attempt with an older fencing number was accepted")
 			require.Equal(t, c.Undo, v.GaveUp != nil)
 			sh, n := shape.Stages[c.Stage], uint32(0)
 			effect := sh.Effect
@@ -56,11 +56,11 @@
 			for _, h := range history[id] {
 				if h.Stage == c.Stage && h.Item == c.Item && h.Undo == c.Undo {
 					n++
-					require.True(t, h.counted > 0 || h.overtook, "two attempts at once")
-					require.False(t, effect == policy.AtMostOnce && (h.overtook && h.counted == 0 || h.end.MayHaveRun()), "a never-twice job again")
+					require.True(t, h.counted > 0 || h.takenOver, "two attempts at once")
+					require.False(t, effect == policy.AtMostOnce && (h.takenOver && h.counted == 0 || h.end.MayHaveRun()), "an at-most-once job that may have run was sent again")
 				}
 				if c.Undo && !h.Undo {
-					require.True(t, h.counted > 0 || h.overtook, "an undo beside a job")
+					require.True(t, h.counted > 0 || h.takenOver, "an undo while a job was in flight")
 				}
 			}
 			require.Equal(t, n+1, c.Attempt)
@@ -69,10 +69,10 @@
 				require.Equal(t, v.inputGenerations(v.shape, c.Stage), c.Inputs)
 				require.Less(t, at, v.Deadline)
 			}
-			history[id] = append(history[id], &sentOnce{SendAttempt: c})
+			history[id] = append(history[id], &sentAttempt{SendAttempt: c})
 			require.LessOrEqual(t, len(history[id]), shape.MaxAttempts)
 		}
-		end := func(t *rapid.T, h *sentOnce, how plan.End) {
+		end := func(t *rapid.T, h *sentAttempt, how plan.End) {
 			id := h.Run
 			e := ReportEnd{Run: id, Fence: h.Fence, Stage: h.Stage, Item: h.Item, Undo: h.Undo, Attempt: h.Attempt, End: how, Result: []byte("1")}
 			if e.End == plan.Lost && len(h.Inputs) > 0 {
@@ -81,7 +81,7 @@
 			before := view(id)
 			reply, err := r.apply(at, e)
 			if c := *reply.Counted; err == nil && c.Accepted {
-				require.True(t, h.counted == 0 && (!h.overtook || e.End == plan.Done) || e.End == plan.Done && h.end != plan.Done, "counted twice")
+				require.True(t, h.counted == 0 && (!h.takenOver || e.End == plan.Done) || e.End == plan.Done && h.end != plan.Done, "counted twice")
 				h.end = e.End
 				h.counted++
 				if now := view(id); e.End == plan.Lost && !h.Undo && now != nil && before.GaveUp == nil && now.GaveUp == nil && before.Stages[0].RerunsUsed < 2 {
@@ -92,7 +92,7 @@
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"go on": func(t *rapid.T) { // as a coordinator should, for a while
+			"go on": func(t *rapid.T) { // as a correct coordinator does, for some steps
 				id := run(t)
 				for range draw(t, "steps", 30) {
 					v, err := r[0].View(id)
@@ -182,7 +182,7 @@
 					require.Greater(t, c.Fence, fence[c.Run])
 					fence[c.Run] = c.Fence
 					for _, h := range history[c.Run] {
-						h.overtook = h.overtook || h.counted == 0
+						h.takenOver = h.takenOver || h.counted == 0
 					}
 				}
 			},
@@ -196,7 +196,7 @@
 				_, _ = r.apply(at, nil)
 			},
 			"": func(t *rapid.T) {
-				r.alike(t)
+				r.requireEqual(t)
 				for _, id := range []string{"r1", "r2", "r3", "r4"} {
 					a, err := r.apply(at, Finish{id})
 					if old := answers[id]; old != nil {
@@ -206,8 +206,8 @@
 						require.Equal(t, old, r[0].Answer(id))
 					} else if err == nil {
 						answers[id] = a.Answer
-						hold(t, answers[id], history[id])
-						met[answers[id].Outcome]++
+						checkAnswer(t, answers[id], history[id])
+						outcomes[answers[id].Outcome]++
 					} else if v := view(id); v != nil {
 						require.Less(t, at, v.Deadline+l.Grace)
 						require.Equal(t, len(history[id]), v.AttemptsUsed)
@@ -220,29 +220,29 @@
 	}
 	for range 10 {
 		rapid.Check(t, check)
-		if len(met) == int(Unknown)+1 {
+		if len(outcomes) == int(Unknown)+1 {
 			return
 		}
 	}
-	t.Fatalf("only %v were met: the model tests little", met)
+	t.Fatalf("only %v were met: the model tests little", outcomes)
 }
 
-// hold reads off the history what an answer may say.
-func hold(t *rapid.T, a *Answer, history []*sentOnce) {
-	ran, open := false, false
+// checkAnswer checks an answer against the history of its run.
+func checkAnswer(t *rapid.T, a *Answer, history []*sentAttempt) {
+	ran, unknownTicket := false, false
 	for _, h := range history {
 		if !h.Undo && (h.counted == 0 || h.end.MayHaveRun()) {
 			ran = true
-			open = open || h.Stage == 2 && h.end != plan.Done
+			unknownTicket = unknownTicket || h.Stage == 2 && h.end != plan.Done
 		}
 	}
 	require.Equal(t, len(history), a.Attempts)
-	require.Equal(t, a.Outcome == Refused, !ran && a.Outcome != Served, "refused only where nothing ran")
+	require.Equal(t, a.Outcome == Refused, !ran && a.Outcome != Served, "refused if and only if nothing ran")
 	if a.Outcome == Served || a.Outcome == Failed {
 		for _, h := range history {
-			open = open && (!h.Undo || h.Stage != 2 || h.end != plan.Done)
+			unknownTicket = unknownTicket && (!h.Undo || h.Stage != 2 || h.end != plan.Done)
 		}
-		require.False(t, open, "a ticket that may have run goes untold")
+		require.False(t, unknownTicket, "the outcome hides that a ticket may have run")
 	}
 }
 
--- a/internal/dispatcher/fleet/planrun/next.go
+++ b/internal/dispatcher/fleet/planrun/next.go
@@ -6,7 +6,7 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// ActionKind tells what a coordinator is to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of actions.
@@ -14,11 +14,11 @@
 	OpenStage ActionKind = iota // evaluate a stage's list and shared key, and send an Open
 	SendJob                     // send a SendAttempt, and once that is accepted, the job
 	SendUndo                    // the same with the stage's compensation
-	AwaitEnd                    // an attempt is in flight: its end is to come or, if this coordinator never sent it, plan.Unsent is to be reported
-	WaitUntil                   // call Next again then
+	AwaitEnd                    // an attempt is in flight: await its end, or report plan.Unsent if this coordinator never sent it
+	WaitUntil                   // call Next again at that time
 )
 
-// Action is something that a coordinator is to do.
+// Action is something that a run's coordinator has to do.
 type Action struct {
 	Kind              ActionKind
 	Stage             int
@@ -28,17 +28,17 @@
 	Generation        uint64
 	Inputs            []uint64
 	Class             string
-	SpendsRetryBudget bool          // an attempt beyond the first of its class's budget
-	Where             plan.Place    // of a further attempt: not at Member, or not in its zone
-	Member            string        // where the last attempt was
+	SpendsRetryBudget bool          // not the first attempt, so that it takes from the retry budget of its class
+	Where             plan.Place    // where a further attempt may run: anywhere, not at Member, or not in its zone
+	Member            string        // where the last attempt ran
 	At                time.Duration // WaitUntil: when. SendJob, SendUndo: the attempt's deadline
 }
 
-// Next returns what a run's coordinator is to do. It is a function of the replicated state
-// and the time alone, so that whoever takes over continues the run. For a run that waits
-// for another's output, or for its end, it returns only a WaitUntil.
+// Next returns what a run's coordinator has to do. The actions depend only on the replicated
+// state and the time, so that a new coordinator continues the run where the last one stopped.
+// For a run that waits for another run's output, or for its end, it returns only a WaitUntil.
 func Next(at, grace time.Duration, v View) (list []Action) {
-	if v.Shape.upstreamSets == nil && v.Shape.resolve() != nil { // it came over the network
+	if v.Shape.upstreamSets == nil && v.Shape.resolve() != nil { // a decoded shape has no upstream sets yet
 		return nil
 	}
 	r, s, wake := v.Run, v.Shape, v.Run.Deadline
@@ -75,12 +75,12 @@
 // nextItems computes the actions for the items of a run.
 type nextItems struct {
 	View
-	at, end   time.Duration // end of the run, including its grace
-	undoStage int           // whose items are to be undone now; -1: none
+	at, end   time.Duration // deadline of the run, with its grace once it gave up
+	undoStage int           // stage whose items are to be undone now; -1: none
 }
 
-// item returns the action for an item and when it is due, if there is one. Ready says that
-// the stage's inputs exist and its output doesn't.
+// item returns the action for an item and when it is due, if there is one. The argument ready
+// is whether the stage's inputs exist, its output doesn't, and the run has not given up.
 func (n *nextItems) item(i, k int, ready bool) (a Action, notBefore time.Duration, ok bool) {
 	r, sh, st := n.Run, &n.Shape.Stages[i], &n.Run.Stages[i]
 	it := &st.Items[k]
--- a/internal/dispatcher/fleet/planrun/ownership.go
+++ b/internal/dispatcher/fleet/planrun/ownership.go
@@ -8,8 +8,9 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// LeaseExpired says that the lease of a process's incarnation has ended. Its runs wait to
-// be claimed; the shared outputs that they were making are reassigned.
+// LeaseExpired records that the lease of a process's incarnation has expired. Runs of that
+// incarnation, and of earlier ones, have no coordinator until they are claimed; the shared
+// outputs that they were producing are reassigned.
 func (t *Tracker) LeaseExpired(at time.Duration, process string, incarnation uint64) {
 	t.advanceClock(at)
 	for _, id := range sortedKeys(t.runs) {
@@ -35,9 +36,8 @@
 }
 
 // Claim assigns runs without a coordinator to a process, those with the earliest deadline
-// first, each with a new fencing number. What was in flight is decided by its effect:
-// idempotent and deduplicated jobs may be sent again, at-most-once jobs have ended with
-// plan.MayRun.
+// first, each with a new fencing number. Attempts that were in flight end with plan.MayRun:
+// idempotent and deduplicated jobs may be sent again, at-most-once jobs fail permanently.
 func (t *Tracker) Claim(at time.Duration, c Claim) []Claimed {
 	at = t.advanceClock(at)
 	var list []*Run
@@ -49,7 +49,7 @@
 	slices.SortStableFunc(list, func(x, y *Run) int { return cmp.Compare(x.Deadline, y.Deadline) })
 	var claimed []Claimed
 	for _, r := range list[:min(max(c.MaxRuns, 0), len(list))] {
-		if t.runs[r.ID] != r { // an output that another of them made has ended it
+		if t.runs[r.ID] != r { // a shared output of another claimed run has ended this one
 			continue
 		}
 		t.unorphanRun(r)
@@ -66,7 +66,8 @@
 	return claimed
 }
 
-// resolveInFlight ends the attempts that were in flight when the coordinator failed.
+// resolveInFlight ends the attempts at an item that were in flight when the coordinator
+// failed.
 func (t *Tracker) resolveInFlight(at time.Duration, r *Run, stage, item int) {
 	sh, it := &r.shape.Stages[stage], &r.Stages[stage].Items[item]
 	if u := &it.Undo; u.State == InFlight {
@@ -83,5 +84,5 @@
 	}
 }
 
-// Orphans returns how many runs wait for a coordinator.
+// Orphans returns how many runs have no coordinator.
 func (t *Tracker) Orphans() int { return len(t.orphans) }
--- a/internal/dispatcher/fleet/planrun/rerun.go
+++ b/internal/dispatcher/fleet/planrun/rerun.go
@@ -6,7 +6,8 @@
 	"basaltloft/internal/dispatcher/fleet/plan"
 )
 
-// rerunAllowed reports whether a rule has a stage run again on an item's report.
+// rerunAllowed reports whether a rule of the reporting stage allows a rerun of the stage whose
+// output an item reports as lost.
 func (t *Tracker) rerunAllowed(r *Run, c ReportEnd) bool {
 	for _, q := range r.shape.Stages[c.Stage].Reruns {
 		if q.Of == c.Lost.Stage {
@@ -16,10 +17,10 @@
 	return false
 }
 
-// loseOutput takes in that a generation of a stage's output is lost, the first time that
-// this run hears of it. The stage makes the next generation, unless another run has begun
-// to (then the loss is not new), and everything downstream is reset. If an at-most-once
-// stage downstream may have run, the run gives up.
+// loseOutput handles the first report in this run that a generation of a stage's output is
+// lost. The stage produces the next generation, unless another run has begun to (then the
+// loss is not new), and everything downstream is reset. If the stage itself or a stage
+// downstream is at-most-once and may have run, the run gives up.
 func (t *Tracker) loseOutput(r *Run, stage int, gen uint64) (newLoss bool) {
 	st := &r.Stages[stage]
 	st.LostThrough = gen
@@ -46,13 +47,13 @@
 	return newLoss
 }
 
-// hasBegun reports whether anything of a stage was sent, or exists.
+// hasBegun reports whether a stage has an output, a shared key or an item that was sent.
 func (s *Stage) hasBegun() bool {
 	return s.Complete || s.SharedKey != "" || slices.ContainsFunc(s.Items, func(it Item) bool { return it.Job.Attempt > 0 })
 }
 
-// rerunStage has a stage make the next generation, or takes the one that another run has
-// made or is making; then the loss is not new.
+// rerunStage makes a stage produce the next generation, or use the one that another run has
+// produced or is producing; in that case the loss is not new.
 func (t *Tracker) rerunStage(r *Run, stage int) (newLoss bool) {
 	st := &r.Stages[stage]
 	gen := st.Generation
@@ -63,7 +64,8 @@
 	return true
 }
 
-// resetStage resets a stage: its output is yet to be made. Attempts in flight end first.
+// resetStage resets a stage, so that it produces its output again. Items whose attempt is in
+// flight become pending when that attempt has ended.
 func (r *Run) resetStage(stage int, gen uint64) {
 	st := &r.Stages[stage]
 	st.Generation, st.Complete, st.SharedResults = gen, false, nil
--- a/internal/dispatcher/fleet/planrun/run.go
+++ b/internal/dispatcher/fleet/planrun/run.go
@@ -16,10 +16,10 @@
 
 // States of an Execution.
 const (
-	Pending           ExecutionState = iota // to be sent, once it may
-	InFlight                                // sent, or about to be: it may run
-	Succeeded                               // ended well
-	PermanentlyFailed                       // ended badly, and not to be sent again
+	Pending           ExecutionState = iota // to be sent when its rules allow
+	InFlight                                // sent, or about to be sent: it may run
+	Succeeded                               // its last attempt ended with plan.Done
+	PermanentlyFailed                       // ended otherwise, and not to be sent again
 )
 
 // Execution is one job or undo, over all its attempts. It is stored by position: the order
@@ -27,8 +27,8 @@
 type Execution struct {
 	_                struct{} `cbor:",toarray"` // written by position: there are many
 	State            ExecutionState
-	Attempt          uint32 // number of the last one, from 1; it never decreases
-	Fence            uint64 // with which that was sent
+	Attempt          uint32 // number of the last attempt, from 1; it never decreases
+	Fence            uint64 // fencing number with which that attempt was sent
 	SentAt           time.Duration
 	NotBefore        time.Duration // Pending: when it may be sent
 	End              plan.End      // of the last attempt that ended
@@ -45,7 +45,7 @@
 	Inputs      []uint64 // generations of the upstream stages that it was given
 	RetriesUsed []int    // by retry rule, in this generation of the stage
 	Result      []byte   // Succeeded: JSON
-	Member      string   // where the last attempt was that has ended
+	Member      string   // where the last attempt that has ended ran
 	RetryPlace  plan.Place
 	Undo        Execution
 }
@@ -53,13 +53,13 @@
 // Stage is the progress of a stage. It is stored by position.
 type Stage struct {
 	_             struct{} `cbor:",toarray"` // written by position: there are many
-	Generation    uint64   // of its output, which exists if Complete and is yet to be made otherwise; from 1
+	Generation    uint64   // of its output, which exists only if Complete; from 1
 	LostThrough   uint64   // generations up to this one were reported lost in this run
-	RerunsUsed    int      // how often such a report had the stage run again
+	RerunsUsed    int      // how often such a report made the stage run again
 	Opened        bool
 	Complete      bool
-	SharedKey     string   // of a shared output
-	SharedResults [][]byte // results that another run made
+	SharedKey     string   // key of the shared output; empty: not shared, or not opened yet
+	SharedResults [][]byte // results that another run produced
 	Items         []Item
 }
 
@@ -77,7 +77,7 @@
 	return list
 }
 
-// GiveUp is why a run gave up.
+// GiveUp is the reason why a run gave up.
 type GiveUp struct {
 	Stage  int // -1: the run as a whole
 	End    plan.End
@@ -93,30 +93,31 @@
 	Input        []byte
 	Seed         uint64
 	Started      time.Duration
-	StartBy      time.Duration `cbor:"Before"` // a Start of it after this is ignored
+	StartBy      time.Duration `cbor:"Before"` // a Start of this id has no effect after this time
 	Deadline     time.Duration
 	Process      string // the coordinator's
 	Incarnation  uint64
 	Fence        uint64
-	Orphan       bool // the coordinator's lease has ended and nobody has claimed the run
+	Orphan       bool // the coordinator's lease has expired and no process has claimed the run yet
 	AttemptsUsed int  `cbor:"Used"` // including those of undos
 	Bytes        int  // of input, items and results
 	Stages       []Stage
-	GaveUp       *GiveUp `cbor:"Gave"` // nil: it goes on
+	GaveUp       *GiveUp `cbor:"Gave"` // nil: it has not given up
 
 	shape     *Shape
-	heapIndex int // in Tracker.deadlines
-	dueAt     time.Duration
+	heapIndex int           // in Tracker.deadlines
+	dueAt     time.Duration // when Advance acts on it: the deadline, with the grace once it gave up
 }
 
-// View is a run with its shape, as its coordinator needs it.
+// View is a copy of a run with its shape, for its coordinator.
 type View struct {
 	Shape     *Shape
 	Run       *Run
-	Producing uint64 // a bit for each shared stage whose output this run is to make
+	Producing uint64 // bit set of the shared stages whose output this run has to produce
 }
 
-// clone copies all that a command may change; byte slices are never changed in place.
+// clone returns a copy that commands don't change. It shares the byte slices, which are never
+// changed in place.
 func (r *Run) clone() *Run {
 	c := *r
 	c.Stages = slices.Clone(r.Stages)
@@ -141,14 +142,14 @@
 	return ok
 }
 
-// inputGenerations returns the generations of the inputs that an item sent now is given.
+// inputGenerations returns the present generations of a stage's inputs, by Shape.Upstream.
 func (r *Run) inputGenerations(s *Shape, stage int) (list []uint64) {
 	s.eachUpstream(stage, func(_, u int) { list = append(list, r.Stages[u].Generation) })
 	return list
 }
 
-// needsNoOpen reports whether a stage has one item that is not shared, so that there is
-// nothing to evaluate.
+// needsNoOpen reports whether a stage has neither a list nor a shared key, so that there is
+// nothing to evaluate for it and it needs no Open.
 func (s *StageShape) needsNoOpen() bool { return !s.Each && !s.Shared }
 
 // needsUndo reports whether an item is still to be undone. Shared outputs stay, since other
@@ -198,7 +199,8 @@
 	return -1
 }
 
-// reservedUndoAttempts returns how many attempts the undos of what may have run still need.
+// reservedUndoAttempts returns how many attempts must be kept for the undos of all items that
+// may have run.
 func (r *Run) reservedUndoAttempts(s *Shape) (n int) {
 	for i := range r.Stages {
 		u := s.Stages[i].Undo
@@ -214,8 +216,9 @@
 	return n
 }
 
-// delay returns how long a retry waits: doubled for each retry by this rule before, up to
-// MaxWait, and varied by up to its jitter, which is a hash of the seed and the attempt.
+// delay returns how long to wait before a retry: Wait, doubled for each earlier retry by this
+// rule, up to WaitAtMost. It varies by up to the jitter, according to a hash of the seed and
+// the attempt, so that all replicas compute the same delay.
 func (q *RetryShape) delay(seed uint64, stage, item int, attempt uint32, before int) time.Duration {
 	w := q.Wait
 	for range before {
--- a/internal/dispatcher/fleet/planrun/runtime_estimator.go
+++ b/internal/dispatcher/fleet/planrun/runtime_estimator.go
@@ -4,18 +4,19 @@
 	"time"
 )
 
-// RuntimeEstimator learns how long jobs of each class run, for one coordinator, and
-// estimates what the rest of a plan needs at the least: a low figure, so that a run gives
-// up only when there is hardly a chance. Its zero value knows nothing.
+// RuntimeEstimator measures how long jobs of each class run, for one coordinator, and
+// estimates the shortest time that the rest of a run needs. The estimate is low, so that a
+// run gives up only when it can hardly end before its deadline. The zero value is ready for
+// use and has no measurements.
 type RuntimeEstimator struct{ classes map[string]*runtimeMean }
 
-// runtimeMean is a moving mean of run times and of their deviation (Jacobson's estimator).
+// runtimeMean holds moving means of the run time and of its deviation (Jacobson's estimator).
 type runtimeMean struct{ mean, deviation time.Duration }
 
-// maxClasses is the number of classes that an operator's file may name.
-const maxClasses = 4096 // what the operator's file may name
+// maxClasses is the largest number of classes that an operator's file may name.
+const maxClasses = 4096
 
-// Observe takes in the run time of a job that succeeded.
+// Observe records the run time of a job that succeeded.
 func (e *RuntimeEstimator) Observe(class string, took time.Duration) {
 	t := e.classes[class]
 	switch {
@@ -32,8 +33,8 @@
 	}
 }
 
-// Minimum returns a run time that jobs of a class rarely undercut; hint if nothing is
-// known.
+// Minimum returns a time that jobs of a class rarely run shorter than: the mean less twice
+// the deviation, or hint if there are no measurements.
 func (e *RuntimeEstimator) Minimum(class string, hint time.Duration) time.Duration {
 	if t := e.classes[class]; t != nil {
 		return max(0, t.mean-2*t.deviation)
@@ -41,8 +42,8 @@
 	return hint
 }
 
-// RemainingTime returns the shortest time that the rest of a run needs from a moment on:
-// the critical path over what does not exist yet. Items of a stage run in parallel.
+// RemainingTime estimates the shortest time that a run still needs: the critical path over
+// the stages whose output does not exist yet. Items of a stage run in parallel.
 func (e *RuntimeEstimator) RemainingTime(at time.Duration, v View) time.Duration {
 	if v.Run.GaveUp != nil {
 		return 0
@@ -71,7 +72,7 @@
 				ends[i] = max(ends[i], begin, took-(at-t.SentAt))
 			}
 		}
-		if sh.Shared { // another run may be about to have it ready
+		if sh.Shared { // another run may complete it at any moment
 			ends[i] = begin
 		}
 		remaining = max(remaining, ends[i])
--- a/internal/dispatcher/fleet/planrun/send_attempt.go
+++ b/internal/dispatcher/fleet/planrun/send_attempt.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// SendAttempt approves an attempt, or refuses it. A run that can no longer end in time, or
-// within its number of attempts, gives up.
+// SendAttempt accepts or refuses an attempt. If the run has no attempts left for it, or not
+// enough time before its deadline, the item fails permanently, and the run gives up if it
+// can't succeed without that item.
 func (t *Tracker) SendAttempt(at time.Duration, c SendAttempt) (SendAttemptReply, error) {
 	at = t.advanceClock(at)
 	r, err := t.ownedRun(c.Run, c.Fence)
@@ -55,7 +56,8 @@
 	return SendAttemptReply{}, nil
 }
 
-// checkSend checks an attempt at a stage against the run's inputs and bounds.
+// checkSend checks an attempt at a stage against the current inputs, the number of attempts
+// and the deadline of the run. An item that is out of attempts or time fails permanently.
 func (t *Tracker) checkSend(at time.Duration, r *Run, c SendAttempt) error {
 	sh, st := &r.shape.Stages[c.Stage], &r.Stages[c.Stage]
 	switch o := t.outputs[st.SharedKey]; {
--- a/internal/dispatcher/fleet/planrun/shape.go
+++ b/internal/dispatcher/fleet/planrun/shape.go
@@ -1,9 +1,9 @@
-// Package planrun runs plans: which job of a plan is sent next, what the end of one means
-// for the others, and when a run gives up. Tracker is the replicated side: the progress of
-// all runs, changed by commands from the log, and equal at every replica. A run's
-// coordinator evaluates the expressions of the plan file and reports how attempts ended;
-// the Tracker holds whatever it sends to the plan's rules. The package does no I/O, reads
-// no clock and starts no goroutine.
+// Package planrun runs plans: it decides which job of a plan is sent next, what the end of an
+// attempt means for the other stages, and when a run gives up. Tracker is the replicated
+// state machine: it holds the progress of all runs, changes only by commands from the Raft
+// log, and is equal at every replica. A run's coordinator evaluates the expressions of the
+// plan file and reports how attempts ended; the Tracker checks each of its commands against
+// the plan's rules. The package does no I/O, reads no clock and starts no goroutine.
 package planrun
 
 import (
@@ -17,9 +17,9 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Shape is what a Tracker needs to know of a plan. It travels in Start, so that a replica
-// neither reads plan files nor evaluates expressions. It is stored by the field names in
-// its tags.
+// Shape is the part of a plan that a Tracker needs. It is sent in Start, so that a replica
+// neither reads plan files nor evaluates expressions. It is stored by the field names in its
+// tags.
 type Shape struct {
 	Stages      []StageShape
 	MaxAttempts int           `cbor:"Most"`   // in all, including reruns and undos
@@ -34,7 +34,7 @@
 	Effect       policy.Effect
 	After        []int
 	Cost         time.Duration // hint of the run time; 0: none
-	Each         bool          // a list determines the items
+	Each         bool          // a list in the plan gives the items
 	MaxItems     int           `cbor:"MostEach"` // longest list
 	MinSucceeded int           `cbor:"AtLeast"`  // items that must succeed; 0: all
 	Shared       bool
@@ -44,7 +44,8 @@
 	Undo         *UndoShape
 }
 
-// RetryShape is a plan.Retry with its jitter in thousandths, since replicas add no floats.
+// RetryShape is a plan.Retry with its jitter in thousandths: replicas compute with integers
+// only, so that all get the same result.
 type RetryShape struct {
 	On               []plan.End
 	MaxRetries       int           `cbor:"Most"`
@@ -93,14 +94,14 @@
 	return s
 }
 
-// Bounds of a shape. Stages fit a word of bits.
+// Bounds of a shape. Sets of stages are bits of one uint64.
 const (
 	maxStages     = 64
 	maxItems      = 4096 // over all stages of a plan
 	maxNameLength = 256  // in bytes
 )
 
-// ErrInvalidShape says that a shape can't be run.
+// ErrInvalidShape is returned for a shape that breaks a bound or has invalid dependencies.
 var ErrInvalidShape = errors.New("unusable shape of a plan")
 
 // resolve validates a shape and computes what is upstream of each stage.
--- a/internal/dispatcher/fleet/planrun/shared_output.go
+++ b/internal/dispatcher/fleet/planrun/shared_output.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Output is an output that runs share by a key: made by one run at a time, for all.
+// Output is an output that runs share by a key. One run at a time produces it for all.
 type Output struct {
 	Key        string
-	Generation uint64        `cbor:"Gen"` // made, or being made
-	Ready      bool          // it has been made
-	FreshUntil time.Duration `cbor:"Until"` // later users have it made again
+	Generation uint64        `cbor:"Gen"` // produced, or being produced
+	Ready      bool          // it has been produced
+	FreshUntil time.Duration `cbor:"Until"` // a user that comes after this time has it produced again
 	Results    [][]byte
-	Producer   *OutputUser `cbor:"Owner"` // which makes it; nil: nobody
+	Producer   *OutputUser `cbor:"Owner"` // user that produces it; nil: none
 	Users      []OutputUser
 }
 
@@ -26,13 +26,14 @@
 	return !o.Ready && o.Producer != nil && *o.Producer == OutputUser{r.ID, stage}
 }
 
-// attachOutput connects a stage that was just opened to its output: it takes a fresh one,
-// waits for one that is being made, or makes it.
+// attachOutput adds a stage that was just opened to the users of its shared output: the stage
+// takes an output that is fresh, waits for one that is being produced, or produces it.
 func (t *Tracker) attachOutput(at time.Duration, r *Run, stage int) {
 	key, me := r.Stages[stage].SharedKey, OutputUser{r.ID, stage}
 	o := t.outputs[key]
 	if o == nil {
-		o = &Output{Key: key, Generation: t.lastSharedGeneration + 1} // above all that the key had, should it have been dropped
+		// The generation is above all that the key had before, if its output was dropped.
+		o = &Output{Key: key, Generation: t.lastSharedGeneration + 1}
 		t.outputs[key] = o
 	}
 	o.Users = append(o.Users, me)
@@ -40,7 +41,7 @@
 	case o.Ready && at < o.FreshUntil:
 		r.takeOutput(stage, o)
 		return
-	case o.Ready: // those that have it go on with it
+	case o.Ready: // it is too old for a new user; present users keep their copy
 		o.Generation++
 		o.Ready, o.Results, o.Producer = false, nil, &me
 	case o.Producer == nil:
@@ -50,14 +51,14 @@
 	r.Stages[stage].Generation = o.Generation
 }
 
-// takeOutput gives a stage an output that exists.
+// takeOutput completes a stage with a shared output that exists.
 func (r *Run) takeOutput(stage int, o *Output) {
 	st := &r.Stages[stage]
 	st.Generation, st.Complete, st.SharedResults = o.Generation, true, o.Results
 }
 
-// publishOutput gives the output that a stage has made to all that wait for it. It counts
-// whoever is the producer by now.
+// publishOutput passes the output that a stage has produced to all stages that wait for it,
+// even if another run has become the producer in the meantime.
 func (t *Tracker) publishOutput(at time.Duration, r *Run, stage int) {
 	st := &r.Stages[stage]
 	o := t.outputs[st.SharedKey]
@@ -76,9 +77,10 @@
 	}
 }
 
-// rerunShared has the generation after a lost one made by a run that reported the loss,
-// unless another has begun to. Other runs that still need the output wait for it, and keep
-// what they made of the lost one until a stage of theirs reports the loss.
+// rerunShared makes the run that reported a loss the producer of the next generation, unless
+// another run has begun to produce it. Other runs that still need the output wait for it;
+// they keep what they have produced from the lost generation until one of their own stages
+// reports the loss.
 func (t *Tracker) rerunShared(o *Output, r *Run, stage int, gen uint64) (newLoss bool) {
 	if o.Generation > gen {
 		if r.Stages[stage].Generation = o.Generation; o.Ready {
@@ -99,7 +101,7 @@
 	return true
 }
 
-// needsOutput reports whether a stage's output is still needed.
+// needsOutput reports whether a stage, or one that depends on it, is not complete yet.
 func (r *Run) needsOutput(stage int) bool {
 	for i := range r.Stages {
 		if i == stage && !r.Stages[i].Complete || r.shape.dependsOn(i, stage) && !r.Stages[i].Complete {
@@ -125,8 +127,7 @@
 	}
 }
 
-// reassignOutputs assigns the outputs that a run was making to others that wait for them,
-// if there are any with a coordinator.
+// reassignOutputs finds a new producer for each output that a run was producing.
 func (t *Tracker) reassignOutputs(r *Run) {
 	for i := range r.Stages {
 		if o := t.outputs[r.Stages[i].SharedKey]; r.Stages[i].SharedKey != "" && o != nil {
@@ -135,8 +136,8 @@
 	}
 }
 
-// reassignOutput finds a new producer of an output, if from is its producer: the first user
-// that waits and has a coordinator, else the first that waits.
+// reassignOutput finds a new producer for an output, if from is its producer: the first
+// waiting user that has a coordinator, else the first waiting user.
 func (t *Tracker) reassignOutput(o *Output, from OutputUser) {
 	if o.Ready || o.Producer == nil || *o.Producer != from {
 		return
@@ -157,7 +158,7 @@
 }
 
 func (t *Tracker) pruneOutputs(at time.Duration) {
-	for key, o := range t.outputs { // in any order: each is judged by itself
+	for key, o := range t.outputs { // the order doesn't matter: each is decided by itself
 		if o.Ready && len(o.Users) == 0 && o.FreshUntil <= at {
 			delete(t.outputs, key)
 		}
--- a/internal/dispatcher/fleet/planrun/sim_test.go
+++ b/internal/dispatcher/fleet/planrun/sim_test.go
@@ -16,30 +16,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The simulation: coordinators with clocks of their own, a lossy network, one log
-// for three replicas whose leader changes, members that run jobs. It is judged by
-// what the members saw.
+// sim is a simulation of coordinators whose clocks run at different rates, a lossy network,
+// one Raft log with three replicas and changes of leader, and members that run jobs. The
+// answers of runs are checked against what the members ran.
 type sim struct {
-	rng     *rand.Rand
-	now     time.Duration // true time
-	queue   indexedheap.Heap[*event]
-	seq     int
-	books   replicas
-	paused  time.Duration // that fleet time is behind true time
-	down    time.Duration // no leader until then; fleet time is stopped
-	stopped time.Duration
-	procs   []*proc
-	leases  map[string]time.Duration // by process and incarnation, in fleet time
-	shapes  map[string]Shape
-	lost    uint64 // generations of the shared output up to this one are lost
-
-	tries   map[try]*seen
-	running map[job][]*seen
-	ran     map[job]int // runs at members
-	of      map[string]int
-	answers map[string]*Answer
-	n       struct{ commands, sends, zombies, overlaps, takeovers, losses, fresh int }
-	faults  []string
+	rng       *rand.Rand
+	now       time.Duration // true time
+	queue     indexedheap.Heap[*event]
+	seq       int
+	trackers  replicas
+	paused    time.Duration // by which fleet time is behind true time
+	down      time.Duration // there is no leader until then, and fleet time stands still
+	stopped   time.Duration // fleet time while there is no leader
+	processes []*process
+	leases    map[string]time.Duration // by process and incarnation, in fleet time
+	shapes    map[string]Shape
+	lost      uint64 // generations of the shared output up to this one are lost
+
+	attempts      map[attemptKey]*acceptedAttempt
+	running       map[job][]*acceptedAttempt
+	ran           map[job]int // how often members have run a job
+	runsByMembers map[string]int
+	answers       map[string]*Answer
+	n             struct{ commands, sends, startsAfterTakeover, overlaps, takeovers, losses, newLosses int }
+	faults        []string
 }
 
 type event struct {
@@ -54,29 +54,29 @@
 	undo        bool
 }
 
-type try struct {
+type attemptKey struct {
 	job
 	attempt uint32
 }
 
-// seen is an attempt.
-type seen struct {
-	try
+// acceptedAttempt is an accepted attempt.
+type acceptedAttempt struct {
+	attemptKey
 	fence     uint64
-	end       plan.End // by the log; empty: none
+	end       plan.End // that the log has recorded; empty: none
 	begun     bool
-	unchecked bool // sent after a freeze between the look at the lease and the send
+	unchecked bool // the process was frozen between the check of its lease and the send
 }
 
-type proc struct {
+type process struct {
 	s           *sim
 	name        string
 	incarnation uint64
 	epoch       int // grows with each crash
 	rate        float64
 	frozen      time.Duration // until then
-	lease       time.Duration // by its own clock, good until then
-	co          *AttemptRegistry
+	lease       time.Duration // valid until then, by its own clock
+	registry    *AttemptRegistry
 	wakes       map[string]bool
 }
 
@@ -103,11 +103,12 @@
 	s.faults = append(s.faults, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// after has a process do something: never once it has crashed, later while frozen.
-func (p *proc) after(d time.Duration, f func()) { p.within(p.epoch, d, f) }
+// after calls f after a delay, unless the process has crashed by then. While the process is
+// frozen, the call waits.
+func (p *process) after(d time.Duration, f func()) { p.afterInEpoch(p.epoch, d, f) }
 
-// within is after for an earlier moment's incarnation.
-func (p *proc) within(epoch int, d time.Duration, f func()) {
+// afterInEpoch is after for the incarnation with the given epoch.
+func (p *process) afterInEpoch(epoch int, d time.Duration, f func()) {
 	var do func()
 	do = func() {
 		switch {
@@ -121,16 +122,17 @@
 	p.s.after(d, do)
 }
 
-func (p *proc) clock() time.Duration { return time.Duration(float64(p.s.now) * p.rate) }
+func (p *process) clock() time.Duration { return time.Duration(float64(p.s.now) * p.rate) }
 
 var errNoReply = errors.New("no reply")
 
-// ask proposes a command. The reply is told once, a lost one as errNoReply.
-func (p *proc) ask(command any, reply func(Reply, error)) {
-	s, epoch, told := p.s, p.epoch, false
-	tell := func(r Reply, err error) {
-		if !told {
-			told = true
+// propose sends a command to the leader. It calls reply once, with errNoReply if no reply
+// arrives in time. The command or its reply may be lost, and the command may arrive twice.
+func (p *process) propose(command any, reply func(Reply, error)) {
+	s, epoch, delivered := p.s, p.epoch, false
+	deliver := func(r Reply, err error) {
+		if !delivered {
+			delivered = true
 			reply(r, err)
 		}
 	}
@@ -140,7 +142,7 @@
 		}
 		r, err := s.commit(command)
 		if !s.chance(0.03) {
-			p.within(epoch, s.net(), func() { tell(r, err) })
+			p.afterInEpoch(epoch, s.net(), func() { deliver(r, err) })
 		}
 	}
 	if !s.chance(0.03) {
@@ -149,35 +151,35 @@
 	if s.chance(0.03) {
 		s.after(s.net(), arrive)
 	}
-	p.after(80*ms, func() { tell(Reply{}, errNoReply) })
+	p.after(80*ms, func() { deliver(Reply{}, errNoReply) })
 }
 
-// commit enters a command into the log.
+// commit applies a command at all replicas, and records what it means for the attempts.
 func (s *sim) commit(command any) (Reply, error) {
 	s.n.commands++
-	r, err := s.books.apply(s.fleet(), command)
+	r, err := s.trackers.apply(s.fleet(), command)
 	switch c := command.(type) {
 	case SendAttempt:
-		if k := (try{job{c.Run, c.Stage, c.Item, c.Undo}, c.Attempt}); err == nil && !r.Sent.Again {
-			if s.tries[k] != nil {
-				s.fault("%v was let twice", k)
+		if k := (attemptKey{job{c.Run, c.Stage, c.Item, c.Undo}, c.Attempt}); err == nil && !r.Sent.Again {
+			if s.attempts[k] != nil {
+				s.fault("%v was accepted twice", k)
 			}
-			s.tries[k] = &seen{try: k, fence: c.Fence}
+			s.attempts[k] = &acceptedAttempt{attemptKey: k, fence: c.Fence}
 		}
 	case ReportEnd:
-		if k := s.tries[try{job{c.Run, c.Stage, c.Item, c.Undo}, c.Attempt}]; err == nil && r.Counted.Accepted {
+		if k := s.attempts[attemptKey{job{c.Run, c.Stage, c.Item, c.Undo}, c.Attempt}]; err == nil && r.Counted.Accepted {
 			if k.end != "" && (c.End != plan.Done || k.end == plan.Done) {
-				s.fault("%v ended twice, %v and %v", k.try, k.end, c.End)
+				s.fault("%v ended twice, %v and %v", k.attemptKey, k.end, c.End)
 			}
 			if r.Counted.NewLoss {
-				s.n.fresh++
+				s.n.newLosses++
 			}
 			k.end = c.End
 		}
 	case Claim:
 		for _, x := range r.Claimed {
 			s.n.takeovers++
-			for _, k := range s.tries {
+			for _, k := range s.attempts {
 				if k.run == x.Run && k.end == "" {
 					k.end = plan.MayRun
 				}
@@ -187,46 +189,46 @@
 	return r, err
 }
 
-// heard checks that a run has one answer only.
-func (s *sim) heard(a *Answer) {
+// recordAnswer records a run's answer, and reports a fault if it differs from an earlier one.
+func (s *sim) recordAnswer(a *Answer) {
 	if old := s.answers[a.Run]; old != nil && (old.Outcome != a.Outcome || old.At != a.At || old.Reason != a.Reason) {
 		s.fault("two answers: %+v and %+v", old, a)
 	}
 	s.answers[a.Run] = a
 }
 
-func (p *proc) start(run string) {
+func (p *process) start(run string) {
 	s := p.s
-	p.ask(Start{Run: run, Plan: "booking", Shape: s.shapes[run], Seed: s.rng.Uint64(), Before: 10 * time.Second, Process: p.name, Incarnation: p.incarnation}, func(r Reply, err error) {
+	p.propose(Start{Run: run, Plan: "booking", Shape: s.shapes[run], Seed: s.rng.Uint64(), Before: 10 * time.Second, Process: p.name, Incarnation: p.incarnation}, func(r Reply, err error) {
 		x := r.Started
 		switch {
-		case err != nil && s.now < 2*time.Second: // its client asks another
-			other := s.procs[s.rng.IntN(len(s.procs))]
+		case err != nil && s.now < 2*time.Second: // the client asks another process
+			other := s.processes[s.rng.IntN(len(s.processes))]
 			other.after(s.net(), func() { other.start(run) })
 		case x.Answer != nil:
-			s.heard(x.Answer)
+			s.recordAnswer(x.Answer)
 		case x.Fence > 0:
-			p.co.Drive(run, x.Fence)
-			p.pump(run)
+			p.registry.Drive(run, x.Fence)
+			p.drive(run)
 		}
 	})
 }
 
-// pump does what is next for a run.
-func (p *proc) pump(run string) {
+// drive does what is due for a run.
+func (p *process) drive(run string) {
 	s := p.s
-	v, err := s.books[0].View(run)
+	v, err := s.trackers[0].View(run)
 	if errors.Is(err, ErrEnded) {
-		s.heard(s.books[0].Answer(run))
+		s.recordAnswer(s.trackers[0].Answer(run))
 	}
 	if err != nil {
-		p.co.Drop(run)
+		p.registry.Drop(run)
 		return
 	}
-	tasks, wake := p.co.Tasks(s.fleet(), v)
+	tasks, wake := p.registry.Tasks(s.fleet(), v)
 	if wake > 0 && !p.wakes[run] {
 		p.wakes[run] = true
-		p.after(time.Duration(float64(max(ms, min(wake-s.fleet(), 100*ms)))/p.rate), func() { p.wakes[run] = false; p.pump(run) })
+		p.after(time.Duration(float64(max(ms, min(wake-s.fleet(), 100*ms)))/p.rate), func() { p.wakes[run] = false; p.drive(run) })
 	}
 	for _, t := range tasks {
 		switch {
@@ -236,63 +238,63 @@
 			} else {
 				t.Open.Key = "tour"
 			}
-			p.ask(*t.Open, func(Reply, error) { p.co.Answered(run, t.ID); p.pump(run) })
+			p.propose(*t.Open, func(Reply, error) { p.registry.Answered(run, t.ID); p.drive(run) })
 		case t.Ended != nil:
-			p.tell(t.ID, *t.Ended)
+			p.reportEnd(t.ID, *t.Ended)
 		default:
-			p.ask(*t.Sending, func(_ Reply, err error) {
-				if p.co.Accepted(*t.Sending, t.ID, err, p.clock() < p.lease) {
-					a := s.tries[try{job{run, t.Stage, t.Item, t.Undo}, t.Attempt}]
-					if s.chance(0.01) { // it freezes between its look at the lease and the send
+			p.propose(*t.Sending, func(_ Reply, err error) {
+				if p.registry.Accepted(*t.Sending, t.ID, err, p.clock() < p.lease) {
+					a := s.attempts[attemptKey{job{run, t.Stage, t.Item, t.Undo}, t.Attempt}]
+					if s.chance(0.01) { // it freezes between the check of its lease and the send
 						p.frozen, a.unchecked = s.now+time.Duration(s.rng.IntN(1500))*ms, true
 						p.after(0, func() { p.send(a, *t.Sending, t.ID) })
 					} else if p.send(a, *t.Sending, t.ID); s.chance(0.01) { // a crash between the send and its end
-						p.after(s.net(), p.join)
+						p.after(s.net(), p.restart)
 					}
 				}
-				p.pump(run)
+				p.drive(run)
 			})
 		}
 	}
 }
 
-// tell reports an end until there is a reply.
-func (p *proc) tell(id AttemptID, e ReportEnd) {
+// reportEnd reports an end, and repeats it until there is a reply.
+func (p *process) reportEnd(id AttemptID, e ReportEnd) {
 	e.Result = []byte(`{}`)
-	p.ask(e, func(r Reply, err error) {
+	p.propose(e, func(r Reply, err error) {
 		if errors.Is(err, errNoReply) {
-			p.tell(id, e)
+			p.reportEnd(id, e)
 			return
 		}
 		if r.Counted.Answer != nil {
-			p.s.heard(r.Counted.Answer)
+			p.s.recordAnswer(r.Counted.Answer)
 		}
-		p.co.Answered(e.Run, id)
-		p.pump(e.Run)
+		p.registry.Answered(e.Run, id)
+		p.drive(e.Run)
 	})
 }
 
-// send has a member run an attempt, perhaps.
-func (p *proc) send(a *seen, c SendAttempt, id AttemptID) { //nolint:gocognit // one scenario, to be read from top to bottom
-	s, epoch, told := p.s, p.epoch, false
+// send sends an attempt to a member, which runs it unless the send fails or the member is full.
+func (p *process) send(a *acceptedAttempt, c SendAttempt, id AttemptID) { //nolint:gocognit // one scenario, to be read from top to bottom
+	s, epoch, reported := p.s, p.epoch, false
 	if s.n.sends++; a.end == plan.MayRun && !a.unchecked {
-		s.fault("%v was sent when another had the run", a.try)
+		s.fault("%v was sent when another process had the run", a.attemptKey)
 	}
 	sh := s.shapes[a.run].Stages[a.stage]
-	tell := func(d time.Duration, end plan.End, lost *LostInput) {
-		p.within(epoch, d, func() {
-			if !told || end == plan.Done { // an answer that came late is told too, and one that came twice
-				told = true
-				p.tell(id, c.EndReport(end, nil, "m", lost))
+	reportEnd := func(d time.Duration, end plan.End, lost *LostInput) {
+		p.afterInEpoch(epoch, d, func() {
+			if !reported || end == plan.Done { // a success is reported also when it comes late, and each time that it comes
+				reported = true
+				p.reportEnd(id, c.EndReport(end, nil, "m", lost))
 			}
 		})
 	}
-	tell(150*ms, plan.Late, nil)
+	reportEnd(150*ms, plan.Late, nil)
 	switch x := s.rng.Float64(); {
 	case x < 0.04:
-		tell(ms, plan.Unsent, nil)
+		reportEnd(ms, plan.Unsent, nil)
 	case x < 0.07:
-		tell(3*ms, plan.Full, nil)
+		reportEnd(3*ms, plan.Full, nil)
 	default:
 		s.after(s.net(), func() {
 			s.begin(a, sh)
@@ -314,15 +316,15 @@
 				case s.chance(0.04):
 					end = plan.Failed
 				default:
-					p.co.Estimator.Observe(sh.Class, took)
+					p.registry.Estimator.Observe(sh.Class, took)
 				}
 				switch x := s.rng.Float64(); {
 				case x < 0.03:
 				case x < 0.05:
-					tell(ms, plan.Reset, nil)
+					reportEnd(ms, plan.Reset, nil)
 				default:
-					if tell(s.net(), end, lost); s.chance(0.03) {
-						tell(s.net(), end, lost)
+					if reportEnd(s.net(), end, lost); s.chance(0.03) {
+						reportEnd(s.net(), end, lost)
 					}
 				}
 			})
@@ -330,33 +332,33 @@
 	}
 }
 
-// begin is what a member sees of an attempt; it is held against what it and others
-// saw before.
-func (s *sim) begin(a *seen, sh StageShape) {
+// begin is called when a member begins an attempt. It checks that the attempt may run, given
+// what members ran before.
+func (s *sim) begin(a *acceptedAttempt, sh StageShape) {
 	if a.begun {
-		s.fault("%v was sent twice", a.try)
+		s.fault("%v was sent twice", a.attemptKey)
 	}
 	if a.begun = true; a.end != "" && a.fence == s.fence(a.run) && a.end != plan.Late {
-		s.fault("%v began after it had ended with %v", a.try, a.end)
+		s.fault("%v began after it had ended with %v", a.attemptKey, a.end)
 	}
-	never := sh.Effect == policy.AtMostOnce && !a.undo
-	s.of[a.run]++
-	if s.ran[a.job]++; never && s.ran[a.job] > 1 {
-		s.fault("%v ran twice", a.try)
+	atMostOnce := sh.Effect == policy.AtMostOnce && !a.undo
+	s.runsByMembers[a.run]++
+	if s.ran[a.job]++; atMostOnce && s.ran[a.job] > 1 {
+		s.fault("%v ran twice", a.attemptKey)
 	}
 	for _, r := range s.running[a.job] {
-		if s.n.overlaps++; never || r.end == "" && a.end == "" || !cmp.Or(r.end, plan.MayRun).MayHaveRun() {
-			s.fault("%v began beside %v", a.try, r.try)
+		if s.n.overlaps++; atMostOnce || r.end == "" && a.end == "" || !cmp.Or(r.end, plan.MayRun).MayHaveRun() {
+			s.fault("%v began while %v was running", a.attemptKey, r.attemptKey)
 		}
 	}
 	if a.end == plan.MayRun {
-		s.n.zombies++
+		s.n.startsAfterTakeover++
 	}
 	s.running[a.job] = append(s.running[a.job], a)
 }
 
 func (s *sim) fence(run string) uint64 {
-	if r := s.books[0].runs[run]; r != nil {
+	if r := s.trackers[0].runs[run]; r != nil {
 		return r.Fence
 	}
 	return 0
@@ -364,8 +366,9 @@
 
 const lease = 300 * ms
 
-// live has a process renew its lease and look for orphans, for ever.
-func (p *proc) live() {
+// renewAndClaim makes a process renew its lease and claim runs without a coordinator, over and
+// over.
+func (p *process) renewAndClaim() {
 	s, epoch, sent := p.s, p.epoch, p.clock()
 	id := fmt.Sprintf("%s %d", p.name, p.incarnation)
 	if !s.chance(0.05) {
@@ -375,36 +378,36 @@
 			}
 			until, known := s.leases[id]
 			if known && until < 0 {
-				p.within(epoch, s.net(), p.join)
+				p.afterInEpoch(epoch, s.net(), p.restart)
 				return
 			}
 			s.leases[id] = s.fleet() + lease
-			p.within(epoch, s.net(), func() { p.lease = max(p.lease, sent+lease*9/10) })
+			p.afterInEpoch(epoch, s.net(), func() { p.lease = max(p.lease, sent+lease*9/10) })
 		})
 	}
 	if p.clock() < p.lease {
-		p.ask(Claim{Process: p.name, Incarnation: p.incarnation, MaxRuns: 3}, func(r Reply, _ error) {
+		p.propose(Claim{Process: p.name, Incarnation: p.incarnation, MaxRuns: 3}, func(r Reply, _ error) {
 			for _, c := range r.Claimed {
-				p.co.Drive(c.Run, c.Fence)
-				p.pump(c.Run)
+				p.registry.Drive(c.Run, c.Fence)
+				p.drive(c.Run)
 			}
 		})
 	}
-	p.after(70*ms, p.live)
+	p.after(70*ms, p.renewAndClaim)
 }
 
-// join begins an incarnation, with nothing of the last.
-func (p *proc) join() {
+// restart begins a new incarnation of a process, which keeps no state of the last one.
+func (p *process) restart() {
 	p.epoch++
 	p.incarnation++
-	p.lease, p.co, p.wakes = 0, NewAttemptRegistry(500*ms), map[string]bool{}
-	p.after(p.s.net(), p.live)
+	p.lease, p.registry, p.wakes = 0, NewAttemptRegistry(500*ms), map[string]bool{}
+	p.after(p.s.net(), p.renewAndClaim)
 }
 
-// tick is what the leader does by itself.
+// tick does what the leader does at intervals: it expires leases and advances the time.
 func (s *sim) tick() {
 	if s.now >= s.down {
-		for _, p := range s.procs {
+		for _, p := range s.processes {
 			for i := uint64(1); i <= p.incarnation; i++ {
 				id := fmt.Sprintf("%s %d", p.name, i)
 				if until, ok := s.leases[id]; ok && until >= 0 && until <= s.fleet() || ok && until >= 0 && i < p.incarnation {
@@ -418,23 +421,23 @@
 	s.after(20*ms, s.tick)
 }
 
-// simulate runs one seed to its end.
+// simulate runs the simulation of one seed.
 func simulate(seed uint64, plans, seats int) *sim {
 	l := DefaultLimits()
 	l.Grace = 500 * ms
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 30)), books: newReplicas(l), leases: map[string]time.Duration{}, shapes: map[string]Shape{},
-		tries: map[try]*seen{}, running: map[job][]*seen{}, ran: map[job]int{}, of: map[string]int{}, answers: map[string]*Answer{}}
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 30)), trackers: newReplicas(l), leases: map[string]time.Duration{}, shapes: map[string]Shape{},
+		attempts: map[attemptKey]*acceptedAttempt{}, running: map[job][]*acceptedAttempt{}, ran: map[job]int{}, runsByMembers: map[string]int{}, answers: map[string]*Answer{}}
 	s.queue = indexedheap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }, nil)
 	for i := range 4 {
-		p := &proc{s: s, name: fmt.Sprintf("n%d", i), rate: 0.975 + 0.05*s.rng.Float64()}
-		s.procs = append(s.procs, p)
-		p.join()
+		p := &process{s: s, name: fmt.Sprintf("n%d", i), rate: 0.975 + 0.05*s.rng.Float64()}
+		s.processes = append(s.processes, p)
+		p.restart()
 		for range 3 {
 			at, what := time.Duration(s.rng.IntN(1500))*ms, s.rng.IntN(3)
 			s.after(at, func() {
 				switch {
 				case what == 0 && s.now >= p.frozen:
-					p.join() // a crash; it is back at once under its name
+					p.restart() // a crash; the process restarts at once under the same name
 				case what == 1:
 					p.frozen = max(p.frozen, s.now+time.Duration(s.rng.IntN(900))*ms)
 				}
@@ -442,7 +445,7 @@
 		}
 	}
 	for range 2 {
-		s.after(time.Duration(s.rng.IntN(1500))*ms, func() { // a new leader goes on from the last fleet time
+		s.after(time.Duration(s.rng.IntN(1500))*ms, func() { // the next leader continues from the last fleet time
 			if long := time.Duration(s.rng.IntN(150)) * ms; s.now >= s.down {
 				s.stopped = s.fleet()
 				s.down = s.now + long
@@ -454,30 +457,30 @@
 	for i := range plans {
 		run := fmt.Sprintf("r%d", i)
 		s.shapes[run] = booking(seats)
-		p := s.procs[s.rng.IntN(4)]
+		p := s.processes[s.rng.IntN(4)]
 		p.after(time.Duration(20+s.rng.IntN(300))*ms, func() { p.start(run) })
 	}
 	s.tick()
-	for s.now < 7*time.Second && (s.now < 2*time.Second || len(s.books[0].runs) > 0) {
+	for s.now < 7*time.Second && (s.now < 2*time.Second || len(s.trackers[0].runs) > 0) {
 		e := s.queue.Pop()
 		s.now = e.at
 		e.f()
 	}
-	s.judge()
+	s.checkAnswers()
 	return s
 }
 
-// judge holds the answers against what the members saw.
-func (s *sim) judge() {
-	if n := len(s.books[0].runs); n > 0 {
-		s.fault("%d runs have no end", n)
+// checkAnswers checks the answers against what the members ran.
+func (s *sim) checkAnswers() {
+	if n := len(s.trackers[0].runs); n > 0 {
+		s.fault("%d runs have not ended", n)
 	}
 	for run := range s.shapes {
-		a := s.books[0].Answer(run)
+		a := s.trackers[0].Answer(run)
 		if a == nil {
-			continue // its Start never got through
+			continue // its Start never reached the leader
 		}
-		s.heard(a)
+		s.recordAnswer(a)
 		most := s.shapes[run].MaxAttempts
 		if sent := s.count(run); a.Attempts > most || sent != a.Attempts {
 			s.fault("%s: %d attempts of %d, the answer says %d", run, sent, most, a.Attempts)
@@ -486,19 +489,19 @@
 			s.fault("%s ended %v after its start", run, a.At-a.Started)
 		}
 		switch ticket := s.ran[job{run, 2, 0, false}]; {
-		case a.Outcome == Refused && s.of[run] > 0:
+		case a.Outcome == Refused && s.runsByMembers[run] > 0:
 			s.fault("%s was refused and ran", run)
 		case a.Outcome == Served && (ticket != 1 || s.ran[job{run, 3, 0, false}] < 1):
 			s.fault("%s was served, its ticket ran %d times", run, ticket)
 		}
 	}
-	if s.n.fresh > s.n.losses {
-		s.fault("%d losses were taken for %d", s.n.losses, s.n.fresh)
+	if s.n.newLosses > s.n.losses {
+		s.fault("%d losses were counted as %d", s.n.losses, s.n.newLosses)
 	}
 }
 
 func (s *sim) count(run string) (n int) {
-	for k := range s.tries {
+	for k := range s.attempts {
 		if k.run == run {
 			n++
 		}
@@ -518,27 +521,28 @@
 		}
 		s := simulate(seed, plans, seats)
 		require.Empty(t, s.faults, "seed %d", seed)
-		s.books.alike(t)
+		s.trackers.requireEqual(t)
 		for _, a := range s.answers {
 			outcomes[a.Outcome]++
 		}
 		total.n.commands += s.n.commands
 		total.n.sends += s.n.sends
-		total.n.zombies += s.n.zombies
+		total.n.startsAfterTakeover += s.n.startsAfterTakeover
 		total.n.overlaps += s.n.overlaps
 		total.n.takeovers += s.n.takeovers
 		total.n.losses += s.n.losses
-		total.n.fresh += s.n.fresh
+		total.n.newLosses += s.n.newLosses
 	}
 	t.Logf("%+v %v", total.n, outcomes)
 	for o := range Unknown + 1 {
-		require.NotZero(t, outcomes[o], "%v: a simulation that never ends so tests little", o)
+		require.NotZero(t, outcomes[o], "no run had the outcome %v: the simulation tests too little", o)
 	}
 	require.NotZero(t, total.n.takeovers)
-	require.NotZero(t, total.n.fresh)
+	require.NotZero(t, total.n.newLosses)
 }
 
-// TestCheckerTrips: with the planted fault, the checker sees tickets run twice.
+// TestCheckerTrips checks that the simulation detects tickets that run twice, when the fault
+// testRunTwice is injected.
 func TestCheckerTrips(t *testing.T) {
 	testRunTwice = true
 	defer func() { testRunTwice = false }()
@@ -548,5 +552,5 @@
 			return
 		}
 	}
-	t.Fatal("a never-twice job that is sent again goes unseen")
+	t.Fatal("an at-most-once job was sent again, and the simulation did not detect it")
 }
--- a/internal/dispatcher/fleet/planrun/stored_state.go
+++ b/internal/dispatcher/fleet/planrun/stored_state.go
@@ -10,14 +10,16 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// internedShape is a shape with the number of runs that have it.
+// internedShape is a shape with its encoding and the number of runs that use it.
 type internedShape struct {
 	shape *Shape
 	text  []byte
 	runs  int
 }
 
-// internShape stores each shape once. Its key is its digest, or the next free number.
+// internShape returns the stored copy of a shape and its key, and counts one more run that
+// uses it. The key is the shape's digest or, if another shape has that key, the next free
+// number.
 func (t *Tracker) internShape(s Shape) (uint64, *Shape, error) {
 	text, err := codec.Encode(s)
 	if err != nil {
@@ -54,7 +56,7 @@
 	State   []byte
 }
 
-// storedState is the encoded Tracker, by the field names in its tags.
+// storedState is the form in which a Tracker is encoded, by the field names in its tags.
 type storedState struct {
 	Limits               Limits
 	Now                  time.Duration
@@ -67,7 +69,8 @@
 	Outputs              []*Output `cbor:"Shared"` // by key
 }
 
-// Encode encodes the whole state: the same commands give the same bytes.
+// Encode encodes the whole state. Replicas that have applied the same commands get the same
+// bytes.
 func (t *Tracker) Encode() ([]byte, error) {
 	s := storedState{Limits: t.limits, Now: t.now, Fence: t.lastFence, LastSharedGeneration: t.lastSharedGeneration, Shapes: map[uint64]Shape{}, Answers: t.answersByEnd, FirstWithResults: t.firstWithResults}
 	for key, k := range t.shapes {
@@ -95,10 +98,10 @@
 	return codec.Digest(text), nil
 }
 
-// ErrInvalidState says that decoded data is not the state of a Tracker.
-var ErrInvalidState = errors.New("not a state of plans under way")
+// ErrInvalidState is returned for data that is not the encoded state of a Tracker.
+var ErrInvalidState = errors.New("not the encoded state of plan runs")
 
-// Decode replaces the state by an encoded one. On an error nothing has changed.
+// Decode replaces the state by an encoded one. On an error the state is unchanged.
 func (t *Tracker) Decode(text []byte) error {
 	var f envelope
 	if err := codec.Decode(text, &f); err != nil {
@@ -157,7 +160,7 @@
 	return nil
 }
 
-// addDecodedRun adds a decoded run, if it is consistent as far as the Tracker relies on it.
+// addDecodedRun adds a decoded run. It checks the run for all that the Tracker relies on.
 func (t *Tracker) addDecodedRun(r *Run) error {
 	if r == nil || t.runs[r.ID] != nil || t.answers[r.ID] != nil || t.shapes[r.Shape] == nil {
 		return ErrInvalidState
--- a/internal/dispatcher/fleet/planrun/tracker.go
+++ b/internal/dispatcher/fleet/planrun/tracker.go
@@ -10,17 +10,17 @@
 	"basaltloft/internal/shared/indexedheap"
 )
 
-// Tracker is the progress of all runs. Its times are fleet time. It is not safe for
-// concurrent use.
+// Tracker holds the progress of all runs and the answers of those that have ended. All times
+// are fleet time, which comes with the commands. It is not safe for concurrent use.
 type Tracker struct {
 	limits               Limits
 	now                  time.Duration
-	lastFence            uint64 // last fencing number given
+	lastFence            uint64 // last fencing number that was assigned
 	lastSharedGeneration uint64 // highest generation of any shared output so far
 	shapes               map[uint64]*internedShape
 	runs                 map[string]*Run
 	answers              map[string]*Answer
-	answersByEnd         []*Answer // by time of their runs' end
+	answersByEnd         []*Answer // in the order in which their runs ended
 	firstWithResults     int       // index in answersByEnd of the first answer that has kept its results
 	outputs              map[string]*Output
 	orphans              []string // runs without a coordinator, sorted
@@ -29,9 +29,9 @@
 
 // NewTracker returns an empty tracker.
 func NewTracker(l Limits) *Tracker {
-	b := &Tracker{limits: l}
-	b.reset()
-	return b
+	t := &Tracker{limits: l}
+	t.reset()
+	return t
 }
 
 func (t *Tracker) reset() {
@@ -40,16 +40,16 @@
 	t.deadlines = indexedheap.New(func(x, y *Run) bool { return cmp.Or(cmp.Compare(x.dueAt, y.dueAt), cmp.Compare(x.ID, y.ID)) < 0 }, func(r *Run, at int) { r.heapIndex = at })
 }
 
-// advanceClock takes in the time of a command and returns the fleet time, which never runs
-// backward.
+// advanceClock advances the fleet time to the time of a command and returns it. The fleet
+// time never decreases.
 func (t *Tracker) advanceClock(at time.Duration) time.Duration {
 	t.now = max(t.now, at)
 	return t.now
 }
 
-// Counts returns how many runs are in progress, and how many have ended and are still
-// known.
-func (t *Tracker) Counts() (under, ended int) { return len(t.runs), len(t.answers) }
+// Counts returns how many runs are in progress, and how many have ended and still have their
+// answer.
+func (t *Tracker) Counts() (running, ended int) { return len(t.runs), len(t.answers) }
 
 // View returns a copy of a run in progress. Its errors wrap ErrUnknownRun or ErrEnded.
 func (t *Tracker) View(id string) (View, error) {
@@ -85,7 +85,7 @@
 	return nil, ErrUnknownRun
 }
 
-// ownedRun returns a run for its present coordinator.
+// ownedRun returns a run if fence is that of its present coordinator.
 func (t *Tracker) ownedRun(id string, fence uint64) (*Run, error) {
 	r, err := t.findRun(id)
 	if err == nil && (r.Orphan || r.Fence != fence) {
@@ -94,10 +94,10 @@
 	return r, err
 }
 
-// Start starts a run. An id names one run: started again, by whatever process, it is the
-// run in progress or its answer, for as long as that is known (Limits.AnswerRetention). A
-// Start that is delivered late can't start the run again after that: its Before has passed
-// by then, for which an answer is kept in any case.
+// Start starts a run. An id stands for one run: a further Start with that id, from any
+// process, returns the run in progress, or its answer for as long as that is kept
+// (Limits.AnswerRetention). A Start that is delivered after that can't start the run again:
+// an answer is kept until the Before of its Start has passed, and then the Start is refused.
 func (t *Tracker) Start(at time.Duration, c Start) (StartReply, error) {
 	at = t.advanceClock(at)
 	if a := t.Answer(c.Run); a != nil {
@@ -140,7 +140,7 @@
 	return StartReply{Fence: r.Fence}, nil
 }
 
-// Open fixes the items of a stage. Only the first Open of a stage counts.
+// Open sets the items of a stage. Only the first Open of a stage has an effect.
 func (t *Tracker) Open(at time.Duration, c Open) error {
 	at = t.advanceClock(at)
 	r, err := t.ownedRun(c.Run, c.Fence)
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// Finish returns a run's final answer, the same each time. A run ends by itself, with the
-// command after which nothing is left to do; until then the error is ErrInFlight.
+// Finish returns a run's final answer, the same each time. It doesn't end the run: a run ends
+// with the command after which nothing is left to do. Until then the error is ErrInFlight.
 func (t *Tracker) Finish(at time.Duration, c Finish) (*Answer, error) {
 	t.advanceClock(at)
 	if _, err := t.findRun(c.Run); err == nil {
@@ -210,7 +210,7 @@
 	return t.Answer(c.Run), nil
 }
 
-// Advance gives up runs whose deadline has passed, ends those whose grace is over, and
+// Advance gives up runs whose deadline has passed, ends those whose grace has passed too, and
 // drops expired answers and shared outputs.
 func (t *Tracker) Advance(at time.Duration) {
 	at = t.advanceClock(at)
