--- a/internal/dispatcher/fleet/planrun/attempt_end.go
+++ b/internal/dispatcher/fleet/planrun/attempt_end.go
@@ -232,7 +232,7 @@
 			})
 		}
 		if at < 0 {
-			return ReportEndReply{}, fmt.Errorf("the input reported as lost was not given to this attempt: %w", ErrNotFound)
+			return ReportEndReply{}, fmt.Errorf("a loss of what it was not given: %w", ErrNotFound)
 		}
 	}
 	var reply ReportEndReply
