--- a/internal/dispatcher/fleet/plan/adversary_test.go
+++ b/internal/dispatcher/fleet/plan/adversary_test.go
@@ -18,13 +18,13 @@
 
 var seeds = flag.Int("seeds", 1500, "random plans of TestAdversary")
 
-// dice throws a number below n.
+// dice returns a random number below n.
 type dice func(n int) int
 
 func (d dice) Float64() float64 { return float64(d(1001)) / 1000 }
 
-// random writes a plan of random stages and rules, most of them sensible.
-func random(r dice) string {
+// randomPlan returns the text of a plan with random stages and rules, most of them valid.
+func randomPlan(r dice) string {
 	pick := func(list ...string) string { return list[r(len(list))] }
 	some := func(share float64, text string, args ...any) string {
 		if r.Float64() <= share {
@@ -70,23 +70,23 @@
 	return strings.Replace(strings.Replace(stages(lines...), "10m", "24h", 1), "1000", "100000", 1)
 }
 
-// job is one item of a stage, at work.
+// job is one item of a stage in walk.
 type job struct {
-	out, ok, dead, ran bool
-	stale              bool // its stage was set back while it was out
-	at                 time.Duration
-	end                time.Duration // when it ends, while out
-	tries              []int
-	key                string
+	inFlight, succeeded, failed, ran bool
+	stale                            bool // its stage was reset while it was in flight
+	at                               time.Duration
+	end                              time.Duration // when the attempt in flight ends
+	tries                            []int
+	key                              string
 }
 
-// walk runs a plan against an adversary who chooses lengths, ends and results, and
-// returns what it saw that must not be. It is the language's meaning in short: a
-// stage begins when all that it comes after have their output; that is there once
-// each item has ended and enough ended well.
-func walk(p *Plan, r dice) (wrong []string, reruns int) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
-	jobs, gens, joined := make([][]job, len(p.Stages)), make([]int, len(p.Stages)), make([]bool, len(p.Stages))
-	lost, given, now, sent := make([]int, len(p.Stages)), false, time.Duration(0), 0
+// walk simulates a run of a plan, with random run times, ends and results of attempts, and
+// returns the violations that it found. It is a short model of the language: a stage begins
+// when all stages that it comes after have their output; a stage has its output once each item
+// has ended and enough items have succeeded.
+func walk(p *Plan, r dice) (violations []string, reruns int) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
+	jobs, gens, complete := make([][]job, len(p.Stages)), make([]int, len(p.Stages)), make([]bool, len(p.Stages))
+	lost, gaveUp, now, sent := make([]int, len(p.Stages)), false, time.Duration(0), 0
 	index := func(name string) int { return slices.Index(p.Stages, p.ByName[name]) }
 	values := func(i, k int) Values {
 		v := Values{Input: []byte(`{"k":"x","l":[1,2,3]}`), Item: fmt.Append(nil, k), Results: map[string][]byte{}}
@@ -103,36 +103,36 @@
 		jobs[i] = make([]job, len(items))
 	}
 	ready := func(i int) bool {
-		return !slices.ContainsFunc(p.Stages[i].After, func(name string) bool { return !joined[index(name)] })
+		return !slices.ContainsFunc(p.Stages[i].After, func(name string) bool { return !complete[index(name)] })
 	}
 	join := func(i int) {
-		well, need := 0, p.Stages[i].MinSucceeded
+		successes, need := 0, p.Stages[i].MinSucceeded
 		if need == 0 {
 			need = len(jobs[i])
 		}
 		for _, j := range jobs[i] {
-			if !j.ok && !j.dead {
+			if !j.succeeded && !j.failed {
 				return
 			}
-			if j.ok {
-				well++
+			if j.succeeded {
+				successes++
 			}
 		}
-		joined[i], given = well >= need, given || well < need
+		complete[i], gaveUp = successes >= need, gaveUp || successes < need
 	}
 	send := func(i, k int) {
 		st, j := p.Stages[i], &jobs[i][k]
 		_, _, key, err := st.Render(values(i, k))
 		if err != nil {
-			wrong = append(wrong, err.Error())
+			violations = append(violations, err.Error())
 		}
 		if st.Effect == policy.AtMostOnce && j.ran {
-			wrong = append(wrong, st.Name+" ran twice")
+			violations = append(violations, st.Name+" ran twice")
 		}
 		if j.key != "" && j.key != key {
-			wrong = append(wrong, st.Name+" had two keys")
+			violations = append(violations, st.Name+" had two keys")
 		}
-		j.key, j.out, j.ran, j.end = key, true, true, max(now, j.at)+time.Duration(r(int(st.AttemptTimeout)+1))
+		j.key, j.inFlight, j.ran, j.end = key, true, true, max(now, j.at)+time.Duration(r(int(st.AttemptTimeout)+1))
 		if r(2) == 0 {
 			j.end = max(now, j.at) + st.AttemptTimeout
 		}
@@ -140,11 +140,11 @@
 	}
 	finish := func(i, k int) {
 		st, j := p.Stages[i], &jobs[i][k]
-		j.out = false
+		j.inFlight = false
 		e := []End{Done, Refused, Full, Unsent, Late, Failed, Reset, Done, Done, Done, Done, Done, Done}[r(13)]
 		result := [][]byte{nil, []byte(`{"lost":true}`), []byte(`{}`), []byte(`{"lost":true}`)}[r(4)]
 		j.ran = e.MayHaveRun() || st.Effect != policy.AtMostOnce
-		if given {
+		if gaveUp {
 			return
 		}
 		if j.stale {
@@ -165,20 +165,20 @@
 			lost[of]++
 			reruns++
 			for d := range p.Stages {
-				if d != of && !hangs(p, d, of) {
+				if d != of && !dependsOn(p, d, of) {
 					continue
 				}
 				gens[d]++
-				joined[d] = false
+				complete[d] = false
 				for n := range jobs[d] {
 					x := &jobs[d][n]
-					x.ok, x.dead, x.stale, x.tries, x.at = false, false, x.out, nil, now
+					x.succeeded, x.failed, x.stale, x.tries, x.at = false, false, x.inFlight, nil, now
 				}
 			}
 			return
 		}
 		if e == Done {
-			j.ok = true
+			j.succeeded = true
 			join(i)
 			return
 		}
@@ -195,19 +195,19 @@
 				break
 			}
 		}
-		j.dead = true
+		j.failed = true
 		join(i)
 	}
 	for {
-		// All that may begin does, each at its time; then what comes first ends.
+		// All attempts that are due are sent; then the one that ends first ends.
 		first, fi, fk := time.Duration(-1), 0, 0
 		for i := range jobs {
 			for k := range jobs[i] {
 				j := &jobs[i][k]
-				if !given && !j.out && !j.ok && !j.dead && ready(i) {
+				if !gaveUp && !j.inFlight && !j.succeeded && !j.failed && ready(i) {
 					send(i, k)
 				}
-				if j.out && (first < 0 || j.end < first) {
+				if j.inFlight && (first < 0 || j.end < first) {
 					first, fi, fk = j.end, i, k
 				}
 			}
@@ -218,47 +218,47 @@
 		now = max(now, first)
 		finish(fi, fk)
 	}
-	if given { // the last stages are undone first
-		over := make([]time.Duration, len(p.Stages))
+	if gaveUp { // stages are undone in reverse order
+		undoTime := make([]time.Duration, len(p.Stages))
 		for i := len(p.Stages) - 1; i >= 0; i-- {
 			st := p.Stages[i]
 			for d := range p.Stages {
-				if hangs(p, d, i) {
-					over[i] = max(over[i], over[d])
+				if dependsOn(p, d, i) {
+					undoTime[i] = max(undoTime[i], undoTime[d])
 				}
 			}
 			if st.Undo == nil {
 				continue
 			}
 			if st.Undo.Effect == policy.AtMostOnce && st.Undo.MaxTries > 1 {
-				wrong = append(wrong, "the undo of "+st.Name+" ran twice")
+				violations = append(violations, "the undo of "+st.Name+" ran twice")
 			}
 			sent += st.Undo.MaxTries * len(jobs[i])
-			over[i] += st.Undo.totalDuration()
+			undoTime[i] += st.Undo.totalDuration()
 		}
-		now += slices.Max(over)
+		now += slices.Max(undoTime)
 	}
 	if sent > p.Worst.Attempts || now > p.Worst.Duration {
-		wrong = append(wrong, fmt.Sprintf("%d attempts and %s, at most %+v", sent, now, p.Worst))
+		violations = append(violations, fmt.Sprintf("%d attempts and %s, at most %+v", sent, now, p.Worst))
 	}
-	return wrong, reruns
+	return violations, reruns
 }
 
-func hangs(p *Plan, i, on int) bool {
+func dependsOn(p *Plan, i, on int) bool {
 	for _, name := range p.Stages[i].After {
-		if up := slices.Index(p.Stages, p.ByName[name]); up == on || hangs(p, up, on) {
+		if up := slices.Index(p.Stages, p.ByName[name]); up == on || dependsOn(p, up, on) {
 			return true
 		}
 	}
 	return false
 }
 
-// play walks random plans that the check accepts, and returns the first thing wrong,
-// with how many were accepted and how often something was run again.
-func play(t testing.TB, seeds int) (wrong string, accepted, reruns int) {
+// walkRandomPlans simulates runs of random plans that the check accepts. It returns the first
+// violation, how many plans were accepted, and how many reruns there were.
+func walkRandomPlans(t testing.TB, seeds int) (violation string, accepted, reruns int) {
 	for seed := range seeds {
 		r := dice(rand.New(rand.NewPCG(uint64(seed), 1)).IntN)
-		text := random(r)
+		text := randomPlan(r)
 		plans, problems := Parse("p.hcl", []byte(text), classes)
 		if len(problems) > 0 {
 			require.Empty(t, plans)
@@ -273,27 +273,28 @@
 			}
 		}
 	}
-	return wrong, accepted, reruns
+	return violation, accepted, reruns
 }
 
-// TestAdversary: whatever ends are chosen, no accepted plan goes beyond its worst
-// case, runs twice what must not, or changes a key.
+// TestAdversary checks that no run of an accepted plan exceeds its worst case, runs an
+// at-most-once stage twice, or changes a key, whatever the ends of its attempts are.
 func TestAdversary(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { // these shrink
-		throw := dice(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") })
-		if plans, _ := Parse("p.hcl", []byte(random(throw)), classes); len(plans) > 0 {
-			bad, _ := walk(plans[0], throw)
+	rapid.Check(t, func(t *rapid.T) { // rapid shrinks failing plans
+		draw := dice(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "") })
+		if plans, _ := Parse("p.hcl", []byte(randomPlan(draw)), classes); len(plans) > 0 {
+			bad, _ := walk(plans[0], draw)
 			require.Empty(t, bad)
 		}
 	})
-	wrong, accepted, reruns := play(t, *seeds)
+	violation, accepted, reruns := walkRandomPlans(t, *seeds)
 	t.Logf("%d plans accepted, %d reruns", accepted, reruns)
-	require.Empty(t, wrong)
+	require.Empty(t, violation)
 	require.Greater(t, accepted, 300)
 	require.Greater(t, reruns, 300)
 }
 
-// TestPlanted: without one of the checks the adversary finds what it guards.
+// TestPlanted checks that, without one of the checks, the simulation finds the violations that
+// this check prevents.
 func TestPlanted(t *testing.T) {
 	whole := checks
 	defer func() { checks = whole }()
@@ -302,18 +303,19 @@
 		want    string
 	}{"never twice": {2, "ran twice"}, "keys": {3, "had two keys"}, "bounds": {4, "at most {Attempts:0 Duration:0s}"}} {
 		checks = slices.Delete(slices.Clone(whole), c.without, c.without+1)
-		wrong, _, _ := play(t, 400)
-		require.Contains(t, wrong, c.want, name)
+		violation, _, _ := walkRandomPlans(t, 400)
+		require.Contains(t, violation, c.want, name)
 	}
 }
 
-// FuzzParse: no file makes the reader panic, and what it accepts keeps its promises.
+// FuzzParse checks that no file makes the parser panic, and that accepted plans are within their
+// bounds and can be rendered.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"plans-example.hcl", "plans-archive-example.hcl"} {
 		text, _ := example(f, name)
 		f.Add(text)
 	}
-	for _, text := range []string{"", "plan", "\xff{", "plan \"p\" {\n", "x = <<E\n${", stages("a safe: body = [[1], {}[*].x, try(1/0)]"), strings.Repeat("a{", 99), "a=" + strings.Repeat("!", 9999), random(rand.New(rand.NewPCG(1, 1)).IntN)} {
+	for _, text := range []string{"", "plan", "\xff{", "plan \"p\" {\n", "x = <<E\n${", stages("a safe: body = [[1], {}[*].x, try(1/0)]"), strings.Repeat("a{", 99), "a=" + strings.Repeat("!", 9999), randomPlan(rand.New(rand.NewPCG(1, 1)).IntN)} {
 		f.Add(text)
 	}
 	_, list := example(f, "plans-example.hcl")
@@ -344,7 +346,7 @@
 					require.LessOrEqual(t, q.Pause(99, 1), 2*q.MaxWait)
 				}
 				for _, q := range st.Reruns {
-					require.True(t, hangs(p, i, slices.Index(p.Stages, p.ByName[q.Of])))
+					require.True(t, dependsOn(p, i, slices.Index(p.Stages, p.ByName[q.Of])))
 					_, _ = q.Holds(Failed, []byte(`[]`))
 				}
 				if _, body, key, err := st.Render(v); err == nil {
--- a/internal/dispatcher/fleet/plan/body_reader.go
+++ b/internal/dispatcher/fleet/plan/body_reader.go
@@ -14,8 +14,8 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// bodyReader reads the body of a block: it remembers what was asked for, and reports the
-// rest.
+// bodyReader reads the body of a block. It records which attributes and blocks were read, so
+// that reportUnread can report the others as unknown.
 type bodyReader struct {
 	*fileParser
 	block          *hclsyntax.Body
@@ -71,11 +71,12 @@
 	}
 }
 
-// expression returns an expression that is evaluated later.
-func (b *bodyReader) expression(name string, need bool) hcl.Expression {
+// expression returns the expression of an attribute, without evaluating it. It returns nil if
+// there is no such attribute.
+func (b *bodyReader) expression(name string, required bool) hcl.Expression {
 	a := b.attribute(name)
 	if a == nil {
-		if need {
+		if required {
 			b.addProblem(b.block.MissingItemRange(), "%s needs %s", b.description, name)
 		}
 		return nil
@@ -83,9 +84,10 @@
 	return a.Expr
 }
 
-// constant returns a value that is known now.
-func (b *bodyReader) constant(name string, need bool, as cty.Type, right string) (cty.Value, hcl.Range, bool) {
-	e := b.expression(name, need)
+// constant returns the value of an attribute that must be a constant of the given type. The
+// argument right describes valid values in problems.
+func (b *bodyReader) constant(name string, required bool, as cty.Type, right string) (cty.Value, hcl.Range, bool) {
+	e := b.expression(name, required)
 	if e == nil {
 		return cty.NilVal, hcl.Range{}, false
 	}
@@ -108,18 +110,18 @@
 	return v, e.Range(), true
 }
 
-func (b *bodyReader) stringValue(name string, need bool) string {
-	v, _, ok := b.constant(name, need, cty.String, `text, as in "abc"`)
+func (b *bodyReader) stringValue(name string, required bool) string {
+	v, _, ok := b.constant(name, required, cty.String, `text, as in "abc"`)
 	if !ok {
 		return ""
 	}
 	return v.AsString()
 }
 
-func (b *bodyReader) enumValue(name, usual string, right []string) string {
+func (b *bodyReader) enumValue(name, defaultValue string, right []string) string {
 	v, at, ok := b.constant(name, false, cty.String, "one of "+strings.Join(right, ", "))
 	if !ok {
-		return usual
+		return defaultValue
 	}
 	if !slices.Contains(right, v.AsString()) {
 		b.addProblem(at, "unknown %s %q%s", name, v.AsString(), suggestion(v.AsString(), right))
@@ -127,23 +129,23 @@
 	return v.AsString()
 }
 
-func (b *bodyReader) number(name string, need bool, least, most, usual float64, right string) float64 {
-	v, at, ok := b.constant(name, need, cty.Number, right)
+func (b *bodyReader) number(name string, required bool, least, most, defaultValue float64, right string) float64 {
+	v, at, ok := b.constant(name, required, cty.Number, right)
 	if !ok {
-		return usual
+		return defaultValue
 	}
 	n, _ := v.AsBigFloat().Float64()
 	if n < least || n > most {
 		b.addProblem(at, "%s must be %s", name, right)
-		return usual
+		return defaultValue
 	}
 	return n
 }
 
 // integer returns a whole number from 1 to most.
-func (b *bodyReader) integer(name string, need bool, most, usual int) int {
+func (b *bodyReader) integer(name string, required bool, most, defaultValue int) int {
 	right := fmt.Sprintf("a whole number from 1 to %d", most)
-	n := b.number(name, need, 1, float64(most), float64(usual), right)
+	n := b.number(name, required, 1, float64(most), float64(defaultValue), right)
 	if n != math.Trunc(n) {
 		b.addProblem(b.block.Attributes[name].Expr.Range(), "%s must be %s", name, right)
 	}
@@ -155,23 +157,23 @@
 }
 
 // duration returns a duration from least to maxDuration.
-func (b *bodyReader) duration(name string, need bool, least, usual time.Duration) time.Duration {
+func (b *bodyReader) duration(name string, required bool, least, defaultValue time.Duration) time.Duration {
 	right := fmt.Sprintf(`a time from %s to %s, as in "250ms", "2s" or "1m30s"`, formatDuration(least), formatDuration(maxDuration))
-	v, at, ok := b.constant(name, need, cty.String, right)
+	v, at, ok := b.constant(name, required, cty.String, right)
 	if !ok {
-		return usual
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v.AsString())
 	if err != nil || d < least || d > maxDuration {
 		b.addProblem(at, "%s = %q must be %s", name, v.AsString(), right)
-		return usual
+		return defaultValue
 	}
 	return d
 }
 
 // stringList returns a list of strings, and the source range of each.
-func (b *bodyReader) stringList(name string, need bool) (words []string, at []hcl.Range) {
-	e := b.expression(name, need)
+func (b *bodyReader) stringList(name string, required bool) (words []string, at []hcl.Range) {
+	e := b.expression(name, required)
 	if e == nil {
 		return nil, nil
 	}
@@ -206,7 +208,8 @@
 	return text
 }
 
-// suggestion formats what would be right.
+// suggestion returns a hint to add to a problem: the first word of right that differs from the
+// given one by at most 2 edits or, if there is none, all words of right.
 func suggestion(word string, right []string) string {
 	for _, r := range right {
 		if levenshtein.Distance(word, r, nil) < 3 {
--- a/internal/dispatcher/fleet/plan/check.go
+++ b/internal/dispatcher/fleet/plan/check.go
@@ -9,15 +9,15 @@
 
 // Words of plan files.
 var (
-	// allEnds are all that an attempt may end with, and endWords the same as strings.
+	// allEnds are all ends of attempts, and endWords the same as strings.
 	allEnds  = []End{Done, Refused, Full, Unsent, Late, Failed, Reset, MayRun, Lost}
 	endWords = []string{"done", "refused", "full", "unsent", "late", "failed", "reset", "may_have_run", "lost_input"}
-	// reservedNames are the names that expressions define.
+	// reservedNames are the names that are predefined in expressions.
 	reservedNames = []string{"input", "item", "end", "result"}
 )
 
-// checks are run in this order, each on plans whose stages could be sorted. A test removes
-// one to show that what it prevents is then found at run time.
+// checks are run in this order, on plans whose stages could be sorted. A test removes one at a
+// time, to show that the fault which it prevents then occurs in simulated runs.
 var checks = []func(*checker){(*checker).checkReferences, (*checker).checkRules, (*checker).checkAtMostOnce, (*checker).checkKeys, (*checker).checkWorstCase}
 
 // stageSet is a set of stages of one plan, by their index in Stages.
@@ -31,12 +31,12 @@
 	plan       *Plan
 	upstream   []stageSet // by stage: all that it depends on, directly or not
 	downstream []stageSet // by stage: all that depend on it
-	rerunnable stageSet   // stages that may be run again, and whose results may change
+	rerunnable stageSet   // stages that may be run again, so that their results may change
 
 	unresolved map[*Stage]bool // stages whose dependencies can't be determined
 }
 
-// check adds all problems of a plan, and fills in what is computed from it.
+// check adds all problems of a plan, and sets the fields of the plan that are computed.
 func check(f *fileParser, p *Plan) {
 	c := &checker{fileParser: f, plan: p}
 	if !c.sortStages() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// sortStages sorts the stages topologically and computes what depends on what, and reports
-// whether that was possible.
+// sortStages sorts the stages topologically, computes their dependencies and how often each
+// may run, and reports whether that was possible.
 func (c *checker) sortStages() bool {
 	c.checkAfter()
 	sorted, ok := c.topologicalOrder()
@@ -81,7 +81,7 @@
 			case name == s.Name:
 				c.addProblem(s.afterRanges[i], "stage %q comes after itself: leave that out", name)
 			case slices.Index(s.After, name) < i:
-				c.addProblem(s.afterRanges[i], "%q is there twice: leave one out", name)
+				c.addProblem(s.afterRanges[i], "%q is listed twice: leave one out", name)
 			default:
 				names, at = append(names, name), append(at, s.afterRanges[i])
 			}
@@ -95,18 +95,18 @@
 // cycle.
 func (c *checker) topologicalOrder() (sorted []*Stage, ok bool) {
 	p := c.plan
-	var under []*Stage // being visited, each because the one before comes after it
+	var path []*Stage // being visited; each depends on the next
 	var visit func(*Stage) bool
 	visit = func(s *Stage) bool {
 		if slices.Contains(sorted, s) {
 			return true
 		}
-		under = append(under, s)
+		path = append(path, s)
 		for i, name := range s.After {
 			next := p.ByName[name]
-			if at := slices.Index(under, next); at >= 0 {
+			if at := slices.Index(path, next); at >= 0 {
 				var names []string
-				for _, u := range under[at:] {
+				for _, u := range path[at:] {
 					names = append(names, u.Name)
 				}
 				c.addProblem(s.afterRanges[i], "a cycle: %s: one of them must not come after the next", strings.Join(append(names, next.Name), " after "))
@@ -116,7 +116,7 @@
 				return false
 			}
 		}
-		under = under[:len(under)-1]
+		path = path[:len(path)-1]
 		sorted = append(sorted, s)
 		return true
 	}
@@ -180,10 +180,11 @@
 	}
 }
 
-// maxRerunsFor returns how often a stage may be run again for the loss of another's output,
-// or of its own: the largest MaxReruns of the rules that ask for it, since MaxReruns counts
-// the generations, whichever rule asked. A rule of a stage upstream counts for nothing:
-// that stage has not succeeded when it asks, so that this one has not begun.
+// maxRerunsFor returns how often a stage may be run again because the output of another stage,
+// or its own, is lost: the largest MaxReruns of the rules for that loss, since MaxReruns
+// limits the generations of the lost output, whichever rule applies. Rules of stages upstream
+// are left out: such a stage has not succeeded when its rule applies, so that this one has not
+// begun.
 func (c *checker) maxRerunsFor(i int, of *Stage) (most int) {
 	for j, s := range c.plan.Stages {
 		for k := range s.Reruns {
@@ -195,12 +196,13 @@
 	return most
 }
 
-// rerunSet returns what a rerun runs again: a stage, and all stages downstream.
+// rerunSet returns the stages that a rerun runs again: the one that it names, and all stages
+// downstream of that.
 func (c *checker) rerunSet(r *Rerun) stageSet {
 	if i := c.stageIndex(r.Of); i >= 0 {
 		return c.downstream[i] | 1<<i
 	}
-	return 0 // of a vague stage
+	return 0 // the named stage is unknown
 }
 
 func (c *checker) stageIndex(name string) int {
--- a/internal/dispatcher/fleet/plan/check_at_most_once.go
+++ b/internal/dispatcher/fleet/plan/check_at_most_once.go
@@ -27,7 +27,7 @@
 // checkAtMostOnceStage finds rules of an at-most-once stage that may run it again.
 func (c *checker) checkAtMostOnceStage(s *Stage) {
 	if s.Shared != nil {
-		c.addProblem(s.Shared.Range(), "%q must never run twice, so plans can't share it: each would take its run for another's; leave shared out", s.Name)
+		c.addProblem(s.Shared.Range(), "%q must never run twice, so plans can't share it: each plan would use the run of another; leave shared out", s.Name)
 	}
 	for _, r := range s.Retries {
 		for k, e := range r.On {
@@ -50,8 +50,8 @@
 	}
 }
 
-// secondRunReason tells how at-most-once stage j may have run when a rerun of stage i
-// begins; empty: it can't have.
+// secondRunReason describes how at-most-once stage j may already have run when rule r of stage
+// i begins a rerun; empty: it can't have run.
 func (c *checker) secondRunReason(i int, r *Rerun, j int) string {
 	s := c.plan.Stages[i]
 	switch {
--- a/internal/dispatcher/fleet/plan/check_file.go
+++ b/internal/dispatcher/fleet/plan/check_file.go
@@ -7,9 +7,9 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// CheckFile checks a plan file for its author. If ok, the lines describe its plans; else
-// they are its problems. Without classes there is a problem, since the rules on what may
-// run again need them.
+// CheckFile checks a plan file for its author. If ok, the lines describe its plans; else they
+// are its problems. Without classes there is always a problem, since they determine which
+// stages may run again.
 func CheckFile(name, text string, classes []policy.Class) (lines []string, ok bool) {
 	plans, problems := Parse(name, []byte(text), ClassesByName(classes))
 	for _, p := range problems {
@@ -26,7 +26,7 @@
 	return lines, true
 }
 
-// ClassesByName returns classes by their names, as Parse takes them.
+// ClassesByName returns classes by their names, in the form that Parse needs.
 func ClassesByName(classes []policy.Class) map[string]policy.Class {
 	by := make(map[string]policy.Class, len(classes))
 	for _, c := range classes {
--- a/internal/dispatcher/fleet/plan/check_keys.go
+++ b/internal/dispatcher/fleet/plan/check_keys.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// checkKeys checks that what is run again has the same key, and that a key names one job.
+// checkKeys checks that each run of a stage has the same key, and that no two jobs share one.
 func (c *checker) checkKeys() {
 	for i, s := range c.plan.Stages {
 		c.checkKey(i, s.Key, s.Class, s.Effect, s.Range)
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkStable reports what a rerun may change in an expression.
+// checkStable adds a problem for each value in an expression that a rerun may change.
 func (c *checker) checkStable(i int, e hcl.Expression, what string) {
 	s := c.plan.Stages[i]
 	for _, t := range e.Variables() {
@@ -60,7 +60,7 @@
 		if name == "item" {
 			for _, through := range s.Each.Variables() {
 				if from := through.RootName(); c.mayChange(from) {
-					c.addProblem(t.SourceRange(), "%s of %q uses item, of a list from the result of %q, which a rerun may change: make the list of input, or the key of what stays", what, s.Name, from)
+					c.addProblem(t.SourceRange(), "%s of %q uses item, of a list from the result of %q, which a rerun may change: make the list of input, or the key of values that no rerun changes", what, s.Name, from)
 				}
 			}
 		} else if c.mayChange(name) {
@@ -69,15 +69,15 @@
 	}
 }
 
-// checkAvailableAtUndo checks that what an undo uses exists when the run gives up. The
-// result of a stage that is being run again doesn't.
+// checkAvailableAtUndo checks that the values in an expression of an undo exist when the run
+// gives up. The result of a stage that is being run again doesn't.
 func (c *checker) checkAvailableAtUndo(s *Stage, e hcl.Expression) {
 	if e == nil {
 		return
 	}
 	for _, t := range e.Variables() {
 		if name := t.RootName(); c.mayChange(name) {
-			c.addProblem(t.SourceRange(), "the undo of %q uses the result of %q, which may be gone by then, when a rerun has set it back: make it of input, item, or stages that no rerun runs again", s.Name, name)
+			c.addProblem(t.SourceRange(), "the undo of %q uses the result of %q, which may be gone by then, when a rerun has reset it: make it of input, item, or stages that no rerun runs again", s.Name, name)
 		}
 	}
 }
@@ -86,7 +86,8 @@
 	return c.plan.ByName[name] != nil && c.rerunnable.has(c.stageIndex(name))
 }
 
-// checkShared checks that runs which share an output mean the same job by the same key.
+// checkShared checks that the shared key of a stage stands for the same job in all runs that
+// share the output.
 func (c *checker) checkShared(i int) {
 	s := c.plan.Stages[i]
 	c.checkStable(i, s.Shared, "the shared key")
@@ -96,7 +97,7 @@
 		}
 	}
 	for _, r := range s.Reruns {
-		c.addProblem(r.ofRange, "%q is shared, so that its report speaks for other plans: let a stage that comes after it have the rerun", s.Name)
+		c.addProblem(r.ofRange, "%q is shared, so that a loss reported by it would affect other plans: let a stage that comes after it have the rerun", s.Name)
 	}
 	if s.Each != nil {
 		c.addProblem(s.Shared.Range(), "%q is run for each item of a list, which plans can't share: share a stage that it comes after", s.Name)
--- a/internal/dispatcher/fleet/plan/check_references.go
+++ b/internal/dispatcher/fleet/plan/check_references.go
@@ -11,7 +11,7 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// expression is one of a plan's, with the names that it may use.
+// expression is an expression of a plan, with the names that it may use.
 type expression struct {
 	hclsyntax.Expression
 	attribute string
@@ -19,16 +19,16 @@
 	validate  func(string) error // nil: any value is valid
 }
 
-// expressions returns those of a stage that are evaluated over input, item and results.
+// expressions returns the expressions of a stage.
 func (c *checker) expressions(i int) (all []expression) {
 	s, upstream := c.plan.Stages[i], append(c.stageNames(c.upstream[i]), "input")
 	inside := upstream
 	if s.Each != nil {
 		inside = append(slices.Clone(upstream), "item")
 	}
-	add := func(e hcl.Expression, what string, names []string, fits func(string) error) {
+	add := func(e hcl.Expression, what string, names []string, validate func(string) error) {
 		if e != nil {
-			all = append(all, expression{e.(hclsyntax.Expression), what, names, fits})
+			all = append(all, expression{e.(hclsyntax.Expression), what, names, validate})
 		}
 	}
 	add(s.Path, "path", inside, validatePath)
@@ -47,7 +47,8 @@
 	return all
 }
 
-// checkReferences checks what expressions use, and evaluates each with nothing known.
+// checkReferences checks the names that expressions use, and evaluates each expression with
+// unknown values.
 func (c *checker) checkReferences() {
 	for i, s := range c.plan.Stages {
 		for _, e := range c.expressions(i) {
@@ -79,7 +80,7 @@
 	other := c.plan.ByName[name]
 	switch {
 	case e.attribute == "when":
-		return fmt.Sprintf("when knows only end and result, not %q", name)
+		return fmt.Sprintf("when can use only end and result, not %q", name)
 	case name == "item":
 		return "item is known where a stage is run for each entry of a list: add each, or use something else"
 	case name == "end" || name == "result":
@@ -92,8 +93,8 @@
 	return fmt.Sprintf("unknown name %q%s", name, suggestion(name, e.names))
 }
 
-// unknownContext returns a context in which the named values exist and nothing is known of
-// them, except for those given.
+// unknownContext returns a context in which the given names have unknown values, except for
+// those whose value is in known.
 func unknownContext(names []string, known map[string]cty.Value) *hcl.EvalContext {
 	ctx := &hcl.EvalContext{Variables: map[string]cty.Value{}, Functions: functions}
 	for _, name := range names {
@@ -107,7 +108,8 @@
 	return slices.ContainsFunc(e.Variables(), func(t hcl.Traversal) bool { return t.RootName() == name })
 }
 
-// checkExpression checks that an expression is of the allowed kinds, and within bounds.
+// checkExpression checks that an expression has only allowed kinds of parts, within bounds. It
+// reports whether there was no problem.
 func (f *fileParser) checkExpression(e hcl.Expression) bool {
 	before, nodes, splats := len(f.problems), 0, false
 	_ = hclsyntax.VisitAll(e.(hclsyntax.Expression), func(n hclsyntax.Node) hcl.Diagnostics {
@@ -119,7 +121,7 @@
 		}
 		switch n := n.(type) {
 		case *hclsyntax.ForExpr:
-			f.addProblem(n.Range(), "for has no place in a plan: each runs a stage for each item, and list[*].name takes a field of all")
+			f.addProblem(n.Range(), "for is not allowed in a plan: each runs a stage for each item, and list[*].name takes a field of all")
 		case *hclsyntax.FunctionCallExpr:
 			if _, known := functions[n.Name]; !known {
 				f.addProblem(n.NameRange, "unknown function %q%s", n.Name, suggestion(n.Name, slices.Sorted(maps.Keys(functions))))
@@ -131,7 +133,7 @@
 			_ = hclsyntax.VisitAll(n.Each, func(in hclsyntax.Node) hcl.Diagnostics {
 				if s, nested := in.(*hclsyntax.SplatExpr); nested && !splats {
 					splats = true
-					f.addProblem(s.Range(), "[*] within [*] has no place in a plan: let the stage return the list")
+					f.addProblem(s.Range(), "[*] within [*] is not allowed in a plan: let the stage return the list")
 				}
 				return nil
 			})
--- a/internal/dispatcher/fleet/plan/check_rules.go
+++ b/internal/dispatcher/fleet/plan/check_rules.go
@@ -11,8 +11,8 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// mayHold reports whether a condition may hold, and whether it must, at an end with any
-// result. Where that can't be determined it may.
+// mayHold reports whether the condition holds for some result of an attempt with the given
+// end, and whether it holds for every result. If that can't be determined, it may hold.
 func (r *Rerun) mayHold(e End) (may, must bool) {
 	v, diags := evaluateRaw(r.When, unknownContext([]string{"result"}, map[string]cty.Value{"end": cty.StringVal(string(e))}))
 	if diags.HasErrors() || v.IsNull() || v.Type() != cty.Bool {
@@ -24,25 +24,26 @@
 	return v.True(), v.True()
 }
 
-// checkRules finds rules that can never apply, and conditions on ends that don't exist.
+// checkRules finds retry rules that can never apply, and rerun conditions that are never true,
+// always true, or compare end with an unknown word.
 func (c *checker) checkRules() {
 	for _, s := range c.plan.Stages {
-		var taken []End
+		var covered []End
 		for _, r := range s.Retries {
-			before := len(taken)
+			before := len(covered)
 			for k, e := range r.On {
 				switch {
 				case e == Lost && len(s.Reruns) == 0:
 					c.addProblem(r.onRanges[k], "%q can't end as %s: that is when a rerun's condition holds, and it has no rerun; leave it out or add one", s.Name, e)
-				case e == MayRun && s.Effect != policy.AtMostOnce: // the other is for neverTwice to say
-					c.addProblem(r.onRanges[k], "%q is %s and can't end as %s: it goes on by itself, with its key, after its dispatcher died; leave it out", s.Name, effectNames[s.Effect], e)
-					taken = append(taken, e)
-				case !slices.Contains(taken, e):
-					taken = append(taken, e)
+				case e == MayRun && s.Effect != policy.AtMostOnce: // checkAtMostOnce reports it for an at-most-once stage
+					c.addProblem(r.onRanges[k], "%q is %s and can't end as %s: it is sent again without a rule, with its key, after its dispatcher failed; leave it out", s.Name, effectNames[s.Effect], e)
+					covered = append(covered, e)
+				case !slices.Contains(covered, e):
+					covered = append(covered, e)
 				}
 			}
-			if len(taken) == before && !slices.Contains(r.On, Lost) {
-				c.addProblem(r.Range, "this retry never counts: earlier ones take %s; the first that names an end counts", joinEnds(r.On))
+			if len(covered) == before && !slices.Contains(r.On, Lost) {
+				c.addProblem(r.Range, "this retry never applies: earlier ones cover %s; the first that names an end applies", joinEnds(r.On))
 			}
 		}
 		for k := range s.Reruns {
@@ -66,12 +67,12 @@
 	ever := false
 	for _, e := range allEnds {
 		if e == Lost {
-			continue // what it becomes once a condition holds
+			continue // an end becomes Lost only once a condition holds
 		}
 		may, must := r.mayHold(e)
 		ever = ever || may
 		if e == Done && must {
-			c.addProblem(r.When.Range(), "when holds for each good end, so that %q could never end well: ask for something in result too", s.Name)
+			c.addProblem(r.When.Range(), "when holds for every attempt that is done, so that %q could never succeed: test something in result too", s.Name)
 		}
 	}
 	if !ever {
@@ -79,7 +80,7 @@
 	}
 }
 
-// checkComparison checks a literal that end is compared with.
+// checkComparison checks b, if a is end and b is the constant that it is compared with.
 func (c *checker) checkComparison(a, b hclsyntax.Expression) {
 	v, ok := a.(*hclsyntax.ScopeTraversalExpr)
 	if !ok || v.Traversal.RootName() != "end" || len(b.Variables()) > 0 {
@@ -90,7 +91,7 @@
 	case diags.HasErrors() || word.IsNull() || !word.IsKnown() || word.Type() != cty.String:
 		c.addProblem(b.Range(), "end is compared with text: one of %s", strings.Join(endWords, ", "))
 	case word.AsString() == string(Lost):
-		c.addProblem(b.Range(), "end is never %q here: that is what an end becomes once this condition holds; ask for the end before, such as %q", Lost, Failed)
+		c.addProblem(b.Range(), "end is never %q here: that is what an end becomes once this condition holds; test the end that it had before, such as %q", Lost, Failed)
 	case !slices.Contains(endWords, word.AsString()):
 		c.addProblem(b.Range(), "unknown end %q%s", word.AsString(), suggestion(word.AsString(), endWords))
 	}
--- a/internal/dispatcher/fleet/plan/check_test.go
+++ b/internal/dispatcher/fleet/plan/check_test.go
@@ -15,14 +15,15 @@
 
 const s = time.Second
 
-// classes are one of each effect, and a keyed one whose keys hold in a zone.
+// classes has a class of each effect, one without a timeout, and a deduplicated one whose keys
+// are valid in one zone only.
 var classes = ClassesByName([]policy.Class{
 	{Name: "safe", ClientTimeout: 2 * s}, {Name: "once", Effect: policy.AtMostOnce, ClientTimeout: 3 * s}, {Name: "endless"},
 	{Name: "keyed", Effect: policy.Deduplicated, DedupWindow: 9 * s, ClientTimeout: 5 * s},
 	{Name: "zoned", Effect: policy.Deduplicated, DedupScope: policy.DedupZone, DedupWindow: 9 * s, ClientTimeout: s},
 })
 
-// stages are a plan of some stages: lines of "name class after: rest".
+// stages returns the text of a plan. Each line describes a stage as "name class after: rest".
 func stages(lines ...string) string {
 	var b strings.Builder
 	b.WriteString("plan \"p\" {\n  within = \"10m\"\n  attempts = 1000\n")
@@ -41,8 +42,8 @@
 	return b.String() + "}\n"
 }
 
-// marked takes the mark ~ out of a text and says in which line and column it was.
-func marked(text string) (string, int, int) {
+// cutMark removes the mark ~ from a text, and returns the line and column where it was.
+func cutMark(text string) (string, int, int) {
 	before, after, found := strings.Cut(text, "~")
 	if !found {
 		return text, 0, 0
@@ -56,12 +57,12 @@
 	never = `rerun "a" {; when = end == "full"; most = 1; }`
 )
 
-// TestProblems: each mistake is found where it is, alone, and with what would be
-// right. Those without one say what is right.
+// TestProblems checks that each mistake gives a single problem at its place, which states how
+// to correct it. Cases without an expected problem are valid plans.
 func TestProblems(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	for _, c := range []struct{ text, want string }{
 		{stages("a safe:"), ""},
-		// Form.
+		// Syntax and attributes.
 		{"plan \"p\" {\n within = ~\n}", "invalid expression"},
 		{"~", `no plan: write plan "NAME" { ... }`},
 		{`~plan "p" {` + "\nwithin = \"1s\"\nattempts = 1\n}", `plan "p" has no stage`},
@@ -74,14 +75,14 @@
 		{stages("a safe: ~most = 3"), "most is for a stage with each"},
 		{stages("a safe: each = input.l; most = 3; at_least = ~4"), "at_least must be a whole number from 1 to 3"},
 		{stages("a safe: cost = ~input.x"), "cost must be written out, not computed"},
-		{stages("a safe:") + "~" + stages("a safe:"), `plan "p" is there twice`},
-		{strings.Replace(stages("x safe:", "y safe:"), `stage "y"`, `~stage "x"`, 1), `stage "x" is there twice`},
+		{stages("a safe:") + "~" + stages("a safe:"), `plan "p" is defined twice`},
+		{strings.Replace(stages("x safe:", "y safe:"), `stage "y"`, `~stage "x"`, 1), `stage "x" is defined twice`},
 		{stages("a safe: body = " + strings.Repeat("[", 30) + "~[" + strings.Repeat("]", 31)), "nested more than 32 deep"},
 		{stages("a safe: body = " + "~" + strings.Repeat("1 + ", 300) + "1"), "an expression of more than 512 parts"},
-		{stages("a safe: body = input~[*][*].x"), "[*] within [*] has no place in a plan"},
+		{stages("a safe: body = input~[*][*].x"), "[*] within [*] is not allowed in a plan"},
 		{stages("a safe: body = <<E\n" + strings.Repeat("x\n", 512) + "~x\nE"), "a text of more than 512 lines"},
-		{stages("a safe: body = ~[for x in input : x]"), "for has no place in a plan"},
-		{stages("a safe: body = \"~%{ if true }x%{ endif }\""), "%{ } has no place in a plan"},
+		{stages("a safe: body = ~[for x in input : x]"), "for is not allowed in a plan"},
+		{stages("a safe: body = \"~%{ if true }x%{ endif }\""), "%{ } is not allowed in a plan"},
 		// Names.
 		{strings.Replace(stages("a saef:"), `"saef"`, `~"saef"`, 1), `unknown class "saef"; did you mean "safe"?`},
 		{strings.Replace(stages("hold safe:", "b safe hodl:"), `"hodl"`, `~"hodl"`, 1), `unknown stage "hodl"; did you mean "hold"?`},
@@ -102,24 +103,24 @@
 		{strings.Replace(stages("a safe a:"), `["a"]`, `[~"a"]`, 1), "comes after itself"},
 		{stages("c safe b:", "b safe a:", "a safe:"), ""},
 		{stages("a safe:", "b safe: "+strings.Replace(again, `"a"`, `~"a"`, 1)), `stage "b" does not come after "a"`},
-		// Values that are known.
+		// Constant values.
 		{stages("a safe: body = 1 + ~[2]"), "invalid operand: Unsuitable value for right operand: number required, but have tuple"},
 		{stages("a keyed: key = ~\"\""), `key: "" is no key`},
 		{stages("a safe: body = format(\"~%999d\", 1)"), "numbers of 2 digits"},
-		// Rules that never count.
-		{stages("a safe: retry {; on = [\"full\", \"late\"]; most = 1; }; ~retry {; on = [\"late\"]; most = 1; }"), "this retry never counts: earlier ones take late"},
+		// Rules that never apply.
+		{stages("a safe: retry {; on = [\"full\", \"late\"]; most = 1; }; ~retry {; on = [\"late\"]; most = 1; }"), "this retry never applies: earlier ones cover late"},
 		{stages("a safe: retry {; on = [~\"lost_input\"]; most = 1; }"), `"a" can't end as lost_input`},
 		{stages("a safe: retry {; on = [~\"may_have_run\"]; most = 1; }"), `"a" is idempotent and can't end as may_have_run`},
 		{stages("a safe:", "b safe a: "+again+"; retry {; on = [\"lost_input\"]; most = 1; }"), ""},
 		{stages("a safe:", "b safe a: rerun \"a\" {; when = end == ~\"flaed\"; most = 1; }"), `unknown end "flaed"`},
 		{stages("a safe:", "b safe a: rerun \"a\" {; when = end == ~\"lost_input\"; most = 1; }"), "that is what an end becomes"},
 		{stages("a safe:", "b safe a: rerun \"a\" {; when = ~end == \"late\" && end == \"full\"; most = 1; }"), "when never holds"},
-		{stages("a safe:", "b safe a: rerun \"a\" {; when = ~end != \"late\"; most = 1; }"), "could never end well"},
+		{stages("a safe:", "b safe a: rerun \"a\" {; when = ~end != \"late\"; most = 1; }"), "could never succeed"},
 		{stages("a safe:", "b safe a: rerun \"a\" {; when = length(present([result])) == 1; most = 1; }"), ""},
-		{stages("a safe:", "b safe a: rerun \"a\" {; when = ~input.x; most = 1; }"), `when knows only end and result, not "input"`},
+		{stages("a safe:", "b safe a: rerun \"a\" {; when = ~input.x; most = 1; }"), `when can use only end and result, not "input"`},
 		{stages("a safe:", "b safe a: "+again+"; rerun ~\"a\" {; when = end == \"full\"; most = 1; }"), "run again by two rules"},
 		{stages("a safe:", "b safe:", "c safe a: rerun ~\"b\" {; when = end == \"full\"; most = 1; }"), `stage "c" does not come after "b"`},
-		// Never twice.
+		// At-most-once stages.
 		{stages("a once: retry {; on = [\"full\", ~\"late\"]; most = 1; }"), `"a" must never run twice, and after "late" it may have run: it may be tried again on refused, full, unsent only`},
 		{stages("a once: retry {; on = [\"full\", ~\"may_have_run\"]; most = 1; }"), "must never run twice"},
 		{stages("a once: retry {; on = [\"refused\", \"full\", \"unsent\"]; most = 1; }"), ""},
@@ -155,7 +156,7 @@
 		{strings.Replace(stages("a safe: retry {; on = [\"full\"]; most = 2; wait = \"5m\"; wait_at_most = \"6m\"; jitter = 0.5; }"), `"10m"`, `~"10m"`, 1), `plan "p" may take 16m36s, above its bound of 10m0s`},
 		{strings.Replace(stages("a endless:"), `"endless"`, `~"endless"`, 1), `class "endless" gives up after 0s`},
 	} {
-		text, line, column := marked(c.text)
+		text, line, column := cutMark(c.text)
 		plans, problems := Parse("p.hcl", []byte(text), classes)
 		if c.want == "" {
 			require.Empty(t, problems, c.text)
@@ -168,7 +169,8 @@
 	}
 }
 
-// TestProblemsAtOnce: a plan's mistakes are told together, in the file's order.
+// TestProblemsAtOnce checks that all mistakes of a plan are reported together, in the order of
+// the file.
 func TestProblemsAtOnce(t *testing.T) {
 	_, problems := Parse("p.hcl", []byte(stages("a safe b:", "c once d: retry {; on = [\"late\"]; most = 1; }", "b keyed: body = x")), classes)
 	require.Len(t, problems, 4, problems)
@@ -177,7 +179,7 @@
 	}
 }
 
-// example reads an example, and the classes that it is written for.
+// example returns the text of an example file, and the classes that its plans need.
 func example(t testing.TB, name string) (text string, list []policy.Class) {
 	read, err := os.ReadFile("../../../../deploy/" + name)
 	require.NoError(t, err)
--- a/internal/dispatcher/fleet/plan/digest.go
+++ b/internal/dispatcher/fleet/plan/digest.go
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digestClass is the form in which a class goes into a plan's digest, which runs under
-// way and other builds know the plan by: with the verb %+v the names and the order of
-// these fields are part of the digest, so they stay whatever policy.Class calls them.
+// digestClass is the form in which a class enters the digest of a plan, by which runs in
+// progress and other builds identify the plan. It is formatted with %+v, so that the names and
+// the order of these fields are part of the digest. They stay, whatever policy.Class calls them.
 type digestClass struct {
 	Name    string
 	Effect  policy.Effect
@@ -29,7 +29,7 @@
 // computeDigest returns the digest of the plan's text and of the classes that it names.
 func (p *Plan) computeDigest(text []byte, classes map[string]policy.Class) uint64 {
 	sum := xxhash.New()
-	_, _ = sum.Write(text) // a hash never fails
+	_, _ = sum.Write(text) // writing to a hash never fails
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
 		if p.namesClass(name) {
 			c := classes[name]
--- a/internal/dispatcher/fleet/plan/eval_test.go
+++ b/internal/dispatcher/fleet/plan/eval_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestExamples: the examples are right, and the page for operators shows what the
-// check says of them.
+// TestExamples checks that the example files have no problems, and that the page for operators
+// shows the output of the check for them.
 func TestExamples(t *testing.T) {
 	page, err := os.ReadFile("../../../../docs/plans.md")
 	require.NoError(t, err)
@@ -27,7 +27,8 @@
 	require.Contains(t, lines[0], "x.hcl:1:1: error: the classes that its stages name are not known")
 }
 
-// TestDigest: a plan is another one if its text or a class that it names is.
+// TestDigest checks that the digest changes with the text of the plan and with the classes that
+// it names, but not with its place in the file.
 func TestDigest(t *testing.T) {
 	digest := func(text string) uint64 {
 		plans, problems := Parse("p.hcl", []byte(text), classes)
@@ -45,15 +46,16 @@
 	require.NotEqual(t, one, digest(stages("a safe:")))
 }
 
-// one parses a plan of which the last stage is tried.
-func one(t testing.TB, lines ...string) *Stage {
+// lastStage parses a plan, and returns its last stage.
+func lastStage(t testing.TB, lines ...string) *Stage {
 	plans, problems := Parse("p.hcl", []byte(stages(lines...)), classes)
 	require.Empty(t, problems)
 	return plans[0].Stages[len(plans[0].Stages)-1]
 }
 
-// TestRender: what is sent is what was said; the same values give the same bytes;
-// what can't be sent is an error that says where and why.
+// TestRender checks that path, body and key are rendered as the plan describes them, with the
+// same bytes for the same values. An expression that can't be rendered must give an error with
+// the place and the reason.
 func TestRender(t *testing.T) {
 	big := []byte(`"` + strings.Repeat("x", maxValueSize-10) + `"`)
 	for _, c := range []struct{ body, input, item, a, want string }{
@@ -81,7 +83,7 @@
 		{`format(input.x, 1)`, `{"x":"%999999999d"}`, ``, ``, `numbers of 2 digits`},
 		{`join(input.x, input.l)`, `{"x":"` + strings.Repeat("-", 65) + `","l":["a","b"]}`, ``, ``, `at most 64 letters`},
 	} {
-		st := one(t, "a safe:", "b safe a: each = [1]; most = 1; body = "+c.body)
+		st := lastStage(t, "a safe:", "b safe a: each = [1]; most = 1; body = "+c.body)
 		v := Values{Input: []byte(c.input), Item: []byte(c.item), Results: map[string][]byte{"a": []byte(c.a)}}
 		if c.a == "" {
 			v.Results["a"] = nil
@@ -94,7 +96,7 @@
 		}
 		require.Equal(t, []string{"/", c.want, ""}, []string{path, string(body), key}, c.body)
 	}
-	st := one(t, `a keyed: path = "/x/${segment(input.p)}"; key = input.k; undo {; class = "safe"; path = "/u/${input.p}"; }`)
+	st := lastStage(t, `a keyed: path = "/x/${segment(input.p)}"; key = input.k; undo {; class = "safe"; path = "/u/${input.p}"; }`)
 	for _, c := range []struct{ p, k, want string }{
 		{"a b/č?#", "k", "/x/a%20b%2F%C4%8D%3F%23"}, {"a b", "k", "undo: path: \"/u/a b\" is no path"},
 		{"..", "k", `is no segment`}, {"p", "", `key: "" is no key`}, {"p", "a\\u0007", "is no key"}, {"p", strings.Repeat("k", 257), "is no key"},
@@ -112,11 +114,12 @@
 	require.ErrorContains(t, err, "null")
 }
 
-// TestItems: a list within its bounds; anything else is an error.
+// TestItems checks that a list within its bounds gives the items, and that anything else is an
+// error. It also checks the key of a shared stage.
 func TestItems(t *testing.T) {
-	st := one(t, "a safe: each = input.l; most = 3; at_least = 2")
+	st := lastStage(t, "a safe: each = input.l; most = 3; at_least = 2")
 	for list, want := range map[string]string{
-		`[1,{"b":2,"a":"x"}]`: `1 {"a":"x","b":2}`, `[1]`: "at least 2 must end well", `[1,2,3,4]`: "at most 3 are allowed", `"ab"`: "a list is needed, not string", `null`: "a list is needed, not null",
+		`[1,{"b":2,"a":"x"}]`: `1 {"a":"x","b":2}`, `[1]`: "at least 2 must succeed", `[1,2,3,4]`: "at most 3 are allowed", `"ab"`: "a list is needed, not string", `null`: "a list is needed, not null",
 	} {
 		items, err := st.Items(Values{Input: []byte(`{"l":` + list + `}`)})
 		if err != nil {
@@ -125,17 +128,18 @@
 		}
 		require.Equal(t, want, string(items[0])+" "+string(items[1]))
 	}
-	items, err := one(t, "a safe:").Items(Values{})
+	items, err := lastStage(t, "a safe:").Items(Values{})
 	require.NoError(t, err)
 	require.Equal(t, []Item{nil}, items)
-	key, err := one(t, `a safe: shared = "t-${input.t}"; shared_for = "1s"`).SharedKey(Values{Input: []byte(`{"t":7}`)})
+	key, err := lastStage(t, `a safe: shared = "t-${input.t}"; shared_for = "1s"`).SharedKey(Values{Input: []byte(`{"t":7}`)})
 	require.NoError(t, err)
 	require.Equal(t, "t-7", key)
 }
 
-// TestHolds: a condition that can't be told doesn't hold, and says why.
+// TestHolds checks rerun conditions. A condition that can't be evaluated doesn't hold, and its
+// error gives the reason.
 func TestHolds(t *testing.T) {
-	r := one(t, "a safe:", `b safe a: rerun "a" {; when = end == "failed" && result.lost == "a"; most = 1; }`).Reruns[0]
+	r := lastStage(t, "a safe:", `b safe a: rerun "a" {; when = end == "failed" && result.lost == "a"; most = 1; }`).Reruns[0]
 	for _, c := range []struct {
 		end          End
 		result, want string
--- a/internal/dispatcher/fleet/plan/functions.go
+++ b/internal/dispatcher/fleet/plan/functions.go
@@ -13,8 +13,8 @@
 	"github.com/zclconf/go-cty/cty/function/stdlib"
 )
 
-// functions are all that expressions may call. None is random, reads a clock, or makes much
-// output of little input.
+// functions are all functions that expressions may call. None is random, reads a clock, or
+// returns a large output for a small input.
 var functions = map[string]function.Function{
 	"can":        tryfunc.CanFunc,
 	"coalesce":   stdlib.CoalesceFunc,
@@ -29,13 +29,13 @@
 	"try":        tryfunc.TryFunc,
 }
 
-// withValidation validates the first argument, a string, before a function is called.
-func withValidation(f function.Function, fits func(string) error) function.Function {
+// withValidation returns f with a validation of its first argument, a string.
+func withValidation(f function.Function, validate func(string) error) function.Function {
 	return function.New(&function.Spec{
 		Params: f.Params(), VarParam: f.VarParam(), Type: f.ReturnTypeForValues,
 		Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
 			if args[0].IsKnown() && !args[0].IsNull() {
-				if err := fits(args[0].AsString()); err != nil {
+				if err := validate(args[0].AsString()); err != nil {
 					return cty.NilVal, function.NewArgError(0, err)
 				}
 			}
@@ -44,7 +44,8 @@
 	})
 }
 
-// validateFormat bounds the widths in a format, which would make much output of nothing.
+// validateFormat bounds the widths in a format, since a large width gives a large output for a
+// small input.
 func validateFormat(spec string) error {
 	digits := 0
 	for _, r := range spec {
@@ -52,21 +53,21 @@
 			digits = 0
 		}
 		if digits > 2 || len(spec) > maxKeyLength || strings.Count(spec, "%") > 16 {
-			return fmt.Errorf("a format has at most %d letters, 16 verbs, and numbers of 2 digits", maxKeyLength)
+			return fmt.Errorf("a format has at most %d characters, 16 verbs, and numbers of 2 digits", maxKeyLength)
 		}
 	}
 	return nil
 }
 
-// joinFunc joins any strings and numbers: the library's function would first find one type
-// for all entries, in quadratic time.
+// joinFunc joins strings and numbers. The library's function is not used, since it first finds
+// one type for all entries, in quadratic time.
 var joinFunc = function.New(&function.Spec{
 	Params: []function.Parameter{{Name: "between", Type: cty.String}, {Name: "list", Type: cty.DynamicPseudoType}},
 	Type:   function.StaticReturnType(cty.String),
 	Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
-		between := args[0].AsString()
-		if len(between) > maxNameLength {
-			return cty.NilVal, function.NewArgErrorf(0, "what goes between has at most %d letters", maxNameLength)
+		separator := args[0].AsString()
+		if len(separator) > maxNameLength {
+			return cty.NilVal, function.NewArgErrorf(0, "the separator has at most %d letters", maxNameLength)
 		}
 		if t := args[1].Type(); !t.IsTupleType() && !t.IsListType() {
 			return cty.NilVal, function.NewArgErrorf(1, "a list is needed, not %s", typeName(args[1]))
@@ -83,11 +84,11 @@
 			}
 			words = append(words, text.AsString())
 		}
-		return cty.StringVal(strings.Join(words, between)), nil
+		return cty.StringVal(strings.Join(words, separator)), nil
 	},
 })
 
-// presentFunc returns a list without its nulls.
+// presentFunc returns a list without its null entries.
 var presentFunc = function.New(&function.Spec{
 	Params: []function.Parameter{{Name: "list", Type: cty.DynamicPseudoType}},
 	Type: func([]cty.Value) (cty.Type, error) {
--- a/internal/dispatcher/fleet/plan/json.go
+++ b/internal/dispatcher/fleet/plan/json.go
@@ -14,7 +14,7 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// decodeJSON decodes JSON.
+// decodeJSON decodes JSON. Text that is not JSON is returned as a string, and nil as null.
 func decodeJSON(text []byte) (cty.Value, error) {
 	if text == nil {
 		return cty.NullVal(cty.DynamicPseudoType), nil
@@ -23,15 +23,15 @@
 	if err != nil {
 		return cty.StringVal(string(text)), nil
 	}
-	left := maxEntries
-	return fromJSON(v, maxDepth, &left)
+	remaining := maxEntries
+	return fromJSON(v, maxDepth, &remaining)
 }
 
-func fromJSON(v *fastjson.Value, deep int, left *int) (cty.Value, error) {
-	if deep == 0 {
+func fromJSON(v *fastjson.Value, depth int, remaining *int) (cty.Value, error) {
+	if depth == 0 {
 		return cty.NilVal, fmt.Errorf("lists and objects are nested more than %d deep", maxDepth)
 	}
-	if *left--; *left < 0 {
+	if *remaining--; *remaining < 0 {
 		return cty.NilVal, fmt.Errorf("lists and objects have more than %d entries", maxEntries)
 	}
 	switch v.Type() {
@@ -46,16 +46,16 @@
 		}
 		return cty.ParseNumberVal(string(text))
 	case fastjson.TypeArray:
-		if n := len(v.GetArray()); n > maxListLength { // the library compares types of entries, each with each
+		if n := len(v.GetArray()); n > maxListLength { // the library compares the types of all pairs of entries
 			return cty.NilVal, fmt.Errorf("a list of %d entries; at most %d are used", n, maxListLength)
 		}
 		var list []cty.Value
 		for _, one := range v.GetArray() {
-			made, err := fromJSON(one, deep-1, left)
+			value, err := fromJSON(one, depth-1, remaining)
 			if err != nil {
 				return cty.NilVal, err
 			}
-			list = append(list, made)
+			list = append(list, value)
 		}
 		return cty.TupleVal(list), nil
 	case fastjson.TypeObject:
@@ -64,9 +64,9 @@
 		}
 		fields, err := map[string]cty.Value{}, error(nil)
 		v.GetObject().Visit(func(name []byte, one *fastjson.Value) {
-			made, bad := fromJSON(one, deep-1, left)
-			err = errors.Join(err, bad)
-			fields[string(name)] = made
+			value, entryErr := fromJSON(one, depth-1, remaining)
+			err = errors.Join(err, entryErr)
+			fields[string(name)] = value
 		})
 		if err != nil {
 			return cty.NilVal, err
@@ -76,7 +76,7 @@
 	return cty.NullVal(cty.DynamicPseudoType), nil
 }
 
-// encodeJSON encodes JSON: equal values have equal bytes.
+// encodeJSON encodes a value as JSON. Equal values have equal encodings.
 func encodeJSON(v cty.Value) ([]byte, error) {
 	text, err := appendJSON(nil, v)
 	if err != nil {
@@ -148,7 +148,7 @@
 }
 
 func quoteJSON(text string) []byte {
-	out, _ := json.Marshal(text) // text has a form always
+	out, _ := json.Marshal(text) // a string can always be encoded
 	return out
 }
 
--- a/internal/dispatcher/fleet/plan/model.go
+++ b/internal/dispatcher/fleet/plan/model.go
@@ -1,6 +1,7 @@
-// Package plan is the language in which operators write plans: jobs that depend on one
-// another, and what to do when one fails. It parses and checks plan files (HCL), and
-// evaluates their expressions; it runs nothing and does no I/O.
+// Package plan implements the language of plan files, in which operators describe plans:
+// workflows of jobs that depend on one another, with the rules for the case that one fails. It
+// parses and checks plan files (HCL) and evaluates their expressions. It runs no plans and
+// does no I/O.
 package plan
 
 import (
@@ -14,18 +15,18 @@
 // End is how an attempt at a stage ended, in the terms of plan files.
 type End string
 
-// Ends of attempts. What a stage does about one is decided by its rules; whether it may run
-// again at all, by its class.
+// Ends of attempts. The rules of a stage determine what follows an end; its class determines
+// whether it may run again at all.
 const (
 	Done    End = "done"         // it ran and returned a result
 	Refused End = "refused"      // rejected by the dispatcher: it never ran
-	Full    End = "full"         // rejected by members: it never ran; where that proves nothing (policy.Rules.RejectedMayHaveRun) it is Failed
+	Full    End = "full"         // rejected by members: it never ran; where that is not certain (policy.Rules.RejectedMayHaveRun) the end is Failed
 	Unsent  End = "unsent"       // no member was reached: it never ran
 	Late    End = "late"         // no answer by the deadline: it may have run
 	Failed  End = "failed"       // a member answered with an error: it may have run
 	Reset   End = "reset"        // the connection broke: it may have run
 	MayRun  End = "may_have_run" // its dispatcher failed while it was in flight
-	Lost    End = "lost_input"   // it reports that an input is lost or stale: its rerun condition held
+	Lost    End = "lost_input"   // a rerun condition held: an input is lost or stale
 )
 
 // MayHaveRun reports whether an attempt with this end may have had its effect.
@@ -40,18 +41,18 @@
 	Stages      []*Stage      // each after all those that it depends on
 	ByName      map[string]*Stage
 	Worst       Worst    // computed by the check, within the bounds above
-	Notes       []string // what the check allows and an operator should know
+	Notes       []string // hints for the operator on what the check allows
 
 	boundRanges map[string]hcl.Range // source ranges of its attributes
 }
 
-// Worst is the worst case that the check has computed.
+// Worst is the worst case of a run, as computed by the check.
 type Worst struct {
 	Attempts int
 	Duration time.Duration
 }
 
-// Place tells where a stage is retried.
+// Place is where a stage is retried.
 type Place string
 
 // Places of a retry.
@@ -70,7 +71,7 @@
 	Runs           int           // at most, including the first; computed by the check
 	After          []string      // stages that must have succeeded; their results may be used
 	Path           hcl.Expression
-	Body           hcl.Expression // what the job is sent
+	Body           hcl.Expression // body of the job; nil: none
 	Key            hcl.Expression // of a deduplicated class: the same at each run of the stage
 	Cost           time.Duration  // hint of its run time; 0: none
 
@@ -107,7 +108,7 @@
 type Rerun struct {
 	Of        string         // a stage that this one depends on, directly or not
 	When      hcl.Expression // over end and result of this stage
-	MaxReruns int            // generations of Of beyond the first, in a run, whichever rule asked
+	MaxReruns int            // largest number of generations of Of beyond the first in a run, by this and other rules together
 	Range     hcl.Range
 
 	ofRange hcl.Range
--- a/internal/dispatcher/fleet/plan/parse.go
+++ b/internal/dispatcher/fleet/plan/parse.go
@@ -15,16 +15,16 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// Bounds of a plan file. With those on values they bound what any plan may cost to parse,
-// to check and to evaluate.
+// Bounds of a plan file. Together with the bounds of values, they limit the cost of parsing,
+// checking and evaluating any plan.
 const (
 	maxFileSize        = 256 << 10
 	maxTokens          = 32768
 	maxNesting         = 32  // of brackets and templates
 	maxExpressionNodes = 512 // of an expression
 	maxPlans           = 64
-	maxStages          = 64 // of a plan; sets of stages are bits of a word
-	maxRules           = 8  // of a kind, of a stage
+	maxStages          = 64 // of a plan; a stageSet has one bit for each
+	maxRules           = 8  // of one kind in a stage
 	maxTries           = 100
 	maxItems           = 4096 // over all stages of a plan
 	maxAttempts        = 10_000_000
@@ -32,9 +32,9 @@
 	maxNameLength      = 64
 )
 
-// Parse parses the plans of a file and checks them against the classes in service. It
-// returns all problems, in the order of the file. A plan with a problem is refused as a
-// whole; the others are returned. A file that can't be parsed has no plans.
+// Parse parses the plans of a file and checks them against the classes in service. It returns
+// the plans that have no problem, and all problems in the order of the file. For a file that
+// can't be parsed it returns no plans.
 func Parse(name string, text []byte, classes map[string]policy.Class) ([]*Plan, []Problem) {
 	f := &fileParser{name: name, text: text, classes: classes}
 	if !f.checkBounds() {
@@ -63,14 +63,14 @@
 	problems []Problem
 }
 
-// checkBounds checks the tokens of a file before the HCL library builds a tree of them,
-// since the library recurses for each bracket.
+// checkBounds checks the number and nesting of a file's tokens before the HCL library parses
+// them, since the library recurses for each bracket.
 func (f *fileParser) checkBounds() bool {
 	if len(f.text) > maxFileSize {
 		f.addProblem(hcl.Range{}, "the file has %d bytes; at most %d are read: split it", len(f.text), maxFileSize)
 		return false
 	}
-	words, _ := hclsyntax.LexConfig(f.text, f.name, hcl.InitialPos) // what it finds, the parser finds again
+	words, _ := hclsyntax.LexConfig(f.text, f.name, hcl.InitialPos) // the parser reports the same errors again
 	if len(words) > maxTokens {
 		f.addProblem(words[maxTokens].Range, "the file has more than %d words and signs: split it", maxTokens)
 		return false
@@ -85,15 +85,15 @@
 			hclsyntax.TokenCQuote, hclsyntax.TokenCHeredoc:
 			depth--
 		case hclsyntax.TokenTemplateControl:
-			f.addProblem(w.Range, "%%{ } has no place in a plan: use a condition, a ? b : c")
+			f.addProblem(w.Range, "%%{ } is not allowed in a plan: use a condition, a ? b : c")
 			return false
 		}
 		switch w.Type {
 		case hclsyntax.TokenOHeredoc:
 			lines = 0
-		case hclsyntax.TokenStringLit: // the library joins them one by one
+		case hclsyntax.TokenStringLit: // the library joins the lines one by one
 			if lines++; lines > maxExpressionNodes {
-				f.addProblem(w.Range, "a text of more than %d lines: send what is that long as a result or as input", maxExpressionNodes)
+				f.addProblem(w.Range, "a text of more than %d lines: pass such a long text in a result or in the input", maxExpressionNodes)
 				return false
 			}
 		case hclsyntax.TokenBang, hclsyntax.TokenMinus, hclsyntax.TokenQuestion:
@@ -122,7 +122,7 @@
 		before := len(f.problems)
 		p := f.parsePlan(block)
 		if names[p.Name] {
-			f.addProblem(block.DefRange(), "plan %q is there twice: give each a name of its own", p.Name)
+			f.addProblem(block.DefRange(), "plan %q is defined twice: give each a name of its own", p.Name)
 		}
 		names[p.Name] = true
 		if len(f.problems) == before {
@@ -153,9 +153,9 @@
 		s := f.parseStage(at)
 		switch {
 		case slices.Contains(reservedNames, s.Name):
-			f.addProblem(at.LabelRanges[0], "a stage can't be named %q: expressions know that name already; choose another", s.Name)
+			f.addProblem(at.LabelRanges[0], "a stage can't be named %q: expressions already use that name for a value; choose another", s.Name)
 		case p.ByName[s.Name] != nil:
-			f.addProblem(at.DefRange(), "stage %q is there twice: give each a name of its own", s.Name)
+			f.addProblem(at.DefRange(), "stage %q is defined twice: give each a name of its own", s.Name)
 		default:
 			p.ByName[s.Name] = s
 			p.Stages = append(p.Stages, s)
@@ -220,7 +220,7 @@
 		case e == Done:
 			f.addProblem(at[i], "done is no bad end: a stage that is done is not tried again; on takes some of %s", strings.Join(endWords[1:], ", "))
 		case slices.Contains(r.On, e):
-			f.addProblem(at[i], "%q is there twice: leave one out", w)
+			f.addProblem(at[i], "%q is listed twice: leave one out", w)
 		default:
 			r.On, r.onRanges = append(r.On, e), append(r.onRanges, at[i])
 		}
--- a/internal/dispatcher/fleet/plan/problem.go
+++ b/internal/dispatcher/fleet/plan/problem.go
@@ -7,14 +7,14 @@
 	"github.com/hashicorp/hcl/v2"
 )
 
-// Problem is one error in a plan file, and what would be right.
+// Problem is an error in a plan file. Its text also states how to correct it.
 type Problem struct {
 	File         string
 	Line, Column int // counted from 1
 	Text         string
 }
 
-// String returns the problem in the format that editors parse.
+// String returns the problem in the file:line:column format that editors parse.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Text)
 }
@@ -23,7 +23,7 @@
 	f.problems = append(f.problems, Problem{f.name, max(at.Start.Line, 1), max(at.Start.Column, 1), fmt.Sprintf(format, args...)})
 }
 
-// addDiagnostics adds the errors that the HCL library found.
+// addDiagnostics adds the errors that the HCL library has reported.
 func (f *fileParser) addDiagnostics(diags hcl.Diagnostics) {
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError {
--- a/internal/dispatcher/fleet/plan/worst_case.go
+++ b/internal/dispatcher/fleet/plan/worst_case.go
@@ -10,8 +10,8 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// triesPerItem returns the attempts at one item in one run of the stage: the first, and its
-// retries.
+// triesPerItem returns the largest number of attempts at one item in one run of the stage: the
+// first, and its retries.
 func (s *Stage) triesPerItem() int {
 	n := 1
 	for _, r := range s.Retries {
@@ -35,8 +35,9 @@
 	return d
 }
 
-// Pause returns how long a retry waits by this rule: k counts those before it by the same
-// rule in the same run, and share, from -1 to 1, is its place within the jitter.
+// Pause returns how long to wait before a retry by this rule. The argument k is the number of
+// earlier retries by the same rule in the same run; share, from -1 to 1, is the share of the
+// jitter that is added.
 func (r *Retry) Pause(k int, share float64) time.Duration {
 	wait := r.Wait
 	for ; k > 0 && wait < r.MaxWait; k-- {
@@ -64,10 +65,10 @@
 //
 //	sum over stages of  runs x items x tries + items x tries of the undo
 //	runs  = 1 + reruns for the loss of its own output and of each that it depends on
-//	tries = 1 + the most of each retry
+//	tries = 1 + the sum of MaxRetries over its retry rules
 //
-// The duration is that of the longest path, plus for each time that a stage may be run
-// again the longest path from there on, plus the longest path of undos at the end.
+// The duration is that of the longest path, plus the longest path from a stage on for each
+// time that this stage may be run again, plus the longest path of undos at the end.
 func (p *Plan) worstCase() Worst {
 	var w Worst
 	for _, s := range p.Stages {
@@ -88,8 +89,8 @@
 	return w
 }
 
-// rerunsByStage returns, by stage, how often its own loss may have it run again: the
-// largest MaxReruns of the reruns that name it, which count its generations.
+// rerunsByStage returns, by stage, how often the loss of its own output may make it run again:
+// the largest MaxReruns of the rules that name it, since MaxReruns limits its generations.
 func (p *Plan) rerunsByStage() []int {
 	most := make([]int, len(p.Stages))
 	for i, of := range p.Stages {
@@ -104,8 +105,8 @@
 	return most
 }
 
-// longestPath returns the path that takes longest of those that begin at a stage; empty:
-// anywhere.
+// longestPath returns the path that takes longest, among those that begin at the stage from
+// or, if that is empty, among all.
 func (p *Plan) longestPath(from string, span func(*Stage) time.Duration) (names []string, d time.Duration) {
 	type reach struct {
 		d  time.Duration
@@ -140,7 +141,7 @@
 	return fmt.Sprintf("longest path: %s, %s without reruns and undos", strings.Join(names, " > "), d)
 }
 
-// describeCostliest describes the stage with most attempts.
+// describeCostliest describes the stage with the most attempts.
 func (p *Plan) describeCostliest() string {
 	s := slices.MaxFunc(p.Stages, func(a, b *Stage) int { return a.totalAttempts() - b.totalAttempts() })
 	return fmt.Sprintf("most are of %q: %s", s.Name, s.describeAttempts())
@@ -183,7 +184,7 @@
 	return b.String()
 }
 
-// addSaturating adds two durations and stops at the largest.
+// addSaturating adds two durations. It returns the largest duration on overflow.
 func addSaturating(a, b time.Duration) time.Duration {
 	if a > math.MaxInt64-b {
 		return math.MaxInt64
@@ -191,7 +192,7 @@
 	return a + b
 }
 
-// mulSaturating multiplies a duration and stops at the largest.
+// mulSaturating multiplies a duration. It returns the largest duration on overflow.
 func mulSaturating(d time.Duration, n int) time.Duration {
 	if n > 0 && d > math.MaxInt64/time.Duration(n) {
 		return math.MaxInt64
@@ -199,7 +200,8 @@
 	return d * time.Duration(max(n, 0))
 }
 
-// checkWorstCase checks that every run ends within the plan's bounds.
+// checkWorstCase checks that the worst case of a run is within the plan's bounds, and adds
+// notes on keys that may be sent again too late.
 func (c *checker) checkWorstCase() {
 	p, items := c.plan, 0
 	for _, s := range p.Stages {
@@ -229,7 +231,7 @@
 	}
 }
 
-// noteForgottenKey notes a key that may be sent again after members have forgotten it.
+// noteForgottenKey adds a note on a key that may be sent again after its deduplication window.
 func (p *Plan) noteForgottenKey(what string, window, last time.Duration) {
 	if last > window {
 		p.Notes = append(p.Notes, fmt.Sprintf("%s: members remember its key for %s, and its last send may come %s after its first: such a late one counts anew", what, formatDuration(window), formatDuration(last)))
