--- a/internal/dispatcher/fleet/planrun/attempt_end.go
+++ b/internal/dispatcher/fleet/planrun/attempt_end.go
@@ -167,7 +167,8 @@
 	t.publishOutput(at, r, stage)
 }
 
-// giveUp records why a run gives up. From then on only undos are sent.
+// giveUp records why a run gives up. From then on only undos are sent. The reason is part of
+// the replicated state: with a changed text, replicas of different versions would differ.
 func (t *Tracker) giveUp(r *Run, stage int, end plan.End, reason string) {
 	if r.GaveUp != nil {
 		return
