--- a/internal/dispatcher/fleet/state/chunks.go
+++ b/internal/dispatcher/fleet/state/chunks.go
@@ -50,7 +50,7 @@
 	return err
 }
 
-// chunkReader reads one section. Its errors wrap ErrForeign.
+// chunkReader reads one section. Its errors wrap ErrInvalidSnapshot.
 type chunkReader struct {
 	src     io.Reader
 	pending []byte
@@ -64,18 +64,18 @@
 		}
 		var head [8]byte
 		if _, err := io.ReadFull(c.src, head[:]); err != nil {
-			return 0, fmt.Errorf("%w: cut short", ErrForeign)
+			return 0, fmt.Errorf("%w: cut short", ErrInvalidSnapshot)
 		}
 		n := binary.BigEndian.Uint32(head[:4])
 		if n > maxChunk {
-			return 0, fmt.Errorf("%w: a chunk of %d bytes", ErrForeign, n)
+			return 0, fmt.Errorf("%w: a chunk of %d bytes", ErrInvalidSnapshot, n)
 		}
 		chunk := make([]byte, n)
 		if _, err := io.ReadFull(c.src, chunk); err != nil {
-			return 0, fmt.Errorf("%w: cut short", ErrForeign)
+			return 0, fmt.Errorf("%w: cut short", ErrInvalidSnapshot)
 		}
 		if crc32.ChecksumIEEE(chunk) != binary.BigEndian.Uint32(head[4:]) {
-			return 0, fmt.Errorf("%w: a chunk's sum is wrong", ErrForeign)
+			return 0, fmt.Errorf("%w: a chunk's sum is wrong", ErrInvalidSnapshot)
 		}
 		c.pending, c.eof = chunk, n == 0
 	}
--- a/internal/dispatcher/fleet/state/snapshot.go
+++ b/internal/dispatcher/fleet/state/snapshot.go
@@ -14,8 +14,8 @@
 // snapshotMagic begins a snapshot.
 var snapshotMagic = []byte("basaltloft fleet\n")
 
-// ErrForeign says that a snapshot is of another program or version, or incomplete.
-var ErrForeign = errors.New("not a whole snapshot of this program's version")
+// ErrInvalidSnapshot says that a snapshot is of another program or version, or incomplete.
+var ErrInvalidSnapshot = errors.New("not a whole snapshot of this program's version")
 
 // storedMachine is the machine's own section of a snapshot, stored by the field names in
 // its tags.
@@ -82,7 +82,7 @@
 	in := bufio.NewReaderSize(r, 64<<10)
 	magic := make([]byte, len(snapshotMagic))
 	if _, err := io.ReadFull(in, magic); err != nil || !bytes.Equal(magic, snapshotMagic) {
-		return fmt.Errorf("%w: it does not begin like one", ErrForeign)
+		return fmt.Errorf("%w: it does not begin like one", ErrInvalidSnapshot)
 	}
 	text, err := io.ReadAll(&chunkReader{src: in})
 	if err != nil {
@@ -90,14 +90,14 @@
 	}
 	var k storedMachine
 	if err := codec.Decode(text, &k); err != nil {
-		return fmt.Errorf("%w: %w", ErrForeign, err)
+		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if k.Version != Version || len(k.Partitions) != len(m.partitions) {
-		return fmt.Errorf("%w: version %d with %d parts", ErrForeign, k.Version, len(k.Partitions))
+		return fmt.Errorf("%w: version %d with %d parts", ErrInvalidSnapshot, k.Version, len(k.Partitions))
 	}
 	for i, p := range m.partitions {
 		if p.Name() != k.Partitions[i] {
-			return fmt.Errorf("%w: part %s where %s is expected", ErrForeign, k.Partitions[i], p.Name())
+			return fmt.Errorf("%w: part %s where %s is expected", ErrInvalidSnapshot, k.Partitions[i], p.Name())
 		}
 	}
 	for _, p := range m.partitions {
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -177,7 +177,7 @@
 		require.NoError(t, err)
 		require.Equal(t, a, b)
 		torn := frozen.Bytes()[:rapid.IntRange(0, frozen.Len()-1).Draw(t, "torn")]
-		require.ErrorIs(t, New(newTally()).Restore(bytes.NewReader(torn)), ErrForeign)
+		require.ErrorIs(t, New(newTally()).Restore(bytes.NewReader(torn)), ErrInvalidSnapshot)
 		flipped := bytes.Clone(frozen.Bytes())
 		flipped[rapid.IntRange(0, len(flipped)-1).Draw(t, "at")] ^= 0x10
 		require.Error(t, New(newTally()).Restore(bytes.NewReader(flipped)))
