--- a/internal/dispatcher/fleet/coordinator/start_async.go
+++ b/internal/dispatcher/fleet/coordinator/start_async.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// InUse returns nil if a plan is in use here, and else an error that wraps ErrUnknownPlan.
-func (c *Coordinator) InUse(plan string) error {
+// CheckInUse returns nil if a plan is in use here, and else an error that wraps ErrUnknownPlan.
+func (c *Coordinator) CheckInUse(plan string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.plansByName[plan] == nil {
--- a/internal/dispatcher/server/plans.go
+++ b/internal/dispatcher/server/plans.go
@@ -112,7 +112,7 @@
 }
 
 // CheckInUse implements faktory.PlanStarter.
-func (p *planService) CheckInUse(plan string) error { return p.coordinator.InUse(plan) }
+func (p *planService) CheckInUse(plan string) error { return p.coordinator.CheckInUse(plan) }
 
 // planRetryAfter is the advice with a run of which nothing has run.
 const planRetryAfter = time.Second
