--- a/internal/dispatcher/fleet/raftnode/data_dir.go
+++ b/internal/dispatcher/fleet/raftnode/data_dir.go
@@ -45,7 +45,7 @@
 // openDir locks the data directory. It fails for the directory of another node or version,
 // and for one in use.
 func (node *Node) openDir() (*dataDir, error) {
-	path := node.settings.Folder
+	path := node.settings.DataDir
 	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDataDir, err)
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	log := logtest.Discard()
 	k, err = New(Settings{
-		Name: "k1", Folder: folder, Peers: map[string]Peer{"k1": {calls.Addr().String(), votes.Addr().String()}}, RaftListener: votes,
+		Name: "k1", DataDir: folder, Peers: map[string]Peer{"k1": {calls.Addr().String(), votes.Addr().String()}}, RaftListener: votes,
 		ElectionTimeout: 100 * time.Millisecond, DigestInterval: time.Hour, Log: log,
 		NewMachine: func() (*state.Machine, error) {
 			return state.New(partition.NewBudgets(), partition.NewPlans(), partition.NewRecords(store, records.Fence{})), nil
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -28,7 +28,7 @@
 // Settings configure a raft node.
 type Settings struct {
 	Name            string
-	Folder          string          // the data directory, which must be this node's own
+	DataDir         string          // the data directory, which must be this node's own
 	Peers           map[string]Peer // all raft nodes by name, including this one
 	RaftListener    net.Listener    // where the other nodes' raft messages arrive
 	ElectionTimeout time.Duration   // a leader without contact for this long is replaced
@@ -84,7 +84,7 @@
 
 // New returns a node that is not running.
 func New(s Settings) (*Node, error) {
-	if err := os.MkdirAll(s.Folder, 0o750); err != nil {
+	if err := os.MkdirAll(s.DataDir, 0o750); err != nil {
 		return nil, fmt.Errorf("the fleet's folder: %w", err)
 	}
 	others := map[string]string{}
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -130,7 +130,7 @@
 func (f *fleet) start(name string) {
 	log := logtest.Discard()
 	k, err := New(Settings{
-		Name: name, Folder: f.folder(name), Peers: f.peers, RaftListener: f.votes[name], ElectionTimeout: 250 * time.Millisecond, DigestInterval: 400 * time.Millisecond, Log: log,
+		Name: name, DataDir: f.folder(name), Peers: f.peers, RaftListener: f.votes[name], ElectionTimeout: 250 * time.Millisecond, DigestInterval: 400 * time.Millisecond, Log: log,
 		NewMachine: func() (*state.Machine, error) { return state.New(&counter{spoilt: f.spoilt[name]}), nil },
 	})
 	require.NoError(f.t, err)
@@ -377,13 +377,13 @@
 			require.NoError(t, os.WriteFile(filepath.Join(dir, identityFile), text, 0o600))
 		}
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "log.db"), nil, 0o600))
-		k := &Node{settings: Settings{Name: "k1", Folder: dir}}
+		k := &Node{settings: Settings{Name: "k1", DataDir: dir}}
 		_, err := k.openDir()
 		require.ErrorIs(t, err, ErrDataDir, name)
 		require.ErrorContains(t, err, at.want, name)
 	}
 	dir := t.TempDir()
-	k := &Node{settings: Settings{Name: "k1", Folder: dir}}
+	k := &Node{settings: Settings{Name: "k1", DataDir: dir}}
 	first, err := k.openDir()
 	require.NoError(t, err)
 	defer func() { _ = first.lock.Close() }()
@@ -441,7 +441,7 @@
 			require.NoError(f.t, f.stops["k1"]())
 		},
 		"after it has bootstrapped": func(f *fleet) {
-			k := &Node{settings: Settings{Name: "k1", Folder: f.folder("k1"), Peers: f.peers, ElectionTimeout: time.Second}, log: logtest.Discard()}
+			k := &Node{settings: Settings{Name: "k1", DataDir: f.folder("k1"), Peers: f.peers, ElectionTimeout: time.Second}, log: logtest.Discard()}
 			require.NoError(f.t, os.MkdirAll(f.folder("k1"), 0o700))
 			dir, err := k.openDir()
 			require.NoError(f.t, err)
--- a/internal/dispatcher/server/fleet.go
+++ b/internal/dispatcher/server/fleet.go
@@ -201,7 +201,7 @@
 		peers[name] = raftnode.Peer{RPCAddr: node.RPCAddress, RaftAddr: node.RaftAddress}
 	}
 	node, err := raftnode.New(raftnode.Settings{
-		Name: f.Name, Folder: filepath.Join(f.DataDir, "keeper"), Peers: peers, RaftListener: l,
+		Name: f.Name, DataDir: filepath.Join(f.DataDir, "keeper"), Peers: peers, RaftListener: l,
 		ElectionTimeout: f.ElectionTimeout, DigestInterval: f.DigestInterval, Log: s.log,
 		NewMachine: func() (*state.Machine, error) {
 			stored, err := out.openStore(f.DataDir)
