--- a/internal/dispatcher/fleet/state/boot.go
+++ b/internal/dispatcher/fleet/state/boot.go
@@ -7,7 +7,7 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// bootCount is how often a raft node has started with its data directory.
+// bootCount holds how often a raft node has started with its data directory.
 type bootCount struct {
 	Process string
 	Count   uint64
--- a/internal/dispatcher/fleet/state/chunks.go
+++ b/internal/dispatcher/fleet/state/chunks.go
@@ -8,9 +8,9 @@
 	"io"
 )
 
-// maxChunk is the largest chunk of a section. A section is a sequence of chunks: length and
-// checksum (CRC-32) in 4 bytes each, then the bytes; an empty chunk ends it. So a section's
-// length need not be known before it is written.
+// maxChunk is the largest chunk of a section, in bytes. A section is a sequence of chunks:
+// length and checksum (CRC-32) in 4 bytes each, then the bytes. An empty chunk ends the
+// section, so that its length need not be known before it is written.
 const maxChunk = 256 << 10
 
 // writeSection writes one section.
@@ -26,7 +26,7 @@
 	return c.writeChunk(nil)
 }
 
-// chunkWriter splits what is written into chunks.
+// chunkWriter splits the written bytes into chunks.
 type chunkWriter struct{ dst io.Writer }
 
 func (c *chunkWriter) Write(text []byte) (n int, err error) {
@@ -64,7 +64,7 @@
 		}
 		var head [8]byte
 		if _, err := io.ReadFull(c.src, head[:]); err != nil {
-			return 0, fmt.Errorf("%w: cut short", ErrInvalidSnapshot)
+			return 0, fmt.Errorf("%w: truncated", ErrInvalidSnapshot)
 		}
 		n := binary.BigEndian.Uint32(head[:4])
 		if n > maxChunk {
@@ -72,10 +72,10 @@
 		}
 		chunk := make([]byte, n)
 		if _, err := io.ReadFull(c.src, chunk); err != nil {
-			return 0, fmt.Errorf("%w: cut short", ErrInvalidSnapshot)
+			return 0, fmt.Errorf("%w: truncated", ErrInvalidSnapshot)
 		}
 		if crc32.ChecksumIEEE(chunk) != binary.BigEndian.Uint32(head[4:]) {
-			return 0, fmt.Errorf("%w: a chunk's sum is wrong", ErrInvalidSnapshot)
+			return 0, fmt.Errorf("%w: a chunk has a wrong checksum", ErrInvalidSnapshot)
 		}
 		c.pending, c.eof = chunk, n == 0
 	}
--- a/internal/dispatcher/fleet/state/command.go
+++ b/internal/dispatcher/fleet/state/command.go
@@ -15,7 +15,7 @@
 	Process     string        // the issuing process; empty: the raft nodes themselves
 	Incarnation uint64        // fencing number from the process's join
 	Seq         uint64        // sequence number within the incarnation, from 1; 0: applying it twice does no harm
-	Acked       uint64        // the replies to all commands up to this one have arrived
+	Acked       uint64        // the sender has the replies to all commands up to this sequence number
 	Kind        Kind
 	Body        []byte // the command's body for its kind, encoded by codec
 }
@@ -41,10 +41,10 @@
 	Body []byte
 }
 
-// Code tells whether a command was carried out.
+// Code is the result of a command: OK, or why it was not carried out.
 type Code uint8
 
-// Codes of replies. All but OK have changed nothing.
+// Codes of replies. A command that is answered with any code but OK has changed nothing.
 const (
 	OK      Code = iota
 	Fenced       // a newer incarnation is in force, or this one's lease has expired: the process must join again
@@ -52,14 +52,18 @@
 	Bad          // the command can't be decoded
 )
 
-// Errors that Reply.Err wraps, one for each code.
+// Errors that Reply.Err wraps, one for each code but OK.
 var (
-	ErrFenced  = errors.New("this incarnation is not in force")
+	// ErrFenced is returned for a reply with the code Fenced.
+	ErrFenced = errors.New("this incarnation is not in force")
+	// ErrRefused is returned for a reply with the code Refused.
 	ErrRefused = errors.New("refused by the state")
-	ErrBad     = errors.New("the state can't read the command")
+	// ErrBad is returned for a reply with the code Bad, and for a command that can't be decoded.
+	// Replies contain its text, and replies are stored in the replicated state.
+	ErrBad = errors.New("the state can't read the command")
 )
 
-// Err returns nil for OK, and else an error that wraps ErrFenced, ErrRefused or ErrBad.
+// Err returns nil for OK, and otherwise an error that wraps ErrFenced, ErrRefused or ErrBad.
 func (r Reply) Err() error {
 	switch r.Code {
 	case OK:
--- a/internal/dispatcher/fleet/state/digests.go
+++ b/internal/dispatcher/fleet/state/digests.go
@@ -12,11 +12,11 @@
 // DigestsBody reports one replica's digests of the state as of a log index.
 type DigestsBody struct {
 	Replica    string
-	Index      uint64            // of the command that asked for digests
+	Index      uint64            // log index of the tick that requested digests
 	Partitions map[string]uint64 `cbor:"Parts"`
 }
 
-// digestReports are the digests that replicas reported for one log index.
+// digestReports holds the digests that replicas reported for one log index.
 type digestReports struct {
 	Index    uint64
 	Replicas []replicaDigests `cbor:"Told"` // sorted by replica
@@ -27,7 +27,8 @@
 	Partitions map[string]uint64 `cbor:"Parts"`
 }
 
-// recordDigests keeps the reports of the newest index that any replica has reported.
+// recordDigests stores a replica's report. Only reports of the newest index that any replica
+// has reported are kept.
 func (m *Machine) recordDigests(c Command) Reply {
 	var b DigestsBody
 	if err := codec.Decode(c.Body, &b); err != nil {
@@ -56,25 +57,25 @@
 			reported = t.Partitions
 		}
 	}
-	var differs []string
+	var divergent []string
 	for name, sum := range reported {
-		alike := map[uint64]int{}
+		replicas := map[uint64]int{}
 		for _, t := range m.digests.Replicas {
-			alike[t.Partitions[name]]++
+			replicas[t.Partitions[name]]++
 		}
-		for other, n := range alike {
+		for other, n := range replicas {
 			if other != sum && 2*n > voters {
-				differs = append(differs, name)
+				divergent = append(divergent, name)
 			}
 		}
 	}
-	slices.Sort(differs)
-	return differs
+	slices.Sort(divergent)
+	return divergent
 }
 
 // Digests returns the checksums of the machine's own state, as "members", and of each
-// partition. The reports of earlier digests are left out: replicas compare the state, not
-// those.
+// partition. The reports of earlier digests are left out, since replicas compare only the
+// state itself.
 func (m *Machine) Digests() (map[string]uint64, error) {
 	text, err := codec.Encode(struct {
 		At      time.Duration
@@ -87,7 +88,7 @@
 	all := map[string]uint64{"members": codec.Digest(text)}
 	for _, p := range m.partitions {
 		if all[p.Name()], err = p.Digest(); err != nil {
-			return nil, fmt.Errorf("summing up %s: %w", p.Name(), err)
+			return nil, fmt.Errorf("computing the digest of %s: %w", p.Name(), err)
 		}
 	}
 	return all, nil
--- a/internal/dispatcher/fleet/state/membership.go
+++ b/internal/dispatcher/fleet/state/membership.go
@@ -8,21 +8,21 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// JoinBody asks for an incarnation. A join that is repeated with the same nonce, because
-// its answer was lost, gives the same incarnation.
+// JoinBody requests an incarnation. A join that is repeated with the same nonce, because its
+// reply was lost, returns the same incarnation.
 type JoinBody struct {
 	Process, Nonce, Version string
 }
 
 // JoinReply answers a join.
 type JoinReply struct {
-	Incarnation uint64        // fencing number: the log index of the join, so that it only grows
+	Incarnation uint64        // fencing number: the log index of the join, so that later ones are higher
 	Lease       time.Duration // lease duration
 }
 
-// RenewBody renews a lease, with a message for each partition that has one.
+// RenewBody renews a lease, and carries the messages for the partitions.
 type RenewBody struct {
-	Partitions map[string][]byte `cbor:"Parts"` // by partition
+	Partitions map[string][]byte `cbor:"Parts"` // messages by partition
 }
 
 // RenewReply answers a renewal.
@@ -30,7 +30,7 @@
 	Lease      time.Duration     // lease duration from the renewal on
 	Members    int               // number of members in force
 	Partitions map[string][]byte `cbor:"Parts"` // answers by partition
-	Refused    map[string]string // reasons by partition that refused its message; the lease is renewed all the same
+	Refused    map[string]string // reasons, by partition that refused its message; the lease is renewed nevertheless
 }
 
 func (m *Machine) join(c Command, index uint64) Reply {
@@ -77,8 +77,8 @@
 	return replyOf(body, err)
 }
 
-// Member is a process of the fleet with its lease. It is stored by the field names in its
-// tags.
+// Member is a process of the fleet with its lease. It is stored under its field names, or
+// the names in their tags.
 type Member struct {
 	Process         string
 	Incarnation     uint64
@@ -86,8 +86,8 @@
 	JoinedAt        time.Duration     `cbor:"Since"` // fleet time
 	LeaseEnd        time.Duration     `cbor:"Until"` // fleet time
 	Version         string            // of the program
-	AnsweredThrough uint64            `cbor:"Floor"`   // replies to commands up to this sequence number are forgotten
-	Replies         []rememberedReply `cbor:"Answers"` // to later commands, ascending by sequence number
+	AnsweredThrough uint64            `cbor:"Floor"`   // replies to commands up to this sequence number are discarded
+	Replies         []rememberedReply `cbor:"Answers"` // to later commands, in ascending order of sequence numbers
 }
 
 type rememberedReply struct {
@@ -99,8 +99,8 @@
 // commands that it may have pending at once.
 const maxRememberedReplies = 1024
 
-// member returns the member that issued a command, or nil and the reply for a fenced
-// process.
+// member returns the member that issued a command, or nil and the reply that the process is
+// fenced.
 func (m *Machine) member(c Command) (*Member, Reply) {
 	i, ok := m.findMember(c.Process)
 	if !ok || m.members[i].Incarnation != c.Incarnation {
@@ -121,13 +121,13 @@
 	})
 }
 
-// endIncarnation removes a member and tells the partitions.
-func (m *Machine) endIncarnation(member *Member, how EndCause) {
+// endIncarnation removes a member and notifies the partitions.
+func (m *Machine) endIncarnation(member *Member, cause EndCause) {
 	if i, ok := m.findMember(member.Process); ok && m.members[i] == member {
 		m.members = slices.Delete(m.members, i, i+1)
 	}
 	for _, p := range m.partitions {
-		p.IncarnationEnded(m.now, member.Process, member.Incarnation, how)
+		p.IncarnationEnded(m.now, member.Process, member.Incarnation, cause)
 	}
 }
 
@@ -136,7 +136,7 @@
 	switch {
 	case ok:
 		return x.Replies[i].Reply, true
-	case seq <= x.AnsweredThrough: // a late copy, whose sender no longer waits
+	case seq <= x.AnsweredThrough: // a late copy of a command whose sender no longer waits
 		return Reply{Code: Refused, Text: "answered before"}, true
 	}
 	return Reply{}, false
--- a/internal/dispatcher/fleet/state/partition.go
+++ b/internal/dispatcher/fleet/state/partition.go
@@ -14,45 +14,46 @@
 	// Apply carries out a command of a process whose incarnation is in force. If it returns an
 	// error, nothing has changed.
 	Apply(c Command, index uint64) (body []byte, err error)
-	// Check validates settings; SetSettings and Set are called with validated ones only.
+	// Check validates settings. Set is called with validated ones only.
 	Check(settings []byte) error
+	// Set puts settings into force.
 	Set(at time.Duration, settings []byte) error
-	// Renew processes what a lease renewal says to this partition, and returns the answer.
+	// Renew processes a lease renewal's message for this partition, and returns the reply.
 	Renew(c Command, body []byte) (reply []byte, err error)
-	// IncarnationEnded tells that an incarnation is no longer in force.
-	IncarnationEnded(at time.Duration, process string, incarnation uint64, how EndCause)
-	// Advance carries out what has become due by a fleet time.
+	// IncarnationEnded is called when an incarnation is no longer in force.
+	IncarnationEnded(at time.Duration, process string, incarnation uint64, cause EndCause)
+	// Advance carries out everything that is due by a fleet time.
 	Advance(at time.Duration)
 	// Snapshot returns the partition as it is now, to be written while later commands are
 	// applied.
 	Snapshot() (Snapshot, error)
-	// Restore replaces the partition by what a Snapshot wrote. On an error nothing has
+	// Restore replaces the partition's state by that of a snapshot. On an error nothing has
 	// changed.
 	Restore(io.Reader) error
 	// Digest returns a checksum of the partition, which is compared between replicas.
 	Digest() (uint64, error)
 }
 
-// Snapshot is a state as of one command. Discard must be called when it is no longer
-// needed.
+// Snapshot is the state as of one command. Discard must be called when the snapshot is no
+// longer needed.
 type Snapshot struct {
 	Write   func(io.Writer) error // writes the snapshot
 	Release func()                // frees its resources; nil: there are none
 }
 
 // Discard frees the snapshot's resources.
-func (f Snapshot) Discard() {
-	if f.Release != nil {
-		f.Release()
+func (s Snapshot) Discard() {
+	if s.Release != nil {
+		s.Release()
 	}
 }
 
-// EndCause tells why an incarnation is no longer in force.
+// EndCause is the reason why an incarnation is no longer in force.
 type EndCause uint8
 
-// Causes.
+// Reasons for the end of an incarnation.
 const (
-	Expired  EndCause = iota // its lease expired: the process may be partitioned or stopped, and what it sent may still run
+	Expired  EndCause = iota // its lease expired: the process may be partitioned or stopped, and jobs that it sent may still run
 	Left                     // it announced a planned shutdown
 	Replaced                 // a newer incarnation of the same process joined
 )
--- a/internal/dispatcher/fleet/state/settings.go
+++ b/internal/dispatcher/fleet/state/settings.go
@@ -7,12 +7,12 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// FleetSettings are the operators' settings for the whole fleet. Of two the one with the
-// higher revision is in force; a revision can't have two contents.
+// FleetSettings are the operators' settings for the whole fleet. Those with the highest
+// revision are in force. Other settings with the same revision are refused.
 type FleetSettings struct {
 	Revision   uint64
 	Lease      time.Duration
-	Partitions map[string][]byte `cbor:"Parts"` // by partition; one that is missing keeps its settings
+	Partitions map[string][]byte `cbor:"Parts"` // by partition; a partition that is missing here keeps its settings
 }
 
 // settingsInForce identifies the FleetSettings in force.
--- a/internal/dispatcher/fleet/state/snapshot.go
+++ b/internal/dispatcher/fleet/state/snapshot.go
@@ -11,14 +11,15 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// snapshotMagic begins a snapshot.
+// snapshotMagic holds the first bytes of every snapshot.
 var snapshotMagic = []byte("basaltloft fleet\n")
 
-// ErrInvalidSnapshot says that a snapshot is of another program or version, or incomplete.
-var ErrInvalidSnapshot = errors.New("not a whole snapshot of this program's version")
+// ErrInvalidSnapshot is returned for a snapshot that is incomplete or corrupt, or was written
+// by another program or version.
+var ErrInvalidSnapshot = errors.New("not a complete snapshot of this program's version")
 
-// storedMachine is the machine's own section of a snapshot, stored by the field names in
-// its tags.
+// storedMachine is the machine's own section of a snapshot. It is stored under its field
+// names, or the names in their tags.
 type storedMachine struct {
 	Version    uint8           `cbor:"V"`
 	Settings   settingsInForce `cbor:"Set"`
@@ -32,11 +33,11 @@
 
 // encodeMembership encodes the machine's own section of a snapshot.
 func (m *Machine) encodeMembership() ([]byte, error) {
-	k := storedMachine{Version: Version, Settings: m.settings, Now: m.now, Index: m.index, Members: m.members, Digests: m.digests, Boots: m.boots}
+	stored := storedMachine{Version: Version, Settings: m.settings, Now: m.now, Index: m.index, Members: m.members, Digests: m.digests, Boots: m.boots}
 	for _, p := range m.partitions {
-		k.Partitions = append(k.Partitions, p.Name())
+		stored.Partitions = append(stored.Partitions, p.Name())
 	}
-	return codec.Encode(k)
+	return codec.Encode(stored)
 }
 
 // Snapshot returns the state as it is now, to be written while later commands are applied.
@@ -47,17 +48,17 @@
 	}
 	var all []Snapshot
 	release := func() {
-		for _, f := range all {
-			f.Discard()
+		for _, s := range all {
+			s.Discard()
 		}
 	}
 	for _, p := range m.partitions {
-		f, err := p.Snapshot()
+		s, err := p.Snapshot()
 		if err != nil {
 			release()
-			return Snapshot{}, fmt.Errorf("freezing %s: %w", p.Name(), err)
+			return Snapshot{}, fmt.Errorf("taking a snapshot of %s: %w", p.Name(), err)
 		}
-		all = append(all, f)
+		all = append(all, s)
 	}
 	return Snapshot{Release: release, Write: func(w io.Writer) error {
 		if _, err := w.Write(snapshotMagic); err != nil {
@@ -66,8 +67,8 @@
 		if err := writeSection(w, func(w io.Writer) error { _, err := w.Write(own); return err }); err != nil {
 			return err
 		}
-		for _, f := range all {
-			if err := writeSection(w, f.Write); err != nil {
+		for _, s := range all {
+			if err := writeSection(w, s.Write); err != nil {
 				return err
 			}
 		}
@@ -82,33 +83,33 @@
 	in := bufio.NewReaderSize(r, 64<<10)
 	magic := make([]byte, len(snapshotMagic))
 	if _, err := io.ReadFull(in, magic); err != nil || !bytes.Equal(magic, snapshotMagic) {
-		return fmt.Errorf("%w: it does not begin like one", ErrInvalidSnapshot)
+		return fmt.Errorf("%w: wrong magic bytes", ErrInvalidSnapshot)
 	}
 	text, err := io.ReadAll(&chunkReader{src: in})
 	if err != nil {
 		return err
 	}
-	var k storedMachine
-	if err := codec.Decode(text, &k); err != nil {
+	var stored storedMachine
+	if err := codec.Decode(text, &stored); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
-	if k.Version != Version || len(k.Partitions) != len(m.partitions) {
-		return fmt.Errorf("%w: version %d with %d parts", ErrInvalidSnapshot, k.Version, len(k.Partitions))
+	if stored.Version != Version || len(stored.Partitions) != len(m.partitions) {
+		return fmt.Errorf("%w: version %d with %d partitions", ErrInvalidSnapshot, stored.Version, len(stored.Partitions))
 	}
 	for i, p := range m.partitions {
-		if p.Name() != k.Partitions[i] {
-			return fmt.Errorf("%w: part %s where %s is expected", ErrInvalidSnapshot, k.Partitions[i], p.Name())
+		if p.Name() != stored.Partitions[i] {
+			return fmt.Errorf("%w: partition %s where %s is expected", ErrInvalidSnapshot, stored.Partitions[i], p.Name())
 		}
 	}
 	for _, p := range m.partitions {
 		c := &chunkReader{src: in}
 		if err := p.Restore(c); err != nil {
-			return fmt.Errorf("thawing %s: %w", p.Name(), err)
+			return fmt.Errorf("restoring %s: %w", p.Name(), err)
 		}
-		if _, err := io.Copy(io.Discard, c); err != nil { // its last sum must be right, too
-			return fmt.Errorf("thawing %s: %w", p.Name(), err)
+		if _, err := io.Copy(io.Discard, c); err != nil { // reads the rest of the section, which verifies the last checksums
+			return fmt.Errorf("restoring %s: %w", p.Name(), err)
 		}
 	}
-	m.settings, m.now, m.index, m.members, m.digests, m.boots = k.Settings, k.Now, k.Index, k.Members, k.Digests, k.Boots
+	m.settings, m.now, m.index, m.members, m.digests, m.boots = stored.Settings, stored.Now, stored.Index, stored.Members, stored.Digests, stored.Boots
 	return nil
 }
--- a/internal/dispatcher/fleet/state/state.go
+++ b/internal/dispatcher/fleet/state/state.go
@@ -25,7 +25,7 @@
 	index      uint64
 	members    []*Member // sorted by name
 	digests    digestReports
-	boots      []bootCount // by process
+	boots      []bootCount // sorted by process
 	partitions []Partition
 }
 
@@ -33,8 +33,8 @@
 const DefaultLease = 3 * time.Second
 
 // New returns an empty state with these partitions.
-func New(parts ...Partition) *Machine {
-	return &Machine{settings: settingsInForce{Lease: DefaultLease}, partitions: parts}
+func New(partitions ...Partition) *Machine {
+	return &Machine{settings: settingsInForce{Lease: DefaultLease}, partitions: partitions}
 }
 
 // At returns the fleet time of the last command.
@@ -50,7 +50,7 @@
 func (m *Machine) Apply(index uint64, text []byte) Reply {
 	m.index = index
 	c, err := Decode(text)
-	if err != nil { // a log written by a newer program: refused alike everywhere
+	if err != nil { // an entry of a newer program: every replica refuses it with the same reply
 		return Reply{Code: Bad, Text: err.Error()}
 	}
 	m.now = max(m.now, c.At)
@@ -66,18 +66,18 @@
 	case ReportBoot:
 		return m.recordBoot(c)
 	}
-	who, r := m.member(c)
-	if who == nil {
+	member, r := m.member(c)
+	if member == nil {
 		return r
 	}
 	if c.Seq != 0 {
-		if old, ok := who.rememberedReply(c.Seq); ok {
+		if old, ok := member.rememberedReply(c.Seq); ok {
 			return old
 		}
 	}
-	r = m.execute(who, c, index)
+	r = m.execute(member, c, index)
 	if c.Seq != 0 {
-		who.rememberReply(c, r)
+		member.rememberReply(c, r)
 	}
 	return r
 }
@@ -111,7 +111,8 @@
 	return Reply{Body: body}
 }
 
-// advance ends expired leases, in the order of names, and advances the partitions.
+// advance ends the incarnations whose lease has expired, in the order of names, and advances
+// the partitions.
 func (m *Machine) advance() {
 	for i := 0; i < len(m.members); {
 		if member := m.members[i]; member.LeaseEnd <= m.now {
--- a/internal/dispatcher/fleet/state/state_test.go
+++ b/internal/dispatcher/fleet/state/state_test.go
@@ -15,7 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// tally is a part that counts what it is told, by process, and who went.
+// tally is a partition that counts commands by process. Went lists the settings that were set
+// and the incarnations that ended.
 type tally struct {
 	Count map[string]int
 	Went  []string
@@ -43,8 +44,8 @@
 	return nil
 }
 func (t *tally) Renew(_ Command, body []byte) ([]byte, error) { return body, nil }
-func (t *tally) IncarnationEnded(at time.Duration, process string, incarnation uint64, how EndCause) {
-	t.Went = append(t.Went, fmt.Sprintf("%s %d %d %s", process, incarnation, how, at))
+func (t *tally) IncarnationEnded(at time.Duration, process string, incarnation uint64, cause EndCause) {
+	t.Went = append(t.Went, fmt.Sprintf("%s %d %d %s", process, incarnation, cause, at))
 }
 func (t *tally) Advance(at time.Duration) { t.At = at }
 func (t *tally) Snapshot() (Snapshot, error) {
@@ -108,17 +109,17 @@
 func TestFencing(t *testing.T) {
 	l := newLog(t)
 	first := l.join(0, "n1", "a")
-	require.Equal(t, first, l.join(time.Second, "n1", "a"), "a join whose answer was lost")
+	require.Equal(t, first, l.join(time.Second, "n1", "a"), "a join that is repeated because its reply was lost")
 	do := func(at time.Duration, inc uint64) error {
 		return l.apply(Command{At: at, Process: "n1", Incarnation: inc, Kind: "tally/one"}, nil).Err()
 	}
 	require.NoError(t, do(time.Second, first))
 	second := l.join(2*time.Second, "n1", "b")
 	require.Greater(t, second, first)
-	require.ErrorIs(t, do(2*time.Second, first), ErrFenced, "the older incarnation, frozen and resumed")
+	require.ErrorIs(t, do(2*time.Second, first), ErrFenced, "the older incarnation: its process was stopped and resumed")
 	require.NoError(t, do(2*time.Second, second))
 	require.NoError(t, do(2*time.Second+lease-1, second))
-	require.ErrorIs(t, do(2*time.Second+lease, second), ErrFenced, "its lease ended")
+	require.ErrorIs(t, do(2*time.Second+lease, second), ErrFenced, "its lease has expired")
 	require.Equal(t, []string{"n1 1 2 2s", "n1 4 0 5s"}, l.part.Went)
 	require.ErrorIs(t, l.apply(Command{Kind: "other/one"}, nil).Err(), ErrFenced)
 	third := l.join(6*time.Second, "n1", "c")
@@ -129,45 +130,47 @@
 	require.ErrorIs(t, l.m.Apply(99, []byte{1, 2}).Err(), ErrBad)
 }
 
-// Each command counts once, whatever copies of it arrive in whatever order, and a
-// replica made of a snapshot and the rest of the log is the same to the byte.
-func TestOnceAndAlike(t *testing.T) {
+// TestCommandsApplyOnceAtEveryReplica checks that each command takes effect once, whatever
+// copies of it arrive and in whatever order, and that a replica that was restored from a
+// snapshot and the rest of the log has the same digests. A truncated or corrupt snapshot is
+// refused.
+func TestCommandsApplyOnceAtEveryReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := newLog(t)
 		inc := map[string]uint64{"n1": l.join(0, "n1", "x"), "n2": l.join(0, "n2", "y")}
-		sent, first := map[string]map[uint64]Reply{"n1": {}, "n2": {}}, map[string]uint64{}
+		replies, acked := map[string]map[uint64]Reply{"n1": {}, "n2": {}}, map[string]uint64{}
 		at, cut := time.Duration(0), rapid.IntRange(3, 30).Draw(t, "cut")
-		var frozen bytes.Buffer
+		var snapshot bytes.Buffer
 		for range 40 {
 			at += time.Duration(rapid.IntRange(0, 60).Draw(t, "dt")) * time.Millisecond
-			who := rapid.SampledFrom([]string{"n1", "n2"}).Draw(t, "who")
-			seq := first[who] + uint64(rapid.IntRange(1, 6).Draw(t, "seq")) // out of order, and again
+			process := rapid.SampledFrom([]string{"n1", "n2"}).Draw(t, "who")
+			seq := acked[process] + uint64(rapid.IntRange(1, 6).Draw(t, "seq")) // out of order, and repeated
 			kind := rapid.SampledFrom([]Kind{"tally/one", "tally/one", "tally/no"}).Draw(t, "kind")
-			r := l.apply(Command{At: at, Process: who, Incarnation: inc[who], Seq: seq, Acked: first[who], Kind: kind}, nil)
-			if old, again := sent[who][seq]; again {
-				require.Equal(t, old, r, "a copy gets the first answer")
+			r := l.apply(Command{At: at, Process: process, Incarnation: inc[process], Seq: seq, Acked: acked[process], Kind: kind}, nil)
+			if old, again := replies[process][seq]; again {
+				require.Equal(t, old, r, "a copy gets the first reply")
 			}
-			sent[who][seq] = r
-			for sent[who][first[who]+1].Body != nil || sent[who][first[who]+1].Code != OK {
-				first[who]++
+			replies[process][seq] = r
+			for replies[process][acked[process]+1].Body != nil || replies[process][acked[process]+1].Code != OK {
+				acked[process]++
 			}
 			if len(l.entries) == cut {
 				now, err := l.m.Snapshot()
 				require.NoError(t, err)
-				require.NoError(t, now.Write(&frozen))
+				require.NoError(t, now.Write(&snapshot))
 			}
 		}
-		for who, all := range sent {
+		for process, all := range replies {
 			n := 0
 			for _, r := range all {
 				if r.Code == OK {
 					n++
 				}
 			}
-			require.Equal(t, n, l.part.Count[who])
+			require.Equal(t, n, l.part.Count[process])
 		}
 		other := New(newTally())
-		require.NoError(t, other.Restore(bytes.NewReader(frozen.Bytes())))
+		require.NoError(t, other.Restore(bytes.NewReader(snapshot.Bytes())))
 		for i := cut; i < len(l.entries); i++ {
 			other.Apply(uint64(i+1), l.entries[i])
 		}
@@ -176,9 +179,9 @@
 		b, err := other.Digests()
 		require.NoError(t, err)
 		require.Equal(t, a, b)
-		torn := frozen.Bytes()[:rapid.IntRange(0, frozen.Len()-1).Draw(t, "torn")]
-		require.ErrorIs(t, New(newTally()).Restore(bytes.NewReader(torn)), ErrInvalidSnapshot)
-		flipped := bytes.Clone(frozen.Bytes())
+		truncated := snapshot.Bytes()[:rapid.IntRange(0, snapshot.Len()-1).Draw(t, "torn")]
+		require.ErrorIs(t, New(newTally()).Restore(bytes.NewReader(truncated)), ErrInvalidSnapshot)
+		flipped := bytes.Clone(snapshot.Bytes())
 		flipped[rapid.IntRange(0, len(flipped)-1).Draw(t, "at")] ^= 0x10
 		require.Error(t, New(newTally()).Restore(bytes.NewReader(flipped)))
 	})
@@ -192,7 +195,7 @@
 	}
 	second := FleetSettings{Revision: 2, Lease: time.Second, Partitions: map[string][]byte{"tally": []byte("two")}}
 	require.Empty(t, set(second))
-	require.Empty(t, set(second), "again is no change")
+	require.Empty(t, set(second), "repeating the settings changes nothing")
 	require.Contains(t, set(FleetSettings{Revision: 2, Lease: time.Minute}), "revision 2 of the fleet's settings is in force")
 	require.Contains(t, set(FleetSettings{Revision: 1, Lease: time.Minute}), "needs a higher revision")
 	require.Contains(t, set(FleetSettings{Revision: 3}), "a lease of 0s")
@@ -201,24 +204,24 @@
 	require.Equal(t, []string{"two"}, l.part.Went)
 	l.join(0, "n2", "b")
 	l.apply(Command{At: time.Second, Kind: Tick}, nil)
-	require.Len(t, l.m.Members(), 1, "the lease that was set ends for who joined under it")
+	require.Len(t, l.m.Members(), 1, "n2 joined with the lease that was set, and it has expired")
 }
 
 func TestMajorityOfDigests(t *testing.T) {
 	l := newLog(t)
-	tell := func(replica string, index uint64, sum uint64) {
+	report := func(replica string, index uint64, sum uint64) {
 		l.apply(Command{Kind: ReportDigests}, DigestsBody{Replica: replica, Index: index, Partitions: map[string]uint64{"tally": sum}})
 	}
-	tell("k1", 7, 1)
-	tell("k2", 7, 2)
-	require.Empty(t, l.m.DivergentPartitions("k1", 3), "one against one proves nothing")
-	tell("k3", 7, 2)
+	report("k1", 7, 1)
+	report("k2", 7, 2)
+	require.Empty(t, l.m.DivergentPartitions("k1", 3), "one digest against another is no majority")
+	report("k3", 7, 2)
 	require.Equal(t, []string{"tally"}, l.m.DivergentPartitions("k1", 3))
 	require.Empty(t, l.m.DivergentPartitions("k2", 3))
-	tell("k1", 9, 5)
-	require.Empty(t, l.m.DivergentPartitions("k1", 3), "a newer index begins anew")
-	tell("k2", 7, 5)
-	require.Empty(t, l.m.DivergentPartitions("k2", 3), "what is out of date counts nothing")
+	report("k1", 9, 5)
+	require.Empty(t, l.m.DivergentPartitions("k1", 3), "reports of a newer index replace those of older ones")
+	report("k2", 7, 5)
+	require.Empty(t, l.m.DivergentPartitions("k2", 3), "reports of an older index are ignored")
 }
 
 func FuzzRestore(f *testing.F) {
@@ -232,7 +235,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m := New(newTally())
 		if m.Restore(bytes.NewReader(text)) != nil {
-			require.Empty(t, m.Members(), "nothing is taken of what is refused")
+			require.Empty(t, m.Members(), "a refused snapshot changes nothing")
 		}
 	})
 }
