--- a/internal/dispatcher/fleet/raftnode/data_dir.go
+++ b/internal/dispatcher/fleet/raftnode/data_dir.go
@@ -15,7 +15,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// boltOptions make opening a log that another process holds fail soon.
+// boltOptions bound the wait for a log that another process has locked.
 var boltOptions = &bbolt.Options{Timeout: time.Second}
 
 // dataDir is a node's data directory, locked for this process.
@@ -26,8 +26,8 @@
 	identity  identity
 }
 
-// identity says which node a data directory belongs to and how often that has started with
-// it. It is stored by the field names in its tags.
+// identity names the node that a data directory belongs to, and counts the node's starts
+// with it. It is stored under its field names, or the names in their tags.
 type identity struct {
 	Version uint8  `cbor:"V"`
 	Node    string `cbor:"Keeper"`
@@ -39,7 +39,7 @@
 	identityVersion = 1
 )
 
-// ErrDataDir says that a data directory can't be used by this node.
+// ErrDataDir is returned for a data directory that this node can't use.
 var ErrDataDir = errors.New("the fleet's folder can't be used")
 
 // openDir locks the data directory. It fails for the directory of another node or version,
@@ -54,34 +54,34 @@
 		_ = lock.Close()
 		return nil, fmt.Errorf("%w: another process uses %s", ErrDataDir, path)
 	}
-	f := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: node.settings.Name}}
+	dir := &dataDir{path: path, lock: lock, identity: identity{Version: identityVersion, Node: node.settings.Name}}
 	text, err := os.ReadFile(filepath.Join(path, identityFile))
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		if _, err := os.Stat(filepath.Join(path, "log.db")); err == nil {
 			_ = lock.Close()
-			return nil, fmt.Errorf("%w: %s has a log, and no mark of whose it is", ErrDataDir, path)
+			return nil, fmt.Errorf("%w: %s has a log, but no identity file", ErrDataDir, path)
 		}
-		return f, nil
+		return dir, nil
 	case err == nil:
-		err = codec.Decode(text, &f.identity)
+		err = codec.Decode(text, &dir.identity)
 	}
 	switch {
 	case err != nil:
-		err = fmt.Errorf("%w: its mark can't be read: %w", ErrDataDir, err)
-	case f.identity.Version != identityVersion:
-		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, f.identity.Version, identityVersion)
-	case f.identity.Node != node.settings.Name:
-		err = fmt.Errorf("%w: %s is that of keeper %s, not of %s", ErrDataDir, path, f.identity.Node, node.settings.Name)
+		err = fmt.Errorf("%w: its identity file can't be read: %w", ErrDataDir, err)
+	case dir.identity.Version != identityVersion:
+		err = fmt.Errorf("%w: it is of version %d, this program reads %d", ErrDataDir, dir.identity.Version, identityVersion)
+	case dir.identity.Node != node.settings.Name:
+		err = fmt.Errorf("%w: %s belongs to raft node %s, not to %s", ErrDataDir, path, dir.identity.Node, node.settings.Name)
 	default:
-		return f, nil
+		return dir, nil
 	}
 	_ = lock.Close()
 	return nil, err
 }
 
-// claim stores the identity of a directory that has none yet, before there is a log in it: a
-// node that ends while it waits for the others finds its own directory again.
+// claim stores the identity of a directory that has none yet, before a log is written to it.
+// A node that stops while it waits for the others can then use its directory again.
 func (d *dataDir) claim() error {
 	if _, err := os.Stat(filepath.Join(d.path, identityFile)); !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// sync makes changes of the names in the directory durable.
+// sync makes the creation, renaming and removal of files in the directory durable.
 func (d *dataDir) sync() error {
 	file, err := os.Open(d.path)
 	if err != nil {
--- a/internal/dispatcher/fleet/raftnode/divergence.go
+++ b/internal/dispatcher/fleet/raftnode/divergence.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// checkDivergence reports whether this replica's state differs from the majority's. If so
-// it serves nothing from then on.
+// checkDivergence reports whether this replica's state differs from the majority's. If so,
+// the replica serves nothing from then on.
 func (node *Node) checkDivergence(n *replica) bool {
 	voters := 0
 	if f := n.raft.GetConfiguration(); f.Error() == nil {
@@ -17,22 +17,22 @@
 			}
 		}
 	}
-	var differs []string
-	node.fsm.read(func(m *state.Machine) { differs = m.DivergentPartitions(node.settings.Name, voters) })
-	if len(differs) == 0 {
+	var divergent []string
+	node.fsm.read(func(m *state.Machine) { divergent = m.DivergentPartitions(node.settings.Name, voters) })
+	if len(divergent) == 0 {
 		return false
 	}
-	node.stopServing(n, differs)
+	node.stopServing(n, divergent)
 	return true
 }
 
-// stopServing keeps this replica from serving anything until its state has been restored
-// from the others.
-func (node *Node) stopServing(n *replica, differs []string) {
+// stopServing stops this replica from serving anything until its state has been restored
+// from the other nodes.
+func (node *Node) stopServing(n *replica, divergent []string) {
 	node.mu.Lock()
-	node.divergent = differs
+	node.divergent = divergent
 	node.mu.Unlock()
-	node.log.Error("replica diverges from the majority; it serves nothing until its state is restored", "partitions", differs)
+	node.log.Error("replica diverges from the majority; it serves nothing until its state is restored", "partitions", divergent)
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
 			node.log.Debug("leadership transfer failed", "error", err)
--- a/internal/dispatcher/fleet/raftnode/fsm.go
+++ b/internal/dispatcher/fleet/raftnode/fsm.go
@@ -15,8 +15,8 @@
 type fsm struct {
 	mu            sync.RWMutex
 	state         *state.Machine
-	onDigests     func(index uint64, sums map[string]uint64, err error)
-	onPeerDigests func() // some replica's digests have arrived
+	onDigests     func(index uint64, byPartition map[string]uint64, err error)
+	onPeerDigests func() // a replica's digests have been applied
 }
 
 // digestRequest is the body of a tick at which every replica computes its digests.
@@ -62,10 +62,10 @@
 }
 
 // read calls a function with the state, which it must not change.
-func (f *fsm) read(see func(*state.Machine)) {
+func (f *fsm) read(inspect func(*state.Machine)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
-	see(f.state)
+	inspect(f.state)
 }
 
 type fsmSnapshot struct{ state.Snapshot }
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -24,26 +24,26 @@
 	"github.com/valyala/fastjson"
 )
 
-// goldenFolder is the folder of a raft node, written by commit 352ebf2: its mark, raft's
-// log and a snapshot in the middle of it. It must never be rewritten by later code.
+// goldenFolder is the data directory of a raft node, written by commit 352ebf2: its identity
+// file, raft's log and a snapshot in the middle of it. Later code must never rewrite it.
 //
-// The mark, the snapshot and the log carry Go field names of exported fields.
+// The identity, the snapshot and the log contain names of exported Go fields.
 var goldenFolder = filepath.Join("testdata", "golden", "keeper")
 
-// alone runs the only raft node of a fleet on a folder until stop is called.
-func alone(t *testing.T, folder string) (k *Node, client *rpc.Client, stop func()) {
+// runSingleNode runs the only raft node of a fleet on a data directory until stop is called.
+func runSingleNode(t *testing.T, folder string) (node *Node, client *rpc.Client, stop func()) {
 	t.Helper()
 	listen := func() net.Listener {
 		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		return l
 	}
-	calls, votes := listen(), listen()
+	rpcListener, raftListener := listen(), listen()
 	store, err := recordstore.Open(t.TempDir())
 	require.NoError(t, err)
 	log := logtest.Discard()
-	k, err = New(Settings{
-		Name: "k1", DataDir: folder, Peers: map[string]Peer{"k1": {calls.Addr().String(), votes.Addr().String()}}, RaftListener: votes,
+	node, err = New(Settings{
+		Name: "k1", DataDir: folder, Peers: map[string]Peer{"k1": {rpcListener.Addr().String(), raftListener.Addr().String()}}, RaftListener: raftListener,
 		ElectionTimeout: 100 * time.Millisecond, DigestInterval: time.Hour, Log: log,
 		NewMachine: func() (*state.Machine, error) {
 			return state.New(partition.NewBudgets(), partition.NewPlans(), partition.NewRecords(store, records.Fence{})), nil
@@ -52,21 +52,21 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- k.Run(ctx) }()
-	server := &http.Server{Handler: k}
+	go func() { ended <- node.Run(ctx) }()
+	server := &http.Server{Handler: node}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = server.Serve(calls) // ends with the listener
+		_ = server.Serve(rpcListener) // ends with the listener
 	}()
-	client = rpc.New(map[string]string{"k1": calls.Addr().String()})
-	return k, client, func() {
+	client = rpc.New(map[string]string{"k1": rpcListener.Addr().String()})
+	return node, client, func() {
 		cancel()
 		require.NoError(t, <-ended)
 		require.NoError(t, server.Close())
 		<-served
 		client.Close()
-		require.NoError(t, votes.Close())
+		require.NoError(t, raftListener.Close())
 		require.NoError(t, store.Close())
 	}
 }
@@ -85,31 +85,32 @@
 	}
 }
 
-// writeGoldenFolder founds a fleet of one raft node and has it work before and after a snapshot.
+// writeGoldenFolder bootstraps a fleet of one raft node, and has it execute commands before and
+// after a snapshot.
 func writeGoldenFolder(t *testing.T, folder string) {
-	k, client, stop := alone(t, folder)
+	node, client, stop := runSingleNode(t, folder)
 	defer stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	who, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
+	session, _, err := client.Join(ctx, "n1", "start-1", "352ebf2")
 	require.NoError(t, err)
-	require.NoError(t, who.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Partitions: map[string][]byte{
+	require.NoError(t, session.Execute(ctx, state.SetSettings, state.FleetSettings{Revision: 4, Lease: time.Hour, Partitions: map[string][]byte{
 		partition.BudgetsName: encoded(t, budget.Config{Lease: time.Hour, Budgets: []budget.Budget{{Name: "jobs/hrad-kamenec", Kind: budget.Rate, Total: 120, Burst: 40}}}),
 		partition.RecordsName: encoded(t, records.SetRules{At: 1, Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: 100}}}}),
 	}}, nil))
 	for grant := (budget.Grant{}); len(grant.Shares) == 0 || grant.Shares[0].Amount == 0; {
-		renewed, err := who.Renew(ctx, map[string][]byte{partition.BudgetsName: encoded(t, budget.Renewal{
-			Process: "n1", Incarnation: who.Incarnation, AppliedGrant: grant.Number, Usage: map[string]budget.Usage{"jobs/hrad-kamenec": {Demand: 9}},
+		renewed, err := session.Renew(ctx, map[string][]byte{partition.BudgetsName: encoded(t, budget.Renewal{
+			Process: "n1", Incarnation: session.Incarnation, AppliedGrant: grant.Number, Usage: map[string]budget.Usage{"jobs/hrad-kamenec": {Demand: 9}},
 		})})
 		require.NoError(t, err)
 		require.NoError(t, codec.Decode(renewed.Partitions[partition.BudgetsName], &grant))
 	}
-	begin := func(run string) {
+	startRun := func(run string) {
 		shape := planrun.Shape{MaxAttempts: 9, Timeout: 10 * time.Minute, Stages: []planrun.StageShape{{Name: "hold", Class: "hold", Effect: policy.Deduplicated}}}
 		var reply partition.PlanReply
-		require.NoError(t, who.Execute(ctx, partition.PlansCommand, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
+		require.NoError(t, session.Execute(ctx, partition.PlansCommand, planrun.Command{Start: &planrun.Start{Run: run, Plan: "booking", Tenant: "hrad-kamenec", Shape: shape, Input: []byte(`{"tour":7}`), Before: time.Hour}}, &reply))
 		require.NoError(t, reply.Err())
-		require.NoError(t, who.Execute(ctx, partition.PlansCommand, planrun.Command{Open: &planrun.Open{Run: run, Fence: reply.Started.Fence, Items: [][]byte{nil}}}, &reply))
+		require.NoError(t, session.Execute(ctx, partition.PlansCommand, planrun.Command{Open: &planrun.Open{Run: run, Fence: reply.Started.Fence, Items: [][]byte{nil}}}, &reply))
 		require.NoError(t, reply.Err())
 	}
 	ship := func(first uint64, ids ...string) {
@@ -117,20 +118,20 @@
 		for _, id := range ids {
 			s.Records = append(s.Records, goldenRecord(id))
 		}
-		require.NoError(t, who.Execute(ctx, partition.RecordsShip, s, nil))
+		require.NoError(t, session.Execute(ctx, partition.RecordsShip, s, nil))
 	}
-	begin("run-in-the-snapshot")
+	startRun("run-in-the-snapshot")
 	ship(1, "job-1", "job-2")
-	k.mu.Lock()
-	node := k.replica
-	k.mu.Unlock()
-	require.NoError(t, node.raft.Snapshot().Error())
-	begin("run-in-the-log")
+	node.mu.Lock()
+	replica := node.replica
+	node.mu.Unlock()
+	require.NoError(t, replica.raft.Snapshot().Error())
+	startRun("run-in-the-log")
 	ship(3, "job-3")
 }
 
-// TestGoldenFolder: a raft node starts on a copy of the golden folder, has all that was
-// committed before and after the snapshot, and goes on.
+// TestGoldenFolder checks that a raft node which starts on a copy of the golden folder has all
+// that was committed before and after the snapshot, and executes further commands.
 func TestGoldenFolder(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	if goldentest.Missing(goldenFolder) {
 		written := filepath.Join(t.TempDir(), "keeper")
@@ -141,7 +142,7 @@
 	require.NoError(t, err)
 	require.Len(t, snapshots, 1)
 
-	k, client, stop := alone(t, goldentest.CopyFolder(t, goldenFolder))
+	node, client, stop := runSingleNode(t, goldentest.CopyFolder(t, goldenFolder))
 	defer stop()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
@@ -170,15 +171,15 @@
 		want.Process, want.Epoch, want.Seq = "n1", 70, uint64(i+1)
 		require.Equal(t, want, page.Records[i])
 	}
-	var standings []budget.Occupancy
-	ask(partition.BudgetsStatus, nil, &standings)
-	require.Len(t, standings, 1)
-	require.Equal(t, "jobs/hrad-kamenec", standings[0].Name)
-	require.Positive(t, standings[0].Held)
+	var budgets []budget.Occupancy
+	ask(partition.BudgetsStatus, nil, &budgets)
+	require.Len(t, budgets, 1)
+	require.Equal(t, "jobs/hrad-kamenec", budgets[0].Name)
+	require.Positive(t, budgets[0].Held)
 
 	var member state.Member
 	var revision uint64
-	k.fsm.read(func(m *state.Machine) {
+	node.fsm.read(func(m *state.Machine) {
 		revision = m.Revision()
 		require.Len(t, m.Members(), 1)
 		member = *m.Members()[0]
@@ -189,20 +190,20 @@
 	require.Equal(t, "352ebf2", member.Version)
 
 	var arena fastjson.Arena
-	told := k.Status(&arena)
+	status := node.Status(&arena)
 	var keys []string
-	told.GetObject().Visit(func(key []byte, _ *fastjson.Value) { keys = append(keys, string(key)) })
+	status.GetObject().Visit(func(key []byte, _ *fastjson.Value) { keys = append(keys, string(key)) })
 	require.Equal(t, []string{"leads", "empty", "differs", "index", "at_ms", "members", "digests"}, keys)
-	var sums []string
-	told.Get("digests").GetObject().Visit(func(key []byte, _ *fastjson.Value) { sums = append(sums, string(key)) })
-	require.ElementsMatch(t, []string{"members", "budgets", "plans", "records"}, sums)
-	require.Equal(t, `["n1"]`, told.Get("members").String())
+	var partitions []string
+	status.Get("digests").GetObject().Visit(func(key []byte, _ *fastjson.Value) { partitions = append(partitions, string(key)) })
+	require.ElementsMatch(t, []string{"members", "budgets", "plans", "records"}, partitions)
+	require.Equal(t, `["n1"]`, status.Get("members").String())
 
-	// The same start goes on with its incarnation, and gets work done.
-	who, joined, err := client.Join(ctx, "n1", "start-1", "new")
+	// The same start of the process keeps its incarnation, and its commands are executed.
+	session, joined, err := client.Join(ctx, "n1", "start-1", "new")
 	require.NoError(t, err)
 	require.Equal(t, member.Incarnation, joined.Incarnation)
-	require.NoError(t, who.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
+	require.NoError(t, session.PostToLeader(ctx, rpc.PathCommand, encoded(t, state.Command{
 		Version: state.Version, Process: "n1", Incarnation: joined.Incarnation, Seq: 99, Kind: partition.RecordsShip,
 		Body: encoded(t, records.Ship{Epoch: 70, FirstSeq: 4, Records: []records.Record{goldenRecord("job-4")}}),
 	}), &state.Reply{}))
@@ -210,7 +211,7 @@
 	require.Len(t, page.Records, 4)
 }
 
-// TestGoldenIdentity: the mark of a folder has the bytes that 352ebf2 wrote.
+// TestGoldenIdentity checks that the identity file has the bytes that commit 352ebf2 wrote.
 func TestGoldenIdentity(t *testing.T) {
 	text := goldentest.Read(t, filepath.Join(goldenFolder, identityFile))
 	require.Equal(t, "keeper", identityFile)
@@ -220,7 +221,8 @@
 	require.Equal(t, text, encoded(t, m))
 }
 
-// TestGoldenMembershipRequest: what a raft node that has caught up tells the leader, in the bytes of 352ebf2.
+// TestGoldenMembershipRequest checks that the promotion call of a raft node that has caught up
+// has the bytes of commit 352ebf2.
 func TestGoldenMembershipRequest(t *testing.T) {
 	text := []byte("\xa2\x64Name\x62k1\x65Index\x07")
 	require.Equal(t, text, encoded(t, membershipRequest{Name: "k1", Index: 7}))
--- a/internal/dispatcher/fleet/raftnode/http.go
+++ b/internal/dispatcher/fleet/raftnode/http.go
@@ -53,7 +53,7 @@
 	_, _ = w.Write(text) // the caller may be gone
 }
 
-// redirect answers that another node is the leader, and which.
+// redirect answers that another node must be asked, and names the leader if it is known.
 func (node *Node) redirect(w http.ResponseWriter, why string) {
 	node.mu.Lock()
 	n := node.replica
@@ -80,8 +80,8 @@
 	node.writeReply(w, r)
 }
 
-// handleQuery answers a query. For a read, the leader first makes sure that it is still the
-// leader, so that the answer reflects all that was answered before.
+// handleQuery answers a query. For a read, the leader first verifies that it is still the
+// leader, so that the answer reflects all commands that were answered before.
 func (node *Node) handleQuery(w http.ResponseWriter, r *http.Request, body []byte) {
 	var q rpc.Query
 	if err := codec.Decode(body, &q); err != nil {
@@ -114,8 +114,8 @@
 	node.writeReply(w, node.Query(q))
 }
 
-// waitApplied waits until everything up to an index is applied. Some log entries are raft's
-// own, which the state does not see.
+// waitApplied waits until all log entries up to an index are applied. It asks raft for that,
+// since the state does not see raft's own log entries.
 func (node *Node) waitApplied(ctx context.Context, n *replica, index uint64) error {
 	for n.raft.AppliedIndex() < index {
 		select {
@@ -143,4 +143,4 @@
 
 // Inspect calls a function with this node's state, which it must not change. No command is
 // applied until it returns.
-func (node *Node) Inspect(see func(*state.Machine)) { node.fsm.read(see) }
+func (node *Node) Inspect(inspect func(*state.Machine)) { node.fsm.read(inspect) }
--- a/internal/dispatcher/fleet/raftnode/join.go
+++ b/internal/dispatcher/fleet/raftnode/join.go
@@ -10,16 +10,17 @@
 
 // joinRetryInterval is the time between two attempts to join with an empty data directory.
 //
-// A node with an empty data directory has forgotten its votes and the log entries that it
+// A node with an empty data directory has lost its votes and the log entries that it
 // acknowledged. If it voted again under its name, an entry that a majority had might be
-// lost. So it takes no part until the others have removed it from the configuration and
-// added it again without a vote, and it votes again once it has all that was committed by
-// then. Only if every other node says that it has no state either is a new fleet
-// bootstrapped.
+// lost. So raft is not started on it until the others have removed it from the configuration
+// and added it again without a vote. It gets its vote back once it has all that was
+// committed by then. A new fleet is bootstrapped only if every other node answers that it
+// has no state either.
 const joinRetryInterval = 200 * time.Millisecond
 
-// joinWithEmptyDir returns once the other nodes have added this one, or returns true once
-// it is known that the fleet is to be bootstrapped.
+// joinWithEmptyDir waits until the other nodes have added this one, or until it is known that
+// no node has state, so that the fleet must be bootstrapped. It returns true in the second
+// case only.
 func (node *Node) joinWithEmptyDir(ctx context.Context) (bootstrap bool, err error) {
 	node.mu.Lock()
 	node.empty = true
@@ -29,23 +30,23 @@
 		return false, err
 	}
 	for waited := false; ctx.Err() == nil; waited = true {
-		nothing, taken := 0, false
+		withoutState, readmitted := 0, false
 		for _, a := range node.queryPeers(ctx) {
 			if !a.Bootstrapped {
-				nothing++
+				withoutState++
 				continue
 			}
 			var ok bool
 			if _, err := node.peers.Post(ctx, a.Name, rpc.PathRejoin, self, &ok); err == nil && ok {
-				taken = true
+				readmitted = true
 				break
 			}
 		}
-		if taken {
+		if readmitted {
 			node.log.Info("added to the raft group with an empty data directory")
 			return false, nil
 		}
-		if nothing == len(node.settings.Peers)-1 {
+		if withoutState == len(node.settings.Peers)-1 {
 			node.log.Info("no raft node has state; bootstrapping the fleet")
 			return true, nil
 		}
@@ -60,8 +61,8 @@
 	return false, nil
 }
 
-// queryPeers asks the other nodes for their status, concurrently. Nodes that don't answer
-// are left out.
+// queryPeers queries the status of the other nodes concurrently. Nodes that don't answer are
+// left out.
 func (node *Node) queryPeers(ctx context.Context) (all []rpc.NodeStatus) {
 	answers := make(chan *rpc.NodeStatus)
 	others := 0
@@ -88,8 +89,8 @@
 	return all
 }
 
-// isStaleCopy reports whether another node knows of a later start of this one than its data
-// directory does. A stale directory has lost votes and entries, like an empty one.
+// isStaleCopy reports whether another node has recorded more starts of this node than its
+// data directory has. A stale directory has lost votes and entries, like an empty one.
 func (node *Node) isStaleCopy(ctx context.Context, dir *dataDir) bool {
 	for _, a := range node.queryPeers(ctx) {
 		if a.BootCounts[node.settings.Name] > dir.identity.Starts {
--- a/internal/dispatcher/fleet/raftnode/leadership.go
+++ b/internal/dispatcher/fleet/raftnode/leadership.go
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// leadership is the clock of a leader, which continues the fleet time.
+// leadership is the clock by which a leader continues the fleet time.
 type leadership struct {
 	startTime   time.Duration // fleet time when the leadership began
 	since       time.Time     // the same moment by the monotonic clock
@@ -20,7 +20,7 @@
 }
 
 // now returns the fleet time: that of the last command when this node became the leader,
-// plus what has passed since by the monotonic clock. No fleet time passes between two
+// plus the time since then by the monotonic clock. Fleet time stands still between two
 // leaders, so that it never runs ahead of real time.
 func (l *leadership) now() time.Duration { return l.startTime + time.Since(l.since) }
 
@@ -36,7 +36,7 @@
 	if !leads || was != nil {
 		return
 	}
-	if err := n.raft.Barrier(0).Error(); err != nil { // all that was committed is applied here
+	if err := n.raft.Barrier(0).Error(); err != nil { // waits until all committed entries are applied here
 		return
 	}
 	l := &leadership{since: time.Now()}
@@ -68,7 +68,7 @@
 }
 
 // propose appends a command to the log and waits for its reply. After an error the command
-// may have been carried out, or may be yet.
+// may have been carried out, or may still be.
 func (node *Node) propose(c state.Command) (state.Reply, error) {
 	node.mu.Lock()
 	n, l := node.replica, node.leadership
@@ -92,7 +92,8 @@
 	return f.Response().(state.Reply), nil
 }
 
-// submit has a command of the raft nodes themselves carried out by the leader.
+// submit sends a command that the raft nodes themselves issue to the leader, which may be
+// this node.
 func (node *Node) submit(ctx context.Context, kind state.Kind, body any) error {
 	text, err := codec.Encode(body)
 	if err != nil {
@@ -111,8 +112,8 @@
 	return err
 }
 
-// TransferLeadership hands the leadership to another node, if this one has it, so that a
-// planned shutdown costs no election.
+// TransferLeadership transfers the leadership to another node, if this one has it, so that at
+// a planned shutdown the other nodes need not wait for an election timeout.
 func (node *Node) TransferLeadership() {
 	node.mu.Lock()
 	n, leads := node.replica, node.leadership != nil
--- a/internal/dispatcher/fleet/raftnode/membership.go
+++ b/internal/dispatcher/fleet/raftnode/membership.go
@@ -15,7 +15,7 @@
 )
 
 // beginMembershipChange returns the replica for a membership change, or nil if this node is
-// not the leader or shuts down.
+// not the leader or is shutting down. The caller must end the call with calls.Done.
 func (node *Node) beginMembershipChange() *replica {
 	node.mu.Lock()
 	defer node.mu.Unlock()
@@ -27,7 +27,7 @@
 }
 
 // handleMembershipChange handles a rejoin or promotion call.
-func (node *Node) handleMembershipChange(w http.ResponseWriter, body []byte, how func(*replica, membershipRequest) error) {
+func (node *Node) handleMembershipChange(w http.ResponseWriter, body []byte, change func(*replica, membershipRequest) error) {
 	n := node.beginMembershipChange()
 	if n == nil {
 		node.redirect(w, "another keeper leads")
@@ -43,15 +43,15 @@
 		http.Error(w, "no other keeper is called that", http.StatusBadRequest)
 		return
 	}
-	if err := how(n, b); err != nil {
+	if err := change(n, b); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	node.writeReply(w, true)
 }
 
-// readmit removes a node without state from the configuration, so that nothing relies on
-// what it has forgotten, and adds it again without a vote.
+// readmit removes a node without state from the configuration, so that no majority relies on
+// votes and entries that it has lost, and adds it again without a vote.
 func (node *Node) readmit(n *replica, b membershipRequest) error {
 	id := raft.ServerID(b.Name)
 	if err := n.raft.RemoveServer(id, 0, 0).Error(); err != nil {
@@ -62,8 +62,9 @@
 	return n.raft.AddNonvoter(id, raft.ServerAddress(b.Name), 0, 0).Error()
 }
 
-// promote gives a node its vote once it has all that is committed by now. A node that is
-// not in the configuration is added first: it has forgotten nothing.
+// promote gives a node its vote once it has nearly all that is committed by now (see
+// maxPromotionLag). A node that is not in the configuration is added first without a vote:
+// it has lost nothing.
 func (node *Node) promote(n *replica, b membershipRequest) error {
 	f := n.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
@@ -88,14 +89,14 @@
 }
 
 // maxPromotionLag is how many log entries a node may lag behind when it gets its vote. Any
-// number is safe, since the node has forgotten nothing since it was added; with a large one
-// a majority may be far behind.
+// number is safe, since the node has lost nothing since it was added. With a large one, a
+// majority may be far behind.
 const maxPromotionLag = 64
 
 // requestPromotion asks the leader for this node's vote once it has caught up. It also asks
-// when there has been no leader for long: a delayed copy of its own rejoin call, or a
-// leader that failed half-way, may have removed it from the configuration, and a removed
-// node hears nothing.
+// when it has had no contact with a leader for a while: a delayed copy of its own rejoin
+// call, or a leader that failed half-way, may have removed it from the configuration, and a
+// removed node receives no messages.
 func (node *Node) requestPromotion(ctx context.Context, n *replica) {
 	f := n.raft.GetConfiguration()
 	if f.Error() != nil || n.raft.State() == raft.Leader || len(node.settings.Peers) == 1 {
@@ -120,8 +121,8 @@
 	}
 }
 
-// leaderlessElections is the number of election timeouts without a leader after which a
-// node asks whether it was removed.
+// leaderlessElections is the number of election timeouts without contact with a leader after
+// which a node asks to be added again, since it may have been removed.
 const leaderlessElections = 4
 
 // membershipRequest is the body of a rejoin or promotion call.
--- a/internal/dispatcher/fleet/raftnode/node.go
+++ b/internal/dispatcher/fleet/raftnode/node.go
@@ -22,7 +22,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Peer is where another raft node is reached from this one.
+// Peer holds the addresses of a raft node, as this node reaches it.
 type Peer struct{ RPCAddr, RaftAddr string }
 
 // Settings configure a raft node.
@@ -33,7 +33,8 @@
 	RaftListener    net.Listener    // where the other nodes' raft messages arrive
 	ElectionTimeout time.Duration   // a leader without contact for this long is replaced
 	DigestInterval  time.Duration   // how often the replicas' digests are compared
-	// NewMachine makes an empty state. The one before it is not used any more.
+	// NewMachine returns an empty state. It is called when the one of the call before is no
+	// longer used.
 	NewMachine func() (*state.Machine, error)
 	Log        *slog.Logger
 }
@@ -42,7 +43,8 @@
 // progress.
 const drainElections = 8
 
-// tickInterval is how often fleet time advances at the least.
+// tickInterval is the interval at which the leader advances fleet time if there are no
+// commands.
 const tickInterval = 200 * time.Millisecond
 
 // Node is one raft node. It is safe for concurrent use.
@@ -67,9 +69,10 @@
 	calls     sync.WaitGroup // commands, reads and membership changes in progress
 }
 
-// drainCalls waits until no command and no membership change is in progress, for a limited
-// time. At its shutdown the raft library answers only what it has not passed on yet; a
-// leader without a majority fails the rest within its lease.
+// drainCalls waits until no command, read or membership change is in progress, for a limited
+// time. At its shutdown the raft library answers only the calls that it has not passed on
+// internally yet. The others end before that: a leader without a majority fails them within
+// its lease.
 func (r *replica) drainCalls(most time.Duration) {
 	finished := make(chan struct{})
 	go func() {
@@ -114,7 +117,7 @@
 			return nil
 		}
 		if err := dir.wipe(); err != nil {
-			return fmt.Errorf("making room for the state anew: %w", err)
+			return fmt.Errorf("clearing the data directory: %w", err)
 		}
 	}
 	return nil
@@ -123,7 +126,7 @@
 // runReplica runs raft on the data directory. It reports whether the state must be
 // discarded and restored from the other nodes.
 func (node *Node) runReplica(ctx context.Context, dir *dataDir) (discard bool, err error) {
-	m, err := node.settings.NewMachine() // from nothing: raft brings the snapshot and the log
+	m, err := node.settings.NewMachine() // empty: raft restores the snapshot and applies the log
 	if err != nil {
 		return false, fmt.Errorf("the fleet's state: %w", err)
 	}
@@ -140,7 +143,7 @@
 		err = node.startRaft(n, dir)
 	}
 	if !ready || err != nil {
-		_ = n.store.Close() // nothing was written that must last
+		_ = n.store.Close() // nothing was written that must be durable
 		return stale, err
 	}
 	node.mu.Lock()
@@ -155,20 +158,20 @@
 		node.log.Error("raft shutdown failed", "error", err)
 	}
 	n.transport.CloseStreams()
-	_ = n.transport.Close() // its listener outlives it
+	_ = n.transport.Close() // the listener stays open
 	if err := n.store.Close(); err != nil {
 		node.log.Error("closing the raft log failed", "error", err)
 	}
 	return discard, nil
 }
 
-// prepareReplica makes the data directory one that raft may be started on: a stale copy is
-// to be discarded first; an empty one waits until the other nodes have added this one, or
-// is bootstrapped. It is not ready if the context has ended.
+// prepareReplica prepares the data directory for raft. A stale copy must be discarded first.
+// With an empty directory it waits until the other nodes have added this one, or bootstraps
+// the fleet. It returns neither ready nor stale if the context has ended.
 func (node *Node) prepareReplica(ctx context.Context, n *replica, dir *dataDir) (ready, stale bool, err error) {
 	has, err := raft.HasExistingState(n.store, n.store, dir.snapshots)
 	if err != nil {
-		return false, false, fmt.Errorf("reading the fleet's log: %w", err)
+		return false, false, fmt.Errorf("reading the raft log: %w", err)
 	}
 	if has && node.isStaleCopy(ctx, dir) {
 		node.log.Error("data directory is a stale copy; it is cleared and the state restored from the other nodes")
@@ -183,7 +186,7 @@
 	}
 	if bootstrap {
 		if err := raft.BootstrapCluster(node.raftConfig(), n.store, n.store, dir.snapshots, &raft.InmemTransport{}, node.initialConfiguration()); err != nil {
-			return false, false, fmt.Errorf("founding the fleet: %w", err)
+			return false, false, fmt.Errorf("bootstrapping the fleet: %w", err)
 		}
 	}
 	return true, false, nil
@@ -196,8 +199,8 @@
 	}
 	n.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: newStreamLayer(node.settings.RaftListener, node.settings.Peers), MaxPool: 3, Timeout: 2 * time.Second, Logger: node.raftLogger()})
 	if n.raft, err = raft.NewRaft(node.raftConfig(), node.fsm, n.store, n.store, dir.snapshots, n.transport); err != nil {
-		_ = n.transport.Close() // its listener outlives it
-		return fmt.Errorf("starting the fleet's log: %w", err)
+		_ = n.transport.Close() // the listener stays open
+		return fmt.Errorf("starting raft: %w", err)
 	}
 	return nil
 }
@@ -209,7 +212,7 @@
 	c.MaxAppendEntries, c.BatchApplyCh = 256, true
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = 20*time.Second, 8192, 4096
 	c.NoLegacyTelemetry = true
-	c.ShutdownOnRemove = false // one put out by a late copy of its own call asks to come back
+	c.ShutdownOnRemove = false // a node that was removed by a late copy of its own rejoin call asks to be added again
 	c.Logger = node.raftLogger()
 	return c
 }
@@ -225,16 +228,16 @@
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: slog.NewLogLogger(node.log.Handler(), slog.LevelDebug).Writer(), DisableTime: true})
 }
 
-// openReplica opens the log.
+// openReplica opens the log and the snapshots.
 func (node *Node) openReplica(dir *dataDir) (*replica, error) {
 	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(dir.path, "log.db"), BoltOptions: boltOptions})
 	if err != nil {
-		return nil, fmt.Errorf("opening the fleet's log: %w", err)
+		return nil, fmt.Errorf("opening the raft log: %w", err)
 	}
 	dir.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir.path, 2, node.raftLogger())
 	if err != nil {
 		_ = store.Close()
-		return nil, fmt.Errorf("opening the fleet's snapshots: %w", err)
+		return nil, fmt.Errorf("opening the raft snapshots: %w", err)
 	}
 	return &replica{store: store}, nil
 }
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -27,15 +27,15 @@
 	"go.uber.org/goleak"
 )
 
-// counter is a part that counts commands; spoilt makes its next count wrong.
+// counter is a partition that counts commands. If corrupt is set, the next count is wrong.
 type counter struct {
-	N      uint64
-	spoilt *atomic.Bool
+	N       uint64
+	corrupt *atomic.Bool
 }
 
 func (c *counter) Name() string { return "count" }
 func (c *counter) Apply(state.Command, uint64) ([]byte, error) {
-	if c.N++; c.spoilt.Swap(false) {
+	if c.N++; c.corrupt.Swap(false) {
 		c.N += 1000
 	}
 	return codec.Encode(c.N)
@@ -59,35 +59,35 @@
 	return state.Snapshot{Write: func(w io.Writer) error { _, err := w.Write(text); return err }}, err
 }
 
-// fleet is three raft nodes in this process.
+// fleet is a fleet of three raft nodes in this process.
 type fleet struct {
-	t      *testing.T
-	dir    string
-	peers  map[string]Peer
-	calls  map[string]net.Listener
-	votes  map[string]net.Listener
-	spoilt map[string]*atomic.Bool
-	up     map[string]*Node
-	stops  map[string]func() error
-	client *rpc.Client
-	who    *rpc.Session
-	count  uint64
+	t             *testing.T
+	dir           string
+	peers         map[string]Peer
+	rpcListeners  map[string]net.Listener
+	raftListeners map[string]net.Listener
+	corrupt       map[string]*atomic.Bool
+	nodes         map[string]*Node // running
+	stops         map[string]func() error
+	client        *rpc.Client
+	session       *rpc.Session
+	count         uint64 // of commands that were executed
 }
 
-// prepare makes the addresses and directories of three raft nodes, none of which runs.
-func prepare(t *testing.T) *fleet {
-	f := &fleet{t: t, dir: t.TempDir(), peers: map[string]Peer{}, calls: map[string]net.Listener{}, votes: map[string]net.Listener{},
-		spoilt: map[string]*atomic.Bool{}, up: map[string]*Node{}, stops: map[string]func() error{}}
+// newFleet makes the addresses and directories of three raft nodes, and starts none.
+func newFleet(t *testing.T) *fleet {
+	f := &fleet{t: t, dir: t.TempDir(), peers: map[string]Peer{}, rpcListeners: map[string]net.Listener{}, raftListeners: map[string]net.Listener{},
+		corrupt: map[string]*atomic.Bool{}, nodes: map[string]*Node{}, stops: map[string]func() error{}}
 	addrs := map[string]string{}
 	for _, name := range []string{"k1", "k2", "k3"} {
-		for _, m := range []map[string]net.Listener{f.calls, f.votes} {
+		for _, m := range []map[string]net.Listener{f.rpcListeners, f.raftListeners} {
 			l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = l.Close() })
 			m[name] = l
 		}
-		f.peers[name] = Peer{f.calls[name].Addr().String(), f.votes[name].Addr().String()}
-		addrs[name], f.spoilt[name] = f.peers[name].RPCAddr, new(atomic.Bool)
+		f.peers[name] = Peer{f.rpcListeners[name].Addr().String(), f.raftListeners[name].Addr().String()}
+		addrs[name], f.corrupt[name] = f.peers[name].RPCAddr, new(atomic.Bool)
 	}
 	f.client = rpc.New(addrs)
 	t.Cleanup(func() {
@@ -99,9 +99,9 @@
 	return f
 }
 
-// found starts a fleet of three raft nodes, with a process that has joined it.
-func found(t *testing.T) *fleet {
-	f := prepare(t)
+// startFleet starts a fleet of three raft nodes, with a process that has joined it.
+func startFleet(t *testing.T) *fleet {
+	f := newFleet(t)
 	for name := range f.peers {
 		f.start(name)
 	}
@@ -109,13 +109,13 @@
 	return f
 }
 
-// join has a process join the fleet.
+// join makes a process join the fleet.
 func (f *fleet) join() {
 	var err error
-	f.who, _, err = f.client.Join(f.ctx(), "n1", "first", "test")
+	f.session, _, err = f.client.Join(f.ctx(), "n1", "first", "test")
 	require.NoError(f.t, err)
-	require.NoError(f.t, f.who.Execute(f.ctx(), state.SetSettings, state.FleetSettings{Revision: 1, Lease: time.Hour}, nil))
-	_, err = f.who.Renew(f.ctx(), nil) // for an hour now: the tests renew nothing
+	require.NoError(f.t, f.session.Execute(f.ctx(), state.SetSettings, state.FleetSettings{Revision: 1, Lease: time.Hour}, nil))
+	_, err = f.session.Renew(f.ctx(), nil) // the lease is an hour from now on: the tests renew nothing
 	require.NoError(f.t, err)
 }
 
@@ -124,38 +124,38 @@
 	return testdeadline.Context(f.t)
 }
 
-func (f *fleet) folder(name string) string { return filepath.Join(f.dir, name) }
+func (f *fleet) dataDir(name string) string { return filepath.Join(f.dir, name) }
 
-// start starts a raft node; what its Run returns is what its stop does.
+// start starts a raft node. Its stop function returns the result of Run.
 func (f *fleet) start(name string) {
 	log := logtest.Discard()
-	k, err := New(Settings{
-		Name: name, DataDir: f.folder(name), Peers: f.peers, RaftListener: f.votes[name], ElectionTimeout: 250 * time.Millisecond, DigestInterval: 400 * time.Millisecond, Log: log,
-		NewMachine: func() (*state.Machine, error) { return state.New(&counter{spoilt: f.spoilt[name]}), nil },
+	node, err := New(Settings{
+		Name: name, DataDir: f.dataDir(name), Peers: f.peers, RaftListener: f.raftListeners[name], ElectionTimeout: 250 * time.Millisecond, DigestInterval: 400 * time.Millisecond, Log: log,
+		NewMachine: func() (*state.Machine, error) { return state.New(&counter{corrupt: f.corrupt[name]}), nil },
 	})
 	require.NoError(f.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	server := &http.Server{Handler: k}
+	server := &http.Server{Handler: node}
 	var all sync.WaitGroup
 	ended := make(chan error, 1)
-	all.Go(func() { ended <- k.Run(ctx) })
-	// The address stays taken while the raft node is down; what arrives then is cut.
+	all.Go(func() { ended <- node.Run(ctx) })
+	// The listener stays open while the raft node is down; connections are closed then.
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	require.NoError(f.t, err)
 	all.Go(func() { _ = server.Serve(l) })
-	all.Go(func() { relay(ctx, f.calls[name], l.Addr().String()) })
-	f.up[name], f.stops[name] = k, sync.OnceValue(func() error {
+	all.Go(func() { relay(ctx, f.rpcListeners[name], l.Addr().String()) })
+	f.nodes[name], f.stops[name] = node, sync.OnceValue(func() error {
 		cancel()
 		_ = server.Close()
-		_ = f.calls[name].(*net.TCPListener).SetDeadline(time.Now())
+		_ = f.rpcListeners[name].(*net.TCPListener).SetDeadline(time.Now())
 		all.Wait()
-		_ = f.calls[name].(*net.TCPListener).SetDeadline(time.Time{})
-		delete(f.up, name)
+		_ = f.rpcListeners[name].(*net.TCPListener).SetDeadline(time.Time{})
+		delete(f.nodes, name)
 		return <-ended
 	})
 }
 
-// relay passes connections on until the context ends.
+// relay forwards connections until the context ends.
 func relay(ctx context.Context, from net.Listener, to string) {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -179,23 +179,23 @@
 	}
 }
 
-// order has n commands carried out and holds what they say against the count.
-func (f *fleet) order(n int) {
+// execute executes n commands, and checks the count in each reply.
+func (f *fleet) execute(n int) {
 	f.t.Helper()
 	for range n {
 		var got uint64
-		require.NoError(f.t, f.who.Execute(f.ctx(), "count/one", nil, &got))
+		require.NoError(f.t, f.session.Execute(f.ctx(), "count/one", nil, &got))
 		f.count++
-		require.Equal(f.t, f.count, got, "a command counts once")
+		require.Equal(f.t, f.count, got, "a command takes effect once")
 	}
 }
 
-// same waits until a raft node has all that was ordered, and votes.
-func (f *fleet) same(name string) {
+// waitInSync waits until a raft node has applied all executed commands, and all nodes vote.
+func (f *fleet) waitInSync(name string) {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		var n uint64
-		a := f.up[name].Query(rpc.Query{Kind: "count/read"})
+		a := f.nodes[name].Query(rpc.Query{Kind: "count/read"})
 		return codec.Decode(a.Body, &n) == nil && n == f.count && f.voters() == 3
 	}, testdeadline.Remaining(f.t), 10*time.Millisecond, "%s has the state and a vote", name)
 }
@@ -203,8 +203,8 @@
 func (f *fleet) leader() string {
 	name := ""
 	require.Eventually(f.t, func() bool {
-		for name = range f.up {
-			if f.up[name].status().IsLeader {
+		for name = range f.nodes {
+			if f.nodes[name].status().IsLeader {
 				return true
 			}
 		}
@@ -214,13 +214,13 @@
 }
 
 func (f *fleet) voters() (n int) {
-	k := f.up[f.leader()]
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.replica == nil {
+	node := f.nodes[f.leader()]
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	if node.replica == nil {
 		return 0
 	}
-	c := k.replica.raft.GetConfiguration()
+	c := node.replica.raft.GetConfiguration()
 	if c.Error() != nil {
 		return 0
 	}
@@ -243,71 +243,71 @@
 
 func TestRaftNodes(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	t.Run("the leader ends, with its folder", func(t *testing.T) {
-		f := found(t)
-		f.order(20)
+	t.Run("the leader stops and restarts with its data directory", func(t *testing.T) {
+		f := startFleet(t)
+		f.execute(20)
 		first := f.leader()
 		require.NoError(t, f.stops[first]())
-		f.order(20)
+		f.execute(20)
 		require.NotEqual(t, first, f.leader())
 		f.start(first)
-		f.same(first)
+		f.waitInSync(first)
 	})
-	t.Run("a folder is wiped", func(t *testing.T) {
-		f := found(t)
-		f.order(10)
+	t.Run("a data directory is removed", func(t *testing.T) {
+		f := startFleet(t)
+		f.execute(10)
 		gone := f.other(f.leader())
 		require.NoError(t, f.stops[gone]())
-		require.NoError(t, os.RemoveAll(f.folder(gone)))
-		f.order(10)
+		require.NoError(t, os.RemoveAll(f.dataDir(gone)))
+		f.execute(10)
 		f.start(gone)
-		f.same(gone)
-		f.order(1)
-		// What it has is enough now, with one of the others.
+		f.waitInSync(gone)
+		f.execute(1)
+		// It is a full voter again: with one of the others it forms a majority.
 		require.NoError(t, f.stops[f.other(gone)]())
-		f.order(5)
+		f.execute(5)
 	})
-	t.Run("with nothing, and nobody to ask, it neither votes nor founds", func(t *testing.T) {
-		f := found(t)
-		f.order(3)
+	t.Run("a node without state neither votes nor bootstraps while there is no leader", func(t *testing.T) {
+		f := startFleet(t)
+		f.execute(3)
 		for _, name := range sortedKeys(f.peers) {
 			require.NoError(t, f.stops[name]())
 		}
-		require.NoError(t, os.RemoveAll(f.folder("k1")))
+		require.NoError(t, os.RemoveAll(f.dataDir("k1")))
 		f.start("k1")
-		f.start("k2") // which has the state, and no majority without a vote of k1
+		f.start("k2") // has the state, but no majority without the vote of k1
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
 		defer cancel()
-		require.ErrorIs(t, f.who.Execute(ctx, "count/one", nil, nil), rpc.ErrUnavailable)
-		f.count++ // asked again under the same number it would count once; here it is left open
-		require.True(t, f.up["k1"].status().Empty)
+		require.ErrorIs(t, f.session.Execute(ctx, "count/one", nil, nil), rpc.ErrUnavailable)
+		f.count++ // repeated with the same sequence number it would take effect once; here its outcome is unknown
+		require.True(t, f.nodes["k1"].status().Empty)
 		f.start("k3")
 		f.leader()
 		f.count = f.read()
-		f.order(3)
-		f.same("k1")
+		f.execute(3)
+		f.waitInSync("k1")
 	})
-	t.Run("an older copy of its own folder", func(t *testing.T) {
-		f := found(t)
-		f.order(5)
+	t.Run("an older copy of its own data directory", func(t *testing.T) {
+		f := startFleet(t)
+		f.execute(5)
 		name := f.other(f.leader())
 		require.NoError(t, f.stops[name]())
 		old := filepath.Join(f.dir, "old")
-		require.NoError(t, os.CopyFS(old, os.DirFS(f.folder(name))))
+		require.NoError(t, os.CopyFS(old, os.DirFS(f.dataDir(name))))
 		f.start(name)
-		f.order(5)
-		f.same(name)
-		require.Eventually(t, func() bool { return f.up[f.leader()].status().BootCounts[name] == 2 }, testdeadline.Remaining(t), 10*time.Millisecond)
+		f.execute(5)
+		f.waitInSync(name)
+		require.Eventually(t, func() bool { return f.nodes[f.leader()].status().BootCounts[name] == 2 }, testdeadline.Remaining(t), 10*time.Millisecond)
 		require.NoError(t, f.stops[name]())
-		require.NoError(t, os.RemoveAll(f.folder(name)))
-		require.NoError(t, os.Rename(old, f.folder(name)))
+		require.NoError(t, os.RemoveAll(f.dataDir(name)))
+		require.NoError(t, os.Rename(old, f.dataDir(name)))
 		f.start(name)
-		f.same(name)
-		require.Eventually(t, func() bool { return f.up[f.leader()].status().BootCounts[name] == 1 }, testdeadline.Remaining(t), 10*time.Millisecond, "taken in anew")
+		f.waitInSync(name)
+		require.Eventually(t, func() bool { return f.nodes[f.leader()].status().BootCounts[name] == 1 }, testdeadline.Remaining(t), 10*time.Millisecond, "readmitted, so that the count restarts")
 	})
-	t.Run("a late copy of its call to be taken in", func(t *testing.T) {
-		f := found(t)
-		f.order(3)
+	t.Run("a late copy of a rejoin call", func(t *testing.T) {
+		f := startFleet(t)
+		f.execute(3)
 		lead := f.leader()
 		name := f.other(lead)
 		self, err := codec.Encode(name)
@@ -315,43 +315,43 @@
 		var ok bool
 		_, err = f.client.Post(f.ctx(), lead, rpc.PathRejoin, self, &ok)
 		require.NoError(t, err)
-		f.order(3)
-		f.same(name)
-		// And one of a leader that failed half-way: it is out, and was restarted since.
-		require.NoError(t, f.up[lead].replica.raft.RemoveServer(raft.ServerID(name), 0, 0).Error())
+		f.execute(3)
+		f.waitInSync(name)
+		// The same call at a leader that failed half-way: the node is removed, and restarts.
+		require.NoError(t, f.nodes[lead].replica.raft.RemoveServer(raft.ServerID(name), 0, 0).Error())
 		require.NoError(t, f.stops[name]())
 		f.start(name)
-		f.order(3)
-		f.same(name)
+		f.execute(3)
+		f.waitInSync(name)
 	})
-	t.Run("the folder of another", func(t *testing.T) {
-		f := found(t)
-		f.order(1)
+	t.Run("the data directory of another node", func(t *testing.T) {
+		f := startFleet(t)
+		f.execute(1)
 		require.NoError(t, f.stops["k1"]())
 		require.NoError(t, f.stops["k2"]())
-		require.NoError(t, os.Rename(f.folder("k2"), f.folder("x")))
-		require.NoError(t, os.Rename(f.folder("k1"), f.folder("k2")))
+		require.NoError(t, os.Rename(f.dataDir("k2"), f.dataDir("x")))
+		require.NoError(t, os.Rename(f.dataDir("k1"), f.dataDir("k2")))
 		f.start("k2")
 		require.ErrorIs(t, f.stops["k2"](), ErrDataDir)
 	})
 	t.Run("a replica whose state is wrong", func(t *testing.T) {
-		f := found(t)
-		f.order(2)
+		f := startFleet(t)
+		f.execute(2)
 		for _, wrong := range []string{f.other(f.leader()), f.leader()} {
-			f.spoilt[wrong].Store(true)
+			f.corrupt[wrong].Store(true)
 			var got uint64
-			require.NoError(t, f.who.Execute(f.ctx(), "count/one", nil, &got))
+			require.NoError(t, f.session.Execute(f.ctx(), "count/one", nil, &got))
 			f.count++
-			k := f.up[wrong]
+			node := f.nodes[wrong]
 			require.Eventually(t, func() bool { return f.read() == f.count }, testdeadline.Remaining(t), 10*time.Millisecond)
-			f.same(wrong)
-			require.Same(t, k, f.up[wrong], "it took the state anew by itself")
-			f.order(2)
+			f.waitInSync(wrong)
+			require.Same(t, node, f.nodes[wrong], "the node restored the state without a restart")
+			f.execute(2)
 		}
 	})
 }
 
-// read asks the leader.
+// read reads the count from the leader.
 func (f *fleet) read() (n uint64) {
 	a, err := f.client.Read(f.ctx(), rpc.Query{Kind: "count/read"})
 	require.NoError(f.t, err)
@@ -361,51 +361,52 @@
 
 func TestIdentityOfADataDir(t *testing.T) {
 	for name, at := range map[string]struct {
-		mark any
-		log  bool
-		want string
+		identity any
+		log      bool
+		want     string
 	}{
-		"newer":     {identity{Version: 9, Node: "k1"}, true, "it is of version 9"},
-		"torn":      {"k", true, "its mark can't be read"},
-		"no mark":   {nil, true, "no mark of whose it is"},
-		"another's": {identity{Version: identityVersion, Node: "k2"}, true, "is that of keeper k2, not of k1"},
+		"newer":       {identity{Version: 9, Node: "k1"}, true, "it is of version 9"},
+		"torn":        {"k", true, "its identity file can't be read"},
+		"no identity": {nil, true, "no identity file"},
+		"another's":   {identity{Version: identityVersion, Node: "k2"}, true, "belongs to raft node k2, not to k1"},
 	} {
 		dir := t.TempDir()
-		if at.mark != nil {
-			text, err := codec.Encode(at.mark)
+		if at.identity != nil {
+			text, err := codec.Encode(at.identity)
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(filepath.Join(dir, identityFile), text, 0o600))
 		}
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "log.db"), nil, 0o600))
-		k := &Node{settings: Settings{Name: "k1", DataDir: dir}}
-		_, err := k.openDir()
+		node := &Node{settings: Settings{Name: "k1", DataDir: dir}}
+		_, err := node.openDir()
 		require.ErrorIs(t, err, ErrDataDir, name)
 		require.ErrorContains(t, err, at.want, name)
 	}
 	dir := t.TempDir()
-	k := &Node{settings: Settings{Name: "k1", DataDir: dir}}
-	first, err := k.openDir()
+	node := &Node{settings: Settings{Name: "k1", DataDir: dir}}
+	first, err := node.openDir()
 	require.NoError(t, err)
 	defer func() { _ = first.lock.Close() }()
-	_, err = k.openDir()
+	_, err = node.openDir()
 	require.True(t, errors.Is(err, ErrDataDir), fmt.Sprint(err))
 }
 
-// TestAChangeOfVotersEndsBeforeItsReplica holds a change of who votes open while its raft node is
-// stopped: the library must not be shut down under it, since it may never answer it then.
-func TestAChangeOfVotersEndsBeforeItsReplica(t *testing.T) {
+// TestMembershipChangeEndsBeforeRaftShutdown stops a raft node while a membership change is in
+// progress. The raft library must not be shut down before the change ends, since it may never
+// answer it then.
+func TestMembershipChangeEndsBeforeRaftShutdown(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	t.Run("held open", func(t *testing.T) {
-		f := found(t)
-		f.order(1)
+	t.Run("membership change in progress", func(t *testing.T) {
+		f := startFleet(t)
+		f.execute(1)
 		name := f.leader()
-		k, other := f.up[name], f.other(name)
+		node, other := f.nodes[name], f.other(name)
 		body, err := codec.Encode(membershipRequest{Name: other})
 		require.NoError(t, err)
-		begun, let, ended := make(chan struct{}), make(chan struct{}), make(chan raft.RaftState, 1)
-		go k.handleMembershipChange(httptest.NewRecorder(), body, func(n *replica, _ membershipRequest) error {
+		begun, release, ended := make(chan struct{}), make(chan struct{}), make(chan raft.RaftState, 1)
+		go node.handleMembershipChange(httptest.NewRecorder(), body, func(n *replica, _ membershipRequest) error {
 			close(begun)
-			<-let
+			<-release
 			ended <- n.raft.State()
 			return nil
 		})
@@ -413,24 +414,25 @@
 		stopped := make(chan error, 1)
 		go func() { stopped <- f.stops[name]() }()
 		require.Eventually(t, func() bool {
-			k.mu.Lock()
-			defer k.mu.Unlock()
-			return k.replica == nil
+			node.mu.Lock()
+			defer node.mu.Unlock()
+			return node.replica == nil
 		}, testdeadline.Remaining(t), time.Millisecond)
-		require.Nil(t, k.beginMembershipChange(), "no change begins any more")
+		require.Nil(t, node.beginMembershipChange(), "no further change begins")
 		runtime.Gosched()
-		close(let)
+		close(release)
 		require.NotEqual(t, raft.Shutdown, <-ended)
 		require.NoError(t, <-stopped)
 	})
 }
 
-// TestStoppedBeforeItsFirstStart: a node that ends while it waits for the others, or after it
-// has bootstrapped the fleet and before it has counted its start, takes part when it is back.
+// TestStoppedBeforeItsFirstStart checks that a node takes part after a restart if it was stopped
+// while it waited for the others, or after it had bootstrapped the fleet and before it had
+// counted its start.
 func TestStoppedBeforeItsFirstStart(t *testing.T) {
 	hasLog := func(f *fleet) func() bool {
 		return func() bool {
-			_, err := os.Stat(filepath.Join(f.folder("k1"), "log.db"))
+			_, err := os.Stat(filepath.Join(f.dataDir("k1"), "log.db"))
 			return err == nil
 		}
 	}
@@ -441,30 +443,30 @@
 			require.NoError(f.t, f.stops["k1"]())
 		},
 		"after it has bootstrapped": func(f *fleet) {
-			k := &Node{settings: Settings{Name: "k1", DataDir: f.folder("k1"), Peers: f.peers, ElectionTimeout: time.Second}, log: logtest.Discard()}
-			require.NoError(f.t, os.MkdirAll(f.folder("k1"), 0o700))
-			dir, err := k.openDir()
+			node := &Node{settings: Settings{Name: "k1", DataDir: f.dataDir("k1"), Peers: f.peers, ElectionTimeout: time.Second}, log: logtest.Discard()}
+			require.NoError(f.t, os.MkdirAll(f.dataDir("k1"), 0o700))
+			dir, err := node.openDir()
 			require.NoError(f.t, err)
 			require.NoError(f.t, dir.claim())
-			n, err := k.openReplica(dir)
+			n, err := node.openReplica(dir)
 			require.NoError(f.t, err)
-			require.NoError(f.t, raft.BootstrapCluster(k.raftConfig(), n.store, n.store, dir.snapshots, &raft.InmemTransport{}, k.initialConfiguration()))
+			require.NoError(f.t, raft.BootstrapCluster(node.raftConfig(), n.store, n.store, dir.snapshots, &raft.InmemTransport{}, node.initialConfiguration()))
 			require.NoError(f.t, errors.Join(n.store.Close(), dir.lock.Close()))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := prepare(t)
+			f := newFleet(t)
 			stop(f)
 			for name := range f.peers {
 				f.start(name)
 			}
 			f.join()
-			f.order(1)
+			f.execute(1)
 			require.Eventually(t, func() bool {
-				k := f.up["k1"]
-				k.mu.Lock()
-				defer k.mu.Unlock()
-				return k.replica != nil && k.replica.raft.AppliedIndex() > 1
+				node := f.nodes["k1"]
+				node.mu.Lock()
+				defer node.mu.Unlock()
+				return node.replica != nil && node.replica.raft.AppliedIndex() > 1
 			}, testdeadline.Remaining(t), time.Millisecond)
 		})
 	}
--- a/internal/dispatcher/fleet/raftnode/raftlog_test.go
+++ b/internal/dispatcher/fleet/raftnode/raftlog_test.go
@@ -14,8 +14,8 @@
 // timePattern is the time that each line begins with.
 var timePattern = regexp.MustCompile(`(?m)^time="[^"]+" `)
 
-// TestRaftLog: lines of the raft library from its level info on become lines of the dispatcher's log at
-// level debug, each with the name of the node.
+// TestRaftLog checks that lines of the raft library at level info and above become lines of the
+// dispatcher's log at level debug, each with the name of the node.
 func TestRaftLog(t *testing.T) {
 	var out bytes.Buffer
 	n := &Node{log: logging.New(&out, logging.Text, slog.LevelDebug).With("keeper", "n1")}
--- a/internal/dispatcher/fleet/raftnode/status.go
+++ b/internal/dispatcher/fleet/raftnode/status.go
@@ -36,17 +36,17 @@
 	}
 	flag("leads", a.IsLeader)
 	flag("empty", a.Empty)
-	differs, names := arena.NewArray(), arena.NewArray()
+	divergent, names := arena.NewArray(), arena.NewArray()
 	for i, name := range a.DivergentPartitions {
-		differs.SetArrayItem(i, arena.NewString(name))
+		divergent.SetArrayItem(i, arena.NewString(name))
 	}
-	o.Set("differs", differs)
+	o.Set("differs", divergent)
 	digests := arena.NewObject()
-	node.fsm.read(func(m *state.Machine) { // at one command: digests are compared by its index
+	node.fsm.read(func(m *state.Machine) { // all as of one command, since digests are compared by log index
 		o.Set("index", arena.NewNumberString(fmt.Sprint(m.Index())))
 		o.Set("at_ms", arena.NewNumberString(fmt.Sprint(m.At().Milliseconds())))
-		for i, who := range m.Members() {
-			names.SetArrayItem(i, arena.NewString(who.Process))
+		for i, member := range m.Members() {
+			names.SetArrayItem(i, arena.NewString(member.Process))
 		}
 		if byPartition, err := m.Digests(); err == nil {
 			for name, sum := range byPartition {
--- a/internal/dispatcher/fleet/raftnode/stream_layer.go
+++ b/internal/dispatcher/fleet/raftnode/stream_layer.go
@@ -20,7 +20,7 @@
 	closed chan struct{}
 
 	mu       sync.Mutex
-	accepted map[net.Conn]bool // the library leaves them open
+	accepted map[net.Conn]bool // open connections; the raft library does not close them
 }
 
 func newStreamLayer(l net.Listener, peers map[string]Peer) *streamLayer {
@@ -79,8 +79,8 @@
 func (s *streamLayer) Dial(address raft.ServerAddress, within time.Duration) (net.Conn, error) {
 	p, ok := s.peers[string(address)]
 	if !ok {
-		return nil, fmt.Errorf("no keeper is called %q", address)
+		return nil, fmt.Errorf("no raft node is called %q", address)
 	}
 	d := net.Dialer{Timeout: within}
-	return d.DialContext(context.Background(), "tcp", p.RaftAddr) // the library gives no context
+	return d.DialContext(context.Background(), "tcp", p.RaftAddr) // the raft library passes no context
 }
--- a/internal/dispatcher/fleet/raftnode/supervise.go
+++ b/internal/dispatcher/fleet/raftnode/supervise.go
@@ -7,27 +7,27 @@
 	"basaltloft/internal/dispatcher/fleet/state"
 )
 
-// superviseReplica does the node's own work while raft runs: it follows the leadership,
+// superviseReplica does the node's own work while raft runs: it tracks the leadership,
 // reports the node's start, asks for its vote, and compares digests. It returns when the
 // context ends, or returns true when the state must be discarded.
 func (node *Node) superviseReplica(ctx context.Context, n *replica, dir *dataDir) (discard bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	digests := make(chan state.DigestsBody, 1)
-	peerDigests, broken := make(chan struct{}, 1), make(chan struct{}, 1)
+	peerDigests, digestFailed := make(chan struct{}, 1), make(chan struct{}, 1)
 	node.fsm.mu.Lock()
 	node.fsm.onDigests = func(index uint64, byPartition map[string]uint64, err error) {
-		if err != nil { // it is certainly invalid: no comparison is needed
+		if err != nil { // the state is certainly invalid: no comparison is needed
 			node.log.Error("state digest failed", "error", err)
 			select {
-			case broken <- struct{}{}:
+			case digestFailed <- struct{}{}:
 			default:
 			}
 			return
 		}
 		select {
 		case digests <- state.DigestsBody{Replica: node.settings.Name, Index: index, Partitions: byPartition}:
-		default: // the last ones are still on their way
+		default: // the previous digests have not been reported yet
 		}
 	}
 	node.fsm.onPeerDigests = func() {
@@ -39,7 +39,7 @@
 	node.fsm.mu.Unlock()
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	booted, lastDigest := false, time.Now()
+	bootReported, lastDigest := false, time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -47,8 +47,8 @@
 		case <-tick.C:
 			node.updateLeadership(n)
 			node.advanceTime(&lastDigest)
-			if !booted {
-				booted = node.submit(ctx, state.ReportBoot, state.BootBody{Process: node.settings.Name, Count: dir.identity.Starts}) == nil
+			if !bootReported {
+				bootReported = node.submit(ctx, state.ReportBoot, state.BootBody{Process: node.settings.Name, Count: dir.identity.Starts}) == nil
 			}
 			node.requestPromotion(ctx, n)
 		case s := <-digests:
@@ -59,7 +59,7 @@
 			if node.checkDivergence(n) {
 				return true
 			}
-		case <-broken:
+		case <-digestFailed:
 			node.stopServing(n, []string{"unsound"})
 			return true
 		}
