--- a/internal/dispatcher/fleet/coordinator/attempt.go
+++ b/internal/dispatcher/fleet/coordinator/attempt.go
@@ -15,14 +15,14 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// job makes the job of an attempt.
+// job returns the job of an attempt.
 func (d *driver) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
-	st, it := d.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
+	st, item := d.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
 	j = Job{ID: jobID(d.id, a), Class: a.Class, Tenant: v.Run.Tenant, CostHint: st.Cost, Plan: d.plan.Name, Stage: st.Name, Deadline: time.Now().Add(a.At - at)}
-	if vals := d.values(v, a.Stage, it.Value); a.Undo {
-		j.Path, j.Body, j.Key, err = st.Undo.Render(vals)
+	if values := d.values(v, a.Stage, item.Value); a.Undo {
+		j.Path, j.Body, j.Key, err = st.Undo.Render(values)
 	} else {
-		j.Path, j.Body, j.Key, err = st.Render(vals)
+		j.Path, j.Body, j.Key, err = st.Render(values)
 	}
 	if a.Where != plan.Anywhere {
 		j.ExcludedMember, j.ExcludeItsZone = a.Member, a.Where == plan.OtherZone
@@ -30,7 +30,8 @@
 	return j, err
 }
 
-// send submits an attempt once the replicated state has approved it, and reports its end.
+// send submits an attempt as a job once the replicated state has approved it, and reports how
+// it ended.
 func (d *driver) send(ctx context.Context, t planrun.Task, v planrun.View, at time.Duration) {
 	j, err := d.job(t.Action, v, at)
 	switch {
@@ -41,11 +42,11 @@
 	default:
 		err = ErrNoSession
 	}
-	may := false
+	accepted := false
 	d.coordinator.withAttempts(func(m *planrun.AttemptRegistry) {
-		may = m.Accepted(*t.Sending, t.ID, err, d.coordinator.fleet.HoldsLease())
+		accepted = m.Accepted(*t.Sending, t.ID, err, d.coordinator.fleet.HoldsLease())
 	})
-	if !may {
+	if !accepted {
 		return
 	}
 	done, sent := make(chan engine.Answer, 1), time.Now()
@@ -70,8 +71,8 @@
 	d.reportEnd(t.Sending.EndReport(end, result, answer.LastMember, lost))
 }
 
-// reportEnd reports an attempt's end, also when another process drives the run by then: it
-// may still count.
+// reportEnd reports an attempt's end, even if another process drives the run by then, since
+// the report may still count.
 func (d *driver) reportEnd(e planrun.ReportEnd) {
 	if err := d.execute(d.lifetime, planrun.Command{ReportEnd: &e}); errors.Is(err, planrun.ErrTooLarge) {
 		e.End, e.Result = plan.Failed, nil
@@ -79,8 +80,8 @@
 	}
 }
 
-// lostInput evaluates the rerun conditions of a stage: an input that the attempt reports as
-// lost, or nil.
+// lostInput evaluates the rerun conditions of a stage. It returns the input that the attempt
+// reports as lost, or nil.
 func (d *driver) lostInput(end plan.End, t planrun.Task, body []byte) *planrun.LostInput {
 	st, upstream := d.plan.Stages[t.Stage], d.shape.Upstream(t.Stage)
 	for i := range st.Reruns {
@@ -97,8 +98,9 @@
 	return nil
 }
 
-// takeRetryBudget takes an attempt beyond the first from the fleet's retry budget, and
-// waits for one while the attempt can still be sent.
+// takeRetryBudget takes an attempt beyond the first from the fleet's retry budget. If the
+// budget is exhausted it waits, until the attempt's deadline at most. It reports whether the
+// attempt may be sent.
 func (d *driver) takeRetryBudget(ctx context.Context, class string, until time.Time) bool {
 	for !d.coordinator.fleet.TakeRetry(d.id, class) {
 		at := d.coordinator.fleet.RetryTime(class, time.Now())
@@ -117,18 +119,18 @@
 	return true
 }
 
-// jobID names an attempt: the same at every coordinator, and different from any other
-// attempt.
+// jobID returns the job ID of an attempt. It is the same at every coordinator, and differs
+// from that of any other attempt.
 func jobID(run string, a planrun.Action) string {
 	sum := sha256.Sum256([]byte(run))
-	what := "j"
+	kind := "j"
 	if a.Undo {
-		what = "u"
+		kind = "u"
 	}
-	return fmt.Sprintf("plan-%x-%d-%d-%s%d", sum[:12], a.Stage, a.Item, what, a.Attempt)
+	return fmt.Sprintf("plan-%x-%d-%d-%s%d", sum[:12], a.Stage, a.Item, kind, a.Attempt)
 }
 
-// endOf classifies how a job ended.
+// endOf returns the end of an attempt whose job had this answer.
 func endOf(a engine.Answer) plan.End {
 	switch {
 	case a.Verdict == engine.Served:
--- a/internal/dispatcher/fleet/coordinator/coordinator.go
+++ b/internal/dispatcher/fleet/coordinator/coordinator.go
@@ -1,7 +1,7 @@
-// Package coordinator drives plan runs at a process of the fleet: it asks the replicated
-// state what is to be done next (planrun.Next), evaluates the expressions of the plan file,
-// and submits each stage to the dispatcher as a job. The replicated state approves every
-// attempt before it is sent. The runs of a coordinator that has failed are claimed by
+// Package coordinator drives plan runs at a process of the fleet: it determines from a run's
+// replicated state what is to be done next (planrun.Next), evaluates the expressions of the
+// plan file, and submits each stage to the dispatcher as a job. The replicated state approves
+// every attempt before it is sent. The runs of a coordinator that has failed are claimed by
 // another one.
 package coordinator
 
@@ -43,20 +43,26 @@
 type Fleet interface {
 	Session() *rpc.Session // nil: not joined
 	// TakeRetry takes one attempt beyond a job's first from the fleet's retry budget of a
-	// class.
+	// class. It reports whether the budget allows the attempt.
 	TakeRetry(request, class string) bool
 	// HoldsLease reports whether this process's lease is valid, by its own clock.
 	HoldsLease() bool
-	// RetryTime returns when TakeRetry is worth calling again.
+	// RetryTime returns when TakeRetry should be called again.
 	RetryTime(class string, now time.Time) time.Time
 }
 
 // Errors of Start and Lookup.
 var (
+	// ErrUnknownPlan is returned for a plan that is not in use at this process.
 	ErrUnknownPlan = errors.New("no plan of this name is in use here")
-	ErrNoSession   = errors.New("this process is not in the fleet just now")
-	ErrRefused     = errors.New("the plan can't be begun")
-	ErrUnknownRun  = errors.New("no such run, or it ended too long ago")
+	// ErrNoSession is returned while this process has not joined the fleet, does not run or is
+	// draining.
+	ErrNoSession = errors.New("this process is not in the fleet just now")
+	// ErrRefused is returned for a run that can't be started.
+	ErrRefused = errors.New("the plan can't be begun")
+	// ErrUnknownRun is returned for a run that is neither in progress nor among the stored
+	// final answers.
+	ErrUnknownRun = errors.New("no such run, or it ended too long ago")
 )
 
 // Bounds and intervals of a coordinator.
@@ -74,16 +80,16 @@
 	fleet Fleet
 	jobs  Dispatcher
 	log   *slog.Logger
-	now   func() time.Time // the clock of the deadlines of Finish
+	now   func() time.Time // clock of the deadlines of StartAsync
 
 	mu            sync.Mutex
 	plansByName   map[string]*plan.Plan // in use
-	plansByDigest map[uint64]*plan.Plan // those in use, and older ones that runs may still follow
+	plansByDigest map[uint64]*plan.Plan // those in use, and older ones that runs may still use
 	runs          map[string]*driver
-	attempts      *planrun.AttemptRegistry // what this process did about each attempt
-	lifetime      context.Context          // nil: not running
-	draining      chan struct{}            // closed: nothing more is started here
-	running       sync.WaitGroup           // all goroutines
+	attempts      *planrun.AttemptRegistry // what this process has done for each attempt
+	lifetime      context.Context          // context of Run; nil: not running
+	draining      chan struct{}            // closed: nothing more is started at this process
+	running       sync.WaitGroup           // all goroutines of this coordinator
 	waiting       answerWaiters
 }
 
@@ -93,8 +99,8 @@
 		plansByName: map[string]*plan.Plan{}, plansByDigest: map[uint64]*plan.Plan{}, runs: map[string]*driver{}}
 }
 
-// SetPlans replaces the plans in use. Runs in progress follow the plan that they were
-// started with.
+// SetPlans replaces the plans in use. Runs in progress keep the plan that they were started
+// with.
 func (c *Coordinator) SetPlans(plans []*plan.Plan) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +111,7 @@
 }
 
 // Run claims runs without a coordinator until the context ends. It returns when all of this
-// process's goroutines have ended; their runs are left to other processes.
+// coordinator's goroutines have ended; other processes then claim their runs.
 func (c *Coordinator) Run(ctx context.Context) error {
 	defer c.running.Wait()
 	c.mu.Lock()
@@ -125,9 +131,9 @@
 	}
 }
 
-// Drain starts nothing more, for a planned shutdown: attempts in flight end here and are
-// reported, and the runs continue at other processes once this one has left. It must be
-// called once at most.
+// Drain begins a planned shutdown: nothing more is started here, attempts in flight are
+// completed and their ends reported, and the runs continue at other processes once this one
+// has left. It must be called at most once.
 func (c *Coordinator) Drain() { close(c.draining) }
 
 func (c *Coordinator) isDraining() bool {
@@ -139,7 +145,7 @@
 	}
 }
 
-// claim takes over runs without a coordinator whose plans this process knows.
+// claim claims runs that have no coordinator and whose plans this process has.
 func (c *Coordinator) claim(ctx context.Context) error {
 	s := c.fleet.Session()
 	c.mu.Lock()
@@ -151,9 +157,9 @@
 	if s == nil || c.isDraining() || len(claim.Plans) == 0 || claim.MaxRuns <= 0 {
 		return nil
 	}
-	ctx2, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
+	commandCtx, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
-	a, err := s.Read(ctx2, rpc.Query{Kind: partition.PlansCountOrphans})
+	a, err := s.Read(commandCtx, rpc.Query{Kind: partition.PlansCountOrphans})
 	if err != nil {
 		return err
 	}
@@ -162,16 +168,17 @@
 		return err
 	}
 	var r partition.PlanReply
-	if err := s.Execute(ctx2, partition.PlansCommand, planrun.Command{Claim: &claim}, &r); err != nil {
+	if err := s.Execute(commandCtx, partition.PlansCommand, planrun.Command{Claim: &claim}, &r); err != nil {
 		return err
 	}
-	for _, one := range r.Claimed {
-		reply, err := c.queryRun(ctx2, s, one.Run)
+	for _, claimed := range r.Claimed {
+		reply, err := c.queryRun(commandCtx, s, claimed.Run)
 		if err != nil {
-			return fmt.Errorf("run %s: %w", one.Run, err) // its fence is this process's: no other takes it, until its lease ends
+			// The fence is this process's: no other process claims the run until the lease expires.
+			return fmt.Errorf("run %s: %w", claimed.Run, err)
 		}
-		if reply.Run != nil && reply.Run.Fence == one.Fence {
-			c.drive(ctx, one.Fence, reply)
+		if reply.Run != nil && reply.Run.Fence == claimed.Fence {
+			c.drive(ctx, claimed.Fence, reply)
 		}
 	}
 	if len(r.Claimed) > 0 {
@@ -195,23 +202,23 @@
 	return r, err
 }
 
-// StartRequest asks for a run of a plan.
+// StartRequest is a request for a run of a plan.
 type StartRequest struct {
 	Run, Plan, Tenant string
 	Input             []byte
 	Timeout           time.Duration // fleet time; 0: the plan's own
 }
 
-// Start starts a run, or finds it in progress (a nil answer) or ended. An error that wraps
-// rpc.ErrUnavailable leaves open whether the run has started: the same request may be
-// repeated, here or at another process.
+// Start starts a run, unless it is in progress or has ended. It returns the run's final
+// answer, or nil while the run is in progress. After an error that wraps rpc.ErrUnavailable
+// the run may have started: the same request may be repeated, here or at another process.
 func (c *Coordinator) Start(ctx context.Context, a StartRequest) (*planrun.Answer, error) {
 	answer, _, err := c.start(ctx, a)
 	return answer, err
 }
 
-// start is Start. If a command was sent, it also returns the fleet time up to which that
-// may still start the run.
+// start implements Start. If a command was sent, it also returns the fleet time up to which
+// that command may still start the run.
 func (c *Coordinator) start(ctx context.Context, a StartRequest) (answer *planrun.Answer, before time.Duration, err error) {
 	c.mu.Lock()
 	p := c.plansByName[a.Plan]
@@ -288,14 +295,14 @@
 	})
 }
 
-// withAttempts calls a function with the attempt registry, under the lock.
-func (c *Coordinator) withAttempts(what func(*planrun.AttemptRegistry)) {
+// withAttempts calls a function with the attempt registry while it holds the lock.
+func (c *Coordinator) withAttempts(fn func(*planrun.AttemptRegistry)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	what(c.attempts)
+	fn(c.attempts)
 }
 
-// isOutOfForce reports whether an error means that this process no longer drives its runs.
-func isOutOfForce(err error) bool {
+// isNotInForce reports whether an error means that this process no longer drives its runs.
+func isNotInForce(err error) bool {
 	return errors.Is(err, state.ErrFenced) || errors.Is(err, ErrNoSession)
 }
--- a/internal/dispatcher/fleet/coordinator/driver.go
+++ b/internal/dispatcher/fleet/coordinator/driver.go
@@ -20,34 +20,34 @@
 	plan        *plan.Plan
 	shape       *planrun.Shape
 	wake        chan struct{}   // the view is newer, or an attempt has ended
-	lifetime    context.Context // the coordinator's: ends are reported even if another process drives the run
+	lifetime    context.Context // context of Coordinator.Run: ends are reported even if another process drives the run
 
-	tasks sync.WaitGroup // in progress
+	tasks sync.WaitGroup // tasks in progress
 
 	mu         sync.Mutex
 	view       planrun.View
 	index      uint64
 	viewTime   time.Duration // fleet time of the view
 	receivedAt time.Time     // when the view was received
-	finished   bool          // the run has its final answer, or another fencing number
+	finished   bool          // the run has its final answer, or has another fencing number
 }
 
-// update takes in what a reply says of the run.
-func (d *driver) update(p partition.PlanReply) {
+// update updates the view of the run from a reply.
+func (d *driver) update(r partition.PlanReply) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	defer d.notify()
-	if p.FinalAnswer != nil {
-		d.coordinator.waiting.publish(p.FinalAnswer)
+	if r.FinalAnswer != nil {
+		d.coordinator.waiting.publish(r.FinalAnswer)
 	}
-	if p.FinalAnswer != nil || p.Run != nil && p.Run.Fence != d.fence {
+	if r.FinalAnswer != nil || r.Run != nil && r.Run.Fence != d.fence {
 		d.finished = true
 		return
 	}
-	if p.Run == nil || p.Index < d.index {
+	if r.Run == nil || r.Index < d.index {
 		return
 	}
-	d.view, d.index, d.viewTime, d.receivedAt = planrun.View{Shape: d.shape, Run: p.Run, Producing: p.Producing}, p.Index, p.At, time.Now()
+	d.view, d.index, d.viewTime, d.receivedAt = planrun.View{Shape: d.shape, Run: r.Run, Producing: r.Producing}, r.Index, r.At, time.Now()
 }
 
 func (d *driver) notify() {
@@ -57,16 +57,17 @@
 	}
 }
 
-// current returns the view, and the fleet time estimated by what has passed since it was
-// received. The replicated state decides whether a time has come.
+// current returns the view, the fleet time as estimated from the time since the view was
+// received, and whether the run is finished here. The estimate only schedules tasks: the
+// replicated state decides whether a time has come.
 func (d *driver) current() (v planrun.View, at time.Duration, over bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.view, d.viewTime + time.Since(d.receivedAt), d.finished
 }
 
-// drive does what is to be done next, until the run has ended or belongs to another
-// process.
+// drive carries out the run's tasks until the run has ended, another process drives it, or
+// the coordinator drains.
 func (d *driver) drive(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -97,7 +98,7 @@
 			})
 		}
 		wait := max(wake-at, time.Millisecond)
-		for i := range v.Run.Stages { // an output that another run makes arrives without a command of this one's
+		for i := range v.Run.Stages { // the output of another run arrives without a command of this run
 			if st := &v.Run.Stages[i]; st.SharedKey != "" && !st.Complete && v.Producing&(1<<i) == 0 {
 				wait = min(wait, pollInterval)
 			}
@@ -114,7 +115,7 @@
 	}
 }
 
-// refresh reads the run.
+// refresh reads the run from the leader and updates the view.
 func (d *driver) refresh(ctx context.Context) {
 	s := d.coordinator.fleet.Session()
 	if s == nil {
@@ -122,29 +123,29 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
-	if p, err := d.coordinator.queryRun(ctx, s, d.id); err == nil {
-		d.update(p)
+	if r, err := d.coordinator.queryRun(ctx, s, d.id); err == nil {
+		d.update(r)
 	}
 }
 
-// execute has a command carried out, with retries: the tracker counts each of these
-// commands once. An error that is not the tracker's means that this process has given up on
-// it, since the run or the process is no longer in force, or the context has ended.
-func (d *driver) execute(ctx context.Context, do planrun.Command) error {
+// execute executes a command, with retries: the tracker applies each of these commands once.
+// It returns the tracker's error. Any other error means that it has given up the command: the
+// context has ended or, for SendAttempt, the process's incarnation is no longer in force.
+func (d *driver) execute(ctx context.Context, command planrun.Command) error {
 	for {
-		var p partition.PlanReply
+		var r partition.PlanReply
 		s := d.coordinator.fleet.Session()
 		err := ErrNoSession
 		if s != nil {
 			once, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
-			err = s.Execute(once, partition.PlansCommand, do, &p)
+			err = s.Execute(once, partition.PlansCommand, command, &r)
 			cancel()
 		}
 		if err == nil {
-			d.update(p)
-			return p.Err()
+			d.update(r)
+			return r.Err()
 		}
-		if ctx.Err() != nil || do.SendAttempt != nil && isOutOfForce(err) { // under another incarnation it is not this run's any more
+		if ctx.Err() != nil || command.SendAttempt != nil && isNotInForce(err) { // under another incarnation the attempt is not this driver's
 			return err
 		}
 		d.coordinator.log.Debug("plan command got no answer; retrying", "error", err, "run", d.id)
@@ -169,7 +170,7 @@
 	}
 }
 
-// values returns what the expressions of a stage are evaluated over.
+// values returns the values that the expressions of a stage can use.
 func (d *driver) values(v planrun.View, stage int, item []byte) plan.Values {
 	all := plan.Values{Input: v.Run.Input, Item: item, Results: map[string][]byte{}}
 	for _, u := range d.shape.Upstream(stage) {
@@ -188,22 +189,24 @@
 	return all
 }
 
-// openStage fixes a stage's items and its shared key.
+// openStage evaluates a stage's items and its shared key, and stores them in the replicated
+// state.
 func (d *driver) openStage(ctx context.Context, o planrun.Open, v planrun.View) {
-	st, vals := d.plan.Stages[o.Stage], d.values(v, o.Stage, nil)
+	st, values := d.plan.Stages[o.Stage], d.values(v, o.Stage, nil)
 	o.Items = [][]byte{nil}
 	var err error
 	if st.Each != nil {
 		var items []plan.Item
-		items, err = st.Items(vals)
+		items, err = st.Items(values)
 		o.Items = make([][]byte, len(items))
 		for i := range items {
 			o.Items[i] = items[i]
 		}
 	}
 	if err == nil && st.Shared != nil {
-		o.Key, err = st.SharedKey(vals)
-		o.Key = fmt.Sprintf("%016x %s %s", d.plan.Digest, st.Name, o.Key) // one plan's stage: others mean something else by it
+		o.Key, err = st.SharedKey(values)
+		// Outputs are shared within one stage of one plan: elsewhere the same key has another meaning.
+		o.Key = fmt.Sprintf("%016x %s %s", d.plan.Digest, st.Name, o.Key)
 	}
 	if err == nil {
 		err = d.execute(ctx, planrun.Command{Open: &o})
@@ -214,7 +217,8 @@
 	d.abandon(ctx, o.Stage, err)
 }
 
-// abandon gives the run up, because an expression can't be evaluated.
+// abandon ends the run as failed, since an expression can't be evaluated or its value can't be
+// used.
 func (d *driver) abandon(ctx context.Context, stage int, why error) {
 	d.coordinator.log.Error("plan run abandoned: expression can't be evaluated", "error", why, "run", d.id)
 	_ = d.execute(ctx, planrun.Command{Abandon: &planrun.Abandon{Run: d.id, Fence: d.fence, Stage: stage, End: plan.Failed, Reason: why.Error()}})
--- a/internal/dispatcher/fleet/coordinator/start_async.go
+++ b/internal/dispatcher/fleet/coordinator/start_async.go
@@ -11,23 +11,24 @@
 	"basaltloft/internal/dispatcher/fleet/planrun"
 )
 
-// ErrOutcomeUnknown says that it could not be found out in time how a run ended: it may
-// have run.
+// ErrOutcomeUnknown is returned if it could not be determined in time how a run ended. The run
+// may have taken effect.
 var ErrOutcomeUnknown = errors.New("how the run ended is not known")
 
 // Waiting for a run's answer.
 const (
 	maxPollInterval = 2 * time.Second  // between two reads of a run that another process drives
-	answerTimeout   = 30 * time.Second // how long an answer is waited for after the run's deadline and grace
+	answerTimeout   = 30 * time.Second // how long after the run's deadline and grace its answer is still waited for
 )
 
-// answerWaiters receive the final answers of runs that this process drives.
+// answerWaiters passes the final answers of runs that this process drives to the callers that
+// wait for them.
 type answerWaiters struct {
 	mu    sync.Mutex
 	byRun map[string][]chan *planrun.Answer
 }
 
-func (w *answerWaiters) subscribe(run string) (answers chan *planrun.Answer, forget func()) {
+func (w *answerWaiters) subscribe(run string) (answers chan *planrun.Answer, unsubscribe func()) {
 	answers = make(chan *planrun.Answer, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -50,12 +51,13 @@
 	for _, answers := range w.byRun[a.Run] {
 		select {
 		case answers <- a:
-		default: // it has been sent before
+		default: // the answer has been sent before
 		}
 	}
 }
 
-// CheckInUse returns nil if a plan is in use here, and else an error that wraps ErrUnknownPlan.
+// CheckInUse returns nil if a plan is in use here, and otherwise an error that wraps
+// ErrUnknownPlan.
 func (c *Coordinator) CheckInUse(plan string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,10 +67,11 @@
 	return nil
 }
 
-// StartAsync starts a run, or finds it, and calls done once with its final answer, on a
-// goroutine of its own; not at all if this process ends first. The deadline is the plan's
-// own if it is zero, and never later than that. An error that wraps ErrOutcomeUnknown means
-// that the run may have run; any other, that nothing has.
+// StartAsync starts a run, unless it is in progress or has ended, and calls done once with its
+// final answer, on another goroutine. It does not call done if this process stops first. The
+// deadline is the plan's own if until is zero, and never later than that. An error that wraps
+// ErrOutcomeUnknown means that the run may have taken effect; with any other error nothing
+// has run.
 func (c *Coordinator) StartAsync(a StartRequest, until time.Time, done func(*planrun.Answer, error)) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,27 +93,27 @@
 	return nil
 }
 
-// startAndWait retries the start until the replicated state has it, and then waits for the
-// answer.
+// startAndWait retries the start until the replicated state has the run, and then waits for
+// the answer.
 func (c *Coordinator) startAndWait(ctx context.Context, a StartRequest, until time.Time) (*planrun.Answer, error) {
-	answers, forget := c.waiting.subscribe(a.Run)
-	defer forget()
-	began := c.now()
-	answer, before, err := c.startUntil(ctx, a, began, until)
+	answers, unsubscribe := c.waiting.subscribe(a.Run)
+	defer unsubscribe()
+	startedAt := c.now()
+	answer, before, err := c.startUntil(ctx, a, startedAt, until)
 	if answer != nil {
 		return answer, nil
 	}
 	if err != nil && before == 0 {
 		return nil, err
 	}
-	return c.awaitAnswer(ctx, a.Run, answers, began, until, before)
+	return c.awaitAnswer(ctx, a.Run, answers, startedAt, until, before)
 }
 
-// startUntil retries a start that began at a time, until it has started the run, was
-// refused, or the deadline has passed. It returns the fleet time up to which a start that
-// was sent may still start the run; 0: none was sent.
-func (c *Coordinator) startUntil(ctx context.Context, a StartRequest, began, until time.Time) (answer *planrun.Answer, before time.Duration, err error) {
-	stop := began.Add(planrun.DefaultLimits().AnswerRetention / 2) // a later start could start the run anew, were its answer forgotten
+// startUntil retries a start that was first tried at startedAt, until the run has started, the
+// start was refused, or the deadline has passed. It returns the fleet time up to which a
+// command that was sent may still start the run; 0: none was sent.
+func (c *Coordinator) startUntil(ctx context.Context, a StartRequest, startedAt, until time.Time) (answer *planrun.Answer, before time.Duration, err error) {
+	stop := startedAt.Add(planrun.DefaultLimits().AnswerRetention / 2) // a later command could start the run again, if its answer is no longer stored
 	if until.Before(stop) {
 		stop = until
 	}
@@ -121,7 +124,7 @@
 		var upTo time.Duration
 		answer, upTo, err = c.start(once, a)
 		cancel()
-		if !errors.Is(err, ErrRefused) { // a refusal is the state's word that this start has started nothing
+		if !errors.Is(err, ErrRefused) { // a refusal proves that this command has not started the run
 			before = max(before, upTo)
 		}
 		if answer != nil || err == nil || errors.Is(err, ErrRefused) || errors.Is(err, ErrUnknownPlan) {
@@ -136,9 +139,9 @@
 	return nil, before, err
 }
 
-// awaitAnswer waits for the answer of a run: it is published if this process drives the
-// run, and polled else.
-func (c *Coordinator) awaitAnswer(ctx context.Context, run string, answers <-chan *planrun.Answer, began, until time.Time, before time.Duration) (*planrun.Answer, error) {
+// awaitAnswer waits for the answer of a run: it is published if this process drives the run,
+// and polled otherwise.
+func (c *Coordinator) awaitAnswer(ctx context.Context, run string, answers <-chan *planrun.Answer, startedAt, until time.Time, before time.Duration) (*planrun.Answer, error) {
 	limits := planrun.DefaultLimits()
 	keep := limits.AnswerRetention
 	giveUpAt := until.Add(limits.Grace + answerTimeout)
@@ -152,13 +155,13 @@
 		}
 		if s := c.fleet.Session(); s != nil && !c.drives(run) {
 			once, cancel := context.WithTimeout(ctx, commandTimeout)
-			r, bad := c.queryRun(once, s, run)
+			r, queryErr := c.queryRun(once, s, run)
 			cancel()
 			switch {
-			case bad != nil:
+			case queryErr != nil:
 			case r.FinalAnswer != nil:
 				return r.FinalAnswer, nil
-			case r.Run == nil && r.At > before && c.now().Sub(began) < keep-keep/10: // no answer of it can have been forgotten by now
+			case r.Run == nil && r.At > before && c.now().Sub(startedAt) < keep-keep/10: // an answer would still be stored by now
 				return nil, fmt.Errorf("%w: it was never begun", ErrRefused)
 			}
 		}
--- a/internal/dispatcher/fleet/coordinator/start_async_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -23,23 +23,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// raft node is the state behind calls that may be lost on their way in or out.
-type keeper struct {
-	mu      sync.Mutex
-	machine *state.Machine
-	clock   *heldClock
-	began   time.Time
-	lostIn  bool // commands of plans do not arrive
-	lostOut bool // their answers do not
+// fakeRaftNode serves the state by the calls of a raft node. Commands of plans, or the replies to
+// them, may be lost.
+type fakeRaftNode struct {
+	mu           sync.Mutex
+	machine      *state.Machine
+	clock        *heldClock
+	startedAt    time.Time
+	loseCommands bool // commands of plans are lost
+	loseReplies  bool // replies to commands of plans are lost
 }
 
-// at is fleet time, which may run slow.
-func (k *keeper) at() time.Duration { return k.clock.now().Sub(k.began) / 2 }
+// at returns the fleet time, which runs at half the speed of the clock: fleet time may run slow.
+func (node *fakeRaftNode) at() time.Duration { return node.clock.now().Sub(node.startedAt) / 2 }
 
-// heldClock stands still until it is released, and keeps time from then on. What has to
-// come before a deadline by it comes before, however busy the machine is.
+// heldClock stands still until it is released, and runs from then on. Events that must come
+// before a deadline by this clock do so, however busy the machine is.
 type heldClock struct {
-	held time.Time // what it shows until it is released
+	held time.Time // the time until it is released
 
 	mu       sync.Mutex
 	released time.Time // by the machine's clock; zero: not yet
@@ -64,29 +65,29 @@
 	}
 }
 
-func (k *keeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (node *fakeRaftNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	node.mu.Lock()
+	defer node.mu.Unlock()
 	body, _ := io.ReadAll(r.Body)
-	at, n := k.at(), k.machine.Index()+1
+	at, n := node.at(), node.machine.Index()+1
 	lost, answer := false, any(nil)
 	if r.URL.Path == rpc.PathCommand {
 		c, _ := state.Decode(body)
 		if c.Kind == partition.PlansCommand {
-			defer k.clock.release() // the start of the run has come, and was carried out unless it is lost
+			defer node.clock.release() // the start of the run has arrived, and was carried out unless it is lost
 		}
-		if c.Kind == partition.PlansCommand && k.lostIn {
+		if c.Kind == partition.PlansCommand && node.loseCommands {
 			panic(http.ErrAbortHandler)
 		}
-		lost, c.At = c.Kind == partition.PlansCommand && k.lostOut, at
+		lost, c.At = c.Kind == partition.PlansCommand && node.loseReplies, at
 		text, _ := codec.Encode(c)
-		answer = k.machine.Apply(n, text)
+		answer = node.machine.Apply(n, text)
 	} else {
 		tick, _ := codec.Encode(state.Command{Version: state.Version, Kind: state.Tick, At: at})
-		k.machine.Apply(n, tick)
+		node.machine.Apply(n, tick)
 		var q rpc.Query
 		_ = codec.Decode(body, &q)
-		text, _ := k.machine.Query(q.Kind, q.Body)
+		text, _ := node.machine.Query(q.Kind, q.Body)
 		answer = rpc.Answer{Index: n, At: at, Body: text}
 	}
 	if lost {
@@ -96,7 +97,7 @@
 	_, _ = w.Write(text)
 }
 
-// process is a place in the fleet, and a dispatcher that serves all.
+// process is a process of the fleet, and a dispatcher that serves every job.
 type process struct{ session *rpc.Session }
 
 func (p process) Session() *rpc.Session                     { return p.session }
@@ -108,30 +109,30 @@
 	return nil
 }
 
-// TestStartAsync: whoever waits for a run is told its end; that nothing has run only where
-// the state can't begin it any more.
+// TestStartAsync checks that StartAsync reports how a run ended, and that it reports a refusal
+// only if the state can no longer start the run.
 func TestStartAsync(t *testing.T) {
 	all, problems := plan.Parse("p.hcl", []byte("plan \"one\" {\n within = \"10m\"\n attempts = 9\n stage \"s\" {\n class = \"safe\"\n path = \"/s\"\n }\n}"),
 		plan.ClassesByName([]policy.Class{{Name: "safe", Effect: policy.Idempotent, ClientTimeout: time.Second}}))
 	require.Empty(t, problems)
 	for name, at := range map[string]struct {
-		in, out bool // what is lost
-		ask     StartRequest
-		within  time.Duration
-		outcome planrun.Outcome
-		err     error // in place of the outcome
+		loseCommands, loseReplies bool // of plans; see fakeRaftNode
+		ask                       StartRequest
+		within                    time.Duration
+		outcome                   planrun.Outcome
+		err                       error // in place of the outcome
 	}{
-		"served":                          {within: time.Hour, ask: StartRequest{Plan: "one"}},
-		"refused by the state":            {within: time.Hour, ask: StartRequest{Plan: "one", Tenant: strings.Repeat("x", 300)}, err: ErrRefused},
-		"late":                            {within: -time.Second, ask: StartRequest{Plan: "one"}, err: ErrRefused},
-		"starts do not arrive":            {in: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, err: ErrRefused},
-		"begun, and the answers are lost": {out: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, outcome: planrun.Refused},
+		"served":                            {within: time.Hour, ask: StartRequest{Plan: "one"}},
+		"refused by the state":              {within: time.Hour, ask: StartRequest{Plan: "one", Tenant: strings.Repeat("x", 300)}, err: ErrRefused},
+		"late":                              {within: -time.Second, ask: StartRequest{Plan: "one"}, err: ErrRefused},
+		"commands are lost":                 {loseCommands: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, err: ErrRefused},
+		"started, and the replies are lost": {loseReplies: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, outcome: planrun.Refused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock := newHeldClock()
-			k := &keeper{machine: state.New(partition.NewPlans()), clock: clock, began: clock.now(), lostIn: at.in, lostOut: at.out}
-			server := httptest.NewServer(k)
+			node := &fakeRaftNode{machine: state.New(partition.NewPlans()), clock: clock, startedAt: clock.now(), loseCommands: at.loseCommands, loseReplies: at.loseReplies}
+			server := httptest.NewServer(node)
 			defer server.Close()
 			client := rpc.New(map[string]string{"k": strings.TrimPrefix(server.URL, "http://")})
 			defer client.Close()
@@ -143,7 +144,7 @@
 			c.now = clock.now
 			c.SetPlans(all)
 			require.ErrorIs(t, c.StartAsync(StartRequest{Plan: "two"}, time.Time{}, nil), ErrUnknownPlan)
-			require.ErrorIs(t, c.StartAsync(at.ask, time.Time{}, nil), ErrNoSession, "it does not run yet")
+			require.ErrorIs(t, c.StartAsync(at.ask, time.Time{}, nil), ErrNoSession, "the coordinator does not run yet")
 			var running sync.WaitGroup
 			running.Go(func() { _ = c.Run(ctx) })
 			defer running.Wait()
@@ -159,7 +160,7 @@
 				return c.StartAsync(at.ask, until, func(a *planrun.Answer, err error) { ended <- end{a, err} }) == nil
 			}, 10*time.Second, time.Millisecond)
 			got := <-ended
-			require.False(t, (at.in || at.out) && k.at() < at.within, "a start that is on its way may begin it yet")
+			require.False(t, (at.loseCommands || at.loseReplies) && node.at() < at.within, "a command that was sent may still start the run")
 			if at.err != nil {
 				require.ErrorIs(t, got.err, at.err)
 				return
