--- a/internal/dispatcher/fleet/partition/budgets.go
+++ b/internal/dispatcher/fleet/partition/budgets.go
@@ -22,7 +22,7 @@
 	BudgetsStatus state.Kind = "budgets/standings" // a query, answered with []budget.Occupancy
 )
 
-// BudgetsDeparture is what a process leaves in flight at its planned shutdown, by budget.
+// BudgetsDeparture reports, by budget, what a process has in flight at its planned shutdown.
 type BudgetsDeparture struct{ Left map[string]budget.Departure }
 
 // Budgets is the partition of the budgets. Its settings are a budget.Config.
@@ -80,8 +80,8 @@
 	return codec.Encode(g)
 }
 
-// IncarnationEnded implements state.Partition. A share outlasts its holder: the allocation
-// table takes it back when the lease has expired.
+// IncarnationEnded implements state.Partition. A share outlasts its incarnation: the allocation
+// table reclaims it when the lease has expired.
 func (*Budgets) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
 
 // Advance implements state.Partition.
--- a/internal/dispatcher/fleet/partition/plans.go
+++ b/internal/dispatcher/fleet/partition/plans.go
@@ -21,13 +21,13 @@
 	PlansRun          state.Kind = "plans/look"    // a query with a run's id, answered with a PlanReply
 )
 
-// PlanReply answers a command or a query of plan runs. It is sent by the field names in its
-// tags.
+// PlanReply answers a command or a query of plan runs. It is sent under its field names, or
+// the names in their tags.
 type PlanReply struct {
 	planrun.Reply
 	Index       uint64          // log index of the state that it describes
 	At          time.Duration   // fleet time of that state
-	Run         *planrun.Run    // the run as of Index, unless it has ended; its coordinator knows the shape
+	Run         *planrun.Run    // the run as of Index, unless it has ended; without its shape, which the coordinator has
 	Producing   uint64          `cbor:"Makes"` // see planrun.View
 	FinalAnswer *planrun.Answer `cbor:"Ended"` // nil: the run has not ended
 }
@@ -47,32 +47,32 @@
 // Set implements state.Partition.
 func (p *Plans) Set(_ time.Duration, settings []byte) error { return p.Check(settings) }
 
-// Apply implements state.Partition. A refusal by the tracker is part of the reply, with the
-// run as it is, since a refusal may have made the run give up. The issuing process is that
+// Apply implements state.Partition. A refusal by the tracker is returned in the reply together
+// with the run, since the tracker may have given the run up on it. The issuing process is that
 // of the session, which the state has checked.
 func (p *Plans) Apply(c state.Command, index uint64) ([]byte, error) {
-	var do planrun.Command
-	if err := codec.Decode(c.Body, &do); err != nil || c.Kind != PlansCommand || do.LeaseExpired != nil {
+	var command planrun.Command
+	if err := codec.Decode(c.Body, &command); err != nil || c.Kind != PlansCommand || command.LeaseExpired != nil {
 		return nil, fmt.Errorf("%w: no plan command %q", state.ErrBad, c.Kind)
 	}
 	run := ""
 	switch {
-	case do.Start != nil:
-		do.Start.Process, do.Start.Incarnation, run = c.Process, c.Incarnation, do.Start.Run
-	case do.Claim != nil:
-		do.Claim.Process, do.Claim.Incarnation = c.Process, c.Incarnation
-	case do.Open != nil:
-		run = do.Open.Run
-	case do.SendAttempt != nil:
-		run = do.SendAttempt.Run
-	case do.ReportEnd != nil:
-		run = do.ReportEnd.Run
-	case do.Abandon != nil:
-		run = do.Abandon.Run
-	case do.Finish != nil:
-		run = do.Finish.Run
+	case command.Start != nil:
+		command.Start.Process, command.Start.Incarnation, run = c.Process, c.Incarnation, command.Start.Run
+	case command.Claim != nil:
+		command.Claim.Process, command.Claim.Incarnation = c.Process, c.Incarnation
+	case command.Open != nil:
+		run = command.Open.Run
+	case command.SendAttempt != nil:
+		run = command.SendAttempt.Run
+	case command.ReportEnd != nil:
+		run = command.ReportEnd.Run
+	case command.Abandon != nil:
+		run = command.Abandon.Run
+	case command.Finish != nil:
+		run = command.Finish.Run
 	}
-	r := PlanReply{Reply: p.tracker.Apply(c.At, do), Index: index, At: c.At}
+	r := PlanReply{Reply: p.tracker.Apply(c.At, command), Index: index, At: c.At}
 	p.describeRun(run, &r)
 	return codec.Encode(r)
 }
@@ -93,8 +93,8 @@
 	return nil, errors.New("plans are not renewed")
 }
 
-// IncarnationEnded implements state.Partition: the runs of an ended incarnation wait for
-// another coordinator.
+// IncarnationEnded implements state.Partition: the runs of an ended incarnation can be claimed
+// by another coordinator.
 func (p *Plans) IncarnationEnded(at time.Duration, process string, incarnation uint64, _ state.EndCause) {
 	p.tracker.LeaseExpired(at, process, incarnation)
 }
--- a/internal/dispatcher/fleet/partition/records.go
+++ b/internal/dispatcher/fleet/partition/records.go
@@ -29,8 +29,8 @@
 	RecordsStatus    state.Kind = "records/stand" // a query, answered with a RecordsStatusBody
 )
 
-// RecordsShipped answers a Ship. If Gap is set, records before these are missing, and
-// Through is valid all the same.
+// RecordsShipped answers a Ship. If Gap is set, records before these are missing; Through is
+// valid nevertheless.
 type RecordsShipped struct {
 	records.Shipped
 	Gap bool
@@ -47,25 +47,25 @@
 	Counts records.Counts
 	Holds  []records.Hold
 	Usage  map[string]records.Usage // by tenant, over its retention classes
-	Bytes  int64                    // on this node's disk
+	Bytes  int64                    // size on this node's disk
 }
 
 // Bounds of one query or command.
 const (
 	maxRecordsByID     = 64    // records in the answer to a query by id
-	maxScannedPerPrune = 1_000 // records looked at by one prune
+	maxScannedPerPrune = 1_000 // records that one prune examines
 )
 
-// Records is the partition of the job records. The small part of its state is in memory,
-// the records are in a store that is filled from the log.
+// Records is the partition of the job records. The records are in a store on disk that is
+// filled from the log; the rest of the state is small and held in memory.
 type Records struct {
 	state   *records.State
 	store   *recordstore.Store
-	failure error // of the store in the middle of a command: this replica's state is invalid
+	failure error // error of the store during a command: this replica's state is invalid since
 }
 
 // NewRecords returns an empty partition over an empty store. The caller closes the store.
-// The fence is what this process knows of earlier prunes.
+// The known fence is how far this process knows that records were pruned before.
 func NewRecords(s *recordstore.Store, known records.Fence) *Records {
 	r := &Records{state: records.New(), store: s}
 	r.state.LearnFence(known)
@@ -98,7 +98,7 @@
 	err = p.store.Update(index, func(st records.Store) error {
 		var reply any
 		if reply, err = p.execute(c, st); errors.Is(err, records.ErrStore) {
-			return err // nothing of it is kept
+			return err // the store discards the command's changes
 		}
 		if err == nil {
 			body, err = codec.Encode(reply)
@@ -158,8 +158,8 @@
 	return nil, errors.New("records are not renewed")
 }
 
-// IncarnationEnded implements state.Partition. What a process left in its spool arrives
-// when it is back.
+// IncarnationEnded implements state.Partition. Records that remain in a process's spool are
+// shipped when it is back.
 func (*Records) IncarnationEnded(time.Duration, string, uint64, state.EndCause) {}
 
 // Advance implements state.Partition: records are removed by prunes only.
@@ -251,8 +251,8 @@
 	return p.state.Decode(encoded)
 }
 
-// Digest implements state.Partition. It fails where the store has failed, so that this
-// replica never agrees with a majority.
+// Digest implements state.Partition. It fails if the store has failed, so that this replica
+// never counts as equal to a majority.
 func (p *Records) Digest() (uint64, error) {
 	if p.failure != nil {
 		return 0, p.failure
