--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	minJoinBackoff = 50 * time.Millisecond // after a join that failed; doubled up to lastPause
+	minJoinBackoff = 50 * time.Millisecond // after a failed join; doubled up to maxJoinBackoff
 	maxJoinBackoff = time.Second
-	commandTimeout = 3 * time.Second // how long a command is asked for before it counts as lost
+	commandTimeout = 3 * time.Second // for one command with its retries; then it counts as lost
 )
 
 // Settings configure an agent.
@@ -30,16 +30,16 @@
 	Process, Version string
 	RaftNodes        map[string]string   // address of each node's RPC endpoint, by name
 	FleetSettings    state.FleetSettings // the operator's settings for the whole fleet
-	ExpectedBudgets  []string            // the budgets that the settings name
+	ExpectedBudgets  []string            // names of the budgets in FleetSettings
 	Log              *slog.Logger
 }
 
-// Agent keeps one process in the fleet. It is safe for concurrent use, except where a
-// method says otherwise.
+// Agent keeps one process in the fleet. It is safe for concurrent use, except for methods whose
+// comment restricts them to one goroutine.
 type Agent struct {
 	settings      Settings
 	client        *rpc.Client
-	clockZero     time.Time // zero of the process's own monotonic clock
+	clockZero     time.Time // origin of the process's own monotonic clock
 	nonce         string
 	allowance     *budget.Allowance
 	buckets       atomic.Pointer[bucketSet]
@@ -53,8 +53,8 @@
 	leaseEnd  atomic.Int64                // own clock, in nanoseconds
 }
 
-// New returns an agent that has not joined. It admits nothing of the expected budgets
-// before its first grant.
+// New returns an agent that has not joined. The expected budgets allow nothing before its
+// first grant.
 func New(s Settings) *Agent {
 	a := &Agent{settings: s, client: rpc.New(s.RaftNodes), clockZero: time.Now(), nonce: fmt.Sprintf("%016x", rand.Uint64()), allowance: budget.NewAllowance(),
 		leaving: make(chan struct{}), lastRejection: make(map[string]time.Duration)}
@@ -63,8 +63,8 @@
 	return a
 }
 
-// now returns the process's own clock, which never jumps and runs on while the process is
-// stopped.
+// now returns the time by the process's own clock, which never jumps and keeps running while
+// the process is stopped.
 func (a *Agent) now() time.Duration { return time.Since(a.clockZero) }
 
 // Session returns the incarnation in force, as far as this process knows, or nil.
@@ -75,7 +75,7 @@
 	defer a.client.Close()
 	pause := minJoinBackoff
 	for n := 0; ctx.Err() == nil; n++ {
-		// A start joins under its own nonce; one that went out of force is a new one.
+		// Each incarnation needs a new nonce. A join that failed is retried with the same one.
 		err := a.joinAndRenew(ctx, fmt.Sprintf("%s-%d", a.nonce, n))
 		a.session.Store(nil)
 		switch {
@@ -86,7 +86,7 @@
 			continue
 		default:
 			a.settings.Log.Warn("no raft node answers; joining the fleet again", "error", err)
-			n-- // the same start: its join may have counted
+			n-- // the same nonce: the join may have been applied
 		}
 		select {
 		case <-ctx.Done():
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// joinAndRenew joins, and renews until the incarnation is fenced or the context ends.
+// joinAndRenew joins the fleet, and renews the lease until the incarnation is fenced or the
+// context ends.
 func (a *Agent) joinAndRenew(ctx context.Context, nonce string) error {
 	join, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
 	defer cancel()
@@ -133,7 +134,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-a.leaving:
-			<-ctx.Done() // nothing is spent any more
+			<-ctx.Done() // the allowance is closed: nothing is spent any more, and no renewal is needed
 			return ctx.Err()
 		case <-time.After(max(0, a.allowance.NextRenewal(a.now())-a.now())):
 		}
@@ -178,9 +179,9 @@
 	return int64(a.now()) < a.leaseEnd.Load() && a.session.Load() != nil
 }
 
-// Leave announces a planned shutdown and reports what is in flight. Whatever it can't
-// report by the deadline, the fleet concludes from the lease's expiry. It must be called
-// once at most.
+// Leave announces a planned shutdown and reports what is in flight. If it can't report before
+// the context's deadline, the fleet infers the departure from the lease's expiry. Leave must be
+// called at most once.
 func (a *Agent) Leave(ctx context.Context) error {
 	close(a.leaving)
 	left := a.allowance.Close(a.now())
@@ -212,8 +213,8 @@
 	if at := a.renewedAt.Load(); at != 0 {
 		s.SinceRenewalMS = (a.now() - time.Duration(at)).Milliseconds()
 	}
-	if in := a.session.Load(); in != nil {
-		s.Incarnation = in.Incarnation
+	if session := a.session.Load(); session != nil {
+		s.Incarnation = session.Incarnation
 	}
 	return s
 }
--- a/internal/dispatcher/fleet/agent/budget_use.go
+++ b/internal/dispatcher/fleet/agent/budget_use.go
@@ -9,15 +9,16 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// bucketSet is an immutable snapshot of the token buckets by use, which is read on a job's
-// path and replaced when a grant names a new budget.
+// bucketSet is an immutable snapshot of the token buckets by purpose. It is read on a job's
+// path, and replaced when a grant names a new budget.
 type bucketSet struct {
 	names                        map[string]bool
 	admission, retries, inFlight map[string]*budget.TokenBucket
 	cold, probes                 *budget.TokenBucket
 }
 
-// addBuckets adds the buckets of these budgets.
+// addBuckets replaces the bucket set by one that also has the buckets of these budgets, unless
+// it has them all.
 func (a *Agent) addBuckets(names []string) {
 	old := a.buckets.Load()
 	unknown := old == nil
@@ -35,25 +36,24 @@
 	}
 	for _, n := range names {
 		t.names[n] = true
-		of, name, _ := strings.Cut(n, "/")
-		switch tap := a.allowance.Bucket(n); of {
+		purpose, name, _ := strings.Cut(n, "/")
+		switch bucket := a.allowance.Bucket(n); purpose {
 		case settings.BudgetJobs:
-			t.admission[name] = tap
+			t.admission[name] = bucket
 		case settings.BudgetRetries:
-			t.retries[name] = tap
+			t.retries[name] = bucket
 		case settings.BudgetUnderWay:
-			t.inFlight[name] = tap
+			t.inFlight[name] = bucket
 		case settings.BudgetCold:
-			t.cold = tap
+			t.cold = bucket
 		case settings.BudgetProbes:
-			t.probes = tap
+			t.probes = bucket
 		}
 	}
 	a.buckets.Store(t)
 }
 
-// The methods below are on a job's path: they use atomics and a snapshot, and never
-// block.
+// The methods below are on a job's path: they use atomics and the bucket set, and never block.
 
 // Admit implements pipeline.TenantLimiter.
 func (a *Agent) Admit(tenant string, now time.Time) (time.Time, bool) {
@@ -82,11 +82,11 @@
 	return now
 }
 
-// rejectionInterval limits how often a rejection of one budget is counted as demand:
-// waiting jobs ask again at each scheduling decision.
+// rejectionInterval is the shortest time between two rejections by one budget that are counted
+// as demand, since waiting jobs call HasHeadroom again at each scheduling decision.
 const rejectionInterval = 20 * time.Millisecond
 
-// HasHeadroom implements policy.SharedBudget. It belongs to the engine's goroutine.
+// HasHeadroom implements policy.SharedBudget. It must be called by the engine's goroutine only.
 func (a *Agent) HasHeadroom(kind string) bool {
 	t := a.buckets.Load().inFlight[kind]
 	if t == nil {
@@ -101,7 +101,7 @@
 	return free
 }
 
-// Reserve implements engine.SharedBudget. It belongs to the engine's goroutine.
+// Reserve implements engine.SharedBudget. It must be called by the engine's goroutine only.
 func (a *Agent) Reserve(kind string, until time.Time) (engine.Reservation, bool) {
 	t := a.buckets.Load().inFlight[kind]
 	if t == nil {
@@ -125,8 +125,8 @@
 	return t.Amount(a.now())
 }
 
-// SetArrivalRate reports how many jobs a second arrive at this dispatcher. The capacity of
-// members that are warming up is divided by it.
+// SetArrivalRate sets how many jobs a second arrive at this dispatcher. The fleet divides the
+// capacity of members that are warming up according to these rates.
 func (a *Agent) SetArrivalRate(rate float64) {
 	if t := a.buckets.Load().cold; t != nil {
 		t.SetDemand(rate)
