--- a/internal/dispatcher/fleet/rpc/client.go
+++ b/internal/dispatcher/fleet/rpc/client.go
@@ -1,7 +1,7 @@
 // Package rpc is the client of the fleet's raft nodes: HTTP/1.1 POSTs with CBOR bodies
 // (package codec). A command or a read is sent to the leader, and retried at the other
-// nodes until its context ends. The replicated state answers a command that arrives twice
-// as it did the first time, so that a retry is safe.
+// nodes until its context ends. A retry is safe, since the replicated state answers a command
+// that arrives twice with its first reply.
 package rpc
 
 import (
@@ -26,15 +26,15 @@
 	LeaderHeader = "Fleet-Leader"
 	// MaxBody is the largest request or response body, in bytes.
 	MaxBody = 4 << 20
-	// attemptTimeout bounds one attempt at one node, since a node that is stopped or cut off
+	// attemptTimeout bounds one attempt at one node, since a node that is stopped or partitioned
 	// doesn't answer.
 	attemptTimeout = 1200 * time.Millisecond
 	// roundPause is the pause after all nodes have been tried.
 	roundPause = 20 * time.Millisecond
 )
 
-// ErrUnavailable says that no raft node answered in time. The command may have been carried
-// out, or may be yet; it is safe to send the same command again.
+// ErrUnavailable is returned if no raft node answered in time. The command may have been
+// carried out, or may still be. It is safe to send the same command again.
 var ErrUnavailable = errors.New("no keeper answered in time")
 
 // Client sends commands and queries to the raft nodes. It is safe for concurrent use.
@@ -43,7 +43,7 @@
 	addrs     map[string]string
 	http      *http.Client
 	preferred atomic.Int64 // index of the node that is tried first
-	bodyBytes atomic.Int64 // request and response bodies
+	bodyBytes atomic.Int64 // of request and response bodies
 }
 
 // New returns a client of the raft nodes with these addresses, by name.
@@ -64,8 +64,8 @@
 // BodyBytes returns the number of bytes of all request and response bodies.
 func (c *Client) BodyBytes() int64 { return c.bodyBytes.Load() }
 
-// Do has a command carried out. Its error wraps ErrUnavailable, the context's error or that
-// of the reply.
+// Do sends a command to the leader and returns the reply. Its error wraps ErrUnavailable and
+// the context's error, or is that of the reply.
 func (c *Client) Do(ctx context.Context, cmd state.Command) (state.Reply, error) {
 	cmd.Version = state.Version
 	text, err := codec.Encode(cmd)
@@ -119,8 +119,8 @@
 	}
 }
 
-// Post sends one request to one node. A node that is not the leader returns the leader's
-// name, as far as it knows.
+// Post sends one request to one node. If the node is not the leader, Post returns the leader's
+// name, if the node knows it.
 func (c *Client) Post(ctx context.Context, name, path string, text []byte, into any) (leader string, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(attemptTimeout))
 	defer cancel()
--- a/internal/dispatcher/fleet/rpc/session.go
+++ b/internal/dispatcher/fleet/rpc/session.go
@@ -17,11 +17,11 @@
 
 	mu      sync.Mutex
 	lastSeq uint64
-	pending map[uint64]bool // commands without an answer, by sequence number
-	acked   uint64
+	pending map[uint64]bool // commands without a reply, by sequence number
+	acked   uint64          // no command up to this sequence number is pending
 }
 
-// Join gets an incarnation for one start of a process, which the nonce identifies.
+// Join requests an incarnation for one start of a process, which the nonce identifies.
 func (c *Client) Join(ctx context.Context, process, nonce, version string) (*Session, state.JoinReply, error) {
 	var j state.JoinReply
 	body, err := codec.Encode(state.JoinBody{Process: process, Nonce: nonce, Version: version})
@@ -38,9 +38,9 @@
 	return &Session{Client: c, Process: process, Incarnation: j.Incarnation, pending: make(map[uint64]bool)}, j, nil
 }
 
-// Execute has a command carried out exactly once, however often it is retried, and decodes
-// the reply's body into a value unless that is nil. An error that wraps ErrUnavailable
-// leaves open whether the command was carried out.
+// Execute executes a command exactly once, however often it is retried, and decodes the reply's
+// body into a value unless that is nil. After an error that wraps ErrUnavailable the command may
+// have been carried out.
 func (s *Session) Execute(ctx context.Context, kind state.Kind, body, into any) error {
 	text, err := codec.Encode(body)
 	if err != nil {
@@ -52,8 +52,8 @@
 	s.pending[seq] = true
 	s.mu.Unlock()
 	r, err := s.Do(ctx, state.Command{Process: s.Process, Incarnation: s.Incarnation, Seq: seq, Acked: acked, Kind: kind, Body: text})
-	// A command without an answer counts as answered too: a late copy of it is refused from
-	// the next command on, and the state need not keep all later answers for its sake.
+	// A command without a reply counts as acknowledged, too: from the next command on a late copy
+	// of it is refused, and the state need not keep all later replies because of it.
 	s.mu.Lock()
 	delete(s.pending, seq)
 	for s.acked < s.lastSeq && !s.pending[s.acked+1] {
@@ -66,7 +66,7 @@
 	return codec.Decode(r.Body, into)
 }
 
-// Renew renews the lease, with a message for each partition.
+// Renew renews the lease, and sends messages to partitions.
 func (s *Session) Renew(ctx context.Context, messages map[string][]byte) (state.RenewReply, error) {
 	var reply state.RenewReply
 	body, err := codec.Encode(state.RenewBody{Partitions: messages})
