--- a/internal/dispatcher/fleet/codec/codec.go
+++ b/internal/dispatcher/fleet/codec/codec.go
@@ -52,5 +52,6 @@
 	return nil
 }
 
-// Digest returns the xxHash64 of an encoded value. It detects mistakes, not malice.
+// Digest returns the xxHash64 of an encoded value. It protects against errors, not
+// against deliberate changes.
 func Digest(text []byte) uint64 { return xxhash.Sum64(text) }
--- a/internal/dispatcher/fleet/codec/codec_test.go
+++ b/internal/dispatcher/fleet/codec/codec_test.go
@@ -13,6 +13,8 @@
 	Text  []byte
 }
 
+// TestSameValueSameBytes checks that equal values have equal encodings, and that input with bytes
+// left over, or truncated, is refused.
 func TestSameValueSameBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := sample{
@@ -31,7 +33,7 @@
 		var back sample
 		require.NoError(t, Decode(a, &back))
 		require.Equal(t, v, back)
-		require.Error(t, Decode(append(a, 0), &back), "bytes left over")
+		require.Error(t, Decode(append(a, 0), &back), "trailing bytes")
 		require.Error(t, Decode(a[:len(a)-1], &back), "torn")
 	})
 }
