--- a/internal/dispatcher/fleet/agent/agent.go
+++ b/internal/dispatcher/fleet/agent/agent.go
@@ -213,8 +213,8 @@
 	if at := a.renewedAt.Load(); at != 0 {
 		s.SinceRenewalMS = (a.now() - time.Duration(at)).Milliseconds()
 	}
-	if session := a.session.Load(); session != nil {
-		s.Incarnation = session.Incarnation
+	if current := a.session.Load(); current != nil {
+		s.Incarnation = current.Incarnation
 	}
 	return s
 }
--- a/internal/dispatcher/fleet/coordinator/attempt.go
+++ b/internal/dispatcher/fleet/coordinator/attempt.go
@@ -19,10 +19,10 @@
 func (d *driver) job(a planrun.Action, v planrun.View, at time.Duration) (j Job, err error) {
 	st, item := d.plan.Stages[a.Stage], &v.Run.Stages[a.Stage].Items[a.Item]
 	j = Job{ID: jobID(d.id, a), Class: a.Class, Tenant: v.Run.Tenant, CostHint: st.Cost, Plan: d.plan.Name, Stage: st.Name, Deadline: time.Now().Add(a.At - at)}
-	if values := d.values(v, a.Stage, item.Value); a.Undo {
-		j.Path, j.Body, j.Key, err = st.Undo.Render(values)
+	if vals := d.values(v, a.Stage, item.Value); a.Undo {
+		j.Path, j.Body, j.Key, err = st.Undo.Render(vals)
 	} else {
-		j.Path, j.Body, j.Key, err = st.Render(values)
+		j.Path, j.Body, j.Key, err = st.Render(vals)
 	}
 	if a.Where != plan.Anywhere {
 		j.ExcludedMember, j.ExcludeItsZone = a.Member, a.Where == plan.OtherZone
--- a/internal/dispatcher/fleet/coordinator/driver.go
+++ b/internal/dispatcher/fleet/coordinator/driver.go
@@ -192,19 +192,19 @@
 // openStage evaluates a stage's items and its shared key, and stores them in the replicated
 // state.
 func (d *driver) openStage(ctx context.Context, o planrun.Open, v planrun.View) {
-	st, values := d.plan.Stages[o.Stage], d.values(v, o.Stage, nil)
+	st, vals := d.plan.Stages[o.Stage], d.values(v, o.Stage, nil)
 	o.Items = [][]byte{nil}
 	var err error
 	if st.Each != nil {
 		var items []plan.Item
-		items, err = st.Items(values)
+		items, err = st.Items(vals)
 		o.Items = make([][]byte, len(items))
 		for i := range items {
 			o.Items[i] = items[i]
 		}
 	}
 	if err == nil && st.Shared != nil {
-		o.Key, err = st.SharedKey(values)
+		o.Key, err = st.SharedKey(vals)
 		// Outputs are shared within one stage of one plan: elsewhere the same key has another meaning.
 		o.Key = fmt.Sprintf("%016x %s %s", d.plan.Digest, st.Name, o.Key)
 	}
--- a/internal/dispatcher/fleet/coordinator/start_async_test.go
+++ b/internal/dispatcher/fleet/coordinator/start_async_test.go
@@ -116,7 +116,7 @@
 		plan.ClassesByName([]policy.Class{{Name: "safe", Effect: policy.Idempotent, ClientTimeout: time.Second}}))
 	require.Empty(t, problems)
 	for name, at := range map[string]struct {
-		loseCommands, loseReplies bool // of plans; see fakeRaftNode
+		commandsLost, repliesLost bool // of plans; see fakeRaftNode
 		ask                       StartRequest
 		within                    time.Duration
 		outcome                   planrun.Outcome
@@ -125,13 +125,13 @@
 		"served":                            {within: time.Hour, ask: StartRequest{Plan: "one"}},
 		"refused by the state":              {within: time.Hour, ask: StartRequest{Plan: "one", Tenant: strings.Repeat("x", 300)}, err: ErrRefused},
 		"late":                              {within: -time.Second, ask: StartRequest{Plan: "one"}, err: ErrRefused},
-		"commands are lost":                 {loseCommands: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, err: ErrRefused},
-		"started, and the replies are lost": {loseReplies: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, outcome: planrun.Refused},
+		"commands are lost":                 {commandsLost: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, err: ErrRefused},
+		"started, and the replies are lost": {repliesLost: true, within: 300 * time.Millisecond, ask: StartRequest{Plan: "one"}, outcome: planrun.Refused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			clock := newHeldClock()
-			node := &fakeRaftNode{machine: state.New(partition.NewPlans()), clock: clock, startedAt: clock.now(), loseCommands: at.loseCommands, loseReplies: at.loseReplies}
+			node := &fakeRaftNode{machine: state.New(partition.NewPlans()), clock: clock, startedAt: clock.now(), loseCommands: at.commandsLost, loseReplies: at.repliesLost}
 			server := httptest.NewServer(node)
 			defer server.Close()
 			client := rpc.New(map[string]string{"k": strings.TrimPrefix(server.URL, "http://")})
@@ -160,7 +160,7 @@
 				return c.StartAsync(at.ask, until, func(a *planrun.Answer, err error) { ended <- end{a, err} }) == nil
 			}, 10*time.Second, time.Millisecond)
 			got := <-ended
-			require.False(t, (at.loseCommands || at.loseReplies) && node.at() < at.within, "a command that was sent may still start the run")
+			require.False(t, (at.commandsLost || at.repliesLost) && node.at() < at.within, "a command that was sent may still start the run")
 			if at.err != nil {
 				require.ErrorIs(t, got.err, at.err)
 				return
--- a/internal/dispatcher/fleet/raftnode/divergence.go
+++ b/internal/dispatcher/fleet/raftnode/divergence.go
@@ -28,11 +28,11 @@
 
 // stopServing stops this replica from serving anything until its state has been restored
 // from the other nodes.
-func (node *Node) stopServing(n *replica, divergent []string) {
+func (node *Node) stopServing(n *replica, partitions []string) {
 	node.mu.Lock()
-	node.divergent = divergent
+	node.divergent = partitions
 	node.mu.Unlock()
-	node.log.Error("replica diverges from the majority; it serves nothing until its state is restored", "partitions", divergent)
+	node.log.Error("replica diverges from the majority; it serves nothing until its state is restored", "partitions", partitions)
 	if n.raft.State() == raft.Leader {
 		if err := n.raft.LeadershipTransfer().Error(); err != nil {
 			node.log.Debug("leadership transfer failed", "error", err)
--- a/internal/dispatcher/fleet/raftnode/golden_test.go
+++ b/internal/dispatcher/fleet/raftnode/golden_test.go
@@ -123,9 +123,9 @@
 	startRun("run-in-the-snapshot")
 	ship(1, "job-1", "job-2")
 	node.mu.Lock()
-	replica := node.replica
+	running := node.replica
 	node.mu.Unlock()
-	require.NoError(t, replica.raft.Snapshot().Error())
+	require.NoError(t, running.raft.Snapshot().Error())
 	startRun("run-in-the-log")
 	ship(3, "job-3")
 }
--- a/internal/dispatcher/fleet/raftnode/node_test.go
+++ b/internal/dispatcher/fleet/raftnode/node_test.go
@@ -361,9 +361,9 @@
 
 func TestIdentityOfADataDir(t *testing.T) {
 	for name, at := range map[string]struct {
-		identity any
-		log      bool
-		want     string
+		stored any
+		log    bool
+		want   string
 	}{
 		"newer":       {identity{Version: 9, Node: "k1"}, true, "it is of version 9"},
 		"torn":        {"k", true, "its identity file can't be read"},
@@ -371,8 +371,8 @@
 		"another's":   {identity{Version: identityVersion, Node: "k2"}, true, "belongs to raft node k2, not to k1"},
 	} {
 		dir := t.TempDir()
-		if at.identity != nil {
-			text, err := codec.Encode(at.identity)
+		if at.stored != nil {
+			text, err := codec.Encode(at.stored)
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(filepath.Join(dir, identityFile), text, 0o600))
 		}
--- a/internal/dispatcher/fleet/state/state.go
+++ b/internal/dispatcher/fleet/state/state.go
@@ -33,8 +33,8 @@
 const DefaultLease = 3 * time.Second
 
 // New returns an empty state with these partitions.
-func New(partitions ...Partition) *Machine {
-	return &Machine{settings: settingsInForce{Lease: DefaultLease}, partitions: partitions}
+func New(parts ...Partition) *Machine {
+	return &Machine{settings: settingsInForce{Lease: DefaultLease}, partitions: parts}
 }
 
 // At returns the fleet time of the last command.
@@ -66,18 +66,18 @@
 	case ReportBoot:
 		return m.recordBoot(c)
 	}
-	member, r := m.member(c)
-	if member == nil {
+	sender, r := m.member(c)
+	if sender == nil {
 		return r
 	}
 	if c.Seq != 0 {
-		if old, ok := member.rememberedReply(c.Seq); ok {
+		if old, ok := sender.rememberedReply(c.Seq); ok {
 			return old
 		}
 	}
-	r = m.execute(member, c, index)
+	r = m.execute(sender, c, index)
 	if c.Seq != 0 {
-		member.rememberReply(c, r)
+		sender.rememberReply(c, r)
 	}
 	return r
 }
