--- a/internal/dispatcher/fleet/budget/allocation_table.go
+++ b/internal/dispatcher/fleet/budget/allocation_table.go
@@ -12,17 +12,16 @@
 // DivisionInterval is how often a budget is divided at most, in fleet time.
 const DivisionInterval = 100 * time.Millisecond
 
-// demandTolerance is the change of a demand, as a fraction of the greater one, that changes
-// no share.
+// demandTolerance is the greatest change of a demand, as a fraction of the greater value,
+// that changes no share.
 const demandTolerance = 0.1
 
-// AllocationTable is the replicated side of the budgets. It is not safe for concurrent use.
-// Its methods take the fleet time, which must not run backward; an earlier one counts as
-// the last.
+// AllocationTable is the replicated state of the budgets. It is not safe for concurrent
+// use. Its methods take the fleet time; a time before the latest one counts as the latest.
 type AllocationTable struct {
 	storedState
-	activeHolders map[string]*holder // the incarnation in force, by process
-	nextDue       time.Duration      // no lease, quarantine or seat turn ends before
+	activeHolders map[string]*holder // the newest incarnation, by process
+	nextDue       time.Duration      // no lease, quarantine or seat turn ends before this fleet time
 	policy        DivisionPolicy
 	grantTwice    bool // the injected fault
 
@@ -36,8 +35,8 @@
 	Budget
 	Quarantines   []quarantine  `cbor:"Rests"`
 	DividedAt     time.Duration `cbor:"Divided"` // fleet time of the last division
-	SeatTurnAt    time.Duration `cbor:"Turn"`    // when those without a seat get theirs; 0: all have one
-	NeedsDivision bool          `cbor:"Dirty"`   // something has changed since
+	SeatTurnAt    time.Duration `cbor:"Turn"`    // when seats are assigned anew; 0: no holder waits for one
+	NeedsDivision bool          `cbor:"Dirty"`   // something has changed since the last division
 
 	held, quarantined totals
 }
@@ -47,16 +46,19 @@
 func NewAllocationTable() *AllocationTable { return NewAllocationTableWith(MaxMin) }
 
 // NewAllocationTableWith returns a table with another division policy, for studies. All
-// replicas must have the same.
-func NewAllocationTableWith(way DivisionPolicy) *AllocationTable {
-	return &AllocationTable{storedState: storedState{Version: stateVersion}, activeHolders: map[string]*holder{}, nextDue: math.MaxInt64, policy: way, grantTwice: faultGrantTwice}
+// replicas must have the same policy.
+func NewAllocationTableWith(divisionPolicy DivisionPolicy) *AllocationTable {
+	return &AllocationTable{
+		storedState: storedState{Version: stateVersion}, activeHolders: map[string]*holder{}, nextDue: math.MaxInt64,
+		policy: divisionPolicy, grantTwice: faultGrantTwice,
+	}
 }
 
 // Configure sets the lease duration and the budgets. A budget that exists keeps its shares:
-// a lowered total binds once the holders above it have acknowledged less, or are gone, and
-// nothing grows before. Of a new InFlight or Divided budget each holder counts as holding
-// the total until it has acknowledged, since it may have anything in flight. If the
-// configuration is invalid, nothing changes.
+// a lowered total takes effect once the holders have acknowledged smaller shares, or are
+// gone, and no share grows before. Each holder counts as holding the total of a new
+// InFlight or Divided budget until it has acknowledged a grant, since it may have any
+// number of jobs in flight. If the configuration is invalid, nothing changes.
 func (t *AllocationTable) Configure(at time.Duration, c Config) error {
 	if err := c.Check(); err != nil {
 		return fmt.Errorf("configuring the fleet's budgets: %w", err)
@@ -75,11 +77,11 @@
 		t.LastGrant++
 	}
 	for _, h := range t.Holders {
-		lines := make([]allocation, len(next))
+		allocations := make([]allocation, len(next))
 		for i, s := range next {
-			l := &lines[i]
+			l := &allocations[i]
 			if k := t.budgetIndex(s.Name); k >= 0 && t.Budgets[k].Kind == s.Kind {
-				// It may be using what is bound or what was offered: both count on.
+				// It may be using what it acknowledged or what was offered: both still count.
 				*l = h.Allocations[k]
 				l.Acknowledged = l.Acknowledged.componentMax(l.Offered)
 				l.Offered = l.Acknowledged
@@ -87,7 +89,7 @@
 				l.Acknowledged = allotment{Amount: toMicros(s.Total), SettleTime: s.SettleTime}
 			}
 		}
-		h.Allocations, h.OfferedGrant = lines, t.LastGrant
+		h.Allocations, h.OfferedGrant = allocations, t.LastGrant
 	}
 	t.Lease, t.Budgets = c.Lease, next
 	t.rebuildTotals()
@@ -103,28 +105,29 @@
 	return i
 }
 
-// holderIndex returns where a holder is, or belongs.
+// holderIndex returns the index of a holder, or the index to insert it at, and whether it
+// exists.
 func (t *AllocationTable) holderIndex(process string, incarnation uint64) (int, bool) {
 	return slices.BinarySearchFunc(t.Holders, process, func(h *holder, _ string) int {
 		return cmp.Or(strings.Compare(h.Process, process), cmp.Compare(h.Incarnation, incarnation))
 	})
 }
 
-// Renew extends a process's lease, takes in its acknowledgement and its demands, and
-// returns its shares. A renewal may arrive late, twice, or after a newer one. A new
-// incarnation begins with nothing; what the older one holds stays taken until its lease
-// expires.
+// Renew extends a process's lease, applies its acknowledgement and its demands, and returns
+// its shares. A renewal may arrive late, twice, or after a newer one. A new incarnation
+// begins with nothing; what the older one holds stays in use until its lease expires.
 //
 // A change is offered only once the last one is acknowledged, so that a holder uses one of
-// two allotments at most: what a share has lost is available with the renewal after the one
-// that announced it. Renewals in between get the same answer.
+// two allotments at most. What a share has lost is available with the renewal that follows
+// the one that announced the loss. Renewals in between get the same answer.
 //
-// So a process with demand has a share within three renewals, of the others and its own: it
-// asks, and the budget is divided within DivisionInterval; the others are told to shrink by
-// their next renewal and acknowledge at once (Allowance.NextRenewal); and it gets what is
-// available by its next. That is two thirds of a lease plus the network delays, where there
-// are as many seats (of a Rate's burst, or whole jobs in flight) as processes with demand;
-// where there are fewer, processes take turns of two leases.
+// So a process with demand has a share within three renewals, the others' and its own.
+// First it reports its demand, and the budget is divided within DivisionInterval. Then the
+// others get smaller shares with their next renewals and acknowledge them at once
+// (Allowance.NextRenewal). Last, its own next renewal is granted what is available. That
+// takes two thirds of a lease plus the network delays if there are as many seats (of a
+// Rate's burst, or whole jobs in flight) as processes with demand. If there are fewer,
+// processes take turns of two leases.
 func (t *AllocationTable) Renew(at time.Duration, r Renewal) (Grant, error) {
 	if r.Process == "" || r.Incarnation == 0 {
 		return Grant{}, fmt.Errorf("renewing %q, %d: %w", r.Process, r.Incarnation, ErrNoName)
@@ -150,8 +153,7 @@
 	return t.grant(h), nil
 }
 
-// isFenced reports whether a newer incarnation exists, or has existed during this one's
-// lease.
+// isFenced reports whether a newer incarnation exists, or existed during this one's lease.
 func (t *AllocationTable) isFenced(process string, incarnation uint64) bool {
 	if h := t.activeHolders[process]; h != nil && h.Incarnation > incarnation {
 		return true
@@ -178,9 +180,9 @@
 	return h
 }
 
-// acknowledge takes in what a renewal reports. One that is older than what was acknowledged
-// has no news. What is in flight above the amount can only fall, since nothing is begun
-// above it, so that the least reported since counts.
+// acknowledge applies what a renewal reports. A renewal older than the last acknowledgement
+// is ignored. The number of jobs in flight above the amount can only fall, since no job
+// begins above it, so that the least number reported since the acknowledgement counts.
 func (t *AllocationTable) acknowledge(h *holder, r Renewal) {
 	if r.AppliedGrant < h.AcknowledgedGrant {
 		return
@@ -189,9 +191,9 @@
 	for i, s := range t.Budgets {
 		l, u := &h.Allocations[i], r.Usage[s.Name]
 		t.updateAllocation(s, l, func() {
-			under := toMicros(u.InFlight)
-			if s.Kind == InFlight && (fresh || h.OfferedGrant == 0 || under < l.InFlight) {
-				l.InFlight = under
+			inFlight := toMicros(u.InFlight)
+			if s.Kind == InFlight && (fresh || h.OfferedGrant == 0 || inFlight < l.InFlight) {
+				l.InFlight = inFlight
 			}
 			if fresh {
 				before := l.upperBound().Amount
@@ -213,7 +215,7 @@
 	}
 }
 
-// Advance moves the fleet time: leases expire, quarantines end, and changed budgets are
+// Advance advances the fleet time: leases expire, quarantines end, and changed budgets are
 // divided. Without a change, and before NextDue, it does nothing.
 func (t *AllocationTable) Advance(at time.Duration) {
 	t.expireDue(at)
--- a/internal/dispatcher/fleet/budget/allowance.go
+++ b/internal/dispatcher/fleet/budget/allowance.go
@@ -30,10 +30,9 @@
 	return &Allowance{buckets: map[string]*TokenBucket{}, renewalAt: math.MinInt64 / 4, fullBuckets: faultFullBucket}
 }
 
-// ExpectBudgets names the budgets that exist as far as this process knows, from its
-// operator's file. Until a grant says otherwise their buckets are empty instead of
-// unlimited: a process that has just started admits nothing of a budget of which it has no
-// share.
+// ExpectBudgets sets the names of the budgets in this process's own configuration file.
+// Until the first grant their buckets are blocked instead of unlimited: a process that has
+// just started admits nothing of a budget of which it has no share.
 func (a *Allowance) ExpectBudgets(names ...string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,15 +63,16 @@
 	a.process, a.incarnation, a.appliedGrant, a.grantedAt = process, incarnation, 0, 0
 }
 
-// Apply applies a grant: sent is when the renewal that it answers was sent, now the time of
-// the own clock. It reports whether the process should renew at once, because a share has
-// shrunk and others wait for the acknowledgement. A grant of another incarnation, one that
-// is older than the one applied, or one that Check refuses changes nothing.
+// Apply applies a grant: sent is when the renewal that it answers was sent, and now is the
+// present time, both by the process's own clock. It reports whether the process should
+// renew at once, because a share has shrunk and other processes wait for the
+// acknowledgement. A grant of another incarnation, one that is older than the one applied,
+// or one that Check refuses changes nothing.
 //
-// The lease is counted from sent, for LeaseMargin of its duration: by the fleet's clock it
-// has begun later and lasts longer. A share that has grown begins with what its bucket
-// holds, a new one with nothing; a bucket that shrinks is clipped at once, before any
-// renewal acknowledges the grant.
+// The lease is counted from sent, for LeaseMargin of its duration: in fleet time it begins
+// later and lasts longer. A share that has grown begins with what its bucket holds, a new
+// one with nothing. A bucket that shrinks is clipped at once, before any renewal
+// acknowledges the grant.
 func (a *Allowance) Apply(sent, now time.Duration, g Grant) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,8 +93,8 @@
 		old := t.terms.Load()
 		shrank = shrank || s.Amount < old.amount || s.Burst < old.burst
 		next := &terms{
-			kind: s.Kind, amount: s.Amount, burst: s.Burst, floor: s.Floor, floorBurst: min(s.Burst, 1), linger: s.SettleTime, lease: g.Lease,
-			leaseEnd: ends, floorEnd: ends,
+			kind: s.Kind, amount: s.Amount, burst: s.Burst, floor: s.Floor, floorBurst: min(s.Burst, 1),
+			settleTime: s.SettleTime, lease: g.Lease, leaseEnd: ends, floorEnd: ends,
 		}
 		if s.Floor > 0 {
 			next.floorEnd = a.grantedAt + time.Duration(LeaseMargin*float64(g.Lease+s.FloorDuration))
@@ -114,8 +114,8 @@
 	return shrank
 }
 
-// Bucket returns the process's bucket of a budget, to be looked up once and kept. The
-// bucket of a budget that does not exist (yet) admits everything and counts.
+// Bucket returns the process's bucket of a budget. Callers look it up once and keep it. The
+// bucket of a budget that does not exist (yet) admits everything and counts it.
 func (a *Allowance) Bucket(name string) *TokenBucket {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,10 +141,10 @@
 	return &unlimited
 }
 
-// NextRenewal returns when, by the own clock, the next renewal is to be sent: a third of a
-// lease after the last one, or a twelfth where a share has shrunk, where more is due than
-// could be given, or where demand differs from what was reported, by half and by more than
-// chance.
+// NextRenewal returns when the next renewal is to be sent, by the process's own clock: a
+// third of a lease after the last one. It is a twelfth if a share has shrunk, if more is
+// due than was available, or if demand differs from what was reported by more than half
+// and by more than random variation.
 func (a *Allowance) NextRenewal(now time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -161,9 +161,9 @@
 	return a.renewalAt + a.lease/3
 }
 
-// Renewal returns the renewal to be sent now. It reads the grant's number before what is in
-// flight: nothing can begin afterwards under an older grant, since a bucket checks its
-// terms after it counts.
+// Renewal returns the renewal to be sent now. It reads the grant's number before the jobs
+// in flight: no job can begin afterwards under an older grant, since a bucket checks its
+// terms after it counts the job.
 func (a *Allowance) Renewal(now time.Duration) Renewal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -175,8 +175,8 @@
 	return r
 }
 
-// Close closes all buckets for good and returns what is in flight, for a planned shutdown.
-// Nothing is admitted after it.
+// Close blocks all buckets permanently and returns what is in flight, for a planned
+// shutdown. Nothing is admitted after it.
 func (a *Allowance) Close(now time.Duration) map[string]Departure {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,8 +185,8 @@
 	for _, n := range a.names {
 		t := a.buckets[n]
 		t.reset(&blocked)
-		under, latest := t.unfinished(now)
-		left[n] = Departure{InFlight: under, MaxRemaining: latest}
+		inFlight, remaining := t.unfinished(now)
+		left[n] = Departure{InFlight: inFlight, MaxRemaining: remaining}
 	}
 	return left
 }
--- a/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
+++ b/internal/dispatcher/fleet/budget/budgetlab/budgetlab.go
@@ -1,7 +1,7 @@
-// Package budgetlab models, in virtual time, a fleet that shares one Rate: how well the
-// total is used when demand is skewed and moves, what the renewals cost, and how fast a
-// change is divided anew. It serves the choice of a division policy and the figures in the
-// documents; production code doesn't use it.
+// Package budgetlab simulates, in virtual time, a fleet that shares one Rate: how much of
+// the total is used when demand is skewed and moves, what the renewals cost, and how soon
+// the total is divided again after a change. It serves the choice of a division policy and
+// the figures in the documents; production code doesn't use it.
 package budgetlab
 
 import (
@@ -13,60 +13,60 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// Fleet is the fleet that is modelled. All times are real ones; clocks are exact.
+// Fleet is the simulated fleet. All clocks are exact.
 type Fleet struct {
 	Holders      int
 	Policy       budget.DivisionPolicy
-	Rate         float64       // of the total, a second and holder
-	Burst        time.Duration // of the total, as a time at its rate
+	Rate         float64       // the total, per second and holder
+	Burst        time.Duration // the total's burst, as the time in which the total refills it
 	Offered      float64       // all traffic, as a fraction of the total
-	HeavyShare   float64       // fraction of the traffic that one holder has
-	MoveInterval time.Duration // how often another holder becomes that one; 0: never
+	HeavyShare   float64       // fraction of the traffic that arrives at the heavy holder
+	MoveInterval time.Duration // how often another holder becomes the heavy one; 0: never
 	Lease        time.Duration
-	NetworkDelay time.Duration // of a call, one way
+	NetworkDelay time.Duration // of a message, one way
 	Seed         uint64
 }
 
 // Result is the result of a run.
 type Result struct {
 	Utilization   float64 // admitted, as a fraction of the total
-	LightAdmitted float64 // of what came to the other holders than the heavy one, the fraction admitted
-	Renewals      float64 // a second and holder
-	Bytes         float64 // of encoded renewals and grants, a second and holder
+	LightAdmitted float64 // admitted fraction of the traffic at all holders but the heavy one
+	Renewals      float64 // per second and holder
+	Bytes         float64 // of encoded renewals and grants, per second and holder
 }
 
-// step is how far the model goes at a time. Jobs come at any instant within it.
+// step is the time step of the simulation. Jobs arrive at any instant within it.
 const step = 10 * time.Millisecond
 
 type model struct {
 	Fleet
 	*rand.Rand
-	now     time.Duration
-	table   *budget.AllocationTable
-	holders []*holder
-	later   map[time.Duration][]func()
-	heavy   int
-
-	counting                       bool
-	admitted, came, othersIn, asks int
-	bytes                          int
+	now       time.Duration
+	table     *budget.AllocationTable
+	holders   []*holder
+	scheduled map[time.Duration][]func()
+	heavy     int
+
+	counting                                         bool
+	admitted, lightArrivals, lightAdmitted, renewals int
+	bytes                                            int
 }
 
 type holder struct {
-	name      string
-	allowance *budget.Allowance
-	tap       *budget.TokenBucket
-	at        time.Duration // within a step, when it looks whether to renew
-	down      bool
-	begun     time.Duration // when it was started
-	first     time.Duration // its first job admitted; 0: none yet
+	name          string
+	allowance     *budget.Allowance
+	bucket        *budget.TokenBucket
+	offset        time.Duration // within a step, of its check whether to renew
+	down          bool
+	startedAt     time.Duration
+	firstAdmitted time.Duration // when its first job was admitted; 0: none yet
 }
 
 func newModel(f Fleet) (*model, error) {
-	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), table: budget.NewAllocationTableWith(f.Policy), later: map[time.Duration][]func(){}}
-	rate := budget.Budget{Name: "x", Kind: budget.Rate, Total: m.whole(), Burst: m.whole() * f.Burst.Seconds()}
+	m := &model{Fleet: f, Rand: rand.New(rand.NewPCG(f.Seed, uint64(f.Holders))), table: budget.NewAllocationTableWith(f.Policy), scheduled: map[time.Duration][]func(){}}
+	rate := budget.Budget{Name: "x", Kind: budget.Rate, Total: m.total(), Burst: m.total() * f.Burst.Seconds()}
 	if err := m.table.Configure(0, budget.Config{Lease: f.Lease, Budgets: []budget.Budget{rate}}); err != nil {
-		return nil, fmt.Errorf("modelling a fleet: %w", err)
+		return nil, fmt.Errorf("simulating a fleet: %w", err)
 	}
 	for range f.Holders {
 		m.join()
@@ -74,35 +74,36 @@
 	return m, nil
 }
 
-func (m *model) whole() float64 { return m.Rate * float64(m.Holders) }
+func (m *model) total() float64 { return m.Rate * float64(m.Holders) }
 
 func (m *model) join() *holder {
-	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), allowance: budget.NewAllowance(), begun: m.now}
-	h.at = time.Duration(len(m.holders)%100) * step / 100
+	h := &holder{name: fmt.Sprintf("n%05d", len(m.holders)), allowance: budget.NewAllowance(), startedAt: m.now}
+	h.offset = time.Duration(len(m.holders)%100) * step / 100
 	h.allowance.ExpectBudgets("x")
 	h.allowance.SetIncarnation(h.name, 1)
-	h.tap = h.allowance.Bucket("x")
+	h.bucket = h.allowance.Bucket("x")
 	m.holders = append(m.holders, h)
 	return h
 }
 
-// rate is how many come to a holder a second.
+// rate returns how many jobs arrive at a holder per second.
 func (m *model) rate(i int) float64 {
-	all := m.whole() * m.Offered
+	traffic := m.total() * m.Offered
 	if i == m.heavy {
-		return all * m.HeavyShare
+		return traffic * m.HeavyShare
 	}
-	return all * (1 - m.HeavyShare) / float64(m.Holders-1)
+	return traffic * (1 - m.HeavyShare) / float64(m.Holders-1)
 }
 
-// run runs the model for a time, or until done returns true, and returns how long that was.
+// run runs the simulation for a time, or until done returns true, and returns the simulated
+// time that it took.
 func (m *model) run(length time.Duration, done func() bool) (time.Duration, error) {
-	begin := m.now
-	for ; m.now < begin+length && (done == nil || !done()); m.now += step {
-		for _, do := range m.later[m.now] {
-			do()
+	start := m.now
+	for ; m.now < start+length && (done == nil || !done()); m.now += step {
+		for _, deliver := range m.scheduled[m.now] {
+			deliver()
 		}
-		delete(m.later, m.now)
+		delete(m.scheduled, m.now)
 		m.table.Advance(m.now)
 		if m.MoveInterval > 0 {
 			m.heavy = int(m.now/m.MoveInterval) * 7 % m.Holders
@@ -112,34 +113,34 @@
 				continue
 			}
 			m.jobs(i, h)
-			if h.allowance.NextRenewal(m.now) <= m.now+h.at {
+			if h.allowance.NextRenewal(m.now) <= m.now+h.offset {
 				if err := m.renew(h); err != nil {
 					return 0, err
 				}
 			}
 		}
 	}
-	return m.now - begin, nil
+	return m.now - start, nil
 }
 
 func (m *model) jobs(i int, h *holder) {
 	rate := m.rate(i)
 	for at := m.ExpFloat64() / rate; at < step.Seconds(); at += m.ExpFloat64() / rate {
 		now := m.now + time.Duration(at*float64(time.Second))
-		in := h.tap.Take(now)
-		if in && h.first == 0 {
-			h.first = now
+		taken := h.bucket.Take(now)
+		if taken && h.firstAdmitted == 0 {
+			h.firstAdmitted = now
 		}
 		if !m.counting {
 			continue
 		}
-		if in {
+		if taken {
 			m.admitted++
 		}
 		if i != m.heavy {
-			m.came++
-			if in {
-				m.othersIn++
+			m.lightArrivals++
+			if taken {
+				m.lightAdmitted++
 			}
 		}
 	}
@@ -150,35 +151,35 @@
 	if err := m.count(r); err != nil {
 		return err
 	}
-	there, back := sent+m.NetworkDelay.Round(step), sent+2*m.NetworkDelay.Round(step)
-	m.later[there] = append(m.later[there], func() {
-		g, err := m.table.Renew(there, r)
+	received, answered := sent+m.NetworkDelay.Round(step), sent+2*m.NetworkDelay.Round(step)
+	m.scheduled[received] = append(m.scheduled[received], func() {
+		g, err := m.table.Renew(received, r)
 		if err != nil {
-			return // it left meanwhile
+			return // the holder has left meanwhile
 		}
 		_ = m.count(g)
-		m.later[back] = append(m.later[back], func() {
+		m.scheduled[answered] = append(m.scheduled[answered], func() {
 			if !h.down {
-				h.allowance.Apply(sent, back, g)
+				h.allowance.Apply(sent, answered, g)
 			}
 		})
 	})
 	return nil
 }
 
-func (m *model) count(call any) error {
+func (m *model) count(message any) error {
 	if !m.counting {
 		return nil
 	}
-	text, err := codec.Encode(call)
+	text, err := codec.Encode(message)
 	m.bytes += len(text)
-	if _, ok := call.(budget.Renewal); ok {
-		m.asks++
+	if _, ok := message.(budget.Renewal); ok {
+		m.renewals++
 	}
 	return err
 }
 
-// Run models a fleet for a time, after a warm-up.
+// Run simulates a fleet for a time, after a warm-up.
 func Run(f Fleet, warm, length time.Duration) (Result, error) {
 	m, err := newModel(f)
 	if err != nil {
@@ -191,22 +192,22 @@
 	if _, err := m.run(length, nil); err != nil {
 		return Result{}, err
 	}
-	each := length.Seconds() * float64(f.Holders)
+	holderSeconds := length.Seconds() * float64(f.Holders)
 	return Result{
-		Utilization:   float64(m.admitted) / (m.whole() * length.Seconds()),
-		LightAdmitted: float64(m.othersIn) / float64(max(m.came, 1)), Renewals: float64(m.asks) / each, Bytes: float64(m.bytes) / each,
+		Utilization:   float64(m.admitted) / (m.total() * length.Seconds()),
+		LightAdmitted: float64(m.lightAdmitted) / float64(max(m.lightArrivals, 1)), Renewals: float64(m.renewals) / holderSeconds, Bytes: float64(m.bytes) / holderSeconds,
 	}, nil
 }
 
-// Times are how long it takes until a change is divided anew.
+// Times are the durations until the total is divided again after a change.
 type Times struct {
-	Join  time.Duration // from a process's start to its first job
+	Join  time.Duration // from a process's start until its first job is admitted
 	Leave time.Duration // from the heavy holder's planned shutdown until the others hold 0.95 of the total
 	Kill  time.Duration // the same from its failure
 }
 
-// Change models a fleet that wants more than the total (Offered above 1), and one change of
-// each kind after a warm-up.
+// Change simulates a fleet with more demand than the total (Offered above 1), and one
+// change of each kind after a warm-up.
 func Change(f Fleet, warm time.Duration) (Times, error) {
 	var out Times
 	for _, kind := range []string{"join", "leave", "kill"} {
@@ -218,29 +219,29 @@
 			return out, err
 		}
 		heavy := m.holders[m.heavy]
-		divided := func() bool {
+		dividedAgain := func() bool {
 			held := 0.0
 			for _, h := range m.table.HolderStatuses("x") {
 				if h.Process != heavy.name {
 					held += h.Offered
 				}
 			}
-			return held >= 0.95*m.whole()
+			return held >= 0.95*m.total()
 		}
 		switch kind {
 		case "join":
 			h := m.join()
-			_, err = m.run(time.Minute, func() bool { return h.first > 0 })
-			out.Join = h.first - h.begun
+			_, err = m.run(time.Minute, func() bool { return h.firstAdmitted > 0 })
+			out.Join = h.firstAdmitted - h.startedAt
 		case "leave":
 			heavy.down = true
 			left := heavy.allowance.Close(m.now)
 			if err = m.table.Leave(m.now+m.NetworkDelay, heavy.name, 1, left); err == nil {
-				out.Leave, err = m.run(time.Minute, divided)
+				out.Leave, err = m.run(time.Minute, dividedAgain)
 			}
 		case "kill":
 			heavy.down = true
-			out.Kill, err = m.run(time.Minute, divided)
+			out.Kill, err = m.run(time.Minute, dividedAgain)
 		}
 		if err != nil {
 			return out, err
--- a/internal/dispatcher/fleet/budget/departure.go
+++ b/internal/dispatcher/fleet/budget/departure.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Leave processes a planned shutdown. The process has closed its Allowance before: what it
+// Leave processes a planned shutdown. The process has closed its Allowance before. What it
 // held of a Rate is available at once, what it left in flight is quarantined until its
-// latest deadline, and its parts of Divided budgets for SettleTime. A budget that left does
-// not name is treated as if the process had failed now. An unknown process is no error,
+// latest deadline, and its parts of Divided budgets for SettleTime. A budget that departing
+// does not name is treated as if the process had failed now. An unknown process is no error,
 // since the call may arrive twice.
 func (t *AllocationTable) Leave(at time.Duration, process string, incarnation uint64, departing map[string]Departure) error {
 	if process == "" || incarnation == 0 {
@@ -41,26 +41,27 @@
 	return nil
 }
 
-// expireHolder removes a holder whose lease has expired. It may go on with its floor for
-// FloorDuration; jobs that it has begun by then last for SettleTime more at most, and what
-// it used of a Divided budget counts for as long.
-func (t *AllocationTable) expireHolder(h *holder, lasting bool) {
+// expireHolder removes a holder whose lease has expired, and quarantines what it may still
+// be using; the injected fault sets quarantined to false. The holder may use its floor for
+// FloorDuration more; jobs that it has begun by then last for SettleTime more at most, and
+// its part of a Divided budget counts for as long.
+func (t *AllocationTable) expireHolder(h *holder, quarantined bool) {
 	for i, s := range t.Budgets {
 		l := &h.Allocations[i]
 		p := l.upperBound()
-		linger := quarantineSpan(max(p.SettleTime, s.SettleTime))
+		settle := quarantineSpan(max(p.SettleTime, s.SettleTime))
 		if s.Kind == Rate {
-			linger = 0
+			settle = 0
 		}
-		floor, cut := quarantine{}, h.LeaseEnd
+		floor, floorEnd := quarantine{}, h.LeaseEnd
 		if p.Floor > 0 && p.FloorDuration > 0 {
-			cut += p.FloorDuration
-			floor = quarantine{Amount: min(p.Floor, p.Amount), Burst: min(p.Burst, microsPerUnit), Floor: true, Until: cut + linger}
+			floorEnd += p.FloorDuration
+			floor = quarantine{Amount: min(p.Floor, p.Amount), Burst: min(p.Burst, microsPerUnit), Floor: true, Until: floorEnd + settle}
 		}
-		if lasting {
+		if quarantined {
 			s.addQuarantine(floor)
 			if s.Kind != Rate {
-				s.addQuarantine(quarantine{Amount: p.Amount - floor.Amount, Until: max(h.LeaseEnd+linger, l.Latest)})
+				s.addQuarantine(quarantine{Amount: p.Amount - floor.Amount, Until: max(h.LeaseEnd+settle, l.Latest)})
 			}
 		}
 	}
@@ -77,11 +78,11 @@
 	if t.activeHolders[h.Process] == h {
 		delete(t.activeHolders, h.Process)
 	}
-	t.nextDue = min(t.nextDue, t.Now) // rests may be due
+	t.nextDue = min(t.nextDue, t.Now) // a quarantine that was just added may be over already
 }
 
-// expireDue ends the leases, quarantines and seat turns that are due. A quarantine may
-// already be over when it is added; it is then dropped in the same call.
+// expireDue advances the fleet time and ends the leases, quarantines and seat turns that
+// are due. A quarantine that is already over when it is added is dropped in the same call.
 func (t *AllocationTable) expireDue(at time.Duration) {
 	t.Now = max(t.Now, at)
 	if t.nextDue > t.Now {
--- a/internal/dispatcher/fleet/budget/division.go
+++ b/internal/dispatcher/fleet/budget/division.go
@@ -18,23 +18,23 @@
 }
 
 // divideBudget sets what is due to each holder. What older incarnations hold, what is
-// quarantined and what is reserved is not divided; parts of a Divided budget in quarantine
-// are, since they return to those that they are due to.
+// quarantined and what is reserved is not divided. Quarantined parts of a Divided budget
+// are the exception, since they become available to the holders that they are due to.
 func (t *AllocationTable) divideBudget(i int, s *budgetState) {
 	total, bursts, wanting := t.divisible(i, s)
 	live := len(t.candidates)
 	if live == 0 {
 		return
 	}
-	seats, most := live, live
+	seats, wanted := live, live
 	switch s.Kind {
 	case Rate:
 		seats = int(min(bursts/microsPerUnit, int64(live)))
-	case InFlight: // who wants nothing needs no seat
-		seats, most = int(min(total/microsPerUnit, int64(live))), wanting
+	case InFlight: // a holder without demand needs no seat
+		seats, wanted = int(min(total/microsPerUnit, int64(live))), wanting
 	}
 	s.SeatTurnAt = 0
-	if seats < most {
+	if seats < wanted {
 		t.assignSeats(i, s, seats, wanting)
 	}
 	if seats == 0 {
@@ -60,7 +60,8 @@
 }
 
 // divisible returns how much of a budget and of its burst can be divided, and the number
-// of holders with demand. It makes all holders in force candidates with nothing due.
+// of holders with demand. It makes all holders that are not superseded candidates with
+// nothing due.
 func (t *AllocationTable) divisible(i int, s *budgetState) (total, bursts int64, wanting int) {
 	amount, burst := s.reservedFloors()
 	total, bursts = toMicros(s.Total)-amount, toMicros(s.Burst)-burst
@@ -106,23 +107,25 @@
 	return min(max(d, 0), s.Total)
 }
 
-// seatTurnLeases is how many leases a seat is kept while others wait for one.
+// seatTurnLeases is the number of leases that a holder keeps its seat while others wait.
 const seatTurnLeases = 2
 
-// assignSeats reduces candidates to those that get a share, where the budget can't be cut
-// small enough for all: a token bucket needs 1 of the burst, and a job is indivisible.
-// First come holders with demand that have had a seat for less than a turn, then those that
-// wait, the longest first, then those that have had one longest.
+// assignSeats reduces candidates to those that get a share, if the budget can't be divided
+// among all: a token bucket needs 1 of the burst, and a job is indivisible. The first seats
+// go to holders with demand that have had one for less than a turn, the next to holders
+// with demand that wait, the longest wait first, then to those that have had a seat for a
+// turn or more, the latest assigned first. Holders without demand come last, those that
+// have a seat before the others.
 func (t *AllocationTable) assignSeats(i int, s *budgetState, seats, wanting int) {
 	class := func(k int) int {
 		h := t.Holders[k]
 		l := &h.Allocations[i]
-		switch wants := t.demandBeyondFloor(i, s, h) > 0; {
-		case wants && l.Seated && t.Now-l.Since < seatTurnLeases*t.Lease:
+		switch hasDemand := t.demandBeyondFloor(i, s, h) > 0; {
+		case hasDemand && l.Seated && t.Now-l.Since < seatTurnLeases*t.Lease:
 			return 0
-		case wants && !l.Seated:
+		case hasDemand && !l.Seated:
 			return 1
-		case wants:
+		case hasDemand:
 			return 2
 		case l.Seated:
 			return 3
@@ -130,12 +133,12 @@
 		return 4
 	}
 	slices.SortFunc(t.candidates, func(x, y int) int {
-		by := cmp.Compare(class(x), class(y))
+		byClass := cmp.Compare(class(x), class(y))
 		since := cmp.Compare(t.Holders[x].Allocations[i].Since, t.Holders[y].Allocations[i].Since)
 		if class(x) == 2 {
 			since = -since
 		}
-		return cmp.Or(by, since, cmp.Compare(x, y))
+		return cmp.Or(byClass, since, cmp.Compare(x, y))
 	})
 	for n, k := range t.candidates {
 		if l := &t.Holders[k].Allocations[i]; l.Seated != (n < seats) {
@@ -150,44 +153,45 @@
 	slices.Sort(t.candidates)
 }
 
-// divideBurst gives each seated holder 1 of the burst, and the rest by amount.
+// divideBurst gives each seated holder 1 of the burst, and divides the rest by amount due.
 func (t *AllocationTable) divideBurst(i int, bursts int64) {
-	all := 0.0
+	amounts := 0.0
 	for _, k := range t.candidates {
-		all += float64(t.Holders[k].Allocations[i].Due)
+		amounts += float64(t.Holders[k].Allocations[i].Due)
 	}
 	remaining := bursts - int64(len(t.candidates))*microsPerUnit
 	for _, k := range t.candidates {
 		l := &t.Holders[k].Allocations[i]
 		l.DueBurst = microsPerUnit
-		if all > 0 && remaining > 0 {
-			l.DueBurst += int64(float64(remaining) * (float64(l.Due) / all))
+		if amounts > 0 && remaining > 0 {
+			l.DueBurst += int64(float64(remaining) * (float64(l.Due) / amounts))
 		}
 	}
 }
 
-// divideWholeJobs divides whole jobs: one for each holder with demand, the rest by the
-// policy, and what rounding leaves to those that hold it already.
+// divideWholeJobs divides whole jobs: one for each holder with demand, and the rest by the
+// policy. What rounding leaves over goes first to holders that already have more than is
+// due to them.
 func (t *AllocationTable) divideWholeJobs(i int, jobs int64) {
-	left := jobs
+	remaining := jobs
 	for n, k := range t.candidates {
 		if t.claims[n].Demand >= 1 {
 			t.claims[n].Demand--
 			t.Holders[k].Allocations[i].Due = microsPerUnit
-			left--
+			remaining--
 		}
 	}
-	t.policy(float64(left), t.claims, t.shares)
+	t.policy(float64(remaining), t.claims, t.shares)
 	for n, k := range t.candidates {
-		got := min(int64(max(t.shares[n], 0)), left)
-		left -= got
-		t.Holders[k].Allocations[i].Due += got * microsPerUnit
+		share := min(int64(max(t.shares[n], 0)), remaining)
+		remaining -= share
+		t.Holders[k].Allocations[i].Due += share * microsPerUnit
 	}
-	for _, having := range []bool{true, false} {
+	for _, holdsMore := range []bool{true, false} {
 		for _, k := range t.candidates {
-			if l := &t.Holders[k].Allocations[i]; left > 0 && (l.Acknowledged.Amount-l.Acknowledged.Floor > l.Due) == having {
+			if l := &t.Holders[k].Allocations[i]; remaining > 0 && (l.Acknowledged.Amount-l.Acknowledged.Floor > l.Due) == holdsMore {
 				l.Due += microsPerUnit
-				left--
+				remaining--
 			}
 		}
 	}
--- a/internal/dispatcher/fleet/budget/division_policy.go
+++ b/internal/dispatcher/fleet/budget/division_policy.go
@@ -1,16 +1,16 @@
 package budget
 
-// Claim is what one holder asks for.
+// Claim is what one holder claims in a division.
 type Claim struct {
 	Demand float64
 	Weight float64 // above 0
 }
 
-// A DivisionPolicy divides a total among claims: shares has as many entries as claims, all
-// of which are written, and their sum is at most total. It must be a pure function, and
-// round products before it adds them (no fused operations), so that each replica computes
-// the same shares.
-type DivisionPolicy func(total float64, asks []Claim, out []float64)
+// A DivisionPolicy divides a total among claims. It writes all entries of shares, one for
+// each claim, and their sum is at most total. It must be a pure function, and round
+// products before it adds them (no fused operations), so that each replica computes the
+// same shares.
+type DivisionPolicy func(total float64, claims []Claim, shares []float64)
 
 // Equal gives each claim a share by its weight, whatever its demand.
 func Equal(total float64, claims []Claim, shares []float64) {
@@ -26,34 +26,34 @@
 // Proportional gives each claim a share in proportion to its demand, even where that
 // starves the others.
 func Proportional(total float64, claims []Claim, shares []float64) {
-	all := 0.0
+	demand := 0.0
 	for _, a := range claims {
-		all += float64(a.Demand * a.Weight)
+		demand += float64(a.Demand * a.Weight)
 	}
-	if all == 0 {
+	if demand == 0 {
 		Equal(total, claims, shares)
 		return
 	}
 	for i, a := range claims {
-		shares[i] = total * a.Demand * a.Weight / all
+		shares[i] = total * a.Demand * a.Weight / demand
 	}
 }
 
-// MaxMin is weighted max-min fair: each claim gets the lesser of its demand and a level,
-// the same for all by weight, that uses up the total. What nobody asks for is spread, half
-// by weight, so that a new demand finds something, and half by demand, for demand that
-// varies.
+// MaxMin is weighted max-min fair: each claim gets the lesser of its demand and its weight
+// times a common level, which is chosen to use up the total. What exceeds the demand is
+// divided half by weight, so that a holder with new demand already has a share, and half
+// by demand, for demand that varies.
 func MaxMin(total float64, claims []Claim, shares []float64) {
-	all, weights := 0.0, 0.0
+	demand, weights := 0.0, 0.0
 	for _, a := range claims {
-		all += a.Demand
+		demand += a.Demand
 		weights += a.Weight
 	}
-	if spare := total - all; spare >= 0 {
+	if spare := total - demand; spare >= 0 {
 		byWeight, byDemand := spare/weights, 0.0
-		if all > 0 {
+		if demand > 0 {
 			byWeight /= 2
-			byDemand = spare / 2 / all
+			byDemand = spare / 2 / demand
 		}
 		for i, a := range claims {
 			shares[i] = a.Demand + float64(byWeight*a.Weight) + float64(byDemand*a.Demand)
@@ -63,14 +63,15 @@
 	waterFill(total, claims, shares)
 }
 
-// waterFill searches the level of MaxMin where the demand exceeds the total: claims below
-// the level get their demand and leave the rest to the others, until there is no new one.
-// The level only rises, so that each claim is settled once.
+// waterFill finds the level of MaxMin if the demand exceeds the total. In each round the
+// claims below the level get their demand, and the level of the others rises; it ends with
+// the first round that settles no claim. The level never falls, so that each claim is
+// settled once.
 func waterFill(total float64, claims []Claim, shares []float64) {
 	for i := range shares {
 		shares[i] = -1 // not settled
 	}
-	left := max(total, 0)
+	remaining := max(total, 0)
 	for {
 		weights := 0.0
 		for i, a := range claims {
@@ -81,14 +82,14 @@
 		if weights == 0 {
 			return
 		}
-		level, settled, given := left/weights, false, 0.0
+		level, settled, given := remaining/weights, false, 0.0
 		for i, a := range claims {
 			if shares[i] < 0 && a.Demand <= level*a.Weight {
 				shares[i], settled = a.Demand, true
 				given += a.Demand
 			}
 		}
-		left = max(left-given, 0)
+		remaining = max(remaining-given, 0)
 		if !settled {
 			for i, a := range claims {
 				if shares[i] < 0 {
@@ -100,12 +101,12 @@
 	}
 }
 
-// Loan gives each claim a share by its weight and lets those that need less lend half of
-// what they don't use; what is lent is divided by MaxMin.
+// Loan gives each claim a share by its weight. Claims with less demand than that lend half
+// of the difference, which is divided among all by MaxMin.
 func Loan(total float64, claims []Claim, shares []float64) {
 	Equal(total, claims, shares)
 	lent := 0.0
-	needs, got := make([]Claim, len(claims)), make([]float64, len(claims))
+	needs, borrowed := make([]Claim, len(claims)), make([]float64, len(claims))
 	for i, a := range claims {
 		needs[i].Weight = a.Weight
 		if idle := shares[i] - a.Demand; idle > 0 {
@@ -115,8 +116,8 @@
 			needs[i].Demand = -idle
 		}
 	}
-	MaxMin(lent, needs, got)
+	MaxMin(lent, needs, borrowed)
 	for i := range shares {
-		shares[i] += got[i]
+		shares[i] += borrowed[i]
 	}
 }
--- a/internal/dispatcher/fleet/budget/fault_injection_on.go
+++ b/internal/dispatcher/fleet/budget/fault_injection_on.go
@@ -4,9 +4,9 @@
 
 import "os"
 
-// Faults that the checkers must find. BASALTLOFT_FAULT_SHARES=full lets a share that
-// has grown begin with a full bucket; =twice gives what an older incarnation holds to
-// the new one at once.
+// Injected faults, which the checkers must find. With BASALTLOFT_FAULT_SHARES=full, each
+// new grant begins with a full bucket; with =twice, what an older incarnation holds is
+// granted to the new one at once.
 var (
 	faultFullBucket = os.Getenv("BASALTLOFT_FAULT_SHARES") == "full"
 	faultGrantTwice = os.Getenv("BASALTLOFT_FAULT_SHARES") == "twice"
--- a/internal/dispatcher/fleet/budget/grant.go
+++ b/internal/dispatcher/fleet/budget/grant.go
@@ -1,13 +1,13 @@
 package budget
 
 // updateAllocation changes an allocation and keeps the totals up to date.
-func (t *AllocationTable) updateAllocation(s *budgetState, l *allocation, do func()) {
+func (t *AllocationTable) updateAllocation(s *budgetState, l *allocation, change func()) {
 	s.held.add(l, -1)
-	do()
+	change()
 	s.held.add(l, 1)
 }
 
-// addQuarantine quarantines what a holder has given up, unless that is nothing.
+// addQuarantine adds a quarantine, unless it is empty.
 func (s *budgetState) addQuarantine(r quarantine) {
 	if r.Amount > 0 || r.Burst > 0 || r.Floor {
 		s.Quarantines = append(s.Quarantines, r)
@@ -15,7 +15,7 @@
 	}
 }
 
-// reservedFloors returns what is reserved for the floor slots that nobody has.
+// reservedFloors returns what is reserved for the floor slots that no holder has.
 func (s *budgetState) reservedFloors() (amount, burst int64) {
 	slots := max(s.FloorSlots-s.held.floors-s.quarantined.floors, 0)
 	if s.Floor == 0 {
@@ -24,16 +24,16 @@
 	return int64(slots) * toMicros(s.Floor), int64(slots) * s.burstPerFloor()
 }
 
-// available returns what may be granted now; it is below 0 while a lowered total does not
-// bind yet.
+// available returns what may be granted now. It is below 0 while holders still have more
+// than a lowered total.
 func (s *budgetState) available() (amount, burst int64) {
 	amount, burst = s.reservedFloors()
 	return toMicros(s.Total) - amount - s.held.amount - s.quarantined.amount,
 		toMicros(s.Burst) - burst - s.held.burst - s.quarantined.burst
 }
 
-// grant offers a holder what is due to it, as far as it is available, and returns the
-// answer to its renewal.
+// grant offers a holder what is due to it, as far as that is available, and returns the
+// grant that answers its renewal.
 func (t *AllocationTable) grant(h *holder) Grant {
 	g := Grant{Process: h.Process, Incarnation: h.Incarnation, Lease: t.Lease, Shares: make([]Share, len(t.Budgets))}
 	if h.OfferedGrant == h.AcknowledgedGrant {
@@ -55,29 +55,30 @@
 			Name: s.Name, Kind: s.Kind, Amount: fromMicros(o.Amount), Burst: fromMicros(o.Burst),
 			Floor: fromMicros(o.Floor), FloorDuration: o.FloorDuration, SettleTime: o.SettleTime,
 		}
-		waits := s.NeedsDivision && l.Due == 0 && l.Demand > 0 // not divided since it asked
-		if waits || s.Kind != Divided && float64(o.Amount) < (1-demandTolerance)*float64(l.Due+o.Floor) {
+		awaitsDivision := s.NeedsDivision && l.Due == 0 && l.Demand > 0
+		if awaitsDivision || s.Kind != Divided && float64(o.Amount) < (1-demandTolerance)*float64(l.Due+o.Floor) {
 			g.RenewSoon = true
 		}
 	}
 	return g
 }
 
-// offer sets what is offered to a holder that has acknowledged everything, and reports
-// whether that is a change. The allocation must not be in the totals meanwhile.
+// offer sets what is offered to a holder that has acknowledged its last grant, and reports
+// whether that is a change. During the call the allocation must not be part of the totals.
 func (s *budgetState) offer(l *allocation) bool {
 	held, next, slot := l.upperBound(), allotment{SettleTime: s.SettleTime}, 0
 	free, burst := s.available()
 	if others := s.held.floors + s.quarantined.floors; s.Floor > 0 && others < s.FloorSlots && (held.Floor > 0 || free >= 0 && burst >= 0) {
-		slot = 1 // its part of what is set aside is free, for it
+		slot = 1 // the reservation of this slot is available to it
 		next.Floor, next.FloorDuration = toMicros(s.Floor), s.FloorDuration
 	}
 	s.NeedsDivision = s.NeedsDivision || (slot > 0) != (held.Floor > 0)
 	s.held.floors += slot
 	free, burst = s.available()
 	s.held.floors -= slot
-	// What is under way above the amount backs no growth: it may be counted twice
-	// (a process that came back says what rests from its last lease already).
+	// Jobs in flight above the acknowledged amount allow no growth: they may be counted twice,
+	// as a process that returns after its lease's expiry reports jobs that are already in
+	// quarantine.
 	next.Amount = min(l.Due+next.Floor, max(l.Acknowledged.Amount, free))
 	next.Floor = min(next.Floor, next.Amount)
 	switch s.Kind {
--- a/internal/dispatcher/fleet/budget/holder.go
+++ b/internal/dispatcher/fleet/budget/holder.go
@@ -4,17 +4,18 @@
 	"time"
 )
 
-// totals are exact sums, which are updated with each change and do not drift.
+// totals are exact sums in millionths, updated incrementally with each change. floors
+// counts floor slots.
 type totals struct {
 	amount, burst int64
 	floors        int
 }
 
-// quarantine is what nobody holds and nobody may get yet.
+// quarantine is a freed amount that must not be granted again before Until.
 type quarantine struct {
 	_             struct{} `cbor:",toarray"`
 	Amount, Burst int64
-	Floor         bool // of a floor's slot
+	Floor         bool // it includes a floor slot
 	Until         time.Duration
 }
 
@@ -23,23 +24,23 @@
 	_                 struct{} `cbor:",toarray"`
 	Process           string
 	Incarnation       uint64
-	LeaseEnd          time.Duration // of its lease
+	LeaseEnd          time.Duration // in fleet time
 	AcknowledgedGrant uint64        // number of the grant that it has applied
-	OfferedGrant      uint64        // number of the grant offered to it; nothing new is offered before it is acknowledged
+	OfferedGrant      uint64        // number of the last grant; the next one is offered after its acknowledgement
 	Superseded        bool          // a newer incarnation has joined
-	Allocations       []allocation  // one for each budget, in their order
+	Allocations       []allocation  // one for each budget, in the order of the budgets
 }
 
 // allocation is what one holder has of one budget.
 type allocation struct {
-	_                     struct{} `cbor:",toarray"`
-	Demand                float64  // that the division uses
-	InFlight              int64    // InFlight budgets: as reported
-	Latest                time.Duration
+	_                     struct{}      `cbor:",toarray"`
+	Demand                float64       // that the division uses
+	InFlight              int64         // InFlight budgets: as reported, in millionths
+	Latest                time.Duration // fleet time by which all jobs reported in flight have ended
 	Acknowledged, Offered allotment
-	Due, DueBurst         int64         // what the division assigned, without the floor; with DueBurst
+	Due, DueBurst         int64         // what the division assigned, without the floor
 	Seated                bool          // has a seat, where there are fewer seats than holders
-	Since                 time.Duration // of Seated, or of its lack
+	Since                 time.Duration // when Seated changed, in fleet time
 }
 
 // allotment is what is offered or acknowledged, in millionths.
@@ -57,14 +58,14 @@
 	}
 }
 
-// upperBound returns the most that the holder may be using.
+// upperBound returns the upper bound of what the holder may be using.
 func (l *allocation) upperBound() allotment {
 	p := l.Acknowledged.componentMax(l.Offered)
 	p.Amount = max(p.Amount, l.InFlight)
 	return p
 }
 
-// hasFloor reports whether the holder has a floor's slot, or may believe so.
+// hasFloor reports whether the holder has a floor slot, or may still be using one.
 func (l *allocation) hasFloor() bool { return l.upperBound().Floor > 0 }
 
 func (s *totals) add(l *allocation, sign int64) {
--- a/internal/dispatcher/fleet/budget/race_test.go
+++ b/internal/dispatcher/fleet/budget/race_test.go
@@ -2,4 +2,4 @@
 
 package budget
 
-func init() { *seeds = 120 } // the race detector makes a run ten times as long
+func init() { *seeds = 120 } // the race detector makes a run ten times slower
--- a/internal/dispatcher/fleet/budget/rejection.go
+++ b/internal/dispatcher/fleet/budget/rejection.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RejectionReason tells why a bucket rejected a job, for statistics and logs.
+// RejectionReason is the reason why a bucket rejected a job, for statistics and logs.
 type RejectionReason uint8
 
 // Reasons.
@@ -18,9 +18,9 @@
 	ReasonWrongKind                           // the budget is of another kind
 )
 
-var reasonNames = [...]string{"admits", "no share", "share spent", "cut off from the fleet", "longer than the budget lingers", "a budget of another kind"}
+var reasonNames = [...]string{"admits", "no share", "share used up", "lease expired", "longer than the budget's settle time", "a budget of another kind"}
 
-// String is a reason in words.
+// String returns the reason in words.
 func (r RejectionReason) String() string {
 	if int(r) < len(reasonNames) {
 		return reasonNames[r]
@@ -29,9 +29,9 @@
 }
 
 // RejectionReason returns why another job of this duration (InFlight) would be rejected at
-// now. It is called after a rejection and changes nothing; by then the job might be
-// admitted.
-func (b *TokenBucket) RejectionReason(now time.Duration, kind Kind, lasts time.Duration) RejectionReason {
+// now, or ReasonNone. It is called after a rejection and changes nothing; by then the job
+// might be admitted.
+func (b *TokenBucket) RejectionReason(now time.Duration, kind Kind, duration time.Duration) RejectionReason {
 	s := b.terms.Load()
 	switch {
 	case s == &unlimited:
@@ -44,7 +44,7 @@
 		return ReasonLeaseExpired
 	case s.amountAt(now) <= 0:
 		return ReasonNoShare
-	case kind == InFlight && lasts > s.linger:
+	case kind == InFlight && duration > s.settleTime:
 		return ReasonTooLong
 	case kind == InFlight && float64(b.inFlight.Load()+1) > s.amountAt(now):
 		return ReasonExhausted
--- a/internal/dispatcher/fleet/budget/sim_test.go
+++ b/internal/dispatcher/fleet/budget/sim_test.go
@@ -14,30 +14,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-var seeds = flag.Int("seeds", 1500, "seeds of the simulation")
+var seeds = flag.Int("seeds", 1500, "number of seeds of the simulation")
 
-// world is processes, raft nodes and a bad network in true, virtual time.
-type world struct {
+// simulation runs processes, two replicas and an unreliable network in virtual real time.
+type simulation struct {
 	*rand.Rand
-	now    time.Duration
-	events indexedheap.Heap[*event]
-	order  int
+	now   time.Duration
+	queue indexedheap.Heap[*event]
+	order int
 
-	book, follower *AllocationTable
-	fleet          time.Duration // fleet time when the leader began
-	since          time.Duration // true time then
-	rate           float64
-	stopped, calm  bool
-	config         Config
-	number         uint64 // of incarnations
-	procs          []*proc
-	faults         counts
+	leader, follower *AllocationTable
+	fleetAtStart     time.Duration // fleet time when the leader began
+	leaderStart      time.Duration // real time then
+	leaderRate       float64       // of the leader's clock
+	leaderless, calm bool
+	config           Config
+	incarnations     uint64 // number of incarnations so far
+	processes        []*process
+	events           counts
 
-	full, twice bool // the planted bugs
-	check       checker
+	fullBucketFault, grantTwiceFault bool // the injected faults
+	check                            checker
 }
 
-// counts are of what went wrong or was done, by name.
+// counts are the numbers of injected faults and other events, by name.
 type counts map[string]int
 
 type event struct {
@@ -46,46 +46,56 @@
 	do    func()
 }
 
-// proc is a process's place; what runs there has an incarnation.
-type proc struct {
-	*world
-	name        string
-	inc         uint64
-	purse       *Allowance
-	rate        float64
-	off         time.Duration
-	up, cut     bool
-	frozen      time.Duration // until then
-	r, u, p     *TokenBucket
-	busy, using float64
+// process is a process that is started again and again, each time with a new incarnation.
+type process struct {
+	*simulation
+	name            string
+	incarnation     uint64
+	allowance       *Allowance
+	rate            float64       // of its clock
+	clockOffset     time.Duration // of its clock
+	up, partitioned bool          // partitioned: without contact to the fleet
+	frozenUntil     time.Duration
+	r, u, p         *TokenBucket // of the budgets with these names
+	load, wanted    float64      // load: of jobs, without a unit; wanted: of budget p
+}
+
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.order++
+	sim.queue.Push(&event{sim.now + max(d, 0), sim.order, do})
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	w.events.Push(&event{w.now + max(d, 0), w.order, do})
+func (sim *simulation) span(m time.Duration) time.Duration {
+	return time.Duration(sim.Float64() * float64(m))
 }
+func (sim *simulation) chance(p float64) bool    { return sim.Float64() < p }
+func (sim *simulation) randomClockRate() float64 { return 0.975 + 0.05*sim.Float64() }
 
-func (w *world) span(m time.Duration) time.Duration { return time.Duration(w.Float64() * float64(m)) }
-func (w *world) chance(p float64) bool              { return w.Float64() < p }
-func (w *world) clock() float64                     { return 0.975 + 0.05*w.Float64() }
-func (w *world) at() time.Duration                  { return w.fleet + time.Duration(w.rate*float64(w.now-w.since)) }
-func (p *proc) own() time.Duration                  { return p.off + time.Duration(p.rate*float64(p.now)) }
+// at returns the fleet time.
+func (sim *simulation) at() time.Duration {
+	return sim.fleetAtStart + time.Duration(sim.leaderRate*float64(sim.now-sim.leaderStart))
+}
+
+// ownTime returns the time of the process's own clock.
+func (p *process) ownTime() time.Duration {
+	return p.clockOffset + time.Duration(p.rate*float64(p.now))
+}
 
-const simLease, simLife = 900 * time.Millisecond, 700 * time.Millisecond
+const simLease, simJobTime = 900 * time.Millisecond, 700 * time.Millisecond
 
-func newWorld(seed uint64, full, twice bool) *world {
-	w := &world{Rand: rand.New(rand.NewPCG(seed, 7)), rate: 1, full: full, twice: twice, faults: counts{}}
-	w.events = indexedheap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.order < b.order }, nil)
-	w.config = Config{Lease: simLease, Budgets: []Budget{
+func newSimulation(seed uint64, fullBucketFault, grantTwiceFault bool) *simulation {
+	sim := &simulation{Rand: rand.New(rand.NewPCG(seed, 7)), leaderRate: 1, fullBucketFault: fullBucketFault, grantTwiceFault: grantTwiceFault, events: counts{}}
+	sim.queue = indexedheap.New(func(a, b *event) bool { return a.at < b.at || a.at == b.at && a.order < b.order }, nil)
+	sim.config = Config{Lease: simLease, Budgets: []Budget{
 		{Name: "p", Kind: Divided, Total: 100, FloorSlots: 2, Floor: 5, FloorDuration: simLease, SettleTime: 500 * time.Millisecond},
 		{Name: "r", Kind: Rate, Total: 120, Burst: 24, FloorSlots: 2, Floor: 6, FloorDuration: 2 * simLease, Weights: map[string]float64{"n1": 3}},
-		{Name: "u", Kind: InFlight, Total: 24, FloorSlots: 3, Floor: 2, FloorDuration: simLease, SettleTime: simLife},
+		{Name: "u", Kind: InFlight, Total: 24, FloorSlots: 3, Floor: 2, FloorDuration: simLease, SettleTime: simJobTime},
 	}}
-	w.check.part.Window = 500 * time.Millisecond
-	w.book, w.follower = NewAllocationTable(), NewAllocationTable()
-	w.book.grantTwice, w.follower.grantTwice = twice, twice
-	w.command(func(b *AllocationTable) { must(b.Configure(w.at(), w.config)) })
-	return w
+	sim.check.divided.Window = 500 * time.Millisecond
+	sim.leader, sim.follower = NewAllocationTable(), NewAllocationTable()
+	sim.leader.grantTwice, sim.follower.grantTwice = grantTwiceFault, grantTwiceFault
+	sim.command(func(b *AllocationTable) { must(b.Configure(sim.at(), sim.config)) })
+	return sim
 }
 
 func must(err error) {
@@ -94,46 +104,47 @@
 	}
 }
 
-// command applies one at both replicas, and looks whether a lowered whole binds now.
-func (w *world) command(do func(b *AllocationTable)) {
-	do(w.book)
-	do(w.follower)
-	w.check.bind(w)
+// command applies a command at both replicas, and updates the checker's limits.
+func (sim *simulation) command(do func(b *AllocationTable)) {
+	do(sim.leader)
+	do(sim.follower)
+	sim.check.updateLimits(sim)
 }
 
-func (p *proc) start() {
-	p.number++
-	p.inc, p.up, p.cut, p.frozen = p.number, true, false, 0
-	p.rate, p.off = p.clock(), p.span(time.Hour)
-	p.purse = NewAllowance()
-	p.purse.fullBuckets = p.full
-	p.purse.ExpectBudgets("p", "r", "u")
-	p.purse.SetIncarnation(p.name, p.inc)
-	p.r, p.u, p.p = p.purse.Bucket("r"), p.purse.Bucket("u"), p.purse.Bucket("p")
-	inc := p.inc
-	var tick, spend func()
-	tick = p.whileUp(inc, func() {
-		if own := p.own(); p.purse.NextRenewal(own) <= own {
+func (p *process) start() {
+	p.incarnations++
+	p.incarnation, p.up, p.partitioned, p.frozenUntil = p.incarnations, true, false, 0
+	p.rate, p.clockOffset = p.randomClockRate(), p.span(time.Hour)
+	p.allowance = NewAllowance()
+	p.allowance.fullBuckets = p.fullBucketFault
+	p.allowance.ExpectBudgets("p", "r", "u")
+	p.allowance.SetIncarnation(p.name, p.incarnation)
+	p.r, p.u, p.p = p.allowance.Bucket("r"), p.allowance.Bucket("u"), p.allowance.Bucket("p")
+	incarnation := p.incarnation
+	var tick, use func()
+	tick = p.whileUp(incarnation, func() {
+		if ownTime := p.ownTime(); p.allowance.NextRenewal(ownTime) <= ownTime {
 			p.renew()
 		}
 		p.after(20*time.Millisecond+p.span(20*time.Millisecond), tick)
 	})
-	spend = p.whileUp(inc, func() {
-		p.spend()
-		p.after(p.span(time.Duration(float64(60*time.Millisecond)/(0.1+p.busy))), spend)
+	use = p.whileUp(incarnation, func() {
+		p.use()
+		p.after(p.span(time.Duration(float64(60*time.Millisecond)/(0.1+p.load))), use)
 	})
 	tick()
-	spend()
+	use()
 }
 
-// whileUp is do for as long as this incarnation is up; frozen, it is done when it resumes.
-func (p *proc) whileUp(inc uint64, do func()) func() {
+// whileUp returns a function that runs do if this incarnation is up. While the process is
+// frozen, do is delayed until it resumes.
+func (p *process) whileUp(incarnation uint64, do func()) func() {
 	var run func()
 	run = func() {
 		switch {
-		case !p.up || p.inc != inc:
-		case p.now < p.frozen:
-			p.after(p.frozen-p.now, run)
+		case !p.up || p.incarnation != incarnation:
+		case p.now < p.frozenUntil:
+			p.after(p.frozenUntil-p.now, run)
 		default:
 			do()
 		}
@@ -141,171 +152,172 @@
 	return run
 }
 
-// spend takes as greedily as it comes: several at once, at any instant.
-func (p *proc) spend() {
-	for range p.IntN(1 + int(20*p.busy)) {
-		if !p.r.Take(p.own()) {
+// use takes as much as the load wants: several jobs at once, at any instant.
+func (p *process) use() {
+	for range p.IntN(1 + int(20*p.load)) {
+		if !p.r.Take(p.ownTime()) {
 			break
 		}
-		p.faults["admitted"]++
-		p.check.see(p.check.rate.Admit(p.now))
+		p.events["admitted"]++
+		p.check.report(p.check.rate.Admit(p.now))
 	}
-	for range p.IntN(1 + int(8*p.busy)) {
-		life := p.span(simLife)
-		tap, purse, own := p.u, p.purse, p.own()
-		if !tap.Begin(own, own+life) {
+	for range p.IntN(1 + int(8*p.load)) {
+		duration := p.span(simJobTime)
+		bucket, allowance, ownTime := p.u, p.allowance, p.ownTime()
+		if !bucket.Begin(ownTime, ownTime+duration) {
 			break
 		}
-		p.check.see(p.check.under.Add(p.now, 1))
-		really := time.Duration(float64(life) / p.rate)
+		p.check.report(p.check.inFlight.Add(p.now, 1))
+		elapsed := time.Duration(float64(duration) / p.rate)
 		if p.chance(0.3) {
-			really = p.span(really)
+			elapsed = p.span(elapsed)
 		}
-		p.after(really, func() { // at its member, whatever became of the dispatcher
-			p.check.see(p.check.under.Add(p.now, -1))
-			p.after(max(p.frozen-p.now, 0), func() {
-				if p.purse == purse {
-					tap.End()
+		p.after(elapsed, func() { // the member runs the job to its end even if the dispatcher fails
+			p.check.report(p.check.inFlight.Add(p.now, -1))
+			p.after(max(p.frozenUntil-p.now, 0), func() {
+				if p.allowance == allowance {
+					bucket.End()
 				}
 			})
 		})
 	}
-	p.p.SetDemand(p.using)
-	if amount, ok := p.p.Amount(p.own()); ok && p.chance(0.5) {
-		p.check.see(p.check.part.Use(p.now, p.inc, amount))
+	p.p.SetDemand(p.wanted)
+	if amount, ok := p.p.Amount(p.ownTime()); ok && p.chance(0.5) {
+		p.check.report(p.check.divided.Use(p.now, p.incarnation, amount))
 	}
 }
 
-func (p *proc) renew() {
-	sent, inc, purse := p.own(), p.inc, p.purse
-	r := purse.Renewal(sent)
-	send := func(do func()) { // lost, late, twice, in any order
-		times := 1
-		if p.cut || p.chance(0.1) && !p.calm {
-			p.faults["lost"]++
-			times = 0
+func (p *process) renew() {
+	sent, incarnation, allowance := p.ownTime(), p.incarnation, p.allowance
+	r := allowance.Renewal(sent)
+	send := func(deliver func()) { // the message may be lost, delayed, duplicated or reordered
+		copies := 1
+		if p.partitioned || p.chance(0.1) && !p.calm {
+			p.events["lost"]++
+			copies = 0
 		} else if p.chance(0.1) {
-			p.faults["twice"]++
-			times = 2
+			p.events["twice"]++
+			copies = 2
 		}
-		for range times {
-			late := p.span(20 * time.Millisecond)
+		for range copies {
+			delay := p.span(20 * time.Millisecond)
 			if p.chance(0.1) && !p.calm {
-				late = p.span(2 * simLease)
+				delay = p.span(2 * simLease)
 			}
-			p.after(late, do)
+			p.after(delay, deliver)
 		}
 	}
 	send(func() {
-		if p.stopped {
-			return // no leader
+		if p.leaderless {
+			return
 		}
 		var g Grant
 		var err error
 		p.command(func(b *AllocationTable) { g, err = b.Renew(p.at(), r) })
 		if err == nil {
-			send(p.whileUp(inc, func() { purse.Apply(sent, p.own(), g) }))
+			send(p.whileUp(incarnation, func() { allowance.Apply(sent, p.ownTime(), g) }))
 		}
 	})
 }
 
-// happen is one thing that goes wrong, or is done.
-func (w *world) happen() {
-	p := w.procs[w.IntN(len(w.procs))]
-	switch k := w.IntN(12); {
+// randomEvent injects a fault, starts or shuts down a process, or changes the configuration
+// or the demand.
+func (sim *simulation) randomEvent() {
+	p := sim.processes[sim.IntN(len(sim.processes))]
+	switch k := sim.IntN(12); {
 	case !p.up && k < 6:
 		p.start()
-	case k < 2 && p.up: // killed, and perhaps back before its lease's end
-		w.faults["crashes"]++
+	case k < 2 && p.up: // killed, and possibly started again before its lease expires
+		sim.events["crashes"]++
 		p.up = false
-		w.after(w.span(2*simLease), func() {
+		sim.after(sim.span(2*simLease), func() {
 			if !p.up {
 				p.start()
 			}
 		})
 	case k == 2 && p.up:
-		w.faults["freezes"]++
-		p.frozen = w.now + w.span(4*simLease)
+		sim.events["freezes"]++
+		p.frozenUntil = sim.now + sim.span(4*simLease)
 	case k == 3 && p.up:
-		w.faults["cuts"]++
-		p.cut = !p.cut
-	case k == 4 && p.up && w.now >= p.frozen && !w.stopped:
-		w.faults["leaves"]++
-		left, inc := p.purse.Close(p.own()), p.inc
+		sim.events["cuts"]++
+		p.partitioned = !p.partitioned
+	case k == 4 && p.up && sim.now >= p.frozenUntil && !sim.leaderless:
+		sim.events["leaves"]++
+		departing, incarnation := p.allowance.Close(p.ownTime()), p.incarnation
 		p.up = false
-		w.after(w.span(50*time.Millisecond), func() {
-			if !w.stopped {
-				w.command(func(b *AllocationTable) { must(b.Leave(w.at(), p.name, inc, left)) })
+		sim.after(sim.span(50*time.Millisecond), func() {
+			if !sim.leaderless {
+				sim.command(func(b *AllocationTable) { must(b.Leave(sim.at(), p.name, incarnation, departing)) })
 			}
 		})
-	case k == 5 && !w.stopped: // fleet time stands until there is a leader
-		w.faults["leaders"]++
-		w.fleet, w.stopped = w.at(), true
-		w.after(w.span(simLease), func() {
-			w.since, w.rate, w.stopped = w.now, w.clock(), false
-			text, err := w.book.Encode()
+	case k == 5 && !sim.leaderless: // fleet time stands still until there is a leader
+		sim.events["leaders"]++
+		sim.fleetAtStart, sim.leaderless = sim.at(), true
+		sim.after(sim.span(simLease), func() {
+			sim.leaderStart, sim.leaderRate, sim.leaderless = sim.now, sim.randomClockRate(), false
+			text, err := sim.leader.Encode()
 			must(err)
-			w.follower, w.book = w.book, NewAllocationTable()
-			must(w.book.Decode(text))
-			w.book.grantTwice = w.twice
+			sim.follower, sim.leader = sim.leader, NewAllocationTable()
+			must(sim.leader.Decode(text))
+			sim.leader.grantTwice = sim.grantTwiceFault
 		})
-	case k == 6 && !w.stopped:
-		w.faults["configs"]++
+	case k == 6 && !sim.leaderless:
+		sim.events["configs"]++
 		c := Config{Lease: simLease}
-		for _, b := range w.config.Budgets {
-			b.Total, b.Burst = float64(int(b.Total*(0.5+w.Float64()))), float64(int(b.Burst*(0.5+w.Float64())))
+		for _, b := range sim.config.Budgets {
+			b.Total, b.Burst = float64(int(b.Total*(0.5+sim.Float64()))), float64(int(b.Burst*(0.5+sim.Float64())))
 			c.Budgets = append(c.Budgets, b)
 		}
-		w.command(func(b *AllocationTable) { must(b.Configure(w.at(), c)) })
-	default: // demand moves
-		p.busy, p.using = w.Float64()*w.Float64()*3, 60*w.Float64()
+		sim.command(func(b *AllocationTable) { must(b.Configure(sim.at(), c)) })
+	default: // the demand changes
+		p.load, p.wanted = sim.Float64()*sim.Float64()*3, 60*sim.Float64()
 	}
 }
 
-func (w *world) run(length time.Duration, procs int) *world {
-	for i := range procs {
-		p := &proc{world: w, name: fmt.Sprintf("n%d", i), busy: w.Float64(), using: 60 * w.Float64()}
-		w.procs = append(w.procs, p)
-		w.after(w.span(time.Second), p.start)
+func (sim *simulation) run(length time.Duration, processes int) *simulation {
+	for i := range processes {
+		p := &process{simulation: sim, name: fmt.Sprintf("n%d", i), load: sim.Float64(), wanted: 60 * sim.Float64()}
+		sim.processes = append(sim.processes, p)
+		sim.after(sim.span(time.Second), p.start)
 	}
-	var chaos, advance func()
-	every := 400 * time.Millisecond
-	if w.IntN(20) == 0 { // all come and go some fifty times
-		every /= 10
+	var inject, advance func()
+	interval := 400 * time.Millisecond
+	if sim.IntN(20) == 0 { // each process starts and ends about fifty times
+		interval /= 10
 	}
-	chaos = func() {
-		w.happen()
-		w.after(w.span(every), chaos)
+	inject = func() {
+		sim.randomEvent()
+		sim.after(sim.span(interval), inject)
 	}
 	advance = func() {
-		if !w.stopped {
-			w.command(func(b *AllocationTable) { b.Advance(w.at()) })
+		if !sim.leaderless {
+			sim.command(func(b *AllocationTable) { b.Advance(sim.at()) })
 		}
-		w.after(DivisionInterval, advance)
+		sim.after(DivisionInterval, advance)
 	}
-	if w.IntN(40) > 0 {
-		w.after(time.Second, chaos)
-	} else { // a calm fleet that wants all there is, with clocks as fast as they come
-		length, w.calm = 4*length, true
-		w.after(time.Second, func() {
-			for _, p := range w.procs {
-				p.off, p.rate, p.busy = p.own()-time.Duration(1.025*float64(w.now)), 1.025, 4
+	if sim.IntN(40) > 0 {
+		sim.after(time.Second, inject)
+	} else { // a fleet without faults, with demand above the totals and the fastest clocks
+		length, sim.calm = 4*length, true
+		sim.after(time.Second, func() {
+			for _, p := range sim.processes {
+				p.clockOffset, p.rate, p.load = p.ownTime()-time.Duration(1.025*float64(sim.now)), 1.025, 4
 			}
 		})
 	}
 	advance()
-	for w.events.Len() > 0 && w.check.wrong == "" {
-		e := w.events.Pop()
+	for sim.queue.Len() > 0 && sim.check.wrong == "" {
+		e := sim.queue.Pop()
 		if e.at > length {
 			break
 		}
-		w.now = e.at
+		sim.now = e.at
 		e.do()
 	}
-	if a, b := digest(w.book), digest(w.follower); a != b {
-		w.check.see(fmt.Errorf("digests %x and %x", a, b))
+	if a, b := digest(sim.leader), digest(sim.follower); a != b {
+		sim.check.report(fmt.Errorf("digests %x and %x", a, b))
 	}
-	return w
+	return sim
 }
 
 func digest(b *AllocationTable) uint64 {
@@ -314,71 +326,72 @@
 	return d
 }
 
-// checker sees what was admitted, in true time and from outside. A lowered whole
-// counts from when it binds.
+// checker checks what was admitted, in real time and independently of the tables. A lowered
+// total counts from when it is in force.
 type checker struct {
-	wrong string
-	whole [3]float64 // of p, r, u
-	burst float64
-	rate  budgetcheck.Rate
-	under budgetcheck.InFlight
-	part  budgetcheck.Divided
+	wrong    string     // the first violation
+	totals   [3]float64 // of p, r, u
+	burst    float64
+	rate     budgetcheck.Rate
+	inFlight budgetcheck.InFlight
+	divided  budgetcheck.Divided
 }
 
-func (c *checker) see(err error) {
+func (c *checker) report(err error) {
 	if err != nil && c.wrong == "" {
 		c.wrong = err.Error()
 	}
 }
 
-func (c *checker) bind(w *world) {
-	for i, s := range w.book.Status() {
-		if s.Binding || s.Total > c.whole[i] {
-			c.whole[i] = s.Total
+func (c *checker) updateLimits(sim *simulation) {
+	for i, s := range sim.leader.Status() {
+		if s.Binding || s.Total > c.totals[i] {
+			c.totals[i] = s.Total
 		}
 		if i == 1 && (s.Binding || s.Burst > c.burst) {
 			c.burst = s.Burst
 		}
 	}
-	c.part.Limit, c.under.Limit = c.whole[0], c.whole[2]
-	c.rate.Set(w.now, c.whole[1], c.burst)
+	c.divided.Limit, c.inFlight.Limit = c.totals[0], c.totals[2]
+	c.rate.Set(sim.now, c.totals[1], c.burst)
 }
 
-// simulate runs worlds until one is found wrong; it tells how many were.
-func simulate(n int, full, twice bool) (wrong []string, all counts, under, parted float64) {
+// simulate runs the simulation with n seeds. It returns the violations that were found, the
+// sums of the event counts, and the greatest fractions of the limits that were in use.
+func simulate(n int, fullBucketFault, grantTwiceFault bool) (wrong []string, totals counts, inFlight, peakDivided float64) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	all = counts{}
+	totals = counts{}
 	for first := range 4 {
 		wg.Go(func() {
 			for seed := first; seed < n; seed += 4 {
-				w := newWorld(uint64(seed), full, twice).run(8*time.Second, 6)
+				sim := newSimulation(uint64(seed), fullBucketFault, grantTwiceFault).run(8*time.Second, 6)
 				mu.Lock()
-				for what, count := range w.faults {
-					all[what] += count
+				for name, count := range sim.events {
+					totals[name] += count
 				}
-				under, parted = max(under, w.check.under.PeakFraction), max(parted, w.check.part.PeakFraction)
-				if w.check.wrong != "" {
-					wrong = append(wrong, fmt.Sprintf("seed %d %s", seed, w.check.wrong))
+				inFlight, peakDivided = max(inFlight, sim.check.inFlight.PeakFraction), max(peakDivided, sim.check.divided.PeakFraction)
+				if sim.check.wrong != "" {
+					wrong = append(wrong, fmt.Sprintf("seed %d %s", seed, sim.check.wrong))
 				}
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	return wrong, all, under, parted
+	return wrong, totals, inFlight, peakDivided
 }
 
-// TestNeverOver: whatever goes wrong, no window holds more than the whole, and a
-// planted double spend is seen.
+// TestNeverOver checks that no fault makes the processes together exceed a total in any
+// window, and that the checker finds each injected fault.
 func TestNeverOver(t *testing.T) {
-	wrong, all, under, parted := simulate(*seeds, faultFullBucket, faultGrantTwice)
-	t.Logf("%v; at most %.2f under way, %.2f parted", all, under, parted)
+	wrong, events, inFlight, peakDivided := simulate(*seeds, faultFullBucket, faultGrantTwice)
+	t.Logf("%v; at most %.2f of the limit in flight, %.2f of the divided total in use", events, inFlight, peakDivided)
 	require.Empty(t, wrong)
-	require.Greater(t, under, 0.9, "the check would see little")
-	require.Greater(t, parted, 0.9, "the check would see little")
-	for name, bugs := range map[string][2]bool{"full": {true, false}, "twice": {false, true}} {
-		wrong, _, _, _ := simulate(60, bugs[0], bugs[1])
+	require.Greater(t, inFlight, 0.9, "load too low for the check")
+	require.Greater(t, peakDivided, 0.9, "load too low for the check")
+	for name, faults := range map[string][2]bool{"full": {true, false}, "twice": {false, true}} {
+		wrong, _, _, _ := simulate(60, faults[0], faults[1])
 		require.NotEmpty(t, wrong, name)
 		t.Logf("%s: %d of 60, %v", name, len(wrong), wrong[0])
 	}
--- a/internal/dispatcher/fleet/budget/status.go
+++ b/internal/dispatcher/fleet/budget/status.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Mode tells what a process uses at the moment.
+// Mode is what limits a process's use of a budget at present.
 type Mode uint8
 
 // Modes.
 const (
-	Unbounded Mode = iota // the budget does not exist, as far as is known
-	OnShare
-	OnFloor
-	OnNothing
+	Unbounded Mode = iota // the process knows of no such budget
+	OnShare               // its share; the lease is in force
+	OnFloor               // its floor; the lease has expired
+	OnNothing             // nothing is admitted; lease and floor have expired
 )
 
 var modeNames = [...]string{"unbounded", "share", "floor", "nothing"}
 
-// String is a mode in a word.
+// String returns the mode's name.
 func (m Mode) String() string {
 	if int(m) < len(modeNames) {
 		return modeNames[m]
@@ -32,8 +32,8 @@
 	Name     string
 	Kind     Kind
 	Mode     Mode
-	Amount   float64       // usable now; 0 where unbounded
-	ValidFor time.Duration // until Amount ends without another grant; 0: it has, or never will
+	Amount   float64       // usable now; 0 if unbounded
+	ValidFor time.Duration // until Amount expires without another grant; 0: it has expired, or never does
 	Admitted int64         // since the start
 	Rejected int64         // since the start
 	InFlight int64
@@ -48,21 +48,21 @@
 	for _, n := range slices.Sorted(slices.Values(a.names)) {
 		t := a.buckets[n]
 		s := t.terms.Load()
-		f := BucketStatus{
+		status := BucketStatus{
 			Name: n, Kind: s.kind, Admitted: t.taken.Load() + t.begun.Load(), Rejected: t.rejected.Load(),
 			InFlight: t.inFlight.Load(), Demand: t.reportedDemand, Amount: s.amountAt(now),
 		}
 		switch {
 		case s == &unlimited:
-			f.Amount = 0
+			status.Amount = 0
 		case now < s.leaseEnd:
-			f.Mode, f.ValidFor = OnShare, s.leaseEnd-now
+			status.Mode, status.ValidFor = OnShare, s.leaseEnd-now
 		case now < s.floorEnd:
-			f.Mode, f.ValidFor = OnFloor, s.floorEnd-now
+			status.Mode, status.ValidFor = OnFloor, s.floorEnd-now
 		default:
-			f.Mode = OnNothing
+			status.Mode = OnNothing
 		}
-		out = append(out, f)
+		out = append(out, status)
 	}
 	return out
 }
@@ -71,17 +71,17 @@
 type HolderStatus struct {
 	Process      string
 	Incarnation  uint64
-	Ends         time.Duration // of its lease, in fleet time
-	Fenced       bool          // a newer incarnation exists: it gets nothing more
+	Ends         time.Duration // expiry of its lease, in fleet time
+	Fenced       bool          // a newer incarnation exists: this one is granted nothing more
 	Acknowledged bool          // it has applied the last grant
-	Held         float64       // the most that it may be using
-	Offered, Due float64       // by the last grant; Due: by the division
+	Held         float64       // upper bound of what it may be using
+	Offered, Due float64       // Offered: by the last grant; Due: by the last division
 	Floor        bool
 	Demand       float64
 }
 
-// HolderStatuses returns who holds what of a budget, by process and incarnation; none for
-// an unknown budget.
+// HolderStatuses returns what each holder has of a budget, sorted by process and
+// incarnation; nil for an unknown budget.
 func (t *AllocationTable) HolderStatuses(name string) []HolderStatus {
 	i := t.budgetIndex(name)
 	if i < 0 {
@@ -103,23 +103,23 @@
 type Occupancy struct {
 	Name        string
 	Total       float64 `cbor:"Whole"` // see Budget.Total
-	Held        float64 // the upper bound of what all holders may be using
-	Quarantined float64 `cbor:"Resting"`  // of failed and departed holders, not available yet
-	Reserved    float64 `cbor:"SetAside"` // for floor slots that nobody has
+	Held        float64 // upper bound of what all holders may be using
+	Quarantined float64 `cbor:"Resting"`  // freed, or held at a lease's expiry, and not available yet
+	Reserved    float64 `cbor:"SetAside"` // for floor slots that no holder has
 	Burst       float64 // see Budget.Burst
 	HeldBurst   float64 // including what is quarantined and reserved
-	Binding     bool    `cbor:"Bound"` // the total binds: no more than it is held
+	Binding     bool    `cbor:"Bound"` // the total is in force: no more than that is held
 }
 
 // Status describes the budgets, sorted by name.
 func (t *AllocationTable) Status() []Occupancy {
 	out := make([]Occupancy, len(t.Budgets))
 	for i, s := range t.Budgets {
-		aside, asideBurst := s.reservedFloors()
+		reserved, reservedBurst := s.reservedFloors()
 		free, burst := s.available()
 		out[i] = Occupancy{
-			Name: s.Name, Total: s.Total, Held: fromMicros(s.held.amount), Quarantined: fromMicros(s.quarantined.amount), Reserved: fromMicros(aside),
-			Burst: s.Burst, HeldBurst: fromMicros(s.held.burst + s.quarantined.burst + asideBurst), Binding: free >= 0 && burst >= 0,
+			Name: s.Name, Total: s.Total, Held: fromMicros(s.held.amount), Quarantined: fromMicros(s.quarantined.amount), Reserved: fromMicros(reserved),
+			Burst: s.Burst, HeldBurst: fromMicros(s.held.burst + s.quarantined.burst + reservedBurst), Binding: free >= 0 && burst >= 0,
 		}
 	}
 	return out
--- a/internal/dispatcher/fleet/budget/stored_state.go
+++ b/internal/dispatcher/fleet/budget/stored_state.go
@@ -24,48 +24,48 @@
 // Decode replaces the state by an encoded one. If that is truncated, of another version, or
 // inconsistent, nothing changes.
 func (t *AllocationTable) Decode(text []byte) error {
-	var im storedState
-	if err := codec.Decode(text, &im); err != nil {
+	var v storedState
+	if err := codec.Decode(text, &v); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
 	}
-	if im.Version != stateVersion {
-		return fmt.Errorf("state of the budgets: version %d, not %d", im.Version, stateVersion)
+	if v.Version != stateVersion {
+		return fmt.Errorf("state of the budgets: version %d, not %d", v.Version, stateVersion)
 	}
-	if err := im.check(); err != nil {
+	if err := v.check(); err != nil {
 		return fmt.Errorf("state of the budgets: %w", err)
 	}
-	t.storedState = im
+	t.storedState = v
 	t.rebuildTotals()
 	return nil
 }
 
-func (im *storedState) check() error {
-	for i, s := range im.Budgets {
-		if s == nil || i > 0 && im.Budgets[i-1].Name >= s.Name {
+func (v *storedState) check() error {
+	for i, s := range v.Budgets {
+		if s == nil || i > 0 && v.Budgets[i-1].Name >= s.Name {
 			return fmt.Errorf("budget %d: out of order", i)
 		}
 		if err := s.check(); err != nil {
 			return fmt.Errorf("budget %q: %w", s.Name, err)
 		}
 	}
-	for i, h := range im.Holders {
-		if h == nil || len(h.Allocations) != len(im.Budgets) {
-			return fmt.Errorf("holder %d: not a line a budget", i)
+	for i, h := range v.Holders {
+		if h == nil || len(h.Allocations) != len(v.Budgets) {
+			return fmt.Errorf("holder %d: not one allocation for each budget", i)
 		}
-		if h.AcknowledgedGrant > h.OfferedGrant || h.OfferedGrant > im.LastGrant {
-			return fmt.Errorf("holder %q: numbers %d, %d, %d", h.Process, h.AcknowledgedGrant, h.OfferedGrant, im.LastGrant)
+		if h.AcknowledgedGrant > h.OfferedGrant || h.OfferedGrant > v.LastGrant {
+			return fmt.Errorf("holder %q: grant numbers %d acknowledged, %d offered, %d last: not ascending", h.Process, h.AcknowledgedGrant, h.OfferedGrant, v.LastGrant)
 		}
 	}
-	if im.Now < 0 || im.Lease < 0 {
-		return fmt.Errorf("fleet time %v, lease %v: below 0", im.Now, im.Lease)
+	if v.Now < 0 || v.Lease < 0 {
+		return fmt.Errorf("fleet time %v, lease %v: below 0", v.Now, v.Lease)
 	}
-	for i, s := range im.Budgets {
-		if err := im.checkAmounts(i, s); err != nil {
+	for i, s := range v.Budgets {
+		if err := v.checkAmounts(i, s); err != nil {
 			return fmt.Errorf("budget %q: %w", s.Name, err)
 		}
 	}
-	for i := 1; i < len(im.Holders); i++ {
-		x, y := im.Holders[i-1], im.Holders[i]
+	for i := 1; i < len(v.Holders); i++ {
+		x, y := v.Holders[i-1], v.Holders[i]
 		if cmp.Or(strings.Compare(x.Process, y.Process), cmp.Compare(x.Incarnation, y.Incarnation)) >= 0 {
 			return fmt.Errorf("holder %q: out of order", y.Process)
 		}
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// checkAmounts validates the amounts of a budget, which must be summable.
-func (im *storedState) checkAmounts(i int, s *budgetState) error {
+// checkAmounts validates the amounts of a budget, whose sum must not overflow.
+func (v *storedState) checkAmounts(i int, s *budgetState) error {
 	sum := 0.0
 	add := func(xs ...int64) bool {
 		for _, x := range xs {
@@ -87,14 +87,14 @@
 	}
 	for _, r := range s.Quarantines {
 		if !add(r.Amount, r.Burst) {
-			return fmt.Errorf("a rest of %d, %d, sum %v", r.Amount, r.Burst, sum)
+			return fmt.Errorf("quarantine of %d, burst %d: below 0, or the sum %v is too great", r.Amount, r.Burst, sum)
 		}
 	}
-	for _, h := range im.Holders {
+	for _, h := range v.Holders {
 		l := &h.Allocations[i]
 		if p, q := l.Acknowledged, l.Offered; !add(p.Amount, p.Burst, p.Floor, q.Amount, q.Burst, q.Floor, l.InFlight, l.Due, l.DueBurst) ||
 			p.FloorDuration < 0 || p.SettleTime < 0 || q.FloorDuration < 0 || q.SettleTime < 0 || !(l.Demand >= 0 && l.Demand <= maxTotal) {
-			return fmt.Errorf("holder %q: figures below 0 or too great: %+v", h.Process, *l)
+			return fmt.Errorf("holder %q: amounts below 0 or too great: %+v", h.Process, *l)
 		}
 	}
 	return nil
@@ -126,11 +126,11 @@
 			s.held.add(&h.Allocations[i], 1)
 		}
 	}
-	t.nextDue = t.Now // what is due is looked for with the next call
+	t.nextDue = t.Now // the next call of expireDue computes it
 }
 
-// storedState is what is encoded, by the field names in its tags. The totals that
-// AllocationTable keeps besides are derived from it.
+// storedState is the encoded state, stored by the field names in its tags. The totals in
+// AllocationTable are derived from it.
 type storedState struct {
 	Version   uint64
 	Now       time.Duration `cbor:"At"`
--- a/internal/dispatcher/fleet/budget/token_bucket.go
+++ b/internal/dispatcher/fleet/budget/token_bucket.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// refillInterval is how often a bucket is refilled at most, by the own clock.
+// refillInterval is the least time between two refills of a bucket, by the process's own
+// clock.
 const refillInterval = 50 * time.Microsecond
 
 // TokenBucket admits a process's jobs against its share of one budget: Take for a Rate,
 // Begin and End for InFlight, Amount for Divided. It is safe for concurrent use, and no
 // method on a job's path blocks.
 //
-// The bucket of a Rate is two counters, the tokens taken and the ceiling that they may
-// reach, so that taking one is one atomic addition. A caller that arrives a refillInterval
-// after the last refill refills the bucket, unless another one does. In an interval that
-// begins with a level l, no more is taken than l and what the share refills: the level
-// rises by refills only and never above the burst, it is clipped to the floor's burst,
-// which is reserved with the floor, at the lease's expiry, and to 0 at the floor's. So all
-// holders together take in a time t no more than the sum of their levels, which is at most
-// Burst, plus their rates times t, which is at most Total times t.
+// The bucket of a Rate has two counters, the tokens taken and the ceiling that they may
+// reach, so that taking a token is one atomic addition. A caller that arrives a
+// refillInterval after the last refill refills the bucket, unless another caller does. In
+// an interval that begins with a level l, no more is taken than l and what the share
+// refills: the level rises by refills only and never above the burst. It is clipped to the
+// floor's burst, which is reserved with the floor, when the lease expires, and to 0 when the
+// floor expires. So all holders together take in a time t no more than the sum of their
+// levels, which is at most Burst, plus their rates times t, which is at most Total times t.
 type TokenBucket struct {
-	refillAt          atomic.Int64 // a refill is worthwhile from then on
-	ceilingValidUntil atomic.Int64 // the ceiling holds until then
-	ceiling           atomic.Int64 // that taken may reach
+	refillAt          atomic.Int64 // earliest time of the next refill
+	ceilingValidUntil atomic.Int64 // no token may be taken from then on without a refill
+	ceiling           atomic.Int64 // greatest allowed value of taken
 	terms             atomic.Pointer[terms]
 	taken             paddedCounter
 	rejected          paddedCounter
@@ -34,18 +35,18 @@
 	peakInFlight, begun, latestDeadline atomic.Int64
 	wantedAmount                        atomic.Uint64 // bits of a float64
 
-	mu         sync.Mutex // of what follows; Take only tries it
-	level      float64    // at refilledAt, without what was taken beyond base
+	mu         sync.Mutex // guards the next three; Take only uses TryLock
+	level      float64    // at refilledAt, before the tokens taken beyond base are subtracted
 	refilledAt time.Duration
-	base       int64
+	base       int64 // value of taken at refilledAt
 
-	arrivalsAtRenewal                 atomic.Int64 // arrivals by the last renewal
-	reportedDemand                    float64      // with the last renewal; under the Allowance's lock, like the next two
+	arrivalsAtRenewal                 atomic.Int64 // arrivals up to the last renewal
+	reportedDemand                    float64      // in the last renewal; Allowance.mu guards this and the next two
 	rejectedAtRenewal, begunAtRenewal int64
 }
 
 // Take takes one token of a Rate at now, and reports whether there was one. It checks the
-// lease first, so that a process that was stopped takes nothing of an expired share; now
+// lease first, so that a process that was suspended takes nothing of an expired share; now
 // must be read just before the call.
 func (b *TokenBucket) Take(now time.Duration) bool {
 	if int64(now) >= b.refillAt.Load() && b.mu.TryLock() {
@@ -62,10 +63,10 @@
 	return false
 }
 
-// refill brings the bucket to now: what the share refills until the lease's expiry, then
-// the floor until its own, clipped to the floor's burst. What was taken since the last
-// refill is subtracted after the clip to the burst, as if it had been taken last, so that
-// never too much is left.
+// refill advances the bucket to now: it refills by the share until the lease's expiry, then
+// by the floor until the floor's expiry, clipped to the floor's burst. What was taken since
+// the last refill is subtracted after the clip to the burst, as if it had been taken last,
+// so that never too much is left.
 func (b *TokenBucket) refill(now time.Duration) {
 	s := b.terms.Load()
 	if s == &unlimited || s.kind != Rate {
@@ -97,12 +98,12 @@
 		b.level += rate * RefillPace * (to - b.refilledAt).Seconds()
 		b.refilledAt = to
 	}
-	taken := min(b.taken.Load(), b.ceiling.Load()) // above it: tries that are undone
+	taken := min(b.taken.Load(), b.ceiling.Load()) // above the ceiling are attempts that Take undoes
 	b.level = min(b.level, burst) - float64(taken-b.base)
 	b.base = taken
 }
 
-// reset sets terms that have no end.
+// reset sets terms that do not refill: unlimited or blocked.
 func (b *TokenBucket) reset(s *terms) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,7 +114,7 @@
 	b.refillAt.Store(math.MaxInt64)
 }
 
-// applyTerms replaces the terms; the old ones are used up to now first.
+// applyTerms replaces the terms, after a refill by the old ones up to now.
 func (b *TokenBucket) applyTerms(now time.Duration, s *terms, full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,13 +136,13 @@
 	b.refill(now)
 }
 
-// Begin begins one job of an InFlight budget that ends by its deadline until, and reports
-// whether it may. Each job that may must be ended by End. Begin counts the job first and
-// checks the limit then, so that a share's new amount holds for all jobs that are not in
-// the count reported with its acknowledgement. A job that may last longer than the budget's
-// SettleTime is rejected: it could outlast the quarantine.
+// Begin begins one job of an InFlight budget, which ends by its deadline until, and reports
+// whether the job is admitted. Each admitted job must be ended by End. Begin counts the job
+// before it checks the limit, so that a share's new amount holds for all jobs that are not
+// in the count reported with its acknowledgement. A job that may last longer than the
+// budget's SettleTime is rejected: it could outlast the quarantine.
 func (b *TokenBucket) Begin(now, until time.Duration) bool {
-	if until-now > b.terms.Load().linger {
+	if until-now > b.terms.Load().settleTime {
 		b.rejected.Add(1)
 		return false
 	}
@@ -168,16 +169,16 @@
 	}
 }
 
-// Amount returns the part of a Divided budget that this process may use at now; false: the
-// budget does not exist (yet).
+// Amount returns the part of a Divided budget that this process may use at now, and false if
+// the budget does not exist (yet).
 func (b *TokenBucket) Amount(now time.Duration) (float64, bool) {
 	s := b.terms.Load()
 	return s.amountAt(now), s != &unlimited
 }
 
-// RetryAfter returns after what time another attempt is worthwhile: for a Rate when it has
-// worked off what it has rejected since the last renewal, a lease at most; else when the
-// next renewal may have brought something.
+// RetryAfter returns the time after which another attempt may succeed: for a Rate, the time
+// to admit as many jobs as arrived since the last renewal, a lease at most; otherwise the
+// time until the next renewal may have granted more.
 func (b *TokenBucket) RetryAfter(now time.Duration) time.Duration {
 	s := b.terms.Load()
 	rate := s.amountAt(now) * RefillPace
@@ -187,12 +188,12 @@
 	if s.kind != Rate || rate <= 0 {
 		return max(s.lease/3, refillInterval)
 	}
-	one := time.Duration(float64(time.Second) / max(rate, 1e-3))
-	return max(one, min(time.Duration(float64(b.arrivals()-b.arrivalsAtRenewal.Load())*float64(one)), s.lease))
+	perToken := time.Duration(float64(time.Second) / max(rate, 1e-3))
+	return max(perToken, min(time.Duration(float64(b.arrivals()-b.arrivalsAtRenewal.Load())*float64(perToken)), s.lease))
 }
 
-// CanBegin reports whether Begin would admit another job at now, and takes nothing. For the
-// goroutine that calls Begin the answer holds until the next grant.
+// CanBegin reports whether Begin would admit another job at now, and changes nothing. For
+// the goroutine that calls Begin the answer holds until the next grant.
 func (b *TokenBucket) CanBegin(now time.Duration) bool {
 	s := b.terms.Load()
 	return s == &unlimited || s.kind == InFlight && float64(b.inFlight.Load()+1) <= s.amountAt(now)
