--- a/internal/dispatcher/fleet/records/commands.go
+++ b/internal/dispatcher/fleet/records/commands.go
@@ -17,15 +17,15 @@
 	MaxBytes int64 `cbor:"Bytes"`
 }
 
-// Rule says how long a tenant's records are kept. What a hold covers is kept beyond it and
-// does not count against the limits.
+// Rule sets how long a tenant's records are kept. Records that a hold covers are kept beyond
+// these limits and do not count against them.
 type Rule struct {
-	Tenant string // DefaultRuleTenant: all that have no rule of their own
+	Tenant string // DefaultRuleTenant: all tenants without a rule of their own
 	Keep   Limits // of Ordinary records
 	Failed Limits // of Failures
 }
 
-// DefaultRuleTenant is the tenant of the rule for all that have none.
+// DefaultRuleTenant is the Tenant of the rule for all tenants without one of their own.
 const DefaultRuleTenant = "*"
 
 // Hold keeps records until it is released or expires.
@@ -34,7 +34,7 @@
 	Tenant         string
 	ID, Key, Class string // empty: any
 	From, To       int64  // ended at From or later and before To, in nanoseconds since 1970; To 0: no bound
-	Owner, Reason  string // who wants it, and why
+	Owner, Reason  string // who requested the hold, and why
 	Until          int64  // nanoseconds since 1970; 0: until it is released
 }
 
@@ -44,7 +44,8 @@
 }
 
 // Ship stores records of one process, in the order of its spool. The first has the sequence
-// number FirstSeq. GapLost says that the process no longer has what is missing before it.
+// number FirstSeq. GapLost means that the process no longer has the records that are missing
+// before it.
 type Ship struct {
 	Process     string
 	Incarnation uint64
@@ -56,12 +57,12 @@
 
 // Shipped answers a Ship.
 type Shipped struct {
-	Through       uint64 // all up to this sequence number of the epoch were processed
+	Through       uint64 // all records up to this sequence number of the epoch were processed
 	Stored        int    `cbor:"Taken"` // records that were new
 	Duplicates    int    `cbor:"Again"` // records that had been processed before
 	AlreadyPruned int    `cbor:"Below"` // new records below the tenant's watermark that no hold covers
 	Missing       uint64 // records lost before FirstSeq
-	TooLarge      int
+	TooLarge      int    // records that exceed the size limit and were not stored
 }
 
 // SetRules replaces all rules.
@@ -89,39 +90,45 @@
 	Position Position       `cbor:"Below"`
 }
 
-// Prune removes records. It is computed by State.PlanPrune and carries everything that its
-// effect depends on.
+// Prune removes records. State.PlanPrune computes it; it carries everything that its effect
+// depends on besides the state.
 type Prune struct {
-	At           int64       // nanoseconds since 1970: holds that expire by then are over
-	RulesEdition uint64      `cbor:"Rules"` // that it was planned from
+	At           int64       // nanoseconds since 1970: holds that expire by then end
+	RulesEdition uint64      `cbor:"Rules"` // edition of the rules that it was planned from
 	Watermarks   []Watermark `cbor:"Marks"`
-	MaxSwept     int         `cbor:"Sweep"` // how many records under ended holds are looked at
-	NextTenant   string      `cbor:"Turn"`  // with which the next plan begins
+	MaxSwept     int         `cbor:"Sweep"` // greatest number of records to examine after the end of holds
+	NextTenant   string      `cbor:"Turn"`  // tenant with which the next plan begins
 }
 
 // Pruned answers a Prune.
 type Pruned struct {
-	Removed, Held int // Held: below a watermark now, and kept
+	Removed, Held int // Held: below a watermark now, but kept by a hold
 }
 
-// Errors of commands. Nothing has changed.
+// Errors of refused commands, which change nothing.
 var (
-	ErrGap         = errors.New("records before these are missing")
+	// ErrGap is returned by Ship if records before FirstSeq are missing and not declared lost.
+	ErrGap = errors.New("records before these are missing")
+	// ErrIncarnation is returned by Ship if a newer incarnation has shipped records.
 	ErrIncarnation = errors.New("of an older incarnation of the process")
-	ErrStale       = errors.New("planned from rules that were changed since")
-	ErrInvalid     = errors.New("not valid")
-	ErrHoldTaken   = errors.New("another hold has that name")
-	ErrNoHold      = errors.New("there is no such hold")
+	// ErrStale is returned by Prune if the rules have changed since it was planned.
+	ErrStale = errors.New("planned from rules that were changed since")
+	// ErrInvalid is returned for a command or an encoded state that is not valid.
+	ErrInvalid = errors.New("not valid")
+	// ErrHoldTaken is returned by SetHold if a different hold of that name is in force.
+	ErrHoldTaken = errors.New("another hold has that name")
+	// ErrNoHold is returned by ReleaseHold if no hold has that name.
+	ErrNoHold = errors.New("there is no such hold")
 )
 
-// ErrStore says that the store has failed in the middle of a command: this replica's state
-// is no longer what the log says, and must be restored from another replica.
+// ErrStore is returned if the store has failed in the middle of a command: this replica's
+// state no longer corresponds to the log and must be restored from another replica.
 var ErrStore = errors.New("the store of records failed")
 
 const (
 	maxRules  = 4096
 	maxHolds  = 4096
-	maxEpochs = 16 // of a process whose sequence numbers are remembered
+	maxEpochs = 16 // epochs of a process for which the progress is remembered
 )
 
 func isValidText(text string) bool { return len(text) <= maxText && utf8.ValidString(text) }
--- a/internal/dispatcher/fleet/records/fault_injection_off.go
+++ b/internal/dispatcher/fleet/records/fault_injection_off.go
@@ -2,6 +2,6 @@
 
 package records
 
-// faultResurrectPruned makes a State store records that were pruned; only builds with
-// the tag faults can set it.
+// faultResurrectPruned is the injected fault that makes a State store records that were
+// pruned. Only builds with the tag faults can set it.
 const faultResurrectPruned = false
--- a/internal/dispatcher/fleet/records/fault_injection_on.go
+++ b/internal/dispatcher/fleet/records/fault_injection_on.go
@@ -4,6 +4,6 @@
 
 import "os"
 
-// faultResurrectPruned makes a State store records that were pruned, which the checker
-// must find. BASALTLOFT_PLANT=resurrected sets it for a process.
+// faultResurrectPruned is the injected fault that makes a State store records that were
+// pruned, which the checkers must find. BASALTLOFT_PLANT=resurrected sets it for a process.
 var faultResurrectPruned = os.Getenv("BASALTLOFT_PLANT") == "resurrected"
--- a/internal/dispatcher/fleet/records/holds.go
+++ b/internal/dispatcher/fleet/records/holds.go
@@ -18,27 +18,27 @@
 	return false
 }
 
-// expireHolds ends the holds that are over.
+// expireHolds ends the holds that have expired.
 func (s *State) expireHolds() {
 	s.holds = slices.DeleteFunc(s.holds, func(h Hold) bool {
-		over := h.Until != 0 && h.Until <= s.wallClock
-		if over {
+		expired := h.Until != 0 && h.Until <= s.wallClock
+		if expired {
 			s.scheduleSweep(&h)
 		}
-		return over
+		return expired
 	})
 }
 
-// scheduleSweep has the records that a hold kept looked at again.
+// scheduleSweep schedules a sweep of the tenant of a hold that has ended.
 func (s *State) scheduleSweep(h *Hold) {
 	if t := s.tenants[h.Tenant]; t != nil {
 		t.Sweeping, t.SweptThrough = true, Position{}
 	}
 }
 
-// SetHold sets a hold. It keeps what is stored now, and what arrives; what was pruned
-// before, or kept only by a hold that has ended, does not come back. The same hold may be
-// set again.
+// SetHold sets a hold. It keeps the records that are stored now and those that arrive. What
+// was pruned before, or kept only by a hold that has ended, is not restored. The same hold
+// may be set again.
 func (s *State) SetHold(_ time.Duration, st Store, c SetHold) error {
 	h := c.Hold
 	if err := checkHold(&h); err != nil {
@@ -74,8 +74,8 @@
 	return slices.BinarySearchFunc(s.holds, name, func(h Hold, name string) int { return strings.Compare(h.Name, name) })
 }
 
-// ReleaseHold ends a hold. From here on what it alone kept is not served; the next prunes
-// remove it.
+// ReleaseHold ends a hold. From then on the records that only this hold kept are not served;
+// the next prunes remove them.
 func (s *State) ReleaseHold(_ time.Duration, c ReleaseHold) error {
 	i, ok := s.findHold(c.Name)
 	if !ok {
--- a/internal/dispatcher/fleet/records/page.go
+++ b/internal/dispatcher/fleet/records/page.go
@@ -8,23 +8,23 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// Query asks for a tenant's records by the time of their job's end.
+// Query selects a tenant's records by the time of their job's end.
 type Query struct {
 	Tenant     string
 	From, To   int64  // nanoseconds since 1970: From or later, and before To; To 0: no bound
-	Descending bool   `cbor:"Last"`  // the last first
+	Descending bool   `cbor:"Last"`  // latest records first
 	Cursor     string `cbor:"After"` // Next of the page before; empty: from the beginning
 	Limit      int    `cbor:"Most"`  // number of records, at least 1
 }
 
-// Page is a part of an answer.
+// Page is one page of the answer to a query.
 type Page struct {
 	Records []Record
 	Next    string // cursor of the next page; empty: there are no more
-	Missing uint64 // this replica knows of so many commands that it has not seen
+	Missing uint64 // number of known commands that this replica has not applied yet
 }
 
-// ErrCursor says that a cursor does not belong to the query.
+// ErrCursor is returned for a cursor that does not belong to the query.
 var ErrCursor = errors.New("not a place that this query gave")
 
 type cursor struct {
@@ -34,18 +34,18 @@
 	At     Position
 }
 
-// maxScanned bounds the records looked at for one page.
+// maxScanned is the greatest number of records read for one page.
 const maxScanned = 100_000
 
 // Page returns the next page of an answer. A cursor is a position in the tenant's order,
 // not a count: whatever is pruned or arrives meanwhile, no record is returned twice, and
-// none that exists throughout is left out. A page may be short, even empty, and have a
-// Next: so many records were looked at that are not served.
+// none that exists throughout is left out. A page with a Next may be short, even empty, if
+// many of the records that were read are not served.
 func (v *View) Page(st Reader, q Query) (p Page, err error) {
 	p.Missing = v.missing
 	first, end := Position{Ended: q.From}, Position{Ended: q.To}
 	if q.Cursor != "" {
-		c, err := q.place()
+		c, err := q.cursorPosition()
 		if err != nil {
 			return p, err
 		}
@@ -56,20 +56,20 @@
 			end = c
 		}
 	}
-	seen, more := 0, false
+	scanned, more := 0, false
 	var next Position
 	yield := func(r *Record, _ []byte) bool {
-		o := r.Position()
+		position := r.Position()
 		switch {
-		case !q.Descending && q.To != 0 && o.Compare(end) >= 0, q.Descending && o.Compare(first) < 0:
+		case !q.Descending && q.To != 0 && position.Compare(end) >= 0, q.Descending && position.Compare(first) < 0:
 			return false
-		case len(p.Records) >= max(q.Limit, 1) || seen == maxScanned:
+		case len(p.Records) >= max(q.Limit, 1) || scanned == maxScanned:
 			more = true
 			return false
 		}
-		seen++
-		if next = o; !q.Descending {
-			next = o.next()
+		scanned++
+		if next = position; !q.Descending {
+			next = position.next()
 		}
 		if v.isServed(r) {
 			p.Records = append(p.Records, *r)
@@ -80,7 +80,7 @@
 	case !q.Descending:
 		err = st.Ascend(q.Tenant, first, yield)
 	case q.To == 0 && q.Cursor == "":
-		err = st.Descend(q.Tenant, lastOrder, yield)
+		err = st.Descend(q.Tenant, maxPosition, yield)
 	default:
 		err = st.Descend(q.Tenant, end, yield)
 	}
@@ -92,10 +92,11 @@
 	return p, err
 }
 
-// lastOrder is above every place: no process has such a name.
-var lastOrder = Position{1<<63 - 1, "\xff", 1<<64 - 1, 1<<64 - 1}
+// maxPosition is above the position of every record: no process has such a name.
+var maxPosition = Position{1<<63 - 1, "\xff", 1<<64 - 1, 1<<64 - 1}
 
-func (q *Query) place() (Position, error) {
+// cursorPosition returns the position in the query's cursor.
+func (q *Query) cursorPosition() (Position, error) {
 	text, err := base64.RawURLEncoding.DecodeString(q.Cursor)
 	if err != nil {
 		return Position{}, ErrCursor
--- a/internal/dispatcher/fleet/records/plan_prune.go
+++ b/internal/dispatcher/fleet/records/plan_prune.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// PlanPrune computes the next prune at a time, in nanoseconds since 1970: what the rules no
-// longer keep, looking at most records at most, so that no prune blocks the store for long.
-// It changes nothing, and returns false if no prune is needed. While there is more than one
-// prune may remove, each plan begins with another tenant.
+// PlanPrune computes the next prune at a time, in nanoseconds since 1970: it removes what
+// the rules no longer keep, and reads at most limit records, so that no prune blocks the
+// store for long. PlanPrune changes nothing, and returns false if no prune is needed. While
+// there is more to remove than the limit allows, each plan begins with another tenant.
 func (s *State) PlanPrune(st Reader, now int64, limit int) (c Prune, needed bool, err error) {
 	c = Prune{At: now, RulesEdition: s.rulesEdition, MaxSwept: limit, NextTenant: s.nextTenant}
 	for i := range s.holds {
@@ -20,11 +20,11 @@
 		t := s.tenants[s.tenantNames[(from+n)%len(s.tenantNames)]]
 		rule := s.rule(t.Name)
 		for l, limits := range []Limits{Ordinary: rule.Keep, Failures: rule.Failed} {
-			m, seen, err := s.planWatermark(st, t, RetentionClass(l), limits, now, remaining)
+			m, scanned, err := s.planWatermark(st, t, RetentionClass(l), limits, now, remaining)
 			if err != nil {
 				return Prune{}, false, err
 			}
-			remaining -= seen
+			remaining -= scanned
 			if m.Compare(t.Classes[l].Watermark) > 0 {
 				c.Watermarks = append(c.Watermarks, Watermark{t.Name, RetentionClass(l), m})
 			}
@@ -47,12 +47,12 @@
 	return Rule{}
 }
 
-// planWatermark walks from the class's watermark over what must go, and returns the
-// watermark above that.
-func (s *State) planWatermark(st Reader, t *tenantState, of RetentionClass, limits Limits, now int64, limit int) (watermark Position, seen int, err error) {
+// planWatermark reads the records above the class's watermark that the limits no longer
+// keep, at most limit, and returns the watermark above them and the number of records read.
+func (s *State) planWatermark(st Reader, t *tenantState, of RetentionClass, limits Limits, now int64, limit int) (watermark Position, scanned int, err error) {
 	l := &t.Classes[of]
 	watermark = l.Watermark
-	var count, bytes int64 // beyond the bounds
+	var count, bytes int64 // beyond the limits
 	if limits.MaxCount > 0 {
 		count = l.All.Count - l.BelowWatermark.Count - limits.MaxCount
 	}
@@ -64,10 +64,10 @@
 	}
 	err = st.Ascend(t.Name, l.Watermark, func(r *Record, text []byte) bool {
 		tooOld := limits.MaxAge > 0 && r.Ended < now-limits.MaxAge
-		if seen == limit || !tooOld && count <= 0 && bytes <= 0 {
+		if scanned == limit || !tooOld && count <= 0 && bytes <= 0 {
 			return false
 		}
-		seen++
+		scanned++
 		watermark = r.Position().next()
 		if r.RetentionClass() == of {
 			count--
@@ -75,5 +75,5 @@
 		}
 		return true
 	})
-	return watermark, seen, err
+	return watermark, scanned, err
 }
--- a/internal/dispatcher/fleet/records/prune.go
+++ b/internal/dispatcher/fleet/records/prune.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Prune removes what is below its watermarks and not held, and continues with what ended
-// holds have kept. ErrStale says that the rules have changed since it was planned.
+// Prune removes the records below its watermarks that are not held, and continues to sweep
+// the records that ended holds kept. It returns ErrStale if the rules have changed since it
+// was planned.
 func (s *State) Prune(at time.Duration, st Store, c Prune) (done Pruned, err error) {
 	if c.RulesEdition != s.rulesEdition {
-		return done, fmt.Errorf("a cut: %w", ErrStale)
+		return done, fmt.Errorf("prune: %w", ErrStale)
 	}
 	for _, m := range c.Watermarks {
 		if m.Class >= RetentionClasses || s.tenants[m.Tenant] == nil {
-			return done, fmt.Errorf("a mark of tenant %.40q: %w", m.Tenant, ErrInvalid)
+			return done, fmt.Errorf("prune: watermark of tenant %.40q: %w", m.Tenant, ErrInvalid)
 		}
 	}
 	s.beginEdition(c.At)
@@ -24,7 +25,7 @@
 		t := s.tenants[m.Tenant]
 		l := &t.Classes[m.Class]
 		if m.Position.Compare(l.Watermark) <= 0 {
-			continue // a mark never goes back
+			continue // a watermark never moves back
 		}
 		var removed []Record
 		err := st.Ascend(t.Name, l.Watermark, func(r *Record, text []byte) bool {
@@ -57,11 +58,11 @@
 		if !t.Sweeping || remaining == 0 {
 			continue
 		}
-		seen, err := s.sweep(st, t, remaining)
+		scanned, err := s.sweep(st, t, remaining)
 		if err != nil {
 			return done, err
 		}
-		remaining -= seen
+		remaining -= scanned
 	}
 	return done, nil
 }
@@ -75,23 +76,23 @@
 	return nil
 }
 
-// sweepStep bounds the records that are collected at a time.
+// sweepStep is the greatest number of records that SetHold has sweep read at a time.
 const sweepStep = 4096
 
-// sweep looks at the tenant's next records below its watermarks, most at a time, and
-// removes what no hold covers any more.
-func (s *State) sweep(st Store, t *tenantState, limit int) (seen int, err error) {
+// sweep reads the tenant's next records below its watermarks, at most limit, and removes
+// those that no hold covers any more.
+func (s *State) sweep(st Store, t *tenantState, limit int) (scanned int, err error) {
 	var removed []Record
 	top, done := t.sweepEnd(), true
 	err = st.Ascend(t.Name, t.SweptThrough, func(r *Record, text []byte) bool {
 		if r.Position().Compare(top) >= 0 {
 			return false
 		}
-		if seen == limit {
+		if scanned == limit {
 			done = false
 			return false
 		}
-		seen++
+		scanned++
 		t.SweptThrough = r.Position().next()
 		if t.isPruned(r) && !s.isHeld(r) {
 			l := &t.Classes[r.RetentionClass()]
@@ -105,11 +106,11 @@
 		err = deleteAll(st, removed)
 	}
 	if err != nil {
-		return seen, errors.Join(ErrStore, err)
+		return scanned, errors.Join(ErrStore, err)
 	}
 	s.counts.Swept += int64(len(removed))
 	if done {
 		t.Sweeping, t.SweptThrough = false, Position{}
 	}
-	return seen, nil
+	return scanned, nil
 }
--- a/internal/dispatcher/fleet/records/record.go
+++ b/internal/dispatcher/fleet/records/record.go
@@ -1,6 +1,6 @@
 // Package records decides which records of finished jobs the fleet keeps. It holds the
 // small part of the replicated state: retention rules by tenant, holds, watermarks below
-// which a tenant's records are pruned, and how far each process's records were stored. The
+// which a tenant's records are pruned, and the progress of each process's shipping. The
 // records themselves are in a Store. The package does no I/O and reads no clock; the same
 // commands give the same bytes of state and the same records at every replica.
 package records
@@ -15,8 +15,8 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-// Record is what is kept of a job after its final answer. Times are nanoseconds since 1970
-// by the clock of the process that answered. It is stored by position: the order of the
+// Record describes a job after its final answer. Times are nanoseconds since 1970
+// by the clock of the process that answered. It is encoded as an array: the order of the
 // fields is part of the format.
 type Record struct {
 	_             struct{} `cbor:",toarray"`
@@ -28,9 +28,9 @@
 	Arrived       int64
 	Ended         int64
 	Attempts      int
-	Members       []string // where it was sent, in order
+	Members       []string // members that the job was sent to, in order
 	Body          []byte   // nil: none was kept
-	Process       string   // that answered; Epoch and Seq are the record's place in its spool
+	Process       string   // the process that answered; Epoch and Seq are the record's place in its spool
 	Epoch, Seq    uint64
 }
 
@@ -41,9 +41,9 @@
 	maxRecord  = 1 << 20 // bytes encoded
 )
 
-// Trim makes a record fit to be stored: strings are truncated, only the last members are
-// kept, and a body of more bytes than most is left out.
-func Trim(r Record, most int) Record {
+// Trim reduces a record to the size limits: strings are truncated, only the last members
+// are kept, and a body of more than maxBody bytes is left out.
+func Trim(r Record, maxBody int) Record {
 	for _, text := range []*string{&r.ID, &r.Key, &r.Tenant, &r.Class, &r.Plan, &r.Stage, &r.Outcome, &r.Reason} {
 		*text = trimText(*text)
 	}
@@ -55,7 +55,7 @@
 	for _, m := range members {
 		r.Members = append(r.Members, trimText(m))
 	}
-	if len(r.Body) > most || len(r.Body) == 0 {
+	if len(r.Body) > maxBody || len(r.Body) == 0 {
 		r.Body = nil
 	}
 	return r
@@ -70,7 +70,7 @@
 	return text
 }
 
-// RetentionClass distinguishes failures, which may be kept longer, from the rest. It is
+// RetentionClass separates failures, which may be kept longer, from other records. It is
 // stored as a number.
 type RetentionClass uint8
 
@@ -91,8 +91,8 @@
 	return Ordinary
 }
 
-// Position is a record's position among its tenant's, by the end of its job. No two records
-// have the same.
+// Position is a record's position among the records of its tenant, ordered by the end of
+// its job. No two records have the same position.
 type Position struct {
 	Ended      int64
 	Process    string
@@ -103,23 +103,24 @@
 func (r *Record) Position() Position { return Position{r.Ended, r.Process, r.Epoch, r.Seq} }
 
 // Compare orders positions.
-func (o Position) Compare(p Position) int {
-	return cmp.Or(cmp.Compare(o.Ended, p.Ended), strings.Compare(o.Process, p.Process), cmp.Compare(o.Epoch, p.Epoch), cmp.Compare(o.Seq, p.Seq))
+func (p Position) Compare(other Position) int {
+	return cmp.Or(cmp.Compare(p.Ended, other.Ended), strings.Compare(p.Process, other.Process), cmp.Compare(p.Epoch, other.Epoch), cmp.Compare(p.Seq, other.Seq))
 }
 
-// next returns the least position after this one. Sequence numbers do not reach the end.
-func (o Position) next() Position {
-	o.Seq++
-	return o
+// next returns the least position after this one. Sequence numbers never reach the maximum,
+// so that it doesn't overflow.
+func (p Position) next() Position {
+	p.Seq++
+	return p
 }
 
 // recordVersion precedes each encoded record.
 const recordVersion = 1
 
-// ErrVersion says that something was written by an unknown version of the program.
+// ErrVersion is returned for data written by an unknown version of the program.
 var ErrVersion = errors.New("of a version that this program does not know")
 
-// Encode encodes a record.
+// Encode encodes the record. It returns an error if that is too large.
 func (r *Record) Encode() ([]byte, error) {
 	text, err := codec.Encode(r)
 	if err != nil {
@@ -150,10 +151,11 @@
 	ByID(id string, yield func(r *Record, text []byte) bool) error
 }
 
-// Store holds the records. All changes of one command are kept, or none.
+// Store holds the records. The changes of one command are atomic.
 type Store interface {
 	Reader
 	// Put adds a record, with its encoded form.
 	Put(r *Record, text []byte) error
+	// Delete removes a record.
 	Delete(r *Record) error
 }
--- a/internal/dispatcher/fleet/records/records_test.go
+++ b/internal/dispatcher/fleet/records/records_test.go
@@ -11,20 +11,21 @@
 	"pgregory.net/rapid"
 )
 
-// shelf is a store in memory, in the order of tenant and place.
-type shelf []Record
+// store is a Store in memory, sorted by tenant and position.
+type store []Record
 
-func (s shelf) find(tenant string, o Position) int {
-	i, _ := slices.BinarySearchFunc(s, o, func(r Record, o Position) int {
+// find returns the index of a tenant's first record at or above a position.
+func (s store) find(tenant string, p Position) int {
+	i, _ := slices.BinarySearchFunc(s, p, func(r Record, p Position) int {
 		if c := strings.Compare(r.Tenant, tenant); c != 0 {
 			return c
 		}
-		return r.Position().Compare(o)
+		return r.Position().Compare(p)
 	})
 	return i
 }
 
-func (s shelf) each(yield func(*Record, []byte) bool, in []Record) error {
+func (s store) each(yield func(*Record, []byte) bool, in []Record) error {
 	for _, r := range in {
 		if text, _ := r.Encode(); !yield(&r, text) {
 			break
@@ -33,67 +34,68 @@
 	return nil
 }
 
-func (s shelf) Ascend(tenant string, from Position, yield func(*Record, []byte) bool) error {
-	return s.each(yield, s[s.find(tenant, from):s.find(tenant, lastOrder)])
+func (s store) Ascend(tenant string, from Position, yield func(*Record, []byte) bool) error {
+	return s.each(yield, s[s.find(tenant, from):s.find(tenant, maxPosition)])
 }
 
-func (s shelf) Descend(tenant string, before Position, yield func(*Record, []byte) bool) error {
+func (s store) Descend(tenant string, before Position, yield func(*Record, []byte) bool) error {
 	in := slices.Clone(s[s.find(tenant, Position{}):s.find(tenant, before)])
 	slices.Reverse(in)
 	return s.each(yield, in)
 }
 
-func (s shelf) ByID(id string, yield func(*Record, []byte) bool) error {
+func (s store) ByID(id string, yield func(*Record, []byte) bool) error {
 	return s.each(yield, slices.DeleteFunc(slices.Clone(s), func(r Record) bool { return r.ID != id }))
 }
 
-func (s *shelf) Put(r *Record, _ []byte) error {
+func (s *store) Put(r *Record, _ []byte) error {
 	*s = slices.Insert(*s, s.find(r.Tenant, r.Position()), *r)
 	return nil
 }
 
-func (s *shelf) Delete(r *Record) error {
+func (s *store) Delete(r *Record) error {
 	i := s.find(r.Tenant, r.Position())
 	if i == len(*s) || (*s)[i].Position() != r.Position() {
-		return fmt.Errorf("%v is not there", r.Position())
+		return fmt.Errorf("no record at %v", r.Position())
 	}
 	*s = slices.Delete(*s, i, i+1)
 	return nil
 }
 
-// replica is a state that has processed the log up to at.
+// replica is a state with its store.
 type replica struct {
 	*State
-	shelf shelf
-	at    int
+	store   store
+	applied int // number of log entries
 }
 
-func (r *replica) take(t require.TestingT, command any) (err error) {
-	r.at++
+// apply applies a command, and checks that a refused one changes nothing.
+func (r *replica) apply(t require.TestingT, command any) (err error) {
+	r.applied++
 	before, _ := r.Digest()
 	switch c := command.(type) {
 	case Ship:
-		_, err = r.Ship(0, &r.shelf, c)
+		_, err = r.Ship(0, &r.store, c)
 	case SetRules:
 		err = r.SetRules(0, c)
 	case SetHold:
-		err = r.SetHold(0, &r.shelf, c)
+		err = r.SetHold(0, &r.store, c)
 	case ReleaseHold:
 		err = r.ReleaseHold(0, c)
 	case Prune:
-		_, err = r.Prune(0, &r.shelf, c)
+		_, err = r.Prune(0, &r.store, c)
 	}
 	require.NotErrorIs(t, err, ErrStore)
 	if after, _ := r.Digest(); err != nil {
-		require.Equal(t, before, after, "refused, and changed something")
+		require.Equal(t, before, after, "a refused command changed the state")
 	}
 	return err
 }
 
-// pages reads all of a tenant through a replica's view.
+// pages reads all pages of a query through the replica's view.
 func (r *replica) pages(t require.TestingT, q Query) (all []Record) {
 	for {
-		p, err := r.View().Page(r.shelf, q)
+		p, err := r.View().Page(r.store, q)
 		require.NoError(t, err)
 		require.LessOrEqual(t, len(p.Records), q.Limit)
 		all = append(all, p.Records...)
@@ -103,29 +105,30 @@
 	}
 }
 
-// plain is the model: all that ever came, and what is left of it. It removes at
-// once what no hold keeps, and counts nothing.
-type plain struct {
-	through map[string]uint64
-	live    map[Position]Record // of all tenants: places differ in process, epoch or number
-	dead    map[Position]bool
-	marks   map[string]Position
-	holds   map[string]Hold
-	wall    int64
+// model is the reference model of the records. It removes at once what neither the rules nor
+// a hold keeps, and counts nothing.
+type model struct {
+	through    map[string]uint64
+	stored     map[Position]Record // of all tenants: positions differ in process, epoch or sequence number
+	removed    map[Position]bool
+	watermarks map[string]Position
+	holds      map[string]Hold
+	wallClock  int64
 }
 
-func laneOf(r Record) string { return fmt.Sprint(r.Tenant, r.RetentionClass()) }
+func classOf(r Record) string { return fmt.Sprint(r.Tenant, r.RetentionClass()) }
 
-func (m *plain) below(r Record) bool {
+// isPruned reports whether a record is below its watermark and not held.
+func (m *model) isPruned(r Record) bool {
 	for _, h := range m.holds {
 		if h.covers(&r) {
 			return false
 		}
 	}
-	return r.Position().Compare(m.marks[laneOf(r)]) < 0
+	return r.Position().Compare(m.watermarks[classOf(r)]) < 0
 }
 
-func (m *plain) take(command any) {
+func (m *model) apply(command any) {
 	switch c := command.(type) {
 	case Ship:
 		at := fmt.Sprint(c.Process, c.Epoch)
@@ -133,52 +136,52 @@
 			if seq := c.FirstSeq + uint64(i); seq > m.through[at] {
 				m.through[at] = seq
 				r.Process, r.Epoch, r.Seq = c.Process, c.Epoch, seq
-				m.live[r.Position()] = r
+				m.stored[r.Position()] = r
 			}
 		}
 	case SetHold:
-		m.wall = max(m.wall, c.At)
+		m.wallClock = max(m.wallClock, c.At)
 		m.expire()
-		m.bury() // what only a hold kept that has ended is gone, though one of its name is set now
+		m.prune() // what only an ended hold kept is removed, even if a hold of the same name is set now
 		m.holds[c.Hold.Name] = c.Hold
 	case ReleaseHold:
-		m.wall = max(m.wall, c.At)
+		m.wallClock = max(m.wallClock, c.At)
 		delete(m.holds, c.Name)
 		m.expire()
 	case SetRules:
-		m.wall = max(m.wall, c.At)
+		m.wallClock = max(m.wallClock, c.At)
 	case Prune:
-		m.wall = max(m.wall, c.At)
+		m.wallClock = max(m.wallClock, c.At)
 		m.expire()
 		for _, k := range c.Watermarks {
-			if at := fmt.Sprint(k.Tenant, k.Class); k.Position.Compare(m.marks[at]) > 0 {
-				m.marks[at] = k.Position
+			if at := fmt.Sprint(k.Tenant, k.Class); k.Position.Compare(m.watermarks[at]) > 0 {
+				m.watermarks[at] = k.Position
 			}
 		}
 	}
-	m.bury()
+	m.prune()
 }
 
-// bury takes out what is below a mark and not held.
-func (m *plain) bury() {
-	for o, r := range m.live {
-		if m.below(r) {
-			delete(m.live, o)
-			m.dead[o] = true
+// prune removes the records below a watermark that are not held.
+func (m *model) prune() {
+	for p, r := range m.stored {
+		if m.isPruned(r) {
+			delete(m.stored, p)
+			m.removed[p] = true
 		}
 	}
 }
 
-func (m *plain) expire() {
+func (m *model) expire() {
 	for name, h := range m.holds {
-		if h.Until != 0 && h.Until <= m.wall {
+		if h.Until != 0 && h.Until <= m.wallClock {
 			delete(m.holds, name)
 		}
 	}
 }
 
-func (m *plain) of(tenant string) (all []Record) {
-	for _, r := range m.live {
+func (m *model) of(tenant string) (all []Record) {
+	for _, r := range m.stored {
 		if r.Tenant == tenant {
 			all = append(all, r)
 		}
@@ -189,44 +192,44 @@
 
 var names = []string{"hrad", "kamenec", "lodenice"}
 
-// TestReplicas: three replicas take the same log; one lags or is restored from an
-// old snapshot, knowing what its process knew. Whatever the order of ships, rules,
-// holds and cuts, they hold what the plain model holds, digests are equal, and
-// nothing that is dead is ever served.
-func TestReplicas(t *testing.T) { rapid.Check(t, replicas) }
+// TestReplicas applies the same log to three replicas, of which one lags behind or is restored
+// from an old snapshot with the fence of its process. For any order of ships, rules, holds and
+// prunes, the replicas store the same records as the model, their digests are equal, and no
+// removed record is ever served.
+func TestReplicas(t *testing.T) { rapid.Check(t, checkReplicas) }
 
-func replicas(t *rapid.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
+func checkReplicas(t *rapid.T) { //nolint:funlen,gocognit // one scenario, to be read from top to bottom
 	var log []any
-	model := &plain{through: map[string]uint64{}, live: map[Position]Record{}, dead: map[Position]bool{}, marks: map[string]Position{}, holds: map[string]Hold{}}
+	expected := &model{through: map[string]uint64{}, stored: map[Position]Record{}, removed: map[Position]bool{}, watermarks: map[string]Position{}, holds: map[string]Hold{}}
 	all := []*replica{{State: New()}, {State: New()}, {State: New()}}
-	lead, away := all[0], all[2]
+	leader, lagging := all[0], all[2]
 	type snapshot struct {
-		state []byte
-		shelf shelf
-		at    int
+		state   []byte
+		store   store
+		applied int
 	}
 	snapshots := []snapshot{{nil, nil, 0}}
 	var planned []Prune
 	epochs := map[string]uint64{"n1": 1, "n2": 1}
 	var clock int64 = 1000
-	// A reader that goes on from page to page through all of it.
+	// A reader that reads one page after the other.
 	var query Query
 	var read []Record
-	var there map[Position]Record
+	var atStart map[Position]Record // stored when the reader began; nil: it begins next
 
 	do := func(command any) error {
 		log = append(log, command)
-		err := lead.take(t, command)
-		require.Equal(t, err, all[1].take(t, command), "replicas answer alike")
+		err := leader.apply(t, command)
+		require.Equal(t, err, all[1].apply(t, command), "replicas return different errors")
 		if err == nil {
-			model.take(command)
+			expected.apply(command)
 		}
-		away.LearnFence(lead.Fence())
+		lagging.LearnFence(leader.Fence())
 		return err
 	}
 	tenant := func() string { return rapid.SampledFrom(names).Draw(t, "tenant") }
-	plan := func(most int) (Prune, bool) {
-		c, needed, err := lead.PlanPrune(lead.shelf, clock, most)
+	plan := func(maxRead int) (Prune, bool) {
+		c, needed, err := leader.PlanPrune(leader.store, clock, maxRead)
 		require.NoError(t, err)
 		return c, needed
 	}
@@ -235,7 +238,7 @@
 		clock += rapid.Int64Range(0, 60).Draw(t, "time")
 		for range rapid.IntRange(1, 3).Draw(t, "ships") {
 			name := rapid.SampledFrom([]string{"n1", "n2"}).Draw(t, "process")
-			first := model.through[fmt.Sprint(name, epochs[name])] + 1
+			first := expected.through[fmt.Sprint(name, epochs[name])] + 1
 			back := rapid.Uint64Range(0, first-1).Draw(t, "sent again") % 4
 			c := Ship{Process: name, Epoch: epochs[name], FirstSeq: first - back}
 			for range rapid.IntRange(int(back), int(back)+6).Draw(t, "records") {
@@ -262,17 +265,17 @@
 		}
 		_ = do(SetHold{At: clock, Hold: h})
 	}
-	lift := func(t *rapid.T) {
+	release := func(t *rapid.T) {
 		_ = do(ReleaseHold{At: clock, Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "hold")})
 	}
-	cut := func(t *rapid.T) {
+	prune := func(t *rapid.T) {
 		if c, needed := plan(rapid.IntRange(1, 30).Draw(t, "most")); needed {
 			require.NoError(t, do(c))
 			planned = append(planned, c)
 		}
 	}
 	t.Repeat(map[string]func(*rapid.T){
-		"ship": ship, "ship more": ship, "cut": cut, "cut more": cut, "cut yet more": cut,
+		"ship": ship, "ship more": ship, "cut": prune, "cut more": prune, "cut yet more": prune,
 		"restart": func(t *rapid.T) { epochs[rapid.SampledFrom([]string{"n1", "n2"}).Draw(t, "process")]++ },
 		"pass":    func(t *rapid.T) { clock += rapid.Int64Range(1, 200).Draw(t, "time") },
 		"rules": func(t *rapid.T) {
@@ -281,47 +284,47 @@
 			}
 			require.NoError(t, do(SetRules{At: clock, Rules: []Rule{{Tenant: tenant(), Keep: limit(), Failed: limit()}, {Tenant: DefaultRuleTenant, Keep: limit()}}}))
 		},
-		"hold": hold, "hold more": hold, "lift": lift, "lift more": lift,
+		"hold": hold, "hold more": hold, "lift": release, "lift more": release,
 		"plan": func(t *rapid.T) {
 			if c, needed := plan(rapid.IntRange(1, 12).Draw(t, "most")); needed {
 				planned = append(planned, c)
 			}
 		},
-		"old cut": func(t *rapid.T) { // which may have been planned long ago, or have been done already
+		"old cut": func(t *rapid.T) { // it may have been planned long ago, or applied already
 			if len(planned) > 0 {
 				c := rapid.SampledFrom(planned).Draw(t, "cut")
-				if err := do(c); c.RulesEdition != lead.rulesEdition {
+				if err := do(c); c.RulesEdition != leader.rulesEdition {
 					require.ErrorIs(t, err, ErrStale)
 				}
 			}
 		},
 		"snapshot": func(t *rapid.T) {
-			text, err := lead.Encode()
+			text, err := leader.Encode()
 			require.NoError(t, err)
-			snapshots = append(snapshots, snapshot{text, slices.Clone(lead.shelf), lead.at})
+			snapshots = append(snapshots, snapshot{text, slices.Clone(leader.store), leader.applied})
 		},
 		"restore": func(t *rapid.T) {
 			s := rapid.SampledFrom(snapshots).Draw(t, "snapshot")
-			fresh := &replica{State: New(), shelf: slices.Clone(s.shelf), at: s.at}
+			fresh := &replica{State: New(), store: slices.Clone(s.store), applied: s.applied}
 			if s.state != nil {
 				require.NoError(t, fresh.Decode(s.state))
 			}
-			fresh.LearnFence(lead.Fence())
-			all[2], away = fresh, fresh
+			fresh.LearnFence(leader.Fence())
+			all[2], lagging = fresh, fresh
 		},
 		"catch up": func(t *rapid.T) {
-			for to := rapid.IntRange(away.at, len(log)).Draw(t, "to"); away.at < to; {
-				_ = away.take(t, log[away.at])
+			for to := rapid.IntRange(lagging.applied, len(log)).Draw(t, "to"); lagging.applied < to; {
+				_ = lagging.apply(t, log[lagging.applied])
 			}
 		},
 		"read on": func(t *rapid.T) {
-			if there == nil {
-				query, read, there = Query{Tenant: tenant(), Limit: rapid.IntRange(1, 4).Draw(t, "most"), Descending: rapid.Bool().Draw(t, "last")}, nil, map[Position]Record{}
-				for _, r := range model.of(query.Tenant) {
-					there[r.Position()] = r
+			if atStart == nil {
+				query, read, atStart = Query{Tenant: tenant(), Limit: rapid.IntRange(1, 4).Draw(t, "most"), Descending: rapid.Bool().Draw(t, "last")}, nil, map[Position]Record{}
+				for _, r := range expected.of(query.Tenant) {
+					atStart[r.Position()] = r
 				}
 			}
-			p, err := all[rapid.IntRange(0, 1).Draw(t, "replica")].View().Page(all[1].shelf, query)
+			p, err := all[rapid.IntRange(0, 1).Draw(t, "replica")].View().Page(all[1].store, query)
 			require.NoError(t, err)
 			read = append(read, p.Records...)
 			if query.Cursor = p.Next; p.Next != "" {
@@ -332,12 +335,12 @@
 				require.False(t, seen[r.Position()], "read twice")
 				seen[r.Position()] = true
 			}
-			for o := range there {
-				if _, still := model.live[o]; still {
-					require.True(t, seen[o], "left out")
+			for position := range atStart {
+				if _, still := expected.stored[position]; still {
+					require.True(t, seen[position], "left out")
 				}
 			}
-			there = nil
+			atStart = nil
 		},
 		"": func(t *rapid.T) {
 			for _, r := range all {
@@ -347,24 +350,24 @@
 					slices.Reverse(back)
 					require.Equal(t, served, back)
 					for _, x := range served {
-						require.False(t, model.dead[x.Position()], "a dead record is served: %s %v", x.ID, x.Position())
+						require.False(t, expected.removed[x.Position()], "a removed record is served: %s %v", x.ID, x.Position())
 					}
-					if r.at == len(log) {
-						require.Equal(t, model.of(name), served)
+					if r.applied == len(log) {
+						require.Equal(t, expected.of(name), served)
 					}
 				}
 				for _, id := range []string{"n1-3", "n2-5"} {
-					found, err := r.View().ByID(r.shelf, id, 100)
+					found, err := r.View().ByID(r.store, id, 100)
 					require.NoError(t, err)
 					for _, x := range found {
-						require.False(t, model.dead[x.Position()], "a dead record is served by id")
+						require.False(t, expected.removed[x.Position()], "a removed record is served by id")
 					}
 				}
-				wrong, err := r.Audit(r.shelf)
+				wrong, err := r.Audit(r.store)
 				require.NoError(t, err)
 				require.Empty(t, wrong)
-				if r.at == len(log) {
-					a, err := lead.Encode()
+				if r.applied == len(log) {
+					a, err := leader.Encode()
 					require.NoError(t, err)
 					b, err := r.Encode()
 					require.NoError(t, err)
@@ -373,7 +376,7 @@
 			}
 		},
 	})
-	// At the end all that was asked for is done, in steps.
+	// At the end, small prunes remove all that the rules and ended holds no longer keep.
 	for range 1000 {
 		c, needed := plan(3)
 		if !needed {
@@ -381,19 +384,19 @@
 		}
 		require.NoError(t, do(c))
 	}
-	for _, name := range lead.Tenants() {
-		rule := lead.rule(name)
-		live, below := lead.Usage(name)
+	for _, name := range leader.Tenants() {
+		rule := leader.rule(name)
+		stored, below := leader.Usage(name)
 		for l, limits := range []Limits{rule.Keep, rule.Failed} {
-			require.True(t, limits.MaxCount == 0 || live[l].Count-below[l].Count <= limits.MaxCount)
-			require.True(t, limits.MaxBytes == 0 || live[l].Bytes-below[l].Bytes <= limits.MaxBytes)
+			require.True(t, limits.MaxCount == 0 || stored[l].Count-below[l].Count <= limits.MaxCount)
+			require.True(t, limits.MaxBytes == 0 || stored[l].Bytes-below[l].Bytes <= limits.MaxBytes)
 		}
-		require.Len(t, lead.shelf[lead.shelf.find(name, Position{}):lead.shelf.find(name, lastOrder)], len(model.of(name)), "ended holds are swept")
+		require.Len(t, leader.store[leader.store.find(name, Position{}):leader.store.find(name, maxPosition)], len(expected.of(name)), "records of ended holds must be swept")
 	}
 }
 
-// TestOneOrder: a rule that is changed, a hold set and a prune under way, in every
-// order: the held record survives all three, and replicas agree on the rest.
+// TestOneOrder checks a change of rules, a hold and a prune that was planned before, in
+// different orders: a held record survives, and the order determines which others remain.
 func TestOneOrder(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	fresh := func() *replica {
 		r := &replica{State: New()}
@@ -401,8 +404,8 @@
 		for i := range 6 {
 			all = append(all, Record{ID: fmt.Sprint("j", i), Tenant: "hrad", Ended: int64(100 + i)})
 		}
-		require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 2}}}}))
-		require.NoError(t, r.take(t, Ship{Process: "n1", Epoch: 1, FirstSeq: 1, Records: all}))
+		require.NoError(t, r.apply(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 2}}}}))
+		require.NoError(t, r.apply(t, Ship{Process: "n1", Epoch: 1, FirstSeq: 1, Records: all}))
 		return r
 	}
 	ids := func(r *replica) string {
@@ -418,49 +421,49 @@
 		"hold cut lift": "j4 j5", "hold cut lift hold": "j4 j5", "hold cut lift hold cut cut": "j4 j5", "hold lift cut": "j4 j5",
 	} {
 		r := fresh()
-		stale, _, err := r.PlanPrune(r.shelf, 200, 100) // under way while the others come
+		stale, _, err := r.PlanPrune(r.store, 200, 100) // planned before the other commands
 		require.NoError(t, err)
 		planned := strings.HasPrefix(order, "rule cut") || strings.HasPrefix(order, "rule hold") || strings.Contains(order, "plan")
 		for _, c := range strings.Fields(order) {
 			switch c {
 			case "rule":
-				require.NoError(t, r.take(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 3}}}}))
+				require.NoError(t, r.apply(t, SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 3}}}}))
 			case "hold":
-				require.NoError(t, r.take(t, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", ID: "j0", Owner: "o", Reason: "r"}}))
+				require.NoError(t, r.apply(t, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", ID: "j0", Owner: "o", Reason: "r"}}))
 			case "lift":
-				require.NoError(t, r.take(t, ReleaseHold{Name: "h"}))
+				require.NoError(t, r.apply(t, ReleaseHold{Name: "h"}))
 			case "cut":
 				if planned || strings.Contains(order, "cut cut") {
-					stale, _, err = r.PlanPrune(r.shelf, 200, 100)
+					stale, _, err = r.PlanPrune(r.store, 200, 100)
 					require.NoError(t, err)
 				}
-				err = r.take(t, stale)
+				err = r.apply(t, stale)
 				require.True(t, err == nil || stale.RulesEdition != r.rulesEdition, "%s: %v", order, err)
 			}
 		}
 		require.Equal(t, want, ids(r), order)
-		wrong, err := r.Audit(r.shelf)
+		wrong, err := r.Audit(r.store)
 		require.NoError(t, err)
 		require.Empty(t, wrong)
 	}
-	// What is held takes no room from the rest: three new ones, and only those make room.
+	// Held records don't count against the limits.
 	r := fresh()
-	require.NoError(t, r.take(t, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", To: 104, Owner: "o", Reason: "r"}}))
+	require.NoError(t, r.apply(t, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", To: 104, Owner: "o", Reason: "r"}}))
 	for range 2 {
-		c, _, err := r.PlanPrune(r.shelf, 200, 100)
+		c, _, err := r.PlanPrune(r.store, 200, 100)
 		require.NoError(t, err)
-		require.NoError(t, r.take(t, c))
+		require.NoError(t, r.apply(t, c))
 	}
 	require.Equal(t, "j0 j1 j2 j3 j4 j5", ids(r))
 }
 
-// TestRefusals: what a command is refused for.
+// TestRefusals checks for which errors commands are refused.
 func TestRefusals(t *testing.T) {
 	r := &replica{State: New()}
 	good := Hold{Name: "h", Tenant: "hrad", Owner: "o", Reason: "r"}
-	require.NoError(t, r.take(t, SetHold{At: 10, Hold: good}))
-	require.NoError(t, r.take(t, SetHold{At: 10, Hold: good}), "set again")
-	require.NoError(t, r.take(t, Ship{Process: "n1", Incarnation: 2, Epoch: 7, FirstSeq: 1, Records: []Record{{ID: "a", Tenant: "hrad"}}}))
+	require.NoError(t, r.apply(t, SetHold{At: 10, Hold: good}))
+	require.NoError(t, r.apply(t, SetHold{At: 10, Hold: good}), "set again")
+	require.NoError(t, r.apply(t, Ship{Process: "n1", Incarnation: 2, Epoch: 7, FirstSeq: 1, Records: []Record{{ID: "a", Tenant: "hrad"}}}))
 	with := func(change func(*Hold)) SetHold {
 		h := good
 		change(&h)
@@ -487,33 +490,33 @@
 		{Ship{Process: "n1", Incarnation: 2, Epoch: 8}, ErrInvalid},
 		{Ship{Process: "n1", Incarnation: 2, Epoch: 8, FirstSeq: 1<<64 - 1, Records: make([]Record, 2)}, ErrInvalid},
 	} {
-		require.ErrorIs(t, r.take(t, c.command), c.err, "%+v", c.command)
+		require.ErrorIs(t, r.apply(t, c.command), c.err, "%+v", c.command)
 	}
-	done, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 3, Epoch: 7, FirstSeq: 4, GapLost: true, Records: []Record{{ID: "\xff", Body: make([]byte, maxRecord)}, {ID: "\xff", Body: []byte{}}}})
+	done, err := r.Ship(0, &r.store, Ship{Process: "n1", Incarnation: 3, Epoch: 7, FirstSeq: 4, GapLost: true, Records: []Record{{ID: "\xff", Body: make([]byte, maxRecord)}, {ID: "\xff", Body: []byte{}}}})
 	require.NoError(t, err)
 	require.Equal(t, Shipped{Through: 5, Stored: 1, Missing: 2, TooLarge: 1}, done)
-	for epoch := range uint64(40) { // of a process that starts again and again, the last are remembered
-		_, err := r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 4, Epoch: 100 + epoch, FirstSeq: 1, Records: []Record{{ID: "b"}}})
+	for epoch := range uint64(40) { // of a process that starts many times, only the last epochs are remembered
+		_, err := r.Ship(0, &r.store, Ship{Process: "n1", Incarnation: 4, Epoch: 100 + epoch, FirstSeq: 1, Records: []Record{{ID: "b"}}})
 		require.NoError(t, err)
 	}
-	done, err = r.Ship(0, &r.shelf, Ship{Process: "n1", Incarnation: 4, Epoch: 7, FirstSeq: 6, Records: []Record{{ID: "c"}}})
+	done, err = r.Ship(0, &r.store, Ship{Process: "n1", Incarnation: 4, Epoch: 7, FirstSeq: 6, Records: []Record{{ID: "c"}}})
 	require.NoError(t, err)
 	require.Equal(t, Shipped{Through: 6, Duplicates: 1}, done)
-	_, err = r.View().Page(r.shelf, Query{Tenant: "hrad", Cursor: "AAAA"})
+	_, err = r.View().Page(r.store, Query{Tenant: "hrad", Cursor: "AAAA"})
 	require.ErrorIs(t, err, ErrCursor)
 	x := Trim(Record{Key: strings.Repeat("k", 2000), Members: make([]string, 20), Body: []byte("four")}, 3)
 	require.Equal(t, Record{Key: strings.Repeat("k", maxText), Members: make([]string, maxMembers)}, x)
 }
 
-// FuzzDecode: whatever bytes are given as a state are refused, or are just those
-// that the state is written as; and a refusal changes nothing.
+// FuzzDecode checks that Decode either refuses the bytes and changes nothing, or accepts
+// exactly the bytes that Encode returns for the decoded state.
 func FuzzDecode(f *testing.F) {
 	r := &replica{State: New()}
 	for _, c := range []any{
 		SetRules{Rules: []Rule{{Tenant: DefaultRuleTenant, Keep: Limits{MaxCount: 2}}}}, SetHold{Hold: Hold{Name: "h", Tenant: "hrad", Owner: "o", Reason: "r"}},
 		Ship{Process: "n1", Epoch: 1, FirstSeq: 1, Records: []Record{{ID: "a", Tenant: "hrad"}, {ID: "b", Outcome: "failed"}}},
 	} {
-		require.NoError(f, r.take(f, c))
+		require.NoError(f, r.apply(f, c))
 	}
 	text, err := r.Encode()
 	require.NoError(f, err)
--- a/internal/dispatcher/fleet/records/ship.go
+++ b/internal/dispatcher/fleet/records/ship.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Ship stores records, each once. What is below its tenant's watermark is stored only if a
-// hold covers it. ErrGap and ErrIncarnation change nothing; with ErrGap the reply's Through
-// is valid all the same.
+// Ship stores records, each once. A record below its tenant's watermark is stored only if a
+// hold covers it. After ErrGap or ErrIncarnation nothing has changed; the reply's Through is
+// valid with ErrGap too.
 func (s *State) Ship(_ time.Duration, st Store, c Ship) (done Shipped, err error) {
 	if err := c.check(); err != nil {
 		return done, err
@@ -27,7 +27,7 @@
 	i, known := slices.BinarySearchFunc(p.Epochs, c.Epoch, func(e epochProgress, of uint64) int { return cmp.Compare(e.Epoch, of) })
 	switch {
 	case !known && len(p.Epochs) >= maxEpochs && i == 0, !known && c.Epoch <= p.Forgotten && p.Forgotten > 0:
-		// So many epochs after it were processed that it is over.
+		// Too many later epochs were processed for this one still to be active.
 		p.Incarnation = c.Incarnation
 		s.counts.Again += int64(len(c.Records))
 		return Shipped{Through: last, Duplicates: len(c.Records)}, nil
@@ -35,7 +35,7 @@
 		done.Through = p.Epochs[i].Through
 	}
 	if c.FirstSeq > done.Through+1 && !c.GapLost {
-		return done, fmt.Errorf("process %s, epoch %d: records from %d on, and taken in up to %d: %w", c.Process, c.Epoch, c.FirstSeq, done.Through, ErrGap)
+		return done, fmt.Errorf("process %s, epoch %d: records from sequence number %d on, stored up to %d: %w", c.Process, c.Epoch, c.FirstSeq, done.Through, ErrGap)
 	}
 	for n := range c.Records {
 		seq := c.FirstSeq + uint64(n)
@@ -83,7 +83,7 @@
 	text, err := r.Encode()
 	if err != nil {
 		done.TooLarge++
-		return nil // it is counted, and the others are stored
+		return nil // the record is only counted; the other records are stored
 	}
 	t := s.tenant(r.Tenant)
 	below := t.isPruned(r)
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// advanceEpoch records how far an epoch was processed, and forgets the oldest epoch if
-// there are too many.
+// advanceEpoch sets the progress of an epoch, and forgets the oldest epoch if there are
+// more than maxEpochs.
 func (p *processState) advanceEpoch(number, through, missing uint64) {
 	i, known := slices.BinarySearchFunc(p.Epochs, number, func(e epochProgress, of uint64) int { return cmp.Compare(e.Epoch, of) })
 	if !known {
--- a/internal/dispatcher/fleet/records/state.go
+++ b/internal/dispatcher/fleet/records/state.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Usage is the amount of some records. Sum adds up a hash of each, so that the same records
-// have the same sum in whatever order they came and went.
+// Usage is the amount of some records. Sum is the sum of a hash of each, so that the same
+// records have the same Sum whatever the order in which records were added and removed.
 type Usage struct {
 	Count, Bytes int64
 	Sum          uint64
@@ -30,7 +30,7 @@
 
 // classState is the state of one retention class of a tenant.
 type classState struct {
-	Watermark      Position `cbor:"Mark"` // what is below it is pruned, unless held; it never goes back
+	Watermark      Position `cbor:"Mark"` // records below it are pruned, unless held; it never moves back
 	All            Usage
 	BelowWatermark Usage `cbor:"Below"` // of All
 }
@@ -39,15 +39,15 @@
 type tenantState struct {
 	Name         string
 	Classes      [RetentionClasses]classState `cbor:"Lanes"`
-	Sweeping     bool                         // a hold has ended: what it alone kept must be removed
-	SweptThrough Position                     `cbor:"Swept"` // that is done below this position
+	Sweeping     bool                         // a hold has ended: the records that only it kept must be removed
+	SweptThrough Position                     `cbor:"Swept"` // position below which that is done
 }
 
 func (t *tenantState) isPruned(r *Record) bool {
 	return r.Position().Compare(t.Classes[r.RetentionClass()].Watermark) < 0
 }
 
-// sweepEnd returns the position above all that may have to be swept.
+// sweepEnd returns the position below which records may have to be swept.
 func (t *tenantState) sweepEnd() Position {
 	top := t.Classes[Ordinary].Watermark
 	if m := t.Classes[Failures].Watermark; m.Compare(top) > 0 {
@@ -56,14 +56,15 @@
 	return top
 }
 
-// epochProgress tells how far the records of one epoch of a process were processed.
+// epochProgress is the progress of one epoch of a process: all records up to sequence number
+// Through were processed, except Missing ones that were lost.
 type epochProgress struct{ Epoch, Through, Missing uint64 }
 
-// processState is what is known of one process's records.
+// processState is the progress of one process's shipping.
 type processState struct {
 	Name        string
 	Incarnation uint64
-	Forgotten   uint64          // epochs up to this one are no longer remembered
+	Forgotten   uint64          // the progress of epochs up to this one is no longer stored
 	Epochs      []epochProgress // sorted
 }
 
@@ -71,27 +72,29 @@
 // they send, and the state must not grow with them.
 const maxTenants = 4096
 
-// State is the small part of the records' replicated state. It is not safe for concurrent
-// use, except for the View it returns. Each command that needs records is given the store,
-// within one transaction of it; after an error that wraps ErrStore, or a transaction that
-// could not be committed, the state must be restored from another replica.
+// State is the small part of the replicated state: all except the records. It is not safe
+// for concurrent use, except for the View it returns. Each command that needs records gets
+// the store, within one transaction. After an error that wraps ErrStore, or a transaction
+// that could not be committed, the state must be restored from another replica.
 type State struct {
 	wallClock    int64         // the latest time of a command
 	prunedAt     time.Duration // fleet time of the last prune
 	edition      uint64        // number of commands other than Ship so far
 	rulesEdition uint64        // edition of the rules
-	nextTenant   string
-	rules        []Rule // sorted by tenant
-	holds        []Hold // sorted by name
+	nextTenant   string        // with which the next plan of a prune begins
+	rules        []Rule        // sorted by tenant
+	holds        []Hold        // sorted by name
 	tenants      map[string]*tenantState
 	tenantNames  []string // sorted
 	processes    map[string]*processState
 	counts       Counts
 	fence        Fence // not replicated
-	view         *View // nil: to be made
+	view         *View // nil: the state has changed since the last View
 }
 
-// Counts are statistics since the fleet was bootstrapped.
+// Counts are numbers of records since the fleet was bootstrapped: stored (Taken), processed
+// before (Again), below the watermark on arrival (Below), too large, pruned (Cut), removed
+// after the end of a hold (Swept), and lost before they were shipped (Missing).
 type Counts struct {
 	Taken, Again, Below, TooLarge, Cut, Swept int64
 	Missing                                   uint64
@@ -131,8 +134,8 @@
 	s.view = nil
 }
 
-// SetRules replaces all rules. Nothing is removed before the next Prune, and a Prune that
-// was planned before is refused.
+// SetRules replaces all rules. No record is removed before the next Prune, and a Prune that
+// was planned from the old rules is refused.
 func (s *State) SetRules(_ time.Duration, c SetRules) error {
 	rules, err := checkRules(c.Rules)
 	if err != nil {
--- a/internal/dispatcher/fleet/records/stored_state.go
+++ b/internal/dispatcher/fleet/records/stored_state.go
@@ -12,9 +12,10 @@
 	"basaltloft/internal/dispatcher/fleet/codec"
 )
 
-const stateVersion = 1 // stands before the encoded state
+// stateVersion precedes the encoded state.
+const stateVersion = 1
 
-// storedState is the encoded State, by the field names in its tags.
+// storedState is the encoded form of State, by the field names in its tags.
 type storedState struct {
 	WallClock    int64         `cbor:"Wall"`
 	PrunedAt     time.Duration `cbor:"CutAt"`
@@ -28,13 +29,13 @@
 	Counts       Counts
 }
 
-// Encode encodes the small part of the state. The same commands give the same bytes.
+// Encode encodes the state without the records. The same commands give the same bytes.
 func (s *State) Encode() ([]byte, error) {
 	v := storedState{
 		WallClock: s.wallClock, PrunedAt: s.prunedAt, Edition: s.edition, RulesEdition: s.rulesEdition, NextTenant: s.nextTenant, Rules: s.rules, Holds: s.holds,
 		Tenants: make([]tenantState, 0, len(s.tenantNames)), Processes: make([]processState, 0, len(s.processes)), Counts: s.counts,
 	}
-	if len(v.Rules) == 0 { // nil and empty have two forms
+	if len(v.Rules) == 0 { // nil and an empty slice are encoded differently
 		v.Rules = []Rule{}
 	}
 	if len(v.Holds) == 0 {
@@ -50,8 +51,8 @@
 	return append([]byte{stateVersion}, text...), err
 }
 
-// Decode replaces the state by an encoded one. On an error nothing has changed. What the
-// process learned by LearnFence stays.
+// Decode replaces the state by an encoded one, except for the fence set by LearnFence. On an
+// error nothing has changed.
 func (s *State) Decode(text []byte) error {
 	var v storedState
 	if len(text) == 0 || text[0] != stateVersion {
@@ -89,12 +90,12 @@
 		}
 		n.processes[p.Name] = p
 	}
-	again, err := n.Encode()
+	encoded, err := n.Encode()
 	if err != nil {
 		return err
 	}
-	if !strictlyAscending(n.tenantNames, strings.Compare) || !strictlyAscending(n.holds, func(a, b Hold) int { return strings.Compare(a.Name, b.Name) }) || !bytes.Equal(again, text) {
-		return fmt.Errorf("the state of records: not in the form it is written in: %w", ErrInvalid)
+	if !strictlyAscending(n.tenantNames, strings.Compare) || !strictlyAscending(n.holds, func(a, b Hold) int { return strings.Compare(a.Name, b.Name) }) || !bytes.Equal(encoded, text) {
+		return fmt.Errorf("the state of records: not in canonical form: %w", ErrInvalid)
 	}
 	n.fence = s.fence
 	*s = *n
@@ -110,15 +111,15 @@
 	return true
 }
 
-// Digest returns the digest of the small part of the state and, by the sums of each tenant,
-// of all records.
+// Digest returns the digest of the encoded state, which includes the sums of each tenant's
+// records and so covers all records.
 func (s *State) Digest() (uint64, error) {
 	text, err := s.Encode()
 	return codec.Digest(text), err
 }
 
-// Usage returns the amount of a tenant's records by retention class: all that are stored,
-// and of these those below the watermark.
+// Usage returns the amount of a tenant's stored records by retention class: all of them, and
+// those below the watermark.
 func (s *State) Usage(name string) (all, below [RetentionClasses]Usage) {
 	if t := s.tenants[name]; t != nil {
 		for l := range RetentionClasses {
--- a/internal/dispatcher/fleet/records/view.go
+++ b/internal/dispatcher/fleet/records/view.go
@@ -4,16 +4,16 @@
 	"slices"
 )
 
-// Fence is what a process knows of how far records were pruned, whatever state it is given
-// later: it is stored apart from that. A replica whose state is older serves nothing below
-// the fence's watermarks.
+// Fence is the newest pruning progress that a process has learned. It is stored apart from
+// the state, so that it outlasts the restore of an older state. A replica whose state is
+// older serves no record below the fence's watermarks.
 type Fence struct {
 	Edition    uint64      // number of commands other than Ship
-	Watermarks []Watermark `cbor:"Marks"` // all that there are, sorted
+	Watermarks []Watermark `cbor:"Marks"` // all except those at zero, sorted
 }
 
-// View is an immutable snapshot of what decides which records are served. A read of records
-// that were stored at the same time or later never serves one that was pruned. It is safe
+// View is an immutable snapshot of what determines which records are served. Reading the
+// store's state at the time of the View or later never serves a pruned record. It is safe
 // for concurrent use.
 type View struct {
 	edition    uint64
@@ -23,7 +23,7 @@
 	missing    uint64
 }
 
-// Fence returns the state's own fence.
+// Fence returns the fence with the watermarks of this state.
 func (s *State) Fence() Fence {
 	f := Fence{Edition: s.edition}
 	for _, name := range s.tenantNames {
@@ -36,15 +36,15 @@
 	return f
 }
 
-// LearnFence takes in a fence, from this process's directory or from a peer. It is not part
-// of the replicated state; the newest counts.
+// LearnFence sets the fence, from this process's directory or from a peer, if it is newer
+// than the last one. It is not part of the replicated state.
 func (s *State) LearnFence(f Fence) {
 	if f.Edition > s.fence.Edition {
 		s.fence, s.view = f, nil
 	}
 }
 
-// View returns the present view.
+// View returns the view of the present state.
 func (s *State) View() *View {
 	if s.view != nil {
 		return s.view
@@ -57,32 +57,33 @@
 	return v
 }
 
-func watermarksByTenant(marks []Watermark) map[string][RetentionClasses]Position {
+func watermarksByTenant(watermarks []Watermark) map[string][RetentionClasses]Position {
 	m := make(map[string][RetentionClasses]Position)
-	for _, k := range marks {
+	for _, k := range watermarks {
 		if k.Class < RetentionClasses {
-			lanes := m[k.Tenant]
-			lanes[k.Class] = k.Position
-			m[k.Tenant] = lanes
+			positions := m[k.Tenant]
+			positions[k.Class] = k.Position
+			m[k.Tenant] = positions
 		}
 	}
 	return m
 }
 
-// Edition returns how many commands other than Ship the view has seen, and how many more
-// this process knows of. A reader that has seen an answer of a later edition must ask
-// another replica.
+// Edition returns the number of commands other than Ship that the view includes, and the
+// number of further ones that this process knows of. A reader that has got an answer of a
+// later edition must ask another replica.
 func (v *View) Edition() (seen, missing uint64) { return v.edition, v.missing }
 
 func (v *View) isServed(r *Record) bool {
-	o, lane := r.Position(), r.RetentionClass()
-	if v.fence != nil && o.Compare(v.fence[r.Tenant][lane]) < 0 {
+	position, class := r.Position(), r.RetentionClass()
+	if v.fence != nil && position.Compare(v.fence[r.Tenant][class]) < 0 {
 		return false
 	}
-	return o.Compare(v.watermarks[r.Tenant][lane]) >= 0 || coveredByHold(v.holds, r)
+	return position.Compare(v.watermarks[r.Tenant][class]) >= 0 || coveredByHold(v.holds, r)
 }
 
-// ByID returns the records of a job id, most at most: an id may have ended more than once.
+// ByID returns at most limit records of a job id. There may be several: jobs with the same
+// id may have ended more than once.
 func (v *View) ByID(st Reader, id string, limit int) (found []Record, err error) {
 	err = st.ByID(id, func(r *Record, _ []byte) bool {
 		if v.isServed(r) {
