--- a/internal/dispatcher/fleet/recordstore/fence.go
+++ b/internal/dispatcher/fleet/recordstore/fence.go
@@ -13,18 +13,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// storedFence is what is stored of a records.Fence, with the fleet that it belongs to.
+// storedFence is the stored form of a records.Fence, with the fleet that it belongs to.
 type storedFence struct {
 	Version int
 	Fleet   string
 	Fence   records.Fence
 }
 
-// ErrFleet says that a fence belongs to another fleet.
+// ErrFleet is returned by LoadFence if the fence belongs to another fleet.
 var ErrFleet = errors.New("of another fleet")
 
-// SaveFence durably stores how far this process knows that a fleet's records were pruned.
-// The fence outlasts the store.
+// SaveFence durably stores a fleet's fence in a directory. It outlasts the store, which Open
+// empties.
 func SaveFence(folder, fleet string, f records.Fence) error {
 	text, err := codec.Encode(storedFence{snapshotVersion, fleet, f})
 	if err != nil {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// LoadFence reads what KeepFence wrote; there may be none.
+// LoadFence returns the fence that SaveFence stored, or an empty one if there is none.
 func LoadFence(folder, fleet string) (records.Fence, error) {
 	text, err := os.ReadFile(filepath.Join(folder, "fence"))
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/dispatcher/fleet/recordstore/store.go
+++ b/internal/dispatcher/fleet/recordstore/store.go
@@ -35,14 +35,14 @@
 	appliedIndexKey = []byte("index")
 )
 
-// ErrInUse says that another process uses the directory.
+// ErrInUse is returned by Open if another process uses the directory.
 var ErrInUse = errors.New("in use by another process")
 
-// ErrClosed says that the store is closed.
+// ErrClosed is returned by methods of a closed store.
 var ErrClosed = errors.New("the store of records is closed")
 
-// openFile is an open bbolt file with its users: one that a restore has replaced is closed
-// by its last user.
+// openFile is an open bbolt file with the number of its users. A file that a restore has
+// replaced is closed when its last user releases it.
 type openFile struct {
 	db       *bolt.DB
 	users    int
@@ -59,16 +59,16 @@
 	file *openFile // nil: closed
 }
 
-// Open opens an empty store in a directory, creates that if need be, and locks it against
-// other processes until it is closed. What an earlier run left there is removed, so that no
-// pruned record comes back that way.
+// Open opens an empty store in a directory, which it creates if it doesn't exist, and locks
+// the directory against other processes until the store is closed. Files that an earlier run
+// left there are removed, so that no pruned record is served again from them.
 func Open(folder string) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return nil, fmt.Errorf("the folder of records: %w", err)
+		return nil, fmt.Errorf("directory of the records: %w", err)
 	}
 	lock, err := os.OpenFile(filepath.Join(folder, "lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
-		return nil, fmt.Errorf("the folder of records: %w", err)
+		return nil, fmt.Errorf("directory of the records: %w", err)
 	}
 	s := &Store{folder: folder, lock: lock}
 	if err := s.initialize(); err != nil {
@@ -84,7 +84,7 @@
 	}
 	for _, name := range []string{recordsFile, incomingFile} {
 		if err := os.Remove(s.path(name)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("removing the records of another run: %w", err)
+			return fmt.Errorf("removing the records of an earlier run: %w", err)
 		}
 	}
 	db, err := openDB(s.path(recordsFile))
@@ -101,7 +101,7 @@
 	})
 	if err != nil {
 		_ = db.Close()
-		return fmt.Errorf("beginning a store of records: %w", err)
+		return fmt.Errorf("creating a store of records: %w", err)
 	}
 	s.file = &openFile{db: db}
 	return nil
@@ -117,7 +117,7 @@
 
 func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
 
-// acquire returns the file, which stays open until it is released.
+// acquire returns the present file, which stays open until the caller releases it.
 func (s *Store) acquire() (*openFile, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,11 +138,11 @@
 	}
 }
 
-// replace puts another file, or none, in the place of the present one.
-func (s *Store) replace(with *openFile) {
+// replace replaces the present file by another one, or by none.
+func (s *Store) replace(next *openFile) {
 	s.mu.Lock()
 	old := s.file
-	s.file = with
+	s.file = next
 	last := old != nil && old.users == 0
 	if old != nil {
 		old.replaced = true
@@ -153,14 +153,14 @@
 	}
 }
 
-// Close closes the store. Open reads and snapshots go on to their end.
+// Close closes the store. Open reads and snapshots continue until they end.
 func (s *Store) Close() error {
 	s.replace(nil)
 	return s.lock.Close()
 }
 
-// Update runs a change in one transaction, together with the index of the last log entry
-// that it covers. If it returns an error, nothing has changed.
+// Update runs a change in one transaction, which also stores the index of the last log entry
+// that the change covers. If Update returns an error, nothing has changed.
 func (s *Store) Update(index uint64, change func(records.Store) error) error {
 	f, err := s.acquire()
 	if err != nil {
@@ -175,7 +175,7 @@
 	})
 }
 
-// View reads one consistent state of the store.
+// View calls read with one consistent state of the store.
 func (s *Store) View(read func(records.Reader) error) error {
 	f, err := s.acquire()
 	if err != nil {
@@ -205,8 +205,8 @@
 	return 0
 }
 
-// Size returns the size of the file in bytes. Space that prunes have freed is used again,
-// but not returned before the next restore.
+// Size returns the size of the file in bytes. Space that prunes have freed is reused, but
+// the file does not shrink before the next restore.
 func (s *Store) Size() (int64, error) {
 	info, err := os.Stat(s.path(recordsFile))
 	if err != nil {
@@ -215,10 +215,10 @@
 	return info.Size(), nil
 }
 
-// transaction is the store within a transaction.
+// transaction implements records.Store within one transaction.
 type transaction struct{ tx *bolt.Tx }
 
-// tenantPrefix is the prefix of all keys of a tenant.
+// tenantPrefix returns the prefix of all keys of a tenant.
 func tenantPrefix(tenant string) []byte {
 	return append(binary.BigEndian.AppendUint16(make([]byte, 0, 64+len(tenant)), uint16(len(tenant))), tenant...)
 }
@@ -259,8 +259,8 @@
 }
 
 func (t transaction) Ascend(tenant string, from records.Position, yield func(*records.Record, []byte) bool) error {
-	of, c := tenantPrefix(tenant), t.tx.Bucket(recordsBucket).Cursor()
-	for k, v := c.Seek(appendPosition(tenantPrefix(tenant), from)); bytes.HasPrefix(k, of); k, v = c.Next() {
+	prefix, c := tenantPrefix(tenant), t.tx.Bucket(recordsBucket).Cursor()
+	for k, v := c.Seek(appendPosition(tenantPrefix(tenant), from)); bytes.HasPrefix(k, prefix); k, v = c.Next() {
 		if more, err := yieldRecord(v, yield); !more || err != nil {
 			return err
 		}
@@ -269,7 +269,7 @@
 }
 
 func (t transaction) Descend(tenant string, before records.Position, yield func(*records.Record, []byte) bool) error {
-	of, c := tenantPrefix(tenant), t.tx.Bucket(recordsBucket).Cursor()
+	prefix, c := tenantPrefix(tenant), t.tx.Bucket(recordsBucket).Cursor()
 	var v []byte
 	k, _ := c.Seek(appendPosition(tenantPrefix(tenant), before))
 	if k == nil {
@@ -277,7 +277,7 @@
 	} else {
 		k, v = c.Prev()
 	}
-	for ; bytes.HasPrefix(k, of); k, v = c.Prev() {
+	for ; bytes.HasPrefix(k, prefix); k, v = c.Prev() {
 		if more, err := yieldRecord(v, yield); !more || err != nil {
 			return err
 		}
@@ -286,11 +286,11 @@
 }
 
 func (t transaction) ByID(id string, yield func(*records.Record, []byte) bool) error {
-	of, c, all := idPrefix(id), t.tx.Bucket(idsBucket).Cursor(), t.tx.Bucket(recordsBucket)
-	for k, _ := c.Seek(of); bytes.HasPrefix(k, of); k, _ = c.Next() {
-		v := all.Get(k[len(of):])
+	prefix, c, stored := idPrefix(id), t.tx.Bucket(idsBucket).Cursor(), t.tx.Bucket(recordsBucket)
+	for k, _ := c.Seek(prefix); bytes.HasPrefix(k, prefix); k, _ = c.Next() {
+		v := stored.Get(k[len(prefix):])
 		if v == nil {
-			return fmt.Errorf("the store of records: id %.40q names a record that is not there", id)
+			return fmt.Errorf("the store of records: the index of id %.40q refers to a record that does not exist", id)
 		}
 		more, err := yieldRecord(v, func(r *records.Record, text []byte) bool { return r.ID != id || yield(r, text) })
 		if !more || err != nil {
--- a/internal/dispatcher/fleet/recordstore/store_test.go
+++ b/internal/dispatcher/fleet/recordstore/store_test.go
@@ -13,15 +13,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func open1(t testing.TB) *Store {
+// openStore opens a store in a temporary directory and closes it after the test.
+func openStore(t testing.TB) *Store {
 	s, err := Open(t.TempDir())
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, s.Close()) })
 	return s
 }
 
-// fill ships n records of three tenants, with equal times, ids that come again and
-// names of tenants that begin alike.
+// fill ships n records of three tenants, with equal times, repeated ids and names of tenants
+// that are prefixes of each other.
 func fill(t testing.TB, s *Store, st *records.State, n int) {
 	c := records.Ship{Process: "n1", Epoch: 1, FirstSeq: 1}
 	for i := range n {
@@ -35,12 +36,12 @@
 	}))
 }
 
-// image is all that a store serves.
-func image(t testing.TB, s *Store, st *records.State) (all []records.Record) {
+// served returns all that a store serves, and checks the store with Audit.
+func served(t testing.TB, s *Store, st *records.State) (all []records.Record) {
 	require.NoError(t, s.View(func(in records.Reader) error {
 		for _, name := range st.Tenants() {
-			for _, last := range []bool{false, true} {
-				for q := (records.Query{Tenant: name, Limit: 7, Descending: last}); ; {
+			for _, descending := range []bool{false, true} {
+				for q := (records.Query{Tenant: name, Limit: 7, Descending: descending}); ; {
 					p, err := st.View().Page(in, q)
 					require.NoError(t, err)
 					all = append(all, p.Records...)
@@ -60,16 +61,18 @@
 	return all
 }
 
+// TestSnapshots checks that a store restored from a snapshot serves the same records, and
+// that an invalid snapshot is refused.
 func TestSnapshots(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
-	s, st := open1(t), records.New()
+	s, st := openStore(t), records.New()
 	fill(t, s, st, 300)
-	want := image(t, s, st)
+	want := served(t, s, st)
 	require.Len(t, want, 606)
-	small, err := st.Encode()
+	state, err := st.Encode()
 	require.NoError(t, err)
-	snap, err := s.Snapshot(small)
+	snap, err := s.Snapshot(state)
 	require.NoError(t, err)
-	// The store goes on, and the snapshot does not see it.
+	// Later changes of the store are not in the snapshot.
 	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: 1}}}}))
 	require.NoError(t, s.Update(9, func(in records.Store) error {
 		c, needed, err := st.PlanPrune(in, 0, 1000)
@@ -79,26 +82,26 @@
 		require.Equal(t, 147, done.Removed)
 		return err
 	}))
-	require.Len(t, image(t, s, st), 2*153)
+	require.Len(t, served(t, s, st), 2*153)
 	var text bytes.Buffer
 	n, err := snap.WriteTo(&text)
 	require.NoError(t, err)
 	require.EqualValues(t, text.Len(), n)
 	snap.Release()
 
-	other, fresh := open1(t), records.New()
-	whole := text.Bytes()
-	_, _, err = other.Restore(bytes.NewReader(whole))
+	other, fresh := openStore(t), records.New()
+	snapshot := text.Bytes()
+	_, _, err = other.Restore(bytes.NewReader(snapshot))
 	require.NoError(t, err)
 	fill(t, s, st, 1)
-	// What is torn, damaged, foreign or newer is refused, and nothing is lost.
-	newer := bytes.Clone(whole)
+	// A truncated, damaged, foreign or newer snapshot is refused, and the store is unchanged.
+	newer := bytes.Clone(snapshot)
 	newer[8]++
-	bad := map[string][]byte{"newer, its checksum wrong": newer, "foreign": []byte("SQLite format 3"), "longer": append(bytes.Clone(whole), 0), "empty": nil}
-	for i := 0; i < len(whole); i += 1 + len(whole)/60 {
-		changed := bytes.Clone(whole)
+	bad := map[string][]byte{"newer, its checksum wrong": newer, "foreign": []byte("SQLite format 3"), "longer": append(bytes.Clone(snapshot), 0), "empty": nil}
+	for i := 0; i < len(snapshot); i += 1 + len(snapshot)/60 {
+		changed := bytes.Clone(snapshot)
 		changed[i] ^= 1
-		bad[fmt.Sprint("torn at ", i)], bad[fmt.Sprint("changed at ", i)] = whole[:i], changed
+		bad[fmt.Sprint("truncated at ", i)], bad[fmt.Sprint("changed at ", i)] = snapshot[:i], changed
 	}
 	for name, text := range bad {
 		_, _, err := other.Restore(bytes.NewReader(text))
@@ -111,12 +114,12 @@
 	copy(newer[headerSize-8:], binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(newer[:headerSize-8])))
 	_, _, err = other.Restore(bytes.NewReader(newer))
 	require.ErrorIs(t, err, ErrNewerVersion)
-	require.NoError(t, fresh.Decode(small))
-	require.Equal(t, want, image(t, other, fresh))
+	require.NoError(t, fresh.Decode(state))
+	require.Equal(t, want, served(t, other, fresh))
 
-	// A reader that is open goes on, through a restore and the end.
+	// An open read continues during a restore.
 	require.NoError(t, other.View(func(in records.Reader) error {
-		_, index, err := other.Restore(bytes.NewReader(whole))
+		_, index, err := other.Restore(bytes.NewReader(snapshot))
 		require.NoError(t, err)
 		require.EqualValues(t, 7, index)
 		found, err := fresh.View().ByID(in, "j8", 100)
@@ -125,6 +128,8 @@
 	}))
 }
 
+// TestFolder checks what a directory keeps from one run to the next, the lock, a failed
+// Update, and the fence.
 func TestFolder(t *testing.T) {
 	folder := t.TempDir()
 	s, err := Open(folder)
@@ -138,7 +143,7 @@
 		require.NoError(t, in.Put(&records.Record{Tenant: "h"}, nil))
 		return failed
 	}), failed)
-	require.Len(t, image(t, s, st), 21)
+	require.Len(t, served(t, s, st), 21)
 	require.NoError(t, s.Close())
 	_, err = s.Index()
 	require.ErrorIs(t, err, ErrClosed)
--- a/internal/dispatcher/fleet/recordstore/study_test.go
+++ b/internal/dispatcher/fleet/recordstore/study_test.go
@@ -15,25 +15,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStudy measures the store with so many records of 100 tenants as
-// RECORDS_STUDY says; without that it is left out.
+// TestStudy measures the store with records of 100 tenants. RECORDS_STUDY is the number of
+// records; without it the test is skipped.
 func TestStudy(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	n := 0
 	if _, err := fmt.Sscan(os.Getenv("RECORDS_STUDY"), &n); err != nil {
 		t.Skip("RECORDS_STUDY is not set")
 	}
-	s, st := open1(t), records.New()
-	memory := func() float64 { // of Go's own; the file's pages are the system's to keep or drop
+	s, st := openStore(t), records.New()
+	memory := func() float64 { // of the Go heap; the mapped pages of the file belong to the page cache
 		runtime.GC()
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc) / 1e6
 	}
-	const batch = 1000
-	before, begun := memory(), time.Now()
-	for first := 0; first < n; first += batch {
-		c := records.Ship{Process: fmt.Sprint("n", first/batch%5), Epoch: 1, FirstSeq: uint64(first/batch/5*batch) + 1}
-		for i := first; i < first+batch; i++ {
+	const batchSize = 1000
+	before, start := memory(), time.Now()
+	for first := 0; first < n; first += batchSize {
+		c := records.Ship{Process: fmt.Sprint("n", first/batchSize%5), Epoch: 1, FirstSeq: uint64(first/batchSize/5*batchSize) + 1}
+		for i := first; i < first+batchSize; i++ {
 			outcome, reason := "served", "answered"
 			if i%20 == 0 {
 				outcome, reason = "failed", "deadline"
@@ -48,55 +48,55 @@
 			return err
 		}))
 	}
-	took := time.Since(begun)
+	elapsed := time.Since(start)
 	status, err := os.ReadFile("/proc/self/status")
 	require.NoError(t, err)
 	t.Logf("resident memory, the file's pages included: %s", regexp.MustCompile(`(?m)^(VmRSS|RssAnon|RssFile|RssShmem):.*$`).FindAll(status, -1))
 	size, err := s.Size()
 	require.NoError(t, err)
-	t.Logf("into the store, %d a transaction: %.0f records a second; file %.0f bytes a record, heap %.1f MB more", batch, float64(n)/took.Seconds(), float64(size)/float64(n), memory()-before)
+	t.Logf("stored, %d records a transaction: %.0f records a second; file %.0f bytes a record, heap grown by %.1f MB", batchSize, float64(n)/elapsed.Seconds(), float64(size)/float64(n), memory()-before)
 
-	small, err := st.Encode()
+	state, err := st.Encode()
 	require.NoError(t, err)
-	snap, err := s.Snapshot(small)
+	snap, err := s.Snapshot(state)
 	require.NoError(t, err)
 	var text bytes.Buffer
-	begun = time.Now()
+	start = time.Now()
 	_, err = snap.WriteTo(&text)
 	require.NoError(t, err)
-	written := time.Since(begun)
+	written := time.Since(start)
 	snap.Release()
-	other := open1(t)
-	begun = time.Now()
+	other := openStore(t)
+	start = time.Now()
 	_, _, err = other.Restore(&text)
 	require.NoError(t, err)
-	t.Logf("an empty replica: snapshot of %.0f MB and %d bytes written in %v, restored in %v", float64(size)/1e6, len(small), written.Round(time.Millisecond), time.Since(begun).Round(time.Millisecond))
+	t.Logf("snapshot of %.0f MB of records and %d bytes of state: written in %v, restored in an empty store in %v", float64(size)/1e6, len(state), written.Round(time.Millisecond), time.Since(start).Round(time.Millisecond))
 
 	require.NoError(t, st.SetRules(0, records.SetRules{Rules: []records.Rule{{Tenant: records.DefaultRuleTenant, Keep: records.Limits{MaxCount: int64(n / 200)}}}}))
-	for _, most := range []int{1000, 10000} {
-		var planned, cut []time.Duration
+	for _, limit := range []int{1000, 10000} {
+		var planned, pruned []time.Duration
 		removed := 0
 		for range 20 {
-			begun := time.Now()
+			start := time.Now()
 			var c records.Prune
 			require.NoError(t, s.View(func(in records.Reader) (err error) {
-				c, _, err = st.PlanPrune(in, int64(n)*1e6, most)
+				c, _, err = st.PlanPrune(in, int64(n)*1e6, limit)
 				return err
 			}))
-			planned, begun = append(planned, time.Since(begun)), time.Now()
+			planned, start = append(planned, time.Since(start)), time.Now()
 			require.NoError(t, s.Update(0, func(in records.Store) error {
 				done, err := st.Prune(0, in, c)
 				removed += done.Removed
 				return err
 			}))
-			cut = append(cut, time.Since(begun))
+			pruned = append(pruned, time.Since(start))
 		}
 		slices.Sort(planned)
-		slices.Sort(cut)
-		t.Logf("cuts of %d: %d records removed in 20; the store held %v (median), %v (most); planned beside it in %v", most, removed, cut[10], cut[19], planned[10])
+		slices.Sort(pruned)
+		t.Logf("20 prunes of at most %d: %d records removed; transaction %v (median), %v (maximum); planning %v (median)", limit, removed, pruned[10], pruned[19], planned[10])
 	}
-	begun, removed, cuts := time.Now(), 0, 0
-	for needed := true; needed; cuts++ {
+	start, removed, prunes := time.Now(), 0, 0
+	for needed := true; needed; prunes++ {
 		var c records.Prune
 		require.NoError(t, s.View(func(in records.Reader) (err error) {
 			c, needed, err = st.PlanPrune(in, int64(n)*1e6, 10000)
@@ -108,5 +108,5 @@
 			return err
 		}))
 	}
-	t.Logf("the rest of the prune: %d records in %d cuts, %v in all", removed, cuts, time.Since(begun).Round(time.Millisecond))
+	t.Logf("all other records over the limits: %d removed in %d prunes, %v in total", removed, prunes, time.Since(start).Round(time.Millisecond))
 }
