--- a/internal/dispatcher/fleet/budget/allowance.go
+++ b/internal/dispatcher/fleet/budget/allowance.go
@@ -48,7 +48,7 @@
 }
 
 // SetIncarnation sets the process and incarnation that renewals are made for. A new
-// incarnation has no share until its first grant; what is in flight goes on.
+// incarnation has no share until its first grant; jobs in flight continue.
 func (a *Allowance) SetIncarnation(process string, incarnation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/dispatcher/fleet/records/page.go
+++ b/internal/dispatcher/fleet/records/page.go
@@ -21,7 +21,7 @@
 type Page struct {
 	Records []Record
 	Next    string // cursor of the next page; empty: there are no more
-	Missing uint64 // number of known commands that this replica has not applied yet
+	Missing uint64 // number of commands that the fence includes and this replica has not applied
 }
 
 // ErrCursor is returned for a cursor that does not belong to the query.
--- a/internal/dispatcher/fleet/records/view.go
+++ b/internal/dispatcher/fleet/records/view.go
@@ -70,7 +70,7 @@
 }
 
 // Edition returns the number of commands other than Ship that the view includes, and the
-// number of further ones that this process knows of. A reader that has got an answer of a
+// number of further ones that the fence includes. A reader that has received an answer of a
 // later edition must ask another replica.
 func (v *View) Edition() (seen, missing uint64) { return v.edition, v.missing }
 
