--- a/internal/dispatcher/fleet/records/prune.go
+++ b/internal/dispatcher/fleet/records/prune.go
@@ -11,11 +11,11 @@
 // was planned.
 func (s *State) Prune(at time.Duration, st Store, c Prune) (done Pruned, err error) {
 	if c.RulesEdition != s.rulesEdition {
-		return done, fmt.Errorf("prune: %w", ErrStale)
+		return done, fmt.Errorf("a cut: %w", ErrStale)
 	}
 	for _, m := range c.Watermarks {
 		if m.Class >= RetentionClasses || s.tenants[m.Tenant] == nil {
-			return done, fmt.Errorf("prune: watermark of tenant %.40q: %w", m.Tenant, ErrInvalid)
+			return done, fmt.Errorf("a mark of tenant %.40q: %w", m.Tenant, ErrInvalid)
 		}
 	}
 	s.beginEdition(c.At)
