--- a/internal/dispatcher/fleet/faktory_test.go
+++ b/internal/dispatcher/fleet/faktory_test.go
@@ -46,7 +46,7 @@
 		push(dies, i)
 	}
 	require.Eventually(t, func() bool {
-		return slices.ContainsFunc(r.Till.Arrivals(), func(a fakes.Arrival) bool { return demo.AtMostOnce(a.Class) && !a.StartedAt.IsZero() })
+		return slices.ContainsFunc(r.RunLog.Arrivals(), func(a fakes.Arrival) bool { return demo.AtMostOnce(a.Class) && !a.StartedAt.IsZero() })
 	}, patience, time.Millisecond, "a ticket has run; others are under way")
 	for i := range jobs {
 		push(stays, i)
@@ -71,6 +71,6 @@
 		}
 	}
 	require.Greater(t, outcomes["served"], 4, "%v", outcomes)
-	require.Empty(t, harness.RunTwice(r.Till.Arrivals(), demo.AtMostOnce), "no ticket twice")
+	require.Empty(t, harness.RunTwice(r.RunLog.Arrivals(), demo.AtMostOnce), "no ticket twice")
 	t.Log(outcomes)
 }
--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -176,7 +176,7 @@
 	over, window := harness.Overspent(spans, rate, burst)
 	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.End.Sub(window.Start), window.Start)
 	require.Greater(t, len(spans), 100, "the tenant with a budget is served")
-	require.Empty(t, r.Till.RunTwice())
+	require.Empty(t, r.RunLog.RunTwice())
 	alike(t, r)
 }
 
@@ -304,7 +304,7 @@
 	told := harness.CompareOutcomes(runs, ends(t, r, runs))
 	require.Empty(t, told.Never)
 	require.Empty(t, told.Contradictory)
-	require.Empty(t, harness.RunTwice(r.Till.Arrivals(), demo.AtMostOnce), "no ticket twice")
+	require.Empty(t, harness.RunTwice(r.RunLog.Arrivals(), demo.AtMostOnce), "no ticket twice")
 	outcomes := map[string]int{}
 	for _, run := range runs {
 		_, text := ask(r.Processes[0], http.MethodGet, "/runs/"+run, "")
@@ -530,10 +530,10 @@
 		served(t, r, 20)
 	}
 	r.StopClients()
-	most := harness.MaxConcurrent(harness.Spans(r.Till.Arrivals(), nil))
+	most := harness.MaxConcurrent(harness.Spans(r.RunLog.Arrivals(), nil))
 	require.LessOrEqual(t, most, whole)
 	require.Greater(t, most, whole/2, "the whole is used")
-	require.Empty(t, r.Till.RunTwice())
+	require.Empty(t, r.RunLog.RunTwice())
 	alike(t, r)
 }
 
--- a/internal/dispatcher/fleet/harness/cluster.go
+++ b/internal/dispatcher/fleet/harness/cluster.go
@@ -39,7 +39,7 @@
 type Cluster struct {
 	Settings
 	Processes []*Process // n1, n2 and so on
-	Till      *fakes.RunLog
+	RunLog    *fakes.RunLog
 	Answers   fakes.Answers
 
 	t           testing.TB
@@ -71,15 +71,15 @@
 	binary, err := scenario.BuildTags(s.Tags)
 	require.NoError(t, err)
 	r := &Cluster{
-		Settings: s, Till: fakes.NewRunLog(), t: t, binary: binary, links: make(map[linkKey][]*faultproxy.Proxy),
+		Settings: s, RunLog: fakes.NewRunLog(), t: t, binary: binary, links: make(map[linkKey][]*faultproxy.Proxy),
 		random: rand.New(rand.NewPCG(s.Load.Seed, 31)), stopClients: func() {},
 	}
-	r.Till.KeepArrivals()
+	r.RunLog.KeepArrivals()
 	dir := t.TempDir()
 	t.Cleanup(r.close) // before the folders go
 	load := s.Load
 	load.Slots = max(1, load.Slots)
-	r.members, err = load.NewMembers(fakes.MemberSettings{RunLog: r.Till, Outcome: s.MemberAnswer})
+	r.members, err = load.NewMembers(fakes.MemberSettings{RunLog: r.RunLog, Outcome: s.MemberAnswer})
 	require.NoError(t, err)
 	for i := range s.Processes {
 		name := fmt.Sprintf("n%d", i+1)
--- a/internal/dispatcher/fleet/harness/soak.go
+++ b/internal/dispatcher/fleet/harness/soak.go
@@ -36,10 +36,10 @@
 		{"plans ended once", false, nil},
 		{"plans ended never or otherwise", true, nil},
 		{"tickets run twice", true, func(r *Cluster) ([]string, error) {
-			return append(RunTwice(r.Till.Arrivals(), demo.AtMostOnce), r.Till.RunTwice()...), nil
+			return append(RunTwice(r.RunLog.Arrivals(), demo.AtMostOnce), r.RunLog.RunTwice()...), nil
 		}},
 		{"answers unfounded", true, func(r *Cluster) ([]string, error) {
-			return UnfoundedAnswers(r.Calls(), r.Till.Arrivals(), demo.AtMostOnce), nil
+			return UnfoundedAnswers(r.Calls(), r.RunLog.Arrivals(), demo.AtMostOnce), nil
 		}},
 		{"calls lost", true, func(r *Cluster) ([]string, error) { return r.LostCalls(), nil }},
 		{"processes that ended by themselves", true, func(r *Cluster) (died []string, _ error) {
@@ -65,7 +65,7 @@
 // after its client sent it, and before a member received it.
 func (c *Cluster) AdmissionSpans(tenant string) (all []Span) {
 	first := make(map[string]time.Time)
-	for _, a := range c.Till.Arrivals() {
+	for _, a := range c.RunLog.Arrivals() {
 		if at, ok := first[a.ID]; !ok || a.ArrivedAt.Before(at) {
 			first[a.ID] = a.ArrivedAt
 		}
