--- a/internal/dispatcher/fleet/spool/golden_test.go
+++ b/internal/dispatcher/fleet/spool/golden_test.go
@@ -34,16 +34,16 @@
 	return Settings{Process: "n1", Epoch: epoch, QueueLength: 100, BatchSize: 4, MaxBodyBytes: 1 << 10, SegmentBytes: 500, WriteDelay: time.Hour, SyncInterval: time.Hour, RetryInterval: time.Millisecond}
 }
 
-// TestGoldenFolder: a spool opened on a copy of the golden folder ships what is in it,
-// numbered and whole.
+// TestGoldenFolder opens a spool on a copy of the golden folder, and checks that it ships all
+// records there unchanged and with their sequence numbers.
 func TestGoldenFolder(t *testing.T) {
 	log := logtest.Discard()
 	if goldentest.Missing(goldenSpool) {
 		written := filepath.Join(t.TempDir(), "spool")
 		folder, err := segment.OpenDirectory(written)
 		require.NoError(t, err)
-		none := func(context.Context, records.Ship) (uint64, error) { return 0, errors.New("nobody is there") }
-		p, err := Open(folder, goldenSettings(70), time.Unix(0, 0), log, none)
+		unreachable := func(context.Context, records.Ship) (uint64, error) { return 0, errors.New("the fleet is unreachable") }
+		p, err := Open(folder, goldenSettings(70), time.Unix(0, 0), log, unreachable)
 		require.NoError(t, err)
 		for _, r := range goldenRecords() {
 			require.True(t, p.Add(r))
--- a/internal/dispatcher/fleet/spool/segment.go
+++ b/internal/dispatcher/fleet/spool/segment.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A segment is a header and batches. The first batch says whose it is; the others
-// hold records, each after its length.
+// A segment consists of a header and batches. The first batch holds the segment's owner
+// (segmentOwner); the others hold records, each preceded by its length.
 const (
 	magic      = "BASALTFS"
 	version    = 1
@@ -21,9 +21,9 @@
 )
 
 var (
-	// ErrVersion says that a segment was written by a program of another version.
+	// ErrVersion is returned for a segment that a program of another version wrote.
 	ErrVersion = errors.New("of a version that this program does not know")
-	// ErrForeign says that a folder holds another process's spool.
+	// ErrForeign is returned for a directory that holds another process's spool.
 	ErrForeign = errors.New("the spool of another process")
 )
 
@@ -42,7 +42,7 @@
 	shippedThrough uint64 // the fleet has everything up to this sequence number
 	size           int64
 	writing        bool // it is being written
-	damaged        bool // it stays for inspection
+	damaged        bool // it is kept for inspection
 }
 
 func segmentName(epoch uint64, index int) string { return fmt.Sprintf("%020d-%08d.seg", epoch, index) }
@@ -52,7 +52,8 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// frameBatch frames a payload that has room for the frame before it.
+// frameBatch fills in the frame at the start of b for the payload after it, and returns the
+// chain value for the next batch.
 func frameBatch(b []byte, chain uint64) uint64 { return segment.Frame(b, b[segment.FrameSize:], chain) }
 
 // segmentScan is the result of scanning a segment.
@@ -62,22 +63,23 @@
 	records uint64
 }
 
-// scanSegment scans a segment from its start, and yields each batch's records with the
-// sequence number of the first. If there is no owner, the segment was only begun.
-func scanSegment(text []byte, yield func(first uint64, texts [][]byte) error) (s segmentScan, err error) {
-	if len(text) < headerSize {
+// scanSegment scans a segment from its start, and passes each batch's encoded records to
+// yield, with the sequence number of the first. If the result has no owner, the segment's
+// first batch is incomplete.
+func scanSegment(data []byte, yield func(first uint64, encoded [][]byte) error) (s segmentScan, err error) {
+	if len(data) < headerSize {
 		s.Torn = true
 		return s, nil
 	}
-	if string(text[:len(magic)]) != magic || xxhash.Sum64(text[:headerSize-8]) != binary.LittleEndian.Uint64(text[headerSize-8:headerSize]) {
+	if string(data[:len(magic)]) != magic || xxhash.Sum64(data[:headerSize-8]) != binary.LittleEndian.Uint64(data[headerSize-8:headerSize]) {
 		s.Err = errors.New("the header is damaged")
 		return s, nil
 	}
-	if v := binary.LittleEndian.Uint32(text[len(magic):]); v != version {
+	if v := binary.LittleEndian.Uint32(data[len(magic):]); v != version {
 		return s, fmt.Errorf("version %d, this program writes %d: %w", v, version, ErrVersion)
 	}
 	owned := false
-	s.ScanResult, err = segment.Scan(text, headerSize, xxhash.Sum64(text[:headerSize]), func(payload []byte) error {
+	s.ScanResult, err = segment.Scan(data, headerSize, xxhash.Sum64(data[:headerSize]), func(payload []byte) error {
 		if !owned {
 			if codec.Decode(payload, &s.owner) != nil {
 				return segment.ErrInvalidRecord
@@ -85,33 +87,34 @@
 			owned = true
 			return nil
 		}
-		texts, ok := splitBatch(payload)
+		encoded, ok := splitBatch(payload)
 		if !ok {
 			return segment.ErrInvalidRecord
 		}
 		first := s.owner.First + s.records
-		s.records += uint64(len(texts))
-		return yield(first, texts)
+		s.records += uint64(len(encoded))
+		return yield(first, encoded)
 	})
 	return s, err
 }
 
-func splitBatch(payload []byte) (texts [][]byte, ok bool) {
+// splitBatch splits a batch's payload into its encoded records.
+func splitBatch(payload []byte) (encoded [][]byte, ok bool) {
 	for len(payload) > 0 {
 		n, size := binary.Uvarint(payload)
 		if size <= 0 || n > uint64(len(payload)-size) {
 			return nil, false
 		}
-		texts = append(texts, payload[size:size+int(n)])
+		encoded = append(encoded, payload[size:size+int(n)])
 		payload = payload[size+int(n):]
 	}
-	return texts, true
+	return encoded, true
 }
 
 // decodeRecords decodes records that are to be shipped.
-func decodeRecords(texts [][]byte) (all []records.Record, err error) {
-	for _, text := range texts {
-		r, err := records.DecodeRecord(text)
+func decodeRecords(encoded [][]byte) (all []records.Record, err error) {
+	for _, data := range encoded {
+		r, err := records.DecodeRecord(data)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/dispatcher/fleet/spool/sender.go
+++ b/internal/dispatcher/fleet/spool/sender.go
@@ -9,12 +9,12 @@
 	"basaltloft/internal/dispatcher/fleet/records"
 )
 
-// sender ships what is written, the oldest first. It belongs to its goroutine.
+// sender ships the written records, the oldest first. Only its own goroutine uses it.
 type sender struct {
 	spool          *Spool
 	shippedThrough map[uint64]uint64 // by epoch, as acknowledged by the fleet
-	gapBefore      bool              // what precedes the next records is lost
-	failureLogged  bool              // since the last success
+	gapBefore      bool              // the records before the next ones are lost
+	failureLogged  bool              // a failure was logged since the last success
 }
 
 func (s *sender) run(ctx context.Context) {
@@ -35,7 +35,7 @@
 			select {
 			case <-p.written:
 			case <-ended:
-				ended = nil // once more: it may have written
+				ended = nil // look once more: the writer may have written before it stopped
 			case <-ctx.Done():
 			}
 			continue
@@ -57,8 +57,9 @@
 	}
 }
 
-// nextBatch reads the next records to be shipped; none: there is nothing. It removes
-// segments that the fleet has completely.
+// nextBatch reads the next records to be shipped, and returns the sequence number of the last
+// one. The batch is empty if there is nothing to ship. Segments of which the fleet has all
+// records are removed.
 func (s *sender) nextBatch() (ship records.Ship, last uint64, err error) {
 	for {
 		g, ok := s.nextSegment()
@@ -72,7 +73,7 @@
 		if len(ship.Records) > 0 {
 			return ship, ship.FirstSeq + uint64(len(ship.Records)) - 1, nil
 		}
-		// It was sound when it was written or found.
+		// The segment was intact when it was written or recovered.
 		p := s.spool
 		p.log.Error("spool segment can't be read any more; its records are lost", "error", found.Err, "segment", g.name, "records", g.next-ship.FirstSeq)
 		p.lost.Add(int64(g.next - ship.FirstSeq))
@@ -94,13 +95,13 @@
 		g = *p.segments[0]
 		g.shippedThrough = max(g.shippedThrough, min(s.shippedThrough[g.epoch], g.next-1))
 		p.segments[0].shippedThrough = g.shippedThrough
-		idle := g.shippedThrough+1 >= g.next
-		if idle && !g.writing {
+		allShipped := g.shippedThrough+1 >= g.next
+		if allShipped && !g.writing {
 			p.segments = p.segments[1:]
 		}
 		p.mu.Unlock()
 		switch {
-		case !idle:
+		case !allShipped:
 			return g, true
 		case g.writing:
 			return segmentFile{}, false
@@ -108,25 +109,26 @@
 			continue
 		}
 		if err := p.folder.Remove(g.name); err != nil {
-			p.recordFailure(fmt.Errorf("removing a shipped segment of the spool: %w", err)) // the fleet counts once
+			// The next start ships it again; the fleet counts each record once.
+			p.recordFailure(fmt.Errorf("removing a shipped segment of the spool: %w", err))
 		}
 		signal(p.freed)
 	}
 }
 
-// readBatch reads the unshipped records of a segment, up to the batch size.
+// readBatch reads a segment's unshipped records until there are at least BatchSize of them.
 func (s *sender) readBatch(g segmentFile) (ship records.Ship, found segmentScan, err error) {
 	p := s.spool
-	text, err := p.folder.Read(g.name)
+	data, err := p.folder.Read(g.name)
 	if err != nil {
 		return ship, found, err
 	}
 	ship = records.Ship{Process: p.settings.Process, Epoch: g.epoch, FirstSeq: g.shippedThrough + 1, GapLost: s.gapBefore}
-	found, err = scanSegment(text[:min(int64(len(text)), g.size)], func(first uint64, texts [][]byte) error {
+	found, err = scanSegment(data[:min(int64(len(data)), g.size)], func(first uint64, encoded [][]byte) error {
 		if skip := ship.FirstSeq - first; first < ship.FirstSeq {
-			texts = texts[min(skip, uint64(len(texts))):]
+			encoded = encoded[min(skip, uint64(len(encoded))):]
 		}
-		all, err := decodeRecords(texts)
+		all, err := decodeRecords(encoded)
 		if err != nil {
 			return err
 		}
@@ -141,7 +143,7 @@
 	return ship, found, err
 }
 
-// send ships records and takes in how far the fleet has them.
+// send ships records and stores the sequence number up to which the fleet has them.
 func (s *sender) send(ctx context.Context, ship records.Ship, last uint64) error {
 	p := s.spool
 	through, err := p.ship(ctx, ship)
@@ -149,7 +151,7 @@
 	case errors.Is(err, records.ErrGap):
 		p.mu.Lock()
 		first := p.segments[0].first
-		if through+1 >= first && through+1 < ship.FirstSeq { // it is still here
+		if through+1 >= first && through+1 < ship.FirstSeq { // the missing records are still in the segment
 			p.segments[0].shippedThrough, s.shippedThrough[ship.Epoch] = through, through
 		} else {
 			s.gapBefore = true
@@ -160,7 +162,7 @@
 	case err != nil:
 		return err
 	case through < last:
-		return fmt.Errorf("the fleet has records up to %d after %d were shipped", through, last)
+		return fmt.Errorf("the fleet has records up to %d after those up to %d were shipped", through, last)
 	}
 	if s.failureLogged {
 		p.log.Info("shipping job records recovered")
--- a/internal/dispatcher/fleet/spool/spool.go
+++ b/internal/dispatcher/fleet/spool/spool.go
@@ -1,8 +1,9 @@
-// Package spool keeps the records of finished jobs in this process's directory until the
-// fleet has them. No job's answer waits for it: a record is put into a bounded queue, one
-// goroutine writes the queue to segments (package segment), another ships them in order.
-// What was written before a crash is shipped after the next start; the fleet counts each
-// record once, by epoch and sequence number.
+// Package spool stores the records of finished jobs in this process's directory until the
+// fleet (the state that the processes replicate through Raft) has them. No job's answer waits
+// for the spool: a record is put into a bounded queue, one goroutine writes the queue to
+// segments (package segment), and another ships the records in order. Records written before a
+// crash are shipped after the next start; the fleet counts each record once, by epoch and
+// sequence number.
 package spool
 
 import (
@@ -21,29 +22,29 @@
 // Settings configure a spool.
 type Settings struct {
 	Process       string
-	Epoch         uint64 // of this start, above all before it; 0: taken from the clock
+	Epoch         uint64 // of this start, greater than that of every earlier start; 0: taken from the clock
 	QueueLength   int    // records that may wait for the disk; further ones are dropped and counted
 	BatchSize     int    // records that are written or shipped together
-	MaxBodyBytes  int    // a longer body is left out
+	MaxBodyBytes  int    // a longer body is omitted
 	SegmentBytes  int64
-	MaxBytes      int64         // of the whole spool; beyond it the queue fills; 0: unlimited
-	WriteDelay    time.Duration // how long a record waits for others to be written with
+	MaxBytes      int64         // of the whole spool; at this size the queue fills; 0: unlimited
+	WriteDelay    time.Duration // how long a record waits for others, to be written in one batch
 	SyncInterval  time.Duration // how long a written record may wait to be synced
 	RetryInterval time.Duration // after a failed write or shipment
 }
 
-// ShipFunc ships records to the fleet and returns the sequence number of the epoch up to
-// which the fleet has them all. It fills in the incarnation. With records.ErrGap the number
-// is valid too: the spool continues from there, or declares the gap lost.
+// ShipFunc ships records to the fleet and returns the sequence number up to which the fleet
+// has all records of the epoch. It sets the batch's incarnation. With records.ErrGap the number
+// is valid too: the spool continues from there, or declares the missing records lost.
 type ShipFunc func(ctx context.Context, batch records.Ship) (through uint64, err error)
 
 // Stats are the statistics of a spool since it was opened.
 type Stats struct {
 	Added       int64 // records passed to Add
-	Dropped     int64 // of them: the queue was full, the spool closed, or the record too large
-	Written     int64 // of them: in a segment
+	Dropped     int64 // of those added: the queue was full, the spool closed, the record too large or unwritable
+	Written     int64 // of those added: written to a segment
 	Shipped     int64 // records that the fleet has acknowledged
-	Lost        int64 // records that a damaged or removed file has left nothing of
+	Lost        int64 // records that the fleet lacks and no file has any more: it was damaged or removed
 	Failures    int64 // failed file operations
 	Unsent      int64 // records written and not yet shipped
 	Bytes       int64 // of all segments
@@ -65,7 +66,7 @@
 	workers   sync.WaitGroup
 	cancel    context.CancelFunc
 	closeOnce sync.Once
-	adding    sync.RWMutex // held for reading by Add, so that Close can't overtake it
+	adding    sync.RWMutex // held for reading by Add, so that nothing is queued after Close has set closed
 	closed    bool
 
 	added, dropped, writtenCount, shipped, lost, failures atomic.Int64
@@ -79,8 +80,8 @@
 	sender sender
 }
 
-// Lag returns the age of the oldest unshipped record at a time: what the loss of this
-// machine's disk would cost, in time.
+// Lag returns the age of the oldest unshipped record at a time: if this machine's disk were
+// lost, the records since then could be lost with it.
 func (r Stats) Lag(now time.Time) time.Duration {
 	if r.OldestEnded == 0 {
 		return 0
@@ -88,12 +89,13 @@
 	return max(0, time.Duration(now.UnixNano()-r.OldestEnded))
 }
 
-// Open opens a spool in a directory, truncates torn ends, and begins to ship what is there.
-// It fails, without changing anything, for the spool of another process (ErrForeign) or
-// program version (ErrVersion). The directory belongs to the spool from then on.
+// Open opens a spool in a directory, truncates the torn ends of segments, and starts to ship
+// the records found there. It fails, without changing anything, for the spool of another
+// process (ErrForeign) or program version (ErrVersion). The spool owns the directory from then
+// on, and closes it.
 func Open(f segment.Directory, s Settings, now time.Time, log *slog.Logger, ship ShipFunc) (*Spool, error) {
 	if s.Process == "" || s.QueueLength < 1 || s.BatchSize < 1 || s.SegmentBytes < 1 {
-		return nil, fmt.Errorf("the spool of records: settings %+v", s)
+		return nil, fmt.Errorf("invalid settings %+v", s)
 	}
 	p := &Spool{
 		folder: f, settings: s, log: log, ship: ship, queue: make(chan records.Record, s.QueueLength),
@@ -107,7 +109,7 @@
 		p.settings.Epoch = max(last+1, uint64(now.UnixNano()))
 	}
 	if p.settings.Epoch <= last {
-		return nil, fmt.Errorf("the spool of records: epoch %d, and the folder has %d", p.settings.Epoch, last)
+		return nil, fmt.Errorf("epoch %d is not above %d, the latest in the directory", p.settings.Epoch, last)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
@@ -119,8 +121,9 @@
 	return p, nil
 }
 
-// Add adds a record. It never blocks: a record for which there is no room is dropped and
-// counted. The record's slices must not be changed afterwards.
+// Add queues a record and reports whether it did. It never blocks: if the queue is full or the
+// spool is closed, the record is dropped and counted. The record's slices must not be changed
+// afterwards.
 func (s *Spool) Add(r records.Record) bool {
 	s.added.Add(1)
 	s.adding.RLock()
@@ -136,8 +139,8 @@
 	return false
 }
 
-// Close writes what is queued, ships until everything is shipped or ctx ends, and closes
-// the directory. What was not shipped is shipped after the next start.
+// Close writes the queued records, ships until everything is shipped or ctx ends, and closes
+// the directory. Records that were not shipped are shipped after the next start.
 func (s *Spool) Close(ctx context.Context) (err error) {
 	s.closeOnce.Do(func() {
 		s.adding.Lock()
@@ -186,5 +189,5 @@
 	}
 }
 
-// errBatchComplete ends a scan once there are enough records.
+// errBatchComplete is returned by a scan's callback once the batch has enough records.
 var errBatchComplete = errors.New("enough")
--- a/internal/dispatcher/fleet/spool/spool_test.go
+++ b/internal/dispatcher/fleet/spool/spool_test.go
@@ -23,25 +23,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// disk is a folder in memory. Its file calls fail as a test says.
+// disk is a directory in memory. Tests make its file calls fail.
 type disk struct {
-	mu    sync.Mutex
-	files map[string][]byte
-	calls int
-	fail  func(call int) error // nil error: it works
-	room  int                  // bytes that may be written until the crash; below 0: no crash
-	dead  bool                 // crashed: nothing changes any more
+	mu       sync.Mutex
+	files    map[string][]byte
+	calls    int
+	fail     func(call int) error // returns nil for a call that works
+	writable int                  // bytes that may be written until the crash; below 0: no crash
+	stopped  bool                 // after the crash: nothing changes any more
 }
 
 var errCrash = errors.New("crashed")
 
-func newDisk() *disk { return &disk{files: map[string][]byte{}, room: -1} }
+func newDisk() *disk { return &disk{files: map[string][]byte{}, writable: -1} }
 
 func (d *disk) call(change func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
-	if d.dead {
+	if d.stopped {
 		return errCrash
 	}
 	if d.fail != nil {
@@ -88,16 +88,16 @@
 
 func (f file) Write(b []byte) (n int, err error) {
 	err = f.d.call(func() {
-		if n = len(b); f.d.room >= 0 {
-			n = min(n, f.d.room)
-			f.d.room -= n
-			f.d.dead = n < len(b)
+		if n = len(b); f.d.writable >= 0 {
+			n = min(n, f.d.writable)
+			f.d.writable -= n
+			f.d.stopped = n < len(b)
 		}
 		f.d.files[f.name] = append(f.d.files[f.name], b[:n]...)
 	})
 	if err == nil && n < len(b) {
 		err = errCrash
-	} else if err != nil && !errors.Is(err, errCrash) { // half of it is there
+	} else if err != nil && !errors.Is(err, errCrash) { // half of the data is written
 		n = len(b) / 2
 		f.d.mu.Lock()
 		defer f.d.mu.Unlock()
@@ -108,7 +108,7 @@
 func (f file) Sync() error  { return f.d.call(func() {}) }
 func (f file) Close() error { return nil }
 
-// fleet takes records in as the replicated state does, and keeps their ids.
+// fleet accepts records as the replicated state does, and stores their ids.
 type fleet struct {
 	records.Store
 	mu    sync.Mutex
@@ -137,56 +137,57 @@
 	return done.Through, errors.Join(err, after)
 }
 
-func (f *fleet) taken() []string {
+func (f *fleet) recordIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.ids)
 }
 
-var tight = Settings{
+var smallSettings = Settings{
 	Process: "n1", QueueLength: 8, BatchSize: 4, MaxBodyBytes: 10, SegmentBytes: 300, WriteDelay: time.Millisecond, SyncInterval: 10 * time.Millisecond, RetryInterval: 20 * time.Millisecond,
 }
 
-func begin(t *testing.T, d segment.Directory, f *fleet, s Settings) (*Spool, *logtest.Recorder) {
+func openSpool(t *testing.T, d segment.Directory, f *fleet, s Settings) (*Spool, *logtest.Recorder) {
 	log, recorder := logtest.New()
 	p, err := Open(d, s, time.Now(), log, f.ship)
 	require.NoError(t, err)
 	return p, recorder
 }
 
-// feed adds records one after the other, a millisecond and more apart.
-func feed(p *Spool, from, to int) {
+// addRecords adds records one after the other, at least a millisecond apart.
+func addRecords(p *Spool, from, to int) {
 	for i := from; i < to; i++ {
 		p.Add(records.Record{ID: fmt.Sprint(i), Tenant: "hrad", Ended: time.Now().UnixNano()})
-		if time.Sleep(time.Millisecond); i%5 == 4 { // of the bubble's time
+		if time.Sleep(time.Millisecond); i%5 == 4 { // in the synctest bubble's time
 			time.Sleep(40 * time.Millisecond)
 		}
 	}
 }
 
-func upTo(n int) (ids []string) {
+func idsUpTo(n int) (ids []string) {
 	for i := range n {
 		ids = append(ids, fmt.Sprint(i))
 	}
 	return ids
 }
 
-func end(t *testing.T, p *Spool) {
+func closeSpool(t *testing.T, p *Spool) {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(time.Second))
 	defer cancel()
 	require.NoError(t, p.Close(ctx))
 }
 
-// TestEveryFault: whichever file call fails, with half of a write done, for once or for
-// a while, all records reach the fleet once and in order, and one error is logged.
+// TestEveryFault makes each file call in turn fail, once or four times in a row, with half of
+// the data of a write written. All records must reach the fleet once and in order, and at most
+// one line is logged.
 func TestEveryFault(t *testing.T) {
 	reached := true
 	for k := 2; reached; k++ { // the first calls are Open's
 		for _, times := range []int{1, 4} {
 			synctest.Test(t, func(t *testing.T) {
-				d, f, s := newDisk(), &fleet{state: records.New()}, tight
+				d, f, s := newDisk(), &fleet{state: records.New()}, smallSettings
 				s.QueueLength = 32
-				p, recorder := begin(t, d, f, s)
+				p, recorder := openSpool(t, d, f, s)
 				d.mu.Lock()
 				d.fail = func(call int) error {
 					if call >= k && call < k+times {
@@ -195,11 +196,11 @@
 					return nil
 				}
 				d.mu.Unlock()
-				feed(p, 0, 15)
+				addRecords(p, 0, 15)
 				time.Sleep(time.Second)
 				r := p.Stats()
-				end(t, p)
-				require.Equal(t, upTo(15), f.ids, "call %d", k)
+				closeSpool(t, p)
+				require.Equal(t, idsUpTo(15), f.ids, "call %d", k)
 				require.Zero(t, r.Dropped+r.Unsent+r.Lost+r.OldestEnded)
 				require.EqualValues(t, 15, r.Shipped)
 				reached = d.calls >= k+times+1
@@ -210,10 +211,11 @@
 	}
 }
 
-// TestEveryCrash: cut off after any byte, with some replies of the fleet lost, a new
-// start ships all that had been written, each counted once.
+// TestEveryCrash crashes the spool after each number of written bytes, with some replies of
+// the fleet lost. The next start must ship all records that had been written, and the fleet
+// counts each once.
 func TestEveryCrash(t *testing.T) {
-	for room := 0; ; room++ {
+	for writable := 0; ; writable++ {
 		crashed := true
 		synctest.Test(t, func(t *testing.T) {
 			d, f := newDisk(), &fleet{state: records.New()}
@@ -222,15 +224,15 @@
 				case 0:
 					return nil, errors.New("the reply is lost")
 				case 1:
-					return errors.New("no way there"), nil
+					return errors.New("the fleet is unreachable"), nil
 				}
 				return nil, nil
 			}
-			d.room = room
-			p, _ := begin(t, d, f, tight)
-			feed(p, 0, 9)
+			d.writable = writable
+			p, _ := openSpool(t, d, f, smallSettings)
+			addRecords(p, 0, 9)
 			d.mu.Lock()
-			d.dead, crashed = true, d.dead
+			d.stopped, crashed = true, d.stopped
 			d.mu.Unlock()
 			written := p.Stats().Written
 			ctx, cancel := context.WithCancel(t.Context())
@@ -239,12 +241,12 @@
 			again := newDisk()
 			again.files = d.files
 			f.fail = nil
-			p, _ = begin(t, again, f, tight)
-			feed(p, 100, 102)
-			end(t, p)
+			p, _ = openSpool(t, again, f, smallSettings)
+			addRecords(p, 100, 102)
+			closeSpool(t, p)
 			n := len(f.ids) - 2
-			require.GreaterOrEqual(t, n, int(written), "after %d bytes", room)
-			require.Equal(t, append(upTo(n), "100", "101"), f.ids, "after %d bytes", room)
+			require.GreaterOrEqual(t, n, int(written), "after %d bytes", writable)
+			require.Equal(t, append(idsUpTo(n), "100", "101"), f.ids, "after %d bytes", writable)
 			require.Empty(t, again.files, "all was shipped")
 		})
 		if !crashed {
@@ -253,12 +255,12 @@
 	}
 }
 
-// TestNeverWaits: with a disk that takes nothing Add does not wait; what has no room
-// is counted, and so is what is left at the end.
+// TestNeverWaits checks that Add doesn't block while all file calls fail, and that records are
+// counted as dropped if they don't fit into the queue or can't be written at Close.
 func TestNeverWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d, f := newDisk(), &fleet{state: records.New()}
-		p, recorder := begin(t, d, f, tight)
+		p, recorder := openSpool(t, d, f, smallSettings)
 		d.mu.Lock()
 		d.fail = func(int) error { return syscall.ENOSPC }
 		d.mu.Unlock()
@@ -270,31 +272,31 @@
 		require.Equal(t, begun, time.Now())
 		time.Sleep(time.Minute)
 		r := p.Stats()
-		require.EqualValues(t, 100-tight.QueueLength-tight.BatchSize, r.Dropped)
+		require.EqualValues(t, 100-smallSettings.QueueLength-smallSettings.BatchSize, r.Dropped)
 		require.Equal(t, time.Minute, r.Lag(time.Now()))
 		require.Greater(t, r.Failures, int64(1000))
 		require.Contains(t, r.LastError, syscall.ENOSPC.Error())
 		require.Len(t, recorder.Records(), 1)
-		end(t, p)
+		closeSpool(t, p)
 		require.EqualValues(t, 100, p.Stats().Dropped)
 		require.False(t, p.Add(records.Record{}), "closed")
 	})
 }
 
-// TestBoundAndLostFleet: a fleet out of reach fills the spool to its bound; a fleet
-// that has forgotten what it had is told what is lost.
+// TestBoundAndLostFleet checks that the spool stops at its maximum size while the fleet is
+// unreachable, and that it declares records lost to a fleet that has lost its state.
 func TestBoundAndLostFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, f, s := newDisk(), &fleet{state: records.New()}, tight
+		d, f, s := newDisk(), &fleet{state: records.New()}, smallSettings
 		s.MaxBytes = 600
-		p, _ := begin(t, d, f, s)
-		feed(p, 0, 6)
+		p, _ := openSpool(t, d, f, s)
+		addRecords(p, 0, 6)
 		time.Sleep(time.Second)
-		require.Equal(t, upTo(6), f.taken())
+		require.Equal(t, idsUpTo(6), f.recordIDs())
 		f.mu.Lock()
-		f.fail = func(int) (error, error) { return errors.New("no way there"), nil }
+		f.fail = func(int) (error, error) { return errors.New("the fleet is unreachable"), nil }
 		f.mu.Unlock()
-		feed(p, 6, 60)
+		addRecords(p, 6, 60)
 		r := p.Stats()
 		require.Positive(t, r.Dropped)
 		require.Less(t, r.Bytes, s.MaxBytes+s.SegmentBytes+200)
@@ -305,26 +307,26 @@
 		time.Sleep(5 * time.Second)
 		require.Positive(t, p.Stats().Lost)
 		require.EqualValues(t, p.Stats().Lost, f.state.Counts().Missing)
-		end(t, p)
+		closeSpool(t, p)
 		require.Equal(t, int64(60), int64(len(f.ids))+p.Stats().Dropped)
 	})
-	synctest.Test(t, func(t *testing.T) { // what is still in the folder comes again
-		f, s := &fleet{state: records.New()}, tight
+	synctest.Test(t, func(t *testing.T) { // records that are still in the directory are shipped again
+		f, s := &fleet{state: records.New()}, smallSettings
 		s.SegmentBytes = 1 << 20
-		p, _ := begin(t, newDisk(), f, s)
-		feed(p, 0, 6)
+		p, _ := openSpool(t, newDisk(), f, s)
+		addRecords(p, 0, 6)
 		f.mu.Lock()
 		f.state, f.ids = records.New(), nil
 		f.mu.Unlock()
-		feed(p, 6, 8)
-		end(t, p)
-		require.Equal(t, upTo(8), f.ids)
+		addRecords(p, 6, 8)
+		closeSpool(t, p)
+		require.Equal(t, idsUpTo(8), f.ids)
 		require.Zero(t, p.Stats().Lost)
 	})
 }
 
-// TestDamagedMeanwhile: a segment that is damaged on the disk before it was shipped is
-// lost, counted and told; what follows is shipped.
+// TestDamagedMeanwhile checks that records of a segment that is damaged on the disk before it
+// is shipped are counted as lost and declared lost to the fleet, and that later ones are shipped.
 func TestDamagedMeanwhile(t *testing.T) {
 	for _, last := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) { damagedMeanwhile(t, last) })
@@ -332,11 +334,11 @@
 }
 
 func damagedMeanwhile(t *testing.T, last bool) {
-	d, f := newDisk(), &fleet{state: records.New(), fail: func(int) (error, error) { return errors.New("no way there"), nil }}
-	s := tight
+	d, f := newDisk(), &fleet{state: records.New(), fail: func(int) (error, error) { return errors.New("the fleet is unreachable"), nil }}
+	s := smallSettings
 	s.QueueLength = 32
-	p, _ := begin(t, d, f, s)
-	feed(p, 0, 20)
+	p, _ := openSpool(t, d, f, s)
+	addRecords(p, 0, 20)
 	d.mu.Lock()
 	names := slices.Sorted(maps.Keys(d.files))
 	require.Greater(t, len(names), 2)
@@ -349,25 +351,27 @@
 	f.mu.Lock()
 	f.fail = nil
 	f.mu.Unlock()
-	end(t, p)
+	closeSpool(t, p)
 	r := p.Stats()
 	require.Positive(t, r.Lost)
-	require.True(t, last || uint64(r.Lost) == f.state.Counts().Missing) // what is last has nothing after it that could tell
+	// A loss is declared to the fleet with the records after it: there are none after the last segment.
+	require.True(t, last || uint64(r.Lost) == f.state.Counts().Missing)
 	require.EqualValues(t, 20, int64(len(f.ids))+r.Lost)
 	require.Equal(t, !last, f.ids[len(f.ids)-1] == "19")
 }
 
-// TestRefused: a folder that another process has, or had, and other versions.
+// TestRefused checks that Open refuses a directory that is in use or belongs to another process,
+// segments of other versions, and an epoch that is not new; and how it recovers torn and damaged ones.
 func TestRefused(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	path := t.TempDir()
 	dir, err := segment.OpenDirectory(path)
 	require.NoError(t, err)
 	_, err = segment.OpenDirectory(path)
 	require.ErrorIs(t, err, segment.ErrInUse)
-	f := &fleet{state: records.New(), fail: func(int) (error, error) { return errors.New("no way there"), nil }}
-	long := tight
-	long.SegmentBytes = 1 << 20
-	p, _ := begin(t, dir, f, long)
+	f := &fleet{state: records.New(), fail: func(int) (error, error) { return errors.New("the fleet is unreachable"), nil }}
+	oneSegment := smallSettings
+	oneSegment.SegmentBytes = 1 << 20
+	p, _ := openSpool(t, dir, f, oneSegment)
 	for i := range 8 {
 		require.True(t, p.Add(records.Record{ID: fmt.Sprint(i), Body: make([]byte, 11)}))
 	}
@@ -375,15 +379,15 @@
 	cancel()
 	require.NoError(t, p.Close(ctx))
 	dir, err = segment.OpenDirectory(path)
-	require.NoError(t, err, "the lock is let go")
+	require.NoError(t, err, "the lock is released")
 	names, err := dir.Names()
 	require.NoError(t, err)
 	text, err := dir.Read(names[0])
 	require.NoError(t, err)
 	require.NoError(t, dir.Close())
-	other := tight
+	other := smallSettings
 	other.Process = "n2"
-	old := tight
+	old := smallSettings
 	old.Epoch = 1
 	versioned := func(v byte) []byte {
 		b := bytes.Clone(text)
@@ -395,7 +399,7 @@
 		text []byte
 		s    Settings
 		err  error
-	}{{text, other, ErrForeign}, {versioned(0), tight, ErrVersion}, {versioned(2), tight, ErrVersion}, {text, old, nil}} {
+	}{{text, other, ErrForeign}, {versioned(0), smallSettings, ErrVersion}, {versioned(2), smallSettings, ErrVersion}, {text, old, nil}} {
 		d := newDisk()
 		d.files[names[0]] = bytes.Clone(c.text)
 		log := logtest.Discard()
@@ -406,7 +410,7 @@
 		}
 		require.Equal(t, c.text, d.files[names[0]], "nothing changed")
 	}
-	// A torn end is cut with a line; a damaged middle keeps the file.
+	// A torn end is truncated and logged; a file with a damaged batch is kept.
 	f.fail = nil
 	for _, kept := range []bool{false, true} {
 		d, at := newDisk(), len(text)-3
@@ -415,10 +419,10 @@
 			d.files[names[0]] = text[:at]
 		}
 		f.state, f.ids = records.New(), nil
-		p, recorder := begin(t, d, f, tight)
-		end(t, p)
+		p, recorder := openSpool(t, d, f, smallSettings)
+		closeSpool(t, p)
 		require.Len(t, recorder.Records(), 1)
-		require.Equal(t, upTo(len(f.ids)), f.ids)
+		require.Equal(t, idsUpTo(len(f.ids)), f.ids)
 		require.True(t, len(f.ids) >= 4 && len(f.ids) < 8, "all but the last batch, of 4 at most")
 		require.Equal(t, kept, len(d.files) == 1)
 	}
--- a/internal/dispatcher/fleet/spool/study_test.go
+++ b/internal/dispatcher/fleet/spool/study_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStudy measures what Add costs and the lag, with a fleet that takes 2 ms for a
-// batch, if SPOOL_STUDY is set.
+// TestStudy measures the cost of Add and the lag, with a fleet that takes 2 ms for a batch, if
+// SPOOL_STUDY is set.
 func TestStudy(t *testing.T) {
 	if os.Getenv("SPOOL_STUDY") == "" {
 		t.Skip("SPOOL_STUDY is not set")
@@ -46,7 +46,7 @@
 		costs = append(costs, time.Since(begun)/50)
 		time.Sleep(time.Until(begun.Add(10 * time.Millisecond)))
 	}
-	end(t, p)
+	closeSpool(t, p)
 	slices.Sort(lags)
 	slices.Sort(costs)
 	t.Logf("%d records, %d dropped: lag p50 %v, p99 %v; an Add %v (median)", len(lags), p.Stats().Dropped, lags[len(lags)/2], lags[len(lags)*99/100], costs[len(costs)/2])
--- a/internal/dispatcher/fleet/spool/writer.go
+++ b/internal/dispatcher/fleet/spool/writer.go
@@ -13,10 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// errSpoolFull says that the spool has reached Settings.MaxBytes.
-var errSpoolFull = errors.New("the spool has reached its bound")
+// errSpoolFull is returned when the spool has reached Settings.MaxBytes.
+var errSpoolFull = errors.New("the spool has reached its maximum size")
 
-// writer writes the queue to segments. It belongs to its goroutine.
+// writer writes the queue to segments. Only its own goroutine uses it.
 type writer struct {
 	spool    *Spool
 	file     segment.File // nil: the next batch begins a segment
@@ -27,7 +27,7 @@
 	batch    []byte // the batch to be written, with room for its frame
 	count    int
 	unsynced bool
-	torn     bool // a write has failed in the middle
+	torn     bool // a write failed and may have written a part
 	stopped  chan struct{}
 }
 
@@ -45,7 +45,7 @@
 		case <-p.closing:
 			open = false
 		}
-		for w.count > 0 && !w.writeBatch() { // the queue fills meanwhile
+		for w.count > 0 && !w.writeBatch() { // retry; the queue fills meanwhile
 			timer.Reset(p.settings.RetryInterval)
 			select {
 			case <-timer.C:
@@ -72,7 +72,8 @@
 	return max(0, time.Until(synced.Add(w.spool.settings.SyncInterval)))
 }
 
-// gather takes records until the batch is full or they have waited long enough.
+// gather adds queued records to the batch until it is full or WriteDelay has passed. It reports
+// whether the spool is still open.
 func (w *writer) gather(r records.Record, timer *time.Timer) (open bool) {
 	w.add(r)
 	timer.Reset(w.spool.settings.WriteDelay)
@@ -91,8 +92,8 @@
 
 func (w *writer) add(r records.Record) {
 	r = records.Trim(r, w.spool.settings.MaxBodyBytes)
-	r.Process, r.Epoch, r.Seq = "", 0, 0 // the segment says it
-	text, err := r.Encode()
+	r.Process, r.Epoch, r.Seq = "", 0, 0 // known from the segment and the position in it
+	data, err := r.Encode()
 	if err != nil {
 		w.spool.dropped.Add(1)
 		return
@@ -101,7 +102,7 @@
 		w.batch = append(w.batch[:0], make([]byte, segment.FrameSize)...)
 		w.spool.pendingSince.Store(max(r.Ended, 1))
 	}
-	w.batch = append(binary.AppendUvarint(w.batch, uint64(len(text))), text...)
+	w.batch = append(binary.AppendUvarint(w.batch, uint64(len(data))), data...)
 	w.count++
 }
 
@@ -138,7 +139,7 @@
 	chain := frameBatch(w.batch, w.chain)
 	if _, err := w.file.Write(w.batch); err != nil {
 		w.torn = true
-		w.endSegment() // what follows goes to another
+		w.endSegment() // later batches go to a new segment
 		return fmt.Errorf("writing the spool: %w", err)
 	}
 	w.chain = chain
@@ -152,12 +153,12 @@
 	}
 	w.index++
 	s := &segmentFile{name: segmentName(p.settings.Epoch, w.index), epoch: p.settings.Epoch, first: w.next, next: w.next, shippedThrough: w.next - 1, writing: true}
-	text, err := codec.Encode(segmentOwner{p.settings.Process, s.epoch, s.first})
+	data, err := codec.Encode(segmentOwner{p.settings.Process, s.epoch, s.first})
 	if err != nil {
 		return err
 	}
 	head := segmentHeader()
-	first := append(make([]byte, segment.FrameSize), text...)
+	first := append(make([]byte, segment.FrameSize), data...)
 	chain := frameBatch(first, xxhash.Sum64(head))
 	file, err := p.folder.Create(s.name)
 	if err != nil {
@@ -169,7 +170,7 @@
 		err = p.folder.Sync()
 	}
 	if err != nil {
-		// What is left of it says nothing; if it can't be removed, a start will.
+		// The file holds no records; if it can't be removed now, the next start removes it.
 		return fmt.Errorf("beginning a segment of the spool: %w", errors.Join(err, file.Close(), p.folder.Remove(s.name)))
 	}
 	s.size = int64(len(head))
@@ -202,7 +203,7 @@
 	}
 	if w.torn {
 		if err := p.folder.Truncate(w.segment.name, w.segment.size); err != nil {
-			p.recordFailure(fmt.Errorf("cutting a segment of the spool: %w", err)) // a start will
+			p.recordFailure(fmt.Errorf("truncating a segment of the spool: %w", err)) // the next start truncates it
 		}
 	}
 	w.file, w.torn = nil, false
