--- a/internal/dispatcher/fleet/harness/check.go
+++ b/internal/dispatcher/fleet/harness/check.go
@@ -8,12 +8,12 @@
 	"basaltloft/internal/dispatcher/fakes"
 )
 
-// Span is a time within which an event took place, or through which something lasted. A
+// Span is a time interval within which an event took place, or for which something lasted. A
 // zero End means that it still lasts.
 type Span struct{ Start, End time.Time }
 
 // Spans returns the spans of the selected arrivals, each from its arrival to its end at the
-// member. A rejected one has no length.
+// member. The span of a rejected arrival has no length.
 func Spans(log []fakes.Arrival, keep func(fakes.Arrival) bool) (all []Span) {
 	for _, a := range log {
 		if a.Rejected {
@@ -34,20 +34,20 @@
 	return all
 }
 
-// Overspent returns by how much the worst window exceeds rate a second times its length
-// plus burst: of all windows, the most events that surely took place within it, less what
-// is allowed. It is above 0 only if the budget was exceeded, whatever the moment within its
-// span at which each event took place.
+// Overspent returns by how many events the worst window exceeds its allowance, and that window.
+// The allowance is rate (a second) times the window's length, plus burst. An event counts only
+// if its whole span lies within the window, so the result is above 0 only if the budget was
+// exceeded, whatever the moment within its span at which each event took place.
 func Overspent(events []Span, rate, burst float64) (by float64, window Span) {
 	events = slices.DeleteFunc(slices.Clone(events), func(e Span) bool { return e.End.IsZero() })
 	slices.SortFunc(events, func(a, b Span) int { return a.End.Compare(b.End) })
-	type span struct{ from, to int64 } // from the first end on: this is done for each pair of events
+	type span struct{ from, to int64 } // since the first end; integers, as each pair of events is compared
 	var all []span
 	for _, e := range events {
 		all = append(all, span{int64(e.Start.Sub(events[0].End)), int64(e.End.Sub(events[0].End))})
 	}
 	by = -burst
-	for i, first := range all { // a window begins with one, and ends with one
+	for i, first := range all { // the worst window starts with an event and ends with an event
 		n := 0
 		for j, e := range all {
 			if e.from < first.from {
@@ -90,31 +90,33 @@
 	return most
 }
 
-// FinalAnswer is a final answer that somebody was given.
+// FinalAnswer is a final answer that a client received.
 type FinalAnswer struct{ ID, Text string }
 
-// Outcomes tells what became of requests, by id.
+// Outcomes groups the ids of requests by the final answers that they got.
 type Outcomes struct {
-	Once                                        []string // requested, and ended with one answer
-	Never, Repeated, Contradictory, Unrequested []string // no answer; Repeated: several equal ones; Contradictory: different ones, with their texts; Unrequested: nobody asked
+	Once []string // requested, and ended with one answer
+	// Never: no answer; Repeated: several equal ones; Contradictory: different ones, with their
+	// texts; Unrequested: answers without a request.
+	Never, Repeated, Contradictory, Unrequested []string
 }
 
 // CompareOutcomes compares final answers with requests. Repeated answers are wrong for a
-// call, which has one answer; for a plan run, which may be asked about again, only
+// call, which has one answer; for a plan run, whose outcome may be queried several times, only
 // Contradictory ones are.
-func CompareOutcomes(asked []string, ends []FinalAnswer) (e Outcomes) {
+func CompareOutcomes(requested []string, answers []FinalAnswer) (e Outcomes) {
 	texts := make(map[string][]string)
-	for _, id := range asked {
+	for _, id := range requested {
 		texts[id] = nil
 	}
-	for _, end := range ends {
-		if _, ok := texts[end.ID]; !ok {
-			e.Unrequested = append(e.Unrequested, end.ID)
+	for _, answer := range answers {
+		if _, ok := texts[answer.ID]; !ok {
+			e.Unrequested = append(e.Unrequested, answer.ID)
 			continue
 		}
-		texts[end.ID] = append(texts[end.ID], end.Text)
+		texts[answer.ID] = append(texts[answer.ID], answer.Text)
 	}
-	for _, id := range slices.Compact(slices.Sorted(slices.Values(asked))) {
+	for _, id := range slices.Compact(slices.Sorted(slices.Values(requested))) {
 		all := texts[id]
 		switch kinds := slices.Compact(slices.Sorted(slices.Values(all))); {
 		case len(kinds) == 0:
@@ -133,24 +135,24 @@
 
 // RunTwice returns the requests of at-most-once classes that ran twice, over all attempts
 // and dispatchers.
-func RunTwice(log []fakes.Arrival, once func(class string) bool) (asks []string) {
+func RunTwice(log []fakes.Arrival, once func(class string) bool) (ids []string) {
 	runs := make(map[string]int)
 	for _, a := range log {
-		ask := a.LogicalID
-		if ask == "" {
-			ask = a.ID
+		id := a.LogicalID
+		if id == "" {
+			id = a.ID
 		}
 		if once(a.Class) && !a.StartedAt.IsZero() {
-			if runs[ask]++; runs[ask] == 2 {
-				asks = append(asks, ask)
+			if runs[id]++; runs[id] == 2 {
+				ids = append(ids, id)
 			}
 		}
 	}
-	return asks
+	return ids
 }
 
-// UnfoundedAnswers returns the calls whose answer is wrong: served without a run that had
-// begun, or refused though it ran, of an at-most-once class.
+// UnfoundedAnswers returns the calls whose answer is wrong: served although no run had begun,
+// or, for an at-most-once class, refused although it ran.
 func UnfoundedAnswers(calls []fakes.Call, log []fakes.Arrival, once func(class string) bool) (ids []string) {
 	ran := make(map[string]time.Time)
 	for _, a := range log {
@@ -168,8 +170,8 @@
 }
 
 // CompareRecords compares a replica's records with those that must exist and those that
-// were pruned: records that are missing, unknown or duplicate ones, and pruned ones that
-// are back.
+// were pruned. It returns records that are missing, unknown or duplicate ones, and pruned ones
+// that are back.
 func CompareRecords(want, pruned, got []string) (missing, extra, back []string) {
 	const wanted, gone = 1, 2
 	state := make(map[string]int)
--- a/internal/dispatcher/fleet/harness/check_test.go
+++ b/internal/dispatcher/fleet/harness/check_test.go
@@ -21,8 +21,8 @@
 
 func ms(n int) time.Time { return time.UnixMilli(1_000_000 + int64(n)) }
 
-// TestOverspent holds the check against a count over all windows, and has a
-// bucket that spends once too often found.
+// TestOverspent compares Overspent with a count over all windows, and checks that it finds a
+// token bucket that admits one event too many.
 func TestOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var events []Span
@@ -48,7 +48,7 @@
 		got, _ := Overspent(events, rate, burst)
 		require.InDelta(t, want, got, 1e-9)
 	})
-	var even []Span // 100 a second, after a burst of 5 that was saved
+	var even []Span // 100 a second, after an accumulated burst of 5
 	for n := range 100 {
 		even = append(even, Span{ms(max(0, n-4) * 10), ms(max(0, n-4) * 10)})
 	}
@@ -57,11 +57,12 @@
 	by, window := Overspent(append(even, Span{ms(500), ms(500)}), 100, 5)
 	require.InDelta(t, 1, by, 1e-9)
 	require.False(t, window.Start.After(ms(500)) || window.End.Before(ms(500)), window)
-	by, _ = Overspent(append(even, Span{Start: ms(500)}, Span{ms(400), ms(5000)}), 100, 5) // may be of another time
+	// Events that may have taken place outside the window don't count.
+	by, _ = Overspent(append(even, Span{Start: ms(500)}, Span{ms(400), ms(5000)}), 100, 5)
 	require.InDelta(t, 0, by, 1e-9)
 }
 
-// TestChecks plants what each check is to find, beside what is right.
+// TestChecks checks that each check finds the errors planted for it, and nothing in correct data.
 func TestChecks(t *testing.T) {
 	require.Equal(t, 2, MaxConcurrent([]Span{{ms(0), ms(10)}, {ms(10), ms(20)}, {ms(5), ms(15)}, {ms(15), ms(15)}}))
 	require.Equal(t, 3, MaxConcurrent([]Span{{ms(0), ms(10)}, {ms(9), ms(20)}, {Start: ms(1)}}))
@@ -97,30 +98,30 @@
 	require.Equal(t, [][]string{{"b"}, {"x", "c"}, {"q"}}, [][]string{missing, extra, back})
 }
 
-// TestHistories: what may have been passes, and each planted breach is found.
+// TestHistories checks that possible histories pass and that each planted violation is found.
 func TestHistories(t *testing.T) {
 	type call struct{ in, out any } // out nil: it was never answered
 	const s = time.Second
-	ask := func(holder string, out any) call { return call{LeaseCall{"coach", holder, 0}, out} }
+	acquire := func(holder string, out any) call { return call{LeaseCall{"coach", holder, 0}, out} }
 	renew := func(holder string, fence uint64, out any) call { return call{LeaseCall{"coach", holder, fence}, out} }
 	granted := func(fence uint64, at time.Duration) LeaseAnswer { return LeaseAnswer{true, fence, at, at + 3*s} }
 	refused := func(at time.Duration) LeaseAnswer { return LeaseAnswer{At: at} }
-	held := []call{ask("n1", granted(1, 0)), ask("n2", refused(1*s)), renew("n1", 1, granted(1, 2*s))}
+	held := []call{acquire("n1", granted(1, 0)), acquire("n2", refused(1*s)), renew("n1", 1, granted(1, 2*s))}
 	for name, c := range map[string]struct {
 		calls []call
 		good  bool
 	}{
-		"held, renewed, ended, taken":     {append(held, renew("n1", 1, refused(5*s)), ask("n2", granted(2, 5*s)), renew("n1", 1, refused(6*s))), true},
-		"a restart fences its old self":   {append(held, ask("n1", granted(2, 3*s)), renew("n1", 1, refused(4*s))), true},
-		"an unanswered renewal may count": {append(held, renew("n1", 1, nil), ask("n2", refused(5500*time.Millisecond))), true},
-		"an unanswered grant may count":   {append(held, ask("n2", nil), renew("n2", 2, granted(2, 6*s))), true},
+		"held, renewed, ended, taken":     {append(held, renew("n1", 1, refused(5*s)), acquire("n2", granted(2, 5*s)), renew("n1", 1, refused(6*s))), true},
+		"a restart fences its old self":   {append(held, acquire("n1", granted(2, 3*s)), renew("n1", 1, refused(4*s))), true},
+		"an unanswered renewal may count": {append(held, renew("n1", 1, nil), acquire("n2", refused(5500*time.Millisecond))), true},
+		"an unanswered grant may count":   {append(held, acquire("n2", nil), renew("n2", 2, granted(2, 6*s))), true},
 		"two names":                       {append(held, call{LeaseCall{"price", "n2", 0}, granted(1, 1*s)}), true},
-		"granted to two":                  {append(held, ask("n2", granted(2, 3*s))), false},
-		"the same number twice":           {append(held, ask("n2", granted(1, 5*s))), false},
+		"granted to two":                  {append(held, acquire("n2", granted(2, 3*s))), false},
+		"the same number twice":           {append(held, acquire("n2", granted(1, 5*s))), false},
 		"renewed after its end":           {append(held, renew("n1", 1, granted(1, 6*s))), false},
-		"renewed with an old number":      {append(held, ask("n2", granted(2, 5*s)), renew("n1", 1, granted(1, 6*s))), false},
-		"refused though free":             {append(held, ask("n2", refused(5*s))), false},
-		"time ran backward":               {append(held, ask("n2", refused(1*s))), false},
+		"renewed with an old number":      {append(held, acquire("n2", granted(2, 5*s)), renew("n1", 1, granted(1, 6*s))), false},
+		"refused though free":             {append(held, acquire("n2", refused(5*s))), false},
+		"time ran backward":               {append(held, acquire("n2", refused(1*s))), false},
 		"a run ends once": {[]call{{RunCall{"r", ""}, ""}, {RunCall{"r", "sold"}, "sold"}, {RunCall{"r", "gave up"}, "sold"}, {RunCall{"r", ""}, "sold"},
 			{RunCall{"q", "gave up"}, "gave up"}}, true},
 		"an unanswered end may count": {[]call{{RunCall{"r", "sold"}, nil}, {RunCall{"r", "gave up"}, "sold"}}, true},
@@ -143,13 +144,14 @@
 	}
 }
 
-// TestDigests: raft nodes that differ at one place of the log are found, also when
-// they are alike again later; so are raft nodes that never come to one place.
+// TestDigests checks that raft nodes whose digests differ at one index of the log are found, also
+// when they are equal again later, and that an error is returned for raft nodes that never reach
+// the same index.
 func TestDigests(t *testing.T) {
 	r := new(Cluster)
-	say := make([]string, 2)
-	for i := range say {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, say[i]) }))
+	responses := make([]string, 2)
+	for i := range responses {
+		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, responses[i]) }))
 		defer s.Close()
 		r.Processes = append(r.Processes, &Process{Name: fmt.Sprintf("n%d", i+1), addrs: map[string]string{"admin": s.Listener.Addr().String()}})
 	}
@@ -161,29 +163,29 @@
 		one, two string
 		differ   int
 	}{{keeper(5, "aa"), keeper(5, "aa"), 0}, {keeper(7, "bb"), keeper(7, "cc"), 1}, {keeper(8, "dd"), keeper(8, "dd"), 1}} {
-		say[0], say[1] = c.one, c.two
+		responses[0], responses[1] = c.one, c.two
 		got, err := d.WaitConverged(r, 2, time.Now().Add(transitionTimeout))
 		require.NoError(t, err)
 		require.Len(t, got, c.differ)
 	}
-	say[1] = keeper(9, "ee")
+	responses[1] = keeper(9, "ee")
 	_, err := d.WaitConverged(r, 2, time.Now().Add(50*time.Millisecond))
 	require.Error(t, err)
-	say[1] = `{"Process":"n"}` // no raft node: it tells of nothing
+	responses[1] = `{"Process":"n"}` // not a raft node: it reports no digests
 	_, err = new(DigestMonitor).WaitConverged(r, 2, time.Now().Add(50*time.Millisecond))
 	require.Error(t, err)
 }
 
-// recordKeeper is a process that shows records late: while it has been asked fewer than lag
-// times for the record of its last call, that record and the one before it wait to be written,
-// and its spool counts neither as unsent.
-type recordKeeper struct {
+// delayedProcess is a process that shows records late: until the record of its last call has been
+// requested lag times, that record and the one before it wait to be written, and its spool
+// counts neither as unsent.
+type delayedProcess struct {
 	lag     int
 	last    string // the last call; empty: none yet
 	records []string
 }
 
-func (k *recordKeeper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (k *delayedProcess) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id, one := strings.CutPrefix(r.URL.Path, "/records/")
 	switch {
 	case r.Method == http.MethodPost:
@@ -208,9 +210,9 @@
 	}
 }
 
-// TestRetentionMonitorWaits: records that are on their way when the load ends are waited for,
-// though no spool says that it has any; one that never comes, and one that nobody asked for,
-// are found.
+// TestRetentionMonitorWaits checks that RetentionMonitor waits for records that are not yet
+// written when the load ends, although no spool counts them as unsent, and that it finds a
+// record that never arrives and one without a call.
 func TestRetentionMonitorWaits(t *testing.T) {
 	const tenant = "hrad"
 	for name, c := range map[string]struct {
@@ -224,7 +226,7 @@
 		"a plan's stage run": {records: []string{"1", "2", "plan-4", "3"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			keeper := &recordKeeper{lag: 3, records: c.records}
+			keeper := &delayedProcess{lag: 3, records: c.records}
 			server := httptest.NewServer(keeper)
 			defer server.Close()
 			addr := server.Listener.Addr().String()
--- a/internal/dispatcher/fleet/harness/cluster.go
+++ b/internal/dispatcher/fleet/harness/cluster.go
@@ -26,16 +26,16 @@
 // Settings configure a Cluster.
 type Settings struct {
 	Processes    int
-	Load         demo.Load                                                   // Members, Slots, Run, Troubles, Rate and Seed are used
-	Operator     string                                                      // template of the operator's files, see Process; empty: none
-	Tags         string                                                      // build tags of the program
-	Env          []string                                                    // added to the processes' environment
-	Args         []string                                                    // added to their arguments
-	MemberAnswer func(class, ask string, body []byte) (state, result string) // see fakes.MemberSettings
-	PickProcess  func(*Cluster) *Process                                     // where a client's attempt is sent; nil: a random process
+	Load         demo.Load                                                         // Members, Slots, RunTime, Faults, Rate and Seed are used
+	Operator     string                                                            // template of the operator's files, see Process; empty: none
+	Tags         string                                                            // build tags of the program
+	Env          []string                                                          // added to the processes' environment
+	Args         []string                                                          // added to their arguments
+	MemberAnswer func(class, logicalID string, body []byte) (state, result string) // see fakes.MemberSettings
+	PickProcess  func(*Cluster) *Process                                           // where a client's attempt is sent; nil: a random process
 }
 
-// Cluster is a set of processes with their surroundings.
+// Cluster is a set of processes with the members, discovery, clients and links that they use.
 type Cluster struct {
 	Settings
 	Processes []*Process // n1, n2 and so on
@@ -55,17 +55,17 @@
 	outages []outage
 }
 
-// outage is a time in which a process was out of service by a fault.
+// outage is a time in which a process was out of service because of a fault.
 type outage struct {
-	addr string // for clients
+	addr string // where clients reach the process
 	Span
 }
 
-// linkKey is who dials whom, by index.
+// linkKey identifies the links on which one process dials another, by their indexes.
 type linkKey struct{ from, to int }
 
-// New makes a cluster, of which no process runs yet. It ends with the test; if the test has
-// failed, the end of each process's log is shown.
+// New returns a cluster of which no process runs yet. It is closed when the test ends; if the
+// test has failed, the end of each process's log is logged.
 func New(t testing.TB, s Settings) *Cluster {
 	t.Helper()
 	binary, err := scenario.BuildTags(s.Tags)
@@ -76,7 +76,7 @@
 	}
 	r.RunLog.KeepArrivals()
 	dir := t.TempDir()
-	t.Cleanup(r.close) // before the folders go
+	t.Cleanup(r.close) // runs before the directories are removed
 	load := s.Load
 	load.Slots = max(1, load.Slots)
 	r.members, err = load.NewMembers(fakes.MemberSettings{RunLog: r.RunLog, Outcome: s.MemberAnswer})
@@ -156,8 +156,8 @@
 	}
 }
 
-// LostCalls returns the calls that got no answer though their process was in service all
-// the time.
+// LostCalls returns the calls that got no answer although their process was in service the
+// whole time.
 func (c *Cluster) LostCalls() (ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,14 +179,14 @@
 }
 
 // LinksOf returns all links from and to a process.
-func (c *Cluster) LinksOf(place int) (all []*faultproxy.Proxy) {
+func (c *Cluster) LinksOf(index int) (all []*faultproxy.Proxy) {
 	for other := range c.Processes {
-		all = append(append(all, c.Links(place, other)...), c.Links(other, place)...)
+		all = append(append(all, c.Links(index, other)...), c.Links(other, index)...)
 	}
 	return all
 }
 
-// link makes a link to one of a process's addresses.
+// link creates a link to one of a process's addresses, and returns the link's own address.
 func (c *Cluster) link(from, to int, addr string) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dispatcher/fleet/harness/cluster_test.go
+++ b/internal/dispatcher/fleet/harness/cluster_test.go
@@ -19,8 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestProcesses takes processes through all that can be done to one, and to a
-// link between two.
+// TestProcesses tests every operation on a process, and every fault of a link between two.
 func TestProcesses(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	r := New(t, Settings{Processes: 2, Load: demo.Load{Members: 2, Seed: 3},
 		Operator: `{"#":{"name":"{{.Name}}","peer":"{{.PeerAddr "n2" "listen"}}","all":{{.Peers 2 "listen"}}},"figures":{"journal":{"folder":"{{.Folder}}"}}}`})
@@ -28,7 +27,7 @@
 	one, two := r.Processes[0], r.Processes[1]
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
-	asks := func(addr string, quiet ...bool) error { // until the answer, or for a little while where none is to come
+	request := func(addr string, quiet ...bool) error { // waits for the answer, or only briefly if none is expected
 		client := http.Client{Transport: transport, Timeout: transitionTimeout}
 		if slices.Contains(quiet, true) {
 			client.Timeout = 250 * time.Millisecond
@@ -44,44 +43,44 @@
 	addr, err := one.PeerAddr("n2", "listen")
 	require.NoError(t, err)
 	require.NotEqual(t, two.Addr("listen"), addr)
-	require.NoError(t, asks(addr))
+	require.NoError(t, request(addr))
 	own, err := two.PeerAddr("n2", "listen")
 	require.NoError(t, err)
 	require.Equal(t, two.Addr("listen"), own)
 	status, _, err := two.AdminRequest(http.MethodPost, "/nowhere", "x", time.Now().Add(transitionTimeout))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusNotFound, status)
-	said, err := two.WaitForAdmin("/healthcheck", "^(.*)$", time.Now().Add(transitionTimeout))
+	match, err := two.WaitForAdmin("/healthcheck", "^(.*)$", time.Now().Add(transitionTimeout))
 	require.NoError(t, err)
-	require.Len(t, said, 2)
+	require.Len(t, match, 2)
 	_, err = two.WaitForAdmin("/healthcheck", "nothing like it", time.Now())
 	require.ErrorContains(t, err, "does not say")
 	link := r.Links(0, 1)[0]
 	for name, silent := range map[string]bool{"is cut from": true, "is cut off": true, "is refused by": true, "is not heard by": true, "is late at": false,
 		"is slow at": true, "has its calls reset by": false, "has its calls twice at": false} {
-		for who := range 2 { // whoever it is said of, the link is the same
-			f := Fault{Duration: 80 * time.Millisecond, Kind: name, Process: who, Peer: 1 - who, Rate: 50}
+		for index := range 2 { // the fault affects the same link, whichever process it names
+			f := Fault{Duration: 80 * time.Millisecond, Kind: name, Process: index, Peer: 1 - index, Rate: 50}
 			was := link.Counts()
 			require.NoError(t, faultKinds[name].begin(r, f))
-			require.Equal(t, silent, asks(addr, silent) != nil, f)
+			require.Equal(t, silent, request(addr, silent) != nil, f)
 			if name == "is not heard by" {
-				require.Equal(t, who == 0, link.Counts().Lost[faultproxy.Forward] > was.Lost[faultproxy.Forward], f)
+				require.Equal(t, index == 0, link.Counts().Lost[faultproxy.Forward] > was.Lost[faultproxy.Forward], f)
 			}
-			require.NoError(t, asks(own))
+			require.NoError(t, request(own))
 			require.NoError(t, faultKinds[name].end(r, f))
-			require.NoError(t, asks(addr), f)
+			require.NoError(t, request(addr), f)
 		}
 	}
 	require.NoError(t, two.Freeze())
-	require.Error(t, asks(own, true))
+	require.Error(t, request(own, true))
 	require.NoError(t, two.Thaw())
-	require.Eventually(t, func() bool { return asks(own) == nil }, transitionTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return request(own) == nil }, transitionTimeout, time.Millisecond)
 
 	copied := filepath.Join(one.Home, "copy")
 	require.NoError(t, one.CopyFolder(copied))
 	require.NoError(t, one.Kill())
 	require.False(t, one.IsRunning())
-	require.Error(t, asks(one.Addr("listen")))
+	require.Error(t, request(one.Addr("listen")))
 	segments := func(dir string) int {
 		entries, err := os.ReadDir(dir)
 		require.NoError(t, err)
@@ -104,14 +103,14 @@
 	}
 	require.NoError(t, r.Inject(t.Context(), all))
 	r.clients.Wait()
-	require.NoError(t, asks(addr))
-	require.NoError(t, asks(one.Addr("listen")))
+	require.NoError(t, request(addr))
+	require.NoError(t, request(one.Addr("listen")))
 	require.Empty(t, append(one.UnexpectedExits(), two.UnexpectedExits()...))
-	require.Error(t, r.Inject(t.Context(), FaultPlan{{Kind: "loses its mind"}}))
+	require.Error(t, r.Inject(t.Context(), FaultPlan{{Kind: "is unknown"}}))
 }
 
-// TestPlan: a plan is its seed's, keeps a majority, and leaves time around the
-// loss of a folder.
+// TestPlan checks that a plan of faults depends on its seed alone, leaves a majority in service,
+// and keeps the time around the loss of a directory free of other outages.
 func TestPlan(t *testing.T) {
 	for seed := range uint64(40) {
 		n := 2 + int(seed%4)
@@ -138,29 +137,29 @@
 }
 
 var (
-	soakFor  = flag.Duration("soak", 0, "how long TestSoak plays faults; 0: it is skipped")
-	soakSeed = flag.Uint64("seed", 1, "of TestSoak")
+	soakFor  = flag.Duration("soak", 0, "how long TestSoak injects faults; 0: it is skipped")
+	soakSeed = flag.Uint64("seed", 1, "random seed of TestSoak")
 )
 
-// today is a soak of processes that know nothing of each other.
-func today(processes int, seed uint64) Soak {
+// soakSeparate returns a soak of processes without a fleet layer.
+func soakSeparate(processes int, seed uint64) Soak {
 	load := demo.Load{Members: 6, Rate: 60, Seed: seed}
 	load.Faults.Reject, load.Faults.Fail, load.Faults.Break, load.Faults.DuplicateEnd = 0.02, 0.01, 0.005, 0.1
 	return Soak{Settings: Settings{Processes: processes, Load: load}, FaultKinds: []string{"is killed", "is frozen", "is asked to end"}, Checks: SoakChecks(nil)}
 }
 
-// joined is a soak of a fleet of three raft nodes and two more, with a budget for a
-// tenant who asks for more, under faults of all kinds. Half of the demand is at one
-// process, and moves. Bookings run beside it.
-func joined(seed uint64) Soak {
+// soakFleet returns a soak of a fleet of three raft nodes and two further processes, with a budget
+// for a tenant whose demand exceeds it, under faults of all kinds. About half of the load goes
+// to one process, which changes every 7 s. Runs of the booking plan are started meanwhile.
+func soakFleet(seed uint64) Soak {
 	const rate, burst = 12, 6
 	plans, err := filepath.Abs("testdata/booking.hcl")
 	if err != nil {
 		panic(err)
 	}
-	s, digests := today(5, seed), new(DigestMonitor)
+	s, digests := soakSeparate(5, seed), new(DigestMonitor)
 	runs := &PlanLoad{Plan: "booking", Query: "within_ms=25000&tenant=" + demo.Tenants[1], Interval: 200 * time.Millisecond}
-	var told Outcomes // once all is quiet
+	var outcomes Outcomes // set once the faults have ended
 	s.FaultKinds, s.Load.Rate = nil, 120
 	began := time.Now()
 	s.PickProcess = func(r *Cluster) *Process {
@@ -182,10 +181,10 @@
 			return over, nil
 		},
 		"plans ended once": func(r *Cluster) ([]string, error) {
-			told = runs.Outcomes(r, time.Now().Add(2*transitionTimeout))
-			return told.Once, nil
+			outcomes = runs.Outcomes(r, time.Now().Add(2*transitionTimeout))
+			return outcomes.Once, nil
 		},
-		"plans ended never or otherwise": func(*Cluster) ([]string, error) { return append(told.Never, told.Contradictory...), nil },
+		"plans ended never or otherwise": func(*Cluster) ([]string, error) { return append(outcomes.Never, outcomes.Contradictory...), nil },
 		"records missing": func(r *Cluster) ([]string, error) {
 			err := records.Check(r)
 			return records.missing, err
@@ -200,12 +199,12 @@
 }
 
 // TestFaults is the short form of the soak.
-func TestFaults(t *testing.T) { t.Log(today(3, 4).Run(t, 6*time.Second)) }
+func TestFaults(t *testing.T) { t.Log(soakSeparate(3, 4).Run(t, 6*time.Second)) }
 
 // TestSoak is the long form: go test ./internal/dispatcher/fleet/harness -run Soak -v -args -soak 10m -seed 1
 func TestSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Skip("it takes as long as -args -soak says")
 	}
-	t.Log(joined(*soakSeed).Run(t, *soakFor))
+	t.Log(soakFleet(*soakSeed).Run(t, *soakFor))
 }
--- a/internal/dispatcher/fleet/harness/data_dir_test.go
+++ b/internal/dispatcher/fleet/harness/data_dir_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRefusedDataDirEndsTheProcess: a process whose raft node can't use its directory ends, and
-// does not go on without its raft node.
+// TestRefusedDataDirEndsTheProcess checks that a process whose raft node can't use its directory
+// exits, and does not continue without its raft node.
 func TestRefusedDataDirEndsTheProcess(t *testing.T) {
 	r := New(t, Settings{Processes: 3, Load: demo.Load{Members: 2, Slots: 2, Seed: 1},
 		Operator: `{"fleet":{"name":"{{.Name}}","folder":"{{.Folder}}","calls":"{{.Addr "calls"}}","votes":"{{.Addr "votes"}}","keepers":{{.Peers 3 "calls" "votes"}},"lease_ms":1500,"election_ms":400}}`})
--- a/internal/dispatcher/fleet/harness/digest_monitor.go
+++ b/internal/dispatcher/fleet/harness/digest_monitor.go
@@ -40,7 +40,8 @@
 		}
 	}
 	_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
-	if err != nil || json.Unmarshal([]byte(text), &s) != nil || s.Keeper == nil || s.Keeper.Index == 0 { // it has no state yet
+	// A process that is not a raft node, or has no state yet, is passed over.
+	if err != nil || json.Unmarshal([]byte(text), &s) != nil || s.Keeper == nil || s.Keeper.Index == 0 {
 		return
 	}
 	m.mu.Lock()
@@ -50,14 +51,14 @@
 	}
 	at := s.Keeper.Index
 	m.lastIndex[p.Name] = at
-	if was := m.byIndex[at]; was == nil {
+	if previous := m.byIndex[at]; previous == nil {
 		m.byIndex[at] = s.Keeper.Digests
-	} else if !maps.Equal(was, s.Keeper.Digests) {
-		m.differences = append(m.differences, fmt.Sprintf("%s at %d: %v, before %v", p.Name, at, s.Keeper.Digests, was))
+	} else if !maps.Equal(previous, s.Keeper.Digests) {
+		m.differences = append(m.differences, fmt.Sprintf("%s at %d: %v, before %v", p.Name, at, s.Keeper.Digests, previous))
 	}
 }
 
-// WaitConverged waits until this many raft nodes report the same index, and returns all
+// WaitConverged waits until the given number of raft nodes report the same index, and returns all
 // differences that were seen.
 func (m *DigestMonitor) WaitConverged(r *Cluster, nodes int, until time.Time) ([]string, error) {
 	for time.Now().Before(until) {
@@ -72,10 +73,10 @@
 			return diff, nil
 		}
 	}
-	var said []string
+	var responses []string
 	for _, p := range r.Processes {
 		_, text, err := p.AdminRequest("GET", "/fleet", "", time.Now().Add(time.Second))
-		said = append(said, fmt.Sprintf("%s: %s (%v)", p.Name, text, err))
+		responses = append(responses, fmt.Sprintf("%s: %s (%v)", p.Name, text, err))
 	}
-	return nil, fmt.Errorf("%d keepers did not come to the same state: %v\n%s", nodes, m.lastIndex, strings.Join(said, "\n"))
+	return nil, fmt.Errorf("%d raft nodes did not reach the same index: %v\n%s", nodes, m.lastIndex, strings.Join(responses, "\n"))
 }
--- a/internal/dispatcher/fleet/harness/faults.go
+++ b/internal/dispatcher/fleet/harness/faults.go
@@ -18,9 +18,9 @@
 
 // Fault is a fault that lasts for a time.
 type Fault struct {
-	Start, Duration time.Duration // since the begin of Inject
+	Start, Duration time.Duration // Start is counted from the start of Inject
 	Kind            string
-	Process, Peer   int // index of a process
+	Process, Peer   int // indexes of processes; Peer is used by faults between two
 	Rate            int // of a rate limit, in bytes a second
 }
 
@@ -46,7 +46,7 @@
 // faultKind is how a kind of fault begins and ends.
 type faultKind struct {
 	pairwise      bool // it is between two processes; else it takes one out of service
-	affectsFolder bool // a directory is lost: no other process may be out of service, now or recently
+	affectsFolder bool // a process loses its directory: no other may be out of service, now or recently
 	begin, end    func(*Cluster, Fault) error
 }
 
@@ -57,7 +57,7 @@
 		var exit *exec.ExitError
 		err := r.target(f).Wait(time.Now().Add(transitionTimeout))
 		if errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGTERM {
-			err = nil // it had hardly begun, and did not listen for the signal yet
+			err = nil // it had just started, and did not handle the signal yet
 		}
 		return errors.Join(err, restart(r, f))
 	}},
@@ -103,9 +103,10 @@
 
 func restart(r *Cluster, f Fault) error { return r.target(f).Start() }
 
-// savedFolder is where a process's directory is kept while another one is in its place.
+// savedFolder returns the path at which a process's directory is saved while another replaces it.
 func savedFolder(r *Cluster, f Fault) string { return filepath.Join(r.target(f).Home, "aside") }
 
+// onLinksOf returns a function that applies do to all links from and to a fault's process.
 func onLinksOf(do func(*faultproxy.Proxy) error) func(*Cluster, Fault) error {
 	return func(r *Cluster, f Fault) (err error) {
 		for _, l := range r.LinksOf(f.Process) {
@@ -115,8 +116,9 @@
 	}
 }
 
-// linkFault is a fault of the links between two processes, whoever dials: what Process
-// sends to Peer flows forward on its own links, and backward on the other's.
+// linkFault returns a kind of fault of the links between two processes, in both dialing
+// directions: data from Process to Peer flows forward on the links that Process dials, and
+// backward on those that Peer dials.
 func linkFault(do func(*faultproxy.Proxy, Fault, faultproxy.Direction) error) faultKind {
 	each := func(r *Cluster, f Fault, do func(*faultproxy.Proxy, Fault, faultproxy.Direction) error) (err error) {
 		for _, l := range r.Links(f.Process, f.Peer) {
@@ -134,22 +136,22 @@
 
 // Durations of faults.
 const (
-	quietPeriod = 3 * time.Second // after a fault of a directory, in which no process is taken out of service
+	quietPeriod = 3 * time.Second // before and after a fault of a directory: no process is taken out of service
 	maxFault    = 4 * time.Second // of a fault
 )
 
-// RandomFaults draws faults of the named kinds, or of all kinds if none is named. The same
+// RandomFaults returns random faults of the named kinds, or of all kinds if none is named. The same
 // arguments give the same plan. No process has two faults at a time, and a majority is
 // always left: fewer than half are out of service at a time, and none while another loses
-// its directory, and for a while before and after. There must be at least two processes, of
-// which one may be out of service.
+// its directory, and for quietPeriod before and after. There must be at least two processes; of
+// two, one may be out of service.
 func RandomFaults(seed uint64, processes, steps int, of ...string) (all FaultPlan) {
 	if len(of) == 0 {
 		of = FaultKinds()
 	}
 	random := rand.New(rand.NewPCG(seed, 37))
-	busy := make([]time.Duration, processes) // until when
-	out := make([]time.Duration, processes)
+	busy := make([]time.Duration, processes) // by process, the end of its last fault
+	out := make([]time.Duration, processes)  // by process, the end of its last time out of service
 	calmUntil := time.Duration(0)
 	for at := time.Duration(0); len(all) < steps; {
 		at += 100*time.Millisecond + time.Duration(random.Int64N(int64(500*time.Millisecond)))
@@ -186,8 +188,8 @@
 	return all
 }
 
-// Inject injects faults at their times, and ends each. It returns what it could not do. If
-// the context ends early, it ends the faults that have begun.
+// Inject injects faults at their times, and ends each. It returns the errors of faults that
+// could not be injected or ended. If the context ends early, it ends the faults that have begun.
 func (c *Cluster) Inject(ctx context.Context, plan FaultPlan) (err error) {
 	type event struct {
 		at  time.Duration
@@ -202,7 +204,7 @@
 		events = append(events, event{f.Start, f, false}, event{f.Start + f.Duration, f, true})
 	}
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
-	back := make(map[Fault]func()) // of those that have begun
+	endOutages := make(map[Fault]func()) // of the faults that have begun
 	began := time.Now()
 	for _, e := range events {
 		t := time.NewTimer(time.Until(began.Add(e.at)))
@@ -211,21 +213,21 @@
 		case <-ctx.Done():
 			t.Stop()
 		}
-		k, isBack := faultKinds[e.f.Kind], back[e.f]
+		k, endOutage := faultKinds[e.f.Kind], endOutages[e.f]
 		do := k.end
 		switch {
 		case !e.end && ctx.Err() == nil:
-			if do, back[e.f] = k.begin, func() {}; !k.pairwise || k.affectsFolder {
-				back[e.f] = c.beginOutage(c.target(e.f))
+			if do, endOutages[e.f] = k.begin, func() {}; !k.pairwise || k.affectsFolder {
+				endOutages[e.f] = c.beginOutage(c.target(e.f))
 			}
-			isBack = func() {}
-		case isBack == nil:
+			endOutage = func() {}
+		case endOutage == nil:
 			continue
 		}
 		if failed := do(c, e.f); failed != nil {
 			err = errors.Join(err, fmt.Errorf("%v: %w", e.f, failed))
 		}
-		isBack()
+		endOutage()
 	}
 	return err
 }
--- a/internal/dispatcher/fleet/harness/history.go
+++ b/internal/dispatcher/fleet/harness/history.go
@@ -20,9 +20,9 @@
 // NewHistory returns an empty history, which begins now.
 func NewHistory() *History { return &History{start: time.Now()} }
 
-// Call records the start of an operation. The function that it returns records its result,
-// and is not called if nobody knows whether the operation took effect: it may have at any
-// time since its start.
+// Call records the start of an operation. The function that it returns records the result,
+// and is not called if it is unknown whether the operation took effect: it may then have done
+// so at any time since its start.
 func (h *History) Call(client int, input any) (answered func(output any)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,8 +36,8 @@
 	}
 }
 
-// Check checks whether the history is linearizable with respect to a model. It gives up at
-// a time.
+// Check checks whether the history is linearizable with respect to a model. It returns an
+// error if it has no result by a given time.
 func (h *History) Check(m porcupine.Model, until time.Time) error {
 	h.mu.Lock()
 	calls := append([]porcupine.Operation(nil), h.calls...)
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// LeaseCall asks for a lease by name, or renews the one with a fencing number.
+// LeaseCall requests a lease by name, or renews the one with a fencing token.
 type LeaseCall struct {
 	Name, Holder string
-	Fence        uint64 // 0: a grant is asked for
+	Fence        uint64 // the fencing token; 0: a grant is requested
 }
 
 // LeaseAnswer is the raft nodes' answer, with its fleet time.
@@ -64,7 +64,7 @@
 }
 
 // leaseState is a lease. If it is uncertain, an operation without an answer may have
-// changed its end, and raised its fencing number.
+// changed its end, and raised its fencing token.
 type leaseState struct {
 	holder    string
 	fence     uint64
@@ -72,9 +72,9 @@
 	uncertain bool
 }
 
-// LeaseModel is the model of leases by name. Fleet time never runs backward; no other
-// holder is granted a lease while it lasts; each grant has a greater fencing number; only
-// its holder renews it, with its number, before its end; a grant is refused only while the
+// LeaseModel returns the model of leases by name. Fleet time never runs backward; no other
+// holder is granted a lease while it lasts; each grant has a greater fencing token; only
+// its holder renews it, with its token, before its end; a grant is refused only while the
 // lease is held, and a renewal only while it is not.
 func LeaseModel() porcupine.Model {
 	return porcupine.Model{
@@ -112,38 +112,38 @@
 	}
 }
 
-// RunCall ends a plan run with an outcome, or asks for it with none. The result is a
-// string: the outcome that counts, or none.
+// RunCall ends a plan run with an outcome, or queries the outcome if Outcome is empty. The
+// result is a string: the effective outcome, or an empty one.
 type RunCall struct{ Run, Outcome string }
 
-// RunModel is the model of runs that end once: the first outcome counts, and everybody
-// later is told that one.
+// RunModel returns the model of runs that end once: the first outcome is the effective one, and
+// all later operations return it.
 func RunModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: partitionBy(func(in any) string { return in.(RunCall).Run }),
 		Init:      func() any { return "" },
 		Step: func(state, input, output any) (bool, any) {
-			counts, in := state.(string), input.(RunCall)
-			if counts == "" {
-				counts = in.Outcome
+			effective, in := state.(string), input.(RunCall)
+			if effective == "" {
+				effective = in.Outcome
 			}
 			out, ok := output.(string)
-			return !ok || out == counts, counts
+			return !ok || out == effective, effective
 		},
 	}
 }
 
-// partitionBy partitions a history by a key of its operations.
+// partitionBy returns a function that partitions a history by a key of its operations.
 func partitionBy(key func(input any) string) func([]porcupine.Operation) [][]porcupine.Operation {
 	return func(all []porcupine.Operation) (parts [][]porcupine.Operation) {
-		place := make(map[string]int)
+		index := make(map[string]int)
 		for _, o := range all {
 			k := key(o.Input)
-			if _, ok := place[k]; !ok {
-				place[k] = len(parts)
+			if _, ok := index[k]; !ok {
+				index[k] = len(parts)
 				parts = append(parts, nil)
 			}
-			parts[place[k]] = append(parts[place[k]], o)
+			parts[index[k]] = append(parts[index[k]], o)
 		}
 		return parts
 	}
--- a/internal/dispatcher/fleet/harness/process.go
+++ b/internal/dispatcher/fleet/harness/process.go
@@ -23,10 +23,10 @@
 	"basaltloft/internal/dispatcher/fakes"
 )
 
-// Process is one process of a cluster. It is also the data of its operator's file template:
-// {{.Name}}, {{.Folder}}, {{.Addr "calls"}} for an address of its own, {{.PeerAddr "n2"
-// "calls"}} for another's as this one reaches it, {{.Peers 3 "calls" "votes"}} for an
-// object of the first three by name, with both addresses of each.
+// Process is one process of a cluster. It is also the data of the template of its operator
+// file: {{.Name}}, {{.Folder}}, {{.Addr "calls"}} for one of its own addresses, {{.PeerAddr "n2"
+// "calls"}} for another process's address as this one reaches it, {{.Peers 3 "calls" "votes"}}
+// for an object of the first three processes by name, with both addresses of each.
 type Process struct {
 	Name, Home, Folder, Log string
 	Operator                string // the template; a change takes effect at the next start
@@ -41,27 +41,27 @@
 	linkAddrs       map[string]string
 	cmd             *exec.Cmd // nil: it does not run
 	exited          chan error
-	exitExpected    bool // to end
+	exitExpected    bool
 	unexpectedExits []string
 }
 
-// Addr returns one of its addresses, which it keeps over restarts: listen, admin, or any
-// other name.
+// Addr returns one of the process's addresses by name: listen, admin, or any other. An address
+// stays the same over restarts.
 func (p *Process) Addr(name string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.addrs[name] == "" {
 		addr, err := fakes.FreeAddr()
 		if err != nil {
-			panic(err) // no port at all: no test can go on
+			panic(err) // no port is free: no test can continue
 		}
 		p.addrs[name] = addr
 	}
 	return p.addrs[name]
 }
 
-// PeerAddr returns another process's address as this one reaches it, through a link. Its
-// own address has no link.
+// PeerAddr returns another process's address as this one reaches it, through a link. The
+// process's own address has no link.
 func (p *Process) PeerAddr(other, name string) (string, error) {
 	i := slices.IndexFunc(p.cluster.Processes, func(q *Process) bool { return q.Name == other })
 	if i < 0 {
@@ -80,7 +80,7 @@
 	return p.linkAddrs[at], err
 }
 
-// Peers returns the first processes with the named addresses of each, as JSON.
+// Peers returns a JSON object of the first processes by name, with the named addresses of each.
 func (p *Process) Peers(first int, names ...string) (string, error) {
 	peers := make(map[string]map[string]string)
 	for _, q := range p.cluster.Processes[:first] {
@@ -96,15 +96,15 @@
 	return string(text), err
 }
 
-// Start writes its files and starts it. It does nothing if it runs.
+// Start writes the process's files and starts it. If it already runs, Start does not start another.
 func (p *Process) Start() error {
 	var operator bytes.Buffer
 	if p.Operator != "" {
-		form, err := template.New("operator").Parse(p.Operator)
+		tmpl, err := template.New("operator").Parse(p.Operator)
 		if err != nil {
 			return err
 		}
-		if err := form.Execute(&operator, p); err != nil {
+		if err := tmpl.Execute(&operator, p); err != nil {
 			return err
 		}
 	}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// expectExit says that its exit is expected: it was given a directory that it must refuse.
+// expectExit marks the process's exit as expected: it was given a directory that it must refuse.
 func (p *Process) expectExit() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// WaitReady waits until it serves.
+// WaitReady waits until the process serves. It returns an error if the process exits before that.
 func (p *Process) WaitReady() error {
 	p.mu.Lock()
 	ended := p.exited
@@ -161,8 +161,8 @@
 	return demo.WaitReady(context.Background(), p.Addr("listen"), ended)
 }
 
-// AdminRequest sends a request to its admin API, and returns the status and body of the
-// response.
+// AdminRequest sends a request to the process's admin API, and returns the status and body of
+// the response.
 func (p *Process) AdminRequest(method, path, body string, until time.Time) (status int, text string, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
@@ -180,8 +180,8 @@
 	return resp.StatusCode, string(got), err
 }
 
-// WaitForAdmin requests a path of its admin API until the response matches a pattern, and
-// returns the match and its groups.
+// WaitForAdmin requests a path of the process's admin API until the response matches a pattern,
+// and returns the match and its groups.
 func (p *Process) WaitForAdmin(path, pattern string, until time.Time) ([]string, error) {
 	re, err := regexp.Compile("(?s)" + pattern)
 	if err != nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-// IsRunning reports whether it runs, or is stopped.
+// IsRunning reports whether the process has started and not exited; a frozen one counts as running.
 func (p *Process) IsRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// Wait waits for its exit, and returns the error of that. A second call after the exit
-// returns nil.
+// Wait waits for the process's exit, and returns the error of the exit. A second call after the
+// exit returns nil.
 func (p *Process) Wait(until time.Time) error {
 	p.mu.Lock()
 	ended := p.exited
@@ -245,7 +245,7 @@
 	}
 }
 
-// Kill kills it with SIGKILL, even when it is stopped, and waits for its exit.
+// Kill sends SIGKILL, which also ends a frozen process, and waits for the exit.
 func (p *Process) Kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// Freeze stops it with SIGSTOP, and returns once all its threads have stopped.
+// Freeze stops the process with SIGSTOP, and returns once all its threads have stopped.
 func (p *Process) Freeze() error {
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -270,7 +270,7 @@
 	return nil
 }
 
-// isStopped reports whether none of its threads can run.
+// isStopped reports whether none of the process's threads can run.
 func (p *Process) isStopped() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -287,7 +287,7 @@
 	return true
 }
 
-// Thaw ends Freeze.
+// Thaw sends SIGCONT, so that a process stopped by Freeze continues.
 func (p *Process) Thaw() error { return p.signal(syscall.SIGCONT) }
 
 // Terminate sends SIGTERM; Wait waits for the exit.
@@ -298,7 +298,8 @@
 	return errors.Join(os.RemoveAll(p.Folder), os.MkdirAll(p.Folder, 0o700))
 }
 
-// CopyFolder copies its directory as it is at one moment, for which it is stopped.
+// CopyFolder copies the process's directory. The process is stopped meanwhile, so that the copy
+// shows one moment.
 func (p *Process) CopyFolder(to string) error {
 	err := p.Freeze()
 	if err == nil {
@@ -312,7 +313,7 @@
 	return errors.Join(os.RemoveAll(p.Folder), os.CopyFS(p.Folder, os.DirFS(from)))
 }
 
-// CPU returns the processor time that it has used so far, from /proc.
+// CPU returns the processor time that the process has used so far, from /proc.
 func (p *Process) CPU() (time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -327,7 +328,7 @@
 	var user, system int64
 	fields := bytes.Fields(rest)
 	if len(fields) < 13 {
-		return 0, fmt.Errorf("/proc tells %q of %s", text, p.Name)
+		return 0, fmt.Errorf("too few fields in the /proc stat file: %q, process %s", text, p.Name)
 	}
 	if _, err := fmt.Sscan(string(fields[11])+" "+string(fields[12]), &user, &system); err != nil {
 		return 0, err
--- a/internal/dispatcher/fleet/harness/retention_monitor.go
+++ b/internal/dispatcher/fleet/harness/retention_monitor.go
@@ -14,9 +14,9 @@
 // RetentionMonitor watches which records the fleet keeps of a tenant whose rule prunes
 // them, and compares those of other tenants with the clients' answers at the end.
 type RetentionMonitor struct {
-	PrunedTenant string   // the tenant with a rule
-	KeptTenants  []string // tenants without one; at least one
-	Lag          time.Duration
+	PrunedTenant string        // the tenant with a retention rule
+	KeptTenants  []string      // tenants without a retention rule; at least one
+	Lag          time.Duration // how long before an outage answers may lose their records
 	removed      map[string]bool
 	present      map[string]bool
 	resurrected  []string
@@ -24,7 +24,7 @@
 	extra        []string
 }
 
-// list returns the ids of all records of a tenant, by pages.
+// list returns the ids of all records of a tenant, which it reads page by page.
 func (m *RetentionMonitor) list(r *Cluster, tenant string, until time.Time) (ids []string, err error) {
 	after := ""
 	for {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Watch observes which records come and go until the context ends. It is for
+// Watch observes which records appear and disappear until the context ends. It is for
 // Soak.Background.
 func (m *RetentionMonitor) Watch(ctx context.Context, r *Cluster) {
 	m.removed, m.present = make(map[string]bool), make(map[string]bool)
@@ -79,23 +79,22 @@
 	m.present = now
 }
 
-// WaitRecorded has a process answer one more call, and waits until every process shows the
-// record of it. A process's records reach the fleet in the order of its answers, so the fleet
-// then has those of all answers that the process gave before this call was sent. (That its
-// spool has nothing unsent does not say so: a record that waits to be written is not counted
-// there.)
+// WaitRecorded sends one more call to a process, and waits until every process shows its record.
+// A process's records reach the fleet in the order of its answers, so the fleet then has those
+// of all answers that the process gave before this call was sent. A spool with nothing unsent
+// does not imply this, as a record that waits to be written is not counted there.
 func (c *Cluster) WaitRecorded(p *Process, tenant, id string, until time.Time) error {
 	if err := p.sendCall(tenant, id, until); err != nil {
 		return fmt.Errorf("%s does not answer call %s: %w", p.Name, id, err)
 	}
-	for _, asked := range c.Processes {
+	for _, q := range c.Processes {
 		for {
-			status, text, err := asked.AdminRequest(http.MethodGet, "/records/"+id, "", until)
+			status, text, err := q.AdminRequest(http.MethodGet, "/records/"+id, "", until)
 			if err == nil && status == http.StatusOK {
 				break
 			}
 			if time.Now().After(until) {
-				return errors.Join(fmt.Errorf("%s does not show the record of %s's call %s: %d %s", asked.Name, p.Name, id, status, text), err)
+				return errors.Join(fmt.Errorf("%s does not show the record of %s's call %s: %d %s", q.Name, p.Name, id, status, text), err)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -131,10 +130,10 @@
 // and every spool is empty, and compares the records with the clients' calls. What a process
 // answered within Lag before an outage may be lost with it.
 func (m *RetentionMonitor) Check(r *Cluster) error {
-	asked := make(map[string]bool) // further calls than those of the clients
+	requested := make(map[string]bool) // ids of the calls of this check and of the clients
 	for _, p := range r.Processes {
 		id, until := "last-"+p.Name, time.Now().Add(2*transitionTimeout)
-		asked[id] = true
+		requested[id] = true
 		if err := r.WaitRecorded(p, m.KeptTenants[0], id, until); err != nil {
 			return err
 		}
@@ -143,7 +142,7 @@
 		}
 	}
 	for _, c := range r.Calls() {
-		asked[c.ID] = true
+		requested[c.ID] = true
 	}
 	for _, tenant := range m.KeptTenants {
 		ids, err := m.list(r, tenant, time.Now().Add(transitionTimeout))
@@ -160,7 +159,7 @@
 			}
 		}
 		for id, n := range got {
-			if n > 1 || !asked[id] && !strings.HasPrefix(id, "plan-") {
+			if n > 1 || !requested[id] && !strings.HasPrefix(id, "plan-") {
 				m.extra = append(m.extra, id)
 			}
 		}
--- a/internal/dispatcher/fleet/harness/soak.go
+++ b/internal/dispatcher/fleet/harness/soak.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Soak is load with injected faults, for a time.
+// Soak configures a soak test: load with injected faults, for a time.
 type Soak struct {
 	Settings
 	FaultKinds []string                          // kinds of faults; none: all
@@ -28,8 +28,8 @@
 	Find       func(*Cluster) ([]string, error) // nil: it is reported as not counted
 }
 
-// SoakChecks returns the checks of a soak of any processes. Checks of what only some fleets
-// have are added by name.
+// SoakChecks returns the checks of a soak. Those that only some fleets support are reported as
+// not counted unless more has a function under their name.
 func SoakChecks(more map[string]func(*Cluster) ([]string, error)) []SoakCheck {
 	all := []SoakCheck{
 		{"overspends", true, nil},
@@ -42,11 +42,11 @@
 			return UnfoundedAnswers(r.Calls(), r.RunLog.Arrivals(), demo.AtMostOnce), nil
 		}},
 		{"calls lost", true, func(r *Cluster) ([]string, error) { return r.LostCalls(), nil }},
-		{"processes that ended by themselves", true, func(r *Cluster) (died []string, _ error) {
+		{"processes that ended by themselves", true, func(r *Cluster) (exits []string, _ error) {
 			for _, p := range r.Processes {
-				died = append(died, p.UnexpectedExits()...)
+				exits = append(exits, p.UnexpectedExits()...)
 			}
-			return died, nil
+			return exits, nil
 		}},
 		{"records missing", true, nil},
 		{"extra", true, nil},
@@ -54,8 +54,8 @@
 		{"digests that differed", true, nil},
 	}
 	for i := range all {
-		if of := more[all[i].Name]; of != nil {
-			all[i].Find = of
+		if find := more[all[i].Name]; find != nil {
+			all[i].Find = find
 		}
 	}
 	return all
@@ -78,8 +78,8 @@
 	return all
 }
 
-// Run runs load with faults that end within a time, and returns a summary. It fails the
-// test for each check that must be zero and isn't.
+// Run runs load with faults that end within length, and returns a summary. It fails the test
+// for each check that must be zero and isn't.
 func (s Soak) Run(t testing.TB, length time.Duration) string {
 	t.Helper()
 	plan := RandomFaults(s.Load.Seed, s.Processes, int(length/(100*time.Millisecond)), s.FaultKinds...)
@@ -90,8 +90,8 @@
 	r.StartClients()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	for _, beside := range s.Background {
-		r.clients.Go(func() { beside(ctx, r) })
+	for _, background := range s.Background {
+		r.clients.Go(func() { background(ctx, r) })
 	}
 	require.NoError(t, r.Inject(ctx, plan))
 	stop()
