--- a/internal/dispatcher/fleet/fleet_test.go
+++ b/internal/dispatcher/fleet/fleet_test.go
@@ -22,33 +22,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// section is a fleet of three raft nodes and any number of others; %s are its budgets
-// and what else it has.
-const section = `{"fleet":{"name":"{{.Name}}","folder":"{{.Folder}}",
+// operatorFile is the template of the operator file of a fleet of three raft nodes and any
+// number of other processes; %s is replaced by its budgets and further settings.
+const operatorFile = `{"fleet":{"name":"{{.Name}}","folder":"{{.Folder}}",
 {{if le .Name "n3"}}"calls":"{{.Addr "calls"}}","votes":"{{.Addr "votes"}}",{{end}}
 "keepers":{{.Peers 3 "calls" "votes"}},"lease_ms":1500,"election_ms":400,"compare_every_ms":500%s}}`
 
-// logs are further arguments of the processes.
-var logs = strings.Fields(os.Getenv("BASALTLOFT_ARGS"))
+// extraArgs are further arguments of the processes.
+var extraArgs = strings.Fields(os.Getenv("BASALTLOFT_ARGS"))
 
-func found(t *testing.T, processes int, load demo.Load, more string) *harness.Cluster {
+// startFleet starts a fleet with a load and further settings of its operator file.
+func startFleet(t *testing.T, processes int, load demo.Load, more string) *harness.Cluster {
 	t.Helper()
-	return foundWith(t, harness.Settings{Processes: processes, Load: load}, more)
+	return startFleetWith(t, harness.Settings{Processes: processes, Load: load}, more)
 }
 
-func foundWith(t *testing.T, s harness.Settings, more string) *harness.Cluster {
+func startFleetWith(t *testing.T, s harness.Settings, more string) *harness.Cluster {
 	t.Helper()
-	s.Operator, s.Args = fmt.Sprintf(section, more), logs
+	s.Operator, s.Args = fmt.Sprintf(operatorFile, more), extraArgs
 	r := harness.New(t, s)
 	r.Start()
 	for _, p := range r.Processes {
-		joined(t, p)
+		waitJoined(t, p)
 	}
 	return r
 }
 
-// ask calls a process's admin API.
-func ask(p *harness.Process, method, path, body string) (status int, answer string) {
+// adminRequest sends a request to a process's admin API.
+func adminRequest(p *harness.Process, method, path, body string) (status int, answer string) {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+p.Addr("admin")+path, strings.NewReader(body)) // the client has a timeout
 	if err != nil {
 		return 0, err.Error()
@@ -74,56 +75,57 @@
 	}
 }
 
-func stands(p *harness.Process) (s status, err error) {
-	code, text := ask(p, http.MethodGet, "/fleet", "")
+func fleetStatus(p *harness.Process) (s status, err error) {
+	code, text := adminRequest(p, http.MethodGet, "/fleet", "")
 	if code != http.StatusOK {
 		return s, fmt.Errorf("%d %s", code, text)
 	}
 	return s, json.Unmarshal([]byte(text), &s)
 }
 
-// joined waits until a process has a lease.
-func joined(t *testing.T, p *harness.Process) {
+// waitJoined waits until a process has a lease.
+func waitJoined(t *testing.T, p *harness.Process) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		s, err := stands(p)
+		s, err := fleetStatus(p)
 		return err == nil && s.Incarnation > 0 && s.Renewed >= 0
 	}, 40*time.Second, 20*time.Millisecond, "%s joins", p.Name)
 }
 
-// leader waits for one, and tells its place.
-func leader(t *testing.T, r *harness.Cluster) (place int) {
+// waitLeader waits until the raft nodes have a leader, and returns its index.
+func waitLeader(t *testing.T, r *harness.Cluster) (index int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for i, p := range r.Processes[:3] {
 			if !p.IsRunning() {
 				continue
 			}
-			if s, err := stands(p); err == nil && s.Keeper != nil && s.Keeper.Leads {
-				place = i
+			if s, err := fleetStatus(p); err == nil && s.Keeper != nil && s.Keeper.Leads {
+				index = i
 				return true
 			}
 		}
 		return false
-	}, 40*time.Second, 20*time.Millisecond, "a keeper leads")
-	return place
+	}, 40*time.Second, 20*time.Millisecond, "a raft node leads")
+	return index
 }
 
-// served waits until so many more tries are served.
-func served(t *testing.T, r *harness.Cluster, more int64) {
+// waitServed waits until the given number of further attempts are served.
+func waitServed(t *testing.T, r *harness.Cluster, more int64) {
 	t.Helper()
 	from := r.Answers.Served.Load()
 	require.Eventually(t, func() bool { return r.Answers.Served.Load() >= from+more }, 40*time.Second, 10*time.Millisecond, "%d more are served", more)
 }
 
-// alike waits until the raft nodes that run have the same state to the byte.
-func alike(t *testing.T, r *harness.Cluster) {
+// waitSameState waits until the raft nodes are at the same log index, and checks that their digests
+// are equal there.
+func waitSameState(t *testing.T, r *harness.Cluster) {
 	t.Helper()
 	var last []status
 	require.Eventually(t, func() bool {
 		last = nil
 		for _, p := range r.Processes[:3] {
-			s, err := stands(p)
+			s, err := fleetStatus(p)
 			if err != nil || s.Keeper == nil {
 				return false
 			}
@@ -141,33 +143,33 @@
 	}, 40*time.Second, 5*time.Millisecond, "%+v", last)
 }
 
-// TestBudgetThroughFaults: whatever happens to the processes and the links between
-// them, they admit together no more than the whole, and go on admitting.
+// TestBudgetThroughFaults checks that the processes together admit no more than the budget's total,
+// and continue to admit, while processes are killed or frozen and links fail.
 func TestBudgetThroughFaults(t *testing.T) {
 	const rate, burst = 40, 12
 	budgets := fmt.Sprintf(`,"budgets":[{"of":"jobs","name":%q,"whole":%d,"burst":%d}]`, demo.Tenants[0], rate, burst)
-	r := found(t, 5, demo.Load{Rate: 300, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 7}, budgets)
+	r := startFleet(t, 5, demo.Load{Rate: 300, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 7}, budgets)
 	r.StartClients()
-	served(t, r, 100)
-	lead := leader(t, r)
+	waitServed(t, r, 100)
+	lead := waitLeader(t, r)
 	require.NoError(t, r.Processes[lead].Kill())
-	served(t, r, 100)
+	waitServed(t, r, 100)
 	holder := r.Processes[4]
 	require.NoError(t, holder.Freeze())
 	time.Sleep(2 * time.Second) // the fault itself: frozen for longer than a lease
 	require.NoError(t, holder.Thaw())
 	require.NoError(t, r.Processes[lead].WipeFolder())
 	require.NoError(t, r.Processes[lead].Start())
-	served(t, r, 100)
-	for _, l := range r.Links(3, leader(t, r)) { // its renewals arrive; their answers do not
+	waitServed(t, r, 100)
+	for _, l := range r.Links(3, waitLeader(t, r)) { // its renewals arrive; their answers do not
 		l.DropOneWay(faultproxy.Backward)
 	}
-	served(t, r, 200)
+	waitServed(t, r, 200)
 	for _, l := range r.LinksOf(3) {
 		_ = l.Heal()
 	}
-	joined(t, r.Processes[lead])
-	served(t, r, 100)
+	waitJoined(t, r.Processes[lead])
+	waitServed(t, r, 100)
 	r.StopClients()
 	for _, p := range r.Processes {
 		require.Empty(t, p.UnexpectedExits(), p.Name)
@@ -177,11 +179,11 @@
 	require.LessOrEqual(t, over, 0.0, "overspent in the %s from %s", window.End.Sub(window.Start), window.Start)
 	require.Greater(t, len(spans), 100, "the tenant with a budget is served")
 	require.Empty(t, r.RunLog.RunTwice())
-	alike(t, r)
+	waitSameState(t, r)
 }
 
-// bookings is a plan of three stages; its ticket must never run twice. The sid of each
-// job is what it is for, over all attempts.
+// bookings is a plan of three stages; its ticket must never run twice. The sid of each job
+// identifies the job over all attempts.
 const bookings = `
 plan "booking" {
   within   = "6m" # the worst case of the check; each run asks for less
@@ -230,52 +232,53 @@
 }
 `
 
-// begin begins a run at some process, asking again elsewhere until it is known to have
-// begun.
-func begin(t *testing.T, r *harness.Cluster, at int, run string) {
+// startRun starts a run at one process, and repeats the request at the next ones until one has
+// confirmed the start.
+func startRun(t *testing.T, r *harness.Cluster, at int, run string) {
 	t.Helper()
 	input := fmt.Sprintf(`{"booking":%q,"seats":[1,2,3]}`, run)
 	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); at++ {
 		p := r.Processes[at%len(r.Processes)]
-		if code, _ := ask(p, http.MethodPost, "/plans/booking?within_ms=25000&tenant="+demo.Tenants[0]+"&run="+run, input); code == http.StatusAccepted || code == http.StatusOK {
+		if code, _ := adminRequest(p, http.MethodPost, "/plans/booking?within_ms=25000&tenant="+demo.Tenants[0]+"&run="+run, input); code == http.StatusAccepted || code == http.StatusOK {
 			return
 		}
 	}
 	t.Fatalf("run %s could not be begun", run)
 }
 
-// ends asks each process for the final answers of runs until all have one.
-func ends(t *testing.T, r *harness.Cluster, runs []string) (all []harness.FinalAnswer) {
+// finalAnswers returns the final answers of runs, for which it waits: of all runs at the first
+// process, and of the first two at each other process.
+func finalAnswers(t *testing.T, r *harness.Cluster, runs []string) (all []harness.FinalAnswer) {
 	t.Helper()
 	for i, p := range r.Processes {
 		for _, run := range runs {
 			require.Eventually(t, func() bool {
-				code, text := ask(p, http.MethodGet, "/runs/"+run, "")
+				code, text := adminRequest(p, http.MethodGet, "/runs/"+run, "")
 				if code == http.StatusOK {
 					all = append(all, harness.FinalAnswer{ID: run, Text: text})
 				}
 				return code == http.StatusOK
-			}, 60*time.Second, 20*time.Millisecond, "%s tells the end of %s", p.Name, run)
+			}, 60*time.Second, 20*time.Millisecond, "%s reports the outcome of %s", p.Name, run)
 			if i > 0 && run > runs[0] {
-				break // one is enough of each other process
+				break // two are enough at each other process
 			}
 		}
 	}
 	return all
 }
 
-// TestPlansThroughFaults: coordinators are killed, frozen and cut off while their plans
-// run. Each plan ends once, with one answer whoever is asked; no ticket runs twice.
+// TestPlansThroughFaults kills, freezes and terminates coordinators while their plans run. Each
+// plan must end once, with the same answer at every process; no ticket runs twice.
 func TestPlansThroughFaults(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	file := filepath.Join(t.TempDir(), "plans.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(bookings), 0o600))
-	r := found(t, 5, demo.Load{Members: 6, Slots: 8, RunTime: 60 * time.Millisecond, Seed: 11, Faults: fakes.Faults{Reject: 0.1}},
+	r := startFleet(t, 5, demo.Load{Members: 6, Slots: 8, RunTime: 60 * time.Millisecond, Seed: 11, Faults: fakes.Faults{Reject: 0.1}},
 		fmt.Sprintf(`,"plans":[%q]`, file))
 	var runs []string
 	more := func(n int) {
 		for range n {
 			run := fmt.Sprintf("b%03d", len(runs))
-			begin(t, r, len(runs), run)
+			startRun(t, r, len(runs), run)
 			runs = append(runs, run)
 		}
 	}
@@ -284,30 +287,30 @@
 	more(10)
 	require.NoError(t, r.Processes[3].Freeze())
 	more(6)
-	time.Sleep(2 * time.Second) // the fault itself: others take its plans over meanwhile
+	time.Sleep(2 * time.Second) // the fault itself: other processes take over its plans meanwhile
 	require.NoError(t, r.Processes[3].Thaw())
-	joined(t, r.Processes[3])
+	waitJoined(t, r.Processes[3])
 	more(6)
-	require.NoError(t, r.Processes[3].Terminate()) // it ends in order, and leaves its plans to others
+	require.NoError(t, r.Processes[3].Terminate()) // it shuts down and leaves its plans to others
 	require.NoError(t, r.Processes[3].Wait(time.Now().Add(15*time.Second)))
 	require.NoError(t, r.Processes[3].Start())
-	lead := leader(t, r)
+	lead := waitLeader(t, r)
 	more(6)
 	require.NoError(t, r.Processes[lead].Kill())
 	require.NoError(t, r.Processes[lead].WipeFolder())
 	more(6)
 	require.NoError(t, r.Processes[lead].Start())
 	require.NoError(t, r.Processes[4].Start())
-	joined(t, r.Processes[lead])
-	joined(t, r.Processes[4])
+	waitJoined(t, r.Processes[lead])
+	waitJoined(t, r.Processes[4])
 	more(4)
-	told := harness.CompareOutcomes(runs, ends(t, r, runs))
-	require.Empty(t, told.Never)
-	require.Empty(t, told.Contradictory)
+	results := harness.CompareOutcomes(runs, finalAnswers(t, r, runs))
+	require.Empty(t, results.Never)
+	require.Empty(t, results.Contradictory)
 	require.Empty(t, harness.RunTwice(r.RunLog.Arrivals(), demo.AtMostOnce), "no ticket twice")
 	outcomes := map[string]int{}
 	for _, run := range runs {
-		_, text := ask(r.Processes[0], http.MethodGet, "/runs/"+run, "")
+		_, text := adminRequest(r.Processes[0], http.MethodGet, "/runs/"+run, "")
 		var a struct{ Outcome, Stage, End, Reason string }
 		require.NoError(t, json.Unmarshal([]byte(text), &a))
 		outcomes[a.Outcome]++
@@ -317,11 +320,11 @@
 		t.Log(run, text)
 	}
 	require.Greater(t, outcomes["served"], len(runs)/2, "%v", outcomes)
-	alike(t, r)
+	waitSameState(t, r)
 }
 
-// coach shares a price list among its seats; each seat that was given an older one than
-// the members have says so.
+// coach is a plan in which all seats use one price list; a seat that gets a list older than the
+// members' reports it as stale.
 const coach = `
 plan "coach" {
   within   = "20m"
@@ -356,21 +359,21 @@
 }
 `
 
-// TestFiftyLoseOneOutput: fifty jobs on many members report at once that what they were
-// given is stale, while the raft nodes' leader is killed. It is made anew once, for all.
+// TestFiftyLoseOneOutput checks that a stage's output is produced again only once when fifty jobs
+// on many members report it as stale at the same time, while the raft leader is killed.
 func TestFiftyLoseOneOutput(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plans.hcl")
 	require.NoError(t, os.WriteFile(file, []byte(coach), 0o600))
 	var lists, stale atomic.Int64
-	some := make(chan struct{}) // closed once some have reported
-	r := foundWith(t, harness.Settings{Processes: 4, Load: demo.Load{Members: 8, Slots: 8, RunTime: 20 * time.Millisecond, Seed: 3},
+	someReported := make(chan struct{}) // closed once ten jobs have reported
+	r := startFleetWith(t, harness.Settings{Processes: 4, Load: demo.Load{Members: 8, Slots: 8, RunTime: 20 * time.Millisecond, Seed: 3},
 		MemberAnswer: func(class, _ string, body []byte) (string, string) {
 			switch {
 			case class == "send-notice":
 				return "done", fmt.Sprintf(`{"list":%d}`, lists.Add(1))
 			case strings.Contains(string(body), `"list":1`):
 				if stale.Add(1) == 10 {
-					close(some)
+					close(someReported)
 				}
 				return "failed", `{"stale":"prices"}`
 			}
@@ -382,26 +385,27 @@
 	}
 	text, err := json.Marshal(map[string]any{"booking": "c1", "seats": seats})
 	require.NoError(t, err)
-	code, answer := ask(r.Processes[3], http.MethodPost, "/plans/coach?run=c1&within_ms=60000&tenant="+demo.Tenants[0], string(text))
+	code, answer := adminRequest(r.Processes[3], http.MethodPost, "/plans/coach?run=c1&within_ms=60000&tenant="+demo.Tenants[0], string(text))
 	require.Equal(t, http.StatusAccepted, code, answer)
-	<-some
-	require.NoError(t, r.Processes[leader(t, r)].Kill())
+	<-someReported
+	require.NoError(t, r.Processes[waitLeader(t, r)].Kill())
 	var a struct {
 		Outcome  string
 		Attempts int
 	}
 	require.Eventually(t, func() bool {
-		code, answer = ask(r.Processes[3], http.MethodGet, "/runs/c1", "")
+		code, answer = adminRequest(r.Processes[3], http.MethodGet, "/runs/c1", "")
 		return code == http.StatusOK
 	}, 60*time.Second, 20*time.Millisecond)
 	require.NoError(t, json.Unmarshal([]byte(answer), &a))
 	require.Equal(t, "served", a.Outcome, answer)
-	require.EqualValues(t, 2, lists.Load(), "the list was made anew once for fifty reports")
+	require.EqualValues(t, 2, lists.Load(), "the list was produced again once for fifty reports")
 	t.Logf("%d attempts", a.Attempts)
 }
 
-// kept are all records of a tenant, by pages of a process's admin API.
-func kept(t *testing.T, p *harness.Process, tenant string) (ids []string, ordinary int) {
+// listRecords returns the ids of all records of a tenant, which it reads page by page from a
+// process's admin API, and the number of those that are neither tickets nor failures.
+func listRecords(t *testing.T, p *harness.Process, tenant string) (ids []string, ordinary int) {
 	t.Helper()
 	after := ""
 	for {
@@ -410,7 +414,7 @@
 			Next    string
 		}
 		require.Eventually(t, func() bool {
-			code, text := ask(p, http.MethodGet, "/records?most=200&tenant="+tenant+"&after="+after, "")
+			code, text := adminRequest(p, http.MethodGet, "/records?most=200&tenant="+tenant+"&after="+after, "")
 			return code == http.StatusOK && json.Unmarshal([]byte(text), &page) == nil
 		}, 20*time.Second, 20*time.Millisecond)
 		for _, r := range page.Records {
@@ -424,46 +428,46 @@
 	}
 }
 
-// recorded has a process answer one more call, and waits until the fleet has the record of it
-// and of all that the process answered before.
-func recorded(t *testing.T, r *harness.Cluster, p *harness.Process, id string) {
+// waitRecorded sends one more call to a process, and waits until the fleet has the record of it
+// and of all calls that the process answered before.
+func waitRecorded(t *testing.T, r *harness.Cluster, p *harness.Process, id string) {
 	t.Helper()
 	require.NoError(t, r.WaitRecorded(p, demo.Tenants[0], id, time.Now().Add(60*time.Second)))
 }
 
-// TestRecordsThroughFaults: each final answer leaves one record, through a killed
-// process that ships its spool when it is back, and a leader that is frozen for a while;
-// what is beyond a tenant's rule is cut, what is held is not.
+// TestRecordsThroughFaults checks that each final answer leaves one record, although a process is
+// killed and ships its spool after its restart, and the leader is frozen for a while. Records
+// beyond the limit of a tenant's retention rule are pruned, except those under a hold.
 func TestRecordsThroughFaults(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	const most = 50
 	rules := fmt.Sprintf(`,"records":{"tenants":{%q:{"count":%d},"*":{"days":30}}}`, demo.Tenants[2], most)
-	r := found(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 21}, rules)
-	code, text := ask(r.Processes[0], http.MethodPost, "/holds/case-1?tenant="+demo.Tenants[2]+"&class=group-ticket&owner=desk&reason=a+complaint", "")
+	r := startFleet(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 5 * time.Millisecond, Seed: 21}, rules)
+	code, text := adminRequest(r.Processes[0], http.MethodPost, "/holds/case-1?tenant="+demo.Tenants[2]+"&class=group-ticket&owner=desk&reason=a+complaint", "")
 	require.Equal(t, http.StatusOK, code, text)
 	r.StartClients()
-	served(t, r, 150)
-	// What it answers from here on may be lost with it: no answer waits for its record.
+	waitServed(t, r, 150)
+	// Records of answers from here on may be lost with the process: no answer waits for its record.
 	kill := harness.Span{Start: time.Now()}
 	last := []string{"before-kill"}
-	recorded(t, r, r.Processes[3], last[0])
+	waitRecorded(t, r, r.Processes[3], last[0])
 	require.NoError(t, r.Processes[3].Kill())
 	kill.End = time.Now()
-	served(t, r, 100)
+	waitServed(t, r, 100)
 	require.NoError(t, r.Processes[3].Start())
-	joined(t, r.Processes[3])
-	lead := leader(t, r)
+	waitJoined(t, r.Processes[3])
+	lead := waitLeader(t, r)
 	require.NoError(t, r.Processes[lead].Freeze())
 	time.Sleep(2 * time.Second) // the fault itself
 	require.NoError(t, r.Processes[lead].Thaw())
-	served(t, r, 150)
+	waitServed(t, r, 150)
 	r.StopClients()
-	// All that is spooled is shipped. What still waits to be spooled is not counted as unsent.
+	// All spooled records are shipped. Records that still wait to be spooled are not counted as unsent.
 	for _, p := range r.Processes {
 		id := "last-" + p.Name
-		recorded(t, r, p, id)
+		waitRecorded(t, r, p, id)
 		last = append(last, id)
 		require.Eventually(t, func() bool {
-			code, text := ask(p, http.MethodGet, "/fleet", "")
+			code, text := adminRequest(p, http.MethodGet, "/fleet", "")
 			var s struct {
 				Spool struct{ Unsent, Dropped, Lost int }
 			}
@@ -488,97 +492,99 @@
 				tickets = append(tickets, c.ID)
 			}
 		}
-		got, _ := kept(t, r.Processes[1], tenant)
+		got, _ := listRecords(t, r.Processes[1], tenant)
 		missing, extra, back := harness.CompareRecords(want, nil, got)
 		extra = slices.DeleteFunc(extra, func(id string) bool { return slices.Contains(spared, id) })
 		if i != 2 {
 			require.Empty(t, missing, "%s", tenant)
 			require.Empty(t, back)
-			require.LessOrEqual(t, len(extra), 20, "only what had no answer that arrived") // answered, and the link or process gone
+			require.LessOrEqual(t, len(extra), 20, "only records of calls whose answer was lost with a link or process")
 			continue
 		}
 		missing, _, _ = harness.CompareRecords(tickets, nil, got)
-		require.Empty(t, missing, "what is held is kept")
-		require.Greater(t, len(want)-len(tickets), 2*most, "there is something to cut")
+		require.Empty(t, missing, "records under a hold are kept")
+		require.Greater(t, len(want)-len(tickets), 2*most, "there are records to prune")
 		require.Eventually(t, func() bool {
-			_, ordinary := kept(t, r.Processes[1], tenant)
+			_, ordinary := listRecords(t, r.Processes[1], tenant)
 			return ordinary <= most
-		}, 20*time.Second, 100*time.Millisecond, "the rest is cut")
+		}, 20*time.Second, 100*time.Millisecond, "the other records are pruned")
 	}
-	alike(t, r)
+	waitSameState(t, r)
 }
 
-// TestPlacesThroughFaults: no more jobs are under way at the members than the whole,
-// though a process dies with some of its own, and all are rolled one by one.
-func TestPlacesThroughFaults(t *testing.T) {
+// TestInFlightBudgetThroughFaults checks that the jobs in flight at the members never exceed the
+// budget's total, although a process is killed three times with jobs in flight, and all
+// processes are restarted one by one.
+func TestInFlightBudgetThroughFaults(t *testing.T) {
 	const whole = 10
 	budgets := fmt.Sprintf(`,"budgets":[{"of":"under_way","name":"std","whole":%d,"linger_ms":25000}]`, whole)
-	r := found(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 80 * time.Millisecond, Seed: 17}, budgets)
+	r := startFleet(t, 4, demo.Load{Rate: 150, Members: 6, Slots: 8, RunTime: 80 * time.Millisecond, Seed: 17}, budgets)
 	r.StartClients()
-	served(t, r, 100)
-	for range 3 { // comes, takes a share and dies
+	waitServed(t, r, 100)
+	for range 3 { // the process has a share when it is killed
 		require.NoError(t, r.Processes[3].Kill())
-		served(t, r, 20)
+		waitServed(t, r, 20)
 		require.NoError(t, r.Processes[3].Start())
-		joined(t, r.Processes[3])
+		waitJoined(t, r.Processes[3])
 	}
 	for _, p := range r.Processes {
 		require.NoError(t, p.Terminate())
-		require.NoError(t, p.Wait(time.Now().Add(40*time.Second)), "%s ends in order", p.Name)
+		require.NoError(t, p.Wait(time.Now().Add(40*time.Second)), "%s shuts down", p.Name)
 		require.NoError(t, p.Start())
-		joined(t, p)
-		served(t, r, 20)
+		waitJoined(t, p)
+		waitServed(t, r, 20)
 	}
 	r.StopClients()
 	most := harness.MaxConcurrent(harness.Spans(r.RunLog.Arrivals(), nil))
 	require.LessOrEqual(t, most, whole)
-	require.Greater(t, most, whole/2, "the whole is used")
+	require.Greater(t, most, whole/2, "the budget is used")
 	require.Empty(t, r.RunLog.RunTwice())
-	alike(t, r)
+	waitSameState(t, r)
 }
 
-// TestReplicaAwayThroughCuts: a raft node is down while records are cut three times and
-// the rule is changed. Back, it has what the others have, and nothing that was cut.
-func TestReplicaAwayThroughCuts(t *testing.T) {
+// TestReplicaDownThroughPruning keeps a raft node down while records are pruned three times and
+// the retention rule is changed. After its restart it must have the same records as the others,
+// and none that was pruned.
+func TestReplicaDownThroughPruning(t *testing.T) {
 	rules := func(revision, count int) string {
 		return fmt.Sprintf(`,"revision":%d,"records":{"tenants":{"*":{"count":%d}}}`, revision, count)
 	}
-	r := found(t, 4, demo.Load{Rate: 200, Members: 6, Slots: 8, RunTime: 2 * time.Millisecond, Seed: 5}, rules(1, 40))
+	r := startFleet(t, 4, demo.Load{Rate: 200, Members: 6, Slots: 8, RunTime: 2 * time.Millisecond, Seed: 5}, rules(1, 40))
 	r.StartClients()
-	served(t, r, 200)
-	lead := leader(t, r)
+	waitServed(t, r, 200)
+	lead := waitLeader(t, r)
 	away := (lead + 1) % 3
 	old := filepath.Join(t.TempDir(), "old")
 	require.NoError(t, r.Processes[away].CopyFolder(old))
-	before, _ := kept(t, r.Processes[lead], demo.Tenants[0])
+	before, _ := listRecords(t, r.Processes[lead], demo.Tenants[0])
 	require.NoError(t, r.Processes[away].Kill())
 	few := func(p *harness.Process, most int) {
 		t.Helper()
 		require.Eventually(t, func() bool {
-			_, ordinary := kept(t, p, demo.Tenants[0])
+			_, ordinary := listRecords(t, p, demo.Tenants[0])
 			return ordinary <= most
-		}, 20*time.Second, 50*time.Millisecond, "cut to %d", most)
+		}, 20*time.Second, 50*time.Millisecond, "pruned to %d", most)
 	}
-	served(t, r, 100)
+	waitServed(t, r, 100)
 	few(r.Processes[lead], 40)
-	served(t, r, 100)
+	waitServed(t, r, 100)
 	few(r.Processes[lead], 40)
 	changed := r.Processes[3]
-	changed.Operator = fmt.Sprintf(section, rules(2, 15))
+	changed.Operator = fmt.Sprintf(operatorFile, rules(2, 15))
 	require.NoError(t, changed.Kill())
 	require.NoError(t, changed.Start())
-	joined(t, changed)
+	waitJoined(t, changed)
 	r.StopClients()
 	few(r.Processes[lead], 15)
-	left, _ := kept(t, r.Processes[lead], demo.Tenants[0])
-	require.NoError(t, r.Processes[away].ReplaceFolder(old)) // its folder as it was before all cuts
+	left, _ := listRecords(t, r.Processes[lead], demo.Tenants[0])
+	require.NoError(t, r.Processes[away].ReplaceFolder(old)) // its directory as it was before all pruning
 	require.NoError(t, r.Processes[away].Start())
-	joined(t, r.Processes[away])
-	alike(t, r)
-	back, _ := kept(t, r.Processes[away], demo.Tenants[0])
+	waitJoined(t, r.Processes[away])
+	waitSameState(t, r)
+	back, _ := listRecords(t, r.Processes[away], demo.Tenants[0])
 	cut := slices.DeleteFunc(before, func(id string) bool { return slices.Contains(left, id) })
 	require.NotEmpty(t, cut)
-	for _, id := range back { // its own spool may have brought some that nobody had yet
-		require.NotContains(t, cut, id, "what was cut stays cut")
+	for _, id := range back { // its own spool may have shipped records that no other replica had yet
+		require.NotContains(t, cut, id, "pruned records stay pruned")
 	}
 }
--- a/internal/dispatcher/fleet/golden_messages_test.go
+++ b/internal/dispatcher/fleet/golden_messages_test.go
@@ -24,11 +24,11 @@
 
 // goldenMessages holds each message between processes and raft nodes as hexadecimal CBOR,
 // one a line, written by commit 352ebf2. It must never be rewritten by later code:
-// builds before and after talk to one another during a rolling upgrade. CBOR maps in it
+// older and newer builds exchange these messages during a rolling upgrade. CBOR maps in it
 // carry the Go names of exported fields; the labels of the lines are the test's own.
 var goldenMessages = filepath.Join("testdata", "golden", "messages")
 
-// message is one message with every field set to a value that no other field of it has.
+// message is one message in which each field has a value of its own.
 type message struct {
 	label string
 	value any
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestGoldenMessages: each message is encoded to the golden bytes, and those are decoded
-// to the message.
+// TestGoldenMessages checks that each message is encoded to the golden bytes, and that these are
+// decoded to the message.
 func TestGoldenMessages(t *testing.T) {
 	var written strings.Builder
 	for _, m := range messages() {
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestGoldenCalls: the paths and the header of the raft nodes' calls, the parts' names and
-// the kinds of commands and queries.
+// TestGoldenCalls checks the paths and the header of the raft nodes' calls, the partitions' names,
+// the kinds of commands and queries, and the values of enums that are sent or stored.
 func TestGoldenCalls(t *testing.T) {
 	require.Equal(t, []string{"/fleet/do", "/fleet/read", "/fleet/nearby", "/fleet/about", "/fleet/rejoin", "/fleet/ready", "Fleet-Leader"},
 		[]string{rpc.PathCommand, rpc.PathRead, rpc.PathLocalRead, rpc.PathStatus, rpc.PathRejoin, rpc.PathPromote, rpc.LeaderHeader})
@@ -166,7 +166,7 @@
 	require.Equal(t, []plan.Place{"anywhere", "other_member", "other_zone"}, []plan.Place{plan.Anywhere, plan.OtherMember, plan.OtherZone})
 	require.Equal(t, []budget.Kind{0, 1, 2}, []budget.Kind{budget.Rate, budget.InFlight, budget.Divided})
 	require.Equal(t, []records.RetentionClass{0, 1, 2}, []records.RetentionClass{records.Ordinary, records.Failures, records.RetentionClasses})
-	// A refusal's kind goes over the network by its number.
+	// A refusal's kind is sent over the network as its number.
 	for i, refused := range []error{
 		planrun.ErrFull, planrun.ErrDeadline, planrun.ErrUnknownRun, planrun.ErrEnded, planrun.ErrFenced, planrun.ErrGivenUp, planrun.ErrNotFound, planrun.ErrInFlight, planrun.ErrSettled,
 		planrun.ErrWrongAttempt, planrun.ErrAtMostOnce, planrun.ErrStale, planrun.ErrTooEarly, planrun.ErrProducedElsewhere, planrun.ErrTooLarge, planrun.ErrInvalidShape,
--- a/internal/dispatcher/fleet/golden_plan_test.go
+++ b/internal/dispatcher/fleet/golden_plan_test.go
@@ -16,15 +16,15 @@
 )
 
 // goldenPlans holds a plan file with every key that commit 352ebf2 read, and what that
-// build made of it. It must never be rewritten by later code.
+// build computed from it. It must never be rewritten by later code.
 var goldenPlans = filepath.Join("testdata", "golden", "plans")
 
-// TestGoldenPlan: a plan file is read to these figures, to the digest under which runs
-// under way name it, and to the bytes of the shape that a Start carries.
+// TestGoldenPlan checks that a plan file is parsed to these values, to the digest by which running
+// plan runs refer to it, and to the bytes of the shape in a Start message.
 //
-// The digest sums up the classes by their Go field names (the verb %+v of
-// basaltloft.Class): builds that differ in it take one another's runs for those of plans
-// that they do not know.
+// The digest covers the classes with their Go field names (the verb %+v of
+// basaltloft.Class): a build with another digest treats the runs of this one as runs of
+// unknown plans.
 func TestGoldenPlan(t *testing.T) {
 	classes := plan.ClassesByName([]policy.Class{
 		{Name: "notice", Effect: policy.Idempotent, DedupScope: policy.DedupAll, LatencyTarget: time.Second, TargetPerWork: 2, ClientTimeout: 5 * time.Second, Value: 1, Kind: -1},
--- a/internal/dispatcher/fleet/golden_state_test.go
+++ b/internal/dispatcher/fleet/golden_state_test.go
@@ -38,7 +38,7 @@
 	goldenSecond = int64(time.Second)
 )
 
-// goldenMachine returns an empty state with the parts of a raft node, in their order.
+// goldenMachine returns an empty state with the partitions of a raft node, in their order.
 func goldenMachine(t *testing.T) *state.Machine {
 	store, err := recordstore.Open(t.TempDir())
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 	return state.New(partition.NewBudgets(), partition.NewPlans(), partition.NewRecords(store, records.Fence{}))
 }
 
-// goldenLog applies commands to a machine and writes each down with its reply.
+// goldenLog applies commands to a machine and logs each with its reply.
 type goldenLog struct {
 	t       *testing.T
 	machine *state.Machine
@@ -74,7 +74,7 @@
 	return reply
 }
 
-// by applies a command of a process in force, with the next sequence number.
+// by applies a command of a process's incarnation, with the next sequence number.
 func (l *goldenLog) by(process string, incarnation uint64, at time.Duration, kind state.Kind, body any) state.Reply {
 	l.seq[process]++
 	seq := l.seq[process]
@@ -92,7 +92,7 @@
 	return joined.Incarnation
 }
 
-// plan applies a command of the plans' part and returns its reply, refused or not.
+// plan applies a command of the plans' partition and returns its reply, refused or not.
 func (l *goldenLog) plan(process string, incarnation uint64, at time.Duration, do planrun.Command) partition.PlanReply {
 	reply := l.by(process, incarnation, at, partition.PlansCommand, do)
 	require.NoError(l.t, reply.Err())
@@ -101,7 +101,7 @@
 	return answer
 }
 
-// served has process n1 send an attempt of one item that ends well.
+// served makes process n1 send an attempt of one item, and report its success.
 func (l *goldenLog) served(incarnation uint64, at time.Duration, do planrun.SendAttempt, result string) partition.PlanReply {
 	const process = "n1"
 	require.NoError(l.t, l.plan(process, incarnation, at, planrun.Command{SendAttempt: &do}).Err())
@@ -112,7 +112,7 @@
 	return reply
 }
 
-// goldenShape has each field of a shape set in some stage.
+// goldenShape returns a shape in which each field is set in at least one stage.
 func goldenShape() planrun.Shape {
 	retry := []planrun.RetryShape{{On: []plan.End{plan.Refused, plan.Late, plan.Reset}, MaxRetries: 2, Wait: 20 * time.Millisecond, WaitAtMost: 100 * time.Millisecond, Jitter: 200, Where: plan.OtherZone}}
 	return planrun.Shape{MaxAttempts: 40, Timeout: 30 * time.Second, Stages: []planrun.StageShape{
@@ -132,7 +132,7 @@
 	}
 }
 
-// goldenSettings has a budget of each kind, and rules of records.
+// goldenSettings returns settings with a budget of each kind, and rules for records.
 func (l *goldenLog) goldenSettings() state.FleetSettings {
 	return state.FleetSettings{Revision: 4, Lease: 20 * time.Second, Partitions: map[string][]byte{
 		partition.BudgetsName: l.encode(budget.Config{Lease: 20 * time.Second, Budgets: []budget.Budget{
@@ -148,7 +148,7 @@
 }
 
 // work applies commands of every kind: members that stay, are replaced and leave,
-// budgets that are divided, plans in all states, records that are kept, held and cut.
+// budgets that are divided, plans in all states, records that are kept, held and pruned.
 func (l *goldenLog) work() (first, third uint64) {
 	at := joinedAt
 	first = l.join("n1", "start-1")
@@ -225,7 +225,7 @@
 	reply = l.served(first, at, planrun.SendAttempt{Run: "run-served", Fence: fence, Stage: 2, Generation: 1, Inputs: []uint64{prices, holds}, Attempt: 1}, `{"ticket":1}`)
 	require.NotNil(l.t, reply.FinalAnswer)
 
-	// One is under way: a shared output taken, an item out, one that ended badly.
+	// One is in progress: a shared output is used, one item is in flight, one attempt has failed.
 	fence = start("n1", first, "run-under-way")
 	open("n1", first, planrun.Open{Run: "run-under-way", Fence: fence, Stage: 0, Key: "prices/7", Items: [][]byte{nil}})
 	open("n1", first, planrun.Open{Run: "run-under-way", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"B1"`), []byte(`"B2"`), []byte(`"B3"`)}})
@@ -246,7 +246,7 @@
 	require.NoError(l.t, l.plan("n2", third, at, planrun.Command{SendAttempt: &planrun.SendAttempt{Run: "run-claimed", Fence: fence, Generation: 2, Attempt: 1}}).Err())
 	l.plan("n1", first, at, planrun.Command{Claim: &planrun.Claim{MaxRuns: 3, Plans: []uint64{99}}})
 
-	// One gives up: what was done is to be undone.
+	// One is abandoned: its effects are to be undone.
 	fence = start("n1", first, "run-given-up")
 	open("n1", first, planrun.Open{Run: "run-given-up", Fence: fence, Stage: 0, Key: "prices/7", Items: [][]byte{nil}})
 	open("n1", first, planrun.Open{Run: "run-given-up", Fence: fence, Stage: 1, Items: [][]byte{[]byte(`"C1"`)}})
@@ -254,7 +254,7 @@
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{SendAttempt: &sending}).Err())
 	require.NoError(l.t, l.plan("n1", first, at, planrun.Command{Abandon: &planrun.Abandon{Run: "run-given-up", Fence: fence, Stage: 1, End: plan.Failed, Reason: "no seat is left"}}).Err())
 
-	// One reports its input as lost, one has failed and is over.
+	// One reports its input as lost, one was abandoned and has ended.
 	fence = start("n1", first, "run-lost-input")
 	open("n1", first, planrun.Open{Run: "run-lost-input", Fence: fence, Stage: 0, Key: "prices/9", Items: [][]byte{nil}})
 	gen := l.view("run-lost-input").Run.Stages[0].Generation
@@ -317,8 +317,8 @@
 	return b.Bytes()
 }
 
-// beforeRecords is what a snapshot has before the records' part. That part holds a bbolt
-// file, whose unused bytes differ from run to run; its digest and contents are compared.
+// beforeRecords returns the part of a snapshot before the records' partition. That partition holds
+// a bbolt file, whose unused bytes differ from run to run; its digest and contents are compared.
 func beforeRecords(t *testing.T, text []byte) []byte {
 	const chunkHead = 8
 	at := bytes.Index(text, []byte("BASALTFR"))
@@ -336,8 +336,8 @@
 	return []byte(b.String())
 }
 
-// TestGoldenLogOfTheState: the commands are encoded to the bytes of the golden log, and
-// give the replies, the snapshot and the digests of the build that wrote it.
+// TestGoldenLogOfTheState checks that the commands are encoded to the bytes of the golden log, and
+// result in the replies, the snapshot and the digests of the build that wrote it.
 func TestGoldenLogOfTheState(t *testing.T) {
 	l := &goldenLog{t: t, machine: goldenMachine(t), seq: map[string]uint64{}}
 	first, _ := l.work()
@@ -352,13 +352,13 @@
 	goldentest.Equal(t, filepath.Join(goldenState, "digests-after"), digests(t, l.machine))
 }
 
-// last is the command that is applied after the snapshot.
+// last applies the commands after the snapshot.
 func (l *goldenLog) last(first uint64) {
 	l.served(first, 5*time.Second, planrun.SendAttempt{Run: "run-under-way", Fence: 2, Stage: 1, Item: 1, Generation: 1, Inputs: []uint64{1}, Attempt: 2}, `{"held":true}`)
 }
 
-// TestGoldenLogIsReplayed: a replica that starts with the golden log alone ends at the
-// golden digests, whatever this build would have written itself.
+// TestGoldenLogIsReplayed checks that a replica that applies only the golden log reaches the golden
+// digests, independently of how this build encodes the commands itself.
 func TestGoldenLogIsReplayed(t *testing.T) {
 	m := goldenMachine(t)
 	lines := strings.Split(strings.TrimSpace(string(goldentest.Read(t, filepath.Join(goldenState, "log")))), "\n")
@@ -377,8 +377,8 @@
 	require.Equal(t, string(goldentest.Read(t, filepath.Join(goldenState, "digests-after"))), string(digests(t, m)))
 }
 
-// TestGoldenSnapshotIsRestored: the golden snapshot is read field by field, and the state
-// goes on from it.
+// TestGoldenSnapshotIsRestored checks the fields of the restored golden snapshot, and that further
+// commands can be applied to the restored state.
 func TestGoldenSnapshotIsRestored(t *testing.T) { //nolint:funlen // one scenario, to be read from top to bottom
 	m := goldenMachine(t)
 	golden := goldentest.Read(t, filepath.Join(goldenState, "snapshot"))
