--- a/internal/dispatcher/override/golden_test.go
+++ b/internal/dispatcher/override/golden_test.go
@@ -10,11 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenOverrides is what operators set, as commit 352ebf2 saved it in $TMPDIR. It must
-// never be rewritten by later code: a new build started beside the old one reads it.
+// goldenOverrides is a file of overrides as commit 352ebf2 saved it in $TMPDIR. It must never be rewritten
+// by later code: a new build that is started beside an old one must be able to read it.
 var goldenOverrides = filepath.Join("testdata", "golden", "basaltloft-n0.hand.json")
 
-// TestGoldenOverrides: the golden file is read field by field, and written to the same bytes.
+// TestGoldenOverrides: the golden file is decoded to the right fields, and the same state is encoded to the
+// same bytes.
 func TestGoldenOverrides(t *testing.T) {
 	back := time.UnixMilli(1_780_000_000_123)
 	s := New()
--- a/internal/dispatcher/override/override.go
+++ b/internal/dispatcher/override/override.go
@@ -1,6 +1,6 @@
-// Package override keeps what operators have set by hand: the pool members that they took out of
-// service, and when they put pool members back. It does no I/O; package server writes the state to a
-// file, from which a new version of the program that is started beside this one continues.
+// Package override holds the operators' manual overrides: which pool members they took out of service, and
+// when they put pool members back. It does no I/O. Package server writes the state to a file, which a new
+// version of the program that is started beside this one reads.
 package override
 
 import (
@@ -15,13 +15,13 @@
 // FormatVersion is the version of the saved state that this program writes and reads.
 const FormatVersion = 1
 
-// State is what operators have set. It must not be used concurrently.
+// State holds the operators' overrides. It must not be used concurrently.
 type State struct {
 	outMembers map[string]bool      // by id: pool members that are out of service
 	restoredAt map[string]time.Time // by id: when a pool member was last put back
 }
 
-// New returns a state in which nothing is set.
+// New returns a state without overrides.
 func New() *State {
 	return &State{outMembers: map[string]bool{}, restoredAt: map[string]time.Time{}}
 }
@@ -46,17 +46,17 @@
 	return true
 }
 
-// IsOut tells whether a pool member is out.
+// IsOut reports whether a pool member is out.
 func (s *State) IsOut(id string) bool { return s.outMembers[id] }
 
-// OutMembers returns the ids of the pool members that are out, in order.
+// OutMembers returns the ids of the pool members that are out, sorted.
 func (s *State) OutMembers() []string { return slices.Sorted(maps.Keys(s.outMembers)) }
 
 // RestoredAt returns when a pool member was last put back; zero: never, or forgotten.
 func (s *State) RestoredAt(id string) time.Time { return s.restoredAt[id] }
 
-// ForgetRestoredBefore forgets when pool members were put back before a time: they are no longer warming
-// up.
+// ForgetRestoredBefore deletes the times of pool members that were put back before a time: these members
+// are no longer warming up.
 func (s *State) ForgetRestoredBefore(before time.Time) {
 	for id, at := range s.restoredAt {
 		if at.Before(before) {
@@ -84,8 +84,8 @@
 	return o.MarshalTo(nil)
 }
 
-// Decode reads a state that Encode wrote for the dispatcher of this name. It fails, and returns no
-// state, for a text that is cut short, of another version, or of another dispatcher.
+// Decode decodes a state that Encode wrote for the dispatcher of this name. It returns an error and no state
+// if the text is truncated, of another version, or of another dispatcher.
 func Decode(text []byte, name string) (*State, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -130,5 +130,5 @@
 	return s, nil
 }
 
-// RestoredMembers are the pool members put back whose time is kept, in order.
+// RestoredMembers returns the ids of the pool members that were put back and whose time is stored, sorted.
 func (s *State) RestoredMembers() []string { return slices.Sorted(maps.Keys(s.restoredAt)) }
--- a/internal/dispatcher/override/override_test.go
+++ b/internal/dispatcher/override/override_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOutTwiceBackOnce: two calls out, one call back undoes both.
+// TestOutTwiceBackOnce: one PutBack undoes two calls of TakeOut.
 func TestOutTwiceBackOnce(t *testing.T) {
 	s, at := New(), time.UnixMilli(1_700_000_000_000)
 	require.True(t, s.TakeOut("r1"))
@@ -34,7 +34,8 @@
 	require.Equal(t, at, got.RestoredAt("c"))
 }
 
-// TestBadState: a missing, cut, foreign or older state is rejected completely.
+// TestBadState: an empty, truncated or malformed state, and that of another dispatcher or version, is
+// rejected.
 func TestBadState(t *testing.T) {
 	s := New()
 	s.TakeOut("a")
--- a/internal/dispatcher/pipeline/admit_test.go
+++ b/internal/dispatcher/pipeline/admit_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestRoute: the decisions hear what a front read of a request.
+// TestRoute: the request to the policy has all fields that the front set in the submission.
 func TestRoute(t *testing.T) {
 	c := New(policy.Settings{Classes: []policy.Class{{Name: "hold", ClientTimeout: time.Minute}}}, Limits{MaxOpen: 2, MaxBodyBytes: 100}, nil, nil)
 	tx, err := c.NewTransaction(Submission{ID: "1", Class: "hold", AffinityKey: "7f", Hint: time.Second, Slots: 2, Memory: 0.5, Retry: true, Capability: "x"}, time.Now(), nil)
--- a/internal/dispatcher/pipeline/ledger.go
+++ b/internal/dispatcher/pipeline/ledger.go
@@ -9,9 +9,9 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Ledger counts what becomes of transactions. It is called by the engine's goroutine.
+// Ledger counts transactions, their flows and their results. Only the engine's goroutine calls it.
 type Ledger interface {
-	// JobAccepted may set t.LedgerEntry, which nobody else uses.
+	// JobAccepted may set t.LedgerEntry, which is for the ledger alone.
 	JobAccepted(t *engine.Transaction, now time.Time)
 	FlowSent(f *engine.Flow, now time.Time)
 	FlowEnded(f *engine.Flow, s policy.Status, now time.Time)
--- a/internal/dispatcher/pipeline/relay.go
+++ b/internal/dispatcher/pipeline/relay.go
@@ -8,8 +8,9 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Relay implements engine.Stages. A result goes to the client at once, and so does a member's answer
-// that the request is invalid; whether anything else ends the transaction is for the policy to say.
+// Relay implements engine.Stages. It answers the client at once with a result, or if the member reports an
+// invalid request. For any other end of a flow it returns nil, and the policy decides whether the
+// transaction ends.
 func (p *Pipeline) Relay(f *engine.Flow, s policy.Status, result []byte, now time.Time) *engine.Answer {
 	p.ledger.FlowEnded(f, s, now)
 	switch s {
--- a/internal/dispatcher/pipeline/submission.go
+++ b/internal/dispatcher/pipeline/submission.go
@@ -10,30 +10,30 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// MaxBody is the largest body of a job on any wire, in bytes.
+// MaxBody is the size of the largest body of a job that any front accepts, in bytes.
 const MaxBody = 64 << 10
 
-// answerMargin is taken off a client's own deadline, so that it has the whole answer before that.
+// answerMargin is subtracted from a client's deadline, so that the client has the whole answer before it.
 const answerMargin = 25 * time.Millisecond
 
-// maxIDLength is the longest id of a job, in bytes.
+// maxIDLength is the length of the longest id of a job, in bytes.
 const maxIDLength = 128
 
-// ErrTooLarge says that a body is larger than MaxBody.
+// ErrTooLarge is returned for a submission whose body is larger than MaxBody.
 var ErrTooLarge = errors.New("the job is too large")
 
-// ErrUnknownClass says that the settings have no such class.
+// ErrUnknownClass is returned for a submission whose class is not in the settings.
 var ErrUnknownClass = errors.New("unknown class")
 
-// Submission is a job as a front has read it, in no wire's terms. The fields that are not explained
-// here are those of engine.Transaction.
+// Submission is a job as read by a front, independent of the wire protocol. For fields without a comment
+// see engine.Transaction.
 type Submission struct {
 	ID, Class, Tenant, Target, Key string
 	AffinityKey                    string
 	Front                          string
 	Body                           []byte
 	BodyFormat                     string
-	ClientDeadline                 time.Time // when the client stops waiting; zero: as its class says
+	ClientDeadline                 time.Time // when the client stops waiting; zero: after the timeout of its class
 	Hint                           time.Duration
 	Slots, Memory                  float64
 	Retry                          bool
@@ -45,8 +45,8 @@
 	ExcludeItsZone                 bool
 }
 
-// NewTransaction makes a transaction of a submission. Its errors tell the client what is wrong with the
-// submission: ErrUnknownClass, ErrTooLarge or another.
+// NewTransaction returns a transaction for a submission. It returns ErrUnknownClass, ErrTooLarge or another
+// error if the submission is invalid; the error's text is meant for the client.
 func (p *Pipeline) NewTransaction(s Submission, now time.Time, client engine.Client) (*engine.Transaction, error) {
 	class, ok := (*p.classes.Load())[s.Class]
 	switch {
@@ -78,13 +78,14 @@
 	}, nil
 }
 
-// Effect returns how often a job of a class may run; false: the class is not known.
+// Effect returns the effect of a class, which limits how often its jobs may run. It returns false if the
+// class is not in the settings.
 func (p *Pipeline) Effect(class string) (policy.Effect, bool) {
 	known, ok := (*p.classes.Load())[class]
 	return known.Effect, ok
 }
 
-// validAmount reports whether a client may ask for so much.
+// validAmount reports whether f is a valid amount of slots or memory.
 func validAmount(f float64) bool { return f >= 0 && f < math.MaxInt32 }
 
 // printable reports whether a text is printable ASCII without spaces.
