--- a/internal/dispatcher/faktory/accounting_test.go
+++ b/internal/dispatcher/faktory/accounting_test.go
@@ -6,7 +6,8 @@
 	"basaltloft/internal/dispatcher/scenario"
 )
 
-// TestAccounting: both fronts share one account, whatever happens between them.
+// TestAccounting: the HTTP front and the Faktory front count their jobs together, also when one job
+// reaches both.
 func TestAccounting(t *testing.T) {
 	client := login("faktory.c", "")
 	const metrics = `
@@ -14,9 +15,9 @@
 			figures.NAME expect "differences":\[\].*200 OK
 			`
 	for name, script := range map[string]string{
-		// The first try was answered: the retry has the same key and another id, and
-		// comes by the other front.
-		"a retry after the answer belongs to its first ask": `
+		// The first attempt was answered; the retry has the same key and another id, and
+		// comes through the other front.
+		"a retry after the answer counts with its first request": `
 			client send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nX-Caller: a\r\nX-Budget: 9\r\nIdempotency-Key: key-00001\r\nContent-Length: 0\r\n\r\n
 			r1 expect X-Call-Id: h-1
 			client.back send @news(h-1,done,r1)
@@ -28,7 +29,7 @@
 			client.back send @news(key-00001,done,r1)
 			client.back expect 204.*204` + metrics + `
 			figures.NAME expect basaltloft_asks_standing{outcome="served"} 1\n.*basaltloft_asks_total 1\n.*basaltloft_retries_total{kind="known"} 1\n`,
-		"one id on two fronts is one job in hand and one denied": client + `
+		"an id in use on one front is denied on the other": client + `
 			client send @job(group-ticket,job-0001,20)
 			r1 expect X-Call-Id: job-0001
 			faktory.c send @push(job-0001,Sell,tickets)
@@ -48,7 +49,7 @@
 			client.back expect 204` + metrics + `
 			figures.NAME expect jobs_ended_total{class="group-ticket",front="http",group="cell 0",outcome="failed",reason="client left",tenant=""} 1\n
 			figures.NAME expect basaltloft_jobs_open{class="group-ticket",front="http",group="cell 0",tenant=""} 0\n`,
-		"what a member calls bad": `
+		"a member answers 400": `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1
 			r1 send HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n
--- a/internal/dispatcher/faktory/backlog.go
+++ b/internal/dispatcher/faktory/backlog.go
@@ -18,14 +18,14 @@
 	maxQueues          = 1000
 )
 
-// backlog joins the sets and the batches to the engine. A pushed job waits here until a
+// backlog connects the sets and the batches to the engine. A pushed job waits here until a
 // FETCH waits for its queue, or pool members of other sources may run it; then it is
-// submitted as a transaction like any other. The engine's answer comes back here, and the
-// job has succeeded, is tried again, or is dead.
+// submitted as a transaction like any other. The engine delivers its answer here:
+// the job then has succeeded, is retried, or is dead.
 //
 // Its lock is the workers' too, so that a FETCH and a push can't miss each other. The
 // engine's goroutine takes it to deliver answers and to start flows; calls of the engine
-// never wait for that goroutine (Do apart), so they are made with the lock held.
+// never wait for that goroutine (except Do), so they are made with the lock held.
 type backlog struct {
 	engine       Engine
 	transactions TransactionFactory
@@ -38,11 +38,11 @@
 	workers          *workers
 	store            *sets.Store
 	batches          *batch.Store
-	tasks            map[string]*task // by jid: all that are known, the ended ones among them
-	finished         []*task          // the ended ones, oldest first
-	resultBytes      int              // of the finished ones' results
+	tasks            map[string]*task // by jid: all that are known, including the finished ones
+	finished         []*task          // oldest first
+	resultBytes      int              // the size of the finished ones' results
 	unfetched        map[string]int   // by queue: submitted and not fetched yet; never 0
-	submitted        int              // without an answer of the engine yet
+	submitted        int              // how many jobs the engine has not answered yet
 	promotionTimer   *time.Timer      // nil until runPromotions
 	pendingCallbacks []batch.Callback // still to be pushed
 	draining         bool             // no push is accepted any more
@@ -62,7 +62,7 @@
 	return b
 }
 
-// storeLimits are the limits of the sets that the settings ask for.
+// storeLimits returns the limits that the settings give for the sets.
 func storeLimits(config *settings.Faktory) sets.Limits {
 	w := config.Waiting
 	return sets.Limits{
@@ -72,13 +72,14 @@
 	}
 }
 
-// drain accepts no more pushes, and logs what the end of the process will lose.
+// drain makes the backlog refuse further pushes, and logs how many waiting jobs will be lost when
+// the process ends.
 func (b *backlog) drain() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = true
 	if n := b.store.Len(); n > 0 {
-		b.log.Warn("Faktory jobs that wait end with this process",
+		b.log.Warn("waiting Faktory jobs will be lost when this process ends",
 			"queued", n-b.store.Scheduled.Len()-b.store.Retries.Len(), "scheduled", b.store.Scheduled.Len(), "retries", b.store.Retries.Len())
 	}
 }
--- a/internal/dispatcher/faktory/callbacks.go
+++ b/internal/dispatcher/faktory/callbacks.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// pushCallbacks pushes the call-back jobs that batches have due. A job that is pushed can
-// make further call-backs due, which are queued behind. The lock is held.
+// pushCallbacks pushes the call-back jobs of batches that are due. A pushed job can make further
+// call-backs due, which are pushed after the others. The lock is held.
 func (b *backlog) pushCallbacks(due []batch.Callback) {
 	b.pendingCallbacks = append(b.pendingCallbacks, due...)
 	for len(b.pendingCallbacks) > 0 {
--- a/internal/dispatcher/faktory/commands_batch.go
+++ b/internal/dispatcher/faktory/commands_batch.go
@@ -77,7 +77,7 @@
 	return simpleReply(id)
 }
 
-// batchStatusJSON is the reply to BATCH STATUS.
+// batchStatusJSON returns the reply to BATCH STATUS.
 func batchStatusJSON(status *batch.Batch) []byte {
 	var a fastjson.Arena
 	v := a.NewObject()
--- a/internal/dispatcher/faktory/commands_info.go
+++ b/internal/dispatcher/faktory/commands_info.go
@@ -26,7 +26,7 @@
 	return bulkReply(jsontext.Append(nil, info))
 }
 
-// infoJSON describes the jobs, and returns the number of workers beside.
+// infoJSON returns a description of the jobs, and the number of workers.
 func (b *backlog) infoJSON(a *fastjson.Arena, now time.Time) (jobs *fastjson.Value, workers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,8 +56,8 @@
 	return jobs, workers
 }
 
-// setsJSON describes the sets. The key enqueued is how many jobs have left a set since the
-// start: for a queue, or for good from the dead.
+// setsJSON returns a description of the sets. The key enqueued holds how many jobs have left a set
+// since the start: to a queue, or, of the dead set, because they were dropped.
 func (b *backlog) setsJSON(a *fastjson.Arena, reserved int) *fastjson.Value {
 	all := a.NewObject()
 	for _, s := range []struct {
@@ -80,7 +80,7 @@
 	return all
 }
 
-// infoJSON describes the server itself.
+// infoJSON returns a description of the server itself.
 func (s *Server) infoJSON(a *fastjson.Arena, workers int) *fastjson.Value {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/dispatcher/faktory/commands_jobs.go
+++ b/internal/dispatcher/faktory/commands_jobs.go
@@ -24,7 +24,7 @@
 	return okReply
 }
 
-// handlePushBulk serves PUSHB. Its reply names the jobs that were not accepted, each with why.
+// handlePushBulk serves PUSHB. Its reply names the jobs that were not accepted, each with the reason.
 func (s *session) handlePushBulk(text string) string {
 	v, err := fastjson.Parse(text)
 	if err != nil || v.Type() != fastjson.TypeArray {
@@ -80,7 +80,7 @@
 		return s.conn.reply(bulkReply(nil)) == nil
 	}
 	select {
-	case <-s.conn.closed: // the worker left while the job was on its way here
+	case <-s.conn.closed: // the worker disconnected while the job was being delivered
 		s.workers.returnUndelivered(d)
 		return false
 	default:
@@ -100,7 +100,7 @@
 func (s *session) handleFail(text string) string { return s.endJob(text, policy.Error) }
 
 const (
-	maxMessageBytes   = 1000 // of each text that a client or a worker sends to be kept
+	maxMessageBytes   = 1000 // of each text of a client or a worker that is kept
 	maxBacktraceLines = 50   // of a failure
 )
 
@@ -123,12 +123,12 @@
 		f = parseFailure(v)
 	}
 	if s.backlog.finish(s.worker, string(v.GetStringBytes("jid")), status, result, f) {
-		s.engine.Do(func() {}) // a TRACK that follows the reply sees the end
+		s.engine.Do(func() {}) // wait for the engine: a TRACK that follows the reply sees the end
 	}
 	return okReply
 }
 
-// ackResult is the result of an ACK: a string as it is, anything else as JSON; nil for none.
+// ackResult returns the result of an ACK: a string as it is, anything else as JSON; nil for none.
 func ackResult(v *fastjson.Value, status policy.Status) []byte {
 	result := v.Get("result")
 	switch {
@@ -158,8 +158,8 @@
 	return strings.ToValidUTF8(text[:min(len(text), maxMessageBytes)], "")
 }
 
-// handleBeat serves BEAT, a worker's heartbeat. With it a worker may announce that it stops
-// fetching; in its reply a draining dispatcher asks the worker to do so, once no job is left
+// handleBeat serves BEAT, a worker's heartbeat. A worker may announce in it that it stops
+// fetching. The reply of a draining dispatcher asks the worker to do so once no job is left
 // for it.
 func (s *session) handleBeat(text string) string {
 	v, err := fastjson.Parse(text)
--- a/internal/dispatcher/faktory/commands_malformed_test.go
+++ b/internal/dispatcher/faktory/commands_malformed_test.go
@@ -69,30 +69,30 @@
 }
 
 // TestMalformedCommands: a number out of range and a field of the wrong kind get the protocol's
-// error, or an empty page, and the jobs that wait are left alone.
+// error, or an empty page, and the jobs that wait stay as they are.
 func TestMalformedCommands(t *testing.T) {
 	for _, c := range malformedCommands {
 		t.Run(c.line[:min(len(c.line), 100)], func(t *testing.T) {
 			s, h := newFront()
 			client, replies := newRecordedSession(s, nil)
 			require.Equal(t, okReply, handleRecorded(client, replies, pushLine("scheduled-1", `,"at":"2126-01-01T00:00:00Z"`)))
-			who, whoReplies := client, replies
+			sender, senderReplies := client, replies
 			if strings.HasPrefix(c.line, "FETCH") {
-				who, whoReplies = newRecordedSession(s, s.workers.connect(hello{workerID: "w1"}))
+				sender, senderReplies = newRecordedSession(s, s.workers.connect(hello{workerID: "w1"}))
 			}
-			reply := handleRecorded(who, whoReplies, c.line)
+			reply := handleRecorded(sender, senderReplies, c.line)
 			h.runUntilIdle()
 			require.Equal(t, c.reply, reply)
-			require.NotNil(t, s.backlog.store.Find("scheduled-1"), "it is left alone")
+			require.NotNil(t, s.backlog.store.Find("scheduled-1"), "it must not be removed")
 			require.Equal(t, "scheduled", s.backlog.store.Find("scheduled-1").Location())
 			requireNothingLost(t, s.backlog, append(acceptedIDs(c.line, reply), "scheduled-1"))
 		})
 	}
 }
 
-// TestAcceptedFiguresAreServed: a job whose figures are accepted is not denied when a worker
-// fetches it.
-func TestAcceptedFiguresAreServed(t *testing.T) {
+// TestAcceptedNumbersAreServed: a job whose numbers are accepted at its push is not denied when a
+// worker fetches it.
+func TestAcceptedNumbersAreServed(t *testing.T) {
 	for _, fields := range []string{
 		`,"custom":{"cost_us":3153600000000000}`, `,"custom":{"slots":2147483646}`, `,"custom":{"slots":1e-300}`,
 		`,"custom":{"cost_us":-9223372036854775808,"slots":-1e300}`, `,"custom":{"unique_for":1e300}`, `,"retry":1e300`, `,"retry":-1e300`, `,"reserve_for":1e300`, `,"reserve_for":-1e300`,
@@ -136,12 +136,12 @@
 	}
 	h.runUntilIdle()
 	require.NotNil(t, s.workers.cancelFetch(f))
-	require.Empty(t, w.mailbox, "no job waits at a worker that asked for one")
+	require.Empty(t, w.mailbox, "the FETCH gets one job, and no other is routed to its worker")
 	require.Equal(t, 2, s.backlog.store.FindQueue("q").Len())
 	requireNothingLost(t, s.backlog, []string{"job-000000", "job-000001", "job-000002"})
 }
 
-// TestQueuesOfAWorker: a worker can't name new queues without end.
+// TestQueuesOfAWorker: the number of queues that a worker may fetch from is bounded.
 func TestQueuesOfAWorker(t *testing.T) {
 	s, _ := newFront()
 	w, replies := newRecordedSession(s, s.workers.connect(hello{workerID: "w1"}))
@@ -153,16 +153,16 @@
 		return handleRecorded(w, replies, line)
 	}
 	for from := 0; from < maxQueues; from += 50 {
-		require.Empty(t, fetch(from), "it waits, and its peer has gone")
+		require.Empty(t, fetch(from), "the FETCH waits, and its peer has disconnected")
 	}
 	require.Len(t, w.worker.queues, maxQueues)
 	require.Equal(t, "-ERR a worker fetches from 1000 queues at most\r\n", fetch(maxQueues-49))
 	require.Len(t, w.worker.queues, maxQueues)
-	require.Empty(t, fetch(maxQueues-50), "those that it knows are still its own")
+	require.Empty(t, fetch(maxQueues-50), "queues that it has fetched from before are still accepted")
 }
 
-// TestCallbackWithoutCustom: a call-back whose custom is null names its batch to its worker, as
-// one without custom does.
+// TestCallbackWithoutCustom: a call-back job whose custom is null gets its batch's id and its kind
+// in custom, as one without custom does.
 func TestCallbackWithoutCustom(t *testing.T) {
 	for _, custom := range []string{"", `,"custom":null`, `,"custom":{}`} {
 		s, _ := newFront()
--- a/internal/dispatcher/faktory/commands_queues.go
+++ b/internal/dispatcher/faktory/commands_queues.go
@@ -66,7 +66,7 @@
 
 // handleMutate serves MUTATE, which changes a set:
 // {"cmd":"requeue","target":"dead","filter":{...}}. A job that may have run is queued again
-// only with the key known_not_run, whose text names who vouches that it has not.
+// only with the key known_not_run, whose text names the person who confirms that it has not.
 func (s *session) handleMutate(text string) string {
 	v, err := fastjson.Parse(text)
 	if err != nil || v.Type() != fastjson.TypeObject {
@@ -76,18 +76,18 @@
 	if !ok {
 		return errorReply("the filter of MUTATE is an object with jobtype and regexp as text, and jids as a list of text")
 	}
-	vouchedBy := string(v.GetStringBytes("known_not_run"))
-	if vouchedBy != "" {
-		vouchedBy = truncate(vouchedBy) + " by " + s.hello.describe()
+	confirmedBy := string(v.GetStringBytes("known_not_run"))
+	if confirmedBy != "" {
+		confirmedBy = truncate(confirmedBy) + " by " + s.hello.describe()
 	}
-	if err := s.backlog.mutate(sets.Command(v.GetStringBytes("cmd")), string(v.GetStringBytes("target")), filter, vouchedBy); err != nil {
+	if err := s.backlog.mutate(sets.Command(v.GetStringBytes("cmd")), string(v.GetStringBytes("target")), filter, confirmedBy); err != nil {
 		return errorReply("%v", err)
 	}
 	return okReply
 }
 
 // parseFilter reads which jobs a MUTATE selects. It reports false for a part of the wrong kind,
-// which must not be taken for an absent one: that selects all jobs.
+// which must not be treated as an absent one, because that selects all jobs.
 func parseFilter(v *fastjson.Value) (f sets.Filter, ok bool) {
 	if isAbsent(v) {
 		return f, true
--- a/internal/dispatcher/faktory/commands_show.go
+++ b/internal/dispatcher/faktory/commands_show.go
@@ -16,8 +16,8 @@
 // maxShownEntries is how many entries one SHOW returns.
 const maxShownEntries = 500
 
-// handleShow serves SHOW scheduled|retries|dead|workers [FIRST], this server's own command:
-// it lists the entries from the number FIRST on. Faktory itself shows them only on a web page.
+// handleShow serves SHOW scheduled|retries|dead|workers [FIRST], which lists the entries from the
+// number FIRST on. Faktory has no such command: it shows the entries only on a web page.
 func (s *session) handleShow(argument string) string {
 	what, from, _ := strings.Cut(argument, " ")
 	first, err := strconv.Atoi(strings.TrimSpace(from))
@@ -47,14 +47,14 @@
 	return errorReply("SHOW takes scheduled, retries, dead or workers, not %q", what)
 }
 
-// page returns at most maxShownEntries of a list, from an entry on; beyond its end there are
-// none.
+// page returns at most maxShownEntries entries of a list, from the index first on, and none beyond
+// the list's end.
 func page[T any](all []T, first int) []T {
 	rest := all[min(first, len(all)):]
 	return rest[:min(maxShownEntries, len(rest))]
 }
 
-// storedJobJSON is a job of a set as SHOW returns it.
+// storedJobJSON returns a job of a set as SHOW returns it.
 func storedJobJSON(a *fastjson.Arena, j *sets.Job) *fastjson.Value {
 	v := a.NewObject()
 	v.Set("jid", a.NewString(j.ID))
@@ -70,7 +70,7 @@
 	return v
 }
 
-// workerJSON is a worker as SHOW returns it.
+// workerJSON returns a worker as SHOW returns it.
 func workerJSON(a *fastjson.Arena, w *worker) *fastjson.Value {
 	v, queues := a.NewObject(), a.NewArray()
 	v.Set("wid", a.NewString(w.id))
--- a/internal/dispatcher/faktory/commands_track.go
+++ b/internal/dispatcher/faktory/commands_track.go
@@ -30,7 +30,7 @@
 	return errorReply("TRACK takes GET jid or SET {...}")
 }
 
-// handleTrackSet takes a report of progress, and may extend the reservation of the job
+// handleTrackSet records a progress report, and may extend the reservation of the job
 // (reserve_until).
 func (s *session) handleTrackSet(text string) string {
 	v, err := fastjson.Parse(text)
@@ -64,7 +64,7 @@
 	return okReply
 }
 
-// statusJSON is the reply to TRACK GET. The lock is held.
+// statusJSON returns the reply to TRACK GET. The lock is held.
 func (t *task) statusJSON() []byte {
 	state := "enqueued"
 	var a fastjson.Arena
--- a/internal/dispatcher/faktory/conformance_test.go
+++ b/internal/dispatcher/faktory/conformance_test.go
@@ -10,13 +10,13 @@
 	"basaltloft/internal/dispatcher/scenario"
 )
 
-// conforming is an operator's file without a password, whose retries come a
-// thousand times sooner than the protocol says.
-const conforming = `{"figures":{"listen":"FIGURES"},"faktory":{"listen":"FAKTORY","connections":32,"reserve_for_s":1,"backoff_unit_ms":1,"workers":{"cell":1},
+// conformanceSettings is an operator's file without a password, and with a back-off a thousand
+// times shorter than the protocol's.
+const conformanceSettings = `{"figures":{"listen":"FIGURES"},"faktory":{"listen":"FAKTORY","connections":32,"reserve_for_s":1,"backoff_unit_ms":1,"workers":{"cell":1},
 "waiting":{"jobs":50,"queue_jobs":20},"default":{"class":"send-notice","cost_us":1000},
 "jobtypes":{"Ticket":{"class":"group-ticket","cost_us":1000},"Hold":{"class":"place-hold","cost_us":1000}}}}`
 
-var clauses = func() scenario.Functions {
+var conformanceFunctions = func() scenario.Functions {
 	w := maps.Clone(words)
 	w["job"] = func(a ...string) string { // jid, jobtype, queue, and fields as JSON with ; for ,
 		more := ""
@@ -26,7 +26,7 @@
 		return fmt.Sprintf(`{"jid":%q,"jobtype":%q,"queue":%q,"args":[1]%s}`, a[0], a[1], a[2], more)
 	}
 	w["push"] = func(a ...string) string { return "PUSH " + w["job"](a...) + `\r\n` }
-	w["many"] = func(a ...string) string { // so many jobs, for PUSHB
+	w["many"] = func(a ...string) string { // the given number of jobs, for PUSHB
 		var n int
 		if _, err := fmt.Sscan(a[0], &n); err != nil {
 			panic(err) // a mistake in a script
@@ -37,14 +37,14 @@
 		}
 		return strings.Join(all, ",")
 	}
-	w["in"] = func(a ...string) string { // a time so far ahead
+	w["in"] = func(a ...string) string { // the time after the given duration
 		d, _ := time.ParseDuration(a[0])
 		return time.Now().Add(d).UTC().Format(time.RFC3339Nano)
 	}
 	return w
 }()
 
-// asClient and worker say who they are. An actor that is not named is c or w.
+// asClient returns the script with which an actor connects as a client; most scripts call it c.
 func asClient(name string) string {
 	return fmt.Sprintf(`
 			faktory.%[1]s expect ^\+HI {"v":2}\r\n
@@ -52,6 +52,7 @@
 			faktory.%[1]s expect ^\+OK\r\n`, name)
 }
 
+// worker returns the script with which an actor connects as a worker; most scripts call it w.
 func worker(name string) string {
 	return fmt.Sprintf(`
 			faktory.%[1]s expect ^\+HI {"v":2}\r\n
@@ -59,7 +60,7 @@
 			faktory.%[1]s expect ^\+OK\r\n`, name)
 }
 
-// TestConformance holds the front to the public description of the protocol,
+// TestConformance checks the front against the public description of the protocol,
 // clause by clause; docs/faktory-conformance.md lists them.
 //
 //nolint:funlen // a table of scripts, one for each clause
@@ -476,7 +477,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scenario.RunScript(t, scenario.Start(t, 0, conforming), clauses, script)
+			scenario.RunScript(t, scenario.Start(t, 0, conformanceSettings), conformanceFunctions, script)
 		})
 	}
 }
--- a/internal/dispatcher/faktory/connection.go
+++ b/internal/dispatcher/faktory/connection.go
@@ -23,16 +23,16 @@
 var errCommandTooLong = errors.New("a command is too long")
 
 // connection reads commands from a network connection and writes replies to it. A
-// goroutine of its own reads, so that the peer's end is seen while a command is still
-// being served; close waits for it.
+// goroutine of its own reads, so that the end of the connection is noticed while a command is
+// still being served; close waits for that goroutine.
 type connection struct {
 	netConn  net.Conn
 	commands chan string   // command lines, without their line end
 	closed   chan struct{} // closed when nothing more can be read
-	readErr  error         // why; valid once closed is closed
+	readErr  error         // why nothing more can be read; valid once closed is closed
 }
 
-// newConnection starts to read. The caller must call close.
+// newConnection starts reading commands from netConn. The caller must call close.
 func newConnection(netConn net.Conn) *connection {
 	c := &connection{netConn: netConn, commands: make(chan string), closed: make(chan struct{})}
 	go c.readCommands()
@@ -86,7 +86,7 @@
 
 // close closes the network connection and waits until the reading goroutine has returned.
 func (c *connection) close() {
-	_ = c.netConn.Close() // nothing is done with it any more
+	_ = c.netConn.Close() // it is not used any more
 	for {
 		select {
 		case <-c.commands: // the reader may wait to hand over a command
--- a/internal/dispatcher/faktory/connection_limits_test.go
+++ b/internal/dispatcher/faktory/connection_limits_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEvictUnauthenticated: connections that say nothing, or not all of it, are closed
-// in time, and before that the oldest of them makes room for another.
+// TestEvictUnauthenticated: connections that send no HELLO, or only part of it, are closed in time.
+// If a new connection needs room, the oldest of them is closed earlier.
 func TestEvictUnauthenticated(t *testing.T) {
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -44,5 +44,5 @@
 		c.second wait
 		c.member send IN
 		c.member wait`)
-	require.Less(t, time.Since(began), 8*time.Second, "each is closed in its time")
+	require.Less(t, time.Since(began), 8*time.Second, "each is closed within its time-out")
 }
--- a/internal/dispatcher/faktory/delivery.go
+++ b/internal/dispatcher/faktory/delivery.go
@@ -19,13 +19,13 @@
 	queue   string
 	payload []byte // the job as FETCH returns it; nil until it is fetched
 	fetched bool
-	ended   bool        // the flow has ended, or is no longer this worker's
+	ended   bool        // the flow has ended, or no longer belongs to this worker
 	timer   *time.Timer // returns it unfetched, or ends its reservation; nil: neither
 }
 
 // deliver gives a job to a FETCH that waits. If the job was submitted for another FETCH,
-// another job is looked for on that one's behalf. The lock is held, here and below, except
-// where a comment says otherwise.
+// deliver looks for another job for that one. The lock is held, here and below, except where a
+// comment says otherwise.
 func (ws *workers) deliver(f *pendingFetch, d *delivery) {
 	ws.removeFetch(f)
 	ws.reserve(d)
@@ -54,11 +54,11 @@
 		}
 		ws.backlog.store.Started(t.job)
 	}
-	d.timer = time.AfterFunc(reservationTime(d.flow.Transaction, ws.config), func() { ws.endIfStill(d, true, policy.TimedOut) })
+	d.timer = time.AfterFunc(reservationTime(d.flow.Transaction, ws.config), func() { ws.endUnlessChanged(d, true, policy.TimedOut) })
 }
 
-// reservationTime is how long a worker may keep a job without an ACK or FAIL. A job may ask
-// for its own time (reserve_for, seconds); the protocol's least is one minute.
+// reservationTime returns how long a worker may keep a job without an ACK or FAIL. A job may ask
+// for its own time (reserve_for, seconds); the protocol's minimum is one minute.
 func reservationTime(t *engine.Transaction, config *settings.Faktory) time.Duration {
 	if t.BodyFormat == jobBodyFormat {
 		if v, err := fastjson.ParseBytes(t.Body); err == nil {
@@ -78,13 +78,13 @@
 		return false
 	}
 	d.timer.Stop()
-	d.timer = time.AfterFunc(max(0, time.Until(until)), func() { ws.endIfStill(d, true, policy.TimedOut) })
+	d.timer = time.AfterFunc(max(0, time.Until(until)), func() { ws.endUnlessChanged(d, true, policy.TimedOut) })
 	return true
 }
 
-// endIfStill ends a delivery with a status, unless it has ended, or been fetched, meanwhile.
-// Timers and sessions call it, without the lock.
-func (ws *workers) endIfStill(d *delivery, fetched bool, s policy.Status) {
+// endUnlessChanged ends a delivery with a status, unless it has ended or been fetched meanwhile:
+// fetched is the state that the caller expects. Timers and sessions call it, without the lock.
+func (ws *workers) endUnlessChanged(d *delivery, fetched bool, s policy.Status) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	if d.fetched != fetched || !ws.endDelivery(d) {
@@ -119,11 +119,11 @@
 
 // returnUndelivered ends a delivery that did not reach its worker completely, so that it
 // can't have run. The lock is not held.
-func (ws *workers) returnUndelivered(d *delivery) { ws.endIfStill(d, true, policy.ConnectFailed) }
+func (ws *workers) returnUndelivered(d *delivery) { ws.endUnlessChanged(d, true, policy.ConnectFailed) }
 
-// finish ends the delivery of a job that a worker holds. The first ACK or FAIL counts; it may
-// come on any of the worker's connections, since a worker that lost its connection in the
-// middle of a job acknowledges on another. A worker whose reservation has ended can't end the
+// finish ends the delivery of a job that a worker holds. The first ACK or FAIL counts. It may
+// arrive on any of the worker's connections, since a worker that lost its connection while it ran
+// a job acknowledges on another. A worker whose reservation has ended can't end the
 // delivery to another worker.
 func (ws *workers) finish(w *worker, jid string, s policy.Status, result []byte) bool {
 	d := ws.reserved[jid]
@@ -134,12 +134,12 @@
 	return true
 }
 
-// reportStarted tells the engine that a job has been written to its worker. The lock is not
+// reportStarted notifies the engine that a job has been written to its worker. The lock is not
 // held.
 func (ws *workers) reportStarted(d *delivery) { ws.engine.UpdateFlow(d.flow, policy.UpdateStarted, 0) }
 
-// jobAnswered takes in that a submitted job has its answer. If a FETCH still waits for it,
-// another job is looked for.
+// jobAnswered is called when the engine has answered a submitted job. If a FETCH still waits for
+// that job, jobAnswered looks for another one.
 func (ws *workers) jobAnswered(t *task) {
 	if f := ws.submittedFor[t.id]; f != nil {
 		delete(ws.submittedFor, t.id)
--- a/internal/dispatcher/faktory/fetch.go
+++ b/internal/dispatcher/faktory/fetch.go
@@ -7,7 +7,7 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// fetchTimeout is how long a FETCH waits for a job, as the protocol has it.
+// fetchTimeout is how long a FETCH waits for a job, as the protocol specifies it.
 const fetchTimeout = 2 * time.Second
 
 // pendingFetch is a FETCH that waits for a job.
@@ -17,8 +17,8 @@
 	delivered chan *delivery // with a buffer of one
 }
 
-// mayFetchFrom tells whether a worker has room for these queues among those that it has ever
-// fetched from.
+// mayFetchFrom reports whether a worker may fetch from these queues: together with those that it
+// has ever fetched from they must be at most maxQueues.
 func (ws *workers) mayFetchFrom(w *worker, queues []string) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// removeFetch removes a FETCH from those that wait.
+// removeFetch removes a FETCH from the waiting ones.
 func (ws *workers) removeFetch(f *pendingFetch) {
 	i := slices.Index(f.worker.fetches, f)
 	if i < 0 {
--- a/internal/dispatcher/faktory/fields.go
+++ b/internal/dispatcher/faktory/fields.go
@@ -9,10 +9,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// isAbsent tells whether a field is not there, or is null.
+// isAbsent reports whether a field is missing or null.
 func isAbsent(v *fastjson.Value) bool { return v == nil || v.Type() == fastjson.TypeNull }
 
-// isAbsentOr tells whether a field is of a type, or absent.
+// isAbsentOr reports whether a field is of a type, or absent.
 func isAbsentOr(v *fastjson.Value, of fastjson.Type) bool { return isAbsent(v) || v.Type() == of }
 
 // timeField reads an optional time in RFC 3339; one that is absent, null or empty is zero.
@@ -31,12 +31,12 @@
 // maxDuration is the longest duration that a client may name: a century.
 const maxDuration = 100 * 365 * 24 * time.Hour
 
-// secondsToDuration converts a number of seconds, held to 0 up to maxDuration.
+// secondsToDuration converts a number of seconds, limited to the range from 0 to maxDuration.
 func secondsToDuration(n float64) time.Duration {
 	return time.Duration(min(max(n, 0), maxDuration.Seconds()) * float64(time.Second))
 }
 
-// distinct returns names without repeats, each where it stands first.
+// distinct returns names without repeats, in the order in which they first occur.
 func distinct(names []string) []string {
 	var kept []string
 	for _, name := range names {
@@ -47,13 +47,14 @@
 	return kept
 }
 
-// isInvalidQueueName tells whether a command must not name this queue.
+// isInvalidQueueName reports whether a command that names this queue is rejected.
 func isInvalidQueueName(name string) bool { return len(name) > maxNameLength || !isQueueName(name) }
 
-// truncateToInt drops the fraction of a number and holds it to -1 up to the largest int32.
+// truncateToInt drops the fraction of a number and limits it to the range from -1 to the largest
+// int32.
 func truncateToInt(f float64) int { return int(min(max(math.Trunc(f), -1), math.MaxInt32)) }
 
-// isQueueName tells whether a name can stand in a command: it is not empty and has only
+// isQueueName reports whether a name can be the name of a queue: it is not empty and has only
 // ASCII letters, digits, dots, underscores and hyphens.
 func isQueueName(name string) bool {
 	for _, c := range []byte(name) {
--- a/internal/dispatcher/faktory/golden_test.go
+++ b/internal/dispatcher/faktory/golden_test.go
@@ -9,22 +9,23 @@
 )
 
 var (
-	number = regexp.MustCompile(`"(uptime|command_count|used_memory_mb)":\d+`)
-	moment = regexp.MustCompile(`"(now|server_utc_time|updated_at|beat)":"[^"]*"`)
-	length = regexp.MustCompile(`^\$\d+`)
+	varyingNumber = regexp.MustCompile(`"(uptime|command_count|used_memory_mb)":\d+`)
+	varyingTime   = regexp.MustCompile(`"(now|server_utc_time|updated_at|beat)":"[^"]*"`)
+	replyLength   = regexp.MustCompile(`^\$\d+`)
 )
 
-// TestGoldenInfo: what INFO and SHOW answer of a front with jobs in its queues and sets,
-// byte for byte but for times and the length, as of commit 352ebf2. The file must never
-// be rewritten by later code: Faktory's clients read it.
+// TestGoldenInfo: the replies to INFO, SHOW and other commands, of a front with jobs in its queues
+// and sets, are those of commit 352ebf2 byte for byte, except for times, varying numbers and the
+// replies' lengths. The golden file must never be rewritten by later code: Faktory's clients
+// depend on this format.
 func TestGoldenInfo(t *testing.T) {
 	s, h := newFront()
 	client := &session{Server: s}
 	s.workers.connect(hello{workerID: "w1", host: "host", pid: 7})
 	var text string
 	add := func(command, answer string) {
-		answer = moment.ReplaceAllString(number.ReplaceAllString(answer, `"$1":0`), `"$1":"TIME"`)
-		text += command + "\n" + length.ReplaceAllString(answer, "$$LENGTH") + "\n"
+		answer = varyingTime.ReplaceAllString(varyingNumber.ReplaceAllString(answer, `"$1":0`), `"$1":"TIME"`)
+		text += command + "\n" + replyLength.ReplaceAllString(answer, "$$LENGTH") + "\n"
 		h.runUntilIdle()
 	}
 	const later = "2126-01-01T00:00:00Z"
--- a/internal/dispatcher/faktory/handshake.go
+++ b/internal/dispatcher/faktory/handshake.go
@@ -22,7 +22,7 @@
 	return hex.EncodeToString(b)
 }
 
-// greeting is the server's first line. Without a password it asks for no hash.
+// greeting returns the server's first line. Without a password it asks for no hash.
 func greeting(password, salt string) string {
 	if password == "" {
 		return "+HI {\"v\":2}\r\n"
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("+HI {\"v\":2,\"i\":%d,\"s\":%q}\r\n", hashIterations, salt)
 }
 
-// passwordHash is the protocol's hash of a password and a salt: SHA-256, iterated.
+// passwordHash returns the protocol's hash of a password and a salt: SHA-256, iterated.
 func passwordHash(password, salt string, iterations int) string {
 	sum := sha256.Sum256([]byte(password + salt))
 	for range iterations - 1 {
@@ -46,7 +46,7 @@
 	labels         []string
 }
 
-// describe names the peer for the log.
+// describe returns a text that identifies the peer in the log.
 func (h hello) describe() string {
 	if h.workerID != "" {
 		return fmt.Sprintf("%s on %s, pid %d", h.workerID, h.host, h.pid)
--- a/internal/dispatcher/faktory/job.go
+++ b/internal/dispatcher/faktory/job.go
@@ -28,7 +28,7 @@
 	maxBulkJobs    = 100 // of one PUSHB
 	minReservation = time.Minute
 	defaultQueue   = "default"
-	defaultRetries = 25 // where a job does not say
+	defaultRetries = 25 // of a job that names no number
 	maxRetries     = 1000
 )
 
@@ -41,7 +41,7 @@
 	uniqueKey            uint64    // 0: not unique
 	uniqueTTL            time.Duration
 	releaseOn            sets.LockRelease
-	plan                 string // that it is run as; empty: workers fetch it
+	plan                 string // the plan that the job runs as; empty: workers fetch it
 	submission           pipeline.Submission
 }
 
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// target is what the settings say of the job: for its jobtype, else for its queue, else for
-// all others.
+// target returns the settings that apply to the job: those of its jobtype, else those of its
+// queue, else those of all other jobs.
 func (j *job) target(config *settings.Faktory) settings.FaktoryJob {
 	if target, ok := config.JobTypes[j.jobType]; ok {
 		return target
@@ -140,7 +140,7 @@
 	if custom.Type() != fastjson.TypeObject {
 		return errors.New("custom is an object")
 	}
-	if err := j.parseFigures(custom); err != nil {
+	if err := j.parseCostAndSlots(custom); err != nil {
 		return err
 	}
 	if tenant := string(custom.GetStringBytes("tenant")); tenant != "" {
@@ -157,9 +157,9 @@
 	return j.parseUnique(custom, v.Get("args"))
 }
 
-// parseFigures reads the job's cost and slots. A figure that the transaction of the job could not
-// have is an error at its push: later there is nobody to tell.
-func (j *job) parseFigures(custom *fastjson.Value) error {
+// parseCostAndSlots reads the job's cost and slots. A number that the job's transaction can't have is
+// an error of the push, because a later error could not be reported to the client.
+func (j *job) parseCostAndSlots(custom *fastjson.Value) error {
 	if custom.GetFloat64("cost_us") > float64(maxDuration/time.Microsecond) {
 		return errors.New("custom.cost_us is out of range")
 	}
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// stored is the job as the sets keep it. Names are interned: many jobs share them.
+// stored returns the job as the sets keep it. Names are interned: many jobs share them.
 func (j *job) stored() *sets.Job {
 	stored := &sets.Job{
 		ID: j.id, Type: unique.Make(j.jobType).Value(), Queue: unique.Make(j.queue).Value(), Body: j.submission.Body, Retries: int32(j.retries),
@@ -210,8 +210,9 @@
 	return stored
 }
 
-// QueueForClass names the queue that workers fetch jobs of other fronts from: the first by
-// name that the settings map to their class, else the one named like the class.
+// QueueForClass returns the queue from which workers fetch the jobs of a class that came through
+// other fronts: the first by name that the settings map to the class, else the one named like the
+// class.
 func QueueForClass(class string, config *settings.Faktory) string {
 	first := ""
 	for name, target := range config.Queues {
--- a/internal/dispatcher/faktory/mixed_test.go
+++ b/internal/dispatcher/faktory/mixed_test.go
@@ -16,22 +16,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// till counts how often each job was run, by whoever ran it.
-type till struct {
+// runCounts counts how often each job was run, by all workers and pool members together.
+type runCounts struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (c *till) run(id string) int {
+func (c *runCounts) run(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[id]++
 	return len(c.runs)
 }
 
-// serveMember is an HTTP pool member that now and then rejects a job,
-// breaks the connection after having run it, or reports its end twice.
-func serveMember(cast scenario.Peers, name string, c scenario.Conn, paid *till) {
+// serveMember serves a connection to an HTTP pool member that now and then rejects a job or breaks
+// the connection after having run it, and reports each job's end twice.
+func serveMember(peers scenario.Peers, name string, c scenario.Conn, counts *runCounts) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
@@ -49,12 +49,12 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 503 x\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		n := paid.run(id)
+		n := counts.run(id)
 		if n%7 == 0 {
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
-		back, err := cast["client"]()
+		back, err := peers["client"]()
 		if err != nil {
 			return
 		}
@@ -68,12 +68,12 @@
 
 var jid = regexp.MustCompile(`"jid":"([^"]+)"`)
 
-// work is a Faktory worker that acknowledges twice, fails some jobs, and now
+// runWorker runs a Faktory worker that acknowledges twice, fails some jobs, and now
 // and then loses its connection between a job and its acknowledgement.
-func work(cast scenario.Peers, wid string, paid *till) {
+func runWorker(peers scenario.Peers, wid string, counts *runCounts) {
 	plain := strings.NewReplacer(`\r`, "\r", `\n`, "\n")
 	for ack := ""; ; {
-		c, err := cast["faktory"]()
+		c, err := peers["faktory"]()
 		if err != nil {
 			return
 		}
@@ -84,25 +84,25 @@
 			_ = c.Close()
 			return
 		}
-		say := func(text string) string {
+		send := func(text string) string {
 			_, _ = io.WriteString(c, plain.Replace(text))
 			line, _ := in.ReadString('\n')
 			return line
 		}
-		say(words["hello"](wid, words["hash"](salt[1])))
+		send(words["hello"](wid, words["hash"](salt[1])))
 		for lost := false; !lost; {
 			if ack != "" {
-				say(ack)
-				say(ack)
+				send(ack)
+				send(ack)
 				ack = ""
 			}
-			if reply := say(`FETCH tickets default place-hold\r\n`); !strings.HasPrefix(reply, "$") || strings.HasPrefix(reply, "$-1") {
+			if reply := send(`FETCH tickets default place-hold\r\n`); !strings.HasPrefix(reply, "$") || strings.HasPrefix(reply, "$-1") {
 				lost = reply == ""
 				continue
 			}
 			job, _ := in.ReadString('\n')
 			id := jid.FindStringSubmatch(job)[1]
-			n := paid.run(id)
+			n := counts.run(id)
 			if ack = words["ack"](id, "paid"); n%5 == 0 {
 				ack = words["fail"](id)
 			}
@@ -112,27 +112,27 @@
 	}
 }
 
-// TestMixed sends a bounded number of jobs by both wires at once to members of
-// both: every job ends once, and no ticket is run twice.
+// TestMixed sends jobs through both fronts at once to HTTP pool members and Faktory workers: every
+// job ends once, and no ticket is run twice.
 func TestMixed(t *testing.T) {
 	const each = 30
-	cast, paid := scenario.Start(t, 2, operator), &till{runs: make(map[string]int)}
+	peers, counts := scenario.Start(t, 2, operator), &runCounts{runs: make(map[string]int)}
 	for _, name := range []string{"r1", "r2"} {
 		go func() {
-			for c, err := cast[name](); err == nil; c, err = cast[name]() {
-				go serveMember(cast, name, c, paid)
+			for c, err := peers[name](); err == nil; c, err = peers[name]() {
+				go serveMember(peers, name, c, counts)
 			}
 		}()
 	}
 	for _, wid := range []string{"w1", "w2"} {
-		go work(cast, wid, paid)
+		go runWorker(peers, wid, counts)
 	}
 	t.Run("jobs", func(t *testing.T) {
 		for n := range each {
 			class := []string{"group-ticket", "place-hold"}[n%2]
 			t.Run(fmt.Sprint("http", n), func(t *testing.T) {
 				t.Parallel()
-				scenario.RunScript(t, cast, words, fmt.Sprintf(`
+				scenario.RunScript(t, peers, words, fmt.Sprintf(`
 					client send @job(%s,h-%02d,%d)
 					client expect ^HTTP/1.1 (200|502|503)[^\n]*\n.*\r\n\r\n`, class, n, 25-15*(n%2)))
 			})
@@ -145,31 +145,31 @@
 					faktory.c send @push(job-00%02d,%s,tickets)
 					faktory.c expect ^(\+OK|-ERR refused, retry-after \d\.\d+)\r\n`, n, []string{"Sell", "Hold"}[n%2])
 			}
-			scenario.RunScript(t, cast, words, script)
+			scenario.RunScript(t, peers, words, script)
 		})
 	})
-	// The program ends by itself once everything taken has its answer; it has
-	// booked one for each job.
-	end, err := cast["program"]()
+	// The program ends by itself once every accepted job has its answer, and logs how many answers
+	// of each kind there were.
+	end, err := peers["program"]()
 	require.NoError(t, err)
 	require.NoError(t, end.Close())
 	log, err := io.ReadAll(end)
 	require.NoError(t, err)
 	require.NoError(t, end.(interface{ Wait() error }).Wait())
-	booked := make(map[string]int)
+	answers := make(map[string]int)
 	for _, m := range regexp.MustCompile(` (taken|served|refused|failed|denied)=(\d+)`).FindAllStringSubmatch(string(log), -1) {
-		booked[m[1]], _ = strconv.Atoi(m[2])
+		answers[m[1]], _ = strconv.Atoi(m[2])
 	}
-	// A job that the front had taken with +OK and the engine refused comes back
-	// by itself, and is booked anew: how many do depends on what was busy just then.
-	ended := booked["served"] + booked["failed"] + booked["denied"]
-	require.Equal(t, booked["taken"], ended+booked["refused"], "%s", log)
-	require.GreaterOrEqual(t, booked["taken"], 2*each, "%s", log)
+	// A job that the front had accepted with +OK and the engine refused is submitted again, and is
+	// counted again: how many are depends on which workers and members were busy at the time.
+	ended := answers["served"] + answers["failed"] + answers["denied"]
+	require.Equal(t, answers["taken"], ended+answers["refused"], "%s", log)
+	require.GreaterOrEqual(t, answers["taken"], 2*each, "%s", log)
 	require.LessOrEqual(t, ended, 2*each, "%s", log)
-	paid.mu.Lock()
-	defer paid.mu.Unlock()
-	require.NotEmpty(t, paid.runs)
-	for id, n := range paid.runs {
+	counts.mu.Lock()
+	defer counts.mu.Unlock()
+	require.NotEmpty(t, counts.runs)
+	for id, n := range counts.runs {
 		ticket := strings.HasPrefix(id, "h-") && (id[len(id)-1]-'0')%2 == 0 || strings.HasPrefix(id, "job-") && (id[len(id)-1]-'0')%2 == 0
 		if ticket {
 			require.Equal(t, 1, n, "%s was run more than once", id)
--- a/internal/dispatcher/faktory/model_test.go
+++ b/internal/dispatcher/faktory/model_test.go
@@ -23,13 +23,13 @@
 	"pgregory.net/rapid"
 )
 
-// fakeEngine stands in for the engine. It queues what the front calls; runUntilIdle processes
-// that, as the engine's goroutine would.
+// fakeEngine replaces the engine. It queues the front's calls; runUntilIdle processes them, as the
+// engine's goroutine would.
 type fakeEngine struct {
 	submitted  []*engine.Transaction
 	events     []func()
 	members    map[string]*engine.Member
-	refuseNext bool // the next one
+	refuseNext bool // refuse the next submitted job
 }
 
 func (h *fakeEngine) Submit(t *engine.Transaction) { h.submitted = append(h.submitted, t) }
@@ -48,8 +48,8 @@
 	}
 }
 
-// answer is what the policy would decide: a job that came back unstarted is refused, and so is a
-// failed one whose class is idempotent.
+// answer gives the client the answer that the policy would decide on: a job that was returned
+// before it started is refused, and so is a failed one whose class is idempotent.
 func (h *fakeEngine) answer(t *engine.Transaction, s policy.Status, result []byte) {
 	a := engine.Answer{Verdict: engine.Served, Body: result}
 	switch {
@@ -64,7 +64,7 @@
 	t.Client.Answer(a)
 }
 
-// runUntilIdle plays the engine until nothing is left to do.
+// runUntilIdle does the engine's work until none is left.
 func (h *fakeEngine) runUntilIdle() {
 	for len(h.submitted) > 0 || len(h.events) > 0 {
 		if len(h.events) > 0 {
@@ -92,11 +92,11 @@
 	}
 }
 
-// fakeTransactions knows two classes.
+// fakeTransactions replaces the pipeline. It has two classes.
 type fakeTransactions struct{}
 
 func (fakeTransactions) NewTransaction(a pipeline.Submission, now time.Time, c engine.Client) (*engine.Transaction, error) {
-	if a.Hint < 0 || !(a.Slots >= 0 && a.Slots < math.MaxInt32) { // as the pipeline has it
+	if a.Hint < 0 || !(a.Slots >= 0 && a.Slots < math.MaxInt32) { // the pipeline checks this too
 		return nil, errors.New("a figure is negative or no number")
 	}
 	return &engine.Transaction{ID: a.ID, Class: a.Class, Capability: a.Capability, Body: a.Body, BodyFormat: a.BodyFormat, Arrived: now, Deadline: now.Add(time.Hour), Client: c}, nil
@@ -150,9 +150,9 @@
 			slices.SortFunc(found, func(a, b *job) int { return a.seq - b.seq })
 			return found
 		}
-		anyone := func(t *rapid.T) string { return rapid.SampledFrom([]string{"w1", "w2", "w3"}).Draw(t, "worker") }
+		drawWorker := func(t *rapid.T) string { return rapid.SampledFrom([]string{"w1", "w2", "w3"}).Draw(t, "worker") }
 		end := func(t *rapid.T, verb string) (*job, bool) {
-			wid := anyone(t)
+			wid := drawWorker(t)
 			var held []*job
 			for _, w := range []string{"w1", "w2", "w3"} {
 				held = append(held, in(w)...)
@@ -174,7 +174,7 @@
 				kind := map[bool]string{true: "Ticket", false: "Mail"}[j.ticket]
 				known := jobs[id]
 				if known != nil && !known.ticket && (known.where == "dead" || known.where == "gone") {
-					known = nil // it may run as often as need be, and its client asks again
+					known = nil // it may run again, and this push adds it again
 				}
 				text := commandHandlers["PUSH"](client, fmt.Sprintf(`{"jid":%q,"jobtype":%q,"queue":%q,"args":[],"retry":%d}`, id, kind, j.queue, j.retries))
 				h.runUntilIdle()
@@ -192,7 +192,7 @@
 				}
 			},
 			"fetch": func(t *rapid.T) {
-				wid := anyone(t)
+				wid := drawWorker(t)
 				order := slices.Clone(queues)
 				if rapid.Bool().Draw(t, "low first") {
 					slices.Reverse(order)
@@ -218,7 +218,7 @@
 				want.where = wid
 			},
 			"a worker is gone while a job is written to it": func(t *rapid.T) {
-				wid := anyone(t)
+				wid := drawWorker(t)
 				f := b.workers.fetch(sessions[wid].worker, queues)
 				h.runUntilIdle()
 				if e := b.workers.cancelFetch(f); e != nil {
@@ -226,7 +226,7 @@
 					require.Equal(t, "queue", j.where)
 					b.workers.returnUndelivered(e)
 					h.runUntilIdle()
-					j.where = "retries" // refused, and due again by and by
+					j.where = "retries" // refused, and retried later
 				}
 			},
 			"ack": func(t *rapid.T) {
@@ -254,7 +254,7 @@
 					t.Skip()
 				}
 				// The unit of the backoff is a nanosecond: all are due, in the order of
-				// their times, which the front knows.
+				// their times, which the front's set has.
 				var order []string
 				for _, j := range b.store.Retries.Sorted() {
 					order = append(order, j.ID)
@@ -320,7 +320,7 @@
 	})
 }
 
-// isCompleteReply tells whether a text is exactly one reply of the protocol.
+// isCompleteReply reports whether a text is exactly one reply of the protocol.
 func isCompleteReply(text string) bool {
 	switch {
 	case !strings.HasSuffix(text, "\r\n"):
@@ -347,7 +347,7 @@
 func (r *replyRecorder) SetWriteDeadline(time.Time) error { return nil }
 
 // newRecordedSession returns a session whose replies are recorded; w is nil for a client that
-// only pushes. Its peer has gone, so that a FETCH does not wait.
+// only pushes. Its peer has disconnected, so that a FETCH does not wait.
 func newRecordedSession(s *Server, w *worker) (*session, *replyRecorder) {
 	recorder := new(replyRecorder)
 	conn := &connection{netConn: recorder, closed: make(chan struct{})}
@@ -362,7 +362,7 @@
 	return recorder.written.String()
 }
 
-// acceptedIDs are the jids that the reply to a PUSH or a PUSHB accepts.
+// acceptedIDs returns the jids that the reply to a PUSH or a PUSHB accepts.
 func acceptedIDs(line, reply string) (ids []string) {
 	name, text, _ := strings.Cut(line, " ")
 	v, err := fastjson.Parse(strings.TrimSpace(text))
@@ -388,7 +388,7 @@
 	return ids
 }
 
-// requireNothingLost: each accepted job is in a queue, in a set, with a worker, or has an answer
+// requireNothingLost checks that each accepted job is in a queue, in a set, with a worker, or has an answer
 // that does not deny it.
 func requireNothingLost(t require.TestingT, b *backlog, accepted []string) {
 	for _, id := range accepted {
@@ -397,9 +397,9 @@
 		switch known.state {
 		case taskWaiting:
 			require.NotNil(t, known.job, "job %s", id)
-			require.NotEmpty(t, known.job.Location(), "job %s is nowhere", id)
+			require.NotEmpty(t, known.job.Location(), "job %s is in no queue or set", id)
 		case taskSubmitted:
-			require.NotNil(t, b.workers.reserved[id], "job %s is with nobody", id)
+			require.NotNil(t, b.workers.reserved[id], "job %s is at no worker", id)
 		case taskFinal:
 			require.NotEqual(t, engine.Denied, known.answer.Verdict, "job %s was accepted, and denied: %s", id, known.answer.Body)
 		}
@@ -440,14 +440,14 @@
 		var accepted []string
 		in := bufio.NewReader(strings.NewReader(text + "\n"))
 		for line, err := readCommand(in); err == nil; line, err = readCommand(in) {
-			for _, who := range []struct {
+			for _, peer := range []struct {
 				session *session
 				replies *replyRecorder
 			}{{client, clientReplies}, {w, workerReplies}} {
-				reply := handleRecorded(who.session, who.replies, line)
+				reply := handleRecorded(peer.session, peer.replies, line)
 				h.runUntilIdle()
 				name, _, _ := strings.Cut(line, " ")
-				if name == "FETCH" && reply == "" { // its worker has gone
+				if name == "FETCH" && reply == "" { // its worker has disconnected
 					continue
 				}
 				require.True(t, isCompleteReply(reply), "%q", reply)
--- a/internal/dispatcher/faktory/mutate.go
+++ b/internal/dispatcher/faktory/mutate.go
@@ -8,22 +8,23 @@
 )
 
 // mutate applies a command to the jobs of a set that a filter selects, and to their tasks.
-// vouchedBy names who says that jobs which may have run have not; empty: nobody does.
-func (b *backlog) mutate(c sets.Command, target string, f sets.Filter, vouchedBy string) error {
+// confirmedBy names the person who confirms that selected jobs which may have run have not run;
+// empty: this is not confirmed.
+func (b *backlog) mutate(c sets.Command, target string, f sets.Filter, confirmedBy string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	selected, err := b.store.Mutate(time.Now(), c, target, f, vouchedBy != "")
+	selected, err := b.store.Mutate(time.Now(), c, target, f, confirmedBy != "")
 	queues := make(map[string]bool)
 	for _, j := range selected {
 		t := j.Attachment.(*task)
 		switch c {
 		case sets.Requeue:
 			if t.state == taskFinal { // it was dead
-				b.revive(t, j)
+				b.replaceDeadTask(t, j)
 			}
 			queues[j.Queue] = true
-			if vouchedBy != "" {
-				b.log.Warn("a job that may have run is requeued: an operator vouches that it has not", "job", j.ID, "by", vouchedBy)
+			if confirmedBy != "" {
+				b.log.Warn("a job that may have run is requeued: an operator vouches that it has not", "job", j.ID, "by", confirmedBy)
 			}
 		case sets.Kill:
 			if t.state != taskFinal {
@@ -43,8 +44,8 @@
 	return err
 }
 
-// revive makes a new task, which waits, for a dead job that was queued again.
-func (b *backlog) revive(dead *task, j *sets.Job) {
+// replaceDeadTask makes a new, waiting task for a dead job that was queued again.
+func (b *backlog) replaceDeadTask(dead *task, j *sets.Job) {
 	t := &task{backlog: b, job: j, id: dead.id, batch: dead.batch, effect: dead.effect, updatedAt: time.Now(), plan: dead.plan}
 	j.Attachment = t
 	b.tasks[t.id] = t
--- a/internal/dispatcher/faktory/outcome.go
+++ b/internal/dispatcher/faktory/outcome.go
@@ -9,8 +9,8 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Answer implements engine.Client: an attempt of the job has its final answer. The engine's
-// goroutine calls it.
+// Answer implements engine.Client: it handles the final answer to an attempt of the job. The
+// engine's goroutine calls it.
 func (t *task) Answer(a engine.Answer) {
 	b := t.backlog
 	b.counters.JobAnswered(a.Verdict.Outcome())
@@ -53,12 +53,12 @@
 }
 
 // disposition decides what becomes of a job whose attempt has ended, and moves the job
-// there. What may have run is tried again only if its class is idempotent.
+// there. A job that may have run is retried only if its class is idempotent.
 func (b *backlog) disposition(t *task, a engine.Answer, now time.Time) sets.Disposition {
 	switch {
 	case a.Verdict == engine.Served, t.pushPending:
 		return sets.Discarded
-	case t.failure != nil || a.Ran: // it was run, and somebody said that it failed
+	case t.failure != nil || a.Ran: // it was run, and the worker or pool member reported a failure
 		if t.failure == nil {
 			t.failure = &failure{errorType: "Error", message: "a pool member called it failed"}
 		}
@@ -72,8 +72,8 @@
 	return b.store.Failed(now, t.job, false, a.Verdict.String(), a.Reason.String(), nil)
 }
 
-// notifyBatch tells a task's batch how an attempt ended. One that did not run, and is tried
-// again, is nothing to the batch.
+// notifyBatch reports to a task's batch how an attempt ended. An attempt that did not run and is
+// followed by another one is not reported.
 func (b *backlog) notifyBatch(t *task, succeeded bool) {
 	if t.batch != "" && (succeeded || t.failure != nil || t.state == taskFinal) {
 		b.pushCallbacks(b.batches.JobRan(t.batch, t.id, succeeded))
@@ -120,7 +120,7 @@
 	}
 }
 
-// finish takes the ACK or FAIL of a worker; f is nil for an ACK. It reports false if the
+// finish handles the ACK or FAIL of a worker; f is nil for an ACK. It reports false if the
 // worker holds no reservation of the job any more.
 func (b *backlog) finish(w *worker, jid string, s policy.Status, result []byte, f *failure) bool {
 	b.mu.Lock()
--- a/internal/dispatcher/faktory/payload.go
+++ b/internal/dispatcher/faktory/payload.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// workerPayload is the job as FETCH returns it: a pushed one as it came, one of another front
-// as a Faktory job with its body as the only argument.
+// workerPayload returns the job as FETCH replies with it: a pushed one as the client sent it, one
+// of another front as a Faktory job with its body as the only argument.
 func workerPayload(t *engine.Transaction, queue string) []byte {
 	if t.BodyFormat == jobBodyFormat {
 		return payloadWithFailure(t)
@@ -31,7 +31,7 @@
 	return jsontext.Append(nil, v)
 }
 
-// payloadWithFailure is a pushed job with the account of its last failure, if it has failed.
+// payloadWithFailure returns a pushed job, with the details of its last failure if it has failed.
 func payloadWithFailure(t *engine.Transaction) []byte {
 	pushed, ok := t.Client.(*task)
 	if !ok || pushed.job == nil || pushed.job.Failure == nil {
@@ -46,7 +46,7 @@
 	return jsontext.Append(nil, v)
 }
 
-// failureJSON is the account of a failure in the protocol's form.
+// failureJSON returns the details of a failure in the protocol's format.
 func failureJSON(a *fastjson.Arena, f *sets.Failure) *fastjson.Value {
 	v, trace := a.NewObject(), a.NewArray()
 	v.Set("retry_count", a.NewNumberInt(f.RetryCount))
--- a/internal/dispatcher/faktory/plans.go
+++ b/internal/dispatcher/faktory/plans.go
@@ -18,22 +18,23 @@
 	// CheckInUse returns nil for a plan that can be started here, else an error that says
 	// why not.
 	CheckInUse(plan string) error
-	// Start starts a run, or joins it wherever in the fleet it is, and does not wait. A zero
-	// deadline is the plan's own, which a later one does not extend. Another goroutine calls
-	// done once, unless this process stops first: with Served and the answer's JSON, Refused
-	// if nothing has run, else Failed. After an error nothing has run, and done is not called.
+	// Start starts a run, or joins it if it has been started anywhere in the fleet, and does not
+	// wait. With a zero deadline the plan's own applies; a later one does not extend it. Another
+	// goroutine calls done once, unless this process stops first: with Served and the answer's
+	// JSON, Refused if nothing has run, else Failed. After an error nothing has run, and done is
+	// not called.
 	Start(run, plan, tenant string, input []byte, deadline time.Time, done func(engine.Answer)) error
 }
 
-// planRuns numbers the runs of a job that is run as a plan. A run's id is one run in the
-// whole fleet: the first has the jid, and each that follows one in which nothing has run has
-// a number appended.
+// planRuns numbers the runs of a job that is run as a plan. A run's id identifies it in the whole
+// fleet: the first run's is the jid. A run may follow one in which nothing has run; its id is the
+// jid with a number appended.
 type planRuns struct {
 	plan  string
 	ended int // how many runs have ended
 }
 
-// newPlanRuns continues the numbers of the jid's earlier task, if it had the same plan. It
+// newPlanRuns continues the numbering of the jid's earlier task, if it had the same plan. It
 // returns nil for a job without a plan.
 func newPlanRuns(name string, known *task) *planRuns {
 	switch {
@@ -45,7 +46,7 @@
 	return &planRuns{plan: name}
 }
 
-// runID is the id of the job's current run, or of its next one if none is under way.
+// runID returns the id of the job's current run, or of its next one if none is under way.
 func (p *planRuns) runID(jid string) string {
 	if p.ended == 0 {
 		return jid
@@ -64,13 +65,14 @@
 	case name == "" || len(name) > maxNameLength:
 		return "", errors.New("custom.plan is the name of a plan")
 	case strings.Contains(jid, "#"):
-		return "", errors.New("the jid of a job with a plan has no #") // it numbers runs
+		return "", errors.New("the jid of a job with a plan has no #") // it separates the jid from a run's number
 	}
 	return name, nil
 }
 
 // parseIncoming parses a job that is pushed: its plan must be in use, and its workers must be
-// able to read it. The parser takes numbers that are no JSON, such as nan and 1-2.
+// able to read it. The body is validated because the parser accepts numbers that are no JSON, such
+// as nan and 1-2.
 func (b *backlog) parseIncoming(v *fastjson.Value, now time.Time) (job, error) {
 	j, err := parseJob(v, b.config, now)
 	switch {
@@ -86,7 +88,7 @@
 	return j, b.plans.CheckInUse(j.plan)
 }
 
-// planInput is the input of a plan's run: the job's args, and its custom object without the
+// planInput returns the input of a plan's run: the job's args, and its custom object without the
 // plan's name.
 func planInput(v *fastjson.Value) []byte {
 	var a fastjson.Arena
@@ -132,7 +134,7 @@
 	}
 }
 
-// planEnded takes in the final answer of a run. Another run may follow only if nothing of
+// planEnded handles the final answer of a run. Another run may follow only if nothing of
 // this one has run. The lock is held.
 func (b *backlog) planEnded(t *task, runID string, a engine.Answer) {
 	now := time.Now()
--- a/internal/dispatcher/faktory/plans_test.go
+++ b/internal/dispatcher/faktory/plans_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakePlanStarter stands in for the fleet's coordinator.
+// fakePlanStarter replaces the fleet's coordinator.
 type fakePlanStarter struct {
 	started   []string // run, plan, tenant, input
 	deadlines []time.Time
@@ -32,7 +32,8 @@
 	return p.err
 }
 
-// planJob is a job with the plan, and more of its custom object.
+// planJob returns a job with the plan; custom and more are further fields of its custom object and
+// of the job.
 func planJob(jid, custom, more string) string {
 	return fmt.Sprintf(`{"jid":%q,"jobtype":"Mail","queue":"q","args":[7,"a"]%s,"custom":{"plan":"coach"%s}}`, jid, more, custom)
 }
@@ -58,7 +59,7 @@
 			require.Len(t, p.started, 1)
 			require.EqualValues(t, 1, b.processed)
 		},
-		"what never ran is another run, what may have run is dead": func(do func(c, r, w string) string, p *fakePlanStarter, b *backlog) {
+		"after a run that never ran there is another, and a job that may have run is dead": func(do func(c, r, w string) string, p *fakePlanStarter, b *backlog) {
 			do("PUSH", planJob("job-0001", "", ""), `^\+OK`)
 			for n := range 2 {
 				p.done[n](refused)
@@ -74,14 +75,14 @@
 			do("MUTATE", `{"cmd":"requeue","target":"dead","filter":{"jids":["job-0001"]},"known_not_run":"desk"}`, `^\+OK`)
 			require.Equal(t, "job-0001#3 coach  "+input, p.started[3])
 		},
-		"a fleet that is away": func(do func(c, r, w string) string, p *fakePlanStarter, b *backlog) {
+		"a run that could not be started is started again under its id": func(do func(c, r, w string) string, p *fakePlanStarter, b *backlog) {
 			p.err = errors.New("away")
 			do("PUSH", planJob("job-0001", "", ""), `^\+OK`)
 			p.err = nil
 			b.promoteDue()
-			require.Equal(t, []string{"job-0001 coach  " + input, "job-0001 coach  " + input}, p.started, "an id that nobody has used is used")
+			require.Equal(t, []string{"job-0001 coach  " + input, "job-0001 coach  " + input}, p.started, "the id has not been used, so it is used again")
 		},
-		"its turn": func(do func(c, r, w string) string, p *fakePlanStarter, b *backlog) {
+		"a run starts when its job is first in its queue": func(do func(c, r, w string) string, p *fakePlanStarter, b *backlog) {
 			do("QUEUE", "PAUSE q", "OK")
 			soon := time.Now().Add(time.Hour).UTC().Format(time.RFC3339Nano)
 			do("PUSH", planJob("job-0001", fmt.Sprintf(`,"expires_at":%q`, soon), ""), `^\+OK`)
@@ -98,7 +99,7 @@
 			require.Contains(t, string((<-f.delivered).payload), "job-0003")
 			require.Zero(t, b.unfetched["q"])
 		},
-		"what it takes beyond that": func(do func(c, r, w string) string, p *fakePlanStarter, _ *backlog) {
+		"unique jobs, and jobs and call-backs of batches": func(do func(c, r, w string) string, p *fakePlanStarter, _ *backlog) {
 			unique := `,"unique_for":60,"unique_until":"start"`
 			do("PUSH", planJob("job-0001", unique, ""), `^\+OK`)
 			do("PUSH", planJob("job-0002", unique, ""), `^\+OK`) // the first has started
@@ -108,7 +109,7 @@
 			p.done[2](served)
 			require.Contains(t, p.started[3], "job-0009 coach", "the batch's call-back is a plan as well")
 		},
-		"what is not taken": func(do func(c, r, w string) string, _ *fakePlanStarter, b *backlog) {
+		"pushes that are not accepted": func(do func(c, r, w string) string, _ *fakePlanStarter, b *backlog) {
 			do("PUSH", `{"jid":"job-0001","jobtype":"Mail","args":[],"custom":{"plan":"bus"}}`, `^-ERR no plan "bus"`)
 			do("PUSH", `{"jid":"job-0001","jobtype":"Mail","args":[],"custom":{"plan":7}}`, `^-ERR custom.plan is the name`)
 			do("PUSH", planJob("job-0001#1", "", ""), `^-ERR the jid of a job with a plan has no #`)
--- a/internal/dispatcher/faktory/program_test.go
+++ b/internal/dispatcher/faktory/program_test.go
@@ -15,7 +15,7 @@
 "jobtypes":{"Hold":{"class":"place-hold","cost_us":2000000},"Brief":{"class":"group-ticket","deadline_ms":1500,"cost_us":500000},"Late":{"class":"place-hold","deadline_ms":30,"cost_us":2000000}}}}`
 
 var words = scenario.Functions{
-	// hash is a client's own reckoning of the protocol's password hash.
+	// hash computes the protocol's password hash independently of the server.
 	"hash": func(a ...string) string {
 		sum := []byte("tajomstvo" + a[0])
 		for range 4000 {
@@ -43,7 +43,7 @@
 	"long": func(...string) string { return strings.Repeat("x", 300<<10) },
 }
 
-// login is the opening of a connection, of a worker or a client without a wid.
+// login returns the script that opens a connection, of a worker or of a client without a wid.
 func login(actor, wid string) string {
 	return actor + ` expect ^\+HI {"v":2,"i":4000,"s":"(?P<salt>\w+)"}\r\n
 		` + actor + ` send @hello(` + wid + `,@hash($salt))
@@ -51,12 +51,13 @@
 		`
 }
 
-// TestFaktory plays clients, workers and pool members of both fronts against a started program.
+// TestFaktory runs scripts of clients, workers and pool members of both fronts against a started
+// program.
 //
 //nolint:funlen // a table of scripts
 func TestFaktory(t *testing.T) {
 	client, worker := login("faktory.c", ""), login("faktory.w", "w1")
-	// joins makes sure that the worker is in the pool before a job comes.
+	// joins makes sure that the worker is in the pool before a job is pushed.
 	const joins = `faktory.w send FETCH tickets default\r\n
 		faktory.w expect ^\$-1\r\n
 		`
@@ -83,7 +84,7 @@
 			faktory.w expect ^\$-1\r\n
 			faktory.c send END\r\n
 			faktory.c wait`},
-		// The first hard case: the client comes back in the middle of its job.
+		// The client reconnects while its job runs.
 		"a client that reconnects joins its job": {0, client + worker + joins + `
 			faktory.c send @push(job-0001,Sell,tickets)
 			faktory.c expect ^\+OK\r\n
@@ -101,8 +102,8 @@
 			faktory.c2 expect "outcome":"served"
 			faktory.w send FETCH tickets\r\n
 			faktory.w expect ^\$-1\r\n`},
-		// The second: a worker acknowledges twice, the second time as failed.
-		"a second ACK counts nothing": {0, client + worker + joins + `
+		// A worker acknowledges a job twice, and then fails it.
+		"a second ACK has no effect": {0, client + worker + joins + `
 			faktory.c send @push(job-0001,Sell,tickets)
 			faktory.c expect ^\+OK\r\n
 			faktory.w send FETCH tickets\r\n
@@ -138,7 +139,7 @@
 			faktory.c expect "outcome":"failed","state":"failed"
 			faktory.w send FETCH tickets\r\n
 			faktory.w expect ^\$-1\r\n`},
-		"a deadline ends a fetched job, and its late ACK counts nothing": {0, client + worker + joins + `
+		"a deadline ends a fetched job, and its late ACK has no effect": {0, client + worker + joins + `
 			faktory.c send @push(job-0001,Brief,tickets)
 			faktory.c expect ^\+OK\r\n
 			faktory.w send FETCH tickets\r\n
@@ -161,13 +162,13 @@
 			faktory.w2 expect job-0001
 			faktory.w send FETCH tickets\r\n
 			faktory.w expect ^\$-1\r\n`},
-		// With a member of the other front the decisions see a push at once.
-		"refuses, and says when to come back": {1, client + `
+		// With a pool member of the HTTP front, a push is submitted to the engine at once.
+		"refuses with a retry-after time": {1, client + `
 			faktory.c send @push(job-0001,Late,holds)
 			faktory.c expect ^-ERR refused, retry-after (2\.000|1\.99\d)\r\n
 			faktory.c send TRACK GET job-0001\r\n
 			faktory.c expect "retry_at":"[^"]+","outcome":"refused","state":"dead"`},
-		"turns bad input away": {1, client + `
+		"rejects bad input": {1, client + `
 			faktory.c send DANCE\r\nPUSH {\r\nPUSH {"jid":"short"}\r\n@push(job-0001,Unknown,nowhere)FETCH tickets\r\n
 			faktory.c expect ^-ERR unknown command "DANCE"\r\n-ERR the job is no JSON\r\n-ERR a jid has[^\n]*\n-ERR neither jobtype[^\n]*\n-ERR only a worker
 			faktory.c send PUSHB [{"jid":"job-0001","jobtype":"Hold","args":[]},{"jid":"job-0002","jobtype":"Hold"}]\r\n
@@ -179,7 +180,7 @@
 			faktory.x send HELLO {"v":2,"pwdhash":"00"}\r\n
 			faktory.x expect -ERR invalid password
 			faktory.x wait`},
-		// Silence past the reservation is a time-out: the ticket may have run.
+		// A job without ACK or FAIL when its reservation ends has timed out: the ticket may have run.
 		"a reservation ends": {0, client + worker + joins + `
 			faktory.c send @push(job-0001,Sell,tickets)
 			faktory.c expect ^\+OK\r\n
@@ -218,7 +219,7 @@
 			program close
 			program expect draining
 			agent.3 expect ^drain\n`},
-		// Either wire's jobs run on either wire's members, under one account.
+		// Jobs of both fronts run on the pool members of both, and are counted together.
 		"a pushed job runs on an HTTP member": {1, client + `
 			faktory.c send @push(job-0001,Sell,tickets)
 			faktory.c expect ^\+OK\r\n
--- a/internal/dispatcher/faktory/push.go
+++ b/internal/dispatcher/faktory/push.go
@@ -15,13 +15,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// pushError says why a PUSH was not accepted, in the protocol's words.
+// pushError is the reason why a PUSH was not accepted, as the text of the protocol's error reply.
 type pushError string
 
 // Error implements error.
 func (e pushError) Error() string { return string(e) }
 
-// refusedPush is the error of a job that may be pushed again later.
+// refusedPush returns the error of a job that may be pushed again later.
 func refusedPush(a engine.Answer) pushError {
 	wait := defaultRetryAfter
 	if !a.RetryAt.IsZero() {
@@ -30,12 +30,12 @@
 	return pushError(fmt.Sprintf("ERR refused, retry-after %.3f", wait.Seconds()))
 }
 
-// invalidPush is the error of a job that can't be accepted as it is.
+// invalidPush returns the error of a job that can't be accepted as it is.
 func invalidPush(err error) pushError { return pushError("ERR " + err.Error()) }
 
-// push accepts a job, or returns a pushError. Where the job is submitted at once and the
-// engine refuses it at once, it is not accepted, and the client learns when to come back. A
-// jid that is known joins its first push.
+// push accepts a job, or returns a pushError. If the job is submitted at once and the engine
+// refuses it at once, it is not accepted, and the error says when the client may push it again. A
+// push of a known jid adds no job, unless nothing of the earlier one has run (mayPushAgain).
 func (b *backlog) push(v *fastjson.Value, client string, now time.Time) error {
 	j, err := b.parseIncoming(v, now)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil, nil
 }
 
-// storeError puts an error of the store in the protocol's words.
+// storeError returns the protocol's error for an error of the store.
 func (b *backlog) storeError(err error) pushError {
 	switch {
 	case errors.Is(err, sets.ErrNotUnique):
@@ -113,7 +113,7 @@
 	return invalidPush(err)
 }
 
-// addTask makes the task of a job that the store has just accepted. Known is the task of an
+// addTask makes the task of a job that the store has just accepted. known is the task of an
 // earlier push of its jid, or nil.
 func (b *backlog) addTask(j job, stored *sets.Job, effect policy.Effect, known *task, now time.Time) *task {
 	t := &task{backlog: b, job: stored, id: j.id, batch: j.batch, effect: effect, updatedAt: now, plan: newPlanRuns(j.plan, known)}
--- a/internal/dispatcher/faktory/reply.go
+++ b/internal/dispatcher/faktory/reply.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// okReply is the reply to a command that was taken and has nothing to return.
+// okReply is the reply to a command that was accepted and has nothing to return.
 const okReply = "+OK\r\n"
 
 // simpleReply returns a reply of one line of text.
 func simpleReply(text string) string { return "+" + singleLine(text) + "\r\n" }
 
-// errorReply returns the reply to a command that was not taken.
+// errorReply returns the reply to a command that was not accepted.
 func errorReply(format string, args ...any) string {
 	return "-ERR " + singleLine(fmt.Sprintf(format, args...)) + "\r\n"
 }
--- a/internal/dispatcher/faktory/server.go
+++ b/internal/dispatcher/faktory/server.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// helloGrace is how long a connection may take to say HELLO before another one may
-	// evict it.
+	// helloGrace is how long a connection may take to send HELLO before it may be evicted for
+	// another one.
 	helloGrace = 250 * time.Millisecond
-	// defaultRetryAfter is the advice with a refusal that brings none of its own.
+	// defaultRetryAfter is the retry-after time of a refusal that names none.
 	defaultRetryAfter = time.Second
 )
 
-// FrontName is what this front's jobs are counted under in accounting.
+// FrontName is the name under which accounting counts this front's jobs.
 const FrontName = "faktory"
 
-// TransactionFactory makes the engine's transactions of submissions; the pipeline is one.
+// TransactionFactory makes the engine's transactions from submissions; the pipeline implements it.
 type TransactionFactory interface {
 	// NewTransaction fails for a submission that can't be served, such as one of an
 	// unknown class or one whose deadline has passed.
@@ -116,8 +116,8 @@
 	}
 }
 
-// takeSlot takes a connection slot. Where none is free it evicts a connection that has not
-// said HELLO, and waits for its slot. It reports false if there is none to evict.
+// takeSlot takes a connection slot. If none is free, it evicts a connection that has not sent
+// HELLO, and waits for its slot. It reports false if there is none to evict.
 func (s *Server) takeSlot() bool {
 	select {
 	case s.connectionSlots <- struct{}{}:
@@ -131,7 +131,8 @@
 	return true
 }
 
-// register counts a connection in, unless its address has as many as the settings allow.
+// register adds an open connection. It reports false if the connection's address already has as
+// many as the settings allow.
 func (s *Server) register(conn net.Conn, address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +144,7 @@
 	return true
 }
 
-// unregister counts a connection out and frees its slot.
+// unregister removes a connection from the open ones and frees its slot.
 func (s *Server) unregister(conn net.Conn, address string) {
 	s.mu.Lock()
 	delete(s.openConnections, conn)
@@ -154,7 +155,7 @@
 	<-s.connectionSlots
 }
 
-// rejectConnection tells a peer why it is not served, and closes its connection.
+// rejectConnection sends a peer the reason why it is not served, and closes its connection.
 func rejectConnection(conn net.Conn, reason string) {
 	// The peer is not served whether it reads this or not, so the errors change nothing.
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -163,7 +164,7 @@
 }
 
 // evictUnauthenticated closes the connection that has gone longest without its HELLO, if it
-// is older than helloGrace: peers that only connect must not shut out the others. It
+// is older than helloGrace: peers that only connect must not take all slots from the others. It
 // reports whether there was one.
 func (s *Server) evictUnauthenticated(now time.Time) bool {
 	s.mu.Lock()
@@ -185,7 +186,7 @@
 	return true
 }
 
-// Drain accepts no more pushes. Workers go on fetching the jobs that were accepted.
+// Drain makes the server refuse further pushes. Workers go on fetching the jobs that were accepted.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.backlog.drain()
--- a/internal/dispatcher/faktory/session.go
+++ b/internal/dispatcher/faktory/session.go
@@ -40,7 +40,7 @@
 }
 
 // handshake greets the peer and reads its HELLO. It reports false if the connection is to
-// be closed: the peer has left, was too slow, or has been told its mistake.
+// be closed: the peer has disconnected, was too slow, or was sent an error.
 func (s *Server) handshake(conn *connection) (hello, bool) {
 	salt := newSalt()
 	if conn.reply(greeting(s.config.Password, salt)) != nil {
--- a/internal/dispatcher/faktory/stress_test.go
+++ b/internal/dispatcher/faktory/stress_test.go
@@ -23,18 +23,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// program is the started program with an operator's file of the test's own.
+// program is the started program, with the operator's file largeLimits.
 type program struct {
 	w   *demo.World
 	cmd *exec.Cmd
 }
 
-const roomy = `{"figures":{"listen":%q,"audit_every_ms":500},"faktory":{"listen":%q,"connections":1200,"reserve_for_s":60,
+// largeLimits is an operator's file with room for the jobs and connections of these tests.
+const largeLimits = `{"figures":{"listen":%q,"audit_every_ms":500},"faktory":{"listen":%q,"connections":1200,"reserve_for_s":60,
 "waiting":{"jobs":200000,"queue_jobs":150000,"megabytes":200,"queue_megabytes":190},"backoff_unit_ms":1,
 "workers":{"cell":1},"default":{"class":"send-notice","cost_us":1000},
 "jobtypes":{"Ticket":{"class":"group-ticket","deadline_ms":25000,"cost_us":1000}}}}`
 
-func start(t testing.TB) *program {
+func startProgram(t testing.TB) *program {
 	binary, err := scenario.Build()
 	require.NoError(t, err)
 	w, err := demo.NewWorld(demo.Load{RunTime: time.Millisecond})
@@ -44,7 +45,7 @@
 	config, operator := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")
 	settings := strings.Replace(w.Configuration(), `"memory_mb":192,"sockets":1024`, `"memory_mb":128,"sockets":4096`, 1)
 	require.NoError(t, os.WriteFile(config, []byte(settings), 0o600))
-	require.NoError(t, os.WriteFile(operator, []byte(fmt.Sprintf(roomy, w.MetricsAddr, w.FaktoryAddr)), 0o600))
+	require.NoError(t, os.WriteFile(operator, []byte(fmt.Sprintf(largeLimits, w.MetricsAddr, w.FaktoryAddr)), 0o600))
 	p := &program{w: w, cmd: exec.CommandContext(t.Context(), binary, "--log-level", "error", "--operator", operator)}
 	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
 	p.cmd.Stderr = os.Stderr
@@ -57,34 +58,35 @@
 	return p
 }
 
-func soon() time.Time { return time.Now().Add(20 * time.Second) }
+// replyDeadline returns the deadline of a command that is sent now.
+func replyDeadline() time.Time { return time.Now().Add(20 * time.Second) }
 
 func (p *program) dial(t testing.TB) *client.Conn {
-	c, err := client.Dial(p.w.FaktoryAddr, "", soon())
+	c, err := client.Dial(p.w.FaktoryAddr, "", replyDeadline())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() }) // the program may have ended
 	return c
 }
 
 func (p *program) info(t testing.TB, c *client.Conn) (i client.Info) {
-	require.NoError(t, c.Query("INFO", &i, soon()))
+	require.NoError(t, c.Query("INFO", &i, replyDeadline()))
 	return i
 }
 
-// push pushes so many jobs, a hundred at a time.
+// push pushes the given number of jobs, a hundred at a time; more is further fields of each.
 func push(t testing.TB, c *client.Conn, jobs int, more string) {
 	for n := 0; n < jobs; n += 100 {
 		var all []string
 		for k := n; k < min(n+100, jobs); k++ {
 			all = append(all, fmt.Sprintf(`{"jid":"job-%07d","jobtype":"Mail","queue":"q","args":[%d]%s}`, k, k, more))
 		}
-		text, err := c.Do("PUSHB ["+strings.Join(all, ",")+"]", soon())
+		text, err := c.Do("PUSHB ["+strings.Join(all, ",")+"]", replyDeadline())
 		require.NoError(t, err)
 		require.Equal(t, "{}", string(text))
 	}
 }
 
-// fetchJob fetches a job of queue q and returns its jid; empty: there was none for it.
+// fetchJob fetches a job of queue q and returns its jid, which is empty if it got none.
 func fetchJob(w *fakes.FaktoryConn) (jid string, err error) {
 	text, err := w.Do("FETCH q")
 	if err != nil || text == nil {
@@ -115,16 +117,16 @@
 	return jid
 }
 
-// TestManyDue: 20,000 jobs that come due in one moment all come to their queue,
-// none twice, while others are still served. (100,000 take 10 s under the race
-// detector; the benchmark beside this has them.)
+// TestManyDue: 20,000 jobs that become due at the same time all reach their queue, none twice, and
+// commands are still answered meanwhile. (100,000 take 10 s under the race detector;
+// BenchmarkWaiting lets that many wait.)
 func TestManyDue(t *testing.T) {
 	t.Parallel()
 	manyDue(t, 20000)
 }
 
 func manyDue(t testing.TB, jobs int) {
-	p := start(t)
+	p := startProgram(t)
 	c := p.dial(t)
 	// Far enough ahead that all are pushed by then.
 	at := time.Now().Add(time.Duration(jobs/2000+2) * time.Second)
@@ -133,7 +135,7 @@
 	for until := time.Now().Add(60 * time.Second); ; {
 		began := time.Now()
 		i := p.info(t, c)
-		require.Less(t, time.Since(began), 2*time.Second, "a command is answered while all come due")
+		require.Less(t, time.Since(began), 2*time.Second, "a command is answered while all become due")
 		if i.Faktory.Queues["q"] == jobs {
 			require.Zero(t, i.Faktory.Tasks["Scheduled"].Size)
 			break
@@ -151,7 +153,7 @@
 	}
 }
 
-// TestManyWorkers: a thousand workers that connect at once are all let in, fetch,
+// TestManyWorkers: a thousand workers that connect at once are all accepted, fetch,
 // and get each job once; 200 under the race detector, which makes the program ten
 // times slower.
 func TestManyWorkers(t *testing.T) {
@@ -160,9 +162,9 @@
 	if scenario.RaceEnabled {
 		workers = 200
 	}
-	p := start(t)
+	p := startProgram(t)
 	push(t, p.dial(t), workers, "")
-	till := fakes.NewRunLog()
+	runLog := fakes.NewRunLog()
 	var all sync.WaitGroup
 	errs := make(chan error, workers)
 	for n := range workers {
@@ -181,7 +183,7 @@
 					if jid == "" {
 						continue
 					}
-					till.RecordRun(jid, true)
+					runLog.RecordRun(jid, true)
 					return ackJob(w, jid)
 				}
 				return nil
@@ -193,19 +195,19 @@
 	for err := range errs {
 		require.NoError(t, err)
 	}
-	require.Equal(t, workers, till.JobCount())
-	require.Empty(t, till.RunTwice())
+	require.Equal(t, workers, runLog.JobCount())
+	require.Empty(t, runLog.RunTwice())
 	require.Equal(t, workers, p.info(t, p.dial(t)).Faktory.Processed)
 }
 
-// TestEndWithSetsFull: a planned end with sets and queues full is in order and
-// in time, and says what is lost.
+// TestEndWithSetsFull: a planned shutdown while many jobs wait in queues and sets ends without an
+// error and in time.
 func TestEndWithSetsFull(t *testing.T) {
 	t.Parallel()
-	p := start(t)
+	p := startProgram(t)
 	c := p.dial(t)
 	push(t, c, 3000, "")
-	_, err := c.Do(`PUSH {"jid":"scheduled-1","jobtype":"Mail","queue":"q","args":[],"at":"2100-01-01T00:00:00Z"}`, soon())
+	_, err := c.Do(`PUSH {"jid":"scheduled-1","jobtype":"Mail","queue":"q","args":[],"at":"2100-01-01T00:00:00Z"}`, replyDeadline())
 	require.NoError(t, err)
 	began := time.Now()
 	require.NoError(t, p.cmd.Process.Signal(demo.ShutdownSignal))
@@ -213,16 +215,16 @@
 	require.Less(t, time.Since(began), 10*time.Second)
 }
 
-// TestHalfWritten: a worker that disconnects while a job is written to it has not run it: another
-// one gets it at once.
+// TestHalfWritten: a worker that disconnects while a job is written to it has not run the job, and
+// another worker gets it at once.
 func TestHalfWritten(t *testing.T) {
 	t.Parallel()
-	p := start(t)
+	p := startProgram(t)
 	c := p.dial(t)
-	// More than the sockets between hold, so that the write can't end.
+	// More than the sockets' buffers hold, so that the write can't end.
 	body := strings.Repeat("x", 60000)
 	for n := range 20 {
-		_, err := c.Do(fmt.Sprintf(`PUSH {"jid":"job-%07d","jobtype":"Ticket","queue":"q","args":[%q]}`, n, body), soon())
+		_, err := c.Do(fmt.Sprintf(`PUSH {"jid":"job-%07d","jobtype":"Ticket","queue":"q","args":[%q]}`, n, body), replyDeadline())
 		require.NoError(t, err)
 	}
 	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", p.w.FaktoryAddr)
@@ -230,7 +232,7 @@
 	_, err = io.WriteString(conn, "HELLO {\"v\":2,\"wid\":\"gone\"}\r\n"+strings.Repeat("FETCH q\r\n", 2))
 	require.NoError(t, err)
 	buffer := make([]byte, 200)
-	for got := 0; got < 100; { // the first job is on its way
+	for got := 0; got < 100; { // the first job is being written
 		n, err := conn.Read(buffer)
 		require.NoError(t, err)
 		got += n
@@ -254,13 +256,13 @@
 }
 
 // TestSlowReader: a client that sends commands and does not read its replies is
-// cut off, and nobody else waits for it.
+// disconnected, and other clients don't wait for it.
 func TestSlowReader(t *testing.T) {
 	t.Parallel()
-	p := start(t)
+	p := startProgram(t)
 	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", p.w.FaktoryAddr)
 	require.NoError(t, err)
-	defer func() { _ = conn.Close() }() // it was cut off
+	defer func() { _ = conn.Close() }() // it was disconnected by the server
 	_, err = io.WriteString(conn, "HELLO {\"v\":2}\r\n")
 	require.NoError(t, err)
 	ended := make(chan error, 1)
@@ -283,7 +285,7 @@
 	case err := <-ended:
 		require.Error(t, err)
 	case <-time.After(20 * time.Second):
-		require.Fail(t, "it was not cut off")
+		require.Fail(t, "it was not disconnected")
 	}
 }
 
@@ -291,7 +293,7 @@
 func BenchmarkWaiting(b *testing.B) {
 	for _, jobs := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(jobs), func(b *testing.B) {
-			p := start(b)
+			p := startProgram(b)
 			c := p.dial(b)
 			before := rss(p.cmd.Process.Pid)
 			began := time.Now()
@@ -324,11 +326,11 @@
 }
 
 // BenchmarkFront measures the started program on one core: b.N jobs are pushed,
-// fetched and acknowledged over so many connections of each side. It tells jobs
-// a second and the time from PUSH to FETCH.
+// fetched and acknowledged over the given number of connections of each side. It reports jobs per
+// second and the time from PUSH to FETCH.
 func BenchmarkFront(b *testing.B) {
 	for _, conns := range []int{1, 16, 64, 256} {
-		b.Run(fmt.Sprint(conns), func(b *testing.B) { front(b, conns, 0) })
+		b.Run(fmt.Sprint(conns), func(b *testing.B) { measureFront(b, conns, 0) })
 	}
 }
 
@@ -336,16 +338,16 @@
 // waits when the front is half busy.
 func BenchmarkPaced(b *testing.B) {
 	for _, conns := range []int{1, 16, 64} {
-		b.Run(fmt.Sprint(conns), func(b *testing.B) { front(b, conns, 5000) })
+		b.Run(fmt.Sprint(conns), func(b *testing.B) { measureFront(b, conns, 5000) })
 	}
 }
 
-// front measures the way of jobs through the front, by so many clients and as many workers. Rate is in
-// jobs per second; 0: as fast as it goes.
+// measureFront measures jobs from PUSH to ACK, with conns clients and as many workers. rate is in jobs
+// per second; 0: as fast as possible.
 //
 //nolint:funlen,gocognit // one measurement: its goroutines share the counters
-func front(b *testing.B, conns int, rate float64) {
-	p := start(b)
+func measureFront(b *testing.B, conns int, rate float64) {
+	p := startProgram(b)
 	pushed := sync.Map{}
 	spans := make([][]time.Duration, conns)
 	var all, pushers sync.WaitGroup
--- a/internal/dispatcher/faktory/submit.go
+++ b/internal/dispatcher/faktory/submit.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// submitWanted submits jobs of a queue to the engine while somebody waits for them: a FETCH
-// for each, or pool members of other sources. Jobs with a plan start as soon as they are the
+// submitWanted submits jobs of a queue to the engine while they are wanted (maySubmit): by a FETCH
+// for each, or by pool members of other sources. Jobs with a plan start as soon as they are the
 // first of the queue. The lock is held, here and in all of this file.
 func (b *backlog) submitWanted(queue string) {
 	for b.maySubmit(queue) {
@@ -21,7 +21,7 @@
 	b.startPlans(queue)
 }
 
-// maySubmit tells whether a further job of a queue is wanted.
+// maySubmit reports whether a further job of a queue is wanted.
 func (b *backlog) maySubmit(queue string) bool {
 	if b.unfetched[queue] < b.workers.waitingFetches[queue] {
 		return true
--- a/internal/dispatcher/faktory/task.go
+++ b/internal/dispatcher/faktory/task.go
@@ -8,7 +8,7 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// task is what the backlog knows of one pushed job, from its push until its result is
+// task is the backlog's record of one pushed job, from its push until its result is
 // forgotten. It is the client of the job's transaction. The backlog's lock guards it.
 type task struct {
 	backlog     *backlog
@@ -27,13 +27,13 @@
 	updatedAt   time.Time
 }
 
-// progressReport is what a worker says of a job that it runs (TRACK SET).
+// progressReport is a worker's report on a job that it runs (TRACK SET).
 type progressReport struct {
 	percent     int // 0 to 100
 	description string
 }
 
-// taskState tells who has a job now.
+// taskState is where a job is now.
 type taskState uint8
 
 const (
@@ -42,12 +42,12 @@
 	taskFinal                      // it has its final answer
 )
 
-// failure is a worker's account of a failed attempt.
+// failure has the details of a failed attempt, as its worker reported them.
 type failure struct {
 	errorType, message string
 	backtrace          []string
 }
 
-// mayPushAgain tells whether a job with this final answer is accepted anew when it is
+// mayPushAgain reports whether a job with this final answer is accepted anew when it is
 // pushed again: nothing of it has run.
 func mayPushAgain(v engine.Verdict) bool { return v == engine.Refused || v == engine.Denied }
--- a/internal/dispatcher/faktory/transport.go
+++ b/internal/dispatcher/faktory/transport.go
@@ -9,7 +9,7 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Start implements engine.Transport: the flow waits to be fetched.
+// Start implements engine.Transport: the flow waits until its worker fetches it.
 func (ws *workers) Start(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -35,11 +35,11 @@
 	if f.TooLate(deadline) {
 		deadline, status = f.LatestSend, policy.NotSent
 	}
-	d.timer = time.AfterFunc(time.Until(deadline), func() { ws.endIfStill(d, false, status) })
+	d.timer = time.AfterFunc(time.Until(deadline), func() { ws.endUnlessChanged(d, false, status) })
 }
 
 // Abandon implements engine.Transport. A worker can't be notified: one that has fetched the
-// job goes on, and its ACK has no effect.
+// job continues, and its ACK has no effect.
 func (ws *workers) Abandon(f *engine.Flow) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
--- a/internal/dispatcher/faktory/workers.go
+++ b/internal/dispatcher/faktory/workers.go
@@ -18,8 +18,8 @@
 	memberIDPrefix = "faktory/"
 )
 
-// Engine is what the front needs of the dispatcher's engine (engine.Engine, which documents
-// the methods). Do waits for the engine's goroutine; the others don't.
+// Engine is the part of the dispatcher's engine that the front uses (engine.Engine documents the
+// methods). Do waits for the engine's goroutine; the others don't.
 type Engine interface {
 	Submit(*engine.Transaction)
 	Do(func())
@@ -43,13 +43,13 @@
 	submittedFor   map[string]*pendingFetch // by jid: the FETCH that a job was submitted for
 }
 
-// worker is one wid, over all of its connections.
+// worker is the Faktory worker with one wid, over all of its connections.
 type worker struct {
 	id            string
 	connections   int             // open ones
 	queues        map[string]bool // that it has ever fetched from
 	inPool        bool            // the engine lists it as a member
-	quiet         bool            // it has said that it fetches no more
+	quiet         bool            // it has announced that it fetches no more
 	mailbox       []*delivery     // routed to it and not fetched yet
 	fetches       []*pendingFetch // that wait
 	reservedJobs  int             // how many jobs it has fetched and not ended
@@ -66,8 +66,8 @@
 	}
 }
 
-// connect counts a connection of a worker in. Reservations from before it lost its last
-// connection are still its own.
+// connect adds a connection of a worker. The worker keeps the reservations that it had when it lost
+// its last connection.
 func (ws *workers) connect(h hello) *worker {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -83,7 +83,7 @@
 	return w
 }
 
-// disconnect counts a connection out. With the last one, jobs that were not fetched return to
+// disconnect removes a connection of a worker. With the last one, jobs that were not fetched return to
 // the engine: they can't have run. Those that were fetched stay reserved until they are
 // acknowledged or their reservation ends.
 func (ws *workers) disconnect(w *worker) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// stopFetching takes in that a worker fetches no more. Nothing new may reach it while it
+// stopFetching marks a worker as one that fetches no more. Nothing new may reach it while it
 // drains, so the jobs that it has not fetched return to the engine at once.
 func (ws *workers) stopFetching(w *worker) {
 	ws.mu.Lock()
@@ -142,7 +142,7 @@
 	}})
 }
 
-// capabilities are the queues whose jobs a worker may get: those that it fetches from and
+// capabilities returns the queues whose jobs a worker may get: those that it fetches from and
 // that are not paused.
 func (ws *workers) capabilities(w *worker) []string {
 	queues := []string{}
@@ -155,7 +155,7 @@
 	return queues
 }
 
-// isPaused tells whether an operator has paused a queue.
+// isPaused reports whether an operator has paused a queue.
 func (ws *workers) isPaused(queue string) bool {
 	q := ws.backlog.store.FindQueue(queue)
 	return q != nil && q.Paused
@@ -170,9 +170,10 @@
 	}
 }
 
-// dedupCell is the group of pool members that drops repeats of a keyed job. Unless the
-// operator names one whose deduplication the workers really share, each worker is a group of
-// its own: a job that may have run must not go to another worker, which would run it again.
+// dedupCell returns the number of the worker's deduplication group, whose pool members together
+// drop repeats of a keyed job. Unless the operator's settings name a group whose deduplication the
+// workers really share, each worker is a group of its own: a job that may have run must not go to
+// another worker, which would run it again.
 func (ws *workers) dedupCell(w *worker) int {
 	if ws.config.Cell != 0 {
 		return ws.config.Cell
@@ -182,7 +183,7 @@
 	return -1 - int(h.Sum32())
 }
 
-// heartbeat takes in a worker's BEAT. quiet: the worker says that it fetches no more.
+// heartbeat records a worker's BEAT; quiet is whether the worker announces that it fetches no more.
 func (ws *workers) heartbeat(w *worker, quiet bool, rssKB int64) {
 	ws.mu.Lock()
 	w.lastHeartbeat, w.rssKB = time.Now(), rssKB
@@ -192,7 +193,7 @@
 	}
 }
 
-// remainingWork tells what a worker may still have to do while the dispatcher drains: the
+// remainingWork returns what a worker may still have to do while the dispatcher drains: the
 // jobs in all mailboxes, and those that it has reserved.
 func (ws *workers) remainingWork(w *worker) (inMailboxes, reserved int) {
 	ws.mu.Lock()
@@ -203,7 +204,7 @@
 	return inMailboxes, w.reservedJobs
 }
 
-// counts counts the workers, and the jobs in mailboxes and reserved. The lock is held.
+// counts returns the numbers of workers, of jobs in mailboxes, and of reserved jobs. The lock is held.
 func (ws *workers) counts() (workers, inMailboxes, reserved int) {
 	for _, w := range ws.byID {
 		inMailboxes += len(w.mailbox)
