--- a/internal/dispatcher/faktory/batch/batch.go
+++ b/internal/dispatcher/faktory/batch/batch.go
@@ -1,6 +1,6 @@
-// Package batch keeps the Faktory front's batches: jobs that are pushed together, with a
-// call-back job once all of them have run and one once all have succeeded, each pushed exactly
-// once. Batches nest: a parent waits for its children.
+// Package batch keeps the Faktory front's batches: jobs that are pushed together. A batch has a
+// call-back job that is pushed once all of its jobs have run, or one that is pushed once all have
+// succeeded, or both; each is pushed exactly once. Batches nest: a parent waits for its children.
 //
 // It does no I/O and reads no clock. The caller pushes the call-backs that the methods return, and
 // must not use a Store concurrently.
@@ -21,7 +21,7 @@
 	Success  Kind = "success"  // each job has succeeded
 )
 
-// State is how far a call-back has come, by the protocol's value.
+// State is the state of a call-back, by the protocol's value.
 type State string
 
 // States of call-backs.
@@ -33,11 +33,18 @@
 
 // Errors of the methods.
 var (
+	// ErrUnknownBatch is returned for a bid that no unfinished batch has.
 	ErrUnknownBatch = errors.New("no such batch")
-	ErrCommitted    = errors.New("the batch has been committed")
-	ErrFinished     = errors.New("the batch is over")
-	ErrNoCallback   = errors.New("a batch has a success or a complete call-back")
-	ErrFull         = errors.New("there are too many batches")
+	// ErrCommitted is returned when a batch that has been committed is committed again, or a job is
+	// to be added to it.
+	ErrCommitted = errors.New("the batch has been committed")
+	// ErrFinished is returned when a batch one of whose call-backs is due is opened again, or is to
+	// get a child.
+	ErrFinished = errors.New("the batch is over")
+	// ErrNoCallback is returned for a definition without a call-back.
+	ErrNoCallback = errors.New("a batch has a success or a complete call-back")
+	// ErrFull is returned when a new batch would exceed the limits.
+	ErrFull = errors.New("there are too many batches")
 )
 
 // Definition is what BATCH NEW defines.
@@ -53,7 +60,7 @@
 	Job   []byte // JSON
 }
 
-// Batch is one batch; callers only read it. A job is pending until it has succeeded; one that has
+// Batch is one batch; callers must not change it. A job is pending until it has succeeded; one that has
 // failed at least once and not succeeded since counts as failed as well.
 type Batch struct {
 	ID          string
@@ -64,15 +71,15 @@
 	Pending     int
 	failedJobs  map[string]bool // pending ones that have run
 	pendingJobs map[string]bool // all that are pending
-	children    map[string]bool // batches in it that have not succeeded; true: complete
+	children    map[string]bool // by bid: batches whose parent it is; true: complete
 	States      map[Kind]State
 }
 
-// overheadBytes is about what a batch takes in memory beside its definition.
+// overheadBytes is about what a batch takes in memory in addition to its id and its definition.
 const overheadBytes = 400
 
-// size is about what the batch takes in memory, in bytes, its jobs apart: these are counted where
-// they wait.
+// size returns about what the batch takes in memory, in bytes, without its jobs, which the caller
+// counts where they wait.
 func (b *Batch) size() int {
 	size := overheadBytes + len(b.ID) + len(b.Definition.Parent) + len(b.Definition.Description)
 	for _, job := range b.Definition.Callbacks {
@@ -164,7 +171,7 @@
 	return nil
 }
 
-// Add counts a job in that was pushed. One that is pushed again counts once.
+// Add adds a pushed job to a batch. A job that is pushed again counts once.
 func (s *Store) Add(id, job string) {
 	if batch := s.batches[id]; batch != nil && !batch.pendingJobs[job] {
 		batch.pendingJobs[job] = true
@@ -173,7 +180,7 @@
 	}
 }
 
-// Remove counts a job out whose push was not accepted in the end.
+// Remove removes a job whose push was not accepted after all.
 func (s *Store) Remove(id, job string) {
 	if batch := s.batches[id]; batch != nil && batch.pendingJobs[job] {
 		delete(batch.pendingJobs, job)
@@ -182,8 +189,8 @@
 	}
 }
 
-// Commit closes a batch to further jobs. It returns the call-backs that are due then, if the batch
-// has no job or the last one has ended meanwhile; or ErrUnknownBatch or ErrCommitted.
+// Commit closes a batch to further jobs. It returns the call-backs that this makes due, if the
+// batch has no job or the last one has ended already; or ErrUnknownBatch or ErrCommitted.
 func (s *Store) Commit(id string) ([]Callback, error) {
 	batch := s.batches[id]
 	switch {
@@ -196,7 +203,7 @@
 	return s.dueCallbacks(batch), nil
 }
 
-// JobRan takes in that a job of a batch has run, and returns the call-backs that are due then. A
+// JobRan records that a job of a batch has run, and returns the call-backs that this makes due. A
 // job that has succeeded counts once.
 func (s *Store) JobRan(id, job string, succeeded bool) []Callback {
 	batch := s.batches[id]
@@ -213,8 +220,8 @@
 	return s.dueCallbacks(batch)
 }
 
-// CallbackSucceeded takes in that a call-back has succeeded, and returns the call-backs of parents
-// that are due then. A batch whose call-backs have all succeeded is finished, and forgotten.
+// CallbackSucceeded records that a call-back has succeeded, and returns the call-backs of parents
+// that this makes due. A batch whose call-backs have all succeeded is finished, and is removed.
 func (s *Store) CallbackSucceeded(id string, kind Kind) []Callback {
 	batch := s.batches[id]
 	if batch == nil || batch.States[kind] != Enqueued {
@@ -257,7 +264,8 @@
 	return append(due, s.removeIfFinished(batch)...)
 }
 
-// removeIfFinished forgets a batch that is finished, and returns what is due of its parent then.
+// removeIfFinished removes a batch if it is finished, and returns the parent's call-backs that this
+// makes due.
 func (s *Store) removeIfFinished(batch *Batch) []Callback {
 	if s.batches[batch.ID] != batch || batch.States[Success] != Done || batch.States[Complete] != Done {
 		return nil
--- a/internal/dispatcher/faktory/batch/batch_test.go
+++ b/internal/dispatcher/faktory/batch/batch_test.go
@@ -11,20 +11,24 @@
 
 var start = time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
 
-func both() map[Kind][]byte { return map[Kind][]byte{Complete: []byte("c"), Success: []byte("s")} }
+// bothCallbacks returns one call-back of each kind.
+func bothCallbacks() map[Kind][]byte {
+	return map[Kind][]byte{Complete: []byte("c"), Success: []byte("s")}
+}
 
-func kinds(due []Callback) (names []string) {
+// describe returns the bid and the kind of each call-back.
+func describe(due []Callback) (names []string) {
 	for _, c := range due {
 		names = append(names, c.Batch+" "+string(c.Kind))
 	}
 	return names
 }
 
-// TestCallbacks: complete once each job has run, success once each has
-// succeeded, each once, and none before the batch is committed.
+// TestCallbacks: the complete call-back is due once each job has run, and the success call-back once
+// each has succeeded; each is returned once, and none before the batch is committed.
 func TestCallbacks(t *testing.T) {
 	b := NewStore(Limits{10, 1 << 20})
-	require.NoError(t, b.New(start, "b", Definition{Callbacks: both()}))
+	require.NoError(t, b.New(start, "b", Definition{Callbacks: bothCallbacks()}))
 	b.Add("b", "1")
 	b.Add("b", "2")
 	b.Add("b", "2")
@@ -32,11 +36,11 @@
 	require.Empty(t, b.JobRan("b", "2", false))
 	due, err := b.Commit("b")
 	require.NoError(t, err)
-	require.Equal(t, []string{"b complete"}, kinds(due))
+	require.Equal(t, []string{"b complete"}, describe(due))
 	require.Empty(t, b.JobRan("b", "2", false), "failed again")
 	at := b.Find("b")
 	require.Equal(t, []int{2, 1, 1}, []int{at.Total, at.Pending, at.Failed()})
-	require.Equal(t, []string{"b success"}, kinds(b.JobRan("b", "2", true)))
+	require.Equal(t, []string{"b success"}, describe(b.JobRan("b", "2", true)))
 	require.Empty(t, b.JobRan("b", "2", true), "a job succeeds once")
 	b.CallbackSucceeded("b", Complete)
 	b.CallbackSucceeded("b", Complete)
@@ -48,9 +52,9 @@
 func TestCommands(t *testing.T) {
 	b := NewStore(Limits{2, 1 << 20})
 	require.ErrorIs(t, b.New(start, "b", Definition{}), ErrNoCallback)
-	require.ErrorIs(t, b.New(start, "b", Definition{Parent: "p", Callbacks: both()}), ErrUnknownBatch)
+	require.ErrorIs(t, b.New(start, "b", Definition{Parent: "p", Callbacks: bothCallbacks()}), ErrUnknownBatch)
 	require.NoError(t, b.New(start, "b", Definition{Callbacks: map[Kind][]byte{Success: []byte("s")}}))
-	require.Error(t, b.New(start, "b", Definition{Callbacks: both()}))
+	require.Error(t, b.New(start, "b", Definition{Callbacks: bothCallbacks()}))
 	require.NoError(t, b.CheckAdd("b"))
 	require.ErrorIs(t, b.CheckAdd("x"), ErrUnknownBatch)
 	require.ErrorIs(t, b.Open("x"), ErrUnknownBatch)
@@ -58,13 +62,13 @@
 	b.Remove("b", "1")
 	due, err := b.Commit("b")
 	require.NoError(t, err)
-	require.Equal(t, []string{"b success"}, kinds(due), "an empty one is done at once")
+	require.Equal(t, []string{"b success"}, describe(due), "a batch without jobs succeeds at once")
 	_, err = b.Commit("b")
 	require.ErrorIs(t, err, ErrCommitted)
 	require.ErrorIs(t, b.CheckAdd("b"), ErrCommitted)
 	require.ErrorIs(t, b.Open("b"), ErrFinished)
-	require.NoError(t, b.New(start, "c", Definition{Callbacks: both()}))
-	require.ErrorIs(t, b.New(start, "d", Definition{Callbacks: both()}), ErrFull)
+	require.NoError(t, b.New(start, "c", Definition{Callbacks: bothCallbacks()}))
+	require.ErrorIs(t, b.New(start, "d", Definition{Callbacks: bothCallbacks()}), ErrFull)
 	_, err = b.Commit("x")
 	require.ErrorIs(t, err, ErrUnknownBatch)
 	b.Add("c", "1")
@@ -78,8 +82,8 @@
 // TestNested: a parent waits for its children, and they do not wait for it.
 func TestNested(t *testing.T) {
 	b := NewStore(Limits{10, 1 << 20})
-	require.NoError(t, b.New(start, "p", Definition{Callbacks: both()}))
-	require.NoError(t, b.New(start, "c", Definition{Parent: "p", Callbacks: both()}))
+	require.NoError(t, b.New(start, "p", Definition{Callbacks: bothCallbacks()}))
+	require.NoError(t, b.New(start, "c", Definition{Parent: "p", Callbacks: bothCallbacks()}))
 	b.Add("p", "1")
 	b.Add("c", "2")
 	for _, id := range []string{"p", "c"} {
@@ -88,17 +92,17 @@
 		require.Empty(t, due)
 	}
 	require.Empty(t, b.JobRan("p", "1", true))
-	require.Equal(t, []string{"c complete", "p complete"}, kinds(b.JobRan("c", "2", false)))
-	require.Equal(t, []string{"c success"}, kinds(b.JobRan("c", "2", true)))
+	require.Equal(t, []string{"c complete", "p complete"}, describe(b.JobRan("c", "2", false)))
+	require.Equal(t, []string{"c success"}, describe(b.JobRan("c", "2", true)))
 	require.Empty(t, b.CallbackSucceeded("c", Complete))
-	require.Equal(t, []string{"p success"}, kinds(b.CallbackSucceeded("c", Success)), "a child is over with its call-backs")
+	require.Equal(t, []string{"p success"}, describe(b.CallbackSucceeded("c", Success)), "a child is finished once its call-backs have succeeded")
 	b.CallbackSucceeded("p", Complete)
 	b.CallbackSucceeded("p", Success)
 	require.Zero(t, b.Len())
 }
 
-// TestOnce drives batches at random: no call-back comes twice, complete comes
-// before success, and in the end each batch has had both.
+// TestOnce makes random calls: no call-back is returned twice, complete is returned before success,
+// and in the end each batch has returned both.
 //
 //nolint:funlen,gocognit // a state machine: its actions share the model
 func TestOnce(t *testing.T) {
@@ -107,21 +111,21 @@
 		type running struct{ batch, job string }
 		var open []string
 		var jobs []running
-		var owed []Callback
-		had := map[string]int{}
-		take := func(due []Callback) {
+		var unfinished []Callback
+		returned := map[string]int{}
+		record := func(due []Callback) {
 			for _, c := range due {
-				had[c.Batch+" "+string(c.Kind)]++
-				require.Equal(t, 1, had[c.Batch+" "+string(c.Kind)], "%v", c)
-				require.True(t, c.Kind == Complete || had[c.Batch+" complete"] == 1)
+				returned[c.Batch+" "+string(c.Kind)]++
+				require.Equal(t, 1, returned[c.Batch+" "+string(c.Kind)], "%v", c)
+				require.True(t, c.Kind == Complete || returned[c.Batch+" complete"] == 1)
 			}
-			owed = append(owed, due...)
+			unfinished = append(unfinished, due...)
 		}
 		all := []string{}
 		t.Repeat(map[string]func(*rapid.T){
 			"new": func(t *rapid.T) {
 				n++
-				d := Definition{Callbacks: both()}
+				d := Definition{Callbacks: bothCallbacks()}
 				if len(open) > 0 && rapid.Bool().Draw(t, "nested") {
 					d.Parent = rapid.SampledFrom(open).Draw(t, "parent")
 				}
@@ -145,45 +149,45 @@
 				due, err := b.Commit(open[0])
 				require.NoError(t, err)
 				open = open[1:]
-				take(due)
+				record(due)
 			},
 			"ran": func(t *rapid.T) {
 				if len(jobs) == 0 {
 					t.Skip()
 				}
 				i := rapid.IntRange(0, len(jobs)-1).Draw(t, "job")
-				well := rapid.Bool().Draw(t, "well")
+				succeeded := rapid.Bool().Draw(t, "well")
 				j := jobs[i]
-				if well {
+				if succeeded {
 					jobs = append(jobs[:i], jobs[i+1:]...)
 				}
-				take(b.JobRan(j.batch, j.job, well))
+				record(b.JobRan(j.batch, j.job, succeeded))
 			},
 			"call-back": func(t *rapid.T) {
-				if len(owed) == 0 {
+				if len(unfinished) == 0 {
 					t.Skip()
 				}
-				c := owed[0]
-				owed = owed[1:]
-				take(b.CallbackSucceeded(c.Batch, c.Kind))
+				c := unfinished[0]
+				unfinished = unfinished[1:]
+				record(b.CallbackSucceeded(c.Batch, c.Kind))
 			},
 		})
 		for _, id := range open {
 			due, err := b.Commit(id)
 			require.NoError(t, err)
-			take(due)
+			record(due)
 		}
 		for _, j := range jobs {
-			take(b.JobRan(j.batch, j.job, true))
+			record(b.JobRan(j.batch, j.job, true))
 		}
-		for len(owed) > 0 {
-			c := owed[0]
-			owed = owed[1:]
-			take(b.CallbackSucceeded(c.Batch, c.Kind))
+		for len(unfinished) > 0 {
+			c := unfinished[0]
+			unfinished = unfinished[1:]
+			record(b.CallbackSucceeded(c.Batch, c.Kind))
 		}
-		require.Zero(t, b.Len(), "all are over")
+		require.Zero(t, b.Len(), "all are finished")
 		for _, id := range all {
-			require.Equal(t, 2, had[id+" complete"]+had[id+" success"], id)
+			require.Equal(t, 2, returned[id+" complete"]+returned[id+" success"], id)
 		}
 	})
 }
@@ -200,7 +204,7 @@
 	require.Nil(t, b.Find("b3"))
 	due, err := b.Commit("b1")
 	require.NoError(t, err)
-	require.Equal(t, []string{"b1 success"}, kinds(due))
+	require.Equal(t, []string{"b1 success"}, describe(due))
 	require.ErrorIs(t, b.New(start, "b3", large), ErrFull, "its call-back has not run")
 	b.CallbackSucceeded("b1", Success)
 	require.NoError(t, b.New(start, "b3", large))
--- a/internal/dispatcher/faktory/client/client.go
+++ b/internal/dispatcher/faktory/client/client.go
@@ -1,5 +1,5 @@
-// Package client is an operator's connection to a server of the Faktory work
-// protocol, such as this project's front.
+// Package client connects operators' tools to a server of the Faktory work protocol, such as the
+// dispatcher's Faktory front.
 package client
 
 import (
@@ -32,8 +32,8 @@
 // Error implements error.
 func (e ServerError) Error() string { return string(e) }
 
-// Dial connects and says HELLO, with the password's hash if the server asks for one. It fails if
-// that is not done by the deadline.
+// Dial connects and sends HELLO, with the password's hash if the server asks for one. It fails if
+// the reply has not arrived by the deadline.
 func Dial(addr, password string, deadline time.Time) (*Conn, error) {
 	d := net.Dialer{Deadline: deadline}
 	tcp, err := d.Dial("tcp", addr)
@@ -41,15 +41,15 @@
 		return nil, fmt.Errorf("no Faktory server there: %w", err)
 	}
 	conn := &Conn{tcp, bufio.NewReader(tcp)}
-	if err := conn.sayHello(password, deadline); err != nil {
+	if err := conn.sendHello(password, deadline); err != nil {
 		_ = tcp.Close() // the error that matters is returned
 		return nil, err
 	}
 	return conn, nil
 }
 
-// sayHello reads the greeting and says HELLO.
-func (c *Conn) sayHello(password string, deadline time.Time) error {
+// sendHello reads the greeting, sends HELLO and waits for the reply.
+func (c *Conn) sendHello(password string, deadline time.Time) error {
 	if err := c.conn.SetDeadline(deadline); err != nil {
 		return err
 	}
@@ -83,7 +83,8 @@
 	return err
 }
 
-// Do sends a command and returns its reply, nil for null. A refusal is a ServerError.
+// Do sends a command and returns its reply, nil for null. An error reply is returned as a
+// ServerError.
 func (c *Conn) Do(command string, deadline time.Time) ([]byte, error) {
 	if err := c.conn.SetDeadline(deadline); err != nil {
 		return nil, err
@@ -135,12 +136,12 @@
 		}
 		return text[:n], nil
 	}
-	return nil, fmt.Errorf("a reply that makes no sense: %q", line)
+	return nil, fmt.Errorf("a reply of no known kind: %q", line)
 }
 
-// Close says END and closes the connection.
+// Close sends END and closes the connection.
 func (c *Conn) Close() error {
-	// END is a courtesy: the server sees the end of the connection as well.
+	// END is optional, so its errors are ignored: the server notices the end of the connection as well.
 	_ = c.conn.SetDeadline(time.Now().Add(time.Second))
 	_, _ = io.WriteString(c.conn, "END\r\n")
 	return c.conn.Close()
