--- a/internal/dispatcher/faktory/accounting_test.go
+++ b/internal/dispatcher/faktory/accounting_test.go
@@ -58,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scenario.RunScript(t, scenario.Start(t, 1, operator), words, script)
+			scenario.RunScript(t, scenario.Start(t, 1, operatorSettings), scriptFunctions, script)
 		})
 	}
 }
--- a/internal/dispatcher/faktory/conformance_test.go
+++ b/internal/dispatcher/faktory/conformance_test.go
@@ -16,8 +16,10 @@
 "waiting":{"jobs":50,"queue_jobs":20},"default":{"class":"send-notice","cost_us":1000},
 "jobtypes":{"Ticket":{"class":"group-ticket","cost_us":1000},"Hold":{"class":"place-hold","cost_us":1000}}}}`
 
+// conformanceFunctions are the functions of TestConformance: scriptFunctions, some of them replaced,
+// and further ones.
 var conformanceFunctions = func() scenario.Functions {
-	w := maps.Clone(words)
+	w := maps.Clone(scriptFunctions)
 	w["job"] = func(a ...string) string { // jid, jobtype, queue, and fields as JSON with ; for ,
 		more := ""
 		if len(a) > 3 {
--- a/internal/dispatcher/faktory/mixed_test.go
+++ b/internal/dispatcher/faktory/mixed_test.go
@@ -59,7 +59,7 @@
 			return
 		}
 		for _, state := range []string{"started", "done", "done"} {
-			_, _ = io.WriteString(back, strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(words["news"](id, state, name)))
+			_, _ = io.WriteString(back, strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(scriptFunctions["news"](id, state, name)))
 		}
 		_, _ = io.ReadAll(io.LimitReader(back, int64(3*len("HTTP/1.1 204 No Content\r\n"))))
 		_ = back.Close()
@@ -89,7 +89,7 @@
 			line, _ := in.ReadString('\n')
 			return line
 		}
-		send(words["hello"](wid, words["hash"](salt[1])))
+		send(scriptFunctions["hello"](wid, scriptFunctions["hash"](salt[1])))
 		for lost := false; !lost; {
 			if ack != "" {
 				send(ack)
@@ -103,8 +103,8 @@
 			job, _ := in.ReadString('\n')
 			id := jid.FindStringSubmatch(job)[1]
 			n := counts.run(id)
-			if ack = words["ack"](id, "paid"); n%5 == 0 {
-				ack = words["fail"](id)
+			if ack = scriptFunctions["ack"](id, "paid"); n%5 == 0 {
+				ack = scriptFunctions["fail"](id)
 			}
 			lost = n%4 == 0
 		}
@@ -116,7 +116,7 @@
 // job ends once, and no ticket is run twice.
 func TestMixed(t *testing.T) {
 	const each = 30
-	peers, counts := scenario.Start(t, 2, operator), &runCounts{runs: make(map[string]int)}
+	peers, counts := scenario.Start(t, 2, operatorSettings), &runCounts{runs: make(map[string]int)}
 	for _, name := range []string{"r1", "r2"} {
 		go func() {
 			for c, err := peers[name](); err == nil; c, err = peers[name]() {
@@ -132,7 +132,7 @@
 			class := []string{"group-ticket", "place-hold"}[n%2]
 			t.Run(fmt.Sprint("http", n), func(t *testing.T) {
 				t.Parallel()
-				scenario.RunScript(t, peers, words, fmt.Sprintf(`
+				scenario.RunScript(t, peers, scriptFunctions, fmt.Sprintf(`
 					client send @job(%s,h-%02d,%d)
 					client expect ^HTTP/1.1 (200|502|503)[^\n]*\n.*\r\n\r\n`, class, n, 25-15*(n%2)))
 			})
@@ -145,7 +145,7 @@
 					faktory.c send @push(job-00%02d,%s,tickets)
 					faktory.c expect ^(\+OK|-ERR refused, retry-after \d\.\d+)\r\n`, n, []string{"Sell", "Hold"}[n%2])
 			}
-			scenario.RunScript(t, peers, words, script)
+			scenario.RunScript(t, peers, scriptFunctions, script)
 		})
 	})
 	// The program ends by itself once every accepted job has its answer, and logs how many answers
--- a/internal/dispatcher/faktory/plans_test.go
+++ b/internal/dispatcher/faktory/plans_test.go
@@ -94,7 +94,7 @@
 			require.Len(t, p.started, 1)
 			require.Equal(t, soon, p.deadlines[0].UTC().Format(time.RFC3339Nano))
 			f := b.workers.fetch(b.workers.connect(hello{workerID: "w1"}), []string{"q"})
-			require.Equal(t, "job-0004 coach  "+input, p.started[1], "once the job before it is handed out")
+			require.Equal(t, "job-0004 coach  "+input, p.started[1], "it starts once the job before it has been submitted")
 			b.engine.(*fakeEngine).runUntilIdle()
 			require.Contains(t, string((<-f.delivered).payload), "job-0003")
 			require.Zero(t, b.unfetched["q"])
--- a/internal/dispatcher/faktory/program_test.go
+++ b/internal/dispatcher/faktory/program_test.go
@@ -10,11 +10,13 @@
 	"basaltloft/internal/dispatcher/scenario"
 )
 
-const operator = `{"agent_check":{"listen":"AGENT"},"figures":{"listen":"FIGURES"},"faktory":{"listen":"FAKTORY","password":"tajomstvo","connections":6,
+// operatorSettings is the operator's file of most tests here.
+const operatorSettings = `{"agent_check":{"listen":"AGENT"},"figures":{"listen":"FIGURES"},"faktory":{"listen":"FAKTORY","password":"tajomstvo","connections":6,
 "default":{},"queues":{"tickets":{"class":"group-ticket","tenant":"hrad-orlie","cost_us":2000000}},
 "jobtypes":{"Hold":{"class":"place-hold","cost_us":2000000},"Brief":{"class":"group-ticket","deadline_ms":1500,"cost_us":500000},"Late":{"class":"place-hold","deadline_ms":30,"cost_us":2000000}}}}`
 
-var words = scenario.Functions{
+// scriptFunctions are the functions that scripts call with @, by name.
+var scriptFunctions = scenario.Functions{
 	// hash computes the protocol's password hash independently of the server.
 	"hash": func(a ...string) string {
 		sum := []byte("tajomstvo" + a[0])
@@ -239,11 +241,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			file := operator
+			file := operatorSettings
 			if name == "a reservation ends" {
 				file = strings.Replace(file, `"connections":6`, `"connections":6,"reserve_for_s":1`, 1)
 			}
-			scenario.RunScript(t, scenario.Start(t, c.members, file), words, c.script)
+			scenario.RunScript(t, scenario.Start(t, c.members, file), scriptFunctions, c.script)
 		})
 	}
 }
