--- a/internal/dispatcher/discovery/follower.go
+++ b/internal/dispatcher/discovery/follower.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of pool members of the platform's discovery service, by long polls
-// (watches) and calls for the whole list. schedule.go decides when, follower.go calls.
+// Package discovery keeps the list of pool members up to date from the platform's discovery service, by
+// long polls (watches) and calls for the whole list. schedule.go decides when to call, follower.go calls.
 package discovery
 
 import (
@@ -20,24 +20,24 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// Source is the name of discovery's members in the engine.
+// Source is the name under which the engine keeps the members that discovery lists.
 const Source = "discovery"
 
 const (
-	// maxListBytes is the largest answer that is read.
+	// maxListBytes is the maximum number of bytes read of an answer.
 	maxListBytes = 8 << 20
-	// minCallInterval is the least time between the starts of two calls of a watch. A gap of 200 ms
-	// would end the watch.
+	// minCallInterval is the minimum time between the starts of two calls of a watch. It must stay below
+	// 200 ms, since the service ends a watch after a gap of that length.
 	minCallInterval = 50 * time.Millisecond
 )
 
-// MembershipSink is told what discovery tells; engine.Engine implements it.
+// MembershipSink receives the lists of members and the failures of calls. engine.Engine implements it.
 type MembershipSink interface {
 	UpdateMembers(source string, kind policy.ListKind, entries []*engine.Member)
 }
 
-// Follower calls discovery. It implements engine.Lister. Its goroutines end with the context of New, and Wait
-// waits for them.
+// Follower calls discovery and passes its lists to a MembershipSink. It implements engine.Lister. Its
+// goroutines end with the context that New was given, and Wait waits for them.
 type Follower struct {
 	ctx       context.Context
 	schedule  CallSchedule
@@ -45,31 +45,31 @@
 	transport engine.Transport
 	log       *slog.Logger
 
-	answered   chan struct{} // closed once a service has answered
+	answered   chan struct{} // closed once a service has answered a call
 	answerOnce sync.Once
 
-	running sync.WaitGroup // the goroutines of calls and watches
+	running sync.WaitGroup // counts the goroutines of calls and watches
 
 	mu      sync.Mutex
 	current *service
 }
 
-// service is one discovery service while it is followed. Its versions (generations) mean nothing to the
-// next service. What is not constant is under the follower's lock.
+// service is the discovery service that the follower calls. Its list versions (generations) are not
+// comparable with those of another service. The fields that change are guarded by Follower.mu.
 type service struct {
-	ctx       context.Context // ends with the follower, or when another is followed
+	ctx       context.Context // ends with the follower, or when it switches to another service
 	cancel    context.CancelFunc
 	base      url.URL
 	transport *http.Transport
 
 	generation    int64
-	hasGeneration bool               // generation was told by this service
-	stopWatch     context.CancelFunc // ends the watch; nil: none is wanted
-	failures      int                // calls that failed in a row
+	hasGeneration bool               // generation is set: changes since that version can be requested
+	stopWatch     context.CancelFunc // ends the watch; nil: there is no watch
+	failures      int                // consecutive failed calls
 }
 
-// New returns a follower of the discovery service at addr. Its members are reached by the transport. All
-// calls end with ctx.
+// New returns a follower of the discovery service at addr. The engine reaches the listed members through
+// transport. All calls end with ctx.
 func New(
 	ctx context.Context, addr string, schedule CallSchedule, sink MembershipSink, transport engine.Transport,
 	log *slog.Logger,
@@ -82,10 +82,10 @@
 	return f
 }
 
-// newService returns a service at an address that is not called yet.
+// newService returns the service at an address, without calling it.
 func (f *Follower) newService(addr string) *service {
-	// http.Transport continues a dial whose call was given up, since the next call may use the
-	// connection. Those that never come up must not accumulate.
+	// http.Transport continues a dial after its call was cancelled, since the next call may use the
+	// connection. The timeout keeps dials that never succeed from accumulating.
 	dialer := &net.Dialer{Timeout: f.schedule.MaxCallInterval}
 	s := &service{
 		base:      url.URL{Scheme: "http", Host: addr, Path: "/registry/instances"},
@@ -95,7 +95,7 @@
 	return s
 }
 
-// Restore starts from the list that the dispatcher had last.
+// Restore passes on the last list of the previous process and continues from its version.
 func (f *Follower) Restore(l settings.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,9 +103,9 @@
 	f.sink.UpdateMembers(Source, policy.ListRestored, f.members(l))
 }
 
-// SwitchTo follows the service at another address from now on and asks it for its whole list. The old
-// one's watch, connections and late answers are dropped: its versions are not the new one's, and it may
-// be about to stop. The members stay until the new list says otherwise.
+// SwitchTo switches to the service at another address and requests its whole list. The watch, connections
+// and late answers of the old service are dropped: its versions are not comparable with those of the new
+// service, and it may be about to stop. The members stay in use until the new list arrives.
 func (f *Follower) SwitchTo(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,12 +119,12 @@
 	f.startWatch(f.current)
 }
 
-// KeepWatching follows a list that is pushed to an agent on this machine rather than polled at a shared
-// service: nobody else asks for it, so the watch is kept until the follower ends, and one that fails or
-// is not answered is repeated after a short pause. Meanwhile the known members stay in service. By the
-// platform's rules, what the agent has counts as told from a process's first moment, however old the list
-// that the process was started with: so the whole list is asked for first, which comes at once, where a
-// watch from that list's version would wait for changes.
+// KeepWatching starts a watch that lasts until the follower ends. It is for a list that is pushed to an
+// agent on this machine rather than polled at a shared service: the policy never calls Watch or Fetch then.
+// A call that fails or is not answered is repeated after a short pause; meanwhile the known members stay in
+// use. By the platform's rules, what the agent has counts as known to the dispatcher from the start of the
+// process, however old the list that the process was started with. Therefore the first call requests the
+// whole list, which is answered at once; a watch from the restored version would wait for changes.
 func (f *Follower) KeepWatching() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,9 +134,9 @@
 	}
 }
 
-// WaitFirstAnswer waits until a service has answered, but no longer than until the given time, and
-// reports whether one has. A process that sends nothing before uses no list older than that of its agent,
-// if the agent answers.
+// WaitFirstAnswer waits for the first answer of a service, until the given time at the latest, and reports
+// whether there was one. A process that sends nothing before it returns uses no list older than the one of
+// its agent, provided that the agent answers.
 func (f *Follower) WaitFirstAnswer(until time.Time) bool {
 	ctx, cancel := context.WithDeadline(f.ctx, until)
 	defer cancel()
@@ -148,11 +148,12 @@
 	}
 }
 
-// Wait returns once all goroutines have ended. It must be called once the context of New has ended and no
-// other method is called any more.
+// Wait returns once all goroutines have ended. It must be called only after the context given to New has
+// ended and the last call of another method has returned.
 func (f *Follower) Wait() { f.running.Wait() }
 
-// Watch implements engine.Lister. There is one watch at a time, also while it waits to repeat a call.
+// Watch implements engine.Lister. There is at most one watch at a time, which includes one that waits to
+// repeat a failed call.
 func (f *Follower) Watch(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// startWatch starts a watch. The caller holds the lock.
+// startWatch starts a watch. The caller must hold f.mu.
 func (f *Follower) startWatch(s *service) {
 	ctx, stop := context.WithCancel(s.ctx)
 	s.stopWatch = stop
@@ -188,9 +189,10 @@
 	})
 }
 
-// watch calls again as soon as it is answered: a gap of over 200 ms would end the watch, and changes in it
-// would count as told. A call that fails is told to the policy and repeated here, by the schedule, until
-// the watch is stopped. A service of which no version is known is asked for its whole list first.
+// watch calls the service until ctx ends. It calls again as soon as it is answered: a gap of over 200 ms
+// would end the watch, and changes during the gap would count as known to the dispatcher. A failed call is
+// reported to the policy and repeated here, by the schedule. If no version of the service is known, the
+// first call requests the whole list.
 func (f *Follower) watch(ctx context.Context, s *service) {
 	for continues := false; ctx.Err() == nil; {
 		began, query := time.Now(), url.Values(nil)
@@ -213,7 +215,7 @@
 			}
 			quiet := continues && kind == policy.ListDelta && len(l.Entries) == 0
 			f.deliver(ctx, s, l, kind, !quiet)
-			if !continues { // a watch ends the sooner the later it goes on
+			if !continues { // don't wait: the later a watch is continued, the sooner it ends
 				next = began
 			}
 		}
@@ -227,8 +229,8 @@
 	}
 }
 
-// recordFailure tells the policy of a failed call, and returns how many have failed in a row. The log has
-// a run of failures once. A call that was ended, with its watch or its service, has not failed.
+// recordFailure reports a failed call to the policy and returns the number of consecutive failures. Only
+// the first of them is logged. A call that ended because its watch or service was dropped is no failure.
 func (f *Follower) recordFailure(ctx context.Context, s *service, err error) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,9 +244,9 @@
 	return s.failures
 }
 
-// deliver passes on what a service answered, unless the call was ended meanwhile: a late list of a
-// service that is no longer followed must not undo what the new one has told. An answer without news is
-// passed on only where a failure may have been.
+// deliver passes the answer of a service to the sink, unless ctx has ended meanwhile: a late list of the
+// service before a switch must not overwrite the list of the new one. news is false for an answer without
+// changes that follows a successful call of the same watch; it is not passed on.
 func (f *Follower) deliver(ctx context.Context, s *service, l settings.List, kind policy.ListKind, news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -254,8 +256,8 @@
 	if s.failures > 0 {
 		f.log.Info("discovery answers again", "failed", s.failures)
 	}
-	// Changes up to a version older than the one that they follow are of another incarnation of the
-	// service: what came before them is not known.
+	// If changes end at a version older than the requested one, they come from another incarnation of
+	// the service, whose earlier changes are not known: the next call requests the whole list.
 	s.hasGeneration = kind == policy.ListSnapshot || l.Generation >= s.generation
 	s.generation, s.failures = l.Generation, 0
 	if news {
@@ -264,14 +266,14 @@
 	f.answerOnce.Do(func() { close(f.answered) })
 }
 
-// generation returns the version of a service's list that is known, if one is.
+// generation returns the last known version of a service's list and whether there is one.
 func (f *Follower) generation(s *service) (int64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.generation, s.hasGeneration
 }
 
-// call calls discovery and returns its list. A malformed answer is an error.
+// call calls the service and returns its list. A malformed answer is an error.
 func (s *service) call(ctx context.Context, query url.Values, until time.Time) (settings.List, error) {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -285,7 +287,7 @@
 	if err != nil {
 		return settings.List{}, fmt.Errorf("asking discovery: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // what is needed of it has been read
+	defer func() { _ = resp.Body.Close() }() // an error doesn't matter: the body has been read
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return settings.List{}, fmt.Errorf("reading discovery's answer: %w", err)
@@ -296,7 +298,8 @@
 	return settings.DecodeList(text)
 }
 
-// members are the engine's members of a list. Each cell is a group of its own in the ledger.
+// members converts the entries of a list to members of the engine. Each cell is a group of its own in the
+// ledger.
 func (f *Follower) members(l settings.List) []*engine.Member {
 	members := make([]*engine.Member, 0, len(l.Entries))
 	for _, e := range l.Entries {
--- a/internal/dispatcher/discovery/wait_test.go
+++ b/internal/dispatcher/discovery/wait_test.go
@@ -17,37 +17,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// gatedSink takes a list only once the test says so.
-type gatedSink struct{ telling, release chan struct{} }
+// gatedSink closes entered when it receives a list and returns once the test closes release.
+type gatedSink struct{ entered, release chan struct{} }
 
 func (s gatedSink) UpdateMembers(string, policy.ListKind, []*engine.Member) {
-	close(s.telling)
+	close(s.entered)
 	<-s.release
 }
 
-// pipedFollower is a follower whose next call comes out of the channel.
+// pipedFollower returns a follower whose next call arrives on the connection that the channel yields.
 func pipedFollower(t *testing.T) (*Follower, <-chan net.Conn) {
 	t.Helper()
-	f, _, _ := follower(t, LocalAgentSchedule(), settings.List{Generation: 1, Complete: true})
+	f, _, _ := newFollower(t, LocalAgentSchedule(), settings.List{Generation: 1, Complete: true})
 	calls := make(chan net.Conn, 1)
 	f.current.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		calls <- far
-		return near, nil
+		client, server := net.Pipe()
+		calls <- server
+		return client, nil
 	}
 	return f, calls
 }
 
-// callers begin a call.
-var callers = map[string]func(*Follower){"a watch": (*Follower).KeepWatching, "a call": (*Follower).Fetch}
+// callStarters are the functions that start a call.
+var callStarters = map[string]func(*Follower){"a watch": (*Follower).KeepWatching, "a call": (*Follower).Fetch}
 
-// TestWaitEndsCalls: a call that has no answer when the follower ends is cut short.
+// TestWaitEndsCalls tests that the end of the follower cancels a call that has not been answered.
 func TestWaitEndsCalls(t *testing.T) {
-	for name, begin := range callers {
+	for name, startCall := range callStarters {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f, calls := pipedFollower(t)
-				begin(f)
+				startCall(f)
 				readCall(t, <-calls)
 				began := time.Now()
 				f.current.cancel()
@@ -58,40 +58,40 @@
 	}
 }
 
-// TestWaitForList: a list that is being told when the follower ends is waited for.
+// TestWaitForList tests that Wait waits for the sink if it is receiving a list when the follower ends.
 func TestWaitForList(t *testing.T) {
-	for name, begin := range callers {
+	for name, startCall := range callStarters {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const list = `{"generation":2,"reset":true,"instances":[]}`
 				f, calls := pipedFollower(t)
 				sink := gatedSink{make(chan struct{}), make(chan struct{})}
 				f.sink = sink
-				begin(f)
+				startCall(f)
 				_, err := fmt.Fprintf(readCall(t, <-calls), "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 				require.NoError(t, err)
-				<-sink.telling
+				<-sink.entered
 
-				ended := make(chan struct{})
+				waited := make(chan struct{})
 				f.current.cancel()
 				go func() {
 					f.Wait()
-					close(ended)
+					close(waited)
 				}()
 				synctest.Wait()
 				select {
-				case <-ended:
-					require.Fail(t, "the list is still being told")
+				case <-waited:
+					require.Fail(t, "the sink is still receiving the list")
 				default:
 				}
 				close(sink.release)
-				<-ended
+				<-waited
 			})
 		})
 	}
 }
 
-// readCall reads a call, and ends its connection with the test.
+// readCall reads a call from conn and returns conn, which is closed at the end of the test.
 func readCall(t *testing.T, conn net.Conn) net.Conn {
 	t.Helper()
 	t.Cleanup(func() { _ = conn.Close() })
