--- a/internal/dispatcher/journal/balance.go
+++ b/internal/dispatcher/journal/balance.go
@@ -7,19 +7,19 @@
 	"basaltloft/internal/dispatcher/accounting"
 )
 
-// balance is the journal's own count of what it has written: by series over all epochs,
-// and the open jobs.
+// balance is the journal's own count of the jobs it has recorded: the totals of each series over all epochs,
+// the open jobs, and the totals of this epoch.
 type balance struct {
 	bySeries    map[Series]*accounting.Totals
-	open        map[uint64]Record // by number, as they were accepted
-	epochTotals accounting.Totals // of this epoch alone
+	open        map[uint64]Record // the records of the open jobs' acceptance, by job number
+	epochTotals accounting.Totals // of this epoch only
 }
 
 func newBalance() *balance {
 	return &balance{bySeries: make(map[Series]*accounting.Totals), open: make(map[uint64]Record)}
 }
 
-// totalsOf are the totals of a series, zero for a new one.
+// totalsOf returns the totals of a series, which start at zero for a new series.
 func (b *balance) totalsOf(s Series) *accounting.Totals {
 	totals := b.bySeries[s]
 	if totals == nil {
@@ -29,8 +29,8 @@
 	return totals
 }
 
-// apply counts a record. It reports whether the record fits: an end must be of
-// a job that is open.
+// apply counts a record. It returns false, and doesn't count the record, if it accepts a job that is open
+// already or ends a job that is not open.
 func (b *balance) apply(r *Record) bool {
 	switch r.Kind {
 	case KindBalance:
@@ -63,7 +63,7 @@
 		totals := b.totalsOf(job.Series)
 		totals.Open--
 		totals.Ends[r.Reason]++
-		if r.Reason == accounting.Crashed { // of an epoch that is over
+		if r.Reason == accounting.Crashed { // a job of the previous epoch
 			break
 		}
 		b.epochTotals.Open--
@@ -72,11 +72,11 @@
 	return true
 }
 
-// segmentStart is what a segment repeats of those before it: the balances, in the order
-// of their series, and the open jobs, in that of their numbers.
+// segmentStart returns the records that a new segment repeats from those before it: the balances, ordered by
+// series, and the open jobs, ordered by number.
 func (b *balance) segmentStart() (records []Record) {
-	for l, t := range b.bySeries {
-		records = append(records, Record{Kind: KindBalance, Series: l, Accepted: t.Taken, Ends: t.Ends})
+	for s, t := range b.bySeries {
+		records = append(records, Record{Kind: KindBalance, Series: s, Accepted: t.Taken, Ends: t.Ends})
 	}
 	slices.SortFunc(records, func(x, y Record) int {
 		return cmp.Or(cmp.Compare(x.Series.Front, y.Series.Front), cmp.Compare(x.Series.Class, y.Series.Class), cmp.Compare(x.Series.Tenant, y.Series.Tenant))
@@ -90,8 +90,8 @@
 	return records
 }
 
-// crashedJobs are the ends of the jobs that the last epoch left open.
-func (b *balance) crashedJobs(at int64) (ends []Record) {
+// crashedEnds returns the end records of the jobs that the last epoch left open.
+func (b *balance) crashedEnds(at int64) (ends []Record) {
 	for _, r := range b.segmentStart() {
 		if r.Kind == KindCarriedOver {
 			ends = append(ends, Record{Kind: KindEnded, Number: r.Number, At: max(at, r.At), Reason: accounting.Crashed, Group: accounting.NoGroup})
--- a/internal/dispatcher/journal/decode.go
+++ b/internal/dispatcher/journal/decode.go
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// decoder decodes the records of one segment. After a malformed value it returns zeros.
+// decoder decodes the records of one segment. For a malformed value its methods return zero and set malformed.
 type decoder struct {
 	version   uint16   // of the segment
-	names     []string // texts, by the numbers that the segment gave them
+	names     []string // texts, indexed by their number in the segment
 	number    uint64   // of the last job
 	at        int64    // the last time, in microseconds since 1970
-	rest      []byte   // of the batch
-	malformed bool     // a value of the batch made no sense
+	rest      []byte   // the part of the batch that is not yet decoded
+	malformed bool     // the batch contains an invalid value
 }
 
 func (d *decoder) uint() uint64 { return varint(d, binary.Uvarint) }
@@ -73,7 +73,7 @@
 	}
 }
 
-// records decodes the payload of one batch.
+// records decodes the payload of one batch and calls yield for each record.
 func (d *decoder) records(payload []byte, yield func(*Record) error) error {
 	d.rest = payload
 	for len(d.rest) > 0 {
@@ -124,17 +124,17 @@
 	return nil
 }
 
-// ScanResult tells how far a segment could be read.
+// ScanResult describes how much of a segment could be read.
 type ScanResult struct {
 	Header     Header
 	Batches    int
-	ValidBytes int   // from the start, in whole and undamaged batches
-	Torn       bool  // what follows them is the beginning of a batch that was never written whole
-	Err        error // what follows them is damaged
+	ValidBytes int   // length of the valid prefix: the header and the complete, undamaged batches
+	Torn       bool  // the valid prefix is followed by a partly written header or batch
+	Err        error // the valid prefix is followed by damaged data
 }
 
-// Scan reads a segment, batch by batch, up to the first one that is torn or damaged. An
-// error of yield ends the scan and is returned; there is no other.
+// Scan reads a segment up to the first torn or damaged batch, and calls yield for each record. An error of
+// yield ends the scan and is returned; Scan returns no other error.
 func Scan(text []byte, yield func(*Record) error) (s ScanResult, err error) {
 	if s.Header, s.Err = decodeHeader(text); s.Err != nil {
 		if errors.Is(s.Err, errTorn) {
--- a/internal/dispatcher/journal/encode.go
+++ b/internal/dispatcher/journal/encode.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// encoder encodes the records of one segment, in batches. Job numbers and times are
-// encoded as differences from those before them, and each text once.
+// encoder encodes the records of one segment, in batches. Job numbers and times are encoded as the difference
+// from the previous one. Each distinct text is stored once and referred to by its number.
 type encoder struct {
-	nameIDs map[string]uint64 // texts that the segment has
+	nameIDs map[string]uint64 // the numbers of the texts stored in the segment
 	number  uint64            // of the last job
 	at      int64             // the last time, in microseconds since 1970
-	chain   uint64            // checksum of the batch before, at first of the header
-	buf     []byte            // the batch so far, behind space for its frame
+	chain   uint64            // checksum of the previous batch, or of the header before the first batch
+	buf     []byte            // space for the frame of the batch, then the batch so far
 }
 
 func newEncoder(h Header) *encoder {
@@ -29,15 +29,15 @@
 
 func (e *encoder) empty() bool { return len(e.buf) == frameSize }
 
-// endBatch ends the batch and returns its bytes, which are valid until the next record.
+// endBatch completes the batch and returns its bytes, which are valid until startBatch or add is called.
 func (e *encoder) endBatch() []byte {
 	payload := e.buf[frameSize:]
 	e.chain = segment.Frame(e.buf, payload, e.chain)
 	return e.buf
 }
 
-// nameID returns the number of a text in this segment. A new text gets one by a record of
-// its own.
+// nameID returns the number of a text in this segment. For a new text it adds a record that assigns the next
+// number.
 func (e *encoder) nameID(text string) uint64 {
 	if n, ok := e.nameIDs[text]; ok {
 		return n
@@ -70,7 +70,7 @@
 	}
 }
 
-// add encodes a record, after those of the texts that it needs.
+// add encodes a record, preceded by the records of texts that are new in the segment.
 func (e *encoder) add(r *Record) {
 	var front, class, tenant, group uint64
 	switch r.Kind {
--- a/internal/dispatcher/journal/format.go
+++ b/internal/dispatcher/journal/format.go
@@ -1,16 +1,15 @@
-// Package journal counts jobs a second time, beside the ledger of package accounting:
-// each job that is accepted and each that ends is written, as it happens, to checksummed
-// segments in a directory that outlives the process. The journal keeps a balance of its
-// own, so that a restart counts on from what the last process left. Each start begins an
-// epoch; the jobs that the epoch before left open are ended as crashed before anything
-// new is counted.
+// Package journal counts jobs independently of the ledger of package accounting. Each accepted job and each
+// end of a job is written as a record to checksummed segments, in a directory that outlives the process. The
+// journal keeps its own balance, so that a restarted process continues the count of the previous one. Each
+// start begins an epoch. The jobs that the previous epoch left open are ended as crashed before anything new
+// is counted.
 //
-// A segment is a header and batches. The first batch has the balance so far and the open
-// jobs, so that each segment can be read without those before it. A batch is written
-// whole or not at all: its checksum is seeded with that of the batch before it, so that
-// none can be missing, moved or torn unseen.
+// A segment consists of a header and batches. Its first batch holds the balance so far and the open jobs, so
+// that a segment can be read without those before it. The checksum of a batch is seeded with that of the batch
+// before it, so that a missing, moved or torn batch is always detected, and a batch counts as a whole or not
+// at all.
 //
-// Open writes; Scan, Report and Verify read, also beside a process that writes.
+// Open returns a journal for writing. Scan, Report and Verify read segments, also while a process writes.
 package journal
 
 import (
@@ -24,11 +23,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version is the version that is written. Older ones are read too: version 1 had no
-// groups of pool members.
+// Version is the format version of the segments that are written. Older versions can be read: version 1 had
+// no groups of pool members.
 const Version = 2
 
-// Directory holds the segments of a journal.
+// Directory is the directory that holds the segments of a journal.
 type Directory = segment.Directory
 
 // File is a segment that is being written.
@@ -36,9 +35,9 @@
 
 // Errors of directories and segments.
 var (
-	// ErrInUse says that another process writes to a directory.
+	// ErrInUse is returned when another process writes to the directory.
 	ErrInUse = segment.ErrInUse
-	// ErrNewerVersion says that a segment was written by a newer program.
+	// ErrNewerVersion is returned when a segment was written by a newer version of the program.
 	ErrNewerVersion = segment.ErrNewerVersion
 
 	errTorn          = errors.New("the end is torn")
@@ -60,37 +59,37 @@
 // Kind is the kind of a record.
 type Kind uint8
 
-// Kinds of records, as they are stored: they stay.
+// Kinds of records. The values are stored in segments and must not change.
 const (
-	kindName          Kind = iota + 1 // gives a text a number within the segment
-	KindBalance                       // what a series adds up to at the segment's start
+	kindName          Kind = iota + 1 // assigns a number to a text, valid within the segment
+	KindBalance                       // the totals of a series at the segment's start
 	KindCarriedOver                   // a job that is open at the segment's start
 	KindAccepted                      // a job was accepted
 	KindEnded                         // a job ended
-	KindCheckpoint                    // the ledger's totals of this epoch at this place
+	KindCheckpoint                    // the ledger's totals of this epoch at this point
 	KindCleanShutdown                 // the epoch ended with no job open
-	KindSegmentStart                  // begins a segment: the ledger's totals of this epoch before it
+	KindSegmentStart                  // the first record of a segment: the totals of this epoch before it
 )
 
-// Series is what jobs are counted by.
+// Series is the key by which the balance counts jobs.
 type Series struct{ Front, Class, Tenant string }
 
-// Record is one record. Fields that its kind does not have are zero.
+// Record is one record of a segment. Fields that its kind doesn't have are zero.
 type Record struct {
 	Kind           Kind
 	Number         uint64 // of the job, within its epoch
 	At             int64  // microseconds since 1970
 	Series         Series
-	LogicalRequest uint64 // its id; 0: the client gave no key
-	Retry          bool   // the client marked it as one
+	LogicalRequest uint64 // the id of the job's logical request; 0: the client gave no key
+	Retry          bool   // the client marked the job as a retry
 	Group          string // of the pool member that answered last
 	Reason         accounting.Reason
-	Accepted       int64 // of a balance, checkpoint and segment start
-	Open           int64 // of a checkpoint and segment start
+	Accepted       int64 // in a balance, checkpoint or segment start
+	Open           int64 // in a checkpoint or segment start
 	Ends           [accounting.Reasons]int64
 }
 
-// Header is a segment's header.
+// Header is the header of a segment.
 type Header struct {
 	Version      uint16
 	Epoch, Index uint32
--- a/internal/dispatcher/journal/golden_test.go
+++ b/internal/dispatcher/journal/golden_test.go
@@ -14,23 +14,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenJournal is a journal's folder of three epochs, written by commit 352ebf2, and
-// goldenRecords what that build read in it. They must never be rewritten by later code.
+// goldenJournal is the directory of a journal of three epochs, written by commit 352ebf2, and goldenRecords holds
+// the records that this build read from it. They must never be rewritten by later code.
 var (
 	goldenJournal = filepath.Join("testdata", "golden", "journal")
 	goldenRecords = filepath.Join("testdata", "golden", "journal-records.txt")
 	goldenReport  = filepath.Join("testdata", "golden", "journal-report.txt")
 )
 
-// writeGoldenJournal writes jobs that end for each reason, and some that stay open.
+// writeGoldenJournal writes a journal of jobs that end for each reason, and some that stay open.
 func writeGoldenJournal(t *testing.T, path string) {
 	small := testSettings
 	small.SegmentBytes, small.MaxAge = 700, 1000*time.Hour
 	for epoch := range 3 {
-		folder, err := OpenDirectory(path)
+		dir, err := OpenDirectory(path)
 		require.NoError(t, err)
 		at := start.Add(time.Duration(epoch) * time.Hour)
-		j, err := Open(folder, small, at, discardLog, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
+		j, err := Open(dir, small, at, discardLog, func(d []accounting.Difference) { require.Fail(t, "differs", "%v", d) })
 		require.NoError(t, err)
 		var totals accounting.Totals
 		var records int64
@@ -54,8 +54,8 @@
 	}
 }
 
-// show writes a journal's records down, field by field.
-func show(t *testing.T, f Directory) string {
+// dumpRecords returns a journal's records as text, field by field.
+func dumpRecords(t *testing.T, f Directory) string {
 	var b strings.Builder
 	names, err := f.Names()
 	require.NoError(t, err)
@@ -77,22 +77,22 @@
 	return b.String()
 }
 
-// TestGoldenJournal: the golden folder is read record by record, adds up, is reported
-// alike, and a start counts on from it.
+// TestGoldenJournal tests that the golden journal is read with the golden records, is consistent and gives the
+// golden report, and that a restart continues its count.
 func TestGoldenJournal(t *testing.T) {
 	if goldentest.Missing(goldenJournal) {
 		written := filepath.Join(t.TempDir(), "journal")
 		writeGoldenJournal(t, written)
 		goldentest.WriteMissingFolder(t, written, goldenJournal)
 	}
-	folder, err := OpenDirectory(goldentest.CopyFolder(t, goldenJournal))
+	dir, err := OpenDirectory(goldentest.CopyFolder(t, goldenJournal))
 	require.NoError(t, err)
-	names, err := folder.Names()
+	names, err := dir.Names()
 	require.NoError(t, err)
 	require.Greater(t, len(names), 3, "segments")
-	goldentest.Equal(t, goldenRecords, []byte(show(t, folder)))
+	goldentest.Equal(t, goldenRecords, []byte(dumpRecords(t, dir)))
 
-	v := verify(t, folder)
+	v := verify(t, dir)
 	require.Empty(t, v.Inconsistencies)
 	require.Equal(t, 3, v.Epochs)
 	require.EqualValues(t, 90, v.Totals.Taken)
@@ -101,16 +101,16 @@
 	require.EqualValues(t, 3*3, v.Totals.Ends[accounting.Answered])
 	require.EqualValues(t, 3, v.Checkpoints)
 
-	rows, complaints, err := Report(folder, Query{By: []string{"front", "tenant", "group"}})
+	rows, warnings, err := Report(dir, Query{By: []string{"front", "tenant", "group"}})
 	require.NoError(t, err)
-	require.Empty(t, complaints)
+	require.Empty(t, warnings)
 	var b bytes.Buffer
 	for _, row := range rows {
 		fmt.Fprintf(&b, "%v opened %d taken %d ends %v open %d asks %d\n", row.By, row.OpenBefore, row.Accepted, row.Ends, row.Open, row.LogicalRequests)
 	}
 	goldentest.Equal(t, goldenReport, b.Bytes())
 
-	j := openJournal(t, folder, Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: 1000 * time.Hour})
+	j := openJournal(t, dir, Settings{SegmentBytes: 1 << 20, MaxBytes: 1 << 30, MaxAge: 1000 * time.Hour})
 	require.Equal(t, 2, j.Recovery().CrashedJobs)
 	require.EqualValues(t, 4, j.Recovery().Epoch)
 	require.NoError(t, j.Close())
--- a/internal/dispatcher/journal/journal_test.go
+++ b/internal/dispatcher/journal/journal_test.go
@@ -22,14 +22,14 @@
 	"pgregory.net/rapid"
 )
 
-// memoryDir is a directory that can run full, and that can be taken as a crash would
-// leave it: after any of its steps, with any part of a write done.
+// memoryDir is a Directory in memory with limited space. It can record its state after each step, so that a test
+// can continue from the state that a crash would leave: after any step, with any part of a write done.
 type memoryDir struct {
 	mu          sync.Mutex
 	files       map[string][]byte
-	freeBytes   int // bytes that may still be written; below 0: no bound
-	steps       []map[string][]byte
-	recordSteps bool // the state after each step
+	freeBytes   int                 // bytes that may still be written; below 0: no limit
+	steps       []map[string][]byte // the files after each step, if recordSteps is set
+	recordSteps bool
 }
 
 func newMemoryDir() *memoryDir { return &memoryDir{files: make(map[string][]byte), freeBytes: -1} }
@@ -45,7 +45,7 @@
 	m.steps = append(m.steps, state)
 }
 
-// copyOf is a directory with the files of another at a step.
+// copyOf returns a directory with copies of the files.
 func copyOf(files map[string][]byte) *memoryDir {
 	m := newMemoryDir()
 	for name, text := range files {
@@ -143,7 +143,7 @@
 	return v
 }
 
-// waitWritten waits until the journal has written so many records.
+// waitWritten waits until the journal has written n records.
 func waitWritten(t require.TestingT, j *Journal, n int64) {
 	for until := time.Now().Add(10 * time.Second); j.Written() < n; {
 		if stopped, why := j.Stopped(); stopped || time.Now().After(until) {
@@ -153,7 +153,8 @@
 	}
 }
 
-// writeJobs writes jobs into a directory, of which one in three stays open.
+// writeJobs writes a journal of the given number of jobs into a directory and returns how many ended. One job in
+// three stays open.
 func writeJobs(t require.TestingT, f Directory, s Settings, jobs int) (ended int64) {
 	j := openJournal(t, f, s)
 	for n := range jobs {
@@ -165,14 +166,14 @@
 			j.JobEnded(uint64(n+1), "cell 0", accounting.Reason(n%int(accounting.Crashed)), at.Add(time.Second))
 			ended++
 		}
-		waitWritten(t, j, int64(n+1)+ended) // so that each is a batch or two of its own
+		waitWritten(t, j, int64(n+1)+ended) // so that each job has one or two batches of its own
 	}
 	require.NoError(t, j.Close())
 	return ended
 }
 
-// TestRestart: what the last epoch left open is closed as cut off, once, and
-// the next epochs count on.
+// TestRestart tests that the jobs that the last epoch left open are ended as crashed, once, and that the next
+// epochs continue the count.
 func TestRestart(t *testing.T) {
 	m := newMemoryDir()
 	for epoch := int64(1); epoch <= 4; epoch++ {
@@ -198,8 +199,8 @@
 	require.Zero(t, v.Totals.Open)
 }
 
-// TestTruncatedAtAnyByte cuts a journal at every byte of what follows its first batch: a
-// start cuts what is torn and counts on from there.
+// TestTruncatedAtAnyByte truncates a journal at every byte: a restart must remove the torn end and continue the
+// count from what is left.
 func TestTruncatedAtAnyByte(t *testing.T) {
 	whole := newMemoryDir()
 	writeJobs(t, whole, testSettings, 6)
@@ -211,7 +212,7 @@
 		v := verify(t, m)
 		require.Empty(t, v.Inconsistencies, "cut at %d", size)
 		j := openJournal(t, m, testSettings)
-		if v.Records == 0 { // it never began: all of it goes
+		if v.Records == 0 { // the segment has no complete batch: it is removed
 			require.Equal(t, size, j.Recovery().TruncatedBytes, "cut at %d", size)
 		} else {
 			require.Equal(t, v.TornBytes, j.Recovery().TruncatedBytes, "cut at %d", size)
@@ -223,15 +224,15 @@
 		require.Equal(t, v.Totals.Taken, after.Totals.Taken)
 		require.Equal(t, v.Totals.Open, after.Totals.Ends[accounting.Crashed])
 		if last >= 0 {
-			require.LessOrEqual(t, int(v.Totals.Taken), last, "less of it has fewer jobs")
+			require.LessOrEqual(t, int(v.Totals.Taken), last, "a shorter journal must not have more jobs")
 		}
 		last = int(v.Totals.Taken)
 	}
 	require.Zero(t, last)
 }
 
-// TestFlippedBits flips each bit of a journal: the recount names every one, and
-// a start says so and goes on with what is undamaged.
+// TestFlippedBits flips each bit of a journal: the recount must report every one. A restart must report the damage
+// and continue with what is undamaged.
 func TestFlippedBits(t *testing.T) {
 	whole := newMemoryDir()
 	writeJobs(t, whole, testSettings, 4)
@@ -243,9 +244,9 @@
 			m.files[name][i] ^= 1 << bit
 			v := verify(t, m)
 			require.NotEmpty(t, v.Inconsistencies, "bit %d of byte %d", bit, i)
-			if bit == i%8 { // a start for each would take long
+			if bit == i%8 { // a restart for each bit would take too long
 				j, err := Open(m, testSettings, start, discardLog, func([]accounting.Difference) {})
-				if errors.Is(err, ErrNewerVersion) { // can't be: the header's checksum goes before its version
+				if errors.Is(err, ErrNewerVersion) { // impossible: the header's checksum is verified before its version
 					require.Fail(t, "newer")
 				}
 				require.NoError(t, err)
@@ -256,9 +257,9 @@
 	}
 }
 
-// TestCrash takes the directory as it is after every single step of a run with
-// many segments, some of them gone already, and after every part of a write: a
-// start finds jobs that were whole, and nothing ever fails to add up.
+// TestCrash simulates a crash after every single step of a run with many segments, of which some have been removed
+// already, and after several parts of each write. A restart must find no damage, and the journal must then be
+// consistent.
 func TestCrash(t *testing.T) {
 	m := newMemoryDir()
 	m.recordSteps = true
@@ -266,7 +267,7 @@
 	s.SegmentBytes, s.MaxBytes = 600, 2500
 	writeJobs(t, m, s, 60)
 	require.Greater(t, len(m.files), 2)
-	require.NotContains(t, m.files, "00000001-00000001.seg", "the oldest has gone")
+	require.NotContains(t, m.files, "00000001-00000001.seg", "the oldest has been removed")
 	before := map[string][]byte{}
 	for n, state := range m.steps {
 		for _, name := range slices.Sorted(maps.Keys(state)) {
@@ -289,22 +290,22 @@
 	}
 }
 
-// TestDiskFull: a disk that is full at any byte stops the journal, loudly, and what
-// was written before still adds up.
+// TestDiskFull tests that a disk that becomes full at any byte stops the journal, which is logged as an error, and
+// that what was written before is still consistent.
 func TestDiskFull(t *testing.T) {
 	whole := newMemoryDir()
 	writeJobs(t, whole, testSettings, 4)
 	size := len(whole.files["00000001-00000001.seg"])
-	for room := 0; room < size; room += 3 {
+	for free := 0; free < size; free += 3 {
 		m := newMemoryDir()
-		m.freeBytes = room
-		var said bytes.Buffer
-		log := logging.New(&said, logging.Text, slog.LevelInfo)
+		m.freeBytes = free
+		var logged bytes.Buffer
+		log := logging.New(&logged, logging.Text, slog.LevelInfo)
 		j, err := Open(m, testSettings, start, log, func([]accounting.Difference) {})
 		if err != nil {
 			require.ErrorIs(t, err, syscall.ENOSPC)
 		} else {
-			for n := uint64(1); n <= 100; n++ { // adding never fails and never waits
+			for n := uint64(1); n <= 100; n++ { // adding never fails and never blocks
 				j.JobAccepted(n, holdJob, start)
 				j.JobEnded(n, "cell 0", accounting.Answered, start)
 			}
@@ -312,7 +313,7 @@
 			stopped, why := j.Stopped()
 			require.True(t, stopped)
 			require.Contains(t, why, "no space left")
-			require.Contains(t, said.String(), "level=error")
+			require.Contains(t, logged.String(), "level=error")
 		}
 		m.freeBytes = -1
 		require.Empty(t, verify(t, m).Inconsistencies)
@@ -322,11 +323,11 @@
 	}
 }
 
-// TestDiskTooSlow: a disk that does not keep up stops the journal and not the jobs.
+// TestDiskTooSlow tests that a disk that is too slow stops the journal and doesn't block the jobs.
 func TestDiskTooSlow(t *testing.T) {
 	m := newMemoryDir()
 	j := openJournal(t, m, testSettings)
-	m.mu.Lock() // every write waits
+	m.mu.Lock() // blocks every write
 	for n := uint64(1); n <= 2*maxQueued; n++ {
 		j.JobAccepted(n, holdJob, start)
 	}
@@ -337,38 +338,38 @@
 	require.Error(t, j.Close())
 }
 
-// TestCheckpoints: a count that is off is found at the next mark, by the running
-// journal and by the recount, each on its own.
+// TestCheckpoints tests that a wrong count is found at the next checkpoint, independently by the running journal
+// and by the recount.
 func TestCheckpoints(t *testing.T) {
 	m := newMemoryDir()
 	found := make(chan []accounting.Difference, 10)
 	j, err := Open(m, testSettings, start, discardLog, func(d []accounting.Difference) { found <- d })
 	require.NoError(t, err)
-	book := accounting.New(accounting.DefaultLimits())
-	one := func(journalled bool) {
-		e := book.JobAccepted(holdJob, start)
+	ledger := accounting.New(accounting.DefaultLimits())
+	runJob := func(journalled bool) {
+		e := ledger.JobAccepted(holdJob, start)
 		if journalled {
 			j.JobAccepted(e.Number, e.Job, start)
 		}
 		number := e.Number
-		book.JobEnded(e, accounting.Answered, start)
+		ledger.JobEnded(e, accounting.Answered, start)
 		if journalled {
 			j.JobEnded(number, "cell 0", accounting.Answered, start)
 		}
 	}
-	one(true)
-	j.Checkpoint(book.Totals(), start)
+	runJob(true)
+	j.Checkpoint(ledger.Totals(), start)
 	waitWritten(t, j, 3)
 	require.Empty(t, found)
 	require.Empty(t, verify(t, m).Inconsistencies)
-	one(false) // the fault
-	j.Checkpoint(book.Totals(), start)
+	runJob(false) // the fault: the journal misses a job
+	j.Checkpoint(ledger.Totals(), start)
 	require.NoError(t, j.Close())
 	require.NotEmpty(t, <-found)
 	require.NotEmpty(t, verify(t, m).Inconsistencies)
 }
 
-// TestClockSetBack: times that run backward are written and read as they were.
+// TestClockSetBack tests that times that go backward are written and read unchanged.
 func TestClockSetBack(t *testing.T) {
 	m := newMemoryDir()
 	j := openJournal(t, m, testSettings)
@@ -385,7 +386,8 @@
 	require.EqualValues(t, 1, rows[0].Outcome(accounting.Served))
 }
 
-// TestReadsVersion1 reads a journal that version 1 wrote, and counts on from it.
+// TestReadsVersion1 tests that a journal written in format version 1 can be read and its count continued, and
+// that a journal of a newer version is left unchanged.
 func TestReadsVersion1(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "version1.seg"))
 	require.NoError(t, err)
@@ -399,7 +401,7 @@
 	require.EqualValues(t, 3, v.Totals.Taken)
 	require.EqualValues(t, 1, v.Totals.Ends[accounting.Answered])
 	require.EqualValues(t, 1, v.Totals.Ends[accounting.Crashed])
-	// One of a version to come is left as it is.
+	// A segment of a newer version is left unchanged.
 	h := Header{Version: Version + 1, Epoch: 9, Index: 1}
 	m.files["00000009-00000001.seg"] = append(h.encode(), "whatever"...)
 	_, err = Open(m, testSettings, start, discardLog, nil)
@@ -407,8 +409,8 @@
 	require.Contains(t, m.files, "00000009-00000001.seg")
 }
 
-// TestReport: each row of a report is in balance, whatever it is by, and the
-// rows together have every job of its time once.
+// TestReport tests that the equation of ReportRow holds for each row, by any dimensions, and that the rows
+// together count every job of the report's time range once.
 func TestReport(t *testing.T) {
 	m := newMemoryDir()
 	s := testSettings
@@ -417,9 +419,9 @@
 	writeJobs(t, m, s, 40)
 	for _, by := range [][]string{nil, {"tenant"}, {"front", "class", "tenant", "group"}, {"minute", "tenant"}, {"hour"}, {"day"}} {
 		for _, span := range [][2]time.Time{{}, {start.Add(5 * time.Second)}, {start.Add(5 * time.Second), start.Add(20 * time.Second)}} {
-			rows, complaints, err := Report(m, Query{From: span[0], To: span[1], By: by})
+			rows, warnings, err := Report(m, Query{From: span[0], To: span[1], By: by})
 			require.NoError(t, err)
-			require.Empty(t, complaints)
+			require.Empty(t, warnings)
 			var taken int64
 			for _, r := range rows {
 				require.Equal(t, r.OpenBefore+r.Accepted, r.Outcome(accounting.Served)+r.Outcome(accounting.Refused)+r.Outcome(accounting.Failed)+r.Open)
@@ -437,7 +439,7 @@
 	require.Error(t, Query{From: start, To: start}.Validate())
 }
 
-// TestDirectory is the real directory: one writer at a time, readers beside it.
+// TestDirectory tests a directory on disk: it allows one writer at a time, and readers while a process writes.
 func TestDirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "figures")
 	f, err := OpenDirectory(path)
@@ -457,7 +459,7 @@
 	require.Empty(t, verify(t, r).Inconsistencies)
 }
 
-// TestRandomJobsAndCrashes drives a journal with random jobs, marks, crashes and restarts.
+// TestRandomJobsAndCrashes tests a journal with random jobs, checkpoints, crashes and restarts.
 func TestRandomJobsAndCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemoryDir()
@@ -499,7 +501,7 @@
 				m.mu.Lock()
 				left := copyOf(m.files)
 				m.mu.Unlock()
-				_ = j.Close() // what it writes now the crash has lost
+				_ = j.Close() // what it writes now is lost in the crash
 				m = left
 				j = openJournal(t, m, s)
 				require.Equal(t, len(open), j.Recovery().CrashedJobs)
@@ -514,7 +516,7 @@
 	})
 }
 
-// FuzzScan: no bytes, however wrong, make the reader fail or go on for ever.
+// FuzzScan tests that no input makes Scan return an error, panic or loop forever.
 func FuzzScan(f *testing.F) {
 	m := newMemoryDir()
 	writeJobs(f, m, testSettings, 3)
@@ -525,11 +527,11 @@
 		require.NoError(t, err)
 		require.LessOrEqual(t, s.ValidBytes, len(text))
 		d := &decoder{version: Version}
-		_ = d.records(text, func(*Record) error { return nil }) // as if its checksum were right
+		_ = d.records(text, func(*Record) error { return nil }) // as if the checksum were valid
 	})
 }
 
-// BenchmarkAdd is what the journal costs the core's goroutine a job.
+// BenchmarkAdd measures the cost of the journal per job for the engine's goroutine.
 func BenchmarkAdd(b *testing.B) {
 	f, err := OpenDirectory(b.TempDir())
 	require.NoError(b, err)
@@ -542,7 +544,7 @@
 		n++
 		j.JobAccepted(n, holdJob, start)
 		j.JobEnded(n, "cell 0", accounting.Answered, start)
-		if n%8192 == 0 { // never more than a disk takes
+		if n%8192 == 0 { // keeps the queue within what the disk can write
 			b.StopTimer()
 			waitWritten(b, j, int64(2*n))
 			b.StartTimer()
--- a/internal/dispatcher/journal/recover.go
+++ b/internal/dispatcher/journal/recover.go
@@ -5,26 +5,27 @@
 	"fmt"
 )
 
-// Recovery is what a start found in its directory.
+// Recovery describes what Open found in the directory.
 type Recovery struct {
-	Epoch          uint32   // of this start
+	Epoch          uint32   // the epoch that begins
 	CrashedJobs    int      // jobs that the last epoch left open
-	CleanShutdown  bool     // the last epoch left no job open, or there was none
-	TruncatedBytes int      // of a torn end
-	Warnings       []string // what is damaged: the count goes on from what can be read
+	CleanShutdown  bool     // the last epoch ended with no job open, or there was none
+	TruncatedBytes int      // length of the torn end that was removed
+	Warnings       []string // damage found; the count continues from what could be read
 }
 
-// String describes a recovery for the log.
+// String returns a description of the recovery for the log.
 func (r Recovery) String() string {
 	text := fmt.Sprintf("epoch %d", r.Epoch)
 	if !r.CleanShutdown {
-		text += fmt.Sprintf(", the last one did not end in order: %d jobs closed as cut off, %d torn bytes cut", r.CrashedJobs, r.TruncatedBytes)
+		text += fmt.Sprintf(", the last one did not end cleanly: %d jobs ended as crashed, %d torn bytes truncated", r.CrashedJobs, r.TruncatedBytes)
 	}
 	return text
 }
 
-// recoverLastEpoch reads what the last epoch left, from its last segment alone: the
-// latest one that has a batch. It removes those after it and truncates a torn end.
+// recoverLastEpoch returns the balance at the end of the last epoch. It reads the latest segment that has a
+// batch, which is enough since each segment starts with the balance. Undamaged segments after it, which have no
+// batch, are removed, and a torn end is truncated.
 func recoverLastEpoch(dir Directory) (b *balance, found Recovery, err error) {
 	names, err := dir.Names()
 	if err != nil {
@@ -43,8 +44,8 @@
 	return newBalance(), found, nil
 }
 
-// segment recovers from one segment. The balance is nil if the segment has no batch: a
-// crash left it so, and all that counts is in the one before it.
+// segment recovers the balance from one segment. The balance is nil if the segment has no complete batch, since
+// a crash interrupted its creation or it is damaged; the segment before it is to be read then.
 func (r *Recovery) segment(dir Directory, name string) (*balance, error) {
 	text, err := dir.Read(name)
 	if err != nil {
@@ -54,7 +55,7 @@
 	scan, err := Scan(text, func(record *Record) error {
 		clean = record.Kind == KindCleanShutdown
 		if !b.apply(record) {
-			r.Warnings = append(r.Warnings, fmt.Sprintf("%s: job %d does not fit", name, record.Number))
+			r.Warnings = append(r.Warnings, fmt.Sprintf("%s: job %d is accepted twice, or ends without being open", name, record.Number))
 		}
 		return nil
 	})
@@ -68,7 +69,7 @@
 		r.Warnings = append(r.Warnings, fmt.Sprintf("%s: %v; %d bytes are not counted", name, scan.Err, len(text)-scan.ValidBytes))
 	}
 	if scan.Batches == 0 {
-		return nil, r.unfinishedSegment(dir, name, len(text), scan.Err != nil)
+		return nil, r.removeUnfinishedSegment(dir, name, len(text), scan.Err != nil)
 	}
 	if scan.Torn {
 		r.TruncatedBytes += len(text) - scan.ValidBytes
@@ -82,9 +83,9 @@
 	return b, nil
 }
 
-// unfinishedSegment removes a segment without a batch. A damaged one is kept as evidence,
-// and its epoch is not used again.
-func (r *Recovery) unfinishedSegment(dir Directory, name string, size int, damaged bool) error {
+// removeUnfinishedSegment removes a segment without a batch. A damaged one is kept for analysis, and its epoch
+// is not used again.
+func (r *Recovery) removeUnfinishedSegment(dir Directory, name string, size int, damaged bool) error {
 	if damaged {
 		r.Epoch = max(r.Epoch, epochOf(name)+1)
 		return nil
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// epochOf is the epoch in the name of a segment, 0 in another name.
+// epochOf returns the epoch in the name of a segment, or 0 if name is not a segment's name.
 func epochOf(name string) (epoch uint32) {
 	if _, err := fmt.Sscanf(name, "%08d-", &epoch); err != nil {
 		return 0
--- a/internal/dispatcher/journal/report.go
+++ b/internal/dispatcher/journal/report.go
@@ -13,14 +13,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Query is what a report covers: From (inclusive) and To (exclusive) bound when a job was
-// accepted or ended; a zero time is no bound. By are the Dimensions to count by.
+// Query selects what a report covers. From (inclusive) and To (exclusive) limit the times at which jobs were
+// accepted or ended; a zero time is no limit. By lists the Dimensions to count by.
 type Query struct {
 	From, To time.Time
 	By       []string
 }
 
-// ParseTime reads a time in RFC 3339, or a date.
+// ParseTime parses a time in RFC 3339, or a date.
 func ParseTime(text string) (time.Time, error) {
 	for _, layout := range []string{time.RFC3339, time.DateOnly} {
 		if t, err := time.Parse(layout, text); err == nil {
@@ -30,10 +30,10 @@
 	return time.Time{}, fmt.Errorf("%q is neither a date nor a time in RFC 3339", text)
 }
 
-// Dimensions are what a report can count by.
+// Dimensions are the values that Query.By may contain.
 var Dimensions = []string{"front", "class", "tenant", "group", "minute", "hour", "day"}
 
-// Validate returns what is wrong with a query.
+// Validate returns an error if the query has an unknown dimension or an empty time range.
 func (q Query) Validate() error {
 	for _, by := range q.By {
 		if !slices.Contains(Dimensions, by) {
@@ -46,21 +46,21 @@
 	return nil
 }
 
-// ReportRow is one row of a report. OpenBefore + Accepted = sum of Ends + Open, where
-// OpenBefore and Open are the jobs that were open at the report's begin and end.
+// ReportRow is one row of a report. OpenBefore + Accepted = sum of Ends + Open, where OpenBefore and Open count
+// the jobs that were open at the report's start and end.
 type ReportRow struct {
-	By              []string // one for each of the query's dimensions
+	By              []string // the row's value for each of the query's dimensions
 	OpenBefore      int64
 	Accepted        int64
 	Ends            [accounting.Reasons]int64
 	Open            int64
-	LogicalRequests int64 // of the accepted jobs, those that are no retries
+	LogicalRequests int64 // accepted jobs that are not retries
 	P50, P95        time.Duration
-	P99, Longest    time.Duration // from acceptance to the end, of served jobs
+	P99, Longest    time.Duration // latencies of served jobs, from acceptance to the end
 	latencies       *hdrhistogram.Histogram
 }
 
-// Outcome sums the ends of one outcome.
+// Outcome returns the number of jobs that ended with an outcome.
 func (r *ReportRow) Outcome(outcome accounting.Outcome) (sum int64) {
 	for reason, n := range r.Ends {
 		if accounting.Reason(reason).Outcome() == outcome {
@@ -70,10 +70,10 @@
 	return sum
 }
 
-// maxLatency bounds what a latency counts as.
+// maxLatency is the largest latency in the percentiles; a longer one counts as this value.
 const maxLatency = 10 * time.Minute
 
-// setQuantiles sets the percentiles of the row.
+// setQuantiles sets the percentiles and the maximum of the row's latencies.
 func (r *ReportRow) setQuantiles() {
 	if r.latencies == nil {
 		return
@@ -91,12 +91,12 @@
 	if r.latencies == nil {
 		r.latencies = hdrhistogram.New(1, longest, 2)
 	}
-	_ = r.latencies.RecordValue(min(max(latency, 0), longest)) // always in the range
+	_ = r.latencies.RecordValue(min(max(latency, 0), longest)) // never fails: the value is in the histogram's range
 }
 
-// Report answers a query from a journal. A job that has ended counts under the group and
-// the stretch of time in which it ended, so that each row balances. Warnings name what
-// could not be read.
+// Report returns the rows of a query, from all segments of a journal. An ended job counts in the row of the
+// group and the time in which it ended, so that the equation of ReportRow holds for each row. Warnings list
+// what could not be read.
 func Report(dir Directory, query Query) (rows []*ReportRow, warnings []string, err error) {
 	if err := query.Validate(); err != nil {
 		return nil, nil, err
@@ -131,14 +131,14 @@
 // reporter counts the records of a journal for a query.
 type reporter struct {
 	query    Query
-	rows     map[string]*ReportRow // by the texts of ReportRow.By
-	open     map[uint64]Record     // jobs, by number
-	requests map[uint64]struct{}   // logical requests so far
+	rows     map[string]*ReportRow // by the joined values of ReportRow.By
+	open     map[uint64]Record     // open jobs, by number
+	requests map[uint64]struct{}   // ids of the logical requests so far
 }
 
 func (p *reporter) add(r *Record) error {
 	switch r.Kind {
-	case KindCarriedOver: // known already, but for those of the oldest segment
+	case KindCarriedOver: // the job is known already, except in the oldest segment
 		if _, known := p.open[r.Number]; !known {
 			p.open[r.Number] = *r
 			p.isNewRequest(r)
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// isNewRequest reports whether a job is of a logical request that was not seen before, and
-// remembers the request.
+// isNewRequest reports whether a job is the first of its logical request, and records the request. Without an
+// id of the request, the client's retry mark decides.
 func (p *reporter) isNewRequest(r *Record) bool {
 	if r.LogicalRequest == 0 {
 		return !r.Retry
@@ -171,7 +171,7 @@
 	return true
 }
 
-// countJob counts a job that has ended, or, without an end, one that is open.
+// countJob counts a job in its row. end is its end record, or nil if the job is still open.
 func (p *reporter) countJob(job Record, end *Record) {
 	before := func(at int64) bool { return !p.query.From.IsZero() && at < p.query.From.UnixMicro() }
 	after := func(at int64) bool { return !p.query.To.IsZero() && at >= p.query.To.UnixMicro() }
--- a/internal/dispatcher/journal/verify.go
+++ b/internal/dispatcher/journal/verify.go
@@ -11,62 +11,62 @@
 type Verification struct {
 	Segments, Epochs    int
 	Records, Jobs       int64
-	Checkpoints         int64 // places where the ledger's totals were compared with the recount
+	Checkpoints         int64 // checkpoint records: there the ledger's totals were compared with the recount
 	Totals              accounting.Totals
-	Inconsistencies     []string // each thing that does not add up, with where it stands
-	TornBytes           int      // at the very end, never written whole: the next start truncates them
+	Inconsistencies     []string // each prefixed by the segment's name or "at the end"
+	TornBytes           int      // partly written batch at the very end; the next start truncates it
 	LastShutdownClean   bool     // the last epoch ended with no job open, or there is none
 	Oldest, Latest      time.Time
-	BeforeOldestSegment accounting.Totals // what was counted in segments that have been removed
+	BeforeOldestSegment accounting.Totals // counted in segments that have been removed
 }
 
-// maxInconsistencies bounds those that are named; more are only counted.
+// maxInconsistencies is the maximum number of inconsistencies that are listed; further ones are only counted.
 const maxInconsistencies = 1000
 
-// counts is how many jobs ended for each reason and, in its last element, how many were
-// accepted.
+// counts holds the number of jobs that ended for each reason and, in its last element, the number of accepted
+// jobs.
 type counts [accounting.Reasons + 1]int64
 
-// acceptedAt is the element of counts that has the accepted jobs.
-const acceptedAt = int(accounting.Reasons)
+// acceptedIndex is the index of the accepted jobs in counts.
+const acceptedIndex = int(accounting.Reasons)
 
 func newCounts(accepted int64, ends [accounting.Reasons]int64) (c counts) {
 	copy(c[:], ends[:])
-	c[acceptedAt] = accepted
+	c[acceptedIndex] = accepted
 	return c
 }
 
-func (c *counts) accepted() int64 { return c[acceptedAt] }
+func (c *counts) accepted() int64 { return c[acceptedIndex] }
 
 func (c *counts) ended() (sum int64) {
-	for _, n := range c[:acceptedAt] {
+	for _, n := range c[:acceptedIndex] {
 		sum += n
 	}
 	return sum
 }
 
-// verifier recounts a journal, record by record. It shares no code with the writer's own
-// count, so that a fault of one does not hide in both.
+// verifier recounts a journal, record by record. It shares no code with the writer's own count, so that a fault
+// in one of them is found by the other.
 type verifier struct {
-	result   *Verification
-	location string // of what is read, for inconsistencies
-	bySeries map[Series]counts
-	open     map[uint64]Series // jobs, by number
-	ofEpoch  counts            // of the epoch that is read
-	epoch    uint32            // of the segment that is read
-	index    uint32            // of the segment that is read, within its epoch
-	oldest   bool              // the oldest segment is read: what was before it is not known
-	clean    bool              // the last record says that the epoch ended in order
-	omitted  int               // inconsistencies beyond those that are named
+	result      *Verification
+	location    string // prefix of inconsistencies: the name of the segment being read
+	bySeries    map[Series]counts
+	open        map[uint64]Series // open jobs, by number
+	epochCounts counts            // of the epoch being read
+	epoch       uint32            // of the segment being read
+	index       uint32            // of the segment being read, within its epoch
+	oldest      bool              // the oldest segment is being read, and earlier counts are not known
+	clean       bool              // the last record is that of a clean shutdown
+	omitted     int               // number of inconsistencies that are not listed
 
-	// While the start of a segment is read: what it must repeat of the segments before.
+	// Used while the start of a segment is read: what it must repeat from the segments before it.
 	inStart         bool
 	expectedCounts  map[Series]counts
 	expectedCarried map[uint64]Series
 }
 
-// Verify recounts all segments of a journal and names everything in them that does not
-// add up. It fails only if the directory can't be read.
+// Verify recounts all segments of a journal and lists their inconsistencies. It returns an error only if the
+// directory can't be read.
 func Verify(dir Directory) (*Verification, error) {
 	names, err := dir.Names()
 	if err != nil {
@@ -89,6 +89,7 @@
 	return v.result, nil
 }
 
+// inconsistent adds an inconsistency at the current location.
 func (v *verifier) inconsistent(format string, args ...any) {
 	if len(v.result.Inconsistencies) < maxInconsistencies {
 		v.result.Inconsistencies = append(v.result.Inconsistencies, v.location+": "+fmt.Sprintf(format, args...))
@@ -97,7 +98,7 @@
 	}
 }
 
-// segment recounts one segment, of which the last one may have a torn end.
+// segment recounts one segment. Only the last segment may have a torn end.
 func (v *verifier) segment(name string, text []byte, last bool) error {
 	v.location = name
 	if h, err := decodeHeader(text); err == nil {
@@ -121,13 +122,13 @@
 	return nil
 }
 
-// header checks the place of a segment among the others.
+// header checks that a segment follows the one before it in epoch and index.
 func (v *verifier) header(h Header) {
 	switch {
 	case v.oldest:
 	case h.Epoch == v.epoch && h.Index == v.index+1:
 	case h.Epoch > v.epoch && h.Index == 1:
-		v.ofEpoch = counts{}
+		v.epochCounts = counts{}
 	default:
 		v.inconsistent("segment %d of epoch %d follows segment %d of epoch %d", h.Index, h.Epoch, v.index, v.epoch)
 	}
@@ -165,21 +166,21 @@
 	case KindCleanShutdown:
 		v.clean = true
 		if len(v.open) > 0 {
-			v.inconsistent("the epoch is said to have ended in order with %d jobs open", len(v.open))
+			v.inconsistent("a clean shutdown is recorded with %d jobs open", len(v.open))
 		}
 	}
 	return nil
 }
 
-// startSegment begins to read what a segment repeats of those before it.
+// startSegment starts the check of what a segment repeats from those before it.
 func (v *verifier) startSegment(r *Record) {
 	v.inStart = true
 	stated := newCounts(r.Accepted, r.Ends)
 	if v.oldest {
-		v.ofEpoch = stated
-	} else if v.ofEpoch != stated {
-		v.inconsistent("the opening has %d taken and %v ended in this epoch, the recount %d and %v",
-			r.Accepted, r.Ends, v.ofEpoch.accepted(), v.ofEpoch[:acceptedAt])
+		v.epochCounts = stated
+	} else if v.epochCounts != stated {
+		v.inconsistent("the segment start has %d accepted and %v ended in this epoch, the recount %d and %v",
+			r.Accepted, r.Ends, v.epochCounts.accepted(), v.epochCounts[:acceptedIndex])
 	}
 	v.expectedCounts, v.expectedCarried = v.bySeries, v.open
 	v.bySeries, v.open = make(map[Series]counts), make(map[uint64]Series)
@@ -202,7 +203,7 @@
 
 func (v *verifier) carriedOver(r *Record) {
 	if series, known := v.expectedCarried[r.Number]; !v.oldest && (!known || series != r.Series) {
-		v.inconsistent("job %d of %v is carried on, but was not open", r.Number, r.Series)
+		v.inconsistent("job %d of %v is carried over, but was not open", r.Number, r.Series)
 	} else if v.oldest {
 		v.result.BeforeOldestSegment.Open++
 	}
@@ -213,11 +214,11 @@
 func (v *verifier) accepted(r *Record) {
 	v.result.Jobs++
 	if _, twice := v.open[r.Number]; twice {
-		v.inconsistent("job %d of %v is entered while it is open", r.Number, r.Series)
+		v.inconsistent("job %d of %v is accepted while it is open", r.Number, r.Series)
 	}
 	v.open[r.Number] = r.Series
-	v.count(r.Series, acceptedAt)
-	v.ofEpoch[acceptedAt]++
+	v.count(r.Series, acceptedIndex)
+	v.epochCounts[acceptedIndex]++
 }
 
 func (v *verifier) ended(r *Record) {
@@ -228,44 +229,45 @@
 	}
 	delete(v.open, r.Number)
 	v.count(series, int(r.Reason))
-	if r.Reason != accounting.Crashed { // such an end is of the epoch before
-		v.ofEpoch[r.Reason]++
+	if r.Reason != accounting.Crashed { // a crashed job belongs to the previous epoch
+		v.epochCounts[r.Reason]++
 	}
 }
 
 func (v *verifier) checkpoint(r *Record) {
 	v.result.Checkpoints++
-	open := v.ofEpoch.accepted() - v.ofEpoch.ended()
-	if v.ofEpoch != newCounts(r.Accepted, r.Ends) || open != r.Open {
-		v.inconsistent("the account had %d taken, %d open and %v ended; the recount %d, %d and %v",
-			r.Accepted, r.Open, r.Ends, v.ofEpoch.accepted(), open, v.ofEpoch[:acceptedAt])
+	open := v.epochCounts.accepted() - v.epochCounts.ended()
+	if v.epochCounts != newCounts(r.Accepted, r.Ends) || open != r.Open {
+		v.inconsistent("the checkpoint has %d accepted, %d open and %v ended; the recount %d, %d and %v",
+			r.Accepted, r.Open, r.Ends, v.epochCounts.accepted(), open, v.epochCounts[:acceptedIndex])
 	}
 }
 
-// endStart names what the start of a segment should have repeated and did not.
+// endStart ends the check of a segment's start: it reports what the segment should have repeated and did not.
 func (v *verifier) endStart() {
 	if !v.inStart {
 		return
 	}
 	if !v.oldest {
 		for series, n := range v.expectedCounts {
-			v.inconsistent("the opening has no balance of %v, the recount %v", series, n)
+			v.inconsistent("the segment start has no balance of %v, the recount %v", series, n)
 		}
 		for number, series := range v.expectedCarried {
-			v.inconsistent("job %d of %v was open and is not carried on", number, series)
+			v.inconsistent("job %d of %v was open and is not carried over", number, series)
 		}
 	}
 	v.inStart, v.oldest, v.expectedCounts, v.expectedCarried = false, false, nil, nil
 }
 
-// count adds one job of a series, to an element of its counts.
+// count adds one job to an element of a series' counts.
 func (v *verifier) count(s Series, element int) {
 	n := v.bySeries[s]
 	n[element]++
 	v.bySeries[s] = n
 }
 
-// finish sums the series up and checks that each one's jobs have ended or are open.
+// finish adds up the totals of all series, and checks for each series that its accepted jobs equal the ended and
+// the open ones.
 func (v *verifier) finish() {
 	result := v.result
 	result.LastShutdownClean = v.clean || result.Segments == 0
@@ -278,7 +280,7 @@
 		}
 		if n.accepted() != n.ended()+open {
 			v.location = "at the end"
-			v.inconsistent("%v: %d taken, but %d ended and %d open", series, n.accepted(), n.ended(), open)
+			v.inconsistent("%v: %d accepted, but %d ended and %d open", series, n.accepted(), n.ended(), open)
 		}
 		result.Totals.Taken += n.accepted()
 		for reason := range result.Totals.Ends {
--- a/internal/dispatcher/journal/writer.go
+++ b/internal/dispatcher/journal/writer.go
@@ -10,22 +10,22 @@
 	"basaltloft/internal/dispatcher/accounting"
 )
 
-// Settings bound what a journal keeps and what a crash can take from it.
+// Settings limit what a journal keeps and what a crash can lose.
 type Settings struct {
-	SegmentBytes int64         // a segment is ended once it is as long
-	MaxBytes     int64         // of all segments; the oldest are removed
-	MaxAge       time.Duration // of a segment
-	WriteDelay   time.Duration // a record waits so long for others to be written with it
-	SyncInterval time.Duration // and so long until it is safe from a power loss
+	SegmentBytes int64         // size at which a segment is ended and the next one started
+	MaxBytes     int64         // maximum size of all segments; the oldest are removed beyond it
+	MaxAge       time.Duration // age beyond which a segment is removed
+	WriteDelay   time.Duration // how long a record waits for others, to be written with them in one batch
+	SyncInterval time.Duration // time between syncs, after which written records survive a power loss
 }
 
-// maxQueued is how many records may wait for a disk that does not keep up. With more the
-// journal stops.
+// maxQueued is the maximum number of records that wait to be written. If the disk is so slow that more would
+// wait, the journal stops.
 const maxQueued = 1 << 16
 
-// Journal writes the records that the engine's goroutine adds, on a goroutine of its own.
-// Adding never blocks. When anything fails, the journal stops, logs that, and drops what
-// is added: no job depends on it. Close must be called.
+// Journal writes records to segments. The engine's goroutine adds records, which never blocks; a goroutine of
+// the journal writes them. After any failure the journal stops, logs the reason, and drops further records:
+// no job depends on it. Close must be called.
 type Journal struct {
 	dir               Directory
 	settings          Settings
@@ -34,23 +34,23 @@
 	reportDifferences func([]accounting.Difference)
 
 	mu         sync.Mutex
-	queue      []Record // not yet written
+	queue      []Record // records that are not yet written
 	closing    bool
-	wake       chan struct{} // of the writer
+	wake       chan struct{} // wakes the writer's goroutine
 	done       chan struct{} // closed when the writer has ended
 	stopped    atomic.Bool
 	stopReason atomic.Value // string
-	written    atomic.Int64 // records
+	written    atomic.Int64 // the number of records written
 
 	// Owned by the writer's goroutine.
 	balance      *balance
 	file         File
 	header       Header
-	segments     []segmentInfo // all segments, the oldest first, the one that is written last
-	segmentBytes int64         // written to the file
+	segments     []segmentInfo // all segments, from the oldest to the one being written
+	segmentBytes int64         // bytes written to the current segment
 	encoder      *encoder
 	unsynced     bool     // something was written since the last sync
-	spare        []Record // of the last batch, for the next queue
+	spare        []Record // the slice of the last batch, reused for the next queue
 }
 
 type segmentInfo struct {
@@ -59,11 +59,10 @@
 	created int64
 }
 
-// Open takes a directory over, ends the jobs that the last epoch left open, and begins a
-// new epoch. When it returns, all of that is safe from a power loss. The journal closes
-// the directory. reportDifferences is called, on the writer's goroutine, where a
-// checkpoint and the journal's own count differ. The error wraps ErrNewerVersion or one of
-// the directory.
+// Open opens the journal in dir for writing: it ends the jobs that the last epoch left open as crashed and
+// begins a new epoch. When it returns, this has been synced to disk. The journal closes dir. reportDifferences
+// is called on the writer's goroutine when a checkpoint differs from the journal's own count, or when a record
+// contradicts those before it. The error wraps ErrNewerVersion or an error of dir.
 func Open(dir Directory, settings Settings, now time.Time, log *slog.Logger, reportDifferences func([]accounting.Difference)) (*Journal, error) {
 	j := &Journal{
 		dir: dir, settings: settings, log: log, reportDifferences: reportDifferences,
@@ -82,19 +81,19 @@
 		if err != nil {
 			return nil, fmt.Errorf("reading %s: %w", name, err)
 		}
-		h, _ := decodeHeader(text) // a damaged one counts as the oldest
+		h, _ := decodeHeader(text) // with a damaged header, Created is 0 and the segment counts as the oldest
 		j.segments = append(j.segments, segmentInfo{name, int64(len(text)), h.Created})
 	}
 	at := now.UnixMicro()
 	j.balance.epochTotals = accounting.Totals{}
-	if err := j.startSegment(Header{Version: Version, Epoch: j.recovery.Epoch, Index: 1, Created: at}, j.balance.crashedJobs(at)); err != nil {
+	if err := j.startSegment(Header{Version: Version, Epoch: j.recovery.Epoch, Index: 1, Created: at}, j.balance.crashedEnds(at)); err != nil {
 		return nil, err
 	}
 	go j.run()
 	return j, nil
 }
 
-// Recovery is what Open found.
+// Recovery returns what Open found in the directory.
 func (j *Journal) Recovery() Recovery { return j.recovery }
 
 // Stopped reports whether and why the journal has stopped writing.
@@ -103,10 +102,10 @@
 	return j.stopped.Load(), why
 }
 
-// Written is how many records have been written.
+// Written returns the number of records that have been written.
 func (j *Journal) Written() int64 { return j.written.Load() }
 
-// JobAccepted adds that a job was accepted. number is its number within this process.
+// JobAccepted adds the record of an accepted job. number is the job's number within this process.
 func (j *Journal) JobAccepted(number uint64, job accounting.Job, at time.Time) {
 	j.add(Record{
 		Kind: KindAccepted, Number: number, At: at.UnixMicro(), Series: Series{job.Front, job.Class, job.Tenant},
@@ -114,13 +113,12 @@
 	})
 }
 
-// JobEnded adds that a job ended, with the group of the pool member that answered last.
+// JobEnded adds the record of a job's end. group is that of the pool member that answered last.
 func (j *Journal) JobEnded(number uint64, group string, r accounting.Reason, at time.Time) {
 	j.add(Record{Kind: KindEnded, Number: number, At: at.UnixMicro(), Group: group, Reason: r})
 }
 
-// Checkpoint adds the ledger's totals, to be compared with the journal's count at the
-// same place.
+// Checkpoint adds the ledger's totals, which are compared with the journal's count at the same point.
 func (j *Journal) Checkpoint(t accounting.Totals, at time.Time) {
 	j.add(Record{Kind: KindCheckpoint, At: at.UnixMicro(), Accepted: t.Taken, Open: t.Open, Ends: t.Ends})
 }
@@ -159,8 +157,8 @@
 	}
 }
 
-// Close writes what is queued, and that the epoch ended in order if no job is open. It
-// returns when that is safe, with the reason if the journal had stopped.
+// Close writes the queued records and, if no job is open, a record of a clean shutdown. It returns after the
+// sync. If the journal had stopped, the error contains the reason.
 func (j *Journal) Close() error {
 	j.mu.Lock()
 	j.closing = true
@@ -173,14 +171,14 @@
 	return nil
 }
 
-// longWait is a wait that the next record or the end cuts short.
+// longWait is how long the writer waits when nothing is due; a new record or Close wakes it earlier.
 const longWait = time.Hour
 
-// run writes what is added, in batches, until the journal is closed. A batch is begun by
-// the first record that is queued, and written WriteDelay later.
+// run writes the added records in batches until the journal is closed or fails. A batch is written WriteDelay
+// after its first record was queued.
 func (j *Journal) run() {
 	defer close(j.done)
-	defer func() { _ = j.dir.Close() }() // what was written has been synced
+	defer func() { _ = j.dir.Close() }() // an error doesn't matter: the records have been synced
 	timer := time.NewTimer(longWait)
 	defer timer.Stop()
 	synced := time.Now()
@@ -203,7 +201,7 @@
 	}
 }
 
-// waitForBatch waits until a batch is to be written or synced.
+// waitForBatch waits until a write or a sync is due.
 func (j *Journal) waitForBatch(timer *time.Timer, synced time.Time) {
 	wait := longWait
 	if j.unsynced {
@@ -221,11 +219,11 @@
 	timer.Reset(j.settings.WriteDelay)
 	select {
 	case <-timer.C:
-	case <-j.wake: // closed, or the queue is full
+	case <-j.wake: // Close was called, or the queue is full
 	}
 }
 
-// finish closes the file. A journal that has stopped by itself then waits to be closed.
+// finish closes the file. If the journal stopped because of a failure, it then waits for Close.
 func (j *Journal) finish(closing bool) {
 	if err := j.file.Close(); err != nil && !j.stopped.Load() {
 		j.fail(err)
@@ -244,14 +242,14 @@
 	return j.closing
 }
 
-// write writes what is queued as one batch.
+// write writes the queued records as one batch, and starts a new segment if the current one is full.
 func (j *Journal) write(closing bool) error {
 	j.mu.Lock()
 	records := j.queue
 	j.queue = j.spare[:0]
 	j.mu.Unlock()
 	defer func() {
-		clear(records) // texts of the past must not be held
+		clear(records) // the reused slice must not keep old strings in memory
 		j.spare = records[:0]
 	}()
 	if j.stopped.Load() {
@@ -299,7 +297,7 @@
 	return nil
 }
 
-// rotate ends the segment and begins the next.
+// rotate ends the current segment, starts the next one and removes old ones.
 func (j *Journal) rotate() error {
 	if err := j.file.Sync(); err != nil {
 		return fmt.Errorf("syncing %s: %w", j.header.name(), err)
@@ -318,9 +316,9 @@
 	return nil
 }
 
-// startSegment writes the start of a segment: the balance so far, the open jobs, and the
-// ends of those that crashed, all in one batch. It returns when that is safe.
-func (j *Journal) startSegment(h Header, closing []Record) error {
+// startSegment creates a segment and writes its first batch: the balance so far, the open jobs, and the ends of
+// crashed jobs. It returns after the sync.
+func (j *Journal) startSegment(h Header, crashedEnds []Record) error {
 	var err error
 	if j.file, err = j.dir.Create(h.name()); err != nil {
 		return fmt.Errorf("beginning a segment: %w", err)
@@ -335,9 +333,9 @@
 	for i := range startRecords {
 		j.encoder.add(&startRecords[i])
 	}
-	for i := range closing {
-		j.balance.apply(&closing[i])
-		j.encoder.add(&closing[i])
+	for i := range crashedEnds {
+		j.balance.apply(&crashedEnds[i])
+		j.encoder.add(&crashedEnds[i])
 	}
 	if err := j.flush(0); err != nil {
 		return err
@@ -353,16 +351,16 @@
 	return nil
 }
 
-// removeOldSegments removes the oldest segments while there is too much or they are too
-// old. A segment is as old as the start of the next one. Two are always kept.
+// removeOldSegments removes the oldest segments while the total size or their age exceeds the settings. The age
+// of a segment is counted from the start of the next one. The two newest are always kept.
 func (j *Journal) removeOldSegments() {
 	var total int64
 	for _, s := range j.segments {
 		total += s.size
 	}
 	for len(j.segments) > 2 {
-		old := j.header.Created - j.segments[1].created
-		if total <= j.settings.MaxBytes && old <= j.settings.MaxAge.Microseconds() {
+		age := j.header.Created - j.segments[1].created
+		if total <= j.settings.MaxBytes && age <= j.settings.MaxAge.Microseconds() {
 			return
 		}
 		if err := j.dir.Remove(j.segments[0].name); err != nil {
