--- a/internal/dispatcher/lab/baselines.go
+++ b/internal/dispatcher/lab/baselines.go
@@ -53,9 +53,9 @@
 	return float64(j.class.MeanWork)
 }
 
-// Baselines are the policies of a study by name: "module" is the product's, the others are
+// PolicyMakers are the policies of a study by name: "module" is the product's, the others are
 // to compare it with.
-var Baselines = map[string]PolicyMaker{
+var PolicyMakers = map[string]PolicyMaker{
 	"module":    NewDispatcherPolicy,
 	"gate fifo": newGate(0), "gate wait 1": newGate(1), "gate wait 2": newGate(2), "gate wait 5": newGate(5), "gate shortest": newGate(math.Inf(1)),
 	"random": baseline(func(p *basicPolicy, from []*memberView, _ float64) *memberView { return from[p.random.IntN(len(from))] }),
@@ -110,18 +110,18 @@
 	}
 }
 
-// PolicyNames are the names of the Baselines, sorted.
+// PolicyNames are the names in PolicyMakers, sorted.
 func PolicyNames() (names []string) {
-	for name := range Baselines {
+	for name := range PolicyMakers {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// PolicyByName returns one of the Baselines.
+// PolicyByName returns one of the PolicyMakers.
 func PolicyByName(name string) (PolicyMaker, error) {
-	if m := Baselines[name]; m != nil {
+	if m := PolicyMakers[name]; m != nil {
 		return m, nil
 	}
 	return nil, fmt.Errorf("no policy is called %q; there are %q", name, PolicyNames())
--- a/internal/dispatcher/lab/compare.go
+++ b/internal/dispatcher/lab/compare.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Compared is the difference of a policy's goodput from that of a base.
-type Compared struct {
+// Comparison is the difference of a policy's goodput from that of a base.
+type Comparison struct {
 	Policy, Base string
 	Mean         float64 // of the differences by seed
 	Low, High    float64 // bounds of its 95% confidence interval, by bootstrap
@@ -18,7 +18,7 @@
 const resamples = 2000
 
 // Compare compares the goodput of each policy with that of a base, paired by seed.
-func Compare(runs []Run, base string) (all []Compared) {
+func Compare(runs []Run, base string) (all []Comparison) {
 	baseRuns := RunsOf(runs, base)
 	for _, policy := range policiesOf(runs) {
 		if policy == base {
@@ -29,7 +29,7 @@
 			differences = append(differences, r.Goodput-baseRuns[i].Goodput)
 		}
 		means := resampledMeans(differences)
-		all = append(all, Compared{
+		all = append(all, Comparison{
 			Policy: policy, Base: base, Mean: stat.Mean(differences, nil),
 			Low: stat.Quantile(0.025, stat.Empirical, means, nil), High: stat.Quantile(0.975, stat.Empirical, means, nil),
 		})
--- a/internal/dispatcher/lab/lab_test.go
+++ b/internal/dispatcher/lab/lab_test.go
@@ -253,7 +253,7 @@
 // TestSlowStart: a member that has just started does what its warm-up lets it.
 func TestSlowStart(t *testing.T) {
 	x := serviceExperiment()
-	w, err := NewWorld(x, Baselines["random"], 1)
+	w, err := NewWorld(x, PolicyMakers["random"], 1)
 	require.NoError(t, err)
 	m := w.members[0]
 	m.restart()
--- a/internal/dispatcher/lab/study.go
+++ b/internal/dispatcher/lab/study.go
@@ -9,7 +9,7 @@
 // Study is an experiment that is played with some policies and seeds, each with each.
 type Study struct {
 	Experiment *Experiment
-	Policies   []string // by their names in Baselines
+	Policies   []string // by their names in PolicyMakers
 	Seeds      int      // how many
 	FirstSeed  uint64
 	Load       float64 // factor on the file's rates, for Run.Load
@@ -53,9 +53,9 @@
 	Mean float64 // latency, in milliseconds
 }
 
-// Play plays all runs, on all cores, and calls done after each one, on any goroutine. The
+// Run plays all runs, on all cores, and calls done after each one, on any goroutine. The
 // result does not depend on how many cores there are.
-func (s *Study) Play(done func()) ([]Run, error) {
+func (s *Study) Run(done func()) ([]Run, error) {
 	type task struct {
 		policy string
 		seed   uint64
