--- a/internal/dispatcher/lab/arrivals.go
+++ b/internal/dispatcher/lab/arrivals.go
@@ -8,18 +8,18 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// Arrivals are how the logical requests of a class arrive over a run. The zero value is a
-// Poisson process at the class's rate.
+// Arrivals describes how the logical requests of a class arrive over a run. The zero value
+// is a Poisson process at the class's rate.
 type Arrivals struct {
 	Kind      string             // poisson, ramp, bursts, trace
-	From, To  float64            // ramp: factors on the rate at begin and end
-	On, Off   time.Duration      // bursts: spans that alternate
-	High, Low float64            // bursts: factors on the rate in these spans
-	Trace     []settings.Arrival // trace: in the order of their times
+	From, To  float64            // ramp: factors on the rate at the start and at the end
+	On, Off   time.Duration      // bursts: alternating spans with factor High and factor Low
+	High, Low float64            // bursts: factors on the rate during On and Off
+	Trace     []settings.Arrival // trace: sorted by time
 }
 
-// arrivalsOf converts the arrivals of a file. A load multiplies rates elsewhere; a trace
-// it makes as many times faster.
+// arrivalsOf converts the arrivals of an experiment file. FromFile multiplies the classes'
+// rates by load; arrivalsOf divides the times of a trace by it.
 func arrivalsOf(f settings.Arrivals, load float64) Arrivals {
 	a := Arrivals{Kind: f.Kind, From: f.From, To: f.To, On: f.On, Off: f.Off, High: f.High, Low: f.Low}
 	for _, t := range f.Trace {
@@ -28,7 +28,7 @@
 	return a
 }
 
-// factor is the factor on the rate at a time of a run of some length.
+// factor returns the factor on the rate at a time within a run of the given length.
 func (a *Arrivals) factor(at, length time.Duration) float64 {
 	switch a.Kind {
 	case "ramp":
@@ -42,7 +42,7 @@
 	return 1
 }
 
-// maxFactor is the largest factor of a run.
+// maxFactor returns the largest factor of a run.
 func (a *Arrivals) maxFactor() float64 {
 	switch a.Kind {
 	case "ramp":
@@ -53,10 +53,11 @@
 	return 1
 }
 
-// next emits the next arrival after a time of the run, if there is one before its end, as
-// a span from that time: a Poisson process at the largest rate, thinned to the rate of each
-// moment (Lewis and Shedler, 1979). Of a trace it emits all at once, with their work; work
-// of 0 is to be drawn.
+// next emits the next arrival after the time at of a run, as a span from at. The last
+// arrival that it emits may be after the end of the run. It draws a Poisson process at the
+// largest rate and thins it to the rate of each moment (Lewis and Shedler, 1979). For a trace
+// it emits all arrivals from at on, with their work. Work of 0 means that the caller draws
+// the work.
 func (a *Arrivals) next(random *rand.Rand, rate float64, at, length time.Duration, emit func(after, work time.Duration)) {
 	if a.Kind == "trace" {
 		from := sort.Search(len(a.Trace), func(i int) bool { return a.Trace[i].At >= at })
--- a/internal/dispatcher/lab/baselines.go
+++ b/internal/dispatcher/lab/baselines.go
@@ -10,42 +10,42 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// basicPolicy is what the baselines have in common: each request is sent at once to the
-// member that pick chooses, and again while it may be, and is answered at the end. It keeps
-// the rules of the protocol and queues nothing.
+// basicPolicy is the common part of the baselines: it sends each request at once to the
+// member that pick chooses, resends it as long as the rules of the protocol allow that, and
+// answers it at the end. It has no queue.
 type basicPolicy struct {
 	world   *World
 	host    policy.Host
 	random  *rand.Rand
 	pick    func(p *basicPolicy, from []*memberView, work float64) *memberView
-	members []*memberView // in the order of their numbers
+	members []*memberView // sorted by number
 	jobs    map[string]*basicJob
-	next    int           // of round robin
-	started time.Duration // 0: no membership yet
+	next    int           // counter of the baseline "round robin"
+	started time.Duration // time of the first membership, for gate; 0: none yet
 }
 
-// memberView is what a baseline knows of a member.
+// memberView is a baseline's view of a member.
 type memberView struct {
 	policy.Member
-	inFlight        int     // attempts
-	work            float64 // of these, by their hints
-	member          *member // its true state, for the baseline that sees it
-	coldWork        float64 // sent while it warms up, in the rule's window
+	inFlight        int     // attempts in flight
+	work            float64 // expected work of these attempts
+	member          *member // the true state, for the baseline "true state"
+	coldWork        float64 // work sent while it warms up, since coldWindowStart
 	coldWindowStart time.Duration
 }
 
-// basicJob is a request that has no final answer.
+// basicJob is a request without a final answer.
 type basicJob struct {
 	policy.Request
 	class       *Class
 	attempts    int
 	member      *memberView // of the latest attempt
 	mayHaveRun  bool
-	firstMember *memberView   // that may have run it
-	sentAt      time.Duration // the latest time at which it surely had not run
+	firstMember *memberView   // the first member that may have run the job
+	sentAt      time.Duration // the latest time at which it had certainly not run
 }
 
-// expectedWork is the work of a job by its hint, or else its class.
+// expectedWork returns the hint of a job, or the mean work of its class if it has none.
 func (j *basicJob) expectedWork() float64 {
 	if j.Hint != 0 {
 		return float64(j.Hint)
@@ -53,8 +53,8 @@
 	return float64(j.class.MeanWork)
 }
 
-// PolicyMakers are the policies of a study by name: "module" is the product's, the others are
-// to compare it with.
+// PolicyMakers holds the policies of a study by name: "module" is the product's policy, the
+// others are baselines to compare it with.
 var PolicyMakers = map[string]PolicyMaker{
 	"module":    NewDispatcherPolicy,
 	"gate fifo": newGate(0), "gate wait 1": newGate(1), "gate wait 2": newGate(2), "gate wait 5": newGate(5), "gate shortest": newGate(math.Inf(1)),
@@ -85,13 +85,13 @@
 			if held := len(m.member.running) + len(m.member.queue); held >= m.member.kind.Cores {
 				wait = m.member.remainingTime()
 			}
-			return wait + work/(m.member.speed*m.member.speedFactor*m.member.warmth())
+			return wait + work/(m.member.speed*m.member.speedFactor*m.member.warmupFactor())
 		})
 	}),
 }
 
-// least is the member with the smallest measure. The search begins anywhere, so that equal
-// members share the load.
+// least returns the member with the smallest measure. The search begins at a random member,
+// so that members with equal measures share the load.
 func least(p *basicPolicy, from []*memberView, measure func(*memberView) float64) (best *memberView) {
 	begin, low := p.random.IntN(len(from)), 0.0
 	for i := range from {
@@ -103,14 +103,14 @@
 	return best
 }
 
-// baseline makes a basicPolicy.
+// baseline returns a maker of basicPolicy values with the given pick function.
 func baseline(pick func(*basicPolicy, []*memberView, float64) *memberView) PolicyMaker {
 	return func(w *World, h policy.Host, _ int, seed uint64) (Policy, error) {
 		return &basicPolicy{world: w, host: h, random: rand.New(rand.NewPCG(seed, 37)), pick: pick, jobs: make(map[string]*basicJob)}, nil
 	}
 }
 
-// PolicyNames are the names in PolicyMakers, sorted.
+// PolicyNames returns the sorted names of PolicyMakers.
 func PolicyNames() (names []string) {
 	for name := range PolicyMakers {
 		names = append(names, name)
@@ -119,7 +119,7 @@
 	return names
 }
 
-// PolicyByName returns one of the PolicyMakers.
+// PolicyByName returns the entry of PolicyMakers with the given name, or an error if there is none.
 func PolicyByName(name string) (PolicyMaker, error) {
 	if m := PolicyMakers[name]; m != nil {
 		return m, nil
@@ -143,8 +143,8 @@
 	p.send(now, j)
 }
 
-// candidates are the members that a job may be sent to.
-func (p *basicPolicy) candidates(now time.Duration, j *basicJob) (from []*memberView) {
+// candidates returns the members that a job may be sent to.
+func (p *basicPolicy) candidates(now time.Duration, j *basicJob) (eligible []*memberView) {
 	for _, m := range p.members {
 		if m.State != policy.Ready || j.member == m && len(p.members) > 1 {
 			continue
@@ -155,49 +155,50 @@
 		if p.exceedsColdBudget(now, m, j) {
 			continue
 		}
-		from = append(from, m)
+		eligible = append(eligible, m)
 	}
-	return from
+	return eligible
 }
 
-// send sends a job, or answers it if it may not be sent.
+// send sends a job, or ends it without a result if it may not be sent.
 func (p *basicPolicy) send(now time.Duration, j *basicJob) {
-	from := p.candidates(now, j)
+	eligible := p.candidates(now, j)
 	allowed := j.attempts < p.world.experiment.Settings.Limits.MaxAttempts && now < j.Deadline-sendMargin
 	if j.mayHaveRun {
 		allowed = allowed && (j.class.Effect == policy.Idempotent || j.class.Effect == policy.Deduplicated && now-j.sentAt < j.class.DedupWindow)
 	}
-	if !allowed || len(from) == 0 {
-		p.end(j)
+	if !allowed || len(eligible) == 0 {
+		p.finishWithoutResult(j)
 		return
 	}
 	work := j.expectedWork()
-	to := p.pick(p, from, work)
-	j.member, j.attempts = to, j.attempts+1
+	chosen := p.pick(p, eligible, work)
+	j.member, j.attempts = chosen, j.attempts+1
 	if !j.mayHaveRun {
 		j.sentAt = now
 	}
-	to.inFlight++
-	to.work += work
-	if p.warmingUp(now, to) {
-		to.coldWork += work * max(1, j.Slots)
+	chosen.inFlight++
+	chosen.work += work
+	if p.warmingUp(now, chosen) {
+		chosen.coldWork += work * max(1, j.Slots)
 	}
-	p.host.Send(j.ID, to.Number, 0)
+	p.host.Send(j.ID, chosen.Number, 0)
 }
 
 func (p *basicPolicy) warmingUp(now time.Duration, m *memberView) bool {
 	return m.StartedAt != 0 && now-m.StartedAt < p.world.experiment.Settings.Rules.WarmupTime
 }
 
-// coldBudgetShare is the share of the rule's budget that the baselines use: arrivals of
-// several dispatchers cluster by chance.
+// coldBudgetShare is the share of the cold-overload limit that the baselines use. It is below
+// 1 because arrivals from several dispatchers cluster by chance.
 const coldBudgetShare = 0.4
 
-// sendMargin is the time before its deadline up to which a request is sent.
+// sendMargin is the span before its deadline in which a request is no longer sent.
 const sendMargin = 5 * time.Millisecond
 
-// exceedsColdBudget reports whether a job would be too much for a member that warms up: its
-// dispatcher sends at most an even share of the least that the rule allows for all.
+// exceedsColdBudget reports whether a job would exceed the work that this dispatcher may send
+// to a member that warms up. The budget is coldBudgetShare of the limit for a member at
+// ColdCapacity, divided evenly among the dispatchers.
 func (p *basicPolicy) exceedsColdBudget(now time.Duration, m *memberView, j *basicJob) bool {
 	rules := p.world.experiment.Settings.Rules
 	if !p.warmingUp(now, m) || rules.ColdOverloadWindow == 0 {
@@ -210,8 +211,9 @@
 	return m.coldWork+float64(max(j.Hint, j.class.MeanWork))*max(1, j.Slots) > budget
 }
 
-// end gives a job its final answer without a result.
-func (p *basicPolicy) end(j *basicJob) {
+// finishWithoutResult answers a job without a result: it refuses the job if it can't have run
+// or a second run is harmless in all cells, and fails it otherwise.
+func (p *basicPolicy) finishWithoutResult(j *basicJob) {
 	delete(p.jobs, j.ID)
 	c := j.class
 	if !j.mayHaveRun || c.Effect == policy.Idempotent || c.Effect == policy.Deduplicated && c.DedupScope == policy.DedupAll {
@@ -243,8 +245,8 @@
 // HandleMembers implements Policy.
 func (p *basicPolicy) HandleMembers(_ time.Duration, _ policy.ListKind, entries []policy.Member) {
 	for _, e := range entries {
-		i, known := slices.BinarySearchFunc(p.members, e.Number, func(m *memberView, n uint32) int { return int(int64(m.Number) - int64(n)) })
-		if known {
+		i, found := slices.BinarySearchFunc(p.members, e.Number, func(m *memberView, n uint32) int { return int(int64(m.Number) - int64(n)) })
+		if found {
 			p.members[i].Member = e
 		} else {
 			p.members = slices.Insert(p.members, i, &memberView{Member: e, member: p.world.byNumber[e.Number]})
--- a/internal/dispatcher/lab/checker.go
+++ b/internal/dispatcher/lab/checker.go
@@ -8,39 +8,43 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// checker checks a run against the rules of the protocol. Its tables are its own, made of
-// the messages of the run; it shares nothing with the policies.
+// checker checks a run against the rules of the protocol. It keeps its own records, from the
+// messages of the run, and shares no state with the policies.
 type checker struct {
-	world         *World
-	violations    []string
-	omitted       int // violations beyond those that are kept
-	requests      map[*request]*checkedRequest
-	drainingSince map[*dispatcher]map[uint32]time.Duration // since when a dispatcher knows that a member drains or is gone
-	coldArrivals  map[uint32][]arrival                     // attempts that reached a member while it warmed up, within the rule's window
+	world      *World
+	violations []string
+	omitted    int // violations beyond maxViolations
+	requests   map[*request]*checkedRequest
+	// drainingSince holds when a dispatcher was notified that a member drains or is removed.
+	drainingSince map[*dispatcher]map[uint32]time.Duration
+	// coldArrivals holds the attempts that reached a member while it warmed up, within
+	// ColdOverloadWindow.
+	coldArrivals map[uint32][]arrival
 }
 
-// checkedRequest is what the checker knows of one request.
+// checkedRequest is the checker's record of one request.
 type checkedRequest struct {
 	accepted bool
 	answers  int
 	attempts []*attempt
 	statuses map[*attempt]policy.Status
-	inFlight int // attempts
+	inFlight int // attempts in flight
 }
 
 // arrival is an attempt that reached a cold member.
 type arrival struct {
 	at   time.Duration
-	work float64 // at speed 1, by all its slots
+	work float64 // nanoseconds at speed 1, times the slots
 }
 
 func newChecker(w *World) *checker {
 	return &checker{world: w, requests: make(map[*request]*checkedRequest), drainingSince: make(map[*dispatcher]map[uint32]time.Duration), coldArrivals: make(map[uint32][]arrival)}
 }
 
-// maxViolations bounds the violations that are kept; more are only counted.
+// maxViolations is the largest number of violations that are kept; further ones are only counted.
 const maxViolations = 20
 
+// violation records a violation of a rule.
 func (c *checker) violation(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf("%.3f s: ", (c.world.now-startTime).Seconds())+fmt.Sprintf(format, args...))
@@ -49,6 +53,7 @@
 	}
 }
 
+// requestState returns the record of a request, and creates it if there is none.
 func (c *checker) requestState(r *request) *checkedRequest {
 	state := c.requests[r]
 	if state == nil {
@@ -60,7 +65,7 @@
 
 func (c *checker) accepted(r *request) { c.requestState(r).accepted = true }
 
-// attemptSent checks an attempt that a policy sends.
+// attemptSent records an attempt that a policy sends, and checks that it may be sent.
 func (c *checker) attemptSent(d *dispatcher, a *attempt) {
 	state, s := c.requestState(a.request), &c.world.experiment.Settings
 	if state.answers > 0 {
@@ -81,54 +86,55 @@
 		case policy.AtMostOnce:
 			c.violation("%s, which must not run twice, is sent again", a.request.id)
 		case policy.Deduplicated:
-			same := a.request.class.DedupScope == policy.DedupAll || a.request.class.DedupScope == policy.DedupZone || before.member.cell == a.member.cell
-			if !same || c.world.now-before.sentAt > a.request.class.DedupWindow {
+			sameScope := a.request.class.DedupScope == policy.DedupAll || a.request.class.DedupScope == policy.DedupZone || before.member.cell == a.member.cell
+			if !sameScope || c.world.now-before.sentAt > a.request.class.DedupWindow {
 				c.violation("%s is sent again outside of its group or window", a.request.id)
 			}
 		}
 	}
-	if at, closed := c.drainingSince[d][a.member.number]; closed && c.world.now > at+drainWindow {
+	if at, draining := c.drainingSince[d][a.member.number]; draining && c.world.now > at+drainWindow {
 		c.violation("%s is sent to member %d, %.1f s after it was told to be draining or gone", a.request.id, a.member.number, (c.world.now - at).Seconds())
 	}
 	state.attempts = append(state.attempts, a)
 	state.inFlight++
 }
 
-// drainWindow is how long a member may still be sent to after its dispatcher knows that
-// it drains or is gone.
+// drainWindow is how long a dispatcher may still send attempts to a member after it was
+// notified that the member drains or is removed.
 const drainWindow = 2 * time.Second
 
-// membershipChanged records what a dispatcher learns of a member.
+// membershipChanged records a change of a member that reaches a dispatcher.
 func (c *checker) membershipChanged(d *dispatcher, m policy.Member) {
-	of := c.drainingSince[d]
-	if of == nil {
-		of = make(map[uint32]time.Duration)
-		c.drainingSince[d] = of
+	since := c.drainingSince[d]
+	if since == nil {
+		since = make(map[uint32]time.Duration)
+		c.drainingSince[d] = since
 	}
 	if m.State == policy.Ready {
-		delete(of, m.Number)
-	} else if _, known := of[m.Number]; !known {
-		of[m.Number] = c.world.now
+		delete(since, m.Number)
+	} else if _, known := since[m.Number]; !known {
+		since[m.Number] = c.world.now
 	}
 }
 
-// attemptReceived checks the work that reaches a cold member against the rule: that of any
-// window stays under a multiple of what the member can do now.
+// attemptReceived checks the work that reaches a cold member: the work that arrives within
+// ColdOverloadWindow must stay below ColdOverloadMultiple times what the member can do in
+// that time at its current speed.
 func (c *checker) attemptReceived(m *member, a *attempt) {
 	rules := c.world.experiment.Settings.Rules
-	if m.started == 0 || m.warmth() >= 1 || rules.ColdOverloadWindow == 0 {
+	if m.started == 0 || m.warmupFactor() >= 1 || rules.ColdOverloadWindow == 0 {
 		return
 	}
-	all := slices.DeleteFunc(c.coldArrivals[m.number], func(x arrival) bool { return x.at <= c.world.now-rules.ColdOverloadWindow })
-	all = append(all, arrival{c.world.now, a.request.work * a.request.slots})
-	c.coldArrivals[m.number] = all
+	recent := slices.DeleteFunc(c.coldArrivals[m.number], func(x arrival) bool { return x.at <= c.world.now-rules.ColdOverloadWindow })
+	recent = append(recent, arrival{c.world.now, a.request.work * a.request.slots})
+	c.coldArrivals[m.number] = recent
 	sum := 0.0
-	for _, x := range all {
+	for _, x := range recent {
 		sum += x.work
 	}
-	capacity := m.speed * m.warmth() * float64(m.kind.Cores) * float64(rules.ColdOverloadWindow)
-	// A little slack for chance, and for the one job that is larger than all.
-	if sum > rules.ColdOverloadMultiple*capacity*1.1 && len(all) > 1 {
+	capacity := m.speed * m.warmupFactor() * float64(m.kind.Cores) * float64(rules.ColdOverloadWindow)
+	// 10% tolerance for chance; a single job may exceed the limit alone.
+	if sum > rules.ColdOverloadMultiple*capacity*1.1 && len(recent) > 1 {
 		c.violation("cold member %d got %.1f times what it can do", m.number, sum/capacity)
 	}
 }
@@ -139,13 +145,16 @@
 	state.inFlight--
 }
 
-// dispatcherCrashed records that a dispatcher ended with a request open: none of its
-// attempts counts any more, and the broken connection was its client's answer.
+// dispatcherCrashed records that a dispatcher ended with a request open: the attempts of the
+// request no longer count as in flight, and the reset of its connection is the client's
+// answer.
 func (c *checker) dispatcherCrashed(r *request) {
 	state := c.requestState(r)
 	state.inFlight = 0
 }
 
+// answered checks that a final answer is in time, and that a refused request can't have run
+// unless a second run is harmless.
 func (c *checker) answered(r *request, refused bool) {
 	state := c.requestState(r)
 	state.answers++
@@ -165,7 +174,8 @@
 
 func (c *checker) answeredTwice(r *request) { c.violation("%s has a second final answer", r.id) }
 
-// finish checks what must hold at the end of a run.
+// finish reports accepted requests without a final answer, and sorts the violations. It is
+// called at the end of a run.
 func (c *checker) finish() {
 	for r, state := range c.requests {
 		if state.accepted && state.answers == 0 {
--- a/internal/dispatcher/lab/client.go
+++ b/internal/dispatcher/lab/client.go
@@ -7,7 +7,7 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// request is one attempt of a client at a logical request.
+// request is one attempt of a client at a logical request; each retry of the client is another one.
 type request struct {
 	id             string
 	class          *Class
@@ -15,15 +15,15 @@
 	slots          float64
 	firstSubmitted time.Duration // of the logical request
 	deadline       time.Duration
-	latencyTarget  time.Duration // the latest time at which its answer is of full value
-	retries        int           // of the client, before this one
+	latencyTarget  time.Duration // the latest time at which an answer is in time
+	retries        int           // of the client before this request
 	dispatcher     *dispatcher
 	attempts       []*attempt // in the order in which they were sent
 	answered       bool
-	onDone         func() // of the client, once the logical request is over
+	onDone         func() // called once the logical request has ended
 }
 
-// scheduleArrival schedules the next logical request of a class, or all those of a trace.
+// scheduleArrival schedules the next logical request of a class, or all requests of a trace.
 func (w *World) scheduleArrival(class int, begin, end time.Duration) {
 	c := &w.experiment.Classes[class]
 	if c.Rate <= 0 {
@@ -34,18 +34,18 @@
 	})
 }
 
-// scheduleClient lets a client of a closed loop think, make a logical request, and think
-// again once it has its answer.
+// scheduleClient simulates a client of a closed loop: it waits for a random think time, makes
+// a logical request, and starts again once that request has ended.
 func (w *World) scheduleClient(begin, end time.Duration) {
 	w.after(time.Duration(w.random.ExpFloat64()*float64(w.experiment.ThinkTime)), func() {
 		if w.now >= end {
 			return
 		}
-		all := 0.0
+		totalRate := 0.0
 		for i := range w.experiment.Classes {
-			all += w.experiment.Classes[i].Rate
+			totalRate += w.experiment.Classes[i].Rate
 		}
-		class, pick := 0, w.random.Float64()*all
+		class, pick := 0, w.random.Float64()*totalRate
 		for class < len(w.experiment.Classes)-1 && pick >= w.experiment.Classes[class].Rate {
 			pick -= w.experiment.Classes[class].Rate
 			class++
@@ -65,7 +65,8 @@
 	w.newRequest(class, work, begin, func() {})
 }
 
-// newRequest lets a client make a logical request. Work of 0 is drawn from the class.
+// newRequest submits a new logical request. Work of 0 is replaced by work drawn from the
+// distribution of the class.
 func (w *World) newRequest(class int, work, begin time.Duration, done func()) {
 	c := &w.experiment.Classes[class]
 	if work == 0 {
@@ -85,7 +86,7 @@
 	w.submit(r)
 }
 
-// submit sends a request to a dispatcher that is drawn.
+// submit sends a request to a random dispatcher.
 func (w *World) submit(r *request) {
 	w.submissions++
 	w.Result.ClientAttempts++
@@ -108,7 +109,7 @@
 	})
 }
 
-// expire ends the attempts of a request at its deadline, as the protocol does.
+// expire ends the attempts of a request as timed out at its deadline, as the protocol requires.
 func (w *World) expire(r *request) {
 	for _, a := range r.attempts {
 		if a.inFlight {
@@ -117,7 +118,7 @@
 	}
 }
 
-// answer gives a request its final answer, after which its client may retry.
+// answer records the final answer of a request; the client may retry after it.
 func (w *World) answer(r *request, s policy.Status, refused bool) {
 	if r.answered {
 		w.checker.answeredTwice(r)
@@ -137,8 +138,8 @@
 			res.Late++
 			w.recordServed(r)
 		case r.retries < w.experiment.Retries && (refused || r.class.Effect == policy.Idempotent):
-			again := &request{class: r.class, work: r.work, slots: r.slots, firstSubmitted: r.firstSubmitted, retries: r.retries + 1, onDone: r.onDone}
-			w.after(w.experiment.Backoff, func() { w.submit(again) })
+			retry := &request{class: r.class, work: r.work, slots: r.slots, firstSubmitted: r.firstSubmitted, retries: r.retries + 1, onDone: r.onDone}
+			w.after(w.experiment.Backoff, func() { w.submit(retry) })
 			return
 		case refused:
 			res.Refused++
--- a/internal/dispatcher/lab/compare.go
+++ b/internal/dispatcher/lab/compare.go
@@ -7,17 +7,18 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Comparison is the difference of a policy's goodput from that of a base.
+// Comparison is the difference between the goodput of a policy and that of a base policy.
 type Comparison struct {
 	Policy, Base string
-	Mean         float64 // of the differences by seed
-	Low, High    float64 // bounds of its 95% confidence interval, by bootstrap
+	Mean         float64 // mean of the differences, paired by seed
+	Low, High    float64 // bounds of the mean's 95% confidence interval, by bootstrap
 }
 
-// resamples is how many the bootstrap draws.
+// resamples is the number of resamples that the bootstrap draws.
 const resamples = 2000
 
-// Compare compares the goodput of each policy with that of a base, paired by seed.
+// Compare compares the goodput of each policy with that of a base policy, paired by seed. The
+// runs of each policy must have the same seeds in the same order as those of the base.
 func Compare(runs []Run, base string) (all []Comparison) {
 	baseRuns := RunsOf(runs, base)
 	for _, policy := range policiesOf(runs) {
@@ -37,8 +38,8 @@
 	return all
 }
 
-// resampledMeans are the means of resamples of the values, sorted: the bootstrap. The same
-// values give the same resamples.
+// resampledMeans returns the sorted means of bootstrap resamples of the values. The same
+// values always give the same resamples.
 func resampledMeans(values []float64) []float64 {
 	random := rand.New(rand.NewPCG(1, 41))
 	means := make([]float64, resamples)
@@ -53,7 +54,7 @@
 	return means
 }
 
-// policiesOf are the policies of some runs, in the order in which they occur.
+// policiesOf returns the policies of the runs, in the order of their first occurrence.
 func policiesOf(runs []Run) (policies []string) {
 	for _, r := range runs {
 		if !slices.Contains(policies, r.Policy) {
--- a/internal/dispatcher/lab/digest_test.go
+++ b/internal/dispatcher/lab/digest_test.go
@@ -11,24 +11,25 @@
 	"basaltloft/internal/shared/digesttest"
 )
 
-// digestFile has a line for each run: its number, its events, and the digest of its result.
+// digestFile has a line for each run: its number, its count of events, and the digest of its result.
 const digestFile = "testdata/digests.txt"
 
-// digestSeeds is how many seeds of each policy have a digest.
+// digestSeeds is the number of seeds for each policy.
 const digestSeeds = 3
 
-// resultOf plays one run: the policies in the order of their names, seed by seed.
+// resultOf simulates run number: the runs are ordered by the name of the policy, then by the
+// seed. It returns the result and its trace.
 func resultOf(t testing.TB, number int) (*Result, *digesttest.Trace) {
-	x := serviceExperiment(Fault{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9},
+	x := fleetExperiment(Fault{Kind: "deploy", At: 10 * time.Second, For: 30 * time.Second, Part: 0.9},
 		Fault{Kind: "crash", At: 20 * time.Second, For: 10 * time.Second, Part: 0.25})
 	x.SampleMembers = true
-	r := play(t, x, PolicyNames()[number/digestSeeds], uint64(number%digestSeeds))
+	r := simulate(t, x, PolicyNames()[number/digestSeeds], uint64(number%digestSeeds))
 	trace := digesttest.New(true)
 	appendResult(trace, r)
 	return r, trace
 }
 
-// appendResult appends a result, but for the texts of broken rules.
+// appendResult appends a result to a trace, except for the texts of the violations.
 func appendResult(t *digesttest.Trace, r *Result) {
 	t.Begin(0, "asks").Int(int64(r.Requests), int64(r.InTime), int64(r.Late), int64(r.Refused), int64(r.Failed), int64(r.ClientAttempts), int64(r.Attempts)).End()
 	t.Begin(0, "run").Float(r.RequestedWork, r.TimelyWork, r.Utilization).Int(int64(r.Events), int64(len(r.Violations))).End()
@@ -49,7 +50,8 @@
 	}
 }
 
-// TestResultDigests holds what runs come to to what is on file.
+// TestResultDigests compares the digests of the results with those in digestFile. If a trace
+// of one run is requested, it prints that trace instead.
 func TestResultDigests(t *testing.T) {
 	if wanted, ok := digesttest.Traced(); ok {
 		number, err := strconv.Atoi(wanted)
--- a/internal/dispatcher/lab/dispatcher.go
+++ b/internal/dispatcher/lab/dispatcher.go
@@ -7,19 +7,20 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// dispatcher runs a policy. It implements policy.Host.
+// dispatcher simulates a dispatcher process that runs a policy. It implements policy.Host.
 type dispatcher struct {
 	world      *World
 	rank       int
 	policy     Policy
-	epoch      int // of its process: a restart begins a new one, and what was under way is void
-	open       map[string]*request
-	membership map[uint32]policy.Member // by number, as of the last notification
-	pending    []func()                 // events that the one being handled left
+	epoch      int                      // incremented by each restart: events of older epochs are ignored
+	open       map[string]*request      // by ID
+	membership map[uint32]policy.Member // by number, as of the latest notification
+	pending    []func()                 // events that occurred while another one is handled
 	handling   bool
 }
 
-// restart starts the process anew: all that it keeps is the membership.
+// restart starts the process, or starts it again: only the membership is kept, and the
+// clients of open requests see a reset connection.
 func (d *dispatcher) restart() error {
 	d.epoch++
 	old := d.open
@@ -36,7 +37,7 @@
 		}
 	}
 	d.handle(func() { d.policy.HandleMembers(d.world.now, policy.ListRestored, d.memberList()) })
-	for _, r := range old { // their clients' connections break
+	for _, r := range old { // the connections of their clients are reset
 		for _, a := range r.attempts {
 			a.inFlight = false
 		}
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// handle runs an event of the policy. An event that occurs within another one runs after it.
+// handle runs an event of the policy. An event that occurs during another one runs after it.
 func (d *dispatcher) handle(do func()) {
 	if d.handling {
 		d.pending = append(d.pending, do)
@@ -64,22 +65,22 @@
 	d.handling = false
 }
 
-// forget drops a request that has its answer and no attempt in flight.
-func (d *dispatcher) forget(r *request) {
+// removeIfDone removes a request from the open ones if it has its answer and no attempt in flight.
+func (d *dispatcher) removeIfDone(r *request) {
 	if r.answered && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight }) {
 		delete(d.open, r.id)
 	}
 }
 
-// answer gives a request its final answer without a result.
+// answer ends a request with a final answer other than a result.
 func (d *dispatcher) answer(id string, refused bool) {
 	if r := d.open[id]; r != nil {
 		d.world.answer(r, policy.Error, refused)
-		d.forget(r)
+		d.removeIfDone(r)
 	}
 }
 
-// memberList is the membership in the order of the members' numbers.
+// memberList returns the membership, sorted by the numbers of the members.
 func (d *dispatcher) memberList() []policy.Member {
 	all := make([]policy.Member, 0, len(d.membership))
 	for _, m := range d.membership {
@@ -89,7 +90,7 @@
 	return all
 }
 
-// membershipOf is the entry of a member in the membership.
+// membershipOf returns the entry of a member in the membership.
 func (w *World) membershipOf(m *member) policy.Member {
 	state := m.state
 	if !m.up {
@@ -98,18 +99,18 @@
 	return policy.Member{Number: m.number, Kind: m.kind.Name, Cell: m.cell, State: state, StartedAt: m.started, Weight: 1}
 }
 
-// publish notifies all dispatchers of a change of a member, each after a delay of its own.
+// publish notifies all dispatchers of a change of a member, each after its own random delay.
 func (w *World) publish(m *member) {
-	l := w.membershipOf(m)
+	entry := w.membershipOf(m)
 	for _, d := range w.dispatchers {
-		late := time.Duration(w.random.ExpFloat64() * float64(w.experiment.DiscoveryDelay))
-		w.after(min(late, 4*w.experiment.DiscoveryDelay), func() {
-			if old := d.membership[l.Number]; old.StartedAt > l.StartedAt || old.StartedAt == l.StartedAt && old.State != policy.Ready && l.State == policy.Ready {
-				return // a newer change came first
+		delay := time.Duration(w.random.ExpFloat64() * float64(w.experiment.DiscoveryDelay))
+		w.after(min(delay, 4*w.experiment.DiscoveryDelay), func() {
+			if old := d.membership[entry.Number]; old.StartedAt > entry.StartedAt || old.StartedAt == entry.StartedAt && old.State != policy.Ready && entry.State == policy.Ready {
+				return // a newer change arrived first
 			}
-			d.membership[l.Number] = l
-			w.checker.membershipChanged(d, l)
-			d.handle(func() { d.policy.HandleMembers(w.now, policy.ListDelta, []policy.Member{l}) })
+			d.membership[entry.Number] = entry
+			w.checker.membershipChanged(d, entry)
+			d.handle(func() { d.policy.HandleMembers(w.now, policy.ListDelta, []policy.Member{entry}) })
 		})
 	}
 }
@@ -141,7 +142,7 @@
 // Fail implements policy.Host.
 func (d *dispatcher) Fail(id string) { d.answer(id, false) }
 
-// Cancel implements policy.Host: nobody waits for the attempt any more, but what runs goes on.
+// Cancel implements policy.Host: the dispatcher stops waiting for the attempt, but the member continues to run it.
 func (d *dispatcher) Cancel(id string, n int) {
 	if r := d.open[id]; r != nil && n < len(r.attempts) && r.attempts[n].inFlight {
 		a := r.attempts[n]
@@ -175,7 +176,7 @@
 	})
 }
 
-// Watch implements policy.Host: the membership is always watched.
+// Watch implements policy.Host. It does nothing: a dispatcher always gets all changes of the membership.
 func (d *dispatcher) Watch(bool) {}
 
 // Fetch implements policy.Host.
--- a/internal/dispatcher/lab/draw/draw.go
+++ b/internal/dispatcher/lab/draw/draw.go
@@ -16,36 +16,37 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// ErrNoRuns says that there are no runs to draw.
+// ErrNoRuns is returned when there are no runs to draw.
 var ErrNoRuns = errors.New("there are no runs to draw")
 
-// distinct are the values of some runs, in the order in which they occur.
-func distinct[T comparable](runs []lab.Run, of func(lab.Run) T) (all []T) {
+// distinct returns the distinct values of the runs, in the order of their first occurrence.
+func distinct[T comparable](runs []lab.Run, valueOf func(lab.Run) T) (values []T) {
 	for _, r := range runs {
-		if v := of(r); !slices.Contains(all, v) {
-			all = append(all, v)
+		if v := valueOf(r); !slices.Contains(values, v) {
+			values = append(values, v)
 		}
 	}
-	return all
+	return values
 }
 
 func policyOf(r lab.Run) string { return r.Policy }
 
-// selectRuns are the runs to which a condition applies.
-func selectRuns(runs []lab.Run, keep func(lab.Run) bool) (some []lab.Run) {
+// selectRuns returns the runs for which keep returns true.
+func selectRuns(runs []lab.Run, keep func(lab.Run) bool) (selected []lab.Run) {
 	for _, r := range runs {
 		if keep(r) {
-			some = append(some, r)
+			selected = append(selected, r)
 		}
 	}
-	return some
+	return selected
 }
 
-// Charts draws what the runs have: goodput, throughput and latency over the load, or over
-// the value that was swept if that is a number; and, for the last load and value, the
-// distribution of the latency, goodput by the second, and the utilization of members by the
-// second. It returns the names of the files, which begin as out does and have its
-// extension, .svg or .png. The error is ErrNoRuns or one of writing.
+// Charts draws the charts that the runs have data for: goodput, throughput, mean and median
+// latency over the load, or over the swept value if that is a number; and, for the load and
+// swept value of the last run, the distribution of the latency, the goodput per second, and
+// the utilization of the members per second. It returns the names of the files, which are
+// out with the chart's name before the extension, .svg or .png. The error is ErrNoRuns or an
+// error of writing a file.
 func Charts(runs []lab.Run, out string) (files []string, err error) {
 	if len(runs) == 0 {
 		return nil, ErrNoRuns
@@ -74,9 +75,10 @@
 	return files, err
 }
 
-// axisOf is the X axis of the runs, and each run's value on it: the value that was swept if
-// that is a number, else the load. The name is empty if all runs have the same.
-func axisOf(runs []lab.Run) (name string, at func(lab.Run) float64) {
+// axisOf returns the name of the X axis and a function that returns a run's value on it: the
+// swept value if there are several and they are numbers, else the load. The name is empty if
+// all runs have the same load.
+func axisOf(runs []lab.Run) (name string, valueOf func(lab.Run) float64) {
 	swept := func(r lab.Run) (string, float64, bool) {
 		path, value, _ := strings.Cut(r.Set, "=")
 		value, _, _ = strings.Cut(value, " ")
@@ -93,17 +95,17 @@
 	return "", nil
 }
 
-// meansOver has a line for each policy: the means of a value over the seeds, with standard
-// deviations.
-func meansOver(runs []lab.Run, at, of func(lab.Run) float64) (all []textchart.Line) {
+// meansOver returns a line for each policy: the means of a value over the seeds, with their
+// standard deviations as error bars.
+func meansOver(runs []lab.Run, xOf, valueOf func(lab.Run) float64) (lines []textchart.Line) {
 	for _, name := range distinct(runs, policyOf) {
 		s := textchart.Line{Name: name, ColourIndex: -1}
 		own := selectRuns(runs, func(r lab.Run) bool { return r.Policy == name })
-		for _, x := range distinct(own, at) {
+		for _, x := range distinct(own, xOf) {
 			var values []float64
 			for _, r := range own {
-				if at(r) == x {
-					values = append(values, of(r))
+				if xOf(r) == x {
+					values = append(values, valueOf(r))
 				}
 			}
 			mean, sd := stat.MeanStdDev(values, nil)
@@ -112,14 +114,14 @@
 			}
 			s.Points, s.ErrorBars = append(s.Points, plotter.XY{X: x, Y: mean}), append(s.ErrorBars, sd)
 		}
-		all = append(all, s)
+		lines = append(lines, s)
 	}
-	return all
+	return lines
 }
 
-// latencyDistributions has a line for each policy: the means of the percentiles over the
-// seeds.
-func latencyDistributions(runs []lab.Run) (all []textchart.Line) {
+// latencyDistributions returns a line for each policy: the means of the latency percentiles
+// over the seeds.
+func latencyDistributions(runs []lab.Run) (lines []textchart.Line) {
 	for _, name := range distinct(runs, policyOf) {
 		own := selectRuns(runs, func(r lab.Run) bool { return r.Policy == name })
 		s := textchart.Line{Name: name, ColourIndex: -1}
@@ -131,15 +133,15 @@
 			s.Points = append(s.Points, plotter.XY{X: q[0], Y: sum / float64(len(own))})
 		}
 		if len(s.Points) > 0 {
-			all = append(all, s)
+			lines = append(lines, s)
 		}
 	}
-	return all
+	return lines
 }
 
-// goodputBySecond has a line for each policy, over the requests of all seeds: it shows how
-// long a fault has effects.
-func goodputBySecond(runs []lab.Run) (all []textchart.Line) {
+// goodputBySecond returns a line for each policy: the share of the requests of all seeds that
+// were answered in time, by second. The line shows how long the effects of a fault last.
+func goodputBySecond(runs []lab.Run) (lines []textchart.Line) {
 	for _, name := range distinct(runs, policyOf) {
 		var asked, inTime []float64
 		for _, r := range selectRuns(runs, func(r lab.Run) bool { return r.Policy == name }) {
@@ -153,20 +155,20 @@
 		}
 		s := textchart.Line{Name: name, ColourIndex: -1}
 		for n := range asked {
-			if asked[n] > 0 { // answers come after the last request too
+			if asked[n] > 0 { // in the last seconds there may be answers but no requests
 				s.Points = append(s.Points, plotter.XY{X: float64(n), Y: inTime[n] / asked[n]})
 			}
 		}
 		if len(s.Points) > 0 {
-			all = append(all, s)
+			lines = append(lines, s)
 		}
 	}
-	return all
+	return lines
 }
 
-// memberUtilization has the least, the median and the highest utilization of the members,
-// for the first policy and seed.
-func memberUtilization(runs []lab.Run) (all []textchart.Line) {
+// memberUtilization returns lines with the lowest, the median and the highest utilization of
+// the members, by second, for the first run.
+func memberUtilization(runs []lab.Run) (lines []textchart.Line) {
 	rows := runs[0].Members
 	if len(rows) == 0 {
 		return nil
@@ -177,7 +179,7 @@
 			sorted := slices.Sorted(slices.Values(row))
 			s.Points = append(s.Points, plotter.XY{X: float64(second), Y: sorted[n*(len(sorted)-1)/2]})
 		}
-		all = append(all, s)
+		lines = append(lines, s)
 	}
-	return all
+	return lines
 }
--- a/internal/dispatcher/lab/draw/draw_test.go
+++ b/internal/dispatcher/lab/draw/draw_test.go
@@ -36,7 +36,7 @@
 	}
 	require.Equal(t, []string{"x-goodput.svg", "x-throughput.svg", "x-response.svg", "x-latency.svg", "x-distribution.svg", "x-seconds.svg", "x-members.svg"}, kinds)
 
-	for i := range runs { // along what was swept, where that has numbers
+	for i := range runs { // the X axis is the swept value if that is a number
 		runs[i].Set = map[float64]string{1: "experiment.net_us=100", 2: "experiment.net_us=400"}[runs[i].Load]
 		runs[i].Load = 1
 	}
--- a/internal/dispatcher/lab/experiment.go
+++ b/internal/dispatcher/lab/experiment.go
@@ -15,52 +15,52 @@
 	MeanWork         time.Duration // at speed 1
 	WorkDistribution string        // fixed, exp, pareto or lognormal
 	WorkCV           float64       // coefficient of variation of a lognormal work
-	HintError        float64       // cost hints are off by as large a share, up or down; below 0: no hints
-	Slots            []float64     // shares of the jobs with 1, 2, 4, 8 slots; none: all have 1
+	HintError        float64       // largest relative error of cost hints, up or down; below 0: no hints
+	Slots            []float64     // shares of the jobs with 1, 2, 4 and 8 slots; empty: all jobs have 1
 	Arrivals         Arrivals
 }
 
-// Fault is something that goes wrong in an experiment. Its fields are those of
+// Fault is an injected fault of an experiment. Its fields are those of
 // settings.ExperimentFault.
 type Fault struct {
 	Kind string        // one of the kinds of faults
-	At   time.Duration // from the run's begin
-	For  time.Duration // how long it lasts, or over how long deploys and restarts are spread
-	Part float64       // share of the members or dispatchers that it strikes; lost: of the messages
-	Size float64       // slow: the factor on the members' speed
+	At   time.Duration // after the start of the run
+	For  time.Duration // how long it lasts; deploy, restart: the span over which the restarts are spread
+	Part float64       // share of the members or dispatchers that it affects; lost: of the messages
+	Size float64       // slow: the factor applied to the members' speed
 }
 
-// Kinds of faults, as in files of experiments.
+// Kinds of faults, as written in experiment files.
 const (
-	faultCrash     = "crash"   // members end with all that they hold, and come back cold
-	faultPause     = "pause"   // members stand still
+	faultCrash     = "crash"   // members lose all their jobs, and restart cold
+	faultPause     = "pause"   // members stop processing
 	faultSlow      = "slow"    // members run slower
-	faultPartition = "cut"     // members can't be reached
+	faultPartition = "cut"     // members are unreachable
 	faultLoss      = "lost"    // messages are lost
-	faultDeploy    = "deploy"  // members are drained and replaced, one after the other
+	faultDeploy    = "deploy"  // members are drained and restarted, one after the other
 	faultRestart   = "restart" // dispatchers restart, one after the other
 )
 
-// Experiment is all that a run depends on, beside its seed and policy.
+// Experiment holds all inputs of a run except its seed and policy.
 type Experiment struct {
 	Length         time.Duration
 	Dispatchers    int
 	Kinds          []MemberKind
 	Classes        []Class
 	NetworkDelay   time.Duration // mean, one way
-	NetworkJitter  float64       // standard deviation of the delay, as a share of it
-	DiscoveryDelay time.Duration // mean, until a dispatcher learns of a change of the membership
-	Retries        int           // of a client, after a rejection or where a retry is harmless
+	NetworkJitter  float64       // standard deviation of the delay, as a share of its mean
+	DiscoveryDelay time.Duration // mean, until a change of the membership reaches a dispatcher
+	Retries        int           // of a client, after a refusal or if the class is idempotent
 	Backoff        time.Duration // before a retry
-	Clients        int           // a closed loop of as many, with the rates as weights; 0: open arrivals at the rates
-	ThinkTime      time.Duration // mean, of a client of the closed loop
-	Capacity       time.Duration // of the gate policies: expected time that is admitted at a time
+	Clients        int           // closed-loop clients, with the rates as class weights; 0: open arrivals at the rates
+	ThinkTime      time.Duration // mean think time of a client of the closed loop
+	Capacity       time.Duration // of the gate policies: the sum of expected times that may be admitted at once
 	Settings       policy.Settings
 	Faults         []Fault
-	SampleMembers  bool // Result.Members is kept
+	SampleMembers  bool // Result.Members is recorded
 }
 
-// FromFile converts an experiment of a file, at a multiple of its rates.
+// FromFile converts an experiment that was read from a file, with its rates multiplied by load.
 func FromFile(f settings.Experiment, load float64) *Experiment {
 	x := &Experiment{
 		Length: f.Length, Dispatchers: f.Dispatchers, NetworkDelay: f.Net, NetworkJitter: f.NetCV, DiscoveryDelay: f.ListLate, Retries: f.Retries, Backoff: f.Backoff, Settings: f.Settings,
--- a/internal/dispatcher/lab/faults.go
+++ b/internal/dispatcher/lab/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// inject lets a fault happen.
+// inject starts a fault.
 func (w *World) inject(f Fault) {
 	switch f.Kind {
 	case faultCrash:
@@ -40,18 +40,18 @@
 	}
 }
 
-// How long a member drains in a deploy, and how long it is away then.
+// How long a member drains in a deploy, and how long it is down afterwards.
 const (
 	deployDrain    = 4 * time.Second
 	deployDowntime = time.Second
 )
 
-// spread is the time of the nth of some events that are spread evenly over a span.
+// spread returns the time of event n of count events that are spread evenly over a span.
 func spread(span time.Duration, n, count int) time.Duration {
 	return span * time.Duration(n) / time.Duration(count)
 }
 
-// draw draws a share of the numbers below count.
+// draw returns a random share of the numbers below count, rounded up.
 func (w *World) draw(count int, share float64) []int {
 	order := w.random.Perm(count)
 	return order[:int(math.Ceil(share*float64(count)))]
@@ -79,11 +79,11 @@
 func (w *World) slowMember(m *member, factor float64, span time.Duration) {
 	m.advance()
 	m.speedFactor = factor
-	m.scheduleNext()
+	m.scheduleStep()
 	w.after(span, func() {
 		m.advance()
 		m.speedFactor = 1
-		m.scheduleNext()
+		m.scheduleStep()
 	})
 }
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// restartMember lets a member drain for a while, if that is not 0, ends its process, and
-// lets it come back cold after the downtime.
+// restartMember drains a member for the given time unless that is 0, ends its process, and
+// restarts it cold after the downtime.
 func (w *World) restartMember(m *member, drain, downtime time.Duration) {
 	if !m.up {
 		return
--- a/internal/dispatcher/lab/gate.go
+++ b/internal/dispatcher/lab/gate.go
@@ -9,24 +9,26 @@
 
 // gate is the admission control of Elnikety, Nahum, Tracey and Zwaenepoel, "A Method for
 // Transparent Admission Control and Request Scheduling in E-Commerce Web Sites" (WWW 2004),
-// as a baseline: a request is admitted if the expected time of its class fits what remains
-// of a capacity that was measured before, and waits in an admission queue otherwise.
-// Expected times are moving averages from admission to the end.
+// as a baseline: a request is admitted if the expected time of its class fits the free part
+// of a capacity that was measured beforehand, and waits in an admission queue otherwise.
+// The expected time of a class is a moving average of the times from admission to the end.
 type gate struct {
 	basicPolicy
-	maxDelay  float64 // a waiting request is overtaken until that delays it by as many of its own expected times; 0: first in, first out
-	capacity  float64 // nanoseconds of expected time that are admitted at a time
-	load      float64 // expected time of the admitted requests
+	// maxDelay limits overtaking: later requests may delay a waiting one by at most as many
+	// times its own expected time. 0 means first in, first out.
+	maxDelay  float64
+	capacity  float64 // largest sum of the admitted requests' expected times, in nanoseconds
+	load      float64 // sum of the admitted requests' expected times
 	queue     []*gateEntry
 	latencies map[string]*movingAverage // by class
-	admitted  map[string]*gateEntry     // by request
+	admitted  map[string]*gateEntry     // by request ID
 }
 
-// gateEntry is a request that waits or was admitted. Times are in nanoseconds.
+// gateEntry is a request that waits or is admitted. Times are in nanoseconds.
 type gateEntry struct {
 	job        *basicJob
 	expected   float64
-	delayed    float64 // by those that overtook it
+	delayed    float64 // sum of the expected times of the requests that overtook it
 	admittedAt time.Duration
 }
 
@@ -39,8 +41,8 @@
 
 const averageWindow = 50
 
-// queueInterval is how often the queue is searched for requests past their time.
-const queueInterval = 50 * time.Millisecond
+// queueCheckInterval is the interval at which expired requests are removed from the queue.
+const queueCheckInterval = 50 * time.Millisecond
 
 func (a *movingAverage) add(value float64) {
 	if len(a.last) < averageWindow {
@@ -55,10 +57,10 @@
 
 func (a *movingAverage) mean() float64 { return a.sum / float64(max(1, len(a.last))) }
 
-// newGate makes gates with the experiment's capacity.
-func newGate(wait float64) PolicyMaker {
+// newGate returns a maker of gates with the experiment's capacity; see gate.maxDelay.
+func newGate(delayLimit float64) PolicyMaker {
 	return func(w *World, h policy.Host, _ int, seed uint64) (Policy, error) {
-		g := &gate{maxDelay: wait, capacity: float64(w.experiment.Capacity), latencies: make(map[string]*movingAverage), admitted: make(map[string]*gateEntry)}
+		g := &gate{maxDelay: delayLimit, capacity: float64(w.experiment.Capacity), latencies: make(map[string]*movingAverage), admitted: make(map[string]*gateEntry)}
 		g.basicPolicy = basicPolicy{world: w, host: h, random: rand.New(rand.NewPCG(seed, 37)), jobs: make(map[string]*basicJob), pick: func(p *basicPolicy, from []*memberView, _ float64) *memberView {
 			return least(p, from, func(m *memberView) float64 { return float64(m.inFlight) })
 		}}
@@ -66,7 +68,8 @@
 	}
 }
 
-// expectedTime is the average of a class, or its mean work until a request has ended.
+// expectedTime returns the moving average of a class, or its mean work as long as none of its
+// requests has ended.
 func (g *gate) expectedTime(c *Class) float64 {
 	if a := g.latencies[c.Name]; a != nil {
 		return a.mean()
@@ -86,20 +89,20 @@
 	g.queue = append(g.queue, nil)
 	copy(g.queue[i+1:], g.queue[i:])
 	g.queue[i] = entry
-	for _, passed := range g.queue[i+1:] {
-		passed.delayed += entry.expected
+	for _, overtaken := range g.queue[i+1:] {
+		overtaken.delayed += entry.expected
 	}
 	g.admit(now)
 }
 
-// tooLate reports whether the time of a waiting request is over before the queue is
-// searched again.
+// tooLate reports whether a waiting request must end now because it could no longer be sent
+// in time at the next check of the queue.
 func (g *gate) tooLate(now time.Duration, entry *gateEntry) bool {
-	return now >= entry.job.Deadline-queueInterval-sendMargin
+	return now >= entry.job.Deadline-queueCheckInterval-sendMargin
 }
 
-// admit admits from the head of the queue what fits. If nothing else is admitted, the head
-// is, whatever its expected time.
+// admit admits requests from the head of the queue as long as they fit the capacity. If no
+// request is admitted, the head is admitted regardless of its expected time.
 func (g *gate) admit(now time.Duration) {
 	for len(g.queue) > 0 {
 		entry := g.queue[0]
@@ -108,10 +111,10 @@
 		}
 		g.queue = g.queue[1:]
 		if g.jobs[entry.job.ID] != entry.job {
-			continue // its client has left
+			continue // its client is gone
 		}
 		if g.tooLate(now, entry) {
-			g.end(entry.job)
+			g.finishWithoutResult(entry.job)
 			continue
 		}
 		entry.admittedAt = now
@@ -148,21 +151,21 @@
 	waiting := g.queue[:0]
 	for _, entry := range g.queue {
 		if g.tooLate(now, entry) {
-			g.end(entry.job)
+			g.finishWithoutResult(entry.job)
 			continue
 		}
 		waiting = append(waiting, entry)
 	}
 	clear(g.queue[len(waiting):])
 	g.queue = waiting
-	g.host.Timer(queueInterval, "queue")
+	g.host.Timer(queueCheckInterval, "queue")
 }
 
 // HandleMembers implements Policy.
 func (g *gate) HandleMembers(now time.Duration, kind policy.ListKind, entries []policy.Member) {
 	if g.started == 0 {
 		g.started = now
-		g.host.Timer(queueInterval, "queue")
+		g.host.Timer(queueCheckInterval, "queue")
 	}
 	g.basicPolicy.HandleMembers(now, kind, entries)
 }
--- a/internal/dispatcher/lab/member.go
+++ b/internal/dispatcher/lab/member.go
@@ -12,43 +12,45 @@
 	Name         string
 	Count        int
 	Cores        int
-	Slots        int           // that running jobs may use at a time
+	Slots        int           // that running jobs may use at the same time
 	Queue        int           // jobs that may wait; more are rejected
-	Speed        float64       // of a core; at 1 a job runs as long as its work
+	Speed        float64       // of a core; at speed 1 a job runs for as long as its work
 	SpeedCV      float64       // coefficient of variation of the speed between members
-	Cells        int           // deduplication groups; 0: one
-	InitialSpeed float64       // share of its speed at its start
-	WarmupTime   time.Duration // until it has its full speed
-	// Crowding is the share of their speed that each job beyond CrowdFrom, or beyond the
-	// cores if that is more, costs all of them: locks, memory, caches.
+	Cells        int           // deduplication groups; 0 means one
+	InitialSpeed float64       // share of the full speed right after a start
+	WarmupTime   time.Duration // from a start until full speed
+	// Crowding is the slowdown by contention for locks, memory and caches: with n jobs
+	// running or waiting beyond CrowdFrom, or beyond the cores if these are more, all jobs
+	// run at 1/(1+n*Crowding) of their speed.
 	Crowding  float64
 	CrowdFrom int
-	// Connections is how many it has at a time, one for each job that runs or waits; more
-	// fail to connect. 0: no bound.
+	// Connections is the limit of concurrent connections, one for each job that runs or
+	// waits; attempts beyond it fail to connect. 0 means no limit.
 	Connections int
-	Handshake   time.Duration // work for each attempt that it accepts
+	Handshake   time.Duration // additional work for each accepted attempt
 }
 
-// member is a pool member: it runs in order what fits its slots, and has a bounded queue.
-// Running jobs share its cores. Nothing that has begun is stopped but by a crash.
+// member is a pool member: it starts jobs in the order of their arrival when they fit its free
+// slots, and has a bounded queue. Running jobs share its cores. Only a crash ends a job that
+// has started.
 type member struct {
 	world            *World
 	number           uint32
 	kind             *MemberKind
 	cell             int
 	speed            float64
-	started          time.Duration // its latest start; 0: long ago
+	started          time.Duration // the latest start; 0 means long ago
 	state            policy.MemberState
 	up               bool
 	paused           bool
-	partitionedUntil time.Duration // no message gets to it or from it until then
-	speedFactor      float64       // a fault's factor on its speed
+	partitionedUntil time.Duration // no message reaches or leaves the member until then
+	speedFactor      float64       // factor on the speed that a fault sets
 	queue            []*attempt
 	running          []*attempt
-	busySlots        float64       // that running jobs use
-	advancedAt       time.Duration // up to which the work of its jobs is accounted
-	planNumber       int           // of the latest scheduled step: older ones are void
-	workDone         time.Duration // time of its cores that was in use
+	busySlots        float64       // slots that running jobs use
+	advancedAt       time.Duration // time up to which advance has accounted the work of the jobs
+	stepVersion      int           // of the latest scheduled step; steps of older versions do nothing
+	workDone         time.Duration // core time that was in use
 }
 
 // attempt is one send of a request to a member.
@@ -59,12 +61,12 @@
 	member     *member
 	sentAt     time.Duration
 	workLeft   float64 // nanoseconds at speed 1
-	inFlight   bool    // its dispatcher does not know its result
-	mayHaveRun bool    // it has begun to run
+	inFlight   bool    // the dispatcher has no result of it
+	mayHaveRun bool    // it has started to run
 }
 
-// warmth is the share of its speed that it has now, after a start.
-func (m *member) warmth() float64 {
+// warmupFactor returns the share of its full speed that the member has now, after a start.
+func (m *member) warmupFactor() float64 {
 	k := m.kind
 	if m.started == 0 || k.WarmupTime == 0 {
 		return 1
@@ -73,17 +75,17 @@
 	return min(1, k.InitialSpeed+(1-k.InitialSpeed)*age)
 }
 
-// rate is how fast each running job goes: work in a nanosecond.
+// rate returns the speed of each running job: work per nanosecond.
 func (m *member) rate() float64 {
 	if m.paused || len(m.running) == 0 {
 		return 0
 	}
 	coreShare := min(1, float64(m.kind.Cores)/m.busySlots)
 	crowding := 1 / (1 + m.kind.Crowding*max(0, float64(len(m.running)+len(m.queue)-max(m.kind.Cores, m.kind.CrowdFrom))))
-	return m.speed * m.speedFactor * m.warmth() * coreShare * crowding
+	return m.speed * m.speedFactor * m.warmupFactor() * coreShare * crowding
 }
 
-// advance accounts the work of the running jobs up to now.
+// advance accounts the work that the running jobs have done up to now.
 func (m *member) advance() {
 	if span := m.world.now - m.advancedAt; span > 0 && len(m.running) > 0 {
 		if rate := m.rate(); rate > 0 {
@@ -96,12 +98,13 @@
 	m.advancedAt = m.world.now
 }
 
-// warmupStep is how often the rate of a member that warms up is computed anew.
+// warmupStep is the interval at which the rate of a member that warms up is recomputed.
 const warmupStep = 50 * time.Millisecond
 
-// scheduleNext schedules the step at which the next job ends or the rate changes.
-func (m *member) scheduleNext() {
-	m.planNumber++
+// scheduleStep schedules the step at which the next job ends or the rate changes, and
+// invalidates the step that was scheduled before.
+func (m *member) scheduleStep() {
+	m.stepVersion++
 	rate := m.rate()
 	if rate == 0 {
 		return
@@ -111,40 +114,40 @@
 		least = min(least, a.workLeft)
 	}
 	next := time.Duration(math.Ceil(max(0, least) / rate))
-	if m.warmth() < 1 {
+	if m.warmupFactor() < 1 {
 		next = min(next, warmupStep)
 	}
-	turn := m.planNumber
+	version := m.stepVersion
 	m.world.after(next, func() {
-		if m.planNumber == turn {
+		if m.stepVersion == version {
 			m.step()
 		}
 	})
 }
 
-// step ends the jobs whose work is done, and starts those that fit.
+// step ends the jobs whose work is done, and starts queued jobs that fit the free slots.
 func (m *member) step() {
 	m.advance()
-	rest := m.running[:0]
+	unfinished := m.running[:0]
 	for _, a := range m.running {
 		if a.workLeft > 0.5 {
-			rest = append(rest, a)
+			unfinished = append(unfinished, a)
 			continue
 		}
 		m.busySlots -= a.request.slots
 		m.world.reply(a, policy.OK)
 	}
-	clear(m.running[len(rest):])
-	m.running = rest
+	clear(m.running[len(unfinished):])
+	m.running = unfinished
 	for len(m.queue) > 0 && m.busySlots+m.queue[0].request.slots <= float64(m.kind.Slots) {
 		a := m.queue[0]
 		m.queue = m.queue[1:]
 		m.start(a)
 	}
-	m.scheduleNext()
+	m.scheduleStep()
 }
 
-// start runs an attempt.
+// start starts to run an attempt.
 func (m *member) start(a *attempt) {
 	a.mayHaveRun = true
 	m.busySlots += a.request.slots
@@ -152,7 +155,7 @@
 	m.world.reportStart(a)
 }
 
-// receive accepts an attempt, or rejects it.
+// receive starts, queues or rejects an attempt, or fails its connection.
 func (m *member) receive(a *attempt) {
 	switch {
 	case !m.up || m.kind.Connections > 0 && len(m.running)+len(m.queue) >= m.kind.Connections:
@@ -170,17 +173,17 @@
 	} else {
 		m.queue = append(m.queue, a)
 	}
-	m.scheduleNext()
+	m.scheduleStep()
 }
 
-// crash ends the process, and all its jobs.
+// crash ends the process and all its jobs.
 func (m *member) crash() {
 	m.advance()
 	for _, a := range append(m.running, m.queue...) {
 		m.world.reply(a, policy.Reset)
 	}
 	m.running, m.queue, m.busySlots, m.up = nil, nil, 0, false
-	m.planNumber++
+	m.stepVersion++
 }
 
 // restart starts the process, cold.
@@ -188,7 +191,7 @@
 	m.up, m.state, m.started, m.advancedAt = true, policy.Ready, max(m.world.now, 1), m.world.now
 }
 
-// drain lets it accept nothing more, and rejects what waits.
+// drain makes the member reject new attempts, and rejects the queued ones.
 func (m *member) drain() {
 	m.state = policy.Draining
 	for _, a := range m.queue {
@@ -197,8 +200,8 @@
 	m.queue = nil
 }
 
-// remainingTime is how long all its cores need for the jobs that it has, in nanoseconds:
-// the baseline that sees the true state decides by it.
+// remainingTime returns how long all cores need for the member's jobs, in nanoseconds. The
+// baseline "true state" uses it.
 func (m *member) remainingTime() float64 {
 	m.advance()
 	sum := 0.0
@@ -208,5 +211,5 @@
 	for _, a := range m.queue {
 		sum += a.workLeft
 	}
-	return sum / (m.speed * m.speedFactor * m.warmth() * float64(m.kind.Cores))
+	return sum / (m.speed * m.speedFactor * m.warmupFactor() * float64(m.kind.Cores))
 }
--- a/internal/dispatcher/lab/network.go
+++ b/internal/dispatcher/lab/network.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	connectTimeout     = 250 * time.Millisecond // a connection that is not up by then has failed
-	callbackRetryDelay = 500 * time.Millisecond // after which a member repeats a callback that was lost
+	connectTimeout     = 250 * time.Millisecond // after which a connection that is not established has failed
+	callbackRetryDelay = 500 * time.Millisecond // after which a member resends a lost callback
 	maxCallbackRetries = 10
 )
 
-// networkDelay draws how long a message takes one way.
+// networkDelay draws the one-way delay of a message.
 func (w *World) networkDelay() time.Duration {
 	return time.Duration(float64(w.experiment.NetworkDelay) * max(0.2, 1+w.experiment.NetworkJitter*w.random.NormFloat64()))
 }
@@ -20,17 +20,18 @@
 // losesMessage draws whether a message is lost.
 func (w *World) losesMessage() bool { return w.lossRate > 0 && w.random.Float64() < w.lossRate }
 
-// callbackDelay draws how long a callback takes from a member to its dispatcher. A callback
-// that is lost is repeated.
+// callbackDelay draws the delay of a callback from a member to its dispatcher, with the
+// resends of lost callbacks.
 func (w *World) callbackDelay(from *member) time.Duration {
-	took := max(0, from.partitionedUntil-w.now) + w.networkDelay()
+	delay := max(0, from.partitionedUntil-w.now) + w.networkDelay()
 	for n := 0; n < maxCallbackRetries && w.losesMessage(); n++ {
-		took += callbackRetryDelay
+		delay += callbackRetryDelay
 	}
-	return took
+	return delay
 }
 
-// reportStart records that an attempt begins to run, and reports it to its dispatcher.
+// reportStart records the time that an attempt waited before it began to run, and reports the
+// start to the dispatcher if the settings have ReportsStart.
 func (w *World) reportStart(a *attempt) {
 	_ = w.Result.Wait.RecordValue(max(1, int64((w.now-a.sentAt)/time.Microsecond)))
 	if !w.experiment.Settings.ReportsStart {
@@ -46,12 +47,12 @@
 	})
 }
 
-// reply reports the end of an attempt to its dispatcher.
+// reply sends the result of an attempt from its member to its dispatcher.
 func (w *World) reply(a *attempt, s policy.Status) {
 	w.after(w.callbackDelay(a.member), func() { w.endAttempt(a, s) })
 }
 
-// endAttempt ends an attempt at its dispatcher, with its result.
+// endAttempt ends an attempt at its dispatcher, with its result. Later results of it are ignored.
 func (w *World) endAttempt(a *attempt, s policy.Status) {
 	if !a.inFlight {
 		return
@@ -59,7 +60,7 @@
 	a.inFlight = false
 	d, r := a.dispatcher, a.request
 	w.checker.attemptEnded(a, s)
-	if d.open[r.id] != r { // it restarted, or has answered
+	if d.open[r.id] != r { // the dispatcher restarted, or the request has its answer
 		if !r.answered {
 			return
 		}
@@ -72,5 +73,5 @@
 			Request: r.id, Attempt: a.number, Worker: a.member.number, Status: s, Final: r.answered, Latency: w.now - a.sentAt,
 		})
 	})
-	d.forget(r)
+	d.removeIfDone(r)
 }
--- a/internal/dispatcher/lab/output.go
+++ b/internal/dispatcher/lab/output.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Table writes the means of each policy's runs. The error is the writer's.
+// Table writes a table with the means of each policy's runs. It returns errors of the writer.
 func Table(out io.Writer, runs []Run) error {
 	tabs := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	p := textout.New(tabs)
@@ -26,7 +26,7 @@
 	return tabs.Flush()
 }
 
-// tableRow writes the means of one policy's runs.
+// tableRow writes the row of one policy: the means of its runs.
 func tableRow(p *textout.Printer, policy string, runs []Run) {
 	column := func(value func(Run) float64) []float64 {
 		values := make([]float64, len(runs))
@@ -58,13 +58,13 @@
 		mean(func(r Run) float64 { return r.Busy }), violations)
 }
 
-// csvColumns are the columns of CSV. Scripts read them: they stay.
+// csvColumns are the column names that CSV writes. Scripts read them, so they must not change.
 var csvColumns = []string{
 	"load", "set", "policy", "seed", "goodput", "asked", "in_time", "late", "refused", "failed", "tries", "sends", "busy",
 	"served_per_s", "mean_ms", "p50_ms", "p95_ms", "p99_ms", "wait_ms", "events", "broken",
 }
 
-// CSV writes a line for each run. The error is the writer's.
+// CSV writes a header and a line for each run. It returns errors of the writer.
 func CSV(out io.Writer, runs []Run) error {
 	w := csv.NewWriter(out)
 	if err := w.Write(csvColumns); err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// JSON writes the runs as a list. The error is the writer's.
+// JSON writes the runs as an array. It returns errors of the writer and of the encoder.
 func JSON(out io.Writer, runs []Run) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/dispatcher/lab/policy.go
+++ b/internal/dispatcher/lab/policy.go
@@ -6,8 +6,9 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Policy decides for one dispatcher. *policy.Dispatcher is one. Times are virtual; the
-// calls are those of policy.Dispatcher, on the run's one goroutine.
+// Policy makes the decisions of one dispatcher. *policy.Dispatcher implements it. Its methods
+// are those of policy.Dispatcher; they are called with virtual times, on the single
+// goroutine of the run.
 type Policy interface {
 	HandleRequest(now time.Duration, r policy.Request)
 	HandleAttemptResult(now time.Duration, o policy.AttemptResult)
@@ -21,7 +22,7 @@
 // PolicyMaker makes the policy of one dispatcher, which acts through the host.
 type PolicyMaker func(w *World, d policy.Host, rank int, seed uint64) (Policy, error)
 
-// NewDispatcherPolicy makes the decisions of the product.
+// NewDispatcherPolicy returns the product's policy.
 func NewDispatcherPolicy(w *World, h policy.Host, rank int, seed uint64) (Policy, error) {
 	s := w.experiment.Settings
 	s.Rank, s.Seed = rank, seed
--- a/internal/dispatcher/lab/race_off_test.go
+++ b/internal/dispatcher/lab/race_off_test.go
@@ -3,6 +3,6 @@
 package lab
 
 const (
-	formulaSpan   = 3000 // seconds of a run
-	formulaWithin = 0.02
+	formulaSeconds   = 3000 // length of a run, in seconds
+	formulaTolerance = 0.02 // relative error of the mean wait
 )
--- a/internal/dispatcher/lab/race_on_test.go
+++ b/internal/dispatcher/lab/race_on_test.go
@@ -2,9 +2,9 @@
 
 package lab
 
-// Under the race detector a run takes ten times as long: shorter ones are held to
-// the formulas less closely.
+// Under the race detector a run takes ten times as long, so that runs are shorter and the
+// tolerance is larger.
 const (
-	formulaSpan   = 400
-	formulaWithin = 0.08
+	formulaSeconds   = 400
+	formulaTolerance = 0.08
 )
--- a/internal/dispatcher/lab/result.go
+++ b/internal/dispatcher/lab/result.go
@@ -6,14 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run came to. Requests, InTime, Late, Refused and Failed count logical
+// Result is the result of a run. Requests, InTime, Late, Refused and Failed count logical
 // requests.
 type Result struct {
 	Requests, InTime, Late, Refused, Failed int
-	ClientAttempts, Attempts                int                     // attempts of clients, and of dispatchers
-	RequestedWork, TimelyWork               float64                 // nanoseconds at speed 1, by all slots: submitted, and done in time
+	ClientAttempts, Attempts                int                     // attempts of clients and of dispatchers
+	RequestedWork, TimelyWork               float64                 // nanoseconds at speed 1, times the slots: submitted, and done in time
 	Latency                                 *hdrhistogram.Histogram // of served logical requests, in microseconds
-	Wait                                    *hdrhistogram.Histogram // from a send until it begins to run, in microseconds
+	Wait                                    *hdrhistogram.Histogram // from the send of an attempt until it starts to run, in microseconds
 	Events                                  int
 	Violations                              []string // of rules, found by the checker
 	Utilization                             float64  // share of the cores' time in use
@@ -22,20 +22,21 @@
 	Members                                 [][]float64 // by second, the share of each member's cores in use; see Experiment.SampleMembers
 }
 
-// ClassResult is what became of the logical requests of one class while the run went on.
+// ClassResult counts the logical requests of one class that were served within the length of
+// the run.
 type ClassResult struct {
 	Name   string
 	Served int
-	Took   time.Duration // in sum, from the first attempt to the answer
+	Took   time.Duration // sum of the times from the client's first attempt to the answer
 }
 
 // Second counts the logical requests of one second of a run.
 type Second struct{ Asked, InTime int }
 
-// Goodput is the share of the requested work that was done in time.
+// Goodput returns the share of the requested work that was done in time.
 func (r *Result) Goodput() float64 { return r.TimelyWork / max(r.RequestedWork, 1e-9) }
 
-// secondAt is the count of the running second.
+// secondAt returns the counts of the current second, counted from begin.
 func (w *World) secondAt(begin time.Duration) *Second {
 	n := int((w.now - begin) / time.Second)
 	for len(w.Result.Seconds) <= n {
@@ -46,9 +47,9 @@
 
 // recordServed records the latency of a served logical request.
 func (w *World) recordServed(r *request) {
-	_ = w.Result.Latency.RecordValue(int64((w.now - r.firstSubmitted) / time.Microsecond)) // longer ones can't be: deadlines are shorter
+	_ = w.Result.Latency.RecordValue(int64((w.now - r.firstSubmitted) / time.Microsecond)) // never beyond the histogram's range: deadlines are shorter
 	if w.now > startTime+w.experiment.Length {
-		return // what is served after the run is none of its throughput
+		return // answers after the length of the run don't count as throughput
 	}
 	for i := range w.Result.Classes {
 		if c := &w.Result.Classes[i]; c.Name == r.class.Name {
--- a/internal/dispatcher/lab/study.go
+++ b/internal/dispatcher/lab/study.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Study is an experiment that is played with some policies and seeds, each with each.
+// Study is an experiment that is run with every combination of some policies and seeds.
 type Study struct {
 	Experiment *Experiment
 	Policies   []string // by their names in PolicyMakers
-	Seeds      int      // how many
+	Seeds      int      // number of seeds, from FirstSeed on
 	FirstSeed  uint64
-	Load       float64 // factor on the file's rates, for Run.Load
-	Variant    string  // what a sweep changed in the file, for Run.Set
+	Load       float64 // factor on the rates of the experiment file, copied to Run.Load
+	Variant    string  // what a sweep changed in the experiment file, copied to Run.Set
 }
 
-// Run is the result of one run of a study. It is written as JSON, by the names of its
-// fields. Counts are of logical requests, but for Tries and Sends.
+// Run is the result of one run of a study. It is written as JSON under the names of its
+// fields. Asked, InTime, Late, Refused and Failed count logical requests.
 type Run struct {
-	Load      float64 // factor on the file's rates
-	Set       string  // what a sweep changed in the file
+	Load      float64 // factor on the rates of the experiment file
+	Set       string  // what a sweep changed in the experiment file
 	Policy    string
 	Seed      uint64
 	Goodput   float64 // share of the requested work that was done in time
@@ -29,19 +29,19 @@
 	Late      int
 	Refused   int
 	Failed    int
-	Tries     int      // attempts of clients
-	Sends     int      // attempts of dispatchers
-	Busy      float64  // share of the cores' time in use
+	Tries     int      // attempts of the clients
+	Sends     int      // attempts that the dispatchers sent
+	Busy      float64  // share of the core time that was in use
 	P50, P95  float64  // latency of served logical requests, in milliseconds
-	P99, Wait float64  // in milliseconds; Wait is the mean from a send until it begins to run
-	Events    int      // of the simulation
-	Broken    []string // rules
-	Took      float64  // seconds of the machine
+	P99, Wait float64  // in milliseconds; Wait is the mean from the send of an attempt until it starts to run
+	Events    int      // events of the simulation
+	Broken    []string // violations of rules that the checker found
+	Took      float64  // real time of the run, in seconds
 
-	PerS    float64 // served a second
-	Mean    float64 // latency of these, in milliseconds
+	PerS    float64 // logical requests served per second
+	Mean    float64 // mean latency of the served requests, in milliseconds
 	Classes []ClassRun
-	Latency [][2]float64 // pairs of percent and milliseconds
+	Latency [][2]float64 // pairs of a percentile and its latency in milliseconds
 	Seconds []Second
 	Members [][]float64 // see Result
 }
@@ -49,12 +49,13 @@
 // ClassRun is the result of one run for one class. It is written as JSON.
 type ClassRun struct {
 	Name string
-	PerS float64 // served a second
-	Mean float64 // latency, in milliseconds
+	PerS float64 // logical requests served per second
+	Mean float64 // mean latency of the served requests, in milliseconds
 }
 
-// Run plays all runs, on all cores, and calls done after each one, on any goroutine. The
-// result does not depend on how many cores there are.
+// Run runs every combination of policy and seed, in parallel on GOMAXPROCS goroutines, and
+// calls done after each run on one of these goroutines. The results, except Run.Took, do not
+// depend on the number of goroutines.
 func (s *Study) Run(done func()) ([]Run, error) {
 	type task struct {
 		policy string
@@ -72,11 +73,11 @@
 	}
 	runs, errs := make([]Run, len(tasks)), make([]error, len(tasks))
 	next := make(chan task)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		workers.Go(func() {
 			for t := range next {
-				runs[t.number], errs[t.number] = s.play(t.policy, t.seed)
+				runs[t.number], errs[t.number] = s.runOne(t.policy, t.seed)
 				done()
 			}
 		})
@@ -85,7 +86,7 @@
 		next <- t
 	}
 	close(next)
-	all.Wait()
+	workers.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -94,10 +95,10 @@
 	return runs, nil
 }
 
-// percentiles are those of a run's latency that are kept.
+// percentiles are the percentiles of Run.Latency.
 var percentiles = []float64{1, 5, 10, 25, 50, 75, 90, 95, 99, 99.9}
 
-func (s *Study) play(name string, seed uint64) (Run, error) {
+func (s *Study) runOne(name string, seed uint64) (Run, error) {
 	began := time.Now()
 	newPolicy, err := PolicyByName(name)
 	if err != nil {
@@ -133,12 +134,12 @@
 	return 1000 * sum.Seconds() / float64(max(1, count))
 }
 
-// RunsOf picks the runs of one policy, by seed.
-func RunsOf(runs []Run, policy string) (of []Run) {
+// RunsOf returns the runs of one policy, in their order.
+func RunsOf(runs []Run, policy string) (matching []Run) {
 	for _, r := range runs {
 		if r.Policy == policy {
-			of = append(of, r)
+			matching = append(matching, r)
 		}
 	}
-	return of
+	return matching
 }
--- a/internal/dispatcher/lab/world.go
+++ b/internal/dispatcher/lab/world.go
@@ -9,32 +9,32 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// World is one run. All of it happens on the goroutine that calls Run.
+// World is one run of the simulation. All its events run on the goroutine that calls Run.
 type World struct {
 	timeline
 	experiment  *Experiment
-	random      *rand.Rand // the order of its draws is part of a run: it decides the result
+	random      *rand.Rand // the result of a run depends on the order of its draws
 	members     []*member
 	byNumber    map[uint32]*member
 	dispatchers []*dispatcher
 	checker     *checker
-	drawWork    []func() float64 // by class
+	drawWork    []func() float64 // by index of the class
 	newPolicy   PolicyMaker
-	submissions int     // requests so far
-	lossRate    float64 // share of the messages that are lost now
+	submissions int     // requests submitted so far, retries of clients included
+	lossRate    float64 // current share of lost messages
 	Result      Result
 }
 
-// startTime is the virtual time at which a run begins, so that a time long ago is not 0.
+// startTime is the virtual time at which a run begins. It is above 0 because a time of 0 means long ago.
 const startTime = time.Hour
 
-// drainTime is how long a run goes on after its end, so that what is open ends.
+// drainTime is how long a run continues after its length, so that open requests can end.
 const drainTime = 2 * time.Minute
 
-// maxRecorded bounds what a latency counts as, in microseconds.
+// maxRecorded is the largest latency that the histograms can record, in microseconds.
 const maxRecorded = 600e6
 
-// NewWorld makes a run that is ready to play. The error is the policy's.
+// NewWorld returns a run that has not started. The error is that of the policy maker.
 func NewWorld(x *Experiment, newPolicy PolicyMaker, seed uint64) (*World, error) {
 	w := &World{experiment: x, random: rand.New(rand.NewPCG(seed, 31)), byNumber: map[uint32]*member{}, newPolicy: newPolicy}
 	w.timeline = newTimeline(startTime)
@@ -59,7 +59,7 @@
 	return w, nil
 }
 
-// addMember adds the nth member of a kind.
+// addMember adds member n of a kind.
 func (w *World) addMember(k *MemberKind, n int) {
 	m := &member{
 		world: w, number: w.random.Uint32(), kind: k, cell: n % max(1, k.Cells), speed: k.Speed, speedFactor: 1, up: true, advancedAt: w.now,
@@ -93,7 +93,8 @@
 	return func() float64 { return mean }
 }
 
-// Run plays the experiment and what is open at its end. It may be called once.
+// Run simulates the experiment, and after its length the requests that are still open. It
+// may be called only once.
 func (w *World) Run() *Result {
 	begin := w.now
 	for i := range w.experiment.Classes {
@@ -104,8 +105,8 @@
 	for range w.experiment.Clients {
 		w.scheduleClient(begin, begin+w.experiment.Length)
 	}
-	for _, t := range w.experiment.Faults {
-		w.schedule(begin+t.At, func() { w.inject(t) })
+	for _, f := range w.experiment.Faults {
+		w.schedule(begin+f.At, func() { w.inject(f) })
 	}
 	if w.experiment.SampleMembers {
 		w.sampleMembers(begin)
@@ -126,11 +127,11 @@
 	return r
 }
 
-// sampleMembers records how busy each member is, second by second.
+// sampleMembers records the utilization of each member every second.
 func (w *World) sampleMembers(begin time.Duration) {
 	last := make([]time.Duration, len(w.members))
-	var each func()
-	each = func() {
+	var sample func()
+	sample = func() {
 		row := make([]float64, len(w.members))
 		for i, m := range w.members {
 			m.advance()
@@ -138,8 +139,8 @@
 			last[i] = m.workDone
 		}
 		if w.Result.Members = append(w.Result.Members, row); w.now < begin+w.experiment.Length {
-			w.after(time.Second, each)
+			w.after(time.Second, sample)
 		}
 	}
-	w.after(time.Second, each)
+	w.after(time.Second, sample)
 }
