--- a/cmd/basaltloft-lab/main.go
+++ b/cmd/basaltloft-lab/main.go
@@ -82,7 +82,7 @@
 func (c *command) play(s *lab.Study, out, errs io.Writer) ([]lab.Run, error) {
 	title := strings.TrimSpace(fmt.Sprintf("load %g %s", s.Load, s.Variant))
 	bar := progressbar.NewOptions(len(s.Policies)*s.Seeds, progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription(title), progressbar.OptionClearOnFinish())
-	runs, err := s.Run(func() { _ = bar.Add(1) }) // progress that can't be shown stops nothing
+	runs, err := s.RunAll(func() { _ = bar.Add(1) }) // progress that can't be shown stops nothing
 	if err != nil {
 		return nil, usageError{err}
 	}
--- a/internal/dispatcher/lab/study.go
+++ b/internal/dispatcher/lab/study.go
@@ -53,10 +53,10 @@
 	Mean float64 // mean latency of the served requests, in milliseconds
 }
 
-// Run runs every combination of policy and seed, in parallel on GOMAXPROCS goroutines, and
-// calls done after each run on one of these goroutines. The results, except Run.Took, do not
+// RunAll runs every combination of policy and seed, in parallel on GOMAXPROCS goroutines, and
+// calls done after each run on one of these goroutines. The results, except RunAll.Took, do not
 // depend on the number of goroutines.
-func (s *Study) Run(done func()) ([]Run, error) {
+func (s *Study) RunAll(done func()) ([]Run, error) {
 	type task struct {
 		policy string
 		seed   uint64
