--- a/internal/dispatcher/lab/study.go
+++ b/internal/dispatcher/lab/study.go
@@ -54,7 +54,7 @@
 }
 
 // RunAll runs every combination of policy and seed, in parallel on GOMAXPROCS goroutines, and
-// calls done after each run on one of these goroutines. The results, except RunAll.Took, do not
+// calls done after each run on one of these goroutines. The results, except Run.Took, do not
 // depend on the number of goroutines.
 func (s *Study) RunAll(done func()) ([]Run, error) {
 	type task struct {
