--- a/internal/dispatcher/settings/check.go
+++ b/internal/dispatcher/settings/check.go
@@ -4,15 +4,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// Report is what Check found in a file.
+// Report is the result of Check for a file.
 type Report struct {
 	Kind     string // "configuration", "operator's file" or "experiment"
 	Problems Problems
-	Unknown  []string // keys that are not read
+	Unknown  []string // keys that the code does not read
 }
 
-// Check reads a file of any kind and names all that is wrong with it. A file
-// with an experiment is one for the lab; one with settings is a configuration.
+// Check reads a file of any kind and returns all its mistakes. A file with the
+// key experiment is an experiment; one with settings or discovery is a
+// configuration; any other is an operator's file.
 func Check(text []byte) Report {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -23,7 +24,7 @@
 	}
 	if v.Exists("experiment") {
 		_, r := decodeExperiment(v)
-		return Report{"experiment", r.problems, r.unknown("settings")}
+		return Report{"experiment", r.problems, r.unknownKeys("settings")}
 	}
 	if v.Exists("settings") || v.Exists("discovery") {
 		c, r := decodeConfig(v)
@@ -36,8 +37,8 @@
 		if c.Admin != "" {
 			r.address("admin", c.Admin)
 		}
-		return Report{"configuration", r.problems, r.unknown("settings", "known")}
+		return Report{"configuration", r.problems, r.unknownKeys("settings", "known")}
 	}
 	_, r := decodeOperator(v)
-	return Report{"operator's file", r.problems, r.unknown()}
+	return Report{"operator's file", r.problems, r.unknownKeys()}
 }
--- a/internal/dispatcher/settings/config.go
+++ b/internal/dispatcher/settings/config.go
@@ -16,33 +16,33 @@
 // Config is the program's configuration.
 type Config struct {
 	Name, Listen, Discovery string
-	Admin                   string // where the admin API listens; empty: nowhere
+	Admin                   string // where the admin API listens; empty: off
 	AcceptFD                int    // an open listening socket for the clients, from $ROUTER_ACCEPT_FD; 0: bind Listen
 	Cores                   float64
 	MemoryMB, Sockets       int
-	LastMembership          List // as the platform knew it at the start
+	LastMembership          List // the platform's membership at the start of the process
 	Settings                policy.Settings
-	Tenants                 []string // those that the settings know
-	// ReportsLoad says that members report their load (reporting.via is not silent and reporting.columns
-	// is not empty): to probes, and in answers and callbacks where via is piggyback.
+	Tenants                 []string // names of the tenants in the settings
+	// ReportsLoad is whether members report their load (reporting.via is not silent and reporting.columns
+	// is not empty): in replies to probes, and if via is piggyback also in answers and callbacks.
 	ReportsLoad    bool
 	ConnectTimeout time.Duration // of connections to members
 }
 
-// List is discovery's list of members, or the changes to one.
+// List is the list of members that discovery returns, or the changes to such a list.
 type List struct {
-	Generation int64 // its version
-	Complete   bool  // it has all members, not only those that changed
+	Generation int64 // version of the list
+	Complete   bool  // the list has all members, not only the changed ones
 	Entries    []Entry
 }
 
 // Entry is one member of a list.
 type Entry struct {
 	ID, Addr, Kind, Zone string
-	Cell                 int // below 0: not told, and no other member's
+	Cell                 int // below 0: not in the list; no other member has the same one
 	State                policy.MemberState
 	Weight               float64
-	Started              time.Time // zero: long ago
+	Started              time.Time // zero means long ago
 }
 
 // DecodeConfig reads the program's configuration and checks it.
@@ -58,7 +58,7 @@
 	return c, nil
 }
 
-// decodeConfig returns the configuration, and the reader with what is wrong with it.
+// decodeConfig returns the configuration, and the reader with its problems.
 func decodeConfig(v *fastjson.Value) (Config, *reader) {
 	r := newReader(v)
 	c := Config{
@@ -76,14 +76,14 @@
 	}
 	var err error
 	if c.Settings, err = Decode(r.find("settings")); err != nil {
-		r.take("settings", err)
+		r.addError("settings", err)
 	}
-	// The transports keep to the window of a key up to the last byte, and the engine has one flow of a
-	// transaction: another attempt would be told as never sent.
+	// ConnectTimeout: the transports apply the window of a key up to the last byte. ConcurrentAttempts: the
+	// engine has one flow per transaction and would report another attempt as never sent.
 	c.Settings.Limits.ConnectTimeout, c.Settings.Limits.ConcurrentAttempts = 0, false
 	if known := r.find("known"); known != nil {
 		if c.LastMembership, err = decodeList(known); err != nil {
-			r.take("known", err)
+			r.addError("known", err)
 		}
 	}
 	if c.Settings.Seed, err = seed(r.find("seed")); err != nil {
@@ -103,8 +103,8 @@
 	return strconv.ParseUint(string(v.GetStringBytes()), 16, 64)
 }
 
-// DecodeList reads discovery's answer. A list that is malformed anywhere is an error as a whole, so that a
-// part of it never takes effect.
+// DecodeList reads the answer of discovery. It rejects the whole list if any part is malformed, so that a
+// list never takes effect in part.
 func DecodeList(text []byte) (List, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -116,7 +116,7 @@
 // decodeList reads a list.
 func decodeList(v *fastjson.Value) (List, error) {
 	r := newReader(v)
-	l := List{Generation: r.whole("generation"), Complete: r.flag("reset")}
+	l := List{Generation: r.integer("generation"), Complete: r.flag("reset")}
 	if len(r.problems) == 0 && v.Get("instances") == nil {
 		r.fail("instances", fmt.Errorf("missing"))
 	}
@@ -135,16 +135,16 @@
 
 // entry reads one member of a list.
 func entry(v *fastjson.Value, i int) (Entry, error) {
-	// Lists are read often: the keys that are read are not kept.
-	r := &reader{at: v, in: fmt.Sprintf("instances[%d].", i)}
+	// Lists are read often, so that the reader does not record the keys that it reads.
+	r := &reader{at: v, prefix: fmt.Sprintf("instances[%d].", i)}
 	e := Entry{
 		ID: r.text("instanceId"), Addr: r.text("hostPort"), Kind: r.text("machineType"), Zone: r.text("zone"),
-		Cell: int(r.whole("cell")), Weight: r.number("weight"),
+		Cell: int(r.integer("cell")), Weight: r.number("weight"),
 	}
 	if ms := r.number("startedAtMs"); ms > 0 {
 		e.Started = time.UnixMicro(int64(ms * 1000))
 	}
-	if r.find("cell") == nil { // a deduplicated job that may have run there has no other member to go to
+	if r.find("cell") == nil { // unique, so that a deduplicated job that may have run there goes to no other member
 		h := fnv.New32a()
 		h.Write([]byte(e.ID))
 		e.Cell = -1 - int(h.Sum32())
--- a/internal/dispatcher/settings/experiment.go
+++ b/internal/dispatcher/settings/experiment.go
@@ -12,26 +12,26 @@
 	"github.com/valyala/fastjson"
 )
 
-// Experiment is a file for the lab: a fleet of dispatchers and members, its load, and its faults. Times in
-// the file are in the unit that its key names.
+// Experiment is the content of an experiment file of package lab: a fleet of dispatchers and members, its
+// load, and its faults. The unit of a time in the file is part of its key.
 type Experiment struct {
-	Length      time.Duration // of a run, in simulated time
+	Length      time.Duration // of a run, in virtual time
 	Dispatchers int
 	Members     []ExperimentMembers
-	Classes     []ExperimentClass // the rest of a class is in the settings
+	Classes     []ExperimentClass // the other properties of a class are in the settings
 	Net         time.Duration     // delay of the network, one way
-	NetCV       float64           // its jitter, as a share
+	NetCV       float64           // standard deviation of the delay, as a share of its mean
 	ListLate    time.Duration     // mean delay of discovery
-	Retries     int               // of a client, after a refusal or where that is harmless
+	Retries     int               // of a client, after a refusal or if the class is idempotent
 	Backoff     time.Duration     // of clients before a retry
-	Clients     int               // in a closed loop; 0: requests arrive by the rates
-	Think       time.Duration     // of a client between an answer and its next request
-	Capacity    time.Duration     // of the gate policies
+	Clients     int               // in a closed loop; 0: requests arrive at the rates of the classes
+	Think       time.Duration     // mean time of a client between an answer and its next request
+	Capacity    time.Duration     // of the gate policies: expected time admitted at once
 	Settings    policy.Settings
 	Faults      []ExperimentFault
 	Policies    []string  // by their names in the lab
-	Seeds       int       // how many
-	Loads       []float64 // multiples of the rates that are run; none: 1
+	Seeds       int       // number of seeds
+	Loads       []float64 // multiples of the rates to run; empty: 1
 	Sweeps      []Sweep
 }
 
@@ -45,29 +45,29 @@
 	ColdFor                    time.Duration
 	Crowding                   float64
 	CrowdFrom                  int
-	Connections                int           // that it holds at a time; 0: no bound
-	Handshake                  time.Duration // of its work, for each attempt
+	Connections                int           // limit of concurrent connections; 0: no limit
+	Handshake                  time.Duration // additional work for each attempt
 }
 
 // ExperimentClass is the load of one class of the settings.
 type ExperimentClass struct {
 	Name      string
-	Rate      float64       // requests a second
-	Work      time.Duration // of a request
-	Shape     string        // of the work, one of Shapes
-	CV        float64       // of a lognormal work
-	HintError float64       // hints are off by this share, up and down; below 0: no hints
-	Slots     []float64     // shares of requests with 1, 2, 4, 8 slots; none: all 1
+	Rate      float64       // requests per second
+	Work      time.Duration // mean work of a request
+	Shape     string        // distribution of the work, one of Shapes
+	CV        float64       // coefficient of variation of lognormal work
+	HintError float64       // largest relative error of hints, up or down; below 0: no hints
+	Slots     []float64     // shares of requests with 1, 2, 4 and 8 slots; empty: all have 1
 	Arrivals  Arrivals
 }
 
-// Arrivals are how the requests of a class arrive.
+// Arrivals describes how the requests of a class arrive.
 type Arrivals struct {
 	Kind      string        // poisson, ramp, bursts or trace
 	From, To  float64       // ramp: the multiple of the rate at the start and at the end
-	On, Off   time.Duration // bursts: so long at High, then so long at Low
-	High, Low float64       // multiples of the rate
-	Trace     []Arrival     // trace: these alone; a load multiplies how fast they arrive
+	On, Off   time.Duration // bursts: alternating spans with factor High and factor Low
+	High, Low float64       // bursts: multiples of the rate during On and Off
+	Trace     []Arrival     // trace: the only requests; a load divides their times
 }
 
 // Arrival is one request of a trace.
@@ -75,28 +75,28 @@
 	At, Work time.Duration
 }
 
-// Sweep is a value of the file that is run at several values.
+// Sweep holds the values that an experiment is run with for one path of its file.
 type Sweep struct {
 	Path   string   // such as experiment.members[0].queue
-	Values []string // as JSON
+	Values []string // in JSON
 }
 
 // ExperimentFault is a fault of members, dispatchers or the network between them.
 type ExperimentFault struct {
 	Kind    string // one of FaultKinds
 	At, For time.Duration
-	Part    float64 // the share, 0 to 1, of the members, dispatchers (restart) or messages (lost)
+	Part    float64 // the share, above 0 up to 1, of the members, dispatchers (restart) or messages (lost)
 	Size    float64 // slow: the factor on the speed
 }
 
-// Words that an experiment may use.
+// The values that the kinds and shapes of an experiment may have.
 var (
 	Shapes       = []string{"fixed", "exp", "pareto", "lognormal"}
 	FaultKinds   = []string{"crash", "pause", "slow", "deploy", "restart", "cut", "lost"}
 	ArrivalKinds = []string{"poisson", "ramp", "bursts", "trace"}
 )
 
-// Override is a value, as JSON, in place of the one at a path of a file.
+// Override replaces the value at a path of a file by another one, in JSON.
 type Override struct{ Path, Value string }
 
 // DecodeExperiment reads an experiment, with some of its values overridden, and checks it.
@@ -106,7 +106,7 @@
 		return Experiment{}, fmt.Errorf("experiment: %w", err)
 	}
 	for _, o := range overrides {
-		if err := put(v, o); err != nil {
+		if err := override(v, o); err != nil {
 			return Experiment{}, fmt.Errorf("experiment: %w", err)
 		}
 	}
@@ -148,7 +148,7 @@
 	}
 	var err error
 	if x.Settings, err = Decode(r.find("settings")); err != nil {
-		r.take("settings", err)
+		r.addError("settings", err)
 	}
 	x.Settings.Instances = x.Dispatchers
 	r.each("experiment.members", func(r *reader) { x.Members = append(x.Members, r.experimentMembers()) })
@@ -165,7 +165,7 @@
 	return x, r
 }
 
-// sweep reads a sweep of a figure that the file has.
+// sweep reads a sweep; its path must exist in the file.
 func (r *reader) sweep(file *fastjson.Value) Sweep {
 	s := Sweep{Path: r.text("path")}
 	for _, n := range r.list("values") {
@@ -201,7 +201,7 @@
 		m.Speed = 1
 	}
 	if m.Speed < 0 || m.SpeedCV < 0 || m.ColdFrom < 0 || m.ColdFrom > 1 || m.Crowding < 0 {
-		r.fail("kind", errors.New("a figure is out of its range"))
+		r.fail("kind", errors.New("a value is out of its range"))
 	}
 	return m
 }
@@ -240,9 +240,9 @@
 	case !slices.Contains(FaultKinds, f.Kind):
 		r.fail("kind", fmt.Errorf("is one of %q, not %q", FaultKinds, f.Kind))
 	case f.Part <= 0 || f.Part > 1:
-		r.fail("part", errors.New("is a share above 0, up to 1"))
+		r.fail("part", errors.New("must be a share above 0, up to 1"))
 	case f.Kind == "slow" && f.Size <= 0:
-		r.fail("size", errors.New("is the factor on the speed, above 0"))
+		r.fail("size", errors.New("must be the factor on the speed, above 0"))
 	}
 	return f
 }
@@ -257,13 +257,13 @@
 	case "ramp":
 		a.From, a.To = r.number("arrivals.from"), r.number("arrivals.to")
 		if a.From < 0 || a.To < 0 || a.From+a.To == 0 {
-			r.fail("arrivals.from", errors.New("from and to are multiples of the rate, and not both nothing"))
+			r.fail("arrivals.from", errors.New("from and to are multiples of the rate; they must not be negative or both 0"))
 		}
 	case "bursts":
 		a.On, a.Off = r.milliseconds("arrivals.on_ms"), r.milliseconds("arrivals.off_ms")
 		a.High, a.Low = r.number("arrivals.high"), r.number("arrivals.low")
 		if a.On <= 0 || a.Off <= 0 || a.High <= 0 || a.Low < 0 {
-			r.fail("arrivals.on_ms", errors.New("on_ms, off_ms and high must be more than nothing, and low not below"))
+			r.fail("arrivals.on_ms", errors.New("on_ms, off_ms and high must be above 0, and low must not be negative"))
 		}
 	case "trace":
 		a.Trace = r.trace()
@@ -273,13 +273,13 @@
 	return a
 }
 
-// trace reads the arrivals of a trace, in the order of their times.
+// trace reads the arrivals of a trace, which must be sorted by time.
 func (r *reader) trace() (trace []Arrival) {
 	last := 0.0
 	for i, at := range r.list("arrivals.at_ms") {
 		ms := at.GetFloat64()
 		if at.Type() != fastjson.TypeNumber || ms < last {
-			r.fail("arrivals.at_ms", fmt.Errorf("entry %d is no number, or before the one ahead of it", i))
+			r.fail("arrivals.at_ms", fmt.Errorf("entry %d is no number, or is less than the entry before it", i))
 			break
 		}
 		last = ms
@@ -287,7 +287,7 @@
 	}
 	works := r.list("arrivals.work_ms")
 	if len(trace) == 0 || len(works) > 0 && len(works) != len(trace) {
-		r.fail("arrivals.at_ms", errors.New("must have entries, and as many as arrivals.work_ms if that is there"))
+		r.fail("arrivals.at_ms", errors.New("must have entries, and as many as arrivals.work_ms if that is present"))
 		return trace
 	}
 	for i, w := range works {
--- a/internal/dispatcher/settings/golden_test.go
+++ b/internal/dispatcher/settings/golden_test.go
@@ -17,9 +17,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// The files in goldenFolder were written by commit 352ebf2, and hold every key that it
-// read. They must never be rewritten by later code: operators and the platform write such
-// files. What is compared with them are literals of what those keys were read to.
+// golden returns the path of a golden file. The golden files were written by commit 352ebf2
+// and hold every key that it read. They must never be rewritten by later code, because
+// operators and the platform write such files. The tests compare what is read from them with
+// literals.
 func golden(name string) string { return filepath.Join("testdata", "golden", name) }
 
 const goldenConfiguration = `{
@@ -41,7 +42,7 @@
 }
 `
 
-// TestGoldenConfiguration: every key of the configuration, the settings and a list.
+// TestGoldenConfiguration reads every key of the configuration, the settings and a list.
 func TestGoldenConfiguration(t *testing.T) {
 	goldentest.Equal(t, golden("configuration.json"), []byte(goldenConfiguration))
 	text := goldentest.Read(t, golden("configuration.json"))
@@ -97,7 +98,7 @@
 }
 `
 
-// TestGoldenOperator: every key of the operator's file.
+// TestGoldenOperator reads every key of the operator's file.
 func TestGoldenOperator(t *testing.T) {
 	goldentest.Equal(t, golden("operator.json"), []byte(goldenOperator))
 	text := goldentest.Read(t, golden("operator.json"))
@@ -151,7 +152,7 @@
 }
 `
 
-// TestGoldenExperiment: every key of an experiment of the lab.
+// TestGoldenExperiment reads every key of an experiment of package lab.
 func TestGoldenExperiment(t *testing.T) {
 	goldentest.Equal(t, golden("experiment.json"), []byte(goldenExperiment))
 	text := goldentest.Read(t, golden("experiment.json"))
@@ -181,26 +182,26 @@
 	require.Equal(t, []string{"jobs", "retries", "under_way", "cold", "probes"}, BudgetKinds)
 }
 
-// TestGoldenKeys: the keys that are asked for in the golden files, each once; a key more
-// or less is a change of what operators may write. Keys of entries of lists that are read
-// without being kept (lanes, instances) are held by the literals above.
+// TestGoldenKeys checks the set of keys that are read from the golden files: an additional or
+// missing key changes what operators may write. Keys of lanes and instances, which readers
+// don't record, are covered by the literals above.
 func TestGoldenKeys(t *testing.T) {
 	numbers := regexp.MustCompile(`\[\d+\]`)
-	list := func(asked map[string]bool) string {
-		all := map[string]bool{}
-		for key := range asked {
-			all[numbers.ReplaceAllString(key, "[]")] = true
+	list := func(keysRead map[string]bool) string {
+		distinct := map[string]bool{}
+		for key := range keysRead {
+			distinct[numbers.ReplaceAllString(key, "[]")] = true
 		}
-		return strings.Join(slices.Sorted(maps.Keys(all)), "\n") + "\n"
+		return strings.Join(slices.Sorted(maps.Keys(distinct)), "\n") + "\n"
 	}
 	_, config := decodeConfig(fastjson.MustParse(goldenConfiguration))
-	goldentest.Equal(t, golden("configuration-keys.txt"), []byte(list(config.asked)))
+	goldentest.Equal(t, golden("configuration-keys.txt"), []byte(list(config.keysRead)))
 	_, operator := decodeOperator(fastjson.MustParse(goldenOperator))
 	for _, added := range []string{"http", "http.silent_client_ms"} { // since the golden file was written
-		require.True(t, operator.asked[added], added)
-		delete(operator.asked, added)
+		require.True(t, operator.keysRead[added], added)
+		delete(operator.keysRead, added)
 	}
-	goldentest.Equal(t, golden("operator-keys.txt"), []byte(list(operator.asked)))
+	goldentest.Equal(t, golden("operator-keys.txt"), []byte(list(operator.keysRead)))
 	_, experiment := decodeExperiment(fastjson.MustParse(goldenExperiment))
-	goldentest.Equal(t, golden("experiment-keys.txt"), []byte(list(experiment.asked)))
+	goldentest.Equal(t, golden("experiment-keys.txt"), []byte(list(experiment.keysRead)))
 }
--- a/internal/dispatcher/settings/operator.go
+++ b/internal/dispatcher/settings/operator.go
@@ -11,67 +11,67 @@
 	"github.com/valyala/fastjson"
 )
 
-// Operator is the operator's file: what the platform's configuration does not have.
+// Operator is the content of the operator's file: settings beyond the platform's configuration.
 type Operator struct {
 	Faktory    *Faktory // nil: off
 	Metrics    Metrics
 	AgentCheck string                 // where the agent check listens; empty: off
-	Fleet      *Fleet                 // nil: this process is alone
-	Overload   schedulingdelay.Bounds // when new work is rejected since own events are late
-	// SilentClient is how long a client of the HTTP front may send nothing while its request is not whole;
-	// 0: as long as the front has it.
+	Fleet      *Fleet                 // nil: this process is in no fleet
+	Overload   schedulingdelay.Bounds // scheduling delays of this process above which it rejects new work
+	// SilentClient is how long a client of the HTTP front may send nothing before its request is complete.
+	// 0 means the default of the front.
 	SilentClient time.Duration
 }
 
-// Faktory sets up the front for the Faktory work protocol.
+// Faktory configures the front for the Faktory work protocol.
 type Faktory struct {
 	Listen, Password string
-	Default          FaktoryJob            // of jobs whose jobtype and queue are not named
-	JobTypes, Queues map[string]FaktoryJob // a jobtype precedes a queue
+	Default          FaktoryJob            // for jobs whose jobtype and queue have no entry
+	JobTypes, Queues map[string]FaktoryJob // by name; a jobtype takes precedence over a queue
 	Zone, Kind       string                // of the workers
 	Cell             int
-	Connections      int           // at a time
-	Jobs             int           // outcomes that are remembered
+	Connections      int           // limit of concurrent connections
+	Jobs             int           // number of finished jobs whose outcomes are kept
 	ReserveFor       time.Duration // the default reservation of a job
 	FetchIn          time.Duration // how long a FETCH waits for a job
 	Waiting          FaktoryWaiting
-	BackoffUnit      time.Duration // what a second of the protocol's backoff lasts
-	PerAddress       int           // connections of one client address; 0: no bound
+	BackoffUnit      time.Duration // the length of a second of the protocol's back-off
+	PerAddress       int           // connections of one client address; 0: no limit
 }
 
-// FaktoryWaiting bounds what waits in the Faktory front.
+// FaktoryWaiting limits the jobs that wait in the Faktory front.
 type FaktoryWaiting struct {
-	Jobs, Bytes             int           // in all queues and sets but the dead set
+	Jobs, Bytes             int           // in all queues and sets except the dead set
 	QueueJobs, QueueBytes   int           // of one queue
-	ClientJobs, ClientBytes int           // of one client address; 0: no bound
+	ClientJobs, ClientBytes int           // of one client address; 0: no limit
 	Dead, DeadBytes         int           // in the dead set
-	DeadFor                 time.Duration // that they stay there
+	DeadFor                 time.Duration // how long jobs stay in the dead set
 }
 
-// FaktoryJob is what a Faktory job is to the dispatcher.
+// FaktoryJob holds the dispatcher's parameters for a Faktory job.
 type FaktoryJob struct {
 	Class, Tenant string
-	Deadline      time.Duration // 0: as the class says
-	Cost          time.Duration // 0: not told
+	Deadline      time.Duration // 0: that of the class
+	Cost          time.Duration // 0: no cost hint
 }
 
-// Metrics sets up the metrics, and the journal of figures.
+// Metrics configures the metrics and their journal.
 type Metrics struct {
-	Listen          string        // where they are read; empty: off
+	Listen          string        // where the metrics are served; empty: off
 	JournalDir      string        // empty: off
 	SegmentMB       int           // a segment is closed at about this size
-	KeepMB          int           // older segments are removed beyond this
-	KeepDays        int           // and after this
-	WriteWithin     time.Duration // what is lost at most when the process is killed
-	SyncWithin      time.Duration // and on a power loss, beside that
+	KeepMB          int           // the oldest segments are removed beyond this size
+	KeepDays        int           // and after this time
+	WriteWithin     time.Duration // the longest span of data that is lost if the process is killed
+	SyncWithin      time.Duration // the longest additional span that is lost on a power loss
 	AuditEvery      time.Duration
-	LogicalRequests int // that are tracked
+	LogicalRequests int // number of logical requests that are tracked
 }
 
 // auditEvery is the default interval of audits.
 const auditEvery = 10 * time.Second
 
-// DecodeOperator reads the operator's file and checks it. A front that is not named stays off.
+// DecodeOperator reads the operator's file and checks it. A front without an entry stays off.
 func DecodeOperator(text []byte) (Operator, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -84,11 +84,11 @@
 	return o, nil
 }
 
-// decodeOperator returns the operator's file, and the reader with what is wrong with it.
+// decodeOperator returns the content of the operator's file, and the reader with its problems.
 func decodeOperator(v *fastjson.Value) (Operator, *reader) {
 	r := newReader(v)
 	o := Operator{
-		AgentCheck: r.text("agent_check.listen"), Metrics: r.figures(),
+		AgentCheck: r.text("agent_check.listen"), Metrics: r.metrics(),
 		SilentClient: time.Duration(r.count("http.silent_client_ms", 0)) * time.Millisecond,
 	}
 	if r.get("admission", fastjson.TypeObject) != nil {
@@ -109,14 +109,14 @@
 	return o, r
 }
 
-// faktory reads the set-up of the Faktory front.
+// faktory reads the configuration of the Faktory front.
 func (r *reader) faktory() *Faktory {
 	f := &Faktory{
 		Listen: r.text("faktory.listen"), Password: r.text("faktory.password"),
 		Default:  r.job("faktory.default."),
 		JobTypes: r.jobs("faktory.jobtypes"), Queues: r.jobs("faktory.queues"),
 		Zone: r.text("faktory.workers.zone"), Kind: r.text("faktory.workers.kind"),
-		Cell:        int(r.whole("faktory.workers.cell")),
+		Cell:        int(r.integer("faktory.workers.cell")),
 		Connections: int(r.count("faktory.connections", 64)), Jobs: int(r.count("faktory.outcomes", 10000)),
 		ReserveFor: time.Duration(r.count("faktory.reserve_for_s", 1800)) * time.Second,
 		FetchIn:    time.Duration(r.count("faktory.fetch_within_ms", 5000)) * time.Millisecond,
@@ -137,8 +137,8 @@
 	return f
 }
 
-// figures reads the set-up of the metrics.
-func (r *reader) figures() Metrics {
+// metrics reads the configuration of the metrics.
+func (r *reader) metrics() Metrics {
 	f := Metrics{
 		Listen: r.text("figures.listen"), JournalDir: r.text("figures.journal.folder"),
 		SegmentMB: int(r.count("figures.journal.segment_mb", 8)), KeepMB: int(r.count("figures.journal.keep_mb", 1024)),
@@ -152,19 +152,19 @@
 		r.address("figures.listen", f.Listen)
 	}
 	if f.KeepMB < 2*f.SegmentMB {
-		r.fail("figures.journal.keep_mb", errors.New("must hold two segments at least"))
+		r.fail("figures.journal.keep_mb", errors.New("must be at least twice segment_mb"))
 	}
 	return f
 }
 
-// address checks an address.
+// address records a problem unless an address has a host and a port.
 func (r *reader) address(path, addr string) {
 	if _, _, err := net.SplitHostPort(addr); err != nil {
 		r.fail(path, err)
 	}
 }
 
-// job reads what a Faktory job is.
+// job reads the parameters of a Faktory job.
 func (r *reader) job(in string) FaktoryJob {
 	return FaktoryJob{
 		Class: r.text(in + "class"), Tenant: r.text(in + "tenant"),
@@ -173,9 +173,9 @@
 	}
 }
 
-// jobs reads an object of jobs by name.
+// jobs reads an object with the parameters of Faktory jobs by name.
 func (r *reader) jobs(path string) map[string]FaktoryJob {
 	jobs := make(map[string]FaktoryJob)
-	r.eachOf(path, func(name string, at *reader) { jobs[name] = at.job("") })
+	r.eachEntry(path, func(name string, at *reader) { jobs[name] = at.job("") })
 	return jobs
 }
--- a/internal/dispatcher/settings/path.go
+++ b/internal/dispatcher/settings/path.go
@@ -9,13 +9,14 @@
 	"github.com/valyala/fastjson"
 )
 
-// step is a key of a path, with the indexes behind it.
-var step = regexp.MustCompile(`^([^\[\]]+)((?:\[\d+\])*)$`)
+// pathPart matches a key of a path with the indexes that follow it.
+var pathPart = regexp.MustCompile(`^([^\[\]]+)((?:\[\d+\])*)$`)
 
-// steps returns the keys and indexes of a path such as experiment.members[0].queue; false: it is malformed.
-func steps(path string) (keys []string, ok bool) {
+// splitPath returns the keys and indexes of a path such as experiment.members[0].queue, and false if the path
+// is malformed.
+func splitPath(path string) (keys []string, ok bool) {
 	for part := range strings.SplitSeq(path, ".") {
-		m := step.FindStringSubmatch(part)
+		m := pathPart.FindStringSubmatch(part)
 		if m == nil {
 			return nil, false
 		}
@@ -29,17 +30,17 @@
 	return keys, true
 }
 
-// find returns the value at a path, or nil.
+// find returns the value at a path, or nil if there is none.
 func find(v *fastjson.Value, path string) *fastjson.Value {
-	if keys, ok := steps(path); ok {
+	if keys, ok := splitPath(path); ok {
 		return v.Get(keys...)
 	}
 	return nil
 }
 
-// put sets the value at a path, which must be there.
-func put(v *fastjson.Value, p Override) error {
-	keys, ok := steps(p.Path)
+// override replaces the value at a path, which must exist.
+func override(v *fastjson.Value, p Override) error {
+	keys, ok := splitPath(p.Path)
 	if !ok || v.Get(keys...) == nil {
 		return fmt.Errorf("the file has nothing at %q", p.Path)
 	}
@@ -48,15 +49,15 @@
 		return fmt.Errorf("%s: %q is no JSON value: %w", p.Path, p.Value, err)
 	}
 	last := len(keys) - 1
-	in := v.Get(keys[:last]...)
-	if in.Type() == fastjson.TypeArray {
+	parent := v.Get(keys[:last]...)
+	if parent.Type() == fastjson.TypeArray {
 		n, err := strconv.Atoi(keys[last])
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.Path, err)
 		}
-		in.SetArrayItem(n, value)
+		parent.SetArrayItem(n, value)
 		return nil
 	}
-	in.Set(keys[last], value)
+	parent.Set(keys[last], value)
 	return nil
 }
--- a/internal/dispatcher/settings/read.go
+++ b/internal/dispatcher/settings/read.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// Problem is one mistake in a file: the key it is at, and what is wrong.
+// Problem is one mistake in a file: its key, and a description.
 type Problem struct{ Key, Reason string }
 
 // String returns the problem as a line.
@@ -21,7 +21,7 @@
 	return p.Key + ": " + p.Reason
 }
 
-// Problems are all mistakes of a file.
+// Problems holds all mistakes of a file.
 type Problems []Problem
 
 // Error implements error: it lists all problems.
@@ -33,30 +33,31 @@
 	return strings.Join(lines, "; ")
 }
 
-// reader takes values out of a JSON object. An absent key or null leaves the
-// zero value; a value of another type is a problem. All problems are kept, and
-// the keys that were asked for, so that those nobody asked for can be named.
+// reader reads values of a JSON object. An absent key or null gives the zero
+// value; a value of another type is a problem. The reader records all problems,
+// and the keys that were read, so that unknownKeys can return the others.
 type reader struct {
-	at       *fastjson.Value
-	in       string
+	at       *fastjson.Value // the object
+	prefix   string          // path of the object in the file, for problems and keysRead
 	problems Problems
-	asked    map[string]bool
+	keysRead map[string]bool // nil: keys are not recorded
 }
 
 // newReader returns a reader of a whole file.
 func newReader(at *fastjson.Value) *reader {
-	return &reader{at: at, asked: make(map[string]bool)}
+	return &reader{at: at, keysRead: make(map[string]bool)}
 }
 
-// inner reads another value whose problems and keys belong to this reader's.
-func (r *reader) inner(at *fastjson.Value, in string) *reader {
-	return &reader{at: at, in: r.in + in, asked: r.asked}
+// sub returns a reader of a value within the object. It shares keysRead with r; its problems
+// must be added to r by addProblems.
+func (r *reader) sub(at *fastjson.Value, prefix string) *reader {
+	return &reader{at: at, prefix: r.prefix + prefix, keysRead: r.keysRead}
 }
 
-// join records what an inner reader found.
-func (r *reader) join(o *reader) { r.problems = append(r.problems, o.problems...) }
+// addProblems records the problems of a reader that sub returned.
+func (r *reader) addProblems(o *reader) { r.problems = append(r.problems, o.problems...) }
 
-// err is what was found wrong; nil: nothing.
+// err returns the recorded problems, or nil if there are none.
 func (r *reader) err() error {
 	if len(r.problems) == 0 {
 		return nil
@@ -64,7 +65,8 @@
 	return r.problems
 }
 
-// get returns the value at a path if it has a type; nil: it has none, or another.
+// get returns the value at a path if it has the wanted type, otherwise nil. A value of another type is a
+// problem.
 func (r *reader) get(path string, want fastjson.Type) *fastjson.Value {
 	v := r.find(path)
 	if v == nil {
@@ -77,15 +79,15 @@
 	return v
 }
 
-// find returns what is at a path, or nil for nothing and null.
+// find returns the value at a path, or nil if it is absent or null.
 func (r *reader) find(path string) *fastjson.Value {
-	if r.asked != nil {
+	if r.keysRead != nil {
 		for i := range path {
 			if path[i] == '.' {
-				r.asked[r.in+path[:i]] = true
+				r.keysRead[r.prefix+path[:i]] = true
 			}
 		}
-		r.asked[r.in+path] = true
+		r.keysRead[r.prefix+path] = true
 	}
 	v := r.at.Get(strings.Split(path, ".")...)
 	if v == nil || v.Type() == fastjson.TypeNull {
@@ -96,17 +98,17 @@
 
 // fail records a problem.
 func (r *reader) fail(path string, err error) {
-	r.problems = append(r.problems, Problem{r.in + path, err.Error()})
+	r.problems = append(r.problems, Problem{r.prefix + path, err.Error()})
 }
 
-// take records an error of a part that was read on its own.
-func (r *reader) take(path string, err error) {
+// addError records the error of a part that was read by a separate reader.
+func (r *reader) addError(path string, err error) {
 	var inner Problems
 	if !errors.As(err, &inner) {
 		r.fail(path, err)
 	}
 	for _, p := range inner {
-		r.problems = append(r.problems, Problem{r.in + path + "." + p.Key, p.Reason})
+		r.problems = append(r.problems, Problem{r.prefix + path + "." + p.Key, p.Reason})
 	}
 }
 
@@ -126,8 +128,8 @@
 	return 0
 }
 
-// whole reads an integer; a fraction or one beyond 64 bits is an error.
-func (r *reader) whole(path string) int64 {
+// integer reads an integer; a fraction or a value beyond 64 bits is a problem.
+func (r *reader) integer(path string) int64 {
 	v := r.get(path, fastjson.TypeNumber)
 	if v == nil {
 		return 0
@@ -139,9 +141,9 @@
 	return n
 }
 
-// count reads an integer that is not negative; absent or 0 gives the default.
+// count reads a non-negative integer; it returns the default for an absent key or 0.
 func (r *reader) count(path string, byDefault int64) int64 {
-	n := r.whole(path)
+	n := r.integer(path)
 	if n < 0 {
 		r.fail(path, errors.New("must not be negative"))
 	}
@@ -152,7 +154,7 @@
 }
 
 // span reads a duration in nanoseconds.
-func (r *reader) span(path string) time.Duration { return time.Duration(r.whole(path)) }
+func (r *reader) span(path string) time.Duration { return time.Duration(r.integer(path)) }
 
 // seconds reads a duration in seconds, which may have a fraction.
 func (r *reader) seconds(path string) time.Duration {
@@ -181,7 +183,7 @@
 	return v.Type() == fastjson.TypeTrue
 }
 
-// names reads an array of texts.
+// names reads an array of strings.
 func (r *reader) names(path string) (names []string) {
 	for _, v := range r.list(path) {
 		names = append(names, string(v.GetStringBytes()))
@@ -189,12 +191,12 @@
 	return names
 }
 
-// each reads the entries of an array, with readers of their own.
+// each calls read for each entry of an array, with a reader of the entry.
 func (r *reader) each(path string, read func(r *reader)) {
 	for i, at := range r.list(path) {
-		inner := r.inner(at, fmt.Sprintf("%s[%d].", path, i))
-		read(inner)
-		r.join(inner)
+		sub := r.sub(at, fmt.Sprintf("%s[%d].", path, i))
+		read(sub)
+		r.addProblems(sub)
 	}
 }
 
@@ -206,21 +208,21 @@
 	return nil
 }
 
-// unknown names the keys of an object that were never asked for. A key that
-// begins with # is a comment. Below the paths that are skipped nothing is
-// looked at.
-func (r *reader) unknown(skip ...string) (keys []string) {
-	var walk func(v *fastjson.Value, in string)
-	walk = func(v *fastjson.Value, in string) {
+// unknownKeys returns the keys of the object that were not read, sorted. A key
+// that begins with # is a comment. The keys in skip, and all below them, are
+// left out.
+func (r *reader) unknownKeys(skip ...string) (keys []string) {
+	var walk func(v *fastjson.Value, prefix string)
+	walk = func(v *fastjson.Value, prefix string) {
 		o, err := v.Object()
 		if err != nil {
 			return
 		}
 		o.Visit(func(name []byte, at *fastjson.Value) {
-			key := in + string(name)
+			key := prefix + string(name)
 			switch {
 			case strings.HasPrefix(string(name), "#") || slices.Contains(skip, key):
-			case !r.asked[r.in+key]:
+			case !r.keysRead[r.prefix+key]:
 				keys = append(keys, key)
 			default:
 				walk(at, key+".")
--- a/internal/dispatcher/settings/reload.go
+++ b/internal/dispatcher/settings/reload.go
@@ -8,10 +8,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// CheckReload checks a configuration that is read again while the program serves, more closely than one at
-// its start: one that is rejected here leaves the running settings as they are. Beyond what DecodeConfig
-// requires, the keys of the name, the addresses and the classes must be there, and each class's deadline and
-// the number of attempts must be numbers above 0. Its error names the first thing that is wrong.
+// CheckReload checks a configuration that is reloaded while the program serves. It is stricter than the check
+// at the start, since the running settings stay in effect if it returns an error. Beyond what DecodeConfig
+// requires, the keys of the name, the addresses and the classes must be present, and each class's latency
+// target and deadline and the number of attempts must be numbers above 0. Its error names the first mistake.
 func CheckReload(text []byte) error {
 	if len(text) == 0 {
 		return errors.New("configuration: the file is empty")
@@ -32,7 +32,7 @@
 	if s == nil || s.Type() != fastjson.TypeObject {
 		return errors.New("configuration: settings is missing or no object")
 	}
-	if err := above0(s, "settings.", "limits", "most_tries"); err != nil {
+	if err := requirePositive(s, "settings.", "limits", "most_tries"); err != nil {
 		return err
 	}
 	lanes := s.GetArray("lanes")
@@ -40,14 +40,14 @@
 		return errors.New("configuration: settings.lanes is missing or empty")
 	}
 	for i, lane := range lanes {
-		in := fmt.Sprintf("settings.lanes[%d].", i)
+		prefix := fmt.Sprintf("settings.lanes[%d].", i)
 		for _, key := range []string{"name", "effect"} {
 			if lane.Get(key) == nil {
-				return fmt.Errorf("configuration: %s%s is missing", in, key)
+				return fmt.Errorf("configuration: %s%s is missing", prefix, key)
 			}
 		}
 		for _, key := range []string{"promise", "give_up"} {
-			if err := above0(lane, in, key); err != nil {
+			if err := requirePositive(lane, prefix, key); err != nil {
 				return err
 			}
 		}
@@ -55,16 +55,16 @@
 	return nil
 }
 
-// above0 checks that what is at a path is a number above 0.
-func above0(v *fastjson.Value, in string, path ...string) error {
-	at := v.Get(path...)
-	name := in + strings.Join(path, ".")
+// requirePositive returns an error unless the value at a path is a number above 0.
+func requirePositive(v *fastjson.Value, prefix string, path ...string) error {
+	value := v.Get(path...)
+	name := prefix + strings.Join(path, ".")
 	switch {
-	case at == nil:
+	case value == nil:
 		return fmt.Errorf("configuration: %s is missing", name)
-	case at.Type() != fastjson.TypeNumber:
+	case value.Type() != fastjson.TypeNumber:
 		return fmt.Errorf("configuration: %s is no number", name)
-	case at.GetFloat64() <= 0:
+	case value.GetFloat64() <= 0:
 		return fmt.Errorf("configuration: %s is not above 0", name)
 	}
 	return nil
--- a/internal/dispatcher/settings/reload_test.go
+++ b/internal/dispatcher/settings/reload_test.go
@@ -10,8 +10,8 @@
 const retuned = `{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"balancers":1,"rank":0,"registry_mode":"ask",
 "lanes":[{"name":"a","effect":"idempotent","promise":400000000,"give_up":10000000000,"worth":1}],"limits":{"most_tries":2}}}`
 
-// TestCheckReload: each kind of file that a SIGHUP must turn down whole is, and a
-// good one passes.
+// TestCheckReload checks that CheckReload rejects each kind of file that must not be loaded on
+// SIGHUP, and accepts a valid one.
 func TestCheckReload(t *testing.T) {
 	require.NoError(t, CheckReload([]byte(retuned)))
 	cut := func(from, to string) string { return strings.Replace(retuned, from, to, 1) }
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads files, whose words are those of the platform and the operators, and maps them
-// to the terms of the code: the settings object of an instance (settings.go), which the simulator's
-// adapter and the program share, the program's configuration (config.go) and a reload of it (reload.go),
-// the operator's file (operator.go, fleet.go) and the lab's experiments (experiment.go). Check names all
-// that is wrong with a file.
+// Package settings reads the files of the platform and of the operators, and maps their keys to the names
+// that the code uses: the settings object of a dispatcher instance (settings.go), which the simulator's
+// adapter and the program share, the program's configuration (config.go) and its reload (reload.go), the
+// operator's file (operator.go, fleet.go), and the experiments of package lab (experiment.go). Check reports
+// all mistakes in a file.
 package settings
 
 import (
@@ -24,16 +24,16 @@
 	return Decode(v)
 }
 
-// Decode reads a settings object. Unknown keys are skipped. Its error is of type Problems unless the value
-// is no object.
+// Decode reads a settings object. Unknown keys are ignored. Its error is of type Problems unless the value
+// is not an object.
 func Decode(v *fastjson.Value) (policy.Settings, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return policy.Settings{}, errors.New("not an object")
 	}
 	r := newReader(v)
 	s := policy.Settings{
-		Instances:          int(r.whole("balancers")),
-		Rank:               int(r.whole("rank")),
+		Instances:          int(r.integer("balancers")),
+		Rank:               int(r.integer("rank")),
 		Zone:               r.text("zone"),
 		ReportsStart:       r.flag("family_info.tells_start"),
 		ClientsMarkRetries: r.flag("clients.marks_retry"),
@@ -44,7 +44,7 @@
 		Rules:              rules(r),
 	}
 	s.Kinds = r.names("shapes")
-	dropUntoldFields(r, &s)
+	dropUnreportedFields(r, &s)
 	switch mode := r.text("registry_mode"); mode {
 	case "push":
 	case "ask":
@@ -57,16 +57,16 @@
 	case "work":
 		s.ValueByWork = true
 	default:
-		r.fail("worth_by", fmt.Errorf("unknown word %q", by))
+		r.fail("worth_by", fmt.Errorf("unknown value %q", by))
 	}
 	s.Classes = classes(r)
 	return s, r.err()
 }
 
-// limits reads what a dispatcher may do.
+// limits reads the limits on what a dispatcher may do.
 func limits(r *reader) policy.Limits {
 	return policy.Limits{
-		MaxAttempts:        int(r.whole("limits.most_tries")),
+		MaxAttempts:        int(r.integer("limits.most_tries")),
 		Cancel:             r.flag("limits.cancel"),
 		Probes:             r.flag("limits.probes"),
 		ConcurrentAttempts: r.flag("limits.second_copies"),
@@ -76,7 +76,7 @@
 	}
 }
 
-// rules reads the figures of the platform's rules.
+// rules reads the parameters of the platform's rules.
 func rules(r *reader) policy.Rules {
 	return policy.Rules{
 		AnswerGrace:          r.span("guarantees.grace_to_answer"),
@@ -90,20 +90,21 @@
 	}
 }
 
-// dropUntoldFields clears the meanings of report fields that members don't tell. family_info says what a
-// value would mean; which values are told, and whether any report comes at all, is said elsewhere. A
-// dispatcher that waits for reports that nobody sends would ignore told starts.
-func dropUntoldFields(r *reader, s *policy.Settings) {
-	told := r.names("reporting.columns")
-	if r.text("reporting.via") == "silent" || !slices.Contains(told, "x0") {
+// dropUnreportedFields clears the meanings of report fields that members don't report. family_info defines
+// only the meaning of each field; reporting.columns lists the fields that members report, and reporting.via
+// is silent if they send no reports. A dispatcher that waited for reports that are never sent would ignore
+// the reported starts of attempts.
+func dropUnreportedFields(r *reader, s *policy.Settings) {
+	reported := r.names("reporting.columns")
+	if r.text("reporting.via") == "silent" || !slices.Contains(reported, "x0") {
 		s.ReportX0 = ""
 	}
-	if s.ReportX0 == "" || !slices.Contains(told, "x1") {
+	if s.ReportX0 == "" || !slices.Contains(reported, "x1") {
 		s.ReportX1 = ""
 	}
 }
 
-// classes reads the classes of requests, the lanes.
+// classes reads the classes of requests, which the file calls lanes.
 func classes(r *reader) (classes []policy.Class) {
 	kinds, stretches := r.list("family_info.class_kind"), r.list("family_info.class_stretch")
 	for i, lane := range r.list("lanes") {
@@ -113,7 +114,7 @@
 			continue
 		}
 		if slices.ContainsFunc(classes, func(o policy.Class) bool { return o.Name == c.Name }) {
-			r.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Errorf("%q is a class already", c.Name))
+			r.fail(fmt.Sprintf("lanes[%d].name", i), fmt.Errorf("class %q is defined twice", c.Name))
 			continue
 		}
 		if i < len(kinds) {
@@ -127,9 +128,10 @@
 	return classes
 }
 
-// class reads one entry of lanes; its kind is any unless family_info says otherwise.
+// class reads one entry of lanes. It sets Kind to -1, any kind; classes replaces that by the kind in
+// family_info, if there is one.
 func class(lane *fastjson.Value, i int) (policy.Class, Problems) {
-	r := &reader{at: lane, in: fmt.Sprintf("lanes[%d].", i)}
+	r := &reader{at: lane, prefix: fmt.Sprintf("lanes[%d].", i)}
 	c := policy.Class{
 		Name: r.text("name"), DedupWindow: r.span("repeat_window"), LatencyTarget: r.span("promise"),
 		TargetPerWork: r.number("aim_stretch"), ClientTimeout: r.span("give_up"), Value: r.number("worth"), Kind: -1,
@@ -152,7 +154,7 @@
 		c.DedupScope = policy.DedupAll
 	case "zone":
 		c.DedupScope = policy.DedupZone
-	case "cell", "": // without a scope a key is taken to be known nowhere else
+	case "cell", "": // without a scope, assume that only the cell deduplicates by the key
 		c.DedupScope = policy.DedupCell
 	default:
 		r.fail("key_scope", fmt.Errorf("unknown scope %q", scope))
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// TestLists: a list that is malformed anywhere is an error as a whole.
+// TestLists checks that a list is rejected as a whole if any part is malformed.
 func TestLists(t *testing.T) {
 	const good = `{"instanceId":"a","hostPort":"h:1","lifecycle":"active","startedAtMs":1500,"cell":3}`
 	l, err := DecodeList([]byte(`{"generation":7,"reset":true,"instances":[` + good + `,{"instanceId":"b","lifecycle":"left"}]}`))
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	require.Equal(t, map[string]FaktoryJob{"a.b": {Class: "c", Deadline: 5 * time.Millisecond}}, o.Faktory.JobTypes)
 	require.Empty(t, o.AgentCheck)
-	require.Zero(t, o.SilentClient, "the front's own")
+	require.Zero(t, o.SilentClient, "the default of the front")
 	o, err = DecodeOperator([]byte(`{"http":{"silent_client_ms":700}}`))
 	require.NoError(t, err)
 	require.Equal(t, 700*time.Millisecond, o.SilentClient)
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestReports: what family_info says of a report's values counts only where
-// reports with them are told. Waiting for them, the decisions would not heed
-// told starts, and would probe for nothing.
+// TestReports checks that the meanings of report fields in family_info take effect only if
+// members send reports with these fields. Otherwise the policy would wait for the reports,
+// ignore reported starts, and send useless probes.
 func TestReports(t *testing.T) {
 	for reporting, want := range map[string][2]string{
 		``: {"", ""},
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestMembersReport: a probe asks for a report wherever members send one, by
-// either way; not where they are silent or name no value.
+// TestMembersReport checks that ReportsLoad is true if members send reports, by pull or
+// piggyback, and false if they are silent or reporting.columns is empty.
 func TestMembersReport(t *testing.T) {
 	for reporting, want := range map[string]bool{
 		``: false,
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestNotTold: what the settings do not say is never read as leave to repeat.
-func TestNotTold(t *testing.T) {
+// TestMissingSettings checks that a missing or malformed setting never permits a resend.
+func TestMissingSettings(t *testing.T) {
 	lane := func(more string) string {
 		return `{"registry_mode":"ask","lanes":[{"name":"a","promise":1,"give_up":1000` + more + `}]}`
 	}
@@ -111,7 +111,7 @@
 	require.Zero(t, s.Classes[0].DedupWindow)
 	require.False(t, s.Limits.ConcurrentAttempts)
 
-	// A member whose cell nobody tells shares it with no other.
+	// A member without a cell in the list shares its cell with no other member.
 	l, err := DecodeList([]byte(`{"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"active"},
 		{"instanceId":"b","hostPort":"h:2","lifecycle":"active"},{"instanceId":"c","hostPort":"h:3","lifecycle":"active","cell":0}]}`))
 	require.NoError(t, err)
