--- a/internal/dispatcher/httpfront/body.go
+++ b/internal/dispatcher/httpfront/body.go
@@ -16,11 +16,11 @@
 // requestKey is the context key of a completeRequest.
 type requestKey struct{}
 
-// readComplete reads a request's body, or answers what is wrong with it; what it returns holds memory either
-// way. A body in chunks is read to its end, up to maxBytes bytes, and sent to members with a length. Where a
-// Content-Length came beside the chunks, net/http has deleted it and reads the chunks, as RFC 9112
-// requires; the connection is closed after the answer, so that no request can follow on it that one reader
-// would see and another not.
+// readComplete reads a request's body, or answers the request with an error and returns false. In both cases
+// the caller must release the memory of the returned slice. A chunked body is read to its end, up to maxBytes
+// bytes, and sent to members with a Content-Length. If a request has both a Content-Length and chunks, net/http
+// removes the Content-Length and reads the chunks, as RFC 9112 requires. The connection is closed after the
+// answer to a chunked request, which prevents request smuggling.
 func readComplete(w http.ResponseWriter, r *http.Request, maxBytes int64, bodies *bodyMemory) ([]byte, bool) {
 	if len(r.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
@@ -34,10 +34,10 @@
 	}
 	body, fits, err := bodies.read(r.Body, r.ContentLength, maxBytes)
 	switch {
-	case !fits && maxBytes == maxUpdateBytes: // a member repeats what is not answered
+	case !fits && maxBytes == maxUpdateBytes: // the member repeats an unanswered callback
 		bodies.release(cap(body))
 		panic(http.ErrAbortHandler)
-	case !fits: // the rest is read by net/http, piece by piece, and dropped
+	case !fits: // net/http reads the rest in small pieces and discards it
 		bodies.release(cap(body))
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "no room for the body now", http.StatusServiceUnavailable)
--- a/internal/dispatcher/httpfront/bodymemory.go
+++ b/internal/dispatcher/httpfront/bodymemory.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// bodyMemory bounds the memory that bodies take at a time, from the first byte that is read to the answer:
-// a client that sends most of a body holds what it sent, long before its job can be admitted or refused.
+// bodyMemory limits the memory that request bodies use at a time, from the first byte read to the answer: a
+// client that sends only a part of a body occupies memory long before its job can be admitted or refused.
 type bodyMemory struct {
-	max  int64 // in bytes; 0: no bound
+	max  int64 // in bytes; 0: no limit
 	used atomic.Int64
 }
 
-// reserve takes n bytes, or none where they aren't free.
+// reserve reserves n bytes and reports whether they were available.
 func (r *bodyMemory) reserve(n int) bool {
 	if r.used.Add(int64(n)) <= r.max || r.max == 0 {
 		return true
@@ -22,19 +22,20 @@
 	return false
 }
 
-// release gives n bytes back.
+// release returns n reserved bytes.
 func (r *bodyMemory) release(n int) { r.used.Add(-int64(n)) }
 
-// initialBodyBuffer is allocated for a body before any of it has come: most are smaller.
+// initialBodyBuffer is the size of the buffer allocated before any byte of a body has arrived; most bodies are
+// smaller.
 const initialBodyBuffer = 4 << 10
 
-// read reads all of a body whose size is said to be size (below 0: unknown), up to most bytes and one more.
-// Memory is reserved as bytes come, not for what was announced; the caller releases it: cap of the result.
-// ok is false where there was no memory, and the rest has not been read.
-func (r *bodyMemory) read(from io.Reader, size, most int64) (body []byte, ok bool, err error) {
-	limit := int(most) + 1
+// read reads a body with the announced size (negative if unknown), up to maxBytes bytes plus one. Memory is
+// reserved as bytes arrive, not for the announced size; the caller must release cap(body) bytes. ok is false
+// if no memory was available; the rest has then not been read.
+func (r *bodyMemory) read(from io.Reader, size, maxBytes int64) (body []byte, ok bool, err error) {
+	limit := int(maxBytes) + 1
 	if size >= 0 {
-		limit = min(limit, int(size)+1) // the end is read as well
+		limit = min(limit, int(size)+1) // one more, to read the EOF
 	}
 	for {
 		if len(body) == cap(body) {
--- a/internal/dispatcher/httpfront/bodymemory_test.go
+++ b/internal/dispatcher/httpfront/bodymemory_test.go
@@ -17,8 +17,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBodyMemory: bodies are read whole up to their bound, hold room for what has come and
-// not for what was announced, and never more than there is.
+// TestBodyMemory checks that bodies are read completely up to their limit, and that they reserve memory for
+// the bytes that have arrived, not for the announced size, and never more than the limit.
 func TestBodyMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 64 << 10
@@ -30,20 +30,20 @@
 		if rapid.Bool().Draw(t, "in chunks") {
 			size = -1
 		}
-		come := rapid.IntRange(0, len(text)).Draw(t, "come")
+		arrived := rapid.IntRange(0, len(text)).Draw(t, "come")
 		broken := errors.New("broken")
 		from := io.Reader(bytes.NewReader(text))
-		if come < len(text) {
-			from = io.MultiReader(bytes.NewReader(text[:come]), failing{broken})
+		if arrived < len(text) {
+			from = io.MultiReader(bytes.NewReader(text[:arrived]), failingReader{broken})
 		}
 		body, ok, err := r.read(from, size, most)
 		require.LessOrEqual(t, r.used.Load(), r.max)
 		require.Equal(t, int64(before+cap(body)), r.used.Load())
-		require.LessOrEqual(t, cap(body), max(initialBodyBuffer, 2*come+2))
+		require.LessOrEqual(t, cap(body), max(initialBodyBuffer, 2*arrived+2))
 		switch {
 		case !ok:
 			require.Greater(t, int64(before)+max(initialBodyBuffer, 2*int64(cap(body))), r.max)
-		case come < len(text) && come <= most:
+		case arrived < len(text) && arrived <= most:
 			require.ErrorIs(t, err, broken)
 		default:
 			require.NoError(t, err)
@@ -55,15 +55,16 @@
 	})
 }
 
-type failing struct{ error }
+// failingReader is a reader that always fails with its error.
+type failingReader struct{ error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.error }
+func (f failingReader) Read([]byte) (int, error) { return 0, f.error }
 
-// TestNoBodyMemory: a job with no room for its body is refused at once, with when to come
-// back, and its connection serves on. A callback is not answered, so that its member
-// repeats it, and is let in once there is room.
+// TestNoBodyMemory checks that a job without memory for its body is refused at once, with a Retry-After, and
+// that its connection stays open. A callback without memory is not answered, so that its member repeats it,
+// and is accepted once memory is available.
 func TestNoBodyMemory(t *testing.T) {
-	s := New(hears{}, nil, logtest.Discard())
+	s := New(callbackEngine{}, nil, logtest.Discard())
 	s.SetBodyMemory(64 << 10)
 	scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(serve(t, s, 10))}, scenario.Functions{
 		"fill": func(...string) string {
@@ -87,7 +88,7 @@
 	require.Eventually(t, func() bool { return s.updateBodies.used.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// hears is a hub to which callbacks are told.
-type hears struct{ Engine }
+// callbackEngine is an engine that accepts every callback.
+type callbackEngine struct{ Engine }
 
-func (hears) HandleJobUpdate(engine.JobUpdate) bool { return true }
+func (callbackEngine) HandleJobUpdate(engine.JobUpdate) bool { return true }
--- a/internal/dispatcher/httpfront/client_test.go
+++ b/internal/dispatcher/httpfront/client_test.go
@@ -9,59 +9,59 @@
 	"basaltloft/internal/dispatcher/scenario"
 )
 
-// TestClientsEnd: nothing begins for a client that has gone, whatever it sent before,
-// and what is out for it is called off. The marker is the next that the member hears.
+// TestClientDisconnects checks that no job is started for a client that has disconnected, whatever it sent
+// before, and that its running job is cancelled. The next request that the member gets must be the marker job.
 //
 //nolint:funlen // a table of cases, each a few lines
-func TestClientsEnd(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	const marker = `
 			client.marker send @job(group-ticket,marker,20)
 			r1.next expect ^POST [^\n]*\n.*X-Call-Id: marker\r\n.*body$`
 	var flood strings.Builder
-	for n := range 40 { // more than net/http reads at a time
+	for n := range 40 { // more than net/http reads at once
 		fmt.Fprintf(&flood, "@job(group-ticket,t-%d,20)", n)
 	}
 	for name, script := range map[string]string{
-		"with half a request behind": `
+		"after part of a second request": `
 			client send @job(group-ticket,t-0,20)
 			r1 expect X-Call-Id: t-0.*body
 			client send POST /gro
 			client close
 			r1 wait` + marker,
-		"with a request behind": `
+		"after a second request": `
 			client send @job(group-ticket,t-0,20)
 			r1 expect X-Call-Id: t-0.*body
 			client send @job(group-ticket,t-1,20)
 			client close
 			r1 wait` + marker,
-		"with a request sent at once": `
+		"after two requests sent at once": `
 			client send @job(group-ticket,t-0,20)@job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-0.*body
 			client close
 			r1 wait` + marker,
-		"with a flood sent at once": `
+		"after many requests sent at once": `
 			client send ` + flood.String() + `
 			r1 expect X-Call-Id: t-0\r.*body
 			client close
 			r1 wait` + marker,
-		"with more behind than is kept": `
+		"after more bytes than are read ahead": `
 			client send @job(group-ticket,t-0,20)
 			r1 expect X-Call-Id: t-0.*body
 			client send @large(x)@large(x)@large(x)
 			client close
 			r1 wait` + marker,
-		"by a reset, with a request behind": `
+		"by a reset, after a second request": `
 			reset send @job(group-ticket,t-0,20)
 			r1 expect X-Call-Id: t-0.*body
 			reset send @job(group-ticket,t-1,20)
 			reset close
 			r1 wait` + marker,
-		"by closing its sending half": `
+		"by closing only its sending direction": `
 			half send @job(group-ticket,t-0,20)@job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-0.*body
 			half close
 			r1 wait` + marker,
-		"with a flow that was taken, of which news comes": `
+		"while its job is accepted and callbacks arrive": `
 			client send @job(group-ticket,t-0,20)
 			r1 expect X-Call-Id: t-0.*body
 			r1 send @answer(202)
@@ -73,9 +73,9 @@
 			r1.off send HTTP/1.1 204 x\r\n\r\n
 			client.news send @news(t-0,s-r1,done,one)
 			client.news expect 204` + marker,
-		// The one that stays has its answers whole, in turn and once, also of what it
-		// should not have sent yet.
-		"one that stays": `
+		// A client that stays connected gets each answer completely, once and in order, even to requests
+		// that it should not have sent yet.
+		"not at all": `
 			client send @job(group-ticket,t-0,20)
 			r1 expect X-Call-Id: t-0.*body
 			r1 send @answer(202)
@@ -90,15 +90,15 @@
 			r1.2 expect ^POST [^\n]*\n.*X-Call-Id: t-2\r\n.*body$
 			client close
 			r1.2 wait` + marker,
-		// Calls back are owed their effect, whoever stays to hear the answer.
-		"a member's calls, sent at once and gone": `
+		// Callbacks take effect even if their sender does not wait for the answer.
+		"a member that disconnects after its callbacks": `
 			client send @job(group-ticket,t-0,20)
 			r1 expect X-Call-Id: t-0.*body
 			r1 send @answer(202)
 			half send @get(/health/live)@news(t-0,s-r1,started)@news(t-0,s-r1,done,one)
 			half close
 			client expect 200 OK.*one$` + marker,
-		"never, on a connection whose next request lay behind the first as others are closed": `
+		"not at all, with a second request sent early and a drain": `
 			program expect serving
 			client send @job(group-ticket,t-0,20)@job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-0.*body
@@ -118,29 +118,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cast := scenario.Start(t, 1, "")
-			dial := cast["client"]
-			cast["reset"] = func() (scenario.Conn, error) {
+			peers := scenario.Start(t, 1, "")
+			dial := peers["client"]
+			peers["reset"] = func() (scenario.Conn, error) {
 				end, err := dial()
 				if err == nil {
 					err = end.(*net.TCPConn).SetLinger(0)
 				}
 				return end, err
 			}
-			cast["half"] = func() (scenario.Conn, error) {
+			peers["half"] = func() (scenario.Conn, error) {
 				end, err := dial()
 				if err != nil {
 					return nil, err
 				}
 				t.Cleanup(func() { _ = end.Close() })
-				return half{end.(*net.TCPConn)}, nil
+				return halfClosing{end.(*net.TCPConn)}, nil
 			}
-			scenario.RunScript(t, cast, words, script)
+			scenario.RunScript(t, peers, scriptFunctions, script)
 		})
 	}
 }
 
-// half closes only its sending half.
-type half struct{ *net.TCPConn }
+// halfClosing is a connection whose Close closes only the sending direction.
+type halfClosing struct{ *net.TCPConn }
 
-func (h half) Close() error { return h.CloseWrite() }
+func (h halfClosing) Close() error { return h.CloseWrite() }
--- a/internal/dispatcher/httpfront/conn.go
+++ b/internal/dispatcher/httpfront/conn.go
@@ -10,44 +10,45 @@
 	"time"
 )
 
-// limitedConn is a connection of a limitedListener. Its state is guarded by the listener's lock.
+// limitedConn is a connection of a limitedListener. The listener's mu guards its state; "the lock" below is
+// that mutex.
 type limitedConn struct {
 	net.Conn
 	listener    *limitedListener
-	class       *list.List    // the listener's list that it is in; nil: none
-	element     *list.Element // there
+	class       *list.List    // the list of the listener that contains it; nil while it is in none
+	element     *list.Element // its element in that list
 	since       time.Time     // when it became fresh
-	sentBytes   bool          // since then
-	carriedWork bool          // it carried a job or a callback
+	sentBytes   bool          // whether the client has sent anything since then
+	carriedWork bool          // whether it has carried a job or a callback
 	closed      bool
-	// nextStarted: a byte of the next request came while one was served. net/http reads it then, to
-	// notice a client that leaves, and would wait for the rest as long as for an idle connection.
+	// nextStarted reports that a byte of the next request came while a request was served. net/http has
+	// read this byte to detect a disconnect, and would wait for the rest as long as on an idle connection.
 	nextStarted  bool
-	readDeadline time.Time // as net/http set it
-	// answeredEarly: its request was answered before it was whole, as bad input is: the rest may be on
-	// its way.
+	readDeadline time.Time // as set by net/http
+	// answeredEarly reports that its request was answered before it was complete, as bad input is; the rest
+	// may still arrive.
 	answeredEarly bool
-	// backgroundRead: net/http reads to notice whether the client leaves. It begins that once a request
-	// is whole, and perhaps before serve is called.
+	// backgroundRead reports that net/http is reading to detect a disconnect of the client. net/http starts
+	// this read once a request is complete, which may be before serve is called.
 	backgroundRead bool
-	raw            syscall.RawConn // nil: not a connection of the system's, but one that wraps it
-	peeked         []byte          // read by hasUnread, for the next Read
+	raw            syscall.RawConn // nil if Conn is not a *net.TCPConn itself but wraps one
+	peeked         []byte          // bytes that hasUnread has read, for the next Read
 	readAhead
 }
 
 // pastDeadline is a read deadline that has passed.
 var pastDeadline = time.Unix(1, 0)
 
-// lingerTime is how long the rest of a request is read that was answered already, so that no close over
-// unread bytes resets the connection before the client has read the answer.
+// lingerTime is how long the rest of an already answered request is read. Closing a connection with unread
+// bytes would reset it, possibly before the client has read the answer.
 const lingerTime = 500 * time.Millisecond
 
 // defaultSilentTimeout is how long a client that has begun a request, or only connected, may send nothing,
-// unless the operator says otherwise. One that goes on sending, in pieces of any size, is read until
-// net/http's deadline for a header or a whole request.
+// unless the operator configures another time. A client that keeps sending, in pieces of any size, may do so
+// until net/http's deadline for a header or a complete request.
 const defaultSilentTimeout = 2 * time.Second
 
-// expired reports whether a connection is to be ended in its present state. The lock is held.
+// expired reports whether the connection must be closed in its present state. The lock is held.
 func (c *limitedConn) expired() bool {
 	switch {
 	case c.class == nil, c.backgroundRead:
@@ -58,7 +59,7 @@
 	return c.listener.closingIdle.Load()
 }
 
-// beginRequest makes an idle connection fresh, as a request begins. The lock is held.
+// beginRequest moves an idle connection to the fresh list when a request begins. The lock is held.
 func (c *limitedConn) beginRequest() {
 	if c.class == &c.listener.idleUnused || c.class == &c.listener.idleUsed {
 		c.since, c.sentBytes = time.Now(), true
@@ -66,7 +67,7 @@
 	}
 }
 
-// moveTo puts a connection into a list, or into none (nil). The lock is held.
+// moveTo moves the connection to a list, or out of any list if to is nil. The lock is held.
 func (c *limitedConn) moveTo(to *list.List) {
 	if c.closed {
 		return
@@ -83,23 +84,24 @@
 	}
 }
 
-// serve is called when a request is whole. It reports whether the connection is still open: the request
-// of one that was evicted meanwhile must not be served, since its client sends it again.
+// serve is called when a request is complete. It reports whether the connection is still open: the request of
+// a connection that has been evicted must not be served, since the client sends it again.
 func (c *limitedConn) serve(used bool) bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.carriedWork, c.nextStarted, c.answeredEarly = c.carriedWork || used, c.done != nil, false
 	c.moveTo(nil)
-	// It may have passed: net/http's background read would fail. It can't be set on one that is closed.
+	// The deadline may have passed, and net/http's background read would fail. An error means that the
+	// connection is closed.
 	_ = c.setReadDeadline(c.readDeadline)
 	return !c.closed
 }
 
-// Read implements net.Conn. The deadline of a request counts from its first byte, also of one that follows
-// another: net/http counts from the fifth byte.
+// Read implements net.Conn. The deadline of every request counts from its first byte; for a later request on
+// a connection, net/http would count from the fifth byte.
 func (c *limitedConn) Read(b []byte) (n int, err error) {
 	c.stopReadAhead()
-	background := len(b) == 1 // as net/http reads to notice a client that leaves
+	background := len(b) == 1 // as net/http reads to detect a disconnect
 	c.listener.mu.Lock()
 	c.backgroundRead = background
 	c.setSilentDeadline()
@@ -116,8 +118,8 @@
 		c.recordRead(n, background)
 		return n, err
 	}
-	// Bytes are read from the system and recorded under one lock: there is no moment in which a request
-	// was read and its connection still counts as idle.
+	// Bytes are read from the socket and recorded under the same lock, so that a connection never counts as
+	// idle after bytes of a request have been read.
 	failed := c.raw.Read(func(fd uintptr) bool {
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
@@ -136,8 +138,8 @@
 	return n, err
 }
 
-// readAvailable reads what has come by the time that a deadline has passed: a close over it would reset
-// the connection, and lose what it asks. Where nothing has come it fails with the deadline's error.
+// readAvailable reads the bytes that had arrived when a read deadline passed: closing the connection with
+// unread bytes would reset it and lose the request. If there are none, it returns deadlineErr.
 func (c *limitedConn) readAvailable(b []byte, deadlineErr error) (n int, err error) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -148,7 +150,7 @@
 	return n, nil
 }
 
-// setSilentDeadline sets the deadline of the next byte of a request that is not whole. The lock is held.
+// setSilentDeadline sets the read deadline for the next byte of an incomplete request. The lock is held.
 func (c *limitedConn) setSilentDeadline() {
 	if c.class != &c.listener.fresh {
 		return
@@ -157,11 +159,11 @@
 	if !c.readDeadline.IsZero() && c.readDeadline.Before(due) {
 		due = c.readDeadline
 	}
-	_ = c.setReadDeadline(due) // it fails on one that is closed, as the read then does
+	_ = c.setReadDeadline(due) // fails if c is closed, as the read then does
 }
 
-// recordRead takes in that bytes were read, perhaps by net/http's background read, which ends with a byte.
-// The lock is held.
+// recordRead updates the state after n bytes have been read; background reports that net/http's background
+// read got them, which ends with its first byte. The lock is held.
 func (c *limitedConn) recordRead(n int, background bool) {
 	if n <= 0 {
 		return
@@ -176,8 +178,8 @@
 	c.nextStarted = c.nextStarted || c.class == nil && !c.closed
 }
 
-// readNow reads what has come, what hasUnread has read first. It fails with EAGAIN where nothing has come.
-// The lock is held.
+// readNow reads what is available without waiting, beginning with the bytes that hasUnread has read. It
+// returns EAGAIN if nothing is available. The lock is held.
 func (c *limitedConn) readNow(fd int, b []byte) (int, error) {
 	if c.closed {
 		return 0, net.ErrClosed
@@ -204,9 +206,9 @@
 	}
 }
 
-// hasUnread reports whether bytes have come that the server has not read. It reads the first of them, so
-// that one lock holds over the look and the close, while a Read may be waiting. What is read ahead counts
-// as well, and while the connection is read ahead no byte may be read here. The lock is held.
+// hasUnread reports whether bytes have arrived that the server has not read, including those read ahead. It
+// reads the first byte into peeked, so that this check and a close are done under one lock even while a Read
+// is waiting. While another goroutine reads ahead, it must not read here and returns true. The lock is held.
 func (c *limitedConn) hasUnread() bool {
 	if len(c.unread) > 0 || c.done != nil {
 		return true
@@ -215,7 +217,7 @@
 		return false
 	}
 	if len(c.peeked) == 0 {
-		// It fails on a connection that is closed: then nothing is read.
+		// An error means that the connection is closed; nothing is read then.
 		_ = c.raw.Control(func(fd uintptr) {
 			firstByte := make([]byte, 1)
 			if n, err := c.readNow(int(fd), firstByte); err == nil {
@@ -227,12 +229,12 @@
 		return false
 	}
 	c.recordRead(len(c.peeked), false)
-	c.setSilentDeadline() // without a second byte the waiting Read need not learn of the first
+	c.setSilentDeadline() // a waiting Read may not be woken for this byte; this deadline wakes it
 	return true
 }
 
-// SetReadDeadline implements net.Conn. The rest of a request whose first byte came early has the same
-// deadline as that of any other.
+// SetReadDeadline implements net.Conn. A request whose first byte came while the previous one was served gets
+// the same deadline as any other request.
 func (c *limitedConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -243,8 +245,8 @@
 	return c.setReadDeadline(t)
 }
 
-// setReadDeadline sets the read deadline, one that has passed where the connection is to be ended. The lock
-// is held.
+// setReadDeadline sets the read deadline, or a deadline in the past if the connection must be closed. The
+// lock is held.
 func (c *limitedConn) setReadDeadline(t time.Time) error {
 	if c.expired() {
 		t = pastDeadline
@@ -252,7 +254,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Write implements net.Conn. It records whether a request is answered before it is whole.
+// Write implements net.Conn. It records whether a request is answered before it is complete.
 func (c *limitedConn) Write(b []byte) (int, error) {
 	c.listener.mu.Lock()
 	c.answeredEarly = c.class == &c.listener.fresh
@@ -260,31 +262,31 @@
 	return c.Conn.Write(b)
 }
 
-// CloseWrite is called by net/http after some answers to requests that were not whole.
+// CloseWrite is called by net/http after some answers to incomplete requests.
 func (c *limitedConn) CloseWrite() error {
 	c.linger()
 	return nil
 }
 
-// linger closes the connection for writing, and reads the rest of its request.
-// Nothing is read where a request was whole: what follows it is another one.
+// linger closes the connection for writing and reads the rest of its request. It does nothing if the request
+// was complete, since what follows is another request.
 func (c *limitedConn) linger() {
 	c.listener.mu.Lock()
 	early := c.answeredEarly && !c.closed
 	c.answeredEarly = false
 	c.listener.mu.Unlock()
-	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !early || !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
+	if !early || !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
-	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTime)) // it fails on one that is closed
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTime)) // fails if the connection is closed
 	_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.Conn})
 }
 
-// Close implements net.Conn and gives the place back. While a request is served nobody who knows of it
-// closes the connection: net/http, which closes idle ones, reads the state of a connection first and closes
-// it then, with a request begun in between. Such a close is ignored; no connection is kept from there on,
-// so this one ends with its answer.
+// Close implements net.Conn and removes the connection from the listener's count. A Close while a request is
+// served is ignored: net/http checks that a connection is idle and then closes it, and a request may begin in
+// between. net/http only does so when it no longer keeps connections open, so this one is closed after its
+// answer.
 func (c *limitedConn) Close() error {
 	c.listener.mu.Lock()
 	if c.answeredEarly {
@@ -304,9 +306,9 @@
 	return c.Conn.Close()
 }
 
-// release gives the place back and reports whether it still had one. The lock is held; a caller that gets
-// true closes the connection, without the lock: a close waits for a Read in progress, and that for the
-// lock. Such a Read reads nothing any more.
+// release removes the connection from the listener's count, and reports false if that was done before. The
+// lock is held. A caller that gets true must close the connection after it has released the lock: the close
+// waits for a Read in progress, and that Read waits for the lock. Such a Read then reads nothing.
 func (c *limitedConn) release() bool {
 	if c.closed {
 		return false
--- a/internal/dispatcher/httpfront/joined_test.go
+++ b/internal/dispatcher/httpfront/conn_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReadAheadWaits: what was read ahead waits like what lies in the system, until
-// the server reads it, and a look for a victim in between takes no byte out of turn.
-func TestReadAheadWaits(t *testing.T) {
-	l := listening(t, 1)
-	c, far := arrive(t, l)
+// TestReadAheadCountsAsUnread checks that bytes that were read ahead count as unread, like bytes in the socket's
+// buffer, until the server reads them, and that a search for a victim in between keeps them in order.
+func TestReadAheadCountsAsUnread(t *testing.T) {
+	l := listen(t, 1)
+	c, far := connect(t, l)
 	require.True(t, c.serve(true))
 	require.True(t, c.watchClient(func() {}))
 	_, err := far.Write([]byte("a"))
@@ -23,11 +23,11 @@
 	require.NoError(t, err)
 	c.watchClient(nil)
 	l.connState(c, http.StateIdle)
-	require.True(t, waits(c)(), "somebody reads ahead")
+	require.True(t, hasUnreadBytes(c)(), "a goroutine reads ahead")
 	_, err = far.Write([]byte("bcd"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		victim, _ := l.look()
+		victim, _ := l.searchVictim()
 		require.Nil(t, victim)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -41,19 +41,19 @@
 		got += string(part[:n])
 	}
 	require.Equal(t, "abcd", got)
-	require.False(t, waits(c)())
-	victim, _ := l.look()
+	require.False(t, hasUnreadBytes(c)())
+	victim, _ := l.searchVictim()
 	require.Same(t, c, victim)
 	require.NoError(t, c.Close())
 	require.Zero(t, l.readAheadBytes)
 }
 
-// TestCloseIdleCrossesBytes: resting connections end as a request lies unread in the system:
-// it is read. Where nothing has come, the time is over, also for a read that began before.
-func TestCloseIdleCrossesBytes(t *testing.T) {
-	l := listening(t, 1)
-	c, far := arrive(t, l)
-	c.rest()
+// TestCloseIdleWithUnreadBytes checks that a request that is unread in the socket's buffer when idle connections
+// are closed is still read. If nothing has arrived, a Read fails with a timeout, even if it began before.
+func TestCloseIdleWithUnreadBytes(t *testing.T) {
+	l := listen(t, 1)
+	c, far := connect(t, l)
+	c.makeIdle()
 	ended := make(chan error, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 4))
@@ -63,8 +63,8 @@
 	require.ErrorIs(t, <-ended, os.ErrDeadlineExceeded)
 	_, err := far.Write([]byte("POST"))
 	require.NoError(t, err)
-	require.Eventually(t, waits(c), 10*time.Second, time.Millisecond)
-	c.rest()
+	require.Eventually(t, hasUnreadBytes(c), 10*time.Second, time.Millisecond)
+	c.makeIdle()
 	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http sets it for the next request")
 	var got []byte
 	require.Eventually(t, func() bool {
@@ -78,11 +78,11 @@
 	l.mu.Unlock()
 }
 
-// TestEndSurvivesReadAhead: the end of halves comes while somebody reads ahead, whose
-// stop sets the read deadline anew: the connection is to be ended still.
-func TestEndSurvivesReadAhead(t *testing.T) {
-	l := listening(t, 1)
-	c, far := arrive(t, l)
+// TestClosePartialDuringReadAhead checks that a connection with an incomplete request is still closed if
+// closePartial is called while a goroutine reads ahead; stopping that goroutine sets the read deadline again.
+func TestClosePartialDuringReadAhead(t *testing.T) {
+	l := listen(t, 1)
+	c, far := connect(t, l)
 	require.True(t, c.serve(true))
 	_, err := far.Write([]byte("a"))
 	require.NoError(t, err)
@@ -95,11 +95,11 @@
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-// TestShortOnce: a request that was answered early and then read to its end is over:
-// the end of its connection later on takes nothing of what may follow.
-func TestShortOnce(t *testing.T) {
-	l := listening(t, 1)
-	c, _ := arrive(t, l)
+// TestAnsweredEarlyIsCleared checks that answeredEarly is cleared once a request that was answered early has been
+// read to its end: a later close must not read bytes of a following request.
+func TestAnsweredEarlyIsCleared(t *testing.T) {
+	l := listen(t, 1)
+	c, _ := connect(t, l)
 	_, err := c.Write([]byte("answer"))
 	require.NoError(t, err)
 	require.True(t, c.answeredEarly)
@@ -107,44 +107,44 @@
 	require.False(t, c.answeredEarly)
 }
 
-// TestServedIsNotCut: the end of halves comes as a request has become whole, and the look
-// whether its client leaves begins once it is served.
-func TestServedIsNotCut(t *testing.T) {
-	l := listening(t, 1)
-	c, far := arrive(t, l)
+// TestServedRequestIsNotAborted checks that closePartial does not abort a request that has become complete: the
+// background read of net/http, which starts here once the request is served, must not fail.
+func TestServedRequestIsNotAborted(t *testing.T) {
+	l := listen(t, 1)
+	c, far := connect(t, l)
 	l.closePartial()
-	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http does before it looks")
+	require.NoError(t, c.SetReadDeadline(time.Time{}), "as net/http does before its background read")
 	require.True(t, c.serve(true))
-	looked := make(chan error, 1)
+	readEnded := make(chan error, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 1))
-		looked <- err
+		readEnded <- err
 	}()
 	select {
-	case err := <-looked:
-		t.Fatal("the look has failed:", err)
+	case err := <-readEnded:
+		t.Fatal("the background read has failed:", err)
 	case <-time.After(20 * time.Millisecond):
 	}
 	_, err := far.Write([]byte("x"))
 	require.NoError(t, err)
-	require.NoError(t, <-looked)
+	require.NoError(t, <-readEnded)
 }
 
-// TestWholeIsNotCut: the end of halves comes as a request has become whole and net/http
-// looks whether its client leaves, before or after that look has begun, and before the
-// request is served: the look goes on, or its failing would call the request off.
-func TestWholeIsNotCut(t *testing.T) {
+// TestCompleteRequestIsNotAborted checks that closePartial does not abort a request that is complete but not yet
+// served, whether it is called before or after the background read of net/http has begun. That read must go on:
+// its failure would cancel the request.
+func TestCompleteRequestIsNotAborted(t *testing.T) {
 	for name, before := range map[string]bool{"before": true, "after": false} {
 		t.Run(name, func(t *testing.T) {
-			l := listening(t, 1)
-			c, far := arrive(t, l)
+			l := listen(t, 1)
+			c, far := connect(t, l)
 			if before {
 				l.closePartial()
 			}
-			looked := make(chan error, 1)
+			readEnded := make(chan error, 1)
 			go func() {
 				_, err := c.Read(make([]byte, 1))
-				looked <- err
+				readEnded <- err
 			}()
 			require.Eventually(t, func() bool {
 				l.mu.Lock()
@@ -158,7 +158,7 @@
 			require.NoError(t, c.SetReadDeadline(time.Time{}))
 			_, err := far.Write([]byte("x"))
 			require.NoError(t, err)
-			require.NoError(t, <-looked)
+			require.NoError(t, <-readEnded)
 		})
 	}
 }
--- a/internal/dispatcher/httpfront/small_test.go
+++ b/internal/dispatcher/httpfront/constrained_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crowd is so many idle clients of a kind: s say nothing, h have begun a request, and
-// k keep their connection after a health check. Each is opened by its first step.
-func crowd(kind string, from, to int) string {
+// idleClients returns the steps of idle clients of a kind, numbered from from to to-1: "s" sends nothing, "h" has
+// begun a request, and "k" keeps its connection after a health check. The first step of each connects.
+func idleClients(kind string, from, to int) string {
 	var steps strings.Builder
 	for n := from; n < to; n++ {
 		switch kind {
@@ -34,9 +34,9 @@
 	return steps.String()
 }
 
-// down plays a discovery that is down, each call to which ends without an answer, until
-// back is closed. It then has a list, and closes heard once it is asked for what follows.
-func down(open func() (scenario.Conn, error), list func() string, back <-chan struct{}, heard chan<- struct{}) {
+// serveDiscovery simulates a discovery service that is down until back is closed: it closes each connection without
+// an answer. Afterwards it serves a list, and closes heard once it is asked for changes after that list.
+func serveDiscovery(open func() (scenario.Conn, error), list func() string, back <-chan struct{}, heard chan<- struct{}) {
 	var once sync.Once
 	for {
 		c, err := open()
@@ -59,7 +59,7 @@
 				}
 				if r.URL.Query().Get("index") == "50" {
 					once.Do(func() { close(heard) })
-					_, _ = in.ReadByte() // nothing new: until the call is given up
+					_, _ = in.ReadByte() // no change: wait until the caller gives up
 					return
 				}
 				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list()), list())
@@ -68,12 +68,11 @@
 	}
 }
 
-// TestCrowdedWhileDiscoveryIsDown: idle clients of each kind, twice as many as there
-// are places, fill the descriptors while discovery is down. The ready check, a
-// job, its member and its callback get theirs without waiting for the crowd; discovery,
-// once it is back, is called and heard. The system holds the program to the
-// descriptors that it is told of. In lists both pushed and asked for.
-func TestCrowdedWhileDiscoveryIsDown(t *testing.T) {
+// TestIdleClientsWhileDiscoveryIsDown checks that idle clients of each kind, twice as many as there are sockets,
+// can't use up the descriptors while discovery is down. The ready check, a job, the connection to its member and
+// its callback must not wait for the idle clients, and discovery is called again once it is back. The system
+// limits the program to the descriptors that are configured. Discovery lists are both pushed and polled.
+func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 256
 	for _, c := range []struct {
 		kind   string
@@ -82,17 +81,17 @@
 		kind := c.kind
 		t.Run(fmt.Sprintf("%s, pushed %t", kind, c.pushed), func(t *testing.T) {
 			t.Parallel()
-			cast := scenario.StartConstrained(t, 1, 192, sockets, c.pushed)
+			peers := scenario.StartConstrained(t, 1, 192, sockets, c.pushed)
 			addr, open := scenario.Listen(t)
-			cast["r2"] = open
+			peers["r2"] = open
 			back, heard := make(chan struct{}), make(chan struct{})
-			go down(cast["discovery"], func() string {
+			go serveDiscovery(peers["discovery"], func() string {
 				return fmt.Sprintf(`{"generation":50,"reset":true,"instances":[{"instanceId":"s-r2","hostPort":%q,"zone":"hall","machineType":"std","cell":0,"lifecycle":"active","weight":1,"startedAtMs":0}]}`, addr)
 			}, back, heard)
 			var began time.Time
 			own := scenario.Functions{
 				"begin": func(...string) string { began = time.Now(); return "" },
-				"done": func(...string) string { // on a loaded machine too
+				"done": func(...string) string { // holds on a loaded machine too
 					require.Less(t, time.Since(began), 5*time.Second)
 					return ""
 				},
@@ -100,18 +99,18 @@
 					began = time.Now()
 					close(back)
 					<-heard
-					if c.pushed { // where it is asked the policy sets the pace
+					if c.pushed { // when polling, the policy determines the delay
 						require.Less(t, time.Since(began), 5*time.Second)
 					}
 					return ""
 				},
 			}
-			for name, word := range words {
-				own[name] = word
+			for name, function := range scriptFunctions {
+				own[name] = function
 			}
-			scenario.RunScript(t, cast, own, `
+			scenario.RunScript(t, peers, own, `
 				program expect msg=serving
-				`+crowd(kind, 0, sockets)+`
+				`+idleClients(kind, 0, sockets)+`
 				client.ready send @begin()@get(/health/ready)
 				client.ready expect 200 OK
 				client.job send @job(group-ticket,t-1,20)
@@ -121,8 +120,8 @@
 				client.back expect 204
 				client.job expect 200 OK.*one$
 				client.job send @done()
-				`+crowd(kind, sockets, 2*sockets)+`
-				# by a step of its own: a client that connects and says nothing for 2 s is closed
+				`+idleClients(kind, sockets, 2*sockets)+`
+				# in a step of its own: a client that connects and sends nothing for 2 s is disconnected
 				client.job send @back()
 				client.late send @job(group-ticket,t-2,20)
 				r2 expect X-Call-Id: t-2.*body
@@ -134,32 +133,32 @@
 	}
 }
 
-// TestBodiesAreBounded: clients that send all but a body's last byte hold no more memory
-// than there is. Each is answered, and callbacks and the ready check get in meanwhile.
+// TestBodiesAreBounded checks that clients that send all but the last byte of a body can't use more memory than
+// configured. Each is answered, and callbacks and the ready check are served meanwhile.
 func TestBodiesAreBounded(t *testing.T) {
 	const clients, sockets, memory = 120, 256, 32
 	head := `POST /send-notice HTTP/1.1\r\nHost: a\r\nX-Call-Id: b-%d\r\nX-Budget: 0.5\r\nX-Call-Cost: 1000\r\nContent-Length: 65536\r\n\r\n@most()`
 	var first, rest strings.Builder
 	for n := range clients {
 		fmt.Fprintf(&first, "client.c%d send "+head+"\n", n, n)
-		fmt.Fprintf(&rest, "client.c%d expect ^HTTP/1.1 (503|400) \n", n) // no room, or no last byte
+		fmt.Fprintf(&rest, "client.c%d expect ^HTTP/1.1 (503|400) \n", n) // no memory for the body, or the last byte is missing
 	}
-	cast := scenario.StartConstrained(t, 0, memory, sockets, false)
+	peers := scenario.StartConstrained(t, 0, memory, sockets, false)
 	var pid string
-	cast["program"] = watched(cast["program"], &pid)
+	peers["program"] = recordPID(peers["program"], &pid)
 	own := scenario.Functions{
 		"most": func(...string) string { return strings.Repeat("x", 65535) },
 		"held": func(...string) string {
 			if !scenario.RaceEnabled {
-				require.Less(t, anonymous(t, pid), (memory-16)<<10) // 16 are the program's text
+				require.Less(t, anonymousKiB(t, pid), (memory-16)<<10) // 16 MiB are the program's code
 			}
 			return ""
 		},
 	}
-	for name, word := range words {
-		own[name] = word
+	for name, function := range scriptFunctions {
+		own[name] = function
 	}
-	scenario.RunScript(t, cast, own, `
+	scenario.RunScript(t, peers, own, `
 		program expect msg=serving
 		`+first.String()+`
 		client.back send @held()@news(none,s-r1,started)
@@ -169,8 +168,8 @@
 		client.end expect 200 OK`)
 }
 
-// watched notes the process id of a program as it starts.
-func watched(open func() (scenario.Conn, error), pid *string) func() (scenario.Conn, error) {
+// recordPID wraps open so that it stores the process id of the program in pid.
+func recordPID(open func() (scenario.Conn, error), pid *string) func() (scenario.Conn, error) {
 	return func() (scenario.Conn, error) {
 		end, err := open()
 		if p, ok := end.(interface{ PID() int }); ok {
@@ -180,13 +179,13 @@
 	}
 }
 
-var anon = regexp.MustCompile(`RssAnon:\s+(\d+) kB`)
+var rssAnon = regexp.MustCompile(`RssAnon:\s+(\d+) kB`)
 
-// anonymous is what a process holds of memory beside its files, in KiB.
-func anonymous(t *testing.T, pid string) int {
+// anonymousKiB returns the anonymous memory of a process in KiB, which excludes memory mapped from files.
+func anonymousKiB(t *testing.T, pid string) int {
 	text, err := os.ReadFile("/proc/" + pid + "/status")
 	require.NoError(t, err)
-	found := anon.FindSubmatch(text)
+	found := rssAnon.FindSubmatch(text)
 	require.NotNil(t, found)
 	kb, err := strconv.Atoi(string(found[1]))
 	require.NoError(t, err)
--- a/internal/dispatcher/httpfront/eviction.go
+++ b/internal/dispatcher/httpfront/eviction.go
@@ -7,16 +7,17 @@
 
 const (
 	// freshGrace is how long a new connection may send nothing before it may be evicted. A usual client
-	// sends at once. What it sent and nobody has read yet, on a busy machine, is seen before the close.
+	// sends at once. On a busy machine its bytes may still be unread; hasUnread finds them before the close.
 	freshGrace = 100 * time.Millisecond
-	// partialRequestGrace is how long one that has begun a request has to send the rest.
+	// partialRequestGrace is how long a connection that has begun a request may take to send the rest before
+	// it may be evicted.
 	partialRequestGrace = 250 * time.Millisecond
-	// evictionRetry is the delay until the next look where all candidates have unread bytes.
+	// evictionRetry is the delay until the next attempt if all candidates have unread bytes.
 	evictionRetry = 5 * time.Millisecond
 )
 
-// tryAdd adds a connection, in another's place if need be. Where none can be evicted it returns when to
-// try again.
+// tryAdd adds a connection and evicts another one if the limit is reached. If none can be evicted, it returns
+// the time of the next attempt, otherwise the zero time.
 func (l *limitedListener) tryAdd(c *limitedConn) (until time.Time) {
 	l.mu.Lock()
 	var victim *limitedConn
@@ -31,13 +32,13 @@
 	c.moveTo(&l.fresh)
 	l.mu.Unlock()
 	if victim != nil {
-		_ = victim.Conn.Close() // its client is told nothing either way
+		_ = victim.Conn.Close() // an error changes nothing for the client
 	}
 	return time.Time{}
 }
 
-// addBeyondLimit adds the last connection, which waited for a place as the listener was closed and has
-// its descriptor already.
+// addBeyondLimit adds the last connection above the limit: it had been accepted, and has its descriptor, but
+// waited for another to be closed or evicted when the listener was closed.
 func (l *limitedListener) addBeyondLimit(c *limitedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,11 +46,12 @@
 	c.moveTo(&l.fresh)
 }
 
-// victim returns the connection that can best be evicted: an idle one that was never of use, one that has
-// sent nothing in the time that a usual client needs, one that has not sent all in that time, an idle one.
-// A client may always meet the close of an idle connection, and sends again what crosses it. One with
-// unread bytes is no victim: the close would reset it, and what they ask would be lost. Nil: there is none
-// before the returned time.
+// victim returns the connection to evict. In order of preference that is an idle one that never carried a job
+// or a callback, one that has sent nothing within freshGrace, one whose request is still incomplete after
+// partialRequestGrace, and an idle one that has carried work. The close of an idle connection is harmless: a
+// client must always expect it, and repeats a request that was sent at the same time. A connection with unread
+// bytes is never evicted: the close would reset it and lose the request. If there is no candidate, victim
+// returns nil and the time of the next attempt.
 func (l *limitedListener) victim(now time.Time) (c *limitedConn, until time.Time) {
 	until = now.Add(time.Hour)
 	evictable := func(c *limitedConn) bool {
@@ -87,11 +89,11 @@
 	return c, until
 }
 
-// first returns the first connection of a list that passes; nil: none does.
+// first returns the first connection of a list for which passes returns true, or nil.
 func first(l *list.List, passes func(*limitedConn) bool) *limitedConn {
 	for at := l.Front(); at != nil; {
 		c := at.Value.(*limitedConn)
-		at = at.Next() // before the connection may leave the list
+		at = at.Next() // before passes, which may remove c from the list
 		if passes(c) {
 			return c
 		}
--- a/internal/dispatcher/httpfront/golden_test.go
+++ b/internal/dispatcher/httpfront/golden_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// transcript is written by the test and by the server's goroutines.
+// transcript collects text that the test and the server's goroutines write.
 type transcript struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -32,19 +32,19 @@
 	return w.text.Write(b)
 }
 
-// answering is a hub that answers each job as its id says, and an intake that writes
-// down what it was asked.
-type answering struct {
+// recordingEngine is an engine that answers each job as its id specifies, and a transaction factory. It records
+// the submissions and the callbacks.
+type recordingEngine struct {
 	ready bool
-	told  *transcript
+	calls *transcript
 }
 
-func (h *answering) NewTransaction(a pipeline.Submission, arrived time.Time, c engine.Client) (*engine.Transaction, error) {
+func (h *recordingEngine) NewTransaction(a pipeline.Submission, arrived time.Time, c engine.Client) (*engine.Transaction, error) {
 	budget := time.Duration(0)
 	if !a.ClientDeadline.IsZero() {
 		budget = a.ClientDeadline.Sub(arrived)
 	}
-	_, _ = fmt.Fprintf(h.told, "  taken in: id %q class %q tenant %q target %q front %q key %q body %q retry %t subject %q budget %s cost %s slots %g memory %g\n",
+	_, _ = fmt.Fprintf(h.calls, "  taken in: id %q class %q tenant %q target %q front %q key %q body %q retry %t subject %q budget %s cost %s slots %g memory %g\n",
 		a.ID, a.Class, a.Tenant, a.Target, a.Front, a.Key, a.Body, a.Retry, a.AffinityKey, budget, a.Hint, a.Slots, a.Memory)
 	switch a.Class {
 	case "nothing":
@@ -55,24 +55,24 @@
 	return &engine.Transaction{ID: a.ID, Class: a.Class, Client: c}, nil
 }
 
-func (h *answering) Submit(t *engine.Transaction) {
+func (h *recordingEngine) Submit(t *engine.Transaction) {
 	t.Client.Answer(map[string]engine.Answer{
 		"served": {Verdict: engine.Served, Body: []byte("the result\n")}, "empty": {Verdict: engine.Served}, "refused": {Verdict: engine.Refused},
 		"later": {Verdict: engine.Refused, RetryAt: time.Now().Add(-time.Second)}, "failed": {Verdict: engine.Failed}, "denied": {Verdict: engine.Denied, Body: []byte("why\n")},
 	}[t.ID])
 }
 
-func (h *answering) ClientLeft(*engine.Transaction) {}
+func (h *recordingEngine) ClientLeft(*engine.Transaction) {}
 
-func (h *answering) HandleJobUpdate(n engine.JobUpdate) bool {
-	_, _ = fmt.Fprintf(h.told, "  news: id %q member %q started %t running %t share %g ended %t status %d result %q\n", n.ID, n.Member, n.Started, n.Running, n.Progress, n.Ended, n.Status, n.Result)
+func (h *recordingEngine) HandleJobUpdate(n engine.JobUpdate) bool {
+	_, _ = fmt.Fprintf(h.calls, "  news: id %q member %q started %t running %t share %g ended %t status %d result %q\n", n.ID, n.Member, n.Started, n.Running, n.Progress, n.Ended, n.Status, n.Result)
 	return true
 }
-func (h *answering) Ready() bool { return h.ready }
+func (h *recordingEngine) Ready() bool { return h.ready }
 
-// clientsCalls are requests of clients, health checks and members' callbacks: method and
-// path, headers, body, with | between them.
-var clientsCalls = []string{
+// requests are requests of clients, health checks and members' callbacks: method and path, headers, and body,
+// separated by |.
+var requests = []string{
 	"POST /hold/a%2Fb?sid=7f&x;y=%zz&& | X-Call-Id: served | body",
 	"POST /hold?sid=7 | X-Call-Id: served, X-Call-Class: hold, X-Caller: acme, X-Budget: 9.5, X-Call-Cost: 4000, X-Call-Info: slots=2;memory=0.5;new=1, Idempotency-Key: k, X-Again: 1 | body",
 	"POST /hold | X-Call-Id: served, X-Call-Info: width=3 | ", "POST /hold | X-Call-Id: empty | ", "POST /hold | X-Call-Id: refused | ", "POST /hold | X-Call-Id: later | ",
@@ -87,24 +87,24 @@
 
 var date = regexp.MustCompile(`Date: [^\r]*\r\n`)
 
-// TestGoldenAnswers: each kind of answer of the clients' address byte for byte but for
-// its date, and what is read of a request, as of commit 352ebf2. The file must never be
+// TestGoldenAnswers compares each kind of answer at the clients' address, byte for byte except for its date, and
+// what is read from each request, with the golden file written by commit 352ebf2. The file must never be
 // rewritten by later code.
 func TestGoldenAnswers(t *testing.T) {
 	var b transcript
 	log := logtest.Discard()
 	for _, ready := range []bool{true, false} {
-		h := &answering{ready: ready, told: &b}
+		h := &recordingEngine{ready: ready, calls: &b}
 		s := New(h, h, log)
 		l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		served := make(chan error, 1)
 		go func() { served <- s.Serve(l, 10) }()
 		_, _ = fmt.Fprintf(&b, "ready %t\n", ready)
-		for _, call := range clientsCalls {
+		for _, call := range requests {
 			parts := strings.SplitN(call, " | ", 3)
 			_, _ = fmt.Fprintln(&b, call)
-			_, _ = fmt.Fprintf(&b, "%q\n", ask(t, l.Addr().String(), parts[0], strings.TrimSpace(parts[1]), parts[len(parts)-1]))
+			_, _ = fmt.Fprintf(&b, "%q\n", exchange(t, l.Addr().String(), parts[0], strings.TrimSpace(parts[1]), parts[len(parts)-1]))
 		}
 		_ = s.server.Close()
 		require.NoError(t, <-served)
@@ -112,8 +112,8 @@
 	goldentest.Equal(t, filepath.Join("testdata", "golden", "answers.txt"), []byte(b.text.String()))
 }
 
-// ask sends one request on a connection of its own and returns the whole answer.
-func ask(t *testing.T, addr, line, headers, body string) string {
+// exchange sends one request on a connection of its own and returns the complete answer.
+func exchange(t *testing.T, addr, line, headers, body string) string {
 	conn, err := new(net.Dialer).DialContext(t.Context(), "tcp", addr)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
--- a/internal/dispatcher/httpfront/job.go
+++ b/internal/dispatcher/httpfront/job.go
@@ -23,22 +23,22 @@
 		rejectInput(w, http.StatusMethodNotAllowed, "jobs are submitted with POST")
 		return
 	}
-	// It is set again once there is an answer; it fails on a connection that is closed.
+	// prepareAnswer sets the write deadline again. An error means that the connection is closed.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	s.proxy.ServeHTTP(w, r)
 }
 
 // engineRoundTripper is the reverse proxy's transport: a round trip is a transaction of the engine, from
-// its submission to its one final answer.
+// its submission to its single final answer.
 type engineRoundTripper struct{ s *Server }
 
 // waitingClient waits for the answer of one transaction. It implements engine.Client and
 // engine.GoneReporter.
 type waitingClient struct {
 	counters *accounting.FrontCounters
-	answer   chan engine.Answer // holds the one answer
-	ctx      context.Context    // of its request, which ends when the client leaves
-	counted  atomic.Bool        // counters were told that the client has left
+	answer   chan engine.Answer // buffers the single answer
+	ctx      context.Context    // of the request; canceled when the client disconnects
+	counted  atomic.Bool        // whether the disconnect has been counted
 }
 
 // Gone implements engine.GoneReporter.
@@ -87,8 +87,8 @@
 	}
 }
 
-// readSubmission reads the platform's headers. A budget counts from the sending of the request, of which
-// its arrival is the nearest that is known.
+// readSubmission reads the platform's headers. A budget counts from when the request was sent; that time is
+// unknown, and its arrival is the closest known time.
 func readSubmission(r *http.Request, arrived time.Time, body []byte) (pipeline.Submission, error) {
 	h := r.Header
 	a := pipeline.Submission{
@@ -119,7 +119,7 @@
 	return a, readCallInfo(&a, h.Get("X-Call-Info"))
 }
 
-// readCallInfo reads X-Call-Info: name=value,name=value. Unknown names are skipped.
+// readCallInfo reads the X-Call-Info header: name=value,name=value. Unknown names are skipped.
 func readCallInfo(a *pipeline.Submission, text string) error {
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// answerResponse returns a final answer in the platform's form.
+// answerResponse returns the HTTP response for a final answer, as the platform's protocol defines it.
 func answerResponse(r *http.Request, a engine.Answer) *http.Response {
 	switch a.Verdict {
 	case engine.Served:
--- a/internal/dispatcher/httpfront/jobupdate.go
+++ b/internal/dispatcher/httpfront/jobupdate.go
@@ -13,15 +13,15 @@
 	"github.com/valyala/fastjson"
 )
 
-// serveJobUpdate takes a pool member's callback. It is answered alike whether it counts, was told before or
-// is of an ended flow: the member repeats what is not answered.
+// serveJobUpdate serves a pool member's callback. The answer is the same if the update is new, a duplicate or
+// about a flow that has ended: the member repeats a callback that is not answered.
 func (s *Server) serveJobUpdate(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		rejectInput(w, http.StatusMethodNotAllowed, "news is told with POST")
 		return
 	}
-	whole, _ := r.Context().Value(requestKey{}).(completeRequest)
-	text := whole.body
+	request, _ := r.Context().Value(requestKey{}).(completeRequest)
+	text := request.body
 	update, ok := readJobUpdate(text)
 	if !ok {
 		rejectInput(w, http.StatusBadRequest, "this is no news of a job")
@@ -37,7 +37,7 @@
 // maxUpdateBytes is the largest callback: a result of the largest size, escaped in JSON.
 const maxUpdateBytes = 2*pipeline.MaxBody + 1024
 
-// readJobUpdate reads a callback; false: it is none.
+// readJobUpdate parses a callback. It returns false if the text is not a valid callback.
 func readJobUpdate(text []byte) (engine.JobUpdate, bool) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -51,7 +51,7 @@
 		n.Running, n.Progress = true, v.GetFloat64("share")
 	case "done":
 		n.Ended, n.Status, n.Result = true, policy.OK, result(v)
-	case "failed": // its result is for plans, which may go by it
+	case "failed": // plans may use the result of a failed job
 		n.Ended, n.Status, n.Result = true, policy.Error, result(v)
 	case "returned":
 		n.Ended, n.Status = true, policy.Rejected
@@ -60,13 +60,14 @@
 	default:
 		return n, false
 	}
-	if n.Ended { // a report that can't be read is left out
+	if n.Ended { // an unreadable load report is ignored
 		n.Load, _ = loadreport.ParseObject(v.Get("load"))
 	}
 	return n, n.ID != "" && n.Member != ""
 }
 
-// result returns a result's text, or the JSON of one that is no text; nil: there is none.
+// result returns the result of a callback: the text of a JSON string, the JSON text of any other value, or nil
+// if there is no result.
 func result(v *fastjson.Value) []byte {
 	switch result := v.Get("result"); {
 	case result == nil:
@@ -78,8 +79,8 @@
 	}
 }
 
-// HandleForwardedUpdate takes a callback that the other process of this dispatcher got for a job of this
-// one. It is not forwarded again. It fails for what is no callback.
+// HandleForwardedUpdate handles a callback that the other process of this dispatcher received for a job of
+// this process. It does not forward it again. It returns an error if the text is not a valid callback.
 func (s *Server) HandleForwardedUpdate(text []byte) error {
 	update, ok := readJobUpdate(text)
 	if !ok {
--- a/internal/dispatcher/httpfront/jobupdate_test.go
+++ b/internal/dispatcher/httpfront/jobupdate_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestJobUpdateCarriesLoad: the news that ends a job may carry the member's load
-// report as "load"; news of progress carries none that counts, and a report
-// that can't be read is left out while the news stands.
+// TestJobUpdateCarriesLoad checks that a callback that ends a job may contain the member's load report as
+// "load". A load report in a progress callback is ignored, and so is one that can't be read; the rest of the
+// callback still counts.
 func TestJobUpdateCarriesLoad(t *testing.T) {
 	for text, want := range map[string]policy.Report{
 		`{"id":"j","from":"s-1","state":"done","result":"r","load":{"qps":40,"inflight":3,"x0":1,"x1":256}}`: {
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestAffinityKey: what a request is about is read from its query, one that does not read
-// is none.
+// TestAffinityKey checks that the affinity key is read from the query parameter sid, and is empty if the
+// parameter can't be decoded.
 func TestAffinityKey(t *testing.T) {
 	for query, want := range map[string]string{"?sid=7f3a": "7f3a", "?a=1&sid=a%20b": "a b", "": "", "?sid=": "", "?sid=%zz": ""} {
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/hold"+query, nil)
@@ -44,10 +44,10 @@
 	}
 }
 
-// TestCallInfoCarriesNeeds: slots and memory that a job needs come in
-// X-Call-Info and reach the arrival, so that the policy fits both; other
-// names are skipped and a figure that is no number is a clear error.
-func TestCallInfoCarriesNeeds(t *testing.T) {
+// TestCallInfoCarriesDemand checks that the slots and the memory that a job needs are read from X-Call-Info into
+// the submission, so that the policy can take both into account. Other names are skipped, and a value that is
+// not a number is an error that names it.
+func TestCallInfoCarriesDemand(t *testing.T) {
 	for text, want := range map[string][2]float64{
 		"slots=1,memory=0.359": {1, 0.359}, "width=2, mem=1.5": {2, 1.5}, "kind=x,slots=3": {3, 0}, "": {0, 0},
 	} {
--- a/internal/dispatcher/httpfront/listener.go
+++ b/internal/dispatcher/httpfront/listener.go
@@ -9,34 +9,35 @@
 	"time"
 )
 
-// limitedListener holds at most so many connections at a time, to stay within the descriptors. When all
-// are taken it evicts the one that can best be spared (eviction.go), so that clients that only connect, or
-// only stay, shut out neither those with jobs nor the callbacks that end jobs. It never closes one whose
+// limitedListener limits the number of open connections, to stay within the limit of file descriptors. At the
+// limit it evicts a connection for each new one (eviction.go), so that clients that only connect, or keep idle
+// connections, can't block those with jobs or the callbacks that end jobs. It never closes a connection whose
 // request is being served.
 type limitedListener struct {
 	net.Listener
 	maxConns int
-	// silentTimeout is how long a client may send nothing while its request is not whole.
+	// silentTimeout is how long a client may send nothing while its request is incomplete.
 	silentTimeout time.Duration
 
 	done    chan struct{} // closed by Close
-	closed  sync.Once     // of done
-	changed chan struct{} // what tryAdd waits for may have happened; holds one
-	// closingIdle ends connections between requests, closingPartial those with a part of a request.
+	closed  sync.Once     // closes done
+	changed chan struct{} // signals that tryAdd may succeed now; buffer of one
+	// closingIdle closes connections that are between requests, closingPartial those with an incomplete
+	// request.
 	closingIdle    *atomic.Bool
 	closingPartial atomic.Bool
 
 	// mu guards what follows and the state of all connections.
 	mu             sync.Mutex
-	open           int // connections
-	readAheadBytes int // of all connections
-	// Each connection is in one of these lists, the longest there first, or in none while it is served.
-	fresh      list.List // its request is not whole: it is new, or sends slowly or not at all
-	idleUnused list.List // idle, and it never carried a job or a callback
-	idleUsed   list.List // idle after one
+	open           int // number of open connections
+	readAheadBytes int // bytes read ahead and not yet read by the server, on all connections
+	// Each connection is in one of these lists, in order of arrival there, or in none while it is served.
+	fresh      list.List // its request is incomplete: it is new, or sends slowly or not at all
+	idleUnused list.List // idle, and has never carried a job or a callback
+	idleUsed   list.List // idle, and has carried a job or a callback
 }
 
-// newLimitedListener returns a listener that holds at most so many connections.
+// newLimitedListener returns a listener with at most maxConns open connections.
 func newLimitedListener(l net.Listener, maxConns int) *limitedListener {
 	return &limitedListener{
 		Listener: l, maxConns: maxConns, silentTimeout: defaultSilentTimeout, done: make(chan struct{}), changed: make(chan struct{}, 1),
@@ -51,9 +52,9 @@
 		return nil, err
 	}
 	lc := &limitedConn{Conn: c, listener: l, since: time.Now()}
-	if s, ok := c.(*net.TCPConn); ok { // the Read of another that only embeds one must be called
+	if s, ok := c.(*net.TCPConn); ok { // not for a type that embeds one: its own Read must be called
 		if lc.raw, err = s.SyscallConn(); err != nil {
-			_ = c.Close() // the error that is returned is the cause
+			_ = c.Close() // err is returned instead
 			return nil, err
 		}
 	}
@@ -88,29 +89,29 @@
 	}
 }
 
-// closeIdle ends all connections between requests, now and from here on. Each is ended by whoever reads
-// it, and only if nothing has come: what has been read is answered, and what comes later stays unread, so
-// that its client sends it again. Were they closed here, a request that is being read in that moment would
-// be lost.
+// closeIdle closes all connections that are between requests, now and from now on. It only sets their read
+// deadlines: the reader of a connection closes it, and only if nothing has arrived. A request that has been
+// read is answered; one that arrives later stays unread, so that its client sends it again. Closing the
+// connections here would lose a request that is being read at that moment.
 func (l *limitedListener) closeIdle() {
 	l.closingIdle.Store(true)
 	l.expire(&l.idleUnused, &l.idleUsed)
 }
 
-// closePartial ends, in the same way, all connections whose request is not whole.
+// closePartial closes, in the same way, all connections whose request is incomplete.
 func (l *limitedListener) closePartial() {
 	l.closingPartial.Store(true)
 	l.expire(&l.fresh)
 }
 
-// expire ends the connections in some lists that are to be ended, by their read deadlines.
+// expire sets a read deadline in the past on the connections of some lists that must be closed.
 func (l *limitedListener) expire(lists ...*list.List) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conns := range lists {
 		for element := conns.Front(); element != nil; element = element.Next() {
 			if c := element.Value.(*limitedConn); c.expired() {
-				_ = c.Conn.SetReadDeadline(pastDeadline) // it fails on one that is closed already
+				_ = c.Conn.SetReadDeadline(pastDeadline) // fails if c is closed
 			}
 		}
 	}
@@ -131,7 +132,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s == http.StateIdle { // its request has been read to its end, also where the answer came first
+	if s == http.StateIdle { // the request has been read to its end, even if it was answered before
 		lc.answeredEarly, lc.backgroundRead = false, false
 	}
 	switch {
--- a/internal/dispatcher/httpfront/listener_test.go
+++ b/internal/dispatcher/httpfront/listener_test.go
@@ -15,12 +15,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLimited: clients that only keep their connections, or say nothing or not
-// all, must not shut others out, of which callbacks are some. There is room
-// for two.
-func TestLimited(t *testing.T) {
+// TestConnectionLimit checks that clients that keep connections idle, send nothing or send incomplete requests
+// can't block other clients and callbacks. The limit is two connections.
+func TestConnectionLimit(t *testing.T) {
 	for name, script := range map[string]string{
-		"an idle one makes room": `
+		"an idle connection is evicted": `
 			c.1 send @live()
 			c.1 expect 200 OK.*ok
 			c.1 send @idle(1)
@@ -34,7 +33,7 @@
 			c.4 send @live()
 			c.4 expect 200 OK.*ok
 			c.2 wait`,
-		"nobody is waited for": `
+		"incomplete requests are evicted or time out": `
 			c.1 send POST /place-hold HTTP/1.1\r\nHost: app\r\nContent-Length: 9\r\n\r\nhalf
 			c.1 expect ^HTTP/1.1 400.*Connection: close
 			c.1 wait
@@ -53,7 +52,7 @@
 			addr := serve(t, s, 2)
 			began := time.Now()
 			scenario.RunScript(t, scenario.Peers{"c": scenario.Dial(addr)}, scenario.Functions{
-				"idle": func(n ...string) string { // an answer comes before its connection is idle
+				"idle": func(n ...string) string { // the client gets the answer before its connection is idle
 					require.Eventually(t, func() bool {
 						l := s.listener.Load()
 						l.mu.Lock()
@@ -64,12 +63,13 @@
 				},
 				"live": func(...string) string { return `GET /health/live HTTP/1.1\r\nHost: app\r\n\r\n` },
 			}, script)
-			require.Less(t, time.Since(began), 12*time.Second, "each is closed in its time")
+			require.Less(t, time.Since(began), 12*time.Second, "each connection is closed in time")
 		})
 	}
 }
 
-// TestSilentTimeout: a client that sends nothing more of its request is cut off after the operator's time.
+// TestSilentTimeout checks that a client that stops sending in the middle of a request is disconnected after the
+// configured time.
 func TestSilentTimeout(t *testing.T) {
 	s := New(nil, nil, logtest.Discard())
 	s.SilentTimeout = time.Millisecond
@@ -88,27 +88,27 @@
 	require.Equal(t, time.Hour, patient.listener.Load().silentTimeout)
 }
 
-// TestVictim: one that was never of use goes first, then one that says nothing,
-// then one that trickles, then one that is of use; one that has just come, or
-// is served, stays.
+// TestVictim checks the order of eviction: an idle connection that never carried work, one that sends nothing,
+// one that sends its request slowly, an idle one that carried work. A connection that has just been accepted
+// or is being served is not evicted.
 func TestVictim(t *testing.T) {
 	l, now := newLimitedListener(nil, 6), time.Now()
-	enter := func(age time.Duration, heard, used bool, to *list.List) *limitedConn {
+	add := func(age time.Duration, sent, worked bool, to *list.List) *limitedConn {
 		near, far := net.Pipe()
 		t.Cleanup(func() { _ = far.Close() })
 		c := &limitedConn{Conn: near, listener: l, since: now.Add(-age)}
 		l.tryAdd(c)
-		c.sentBytes, c.carriedWork = heard, used
+		c.sentBytes, c.carriedWork = sent, worked
 		c.moveTo(to)
 		return c
 	}
-	trickling := enter(2*partialRequestGrace, true, false, &l.fresh)
-	silent := enter(partialRequestGrace, false, false, &l.fresh)
-	kept := enter(partialRequestGrace, true, true, &l.idleUsed)
-	spare := enter(0, true, false, &l.idleUnused)
-	enter(0, false, false, &l.fresh)
-	enter(2*partialRequestGrace, true, true, nil)
-	for _, want := range []*limitedConn{spare, silent, trickling, kept, nil} {
+	slow := add(2*partialRequestGrace, true, false, &l.fresh)
+	silent := add(partialRequestGrace, false, false, &l.fresh)
+	usedConn := add(partialRequestGrace, true, true, &l.idleUsed)
+	unusedConn := add(0, true, false, &l.idleUnused)
+	add(0, false, false, &l.fresh)
+	add(2*partialRequestGrace, true, true, nil)
+	for _, want := range []*limitedConn{unusedConn, silent, slow, usedConn, nil} {
 		c, until := l.victim(now)
 		require.Same(t, want, c)
 		if c == nil {
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestClosedMeanwhile: a request whose connection was closed for another's sake
-// is not served, since its client sends it again elsewhere.
-func TestClosedMeanwhile(t *testing.T) {
+// TestEvictedRequestIsNotServed checks that a request whose connection has been evicted is not served, since its
+// client sends it again elsewhere.
+func TestEvictedRequestIsNotServed(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	l := newLimitedListener(nil, 1)
@@ -129,17 +129,17 @@
 	require.True(t, l.tryAdd(c).IsZero())
 	require.True(t, c.serve(true))
 	next := &limitedConn{Conn: far, listener: l}
-	require.False(t, l.tryAdd(next).IsZero(), "one that is served stays")
+	require.False(t, l.tryAdd(next).IsZero(), "a connection that is being served is not evicted")
 	c.moveTo(&l.idleUsed)
 	require.True(t, l.tryAdd(next).IsZero())
 	require.False(t, c.serve(true))
 	require.Equal(t, 1, l.open)
 	_ = c.Close()
-	require.Equal(t, 1, l.open, "a place is given back once")
+	require.Equal(t, 1, l.open, "the connection is subtracted from the count once")
 }
 
-// TestEarlyByte: the first byte of a next request that comes while one is served
-// starts the time for the rest, as any other first byte does.
+// TestEarlyByte checks that the first byte of the next request, if it comes while a request is served, starts the
+// timeout for the rest of that request, as any other first byte does.
 func TestEarlyByte(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
@@ -153,9 +153,9 @@
 	require.Equal(t, 1, n)
 	before := time.Now()
 	l.connState(c, http.StateIdle)
-	require.Same(t, &l.fresh, c.class, "it is no idle one")
+	require.Same(t, &l.fresh, c.class, "the connection is not idle")
 	require.False(t, c.since.Before(before))
-	c.since = c.since.Add(-headerTimeout) // its time is over
+	c.since = c.since.Add(-headerTimeout) // its timeout has passed
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(time.Hour)))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
--- a/internal/dispatcher/httpfront/program_test.go
+++ b/internal/dispatcher/httpfront/program_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-var words = scenario.Functions{
+// scriptFunctions are the functions that the scripts of this package's tests call with @name(...).
+var scriptFunctions = scenario.Functions{
 	"job": func(a ...string) string {
 		return fmt.Sprintf("POST /%s?sid=1 HTTP/1.1\\r\\nHost: app\\r\\nX-Call-Id: %s\\r\\nX-Budget: %s\\r\\nX-Call-Cost: 2000000\\r\\nIdempotency-Key: k-%[2]s\\r\\nContent-Length: 4\\r\\n\\r\\nbody", a[0], a[1], a[2])
 	},
@@ -29,17 +30,19 @@
 	},
 }
 
-// patientWithClients is an operator's file that cuts off no silent client: how soon the next piece of a
-// script's request follows is for the machine to say, and nothing that these scripts check.
-const patientWithClients = `{"http":{"silent_client_ms":600000}}`
+// longSilentTimeout is an operator's file with a silent timeout that is never reached: on a busy machine the next
+// piece of a script's request may come late, and these scripts don't check that timeout.
+const longSilentTimeout = `{"http":{"silent_client_ms":600000}}`
 
+// TestProgram runs scripts with clients, members (r1, r2), discovery and the program.
+//
 //nolint:funlen // a table of cases, each a few lines
 func TestProgram(t *testing.T) {
 	for name, c := range map[string]struct {
 		members int
 		script  string
 	}{
-		// The members are owed path, query, body, id and key to the letter.
+		// The members must get path, query, body, id and key unchanged.
 		"passes a job on unchanged": {1, `
 			client send POST /place-hold/a%2Fb?sid=7f&x;y=%zz&& HTTP/1.1\r\nHost: app\r\nX-Call-Id: 9b1f\r\nX-Call-Class: place-hold\r\nX-Caller: acme\r\nX-Budget: 9.5\r\nX-Call-Cost: 4000\r\nX-Call-Info: slots=2,new=1\r\nIdempotency-Key: 5c0f\r\nContent-Length: 3\r\n\r\na\x1
 			r1 expect ^POST /place-hold/a%2Fb\?sid=7f&x;y=%zz&& HTTP/1.1\r\n
@@ -49,7 +52,7 @@
 			client.back expect 204 No Content
 			client expect ^HTTP/1.1 200 OK\r\n.*\r\n\r\nearly$
 			r1 send @answer(202)`},
-		// A callback may be repeated, or concern another member or an ended flow.
+		// A callback may be repeated, or come from another member, or be about a flow that has ended.
 		"counts a call-back once": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -67,7 +70,7 @@
 			client expect ^HTTP/1.1 200 OK\r\n.*\r\n\r\nright$
 			client send @get(/health/ready)
 			client expect ^HTTP/1.1 200 OK`},
-		// It never says 202: what it has told ends the job, and the connection.
+		// The member never answers 202: its callback ends the job, and the connection to it is closed.
 		"ends with a call-back what was not answered": {1, `
 			client send @job(group-ticket,t-1,25)
 			r1 expect X-Call-Id: t-1.*body
@@ -75,8 +78,8 @@
 			client.back expect 204 No Content
 			client expect ^HTTP/1.1 200 OK\r\n.*\r\n\r\none$
 			r1 wait`},
-		// http.Transport sends a keyed request again by itself when a connection that
-		// it kept breaks: the next thing that the member sees must be the next job.
+		// http.Transport itself repeats a request with an Idempotency-Key when a reused connection breaks.
+		// That must not happen: the next request that the member gets must be the next job.
 		"never sends a ticket again that may have run": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -98,16 +101,16 @@
 			r2 expect X-Call-Id: h-1.*body
 			client.back send @news(h-1,s-r2,done,second)
 			client expect 200 OK.*second$`},
-		// What a key would tell the two apart by is missing: the first may have run.
+		// Without a key the member can't recognize a repetition, and the first attempt may have run.
 		"does not repeat what came without its key": {2, `
 			client send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nX-Budget: 9\r\nX-Call-Cost: 400000\r\nContent-Length: 4\r\n\r\nbody
 			r1 expect X-Call-Id: h-1.*body
 			r1 close
 			client expect ^HTTP/1.1 502
 			client.other send @job(send-notice,n-1,20)
-			r2 expect ^POST /send-notice`}, // its first
-		// What does not start is asked back while another member can have it in
-		// time, and goes there once the first one has heard: never two at once.
+			r2 expect ^POST /send-notice`}, // the first request that r2 gets
+		// A job that does not start is cancelled while another member can still run it in time. It is sent
+		// there once the first member has confirmed the cancellation: never to two members at once.
 		"asks back what does not start": {2, `
 			client send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nIdempotency-Key: k-1\r\nX-Budget: 9\r\nX-Call-Cost: 400000\r\nContent-Length: 0\r\n\r\n
 			r1 expect X-Call-Id: h-1
@@ -121,14 +124,14 @@
 			client.late expect 204
 			client.back send @news(h-1,s-r2,done,second)
 			client expect 200 OK.*second$`},
-		// What failed may have run: it is no refusal.
+		// A job that failed may have run, so the answer must not be a refusal.
 		"tells an error": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
 			r1 send @answer(500)
 			client expect ^HTTP/1.1 502`},
-		// A member's word that a request is bad is held against the request alone:
-		// an error would keep the next job from that member.
+		// If a member answers that a request is bad, that does not count as an error of the member: an error
+		// would keep the next job away from it.
 		"tells a bad request, and trusts the member": {2, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -148,7 +151,7 @@
 			r1 expect X-Call-Id: t-1.*body
 			client close
 			r1 wait`},
-		// Given up at once: the answer is not held back, and says when to come back.
+		// A job that can't end in time is refused at once, with a Retry-After.
 		"refuses what is hopeless": {1, `
 			client send @job(place-hold,h-1,0.05)
 			client expect ^HTTP/1.1 503.*Retry-After: 2\.000|Retry-After: 1\.99`},
@@ -170,9 +173,9 @@
 			client.6 wait
 			client.7 send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nContent-Length: 60000000\r\n\r\n@large(x)
 			client.7 expect ^HTTP/1.1 413.*Connection: close`},
-		// Two lengths may hide a request in a body: the chunks count, as RFC 9112
-		// asks, and the connection ends after the answer, so that what follows the
-		// chunks is never read; the member's next request is the next client's.
+		// Guards against request smuggling with two lengths: the chunks count, as RFC 9112 requires, and the
+		// connection is closed after the answer, so that what follows the chunks is never read. The next
+		// request that the member gets is the next client's.
 		"passes nothing hidden on": {1, `
 			client send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nX-Budget: 9\r\nContent-Length: 200\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n@job(place-hold,h-2,9)
 			r1 expect ^POST /place-hold[^\n]*\n.*X-Call-Id: h-1\r\n
@@ -184,14 +187,14 @@
 			r1.next expect ^POST /group-ticket[^\n]*\n.*X-Call-Id: t-3\r\n
 			client.back send @news(t-3,s-r1,done,three)
 			client.two expect 200 OK.*three$`},
-		// A body in chunks of any size is read whole and goes on with a length.
+		// A body in chunks of any size is read completely and forwarded with a Content-Length.
 		"takes a body in chunks": {1, `
 			client send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nX-Budget: 9\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbod\r\n1\r\ny\r\n0\r\n\r\n
 			r1 expect ^POST /place-hold[^\n]*\n.*Content-Length: 4\r\n.*\r\n\r\nbody$
 			r1 send @answer(202)
 			client.back send @news(h-1,s-r1,done,one)
 			client expect ^HTTP/1.1 200 OK.*one$`},
-		// Shutdown alone would shut out the callback that the last job waits for.
+		// Closing the listener at once would block the callback that the last job waits for.
 		"drains": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -216,7 +219,7 @@
 			client.held expect 200 OK.*three$
 			client.held wait
 			program wait`},
-		// The end by force finds nothing unanswered that came late.
+		// A job that comes too late to end before the forced end of the drain is refused.
 		"refuses what the end by force would meet": {1, `
 			program expect serving
 			client send @job(group-ticket,t-1,20)
@@ -231,9 +234,9 @@
 			client.back send @news(t-1,s-r1,done,one)
 			client expect 200 OK.*one$
 			program wait`},
-		// The socket closes with the end of what is in progress, and callbacks are shut out
-		// with it: what a client sends on a connection that is still open is refused, not
-		// sent on for a result that can't come.
+		// The socket is closed once no job is in progress, and callbacks can't get in any more. A job that
+		// comes later on an open connection is refused, not sent to a member, since its result couldn't
+		// be delivered.
 		"refuses what comes once the socket is closed": {1, `
 			program expect serving
 			client send @job(group-ticket,t-1,20)
@@ -252,8 +255,8 @@
 			client.late send Host: app\r\nX-Call-Id: h-2\r\nX-Budget: 9\r\nContent-Length: 0\r\n\r\n
 			client.late expect ^HTTP/1.1 503
 			program wait`},
-		// Nothing that comes in a drain cuts it short: a second signal, a reload, half a
-		// callback, half an answer of the member.
+		// Nothing that happens during a drain ends it early: a second signal, a reload, a partial callback, a
+		// partial answer of the member.
 		"drains to its end whatever comes": {1, `
 			client send @job(group-ticket,t-1,20)
 			r1 expect X-Call-Id: t-1.*body
@@ -294,15 +297,15 @@
 			client expect 200 OK.*one$
 			program expect msg=done failed=0 open=0 refused=0 served=1 taken=1
 			program wait`},
-		// A connection to discovery that falls silent looks like one on which nothing
-		// changes: it is given up soon, and the watch goes on where it was.
+		// A call to discovery without an answer looks like one on which nothing changes: it times out soon,
+		// and the watch continues from the same index.
 		"notices a silent discovery": {1, `
 			discovery expect GET /registry/instances\?index=41&wait=1 HTTP
 			discovery send @list({"generation":42,"reset":false,"instances":[]})
 			discovery expect GET /registry/instances\?index=42&wait=2000 HTTP
 			program expect a call to discovery failed.*deadline exceeded
 			discovery.next expect GET /registry/instances\?index=42&wait=1 HTTP`},
-		// A malformed list changes nothing and is a failed call; a drain is kept.
+		// A malformed list changes nothing and counts as a failed call; a member that is leaving gets no job.
 		"follows discovery": {1, `
 			discovery expect GET /registry/instances\?index=41&wait=1 HTTP
 			discovery send @list({"generation":42,"instances":[{"instanceId":"s-r1","lifecycle":"lost"}]})
@@ -312,9 +315,9 @@
 			discovery expect GET /registry/instances\?index=43&wait=2000 HTTP
 			client send @job(place-hold,h-1,1)
 			client expect ^HTTP/1.1 503`},
-		// A reload asks the service that the file names for its whole list, since
-		// versions differ, and drops the old watch and its late answer. Members and
-		// the job in progress stay. A broken file changes nothing.
+		// A reload asks the discovery service named in the file for its complete list, since its generations
+		// may differ, and drops the old watch and its late answer. Members and the job in progress stay. An
+		// invalid file changes nothing.
 		"reloads": {1, `
 			discovery expect GET /registry/instances\?index=41&wait=1 HTTP
 			client send @job(group-ticket,t-1,20)
@@ -341,17 +344,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scenario.RunScript(t, scenario.Start(t, c.members, patientWithClients), words, c.script)
+			scenario.RunScript(t, scenario.Start(t, c.members, longSilentTimeout), scriptFunctions, c.script)
 		})
 	}
 }
 
-// TestShortDeadlines: where all deadlines are short the end is near, and the socket
-// closes before any request counts as late. What comes then is refused all the same: no
-// callback could bring its result.
+// TestShortDeadlines checks a drain when all deadlines are short: the forced end is then near, and the socket is
+// closed before any request counts as late. A job that comes then is still refused, since no callback could
+// deliver its result.
 func TestShortDeadlines(t *testing.T) {
 	settings := regexp.MustCompile(`"give_up":\d+`).ReplaceAllString(scenario.Settings, `"give_up":900000000`)
-	scenario.RunScript(t, scenario.StartWithSettings(t, 1, settings), words, `
+	scenario.RunScript(t, scenario.StartWithSettings(t, 1, settings), scriptFunctions, `
 		program expect serving
 		client send POST /place-hold HTTP/1.1\r\n
 		client.new send @get(/health/live)
@@ -365,21 +368,20 @@
 		program wait`)
 }
 
-// TestCallbacksGetIn: clients that wait for answers on as many connections as there
-// may be leave room for the callback that ends a job. Without it no job would be
-// told to have started or ended, and all members would look full for good. The
-// crowd waits for longer than the ticket may.
-func TestCallbacksGetIn(t *testing.T) {
-	const connections = 512 // a half of the sockets that scenarios set
-	var crowd strings.Builder
+// TestCallbacksDuringFullLoad checks that the callback that ends a job gets a connection while clients that wait
+// for answers hold as many connections as allowed. Otherwise no job would be reported as started or ended, and
+// all members would look full forever. The other clients wait longer than the ticket's budget.
+func TestCallbacksDuringFullLoad(t *testing.T) {
+	const connections = 512 // half of the sockets that scenarios configure
+	var clients strings.Builder
 	for n := range connections - 1 {
-		fmt.Fprintf(&crowd, "client.c%d send @job(send-notice,c-%d,25)\n", n, n)
+		fmt.Fprintf(&clients, "client.c%d send @job(send-notice,c-%d,25)\n", n, n)
 	}
-	scenario.RunScript(t, scenario.Start(t, 1, ""), words, `
+	scenario.RunScript(t, scenario.Start(t, 1, ""), scriptFunctions, `
 		client send @job(group-ticket,t-1,10)
 		r1 expect X-Call-Id: t-1.*body
 		r1 send @answer(202)
-		`+crowd.String()+`
+		`+clients.String()+`
 		client.back send @news(t-1,s-r1,started)
 		client.back expect 204 No Content
 		client.end send @news(t-1,s-r1,done,one)
@@ -387,6 +389,7 @@
 		client expect 200 OK.*one$`)
 }
 
+// TestBadConfiguration checks that the program ends with an error message for an invalid configuration.
 func TestBadConfiguration(t *testing.T) {
 	for text, want := range map[string]string{
 		"{":                      "config.json: configuration: cannot parse JSON",
@@ -402,15 +405,16 @@
 }
 
 func init() {
-	words["large"] = func(...string) string { return strings.Repeat("x", 65537) }
+	scriptFunctions["large"] = func(...string) string { return strings.Repeat("x", 65537) }
 }
 
-// TestOneFlowWhateverIsAllowed: where the settings allow second copies, the program still keeps one flow of a
-// transaction, and its decisions know: a job that does not start is asked back, not sent beside itself.
-func TestOneFlowWhateverIsAllowed(t *testing.T) {
+// TestOneFlowDespiteSecondCopies checks that a transaction has at most one flow even if the settings allow second
+// copies, and that the decisions take this into account: a job that does not start is cancelled and sent to
+// another member, and no second copy is sent.
+func TestOneFlowDespiteSecondCopies(t *testing.T) {
 	settings := strings.NewReplacer(`"effect":"deduplicated","key_scope":"cell"`, `"effect":"idempotent"`, `"cancel":true`, `"cancel":true,"second_copies":true`).Replace(scenario.Settings)
 	require.Contains(t, settings, "second_copies")
-	scenario.RunScript(t, scenario.StartWithSettings(t, 2, settings), words, `
+	scenario.RunScript(t, scenario.StartWithSettings(t, 2, settings), scriptFunctions, `
 		client send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nX-Budget: 9\r\nX-Call-Cost: 400000\r\nContent-Length: 0\r\n\r\n
 		r1 expect X-Call-Id: h-1
 		r1 send @answer(202)
--- a/internal/dispatcher/httpfront/readahead.go
+++ b/internal/dispatcher/httpfront/readahead.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// maxReadAhead is how many bytes may be read behind a request that is served: one whole request, for
-	// a client that sends its next at the last byte of its answer. A client that sends more sends
-	// several at a time, which the protocol does not allow.
+	// maxReadAhead is how many bytes may be read ahead on a connection while a request is served: one
+	// complete request, for a client that sends its next request at the last byte of its answer. A client
+	// that sends more has several requests outstanding, which the protocol does not allow.
 	maxReadAhead = maxHeaderBytes + pipeline.MaxBody
-	// maxTotalReadAhead is how many bytes may be read ahead on all connections, to stay within the
-	// memory.
+	// maxTotalReadAhead is how many bytes may be read ahead on all connections, to limit memory use.
 	maxTotalReadAhead = 4 << 20
 )
 
-// readAhead is what is read of a connection while a request on it is served. net/http reads one byte
-// then, to notice a client that leaves; with that byte it stops, and a close behind it goes unnoticed until
-// all requests before it have been begun. From that byte on the connection is read here.
+// readAhead is the state of reading a connection while a request on it is served. net/http then reads one
+// byte to detect a disconnect and stops after that byte, so it notices a later disconnect only once all the
+// requests before it have been started. From that byte on, the connection is read here.
 type readAhead struct {
-	unread        []byte
-	done          chan struct{} // closed once reading has ended; nil: nobody reads ahead
-	readErr       error         // why reading ended: the client has left, or sent too much
+	unread        []byte        // bytes read ahead that the server has not read yet
+	done          chan struct{} // closed once reading ahead has ended; nil if no goroutine reads ahead
+	readErr       error         // why reading ended: the client has disconnected, or sent too much
 	clientLeft    bool
-	cancelRequest context.CancelFunc // ends the request that is served; nil: none is
+	cancelRequest context.CancelFunc // cancels the request that is served; nil if there is none
 }
 
-// errTooMuchAhead ends a connection on which more than one request came ahead.
+// errTooMuchAhead is returned by Read when the client sent more than maxReadAhead bytes ahead, or all clients
+// together more than maxTotalReadAhead.
 var errTooMuchAhead = errors.New("requests sent without waiting for an answer")
 
-// watchClient sets how the context of the request that is served is cancelled if the client leaves; nil:
-// none is served any more. It reports whether the client is still there.
+// watchClient sets the function that cancels the served request if the client disconnects; nil means that no
+// request is served any more. It reports whether the client is still connected.
 func (c *limitedConn) watchClient(cancel context.CancelFunc) bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -41,8 +41,8 @@
 	return !c.clientLeft
 }
 
-// startReadAhead reads on from a byte that came early until stopReadAhead, or until the client leaves. The
-// lock is held.
+// startReadAhead starts reading ahead after a byte that came while a request is served, until stopReadAhead
+// is called or the client disconnects. The lock is held.
 func (c *limitedConn) startReadAhead() {
 	if c.done == nil && c.readErr == nil && !c.closed {
 		c.done = make(chan struct{})
@@ -50,7 +50,7 @@
 	}
 }
 
-// readAheadLoop reads until the read deadline is set to the past, or the connection ends.
+// readAheadLoop reads until the read deadline is set to the past or the connection is closed.
 func (c *limitedConn) readAheadLoop(done chan struct{}) {
 	defer close(done)
 	for buffer := make([]byte, 4<<10); ; {
@@ -65,8 +65,8 @@
 	}
 }
 
-// addReadAhead keeps what was read ahead, and reports whether more may come. Once it is too much nothing
-// is kept, but the end of the connection is still waited for.
+// addReadAhead stores bytes that were read ahead, and reports whether reading should go on. Above the limits
+// it discards all of them and stores no more, but reading goes on in order to detect a disconnect.
 func (c *limitedConn) addReadAhead(b []byte, err error) bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -90,12 +90,12 @@
 	return false
 }
 
-// stopReadAhead ends reading ahead, and waits for its goroutine: net/http reads again.
+// stopReadAhead stops reading ahead and waits for its goroutine. It is called when net/http reads again.
 func (c *limitedConn) stopReadAhead() {
 	c.listener.mu.Lock()
 	done := c.done
 	if done != nil {
-		_ = c.Conn.SetReadDeadline(pastDeadline) // it fails on one that is closed, whose reads have ended
+		_ = c.Conn.SetReadDeadline(pastDeadline) // fails if c is closed; its reads have then ended
 	}
 	c.listener.mu.Unlock()
 	if done == nil {
@@ -105,11 +105,11 @@
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.done = nil
-	_ = c.setReadDeadline(c.readDeadline) // it fails on one that is closed, as the next read then does
+	_ = c.setReadDeadline(c.readDeadline) // fails if c is closed, as the next read then does
 }
 
-// takeReadAhead returns what was read ahead, and then how reading ended; available is whether there was
-// either. The lock is held.
+// takeReadAhead copies bytes that were read ahead to b. After the last of them it returns the error with which
+// reading ahead ended, if any. available reports whether there were bytes or an error. The lock is held.
 func (c *limitedConn) takeReadAhead(b []byte) (n int, available bool, err error) {
 	if len(c.unread) == 0 {
 		return 0, c.readErr != nil, c.readErr
--- a/internal/dispatcher/httpfront/readahead_test.go
+++ b/internal/dispatcher/httpfront/readahead_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// served is a connection on which a request is served, as net/http sees it: it looks
-// for the client's leaving with a read of one byte.
-func served(t *testing.T) (c *limitedConn, far net.Conn, left chan bool) {
+// servedConn returns a connection on which a request is served, and the client's end of it. A value is sent to
+// left when the client's disconnect cancels the request. The tests read one byte from c, as net/http does.
+func servedConn(t *testing.T) (c *limitedConn, far net.Conn, left chan bool) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
 	l := newLimitedListener(nil, 2)
@@ -22,10 +22,10 @@
 	return c, far, left
 }
 
-// TestReadAhead: what comes while a request is served is kept for the next, to the
-// byte, in pieces of any size; the end behind it is told once, and read last.
+// TestReadAhead checks that all bytes that come while a request is served, in pieces of any size, are kept for the
+// next request. The end of the connection after them cancels the request once, and is read last.
 func TestReadAhead(t *testing.T) {
-	c, far, left := served(t)
+	c, far, left := servedConn(t)
 	sent := "POST /x HTTP/1.1\r\n"
 	go func() {
 		for _, b := range []byte(sent) {
@@ -39,16 +39,16 @@
 	require.Equal(t, 1, n)
 	<-left
 	c.watchClient(nil)
-	require.False(t, c.watchClient(nil), "nothing begins for a client that has gone")
+	require.False(t, c.watchClient(nil), "no request is served for a client that has disconnected")
 	rest, err := io.ReadAll(c)
 	require.NoError(t, err)
 	require.Equal(t, sent, string(first)+string(rest))
 	require.Empty(t, left)
 }
 
-// TestReadAheadStops: what comes after net/http reads again is read there.
+// TestReadAheadStops checks that bytes that come after net/http reads again are not read ahead.
 func TestReadAheadStops(t *testing.T) {
-	c, far, left := served(t)
+	c, far, left := servedConn(t)
 	go func() { _, _ = far.Write([]byte("abc")) }()
 	b := make([]byte, 1)
 	_, err := c.Read(b)
@@ -72,10 +72,10 @@
 	require.Empty(t, left)
 }
 
-// TestReadAheadIsBounded: of one that sends more than a request ahead nothing is kept,
-// its leaving is noticed all the same, and its connection ends.
+// TestReadAheadIsBounded checks that no bytes are kept of a client that sends more than one request ahead, that its
+// disconnect is still detected, and that later reads of its connection fail.
 func TestReadAheadIsBounded(t *testing.T) {
-	c, far, left := served(t)
+	c, far, left := servedConn(t)
 	go func() { _, _ = c.Read(make([]byte, 1)) }()
 	_, err := far.Write(make([]byte, maxReadAhead+2))
 	require.NoError(t, err)
@@ -90,14 +90,14 @@
 	require.ErrorIs(t, err, errTooMuchAhead)
 }
 
-// TestReadAheadOfAll: what lies unread of all connections is bounded, and given back
-// as it is read or its connection ends.
-func TestReadAheadOfAll(t *testing.T) {
-	c, far, _ := served(t)
+// TestTotalReadAheadIsBounded checks the limit of the bytes read ahead on all connections. Bytes no longer count
+// once they are read or their connection is closed.
+func TestTotalReadAheadIsBounded(t *testing.T) {
+	c, far, _ := servedConn(t)
 	go func() { _, _ = c.Read(make([]byte, 1)) }()
 	_, err := far.Write(make([]byte, 11))
 	require.NoError(t, err)
-	_, err = far.Write([]byte("x")) // taken once what came before is kept
+	_, err = far.Write([]byte("x")) // is read only after the bytes before it have been stored
 	require.NoError(t, err)
 	c.stopReadAhead()
 	require.Equal(t, 11, c.listener.readAheadBytes)
@@ -108,7 +108,7 @@
 	require.True(t, c.addReadAhead([]byte("y"), nil))
 	require.Equal(t, 8, len(c.unread))
 	require.True(t, c.addReadAhead([]byte("z"), nil))
-	require.Equal(t, maxTotalReadAhead-8, c.listener.readAheadBytes, "its own is given back")
+	require.Equal(t, maxTotalReadAhead-8, c.listener.readAheadBytes, "the bytes of the connection no longer count")
 	_, err = c.Read(make([]byte, 4))
 	require.ErrorIs(t, err, errTooMuchAhead)
 
@@ -120,10 +120,10 @@
 	require.Equal(t, maxTotalReadAhead-8, c.listener.readAheadBytes)
 }
 
-// TestServedIsNotClosed: net/http takes a connection for idle, a request comes on it,
-// and only then it is closed: its answer still goes out.
-func TestServedIsNotClosed(t *testing.T) {
-	c, far, _ := served(t)
+// TestServedConnIsNotClosed checks that a request is still answered if net/http considers its connection idle and
+// closes it only after the request has come.
+func TestServedConnIsNotClosed(t *testing.T) {
+	c, far, _ := servedConn(t)
 	require.NoError(t, c.Close())
 	go func() { _, _ = c.Write([]byte("answer")) }()
 	b := make([]byte, 6)
--- a/internal/dispatcher/httpfront/server.go
+++ b/internal/dispatcher/httpfront/server.go
@@ -1,9 +1,9 @@
-// Package httpfront is the client side of the platform's HTTP protocol: it takes jobs, gives each its one
-// answer, takes the callbacks of pool members and answers health checks.
+// Package httpfront serves the client-facing side of the platform's HTTP protocol: it accepts jobs, answers
+// each job once, accepts the callbacks of pool members and answers health checks.
 //
 // Server embeds a reverse proxy whose transport is the engine (job.go). Its listener bounds the number of
-// connections (listener.go, eviction.go, conn.go) and reads ahead of a request that is served to notice a
-// client that leaves (readahead.go).
+// connections (listener.go, eviction.go, conn.go) and, while a request is served, reads ahead on its
+// connection to detect that the client has disconnected (readahead.go).
 package httpfront
 
 import (
@@ -24,7 +24,7 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// Engine is what the front needs of engine.Engine.
+// Engine is the part of engine.Engine that Server uses.
 type Engine interface {
 	Submit(*engine.Transaction)
 	ClientLeft(*engine.Transaction)
@@ -32,25 +32,25 @@
 	Ready() bool
 }
 
-// TransactionFactory makes transactions of submissions; pipeline.Pipeline implements it.
+// TransactionFactory creates transactions from submissions; pipeline.Pipeline implements it.
 type TransactionFactory interface {
 	NewTransaction(a pipeline.Submission, now time.Time, client engine.Client) (*engine.Transaction, error)
 }
 
 const (
-	headerTimeout  = 20 * time.Second // for a client to send a header, unless its place is needed
-	requestTimeout = 25 * time.Second // and a whole request
-	answerTimeout  = 5 * time.Second  // and to read its answer
-	idleTimeout    = 5 * time.Minute  // for which an idle connection is kept
+	headerTimeout  = 20 * time.Second // for a client to send a header; the connection may be evicted sooner
+	requestTimeout = 25 * time.Second // for a client to send a complete request
+	answerTimeout  = 5 * time.Second  // for a client to read the answer
+	idleTimeout    = 5 * time.Minute  // how long an idle connection is kept open
 	maxHeaderBytes = 16 << 10
 )
 
-// Front is the name that this front's jobs are counted by.
+// Front is the name under which the jobs of this front are counted.
 const Front = "http"
 
 // Server is the HTTP front. Its exported methods may be called by any goroutine.
 type Server struct {
-	Counters     accounting.FrontCounters // the front's own, for audits
+	Counters     accounting.FrontCounters // of this front only, for audits
 	engine       Engine
 	factory      TransactionFactory
 	log          *slog.Logger
@@ -59,24 +59,24 @@
 	draining     atomic.Bool
 	closingIdle  atomic.Bool // see CloseIdleConnections
 	inFlight     atomic.Int64
-	listener     atomic.Pointer[limitedListener] // nil: it does not serve yet
+	listener     atomic.Pointer[limitedListener] // nil until Serve is called
 	jobBodies    bodyMemory                      // of jobs
-	updateBodies bodyMemory                      // of callbacks, which jobs must not shut out
-	// ForwardUpdate hands on an update of a job that is not open here: with a socket shared by two
-	// processes of one dispatcher, a member's callback may reach the other one. Nil: there is none. It
-	// must be set before Serve.
+	updateBodies bodyMemory                      // of callbacks; separate, so that jobs can't use it up
+	// ForwardUpdate forwards an update of a job that is not open in this process: when two processes of
+	// one dispatcher share a socket, a member's callback may reach the wrong one. It is nil if there is no
+	// other process, and must be set before Serve.
 	ForwardUpdate func(text []byte)
-	// SilentTimeout is how long a client may send nothing while its request is not whole. It must be set
+	// SilentTimeout is how long a client may send nothing while its request is incomplete. It must be set
 	// before Serve.
 	SilentTimeout time.Duration
 }
 
-// New returns a front that does not serve yet.
+// New returns a server that is not serving yet.
 func New(e Engine, factory TransactionFactory, log *slog.Logger) *Server {
 	s := &Server{Counters: accounting.FrontCounters{Front: Front}, engine: e, factory: factory, log: log, SilentTimeout: defaultSilentTimeout}
-	quiet := slog.NewLogLogger(log.Handler(), slog.LevelDebug) // clients' errors are not this program's
+	quiet := slog.NewLogLogger(log.Handler(), slog.LevelDebug) // errors of clients are no errors of this program
 	s.proxy = &httputil.ReverseProxy{
-		// The query is passed on as it came: ReverseProxy drops from it what it cannot parse, and the
+		// The query is forwarded as received: ReverseProxy drops the parts that it can't parse, but the
 		// members must get every byte.
 		Rewrite: func(p *httputil.ProxyRequest) {
 			p.Out.URL.Scheme, p.Out.URL.Host = "http", "pool"
@@ -102,8 +102,8 @@
 	return s
 }
 
-// SetBodyMemory bounds the memory that bodies of jobs take at a time, in bytes, and those of
-// callbacks to half as much beside them. It is called before Serve.
+// SetBodyMemory limits the memory that the bodies of jobs use at a time, in bytes. The bodies of callbacks
+// may use half as much in addition. It must be called before Serve.
 func (s *Server) SetBodyMemory(bytes int) {
 	s.jobBodies.max, s.updateBodies.max = int64(bytes), int64(bytes/2)
 }
@@ -121,19 +121,20 @@
 	return nil
 }
 
-// Drain turns the ready check off. Clients that have not noticed yet, or hold a connection, are still served.
+// Drain makes the ready check fail. Clients that have not noticed yet, or have an open connection, are still
+// served.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Undrain ends a drain after which the process goes on: the ready check is on and connections are kept
+// Undrain cancels a drain: the ready check succeeds again, and connections are kept open between requests
 // again.
 func (s *Server) Undrain() {
 	s.draining.Store(false)
 	s.closingIdle.Store(false)
 }
 
-// CloseIdleConnections closes connections between requests from now on. The listener stays open for the
-// callbacks that still bring results. net/http's own way, SetKeepAlivesEnabled, also closes a connection
-// whose next request has just been read.
+// CloseIdleConnections closes the connections that are between requests, now and from now on. The listener
+// stays open for the callbacks that still deliver results. SetKeepAlivesEnabled of net/http isn't used, since
+// it also closes a connection whose next request has just been read.
 func (s *Server) CloseIdleConnections() {
 	s.closingIdle.Store(true)
 	if l := s.listener.Load(); l != nil {
@@ -141,16 +142,16 @@
 	}
 }
 
-// InFlight returns how many jobs are being read or wait for their answer.
+// InFlight returns the number of jobs that are being read or wait for their answer.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// Shutdown closes the listener and waits for the connections. Callbacks are shut out, so that it may be
-// called only once no job is open. What still comes on open connections is answered: net/http's own
-// Shutdown closes a connection without an answer on which it reads a request from then on, so that it is
-// never called. Each connection ends when nothing is owed on it.
+// Shutdown closes the listener and waits until the connections are closed. Callbacks are no longer accepted,
+// so it may only be called once no job is open. Requests that still arrive on open connections are answered;
+// Shutdown of net/http is never called, since it closes without an answer a connection on which it reads a
+// request from then on. Each connection is closed once no request on it waits for an answer.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if l := s.listener.Load(); l != nil {
-		_ = l.Close() // it was closed before, or is now
+		_ = l.Close() // an error means that it was closed already
 		s.CloseIdleConnections()
 		defer time.AfterFunc(partialRequestWait, l.closePartial).Stop()
 		tick := time.NewTicker(5 * time.Millisecond)
@@ -163,17 +164,17 @@
 			}
 		}
 	}
-	_ = s.server.Close() // clients that are left do not read their answer
+	_ = s.server.Close() // the remaining clients don't read their answer
 	return nil
 }
 
-// partialRequestWait is how long Shutdown waits for requests that come in pieces.
+// partialRequestWait is how long Shutdown waits for the rest of incomplete requests.
 const partialRequestWait = 5 * time.Second
 
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
-// ServeHTTP implements http.Handler. A request is served once it is whole, which it must be in
+// ServeHTTP implements http.Handler. A request is served once it is complete; it must be complete within
 // requestTimeout.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
@@ -189,8 +190,8 @@
 		defer s.inFlight.Add(-1)
 		maxBytes, serve, bodies = pipeline.MaxBody, s.serveJob, &s.jobBodies
 	}
-	// A client that does not read what is written before the answer is not waited for. Deadlines can't be
-	// set on a connection that is closed, on which what follows fails too.
+	// The write deadline covers what is written before the answer, in case the client does not read it. The
+	// error is ignored: it means that the connection is closed, and then the following calls fail too.
 	controller := http.NewResponseController(w)
 	_ = controller.SetWriteDeadline(arrived.Add(requestTimeout + answerTimeout))
 	body, ok := readComplete(w, r, maxBytes, bodies)
@@ -200,48 +201,48 @@
 	}
 	if c, ok := ctx.Value(connKey{}).(*limitedConn); ok {
 		if !c.serve(maxBytes > 0) {
-			panic(http.ErrAbortHandler) // it was evicted: nobody is there
+			panic(http.ErrAbortHandler) // the connection was evicted
 		}
-		var leave context.CancelFunc
-		ctx, leave = context.WithCancel(ctx)
-		defer leave()
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithCancel(ctx)
+		defer cancel()
 		defer c.watchClient(nil)
-		if !c.watchClient(leave) {
-			leave()
+		if !c.watchClient(cancel) {
+			cancel()
 		}
 	}
-	// The server goes on reading to notice a client that leaves: with the deadline still set it would
-	// take one that waits for gone.
+	// The server keeps reading to detect that the client has disconnected. If the read deadline stayed set,
+	// it would treat a client that waits for its answer as disconnected.
 	_ = controller.SetReadDeadline(time.Time{})
 	_ = controller.SetWriteDeadline(time.Now().Add(answerTimeout))
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	serve(w, r.WithContext(context.WithValue(ctx, requestKey{}, completeRequest{arrived, body})))
 }
 
-// prepareAnswer is the proxy's hook before an answer is written. Bad input ends its connection, and a
-// client that does not read its answer is not waited for.
+// prepareAnswer is the proxy's ModifyResponse hook, called before an answer is written. It closes the
+// connection after an answer to bad input, and sets a write deadline in case the client does not read.
 func (s *Server) prepareAnswer(resp *http.Response) error {
 	if s.announceClose(resp.Header); isClientError(resp.StatusCode) {
 		resp.Header.Set("Connection", "close")
 	}
 	if c, ok := resp.Request.Context().Value(connKey{}).(net.Conn); ok {
-		_ = c.SetWriteDeadline(time.Now().Add(answerTimeout)) // it fails on one that is closed, as the write does
+		_ = c.SetWriteDeadline(time.Now().Add(answerTimeout)) // fails if c is closed, as the write then does
 	}
 	return nil
 }
 
-// announceClose tells the client with an answer that its connection ends, if it does.
+// announceClose sets "Connection: close" on an answer if its connection is closed after it.
 func (s *Server) announceClose(h http.Header) {
 	if s.closingIdle.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
-// isClientError reports whether a status blames the request.
+// isClientError reports whether a status is 4xx.
 func isClientError(status int) bool { return status >= 400 && status < 500 }
 
-// rejectInput answers input that is wrong. Its connection ends with that: what comes next on it can't be
-// trusted, and it holds a place.
+// rejectInput answers invalid input and closes the connection: what follows on it can't be trusted, and the
+// connection counts against the limit.
 func rejectInput(w http.ResponseWriter, status int, text string) {
 	if status == http.StatusMethodNotAllowed && w.Header().Get("Allow") == "" {
 		w.Header().Set("Allow", http.MethodPost)
@@ -250,7 +251,8 @@
 	http.Error(w, text, status)
 }
 
-// logClientLeft handles a job without an answer: its client has gone.
+// logClientLeft is the proxy's error handler, called for a job without an answer because its client has
+// disconnected.
 func (s *Server) logClientLeft(w http.ResponseWriter, _ *http.Request, err error) {
 	s.log.Debug("a client left before its answer", "error", err)
 	w.WriteHeader(http.StatusBadGateway)
--- a/internal/dispatcher/httpfront/unread_test.go
+++ b/internal/dispatcher/httpfront/unread_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// arrive is a connection that l has let in, and its client's end.
-func arrive(t *testing.T, l *limitedListener) (*limitedConn, net.Conn) {
+// connect returns a connection that l has accepted, and its client's end.
+func connect(t *testing.T, l *limitedListener) (*limitedConn, net.Conn) {
 	t.Helper()
 	far, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	require.NoError(t, err)
@@ -25,37 +25,39 @@
 	return near.(*limitedConn), far
 }
 
-// rest moves a connection to those that rest after they were of use.
-func (c *limitedConn) rest() {
+// makeIdle moves a connection to the list of idle connections that have carried work.
+func (c *limitedConn) makeIdle() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.moveTo(&c.listener.idleUsed)
 }
 
-func listening(t *testing.T, most int) *limitedListener {
+// listen returns a limited listener on a free local port.
+func listen(t *testing.T, maxConns int) *limitedListener {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	return newLimitedListener(l, most)
+	return newLimitedListener(l, maxConns)
 }
 
-// serve lets a server serve that many connections until the test ends, and returns its address.
-func serve(t *testing.T, s *Server, most int) (addr string) {
+// serve runs a server with at most that many connections until the test ends, and returns its address.
+func serve(t *testing.T, s *Server, maxConns int) (addr string) {
 	t.Helper()
 	l, err := new(net.ListenConfig).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(l, most) }()
+	go func() { served <- s.Serve(l, maxConns) }()
 	t.Cleanup(func() {
-		_ = s.server.Close() // what is wrong with its connections matters to no test
+		_ = s.server.Close() // errors of its connections don't matter to the tests
 		require.NoError(t, <-served)
 	})
 	return l.Addr().String()
 }
 
-// look is a look for a victim as Accept does it, a minute later.
-func (l *limitedListener) look() (c *limitedConn, in time.Duration) {
+// searchVictim searches for a victim as Accept does, as if a minute had passed. It returns the victim and the
+// delay until the next attempt.
+func (l *limitedListener) searchVictim() (c *limitedConn, in time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now().Add(time.Minute)
@@ -63,8 +65,8 @@
 	return c, until.Sub(now)
 }
 
-// waits tells whether bytes wait on a connection.
-func waits(c *limitedConn) func() bool {
+// hasUnreadBytes returns a function that reports whether a connection has unread bytes.
+func hasUnreadBytes(c *limitedConn) func() bool {
 	return func() bool {
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
@@ -72,36 +74,35 @@
 	}
 }
 
-// TestUnreadStays: a connection on which bytes wait that nobody has read yet is not
-// closed for another's sake, wherever it stands, and none of the bytes is lost. Another
-// one goes, or the next look comes soon.
-func TestUnreadStays(t *testing.T) {
+// TestUnreadBytesPreventEviction checks that a connection with unread bytes is not evicted, whichever list it is
+// in, and that none of the bytes is lost. Another connection is evicted, or the next attempt comes soon.
+func TestUnreadBytesPreventEviction(t *testing.T) {
 	for name, to := range map[string]func(*limitedListener) *list.List{
 		"new":            func(l *limitedListener) *list.List { return &l.fresh },
 		"never of use":   func(l *limitedListener) *list.List { return &l.idleUnused },
 		"idle after use": func(l *limitedListener) *list.List { return &l.idleUsed },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := listening(t, 2)
-			asks, far := arrive(t, l)
+			l := listen(t, 2)
+			c, far := connect(t, l)
 			l.mu.Lock()
-			asks.moveTo(to(l))
+			c.moveTo(to(l))
 			l.mu.Unlock()
 			_, err := far.Write([]byte("POST"))
 			require.NoError(t, err)
-			if name != "new" { // where it has not come yet, the connection may be closed
-				require.Eventually(t, waits(asks), 10*time.Second, time.Millisecond)
+			if name != "new" { // before the bytes have arrived, the connection may be evicted
+				require.Eventually(t, hasUnreadBytes(c), 10*time.Second, time.Millisecond)
 			}
-			require.Eventually(t, func() bool { _, in := l.look(); return in == evictionRetry }, 10*time.Second, time.Millisecond)
-			victim, _ := l.look()
+			require.Eventually(t, func() bool { _, in := l.searchVictim(); return in == evictionRetry }, 10*time.Second, time.Millisecond)
+			victim, _ := l.searchVictim()
 			require.Nil(t, victim)
-			silent, _ := arrive(t, l)
-			victim, _ = l.look()
+			silent, _ := connect(t, l)
+			victim, _ = l.searchVictim()
 			require.Same(t, silent, victim)
 			b := make([]byte, 16)
 			var got []byte
 			for len(got) < 4 {
-				n, err := asks.Read(b)
+				n, err := c.Read(b)
 				require.NoError(t, err)
 				got = append(got, b[:n]...)
 			}
@@ -110,13 +111,13 @@
 	}
 }
 
-// TestReadIsNoted: a Read takes nothing while a victim is looked for: what it took
-// unnoted would be on a connection that passes for idle, and be lost with it. The
-// lock is held here as by such a look, while the bytes come.
-func TestReadIsNoted(t *testing.T) {
-	l := listening(t, 1)
-	c, far := arrive(t, l)
-	c.rest()
+// TestReadTakesLock checks that a Read reads nothing during a search for a victim: the connection would still count
+// as idle, could be evicted, and the bytes would be lost. The test holds the lock, as such a search does, while
+// the bytes arrive.
+func TestReadTakesLock(t *testing.T) {
+	l := listen(t, 1)
+	c, far := connect(t, l)
+	c.makeIdle()
 	got, begun := make(chan string, 1), make(chan struct{})
 	go func() {
 		b := make([]byte, 4)
@@ -125,10 +126,10 @@
 		got <- string(b[:n])
 	}()
 	<-begun
-	time.Sleep(20 * time.Millisecond) // the Read waits by then, as a rule; the test holds if not
+	time.Sleep(20 * time.Millisecond) // by then the Read usually waits; the test is valid even if it does not
 	l.mu.Lock()
 	_, _ = far.Write([]byte("POST"))
-	time.Sleep(20 * time.Millisecond) // a Read that goes by no lock has the byte by then
+	time.Sleep(20 * time.Millisecond) // a Read without the lock would have the bytes by then
 	require.Same(t, &l.idleUsed, c.class)
 	require.Eventually(t, c.hasUnread, 10*time.Second, time.Millisecond)
 	require.Same(t, &l.fresh, c.class, "its request has begun")
@@ -136,18 +137,17 @@
 	require.Regexp(t, "^P", <-got)
 }
 
-// TestClosedInARead: a connection is closed while a Read on it has bytes and waits for
-// the lock. The close, which waits for that Read, must not hold the lock meanwhile,
-// and the Read takes nothing.
-func TestClosedInARead(t *testing.T) {
-	l := listening(t, 1)
-	c, far := arrive(t, l)
+// TestCloseDuringRead checks that a connection can be closed while a Read on it waits for the lock and bytes have
+// arrived. The close, which waits for that Read, must not hold the lock meanwhile, and the Read reads nothing.
+func TestCloseDuringRead(t *testing.T) {
+	l := listen(t, 1)
+	c, far := connect(t, l)
 	read, closed := make(chan int, 1), make(chan error, 1)
 	go func() {
 		n, _ := c.Read(make([]byte, 4))
 		read <- n
 	}()
-	time.Sleep(20 * time.Millisecond) // each of these has got to the lock then, as a rule
+	time.Sleep(20 * time.Millisecond) // by then each of these usually waits for the lock
 	l.mu.Lock()
 	go func() { closed <- c.Close() }()
 	time.Sleep(20 * time.Millisecond)
@@ -164,12 +164,12 @@
 	require.False(t, c.serve(true))
 }
 
-// TestDeadlineCrossesBytes: bytes that have come when a read's time is over are read, not
-// reset with the connection, be they a first part or the last one. Without any, the
-// time is over.
-func TestDeadlineCrossesBytes(t *testing.T) {
-	l := listening(t, 1)
-	c, far := arrive(t, l)
+// TestBytesAtDeadline checks that bytes that have arrived when a read deadline passes are read and not lost with a
+// reset of the connection, whether they are the first or the last part of a request. If there are none, Read
+// fails with a timeout.
+func TestBytesAtDeadline(t *testing.T) {
+	l := listen(t, 1)
+	c, far := connect(t, l)
 	b := make([]byte, 8)
 	require.NoError(t, c.SetReadDeadline(time.Unix(1, 0)))
 	_, err := c.Read(b)
@@ -186,42 +186,42 @@
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-// TestUntaken: a client that asks on and takes no answer loses its connection, and
-// with it its place, which nobody else could have had: it passes for served.
-func TestUntaken(t *testing.T) {
+// TestUnreadAnswers checks that the connection of a client that keeps sending requests and reads no answer is
+// closed. Otherwise it would count against the limit for good: it counts as served, so it can't be evicted.
+func TestUnreadAnswers(t *testing.T) {
 	t.Parallel()
 	s := New(nil, nil, logtest.Discard())
 	c, err := new(net.Dialer).DialContext(t.Context(), "tcp", serve(t, s, 1))
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
-	asks := bytes.Repeat([]byte("GET /health/live HTTP/1.1\r\nHost: app\r\n\r\n"), 1000)
+	requests := bytes.Repeat([]byte("GET /health/live HTTP/1.1\r\nHost: app\r\n\r\n"), 1000)
 	require.NoError(t, c.SetWriteDeadline(time.Now().Add(30*time.Second)))
 	for err == nil {
-		_, err = c.Write(asks)
+		_, err = c.Write(requests)
 	}
-	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "it still has its place")
+	require.NotErrorIs(t, err, os.ErrDeadlineExceeded, "the connection is still open")
 	require.Eventually(t, func() bool { return s.listener.Load().openConns() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// TestWaitsAsItCloses: a connection that was accepted and waits for a place as the
-// listener is closed may have sent its request: it is served.
-func TestWaitsAsItCloses(t *testing.T) {
-	l := listening(t, 1)
-	served, _ := arrive(t, l)
+// TestListenerClosedDuringAccept checks that a connection that was accepted, and waits for another to be closed
+// when the listener is closed, is still served: its client may have sent a request already.
+func TestListenerClosedDuringAccept(t *testing.T) {
+	l := listen(t, 1)
+	served, _ := connect(t, l)
 	require.True(t, served.serve(true))
 	far, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = far.Close() }()
 	_, err = far.Write([]byte("POST"))
 	require.NoError(t, err)
-	taken := make(chan struct{})
-	l.Listener = accepts{l.Listener, taken}
+	accepted := make(chan struct{})
+	l.Listener = signalingListener{l.Listener, accepted}
 	got := make(chan net.Conn, 1)
 	go func() {
 		c, _ := l.Accept()
 		got <- c
 	}()
-	<-taken
+	<-accepted
 	_ = l.Close()
 	c := <-got
 	require.NotNil(t, c)
@@ -234,16 +234,16 @@
 	require.Equal(t, 1, l.openConns())
 }
 
-// accepts tells that a connection was accepted.
-type accepts struct {
+// signalingListener closes a channel when it has accepted a connection.
+type signalingListener struct {
 	net.Listener
-	taken chan struct{}
+	accepted chan struct{}
 }
 
-func (a accepts) Accept() (net.Conn, error) {
+func (a signalingListener) Accept() (net.Conn, error) {
 	c, err := a.Listener.Accept()
 	if err == nil {
-		close(a.taken)
+		close(a.accepted)
 	}
 	return c, err
 }
