--- a/internal/dispatcher/adminapi/fleet.go
+++ b/internal/dispatcher/adminapi/fleet.go
@@ -13,38 +13,38 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// Fleet is what the API asks of the fleet layer. Its methods return JSON texts, and one of the
-// errors below where the caller can do something about it.
+// Fleet is the part of the fleet layer that the API uses. Its methods return JSON texts. They return
+// one of the errors below if the caller can act on it.
 type Fleet interface {
-	// Status describes how this process and the fleet stand.
+	// Status returns the state of this process and of the fleet.
 	Status(ctx context.Context) ([]byte, error)
-	// StartPlan starts a run of a plan, or joins it if its id is known. It returns the run's
-	// final answer, or nil while the run is under way.
+	// StartPlan starts a run of a plan, or joins the existing run if its id is known. It returns the
+	// run's final answer, or nil while the run is in progress.
 	StartPlan(ctx context.Context, a PlanRequest) ([]byte, error)
-	// RunStatus returns a run's final answer, or nil while it is under way.
+	// RunStatus returns a run's final answer, or nil while the run is in progress.
 	RunStatus(ctx context.Context, id string) ([]byte, error)
-	// Record returns the records of a job's id.
+	// Record returns the records of the job with this id.
 	Record(ctx context.Context, id string) ([]byte, error)
 	// Records returns a page of a tenant's records.
 	Records(ctx context.Context, q RecordsQuery) ([]byte, error)
-	// SetHold sets or lifts a hold, which keeps records from being removed.
+	// SetHold sets or lifts a hold, which prevents records from being removed.
 	SetHold(ctx context.Context, h HoldRequest) error
 }
 
-// RecordsQuery selects a page of a tenant's records, in the order of when the jobs ended.
+// RecordsQuery selects a page of a tenant's records, ordered by the time when the jobs ended.
 type RecordsQuery struct {
 	Tenant      string
-	From, To    int64 // nanoseconds since 1970, of the jobs' ends; To 0: no bound
+	From, To    int64 // range of the jobs' end times in nanoseconds since 1970; To 0: no limit
 	NewestFirst bool
-	After       string // where the page before ended (its key next); empty: the first page
-	Limit       int    // of records on the page
+	After       string // the value of "next" on the previous page; empty: the first page
+	Limit       int    // maximum number of records on the page
 }
 
-// HoldRequest sets a hold on the records that match all of its parts, or lifts the hold of this
+// HoldRequest sets a hold on the records that match all of its fields, or lifts the hold with this
 // name.
 type HoldRequest struct {
 	Name, Tenant, ID, Key, Class string
-	From, To, Until              int64 // nanoseconds since 1970; 0: no bound
+	From, To, Until              int64 // nanoseconds since 1970; 0: no limit
 	Owner, Reason                string
 	Lift                         bool
 }
@@ -56,7 +56,7 @@
 	Timeout           time.Duration // 0: the plan's own
 }
 
-// Errors of Fleet, each with the HTTP status of the response.
+// Errors that the methods of Fleet return, with the HTTP status of the response to each.
 var (
 	ErrNotFound         = errors.New("not there")         // 404
 	ErrBadRequest       = errors.New("bad call")          // 400
@@ -64,10 +64,10 @@
 	ErrFleetUnavailable = errors.New("the fleet is away") // 503, with Retry-After
 )
 
-// fleetTimeout bounds a request that the fleet answers, which may be electing a leader.
+// fleetTimeout limits the time of a request to the fleet, which may be electing a leader.
 const fleetTimeout = 4 * time.Second
 
-// SetFleet makes the API answer for the fleet. It must be called before Serve.
+// SetFleet makes the API serve the calls of the fleet. It must be called before Serve.
 func (s *Server) SetFleet(f Fleet) { s.fleet = f }
 
 // serveFleet serves GET /fleet, POST /plans/NAME?run=ID, GET /runs/ID, GET /records/ID,
@@ -79,7 +79,7 @@
 	deadline := time.Now().Add(fleetTimeout)
 	ctx, cancel := context.WithDeadline(r.Context(), deadline)
 	defer cancel()
-	// Where the deadline can't be set, the server's shorter one holds.
+	// If the deadline can't be set, the server's shorter one applies.
 	_ = http.NewResponseController(w).SetWriteDeadline(deadline.Add(responseTimeout))
 	path, isGet := r.URL.Path, r.Method == http.MethodGet
 	switch {
@@ -117,7 +117,7 @@
 	return true
 }
 
-// timeParam reads a parameter in RFC 3339 as nanoseconds since 1970; 0 if it is absent.
+// timeParam returns the value of an RFC 3339 query parameter in nanoseconds since 1970, or 0 if it is absent.
 func timeParam(r *http.Request, name string) (int64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -130,10 +130,10 @@
 	return at.UnixNano(), nil
 }
 
-// defaultPageSize is how many records a page has at most if the request does not say.
+// defaultPageSize is the maximum number of records on a page if the request does not set one.
 const defaultPageSize = 100
 
-// readRecords serves the records of an id or, if that is empty, a page of a tenant's records.
+// readRecords serves the records of the job with this id or, if id is empty, a page of a tenant's records.
 func (s *Server) readRecords(ctx context.Context, w http.ResponseWriter, r *http.Request, id string) {
 	if id != "" {
 		text, err := s.fleet.Record(ctx, id)
@@ -185,7 +185,7 @@
 	s.respond(w, r, []byte(`{"done":true}`), err)
 }
 
-// startPlan starts a run of a plan, or asks again how it stands.
+// startPlan starts a run of a plan, or responds with the state of the run if its id is known.
 func (s *Server) startPlan(ctx context.Context, w http.ResponseWriter, r *http.Request, name string) {
 	q := r.URL.Query()
 	a := PlanRequest{Run: q.Get("run"), Plan: name, Tenant: q.Get("tenant")}
@@ -215,7 +215,7 @@
 	s.respond(w, r, text, err)
 }
 
-// respond responds with a JSON text, with 202 if there is none yet, or with the error.
+// respond writes a response: a JSON text, status 202 if there is no text yet, or the error.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, text []byte, err error) {
 	switch {
 	case errors.Is(err, ErrNotFound):
--- a/internal/dispatcher/adminapi/golden_test.go
+++ b/internal/dispatcher/adminapi/golden_test.go
@@ -13,72 +13,74 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// recorder implements Operations and Fleet: it records the calls.
+// recorder implements Operations and Fleet and records the calls.
 type recorder struct {
-	told    *strings.Builder
-	serving bool
+	transcript *strings.Builder
+	serving    bool
 }
 
-func (r *recorder) note(format string, args ...any) {
-	fmt.Fprintf(r.told, "  told: "+format+"\n", args...)
+// record writes one call.
+func (r *recorder) record(format string, args ...any) {
+	fmt.Fprintf(r.transcript, "  told: "+format+"\n", args...)
 }
 
-// fails picks an error by the name that a call is about.
-func fails(name string) error {
+// errorFor returns the error for a call about this name, or nil.
+func errorFor(name string) error {
 	return map[string]error{
 		"unknown": ErrUnknownRunner, "broken": errors.New("broken"), "not-there": fmt.Errorf("run: %w", ErrNotFound), "bad": fmt.Errorf("run: %w", ErrBadRequest),
 		"refused": fmt.Errorf("run: %w", ErrConflict), "away": fmt.Errorf("run: %w", ErrFleetUnavailable),
 	}[name]
 }
 
-func answer(name string) ([]byte, error) {
+// answerFor returns the answer to a call about this name.
+func answerFor(name string) ([]byte, error) {
 	if name == "under-way" {
 		return nil, nil
 	}
-	return []byte(`{"answer":1}`), fails(name)
+	return []byte(`{"answer":1}`), errorFor(name)
 }
 
 func (r *recorder) Serving() bool { return r.serving }
 func (r *recorder) TakeOut(id string) error {
-	r.note("out %q", id)
-	return fails(id)
+	r.record("out %q", id)
+	return errorFor(id)
 }
 func (r *recorder) PutBack(id string) error {
-	r.note("back %q", id)
-	return fails(id)
+	r.record("back %q", id)
+	return errorFor(id)
 }
-func (r *recorder) Drain()   { r.note("drain") }
-func (r *recorder) Undrain() { r.note("undrain") }
+func (r *recorder) Drain()   { r.record("drain") }
+func (r *recorder) Undrain() { r.record("undrain") }
 func (r *recorder) HandleForwardedUpdate(body []byte) error {
-	r.note("news %q", body)
-	return fails(string(body))
+	r.record("news %q", body)
+	return errorFor(string(body))
 }
 func (r *recorder) Status(context.Context) ([]byte, error) {
-	r.note("status")
-	return answer("")
+	r.record("status")
+	return answerFor("")
 }
 func (r *recorder) StartPlan(_ context.Context, a PlanRequest) ([]byte, error) {
-	r.note("start run %q plan %q tenant %q input %q within %s", a.Run, a.Plan, a.Tenant, a.Input, a.Timeout)
-	return answer(a.Run)
+	r.record("start run %q plan %q tenant %q input %q within %s", a.Run, a.Plan, a.Tenant, a.Input, a.Timeout)
+	return answerFor(a.Run)
 }
 func (r *recorder) RunStatus(_ context.Context, id string) ([]byte, error) {
-	r.note("run %q", id)
-	return answer(id)
+	r.record("run %q", id)
+	return answerFor(id)
 }
 func (r *recorder) Record(_ context.Context, id string) ([]byte, error) {
-	r.note("record %q", id)
-	return answer(id)
+	r.record("record %q", id)
+	return answerFor(id)
 }
 func (r *recorder) Records(_ context.Context, q RecordsQuery) ([]byte, error) {
-	r.note("records of %q from %d to %d last %t after %q most %d", q.Tenant, q.From, q.To, q.NewestFirst, q.After, q.Limit)
-	return answer("")
+	r.record("records of %q from %d to %d last %t after %q most %d", q.Tenant, q.From, q.To, q.NewestFirst, q.After, q.Limit)
+	return answerFor("")
 }
 func (r *recorder) SetHold(_ context.Context, h HoldRequest) error {
-	r.note("hold %q of %q id %q key %q class %q from %d to %d until %d owner %q reason %q lift %t", h.Name, h.Tenant, h.ID, h.Key, h.Class, h.From, h.To, h.Until, h.Owner, h.Reason, h.Lift)
-	return fails(h.Name)
+	r.record("hold %q of %q id %q key %q class %q from %d to %d until %d owner %q reason %q lift %t", h.Name, h.Tenant, h.ID, h.Key, h.Class, h.From, h.To, h.Until, h.Owner, h.Reason, h.Lift)
+	return errorFor(h.Name)
 }
 
-// calls are those of the operators' address, right and wrong ones.
+// calls are valid and invalid calls at the operators' address.
 var calls = []string{
 	"GET /healthcheck", "HEAD /healthcheck", "POST /healthcheck", "POST /healthcheck/fail", "POST /healthcheck/ok", "GET /healthcheck/fail",
 	"POST /runners/r-1/maint", "POST /runners/r-1/ready", "POST /runners/unknown/maint", "POST /runners/unknown/ready", "POST /runners/broken/maint", "GET /runners/r-1/maint",
@@ -91,19 +93,19 @@
 	"POST /holds/audit?until=later",
 }
 
-// TestGoldenDoor: the paths, methods, query keys, statuses, headers and bodies of the
-// operators' address, as commit 352ebf2 answered. The file must never be rewritten by
-// later code.
+// TestGoldenDoor compares the paths, methods, query keys, statuses, headers and bodies of the
+// operators' address with the golden file written by commit 352ebf2. The file must never be
+// rewritten by later code.
 func TestGoldenDoor(t *testing.T) {
 	log := logtest.Discard()
 	var b strings.Builder
 	for _, state := range []struct {
 		serving, fleet bool
 	}{{true, true}, {false, false}} {
-		r := &recorder{told: &b, serving: state.serving}
-		d := New(r, log)
+		r := &recorder{transcript: &b, serving: state.serving}
+		s := New(r, log)
 		if state.fleet {
-			d.SetFleet(r)
+			s.SetFleet(r)
 		}
 		fmt.Fprintf(&b, "serving %t, in a fleet %t\n", state.serving, state.fleet)
 		for _, call := range calls {
@@ -111,7 +113,7 @@
 			path, body, _ := strings.Cut(rest, " ")
 			fmt.Fprintln(&b, call)
 			w := httptest.NewRecorder()
-			d.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body)))
+			s.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body)))
 			fmt.Fprintf(&b, "  %d\n", w.Code)
 			for _, name := range []string{"Allow", "Connection", "Content-Type", "Retry-After", "X-Content-Type-Options"} {
 				if value := w.Header().Get(name); value != "" {
--- a/internal/dispatcher/adminapi/listener.go
+++ b/internal/dispatcher/adminapi/listener.go
@@ -5,13 +5,14 @@
 	"sync"
 )
 
-// limitedListener accepts a limited number of connections at a time. A further one waits until
-// one of them is closed; the time-outs of the server bound how long that takes.
+// limitedListener limits the number of open connections. A further one waits until one of them is
+// closed; the server's timeouts limit that wait.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{} // holds one item for each open connection
 }
 
+// newLimitedListener returns a listener with at most limit open connections.
 func newLimitedListener(l net.Listener, limit int) *limitedListener {
 	return &limitedListener{Listener: l, slots: make(chan struct{}, limit)}
 }
@@ -27,7 +28,7 @@
 	return &limitedConn{Conn: conn, release: func() { <-l.slots }}, nil
 }
 
-// limitedConn frees its slot when it is closed first.
+// limitedConn is a connection that frees its slot when Close is called for the first time.
 type limitedConn struct {
 	net.Conn
 	once    sync.Once
--- a/internal/dispatcher/adminapi/server.go
+++ b/internal/dispatcher/adminapi/server.go
@@ -1,9 +1,9 @@
-// Package adminapi is the admin API of one dispatcher process: a small HTTP/1.1 server, one
-// request to a connection, with which on-call staff ask whether the process can serve, take
-// runners out of service and put them back, and drain the dispatcher. A process of a fleet
-// answers for the fleet too (see Fleet). docs/operations.md describes the calls.
+// Package adminapi is the admin API of one dispatcher process: a small HTTP/1.1 server with one
+// request per connection. On-call staff use it to check whether the process can serve, take
+// runners out of service and put them back, and drain the dispatcher. A process that belongs to a
+// fleet also serves the calls of the fleet (see Fleet). docs/operations.md describes the calls.
 //
-// It never waits for the engine's backlog of jobs: what operators set is in force at once.
+// The API never waits for the engine's backlog of jobs: changes by operators take effect at once.
 package adminapi
 
 import (
@@ -20,37 +20,38 @@
 	"basaltloft/internal/dispatcher/pipeline"
 )
 
-// ErrUnknownRunner is the error of TakeOut and PutBack for a runner that no list has named.
+// ErrUnknownRunner is returned by TakeOut and PutBack for a runner that no discovery list has contained.
 var ErrUnknownRunner = errors.New("no runner of this id is known")
 
-// Operations is what the API controls in its process. Its methods are called concurrently.
+// Operations is what the API controls in its process. Its methods may be called concurrently.
 type Operations interface {
-	// Serving tells whether this process can serve.
+	// Serving reports whether this process can serve.
 	Serving() bool
-	// TakeOut takes a runner out of service, or returns ErrUnknownRunner.
+	// TakeOut takes a runner out of service. It returns ErrUnknownRunner if the runner is unknown.
 	TakeOut(id string) error
-	// PutBack puts a runner back into service, or returns ErrUnknownRunner.
+	// PutBack puts a runner back into service. It returns ErrUnknownRunner if the runner is unknown.
 	PutBack(id string) error
-	// Drain starts to drain the dispatcher, and Undrain ends that.
+	// Drain starts to drain the dispatcher.
 	Drain()
+	// Undrain ends the drain.
 	Undrain()
-	// HandleForwardedUpdate handles a runner's update of a job, which another process of
-	// this dispatcher received and forwarded.
+	// HandleForwardedUpdate handles a runner's update of a job that another process of this
+	// dispatcher received and forwarded.
 	HandleForwardedUpdate(body []byte) error
 }
 
-// MaxConnections is how many connections are open at a time; further ones wait to be accepted.
+// MaxConnections is the maximum number of open connections; further ones wait to be accepted.
 const MaxConnections = 32
 
 const (
-	// requestTimeout bounds the reading of a request, which is a few bytes, so that callers
-	// that send nothing, or half a request, soon free their connection.
+	// requestTimeout limits the time to read a request, which is a few bytes, so that the connections
+	// of callers that send nothing, or an incomplete request, are soon closed.
 	requestTimeout = 400 * time.Millisecond
-	// responseTimeout bounds the writing of a response. The time that an operation takes does not
-	// count: what was done is answered.
+	// responseTimeout limits the time to write a response. The time that an operation takes does not
+	// count, so that every operation that was done is answered.
 	responseTimeout = 400 * time.Millisecond
 	maxHeaderBytes  = 4 << 10
-	// maxUpdateBytes is as much as the clients' address takes: a result of the greatest size,
+	// maxUpdateBytes is the same limit as at the clients' address: a result of the maximum size,
 	// escaped in JSON.
 	maxUpdateBytes = 2*pipeline.MaxBody + 1024
 )
@@ -60,7 +61,7 @@
 	operations Operations
 	log        *slog.Logger
 	server     *http.Server
-	fleet      Fleet // nil: this process is in no fleet
+	fleet      Fleet // nil if this process belongs to no fleet
 }
 
 // New returns a server that is not serving yet.
@@ -75,9 +76,9 @@
 	return s
 }
 
-// Serve serves on l until the context ends, when it returns nil, or the listener fails.
+// Serve serves on l until ctx is canceled, and then returns nil, or until the listener fails.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	stop := context.AfterFunc(ctx, func() { _ = s.server.Close() /* Serve returns in any case */ })
+	stop := context.AfterFunc(ctx, func() { _ = s.server.Close() /* Serve returns even after an error */ })
 	defer stop()
 	if err := s.server.Serve(newLimitedListener(l, MaxConnections)); !errors.Is(err, http.ErrServerClosed) && ctx.Err() == nil {
 		return fmt.Errorf("the admin API at %s: %w", l.Addr(), err)
@@ -106,7 +107,7 @@
 	}
 }
 
-// healthCheck answers whether the process can serve.
+// healthCheck responds with whether the process can serve.
 func (s *Server) healthCheck(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		s.reject(w, r, http.StatusMethodNotAllowed, "read with GET")
@@ -167,8 +168,8 @@
 	}
 }
 
-// forwardedUpdate takes a runner's update that another process of this dispatcher received for a
-// job of this one.
+// forwardedUpdate handles a runner's update that another process of this dispatcher received for a
+// job of this process.
 func (s *Server) forwardedUpdate(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		s.reject(w, r, http.StatusMethodNotAllowed, "news is told with POST")
@@ -192,18 +193,18 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// beginResponse gives the writing of a response its time, however long the operation before it
-// took: the server's own deadline counts from the request.
+// beginResponse sets the write deadline of a response, however long the operation before it took:
+// the server's own deadline counts from the request.
 func beginResponse(w http.ResponseWriter) {
-	// It fails on a connection that is closed, as the write does.
+	// Fails if the connection is closed, as the write then does.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
 }
 
-// respondLine responds with one line of text. What was asked for has been done, whether or not
-// the caller still reads the response.
+// respondLine responds with one line of text. Write errors are ignored: the operation has been done,
+// whether or not the caller reads the response.
 func respondLine(w io.Writer, text string) { _, _ = fmt.Fprintln(w, text) }
 
-// reject responds with an error.
+// reject logs a rejected request and responds with an error.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int, text string) {
 	s.log.Debug("admin API request rejected", "method", r.Method, "path", r.URL.Path, "status", status)
 	http.Error(w, text, status)
--- a/internal/dispatcher/adminapi/server_test.go
+++ b/internal/dispatcher/adminapi/server_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// job is served by the runner named.
+// job returns the steps of a job that the given runner serves.
 func job(runner string) string {
 	return strings.ReplaceAll(`
 	client send POST /place-hold HTTP/1.1\r\nHost: app\r\nX-Call-Id: h-1\r\nX-Budget: 9\r\nContent-Length: 0\r\n\r\n
@@ -28,9 +28,9 @@
 	client expect ^HTTP/1.1 200 OK`, "RUNNER", runner)
 }
 
-// TestAdminAPI: every call of the API and wrong ones; callers that send nothing
-// or half a call hold nobody up; a runner taken out twice gets no job and one
-// call puts it back.
+// TestAdminAPI checks the calls of the API, valid and invalid ones. Callers that send nothing or an
+// incomplete call don't block others. A runner that is taken out twice gets no job, and one call puts
+// it back.
 func TestAdminAPI(t *testing.T) {
 	scenario.RunScript(t, scenario.StartWithAdmin(t, 2), nil, `
 	program expect serving
@@ -64,8 +64,8 @@
 	program wait`)
 }
 
-// TestDrain: after fail the ready check says no and an open connection is
-// still served; after ok it says yes, with no restart.
+// TestDrain checks that after /healthcheck/fail the ready check fails while an open connection is still
+// served, and that after /healthcheck/ok it succeeds again without a restart.
 func TestDrain(t *testing.T) {
 	scenario.RunScript(t, scenario.StartWithAdmin(t, 1), nil, `
 	program expect serving
@@ -85,7 +85,7 @@
 	program wait`)
 }
 
-// slowOperations are operations that each take a time.
+// slowOperations implements Operations; each operation takes this long.
 type slowOperations time.Duration
 
 func (o slowOperations) wait() { <-time.After(time.Duration(o)) }
@@ -97,7 +97,7 @@
 func (o slowOperations) Undrain()                           { o.wait() }
 func (o slowOperations) HandleForwardedUpdate([]byte) error { o.wait(); return nil }
 
-// pipeListener accepts the ends of pipes.
+// pipeListener is a listener that accepts the connections sent to it.
 type pipeListener chan net.Conn
 
 func (l pipeListener) Accept() (net.Conn, error) {
@@ -110,7 +110,7 @@
 func (l pipeListener) Close() error   { close(l); return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestSlowOperation: an operation is answered however long it took.
+// TestSlowOperation checks that an operation is answered however long it takes.
 func TestSlowOperation(t *testing.T) {
 	for call, status := range map[string]int{
 		"/runners/r1/maint": http.StatusOK, "/runners/r1/ready": http.StatusNotFound, "/healthcheck/fail": http.StatusOK,
