--- a/internal/dispatcher/metrics/audit.go
+++ b/internal/dispatcher/metrics/audit.go
@@ -9,18 +9,18 @@
 	"basaltloft/internal/dispatcher/accounting"
 )
 
-// Engine is what the auditor needs of the dispatcher engine.
+// Engine is the part of the dispatcher engine that the auditor and the exporter use.
 type Engine interface {
-	// Do runs a function on the engine's goroutine and returns after it.
+	// Do runs a function on the engine's goroutine and returns when the function has returned.
 	Do(func())
 	// OpenCounts counts the open jobs and flows in the engine's own table. It may be
 	// called only within Do.
 	OpenCounts() (open accounting.OpenCounts, flows int64)
 }
 
-// Auditor compares the ledger with itself, with the engine's table, with the counters of
-// the fronts and with the journal, and logs every difference. It stops nothing. Its
-// methods may be called concurrently.
+// Auditor checks the ledger for consistency, compares it with the engine's table, the
+// counters of the fronts and the journal, and logs every difference. A difference stops
+// nothing. The methods of an Auditor may be called concurrently.
 type Auditor struct {
 	recorder *Recorder
 	engine   Engine
@@ -53,8 +53,9 @@
 	}
 }
 
-// Audit audits now and returns the differences. The journal compares at the checkpoint
-// that is added here, and reports its differences later by ReportDifferences.
+// Audit runs one audit and returns the differences that it found, except those of the
+// journal. For these it adds a checkpoint to the journal, which compares its totals there
+// and reports differences later by ReportDifferences.
 func (a *Auditor) Audit() []accounting.Difference {
 	before := make([]accounting.FrontCountersSnapshot, len(a.fronts))
 	for i, front := range a.fronts {
@@ -70,9 +71,10 @@
 	return differences
 }
 
-// compare compares on the engine's goroutine, where the ledger stands still. before are
-// the counters of the fronts as they were when the audit began: a front counts on its own
-// goroutines, so the ledger must lie between them and the counters of now.
+// compare returns the differences of an audit. It must run on the engine's goroutine, where
+// the ledger doesn't change meanwhile. before holds the counters of the fronts from the
+// start of the audit: a front counts on its own goroutines, so the ledger's counts must lie
+// between those and the current ones.
 func (a *Auditor) compare(before []accounting.FrontCountersSnapshot) (differences []accounting.Difference) {
 	ledger := a.recorder.Ledger
 	differences = append(differences, ledger.CheckBalance()...)
--- a/internal/dispatcher/metrics/collect.go
+++ b/internal/dispatcher/metrics/collect.go
@@ -6,15 +6,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metricNamespace begins each name.
+// metricNamespace is the prefix of each metric's name.
 const metricNamespace = "basaltloft_"
 
-// What is exported. Operators' dashboards hold the names and labels: they stay.
+// The exported metrics. Operators' dashboards use the names and labels, so these must not change.
 var (
 	jobLabels                = []string{"front", "class", "tenant", "group"}
 	jobsTaken                = desc("jobs_taken_total", "Jobs taken, by where they are or were last.", jobLabels...)
-	jobsCame                 = desc("jobs_came_total", "Jobs that were sent to this group, having been elsewhere.", jobLabels...)
-	jobsWent                 = desc("jobs_went_total", "Jobs that were sent to another group.", jobLabels...)
+	jobsMovedIn              = desc("jobs_came_total", "Jobs that were sent to this group, having been elsewhere.", jobLabels...)
+	jobsMovedOut             = desc("jobs_went_total", "Jobs that were sent to another group.", jobLabels...)
 	jobsEnded                = desc("jobs_ended_total", "Jobs with their one final answer.", append(jobLabels, "outcome", "reason")...)
 	jobsOpen                 = desc("jobs_open", "Jobs without a final answer.", jobLabels...)
 	flowsSent                = desc("flows_sent_total", "Server-side flows: attempts.", "class", "group")
@@ -32,13 +32,13 @@
 	jobSeconds               = desc("job_seconds", "Spans of ended jobs: wait until the last send, run from there, whole.", "class", "span")
 )
 
-// desc describes a metric of the dispatcher.
+// desc returns the description of a metric of the dispatcher.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(metricNamespace+name, help, labels, nil)
 }
 
-// collector exports the ledger to Prometheus. It reads it anew for each scrape, at one
-// moment, so that the numbers of a scrape balance too.
+// collector exports the ledger to Prometheus. Each scrape reads the whole ledger at one
+// moment, so that the values of a scrape balance too.
 type collector struct{ exporter *Exporter }
 
 // Describe implements prometheus.Collector.
@@ -59,7 +59,7 @@
 	s.latencies(report.Account.Times)
 }
 
-// scrape receives the metrics of one scrape.
+// scrape is the channel to which the metrics of one scrape are sent.
 type scrape chan<- prometheus.Metric
 
 func (s scrape) count(d *prometheus.Desc, n int64, labels ...string) {
@@ -82,8 +82,8 @@
 		row := &rows[i]
 		labels := []string{row.Front, row.Class, row.Tenant, row.Group}
 		s.count(jobsTaken, row.Entered, labels...)
-		s.count(jobsCame, row.Came, labels...)
-		s.count(jobsWent, row.Went, labels...)
+		s.count(jobsMovedIn, row.Came, labels...)
+		s.count(jobsMovedOut, row.Went, labels...)
 		s.gauge(jobsOpen, row.Open, labels...)
 		for number, n := range row.Ends {
 			if n > 0 {
--- a/internal/dispatcher/metrics/export.go
+++ b/internal/dispatcher/metrics/export.go
@@ -17,23 +17,23 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Report is what the running program tells of its ledger, at one moment. It is sent as
-// JSON, by the names of its fields.
+// Report is the state of a running dispatcher's ledger, audits and journal. It is sent as
+// JSON, under the names of its fields.
 type Report struct {
 	Name    string // of the dispatcher
 	Started time.Time
 	Account accounting.Snapshot
 	Audit   AuditState
-	Journal *JournalState `json:",omitempty"` // nil: it keeps no journal
+	Journal *JournalState `json:",omitempty"` // nil: the dispatcher keeps no journal
 }
 
-// JournalState is the state of the job journal. It is sent as JSON, by the names of its
+// JournalState is the state of the job journal. It is sent as JSON, under the names of its
 // fields.
 type JournalState struct {
-	Epoch   uint32 // the number of this start
+	Epoch   uint32 // the number of this start of the dispatcher
 	Written int64  // records
 	Stopped bool   // nothing more is written
-	Why     string // it stopped
+	Why     string // the reason why it stopped
 }
 
 // Exporter serves the ledger on the operator's listener: /metrics for Prometheus,
@@ -56,7 +56,7 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// Report reads the ledger at one moment.
+// Report returns the current report. It reads the whole ledger at one moment.
 func (x *Exporter) Report() Report {
 	r := Report{Name: x.Name, Started: x.Started, Audit: x.Auditor.State()}
 	x.Engine.Do(func() { r.Account = x.Recorder.Ledger.Snapshot(time.Now()) })
@@ -67,14 +67,14 @@
 	return r
 }
 
-// Serve serves until the context ends. It closes the listener.
+// Serve serves HTTP on the listener until the context ends, and closes the listener.
 func (x *Exporter) Serve(ctx context.Context, l net.Listener) error {
 	server := &http.Server{
 		Handler: x.handler(), ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
 		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	stop := context.AfterFunc(ctx, func() {
-		_ = server.Close() // Serve returns in any case
+		_ = server.Close() // server.Serve returns in any case
 	})
 	defer stop()
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -98,5 +98,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a client that has left needs no answer
+	_ = json.NewEncoder(w).Encode(v) // a client that has disconnected needs no answer
 }
--- a/internal/dispatcher/metrics/golden_test.go
+++ b/internal/dispatcher/metrics/golden_test.go
@@ -19,8 +19,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keys lists the paths of a JSON value's keys. [] stands for the entries of a list and
-// {} for those of an object that is keyed by what was counted.
+// keys adds the paths of a JSON value's keys to into. [] stands for the entries of a list
+// and {} for those of an object whose keys depend on what was counted.
 func keys(v any, path string, into map[string]bool) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestGoldenFigures: the names of the metrics with those of their labels and their
-// types, and the keys of /figures and /audit, as commit 352ebf2 exported them. The files must
+// TestGoldenFigures compares the names, label names and types of the metrics, and the keys of
+// /figures and /audit, with those that commit 352ebf2 exported. The golden files must
 // never be rewritten by later code. The keys of /figures are Go field names of types that
 // are encoded without tags.
 func TestGoldenFigures(t *testing.T) {
@@ -86,14 +86,14 @@
 
 var label = regexp.MustCompile(`([a-z]+)="[^"]*"`)
 
-// metricNames keeps of a scrape the program's own metrics: type, and each sample's
-// name with the names of its labels.
+// metricNames returns the dispatcher's own metrics of a scrape: their type lines, and each
+// sample's name with the names of its labels.
 func metricNames(scrape string) string {
 	names := map[string]bool{}
 	for line := range strings.Lines(scrape) {
 		switch {
 		case !strings.Contains(line, "basaltloft_"):
-		case strings.HasPrefix(line, "# HELP"): // for people: may be reworded
+		case strings.HasPrefix(line, "# HELP"): // help texts may be reworded
 		case strings.HasPrefix(line, "#"):
 			names[line] = true
 		default:
--- a/internal/dispatcher/metrics/metrics_test.go
+++ b/internal/dispatcher/metrics/metrics_test.go
@@ -30,15 +30,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fixture is an engine with the real pipeline and recorder; the test is the fronts, the
-// members and the list.
+// fixture is an engine with the real pipeline and recorder. The test takes the place of the
+// fronts, the pool members and the member list.
 type fixture struct {
 	engine   *engine.Engine
 	recorder *Recorder
 	auditor  *Auditor
 	journal  *journal.Journal
 	dir      string
-	ledger   *faulty
+	ledger   *faultyLedger
 	fronts   []*accounting.FrontCounters
 	log      *logtest.Recorder
 	end      func()
@@ -47,44 +47,44 @@
 	flows []*engine.Flow
 }
 
-// faulty passes on to the recorder, but for what it is set to lose.
-type faulty struct {
+// faultyLedger passes calls on to the recorder, except those that it is set to drop.
+type faultyLedger struct {
 	*Recorder
-	losesAccepted, losesSent, losesEnded bool
+	dropsAccepted, dropsSent, dropsEnded bool
 }
 
-func (f *faulty) JobAccepted(t *engine.Transaction, now time.Time) {
-	if !f.losesAccepted {
+func (f *faultyLedger) JobAccepted(t *engine.Transaction, now time.Time) {
+	if !f.dropsAccepted {
 		f.Recorder.JobAccepted(t, now)
 	}
 }
 
-func (f *faulty) FlowSent(flow *engine.Flow, now time.Time) {
-	if !f.losesSent {
+func (f *faultyLedger) FlowSent(flow *engine.Flow, now time.Time) {
+	if !f.dropsSent {
 		f.Recorder.FlowSent(flow, now)
 	}
 }
 
-func (f *faulty) JobEnded(t *engine.Transaction, a engine.Answer, now time.Time) {
-	if !f.losesEnded {
+func (f *faultyLedger) JobEnded(t *engine.Transaction, a engine.Answer, now time.Time) {
+	if !f.dropsEnded {
 		f.Recorder.JobEnded(t, a, now)
 	}
 }
 
-// lossy is a job journal that loses what it is set to lose.
-type lossy struct {
+// lossyJournal is a job journal that, if so set, drops the calls that count jobs.
+type lossyJournal struct {
 	JobJournal
-	loses bool
+	drops bool
 }
 
-func (l *lossy) JobAccepted(n uint64, j accounting.Job, at time.Time) {
-	if !l.loses {
+func (l *lossyJournal) JobAccepted(n uint64, j accounting.Job, at time.Time) {
+	if !l.drops {
 		l.JobJournal.JobAccepted(n, j, at)
 	}
 }
 
-func (l *lossy) JobEnded(n uint64, group string, r accounting.Reason, at time.Time) {
-	if !l.loses {
+func (l *lossyJournal) JobEnded(n uint64, group string, r accounting.Reason, at time.Time) {
+	if !l.drops {
 		l.JobJournal.JobEnded(n, group, r, at)
 	}
 }
@@ -101,7 +101,8 @@
 func (r *fixture) Watch(bool)                  {}
 func (r *fixture) Fetch()                      {}
 
-// take takes a flow out that was started.
+// take removes one of the started flows and returns it, or returns nil if there is none. n
+// selects the flow.
 func (r *fixture) take(n int) *engine.Flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +125,7 @@
 	}
 	log, recorder := logtest.New()
 	r := &fixture{recorder: NewRecorder(accounting.DefaultLimits()), log: recorder}
-	r.ledger = &faulty{Recorder: r.recorder}
+	r.ledger = &faultyLedger{Recorder: r.recorder}
 	chain := pipeline.New(settings, pipeline.Limits{MaxOpen: 20, MaxBodyBytes: 1 << 20}, r.ledger, log)
 	var err error
 	r.engine, err = engine.New(settings, chain, nil, log)
@@ -149,7 +150,7 @@
 		cancel()
 		<-done
 		if r.journal != nil {
-			_ = r.journal.Close() // some tests stop it by a fault
+			_ = r.journal.Close() // an error is expected where a test stops the journal by a fault
 		}
 	}
 	var members []*engine.Member
@@ -160,7 +161,7 @@
 	return r
 }
 
-// client receives its answer.
+// client counts its answer in the counters of a front.
 type client struct{ counters *accounting.FrontCounters }
 
 func (c client) Answer(a engine.Answer) { c.counters.JobAnswered(a.Verdict.Outcome()) }
@@ -178,8 +179,8 @@
 	return t
 }
 
-// TestEngineMatchesLedger drives the core with random events of clients and
-// members; after each one every audit agrees, and in the end the journal does.
+// TestEngineMatchesLedger drives the engine with random events of clients and members. After
+// each event an audit must find no difference, and at the end the journal must match too.
 func TestEngineMatchesLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "figures")
@@ -193,7 +194,7 @@
 			}
 		}()
 		var all []*engine.Transaction
-		var over []*engine.Flow
+		var endedFlows []*engine.Flow
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
@@ -223,13 +224,13 @@
 					t.Skip()
 				}
 				r.engine.EndFlow(f, policy.Status(rapid.IntRange(0, int(policy.InvalidRequest)).Draw(t, "status")), nil)
-				over = append(over, f)
+				endedFlows = append(endedFlows, f)
 			},
 			"an ended flow ends again": func(t *rapid.T) {
-				if len(over) == 0 {
+				if len(endedFlows) == 0 {
 					t.Skip()
 				}
-				r.engine.EndFlow(rapid.SampledFrom(over).Draw(t, "flow"), policy.OK, nil)
+				r.engine.EndFlow(rapid.SampledFrom(endedFlows).Draw(t, "flow"), policy.OK, nil)
 			},
 			"": func(t *rapid.T) { require.Empty(t, r.auditor.Audit()) },
 		})
@@ -252,37 +253,37 @@
 	require.Empty(t, totals.Compare(accounting.AuditJournal, v.Totals))
 }
 
-// TestEachAudit breaks one count at a time in a running dispatcher: the audit
-// that is meant to find it does, all by itself, and complains aloud.
+// TestEachAudit breaks one count at a time in a running dispatcher. The audit that is meant
+// to detect it must find a difference and log it as an error.
 func TestEachAudit(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault func(r *fixture)
 		want  string
 	}{
-		"the account loses an entry": {func(r *fixture) {
-			r.ledger.losesAccepted = true
+		"the ledger loses an entry": {func(r *fixture) {
+			r.ledger.dropsAccepted = true
 			r.submit(0, "x", "hold", "")
 		}, accounting.AuditEngine},
-		"the account loses an end": {func(r *fixture) {
-			r.ledger.losesEnded = true
+		"the ledger loses an end": {func(r *fixture) {
+			r.ledger.dropsEnded = true
 			r.engine.Do(func() {})
 			f := r.take(0)
 			r.engine.EndFlow(f, policy.OK, nil)
 		}, accounting.AuditEngine},
-		"the account loses a flow": {func(r *fixture) {
-			r.ledger.losesSent = true
+		"the ledger loses a flow": {func(r *fixture) {
+			r.ledger.dropsSent = true
 			r.submit(0, "x", "hold", "")
 		}, accounting.AuditEngine},
 		"a front loses an answer": {func(r *fixture) { r.fronts[0].JobAnswered(accounting.Served) }, accounting.AuditFronts},
-		"a front hands over what never comes": {func(r *fixture) {
+		"a front counts a submission that never arrives": {func(r *fixture) {
 			r.fronts[1].JobStarted()
 			r.fronts[1].JobSubmitted()
 		}, accounting.AuditFronts},
 		"the journal loses a job": {func(r *fixture) {
-			r.engine.Do(func() { r.recorder.journal = &lossy{r.journal, true} })
+			r.engine.Do(func() { r.recorder.journal = &lossyJournal{r.journal, true} })
 			r.submit(0, "x", "hold", "")
 		}, accounting.AuditJournal},
-		"a row counts what never was": {func(r *fixture) {
+		"a row counts the end of a job twice": {func(r *fixture) {
 			r.engine.Do(func() {
 				e := r.recorder.Ledger.JobAccepted(accounting.Job{Front: "nowhere", Class: "hold"}, time.Now())
 				r.recorder.Ledger.JobEnded(e, accounting.Answered, time.Now())
@@ -299,7 +300,7 @@
 			require.True(t, r.auditor.Balanced())
 			c.fault(r)
 			r.auditor.Audit()
-			r.end() // the journal has read the mark
+			r.end() // closes the journal, which has then processed the checkpoint
 			s := r.auditor.State()
 			require.NotZero(t, s.Found[c.want], "%v", s)
 			require.False(t, r.auditor.Balanced())
@@ -323,7 +324,7 @@
 	return string(body), resp.Header.Get("Content-Type")
 }
 
-// TestExport: what is exported to Prometheus balances, and so is the table.
+// TestExport checks that the counts exported to Prometheus balance, and so do the tables.
 func TestExport(t *testing.T) {
 	r := newFixture(t, filepath.Join(t.TempDir(), "figures"))
 	defer r.end()
--- a/internal/dispatcher/metrics/recorder.go
+++ b/internal/dispatcher/metrics/recorder.go
@@ -1,7 +1,7 @@
 // Package metrics counts the jobs of a running dispatcher, audits the counts and exports
 // them. It joins the ledger of internal/dispatcher/accounting to the engine, the fronts
-// and the journal, which know nothing of each other. The engine's goroutine writes the
-// ledger; audits and exports read it there, at one moment.
+// and the journal, which are independent of each other. The engine's goroutine
+// writes the ledger; audits and exports read it on that goroutine, at one moment.
 package metrics
 
 import (
@@ -12,20 +12,20 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// JobJournal is a count of the same jobs that is kept apart from the ledger, such as
-// *journal.Journal. Its methods are called on the engine's goroutine and must not block.
+// JobJournal counts the same jobs as the ledger, separately from it. *journal.Journal is
+// one. Its methods are called on the engine's goroutine and must not block.
 type JobJournal interface {
-	// JobAccepted counts a job, by its number within this process.
+	// JobAccepted counts an accepted job. number identifies the job within this process.
 	JobAccepted(number uint64, job accounting.Job, at time.Time)
-	// JobEnded counts its end, with the group of the pool member that answered last.
+	// JobEnded counts the end of a job. group is that of the pool member that answered last.
 	JobEnded(number uint64, group string, r accounting.Reason, at time.Time)
-	// Checkpoint compares its own totals with the ledger's as they are at this place.
+	// Checkpoint compares the totals counted by the calls so far with t, the ledger's totals.
 	Checkpoint(t accounting.Totals, at time.Time)
 }
 
-// Recorder writes what happens to transactions and flows into the ledger and, where
-// there is one, the job journal. It implements pipeline.Ledger. The engine's goroutine
-// owns it.
+// Recorder records the events of transactions and flows in the ledger and, if one is set,
+// in the job journal. It implements pipeline.Ledger. It may be used only on the engine's
+// goroutine.
 type Recorder struct {
 	Ledger  *accounting.Ledger
 	journal JobJournal // nil: none
--- a/internal/dispatcher/metrics/table.go
+++ b/internal/dispatcher/metrics/table.go
@@ -11,10 +11,10 @@
 	"basaltloft/internal/dispatcher/textout"
 )
 
-// Dimensions are what a table can be grouped by.
+// Dimensions lists the dimensions by which a table can be grouped.
 var Dimensions = []string{"front", "class", "tenant", "group"}
 
-// DimensionOf is the value of a row's key in one of the Dimensions.
+// DimensionOf returns the value of a row's key in one of the Dimensions.
 func DimensionOf(key *accounting.RowKey, dimension string) string {
 	switch dimension {
 	case "front":
@@ -29,9 +29,9 @@
 	return ""
 }
 
-// Table writes a report for people to read, with the jobs grouped by some of the
-// Dimensions. Jobs that move between groups of pool members are shown where "group" is one
-// of them. The error is the writer's.
+// Table writes a report as text, with the jobs grouped by some of the Dimensions. The
+// columns of the jobs that moved between groups of pool members are written only if "group"
+// is one of these. The returned error is the writer's.
 func Table(out io.Writer, r Report, by []string) error {
 	sums, keys, all := sumRows(r.Account.Rows, by)
 	if err := jobTable(out, by, sums, keys, all); err != nil {
@@ -53,8 +53,8 @@
 	return p.Err()
 }
 
-// sumRows adds up rows by some of the dimensions. keys are those of the sums, in order,
-// with tabs between their cells; all is the sum of all rows.
+// sumRows adds up rows by some of the dimensions. keys holds the keys of sums in sorted
+// order; each is the values of the dimensions joined by tabs. all is the sum of all rows.
 func sumRows(rows []accounting.Row, by []string) (sums map[string]*accounting.Row, keys []string, all *accounting.Row) {
 	sums, all = make(map[string]*accounting.Row), new(accounting.Row)
 	for i := range rows {
@@ -76,7 +76,8 @@
 	return sums, keys, all
 }
 
-// jobTable writes a line for each sum and, if there are dimensions, one for all.
+// jobTable writes a header, a line for each of the sums and, if there are dimensions, a line
+// for the sum of all.
 func jobTable(out io.Writer, by []string, sums map[string]*accounting.Row, keys []string, all *accounting.Row) error {
 	withMoves := slices.Contains(by, "group")
 	tabs := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -133,8 +134,8 @@
 	p.Printf("journal: epoch %d, %d records, %s\n", j.Epoch, j.Written, state)
 }
 
-// writeBalance says whether the jobs that were taken are those that ended and those that
-// are open, and names the differences of the last audit.
+// writeBalance writes the equation of the jobs taken, ended and open if it holds and the last
+// audit found no difference; otherwise it writes the differences of the last audit.
 func writeBalance(p *textout.Printer, r *Report) {
 	t := &r.Account.Totals
 	served, refused, failed := t.EndedAs(accounting.Served), t.EndedAs(accounting.Refused), t.EndedAs(accounting.Failed)
@@ -149,11 +150,11 @@
 	}
 }
 
-// Windows are the stretches of time that a WindowTable can be of: the running minute,
-// hour and day, and the last 60 minutes and 24 hours.
+// Windows lists the time windows that WindowTable accepts: the current minute, hour and day,
+// and the last 60 minutes and 24 hours.
 var Windows = []string{"minute", "hour", "day", "last60m", "last24h"}
 
-// windowOf is what a series counted in one of the Windows.
+// windowOf returns the counts of a series in one of the Windows.
 func windowOf(s *accounting.SeriesSnapshot, window string) accounting.WindowCounts {
 	switch window {
 	case "minute":
@@ -170,9 +171,9 @@
 	return accounting.WindowCounts{}
 }
 
-// WindowTable writes what was counted in one of the Windows, by front, class and tenant.
-// Its column "opened" has the jobs that were open when the window began: opened + taken =
-// ended + open. The error is the writer's.
+// WindowTable writes the counts of one of the Windows, by front, class and tenant. The column
+// "opened" holds the jobs that were open when the window began: opened + taken = ended +
+// open. The returned error is the writer's.
 func WindowTable(out io.Writer, r Report, window string) error {
 	type series struct{ front, class, tenant string }
 	open := make(map[series]int64)
