--- a/internal/dispatcher/cli/cli.go
+++ b/internal/dispatcher/cli/cli.go
@@ -1,5 +1,5 @@
 // Package cli is the command line of the dispatcher program: it reads flags and files, and calls the
-// package that does what was asked for.
+// package that implements the sub-command.
 package cli
 
 import (
@@ -23,22 +23,22 @@
 	exitUsage
 )
 
-// usageError is the error of a call with wrong arguments.
+// usageError is returned for wrong arguments. The program then exits with exitUsage.
 type usageError struct{ error }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the wrapped error, which describes the wrong argument.
 func (m usageError) Unwrap() error { return m.error }
 
-// errReported is the error of a command that has printed its failure already.
+// errReported is returned by a command that has printed its failure already.
 var errReported = errors.New("reported already")
 
-// globalFlags are the flags of every sub-command, with its outputs.
+// globalFlags holds the flags that all sub-commands have, and the outputs that they write to.
 type globalFlags struct {
 	logFormat, logLevel string
 	stdout, stderr      io.Writer
 }
 
-// Main runs the command that the arguments ask for, and returns the exit status.
+// Main runs the command given by the arguments and returns the exit status.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	root := rootCommand(stdout, stderr)
 	root.SetArgs(normalizeLegacyFlags(args))
@@ -63,7 +63,8 @@
 	return text
 }
 
-// normalizeLegacyFlags accepts -operator, with one dash: once it was the only flag.
+// normalizeLegacyFlags returns the arguments with -operator, written with one dash, replaced by --operator.
+// Earlier versions had this flag only, with one dash.
 func normalizeLegacyFlags(args []string) []string {
 	normalized := append([]string(nil), args...)
 	for i, a := range normalized {
@@ -74,7 +75,7 @@
 	return normalized
 }
 
-// rootCommand has all sub-commands. Without one it serves.
+// rootCommand returns the root command with all sub-commands. Without a sub-command it serves jobs.
 func rootCommand(stdout, stderr io.Writer) *cobra.Command {
 	global := &globalFlags{stdout: stdout, stderr: stderr}
 	root := &cobra.Command{
@@ -99,7 +100,7 @@
 	return root
 }
 
-// noArgs is for commands without arguments.
+// noArgs returns an error if a command that takes no arguments has any.
 func noArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("unknown command %q", args[0])}
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// exactlyOneArg is for commands with one argument.
+// exactlyOneArg returns a check that a command has exactly one argument.
 func exactlyOneArg(argument string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != 1 {
@@ -134,8 +135,8 @@
 	return nil
 }
 
-// newLogger returns a logger by the flags, which are valid.
+// newLogger returns a logger configured by the flags, which validate must have accepted.
 func (global *globalFlags) newLogger() *slog.Logger {
-	level, _ := logging.ParseLevel(global.logLevel) // it is valid
+	level, _ := logging.ParseLevel(global.logLevel) // validate has checked it
 	return logging.New(global.stderr, logging.Format(global.logFormat), level)
 }
--- a/internal/dispatcher/cli/cli_test.go
+++ b/internal/dispatcher/cli/cli_test.go
@@ -22,8 +22,8 @@
 	return status, o.String(), e.String()
 }
 
-// TestMisuse: wrong use gets one clear line and status 2; what fails for other
-// reasons gets status 1.
+// TestMisuse checks that wrong arguments print one line that names the mistake and exit with status 2, and
+// that other failures exit with status 1.
 func TestMisuse(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", "/nowhere/config.json")
 	for line, want := range map[string]string{
@@ -76,8 +76,8 @@
 	require.Contains(t, out, "basaltloft")
 }
 
-// TestCheck: every mistake of a file is named at once, with file and key, and
-// the examples have none.
+// TestCheck checks that config check prints every mistake of a file in one run, with file and key, and that the
+// example files have none.
 func TestCheck(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"# why":"a comment","agent_check":{"listen":"nowhere"},"figures":{"audit_every_ms":-1,"jurnal":{}},
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestCheckPlans: a plan file is checked against the classes of the configuration
-// that is named, and not without.
+// TestCheckPlans checks that a plan file is checked against the classes of the configuration given by
+// --config, and is refused without one.
 func TestCheckPlans(t *testing.T) {
 	at := func(name string) string { return filepath.Join("..", "..", "..", name) }
 	plans := at("deploy/plans-archive-example.hcl")
@@ -128,8 +128,8 @@
 	require.Contains(t, errs, "no such file")
 }
 
-// TestVerify: a journal that adds up gets status 0; one in which a bit has
-// flipped gets status 1 and a line that says where.
+// TestVerify checks that figures verify exits with status 0 for a consistent journal, and with status 1 and a
+// line that names the place for one with a flipped bit. It also checks figures report in each format.
 func TestVerify(t *testing.T) {
 	dir := t.TempDir()
 	f, err := journal.OpenDirectory(dir)
--- a/internal/dispatcher/cli/faktory.go
+++ b/internal/dispatcher/cli/faktory.go
@@ -19,13 +19,13 @@
 // replyTimeout is how long a sub-command waits for each reply of a server.
 const replyTimeout = 5 * time.Second
 
-// faktoryFlags are the flags of all sub-commands of faktory.
+// faktoryFlags holds the flags that all sub-commands of faktory have.
 type faktoryFlags struct{ address, passwordFile, format string }
 
-// faktoryAction is what a sub-command does on a connection.
+// faktoryAction implements a sub-command on a connection.
 type faktoryAction func(conn *client.Conn, args []string) error
 
-// faktoryCommand has the sub-commands with which operators look after a running Faktory front.
+// faktoryCommand returns the command with which operators inspect and manage a running Faktory front.
 func faktoryCommand(global *globalFlags) *cobra.Command {
 	f := &faktoryFlags{}
 	c := &cobra.Command{Use: "faktory", Short: "look after a running Faktory front", Args: noArgs, RunE: showHelp}
@@ -49,7 +49,7 @@
 	return c
 }
 
-// run connects to the server that the flags name, and does something there.
+// run returns a function that connects to the server named by the flags and calls do on the connection.
 func (f *faktoryFlags) run(do faktoryAction) func(*cobra.Command, []string) error {
 	return func(_ *cobra.Command, args []string) error {
 		if f.format != "table" && f.format != "json" {
@@ -72,7 +72,7 @@
 	}
 }
 
-// queueCommand changes queues, and shows them afterwards.
+// queueCommand returns a command that changes queues and shows them afterwards.
 func queueCommand(global *globalFlags, f *faktoryFlags, verb, short string) *cobra.Command {
 	return &cobra.Command{
 		Use: strings.ToLower(verb) + " QUEUE ...", Short: short,
@@ -91,14 +91,14 @@
 	}
 }
 
-// mutation is a MUTATE command as its flags give it.
+// mutation holds the flags of a MUTATE command.
 type mutation struct {
 	ids              []string
 	jobType, pattern string
-	vouchedBy        string // who vouches that the jobs have not run; empty: nobody
+	confirmedBy      string // who confirms that the jobs have not run, and why; empty: not confirmed
 }
 
-// command is the text of the command. A mutation of some jobs needs a filter.
+// command returns the text of the MUTATE command. All verbs but clear need a filter.
 func (m *mutation) command(verb, set string) (string, error) {
 	filter := map[string]any{}
 	if len(m.ids) > 0 {
@@ -114,14 +114,14 @@
 		return "", usageError{errors.New("say which jobs: --jid, --jobtype or --pattern")}
 	}
 	body := map[string]any{"cmd": verb, "target": set, "filter": filter}
-	if m.vouchedBy != "" {
-		body["known_not_run"] = m.vouchedBy
+	if m.confirmedBy != "" {
+		body["known_not_run"] = m.confirmedBy
 	}
 	text, err := json.Marshal(body)
 	return "MUTATE " + string(text), err
 }
 
-// setCommand shows a set; its sub-commands change the set, and show it afterwards.
+// setCommand returns a command that shows a set. Its sub-commands change the set and show it afterwards.
 func setCommand(global *globalFlags, f *faktoryFlags, set string) *cobra.Command {
 	var m mutation
 	c := &cobra.Command{Use: set, Short: "show the " + set + " jobs, or change them", Args: noArgs}
@@ -144,7 +144,7 @@
 		v.Flags().StringVar(&m.jobType, "jobtype", "", "their `jobtype`")
 		v.Flags().StringVar(&m.pattern, "pattern", "", "a `pattern` that their JSON matches, with * and ?")
 		if verb == "requeue" {
-			v.Flags().StringVar(&m.vouchedBy, "known-not-run", "", "`who` vouches that they have not run, and why; it is logged")
+			v.Flags().StringVar(&m.confirmedBy, "known-not-run", "", "`who` vouches that they have not run, and why; it is logged")
 		}
 		c.AddCommand(v)
 	}
@@ -180,7 +180,7 @@
 	return t.flush()
 }
 
-// queues shows all queues, or only those of some names.
+// queues shows the queues named in only, or all queues if only is empty or contains "*".
 func (f *faktoryFlags) queues(out io.Writer, conn *client.Conn, only []string) error {
 	var i client.Info
 	if err := conn.Query("INFO", &i, time.Now().Add(replyTimeout)); err != nil {
@@ -243,7 +243,7 @@
 	for _, j := range all {
 		var failure struct{ Errtype, Message string }
 		if len(j.Failure) > 0 {
-			_ = json.Unmarshal(j.Failure, &failure) // for people: what can't be read is left out
+			_ = json.Unmarshal(j.Failure, &failure) // only displayed: a failure that can't be decoded is left out
 		}
 		t.line("%s\t%s\t%s\t%s\t%v\t%s", j.ID, j.Type, j.Queue, j.At.Format(time.RFC3339), j.MayHaveRun,
 			strings.TrimPrefix(failure.Errtype+": "+failure.Message, ": "))
--- a/internal/dispatcher/cli/golden_test.go
+++ b/internal/dispatcher/cli/golden_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGoldenHelp: the sub-commands, their flags and defaults, as commit 352ebf2 printed
-// them. The files must never be rewritten by later code but for new sub-commands and flags.
+// TestGoldenHelp compares the help of the sub-commands, their flags and defaults with that printed by commit
+// 352ebf2. Later code must not rewrite the golden files except for new sub-commands and flags.
 func TestGoldenHelp(t *testing.T) {
 	var paths []string
 	var walk func(c *cobra.Command, path string)
--- a/internal/dispatcher/cli/logformat_test.go
+++ b/internal/dispatcher/cli/logformat_test.go
@@ -18,10 +18,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// levelsOfLog are the levels of log lines, from the most to the least severe.
-var levelsOfLog = []slog.Level{slog.LevelError, slog.LevelWarn, slog.LevelInfo, slog.LevelDebug, logging.LevelTrace}
+// logLevels lists the levels of log lines, from the most to the least severe.
+var logLevels = []slog.Level{slog.LevelError, slog.LevelWarn, slog.LevelInfo, slog.LevelDebug, logging.LevelTrace}
 
-// logAt writes one line at a time that the test sets: keys of the logger first, then those of the line.
+// logAt writes one line with the given time: keys of the logger first, then those of the line.
 func logAt(t *testing.T, log *slog.Logger, at time.Time, level slog.Level, message string, loggerKeys, keys map[string]any) {
 	t.Helper()
 	for key, value := range loggerKeys {
@@ -37,7 +37,7 @@
 	require.NoError(t, log.Handler().Handle(t.Context(), record))
 }
 
-// count is a named number without a text of its own, and named one with a text.
+// count is an integer type without a String method, and named is one with a String method.
 type (
 	count int
 	named int
@@ -52,8 +52,8 @@
 	loggerKeys, keys map[string]any
 }
 
-// logLines are lines of every kind that the dispatcher writes: all types of values, texts that are
-// quoted and that are not, keys that clash.
+// logLines returns lines of every kind that the dispatcher writes: all types of values, quoted and unquoted
+// texts, and clashing keys.
 func logLines() []logLine {
 	lines := []logLine{
 		{slog.LevelInfo, "done", nil, map[string]any{"taken": int64(2), "served": int64(1), "refused": int64(1), "failed": int64(0), "open": int64(0)}},
@@ -85,7 +85,7 @@
 	return lines
 }
 
-// logTimes are the times of lines: whole seconds, parts of one with and without zeros at the end, zones.
+// logTimes returns times of lines: whole seconds, fractions with and without trailing zeros, and time zones.
 func logTimes() []time.Time {
 	east, west := time.FixedZone("", 2*3600), time.FixedZone("west", -(9*3600+30*60))
 	return []time.Time{
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestGoldenLogLines: lines of the log in both formats, as the dispatcher wrote them by logrus
-// v1.9.3 in commit 32a2de6. People and scripts read them; the files are never rewritten.
+// TestGoldenLogLines compares log lines in both formats with those that the dispatcher wrote through logrus
+// v1.9.3 in commit 32a2de6. Operators and their scripts read them; the golden files must never be rewritten.
 func TestGoldenLogLines(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		var out bytes.Buffer
@@ -110,15 +110,15 @@
 		for _, at := range logTimes() {
 			logAt(t, log, at, slog.LevelInfo, "time", nil, nil)
 		}
-		for _, level := range levelsOfLog {
+		for _, level := range logLevels {
 			logAt(t, log, logTimes()[0], level, "level", nil, nil)
 		}
 		goldentest.Equal(t, filepath.Join("testdata", "golden", "log-"+format+".txt"), out.Bytes())
 	}
 }
 
-// TestGoldenLogLevels: the names that --log-level takes, and the levels of the lines that are written
-// then, as with logrus. The file is never rewritten.
+// TestGoldenLogLevels compares the names that --log-level accepts, and the levels of the lines that are written
+// under each of them, with those of logrus. The golden file must never be rewritten.
 func TestGoldenLogLevels(t *testing.T) {
 	var table strings.Builder
 	for _, name := range []string{
@@ -133,7 +133,7 @@
 	goldentest.Equal(t, filepath.Join("testdata", "golden", "log-levels.txt"), []byte(table.String()))
 }
 
-// writtenLevels returns the levels whose lines are written under a name of a level, or why it is refused.
+// writtenLevels returns the levels whose lines are written under a --log-level value, or the error for it.
 func writtenLevels(t *testing.T, name string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -142,7 +142,7 @@
 		return err.Error()
 	}
 	log := global.newLogger()
-	for _, level := range levelsOfLog {
+	for _, level := range logLevels {
 		logAt(t, log, logTimes()[0], level, "level", nil, nil)
 	}
 	var written []string
--- a/internal/dispatcher/cli/metrics.go
+++ b/internal/dispatcher/cli/metrics.go
@@ -20,20 +20,20 @@
 	"github.com/spf13/cobra"
 )
 
-// metricsCommand has the sub-commands that read the metrics, now and of the past.
+// metricsCommand returns the command whose sub-commands read the current and the recorded metrics.
 func metricsCommand(global *globalFlags) *cobra.Command {
 	c := &cobra.Command{Use: "figures", Short: "read the account, now and of the past", Args: noArgs, RunE: showHelp}
 	c.AddCommand(showCommand(global), reportCommand(global), verifyCommand(global), plotCommand(global), soakCommand(global))
 	return c
 }
 
-// showFlags are the flags of figures show.
+// showFlags holds the flags of figures show.
 type showFlags struct {
 	address, by, window, format string
 	audit                       bool
 }
 
-// dimensions checks the flags, and returns what to show by.
+// dimensions checks the flags and returns the dimensions to group by.
 func (f *showFlags) dimensions() ([]string, error) {
 	if f.format != "table" && f.format != "json" {
 		return nil, usageError{fmt.Errorf("--format is table or json, not %q", f.format)}
@@ -53,7 +53,7 @@
 	return dimensions, nil
 }
 
-// showCommand shows the metrics of a running dispatcher.
+// showCommand returns the command that shows the metrics of a running dispatcher.
 func showCommand(global *globalFlags) *cobra.Command {
 	var f showFlags
 	c := &cobra.Command{
@@ -90,7 +90,7 @@
 	return c
 }
 
-// getJSON reads JSON from the metrics of a running dispatcher.
+// getJSON decodes the JSON that the metrics listener of a running dispatcher serves at a path.
 func getJSON(c *cobra.Command, at, path string, into any) error {
 	req, err := http.NewRequestWithContext(c.Context(), http.MethodGet, "http://"+at+path, nil)
 	if err != nil {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return fmt.Errorf("no dispatcher tells its figures there: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it is only read
+	defer func() { _ = resp.Body.Close() }() // the body has only been read
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s%s: %s", at, path, resp.Status)
 	}
@@ -111,14 +111,14 @@
 	return nil
 }
 
-// journalFlags select what a report or a plot is of.
+// journalFlags holds the flags that select the journal, the time range and the dimensions of a report or plot.
 type journalFlags struct {
 	folder   string
 	from, to string
 	by       string
 }
 
-// register adds the flags to a command.
+// register adds the flags to a command. by is the default of --by.
 func (a *journalFlags) register(c *cobra.Command, by string) {
 	c.Flags().StringVar(&a.folder, "folder", "", "the journal's `folder`")
 	c.Flags().StringVar(&a.from, "from", "", "`time` (RFC 3339, or a date) from which jobs count")
@@ -126,7 +126,7 @@
 	c.Flags().StringVar(&a.by, "by", by, "what to count by: any of "+strings.Join(journal.Dimensions, ", "))
 }
 
-// query opens the journal, and translates the flags.
+// query checks the flags, opens the journal and returns both it and the query for it.
 func (a *journalFlags) query() (journal.Directory, journal.Query, error) {
 	var q journal.Query
 	if a.folder == "" {
@@ -155,7 +155,7 @@
 	return f, q, err
 }
 
-// reportCommand reports what a journal has recorded.
+// reportCommand returns the command that reports the counts of a journal.
 func reportCommand(global *globalFlags) *cobra.Command {
 	var a journalFlags
 	var format string
@@ -170,11 +170,11 @@
 			if err != nil {
 				return err
 			}
-			rows, complaints, err := journal.Report(folder, q)
+			rows, warnings, err := journal.Report(folder, q)
 			if err != nil {
 				return err
 			}
-			for _, text := range complaints {
+			for _, text := range warnings {
 				printf(global.stderr, "basaltloft: not all could be counted: %s\n", text)
 			}
 			return write(global.stdout, q, rows)
@@ -185,10 +185,10 @@
 	return c
 }
 
-// reportColumns are the columns of tables and CSV behind those that are counted by.
+// reportColumns lists the columns of tables and CSV that follow those of the dimensions.
 var reportColumns = []string{"opened", "taken", "served", "refused", "failed", "open", "asks", "p50_ms", "p95_ms", "p99_ms", "longest_ms"}
 
-// reportRow is one line of a table or CSV.
+// reportRow returns the cells of one line of a table or CSV.
 func reportRow(f *journal.ReportRow) []string {
 	row := append([]string(nil), f.By...)
 	for _, n := range []int64{f.OpenBefore, f.Accepted, f.Outcome(accounting.Served), f.Outcome(accounting.Refused), f.Outcome(accounting.Failed), f.Open, f.LogicalRequests} {
@@ -248,7 +248,7 @@
 	return writeJSON(out, all)
 }
 
-// verifyCommand recounts a journal.
+// verifyCommand returns the command that recounts a journal and prints each inconsistency.
 func verifyCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use: "verify FOLDER", Short: "recount a journal and name every entry that does not add up", Args: exactlyOneArg("FOLDER"),
@@ -281,7 +281,8 @@
 	}
 }
 
-// plotCommand starts the program that plots, so that the dispatcher does not depend on its library.
+// plotCommand returns the command that runs basaltloft-plot. Plotting is a separate program so that the
+// dispatcher does not depend on the plotting library.
 func plotCommand(global *globalFlags) *cobra.Command {
 	var a journalFlags
 	var out string
@@ -298,7 +299,7 @@
 		},
 	}
 	a.register(c, "")
-	_ = c.Flags().MarkHidden("by") // fails only for a flag that is not there
+	_ = c.Flags().MarkHidden("by") // fails only for a flag that does not exist
 	c.Flags().StringVar(&out, "out", "figures.svg", "`file` to write, .svg or .png; the latency by class goes to one with -latency in its name")
 	return c
 }
--- a/internal/dispatcher/cli/output.go
+++ b/internal/dispatcher/cli/output.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// printf writes to standard output or standard error. There is nobody to report an error to.
+// printf writes to standard output or standard error. It ignores errors: they could not be reported anywhere.
 func printf(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
 // writeJSON writes a value as indented JSON.
@@ -23,7 +23,7 @@
 	err error // the first one
 }
 
-// newTable returns a table; flags are those of package tabwriter.
+// newTable returns an empty table that writes to out. flags are those of package tabwriter.
 func newTable(out io.Writer, flags uint) *table {
 	return &table{w: tabwriter.NewWriter(out, 0, 0, 2, ' ', flags)}
 }
@@ -35,7 +35,7 @@
 	}
 }
 
-// flush writes the lines, and returns the first error.
+// flush writes the lines and returns the first error.
 func (t *table) flush() error {
 	if err := t.w.Flush(); t.err == nil {
 		t.err = err
--- a/internal/dispatcher/cli/serve.go
+++ b/internal/dispatcher/cli/serve.go
@@ -20,7 +20,7 @@
 	"github.com/spf13/cobra"
 )
 
-// serveCommand serves jobs.
+// serveCommand returns the command that serves jobs.
 func serveCommand(global *globalFlags) *cobra.Command {
 	var operator string
 	c := &cobra.Command{
@@ -33,7 +33,7 @@
 
 // serve runs a dispatcher until SIGTERM or SIGINT; SIGHUP reloads its configuration.
 func serve(ctx context.Context, global *globalFlags, operator string) error {
-	// First of all: until then a signal kills the process.
+	// This comes first: until the handlers are installed, a signal kills the process.
 	stop, reloads := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -105,8 +105,9 @@
 	return c, nil
 }
 
-// acceptFD parses the number of the descriptor on which the process inherits the clients' socket; an
-// empty text is 0, none. Standard input, output and error are errors.
+// acceptFD parses the number of the descriptor on which the process inherits the clients' socket. It
+// returns 0, which means none, for an empty text, and an error for the descriptors of standard input, output
+// and error.
 func acceptFD(text string) (int, error) {
 	if text == "" {
 		return 0, nil
@@ -118,7 +119,7 @@
 	return fd, nil
 }
 
-// versionCommand prints the version.
+// versionCommand returns the command that prints the version.
 func versionCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "say which version this is", Args: noArgs,
@@ -142,7 +143,7 @@
 	}
 }
 
-// checkCommand checks configuration files.
+// checkCommand returns the command config, whose sub-command checks configuration files.
 func checkCommand(global *globalFlags) *cobra.Command {
 	config := &cobra.Command{Use: "config", Short: "look after configuration files", Args: noArgs, RunE: showHelp}
 	var classes string
@@ -199,5 +200,5 @@
 	return nil
 }
 
-// showHelp is for commands that only have sub-commands.
+// showHelp prints the help of a command that only has sub-commands.
 func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
--- a/internal/dispatcher/cli/tools.go
+++ b/internal/dispatcher/cli/tools.go
@@ -16,10 +16,10 @@
 	"github.com/spf13/cobra"
 )
 
-// maxDemoProcesses bounds the processes of a demo.
+// maxDemoProcesses is the maximum number of processes of a demo.
 const maxDemoProcesses = 30
 
-// demoCommand serves fake clients and members, and shows the metrics.
+// demoCommand returns the command that serves fake clients and members and shows the metrics.
 func demoCommand(global *globalFlags) *cobra.Command {
 	var duration time.Duration
 	var processes int
@@ -33,7 +33,7 @@
 				return usageError{fmt.Errorf("--processes must be 1 to %d", maxDemoProcesses)}
 			}
 			if !c.Flags().Changed("log-level") && global.logLevel == "info" {
-				global.logLevel = "warn" // the progress is shown in its place
+				global.logLevel = "warn" // the demo shows its progress instead
 			}
 			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -52,7 +52,8 @@
 	return c
 }
 
-// soakCommand loads a dispatcher, kills it at random, and checks its accounts.
+// soakCommand returns the command that loads a dispatcher, kills it at random and compares its ledger, its
+// journal and what its clients saw.
 func soakCommand(global *globalFlags) *cobra.Command {
 	var duration time.Duration
 	s := soak.Settings{}
@@ -91,8 +92,8 @@
 	return c
 }
 
-// topCommand starts the live view, a program of its own, so that the dispatcher does not depend on
-// its libraries.
+// topCommand returns the command that runs the live view, basaltloft-top. It is a separate program so that
+// the dispatcher does not depend on its libraries.
 func topCommand(global *globalFlags) *cobra.Command {
 	var figures, faktory, password string
 	var every time.Duration
@@ -118,7 +119,7 @@
 	return c
 }
 
-// runSibling runs a program that is installed beside this one.
+// runSibling runs a program that is installed in the same directory as this one.
 func runSibling(c *cobra.Command, global *globalFlags, name string, args ...string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -132,7 +133,8 @@
 	return nil
 }
 
-// labCommand starts the model of the fleet, a program of its own, which checks its arguments itself.
+// labCommand returns the command that runs the model of the fleet, basaltloft-lab, a separate program that
+// checks its arguments itself.
 func labCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:                "lab run|sweep|compare|plot FILE [-set PATH=VALUE,...] [-loads X,Y] [-seeds N] [-policies A,B] [-base POLICY] [-format table|csv|json] [-out NAME.svg]",
@@ -147,7 +149,8 @@
 	}
 }
 
-// loadCommand starts the load generator, a program of its own, which checks its arguments itself.
+// loadCommand returns the command that runs the load generator, basaltloft-load, a separate program that checks
+// its arguments itself.
 func loadCommand(global *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "load -at ADDRESS -class CLASS [-front http|faktory] [-rate N] [-to N] [-for 10s] [-trace FILE] [-format table|json] [-plot FILE.svg]",
@@ -161,8 +164,8 @@
 	}
 }
 
-// fakesCommand serves fake members and discovery, and writes the files with which a dispatcher finds
-// them.
+// fakesCommand returns the command that serves fake members and discovery, and writes the configuration
+// files with which a dispatcher finds them.
 func fakesCommand(global *globalFlags) *cobra.Command {
 	var folder string
 	load := demo.Load{}
--- a/internal/dispatcher/metrics/table.go
+++ b/internal/dispatcher/metrics/table.go
@@ -14,7 +14,7 @@
 // Dimensions lists the dimensions by which a table can be grouped.
 var Dimensions = []string{"front", "class", "tenant", "group"}
 
-// DimensionOf returns the value of a row's key in one of the Dimensions.
+// DimensionOf returns the value of a row's key in one of the Dimensions, or "" for any other name.
 func DimensionOf(key *accounting.RowKey, dimension string) string {
 	switch dimension {
 	case "front":
