--- a/internal/dispatcher/faktory/sets/disposition.go
+++ b/internal/dispatcher/faktory/sets/disposition.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Disposition is what becomes of a job whose attempt has ended without success.
+// Disposition is what happens next to a job whose attempt has ended without success.
 type Disposition uint8
 
 // Dispositions.
 const (
 	WillRetry   Disposition = iota // it waits for another attempt
 	MovedToDead                    // it is in the dead set, where an operator may requeue it
-	Discarded                      // it is dropped, as its client asked for
+	Discarded                      // it is dropped, as its client requested
 )
 
 // maxConsecutiveRejections is how many times in a row the engine may reject a job; a further
 // rejection counts as a failure.
 const maxConsecutiveRejections = 25
 
-// Failed decides what becomes of a job whose attempt failed, and moves it there: it is tried
-// again if it is idempotent, has retries left and fits the limits.
+// Failed records a failed attempt of a job, puts the job into the retries or the dead set, or
+// discards it, and returns which. The job is retried if it is idempotent, has retries left and
+// fits the limits.
 func (s *Store) Failed(now time.Time, j *Job, idempotent bool, errorType, message string, backtrace []string) Disposition {
 	now = s.monotonic(now)
 	if j.Failure == nil {
@@ -49,8 +50,8 @@
 	return WillRetry
 }
 
-// Rejected decides what becomes of a job that the engine rejected, so that it has not run: it
-// waits until retryAt, and at least for a backoff that doubles with each rejection in a row.
+// Rejected handles a job that the engine rejected, so that it has not run: the job waits until
+// retryAt, and at least for a backoff that doubles with each rejection in a row.
 func (s *Store) Rejected(now time.Time, j *Job, retryAt time.Time) Disposition {
 	now = s.monotonic(now)
 	if j.ConsecutiveRejections++; j.ConsecutiveRejections > maxConsecutiveRejections {
@@ -61,7 +62,7 @@
 		retryAt = now.Add(backoff)
 	}
 	j.IsRetry = true
-	s.track(j) // without a check of the limits: it was counted until it was dequeued
+	s.track(j) // without a check of the limits: the job counted against them until it was dequeued
 	s.Retries.Add(j, retryAt)
 	return WillRetry
 }
--- a/internal/dispatcher/faktory/sets/mutate.go
+++ b/internal/dispatcher/faktory/sets/mutate.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// Filter selects jobs: those that match each of its parts. An empty part matches all.
+// Filter selects the jobs that match all of its fields. An empty field matches every job.
 type Filter struct {
 	JobType string
 	IDs     []string
-	Pattern string // matches the job's JSON; * is any text, ? any character
+	Pattern string // matches the job's whole JSON; * matches any text, ? any character
 }
 
-// MaxPatternBytes bounds a Filter's pattern: matching takes time in proportion to its length and
-// to that of the jobs.
+// MaxPatternBytes limits the length of a Filter's pattern: matching takes time in proportion to
+// that length and to the length of the jobs.
 const MaxPatternBytes = 1000
 
-// matcher compiles a filter. It fails for a pattern that is no expression.
+// matcher returns a function that reports whether a job matches the filter. It returns an error
+// if the pattern is too long or does not compile.
 func (f Filter) matcher() (func(*Job) bool, error) {
 	ids := make(map[string]bool, len(f.IDs))
 	for _, id := range f.IDs {
@@ -49,17 +50,18 @@
 	Kill    Command = "kill"    // move them to the dead set
 	Requeue Command = "requeue" // put them into their queues
 	Discard Command = "discard" // drop them
-	Clear   Command = "clear"   // drop all of the set, whatever the filter
+	Clear   Command = "clear"   // drop all jobs of the set, regardless of the filter
 )
 
-// ErrMayHaveRun is the error of a job that must not be requeued.
+// ErrMayHaveRun is returned when a job to requeue may have run and the caller has not confirmed
+// that it has not.
 var ErrMayHaveRun = errors.New("may have run already, and its class must not run twice")
 
-// Mutate applies a command to the jobs of a set that a filter selects, to all of them or, on an
-// error, to none. A job that may have run is requeued only if the caller vouches that it has
-// not. It returns the jobs. The one exception: where the dead jobs to requeue exceed a limit,
-// a FullError is returned with those that were requeued before.
-func (s *Store) Mutate(now time.Time, c Command, target string, f Filter, vouched bool) ([]*Job, error) {
+// Mutate applies a command to the jobs of a set that a filter selects, and returns them. On an
+// error it applies the command to none of them, with one exception: if the dead jobs to requeue
+// together exceed a limit, it returns a FullError and the jobs that were requeued before. A job
+// that may have run is requeued only if the caller confirms that it has not (confirmedNotRun).
+func (s *Store) Mutate(now time.Time, c Command, target string, f Filter, confirmedNotRun bool) ([]*Job, error) {
 	now = s.monotonic(now)
 	set := s.findSet(target)
 	if set == nil {
@@ -87,7 +89,7 @@
 			s.MoveToDead(now, j)
 		}
 	case Requeue:
-		return s.requeue(now, set, selected, vouched)
+		return s.requeue(now, set, selected, confirmedNotRun)
 	default:
 		return nil, fmt.Errorf("no mutation is called %q", c)
 	}
@@ -105,10 +107,10 @@
 }
 
 // requeue moves jobs of a set into their queues, if each of them may run again and fits the
-// limits. Only dead jobs can exceed them: the others are counted already.
-func (s *Store) requeue(now time.Time, set *Set, selected []*Job, vouched bool) ([]*Job, error) {
+// limits. Only dead jobs can exceed the limits: the others count against them already.
+func (s *Store) requeue(now time.Time, set *Set, selected []*Job, confirmedNotRun bool) ([]*Job, error) {
 	for _, j := range selected {
-		if j.MayHaveRun && !vouched {
+		if j.MayHaveRun && !confirmedNotRun {
 			return nil, fmt.Errorf("job %s %w", j.ID, ErrMayHaveRun)
 		}
 		if set != s.Dead {
--- a/internal/dispatcher/faktory/sets/queue.go
+++ b/internal/dispatcher/faktory/sets/queue.go
@@ -8,7 +8,7 @@
 // Queue holds the jobs of one queue in the order in which they entered it.
 type Queue struct {
 	Name        string
-	Paused      bool // nothing is dequeued
+	Paused      bool // no job is dequeued
 	first, last *Job
 	count       int
 	bytes       int // the sum of the jobs' sizes
@@ -47,7 +47,7 @@
 	q.bytes -= j.size()
 }
 
-// latency is how long the first job has waited.
+// latency returns how long the first job has waited, or 0 for an empty queue.
 func (q *Queue) latency(now time.Time) time.Duration {
 	if q.first == nil {
 		return 0
@@ -55,7 +55,7 @@
 	return max(0, now.Sub(q.first.enqueuedAt.time()))
 }
 
-// Queue returns a queue by name, and creates it if it is not known.
+// Queue returns a queue by name, and creates it if it does not exist.
 func (s *Store) Queue(name string) *Queue {
 	q := s.queues[name]
 	if q == nil {
@@ -65,10 +65,10 @@
 	return q
 }
 
-// FindQueue returns a queue by name, or nil if it is not known.
+// FindQueue returns a queue by name, or nil if it does not exist.
 func (s *Store) FindQueue(name string) *Queue { return s.queues[name] }
 
-// resolveNames replaces names that contain * by those of all queues, in order.
+// resolveNames returns the names unchanged or, if one of them is *, the sorted names of all queues.
 func (s *Store) resolveNames(names []string) []string {
 	if !slices.Contains(names, "*") {
 		return names
@@ -81,8 +81,8 @@
 	return all
 }
 
-// Pause pauses queues, unknown ones too, or ends the pause. The name * is all known queues. It
-// returns the names.
+// Pause pauses queues or resumes them, and returns their names. The name * stands for all queues
+// that exist. A queue to pause that does not exist is created, unless the limit of queues is reached.
 func (s *Store) Pause(names []string, paused bool) []string {
 	names = s.resolveNames(names)
 	for _, name := range names {
@@ -93,7 +93,7 @@
 	return names
 }
 
-// Remove drops queues with all of their jobs, which it returns.
+// Remove drops queues and all of their jobs, and returns these jobs.
 func (s *Store) Remove(names []string) (dropped []*Job) {
 	for _, name := range s.resolveNames(names) {
 		q := s.queues[name]
@@ -120,7 +120,7 @@
 	Latency time.Duration // how long its first job has waited
 }
 
-// Info describes the queues of the given names, or all in the order of their names.
+// Info describes the queues of the given names or, without names, all queues sorted by name.
 func (s *Store) Info(now time.Time, names ...string) (infos []QueueInfo) {
 	if len(names) == 0 {
 		names = []string{"*"}
--- a/internal/dispatcher/faktory/sets/store.go
+++ b/internal/dispatcher/faktory/sets/store.go
@@ -8,61 +8,61 @@
 	"time"
 )
 
-// Limits bound a Store. Sizes are in bytes, as Job.size counts them.
+// Limits are the limits of a Store. Sizes are in bytes, as Job.size counts them.
 type Limits struct {
-	Jobs, Bytes             int           // of all queues and sets, the dead set apart
+	Jobs, Bytes             int           // of all queues and sets except the dead set
 	QueueJobs, QueueBytes   int           // of one queue
-	ClientJobs, ClientBytes int           // of one client; 0: no limit of its own
-	Queues                  int           // queues that are known, empty ones too
-	Dead, DeadBytes         int           // of the dead set; beyond them the oldest are dropped
+	ClientJobs, ClientBytes int           // of one client; 0: no limit per client
+	Queues                  int           // number of queues, including empty ones
+	Dead, DeadBytes         int           // of the dead set; the oldest jobs beyond them are dropped
 	DeadRetention           time.Duration // after which a dead job is dropped
-	BackoffUnit             time.Duration // how long a second of the backoff lasts; 0: a second
+	BackoffUnit             time.Duration // duration of one second of the backoff formula; 0: a second
 }
 
-// Errors of Push.
+// Errors that Push returns.
 var (
-	ErrNotUnique   = errors.New("NOTUNIQUE") // another job holds its lock
-	ErrDuplicateID = errors.New("this jid is waiting already")
-	ErrExpired     = errors.New("the job has expired")
-	ErrFull        = errors.New("no room") // a limit is reached; see FullError
+	ErrNotUnique   = errors.New("NOTUNIQUE")                   // another job holds the lock
+	ErrDuplicateID = errors.New("this jid is waiting already") // a job that is not dead has this jid
+	ErrExpired     = errors.New("the job has expired")         // its ExpiresAt has passed
+	ErrFull        = errors.New("no room")                     // a limit is reached; see FullError
 )
 
-// FullError says which limit a job would exceed. It wraps ErrFull.
+// FullError describes the limit that a job would exceed. It wraps ErrFull.
 type FullError struct{ Limit string }
 
 // Error implements error.
 func (f FullError) Error() string { return "no room: " + f.Limit }
 
-// Unwrap makes it an ErrFull.
+// Unwrap returns ErrFull.
 func (f FullError) Unwrap() error { return ErrFull }
 
-// Store holds all jobs that wait. Create it with NewStore.
+// Store holds all waiting and dead jobs. Create it with NewStore.
 type Store struct {
 	Scheduled *Set // pushed jobs that are not due yet
 	Retries   *Set // jobs that wait for their next attempt
-	Dead      *Set // failed jobs that are not tried again; operators may requeue them
+	Dead      *Set // failed jobs that are not retried; operators may requeue them
 
 	// Counts since the start.
-	DeadDropped int    // dead jobs dropped because of a limit or of their age
-	Expired     int    // jobs that were not dequeued in time
-	Promoted    [2]int // jobs that were due, of Scheduled and of Retries
+	DeadDropped int    // dead jobs dropped because of a limit or their age
+	Expired     int    // jobs that expired before they were dequeued
+	Promoted    [2]int // jobs moved into their queues when due, from Scheduled and from Retries
 
 	limits        Limits
 	jitter        *rand.Rand
 	queues        map[string]*Queue
-	jobs          map[string]*Job // by jid: all in a queue or a set, the dead ones included
+	jobs          map[string]*Job // by jid: all jobs in a queue or a set, including dead ones
 	clients       map[string]*usage
-	pendingJobs   int // of all clients, the dead jobs apart
+	pendingJobs   int // of all clients, without dead jobs
 	pendingBytes  int
 	locks         map[uint64]uniqueLock
 	nextLockSweep time.Time
-	lastNow       time.Time // the latest time that was passed in
+	lastNow       time.Time // the latest time that a caller has passed
 }
 
-// usage is what one client has waiting.
+// usage counts the waiting jobs of one client and their bytes.
 type usage struct{ jobs, bytes int }
 
-// NewStore returns an empty store. The seed is that of the retries' jitter.
+// NewStore returns an empty store. The seed is for the jitter of the retries.
 func NewStore(l Limits, seed uint64) *Store {
 	return &Store{
 		limits: l, jitter: rand.New(rand.NewPCG(seed, 23)), queues: make(map[string]*Queue), jobs: make(map[string]*Job),
@@ -71,8 +71,8 @@
 	}
 }
 
-// monotonic holds the time to never run backward, so that a job that was due stays due when
-// the clock is set back.
+// monotonic returns the latest time that was passed to it, so that a job that was due stays due
+// when the clock is set back.
 func (s *Store) monotonic(now time.Time) time.Time {
 	if now.Before(s.lastNow) {
 		return s.lastNow
@@ -81,18 +81,18 @@
 	return now
 }
 
-// Find returns the job with a jid, dead ones too, or nil.
+// Find returns the waiting or dead job with the given jid, or nil.
 func (s *Store) Find(id string) *Job { return s.jobs[id] }
 
-// Len returns how many jobs wait, the dead ones apart.
+// Len returns the number of waiting jobs, without dead ones.
 func (s *Store) Len() int { return s.pendingJobs }
 
-// Bytes returns the size of the jobs that wait, the dead ones apart.
+// Bytes returns the size of the waiting jobs, without dead ones.
 func (s *Store) Bytes() int { return s.pendingBytes }
 
 // Push puts a job into its queue or, if it is not due yet, into the scheduled set, and takes
-// the lock of a unique one. A dead job with the same jid is dropped for it. It returns
-// ErrDuplicateID, ErrExpired, ErrNotUnique or a FullError, and then nothing has changed.
+// the lock of a unique one. It drops a dead job with the same jid. If it returns
+// ErrDuplicateID, ErrExpired, ErrNotUnique or a FullError, no job or lock has changed.
 func (s *Store) Push(now time.Time, j *Job) error {
 	now = s.monotonic(now)
 	if known := s.jobs[j.ID]; known != nil && known.set != s.Dead {
@@ -145,13 +145,13 @@
 	return nil
 }
 
-// track counts a job in that goes into a queue or a set.
+// track records a job that is about to enter a queue or a set other than the dead set.
 func (s *Store) track(j *Job) {
 	s.jobs[j.ID] = j
 	s.addUsage(j, 1)
 }
 
-// addUsage counts a job in (sign 1) or out (-1).
+// addUsage adds a job to the usage counts (sign 1) or subtracts it (sign -1).
 func (s *Store) addUsage(j *Job, sign int) {
 	size := sign * j.size()
 	s.pendingJobs += sign
@@ -174,7 +174,7 @@
 	s.Queue(j.Queue).push(j)
 }
 
-// remove takes a job out of its queue or set.
+// remove takes a job out of its queue or set. It has no effect if the store does not hold the job.
 func (s *Store) remove(j *Job) {
 	if s.jobs[j.ID] != j {
 		return
@@ -192,13 +192,14 @@
 	}
 }
 
-// Dequeue takes the first job of a queue, or returns nil if the queue is empty or paused. Jobs
-// that have expired are removed too, and returned beside it.
+// Dequeue removes and returns the first job of a queue, or nil if the queue is empty or paused.
+// It also removes the expired jobs before that one, and returns them as expired.
 func (s *Store) Dequeue(now time.Time, name string) (j *Job, expired []*Job) {
 	return s.DequeueIf(now, name, func(*Job) bool { return true })
 }
 
-// DequeueIf is Dequeue, but a first job that accept refuses stays, and nil is returned.
+// DequeueIf is like Dequeue, but if accept returns false for the job, the job stays in the queue
+// and j is nil.
 func (s *Store) DequeueIf(now time.Time, name string, accept func(*Job) bool) (j *Job, expired []*Job) {
 	now = s.monotonic(now)
 	q := s.queues[name]
@@ -224,8 +225,9 @@
 }
 
 // PromoteDue moves at most limit scheduled and retried jobs that are due into their queues, and
-// drops dead jobs that are too old. It returns the names of the queues that got some, and when
-// it should be called again: now if the limit was reached, zero for never.
+// drops dead jobs that are too old. It returns the names of the queues that received jobs, and
+// when it should be called again: now if the limit was reached, zero if no job is scheduled or
+// waits for a retry.
 func (s *Store) PromoteDue(now time.Time, limit int) (queues []string, nextDue time.Time) {
 	now = s.monotonic(now)
 	for i, set := range []*Set{s.Scheduled, s.Retries} {
@@ -251,7 +253,8 @@
 	return queues, nextDue
 }
 
-// Flush drops all jobs, with all locks, and returns them. Queues that are paused stay so.
+// Flush drops all jobs and locks, and returns the jobs. Paused queues stay paused; the other
+// queues are removed.
 func (s *Store) Flush() (dropped []*Job) {
 	for _, j := range s.jobs {
 		dropped = append(dropped, j)
--- a/internal/dispatcher/faktory/sets/unique.go
+++ b/internal/dispatcher/faktory/sets/unique.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// uniqueLock keeps other jobs of the same unique key out.
+// uniqueLock prevents other jobs with the same unique key from being pushed.
 type uniqueLock struct {
 	jobID     string // the holder
 	expiresAt time.Time
@@ -15,12 +15,12 @@
 
 // Events that release a lock.
 const (
-	ReleaseOnSuccess LockRelease = iota // or its end for good
-	ReleaseOnStart                      // of its first attempt
+	ReleaseOnSuccess LockRelease = iota // the job succeeds, or ends without a further attempt
+	ReleaseOnStart                      // its first attempt starts
 )
 
-// Lock takes the lock of a unique job; for another job it does nothing. It returns ErrNotUnique
-// if another job holds the lock, or a FullError.
+// Lock takes the lock of a unique job; for other jobs it does nothing. It returns ErrNotUnique
+// if another job holds the lock, or a FullError if too many locks are held.
 func (s *Store) Lock(now time.Time, j *Job) error {
 	now = s.monotonic(now)
 	key := j.options().UniqueKey
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// sweepLocks drops expired locks, at most once a second: it walks over all.
+// sweepLocks drops expired locks. It does so at most once a second, because it iterates over all
+// locks.
 func (s *Store) sweepLocks(now time.Time) {
 	if now.Before(s.nextLockSweep) {
 		return
@@ -61,7 +62,8 @@
 	}
 }
 
-// Started takes in that an attempt of a job has started.
+// Started is called when an attempt of a job has started. It releases a lock that is held only
+// until then.
 func (s *Store) Started(j *Job) {
 	if j.options().ReleaseOn == ReleaseOnStart {
 		s.Unlock(j)
