--- a/internal/dispatcher/fakes/discovery.go
+++ b/internal/dispatcher/fakes/discovery.go
@@ -1,7 +1,7 @@
-// Package fakes has the surroundings of a dispatcher for the demo, the soak and tests:
-// discovery, pool members, HTTP clients, Faktory clients and workers, on loopback. Each is
-// written from the public description of its protocol and shares no code with the
-// dispatcher.
+// Package fakes provides the services and clients that a dispatcher works with, for the demo, the
+// soak test and other tests: discovery, pool members, HTTP clients, Faktory clients and workers, on
+// loopback. Each is written from the public description of its protocol and shares no code with
+// the dispatcher.
 package fakes
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Instance is one member on discovery's list, as it is sent.
+// Instance is one member in discovery's list, as it is encoded in a response.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -23,20 +23,20 @@
 	Cell      int     `json:"cell"`
 	Lifecycle string  `json:"lifecycle"` // active, leaving or left
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"startedAtMs"` // milliseconds since 1970; 0: long ago
+	StartedMs int64   `json:"startedAtMs"` // milliseconds since 1970; 0: a long time ago
 }
 
-// instanceList is an answer of discovery.
+// instanceList is a response of discovery.
 type instanceList struct {
 	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // the list is whole
+	Reset      bool       `json:"reset"` // the list is complete
 	Instances  []Instance `json:"instances"`
 }
 
-// maxWatch bounds how long a watch waits for a change.
+// maxWatch limits how long a watch waits for a change.
 const maxWatch = time.Minute
 
-// Discovery is the service that lists the members. It may be used concurrently.
+// Discovery is a fake of the service that lists the members. It may be used concurrently.
 type Discovery struct {
 	listener net.Listener
 	server   *http.Server
@@ -48,7 +48,7 @@
 	changed    chan struct{} // closed by the next change
 }
 
-// NewDiscovery serves a list on a loopback address.
+// NewDiscovery starts a Discovery that serves the list of members on a loopback address.
 func NewDiscovery(members ...Instance) (*Discovery, error) {
 	l, err := listenLoopback()
 	if err != nil {
@@ -62,10 +62,10 @@
 	return d, nil
 }
 
-// Addr is its address.
+// Addr returns the host and port that the service listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// SetInstances changes the list.
+// SetInstances replaces the list.
 func (d *Discovery) SetInstances(members ...Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,14 +75,14 @@
 	d.changed = make(chan struct{})
 }
 
-// Close ends the service at once.
+// Close stops the service at once.
 func (d *Discovery) Close() {
-	_ = d.server.Close() // an error of a listener that is gone anyway
+	_ = d.server.Close() // an error concerns only a listener that is not used any more
 	d.serving.Wait()
 }
 
-// instances answers with the list. With an index, which is the generation that the client
-// has, it waits for a change first, for the milliseconds in wait at most.
+// instances responds with the list. If the request has an index, which is the generation that the
+// client has, it first waits for a newer one, for at most the milliseconds in wait.
 func (d *Discovery) instances(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	index, watch := int64(-1), query.Has("index")
@@ -108,10 +108,10 @@
 	}
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // a client that has left needs no answer
+	_ = json.NewEncoder(w).Encode(answer) // an error means that the client has disconnected
 }
 
-// parseNumber reads a number of a query; what is none counts as 0.
+// parseNumber parses a number of a query, and returns 0 for text that is not a number.
 func parseNumber(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/internal/dispatcher/fakes/faktoryclients.go
+++ b/internal/dispatcher/fakes/faktoryclients.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// FaktoryClients push jobs over one connection until the context ends. A job counts as
-// served once the server has accepted it: its outcome is the server's to report.
+// FaktoryClients pushes jobs over one connection until the context ends. A job counts as
+// served once the server has accepted it; its outcome is not counted here, but reported by the server.
 func FaktoryClients(ctx context.Context, addr func() string, prefix string, s ClientSettings, a *Answers) {
 	random := rand.New(rand.NewPCG(s.Seed, 13))
 	p := &faktoryPusher{addr: addr, answers: a}
@@ -29,7 +29,7 @@
 			"jid": fmt.Sprintf("%s-job-%06d", prefix, n), "jobtype": jobType, "queue": queue, "args": []any{n},
 			"custom": map[string]any{"tenant": s.Tenants[random.IntN(len(s.Tenants))], "cost_us": 20000},
 		})
-		if err != nil { // a map of texts and numbers is always encoded
+		if err != nil { // encoding a map of strings and numbers does not fail
 			panic(err)
 		}
 		a.Requests.Add(1)
@@ -41,15 +41,15 @@
 	}
 }
 
-// faktoryPusher pushes jobs over a connection, and connects again when it is lost.
+// faktoryPusher pushes jobs over a connection, and reconnects when it is lost.
 type faktoryPusher struct {
 	addr    func() string
 	answers *Answers
 	conn    *FaktoryConn // nil: none
 }
 
-// push reports whether the server has accepted a job. A job that is pushed again joins
-// itself by its jid.
+// push pushes a job, and reports whether the server has accepted it. A job may be pushed again:
+// the server recognizes it by its jid.
 func (p *faktoryPusher) push(job string) bool {
 	if p.conn == nil {
 		conn, err := DialFaktory(p.addr(), "")
--- a/internal/dispatcher/fakes/faktoryconn.go
+++ b/internal/dispatcher/fakes/faktoryconn.go
@@ -14,19 +14,19 @@
 )
 
 // FaktoryConn is a client's connection to a server of the Faktory work protocol, without a
-// password. It is not safe for concurrent use, but for Close.
+// password. It is not safe for concurrent use, except for Close.
 type FaktoryConn struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-// ErrRefused is wrapped by the error of a command that the server refused.
+// ErrRefused is wrapped by the error that is returned when the server refuses a command.
 var ErrRefused = errors.New("refused")
 
-// commandTimeout bounds a command and its reply. A FETCH waits for some seconds.
+// commandTimeout limits the time of a command and its reply. A FETCH waits for some seconds.
 const commandTimeout = 30 * time.Second
 
-// DialFaktory connects and says HELLO; a wid makes the connection a worker's.
+// DialFaktory connects and sends HELLO. With a wid, the worker's id, it is the connection of a worker.
 func DialFaktory(addr, wid string) (*FaktoryConn, error) {
 	conn, err := new(net.Dialer).DialContext(context.Background(), "tcp", addr)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return err
 }
 
-// Do sends a command and returns its reply, nil for none. The error wraps ErrRefused or is
-// one of the connection, which is of no use then.
+// Do sends a command and returns its reply, or nil for a null bulk string. The error wraps
+// ErrRefused or is an error of the connection, which cannot be used any more then.
 func (f *FaktoryConn) Do(command string) ([]byte, error) {
 	if err := f.conn.SetDeadline(time.Now().Add(commandTimeout)); err != nil {
 		return nil, err
@@ -91,10 +91,10 @@
 		}
 		return text[:n], nil
 	}
-	return nil, fmt.Errorf("a reply that makes no sense: %q", line)
+	return nil, fmt.Errorf("reply has an unknown type: %q", line)
 }
 
 // Close closes the connection, without an END. It may be called concurrently.
 func (f *FaktoryConn) Close() {
-	_ = f.conn.Close() // nothing is lost by an error
+	_ = f.conn.Close() // an error loses nothing: the connection is not used any more
 }
--- a/internal/dispatcher/fakes/faktoryworker.go
+++ b/internal/dispatcher/fakes/faktoryworker.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// WorkerSettings are what a Faktory worker is.
+// WorkerSettings are the settings of a Faktory worker.
 type WorkerSettings struct {
 	WID        string // the worker's id
 	Queues     []string
 	Run        func(jobType string) time.Duration // how long a job runs
-	Faults     Faults                             // Fail: it says FAIL; DuplicateEnd: it says ACK twice; Break: it drops its connection before ACK
+	Faults     Faults                             // Fail: it sends FAIL; DuplicateEnd: it sends ACK twice; Break: it disconnects before ACK
 	RunLog     *RunLog
 	AtMostOnce func(jobType string) bool // job types that must not run twice
 	Seed       uint64
 }
 
 // FaktoryWorker fetches and runs jobs over one connection until the context ends, and
-// connects again when it is lost.
+// reconnects when the connection is lost.
 func FaktoryWorker(ctx context.Context, addr func() string, s WorkerSettings) {
 	w := &faktoryWorker{WorkerSettings: s, addr: addr, random: rand.New(rand.NewPCG(s.Seed, 17))}
 	defer w.disconnect()
@@ -52,13 +52,13 @@
 	WorkerSettings
 	addr   func() string
 	random *rand.Rand
-	acks   []string // acknowledgements that are to be sent
+	acks   []string // acknowledgements (ACK and FAIL) that are not sent yet
 
-	mu   sync.Mutex // guards changes of conn, which the worker's goroutine makes
+	mu   sync.Mutex // guards conn; the worker's goroutine alone sets it, and reads it without the lock
 	conn *FaktoryConn
 }
 
-// connect connects if there is no connection, and reports whether there is one.
+// connect connects if there is no connection, and reports whether there is one then.
 func (w *faktoryWorker) connect(ctx context.Context) bool {
 	if w.conn != nil {
 		return true
@@ -77,7 +77,8 @@
 	return true
 }
 
-// interrupt ends a command that waits. It may be called concurrently.
+// interrupt closes the connection, which ends a command that waits for its reply. It may be called
+// concurrently.
 func (w *faktoryWorker) interrupt() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,7 +96,7 @@
 	w.conn = nil
 }
 
-// acknowledge sends the acknowledgements that are to be sent, as far as it can.
+// acknowledge sends the outstanding acknowledgements, until the connection fails.
 func (w *faktoryWorker) acknowledge() {
 	for len(w.acks) > 0 {
 		if _, err := w.conn.Do(w.acks[0]); err != nil && !errors.Is(err, ErrRefused) {
@@ -105,7 +106,7 @@
 	}
 }
 
-// fetch fetches a job, if there is one.
+// fetch fetches a job; ok is false if there is none or the connection has failed.
 func (w *faktoryWorker) fetch() (jid, jobType string, ok bool) {
 	text, err := w.conn.Do("FETCH " + strings.Join(w.Queues, " "))
 	if err != nil {
@@ -126,7 +127,7 @@
 	return job.JID, job.JobType, true
 }
 
-// finish ends a job that has run; its acknowledgement is sent before the next fetch.
+// finish queues the acknowledgement of a job that has run, which is sent before the next fetch.
 func (w *faktoryWorker) finish(jid string) {
 	ack := fmt.Sprintf(`ACK {"jid":%q}`, jid)
 	if w.random.Float64() < w.Faults.Fail {
--- a/internal/dispatcher/fakes/freeaddr.go
+++ b/internal/dispatcher/fakes/freeaddr.go
@@ -2,9 +2,9 @@
 
 import "basaltloft/internal/shared/portreservation"
 
-// FreeAddr returns a loopback address for a program to listen on. No other call returns it
-// while this process lives, in this process or in another, and nothing accepts connections
-// there before the program does.
+// FreeAddr returns a loopback address for a program to listen on. As long as this process runs,
+// no other call returns it, in this process or in another. Nothing accepts connections there before
+// the program does.
 func FreeAddr() (string, error) {
 	reservation, err := portreservation.Reserve()
 	if err != nil {
--- a/internal/dispatcher/fakes/httpclients.go
+++ b/internal/dispatcher/fakes/httpclients.go
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// ClientSettings are what clients request. Shares and chances are from 0 to 1.
+// ClientSettings are the settings of clients. Shares are from 0 to 1.
 type ClientSettings struct {
-	Rate         float64 // logical requests a second, a Poisson process
-	TicketShare  float64 // of group tickets; the rest are holds
+	Rate         float64 // logical requests per second, as a Poisson process
+	TicketShare  float64 // share of requests for group tickets; the others are for holds
 	Tenants      []string
-	Retries      int     // after a rejection, or of a hold after any failure
-	AbandonShare float64 // of logical requests whose client leaves before the answer
+	Retries      int     // how many times a rejected request, or a hold that failed in any way, is retried
+	AbandonShare float64 // share of logical requests whose client disconnects before the response
 	Seed         uint64
 	OnCall       func(Call) // called after each attempt over HTTP, concurrently; nil: never
 }
 
-// Call is one attempt at a logical request, as its client saw it.
+// Call is one attempt of a logical request, as observed by its client.
 type Call struct {
 	ID, LogicalID, Class, Tenant, Addr string // Addr is the dispatcher's
 	Sent, Ended                        time.Time
-	Status                             int // of HTTP; 0: there was no answer
+	Status                             int // HTTP status; 0: there was no response
 }
 
-// Answers count what clients got. They may be used concurrently.
+// Answers counts requests of clients, their attempts and the results. It may be used concurrently.
 type Answers struct {
 	Requests, Attempts, Served, Refused, Failed, Disconnected, Abandoned atomic.Int64
 }
@@ -45,8 +45,8 @@
 const (
 	holdTimeout   = 10 * time.Second
 	ticketTimeout = 25 * time.Second
-	abandonAfter  = 30 * time.Millisecond // of a client that leaves
-	answerMargin  = time.Second           // after its timeout a client surely has its answer
+	abandonAfter  = 30 * time.Millisecond // when a client that abandons its request disconnects
+	answerMargin  = time.Second           // added to a request's timeout; its client surely has a response by then
 
 	maxRetryWait     = time.Second
 	reconnectWait    = 50 * time.Millisecond
@@ -59,9 +59,9 @@
 	classTicket = "group-ticket"
 )
 
-// HTTPClients send requests to a dispatcher over HTTP until the context ends, and wait for
-// the answers that are due then. addr is called for each attempt. prefix keeps the ids
-// apart from those of others.
+// HTTPClients sends requests to a dispatcher over HTTP until the context ends, and then waits for
+// the outstanding responses. addr is called for each attempt. prefix makes the ids differ from those
+// of other clients.
 func HTTPClients(ctx context.Context, addr func() string, prefix string, s ClientSettings, a *Answers) {
 	random := rand.New(rand.NewPCG(s.Seed, 11))
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
@@ -93,7 +93,7 @@
 	class, id, key, tenant string
 	timeout                time.Duration
 	retries                int
-	abandons               bool // the client leaves before the answer
+	abandons               bool // the client disconnects before the response
 	onCall                 func(Call)
 }
 
@@ -101,21 +101,21 @@
 // left.
 func (q httpRequest) run(client *http.Client, addr func() string, a *Answers) {
 	for number := 0; number <= q.retries; number++ {
-		wait, again := q.attempt(client, addr(), number, a)
-		if !again {
+		wait, retry := q.attempt(client, addr(), number, a)
+		if !retry {
 			return
 		}
 		time.Sleep(min(wait, maxRetryWait))
 	}
 }
 
-// attempt makes one attempt. It returns whether another may follow, and after how long.
-func (q httpRequest) attempt(client *http.Client, addr string, number int, a *Answers) (wait time.Duration, again bool) {
-	patience := q.timeout + answerMargin
+// attempt makes one attempt. It returns whether another one may follow, and after what wait.
+func (q httpRequest) attempt(client *http.Client, addr string, number int, a *Answers) (wait time.Duration, retry bool) {
+	attemptTimeout := q.timeout + answerMargin
 	if q.abandons {
-		patience = abandonAfter
+		attemptTimeout = abandonAfter
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(patience))
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(attemptTimeout))
 	defer cancel()
 	req, err := q.newHTTPRequest(ctx, addr, number)
 	if err != nil {
@@ -134,7 +134,7 @@
 			a.Abandoned.Add(1)
 			return 0, false
 		}
-		a.Disconnected.Add(1) // as by a dispatcher that was killed: a ticket may have run
+		a.Disconnected.Add(1) // e.g. the dispatcher was killed: a ticket may have run
 		return reconnectWait, q.class == classHold
 	}
 	discard(resp.Body)
@@ -146,7 +146,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		a.Refused.Add(1)
 		seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		if err != nil { // the dispatcher names no time
+		if err != nil { // the response has no valid Retry-After
 			seconds = 0
 		}
 		return time.Duration(seconds * float64(time.Second)), true
@@ -155,7 +155,7 @@
 	return failureRetryWait, q.class == classHold
 }
 
-// newHTTPRequest is one attempt, by the platform's protocol.
+// newHTTPRequest returns the request of one attempt, in the platform's protocol.
 func (q httpRequest) newHTTPRequest(ctx context.Context, addr string, number int) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+q.class+"?sid="+q.key, strings.NewReader("body"))
 	if err != nil {
@@ -171,8 +171,8 @@
 	return req, nil
 }
 
-// discard reads a body to its end, so that its connection can be used again. Errors are
-// those of a peer that broke off.
+// discard reads a body to its end, so that its connection can be reused. It ignores errors: they
+// mean that the peer has closed the connection.
 func discard(body io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, body)
 	_ = body.Close()
--- a/internal/dispatcher/fakes/member.go
+++ b/internal/dispatcher/fakes/member.go
@@ -15,49 +15,49 @@
 	"time"
 )
 
-// Faults are what goes wrong at a member or worker, each with a chance from 0 to 1.
+// Faults are the probabilities, from 0 to 1, of the faults of a member or worker.
 type Faults struct {
-	Reject       float64 // it answers that it is full
+	Reject       float64 // it responds that it is full
 	Fail         float64 // it runs the job and reports it as failed
-	Break        float64 // it breaks the connection after it has run the job
+	Break        float64 // it closes the connection after it has run the job
 	DuplicateEnd float64 // it reports the end of a job twice
-	HandBack     float64 // it accepts the job and hands it back unstarted
+	HandBack     float64 // it accepts the job and returns it without starting it
 	ReportLost   float64 // it runs the job and reports it as lost
-	Hang         float64 // it accepts the job, or does not answer, and never reports
+	Hang         float64 // it accepts the job or does not respond, and never reports
 }
 
-// MemberSettings are what a member is.
+// MemberSettings are the settings of a member.
 type MemberSettings struct {
 	ID             string
 	Zone           string // empty: hall
 	Kind           string // empty: std
 	Cell           int
-	Slots          int                              // jobs that run at a time; 0: 1
+	Slots          int                              // jobs that run concurrently; 0: 1
 	Run            func(class string) time.Duration // how long a job runs
 	Faults         Faults
 	ReportTo       func() string // the address of the dispatcher that jobs are reported to
 	RunLog         *RunLog
-	Outcome        func(class, logicalID string, body []byte) (state, result string) // of a job, before faults; nil: done
+	Outcome        func(class, logicalID string, body []byte) (state, result string) // of a job; then faults may change the state; nil: done
 	AtMostOnce     func(class string) bool                                           // classes that must not run twice
 	NoStartReports bool                                                              // starts of jobs are not reported
 	Seed           uint64
 }
 
-// Member is an HTTP pool member: it queues jobs, runs as many at a time as it has slots,
+// Member is an HTTP pool member: it queues jobs, runs as many concurrently as it has slots,
 // and reports each start and end to the dispatcher that the job came from.
 type Member struct {
 	MemberSettings
 	listener net.Listener
 	server   *http.Server
 	queue    chan memberJob
-	ctx      context.Context // ends with the member
+	ctx      context.Context // ends when the member is closed
 	stop     context.CancelFunc
 	running  sync.WaitGroup
 	client   http.Client
 
 	mu        sync.Mutex
 	random    *rand.Rand
-	endpoints map[string]endpoint // by the address that a job comes to
+	endpoints map[string]endpoint // by the member's address that a job is sent to
 }
 
 // endpoint is the address of a member for one dispatcher.
@@ -69,17 +69,17 @@
 type memberJob struct {
 	id, class, logicalID string
 	body                 []byte
-	arrival              int // its number in the run log
+	arrival              int // its index in the run log
 	reportTo             func() string
 }
 
-// report is what a member reports of a job.
+// report is what a member reports about a job.
 type report struct{ state, result string }
 
 const (
 	maxQueued      = 64
 	reportTimeout  = 2 * time.Second
-	maxReports     = 10 // of one state, until the dispatcher has answered
+	maxReports     = 10 // how many times one state is reported until the dispatcher accepts it
 	reportInterval = 20 * time.Millisecond
 )
 
@@ -97,7 +97,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health/live", func(http.ResponseWriter, *http.Request) {})
-	mux.HandleFunc("DELETE /jobs/{id}", func(_ http.ResponseWriter, r *http.Request) { // what has begun goes on
+	mux.HandleFunc("DELETE /jobs/{id}", func(_ http.ResponseWriter, r *http.Request) { // a job that has started continues
 		m.RunLog.abandon(r.PathValue("id"), m.ID)
 	})
 	mux.HandleFunc("POST /", m.submit)
@@ -113,7 +113,7 @@
 	m.running.Go(func() { _ = m.server.Serve(l) }) // until Close
 }
 
-// Instance is the member's entry on discovery's list.
+// Instance returns the member's entry for discovery's list.
 func (m *Member) Instance() Instance {
 	return Instance{
 		ID: m.ID, Addr: m.listener.Addr().String(), Zone: cmp.Or(m.Zone, "hall"), Kind: cmp.Or(m.Kind, "std"), Cell: m.Cell,
@@ -121,8 +121,8 @@
 	}
 }
 
-// OpenFor opens another address of the member, for one more dispatcher, to which the jobs
-// that come there are reported. It returns the member's entry on that one's list.
+// OpenFor opens another address of the member for one more dispatcher. Jobs that are sent to this
+// address are reported to that dispatcher. It returns the member's entry for that dispatcher's list.
 func (m *Member) OpenFor(dispatcher string, reportTo func() string) (Instance, error) {
 	l, err := listenLoopback()
 	if err != nil {
@@ -138,15 +138,15 @@
 	return instance, nil
 }
 
-// Close ends the member at once, with all that it runs.
+// Close stops the member and all jobs that it runs at once.
 func (m *Member) Close() {
 	m.stop()
-	_ = m.server.Close() // errors of listeners that are gone anyway
+	_ = m.server.Close() // errors concern only listeners that are not used any more
 	m.running.Wait()
 	m.client.CloseIdleConnections()
 }
 
-// chance draws whether something happens.
+// chance returns true with probability p.
 func (m *Member) chance(p float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -160,10 +160,10 @@
 	return m.endpoints[addr]
 }
 
-// submit accepts a job, or rejects it.
+// submit accepts or rejects a job, or simulates a fault.
 func (m *Member) submit(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	if err != nil { // an attempt counts once its last byte has arrived
+	if err != nil { // an attempt counts only once its last byte has arrived
 		panic(http.ErrAbortHandler)
 	}
 	id := r.Header.Get("X-Call-Id")
@@ -198,14 +198,14 @@
 	}
 }
 
-// reject answers that the member is full.
+// reject responds that the member is full.
 func (m *Member) reject(w http.ResponseWriter, arrival int) {
 	m.RunLog.updateArrival(arrival, func(a *Arrival) { a.Rejected, a.SettledAt = true, time.Now() })
 	w.Header().Set("X-Rejected", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hang accepts the job and forgets it, or does not answer until the client has left.
+// hang accepts the job and drops it, or does not respond until the client has disconnected.
 func (m *Member) hang(w http.ResponseWriter, r *http.Request, arrival int) {
 	if m.chance(0.5) {
 		w.WriteHeader(http.StatusAccepted)
@@ -230,10 +230,10 @@
 	}
 }
 
-// run runs a job. Reports are sent beside it: a dispatcher that does not answer holds up
-// those of its own job only.
+// run runs a job. Its reports are sent by another goroutine, so that a dispatcher that does not
+// respond delays only the reports of this job.
 func (m *Member) run(j memberJob) {
-	reports := make(chan report, 3) // as many as there are at most
+	reports := make(chan report, 3) // a job has at most three reports
 	defer close(reports)
 	m.running.Go(func() {
 		for r := range reports {
@@ -264,7 +264,7 @@
 	}
 }
 
-// end is how a job ends.
+// end returns the final report of a job.
 func (m *Member) end(j memberJob) report {
 	r := report{"done", "ok from " + m.ID}
 	if m.Outcome != nil {
@@ -279,10 +279,10 @@
 	return r
 }
 
-// report reports to the dispatcher until it answers, maxReports times at most.
+// report sends a report to the dispatcher until it is accepted, at most maxReports times.
 func (m *Member) report(j memberJob, r report) {
 	text, err := json.Marshal(map[string]string{"id": j.id, "from": m.ID, "state": r.state, "result": r.result})
-	if err != nil { // a map of strings is always encoded
+	if err != nil { // encoding a map of strings does not fail
 		panic(err)
 	}
 	for range maxReports {
--- a/internal/dispatcher/fakes/runlog.go
+++ b/internal/dispatcher/fakes/runlog.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// RunLog counts how often each job ran, at whichever member or worker: it shows a job that
-// was charged twice. It may be used concurrently.
+// RunLog counts how often each job ran, over all members and workers: it detects a job that
+// ran, and so was charged, twice. It may be used concurrently.
 type RunLog struct {
 	mu           sync.Mutex
 	runs         map[string]int  // by the job's id
@@ -16,28 +16,28 @@
 	arrivals     []Arrival
 }
 
-// Arrival is the arrival of a job at a member, as the member saw it. A time is zero until
-// it has come.
+// Arrival is the arrival of a job at a member, as observed by the member. The time of an event is
+// zero until the event has occurred.
 type Arrival struct {
 	ArrivedAt, StartedAt, EndedAt time.Time
 	ID, Class, Key, Tenant        string
-	LogicalID                     string    // the client's id over all its attempts, the target's sid
-	Dispatcher, Member            string    // which sent it, by the address it came to; and which got it
-	Rejected                      bool      // also handed back: it never ran
-	SettledAt                     time.Time // just before its dispatcher could learn of the end, or when it was cancelled
+	LogicalID                     string    // the client's id for all attempts of a request: sid in the URL
+	Dispatcher, Member            string    // the sender, by the address that it used; and the receiver
+	Rejected                      bool      // it was rejected or returned, and never ran
+	SettledAt                     time.Time // just before its dispatcher could be informed of the end, or when it was cancelled
 }
 
-// KeepArrivals lets the log keep each arrival. It must be called before the first one.
+// KeepArrivals makes the log keep each arrival. It must be called before the first arrival.
 func (l *RunLog) KeepArrivals() { l.keepArrivals = true }
 
-// Arrivals are the arrivals so far, in their order, if they are kept.
+// Arrivals returns the arrivals so far, in their order, or none if they are not kept.
 func (l *RunLog) Arrivals() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.arrivals)
 }
 
-// addArrival adds an arrival and returns its number, for updateArrival.
+// addArrival adds an arrival, if they are kept, and returns its index for updateArrival.
 func (l *RunLog) addArrival(a Arrival) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,7 +47,7 @@
 	return len(l.arrivals) - 1
 }
 
-// updateArrival changes an arrival, if they are kept.
+// updateArrival changes the arrival with an index, if arrivals are kept.
 func (l *RunLog) updateArrival(n int, update func(*Arrival)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +56,8 @@
 	}
 }
 
-// abandon records that nobody waits any more for a job at a member.
+// abandon records that a job at a member was cancelled: it sets the SettledAt of the last arrival of the
+// job there, unless it is set already.
 func (l *RunLog) abandon(id, member string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +76,7 @@
 	return &RunLog{runs: make(map[string]int), atMostOnce: make(map[string]bool)}
 }
 
-// RecordRun counts a run of a job and returns how many there were before. atMostOnce says
+// RecordRun counts a run of a job and returns how many runs there were before. atMostOnce means
 // that the job must not run twice.
 func (l *RunLog) RecordRun(job string, atMostOnce bool) int {
 	l.mu.Lock()
@@ -87,7 +88,7 @@
 	return l.runs[job] - 1
 }
 
-// RunTwice names the jobs that ran more than once and must not.
+// RunTwice returns the ids of the jobs that ran more than once but must not.
 func (l *RunLog) RunTwice() (jobs []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +100,7 @@
 	return jobs
 }
 
-// JobCount is how many jobs ran, each counted once.
+// JobCount returns how many different jobs ran.
 func (l *RunLog) JobCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dispatcher/fakes/runlog_test.go
+++ b/internal/dispatcher/fakes/runlog_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRunTwice: only jobs that must not run twice are named, each once.
+// TestRunTwice checks that RunTwice returns only jobs that must not run twice, each once.
 func TestRunTwice(t *testing.T) {
 	l := NewRunLog()
 	require.Zero(t, l.RecordRun("ticket", true))
@@ -20,8 +20,8 @@
 	require.Equal(t, 2, l.JobCount())
 }
 
-// TestArrivals: arrivals are kept only if that is asked for, and a cancelled one is settled
-// once, at its member.
+// TestArrivals checks that arrivals are kept only after KeepArrivals, and that a cancelled arrival is
+// settled once, and only at its member.
 func TestArrivals(t *testing.T) {
 	l := NewRunLog()
 	l.addArrival(Arrival{ID: "lost"})
