--- a/cmd/basaltloftctl/demo.go
+++ b/cmd/basaltloftctl/demo.go
@@ -26,12 +26,12 @@
 
 // Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
-	const mostRate = 2000
+	const maxRate = 2000
 	switch {
 	case c.For < 0:
 		return errors.New("--for must not be negative")
-	case c.Rate <= 0 || c.Rate > mostRate:
-		return errors.Newf("--rate must be above 0 and at most %d jobs a second", mostRate)
+	case c.Rate <= 0 || c.Rate > maxRate:
+		return errors.Newf("--rate must be above 0 and at most %d jobs a second", maxRate)
 	case c.Runners < 1:
 		return errors.New("--runners must be 1 or more")
 	case c.Port < 1024 || c.Port > 65_000:
--- a/cmd/basaltloftctl/late.go
+++ b/cmd/basaltloftctl/late.go
@@ -10,7 +10,7 @@
 	"basaltloft/internal/cluster/lateness"
 )
 
-// lateCommand shows what late jobs waited for.
+// lateCommand prints how long late jobs waited, and for what.
 type lateCommand struct {
 	Window time.Duration `long:"window" default:"2s" description:"length of the windows of time"`
 	Args   struct {
@@ -18,7 +18,7 @@
 	} `positional-args:"yes"`
 }
 
-// minWindow is the shortest window of time: shorter ones hold too few jobs for a mean.
+// minWindow is the shortest --window: shorter windows contain too few jobs for a meaningful mean.
 const minWindow = time.Second
 
 // Execute implements flags.Commander.
@@ -34,7 +34,7 @@
 	return lateness.Print(os.Stdout, jobs, c.Window)
 }
 
-// readLogs reads the late jobs from all logs.
+// readLogs returns the late jobs in all log files, or in standard input if no file is given.
 func (c *lateCommand) readLogs() ([]lateness.LateJob, error) {
 	if len(c.Args.Files) == 0 {
 		return lateness.ReadLog(os.Stdin)
@@ -50,12 +50,12 @@
 	return jobs, nil
 }
 
-// readLog reads the late jobs from one log.
+// readLog returns the late jobs in one log file.
 func readLog(path string) ([]lateness.LateJob, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "open a log")
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only, so a failed close loses nothing
 	return lateness.ReadLog(file)
 }
--- a/cmd/basaltloftctl/main.go
+++ b/cmd/basaltloftctl/main.go
@@ -1,5 +1,5 @@
-// Command basaltloftctl shows operators what the control-plane nodes of a cluster scheduler hold,
-// and why jobs were late; and runs a demonstration cluster on one machine.
+// Command basaltloftctl shows operators the state of a cluster scheduler's control-plane nodes and the
+// causes of late jobs, and runs a demonstration cluster on one machine.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run executes the sub-command that the arguments name and returns the exit status.
+// run executes the sub-command given in args and returns the exit status.
 func run(args []string) int {
 	parser := flags.NewNamedParser("basaltloftctl", flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddCommand("status", "Show groups, leaders and members", "Asks core processes which groups they hold: who leads and for how long, what is applied, who votes and who lacks what. Equal digests at equal applied indexes are equal states.", &statusCommand{}); err != nil {
@@ -44,7 +44,7 @@
 	return report(err, exitFailed)
 }
 
-// report prints an error and returns the exit status.
+// report prints err to standard error and returns status.
 func report(err error, status int) int {
 	fmt.Fprintln(os.Stderr, err)
 	return status
--- a/cmd/basaltloftctl/script_test.go
+++ b/cmd/basaltloftctl/script_test.go
@@ -10,7 +10,7 @@
 	testscript.Main(m, map[string]func(){"basaltloftctl": main})
 }
 
-// TestCommandLines compares what the command prints with what it printed at 352ebf2.
+// TestCommandLines compares the command's output with its output at commit 352ebf2.
 func TestCommandLines(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
--- a/cmd/basaltloftctl/status.go
+++ b/cmd/basaltloftctl/status.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// requestStatus asks the node at an address.
+// requestStatus requests the status of the node at an address.
 func requestStatus(address string, timeout time.Duration) (protocol.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -61,8 +61,8 @@
 	return status, nil
 }
 
-// writeStatus writes what a node holds: a line for each group, and one for each member that lags
-// behind, is about to join, or has halted.
+// writeStatus writes a node's status: a table with a line for each replica group, then a line for each
+// problem of a group and for each member that lags behind.
 func writeStatus(to io.Writer, status protocol.StatusResponse) error {
 	text := &bytes.Buffer{} // writing to it never fails
 	fmt.Fprintf(text, "%s (%s, member %s, configuration %d)\n", status.Node, status.Member.Address, status.Member.ID, status.Version)
@@ -74,13 +74,14 @@
 	}
 	_ = table.Flush()
 	for _, group := range status.Groups {
-		writeTroubles(text, group)
+		writeProblems(text, group)
 	}
 	_, err := text.WriteTo(to)
 	return errors.Wrap(err, "write the status")
 }
 
-// leaderText returns where a group's leader is, as the node knows it.
+// leaderText returns the address of a group's leader as the node reports it: "here" if it is the node
+// itself, "none" if the leader isn't known.
 func leaderText(group protocol.GroupStatus) string {
 	switch {
 	case group.Leads:
@@ -91,7 +92,7 @@
 	return group.Leader
 }
 
-// leaseText returns how much of its lease the leader has left.
+// leaseText returns the time left of the node's leader lease, or "-" if the node doesn't lead the group.
 func leaseText(group protocol.GroupStatus) string {
 	if !group.Leads {
 		return "-"
@@ -99,7 +100,7 @@
 	return group.LeaseLeft.Round(time.Millisecond).String()
 }
 
-// votersText returns the number of voters; during a change of members, those before and after it.
+// votersText returns the number of voters; during a membership change, the numbers before and after it.
 func votersText(group protocol.GroupStatus) string {
 	if group.Members.IsJoint() {
 		return fmt.Sprintf("%d to %d", len(group.Members.Outgoing), len(group.Members.Voters))
@@ -107,8 +108,9 @@
 	return strconv.Itoa(len(group.Members.Voters))
 }
 
-// writeTroubles writes what an operator should know of a group beyond its line in the table.
-func writeTroubles(text *bytes.Buffer, group protocol.GroupStatus) {
+// writeProblems writes a line if the group's replica has halted, is receiving a snapshot or has bytes that
+// aren't synced to disk, and one for each member that lags behind.
+func writeProblems(text *bytes.Buffer, group protocol.GroupStatus) {
 	if group.Halted != "" {
 		fmt.Fprintf(text, "  %s: halted: %s\n", group.Name, group.Halted)
 	}
--- a/cmd/basaltloftctl/status_test.go
+++ b/cmd/basaltloftctl/status_test.go
@@ -12,8 +12,8 @@
 	"basaltloft/internal/cluster/protocol"
 )
 
-// TestStatusText: the lease, what is applied, who lags behind, a change of members under way, a
-// replica that has halted.
+// TestStatusText: the status shows the lease, the applied index, members that lag behind, a membership
+// change in progress, and a replica that has halted.
 func TestStatusText(t *testing.T) {
 	members := replica.Membership{Voters: []replica.Member{{ID: "x", Address: "10.0.0.1:1"}, {ID: "y", Address: "10.0.0.2:1"}}, Outgoing: []replica.Member{{ID: "x"}}}
 	leading := group.Status{Role: replica.Leader, Term: 7, Leads: true, LeaseLeft: 312 * time.Millisecond, Applied: 41, Last: 44, Snapshot: 30, Digest: 0xabcd,
