--- a/internal/dispatcher/segment/directory.go
+++ b/internal/dispatcher/segment/directory.go
@@ -1,7 +1,7 @@
-// Package segment is the storage format that the journal and the spool share: a directory
-// of segment files that one process writes, and batches in them that are written completely
-// or not at all. Each batch's checksum is seeded with that of the batch before, so that a
-// missing, moved or torn batch is detected.
+// Package segment implements the storage format that the journal and the spool share: a directory of
+// segment files that one process writes, and batches in them that are written completely or not at all.
+// Each batch's checksum is seeded with the checksum of the batch before it, so that a missing, moved or torn
+// batch is detected.
 package segment
 
 import (
@@ -15,9 +15,9 @@
 	"syscall"
 )
 
-// Directory is where segments are kept. Its methods fail with the errors of package os.
+// Directory stores segments. Its methods return the errors of package os.
 type Directory interface {
-	Names() ([]string, error) // the segments, sorted
+	Names() ([]string, error) // names of the segments, sorted
 	Read(name string) ([]byte, error)
 	Create(name string) (File, error) // the segment must not exist
 	Truncate(name string, size int64) error
@@ -26,22 +26,22 @@
 	Close() error
 }
 
-// File is a segment that is being written.
+// File is a segment that is open for writing.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// ErrInUse says that another process writes to a directory.
+// ErrInUse is returned by OpenDirectory when another process has the directory open for writing.
 var ErrInUse = errors.New("in use by another process")
 
 type osDirectory struct {
 	path string
-	lock *os.File // nil: read only
+	lock *os.File // nil if the directory is open for reading only
 }
 
-// OpenDirectory opens a directory for writing, creates it if need be, and locks it against
+// OpenDirectory opens a directory for writing, creates it if it does not exist, and locks it against
 // other processes until it is closed.
 func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o750); err != nil {
@@ -58,22 +58,22 @@
 	return &osDirectory{path, lock}, nil
 }
 
-// ReadDirectory opens a directory for reading, also while a process writes to it.
+// ReadDirectory opens a directory for reading. It takes no lock, so another process may be writing to it.
 func ReadDirectory(path string) (Directory, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("%s is no folder", path)
+		return nil, fmt.Errorf("%s is not a directory", path)
 	}
 	return &osDirectory{path: path}, nil
 }
 
-func (f *osDirectory) filePath(name string) string { return filepath.Join(f.path, name) }
+func (d *osDirectory) filePath(name string) string { return filepath.Join(d.path, name) }
 
-func (f *osDirectory) Names() ([]string, error) {
-	entries, err := os.ReadDir(f.path)
+func (d *osDirectory) Names() ([]string, error) {
+	entries, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, err
 	}
@@ -87,29 +87,29 @@
 	return names, nil
 }
 
-func (f *osDirectory) Read(name string) ([]byte, error) { return os.ReadFile(f.filePath(name)) }
+func (d *osDirectory) Read(name string) ([]byte, error) { return os.ReadFile(d.filePath(name)) }
 
-func (f *osDirectory) Create(name string) (File, error) {
-	return os.OpenFile(f.filePath(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
+func (d *osDirectory) Create(name string) (File, error) {
+	return os.OpenFile(d.filePath(name), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 }
 
-func (f *osDirectory) Truncate(name string, size int64) error {
-	return os.Truncate(f.filePath(name), size)
+func (d *osDirectory) Truncate(name string, size int64) error {
+	return os.Truncate(d.filePath(name), size)
 }
-func (f *osDirectory) Remove(name string) error { return os.Remove(f.filePath(name)) }
+func (d *osDirectory) Remove(name string) error { return os.Remove(d.filePath(name)) }
 
-func (f *osDirectory) Sync() error {
-	d, err := os.Open(f.path)
+func (d *osDirectory) Sync() error {
+	file, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = d.Close() }()
-	return d.Sync()
+	defer func() { _ = file.Close() }()
+	return file.Sync()
 }
 
-func (f *osDirectory) Close() error {
-	if f.lock == nil {
+func (d *osDirectory) Close() error {
+	if d.lock == nil {
 		return nil
 	}
-	return f.lock.Close()
+	return d.lock.Close()
 }
