--- a/internal/dispatcher/simprotocol/decode.go
+++ b/internal/dispatcher/simprotocol/decode.go
@@ -13,19 +13,19 @@
 
 const (
 	maxLineBytes = 64 << 20
-	maxLists     = 16 // numbers of lists of members are below this
+	maxLists     = 16 // member lists are numbered from 0 to maxLists-1
 )
 
-// Decoder reads events from a stream. It must not be used concurrently.
+// Decoder reads events from a stream. It is not safe for concurrent use.
 type Decoder struct {
 	in          *bufio.Scanner
 	line        int // number of the line last read
 	inBatch     bool
 	event       Event
-	interned    map[string]string // so that each name is allocated once
+	interned    map[string]string // strings that were read before; each value is allocated once
 	memberLists [maxLists][]policy.Member
-	listDefined [maxLists]bool
-	fields      []field // of the line last read; they point into the scanner's buffer
+	listDefined [maxLists]bool // whether memberLists has the list
+	fields      []field        // of the line last read; they point into the scanner's buffer
 }
 
 // NewDecoder returns a decoder that reads from r.
@@ -35,8 +35,8 @@
 	return &Decoder{in: in, interned: make(map[string]string)}
 }
 
-// Next returns the next event. It returns io.EOF at the end of input between
-// batches; any other error names the line of input.
+// Next returns the next event. It returns io.EOF if the input ends between batches; any other error names
+// the line of input.
 func (d *Decoder) Next() (*Event, error) {
 	for {
 		if !d.scan() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// scan reads the next line into the scanner's buffer.
+// scan reads the next line into the scanner's buffer. It reports whether there is one.
 func (d *Decoder) scan() bool {
 	if !d.in.Scan() {
 		return false
@@ -61,7 +61,7 @@
 	return true
 }
 
-// endOfInput is the error of a scan that read nothing.
+// endOfInput returns the error for a scan that found no line: io.EOF if the input ended between batches.
 func (d *Decoder) endOfInput() error {
 	if err := d.in.Err(); err != nil {
 		return fmt.Errorf("line %d: %w", d.line+1, err)
@@ -72,7 +72,7 @@
 	return io.EOF
 }
 
-// decodeLine decodes one line. It reports whether the line is an event.
+// decodeLine decodes one line. It reports whether the line completes an event, which is then in d.event.
 func (d *Decoder) decodeLine(line []byte) (bool, error) {
 	name, err := d.split(line)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return true, nil
 }
 
-// beginBatch decodes the first line of a batch. Times never run backward.
+// beginBatch decodes the first line of a batch. The times of batches must not decrease.
 func (d *Decoder) beginBatch() error {
 	now, err := d.integer("at_time")
 	if err != nil {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// decodeMessage decodes the line of a message that belongs to an instance.
+// decodeMessage decodes a message that is for an instance into d.event.
 func (d *Decoder) decodeMessage(name string) error {
 	ev := &d.event
 	var err error
@@ -163,5 +163,5 @@
 	return err
 }
 
-// Position names the line last read, for errors about its event.
+// Position returns the number of the line last read as text, for errors about its event.
 func (d *Decoder) Position() string { return "line " + strconv.Itoa(d.line) }
--- a/internal/dispatcher/simprotocol/encode.go
+++ b/internal/dispatcher/simprotocol/encode.go
@@ -10,10 +10,10 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// Encoder writes the replies to batches. Errors of writing come back from Finish.
+// Encoder writes the replies to batches. Write errors are returned by Finish.
 type Encoder struct {
 	out             *bufio.Writer
-	currentInstance string // that the last SOURCE line of this reply named
+	currentInstance string // instance in the last SOURCE line of this reply
 	numberBuffer    []byte
 }
 
@@ -43,7 +43,8 @@
 	instance string
 }
 
-// begin starts an action's line, after a SOURCE line if the reply's instance changes.
+// begin starts the line of an action. Before the reply's first action, and when the instance changes, it writes
+// a SOURCE line.
 func (h *host) begin(action string) {
 	if h.encoder.currentInstance != h.instance {
 		h.encoder.currentInstance = h.instance
@@ -54,7 +55,7 @@
 	h.encoder.write(action)
 }
 
-// text adds a field to the line.
+// text adds a field with a text value to the line.
 func (h *host) text(name, value string) {
 	h.encoder.write("\t")
 	h.encoder.write(name)
@@ -62,11 +63,11 @@
 	h.encoder.write(value)
 }
 
-// number adds a field with an integer to the line.
+// number adds a field with an integer value to the line.
 func (h *host) number(name string, value int64) {
 	h.text(name, "")
 	h.encoder.numberBuffer = strconv.AppendInt(h.encoder.numberBuffer[:0], value, 10)
-	_, _ = h.encoder.out.Write(h.encoder.numberBuffer) // as write
+	_, _ = h.encoder.out.Write(h.encoder.numberBuffer) // Finish returns the first write error
 }
 
 // end ends the line.
@@ -140,7 +141,7 @@
 	h.end()
 }
 
-// newlinesToSpaces keeps a text on one line.
+// newlinesToSpaces replaces line breaks, because an action is one line.
 var newlinesToSpaces = strings.NewReplacer("\n", " ", "\r", " ")
 
 // Log implements policy.Host.
--- a/internal/dispatcher/simprotocol/fieldreader.go
+++ b/internal/dispatcher/simprotocol/fieldreader.go
@@ -8,14 +8,14 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// fieldReader reads fields of a line, of which the first that is wrong counts: the error is kept, and
-// what is read after it is zero.
+// fieldReader reads the fields of a line and keeps the first error. After an error, each further read returns
+// the zero value.
 type fieldReader struct {
 	d   *Decoder
 	err error
 }
 
-// readField reads a field with a method of the decoder, unless an earlier one was wrong.
+// readField reads a field with a method of the decoder, or returns the zero value after an earlier error.
 func readField[T any](r *fieldReader, read func(*Decoder, string) (T, error), name string) (value T) {
 	if r.err == nil {
 		value, r.err = read(r.d, name)
@@ -41,12 +41,12 @@
 
 func (r *fieldReader) flag(name string) bool { return readField(r, (*Decoder).flag, name) }
 
-// optionalDuration returns a field in nanoseconds, or 0 if it is missing.
+// optionalDuration returns the value of a field in nanoseconds, or 0 if the field is missing.
 func (r *fieldReader) optionalDuration(name string) time.Duration {
 	return time.Duration(r.optionalInt(name))
 }
 
-// fail keeps an error, unless an earlier field was wrong.
+// fail records err, unless there is an earlier error.
 func (r *fieldReader) fail(err error) {
 	if r.err == nil {
 		r.err = err
@@ -62,7 +62,7 @@
 	return uint32(n)
 }
 
-// attempt returns what identifies an attempt.
+// attempt returns an attempt's request ID, its number among the request's attempts, and its worker.
 func (r *fieldReader) attempt() (id string, number int, worker uint32) {
 	id = r.text("txn")
 	n := r.optionalInt("copy")
@@ -72,7 +72,7 @@
 	return id, int(n), r.worker()
 }
 
-// status returns how an attempt or a probe ended.
+// status returns the status with which an attempt or a probe ended.
 func (r *fieldReader) status() policy.Status {
 	switch n := r.optionalInt("state_code"); n {
 	case 0:
@@ -97,7 +97,7 @@
 	}
 }
 
-// latencyAndReport returns how long an attempt or a probe took, and the worker's load report.
+// latencyAndReport returns the latency of an attempt or a probe, and the worker's load report.
 func (r *fieldReader) latencyAndReport() (latency time.Duration, report policy.Report) {
 	latency = r.optionalDuration("duration")
 	if r.err == nil {
--- a/internal/dispatcher/simprotocol/fields.go
+++ b/internal/dispatcher/simprotocol/fields.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// field is one key=value of a line.
+// field is one key=value pair of a line.
 type field struct{ name, value []byte }
 
-// split cuts a line into the message name and its fields.
+// split parses a line: it returns the name of the message and stores the fields in d.fields.
 func (d *Decoder) split(line []byte) ([]byte, error) {
 	d.fields = d.fields[:0]
 	name, rest, more := cutByte(line, '\t')
@@ -20,7 +20,7 @@
 		if !ok || len(key) == 0 {
 			return nil, fmt.Errorf("%s: %q is not name=value", name, pair)
 		}
-		if string(key) == "conf" && more { // its text runs to the end of the line, tabs included
+		if string(key) == "conf" && more { // the value is the rest of the line, tabs included
 			value = line[len(line)-len(rest)-1-len(value):]
 			more = false
 		}
@@ -42,7 +42,7 @@
 	return b, nil, false
 }
 
-// field returns the value of a field of the line, and whether there is one.
+// field returns the value of a field of the line and reports whether the line has the field.
 func (d *Decoder) field(name string) ([]byte, bool) {
 	for i := range d.fields {
 		if string(d.fields[i].name) == name {
@@ -52,7 +52,7 @@
 	return nil, false
 }
 
-// required returns the value of a field that must be there.
+// required returns the value of a field, or an error if the field is missing.
 func (d *Decoder) required(name string) ([]byte, error) {
 	v, ok := d.field(name)
 	if !ok {
@@ -61,7 +61,7 @@
 	return v, nil
 }
 
-// text returns a field that must not be empty, as a new string.
+// text returns the value of a field as a newly allocated string, or an error if it is missing or empty.
 func (d *Decoder) text(name string) (string, error) {
 	v, err := d.required(name)
 	if err == nil && len(v) == 0 {
@@ -70,7 +70,7 @@
 	return string(v), err
 }
 
-// internedField returns a field that must be there and whose values repeat.
+// internedField returns the value of a required field, interned because its values repeat.
 func (d *Decoder) internedField(name string) (string, error) {
 	v, err := d.required(name)
 	if err != nil {
@@ -79,13 +79,13 @@
 	return d.intern(v), nil
 }
 
-// optionalInterned is internedField for a field that may be missing, which is empty then.
+// optionalInterned returns the value of a field, interned, or "" if the field is missing.
 func (d *Decoder) optionalInterned(name string) string {
 	v, _ := d.field(name)
 	return d.intern(v)
 }
 
-// intern returns the string of some bytes; the same ones are allocated once.
+// intern returns the bytes as a string; equal values are allocated only once.
 func (d *Decoder) intern(v []byte) string {
 	if w, ok := d.interned[string(v)]; ok {
 		return w
@@ -95,7 +95,7 @@
 	return w
 }
 
-// integer returns a field that must be there.
+// integer returns the value of a required integer field.
 func (d *Decoder) integer(name string) (int64, error) {
 	v, err := d.required(name)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return parseInt(name, v)
 }
 
-// optionalInt returns a field, or 0 if it is missing.
+// optionalInt returns the value of an integer field, or 0 if the field is missing.
 func (d *Decoder) optionalInt(name string) (int64, error) {
 	v, ok := d.field(name)
 	if !ok {
@@ -113,7 +113,7 @@
 	return parseInt(name, v)
 }
 
-// parseInt parses a decimal integer without an allocation, but for the longest ones.
+// parseInt parses a decimal integer; only numbers of more than 18 digits cost an allocation.
 func parseInt(name string, v []byte) (int64, error) {
 	negative := len(v) > 0 && v[0] == '-'
 	digits := v
@@ -140,7 +140,7 @@
 	return n, nil
 }
 
-// optionalFloat returns a field, or 0 if it is missing.
+// optionalFloat returns the value of a number field, or 0 if the field is missing.
 func (d *Decoder) optionalFloat(name string) (float64, error) {
 	v, ok := d.field(name)
 	if !ok {
@@ -158,7 +158,7 @@
 	return f, nil
 }
 
-// flag returns a field that is 0 or 1; false if it is missing.
+// flag returns the value of a field that is 0 or 1, or false if the field is missing.
 func (d *Decoder) flag(name string) (bool, error) {
 	v, ok := d.field(name)
 	switch {
--- a/internal/dispatcher/simprotocol/members.go
+++ b/internal/dispatcher/simprotocol/members.go
@@ -7,8 +7,8 @@
 	"basaltloft/internal/dispatcher/policy"
 )
 
-// roster decodes ROSTER, a numbered list of members, with its ROW lines. The number is used by a
-// later DISCOVERY.
+// roster decodes ROSTER, a numbered list of members, with the ROW lines that follow it. A later DISCOVERY
+// refers to the list by its number.
 func (d *Decoder) roster() error {
 	id, err := d.listID()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// orOutOfRange is err, or an error of its own if that is nil.
+// orOutOfRange returns err, or an "out of range" error if err is nil.
 func orOutOfRange(err error) error {
 	if err == nil {
 		return errors.New("out of range")
@@ -85,7 +85,7 @@
 	return m, nil
 }
 
-// members decodes DISCOVERY: a change of the membership, or the failure to read it.
+// members decodes DISCOVERY: a list of members, or the failure to get one.
 func (d *Decoder) members() error {
 	kind, err := d.required("kind")
 	if err != nil {
--- a/internal/dispatcher/simprotocol/messages.go
+++ b/internal/dispatcher/simprotocol/messages.go
@@ -22,7 +22,7 @@
 	r.Slots = in.optionalFloat("width")
 	r.Memory = in.optionalFloat("mem")
 	r.Retry = in.flag("retry")
-	for _, name := range [...]string{"reconnect", "write"} { // checked; the policy has no use for them
+	for _, name := range [...]string{"reconnect", "write"} { // validated only: the policy does not use them
 		in.flag(name)
 	}
 	if r.Hint < 0 || r.Slots < 0 || r.Memory < 0 {
@@ -50,7 +50,7 @@
 	return in.err
 }
 
-// attemptUpdate decodes STATUS_NOTE. An unknown topic is an update without a kind.
+// attemptUpdate decodes STATUS_NOTE. For an unknown topic the kind of the update is 0.
 func (d *Decoder) attemptUpdate() error {
 	in, u := fieldReader{d: d}, &d.event.AttemptUpdate
 	u.Request, u.Attempt, u.Worker = in.attempt()
@@ -69,7 +69,8 @@
 	return in.err
 }
 
-// loadReport decodes the name:value pairs of a load report; unknown names are skipped.
+// loadReport decodes the name:value pairs of a worker's load report. Unknown names are ignored, but their
+// values must be numbers.
 func (d *Decoder) loadReport() (policy.Report, error) {
 	var r policy.Report
 	rest, ok := d.field("server_stats")
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// parseSeed parses 64 bits, signed or unsigned.
+// parseSeed parses a 64-bit integer, signed or unsigned; a negative one becomes its two's complement.
 func parseSeed(v string) (uint64, error) {
 	if n, err := strconv.ParseUint(v, 10, 64); err == nil {
 		return n, nil
