--- a/internal/dispatcher/simprotocol/event.go
+++ b/internal/dispatcher/simprotocol/event.go
@@ -21,7 +21,7 @@
 	ProbeAnswered                 // STATUS_BACK
 	AttemptUpdated                // STATUS_NOTE: an attempt has started or progressed
 	StreamStarted                 // OPENED: the first bytes of an attempt's response have arrived
-	ClientGone                    // LAPSED: the client of a request has disconnected
+	ClientGone                    // LAPSED: the client of a request no longer waits for it
 	TimerFired                    // ELAPSED
 	PeerMessage                   // MEMO: a message from another instance
 )
