--- a/internal/dispatcher/agentcheck/agentcheck.go
+++ b/internal/dispatcher/agentcheck/agentcheck.go
@@ -13,15 +13,15 @@
 // writeTimeout bounds the writing of an answer.
 const writeTimeout = time.Second
 
-// State is what a load balancer is told about this process.
+// State is the state of this process that load balancers get.
 type State struct {
 	Ready, Draining       bool
-	InFlight, MaxInFlight int    // unanswered jobs, and how many there may be
-	Note                  string // for operators: load balancers show it and don't act on it
+	InFlight, MaxInFlight int    // number of unanswered jobs, and its limit
+	Note                  string // for operators: load balancers display it and don't act on it
 }
 
-// Line is the state in the words of the protocol. `ready` ends the drain that a load balancer
-// remembers from before a restart. The weight, in percent, falls as the jobs in flight reach
+// Line returns the state as a line of the protocol. `ready` ends a drain that the load balancer has kept
+// since before a restart of this process. The weight, in percent, falls as the jobs in flight approach
 // their maximum, but never to 0, which would mean drain.
 func (s State) Line() string {
 	answer := fmt.Sprintf("ready up %d%%", max(1, 100-100*min(s.InFlight, s.MaxInFlight)/max(1, s.MaxInFlight)))
@@ -37,8 +37,8 @@
 	return answer + "\n"
 }
 
-// Serve answers checks with the current state until the context ends, when it returns nil, or
-// the listener fails.
+// Serve answers checks with the current state until the context ends or the listener fails. It returns
+// nil in the first case and an error in the second.
 func Serve(ctx context.Context, l net.Listener, state func() State) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() /* Accept returns in any case */ })
 	defer stop()
@@ -50,8 +50,8 @@
 		case err != nil:
 			return fmt.Errorf("serving agent checks: %w", err)
 		}
-		// One at a time: the line fits any socket's buffer. A load balancer that does not get
-		// its answer asks again, so the errors change nothing.
+		// Connections are answered one at a time: the line fits any socket's buffer. Errors are
+		// ignored, since a load balancer that gets no answer checks again.
 		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, _ = fmt.Fprint(c, state().Line())
 		_ = c.Close()
--- a/internal/dispatcher/jsontext/jsontext.go
+++ b/internal/dispatcher/jsontext/jsontext.go
@@ -1,6 +1,6 @@
 // Package jsontext writes fastjson values as JSON. fastjson's own MarshalTo quotes strings as Go source
-// does, so that a control character becomes \x11 or \a, which is no JSON: a worker could not read a job that
-// has one.
+// does, so that a control character becomes \x11 or \a. This is not valid JSON: a worker could not parse a
+// job with such a character.
 package jsontext
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// Append appends a value's JSON to a slice and returns it. Keys keep their order, and numbers their text.
+// Append appends a value's JSON to a slice and returns the extended slice. Keys keep their order, and
+// numbers keep their text.
 // Invalid UTF-8 becomes U+FFFD.
 func Append(to []byte, v *fastjson.Value) []byte {
 	switch v.Type() {
@@ -41,10 +42,10 @@
 	return v.MarshalTo(to) // numbers, true, false and null
 }
 
-// hex has the digits of \u escapes.
+// hex holds the digits of \u escapes.
 const hex = "0123456789abcdef"
 
-// appendString appends a string in quotes.
+// appendString appends a string as a JSON string, in quotes and with escapes.
 func appendString(to, s []byte) []byte {
 	to = append(to, '"')
 	begin := 0
--- a/internal/dispatcher/jsontext/jsontext_test.go
+++ b/internal/dispatcher/jsontext/jsontext_test.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// FuzzAppend: what is written is JSON and means what was read, by the standard
-// library's reading.
+// FuzzAppend: the output is valid JSON by the standard library, and parsing it and writing it again gives
+// the same text.
 func FuzzAppend(f *testing.F) {
 	for _, text := range []string{
 		`{"a":[1,1.50,-0,1e400,"x\u0011\u0007\u000b\n\t\r\"\\\/é\ud83d\ude00",null,true,false,{}],"\u0001":{"b":[]}}`, `"\ud800"`, `12345678901234567890`, "\"\xff\"", `{"a":1,"a":2}`,
@@ -18,7 +18,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		v, err := fastjson.Parse(text)
-		if err != nil || !json.Valid([]byte(text)) { // fastjson takes some that the standard does not
+		if err != nil || !json.Valid([]byte(text)) { // fastjson accepts some texts that the standard library rejects
 			return
 		}
 		out := Append(nil, v)
@@ -29,11 +29,11 @@
 	})
 }
 
-// TestAppend: control characters, which MarshalTo gets wrong, and numbers, which
+// TestAppend: control characters, which MarshalTo writes wrongly, are escaped as JSON requires, and numbers
 // keep their text.
 func TestAppend(t *testing.T) {
 	v, err := fastjson.Parse(`{"k\u0011":"\u0007\u001f\n\"","n":[1.50,1e9,12345678901234567890]}`)
 	require.NoError(t, err)
 	require.Equal(t, `{"k\u0011":"\u0007\u001f\n\"","n":[1.50,1e9,12345678901234567890]}`, string(Append(nil, v)))
-	require.False(t, json.Valid(v.MarshalTo(nil)), "if this has been mended, the package can go")
+	require.False(t, json.Valid(v.MarshalTo(nil)), "if MarshalTo writes valid JSON by now, this package is no longer needed")
 }
