--- a/internal/dispatcher/logging/formats.go
+++ b/internal/dispatcher/logging/formats.go
@@ -45,7 +45,7 @@
 	return append(line, value...)
 }
 
-// needsQuotes tells whether a value with this character is quoted.
+// needsQuotes reports whether a value with this character is quoted.
 func needsQuotes(c rune) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
@@ -54,7 +54,8 @@
 	return !strings.ContainsRune("-._/@^+", c)
 }
 
-// appendJSON appends a line as a JSON object. A value that JSON doesn't have is written as text.
+// appendJSON appends a line as a JSON object. A value that JSON can't represent is
+// written as text.
 func appendJSON(line []byte, r slog.Record, fields []field) ([]byte, error) {
 	object := make(map[string]any, len(fields)+3)
 	for _, f := range fields {
@@ -71,7 +72,8 @@
 	return buffer.Bytes(), nil
 }
 
-// jsonValue returns what of a value is encoded.
+// jsonValue returns what is encoded for a value: the message of an error, the text of a value that JSON
+// can't represent, and otherwise the value itself.
 func jsonValue(value any) any {
 	if err, ok := value.(error); ok {
 		return err.Error()
--- a/internal/dispatcher/logging/handler.go
+++ b/internal/dispatcher/logging/handler.go
@@ -17,11 +17,11 @@
 	messageKey = "msg"
 )
 
-// clashPrefix is put before a key of a line that is also one of those that each line has.
+// clashPrefix is put before the key of a field that is reserved.
 const clashPrefix = "fields."
 
-// isReserved tells whether a line's own key gets clashPrefix. logrus_error is no key of any line; the
-// first builds kept it free.
+// isReserved reports whether a field with this key gets clashPrefix. No line has the key logrus_error; it
+// is reserved because the first builds reserved it.
 func isReserved(key string) bool {
 	switch key {
 	case timeKey, levelKey, messageKey, "logrus_error":
@@ -30,13 +30,13 @@
 	return false
 }
 
-// output is shared by a logger and those that are derived from it.
+// output is the destination of lines. A logger shares it with the loggers that are derived from it.
 type output struct {
 	mu     sync.Mutex
 	writer io.Writer
 }
 
-// field is a key of a line and its value, which is as the caller gave it.
+// field is a key of a line and its value, as the caller gave it.
 type field struct {
 	key   string
 	value any
@@ -47,7 +47,7 @@
 	out        *output
 	level      slog.Level
 	appendLine func(line []byte, r slog.Record, fields []field) ([]byte, error)
-	fields     []field // of the logger
+	fields     []field // fields of the logger, written with each line
 	group      string  // put before keys: the names of open groups, each with a dot
 }
 
@@ -83,7 +83,7 @@
 	})
 	line, err := h.appendLine(nil, r, sortFields(fields))
 	if err != nil {
-		return fmt.Errorf("a log line: %w", err)
+		return fmt.Errorf("formatting a log line: %w", err)
 	}
 	h.out.mu.Lock()
 	defer h.out.mu.Unlock()
@@ -91,7 +91,8 @@
 	return err
 }
 
-// appendAttr appends an attribute, a group as its members with the group's name before their keys.
+// appendAttr appends an attribute as a field. Of a group it appends the members, with the group's name
+// before their keys.
 func appendAttr(fields []field, group string, a slog.Attr) []field {
 	value := a.Value.Resolve()
 	switch {
@@ -113,7 +114,7 @@
 	return append(fields, field{key: key, value: value.Any()})
 }
 
-// sortFields sorts fields by key. Of two with one key the later one stays.
+// sortFields sorts fields by key. Of several fields with the same key it keeps the last one.
 func sortFields(fields []field) []field {
 	slices.SortStableFunc(fields, func(a, b field) int { return cmp.Compare(a.key, b.key) })
 	kept := fields[:0]
--- a/internal/dispatcher/logging/logging.go
+++ b/internal/dispatcher/logging/logging.go
@@ -1,6 +1,5 @@
-// Package logging makes the dispatcher's loggers: log/slog, with lines in the format that the
-// dispatcher has had from its first build on, when it logged by logrus. People and scripts read these
-// lines, so that the format stays as it is.
+// Package logging creates the dispatcher's loggers. They use log/slog, but their lines keep the format of
+// the first builds, which logged with logrus, since people and scripts read these lines.
 package logging
 
 import (
@@ -10,7 +9,7 @@
 	"strings"
 )
 
-// Format is the format of lines.
+// Format is a format of lines.
 type Format string
 
 // Formats.
@@ -19,15 +18,15 @@
 	JSON Format = "json" // an object with its keys in their order
 )
 
-// Levels beside those of log/slog. LevelTrace is that of what happens at each member; lines of the two
-// others don't exist: they are names for "log nothing".
+// Levels in addition to those of log/slog. LevelTrace is for events at individual members. No line has
+// one of the other two levels: a logger of these levels writes nothing.
 const (
 	LevelTrace = slog.LevelDebug - 4
 	LevelFatal = slog.LevelError + 4
 	LevelPanic = slog.LevelError + 8
 )
 
-// ParseLevel returns the level of a name, in lower or upper case.
+// ParseLevel returns the level with a name, in lower or upper case.
 func ParseLevel(name string) (slog.Level, error) {
 	switch strings.ToLower(name) {
 	case "panic":
@@ -48,7 +47,7 @@
 	return 0, fmt.Errorf("no level is called %q", name)
 }
 
-// levelName is a level's name in lines. A level between two named ones has the name of the lower one.
+// levelName returns a level's name in lines. A level between two named ones has the name of the lower one.
 func levelName(level slog.Level) string {
 	switch {
 	case level >= slog.LevelError:
@@ -63,7 +62,8 @@
 	return "trace"
 }
 
-// New returns a logger that writes lines of a level or above, one Write call each and one at a time.
+// New returns a logger that writes lines of a level or above. Each line is one Write call, and the calls
+// don't overlap.
 func New(out io.Writer, format Format, level slog.Level) *slog.Logger {
 	h := &handler{out: &output{writer: out}, level: level, appendLine: appendText}
 	if format == JSON {
--- a/internal/dispatcher/logging/logging_test.go
+++ b/internal/dispatcher/logging/logging_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// nest makes groups of keys with dots, as slogtest expects them.
+// nest turns keys with dots into nested groups, as slogtest expects them.
 func nest(flat map[string]any) map[string]any {
 	nested := map[string]any{}
 	for key, value := range flat {
@@ -35,7 +35,7 @@
 	return nested
 }
 
-// TestHandler: both formats keep the rules of slog.Handler.
+// TestHandler: the handlers of both formats satisfy the contract of slog.Handler.
 func TestHandler(t *testing.T) {
 	parse := map[Format]func(t *testing.T, line []byte) map[string]any{
 		Text: func(t *testing.T, line []byte) map[string]any {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestLevels: a logger writes lines of its level and above, and Enabled tells so beforehand.
+// TestLevels: a logger writes lines of its level and above, and Enabled reports the same.
 func TestLevels(t *testing.T) {
 	names := []string{"trace", "debug", "info", "warning", "error"}
 	for i, name := range names {
@@ -91,7 +91,8 @@
 	require.EqualError(t, err, `no level is called "loud"`)
 }
 
-// TestDerivedLoggers: loggers derived from one don't share keys, also when they grow from one slice.
+// TestDerivedLoggers: loggers derived from the same logger don't share keys, even when their fields extend
+// the same slice.
 func TestDerivedLoggers(t *testing.T) {
 	var out bytes.Buffer
 	base := New(&out, JSON, slog.LevelInfo).With("a", 1, "b", 2, "c", 3)
@@ -113,14 +114,14 @@
 	}
 }
 
-// TestNoJSONValue: a value that JSON doesn't have costs no line.
+// TestNoJSONValue: a line with a value that JSON can't represent is written, with the value as text.
 func TestNoJSONValue(t *testing.T) {
 	var out bytes.Buffer
 	New(&out, JSON, slog.LevelInfo).Info("line", "infinite", math.Inf(1), "channel", (chan int)(nil))
 	require.Contains(t, out.String(), `"channel":"\u003cnil\u003e","infinite":"+Inf"`)
 }
 
-// failingWriter fails each write, and counts them.
+// failingWriter fails each write and counts the writes.
 type failingWriter struct{ writes int }
 
 func (w *failingWriter) Write([]byte) (int, error) {
@@ -128,7 +129,8 @@
 	return 0, errors.New("disk full")
 }
 
-// TestFailingOutput: a line that can't be written is an error of the handler, and the next one is tried.
+// TestFailingOutput: the handler returns an error for a line that can't be written, and still tries to write
+// the next line.
 func TestFailingOutput(t *testing.T) {
 	w := &failingWriter{}
 	log := New(w, Text, slog.LevelInfo)
@@ -139,7 +141,7 @@
 	require.Equal(t, 2, w.writes)
 }
 
-// TestConcurrentLines: lines of several goroutines and derived loggers are whole.
+// TestConcurrentLines: lines of several goroutines and derived loggers are not mixed or lost.
 func TestConcurrentLines(t *testing.T) {
 	const writers, lines = 8, 200
 	var out bytes.Buffer
--- a/internal/dispatcher/logging/logtest/logtest.go
+++ b/internal/dispatcher/logging/logtest/logtest.go
@@ -1,4 +1,4 @@
-// Package logtest has loggers for tests.
+// Package logtest provides loggers for tests.
 package logtest
 
 import (
@@ -15,7 +15,7 @@
 // and above, as the program does, and drops them.
 func Discard() *slog.Logger { return logging.New(io.Discard, logging.Text, slog.LevelInfo) }
 
-// Recorder keeps the records of a logger, and of those derived from it.
+// Recorder keeps the records of a logger and of the loggers derived from it.
 type Recorder struct {
 	format slog.Handler // formats each record as the program does
 
@@ -29,8 +29,8 @@
 	return slog.New(&handler{recorder: r}), r
 }
 
-// Records returns the records so far, each with the attributes of its logger. Names of groups are left
-// out.
+// Records returns the records so far, each with the attributes of its logger. Names of groups are
+// omitted.
 func (r *Recorder) Records() []slog.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,7 +40,7 @@
 // handler implements slog.Handler.
 type handler struct {
 	recorder *Recorder
-	attrs    []slog.Attr // of the logger
+	attrs    []slog.Attr // attributes of the logger
 }
 
 // Enabled implements slog.Handler.
