--- a/internal/dispatcher/plots/plots.go
+++ b/internal/dispatcher/plots/plots.go
@@ -1,5 +1,5 @@
-// Package plots draws what a journal has counted. The dispatcher does not import it: its
-// libraries are larger than the rest of the program.
+// Package plots draws charts of the jobs that a journal has counted. The dispatcher does not
+// import it: its libraries are larger than the rest of the program.
 package plots
 
 import (
@@ -17,11 +17,11 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// ErrNoJobs says that the journal has no jobs to draw.
+// ErrNoJobs is returned by Draw when the journal has no jobs that match the query.
 var ErrNoJobs = errors.New("the journal has no jobs of that time")
 
-// minPoints is how many points a chart should have: it is drawn by the longest interval
-// that gives as many.
+// minPoints is the least number of points that a chart should have: it is drawn by the
+// longest interval that gives at least as many.
 const minPoints = 20
 
 // interval is a dimension of journal.Report by time.
@@ -29,7 +29,8 @@
 
 var intervals = []interval{{"day", "2006-01-02"}, {"hour", "2006-01-02T15Z"}, {"minute", "2006-01-02T15:04Z"}}
 
-// chooseInterval is the longest interval that gives minPoints, or the shortest.
+// chooseInterval returns the longest interval that gives at least minPoints, or else the
+// shortest interval.
 func chooseInterval(dir journal.Directory, q journal.Query) (chosen interval, err error) {
 	for _, chosen = range intervals {
 		q.By = []string{chosen.dimension}
@@ -46,8 +47,8 @@
 
 // Draw writes two charts of a journal: jobs by outcome over time to the file out, and the
 // latency of served jobs by class to a file with -latency in its name. The extension of out
-// is .svg or .png and names the format. It returns the names of the files. The error is
-// ErrNoJobs, or one of the journal or of writing.
+// is .svg or .png and determines the format. Draw returns the names of the files. It returns
+// ErrNoJobs if there is nothing to draw, or the error of reading the journal or of writing.
 func Draw(dir journal.Directory, q journal.Query, out string) ([]string, error) {
 	by, err := chooseInterval(dir, q)
 	if err != nil {
@@ -77,16 +78,16 @@
 	return []string{out, latencyOut}, nil
 }
 
-// series is what the charts show. Times are seconds since 1970.
+// series holds the data of the charts. Times are seconds since 1970.
 type series struct {
-	outcomes  map[float64]*[accounting.Outcomes]float64 // jobs, by time
+	outcomes  map[float64]*[accounting.Outcomes]float64 // numbers of jobs, by time
 	latencies map[string]*percentiles                   // by class
 }
 
 // percentiles are latencies in milliseconds, over time.
 type percentiles struct{ p50, p95 plotter.XYs }
 
-// add adds the row of a time and class. Rows come in the order of their times.
+// add adds the row of a time and class. Rows must be added in the order of their times.
 func (s *series) add(at float64, class string, row *journal.ReportRow) {
 	counts := s.outcomes[at]
 	if counts == nil {
@@ -110,7 +111,7 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// outcomeChart has a line for each outcome.
+// outcomeChart returns a chart with a line for each outcome.
 func (s *series) outcomeChart(by interval) textchart.Chart {
 	chart := textchart.Chart{Title: "Jobs by outcome", X: "time (UTC)", Y: "jobs a " + by.dimension, Time: true}
 	for outcome := range accounting.Outcomes {
@@ -124,7 +125,7 @@
 	return chart
 }
 
-// latencyChart has two lines for each class.
+// latencyChart returns a chart with two lines for each class.
 func (s *series) latencyChart() textchart.Chart {
 	const firstColour = 3 // after those of the outcomes
 	chart := textchart.Chart{Title: "Latency of served jobs", X: "time (UTC)", Y: "milliseconds", Time: true}
--- a/internal/dispatcher/plots/plots_test.go
+++ b/internal/dispatcher/plots/plots_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDraw draws a journal of half an hour as SVG and PNG.
+// TestDraw draws a journal of half an hour as SVG and PNG. A query without jobs returns ErrNoJobs.
 func TestDraw(t *testing.T) {
 	dir := t.TempDir()
 	f, err := journal.OpenDirectory(dir)
@@ -29,15 +29,15 @@
 		j.JobEnded(n, "cell 0", []accounting.Reason{accounting.Answered, accounting.Answered, accounting.Declined, accounting.GivenUp}[n%4], at.Add(time.Duration(n)*time.Millisecond))
 	}
 	require.NoError(t, j.Close())
-	for ending, begins := range map[string]string{".svg": "<?xml", ".png": "\x89PNG"} {
-		names, err := Draw(f, journal.Query{}, filepath.Join(dir, "out"+ending))
+	for extension, prefix := range map[string]string{".svg": "<?xml", ".png": "\x89PNG"} {
+		names, err := Draw(f, journal.Query{}, filepath.Join(dir, "out"+extension))
 		require.NoError(t, err)
 		require.Len(t, names, 2)
 		for _, name := range names {
 			text, err := os.ReadFile(name)
 			require.NoError(t, err)
-			require.True(t, bytes.HasPrefix(text, []byte(begins)))
-			if ending == ".svg" {
+			require.True(t, bytes.HasPrefix(text, []byte(prefix)))
+			if extension == ".svg" {
 				require.Contains(t, string(text), "<path")
 			}
 		}
--- a/internal/dispatcher/textchart/chart.go
+++ b/internal/dispatcher/textchart/chart.go
@@ -1,4 +1,4 @@
-// Package textchart draws line charts, for every plot of the project's tools. The
+// Package textchart draws line charts, for all plots of the project's tools. The
 // dispatcher does not import it: its library is larger than the rest of the program.
 package textchart
 
@@ -11,12 +11,12 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Chart is a chart of lines. Its Y axis begins at zero; its X axis is numbers unless Time
-// or Categories is set.
+// Chart is a line chart. Its Y axis begins at zero; its X axis shows numbers unless Time or
+// Categories is set.
 type Chart struct {
 	Title, X, Y string   // X and Y are the titles of the axes
-	Time        bool     // the X axis is seconds since 1970
-	Categories  []string // the X axis is numbers of these; nil: it is not
+	Time        bool     // X values are seconds since 1970, shown as times
+	Categories  []string // X values are indexes of these names; nil: they are not
 	Lines       []Line
 }
 
@@ -26,10 +26,10 @@
 	Points      plotter.XYs
 	ErrorBars   []float64 // half the height of each point's error bar; nil: none
 	Dashed      bool
-	ColourIndex int // in the palette; below 0: the line's number in the chart
+	ColourIndex int // in the palette, modulo its length; below 0: the line's index in the chart
 }
 
-// palette are the colours of lines, used in turn.
+// palette holds the colours of lines.
 var palette = []color.Color{
 	color.RGBA{0x1b, 0x7a, 0x3d, 0xff}, color.RGBA{0xc8, 0x85, 0x00, 0xff}, color.RGBA{0xb0, 0x1e, 0x2e, 0xff}, color.RGBA{0x1f, 0x4e, 0x9a, 0xff},
 	color.RGBA{0x6a, 0x3d, 0x9a, 0xff}, color.RGBA{0x33, 0x33, 0x33, 0xff}, color.RGBA{0x00, 0x8b, 0x8b, 0xff}, color.RGBA{0x80, 0x60, 0x40, 0xff},
@@ -41,7 +41,8 @@
 	height = 12 * vg.Centimeter
 )
 
-// Save writes a chart to a file, whose extension is .svg or .png and names the format.
+// Save writes a chart to a file. The extension of its name is .svg or .png and determines the
+// format.
 func (c Chart) Save(name string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, c.X, c.Y
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// add adds a line with its points, legend and error bars to a plot.
+// add adds a line to a plot, with its points, legend entry and error bars.
 func (l Line) add(p *plot.Plot) error {
 	line, dots, err := plotter.NewLinePoints(l.Points)
 	if err != nil {
--- a/internal/dispatcher/textout/printer.go
+++ b/internal/dispatcher/textout/printer.go
@@ -1,5 +1,5 @@
-// Package textout writes formatted text for people and keeps the first error, so that a
-// report of many lines checks its writer once, at its end.
+// Package textout writes formatted text for people and keeps the first error, so that the
+// code that prints many lines checks for an error only once, at the end.
 package textout
 
 import (
@@ -7,24 +7,24 @@
 	"io"
 )
 
-// Printer formats to a writer. After the first error it writes nothing more. It is not
+// Printer writes formatted text to a writer. After the first error it writes nothing more. It is not
 // safe for concurrent use.
 type Printer struct {
 	out io.Writer
 	err error
 }
 
-// New returns a printer to a writer.
+// New returns a printer that writes to a writer.
 func New(out io.Writer) *Printer { return &Printer{out: out} }
 
-// Printf formats as fmt.Fprintf does.
+// Printf writes as fmt.Fprintf does.
 func (p *Printer) Printf(format string, args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintf(p.out, format, args...)
 	}
 }
 
-// Println formats as fmt.Fprintln does.
+// Println writes as fmt.Fprintln does.
 func (p *Printer) Println(args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintln(p.out, args...)
--- a/internal/dispatcher/top/model.go
+++ b/internal/dispatcher/top/model.go
@@ -1,6 +1,6 @@
 // Package top is a live view of a running dispatcher in the terminal: totals, rates,
-// classes, groups, queues, sets and workers. The dispatcher does not import it: its
-// libraries are for a tool alone.
+// classes, groups, queues, sets and workers. The dispatcher does not import it, since only
+// the tool needs its libraries.
 package top
 
 import (
@@ -27,12 +27,12 @@
 // defaultHeight is the height until the terminal reports its own.
 const defaultHeight = 40
 
-// New returns a view that reads at intervals.
+// New returns a view that reads the source once per interval.
 func New(s Source, interval time.Duration) *Model {
 	return &Model{source: s, interval: interval, height: defaultHeight}
 }
 
-// tick is the message that it is time to read.
+// tick is the message that the next read is due.
 type tick struct{}
 
 // Init implements tea.Model.
--- a/internal/dispatcher/top/source.go
+++ b/internal/dispatcher/top/source.go
@@ -11,7 +11,8 @@
 	"basaltloft/internal/dispatcher/metrics"
 )
 
-// Sample is what was read at a moment. What could not be read is nil and has a problem.
+// Sample holds what was read from a dispatcher at one time. A part that could not be read is
+// nil and has an entry in Problems.
 type Sample struct {
 	At       time.Time
 	Figures  *metrics.Report
@@ -20,10 +21,10 @@
 	Problems []string
 }
 
-// Source is the addresses of a dispatcher. What has an empty address is not read.
+// Source holds the addresses of a dispatcher. An empty address is not read.
 type Source struct{ MetricsAddr, FaktoryAddr, Password string }
 
-// readTimeout bounds each reading.
+// readTimeout is the timeout of each read.
 const readTimeout = 2 * time.Second
 
 // Read reads a dispatcher. now is the time of the sample.
--- a/internal/dispatcher/top/tables.go
+++ b/internal/dispatcher/top/tables.go
@@ -14,16 +14,16 @@
 	"basaltloft/internal/dispatcher/textout"
 )
 
-// writeTable writes lines of cells that end with tabs. A strings.Builder has no errors, so
-// neither has the table.
+// writeTable aligns the cells of the lines that write prints; cells are separated by tabs.
+// Writes to a strings.Builder don't fail, so Flush returns no error.
 func writeTable(b *strings.Builder, flags uint, write func(p *textout.Printer)) {
 	tabs := tabwriter.NewWriter(b, 0, 0, 2, ' ', flags)
 	write(textout.New(tabs))
 	_ = tabs.Flush()
 }
 
-// rate is how fast a count grew between the two samples, a second. A count that fell is
-// that of a new process.
+// rate returns the growth of a count between the two samples, per second. It returns 0 for a
+// count that fell, since it is then the count of a new process.
 func (m *Model) rate(now, before int64) float64 {
 	span := m.current.At.Sub(m.previous.At).Seconds()
 	if m.previous.At.IsZero() || span <= 0 || now < before {
@@ -32,7 +32,7 @@
 	return float64(now-before) / span
 }
 
-// metrics writes what the ledger has.
+// metrics writes the report of the ledger: totals, latencies, jobs and flows.
 func (m *Model) metrics(b *strings.Builder) {
 	r := m.current.Figures
 	m.totals(b, r)
@@ -51,14 +51,14 @@
 	if m.previous.Figures != nil {
 		before = m.previous.Figures.Account.Totals
 	}
-	verdict := fmt.Sprintf("%d audits found nothing", r.Audit.Audits)
+	auditResult := fmt.Sprintf("%d audits found nothing", r.Audit.Audits)
 	if len(r.Audit.Differences) > 0 {
-		verdict = "THE ACCOUNT DOES NOT ADD UP: " + r.Audit.Differences[0].String()
+		auditResult = "THE ACCOUNT DOES NOT ADD UP: " + r.Audit.Differences[0].String()
 	}
 	rate := func(o accounting.Outcome) float64 { return m.rate(now.EndedAs(o), before.EndedAs(o)) }
 	fmt.Fprintf(b, "\n%s up %s   taken %d = served %d + refused %d + failed %d + open %d   %s\n",
 		r.Name, r.Account.At.Sub(r.Started).Round(time.Second), now.Taken,
-		now.EndedAs(accounting.Served), now.EndedAs(accounting.Refused), now.EndedAs(accounting.Failed), now.Open, verdict)
+		now.EndedAs(accounting.Served), now.EndedAs(accounting.Refused), now.EndedAs(accounting.Failed), now.Open, auditResult)
 	fmt.Fprintf(b, "a second: taken %.1f, served %.1f, refused %.1f, failed %.1f\n",
 		m.rate(now.Taken, before.Taken), rate(accounting.Served), rate(accounting.Refused), rate(accounting.Failed))
 }
@@ -75,14 +75,15 @@
 	})
 }
 
-// jobSums are the jobs of a line of the table.
+// jobSums are the numbers of jobs in a line of the table.
 type jobSums struct {
 	taken, open int64
 	ended       [accounting.Outcomes]int64
 }
 
-// writeJobs writes the jobs by a dimension. Jobs that came from another group count as
-// taken only where the table is by group: elsewhere they were counted where they were.
+// writeJobs writes the jobs by a dimension. Jobs that moved in from another group count as
+// taken only if the table is by group: by any other dimension they are already counted, in
+// the row that they moved from.
 func writeJobs(b *strings.Builder, rows []accounting.Row, dimension string) {
 	table := make(map[string]*jobSums)
 	for i := range rows {
@@ -124,7 +125,7 @@
 	b.WriteString("\n")
 }
 
-// faktory writes the Faktory front: sums, queues and workers.
+// faktory writes the state of the Faktory front: totals, queues and workers.
 func (m *Model) faktory(b *strings.Builder) {
 	now, before := &m.current.Faktory.Faktory, &client.Info{}
 	if m.previous.Faktory != nil {
--- a/internal/dispatcher/top/top_test.go
+++ b/internal/dispatcher/top/top_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func reading(at time.Time, served int64) Sample {
+func newSample(at time.Time, served int64) Sample {
 	r := Sample{At: at, Figures: &metrics.Report{Name: "n0", Started: at.Add(-time.Minute)}, Faktory: &client.Info{}}
 	row := accounting.Row{RowKey: accounting.RowKey{Front: "http", Class: "place-hold", Tenant: "a", Group: "cell 0"}, Entered: served + 1, Open: 1}
 	row.Ends[accounting.Answered] = served
@@ -29,21 +29,22 @@
 	return r
 }
 
-// TestView shows two readings: sums, rates between them, and all tables.
+// TestView: the view shows totals, the rates between two samples, and all tables.
 func TestView(t *testing.T) {
 	m := New(Source{}, time.Second)
 	require.Equal(t, "reading ...\n", m.View())
 	at := time.Date(2026, 7, 4, 12, 0, 0, 0, time.UTC)
-	m.Update(reading(at, 10))
-	_, next := m.Update(reading(at.Add(2*time.Second), 30))
-	require.NotNil(t, next, "it goes on reading")
+	m.Update(newSample(at, 10))
+	_, next := m.Update(newSample(at.Add(2*time.Second), 30))
+	require.NotNil(t, next, "the next read is scheduled")
 	for _, want := range []string{
 		"taken 31 = served 30 + refused 0 + failed 0 + open 1", "taken 10.0, served 10.0", "pushed 20.0",
 		"cell 0 1", "paused", "w1 (quiet)", "place-hold",
 	} {
 		require.Contains(t, m.View(), want)
 	}
-	m.Update(reading(at.Add(4*time.Second), 0)) // a new start: no rate below nothing
+	// After a restart the counts are lower: the rates are 0, not negative.
+	m.Update(newSample(at.Add(4*time.Second), 0))
 	require.Contains(t, m.View(), "taken 0.0, served 0.0")
 	m.Update(tea.KeyMsg{Type: tea.KeyTab})
 	require.Contains(t, m.View(), "class  taken")
@@ -57,8 +58,8 @@
 	require.Equal(t, tea.Quit(), end())
 }
 
-// TestNobody: what can't be read is said, and the view goes on.
-func TestNobody(t *testing.T) {
+// TestUnreachable: the view shows which parts of an unreachable dispatcher could not be read.
+func TestUnreachable(t *testing.T) {
 	m := New(Source{MetricsAddr: "127.0.0.1:1", FaktoryAddr: "127.0.0.1:1"}, time.Second)
 	m.Update(m.Init()())
 	require.Contains(t, m.View(), "! figures: ")
