--- a/cmd/basaltloft-core/main.go
+++ b/cmd/basaltloft-core/main.go
@@ -1,5 +1,5 @@
-// Command basaltloft-core is a control-plane node of the cluster scheduler: it stores jobs and
-// the configuration, replicated, and has the tasks run on runners.
+// Command basaltloft-core is a control-plane node of the cluster scheduler: it replicates and
+// stores jobs and the configuration, and starts the tasks on runners.
 package main
 
 import (
--- a/cmd/basaltloft-lab/command.go
+++ b/cmd/basaltloft-lab/command.go
@@ -13,7 +13,7 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// usageError is an error of the arguments or of the file of the experiment.
+// usageError is an error in the arguments or in the experiment's file.
 type usageError struct{ error }
 
 // sweepFlags are the -set flags: PATH=VALUE,VALUE...
@@ -35,7 +35,7 @@
 const usage = `basaltloft lab run|sweep|compare|plot FILE [-set PATH=VALUE,VALUE...] [-loads X,Y] [-seeds N] [-first N]
        [-policies A,B] [-base POLICY] [-format table|csv|json] [-out NAME.svg|png]`
 
-// Verbs of the command.
+// Sub-commands.
 const (
 	verbRun     = "run"
 	verbSweep   = "sweep"
@@ -43,19 +43,19 @@
 	verbPlot    = "plot"
 )
 
-// Formats of its output.
+// Output formats, the values of -format.
 const (
 	formatTable = "table"
 	formatCSV   = "csv"
 	formatJSON  = "json"
 )
 
-// command is the command line.
+// command is the parsed command line.
 type command struct {
 	verb, file, base, format, out string
 	seeds                         int // 0: as the file says
 	firstSeed                     uint64
-	policies, loads               string // with commas between; empty: as the file says
+	policies, loads               string // comma-separated; empty: as the file says
 	sweeps                        sweepFlags
 }
 
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// studies are one for each load and each choice of values, in that order.
+// studies returns one study for each combination of the sweeps' values and each load; the studies of a
+// combination are adjacent.
 func (c *command) studies() (all []lab.Study, err error) {
 	text, err := os.ReadFile(c.file)
 	if err != nil {
@@ -116,16 +117,16 @@
 		if err != nil {
 			return nil, usageError{fmt.Errorf("%s: %w", c.file, err)}
 		}
-		some, err := c.studiesOf(x, overrides)
+		perLoad, err := c.studiesOf(x, overrides)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, some...)
+		all = append(all, perLoad...)
 	}
 	return all, nil
 }
 
-// combinations are the values of the sweeps, each with each.
+// combinations returns every combination of the sweeps' values; without sweeps, a single empty one.
 func combinations(sweeps []settings.Sweep) [][]settings.Override {
 	all := [][]settings.Override{nil}
 	for _, s := range sweeps {
@@ -140,7 +141,7 @@
 	return all
 }
 
-// studiesOf are the studies of an experiment, one for each load.
+// studiesOf returns the studies of an experiment, one for each load.
 func (c *command) studiesOf(x settings.Experiment, overrides []settings.Override) (all []lab.Study, err error) {
 	if c.seeds > 0 {
 		x.Seeds = c.seeds
--- a/cmd/basaltloft-lab/main.go
+++ b/cmd/basaltloft-lab/main.go
@@ -1,4 +1,4 @@
-// Command basaltloft-lab plays experiments in the simulation of the fleet. `basaltloft lab`
+// Command basaltloft-lab runs experiments in the simulation of the fleet. `basaltloft lab`
 // starts it; it is a program of its own because of the size of its statistics libraries.
 package main
 
@@ -36,7 +36,8 @@
 	}
 }
 
-// run plays what the arguments name and writes the results to out, progress to errs.
+// run runs the experiment that the arguments name. It writes the results to out, and progress and
+// broken rules to errs.
 func run(args []string, out, errs io.Writer) error {
 	c, err := parse(args, errs)
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 	var all []lab.Run
 	for i := range studies {
-		runs, err := c.play(&studies[i], out, errs)
+		runs, err := c.runStudy(&studies[i], out, errs)
 		if err != nil {
 			return err
 		}
@@ -78,11 +79,11 @@
 	return reportViolations(all, errs)
 }
 
-// play plays one study, and writes its table and comparison.
-func (c *command) play(s *lab.Study, out, errs io.Writer) ([]lab.Run, error) {
+// runStudy runs one study, and writes its table and comparison if the command line asks for them.
+func (c *command) runStudy(s *lab.Study, out, errs io.Writer) ([]lab.Run, error) {
 	title := strings.TrimSpace(fmt.Sprintf("load %g %s", s.Load, s.Variant))
 	bar := progressbar.NewOptions(len(s.Policies)*s.Seeds, progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription(title), progressbar.OptionClearOnFinish())
-	runs, err := s.RunAll(func() { _ = bar.Add(1) }) // progress that can't be shown stops nothing
+	runs, err := s.RunAll(func() { _ = bar.Add(1) }) // a failing progress bar does not stop the study
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -98,7 +99,7 @@
 		return runs, nil
 	}
 	to := out
-	if c.format != formatTable { // a program reads out
+	if c.format != formatTable { // out is then read by a program
 		to = errs
 	}
 	p := textout.New(to)
@@ -108,10 +109,10 @@
 	return runs, p.Err()
 }
 
-// maxViolations bounds those that are named; more are only counted.
+// maxViolations is the largest number of violations that are printed; further ones are only counted.
 const maxViolations = 10
 
-// reportViolations names the rules that were broken, and fails if any was.
+// reportViolations prints the rules that were broken, and returns an error if there is any.
 func reportViolations(runs []lab.Run, errs io.Writer) error {
 	p := textout.New(errs)
 	count := 0
--- a/cmd/basaltloft-lab/main_test.go
+++ b/cmd/basaltloft-lab/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const small = `{
+const experimentText = `{
   "experiment": {"length_s": 2, "net_us": 100, "seeds": 2, "policies": ["module", "random"],
     "sweeps": [{"path": "experiment.members[0].queue", "values": [1, 8]}],
     "members": [{"kind": "std", "count": 3, "cores": 2, "queue": 8}],
@@ -23,14 +23,15 @@
     "guarantees": {"grace_to_answer": 8000000, "ask_every": 10000000000, "start_capacity": 0.12, "warm_after": 24000000000, "fall_multiple": 4, "tip_after": 3000000000}}
 }`
 
-func file(t *testing.T) string {
+// writeExperiment writes experimentText to a file and returns its name.
+func writeExperiment(t *testing.T) string {
 	name := filepath.Join(t.TempDir(), "x.json")
-	require.NoError(t, os.WriteFile(name, []byte(small), 0o644))
+	require.NoError(t, os.WriteFile(name, []byte(experimentText), 0o644))
 	return name
 }
 
 func TestVerbs(t *testing.T) {
-	name := file(t)
+	name := writeExperiment(t)
 	for args, want := range map[string][]string{
 		"run FILE":                                       {"load 1\n", "module", "random"},
 		"run FILE -format csv -loads 0.5,1":              {"load,set,policy", "0.5,,module,1,", "1,,random,2,"},
@@ -55,7 +56,7 @@
 }
 
 func TestMisuse(t *testing.T) {
-	name := file(t)
+	name := writeExperiment(t)
 	for args, want := range map[string]string{
 		"":                                    "usage",
 		"fly FILE":                            "usage",
--- a/cmd/basaltloft-load/command.go
+++ b/cmd/basaltloft-load/command.go
@@ -14,10 +14,10 @@
 	"basaltloft/internal/dispatcher/loadgen"
 )
 
-// usageError is an error of the arguments.
+// usageError is an error in the arguments.
 type usageError struct{ error }
 
-// Fronts and formats.
+// Values of -front and -format.
 const (
 	frontHTTP    = "http"
 	frontFaktory = "faktory"
@@ -25,7 +25,7 @@
 	formatJSON   = "json"
 )
 
-// command is the command line.
+// command is the parsed command line.
 type command struct {
 	addr, front, trace, format, plot string
 	anywhere                         bool // the address may be another machine's
@@ -72,7 +72,8 @@
 	return c, c.plan.Validate()
 }
 
-// validate returns what is wrong with the command line, rest being its arguments.
+// validate returns an error if a flag's value is invalid, or if rest, the arguments after the flags, is
+// not empty.
 func (c *command) validate(rest []string) error {
 	local, err := loadgen.IsLoopback(c.addr)
 	switch {
@@ -96,13 +97,14 @@
 	return nil
 }
 
-// readTrace reads when requests are due: a line for each, in milliseconds.
+// readTrace reads the times at which requests are due: one line for each, in milliseconds. Blank lines
+// and lines that begin with # are skipped.
 func readTrace(name string) ([]time.Duration, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	times := []time.Duration{}
 	for in, n := bufio.NewScanner(f), 1; ; n++ {
 		if !in.Scan() {
--- a/cmd/basaltloft-load/golden_test.go
+++ b/cmd/basaltloft-load/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestGoldenHelp: the flags and their defaults, as commit 352ebf2 printed them.
+// TestGoldenHelp checks that the flags and their defaults are printed as by commit 352ebf2.
 func TestGoldenHelp(t *testing.T) {
 	var errs bytes.Buffer
 	_, err := parse([]string{"-h"}, &errs)
--- a/cmd/basaltloft-load/main.go
+++ b/cmd/basaltloft-load/main.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// run sends what the arguments name, and writes the summary to out, progress to errs.
+// run sends the requests that the arguments describe. It writes the summary to out and progress to errs.
 func run(ctx context.Context, args []string, out, errs io.Writer) error {
 	c, err := parse(args, errs)
 	if err != nil {
@@ -60,8 +60,8 @@
 	defer target.Close()
 	record := loadgen.NewRecord()
 	bar := progressbar.NewOptions(c.plan.ExpectedRequests(), progressbar.OptionSetWriter(errs), progressbar.OptionSetDescription("asks"), progressbar.OptionClearOnFinish())
-	loadgen.Run(ctx, c.plan, counted{target, bar}, c.connections, record)
-	_ = bar.Finish() // progress that can't be shown stops nothing
+	loadgen.Run(ctx, c.plan, progressTarget{target, bar}, c.connections, record)
+	_ = bar.Finish() // a failing progress bar does not stop the run
 	summary := record.Summary()
 	if c.format == formatJSON {
 		err = summary.JSON(out)
@@ -77,14 +77,14 @@
 	return err
 }
 
-// counted is a target that shows each request that has ended on a progress bar.
-type counted struct {
+// progressTarget is a target that advances a progress bar whenever a request has ended.
+type progressTarget struct {
 	loadgen.Target
 	bar *progressbar.ProgressBar
 }
 
 // Send implements loadgen.Target.
-func (c counted) Send(ctx context.Context, n int) string {
+func (c progressTarget) Send(ctx context.Context, n int) string {
 	defer func() { _ = c.bar.Add(1) }()
 	return c.Target.Send(ctx, n)
 }
--- a/cmd/basaltloft-plot/golden_test.go
+++ b/cmd/basaltloft-plot/golden_test.go
@@ -7,7 +7,7 @@
 	"basaltloft/internal/shared/goldentest"
 )
 
-// TestGoldenHelp: the flags and their defaults, as commit 352ebf2 printed them.
+// TestGoldenHelp checks that the flags and their defaults are printed as by commit 352ebf2.
 func TestGoldenHelp(t *testing.T) {
 	goldentest.EqualHelp(t, filepath.Join("testdata", "golden", "help.txt"), "basaltloft-plot")
 }
--- a/cmd/basaltloft-plot/main.go
+++ b/cmd/basaltloft-plot/main.go
@@ -1,4 +1,4 @@
-// Command basaltloft-plot draws what a journal has counted. `basaltloft figures
+// Command basaltloft-plot draws charts of the counts in a journal. `basaltloft figures
 // plot` starts it; it is a program of its own because of the size of its libraries.
 package main
 
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -52,18 +52,19 @@
 	other := strings.NewReplacer("worker=5", "worker=6").Replace(roster)
 	got := answer(t, started+other+"DISCOVERY\tset_id=0\tseq_no=2\tkind=replace\n"+ingress+"EOB\n")
 	if !strings.Contains(got, "ROUTE\ttxn=r-1\tworker=6\n") {
-		t.Errorf("the later list does not hold: %q", got)
+		t.Errorf("the later list is not in use: %q", got)
 	}
 }
 
 func TestTeardownForgetsAndConfigureStartsAnew(t *testing.T) {
 	got := answer(t, started+ingress+"TEARDOWN\n"+configure+roster+discovery+"LAPSED\ttxn=r-1\nEOB\n")
 	if strings.Contains(got, "DECLINE") || strings.Contains(got, "CANCEL") {
-		t.Errorf("acts for a request from before: %q", got)
+		t.Errorf("actions for a request that arrived before the teardown: %q", got)
 	}
 }
 
-// TestGuarantees holds the optional guarantees to their meaning: absent is false.
+// TestGuarantees checks that an absent optional guarantee means false, and that a value of another type
+// than bool is an error.
 func TestGuarantees(t *testing.T) {
 	with := func(key string) string {
 		c := strings.Replace(started, `"guarantees":{`, `"guarantees":{`+key, 1)
@@ -76,10 +77,10 @@
 			t.Errorf("%s: %q", key, got)
 		}
 	}
-	gone := strings.Replace(roster, "healthy", "deregistered", 1) + "DISCOVERY\tset_id=0\tseq_no=2\tkind=update\n"
-	for key, open := range map[string]bool{"": false, `"dropped_stay_open":false,`: false, `"dropped_stay_open":true,`: true} {
-		if got := answer(t, with(key)+gone+ingress+"EOB\n"); strings.Contains(got, "ROUTE") != open {
-			t.Errorf("%s, called gone: %q", key, got)
+	deregistered := strings.Replace(roster, "healthy", "deregistered", 1) + "DISCOVERY\tset_id=0\tseq_no=2\tkind=update\n"
+	for key, routed := range map[string]bool{"": false, `"dropped_stay_open":false,`: false, `"dropped_stay_open":true,`: true} {
+		if got := answer(t, with(key)+deregistered+ingress+"EOB\n"); strings.Contains(got, "ROUTE") != routed {
+			t.Errorf("%s, server deregistered: %q", key, got)
 		}
 	}
 	for _, name := range []string{"late_shedding", "dropped_stay_open"} {
@@ -90,7 +91,8 @@
 	}
 }
 
-// TestReadsSubjects: what a request is about reaches the decisions, and may be absent.
+// TestReadsSubjects checks that the decoder sets a request's AffinityKey from the field entity, which may
+// be absent.
 func TestReadsSubjects(t *testing.T) {
 	for line, want := range map[string]string{
 		"INGRESS\ttxn=r-1\tentity=91f0 3b\texpires=9\tclass=c\nEOB\n": "91f0 3b", "INGRESS\ttxn=r-1\texpires=9\tclass=c\nEOB\n": "",
