--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -1,13 +1,13 @@
-// Command knownred runs a test command without the tests that KNOWN-RED.txt names, and then each of
-// these by itself. .ci/run calls it:
+// Command knownred runs a test command without the tests that KNOWN-RED.txt names, and then runs each of
+// the named tests by itself. .ci/run calls it:
 //
 //	go run ./internal/tools/knownred go test -race ./...
 //
 // A line of KNOWN-RED.txt is test<TAB>cause<TAB>issue. The test is a package and a name with a space
 // between: "./internal/dispatcher/discovery TestSpread", or for one subtest
 // "./internal/dispatcher/httpfront TestProgram/drains"; the root package is ".". The name is written
-// as go test -v prints it. It is matched whole, element by element, and skipped in its own package
-// alone. The issue is a number.
+// as go test -v prints it. Each of its elements between slashes must match whole, and the test is skipped
+// only in its own package. The issue is a number.
 //
 // The outcome of a named test is printed and does not change the verdict. More than three lines, a
 // line of another form, and one that names no existing test fail the check with status 1.
@@ -32,11 +32,11 @@
 	maxKnownTests  = 3
 	aloneTimeout   = "-timeout=3m" // for one known test by itself
 	allPackages    = "./..."
-	runMarker      = "=== RUN   " // begins the line of go test -v that names a test
+	runMarker      = "=== RUN   " // prefix of the line that go test -v prints when a test starts
 	expectedFields = 3
 )
 
-// knownTest is one line of the file.
+// knownTest is one line of KNOWN-RED.txt.
 type knownTest struct {
 	dir, name, cause, issue string
 	importPath              string // of the package
@@ -54,7 +54,7 @@
 	}
 }
 
-// run runs the test command in the working directory. An error is the check's verdict.
+// run runs the test command in the working directory. It returns an error if the check fails.
 func run(ctx context.Context, command []string, out, errOut io.Writer) error {
 	if len(command) < 3 || command[len(command)-1] != allPackages {
 		return errors.New("knownred: wants a test command whose last argument is ./... (all packages)")
@@ -120,8 +120,8 @@
 	return knownTest{dir: test[1], name: test[2], cause: cause, issue: issue}, nil
 }
 
-// pattern matches the test alone, as go test's -run and -skip read it: element by element, each
-// whole.
+// pattern returns a pattern for go test's -run and -skip that matches only this test: each element of the
+// name must match whole.
 func (k knownTest) pattern() string {
 	elements := strings.Split(k.name, "/")
 	for i, element := range elements {
@@ -130,7 +130,7 @@
 	return strings.Join(elements, "/")
 }
 
-// resolve sets the package's import path. The error tells that no such package or top-level test
+// resolve sets the package's import path. It returns an error if no such package or top-level test
 // exists.
 func (k *knownTest) resolve(ctx context.Context, test []string) error {
 	listed, err := exec.CommandContext(ctx, test[0], "list", k.dir).CombinedOutput()
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// runOthers runs all but the known tests: first the packages without one, then each other package
-// without its own.
+// runOthers runs all tests but the known ones: first the packages that have no known test, then each
+// other package with its known tests skipped.
 func runOthers(ctx context.Context, test []string, known []knownTest, out, errOut io.Writer) error {
 	listed, err := exec.CommandContext(ctx, test[0], "list", allPackages).Output()
 	if err != nil {
@@ -176,8 +176,8 @@
 	return verdict
 }
 
-// runAlone runs one known test and prints its outcome. The error tells that the test does not exist,
-// which shows only now for a subtest.
+// runAlone runs one known test and prints its outcome. It returns an error if the test does not exist; a
+// missing subtest is found only here.
 func (k knownTest) runAlone(ctx context.Context, test []string, out io.Writer) error {
 	output, testErr := withArguments(ctx, test, "-count=1", aloneTimeout, "-v", "-run", k.pattern(), k.dir).CombinedOutput()
 	outcome := "passes"
@@ -199,12 +199,12 @@
 	return nil
 }
 
-// withArguments is the test command with further arguments.
+// withArguments returns the test command with further arguments.
 func withArguments(ctx context.Context, test []string, more ...string) *exec.Cmd {
 	return exec.CommandContext(ctx, test[0], slices.Concat(test[1:], more)...)
 }
 
-// runPassingOutput runs a command and passes its output on.
+// runPassingOutput runs a command whose output goes to out and errOut.
 func runPassingOutput(ctx context.Context, command []string, out, errOut io.Writer) error {
 	c := exec.CommandContext(ctx, command[0], command[1:]...)
 	c.Stdout, c.Stderr = out, errOut
--- a/internal/tools/knownred/main_test.go
+++ b/internal/tools/knownred/main_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// plantedModule has tests of the same names that do different things in two packages.
+// plantedModule holds the files of a module in which two packages have tests of the same names that
+// behave differently.
 var plantedModule = map[string]string{
 	"go.mod": "module planted\n\ngo 1.24\n",
 	"a/a_test.go": `package a
@@ -49,7 +50,8 @@
 	sub = "./a TestParent/drains_at_once\tanother cause\t34\n"
 )
 
-// writeModule writes the module; it is one for all cases, so that it is built once.
+// writeModule writes the module and changes into its folder. All cases share it, so that it is built only
+// once.
 func writeModule(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range plantedModule {
@@ -61,7 +63,8 @@
 	t.Setenv("GOWORK", "off")
 }
 
-// runCheck runs the check over the planted module with such a KNOWN-RED.txt.
+// runCheck runs the check over the planted module with text as KNOWN-RED.txt, or without that file if text
+// is "absent". With broken set, TestNew fails.
 func runCheck(t *testing.T, text string, broken bool) (string, error) {
 	t.Helper()
 	if err := os.Remove(listFile); err != nil {
@@ -82,7 +85,7 @@
 	cases := []struct {
 		name, text string
 		broken     bool
-		fails      string // what the verdict contains; empty: it passes
+		fails      string // part of the error; empty: the check passes
 		prints     []string
 	}{
 		{name: "absent", text: "absent", fails: "exit status 1", prints: []string{"a is red", "a sub is red", "ok  \tplanted/b"}},
@@ -125,7 +128,7 @@
 	}
 }
 
-// TestCommand requires that .ci/run runs the README's test command.
+// TestCommand checks that .ci/run runs the README's test command.
 func TestCommand(t *testing.T) {
 	readme, err := os.ReadFile("../../../README.md")
 	require.NoError(t, err)
