--- a/internal/tools/doccheck/doccheck_test.go
+++ b/internal/tools/doccheck/doccheck_test.go
@@ -15,8 +15,8 @@
 
 const root = "../../.."
 
-// former are names of tests that a page gives on purpose as those of earlier builds.
-var former = map[string]bool{"TestFinish": true}
+// formerTests holds the names of tests of earlier builds that a page mentions on purpose.
+var formerTests = map[string]bool{"TestFinish": true}
 
 var (
 	quoted     = regexp.MustCompile("`([^`\n]+)`")
@@ -26,7 +26,8 @@
 	link       = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
 )
 
-// pages returns the names of all pages, from the root; the changelog tells of the past.
+// pages returns the paths of all pages that are checked. The changelog is not among them, since it names
+// what earlier versions had.
 func pages(t *testing.T) []string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
@@ -53,8 +54,8 @@
 	return byPackage
 }
 
-// exists tells whether a path that a page names is there. A page may leave internal/ out, list
-// several in braces, and end a path with "..." for all below it.
+// exists reports whether a path that a page names exists. A page may omit internal/, list alternatives in
+// braces, and end a path with "..." for everything below it.
 func exists(name string) bool {
 	name = strings.TrimRight(strings.TrimSuffix(strings.TrimSuffix(name, "..."), "..."), "/.")
 	if before, rest, ok := strings.Cut(name, "{"); ok {
@@ -74,18 +75,19 @@
 	return false
 }
 
-// source is what the pages are checked against.
+// source is the source code that the pages are checked against.
 type source struct {
 	packages map[string]string // text by the package's name
 	all      string            // text of all packages
 }
 
-// missing says what of a quoted name is not there; empty: nothing, or it is no name of the source.
+// missing returns a message if a quoted name does not exist in the source. It returns "" if the name
+// exists, or if the text is not a name in the source.
 func (s *source) missing(name string) string {
 	if path := sourcePath.FindStringSubmatch(name); path != nil && !exists(path[1]) {
 		return "no such file or folder: " + name
 	}
-	if test := testName.FindStringSubmatch(name); test != nil && !strings.Contains(s.all, "func "+test[1]+"(") && !former[test[1]] {
+	if test := testName.FindStringSubmatch(name); test != nil && !strings.Contains(s.all, "func "+test[1]+"(") && !formerTests[test[1]] {
 		return "no such test: " + name
 	}
 	parts := identifier.FindStringSubmatch(name)
--- a/internal/tools/doccheck/loglines_test.go
+++ b/internal/tools/doccheck/loglines_test.go
@@ -24,21 +24,21 @@
 // logLinesPage lists the older dispatcher's log lines.
 const logLinesPage = "docs/operations-log-lines.md"
 
-// levelNames are the levels in lines and on the page, by the logger's method.
+// levelNames holds the level's name in log lines and on the page, by the logger's method.
 var levelNames = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warning", "Error": "error"}
 
-// variableMessages are the messages of the calls whose message is no constant, by the expression.
+// variableMessages holds the messages of the calls whose message is not a constant, by the expression.
 var variableMessages = map[string][]string{
 	"a.Verdict.String()": {engine.Refused.String(), engine.Failed.String(), engine.Denied.String()}, // of pipeline, which logs no request that was served
 	"message":            {"the operators put a runner out", "the operators put a runner back"},     // of adminapi
-	"text":               nil,                                                                       // of engine: the policy's, which are collected where they are formatted
+	"text":               nil,                                                                       // of engine: the policy's messages, which are collected where they are formatted
 	"what":               nil,                                                                       // of engine.trace, whose calls are collected
 }
 
-// loggedLine is a level and message.
+// loggedLine is the level and the message of a log line.
 type loggedLine struct{ level, message string }
 
-// logSource is what the dispatcher's source logs.
+// logSource holds the log calls in the dispatcher's source.
 type logSource struct {
 	lines   map[loggedLine]map[string]bool // keys at the call, by line
 	derived map[string]bool                // keys of derived loggers and of attributes that functions make
@@ -55,7 +55,7 @@
 	return text, err == nil
 }
 
-// isLogger tells whether an expression is a logger by its name: log, x.log or x.Log.
+// isLogger reports whether an expression is a logger by its name: log, x.log or x.Log.
 func isLogger(e ast.Expr) bool {
 	switch e := e.(type) {
 	case *ast.Ident:
@@ -66,7 +66,7 @@
 	return false
 }
 
-// add takes in a line with its keys, which are every other one of the arguments after the message.
+// add records a line with its keys. The arguments after the message are keys and values in turn.
 func (s *logSource) add(line loggedLine, arguments []ast.Expr) {
 	if s.lines[line] == nil {
 		s.lines[line] = map[string]bool{}
@@ -78,7 +78,7 @@
 	}
 }
 
-// addCall takes in a call if it logs, or makes a logger or an attribute.
+// addCall records a call that logs, derives a logger or makes an attribute, and ignores any other call.
 func (s *logSource) addCall(files *token.FileSet, call *ast.CallExpr) {
 	function, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -108,7 +108,7 @@
 	}
 }
 
-// addMessage takes in a call that logs a message.
+// addMessage records a call that logs a message.
 func (s *logSource) addMessage(files *token.FileSet, level string, message ast.Expr, arguments []ast.Expr) {
 	if constant, ok := literal(message); ok {
 		s.add(loggedLine{level, constant}, arguments)
@@ -124,7 +124,7 @@
 	}
 }
 
-// expressionText is the text of an identifier, a selector or a call without arguments.
+// expressionText returns the text of an identifier, a selector or a call without arguments.
 func expressionText(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.Ident:
@@ -168,7 +168,7 @@
 // logRow is a row of the page's tables: level, message and keys.
 var logRow = regexp.MustCompile("(?m)^\\| (\\w+) `([^`]+)` \\|([^|]*)\\|")
 
-// readLogRows reads the page's tables: the keys of each line.
+// readLogRows returns the keys of each line in the page's tables.
 func readLogRows(t *testing.T) map[loggedLine]map[string]bool {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(root, logLinesPage))
@@ -185,8 +185,8 @@
 	return rows
 }
 
-// TestLogLinesPage: the page has each line that the older dispatcher logs with its level and keys, and
-// no other.
+// TestLogLinesPage checks that the page lists each line that the older dispatcher logs, with its level and
+// keys, and no other line.
 func TestLogLinesPage(t *testing.T) {
 	source, rows := readLogSource(t), readLogRows(t)
 	require.Empty(t, source.unknown, "messages are constants")
