--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,4 +1,4 @@
-// Package deploy holds those of the example files that the program itself uses.
+// Package deploy embeds the example files that the program itself uses.
 package deploy
 
 import _ "embed"
--- a/deploy/sites_test.go
+++ b/deploy/sites_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// site is a file of sites/: the values of each key as written, by table and key, in the
+// site holds a file of sites/: the values of each key as written, by table and key, in the
 // order of the tables.
 type site map[string][]string
 
-// readSite reads the part of TOML that the sites are written in: tables, lists of tables,
-// and a key and its value on one line.
+// readSite reads the subset of TOML that the sites use: tables, lists of tables, and lines of
+// one key and its value.
 func readSite(t *testing.T, path string) site {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -45,7 +45,8 @@
 	return s[key][0]
 }
 
-// names returns what the site's own words are: its name, classes, tenants, zones and kinds.
+// names returns the names that the site defines: its own and those of its classes, tenants, tiers, kinds
+// and zones.
 func (s site) names(t *testing.T) []string {
 	all := slices.Concat(s["name"], s["class.name"], s["tenant.name"], s["tier.name"], s["tier.kind.name"])
 	for _, zone := range strings.Split(strings.Trim(s.one(t, "net.zones"), "[]"), ",") {
@@ -110,7 +111,8 @@
 	}
 }
 
-// No word of a site stands in the program, in a test of it or in another deploy file.
+// TestSitesNamesStandNowhereElse checks that no name of a site occurs in the program, in its tests or in
+// another deploy file.
 func TestSitesNamesStandNowhereElse(t *testing.T) {
 	ferry, press := sites(t)
 	names := append(ferry.names(t), press.names(t)...)
