--- a/internal/dispatcher/demo/demo_test.go
+++ b/internal/dispatcher/demo/demo_test.go
@@ -15,8 +15,8 @@
 	"go.uber.org/goleak"
 )
 
-// TestDemo runs the demo, and with it the whole program in this process: what
-// it starts has ended when it returns.
+// TestDemo runs the demo, which runs the whole dispatcher in this process. No goroutine may be
+// left when Run has returned.
 func TestDemo(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	defer http.DefaultClient.CloseIdleConnections()
@@ -28,7 +28,7 @@
 	require.Contains(t, out.String(), " 0 tickets of them twice")
 }
 
-// TestFleetDemo: three processes of the program serve as one fleet, and end on the signal.
+// TestFleetDemo checks that three processes of the program serve as one fleet and end at ShutdownSignal.
 func TestFleetDemo(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	defer http.DefaultClient.CloseIdleConnections()
@@ -43,9 +43,9 @@
 	}
 }
 
-// hangPatience returns waits that only a hang exceeds, and a context that ends them in time
-// for the processes to be ended before the test's deadline. How long the fleet takes depends
-// on what else the machine does: it is nothing that the test checks.
+// hangPatience returns time limits that only a hang exceeds, and a context that ends the waits early
+// enough to stop the processes before the test's deadline. The test doesn't check how long the fleet
+// takes, because that depends on the other load of the machine.
 func hangPatience(t *testing.T) (context.Context, Patience) {
 	t.Helper()
 	const shutdownReserve = 2 * time.Minute
--- a/internal/dispatcher/demo/fleet.go
+++ b/internal/dispatcher/demo/fleet.go
@@ -18,16 +18,16 @@
 	"basaltloft/internal/dispatcher/textout"
 )
 
-// FleetSettings are what a demo of several processes is.
+// FleetSettings are the settings of RunFleet.
 type FleetSettings struct {
 	Program   string // the dispatcher's executable
 	Processes int
 	Until     time.Time // clients make requests until then
-	// MinimumTaken, unless 0, lets clients make requests past Until, until each process has
-	// accepted as many jobs, and then begins plans, one at a time, until one has been served.
-	// Each may take Patience.Load at most.
+	// MinimumTaken, unless 0, is the number of jobs that each process must have accepted: clients make
+	// requests past Until until then. Afterwards plans are begun, one at a time, until one has been
+	// served. Each of these two waits takes at most Patience.Load.
 	MinimumTaken int64
-	Patience     Patience // the zero value stands for DefaultPatience
+	Patience     Patience // the zero value means DefaultPatience
 }
 
 const (
@@ -35,7 +35,7 @@
 	jobBudget    = 60 // jobs a second of the first tenant, at all processes together
 )
 
-// fleet is the processes and what they share.
+// fleet holds the processes of the fleet and the fakes around them.
 type fleet struct {
 	FleetSettings
 	nodes       []*node
@@ -45,15 +45,14 @@
 	answers     fakes.Answers
 
 	mu         sync.Mutex
-	ticketRuns map[string]int // by booking
+	ticketRuns map[string]int // number of runs of each booking's ticket
 	bookings   []*booking
 }
 
-// RunFleet plays a demo of several processes that are joined as one fleet: clients send
-// requests to all of them over HTTP, and begin plans at their admin APIs. It ends with the
-// ledger of each process and its view of the fleet on out. It fails if anything does not
-// add up, a plan gets no answer, a ticket ran twice, or a process ends by itself or not in
-// time.
+// RunFleet runs a demo of several processes that form one fleet: clients send requests to all of
+// them over HTTP, and begin plans at their admin APIs. At the end it writes the ledger of each process and
+// its view of the fleet to out. It fails if a ledger does not add up, nothing was served, a plan gets no
+// answer, a ticket ran twice, or a process ends by itself or not in time.
 func RunFleet(ctx context.Context, s FleetSettings, out, errs io.Writer) (err error) {
 	home, err := os.MkdirTemp("", "basaltloft-demo")
 	if err != nil {
@@ -125,6 +124,7 @@
 	return nil
 }
 
+// startNode opens the members' addresses for a process and starts it.
 func (f *fleet) startNode(n *node, rank int, planFile string) error {
 	list, discovery, err := OpenMembersFor(f.members, n.name, func() string { return n.listen })
 	if err != nil {
@@ -141,7 +141,8 @@
 	return n.start(d, f.Program, operator)
 }
 
-// jobOutcome is how members end jobs: those of the plan by their paths.
+// jobOutcome returns the state and the result with which members end a job: for the plan's jobs by
+// class, otherwise "ok". It counts the runs of each ticket.
 func (f *fleet) jobOutcome(class, _ string, body []byte) (state, result string) {
 	switch class {
 	case "prices":
@@ -161,8 +162,8 @@
 	return "done", `"ok"`
 }
 
-// serve lets clients make requests and begin plans until the time is over, and waits for
-// their answers.
+// serve runs the clients, which send requests and begin plans, until the time is over, and waits until
+// the clients have ended. It fails if a process ends by itself.
 func (f *fleet) serve(ctx context.Context, errs io.Writer) error {
 	deadline := f.Until
 	if f.MinimumTaken > 0 {
@@ -170,22 +171,22 @@
 	}
 	ctxClients, stop := context.WithDeadline(ctx, deadline)
 	defer stop()
-	ctxPlans, stopPlans := context.WithDeadline(ctxClients, f.Until) // on a slow machine more of them would only pile up
+	ctxPlans, stopPlans := context.WithDeadline(ctxClients, f.Until) // on a slow machine more plans would only add to the backlog
 	defer stopPlans()
 	var clients sync.WaitGroup
 	s := fakes.ClientSettings{Rate: 60, TicketShare: ticketShare, Tenants: Tenants, Retries: 2, AbandonShare: 0.02, Seed: 3}
 	clients.Go(func() { fakes.HTTPClients(ctxClients, f.randomNode(), "h", s, &f.answers) })
 	clients.Go(func() { f.bookPlans(ctxPlans) })
 	p := textout.New(errs)
-	var died error
+	var earlyEnd error
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
-	for died == nil && ctxClients.Err() == nil {
+	for earlyEnd == nil && ctxClients.Err() == nil {
 		select {
 		case <-ctxClients.Done():
 		case <-ticker.C:
 			p.Printf("\r%d answered by HTTP, %d plans begun", f.answers.Served.Load(), len(f.booked()))
-			died = f.endedEarly()
+			earlyEnd = f.endedEarly()
 			if f.MinimumTaken > 0 && !time.Now().Before(f.Until) && f.tookEnough() {
 				stop()
 			}
@@ -194,11 +195,11 @@
 	stop()
 	clients.Wait()
 	p.Println()
-	return errors.Join(died, ctx.Err(), p.Err())
+	return errors.Join(earlyEnd, ctx.Err(), p.Err())
 }
 
-// randomNode returns a function that draws the address of a process. It may be called
-// concurrently.
+// randomNode returns a function that returns the address of a random process. The function may be
+// called concurrently.
 func (f *fleet) randomNode() func() string {
 	random := rand.New(rand.NewPCG(3, 5))
 	var mu sync.Mutex
@@ -219,7 +220,7 @@
 	return true
 }
 
-// endedEarly is the error of a process that has ended by itself.
+// endedEarly returns an error if a process has ended by itself, and nil otherwise.
 func (f *fleet) endedEarly() error {
 	for _, n := range f.nodes {
 		select {
@@ -234,8 +235,8 @@
 	return nil
 }
 
-// summarize waits for what is open, writes what became of everything, and fails if that
-// does not add up.
+// summarize waits for the outcomes of all plans and until no job is open, and writes a summary of the
+// jobs and plans. It fails if a ledger does not add up, a ticket ran twice, or nothing was served.
 func (f *fleet) summarize(ctx context.Context, out io.Writer) error {
 	outcomes := map[string]int{}
 	bookings := f.booked()
@@ -271,8 +272,8 @@
 	return nil
 }
 
-// summarize waits until no job is open at the process, for maxIdle at most, audits its
-// ledger, and writes that and its view of the fleet. It returns the jobs that were served.
+// summarize waits until no job is open at the process, for at most maxIdle, audits its ledger, and
+// writes the ledger's totals and the process's view of the fleet. It returns the number of jobs served.
 func (n *node) summarize(ctx context.Context, p *textout.Printer, maxIdle time.Duration) (served int64, err error) {
 	if err := errors.Join(waitIdle(ctx, n.metrics, maxIdle), runAudit(n.metrics)); err != nil {
 		return 0, err
@@ -295,7 +296,7 @@
 	return served, nil
 }
 
-// runTwice names the tickets that ran more than once.
+// runTwice returns the ids of the tickets that ran more than once.
 func (f *fleet) runTwice() (ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -307,7 +308,8 @@
 	return append(ids, f.runLog.RunTwice()...)
 }
 
-// shutdown ends the processes in order, and waits for them.
+// shutdown sends ShutdownSignal to the processes and waits until all have ended. It fails if one ends
+// with an error or not within Patience.Shutdown.
 func (f *fleet) shutdown() (err error) {
 	for _, n := range f.nodes {
 		if signalErr := n.cmd.Process.Signal(ShutdownSignal); signalErr != nil {
@@ -329,7 +331,7 @@
 	return err
 }
 
-// close ends what still runs.
+// close kills the processes that still run, and closes the members and discovery services.
 func (f *fleet) close() {
 	for _, n := range f.nodes {
 		n.kill()
--- a/internal/dispatcher/demo/fleetnode.go
+++ b/internal/dispatcher/demo/fleetnode.go
@@ -19,12 +19,13 @@
 type node struct {
 	name, home             string // home is its directory
 	listen, admin, metrics string // addresses
-	rpc, raft              string // addresses; empty: it is no Raft node
+	rpc, raft              string // addresses; empty if it is no Raft node
 	dataDir                string // of its fleet state
 	cmd                    *exec.Cmd
-	ended                  chan error // has its end, and is closed then
+	ended                  chan error // receives the result of cmd.Wait, and is then closed
 }
 
+// newNode returns a process, not yet started, with free addresses. Its directory is below home.
 func newNode(name, home string, raftNode bool) (*node, error) {
 	n := &node{name: name, home: filepath.Join(home, name), ended: make(chan error, 1)}
 	n.dataDir = filepath.Join(n.home, "folder")
@@ -41,8 +42,8 @@
 	return n, nil
 }
 
-// raftNodes are the addresses of the Raft nodes among some processes, by name, as in an
-// operator's file.
+// raftNodes returns the addresses of the Raft nodes among the given processes, by name, in the form of
+// an operator's file.
 func raftNodes(nodes []*node) map[string]map[string]string {
 	all := make(map[string]map[string]string)
 	for _, n := range nodes {
@@ -53,7 +54,7 @@
 	return all
 }
 
-// operatorFile is its operator's file, with a budget of jobs for the first tenant.
+// operatorFile returns the process's operator's file, with a budget of jobs for the first tenant.
 func (n *node) operatorFile(raftNodes map[string]map[string]string, planFile string) (string, error) {
 	fleet := map[string]any{
 		"name": n.name, "folder": n.dataDir, "keepers": raftNodes, "plans": []string{planFile},
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// kill ends the process at once, if it was started, and waits for its end.
+// kill kills the process, if it was started, and waits until it has ended.
 func (n *node) kill() {
 	if n.cmd == nil {
 		return
@@ -101,11 +102,11 @@
 	}
 }
 
-// abort ends the process at once and returns the end of its log, which has the stacks of its
-// goroutines.
+// abort ends the process with SIGQUIT and returns the end of its log, which contains the stacks of
+// its goroutines. It kills the process if that takes longer than abortTimeout.
 func (n *node) abort() string {
 	_ = n.cmd.Process.Signal(syscall.SIGQUIT) // it may have ended
-	defer time.AfterFunc(abortTimeout, func() { _ = n.cmd.Process.Kill() /* as before */ }).Stop()
+	defer time.AfterFunc(abortTimeout, func() { _ = n.cmd.Process.Kill() /* it may have ended */ }).Stop()
 	for range n.ended {
 	}
 	text, err := os.ReadFile(filepath.Join(n.home, "log"))
@@ -115,13 +116,13 @@
 	return string(text[max(0, len(text)-maxStackBytes):])
 }
 
-// The stacks of a process that does not end.
+// Limits for the stacks of a process that does not end.
 const (
-	abortTimeout  = 10 * time.Second // for the process to write them
+	abortTimeout  = 10 * time.Second // for the process to write the stacks
 	maxStackBytes = 64 << 10
 )
 
-// lastLogLine is the last line of its log, for errors.
+// lastLogLine returns the last line of the process's log, for error messages.
 func (n *node) lastLogLine() string {
 	text, err := os.ReadFile(filepath.Join(n.home, "log"))
 	if err != nil {
--- a/internal/dispatcher/demo/fleetplans.go
+++ b/internal/dispatcher/demo/fleetplans.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	bookingInterval = 500 * time.Millisecond // between two plans that are begun
+	bookingInterval = 500 * time.Millisecond // between the begins of two plans
 	seatsPerPlan    = 42
 )
 
-// Outcomes of a run.
+// Outcomes of a plan run.
 const (
 	outcomeUnderWay = "under way" // before its final answer
 	outcomeServed   = "served"
 	outcomeRefused  = "refused"
 )
 
-// errNotBegun says that a process has not acknowledged a plan. It may have begun all the
-// same: it may be begun again under the same id, here or at another process.
+// errNotBegun is returned when a process has not acknowledged a plan run. The run may have begun all the
+// same; beginning it again under the same id, at this or another process, is safe.
 var errNotBegun = errors.New("not acknowledged")
 
-// booking is one run of the plan.
+// booking is one run of the plan, which books one group.
 type booking struct {
-	run   string // its id
-	node  *node  // at which it was begun first
+	run   string // the run's id
+	node  *node  // the process that was first asked to begin it
 	begun bool   // a process has acknowledged it
 }
 
@@ -47,8 +47,8 @@
 	}
 }
 
-// bookPlan begins a plan, at one process after the other. Plans are booked by one goroutine
-// at a time.
+// bookPlan begins a plan; successive calls use the processes in turn. Only one goroutine at a time may
+// call it.
 func (f *fleet) bookPlan() {
 	i := len(f.booked())
 	b := &booking{run: fmt.Sprintf("coach-%d", i), node: f.nodes[i%len(f.nodes)]}
@@ -58,8 +58,8 @@
 	f.mu.Unlock()
 }
 
-// bookUntilServed waits until a plan has been served. While none has been, it begins another
-// one each time that all have been answered.
+// bookUntilServed waits until a plan has been served. If all plans have been answered and none of them
+// was served, it begins another one. It fails after Patience.Load.
 func (f *fleet) bookUntilServed(ctx context.Context) error {
 	for deadline, answered := time.Now().Add(f.Patience.Load), 0; ; {
 		for _, b := range f.booked()[answered:] {
@@ -75,8 +75,8 @@
 	}
 }
 
-// beginPlan begins a run of the plan at a process, or finds that it was begun. The error
-// wraps errNotBegun.
+// beginPlan begins a run of the plan at a process; it also succeeds if that run had already begun.
+// If the process does not acknowledge the run, the error wraps errNotBegun.
 func (f *fleet) beginPlan(at *node, run string) error {
 	seats := make([]int, seatsPerPlan)
 	for i := range seats {
@@ -107,28 +107,29 @@
 	return nil
 }
 
-// booked are the plans that were begun, or may have been.
+// booked returns the plan runs that were begun, or may have been.
 func (f *fleet) booked() []*booking {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.bookings)
 }
 
-// nodesFrom are all processes, from one of them on.
+// nodesFrom returns all processes in their order, rotated so that first comes first.
 func (f *fleet) nodesFrom(first *node) []*node {
 	i := slices.Index(f.nodes, first)
 	return slices.Concat(f.nodes[i:], f.nodes[:i])
 }
 
-// fleetTimer measures a wait by the fleet's clock, by which the fleet itself keeps its
-// deadlines. On a machine that is short of processor time the Raft nodes may have no leader
-// for minutes: nothing of the fleet moves then, and its clock stands still.
+// fleetTimer measures a wait by the fleet's clock, which the fleet also uses for its deadlines. On a
+// machine that is short of processor time the Raft nodes may have no leader for minutes: the fleet
+// then makes no progress, and its clock stands still.
 type fleetTimer struct {
 	fleet *fleet
 	start time.Duration // on the fleet's clock
-	began time.Time
+	began time.Time     // on this machine's clock
 }
 
+// startTimer starts a fleetTimer.
 func (f *fleet) startTimer() fleetTimer { return fleetTimer{f, f.time(), time.Now()} }
 
 // expired reports whether the wait has taken Patience.Answer, or Patience.Standstill by this
@@ -138,7 +139,7 @@
 	return t.fleet.time()-t.start > patience.Answer || time.Since(t.began) > patience.Standstill
 }
 
-// time is the fleet's clock, as the process that has the latest state knows it.
+// time returns the fleet's clock: the latest value that any process reports.
 func (f *fleet) time() (latest time.Duration) {
 	for _, n := range f.nodes {
 		var status struct {
@@ -153,8 +154,8 @@
 	return latest
 }
 
-// waitOutcome waits for the final answer of a plan, in one word. A plan that no process
-// has acknowledged is begun again.
+// waitOutcome waits for the outcome of a plan run and returns it. It first begins the run again if no process
+// has acknowledged it.
 func (f *fleet) waitOutcome(ctx context.Context, b *booking) (string, error) {
 	if err := f.ensureBegun(ctx, b); err != nil {
 		return "", err
@@ -169,7 +170,7 @@
 	}
 }
 
-// ensureBegun begins a plan until a process has acknowledged it.
+// ensureBegun tries to begin a plan run, at one process after the other, until one has acknowledged it.
 func (f *fleet) ensureBegun(ctx context.Context, b *booking) (err error) {
 	nodes := f.nodesFrom(b.node)
 	timer := f.startTimer()
@@ -186,8 +187,8 @@
 	return nil
 }
 
-// outcome is the final answer of a plan, or "" while it has none. Any process that is in
-// the fleet just then can tell it.
+// outcome returns the outcome of a plan run, or "" if it has none yet. Any process that is currently in
+// the fleet can report it.
 func (f *fleet) outcome(b *booking) string {
 	for _, n := range f.nodesFrom(b.node) {
 		var answer struct{ Outcome string }
--- a/internal/dispatcher/demo/load.go
+++ b/internal/dispatcher/demo/load.go
@@ -9,18 +9,18 @@
 	"basaltloft/internal/dispatcher/fakes"
 )
 
-// Tenants are those of the demo.
+// Tenants are the tenants of the demo.
 var Tenants = []string{"hrad-kamenec", "jaskyna-dolina", "hrad-vysoka"}
 
 // ticketShare is the share of group tickets among the requests; the rest are holds.
 const ticketShare = 0.28
 
-// Load is how busy the world is.
+// Load describes the requests, pool members, workers and injected faults of a demo.
 type Load struct {
-	Rate    float64 // logical requests a second, by each front
+	Rate    float64 // logical requests per second at each front
 	Members int
-	Workers int           // of Faktory
-	Slots   int           // of a member; 0: 4
+	Workers int           // Faktory workers
+	Slots   int           // of a member; NewWorld replaces 0 by 4
 	RunTime time.Duration // of each job; 0: short and random
 	Faults  fakes.Faults
 	Seed    uint64
@@ -29,9 +29,9 @@
 // AtMostOnce reports whether a class, or a Faktory job type, must never run twice.
 func AtMostOnce(class string) bool { return class == "group-ticket" || class == "IssueTicket" }
 
-// RunTimes returns a function that draws how long a job of a class runs: holds for 10 to
-// 30 ms, tickets for three times as long. Each n gives other draws. The function may be
-// called concurrently.
+// RunTimes returns a function that returns the run time of a job of a class: RunTime, or if that is 0 a
+// random one, 10 to 30 ms for holds and three times as long for tickets. n is added to the random seed. The
+// function may be called concurrently.
 func (l Load) RunTimes(n uint64) func(class string) time.Duration {
 	if l.RunTime > 0 {
 		return func(string) time.Duration { return l.RunTime }
@@ -73,7 +73,7 @@
 	return all, nil
 }
 
-// instances are the members' entries on discovery's list.
+// instances returns the members' entries in the list of the discovery service.
 func instances(members []*fakes.Member) (list []fakes.Instance) {
 	for _, m := range members {
 		list = append(list, m.Instance())
--- a/internal/dispatcher/demo/run.go
+++ b/internal/dispatcher/demo/run.go
@@ -22,8 +22,8 @@
 // progressInterval is how often progress is shown.
 const progressInterval = 250 * time.Millisecond
 
-// Run plays the demo until a time, with the dispatcher in this process. It shows progress
-// on errs and ends with the ledger on out. It fails if anything does not add up, a ticket
+// Run runs the demo until the given time, with the dispatcher in this process. It shows progress on errs
+// and writes the ledger to out at the end. It fails if the ledger or the journal does not add up, a ticket
 // ran twice, or nothing was served.
 func Run(ctx context.Context, until time.Time, log *slog.Logger, out, errs io.Writer) (err error) {
 	load := Load{Rate: 40, Members: 6, Workers: 3, Seed: 3, Faults: fakes.Faults{Reject: 0.01, Fail: 0.005, DuplicateEnd: 0.05}}
@@ -62,8 +62,8 @@
 	return w.summarize(report, journalDir, out)
 }
 
-// serve lets clients make requests until a time, and then waits until no job is open and
-// audits the ledger. ended has the dispatcher's end.
+// serve runs the clients until the given time, then waits until no job is open and audits the ledger.
+// ended receives the dispatcher's error when it ends; serve then fails.
 func (w *World) serve(ctx context.Context, load Load, until time.Time, ended <-chan error, errs io.Writer) error {
 	p := textout.New(errs)
 	p.Printf("HTTP front %s, Faktory front %s, agent check %s, figures http://%s/metrics\n", w.HTTPAddr, w.FaktoryAddr, w.AgentCheckAddr, w.MetricsAddr)
@@ -80,7 +80,7 @@
 		case <-ctx.Done():
 		case <-ticker.C:
 			bar.Describe(fmt.Sprintf("%d answered by HTTP, %d pushed", w.HTTPAnswers.Served.Load(), w.FaktoryAnswers.Served.Load()))
-			_ = bar.Set64(int64(min(time.Since(began), until.Sub(began)))) // progress that can't be shown stops nothing
+			_ = bar.Set64(int64(min(time.Since(began), until.Sub(began)))) // a failure to show progress is ignored
 		}
 	}
 	p.Println()
@@ -91,7 +91,8 @@
 	return runAudit(w.MetricsAddr)
 }
 
-// summarize writes what became of everything, and fails if that does not add up.
+// summarize writes a summary of the ledger, the journal and the jobs that ran. It fails if they do not
+// add up, a ticket ran twice, or nothing was served.
 func (w *World) summarize(report metrics.Report, journalDir string, out io.Writer) error {
 	if err := metrics.Table(out, report, []string{"front", "class", "tenant"}); err != nil {
 		return err
--- a/internal/dispatcher/demo/wait.go
+++ b/internal/dispatcher/demo/wait.go
@@ -14,8 +14,8 @@
 // maxWait bounds a wait for a dispatcher. It is more than any job's deadline.
 const maxWait = 40 * time.Second
 
-// Patience bounds the waits of a fleet's demo. Each bound ends a wait with an error. What the
-// fleet does takes as long as the machine needs for it.
+// Patience holds the time limits of RunFleet's waits. A wait that exceeds its limit fails. How long the
+// fleet needs for a step depends on the machine.
 type Patience struct {
 	Start      time.Duration // until a process is ready, and then until it has joined the fleet
 	Load       time.Duration // past FleetSettings.Until, for MinimumTaken
@@ -25,17 +25,17 @@
 	Shutdown   time.Duration // until all processes have ended after ShutdownSignal
 }
 
-// DefaultPatience is that of the sub-command demo.
+// DefaultPatience returns the time limits of the sub-command demo.
 func DefaultPatience() Patience {
 	return Patience{
 		Start: maxWait, Load: maxWait, Answer: maxWait, Standstill: 10 * time.Minute, Idle: maxWait, Shutdown: 10 * time.Second,
 	}
 }
 
-// pollInterval is how often a dispatcher is polled while it is waited for.
+// pollInterval is the time between two polls of a dispatcher during a wait.
 const pollInterval = 20 * time.Millisecond
 
-// WaitIdle waits until no job is open at a dispatcher, by its metrics listener.
+// WaitIdle waits until a dispatcher's metrics listener reports no open job.
 func WaitIdle(metricsAddr string) error {
 	return waitIdle(context.Background(), metricsAddr, maxWait)
 }
@@ -57,8 +57,8 @@
 	}
 }
 
-// WaitReady waits until a dispatcher is ready to serve. It fails if the dispatcher's end
-// comes first, which the caller sends to ended; a nil channel is never read.
+// WaitReady waits until a dispatcher is ready to serve. It fails if the dispatcher ends first, which the
+// caller reports by a send to ended. ended may be nil.
 func WaitReady(ctx context.Context, addr string, ended <-chan error) error {
 	return waitReady(ctx, addr, ended, maxWait)
 }
@@ -102,10 +102,10 @@
 	return r, err
 }
 
-// runAudit lets a dispatcher audit its ledger now.
+// runAudit makes a dispatcher audit its ledger now.
 func runAudit(metricsAddr string) error { return getJSON(metricsAddr, "/audit", &struct{}{}) }
 
-// getJSON decodes the JSON of an answer of any status.
+// getJSON sends a GET request and decodes the JSON of the response, whatever its status.
 func getJSON(addr, path string, into any) error {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
--- a/internal/dispatcher/demo/world.go
+++ b/internal/dispatcher/demo/world.go
@@ -10,12 +10,12 @@
 	"basaltloft/internal/dispatcher/settings"
 )
 
-// defaultSlots are those of a member whose load names none.
+// defaultSlots is the number of slots of a member if Load.Slots is 0.
 const defaultSlots = 4
 
-// World is everything around one dispatcher: discovery, pool members, HTTP clients,
-// Faktory clients and Faktory workers. The caller runs the dispatcher, with the World's
-// Configuration and OperatorFile, and closes the World.
+// World is the simulated environment of one dispatcher: discovery, pool members, HTTP clients, Faktory
+// clients and Faktory workers. The caller runs the dispatcher, with the World's Configuration and
+// OperatorFile, and closes the World.
 type World struct {
 	HTTPAddr, FaktoryAddr, AgentCheckAddr, MetricsAddr string // of the dispatcher
 	Discovery                                          *fakes.Discovery
@@ -27,7 +27,7 @@
 
 	mu             sync.Mutex
 	load           Load
-	workersContext context.Context // parent of each worker's
+	workersContext context.Context // parent of each worker's context
 	workers        []context.CancelFunc
 	workersStarted int
 }
@@ -53,16 +53,15 @@
 	return w, nil
 }
 
-// Configuration is the dispatcher's configuration file. It knows the members from the
-// start.
+// Configuration returns the text of the dispatcher's configuration file, which lists the members.
 func (w *World) Configuration() string {
 	return Dispatcher{
 		Name: "demo", Listen: w.HTTPAddr, Discovery: w.Discovery.Addr(), Count: 1, InitialMembers: instances(w.members),
 	}.Configuration()
 }
 
-// OperatorFile is the dispatcher's operator's file. With an empty directory there is no
-// journal.
+// OperatorFile returns the text of the dispatcher's operator's file. If journalDir is empty, the dispatcher
+// keeps no journal.
 func (w *World) OperatorFile(journalDir string) string {
 	return fmt.Sprintf(`{"agent_check":{"listen":%q},
 "figures":{"listen":%q,"audit_every_ms":500,"journal":{"folder":%q,"segment_mb":1}},
@@ -72,7 +71,7 @@
 "jobtypes":{"IssueTicket":{"class":"group-ticket","deadline_ms":25000,"cost_us":60000}}}}`, w.AgentCheckAddr, w.MetricsAddr, journalDir, w.FaktoryAddr)
 }
 
-// DecodedSettings are the Configuration and the OperatorFile, decoded.
+// DecodedSettings returns the Configuration and the OperatorFile, decoded.
 func (w *World) DecodedSettings(journalDir string) (c settings.Config, o settings.Operator, err error) {
 	if c, err = settings.DecodeConfig([]byte(w.Configuration())); err != nil {
 		return c, o, err
@@ -81,7 +80,7 @@
 	return c, o, err
 }
 
-// StartLoad starts the workers and the clients. It may be called once.
+// StartLoad starts the workers and the clients. It may be called only once.
 func (w *World) StartLoad(l Load) {
 	clients, stop := context.WithCancel(context.Background())
 	w.stopClients = stop
@@ -100,7 +99,7 @@
 
 func (w *World) faktoryAddr() string { return w.FaktoryAddr }
 
-// startWorker starts a Faktory worker with an id of its own and returns what ends it.
+// startWorker starts a Faktory worker with an id of its own and returns the function that ends it.
 func (w *World) startWorker() context.CancelFunc {
 	ctx, kill := context.WithCancel(w.workersContext)
 	w.workersStarted++
@@ -115,8 +114,8 @@
 	return kill
 }
 
-// KillWorker ends one of the Faktory workers, with the job that it runs and without a word
-// to the dispatcher, and starts another one. It may be called concurrently.
+// KillWorker ends one of the Faktory workers, and the job that it runs, without a message to the
+// dispatcher, and starts another one. It may be called concurrently.
 func (w *World) KillWorker(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,10 +124,10 @@
 	w.workers[n] = w.startWorker()
 }
 
-// StopClients ends the requests. What was sent is still answered.
+// StopClients stops new requests. Requests already sent are still answered.
 func (w *World) StopClients() { w.stopClients() }
 
-// Close ends everything and waits for it.
+// Close ends the clients and workers, waits for them, and closes the members and the discovery service.
 func (w *World) Close() {
 	if w.stopClients != nil {
 		w.stopClients()
