--- a/internal/dispatcher/scenario/build.go
+++ b/internal/dispatcher/scenario/build.go
@@ -9,8 +9,9 @@
 	"sync"
 )
 
-// Build compiles the program once for all tests of a package, and returns its path. The
-// environment variable BASALTLOFT_BINARY names another build that is tested in its place.
+// Build compiles the program once for all tests of a package, and returns its path. If the environment
+// variable BASALTLOFT_BINARY is set, Build compiles nothing and returns the path in it, so that the tests run
+// another build.
 func Build() (string, error) {
 	if other := os.Getenv("BASALTLOFT_BINARY"); other != "" {
 		return other, nil
@@ -18,7 +19,7 @@
 	return BuildTags("")
 }
 
-var builds sync.Map // by tags, functions that return the path
+var builds sync.Map // by build tags: functions that compile once and return the path
 
 // BuildTags is Build with build tags. Each set of tags is compiled once.
 func BuildTags(tags string) (string, error) {
@@ -26,6 +27,7 @@
 	return build.(func() (string, error))()
 }
 
+// compile builds the program into a new temporary directory and returns its path.
 func compile(tags string) (string, error) {
 	dir, err := os.MkdirTemp("", "basaltloft")
 	if err != nil {
--- a/internal/dispatcher/scenario/peers.go
+++ b/internal/dispatcher/scenario/peers.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dialInterval is how often a connection is tried.
+// dialInterval is the time between two attempts to connect.
 const dialInterval = time.Millisecond
 
-// Listen returns a loopback address and a peer that accepts there: each new actor is the
+// Listen listens on a loopback address and returns it with a peer: each new actor of that peer accepts the
 // next connection.
 func Listen(t testing.TB) (addr string, open func() (Conn, error)) {
 	t.Helper()
@@ -29,7 +29,8 @@
 	}
 }
 
-// Dial returns a peer that is connected to, as soon as it listens.
+// Dial returns a peer: each new actor of it connects to addr. It retries until something listens there
+// or stepTimeout is over.
 func Dial(addr string) func() (Conn, error) {
 	return func() (Conn, error) {
 		for deadline := time.Now().Add(stepTimeout); ; {
@@ -42,7 +43,7 @@
 	}
 }
 
-// freeAddr is a loopback address that nothing listens on.
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := fakes.FreeAddr()
--- a/internal/dispatcher/scenario/process.go
+++ b/internal/dispatcher/scenario/process.go
@@ -11,16 +11,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// process is the started program as an actor: it reads the log; send asks the program to
-// reload its configuration, which the text replaces first unless it is empty; close asks
-// it to end; and wait waits for its exit.
+// process is the started program as an actor's connection. Reads return the program's log. A send makes the
+// program reload its configuration file, which the text replaces first unless it is empty. A close makes the
+// program end, and a wait waits for its exit.
 type process struct {
 	*os.File // the log
 	cmd      *exec.Cmd
 	config   string // the configuration's file
 }
 
-// Write implements io.Writer.
+// Write replaces the configuration file by text, unless text is empty, and sends SIGHUP to the program.
 func (p process) Write(text []byte) (int, error) {
 	if len(text) > 0 {
 		if err := os.WriteFile(p.config, text, 0o600); err != nil {
@@ -30,35 +30,35 @@
 	return len(text), p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Close asks the program to end.
+// Close sends SIGTERM to the program. It does not close the log.
 func (p process) Close() error { return p.cmd.Process.Signal(syscall.SIGTERM) }
 
 // Wait waits for the program's exit.
 func (p process) Wait() error { return p.cmd.Wait() }
 
-// PID is the process's id.
+// PID returns the process's id.
 func (p process) PID() int { return p.cmd.Process.Pid }
 
-// Dump ends the program with the stacks of all goroutines in its log.
+// Dump sends SIGQUIT, at which the program writes the stacks of all goroutines to its log and ends.
 func (p process) Dump() error { return p.cmd.Process.Signal(syscall.SIGQUIT) }
 
-// StartProcess starts the program with a configuration file and arguments, and kills it
-// at the end of the test. discovery is $ROUTER_DISCOVERY, which overrides the
-// configuration's address unless it is empty.
+// StartProcess starts the program with a configuration file and arguments, and kills it at the end of the
+// test. It returns a peer whose actors use the process. discovery is the value of $ROUTER_DISCOVERY, which
+// overrides the configuration's address unless it is empty.
 func StartProcess(t testing.TB, binary, config, discovery string, args ...string) func() (Conn, error) {
 	t.Helper()
 	return StartProcessWith(t, binary, config, discovery, nil, nil, args...)
 }
 
-// StartProcessWith is StartProcess with more of the environment, and files that the
-// program has as its descriptors from 3 on.
+// StartProcessWith is StartProcess with additional environment variables, and files that the program
+// inherits as its descriptors from 3 on.
 func StartProcessWith(t testing.TB, binary, config, discovery string, env []string, files []*os.File, args ...string) func() (Conn, error) {
 	t.Helper()
 	logReader, logWriter, err := os.Pipe()
 	require.NoError(t, err)
 	cmd := exec.CommandContext(context.Background(), binary, args...) // ended below, or by the script
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY="+discovery, "ROUTER_NAME=", "ROUTER_ADMIN=",
-		"TMPDIR="+filepath.Dir(config)) // what a process keeps for the next one is the test's
+		"TMPDIR="+filepath.Dir(config)) // state that a process leaves for the next one stays within the test
 	cmd.Env, cmd.ExtraFiles = append(cmd.Env, env...), files
 	cmd.Stdout, cmd.Stderr = logWriter, logWriter
 	require.NoError(t, cmd.Start())
@@ -71,6 +71,7 @@
 	return func() (Conn, error) { return process{logReader, cmd, config}, nil }
 }
 
+// writeFile writes a file in dir and returns its path.
 func writeFile(t testing.TB, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
--- a/internal/dispatcher/scenario/race_on.go
+++ b/internal/dispatcher/scenario/race_on.go
@@ -2,7 +2,7 @@
 
 package scenario
 
-// buildFlags builds the program under the race detector where the tests are.
+// buildFlags makes the program be built with the race detector, as the tests are.
 var buildFlags = []string{"-race"}
 
 // RaceEnabled reports whether the program is built under the race detector.
--- a/internal/dispatcher/scenario/scenario.go
+++ b/internal/dispatcher/scenario/scenario.go
@@ -1,17 +1,17 @@
-// Package scenario is a small language for tests of protocols, and starts the program for
-// them. A script has a step a line:
+// Package scenario interprets a small script language for tests of protocols, and starts the program for
+// these tests. Each line of a script is a step:
 //
-//	actor send TEXT       writes TEXT, in which \r and \n are the control characters
+//	actor send TEXT       writes TEXT, in which \r and \n stand for the control characters
 //	actor expect PATTERN  reads until a regular expression matches
 //	actor close           closes the actor's connection
 //	actor wait            reads until the other side has closed its end
 //
-// The first step of an actor opens its connection: the part of its name before a dot is
-// the peer, the rest tells several connections to one peer apart. $name is what a group
-// (?P<name>...) of an earlier pattern matched, and @name(a,b) is what a function of the
-// test returns. If the group (?P<again>...) of a pattern matches, the answer leaves the
-// matter open: the actor sends its last text again and expects the pattern anew. Steps wait
-// for events, never for time, but for the limit after which a test has failed.
+// The first step of an actor opens its connection: the part of its name before a dot names the peer, the
+// rest distinguishes several connections to one peer. $name is replaced by the text that a group
+// (?P<name>...) of an earlier pattern matched, and @name(a,b) by the result of a function of the test. If the
+// group (?P<again>...) of a pattern matches, the answer is not final: the actor sends its last text again and
+// then expects the same pattern once more. Steps wait for events and never for a fixed time; a step fails
+// after a timeout.
 package scenario
 
 import (
@@ -36,7 +36,7 @@
 	SetReadDeadline(time.Time) error
 }
 
-// waiter is a Conn that is a process: to close it only asks it to end.
+// waiter is implemented by a Conn that is a process. Closing such a Conn only requests the process's end.
 type waiter interface{ Wait() error }
 
 // Peers are the peers of a script by name, each with the function that opens a connection.
@@ -52,7 +52,7 @@
 	sent   []byte // the text of its last send
 }
 
-// again is the group of a pattern that lets the last text be sent again.
+// again is the name of the group of a pattern that makes the actor send its last text again.
 const again = "again"
 
 // interpreter runs a script.
@@ -60,7 +60,7 @@
 	peers     Peers
 	functions Functions
 	actors    map[string]*actor
-	variables map[string]string // what groups of patterns matched
+	variables map[string]string // texts that named groups of patterns matched
 }
 
 // RunScript runs a script and fails the test at the first step that fails.
@@ -79,6 +79,7 @@
 	}
 }
 
+// step runs one line of a script.
 func (p *interpreter) step(line string) error {
 	name, rest, _ := strings.Cut(line, " ")
 	verb, text, _ := strings.Cut(strings.TrimSpace(rest), " ")
@@ -106,7 +107,7 @@
 	return err
 }
 
-// actor returns an actor, whose connection is opened if it is new.
+// actor returns the actor of that name. It opens the connection of a new one.
 func (p *interpreter) actor(name string) (*actor, error) {
 	if a := p.actors[name]; a != nil {
 		return a, nil
@@ -130,8 +131,8 @@
 	variable     = regexp.MustCompile(`\$(\w+)`)
 )
 
-// expand replaces variables, and then function calls from the inside out. Names that are
-// not known stay: in a pattern, a dollar may be an anchor.
+// expand replaces variables, and then function calls from the innermost outwards, by their values, quoted
+// by quote. Unknown names are left as they are: in a pattern, a dollar sign may be an anchor.
 func (p *interpreter) expand(text string, quote func(string) string) string {
 	text = variable.ReplaceAllStringFunc(text, func(match string) string {
 		if value, ok := p.variables[match[1:]]; ok {
@@ -154,7 +155,8 @@
 	}
 }
 
-// expect reads until a pattern matches, and sets the variables of its groups.
+// expect reads until a pattern matches, and sets the variables of its groups. Each time the group "again"
+// matches, it sends the last text again and continues.
 func (p *interpreter) expect(a *actor, pattern string) error {
 	re, err := regexp.Compile("(?s)" + pattern)
 	if err != nil {
@@ -164,9 +166,9 @@
 	buffer := make([]byte, 64<<10)
 	for {
 		if m := re.FindSubmatchIndex(a.unread); m != nil {
-			open := p.capture(re, m, a.unread)
+			resend := p.capture(re, m, a.unread)
 			a.unread = a.unread[m[1]:]
-			if !open {
+			if !resend {
 				return nil
 			}
 			if _, err := a.conn.Write(a.sent); err != nil {
@@ -182,28 +184,27 @@
 	}
 }
 
-// capture sets the variables of the groups of a match, and reports whether the group
-// "again" is one of them.
-func (p *interpreter) capture(re *regexp.Regexp, match []int, text []byte) (open bool) {
+// capture sets the variables of the named groups of a match, and reports whether the group "again" matched.
+func (p *interpreter) capture(re *regexp.Regexp, match []int, text []byte) (resend bool) {
 	for i, name := range re.SubexpNames() {
 		begin, end := match[2*i], match[2*i+1]
 		switch {
 		case name == "" || begin < 0:
 		case name == again:
-			open = true
+			resend = true
 		default:
 			p.variables[name] = string(text[begin:end])
 		}
 	}
-	return open
+	return resend
 }
 
-// startTimeout bounds the reads of a step. It fails only where the connection is closed,
+// startTimeout sets the deadline for the reads of a step. Setting it fails only if the connection is closed,
 // which the next read reports.
 func (a *actor) startTimeout() { _ = a.conn.SetReadDeadline(time.Now().Add(stepTimeout)) }
 
-// wait reads until the other side has closed its end. For a process it also waits for its
-// exit, which must be in order.
+// wait reads until the other side has closed its end. For a process it also waits for the exit, and fails
+// unless the exit status is 0.
 func (a *actor) wait() error {
 	a.startTimeout()
 	rest, err := io.ReadAll(a.conn)
--- a/internal/dispatcher/scenario/start.go
+++ b/internal/dispatcher/scenario/start.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Settings is the settings object of the tests: the classes of a fleet in service, with
-// one dispatcher.
+// Settings is the settings object of the tests. It has the classes of a fleet in production, and one
+// dispatcher.
 const Settings = `{"balancers":1,"rank":0,"registry_mode":"ask","worth_by":"work","zone":"hall","shapes":["std"],
 "lanes":[{"name":"place-hold","effect":"deduplicated","key_scope":"cell","promise":400000000,"give_up":10000000000,"repeat_window":15000000000,"worth":10},
 {"name":"group-ticket","effect":"at_most_once","key_scope":"all","promise":1000000000,"give_up":25000000000,"worth":2},
@@ -20,37 +20,37 @@
 "limits":{"most_tries":3,"cancel":true,"probes":true,"retry_after":true,"max_retry_after":2000000000,"conn_idle":15000000000,"dial_timeout":250000000},
 "guarantees":{"grace_to_answer":8000000,"ask_every":10000000000,"start_capacity":0.12,"warm_after":24000000000,"fall_multiple":4,"tip_after":3000000000}}`
 
-// The machine that a configuration describes, if a test does not.
+// The limits of the machine in the configuration, unless a test sets others.
 const (
 	defaultMemory  = 192 // MB
 	defaultSockets = 1024
 )
 
-// options are what the program is started with.
+// options are the settings with which the program is started.
 type options struct {
 	members         int
-	operator        string // the operator's file; empty: none
-	admin           string // the address of the admin API; empty: none
+	operator        string // the operator's file; empty for none
+	admin           string // the address of the admin API; empty for none
 	settings        string
 	memory, sockets int  // of the machine, in MB and descriptors
-	enforceSockets  bool // by the system
+	enforceSockets  bool // whether the operating system enforces sockets
 }
 
+// defaultOptions returns the options of Start without an operator's file.
 func defaultOptions(members int) options {
 	return options{members: members, settings: Settings, memory: defaultMemory, sockets: defaultSockets}
 }
 
-// withAgent lets lists be pushed to an agent.
+// withAgent returns the options with member lists that are pushed to an agent.
 func (o options) withAgent() options {
 	o.settings = strings.Replace(o.settings, `"ask"`, `"push"`, 1)
 	return o
 }
 
-// Start starts the program with as many pool members, r1, r2 and so on, in one cell. Its
-// peers are client, discovery, the members, and program itself; with an operator's file, in
-// which FAKTORY, AGENT and FIGURES stand for addresses, also faktory, agent and figures.
-// The environment names another discovery service than the configuration: that of the
-// configuration, the peer next, is in use after a reload.
+// Start starts the program with the given number of pool members, r1, r2 and so on, in one cell. It returns
+// the peers client, discovery, program, next, and one for each member; with an operator's file also faktory,
+// agent and figures, whose addresses replace FAKTORY, AGENT and FIGURES in that file. The environment names
+// the discovery service discovery, and the configuration another one, next, which is used after a reload.
 func Start(t testing.TB, members int, operator string) Peers {
 	t.Helper()
 	o := defaultOptions(members)
@@ -58,7 +58,7 @@
 	return o.start(t)
 }
 
-// StartWithAgent is Start where lists are pushed to an agent, which is the peer discovery.
+// StartWithAgent is Start with member lists that are pushed to an agent. The peer discovery is the agent.
 func StartWithAgent(t testing.TB, members int) Peers {
 	t.Helper()
 	return defaultOptions(members).withAgent().start(t)
@@ -72,7 +72,7 @@
 	return o.start(t)
 }
 
-// StartWithAdmin is Start with the admin API, which is the peer door.
+// StartWithAdmin is Start with the admin API, to which the peer door connects.
 func StartWithAdmin(t testing.TB, members int) Peers {
 	t.Helper()
 	o := defaultOptions(members)
@@ -82,8 +82,8 @@
 	return peers
 }
 
-// StartConstrained is Start, or StartWithAgent, on a machine with as much memory, in MB,
-// and as many descriptors, which the system enforces.
+// StartConstrained is Start, or StartWithAgent if agent is true, on a machine with the given memory, in MB,
+// and number of descriptors. The operating system enforces the number of descriptors.
 func StartConstrained(t testing.TB, members, memory, sockets int, agent bool) Peers {
 	t.Helper()
 	o := defaultOptions(members)
@@ -94,8 +94,8 @@
 	return o.start(t)
 }
 
-// StartWithEnv starts the program with an operator's file and more of the environment. Its
-// only peer is program.
+// StartWithEnv starts the program with an operator's file and additional environment variables. It returns
+// only the peer program.
 func StartWithEnv(t testing.TB, operator string, env ...string) Peers {
 	t.Helper()
 	binary, err := Build()
@@ -106,8 +106,8 @@
 		"-operator", writeFile(t, dir, "operator.json", operator))}
 }
 
-// StartWithConfig starts the program with a configuration file of any text. Its only peer
-// is program.
+// StartWithConfig starts the program with a configuration file of the given text. It returns only the peer
+// program.
 func StartWithConfig(t testing.TB, config string) Peers {
 	t.Helper()
 	binary, err := Build()
@@ -115,6 +115,7 @@
 	return Peers{"program": StartProcess(t, binary, writeFile(t, t.TempDir(), "config.json", config), "")}
 }
 
+// start starts the program with the options and returns its peers.
 func (o options) start(t testing.TB) Peers {
 	t.Helper()
 	binary, err := Build()
@@ -132,8 +133,8 @@
 	return peers
 }
 
-// configuration returns the configuration file and the address of discovery in the
-// environment, and adds the peers of both.
+// configuration returns the text of the configuration file, and the address of the discovery service for
+// the environment. It adds the peers of both.
 func (o options) configuration(t testing.TB, peers Peers) (config, discovery string) {
 	t.Helper()
 	listed := make([]string, o.members)
@@ -155,7 +156,7 @@
 	return config, discovery
 }
 
-// operatorFile is the operator's file with the addresses of its peers, which it adds.
+// operatorFile returns the operator's file with the addresses of its peers filled in, and adds these peers.
 func (o options) operatorFile(t testing.TB, peers Peers) string {
 	t.Helper()
 	var replacements []string
