--- a/internal/cluster/demo/kill.go
+++ b/internal/cluster/demo/kill.go
@@ -9,7 +9,7 @@
 // Target is the part of the cluster that the demonstration kills.
 type Target string
 
-// Targets.
+// Parts of the cluster that the option --kill of basaltloftctl demo selects; KillNothing is its default.
 const (
 	KillNothing    Target = ""
 	KillLeader     Target = "leader"     // the node that leads most groups
--- a/internal/cluster/lateness/lateness.go
+++ b/internal/cluster/lateness/lateness.go
@@ -12,7 +12,7 @@
 // Cause is what a job's time was spent on.
 type Cause uint8
 
-// Causes.
+// Parts into which a job's time is divided: waits, lost runs, additional run time, and the work itself.
 const (
 	PreviousLeader Cause = iota // time before this leader had the job: under another leader, or without one
 	Commit                      // wait for the commit of a start
--- a/internal/cluster/opconfig/register.go
+++ b/internal/cluster/opconfig/register.go
@@ -8,7 +8,7 @@
 // Verdict is the result of evaluating a change. Only an Accepted change modifies the register.
 type Verdict uint8
 
-// Verdicts.
+// Results of Register.Evaluate and Register.Apply for an operator's change of the configuration.
 const (
 	Accepted        Verdict = iota + 1
 	AlreadyAccepted         // the same configuration was accepted before with this version
--- a/internal/cluster/placement/placement.go
+++ b/internal/cluster/placement/placement.go
@@ -37,7 +37,7 @@
 // Urgency is how little time a task's job has left until its objective.
 type Urgency uint8
 
-// Urgencies.
+// Values of Request.Urgency, by which Choose ranks fast runners before or after slow ones.
 const (
 	UrgencyNormal Urgency = iota
 	UrgencyHigh           // fast runners are preferred
@@ -72,7 +72,7 @@
 // first of them in the order below.
 type Result uint8
 
-// Results.
+// Results of Choose, from which the scheduler derives why a task waits.
 const (
 	Found      Result = iota
 	NoBudget          // some feasible runner has the capacity free, but not the headroom
--- a/internal/cluster/soak/connection.go
+++ b/internal/cluster/soak/connection.go
@@ -49,7 +49,7 @@
 // outcome is how an exchange ended.
 type outcome int
 
-// Outcomes.
+// Ways in which an exchange can end, as the client of the soak test observes them. They are counted separately.
 const (
 	unsent   outcome = iota // not sent completely: the process has not read it
 	answered                // a complete answer arrived
--- a/internal/dispatcher/faktory/sets/disposition.go
+++ b/internal/dispatcher/faktory/sets/disposition.go
@@ -9,7 +9,7 @@
 // Disposition is what happens next to a job whose attempt has ended without success.
 type Disposition uint8
 
-// Dispositions.
+// Results of Store.Failed and Store.Rejected, which decide where the job goes next.
 const (
 	WillRetry   Disposition = iota // it waits for another attempt
 	MovedToDead                    // it is in the dead set, where an operator may requeue it
--- a/internal/dispatcher/faktory/sets/mutate.go
+++ b/internal/dispatcher/faktory/sets/mutate.go
@@ -45,7 +45,7 @@
 // Command is what a mutation does to the jobs that it selects.
 type Command string
 
-// Commands.
+// Values of the field cmd in a Faktory client's MUTATE command.
 const (
 	Kill    Command = "kill"    // move them to the dead set
 	Requeue Command = "requeue" // put them into their queues
--- a/internal/dispatcher/fleet/budget/budget.go
+++ b/internal/dispatcher/fleet/budget/budget.go
@@ -34,7 +34,7 @@
 // Kind is the way in which a budget is used. It is stored as a number.
 type Kind uint8
 
-// Kinds.
+// Quantities that a budget can limit over all processes: a rate, jobs in flight, or a divided amount.
 const (
 	Rate     Kind = iota // at most Total jobs a second with Burst, over all processes
 	InFlight             // at most Total jobs in flight, over all processes
--- a/internal/dispatcher/fleet/budget/rejection.go
+++ b/internal/dispatcher/fleet/budget/rejection.go
@@ -8,7 +8,7 @@
 // RejectionReason is the reason why a bucket rejected a job, for statistics and logs.
 type RejectionReason uint8
 
-// Reasons.
+// Reasons that TokenBucket.RejectionReason can return.
 const (
 	ReasonNone         RejectionReason = iota // it would be admitted now
 	ReasonNoShare                             // no grant has named the budget yet, or the share is 0
--- a/internal/dispatcher/fleet/budget/status.go
+++ b/internal/dispatcher/fleet/budget/status.go
@@ -9,7 +9,7 @@
 // Mode is what limits a process's use of a budget at present.
 type Mode uint8
 
-// Modes.
+// Values of BucketStatus.Mode: what the process may use of the budget now.
 const (
 	Unbounded Mode = iota // the process knows of no such budget
 	OnShare               // its share; the lease is in force
--- a/internal/dispatcher/fleet/plan/check_test.go
+++ b/internal/dispatcher/fleet/plan/check_test.go
@@ -83,7 +83,7 @@
 		{stages("a safe: body = <<E\n" + strings.Repeat("x\n", 512) + "~x\nE"), "a text of more than 512 lines"},
 		{stages("a safe: body = ~[for x in input : x]"), "for is not allowed in a plan"},
 		{stages("a safe: body = \"~%{ if true }x%{ endif }\""), "%{ } is not allowed in a plan"},
-		// Names.
+		// Unknown, unavailable and reserved names.
 		{strings.Replace(stages("a saef:"), `"saef"`, `~"saef"`, 1), `unknown class "saef"; did you mean "safe"?`},
 		{strings.Replace(stages("hold safe:", "b safe hodl:"), `"hodl"`, `~"hodl"`, 1), `unknown stage "hodl"; did you mean "hold"?`},
 		{stages("a safe: body = ~inptu.x"), `unknown name "inptu"; did you mean "input"?`},
@@ -97,7 +97,7 @@
 		{stages("a safe: retry {; on = [~\"worse\"]; most = 1; }"), `unknown end "worse"; one of refused, full, unsent, late, failed, reset, may_have_run, lost_input`},
 		{stages("a safe: retry {; on = [~\"done\"]; most = 1; }"), "done is no bad end"},
 		{stages("a safe: retry {; on = [\"full\"]; most = 1; where = ~\"elsewhere\"; }"), `unknown where "elsewhere"; one of anywhere, other_member, other_zone`},
-		// Graph.
+		// Order of the stages: cycles, unknown stages and missing dependencies.
 		{strings.Replace(stages("a safe c:", "b safe a:", "c safe b:"), `["a"]`, `[~"a"]`, 1), "a cycle: a after c after b after a: one of them must not come after the next"},
 		{strings.Replace(stages("hold safe:", "b safe hodl: body = hold.x; "+strings.Replace(again, "\"a\"", "\"hold\"", 1), "c safe b: body = hold"), `"hodl"`, `~"hodl"`, 1), `unknown stage "hodl"`},
 		{strings.Replace(stages("a safe a:"), `["a"]`, `[~"a"]`, 1), "comes after itself"},
@@ -134,7 +134,7 @@
 		{stages("a safe:", "o once a: "+never), ""},
 		{stages("a safe:", "o once a: each = input.l; most = 2; "+strings.Replace(never, `"a"`, `~"a"`, 1)), "others of its items may have run"},
 		{stages("a safe: ~undo {; class = \"once\"; path = \"/\"; most = 2; }"), "most must be 1, not 2"},
-		// Keys.
+		// Deduplication keys, and keys of shared stages.
 		{strings.Replace(stages("a keyed:"), `stage "a"`, `~stage "a"`, 1), `class "keyed" drops repeats by key: add key = ...`},
 		{stages("a keyed: key = input.k"), ""},
 		{stages("a safe: key = ~input.k"), `class "safe" is idempotent, where a key changes nothing`},
@@ -151,7 +151,7 @@
 		{stages("a safe: shared = ~input.k; shared_for = \"1s\"; each = input.l; most = 2"), "which plans can't share"},
 		{strings.Replace(stages("a safe:", "b safe a: shared = input.k; shared_for = \"1s\""), `["a"]`, `[~"a"]`, 1), `"b" is shared and comes after "a", which is not`},
 		{stages("a safe: shared = input.k; shared_for = \"1s\"", "k keyed a: key = ~a.id"), "which a rerun may change"},
-		// Bounds.
+		// The plan's bounds of attempts and time.
 		{strings.Replace(stages("a safe: each = input.l; most = 500; retry {; on = [\"full\"]; most = 2; }"), "1000", "~1000", 1), `plan "p" may take 1500 attempts, above its bound of 1000`},
 		{strings.Replace(stages("a safe: retry {; on = [\"full\"]; most = 2; wait = \"5m\"; wait_at_most = \"6m\"; jitter = 0.5; }"), `"10m"`, `~"10m"`, 1), `plan "p" may take 16m36s, above its bound of 10m0s`},
 		{strings.Replace(stages("a endless:"), `"endless"`, `~"endless"`, 1), `class "endless" gives up after 0s`},
--- a/internal/dispatcher/fleet/planrun/answer.go
+++ b/internal/dispatcher/fleet/planrun/answer.go
@@ -11,7 +11,7 @@
 // Outcome is a run's outcome. It is stored as a number.
 type Outcome uint8
 
-// Outcomes.
+// Values of Answer.Outcome, which the client of a plan gets with the answer.
 const (
 	Served  Outcome = iota // every stage succeeded
 	Refused                // nothing has run
