--- a/internal/dispatcher/faultproxy/conn.go
+++ b/internal/dispatcher/faultproxy/conn.go
@@ -9,27 +9,28 @@
 	"time"
 )
 
-// conn is one proxied connection: a client's and its counterpart at the target.
+// conn is one proxied connection: the client's connection and the proxy's connection to the target.
 type conn struct {
 	proxy  *Proxy
 	client *net.TCPConn
 	done   chan struct{}
 
 	mu            sync.Mutex
-	target        *net.TCPConn // nil: not dialled yet
+	target        *net.TCPConn // nil until it is dialled
 	closed        bool
-	lostBytes     [2]bool // by direction
-	recording     []byte  // what the client sent, for replays
-	recordingFull bool    // it can't
+	lostBytes     [2]bool // by direction: whether bytes were dropped
+	recording     []byte  // what the client sent, for Replay
+	recordingFull bool    // the client sent more than maxRecording bytes: the connection can't be replayed
 }
 
-// piece is a read of bytes on their way, or the end of them.
+// piece is the result of one read: bytes to forward, the end of the stream, or both.
 type piece struct {
-	text []byte
-	due  time.Time
-	end  error // io.EOF, or what broke the connection
+	data []byte
+	due  time.Time // when it may be forwarded
+	end  error     // nil while the stream continues; else io.EOF or the read error
 }
 
+// serveConn registers an accepted connection and starts to forward it.
 func (p *Proxy) serveConn(a *net.TCPConn) {
 	c := &conn{proxy: p, client: a, done: make(chan struct{})}
 	p.mu.Lock()
@@ -44,7 +45,7 @@
 	p.workers.Go(func() { c.run(uint64(number)) })
 }
 
-// run forwards both directions until both have ended.
+// run dials the target and forwards both directions until both have ended.
 func (c *conn) run(number uint64) {
 	defer c.finish()
 	if _, _, ok := c.awaitOpen(Forward, time.Time{}); !ok {
@@ -57,18 +58,19 @@
 	}
 	c.mu.Lock()
 	c.target = b
-	over := c.closed
+	ended := c.closed
 	c.mu.Unlock()
-	if over {
+	if ended {
 		_ = b.Close()
 		return
 	}
-	var ways sync.WaitGroup
-	ways.Go(func() { c.forward(Forward, c.client, b, number) })
+	var directions sync.WaitGroup
+	directions.Go(func() { c.forward(Forward, c.client, b, number) })
 	c.forward(Backward, b, c.client, number)
-	ways.Wait()
+	directions.Wait()
 }
 
+// forward forwards one direction until it ends.
 func (c *conn) forward(w Direction, from, to *net.TCPConn, number uint64) {
 	queue := make(chan piece, maxQueuedPieces)
 	c.proxy.workers.Go(func() { c.read(w, from, queue, rand.New(rand.NewPCG(c.proxy.seed, 2*number+uint64(w)))) })
@@ -79,12 +81,12 @@
 	}
 }
 
-// read reads one direction's bytes, and decides when each piece is due.
+// read reads one direction's bytes into the queue and sets when each piece is due.
 func (c *conn) read(w Direction, from *net.TCPConn, queue chan<- piece, random *rand.Rand) {
 	defer close(queue)
 	for {
-		text := make([]byte, pieceSize)
-		n, err := from.Read(text)
+		data := make([]byte, pieceSize)
+		n, err := from.Read(data)
 		f, _ := c.proxy.faultOf(w)
 		due := time.Now().Add(f.delay)
 		if f.jitter > 0 {
@@ -94,10 +96,10 @@
 		c.proxy.counts.Held[w] += n
 		c.proxy.mu.Unlock()
 		if w == Forward {
-			c.record(text[:n])
+			c.record(data[:n])
 		}
 		select {
-		case queue <- piece{text[:n], due, err}:
+		case queue <- piece{data[:n], due, err}:
 		case <-c.done:
 			return
 		}
@@ -115,10 +117,10 @@
 		case !ok:
 			return false
 		case f.lost:
-			c.dropPiece(w, len(p.text))
+			c.dropPiece(w, len(p.data))
 			return p.end == nil
-		case len(p.text) > 0:
-			part := p.text
+		case len(p.data) > 0:
+			part := p.data
 			if f.rate > 0 {
 				part = part[:min(len(part), max(1, f.rate/20))]
 			}
@@ -127,7 +129,7 @@
 				return false
 			}
 			c.count(w, len(part), &c.proxy.counts.Passed)
-			if p.text = p.text[len(part):]; f.rate > 0 {
+			if p.data = p.data[len(part):]; f.rate > 0 {
 				c.wait(time.Duration(len(part))*time.Second/time.Duration(f.rate), changed)
 			}
 		case p.end == nil:
@@ -142,8 +144,9 @@
 	}
 }
 
-// awaitOpen waits until a direction is open and bytes are due, and reports whether the
-// connection is still there. A direction that has lost bytes goes on losing them.
+// awaitOpen waits until a direction is not held and the due time has come. It returns the
+// direction's faults, the channel that is closed when they change, and whether the connection
+// is still open. A direction that has lost bytes keeps losing them.
 func (c *conn) awaitOpen(w Direction, due time.Time) (f fault, changed <-chan struct{}, ok bool) {
 	for {
 		f, changed = c.proxy.faultOf(w)
@@ -163,6 +166,7 @@
 	}
 }
 
+// wait waits for a time or until the faults change. It returns false if the connection was closed.
 func (c *conn) wait(d time.Duration, changed <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -175,7 +179,7 @@
 	return true
 }
 
-// dropPiece drops bytes, or the end of them, and marks the direction.
+// dropPiece counts n bytes as lost and marks the direction; n is 0 if only the end of the stream is dropped.
 func (c *conn) dropPiece(w Direction, n int) {
 	c.mu.Lock()
 	c.lostBytes[w] = true
@@ -183,13 +187,14 @@
 	c.count(w, n, &c.proxy.counts.Lost)
 }
 
+// hasLostBytes reports whether a piece was dropped in either direction.
 func (c *conn) hasLostBytes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lostBytes[Forward] || c.lostBytes[Backward]
 }
 
-// count moves bytes from those held.
+// count moves n bytes of a direction from Held to another count.
 func (c *conn) count(w Direction, n int, to *[2]int) {
 	c.proxy.mu.Lock()
 	defer c.proxy.mu.Unlock()
@@ -197,20 +202,22 @@
 	to[w] += n
 }
 
-func (c *conn) record(text []byte) {
+// record adds bytes to the recording for Replay, up to maxRecording.
+func (c *conn) record(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.recording)+len(text) > maxRecording {
+	if len(c.recording)+len(data) > maxRecording {
 		c.recordingFull = true
 	}
 	if !c.recordingFull {
-		c.recording = append(c.recording, text...)
+		c.recording = append(c.recording, data...)
 	}
 }
 
 // reset closes the connection with a RST at both ends.
 func (c *conn) reset() { c.close(true) }
 
+// close closes both ends, with a RST if abort is true. Only the first call has an effect.
 func (c *conn) close(abort bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -230,7 +237,7 @@
 	}
 }
 
-// finish removes a connection, and keeps its recording for replays.
+// finish closes and removes a connection and keeps its recording for Replay.
 func (c *conn) finish() {
 	c.close(false)
 	c.mu.Lock()
--- a/internal/dispatcher/faultproxy/proxy.go
+++ b/internal/dispatcher/faultproxy/proxy.go
@@ -1,7 +1,7 @@
 // Package faultproxy is a loopback TCP proxy that injects faults, for tests of several
-// processes: connections to its address are forwarded to another address until the proxy is
-// told to misbehave. A proxy serves one direction of dialling, from a client to a target;
-// its bytes flow forward (from the client) and backward (to it).
+// processes. It forwards connections to its address to a target address, with the faults that
+// its methods set. Only the client dials: bytes flow forward (from the client to the target)
+// and backward (from the target to the client).
 package faultproxy
 
 import (
@@ -15,7 +15,7 @@
 	"basaltloft/internal/shared/portreservation"
 )
 
-// Direction is a direction of a proxy's bytes.
+// Direction is the direction in which a proxy forwards bytes.
 type Direction int
 
 // Directions.
@@ -26,17 +26,17 @@
 
 // Bounds of a proxy.
 const (
-	maxQueuedPieces = 64       // in one direction of a connection; beyond it the sender is not read
+	maxQueuedPieces = 64       // by direction of a connection; while the queue is full, the sender is not read
 	pieceSize       = 16 << 10 // bytes read at a time
-	maxRecording    = 64 << 10 // bytes of a connection that can be replayed
-	maxRecordings   = 8        // connections that can be replayed
+	maxRecording    = 64 << 10 // bytes; a connection whose client sent more can't be replayed
+	maxRecordings   = 8        // ended connections that can be replayed: the latest ones
 )
 
-// fault is what one direction does to bytes.
+// fault holds the faults of one direction.
 type fault struct {
 	held, lost    bool
 	delay, jitter time.Duration
-	rate          int // bytes a second; 0: as they come
+	rate          int // bytes a second; 0: unlimited
 }
 
 // Counts are the statistics of a proxy. Passed, Held and Lost are bytes by direction:
@@ -50,7 +50,7 @@
 type Proxy struct {
 	target, addr string
 	seed         uint64
-	reservation  *portreservation.Reservation // of addr: it keeps the port while the proxy refuses connections
+	reservation  *portreservation.Reservation // of addr: keeps the port while the proxy refuses connections
 	ctx          context.Context
 	cancel       context.CancelFunc
 	workers      sync.WaitGroup
@@ -58,28 +58,28 @@
 	mu         sync.Mutex
 	listener   net.Listener // nil: connections are refused
 	faults     [2]fault
-	changed    chan struct{}
+	changed    chan struct{} // closed and replaced when faults change
 	conns      map[*conn]struct{}
 	counts     Counts
-	recordings [][]byte
+	recordings [][]byte // what clients of ended connections sent
 	random     *rand.Rand
 }
 
-// New starts a proxy to an address, which need not be served yet. The seed determines its
-// jitter and which connection it replays. The caller must Close it.
+// New starts a proxy to a target address; the target need not listen yet. The seed determines
+// the jitter and which connection Replay selects. The caller must call Close.
 func New(to string, seed uint64) (*Proxy, error) {
-	l := &Proxy{target: to, seed: seed, changed: make(chan struct{}), conns: make(map[*conn]struct{}), random: rand.New(rand.NewPCG(seed, 5))}
+	p := &Proxy{target: to, seed: seed, changed: make(chan struct{}), conns: make(map[*conn]struct{}), random: rand.New(rand.NewPCG(seed, 5))}
 	var err error
-	if l.reservation, err = portreservation.Reserve(); err != nil {
+	if p.reservation, err = portreservation.Reserve(); err != nil {
 		return nil, fmt.Errorf("reserving a proxy's port: %w", err)
 	}
-	l.addr = l.reservation.Addr()
-	l.ctx, l.cancel = context.WithCancel(context.Background())
-	if err := l.listen(); err != nil {
-		_ = l.reservation.Close()
+	p.addr = p.reservation.Addr()
+	p.ctx, p.cancel = context.WithCancel(context.Background())
+	if err := p.listen(); err != nil {
+		_ = p.reservation.Close()
 		return nil, err
 	}
-	return l, nil
+	return p, nil
 }
 
 // Addr returns the address to dial.
@@ -94,9 +94,9 @@
 	return c
 }
 
-// Cut stops both directions: connections stay open, and what is sent arrives after Heal, as
-// a network's retransmissions would. New connections are refused, or accepted and stopped
-// too.
+// Cut holds the bytes of both directions: connections stay open, and what is sent arrives after
+// Heal, as it would by a network's retransmissions. New connections are refused if refuse is
+// true; else they are accepted and held too.
 func (p *Proxy) Cut(refuse bool) error {
 	p.updateFaults(func(f *fault) { f.held = true }, Forward, Backward)
 	if refuse {
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// DropOneWay drops the bytes of one direction. A connection that has lost bytes forwards no
+// DropOneWay drops the bytes of one direction. A connection that has lost bytes forwards nothing
 // more in that direction, and Heal resets it.
 func (p *Proxy) DropOneWay(w Direction) { p.updateFaults(func(f *fault) { f.lost = true }, w) }
 
-// Delay delays bytes, in their order, by a time and up to jitter more.
+// Delay delays the bytes of both directions by a time plus a random part of jitter. Their order stays.
 func (p *Proxy) Delay(by, jitter time.Duration) {
 	p.updateFaults(func(f *fault) { f.delay, f.jitter = by, jitter }, Forward, Backward)
 }
@@ -138,7 +138,7 @@
 	return err
 }
 
-// Heal ends all faults.
+// Heal ends all faults: it resets connections that have lost bytes, and accepts new connections again.
 func (p *Proxy) Heal() error {
 	for _, c := range p.openConns() {
 		if c.hasLostBytes() {
@@ -149,9 +149,9 @@
 	return p.listen()
 }
 
-// Replay sends what the client of an ended connection sent, from its first byte on, on a
-// new connection: the target receives a call twice. It returns the number of bytes written,
-// 0 if no connection has ended yet. The response is dropped.
+// Replay opens a new connection to the target and sends what the client of an ended connection
+// sent, from its first byte on, so that the target receives a call twice. It returns the number
+// of bytes written, or 0 if no connection has ended yet. The response is dropped.
 func (p *Proxy) Replay() (int, error) {
 	p.mu.Lock()
 	if len(p.recordings) == 0 {
@@ -185,16 +185,18 @@
 	_ = p.reservation.Close()
 }
 
-func (p *Proxy) updateFaults(change func(*fault), ways ...Direction) {
+// updateFaults changes the faults of directions and wakes the connections that wait.
+func (p *Proxy) updateFaults(change func(*fault), directions ...Direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, w := range ways {
+	for _, w := range directions {
 		change(&p.faults[w])
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
+// faultOf returns the faults of a direction and a channel that is closed when they change.
 func (p *Proxy) faultOf(w Direction) (fault, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,6 +212,7 @@
 	return all
 }
 
+// listen starts to accept connections, unless the proxy does so already or is closed.
 func (p *Proxy) listen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,7 +221,7 @@
 	}
 	listener, err := new(net.ListenConfig).Listen(p.ctx, "tcp", p.addr)
 	if err != nil {
-		return fmt.Errorf("a link's listener: %w", err)
+		return fmt.Errorf("listening on a proxy's address: %w", err)
 	}
 	p.listener = listener
 	p.workers.Go(func() {
--- a/internal/dispatcher/faultproxy/proxy_test.go
+++ b/internal/dispatcher/faultproxy/proxy_test.go
@@ -17,59 +17,59 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// hand is a link as an actor: what is sent to it are faults, and what is read
-// from it is its counts, until one matches.
-type hand struct {
+// scriptedProxy is a proxy as a connection of a scenario script: a write sets the fault that it names, and a
+// read returns the proxy's counts.
+type scriptedProxy struct {
 	*Proxy
 	until time.Time
 }
 
-func (h *hand) SetReadDeadline(t time.Time) error { h.until = t; return nil }
-func (h *hand) Close() error                      { return nil }
+func (p *scriptedProxy) SetReadDeadline(t time.Time) error { p.until = t; return nil }
+func (p *scriptedProxy) Close() error                      { return nil }
 
-func (h *hand) Read(b []byte) (int, error) {
+func (p *scriptedProxy) Read(b []byte) (int, error) {
 	time.Sleep(time.Millisecond)
-	if time.Now().After(h.until) {
-		return 0, errors.New("it never came to that")
+	if time.Now().After(p.until) {
+		return 0, errors.New("the expected counts were not reached in time")
 	}
-	return copy(b, fmt.Sprintf("%+v\n", h.Counts())), nil
+	return copy(b, fmt.Sprintf("%+v\n", p.Counts())), nil
 }
 
-func (h *hand) Write(text []byte) (n int, err error) {
+func (p *scriptedProxy) Write(text []byte) (n int, err error) {
 	switch string(text) {
 	case "cut":
-		err = h.Cut(false)
+		err = p.Cut(false)
 	case "cut and refuse":
-		err = h.Cut(true)
-	case "lose forth":
-		h.DropOneWay(Forward)
-	case "lose back":
-		h.DropOneWay(Backward)
+		err = p.Cut(true)
+	case "drop forward":
+		p.DropOneWay(Forward)
+	case "drop backward":
+		p.DropOneWay(Backward)
 	case "delay":
-		h.Delay(40*time.Millisecond, 20*time.Millisecond)
+		p.Delay(40*time.Millisecond, 20*time.Millisecond)
 	case "trickle":
-		h.LimitRate(200)
+		p.LimitRate(200)
 	case "reset":
-		h.Reset()
+		p.Reset()
 	case "refuse":
-		err = h.Refuse()
+		err = p.Refuse()
 	case "heal":
-		err = h.Heal()
+		err = p.Heal()
 	case "replay":
-		_, err = h.Replay()
+		_, err = p.Replay()
 	default:
-		err = errors.New("no such fault")
+		err = errors.New("unknown fault")
 	}
 	return len(text), err
 }
 
-// frank is a connection that tells its errors as text. Told "!", it resets.
-type frank struct {
+// errorTextConn is a connection whose reads return errors as text. Writing "!" to it resets it.
+type errorTextConn struct {
 	scenario.Conn
 	err error
 }
 
-func (f *frank) Read(b []byte) (n int, err error) {
+func (f *errorTextConn) Read(b []byte) (n int, err error) {
 	if err = f.err; err == nil {
 		n, err = f.Conn.Read(b)
 	}
@@ -79,7 +79,7 @@
 	return copy(b, err.Error()), nil
 }
 
-func (f *frank) Write(b []byte) (int, error) {
+func (f *errorTextConn) Write(b []byte) (int, error) {
 	if string(b) != "!" {
 		return f.Conn.Write(b)
 	}
@@ -87,14 +87,14 @@
 	return 1, f.Close()
 }
 
-func (f *frank) SetReadDeadline(t time.Time) error {
+func (f *errorTextConn) SetReadDeadline(t time.Time) error {
 	if f.err != nil {
 		return nil
 	}
 	return f.Conn.SetReadDeadline(t)
 }
 
-func (f *frank) Close() error {
+func (f *errorTextConn) Close() error {
 	if f.err != nil {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	const joined = "a send hello\nb expect ^hello\nb send welcome\na expect ^welcome\n"
 	for name, script := range map[string]string{
 		"passes bytes and ends": joined + "a close\nb wait",
-		"a cut holds both ways, and what was sent comes late": joined + `
+		"a cut holds both directions, and what was sent arrives after it": joined + `
 			link send cut
 			a send forth
 			b send back
@@ -113,26 +113,26 @@
 			link send heal
 			b expect ^forth
 			a expect ^back`,
-		"a cut's new connections are silent": `
+		"new connections are held during a cut": `
 			link send cut
 			a send hello
 			link expect Open:1 Made:1 Passed:\[0 0\]
 			link send heal
 			b expect ^hello`,
-		"a cut may refuse": joined + `
+		"a cut may refuse new connections": joined + `
 			link send cut and refuse
 			a send forth
 			link expect Held:\[5 0\]
 			a.2 expect connection refused`,
-		"heals a refusal":        "link send refuse\na.0 expect connection refused\nlink send heal\n" + joined,
-		"an end waits in a cut":  joined + "link send cut\na send bye\na close\nlink expect Held:\\[3 0\\]\nlink send heal\nb expect ^bye\nb wait",
-		"a reset waits in a cut": joined + "link send cut\na send !\nb send back\nlink expect Held:\\[0 4\\]\nlink send heal\nb expect reset by peer",
-		"loses what goes forth":  joined + "link send lose forth\na send gone\nb send back\na expect ^back\nlink expect Passed:\\[5 11\\] Held:\\[0 0\\] Lost:\\[4 0\\]",
-		"loses what comes back":  joined + "link send lose back\nb send gone\na send forth\nb expect ^forth\nlink expect Passed:\\[10 7\\] Held:\\[0 0\\] Lost:\\[0 4\\]",
-		"never bridges a hole":   joined + "link send lose forth\na send gone\nlink expect Lost:\\[4 0\\]\nlink send heal\nb expect ^read.*reset by peer\na expect reset by peer",
-		"resets both ends":       joined + "link send reset\nb expect reset by peer\na expect reset by peer",
-		"passes a reset on":      joined + "b send !\na expect reset by peer",
-		"nobody is there":        "nowhere expect reset by peer",
+		"accepts connections again after a refusal": "link send refuse\na.0 expect connection refused\nlink send heal\n" + joined,
+		"a close is held during a cut":              joined + "link send cut\na send bye\na close\nlink expect Held:\\[3 0\\]\nlink send heal\nb expect ^bye\nb wait",
+		"a reset is held during a cut":              joined + "link send cut\na send !\nb send back\nlink expect Held:\\[0 4\\]\nlink send heal\nb expect reset by peer",
+		"drops bytes to the target":                 joined + "link send drop forward\na send gone\nb send back\na expect ^back\nlink expect Passed:\\[5 11\\] Held:\\[0 0\\] Lost:\\[4 0\\]",
+		"drops bytes to the client":                 joined + "link send drop backward\nb send gone\na send forth\nb expect ^forth\nlink expect Passed:\\[10 7\\] Held:\\[0 0\\] Lost:\\[0 4\\]",
+		"resets a connection that has lost bytes":   joined + "link send drop forward\na send gone\nlink expect Lost:\\[4 0\\]\nlink send heal\nb expect ^read.*reset by peer\na expect reset by peer",
+		"resets both ends":                          joined + "link send reset\nb expect reset by peer\na expect reset by peer",
+		"forwards a reset":                          joined + "b send !\na expect reset by peer",
+		"resets the client if the target refuses":   "nowhere expect reset by peer",
 		"replays a call": joined + `
 			a close
 			b wait
@@ -143,39 +143,38 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			to, open := scenario.Listen(t)
-			l, err := New(to, 1)
+			p, err := New(to, 1)
 			require.NoError(t, err)
-			t.Cleanup(l.Close)
+			t.Cleanup(p.Close)
 			none, err := New("127.0.0.1:1", 1)
 			require.NoError(t, err)
 			t.Cleanup(none.Close)
-			tells := func(open func() (scenario.Conn, error)) func() (scenario.Conn, error) {
+			withErrorText := func(open func() (scenario.Conn, error)) func() (scenario.Conn, error) {
 				return func() (scenario.Conn, error) {
 					c, err := open()
-					return &frank{c, err}, nil
+					return &errorTextConn{c, err}, nil
 				}
 			}
-			dial := func(l *Proxy) func() (scenario.Conn, error) {
-				return tells(func() (scenario.Conn, error) { return new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr()) })
+			dial := func(p *Proxy) func() (scenario.Conn, error) {
+				return withErrorText(func() (scenario.Conn, error) { return new(net.Dialer).DialContext(t.Context(), "tcp", p.Addr()) })
 			}
-			scenario.RunScript(t, scenario.Peers{"a": dial(l), "b": tells(open), "nowhere": dial(none),
-				"link": func() (scenario.Conn, error) { return &hand{Proxy: l}, nil }}, nil, script)
+			scenario.RunScript(t, scenario.Peers{"a": dial(p), "b": withErrorText(open), "nowhere": dial(none),
+				"link": func() (scenario.Conn, error) { return &scriptedProxy{Proxy: p}, nil }}, nil, script)
 		})
 	}
 }
 
-// TestPace: late bytes come in their order and not before their time, and a
-// trickle takes as long as its rate says. Both are lower bounds: a slow machine
-// makes them no less true.
+// TestPace checks that delayed bytes arrive in their order and not before the delay, and that a limited rate
+// takes at least the time that follows from it. Both are lower bounds, which also hold on a slow machine.
 func TestPace(t *testing.T) {
 	to, open := scenario.Listen(t)
 	for fault, least := range map[string]time.Duration{"delay": 40 * time.Millisecond, "trickle": 200 * time.Millisecond} {
-		l, err := New(to, 7)
+		p, err := New(to, 7)
 		require.NoError(t, err)
-		defer l.Close()
-		_, err = (&hand{Proxy: l}).Write([]byte(fault))
+		defer p.Close()
+		_, err = (&scriptedProxy{Proxy: p}).Write([]byte(fault))
 		require.NoError(t, err)
-		a, err := new(net.Dialer).DialContext(t.Context(), "tcp", l.Addr())
+		a, err := new(net.Dialer).DialContext(t.Context(), "tcp", p.Addr())
 		require.NoError(t, err)
 		defer func() { _ = a.Close() }()
 		began := time.Now()
