--- a/internal/dispatcher/soak/result.go
+++ b/internal/dispatcher/soak/result.go
@@ -16,34 +16,35 @@
 	"basaltloft/internal/dispatcher/textout"
 )
 
-// Result is what a soak saw.
+// Result holds the counts of a soak and the violations that it found.
 type Result struct {
 	Kills, Starts   int // of the dispatcher
 	WorkerKills     int
-	Audits          int64 // that the dispatcher has answered
-	Differences     int64 // that they found
-	HTTP, Faktory   string
-	ServedToClients int64                 // answers 200 that HTTP clients read
-	Journal         *journal.Verification // of the latest recount
-	ServedByJournal int64                 // of the HTTP front
-	Lost            int64                 // answers that kills took from the journal
-	RunTwice        []string
-	RSS             []int64 // of the dispatcher before each kill, in kB
+	Audits          int64                 // audits that the dispatcher answered
+	Differences     int64                 // differences that these audits found
+	HTTP, Faktory   string                // counts of the clients' answers, as text
+	ServedToClients int64                 // answers with status 200 that HTTP clients read
+	Journal         *journal.Verification // of the latest verification
+	ServedByJournal int64                 // jobs of the HTTP front that the journal has as served
+	Lost            int64                 // answers read by clients whose records the journal lost in kills
+	RunTwice        []string              // tickets that ran twice
+	RSS             []int64               // of the dispatcher before each kill, in kB
 	Violations      []string
 }
 
+// violation adds a violation.
 func (r *Result) violation(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// auditTimeout bounds an audit: a dispatcher that starts does not answer.
+// auditTimeout limits the time of an audit: a dispatcher that is starting does not answer.
 const auditTimeout = time.Second
 
-// audit lets the dispatcher audit its ledger, if it answers.
+// audit has the dispatcher audit its ledger and adds the differences. Without an answer it does nothing.
 func (r *Result) audit(metricsAddr string) {
 	state, err := readAudit(metricsAddr)
 	if err != nil {
-		return // it starts
+		return // it is starting
 	}
 	r.Audits++
 	r.Differences += int64(len(state.Differences))
@@ -52,6 +53,7 @@
 	}
 }
 
+// readAudit requests an audit from a dispatcher's metrics address and returns its result.
 func readAudit(metricsAddr string) (state metrics.AuditState, err error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(auditTimeout))
 	defer cancel()
@@ -63,12 +65,12 @@
 	if err != nil {
 		return state, err
 	}
-	defer func() { _ = resp.Body.Close() }() // what was read counts all the same
+	defer func() { _ = resp.Body.Close() }() // an error of closing does not affect what was read
 	err = json.NewDecoder(resp.Body).Decode(&state)
 	return state, err
 }
 
-// recount verifies the journal.
+// recount verifies the journal and adds its inconsistencies as violations; when is the prefix of their text.
 func (r *Result) recount(journalDir, when string) {
 	dir, err := journal.ReadDirectory(journalDir)
 	if err == nil {
@@ -83,7 +85,7 @@
 	}
 }
 
-// residentKB is a process's resident memory in kB, 0 where the system does not tell.
+// residentKB returns a process's resident memory in kB, or 0 if it can't be read from /proc.
 func residentKB(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -96,7 +98,7 @@
 	return resident * int64(os.Getpagesize()) / 1024
 }
 
-// Write writes the result for people, and fails if anything was broken.
+// Write writes the result as readable text. It returns an error if there are violations or a write failed.
 func (r *Result) Write(out io.Writer) error {
 	p := textout.New(out)
 	p.Printf("%d kills, %d starts, %d workers killed, %d audits with %d differences\n", r.Kills, r.Starts, r.WorkerKills, r.Audits, r.Differences)
--- a/internal/dispatcher/soak/soak.go
+++ b/internal/dispatcher/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak loads a dispatcher on both fronts, kills it at random, and compares its
-// ledger, its journal and what its clients saw.
+// Package soak sends load to both fronts of a dispatcher, kills it at random times, and compares
+// its ledger, its journal and the answers that its clients read.
 package soak
 
 import (
@@ -21,25 +21,24 @@
 	"github.com/schollz/progressbar/v3"
 )
 
-// Settings are what a soak does.
+// Settings are the settings of a soak.
 type Settings struct {
-	Program     string // the dispatcher's executable
-	Until       time.Time
-	Kills       int     // of the dispatcher
-	WorkerKills int     // of Faktory workers
-	Rate        float64 // logical requests a second, by each front
-	JournalDir  string  // must be empty
+	Program     string    // the dispatcher's executable
+	Until       time.Time // end of the load
+	Kills       int       // of the dispatcher
+	WorkerKills int       // of Faktory workers
+	Rate        float64   // logical requests a second, at each front
+	JournalDir  string    // must be empty
 	Seed        uint64
 }
 
-// writeDelay is how long a record of the journal may wait to be written, with what a write
-// takes.
+// writeDelay is the longest time from a journal record's creation to the end of its write.
 const writeDelay = 50 * time.Millisecond
 
-// startTime is how long a start is waited for beyond its time.
+// startTime is the longest time beyond a planned kill that the soak waits for the dispatcher's first answer.
 const startTime = 20 * time.Second
 
-// soak is one that runs.
+// soak is a running soak.
 type soak struct {
 	Settings
 	world  *demo.World
@@ -50,27 +49,27 @@
 	result *Result
 }
 
-// dispatcherFiles are the files that a dispatcher of a world is started with.
+// dispatcherFiles are the paths of a dispatcher's configuration and operator files.
 type dispatcherFiles struct{ config, operator string }
 
-// writeFiles writes the files of a world's dispatcher to a directory; an empty journalDir leaves its journal
-// off.
+// writeFiles writes the files of a world's dispatcher to a directory. With an empty journalDir the dispatcher
+// writes no journal.
 func writeFiles(dir string, world *demo.World, journalDir string) (dispatcherFiles, error) {
 	f := dispatcherFiles{filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.json")}
 	return f, errors.Join(os.WriteFile(f.config, []byte(world.Configuration()), 0o600),
 		os.WriteFile(f.operator, []byte(world.OperatorFile(journalDir)), 0o600))
 }
 
-// command returns the command that starts a dispatcher. Variables of this process's environment do not
-// reach its configuration.
+// command returns the command that starts a dispatcher. It clears or replaces the environment variables that
+// would otherwise change its configuration.
 func (f dispatcherFiles) command(ctx context.Context, program string, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(ctx, program, append(args, "--operator", f.operator)...)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+f.config, "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_NAME=")
 	return cmd
 }
 
-// Run soaks. It returns an error if the soak could not be done; what was found broken is in
-// the result.
+// Run runs a soak. It returns an error if the soak could not be completed; violations that it
+// found are in the result.
 func Run(ctx context.Context, settings Settings, out io.Writer) (result *Result, err error) {
 	load := demo.Load{
 		Rate: settings.Rate, Members: 6, Workers: 4, Seed: settings.Seed,
@@ -95,16 +94,16 @@
 		log: out, random: rand.New(rand.NewPCG(settings.Seed, 19)), began: time.Now(), result: new(Result),
 	}
 	world.StartLoad(load)
-	if err := s.play(ctx); err != nil {
+	if err := s.runKills(ctx); err != nil {
 		return nil, err
 	}
 	world.Close()
 	return s.result, errors.Join(s.conclude(), ctx.Err())
 }
 
-// play starts the dispatcher and kills it, as often as it is to be, and ends the last one in
-// order.
-func (s *soak) play(ctx context.Context) error {
+// runKills starts and kills the dispatcher s.Kills times, then starts it once more and shuts it
+// down gracefully at the end.
+func (s *soak) runKills(ctx context.Context) error {
 	stop, workersKilled := make(chan struct{}), make(chan int, 1)
 	go func() { workersKilled <- s.killWorkers(stop) }()
 	bar := progressbar.NewOptions(s.Kills, progressbar.OptionSetWriter(s.log), progressbar.OptionSetDescription("kills"), progressbar.OptionShowCount())
@@ -112,7 +111,7 @@
 		if err := s.runAndKill(); err != nil {
 			return s.abort(stop, workersKilled, err)
 		}
-		_ = bar.Add(1) // progress that can't be shown stops nothing
+		_ = bar.Add(1) // an error of the progress bar does not end the soak
 	}
 	if ctx.Err() != nil {
 		return s.abort(stop, workersKilled, nil)
@@ -129,16 +128,16 @@
 	return err
 }
 
-// abort ends the killing of workers, and returns the error.
+// abort ends the killing of workers and returns err.
 func (s *soak) abort(stop chan<- struct{}, workersKilled <-chan int, err error) error {
 	close(stop)
 	s.result.WorkerKills = <-workersKilled
 	return err
 }
 
-// start starts a dispatcher.
+// start starts a dispatcher process.
 func (s *soak) start() (*exec.Cmd, error) {
-	cmd := s.files.command(context.Background(), s.Program, "--log-level", "error") // ended by a signal
+	cmd := s.files.command(context.Background(), s.Program, "--log-level", "error") // a signal ends it, not the context
 	cmd.Stderr = s.log
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -147,8 +146,9 @@
 	return cmd, nil
 }
 
-// runAndKill starts a dispatcher, kills it in the second half of this kill's share of the
-// time, and recounts the journal.
+// runAndKill starts a dispatcher, kills it and verifies the journal. The soak's time is divided
+// evenly among the kills and the last run; the kill is at a random time in the second half of its
+// share.
 func (s *soak) runAndKill() error {
 	cmd, err := s.start()
 	if err != nil {
@@ -160,13 +160,13 @@
 	if err := cmd.Process.Kill(); err != nil {
 		return fmt.Errorf("killing the dispatcher: %w", err)
 	}
-	_ = cmd.Wait() // it was killed
+	_ = cmd.Wait() // its error is that the process was killed
 	s.result.Kills++
 	s.result.recount(s.JournalDir, "after a kill")
 	return nil
 }
 
-// shutdown ends the load and then the dispatcher, in order.
+// shutdown stops the clients, waits until the dispatcher is idle, audits it and shuts it down gracefully.
 func (s *soak) shutdown(cmd *exec.Cmd) {
 	s.world.StopClients()
 	if err := demo.WaitIdle(s.world.MetricsAddr); err != nil {
@@ -181,8 +181,8 @@
 	}
 }
 
-// killWorkers kills Faktory workers at random times, as many as there are to be, and then
-// waits for the stop.
+// killWorkers kills s.WorkerKills Faktory workers at random times and then waits for stop. It
+// returns the number of workers killed.
 func (s *soak) killWorkers(stop <-chan struct{}) (killed int) {
 	random := rand.New(rand.NewPCG(s.Seed, 29))
 	for left := s.WorkerKills; left > 0; left-- {
@@ -199,8 +199,9 @@
 	return killed
 }
 
-// watch audits the running dispatcher until a time, and on from there until it has answered
-// once: on a busy machine it may still be starting then, and a kill would meet nothing.
+// watch audits the running dispatcher until a time. If it has not answered by then, watch goes on
+// until the first answer or for startTime: on a busy machine the dispatcher may still be starting,
+// and a kill would test nothing.
 func (s *soak) watch(until time.Time) {
 	const longest, shortest = 200 * time.Millisecond, 10 * time.Millisecond
 	before, latest := s.result.Audits, until.Add(startTime)
@@ -210,7 +211,7 @@
 	}
 }
 
-// conclude compares the journal with what the clients and members saw.
+// conclude compares the journal with the answers that clients read and the jobs that members ran.
 func (s *soak) conclude() error {
 	r := s.result
 	r.recount(s.JournalDir, "at the end")
@@ -233,9 +234,9 @@
 			r.ServedByJournal = row.Outcome(accounting.Served)
 		}
 	}
-	// A client may read its answer before the record of it is written: a kill takes such
-	// records. Where a client left as its answer came, or an answer was lost on its way,
-	// the journal has more.
+	// A client may read its answer before the journal record is written: a kill loses such
+	// records. If a client disconnected as its answer arrived, or an answer was lost on the
+	// network, the journal has more.
 	r.Lost = max(0, r.ServedToClients-r.ServedByJournal)
 	if allowed := int64(r.Kills) * int64(1+s.Rate*writeDelay.Seconds()*4); r.Lost > allowed {
 		r.violation("clients read %d answers that the journal does not have, more than the %d that %d kills may take", r.Lost, allowed, r.Kills)
--- a/internal/dispatcher/soak/soak_test.go
+++ b/internal/dispatcher/soak/soak_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSoak is the short form of the soak: both fronts under load, the program
-// killed at random, every sum checked after each kill.
+// TestSoak runs a short soak: both fronts are under load, the program is killed at random times, and the
+// journal is verified after each kill.
 func TestSoak(t *testing.T) {
 	binary, err := scenario.Build()
 	require.NoError(t, err)
@@ -34,8 +34,9 @@
 	require.NoError(t, r.Write(io.Discard))
 }
 
-// TestKillsMeetAStart: kills that come due sooner than a process starts wait until it has, so that each meets one.
-func TestKillsMeetAStart(t *testing.T) {
+// TestKillsWaitForStart checks that kills that are due before the process has started wait for the start, so
+// that each kill ends a running process.
+func TestKillsWaitForStart(t *testing.T) {
 	binary, err := scenario.Build()
 	require.NoError(t, err)
 	r, err := Run(context.Background(), Settings{
@@ -46,8 +47,8 @@
 	require.Equal(t, 4, r.Journal.Epochs)
 }
 
-// TestKill kills the program with open jobs: the next start closes exactly
-// those, before it takes anything.
+// TestKill kills the program while jobs are open: the next start closes exactly these jobs, before it accepts
+// new ones.
 func TestKill(t *testing.T) {
 	binary, err := scenario.Build()
 	require.NoError(t, err)
@@ -70,12 +71,12 @@
 	for epoch := 1; epoch <= 3; epoch++ {
 		cmd := files.command(t.Context(), binary)
 		require.NoError(t, cmd.Start())
-		defer func() { _ = cmd.Process.Kill() }() // it has ended, if the test passes
+		defer func() { _ = cmd.Process.Kill() }() // has no effect if the test passes: the process has ended
 		client := scenario.Dial(w.HTTPAddr)
 		for n := range openJobs {
 			c, err := client()
 			require.NoError(t, err)
-			defer func() { _ = c.Close() }() // the dispatcher has broken it
+			defer func() { _ = c.Close() }() // the kill has broken the connection
 			_, err = io.WriteString(c, "POST /group-ticket HTTP/1.1\r\nHost: a\r\nX-Call-Id: t-"+string(rune('a'+n))+"\r\nContent-Length: 0\r\n\r\n")
 			require.NoError(t, err)
 		}
--- a/internal/dispatcher/soak/throughput_test.go
+++ b/internal/dispatcher/soak/throughput_test.go
@@ -20,9 +20,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkThroughput measures the started program with the journal off and on,
-// in turn: jobs a second with 64 clients in a closed loop, and the program's own
-// CPU a job. Members are in this process and run a job for 1 ms.
+// BenchmarkThroughput measures the program without and with a journal: jobs a second with 64 clients in a
+// closed loop, and the program's CPU time for each job. Members are in this process and run a job for 1 ms.
 func BenchmarkThroughput(b *testing.B) {
 	binary, err := scenario.Build()
 	require.NoError(b, err)
@@ -33,8 +32,8 @@
 	}
 }
 
-// BenchmarkFleet measures what a job costs by the size of the fleet: 128 clients in
-// a closed loop, members that take 20 ms, and one core for the program.
+// BenchmarkFleet measures the cost of a job for several fleet sizes: 128 clients in a closed loop, members that
+// run a job for 20 ms, and one core for the program.
 func BenchmarkFleet(b *testing.B) {
 	binary, err := scenario.Build()
 	require.NoError(b, err)
@@ -46,6 +45,7 @@
 	}
 }
 
+// throughput starts the program and measures b.N requests of a closed loop, after a warm-up.
 func throughput(b *testing.B, binary string, journal bool, clients int, load demo.Load) {
 	dir := b.TempDir()
 	w, err := demo.NewWorld(load)
@@ -67,7 +67,7 @@
 	require.NoError(b, demo.WaitReady(context.Background(), w.HTTPAddr, nil))
 	c := newClosedLoop(b, w.HTTPAddr, clients)
 	defer c.client.CloseIdleConnections()
-	c.run(2000) // budgets grow
+	c.run(2000) // warm-up: budgets grow meanwhile
 	c.served = 0
 	clear(c.statuses)
 	before, began := cpu(cmd.Process.Pid), time.Now()
@@ -82,7 +82,7 @@
 	b.ReportMetric(float64((cpu(cmd.Process.Pid)-before).Microseconds())/float64(b.N), "cpu-us/job")
 }
 
-// closedLoop is some clients, of which each sends its next request after an answer.
+// closedLoop is a number of clients that each send the next request after the answer to the last one.
 type closedLoop struct {
 	b       *testing.B
 	addr    string
@@ -101,7 +101,7 @@
 	}
 }
 
-// run sends some requests and waits for their answers.
+// run sends a number of requests and waits for their answers.
 func (c *closedLoop) run(requests int) {
 	last := c.next + requests
 	var running sync.WaitGroup
@@ -123,6 +123,7 @@
 	c.next = last
 }
 
+// send sends request n and counts its answer by status.
 func (c *closedLoop) send(n int) {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+c.addr+"/place-hold", strings.NewReader("body"))
 	require.NoError(c.b, err)
@@ -142,7 +143,7 @@
 	}
 }
 
-// cpu is what a process has used, in user and system time.
+// cpu returns the user and system time that a process has used, or 0 if it can't be read from /proc.
 func cpu(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -157,5 +158,5 @@
 	if _, err := fmt.Sscan(fields[12], &system); err != nil {
 		return 0
 	}
-	return time.Duration(user+system) * 10 * time.Millisecond // the kernel's hundredths
+	return time.Duration(user+system) * 10 * time.Millisecond // /proc counts hundredths of a second
 }
