--- a/internal/dispatcher/loadgen/drive.go
+++ b/internal/dispatcher/loadgen/drive.go
@@ -15,18 +15,18 @@
 	"basaltloft/internal/dispatcher/fakes"
 )
 
-// Target is what requests are sent to.
+// Target is a server that requests are sent to.
 type Target interface {
-	// Send sends the nth request and returns what became of it, in words: Served, or
-	// another one. It may be called concurrently.
+	// Send sends the nth request and returns its outcome: Served, or a text that names
+	// another outcome. It may be called concurrently.
 	Send(ctx context.Context, n int) (outcome string)
 	// Close closes the connections. No request may be in flight.
 	Close()
 }
 
-// Run sends the requests of a plan and returns once all have ended. No more than
-// maxInFlight are sent at a time: a request that can't be sent when it is due is sent later
-// and counts from when it was due. After the end of the context nothing more is sent.
+// Run sends the requests of a plan and returns once all have ended. At most maxInFlight
+// requests are in flight at a time: a request that can't be sent when it is due is sent later,
+// and its latency counts from when it was due. After the end of the context nothing more is sent.
 func Run(ctx context.Context, plan Plan, target Target, maxInFlight int, record *Record) {
 	slots := make(chan struct{}, maxInFlight)
 	var running sync.WaitGroup
@@ -60,7 +60,7 @@
 	}
 }
 
-// Outcomes beside Served, as they are reported.
+// Outcomes other than Served, as they are reported.
 const (
 	outcomeRefused       = "refused"
 	outcomeRefusedForNow = "refused, come back later"
@@ -71,18 +71,18 @@
 	outcomeBadAddress    = "bad address"
 )
 
-// Job is what each request asks for.
+// Job describes the job that each request asks for.
 type Job struct {
-	IDPrefix  string // of ids and keys, so that those of several runs differ
-	Class     string // of an HTTP request, or the jobtype of a Faktory job
-	Queue     string // of a Faktory job
+	IDPrefix  string // of job ids and idempotency keys, so that those of several runs differ
+	Class     string // class of an HTTP request, or jobtype of a Faktory job
+	Queue     string // queue of a Faktory job
 	Tenant    string
 	CostHint  time.Duration // 0: none is sent
 	Timeout   time.Duration
-	BodyBytes int // of the body
+	BodyBytes int // length of the body
 }
 
-// HTTP sends requests by the platform's protocol. It implements Target.
+// HTTP sends requests over the platform's HTTP protocol. It implements Target.
 type HTTP struct {
 	addr   string
 	job    Job
@@ -90,7 +90,7 @@
 	body   string
 }
 
-// NewHTTP returns a target that keeps connections for maxInFlight requests.
+// NewHTTP returns a target that keeps up to maxInFlight idle connections.
 func NewHTTP(addr string, job Job, maxInFlight int) *HTTP {
 	return &HTTP{addr: addr, job: job, body: strings.Repeat("b", job.BodyBytes), client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight}}}
 }
@@ -136,15 +136,15 @@
 // Close implements Target.
 func (h *HTTP) Close() { h.client.CloseIdleConnections() }
 
-// Faktory pushes jobs by the Faktory protocol. A request is served once the server has
-// accepted the job; a worker runs it. It implements Target.
+// Faktory pushes jobs over the Faktory protocol. A request counts as served once the server has
+// accepted the job, which a worker runs later. It implements Target.
 type Faktory struct {
 	addr  string
 	job   Job
-	conns chan *fakes.FaktoryConn // idle ones; nil ones are to be connected
+	conns chan *fakes.FaktoryConn // idle connections; nil stands for one that is not dialled yet
 }
 
-// NewFaktory returns a target with maxConnections connections at most.
+// NewFaktory returns a target that opens at most maxConnections connections.
 func NewFaktory(addr string, job Job, maxConnections int) *Faktory {
 	f := &Faktory{addr: addr, job: job, conns: make(chan *fakes.FaktoryConn, maxConnections)}
 	for range maxConnections {
@@ -190,7 +190,7 @@
 	}
 }
 
-// IsLoopback reports whether an address is one of this machine only.
+// IsLoopback reports whether an address is a loopback address of this machine.
 func IsLoopback(addr string) (bool, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/dispatcher/loadgen/load_test.go
+++ b/internal/dispatcher/loadgen/load_test.go
@@ -21,10 +21,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimes: in any stretch of an even plan there are as many requests as the integral
-// of the rate over it, give or take one; a Poisson plan's are as many within five
-// deviations. They come in order and within the length.
-func TestTimes(t *testing.T) {
+// TestDueTimes checks that the number of requests in the whole and in the first half of an evenly spaced plan is
+// the integral of the rate within one request, and for a Poisson plan within five standard deviations. Due times
+// are in order and within the length.
+func TestDueTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := loadgen.Plan{
 			StartRate: float64(rapid.IntRange(0, 200).Draw(t, "from")), EndRate: float64(rapid.IntRange(1, 200).Draw(t, "to")),
@@ -53,14 +53,14 @@
 	})
 }
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	for name, p := range map[string]loadgen.Plan{
-		"no rate":          {Length: time.Second},
-		"below nothing":    {StartRate: -1, EndRate: 5, Length: time.Second},
-		"no number":        {StartRate: math.NaN(), EndRate: 1, Length: time.Second},
-		"no length":        {StartRate: 1, EndRate: 1},
-		"an empty trace":   {Trace: []time.Duration{}},
-		"a trace in chaos": {Trace: []time.Duration{2, 1}},
+		"no rate":        {Length: time.Second},
+		"negative rate":  {StartRate: -1, EndRate: 5, Length: time.Second},
+		"not a number":   {StartRate: math.NaN(), EndRate: 1, Length: time.Second},
+		"no length":      {StartRate: 1, EndRate: 1},
+		"an empty trace": {Trace: []time.Duration{}},
+		"unsorted trace": {Trace: []time.Duration{2, 1}},
 	} {
 		require.Error(t, p.Validate(), name)
 	}
@@ -69,15 +69,15 @@
 	require.Equal(t, 3, p.ExpectedRequests())
 }
 
-// TestStallCounts: a server that answers each request in a millisecond but stalls for a
-// second makes what is due meanwhile late, though each was answered at once when it
-// was sent: a hundred of two hundred requests have half a second of latency on average.
+// TestStallCounts checks that a server's stall counts as latency (coordinated omission). The server answers each
+// request within a millisecond of sending but stalls for the first second: the requests that are due meanwhile
+// are late, so that a hundred of two hundred requests have half a second of latency on average.
 func TestStallCounts(t *testing.T) {
 	const ms = time.Millisecond
 	r := loadgen.NewRecord()
 	for n := range 200 {
 		due := time.Duration(n) * 10 * ms
-		sent := max(due, time.Second) // nothing goes out in the first second
+		sent := max(due, time.Second) // nothing is sent in the first second
 		r.Add(due, sent, sent+ms, loadgen.Served)
 	}
 	r.Add(0, 0, ms, "broken off")
@@ -97,40 +97,40 @@
 	require.Contains(t, table.String(), "served 200 (99.50%)")
 }
 
-// counting is a target that counts its requests, and how many it has at a time.
-type counting struct {
-	mu                sync.Mutex
-	seen, now, atOnce int
+// countingTarget is a target that counts its requests and the most that were in flight at a time.
+type countingTarget struct {
+	mu                          sync.Mutex
+	seen, inFlight, maxInFlight int
 }
 
-func (c *counting) Send(context.Context, int) string {
+func (c *countingTarget) Send(context.Context, int) string {
 	c.mu.Lock()
 	c.seen++
-	c.now++
-	c.atOnce = max(c.atOnce, c.now)
+	c.inFlight++
+	c.maxInFlight = max(c.maxInFlight, c.inFlight)
 	c.mu.Unlock()
 	runtime.Gosched()
 	c.mu.Lock()
-	c.now--
+	c.inFlight--
 	c.mu.Unlock()
 	return loadgen.Served
 }
-func (c *counting) Close() {}
+func (c *countingTarget) Close() {}
 
-// TestRunSendsAll: all requests are sent, also those long overdue, no more at a time than
-// there are connections; once the context has ended nothing does.
+// TestRunSendsAll checks that Run sends all requests, also overdue ones, with at most maxInFlight at a time, and
+// that it sends nothing once the context has ended.
 func TestRunSendsAll(t *testing.T) {
-	c, r := &counting{}, loadgen.NewRecord()
+	c, r := &countingTarget{}, loadgen.NewRecord()
 	loadgen.Run(context.Background(), loadgen.Plan{Trace: make([]time.Duration, 500)}, c, 3, r)
 	require.Equal(t, 500, c.seen)
-	require.LessOrEqual(t, c.atOnce, 3)
+	require.LessOrEqual(t, c.maxInFlight, 3)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	loadgen.Run(ended, loadgen.Plan{Trace: []time.Duration{time.Hour}}, c, 3, r)
 	require.EqualValues(t, 500, r.Summary().Asks)
 }
 
-// TestBothFronts sends to the started program on both fronts.
+// TestBothFronts sends requests to both fronts of the started program.
 func TestBothFronts(t *testing.T) {
 	binary, err := scenario.Build()
 	require.NoError(t, err)
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestIsLoopback: only addresses of this machine are loopback.
+// TestIsLoopback checks that only loopback addresses of this machine are reported as such.
 func TestIsLoopback(t *testing.T) {
 	for addr, want := range map[string]bool{"127.0.0.1:80": true, "[::1]:80": true, "localhost:1": true, "10.0.0.1:80": false, "example.org:80": false} {
 		got, err := loadgen.IsLoopback(addr)
--- a/internal/dispatcher/loadgen/plan.go
+++ b/internal/dispatcher/loadgen/plan.go
@@ -1,7 +1,7 @@
 // Package loadgen sends an open-loop load to a dispatcher and records the results. The time
-// at which each request is due is planned beforehand and does not depend on answers: a
-// server that stalls gets the requests of its stall all the same, and their wait counts,
-// which corrects for coordinated omission. plan.go and record.go do no I/O.
+// at which each request is due is planned beforehand and does not depend on answers: the
+// requests that are due while a server stalls are sent all the same, and their waiting time
+// counts as latency, which corrects for coordinated omission. plan.go and record.go do no I/O.
 package loadgen
 
 import (
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// Plan is when requests are due.
+// Plan defines when requests are due.
 type Plan struct {
-	StartRate, EndRate float64 // requests a second at the begin and at the end
+	StartRate, EndRate float64 // requests a second at the start and at the end
 	Length             time.Duration
-	EvenlySpaced       bool // evenly apart; else a Poisson process
+	EvenlySpaced       bool // at even intervals; else as a Poisson process
 	Seed               uint64
-	Trace              []time.Duration // in place of all these: when each request is due, from the begin
+	Trace              []time.Duration // replaces all these: when each request is due, from the start
 }
 
-// Validate returns what is wrong with a plan.
+// Validate returns an error that says what is wrong with a plan, or nil.
 func (p *Plan) Validate() error {
 	switch {
 	case p.Trace != nil:
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// ExpectedRequests is how many requests are due, on average.
+// ExpectedRequests returns how many requests are due, on average for a Poisson process.
 func (p *Plan) ExpectedRequests() int {
 	if p.Trace != nil {
 		return len(p.Trace)
@@ -45,9 +45,9 @@
 	return int((p.StartRate + p.EndRate) / 2 * p.Length.Seconds())
 }
 
-// DueTimes are the times at which requests are due, from the begin: the points at which the
+// DueTimes returns the times at which requests are due, from the start: the points at which the
 // integral of the rate passes whole numbers, or the sums of exponential draws for a Poisson
-// process. A ramp is exact at each moment, not in steps.
+// process. The rate of a ramp changes continuously, not in steps.
 func (p *Plan) DueTimes() iter.Seq[time.Duration] {
 	if p.Trace != nil {
 		return slices.Values(p.Trace)
@@ -68,8 +68,8 @@
 	}
 }
 
-// dueTime is the time up to which a number of requests is due, if that is before the end:
-// with the rate a + (b-a)t/T, the requests until t are at + (b-a)t²/2T.
+// dueTime returns the time until which a number of requests is due, and whether that is before
+// the end: with the rate a + (b-a)t/T, the number of requests until t is at + (b-a)t²/2T.
 func (p *Plan) dueTime(requests float64) (time.Duration, bool) {
 	length := p.Length.Seconds()
 	slope := (p.EndRate - p.StartRate) / length
@@ -78,7 +78,7 @@
 		t = requests / p.StartRate
 	} else {
 		root := p.StartRate*p.StartRate + 2*slope*requests
-		if root < 0 { // a falling ramp never gets to as many
+		if root < 0 { // a falling ramp never reaches this number
 			return 0, false
 		}
 		t = (math.Sqrt(root) - p.StartRate) / slope
--- a/internal/dispatcher/loadgen/record.go
+++ b/internal/dispatcher/loadgen/record.go
@@ -14,7 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Record counts the results of a load. Its methods may be called concurrently.
+// Record collects the outcomes and latencies of a load. Its methods may be called concurrently.
 type Record struct {
 	mu        sync.Mutex
 	requests  int64
@@ -22,10 +22,10 @@
 	corrected *hdrhistogram.Histogram // of served requests, from when they were due, in microseconds
 	service   *hdrhistogram.Histogram // from when they were sent
 	lateness  *hdrhistogram.Histogram // of all requests, from when they were due until they were sent
-	last      time.Duration           // end of the last request, from the begin
+	last      time.Duration           // end of the last request, from the start
 }
 
-// maxRecorded bounds what a latency counts as, in microseconds.
+// maxRecorded is the highest latency recorded, in microseconds; higher ones count as this one.
 const maxRecorded = int64(time.Hour / time.Microsecond)
 
 // NewRecord returns an empty record.
@@ -34,10 +34,10 @@
 	return &Record{outcomes: make(map[string]int64), corrected: histogram(), service: histogram(), lateness: histogram()}
 }
 
-// Served is the outcome whose latencies count.
+// Served is the outcome of a served request. Only requests with this outcome count in the latencies.
 const Served = "served"
 
-// Add counts a request that was due, sent and ended at times from the begin.
+// Add records a request. The times are from the start of the load.
 func (r *Record) Add(due, sent, ended time.Duration, outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,22 +56,22 @@
 	_ = h.RecordValue(min(max(1, d.Microseconds()), maxRecorded)) // always in the range
 }
 
-// Summary is the result of a load. It is written as JSON, by the names of its fields.
+// Summary is the result of a load. It is written as JSON under the names of its fields.
 type Summary struct {
-	Asks     int64
-	PerS     float64 // served a second, until the last answer
+	Asks     int64   // requests sent
+	PerS     float64 // served requests a second, until the end of the last request
 	Outcomes map[string]int64
-	// Milliseconds by quantile: of served requests from when they were due, and from when
-	// they were sent; and how late requests were sent, because of the load generator or
-	// for want of connections.
+	// Milliseconds by quantile: the latency of served requests from when they were due
+	// (Corrected) and from when they were sent (Service), and how late requests were sent
+	// (Lateness), because the load generator was slow or no connection was free.
 	Corrected, Service, Lateness []Point
-	Worst                        float64 // milliseconds, from when it was due
+	Worst                        float64 // highest latency of a served request in milliseconds, from when it was due
 }
 
-// Point is a quantile of a distribution: a percentage, and milliseconds.
+// Point is a quantile of a distribution: a percentage and a value in milliseconds.
 type Point struct{ Quantile, MS float64 }
 
-// Quantiles are those of a Summary, in percent.
+// Quantiles are the quantiles of a Summary, in percent.
 var Quantiles = []float64{50, 75, 90, 95, 99, 99.9, 99.99}
 
 // Summary returns the result so far.
@@ -95,7 +95,7 @@
 	return s
 }
 
-// Table writes a summary for people. The error is the writer's.
+// Table writes a summary as a readable table. It returns the error of the writer.
 func (s Summary) Table(out io.Writer) error {
 	p := textout.New(out)
 	p.Printf("%d asks, %.1f served a second\n", s.Asks, s.PerS)
@@ -118,7 +118,7 @@
 	return tabs.Flush()
 }
 
-// JSON writes a summary for programs. The error is the writer's.
+// JSON writes a summary as indented JSON. It returns the error of the writer.
 func (s Summary) JSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
