--- a/internal/dispatcher/loadreport/loadreport.go
+++ b/internal/dispatcher/loadreport/loadreport.go
@@ -17,8 +17,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// field returns the field of a name and its bit; nil: the name is unknown. The protocol's names come first,
-// the simulator's names for the same field behind them.
+// field returns a pointer to the field with a name, and the field's bit in Has; the pointer is nil if the name is
+// unknown. In each case the protocol's name comes first, then the simulator's name for the same field.
 func field(r *policy.Report, name string) (*float64, policy.ReportField) {
 	switch name {
 	case "inflight", "outstanding":
@@ -41,7 +41,7 @@
 	return nil, 0
 }
 
-// set sets the field of a name; an unknown name changes nothing.
+// set sets the field with a name; an unknown name changes nothing.
 func set(r *policy.Report, name string, value float64) {
 	if at, has := field(r, name); at != nil {
 		*at, r.Has = value, r.Has|has
@@ -50,8 +50,8 @@
 
 // Parse reads a report in text: an optional first word without '=' (the name of the format), then
 // name=value pairs separated by commas or spaces. Empty text is an empty report. A pair that is not
-// name=value, or a value that is not a finite number, is an error of the whole report: a part of it would be
-// taken for a report without the rest.
+// name=value, or a value that is not a finite number, is an error of the whole report: the remaining pairs would
+// be mistaken for a complete report.
 func Parse(text []byte) (policy.Report, error) {
 	var r policy.Report
 	parts := bytes.FieldsFunc(text, func(c rune) bool { return c == ',' || c == ' ' || c == '\t' })
@@ -59,13 +59,13 @@
 		name, value, ok := bytes.Cut(part, []byte("="))
 		if !ok {
 			if i == 0 {
-				continue // the form, such as TEXT
+				continue // the name of the format, such as TEXT
 			}
 			return policy.Report{}, fmt.Errorf("load report: %q is not name=value", part)
 		}
 		f, err := strconv.ParseFloat(string(value), 64)
 		if err != nil || f != f || f > 1e300 || f < -1e300 {
-			return policy.Report{}, fmt.Errorf("load report: %q is no number", part)
+			return policy.Report{}, fmt.Errorf("load report: %q has no finite number as its value", part)
 		}
 		set(&r, string(name), f)
 	}
--- a/internal/dispatcher/loadreport/loadreport_test.go
+++ b/internal/dispatcher/loadreport/loadreport_test.go
@@ -17,7 +17,7 @@
 		"qps=40,inflight=3,x0=0,x1=512":       {Has: policy.HasQPS | policy.HasInFlight | policy.HasX0 | policy.HasX1, QPS: 40, InFlight: 3, X1: 512},
 		"TEXT x0=2 x1=64":                     {Has: policy.HasX0 | policy.HasX1, X0: 2, X1: 64},
 		"throughput=5, outstanding=1":         {Has: policy.HasQPS | policy.HasInFlight, QPS: 5, InFlight: 1},
-		"TEXT temperature=40, x0=1":           {Has: policy.HasX0, X0: 1}, // a name of its own is skipped
+		"TEXT temperature=40, x0=1":           {Has: policy.HasX0, X0: 1}, // an unknown name is skipped
 		"latency_ms=12, eps=0.5":              {Has: policy.HasLatency | policy.HasErrors, LatencyMS: 12, ErrorsPerS: 0.5},
 	} {
 		got, err := Parse([]byte(text))
@@ -27,7 +27,7 @@
 	for _, text := range []string{"TEXT x0", "x0=many", "TEXT x0=1, x1", "x0=NaN", "x1=1e999", "TEXT x0=1 TEXT"} {
 		got, err := Parse([]byte(text))
 		require.Error(t, err, text)
-		require.Zero(t, got, text) // a half-read report is none
+		require.Zero(t, got, text) // no part of an invalid report is returned
 	}
 }
 
@@ -54,8 +54,8 @@
 	require.Error(t, err)
 }
 
-// FuzzParse: any text is a report or an error, never a panic, and a report
-// holds values only where it says that they were told.
+// FuzzParse checks that any text gives a report or an error, never a panic, and that a report holds values only
+// in fields that are set in Has.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"TEXT inflight=7, queue=2, util=0.61", "x0=1,x1=2", "=", ",,", "TEXT x0=-0"} {
 		f.Add([]byte(seed))
